--- a/src/main/java/io/kitepath/cli/ArchiveTraining.java
+++ b/src/main/java/io/kitepath/cli/ArchiveTraining.java
@@ -20,8 +20,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs a node for a moment on loopback, against stand-ins that answer by the published protocols, so that the JVM
- * can archive the classes that a start needs (see deploy/service.toml). The smoke test uses it too.
+ * Runs a node for a moment on loopback, against stand-ins that answer by the published protocols,
+ * so that the JVM can archive the classes that a start needs (see deploy/service.toml). The smoke
+ * test uses it too.
  */
 public final class ArchiveTraining {
     private final Map<String, Object> keys = new LinkedHashMap<>();
@@ -43,14 +44,16 @@
         InetSocketAddress outside = free();
         new HttpServer(this::standIn, 1 << 20, 100, 60).listen(group, outside).sync();
         node = free();
-        String json = """
+        String json =
+                """
                 {"label":"kite-0","domain":"a","listen":"%s","internal_addr":"%s","siblings":[],
                  "endpoints":{"cloud":"%s","state":"%s"},
                  "facts":{"nodes":1,"zones":["a"],"teams":[{"name":"t","cpus":0,"cpus_max":0,"gpus":0,"gpus_max":0}],
                   "objectives":[],"workers":{"report_s":0.5,"lease_s":5,"gang_wait_s":9,"gang_peer_s":5,"cancel_s":9},
                   "state":{"rps":200,"write_rps":100,"value_kb":8,"txn_ops":40},"cloud":{"rps":9,"list_lag_s":1},
                   "limits":{"cpu":1,"ram_mb":200,"sockets":1000},"clock_error_ms":5}}
-                """.formatted(text(node), text(free()), text(outside), text(outside));
+                """
+                        .formatted(text(node), text(free()), text(outside), text(outside));
         new Node(Settings.of(json.getBytes(StandardCharsets.UTF_8)), null).start();
     }
 
@@ -88,12 +91,14 @@
         statuses.add(call(loop, client, "GET", "/submissions/j-2", null));
         statuses.add(call(loop, client, "GET", "/healthz", null));
         long first = 1;
-        while (call(loop, client, "POST", "/checkin", report(first, 0)) == 421 && System.nanoTime() < end) {
+        while (call(loop, client, "POST", "/checkin", report(first, 0)) == 421
+                && System.nanoTime() < end) {
             first++;
             TimeUnit.MILLISECONDS.sleep(100);
         }
         for (long tick = first + 1; tick <= first + 6; tick++) {
-            statuses.add(call(loop, client, "POST", "/checkin", report(tick, tick < first + 4 ? 1 : 2)));
+            statuses.add(
+                    call(loop, client, "POST", "/checkin", report(tick, tick < first + 4 ? 1 : 2)));
         }
         statuses.add(call(loop, client, "POST", "/submissions/j-1/withdraw", Pack.bytes(Map.of())));
         statuses.add(call(loop, client, "POST", "/submissions", new byte[] {1}));
@@ -113,12 +118,16 @@
         report.put("tenure", 1L);
         report.put("tick", tick);
         report.put("baton", phase == 0 ? 0L : 1L);
-        report.put("sheets", phase < 2 ? List.of()
-                : List.of(Map.of("sheet", "j-1/0", "try", 1L, "status", "running")));
+        report.put(
+                "sheets",
+                phase < 2
+                        ? List.of()
+                        : List.of(Map.of("sheet", "j-1/0", "try", 1L, "status", "running")));
         return Pack.bytes(report);
     }
 
-    private static int call(EventLoop loop, HttpClient client, String method, String path, byte[] body)
+    private static int call(
+            EventLoop loop, HttpClient client, String method, String path, byte[] body)
             throws Exception {
         CompletableFuture<Integer> status = new CompletableFuture<>();
         loop.execute(() -> client.call(method, path, body, 5000, (s, b) -> status.complete(s)));
@@ -144,23 +153,48 @@
             multi(Pack.value(r.body()), out);
         } else if (path.equals("/keys")) {
             List<Object> entries = new ArrayList<>();
-            String prefix = new QueryStringDecoder(r.query(), false).parameters().get("prefix").get(0);
-            keys.forEach((k, v) -> {
-                if (k.startsWith(prefix)) {
-                    entries.add(v);
-                }
-            });
-            out.reply(200, Pack.bytes(Map.of("entries", entries, "truncated", false, "epoch", revision)));
+            String prefix =
+                    new QueryStringDecoder(r.query(), false).parameters().get("prefix").get(0);
+            keys.forEach(
+                    (k, v) -> {
+                        if (k.startsWith(prefix)) {
+                            entries.add(v);
+                        }
+                    });
+            out.reply(
+                    200,
+                    Pack.bytes(Map.of("entries", entries, "truncated", false, "epoch", revision)));
         } else if (path.startsWith("/keys/")) {
             Object v = keys.get(path.substring("/keys/".length()));
             out.reply(v == null ? 404 : 200, Pack.bytes(v == null ? Map.of("epoch", revision) : v));
         } else if (path.equals("/follow")) {
             long now = revision;
-            group.schedule(() -> out.reply(200, Pack.bytes(Map.of("epoch", now, "events", List.of()))), 200,
+            group.schedule(
+                    () -> out.reply(200, Pack.bytes(Map.of("epoch", now, "events", List.of()))),
+                    200,
                     TimeUnit.MILLISECONDS);
         } else if (path.equals("/machine_types")) {
-            out.reply(200, Pack.bytes(Map.of("frames", List.of(Map.of("name", "m", "vcpus", 4.0, "ramGb", 16.0,
-                    "rate", 1.0, "spotPrice", 0.5, "readyS", 5.0, "fields", List.of("a"))))));
+            out.reply(
+                    200,
+                    Pack.bytes(
+                            Map.of(
+                                    "frames",
+                                    List.of(
+                                            Map.of(
+                                                    "name",
+                                                    "m",
+                                                    "vcpus",
+                                                    4.0,
+                                                    "ramGb",
+                                                    16.0,
+                                                    "rate",
+                                                    1.0,
+                                                    "spotPrice",
+                                                    0.5,
+                                                    "readyS",
+                                                    5.0,
+                                                    "fields",
+                                                    List.of("a"))))));
         } else if (path.equals("/rentals") && r.method().equals("GET")) {
             out.reply(200, Pack.bytes(Map.of("hosts", List.of(), "truncated", false)));
         } else {
@@ -190,7 +224,8 @@
             if (w.containsKey("remove")) {
                 keys.remove(w.get("remove"));
             } else {
-                keys.put((String) w.get("write"),
+                keys.put(
+                        (String) w.get("write"),
                         Map.of("path", w.get("write"), "value", w.get("value"), "stamp", revision));
             }
         }
--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -21,20 +21,36 @@
 import picocli.CommandLine.Parameters;
 
 /** The commands for people. */
-@Command(name = "kitepath", mixinStandardHelpOptions = true, versionProvider = CommandLineEntry.Version.class,
+@Command(
+        name = "kitepath",
+        mixinStandardHelpOptions = true,
+        versionProvider = CommandLineEntry.Version.class,
         description = "A cluster scheduler.",
-        subcommands = {CommandLineEntry.Serve.class, CommandLineEntry.Submit.class, CommandLineEntry.Status.class,
-            CommandLineEntry.Cancel.class, CommandLineEntry.Check.class, CommandLineEntry.Duties.class,
-            StateCommand.class, Local.class, Rehearse.class})
+        subcommands = {
+            CommandLineEntry.Serve.class,
+            CommandLineEntry.Submit.class,
+            CommandLineEntry.Status.class,
+            CommandLineEntry.Cancel.class,
+            CommandLineEntry.Check.class,
+            CommandLineEntry.Duties.class,
+            StateCommand.class,
+            Local.class,
+            Rehearse.class
+        })
 final class CommandLineEntry implements Callable<Integer> {
-    @Option(names = "--config", paramLabel = "FILE", description = "Without a command: serve with these settings.")
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            description = "Without a command: serve with these settings.")
     Path config;
 
-    @Option(names = "--cells", paramLabel = "FILE", description = "With --config: the file that names the cells.")
+    @Option(
+            names = "--cells",
+            paramLabel = "FILE",
+            description = "With --config: the file that names the cells.")
     Path cells;
 
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
     static void run(String[] args) {
         int status = new CommandLine(new CommandLineEntry()).execute(args);
@@ -68,12 +84,22 @@
         }
     }
 
-    @Command(name = "serve", mixinStandardHelpOptions = true, description = "Runs a controller node.")
+    @Command(
+            name = "serve",
+            mixinStandardHelpOptions = true,
+            description = "Runs a controller node.")
     static final class Serve implements Callable<Integer> {
-        @Option(names = "--config", paramLabel = "FILE", required = true, description = "The settings file.")
+        @Option(
+                names = "--config",
+                paramLabel = "FILE",
+                required = true,
+                description = "The settings file.")
         Path config;
 
-        @Option(names = "--cells", paramLabel = "FILE", description = "The file that names the cells.")
+        @Option(
+                names = "--cells",
+                paramLabel = "FILE",
+                description = "The file that names the cells.")
         Path cells;
 
         @Override
@@ -82,24 +108,44 @@
         }
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
             description = "Checks a settings file; exits 2 and says what is wrong, if anything is.")
     static final class Check implements Callable<Integer> {
-        @Option(names = "--config", paramLabel = "FILE", required = true, description = "The settings file.")
+        @Option(
+                names = "--config",
+                paramLabel = "FILE",
+                required = true,
+                description = "The settings file.")
         Path config;
 
-        @Option(names = "--cells", paramLabel = "FILE", description = "The file that names the cells.")
+        @Option(
+                names = "--cells",
+                paramLabel = "FILE",
+                description = "The file that names the cells.")
         Path cells;
 
         @Override
         public Integer call() {
             try {
                 Settings s = Settings.read(config);
-                System.out.println(config + ": ok, node " + s.facts().node() + " of " + (s.siblings().size() + 1));
+                System.out.println(
+                        config
+                                + ": ok, node "
+                                + s.facts().node()
+                                + " of "
+                                + (s.siblings().size() + 1));
                 if (cells != null) {
                     Directory d = CellsFile.read(cells, s.facts()).directory();
-                    System.out.println(cells + ": ok, cell " + d.own() + " of " + d.cells().size() + ", homes: "
-                            + d.homes());
+                    System.out.println(
+                            cells
+                                    + ": ok, cell "
+                                    + d.own()
+                                    + " of "
+                                    + d.cells().size()
+                                    + ", homes: "
+                                    + d.homes());
                 }
                 return 0;
             } catch (Malformed e) {
@@ -111,17 +157,28 @@
 
     /** Where to ask, and how the answer is shown. */
     static final class Target {
-        @Option(names = "--node", paramLabel = "HOST:PORT", required = true, description = "A controller node.")
+        @Option(
+                names = "--node",
+                paramLabel = "HOST:PORT",
+                required = true,
+                description = "A controller node.")
         String node;
 
         int call(String method, String path, byte[] body) throws Exception {
-            HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + node + path))
-                    .timeout(Duration.ofSeconds(5))
-                    .method(method, body == null ? HttpRequest.BodyPublishers.noBody()
-                            : HttpRequest.BodyPublishers.ofByteArray(body)).build();
+            HttpRequest request =
+                    HttpRequest.newBuilder(URI.create("http://" + node + path))
+                            .timeout(Duration.ofSeconds(5))
+                            .method(
+                                    method,
+                                    body == null
+                                            ? HttpRequest.BodyPublishers.noBody()
+                                            : HttpRequest.BodyPublishers.ofByteArray(body))
+                            .build();
             HttpResponse<byte[]> r;
             try {
-                r = HttpClient.newHttpClient().send(request, HttpResponse.BodyHandlers.ofByteArray());
+                r =
+                        HttpClient.newHttpClient()
+                                .send(request, HttpResponse.BodyHandlers.ofByteArray());
             } catch (java.io.IOException e) {
                 System.err.println("kitepath: " + node + " did not answer: " + e);
                 return 1;
@@ -133,11 +190,12 @@
         }
     }
 
-    @Command(name = "submit", mixinStandardHelpOptions = true,
+    @Command(
+            name = "submit",
+            mixinStandardHelpOptions = true,
             description = "Submits a job described in a JSON file with the protocol's fields.")
     static final class Submit implements Callable<Integer> {
-        @Mixin
-        Target target;
+        @Mixin Target target;
 
         @Parameters(paramLabel = "FILE", description = "The job, as JSON.")
         Path file;
@@ -157,8 +215,7 @@
 
     @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows a job's state.")
     static final class Status implements Callable<Integer> {
-        @Mixin
-        Target target;
+        @Mixin Target target;
 
         @Parameters(paramLabel = "JOB", description = "The job's id.")
         String job;
@@ -169,11 +226,12 @@
         }
     }
 
-    @Command(name = "duties", mixinStandardHelpOptions = true,
+    @Command(
+            name = "duties",
+            mixinStandardHelpOptions = true,
             description = "Shows which node has which duty, as far as the asked one knows.")
     static final class Duties implements Callable<Integer> {
-        @Mixin
-        Target target;
+        @Mixin Target target;
 
         @Override
         public Integer call() throws Exception {
@@ -183,8 +241,7 @@
 
     @Command(name = "cancel", mixinStandardHelpOptions = true, description = "Cancels a job.")
     static final class Cancel implements Callable<Integer> {
-        @Mixin
-        Target target;
+        @Mixin Target target;
 
         @Parameters(paramLabel = "JOB", description = "The job's id.")
         String job;
--- a/src/main/java/io/kitepath/cli/Local.java
+++ b/src/main/java/io/kitepath/cli/Local.java
@@ -32,17 +32,26 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Nodes as real processes on this machine, with stand-ins of all that they need; and a drill that ends them. */
-@Command(name = "local", mixinStandardHelpOptions = true, description = {
-    "Runs nodes as processes of their own on loopback, with stand-ins of state service, cloud and workers, and a first job.",
-    "With --drill it ends nodes with SIGKILL and freezes them with SIGSTOP while jobs come, and says passed or FAILED."})
+/**
+ * Nodes as real processes on this machine, with stand-ins of all that they need; and a drill that
+ * ends them.
+ */
+@Command(
+        name = "local",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Runs nodes as processes of their own on loopback, with stand-ins of state service, cloud and workers, and a first job.",
+            "With --drill it ends nodes with SIGKILL and freezes them with SIGSTOP while jobs come, and says passed or FAILED."
+        })
 final class Local implements Callable<Integer> {
     private static final double MOST_S = 60;
 
     @Option(names = "--nodes", description = "How many nodes; ${DEFAULT-VALUE}.")
     int count = 3;
 
-    @Option(names = "--machines", description = "How many machines the cloud has; ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--machines",
+            description = "How many machines the cloud has; ${DEFAULT-VALUE}.")
     int machines = 12;
 
     @Option(names = "--task-s", description = "How long a task runs, in seconds; ${DEFAULT-VALUE}.")
@@ -57,19 +66,26 @@
     @Option(names = "--for", description = "Seconds of drill; ${DEFAULT-VALUE}.")
     double forS = 60;
 
-    @Option(names = "--earlier", paramLabel = "JAR", description = {
-        "A jar of an earlier version: nodes start with it, and with --drill are killed and come back with this one,",
-        "one after the other; after that limits of the state service fall and pipelines are handed in."})
+    @Option(
+            names = "--earlier",
+            paramLabel = "JAR",
+            description = {
+                "A jar of an earlier version: nodes start with it, and with --drill are killed and come back with this one,",
+                "one after the other; after that limits of the state service fall and pipelines are handed in."
+            })
     Path earlier;
 
     @Option(names = "--seed", description = "Of the drill's failures; ${DEFAULT-VALUE}.")
     long seed = 1;
 
-    private final HttpClient http = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
+    private final HttpClient http =
+            HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
     private final Map<String, Process> processes = new ConcurrentHashMap<>();
     private final Map<String, Path> settings = new LinkedHashMap<>();
+
     /** Nodes that come back with this version, and not the earlier one; and those that have. */
     private final Set<String> renewed = ConcurrentHashMap.newKeySet();
+
     private final Set<String> current = ConcurrentHashMap.newKeySet();
     private final List<InetSocketAddress> listens = new ArrayList<>();
     private volatile boolean ending;
@@ -113,8 +129,13 @@
                 System.err.println("kitepath: the nodes did not come up; their logs are in " + dir);
                 return 1;
             }
-            System.out.printf(Locale.ROOT, "%d nodes are up after %.1f s; state service at %s, logs in %s%n", count,
-                    now() - began, text(services.get(0)), dir);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%d nodes are up after %.1f s; state service at %s, logs in %s%n",
+                    count,
+                    now() - began,
+                    text(services.get(0)),
+                    dir);
             Path job = dir.resolve("first-job.json");
             Files.write(job, Settings.json(job("j-000001", 4)));
             System.out.println("a first job, and how to hand it in and look at it:");
@@ -123,11 +144,18 @@
             boolean done = submit("j-000001", 4);
             if (earlier == null) {
                 // A small pipeline: the second one starts when the first one is done.
-                done &= submit("j-000002", 2, "j-000001") && until(MOST_S, () -> "done".equals(status("j-000002")));
+                done &=
+                        submit("j-000002", 2, "j-000001")
+                                && until(MOST_S, () -> "done".equals(status("j-000002")));
             }
             done &= until(MOST_S, () -> "done".equals(status("j-000001")));
-            System.out.printf(Locale.ROOT, "%s %s after %.1f s%n", earlier == null
-                    ? "the first job and the one that waits for it are" : "the first job is", done ? "done" : "NOT done",
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s %s after %.1f s%n",
+                    earlier == null
+                            ? "the first job and the one that waits for it are"
+                            : "the first job is",
+                    done ? "done" : "NOT done",
                     now() - began);
             if (!done || once) {
                 return done ? 0 : 1;
@@ -155,15 +183,21 @@
         while (now() < until) {
             String id = String.format("j-%06d", 100 + jobs.size());
             boolean all = earlier == null || current.size() == count;
-            // Every other one waits for two before it, once no node runs an earlier version any more.
+            // Every other one waits for two before it, once no node runs an earlier version any
+            // more.
             boolean waits = all && jobs.size() > 2 && jobs.size() % 2 == 0;
-            String[] needs = waits ? new String[] {jobs.get(jobs.size() - 1), jobs.get(random.nextInt(jobs.size()))}
-                    : new String[0];
+            String[] needs =
+                    waits
+                            ? new String[] {
+                                jobs.get(jobs.size() - 1), jobs.get(random.nextInt(jobs.size()))
+                            }
+                            : new String[0];
             int tasks = 1 + random.nextInt(12);
-            outside.run(() -> {
-                outside.world.specs.put(id, World.job(id, JobSpec.Shape.ARRAY, tasks, 1));
-                outside.world.needs.put(id, List.of(needs));
-            });
+            outside.run(
+                    () -> {
+                        outside.world.specs.put(id, World.job(id, JobSpec.Shape.ARRAY, tasks, 1));
+                        outside.world.needs.put(id, List.of(needs));
+                    });
             if (submit(id, tasks, needs)) {
                 jobs.add(id);
             }
@@ -172,10 +206,12 @@
                 renewed.add(node); // From its next end on.
             }
             if (all && outside.world.next != null) {
-                outside.run(() -> {
-                    outside.world.store.valueBytes = (int) (1024 * outside.world.next.valueKb());
-                    outside.world.store.txnOps = outside.world.next.txnOps();
-                });
+                outside.run(
+                        () -> {
+                            outside.world.store.valueBytes =
+                                    (int) (1024 * outside.world.next.valueKb());
+                            outside.world.store.txnOps = outside.world.next.txnOps();
+                        });
             }
             if (random.nextInt(3) == 0) {
                 freezes++;
@@ -186,34 +222,60 @@
             } else {
                 kills++;
                 processes.get(node).destroyForcibly().waitFor();
-                later(100 + random.nextInt(400), () -> {
-                    if (!processes.get(node).isAlive()) {
-                        start(node);
-                    }
-                });
+                later(
+                        100 + random.nextInt(400),
+                        () -> {
+                            if (!processes.get(node).isAlive()) {
+                                start(node);
+                            }
+                        });
             }
             Thread.sleep(1000 + random.nextInt(3000));
         }
         boolean done = until(MOST_S, () -> jobs.stream().allMatch(j -> "done".equals(status(j))));
         List<String> broken = new ArrayList<>();
-        outside.run(() -> {
-            broken.addAll(outside.world.broken);
-            if (outside.world.store.overLimits > 0) {
-                broken.add(outside.world.store.overLimits + " transactions over the state service's limits");
-            }
-        });
+        outside.run(
+                () -> {
+                    broken.addAll(outside.world.broken);
+                    if (outside.world.store.overLimits > 0) {
+                        broken.add(
+                                outside.world.store.overLimits
+                                        + " transactions over the state service's limits");
+                    }
+                });
         // What is idle goes back, and nothing asked of the cloud stays on record.
-        boolean clean = until(2 * MOST_S, () -> {
-            boolean[] none = new boolean[1];
-            outside.run(() -> none[0] = outside.world.cloud.machines.isEmpty()
-                    && outside.world.store.keys.keySet().stream().noneMatch(k -> k.startsWith(Keys.ACT)));
-            return none[0];
-        });
-        System.out.printf("%d jobs, %d kills, %d freezes: %s%n", jobs.size(), kills, freezes,
+        boolean clean =
+                until(
+                        2 * MOST_S,
+                        () -> {
+                            boolean[] none = new boolean[1];
+                            outside.run(
+                                    () ->
+                                            none[0] =
+                                                    outside.world.cloud.machines.isEmpty()
+                                                            && outside
+                                                                    .world
+                                                                    .store
+                                                                    .keys
+                                                                    .keySet()
+                                                                    .stream()
+                                                                    .noneMatch(
+                                                                            k ->
+                                                                                    k.startsWith(
+                                                                                            Keys
+                                                                                                    .ACT)));
+                            return none[0];
+                        });
+        System.out.printf(
+                "%d jobs, %d kills, %d freezes: %s%n",
+                jobs.size(),
+                kills,
+                freezes,
                 done && clean && broken.isEmpty() ? "passed" : "FAILED");
         broken.forEach(b -> System.out.println("  broken: " + b));
         if (!done) {
-            System.out.println("  not done: " + jobs.stream().filter(j -> !"done".equals(status(j))).toList());
+            System.out.println(
+                    "  not done: " + jobs.stream().filter(j -> !"done".equals(status(j))).toList());
         }
         if (!clean) {
             System.out.println("  machines or acts were left");
@@ -230,16 +292,18 @@
     }
 
     private void later(long ms, Runnable what) {
-        Thread t = new Thread(() -> {
-            try {
-                Thread.sleep(ms);
-                if (!ending) {
-                    what.run();
-                }
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        Thread t =
+                new Thread(
+                        () -> {
+                            try {
+                                Thread.sleep(ms);
+                                if (!ending) {
+                                    what.run();
+                                }
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         t.setDaemon(true);
         t.start();
     }
@@ -253,11 +317,22 @@
             if (now) {
                 current.add(node);
             }
-            processes.put(node, new ProcessBuilder(ProcessHandle.current().info().command().orElse("java"), "-Xmx64m",
-                    "-XX:TieredStopAtLevel=1", "-cp", version, Main.class.getName(),
-                    "--config", settings.get(node).toString())
-                    .redirectErrorStream(true)
-                    .redirectOutput(ProcessBuilder.Redirect.appendTo(dir.resolve(node + ".log").toFile())).start());
+            processes.put(
+                    node,
+                    new ProcessBuilder(
+                                    ProcessHandle.current().info().command().orElse("java"),
+                                    "-Xmx64m",
+                                    "-XX:TieredStopAtLevel=1",
+                                    "-cp",
+                                    version,
+                                    Main.class.getName(),
+                                    "--config",
+                                    settings.get(node).toString())
+                            .redirectErrorStream(true)
+                            .redirectOutput(
+                                    ProcessBuilder.Redirect.appendTo(
+                                            dir.resolve(node + ".log").toFile()))
+                            .start());
         } catch (IOException e) {
             System.err.println("kitepath: " + node + " can't be started: " + e);
         }
@@ -268,13 +343,19 @@
         processes.values().forEach(Process::destroyForcibly);
     }
 
-    private Map<String, Object> settings(int i, List<InetSocketAddress> internal, List<InetSocketAddress> services,
-            World w) {
+    private Map<String, Object> settings(
+            int i, List<InetSocketAddress> internal, List<InetSocketAddress> services, World w) {
         List<Object> siblings = new ArrayList<>();
         for (int j = 0; j < count; j++) {
             if (j != i) {
-                siblings.add(Map.of("label", "node-" + j, "domain", w.zones.get(j % w.zones.size()), "addr",
-                        text(internal.get(j))));
+                siblings.add(
+                        Map.of(
+                                "label",
+                                "node-" + j,
+                                "domain",
+                                w.zones.get(j % w.zones.size()),
+                                "addr",
+                                text(internal.get(j))));
             }
         }
         Map<String, Object> m = new LinkedHashMap<>();
@@ -284,13 +365,47 @@
         m.put("internal_addr", text(internal.get(i)));
         m.put("siblings", siblings);
         m.put("endpoints", Map.of("state", text(services.get(0)), "cloud", text(services.get(1))));
-        m.put("facts", Map.of("zones", w.zones, "teams", List.of(Map.of("name", "red")),
-                "workers", Map.of("report_s", w.reportS, "lease_s", w.leaseS, "gang_wait_s", 30, "gang_peer_s", 5,
-                        "cancel_s", 30),
-                "state", Map.of("rps", 1000, "write_rps", 500, "value_kb", 8, "txn_ops", 40, "next", w.next == null
-                        ? Map.of() : Map.of("value_kb", w.next.valueKb(), "txn_ops", w.next.txnOps())),
-                "cloud", Map.of("rps", 10, "list_lag_s", 2),
-                "limits", Map.of("cpu", 1, "ram_mb", 200, "sockets", 1000)));
+        m.put(
+                "facts",
+                Map.of(
+                        "zones",
+                        w.zones,
+                        "teams",
+                        List.of(Map.of("name", "red")),
+                        "workers",
+                        Map.of(
+                                "report_s",
+                                w.reportS,
+                                "lease_s",
+                                w.leaseS,
+                                "gang_wait_s",
+                                30,
+                                "gang_peer_s",
+                                5,
+                                "cancel_s",
+                                30),
+                        "state",
+                        Map.of(
+                                "rps",
+                                1000,
+                                "write_rps",
+                                500,
+                                "value_kb",
+                                8,
+                                "txn_ops",
+                                40,
+                                "next",
+                                w.next == null
+                                        ? Map.of()
+                                        : Map.of(
+                                                "value_kb",
+                                                w.next.valueKb(),
+                                                "txn_ops",
+                                                w.next.txnOps())),
+                        "cloud",
+                        Map.of("rps", 10, "list_lag_s", 2),
+                        "limits",
+                        Map.of("cpu", 1, "ram_mb", 200, "sockets", 1000)));
         return m;
     }
 
@@ -322,12 +437,20 @@
         return m;
     }
 
-    private byte[] ask(InetSocketAddress node, String method, String path, byte[] body, int... good) {
+    private byte[] ask(
+            InetSocketAddress node, String method, String path, byte[] body, int... good) {
         try {
-            HttpResponse<byte[]> r = http.send(HttpRequest.newBuilder(URI.create("http://" + text(node) + path))
-                    .timeout(Duration.ofSeconds(2)).method(method, body == null
-                            ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofByteArray(body))
-                    .build(), HttpResponse.BodyHandlers.ofByteArray());
+            HttpResponse<byte[]> r =
+                    http.send(
+                            HttpRequest.newBuilder(URI.create("http://" + text(node) + path))
+                                    .timeout(Duration.ofSeconds(2))
+                                    .method(
+                                            method,
+                                            body == null
+                                                    ? HttpRequest.BodyPublishers.noBody()
+                                                    : HttpRequest.BodyPublishers.ofByteArray(body))
+                                    .build(),
+                            HttpResponse.BodyHandlers.ofByteArray());
             for (int g : good) {
                 if (r.statusCode() == g) {
                     return r.body();
@@ -347,8 +470,20 @@
 
     /** Asks one node after the other, as users do who got no answer. */
     private boolean submit(String id, int tasks, String... needs) throws InterruptedException {
-        return until(MOST_S, () -> listens.stream().anyMatch(n ->
-                ask(n, "POST", "/submissions", Pack.bytes(job(id, tasks, needs)), 200, 201) != null));
+        return until(
+                MOST_S,
+                () ->
+                        listens.stream()
+                                .anyMatch(
+                                        n ->
+                                                ask(
+                                                                n,
+                                                                "POST",
+                                                                "/submissions",
+                                                                Pack.bytes(job(id, tasks, needs)),
+                                                                200,
+                                                                201)
+                                                        != null));
     }
 
     private String status(String id) {
--- a/src/main/java/io/kitepath/cli/Main.java
+++ b/src/main/java/io/kitepath/cli/Main.java
@@ -11,7 +11,8 @@
 
     public static void main(String[] args) {
         properties();
-        // The platform starts every node as "--config FILE", on a sliver of a core: that way must not load the
+        // The platform starts every node as "--config FILE", on a sliver of a core: that way must
+        // not load the
         // command line's library first. Everything else goes through it.
         if (args.length == 2 && args[0].equals("--config")) {
             int status = serve(Path.of(args[1]), null);
@@ -23,12 +24,17 @@
         CommandLineEntry.run(args);
     }
 
-    /** LOG_LEVEL sets the amount of logging, all of it to standard error; small arenas for small machines. */
+    /**
+     * LOG_LEVEL sets the amount of logging, all of it to standard error; small arenas for small
+     * machines.
+     */
     static void properties() {
         String level = System.getenv("LOG_LEVEL");
-        String known = level != null && (level.equals("error") || level.equals("debug")) ? level : "info";
+        String known =
+                level != null && (level.equals("error") || level.equals("debug")) ? level : "info";
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", known);
-        System.setProperty("org.slf4j.simpleLogger.log.io.netty", known.equals("debug") ? "info" : known);
+        System.setProperty(
+                "org.slf4j.simpleLogger.log.io.netty", known.equals("debug") ? "info" : known);
         System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
         System.setProperty("org.slf4j.simpleLogger.dateTimeFormat", "HH:mm:ss.SSS");
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
@@ -42,11 +48,15 @@
         System.setProperty("io.netty.processId", "1");
     }
 
-    /** Starts a node, with others if a cells file is given; returns 2 for bad files, 1 if it can't listen, else 0. */
+    /**
+     * Starts a node, with others if a cells file is given; returns 2 for bad files, 1 if it can't
+     * listen, else 0.
+     */
     static int serve(Path file, Path cells) {
         try {
             Settings settings = Settings.read(file);
-            new Node(settings, cells == null ? null : CellsFile.read(cells, settings.facts())).start();
+            new Node(settings, cells == null ? null : CellsFile.read(cells, settings.facts()))
+                    .start();
             return 0;
         } catch (Malformed e) {
             System.err.println("kitepath: " + e.getMessage());
--- a/src/main/java/io/kitepath/cli/Metrics.java
+++ b/src/main/java/io/kitepath/cli/Metrics.java
@@ -8,22 +8,30 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The node's figures in Prometheus' notation. Built when first asked for: the core counts in plain fields, so a
- * node that nobody scrapes does not pay for the library's start.
+ * The node's figures in Prometheus' notation. Built when first asked for: the core counts in plain
+ * fields, so a node that nobody scrapes does not pay for the library's start.
  */
 final class Metrics {
-    private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
+    private final PrometheusMeterRegistry registry =
+            new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
     Metrics(Controller controller) {
-        controller.figures().forEach((name, f) -> {
-            if (f.total()) {
-                FunctionCounter.builder("kitepath." + name, f, x -> x.value().getAsDouble())
-                        .description(f.meaning()).register(registry);
-            } else {
-                Gauge.builder("kitepath." + name, f, x -> x.value().getAsDouble())
-                        .description(f.meaning()).strongReference(true).register(registry);
-            }
-        });
+        controller
+                .figures()
+                .forEach(
+                        (name, f) -> {
+                            if (f.total()) {
+                                FunctionCounter.builder(
+                                                "kitepath." + name, f, x -> x.value().getAsDouble())
+                                        .description(f.meaning())
+                                        .register(registry);
+                            } else {
+                                Gauge.builder("kitepath." + name, f, x -> x.value().getAsDouble())
+                                        .description(f.meaning())
+                                        .strongReference(true)
+                                        .register(registry);
+                            }
+                        });
     }
 
     byte[] scrape() {
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -15,8 +15,8 @@
 import io.kitepath.settings.Settings;
 import io.kitepath.store.HttpStore;
 import io.kitepath.users.UsersApi;
-import io.kitepath.workers.HttpDirectCommands;
 import io.kitepath.wire.Pack;
+import io.kitepath.workers.HttpDirectCommands;
 import io.kitepath.workers.WorkersApi;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -24,21 +24,30 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running controller node: the core with its sockets and timers round it, all on one event loop. */
+/**
+ * A running controller node: the core with its sockets and timers round it, all on one event loop.
+ */
 final class Node {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+
     /** Requests: 64 KiB as JSON; as MessagePack, decimal numbers can take more. */
     private static final int MAX_BODY = 160 * 1024;
+
     private static final int MAX_ANSWER = 2 * 1024 * 1024;
 
-    /** The leader's key, duties, open jobs, acts twice where holder and duty are one node, and wishes to leave. */
+    /**
+     * The leader's key, duties, open jobs, acts twice where holder and duty are one node, and
+     * wishes to leave.
+     */
     private static final int WATCHES = 6;
 
     private static final long HAND_OVER_MS = 200;
 
     private final Settings settings;
+
     /** Null without other cells. */
     private final CellsFile cells;
+
     private Metrics metrics;
 
     Node(Settings settings, CellsFile cells) {
@@ -53,22 +62,39 @@
         EventLoop loop = group.next();
         LoopTimers timers = new LoopTimers(loop);
         long timeoutMs = Math.round(Math.min(1000, facts.workers().reportS() * 500));
-        HttpStore store = new HttpStore(new HttpClient(loop, settings.state(), 8, MAX_ANSWER),
-                new HttpClient(loop, settings.state(), 2, MAX_ANSWER),
-                new HttpClient(loop, settings.state(), WATCHES, MAX_ANSWER), timeoutMs);
-        HttpCloud cloud = new HttpCloud(new HttpClient(loop, settings.cloud(), 3, MAX_ANSWER), 3000);
+        HttpStore store =
+                new HttpStore(
+                        new HttpClient(loop, settings.state(), 8, MAX_ANSWER),
+                        new HttpClient(loop, settings.state(), 2, MAX_ANSWER),
+                        new HttpClient(loop, settings.state(), WATCHES, MAX_ANSWER),
+                        timeoutMs);
+        HttpCloud cloud =
+                new HttpCloud(new HttpClient(loop, settings.cloud(), 3, MAX_ANSWER), 3000);
         Peers peers = new Peers(group, facts.node(), settings.siblings(), cells != null);
         // The seed only spreads probes and retries of different nodes and runs.
         Random random = new Random(facts.node().hashCode() ^ System.nanoTime());
         HttpDirectCommands direct = new HttpDirectCommands(loop, MAX_ANSWER, timeoutMs);
-        Controller controller = new Controller(facts, store, cloud, direct, timers, peers, random,
-                cells == null ? null : cells.directory(),
-                cells == null ? null : new CellLinks(loop, cells.addresses(), random));
+        Controller controller =
+                new Controller(
+                        facts,
+                        store,
+                        cloud,
+                        direct,
+                        timers,
+                        peers,
+                        random,
+                        cells == null ? null : cells.directory(),
+                        cells == null ? null : new CellLinks(loop, cells.addresses(), random));
         UsersApi users = new UsersApi(controller);
         WorkersApi workers = new WorkersApi(controller);
-        HttpServer server = new HttpServer((request, out) -> route(controller, users, workers, request, out),
-                MAX_BODY, facts.limits().sockets() * 3 / 4, 60);
-        // Guards the leader's lease against a second process started by mistake: one whose addresses are taken must end
+        HttpServer server =
+                new HttpServer(
+                        (request, out) -> route(controller, users, workers, request, out),
+                        MAX_BODY,
+                        facts.limits().sockets() * 3 / 4,
+                        60);
+        // Guards the leader's lease against a second process started by mistake: one whose
+        // addresses are taken must end
         // before it says in the store that it is this node now.
         loop.submit(() -> peers.start(controller, settings.internal())).sync().getNow().sync();
         server.listen(group, settings.listen()).sync();
@@ -77,7 +103,10 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> handOver(loop, controller)));
     }
 
-    /** Stopped on purpose: the others need not wait for leases to run out. A little time for it to go out. */
+    /**
+     * Stopped on purpose: the others need not wait for leases to run out. A little time for it to
+     * go out.
+     */
     private static void handOver(EventLoop loop, Controller controller) {
         try {
             loop.submit(controller::stop).await(HAND_OVER_MS);
@@ -87,7 +116,8 @@
         }
     }
 
-    private void route(Controller controller, UsersApi users, WorkersApi workers, Request r, Responder out) {
+    private void route(
+            Controller controller, UsersApi users, WorkersApi workers, Request r, Responder out) {
         String path = r.path();
         if (path.equals(WorkersApi.CHECK_IN)) {
             workers.handle(r, out);
@@ -99,7 +129,9 @@
             } else if (path.equals("/healthz")) {
                 out.reply(controller.healthy() ? 200 : 503, null);
             } else if (path.equals("/duties")) {
-                out.reply(200, Pack.bytes(controller.duties().stream().map(Duties.Seat::shown).toList()));
+                out.reply(
+                        200,
+                        Pack.bytes(controller.duties().stream().map(Duties.Seat::shown).toList()));
             } else {
                 if (metrics == null) {
                     metrics = new Metrics(controller);
--- a/src/main/java/io/kitepath/cli/Rehearse.java
+++ b/src/main/java/io/kitepath/cli/Rehearse.java
@@ -23,11 +23,16 @@
 import picocli.CommandLine.Parameters;
 
 /** Plays cells with failures in simulated time and says what their users got. */
-@Command(name = "rehearse", mixinStandardHelpOptions = true, description = {
-    "Plays several cells under load and failures, in simulated time, with this very program's controllers.", "Exits 1 if a rule broke, work was left undone, "
-        + "or less than half of a class or team was served.",
-    "Builtin plans: spill (the first cell is asked for five times as much), lost (its network, nodes and store are "
-            + "away for a minute each), seeds (random failures on a bad network)."})
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Plays several cells under load and failures, in simulated time, with this very program's controllers.",
+            "Exits 1 if a rule broke, work was left undone, "
+                    + "or less than half of a class or team was served.",
+            "Builtin plans: spill (the first cell is asked for five times as much), lost (its network, nodes and store are "
+                    + "away for a minute each), seeds (random failures on a bad network)."
+        })
 final class Rehearse implements Callable<Integer> {
     private static final double HALF = 0.5;
 
@@ -46,10 +51,14 @@
     @Option(names = "--seed", description = "The first seed; ${DEFAULT-VALUE}.")
     long seed = 1;
 
-    @Option(names = "--runs", description = "How many seeds, one after the other; ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--runs",
+            description = "How many seeds, one after the other; ${DEFAULT-VALUE}.")
     int runs = 1;
 
-    @Option(names = "--compare", description = "Play it too with the cells apart, and as one cell with all machines.")
+    @Option(
+            names = "--compare",
+            description = "Play it too with the cells apart, and as one cell with all machines.")
     boolean compare;
 
     @Option(names = "--json", description = "One JSON object a line instead of text.")
@@ -64,8 +73,11 @@
                     Plan p = plan(s);
                     Result r = new Rehearsal(p, way).play();
                     System.out.println(json ? json(p, way, r) : text(p, way, r));
-                    // Cells apart, and a cell of a size that nobody has, are only there to be compared with.
-                    failed |= !r.broken().isEmpty() || way == Way.CELLS && (r.unfinished() > 0 || r.least() < HALF);
+                    // Cells apart, and a cell of a size that nobody has, are only there to be
+                    // compared with.
+                    failed |=
+                            !r.broken().isEmpty()
+                                    || way == Way.CELLS && (r.unfinished() > 0 || r.least() < HALF);
                 }
             }
         } catch (Malformed e) {
@@ -73,7 +85,8 @@
             return 2;
         }
         if (!json) {
-            System.out.println(runs + (runs == 1 ? " run: " : " runs: ") + (failed ? "FAILED" : "passed"));
+            System.out.println(
+                    runs + (runs == 1 ? " run: " : " runs: ") + (failed ? "FAILED" : "passed"));
         }
         return failed ? 1 : 0;
     }
@@ -81,8 +94,19 @@
     private Plan plan(long s) {
         return switch (what) {
             case "spill" -> new Plan(cells, machines, 0.5, 5, forS, 0, s, List.of());
-            case "lost" -> new Plan(cells, machines, 0.5, 1, forS, 0, s, List.of(new Fault("network", 0, forS / 10, 60),
-                    new Fault("nodes", 0, forS / 10 + 90, 60), new Fault("store", 0, forS / 10 + 180, 60)));
+            case "lost" ->
+                    new Plan(
+                            cells,
+                            machines,
+                            0.5,
+                            1,
+                            forS,
+                            0,
+                            s,
+                            List.of(
+                                    new Fault("network", 0, forS / 10, 60),
+                                    new Fault("nodes", 0, forS / 10 + 90, 60),
+                                    new Fault("store", 0, forS / 10 + 180, 60)));
             case "seeds" -> random(s);
             default -> file(s);
         };
@@ -93,8 +117,12 @@
         String[] kinds = {"network", "nodes", "store", "holder", "freeze", "zone"};
         List<Fault> faults = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            faults.add(new Fault(kinds[r.nextInt(kinds.length)], r.nextInt(cells), r.nextDouble() * forS,
-                    2 + 40 * r.nextDouble()));
+            faults.add(
+                    new Fault(
+                            kinds[r.nextInt(kinds.length)],
+                            r.nextInt(cells),
+                            r.nextDouble() * forS,
+                            2 + 40 * r.nextDouble()));
         }
         return new Plan(cells, machines, 0.4, 1 + 4 * r.nextDouble(), forS, 0.1, s, faults);
     }
@@ -113,14 +141,26 @@
             int n = (int) t.integer("cells", 1, 100);
             for (Tree x : t.children("faults")) {
                 String kind = x.text("kind");
-                if (!List.of("network", "nodes", "store", "holder", "freeze", "zone").contains(kind)) {
-                    throw x.complaint("kind", "must be network, nodes, store, holder, freeze or zone");
+                if (!List.of("network", "nodes", "store", "holder", "freeze", "zone")
+                        .contains(kind)) {
+                    throw x.complaint(
+                            "kind", "must be network, nodes, store, holder, freeze or zone");
                 }
-                faults.add(new Fault(kind, (int) x.integer("cell", 0, n - 1), x.number("at_s", 0),
-                        x.number("for_s", 0)));
+                faults.add(
+                        new Fault(
+                                kind,
+                                (int) x.integer("cell", 0, n - 1),
+                                x.number("at_s", 0),
+                                x.number("for_s", 0)));
             }
-            return new Plan(n, (int) t.integer("machines", 1, 10_000), t.number("load", 0.01), t.numberOr("hot", 0, 1),
-                    t.number("for_s", 1), t.numberOr("bad_network", 0, 0), t.has("seed") ? t.count("seed") + s - 1 : s,
+            return new Plan(
+                    n,
+                    (int) t.integer("machines", 1, 10_000),
+                    t.number("load", 0.01),
+                    t.numberOr("hot", 0, 1),
+                    t.number("for_s", 1),
+                    t.numberOr("bad_network", 0, 0),
+                    t.has("seed") ? t.count("seed") + s - 1 : s,
                     faults);
         } catch (Malformed e) {
             throw new Malformed(f + ": " + e.getMessage());
@@ -133,35 +173,98 @@
 
     private static String text(Plan p, Way way, Result r) {
         StringBuilder b = new StringBuilder();
-        b.append(String.format(Locale.ROOT, "%s seed %d: %d cells of %d machines, %d jobs, %d tasks%n",
-                way.name().toLowerCase(Locale.ROOT), p.seed(), p.cells(), p.machines(), r.jobs(), r.tasks()));
-        b.append(String.format("  waits p50/p99: first cell %s/%s s, others %s/%s s; all done %.0f s after the load%n",
-                s(r.hot(), 50), s(r.hot(), 99), s(r.others(), 50), s(r.others(), 99), r.tookS()));
+        b.append(
+                String.format(
+                        Locale.ROOT,
+                        "%s seed %d: %d cells of %d machines, %d jobs, %d tasks%n",
+                        way.name().toLowerCase(Locale.ROOT),
+                        p.seed(),
+                        p.cells(),
+                        p.machines(),
+                        r.jobs(),
+                        r.tasks()));
+        b.append(
+                String.format(
+                        "  waits p50/p99: first cell %s/%s s, others %s/%s s; all done %.0f s after the load%n",
+                        s(r.hot(), 50),
+                        s(r.hot(), 99),
+                        s(r.others(), 50),
+                        s(r.others(), 99),
+                        r.tookS()));
         b.append("  in time:");
-        r.served().forEach((k, x) -> b.append(String.format(Locale.ROOT, " %s %.3f of %d;", k, (double) x[0] / x[1],
-                x[1])));
-        b.append(String.format(Locale.ROOT, "%n  hand-overs %d, messages %.3f and changes %.3f a task; starts %.3f a "
-                + "task; submissions refused at first %d%n", r.handOvers(), (double) r.messages() / r.tasks(),
-                (double) r.changes() / r.tasks(), (double) r.starts() / r.tasks(), r.refusals()));
-        b.append(String.format(Locale.ROOT,
-                "  rules broken: %d%s; jobs not done: %d; played in %.1f s, %.0f us a start", r.broken().size(), r.broken().isEmpty() ? "" : " " + r.broken().subList(0, Math.min(3,
-                        r.broken().size())), r.unfinished(), r.realS(), 1e6 * r.realS() / Math.max(1, r.starts())));
+        r.served()
+                .forEach(
+                        (k, x) ->
+                                b.append(
+                                        String.format(
+                                                Locale.ROOT,
+                                                " %s %.3f of %d;",
+                                                k,
+                                                (double) x[0] / x[1],
+                                                x[1])));
+        b.append(
+                String.format(
+                        Locale.ROOT,
+                        "%n  hand-overs %d, messages %.3f and changes %.3f a task; starts %.3f a "
+                                + "task; submissions refused at first %d%n",
+                        r.handOvers(),
+                        (double) r.messages() / r.tasks(),
+                        (double) r.changes() / r.tasks(),
+                        (double) r.starts() / r.tasks(),
+                        r.refusals()));
+        b.append(
+                String.format(
+                        Locale.ROOT,
+                        "  rules broken: %d%s; jobs not done: %d; played in %.1f s, %.0f us a start",
+                        r.broken().size(),
+                        r.broken().isEmpty()
+                                ? ""
+                                : " " + r.broken().subList(0, Math.min(3, r.broken().size())),
+                        r.unfinished(),
+                        r.realS(),
+                        1e6 * r.realS() / Math.max(1, r.starts())));
         return b.toString();
     }
 
     private static String json(Plan p, Way way, Result r) {
         StringBuilder b = new StringBuilder();
-        b.append(String.format(Locale.ROOT, "{\"way\":\"%s\",\"seed\":%d,\"cells\":%d,\"machines\":%d,\"jobs\":%d,"
-                + "\"tasks\":%d,\"starts\":%d,\"hot_p50\":%s,\"hot_p99\":%s,\"others_p50\":%s,\"others_p99\":%s,"
-                + "\"hand_overs\":%d,\"messages\":%d,\"changes\":%d,\"refusals\":%d,\"took_s\":%.1f,\"real_s\":%.2f,"
-                + "\"broken\":%d,\"unfinished\":%d,\"served\":{", way.name().toLowerCase(Locale.ROOT), p.seed(),
-                p.cells(), p.machines(), r.jobs(), r.tasks(), r.starts(), s(r.hot(), 50), s(r.hot(), 99), s(r.others(), 50),
-                s(r.others(), 99), r.handOvers(), r.messages(), r.changes(), r.refusals(), r.tookS(), r.realS(),
-                r.broken().size(), r.unfinished()));
+        b.append(
+                String.format(
+                        Locale.ROOT,
+                        "{\"way\":\"%s\",\"seed\":%d,\"cells\":%d,\"machines\":%d,\"jobs\":%d,"
+                                + "\"tasks\":%d,\"starts\":%d,\"hot_p50\":%s,\"hot_p99\":%s,\"others_p50\":%s,\"others_p99\":%s,"
+                                + "\"hand_overs\":%d,\"messages\":%d,\"changes\":%d,\"refusals\":%d,\"took_s\":%.1f,\"real_s\":%.2f,"
+                                + "\"broken\":%d,\"unfinished\":%d,\"served\":{",
+                        way.name().toLowerCase(Locale.ROOT),
+                        p.seed(),
+                        p.cells(),
+                        p.machines(),
+                        r.jobs(),
+                        r.tasks(),
+                        r.starts(),
+                        s(r.hot(), 50),
+                        s(r.hot(), 99),
+                        s(r.others(), 50),
+                        s(r.others(), 99),
+                        r.handOvers(),
+                        r.messages(),
+                        r.changes(),
+                        r.refusals(),
+                        r.tookS(),
+                        r.realS(),
+                        r.broken().size(),
+                        r.unfinished()));
         String comma = "";
         for (Map.Entry<String, int[]> e : r.served().entrySet()) {
-            b.append(comma).append('"').append(e.getKey()).append("\":").append(String.format(Locale.ROOT, "%.4f",
-                    (double) e.getValue()[0] / e.getValue()[1]));
+            b.append(comma)
+                    .append('"')
+                    .append(e.getKey())
+                    .append("\":")
+                    .append(
+                            String.format(
+                                    Locale.ROOT,
+                                    "%.4f",
+                                    (double) e.getValue()[0] / e.getValue()[1]));
             comma = ",";
         }
         return b.append("}}").toString();
--- a/src/main/java/io/kitepath/cli/StateCommand.java
+++ b/src/main/java/io/kitepath/cli/StateCommand.java
@@ -16,11 +16,13 @@
 import picocli.CommandLine.Parameters;
 
 /** Looks at a state service from outside, without a node. */
-@Command(name = "state", mixinStandardHelpOptions = true, description = "Looks at what a state service holds.",
+@Command(
+        name = "state",
+        mixinStandardHelpOptions = true,
+        description = "Looks at what a state service holds.",
         subcommands = StateCommand.SweepCommand.class)
 final class StateCommand implements Callable<Integer> {
-    @CommandLine.Spec
-    CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
@@ -28,18 +30,27 @@
         return 2;
     }
 
-    @Command(name = "sweep", mixinStandardHelpOptions = true, description = {
-        "Lists what the nodes' clean-up would remove, and what should not be there.",
-        "Writes nothing. Exits 1 if something should not be there."})
+    @Command(
+            name = "sweep",
+            mixinStandardHelpOptions = true,
+            description = {
+                "Lists what the nodes' clean-up would remove, and what should not be there.",
+                "Writes nothing. Exits 1 if something should not be there."
+            })
     static final class SweepCommand implements Callable<Integer> {
         private static final int MAX_ANSWER = 2 * 1024 * 1024;
         private static final long TIMEOUT_MS = 2000;
         private static final int TRIES = 20;
 
-        @Option(names = "--dry-run", required = true, description = "Only this: removing is the nodes' duty.")
+        @Option(
+                names = "--dry-run",
+                required = true,
+                description = "Only this: removing is the nodes' duty.")
         boolean dryRun;
 
-        @Option(names = "--conditions", description = "How many conditions a transaction may have; ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--conditions",
+                description = "How many conditions a transaction may have; ${DEFAULT-VALUE}.")
         int conditions = 100;
 
         @Parameters(paramLabel = "HOST:PORT", description = "The state service.")
@@ -52,25 +63,40 @@
         @Override
         public Integer call() throws Exception {
             int colon = address.lastIndexOf(':');
-            if (colon < 1 || !address.substring(colon + 1).matches("[0-9]{1,5}") || conditions < 1) {
-                System.err.println("kitepath: HOST:PORT and a positive number of conditions are needed");
+            if (colon < 1
+                    || !address.substring(colon + 1).matches("[0-9]{1,5}")
+                    || conditions < 1) {
+                System.err.println(
+                        "kitepath: HOST:PORT and a positive number of conditions are needed");
                 return 2;
             }
-            InetSocketAddress at = new InetSocketAddress(address.substring(0, colon),
-                    Integer.parseInt(address.substring(colon + 1)));
+            InetSocketAddress at =
+                    new InetSocketAddress(
+                            address.substring(0, colon),
+                            Integer.parseInt(address.substring(colon + 1)));
             NioEventLoopGroup group = new NioEventLoopGroup(1);
             try {
                 EventLoop loop = group.next();
                 HttpClient http = new HttpClient(loop, at, 1, MAX_ANSWER);
-                Audit audit = new Audit(new HttpStore(http, http, http, TIMEOUT_MS), conditions, this::show);
+                Audit audit =
+                        new Audit(
+                                new HttpStore(http, http, http, TIMEOUT_MS),
+                                conditions,
+                                this::show);
                 CompletableFuture<Boolean> over = new CompletableFuture<>();
                 loop.execute(() -> next(audit, new LoopTimers(loop), over));
                 if (!over.get(1, TimeUnit.HOURS)) {
-                    System.err.println("kitepath: the state service at " + address + " does not answer");
+                    System.err.println(
+                            "kitepath: the state service at " + address + " does not answer");
                     return 1;
                 }
-                System.out.println(audit.seen() + " records: " + rubbish + " would be removed, " + strange
-                        + " should not be there");
+                System.out.println(
+                        audit.seen()
+                                + " records: "
+                                + rubbish
+                                + " would be removed, "
+                                + strange
+                                + " should not be there");
                 return strange == 0 ? 0 : 1;
             } finally {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -78,14 +104,15 @@
         }
 
         private void next(Audit audit, LoopTimers timers, CompletableFuture<Boolean> over) {
-            audit.step(() -> {
-                tries = audit.failed() ? tries + 1 : 0;
-                if (audit.done() || tries > TRIES) {
-                    over.complete(audit.done());
-                } else {
-                    timers.after(0.05 * (1 + tries), () -> next(audit, timers, over));
-                }
-            });
+            audit.step(
+                    () -> {
+                        tries = audit.failed() ? tries + 1 : 0;
+                        if (audit.done() || tries > TRIES) {
+                            over.complete(audit.done());
+                        } else {
+                            timers.after(0.05 * (1 + tries), () -> next(audit, timers, over));
+                        }
+                    });
         }
 
         private void show(Audit.Finding f) {
--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -1,9 +1,9 @@
 package io.kitepath.cloud;
 
-import io.kitepath.core.port.Cloud;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.model.Malformed;
+import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.net.HttpClient;
 import io.kitepath.wire.Pack;
@@ -44,24 +44,39 @@
 
     @Override
     public void types(BiConsumer<Outcome, List<MachineType>> answer) {
-        http.call("GET", "/machine_types", null, timeoutMs, (status, body) -> {
-            List<MachineType> types = status == 200 ? read(body, Wire::types) : null;
-            answer.accept(types != null ? Outcome.OK : failed(status), types == null ? List.of() : types);
-        });
+        http.call(
+                "GET",
+                "/machine_types",
+                null,
+                timeoutMs,
+                (status, body) -> {
+                    List<MachineType> types = status == 200 ? read(body, Wire::types) : null;
+                    answer.accept(
+                            types != null ? Outcome.OK : failed(status),
+                            types == null ? List.of() : types);
+                });
     }
 
     @Override
-    public void rent(String name, MachineKind kind, int count, BiConsumer<Outcome, List<String>> answer) {
-        http.call("POST", "/rentals", Wire.rental(name, kind, count), timeoutMs, (status, body) -> {
-            if (status == 200) {
-                List<String> names = read(body, Wire::machineNames);
-                answer.accept(names != null ? Outcome.OK : Outcome.UNKNOWN, names == null ? List.of() : names);
-            } else if (status == 503 && !outage(body) || status == 400) {
-                answer.accept(Outcome.NO, List.of());
-            } else {
-                answer.accept(failed(status), List.of());
-            }
-        });
+    public void rent(
+            String name, MachineKind kind, int count, BiConsumer<Outcome, List<String>> answer) {
+        http.call(
+                "POST",
+                "/rentals",
+                Wire.rental(name, kind, count),
+                timeoutMs,
+                (status, body) -> {
+                    if (status == 200) {
+                        List<String> names = read(body, Wire::machineNames);
+                        answer.accept(
+                                names != null ? Outcome.OK : Outcome.UNKNOWN,
+                                names == null ? List.of() : names);
+                    } else if (status == 503 && !outage(body) || status == 400) {
+                        answer.accept(Outcome.NO, List.of());
+                    } else {
+                        answer.accept(failed(status), List.of());
+                    }
+                });
     }
 
     private static boolean outage(byte[] body) {
@@ -71,8 +86,12 @@
 
     @Override
     public void release(List<String> machines, Consumer<Outcome> answer) {
-        http.call("POST", "/rentals/release", Wire.machines(machines), timeoutMs, (status, body) ->
-                answer.accept(status == 200 ? Outcome.OK : failed(status)));
+        http.call(
+                "POST",
+                "/rentals/release",
+                Wire.machines(machines),
+                timeoutMs,
+                (status, body) -> answer.accept(status == 200 ? Outcome.OK : failed(status)));
     }
 
     @Override
@@ -81,7 +100,11 @@
     }
 
     private void page(String from, List<Listed> read, BiConsumer<Outcome, List<Listed>> answer) {
-        http.call("GET", "/rentals?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE, null, timeoutMs,
+        http.call(
+                "GET",
+                "/rentals?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE,
+                null,
+                timeoutMs,
                 (status, body) -> {
                     List<Listed> page = status == 200 ? read(body, Wire::listed) : null;
                     if (page == null) {
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -51,12 +51,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller node: puts leadership, the block and the users' registry together and runs their loops. Everything
- * happens on one event loop.
+ * One controller node: puts leadership, the block and the users' registry together and runs their
+ * loops. Everything happens on one event loop.
  */
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final double TICK_S = 0.25;
+
     /** A minute. */
     private static final int SUMMARY_TICKS = 240;
 
@@ -81,10 +82,13 @@
     final Sweep sweep;
     private final Duties duties;
     private final Registry registry;
+
     /** Null without other cells. */
     private final CellDesk cells;
+
     /** What the settings say before this cell's part of it is taken. */
     private final Facts whole;
+
     private final Directory directory;
     private final HeartbeatDesk desk;
     private final RetryPace retries;
@@ -98,14 +102,28 @@
     private boolean soonAsked;
 
     /** A node of the only cell there is. */
-    public Controller(Facts facts, Store store, Cloud cloud, DirectCommands direct, Timers timers, Siblings siblings,
+    public Controller(
+            Facts facts,
+            Store store,
+            Cloud cloud,
+            DirectCommands direct,
+            Timers timers,
+            Siblings siblings,
             Random random) {
         this(facts, store, cloud, direct, timers, siblings, random, null, null);
     }
 
     /** {@code directory} and {@code others}: null if there are no other cells. */
-    public Controller(Facts settings, Store store, Cloud cloud, DirectCommands direct, Timers timers, Siblings siblings,
-            Random random, Directory directory, Cells others) {
+    public Controller(
+            Facts settings,
+            Store store,
+            Cloud cloud,
+            DirectCommands direct,
+            Timers timers,
+            Siblings siblings,
+            Random random,
+            Directory directory,
+            Cells others) {
         this.whole = settings;
         this.directory = directory;
         this.facts = directory == null ? settings : settings.withTeams(directory.here().teams());
@@ -121,27 +139,73 @@
         Incarnation incarnation = new Incarnation(facts.node(), timers.wallMs(), random);
         this.leadership = new Leadership(facts, store, timers, random, incarnation, new Leading());
         this.known = new KnownCancellations(facts, timers);
-        this.gossip = new Gossip(timers, siblings, leadership, views, block, known, this::holds,
-                this::ended, this::soon);
-        this.registry = new Registry(facts, store, timers, this.gossip::served, this.gossip, directory != null);
+        this.gossip =
+                new Gossip(
+                        timers,
+                        siblings,
+                        leadership,
+                        views,
+                        block,
+                        known,
+                        this::holds,
+                        this::ended,
+                        this::soon);
+        this.registry =
+                new Registry(
+                        facts, store, timers, this.gossip::served, this.gossip, directory != null);
         this.cells = directory == null ? null : new InCells().desk(store, others, random);
         this.keeper = new Keeper(store, timers, block, images, new Keeping(), cells);
         this.intents = new Intents(block, timers, this::ride);
-        this.rentals = new Rentals(block, new Fleet(block, placer), intents, store, cloud, timers, leadership::leading,
-                this::soon);
+        this.rentals =
+                new Rentals(
+                        block,
+                        new Fleet(block, placer),
+                        intents,
+                        store,
+                        cloud,
+                        timers,
+                        leadership::leading,
+                        this::soon);
         this.carrier = new Carrier(facts, store, cloud, timers, random, leadership.lifeS());
         this.sweep = new Sweep(facts, store, timers);
-        this.duties = new Duties(facts, store, timers, random, incarnation, leadership.lifeS(),
-                List.of(carrier, sweep));
-        this.proof = new CancellationProof(store, timers, new Random(facts.node().hashCode()), block, this::holds, new Proof());
-        this.desk = new HeartbeatDesk(block, heartbeats, leadership, keeper, views, known, siblings, timers, spent, this::soon);
-        this.stops = new DirectStops(block, heartbeats, desk, leadership, direct, timers, this::soon);
+        this.duties =
+                new Duties(
+                        facts,
+                        store,
+                        timers,
+                        random,
+                        incarnation,
+                        leadership.lifeS(),
+                        List.of(carrier, sweep));
+        this.proof =
+                new CancellationProof(
+                        store,
+                        timers,
+                        new Random(facts.node().hashCode()),
+                        block,
+                        this::holds,
+                        new Proof());
+        this.desk =
+                new HeartbeatDesk(
+                        block,
+                        heartbeats,
+                        leadership,
+                        keeper,
+                        views,
+                        known,
+                        siblings,
+                        timers,
+                        spent,
+                        this::soon);
+        this.stops =
+                new DirectStops(block, heartbeats, desk, leadership, direct, timers, this::soon);
         this.retries = new RetryPace(facts, timers);
-        registry.onCancelled(job -> {
-            block.pipelines().ended(job.id(), false, timers.wallMs());
-            soon();
-            siblings.over(job);
-        });
+        registry.onCancelled(
+                job -> {
+                    block.pipelines().ended(job.id(), false, timers.wallMs());
+                    soon();
+                    siblings.over(job);
+                });
         registry.onKnownCancelled(gossip::learned);
     }
 
@@ -183,7 +247,8 @@
 
     /** Why the job can never run, here or in any other cell, or null if it can. */
     public String impossible(JobSpec s) {
-        return s.impossible(block.types(), whole, directory == null ? Set.of() : directory.zonesElsewhere());
+        return s.impossible(
+                block.types(), whole, directory == null ? Set.of() : directory.zonesElsewhere());
     }
 
     /** The machine types, empty until they are known. */
@@ -251,8 +316,18 @@
     }
 
     public Map<String, Figure> figures() {
-        Map<String, Figure> all = new Figures(timers, block, heartbeats, placer, leadership, keeper, views, known, desk)
-                .all(() -> roundS, stops::sent);
+        Map<String, Figure> all =
+                new Figures(
+                                timers,
+                                block,
+                                heartbeats,
+                                placer,
+                                leadership,
+                                keeper,
+                                views,
+                                known,
+                                desk)
+                        .all(() -> roundS, stops::sent);
         new DutyFigures(intents, carrier, sweep, duties, takeover, spent).addTo(all);
         if (cells != null) {
             cells.figures(all);
@@ -360,7 +435,16 @@
     private final class InCells implements CellDesk.Node {
         /** In here, so that nothing about other cells is loaded where there are none. */
         CellDesk desk(Store store, Cells others, Random random) {
-            return new CellDesk(directory, block, Controller.this::ride, store, timers, registry, others, random, this);
+            return new CellDesk(
+                    directory,
+                    block,
+                    Controller.this::ride,
+                    store,
+                    timers,
+                    registry,
+                    others,
+                    random,
+                    this);
         }
 
         @Override
@@ -391,12 +475,15 @@
     private void soon() {
         if (!soonAsked) {
             soonAsked = true;
-            // Rounds take at most a fifth of the time: check-ins, users and the lease need the rest.
+            // Rounds take at most a fifth of the time: check-ins, users and the lease need the
+            // rest.
             double pause = Math.max(0.02, roundEnded + 4 * roundTook - timers.now());
-            timers.after(pause, () -> {
-                soonAsked = false;
-                round();
-            });
+            timers.after(
+                    pause,
+                    () -> {
+                        soonAsked = false;
+                        round();
+                    });
         }
     }
 
@@ -428,14 +515,22 @@
             LOG.info(block.served().summary());
         }
         if (ticks % SUMMARY_TICKS == 0 || LOG.isDebugEnabled() && ticks % 20 == 0) {
-            LOG.info("{} rounds={} writes={} checkins={} busy={}", Figures.summary(block, heartbeats, placer),
-                    keeper.rounds(), keeper.written(), desk.received(), String.format("%.1f", roundS) + spent);
+            LOG.info(
+                    "{} rounds={} writes={} checkins={} busy={}",
+                    Figures.summary(block, heartbeats, placer),
+                    keeper.rounds(),
+                    keeper.written(),
+                    desk.received(),
+                    String.format("%.1f", roundS) + spent);
         }
         timers.after(TICK_S, this::tick);
     }
 
     private void round() {
-        if (!leadership.leading() || !keeper.loaded() || keeper.writing() || !leadership.inTouch()) {
+        if (!leadership.leading()
+                || !keeper.loaded()
+                || keeper.writing()
+                || !leadership.inTouch()) {
             return;
         }
         rounds++;
--- a/src/main/java/io/kitepath/core/DirectStops.java
+++ b/src/main/java/io/kitepath/core/DirectStops.java
@@ -7,7 +7,9 @@
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.serve.HeartbeatDesk;
 
-/** Stops that go straight to machines, as these ask only once in a report interval; so many at once. */
+/**
+ * Stops that go straight to machines, as these ask only once in a report interval; so many at once.
+ */
 final class DirectStops {
     private final Block block;
     private final Heartbeats heartbeats;
@@ -20,8 +22,14 @@
     private long sent;
 
     /** {@code changed} runs when a machine's answer may let work be placed. */
-    DirectStops(Block block, Heartbeats heartbeats, HeartbeatDesk desk, Leadership leadership, DirectCommands direct,
-            Timers timers, Runnable changed) {
+    DirectStops(
+            Block block,
+            Heartbeats heartbeats,
+            HeartbeatDesk desk,
+            Leadership leadership,
+            DirectCommands direct,
+            Timers timers,
+            Runnable changed) {
         this.block = block;
         this.heartbeats = heartbeats;
         this.desk = desk;
@@ -39,21 +47,31 @@
     void send() {
         long mine = block.token();
         int most = block.facts().limits().sockets() / 10 - underWay;
-        heartbeats.stops(most, timers.now()).forEach((m, orders) -> {
-            if (desk.release(m.id)) {
-                return; // Its worker hears of it in the answer that was held.
-            }
-            m.commanded(true);
-            underWay++;
-            sent++;
-            direct.send(m.address(), mine, m.session(), orders, report -> {
-                m.commanded(false);
-                underWay--;
-                if (report != null && leadership.leading() && block.token() == mine) {
-                    heartbeats.answered(m, report, timers.now());
-                    changed.run();
-                }
-            });
-        });
+        heartbeats
+                .stops(most, timers.now())
+                .forEach(
+                        (m, orders) -> {
+                            if (desk.release(m.id)) {
+                                return; // Its worker hears of it in the answer that was held.
+                            }
+                            m.commanded(true);
+                            underWay++;
+                            sent++;
+                            direct.send(
+                                    m.address(),
+                                    mine,
+                                    m.session(),
+                                    orders,
+                                    report -> {
+                                        m.commanded(false);
+                                        underWay--;
+                                        if (report != null
+                                                && leadership.leading()
+                                                && block.token() == mine) {
+                                            heartbeats.answered(m, report, timers.now());
+                                            changed.run();
+                                        }
+                                    });
+                        });
     }
 }
--- a/src/main/java/io/kitepath/core/Figures.java
+++ b/src/main/java/io/kitepath/core/Figures.java
@@ -31,8 +31,16 @@
     private final KnownCancellations known;
     private final HeartbeatDesk desk;
 
-    Figures(Timers timers, Block block, Heartbeats heartbeats, Placer placer, Leadership leadership, Keeper keeper,
-            Views views, KnownCancellations known, HeartbeatDesk desk) {
+    Figures(
+            Timers timers,
+            Block block,
+            Heartbeats heartbeats,
+            Placer placer,
+            Leadership leadership,
+            Keeper keeper,
+            Views views,
+            KnownCancellations known,
+            HeartbeatDesk desk) {
         this.known = known;
         this.timers = timers;
         this.block = block;
@@ -48,53 +56,127 @@
         Map<String, Figure> f = new LinkedHashMap<>();
         f.put("leading", Figure.now("1 while this node leads", () -> leadership.leading() ? 1 : 0));
         f.put("token", Figure.now("highest token known", leadership::highest));
-        f.put("store.unserved", Figure.now("seconds since the state service answered", leadership::unservedS));
-        f.put("cancellations.known.age", Figure.now("seconds ago until when the holder knows what was cancelled; NaN"
-                + " while this node does not lead", () -> leadership.leading() ? known.ageS() : Double.NaN));
+        f.put(
+                "store.unserved",
+                Figure.now("seconds since the state service answered", leadership::unservedS));
+        f.put(
+                "cancellations.known.age",
+                Figure.now(
+                        "seconds ago until when the holder knows what was cancelled; NaN"
+                                + " while this node does not lead",
+                        () -> leadership.leading() ? known.ageS() : Double.NaN));
         f.put("jobs", Figure.now("jobs in the holder's memory", () -> block.jobs().size()));
-        f.put("tasks.waiting", Figure.now("tasks without a machine",
-                () -> block.jobs().values().stream().mapToInt(Job::waiting).sum()));
-        f.put("attempts", Figure.now("attempts not proven over",
-                () -> block.jobs().values().stream().mapToInt(j -> j.live().size()).sum()));
+        f.put(
+                "tasks.waiting",
+                Figure.now(
+                        "tasks without a machine",
+                        () -> block.jobs().values().stream().mapToInt(Job::waiting).sum()));
+        f.put(
+                "attempts",
+                Figure.now(
+                        "attempts not proven over",
+                        () -> block.jobs().values().stream().mapToInt(j -> j.live().size()).sum()));
         f.put("machines", Figure.now("machines known", () -> block.machines().size()));
-        f.put("machines.starting", Figure.now("machines rented that have not reported yet",
-                () -> machines(m -> !m.reported())));
-        f.put("machines.late", Figure.now("of those, later than boots take these days",
-                () -> machines(m -> block.boots().late(m, timers.now()))));
-        f.put("jobs.mistaken", Figure.now("jobs that fail on every machine", () -> block.jobs().values().stream()
-                .filter(j -> block.failures().mistaken(j, timers.now())).count()));
+        f.put(
+                "machines.starting",
+                Figure.now(
+                        "machines rented that have not reported yet",
+                        () -> machines(m -> !m.reported())));
+        f.put(
+                "machines.late",
+                Figure.now(
+                        "of those, later than boots take these days",
+                        () -> machines(m -> block.boots().late(m, timers.now()))));
+        f.put(
+                "jobs.mistaken",
+                Figure.now(
+                        "jobs that fail on every machine",
+                        () ->
+                                block.jobs().values().stream()
+                                        .filter(j -> block.failures().mistaken(j, timers.now()))
+                                        .count()));
         f.put("jobs.held", Figure.now("jobs that wait for others", () -> block.pipelines().held()));
-        f.put("jobs.cascade", Figure.now("jobs still to be cancelled for one that they need",
-                () -> block.pipelines().cascade()));
-        f.put("jobs.narrow", Figure.now("jobs laid out in narrower parts", () -> block.jobs().values().stream()
-                .filter(j -> j.record().partTasks() > 0).count()));
-        f.put("store.invalid", Figure.total("transactions that the state service refused for good", keeper::invalid));
-        f.put("store.oversize", Figure.total("times that a record was put off as too large", keeper::oversize));
-        f.put("siblings.silent", Figure.now("siblings from which nothing is heard", views::silentOnes));
-        f.put("machines.set.aside", Figure.now("machines set aside for failing", () -> machines(Machine::setAside)));
+        f.put(
+                "jobs.cascade",
+                Figure.now(
+                        "jobs still to be cancelled for one that they need",
+                        () -> block.pipelines().cascade()));
+        f.put(
+                "jobs.narrow",
+                Figure.now(
+                        "jobs laid out in narrower parts",
+                        () ->
+                                block.jobs().values().stream()
+                                        .filter(j -> j.record().partTasks() > 0)
+                                        .count()));
+        f.put(
+                "store.invalid",
+                Figure.total(
+                        "transactions that the state service refused for good", keeper::invalid));
+        f.put(
+                "store.oversize",
+                Figure.total("times that a record was put off as too large", keeper::oversize));
+        f.put(
+                "siblings.silent",
+                Figure.now("siblings from which nothing is heard", views::silentOnes));
+        f.put(
+                "machines.set.aside",
+                Figure.now("machines set aside for failing", () -> machines(Machine::setAside)));
         f.put("checkins", Figure.total("check-ins received", desk::received));
         f.put("checkins.relayed", Figure.total("check-ins relayed to the leader", desk::relayed));
         f.put("attempts.ended", Figure.total("attempts proven over", block::ends));
         f.put("attempts.lost", Figure.total("attempts lost with machine or session", block::lost));
-        f.put("attempts.evicted", Figure.total("attempts stopped for work of more right",
-                () -> placer.preemption().evictions()));
-        f.put("attempts.evicted.for.guarantees", Figure.total("of those, the ones that a guarantee was the reason for",
-                () -> placer.preemption().forGuarantees()));
-        f.put("attempts.evicted.for.large", Figure.total("and the ones that made room for gangs and large tasks",
-                () -> placer.preemption().forGangs()));
-        f.put("served.least", Figure.now("the lowest share of jobs in time, of all classes, their largest jobs, and teams as of late",
-                () -> block.served().leastShare()));
-        f.put("served.least.largest", Figure.now("the lowest share of a class's largest jobs", () -> block.served().largest()
-                .values().stream().mapToDouble(Served.Group::share).min().orElse(1)));
-        f.put("jobs.missed", Figure.total("jobs that were not done by the last time expected of them",
-                () -> block.served().classes().values().stream().mapToLong(Served.Group::missed).sum()));
-        f.put("direct.commands", Figure.total("machines told directly to stop tasks", directCommands));
+        f.put(
+                "attempts.evicted",
+                Figure.total(
+                        "attempts stopped for work of more right",
+                        () -> placer.preemption().evictions()));
+        f.put(
+                "attempts.evicted.for.guarantees",
+                Figure.total(
+                        "of those, the ones that a guarantee was the reason for",
+                        () -> placer.preemption().forGuarantees()));
+        f.put(
+                "attempts.evicted.for.large",
+                Figure.total(
+                        "and the ones that made room for gangs and large tasks",
+                        () -> placer.preemption().forGangs()));
+        f.put(
+                "served.least",
+                Figure.now(
+                        "the lowest share of jobs in time, of all classes, their largest jobs, and teams as of late",
+                        () -> block.served().leastShare()));
+        f.put(
+                "served.least.largest",
+                Figure.now(
+                        "the lowest share of a class's largest jobs",
+                        () ->
+                                block.served().largest().values().stream()
+                                        .mapToDouble(Served.Group::share)
+                                        .min()
+                                        .orElse(1)));
+        f.put(
+                "jobs.missed",
+                Figure.total(
+                        "jobs that were not done by the last time expected of them",
+                        () ->
+                                block.served().classes().values().stream()
+                                        .mapToLong(Served.Group::missed)
+                                        .sum()));
+        f.put(
+                "direct.commands",
+                Figure.total("machines told directly to stop tasks", directCommands));
         f.put("probes", Figure.total("machines probed", () -> placer.placement().probes()));
-        f.put("probes.passed", Figure.total("probes that passed", () -> placer.placement().passed()));
+        f.put(
+                "probes.passed",
+                Figure.total("probes that passed", () -> placer.placement().passed()));
         f.put("scans", Figure.total("scans of the block", () -> placer.placement().scans()));
         f.put("attempts.launched", Figure.total("launch orders given", heartbeats::launches));
-        f.put("attempts.launch.delay", Figure.total("seconds from placings to their launch orders, added up",
-                heartbeats::launchDelayS));
+        f.put(
+                "attempts.launch.delay",
+                Figure.total(
+                        "seconds from placings to their launch orders, added up",
+                        heartbeats::launchDelayS));
         f.put("rounds.time", Figure.total("seconds spent in placing and writing down", roundS));
         f.put("store.records", Figure.total("records written by the holder", keeper::written));
         f.put("store.rounds", Figure.total("transactions written by the holder", keeper::rounds));
@@ -115,8 +197,17 @@
             c[2] += j.live().size();
         }
         StringBuilder b = new StringBuilder("block:");
-        classes.forEach((k, c) -> b.append(' ').append(k).append(" jobs=").append(c[0]).append(" waiting=")
-                .append(c[1]).append(" placed=").append(c[2]).append(';'));
+        classes.forEach(
+                (k, c) ->
+                        b.append(' ')
+                                .append(k)
+                                .append(" jobs=")
+                                .append(c[0])
+                                .append(" waiting=")
+                                .append(c[1])
+                                .append(" placed=")
+                                .append(c[2])
+                                .append(';'));
         int[] n = new int[6];
         double used = 0;
         for (Machine m : block.machines().values()) {
@@ -127,15 +218,47 @@
             n[5] += m.reservedFor() != null ? 1 : 0;
             used += m.usedCpus();
         }
-        block.served().classes().forEach((k, g) -> b.append(" served ").append(k).append('=').append(g.inTime())
-                .append('/').append(g.inTime() + g.missed()).append('/').append(g.submitted()));
-        return b.append(" machines ordinary=").append(n[0]).append(" spot=").append(n[1]).append(" unproven=")
-                .append(n[2]).append(" aside=").append(n[3]).append(" idle=").append(n[4]).append(" reserved=")
-                .append(n[5]).append(" cpus=").append(Math.round(used)).append(" evicted=")
-                .append(placer.preemption().evictions()).append('/').append(placer.preemption().forGuarantees())
-                .append('/').append(placer.preemption().forGangs())
-                .append(" lost=").append(block.lost()).append(" launched=")
-                .append(heartbeats.launches()).append(" after=")
-                .append(String.format("%.2f", heartbeats.launchDelayS() / Math.max(1, heartbeats.launches()))).toString();
+        block.served()
+                .classes()
+                .forEach(
+                        (k, g) ->
+                                b.append(" served ")
+                                        .append(k)
+                                        .append('=')
+                                        .append(g.inTime())
+                                        .append('/')
+                                        .append(g.inTime() + g.missed())
+                                        .append('/')
+                                        .append(g.submitted()));
+        return b.append(" machines ordinary=")
+                .append(n[0])
+                .append(" spot=")
+                .append(n[1])
+                .append(" unproven=")
+                .append(n[2])
+                .append(" aside=")
+                .append(n[3])
+                .append(" idle=")
+                .append(n[4])
+                .append(" reserved=")
+                .append(n[5])
+                .append(" cpus=")
+                .append(Math.round(used))
+                .append(" evicted=")
+                .append(placer.preemption().evictions())
+                .append('/')
+                .append(placer.preemption().forGuarantees())
+                .append('/')
+                .append(placer.preemption().forGangs())
+                .append(" lost=")
+                .append(block.lost())
+                .append(" launched=")
+                .append(heartbeats.launches())
+                .append(" after=")
+                .append(
+                        String.format(
+                                "%.2f",
+                                heartbeats.launchDelayS() / Math.max(1, heartbeats.launches())))
+                .toString();
     }
 }
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -28,8 +28,10 @@
     private final Block block;
     private final KnownCancellations known;
     private final CancellationLog cancellations;
+
     /** Whether this node holds the block and knows the jobs. */
     private final BooleanSupplier holds;
+
     private final Consumer<JobState> ended;
     private final Runnable changed;
 
@@ -38,8 +40,16 @@
      * @param ended takes a job's end, which never changes
      * @param changed runs when something may be placed or stopped
      */
-    Gossip(Timers timers, Siblings siblings, Leadership leadership, Views views, Block block, KnownCancellations known,
-            BooleanSupplier holds, Consumer<JobState> ended, Runnable changed) {
+    Gossip(
+            Timers timers,
+            Siblings siblings,
+            Leadership leadership,
+            Views views,
+            Block block,
+            KnownCancellations known,
+            BooleanSupplier holds,
+            Consumer<JobState> ended,
+            Runnable changed) {
         this.facts = block.facts();
         this.timers = timers;
         this.siblings = siblings;
@@ -65,8 +75,10 @@
     }
 
     void tell() {
-        siblings.tell(leadership.leading() ? block.token() : leadership.highest(),
-                leadership.leading() ? facts.node() : null, served());
+        siblings.tell(
+                leadership.leading() ? block.token() : leadership.highest(),
+                leadership.leading() ? facts.node() : null,
+                served());
         siblings.digest(cancellations.digest());
     }
 
@@ -105,8 +117,8 @@
     }
 
     /**
-     * Whether users are better off here: not if the store serves a sibling and not us, nor if neither store nor siblings
-     * are to be reached, since then it is this node that is cut off.
+     * Whether users are better off here: not if the store serves a sibling and not us, nor if
+     * neither store nor siblings are to be reached, since then it is this node that is cut off.
      */
     boolean healthy() {
         return served() || !views.someServed() && !views.alone();
@@ -117,7 +129,8 @@
         return holds.getAsBoolean() ? block.progress(jobs, timers.now()) : List.of();
     }
 
-    // ---- for users' questions: who places tasks now ----------------------------------------------
+    // ---- for users' questions: who places tasks now
+    // ----------------------------------------------
 
     @Override
     public void progress(List<String> jobs, Consumer<List<Progress>> answer) {
@@ -141,8 +154,11 @@
             return "this node has just begun to lead and reads the jobs";
         }
         double silentS = views.silentS(leader);
-        return "node " + leader + ", which places tasks, does not answer"
+        return "node "
+                + leader
+                + ", which places tasks, does not answer"
                 + (views.silent(leader) && !Double.isNaN(silentS)
-                        ? " and was last heard " + Math.round(silentS) + " s ago" : "");
+                        ? " and was last heard " + Math.round(silentS) + " s ago"
+                        : "");
     }
 }
--- a/src/main/java/io/kitepath/core/Takeover.java
+++ b/src/main/java/io/kitepath/core/Takeover.java
@@ -6,11 +6,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long a new holder takes until everything is as before, part by part, in seconds from when it won the lease. Work
- * waits for the first three of them: jobs are read, the first placing is launched, workers report with the new token.
+ * How long a new holder takes until everything is as before, part by part, in seconds from when it
+ * won the lease. Work waits for the first three of them: jobs are read, the first placing is
+ * launched, workers report with the new token.
  */
 final class Takeover {
     private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
+
     /** Of the machines that were up, how many have to have reported for the takeover to be over. */
     private static final double MOST = 0.95;
 
@@ -42,7 +44,10 @@
         }
     }
 
-    /** Looks where it stands; {@code launches}: orders to start that this node has given since it leads. */
+    /**
+     * Looks where it stands; {@code launches}: orders to start that this node has given since it
+     * leads.
+     */
     void look(double now, long launches) {
         if (over || Double.isNaN(readS)) {
             return;
@@ -63,8 +68,11 @@
         if (up > 0 && proven >= MOST * up) {
             mostS = now - since;
             over = true;
-            LOG.info(String.format("takeover: jobs read after %.2f s, first launch %.2f, half of %d machines reported "
-                    + "%.2f, %.0f%% of them %.2f", readS, launchedS, up, halfS, 100 * MOST, mostS));
+            LOG.info(
+                    String.format(
+                            "takeover: jobs read after %.2f s, first launch %.2f, half of %d machines reported "
+                                    + "%.2f, %.0f%% of them %.2f",
+                            readS, launchedS, up, halfS, 100 * MOST, mostS));
         }
     }
 
--- a/src/main/java/io/kitepath/core/block/Attempt.java
+++ b/src/main/java/io/kitepath/core/block/Attempt.java
@@ -4,35 +4,48 @@
 import io.kitepath.core.model.Report;
 
 /**
- * One placing of one task on one machine. It stays unproven, and counts against every limit, until something
- * proves that it is over; the mere passing of time never does.
+ * One placing of one task on one machine. It stays unproven, and counts against every limit, until
+ * something proves that it is over; the mere passing of time never does.
  */
 public final class Attempt {
     public final Job job;
     public final int task;
     public final long number;
     public final Machine machine;
+
     /** Seconds on the steady clock. */
     public final double placedAt;
-    /** The job's version when this was placed; a write that covers that version makes it durable. */
+
+    /**
+     * The job's version when this was placed; a write that covers that version makes it durable.
+     */
     final int placedVersion;
+
     boolean durable;
+
     /** Launched by us, or perhaps by a holder before us. */
     boolean launched;
+
     /** The last answer to its machine told it to start. */
     boolean ordered;
+
     /** Reports after such an answer that did not show it. */
     int missed;
+
     /** Whether a report of the current holder's time has shown it. */
     boolean seen;
+
     Report.State state;
     double runningSince = Double.NaN;
     boolean ended;
     int endedVersion;
+
     /** Wanted stopped; NaN while it is not. */
     double stopGraceS = Double.NaN;
+
     /** It was told to stop by a direct command. */
     boolean stopSent;
+
     /** The reading of its machine's reports that showed it last. */
     int reading;
 
@@ -88,7 +101,10 @@
         return Double.isNaN(runningSince) ? 0 : now - runningSince;
     }
 
-    /** The time that is lost if it is stopped now: what it did since it began or saved last, or what saving takes. */
+    /**
+     * The time that is lost if it is stopped now: what it did since it began or saved last, or what
+     * saving takes.
+     */
     public double unsavedS(double now) {
         double every = job.spec.checkpointS();
         return every > 0 ? Math.min(ranS(now), Math.min(every, job.spec.saveS())) : ranS(now);
--- a/src/main/java/io/kitepath/core/block/Block.java
+++ b/src/main/java/io/kitepath/core/block/Block.java
@@ -24,9 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the holder of the block knows: its jobs, its machines, which attempts are not proven over, and what of all that
- * the store has not been told. It decides nothing about where work goes; it keeps count of what was decided, so that
- * whatever is unproven counts against every limit.
+ * What the holder of the block knows: its jobs, its machines, which attempts are not proven over,
+ * and what of all that the store has not been told. It decides nothing about where work goes; it
+ * keeps count of what was decided, so that whatever is unproven counts against every limit.
  */
 public final class Block {
     private static final Logger LOG = LoggerFactory.getLogger(Block.class);
@@ -42,27 +42,37 @@
     private final Failures failures;
     private final Boots boots;
     private final Notes notes = new Notes(this);
+
     /** Is told of every machine that becomes known. */
     private final Consumer<Machine> newcomers;
+
     private final TeamUse teamUse;
+
     /** Machines that are put down as going. */
     private final Set<String> going = new HashSet<>();
+
     /** Names of machines that are gone for certain; lists may show them a while longer. */
-    private final Set<String> tombstones = Collections.newSetFromMap(new LinkedHashMap<>() {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > TOMBSTONES;
-        }
-    });
+    private final Set<String> tombstones =
+            Collections.newSetFromMap(
+                    new LinkedHashMap<>() {
+                        @Override
+                        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+                            return size() > TOMBSTONES;
+                        }
+                    });
+
     private final Lately lately = new Lately();
     private final Leads leads = new Leads();
     private final Unwritten unwritten = new Unwritten();
     private final Served served;
     private final Pipelines pipelines;
+
     /** Jobs whose parts are to be laid out anew. */
     private final Set<Job> wide = new LinkedHashSet<>();
+
     /** How many tasks one part of a job holds whose record does not say. */
     private int partTasks;
+
     private int recordBytes;
     private long token;
     private long ends;
@@ -154,7 +164,9 @@
         return token;
     }
 
-    /** Attempts proven over, and of those the ones that were lost with their machine or its session. */
+    /**
+     * Attempts proven over, and of those the ones that were lost with their machine or its session.
+     */
     public long ends() {
         return ends;
     }
@@ -220,8 +232,13 @@
 
     public void addJob(Job job) {
         jobs.put(job.spec.id(), job);
-        LOG.debug("job {} of {}: {} tasks of {} CPUs, image {}", job.spec.id(), job.spec.jobClass(), job.spec.tasks(),
-                job.spec.cpus(), job.spec.image());
+        LOG.debug(
+                "job {} of {}: {} tasks of {} CPUs, image {}",
+                job.spec.id(),
+                job.spec.jobClass(),
+                job.spec.tasks(),
+                job.spec.cpus(),
+                job.spec.image());
         changed = true;
         lately.came(job);
         served.came(job.spec);
@@ -230,7 +247,10 @@
         }
     }
 
-    /** A job that is over and has records of its tasks left: something of it may still be on machines. */
+    /**
+     * A job that is over and has records of its tasks left: something of it may still be on
+     * machines.
+     */
     public void addOver(Job job) {
         job.over = true;
         addJob(job);
@@ -246,8 +266,14 @@
             Machine m = machine((String) e.getKey(), now);
             List<?> l = (List<?>) e.getValue();
             for (int i = 0; i + 1 < l.size(); i += 2) {
-                Attempt a = new Attempt(job, ((Number) l.get(i)).intValue(), ((Number) l.get(i + 1)).longValue(), m,
-                        now, 0);
+                Attempt a =
+                        new Attempt(
+                                job,
+                                ((Number) l.get(i)).intValue(),
+                                ((Number) l.get(i + 1)).longValue(),
+                                m,
+                                now,
+                                0);
                 a.durable = true;
                 a.launched = true;
                 attach(a);
@@ -261,8 +287,8 @@
     }
 
     /**
-     * The job is done or cancelled in the store; whatever of it is still on machines has to go. Returns whether that is
-     * news here.
+     * The job is done or cancelled in the store; whatever of it is still on machines has to go.
+     * Returns whether that is news here.
      */
     public boolean jobOver(String id) {
         Job job = jobs.get(id);
@@ -280,14 +306,18 @@
         job.touchAll();
         for (Job.Part p : job.allParts()) {
             if (p.revision() > 0) {
-                unwritten.changed(p); // To be removed, or kept for as long as something is on machines.
+                unwritten.changed(
+                        p); // To be removed, or kept for as long as something is on machines.
             }
         }
         LOG.info("job {} over, {} attempts to end", id, job.live.size());
         return true;
     }
 
-    /** How far those of the jobs are that are known here and not about to be cancelled for one before them. */
+    /**
+     * How far those of the jobs are that are known here and not about to be cancelled for one
+     * before them.
+     */
     public List<Progress> progress(List<String> ids, double now) {
         List<Progress> out = new ArrayList<>();
         for (String id : ids) {
@@ -309,8 +339,8 @@
     }
 
     /**
-     * Takes back a placing that is not known to be written, so was never launched. Its write may be under way all
-     * the same, hence the part counts as changed.
+     * Takes back a placing that is not known to be written, so was never launched. Its write may be
+     * under way all the same, hence the part counts as changed.
      */
     private void withdraw(Attempt a) {
         teamUse.count(a.job.spec, -1);
@@ -321,7 +351,10 @@
         changed = true;
     }
 
-    /** The attempt is proven over. It stays on the machine's list until that is written, and is cleared after. */
+    /**
+     * The attempt is proven over. It stays on the machine's list until that is written, and is
+     * cleared after.
+     */
     void end(Attempt a, Cause cause, double now) {
         if (a.ended) {
             return;
@@ -387,10 +420,11 @@
     }
 
     /**
-     * One task of a gang is gone: the rest can't finish, and all restart together once they are proven over. Guards
-     * against a gang that never starts because its image takes longer than its tasks wait for each other: those that
-     * have it give up, and if the others were stopped then, what they had fetched was lost, and it began anew. So
-     * they fetch on, the room of those that gave up is held, and all restart where the image is.
+     * One task of a gang is gone: the rest can't finish, and all restart together once they are
+     * proven over. Guards against a gang that never starts because its image takes longer than its
+     * tasks wait for each other: those that have it give up, and if the others were stopped then,
+     * what they had fetched was lost, and it began anew. So they fetch on, the room of those that
+     * gave up is held, and all restart where the image is.
      */
     public void restartOnceFetched(Job job) {
         if (!job.live.isEmpty() && job.live.size() < job.spec.tasks() && !fetching(job)) {
@@ -401,11 +435,17 @@
     }
 
     private static boolean fetching(Job job) {
-        return job.live.values().stream().anyMatch(a -> a.seen && !a.unwanted() && a.state == State.FETCHING);
+        return job.live.values().stream()
+                .anyMatch(a -> a.seen && !a.unwanted() && a.state == State.FETCHING);
     }
 
     private double fetchS(JobSpec s) {
-        double rate = types.values().stream().mapToDouble(MachineType::fetchGbPerS).filter(r -> r > 0).min().orElse(1);
+        double rate =
+                types.values().stream()
+                        .mapToDouble(MachineType::fetchGbPerS)
+                        .filter(r -> r > 0)
+                        .min()
+                        .orElse(1);
         return s.imageGb() / rate;
     }
 
@@ -424,7 +464,10 @@
         a.stopGraceS = Math.min(a.stopGraceS, graceS);
     }
 
-    /** The bytes that a record may have: as the settings say, or fewer if the store has refused one of that size. */
+    /**
+     * The bytes that a record may have: as the settings say, or fewer if the store has refused one
+     * of that size.
+     */
     public int recordBytes() {
         return recordBytes;
     }
@@ -433,7 +476,10 @@
         recordBytes = Math.min(recordBytes, bytes - 1);
     }
 
-    /** Whether the record of the task's part can take one more attempt; nothing may start that is not on record. */
+    /**
+     * Whether the record of the task's part can take one more attempt; nothing may start that is
+     * not on record.
+     */
     public boolean recordable(Job job, int task) {
         return job.recordable(task, recordBytes);
     }
@@ -443,7 +489,10 @@
         return job.narrow(facts.tasksPerNarrowPart()) || job.recordableWhole(recordBytes);
     }
 
-    /** The job's parts can't be on record as they are laid out; nothing more of it is placed until they are anew. */
+    /**
+     * The job's parts can't be on record as they are laid out; nothing more of it is placed until
+     * they are anew.
+     */
     public void tooWide(Job job) {
         wide.add(job);
         changed = true;
@@ -458,7 +507,10 @@
         changed = true;
     }
 
-    /** A decision: this waiting task goes to that machine, once that is written. See {@link #placedTogether}. */
+    /**
+     * A decision: this waiting task goes to that machine, once that is written. See {@link
+     * #placedTogether}.
+     */
     public void place(Job job, int task, Machine m, double now) {
         Job.Part part = job.placing(task);
         unwritten.placed(part);
@@ -467,12 +519,18 @@
         LOG.debug("placed {}/{}#{} on {}", job.spec.id(), task, job.nextAttempt, m.id);
     }
 
-    /** What was placed of the job since the last call shares an attempt number; the next ones get another. */
+    /**
+     * What was placed of the job since the last call shares an attempt number; the next ones get
+     * another.
+     */
     public void placedTogether(Job job) {
         job.nextAttempt++;
     }
 
-    /** A worker has an attempt that nothing placed there: it counts until it is proven over, and is stopped. */
+    /**
+     * A worker has an attempt that nothing placed there: it counts until it is proven over, and is
+     * stopped.
+     */
     void strayed(Job job, int task, long number, State state, Machine m, double now) {
         LOG.error("machine {} has {}/{} which was not placed there", m.id, job.spec.id(), task);
         unwritten.changed(job.touch(task));
@@ -489,15 +547,20 @@
     // ---- machines -------------------------------------------------------------------------------
 
     Machine machine(String id, double now) {
-        return machines.computeIfAbsent(id, k -> {
-            Machine m = new Machine(k, now);
-            m.releasing = going.contains(k);
-            newcomers.accept(m);
-            return m;
-        });
+        return machines.computeIfAbsent(
+                id,
+                k -> {
+                    Machine m = new Machine(k, now);
+                    m.releasing = going.contains(k);
+                    newcomers.accept(m);
+                    return m;
+                });
     }
 
-    /** The machine is put down as one to be given back: whenever it is heard of, it takes no work any more. */
+    /**
+     * The machine is put down as one to be given back: whenever it is heard of, it takes no work
+     * any more.
+     */
     public void goes(String id) {
         going.add(id);
         Machine m = machines.get(id);
@@ -586,13 +649,14 @@
                 a.durable = true;
             }
         }
-        job.unwritten.removeIf(a -> {
-            boolean now = job.partOf(a.task) == part.index && a.endedVersion <= version;
-            if (now) {
-                a.machine.unwritten.remove(a);
-            }
-            return now;
-        });
+        job.unwritten.removeIf(
+                a -> {
+                    boolean now = job.partOf(a.task) == part.index && a.endedVersion <= version;
+                    if (now) {
+                        a.machine.unwritten.remove(a);
+                    }
+                    return now;
+                });
     }
 
     /** The job's records are laid out anew, as of that version of it, with these parts. */
--- a/src/main/java/io/kitepath/core/block/Boots.java
+++ b/src/main/java/io/kitepath/core/block/Boots.java
@@ -10,19 +10,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What boots take now, by type, zone and kind, with the nominal time as what is expected until more is known. Guards
- * against work that waits for minutes for machines that come late or never, which counted as room on its way; and, the
- * other way round, against renting everything twice when all machines come late after all.
+ * What boots take now, by type, zone and kind, with the nominal time as what is expected until more
+ * is known. Guards against work that waits for minutes for machines that come late or never, which
+ * counted as room on its way; and, the other way round, against renting everything twice when all
+ * machines come late after all.
  */
 public final class Boots {
     private static final Logger LOG = LoggerFactory.getLogger(Boots.class);
+
     /** Of a kind's last boots, how many count. */
     private static final int LAST = 8;
+
     /** Normal boots take up to one and a half times the nominal time. */
     private static final double SPREAD = 1.5;
 
     private final Map<String, MachineType> types;
     private final Map<MachineKind, Deque<Double>> lately = new HashMap<>();
+
     /** The same by type alone, for kinds of which too few have come. */
     private final Map<String, Deque<Double>> ofType = new HashMap<>();
 
@@ -37,7 +41,11 @@
         add(ofType.computeIfAbsent(m.type, k -> new ArrayDeque<>()), seconds);
         MachineType t = types.get(m.type);
         if (t != null && seconds > SPREAD * t.bootS()) {
-            LOG.info("machine {} came up late, after {} s instead of {} s", m.id, Math.round(seconds), t.bootS());
+            LOG.info(
+                    "machine {} came up late, after {} s instead of {} s",
+                    m.id,
+                    Math.round(seconds),
+                    t.bootS());
         }
     }
 
@@ -48,7 +56,10 @@
         }
     }
 
-    /** The median of the last boots, at least the nominal time: a machine up at once promises nothing for the next. */
+    /**
+     * The median of the last boots, at least the nominal time: a machine up at once promises
+     * nothing for the next.
+     */
     public double expectedS(MachineKind kind) {
         MachineType t = types.get(kind.type());
         double nominal = t == null ? 0 : t.bootS();
@@ -59,7 +70,8 @@
         if (of == null || of.size() < LAST / 2) {
             return nominal;
         }
-        return Math.max(nominal, of.stream().sorted().skip(of.size() / 2).findFirst().orElse(nominal));
+        return Math.max(
+                nominal, of.stream().sorted().skip(of.size() / 2).findFirst().orElse(nominal));
     }
 
     /** Longer under way than boots take these days: no room to count on. */
@@ -67,7 +79,10 @@
         return overdue(m, now, SPREAD);
     }
 
-    /** So long under way that it is not worth its price any more; some take several times as long as others. */
+    /**
+     * So long under way that it is not worth its price any more; some take several times as long as
+     * others.
+     */
     public boolean hopeless(Machine m, double now) {
         return overdue(m, now, 4);
     }
--- a/src/main/java/io/kitepath/core/block/Failures.java
+++ b/src/main/java/io/kitepath/core/block/Failures.java
@@ -8,14 +8,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells machines that fail what they start from jobs that were submitted with a mistake, by who else fails where. A
- * mistaken job may cost little: one task, or one gang, is tried at a time and ever more rarely, in room that is free
- * anyway. A job that succeeded once, or runs on longer than it took to fail, is none.
+ * Tells machines that fail what they start from jobs that were submitted with a mistake, by who
+ * else fails where. A mistaken job may cost little: one task, or one gang, is tried at a time and
+ * ever more rarely, in room that is free anyway. A job that succeeded once, or runs on longer than
+ * it took to fail, is none.
  */
 public final class Failures {
     private static final Logger LOG = LoggerFactory.getLogger(Failures.class);
+
     /** Machines on which a job has to fail before it is held to be at fault itself. */
     private static final int MACHINES = 3;
+
     /** After that many failed starts since its last success a machine is set aside. */
     private static final int BLAME = 2;
 
@@ -46,12 +49,17 @@
         }
     }
 
-    /** What the job failed on is not to blame for it: the fault was its own, or can't be told any more. */
+    /**
+     * What the job failed on is not to blame for it: the fault was its own, or can't be told any
+     * more.
+     */
     void acquit(Job job) {
-        failedOn(job, m -> {
-            m.failed.remove(job);
-            judge(m);
-        });
+        failedOn(
+                job,
+                m -> {
+                    m.failed.remove(job);
+                    judge(m);
+                });
     }
 
     void failed(Attempt a, double now) {
@@ -73,30 +81,36 @@
         if (job.triesFailed == 0 || a.number > job.lastFailed) {
             job.lastFailed = Math.max(job.lastFailed, a.number);
             job.triesFailed++;
-            double pause = Math.min(facts.workers().reportS() * (1 << Math.min(8, job.triesFailed)),
-                    6 * facts.workers().leaseS());
+            double pause =
+                    Math.min(
+                            facts.workers().reportS() * (1 << Math.min(8, job.triesFailed)),
+                            6 * facts.workers().leaseS());
             job.notBefore = now + pause;
-            LOG.info("job {} fails everywhere, {} times so far: tried again in {} s", job.spec.id(), job.failures,
+            LOG.info(
+                    "job {} fails everywhere, {} times so far: tried again in {} s",
+                    job.spec.id(),
+                    job.failures,
                     Math.round(pause));
         }
     }
 
     /**
-     * Failed on several machines, never succeeded, and nothing of it has run for much longer than it took to fail: a
-     * good job that met several faulty machines is not held back.
+     * Failed on several machines, never succeeded, and nothing of it has run for much longer than
+     * it took to fail: a good job that met several faulty machines is not held back.
      */
     public boolean mistaken(Job job, double now) {
         if (job.successes > 0 || job.failedOn.size() < MACHINES) {
             return false;
         }
         double proof = 2 * (job.failedWithinS + facts.workers().reportS());
-        return job.live.values().stream().noneMatch(a -> a.state == Report.State.RUNNING
-                && now - a.runningSince > proof);
+        return job.live.values().stream()
+                .noneMatch(a -> a.state == Report.State.RUNNING && now - a.runningSince > proof);
     }
 
     /**
-     * Set aside after two failures since its last success; of a job that has not succeeded anywhere only one counts.
-     * Guards against a mistaken job, all of whose tasks fail on the first machines it comes to, costing those machines.
+     * Set aside after two failures since its last success; of a job that has not succeeded anywhere
+     * only one counts. Guards against a mistaken job, all of whose tasks fail on the first machines
+     * it comes to, costing those machines.
      */
     private void judge(Machine m) {
         int blame = 0;
--- a/src/main/java/io/kitepath/core/block/Heartbeats.java
+++ b/src/main/java/io/kitepath/core/block/Heartbeats.java
@@ -14,13 +14,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What workers report, taken into the block, and what they are told. Only here an attempt is proven over by a report,
- * and only {@link #commands} launches: what is written and not launched before, in the answer to a check-in.
+ * What workers report, taken into the block, and what they are told. Only here an attempt is proven
+ * over by a report, and only {@link #commands} launches: what is written and not launched before,
+ * in the answer to a check-in.
  */
 public final class Heartbeats {
     private static final Logger LOG = LoggerFactory.getLogger(Heartbeats.class);
+
     /** Commands in one answer; keeps it far below the 64 KiB limit. */
     private static final int MAX_ORDERS = 300;
+
     /** Half of what a worker waits for an answer. */
     private static final double MAX_HOLD_S = 2;
 
@@ -35,7 +38,10 @@
         this.block = block;
     }
 
-    /** Launch orders given, and the seconds that passed between their placing and their order, added up. */
+    /**
+     * Launch orders given, and the seconds that passed between their placing and their order, added
+     * up.
+     */
     public long launches() {
         return launches;
     }
@@ -45,9 +51,9 @@
     }
 
     /**
-     * Takes in a report; {@code loaded} is false until the jobs are known, {@code mayRun} says of which something may be
-     * on machines even before. Answers what to do about tasks that are not ours, or no longer; {@link #commands} has the
-     * rest.
+     * Takes in a report; {@code loaded} is false until the jobs are known, {@code mayRun} says of
+     * which something may be on machines even before. Answers what to do about tasks that are not
+     * ours, or no longer; {@link #commands} has the rest.
      */
     public List<Order> heartbeat(Report r, boolean loaded, Predicate<String> mayRun, double now) {
         if (block.buried(r.machine())) {
@@ -57,7 +63,11 @@
         if (!r.newerThan(m.session, m.sequence)) {
             return List.of(); // Late: a newer report has been read already.
         }
-        m.heard(r.session(), loaded && r.token() == block.token(), now, block.facts().workers().leaseS());
+        m.heard(
+                r.session(),
+                loaded && r.token() == block.token(),
+                now,
+                block.facts().workers().leaseS());
         m.session = r.session();
         m.sequence = r.sequence();
         m.type = r.type();
@@ -79,14 +89,20 @@
         } else {
             m.takenAt = Double.NaN;
         }
-        // Guards against a report that was sent before the worker knew us: an earlier holder's launch might still
-        // have been on its way to it then. Only a report that carries our token proves what is not on the machine.
+        // Guards against a report that was sent before the worker knew us: an earlier holder's
+        // launch might still
+        // have been on its way to it then. Only a report that carries our token proves what is not
+        // on the machine.
         if (!loaded || r.token() != block.token()) {
             return stops(r, mayRun);
         }
         boolean open = m.open();
         if (!m.proven) {
-            LOG.debug("machine {} reports with our token, session {}, {} tasks", m.id, r.session(), r.tasks().size());
+            LOG.debug(
+                    "machine {} reports with our token, session {}, {} tasks",
+                    m.id,
+                    r.session(),
+                    r.tasks().size());
         }
         m.proven = true;
         List<Order> orders = reconcile(m, r, now);
@@ -96,15 +112,19 @@
         return orders;
     }
 
-    /** Whether it is newer than all that was read of its machine, so that the worker may wait for what it is answered. */
+    /**
+     * Whether it is newer than all that was read of its machine, so that the worker may wait for
+     * what it is answered.
+     */
     public boolean news(Report r) {
         Machine m = block.machines().get(r.machine());
         return m == null || r.newerThan(m.session, m.sequence);
     }
 
     /**
-     * A report that this holder may not answer: the machine is there, and that is all that is taken from it. Guards
-     * against a holder that gives back its whole fleet as silent, once the store is back, since it answered nobody.
+     * A report that this holder may not answer: the machine is there, and that is all that is taken
+     * from it. Guards against a holder that gives back its whole fleet as silent, once the store is
+     * back, since it answered nobody.
      */
     public void unanswered(Report r, double now) {
         Machine m = block.machines().get(r.machine());
@@ -114,12 +134,16 @@
     }
 
     /**
-     * Of jobs that are over nothing has to go on, whatever else is known. Guards against an answer that keeps the lease
-     * of a cancelled job's task because the machine has not shown our token yet.
+     * Of jobs that are over nothing has to go on, whatever else is known. Guards against an answer
+     * that keeps the lease of a cancelled job's task because the machine has not shown our token
+     * yet.
      */
     private static List<Order> stops(Report r, Predicate<String> mayRun) {
-        return r.tasks().stream().filter(t -> t.state() != State.ENDED && !mayRun.test(t.job())).limit(MAX_ORDERS)
-                .map(t -> new Order(Order.Verb.STOP, t.job(), t.task(), t.attempt(), 0)).toList();
+        return r.tasks().stream()
+                .filter(t -> t.state() != State.ENDED && !mayRun.test(t.job()))
+                .limit(MAX_ORDERS)
+                .map(t -> new Order(Order.Verb.STOP, t.job(), t.task(), t.attempt(), 0))
+                .toList();
     }
 
     private List<Order> reconcile(Machine m, Report r, double now) {
@@ -168,7 +192,10 @@
                 if (a.placedVersion > 0) {
                     block.leads().took(a.job.spec.jobClass(), now - a.placedAt);
                 }
-                LOG.debug("attempt {} runs, {} s after it was placed", a, Math.round(now - a.placedAt));
+                LOG.debug(
+                        "attempt {} runs, {} s after it was placed",
+                        a,
+                        Math.round(now - a.placedAt));
                 block.hasImage(a);
             }
         }
@@ -184,18 +211,24 @@
             block.lose(a, now);
         } else if (a.durable && (a.unwanted() || a.machine.releasing)) {
             block.end(a, Cause.STOPPED, now);
-        } else if (a.launched && a.job.spec.gang()
-                && a.job.live.values().stream().anyMatch(x -> x.state == State.RUNNING || x.state == State.SAVING)) {
-            // A gang that ran without this task has lost it; starting it again would not bring the others back.
+        } else if (a.launched
+                && a.job.spec.gang()
+                && a.job.live.values().stream()
+                        .anyMatch(x -> x.state == State.RUNNING || x.state == State.SAVING)) {
+            // A gang that ran without this task has lost it; starting it again would not bring the
+            // others back.
             block.end(a, Cause.PEERS, now);
         }
         // Otherwise it was never executed, and this very answer launches it (again).
         boolean ordered = a.ordered;
         a.ordered = false;
         if (!a.ended && ordered && ++a.missed >= MOST_MISSED) {
-            // Nothing sent before this report can start it any more. Guards against tasks that stay placed for good on a
-            // machine whose reports arrive, but which no answer reaches. Only answers with the order in them count, so
-            // that a machine that was told nothing, as in an outage, does not pass for one that hears nothing.
+            // Nothing sent before this report can start it any more. Guards against tasks that stay
+            // placed for good on a
+            // machine whose reports arrive, but which no answer reaches. Only answers with the
+            // order in them count, so
+            // that a machine that was told nothing, as in an outage, does not pass for one that
+            // hears nothing.
             LOG.warn("machine {} reports and does not start what it is told to", a.machine.id);
             a.machine.deaf(now);
             block.end(a, Cause.STOPPED, now);
@@ -209,9 +242,14 @@
             return;
         }
         Job job = block.jobs().get(t.job());
-        if (job != null && t.task() >= 0 && t.task() < job.spec.tasks() && !job.live.containsKey(t.task())
-                && !job.done.get(t.task()) && job.placeable(t.task())) {
-            // Should not be: counted in and written down before it is stopped, so the task can't run elsewhere.
+        if (job != null
+                && t.task() >= 0
+                && t.task() < job.spec.tasks()
+                && !job.live.containsKey(t.task())
+                && !job.done.get(t.task())
+                && job.placeable(t.task())) {
+            // Should not be: counted in and written down before it is stopped, so the task can't
+            // run elsewhere.
             block.strayed(job, t.task(), t.attempt(), t.state(), m, now);
             return;
         }
@@ -219,7 +257,10 @@
         orders.add(new Order(Order.Verb.STOP, t.job(), t.task(), t.attempt(), 0));
     }
 
-    /** What the machine's worker shall start and stop, to be sent only as the answer to its latest report. */
+    /**
+     * What the machine's worker shall start and stop, to be sent only as the answer to its latest
+     * report.
+     */
     public List<Order> commands(String machine, boolean mayStart, double now) {
         Machine m = block.machines().get(machine);
         List<Order> orders = new ArrayList<>();
@@ -233,7 +274,8 @@
             if (toStop(a)) {
                 orders.add(stopOrder(a));
             } else if (mayStart && !m.releasing && toStart(a)) {
-                // Not on a machine that goes: one that was silent may be heard again just when it is given back.
+                // Not on a machine that goes: one that was silent may be heard again just when it
+                // is given back.
                 if (!a.launched) {
                     launches++;
                     launchDelayS += now - a.placedAt;
@@ -247,9 +289,9 @@
     }
 
     /**
-     * What is to stop at once, by machine, and was not told so yet: a busy machine asks only once in a report interval,
-     * and whoever the room is for waits as long. The next answer to its report says it again in any case.
-     * {@code most}: machines at once.
+     * What is to stop at once, by machine, and was not told so yet: a busy machine asks only once
+     * in a report interval, and whoever the room is for waits as long. The next answer to its
+     * report says it again in any case. {@code most}: machines at once.
      */
     public Map<Machine, List<Order>> stops(int most, double now) {
         Map<Machine, List<Order>> out = new LinkedHashMap<>();
@@ -259,7 +301,12 @@
             }
             for (Attempt a : job.live.values()) {
                 Machine m = a.machine;
-                if (toStop(a) && !a.stopSent && m.proven && !m.commanded && !m.releasing && !m.address.isEmpty()
+                if (toStop(a)
+                        && !a.stopSent
+                        && m.proven
+                        && !m.commanded
+                        && !m.releasing
+                        && !m.address.isEmpty()
                         && now - m.lastReport < 2 * block.facts().workers().reportS()
                         && (out.size() < most || out.containsKey(m))) {
                     a.stopSent = true;
@@ -271,15 +318,19 @@
     }
 
     private static Order stopOrder(Attempt a) {
-        return new Order(Order.Verb.STOP, a.job.spec.id(), a.task, a.number, a.job.over ? 0 : a.stopGraceS);
+        return new Order(
+                Order.Verb.STOP, a.job.spec.id(), a.task, a.number, a.job.over ? 0 : a.stopGraceS);
     }
 
     /**
-     * A worker's report in answer to direct commands. It proves what ended, but not what is absent: a launch in the
-     * answer to a check-in may still be on its way to the worker.
+     * A worker's report in answer to direct commands. It proves what ended, but not what is absent:
+     * a launch in the answer to a check-in may still be on its way to the worker.
      */
     public void answered(Machine m, Report r, double now) {
-        if (m.gone || !m.proven || r.session() != m.session || r.sequence() <= m.sequence
+        if (m.gone
+                || !m.proven
+                || r.session() != m.session
+                || r.sequence() <= m.sequence
                 || r.token() != block.token()) {
             return;
         }
@@ -307,7 +358,9 @@
         return !a.unwanted() && a.durable && !a.seen && startable(a);
     }
 
-    /** A gang is launched only when every one of its tasks has a machine, and that is written down. */
+    /**
+     * A gang is launched only when every one of its tasks has a machine, and that is written down.
+     */
     private static boolean startable(Attempt a) {
         if (!a.job.spec.gang()) {
             return true;
@@ -317,9 +370,10 @@
     }
 
     /**
-     * How long the answer to the machine's report is worth holding back for work that may come: on an idle machine,
-     * which has nothing to report meanwhile, until its next report is due; on one where something just ended while
-     * other work waits, for the moment that placing and writing takes.
+     * How long the answer to the machine's report is worth holding back for work that may come: on
+     * an idle machine, which has nothing to report meanwhile, until its next report is due; on one
+     * where something just ended while other work waits, for the moment that placing and writing
+     * takes.
      */
     public double patience(String machine) {
         Machine m = block.machines().get(machine);
--- a/src/main/java/io/kitepath/core/block/Job.java
+++ b/src/main/java/io/kitepath/core/block/Job.java
@@ -11,7 +11,6 @@
 import java.util.Arrays;
 import java.util.Base64;
 import java.util.BitSet;
-import java.util.Collection;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -29,21 +28,31 @@
 public final class Job {
     /** What it needs of a record for all but attempts: its names, two numbers. */
     private static final int PART_BYTES = 110;
+
     /** An attempt on a machine of its own. */
     private static final int MOST_PER_ATTEMPT = 32;
+
     private static final double[] NOBODY = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
 
-    /** A slice of the job's tasks, which is one record in the store; revision 0: not written yet. */
+    /**
+     * A slice of the job's tasks, which is one record in the store; revision 0: not written yet.
+     */
     public static final class Part {
         public final Job job;
         public final int index;
         private long revision;
         private int changed;
+
         /** The version of the last placing in it. */
         private int placed;
+
         private int written;
-        /** What its attempts take of its record, in bytes, and how many of them are on each machine. */
+
+        /**
+         * What its attempts take of its record, in bytes, and how many of them are on each machine.
+         */
         private int liveBytes;
+
         private final Map<String, Integer> on = new HashMap<>();
 
         Part(Job job, int index) {
@@ -82,7 +91,12 @@
             if (machines == 0) {
                 on.remove(a.machine.id);
             }
-            liveBytes += sign * (Json.digits(a.task) + Json.digits(a.number) + 4 + (first ? a.machine.id.length() + 8 : 0));
+            liveBytes +=
+                    sign
+                            * (Json.digits(a.task)
+                                    + Json.digits(a.number)
+                                    + 4
+                                    + (first ? a.machine.id.length() + 8 : 0));
         }
 
         /** Its record holds everything up to that version of the job. */
@@ -93,66 +107,115 @@
     }
 
     public final JobSpec spec;
+
     /** Milliseconds since 1970, by the clock of the node that accepted it. */
     public final double submittedMs;
+
     /** The record on which every write about the job depends, and its revision. */
     public final String key;
+
     private long revision;
+
     /** Whether another cell is its home, which lent some of its tasks to this one. */
     public final boolean guest;
+
     private Part[] parts;
     private int partSize;
+
     /** What its record says; null of a guest, whose record is its loan's. */
     private JobRecord record;
+
     /** Jobs that it needs and that are not known to be done. */
     final Set<String> unmet = new LinkedHashSet<>();
+
     /** A job before it is cancelled, so it will be. */
     boolean doomed;
-    /** From when on it could start, by the time of day: its submission, or the end of the last job that it needed. */
+
+    /**
+     * From when on it could start, by the time of day: its submission, or the end of the last job
+     * that it needed.
+     */
     private double sinceMs;
+
     /** The highest of its own and of all jobs that need it. */
     private JobSpec.Priority priority;
-    /** By when it has to be done for the jobs that need it, the soonest and the latest that is still worth it. */
+
+    /**
+     * By when it has to be done for the jobs that need it, the soonest and the latest that is still
+     * worth it.
+     */
     private double[] behindMs = NOBODY;
+
     final BitSet done = new BitSet();
-    /** Tasks that are not this cell's to place: lent to another, or of a guest those that were not lent to us. */
+
+    /**
+     * Tasks that are not this cell's to place: lent to another, or of a guest those that were not
+     * lent to us.
+     */
     private final BitSet away = new BitSet();
+
     /** What of it is lent to other cells; see {@link Loan}. */
     private final List<Loan> loans = new ArrayList<>();
+
     /** The revision of the record of its loans, 0 if there is none. */
     private long lentRevision;
+
     private boolean lentBusy;
+
     /** Its user asked to cancel it; it is over once no other cell may run anything of it. */
     private boolean leaving;
+
     final TreeMap<Integer, Attempt> live = new TreeMap<>();
     private final SortedMap<Integer, Attempt> liveView = Collections.unmodifiableSortedMap(live);
+
     /** Proven over, but not written yet. */
     final List<Attempt> unwritten = new ArrayList<>();
+
     /** Attempts that are wanted stopped. */
     int stopping;
+
     /** When its tasks have to start to meet what is expected of it, the soonest first. */
     private double[] goalsMs;
+
     long nextAttempt = 1;
     private int version = 1;
+
     /** Done or cancelled; kept only until all attempts are proven over. */
     boolean over;
+
     private boolean guaranteed;
+
     /** Whether it fitted into its team's guarantee when this holder saw it first; null before. */
     private Boolean fitted;
+
     /** Past all that is expected of it, which is counted once. */
     boolean missed;
+
     double notBefore;
+
     /** Machines on which this job's tasks failed, and how often in all. */
     final Set<String> failedOn = new HashSet<>();
+
     int failures;
     int successes;
-    /** Tries that failed in a row since it is held to be mistaken, and the last one's attempt number. */
+
+    /**
+     * Tries that failed in a row since it is held to be mistaken, and the last one's attempt
+     * number.
+     */
     int triesFailed;
+
     long lastFailed;
+
     /** The longest that a task of it ran before it failed. */
     double failedWithinS;
-    /** Of this holder's placings and of the starts it saw: how many, when on average, and when the last one was. */
+
+    /**
+     * Of this holder's placings and of the starts it saw: how many, when on average, and when the
+     * last one was.
+     */
     final Times placed = new Times();
+
     final Times ran = new Times();
 
     /** Moments on the steady clock, in seconds. */
@@ -169,21 +232,36 @@
 
         /** How long before {@code now} they were, on average and the last of them. */
         String before(double now) {
-            return count == 0 ? "unknown" : String.format("%.1f (the last %.1f)", now - sum / count, now - last);
+            return count == 0
+                    ? "unknown"
+                    : String.format("%.1f (the last %.1f)", now - sum / count, now - last);
         }
     }
 
     /**
-     * @param startWithinS within what time after its submission it has to start to meet each of its goals, in seconds
+     * @param startWithinS within what time after its submission it has to start to meet each of its
+     *     goals, in seconds
      * @param key of its open record
      * @param revision of its open record
      * @param partSize tasks in one part
      */
-    public Job(JobSpec spec, double submittedMs, double[] startWithinS, String key, long revision, int partSize) {
+    public Job(
+            JobSpec spec,
+            double submittedMs,
+            double[] startWithinS,
+            String key,
+            long revision,
+            int partSize) {
         this(spec, submittedMs, startWithinS, key, revision, partSize, false);
     }
 
-    private Job(JobSpec spec, double submittedMs, double[] startWithinS, String key, long revision, int partSize,
+    private Job(
+            JobSpec spec,
+            double submittedMs,
+            double[] startWithinS,
+            String key,
+            long revision,
+            int partSize,
             boolean guest) {
         this.spec = spec;
         this.key = key;
@@ -210,8 +288,15 @@
      * @param partTasks how many tasks are in one part where the record does not say
      */
     public static Job of(JobRecord r, Facts facts, String key, long revision, int partTasks) {
-        Job j = new Job(r.spec(), r.submittedMs(), facts.startWithinS(r.spec()), key, revision,
-                r.partTasks() > 0 ? r.partTasks() : partTasks, false);
+        Job j =
+                new Job(
+                        r.spec(),
+                        r.submittedMs(),
+                        facts.startWithinS(r.spec()),
+                        key,
+                        revision,
+                        r.partTasks() > 0 ? r.partTasks() : partTasks,
+                        false);
         j.record = r;
         j.attemptsFrom(r.next());
         return j;
@@ -227,9 +312,19 @@
         return revision;
     }
 
-    /** Tasks {@code from} to before {@code until} of a job whose home is another cell; {@code key}: of that loan. */
-    public static Job guest(JobSpec spec, double submittedMs, double[] startWithinS, String key, long revision,
-            int partSize, int from, int until) {
+    /**
+     * Tasks {@code from} to before {@code until} of a job whose home is another cell; {@code key}:
+     * of that loan.
+     */
+    public static Job guest(
+            JobSpec spec,
+            double submittedMs,
+            double[] startWithinS,
+            String key,
+            long revision,
+            int partSize,
+            int from,
+            int until) {
         Job j = new Job(spec, submittedMs, startWithinS, key, revision, partSize, true);
         j.away.set(0, from);
         j.away.set(until, spec.tasks());
@@ -261,14 +356,16 @@
     }
 
     /**
-     * What the other cell's store says is over: its tasks are done, or ours to place again. It stays on the record
-     * until {@link #forget}.
+     * What the other cell's store says is over: its tasks are done, or ours to place again. It
+     * stays on the record until {@link #forget}.
      */
     public void close(Loan l, BitSet doneOfIt) {
         l.closed = true;
         away.clear(l.from, l.until);
         version++;
-        for (int i = doneOfIt.nextSetBit(0); i >= 0 && i < l.tasks(); i = doneOfIt.nextSetBit(i + 1)) {
+        for (int i = doneOfIt.nextSetBit(0);
+                i >= 0 && i < l.tasks();
+                i = doneOfIt.nextSetBit(i + 1)) {
             done.set(l.from + i);
             parts[partOf(l.from + i)].touched();
         }
@@ -288,7 +385,10 @@
         lentBusy = so;
     }
 
-    /** The next attempt's number is at least that one, which another cell's attempts have not reached. */
+    /**
+     * The next attempt's number is at least that one, which another cell's attempts have not
+     * reached.
+     */
     public void attemptsFrom(long number) {
         nextAttempt = Math.max(nextAttempt, number);
     }
@@ -297,7 +397,9 @@
         return nextAttempt;
     }
 
-    /** Of the tasks from that one to before the other, those that are done, counted from the first. */
+    /**
+     * Of the tasks from that one to before the other, those that are done, counted from the first.
+     */
     public byte[] doneFrom(int from, int until) {
         return done.get(from, until).toByteArray();
     }
@@ -353,7 +455,9 @@
         return Boolean.TRUE.equals(fitted);
     }
 
-    /** Whether it fits into its team's guarantee together with the team's earlier unfinished jobs. */
+    /**
+     * Whether it fits into its team's guarantee together with the team's earlier unfinished jobs.
+     */
     public boolean guaranteed() {
         return guaranteed;
     }
@@ -409,9 +513,15 @@
         return spec.deadlineS() != null || behindMs != NOBODY;
     }
 
-    /** By when it should be done for the sake of a deadline, in milliseconds since 1970; infinite without one. */
+    /**
+     * By when it should be done for the sake of a deadline, in milliseconds since 1970; infinite
+     * without one.
+     */
     public double dueMs() {
-        double own = spec.deadlineS() == null ? Double.POSITIVE_INFINITY : submittedMs + 1000 * spec.deadlineS();
+        double own =
+                spec.deadlineS() == null
+                        ? Double.POSITIVE_INFINITY
+                        : submittedMs + 1000 * spec.deadlineS();
         return Math.min(own, behindMs[0]);
     }
 
@@ -437,22 +547,39 @@
     }
 
     private void aim(Facts facts) {
-        double[] own = Arrays.stream(facts.startWithinS(spec, heldS())).map(g -> submittedMs + g * 1000).toArray();
+        double[] own =
+                Arrays.stream(facts.startWithinS(spec, heldS()))
+                        .map(g -> submittedMs + g * 1000)
+                        .toArray();
         if (behindMs == NOBODY) {
             goalsMs = own;
             return;
         }
-        // What its own class is expected to do, and what those behind it need; what is only a habit goes.
-        boolean expected = spec.deadlineS() != null
-                || facts.objectives().stream().anyMatch(o -> o.jobClass().equals(spec.jobClass()));
-        double[] behind = Arrays.stream(behindMs).map(ms -> ms - spec.estimateS() * 1000).distinct().toArray();
-        goalsMs = DoubleStream.concat(Arrays.stream(behind), expected ? Arrays.stream(own) : DoubleStream.empty())
-                .sorted().toArray();
+        // What its own class is expected to do, and what those behind it need; what is only a habit
+        // goes.
+        boolean expected =
+                spec.deadlineS() != null
+                        || facts.objectives().stream()
+                                .anyMatch(o -> o.jobClass().equals(spec.jobClass()));
+        double[] behind =
+                Arrays.stream(behindMs)
+                        .map(ms -> ms - spec.estimateS() * 1000)
+                        .distinct()
+                        .toArray();
+        goalsMs =
+                DoubleStream.concat(
+                                Arrays.stream(behind),
+                                expected ? Arrays.stream(own) : DoubleStream.empty())
+                        .sorted()
+                        .toArray();
     }
 
     // ---- records --------------------------------------------------------------------------------
 
-    /** Whether one more attempt of the task can be on record: its part's record would hold that many bytes at most. */
+    /**
+     * Whether one more attempt of the task can be on record: its part's record would hold that many
+     * bytes at most.
+     */
     public boolean recordable(int task, int bytes) {
         return partBytes(partOf(task)) + MOST_PER_ATTEMPT <= bytes;
     }
@@ -467,7 +594,10 @@
         return PART_BYTES + (partSize + 7) / 8 * 4 / 3 + 4 + parts[part].liveBytes;
     }
 
-    /** Whether all tasks of each part may be on machines of their own and its record still has that many bytes at most. */
+    /**
+     * Whether all tasks of each part may be on machines of their own and its record still has that
+     * many bytes at most.
+     */
     boolean recordableWhole(int bytes) {
         return recordableWhole(spec, partSize, bytes);
     }
@@ -494,7 +624,10 @@
         }
     }
 
-    /** Its record was written anew at that revision; nothing is known of its parts' records until they are told. */
+    /**
+     * Its record was written anew at that revision; nothing is known of its parts' records until
+     * they are told.
+     */
     public void laidOut(JobRecord anew, long atRevision) {
         record = anew;
         revision = atRevision;
@@ -584,24 +717,40 @@
     /** Counted at most once in {@code everyS}: guards against a large job that many ask about. */
     Progress progress(double now, double everyS, Notes notes) {
         if (progress == null || now - progressAt > everyS) {
-            int running = (int) live.values().stream().filter(a -> a.state == Report.State.RUNNING).count();
+            int running =
+                    (int)
+                            live.values().stream()
+                                    .filter(a -> a.state == Report.State.RUNNING)
+                                    .count();
             progress = new Progress(spec.id(), done.cardinality(), running, notes.of(this, now));
             progressAt = now;
         }
         return progress;
     }
 
-    /** For the log, in seconds: how long it took, and how long before its end its tasks were placed and began. */
+    /**
+     * For the log, in seconds: how long it took, and how long before its end its tasks were placed
+     * and began.
+     */
     public String took(double now, double wallMs) {
-        String deadline = spec.deadlineS() == null ? "" : String.format(" of %.1f", spec.deadlineS());
-        return String.format("%s, %d tasks of %.0f s, after %.1f s%s; placed %s, begun %s before", spec.jobClass(),
-                spec.tasks(), spec.estimateS(), (wallMs - submittedMs) / 1000, deadline, placed.before(now),
+        String deadline =
+                spec.deadlineS() == null ? "" : String.format(" of %.1f", spec.deadlineS());
+        return String.format(
+                "%s, %d tasks of %.0f s, after %.1f s%s; placed %s, begun %s before",
+                spec.jobClass(),
+                spec.tasks(),
+                spec.estimateS(),
+                (wallMs - submittedMs) / 1000,
+                deadline,
+                placed.before(now),
                 ran.before(now));
     }
 
     /** Whether any of its tasks has run, or was seen on a machine, as far as this holder knows. */
     public boolean begun() {
-        return ran.count > 0 || done.cardinality() > 0 || live.values().stream().anyMatch(a -> a.seen);
+        return ran.count > 0
+                || done.cardinality() > 0
+                || live.values().stream().anyMatch(a -> a.seen);
     }
 
     /** Whether the store still has anything about its tasks. */
@@ -615,7 +764,8 @@
     }
 
     public int waiting() {
-        return over || leaving || held() || complete() ? 0
+        return over || leaving || held() || complete()
+                ? 0
                 : spec.tasks() - done.cardinality() - away.cardinality() - live.size();
     }
 
@@ -639,8 +789,10 @@
 
     /** The same of a part that holds so many tasks; null if there is nothing to say in it. */
     public Map<String, Object> partRecordOf(int part, int tasks) {
-        boolean said = !live.subMap(part * tasks, (part + 1) * tasks).isEmpty()
-                || done.nextSetBit(part * tasks) >= 0 && done.nextSetBit(part * tasks) < (part + 1) * tasks;
+        boolean said =
+                !live.subMap(part * tasks, (part + 1) * tasks).isEmpty()
+                        || done.nextSetBit(part * tasks) >= 0
+                                && done.nextSetBit(part * tasks) < (part + 1) * tasks;
         return said ? partRecord(part, tasks) : null;
     }
 
@@ -665,7 +817,9 @@
         return m;
     }
 
-    /** How far the records of a job's parts say that it is: tasks done, and placed, running or not. */
+    /**
+     * How far the records of a job's parts say that it is: tasks done, and placed, running or not.
+     */
     public static Progress recorded(String id, List<Object> records) {
         int done = 0;
         int placed = 0;
@@ -683,7 +837,10 @@
         return BitSet.valueOf(Base64.getDecoder().decode(part.text("done")));
     }
 
-    /** Reads a part's done bits and attempt counter; the attempts are for the caller, which knows the machines. */
+    /**
+     * Reads a part's done bits and attempt counter; the attempts are for the caller, which knows
+     * the machines.
+     */
     Map<?, ?> readPart(int part, Object record, long partRevision) {
         Tree t = Tree.of(record);
         parts[part].revision = partRevision;
--- a/src/main/java/io/kitepath/core/block/Lately.java
+++ b/src/main/java/io/kitepath/core/block/Lately.java
@@ -25,12 +25,16 @@
     }
 
     /**
-     * Of the class's jobs that came lately, the one than which that share of them are not larger. Null if there is
-     * none, or if by their usual pace the next one is long overdue: room kept for it would be kept for nobody.
+     * Of the class's jobs that came lately, the one than which that share of them are not larger.
+     * Null if there is none, or if by their usual pace the next one is long overdue: room kept for
+     * it would be kept for nobody.
      */
     public JobSpec typical(String jobClass, double share, double wallMs, double patienceS) {
-        List<Job> of = jobs.stream().filter(j -> j.spec.jobClass().equals(jobClass))
-                .sorted(Comparator.comparingDouble(Job::sinceMs)).toList();
+        List<Job> of =
+                jobs.stream()
+                        .filter(j -> j.spec.jobClass().equals(jobClass))
+                        .sorted(Comparator.comparingDouble(Job::sinceMs))
+                        .toList();
         if (of.isEmpty()) {
             return null;
         }
@@ -39,14 +43,21 @@
         if (wallMs - last > Math.max(patienceS * 1000, 10 * gap)) {
             return null;
         }
-        return of.stream().map(j -> j.spec).sorted(Comparator.comparingDouble(s -> s.tasks() * s.cpus()))
-                .skip((long) Math.min(of.size() - 1, Math.floor(share * of.size()))).findFirst().orElseThrow();
+        return of.stream()
+                .map(j -> j.spec)
+                .sorted(Comparator.comparingDouble(s -> s.tasks() * s.cpus()))
+                .skip((long) Math.min(of.size() - 1, Math.floor(share * of.size())))
+                .findFirst()
+                .orElseThrow();
     }
 
     /** How many tasks of a class of gangs came a second, as of late, and one of its jobs. */
     public record Pace(JobSpec like, double tasksPerS) {}
 
-    /** The classes of gangs that still come by their usual pace, those of the highest priority first. */
+    /**
+     * The classes of gangs that still come by their usual pace, those of the highest priority
+     * first.
+     */
     public List<Pace> gangs(double wallMs) {
         Map<String, List<Job>> classes = new TreeMap<>();
         for (Job j : jobs) {
@@ -67,10 +78,16 @@
 
     /** How many jobs of the class came a second, as of late. */
     public double jobsPerS(String jobClass, double wallMs) {
-        return perS(jobs.stream().filter(j -> j.spec.jobClass().equals(jobClass) && !j.held()).toList(), wallMs, j -> 1);
+        return perS(
+                jobs.stream().filter(j -> j.spec.jobClass().equals(jobClass) && !j.held()).toList(),
+                wallMs,
+                j -> 1);
     }
 
-    /** By the later half of their time: it says more of what comes next than a backlog that came all at once. */
+    /**
+     * By the later half of their time: it says more of what comes next than a backlog that came all
+     * at once.
+     */
     private static double perS(List<Job> of, double wallMs, ToDoubleFunction<Job> what) {
         double first = of.stream().mapToDouble(Job::sinceMs).min().orElse(wallMs);
         double half = (first + wallMs) / 2;
--- a/src/main/java/io/kitepath/core/block/Leads.java
+++ b/src/main/java/io/kitepath/core/block/Leads.java
@@ -4,9 +4,9 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * How long it takes, as of late, from the placing of a class's tasks until they run: writing it down, the worker's next
- * report, the image, a gang's slowest. Guards against an order of service that places jobs in the nick of time, and
- * then all of them fetch their images past their goal.
+ * How long it takes, as of late, from the placing of a class's tasks until they run: writing it
+ * down, the worker's next report, the image, a gang's slowest. Guards against an order of service
+ * that places jobs in the nick of time, and then all of them fetch their images past their goal.
  */
 public final class Leads {
     /** Of the average, what one more start counts. */
--- a/src/main/java/io/kitepath/core/block/Loan.java
+++ b/src/main/java/io/kitepath/core/block/Loan.java
@@ -7,22 +7,27 @@
 import java.util.Map;
 
 /**
- * Tasks of a job that another cell has been offered, and may have taken: they are out, and nothing of them is placed
- * here, until that cell's store says otherwise. Time and silence say nothing.
+ * Tasks of a job that another cell has been offered, and may have taken: they are out, and nothing
+ * of them is placed here, until that cell's store says otherwise. Time and silence say nothing.
  */
 public final class Loan {
     public final long number;
     public final String to;
     public final int from;
     public final int until;
+
     /** The other cell says that it has taken it. */
     public boolean taken;
+
     /** Its word that it is over, which is being written down. */
     public boolean closed;
+
     /** Our store has the loan. Nothing is offered before. */
     public boolean written;
+
     /** For how it is told of: seconds on the steady clock, and whether an answer is awaited. */
     public double askedAt = Double.NEGATIVE_INFINITY;
+
     public boolean asking;
     public int unanswered;
     public final double since;
@@ -59,8 +64,11 @@
         Tree t = Tree.of(record);
         List<Loan> out = new ArrayList<>();
         for (Object o : t.list("loans")) {
-            if (!(o instanceof List<?> l) || l.size() != 4 || !(l.get(0) instanceof Number n)
-                    || !(l.get(1) instanceof String to) || !(l.get(2) instanceof Number from)
+            if (!(o instanceof List<?> l)
+                    || l.size() != 4
+                    || !(l.get(0) instanceof Number n)
+                    || !(l.get(1) instanceof String to)
+                    || !(l.get(2) instanceof Number from)
                     || !(l.get(3) instanceof Number until)) {
                 throw t.complaint("loans", "must be lists of number, cell, first and last");
             }
--- a/src/main/java/io/kitepath/core/block/Machine.java
+++ b/src/main/java/io/kitepath/core/block/Machine.java
@@ -13,82 +13,140 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A rented machine as the holder knows it: from the cloud's list, its worker's reports and the jobs' records. */
+/**
+ * A rented machine as the holder knows it: from the cloud's list, its worker's reports and the
+ * jobs' records.
+ */
 public final class Machine {
     /** In leases. */
     private static final double HEARS_AGAIN = 1.5;
+
     private static final int MOST_LOST = 2;
 
     public final String id;
     String type;
     String zone;
+
     /** Where its worker takes direct commands; empty until it reported. */
     String address = "";
+
     /** Direct commands are under way to it. */
     boolean commanded;
+
     boolean spot;
+
     /** Times are seconds on the steady clock. */
     double knownSince;
+
     /** A list of the cloud has shown it. */
     boolean listed;
-    /** Rented by this holder, or by one that put it on record, so that it is known when its boot began. */
+
+    /**
+     * Rented by this holder, or by one that put it on record, so that it is known when its boot
+     * began.
+     */
     boolean rentedHere;
+
     /** NaN until the first report. */
     double lastReport = Double.NaN;
+
     long session;
     long sequence;
-    /** A report with our own token has come: nothing that an earlier holder sent can start here any more. */
+
+    /**
+     * A report with our own token has come: nothing that an earlier holder sent can start here any
+     * more.
+     */
     boolean proven;
-    /** When the first report of its session came, and the first one in it with our own token; NaN before. */
+
+    /**
+     * When the first report of its session came, and the first one in it with our own token; NaN
+     * before.
+     */
     private double sessionAt = Double.NaN;
+
     private double provenAt = Double.NaN;
+
     /** Sessions in a row that ended although their reports were answered. */
     private int lostInVain;
-    /** Since when it is known to report without hearing what it is answered; NaN while it is not. */
+
+    /**
+     * Since when it is known to report without hearing what it is answered; NaN while it is not.
+     */
     private double deafSince = Double.NaN;
-    /** Since when it has been answered with our token and has not shown it; NaN once it has, or before. */
+
+    /**
+     * Since when it has been answered with our token and has not shown it; NaN once it has, or
+     * before.
+     */
     private double unheardSince = Double.NaN;
+
     /** NaN, or when the cloud takes the machine away. */
     double takenAt = Double.NaN;
+
     boolean releasing;
     boolean gone;
+
     /** Set aside because what it starts fails while the same work runs elsewhere. */
     boolean setAside;
+
     /** Jobs that failed here since something succeeded, and how often. */
     final Map<Job, Integer> failed = new HashMap<>();
+
     /** Attempts not proven over. */
     final List<Attempt> attempts = new ArrayList<>();
+
     private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
+
     /** Attempts proven over, which the store does not know yet; they are cleared once it does. */
     final List<Attempt> unwritten = new ArrayList<>();
-    /** Tasks on the machine that belong to no job we know; until they are gone, the machine takes nothing. */
+
+    /**
+     * Tasks on the machine that belong to no job we know; until they are gone, the machine takes
+     * nothing.
+     */
     int strangers;
+
     double idleSince;
+
     /** When it last had work that could not have run on a spot machine. */
     double neededAt;
+
     /** To be given back once empty: takes no work that a cheaper machine could do. */
     boolean draining;
+
     /** Images that it probably has, with their size, the least recently used first. */
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
+
     /** Images that it probably fetches now; null if that is to be worked out anew. */
     private Set<String> fetched;
+
     double usedCpus;
     double usedGpus;
     double usedMemory;
+
     /** Of the used CPUs, what work takes that may not use spot machines. */
     double boundCpus;
+
     int unconfirmed;
+
     /** The job that is to have the room here, and until when other work has been stopped for it. */
     Job reservedFor;
+
     double reservedUntil;
+
     /**
-     * Only kept until other work ends, nothing is being stopped: work that would give way to the job may run meanwhile.
-     * Guards against machines that idle for minutes because a gang waits for the last of those that it needs.
+     * Only kept until other work ends, nothing is being stopped: work that would give way to the
+     * job may run meanwhile. Guards against machines that idle for minutes because a gang waits for
+     * the last of those that it needs.
      */
     boolean kept;
+
     private double keptFrom;
+
     /** Whether the last report ended something. */
     boolean endedLately;
+
     /** Counts reports that were read in full, to tell what one of them did not show. */
     int readings;
 
@@ -129,7 +187,10 @@
         return lastReport;
     }
 
-    /** Whether a report with the holder's own token has come: nothing that an earlier one sent can start here. */
+    /**
+     * Whether a report with the holder's own token has come: nothing that an earlier one sent can
+     * start here.
+     */
     public boolean proven() {
         return proven;
     }
@@ -204,7 +265,9 @@
         return reservedFor;
     }
 
-    /** Whether work that would give way to the job that it is reserved for may run here meanwhile. */
+    /**
+     * Whether work that would give way to the job that it is reserved for may run here meanwhile.
+     */
     public boolean kept() {
         return kept;
     }
@@ -225,12 +288,18 @@
         keptFrom = from;
     }
 
-    /** Whether the job would by its estimate be over here before the one starts that the room is kept for. */
+    /**
+     * Whether the job would by its estimate be over here before the one starts that the room is
+     * kept for.
+     */
     public boolean keptFree(Job job, double now) {
         return job.spec.shape() != JobSpec.Shape.SERVICE && now + job.spec.estimateS() <= keptFrom;
     }
 
-    /** A new round: what was only kept is decided anew, and room is not held longer than its job needs or may. */
+    /**
+     * A new round: what was only kept is decided anew, and room is not held longer than its job
+     * needs or may.
+     */
     public void reconsider(double now) {
         if (kept || now >= reservedUntil || reservedFor != null && reservedFor.waiting() == 0) {
             unreserve();
@@ -266,10 +335,11 @@
     }
 
     /**
-     * A report came, of that session. Guards against a machine whose reports arrive while no answer reaches it: it looks
-     * as well as any, but its lease runs out again and again. One that was answered for a whole lease and is in another
-     * session all the same, twice in a row, hears nothing (once may be a network that was slow for a while); one that
-     * stays in a session for longer than a lease hears again.
+     * A report came, of that session. Guards against a machine whose reports arrive while no answer
+     * reaches it: it looks as well as any, but its lease runs out again and again. One that was
+     * answered for a whole lease and is in another session all the same, twice in a row, hears
+     * nothing (once may be a network that was slow for a while); one that stays in a session for
+     * longer than a lease hears again.
      */
     void heard(long itsSession, boolean ours, double now, double leaseS) {
         if (itsSession > session) {
@@ -293,13 +363,17 @@
         } else if (Double.isNaN(unheardSince)) {
             unheardSince = now;
         } else if (now - unheardSince > HEARS_AGAIN * leaseS) {
-            // Guards against a limit that stays taken for as long as no answer gets through: deaf since before this
+            // Guards against a limit that stays taken for as long as no answer gets through: deaf
+            // since before this
             // holder began, it never shows the token that would prove what is on it.
             deaf(unheardSince);
         }
     }
 
-    /** A report came that was not answered: it is there, and may lose its session for want of answers. */
+    /**
+     * A report came that was not answered: it is there, and may lose its session for want of
+     * answers.
+     */
     void unanswered(double now) {
         if (reported()) {
             lastReport = now;
@@ -339,17 +413,25 @@
 
     /** Whether new tasks may be placed here. */
     public boolean open() {
-        return proven && !deafToAnswers() && !releasing && !gone && !setAside && !recalled() && strangers == 0;
+        return proven
+                && !deafToAnswers()
+                && !releasing
+                && !gone
+                && !setAside
+                && !recalled()
+                && strangers == 0;
     }
 
     public boolean fits(JobSpec s, MachineType t) {
-        return usedCpus + s.cpus() <= t.cpus() + 1e-6 && usedGpus + s.gpus() <= t.gpus() + 1e-6
+        return usedCpus + s.cpus() <= t.cpus() + 1e-6
+                && usedGpus + s.gpus() <= t.gpus() + 1e-6
                 && usedMemory + s.memoryGb() <= t.memoryGb() + 1e-6;
     }
 
     /**
-     * CPUs by which the machine counts as in use: on an ordinary machine only work that may not use spot ones. Guards
-     * against work that could run cheaper elsewhere keeping ordinary machines rented, each with a little of the rest.
+     * CPUs by which the machine counts as in use: on an ordinary machine only work that may not use
+     * spot ones. Guards against work that could run cheaper elsewhere keeping ordinary machines
+     * rented, each with a little of the rest.
      */
     public double holdingCpus() {
         return spot ? usedCpus : boundCpus;
@@ -429,7 +511,10 @@
         }
     }
 
-    /** Sums are kept, not made anew; an empty machine starts from zero, so that errors of rounding don't add up. */
+    /**
+     * Sums are kept, not made anew; an empty machine starts from zero, so that errors of rounding
+     * don't add up.
+     */
     private void clear() {
         usedCpus = 0;
         usedGpus = 0;
--- a/src/main/java/io/kitepath/core/block/Notes.java
+++ b/src/main/java/io/kitepath/core/block/Notes.java
@@ -3,7 +3,10 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.Report.State;
 
-/** A sentence on what an unfinished job waits for, out of what the holder knows; null if there is nothing to say. */
+/**
+ * A sentence on what an unfinished job waits for, out of what the holder knows; null if there is
+ * nothing to say.
+ */
 final class Notes {
     /** Of the jobs that one waits for, those that are named. */
     private static final int MOST_NAMED = 5;
@@ -19,8 +22,12 @@
             return null;
         }
         if (block.failures().mistaken(job, now)) {
-            return "fails on every machine it was tried on, " + job.failures + " times so far"
-                    + (job.notBefore > now ? "; tried again in " + seconds(job.notBefore - now) : "");
+            return "fails on every machine it was tried on, "
+                    + job.failures
+                    + " times so far"
+                    + (job.notBefore > now
+                            ? "; tried again in " + seconds(job.notBefore - now)
+                            : "");
         }
         String lent = lent(job, now);
         if (job.leaving()) {
@@ -39,7 +46,11 @@
         JobSpec s = job.spec;
         String tasks = waiting == 1 ? "1 task waits" : waiting + " tasks wait";
         if (block.teamUse().left(s) < (s.gang() ? s.tasks() : 1)) {
-            return tasks + ": team " + s.team() + " is at its limit" + block.teamUse().share(s.team());
+            return tasks
+                    + ": team "
+                    + s.team()
+                    + " is at its limit"
+                    + block.teamUse().share(s.team());
         }
         if (s.gang() && !job.live.isEmpty()) {
             return tasks + " for the rest of the last attempt to end";
@@ -50,7 +61,12 @@
             starting += m.reported() || !m.attempts.isEmpty() ? 0 : 1;
             unheard += m.reported() && !m.proven ? 1 : 0;
         }
-        String note = tasks + " for room of " + s.cpus() + " CPUs" + (s.gang() ? " each, all at once" : " each");
+        String note =
+                tasks
+                        + " for room of "
+                        + s.cpus()
+                        + " CPUs"
+                        + (s.gang() ? " each, all at once" : " each");
         if (starting > 0) {
             note += "; machines starting: " + starting;
         }
@@ -63,16 +79,21 @@
     private static String before(Job job) {
         int n = job.unmet.size();
         return String.join(", ", job.unmet.stream().limit(MOST_NAMED).toList())
-                + (n > MOST_NAMED ? " and " + (n - MOST_NAMED) + " more" : "") + " to be done";
+                + (n > MOST_NAMED ? " and " + (n - MOST_NAMED) + " more" : "")
+                + " to be done";
     }
 
     private static String lent(Job job, double now) {
         StringBuilder b = new StringBuilder();
         for (Loan l : job.loans()) {
             if (!l.closed) {
-                b.append(b.isEmpty() ? "" : "; ").append(l.tasks() == 1 ? "1 task" : l.tasks() + " tasks")
-                        .append(l.taken ? " handed to cell " : " offered to cell ").append(l.to).append(' ')
-                        .append(seconds(now - l.since)).append(" ago");
+                b.append(b.isEmpty() ? "" : "; ")
+                        .append(l.tasks() == 1 ? "1 task" : l.tasks() + " tasks")
+                        .append(l.taken ? " handed to cell " : " offered to cell ")
+                        .append(l.to)
+                        .append(' ')
+                        .append(seconds(now - l.since))
+                        .append(" ago");
             }
         }
         return b.isEmpty() ? null : b.toString();
@@ -80,7 +101,11 @@
 
     private static String fetching(Job job) {
         long n = job.live.values().stream().filter(a -> a.state == State.FETCHING).count();
-        return n == 0 ? null : (n == 1 ? "1 task fetches" : n + " tasks fetch") + " the image " + job.spec.image();
+        return n == 0
+                ? null
+                : (n == 1 ? "1 task fetches" : n + " tasks fetch")
+                        + " the image "
+                        + job.spec.image();
     }
 
     private static String seconds(double s) {
--- a/src/main/java/io/kitepath/core/block/Pipelines.java
+++ b/src/main/java/io/kitepath/core/block/Pipelines.java
@@ -15,18 +15,23 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Which open jobs wait for which. A job starts only when the store has it that each job that it needs is done; it is
- * cancelled when the store has it that one of them is cancelled. Neither progress nor anybody's word counts, and nothing
- * is remembered from before: a new holder finds out anew how the needed jobs ended that are not open any more.
+ * Which open jobs wait for which. A job starts only when the store has it that each job that it
+ * needs is done; it is cancelled when the store has it that one of them is cancelled. Neither
+ * progress nor anybody's word counts, and nothing is remembered from before: a new holder finds out
+ * anew how the needed jobs ended that are not open any more.
  *
- * <p>It also keeps what the jobs that wait ask of those before them: the highest priority, and by when they have to be
- * done. Both are worked out as jobs come and end, along what changes by it, not anew for each round.
+ * <p>It also keeps what the jobs that wait ask of those before them: the highest priority, and by
+ * when they have to be done. Both are worked out as jobs come and end, along what changes by it,
+ * not anew for each round.
  */
 public final class Pipelines {
     /** Ends that are remembered; what was forgotten is read again. */
     private static final int ENDS = 10_000;
 
-    /** Of those to be found out, how many are compared to find the most urgent: it is done anew after each answer. */
+    /**
+     * Of those to be found out, how many are compared to find the most urgent: it is done anew
+     * after each answer.
+     */
     private static final int RANKED = 256;
 
     /** How a job ended, and when as far as its record says. */
@@ -36,25 +41,32 @@
     private final Map<String, Job> jobs;
     private final ToDoubleFunction<JobSpec> leadS;
     private final Runnable changed;
+
     /** Open jobs by each that they need, as long as it is not known to be over. */
     private final Map<String, Set<Job>> waiting = new LinkedHashMap<>();
-    private final Map<String, End> ends = new LinkedHashMap<>() {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, End> eldest) {
-            return size() > ENDS;
-        }
-    };
+
+    private final Map<String, End> ends =
+            new LinkedHashMap<>() {
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, End> eldest) {
+                    return size() > ENDS;
+                }
+            };
+
     /** Needed, not open here, and it is not known how they ended. */
     private final Set<String> unknown = new LinkedHashSet<>();
+
     /** To be cancelled, those nearest to what was cancelled first. */
     private final Set<Job> doomed = new LinkedHashSet<>();
 
     /**
      * @param jobs those that are open, or over with something of them left
-     * @param leadS how long jobs of a kind take from placing to running, in seconds; 0 if that is not known
+     * @param leadS how long jobs of a kind take from placing to running, in seconds; 0 if that is
+     *     not known
      * @param changed runs when a job may start
      */
-    Pipelines(Facts facts, Map<String, Job> jobs, ToDoubleFunction<JobSpec> leadS, Runnable changed) {
+    Pipelines(
+            Facts facts, Map<String, Job> jobs, ToDoubleFunction<JobSpec> leadS, Runnable changed) {
         this.facts = facts;
         this.jobs = jobs;
         this.leadS = leadS;
@@ -119,7 +131,9 @@
         reckon(before);
     }
 
-    /** The store has it that the job is done, or cancelled; {@code atMs}: when, by the time of day. */
+    /**
+     * The store has it that the job is done, or cancelled; {@code atMs}: when, by the time of day.
+     */
     public void ended(String id, boolean done, double atMs) {
         ends.put(id, new End(done, atMs));
         unknown.remove(id);
@@ -152,7 +166,10 @@
         }
     }
 
-    /** It, and all that need it directly or through others, nearest first; a chain may be long, so without recursion. */
+    /**
+     * It, and all that need it directly or through others, nearest first; a chain may be long, so
+     * without recursion.
+     */
     private void doom(Job first) {
         Deque<Job> next = new ArrayDeque<>(List.of(first));
         while (!next.isEmpty()) {
@@ -167,11 +184,19 @@
 
     // ---- what is to be found out, and written ---------------------------------------------------
 
-    /** Jobs whose records have to say how they ended, so many at most; those that block the most urgent work first. */
+    /**
+     * Jobs whose records have to say how they ended, so many at most; those that block the most
+     * urgent work first.
+     */
     public List<String> unknown(int most, Set<String> but) {
-        return unknown.stream().limit(RANKED).filter(id -> !but.contains(id))
-                .sorted(Comparator.comparingInt((String id) -> rankOf(waiting.getOrDefault(id, Set.of()))))
-                .limit(most).toList();
+        return unknown.stream()
+                .limit(RANKED)
+                .filter(id -> !but.contains(id))
+                .sorted(
+                        Comparator.comparingInt(
+                                (String id) -> rankOf(waiting.getOrDefault(id, Set.of()))))
+                .limit(most)
+                .toList();
     }
 
     private static int rankOf(Collection<Job> who) {
@@ -195,7 +220,10 @@
 
     // ---- what those behind ask of those before --------------------------------------------------
 
-    /** Works out anew what is asked of these jobs, and of those before them as far as that changes anything. */
+    /**
+     * Works out anew what is asked of these jobs, and of those before them as far as that changes
+     * anything.
+     */
     private void reckon(Deque<Job> from) {
         while (!from.isEmpty()) {
             Job job = from.poll();
@@ -213,14 +241,23 @@
         }
     }
 
-    /** By when the job has to start for its deadline and those behind it: the soonest, and the last that is worth it. */
+    /**
+     * By when the job has to start for its deadline and those behind it: the soonest, and the last
+     * that is worth it.
+     */
     private double[] startByMs(Job job) {
-        double[] own = Arrays.stream(facts.deadlinesS(job.spec)).map(s -> job.submittedMs + 1000 * s).toArray();
+        double[] own =
+                Arrays.stream(facts.deadlinesS(job.spec))
+                        .map(s -> job.submittedMs + 1000 * s)
+                        .toArray();
         double[] behind = job.behindMs();
         double first = own.length == 0 ? behind[0] : Math.min(own[0], behind[0]);
         double last = own.length == 0 ? behind[1] : Math.min(own[own.length - 1], behind[1]);
-        // Between the end before it and its start: the end is reported and written, its placing written and fetched.
-        double gapS = Math.max(leadS.applyAsDouble(job.spec), facts.workers().reportS()) + facts.workers().reportS();
+        // Between the end before it and its start: the end is reported and written, its placing
+        // written and fetched.
+        double gapS =
+                Math.max(leadS.applyAsDouble(job.spec), facts.workers().reportS())
+                        + facts.workers().reportS();
         double ms = 1000 * (job.spec.estimateS() + gapS);
         return new double[] {first - ms, last - ms};
     }
