--- a/src/main/java/io/kitepath/core/block/Served.java
+++ b/src/main/java/io/kitepath/core/block/Served.java
@@ -17,32 +17,46 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How much of what each class, its largest jobs, and each team asked for was served: done within the most generous time that is expected
- * of it. Guards against an overload in which the number of jobs in time is as large as can be, and all that go without
- * are of one class or one team: a class of which less than half is served counts as an outage to its users, however
- * well the others do.
+ * How much of what each class, its largest jobs, and each team asked for was served: done within
+ * the most generous time that is expected of it. Guards against an overload in which the number of
+ * jobs in time is as large as can be, and all that go without are of one class or one team: a class
+ * of which less than half is served counts as an outage to its users, however well the others do.
  *
- * <p>What is decided already says too little, too late: of a class whose jobs have minutes, the first misses are counted
- * when hundreds of jobs can't be in time any more. So jobs that have used most of the time in which they may wait, and
- * still do, count as if they had been missed; see {@link Group#share}.
+ * <p>What is decided already says too little, too late: of a class whose jobs have minutes, the
+ * first misses are counted when hundreds of jobs can't be in time any more. So jobs that have used
+ * most of the time in which they may wait, and still do, count as if they had been missed; see
+ * {@link Group#share}.
  */
 public final class Served {
     private static final Logger LOG = LoggerFactory.getLogger(Served.class);
+
     /**
-     * The share below which a class or team is behind, above the half that it must never fall under. What is endangered
-     * may still be served, so the share that comes of it is higher.
+     * The share below which a class or team is behind, above the half that it must never fall
+     * under. What is endangered may still be served, so the share that comes of it is higher.
      */
     public static final double FLOOR = 0.55;
+
     /** Above which it is not any more. */
     private static final double CAUGHT_UP = 0.6;
-    /** How much an older job counts for each one decided after it: what counts is about the last 256. */
+
+    /**
+     * How much an older job counts for each one decided after it: what counts is about the last
+     * 256.
+     */
     private static final double FADES = 1 - 1.0 / 256;
+
     /** Decided jobs from which on a share says something. */
     private static final double ENOUGH = 8;
+
     /** Users name the classes, so there may be any number of them. */
     private static final int MOST = 1000;
-    /** Of the time that a job may wait and still be in time, the part after which it counts as endangered. */
+
+    /**
+     * Of the time that a job may wait and still be in time, the part after which it counts as
+     * endangered.
+     */
     private static final double ENDANGERED = 0.6;
+
     /** What one group takes in the record, in bytes of its JSON form, besides its name. */
     private static final int GROUP_BYTES = 64;
 
@@ -51,8 +65,10 @@
         private final String name;
         private long undecided;
         private long endangered;
+
         /** Open, in time so far, and all placed. */
         private long underWay;
+
         private long inTime;
         private long done;
         private long missed;
@@ -90,8 +106,8 @@
         }
 
         /**
-         * Of the jobs decided lately, those that are all placed and those endangered now, what was served or probably
-         * will be; 1 while there are none.
+         * Of the jobs decided lately, those that are all placed and those endangered now, what was
+         * served or probably will be; 1 while there are none.
          */
         public double share() {
             return weight() == 0 ? 1 : (served + underWay) / weight();
@@ -112,8 +128,14 @@
             boolean now = weight() >= ENOUGH && share() < (behind ? CAUGHT_UP : FLOOR);
             if (now != behind) {
                 behind = now;
-                LOG.warn("{} {}: {} of {} jobs decided were served in time, {} endangered of {} open", name,
-                        now ? "is behind" : "has caught up", inTime, inTime + missed, endangered, undecided);
+                LOG.warn(
+                        "{} {}: {} of {} jobs decided were served in time, {} endangered of {} open",
+                        name,
+                        now ? "is behind" : "has caught up",
+                        inTime,
+                        inTime + missed,
+                        endangered,
+                        undecided);
             }
         }
 
@@ -125,9 +147,15 @@
     private final Facts facts;
     private final Map<String, Group> classes = new LinkedHashMap<>();
     private final Map<String, Group> teams = new LinkedHashMap<>();
-    /** By class, its largest jobs alone: of a class that is served well, they may be the ones that go without. */
+
+    /**
+     * By class, its largest jobs alone: of a class that is served well, they may be the ones that
+     * go without.
+     */
     private final Map<String, Group> largest = new LinkedHashMap<>();
+
     private final Sizes sizes = new Sizes();
+
     /** What was missed up to then, by the time of day, has been counted by an earlier holder. */
     private double countedUntilMs;
 
@@ -177,17 +205,18 @@
     }
 
     /**
-     * Looks at all jobs there are. Those that are past all that was expected of them are decided now, whenever they will
-     * be done.
+     * Looks at all jobs there are. Those that are past all that was expected of them are decided
+     * now, whenever they will be done.
      *
      * @param leadS how long jobs of a kind take from placing to running
      */
     public void look(Collection<Job> jobs, ToDoubleFunction<JobSpec> leadS, double wallMs) {
-        all().forEach(g -> {
-            g.undecided = 0;
-            g.endangered = 0;
-            g.underWay = 0;
-        });
+        all().forEach(
+                        g -> {
+                            g.undecided = 0;
+                            g.endangered = 0;
+                            g.underWay = 0;
+                        });
         for (Job j : jobs) {
             // One that waits for others asks for nothing yet.
             if (j.over || j.guest || j.held()) {
@@ -196,14 +225,17 @@
             double withinS = facts.servedWithinS(j.spec, j.heldS());
             miss(j, withinS, wallMs);
             if (!j.missed) {
-                double mayWaitS = withinS - j.heldS() - j.spec.estimateS() - leadS.applyAsDouble(j.spec);
+                double mayWaitS =
+                        withinS - j.heldS() - j.spec.estimateS() - leadS.applyAsDouble(j.spec);
                 boolean waits = j.waiting() > 0;
                 boolean endangered = waits && wallMs > j.sinceMs() + 1000 * ENDANGERED * mayWaitS;
-                each(j.spec, g -> {
-                    g.undecided++;
-                    g.endangered += endangered ? 1 : 0;
-                    g.underWay += waits ? 0 : 1;
-                });
+                each(
+                        j.spec,
+                        g -> {
+                            g.undecided++;
+                            g.endangered += endangered ? 1 : 0;
+                            g.underWay += waits ? 0 : 1;
+                        });
             }
         }
         all().forEach(Group::weigh);
@@ -236,22 +268,25 @@
     }
 
     /**
-     * 1, or the share that the job's class, its largest jobs, or its team get, the lowest one, if that is so little that others of its rank go
-     * without before it.
+     * 1, or the share that the job's class, its largest jobs, or its team get, the lowest one, if
+     * that is so little that others of its rank go without before it.
      */
     public double standing(JobSpec s) {
         Group c = classes.get(s.jobClass());
         Group t = teams.get(s.team());
         Group l = sizes.largest(s) ? largest.get(s.jobClass()) : null;
-        return Math.min(l == null ? 1 : l.standing(),
+        return Math.min(
+                l == null ? 1 : l.standing(),
                 Math.min(c == null ? 1 : c.standing(), t == null ? 1 : t.standing()));
     }
 
-    // ---- for the next holder ---------------------------------------------------------------------
+    // ---- for the next holder
+    // ---------------------------------------------------------------------
 
     /**
-     * What the next holder has to know. Guards against counts that begin anew with each holder: on a day with many ends
-     * nobody would ever be behind. Those with the most jobs decided, as many as a value may hold.
+     * What the next holder has to know. Guards against counts that begin anew with each holder: on
+     * a day with many ends nobody would ever be behind. Those with the most jobs decided, as many
+     * as a value may hold.
      */
     public Map<String, Object> record(double wallMs) {
         Map<String, Object> out = new LinkedHashMap<>();
@@ -266,15 +301,26 @@
     private static Map<String, Object> records(Map<String, Group> of, double bytes) {
         Map<String, Object> out = new LinkedHashMap<>();
         double left = bytes;
-        for (Map.Entry<String, Group> e : of.entrySet().stream().sorted(Comparator.comparingLong(
-                (Map.Entry<String, Group> e) -> -e.getValue().inTime - e.getValue().missed)).toList()) {
+        for (Map.Entry<String, Group> e :
+                of.entrySet().stream()
+                        .sorted(
+                                Comparator.comparingLong(
+                                        (Map.Entry<String, Group> e) ->
+                                                -e.getValue().inTime - e.getValue().missed))
+                        .toList()) {
             Group g = e.getValue();
             left -= GROUP_BYTES + e.getKey().length();
             if (left < 0 || g.inTime + g.missed == 0) {
                 break;
             }
-            out.put(e.getKey(), List.of(g.inTime, g.done, g.missed, Math.round(1000 * g.served),
-                    Math.round(1000 * g.decided)));
+            out.put(
+                    e.getKey(),
+                    List.of(
+                            g.inTime,
+                            g.done,
+                            g.missed,
+                            Math.round(1000 * g.served),
+                            Math.round(1000 * g.decided)));
         }
         return out;
     }
@@ -296,29 +342,47 @@
         if (!(record.raw(field) instanceof Map<?, ?> groups)) {
             return;
         }
-        groups.forEach((name, counts) -> {
-            if (name instanceof String n && counts instanceof List<?> l && l.size() == 5
-                    && l.stream().allMatch(Number.class::isInstance)) {
-                Group g = group(into, kind, n);
-                if (g != null) {
-                    g.inTime = ((Number) l.get(0)).longValue();
-                    g.done = ((Number) l.get(1)).longValue();
-                    g.missed = ((Number) l.get(2)).longValue();
-                    g.served = ((Number) l.get(3)).doubleValue() / 1000;
-                    g.decided = ((Number) l.get(4)).doubleValue() / 1000;
-                }
-            }
-        });
+        groups.forEach(
+                (name, counts) -> {
+                    if (name instanceof String n
+                            && counts instanceof List<?> l
+                            && l.size() == 5
+                            && l.stream().allMatch(Number.class::isInstance)) {
+                        Group g = group(into, kind, n);
+                        if (g != null) {
+                            g.inTime = ((Number) l.get(0)).longValue();
+                            g.done = ((Number) l.get(1)).longValue();
+                            g.missed = ((Number) l.get(2)).longValue();
+                            g.served = ((Number) l.get(3)).doubleValue() / 1000;
+                            g.decided = ((Number) l.get(4)).doubleValue() / 1000;
+                        }
+                    }
+                });
     }
 
-    /** For the log: by class and team, what was in time of what was decided, and what is open and endangered. */
+    /**
+     * For the log: by class and team, what was in time of what was decided, and what is open and
+     * endangered.
+     */
     public String summary() {
-        StringBuilder b = new StringBuilder(String.format(Locale.ROOT,
-                "served least: class %.2f, team %.2f, largest jobs of a class %.2f; served in time:", least(classes),
-                least(teams), least(largest)));
+        StringBuilder b =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "served least: class %.2f, team %.2f, largest jobs of a class %.2f; served in time:",
+                                least(classes),
+                                least(teams),
+                                least(largest)));
         for (Group g : all()) {
-            b.append(String.format(Locale.ROOT, " %s %d of %d, %d open, %d endangered;", g.name, g.inTime,
-                    g.inTime + g.missed, g.undecided, g.endangered));
+            b.append(
+                    String.format(
+                            Locale.ROOT,
+                            " %s %d of %d, %d open, %d endangered;",
+                            g.name,
+                            g.inTime,
+                            g.inTime + g.missed,
+                            g.undecided,
+                            g.endangered));
         }
         return b.toString();
     }
--- a/src/main/java/io/kitepath/core/block/Sizes.java
+++ b/src/main/java/io/kitepath/core/block/Sizes.java
@@ -1,24 +1,30 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.JobSpec;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
+import io.kitepath.core.model.JobSpec;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** How large the jobs of each class are that came lately, in CPUs: which of them are its largest. */
+/**
+ * How large the jobs of each class are that came lately, in CPUs: which of them are its largest.
+ */
 final class Sizes {
     /** Jobs that are remembered of a class. */
     private static final int LATELY = 64;
+
     /** Jobs from which on that says something. */
     private static final int ENOUGH = 8;
+
     /** Of the jobs of a class, the part that is smaller than its largest ones. */
     private static final double SMALLER = 0.75;
+
     /** Users name the classes, so there may be any number of them. */
     private static final int MOST = 1000;
 
     private static final class Class {
         final Deque<Double> lately = new ArrayDeque<>();
+
         /** From that size on a job is one of the largest. */
         double from = Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/io/kitepath/core/block/TeamUse.java
+++ b/src/main/java/io/kitepath/core/block/TeamUse.java
@@ -30,6 +30,7 @@
 
     private final Facts facts;
     private Limits limits = new Whole();
+
     /** CPUs and GPUs by team. */
     private final Map<String, double[]> used = new HashMap<>();
 
@@ -67,9 +68,17 @@
     /** For notes: what of the limit this decider may use, if that is less than the settings say. */
     String share(String team) {
         Facts.Team t = facts.teams().get(team);
-        boolean part = t != null && !(limits instanceof Whole) && limits.cpus(t) < Double.POSITIVE_INFINITY;
-        return part ? String.format(Locale.ROOT, "; this cell may use %.1f CPUs of it now and uses %.1f",
-                limits.cpus(t), cpus(team)) : "";
+        boolean part =
+                t != null
+                        && !(limits instanceof Whole)
+                        && limits.cpus(t) < Double.POSITIVE_INFINITY;
+        return part
+                ? String.format(
+                        Locale.ROOT,
+                        "; this cell may use %.1f CPUs of it now and uses %.1f",
+                        limits.cpus(t),
+                        cpus(team))
+                : "";
     }
 
     /** How many more tasks of this kind the team's limit allows. */
--- a/src/main/java/io/kitepath/core/cell/CellDesk.java
+++ b/src/main/java/io/kitepath/core/cell/CellDesk.java
@@ -36,12 +36,17 @@
 import java.util.function.Consumer;
 
 /**
- * Where a cell and the others meet: their messages come in here, and its own loops (summaries, hand-overs, what was
- * taken) go out from here. Every node has one; only the holder's lends and takes.
+ * Where a cell and the others meet: their messages come in here, and its own loops (summaries,
+ * hand-overs, what was taken) go out from here. Every node has one; only the holder's lends and
+ * takes.
  */
 public final class CellDesk implements Reading.Elsewhere {
     private static final double EVERY_S = 1;
-    /** Of the changes a second that the store allows, the hand-overs a second, each of which costs about four here. */
+
+    /**
+     * Of the changes a second that the store allows, the hand-overs a second, each of which costs
+     * about four here.
+     */
     private static final double SPILL_SHARE = 0.05;
 
     /** What the desk has to know of its node. */
@@ -76,8 +81,16 @@
     private double exchangedAt = Double.NEGATIVE_INFINITY;
     private long messages;
 
-    public CellDesk(Directory directory, Block block, Consumer<Keeper.Rider> riding, Store store, Timers timers,
-            Registry registry, Cells cells, Random random, Node node) {
+    public CellDesk(
+            Directory directory,
+            Block block,
+            Consumer<Keeper.Rider> riding,
+            Store store,
+            Timers timers,
+            Registry registry,
+            Cells cells,
+            Random random,
+            Node node) {
         this.directory = directory;
         this.block = block;
         this.timers = timers;
@@ -90,8 +103,17 @@
         this.neighbours = new Neighbours(block.facts(), others);
         this.here = new Here(block);
         this.spill = new Spill(block.facts(), block.types(), zones, random);
-        this.lending = new Lending(directory.own(), block, riding, timers, neighbours, spill, this::askHolder, random,
-                node::cancelled);
+        this.lending =
+                new Lending(
+                        directory.own(),
+                        block,
+                        riding,
+                        timers,
+                        neighbours,
+                        spill,
+                        this::askHolder,
+                        random,
+                        node::cancelled);
         this.guests = new Guests(directory.own(), block, riding, timers, this::askHolder, random);
         this.shares = new Shares(directory.own(), block, riding, timers, this::askHolder, random);
         block.teamUse().limits(shares);
@@ -125,17 +147,28 @@
             return;
         }
         messages++;
-        cells.ask(cell, n.leader(), m, first -> {
-            if (first instanceof Elsewhere e && e.node() != null && !e.node().equals(n.leader())) {
-                messages++;
-                cells.ask(cell, e.node(), m, answer);
-            } else if (first == null && n.leader() != null) {
-                messages++;
-                cells.ask(cell, null, m, second -> answer.accept(second instanceof Elsewhere ? null : second));
-            } else {
-                answer.accept(first instanceof Elsewhere ? null : first);
-            }
-        });
+        cells.ask(
+                cell,
+                n.leader(),
+                m,
+                first -> {
+                    if (first instanceof Elsewhere e
+                            && e.node() != null
+                            && !e.node().equals(n.leader())) {
+                        messages++;
+                        cells.ask(cell, e.node(), m, answer);
+                    } else if (first == null && n.leader() != null) {
+                        messages++;
+                        cells.ask(
+                                cell,
+                                null,
+                                m,
+                                second ->
+                                        answer.accept(second instanceof Elsewhere ? null : second));
+                    } else {
+                        answer.accept(first instanceof Elsewhere ? null : first);
+                    }
+                });
     }
 
     /** A message of another cell; every one gets one answer, null if there is none to give now. */
@@ -173,8 +206,13 @@
             MachineType t = block.types().get(r.kind().type());
             if (t != null && Placement.allowed(r.kind(), o.job())) {
                 may = true;
-                most += r.idle() * Placement.slots(o.job(), t)
-                        + (int) Math.max(0, (r.cpus() - r.idle() * t.cpus()) / Math.max(1e-6, o.job().cpus()));
+                most +=
+                        r.idle() * Placement.slots(o.job(), t)
+                                + (int)
+                                        Math.max(
+                                                0,
+                                                (r.cpus() - r.idle() * t.cpus())
+                                                        / Math.max(1e-6, o.job().cpus()));
             }
         }
         boolean whole = o.job().shape() != JobSpec.Shape.ARRAY;
@@ -182,8 +220,15 @@
     }
 
     private Summary summary() {
-        return new Summary(directory.own(), node.leader(), directory.version(), !guests.draining(), here.room(),
-                here.waitS(), neighbours.hears(timers.now()), shares());
+        return new Summary(
+                directory.own(),
+                node.leader(),
+                directory.version(),
+                !guests.draining(),
+                here.room(),
+                here.waitS(),
+                neighbours.hears(timers.now()),
+                shares());
     }
 
     private List<CellMessage.Share> shares() {
@@ -211,11 +256,14 @@
             for (Neighbour n : neighbours.all().values()) {
                 // Of two cells the one of the lower name begins, as long as that works.
                 if (directory.own().compareTo(n.name) < 0 || !n.hears(now)) {
-                    askHolder(n.name, mine, a -> {
-                        if (a instanceof Summary s) {
-                            neighbours.heard(s, timers.now());
-                        }
-                    });
+                    askHolder(
+                            n.name,
+                            mine,
+                            a -> {
+                                if (a instanceof Summary s) {
+                                    neighbours.heard(s, timers.now());
+                                }
+                            });
                 }
             }
             shares.divide(neighbours.fresh(now));
@@ -230,8 +278,16 @@
             return;
         }
         spill.forget(block.jobs().keySet());
-        for (Spill.Plan p : spill.plan(queue, this::fitsHere, block.teamUse()::left, here.cpus(),
-                neighbours.all().values(), most, now, timers.wallMs())) {
+        for (Spill.Plan p :
+                spill.plan(
+                        queue,
+                        this::fitsHere,
+                        block.teamUse()::left,
+                        here.cpus(),
+                        neighbours.all().values(),
+                        most,
+                        now,
+                        timers.wallMs())) {
             budget.take(1, now);
             lending.lend(p);
         }
@@ -274,16 +330,32 @@
     }
 
     public void figures(Map<String, Figure> f) {
-        f.put("cells.silent", Figure.now("other cells from which nothing is heard", neighbours::silentOnes));
-        f.put("cells.tasks.lent", Figure.now("tasks that other cells were offered or have taken", lending::tasksOut));
-        f.put("cells.tasks.taken", Figure.now("tasks of other cells that are this one's to run", guests::tasksHere));
+        f.put(
+                "cells.silent",
+                Figure.now("other cells from which nothing is heard", neighbours::silentOnes));
+        f.put(
+                "cells.tasks.lent",
+                Figure.now("tasks that other cells were offered or have taken", lending::tasksOut));
+        f.put(
+                "cells.tasks.taken",
+                Figure.now("tasks of other cells that are this one's to run", guests::tasksHere));
         f.put("cells.lent", Figure.total("hand-overs to other cells", lending::lent));
         f.put("cells.returned", Figure.total("hand-overs that came to an end", lending::returned));
         f.put("cells.taken", Figure.total("hand-overs taken from other cells", guests::taken));
-        f.put("cells.refused", Figure.total("hand-overs refused for lack of room", guests::refused));
-        f.put("cells.shares.given", Figure.total("parts of teams' limits given to other cells", shares::given));
-        f.put("cells.shares.came", Figure.total("parts of teams' limits that came from other cells", shares::came));
-        f.put("cells.shares.under.way", Figure.now("parts given that are not known to have arrived", shares::underWay));
-        f.put("cells.messages", Figure.total("messages sent to other cells by the holder", () -> messages));
+        f.put(
+                "cells.refused",
+                Figure.total("hand-overs refused for lack of room", guests::refused));
+        f.put(
+                "cells.shares.given",
+                Figure.total("parts of teams' limits given to other cells", shares::given));
+        f.put(
+                "cells.shares.came",
+                Figure.total("parts of teams' limits that came from other cells", shares::came));
+        f.put(
+                "cells.shares.under.way",
+                Figure.now("parts given that are not known to have arrived", shares::underWay));
+        f.put(
+                "cells.messages",
+                Figure.total("messages sent to other cells by the holder", () -> messages));
     }
 }
--- a/src/main/java/io/kitepath/core/cell/Division.java
+++ b/src/main/java/io/kitepath/core/cell/Division.java
@@ -8,11 +8,12 @@
 import java.util.TreeMap;
 
 /**
- * How a team's limit is divided between the cells that want some of it; a function of what they say, so that cells
- * that have heard the same divide it alike. What is in use stays where it is. Then whoever has waited longest gets what
- * its first task or gang needs, all of it, before the next one gets anything: two gangs that each hold half of what
- * they need would wait for each other for ever. The rest is divided so that the least is as large as can be (max-min
- * fairness), and what nobody wants stays where it is.
+ * How a team's limit is divided between the cells that want some of it; a function of what they
+ * say, so that cells that have heard the same divide it alike. What is in use stays where it is.
+ * Then whoever has waited longest gets what its first task or gang needs, all of it, before the
+ * next one gets anything: two gangs that each hold half of what they need would wait for each other
+ * for ever. The rest is divided so that the least is as large as can be (max-min fairness), and
+ * what nobody wants stays where it is.
  */
 final class Division {
     /**
@@ -25,11 +26,14 @@
      * @param task what one task of that needs: less is of no use to it
      * @param since when that was submitted, in milliseconds since 1970
      */
-    record Claim(String cell, long holds, long used, long wants, long head, long task, double since) {}
+    record Claim(
+            String cell, long holds, long used, long wants, long head, long task, double since) {}
 
     private Division() {}
 
-    /** By cell: what it is to have now. In all exactly what they hold, and none less than it uses. */
+    /**
+     * By cell: what it is to have now. In all exactly what they hold, and none less than it uses.
+     */
     static Map<String, Long> targets(List<Claim> claims) {
         Map<String, Long> fair = fair(claims);
         Map<String, Long> out = new HashMap<>();
@@ -40,7 +44,8 @@
             free += Math.max(0, c.holds - c.used);
             wanted.put(c.cell, c.wants);
         }
-        // Guards against a cell that is full of work and has the oldest of it: it would take all that comes free.
+        // Guards against a cell that is full of work and has the oldest of it: it would take all
+        // that comes free.
         List<Claim> due = waiting(claims);
         due.removeIf(c -> c.used >= fair.get(c.cell));
         for (Claim c : due) {
@@ -50,7 +55,11 @@
             free -= first;
         }
         Map<String, Long> upToFair = new HashMap<>();
-        due.forEach(c -> upToFair.put(c.cell, Math.min(wanted.get(c.cell), fair.get(c.cell) - out.get(c.cell))));
+        due.forEach(
+                c ->
+                        upToFair.put(
+                                c.cell,
+                                Math.min(wanted.get(c.cell), fair.get(c.cell) - out.get(c.cell))));
         free = alike(free, upToFair, out);
         upToFair.forEach((cell, n) -> wanted.merge(cell, -Math.max(0, n), Long::sum));
         free = alike(free, wanted, out);
@@ -64,17 +73,18 @@
     }
 
     /**
-     * By cell: how much it had best use, if nothing of it were in use now. A cell that uses more puts nothing new in
-     * the place of what ends, while others want it.
+     * By cell: how much it had best use, if nothing of it were in use now. A cell that uses more
+     * puts nothing new in the place of what ends, while others want it.
      */
     static Map<String, Long> fair(List<Claim> claims) {
         long all = claims.stream().mapToLong(Claim::holds).sum();
         Map<String, Long> out = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
-        claims.forEach(c -> {
-            out.put(c.cell, 0L);
-            wanted.put(c.cell, c.used + c.wants);
-        });
+        claims.forEach(
+                c -> {
+                    out.put(c.cell, 0L);
+                    wanted.put(c.cell, c.used + c.wants);
+                });
         for (Claim c : waiting(claims)) {
             long first = Math.min(all, Math.min(c.head, c.wants));
             out.merge(c.cell, first, Long::sum);
@@ -91,7 +101,10 @@
         return out;
     }
 
-    /** Equal parts of what is free, again and again as some have all they want; returns what nobody wants. */
+    /**
+     * Equal parts of what is free, again and again as some have all they want; returns what nobody
+     * wants.
+     */
     private static long alike(long free, Map<String, Long> wanted, Map<String, Long> out) {
         Map<String, Long> left = new TreeMap<>(wanted);
         long rest = free;
--- a/src/main/java/io/kitepath/core/cell/Guests.java
+++ b/src/main/java/io/kitepath/core/cell/Guests.java
@@ -30,9 +30,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The other side of loans: what this cell has taken from others. A loan is written before anything of it is placed,
- * its end is written before it is said, and it is forgotten once its home has written that too. An offer that comes
- * twice finds the record of the first; one that comes after the end finds its number void.
+ * The other side of loans: what this cell has taken from others. A loan is written before anything
+ * of it is placed, its end is written before it is said, and it is forgotten once its home has
+ * written that too. An offer that comes twice finds the record of the first; one that comes after
+ * the end finds its number void.
  */
 final class Guests {
     private static final Logger LOG = LoggerFactory.getLogger(Guests.class);
@@ -51,15 +52,24 @@
         long next;
         long revision;
         Job job;
+
         /** Its end is being written. */
         boolean ending;
+
         boolean settled;
         boolean forgetting;
         boolean telling;
         int untold;
         double toldAt = Double.NEGATIVE_INFINITY;
 
-        Guest(String home, long number, JobSpec spec, double submittedMs, int from, int until, long next,
+        Guest(
+                String home,
+                long number,
+                JobSpec spec,
+                double submittedMs,
+                int from,
+                int until,
+                long next,
                 double since) {
             this.home = home;
             this.number = number;
@@ -97,16 +107,26 @@
     private final Timers timers;
     private final Asking asking;
     private final Random random;
+
     /** By key. */
     private final Map<String, Guest> guests = new LinkedHashMap<>();
+
     private final Map<String, Numbers> numbers = new HashMap<>();
+
     /** Offers and recalls whose answer is being written, by key. */
     private final Map<String, List<Consumer<CellMessage>>> answering = new HashMap<>();
+
     private boolean draining;
     private long taken;
     private long refused;
 
-    Guests(String own, Block block, Consumer<Keeper.Rider> riding, Timers timers, Asking asking, Random random) {
+    Guests(
+            String own,
+            Block block,
+            Consumer<Keeper.Rider> riding,
+            Timers timers,
+            Asking asking,
+            Random random) {
         this.own = own;
         this.block = block;
         this.riding = riding;
@@ -125,7 +145,9 @@
 
     /** Tasks of other cells that are this one's to run. */
     long tasksHere() {
-        return guests.values().stream().filter(g -> g.standing == Standing.TAKEN).mapToLong(g -> g.until - g.from)
+        return guests.values().stream()
+                .filter(g -> g.standing == Standing.TAKEN)
+                .mapToLong(g -> g.until - g.from)
                 .sum();
     }
 
@@ -145,7 +167,8 @@
         numbers.clear();
         answering.clear();
         for (Entry x : found.voids()) {
-            numbers.put(x.key().substring(Keys.VOID.length()), Numbers.read(x.value(), x.revision()));
+            numbers.put(
+                    x.key().substring(Keys.VOID.length()), Numbers.read(x.value(), x.revision()));
         }
         for (Entry x : found.guests()) {
             try {
@@ -159,9 +182,16 @@
     private void adopt(Entry x, double now) {
         Tree t = Tree.of(x.value());
         JobSpec spec = JobSpec.fromRecord(t.text("job"), t.raw("spec"));
-        Guest g = new Guest(t.text("home"), t.count("number"), spec, t.number("submittedMs", 0),
-                (int) t.integer("from", 0, spec.tasks()), (int) t.integer("until", 0, spec.tasks()), t.count("next"),
-                now);
+        Guest g =
+                new Guest(
+                        t.text("home"),
+                        t.count("number"),
+                        spec,
+                        t.number("submittedMs", 0),
+                        (int) t.integer("from", 0, spec.tasks()),
+                        (int) t.integer("until", 0, spec.tasks()),
+                        t.count("next"),
+                        now);
         g.standing = Standing.valueOf(t.text("standing"));
         g.done = Base64.getDecoder().decode(t.text("done"));
         g.revision = x.revision();
@@ -176,8 +206,16 @@
     }
 
     private Job job(Guest g) {
-        Job job = Job.guest(g.spec, g.submittedMs, block.facts().startWithinS(g.spec), g.key(), g.revision,
-                block.partTasks(), g.from, g.until);
+        Job job =
+                Job.guest(
+                        g.spec,
+                        g.submittedMs,
+                        block.facts().startWithinS(g.spec),
+                        g.key(),
+                        g.revision,
+                        block.partTasks(),
+                        g.from,
+                        g.until);
         job.attemptsFrom(g.next);
         return job;
     }
@@ -210,7 +248,8 @@
         } else if (answering.containsKey(key)) {
             answering.get(key).add(answer);
         } else if (n.full() || block.jobs().containsKey(o.job().id())) {
-            // Something of it is still being cleared away here; asked again, there will be an answer.
+            // Something of it is still being cleared away here; asked again, there will be an
+            // answer.
             answer.accept(null);
         } else if (!roomFor || draining) {
             refused++;
@@ -221,32 +260,48 @@
     }
 
     private void take(Offer o, String key, Consumer<CellMessage> answer) {
-        Guest g = new Guest(o.home(), o.number(), o.job(), o.submittedMs(), o.from(), o.until(), o.next(),
-                timers.now());
+        Guest g =
+                new Guest(
+                        o.home(),
+                        o.number(),
+                        o.job(),
+                        o.submittedMs(),
+                        o.from(),
+                        o.until(),
+                        o.next(),
+                        timers.now());
         answering.put(key, new ArrayList<>(List.of(answer)));
-        riding.accept(new Keeper.Rider() {
-            @Override
-            public boolean wanted() {
-                return true;
-            }
-
-            @Override
-            public void board(Store.Transaction t) {
-                t.when(key, 0).when(Keys.VOID + g.home, numbers(g.home, 0).revision()).put(key, g.record());
-            }
-
-            @Override
-            public void written(long revision) {
-                g.revision = revision;
-                taken++;
-                guests.put(key, g);
-                g.job = job(g);
-                block.addJob(g.job);
-                LOG.info("takes {} tasks of {} from {} on, of cell {} as {}", g.until - g.from, g.spec.id(), g.from,
-                        g.home, g.number);
-                answer(key, word(g));
-            }
-        });
+        riding.accept(
+                new Keeper.Rider() {
+                    @Override
+                    public boolean wanted() {
+                        return true;
+                    }
+
+                    @Override
+                    public void board(Store.Transaction t) {
+                        t.when(key, 0)
+                                .when(Keys.VOID + g.home, numbers(g.home, 0).revision())
+                                .put(key, g.record());
+                    }
+
+                    @Override
+                    public void written(long revision) {
+                        g.revision = revision;
+                        taken++;
+                        guests.put(key, g);
+                        g.job = job(g);
+                        block.addJob(g.job);
+                        LOG.info(
+                                "takes {} tasks of {} from {} on, of cell {} as {}",
+                                g.until - g.from,
+                                g.spec.id(),
+                                g.from,
+                                g.home,
+                                g.number);
+                        answer(key, word(g));
+                    }
+                });
     }
 
     private void answer(String key, CellMessage with) {
@@ -256,7 +311,10 @@
         }
     }
 
-    /** Nothing was taken under that number, and from now on nothing can be: only then the home is told so. */
+    /**
+     * Nothing was taken under that number, and from now on nothing can be: only then the home is
+     * told so.
+     */
     private void makeVoid(String home, long number, Consumer<CellMessage> answer) {
         String key = Keys.guest(home, number);
         answering.put(key, new ArrayList<>(List.of(answer)));
@@ -317,7 +375,11 @@
         } else if (g != null) {
             if (r.kill() || g.job.live().isEmpty()) {
                 answering.computeIfAbsent(key, k -> new ArrayList<>()).add(answer);
-                end(g, g.job.complete() ? Standing.DONE : r.kill() ? Standing.KILLED : Standing.BACK);
+                end(
+                        g,
+                        g.job.complete()
+                                ? Standing.DONE
+                                : r.kill() ? Standing.KILLED : Standing.BACK);
             } else {
                 answer.accept(null);
             }
@@ -332,38 +394,48 @@
 
     // ---- ends -----------------------------------------------------------------------------------
 
-    /** From now on nothing more of it is placed here; what is on machines ends if the loan was stopped for good. */
+    /**
+     * From now on nothing more of it is placed here; what is on machines ends if the loan was
+     * stopped for good.
+     */
     private void end(Guest g, Standing as) {
         g.ending = true;
         g.job.leave();
         if (as == Standing.KILLED) {
             new ArrayList<>(g.job.live().values()).forEach(a -> block.stop(a, 0));
         }
-        riding.accept(new Keeper.Rider() {
-            @Override
-            public boolean wanted() {
-                return guests.get(g.key()) == g;
-            }
-
-            @Override
-            public void board(Store.Transaction t) {
-                g.standing = as;
-                g.done = g.job.doneFrom(g.from, g.until);
-                g.next = g.job.nextAttempt();
-                t.when(g.key(), g.revision).put(g.key(), g.record());
-            }
-
-            @Override
-            public void written(long revision) {
-                g.ending = false;
-                g.revision = revision;
-                block.jobOver(g.spec.id());
-                LOG.info("loan {} of cell {} is over: {}, {} of {} tasks of {} done", g.number, g.home, as,
-                        BitSet.valueOf(g.done).cardinality(), g.until - g.from, g.spec.id());
-                answer(g.key(), word(g));
-                tell(g, timers.now());
-            }
-        });
+        riding.accept(
+                new Keeper.Rider() {
+                    @Override
+                    public boolean wanted() {
+                        return guests.get(g.key()) == g;
+                    }
+
+                    @Override
+                    public void board(Store.Transaction t) {
+                        g.standing = as;
+                        g.done = g.job.doneFrom(g.from, g.until);
+                        g.next = g.job.nextAttempt();
+                        t.when(g.key(), g.revision).put(g.key(), g.record());
+                    }
+
+                    @Override
+                    public void written(long revision) {
+                        g.ending = false;
+                        g.revision = revision;
+                        block.jobOver(g.spec.id());
+                        LOG.info(
+                                "loan {} of cell {} is over: {}, {} of {} tasks of {} done",
+                                g.number,
+                                g.home,
+                                as,
+                                BitSet.valueOf(g.done).cardinality(),
+                                g.until - g.from,
+                                g.spec.id());
+                        answer(g.key(), word(g));
+                        tell(g, timers.now());
+                    }
+                });
     }
 
     /** Everything that has to be said, written or given back now. */
@@ -378,12 +450,13 @@
                     tell(g, now);
                 } else if (!g.forgetting && block.jobs().get(g.spec.id()) != g.job) {
                     g.forgetting = true; // Nothing of it is left in the records of parts.
-                    riding.accept(new VoidNumber(g.home, g.number, g, () -> { }));
+                    riding.accept(new VoidNumber(g.home, g.number, g, () -> {}));
                 }
             } else if (g.job.complete()) {
                 end(g, Standing.DONE);
             } else if (g.job.live().isEmpty() && (draining || now - g.since > lease)) {
-                end(g, Standing.BACK); // Nothing of it was placed for so long that its home had better try elsewhere.
+                end(g, Standing.BACK); // Nothing of it was placed for so long that its home had
+                // better try elsewhere.
             }
         }
     }
@@ -396,12 +469,15 @@
         g.telling = true;
         g.toldAt = now;
         g.untold++;
-        asking.ask(g.home, word(g), answer -> {
-            g.telling = false;
-            if (answer instanceof Settled s && s.number() == g.number) {
-                g.settled = true;
-                numbers(g.home, s.floor());
-            }
-        });
+        asking.ask(
+                g.home,
+                word(g),
+                answer -> {
+                    g.telling = false;
+                    if (answer instanceof Settled s && s.number() == g.number) {
+                        g.settled = true;
+                        numbers(g.home, s.floor());
+                    }
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/cell/Here.java
+++ b/src/main/java/io/kitepath/core/cell/Here.java
@@ -14,12 +14,13 @@
 import java.util.Map;
 
 /**
- * This cell as others see it, in a few lines whatever its size: free room by kind of machine, and how long what waits
- * would keep its machines busy.
+ * This cell as others see it, in a few lines whatever its size: free room by kind of machine, and
+ * how long what waits would keep its machines busy.
  */
 final class Here {
     /** Kinds told of at most, so that a summary stays small. */
     private static final int MOST_ROOMS = 64;
+
     private static final int RANKS = 2 * JobSpec.Priority.values().length;
 
     private final Block block;
@@ -42,7 +43,9 @@
         }
         List<Room> out = new ArrayList<>();
         free.forEach((k, f) -> out.add(new Room(k, f[0], f[1], f[2], (int) f[3])));
-        out.sort(Comparator.comparingDouble((Room r) -> -r.cpus()).thenComparing(r -> r.kind().toString()));
+        out.sort(
+                Comparator.comparingDouble((Room r) -> -r.cpus())
+                        .thenComparing(r -> r.kind().toString()));
         return out.size() > MOST_ROOMS ? new ArrayList<>(out.subList(0, MOST_ROOMS)) : out;
     }
 
--- a/src/main/java/io/kitepath/core/cell/HomeJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeJobs.java
@@ -15,13 +15,15 @@
 import java.util.function.Consumer;
 
 /**
- * What users ask, answered by the job's home whichever cell they ask: here, or by any node of the cell that is. Who
- * gets no answer there is told to come back at once; a home that can't be reached is the only one that may accept.
+ * What users ask, answered by the job's home whichever cell they ask: here, or by any node of the
+ * cell that is. Who gets no answer there is told to come back at once; a home that can't be reached
+ * is the only one that may accept.
  */
 final class HomeJobs implements Jobs {
     private final Directory directory;
     private final Registry here;
     private final Cells cells;
+
     /** Whether this cell goes by the same homes as this node. */
     private final BooleanSupplier agreed;
 
@@ -36,13 +38,22 @@
     public void submit(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
         if (needs.isEmpty()) {
             ask(new UserAsk(Wish.SUBMIT, spec.id(), spec), answer);
-        } else if (agreed.getAsBoolean() && isHere(spec.id()) && needs.stream().allMatch(this::isHere)) {
+        } else if (agreed.getAsBoolean()
+                && isHere(spec.id())
+                && needs.stream().allMatch(this::isHere)) {
             here.submit(spec, needs, answer);
         } else {
-            // Whether a job of another cell is done only that cell's records say, and they may be out of reach when it
+            // Whether a job of another cell is done only that cell's records say, and they may be
+            // out of reach when it
             // matters. One that is known all the same is answered as any other.
-            status(spec.id(), a -> answer.accept(a.verdict() == Verdict.NOT_FOUND
-                    ? Answer.refused("a job waits only for jobs whose home is the cell that it is handed in to") : a));
+            status(
+                    spec.id(),
+                    a ->
+                            answer.accept(
+                                    a.verdict() == Verdict.NOT_FOUND
+                                            ? Answer.refused(
+                                                    "a job waits only for jobs whose home is the cell that it is handed in to")
+                                            : a));
         }
     }
 
@@ -66,13 +77,21 @@
             asked(a, answer);
             return;
         }
-        cells.ask(home, null, a, got -> answer.accept(got instanceof UserAnswer u
-                ? new Answer(Verdict.valueOf(u.verdict()), u.state()) : Answer.LATER));
+        cells.ask(
+                home,
+                null,
+                a,
+                got ->
+                        answer.accept(
+                                got instanceof UserAnswer u
+                                        ? new Answer(Verdict.valueOf(u.verdict()), u.state())
+                                        : Answer.LATER));
     }
 
     /** A user's question that came here, or to another cell's node that sent it on. */
     void asked(UserAsk a, Consumer<Answer> answer) {
-        // Guards against two nodes with different files that each hold another cell to be the job's home.
+        // Guards against two nodes with different files that each hold another cell to be the job's
+        // home.
         if (!agreed.getAsBoolean() || !directory.home(a.id()).equals(directory.own())) {
             answer.accept(Answer.LATER);
             return;
--- a/src/main/java/io/kitepath/core/cell/Homes.java
+++ b/src/main/java/io/kitepath/core/cell/Homes.java
@@ -12,9 +12,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * By which homes this cell goes, which its store says. Guards against a file that names other homes being rolled out
- * node by node: two nodes would each send the same job to another home, and both homes would accept it. A node whose
- * homes are not the cell's answers no user until it has the right file; everything else in the file may differ.
+ * By which homes this cell goes, which its store says. Guards against a file that names other homes
+ * being rolled out node by node: two nodes would each send the same job to another home, and both
+ * homes would accept it. A node whose homes are not the cell's answers no user until it has the
+ * right file; everything else in the file may differ.
  */
 final class Homes {
     private static final Logger LOG = LoggerFactory.getLogger(Homes.class);
@@ -36,38 +37,47 @@
     }
 
     void look() {
-        store.get(Keys.CELLS, (outcome, entry) -> {
-            if (outcome == Outcome.OK) {
-                Tree t = Tree.of(entry.value());
-                compare(t.text("homes"));
-                if (agreed && t.count("version") < directory.version()) {
-                    write(entry.revision());
-                }
-            } else if (outcome == Outcome.NO) {
-                write(0);
-                return;
-            }
-            if (!agreed) {
-                timers.after(outcome == Outcome.OK ? 10 : 0.5, this::look);
-            }
-        });
+        store.get(
+                Keys.CELLS,
+                (outcome, entry) -> {
+                    if (outcome == Outcome.OK) {
+                        Tree t = Tree.of(entry.value());
+                        compare(t.text("homes"));
+                        if (agreed && t.count("version") < directory.version()) {
+                            write(entry.revision());
+                        }
+                    } else if (outcome == Outcome.NO) {
+                        write(0);
+                        return;
+                    }
+                    if (!agreed) {
+                        timers.after(outcome == Outcome.OK ? 10 : 0.5, this::look);
+                    }
+                });
     }
 
     private void compare(String theirs) {
         agreed = theirs.equals(directory.homes());
         if (!agreed && !said) {
             said = true;
-            LOG.error("the cells file names the homes \"{}\", this cell goes by \"{}\": no user is answered here",
-                    directory.homes(), theirs);
+            LOG.error(
+                    "the cells file names the homes \"{}\", this cell goes by \"{}\": no user is answered here",
+                    directory.homes(),
+                    theirs);
         }
     }
 
     private void write(long revision) {
-        store.commit(new Transaction().when(Keys.CELLS, revision).put(Keys.CELLS,
-                Map.of("version", directory.version(), "homes", directory.homes())), c -> {
-            if (!agreed) {
-                timers.after(0.1, this::look);
-            }
-        });
+        store.commit(
+                new Transaction()
+                        .when(Keys.CELLS, revision)
+                        .put(
+                                Keys.CELLS,
+                                Map.of("version", directory.version(), "homes", directory.homes())),
+                c -> {
+                    if (!agreed) {
+                        timers.after(0.1, this::look);
+                    }
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/cell/Lending.java
+++ b/src/main/java/io/kitepath/core/cell/Lending.java
@@ -29,12 +29,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The home's side of loans. A loan is written before it is offered, offered until the other cell's store has an answer,
- * and its tasks are ours again, or done, only by that answer. Its number is never given twice: it holds the holder's
- * token, and counts up under it. docs/cells.md has the states and every crash between two writes.
+ * The home's side of loans. A loan is written before it is offered, offered until the other cell's
+ * store has an answer, and its tasks are ours again, or done, only by that answer. Its number is
+ * never given twice: it holds the holder's token, and counts up under it. docs/cells.md has the
+ * states and every crash between two writes.
  */
 final class Lending {
     private static final Logger LOG = LoggerFactory.getLogger(Lending.class);
+
     /** Loans under one token. */
     private static final int BITS = 20;
 
@@ -56,13 +58,23 @@
     private long sequence;
     private long lent;
     private long returned;
+
     /** By number: who waits to hear that its end is written. */
     private final Map<Long, List<Consumer<CellMessage>>> waiting = new HashMap<>();
+
     /** Jobs whose cancellation is under way, and the revision of the record that says so. */
     private final Map<String, Long> leaving = new HashMap<>();
 
-    Lending(String own, Block block, Consumer<Keeper.Rider> riding, Timers timers, Neighbours neighbours,
-            Spill spill, Asking asking, Random random, Listener listener) {
+    Lending(
+            String own,
+            Block block,
+            Consumer<Keeper.Rider> riding,
+            Timers timers,
+            Neighbours neighbours,
+            Spill spill,
+            Asking asking,
+            Random random,
+            Listener listener) {
         this.own = own;
         this.block = block;
         this.riding = riding;
@@ -85,8 +97,11 @@
 
     /** Tasks that are lent now. */
     long tasksOut() {
-        return block.jobs().values().stream().flatMap(j -> j.loans().stream()).filter(l -> !l.closed)
-                .mapToLong(Loan::tasks).sum();
+        return block.jobs().values().stream()
+                .flatMap(j -> j.loans().stream())
+                .filter(l -> !l.closed)
+                .mapToLong(Loan::tasks)
+                .sum();
     }
 
     // ---- what a new holder reads ----------------------------------------------------------------
@@ -97,7 +112,8 @@
         for (Entry x : found.lent()) {
             Job job = block.jobs().get(x.key().substring(Keys.LENT.length()));
             if (job == null) {
-                continue; // Came after the list of open jobs was read; everything is read once more.
+                continue; // Came after the list of open jobs was read; everything is read once
+                // more.
             }
             try {
                 Loan.read(x.value(), now).forEach(job::lend);
@@ -124,7 +140,10 @@
             job.leave();
             new ArrayList<>(job.live().values()).forEach(a -> block.stop(a, 0));
             block.change();
-            LOG.info("job {} is to be cancelled; {} loans are called back first", id, job.loans().size());
+            LOG.info(
+                    "job {} is to be cancelled; {} loans are called back first",
+                    id,
+                    job.loans().size());
         }
     }
 
@@ -149,7 +168,10 @@
 
     /** How many loans to the cell are not settled. */
     private long out(String cell) {
-        return block.jobs().values().stream().flatMap(j -> j.loans().stream()).filter(l -> l.to.equals(cell)).count();
+        return block.jobs().values().stream()
+                .flatMap(j -> j.loans().stream())
+                .filter(l -> l.to.equals(cell))
+                .count();
     }
 
     /** Writes the loan down; it is offered once that is in the store. */
@@ -158,51 +180,66 @@
         if (job.lentBusy() || out(p.to()) >= Numbers.MOST / 2 || sequence + 2 >= 1L << BITS) {
             return;
         }
-        Loan loan = new Loan((block.token() << BITS) + ++sequence, p.to(), p.from(), p.until(), timers.now());
+        Loan loan =
+                new Loan(
+                        (block.token() << BITS) + ++sequence,
+                        p.to(),
+                        p.from(),
+                        p.until(),
+                        timers.now());
         job.lend(loan);
         lent++;
-        LOG.info("lends {} tasks of {} from {} on to cell {} as {}: {}", loan.tasks(), job.spec.id(), loan.from,
-                loan.to, loan.number, p.why());
-        write(job, () -> {
-            loan.written = true;
-            tell(job, loan, timers.now());
-        });
+        LOG.info(
+                "lends {} tasks of {} from {} on to cell {} as {}: {}",
+                loan.tasks(),
+                job.spec.id(),
+                loan.from,
+                loan.to,
+                loan.number,
+                p.why());
+        write(
+                job,
+                () -> {
+                    loan.written = true;
+                    tell(job, loan, timers.now());
+                });
     }
 
     /** Writes what is lent of the job now; loans that are closed are left out of it. */
     private void write(Job job, Runnable then) {
         String id = job.spec.id();
         job.lentBusy(true);
-        riding.accept(new Keeper.Rider() {
-            private List<Loan> left;
-
-            @Override
-            public boolean wanted() {
-                if (job.over() || block.jobs().get(id) != job) {
-                    job.lentBusy(false);
-                    return false;
-                }
-                return true;
-            }
+        riding.accept(
+                new Keeper.Rider() {
+                    private List<Loan> left;
+
+                    @Override
+                    public boolean wanted() {
+                        if (job.over() || block.jobs().get(id) != job) {
+                            job.lentBusy(false);
+                            return false;
+                        }
+                        return true;
+                    }
 
-            @Override
-            public void board(Store.Transaction t) {
-                left = job.loans().stream().filter(l -> !l.closed).toList();
-                t.when(job.key, job.revision()).when(Keys.LENT + id, job.lentRevision());
-                if (left.isEmpty()) {
-                    t.remove(Keys.LENT + id);
-                } else {
-                    t.put(Keys.LENT + id, Loan.record(left));
-                }
-            }
+                    @Override
+                    public void board(Store.Transaction t) {
+                        left = job.loans().stream().filter(l -> !l.closed).toList();
+                        t.when(job.key, job.revision()).when(Keys.LENT + id, job.lentRevision());
+                        if (left.isEmpty()) {
+                            t.remove(Keys.LENT + id);
+                        } else {
+                            t.put(Keys.LENT + id, Loan.record(left));
+                        }
+                    }
 
-            @Override
-            public void written(long revision) {
-                job.lentBusy(false);
-                job.lentRecorded(left.isEmpty() ? 0 : revision);
-                then.run();
-            }
-        });
+                    @Override
+                    public void written(long revision) {
+                        job.lentBusy(false);
+                        job.lentRecorded(left.isEmpty() ? 0 : revision);
+                        then.run();
+                    }
+                });
     }
 
     // ---- telling the others ---------------------------------------------------------------------
@@ -235,29 +272,46 @@
     private void tell(Job job, Loan l, double now) {
         double mostS = block.facts().workers().leaseS();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
-        double dueS = l.taken && !job.leaving() ? 2 * mostS : Pace.againS(l.unanswered, 1, mostS, random);
+        double dueS =
+                l.taken && !job.leaving() ? 2 * mostS : Pace.againS(l.unanswered, 1, mostS, random);
         if (l.asking || now - l.askedAt < dueS && !(job.leaving() && l.unanswered == 0)) {
             return;
         }
         l.asking = true;
         l.askedAt = now;
         l.unanswered++;
-        CellMessage m = job.leaving() ? new Recall(own, l.number, floor(l.to), true)
-                : new Offer(own, l.number, floor(l.to), job.spec, job.submittedMs, l.from, l.until, job.nextAttempt());
+        CellMessage m =
+                job.leaving()
+                        ? new Recall(own, l.number, floor(l.to), true)
+                        : new Offer(
+                                own,
+                                l.number,
+                                floor(l.to),
+                                job.spec,
+                                job.submittedMs,
+                                l.from,
+                                l.until,
+                                job.nextAttempt());
         boolean first = !l.taken && l.unanswered == 1;
-        asking.ask(l.to, m, answer -> {
-            l.asking = false;
-            Neighbour n = neighbours.get(l.to);
-            if (first && n != null) {
-                n.unconfirmed = Math.max(0, n.unconfirmed - 1);
-            }
-            if (answer instanceof Word w && w.number() == l.number) {
-                said(w, x -> { });
-            }
-        });
+        asking.ask(
+                l.to,
+                m,
+                answer -> {
+                    l.asking = false;
+                    Neighbour n = neighbours.get(l.to);
+                    if (first && n != null) {
+                        n.unconfirmed = Math.max(0, n.unconfirmed - 1);
+                    }
+                    if (answer instanceof Word w && w.number() == l.number) {
+                        said(w, x -> {});
+                    }
+                });
     }
 
-    /** The other cell's word on a loan. {@code answer}: gets {@link Settled} once what follows from it is written. */
+    /**
+     * The other cell's word on a loan. {@code answer}: gets {@link Settled} once what follows from
+     * it is written.
+     */
     void said(Word w, Consumer<CellMessage> answer) {
         for (Job job : block.jobs().values()) {
             for (Loan l : job.loans()) {
@@ -267,7 +321,8 @@
                 }
             }
         }
-        // Guards against a former holder that calls a loan of its successor settled, which it can't know of.
+        // Guards against a former holder that calls a loan of its successor settled, which it can't
+        // know of.
         if (w.standing() != Standing.TAKEN && w.number() < nextNumber()) {
             answer.accept(new Settled(w.number(), floor(w.cell())));
         } else {
@@ -310,14 +365,21 @@
         if (w.standing() == Standing.VOID || w.standing() == Standing.BACK) {
             spill.gaveBack(job.spec.id(), l.to, now);
         }
-        LOG.info("loan {} of {} to cell {} is over after {} s: {}, {} of {} tasks done", l.number, job.spec.id(), l.to,
-                Math.round(now - l.since), w.standing(), done.cardinality(), l.tasks());
+        LOG.info(
+                "loan {} of {} to cell {} is over after {} s: {}, {} of {} tasks done",
+                l.number,
+                job.spec.id(),
+                l.to,
+                Math.round(now - l.since),
+                w.standing(),
+                done.cardinality(),
+                l.tasks());
         settle(job);
     }
 
     /**
-     * Takes loans that are over out of the record, once what is done of them is in the records of the job's parts.
-     * Guards against a crash in between after which done tasks would be run again.
+     * Takes loans that are over out of the record, once what is done of them is in the records of
+     * the job's parts. Guards against a crash in between after which done tasks would be run again.
      */
     private void settle(Job job) {
         if (job.lentBusy() || job.complete() && !job.leaving()) {
@@ -353,7 +415,10 @@
 
     // ---- cancelling -----------------------------------------------------------------------------
 
-    /** Nothing of the job is out any more: it is written as cancelled, and its user is told so at the next try. */
+    /**
+     * Nothing of the job is out any more: it is written as cancelled, and its user is told so at
+     * the next try.
+     */
     private void cancel(Job job) {
         String id = job.spec.id();
         if (job.lentBusy()) {
@@ -361,50 +426,60 @@
         }
         job.lentBusy(true);
         long asked = leaving.get(id);
-        riding.accept(new Keeper.Rider() {
-            @Override
-            public boolean wanted() {
-                boolean still = !job.over() && job.loans().isEmpty() && leaving.containsKey(id);
-                if (!still) {
-                    job.lentBusy(false);
-                }
-                return still;
-            }
+        riding.accept(
+                new Keeper.Rider() {
+                    @Override
+                    public boolean wanted() {
+                        boolean still =
+                                !job.over() && job.loans().isEmpty() && leaving.containsKey(id);
+                        if (!still) {
+                            job.lentBusy(false);
+                        }
+                        return still;
+                    }
 
-            @Override
-            public void board(Store.Transaction t) {
-                Map<String, Object> record = job.record().overMap(Map.of("status", "cancelled", "done", 0L),
-                        block.facts().store().valueBytes());
-                t.when(job.key, job.revision()).when(Keys.LENT + id, 0).when(Keys.LEAVE + id, asked).remove(job.key)
-                        .remove(Keys.LEAVE + id).put(Keys.OVER + id, record);
-            }
+                    @Override
+                    public void board(Store.Transaction t) {
+                        Map<String, Object> record =
+                                job.record()
+                                        .overMap(
+                                                Map.of("status", "cancelled", "done", 0L),
+                                                block.facts().store().valueBytes());
+                        t.when(job.key, job.revision())
+                                .when(Keys.LENT + id, 0)
+                                .when(Keys.LEAVE + id, asked)
+                                .remove(job.key)
+                                .remove(Keys.LEAVE + id)
+                                .put(Keys.OVER + id, record);
+                    }
 
-            @Override
-            public void written(long revision) {
-                job.lentBusy(false);
-                leaving.remove(id);
-                block.jobOver(id);
-                listener.cancelled(new JobState(id, "cancelled", 0, 0));
-            }
-        });
+                    @Override
+                    public void written(long revision) {
+                        job.lentBusy(false);
+                        leaving.remove(id);
+                        block.jobOver(id);
+                        listener.cancelled(new JobState(id, "cancelled", 0, 0));
+                    }
+                });
     }
 
     /** A wish to cancel a job that was over already. */
     private void stale(String id) {
         long asked = leaving.remove(id);
-        riding.accept(new Keeper.Rider() {
-            @Override
-            public boolean wanted() {
-                return true;
-            }
+        riding.accept(
+                new Keeper.Rider() {
+                    @Override
+                    public boolean wanted() {
+                        return true;
+                    }
 
-            @Override
-            public void board(Store.Transaction t) {
-                t.when(Keys.LEAVE + id, asked).remove(Keys.LEAVE + id);
-            }
+                    @Override
+                    public void board(Store.Transaction t) {
+                        t.when(Keys.LEAVE + id, asked).remove(Keys.LEAVE + id);
+                    }
 
-            @Override
-            public void written(long revision) { }
-        });
+                    @Override
+                    public void written(long revision) {}
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/cell/Neighbours.java
+++ b/src/main/java/io/kitepath/core/cell/Neighbours.java
@@ -11,18 +11,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What is known of the other cells, from their own words and from who else hears them. Nothing is safe because of it:
- * a silent cell keeps what was lent to it.
+ * What is known of the other cells, from their own words and from who else hears them. Nothing is
+ * safe because of it: a silent cell keeps what was lent to it.
  */
 final class Neighbours {
     private static final Logger LOG = LoggerFactory.getLogger(Neighbours.class);
+
     /** Exchanges are a second apart: a summary older than three of them says nothing of now. */
     static final double FRESH_S = 3;
-    /** How many summaries in a row a cell that was silent has to send before it is trusted with work again. */
+
+    /**
+     * How many summaries in a row a cell that was silent has to send before it is trusted with work
+     * again.
+     */
     private static final int BACK_AFTER = 3;
+
     private static final int BACK_AT_MOST = 48;
 
-    enum State { UNKNOWN, WELL, SUSPECTED, SILENT }
+    enum State {
+        UNKNOWN,
+        WELL,
+        SUSPECTED,
+        SILENT
+    }
 
     /** Another cell. */
     final class Neighbour {
@@ -33,12 +44,16 @@
         private int inARow;
         private int needed = BACK_AFTER;
         private double silentSince;
+
         /** Handed over since its last summary, which cannot show it yet. */
         private double promisedCpus;
+
         /** Offers that it has not answered. */
         int unconfirmed;
+
         /** It said that it has no room, or takes nothing: left alone until then. */
         private double restUntil = Double.NEGATIVE_INFINITY;
+
         private int refusals;
 
         Neighbour(String name) {
@@ -67,7 +82,10 @@
         }
 
         boolean takes(double now) {
-            return state == State.WELL && now - heardAt < FRESH_S && summary.takes() && now >= restUntil;
+            return state == State.WELL
+                    && now - heardAt < FRESH_S
+                    && summary.takes()
+                    && now >= restUntil;
         }
 
         void promise(double cpus) {
@@ -81,7 +99,13 @@
 
         /** Guards against a full cell that is asked again and again by all the others. */
         void refused(double now, Random random) {
-            restUntil = now + Pace.againS(refusals++, facts.workers().reportS(), facts.workers().leaseS(), random);
+            restUntil =
+                    now
+                            + Pace.againS(
+                                    refusals++,
+                                    facts.workers().reportS(),
+                                    facts.workers().leaseS(),
+                                    random);
         }
     }
 
@@ -122,7 +146,8 @@
             double silence = now - n.heardAt;
             if (n.state == State.WELL && silence > FRESH_S) {
                 become(n, State.SUSPECTED, now);
-            } else if (n.state == State.SUSPECTED && (silence > lease || silence > lease / 2 && !othersHear(n, now))) {
+            } else if (n.state == State.SUSPECTED
+                    && (silence > lease || silence > lease / 2 && !othersHear(n, now))) {
                 // As long as some other cell hears it, it may be the way to it that is broken.
                 become(n, State.SILENT, now);
             } else if (n.state == State.WELL && n.inARow > 10 * n.needed) {
@@ -133,11 +158,18 @@
     }
 
     private boolean othersHear(Neighbour of, double now) {
-        return all.values().stream().anyMatch(n -> n != of && now - n.heardAt < FRESH_S
-                && n.summary.hears().contains(of.name));
+        return all.values().stream()
+                .anyMatch(
+                        n ->
+                                n != of
+                                        && now - n.heardAt < FRESH_S
+                                        && n.summary.hears().contains(of.name));
     }
 
-    /** Guards against a cell that comes and goes, and is handed work each time: it gets less trust each time. */
+    /**
+     * Guards against a cell that comes and goes, and is handed work each time: it gets less trust
+     * each time.
+     */
     private void become(Neighbour n, State to, double now) {
         if (to == n.state) {
             return;
@@ -147,8 +179,13 @@
             n.silentSince = n.heardAt;
         }
         if (to == State.SILENT || n.state == State.SILENT) {
-            LOG.info("cell {} is {}{}", n.name, to == State.SILENT ? "silent" : "heard again",
-                    n.state == State.SILENT ? " after " + Math.round(now - n.silentSince) + " s" : "");
+            LOG.info(
+                    "cell {} is {}{}",
+                    n.name,
+                    to == State.SILENT ? "silent" : "heard again",
+                    n.state == State.SILENT
+                            ? " after " + Math.round(now - n.silentSince) + " s"
+                            : "");
         }
         n.state = to;
     }
@@ -161,11 +198,13 @@
     /** The cells heard lately. */
     List<String> hears(double now) {
         List<String> out = new ArrayList<>();
-        all.values().forEach(n -> {
-            if (now - n.heardAt < FRESH_S) {
-                out.add(n.name);
-            }
-        });
+        all.values()
+                .forEach(
+                        n -> {
+                            if (now - n.heardAt < FRESH_S) {
+                                out.add(n.name);
+                            }
+                        });
         return out;
     }
 
--- a/src/main/java/io/kitepath/core/cell/Numbers.java
+++ b/src/main/java/io/kitepath/core/cell/Numbers.java
@@ -8,16 +8,21 @@
 import java.util.TreeSet;
 
 /**
- * Which numbers of one home can never be taken here any more. Guards against an offer that comes late, or once more,
- * after what was lent under it has been given back, and starts it a second time. Below the floor, which the home
- * raises, all are void; above it those that are listed, of which there are never more than the home keeps out.
+ * Which numbers of one home can never be taken here any more. Guards against an offer that comes
+ * late, or once more, after what was lent under it has been given back, and starts it a second
+ * time. Below the floor, which the home raises, all are void; above it those that are listed, of
+ * which there are never more than the home keeps out.
  */
 final class Numbers {
-    /** Numbers of one home that may be void above its floor; a home that leaves more of them unsettled is refused. */
+    /**
+     * Numbers of one home that may be void above its floor; a home that leaves more of them
+     * unsettled is refused.
+     */
     static final int MOST = 200;
 
     private long floor;
     private final TreeSet<Long> taken = new TreeSet<>();
+
     /** Of its record, 0 while there is none. */
     private long revision;
 
--- a/src/main/java/io/kitepath/core/cell/Pace.java
+++ b/src/main/java/io/kitepath/core/cell/Pace.java
@@ -2,7 +2,10 @@
 
 import java.util.Random;
 
-/** When something that was said without an answer is said again: ever more rarely, and never by many at once. */
+/**
+ * When something that was said without an answer is said again: ever more rarely, and never by many
+ * at once.
+ */
 final class Pace {
     private Pace() {}
 
--- a/src/main/java/io/kitepath/core/cell/Shares.java
+++ b/src/main/java/io/kitepath/core/cell/Shares.java
@@ -35,21 +35,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This cell's shares of the teams' limits. What a cell may use is its part by the cells file and what came to it since,
- * less what it gave; what it gives is out of its share, in its store, before the other hears of it, and in the other's
- * share only once that has written it, under a number that can be taken once. So the shares of all, and what is under
- * way, never add up to more than the limit, whoever crashes, freezes or is cut off, and a cell that nobody hears keeps
- * its own (escrow: P. E. O'Neil, "The escrow transactional method", ACM TODS, 1986). Amounts are in thousandths.
+ * This cell's shares of the teams' limits. What a cell may use is its part by the cells file and
+ * what came to it since, less what it gave; what it gives is out of its share, in its store, before
+ * the other hears of it, and in the other's share only once that has written it, under a number
+ * that can be taken once. So the shares of all, and what is under way, never add up to more than
+ * the limit, whoever crashes, freezes or is cut off, and a cell that nobody hears keeps its own
+ * (escrow: P. E. O'Neil, "The escrow transactional method", ACM TODS, 1986). Amounts are in
+ * thousandths.
  */
 final class Shares implements TeamUse.Limits {
     private static final Logger LOG = LoggerFactory.getLogger(Shares.class);
     private static final int BITS = 20;
+
     /** Resources: CPUs and GPUs. */
     private static final int KINDS = 2;
+
     /** Grants of one team that are under way at most. */
     private static final int MOST_OUT = 8;
+
     /** Teams told of in a summary, those that want most first. */
     private static final int MOST_TOLD = 64;
+
     private static final long UNLIMITED = Long.MAX_VALUE;
 
     /** What was given and is not known to have been taken. */
@@ -74,12 +80,16 @@
     /** One team here. */
     private static final class Held {
         final String team;
+
         /** What came less what went, by resource. */
         final long[] moved = new long[KINDS];
+
         /** What came and is being written: it is not ours before. */
         final long[] coming = new long[KINDS];
+
         /** More than this is not used at the moment, as others are to have it. */
         final long[] cap = {UNLIMITED, UNLIMITED};
+
         final List<Out> out = new ArrayList<>();
         long revision;
         boolean writing;
@@ -110,15 +120,23 @@
     private final Random random;
     private final Map<String, Held> held = new HashMap<>();
     private final Map<String, Numbers> numbers = new HashMap<>();
+
     /** Grants that are being written as taken, by giver and number. */
     private final Map<String, List<Consumer<CellMessage>>> taking = new HashMap<>();
+
     private final long[] room = new long[KINDS];
     private List<Share> told = List.of();
     private long sequence;
     private long given;
     private long came;
 
-    Shares(String own, Block block, Consumer<Keeper.Rider> riding, Timers timers, Asking asking, Random random) {
+    Shares(
+            String own,
+            Block block,
+            Consumer<Keeper.Rider> riding,
+            Timers timers,
+            Asking asking,
+            Random random) {
         this.own = own;
         this.block = block;
         this.riding = riding;
@@ -169,8 +187,12 @@
                 h.moved[1] = t.integer("gpus", Long.MIN_VALUE, Long.MAX_VALUE);
                 for (Object o : t.list("out")) {
                     List<?> l = (List<?>) o;
-                    Out out = new Out(((Number) l.get(0)).longValue(), (String) l.get(1),
-                            ((Number) l.get(2)).intValue(), ((Number) l.get(3)).longValue());
+                    Out out =
+                            new Out(
+                                    ((Number) l.get(0)).longValue(),
+                                    (String) l.get(1),
+                                    ((Number) l.get(2)).intValue(),
+                                    ((Number) l.get(3)).longValue());
                     out.written = true;
                     h.out.add(out);
                 }
@@ -225,7 +247,8 @@
     /**
      * What this cell says of its shares, for its summary.
      *
-     * @param freeCpus CPUs and GPUs that are free on its machines: what it can't use it does not want
+     * @param freeCpus CPUs and GPUs that are free on its machines: what it can't use it does not
+     *     want
      */
     List<Share> told(double freeCpus, double freeGpus) {
         room[0] = (long) (freeCpus * 1000);
@@ -240,7 +263,9 @@
         for (Facts.Team t : block.facts().teams().values()) {
             for (int kind = 0; kind < KINDS; kind++) {
                 if (whole(t, kind) != UNLIMITED) {
-                    rows.put(t.name() + kind, row(t, kind, waiting.getOrDefault(t.name(), List.of())));
+                    rows.put(
+                            t.name() + kind,
+                            row(t, kind, waiting.getOrDefault(t.name(), List.of())));
                 }
             }
         }
@@ -255,47 +280,76 @@
         Job first = null;
         for (Job j : waiting) {
             wants += need(j.spec, kind, j.waiting());
-            boolean older = first == null || j.submittedMs < first.submittedMs
-                    || j.submittedMs == first.submittedMs && j.spec.id().compareTo(first.spec.id()) < 0;
+            boolean older =
+                    first == null
+                            || j.submittedMs < first.submittedMs
+                            || j.submittedMs == first.submittedMs
+                                    && j.spec.id().compareTo(first.spec.id()) < 0;
             if (need(j.spec, kind, 1) > 0 && older) {
                 first = j;
             }
         }
-        long head = first == null ? 0 : need(first.spec, kind, first.spec.gang() ? first.waiting() : 1);
+        long head =
+                first == null ? 0 : need(first.spec, kind, first.spec.gang() ? first.waiting() : 1);
         wants = room[kind] < head ? 0 : Math.min(wants, room[kind]);
-        return new Share(t.name(), kind, holds(t, kind), used(t.name(), kind), wants, head,
-                first == null ? 0 : need(first.spec, kind, 1), first == null ? 0 : first.submittedMs);
+        return new Share(
+                t.name(),
+                kind,
+                holds(t, kind),
+                used(t.name(), kind),
+                wants,
+                head,
+                first == null ? 0 : need(first.spec, kind, 1),
+                first == null ? 0 : first.submittedMs);
     }
 
     /** What was given to the cell and is not known to have arrived. */
     private long underWay(String team, int kind, String cell) {
         Held h = held.get(team);
-        return h == null ? 0 : h.out.stream().filter(o -> o.kind == kind && o.to.equals(cell))
-                .mapToLong(o -> o.amount).sum();
+        return h == null
+                ? 0
+                : h.out.stream()
+                        .filter(o -> o.kind == kind && o.to.equals(cell))
+                        .mapToLong(o -> o.amount)
+                        .sum();
     }
 
     // ---- giving ---------------------------------------------------------------------------------
 
-    /** Divides what is held anew by what the others said lately and what was told last, and gives what is to go. */
+    /**
+     * Divides what is held anew by what the others said lately and what was told last, and gives
+     * what is to go.
+     */
     void divide(Collection<Summary> others) {
         Map<String, List<Claim>> claims = new HashMap<>();
         for (Summary s : others) {
             for (Share x : s.shares()) {
-                claims.computeIfAbsent(x.team() + '\0' + x.kind(), k -> new ArrayList<>()).add(new Claim(s.cell(),
-                        x.holds() + underWay(x.team(), x.kind(), s.cell()), x.used(), x.wants(), x.head(), x.task(),
-                        x.since()));
+                claims.computeIfAbsent(x.team() + '\0' + x.kind(), k -> new ArrayList<>())
+                        .add(
+                                new Claim(
+                                        s.cell(),
+                                        x.holds() + underWay(x.team(), x.kind(), s.cell()),
+                                        x.used(),
+                                        x.wants(),
+                                        x.head(),
+                                        x.task(),
+                                        x.since()));
             }
         }
         Map<String, Share> mine = new HashMap<>();
         told.forEach(x -> mine.put(x.team() + '\0' + x.kind(), x));
         held.values().forEach(h -> Arrays.fill(h.cap, UNLIMITED));
-        claims.forEach((k, list) -> {
-            Share x = mine.get(k);
-            if (x != null && list.stream().anyMatch(c -> c.wants() > 0)) {
-                list.add(new Claim(own, x.holds(), x.used(), x.wants(), x.head(), x.task(), x.since()));
-                give(x, list);
-            }
-        });
+        claims.forEach(
+                (k, list) -> {
+                    Share x = mine.get(k);
+                    if (x != null && list.stream().anyMatch(c -> c.wants() > 0)) {
+                        list.add(
+                                new Claim(
+                                        own, x.holds(), x.used(), x.wants(), x.head(), x.task(),
+                                        x.since()));
+                        give(x, list);
+                    }
+                });
     }
 
     private void give(Share x, List<Claim> claims) {
@@ -308,7 +362,11 @@
         if (claims.stream().anyMatch(c -> !c.cell().equals(own) && c.wants() > 0)) {
             h.cap[x.kind()] = Math.min(h.cap[x.kind()], Division.fair(claims).get(own));
         }
-        long mine = claims.stream().filter(c -> c.cell().equals(own)).mapToLong(c -> useful(c, targets)).sum();
+        long mine =
+                claims.stream()
+                        .filter(c -> c.cell().equals(own))
+                        .mapToLong(c -> useful(c, targets))
+                        .sum();
         long over = holds(block.facts().teams().get(x.team()), x.kind()) - Math.max(mine, usedNow);
         if (over <= 0 || h.writing || h.out.size() >= MOST_OUT) {
             return;
@@ -316,7 +374,9 @@
         Claim to = null;
         for (Claim c : claims) {
             long lacks = useful(c, targets) - c.holds();
-            if (!c.cell().equals(own) && lacks > 0 && (to == null || lacks > useful(to, targets) - to.holds())) {
+            if (!c.cell().equals(own)
+                    && lacks > 0
+                    && (to == null || lacks > useful(to, targets) - to.holds())) {
                 to = c;
             }
         }
@@ -328,52 +388,68 @@
         h.moved[x.kind()] -= amount;
         h.out.add(o);
         given++;
-        LOG.info("gives {} {} of team {} to cell {} as {}: it holds {} and is to have {}, here {} of {} are used",
-                amount / 1000.0, x.kind() == 0 ? "CPUs" : "GPUs", x.team(), to.cell(), o.number, to.holds() / 1000.0,
-                targets.get(to.cell()) / 1000.0, x.used() / 1000.0, x.holds() / 1000.0);
-        write(h, null, () -> {
-            o.written = true;
-            tell(h, o, timers.now());
-        });
+        LOG.info(
+                "gives {} {} of team {} to cell {} as {}: it holds {} and is to have {}, here {} of {} are used",
+                amount / 1000.0,
+                x.kind() == 0 ? "CPUs" : "GPUs",
+                x.team(),
+                to.cell(),
+                o.number,
+                to.holds() / 1000.0,
+                targets.get(to.cell()) / 1000.0,
+                x.used() / 1000.0,
+                x.holds() / 1000.0);
+        write(
+                h,
+                null,
+                () -> {
+                    o.written = true;
+                    tell(h, o, timers.now());
+                });
     }
 
-    /** What is in use and whole tasks beyond. Guards against shares that swing to and fro in crumbs of no use to any. */
+    /**
+     * What is in use and whole tasks beyond. Guards against shares that swing to and fro in crumbs
+     * of no use to any.
+     */
     private static long useful(Claim c, Map<String, Long> targets) {
         long target = targets.get(c.cell());
-        return c.wants() == 0 || c.task() == 0 ? target
+        return c.wants() == 0 || c.task() == 0
+                ? target
                 : c.used() + Math.max(0, target - c.used()) / c.task() * c.task();
     }
 
     /** Writes the team's record, and with it that a number of another cell's is taken. */
     private void write(Held h, String giver, Runnable then) {
         h.writing = true;
-        riding.accept(new Keeper.Rider() {
-            @Override
-            public boolean wanted() {
-                return held.get(h.team) == h;
-            }
-
-            @Override
-            public void board(Store.Transaction t) {
-                t.when(key(h.team), h.revision).put(key(h.team), h.record());
-                if (giver != null) {
-                    Numbers n = numbers(giver);
-                    t.when(Keys.VOID + "share/" + giver, n.revision());
-                    t.writes().removeIf(w -> w.key().equals(Keys.VOID + "share/" + giver));
-                    t.put(Keys.VOID + "share/" + giver, n.record());
-                }
-            }
-
-            @Override
-            public void written(long revision) {
-                h.writing = false;
-                h.revision = revision;
-                if (giver != null) {
-                    numbers(giver).recorded(revision);
-                }
-                then.run();
-            }
-        });
+        riding.accept(
+                new Keeper.Rider() {
+                    @Override
+                    public boolean wanted() {
+                        return held.get(h.team) == h;
+                    }
+
+                    @Override
+                    public void board(Store.Transaction t) {
+                        t.when(key(h.team), h.revision).put(key(h.team), h.record());
+                        if (giver != null) {
+                            Numbers n = numbers(giver);
+                            t.when(Keys.VOID + "share/" + giver, n.revision());
+                            t.writes().removeIf(w -> w.key().equals(Keys.VOID + "share/" + giver));
+                            t.put(Keys.VOID + "share/" + giver, n.record());
+                        }
+                    }
+
+                    @Override
+                    public void written(long revision) {
+                        h.writing = false;
+                        h.revision = revision;
+                        if (giver != null) {
+                            numbers(giver).recorded(revision);
+                        }
+                        then.run();
+                    }
+                });
     }
 
     private Numbers numbers(String giver) {
@@ -404,19 +480,27 @@
     }
 
     private void tell(Held h, Out o, double now) {
-        if (o.asking || now - o.askedAt < Pace.againS(o.unanswered, 1, block.facts().workers().leaseS(), random)) {
+        if (o.asking
+                || now - o.askedAt
+                        < Pace.againS(o.unanswered, 1, block.facts().workers().leaseS(), random)) {
             return;
         }
         o.asking = true;
         o.askedAt = now;
         o.unanswered++;
-        asking.ask(o.to, new Grant(own, o.number, floor(o.to), h.team, o.kind, o.amount), answer -> {
-            o.asking = false;
-            if (answer instanceof Granted g && g.number() == o.number && held.get(h.team) == h && !h.writing
-                    && h.out.remove(o)) {
-                write(h, null, () -> { });
-            }
-        });
+        asking.ask(
+                o.to,
+                new Grant(own, o.number, floor(o.to), h.team, o.kind, o.amount),
+                answer -> {
+                    o.asking = false;
+                    if (answer instanceof Granted g
+                            && g.number() == o.number
+                            && held.get(h.team) == h
+                            && !h.writing
+                            && h.out.remove(o)) {
+                        write(h, null, () -> {});
+                    }
+                });
     }
 
     // ---- taking ---------------------------------------------------------------------------------
@@ -443,28 +527,46 @@
         n.add(g.number());
         h.coming[g.kind()] = g.amount();
         taking.put(id, new ArrayList<>(List.of(answer)));
-        write(h, g.from(), () -> {
-            came++;
-            h.moved[g.kind()] += h.coming[g.kind()];
-            h.coming[g.kind()] = 0;
-            LOG.info("{} {} of team {} came from cell {} as {}", g.amount() / 1000.0, g.kind() == 0 ? "CPUs" : "GPUs",
-                    g.team(), g.from(), g.number());
-            List<Consumer<CellMessage>> who = taking.remove(id);
-            if (who != null) {
-                who.forEach(x -> x.accept(new Granted(g.number())));
-            }
-            block.change();
-        });
+        write(
+                h,
+                g.from(),
+                () -> {
+                    came++;
+                    h.moved[g.kind()] += h.coming[g.kind()];
+                    h.coming[g.kind()] = 0;
+                    LOG.info(
+                            "{} {} of team {} came from cell {} as {}",
+                            g.amount() / 1000.0,
+                            g.kind() == 0 ? "CPUs" : "GPUs",
+                            g.team(),
+                            g.from(),
+                            g.number());
+                    List<Consumer<CellMessage>> who = taking.remove(id);
+                    if (who != null) {
+                        who.forEach(x -> x.accept(new Granted(g.number())));
+                    }
+                    block.change();
+                });
     }
 
     /** All that it knows and is about, for a log or a test. */
     @Override
     public String toString() {
         StringBuilder b = new StringBuilder();
-        held.values().stream().sorted(Comparator.comparing(h -> h.team)).forEach(h -> {
-            b.append(h.record()).append(h.writing ? " writing" : "").append(Arrays.toString(h.coming));
-            h.out.forEach(o -> b.append(' ').append(o.number).append(o.written).append(o.asking));
-        });
+        held.values().stream()
+                .sorted(Comparator.comparing(h -> h.team))
+                .forEach(
+                        h -> {
+                            b.append(h.record())
+                                    .append(h.writing ? " writing" : "")
+                                    .append(Arrays.toString(h.coming));
+                            h.out.forEach(
+                                    o ->
+                                            b.append(' ')
+                                                    .append(o.number)
+                                                    .append(o.written)
+                                                    .append(o.asking));
+                        });
         return b.append(new TreeMap<>(taking).keySet()).append(new TreeMap<>(numbers)).toString();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/Spill.java
+++ b/src/main/java/io/kitepath/core/cell/Spill.java
@@ -17,11 +17,12 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Which waiting work goes to which other cell: the paper's Threshold one floor up. Work that would miss what is
- * expected of it at home probes up to {@link Placement#PROBES} random cells that say they can take it, and goes once
- * to the first with fewer than {@link Placement#THRESHOLD} hand-overs unconfirmed for each of its zones; after misses
- * the summaries are scanned for the roomiest; failing that it stays. A function of what it is given and of the random
- * numbers: nothing is asked and nothing written here.
+ * Which waiting work goes to which other cell: the paper's Threshold one floor up. Work that would
+ * miss what is expected of it at home probes up to {@link Placement#PROBES} random cells that say
+ * they can take it, and goes once to the first with fewer than {@link Placement#THRESHOLD}
+ * hand-overs unconfirmed for each of its zones; after misses the summaries are scanned for the
+ * roomiest; failing that it stays. A function of what it is given and of the random numbers:
+ * nothing is asked and nothing written here.
  */
 final class Spill {
     /**
@@ -32,7 +33,10 @@
      */
     record Plan(Job job, String to, int from, int until, String why) {}
 
-    /** Owners' estimates are often wrong by half: what would wait longer than the time it has, over this, goes. */
+    /**
+     * Owners' estimates are often wrong by half: what would wait longer than the time it has, over
+     * this, goes.
+     */
     private static final double UNSURE = 2;
 
     private final Facts facts;
@@ -40,11 +44,16 @@
     private final Map<String, Integer> zonesOf;
     private final Random random;
     private boolean draining;
+
     /** Cells that gave a job back, by job, and when that counts no more. */
     private final Map<String, Map<String, Double>> givenBack = new HashMap<>();
 
     /** {@code zonesOf}: how many zones each other cell has. */
-    Spill(Facts facts, Map<String, MachineType> types, Map<String, Integer> zonesOf, Random random) {
+    Spill(
+            Facts facts,
+            Map<String, MachineType> types,
+            Map<String, Integer> zonesOf,
+            Random random) {
         this.facts = facts;
         this.types = types;
         this.zonesOf = zonesOf;
@@ -55,9 +64,14 @@
         draining = so;
     }
 
-    /** Guards against work that bounces: a cell that gave it back is not asked again until that has news. */
+    /**
+     * Guards against work that bounces: a cell that gave it back is not asked again until that has
+     * news.
+     */
     void gaveBack(String job, String cell, double now) {
-        givenBack.computeIfAbsent(job, k -> new HashMap<>()).put(cell, now + 2 * facts.workers().leaseS());
+        givenBack
+                .computeIfAbsent(job, k -> new HashMap<>())
+                .put(cell, now + 2 * facts.workers().leaseS());
     }
 
     void forget(Collection<String> known) {
@@ -70,8 +84,15 @@
      * @param allowed how many more such tasks the team's limit allows here
      * @param most hand-overs at most
      */
-    List<Plan> plan(List<Job> order, Predicate<JobSpec> fitsHere, ToIntFunction<JobSpec> allowed,
-            double hereCpus, Collection<Neighbour> cells, int most, double now, double wallMs) {
+    List<Plan> plan(
+            List<Job> order,
+            Predicate<JobSpec> fitsHere,
+            ToIntFunction<JobSpec> allowed,
+            double hereCpus,
+            Collection<Neighbour> cells,
+            int most,
+            double now,
+            double wallMs) {
         List<Plan> out = new ArrayList<>();
         double ahead = 0;
         for (Job j : order) {
@@ -82,7 +103,8 @@
             double waitS = (ahead + work) / Math.max(1, hereCpus);
             ahead += work;
             String why = whyNotHere(j, fitsHere.test(j.spec), hereCpus, waitS, wallMs);
-            // What waits for its team's limit waits for it everywhere: the limit's shares move to where room is.
+            // What waits for its team's limit waits for it everywhere: the limit's shares move to
+            // where room is.
             if (why == null || allowed.applyAsInt(j.spec) < least(j)) {
                 continue;
             }
@@ -102,8 +124,11 @@
     private String whyNotHere(Job j, boolean fits, double cpus, double waitS, double wallMs) {
         JobSpec s = j.spec;
         boolean whole = s.shape() != JobSpec.Shape.ARRAY || s.oneZone() || s.spread();
-        if (j.guest || j.over() || j.leaving() || j.waiting() == 0 || whole && (!j.live().isEmpty()
-                || j.tasksDone() > 0 || !j.loans().isEmpty())) {
+        if (j.guest
+                || j.over()
+                || j.leaving()
+                || j.waiting() == 0
+                || whole && (!j.live().isEmpty() || j.tasksDone() > 0 || !j.loans().isEmpty())) {
             return null;
         }
         double ageS = (wallMs - j.submittedMs) / 1000;
@@ -114,13 +139,16 @@
             return "this cell is drained";
         }
         // What has only just come may still find room in one of the next rounds.
-        if (ageS < 2 * facts.workers().reportS() || cpus > 0 && waitS < 2 * facts.workers().reportS()) {
+        if (ageS < 2 * facts.workers().reportS()
+                || cpus > 0 && waitS < 2 * facts.workers().reportS()) {
             return null;
         }
         for (int goal = 0; goal < j.goals(); goal++) {
             double left = (j.goalMs(goal) - wallMs) / 1000;
             if (left > 0) {
-                return waitS * UNSURE > left ? String.format("would wait %.0f s here of %.0f", waitS, left) : null;
+                return waitS * UNSURE > left
+                        ? String.format("would wait %.0f s here of %.0f", waitS, left)
+                        : null;
             }
         }
         return String.format("past its goals, and would wait %.0f s here", waitS);
@@ -131,7 +159,9 @@
         Map<String, Double> not = givenBack.getOrDefault(j.spec.id(), Map.of());
         for (Neighbour n : cells) {
             // One loan of a job to each cell at a time: its records there are by the job's parts.
-            if (n.takes(now) && not.getOrDefault(n.name, 0.0) <= now && slots(j.spec, n) >= least(j)
+            if (n.takes(now)
+                    && not.getOrDefault(n.name, 0.0) <= now
+                    && slots(j.spec, n) >= least(j)
                     && j.loans().stream().noneMatch(l -> l.to.equals(n.name))
                     && n.summary().waitS().get(j.rank()) < waitS / 2) {
                 able.add(n);
@@ -156,7 +186,10 @@
         return best;
     }
 
-    /** The least that is worth handing over: all of what has to be together, else a part of an array. */
+    /**
+     * The least that is worth handing over: all of what has to be together, else a part of an
+     * array.
+     */
     private static int least(Job j) {
         JobSpec s = j.spec;
         return s.shape() != JobSpec.Shape.ARRAY || s.oneZone() || s.spread() ? s.tasks() : 1;
@@ -172,10 +205,16 @@
                 continue;
             }
             int each = Placement.slots(s, t);
-            // Of machines in use nobody knows here how their gaps lie: they count for small tasks, and half.
+            // Of machines in use nobody knows here how their gaps lie: they count for small tasks,
+            // and half.
             boolean small = each >= 2;
-            double rest = small ? (r.cpus() - r.idle() * t.cpus()) / Math.max(s.cpus(), 1e-6) / 2 : 0;
-            int fit = (int) Math.min(Integer.MAX_VALUE / 64, (long) r.idle() * each + Math.max(0, rest));
+            double rest =
+                    small ? (r.cpus() - r.idle() * t.cpus()) / Math.max(s.cpus(), 1e-6) / 2 : 0;
+            int fit =
+                    (int)
+                            Math.min(
+                                    Integer.MAX_VALUE / 64,
+                                    (long) r.idle() * each + Math.max(0, rest));
             all += fit;
             byZone.merge(r.kind().zone(), fit, Integer::sum);
         }
@@ -188,7 +227,10 @@
         return Math.max(0, room - taken);
     }
 
-    /** All of the job, or of an array the last tasks in a row that wait, as many as there is room for. */
+    /**
+     * All of the job, or of an array the last tasks in a row that wait, as many as there is room
+     * for.
+     */
     private Plan range(Job j, Neighbour to, String why) {
         // What is done of a loan is one field of one record.
         int longest = 16 * facts.tasksPerPart();
--- a/src/main/java/io/kitepath/core/duty/Audit.java
+++ b/src/main/java/io/kitepath/core/duty/Audit.java
@@ -20,9 +20,10 @@
 import java.util.function.Consumer;
 
 /**
- * One look through the records, a step at a time: what nothing refers to any more, and what should not be. Whether jobs
- * are open or over is asked by comparisons that write nothing, for many at once, so that a look costs one request for
- * each page of records and one or two for each hundred jobs, however much history there is.
+ * One look through the records, a step at a time: what nothing refers to any more, and what should
+ * not be. Whether jobs are open or over is asked by comparisons that write nothing, for many at
+ * once, so that a look costs one request for each page of records and one or two for each hundred
+ * jobs, however much history there is.
  */
 public final class Audit {
     /** Records in one page. */
@@ -40,12 +41,15 @@
     private final Store store;
     private final int conditions;
     private final Consumer<Finding> found;
-    private final Deque<String> prefixes = new ArrayDeque<>(List.of(Keys.PART, Keys.OPEN, Keys.ACT));
+    private final Deque<String> prefixes =
+            new ArrayDeque<>(List.of(Keys.PART, Keys.OPEN, Keys.ACT));
     private String prefix = prefixes.poll();
     private String from = "";
+
     /** What has to be compared before the next page is read. */
     private final Deque<Runnable> steps = new ArrayDeque<>();
-    private Runnable then = () -> { };
+
+    private Runnable then = () -> {};
     private long seen;
     private boolean failed;
 
@@ -71,7 +75,10 @@
         return seen;
     }
 
-    /** Takes the next step, one request; {@code then} runs when it has been answered. Refused steps are tried again. */
+    /**
+     * Takes the next step, one request; {@code then} runs when it has been answered. Refused steps
+     * are tried again.
+     */
     public void step(Runnable afterwards) {
         then = afterwards;
         failed = false;
@@ -91,19 +98,23 @@
     }
 
     private void page() {
-        store.page(prefix, from, PAGE, l -> {
-            if (l.outcome() == Outcome.OK) {
-                read(l);
-                if (l.more() && !l.entries().isEmpty()) {
-                    from = l.entries().get(l.entries().size() - 1).key();
-                } else {
-                    prefix = prefixes.poll();
-                    from = "";
-                }
-            }
-            failed = l.outcome() != Outcome.OK;
-            then.run();
-        });
+        store.page(
+                prefix,
+                from,
+                PAGE,
+                l -> {
+                    if (l.outcome() == Outcome.OK) {
+                        read(l);
+                        if (l.more() && !l.entries().isEmpty()) {
+                            from = l.entries().get(l.entries().size() - 1).key();
+                        } else {
+                            prefix = prefixes.poll();
+                            from = "";
+                        }
+                    }
+                    failed = l.outcome() != Outcome.OK;
+                    then.run();
+                });
     }
 
     private void read(Listing l) {
@@ -127,14 +138,17 @@
                 byJob.computeIfAbsent(id, k -> new ArrayList<>()).add(e);
             }
         }
-        // A job moves from open to over in one write, and its two places are looked at in one comparison.
+        // A job moves from open to over in one write, and its two places are looked at in one
+        // comparison.
         Map<String, Long> anywhere = new LinkedHashMap<>();
         byJob.keySet().forEach(id -> anywhere.put(id, 0L));
-        compare(anywhere, (id, open, over) -> {
-            if (!open && !over) {
-                byJob.get(id).forEach(e -> orphan(id, e));
-            }
-        });
+        compare(
+                anywhere,
+                (id, open, over) -> {
+                    if (!open && !over) {
+                        byJob.get(id).forEach(e -> orphan(id, e));
+                    }
+                });
     }
 
     private void orphan(String id, Entry e) {
@@ -144,10 +158,19 @@
         } catch (Malformed bad) {
             idle = false;
         }
-        found.accept(new Finding(idle, e.key(), idle ? "a part of job " + id + ", which is neither open nor over"
-                : "tasks on machines of job " + id + ", which is neither open nor over",
-                List.of(new Condition(e.key(), e.revision()), new Condition(Keys.OPEN + id, 0),
-                        new Condition(Keys.OVER + id, 0))));
+        found.accept(
+                new Finding(
+                        idle,
+                        e.key(),
+                        idle
+                                ? "a part of job " + id + ", which is neither open nor over"
+                                : "tasks on machines of job "
+                                        + id
+                                        + ", which is neither open nor over",
+                        List.of(
+                                new Condition(e.key(), e.revision()),
+                                new Condition(Keys.OPEN + id, 0),
+                                new Condition(Keys.OVER + id, 0))));
     }
 
     // ---- jobs in two places ---------------------------------------------------------------------
@@ -156,21 +179,32 @@
         Map<String, Long> read = new LinkedHashMap<>();
         entries.forEach(e -> read.put(e.key().substring(Keys.OPEN.length()), e.revision()));
         // Guards against a job that is called open and over since it ended between two reads.
-        compare(read, (id, changed, over) -> {
-            if (over && !changed) {
-                found.accept(new Finding(false, Keys.OPEN + id, "the job is open and over", List.of()));
-            }
-        });
+        compare(
+                read,
+                (id, changed, over) -> {
+                    if (over && !changed) {
+                        found.accept(
+                                new Finding(
+                                        false,
+                                        Keys.OPEN + id,
+                                        "the job is open and over",
+                                        List.of()));
+                    }
+                });
     }
 
     // ---- acts -----------------------------------------------------------------------------------
 
-    /** Those that can be read are the holder's: it takes in whatever has come of them, also of earlier ones' acts. */
+    /**
+     * Those that can be read are the holder's: it takes in whatever has come of them, also of
+     * earlier ones' acts.
+     */
     private void act(Entry e) {
         try {
             Intent.read(e);
         } catch (Malformed | ClassCastException bad) {
-            found.accept(new Finding(false, e.key(), "is unreadable: " + bad.getMessage(), List.of()));
+            found.accept(
+                    new Finding(false, e.key(), "is unreadable: " + bad.getMessage(), List.of()));
         }
     }
 
@@ -181,13 +215,17 @@
         /**
          * Told of each job once.
          *
-         * @param open whether its open record has another revision than the one compared with, 0 for none
+         * @param open whether its open record has another revision than the one compared with, 0
+         *     for none
          * @param over whether it has a record as over
          */
         void are(String id, boolean open, boolean over);
     }
 
-    /** Compares both places of each of these jobs, {@code opens}: with which revisions of their open records. */
+    /**
+     * Compares both places of each of these jobs, {@code opens}: with which revisions of their open
+     * records.
+     */
     private void compare(Map<String, Long> opens, Places places) {
         List<String> ids = new ArrayList<>(opens.keySet());
         int most = Math.max(1, conditions / 2);
@@ -201,21 +239,32 @@
     private void compare(Map<String, Long> opens, List<String> ids, Places places, Runnable told) {
         Transaction t = new Transaction();
         ids.forEach(id -> t.when(Keys.OPEN + id, opens.get(id)).when(Keys.OVER + id, 0));
-        store.commit(t, c -> {
-            if (c.outcome() == Outcome.OK || c.outcome() == Outcome.NO && !c.failed().isEmpty()) {
-                Set<String> other = new HashSet<>(c.failed());
-                ids.forEach(id -> places.are(id, other.contains(Keys.OPEN + id), other.contains(Keys.OVER + id)));
-                told.run();
-            } else if (c.outcome() == Outcome.INVALID && ids.size() > 1) {
-                // The store takes fewer conditions by now than anybody said.
-                int half = ids.size() / 2;
-                compare(opens, ids.subList(0, half), places, () ->
-                        compare(opens, ids.subList(half, ids.size()), places, told));
-            } else {
-                steps.addFirst(() -> compare(opens, ids, places, told));
-                failed = true;
-                then.run();
-            }
-        });
+        store.commit(
+                t,
+                c -> {
+                    if (c.outcome() == Outcome.OK
+                            || c.outcome() == Outcome.NO && !c.failed().isEmpty()) {
+                        Set<String> other = new HashSet<>(c.failed());
+                        ids.forEach(
+                                id ->
+                                        places.are(
+                                                id,
+                                                other.contains(Keys.OPEN + id),
+                                                other.contains(Keys.OVER + id)));
+                        told.run();
+                    } else if (c.outcome() == Outcome.INVALID && ids.size() > 1) {
+                        // The store takes fewer conditions by now than anybody said.
+                        int half = ids.size() / 2;
+                        compare(
+                                opens,
+                                ids.subList(0, half),
+                                places,
+                                () -> compare(opens, ids.subList(half, ids.size()), places, told));
+                    } else {
+                        steps.addFirst(() -> compare(opens, ids, places, told));
+                        failed = true;
+                        then.run();
+                    }
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/duty/Carrier.java
+++ b/src/main/java/io/kitepath/core/duty/Carrier.java
@@ -21,11 +21,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out at the cloud what the block's holder has put down, and puts down what came of it. It decides nothing: what
- * is on record is asked for, again and again until the cloud has said yes or no, under the name that is on record.
+ * Carries out at the cloud what the block's holder has put down, and puts down what came of it. It
+ * decides nothing: what is on record is asked for, again and again until the cloud has said yes or
+ * no, under the name that is on record.
  */
 public final class Carrier implements Duties.Work {
     private static final Logger LOG = LoggerFactory.getLogger(Carrier.class);
+
     /** Of the cloud's call rate; lists, types and the other nodes take the rest. */
     private static final double RATE_SHARE = 0.6;
 
@@ -55,7 +57,8 @@
     }
 
     /** {@code lifeS}: of the duty's lease. */
-    public Carrier(Facts facts, Store store, Cloud cloud, Timers timers, Random random, double lifeS) {
+    public Carrier(
+            Facts facts, Store store, Cloud cloud, Timers timers, Random random, double lifeS) {
         this.store = store;
         this.cloud = cloud;
         this.timers = timers;
@@ -94,38 +97,47 @@
     // ---- what is on record ----------------------------------------------------------------------
 
     private void read(long e) {
-        Pages.read(store, timers, Keys.ACT, 3, l -> {
-            if (e != epoch) {
-                return;
-            }
-            if (l.outcome() != Outcome.OK) {
-                timers.after(0.3, () -> read(e));
-                return;
-            }
-            acts.clear();
-            l.entries().forEach(this::found);
-            follow(e, l.revision());
-        });
+        Pages.read(
+                store,
+                timers,
+                Keys.ACT,
+                3,
+                l -> {
+                    if (e != epoch) {
+                        return;
+                    }
+                    if (l.outcome() != Outcome.OK) {
+                        timers.after(0.3, () -> read(e));
+                        return;
+                    }
+                    acts.clear();
+                    l.entries().forEach(this::found);
+                    follow(e, l.revision());
+                });
     }
 
     private void follow(long e, long from) {
         if (e != epoch) {
             return;
         }
-        store.follow(Keys.ACT, from, (long) (lifeS * 2000), c -> {
-            if (e != epoch) {
-                return;
-            }
-            if (c.outcome() == Outcome.OK) {
-                c.events().forEach(this::found);
-                tick(timers.now());
-                follow(e, Math.max(from, c.revision()));
-            } else if (c.outcome() == Outcome.NO) {
-                read(e);
-            } else {
-                timers.after(0.3, () -> follow(e, from));
-            }
-        });
+        store.follow(
+                Keys.ACT,
+                from,
+                (long) (lifeS * 2000),
+                c -> {
+                    if (e != epoch) {
+                        return;
+                    }
+                    if (c.outcome() == Outcome.OK) {
+                        c.events().forEach(this::found);
+                        tick(timers.now());
+                        follow(e, Math.max(from, c.revision()));
+                    } else if (c.outcome() == Outcome.NO) {
+                        read(e);
+                    } else {
+                        timers.after(0.3, () -> follow(e, from));
+                    }
+                });
     }
 
     private void found(Entry x) {
@@ -152,7 +164,10 @@
     public void tick(double now) {
         for (Act a : new ArrayList<>(acts.values())) {
             // Last of all, right before the call: whether the duty is still ours.
-            if (!a.asking && now >= a.notBefore && calls.available(now) >= 1 && held.certain().getAsBoolean()) {
+            if (!a.asking
+                    && now >= a.notBefore
+                    && calls.available(now) >= 1
+                    && held.certain().getAsBoolean()) {
                 calls.take(1, now);
                 ask(a);
             }
@@ -169,13 +184,32 @@
         called++;
         long e = epoch;
         if (a.intent instanceof Rental r) {
-            cloud.rent(r.name, r.kind, r.count, (outcome, machines) ->
-                    answered(e, a, outcome, i -> ((Rental) i).settle(outcome == Outcome.OK ? machines : List.of())));
+            cloud.rent(
+                    r.name,
+                    r.kind,
+                    r.count,
+                    (outcome, machines) ->
+                            answered(
+                                    e,
+                                    a,
+                                    outcome,
+                                    i ->
+                                            ((Rental) i)
+                                                    .settle(
+                                                            outcome == Outcome.OK
+                                                                    ? machines
+                                                                    : List.of())));
         } else {
             Going g = (Going) a.intent;
             // Nothing but the cloud's yes proves that they are gone.
-            cloud.release(g.machines, outcome ->
-                    answered(e, a, outcome == Outcome.OK ? outcome : Outcome.REFUSED, i -> ((Going) i).settle()));
+            cloud.release(
+                    g.machines,
+                    outcome ->
+                            answered(
+                                    e,
+                                    a,
+                                    outcome == Outcome.OK ? outcome : Outcome.REFUSED,
+                                    i -> ((Going) i).settle()));
         }
     }
 
@@ -188,7 +222,10 @@
         if (outcome != Outcome.OK && outcome != Outcome.NO) {
             failed++;
             failingSince = Double.isNaN(failingSince) ? now : failingSince;
-            a.notBefore = now + Math.min(2, 0.1 * (1 << Math.min(5, a.failures++))) * (0.5 + random.nextDouble());
+            a.notBefore =
+                    now
+                            + Math.min(2, 0.1 * (1 << Math.min(5, a.failures++)))
+                                    * (0.5 + random.nextDouble());
             return;
         }
         failingSince = Double.NaN;
@@ -201,22 +238,29 @@
         if (e != epoch) {
             return;
         }
-        Transaction t = new Transaction().when(held.key(), held.revision()).when(a.intent.key, a.intent.revision());
+        Transaction t =
+                new Transaction()
+                        .when(held.key(), held.revision())
+                        .when(a.intent.key, a.intent.revision());
         if (a.intent instanceof Rental r && r.machines().isEmpty()) {
-            t.remove(r.key); // Nothing came of it: the holder sees it gone, and need not write any more.
+            t.remove(r.key); // Nothing came of it: the holder sees it gone, and need not write any
+            // more.
         } else {
             t.put(a.intent.key, a.intent.record());
         }
-        store.commit(t, c -> {
-            if (e != epoch) {
-                return;
-            }
-            switch (c.outcome()) {
-                // Struck off or settled already, also by a try of ours whose answer was lost: the records tell.
-                case NO -> read(++epoch);
-                case OK -> acts.remove(a.intent.key, a);
-                default -> timers.after(0.1 + 0.1 * random.nextDouble(), () -> write(e, a));
-            }
-        });
+        store.commit(
+                t,
+                c -> {
+                    if (e != epoch) {
+                        return;
+                    }
+                    switch (c.outcome()) {
+                        // Struck off or settled already, also by a try of ours whose answer was
+                        // lost: the records tell.
+                        case NO -> read(++epoch);
+                        case OK -> acts.remove(a.intent.key, a);
+                        default -> timers.after(0.1 + 0.1 * random.nextDouble(), () -> write(e, a));
+                    }
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/duty/Duties.java
+++ b/src/main/java/io/kitepath/core/duty/Duties.java
@@ -21,18 +21,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which node has which duty. A node has one lease in the store, on which the keys of all its duties hang; each time that
- * one is taken, the duty's stored token rises. Nodes prefer different duties, so that they are spread; the first in a
- * duty's order takes it at once, the others ever later, and whoever has it keeps it: nothing moves for the order's sake.
+ * Which node has which duty. A node has one lease in the store, on which the keys of all its duties
+ * hang; each time that one is taken, the duty's stored token rises. Nodes prefer different duties,
+ * so that they are spread; the first in a duty's order takes it at once, the others ever later, and
+ * whoever has it keeps it: nothing moves for the order's sake.
  *
- * <p>Holding is proven by this node's own clock ({@link #holds}), from the moment at which the last renewal was asked
- * for: a process that stood still finds out before it acts. What it sent before still arrives; that is harmless, since
- * its writes depend on the revision of a key that is gone, and what it asked of the cloud is on record for its successor.
+ * <p>Holding is proven by this node's own clock ({@link #holds}), from the moment at which the last
+ * renewal was asked for: a process that stood still finds out before it acts. What it sent before
+ * still arrives; that is harmless, since its writes depend on the revision of a key that is gone,
+ * and what it asked of the cloud is on record for its successor.
  */
 public final class Duties {
     private static final Logger LOG = LoggerFactory.getLogger(Duties.class);
+
     /** Steady clocks of two machines drift apart by up to half of that. */
     private static final double DRIFT = 0.001;
+
     private static final double TICK_S = 0.25;
 
     /** What a duty does while it is held here. */
@@ -49,7 +53,10 @@
         /** Called again and again while it is held for certain. */
         void tick(double now);
 
-        /** Whether this node can do it. One that can't gives it away, and leaves it to others for a while. */
+        /**
+         * Whether this node can do it. One that can't gives it away, and leaves it to others for a
+         * while.
+         */
         boolean fit(double now);
     }
 
@@ -71,8 +78,10 @@
         private double since;
         private boolean mine;
         private boolean claiming;
+
         /** Until when it is left to others. */
         private double unfitUntil;
+
         private int givenAway;
         private long handOvers;
 
@@ -98,7 +107,10 @@
             return mine;
         }
 
-        /** For people: the duty, who has it, with which token, and how often it was seen to change hands. */
+        /**
+         * For people: the duty, who has it, with which token, and how often it was seen to change
+         * hands.
+         */
         public Map<String, Object> shown() {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("duty", name());
@@ -130,7 +142,13 @@
     private long fenced;
 
     /** {@code lifeS}: of the lease, in seconds. */
-    public Duties(Facts facts, Store store, Timers timers, Random random, Incarnation incarnation, double lifeS,
+    public Duties(
+            Facts facts,
+            Store store,
+            Timers timers,
+            Random random,
+            Incarnation incarnation,
+            double lifeS,
             List<Work> works) {
         this.facts = facts;
         this.store = store;
@@ -179,34 +197,42 @@
     // ---- who has what ---------------------------------------------------------------------------
 
     /**
-     * Reads all keys and follows them from there. Only the last look counts: one that was asked for earlier and comes
-     * later tells what was, and each would follow on, until no connection is left for other watches.
+     * Reads all keys and follows them from there. Only the last look counts: one that was asked for
+     * earlier and comes later tells what was, and each would follow on, until no connection is left
+     * for other watches.
      */
     private void look() {
         long mine = ++looks;
         if (retired) {
             return;
         }
-        Pages.read(store, timers, Keys.DUTY, 3, l -> {
-            if (mine != looks) {
-                return;
-            }
-            if (l.outcome() != Outcome.OK) {
-                lookLater();
-                return;
-            }
-            Map<String, Entry> there = new LinkedHashMap<>();
-            l.entries().forEach(e -> there.put(e.key(), e));
-            seats.values().forEach(s -> {
-                Entry e = there.get(s.key);
-                if (e == null) {
-                    absent(s, l.revision());
-                } else {
-                    heard(s, e);
-                }
-            });
-            follow(mine, l.revision());
-        });
+        Pages.read(
+                store,
+                timers,
+                Keys.DUTY,
+                3,
+                l -> {
+                    if (mine != looks) {
+                        return;
+                    }
+                    if (l.outcome() != Outcome.OK) {
+                        lookLater();
+                        return;
+                    }
+                    Map<String, Entry> there = new LinkedHashMap<>();
+                    l.entries().forEach(e -> there.put(e.key(), e));
+                    seats.values()
+                            .forEach(
+                                    s -> {
+                                        Entry e = there.get(s.key);
+                                        if (e == null) {
+                                            absent(s, l.revision());
+                                        } else {
+                                            heard(s, e);
+                                        }
+                                    });
+                    follow(mine, l.revision());
+                });
     }
 
     private void lookLater() {
@@ -214,29 +240,34 @@
     }
 
     private void follow(long mine, long from) {
-        store.follow(Keys.DUTY, from, (long) (lifeS * 2000), c -> {
-            if (mine != looks || retired) {
-                return;
-            }
-            if (c.outcome() != Outcome.OK) {
-                lookLater();
-                return;
-            }
-            for (Entry e : c.events()) {
-                Seat s = seats.get(e.key());
-                if (s != null && e.value() == null) {
-                    absent(s, e.revision());
-                } else if (s != null) {
-                    heard(s, e);
-                }
-            }
-            if (c.events().isEmpty()) {
-                // Nothing said for long: what is not heard of may have been missed in an outage.
-                look();
-            } else {
-                follow(mine, Math.max(from, c.revision()));
-            }
-        });
+        store.follow(
+                Keys.DUTY,
+                from,
+                (long) (lifeS * 2000),
+                c -> {
+                    if (mine != looks || retired) {
+                        return;
+                    }
+                    if (c.outcome() != Outcome.OK) {
+                        lookLater();
+                        return;
+                    }
+                    for (Entry e : c.events()) {
+                        Seat s = seats.get(e.key());
+                        if (s != null && e.value() == null) {
+                            absent(s, e.revision());
+                        } else if (s != null) {
+                            heard(s, e);
+                        }
+                    }
+                    if (c.events().isEmpty()) {
+                        // Nothing said for long: what is not heard of may have been missed in an
+                        // outage.
+                        look();
+                    } else {
+                        follow(mine, Math.max(from, c.revision()));
+                    }
+                });
     }
 
     /** The key was not there at that revision. */
@@ -260,7 +291,9 @@
             Tree t = Tree.of(e.value());
             String node = t.text("node");
             long token = t.count("token");
-            if (lease != 0 && t.textOr("life", "").equals(incarnation.life()) && t.count("lease") == lease) {
+            if (lease != 0
+                    && t.textOr("life", "").equals(incarnation.life())
+                    && t.count("lease") == lease) {
                 // Ours, though we heard no answer when we took it.
                 won(s, e.revision(), token);
                 return;
@@ -305,13 +338,15 @@
         }
         s.claiming = true;
         double unfit = Math.max(0, s.unfitUntil - timers.now());
-        timers.after(place(s) * lifeS / 16 + unfit + random.nextDouble() * 0.05, () -> {
-            if (s.holder != null || s.mine || retired) {
-                s.claiming = false;
-                return;
-            }
-            withLease(() -> claim(s), () -> s.claiming = false);
-        });
+        timers.after(
+                place(s) * lifeS / 16 + unfit + random.nextDouble() * 0.05,
+                () -> {
+                    if (s.holder != null || s.mine || retired) {
+                        s.claiming = false;
+                        return;
+                    }
+                    withLease(() -> claim(s), () -> s.claiming = false);
+                });
     }
 
     private void withLease(Runnable then, Runnable orElse) {
@@ -325,47 +360,65 @@
         }
         granting = true;
         double asked = timers.now();
-        store.grant((long) (lifeS * 1000), (outcome, id) -> {
-            granting = false;
-            if (outcome == Outcome.OK) {
-                lease = id;
-                renewedAt = asked;
-                renewLater(id);
-                then.run();
-            } else {
-                orElse.run();
-                lookLater();
-            }
-        });
+        store.grant(
+                (long) (lifeS * 1000),
+                (outcome, id) -> {
+                    granting = false;
+                    if (outcome == Outcome.OK) {
+                        lease = id;
+                        renewedAt = asked;
+                        renewLater(id);
+                        then.run();
+                    } else {
+                        orElse.run();
+                        lookLater();
+                    }
+                });
     }
 
     private void claim(Seat s) {
         String tokenKey = Keys.DUTY_TOKEN + s.name();
-        store.get(tokenKey, (got, entry) -> {
-            if (got != Outcome.OK && got != Outcome.NO || s.holder != null || lease == 0) {
-                s.claiming = false;
-                lookLater();
-                return;
-            }
-            long on = lease;
-            long next = Math.max(s.token, got == Outcome.OK ? Tree.of(entry.value()).count("token") : 0) + 1;
-            Map<String, Object> key = new LinkedHashMap<>();
-            key.put("node", facts.node());
-            key.put("token", next);
-            key.put("lease", lease);
-            key.put("since", incarnation.sinceMs());
-            key.put("life", incarnation.life());
-            store.commit(new Transaction().when(s.key, 0).when(tokenKey, got == Outcome.OK ? entry.revision() : 0)
-                    .put(s.key, key, on).put(tokenKey, Map.of("token", next)), c -> {
-                s.claiming = false;
-                if (c.outcome() == Outcome.OK && lease == on && c.revision() >= s.revision) {
-                    won(s, c.revision(), next);
-                } else {
-                    // Whoever has it, this node too if the answer was lost, is heard of.
-                    timers.after(random.nextDouble() * 0.1, this::look);
-                }
-            });
-        });
+        store.get(
+                tokenKey,
+                (got, entry) -> {
+                    if (got != Outcome.OK && got != Outcome.NO || s.holder != null || lease == 0) {
+                        s.claiming = false;
+                        lookLater();
+                        return;
+                    }
+                    long on = lease;
+                    long next =
+                            Math.max(
+                                            s.token,
+                                            got == Outcome.OK
+                                                    ? Tree.of(entry.value()).count("token")
+                                                    : 0)
+                                    + 1;
+                    Map<String, Object> key = new LinkedHashMap<>();
+                    key.put("node", facts.node());
+                    key.put("token", next);
+                    key.put("lease", lease);
+                    key.put("since", incarnation.sinceMs());
+                    key.put("life", incarnation.life());
+                    store.commit(
+                            new Transaction()
+                                    .when(s.key, 0)
+                                    .when(tokenKey, got == Outcome.OK ? entry.revision() : 0)
+                                    .put(s.key, key, on)
+                                    .put(tokenKey, Map.of("token", next)),
+                            c -> {
+                                s.claiming = false;
+                                if (c.outcome() == Outcome.OK
+                                        && lease == on
+                                        && c.revision() >= s.revision) {
+                                    won(s, c.revision(), next);
+                                } else {
+                                    // Whoever has it, this node too if the answer was lost, is
+                                    // heard of.
+                                    timers.after(random.nextDouble() * 0.1, this::look);
+                                }
+                            });
+                });
     }
 
     private void won(Seat s, long revision, long token) {
@@ -387,34 +440,41 @@
         if (s.mine) {
             s.mine = false;
             s.holder = null;
-            LOG.info("duty {} is not done here any more, after {} s: {}", s.name(), Math.round(timers.now() - s.since),
+            LOG.info(
+                    "duty {} is not done here any more, after {} s: {}",
+                    s.name(),
+                    Math.round(timers.now() - s.since),
                     why);
             s.work.end();
         }
     }
 
     private void renewLater(long id) {
-        timers.after(lifeS / 5, () -> {
-            if (lease != id) {
-                return;
-            }
-            double asked = timers.now();
-            store.renew(id, outcome -> {
-                if (lease != id) {
-                    return;
-                }
-                if (outcome == Outcome.NO) {
-                    lease = 0;
-                    lose("the lease ended");
-                    look();
-                    return;
-                }
-                if (outcome == Outcome.OK) {
-                    renewedAt = asked;
-                }
-                renewLater(id);
-            });
-        });
+        timers.after(
+                lifeS / 5,
+                () -> {
+                    if (lease != id) {
+                        return;
+                    }
+                    double asked = timers.now();
+                    store.renew(
+                            id,
+                            outcome -> {
+                                if (lease != id) {
+                                    return;
+                                }
+                                if (outcome == Outcome.NO) {
+                                    lease = 0;
+                                    lose("the lease ended");
+                                    look();
+                                    return;
+                                }
+                                if (outcome == Outcome.OK) {
+                                    renewedAt = asked;
+                                }
+                                renewLater(id);
+                            });
+                });
     }
 
     // ---- doing ----------------------------------------------------------------------------------
@@ -436,13 +496,14 @@
     }
 
     /**
-     * Guards against a duty that nobody does because its holder is the one node that the cloud does not answer. Each time
-     * that it proves unfit it leaves the duty to others for longer, so that it does not go round in an outage of all.
+     * Guards against a duty that nobody does because its holder is the one node that the cloud does
+     * not answer. Each time that it proves unfit it leaves the duty to others for longer, so that
+     * it does not go round in an outage of all.
      */
     private void giveAway(Seat s, double now) {
         s.unfitUntil = now + lifeS * 5 * (1 << Math.min(5, s.givenAway++));
         long at = s.revision;
         lose(s, "it can't be done from here");
-        store.commit(new Transaction().when(s.key, at).remove(s.key), c -> { });
+        store.commit(new Transaction().when(s.key, at).remove(s.key), c -> {});
     }
 }
--- a/src/main/java/io/kitepath/core/duty/Going.java
+++ b/src/main/java/io/kitepath/core/duty/Going.java
@@ -9,12 +9,14 @@
 import java.util.Map;
 
 /**
- * Machines that are given back in one request. From the moment that it is on record nobody places anything on them,
- * neither its holder nor any that follows: the request may have been sent, and may run minutes late.
+ * Machines that are given back in one request. From the moment that it is on record nobody places
+ * anything on them, neither its holder nor any that follows: the request may have been sent, and
+ * may run minutes late.
  */
 public final class Going extends Intent {
     public final List<String> machines;
     private final long token;
+
     /** The cloud has confirmed that they are gone. */
     private boolean gone;
 
@@ -27,11 +29,15 @@
     /** Reads a record; throws {@link Malformed} if it is none. */
     static Going read(Entry e) {
         Tree t = Tree.of(e.value());
-        if (!(t.raw("machines") instanceof List<?> l) || !l.stream().allMatch(String.class::isInstance)) {
+        if (!(t.raw("machines") instanceof List<?> l)
+                || !l.stream().allMatch(String.class::isInstance)) {
             throw new Malformed("machines: must be a list of names");
         }
-        Going g = new Going(e.key().substring(Keys.GOING.length()), l.stream().map(String.class::cast).toList(),
-                t.count("token"));
+        Going g =
+                new Going(
+                        e.key().substring(Keys.GOING.length()),
+                        l.stream().map(String.class::cast).toList(),
+                        t.count("token"));
         g.gone = t.has("gone");
         g.recorded(e.revision());
         return g;
--- a/src/main/java/io/kitepath/core/duty/Intent.java
+++ b/src/main/java/io/kitepath/core/duty/Intent.java
@@ -5,9 +5,13 @@
 import io.kitepath.core.state.Keys;
 import java.util.Map;
 
-/** An act outside the store that is on record before it is done, and until whoever wanted it knows what came of it. */
+/**
+ * An act outside the store that is on record before it is done, and until whoever wanted it knows
+ * what came of it.
+ */
 public abstract class Intent {
     final String key;
+
     /** Of its record; 0 while there is none. */
     private long revision;
 
--- a/src/main/java/io/kitepath/core/duty/Intents.java
+++ b/src/main/java/io/kitepath/core/duty/Intents.java
@@ -3,8 +3,8 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Malformed;
 import io.kitepath.core.model.MachineKind;
+import io.kitepath.core.model.Malformed;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
@@ -21,34 +21,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the block's holder wants of the cloud. The cloud knows no tokens: a request of a node that was replaced may run
- * minutes after its successor acted. So every wish is on record first, under the block's revision; whoever has the duty
- * ({@link Carrier}) asks for what is on record and puts down what came of it; and the holder, this one or the next,
- * strikes it off when it need not be known any more:
+ * What the block's holder wants of the cloud. The cloud knows no tokens: a request of a node that
+ * was replaced may run minutes after its successor acted. So every wish is on record first, under
+ * the block's revision; whoever has the duty ({@link Carrier}) asks for what is on record and puts
+ * down what came of it; and the holder, this one or the next, strikes it off when it need not be
+ * known any more:
+ *
  * <ul>
- *   <li>a rental whose outcome is not known is asked for again under the very same name, for which the cloud rents
- *   nothing twice, and nothing else is rented before it is settled;
- *   <li>a rental whose machines may not be on the cloud's list yet says which they are, so that nothing is rented again
- *   for a need that they meet;
- *   <li>a machine that goes takes no work from anybody, until the cloud has confirmed that it is gone.
+ *   <li>a rental whose outcome is not known is asked for again under the very same name, for which
+ *       the cloud rents nothing twice, and nothing else is rented before it is settled;
+ *   <li>a rental whose machines may not be on the cloud's list yet says which they are, so that
+ *       nothing is rented again for a need that they meet;
+ *   <li>a machine that goes takes no work from anybody, until the cloud has confirmed that it is
+ *       gone.
  * </ul>
  */
 public final class Intents {
     private static final Logger LOG = LoggerFactory.getLogger(Intents.class);
+
     /** Machines in one request. */
     private static final int MOST_RENTED = 50;
+
     private static final int MOST_RETURNED = 100;
 
     private final Block block;
     private final Facts facts;
     private final Timers timers;
     private final Consumer<Keeper.Rider> ride;
-    private Consumer<Rental> rented = r -> { };
-    private Consumer<List<String>> gone = m -> { };
+    private Consumer<Rental> rented = r -> {};
+    private Consumer<List<String>> gone = m -> {};
     private final Map<String, Rental> rentals = new LinkedHashMap<>();
     private final Map<String, Going> goings = new LinkedHashMap<>();
+
     /** Machines of the goings. */
     private final Set<String> going = new HashSet<>();
+
     private String names = "";
     private int named;
     private long asked;
@@ -62,7 +69,10 @@
         this.ride = ride;
     }
 
-    /** This node holds the machines now; the store never gives out that lease's id again, hence no name twice. */
+    /**
+     * This node holds the machines now; the store never gives out that lease's id again, hence no
+     * name twice.
+     */
     public void hold(long lease) {
         names = lease + "-";
         named = 0;
@@ -97,8 +107,12 @@
         }
         takenOver += rentals.size() + goings.size();
         if (!rentals.isEmpty() || !goings.isEmpty()) {
-            LOG.info("takes over {} rentals, {} of them not settled, and {} returns of {} machines", rentals.size(),
-                    unsettled().size(), goings.size(), going.size());
+            LOG.info(
+                    "takes over {} rentals, {} of them not settled, and {} returns of {} machines",
+                    rentals.size(),
+                    unsettled().size(),
+                    goings.size(),
+                    going.size());
         }
         goings().stream().filter(Going::settled).forEach(this::confirmed);
     }
@@ -119,9 +133,9 @@
     }
 
     /**
-     * A record has changed: what this node wrote itself says nothing new, what came of it does. That may be heard of
-     * before the answer to the write that put it down, or when that write was done once more after nobody had heard its
-     * answer; so it is taken in whatever the books say.
+     * A record has changed: what this node wrote itself says nothing new, what came of it does.
+     * That may be heard of before the answer to the write that put it down, or when that write was
+     * done once more after nobody had heard its answer; so it is taken in whatever the books say.
      */
     public void changed(Entry e) {
         if (e.value() == null) {
@@ -153,8 +167,13 @@
 
     /** Puts down that so many machines, or as many as one request may ask for, are to be rented. */
     public void rent(MachineKind kind, int count) {
-        Rental r = new Rental("r-" + names + ++named, kind, Math.min(MOST_RENTED, count), block.token(),
-                timers.wallMs());
+        Rental r =
+                new Rental(
+                        "r-" + names + ++named,
+                        kind,
+                        Math.min(MOST_RENTED, count),
+                        block.token(),
+                        timers.wallMs());
         rentals.put(r.key, r);
         asked++;
         write(r, rentals);
@@ -166,18 +185,23 @@
     }
 
     /**
-     * A list of the cloud has been read: rentals whose machines every list shows need no record. That they have reported
-     * here does not do: their workers told this holder, and its successor would know of them neither from a report nor
-     * from a list, and rent again. Lists lag by up to twice what the settings say, and may be older than the one before.
+     * A list of the cloud has been read: rentals whose machines every list shows need no record.
+     * That they have reported here does not do: their workers told this holder, and its successor
+     * would know of them neither from a report nor from a list, and rent again. Lists lag by up to
+     * twice what the settings say, and may be older than the one before.
      */
     public void listed() {
         double wallMs = timers.wallMs();
         double lagMs = 1000 * facts.cloud().listLagS();
         for (Rental r : new ArrayList<>(rentals.values())) {
             double age = wallMs - r.askedMs();
-            // Guards against a record kept for ever because a machine went before any list showed it.
+            // Guards against a record kept for ever because a machine went before any list showed
+            // it.
             boolean old = age > 8 * lagMs;
-            if (r.settled() && r.recorded() && age > 2.5 * lagMs && (old || r.machines().stream().allMatch(this::seen))) {
+            if (r.settled()
+                    && r.recorded()
+                    && age > 2.5 * lagMs
+                    && (old || r.machines().stream().allMatch(this::seen))) {
                 drop(r, rentals);
             }
         }
@@ -232,48 +256,50 @@
     // ---- writing --------------------------------------------------------------------------------
 
     private <T extends Intent> void write(T intent, Map<String, T> books) {
-        ride.accept(new Keeper.Rider() {
-            @Override
-            public boolean wanted() {
-                return books.get(intent.key) == intent;
-            }
-
-            @Override
-            public void board(Transaction t) {
-                t.when(intent.key, intent.revision()).put(intent.key, intent.record());
-            }
-
-            @Override
-            public void written(long revision) {
-                // Unless what came of it has been heard of already.
-                intent.recorded(Math.max(intent.revision(), revision));
-            }
-        });
+        ride.accept(
+                new Keeper.Rider() {
+                    @Override
+                    public boolean wanted() {
+                        return books.get(intent.key) == intent;
+                    }
+
+                    @Override
+                    public void board(Transaction t) {
+                        t.when(intent.key, intent.revision()).put(intent.key, intent.record());
+                    }
+
+                    @Override
+                    public void written(long revision) {
+                        // Unless what came of it has been heard of already.
+                        intent.recorded(Math.max(intent.revision(), revision));
+                    }
+                });
     }
 
     private <T extends Intent> void drop(T intent, Map<String, T> books) {
         books.remove(intent.key, intent);
-        ride.accept(new Keeper.Rider() {
-            @Override
-            public boolean urgent() {
-                return false;
-            }
-
-            @Override
-            public boolean wanted() {
-                return intent.recorded();
-            }
-
-            @Override
-            public void board(Transaction t) {
-                t.when(intent.key, intent.revision()).remove(intent.key);
-            }
-
-            @Override
-            public void written(long revision) {
-                intent.recorded(0);
-            }
-        });
+        ride.accept(
+                new Keeper.Rider() {
+                    @Override
+                    public boolean urgent() {
+                        return false;
+                    }
+
+                    @Override
+                    public boolean wanted() {
+                        return intent.recorded();
+                    }
+
+                    @Override
+                    public void board(Transaction t) {
+                        t.when(intent.key, intent.revision()).remove(intent.key);
+                    }
+
+                    @Override
+                    public void written(long revision) {
+                        intent.recorded(0);
+                    }
+                });
     }
 
     // ---- for operators --------------------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/duty/Rental.java
+++ b/src/main/java/io/kitepath/core/duty/Rental.java
@@ -13,10 +13,12 @@
 public final class Rental extends Intent {
     /** The name of the request, which is never used for anything else. */
     public final String name;
+
     public final MachineKind kind;
     public final int count;
     private final long token;
     private final double askedMs;
+
     /** The machines that came of it; null until that is known. */
     private List<String> machines;
 
@@ -32,9 +34,13 @@
     /** Reads a record; throws {@link io.kitepath.core.model.Malformed} if it is none. */
     static Rental read(Entry e) {
         Tree t = Tree.of(e.value());
-        Rental r = new Rental(e.key().substring(Keys.RENT.length()),
-                new MachineKind(t.text("type"), t.text("zone"), t.flag("spot")), (int) t.integer("count", 1, 1000),
-                t.count("token"), t.number("askedMs", 0));
+        Rental r =
+                new Rental(
+                        e.key().substring(Keys.RENT.length()),
+                        new MachineKind(t.text("type"), t.text("zone"), t.flag("spot")),
+                        (int) t.integer("count", 1, 1000),
+                        t.count("token"),
+                        t.number("askedMs", 0));
         if (t.raw("machines") instanceof List<?> l) {
             r.machines = new ArrayList<>(l.stream().map(String.class::cast).toList());
         }
--- a/src/main/java/io/kitepath/core/duty/Sweep.java
+++ b/src/main/java/io/kitepath/core/duty/Sweep.java
@@ -11,16 +11,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The duty to clean up the state: looks through the records now and then, removes what nothing refers to any more, and
- * says what should not be. Each removal depends on the duty, on the record's revision and on what made it rubbish, so
- * that a job which is just being accepted keeps its parts, and a sweep that ends anywhere has done no harm.
+ * The duty to clean up the state: looks through the records now and then, removes what nothing
+ * refers to any more, and says what should not be. Each removal depends on the duty, on the
+ * record's revision and on what made it rubbish, so that a job which is just being accepted keeps
+ * its parts, and a sweep that ends anywhere has done no harm.
  */
 public final class Sweep implements Duties.Work {
     private static final Logger LOG = LoggerFactory.getLogger(Sweep.class);
+
     /** Between two looks, in workers' leases. */
     private static final double PAUSE_LEASES = 10;
+
     /** Of the store's request and change rates. */
     private static final double RATE_SHARE = 0.01;
+
     /** What waits to be removed; what is found beyond that is found again by the next look. */
     private static final int MOST = 1000;
 
@@ -69,7 +73,10 @@
         return true; // Whoever holds a lease of the store reaches all that it takes.
     }
 
-    /** Looks that were finished; records removed; findings of the last look that a person has to look at. */
+    /**
+     * Looks that were finished; records removed; findings of the last look that a person has to
+     * look at.
+     */
     public long looks() {
         return looks;
     }
@@ -99,20 +106,24 @@
         }
         busy = true;
         long e = epoch;
-        audit.step(() -> {
-            if (e != epoch) {
-                return;
-            }
-            busy = false;
-            if (audit.done()) {
-                strange = strangeNow;
-                looks++;
-                LOG.debug("cleanup: looked at {} records, {} are rubbish, {} should not be", audit.seen(),
-                        rubbish.size(), strange);
-                audit = null;
-                nextAt = timers.now() + PAUSE_LEASES * facts.workers().leaseS();
-            }
-        });
+        audit.step(
+                () -> {
+                    if (e != epoch) {
+                        return;
+                    }
+                    busy = false;
+                    if (audit.done()) {
+                        strange = strangeNow;
+                        looks++;
+                        LOG.debug(
+                                "cleanup: looked at {} records, {} are rubbish, {} should not be",
+                                audit.seen(),
+                                rubbish.size(),
+                                strange);
+                        audit = null;
+                        nextAt = timers.now() + PAUSE_LEASES * facts.workers().leaseS();
+                    }
+                });
     }
 
     private void found(Audit.Finding f) {
@@ -129,17 +140,21 @@
         long e = epoch;
         Transaction t = new Transaction().when(held.key(), held.revision());
         f.conditions().forEach(c -> t.when(c.key(), c.revision()));
-        store.commit(t.remove(f.key()), c -> {
-            if (e != epoch) {
-                return;
-            }
-            busy = false;
-            if (c.outcome() == Outcome.OK) {
-                removed++;
-                LOG.info("removed {}: {}", f.key(), f.why());
-            } else if (c.outcome() != Outcome.NO) {
-                rubbish.addFirst(f); // The same removal once more: its conditions let only one of the two through.
-            }
-        });
+        store.commit(
+                t.remove(f.key()),
+                c -> {
+                    if (e != epoch) {
+                        return;
+                    }
+                    busy = false;
+                    if (c.outcome() == Outcome.OK) {
+                        removed++;
+                        LOG.info("removed {}: {}", f.key(), f.why());
+                    } else if (c.outcome() != Outcome.NO) {
+                        rubbish.addFirst(
+                                f); // The same removal once more: its conditions let only one of
+                        // the two through.
+                    }
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/fleet/Fleet.java
+++ b/src/main/java/io/kitepath/core/fleet/Fleet.java
@@ -34,8 +34,10 @@
     private final Market market;
     private final Presence presence;
     private final Returns returns;
+
     /** CPUs of what is up or coming. */
     private double usableCpus;
+
     /** CPU seconds of waiting work that may use spot machines. */
     private double spotBacklog;
 
@@ -95,8 +97,8 @@
     }
 
     /**
-     * The room of all machines that are up or coming: as it will be by the time a new machine could be up, or, for a
-     * job that may come at any moment, as it is now with lesser work stopped.
+     * The room of all machines that are up or coming: as it will be by the time a new machine could
+     * be up, or, for a job that may come at any moment, as it is now with lesser work stopped.
      */
     private List<Room> rooms(double now, JobSpec forNow) {
         List<Room> rooms = new ArrayList<>();
@@ -107,9 +109,11 @@
             }
             Room r = new Room(t, m.kind(), m);
             for (Attempt a : m.attempts()) {
-                if (!a.unwanted() && (forNow == null
-                        ? a.remainingS(now) > t.bootS()
-                        : a.job.spec.gang() || a.job.priority().compareTo(forNow.priority()) <= 0)) {
+                if (!a.unwanted()
+                        && (forNow == null
+                                ? a.remainingS(now) > t.bootS()
+                                : a.job.spec.gang()
+                                        || a.job.priority().compareTo(forNow.priority()) <= 0)) {
                     r.then.less(a.job.spec, 1);
                 }
                 if (!a.unwanted()) {
@@ -122,25 +126,36 @@
     }
 
     /**
-     * Classes that are expected to start sooner than a machine boots need room that is there already: enough for
-     * all but the largest of the gangs that came lately, by the share that the objective names.
+     * Classes that are expected to start sooner than a machine boots need room that is there
+     * already: enough for all but the largest of the gangs that came lately, by the share that the
+     * objective names.
      */
-    private Set<Machine> reserve(List<Job> queue, Map<MachineKind, Integer> rent, double now, double wallMs) {
+    private Set<Machine> reserve(
+            List<Job> queue, Map<MachineKind, Integer> rent, double now, double wallMs) {
         Set<Machine> kept = new HashSet<>();
-        double boot = block.types().values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
+        double boot =
+                block.types().values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
         for (Facts.Objective o : facts.objectives()) {
-            boolean wait = o.kind().equals("wait") && o.withinS() < boot
-                    && queue.stream().noneMatch(j -> j.spec.jobClass().equals(o.jobClass()));
-            JobSpec typical = wait || o.kind().equals("deadline")
-                    ? block.lately().typical(o.jobClass(), o.share(), wallMs, boot) : null;
+            boolean wait =
+                    o.kind().equals("wait")
+                            && o.withinS() < boot
+                            && queue.stream()
+                                    .noneMatch(j -> j.spec.jobClass().equals(o.jobClass()));
+            JobSpec typical =
+                    wait || o.kind().equals("deadline")
+                            ? block.lately().typical(o.jobClass(), o.share(), wallMs, boot)
+                            : null;
             if (typical == null) {
                 continue;
             }
             int atOnce = typical.tasks();
             if (typical.shape() == JobSpec.Shape.ARRAY && typical.deadlineS() != null) {
-                double rounds = Math.max(1, typical.deadlineS() / 2 / Math.max(1, typical.estimateS()));
+                double rounds =
+                        Math.max(1, typical.deadlineS() / 2 / Math.max(1, typical.estimateS()));
                 // As many come within a boot time as usual, give or take the square root of it.
-                double spread = Math.sqrt(Math.max(1, boot * block.lately().jobsPerS(o.jobClass(), wallMs)));
+                double spread =
+                        Math.sqrt(
+                                Math.max(1, boot * block.lately().jobsPerS(o.jobClass(), wallMs)));
                 atOnce = (int) Math.ceil(spread * typical.tasks() / rounds);
             }
             List<Room> rooms = rooms(now, typical);
@@ -162,10 +177,15 @@
     }
 
     /**
-     * Adds machines for that many tasks to what is to be rented, of the cheapest kinds; stops at one that is not
-     * worth it. Returns the new machines' rooms, with the tasks in them.
+     * Adds machines for that many tasks to what is to be rented, of the cheapest kinds; stops at
+     * one that is not worth it. Returns the new machines' rooms, with the tasks in them.
      */
-    private List<Room> rentFor(JobSpec s, int tasks, ZoneBounds zones, Map<MachineKind, Integer> rent, double now,
+    private List<Room> rentFor(
+            JobSpec s,
+            int tasks,
+            ZoneBounds zones,
+            Map<MachineKind, Integer> rent,
+            double now,
             Predicate<MachineKind> worth) {
         List<Room> rented = new ArrayList<>();
         int left = tasks;
@@ -196,7 +216,9 @@
         return idle() ? 0 : facts.teams().values().stream().mapToDouble(Facts.Team::cpus).sum();
     }
 
-    /** What teams are guaranteed must not wait for a boot: all guarantees together are kept rented. */
+    /**
+     * What teams are guaranteed must not wait for a boot: all guarantees together are kept rented.
+     */
     private void floor(Map<MachineKind, Integer> rent, double now) {
         double missing = guaranteedCpus() - usableCpus;
         for (Map.Entry<MachineKind, Integer> e : rent.entrySet()) {
@@ -212,7 +234,8 @@
         }
     }
 
-    private void want(Job job, List<Room> rooms, Map<MachineKind, Integer> rent, double now, double wallMs) {
+    private void want(
+            Job job, List<Room> rooms, Map<MachineKind, Integer> rent, double now, double wallMs) {
         if (block.failures().mistaken(job, now)) {
             return; // It is tried in what is free anyway.
         }
@@ -221,13 +244,15 @@
         if (s.gang()) {
             waiting = waiting == s.tasks() ? waiting : 0;
         } else if (s.shape() == JobSpec.Shape.ARRAY) {
-            // Not a place for every task at once: as many as finish the job in good time, one after the other.
+            // Not a place for every task at once: as many as finish the job in good time, one after
+            // the other.
             double aim = facts.finishWithinS(s.jobClass(), 10 * facts.workers().leaseS()) / 2.5;
             if (job.hasDeadline()) {
                 aim = (job.dueMs() - wallMs) / 1000;
             }
             double each = Math.max(1, s.estimateS());
-            double places = Math.ceil((job.waiting() + job.live().size()) * each / Math.max(each, aim));
+            double places =
+                    Math.ceil((job.waiting() + job.live().size()) * each / Math.max(each, aim));
             waiting = (int) Math.max(0, Math.min(waiting, places - job.live().size()));
         }
         if (waiting == 0) {
@@ -235,10 +260,13 @@
         }
         ZoneBounds zones = ZoneBounds.of(job);
         decide(zones, s, waiting, rooms, now);
-        // Guards against work that could run on spot machines filling ordinary ones for good, at several times the
-        // price: it may use what is free there, but spot machines are rented for it as if it could not.
+        // Guards against work that could run on spot machines filling ordinary ones for good, at
+        // several times the
+        // price: it may use what is free there, but spot machines are rented for it as if it could
+        // not.
         boolean spotOnly = s.spot() && market.spotToBeHad(s, now);
-        // Room that frees within a boot time is as good as a new machine, but not for a job that has to start sooner
+        // Room that frees within a boot time is as good as a new machine, but not for a job that
+        // has to start sooner
         // to meet its deadline: such work needs the room that is free now, or more of it.
         boolean atOnce = job.hasDeadline();
         for (Room r : rooms) {
@@ -246,23 +274,35 @@
                 break;
             }
             int most = zones.left(r.kind.zone());
-            if (most > 0 && r.holds(s, atOnce) && Market.allowed(r.kind, s, s.zone()) && (r.kind.spot() || !spotOnly)) {
+            if (most > 0
+                    && r.holds(s, atOnce)
+                    && Market.allowed(r.kind, s, s.zone())
+                    && (r.kind.spot() || !spotOnly)) {
                 int n = r.take(s, Math.min(waiting, most), atOnce);
                 zones.add(r.kind.zone(), n);
                 waiting -= n;
             }
         }
-        rooms.addAll(rentFor(s, waiting, zones, rent, now, k -> !s.spot() || k.spot() || !inTime(job, wallMs)));
+        rooms.addAll(
+                rentFor(
+                        s,
+                        waiting,
+                        zones,
+                        rent,
+                        now,
+                        k -> !s.spot() || k.spot() || !inTime(job, wallMs)));
     }
 
     /**
-     * Whether the job will be done when it should be even if it only gets its turn on what is rented. Guards against
-     * ordinary machines rented at several times the price because spot ones have run out for the moment.
+     * Whether the job will be done when it should be even if it only gets its turn on what is
+     * rented. Guards against ordinary machines rented at several times the price because spot ones
+     * have run out for the moment.
      */
     private boolean inTime(Job job, double wallMs) {
         int goal = job.goals() - 1;
         if (job.hasDeadline()) {
-            // A deadline is missed long before a machine is up, by this job and by those that come like it meanwhile.
+            // A deadline is missed long before a machine is up, by this job and by those that come
+            // like it meanwhile.
             goal = 0;
             while (goal < job.goals() - 1 && job.goalMs(goal) < wallMs) {
                 goal++;
@@ -273,8 +313,9 @@
     }
 
     /**
-     * For a job that must stay in one zone and is in none yet: that where it could use most of what is there or coming.
-     * A gang needs a zone that holds all of it, or where what it lacks may be had.
+     * For a job that must stay in one zone and is in none yet: that where it could use most of what
+     * is there or coming. A gang needs a zone that holds all of it, or where what it lacks may be
+     * had.
      */
     private void decide(ZoneBounds zones, JobSpec s, int tasks, List<Room> rooms, double now) {
         if (!s.oneZone() || zones.decided()) {
@@ -293,9 +334,11 @@
                 score.merge(r.kind.zone(), Math.floor(r.then.cpus / s.cpus()), Double::sum);
             }
         }
-        Comparator<Map.Entry<String, Double>> order = Comparator.comparing(e -> s.gang()
-                && (open.contains(e.getKey()) || e.getValue() >= tasks));
-        score.entrySet().stream().max(order.thenComparing(Map.Entry.comparingByValue()))
+        Comparator<Map.Entry<String, Double>> order =
+                Comparator.comparing(
+                        e -> s.gang() && (open.contains(e.getKey()) || e.getValue() >= tasks));
+        score.entrySet().stream()
+                .max(order.thenComparing(Map.Entry.comparingByValue()))
                 .ifPresent(e -> zones.bind(e.getKey()));
     }
 }
--- a/src/main/java/io/kitepath/core/fleet/Market.java
+++ b/src/main/java/io/kitepath/core/fleet/Market.java
@@ -11,12 +11,19 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** Which kinds of machine can be had, by what the cloud refused lately, and which of them costs least for a job. */
+/**
+ * Which kinds of machine can be had, by what the cloud refused lately, and which of them costs
+ * least for a job.
+ */
 final class Market {
     private final Facts facts;
     private final Block block;
-    /** Kinds that were refused for want of capacity, until when not to ask, and how often in a row. */
+
+    /**
+     * Kinds that were refused for want of capacity, until when not to ask, and how often in a row.
+     */
     private final Map<MachineKind, double[]> refused = new HashMap<>();
+
     /** Machines by kind, worked out once a plan. */
     private final Map<MachineKind, Integer> counts = new HashMap<>();
 
@@ -51,12 +58,14 @@
     }
 
     static boolean allowed(MachineKind k, JobSpec s, String zone) {
-        return (s.types() == null || s.types().contains(k.type())) && (zone == null || zone.equals(k.zone()))
+        return (s.types() == null || s.types().contains(k.type()))
+                && (zone == null || zone.equals(k.zone()))
                 && (s.spot() || !k.spot());
     }
 
     /** Null if none can be had in these zones. */
-    MachineKind cheapest(JobSpec s, Predicate<String> zones, Map<MachineKind, Integer> rent, double now) {
+    MachineKind cheapest(
+            JobSpec s, Predicate<String> zones, Map<MachineKind, Integer> rent, double now) {
         MachineKind best = null;
         double bestPrice = 0;
         for (MachineType t : block.types().values()) {
@@ -99,22 +108,28 @@
         return best;
     }
 
-    /** Per unit of what a machine offers. Zones share: of equal ones, the one with the least of this kind. */
-    private double price(MachineKind k, MachineType t, double units, Map<MachineKind, Integer> rent) {
+    /**
+     * Per unit of what a machine offers. Zones share: of equal ones, the one with the least of this
+     * kind.
+     */
+    private double price(
+            MachineKind k, MachineType t, double units, Map<MachineKind, Integer> rent) {
         int there = counts.getOrDefault(k, 0) + rent.getOrDefault(k, 0);
         return (k.spot() ? t.spotPrice() : t.price()) / units * (1 + 1e-4 * there);
     }
 
     boolean spotToBeHad(JobSpec s, double now) {
-        return block.types().values().stream().anyMatch(t -> Placement.slots(s, t) > 0 && cheaperToBeHad(t, now));
+        return block.types().values().stream()
+                .anyMatch(t -> Placement.slots(s, t) > 0 && cheaperToBeHad(t, now));
     }
 
     /**
-     * Guards against work that could run on spot machines keeping ordinary ones rented: it fills them up again
-     * and again, so they never idle.
+     * Guards against work that could run on spot machines keeping ordinary ones rented: it fills
+     * them up again and again, so they never idle.
      */
     boolean cheaperToBeHad(MachineType t, double now) {
         return t.spotPrice() < t.price()
-                && t.zones().stream().anyMatch(z -> mayBeHad(new MachineKind(t.name(), z, true), now));
+                && t.zones().stream()
+                        .anyMatch(z -> mayBeHad(new MachineKind(t.name(), z, true), now));
     }
 }
--- a/src/main/java/io/kitepath/core/fleet/Presence.java
+++ b/src/main/java/io/kitepath/core/fleet/Presence.java
@@ -8,6 +8,7 @@
 final class Presence {
     private final Facts facts;
     private final Block block;
+
     /** Silence is counted from then at the earliest. */
     private double since;
 
@@ -30,8 +31,9 @@
     }
 
     /**
-     * Guards against a new holder that knows a machine's age from the list but has not given its worker the time to
-     * report yet: it would give back machines full of running tasks, or rent for work that they have room for.
+     * Guards against a new holder that knows a machine's age from the list but has not given its
+     * worker the time to report yet: it would give back machines full of running tasks, or rent for
+     * work that they have room for.
      */
     boolean mayBeOverdue(Machine m, double now) {
         return !m.reported() && m.attempts().isEmpty() && now - since > silenceS();
@@ -41,7 +43,10 @@
         return mayBeOverdue(m, now) && block.boots().late(m, now);
     }
 
-    /** How long a worker that is up may take to report: its lease, or a few reports and a change of nodes. */
+    /**
+     * How long a worker that is up may take to report: its lease, or a few reports and a change of
+     * nodes.
+     */
     double silenceS() {
         return Math.min(facts.workers().leaseS(), 5 * facts.workers().reportS() + 4);
     }
--- a/src/main/java/io/kitepath/core/fleet/Rentals.java
+++ b/src/main/java/io/kitepath/core/fleet/Rentals.java
@@ -20,14 +20,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What is asked of the cloud: machine types by every node; the list by the one that holds the machines, which also puts
- * down what is to be rented and given back ({@link Intents}), at the pace at which the cloud can be asked for it. Only
- * the cloud's word that a machine was released proves it gone.
+ * What is asked of the cloud: machine types by every node; the list by the one that holds the
+ * machines, which also puts down what is to be rented and given back ({@link Intents}), at the pace
+ * at which the cloud can be asked for it. Only the cloud's word that a machine was released proves
+ * it gone.
  */
 public final class Rentals {
     private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+
     /** Of the cloud's call rate; the rest is for the other nodes. */
     private static final double RATE_SHARE = 0.6;
+
     /** Requests that may wait for their record or their answer at the same time. */
     private static final int AT_ONCE = 3;
 
@@ -40,8 +43,10 @@
     private final BooleanSupplier leading;
     private final Runnable changed;
     private final Bucket calls;
+
     /** What is put down; no more than can be asked for. */
     private final Bucket wishes;
+
     private final Intents intents;
     private double leadingSince;
     private boolean typesStored;
@@ -55,8 +60,15 @@
      * @param leading whether this node holds the machines now
      * @param changed runs when a machine is gone, so that its work may be placed
      */
-    public Rentals(Block block, Fleet fleet, Intents intents, Store store, Cloud cloud, Timers timers,
-            BooleanSupplier leading, Runnable changed) {
+    public Rentals(
+            Block block,
+            Fleet fleet,
+            Intents intents,
+            Store store,
+            Cloud cloud,
+            Timers timers,
+            BooleanSupplier leading,
+            Runnable changed) {
         this.facts = block.facts();
         this.block = block;
         this.fleet = fleet;
@@ -79,39 +91,45 @@
 
     // ---- machine types --------------------------------------------------------------------------
 
-    /** Until the machine types are known: from the record of a node that knew them, or from the cloud. */
+    /**
+     * Until the machine types are known: from the record of a node that knew them, or from the
+     * cloud.
+     */
     public void learnTypes() {
         if (!block.types().isEmpty()) {
             return;
         }
-        store.get(Keys.TYPES, (outcome, entry) -> {
-            if (outcome == Outcome.OK) {
-                List<MachineType> known = new ArrayList<>();
-                for (Tree t : Tree.of(entry.value()).children("types")) {
-                    known.add(MachineType.fromRecord(t));
-                }
-                if (block.types().isEmpty()) {
-                    block.learn(known);
-                }
-                typesStored = true;
-            } else {
-                fetchTypes();
-                timers.after(1, this::learnTypes);
-            }
-        });
+        store.get(
+                Keys.TYPES,
+                (outcome, entry) -> {
+                    if (outcome == Outcome.OK) {
+                        List<MachineType> known = new ArrayList<>();
+                        for (Tree t : Tree.of(entry.value()).children("types")) {
+                            known.add(MachineType.fromRecord(t));
+                        }
+                        if (block.types().isEmpty()) {
+                            block.learn(known);
+                        }
+                        typesStored = true;
+                    } else {
+                        fetchTypes();
+                        timers.after(1, this::learnTypes);
+                    }
+                });
     }
 
     private void fetchTypes() {
         if (!calls.take(1, timers.now())) {
             return;
         }
-        cloud.types((outcome, list) -> {
-            if (outcome == Outcome.OK && !list.isEmpty()) {
-                block.learn(list);
-                typesAt = timers.now();
-                storeTypes(list);
-            }
-        });
+        cloud.types(
+                (outcome, list) -> {
+                    if (outcome == Outcome.OK && !list.isEmpty()) {
+                        block.learn(list);
+                        typesAt = timers.now();
+                        storeTypes(list);
+                    }
+                });
     }
 
     private void storeTypes(List<MachineType> list) {
@@ -119,12 +137,16 @@
             return;
         }
         typesStored = true;
-        store.commit(new Store.Transaction().put(Keys.TYPES,
-                Map.of("types", list.stream().map(MachineType::toRecord).toList())), c -> {
-            if (c.outcome() != Outcome.OK) {
-                typesStored = false;
-            }
-        });
+        store.commit(
+                new Store.Transaction()
+                        .put(
+                                Keys.TYPES,
+                                Map.of("types", list.stream().map(MachineType::toRecord).toList())),
+                c -> {
+                    if (c.outcome() != Outcome.OK) {
+                        typesStored = false;
+                    }
+                });
     }
 
     // ---- machines -------------------------------------------------------------------------------
@@ -146,7 +168,8 @@
             return;
         }
         if (wishes.available(now) < 1 || now - plannedAt < facts.workers().reportS() / 8) {
-            return; // Nothing could be done about a plan now, or hardly anything has changed since the last.
+            return; // Nothing could be done about a plan now, or hardly anything has changed since
+            // the last.
         }
         plannedAt = now;
         intend(fleet.plan(now, timers.wallMs(), leadingSince), now);
@@ -160,14 +183,22 @@
         }
         // One plan's rentals at a time: the next plan has to know what came of them.
         if (intents.unsettled().isEmpty()) {
-            plan.rent().entrySet().stream().limit(AT_ONCE).filter(e -> wishes.take(1, now))
+            plan.rent().entrySet().stream()
+                    .limit(AT_ONCE)
+                    .filter(e -> wishes.take(1, now))
                     .forEach(e -> intents.rent(e.getKey(), e.getValue()));
         }
     }
 
     private void rented(Rental r) {
         int n = r.machines().size();
-        LOG.info("rented {} of {} {} in {}{}", n, r.count, r.kind.type(), r.kind.zone(), r.kind.spot() ? ", spot" : "");
+        LOG.info(
+                "rented {} of {} {} in {}{}",
+                n,
+                r.count,
+                r.kind.type(),
+                r.kind.zone(),
+                r.kind.spot() ? ", spot" : "");
         if (n < r.count) {
             fleet.refused(r.kind, timers.now());
         } else {
@@ -187,13 +218,14 @@
     private void list() {
         listing = true;
         long mine = block.token();
-        cloud.list((outcome, list) -> {
-            listing = false;
-            listedAt = timers.now();
-            if (outcome == Outcome.OK && holds(mine)) {
-                block.listed(list, timers.now());
-                intents.listed();
-            }
-        });
+        cloud.list(
+                (outcome, list) -> {
+                    listing = false;
+                    listedAt = timers.now();
+                    if (outcome == Outcome.OK && holds(mine)) {
+                        block.listed(list, timers.now());
+                        intents.listed();
+                    }
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/fleet/Returns.java
+++ b/src/main/java/io/kitepath/core/fleet/Returns.java
@@ -48,7 +48,10 @@
         for (Machine m : block.machines().values()) {
             if (m.reported() || !m.attempts().isEmpty()) {
                 up++;
-                double since = m.reported() ? Math.max(m.lastReport(), presence.since()) : presence.since();
+                double since =
+                        m.reported()
+                                ? Math.max(m.lastReport(), presence.since())
+                                : presence.since();
                 if (now - since > silence) {
                     silent++;
                     mute.add(m);
@@ -56,8 +59,10 @@
                 unheard += deafForLong(m, now) && !m.proven() ? 1 : 0;
             }
         }
-        // Guards against a holder that is cut off from workers itself: if several fall silent together, the fault is
-        // hardly theirs, and they may be on their way to another node. Once their leases have run out for certain,
+        // Guards against a holder that is cut off from workers itself: if several fall silent
+        // together, the fault is
+        // hardly theirs, and they may be on their way to another node. Once their leases have run
+        // out for certain,
         // nothing is lost by giving them back, unless it is nearly all of them.
         boolean few = silent <= Math.max(1, up / 8);
         boolean some = silent * 2 <= up;
@@ -66,25 +71,44 @@
         for (Machine m : block.machines().values()) {
             MachineType t = m.type() == null ? null : block.types().get(m.type());
             boolean give = m.releasing();
-            boolean surplus = t != null && !presence.late(m, now) && spare >= t.cpus() && !kept.contains(m)
-                    && m.reservedFor() == null;
+            boolean surplus =
+                    t != null
+                            && !presence.late(m, now)
+                            && spare >= t.cpus()
+                            && !kept.contains(m)
+                            && m.reservedFor() == null;
             if (!m.spot() && m.attempts().stream().anyMatch(a -> !a.job.spec.spot())) {
                 m.needed(now);
             }
-            m.drain(surplus && m.proven() && !m.spot() && m.neededAt() < now && market.cheaperToBeHad(t, now));
+            m.drain(
+                    surplus
+                            && m.proven()
+                            && !m.spot()
+                            && m.neededAt() < now
+                            && market.cheaperToBeHad(t, now));
             if (mute.contains(m)) {
-                double quiet = now - Math.max(presence.since(), m.reported() ? m.lastReport() : presence.since());
+                double quiet =
+                        now
+                                - Math.max(
+                                        presence.since(),
+                                        m.reported() ? m.lastReport() : presence.since());
                 give |= few || some && quiet > 1.5 * lease || quiet > 3 * lease;
-            } else if (t != null && presence.mayBeOverdue(m, now) && block.boots().hopeless(m, now)) {
+            } else if (t != null
+                    && presence.mayBeOverdue(m, now)
+                    && block.boots().hopeless(m, now)) {
                 give = true;
                 if (!m.releasing()) {
                     market.refused(m.kind(), now); // Where boots fail, others come first.
                 }
             } else if (m.proven() && !m.busy() && !m.awaitsRecords()) {
                 give |= m.setAside() || deafForLong(m, now);
-                give |= surplus && now - m.neededAt() > t.bootS() && (m.draining() || idleTooLong(m, t, now));
+                give |=
+                        surplus
+                                && now - m.neededAt() > t.bootS()
+                                && (m.draining() || idleTooLong(m, t, now));
             } else if (!m.proven() && deafForLong(m, now)) {
-                // What an earlier holder left on it can't be proven over by a report. Not if it is most of them: then it
+                // What an earlier holder left on it can't be proven over by a report. Not if it is
+                // most of them: then it
                 // is hardly they who hear nothing.
                 give |= unheard * 2 <= up;
             }
@@ -93,9 +117,16 @@
             }
             if (give) {
                 if (!m.releasing()) {
-                    LOG.info("giving back {}: {}", m.id, mute.contains(m) ? "silent" : m.setAside() ? "set aside"
-                            : m.deafToAnswers() ? "no answer reaches it"
-                            : m.reported() ? "idle" : "never came up");
+                    LOG.info(
+                            "giving back {}: {}",
+                            m.id,
+                            mute.contains(m)
+                                    ? "silent"
+                                    : m.setAside()
+                                            ? "set aside"
+                                            : m.deafToAnswers()
+                                                    ? "no answer reaches it"
+                                                    : m.reported() ? "idle" : "never came up");
                 }
                 m.release();
                 out.add(m.id);
@@ -109,9 +140,10 @@
     }
 
     /**
-     * Guards against ordinary machines kept rented for minutes by a few small tasks that could run on spot ones: where
-     * those have room, the tasks are moved there, if what they lose costs less than the machine until they end, and
-     * they can begin anew and still be in time for all that is expected.
+     * Guards against ordinary machines kept rented for minutes by a few small tasks that could run
+     * on spot ones: where those have room, the tasks are moved there, if what they lose costs less
+     * than the machine until they end, and they can begin anew and still be in time for all that is
+     * expected.
      */
     void clear(double now, double wallMs) {
         double room = 0;
@@ -123,8 +155,12 @@
         }
         for (Machine m : block.machines().values()) {
             MachineType t = block.types().get(m.type());
-            if (!m.draining() || m.releasing() || m.attempts().isEmpty() || now - m.neededAt() <= t.bootS()
-                    || m.usedCpus() > room || !worthMoving(m, t, now, wallMs)) {
+            if (!m.draining()
+                    || m.releasing()
+                    || m.attempts().isEmpty()
+                    || now - m.neededAt() <= t.bootS()
+                    || m.usedCpus() > room
+                    || !worthMoving(m, t, now, wallMs)) {
                 continue;
             }
             room -= m.usedCpus();
@@ -139,13 +175,17 @@
         double rest = 0;
         double lost = 0;
         for (Attempt a : m.attempts()) {
-            if (a.unwanted() || !a.seen() || a.job.spec.shape() != JobSpec.Shape.ARRAY || a.job.goalMs(0) < wallMs) {
+            if (a.unwanted()
+                    || !a.seen()
+                    || a.job.spec.shape() != JobSpec.Shape.ARRAY
+                    || a.job.goalMs(0) < wallMs) {
                 return false;
             }
             rest = Math.max(rest, a.remainingS(now));
             lost += a.job.spec.cpus() * a.unsavedS(now);
         }
-        return rest > 2 * facts.workers().reportS() && rest * t.price() > 2 * lost * t.spotPrice() / t.cpus();
+        return rest > 2 * facts.workers().reportS()
+                && rest * t.price() > 2 * lost * t.spotPrice() / t.cpus();
     }
 
     private boolean idleTooLong(Machine m, MachineType t, double now) {
--- a/src/main/java/io/kitepath/core/fleet/Room.java
+++ b/src/main/java/io/kitepath/core/fleet/Room.java
@@ -11,8 +11,13 @@
     final MachineType type;
     final MachineKind kind;
     final Machine machine;
-    /** Of the machine's room, what is left by the time that the plan looks at, and what is left until then. */
+
+    /**
+     * Of the machine's room, what is left by the time that the plan looks at, and what is left
+     * until then.
+     */
     final Space then;
+
     final Space now;
 
     Room(MachineType type, MachineKind kind, Machine machine) {
@@ -23,7 +28,10 @@
         this.now = new Space(type);
     }
 
-    /** Whether it has CPUs for one task; cheap, for a look at hundreds of rooms for each of hundreds of jobs. */
+    /**
+     * Whether it has CPUs for one task; cheap, for a look at hundreds of rooms for each of hundreds
+     * of jobs.
+     */
     boolean holds(JobSpec s, boolean atOnce) {
         return then.cpus + 1e-6 >= s.cpus() && (!atOnce || now.cpus + 1e-6 >= s.cpus());
     }
--- a/src/main/java/io/kitepath/core/lead/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/lead/CancellationLog.java
@@ -9,13 +9,14 @@
 import java.util.Set;
 
 /**
- * The cancellations that this process learned of lately, from whomever, so all that it may have told a user. Guards
- * against a word between nodes that is lost: each digest repeats everything of the last {@code cancel_s}, after which a
- * holder that has not heard of it has stopped answering workers anyway. Bounded: what does not fit shortens the time
- * that it vouches for.
+ * The cancellations that this process learned of lately, from whomever, so all that it may have
+ * told a user. Guards against a word between nodes that is lost: each digest repeats everything of
+ * the last {@code cancel_s}, after which a holder that has not heard of it has stopped answering
+ * workers anyway. Bounded: what does not fit shortens the time that it vouches for.
  */
 public final class CancellationLog {
     private static final int MOST = 1000;
+
     /** A quarter of what a frame between nodes may hold. */
     private static final int MOST_CHARS = 64 * 1024;
 
@@ -47,12 +48,14 @@
 
     public CancellationDigest digest() {
         trim();
-        return new CancellationDigest(node, sinceMs, timers.wallMs(), log.stream().map(Learned::job).toList());
+        return new CancellationDigest(
+                node, sinceMs, timers.wallMs(), log.stream().map(Learned::job).toList());
     }
 
     private void trim() {
         double oldest = timers.wallMs() - keepMs;
-        while (!log.isEmpty() && (log.peek().atMs < oldest || log.size() > MOST || chars > MOST_CHARS)) {
+        while (!log.isEmpty()
+                && (log.peek().atMs < oldest || log.size() > MOST || chars > MOST_CHARS)) {
             Learned gone = log.poll();
             ids.remove(gone.job);
             chars -= gone.job.length();
--- a/src/main/java/io/kitepath/core/lead/Incarnation.java
+++ b/src/main/java/io/kitepath/core/lead/Incarnation.java
@@ -3,14 +3,15 @@
 import java.util.Random;
 
 /**
- * Which of the processes that ran, or run, under a node's name this one is. A node may be back a fraction of a second
- * after it ended, before anybody has seen it silent; it has forgotten everything, and what it held is still held in its
- * name. Whoever finds a record of an earlier process of its own name knows that nobody stands behind it: what that one
- * sent may still arrive, and falls on its token and revisions.
+ * Which of the processes that ran, or run, under a node's name this one is. A node may be back a
+ * fraction of a second after it ended, before anybody has seen it silent; it has forgotten
+ * everything, and what it held is still held in its name. Whoever finds a record of an earlier
+ * process of its own name knows that nobody stands behind it: what that one sent may still arrive,
+ * and falls on its token and revisions.
  *
- * <p>Two processes under one name (an operator's mistake, or one that stood still, was replaced and goes on) are in a
- * total order by their start. Only the later ever ends what the earlier holds, so they can't end each other's leases
- * in turns for ever; the earlier one stands back.
+ * <p>Two processes under one name (an operator's mistake, or one that stood still, was replaced and
+ * goes on) are in a total order by their start. Only the later ever ends what the earlier holds, so
+ * they can't end each other's leases in turns for ever; the earlier one stands back.
  */
 public final class Incarnation {
     /** What a record that names a holder says about us. */
@@ -48,7 +49,8 @@
      * Whose a record is.
      *
      * @param holder the node that it names
-     * @param since when that process started; 0 if the record does not say, as those of earlier versions
+     * @param since when that process started; 0 if the record does not say, as those of earlier
+     *     versions
      * @param itsLife as of {@link #life}; empty if the record does not say
      */
     public Holder judge(String holder, double since, String itsLife) {
@@ -59,7 +61,8 @@
             // Our own claim, whose answer we did not get and which we gave up.
             return Holder.ENDED;
         }
-        // Without a word on its start it is of an earlier version, so was there before this process. Of two that
+        // Without a word on its start it is of an earlier version, so was there before this
+        // process. Of two that
         // started in the same millisecond, as far as their clocks can tell, chance has the say.
         boolean later = since > sinceMs || since == sinceMs && itsLife.compareTo(life) > 0;
         return later ? Holder.TWIN : Holder.ENDED;
