--- a/src/main/java/io/kitepath/core/lead/KnownCancellations.java
+++ b/src/main/java/io/kitepath/core/lead/KnownCancellations.java
@@ -10,31 +10,40 @@
 import java.util.Set;
 
 /**
- * Until when the holder knows every cancellation that anybody may have confirmed to a user. Whatever keeps a worker's
- * lease, or starts a task, asks it. Two sources only:
+ * Until when the holder knows every cancellation that anybody may have confirmed to a user.
+ * Whatever keeps a worker's lease, or starts a task, asks it. Two sources only:
  *
  * <ul>
- * <li>the store: all that was confirmed before a request was <em>sent</em> whose answer shows that the jobs of all
- * attempts are open ({@code core.state.CancellationProof}), or from which the open jobs were read;
- * <li>every sibling's own word, as only controllers confirm: a digest that begins before the moment until which that
- * sibling's confirmations are known, and so carries that moment on to when it was said. A sibling that is silent, whose
- * version has no such word, or that was started after that moment (it knows nothing of what the process before it
- * confirmed) leaves it where it is.
+ *   <li>the store: all that was confirmed before a request was <em>sent</em> whose answer shows
+ *       that the jobs of all attempts are open ({@code core.state.CancellationProof}), or from
+ *       which the open jobs were read;
+ *   <li>every sibling's own word, as only controllers confirm: a digest that begins before the
+ *       moment until which that sibling's confirmations are known, and so carries that moment on to
+ *       when it was said. A sibling that is silent, whose version has no such word, or that was
+ *       started after that moment (it knows nothing of what the process before it confirmed) leaves
+ *       it where it is.
  * </ul>
  *
- * <p>That the store is out for a sibling now is no source: it says nothing of what that one confirmed before. Moments
- * are times of day, which on all nodes are right to within the settings' clock error.
+ * <p>That the store is out for a sibling now is no source: it says nothing of what that one
+ * confirmed before. Moments are times of day, which on all nodes are right to within the settings'
+ * clock error.
  */
 public final class KnownCancellations {
-    /** Told of by others and not seen in the store yet; with more than that, digests count for nothing. */
+    /**
+     * Told of by others and not seen in the store yet; with more than that, digests count for
+     * nothing.
+     */
     private static final int MOST_TOLD = 5000;
 
     private final List<String> siblings;
     private final Timers timers;
+
     /** Two clocks may be apart by that. */
     private final double apartMs;
+
     private double storeMs = Double.NEGATIVE_INFINITY;
     private final Map<String, Double> wordMs = new HashMap<>();
+
     /** Jobs that others said are cancelled, and when they said so, by our clock. */
     private final Map<String, Double> told = new LinkedHashMap<>();
 
@@ -50,7 +59,10 @@
         wordMs.clear();
     }
 
-    /** By the store the holder knows all that was confirmed before that moment, in milliseconds of our time of day. */
+    /**
+     * By the store the holder knows all that was confirmed before that moment, in milliseconds of
+     * our time of day.
+     */
     public void proven(double atMs) {
         storeMs = Math.max(storeMs, atMs);
         told.values().removeIf(t -> t < storeMs);
@@ -71,12 +83,17 @@
     /** A sibling's word; what it names has been taken in already. */
     public void word(CancellationDigest d) {
         double until = Math.max(storeMs, wordMs.getOrDefault(d.by(), Double.NEGATIVE_INFINITY));
-        if (siblings.contains(d.by()) && told.size() < MOST_TOLD && d.sinceMs() + apartMs <= until) {
+        if (siblings.contains(d.by())
+                && told.size() < MOST_TOLD
+                && d.sinceMs() + apartMs <= until) {
             wordMs.merge(d.by(), Math.min(timers.wallMs(), d.untilMs()) - apartMs, Math::max);
         }
     }
 
-    /** For how long it has not been known what may have been confirmed, in seconds; infinite at first. */
+    /**
+     * For how long it has not been known what may have been confirmed, in seconds; infinite at
+     * first.
+     */
     public double ageS() {
         double now = timers.wallMs();
         return (now - siblings.stream().mapToDouble(this::untilMs).min().orElse(now)) / 1000;
--- a/src/main/java/io/kitepath/core/lead/Leadership.java
+++ b/src/main/java/io/kitepath/core/lead/Leadership.java
@@ -14,12 +14,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads, and with which token. The leader's key and its block hang on a lease; taking them raises the
- * stored token in the same transaction, so two nodes never hold the same one. What a former leader may still
- * send to the store fails, because its writes depend on the revision of a key that is gone.
+ * Who leads, and with which token. The leader's key and its block hang on a lease; taking them
+ * raises the stored token in the same transaction, so two nodes never hold the same one. What a
+ * former leader may still send to the store fails, because its writes depend on the revision of a
+ * key that is gone.
  *
- * <p>A process that ended while it led and is back before its lease ran out knows that nobody renews it any more, and
- * ends it; see {@link Incarnation}.
+ * <p>A process that ended while it led and is back before its lease ran out knows that nobody
+ * renews it any more, and ends it; see {@link Incarnation}.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
@@ -47,27 +48,39 @@
     private long lease;
     private long revision;
     private double renewedAt;
+
     /** The last renewal was refused or got no answer. */
     private boolean doubted;
+
     /** Who leads by the last that we heard, or null. */
     private String leader;
+
     private long highest;
     private boolean campaigning;
     private final Incarnation incarnation;
+
     /** When the store last answered us. */
     private double servedAt;
+
     /** A process that was started later leads under our name. */
     private boolean twin;
+
     private boolean retired;
 
-    public Leadership(Facts facts, Store store, Timers timers, Random random, Incarnation incarnation,
+    public Leadership(
+            Facts facts,
+            Store store,
+            Timers timers,
+            Random random,
+            Incarnation incarnation,
             Listener listener) {
         this.facts = facts;
         this.store = store;
         this.timers = timers;
         this.random = random;
         this.listener = listener;
-        // Short against the workers' lease, so that a new leader is there well before their work is given up.
+        // Short against the workers' lease, so that a new leader is there well before their work is
+        // given up.
         this.lifeS = Math.max(2, facts.workers().reportS());
         this.servedAt = timers.now();
         this.incarnation = incarnation;
@@ -77,7 +90,10 @@
         look();
     }
 
-    /** Leads no more, and never again: the node is being stopped. Its successor need not wait for a lease to run out. */
+    /**
+     * Leads no more, and never again: the node is being stopped. Its successor need not wait for a
+     * lease to run out.
+     */
     public void retire() {
         retired = true;
         stepDown("the node is being stopped");
@@ -105,18 +121,18 @@
     }
 
     /**
-     * Whether our lease holds for certain, by our own clock and by the moment at which we asked for its last renewal.
-     * A leader for whom it may be over starts nothing and asks for nothing.
+     * Whether our lease holds for certain, by our own clock and by the moment at which we asked for
+     * its last renewal. A leader for whom it may be over starts nothing and asks for nothing.
      */
     public boolean inTouch() {
         return timers.now() - renewedAt < lifeS * (1 - DRIFT);
     }
 
     /**
-     * Whether launches may go: our lease holds, and the store served its last renewal. Guards against launches of what
-     * others have just confirmed as cancelled, by a leader that the store refuses alone and that may not hear the
-     * others either: it knows so a fifth of its lease after, not at the end of it. What waits is launched by the answer
-     * to a later report.
+     * Whether launches may go: our lease holds, and the store served its last renewal. Guards
+     * against launches of what others have just confirmed as cancelled, by a leader that the store
+     * refuses alone and that may not hear the others either: it knows so a fifth of its lease
+     * after, not at the end of it. What waits is launched by the answer to a later report.
      */
     public boolean mayLaunch() {
         return inTouch() && !doubted;
@@ -153,31 +169,38 @@
     // ---- following the leader's key -------------------------------------------------------------
 
     private void look() {
-        store.get(Keys.LEADER, (outcome, entry) -> {
-            if (outcome == Outcome.OK) {
-                served();
-                heard(entry.value());
-                follow(entry.revision());
-            } else if (outcome == Outcome.NO) {
-                served();
-                absent();
-            } else {
-                timers.after(retryS(), this::look);
-            }
-        });
+        store.get(
+                Keys.LEADER,
+                (outcome, entry) -> {
+                    if (outcome == Outcome.OK) {
+                        served();
+                        heard(entry.value());
+                        follow(entry.revision());
+                    } else if (outcome == Outcome.NO) {
+                        served();
+                        absent();
+                    } else {
+                        timers.after(retryS(), this::look);
+                    }
+                });
     }
 
     private void follow(long from) {
         long holdMs = (long) (lifeS * 500);
-        store.follow(Keys.LEADER, from, holdMs, c -> {
-            // An empty answer proves nothing: a node that the store refuses waits on its watches all the same. A
-            // plain read tells whether we are served.
-            if (c.outcome() == Outcome.OK) {
-                look();
-            } else {
-                timers.after(retryS(), this::look);
-            }
-        });
+        store.follow(
+                Keys.LEADER,
+                from,
+                holdMs,
+                c -> {
+                    // An empty answer proves nothing: a node that the store refuses waits on its
+                    // watches all the same. A
+                    // plain read tells whether we are served.
+                    if (c.outcome() == Outcome.OK) {
+                        look();
+                    } else {
+                        timers.after(retryS(), this::look);
+                    }
+                });
     }
 
     private void heard(Object value) {
@@ -198,25 +221,33 @@
         switch (incarnation.judge(node, t.numberOr("since", 0, 0), t.textOr("life", ""))) {
             case OTHER -> follows(node, higher);
             case ENDED -> {
-                // Guards against a node that names itself as leader while it leads nothing: siblings send workers to
+                // Guards against a node that names itself as leader while it leads nothing:
+                // siblings send workers to
                 // it, and nobody places anything until a lease that no process holds has run out.
                 leader = null;
                 if (t.has("lease")) {
-                    LOG.info("an earlier process of this node led with token {}: its lease is ended", held);
+                    LOG.info(
+                            "an earlier process of this node led with token {}: its lease is ended",
+                            held);
                     store.revoke(t.count("lease"));
                 }
             }
             case TWIN -> {
                 leader = null;
                 if (!twin) {
-                    LOG.error("another process that was started later leads as {}: this one stands back", node);
+                    LOG.error(
+                            "another process that was started later leads as {}: this one stands back",
+                            node);
                 }
                 twin = true;
             }
         }
     }
 
-    /** {@code anew}: its token is higher than all that we knew, so it may have ended and be back since. */
+    /**
+     * {@code anew}: its token is higher than all that we knew, so it may have ended and be back
+     * since.
+     */
     private void follows(String node, boolean anew) {
         boolean news = anew || !node.equals(leader);
         leader = node;
@@ -231,8 +262,10 @@
             stepDown("our key is gone");
         }
         leader = null;
-        // One that has a twin leaves the others the time to come first, each time: the two never end each other's
-        // lease in turns, since only the later one ever ends one, and this one does not race with it.
+        // One that has a twin leaves the others the time to come first, each time: the two never
+        // end each other's
+        // lease in turns, since only the later one ever ends one, and this one does not race with
+        // it.
         double patience = twin ? lifeS : 0;
         timers.after(patience + random.nextDouble() * 0.1, this::campaign);
     }
@@ -253,22 +286,33 @@
         }
         campaigning = true;
         double asked = timers.now();
-        store.grant((long) (lifeS * 1000), (outcome, id) -> {
-            if (outcome != Outcome.OK) {
-                campaigning = false;
-                timers.after(retryS(), this::look);
-                return;
-            }
-            store.get(Keys.TOKEN, (got, entry) -> {
-                if (got != Outcome.OK && got != Outcome.NO) {
-                    campaigning = false;
-                    timers.after(retryS(), this::look);
-                    return;
-                }
-                long last = got == Outcome.OK ? Tree.of(entry.value()).count("token") : 0;
-                claim(id, Math.max(last, highest) + 1, got == Outcome.OK ? entry.revision() : 0, asked);
-            });
-        });
+        store.grant(
+                (long) (lifeS * 1000),
+                (outcome, id) -> {
+                    if (outcome != Outcome.OK) {
+                        campaigning = false;
+                        timers.after(retryS(), this::look);
+                        return;
+                    }
+                    store.get(
+                            Keys.TOKEN,
+                            (got, entry) -> {
+                                if (got != Outcome.OK && got != Outcome.NO) {
+                                    campaigning = false;
+                                    timers.after(retryS(), this::look);
+                                    return;
+                                }
+                                long last =
+                                        got == Outcome.OK
+                                                ? Tree.of(entry.value()).count("token")
+                                                : 0;
+                                claim(
+                                        id,
+                                        Math.max(last, highest) + 1,
+                                        got == Outcome.OK ? entry.revision() : 0,
+                                        asked);
+                            });
+                });
     }
 
     private void claim(long id, long next, long tokenRevision, double asked) {
@@ -282,55 +326,66 @@
         block.put("machines", "all");
         block.put("holder", facts.node());
         block.put("token", next);
-        store.commit(new Transaction().when(Keys.LEADER, 0).when(Keys.TOKEN, tokenRevision)
-                .put(Keys.LEADER, key, id).put(Keys.BLOCKS + "all", block, id)
-                .put(Keys.TOKEN, Map.of("token", next)), c -> {
-            campaigning = false;
-            if (c.outcome() == Outcome.OK && retired) {
-                // Guards against a node that is being stopped and begins to lead, as its claim was under way.
-                store.revoke(id);
-            } else if (c.outcome() == Outcome.OK) {
-                served();
-                leading = true;
-                lease = id;
-                token = next;
-                highest = Math.max(highest, next);
-                revision = c.revision();
-                renewedAt = asked;
-                doubted = false;
-                leader = facts.node();
-                LOG.info("leader with token {} on lease {}", next, id);
-                listener.won(next, id, revision);
-                renewLater(id);
-                follow(revision);
-            } else {
-                // After an unknown outcome the key may be ours with nobody behind it; ending the lease removes it.
-                store.revoke(id);
-                timers.after(retryS(), this::look);
-            }
-        });
+        store.commit(
+                new Transaction()
+                        .when(Keys.LEADER, 0)
+                        .when(Keys.TOKEN, tokenRevision)
+                        .put(Keys.LEADER, key, id)
+                        .put(Keys.BLOCKS + "all", block, id)
+                        .put(Keys.TOKEN, Map.of("token", next)),
+                c -> {
+                    campaigning = false;
+                    if (c.outcome() == Outcome.OK && retired) {
+                        // Guards against a node that is being stopped and begins to lead, as its
+                        // claim was under way.
+                        store.revoke(id);
+                    } else if (c.outcome() == Outcome.OK) {
+                        served();
+                        leading = true;
+                        lease = id;
+                        token = next;
+                        highest = Math.max(highest, next);
+                        revision = c.revision();
+                        renewedAt = asked;
+                        doubted = false;
+                        leader = facts.node();
+                        LOG.info("leader with token {} on lease {}", next, id);
+                        listener.won(next, id, revision);
+                        renewLater(id);
+                        follow(revision);
+                    } else {
+                        // After an unknown outcome the key may be ours with nobody behind it;
+                        // ending the lease removes it.
+                        store.revoke(id);
+                        timers.after(retryS(), this::look);
+                    }
+                });
     }
 
     private void renewLater(long id) {
-        timers.after(lifeS / 5, () -> {
-            if (!leading || lease != id) {
-                return;
-            }
-            double asked = timers.now();
-            store.renew(id, outcome -> {
-                if (!leading || lease != id) {
-                    return;
-                }
-                doubted = outcome != Outcome.OK;
-                if (outcome == Outcome.OK) {
-                    served();
-                    renewedAt = asked;
-                } else if (outcome == Outcome.NO) {
-                    stepDown("our lease ended");
-                    return;
-                }
-                renewLater(id);
-            });
-        });
+        timers.after(
+                lifeS / 5,
+                () -> {
+                    if (!leading || lease != id) {
+                        return;
+                    }
+                    double asked = timers.now();
+                    store.renew(
+                            id,
+                            outcome -> {
+                                if (!leading || lease != id) {
+                                    return;
+                                }
+                                doubted = outcome != Outcome.OK;
+                                if (outcome == Outcome.OK) {
+                                    served();
+                                    renewedAt = asked;
+                                } else if (outcome == Outcome.NO) {
+                                    stepDown("our lease ended");
+                                    return;
+                                }
+                                renewLater(id);
+                            });
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/lead/Views.java
+++ b/src/main/java/io/kitepath/core/lead/Views.java
@@ -13,15 +13,21 @@
 /** What the siblings say of themselves, and since when one of them says nothing. */
 public final class Views {
     private static final Logger LOG = LoggerFactory.getLogger(Views.class);
+
     /** Views come every second; what is older than three of them says nothing of now. */
     private static final double FRESH_S = 3;
 
     private final List<String> siblings;
     private final Timers timers;
+
     /** When a sibling was last heard from. */
     private final Map<String, Double> heard = new HashMap<>();
-    /** When a sibling last said that the store serves it, unless it has said that it does not since. */
+
+    /**
+     * When a sibling last said that the store serves it, unless it has said that it does not since.
+     */
     private final Map<String, Double> served = new HashMap<>();
+
     private final Set<String> said = new HashSet<>();
 
     public Views(Facts facts, Timers timers) {
@@ -38,7 +44,10 @@
         }
     }
 
-    /** Guards against waiting for a silent sibling's answer again and again: views come every second. */
+    /**
+     * Guards against waiting for a silent sibling's answer again and again: views come every
+     * second.
+     */
     public boolean silent(String sibling) {
         return timers.now() - heard.getOrDefault(sibling, -1e9) > 2.5;
     }
@@ -68,7 +77,9 @@
         for (String s : siblings) {
             boolean silent = silent(s);
             if (silent ? heard.containsKey(s) && said.add(s) : said.remove(s)) {
-                LOG.info(silent ? "nothing is heard from {} any more{}" : "{} is heard again{}", s,
+                LOG.info(
+                        silent ? "nothing is heard from {} any more{}" : "{} is heard again{}",
+                        s,
                         s.equals(leader) ? ", which leads" : "");
             }
         }
--- a/src/main/java/io/kitepath/core/model/CellMessage.java
+++ b/src/main/java/io/kitepath/core/model/CellMessage.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** What cells say to each other. None of it is trusted for safety: each side acts on its own store's records. */
+/**
+ * What cells say to each other. None of it is trusted for safety: each side acts on its own store's
+ * records.
+ */
 public sealed interface CellMessage {
     /** Ask that node of the cell, its holder; null: nobody is known to be. */
     record Elsewhere(String node) implements CellMessage {}
@@ -17,12 +20,21 @@
      * @param version of its directory
      * @param takes whether it takes work of others now
      * @param room by kind, the most roomy ones first, a bounded number
-     * @param waitS by rank: seconds that the work waiting up to that rank would keep all its machines busy
+     * @param waitS by rank: seconds that the work waiting up to that rank would keep all its
+     *     machines busy
      * @param hears the cells that it has heard lately
      * @param shares of the teams' limits, those that it wants most of first, a bounded number
      */
-    record Summary(String cell, String leader, long version, boolean takes, List<Room> room, List<Double> waitS,
-            List<String> hears, List<Share> shares) implements CellMessage {}
+    record Summary(
+            String cell,
+            String leader,
+            long version,
+            boolean takes,
+            List<Room> room,
+            List<Double> waitS,
+            List<String> hears,
+            List<Share> shares)
+            implements CellMessage {}
 
     /**
      * What a cell has of a team's limit; amounts in thousandths of a CPU or GPU.
@@ -35,10 +47,19 @@
      * @param task what one task of that job needs
      * @param since when that was submitted, in milliseconds since 1970
      */
-    record Share(String team, int kind, long holds, long used, long wants, long head, long task, double since) {}
+    record Share(
+            String team,
+            int kind,
+            long holds,
+            long used,
+            long wants,
+            long head,
+            long task,
+            double since) {}
 
     /** A part of a team's limit goes over, under a number that can be taken once. */
-    record Grant(String from, long number, long floor, String team, int kind, long amount) implements CellMessage {}
+    record Grant(String from, long number, long floor, String team, int kind, long amount)
+            implements CellMessage {}
 
     /** The other cell's store has it. */
     record Granted(long number) implements CellMessage {}
@@ -51,14 +72,30 @@
      * @param until the one after the last
      * @param next the next attempt's number
      */
-    record Offer(String home, long number, long floor, JobSpec job, double submittedMs, int from, int until,
-            long next) implements CellMessage {}
+    record Offer(
+            String home,
+            long number,
+            long floor,
+            JobSpec job,
+            double submittedMs,
+            int from,
+            int until,
+            long next)
+            implements CellMessage {}
 
     /** Give back what can be given back, or stop all of it for good. */
     record Recall(String home, long number, long floor, boolean kill) implements CellMessage {}
 
-    /** How a loan stands. All but {@link Standing#TAKEN} are final, written before they are said. */
-    enum Standing { TAKEN, DONE, BACK, KILLED, VOID }
+    /**
+     * How a loan stands. All but {@link Standing#TAKEN} are final, written before they are said.
+     */
+    enum Standing {
+        TAKEN,
+        DONE,
+        BACK,
+        KILLED,
+        VOID
+    }
 
     /**
      * The cell that a loan was offered to says how it stands.
@@ -66,15 +103,22 @@
      * @param done the loan's tasks that are done, by number from the first of the loan
      * @param next the number that the job's next attempt must have at least
      */
-    record Word(String cell, long number, Standing standing, byte[] done, long next) implements CellMessage {}
+    record Word(String cell, long number, Standing standing, byte[] done, long next)
+            implements CellMessage {}
 
     /** The home has it that the loan is over: the other cell may forget it. */
     record Settled(long number, long floor) implements CellMessage {}
 
-    /** What a user asks of a job whose home is the cell that gets this. {@code job}: only to submit. */
+    /**
+     * What a user asks of a job whose home is the cell that gets this. {@code job}: only to submit.
+     */
     record UserAsk(Wish wish, String id, JobSpec job) implements CellMessage {}
 
-    enum Wish { SUBMIT, STATUS, CANCEL }
+    enum Wish {
+        SUBMIT,
+        STATUS,
+        CANCEL
+    }
 
     /** {@code verdict}: by name, as the home's own nodes would answer. */
     record UserAnswer(String verdict, JobState state) implements CellMessage {}
--- a/src/main/java/io/kitepath/core/model/Directory.java
+++ b/src/main/java/io/kitepath/core/model/Directory.java
@@ -22,18 +22,24 @@
      * One cell.
      *
      * @param home whether jobs are at home here; one that is not only lends its room
-     * @param drained whether it is being emptied: it takes nothing of others and hands over what waits
+     * @param drained whether it is being emptied: it takes nothing of others and hands over what
+     *     waits
      * @param nodes addresses of its nodes by name
      * @param teams the part of each team's limits and guarantees that is this cell's
      */
-    public record Cell(String name, boolean home, boolean drained, List<String> zones, Map<String, String> nodes,
+    public record Cell(
+            String name,
+            boolean home,
+            boolean drained,
+            List<String> zones,
+            Map<String, String> nodes,
             Map<String, Facts.Team> teams) {}
 
     /**
-     * The cell that accepts, answers and cancels the job and keeps its end: the one of the homes whose hash with the
-     * id is highest (rendezvous hashing, D. G. Thaler and C. V. Ravishankar, 1998). Guards against a submission that
-     * two cells accept because its user came to both: where a job is at home is a fact that every node works out
-     * alike and that needs no message.
+     * The cell that accepts, answers and cancels the job and keeps its end: the one of the homes
+     * whose hash with the id is highest (rendezvous hashing, D. G. Thaler and C. V. Ravishankar,
+     * 1998). Guards against a submission that two cells accept because its user came to both: where
+     * a job is at home is a fact that every node works out alike and that needs no message.
      */
     public String home(String job) {
         String best = null;
@@ -61,7 +67,9 @@
 
     /** The zones of other cells. */
     public Set<String> zonesElsewhere() {
-        return cells.values().stream().filter(c -> !c.name().equals(own)).flatMap(c -> c.zones().stream())
+        return cells.values().stream()
+                .filter(c -> !c.name().equals(own))
+                .flatMap(c -> c.zones().stream())
                 .collect(Collectors.toSet());
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -9,18 +9,20 @@
 /**
  * A job as it is kept in the state service.
  *
- * <p>Earlier versions read these records too, and take no notice of fields that they do not know. A record that would
- * mean something else without those (the job waits for others; its parts are laid out another way) has a shape that they
- * can't read: they say so in their log and place nothing of it, but accept, show and cancel it as any other job. Guards
- * against a node of an earlier version that comes back and starts a job before those that it needs, or reads a part's
- * key as other tasks and starts them twice.
+ * <p>Earlier versions read these records too, and take no notice of fields that they do not know. A
+ * record that would mean something else without those (the job waits for others; its parts are laid
+ * out another way) has a shape that they can't read: they say so in their log and place nothing of
+ * it, but accept, show and cancel it as any other job. Guards against a node of an earlier version
+ * that comes back and starts a job before those that it needs, or reads a part's key as other tasks
+ * and starts them twice.
  *
  * @param submittedMs by the time of day of the node that accepted it
  * @param needs jobs that have to be done before any task of this one starts
  * @param partTasks how many tasks one of its parts holds; 0: as {@link Facts#tasksPerPart} says
  * @param next the number of its next attempt, at least; 0 if its parts say all
  */
-public record JobRecord(JobSpec spec, double submittedMs, List<String> needs, int partTasks, long next) {
+public record JobRecord(
+        JobSpec spec, double submittedMs, List<String> needs, int partTasks, long next) {
     /** After a shape's name, where earlier versions must not read the record. */
     private static final String LATER = "/2";
 
@@ -50,8 +52,9 @@
     private static final int SLIM = 40;
 
     /**
-     * What is kept of a job that is over: what it waited for does not matter any more, and where its record was accepted
-     * when records could be larger, what only says where it might have run is left out.
+     * What is kept of a job that is over: what it waited for does not matter any more, and where
+     * its record was accepted when records could be larger, what only says where it might have run
+     * is left out.
      *
      * @param extra what is said besides
      */
@@ -68,7 +71,10 @@
         return m;
     }
 
-    /** A submission's needs: each once, in their order by name, so that two records of one submission are equal. */
+    /**
+     * A submission's needs: each once, in their order by name, so that two records of one
+     * submission are equal.
+     */
     public static List<String> distinct(List<String> needs) {
         Set<String> once = new TreeSet<>(needs);
         return new ArrayList<>(once);
@@ -82,13 +88,16 @@
      */
     public static JobRecord of(String id, Object record) {
         Tree t = Tree.of(record);
-        return new JobRecord(JobSpec.fromRecord(id, record), t.number("submittedMs", 0),
+        return new JobRecord(
+                JobSpec.fromRecord(id, record),
+                t.number("submittedMs", 0),
                 t.has("needs") ? t.texts("needs") : List.of(),
                 t.has("partTasks") ? (int) t.integer("partTasks", 1, Integer.MAX_VALUE) : 0,
                 t.has("next") ? t.count("next") : 0);
     }
 
     static JobSpec.Shape shape(String name) {
-        return JobSpec.Shape.valueOf(name.endsWith(LATER) ? name.substring(0, name.length() - LATER.length()) : name);
+        return JobSpec.Shape.valueOf(
+                name.endsWith(LATER) ? name.substring(0, name.length() - LATER.length()) : name);
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -8,15 +8,40 @@
 
 /** A job as its user described it. */
 public record JobSpec(
-        String id, String jobClass, String team, Shape shape, Priority priority, int tasks,
-        double cpus, double gpus, double memoryGb, List<String> types, String zone, boolean oneZone, boolean spread,
-        boolean spot, String image, double imageGb, double estimateS, double checkpointS, double saveS,
+        String id,
+        String jobClass,
+        String team,
+        Shape shape,
+        Priority priority,
+        int tasks,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        List<String> types,
+        String zone,
+        boolean oneZone,
+        boolean spread,
+        boolean spot,
+        String image,
+        double imageGb,
+        double estimateS,
+        double checkpointS,
+        double saveS,
         Double deadlineS) {
 
-    public enum Shape { ARRAY, GANG, SERVICE }
+    public enum Shape {
+        ARRAY,
+        GANG,
+        SERVICE
+    }
 
     /** Highest first. */
-    public enum Priority { PRODUCTION, HIGH, NORMAL, LOW }
+    public enum Priority {
+        PRODUCTION,
+        HIGH,
+        NORMAL,
+        LOW
+    }
 
     public boolean gang() {
         return shape == Shape.GANG;
@@ -59,12 +84,27 @@
 
     public static JobSpec fromRecord(String id, Object record) {
         Tree t = Tree.of(record);
-        return new JobSpec(id, t.text("class"), t.text("team"), JobRecord.shape(t.text("shape")),
-                Priority.valueOf(t.text("priority")), (int) t.integer("tasks", 1, Integer.MAX_VALUE),
-                t.number("cpus", 0), t.number("gpus", 0), t.number("memory", 0),
-                t.has("types") ? t.texts("types") : null, t.textOr("zone", null), t.flag("oneZone"), t.flag("spread"),
-                t.flag("spot"), t.text("image"), t.number("imageGb", 0), t.number("estimate", 0),
-                t.number("checkpoint", 0), t.number("save", 0), t.has("deadline") ? t.number("deadline", 0) : null);
+        return new JobSpec(
+                id,
+                t.text("class"),
+                t.text("team"),
+                JobRecord.shape(t.text("shape")),
+                Priority.valueOf(t.text("priority")),
+                (int) t.integer("tasks", 1, Integer.MAX_VALUE),
+                t.number("cpus", 0),
+                t.number("gpus", 0),
+                t.number("memory", 0),
+                t.has("types") ? t.texts("types") : null,
+                t.textOr("zone", null),
+                t.flag("oneZone"),
+                t.flag("spread"),
+                t.flag("spot"),
+                t.text("image"),
+                t.number("imageGb", 0),
+                t.number("estimate", 0),
+                t.number("checkpoint", 0),
+                t.number("save", 0),
+                t.has("deadline") ? t.number("deadline", 0) : null);
     }
 
     /**
@@ -96,16 +136,21 @@
     /** Allowed zones in which there may be machines that hold a task. */
     private Set<String> zones(Map<String, MachineType> known, Set<String> elsewhere) {
         Set<String> out = new HashSet<>();
-        known.values().stream().filter(this::fits).forEach(t -> {
-            out.addAll(t.zones());
-            out.addAll(elsewhere);
-        });
+        known.values().stream()
+                .filter(this::fits)
+                .forEach(
+                        t -> {
+                            out.addAll(t.zones());
+                            out.addAll(elsewhere);
+                        });
         out.removeIf(z -> zone != null && !zone.equals(z));
         return out;
     }
 
     private boolean fits(MachineType type) {
         return (types == null || types.contains(type.name()))
-                && cpus <= type.cpus() && gpus <= type.gpus() && memoryGb <= type.memoryGb();
+                && cpus <= type.cpus()
+                && gpus <= type.gpus()
+                && memoryGb <= type.memoryGb();
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobState.java
+++ b/src/main/java/io/kitepath/core/model/JobState.java
@@ -16,6 +16,7 @@
 
     /** The state of a job that is neither done nor cancelled. */
     public static JobState unfinished(Progress p) {
-        return new JobState(p.job(), p.running() > 0 ? "running" : "pending", p.done(), p.running(), p.note());
+        return new JobState(
+                p.job(), p.running() > 0 ? "running" : "pending", p.done(), p.running(), p.note());
     }
 }
--- a/src/main/java/io/kitepath/core/model/Json.java
+++ b/src/main/java/io/kitepath/core/model/Json.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * How many bytes a value takes as JSON, which is what the state service's limits count. Never too few: with a space
- * after each separator, and with everything escaped that may be.
+ * How many bytes a value takes as JSON, which is what the state service's limits count. Never too
+ * few: with a space after each separator, and with everything escaped that may be.
  */
 public final class Json {
     /** A number with a fraction, whoever prints it. */
     private static final int DOUBLE = 20;
+
     /** A character outside ASCII as an escape. */
     private static final int ESCAPED = 6;
 
@@ -34,7 +35,9 @@
             }
             return n;
         }
-        return value instanceof Double || value instanceof Float ? DOUBLE : String.valueOf(value).length();
+        return value instanceof Double || value instanceof Float
+                ? DOUBLE
+                : String.valueOf(value).length();
     }
 
     private static int size(String s) {
--- a/src/main/java/io/kitepath/core/model/MachineType.java
+++ b/src/main/java/io/kitepath/core/model/MachineType.java
@@ -4,8 +4,17 @@
 import java.util.List;
 import java.util.Map;
 
-public record MachineType(String name, double cpus, double gpus, double memoryGb, double cacheGb, double fetchGbPerS,
-        double price, double spotPrice, double bootS, List<String> zones) {
+public record MachineType(
+        String name,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        double cacheGb,
+        double fetchGbPerS,
+        double price,
+        double spotPrice,
+        double bootS,
+        List<String> zones) {
 
     public Map<String, Object> toRecord() {
         Map<String, Object> m = new LinkedHashMap<>();
@@ -23,8 +32,16 @@
     }
 
     public static MachineType fromRecord(Tree t) {
-        return new MachineType(t.text("name"), t.number("cpus", 0), t.number("gpus", 0), t.number("memory", 0),
-                t.number("cache", 0), t.number("fetch", 0), t.number("price", 0), t.number("spotPrice", 0),
-                t.number("boot", 0), t.texts("zones"));
+        return new MachineType(
+                t.text("name"),
+                t.number("cpus", 0),
+                t.number("gpus", 0),
+                t.number("memory", 0),
+                t.number("cache", 0),
+                t.number("fetch", 0),
+                t.number("price", 0),
+                t.number("spotPrice", 0),
+                t.number("boot", 0),
+                t.texts("zones"));
     }
 }
--- a/src/main/java/io/kitepath/core/model/Order.java
+++ b/src/main/java/io/kitepath/core/model/Order.java
@@ -2,5 +2,9 @@
 
 /** A command to a worker about one attempt of one task. {@code graceS} matters to STOP only. */
 public record Order(Verb verb, String job, int task, long attempt, double graceS) {
-    public enum Verb { START, STOP, FORGET }
+    public enum Verb {
+        START,
+        STOP,
+        FORGET
+    }
 }
--- a/src/main/java/io/kitepath/core/model/Progress.java
+++ b/src/main/java/io/kitepath/core/model/Progress.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.model;
 
 /**
- * How far an unfinished job is, for display: tasks done and running, and a sentence on what it waits for, or null if
- * there is nothing to say.
+ * How far an unfinished job is, for display: tasks done and running, and a sentence on what it
+ * waits for, or null if there is nothing to say.
  */
 public record Progress(String job, int done, int running, String note) {}
--- a/src/main/java/io/kitepath/core/model/Report.java
+++ b/src/main/java/io/kitepath/core/model/Report.java
@@ -2,9 +2,21 @@
 
 import java.util.List;
 
-/** What a worker says of its machine. The report with the larger (session, sequence) is the newer one. */
-public record Report(String machine, String address, String type, String zone, boolean spot, long session,
-        long sequence, long token, Double noticeS, List<TaskReport> tasks) {
+/**
+ * What a worker says of its machine. The report with the larger (session, sequence) is the newer
+ * one.
+ */
+public record Report(
+        String machine,
+        String address,
+        String type,
+        String zone,
+        boolean spot,
+        long session,
+        long sequence,
+        long token,
+        Double noticeS,
+        List<TaskReport> tasks) {
 
     /** A task on the machine; {@code cause} is null unless it ended. */
     public record TaskReport(String job, int task, long attempt, State state, Cause cause) {}
@@ -14,7 +26,22 @@
         return session > otherSession || session == otherSession && sequence > otherSequence;
     }
 
-    public enum State { FETCHING, WAITING, RUNNING, SAVING, ENDED }
+    public enum State {
+        FETCHING,
+        WAITING,
+        RUNNING,
+        SAVING,
+        ENDED
+    }
 
-    public enum Cause { DONE, STOPPED, PEERS, ALONE, ERROR, NO_ROOM, BUSY, UNKNOWN }
+    public enum Cause {
+        DONE,
+        STOPPED,
+        PEERS,
+        ALONE,
+        ERROR,
+        NO_ROOM,
+        BUSY,
+        UNKNOWN
+    }
 }
--- a/src/main/java/io/kitepath/core/model/Spent.java
+++ b/src/main/java/io/kitepath/core/model/Spent.java
@@ -6,11 +6,20 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Seconds that the event loop spent, by what it did. On a sliver of a core that is what runs out first, and nobody can
- * tell from outside what took it.
+ * Seconds that the event loop spent, by what it did. On a sliver of a core that is what runs out
+ * first, and nobody can tell from outside what took it.
  */
 public final class Spent {
-    public enum On { PLACING, GIVING_WAY, ORDERING, WRITING, STOPPING, PLANNING, CHECK_INS, ANSWERS }
+    public enum On {
+        PLACING,
+        GIVING_WAY,
+        ORDERING,
+        WRITING,
+        STOPPING,
+        PLANNING,
+        CHECK_INS,
+        ANSWERS
+    }
 
     private final DoubleSupplier clock;
     private final Map<On, Double> seconds = new EnumMap<>(On.class);
@@ -37,7 +46,9 @@
     public String toString() {
         StringBuilder b = new StringBuilder();
         for (On o : On.values()) {
-            b.append(' ').append(o.name().toLowerCase(Locale.ROOT)).append('=')
+            b.append(' ')
+                    .append(o.name().toLowerCase(Locale.ROOT))
+                    .append('=')
                     .append(String.format("%.1f", seconds(o)));
         }
         return b.toString();
--- a/src/main/java/io/kitepath/core/model/Tree.java
+++ b/src/main/java/io/kitepath/core/model/Tree.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Checked reading of a decoded document (maps, lists, text, {@link Long}, {@link Double}, booleans, null),
- * whatever notation it came in. Every complaint names the field.
+ * Checked reading of a decoded document (maps, lists, text, {@link Long}, {@link Double}, booleans,
+ * null), whatever notation it came in. Every complaint names the field.
  */
 public final class Tree {
     private final Map<?, ?> map;
--- a/src/main/java/io/kitepath/core/place/Hopeless.java
+++ b/src/main/java/io/kitepath/core/place/Hopeless.java
@@ -8,19 +8,38 @@
 import java.util.Map;
 
 /**
- * Of one round: what found no room, and for what none can be made. Within a round room only shrinks, so that work with
- * the same rights that asks for no less won't find any either. Guards against a look at the whole block for each of
- * hundreds of jobs that wait behind one that does not fit.
+ * Of one round: what found no room, and for what none can be made. Within a round room only
+ * shrinks, so that work with the same rights that asks for no less won't find any either. Guards
+ * against a look at the whole block for each of hundreds of jobs that wait behind one that does not
+ * fit.
  */
 final class Hopeless {
     /** What decides where a job may go and what gives way to it. */
-    private record Rights(JobSpec.Shape shape, JobSpec.Priority priority, String team, boolean guaranteed,
-            List<String> types, String zone, boolean oneZone, boolean spread, boolean spot, String image) {
+    private record Rights(
+            JobSpec.Shape shape,
+            JobSpec.Priority priority,
+            String team,
+            boolean guaranteed,
+            List<String> types,
+            String zone,
+            boolean oneZone,
+            boolean spread,
+            boolean spot,
+            String image) {
         /** {@code image}: null, or the one that the work holds out for. */
         static Rights of(Job j, String image) {
             JobSpec s = j.spec;
-            return new Rights(s.shape(), j.priority(), s.team(), j.guaranteed(), s.types(), s.zone(), s.oneZone(),
-                    s.spread(), s.spot(), image);
+            return new Rights(
+                    s.shape(),
+                    j.priority(),
+                    s.team(),
+                    j.guaranteed(),
+                    s.types(),
+                    s.zone(),
+                    s.oneZone(),
+                    s.spread(),
+                    s.spot(),
+                    image);
         }
     }
 
@@ -45,18 +64,20 @@
     boolean contains(Job job) {
         Ask ask = Ask.of(job);
         return asks.getOrDefault(Rights.of(job, null), List.of()).stream().anyMatch(ask::noLessThan)
-                || asks.getOrDefault(Rights.of(job, job.spec.image()), List.of()).stream().anyMatch(ask::noLessThan);
+                || asks.getOrDefault(Rights.of(job, job.spec.image()), List.of()).stream()
+                        .anyMatch(ask::noLessThan);
     }
 
     /**
-     * {@code holdsOut}: it found no room where its image is, and was not looked for elsewhere, so that it speaks only
-     * for work with that image. Guards against one job that waits for its image shutting all others out of machines
-     * that are idle.
+     * {@code holdsOut}: it found no room where its image is, and was not looked for elsewhere, so
+     * that it speaks only for work with that image. Guards against one job that waits for its image
+     * shutting all others out of machines that are idle.
      */
     void add(Job job, boolean holdsOut) {
         Ask ask = Ask.of(job);
-        List<Ask> of = asks.computeIfAbsent(Rights.of(job, holdsOut ? job.spec.image() : null),
-                k -> new ArrayList<>());
+        List<Ask> of =
+                asks.computeIfAbsent(
+                        Rights.of(job, holdsOut ? job.spec.image() : null), k -> new ArrayList<>());
         of.removeIf(o -> o.noLessThan(ask));
         of.add(ask);
     }
--- a/src/main/java/io/kitepath/core/place/Placement.java
+++ b/src/main/java/io/kitepath/core/place/Placement.java
@@ -14,16 +14,20 @@
 import java.util.function.Predicate;
 
 /**
- * Which machine a task goes to: the first of up to {@link #PROBES} random ones that passes, else the best fit
- * of a scan over the block. See docs/design.md.
+ * Which machine a task goes to: the first of up to {@link #PROBES} random ones that passes, else
+ * the best fit of a scan over the block. See docs/design.md.
  */
 public final class Placement {
     /** T of the paper: a machine passes a probe with fewer unconfirmed starts than this. */
     public static final int THRESHOLD = 2;
+
     /** Lp of the paper. */
     public static final int PROBES = 3;
 
-    /** How often the places of the machines that hold an image have to hold a job for it to wait for those. */
+    /**
+     * How often the places of the machines that hold an image have to hold a job for it to wait for
+     * those.
+     */
     private static final double ENOUGH = 4;
 
     private final Random random;
@@ -67,7 +71,8 @@
     }
 
     private static boolean allowed(String type, String zone, boolean spot, JobSpec s) {
-        return (s.types() == null || s.types().contains(type)) && (s.zone() == null || s.zone().equals(zone))
+        return (s.types() == null || s.types().contains(type))
+                && (s.zone() == null || s.zone().equals(zone))
                 && (s.spot() || !spot);
     }
 
@@ -81,22 +86,35 @@
     }
 
     /**
-     * Machines for a job's tasks, one call after the other. Guards against a look at the whole block for every task
-     * of a large array: what the candidates are and their order for the scan is worked out once. That order holds
-     * because the tasks are alike: a machine that gets one becomes fuller still, and one without room stays so.
+     * Machines for a job's tasks, one call after the other. Guards against a look at the whole
+     * block for every task of a large array: what the candidates are and their order for the scan
+     * is worked out once. That order holds because the tasks are alike: a machine that gets one
+     * becomes fuller still, and one without room stays so.
      */
     final class Search {
         private final JobSpec spec;
         private final List<Machine> candidates;
+
         /** Which of the candidates come first, those that are left after them, and so on. */
         private final List<Predicate<Machine>> stages = new ArrayList<>();
+
         private int stage;
+
         /** Whether the stages for machines without the image have still to be worked out. */
         private boolean elsewhereToo;
+
         private Boolean enough;
-        /** The candidates with room for a task, as of when the search began: room only shrinks while it lasts. */
+
+        /**
+         * The candidates with room for a task, as of when the search began: room only shrinks while
+         * it lasts.
+         */
         private List<Machine> roomy;
-        /** Null before a stage begins. Room only shrinks while a search lasts, so a stage that found none is over. */
+
+        /**
+         * Null before a stage begins. Room only shrinks while a search lasts, so a stage that found
+         * none is over.
+         */
         private Walk walk;
 
         private Search(JobSpec spec, List<Machine> candidates) {
@@ -109,7 +127,8 @@
                 stages.add(m -> true);
                 return;
             }
-            // Work that may use spot machines leaves the others to work that may not; but with a deadline there is no
+            // Work that may use spot machines leaves the others to work that may not; but with a
+            // deadline there is no
             // time to fetch an image on the one while the other has it.
             stages.add(m -> m.spot() && holds(m));
             if (spec.deadlineS() != null) {
@@ -132,8 +151,10 @@
                 elsewhere(m -> true);
             } else {
                 // Where half a machine is free, one fetch serves many, and nothing is left idle.
-                stages.add(m -> 2 * m.usedCpus() <= types.get(m.type()).cpus()
-                        && (m.fetches(spec.image()) || !m.fetches()));
+                stages.add(
+                        m ->
+                                2 * m.usedCpus() <= types.get(m.type()).cpus()
+                                        && (m.fetches(spec.image()) || !m.fetches()));
             }
         }
 
@@ -142,8 +163,8 @@
         }
 
         /**
-         * Machines that lack the image: those that fetch it already, then those that fetch nothing else, since images
-         * that are fetched at the same time may share the machine's rate.
+         * Machines that lack the image: those that fetch it already, then those that fetch nothing
+         * else, since images that are fetched at the same time may share the machine's rate.
          */
         private void elsewhere(Predicate<Machine> of) {
             stages.add(m -> of.test(m) && m.fetches(spec.image()));
@@ -152,9 +173,10 @@
         }
 
         /**
-         * Whether so many machines have the image, or fetch it, that room on them comes free sooner than another one
-         * would have fetched it. Guards against arrays whose last tasks wait for an image on a machine that three
-         * others fetch theirs on, while their like end every second where the image is.
+         * Whether so many machines have the image, or fetch it, that room on them comes free sooner
+         * than another one would have fetched it. Guards against arrays whose last tasks wait for
+         * an image on a machine that three others fetch theirs on, while their like end every
+         * second where the image is.
          */
         private boolean enoughHold() {
             if (enough == null) {
@@ -162,7 +184,13 @@
                 for (Machine m : candidates) {
                     if (holds(m) || m.fetches(spec.image())) {
                         MachineType t = types.get(m.type());
-                        slots += most(spec, Integer.MAX_VALUE, t.cpus() - m.boundCpus(), t.gpus(), t.memoryGb());
+                        slots +=
+                                most(
+                                        spec,
+                                        Integer.MAX_VALUE,
+                                        t.cpus() - m.boundCpus(),
+                                        t.gpus(),
+                                        t.memoryGb());
                     }
                     if (slots >= ENOUGH * spec.tasks()) {
                         break;
@@ -178,7 +206,10 @@
             return Boolean.TRUE.equals(enough);
         }
 
-        /** Guards against bound work spread over empty machines for the sake of its image: it packs, if it can. */
+        /**
+         * Guards against bound work spread over empty machines for the sake of its image: it packs,
+         * if it can.
+         */
         private boolean large() {
             return types.values().stream().allMatch(t -> slots(spec, t) < 2);
         }
@@ -188,7 +219,9 @@
             return new Search(spec, candidates.stream().filter(in).toList());
         }
 
-        /** Null if there is none now; the caller puts the task there before it asks for the next. */
+        /**
+         * Null if there is none now; the caller puts the task there before it asks for the next.
+         */
         Machine next() {
             if (roomy == null) {
                 roomy = candidates.stream().filter(m -> room(m, spec)).toList();
@@ -200,8 +233,10 @@
                 }
                 if (walk == null) {
                     Predicate<Machine> in = stages.get(stage++);
-                    // Where none has room, probes would miss and a scan find nothing: on a full fleet that is nearly
-                    // every stage of nearly every search, and to ask hundreds of machines for an image takes its time.
+                    // Where none has room, probes would miss and a scan find nothing: on a full
+                    // fleet that is nearly
+                    // every stage of nearly every search, and to ask hundreds of machines for an
+                    // image takes its time.
                     if (roomy.stream().noneMatch(in)) {
                         continue;
                     }
@@ -220,8 +255,13 @@
     private final class Walk {
         private final JobSpec spec;
         private final List<Machine> from;
-        /** Machines in use come first, so that idle ones stay whole for gangs and large tasks, or empty to return. */
+
+        /**
+         * Machines in use come first, so that idle ones stay whole for gangs and large tasks, or
+         * empty to return.
+         */
         private final List<Machine> used = new ArrayList<>();
+
         private List<Machine> order;
         private int at;
 
@@ -244,8 +284,9 @@
         }
 
         /**
-         * Guards against work that may go anywhere filling just those ordinary machines that have most images, which
-         * large work would start on at once: it takes those first that have few. Less than what a full machine counts.
+         * Guards against work that may go anywhere filling just those ordinary machines that have
+         * most images, which large work would start on at once: it takes those first that have few.
+         * Less than what a full machine counts.
          */
         private double worthKeeping(Machine m) {
             int n = m.images().size();
@@ -262,8 +303,11 @@
                     looks++;
                     if (room(m, spec)) {
                         order.add(m);
-                        score.put(m, (m.holdingCpus() + m.usedCpus() / 4) / types.get(m.type()).cpus()
-                                + (m.has(spec.image()) ? 1 : 0) - (spec.spot() && !m.spot() ? worthKeeping(m) : 0));
+                        score.put(
+                                m,
+                                (m.holdingCpus() + m.usedCpus() / 4) / types.get(m.type()).cpus()
+                                        + (m.has(spec.image()) ? 1 : 0)
+                                        - (spec.spot() && !m.spot() ? worthKeeping(m) : 0));
                     }
                 }
                 order.sort(Comparator.comparing(score::get, Comparator.reverseOrder()));
@@ -326,18 +370,25 @@
     }
 
     /**
-     * The zone for the first tasks of a job that has to stay in one: that with the least room that suffices for so many,
-     * or else the most. Guards against a job that is bound to a zone which holds few of its tasks by the first of them,
-     * while another would hold all.
+     * The zone for the first tasks of a job that has to stay in one: that with the least room that
+     * suffices for so many, or else the most. Guards against a job that is bound to a zone which
+     * holds few of its tasks by the first of them, while another would hold all.
      */
     String roomiest(JobSpec s, int tasks, List<Machine> candidates) {
         Map<String, Integer> slots = new TreeMap<>();
         for (Machine m : candidates) {
             slots.merge(m.zone(), freeSlots(m, s, 0, 0, 0), Integer::sum);
         }
-        return slots.entrySet().stream().min(Comparator
-                .comparingInt((Map.Entry<String, Integer> e) -> e.getValue() >= tasks ? e.getValue() : Integer.MAX_VALUE)
-                .thenComparingInt(e -> -e.getValue())).map(Map.Entry::getKey).orElse(null);
+        return slots.entrySet().stream()
+                .min(
+                        Comparator.comparingInt(
+                                        (Map.Entry<String, Integer> e) ->
+                                                e.getValue() >= tasks
+                                                        ? e.getValue()
+                                                        : Integer.MAX_VALUE)
+                                .thenComparingInt(e -> -e.getValue()))
+                .map(Map.Entry::getKey)
+                .orElse(null);
     }
 
     private List<Machine> whole(JobSpec s, Search among) {
@@ -364,7 +415,10 @@
     /** How many such tasks fit on the machine if that much of its load were gone. */
     int freeSlots(Machine m, JobSpec s, double lessCpus, double lessGpus, double lessMemory) {
         MachineType t = types.get(m.type());
-        return slots(s, t.cpus() - m.usedCpus() + lessCpus, t.gpus() - m.usedGpus() + lessGpus,
+        return slots(
+                s,
+                t.cpus() - m.usedCpus() + lessCpus,
+                t.gpus() - m.usedGpus() + lessGpus,
                 t.memoryGb() - m.usedMemory() + lessMemory);
     }
 
--- a/src/main/java/io/kitepath/core/place/Preemption.java
+++ b/src/main/java/io/kitepath/core/place/Preemption.java
@@ -17,12 +17,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Whose work gives way to whose, where the least is lost by it, and what room is held or kept for a job. */
+/**
+ * Whose work gives way to whose, where the least is lost by it, and what room is held or kept for a
+ * job.
+ */
 public final class Preemption {
     /**
-     * Report intervals for which small tasks wait for room that comes free by itself, before others are stopped for
-     * them. Guards against work that is stopped by the ten thousand on a full fleet, half done, for tasks that would
-     * have had the room of one that ended a second later.
+     * Report intervals for which small tasks wait for room that comes free by itself, before others
+     * are stopped for them. Guards against work that is stopped by the ten thousand on a full
+     * fleet, half done, for tasks that would have had the room of one that ended a second later.
      */
     private static final double PATIENCE = 2;
 
@@ -31,12 +34,19 @@
     private long evictions;
     private long forGuarantees;
     private long forGangs;
-    /** By zone, or "" for jobs that may be in any: for how many jobs machines are kept in this round. */
+
+    /**
+     * By zone, or "" for jobs that may be in any: for how many jobs machines are kept in this
+     * round.
+     */
     private final Map<String, Integer> keepers = new HashMap<>();
+
     private final Map<Claim, Giving> givings = new HashMap<>();
+
     /**
-     * Whether this round looked for room for small tasks. Guards against rounds of which two thirds go into looking at
-     * every attempt of a full fleet for one small job after the other, when the next round comes in a moment.
+     * Whether this round looked for room for small tasks. Guards against rounds of which two thirds
+     * go into looking at every attempt of a full fleet for one small job after the other, when the
+     * next round comes in a moment.
      */
     private boolean searchedForSmall;
 
@@ -45,7 +55,10 @@
         this.placement = placement;
     }
 
-    /** Attempts stopped for work of more right, and those of them that a guarantee was the reason for. */
+    /**
+     * Attempts stopped for work of more right, and those of them that a guarantee was the reason
+     * for.
+     */
     public long evictions() {
         return evictions;
     }
@@ -60,18 +73,20 @@
     }
 
     /**
-     * A machine that a job might be given room on: tasks that fit now and with others stopped, and what stopping them
-     * and fetching the image would lose, in CPU seconds.
+     * A machine that a job might be given room on: tasks that fit now and with others stopped, and
+     * what stopping them and fetching the image would lose, in CPU seconds.
      */
     private record Offer(Machine machine, int now, int stopping, double loss) {}
 
     /** What decides whose work gives way to a job; {@code firm}: its own never does. */
-    private record Claim(JobSpec.Priority priority, boolean guaranteed, String team, boolean firm) {}
+    private record Claim(
+            JobSpec.Priority priority, boolean guaranteed, String team, boolean firm) {}
 
     /**
-     * What gives way to jobs of one claim: whose work, and by machine its CPUs, GPUs, memory and what stopping it loses.
-     * Worked out once a round. Guards against a holder that looks at every attempt of a full fleet for each of the sizes
-     * in which gangs wait; what is placed meanwhile is not counted, and machines where something is stopped are reserved.
+     * What gives way to jobs of one claim: whose work, and by machine its CPUs, GPUs, memory and
+     * what stopping it loses. Worked out once a round. Guards against a holder that looks at every
+     * attempt of a full fleet for each of the sizes in which gangs wait; what is placed meanwhile
+     * is not counted, and machines where something is stopped are reserved.
      */
     private static final class Giving {
         private final Set<Job> yielding = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -82,8 +97,9 @@
     private record Gap(Machine machine, double inS, int tasks) {}
 
     /**
-     * For a job that found no room: stops lesser work where that is enough, and keeps machines for it, so that
-     * smaller work behind it does not take every gap. Returns whether anything was stopped or kept.
+     * For a job that found no room: stops lesser work where that is enough, and keeps machines for
+     * it, so that smaller work behind it does not take every gap. Returns whether anything was
+     * stopped or kept.
      */
     boolean makeRoom(Job job, List<Machine> open, double now) {
         JobSpec s = job.spec;
@@ -100,7 +116,8 @@
         ZoneBounds bounds = ZoneBounds.of(job);
         Map<String, List<Offer>> byZone = new LinkedHashMap<>();
         for (Machine m : open) {
-            if ((m.reservedFor() == null || m.reservedFor() == job) && placement.allowed(m, s)
+            if ((m.reservedFor() == null || m.reservedFor() == job)
+                    && placement.allowed(m, s)
                     && bounds.left(m.zone()) > 0) {
                 byZone.computeIfAbsent(s.oneZone() ? m.zone() : "", k -> new ArrayList<>())
                         .add(offer(job, m, giving, now));
@@ -132,22 +149,24 @@
     }
 
     /**
-     * Keeps the machines on which the job can start soonest, as what runs there ends, in the zone where that is
-     * soonest. Guards against a burst of gangs each of which keeps machines, so that a fifth of the fleet idles in gaps
-     * that would together hold several of them: in each zone only the first one keeps room, the others take what is
-     * free.
+     * Keeps the machines on which the job can start soonest, as what runs there ends, in the zone
+     * where that is soonest. Guards against a burst of gangs each of which keeps machines, so that
+     * a fifth of the fleet idles in gaps that would together hold several of them: in each zone
+     * only the first one keeps room, the others take what is free.
      */
     private boolean keep(Job job, int need, Set<String> zones, List<Machine> open, double now) {
         JobSpec s = job.spec;
         List<Gap> best = null;
         String where = null;
         for (String zone : zones) {
-            if (keepers.getOrDefault(zone, 0) >= (zone.isEmpty() ? block.facts().zones().size() : 1)) {
+            if (keepers.getOrDefault(zone, 0)
+                    >= (zone.isEmpty() ? block.facts().zones().size() : 1)) {
                 continue;
             }
             List<Gap> gaps = new ArrayList<>();
             for (Machine m : open) {
-                if ((m.reservedFor() == null || m.reservedFor() == job) && placement.allowed(m, s)
+                if ((m.reservedFor() == null || m.reservedFor() == job)
+                        && placement.allowed(m, s)
                         && (zone.isEmpty() || zone.equals(m.zone()))) {
                     gaps(job, m, now, gaps);
                 }
@@ -221,9 +240,14 @@
             return false;
         }
         double reportMs = 1000 * block.facts().workers().reportS();
-        // Guards against work stopped half done for a stage that is only as urgent as the one behind it, and has time.
-        boolean early = job.priority() != job.spec.priority()
-                && wallMs + PATIENCE * reportMs + 1000 * block.leads().mostS(job.spec.jobClass()) < job.goalMs(0);
+        // Guards against work stopped half done for a stage that is only as urgent as the one
+        // behind it, and has time.
+        boolean early =
+                job.priority() != job.spec.priority()
+                        && wallMs
+                                        + PATIENCE * reportMs
+                                        + 1000 * block.leads().mostS(job.spec.jobClass())
+                                < job.goalMs(0);
         return early || wallMs - job.sinceMs() < PATIENCE * reportMs;
     }
 
@@ -231,11 +255,15 @@
         return !s.gang() && !s.oneZone() && !s.spread() && s.cpus() * 2 <= smallestMachine();
     }
 
-    /** Offers that together hold the tasks, those that lose least first; null if they don't suffice. */
+    /**
+     * Offers that together hold the tasks, those that lose least first; null if they don't suffice.
+     */
     private static List<Offer> cheapest(List<Offer> in, int need, ZoneBounds zones) {
         List<Offer> sorted = new ArrayList<>(in);
-        sorted.sort(Comparator.comparingDouble((Offer o) -> o.loss / Math.max(1, o.stopping))
-                .thenComparing(o -> -o.now).thenComparing(o -> o.machine.id));
+        sorted.sort(
+                Comparator.comparingDouble((Offer o) -> o.loss / Math.max(1, o.stopping))
+                        .thenComparing(o -> -o.now)
+                        .thenComparing(o -> o.machine.id));
         List<Offer> take = new ArrayList<>();
         int left = need;
         for (Offer o : sorted) {
@@ -268,14 +296,20 @@
         return g;
     }
 
-    /** CPUs, GPUs and memory of what gives way to the job on the machine, and the CPU seconds that stopping it loses. */
+    /**
+     * CPUs, GPUs and memory of what gives way to the job on the machine, and the CPU seconds that
+     * stopping it loses.
+     */
     private double[] sums(Job job, Machine m, Giving giving, double now) {
         double[] sum = new double[4];
         for (Attempt a : m.attempts()) {
             if (giving.yielding.contains(a.job) && mayEvict(job, a)) {
                 JobSpec v = a.job.spec;
                 less(sum, a);
-                sum[3] += a.stopping() ? 0 : v.cpus() * (a.unsavedS(now) + block.facts().workers().reportS());
+                sum[3] +=
+                        a.stopping()
+                                ? 0
+                                : v.cpus() * (a.unsavedS(now) + block.facts().workers().reportS());
             }
         }
         return sum;
@@ -297,9 +331,10 @@
     }
 
     /**
-     * Work gives way to work of higher priority, and what a team borrows to the guarantee of another. Guards against two
-     * jobs that stop each other without end, so that neither is ever done: what is within a guarantee does not give way
-     * to more urgent work that would have to give it back.
+     * Work gives way to work of higher priority, and what a team borrows to the guarantee of
+     * another. Guards against two jobs that stop each other without end, so that neither is ever
+     * done: what is within a guarantee does not give way to more urgent work that would have to
+     * give it back.
      */
     boolean yields(Job holding, Job job) {
         if (firm(holding)) {
@@ -315,24 +350,34 @@
         return job.spec.gang() || job.spec.shape() == JobSpec.Shape.SERVICE;
     }
 
-    /** Whether the job's team has that work beyond its guarantee, {@code own} CPUs of it apart, and the other is within its. */
+    /**
+     * Whether the job's team has that work beyond its guarantee, {@code own} CPUs of it apart, and
+     * the other is within its.
+     */
     private boolean borrows(Job job, Job other, double own) {
         Facts.Team t = block.facts().teams().get(job.spec.team());
-        return other.guaranteed() && !job.guaranteed() && !job.spec.team().equals(other.spec.team()) && t != null
+        return other.guaranteed()
+                && !job.guaranteed()
+                && !job.spec.team().equals(other.spec.team())
+                && t != null
                 && block.teamUse().cpus(job.spec.team()) - own >= t.cpus();
     }
 
     /**
-     * Whether work here is served before the job although it gives way to it: a guarantee comes first, a higher
-     * priority may stop it. Guards against such work taking the room again in the next round, and being stopped again,
-     * without an end: the room is held until the stopped tasks can have been reported. Only then, for small tasks: to
-     * hold a machine of which they take a thirtieth would leave the rest of it idle.
+     * Whether work here is served before the job although it gives way to it: a guarantee comes
+     * first, a higher priority may stop it. Guards against such work taking the room again in the
+     * next round, and being stopped again, without an end: the room is held until the stopped tasks
+     * can have been reported. Only then, for small tasks: to hold a machine of which they take a
+     * thirtieth would leave the rest of it idle.
      */
     private boolean outranked(Job job, Machine m) {
         return m.attempts().stream().anyMatch(a -> a.job.rank() < job.rank() && yields(a.job, job));
     }
 
-    /** Stops just enough on the machine, the latest placed first; returns how many tasks of the job it will hold. */
+    /**
+     * Stops just enough on the machine, the latest placed first; returns how many tasks of the job
+     * it will hold.
+     */
     private int evict(Job job, Offer o, int need) {
         List<Attempt> victims = new ArrayList<>();
         double[] less = new double[3];
@@ -345,7 +390,8 @@
                 }
             }
         }
-        victims.sort(Comparator.comparingDouble((Attempt a) -> -a.placedAt).thenComparing(a -> -a.task));
+        victims.sort(
+                Comparator.comparingDouble((Attempt a) -> -a.placedAt).thenComparing(a -> -a.task));
         int want = Math.min(need, o.stopping);
         for (Attempt a : victims) {
             if (placement.freeSlots(o.machine, job.spec, less[0], less[1], less[2]) >= want) {
--- a/src/main/java/io/kitepath/core/place/ServiceOrder.java
+++ b/src/main/java/io/kitepath/core/place/ServiceOrder.java
@@ -17,11 +17,12 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The order in which jobs are served: work within its team's guarantee, then by priority; within that so that as many
- * jobs as possible meet what is expected of them. That is the rule of Moore and Hodgson: by the time at which a job
- * has to start, and where the work up to some job is more than the machines get done until then, the largest one so
- * far goes without; the largest of those whose class and team are not behind, as long as there is one, then of those
- * that get the most. Guards against an overload in which, by due times alone, each job gets its turn just too late.
+ * The order in which jobs are served: work within its team's guarantee, then by priority; within
+ * that so that as many jobs as possible meet what is expected of them. That is the rule of Moore
+ * and Hodgson: by the time at which a job has to start, and where the work up to some job is more
+ * than the machines get done until then, the largest one so far goes without; the largest of those
+ * whose class and team are not behind, as long as there is one, then of those that get the most.
+ * Guards against an overload in which, by due times alone, each job gets its turn just too late.
  */
 public final class ServiceOrder {
     /** A job, which of its goals is tried for, and its work in CPU seconds. */
@@ -34,30 +35,46 @@
 
     private final ToDoubleFunction<JobSpec> capacity;
     private final ToDoubleFunction<JobSpec> lead;
+
     /** 1, or below it if a job's class or team gets so little that others go without before it. */
     private final ToDoubleFunction<JobSpec> standing;
+
     private final double now;
     private final double wallMs;
+
     /** CPU seconds of waiting work that goes before what is looked at. */
     private double ahead;
-    /** CPUs of what runs and does not give way, by job, and for how long they will probably be taken. */
+
+    /**
+     * CPUs of what runs and does not give way, by job, and for how long they will probably be
+     * taken.
+     */
     private final List<double[]> running = new ArrayList<>();
-    /** The same, those that end soonest first; and added up to each, what they take in all, and their CPUs. */
+
+    /**
+     * The same, those that end soonest first; and added up to each, what they take in all, and
+     * their CPUs.
+     */
     private double[] ends = new double[0];
+
     private double[] taken = new double[1];
     private double[] held = new double[1];
 
     /**
-     * Guards against an overload of work for ordinary machines that nobody sees because spot machines, which it may
-     * not use, have room.
+     * Guards against an overload of work for ordinary machines that nobody sees because spot
+     * machines, which it may not use, have room.
      *
      * @param capacity how many CPUs such jobs can use at once, were all machines theirs
      * @param lead how many seconds pass between placing and running
-     * @param standing 1, or the share that the job's class or team gets if that is so little that others of a higher one
-     *     go without before it
+     * @param standing 1, or the share that the job's class or team gets if that is so little that
+     *     others of a higher one go without before it
      */
-    ServiceOrder(ToDoubleFunction<JobSpec> capacity, ToDoubleFunction<JobSpec> lead, ToDoubleFunction<JobSpec> standing,
-            double now, double wallMs) {
+    ServiceOrder(
+            ToDoubleFunction<JobSpec> capacity,
+            ToDoubleFunction<JobSpec> lead,
+            ToDoubleFunction<JobSpec> standing,
+            double now,
+            double wallMs) {
         this.capacity = capacity;
         this.lead = lead;
         this.standing = standing;
@@ -108,8 +125,8 @@
     }
 
     /**
-     * CPU seconds that there are for such waiting work in that time; what runs takes only its part of it. Asked for each
-     * job that waits, so what runs is added up once and not for each of them.
+     * CPU seconds that there are for such waiting work in that time; what runs takes only its part
+     * of it. Asked for each job that waits, so what runs is added up once and not for each of them.
      */
     private double room(JobSpec s, double seconds) {
         int at = Arrays.binarySearch(ends, seconds);
@@ -123,15 +140,27 @@
         List<Job> last = new ArrayList<>();
         for (Job j : jobs) {
             if (!j.over() && j.waiting() > 0) {
-                aim(new Entry(j, -1, j.spec.cpus() * j.spec.estimateS() * j.waiting(),
-                        1000 * lead.applyAsDouble(j.spec), standing.applyAsDouble(j.spec)), tried, last);
+                aim(
+                        new Entry(
+                                j,
+                                -1,
+                                j.spec.cpus() * j.spec.estimateS() * j.waiting(),
+                                1000 * lead.applyAsDouble(j.spec),
+                                standing.applyAsDouble(j.spec)),
+                        tried,
+                        last);
             }
         }
         while (!tried.isEmpty()) {
-            tried.sort(Comparator.comparingDouble(Entry::startMs).thenComparingDouble(e -> e.job.sinceMs())
-                    .thenComparing(e -> e.job.spec.id()));
-            PriorityQueue<Entry> largest = new PriorityQueue<>(Comparator.comparingDouble((Entry e) -> -e.standing)
-                    .thenComparingDouble(e -> -e.work).thenComparing(e -> e.job.spec.id()));
+            tried.sort(
+                    Comparator.comparingDouble(Entry::startMs)
+                            .thenComparingDouble(e -> e.job.sinceMs())
+                            .thenComparing(e -> e.job.spec.id()));
+            PriorityQueue<Entry> largest =
+                    new PriorityQueue<>(
+                            Comparator.comparingDouble((Entry e) -> -e.standing)
+                                    .thenComparingDouble(e -> -e.work)
+                                    .thenComparing(e -> e.job.spec.id()));
             Set<Entry> without = Collections.newSetFromMap(new IdentityHashMap<>());
             for (Entry e : tried) {
                 largest.add(e);
@@ -145,8 +174,9 @@
                     without.add(e);
                     continue;
                 }
-                // The largest makes room for this one; where smaller ones go because it is behind, it takes several.
-                for (double made = 0; ahead > room && made < e.work && !largest.isEmpty();) {
+                // The largest makes room for this one; where smaller ones go because it is behind,
+                // it takes several.
+                for (double made = 0; ahead > room && made < e.work && !largest.isEmpty(); ) {
                     Entry gone = largest.poll();
                     ahead -= gone.work;
                     made += gone.work;
@@ -168,7 +198,10 @@
         out.addAll(last);
     }
 
-    /** Puts the job among those that try for their next goal that is not past, or last if it has none. */
+    /**
+     * Puts the job among those that try for their next goal that is not past, or last if it has
+     * none.
+     */
     private void aim(Entry e, List<Entry> tried, List<Job> last) {
         int goal = e.goal + 1;
         while (goal < e.job.goals() && e.job.goalMs(goal) - e.leadMs < wallMs) {
--- a/src/main/java/io/kitepath/core/place/Standby.java
+++ b/src/main/java/io/kitepath/core/place/Standby.java
@@ -12,14 +12,15 @@
 import java.util.Map;
 
 /**
- * Idle machines that lesser work leaves alone for a moment, because by their usual pace gangs of higher priority will
- * come before room could be made for them. Guards against work that fills every machine as soon as a gang has left it,
- * only to be stopped for the next one: on a full fleet one start in six was lost that way, and with it the end of the
- * array that it belonged to.
+ * Idle machines that lesser work leaves alone for a moment, because by their usual pace gangs of
+ * higher priority will come before room could be made for them. Guards against work that fills
+ * every machine as soon as a gang has left it, only to be stopped for the next one: on a full fleet
+ * one start in six was lost that way, and with it the end of the array that it belonged to.
  */
 final class Standby {
     private final Block block;
     private final Placement placement;
+
     /** The priority of the gangs that a machine waits for. */
     private final Map<Machine, JobSpec.Priority> kept = new HashMap<>();
 
@@ -40,7 +41,9 @@
         if (idle.isEmpty()) {
             return;
         }
-        idle.sort(Comparator.comparingInt((Machine m) -> -m.images().size()).thenComparing(m -> m.id));
+        idle.sort(
+                Comparator.comparingInt((Machine m) -> -m.images().size())
+                        .thenComparing(m -> m.id));
         for (Lately.Pace pace : block.lately().gangs(wallMs)) {
             // Room is made within about one report: what is stopped has to be reported as ended.
             double tasks = pace.tasksPerS() * block.facts().workers().reportS();
--- a/src/main/java/io/kitepath/core/place/ZoneBounds.java
+++ b/src/main/java/io/kitepath/core/place/ZoneBounds.java
@@ -7,16 +7,20 @@
 import java.util.Map;
 
 /**
- * How many more tasks of a job each zone may have, given where its other tasks are that are not proven over. Guards
- * against work placed, room kept or emptied, and machines rented in a zone that the job can't use for its other tasks'
- * sake. Where a machine is of which only a record has said the name is not known: what is on it may be in any zone.
+ * How many more tasks of a job each zone may have, given where its other tasks are that are not
+ * proven over. Guards against work placed, room kept or emptied, and machines rented in a zone that
+ * the job can't use for its other tasks' sake. Where a machine is of which only a record has said
+ * the name is not known: what is on it may be in any zone.
  */
 public final class ZoneBounds {
     private final JobSpec spec;
+
     /** The only zone that the job may use; null if that is not decided. */
     private String only;
+
     /** Tasks by zone, counted only if that matters. */
     private final Map<String, Integer> perZone = new HashMap<>();
+
     private int somewhere;
 
     private ZoneBounds(JobSpec spec) {
@@ -71,7 +75,10 @@
         return only != null || spec.oneZone() && somewhere > 0;
     }
 
-    /** The zone that the job is bound to; null if it is bound to none, or to one that is not known yet. */
+    /**
+     * The zone that the job is bound to; null if it is bound to none, or to one that is not known
+     * yet.
+     */
     public String only() {
         return only;
     }
@@ -81,7 +88,8 @@
         if (only != null && !only.equals(zone) || only == null && spec.oneZone() && somewhere > 0) {
             return 0;
         }
-        return spec.spread() ? Math.max(0, spec.mostPerZone() - perZone.getOrDefault(zone, 0) - somewhere)
+        return spec.spread()
+                ? Math.max(0, spec.mostPerZone() - perZone.getOrDefault(zone, 0) - somewhere)
                 : Integer.MAX_VALUE;
     }
 }
--- a/src/main/java/io/kitepath/core/port/Cloud.java
+++ b/src/main/java/io/kitepath/core/port/Cloud.java
@@ -7,12 +7,20 @@
 
 /** Rents machines by the second. */
 public interface Cloud {
-    record Listed(String machine, String type, String zone, boolean spot, String status, double heldS) {}
+    record Listed(
+            String machine, String type, String zone, boolean spot, String status, double heldS) {}
 
     void types(BiConsumer<Store.Outcome, List<MachineType>> answer);
 
-    /** NO: no capacity. The same name must be used again after an unknown outcome, and never for anything else. */
-    void rent(String name, MachineKind kind, int count, BiConsumer<Store.Outcome, List<String>> answer);
+    /**
+     * NO: no capacity. The same name must be used again after an unknown outcome, and never for
+     * anything else.
+     */
+    void rent(
+            String name,
+            MachineKind kind,
+            int count,
+            BiConsumer<Store.Outcome, List<String>> answer);
 
     /** OK: the machines and everything on them are gone. */
     void release(List<String> machines, java.util.function.Consumer<Store.Outcome> answer);
--- a/src/main/java/io/kitepath/core/port/Siblings.java
+++ b/src/main/java/io/kitepath/core/port/Siblings.java
@@ -28,6 +28,9 @@
     /** Asks the leader how far jobs are; answers an empty list if that can't be had soon. */
     void progress(String leader, List<String> jobs, Consumer<List<Progress>> answer);
 
-    /** Has a sibling answer a check-in, or pass it on to the leader if it may; false if it can't be asked now. */
+    /**
+     * Has a sibling answer a check-in, or pass it on to the leader if it may; false if it can't be
+     * asked now.
+     */
     boolean relay(String sibling, Report report, boolean passOn, Consumer<HeartbeatAnswer> answer);
 }
--- a/src/main/java/io/kitepath/core/port/Store.java
+++ b/src/main/java/io/kitepath/core/port/Store.java
@@ -5,13 +5,22 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** The state service, the only place where anything lasts. Answers come later, on the event loop. */
+/**
+ * The state service, the only place where anything lasts. Answers come later, on the event loop.
+ */
 public interface Store {
     /**
-     * NO is a definite answer; REFUSED means it was not executed; UNKNOWN that it may have been, or still will; INVALID
-     * that it was not and never will be, as when it is larger than the limits are by now.
+     * NO is a definite answer; REFUSED means it was not executed; UNKNOWN that it may have been, or
+     * still will; INVALID that it was not and never will be, as when it is larger than the limits
+     * are by now.
      */
-    enum Outcome { OK, NO, REFUSED, UNKNOWN, INVALID }
+    enum Outcome {
+        OK,
+        NO,
+        REFUSED,
+        UNKNOWN,
+        INVALID
+    }
 
     record Entry(String key, Object value, long revision) {}
 
@@ -58,7 +67,10 @@
     /** OK with the entry, or NO if there is none. */
     void get(String key, BiConsumer<Outcome, Entry> answer);
 
-    /** What is under the prefix after the key {@code from} (empty: from the start), in the keys' order. */
+    /**
+     * What is under the prefix after the key {@code from} (empty: from the start), in the keys'
+     * order.
+     */
     void page(String prefix, String from, int limit, Consumer<Listing> answer);
 
     void commit(Transaction transaction, Consumer<Committed> answer);
--- a/src/main/java/io/kitepath/core/serve/Dependencies.java
+++ b/src/main/java/io/kitepath/core/serve/Dependencies.java
@@ -1,5 +1,7 @@
 package io.kitepath.core.serve;
 
+import com.github.benmanes.caffeine.cache.Cache;
+import com.github.benmanes.caffeine.cache.Caffeine;
 import io.kitepath.core.model.Facts;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec.Shape;
@@ -9,8 +11,6 @@
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.Keys;
-import com.github.benmanes.caffeine.cache.Cache;
-import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -18,18 +18,23 @@
 import java.util.function.Consumer;
 
 /**
- * Whether the jobs that a submission names were accepted, by any node of any version. Each is looked for where open jobs
- * are and then where those over are, so that one on its way from one to the other is never taken for one that was never
- * accepted. What was accepted stays so, hence what was found once is not looked for again.
+ * Whether the jobs that a submission names were accepted, by any node of any version. Each is
+ * looked for where open jobs are and then where those over are, so that one on its way from one to
+ * the other is never taken for one that was never accepted. What was accepted stays so, hence what
+ * was found once is not looked for again.
  */
 final class Dependencies {
-    /** What came of it: whether it could be found out; why not, if one was never accepted or can't be waited for. */
+    /**
+     * What came of it: whether it could be found out; why not, if one was never accepted or can't
+     * be waited for.
+     */
     interface Found {
         void is(boolean known, String wrong);
     }
 
     /** Jobs that were cancelled, for ever. */
-    private final Cache<String, Boolean> cancelled = Caffeine.newBuilder().maximumSize(2000).build();
+    private final Cache<String, Boolean> cancelled =
+            Caffeine.newBuilder().maximumSize(2000).build();
 
     /** Whether one of them is known to be cancelled. */
     boolean anyCancelled(List<String> ids) {
@@ -40,12 +45,17 @@
         cancelled.put(id, true);
     }
 
-    /** Read one by one up to that many, which also tells services; more are only compared, many at a time. */
+    /**
+     * Read one by one up to that many, which also tells services; more are only compared, many at a
+     * time.
+     */
     private static final int READ = 16;
 
     private final Store store;
+
     /** Of a transaction's conditions, of which a job takes two. */
     private int most;
+
     /** Jobs that were accepted and are no services. */
     private final Cache<String, Boolean> accepted = Caffeine.newBuilder().maximumSize(5000).build();
 
@@ -73,39 +83,58 @@
 
     private void all(List<String> ids, Found answer) {
         int[] left = {ids.size()};
-        Found once = new Found() {
-            private boolean said;
-
-            @Override
-            public void is(boolean known, String wrong) {
-                boolean bad = wrong != null && !wrong.isEmpty();
-                if (!said && (!known || bad || --left[0] == 0)) {
-                    said = true;
-                    answer.is(known, bad ? wrong : null);
-                }
-            }
-        };
-        ids.forEach(id -> read(id, Keys.OPEN, x -> {
-            if (x == null) {
-                read(id, Keys.OVER, y -> once.is(true, y == null ? "job " + id + " was never accepted" : y),
-                        () -> once.is(false, null));
-            } else {
-                once.is(true, x);
-            }
-        }, () -> once.is(false, null)));
+        Found once =
+                new Found() {
+                    private boolean said;
+
+                    @Override
+                    public void is(boolean known, String wrong) {
+                        boolean bad = wrong != null && !wrong.isEmpty();
+                        if (!said && (!known || bad || --left[0] == 0)) {
+                            said = true;
+                            answer.is(known, bad ? wrong : null);
+                        }
+                    }
+                };
+        ids.forEach(
+                id ->
+                        read(
+                                id,
+                                Keys.OPEN,
+                                x -> {
+                                    if (x == null) {
+                                        read(
+                                                id,
+                                                Keys.OVER,
+                                                y ->
+                                                        once.is(
+                                                                true,
+                                                                y == null
+                                                                        ? "job "
+                                                                                + id
+                                                                                + " was never accepted"
+                                                                        : y),
+                                                () -> once.is(false, null));
+                                    } else {
+                                        once.is(true, x);
+                                    }
+                                },
+                                () -> once.is(false, null)));
     }
 
     /** {@code found}: empty if it is fine, why not otherwise, null if there is no such record. */
     private void read(String id, String where, Consumer<String> found, Runnable unsure) {
-        store.get(where + id, (outcome, entry) -> {
-            if (outcome == Outcome.NO) {
-                found.accept(null);
-            } else if (outcome != Outcome.OK) {
-                unsure.run();
-            } else {
-                found.accept(wrong(id, entry.value()));
-            }
-        });
+        store.get(
+                where + id,
+                (outcome, entry) -> {
+                    if (outcome == Outcome.NO) {
+                        found.accept(null);
+                    } else if (outcome != Outcome.OK) {
+                        unsure.run();
+                    } else {
+                        found.accept(wrong(id, entry.value()));
+                    }
+                });
     }
 
     private String wrong(String id, Object record) {
@@ -125,38 +154,47 @@
         List<String> some = ids.subList(0, Math.min(most, ids.size()));
         Transaction t = new Transaction();
         some.forEach(id -> t.when(Keys.OPEN + id, 0).when(Keys.OVER + id, 0));
-        store.commit(t, c -> {
-            if (c.outcome() == Outcome.INVALID && some.size() > 1) {
-                most = some.size() / 2; // The store takes fewer conditions by now than anybody said.
-                compare(ids, answer);
-                return;
-            }
-            if (c.outcome() != Outcome.OK && c.outcome() != Outcome.NO) {
-                answer.is(false, null);
-                return;
-            }
-            Set<String> there = new HashSet<>(c.failed());
-            List<String> missing = new ArrayList<>(some);
-            missing.removeIf(id -> there.contains(Keys.OPEN + id) || there.contains(Keys.OVER + id));
-            Runnable rest = () -> {
-                if (some.size() == ids.size()) {
-                    answer.is(true, null);
-                } else {
-                    compare(ids.subList(some.size(), ids.size()), answer);
-                }
-            };
-            if (missing.isEmpty()) {
-                rest.run();
-            } else {
-                // That one was never accepted is only said after one more look.
-                all(missing.subList(0, Math.min(READ, missing.size())), (known, wrong) -> {
-                    if (known && wrong == null && missing.size() <= READ) {
+        store.commit(
+                t,
+                c -> {
+                    if (c.outcome() == Outcome.INVALID && some.size() > 1) {
+                        most =
+                                some.size()
+                                        / 2; // The store takes fewer conditions by now than anybody
+                        // said.
+                        compare(ids, answer);
+                        return;
+                    }
+                    if (c.outcome() != Outcome.OK && c.outcome() != Outcome.NO) {
+                        answer.is(false, null);
+                        return;
+                    }
+                    Set<String> there = new HashSet<>(c.failed());
+                    List<String> missing = new ArrayList<>(some);
+                    missing.removeIf(
+                            id -> there.contains(Keys.OPEN + id) || there.contains(Keys.OVER + id));
+                    Runnable rest =
+                            () -> {
+                                if (some.size() == ids.size()) {
+                                    answer.is(true, null);
+                                } else {
+                                    compare(ids.subList(some.size(), ids.size()), answer);
+                                }
+                            };
+                    if (missing.isEmpty()) {
                         rest.run();
                     } else {
-                        answer.is(known && wrong != null, wrong);
+                        // That one was never accepted is only said after one more look.
+                        all(
+                                missing.subList(0, Math.min(READ, missing.size())),
+                                (known, wrong) -> {
+                                    if (known && wrong == null && missing.size() <= READ) {
+                                        rest.run();
+                                    } else {
+                                        answer.is(known && wrong != null, wrong);
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 }
--- a/src/main/java/io/kitepath/core/serve/Entitlement.java
+++ b/src/main/java/io/kitepath/core/serve/Entitlement.java
@@ -11,10 +11,10 @@
 /**
  * Whether this node may answer workers with its token, and so keep their tasks alive.
  *
- * <p>An answer sent at time a keeps tasks until a + {@code lease_s} at most. Every cancellation confirmed before k =
- * {@link KnownCancellations} is known, and each answer says what to stop for it. One that is not known was confirmed
- * after k, so that its tasks are gone {@code a - k + lease_s} after it at the latest: that has to stay under
- * {@code cancel_s}.
+ * <p>An answer sent at time a keeps tasks until a + {@code lease_s} at most. Every cancellation
+ * confirmed before k = {@link KnownCancellations} is known, and each answer says what to stop for
+ * it. One that is not known was confirmed after k, so that its tasks are gone {@code a - k +
+ * lease_s} after it at the latest: that has to stay under {@code cancel_s}.
  */
 final class Entitlement {
     private static final Logger LOG = LoggerFactory.getLogger(Entitlement.class);
@@ -45,9 +45,12 @@
             if (knows) {
                 LOG.info("all cancellations are known again: workers are answered");
             } else {
-                LOG.warn("workers are not answered any more: which jobs were cancelled is known until {} s ago; last"
-                        + " answer of the state service {} s ago, least is known of {}", Math.round(age),
-                        Math.round(leadership.unservedS()), known.leastKnown());
+                LOG.warn(
+                        "workers are not answered any more: which jobs were cancelled is known until {} s ago; last"
+                                + " answer of the state service {} s ago, least is known of {}",
+                        Math.round(age),
+                        Math.round(leadership.unservedS()),
+                        known.leastKnown());
             }
         }
         return knows;
--- a/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
+++ b/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
@@ -21,12 +21,13 @@
 import java.util.function.Consumer;
 
 /**
- * Where workers' reports arrive, at any node: answered by the holder, sent or relayed to it by others, or kept waiting
- * a moment for a leader, or for work that is about to be placed.
+ * Where workers' reports arrive, at any node: answered by the holder, sent or relayed to it by
+ * others, or kept waiting a moment for a leader, or for work that is about to be placed.
  */
 public final class HeartbeatDesk {
     /** Of the 4 s after which a worker drops an answer. */
     private static final double MAX_PARK_S = 3;
+
     private static final int SENT_AWAY = 2000;
 
     private final Facts facts;
@@ -40,30 +41,43 @@
     private final Timers timers;
     private final Spent spent;
     private final Runnable changed;
+
     /** Workers that were sent to the leader, and when. */
-    private final Map<String, Double> sentAway = new LinkedHashMap<>() {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-            return size() > SENT_AWAY;
-        }
-    };
+    private final Map<String, Double> sentAway =
+            new LinkedHashMap<>() {
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
+                    return size() > SENT_AWAY;
+                }
+            };
+
     private final Map<String, Parked> parked = new LinkedHashMap<>();
     private final Map<String, Held> held = new LinkedHashMap<>();
     private long received;
     private long relayed;
 
     /**
-     * A check-in that waits for a leader, or for this one to know which jobs may run ({@code asked} null), or for the
-     * answer of the one asked. {@code token}: the highest that was known then.
+     * A check-in that waits for a leader, or for this one to know which jobs may run ({@code asked}
+     * null), or for the answer of the one asked. {@code token}: the highest that was known then.
      */
-    private record Parked(Report report, String asked, long token, Consumer<HeartbeatAnswer> answer) {}
+    private record Parked(
+            Report report, String asked, long token, Consumer<HeartbeatAnswer> answer) {}
 
     /** A check-in whose answer waits a moment, so that work placed meanwhile starts at once. */
     private record Held(Consumer<HeartbeatAnswer> answer, List<Order> orders, long token) {}
 
     /** {@code changed} runs when a report may let work be placed. */
-    public HeartbeatDesk(Block block, Heartbeats heartbeats, Leadership leadership, Keeper keeper, Views views,
-            KnownCancellations known, Siblings siblings, Timers timers, Spent spent, Runnable changed) {
+    public HeartbeatDesk(
+            Block block,
+            Heartbeats heartbeats,
+            Leadership leadership,
+            Keeper keeper,
+            Views views,
+            KnownCancellations known,
+            Siblings siblings,
+            Timers timers,
+            Spent spent,
+            Runnable changed) {
         this.facts = block.facts();
         this.block = block;
         this.heartbeats = heartbeats;
@@ -103,7 +117,8 @@
             return;
         }
         if (cutOff()) {
-            // Guards against a worker that waits here, its lease running, for a leader that others hear and we don't.
+            // Guards against a worker that waits here, its lease running, for a leader that others
+            // hear and we don't.
             answer.accept(HeartbeatAnswer.elsewhere(null));
             return;
         }
@@ -112,15 +127,20 @@
             park(report, null, answer);
             return;
         }
-        // A worker that we sent to the leader and that is back did not get through to it, and one that comes with
-        // tasks and a token has lost it, this one or the last: ask on its behalf. Sending it away once more would cost
-        // it up to 5 s, of a lease that may be 10 s long. From time to time it is sent to try again.
+        // A worker that we sent to the leader and that is back did not get through to it, and one
+        // that comes with
+        // tasks and a token has lost it, this one or the last: ask on its behalf. Sending it away
+        // once more would cost
+        // it up to 5 s, of a lease that may be 10 s long. From time to time it is sent to try
+        // again.
         double now = timers.now();
         double lease = facts.workers().leaseS();
         Double sent = sentAway.get(report.machine());
         boolean back = sent != null && now - sent < 2 * lease;
-        boolean lost = sent == null && report.token() > 0
-                && (report.token() == leadership.highest() || !report.tasks().isEmpty());
+        boolean lost =
+                sent == null
+                        && report.token() > 0
+                        && (report.token() == leadership.highest() || !report.tasks().isEmpty());
         if (!back && !lost) {
             sentAway.put(report.machine(), now);
             answer.accept(HeartbeatAnswer.elsewhere(leader));
@@ -130,12 +150,16 @@
         relayed++;
         Parked p = park(report, leader, answer);
         if (p != null && !relay(leader, p) && report.tasks().isEmpty()) {
-            // One without tasks has nothing to lose; the others wait for another leader, who may come soon.
+            // One without tasks has nothing to lose; the others wait for another leader, who may
+            // come soon.
             settle(p, HeartbeatAnswer.elsewhere(back ? null : leader));
         }
     }
 
-    /** Neither the store nor any sibling is heard: whoever leads, it is not to be known here, nor to be asked. */
+    /**
+     * Neither the store nor any sibling is heard: whoever leads, it is not to be known here, nor to
+     * be asked.
+     */
     private boolean cutOff() {
         return views.alone() && leadership.unservedS() > leadership.lifeS() + 1;
     }
@@ -143,19 +167,26 @@
     // ---- for siblings ---------------------------------------------------------------------------
 
     /**
-     * Asks the leader about a check-in, or a sibling that may still reach it. Guards against work that dies with its
-     * lease because two zones can't reach each other: its worker loses the leader, and so does the node next to it.
+     * Asks the leader about a check-in, or a sibling that may still reach it. Guards against work
+     * that dies with its lease because two zones can't reach each other: its worker loses the
+     * leader, and so does the node next to it.
      */
     private boolean relay(String leader, Parked p) {
         if (!views.silent(leader) && siblings.relay(leader, p.report, false, x -> settle(p, x))) {
             return true;
         }
         for (String s : facts.siblings()) {
-            if (!s.equals(leader) && !views.silent(s) && siblings.relay(s, p.report, true, x -> {
-                if (x.token() > 0) {
-                    settle(p, x);
-                }
-            })) {
+            if (!s.equals(leader)
+                    && !views.silent(s)
+                    && siblings.relay(
+                            s,
+                            p.report,
+                            true,
+                            x -> {
+                                if (x.token() > 0) {
+                                    settle(p, x);
+                                }
+                            })) {
                 return true;
             }
         }
@@ -165,7 +196,11 @@
     /** A check-in that a sibling asks about. */
     public void answerFor(Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
         String leader = leadership.leader();
-        if (!passOn || leadership.leading() || leader == null || leader.equals(facts.node()) || views.silent(leader)
+        if (!passOn
+                || leadership.leading()
+                || leader == null
+                || leader.equals(facts.node())
+                || views.silent(leader)
                 || !siblings.relay(leader, report, false, answer)) {
             answer.accept(answer(report));
         }
@@ -174,10 +209,11 @@
     // ---- waiting for a leader -------------------------------------------------------------------
 
     /**
-     * Guards against work that dies with its lease although a leader is about to be there: a worker that is told
-     * nothing comes back a second later, to another node, where it may wait 4 s if that one is silent, while a takeover
-     * takes less. So it waits here until a leader is known: one with tasks for as long as it may, any other for as long
-     * as it would have waited before its next try.
+     * Guards against work that dies with its lease although a leader is about to be there: a worker
+     * that is told nothing comes back a second later, to another node, where it may wait 4 s if
+     * that one is silent, while a takeover takes less. So it waits here until a leader is known:
+     * one with tasks for as long as it may, any other for as long as it would have waited before
+     * its next try.
      */
     private Parked park(Report report, String asked, Consumer<HeartbeatAnswer> answer) {
         if (parked.size() >= facts.limits().sockets() / 2) {
@@ -186,7 +222,8 @@
         }
         Parked waits = parked.get(report.machine());
         if (waits != null && !report.newerThan(waits.report.session(), waits.report.sequence())) {
-            // Guards against a copy of an older report that sends the worker away whose report waits here.
+            // Guards against a copy of an older report that sends the worker away whose report
+            // waits here.
             answer.accept(HeartbeatAnswer.elsewhere(null));
             return null;
         }
@@ -195,7 +232,9 @@
         if (older != null) {
             older.answer.accept(HeartbeatAnswer.elsewhere(null));
         }
-        timers.after(report.tasks().isEmpty() ? 1 : MAX_PARK_S, () -> settle(p, HeartbeatAnswer.elsewhere(null)));
+        timers.after(
+                report.tasks().isEmpty() ? 1 : MAX_PARK_S,
+                () -> settle(p, HeartbeatAnswer.elsewhere(null)));
         return p;
     }
 
@@ -208,8 +247,9 @@
     }
 
     /**
-     * Another leader is known: what waits for one, or for the answer of the last one, goes to it. The last one may have
-     * had the same name: a process that ended and is back has forgotten what it was asked.
+     * Another leader is known: what waits for one, or for the answer of the last one, goes to it.
+     * The last one may have had the same name: a process that ended and is back has forgotten what
+     * it was asked.
      */
     public void leaderKnown() {
         String leader = leadership.leader();
@@ -223,18 +263,24 @@
 
     // ---- the holder's answers -------------------------------------------------------------------
 
-    /** The holder's answer to a report that a sibling asks about: at once, for the worker's time is running. */
+    /**
+     * The holder's answer to a report that a sibling asks about: at once, for the worker's time is
+     * running.
+     */
     private HeartbeatAnswer answer(Report report) {
         if (!keeper.knowsRunning() || !entitlement.toAnswer(report)) {
             heartbeats.unanswered(report, timers.now());
             return HeartbeatAnswer.elsewhere(leadership.leading() ? null : leadership.leader());
         }
         boolean news = heartbeats.news(report);
-        List<Order> orders = new ArrayList<>(heartbeats.heartbeat(report, keeper.loaded(), keeper::mayRun,
-                timers.now()));
+        List<Order> orders =
+                new ArrayList<>(
+                        heartbeats.heartbeat(
+                                report, keeper.loaded(), keeper::mayRun, timers.now()));
         if (news) {
             // Nothing is launched into the answer to a late copy, which nobody hears.
-            orders.addAll(heartbeats.commands(report.machine(), leadership.mayLaunch(), timers.now()));
+            orders.addAll(
+                    heartbeats.commands(report.machine(), leadership.mayLaunch(), timers.now()));
         }
         if (block.changed()) {
             changed.run();
@@ -251,19 +297,26 @@
         }
         release(machine);
         HeartbeatAnswer now = answer(report);
-        boolean idle = now.token() > 0 && now.orders().stream().allMatch(o -> o.verb() == Order.Verb.FORGET);
-        double patience = idle && keeper.loaded() && leadership.mayLaunch() ? heartbeats.patience(machine) : 0;
+        boolean idle =
+                now.token() > 0
+                        && now.orders().stream().allMatch(o -> o.verb() == Order.Verb.FORGET);
+        double patience =
+                idle && keeper.loaded() && leadership.mayLaunch()
+                        ? heartbeats.patience(machine)
+                        : 0;
         if (patience == 0) {
             answer.accept(now);
             return;
         }
         Held h = new Held(answer, now.orders(), now.token());
         held.put(machine, h);
-        timers.after(patience, () -> {
-            if (held.get(machine) == h) {
-                release(machine);
-            }
-        });
+        timers.after(
+                patience,
+                () -> {
+                    if (held.get(machine) == h) {
+                        release(machine);
+                    }
+                });
     }
 
     /** Answers the machine's check-in now if its answer is held; returns whether it was. */
@@ -273,8 +326,11 @@
             return false;
         }
         // What was true when the report came need not be when the answer goes.
-        if (!leadership.leading() || block.token() != h.token || !entitlement.knowsCancellations()) {
-            h.answer.accept(HeartbeatAnswer.elsewhere(leadership.leading() ? null : leadership.leader()));
+        if (!leadership.leading()
+                || block.token() != h.token
+                || !entitlement.knowsCancellations()) {
+            h.answer.accept(
+                    HeartbeatAnswer.elsewhere(leadership.leading() ? null : leadership.leader()));
             return true;
         }
         List<Order> orders = new ArrayList<>(h.orders);
--- a/src/main/java/io/kitepath/core/serve/Questions.java
+++ b/src/main/java/io/kitepath/core/serve/Questions.java
@@ -1,5 +1,7 @@
 package io.kitepath.core.serve;
 
+import com.github.benmanes.caffeine.cache.Cache;
+import com.github.benmanes.caffeine.cache.Caffeine;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.Bucket;
 import io.kitepath.core.model.Facts;
@@ -16,8 +18,6 @@
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.core.state.Keys;
 import io.kitepath.core.state.Pages;
-import com.github.benmanes.caffeine.cache.Cache;
-import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.Iterator;
@@ -29,19 +29,23 @@
 import java.util.function.Consumer;
 
 /**
- * Users' questions about jobs that this node does not know to be over. Guards against questions that use up the state
- * service's request rate and starve leases, submissions and a new leader's reading of it: all that come within a
- * moment are settled by one request, which compares many keys and writes nothing. The request is sent after the last
- * of its questions came, so no answer is older than one that a user got before. How far a job is comes from the
- * holder's memory, which costs the state service nothing.
+ * Users' questions about jobs that this node does not know to be over. Guards against questions
+ * that use up the state service's request rate and starve leases, submissions and a new leader's
+ * reading of it: all that come within a moment are settled by one request, which compares many keys
+ * and writes nothing. The request is sent after the last of its questions came, so no answer is
+ * older than one that a user got before. How far a job is comes from the holder's memory, which
+ * costs the state service nothing.
  */
 public final class Questions {
     /** Of the state service's requests, what all nodes together spend on comparing. */
     private static final double RATE_SHARE = 0.15;
+
     /** And on reading how far jobs are that the holder says nothing of. */
     private static final double READ_SHARE = 0.05;
+
     /** How long the first question waits for others. */
     private static final double GATHER_S = 0.01;
+
     private static final int MAX_TRIES = 3;
 
     /** Who knows how far jobs are; answers an empty list if nobody can be asked. */
@@ -55,30 +59,42 @@
     private final Store store;
     private final Timers timers;
     private final Holder holder;
+
     /** Reads how a job that is over ended, which happens once on each node. */
     private final BiConsumer<String, Consumer<Answer>> over;
+
     private final Bucket requests;
+
     /**
-     * Guards against jobs that are never answered as their reading waits for what comparing leaves: it takes all there
-     * is as long as questions come faster than that.
+     * Guards against jobs that are never answered as their reading waits for what comparing leaves:
+     * it takes all there is as long as questions come faster than that.
      */
     private final Bucket reads;
+
     /** Jobs in one comparison. */
     private int most;
+
     private final int mostWaiting;
     private final Map<String, List<Consumer<Answer>>> waiting = new LinkedHashMap<>();
     private int waitingCount;
     private boolean gathering;
     private final Cache<String, Heard> lately = Caffeine.newBuilder().maximumSize(3000).build();
+
     /** Jobs that wait for no others, or not any more. */
     private final Cache<String, Boolean> free = Caffeine.newBuilder().maximumSize(10_000).build();
+
     /** For how long it may be said of one that may wait for others how far it was. */
     private final double freshS;
 
     /** How far a job was, and when that was said. */
     private record Heard(Progress progress, double at) {}
 
-    Questions(Facts facts, Store store, Timers timers, Holder holder, BiConsumer<String, Consumer<Answer>> over) {
+    Questions(
+            Facts facts,
+            Store store,
+            Timers timers,
+            Holder holder,
+            BiConsumer<String, Consumer<Answer>> over) {
         this.store = store;
         this.timers = timers;
         this.holder = holder;
@@ -86,7 +102,8 @@
         int nodes = facts.siblings().size() + 1;
         this.requests = new Bucket(facts.store().rps() * RATE_SHARE / nodes);
         this.reads = new Bucket(Math.max(1, facts.store().rps() * READ_SHARE / nodes));
-        // A transaction takes four conditions for each change that it may hold, and a job needs two.
+        // A transaction takes four conditions for each change that it may hold, and a job needs
+        // two.
         this.most = 2 * facts.store().txnOps();
         this.mostWaiting = facts.limits().sockets();
         this.freshS = facts.workers().cancelS() / 2;
@@ -125,13 +142,15 @@
             return;
         }
         gathering = true;
-        timers.after(Math.max(GATHER_S, requests.inS(1, timers.now())), () -> {
-            gathering = false;
-            if (requests.take(1, timers.now())) {
-                send();
-            }
-            gather();
-        });
+        timers.after(
+                Math.max(GATHER_S, requests.inS(1, timers.now())),
+                () -> {
+                    gathering = false;
+                    if (requests.take(1, timers.now())) {
+                        send();
+                    }
+                    gather();
+                });
     }
 
     private void send() {
@@ -151,25 +170,29 @@
     }
 
     private void send(Transaction compare, Map<String, List<Consumer<Answer>>> batch, int tries) {
-        store.commit(compare, c -> {
-            switch (c.outcome()) {
-                // None of the keys exists.
-                case OK -> batch.keySet().forEach(id -> tell(batch, id, Answer.NOT_FOUND));
-                case NO -> sort(batch, new HashSet<>(c.failed()));
-                case INVALID -> {
-                    // The store takes fewer conditions by now than anybody said.
-                    most = Math.max(1, batch.size() / 2);
-                    batch.keySet().forEach(id -> tell(batch, id, Answer.LATER));
-                }
-                default -> {
-                    if (tries > 1) {
-                        timers.after(0.1 * (MAX_TRIES + 1 - tries), () -> send(compare, batch, tries - 1));
-                    } else {
-                        batch.keySet().forEach(id -> tell(batch, id, Answer.LATER));
+        store.commit(
+                compare,
+                c -> {
+                    switch (c.outcome()) {
+                        // None of the keys exists.
+                        case OK -> batch.keySet().forEach(id -> tell(batch, id, Answer.NOT_FOUND));
+                        case NO -> sort(batch, new HashSet<>(c.failed()));
+                        case INVALID -> {
+                            // The store takes fewer conditions by now than anybody said.
+                            most = Math.max(1, batch.size() / 2);
+                            batch.keySet().forEach(id -> tell(batch, id, Answer.LATER));
+                        }
+                        default -> {
+                            if (tries > 1) {
+                                timers.after(
+                                        0.1 * (MAX_TRIES + 1 - tries),
+                                        () -> send(compare, batch, tries - 1));
+                            } else {
+                                batch.keySet().forEach(id -> tell(batch, id, Answer.LATER));
+                            }
+                        }
                     }
-                }
-            }
-        });
+                });
     }
 
     private static void tell(Map<String, List<Consumer<Answer>>> batch, String id, Answer a) {
@@ -191,37 +214,46 @@
         progress(batch, open);
     }
 
-    /** A job that the comparison did not find; that it was never accepted is only said after one more look. */
+    /**
+     * A job that the comparison did not find; that it was never accepted is only said after one
+     * more look.
+     */
     private void confirm(Map<String, List<Consumer<Answer>>> batch, String id) {
-        store.get(Keys.OPEN + id, (outcome, entry) -> {
-            switch (outcome) {
-                case OK -> progress(batch, List.of(id));
-                // A job moves from open to over and never back, so what is in neither was never accepted.
-                case NO -> over.accept(id, a -> tell(batch, id, a));
-                default -> tell(batch, id, Answer.LATER);
-            }
-        });
+        store.get(
+                Keys.OPEN + id,
+                (outcome, entry) -> {
+                    switch (outcome) {
+                        case OK -> progress(batch, List.of(id));
+                        // A job moves from open to over and never back, so what is in neither was
+                        // never accepted.
+                        case NO -> over.accept(id, a -> tell(batch, id, a));
+                        default -> tell(batch, id, Answer.LATER);
+                    }
+                });
     }
 
     private void progress(Map<String, List<Consumer<Answer>>> batch, List<String> open) {
         if (open.isEmpty()) {
             return;
         }
-        holder.progress(open, known -> {
-            Set<String> told = new HashSet<>();
-            known.forEach(p -> {
-                told.add(p.job());
-                heard(p, false);
-            });
-            for (String id : open) {
-                Heard h = lately.getIfPresent(id);
-                if (h != null && told.contains(id)) {
-                    tell(batch, id, unfinished(h.progress));
-                } else {
-                    remembered(batch, id, h, known.isEmpty());
-                }
-            }
-        });
+        holder.progress(
+                open,
+                known -> {
+                    Set<String> told = new HashSet<>();
+                    known.forEach(
+                            p -> {
+                                told.add(p.job());
+                                heard(p, false);
+                            });
+                    for (String id : open) {
+                        Heard h = lately.getIfPresent(id);
+                        if (h != null && told.contains(id)) {
+                            tell(batch, id, unfinished(h.progress));
+                        } else {
+                            remembered(batch, id, h, known.isEmpty());
+                        }
+                    }
+                });
     }
 
     private static Answer unfinished(Progress p) {
@@ -229,30 +261,42 @@
     }
 
     /**
-     * The holder does not say how far it is. Guards against a user who is told for ever that a job is pending which is
-     * cancelled, because one before it was: that is only known to the holder until it has been written. So nothing old
-     * is said of one that may still wait for others.
+     * The holder does not say how far it is. Guards against a user who is told for ever that a job
+     * is pending which is cancelled, because one before it was: that is only known to the holder
+     * until it has been written. So nothing old is said of one that may still wait for others.
      */
-    private void remembered(Map<String, List<Consumer<Answer>>> batch, String id, Heard h, boolean silent) {
+    private void remembered(
+            Map<String, List<Consumer<Answer>>> batch, String id, Heard h, boolean silent) {
         if (h != null && (free.getIfPresent(id) != null || timers.now() - h.at < freshS)) {
             Progress p = h.progress;
-            tell(batch, id, unfinished(silent ? new Progress(id, p.done(), p.running(), holder.silence()
-                    + "; the figures are from before") : p));
+            tell(
+                    batch,
+                    id,
+                    unfinished(
+                            silent
+                                    ? new Progress(
+                                            id,
+                                            p.done(),
+                                            p.running(),
+                                            holder.silence() + "; the figures are from before")
+                                    : p));
         } else if (free.getIfPresent(id) != null) {
             fromRecords(batch, id);
         } else if (!reads.take(1, timers.now())) {
             tell(batch, id, Answer.LATER);
         } else {
-            store.get(Keys.OPEN + id, (outcome, entry) -> {
-                if (outcome == Outcome.NO) {
-                    over.accept(id, a -> tell(batch, id, a));
-                } else if (outcome != Outcome.OK || needsOthers(id, entry.value())) {
-                    tell(batch, id, Answer.LATER);
-                } else {
-                    free.put(id, true);
-                    remembered(batch, id, h, silent);
-                }
-            });
+            store.get(
+                    Keys.OPEN + id,
+                    (outcome, entry) -> {
+                        if (outcome == Outcome.NO) {
+                            over.accept(id, a -> tell(batch, id, a));
+                        } else if (outcome != Outcome.OK || needsOthers(id, entry.value())) {
+                            tell(batch, id, Answer.LATER);
+                        } else {
+                            free.put(id, true);
+                            remembered(batch, id, h, silent);
+                        }
+                    });
         }
     }
 
@@ -264,20 +308,28 @@
         }
     }
 
-    /** The holder can't be asked or does not know the job, and nothing was heard of it here before. */
+    /**
+     * The holder can't be asked or does not know the job, and nothing was heard of it here before.
+     */
     private void fromRecords(Map<String, List<Consumer<Answer>>> batch, String id) {
         if (!reads.take(1, timers.now())) {
             tell(batch, id, Answer.LATER);
             return;
         }
-        Pages.read(store, timers, Keys.PART + id + "/", 2, parts -> {
-            if (parts.outcome() != Outcome.OK) {
-                tell(batch, id, Answer.LATER);
-                return;
-            }
-            Progress p = Job.recorded(id, parts.entries().stream().map(Entry::value).toList());
-            heard(p, true);
-            tell(batch, id, unfinished(p));
-        });
+        Pages.read(
+                store,
+                timers,
+                Keys.PART + id + "/",
+                2,
+                parts -> {
+                    if (parts.outcome() != Outcome.OK) {
+                        tell(batch, id, Answer.LATER);
+                        return;
+                    }
+                    Progress p =
+                            Job.recorded(id, parts.entries().stream().map(Entry::value).toList());
+                    heard(p, true);
+                    tell(batch, id, unfinished(p));
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/serve/Registry.java
+++ b/src/main/java/io/kitepath/core/serve/Registry.java
@@ -1,5 +1,7 @@
 package io.kitepath.core.serve;
 
+import com.github.benmanes.caffeine.cache.Cache;
+import com.github.benmanes.caffeine.cache.Caffeine;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.Facts;
 import io.kitepath.core.model.JobRecord;
@@ -13,8 +15,6 @@
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.state.Keys;
-import com.github.benmanes.caffeine.cache.Cache;
-import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -22,12 +22,19 @@
 import java.util.function.Consumer;
 
 /**
- * What users ask of any node, answered from the store: only it knows whether a job is open or over. Only final
- * states come from memory, because they never change.
+ * What users ask of any node, answered from the store: only it knows whether a job is open or over.
+ * Only final states come from memory, because they never change.
  */
 public final class Registry implements Jobs {
     /** REFUSED: it can never be accepted; INVALID: nor kept, as it is. */
-    public enum Verdict { CREATED, KNOWN, NOT_FOUND, LATER, REFUSED, INVALID }
+    public enum Verdict {
+        CREATED,
+        KNOWN,
+        NOT_FOUND,
+        LATER,
+        REFUSED,
+        INVALID
+    }
 
     /** {@code why}: of what is refused or invalid. */
     public record Answer(Verdict verdict, JobState state, String why) {
@@ -54,18 +61,27 @@
     private final Dependencies dependencies;
     private final Cache<String, JobState> over = Caffeine.newBuilder().maximumSize(5000).build();
     private final Questions questions;
+
     /** Whether tasks may be lent to other cells. */
     private final boolean cells;
+
     private Consumer<JobState> onCancelled = job -> {};
     private Consumer<String> knownCancelled = id -> {};
+
     /**
-     * Whether the store answers this node. Guards against requests that wait for their time-out, one behind the other,
-     * when it is known that they can't be answered: users are told at once when to come back.
+     * Whether the store answers this node. Guards against requests that wait for their time-out,
+     * one behind the other, when it is known that they can't be answered: users are told at once
+     * when to come back.
      */
     private final BooleanSupplier served;
 
     /** {@code cells}: whether tasks may be lent to other cells. */
-    public Registry(Facts facts, Store store, Timers timers, BooleanSupplier served, Questions.Holder holder,
+    public Registry(
+            Facts facts,
+            Store store,
+            Timers timers,
+            BooleanSupplier served,
+            Questions.Holder holder,
             boolean cells) {
         this.cells = cells;
         this.facts = facts;
@@ -85,7 +101,10 @@
         knownCancelled = listener;
     }
 
-    /** Answers what needs no look into the store: a final state, or that the store can't be asked now. */
+    /**
+     * Answers what needs no look into the store: a final state, or that the store can't be asked
+     * now.
+     */
     private boolean answeredAtOnce(String id, Consumer<Answer> answer) {
         JobState known = over.getIfPresent(id);
         if (known != null) {
@@ -98,7 +117,10 @@
         return true;
     }
 
-    /** The store has the job's end, which never changes: a word of the node that wrote it saves a read. */
+    /**
+     * The store has the job's end, which never changes: a word of the node that wrote it saves a
+     * read.
+     */
     public void ended(JobState s) {
         over.put(s.id(), s);
         if (s.status().equals("cancelled")) {
@@ -121,15 +143,17 @@
             create(spec, needs, answer);
             return;
         }
-        dependencies.check(needs, (sure, wrong) -> {
-            if (!sure) {
-                answer.accept(Answer.LATER);
-            } else if (wrong != null) {
-                known(id, Answer.refused(wrong), answer);
-            } else {
-                create(spec, needs, answer);
-            }
-        });
+        dependencies.check(
+                needs,
+                (sure, wrong) -> {
+                    if (!sure) {
+                        answer.accept(Answer.LATER);
+                    } else if (wrong != null) {
+                        known(id, Answer.refused(wrong), answer);
+                    } else {
+                        create(spec, needs, answer);
+                    }
+                });
     }
 
     /** A job that is known gets its state whatever else is said of it now. */
@@ -141,38 +165,61 @@
         String id = spec.id();
         boolean atOnce = spec.shape() != JobSpec.Shape.ARRAY;
         int bytes = facts.store().valueBytes();
-        int narrow = atOnce && !Job.recordableWhole(spec, facts.tasksPerPart(), bytes) ? facts.tasksPerNarrowPart() : 0;
+        int narrow =
+                atOnce && !Job.recordableWhole(spec, facts.tasksPerPart(), bytes)
+                        ? facts.tasksPerNarrowPart()
+                        : 0;
         Map<String, Object> record = new JobRecord(spec, timers.wallMs(), needs, narrow, 0).toMap();
         if (Json.size(record) + OVER_BYTES > bytes) {
-            known(id, new Answer(Verdict.INVALID, null, "names and lists that can't be kept: over "
-                    + (bytes - OVER_BYTES) + " bytes together"), answer);
+            known(
+                    id,
+                    new Answer(
+                            Verdict.INVALID,
+                            null,
+                            "names and lists that can't be kept: over "
+                                    + (bytes - OVER_BYTES)
+                                    + " bytes together"),
+                    answer);
             return;
         }
-        // One that names a cancelled job is accepted and cancelled in one write, and never called anything else.
-        JobState doomed = dependencies.anyCancelled(needs) ? new JobState(id, "cancelled", 0, 0) : null;
+        // One that names a cancelled job is accepted and cancelled in one write, and never called
+        // anything else.
+        JobState doomed =
+                dependencies.anyCancelled(needs) ? new JobState(id, "cancelled", 0, 0) : null;
         Transaction t = new Transaction().when(Keys.OPEN + id, 0).when(Keys.OVER + id, 0);
         if (doomed == null) {
             t.put(Keys.OPEN + id, record);
         } else {
             t.put(Keys.OVER + id, cancelled(id, record));
         }
-        store.commit(t, c -> {
-            switch (c.outcome()) {
-                case OK -> {
-                    if (doomed != null) {
-                        ended(doomed);
-                        answer.accept(new Answer(Verdict.CREATED, doomed));
-                        return;
+        store.commit(
+                t,
+                c -> {
+                    switch (c.outcome()) {
+                        case OK -> {
+                            if (doomed != null) {
+                                ended(doomed);
+                                answer.accept(new Answer(Verdict.CREATED, doomed));
+                                return;
+                            }
+                            questions.accepted(id, needs.isEmpty());
+                            dependencies.accepted(id, spec.shape());
+                            answer.accept(
+                                    newest(
+                                            id,
+                                            new Answer(
+                                                    Verdict.CREATED,
+                                                    new JobState(id, "pending", 0, 0))));
+                        }
+                        case NO -> status(id, answer);
+                        case INVALID ->
+                                known(
+                                        id,
+                                        new Answer(Verdict.INVALID, null, "can't be kept as it is"),
+                                        answer);
+                        default -> answer.accept(Answer.LATER);
                     }
-                    questions.accepted(id, needs.isEmpty());
-                    dependencies.accepted(id, spec.shape());
-                    answer.accept(newest(id, new Answer(Verdict.CREATED, new JobState(id, "pending", 0, 0))));
-                }
-                case NO -> status(id, answer);
-                case INVALID -> known(id, new Answer(Verdict.INVALID, null, "can't be kept as it is"), answer);
-                default -> answer.accept(Answer.LATER);
-            }
-        });
+                });
     }
 
     @Override
@@ -183,28 +230,32 @@
     }
 
     /**
-     * Guards against an answer that was on its way while this node said, or heard, something newer: that a job is over
-     * goes out to users at once, and that it was accepted when the store says so.
+     * Guards against an answer that was on its way while this node said, or heard, something newer:
+     * that a job is over goes out to users at once, and that it was accepted when the store says
+     * so.
      */
     private Answer newest(String id, Answer a) {
         JobState known = over.getIfPresent(id);
         if (known != null) {
-            return new Answer(a.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN, known);
+            return new Answer(
+                    a.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN, known);
         }
         return a.verdict() == Verdict.NOT_FOUND && questions.heardOf(id) ? Answer.LATER : a;
     }
 
     private void readOver(String id, Consumer<Answer> answer) {
-        store.get(Keys.OVER + id, (outcome, entry) -> {
-            if (outcome == Outcome.OK) {
-                Tree t = Tree.of(entry.value());
-                JobState s = new JobState(id, t.text("status"), (int) t.count("done"), 0);
-                ended(s);
-                answer.accept(new Answer(Verdict.KNOWN, s));
-            } else {
-                answer.accept(outcome == Outcome.NO ? Answer.NOT_FOUND : Answer.LATER);
-            }
-        });
+        store.get(
+                Keys.OVER + id,
+                (outcome, entry) -> {
+                    if (outcome == Outcome.OK) {
+                        Tree t = Tree.of(entry.value());
+                        JobState s = new JobState(id, t.text("status"), (int) t.count("done"), 0);
+                        ended(s);
+                        answer.accept(new Answer(Verdict.KNOWN, s));
+                    } else {
+                        answer.accept(outcome == Outcome.NO ? Answer.NOT_FOUND : Answer.LATER);
+                    }
+                });
     }
 
     @Override
@@ -220,44 +271,55 @@
             answer.accept(Answer.LATER);
             return;
         }
-        store.get(Keys.OPEN + id, (outcome, open) -> {
-            if (outcome == Outcome.NO) {
-                readOver(id, answer);
-                return;
-            }
-            if (outcome != Outcome.OK) {
-                answer.accept(Answer.LATER);
-                return;
-            }
-            Map<String, Object> record = cancelled(id, open.value());
-            Transaction move = new Transaction().when(Keys.OPEN + id, open.revision()).when(Keys.OVER + id, 0)
-                    .remove(Keys.OPEN + id).put(Keys.OVER + id, record);
-            if (cells) {
-                move.when(Keys.LENT + id, 0);
-            }
-            store.commit(move, c -> {
-                if (c.outcome() == Outcome.OK) {
-                    JobState s = new JobState(id, "cancelled", 0, 0);
-                    ended(s);
-                    onCancelled.accept(s);
-                    answer.accept(new Answer(Verdict.KNOWN, s));
-                } else if (c.outcome() == Outcome.NO && c.failed().contains(Keys.LENT + id)) {
-                    callBack(id, open.revision(), answer);
-                } else if (c.outcome() == Outcome.NO) {
-                    cancel(id, tries - 1, answer);
-                } else {
-                    answer.accept(Answer.LATER);
-                }
-            });
-        });
+        store.get(
+                Keys.OPEN + id,
+                (outcome, open) -> {
+                    if (outcome == Outcome.NO) {
+                        readOver(id, answer);
+                        return;
+                    }
+                    if (outcome != Outcome.OK) {
+                        answer.accept(Answer.LATER);
+                        return;
+                    }
+                    Map<String, Object> record = cancelled(id, open.value());
+                    Transaction move =
+                            new Transaction()
+                                    .when(Keys.OPEN + id, open.revision())
+                                    .when(Keys.OVER + id, 0)
+                                    .remove(Keys.OPEN + id)
+                                    .put(Keys.OVER + id, record);
+                    if (cells) {
+                        move.when(Keys.LENT + id, 0);
+                    }
+                    store.commit(
+                            move,
+                            c -> {
+                                if (c.outcome() == Outcome.OK) {
+                                    JobState s = new JobState(id, "cancelled", 0, 0);
+                                    ended(s);
+                                    onCancelled.accept(s);
+                                    answer.accept(new Answer(Verdict.KNOWN, s));
+                                } else if (c.outcome() == Outcome.NO
+                                        && c.failed().contains(Keys.LENT + id)) {
+                                    callBack(id, open.revision(), answer);
+                                } else if (c.outcome() == Outcome.NO) {
+                                    cancel(id, tries - 1, answer);
+                                } else {
+                                    answer.accept(Answer.LATER);
+                                }
+                            });
+                });
     }
 
     private Map<String, Object> cancelled(String id, Object open) {
-        Map<String, Object> end = Map.of("status", "cancelled", "done", 0L, "endedMs", timers.wallMs());
+        Map<String, Object> end =
+                Map.of("status", "cancelled", "done", 0L, "endedMs", timers.wallMs());
         try {
             return JobRecord.of(id, open).overMap(end, facts.store().valueBytes());
         } catch (Malformed | IllegalArgumentException e) {
-            // Of a later version, or not what it should be: kept as it is, and cancelled all the same.
+            // Of a later version, or not what it should be: kept as it is, and cancelled all the
+            // same.
             Map<String, Object> record = new LinkedHashMap<>();
             ((Map<?, ?>) open).forEach((k, v) -> record.put((String) k, v));
             record.putAll(end);
@@ -266,12 +328,17 @@
     }
 
     /**
-     * Some of the job is lent to other cells. Guards against a user who is told that it is cancelled while a cell that
-     * nobody can reach starts a task of it: it is called back first, and the user told to come again, until its holder
-     * has it from that cell's own records that no more of it will start.
+     * Some of the job is lent to other cells. Guards against a user who is told that it is
+     * cancelled while a cell that nobody can reach starts a task of it: it is called back first,
+     * and the user told to come again, until its holder has it from that cell's own records that no
+     * more of it will start.
      */
     private void callBack(String id, long openRevision, Consumer<Answer> answer) {
-        store.commit(new Transaction().when(Keys.OPEN + id, openRevision).when(Keys.LEAVE + id, 0)
-                .put(Keys.LEAVE + id, Map.of()), c -> answer.accept(Answer.LATER));
+        store.commit(
+                new Transaction()
+                        .when(Keys.OPEN + id, openRevision)
+                        .when(Keys.LEAVE + id, 0)
+                        .put(Keys.LEAVE + id, Map.of()),
+                c -> answer.accept(Answer.LATER));
     }
 }
--- a/src/main/java/io/kitepath/core/serve/RetryPace.java
+++ b/src/main/java/io/kitepath/core/serve/RetryPace.java
@@ -4,16 +4,19 @@
 import io.kitepath.core.port.Timers;
 
 /**
- * When users who can't be answered now shall come back. Guards against hundreds who are all told one second, come back
- * together, and are more than the state service can answer: it is given the time that it needs for all of them.
+ * When users who can't be answered now shall come back. Guards against hundreds who are all told
+ * one second, come back together, and are more than the state service can answer: it is given the
+ * time that it needs for all of them.
  */
 public final class RetryPace {
     /** Users wait no longer than this on our word. */
     private static final int MOST_S = 30;
 
     private final Timers timers;
+
     /** Requests a second of the state service that are this node's. */
     private final double share;
+
     private double second = Double.NEGATIVE_INFINITY;
     private int refused;
     private int before;
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -14,19 +14,23 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Proves by the store, again and again, that the holder knows every cancellation: transactions that only compare name
- * the open key of each job of which something may be on a machine, at the revision that the holder knows. What all of
- * them find unchanged was open when the first was sent. Guards against a watch that hangs while renewals go through, and
- * against one whose empty answer proves nothing, since the store refuses this node.
+ * Proves by the store, again and again, that the holder knows every cancellation: transactions that
+ * only compare name the open key of each job of which something may be on a machine, at the
+ * revision that the holder knows. What all of them find unchanged was open when the first was sent.
+ * Guards against a watch that hangs while renewals go through, and against one whose empty answer
+ * proves nothing, since the store refuses this node.
  *
- * <p>Jobs whose tasks are placed later need no proof: their placing is written under the condition that they are open.
+ * <p>Jobs whose tasks are placed later need no proof: their placing is written under the condition
+ * that they are open.
  */
 public final class CancellationProof {
     public interface Listener {
         /** The job is not open any more, though no watch said so. */
         void closed(String job);
 
-        /** All that was cancelled before that moment, in milliseconds by our time of day, is known. */
+        /**
+         * All that was cancelled before that moment, in milliseconds by our time of day, is known.
+         */
         void proven(double atMs);
     }
 
@@ -38,14 +42,23 @@
     private final Timers timers;
     private final Random random;
     private final Block block;
+
     /** Whether the jobs are known and this node holds them. */
     private final BooleanSupplier holding;
+
     private final Listener listener;
+
     /** Conditions in one transaction. */
     private int most;
+
     private long epoch;
 
-    public CancellationProof(Store store, Timers timers, Random random, Block block, BooleanSupplier holding,
+    public CancellationProof(
+            Store store,
+            Timers timers,
+            Random random,
+            Block block,
+            BooleanSupplier holding,
             Listener listener) {
         this.facts = block.facts();
         this.store = store;
@@ -86,24 +99,28 @@
     }
 
     /**
-     * One comparison of all, in as many transactions as it takes, some at once. Guards against a store over its rate that
-     * refuses one of several each time: what was refused is sent again, the rest is not. It counts from when the first
-     * was sent, so one that takes too long to be worth anything begins anew.
+     * One comparison of all, in as many transactions as it takes, some at once. Guards against a
+     * store over its rate that refuses one of several each time: what was refused is sent again,
+     * the rest is not. It counts from when the first was sent, so one that takes too long to be
+     * worth anything begins anew.
      */
     private final class Look {
         private final long of;
         private final double sentMs = timers.wallMs();
         private final Deque<Transaction> left = new ArrayDeque<>();
         private int missing;
+
         /** It can't be completed any more. */
         private boolean tooLong;
+
         /** Another look is taken instead. */
         private boolean given;
 
         Look(long of) {
             this.of = of;
             for (Job job : block.jobs().values()) {
-                // Guests are cancelled by their home cell, which waits for this cell's word before it tells anybody.
+                // Guests are cancelled by their home cell, which waits for this cell's word before
+                // it tells anybody.
                 if (!job.over() && !job.guest && !job.live().isEmpty()) {
                     if (left.isEmpty() || left.getLast().conditions().size() >= most) {
                         left.add(new Transaction());
@@ -135,7 +152,8 @@
                 case NO -> closed(t, new ArrayDeque<>(c.failed()));
                 default -> {
                     if (c.outcome() == Outcome.INVALID) {
-                        // The store takes fewer conditions by now than anybody said: those of the next look.
+                        // The store takes fewer conditions by now than anybody said: those of the
+                        // next look.
                         most = Math.max(1, Math.min(most, t.conditions().size() / 2));
                         tooLong = true;
                     }
@@ -170,16 +188,18 @@
                 return;
             }
             String key = keys.removeFirst();
-            store.get(key, (outcome, entry) -> {
-                if (outcome != Outcome.OK && outcome != Outcome.NO) {
-                    retry(t);
-                    return;
-                }
-                if (of == epoch && outcome == Outcome.NO) {
-                    listener.closed(key.substring(Keys.OPEN.length()));
-                }
-                closed(t, keys);
-            });
+            store.get(
+                    key,
+                    (outcome, entry) -> {
+                        if (outcome != Outcome.OK && outcome != Outcome.NO) {
+                            retry(t);
+                            return;
+                        }
+                        if (of == epoch && outcome == Outcome.NO) {
+                            listener.closed(key.substring(Keys.OPEN.length()));
+                        }
+                        closed(t, keys);
+                    });
         }
 
         private void settled() {
--- a/src/main/java/io/kitepath/core/state/Ends.java
+++ b/src/main/java/io/kitepath/core/state/Ends.java
@@ -14,14 +14,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds out from the records how jobs ended that others wait for. Paced, and those first that block the most urgent
- * work: a new holder may have to ask about all that was ever done for the pipelines that are open.
+ * Finds out from the records how jobs ended that others wait for. Paced, and those first that block
+ * the most urgent work: a new holder may have to ask about all that was ever done for the pipelines
+ * that are open.
  */
 final class Ends {
     private static final Logger LOG = LoggerFactory.getLogger(Ends.class);
+
     /** Of the state service's requests. */
     private static final double RATE_SHARE = 0.3;
+
     private static final int AT_ONCE = 8;
+
     /** Between two looks for a job that is neither open nor over as yet. */
     private static final double AGAIN_S = 0.5;
 
@@ -30,7 +34,7 @@
     private final Pipelines pipelines;
     private final Bucket requests;
     private final Set<String> asked = new HashSet<>();
-    private Runnable ready = () -> { };
+    private Runnable ready = () -> {};
     private long epoch;
     private boolean waits;
 
@@ -41,7 +45,10 @@
         this.requests = new Bucket(facts.store().rps() * RATE_SHARE);
     }
 
-    /** {@code whenKnown} runs when a job may start, or has to be cancelled, that could not or had not to before. */
+    /**
+     * {@code whenKnown} runs when a job may start, or has to be cancelled, that could not or had
+     * not to before.
+     */
     void begin(Runnable whenKnown) {
         stop();
         ready = whenKnown;
@@ -62,12 +69,14 @@
             if (!requests.take(1, timers.now())) {
                 waits = true;
                 long e = epoch;
-                timers.after(requests.inS(1, timers.now()), () -> {
-                    if (e == epoch) {
-                        waits = false;
-                        look();
-                    }
-                });
+                timers.after(
+                        requests.inS(1, timers.now()),
+                        () -> {
+                            if (e == epoch) {
+                                waits = false;
+                                look();
+                            }
+                        });
                 return;
             }
             ask(id);
@@ -77,33 +86,39 @@
     private void ask(String id) {
         asked.add(id);
         long e = epoch;
-        store.get(Keys.OVER + id, (outcome, entry) -> {
-            if (e != epoch) {
-                return;
-            }
-            if (outcome == Outcome.OK) {
-                asked.remove(id);
-                if (ended(id, entry.value())) {
-                    ready.run();
-                }
-                look();
-            } else {
-                // Not over: it is open, and this holder has not heard of it yet; or it can't be asked now.
-                timers.after(outcome == Outcome.NO ? AGAIN_S : AGAIN_S / 2, () -> {
-                    if (e == epoch) {
+        store.get(
+                Keys.OVER + id,
+                (outcome, entry) -> {
+                    if (e != epoch) {
+                        return;
+                    }
+                    if (outcome == Outcome.OK) {
                         asked.remove(id);
+                        if (ended(id, entry.value())) {
+                            ready.run();
+                        }
                         look();
+                    } else {
+                        // Not over: it is open, and this holder has not heard of it yet; or it
+                        // can't be asked now.
+                        timers.after(
+                                outcome == Outcome.NO ? AGAIN_S : AGAIN_S / 2,
+                                () -> {
+                                    if (e == epoch) {
+                                        asked.remove(id);
+                                        look();
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 
     private boolean ended(String id, Object record) {
         try {
             Tree t = Tree.of(record);
             // Earlier versions did not put down when.
-            pipelines.ended(id, t.text("status").equals("done"), t.numberOr("endedMs", 0, timers.wallMs()));
+            pipelines.ended(
+                    id, t.text("status").equals("done"), t.numberOr("endedMs", 0, timers.wallMs()));
             return true;
         } catch (Malformed bad) {
             LOG.error("record {} is unreadable: {}", Keys.OVER + id, bad.getMessage());
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -14,9 +14,10 @@
 import java.util.TreeMap;
 
 /**
- * Which machines have which images, kept in the store for whoever holds the block next. Guards against a new holder
- * that knows only the images of what runs, and has tasks fetch on one machine what lies on another. A hint, on which
- * nothing depends but time: written now and then, one of a few records after the other, if it changed.
+ * Which machines have which images, kept in the store for whoever holds the block next. Guards
+ * against a new holder that knows only the images of what runs, and has tasks fetch on one machine
+ * what lies on another. A hint, on which nothing depends but time: written now and then, one of a
+ * few records after the other, if it changed.
  */
 public final class ImageRecords {
     private static final int RECORDS = 16;
@@ -42,7 +43,8 @@
         nextAt = now + facts.workers().reportS() / 2;
         int index = next++ % RECORDS;
         Map<String, Object> record = record(machines, index);
-        if (Objects.equals(record, written.get(index)) || written.get(index) == null && record.isEmpty()) {
+        if (Objects.equals(record, written.get(index))
+                || written.get(index) == null && record.isEmpty()) {
             return null;
         }
         written.set(index, record);
@@ -62,9 +64,13 @@
                 continue;
             }
             for (Map.Entry<String, Double> e : m.images().entrySet()) {
-                bytes += m.id.length() + 4 + (by.containsKey(e.getKey()) ? 0 : e.getKey().length() + 32);
+                bytes +=
+                        m.id.length()
+                                + 4
+                                + (by.containsKey(e.getKey()) ? 0 : e.getKey().length() + 32);
                 if (bytes < facts.store().valueKb() * 1024 * 0.9) {
-                    by.computeIfAbsent(e.getKey(), k -> new ArrayList<>(List.of(e.getValue()))).add(m.id);
+                    by.computeIfAbsent(e.getKey(), k -> new ArrayList<>(List.of(e.getValue())))
+                            .add(m.id);
                 }
             }
         }
@@ -77,16 +83,21 @@
             if (!(entry.value() instanceof Map<?, ?> by)) {
                 continue;
             }
-            by.forEach((image, l) -> {
-                if (image instanceof String name && l instanceof List<?> list && !list.isEmpty()
-                        && list.get(0) instanceof Number gb) {
-                    for (Object m : list.subList(1, list.size())) {
-                        if (m instanceof String id) {
-                            remembered.computeIfAbsent(id, k -> new TreeMap<>()).put(name, gb.doubleValue());
+            by.forEach(
+                    (image, l) -> {
+                        if (image instanceof String name
+                                && l instanceof List<?> list
+                                && !list.isEmpty()
+                                && list.get(0) instanceof Number gb) {
+                            for (Object m : list.subList(1, list.size())) {
+                                if (m instanceof String id) {
+                                    remembered
+                                            .computeIfAbsent(id, k -> new TreeMap<>())
+                                            .put(name, gb.doubleValue());
+                                }
+                            }
                         }
-                    }
-                }
-            });
+                    });
         }
     }
 
--- a/src/main/java/io/kitepath/core/state/Keeper.java
+++ b/src/main/java/io/kitepath/core/state/Keeper.java
@@ -21,11 +21,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the jobs' records equal to what the holder has decided, one transaction at a time, and loads them when a
- * holder begins. Every write depends on the block's revision, the job's and the part's: none can land late.
+ * Keeps the jobs' records equal to what the holder has decided, one transaction at a time, and
+ * loads them when a holder begins. Every write depends on the block's revision, the job's and the
+ * part's: none can land late.
  */
 public final class Keeper {
     private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
+
     /** How often everything is read again before a part of no job is passed over. */
     private static final int MISFITS = 5;
 
@@ -37,15 +39,23 @@
     private final Listener listener;
     private final Rounds writes;
     private final Ends ends;
+
     /** Null without other cells. */
     private final Reading.Elsewhere elsewhere;
+
     private long epoch;
     private long blockRevision;
     private boolean loaded;
-    /** While the jobs are not known: ids of those of which something may run; null before that is known. */
+
+    /**
+     * While the jobs are not known: ids of those of which something may run; null before that is
+     * known.
+     */
     private Set<String> running;
+
     /** How often in a row what was read did not fit together. */
     private int misfits;
+
     /** What an earlier holder counted as served, if that was read in time. */
     private Object servedBefore;
 
@@ -62,10 +72,15 @@
         /** One of these records has changed. */
         void acted(Entry act);
 
-        /** It is known which jobs may run, by what was read from that moment on, in milliseconds of our time of day. */
+        /**
+         * It is known which jobs may run, by what was read from that moment on, in milliseconds of
+         * our time of day.
+         */
         void read(double sinceMs);
 
-        /** Jobs that others say are cancelled, which what is read from the store may not show yet. */
+        /**
+         * Jobs that others say are cancelled, which what is read from the store may not show yet.
+         */
         Set<String> cancelledMeanwhile();
 
         /** The memory and the store may differ. */
@@ -73,11 +88,15 @@
     }
 
     /**
-     * Something else that is written by the holder, in one of its rounds, so under the block's revision and never
-     * beside another write of its. Whoever hands one in again after {@link Listener#outOfStep} works it out anew.
+     * Something else that is written by the holder, in one of its rounds, so under the block's
+     * revision and never beside another write of its. Whoever hands one in again after {@link
+     * Listener#outOfStep} works it out anew.
      */
     public interface Rider {
-        /** Whether something waits for it. What can wait itself goes along when the rate has some to spare. */
+        /**
+         * Whether something waits for it. What can wait itself goes along when the rate has some to
+         * spare.
+         */
         default boolean urgent() {
             return true;
         }
@@ -93,7 +112,12 @@
     }
 
     /** {@code elsewhere} takes the records about other cells, first of all; null without such. */
-    public Keeper(Store store, Timers timers, Block block, ImageRecords images, Listener listener,
+    public Keeper(
+            Store store,
+            Timers timers,
+            Block block,
+            ImageRecords images,
+            Listener listener,
             Reading.Elsewhere elsewhere) {
         this.elsewhere = elsewhere;
         this.facts = block.facts();
@@ -111,7 +135,10 @@
         return writes.invalid();
     }
 
-    /** Times that a record was not written since it would be too large; it is once there is less to say in it. */
+    /**
+     * Times that a record was not written since it would be too large; it is once there is less to
+     * say in it.
+     */
     public long oversize() {
         return writes.oversize();
     }
@@ -135,15 +162,18 @@
     }
 
     /**
-     * Whether a task of that job may be on a machine. Guards against an answer that keeps the lease of a cancelled
-     * job's task since the jobs are still being read, or the machine has not shown our token yet.
+     * Whether a task of that job may be on a machine. Guards against an answer that keeps the lease
+     * of a cancelled job's task since the jobs are still being read, or the machine has not shown
+     * our token yet.
      */
     public boolean mayRun(String id) {
         if (loaded) {
             Job job = block.jobs().get(id);
             return job != null && !job.over();
         }
-        return running != null && running.contains(id) && !listener.cancelledMeanwhile().contains(id);
+        return running != null
+                && running.contains(id)
+                && !listener.cancelledMeanwhile().contains(id);
     }
 
     public long blockRevision() {
@@ -176,7 +206,9 @@
         if (loaded) {
             // What is known of them stays known while they are read once more.
             running = new HashSet<>();
-            block.jobs().values().stream().filter(j -> !j.over()).forEach(j -> running.add(j.spec.id()));
+            block.jobs().values().stream()
+                    .filter(j -> !j.over())
+                    .forEach(j -> running.add(j.spec.id()));
         }
         load(++epoch, ready);
     }
@@ -192,72 +224,101 @@
         loaded = false;
         writes.stop();
         servedBefore = null;
-        store.get(Keys.SERVED, (outcome, entry) -> {
-            if (e == epoch && outcome == Outcome.OK) {
-                servedBefore = entry.value();
-            }
-        });
+        store.get(
+                Keys.SERVED,
+                (outcome, entry) -> {
+                    if (e == epoch && outcome == Outcome.OK) {
+                        servedBefore = entry.value();
+                    }
+                });
         double readingMs = timers.wallMs();
-        new Reading(store, timers, elsewhere != null, () -> e != epoch, ids -> {
-            running = ids;
-            listener.read(readingMs);
-        }).read(found -> {
-            if (found != null && adopt(found)) {
-                layOut(found.layout());
-                readImages(e);
-                ends.begin(ready);
-                ends.look();
-                follow(e, Keys.OPEN, found.revision(), ready, this::jobChanged);
-                follow(e, Keys.ACT, found.acts().revision(), ready, listener::acted);
-                if (elsewhere != null) {
-                    follow(e, Keys.LEAVE, found.revision(), ready, elsewhere::leaving);
-                }
-                ready.run();
-            } else {
-                again(e, ready);
-            }
-        });
+        new Reading(
+                        store,
+                        timers,
+                        elsewhere != null,
+                        () -> e != epoch,
+                        ids -> {
+                            running = ids;
+                            listener.read(readingMs);
+                        })
+                .read(
+                        found -> {
+                            if (found != null && adopt(found)) {
+                                layOut(found.layout());
+                                readImages(e);
+                                ends.begin(ready);
+                                ends.look();
+                                follow(e, Keys.OPEN, found.revision(), ready, this::jobChanged);
+                                follow(
+                                        e,
+                                        Keys.ACT,
+                                        found.acts().revision(),
+                                        ready,
+                                        listener::acted);
+                                if (elsewhere != null) {
+                                    follow(
+                                            e,
+                                            Keys.LEAVE,
+                                            found.revision(),
+                                            ready,
+                                            elsewhere::leaving);
+                                }
+                                ready.run();
+                            } else {
+                                again(e, ready);
+                            }
+                        });
     }
 
     /**
-     * Puts down by what the parts of jobs are laid out whose records do not say. Guards against settings that change: a
-     * part's key would mean other tasks, and those on machines would be started once more.
+     * Puts down by what the parts of jobs are laid out whose records do not say. Guards against
+     * settings that change: a part's key would mean other tasks, and those on machines would be
+     * started once more.
      */
     private void layOut(Entry known) {
         if (known != null) {
             return;
         }
-        ride(new Rider() {
-            @Override
-            public boolean urgent() {
-                return false;
-            }
-
-            @Override
-            public boolean wanted() {
-                return true;
-            }
-
-            @Override
-            public void board(Transaction t) {
-                t.when(Keys.LAYOUT, 0).put(Keys.LAYOUT, Map.of("partTasks", (long) block.partTasks()));
-            }
-
-            @Override
-            public void written(long revision) {
-                LOG.info("parts of jobs hold {} tasks where their records do not say", block.partTasks());
-            }
-        });
+        ride(
+                new Rider() {
+                    @Override
+                    public boolean urgent() {
+                        return false;
+                    }
+
+                    @Override
+                    public boolean wanted() {
+                        return true;
+                    }
+
+                    @Override
+                    public void board(Transaction t) {
+                        t.when(Keys.LAYOUT, 0)
+                                .put(Keys.LAYOUT, Map.of("partTasks", (long) block.partTasks()));
+                    }
+
+                    @Override
+                    public void written(long revision) {
+                        LOG.info(
+                                "parts of jobs hold {} tasks where their records do not say",
+                                block.partTasks());
+                    }
+                });
     }
 
     /** After all that work waits for, and without a word if it can't be had. */
     private void readImages(long e) {
-        Pages.read(store, timers, Keys.IMAGES, 3, records -> {
-            if (e == epoch && records.outcome() == Outcome.OK) {
-                images.read(records.entries());
-                block.machines().values().forEach(images::recall);
-            }
-        });
+        Pages.read(
+                store,
+                timers,
+                Keys.IMAGES,
+                3,
+                records -> {
+                    if (e == epoch && records.outcome() == Outcome.OK) {
+                        images.read(records.entries());
+                        block.machines().values().forEach(images::recall);
+                    }
+                });
     }
 
     /** False if what was read does not fit together: jobs came or ended while it was read. */
@@ -265,7 +326,10 @@
         double now = timers.now();
         block.forgetJobs();
         if (found.layout() != null) {
-            block.laidOutBy((int) Tree.of(found.layout().value()).integer("partTasks", 1, Integer.MAX_VALUE));
+            block.laidOutBy(
+                    (int)
+                            Tree.of(found.layout().value())
+                                    .integer("partTasks", 1, Integer.MAX_VALUE));
         }
         if (servedBefore != null) {
             try {
@@ -274,28 +338,34 @@
                 LOG.error("record {} is unreadable: {}", Keys.SERVED, bad.getMessage());
             }
         }
-        // Before the jobs' parts: a machine that goes is one from the first time that it is heard of.
+        // Before the jobs' parts: a machine that goes is one from the first time that it is heard
+        // of.
         listener.intended(found.acts().entries());
         found.open().forEach(this::opened);
         if (elsewhere != null) {
             elsewhere.adopt(found);
         }
-        found.over().forEach((id, x) -> {
-            try {
-                block.addOver(job(id, x));
-            } catch (Malformed | IllegalArgumentException bad) {
-                LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
-            }
-        });
+        found.over()
+                .forEach(
+                        (id, x) -> {
+                            try {
+                                block.addOver(job(id, x));
+                            } catch (Malformed | IllegalArgumentException bad) {
+                                LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
+                            }
+                        });
         for (Entry x : found.parts()) {
             Job job = block.jobs().get(Keys.jobOfPart(x.key()));
             if (job == null) {
                 if (misfits++ < MISFITS) {
-                    // Created after the list of open jobs was read, or just moved: read everything once more.
+                    // Created after the list of open jobs was read, or just moved: read everything
+                    // once more.
                     return false;
                 }
-                // Guards against a holder that reads for ever because of a record that nothing refers to. A job that is
-                // neither open nor over was never accepted, so nothing of it is ever placed; the cleanup says so.
+                // Guards against a holder that reads for ever because of a record that nothing
+                // refers to. A job that is
+                // neither open nor over was never accepted, so nothing of it is ever placed; the
+                // cleanup says so.
                 LOG.error("record {} is of no job", x.key());
                 continue;
             }
@@ -336,33 +406,41 @@
         }
     }
 
-    private void follow(long e, String prefix, long after, Runnable ready, Consumer<Entry> changed) {
+    private void follow(
+            long e, String prefix, long after, Runnable ready, Consumer<Entry> changed) {
         if (e != epoch) {
             return;
         }
         long holdMs = (long) (facts.workers().leaseS() * 500);
-        store.follow(prefix, after, holdMs, c -> {
-            if (e != epoch) {
-                return;
-            }
-            if (c.outcome() == Outcome.OK) {
-                c.events().forEach(changed);
-                ends.look();
-                follow(e, prefix, Math.max(after, c.revision()), ready, changed);
-                if (!c.events().isEmpty()) {
-                    ready.run();
-                }
-            } else if (c.outcome() == Outcome.NO) {
-                listener.outOfStep("changes of the jobs were missed");
-            } else {
-                timers.after(0.3, () -> follow(e, prefix, after, ready, changed));
-            }
-        });
+        store.follow(
+                prefix,
+                after,
+                holdMs,
+                c -> {
+                    if (e != epoch) {
+                        return;
+                    }
+                    if (c.outcome() == Outcome.OK) {
+                        c.events().forEach(changed);
+                        ends.look();
+                        follow(e, prefix, Math.max(after, c.revision()), ready, changed);
+                        if (!c.events().isEmpty()) {
+                            ready.run();
+                        }
+                    } else if (c.outcome() == Outcome.NO) {
+                        listener.outOfStep("changes of the jobs were missed");
+                    } else {
+                        timers.after(0.3, () -> follow(e, prefix, after, ready, changed));
+                    }
+                });
     }
 
     // ---- writing --------------------------------------------------------------------------------
 
-    /** Writes what differs, if anything does and the rate allows; {@code done} runs when it is in the store. */
+    /**
+     * Writes what differs, if anything does and the rate allows; {@code done} runs when it is in
+     * the store.
+     */
     public void write(Runnable done) {
         if (loaded) {
             writes.write(done);
--- a/src/main/java/io/kitepath/core/state/Keys.java
+++ b/src/main/java/io/kitepath/core/state/Keys.java
@@ -4,44 +4,72 @@
 public final class Keys {
     /** Highest token ever given out; never removed. */
     public static final String TOKEN = "kitepath/token";
+
     /** Who leads; hangs on the leader's lease. */
     public static final String LEADER = "kitepath/leader";
+
     /** The blocks of machines and who holds each; hang on the holder's lease. */
     public static final String BLOCKS = "kitepath/blocks/";
+
     public static final String TYPES = "kitepath/types";
+
     /** Which machines have which images, in a few records. */
     public static final String IMAGES = "kitepath/images/";
+
     /** What is asked of the cloud, and what came of it until the block's holder has taken it in. */
     public static final String ACT = "kitepath/act/";
-    /** Machines that are to be rented, by the request's name, and which they are until all can see them. */
+
+    /**
+     * Machines that are to be rented, by the request's name, and which they are until all can see
+     * them.
+     */
     public static final String RENT = ACT + "rent/";
+
     /** Machines that are given back, by request: nothing is placed on them any more. */
     public static final String GOING = ACT + "going/";
+
     /** Who has which duty; on that node's lease. */
     public static final String DUTY = "kitepath/duty/";
+
     /** The highest token ever given out for each duty; never removed. */
     public static final String DUTY_TOKEN = "kitepath/duty-token/";
+
     /** What was served in time, by class and team, for the next holder. */
     public static final String SERVED = "kitepath/served";
-    /** How the records of the deployment are laid out, written once, by the first holder that knew of it. */
+
+    /**
+     * How the records of the deployment are laid out, written once, by the first holder that knew
+     * of it.
+     */
     public static final String LAYOUT = "kitepath/layout";
+
     /** Jobs that are accepted and neither done nor cancelled. */
     public static final String OPEN = "jobs/open/";
+
     /** Jobs that are over, kept for ever. */
     public static final String OVER = "jobs/over/";
+
     /** What is done and what is on machines, by job and slice of its tasks. */
     public static final String PART = "jobs/part/";
 
     /** Which tasks of a job are lent to other cells. */
     public static final String LENT = "jobs/lent/";
+
     /** What other cells have lent to this one, by home and number. */
     public static final String GUEST = "jobs/guest/";
+
     /** Jobs with tasks lent to other cells that their users asked to cancel. */
     public static final String LEAVE = "jobs/leave/";
+
     /** Which numbers of another cell can never be taken any more, by home. */
     public static final String VOID = "kitepath/void/";
-    /** What came to this cell of each team's limit, and what of it went, by a hash of the team's name. */
+
+    /**
+     * What came to this cell of each team's limit, and what of it went, by a hash of the team's
+     * name.
+     */
     public static final String SHARE = "kitepath/share/";
+
     /** By which cells file this cell goes. */
     public static final String CELLS = "kitepath/cells";
 
--- a/src/main/java/io/kitepath/core/state/Pages.java
+++ b/src/main/java/io/kitepath/core/state/Pages.java
@@ -10,8 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * Reads everything under a prefix, page by page. Guards against a reading that begins anew for every page that is
- * refused: while many ask the state service, a new holder would never get to the end of its jobs.
+ * Reads everything under a prefix, page by page. Guards against a reading that begins anew for
+ * every page that is refused: while many ask the state service, a new holder would never get to the
+ * end of its jobs.
  */
 public final class Pages {
     private static final int PAGE = 500;
@@ -32,31 +33,39 @@
         this.answer = answer;
     }
 
-    /** {@code tries}: how often a page is asked for. The revision is from before the first page was read. */
-    public static void read(Store store, Timers timers, String prefix, int tries, Consumer<Listing> answer) {
+    /**
+     * {@code tries}: how often a page is asked for. The revision is from before the first page was
+     * read.
+     */
+    public static void read(
+            Store store, Timers timers, String prefix, int tries, Consumer<Listing> answer) {
         new Pages(store, timers, prefix, tries, answer).next(1);
     }
 
     private void next(int attempt) {
         String from = entries.isEmpty() ? "" : entries.get(entries.size() - 1).key();
-        store.page(prefix, from, PAGE, page -> {
-            if (page.outcome() != Outcome.OK) {
-                if (attempt < tries) {
-                    timers.after(Math.min(1, 0.1 * attempt), () -> next(attempt + 1));
-                } else {
-                    answer.accept(new Listing(page.outcome(), List.of(), 0, false));
-                }
-                return;
-            }
-            if (revision < 0) {
-                revision = page.revision();
-            }
-            entries.addAll(page.entries());
-            if (page.more() && !page.entries().isEmpty()) {
-                next(1);
-            } else {
-                answer.accept(new Listing(Outcome.OK, entries, revision, false));
-            }
-        });
+        store.page(
+                prefix,
+                from,
+                PAGE,
+                page -> {
+                    if (page.outcome() != Outcome.OK) {
+                        if (attempt < tries) {
+                            timers.after(Math.min(1, 0.1 * attempt), () -> next(attempt + 1));
+                        } else {
+                            answer.accept(new Listing(page.outcome(), List.of(), 0, false));
+                        }
+                        return;
+                    }
+                    if (revision < 0) {
+                        revision = page.revision();
+                    }
+                    entries.addAll(page.entries());
+                    if (page.more() && !page.entries().isEmpty()) {
+                        next(1);
+                    } else {
+                        answer.accept(new Listing(Outcome.OK, entries, revision, false));
+                    }
+                });
     }
 }
