--- a/src/main/java/io/kitepath/core/state/Reading.java
+++ b/src/main/java/io/kitepath/core/state/Reading.java
@@ -17,17 +17,23 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Reads the records of all jobs that are open or still have something of them left, once, for a new holder. */
+/**
+ * Reads the records of all jobs that are open or still have something of them left, once, for a new
+ * holder.
+ */
 public final class Reading {
     private static final int PAGE_TRIES = 20;
+
     /** Records read at the same time, of jobs that are over. */
     private static final int READS_AT_ONCE = 8;
 
     /**
      * What was read.
      *
-     * @param revision from before the first record was read: from there on changes have to be followed
-     * @param over by id: jobs that are over and have parts left, so that something of them may be on machines
+     * @param revision from before the first record was read: from there on changes have to be
+     *     followed
+     * @param over by id: jobs that are over and have parts left, so that something of them may be
+     *     on machines
      * @param lent what of open jobs is lent to other cells
      * @param guests what other cells lent to this one
      * @param shares of the teams' limits, what came to this cell and what went
@@ -36,27 +42,46 @@
      * @param acts what was asked of the cloud, read at its own revision
      * @param layout how records are laid out, null if nobody has put it down yet
      */
-    public record Found(long revision, List<Entry> open, List<Entry> parts, Map<String, Entry> over,
-            List<Entry> lent, List<Entry> guests, List<Entry> leaving, List<Entry> voids, List<Entry> shares,
-            Listing acts, Entry layout) {}
+    public record Found(
+            long revision,
+            List<Entry> open,
+            List<Entry> parts,
+            Map<String, Entry> over,
+            List<Entry> lent,
+            List<Entry> guests,
+            List<Entry> leaving,
+            List<Entry> voids,
+            List<Entry> shares,
+            Listing acts,
+            Entry layout) {}
 
     /** Takes what the records say about other cells. */
     public interface Elsewhere {
         /** All of it, after the open jobs and before their parts. */
         void adopt(Found found);
 
-        /** A job's user asks to cancel it while some of it may be lent, or no more if there is no value. */
+        /**
+         * A job's user asks to cancel it while some of it may be lent, or no more if there is no
+         * value.
+         */
         void leaving(Entry entry);
     }
 
     private final Store store;
     private final Timers timers;
+
     /** Whether nobody waits for what is read any more. */
     private final BooleanSupplier stale;
+
     /** Whether there are other cells. */
     private final boolean cells;
-    /** Is told of the ids of all jobs of which something may run, before anything else of them is read. */
+
+    /**
+     * Is told of the ids of all jobs of which something may run, before anything else of them is
+     * read.
+     */
     private final Consumer<Set<String>> running;
+
     private Consumer<Found> answer;
     private List<Entry> lent = List.of();
     private List<Entry> guests = List.of();
@@ -65,13 +90,20 @@
     private List<Entry> shares = List.of();
     private Listing acts;
     private Entry layout;
+
     /** What is called once all is there, except for what else is still being read. */
     private Runnable jobsRead;
+
     private final Deque<String> closed = new ArrayDeque<>();
     private final Map<String, Entry> over = new HashMap<>();
     private int missing;
 
-    Reading(Store store, Timers timers, boolean cells, BooleanSupplier stale, Consumer<Set<String>> running) {
+    Reading(
+            Store store,
+            Timers timers,
+            boolean cells,
+            BooleanSupplier stale,
+            Consumer<Set<String>> running) {
         this.running = running;
         this.cells = cells;
         this.store = store;
@@ -81,37 +113,44 @@
 
     /** Answers null if it can't be had now; not at all once it is stale. */
     void read(Consumer<Found> then) {
-        answer = found -> {
-            answer = x -> { }; // The first of the readings that fails speaks for all.
-            then.accept(found);
-        };
+        answer =
+                found -> {
+                    answer = x -> {}; // The first of the readings that fails speaks for all.
+                    then.accept(found);
+                };
         // Beside the jobs, so that a takeover does not take longer for it.
-        pages(Keys.ACT, l -> {
-            acts = l;
-            joined();
-        });
-        store.get(Keys.LAYOUT, (outcome, entry) -> {
-            if (stale.getAsBoolean()) {
-                return;
-            }
-            if (outcome == Outcome.OK || outcome == Outcome.NO) {
-                layout = entry;
-                readJobs();
-            } else {
-                answer.accept(null);
-            }
-        });
+        pages(
+                Keys.ACT,
+                l -> {
+                    acts = l;
+                    joined();
+                });
+        store.get(
+                Keys.LAYOUT,
+                (outcome, entry) -> {
+                    if (stale.getAsBoolean()) {
+                        return;
+                    }
+                    if (outcome == Outcome.OK || outcome == Outcome.NO) {
+                        layout = entry;
+                        readJobs();
+                    } else {
+                        answer.accept(null);
+                    }
+                });
     }
 
     private void readJobs() {
-        pages(Keys.OPEN, open -> {
-            if (cells) {
-                readElsewhere(open);
-            } else {
-                running.accept(ids(open));
-                pages(Keys.PART, parts -> readClosed(open, parts));
-            }
-        });
+        pages(
+                Keys.OPEN,
+                open -> {
+                    if (cells) {
+                        readElsewhere(open);
+                    } else {
+                        running.accept(ids(open));
+                        pages(Keys.PART, parts -> readClosed(open, parts));
+                    }
+                });
     }
 
     private static Set<String> ids(Listing open) {
@@ -127,53 +166,88 @@
     }
 
     private void readElsewhere(Listing open) {
-        pages(Keys.LENT, l -> {
-            lent = l.entries();
-            pages(Keys.GUEST, g -> {
-                guests = g.entries();
-                Set<String> all = ids(open);
-                guests.forEach(x -> all.add(Tree.of(x.value()).textOr("job", "")));
-                running.accept(all);
-                pages(Keys.LEAVE, x -> {
-                    leaving = x.entries();
-                    pages(Keys.VOID, v -> {
-                        voids = v.entries();
-                        pages(Keys.SHARE, s -> {
-                            shares = s.entries();
-                            pages(Keys.PART, parts -> readClosed(open, parts));
-                        });
-                    });
+        pages(
+                Keys.LENT,
+                l -> {
+                    lent = l.entries();
+                    pages(
+                            Keys.GUEST,
+                            g -> {
+                                guests = g.entries();
+                                Set<String> all = ids(open);
+                                guests.forEach(x -> all.add(Tree.of(x.value()).textOr("job", "")));
+                                running.accept(all);
+                                pages(
+                                        Keys.LEAVE,
+                                        x -> {
+                                            leaving = x.entries();
+                                            pages(
+                                                    Keys.VOID,
+                                                    v -> {
+                                                        voids = v.entries();
+                                                        pages(
+                                                                Keys.SHARE,
+                                                                s -> {
+                                                                    shares = s.entries();
+                                                                    pages(
+                                                                            Keys.PART,
+                                                                            parts ->
+                                                                                    readClosed(
+                                                                                            open,
+                                                                                            parts));
+                                                                });
+                                                    });
+                                        });
+                            });
                 });
-            });
-        });
     }
 
     private void pages(String prefix, Consumer<Listing> then) {
-        Pages.read(store, timers, prefix, PAGE_TRIES, l -> {
-            if (stale.getAsBoolean()) {
-                return;
-            }
-            if (l.outcome() == Outcome.OK) {
-                then.accept(l);
-            } else {
-                answer.accept(null);
-            }
-        });
+        Pages.read(
+                store,
+                timers,
+                prefix,
+                PAGE_TRIES,
+                l -> {
+                    if (stale.getAsBoolean()) {
+                        return;
+                    }
+                    if (l.outcome() == Outcome.OK) {
+                        then.accept(l);
+                    } else {
+                        answer.accept(null);
+                    }
+                });
     }
 
     private void readClosed(Listing open, Listing parts) {
         Set<String> ids = new LinkedHashSet<>();
         parts.entries().forEach(x -> ids.add(Keys.jobOfPart(x.key())));
         ids.removeAll(ids(open));
-        // Of what other cells lent to us, nothing is over here that is not over in the loan's own record.
+        // Of what other cells lent to us, nothing is over here that is not over in the loan's own
+        // record.
         guests.forEach(g -> ids.remove(Tree.of(g.value()).textOr("job", "")));
         closed.addAll(ids);
         missing = closed.size();
-        Runnable done = () -> {
-            jobsRead = () -> answer.accept(new Found(open.revision(), open.entries(), parts.entries(), over,
-                    lent, guests, leaving, voids, shares, acts, layout));
-            joined();
-        };
+        Runnable done =
+                () -> {
+                    jobsRead =
+                            () ->
+                                    answer.accept(
+                                            new Found(
+                                                    open.revision(),
+                                                    open.entries(),
+                                                    parts.entries(),
+                                                    over,
+                                                    lent,
+                                                    guests,
+                                                    leaving,
+                                                    voids,
+                                                    shares,
+                                                    acts,
+                                                    layout));
+                    joined();
+                };
         if (missing == 0) {
             done.run();
             return;
@@ -187,22 +261,25 @@
         if (id == null || stale.getAsBoolean()) {
             return;
         }
-        store.get(Keys.OVER + id, (outcome, entry) -> {
-            if (stale.getAsBoolean()) {
-                return;
-            }
-            if (outcome != Outcome.OK && outcome != Outcome.NO) {
-                timers.after(Math.min(1, 0.1 * attempt), () -> readOver(id, attempt + 1, done));
-                return;
-            }
-            if (outcome == Outcome.OK) {
-                over.put(id, entry);
-            }
-            if (--missing == 0) {
-                done.run();
-            } else {
-                readOver(closed.poll(), 1, done);
-            }
-        });
+        store.get(
+                Keys.OVER + id,
+                (outcome, entry) -> {
+                    if (stale.getAsBoolean()) {
+                        return;
+                    }
+                    if (outcome != Outcome.OK && outcome != Outcome.NO) {
+                        timers.after(
+                                Math.min(1, 0.1 * attempt), () -> readOver(id, attempt + 1, done));
+                        return;
+                    }
+                    if (outcome == Outcome.OK) {
+                        over.put(id, entry);
+                    }
+                    if (--missing == 0) {
+                        done.run();
+                    } else {
+                        readOver(closed.poll(), 1, done);
+                    }
+                });
     }
 }
--- a/src/main/java/io/kitepath/core/state/Relayout.java
+++ b/src/main/java/io/kitepath/core/state/Relayout.java
@@ -8,8 +8,9 @@
 import java.util.Map;
 
 /**
- * One job's records laid out anew, in narrower parts, in one transaction: a gang, or a service, all of whose tasks have
- * to be on record at the same time, which its parts are too wide for under the state service's limits.
+ * One job's records laid out anew, in narrower parts, in one transaction: a gang, or a service, all
+ * of whose tasks have to be on record at the same time, which its parts are too wide for under the
+ * state service's limits.
  */
 final class Relayout {
     final Job job;
@@ -22,7 +23,9 @@
         this.job = job;
         this.version = job.version();
         JobRecord was = job.record();
-        this.record = new JobRecord(was.spec(), was.submittedMs(), was.needs(), partTasks, job.nextAttempt());
+        this.record =
+                new JobRecord(
+                        was.spec(), was.submittedMs(), was.needs(), partTasks, job.nextAttempt());
         for (int i = 0; i * partTasks < job.spec.tasks(); i++) {
             Map<String, Object> part = job.partRecordOf(i, partTasks);
             if (part != null) {
--- a/src/main/java/io/kitepath/core/state/Round.java
+++ b/src/main/java/io/kitepath/core/state/Round.java
@@ -15,10 +15,15 @@
     record Written(Job.Part part, int version, boolean removed) {}
 
     /** What a record says about whether its round was carried out. */
-    private enum Sign { CHANGED, SAYS_DONE, GONE }
+    private enum Sign {
+        CHANGED,
+        SAYS_DONE,
+        GONE
+    }
 
     /**
-     * A record that this round writes and that nobody else does under the same revision of the block.
+     * A record that this round writes and that nobody else does under the same revision of the
+     * block.
      *
      * @param before its revision before, 0 if there was none
      */
@@ -56,7 +61,9 @@
             return new Witness(Keys.OVER + finishing.get(0).spec.id(), 0, Sign.SAYS_DONE);
         }
         // What is gone has no revision, which riders have to be told.
-        return parts.isEmpty() || !riders.isEmpty() ? null : new Witness(key(parts.get(0)), parts.get(0).part.revision(), Sign.GONE);
+        return parts.isEmpty() || !riders.isEmpty()
+                ? null
+                : new Witness(key(parts.get(0)), parts.get(0).part.revision(), Sign.GONE);
     }
 
     private static String key(Written w) {
--- a/src/main/java/io/kitepath/core/state/Rounds.java
+++ b/src/main/java/io/kitepath/core/state/Rounds.java
@@ -10,7 +10,6 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Committed;
 import io.kitepath.core.port.Store.Outcome;
-import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.state.Keeper.Rider;
 import java.util.ArrayDeque;
@@ -22,15 +21,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the holder writes, round by round, one transaction at a time. Every write depends on the block's revision, the
- * job's and the part's, and an unknown outcome is settled by the very same transaction.
+ * What the holder writes, round by round, one transaction at a time. Every write depends on the
+ * block's revision, the job's and the part's, and an unknown outcome is settled by the very same
+ * transaction.
  */
 final class Rounds {
     private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
+
     /** Of the store's write rate; the rest is for submissions, cancellations and leases. */
     private static final double WRITE_SHARE = 0.7;
+
     /** Of the 64 KiB that a transaction may hold, by an estimate of its JSON form. */
     private static final int MAX_BYTES = 48 * 1024;
+
     /** Of those, a record's key and what depends on it. */
     private static final int RECORD_BYTES = 128;
 
@@ -41,18 +44,27 @@
     private final ImageRecords images;
     private final Keeper.Listener listener;
     private final Bucket writes;
+
     /** What waits to be written along, in order. */
     private final ArrayDeque<Rider> riders = new ArrayDeque<>();
+
     private final ArrayDeque<Rider> patient = new ArrayDeque<>();
-    /** Writes that a transaction may have: fewer after one was refused for good, until others have gone through. */
+
+    /**
+     * Writes that a transaction may have: fewer after one was refused for good, until others have
+     * gone through.
+     */
     private int mostWrites;
+
     private int refusedWrites = Integer.MAX_VALUE;
     private long epoch;
     private String blockKey;
     private long blockRevision;
     private Round round;
+
     /** When what was served was written last. */
     private double servedAt;
+
     private long rounds;
     private long written;
     private long invalid;
@@ -108,9 +120,10 @@
     }
 
     /**
-     * Writes what differs, if anything does and the rate allows; {@code done} runs when it is in the store. What users
-     * wait for goes first: jobs that end, then placings, which nothing may start before. Other changes take what is
-     * left of the rate: until an end is written, its worker just goes on reporting it.
+     * Writes what differs, if anything does and the rate allows; {@code done} runs when it is in
+     * the store. What users wait for goes first: jobs that end, then placings, which nothing may
+     * start before. Other changes take what is left of the rate: until an end is written, its
+     * worker just goes on reporting it.
      */
     void write(Runnable done) {
         if (round != null) {
@@ -127,14 +140,17 @@
         }
         board(r, riders, budget);
         cascade(r, budget * 3 / 4);
-        // In turns: a swarm's ends, two writes each, would leave nothing to what is to start, and the other way round.
+        // In turns: a swarm's ends, two writes each, would leave nothing to what is to start, and
+        // the other way round.
         boolean endsFirst = rounds % 2 == 0;
         if (endsFirst) {
             budget = ends(r, budget);
         }
-        // The longest waiting change goes along in any case, so that a stream of placings does not put it off for ever.
+        // The longest waiting change goes along in any case, so that a stream of placings does not
+        // put it off for ever.
         take(r, block.unwritten().changes(), Math.min(budget, r.transaction.writes().size() + 1));
-        // Guards against a gang that waits for the records of hundreds of small jobs that were placed before it.
+        // Guards against a gang that waits for the records of hundreds of small jobs that were
+        // placed before it.
         List<Job.Part> placings = new ArrayList<>(block.unwritten().placings());
         placings.sort(Comparator.comparingInt(p -> p.job.rank()));
         take(r, placings, budget);
@@ -143,7 +159,8 @@
         }
         double spare = available - facts.store().writeRps() * WRITE_SHARE / 2;
         take(r, block.unwritten().changes(), (int) Math.min(budget, spare));
-        // Guards against placings of a burst that wait for records which are only to be struck off; a backlog of those
+        // Guards against placings of a burst that wait for records which are only to be struck off;
+        // a backlog of those
         // that would grow for ever goes along all the same.
         board(r, patient, (int) Math.min(budget, patient.size() > budget ? budget : spare));
         if (r.transaction.writes().size() < budget && r.bytes < MAX_BYTES / 2) {
@@ -178,7 +195,9 @@
             }
             Relayout l = new Relayout(job, facts.tasksPerNarrowPart());
             if (l.writes() > facts.store().txnOps()) {
-                LOG.error("job {} has parts that can't be written under the limits that will come", job.spec.id());
+                LOG.error(
+                        "job {} has parts that can't be written under the limits that will come",
+                        job.spec.id());
                 block.laidOut(job);
             } else if (l.writes() <= budget) {
                 l.board(r.transaction);
@@ -191,7 +210,9 @@
 
     private void board(Round r, ArrayDeque<Rider> waiting, int budget) {
         // Each takes a handful of writes at most; a quarter is left to everything else.
-        while (!waiting.isEmpty() && r.transaction.writes().size() < budget * 3 / 4 && r.bytes < MAX_BYTES / 2) {
+        while (!waiting.isEmpty()
+                && r.transaction.writes().size() < budget * 3 / 4
+                && r.bytes < MAX_BYTES / 2) {
             Rider rider = waiting.poll();
             if (rider.wanted()) {
                 rider.board(r.transaction);
@@ -201,7 +222,10 @@
         }
     }
 
-    /** Moves jobs that are done from open to over; returns the budget for what comes after, 0 if it did not suffice. */
+    /**
+     * Moves jobs that are done from open to over; returns the budget for what comes after, 0 if it
+     * did not suffice.
+     */
     private int ends(Round r, int budget) {
         List<Job> dropped = new ArrayList<>();
         int left = budget;
@@ -212,7 +236,8 @@
                 }
             } else if (ending(job) && !job.lentBusy()) {
                 if (r.transaction.writes().size() + 2 > left) {
-                    left = 0; // Guards against placings that leave no job's end its two writes, round after round.
+                    left = 0; // Guards against placings that leave no job's end its two writes,
+                    // round after round.
                 } else {
                     finish(r, job);
                 }
@@ -250,14 +275,17 @@
     private void finish(Round r, Job job) {
         over(r, job, "done", job.spec.tasks());
         if (job.lentRevision() > 0) {
-            r.transaction.when(Keys.LENT + job.spec.id(), job.lentRevision()).remove(Keys.LENT + job.spec.id());
+            r.transaction
+                    .when(Keys.LENT + job.spec.id(), job.lentRevision())
+                    .remove(Keys.LENT + job.spec.id());
         }
         r.finishing.add(job);
     }
 
     /**
-     * Cancels jobs that need one which is cancelled. All that it takes is on record, so that the next holder goes on with
-     * it wherever this one ends. They have no tasks to stop, as none of them could start; but their users wait for word.
+     * Cancels jobs that need one which is cancelled. All that it takes is on record, so that the
+     * next holder goes on with it wherever this one ends. They have no tasks to stop, as none of
+     * them could start; but their users wait for word.
      */
     private void cascade(Round r, int budget) {
         for (Job job : block.pipelines().doomed()) {
@@ -270,10 +298,22 @@
     }
 
     private void over(Round r, Job job, String status, int done) {
-        Map<String, Object> record = job.record().overMap(Map.of("status", status, "done", (long) done, "endedMs",
-                timers.wallMs()), block.recordBytes());
+        Map<String, Object> record =
+                job.record()
+                        .overMap(
+                                Map.of(
+                                        "status",
+                                        status,
+                                        "done",
+                                        (long) done,
+                                        "endedMs",
+                                        timers.wallMs()),
+                                block.recordBytes());
         r.bytes += Json.size(record) + RECORD_BYTES;
-        r.transaction.when(job.key, job.revision()).remove(job.key).put(Keys.OVER + job.spec.id(), record);
+        r.transaction
+                .when(job.key, job.revision())
+                .remove(job.key)
+                .put(Keys.OVER + job.spec.id(), record);
     }
 
     private void putPart(Round r, Job.Part p) {
@@ -291,7 +331,8 @@
         } else {
             Map<String, Object> record = job.partRecord(p.index);
             if (Json.size(record) > block.recordBytes()) {
-                // Placed when records could be larger. Until enough of it has ended, its workers go on reporting what
+                // Placed when records could be larger. Until enough of it has ended, its workers go
+                // on reporting what
                 // has, and no more of it is placed.
                 oversize++;
                 r.transaction.conditions().remove(r.transaction.conditions().size() - 1);
@@ -305,23 +346,26 @@
 
     private void send(long e, Runnable done) {
         Round r = round;
-        store.commit(r.transaction, c -> {
-            if (e != epoch || round != r) {
-                return;
-            }
-            switch (c.outcome()) {
-                case OK -> committed(r, c.revision(), done);
-                case NO -> refused(r, c, done);
-                case INVALID -> invalid(r);
-                case REFUSED -> timers.after(0.2, () -> resend(e, r, done));
-                default -> {
-                    // It may have been executed, or still be: the very same transaction again settles it, since
-                    // its conditions let only one of the two through.
-                    r.unsure = true;
-                    timers.after(0.1, () -> resend(e, r, done));
-                }
-            }
-        });
+        store.commit(
+                r.transaction,
+                c -> {
+                    if (e != epoch || round != r) {
+                        return;
+                    }
+                    switch (c.outcome()) {
+                        case OK -> committed(r, c.revision(), done);
+                        case NO -> refused(r, c, done);
+                        case INVALID -> invalid(r);
+                        case REFUSED -> timers.after(0.2, () -> resend(e, r, done));
+                        default -> {
+                            // It may have been executed, or still be: the very same transaction
+                            // again settles it, since
+                            // its conditions let only one of the two through.
+                            r.unsure = true;
+                            timers.after(0.1, () -> resend(e, r, done));
+                        }
+                    }
+                });
     }
 
     private void resend(long e, Round r, Runnable done) {
@@ -367,15 +411,23 @@
     }
 
     /**
-     * The store won't ever take it: its limits are lower than anybody said. Guards against the same transaction worked
-     * out again and again while everything else waits: the next ones are smaller, down to a single record, and one that
-     * is refused by itself waits until it has changed.
+     * The store won't ever take it: its limits are lower than anybody said. Guards against the same
+     * transaction worked out again and again while everything else waits: the next ones are
+     * smaller, down to a single record, and one that is refused by itself waits until it has
+     * changed.
      */
     private void invalid(Round r) {
         invalid++;
         int n = r.transaction.writes().size();
-        Store.Write largest = r.transaction.writes().stream().max(Comparator.comparingInt(Rounds::size)).orElseThrow();
-        LOG.warn("{} writes were refused for good, the largest one {} of {} bytes", n, largest.key(), size(largest));
+        Store.Write largest =
+                r.transaction.writes().stream()
+                        .max(Comparator.comparingInt(Rounds::size))
+                        .orElseThrow();
+        LOG.warn(
+                "{} writes were refused for good, the largest one {} of {} bytes",
+                n,
+                largest.key(),
+                size(largest));
         if (n > 1) {
             refusedWrites = Math.min(refusedWrites, n);
             mostWrites = Math.max(2, n / 2);
@@ -386,7 +438,8 @@
         if (r.unsure) {
             round = null;
             listener.outOfStep("an earlier try of this write may have been executed");
-        } else if (r.parts.size() + r.riders.size() + r.finishing.size() + r.cancelling.size() > 1) {
+        } else if (r.parts.size() + r.riders.size() + r.finishing.size() + r.cancelling.size()
+                > 1) {
             putBack(r);
         } else {
             round = null;
@@ -412,8 +465,9 @@
     }
 
     /**
-     * An earlier try may have been carried out: whether it was shows where nobody else writes. Guards against a holder
-     * that reads all jobs again for each answer that gets lost, and does nothing else meanwhile.
+     * An earlier try may have been carried out: whether it was shows where nobody else writes.
+     * Guards against a holder that reads all jobs again for each answer that gets lost, and does
+     * nothing else meanwhile.
      */
     private void settle(long e, Round r, Committed c, Runnable done) {
         Round.Witness witness = r.witness();
@@ -422,20 +476,22 @@
             listener.outOfStep("an earlier try of this write may have been executed");
             return;
         }
-        store.get(witness.key(), (outcome, entry) -> {
-            if (e != epoch || round != r) {
-                return;
-            }
-            boolean known = outcome == Outcome.OK || outcome == Outcome.NO;
-            if (known && witness.shows(entry)) {
-                committed(r, entry == null ? 0 : entry.revision(), done);
-            } else if (known) {
-                // Nor can it be any more: a revision that was passed never comes back.
-                notWritten(r, c);
-            } else {
-                timers.after(0.2, () -> settle(e, r, c, done));
-            }
-        });
+        store.get(
+                witness.key(),
+                (outcome, entry) -> {
+                    if (e != epoch || round != r) {
+                        return;
+                    }
+                    boolean known = outcome == Outcome.OK || outcome == Outcome.NO;
+                    if (known && witness.shows(entry)) {
+                        committed(r, entry == null ? 0 : entry.revision(), done);
+                    } else if (known) {
+                        // Nor can it be any more: a revision that was passed never comes back.
+                        notWritten(r, c);
+                    } else {
+                        timers.after(0.2, () -> settle(e, r, c, done));
+                    }
+                });
     }
 
     private void notWritten(Round r, Committed c) {
--- a/src/main/java/io/kitepath/net/HttpClient.java
+++ b/src/main/java/io/kitepath/net/HttpClient.java
@@ -29,8 +29,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests to one address over a few kept connections. A request that fails or times out yields status 0:
- * the other side may or may not have acted on it, and may still do so later.
+ * Requests to one address over a few kept connections. A request that fails or times out yields
+ * status 0: the other side may or may not have acted on it, and may still do so later.
  */
 public final class HttpClient {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
@@ -40,7 +40,8 @@
         void done(int status, byte[] body);
     }
 
-    private record Pending(String method, String path, byte[] body, long timeoutMs, Callback callback) {}
+    private record Pending(
+            String method, String path, byte[] body, long timeoutMs, Callback callback) {}
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -59,20 +60,35 @@
         this.host = address.getHostString() + ":" + address.getPort();
         this.maxConnections = maxConnections;
         this.maxBody = maxBody;
-        this.bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(4096, 8192, 16384),
-                                new HttpObjectAggregator(HttpClient.this.maxBody, true), new Connection());
-                    }
-                });
+        this.bootstrap =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .handler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel ch) {
+                                        ch.pipeline()
+                                                .addLast(
+                                                        new HttpClientCodec(4096, 8192, 16384),
+                                                        new HttpObjectAggregator(
+                                                                HttpClient.this.maxBody, true),
+                                                        new Connection());
+                                    }
+                                });
     }
 
     /** One request on a connection that is closed after it. */
-    public static void once(EventLoop loop, InetSocketAddress address, int maxBody, String method, String path,
-            byte[] body, long timeoutMs, Callback callback) {
+    public static void once(
+            EventLoop loop,
+            InetSocketAddress address,
+            int maxBody,
+            String method,
+            String path,
+            byte[] body,
+            long timeoutMs,
+            Callback callback) {
         HttpClient c = new HttpClient(loop, address, 1, maxBody);
         c.keep = false;
         c.call(method, path, body, timeoutMs, callback);
@@ -89,36 +105,47 @@
         } else if (queue.size() < maxConnections * 4) {
             queue.add(p);
             // Waiting for a connection counts: what has had its time is given up on, not sent late.
-            loop.schedule(() -> {
-                if (queue.remove(p)) {
-                    callback.done(0, null);
-                }
-            }, timeoutMs, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (queue.remove(p)) {
+                            callback.done(0, null);
+                        }
+                    },
+                    timeoutMs,
+                    TimeUnit.MILLISECONDS);
         } else {
-            // Bounded: a queue that grows while the other side hangs would only fill memory with lost causes.
+            // Bounded: a queue that grows while the other side hangs would only fill memory with
+            // lost causes.
             loop.execute(() -> callback.done(0, null));
         }
     }
 
     private void connect(Pending p) {
         open++;
-        ChannelFuture connecting = bootstrap.clone()
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.min(p.timeoutMs, 1000))
-                .connect(address);
-        connecting.addListener(f -> {
-            if (f.isSuccess()) {
-                Channel ch = connecting.channel();
-                ch.closeFuture().addListener(x -> {
-                    open--;
-                    next();
+        ChannelFuture connecting =
+                bootstrap
+                        .clone()
+                        .option(
+                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                                (int) Math.min(p.timeoutMs, 1000))
+                        .connect(address);
+        connecting.addListener(
+                f -> {
+                    if (f.isSuccess()) {
+                        Channel ch = connecting.channel();
+                        ch.closeFuture()
+                                .addListener(
+                                        x -> {
+                                            open--;
+                                            next();
+                                        });
+                        ch.pipeline().get(Connection.class).send(p);
+                    } else {
+                        open--;
+                        p.callback.done(0, null);
+                        next();
+                    }
                 });
-                ch.pipeline().get(Connection.class).send(p);
-            } else {
-                open--;
-                p.callback.done(0, null);
-                next();
-            }
-        });
     }
 
     private void next() {
@@ -145,8 +172,14 @@
 
         void send(Pending p) {
             current = p;
-            DefaultFullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.valueOf(p.method),
-                    p.path, p.body == null ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(p.body));
+            DefaultFullHttpRequest r =
+                    new DefaultFullHttpRequest(
+                            HttpVersion.HTTP_1_1,
+                            HttpMethod.valueOf(p.method),
+                            p.path,
+                            p.body == null
+                                    ? Unpooled.EMPTY_BUFFER
+                                    : Unpooled.wrappedBuffer(p.body));
             r.headers().set(HttpHeaderNames.HOST, host);
             if (p.body != null) {
                 r.headers().set(HttpHeaderNames.CONTENT_LENGTH, p.body.length);
@@ -167,7 +200,10 @@
             }
         }
 
-        /** An odd answer may trip its reader, but must not take the connection's bookkeeping with it. */
+        /**
+         * An odd answer may trip its reader, but must not take the connection's bookkeeping with
+         * it.
+         */
         private void tell(Pending p, int status, byte[] body) {
             try {
                 p.callback.done(status, body);
--- a/src/main/java/io/kitepath/net/HttpServer.java
+++ b/src/main/java/io/kitepath/net/HttpServer.java
@@ -46,7 +46,10 @@
     private final int idleSeconds;
     private int connections;
 
-    /** A connection without a request for {@code idleSeconds} is closed, so that abandoned ones don't pile up. */
+    /**
+     * A connection without a request for {@code idleSeconds} is closed, so that abandoned ones
+     * don't pile up.
+     */
     public HttpServer(Handler handler, int maxBody, int maxConnections, int idleSeconds) {
         this.handler = handler;
         this.maxBody = maxBody;
@@ -55,28 +58,37 @@
     }
 
     public ChannelFuture listen(EventLoopGroup loop, InetSocketAddress address) {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 256)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        accept(ch);
-                    }
-                }).bind(address);
+                .childHandler(
+                        new ChannelInitializer<SocketChannel>() {
+                            @Override
+                            protected void initChannel(SocketChannel ch) {
+                                accept(ch);
+                            }
+                        })
+                .bind(address);
     }
 
     private void accept(SocketChannel ch) {
-        // Guards the socket limit: the platform fails new connections past it, our own outgoing ones too.
+        // Guards the socket limit: the platform fails new connections past it, our own outgoing
+        // ones too.
         if (connections >= maxConnections) {
             ch.close();
             return;
         }
         connections++;
         ch.closeFuture().addListener(f -> connections--);
-        ch.pipeline().addLast(new HttpServerCodec(4096, 8192, 8192),
-                new Aggregator(maxBody), new IdleStateHandler(0, 0, idleSeconds), new Connection());
+        ch.pipeline()
+                .addLast(
+                        new HttpServerCodec(4096, 8192, 8192),
+                        new Aggregator(maxBody),
+                        new IdleStateHandler(0, 0, idleSeconds),
+                        new Connection());
     }
 
     /** Collects a body; one that is too large gets 400 and loses only its connection. */
@@ -87,14 +99,19 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            ctx.writeAndFlush(response(400, null, 0, false)).addListener(ChannelFutureListener.CLOSE);
+            ctx.writeAndFlush(response(400, null, 0, false))
+                    .addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    private static FullHttpResponse response(int status, byte[] body, int retryAfterS, boolean keepAlive) {
+    private static FullHttpResponse response(
+            int status, byte[] body, int retryAfterS, boolean keepAlive) {
         byte[] content = body == null ? new byte[0] : body;
-        FullHttpResponse r = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status),
-                Unpooled.wrappedBuffer(content));
+        FullHttpResponse r =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        HttpResponseStatus.valueOf(status),
+                        Unpooled.wrappedBuffer(content));
         r.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.length);
         if (retryAfterS > 0) {
             r.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfterS);
@@ -133,7 +150,8 @@
             }
             answered = true;
             connection.busy = false;
-            ChannelFuture sent = channel.writeAndFlush(response(status, body, retryAfterS, keepAlive));
+            ChannelFuture sent =
+                    channel.writeAndFlush(response(status, body, retryAfterS, keepAlive));
             if (!keepAlive) {
                 sent.addListener(ChannelFutureListener.CLOSE);
             }
@@ -146,17 +164,25 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (busy || request.decoderResult().isFailure()) {
-                // Nobody pipelines; a second request before the answer, or one that can't be parsed, is broken.
-                ctx.writeAndFlush(response(400, null, 0, false)).addListener(ChannelFutureListener.CLOSE);
+                // Nobody pipelines; a second request before the answer, or one that can't be
+                // parsed, is broken.
+                ctx.writeAndFlush(response(400, null, 0, false))
+                        .addListener(ChannelFutureListener.CLOSE);
                 return;
             }
             busy = true;
             String uri = request.uri();
             int query = uri.indexOf('?');
-            Responder out = new ChannelResponder(ctx.channel(), this, HttpUtil.isKeepAlive(request));
+            Responder out =
+                    new ChannelResponder(ctx.channel(), this, HttpUtil.isKeepAlive(request));
             try {
-                handler.handle(new Request(request.method().name(), query < 0 ? uri : uri.substring(0, query),
-                        query < 0 ? "" : uri.substring(query + 1), ByteBufUtil.getBytes(request.content())), out);
+                handler.handle(
+                        new Request(
+                                request.method().name(),
+                                query < 0 ? uri : uri.substring(0, query),
+                                query < 0 ? "" : uri.substring(query + 1),
+                                ByteBufUtil.getBytes(request.content())),
+                        out);
             } catch (RuntimeException e) {
                 LOG.error("request {} {} failed", request.method(), uri, e);
                 out.reply(500, null);
--- a/src/main/java/io/kitepath/net/LoopTimers.java
+++ b/src/main/java/io/kitepath/net/LoopTimers.java
@@ -28,12 +28,15 @@
 
     @Override
     public void after(double seconds, Runnable run) {
-        loop.schedule(() -> {
-            try {
-                run.run();
-            } catch (RuntimeException e) {
-                LOG.error("a timer's task failed", e);
-            }
-        }, (long) (seconds * 1000), TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    try {
+                        run.run();
+                    } catch (RuntimeException e) {
+                        LOG.error("a timer's task failed", e);
+                    }
+                },
+                (long) (seconds * 1000),
+                TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/io/kitepath/peers/CellLinks.java
+++ b/src/main/java/io/kitepath/peers/CellLinks.java
@@ -31,15 +31,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Connections to nodes of other cells, made when something is asked of them and closed when they have been quiet for a
- * while. All of it on the event loop.
+ * Connections to nodes of other cells, made when something is asked of them and closed when they
+ * have been quiet for a while. All of it on the event loop.
  */
 public final class CellLinks implements Cells {
     private static final Logger LOG = LoggerFactory.getLogger(CellLinks.class);
     private static final int CONNECT_MS = 500;
     private static final int ANSWER_MS = 1000;
+
     /** Summaries are a second apart: a link quiet for so long is broken, or not needed any more. */
     private static final int QUIET_S = 10;
+
     private static final int MAX_ASKS = 512;
 
     private final EventLoopGroup loop;
@@ -51,7 +53,10 @@
     private long asked;
 
     /** {@code addresses}: by cell and node. */
-    public CellLinks(EventLoopGroup loop, Map<String, Map<String, InetSocketAddress>> addresses, Random random) {
+    public CellLinks(
+            EventLoopGroup loop,
+            Map<String, Map<String, InetSocketAddress>> addresses,
+            Random random) {
         this.loop = loop;
         this.addresses = addresses;
         this.random = random;
@@ -61,8 +66,10 @@
     public void ask(String cell, String node, CellMessage message, Consumer<CellMessage> answer) {
         Map<String, InetSocketAddress> nodes = addresses.getOrDefault(cell, Map.of());
         List<InetSocketAddress> any = new ArrayList<>(nodes.values());
-        InetSocketAddress to = node != null && nodes.containsKey(node) ? nodes.get(node)
-                : any.isEmpty() ? null : any.get(random.nextInt(any.size()));
+        InetSocketAddress to =
+                node != null && nodes.containsKey(node)
+                        ? nodes.get(node)
+                        : any.isEmpty() ? null : any.get(random.nextInt(any.size()));
         if (to == null || asks.size() >= MAX_ASKS) {
             answer.accept(null);
             return;
@@ -71,27 +78,42 @@
         asks.put(number, answer);
         loop.schedule(() -> settle(number, null), ANSWER_MS, TimeUnit.MILLISECONDS);
         ChannelFuture link = links.computeIfAbsent(to, this::connect);
-        link.addListener(f -> {
-            Channel ch = link.channel();
-            if (!f.isSuccess()) {
-                settle(number, null);
-            } else if (ch.isActive() && ch.isWritable()) {
-                // A node that does not read must not fill our memory: what it has no room for is not said.
-                ch.writeAndFlush(Unpooled.wrappedBuffer(messages.bytes(new Messages.AskCell(number, message))));
-            }
-        });
+        link.addListener(
+                f -> {
+                    Channel ch = link.channel();
+                    if (!f.isSuccess()) {
+                        settle(number, null);
+                    } else if (ch.isActive() && ch.isWritable()) {
+                        // A node that does not read must not fill our memory: what it has no room
+                        // for is not said.
+                        ch.writeAndFlush(
+                                Unpooled.wrappedBuffer(
+                                        messages.bytes(new Messages.AskCell(number, message))));
+                    }
+                });
     }
 
     private ChannelFuture connect(InetSocketAddress to) {
-        ChannelFuture link = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel ch) {
-                        ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(Messages.MAX_FRAME, 0, 4, 0, 4),
-                                new LengthFieldPrepender(4), new IdleStateHandler(QUIET_S, 0, 0), new Answers());
-                    }
-                }).connect(to);
+        ChannelFuture link =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .handler(
+                                new ChannelInitializer<SocketChannel>() {
+                                    @Override
+                                    protected void initChannel(SocketChannel ch) {
+                                        ch.pipeline()
+                                                .addLast(
+                                                        new LengthFieldBasedFrameDecoder(
+                                                                Messages.MAX_FRAME, 0, 4, 0, 4),
+                                                        new LengthFieldPrepender(4),
+                                                        new IdleStateHandler(QUIET_S, 0, 0),
+                                                        new Answers());
+                                    }
+                                })
+                        .connect(to);
         link.channel().closeFuture().addListener(f -> links.remove(to, link));
         return link;
     }
--- a/src/main/java/io/kitepath/peers/CellWords.java
+++ b/src/main/java/io/kitepath/peers/CellWords.java
@@ -11,29 +11,62 @@
 
     /** In an order that never changes: a class's number is a part of the notation. */
     static Class<?>[] classes() {
-        return new Class<?>[] {Messages.AskCell.class, Messages.AnswerCell.class, CellMessage.Elsewhere.class,
-            CellMessage.Room.class, CellMessage.Summary.class, CellMessage.Offer.class, CellMessage.Recall.class,
-            CellMessage.Standing.class, CellMessage.Word.class, CellMessage.Settled.class, CellMessage.UserAsk.class,
-            CellMessage.Wish.class, CellMessage.UserAnswer.class, JobSpec.class, JobSpec.Shape.class,
-            JobSpec.Priority.class, MachineKind.class, byte[].class, CellMessage.Share.class,
-            CellMessage.Grant.class, CellMessage.Granted.class};
+        return new Class<?>[] {
+            Messages.AskCell.class,
+            Messages.AnswerCell.class,
+            CellMessage.Elsewhere.class,
+            CellMessage.Room.class,
+            CellMessage.Summary.class,
+            CellMessage.Offer.class,
+            CellMessage.Recall.class,
+            CellMessage.Standing.class,
+            CellMessage.Word.class,
+            CellMessage.Settled.class,
+            CellMessage.UserAsk.class,
+            CellMessage.Wish.class,
+            CellMessage.UserAnswer.class,
+            JobSpec.class,
+            JobSpec.Shape.class,
+            JobSpec.Priority.class,
+            MachineKind.class,
+            byte[].class,
+            CellMessage.Share.class,
+            CellMessage.Grant.class,
+            CellMessage.Granted.class
+        };
     }
 
     /** Kryo knows one kind of list here. */
     static Object plain(Object message) {
-        return message instanceof Messages.AskCell a ? new Messages.AskCell(a.number(), plain(a.message()))
-                : message instanceof Messages.AnswerCell b ? new Messages.AnswerCell(b.number(), plain(b.message()))
-                : message;
+        return message instanceof Messages.AskCell a
+                ? new Messages.AskCell(a.number(), plain(a.message()))
+                : message instanceof Messages.AnswerCell b
+                        ? new Messages.AnswerCell(b.number(), plain(b.message()))
+                        : message;
     }
 
     private static CellMessage plain(CellMessage m) {
         if (m instanceof CellMessage.Summary s) {
-            return new CellMessage.Summary(s.cell(), s.leader(), s.version(), s.takes(), new ArrayList<>(s.room()),
-                    new ArrayList<>(s.waitS()), new ArrayList<>(s.hears()), new ArrayList<>(s.shares()));
+            return new CellMessage.Summary(
+                    s.cell(),
+                    s.leader(),
+                    s.version(),
+                    s.takes(),
+                    new ArrayList<>(s.room()),
+                    new ArrayList<>(s.waitS()),
+                    new ArrayList<>(s.hears()),
+                    new ArrayList<>(s.shares()));
         }
         if (m instanceof CellMessage.Offer o) {
-            return new CellMessage.Offer(o.home(), o.number(), o.floor(), plain(o.job()), o.submittedMs(), o.from(),
-                    o.until(), o.next());
+            return new CellMessage.Offer(
+                    o.home(),
+                    o.number(),
+                    o.floor(),
+                    plain(o.job()),
+                    o.submittedMs(),
+                    o.from(),
+                    o.until(),
+                    o.next());
         }
         if (m instanceof CellMessage.UserAsk u) {
             return new CellMessage.UserAsk(u.wish(), u.id(), plain(u.job()));
@@ -42,9 +75,28 @@
     }
 
     private static JobSpec plain(JobSpec s) {
-        return s == null || s.types() == null || s.types() instanceof ArrayList ? s
-                : new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), s.tasks(), s.cpus(), s.gpus(),
-                        s.memoryGb(), new ArrayList<>(s.types()), s.zone(), s.oneZone(), s.spread(), s.spot(),
-                        s.image(), s.imageGb(), s.estimateS(), s.checkpointS(), s.saveS(), s.deadlineS());
+        return s == null || s.types() == null || s.types() instanceof ArrayList
+                ? s
+                : new JobSpec(
+                        s.id(),
+                        s.jobClass(),
+                        s.team(),
+                        s.shape(),
+                        s.priority(),
+                        s.tasks(),
+                        s.cpus(),
+                        s.gpus(),
+                        s.memoryGb(),
+                        new ArrayList<>(s.types()),
+                        s.zone(),
+                        s.oneZone(),
+                        s.spread(),
+                        s.spot(),
+                        s.image(),
+                        s.imageGb(),
+                        s.estimateS(),
+                        s.checkpointS(),
+                        s.saveS(),
+                        s.deadlineS());
     }
 }
--- a/src/main/java/io/kitepath/peers/Messages.java
+++ b/src/main/java/io/kitepath/peers/Messages.java
@@ -18,13 +18,19 @@
     /** A frame's size cap; the largest message is a worker's report. */
     static final int MAX_FRAME = 256 * 1024;
 
-    /** A node's view: the highest token it knows, whether it leads with it, whether the store serves it. */
+    /**
+     * A node's view: the highest token it knows, whether it leads with it, whether the store serves
+     * it.
+     */
     record View(String by, long token, boolean leads, boolean served) {}
 
     /** The store has it that this job is over. */
     record Over(JobState job) {}
 
-    /** Asks the leader, or one who may pass it on, to answer a check-in; the number ties the answer to it. */
+    /**
+     * Asks the leader, or one who may pass it on, to answer a check-in; the number ties the answer
+     * to it.
+     */
     record Ask(long number, Report report, boolean passOn) {}
 
     record Answer(long number, HeartbeatAnswer heartbeat) {}
@@ -43,8 +49,9 @@
     record Digest(String by, double sinceMs, double untilMs, List<String> jobs) {}
 
     /**
-     * A node says that way that it reads {@link Digest}: an answer to a question that nobody asked, which the version in
-     * production drops, so that it may be sent to anybody. Questions are numbered from 1.
+     * A node says that way that it reads {@link Digest}: an answer to a question that nobody asked,
+     * which the version in production drops, so that it may be sent to anybody. Questions are
+     * numbered from 1.
      */
     static final long READS_DIGESTS = Long.MIN_VALUE;
 
@@ -62,10 +69,25 @@
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
         int id = 20;
-        for (Class<?> c : new Class<?>[] {View.class, Over.class, Ask.class, Answer.class, Report.class,
-            Report.TaskReport.class, Report.State.class, Report.Cause.class, HeartbeatAnswer.class, Order.class,
-            Order.Verb.class, ArrayList.class, AskProgress.class, AnswerProgress.class, Progress.class,
-            JobState.class}) {
+        for (Class<?> c :
+                new Class<?>[] {
+                    View.class,
+                    Over.class,
+                    Ask.class,
+                    Answer.class,
+                    Report.class,
+                    Report.TaskReport.class,
+                    Report.State.class,
+                    Report.Cause.class,
+                    HeartbeatAnswer.class,
+                    Order.class,
+                    Order.Verb.class,
+                    ArrayList.class,
+                    AskProgress.class,
+                    AnswerProgress.class,
+                    Progress.class,
+                    JobState.class
+                }) {
             kryo.register(c, id++);
         }
         if (cells) {
@@ -87,12 +109,26 @@
     private static Object plain(Object message) {
         if (message instanceof Ask a) {
             Report r = a.report;
-            return new Ask(a.number, new Report(r.machine(), r.address(), r.type(), r.zone(), r.spot(), r.session(),
-                    r.sequence(), r.token(), r.noticeS(), new ArrayList<>(r.tasks())), a.passOn);
+            return new Ask(
+                    a.number,
+                    new Report(
+                            r.machine(),
+                            r.address(),
+                            r.type(),
+                            r.zone(),
+                            r.spot(),
+                            r.session(),
+                            r.sequence(),
+                            r.token(),
+                            r.noticeS(),
+                            new ArrayList<>(r.tasks())),
+                    a.passOn);
         }
         if (message instanceof Answer a) {
             HeartbeatAnswer c = a.heartbeat;
-            return new Answer(a.number, new HeartbeatAnswer(c.token(), new ArrayList<>(c.orders()), c.anchor()));
+            return new Answer(
+                    a.number,
+                    new HeartbeatAnswer(c.token(), new ArrayList<>(c.orders()), c.anchor()));
         }
         if (message instanceof AskProgress a) {
             return new AskProgress(a.number, new ArrayList<>(a.jobs));
@@ -103,7 +139,9 @@
         if (message instanceof Digest d) {
             return new Digest(d.by, d.sinceMs, d.untilMs, new ArrayList<>(d.jobs));
         }
-        return message instanceof AskCell || message instanceof AnswerCell ? CellWords.plain(message) : message;
+        return message instanceof AskCell || message instanceof AnswerCell
+                ? CellWords.plain(message)
+                : message;
     }
 
     Object value(byte[] frame) {
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -41,11 +41,15 @@
 /** The nodes' own channel: one kept connection to each sibling, length-prefixed frames. */
 public final class Peers implements Siblings {
     private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
+
     /** A worker drops answers after 4 s; a relayed one has to be back well before. */
     private static final long RELAY_MS = 3000;
+
     /** Views come every second; a connection that stays mute this long is dead. */
     private static final int MUTE_S = 4;
+
     private static final int MAX_ASKS = 256;
+
     /** A user waits 2 s for an answer; what the holder knows is worth a part of that. */
     private static final long PROGRESS_MS = 500;
 
@@ -62,11 +66,18 @@
     private Controller controller;
     private long asked;
 
-    /** A question that was sent on that connection, and what it is answered with when there is no answer. */
+    /**
+     * A question that was sent on that connection, and what it is answered with when there is no
+     * answer.
+     */
     private record Asked<T>(Channel channel, Consumer<T> answer, T none) {}
 
     /** {@code cells}: whether nodes of other cells may ask something. */
-    public Peers(EventLoopGroup loop, String node, Map<String, InetSocketAddress> addresses, boolean cells) {
+    public Peers(
+            EventLoopGroup loop,
+            String node,
+            Map<String, InetSocketAddress> addresses,
+            boolean cells) {
         this.messages = new Messages(cells);
         this.loop = loop;
         this.node = node;
@@ -76,56 +87,78 @@
     public ChannelFuture start(Controller c, InetSocketAddress listen) {
         controller = c;
         addresses.keySet().forEach(s -> connect(s, 0));
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(loop, loop)
+                .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new Setup()).bind(listen);
+                .childHandler(new Setup())
+                .bind(listen);
     }
 
     private final class Setup extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel ch) {
-            ch.pipeline().addLast(new LengthFieldBasedFrameDecoder(Messages.MAX_FRAME, 0, 4, 0, 4),
-                    new LengthFieldPrepender(4), new IdleStateHandler(MUTE_S, 0, 0), new Connection());
+            ch.pipeline()
+                    .addLast(
+                            new LengthFieldBasedFrameDecoder(Messages.MAX_FRAME, 0, 4, 0, 4),
+                            new LengthFieldPrepender(4),
+                            new IdleStateHandler(MUTE_S, 0, 0),
+                            new Connection());
         }
     }
 
     private void connect(String sibling, int failures) {
-        Bootstrap b = new Bootstrap().group(loop).channel(NioSocketChannel.class)
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
-                .handler(new Setup());
+        Bootstrap b =
+                new Bootstrap()
+                        .group(loop)
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
+                        .handler(new Setup());
         ChannelFuture connecting = b.connect(addresses.get(sibling));
-        connecting.addListener(f -> {
-            if (f.isSuccess()) {
-                channels.put(sibling, connecting.channel());
-                connecting.channel().closeFuture().addListener(x -> {
-                    channels.remove(sibling);
-                    lost(connecting.channel(), asks);
-                    lost(connecting.channel(), progressAsks);
-                    reconnect(sibling, 0);
+        connecting.addListener(
+                f -> {
+                    if (f.isSuccess()) {
+                        channels.put(sibling, connecting.channel());
+                        connecting
+                                .channel()
+                                .closeFuture()
+                                .addListener(
+                                        x -> {
+                                            channels.remove(sibling);
+                                            lost(connecting.channel(), asks);
+                                            lost(connecting.channel(), progressAsks);
+                                            reconnect(sibling, 0);
+                                        });
+                    } else {
+                        reconnect(sibling, failures + 1);
+                    }
                 });
-            } else {
-                reconnect(sibling, failures + 1);
-            }
-        });
     }
 
     /**
-     * Guards against questions that wait their whole time for a process that is gone, while the one that took its place
-     * a fraction of a second later, under its name, has never heard of them.
+     * Guards against questions that wait their whole time for a process that is gone, while the one
+     * that took its place a fraction of a second later, under its name, has never heard of them.
      */
     private static <T> void lost(Channel ch, Map<Long, Asked<T>> asked) {
-        asked.entrySet().stream().filter(e -> e.getValue().channel == ch).map(Map.Entry::getKey).toList()
-                .forEach(n -> {
-                    Asked<T> a = asked.get(n);
-                    if (a != null) {
-                        settle(asked, n, a.none);
-                    }
-                });
+        asked.entrySet().stream()
+                .filter(e -> e.getValue().channel == ch)
+                .map(Map.Entry::getKey)
+                .toList()
+                .forEach(
+                        n -> {
+                            Asked<T> a = asked.get(n);
+                            if (a != null) {
+                                settle(asked, n, a.none);
+                            }
+                        });
     }
 
     private void reconnect(String sibling, int failures) {
-        long ms = Math.min(3000, 250L << Math.min(4, failures)) + Math.floorMod(System.nanoTime() / 1000, 200);
+        long ms =
+                Math.min(3000, 250L << Math.min(4, failures))
+                        + Math.floorMod(System.nanoTime() / 1000, 200);
         loop.schedule(() -> connect(sibling, failures), ms, TimeUnit.MILLISECONDS);
     }
 
@@ -145,17 +178,20 @@
     private Messages.View view;
 
     /**
-     * Not to all: production would end the connection at a message that it does not know. Whoever reads it says so on
-     * each connection, so that one that went back to that version is not sent any more.
+     * Not to all: production would end the connection at a message that it does not know. Whoever
+     * reads it says so on each connection, so that one that went back to that version is not sent
+     * any more.
      */
     @Override
     public void digest(CancellationDigest d) {
         Object message = new Messages.Digest(d.by(), d.sinceMs(), d.untilMs(), d.jobs());
-        toAll(channels.values(), ch -> {
-            if (ch.hasAttr(READS)) {
-                send(ch, message);
-            }
-        });
+        toAll(
+                channels.values(),
+                ch -> {
+                    if (ch.hasAttr(READS)) {
+                        send(ch, message);
+                    }
+                });
     }
 
     private void sayWhatWeRead(Channel ch) {
@@ -168,16 +204,17 @@
     }
 
     /**
-     * Guards against a sibling's connection that turns out to be reset as something is written to it: it closes there and
-     * then, and is struck off while the others are still gone through. That ended nodes as they started, and those that
-     * ran never told their view again.
+     * Guards against a sibling's connection that turns out to be reset as something is written to
+     * it: it closes there and then, and is struck off while the others are still gone through. That
+     * ended nodes as they started, and those that ran never told their view again.
      */
     static void toAll(Collection<Channel> channels, Consumer<Channel> then) {
         List.copyOf(channels).forEach(then);
     }
 
     @Override
-    public boolean relay(String sibling, Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
+    public boolean relay(
+            String sibling, Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
         Channel ch = channels.get(sibling);
         if (ch == null || !ch.isActive() || asks.size() >= MAX_ASKS) {
             return false;
@@ -185,7 +222,10 @@
         long number = ++asked;
         asks.put(number, new Asked<>(ch, answer, new HeartbeatAnswer(0, List.of(), null)));
         send(ch, new Messages.Ask(number, report, passOn));
-        loop.schedule(() -> settle(asks, number, new HeartbeatAnswer(0, List.of(), null)), RELAY_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> settle(asks, number, new HeartbeatAnswer(0, List.of(), null)),
+                RELAY_MS,
+                TimeUnit.MILLISECONDS);
         return true;
     }
 
@@ -207,7 +247,8 @@
         long number = ++asked;
         progressAsks.put(number, new Asked<>(ch, answer, List.of()));
         send(ch, new Messages.AskProgress(number, jobs));
-        loop.schedule(() -> settle(progressAsks, number, List.of()), PROGRESS_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> settle(progressAsks, number, List.of()), PROGRESS_MS, TimeUnit.MILLISECONDS);
     }
 
     private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
@@ -224,31 +265,41 @@
             if (message instanceof Messages.View v) {
                 controller.told(v.by(), v.token(), v.leads(), v.served());
                 if (!channels.containsValue(ctx.channel()) && view != null) {
-                    // Answer on the connection it came by, so that the other side sees that it lives.
+                    // Answer on the connection it came by, so that the other side sees that it
+                    // lives.
                     send(ctx.channel(), view);
                     sayWhatWeRead(ctx.channel());
                 }
             } else if (message instanceof Messages.Over o) {
                 controller.toldOver(o.job());
             } else if (message instanceof Messages.Ask a) {
-                controller.answerFor(a.report(), a.passOn(),
+                controller.answerFor(
+                        a.report(),
+                        a.passOn(),
                         c -> send(ctx.channel(), new Messages.Answer(a.number(), c)));
             } else if (message instanceof Messages.Answer a) {
                 settle(asks, a.number(), a.heartbeat());
             } else if (message instanceof Messages.AskProgress a) {
-                send(ctx.channel(), new Messages.AnswerProgress(a.number(), controller.progress(a.jobs())));
+                send(
+                        ctx.channel(),
+                        new Messages.AnswerProgress(a.number(), controller.progress(a.jobs())));
             } else if (message instanceof Messages.Digest d) {
                 controller.told(new CancellationDigest(d.by(), d.sinceMs(), d.untilMs(), d.jobs()));
-            } else if (message instanceof Messages.AnswerProgress a && a.number() == Messages.READS_DIGESTS) {
+            } else if (message instanceof Messages.AnswerProgress a
+                    && a.number() == Messages.READS_DIGESTS) {
                 ctx.channel().attr(READS).set(true);
             } else if (message instanceof Messages.AnswerProgress a) {
                 settle(progressAsks, a.number(), a.progress());
             } else if (message instanceof Messages.AskCell a && controller.cells() != null) {
-                controller.cells().asked(a.message(), m -> {
-                    if (m != null) {
-                        send(ctx.channel(), new Messages.AnswerCell(a.number(), m));
-                    }
-                });
+                controller
+                        .cells()
+                        .asked(
+                                a.message(),
+                                m -> {
+                                    if (m != null) {
+                                        send(ctx.channel(), new Messages.AnswerCell(a.number(), m));
+                                    }
+                                });
             }
         }
 
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -17,9 +17,14 @@
  *
  * @param addresses by cell and node, of all cells but this one
  */
-public record CellsFile(Directory directory, Map<String, Map<String, InetSocketAddress>> addresses) {
-    /** Less than any task takes: the part of a limit of a cell that has none of it, where 0 would mean no limit. */
+public record CellsFile(
+        Directory directory, Map<String, Map<String, InetSocketAddress>> addresses) {
+    /**
+     * Less than any task takes: the part of a limit of a cell that has none of it, where 0 would
+     * mean no limit.
+     */
     private static final double NOTHING = 1e-9;
+
     /** How far parts of a whole may add up to more because they are decimal numbers. */
     private static final double ROUNDING = 1e-6;
 
@@ -50,7 +55,8 @@
             for (String z : c.texts("zones")) {
                 String other = zoneOf.put(z, name);
                 if (other != null) {
-                    throw c.complaint("zones", "\"" + z + "\" is a zone of cell \"" + other + "\" too");
+                    throw c.complaint(
+                            "zones", "\"" + z + "\" is a zone of cell \"" + other + "\" too");
                 }
             }
             Map<String, String> of = new LinkedHashMap<>();
@@ -72,8 +78,15 @@
                 addresses.put(name, at);
             }
             boolean home = !c.has("home") || c.flag("home");
-            cells.put(name, new Directory.Cell(name, home, c.has("drained") && c.flag("drained"),
-                    c.texts("zones"), of, teams(c, facts)));
+            cells.put(
+                    name,
+                    new Directory.Cell(
+                            name,
+                            home,
+                            c.has("drained") && c.flag("drained"),
+                            c.texts("zones"),
+                            of,
+                            teams(c, facts)));
         }
         if (own == null) {
             throw t.complaint("cells", "no cell has this node, \"" + facts.node() + "\"");
@@ -96,13 +109,16 @@
         return name;
     }
 
-    /** The cell's part of each team's limits; a team that is not named has an equal part of none. */
+    /**
+     * The cell's part of each team's limits; a team that is not named has an equal part of none.
+     */
     private static Map<String, Facts.Team> teams(Tree c, Facts facts) {
         Map<String, Tree> named = new HashMap<>();
         if (c.has("teams")) {
             for (Tree x : c.children("teams")) {
                 if (!facts.teams().containsKey(x.text("name"))) {
-                    throw x.complaint("name", "the settings have no team \"" + x.text("name") + "\"");
+                    throw x.complaint(
+                            "name", "the settings have no team \"" + x.text("name") + "\"");
                 }
                 named.put(x.text("name"), x);
             }
@@ -110,9 +126,14 @@
         Map<String, Facts.Team> out = new LinkedHashMap<>();
         for (Facts.Team whole : facts.teams().values()) {
             Tree x = named.get(whole.name());
-            out.put(whole.name(), new Facts.Team(whole.name(), x == null ? 0 : x.numberOr("cpus", 0, 0),
-                    limit(x, "cpus_max", whole.cpusMax()), x == null ? 0 : x.numberOr("gpus", 0, 0),
-                    limit(x, "gpus_max", whole.gpusMax())));
+            out.put(
+                    whole.name(),
+                    new Facts.Team(
+                            whole.name(),
+                            x == null ? 0 : x.numberOr("cpus", 0, 0),
+                            limit(x, "cpus_max", whole.cpusMax()),
+                            x == null ? 0 : x.numberOr("gpus", 0, 0),
+                            limit(x, "gpus_max", whole.gpusMax())));
         }
         return out;
     }
@@ -132,12 +153,19 @@
         Set<String> mine = new HashSet<>(facts.siblings());
         mine.add(facts.node());
         if (!d.here().nodes().keySet().equals(mine)) {
-            throw t.complaint("cells", "cell \"" + d.own() + "\" has the nodes " + d.here().nodes().keySet()
-                    + ", the settings have " + mine);
+            throw t.complaint(
+                    "cells",
+                    "cell \""
+                            + d.own()
+                            + "\" has the nodes "
+                            + d.here().nodes().keySet()
+                            + ", the settings have "
+                            + mine);
         }
         for (String z : facts.zones()) {
             if (!d.here().zones().contains(z)) {
-                throw t.complaint("cells", "cell \"" + d.own() + "\" lacks the settings' zone \"" + z + "\"");
+                throw t.complaint(
+                        "cells", "cell \"" + d.own() + "\" lacks the settings' zone \"" + z + "\"");
             }
         }
     }
@@ -157,8 +185,16 @@
             String[] names = {"cpus", "cpus_max", "gpus", "gpus_max"};
             for (int i = 0; i < sum.length; i++) {
                 if (sum[i] > of[i] + ROUNDING) {
-                    throw t.complaint("cells", "the parts of \"" + names[i] + "\" of team \"" + whole.name()
-                            + "\" add up to " + Math.round(sum[i] * 1000) / 1000.0 + ", the settings have " + of[i]);
+                    throw t.complaint(
+                            "cells",
+                            "the parts of \""
+                                    + names[i]
+                                    + "\" of team \""
+                                    + whole.name()
+                                    + "\" add up to "
+                                    + Math.round(sum[i] * 1000) / 1000.0
+                                    + ", the settings have "
+                                    + of[i]);
                 }
             }
         }
--- a/src/main/java/io/kitepath/settings/Settings.java
+++ b/src/main/java/io/kitepath/settings/Settings.java
@@ -22,8 +22,13 @@
 import java.util.Map;
 
 /** The settings file that the platform hands over, checked. */
-public record Settings(Facts facts, InetSocketAddress listen, InetSocketAddress internal,
-        Map<String, InetSocketAddress> siblings, InetSocketAddress cloud, InetSocketAddress state) {
+public record Settings(
+        Facts facts,
+        InetSocketAddress listen,
+        InetSocketAddress internal,
+        Map<String, InetSocketAddress> siblings,
+        InetSocketAddress cloud,
+        InetSocketAddress state) {
 
     /** Complains with a {@link Malformed} that names file, field and reason. */
     public static Settings read(Path file) {
@@ -59,45 +64,85 @@
         Tree f = t.child("facts");
         Map<String, Facts.Team> teams = new LinkedHashMap<>();
         for (Tree x : f.children("teams")) {
-            teams.put(x.text("name"), new Facts.Team(x.text("name"), x.numberOr("cpus", 0, 0),
-                    x.numberOr("cpus_max", 0, 0), x.numberOr("gpus", 0, 0), x.numberOr("gpus_max", 0, 0)));
+            teams.put(
+                    x.text("name"),
+                    new Facts.Team(
+                            x.text("name"),
+                            x.numberOr("cpus", 0, 0),
+                            x.numberOr("cpus_max", 0, 0),
+                            x.numberOr("gpus", 0, 0),
+                            x.numberOr("gpus_max", 0, 0)));
         }
         List<Facts.Objective> objectives = new ArrayList<>();
         if (f.has("objectives")) {
             for (Tree x : f.children("objectives")) {
-                objectives.add(new Facts.Objective(x.text("kind"), x.textOr("class", ""),
-                        x.numberOr("within_s", 0, 0), x.numberOr("times", 0, 1), x.numberOr("share", 0, 0)));
+                objectives.add(
+                        new Facts.Objective(
+                                x.text("kind"),
+                                x.textOr("class", ""),
+                                x.numberOr("within_s", 0, 0),
+                                x.numberOr("times", 0, 1),
+                                x.numberOr("share", 0, 0)));
             }
         }
         Tree w = f.child("workers");
         Tree s = f.child("state");
         Tree c = f.child("cloud");
         Tree l = f.child("limits");
-        Facts facts = new Facts(node, t.text("domain"), List.copyOf(siblings.keySet()), f.texts("zones"), teams,
-                objectives,
-                new Facts.Workers(w.number("report_s", 0.001), w.number("lease_s", 0.001),
-                        w.number("gang_wait_s", 0), w.number("gang_peer_s", 0), w.number("cancel_s", 0)),
-                limits(s),
-                new Facts.CloudLimits(c.number("rps", 0.001), c.number("list_lag_s", 0)),
-                new Facts.Limits(l.number("cpu", 0.001), l.number("ram_mb", 1),
-                        (int) l.integer("sockets", 16, Integer.MAX_VALUE)),
-                f.numberOr("clock_error_ms", 0, t.numberOr("clock_error_ms", 0, 0)));
+        Facts facts =
+                new Facts(
+                        node,
+                        t.text("domain"),
+                        List.copyOf(siblings.keySet()),
+                        f.texts("zones"),
+                        teams,
+                        objectives,
+                        new Facts.Workers(
+                                w.number("report_s", 0.001),
+                                w.number("lease_s", 0.001),
+                                w.number("gang_wait_s", 0),
+                                w.number("gang_peer_s", 0),
+                                w.number("cancel_s", 0)),
+                        limits(s),
+                        new Facts.CloudLimits(c.number("rps", 0.001), c.number("list_lag_s", 0)),
+                        new Facts.Limits(
+                                l.number("cpu", 0.001),
+                                l.number("ram_mb", 1),
+                                (int) l.integer("sockets", 16, Integer.MAX_VALUE)),
+                        f.numberOr("clock_error_ms", 0, t.numberOr("clock_error_ms", 0, 0)));
         Tree e = t.child("endpoints");
-        return new Settings(facts, address(t, "listen"), address(t, "internal_addr"), siblings, address(e, "cloud"),
+        return new Settings(
+                facts,
+                address(t, "listen"),
+                address(t, "internal_addr"),
+                siblings,
+                address(e, "cloud"),
                 address(e, "state"));
     }
 
-    /** The state service's limits, and those that it will have at some later time, if that is announced. */
+    /**
+     * The state service's limits, and those that it will have at some later time, if that is
+     * announced.
+     */
     private static Facts.StoreLimits limits(Tree s) {
-        Facts.StoreLimits now = new Facts.StoreLimits(s.number("rps", 1), s.number("write_rps", 1),
-                s.number("value_kb", 1), (int) s.integer("txn_ops", 4, 1_000_000));
+        Facts.StoreLimits now =
+                new Facts.StoreLimits(
+                        s.number("rps", 1),
+                        s.number("write_rps", 1),
+                        s.number("value_kb", 1),
+                        (int) s.integer("txn_ops", 4, 1_000_000));
         if (!s.has("next")) {
             return now;
         }
         Tree n = s.child("next");
-        return now.andLater(new Facts.StoreLimits(n.numberOr("rps", 1, now.rps()),
-                n.numberOr("write_rps", 1, now.writeRps()), n.numberOr("value_kb", 1, now.valueKb()),
-                n.has("txn_ops") ? (int) n.integer("txn_ops", 4, 1_000_000) : now.txnOps()));
+        return now.andLater(
+                new Facts.StoreLimits(
+                        n.numberOr("rps", 1, now.rps()),
+                        n.numberOr("write_rps", 1, now.writeRps()),
+                        n.numberOr("value_kb", 1, now.valueKb()),
+                        n.has("txn_ops")
+                                ? (int) n.integer("txn_ops", 4, 1_000_000)
+                                : now.txnOps()));
     }
 
     /** A numeric IPv4 address and a port; names are not looked up. */
@@ -116,7 +161,10 @@
         throw t.complaint(field, "must be an address such as 10.0.0.1:8080, not \"" + s + "\"");
     }
 
-    /** Plain maps, lists, text, numbers, booleans and null as a JSON document; what {@link #document} reads. */
+    /**
+     * Plain maps, lists, text, numbers, booleans and null as a JSON document; what {@link
+     * #document} reads.
+     */
     public static byte[] json(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator g = new JsonFactory().createGenerator(out)) {
@@ -169,8 +217,11 @@
             }
             return value;
         } catch (JsonProcessingException e) {
-            throw new Malformed("not JSON: " + e.getOriginalMessage() + ", line "
-                    + (e.getLocation() == null ? "?" : e.getLocation().getLineNr()));
+            throw new Malformed(
+                    "not JSON: "
+                            + e.getOriginalMessage()
+                            + ", line "
+                            + (e.getLocation() == null ? "?" : e.getLocation().getLineNr()));
         } catch (IOException e) {
             throw new Malformed("not JSON: " + e.getMessage());
         }
@@ -179,22 +230,24 @@
     private static Object value(JsonParser p) throws IOException {
         JsonToken t = p.currentToken();
         switch (t) {
-            case START_OBJECT: {
-                Map<String, Object> m = new LinkedHashMap<>();
-                while (p.nextToken() != JsonToken.END_OBJECT) {
-                    String name = p.currentName();
-                    p.nextToken();
-                    m.put(name, value(p));
+            case START_OBJECT:
+                {
+                    Map<String, Object> m = new LinkedHashMap<>();
+                    while (p.nextToken() != JsonToken.END_OBJECT) {
+                        String name = p.currentName();
+                        p.nextToken();
+                        m.put(name, value(p));
+                    }
+                    return m;
                 }
-                return m;
-            }
-            case START_ARRAY: {
-                List<Object> l = new ArrayList<>();
-                while (p.nextToken() != JsonToken.END_ARRAY) {
-                    l.add(value(p));
+            case START_ARRAY:
+                {
+                    List<Object> l = new ArrayList<>();
+                    while (p.nextToken() != JsonToken.END_ARRAY) {
+                        l.add(value(p));
+                    }
+                    return l;
                 }
-                return l;
-            }
             case VALUE_NUMBER_INT:
                 try {
                     return p.getLongValue();
--- a/src/main/java/io/kitepath/standin/Caller.java
+++ b/src/main/java/io/kitepath/standin/Caller.java
@@ -1,6 +1,9 @@
 package io.kitepath.standin;
 
-/** Whoever asks the stand-ins something: a node in memory, or a connection that a real process has opened. */
+/**
+ * Whoever asks the stand-ins something: a node in memory, or a connection that a real process has
+ * opened.
+ */
 public interface Caller {
     /** What it may be answered, a while later; nothing if it has ended by then. */
     void after(double seconds, Runnable run);
--- a/src/main/java/io/kitepath/standin/Cellular.java
+++ b/src/main/java/io/kitepath/standin/Cellular.java
@@ -23,35 +23,51 @@
 import java.util.function.Predicate;
 
 /**
- * Several cells, each a {@link World} of its own, on one clock, with a network between them that loses, doubles, delays
- * and cuts. It watches the rules over all of them, knowing nothing of how they are kept.
+ * Several cells, each a {@link World} of its own, on one clock, with a network between them that
+ * loses, doubles, delays and cuts. It watches the rules over all of them, knowing nothing of how
+ * they are kept.
  */
 public final class Cellular {
-    /** Seconds that a task may still be on a machine once its user was told that it is cancelled. */
+    /**
+     * Seconds that a task may still be on a machine once its user was told that it is cancelled.
+     */
     private static final double CANCEL_S = 30;
 
-    private static final Map<String, Facts.Team> TEAMS = Map.of("red", new Facts.Team("red", 0, 0, 0, 0), "blue",
-            new Facts.Team("blue", 0, 0, 0, 0));
+    private static final Map<String, Facts.Team> TEAMS =
+            Map.of(
+                    "red",
+                    new Facts.Team("red", 0, 0, 0, 0),
+                    "blue",
+                    new Facts.Team("blue", 0, 0, 0, 0));
 
     public final Clock clock = new Clock();
+
     /** Seconds between looks at every task on every machine. */
     public double watchS = 0.25;
+
     public final Map<String, World> worlds = new LinkedHashMap<>();
+
     /** "a>b": nothing gets from a to b. */
     public final Set<String> cut = new HashSet<>();
+
     /** Shares of messages, with a seed. */
     public double lost;
+
     public double doubled;
     public double late;
     public Predicate<CellMessage> loses = m -> false;
+
     /** Messages that the network keeps, to be delivered at some other time. */
     public Predicate<CellMessage> keeps = m -> false;
+
     public final List<Runnable> kept = new ArrayList<>();
     public final List<CellMessage> keptMessages = new ArrayList<>();
     private final Random random;
     private final Map<String, Double> limits;
+
     /** The most CPUs that a team had on machines at once. */
     public final Map<String, Double> mostUsed = new HashMap<>();
+
     public final Map<String, JobSpec> specs = new HashMap<>();
     public final List<String> broken = new ArrayList<>();
     private final Map<String, String> told = new HashMap<>();
@@ -59,7 +75,10 @@
     private final Set<String> accepted = new HashSet<>();
     public long messages;
 
-    /** Cells that are homes, by name, and after them in the second list cells that only lend their room. */
+    /**
+     * Cells that are homes, by name, and after them in the second list cells that only lend their
+     * room.
+     */
     public Cellular(long seed, List<String> homes, List<String> rooms) {
         this(seed, homes, rooms, false);
     }
@@ -70,22 +89,35 @@
     }
 
     /** {@code limits}: CPUs of each team, of which every cell has an equal part at first. */
-    public Cellular(long seed, List<String> homes, List<String> rooms, boolean apart, Map<String, Double> limits) {
+    public Cellular(
+            long seed,
+            List<String> homes,
+            List<String> rooms,
+            boolean apart,
+            Map<String, Double> limits) {
         this.limits = limits;
         this.random = new Random(seed);
         List<String> names = new ArrayList<>(homes);
         names.addAll(rooms);
         Map<String, Facts.Team> wholes = new LinkedHashMap<>(TEAMS);
         Map<String, Facts.Team> parts = new LinkedHashMap<>(TEAMS);
-        limits.forEach((t, cpus) -> {
-            wholes.put(t, new Facts.Team(t, 0, cpus, 0, 0));
-            parts.put(t, new Facts.Team(t, 0, cpus / names.size(), 0, 0));
-        });
+        limits.forEach(
+                (t, cpus) -> {
+                    wholes.put(t, new Facts.Team(t, 0, cpus, 0, 0));
+                    parts.put(t, new Facts.Team(t, 0, cpus / names.size(), 0, 0));
+                });
         for (String own : names) {
             Map<String, Directory.Cell> cells = new LinkedHashMap<>();
             for (String n : names) {
-                cells.put(n, new Directory.Cell(n, homes.contains(n), false, List.of(n + "1", n + "2"), Map.of(),
-                        parts));
+                cells.put(
+                        n,
+                        new Directory.Cell(
+                                n,
+                                homes.contains(n),
+                                false,
+                                List.of(n + "1", n + "2"),
+                                Map.of(),
+                                parts));
             }
             World w = new World(clock, this, apart ? null : new Directory(1, own, cells));
             w.teams.putAll(apart ? parts : wholes);
@@ -116,7 +148,10 @@
     }
 
     public Node any(String cell) {
-        return worlds.get(cell).nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
+        return worlds.get(cell).nodes.values().stream()
+                .filter(n -> n.alive)
+                .findFirst()
+                .orElseThrow();
     }
 
     public Node leader(String cell) {
@@ -125,7 +160,11 @@
 
     /** The process ends, and starts again after some seconds. */
     public void restart(Node n, double afterS) {
-        World w = worlds.values().stream().filter(x -> x.nodes.get(n.name) == n).findFirst().orElseThrow();
+        World w =
+                worlds.values().stream()
+                        .filter(x -> x.nodes.get(n.name) == n)
+                        .findFirst()
+                        .orElseThrow();
         n.crash();
         clock.after(afterS, () -> w.node(n.name));
     }
@@ -153,30 +192,54 @@
         cut.add(b + ">" + a);
     }
 
-    public void ask(World from, Node by, String cell, String node, CellMessage m, Consumer<CellMessage> answer) {
+    public void ask(
+            World from,
+            Node by,
+            String cell,
+            String node,
+            CellMessage m,
+            Consumer<CellMessage> answer) {
         messages++;
         World to = worlds.get(cell);
         boolean[] heard = new boolean[1];
-        Consumer<CellMessage> once = a -> by.deliver(() -> {
-            if (!heard[0]) {
-                heard[0] = true;
-                answer.accept(a);
-            }
-        });
+        Consumer<CellMessage> once =
+                a ->
+                        by.deliver(
+                                () -> {
+                                    if (!heard[0]) {
+                                        heard[0] = true;
+                                        answer.accept(a);
+                                    }
+                                });
         clock.after(1, () -> once.accept(null));
         String out = from.directory.own() + ">" + cell;
         String back = cell + ">" + from.directory.own();
         List<Node> up = to.nodes.values().stream().filter(n -> n.alive).toList();
-        Node asked = node != null ? to.nodes.get(node)
-                : up.isEmpty() ? null : up.get(random.nextInt(up.size()));
+        Node asked =
+                node != null
+                        ? to.nodes.get(node)
+                        : up.isEmpty() ? null : up.get(random.nextInt(up.size()));
         if (asked == null || cut.contains(out)) {
             return;
         }
-        Consumer<Node> deliver = n -> n.deliver(() -> n.controller.cells().asked(m, a -> {
-            if (!cut.contains(back) && !(a != null && loses.test(a)) && random.nextDouble() >= lost) {
-                clock.after(0.002, () -> once.accept(a));
-            }
-        }));
+        Consumer<Node> deliver =
+                n ->
+                        n.deliver(
+                                () ->
+                                        n.controller
+                                                .cells()
+                                                .asked(
+                                                        m,
+                                                        a -> {
+                                                            if (!cut.contains(back)
+                                                                    && !(a != null && loses.test(a))
+                                                                    && random.nextDouble()
+                                                                            >= lost) {
+                                                                clock.after(
+                                                                        0.002,
+                                                                        () -> once.accept(a));
+                                                            }
+                                                        }));
         if (keeps.test(m)) {
             // Late, it may reach whoever listens by then, the holder among them.
             kept.add(() -> List.copyOf(to.nodes.values()).forEach(deliver));
@@ -202,7 +265,7 @@
     /** An id whose home is that cell. */
     public String id(String home, int n) {
         Directory d = worlds.get(home).directory;
-        for (int i = 1000 * n;; i++) {
+        for (int i = 1000 * n; ; i++) {
             if (d == null || d.home("j-" + i).equals(home)) {
                 return "j-" + i;
             }
@@ -223,10 +286,12 @@
 
     /** As users do: again until there is an answer. */
     public void submitSurely(String cell, JobSpec s) {
-        until(60, () -> {
-            Verdict v = submit(any(cell), s);
-            return v == Verdict.CREATED || v == Verdict.KNOWN;
-        });
+        until(
+                60,
+                () -> {
+                    Verdict v = submit(any(cell), s);
+                    return v == Verdict.CREATED || v == Verdict.KNOWN;
+                });
     }
 
     public String status(Node n, String id) {
@@ -237,7 +302,9 @@
             return "no answer";
         }
         heard(id, got[0]);
-        return got[0].verdict() == Verdict.KNOWN ? got[0].state().status() : got[0].verdict().toString();
+        return got[0].verdict() == Verdict.KNOWN
+                ? got[0].state().status()
+                : got[0].verdict().toString();
     }
 
     public String cancel(Node n, String id) {
@@ -248,7 +315,9 @@
             return "no answer";
         }
         heard(id, got[0]);
-        return got[0].verdict() == Verdict.KNOWN ? got[0].state().status() : got[0].verdict().toString();
+        return got[0].verdict() == Verdict.KNOWN
+                ? got[0].state().status()
+                : got[0].verdict().toString();
     }
 
     // ---- the rules ------------------------------------------------------------------------------
@@ -299,7 +368,9 @@
                     }
                     String other = where.put(t.job + "/" + t.number, x.id);
                     if (other != null) {
-                        broken.add("twice: " + t.job + "/" + t.number + " on " + other + " and " + x.id);
+                        broken.add(
+                                "twice: " + t.job + "/" + t.number + " on " + other + " and "
+                                        + x.id);
                     }
                     JobSpec spec = specs.get(t.job);
                     used.merge(spec.team(), spec.cpus(), Double::sum);
@@ -310,12 +381,13 @@
                 }
             }
         }
-        used.forEach((team, cpus) -> {
-            mostUsed.merge(team, cpus, Math::max);
-            if (cpus > limits.getOrDefault(team, Double.MAX_VALUE) + 1e-6) {
-                broken.add("quota: team " + team + " has " + cpus + " CPUs");
-            }
-        });
+        used.forEach(
+                (team, cpus) -> {
+                    mostUsed.merge(team, cpus, Math::max);
+                    if (cpus > limits.getOrDefault(team, Double.MAX_VALUE) + 1e-6) {
+                        broken.add("quota: team " + team + " has " + cpus + " CPUs");
+                    }
+                });
         clock.after(watchS, this::watch);
     }
 
@@ -329,38 +401,67 @@
     /** Records of jobs that are left in the stores, those of jobs that are over apart. */
     public List<String> leftovers() {
         List<String> out = new ArrayList<>();
-        worlds.forEach((c, w) -> w.store.keys.keySet().stream().filter(k -> k.startsWith("jobs/")
-                && !k.startsWith("jobs/over/")).forEach(k -> out.add(c + ":" + k)));
+        worlds.forEach(
+                (c, w) ->
+                        w.store.keys.keySet().stream()
+                                .filter(k -> k.startsWith("jobs/") && !k.startsWith("jobs/over/"))
+                                .forEach(k -> out.add(c + ":" + k)));
         return out;
     }
 
-    /** What the stores say has come to cells and gone from them of all limits: nothing in all, once all has arrived. */
+    /**
+     * What the stores say has come to cells and gone from them of all limits: nothing in all, once
+     * all has arrived.
+     */
     public List<String> sharesAstray() {
         List<String> out = new ArrayList<>();
         long[] sum = new long[1];
-        worlds.forEach((c, w) -> w.store.keys.values().stream().filter(e -> e.key().startsWith("kitepath/share/"))
-                .forEach(e -> {
-                    Tree t = Tree.of(e.value());
-                    sum[0] += t.integer("cpus", Long.MIN_VALUE, Long.MAX_VALUE);
-                    if (!t.list("out").isEmpty()) {
-                        out.add(c + " has " + t.list("out") + " under way");
-                    }
-                }));
+        worlds.forEach(
+                (c, w) ->
+                        w.store.keys.values().stream()
+                                .filter(e -> e.key().startsWith("kitepath/share/"))
+                                .forEach(
+                                        e -> {
+                                            Tree t = Tree.of(e.value());
+                                            sum[0] +=
+                                                    t.integer(
+                                                            "cpus", Long.MIN_VALUE, Long.MAX_VALUE);
+                                            if (!t.list("out").isEmpty()) {
+                                                out.add(c + " has " + t.list("out") + " under way");
+                                            }
+                                        }));
         if (sum[0] != 0) {
             out.add(sum[0] + " thousandths came from nowhere");
         }
         return out;
     }
 
-    /** Sees every transaction that changes something about loans, with the cell and the node that wrote it. */
+    /**
+     * Sees every transaction that changes something about loans, with the cell and the node that
+     * wrote it.
+     */
     public void onLoanWrites(LoanWrites seen) {
-        worlds.forEach((c, w) -> w.store.written = (n, t) -> {
-            if (n instanceof Node by && t.writes().stream().map(Store.Write::key).anyMatch(k -> k.startsWith("jobs/lent/")
-                    || k.startsWith("jobs/guest/") || k.startsWith("kitepath/share/") || k.startsWith("jobs/leave/")
-                    || k.startsWith("kitepath/void/"))) {
-                seen.written(c, by, t);
-            }
-        });
+        worlds.forEach(
+                (c, w) ->
+                        w.store.written =
+                                (n, t) -> {
+                                    if (n instanceof Node by
+                                            && t.writes().stream()
+                                                    .map(Store.Write::key)
+                                                    .anyMatch(
+                                                            k ->
+                                                                    k.startsWith("jobs/lent/")
+                                                                            || k.startsWith(
+                                                                                    "jobs/guest/")
+                                                                            || k.startsWith(
+                                                                                    "kitepath/share/")
+                                                                            || k.startsWith(
+                                                                                    "jobs/leave/")
+                                                                            || k.startsWith(
+                                                                                    "kitepath/void/"))) {
+                                        seen.written(c, by, t);
+                                    }
+                                });
     }
 
     public interface LoanWrites {
--- a/src/main/java/io/kitepath/standin/Clock.java
+++ b/src/main/java/io/kitepath/standin/Clock.java
@@ -8,7 +8,10 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** The time, and what is due when, for one world or for several that have something to do with each other. */
+/**
+ * The time, and what is due when, for one world or for several that have something to do with each
+ * other.
+ */
 public final class Clock {
     private record Due(double at, long order, Runnable run) {}
 
@@ -20,11 +23,12 @@
 
     /** By job and task: what was started last. */
     public final Map<String, Task> lastStarts = new HashMap<>();
+
     /** Sees every start. */
-    public Consumer<Task> starts = t -> { };
+    public Consumer<Task> starts = t -> {};
 
     /** Sees every task that completed, or failed. */
-    public Consumer<Task> ends = t -> { };
+    public Consumer<Task> ends = t -> {};
 
     public void ended(Task t) {
         ends.accept(t);
--- a/src/main/java/io/kitepath/standin/Loopback.java
+++ b/src/main/java/io/kitepath/standin/Loopback.java
@@ -26,9 +26,9 @@
 import java.util.function.Consumer;
 
 /**
- * The stand-ins of state service, cloud and workers behind real sockets on loopback, for nodes that are real processes.
- * What they do is the {@link World}'s, as in tests and rehearsals; only its clock follows the real one. All of it lives on
- * one event loop.
+ * The stand-ins of state service, cloud and workers behind real sockets on loopback, for nodes that
+ * are real processes. What they do is the {@link World}'s, as in tests and rehearsals; only its
+ * clock follows the real one. All of it lives on one event loop.
  */
 public final class Loopback {
     private static final int MAX_BODY = 1 << 20;
@@ -37,8 +37,10 @@
     public final World world;
     private final EventLoopGroup group;
     private final EventLoop loop;
+
     /** Whoever is behind a socket. */
     private final Caller caller;
+
     private final StoreLink store;
     private final CloudLink cloud;
     private final Map<String, HttpClient> nodes = new HashMap<>();
@@ -55,21 +57,33 @@
         this.cloud = new CloudLink(world, caller);
         nodes.forEach((label, at) -> this.nodes.put(label, new HttpClient(loop, at, 64, MAX_BODY)));
         List<String> labels = List.copyOf(nodes.keySet());
-        world.reach = new World.Reach() {
-            @Override
-            public List<String> up() {
-                return labels; // Which of them are up, a worker finds out by trying.
-            }
-
-            @Override
-            public void heartbeat(String node, Report report, Consumer<HeartbeatAnswer> answer) {
-                Loopback.this.nodes.get(node).call("POST", "/checkin", Outside.report(report), TIMEOUT_MS,
-                        (status, body) -> {
-                            HeartbeatAnswer c = Outside.heartbeat(status, body);
-                            answer.accept(c == null ? HeartbeatAnswer.elsewhere(null) : c);
-                        });
-            }
-        };
+        world.reach =
+                new World.Reach() {
+                    @Override
+                    public List<String> up() {
+                        return labels; // Which of them are up, a worker finds out by trying.
+                    }
+
+                    @Override
+                    public void heartbeat(
+                            String node, Report report, Consumer<HeartbeatAnswer> answer) {
+                        Loopback.this
+                                .nodes
+                                .get(node)
+                                .call(
+                                        "POST",
+                                        "/checkin",
+                                        Outside.report(report),
+                                        TIMEOUT_MS,
+                                        (status, body) -> {
+                                            HeartbeatAnswer c = Outside.heartbeat(status, body);
+                                            answer.accept(
+                                                    c == null
+                                                            ? HeartbeatAnswer.elsewhere(null)
+                                                            : c);
+                                        });
+                    }
+                };
         world.born = this::born;
     }
 
@@ -81,21 +95,32 @@
     /** Begins to listen and lets time pass; where the state service and the cloud are. */
     public List<InetSocketAddress> start() {
         List<InetSocketAddress> at = List.of(listen(this::state), listen(this::cloud));
-        loop.scheduleAtFixedRate(() -> world.run(Math.max(0, System.nanoTime() / 1e9 + offset - world.clock.now)), 0, 5,
+        loop.scheduleAtFixedRate(
+                () -> world.run(Math.max(0, System.nanoTime() / 1e9 + offset - world.clock.now)),
+                0,
+                5,
                 TimeUnit.MILLISECONDS);
         return at;
     }
 
     private InetSocketAddress listen(HttpServer.Handler handler) {
-        HttpServer server = new HttpServer((request, out) -> {
-            try {
-                handler.handle(request, out);
-            } catch (Malformed e) {
-                out.reply(400, Wire.error(e.getMessage()));
-            }
-        }, MAX_BODY, 10_000, 600);
-        ServerSocketChannel ch = (ServerSocketChannel) server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
-                .syncUninterruptibly().channel();
+        HttpServer server =
+                new HttpServer(
+                        (request, out) -> {
+                            try {
+                                handler.handle(request, out);
+                            } catch (Malformed e) {
+                                out.reply(400, Wire.error(e.getMessage()));
+                            }
+                        },
+                        MAX_BODY,
+                        10_000,
+                        600);
+        ServerSocketChannel ch =
+                (ServerSocketChannel)
+                        server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
+                                .syncUninterruptibly()
+                                .channel();
         return ch.localAddress();
     }
 
@@ -104,19 +129,27 @@
     private void born(Worker w) {
         // On the loop already: to wait for the socket here would wait for itself.
         HttpServer server = new HttpServer((r, out) -> direct(w, r, out), MAX_BODY, 100, 60);
-        server.listen(loop, new InetSocketAddress("127.0.0.1", 0)).addListener(f -> {
-            if (f.isSuccess()) {
-                InetSocketAddress at = (InetSocketAddress) ((io.netty.channel.ChannelFuture) f).channel().localAddress();
-                w.address = "127.0.0.1:" + at.getPort();
-            }
-        });
+        server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
+                .addListener(
+                        f -> {
+                            if (f.isSuccess()) {
+                                InetSocketAddress at =
+                                        (InetSocketAddress)
+                                                ((io.netty.channel.ChannelFuture) f)
+                                                        .channel()
+                                                        .localAddress();
+                                w.address = "127.0.0.1:" + at.getPort();
+                            }
+                        });
     }
 
     private void direct(Worker w, Request r, Responder out) {
         try {
             Outside.Direct d = Outside.direct(Pack.value(r.body()));
             Report report = w.up ? w.directly(d.token(), d.session(), d.orders()) : null;
-            out.reply(report == null ? 409 : 200, Outside.report(report == null ? w.message() : report));
+            out.reply(
+                    report == null ? 409 : 200,
+                    Outside.report(report == null ? w.message() : report));
         } catch (Malformed e) {
             out.reply(400, Wire.error(e.getMessage()));
         }
@@ -125,51 +158,65 @@
     // ---- state service --------------------------------------------------------------------------
 
     private static void failed(Outcome o, Responder out) {
-        // Without an answer a caller has to find out by itself; the stand-in says so with a status that tells nothing.
+        // Without an answer a caller has to find out by itself; the stand-in says so with a status
+        // that tells nothing.
         out.reply(o == Outcome.REFUSED ? 503 : 500, null);
     }
 
     private void state(Request r, Responder out) {
         String path = r.path();
         if (path.startsWith("/keys/")) {
-            store.get(path.substring("/keys/".length()), (o, e) -> {
-                if (o == Outcome.OK) {
-                    out.reply(200, Outside.entry(e));
-                } else if (o == Outcome.NO) {
-                    out.reply(404, Pack.bytes(Map.of("epoch", world.store.revision)));
-                } else {
-                    failed(o, out);
-                }
-            });
+            store.get(
+                    path.substring("/keys/".length()),
+                    (o, e) -> {
+                        if (o == Outcome.OK) {
+                            out.reply(200, Outside.entry(e));
+                        } else if (o == Outcome.NO) {
+                            out.reply(404, Pack.bytes(Map.of("epoch", world.store.revision)));
+                        } else {
+                            failed(o, out);
+                        }
+                    });
         } else if (path.equals("/keys")) {
-            store.page(query(r, "prefix", ""), query(r, "from", ""), (int) number(r, "limit", 1000), l -> {
-                if (l.outcome() == Outcome.OK) {
-                    out.reply(200, Outside.listing(l));
-                } else {
-                    failed(l.outcome(), out);
-                }
-            });
+            store.page(
+                    query(r, "prefix", ""),
+                    query(r, "from", ""),
+                    (int) number(r, "limit", 1000),
+                    l -> {
+                        if (l.outcome() == Outcome.OK) {
+                            out.reply(200, Outside.listing(l));
+                        } else {
+                            failed(l.outcome(), out);
+                        }
+                    });
         } else if (path.equals("/multi")) {
             store.commit(Outside.transaction(Pack.value(r.body())), c -> committed(c, out));
         } else if (path.equals("/follow")) {
-            store.follow(query(r, "prefix", ""), number(r, "from", 0), number(r, "holdMs", 0), c ->
-                    out.reply(200, Outside.changes(c)));
+            store.follow(
+                    query(r, "prefix", ""),
+                    number(r, "from", 0),
+                    number(r, "holdMs", 0),
+                    c -> out.reply(200, Outside.changes(c)));
         } else if (path.equals("/holds")) {
-            store.grant(Outside.lifeMs(Pack.value(r.body())), (o, id) -> {
-                if (o == Outcome.OK) {
-                    out.reply(200, Outside.lease(id));
-                } else {
-                    failed(o, out);
-                }
-            });
+            store.grant(
+                    Outside.lifeMs(Pack.value(r.body())),
+                    (o, id) -> {
+                        if (o == Outcome.OK) {
+                            out.reply(200, Outside.lease(id));
+                        } else {
+                            failed(o, out);
+                        }
+                    });
         } else if (path.matches("/holds/[0-9]{1,18}/renew")) {
-            store.renew(Long.parseLong(path.split("/")[2]), o -> {
-                if (o == Outcome.OK || o == Outcome.NO) {
-                    out.reply(o == Outcome.OK ? 200 : 404, null);
-                } else {
-                    failed(o, out);
-                }
-            });
+            store.renew(
+                    Long.parseLong(path.split("/")[2]),
+                    o -> {
+                        if (o == Outcome.OK || o == Outcome.NO) {
+                            out.reply(o == Outcome.OK ? 200 : 404, null);
+                        } else {
+                            failed(o, out);
+                        }
+                    });
         } else if (path.matches("/holds/[0-9]{1,18}") && r.method().equals("DELETE")) {
             store.revoke(Long.parseLong(path.split("/")[2]));
             out.reply(200, null);
@@ -181,8 +228,10 @@
     private static void committed(Committed c, Responder out) {
         switch (c.outcome()) {
             case OK -> out.reply(200, Outside.committed(c));
-            case NO -> out.reply(c.leaseGone() ? 400 : 409, c.leaseGone() ? Wire.error(Wire.NO_SUCH_LEASE)
-                    : Outside.committed(c));
+            case NO ->
+                    out.reply(
+                            c.leaseGone() ? 400 : 409,
+                            c.leaseGone() ? Wire.error(Wire.NO_SUCH_LEASE) : Outside.committed(c));
             case INVALID -> out.reply(400, Wire.error("over the limits"));
             default -> failed(c.outcome(), out);
         }
@@ -207,18 +256,30 @@
         if (r.path().equals("/machine_types")) {
             cloud.types((o, types) -> out.reply(200, Outside.types(types)));
         } else if (r.path().equals("/rentals/release")) {
-            cloud.release(Wire.machineNames(Pack.value(r.body())), o -> answer(o, Pack.bytes(Map.of()), out));
+            cloud.release(
+                    Wire.machineNames(Pack.value(r.body())),
+                    o -> answer(o, Pack.bytes(Map.of()), out));
         } else if (r.path().equals("/rentals") && r.method().equals("POST")) {
             Outside.Rent q = Outside.rent(Pack.value(r.body()));
-            cloud.rent(q.name(), new MachineKind(q.type(), q.zone(), q.spot()), q.count(), (o, names) ->
-                    answer(o, Wire.machines(names), out));
+            cloud.rent(
+                    q.name(),
+                    new MachineKind(q.type(), q.zone(), q.spot()),
+                    q.count(),
+                    (o, names) -> answer(o, Wire.machines(names), out));
         } else if (r.path().equals("/rentals")) {
             String from = query(r, "from", "");
             int limit = (int) number(r, "limit", 500);
-            cloud.list((o, all) -> {
-                List<Cloud.Listed> rest = all.stream().filter(m -> m.machine().compareTo(from) > 0).toList();
-                answer(o, Outside.machines(rest.subList(0, Math.min(limit, rest.size())), rest.size() > limit), out);
-            });
+            cloud.list(
+                    (o, all) -> {
+                        List<Cloud.Listed> rest =
+                                all.stream().filter(m -> m.machine().compareTo(from) > 0).toList();
+                        answer(
+                                o,
+                                Outside.machines(
+                                        rest.subList(0, Math.min(limit, rest.size())),
+                                        rest.size() > limit),
+                                out);
+                    });
         } else {
             out.reply(400, Wire.error("no such call"));
         }
--- a/src/main/java/io/kitepath/standin/MemoryCloud.java
+++ b/src/main/java/io/kitepath/standin/MemoryCloud.java
@@ -12,24 +12,38 @@
 /** What the cloud has rented out, and how it behaves. */
 public final class MemoryCloud {
     public final TreeMap<String, Cloud.Listed> machines = new TreeMap<>();
+
     /** The names of all requests to rent that it executed, whatever came of them. */
     public final List<String> rentals = new ArrayList<>();
+
     public final List<String> released = new ArrayList<>();
     public int capacity;
+
     /** When the n-th rented machine comes up, in seconds; negative: never. */
     public IntToDoubleFunction bootS = n -> 0;
+
     public int booted;
     public int named;
+
     /** How long after they were rented lists do not show machines. */
     public double listLagS;
+
     /** It refuses everything. */
     public boolean out;
-    /** Requests to rent or release, by the node that sent them, that a network keeps: they run when it lets them. */
+
+    /**
+     * Requests to rent or release, by the node that sent them, that a network keeps: they run when
+     * it lets them.
+     */
     public Predicate<Caller> withheld = n -> false;
+
     public final List<Runnable> heldBack = new ArrayList<>();
+
     /** The next requests are executed, but nobody hears of it. */
     public int swallow;
+
     /** What came of each name, and when each machine was rented. */
     final Map<String, List<String>> granted = new HashMap<>();
+
     final Map<String, Double> rentedAt = new HashMap<>();
 }
--- a/src/main/java/io/kitepath/standin/MemoryStore.java
+++ b/src/main/java/io/kitepath/standin/MemoryStore.java
@@ -30,36 +30,65 @@
     public long revision = 1;
     public long nextLease = 1;
     public boolean out;
-    /** Whether it refuses what comes above the settings' rates; it allows bursts of one second's worth. */
+
+    /**
+     * Whether it refuses what comes above the settings' rates; it allows bursts of one second's
+     * worth.
+     */
     public boolean limited;
+
     public int overRate;
     private Bucket requests;
     private Bucket writes;
+
     /** What every request takes longer to get there than usual. */
     public double slowS;
+
     private final World w;
+
     /** Watches that wait for changes. */
     private final List<Watch> watches = new ArrayList<>();
+
     /** Pages asked for, and which of them are refused. */
     public int pages;
+
     public IntPredicate refusePage = n -> false;
+
     /** Prefixes under which no page is to be had. */
     public Predicate<String> refusePrefix = p -> false;
+
     /** The next transactions are executed, but nobody hears of it. */
     public int swallow;
+
     /** The next transactions get no answer, and are kept to be executed late. */
     public int hold;
+
     public final List<Store.Transaction> heldBack = new ArrayList<>();
-    /** Transactions that get no answer and are kept, as by a network that delivers them some other time. */
+
+    /**
+     * Transactions that get no answer and are kept, as by a network that delivers them some other
+     * time.
+     */
     public Predicate<Store.Transaction> withheld = t -> false;
+
     /** Transactions that are executed, but nobody hears of it. */
     public Predicate<Store.Transaction> unheard = t -> false;
-    /** How late a transaction that gets no answer is carried out, after newer ones of the same node; 0: it is not late. */
+
+    /**
+     * How late a transaction that gets no answer is carried out, after newer ones of the same node;
+     * 0: it is not late.
+     */
     public ToDoubleFunction<Store.Transaction> late = t -> 0;
-    /** Nodes whose watches hang: they see nothing, and end without having seen anything, while all else is served. */
+
+    /**
+     * Nodes whose watches hang: they see nothing, and end without having seen anything, while all
+     * else is served.
+     */
     public Predicate<Caller> hangs = n -> false;
+
     /** Sees every transaction that was executed and changed something, and by whom. */
-    public BiConsumer<Caller, Store.Transaction> written = (n, t) -> { };
+    public BiConsumer<Caller, Store.Transaction> written = (n, t) -> {};
+
     public long changes;
 
     /** Whether a request with so many changes is over the rates; counts it if not. */
@@ -81,8 +110,13 @@
 
     /** Whether there ever was a record of a job with that id, open or over. */
     boolean everHad(String id) {
-        return keys.containsKey(Keys.OPEN + id) || keys.containsKey(Keys.OVER + id)
-                || log.stream().anyMatch(e -> e.key().equals(Keys.OPEN + id) || e.key().equals(Keys.OVER + id));
+        return keys.containsKey(Keys.OPEN + id)
+                || keys.containsKey(Keys.OVER + id)
+                || log.stream()
+                        .anyMatch(
+                                e ->
+                                        e.key().equals(Keys.OPEN + id)
+                                                || e.key().equals(Keys.OVER + id));
     }
 
     public long token() {
@@ -109,10 +143,12 @@
 
     public void outage(double seconds) {
         out = true;
-        w.after(seconds, () -> {
-            out = false;
-            leases.replaceAll((id, t) -> w.clock.now + life.get(id));
-        });
+        w.after(
+                seconds,
+                () -> {
+                    out = false;
+                    leases.replaceAll((id, t) -> w.clock.now + life.get(id));
+                });
     }
 
     public void put(String k, Object v, long l, long r) {
@@ -174,38 +210,50 @@
     private void look() {
         looking = !watches.isEmpty();
         if (looking) {
-            w.after(0.01, () -> {
-                expire();
-                watches.removeIf(x -> x.touched && x.served(false));
-                look();
-            });
+            w.after(
+                    0.01,
+                    () -> {
+                        expire();
+                        watches.removeIf(x -> x.touched && x.served(false));
+                        look();
+                    });
         }
     }
 
-    public void follow(Caller node, String prefix, long after, double holdS, Consumer<Store.Changes> answer) {
+    public void follow(
+            Caller node, String prefix, long after, double holdS, Consumer<Store.Changes> answer) {
         Watch x = new Watch(node, prefix, after, answer);
         x.touched = true;
         watches.add(x);
-        w.after(holdS, () -> {
-            if (watches.remove(x)) {
-                x.served(true);
-            }
-        });
+        w.after(
+                holdS,
+                () -> {
+                    if (watches.remove(x)) {
+                        x.served(true);
+                    }
+                });
         if (!looking) {
             look();
         }
     }
 
-    /** The limits that it has from now on: bytes of a value, changes of a transaction; none at first. */
+    /**
+     * The limits that it has from now on: bytes of a value, changes of a transaction; none at
+     * first.
+     */
     public int valueBytes = Integer.MAX_VALUE;
+
     public int txnOps = Integer.MAX_VALUE;
+
     /** Transactions that were over them. */
     public int overLimits;
 
     public Store.Committed execute(Store.Transaction t) {
         expire();
-        if (t.writes().size() > txnOps || t.conditions().size() > 4L * txnOps
-                || t.writes().stream().anyMatch(x -> x.value() != null && Json.size(x.value()) > valueBytes)) {
+        if (t.writes().size() > txnOps
+                || t.conditions().size() > 4L * txnOps
+                || t.writes().stream()
+                        .anyMatch(x -> x.value() != null && Json.size(x.value()) > valueBytes)) {
             overLimits++;
             return new Store.Committed(Store.Outcome.INVALID, 0, List.of(), false);
         }
--- a/src/main/java/io/kitepath/standin/Node.java
+++ b/src/main/java/io/kitepath/standin/Node.java
@@ -22,37 +22,68 @@
     public final Controller controller;
     public boolean alive = true;
     public double frozenUntil;
+
     /** How far its time of day is ahead of the true one, in milliseconds. */
     public double clockOffMs;
+
     /** Of a version that neither sends digests nor reads them. */
     public boolean old;
+
     /** What it tells the others of jobs that are over gets lost. */
     public boolean losesWord;
+
     /** Cut off from the store, as is what it sent there unless it is delivered late. */
     public boolean cutFromStore;
+
     /** Siblings that it can't reach, nor they it. */
     public final Set<String> cutFrom = new HashSet<>();
+
     /** What it asked of the store, watches apart. */
     public int requests;
+
     /** What it sent to the store and the cloud. */
     private int sent;
+
     /** The process ends once it has sent that many; what it sent arrives all the same. */
     public int endsAfter = Integer.MAX_VALUE;
+
     /** Told when it ends that way. */
-    public Runnable ended = () -> { };
+    public Runnable ended = () -> {};
 
     public Node(World w, String name) {
         this.w = w;
         this.name = name;
-        this.controller = new Controller(w.facts(name), new StoreLink(w, this), new CloudLink(w, this), this::direct, this,
-                this, new Random(7 + name.hashCode() + 31L * (w.started.merge(name, 1, Integer::sum) - 1)), w.directory, w.around == null ? null : this::askCell);
-    }
-
-    private void direct(String address, long token, long session, List<Order> orders, Consumer<Report> answer) {
+        this.controller =
+                new Controller(
+                        w.facts(name),
+                        new StoreLink(w, this),
+                        new CloudLink(w, this),
+                        this::direct,
+                        this,
+                        this,
+                        new Random(
+                                7
+                                        + name.hashCode()
+                                        + 31L * (w.started.merge(name, 1, Integer::sum) - 1)),
+                        w.directory,
+                        w.around == null ? null : this::askCell);
+    }
+
+    private void direct(
+            String address, long token, long session, List<Order> orders, Consumer<Report> answer) {
         Worker x = w.workers.get(address);
-        if (x == null || x.cut || x.deaf || !x.up || w.refuseDirect || x.hangs() || !w.commands.test(this, x)) {
+        if (x == null
+                || x.cut
+                || x.deaf
+                || !x.up
+                || w.refuseDirect
+                || x.hangs()
+                || !w.commands.test(this, x)) {
             if (x != null && x.hangs() && !w.refuseDirect && w.commands.test(this, x)) {
-                x.goesOn(() -> x.directly(token, session, orders)); // What is sent to it waits there.
+                x.goesOn(
+                        () ->
+                                x.directly(
+                                        token, session, orders)); // What is sent to it waits there.
             }
             after(0.5, () -> answer.accept(null));
             return;
@@ -63,10 +94,12 @@
             after(0.5, () -> answer.accept(null));
             return;
         }
-        w.after(w.directDelayS, () -> {
-            Report r = x.directly(token, session, orders);
-            after(0.002, () -> answer.accept(w.commands.test(this, x) ? r : null));
-        });
+        w.after(
+                w.directDelayS,
+                () -> {
+                    Report r = x.directly(token, session, orders);
+                    after(0.002, () -> answer.accept(w.commands.test(this, x) ? r : null));
+                });
     }
 
     private void askCell(String cell, String node, CellMessage m, Consumer<CellMessage> answer) {
@@ -141,15 +174,23 @@
         if (leader != null) {
             w.leads(token);
         }
-        w.nodes.values().stream().filter(n -> n != this && n.alive && reaches(n)).forEach(n ->
-                n.after(0.001, () -> n.controller.told(name, token, leader != null, served)));
+        w.nodes.values().stream()
+                .filter(n -> n != this && n.alive && reaches(n))
+                .forEach(
+                        n ->
+                                n.after(
+                                        0.001,
+                                        () ->
+                                                n.controller.told(
+                                                        name, token, leader != null, served)));
     }
 
     @Override
     public void digest(CancellationDigest digest) {
         if (!old) {
-            w.nodes.values().stream().filter(n -> n != this && n.alive && !n.old && reaches(n)).forEach(n ->
-                    n.after(0.001, () -> n.controller.told(digest)));
+            w.nodes.values().stream()
+                    .filter(n -> n != this && n.alive && !n.old && reaches(n))
+                    .forEach(n -> n.after(0.001, () -> n.controller.told(digest)));
         }
     }
 
@@ -158,36 +199,45 @@
         if (losesWord) {
             return;
         }
-        w.nodes.values().stream().filter(n -> n != this && n.alive && reaches(n)).forEach(n ->
-                n.after(0.001, () -> n.controller.toldOver(job)));
+        w.nodes.values().stream()
+                .filter(n -> n != this && n.alive && reaches(n))
+                .forEach(n -> n.after(0.001, () -> n.controller.toldOver(job)));
     }
 
     @Override
     public void progress(String leader, List<String> jobs, Consumer<List<Progress>> answer) {
         Node n = w.nodes.get(leader);
         boolean[] heard = new boolean[1];
-        Consumer<List<Progress>> once = p -> {
-            if (!heard[0]) {
-                heard[0] = true;
-                answer.accept(p);
-            }
-        };
+        Consumer<List<Progress>> once =
+                p -> {
+                    if (!heard[0]) {
+                        heard[0] = true;
+                        answer.accept(p);
+                    }
+                };
         if (reaches(n)) {
-            n.after(0.001, () -> {
-                List<Progress> p = n.controller.progress(jobs);
-                after(0.001, () -> once.accept(p));
-            });
+            n.after(
+                    0.001,
+                    () -> {
+                        List<Progress> p = n.controller.progress(jobs);
+                        after(0.001, () -> once.accept(p));
+                    });
         }
         after(0.5, () -> once.accept(List.of()));
     }
 
     @Override
-    public boolean relay(String sibling, Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
+    public boolean relay(
+            String sibling, Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
         Node n = w.nodes.get(sibling);
         if (n == null || !reaches(n)) {
             return false;
         }
-        n.after(0.001, () -> n.controller.answerFor(report, passOn, c -> after(0.001, () -> answer.accept(c))));
+        n.after(
+                0.001,
+                () ->
+                        n.controller.answerFor(
+                                report, passOn, c -> after(0.001, () -> answer.accept(c))));
         return true;
     }
 
--- a/src/main/java/io/kitepath/standin/Rehearsal.java
+++ b/src/main/java/io/kitepath/standin/Rehearsal.java
@@ -15,18 +15,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * One rehearsal: several cells under load, with failures, in simulated time; what their users got, what it cost, and
- * whether a rule broke. The same plan gives the same result.
+ * One rehearsal: several cells under load, with failures, in simulated time; what their users got,
+ * what it cost, and whether a rule broke. The same plan gives the same result.
  */
 public final class Rehearsal {
-    /** Cells apart, cells that hand work to each other, or one cell with all the machines of all. */
-    public enum Way { APART, CELLS, WHOLE }
+    /**
+     * Cells apart, cells that hand work to each other, or one cell with all the machines of all.
+     */
+    public enum Way {
+        APART,
+        CELLS,
+        WHOLE
+    }
 
     /**
      * What breaks.
      *
-     * @param kind {@code nodes} end, {@code store} is away, {@code network} to the other cells is cut, {@code holder}
-     *     ends, {@code freeze}: the holder stands still, {@code zone}: half of the machines are cut off
+     * @param kind {@code nodes} end, {@code store} is away, {@code network} to the other cells is
+     *     cut, {@code holder} ends, {@code freeze}: the holder stands still, {@code zone}: half of
+     *     the machines are cut off
      * @param cell which one, from 0
      * @param atS after the load began, in seconds
      * @param forS how long, in seconds
@@ -43,22 +50,42 @@
      * @param forS for how long jobs come, in seconds
      * @param bad shares of messages between cells that are lost, doubled and late
      */
-    public record Plan(int cells, int machines, double load, double hot, double forS, double bad, long seed,
+    public record Plan(
+            int cells,
+            int machines,
+            double load,
+            double hot,
+            double forS,
+            double bad,
+            long seed,
             List<Fault> faults) {}
 
     /**
      * What came of it.
      *
-     * @param waits seconds from submission to the first start of each task: of the first cell's, of the others'; in ms
+     * @param waits seconds from submission to the first start of each task: of the first cell's, of
+     *     the others'; in ms
      * @param served by class and team: jobs that were done in time, and all
      * @param handOvers loans, {@code messages} between cells, {@code changes} of the stores
      * @param refusals tries to submit that were not accepted at once
      * @param tookS from the end of the load until all was done
      * @param realS of this machine's time
      */
-    public record Result(long jobs, long tasks, long starts, Histogram hot, Histogram others,
-            Map<String, int[]> served, long handOvers, long messages, long changes, long refusals, double tookS,
-            double realS, List<String> broken, long unfinished) {
+    public record Result(
+            long jobs,
+            long tasks,
+            long starts,
+            Histogram hot,
+            Histogram others,
+            Map<String, int[]> served,
+            long handOvers,
+            long messages,
+            long changes,
+            long refusals,
+            double tookS,
+            double realS,
+            List<String> broken,
+            long unfinished) {
         /** The lowest share served of any class or team. */
         public double least() {
             return served.values().stream().mapToDouble(x -> (double) x[0] / x[1]).min().orElse(1);
@@ -66,8 +93,10 @@
     }
 
     private static final double CPUS = 16;
+
     /** What is expected: done within that time. */
     private static final double GOAL_S = 120;
+
     /** How long after the load everything may take. */
     private static final double MOST_S = 1800;
 
@@ -152,45 +181,81 @@
         }
     }
 
-    private void come(double t, int cell, int n, String jobClass, JobSpec.Shape shape, int size, double cpus,
+    private void come(
+            double t,
+            int cell,
+            int n,
+            String jobClass,
+            JobSpec.Shape shape,
+            int size,
+            double cpus,
             double estimateS) {
         String home = "c" + (way == Way.WHOLE ? 0 : cell);
-        JobSpec s = new JobSpec(cells.id(home, n), jobClass, random.nextBoolean() ? "red" : "blue", shape,
-                shape == JobSpec.Shape.GANG ? JobSpec.Priority.HIGH : JobSpec.Priority.NORMAL, size, cpus, 0, 2, null,
-                null, false, false, false, "img", 1, estimateS, 0, 0, null);
+        JobSpec s =
+                new JobSpec(
+                        cells.id(home, n),
+                        jobClass,
+                        random.nextBoolean() ? "red" : "blue",
+                        shape,
+                        shape == JobSpec.Shape.GANG
+                                ? JobSpec.Priority.HIGH
+                                : JobSpec.Priority.NORMAL,
+                        size,
+                        cpus,
+                        0,
+                        2,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        estimateS,
+                        0,
+                        0,
+                        null);
         Coming c = new Coming(s, cell, estimateS * (0.8 + 0.4 * random.nextDouble()));
         coming.put(s.id(), c);
         open++;
         tasks += size;
         cells.specs.put(s.id(), s);
-        cells.clock.after(t, () -> {
-            c.at = cells.clock.now;
-            submit(c, home);
-        });
+        cells.clock.after(
+                t,
+                () -> {
+                    c.at = cells.clock.now;
+                    submit(c, home);
+                });
     }
 
     private void submit(Coming c, String home) {
         List<Node> up = cells.world(home).nodes.values().stream().filter(x -> x.alive).toList();
         boolean[] heard = new boolean[1];
-        Runnable again = () -> {
-            if (!heard[0]) {
-                heard[0] = true;
-                refusals++;
-                cells.clock.after(1 + random.nextDouble(), () -> submit(c, home));
-            }
-        };
+        Runnable again =
+                () -> {
+                    if (!heard[0]) {
+                        heard[0] = true;
+                        refusals++;
+                        cells.clock.after(1 + random.nextDouble(), () -> submit(c, home));
+                    }
+                };
         cells.clock.after(5, again);
         if (up.isEmpty()) {
             again.run();
             return;
         }
-        up.get(random.nextInt(up.size())).controller.registry().submit(c.spec, a -> {
-            if (a.verdict() == Verdict.LATER) {
-                again.run();
-            } else {
-                heard[0] = true;
-            }
-        });
+        up.get(random.nextInt(up.size()))
+                .controller
+                .registry()
+                .submit(
+                        c.spec,
+                        a -> {
+                            if (a.verdict() == Verdict.LATER) {
+                                again.run();
+                            } else {
+                                heard[0] = true;
+                            }
+                        });
     }
 
     private void started(Task t) {
@@ -198,7 +263,8 @@
         Coming c = coming.get(t.job);
         if (!c.started.get(t.number)) {
             c.started.set(t.number);
-            (c.cell == 0 ? hot : others).recordValue(Math.max(0, Math.round(1000 * (cells.clock.now - c.at))));
+            (c.cell == 0 ? hot : others)
+                    .recordValue(Math.max(0, Math.round(1000 * (cells.clock.now - c.at))));
         }
     }
 
@@ -233,37 +299,51 @@
         if (w == null) {
             return;
         }
-        cells.clock.after(f.atS, () -> {
-            List<Node> up = w.nodes.values().stream().filter(n -> n.alive).toList();
-            Node holder = up.stream().filter(n -> n.controller.leadsWith() > 0).findFirst().orElse(null);
-            switch (f.kind) {
-                case "nodes" -> up.forEach(n -> cells.restart(n, f.forS));
-                case "store" -> w.store.outage(f.forS);
-                case "network" -> {
-                    for (String other : cells.worlds.keySet()) {
-                        cells.cutBetween(cell, other);
-                    }
-                    cells.clock.after(f.forS, () -> cells.cut.removeIf(x -> x.startsWith(cell + ">")
-                            || x.endsWith(">" + cell)));
-                }
-                case "holder" -> {
-                    if (holder != null) {
-                        cells.restart(holder, f.forS);
+        cells.clock.after(
+                f.atS,
+                () -> {
+                    List<Node> up = w.nodes.values().stream().filter(n -> n.alive).toList();
+                    Node holder =
+                            up.stream()
+                                    .filter(n -> n.controller.leadsWith() > 0)
+                                    .findFirst()
+                                    .orElse(null);
+                    switch (f.kind) {
+                        case "nodes" -> up.forEach(n -> cells.restart(n, f.forS));
+                        case "store" -> w.store.outage(f.forS);
+                        case "network" -> {
+                            for (String other : cells.worlds.keySet()) {
+                                cells.cutBetween(cell, other);
+                            }
+                            cells.clock.after(
+                                    f.forS,
+                                    () ->
+                                            cells.cut.removeIf(
+                                                    x ->
+                                                            x.startsWith(cell + ">")
+                                                                    || x.endsWith(">" + cell)));
+                        }
+                        case "holder" -> {
+                            if (holder != null) {
+                                cells.restart(holder, f.forS);
+                            }
+                        }
+                        case "freeze" -> {
+                            if (holder != null) {
+                                holder.frozenUntil = cells.clock.now + f.forS;
+                            }
+                        }
+                        case "zone" -> {
+                            List<Worker> of =
+                                    w.workers.values().stream()
+                                            .filter(x -> x.zone.equals(cell + "1"))
+                                            .toList();
+                            of.forEach(x -> x.cut = true);
+                            cells.clock.after(f.forS, () -> of.forEach(x -> x.cut = false));
+                        }
+                        default -> throw new IllegalArgumentException("no such fault: " + f.kind);
                     }
-                }
-                case "freeze" -> {
-                    if (holder != null) {
-                        holder.frozenUntil = cells.clock.now + f.forS;
-                    }
-                }
-                case "zone" -> {
-                    List<Worker> of = w.workers.values().stream().filter(x -> x.zone.equals(cell + "1")).toList();
-                    of.forEach(x -> x.cut = true);
-                    cells.clock.after(f.forS, () -> of.forEach(x -> x.cut = false));
-                }
-                default -> throw new IllegalArgumentException("no such fault: " + f.kind);
-            }
-        });
+                });
     }
 
     // ---- the whole ------------------------------------------------------------------------------
@@ -299,9 +379,21 @@
                 handOvers += figure(n, "cells.lent");
             }
         }
-        return new Result(coming.size(), tasks, starts, hot, others, served, handOvers, cells.messages,
-                all.stream().mapToLong(w -> w.store.changes).sum(), refusals, tookS,
-                (System.nanoTime() - began) / 1e9, broken, open);
+        return new Result(
+                coming.size(),
+                tasks,
+                starts,
+                hot,
+                others,
+                served,
+                handOvers,
+                cells.messages,
+                all.stream().mapToLong(w -> w.store.changes).sum(),
+                refusals,
+                tookS,
+                (System.nanoTime() - began) / 1e9,
+                broken,
+                open);
     }
 
     private static long figure(Node n, String name) {
--- a/src/main/java/io/kitepath/standin/Rules.java
+++ b/src/main/java/io/kitepath/standin/Rules.java
@@ -10,28 +10,44 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The protocol's rules, watched by what is on machines and by what users hear; what breaks goes to the world's list. */
+/**
+ * The protocol's rules, watched by what is on machines and by what users hear; what breaks goes to
+ * the world's list.
+ */
 public final class Rules {
-    /** Once all troubles are over: how long no question about a job may get an answer, and how long it may wait beside room. */
+    /**
+     * Once all troubles are over: how long no question about a job may get an answer, and how long
+     * it may wait beside room.
+     */
     private static final double FORGOTTEN_S = 75;
+
     private static final double LEFT_WAITING_S = 90;
 
     private final World w;
     private final Map<String, Double> doneAt = new HashMap<>();
     private final Map<String, Double> acceptedAt = new HashMap<>();
     private final Set<String> cancelAsked = new HashSet<>();
+
     /** When a question about the job was last answered. */
     private final Map<String, Double> answeredAt = new HashMap<>();
+
     /** Since when it waits beside room. */
     private final Map<String, Double> besideRoom = new HashMap<>();
+
     private final Set<String> said = new HashSet<>();
     private double calmAt = Double.NaN;
     private int asksAt;
-    /** Starts of jobs that a user was told are cancelled, and the longest that one came after that. */
+
+    /**
+     * Starts of jobs that a user was told are cancelled, and the longest that one came after that.
+     */
     private int startsAfterCancellation;
+
     private double latestStartAfterS;
+
     /** Tasks of cancelled jobs that were on a machine which hung when they had to be gone. */
     private int hungWithCancelled;
+
     private int answers;
 
     Rules(World w) {
@@ -72,15 +88,19 @@
         cancelAsked.add(id);
     }
 
-    /** It was accepted as far as the world saw; by a user's word, not to be told of to others before. */
+    /**
+     * It was accepted as far as the world saw; by a user's word, not to be told of to others
+     * before.
+     */
     void accepted(String id) {
         acceptedAt.putIfAbsent(id, w.clock.now);
         w.accepted.putIfAbsent(id, w.clock.now);
     }
 
     /**
-     * What a user is told, against the rules about what users are told. An answer is an old one if another was given
-     * before it was asked for; of two questions at the same time either may be answered first.
+     * What a user is told, against the rules about what users are told. An answer is an old one if
+     * another was given before it was asked for; of two questions at the same time either may be
+     * answered first.
      */
     Registry.Answer heard(String id, Registry.Answer a, double asked) {
         if (a == null) {
@@ -88,7 +108,8 @@
         }
         answers++;
         if (a.verdict() != Registry.Verdict.KNOWN && a.verdict() != Registry.Verdict.CREATED) {
-            if (a.verdict() != Registry.Verdict.LATER && acceptedAt.getOrDefault(id, 1e18) < asked) {
+            if (a.verdict() != Registry.Verdict.LATER
+                    && acceptedAt.getOrDefault(id, 1e18) < asked) {
                 breaks("forgotten: " + id + " gets " + a.verdict());
             }
             return a;
@@ -119,8 +140,14 @@
                 // A moment more than the rule's, for what is due in the same moment.
                 w.after(w.cancelS + 0.01, () -> hasGone(id));
             }
-        } else if (before(id).stream().anyMatch(n -> w.clock.now
-                > Math.max(w.accepted.getOrDefault(id, 0.0), w.toldCancelled.getOrDefault(n, 1e18)) + w.cancelS)) {
+        } else if (before(id).stream()
+                .anyMatch(
+                        n ->
+                                w.clock.now
+                                        > Math.max(
+                                                        w.accepted.getOrDefault(id, 0.0),
+                                                        w.toldCancelled.getOrDefault(n, 1e18))
+                                                + w.cancelS)) {
             breaks("orphaned: " + id + " is called " + status);
         }
         return a;
@@ -130,15 +157,19 @@
 
     private void hasGone(String id) {
         for (Worker x : w.workers.values()) {
-            x.tasks.values().stream().filter(t -> t.job.equals(id) && t.on()).forEach(t -> {
-                if (x.hangs()) {
-                    // It does nothing while it hangs; it must not go on with it.
-                    hungWithCancelled++;
-                    x.goesOn(() -> w.after(0.01, () -> hasGone(id)));
-                } else {
-                    breaksOnce("ran cancelled: " + t.key() + " is still on " + x.id);
-                }
-            });
+            x.tasks.values().stream()
+                    .filter(t -> t.job.equals(id) && t.on())
+                    .forEach(
+                            t -> {
+                                if (x.hangs()) {
+                                    // It does nothing while it hangs; it must not go on with it.
+                                    hungWithCancelled++;
+                                    x.goesOn(() -> w.after(0.01, () -> hasGone(id)));
+                                } else {
+                                    breaksOnce(
+                                            "ran cancelled: " + t.key() + " is still on " + x.id);
+                                }
+                            });
         }
     }
 
@@ -186,7 +217,8 @@
 
     private void place(Task t, JobSpec s) {
         Worker x = t.worker;
-        if (s.types() != null && !s.types().contains(w.type.name()) || s.zone() != null && !s.zone().equals(x.zone)
+        if (s.types() != null && !s.types().contains(w.type.name())
+                || s.zone() != null && !s.zone().equals(x.zone)
                 || x.spot && !s.spot()) {
             breaks("wrong place: " + t.key() + " on " + x.id);
         }
@@ -206,7 +238,9 @@
         }
     }
 
-    /** CPUs and GPUs of the team's tasks that are on machines, also on such that nobody can reach. */
+    /**
+     * CPUs and GPUs of the team's tasks that are on machines, also on such that nobody can reach.
+     */
     public double[] onMachines(String team) {
         double[] used = new double[2];
         for (Worker x : w.workers.values()) {
@@ -229,13 +263,22 @@
         double[] used = onMachines(team);
         if (limit.cpusMax() > 0 && used[0] > limit.cpusMax() + 1e-6
                 || limit.gpusMax() > 0 && used[1] > limit.gpusMax() + 1e-6) {
-            breaks("quota: team " + team + " has " + used[0] + " CPUs, " + used[1] + " GPUs on machines");
+            breaks(
+                    "quota: team "
+                            + team
+                            + " has "
+                            + used[0]
+                            + " CPUs, "
+                            + used[1]
+                            + " GPUs on machines");
         }
     }
 
     // ---- once all troubles are over -------------------------------------------------------------
 
-    /** All troubles are over: users poll, and nothing may be forgotten or left waiting from now on. */
+    /**
+     * All troubles are over: users poll, and nothing may be forgotten or left waiting from now on.
+     */
     public void calm() {
         boolean first = Double.isNaN(calmAt);
         calmAt = w.clock.now;
@@ -247,7 +290,9 @@
     }
 
     private List<String> unfinished() {
-        return w.accepted.keySet().stream().filter(id -> !w.toldCancelled.containsKey(id) && !doneAt.containsKey(id)).sorted()
+        return w.accepted.keySet().stream()
+                .filter(id -> !w.toldCancelled.containsKey(id) && !doneAt.containsKey(id))
+                .sorted()
                 .toList();
     }
 
@@ -273,14 +318,24 @@
         w.after(1, this::look);
     }
 
-    /** Whether tasks of it are neither done nor on machines, and could be: there is room, and its team is under its limit. */
+    /**
+     * Whether tasks of it are neither done nor on machines, and could be: there is room, and its
+     * team is under its limit.
+     */
     private boolean waitsBesideRoom(String id) {
         JobSpec s = w.specs.get(id);
-        if (s == null || cancelAsked.contains(id) || !before(id).stream().allMatch(doneAt::containsKey)) {
+        if (s == null
+                || cancelAsked.contains(id)
+                || !before(id).stream().allMatch(doneAt::containsKey)) {
             return false;
         }
-        long on = w.workers.values().stream().flatMap(x -> x.tasks.values().stream()).filter(t -> t.job.equals(id) && t.on())
-                .map(t -> t.number).distinct().count();
+        long on =
+                w.workers.values().stream()
+                        .flatMap(x -> x.tasks.values().stream())
+                        .filter(t -> t.job.equals(id) && t.on())
+                        .map(t -> t.number)
+                        .distinct()
+                        .count();
         long missing = s.tasks() - w.completed.getOrDefault(id, Set.of()).size() - on;
         if (missing <= 0 || s.gang() && on > 0 || s.gang() && w.completed.containsKey(id)) {
             return false;
@@ -288,21 +343,30 @@
         long atOnce = s.gang() ? missing : 1;
         Facts.Team limit = w.teams.get(s.team());
         double[] used = onMachines(s.team());
-        if (limit == null || limit.cpusMax() > 0 && used[0] + atOnce * s.cpus() > limit.cpusMax() + 1e-6
+        if (limit == null
+                || limit.cpusMax() > 0 && used[0] + atOnce * s.cpus() > limit.cpusMax() + 1e-6
                 || limit.gpusMax() > 0 && used[1] + atOnce * s.gpus() > limit.gpusMax() + 1e-6) {
             return false;
         }
         Map<String, Long> rooms = new HashMap<>();
-        w.workers.values().stream().filter(x -> x.up && !x.cut && !x.deaf && !x.mute && !x.hangs())
-                .filter(x -> (s.zone() == null || s.zone().equals(x.zone)) && (!x.spot || s.spot()) && fitsBeside(s, x.zone))
+        w.workers.values().stream()
+                .filter(x -> x.up && !x.cut && !x.deaf && !x.mute && !x.hangs())
+                .filter(
+                        x ->
+                                (s.zone() == null || s.zone().equals(x.zone))
+                                        && (!x.spot || s.spot())
+                                        && fitsBeside(s, x.zone))
                 .forEach(x -> rooms.merge(s.oneZone() ? x.zone : "", room(x, s), Long::sum));
         return rooms.values().stream().anyMatch(r -> r >= atOnce);
     }
 
     /** Whether the job's other tasks, where they are now, let one more of it start in that zone. */
     private boolean fitsBeside(JobSpec s, String zone) {
-        List<Task> on = w.workers.values().stream().flatMap(x -> x.tasks.values().stream())
-                .filter(t -> t.job.equals(s.id()) && t.on()).toList();
+        List<Task> on =
+                w.workers.values().stream()
+                        .flatMap(x -> x.tasks.values().stream())
+                        .filter(t -> t.job.equals(s.id()) && t.on())
+                        .toList();
         long here = on.stream().filter(t -> t.worker.zone.equals(zone)).count();
         return (!s.oneZone() || here == on.size()) && here < s.mostPerZone();
     }
@@ -317,7 +381,11 @@
                 memory -= o.memoryGb();
             }
         }
-        return (long) Math.max(0, Math.min(s.cpus() > 0 ? (cpus + 1e-9) / s.cpus() : 1e6,
-                s.memoryGb() > 0 ? (memory + 1e-9) / s.memoryGb() : 1e6));
+        return (long)
+                Math.max(
+                        0,
+                        Math.min(
+                                s.cpus() > 0 ? (cpus + 1e-9) / s.cpus() : 1e6,
+                                s.memoryGb() > 0 ? (memory + 1e-9) / s.memoryGb() : 1e6));
     }
 }
--- a/src/main/java/io/kitepath/standin/StoreLink.java
+++ b/src/main/java/io/kitepath/standin/StoreLink.java
@@ -25,11 +25,13 @@
     private void exchange(int writes, Runnable served, Runnable refused) {
         node.asks();
         node.sends();
-        w.after(w.takes(0.002) + store.slowS, () -> {
-            store.expire();
-            boolean no = store.out || node.refused() || store.tooMany(writes);
-            (no ? refused : served).run();
-        });
+        w.after(
+                w.takes(0.002) + store.slowS,
+                () -> {
+                    store.expire();
+                    boolean no = store.out || node.refused() || store.tooMany(writes);
+                    (no ? refused : served).run();
+                });
     }
 
     private void back(Runnable r) {
@@ -38,56 +40,102 @@
 
     @Override
     public void get(String key, BiConsumer<Outcome, Entry> answer) {
-        exchange(() -> {
-            Entry e = store.keys.get(key);
-            back(() -> answer.accept(e == null ? Outcome.NO : Outcome.OK, e));
-        }, () -> back(() -> answer.accept(Outcome.REFUSED, null)));
+        exchange(
+                () -> {
+                    Entry e = store.keys.get(key);
+                    back(() -> answer.accept(e == null ? Outcome.NO : Outcome.OK, e));
+                },
+                () -> back(() -> answer.accept(Outcome.REFUSED, null)));
     }
 
     @Override
     public void page(String prefix, String from, int limit, Consumer<Listing> answer) {
-        exchange(() -> {
-            store.pages++;
-            if (store.refusePage.test(store.pages) || store.refusePrefix.test(prefix)) {
-                back(() -> answer.accept(new Listing(Outcome.REFUSED, List.of(), 0, false)));
-                return;
-            }
-            List<Entry> all = store.keys.tailMap(from.isEmpty() ? prefix : from, from.isEmpty()).values().stream()
-                    .filter(e -> e.key().startsWith(prefix)).toList();
-            long r = store.revision;
-            back(() -> answer.accept(new Listing(Outcome.OK, all.subList(0, Math.min(limit, all.size())), r,
-                    all.size() > limit)));
-        }, () -> back(() -> answer.accept(new Listing(Outcome.REFUSED, List.of(), 0, false))));
+        exchange(
+                () -> {
+                    store.pages++;
+                    if (store.refusePage.test(store.pages) || store.refusePrefix.test(prefix)) {
+                        back(
+                                () ->
+                                        answer.accept(
+                                                new Listing(Outcome.REFUSED, List.of(), 0, false)));
+                        return;
+                    }
+                    List<Entry> all =
+                            store
+                                    .keys
+                                    .tailMap(from.isEmpty() ? prefix : from, from.isEmpty())
+                                    .values()
+                                    .stream()
+                                    .filter(e -> e.key().startsWith(prefix))
+                                    .toList();
+                    long r = store.revision;
+                    back(
+                            () ->
+                                    answer.accept(
+                                            new Listing(
+                                                    Outcome.OK,
+                                                    all.subList(0, Math.min(limit, all.size())),
+                                                    r,
+                                                    all.size() > limit)));
+                },
+                () -> back(() -> answer.accept(new Listing(Outcome.REFUSED, List.of(), 0, false))));
     }
 
     @Override
     public void commit(Transaction t, Consumer<Committed> answer) {
-        exchange(t.writes().size(), () -> {
-            boolean job = t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/"));
-            if (job && store.hold > 0 || store.withheld.test(t)) {
-                store.hold -= store.hold > 0 ? 1 : 0;
-                store.heldBack.add(t);
-                node.after(0.5, () -> answer.accept(new Committed(Outcome.UNKNOWN, 0, List.of(), false)));
-                return;
-            }
-            double late = t.writes().isEmpty() ? 0 : store.late.applyAsDouble(t);
-            if (late > 0) {
-                w.after(late, () -> {
-                    if (!store.out) {
-                        carryOut(t);
+        exchange(
+                t.writes().size(),
+                () -> {
+                    boolean job = t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/"));
+                    if (job && store.hold > 0 || store.withheld.test(t)) {
+                        store.hold -= store.hold > 0 ? 1 : 0;
+                        store.heldBack.add(t);
+                        node.after(
+                                0.5,
+                                () ->
+                                        answer.accept(
+                                                new Committed(
+                                                        Outcome.UNKNOWN, 0, List.of(), false)));
+                        return;
                     }
-                });
-                node.after(0.5, () -> answer.accept(new Committed(Outcome.UNKNOWN, 0, List.of(), false)));
-                return;
-            }
-            Committed c = carryOut(t);
-            if (job && store.swallow > 0 || store.unheard.test(t) || w.losesAnswer.getAsBoolean()) {
-                store.swallow -= job && store.swallow > 0 ? 1 : 0;
-                node.after(0.5, () -> answer.accept(new Committed(Outcome.UNKNOWN, 0, List.of(), false)));
-                return;
-            }
-            back(() -> answer.accept(c));
-        }, () -> back(() -> answer.accept(new Committed(Outcome.REFUSED, 0, List.of(), false))));
+                    double late = t.writes().isEmpty() ? 0 : store.late.applyAsDouble(t);
+                    if (late > 0) {
+                        w.after(
+                                late,
+                                () -> {
+                                    if (!store.out) {
+                                        carryOut(t);
+                                    }
+                                });
+                        node.after(
+                                0.5,
+                                () ->
+                                        answer.accept(
+                                                new Committed(
+                                                        Outcome.UNKNOWN, 0, List.of(), false)));
+                        return;
+                    }
+                    Committed c = carryOut(t);
+                    if (job && store.swallow > 0
+                            || store.unheard.test(t)
+                            || w.losesAnswer.getAsBoolean()) {
+                        store.swallow -= job && store.swallow > 0 ? 1 : 0;
+                        node.after(
+                                0.5,
+                                () ->
+                                        answer.accept(
+                                                new Committed(
+                                                        Outcome.UNKNOWN, 0, List.of(), false)));
+                        return;
+                    }
+                    back(() -> answer.accept(c));
+                },
+                () ->
+                        back(
+                                () ->
+                                        answer.accept(
+                                                new Committed(
+                                                        Outcome.REFUSED, 0, List.of(), false))));
     }
 
     private Committed carryOut(Transaction t) {
@@ -101,28 +149,32 @@
 
     @Override
     public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {
-        exchange(() -> {
-            long id = store.nextLease++;
-            store.leases.put(id, w.clock.now + lifeMs / 1000.0);
-            store.life.put(id, lifeMs / 1000.0);
-            back(() -> answer.accept(Outcome.OK, id));
-        }, () -> back(() -> answer.accept(Outcome.REFUSED, null)));
+        exchange(
+                () -> {
+                    long id = store.nextLease++;
+                    store.leases.put(id, w.clock.now + lifeMs / 1000.0);
+                    store.life.put(id, lifeMs / 1000.0);
+                    back(() -> answer.accept(Outcome.OK, id));
+                },
+                () -> back(() -> answer.accept(Outcome.REFUSED, null)));
     }
 
     @Override
     public void renew(long lease, Consumer<Outcome> answer) {
-        exchange(() -> {
-            boolean there = store.leases.containsKey(lease);
-            if (there) {
-                store.leases.put(lease, w.clock.now + store.life.get(lease));
-            }
-            back(() -> answer.accept(there ? Outcome.OK : Outcome.NO));
-        }, () -> back(() -> answer.accept(Outcome.REFUSED)));
+        exchange(
+                () -> {
+                    boolean there = store.leases.containsKey(lease);
+                    if (there) {
+                        store.leases.put(lease, w.clock.now + store.life.get(lease));
+                    }
+                    back(() -> answer.accept(there ? Outcome.OK : Outcome.NO));
+                },
+                () -> back(() -> answer.accept(Outcome.REFUSED)));
     }
 
     @Override
     public void revoke(long lease) {
-        exchange(() -> store.end(lease), () -> { });
+        exchange(() -> store.end(lease), () -> {});
     }
 
     @Override
--- a/src/main/java/io/kitepath/standin/Users.java
+++ b/src/main/java/io/kitepath/standin/Users.java
@@ -11,14 +11,20 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Users who do not wait for each other: they ask at once at many nodes, repeat what they sent, and cancel. */
+/**
+ * Users who do not wait for each other: they ask at once at many nodes, repeat what they sent, and
+ * cancel.
+ */
 public final class Users {
     /** They wait so long for an answer about a job; what comes later is told to nobody. */
     private static final double WAIT_S = 2;
+
     /** And so long for one about a submission or a cancellation. */
     private static final double INSIST_S = 5;
+
     /** For how long they repeat a request that gets no answer. */
     private static final double REPEAT_S = 60;
+
     /** Machines that hang at most when jobs are called off. */
     private static final int HANG = 8;
 
@@ -61,12 +67,21 @@
     public void repeat(Node n, JobSpec body) {
         String id = body.id();
         double at = w.clock.now;
-        n.deliver(() -> n.controller.registry().submit(body, w.needs.getOrDefault(id, List.of()), a -> {
-            if (w.clock.now - at <= INSIST_S && (a.verdict() == Verdict.CREATED || a.verdict() == Verdict.KNOWN)) {
-                w.rules.accepted(id);
-            }
-            hears(id, a, at, INSIST_S);
-        }));
+        n.deliver(
+                () ->
+                        n.controller
+                                .registry()
+                                .submit(
+                                        body,
+                                        w.needs.getOrDefault(id, List.of()),
+                                        a -> {
+                                            if (w.clock.now - at <= INSIST_S
+                                                    && (a.verdict() == Verdict.CREATED
+                                                            || a.verdict() == Verdict.KNOWN)) {
+                                                w.rules.accepted(id);
+                                            }
+                                            hears(id, a, at, INSIST_S);
+                                        }));
     }
 
     /** Calls it off there, and elsewhere for as long as users repeat that. */
@@ -79,16 +94,24 @@
         double at = w.clock.now;
         boolean[] told = new boolean[1];
         if (n != null) {
-            n.deliver(() -> n.controller.registry().cancel(id, a -> {
-                told[0] |= a.verdict() != Verdict.LATER;
-                hears(id, a, at, INSIST_S);
-            }));
+            n.deliver(
+                    () ->
+                            n.controller
+                                    .registry()
+                                    .cancel(
+                                            id,
+                                            a -> {
+                                                told[0] |= a.verdict() != Verdict.LATER;
+                                                hears(id, a, at, INSIST_S);
+                                            }));
         }
-        w.after(1.5, () -> {
-            if (!told[0] && w.clock.now < until) {
-                cancel(any(), id, until);
-            }
-        });
+        w.after(
+                1.5,
+                () -> {
+                    if (!told[0] && w.clock.now < until) {
+                        cancel(any(), id, until);
+                    }
+                });
     }
 
     private void hears(String id, Answer a, double at, double waits) {
@@ -99,7 +122,10 @@
 
     // ---- close looks ----------------------------------------------------------------------------
 
-    /** A user was told that: others look at once, everywhere, at the first of each kind of answer about a job. */
+    /**
+     * A user was told that: others look at once, everywhere, at the first of each kind of answer
+     * about a job.
+     */
     void told(String id, Answer a) {
         boolean accepted = a.verdict() == Verdict.CREATED || a.verdict() == Verdict.KNOWN;
         if (!w.closeLooks || !accepted || w.specs.get(id) == null) {
@@ -113,10 +139,12 @@
         for (Node n : up()) {
             w.after(0.001 * i++, () -> look(n, id));
             w.after(0.004 + 0.003 * i, () -> look(n, id));
-            w.after(0.002 * i, () -> {
-                looks++;
-                repeat(n, id);
-            });
+            w.after(
+                    0.002 * i,
+                    () -> {
+                        looks++;
+                        repeat(n, id);
+                    });
         }
     }
 
@@ -127,14 +155,24 @@
 
     // ---- cancellations --------------------------------------------------------------------------
 
-    /** That many jobs that run are called off within a fifth of a second; some of their machines hang so long. */
+    /**
+     * That many jobs that run are called off within a fifth of a second; some of their machines
+     * hang so long.
+     */
     List<String> cancelNow(int count, double hangS, Random random) {
         TreeMap<String, Worker> running = new TreeMap<>();
-        w.workers.values().forEach(x -> x.tasks.values().stream().filter(Task::on).forEach(t -> {
-            if (!w.toldCancelled.containsKey(t.job)) {
-                running.putIfAbsent(t.job, x);
-            }
-        }));
+        w.workers
+                .values()
+                .forEach(
+                        x ->
+                                x.tasks.values().stream()
+                                        .filter(Task::on)
+                                        .forEach(
+                                                t -> {
+                                                    if (!w.toldCancelled.containsKey(t.job)) {
+                                                        running.putIfAbsent(t.job, x);
+                                                    }
+                                                }));
         List<String> jobs = new ArrayList<>(running.keySet());
         Collections.shuffle(jobs, random);
         jobs = jobs.subList(0, Math.min(count, jobs.size()));
@@ -152,8 +190,9 @@
     /** A task completed; if it was its job's last, some user calls the job off in that moment. */
     void completed(Task t) {
         JobSpec s = w.specs.get(t.job);
-        if (s != null && w.cancelsAtEnd.test(t) && (s.gang()
-                || w.completed.getOrDefault(t.job, Set.of()).size() == s.tasks())) {
+        if (s != null
+                && w.cancelsAtEnd.test(t)
+                && (s.gang() || w.completed.getOrDefault(t.job, Set.of()).size() == s.tasks())) {
             cancel(any(), t.job);
         }
     }
--- a/src/main/java/io/kitepath/standin/Worker.java
+++ b/src/main/java/io/kitepath/standin/Worker.java
@@ -19,37 +19,54 @@
     private final World w;
     public final String id;
     public final String zone;
+
     /** Where it takes direct commands. */
     public String address;
+
     public final Map<String, Task> tasks = new LinkedHashMap<>();
     public final Set<String> images = new HashSet<>();
     public long session = 1;
     public long sequence;
     public long token;
     public boolean up = true;
+
     /** What is sent to it gets lost: answers to its reports, and commands. */
     public boolean deaf;
+
     /** It reaches no controller; direct commands reach it. */
     public boolean mute;
+
     /** It stands still until then; what is sent to it waits, and its lease runs. */
     public double hangsUntil;
+
     /** Its packets get lost. */
     public boolean cut;
+
     public boolean fails;
     public boolean spot;
     public double runsFor = 20;
     private double answered;
+
     /** The next report that is due; those scheduled before it are not made. */
     private long due;
+
     private double sentAt = Double.NEGATIVE_INFINITY;
     private boolean inFlight;
-    /** Something changed since the report in flight was sent: the next one does not wait for its turn. */
+
+    /**
+     * Something changed since the report in flight was sent: the next one does not wait for its
+     * turn.
+     */
     private boolean changedSince;
+
     private String node;
+
     /** Gives up the report that waits for its answer. */
-    private Runnable givenUp = () -> { };
+    private Runnable givenUp = () -> {};
+
     /** Nodes that it has tried one after the other. */
     private int tries;
+
     public int started;
 
     public Worker(World w, String id, String zone) {
@@ -66,8 +83,19 @@
     }
 
     public Report message() {
-        return new Report(id, address, w.type.name(), zone, spot, session, ++sequence, token, null, tasks.values().stream()
-                .map(t -> new TaskReport(t.job, t.number, t.attempt, t.state, t.cause)).toList());
+        return new Report(
+                id,
+                address,
+                w.type.name(),
+                zone,
+                spot,
+                session,
+                ++sequence,
+                token,
+                null,
+                tasks.values().stream()
+                        .map(t -> new TaskReport(t.job, t.number, t.attempt, t.state, t.cause))
+                        .toList());
     }
 
     /** Commands straight to it: its report after them, or null if they are not for it. */
@@ -95,11 +123,13 @@
 
     private void reportIn(double seconds) {
         long mine = ++due;
-        w.after(seconds, () -> {
-            if (mine == due) {
-                report();
-            }
-        });
+        w.after(
+                seconds,
+                () -> {
+                    if (mine == due) {
+                        report();
+                    }
+                });
     }
 
     /** A task ended: said at once, but at most every half second. */
@@ -150,26 +180,33 @@
         double sent = w.clock.now;
         boolean[] heard = new boolean[1];
         if (to != null && !cut && !mute) {
-            w.reach.heartbeat(to, message(), c -> {
-                if (!heard[0] && up && session == mySession && !cut && !deaf) {
-                    heard[0] = true;
-                    hear(c, sent);
-                }
-            });
+            w.reach.heartbeat(
+                    to,
+                    message(),
+                    c -> {
+                        if (!heard[0] && up && session == mySession && !cut && !deaf) {
+                            heard[0] = true;
+                            hear(c, sent);
+                        }
+                    });
         }
-        givenUp = () -> {
-            if (!heard[0] && up) {
-                heard[0] = true;
-                inFlight = false;
-                node = null;
-                reportIn(0.2);
-            }
-        };
+        givenUp =
+                () -> {
+                    if (!heard[0] && up) {
+                        heard[0] = true;
+                        inFlight = false;
+                        node = null;
+                        reportIn(0.2);
+                    }
+                };
         // Where nothing listens, that is known at once, and the next node is tried a second later.
         w.after(to == null || mute ? 0.8 : 4, givenUp);
     }
 
-    /** Its lease is over once the last answered report was sent too long ago; what it had on it is gone then. */
+    /**
+     * Its lease is over once the last answered report was sent too long ago; what it had on it is
+     * gone then.
+     */
     private void expire() {
         if (hangs()) {
             goesOn(this::expire);
@@ -183,15 +220,16 @@
 
     private void hear(HeartbeatAnswer c, double sent) {
         if (hangs()) {
-            goesOn(() -> {
-                // Answers are dropped after 4 s, and those to an earlier session.
-                if (w.clock.now - sent < 4 && w.clock.now - answered <= w.leaseS) {
-                    hear(c, sent);
-                } else {
-                    inFlight = false;
-                    reportIn(0.2);
-                }
-            });
+            goesOn(
+                    () -> {
+                        // Answers are dropped after 4 s, and those to an earlier session.
+                        if (w.clock.now - sent < 4 && w.clock.now - answered <= w.leaseS) {
+                            hear(c, sent);
+                        } else {
+                            inFlight = false;
+                            reportIn(0.2);
+                        }
+                    });
             return;
         }
         inFlight = false;
@@ -246,28 +284,45 @@
         }
         images.add(s.image());
         t.state = State.WAITING;
-        List<Task> gang = w.workers.values().stream().flatMap(w -> w.tasks.values().stream()).filter(x ->
-                x.job.equals(t.job) && x.attempt == t.attempt && x.state == State.WAITING).toList();
+        List<Task> gang =
+                w.workers.values().stream()
+                        .flatMap(w -> w.tasks.values().stream())
+                        .filter(
+                                x ->
+                                        x.job.equals(t.job)
+                                                && x.attempt == t.attempt
+                                                && x.state == State.WAITING)
+                        .toList();
         if (gang.size() == s.tasks()) {
             gang.forEach(x -> x.state = State.RUNNING);
             // They complete together, and each machine reports that as any other change.
-            w.after(w.runsFor == null ? runsFor : w.runsFor.applyAsDouble(t.job), () -> gang.stream()
-                    .filter(x -> x.on() && x.state == State.RUNNING).forEach(x -> {
-                        x.state = State.ENDED;
-                        x.cause = Cause.DONE;
-                        w.completed.computeIfAbsent(x.job, k -> new HashSet<>()).add(x.number);
-                        w.clock.ended(x);
-                        x.worker.changed();
-                        w.users.completed(x);
-                    }));
+            w.after(
+                    w.runsFor == null ? runsFor : w.runsFor.applyAsDouble(t.job),
+                    () ->
+                            gang.stream()
+                                    .filter(x -> x.on() && x.state == State.RUNNING)
+                                    .forEach(
+                                            x -> {
+                                                x.state = State.ENDED;
+                                                x.cause = Cause.DONE;
+                                                w.completed
+                                                        .computeIfAbsent(
+                                                                x.job, k -> new HashSet<>())
+                                                        .add(x.number);
+                                                w.clock.ended(x);
+                                                x.worker.changed();
+                                                w.users.completed(x);
+                                            }));
             return;
         }
-        w.after(30, () -> {
-            if (t.state == State.WAITING) {
-                t.state = State.ENDED;
-                t.cause = Cause.ALONE;
-            }
-        });
+        w.after(
+                30,
+                () -> {
+                    if (t.state == State.WAITING) {
+                        t.state = State.ENDED;
+                        t.cause = Cause.ALONE;
+                    }
+                });
     }
 
     private void start(Order o, String key) {
@@ -277,7 +332,10 @@
         }
         // The range of all keys under that prefix.
         if (w.store.keys.subMap(Keys.GOING, Keys.GOING + "~").values().stream()
-                .anyMatch(e -> ((Map<?, ?>) e.value()).get("machines") instanceof List<?> l && l.contains(id))) {
+                .anyMatch(
+                        e ->
+                                ((Map<?, ?>) e.value()).get("machines") instanceof List<?> l
+                                        && l.contains(id))) {
             w.broken.add("started on a machine that goes: " + key + " on " + id);
         }
         started++;
@@ -289,23 +347,27 @@
         JobSpec s = w.specs.get(o.job());
         if (w.fetchS != null && s.gang()) {
             t.state = State.FETCHING;
-            w.after(images.contains(s.image()) ? 0 : w.fetchS.applyAsDouble(id), () -> fetched(t, key, s));
+            w.after(
+                    images.contains(s.image()) ? 0 : w.fetchS.applyAsDouble(id),
+                    () -> fetched(t, key, s));
             return;
         }
         boolean error = fails || w.mistaken.contains(o.job());
-        w.after(error ? 0.1 : w.runsFor == null ? runsFor : w.runsFor.applyAsDouble(o.job()), () -> {
-            if (up && tasks.get(key) == t && t.state != State.ENDED) {
-                t.state = State.ENDED;
-                t.cause = error ? Cause.ERROR : Cause.DONE;
-                if (!error) {
-                    w.completed.computeIfAbsent(t.job, k -> new HashSet<>()).add(t.number);
-                }
-                w.clock.ended(t);
-                changed();
-                if (!error) {
-                    w.users.completed(t);
-                }
-            }
-        });
+        w.after(
+                error ? 0.1 : w.runsFor == null ? runsFor : w.runsFor.applyAsDouble(o.job()),
+                () -> {
+                    if (up && tasks.get(key) == t && t.state != State.ENDED) {
+                        t.state = State.ENDED;
+                        t.cause = error ? Cause.ERROR : Cause.DONE;
+                        if (!error) {
+                            w.completed.computeIfAbsent(t.job, k -> new HashSet<>()).add(t.number);
+                        }
+                        w.clock.ended(t);
+                        changed();
+                        if (!error) {
+                            w.users.completed(t);
+                        }
+                    }
+                });
     }
 }
