--- a/src/main/java/io/kitepath/standin/World.java
+++ b/src/main/java/io/kitepath/standin/World.java
@@ -26,44 +26,67 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A small world in memory for stories: a clock, a store, a cloud, workers and up to three controllers. Nothing here
- * waits for real time, and nothing is random without a seed.
+ * A small world in memory for stories: a clock, a store, a cloud, workers and up to three
+ * controllers. Nothing here waits for real time, and nothing is random without a seed.
  */
 public final class World {
     /** Users wait so long for an answer about a job; what comes later is told to nobody. */
     private static final double USER_WAITS_S = 2;
 
-    /** Seconds between a worker's reports, those of its lease, and those that tasks of a cancelled job may take to go. */
+    /**
+     * Seconds between a worker's reports, those of its lease, and those that tasks of a cancelled
+     * job may take to go.
+     */
     public double reportS = 1;
+
     public double leaseS = 10;
     public double cancelS = 30;
 
     public final Clock clock;
+
     /** The cells that this world is one of, or null. */
     public final Cellular around;
+
     public final Directory directory;
+
     /** Requests and changes a second that the settings allow. */
     public double rps = 1000;
+
     public double writeRps = 1000;
+
     /** And the size of values. */
     public double valueKb = 8;
 
     public final Map<String, Facts.Team> teams = new LinkedHashMap<>();
+
     /** What the settings name as siblings, whether or not they run. */
     public final List<String> siblings = new ArrayList<>();
+
     public final List<Facts.Objective> objectives = new ArrayList<>();
     public final MemoryStore store = new MemoryStore(this);
     public final MemoryCloud cloud = new MemoryCloud();
     public final Map<String, Node> nodes = new LinkedHashMap<>();
+
     /** How many processes have been started under each node's name. */
     final Map<String, Integer> started = new HashMap<>();
+
     public final Map<String, Worker> workers = new TreeMap<>();
+
     /** Jobs that fail on every machine. */
     public final Set<String> mistaken = new HashSet<>();
-    /** How long a request to the store or the cloud takes to get there, and its answer back; fixed unless it is set. */
+
+    /**
+     * How long a request to the store or the cloud takes to get there, and its answer back; fixed
+     * unless it is set.
+     */
     public DoubleSupplier latencyS;
-    /** Whether the next answer of store or cloud is lost, which its node takes for an unknown outcome. */
+
+    /**
+     * Whether the next answer of store or cloud is lost, which its node takes for an unknown
+     * outcome.
+     */
     public BooleanSupplier losesAnswer = () -> false;
+
     /** How workers reach nodes. */
     public interface Reach {
         /** The names of nodes that a worker may try. */
@@ -75,12 +98,19 @@
 
     /** Reports of which a copy is kept until another node leads. */
     public Predicate<Report> keeps = r -> false;
-    /** Whether the copies come to every node as soon as it leads, else to itself once it has acted; and how long after. */
+
+    /**
+     * Whether the copies come to every node as soon as it leads, else to itself once it has acted;
+     * and how long after.
+     */
     public boolean keptForAll;
+
     public double keptAfterS = 0.001;
     private final List<Report> kept = new ArrayList<>();
+
     /** Copies that came that way. */
     public int keptBrought;
+
     private long leads;
     private long acts;
 
@@ -88,60 +118,110 @@
     public DoubleSupplier copyAfterS = () -> 0;
 
     /** To the nodes in memory, unless it is set to something else. */
-    public Reach reach = new Reach() {
-        @Override
-        public List<String> up() {
-            return nodes.values().stream().filter(n -> n.alive).map(n -> n.name).toList();
-        }
+    public Reach reach =
+            new Reach() {
+                @Override
+                public List<String> up() {
+                    return nodes.values().stream().filter(n -> n.alive).map(n -> n.name).toList();
+                }
+
+                @Override
+                public void heartbeat(
+                        String node, Report report, Consumer<HeartbeatAnswer> answer) {
+                    Node n = nodes.get(node);
+                    if (keeps.test(report)) {
+                        kept.add(report);
+                    }
+                    double late = copyAfterS.getAsDouble();
+                    if (late > 0) {
+                        // Whoever answers a copy is not heard.
+                        after(
+                                late,
+                                () ->
+                                        nodes.values().stream()
+                                                .filter(x -> x.alive)
+                                                .skip((long) (late * 7) % nodes.size())
+                                                .findFirst()
+                                                .ifPresent(
+                                                        x ->
+                                                                x.deliver(
+                                                                        () ->
+                                                                                x.controller
+                                                                                        .heartbeat(
+                                                                                                report,
+                                                                                                c -> {}))));
+                    }
+                    after(
+                            0.002,
+                            () ->
+                                    n.deliver(
+                                            () ->
+                                                    n.controller.heartbeat(
+                                                            report,
+                                                            c ->
+                                                                    after(
+                                                                            0.002,
+                                                                            () ->
+                                                                                    answer.accept(
+                                                                                            c)))));
+                }
+            };
 
-        @Override
-        public void heartbeat(String node, Report report, Consumer<HeartbeatAnswer> answer) {
-            Node n = nodes.get(node);
-            if (keeps.test(report)) {
-                kept.add(report);
-            }
-            double late = copyAfterS.getAsDouble();
-            if (late > 0) {
-                // Whoever answers a copy is not heard.
-                after(late, () -> nodes.values().stream().filter(x -> x.alive).skip((long) (late * 7) % nodes.size())
-                        .findFirst().ifPresent(x -> x.deliver(() -> x.controller.heartbeat(report, c -> { }))));
-            }
-            after(0.002, () -> n.deliver(() -> n.controller.heartbeat(report, c -> after(0.002, () -> answer.accept(c)))));
-        }
-    };
     /** Is told of every worker that there is from now on. */
-    public Consumer<Worker> born = x -> { };
+    public Consumer<Worker> born = x -> {};
+
     /** Workers get no direct commands. */
     public boolean refuseDirect;
+
     /** Which worker a node's direct commands reach, and its answer that node. */
     public BiPredicate<Node, Worker> commands = (n, x) -> true;
+
     /** How late they come. */
     public double directDelayS = 0.002;
-    /** How late the next one comes on a connection that its sender has given up by then; 0: it is not held up. */
+
+    /**
+     * How late the next one comes on a connection that its sender has given up by then; 0: it is
+     * not held up.
+     */
     public DoubleSupplier directHeldS = () -> 0;
+
     /** Answers that workers had to drop, as their token was lower than one that they had seen. */
     public int dropped;
+
     /**
-     * How long a machine fetches an image that it does not have, by its name; with this set, the tasks of a gang wait
-     * for each other, and give up after the settings' time.
+     * How long a machine fetches an image that it does not have, by its name; with this set, the
+     * tasks of a gang wait for each other, and give up after the settings' time.
      */
     public ToDoubleFunction<String> fetchS;
+
     public Map<String, JobSpec> specs = new HashMap<>();
-    /** After an answer that a job is accepted, done or cancelled, users ask at all nodes, and repeat, within milliseconds. */
+
+    /**
+     * After an answer that a job is accepted, done or cancelled, users ask at all nodes, and
+     * repeat, within milliseconds.
+     */
     public boolean closeLooks;
+
     /** Whether users call off the job whose last task completes, in that moment. */
     public Predicate<Task> cancelsAtEnd = t -> false;
+
     public final Rules rules = new Rules(this);
     public final Users users = new Users(this);
+
     /** How long a job's tasks run, by its id; null: as long as the machine's tasks do. */
     public ToDoubleFunction<String> runsFor;
+
     /** Whether workers report as soon as a task ends, as they do outside. */
     public boolean reportsChanges;
+
     /** Tasks that completed, by job. */
     public final Map<String, Set<Integer>> completed = new HashMap<>();
+
     /** What broke: a task that starts while it is on another machine. */
     public final List<String> broken = new ArrayList<>();
-    public MachineType type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
+
+    public MachineType type =
+            new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
     public List<String> zones = List.of("a", "b");
 
     public World() {
@@ -172,19 +252,32 @@
 
     /** Limits of the store that the settings announce, or null. */
     public Facts.StoreLimits next;
+
     /** What jobs need that were handed in here, by id. */
     public final Map<String, List<String>> needs = new HashMap<>();
+
     /** When they were accepted. */
     public final Map<String, Double> accepted = new HashMap<>();
+
     /** When users were told that a job is cancelled, by id. */
     public final Map<String, Double> toldCancelled = new HashMap<>();
+
     /** And that it is done. */
     public final Set<String> toldDone = new HashSet<>();
 
     public Facts facts(String node) {
-        return new Facts(node, "a", siblings.stream().filter(s -> !s.equals(node)).toList(), zones, teams, objectives,
-                new Facts.Workers(reportS, leaseS, 30, 5, cancelS), next == null ? limits() : limits().andLater(next),
-                new Facts.CloudLimits(10, Math.max(2, cloud.listLagS)), new Facts.Limits(1, 200, 1000), 5);
+        return new Facts(
+                node,
+                "a",
+                siblings.stream().filter(s -> !s.equals(node)).toList(),
+                zones,
+                teams,
+                objectives,
+                new Facts.Workers(reportS, leaseS, 30, 5, cancelS),
+                next == null ? limits() : limits().andLater(next),
+                new Facts.CloudLimits(10, Math.max(2, cloud.listLagS)),
+                new Facts.Limits(1, 200, 1000),
+                5);
     }
 
     private Facts.StoreLimits limits() {
@@ -199,7 +292,9 @@
     }
 
     public Node leader() {
-        return nodes.values().stream().filter(n -> n.alive && n.controller.leadsWith() == store.token()).findFirst()
+        return nodes.values().stream()
+                .filter(n -> n.alive && n.controller.leadsWith() == store.token())
+                .findFirst()
                 .orElseThrow();
     }
 
@@ -220,20 +315,75 @@
     }
 
     public static JobSpec onSpot(JobSpec s, double estimateS) {
-        return new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), s.tasks(), s.cpus(), s.gpus(),
-                s.memoryGb(), s.types(), s.zone(), s.oneZone(), s.spread(), true, s.image(), s.imageGb(),
-                estimateS, s.checkpointS(), s.saveS(), s.deadlineS());
+        return new JobSpec(
+                s.id(),
+                s.jobClass(),
+                s.team(),
+                s.shape(),
+                s.priority(),
+                s.tasks(),
+                s.cpus(),
+                s.gpus(),
+                s.memoryGb(),
+                s.types(),
+                s.zone(),
+                s.oneZone(),
+                s.spread(),
+                true,
+                s.image(),
+                s.imageGb(),
+                estimateS,
+                s.checkpointS(),
+                s.saveS(),
+                s.deadlineS());
     }
 
     public static JobSpec job(String id, JobSpec.Shape shape, int tasks, double cpus) {
-        return new JobSpec(id, "work", "red", shape, JobSpec.Priority.NORMAL, tasks, cpus, 0, 1, null, null, false,
-                false, false, "img", 1, 20, 0, 0, null);
+        return new JobSpec(
+                id,
+                "work",
+                "red",
+                shape,
+                JobSpec.Priority.NORMAL,
+                tasks,
+                cpus,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                false,
+                "img",
+                1,
+                20,
+                0,
+                0,
+                null);
     }
 
     public static JobSpec with(JobSpec s, String team, JobSpec.Priority priority, boolean oneZone) {
-        return new JobSpec(s.id(), s.jobClass(), team, s.shape(), priority, s.tasks(), s.cpus(), s.gpus(),
-                s.memoryGb(), s.types(), s.zone(), oneZone, s.spread(), s.spot(), s.image(), s.imageGb(),
-                s.estimateS(), s.checkpointS(), s.saveS(), s.deadlineS());
+        return new JobSpec(
+                s.id(),
+                s.jobClass(),
+                team,
+                s.shape(),
+                priority,
+                s.tasks(),
+                s.cpus(),
+                s.gpus(),
+                s.memoryGb(),
+                s.types(),
+                s.zone(),
+                oneZone,
+                s.spread(),
+                s.spot(),
+                s.image(),
+                s.imageGb(),
+                s.estimateS(),
+                s.checkpointS(),
+                s.saveS(),
+                s.deadlineS());
     }
 
     public Registry.Answer submit(Node n, JobSpec s, String... itsNeeds) {
@@ -241,12 +391,18 @@
         double asked = clock.now;
         specs.put(s.id(), s);
         needs.putIfAbsent(s.id(), List.of(itsNeeds));
-        n.controller.registry().submit(s, List.of(itsNeeds), a -> {
-            if (a.verdict() == Registry.Verdict.CREATED || a.verdict() == Registry.Verdict.KNOWN) {
-                rules.accepted(s.id());
-            }
-            got[0] = heard(s.id(), a, asked);
-        });
+        n.controller
+                .registry()
+                .submit(
+                        s,
+                        List.of(itsNeeds),
+                        a -> {
+                            if (a.verdict() == Registry.Verdict.CREATED
+                                    || a.verdict() == Registry.Verdict.KNOWN) {
+                                rules.accepted(s.id());
+                            }
+                            got[0] = heard(s.id(), a, asked);
+                        });
         run(0.1);
         return got[0];
     }
@@ -256,7 +412,10 @@
         return told(id, answer -> n.controller.registry().cancel(id, answer));
     }
 
-    /** So many jobs that run are called off within a fifth of a second; up to eight of their machines hang so long. */
+    /**
+     * So many jobs that run are called off within a fifth of a second; up to eight of their
+     * machines hang so long.
+     */
     public List<String> cancelNow(int count, double hangS, Random random) {
         return users.cancelNow(count, hangS, random);
     }
@@ -265,15 +424,19 @@
         return told(id, answer -> n.controller.registry().status(id, answer));
     }
 
-    /** What a user hears counts from the moment in which it does, also if that is later than the caller waits here. */
+    /**
+     * What a user hears counts from the moment in which it does, also if that is later than the
+     * caller waits here.
+     */
     private Registry.Answer told(String id, Consumer<Consumer<Registry.Answer>> question) {
         Registry.Answer[] got = new Registry.Answer[1];
         double asked = clock.now;
-        question.accept(a -> {
-            if (clock.now - asked <= USER_WAITS_S) {
-                got[0] = heard(id, a, asked);
-            }
-        });
+        question.accept(
+                a -> {
+                    if (clock.now - asked <= USER_WAITS_S) {
+                        got[0] = heard(id, a, asked);
+                    }
+                });
         run(0.1);
         return got[0];
     }
@@ -287,7 +450,8 @@
         return a;
     }
 
-    // ---- reports that are kept for another leader -------------------------------------------------
+    // ---- reports that are kept for another leader
+    // -------------------------------------------------
 
     /** The node says that it leads with that token. */
     void leads(long token) {
@@ -312,10 +476,21 @@
     private void bringKept(List<Node> to) {
         List<Report> copies = List.copyOf(kept);
         kept.clear();
-        after(keptAfterS, () -> copies.forEach(r -> to.stream().filter(n -> n.alive).forEach(n -> {
-            keptBrought++;
-            n.deliver(() -> n.controller.heartbeat(r, c -> { }));
-        })));
+        after(
+                keptAfterS,
+                () ->
+                        copies.forEach(
+                                r ->
+                                        to.stream()
+                                                .filter(n -> n.alive)
+                                                .forEach(
+                                                        n -> {
+                                                            keptBrought++;
+                                                            n.deliver(
+                                                                    () ->
+                                                                            n.controller.heartbeat(
+                                                                                    r, c -> {}));
+                                                        })));
     }
 
     public String status(Node n, String id) {
@@ -325,7 +500,10 @@
 
     /** How many tasks of the job are on machines. */
     public long onMachines(String job) {
-        return workers.values().stream().filter(w -> w.up).flatMap(w -> w.tasks.values().stream())
-                .filter(t -> t.job.equals(job) && t.state != State.ENDED).count();
+        return workers.values().stream()
+                .filter(w -> w.up)
+                .flatMap(w -> w.tasks.values().stream())
+                .filter(t -> t.job.equals(job) && t.state != State.ENDED)
+                .count();
     }
 }
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -18,8 +18,13 @@
     private static final Logger LOG = LoggerFactory.getLogger(HttpStore.class);
 
     private final HttpClient calls;
-    /** Renewals have a connection of their own, so that a queue of other calls can't cost us the lease. */
+
+    /**
+     * Renewals have a connection of their own, so that a queue of other calls can't cost us the
+     * lease.
+     */
     private final HttpClient renewals;
+
     private final HttpClient follows;
     private final long timeoutMs;
 
@@ -40,7 +45,10 @@
         try {
             return reading.of(Pack.value(body));
         } catch (Malformed e) {
-            LOG.warn("state service answered {} with a body that can't be read: {}", status, e.getMessage());
+            LOG.warn(
+                    "state service answered {} with a body that can't be read: {}",
+                    status,
+                    e.getMessage());
             return null;
         }
     }
@@ -51,26 +59,56 @@
 
     @Override
     public void get(String key, BiConsumer<Outcome, Entry> answer) {
-        calls.call("GET", "/keys/" + key, null, timeoutMs, (status, body) -> {
-            if (status == 200) {
-                Entry e = read(status, body, Wire::entry);
-                answer.accept(e == null ? Outcome.UNKNOWN : Outcome.OK, e);
-            } else {
-                answer.accept(status == 404 ? Outcome.NO : other(status), null);
-            }
-        });
+        calls.call(
+                "GET",
+                "/keys/" + key,
+                null,
+                timeoutMs,
+                (status, body) -> {
+                    if (status == 200) {
+                        Entry e = read(status, body, Wire::entry);
+                        answer.accept(e == null ? Outcome.UNKNOWN : Outcome.OK, e);
+                    } else {
+                        answer.accept(status == 404 ? Outcome.NO : other(status), null);
+                    }
+                });
     }
 
     @Override
     public void page(String prefix, String from, int limit, Consumer<Listing> answer) {
-        String path = "/keys?prefix=" + text(prefix) + (from.isEmpty() ? "" : "&from=" + text(from))
-                + "&limit=" + limit;
-        calls.call("GET", path, null, 2 * timeoutMs, (status, body) -> {
-            Listing page = status == 200 ? read(status, body, b ->
-                    new Listing(Outcome.OK, Wire.entries(b), Wire.revision(b), Wire.truncated(b))) : null;
-            answer.accept(page != null ? page
-                    : new Listing(status == 200 ? Outcome.UNKNOWN : other(status), List.of(), 0, false));
-        });
+        String path =
+                "/keys?prefix="
+                        + text(prefix)
+                        + (from.isEmpty() ? "" : "&from=" + text(from))
+                        + "&limit="
+                        + limit;
+        calls.call(
+                "GET",
+                path,
+                null,
+                2 * timeoutMs,
+                (status, body) -> {
+                    Listing page =
+                            status == 200
+                                    ? read(
+                                            status,
+                                            body,
+                                            b ->
+                                                    new Listing(
+                                                            Outcome.OK,
+                                                            Wire.entries(b),
+                                                            Wire.revision(b),
+                                                            Wire.truncated(b)))
+                                    : null;
+                    answer.accept(
+                            page != null
+                                    ? page
+                                    : new Listing(
+                                            status == 200 ? Outcome.UNKNOWN : other(status),
+                                            List.of(),
+                                            0,
+                                            false));
+                });
     }
 
     private static String text(String s) {
@@ -79,56 +117,107 @@
 
     @Override
     public void commit(Transaction t, Consumer<Committed> answer) {
-        calls.call("POST", "/multi", Wire.transaction(t), timeoutMs, (status, body) -> {
-            if (status == 200) {
-                Long revision = read(status, body, Wire::revision);
-                answer.accept(revision == null ? new Committed(Outcome.UNKNOWN, 0, List.of(), false)
-                        : new Committed(Outcome.OK, revision, List.of(), false));
-            } else if (status == 409) {
-                List<String> failed = read(status, body, Wire::failed);
-                answer.accept(new Committed(Outcome.NO, 0, failed == null ? List.of() : failed, false));
-            } else if (status == 400) {
-                String why = read(status, body, Wire::reason);
-                LOG.warn("state service refused a transaction of {} writes: {}", t.writes().size(), why);
-                // Only this one says something about the world; anything else is wrong with what was sent.
-                boolean lease = Wire.NO_SUCH_LEASE.equals(why);
-                answer.accept(new Committed(lease ? Outcome.NO : Outcome.INVALID, 0, List.of(), lease));
-            } else {
-                answer.accept(new Committed(other(status), 0, List.of(), false));
-            }
-        });
+        calls.call(
+                "POST",
+                "/multi",
+                Wire.transaction(t),
+                timeoutMs,
+                (status, body) -> {
+                    if (status == 200) {
+                        Long revision = read(status, body, Wire::revision);
+                        answer.accept(
+                                revision == null
+                                        ? new Committed(Outcome.UNKNOWN, 0, List.of(), false)
+                                        : new Committed(Outcome.OK, revision, List.of(), false));
+                    } else if (status == 409) {
+                        List<String> failed = read(status, body, Wire::failed);
+                        answer.accept(
+                                new Committed(
+                                        Outcome.NO, 0, failed == null ? List.of() : failed, false));
+                    } else if (status == 400) {
+                        String why = read(status, body, Wire::reason);
+                        LOG.warn(
+                                "state service refused a transaction of {} writes: {}",
+                                t.writes().size(),
+                                why);
+                        // Only this one says something about the world; anything else is wrong with
+                        // what was sent.
+                        boolean lease = Wire.NO_SUCH_LEASE.equals(why);
+                        answer.accept(
+                                new Committed(
+                                        lease ? Outcome.NO : Outcome.INVALID, 0, List.of(), lease));
+                    } else {
+                        answer.accept(new Committed(other(status), 0, List.of(), false));
+                    }
+                });
     }
 
     @Override
     public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {
-        renewals.call("POST", "/holds", Wire.leaseLife(lifeMs), timeoutMs, (status, body) -> {
-            Long id = status == 200 ? read(status, body, Wire::lease) : null;
-            answer.accept(id != null ? Outcome.OK : status == 200 ? Outcome.UNKNOWN : other(status), id);
-        });
+        renewals.call(
+                "POST",
+                "/holds",
+                Wire.leaseLife(lifeMs),
+                timeoutMs,
+                (status, body) -> {
+                    Long id = status == 200 ? read(status, body, Wire::lease) : null;
+                    answer.accept(
+                            id != null
+                                    ? Outcome.OK
+                                    : status == 200 ? Outcome.UNKNOWN : other(status),
+                            id);
+                });
     }
 
     @Override
     public void renew(long lease, Consumer<Outcome> answer) {
-        renewals.call("POST", "/holds/" + lease + "/renew", new byte[0], timeoutMs, (status, body) ->
-                answer.accept(status == 200 ? Outcome.OK : status == 404 ? Outcome.NO : other(status)));
+        renewals.call(
+                "POST",
+                "/holds/" + lease + "/renew",
+                new byte[0],
+                timeoutMs,
+                (status, body) ->
+                        answer.accept(
+                                status == 200
+                                        ? Outcome.OK
+                                        : status == 404 ? Outcome.NO : other(status)));
     }
 
     @Override
     public void revoke(long lease) {
-        renewals.call("DELETE", "/holds/" + lease, null, timeoutMs, (status, body) -> { });
+        renewals.call("DELETE", "/holds/" + lease, null, timeoutMs, (status, body) -> {});
     }
 
     @Override
     public void follow(String prefix, long after, long holdMs, Consumer<Changes> answer) {
         String path = "/follow?prefix=" + text(prefix) + "&from=" + after + "&holdMs=" + holdMs;
-        follows.call("GET", path, null, holdMs + timeoutMs, (status, body) -> {
-            Changes c = status == 200 ? read(status, body, b ->
-                    new Changes(Outcome.OK, Wire.revision(b), Wire.events(b))) : null;
-            if (c == null) {
-                c = new Changes(status == 410 ? Outcome.NO : status == 200 ? Outcome.UNKNOWN : other(status), 0,
-                        List.of());
-            }
-            answer.accept(c);
-        });
+        follows.call(
+                "GET",
+                path,
+                null,
+                holdMs + timeoutMs,
+                (status, body) -> {
+                    Changes c =
+                            status == 200
+                                    ? read(
+                                            status,
+                                            body,
+                                            b ->
+                                                    new Changes(
+                                                            Outcome.OK,
+                                                            Wire.revision(b),
+                                                            Wire.events(b)))
+                                    : null;
+                    if (c == null) {
+                        c =
+                                new Changes(
+                                        status == 410
+                                                ? Outcome.NO
+                                                : status == 200 ? Outcome.UNKNOWN : other(status),
+                                        0,
+                                        List.of());
+                    }
+                    answer.accept(c);
+                });
     }
 }
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -68,7 +68,12 @@
             }
             wrong = controller.impossible(spec);
             if (wrong == null) {
-                controller.registry().submit(spec, needs, a -> answer(a, a.verdict() == Registry.Verdict.CREATED, out));
+                controller
+                        .registry()
+                        .submit(
+                                spec,
+                                needs,
+                                a -> answer(a, a.verdict() == Registry.Verdict.CREATED, out));
                 return;
             }
             status = 422;
@@ -79,15 +84,25 @@
         known(id, status, wrong, out);
     }
 
-    /** A known id gets its state whatever else the body says, so the store is asked before anything is refused. */
+    /**
+     * A known id gets its state whatever else the body says, so the store is asked before anything
+     * is refused.
+     */
     private void known(String id, int status, String why, Responder out) {
-        controller.registry().status(id, a -> {
-            if (a.verdict() == Registry.Verdict.NOT_FOUND) {
-                out.reply(status, Wire.error(why), status == 503 ? controller.retryS() : 0);
-            } else {
-                answer(a, false, out);
-            }
-        });
+        controller
+                .registry()
+                .status(
+                        id,
+                        a -> {
+                            if (a.verdict() == Registry.Verdict.NOT_FOUND) {
+                                out.reply(
+                                        status,
+                                        Wire.error(why),
+                                        status == 503 ? controller.retryS() : 0);
+                            } else {
+                                answer(a, false, out);
+                            }
+                        });
     }
 
     private void answer(Answer a, boolean brief, Responder out) {
@@ -97,7 +112,11 @@
             case REFUSED -> out.reply(422, Wire.error(a.why()));
             case INVALID -> out.reply(400, Wire.error(a.why()));
             case NOT_FOUND -> out.reply(404, Wire.error("no such job"));
-            default -> out.reply(503, Wire.error("the state service can't be asked now"), controller.retryS());
+            default ->
+                    out.reply(
+                            503,
+                            Wire.error("the state service can't be asked now"),
+                            controller.retryS());
         }
     }
 }
--- a/src/main/java/io/kitepath/wire/Outside.java
+++ b/src/main/java/io/kitepath/wire/Outside.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The protocol as the other side speaks it: what state service, cloud and workers read and answer. For stand-ins. */
+/**
+ * The protocol as the other side speaks it: what state service, cloud and workers read and answer.
+ * For stand-ins.
+ */
 public final class Outside {
     /** What a node asks the cloud to rent. */
     public record Rent(String name, String type, String zone, boolean spot, int count) {}
@@ -36,7 +39,10 @@
                 if (w.has("remove")) {
                     out.remove(w.text("remove"));
                 } else {
-                    out.put(w.text("write"), w.raw("value"), w.has("tether") ? w.count("tether") : 0);
+                    out.put(
+                            w.text("write"),
+                            w.raw("value"),
+                            w.has("tether") ? w.count("tether") : 0);
                 }
             }
         }
@@ -60,13 +66,21 @@
     }
 
     public static byte[] listing(Store.Listing l) {
-        return Pack.bytes(Map.of("entries", l.entries().stream().map(Outside::shown).toList(), "truncated", l.more(),
-                "epoch", l.revision()));
+        return Pack.bytes(
+                Map.of(
+                        "entries",
+                        l.entries().stream().map(Outside::shown).toList(),
+                        "truncated",
+                        l.more(),
+                        "epoch",
+                        l.revision()));
     }
 
     public static byte[] committed(Store.Committed c) {
-        return Pack.bytes(c.outcome() == Store.Outcome.OK ? Map.of("epoch", c.revision())
-                : Map.of("failed", c.failed(), "epoch", c.revision()));
+        return Pack.bytes(
+                c.outcome() == Store.Outcome.OK
+                        ? Map.of("epoch", c.revision())
+                        : Map.of("failed", c.failed(), "epoch", c.revision()));
     }
 
     public static byte[] changes(Store.Changes c) {
@@ -110,7 +124,11 @@
 
     public static Rent rent(Object body) {
         Tree t = Tree.of(body);
-        return new Rent(t.text("hire"), t.text("frame"), t.text("field"), t.flag("loaners"),
+        return new Rent(
+                t.text("hire"),
+                t.text("frame"),
+                t.text("field"),
+                t.flag("loaners"),
                 (int) t.integer("count", 1, 50));
     }
 
@@ -148,24 +166,28 @@
             Map<String, Object> x = new LinkedHashMap<>();
             x.put("sheet", t.job() + "/" + t.task());
             x.put("try", t.attempt());
-            x.put("status", switch (t.state()) {
-                case FETCHING -> "pulling";
-                case WAITING -> "waiting";
-                case SAVING -> "saving";
-                case ENDED -> "ended";
-                default -> "running";
-            });
+            x.put(
+                    "status",
+                    switch (t.state()) {
+                        case FETCHING -> "pulling";
+                        case WAITING -> "waiting";
+                        case SAVING -> "saving";
+                        case ENDED -> "ended";
+                        default -> "running";
+                    });
             if (t.cause() != null) {
-                x.put("cause", switch (t.cause()) {
-                    case DONE -> "done";
-                    case STOPPED -> "halted";
-                    case PEERS -> "peers";
-                    case ALONE -> "alone";
-                    case NO_ROOM -> "full";
-                    case BUSY -> "in_use";
-                    case UNKNOWN -> "unknown";
-                    case ERROR -> "error";
-                });
+                x.put(
+                        "cause",
+                        switch (t.cause()) {
+                            case DONE -> "done";
+                            case STOPPED -> "halted";
+                            case PEERS -> "peers";
+                            case ALONE -> "alone";
+                            case NO_ROOM -> "full";
+                            case BUSY -> "in_use";
+                            case UNKNOWN -> "unknown";
+                            case ERROR -> "error";
+                        });
             }
             tasks.add(x);
         }
@@ -199,13 +221,19 @@
         for (Tree o : t.children("orders")) {
             String sheet = o.text("sheet");
             int slash = sheet.lastIndexOf('/');
-            Order.Verb verb = switch (o.text("verb")) {
-                case "launch" -> Order.Verb.START;
-                case "halt" -> Order.Verb.STOP;
-                default -> Order.Verb.FORGET;
-            };
-            out.add(new Order(verb, sheet.substring(0, slash), Integer.parseInt(sheet.substring(slash + 1)),
-                    o.count("try"), o.numberOr("windDownS", 0, 0)));
+            Order.Verb verb =
+                    switch (o.text("verb")) {
+                        case "launch" -> Order.Verb.START;
+                        case "halt" -> Order.Verb.STOP;
+                        default -> Order.Verb.FORGET;
+                    };
+            out.add(
+                    new Order(
+                            verb,
+                            sheet.substring(0, slash),
+                            Integer.parseInt(sheet.substring(slash + 1)),
+                            o.count("try"),
+                            o.numberOr("windDownS", 0, 0)));
         }
         return out;
     }
--- a/src/main/java/io/kitepath/wire/Pack.java
+++ b/src/main/java/io/kitepath/wire/Pack.java
@@ -18,8 +18,10 @@
 /** MessagePack bodies to and from plain maps, lists, text, numbers, booleans and null. */
 public final class Pack {
     private static final int MAX_DEPTH = 16;
-    private static final MessagePack.PackerConfig PACKER = new MessagePack.PackerConfig().withBufferSize(1024);
-    private static final MessagePack.UnpackerConfig UNPACKER = new MessagePack.UnpackerConfig().withBufferSize(1024);
+    private static final MessagePack.PackerConfig PACKER =
+            new MessagePack.PackerConfig().withBufferSize(1024);
+    private static final MessagePack.UnpackerConfig UNPACKER =
+            new MessagePack.UnpackerConfig().withBufferSize(1024);
 
     private Pack() {}
 
@@ -62,28 +64,33 @@
                 return in.unpackDouble();
             case STRING:
                 return in.unpackString();
-            case ARRAY: {
-                int n = counted(in.unpackArrayHeader(), size);
-                List<Object> list = new ArrayList<>(n);
-                for (int i = 0; i < n; i++) {
-                    list.add(read(in, size, depth + 1));
+            case ARRAY:
+                {
+                    int n = counted(in.unpackArrayHeader(), size);
+                    List<Object> list = new ArrayList<>(n);
+                    for (int i = 0; i < n; i++) {
+                        list.add(read(in, size, depth + 1));
+                    }
+                    return list;
                 }
-                return list;
-            }
-            case MAP: {
-                int n = counted(in.unpackMapHeader(), size);
-                Map<String, Object> map = new LinkedHashMap<>(n * 2);
-                for (int i = 0; i < n; i++) {
-                    map.put(in.unpackString(), read(in, size, depth + 1));
+            case MAP:
+                {
+                    int n = counted(in.unpackMapHeader(), size);
+                    Map<String, Object> map = new LinkedHashMap<>(n * 2);
+                    for (int i = 0; i < n; i++) {
+                        map.put(in.unpackString(), read(in, size, depth + 1));
+                    }
+                    return map;
                 }
-                return map;
-            }
             default:
                 throw new Malformed("body: binary values are not allowed");
         }
     }
 
-    /** Guards against a body that is refused for a number over 63 bits in a field that nobody here reads. */
+    /**
+     * Guards against a body that is refused for a number over 63 bits in a field that nobody here
+     * reads.
+     */
     private static Object integer(MessageUnpacker in) throws IOException {
         if (in.getNextFormat() != MessageFormat.UINT64) {
             return in.unpackLong();
@@ -92,7 +99,10 @@
         return n.bitLength() < Long.SIZE ? (Object) n.longValue() : (Object) n.doubleValue();
     }
 
-    /** Guards against a header that promises more items than the body has bytes, which would exhaust memory. */
+    /**
+     * Guards against a header that promises more items than the body has bytes, which would exhaust
+     * memory.
+     */
     private static int counted(int n, int size) {
         if (n < 0 || n > size) {
             throw new Malformed("body: cut short");
@@ -127,7 +137,10 @@
         }
     }
 
-    /** About how many bytes the value takes written as JSON, which is what the protocol's size limits count. */
+    /**
+     * About how many bytes the value takes written as JSON, which is what the protocol's size
+     * limits count.
+     */
     public static int jsonSize(Object value) {
         if (value instanceof String s) {
             return s.length() + 2;
--- a/src/main/java/io/kitepath/wire/Wire.java
+++ b/src/main/java/io/kitepath/wire/Wire.java
@@ -1,16 +1,16 @@
 package io.kitepath.wire;
 
-import io.kitepath.core.port.Cloud;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.model.JobState;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.model.Malformed;
 import io.kitepath.core.model.Order;
-import io.kitepath.core.model.JobState;
 import io.kitepath.core.model.Report;
-import io.kitepath.core.port.Store;
 import io.kitepath.core.model.Tree;
+import io.kitepath.core.port.Cloud;
+import io.kitepath.core.port.Store;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -48,11 +48,26 @@
 
     public static JobSpec submission(Object body) {
         Tree t = Tree.of(body);
-        return new JobSpec(submittedId(body), name(t, "lane"), name(t, "crew"), shape(t.text("shape")),
-                priority(t.text("urgency")), (int) t.integer("sheets", 1, MAX_TASKS), t.number("vcpus", 0),
-                t.number("cards", 0), t.number("ramGb", 0), t.has("frames") ? t.texts("frames") : null,
-                t.textOr("field", null), t.flag("oneZone"), t.flag("spread"), t.flag("loaners"), image(t),
-                t.number("sizeGb", 0), t.number("expectS", 0), t.number("markEveryS", 0), t.number("markCostS", 0),
+        return new JobSpec(
+                submittedId(body),
+                name(t, "lane"),
+                name(t, "crew"),
+                shape(t.text("shape")),
+                priority(t.text("urgency")),
+                (int) t.integer("sheets", 1, MAX_TASKS),
+                t.number("vcpus", 0),
+                t.number("cards", 0),
+                t.number("ramGb", 0),
+                t.has("frames") ? t.texts("frames") : null,
+                t.textOr("field", null),
+                t.flag("oneZone"),
+                t.flag("spread"),
+                t.flag("loaners"),
+                image(t),
+                t.number("sizeGb", 0),
+                t.number("expectS", 0),
+                t.number("markEveryS", 0),
+                t.number("markCostS", 0),
                 t.has("dueS") ? t.number("dueS", 0) : null);
     }
 
@@ -142,12 +157,25 @@
                 throw new Malformed("sheet: must look like j-000412/3");
             }
             Report.State state = state(x.text("status"));
-            tasks.add(new Report.TaskReport(sheet.substring(0, slash), task, x.count("try"), state,
-                    state == Report.State.ENDED ? cause(x.textOr("cause", "")) : null));
+            tasks.add(
+                    new Report.TaskReport(
+                            sheet.substring(0, slash),
+                            task,
+                            x.count("try"),
+                            state,
+                            state == Report.State.ENDED ? cause(x.textOr("cause", "")) : null));
         }
-        return new Report(t.text("host"), t.textOr("addr", ""), t.text("frame"), t.text("field"), t.flag("loaners"),
-                t.count("tenure"), t.count("tick"), t.count("baton"),
-                t.has("recallS") ? t.number("recallS", 0) : null, tasks);
+        return new Report(
+                t.text("host"),
+                t.textOr("addr", ""),
+                t.text("frame"),
+                t.text("field"),
+                t.flag("loaners"),
+                t.count("tenure"),
+                t.count("tick"),
+                t.count("baton"),
+                t.has("recallS") ? t.number("recallS", 0) : null,
+                tasks);
     }
 
     private static Report.State state(String s) {
@@ -189,11 +217,13 @@
         List<Object> list = new ArrayList<>(orders.size());
         for (Order o : orders) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put("verb", switch (o.verb()) {
-                case START -> "launch";
-                case STOP -> "halt";
-                case FORGET -> "clear";
-            });
+            m.put(
+                    "verb",
+                    switch (o.verb()) {
+                        case START -> "launch";
+                        case STOP -> "halt";
+                        case FORGET -> "clear";
+                    });
             m.put("sheet", o.job() + "/" + o.task());
             m.put("try", o.attempt());
             if (o.verb() == Order.Verb.STOP) {
@@ -216,10 +246,18 @@
     public static List<MachineType> types(Object body) {
         List<MachineType> out = new ArrayList<>();
         for (Tree t : Tree.of(body).children("frames")) {
-            out.add(new MachineType(t.text("name"), t.number("vcpus", 0), t.numberOr("cards", 0, 0),
-                    t.number("ramGb", 0), t.numberOr("localGb", 0, 0), t.numberOr("pullGbPerS", 0, 0),
-                    t.number("rate", 0), t.numberOr("spotPrice", 0, t.number("rate", 0)), t.number("readyS", 0),
-                    t.texts("fields")));
+            out.add(
+                    new MachineType(
+                            t.text("name"),
+                            t.number("vcpus", 0),
+                            t.numberOr("cards", 0, 0),
+                            t.number("ramGb", 0),
+                            t.numberOr("localGb", 0, 0),
+                            t.numberOr("pullGbPerS", 0, 0),
+                            t.number("rate", 0),
+                            t.numberOr("spotPrice", 0, t.number("rate", 0)),
+                            t.number("readyS", 0),
+                            t.texts("fields")));
         }
         return out;
     }
@@ -245,8 +283,14 @@
     public static List<Cloud.Listed> listed(Object body) {
         List<Cloud.Listed> out = new ArrayList<>();
         for (Tree t : Tree.of(body).children("hosts")) {
-            out.add(new Cloud.Listed(t.text("nameId"), t.text("frame"), t.text("field"), t.flag("loaners"),
-                    t.text("status"), t.numberOr("heldS", 0, 0)));
+            out.add(
+                    new Cloud.Listed(
+                            t.text("nameId"),
+                            t.text("frame"),
+                            t.text("field"),
+                            t.flag("loaners"),
+                            t.text("status"),
+                            t.numberOr("heldS", 0, 0)));
         }
         return out;
     }
@@ -297,8 +341,10 @@
     public static List<Store.Entry> events(Object body) {
         List<Store.Entry> out = new ArrayList<>();
         for (Tree t : Tree.of(body).children("events")) {
-            out.add(t.has("remove") ? new Store.Entry(t.text("remove"), null, t.count("stamp"))
-                    : new Store.Entry(t.text("write"), t.raw("value"), t.count("stamp")));
+            out.add(
+                    t.has("remove")
+                            ? new Store.Entry(t.text("remove"), null, t.count("stamp"))
+                            : new Store.Entry(t.text("write"), t.raw("value"), t.count("stamp")));
         }
         return out;
     }
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -1,9 +1,9 @@
 package io.kitepath.workers;
 
-import io.kitepath.core.port.DirectCommands;
 import io.kitepath.core.model.Malformed;
 import io.kitepath.core.model.Order;
 import io.kitepath.core.model.Report;
+import io.kitepath.core.port.DirectCommands;
 import io.kitepath.net.HttpClient;
 import io.kitepath.wire.Pack;
 import io.kitepath.wire.Wire;
@@ -14,7 +14,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Direct commands over HTTP, each on a connection of its own: hundreds of kept ones would fill the socket limit. */
+/**
+ * Direct commands over HTTP, each on a connection of its own: hundreds of kept ones would fill the
+ * socket limit.
+ */
 public final class HttpDirectCommands implements DirectCommands {
     private static final Logger LOG = LoggerFactory.getLogger(HttpDirectCommands.class);
 
@@ -29,18 +32,28 @@
     }
 
     @Override
-    public void send(String address, long token, long session, List<Order> orders, Consumer<Report> answer) {
+    public void send(
+            String address, long token, long session, List<Order> orders, Consumer<Report> answer) {
         InetSocketAddress to;
         try {
             int colon = address.lastIndexOf(':');
-            to = new InetSocketAddress(address.substring(0, Math.max(0, colon)),
-                    Integer.parseInt(address.substring(colon + 1)));
+            to =
+                    new InetSocketAddress(
+                            address.substring(0, Math.max(0, colon)),
+                            Integer.parseInt(address.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
             LOG.debug("a worker's address can't be used: {}", address);
             answer.accept(null);
             return;
         }
-        HttpClient.once(loop, to, maxBody, "POST", "/do", Wire.direct(token, session, orders), timeoutMs,
+        HttpClient.once(
+                loop,
+                to,
+                maxBody,
+                "POST",
+                "/do",
+                Wire.direct(token, session, orders),
+                timeoutMs,
                 (status, body) -> answer.accept(status == 200 ? report(body) : null));
     }
 
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -34,12 +34,14 @@
             out.reply(400, Wire.error(e.getMessage()));
             return;
         }
-        controller.heartbeat(report, a -> {
-            if (a.token() > 0) {
-                out.reply(200, Wire.orders(a.token(), a.orders()));
-            } else {
-                out.reply(421, Wire.anchor(a.anchor()));
-            }
-        });
+        controller.heartbeat(
+                report,
+                a -> {
+                    if (a.token() > 0) {
+                        out.reply(200, Wire.orders(a.token(), a.orders()));
+                    } else {
+                        out.reply(421, Wire.anchor(a.anchor()));
+                    }
+                });
     }
 }
--- a/src/test/java/io/kitepath/ArchitectureTest.java
+++ b/src/test/java/io/kitepath/ArchitectureTest.java
@@ -14,21 +14,44 @@
 
 /** Who may know whom; what docs/design.md says of the packages holds in the code. */
 class ArchitectureTest {
-    private static final JavaClasses CODE = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("io.kitepath");
+    private static final JavaClasses CODE =
+            new ClassFileImporter()
+                    .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                    .importPackages("io.kitepath");
 
     @Test
     void theCoreKnowsNoSocketsFilesOrWire() {
-        noClasses().that().resideInAPackage("io.kitepath.core..").should().dependOnClassesThat().resideInAnyPackage(
-                "io.netty..", "io.kitepath.wire..", "io.kitepath.net..", "java.net..", "java.nio..", "java.io..",
-                "com.esotericsoftware..", "org.msgpack..", "com.fasterxml..", "io.micrometer..").check(CODE);
+        noClasses()
+                .that()
+                .resideInAPackage("io.kitepath.core..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "io.netty..",
+                        "io.kitepath.wire..",
+                        "io.kitepath.net..",
+                        "java.net..",
+                        "java.nio..",
+                        "java.io..",
+                        "com.esotericsoftware..",
+                        "org.msgpack..",
+                        "com.fasterxml..",
+                        "io.micrometer..")
+                .check(CODE);
     }
 
     @Test
     void theCoreTakesTimeAndThreadsFromOutside() {
-        noClasses().that().resideInAPackage("io.kitepath.core..").should().callMethod(System.class, "nanoTime")
-                .orShould().callMethod(System.class, "currentTimeMillis")
-                .orShould().dependOnClassesThat().resideInAnyPackage("java.util.concurrent..", "java.time..")
+        noClasses()
+                .that()
+                .resideInAPackage("io.kitepath.core..")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.util.concurrent..", "java.time..")
                 .check(CODE);
     }
 
@@ -40,35 +63,60 @@
 
     @Test
     void eachRoomOfTheCoreKnowsOnlyWhatItMay() {
-        layeredArchitecture().consideringOnlyDependenciesInAnyPackage("io.kitepath.core..")
-                .layer("whole").definedBy("io.kitepath.core")
-                .layer("cell").definedBy("io.kitepath.core.cell")
-                .layer("serve").definedBy("io.kitepath.core.serve")
-                .layer("fleet").definedBy("io.kitepath.core.fleet")
-                .layer("duty").definedBy("io.kitepath.core.duty")
-                .layer("place").definedBy("io.kitepath.core.place")
-                .layer("lead").definedBy("io.kitepath.core.lead")
-                .layer("state").definedBy("io.kitepath.core.state")
-                .layer("block").definedBy("io.kitepath.core.block")
-                .layer("port").definedBy("io.kitepath.core.port")
-                .whereLayer("whole").mayNotBeAccessedByAnyLayer()
-                .whereLayer("cell").mayOnlyBeAccessedByLayers("whole")
-                .whereLayer("serve").mayOnlyBeAccessedByLayers("whole", "cell")
-                .whereLayer("fleet").mayOnlyBeAccessedByLayers("whole")
-                .whereLayer("duty").mayOnlyBeAccessedByLayers("whole", "fleet")
-                .whereLayer("place").mayOnlyBeAccessedByLayers("whole", "fleet", "cell")
-                .whereLayer("lead").mayOnlyBeAccessedByLayers("whole", "serve", "duty")
-                .whereLayer("state").mayOnlyBeAccessedByLayers("whole", "serve", "lead", "fleet", "cell",
-                        "duty")
-                .whereLayer("block").mayOnlyBeAccessedByLayers("whole", "serve", "fleet", "place", "state",
-                        "cell", "duty")
+        layeredArchitecture()
+                .consideringOnlyDependenciesInAnyPackage("io.kitepath.core..")
+                .layer("whole")
+                .definedBy("io.kitepath.core")
+                .layer("cell")
+                .definedBy("io.kitepath.core.cell")
+                .layer("serve")
+                .definedBy("io.kitepath.core.serve")
+                .layer("fleet")
+                .definedBy("io.kitepath.core.fleet")
+                .layer("duty")
+                .definedBy("io.kitepath.core.duty")
+                .layer("place")
+                .definedBy("io.kitepath.core.place")
+                .layer("lead")
+                .definedBy("io.kitepath.core.lead")
+                .layer("state")
+                .definedBy("io.kitepath.core.state")
+                .layer("block")
+                .definedBy("io.kitepath.core.block")
+                .layer("port")
+                .definedBy("io.kitepath.core.port")
+                .whereLayer("whole")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("cell")
+                .mayOnlyBeAccessedByLayers("whole")
+                .whereLayer("serve")
+                .mayOnlyBeAccessedByLayers("whole", "cell")
+                .whereLayer("fleet")
+                .mayOnlyBeAccessedByLayers("whole")
+                .whereLayer("duty")
+                .mayOnlyBeAccessedByLayers("whole", "fleet")
+                .whereLayer("place")
+                .mayOnlyBeAccessedByLayers("whole", "fleet", "cell")
+                .whereLayer("lead")
+                .mayOnlyBeAccessedByLayers("whole", "serve", "duty")
+                .whereLayer("state")
+                .mayOnlyBeAccessedByLayers("whole", "serve", "lead", "fleet", "cell", "duty")
+                .whereLayer("block")
+                .mayOnlyBeAccessedByLayers(
+                        "whole", "serve", "fleet", "place", "state", "cell", "duty")
                 .check(CODE);
     }
 
     @Test
     void onlyTheWireHasTheProtocolsNames() {
-        members().that().areDeclaredInClassesThat().resideOutsideOfPackage("io.kitepath.wire..")
-                .should(not(haveNameMatching("(?i).*(baton|sheet|tenure|crew|loaner|winddown|tether|urgency).*")))
+        members()
+                .that()
+                .areDeclaredInClassesThat()
+                .resideOutsideOfPackage("io.kitepath.wire..")
+                .should(
+                        not(
+                                haveNameMatching(
+                                        "(?i).*(baton|sheet|tenure|crew|loaner|winddown|tether|urgency).*")))
                 .check(CODE);
     }
 }
--- a/src/test/java/io/kitepath/CiRunTest.java
+++ b/src/test/java/io/kitepath/CiRunTest.java
@@ -16,8 +16,12 @@
 
 /** What .ci/run makes of KNOWN-RED.txt, with a Maven that is played by a few lines. */
 class CiRunTest {
-    /** Knows RedTest#fails, RedTest#breaks, RedTest#third and GreenTest#passes; all others together do as "strict" says. */
-    private static final String MAVEN = """
+    /**
+     * Knows RedTest#fails, RedTest#breaks, RedTest#third and GreenTest#passes; all others together
+     * do as "strict" says.
+     */
+    private static final String MAVEN =
+            """
             #!/bin/bash
             echo "$*" >> "$(dirname "$0")/../calls"
             case "$*" in
@@ -32,8 +36,7 @@
             esac
             """;
 
-    @TempDir
-    private Path dir;
+    @TempDir private Path dir;
     private String said;
 
     @BeforeEach
@@ -51,8 +54,12 @@
             Files.write(dir.resolve("KNOWN-RED.txt"), List.of(lines));
         }
         Files.deleteIfExists(dir.resolve("calls"));
-        ProcessBuilder b = new ProcessBuilder("bash", ".ci/run").directory(dir.toFile()).redirectErrorStream(true);
-        b.environment().merge("PATH", dir.resolve("bin").toString(), (path, first) -> first + ":" + path);
+        ProcessBuilder b =
+                new ProcessBuilder("bash", ".ci/run")
+                        .directory(dir.toFile())
+                        .redirectErrorStream(true);
+        b.environment()
+                .merge("PATH", dir.resolve("bin").toString(), (path, first) -> first + ":" + path);
         Process p = b.start();
         p.getOutputStream().close();
         said = new String(p.getInputStream().readAllBytes());
@@ -76,10 +83,20 @@
 
     @Test
     void listedTestsAreRunApartAndPrintedAndFailNothing() throws Exception {
-        assertEquals(0, run("# mended first next time", "", "RedTest#fails | a cause | issue 36",
-                "RedTest#breaks | another: with signs | issue 7"), "exit status");
-        assertEquals(List.of("-B -ntp test -Dtest=RedTest#fails", "-B -ntp test -Dtest=RedTest#breaks",
-                "-B -ntp verify -Dtest=!RedTest#fails,!RedTest#breaks"), calls());
+        assertEquals(
+                0,
+                run(
+                        "# mended first next time",
+                        "",
+                        "RedTest#fails | a cause | issue 36",
+                        "RedTest#breaks | another: with signs | issue 7"),
+                "exit status");
+        assertEquals(
+                List.of(
+                        "-B -ntp test -Dtest=RedTest#fails",
+                        "-B -ntp test -Dtest=RedTest#breaks",
+                        "-B -ntp verify -Dtest=!RedTest#fails,!RedTest#breaks"),
+                calls());
         assertTrue(said.contains("known red: RedTest#fails fails, as listed"), said);
         assertTrue(said.contains("RedTest.fails:7 expected"), said);
         assertTrue(said.contains("Tests run: 9"), said);
@@ -93,18 +110,35 @@
 
     @Test
     void threeAtMost() throws Exception {
-        assertEquals(0, run("RedTest#fails | a | issue 1", "RedTest#breaks | b | issue 1", "RedTest#third | c | issue 1"));
-        assertNotEquals(0, run("RedTest#fails | a | issue 1", "RedTest#breaks | b | issue 1",
-                "RedTest#third | c | issue 1", "RedTest#fourth | d | issue 1"));
+        assertEquals(
+                0,
+                run(
+                        "RedTest#fails | a | issue 1",
+                        "RedTest#breaks | b | issue 1",
+                        "RedTest#third | c | issue 1"));
+        assertNotEquals(
+                0,
+                run(
+                        "RedTest#fails | a | issue 1",
+                        "RedTest#breaks | b | issue 1",
+                        "RedTest#third | c | issue 1",
+                        "RedTest#fourth | d | issue 1"));
         assertTrue(said.contains("4 tests are listed"), said);
         assertEquals(List.of(), calls());
     }
 
     @Test
     void malformedLinesFailIt() throws Exception {
-        for (String line : List.of("RedTest#fails", "RedTest#fails | a cause", "RedTest#fails |  | issue 3",
-                "RedTest#fails | a cause | issue", "RedTest | a cause | issue 3", "*Test#* | all | issue 3",
-                "RedTest#fails,GreenTest#passes | a cause | issue 3", " RedTest#fails | a cause | issue 3")) {
+        for (String line :
+                List.of(
+                        "RedTest#fails",
+                        "RedTest#fails | a cause",
+                        "RedTest#fails |  | issue 3",
+                        "RedTest#fails | a cause | issue",
+                        "RedTest | a cause | issue 3",
+                        "*Test#* | all | issue 3",
+                        "RedTest#fails,GreenTest#passes | a cause | issue 3",
+                        " RedTest#fails | a cause | issue 3")) {
             assertNotEquals(0, run(line), line);
             assertTrue(said.contains("not of the form"), said);
             assertEquals(List.of(), calls());
@@ -123,7 +157,8 @@
 
     @Test
     void aListedTestThatPassesFailsIt() throws Exception {
-        assertNotEquals(0, run("RedTest#fails | a | issue 1", "GreenTest#passes | a cause | issue 3"));
+        assertNotEquals(
+                0, run("RedTest#fails | a | issue 1", "GreenTest#passes | a cause | issue 3"));
         assertTrue(said.contains("GreenTest#passes passes"), said);
     }
 }
--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -19,10 +19,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two or three of all troubles within a lease of each other, while users look closely, repeat what they sent, and call
- * jobs off as they end. Also drawn: leases, report intervals and cancel_s as tight as deployments have them, 1 to 5 nodes,
- * a store with low limits, teams at their limits, jobs bound to one zone or spread. With {@code -Dkitepath.seeds=N}: that
- * many, and {@code -Dkitepath.from=N}: from there.
+ * Two or three of all troubles within a lease of each other, while users look closely, repeat what
+ * they sent, and call jobs off as they end. Also drawn: leases, report intervals and cancel_s as
+ * tight as deployments have them, 1 to 5 nodes, a store with low limits, teams at their limits,
+ * jobs bound to one zone or spread. With {@code -Dkitepath.seeds=N}: that many, and {@code
+ * -Dkitepath.from=N}: from there.
  */
 class AllTroublesSeedsTest {
     private static final int IN_CI = 60;
@@ -74,8 +75,11 @@
         }
 
         private Node holder() {
-            return w.nodes.values().stream().filter(n -> n.alive && n.controller.leadership.leading())
-                    .filter(n -> random.nextInt(8) > 0).findFirst().orElseGet(this::any);
+            return w.nodes.values().stream()
+                    .filter(n -> n.alive && n.controller.leadership.leading())
+                    .filter(n -> random.nextInt(8) > 0)
+                    .findFirst()
+                    .orElseGet(this::any);
         }
 
         private List<Worker> some() {
@@ -83,11 +87,13 @@
         }
 
         private void back(Node n, double s) {
-            w.after(s, () -> {
-                if (!w.nodes.get(n.name).alive) {
-                    w.node(n.name).clockOffMs = n.clockOffMs;
-                }
-            });
+            w.after(
+                    s,
+                    () -> {
+                        if (!w.nodes.get(n.name).alive) {
+                            w.node(n.name).clockOffMs = n.clockOffMs;
+                        }
+                    });
         }
 
         private void ends(Node n) {
@@ -112,7 +118,9 @@
                 }
                 case 4 -> ends(o);
                 case 5, 6 -> ends(h);
-                case 7 -> (random.nextBoolean() ? h : o).frozenUntil = w.clock.now + upTo(2 * w.leaseS);
+                case 7 ->
+                        (random.nextBoolean() ? h : o).frozenUntil =
+                                w.clock.now + upTo(2 * w.leaseS);
                 case 8 -> {
                     w.store.hangs = n -> n == h;
                     w.after(upTo(40), () -> w.store.hangs = n -> false);
@@ -128,19 +136,23 @@
                 case 12 -> {
                     h.cutFromStore = true;
                     w.siblings.forEach(h.cutFrom::add);
-                    w.after(upTo(25), () -> {
-                        h.cutFromStore = false;
-                        h.cutFrom.clear();
-                    });
+                    w.after(
+                            upTo(25),
+                            () -> {
+                                h.cutFromStore = false;
+                                h.cutFrom.clear();
+                            });
                 }
                 case 13 -> some().forEach(x -> x.hangsUntil = w.clock.now + upTo(1.5 * w.leaseS));
                 case 14 -> {
                     w.directHeldS = () -> random.nextBoolean() ? 0.6 + upTo(8) : 0;
                     w.copyAfterS = () -> random.nextInt(4) == 0 ? 2 + upTo(1.5 * w.leaseS) : 0;
-                    w.after(upTo(30), () -> {
-                        w.directHeldS = () -> 0;
-                        w.copyAfterS = () -> 0;
-                    });
+                    w.after(
+                            upTo(30),
+                            () -> {
+                                w.directHeldS = () -> 0;
+                                w.copyAfterS = () -> 0;
+                            });
                 }
                 case 15 -> {
                     w.keptForAll = random.nextBoolean();
@@ -148,28 +160,38 @@
                     w.keeps = r -> random.nextInt(3) == 0;
                     w.after(upTo(30), () -> w.keeps = r -> false);
                 }
-                case 16 -> some().forEach(x -> {
-                    x.mute = true;
-                    w.after(upTo(2 * w.leaseS), () -> x.mute = false);
-                });
-                case 17 -> some().forEach(x -> {
-                    x.deaf = random.nextBoolean();
-                    x.cut = !x.deaf;
-                    w.after(upTo(1.5 * w.leaseS), () -> {
-                        x.deaf = false;
-                        x.cut = false;
-                    });
-                });
+                case 16 ->
+                        some().forEach(
+                                        x -> {
+                                            x.mute = true;
+                                            w.after(upTo(2 * w.leaseS), () -> x.mute = false);
+                                        });
+                case 17 ->
+                        some().forEach(
+                                        x -> {
+                                            x.deaf = random.nextBoolean();
+                                            x.cut = !x.deaf;
+                                            w.after(
+                                                    upTo(1.5 * w.leaseS),
+                                                    () -> {
+                                                        x.deaf = false;
+                                                        x.cut = false;
+                                                    });
+                                        });
                 case 18 -> w.cancelNow(3, random.nextBoolean() ? upTo(1.5 * w.leaseS) : 0, random);
                 case 19 -> {
                     w.nodes.values().forEach(Node::kill);
                     double away = upTo(2 * w.leaseS);
                     w.siblings.forEach(k -> back(w.nodes.get(k), away + upTo(2)));
                 }
-                case 20 -> some().stream().limit(2).forEach(x -> {
-                    x.die();
-                    w.cloud.machines.remove(x.id);
-                });
+                case 20 ->
+                        some().stream()
+                                .limit(2)
+                                .forEach(
+                                        x -> {
+                                            x.die();
+                                            w.cloud.machines.remove(x.id);
+                                        });
                 default -> {
                     w.cancelsAtEnd = t -> random.nextInt(2) == 0;
                     w.after(upTo(40), () -> w.cancelsAtEnd = t -> false);
@@ -180,10 +202,20 @@
         private void submit() {
             String id = "j-" + next++;
             Shape shape = random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY;
-            JobSpec s = World.with(World.job(id, shape, 1 + random.nextInt(4), random.nextInt(4) == 0 ? 2 : 1),
-                    random.nextInt(3) == 0 ? "blue" : "red", random.nextInt(4) == 0 ? Priority.HIGH : Priority.NORMAL,
-                    random.nextInt(4) == 0);
-            String need = random.nextInt(6) == 0 && !jobs.isEmpty() ? jobs.get(random.nextInt(jobs.size())) : null;
+            JobSpec s =
+                    World.with(
+                            World.job(
+                                    id,
+                                    shape,
+                                    1 + random.nextInt(4),
+                                    random.nextInt(4) == 0 ? 2 : 1),
+                            random.nextInt(3) == 0 ? "blue" : "red",
+                            random.nextInt(4) == 0 ? Priority.HIGH : Priority.NORMAL,
+                            random.nextInt(4) == 0);
+            String need =
+                    random.nextInt(6) == 0 && !jobs.isEmpty()
+                            ? jobs.get(random.nextInt(jobs.size()))
+                            : null;
             w.specs.put(id, s);
             w.needs.put(id, need == null ? List.of() : List.of(need));
             jobs.add(id);
@@ -212,7 +244,14 @@
                 switch (random.nextInt(12)) {
                     case 0 -> w.users.cancel(n, id);
                     case 1, 2 -> w.users.repeat(n, id);
-                    case 3 -> w.users.repeat(n, World.with(w.specs.get(id), "blue", Priority.LOW, true)); // Another body.
+                    case 3 ->
+                            w.users.repeat(
+                                    n,
+                                    World.with(
+                                            w.specs.get(id),
+                                            "blue",
+                                            Priority.LOW,
+                                            true)); // Another body.
                     default -> w.users.ask(n, id);
                 }
             }
@@ -267,8 +306,17 @@
             assertEquals(List.of(), r.w.broken, "seed " + seed);
             for (String id : r.w.accepted.keySet()) {
                 long of = seed;
-                assertTrue(r.w.toldDone.contains(id) || r.w.toldCancelled.containsKey(id), () -> "seed " + of + ": " + id + " "
-                        + r.w.ask(r.w.leader(), id) + ", needs " + r.w.needs.get(id));
+                assertTrue(
+                        r.w.toldDone.contains(id) || r.w.toldCancelled.containsKey(id),
+                        () ->
+                                "seed "
+                                        + of
+                                        + ": "
+                                        + id
+                                        + " "
+                                        + r.w.ask(r.w.leader(), id)
+                                        + ", needs "
+                                        + r.w.needs.get(id));
             }
             accepted += r.w.accepted.size();
             cancelled += r.w.toldCancelled.size();
@@ -276,9 +324,24 @@
             afterCancellation += r.w.rules.startsAfterCancellation();
             latest = Math.max(latest, r.w.rules.latestStartAfterS());
         }
-        System.out.println("all troubles: " + runs + " runs, " + accepted + " accepted, " + cancelled + " cancelled, " + starts
-                + " starts, " + afterCancellation + " after a cancellation, the latest " + latest + " s; met " + met);
+        System.out.println(
+                "all troubles: "
+                        + runs
+                        + " runs, "
+                        + accepted
+                        + " accepted, "
+                        + cancelled
+                        + " cancelled, "
+                        + starts
+                        + " starts, "
+                        + afterCancellation
+                        + " after a cancellation, the latest "
+                        + latest
+                        + " s; met "
+                        + met);
         assertEquals(KINDS, met.size());
-        assertTrue(accepted > 10 * runs && cancelled > 2 * runs, accepted + " accepted, " + cancelled + " cancelled");
+        assertTrue(
+                accepted > 10 * runs && cancelled > 2 * runs,
+                accepted + " accepted, " + cancelled + " cancelled");
     }
 }
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -25,8 +25,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What users send that is no job, or none that can ever run: 400 or 422 at every node, or 503 while it can't be known
- * that the id is new, and never accepted. What was accepted is answered with its state whatever a repetition says.
+ * What users send that is no job, or none that can ever run: 400 or 422 at every node, or 503 while
+ * it can't be known that the id is new, and never accepted. What was accepted is answered with its
+ * state whatever a repetition says.
  */
 class BadInputTest {
     private static final List<String> KNOWN = List.of("j-1", "j-2", "j-3");
@@ -43,7 +44,10 @@
 
     private static int[] send(World w, Node n, byte[] body) {
         int[] status = new int[1];
-        new UsersApi(n.controller).handle(new Request("POST", UsersApi.JOBS, "", body), (s, b, retry) -> status[0] = s);
+        new UsersApi(n.controller)
+                .handle(
+                        new Request("POST", UsersApi.JOBS, "", body),
+                        (s, b, retry) -> status[0] = s);
         return status;
     }
 
@@ -90,7 +94,10 @@
         nothingCameOfIt();
     }
 
-    /** Without a leader it can be told as well; before a node knows the machine types only what is malformed. */
+    /**
+     * Without a leader it can be told as well; before a node knows the machine types only what is
+     * malformed.
+     */
     @Test
     void alsoWithoutALeaderAndByANodeThatHasJustBegun() {
         begin();
@@ -98,11 +105,17 @@
         Node gone = w.leader();
         gone.crash();
         all(400, malformed());
-        assertTrue(w.nodes.values().stream().noneMatch(n -> n.alive && n.controller.leadership.leading()), "one leads");
+        assertTrue(
+                w.nodes.values().stream()
+                        .noneMatch(n -> n.alive && n.controller.leadership.leading()),
+                "one leads");
         w.run(15);
         w.leader().crash();
         all(422, impossible());
-        assertTrue(w.nodes.values().stream().noneMatch(n -> n.alive && n.controller.leadership.leading()), "one leads");
+        assertTrue(
+                w.nodes.values().stream()
+                        .noneMatch(n -> n.alive && n.controller.leadership.leading()),
+                "one leads");
         Node anew = w.node(gone.name);
         int[] knowsNoTypes = send(w, anew, Pack.bytes(with("nameId", "j-900", "crew", "nobody")));
         int[] malformed = send(w, anew, Pack.bytes(with("nameId", "j-901", "sheets", 0L)));
@@ -121,14 +134,21 @@
         List<Map<String, Object>> bodies = malformed();
         bodies.addAll(impossible());
         all(503, bodies);
-        for (Object id : Arrays.asList(null, 5L, "", "x-1", "j-", "j-1x", "j-1/0", List.of("j-1"))) {
+        for (Object id :
+                Arrays.asList(null, 5L, "", "x-1", "j-", "j-1x", "j-1/0", List.of("j-1"))) {
             for (Node n : w.nodes.values()) {
                 int[] got = send(w, n, Pack.bytes(with("nameId", id)));
                 assertEquals(400, got[0], "id " + id);
             }
         }
-        for (byte[] unreadable : List.of(new byte[0], new byte[] {(byte) 0xc1}, Pack.bytes(null), Pack.bytes("j-1"),
-                Pack.bytes(List.of(good("j-1"))), Arrays.copyOf(Pack.bytes(good("j-1")), 50))) {
+        for (byte[] unreadable :
+                List.of(
+                        new byte[0],
+                        new byte[] {(byte) 0xc1},
+                        Pack.bytes(null),
+                        Pack.bytes("j-1"),
+                        Pack.bytes(List.of(good("j-1"))),
+                        Arrays.copyOf(Pack.bytes(good("j-1")), 50))) {
             for (Node n : w.nodes.values()) {
                 assertEquals(400, send(w, n, unreadable)[0]);
             }
@@ -137,7 +157,10 @@
         nothingCameOfIt();
     }
 
-    /** One that runs, one that is done, one that is cancelled: repeated with each of these bodies, also in an outage. */
+    /**
+     * One that runs, one that is done, one that is cancelled: repeated with each of these bodies,
+     * also in an outage.
+     */
     @Test
     void anAcceptedJobIsKnownWhateverItsRepetitionSays() {
         begin();
@@ -163,8 +186,11 @@
                     bodies.forEach(b -> got.add(send(w, n, Pack.bytes(named(b, id)))));
                     w.run(3);
                     for (int i = 0; i < bodies.size(); i++) {
-                        // How a job ended is known for ever where it was told once, so an outage changes nothing.
-                        assertEquals(out == 1 && id.equals("j-1") ? 503 : 200, got.get(i)[0],
+                        // How a job ended is known for ever where it was told once, so an outage
+                        // changes nothing.
+                        assertEquals(
+                                out == 1 && id.equals("j-1") ? 503 : 200,
+                                got.get(i)[0],
                                 id + " " + n.name + " " + bodies.get(i));
                     }
                 }
@@ -190,7 +216,9 @@
         return got[0];
     }
 
-    /** Whatever is accepted runs, and nothing that is odd in it keeps a job beside it from running. */
+    /**
+     * Whatever is accepted runs, and nothing that is odd in it keeps a job beside it from running.
+     */
     @Test
     void whatIsAcceptedRunsAndSpoilsNothing() {
         for (Map<String, Object> body : odd()) {
@@ -200,7 +228,8 @@
             w.teams.put("tiny", new Facts.Team("tiny", 0, 0.3, 0, 0));
             assertEquals(201, accept(w.nodes.get("k0"), named(body, "j-1")), body.toString());
             w.run(2);
-            assertEquals(201, accept(w.nodes.get("k1"), named(good("j-0"), "j-2")), body.toString());
+            assertEquals(
+                    201, accept(w.nodes.get("k1"), named(good("j-0"), "j-2")), body.toString());
             w.rules.calm();
             w.run(100);
             assertEquals("done", w.status(w.nodes.get("k2"), "j-2"), "beside " + body);
@@ -209,7 +238,10 @@
         }
     }
 
-    /** Where all machines are in one zone and have room, others are rented for the half that has to be elsewhere. */
+    /**
+     * Where all machines are in one zone and have room, others are rented for the half that has to
+     * be elsewhere.
+     */
     @Test
     void aGangThatHasToSpreadGetsMachinesInAnotherZone() {
         for (String shape : List.of("group", "service")) {
@@ -221,10 +253,19 @@
             w.cloud.bootS = n -> 5;
             w.runsFor = id -> 200;
             w.run(5);
-            assertEquals(201, accept(w.nodes.get("k0"), named(with("shape", shape, "sheets", 4L, "spread", true), "j-1")));
+            assertEquals(
+                    201,
+                    accept(
+                            w.nodes.get("k0"),
+                            named(with("shape", shape, "sheets", 4L, "spread", true), "j-1")));
             w.run(60);
             assertEquals(4, w.onMachines("j-1"), shape);
-            assertEquals(2, w.workers.values().stream().filter(x -> x.zone.equals("b")).mapToInt(x -> x.tasks.size()).sum());
+            assertEquals(
+                    2,
+                    w.workers.values().stream()
+                            .filter(x -> x.zone.equals("b"))
+                            .mapToInt(x -> x.tasks.size())
+                            .sum());
             assertEquals(List.of(), w.broken, shape);
         }
     }
@@ -237,10 +278,19 @@
         w.siblings.add("k0");
         w.node("k0");
         w.run(5);
-        all(422, List.of(with("field", "a"), with("shape", "group", "sheets", 2L, "spread", true),
-                with("shape", "service", "sheets", 9L, "spread", true)));
-        assertEquals(List.of(List.of(201), List.of(201), List.of(201)), post(List.of(with("field", "b"),
-                with("sheets", 2L, "spread", true), with("shape", "group", "spread", true))));
+        all(
+                422,
+                List.of(
+                        with("field", "a"),
+                        with("shape", "group", "sheets", 2L, "spread", true),
+                        with("shape", "service", "sheets", 9L, "spread", true)));
+        assertEquals(
+                List.of(List.of(201), List.of(201), List.of(201)),
+                post(
+                        List.of(
+                                with("field", "b"),
+                                with("sheets", 2L, "spread", true),
+                                with("shape", "group", "spread", true))));
         w = new World();
         w.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of());
         w.siblings.add("k0");
@@ -249,7 +299,10 @@
         all(422, List.of(good("j-0")));
     }
 
-    /** A number that needs all 64 bits, in a field that nobody knows, is ignored as anything else there. */
+    /**
+     * A number that needs all 64 bits, in a field that nobody knows, is ignored as anything else
+     * there.
+     */
     @Test
     void aNumberOf64BitsInAnUnknownFieldIsIgnored() {
         begin();
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The gap: the store refuses the holder alone, another node confirms cancellations, then the store is out for all for
- * longer than cancel_s, while workers keep reporting to the old holder. The world's checker says what is still on a
- * machine cancel_s after any user was told.
+ * The gap: the store refuses the holder alone, another node confirms cancellations, then the store
+ * is out for all for longer than cancel_s, while workers keep reporting to the old holder. The
+ * world's checker says what is still on a machine cancel_s after any user was told.
  */
 class CancellationGapTest {
     private World w;
@@ -44,7 +44,10 @@
     }
 
     private Node other(Node than) {
-        return w.nodes.values().stream().filter(n -> n != than && n.alive).findFirst().orElseThrow();
+        return w.nodes.values().stream()
+                .filter(n -> n != than && n.alive)
+                .findFirst()
+                .orElseThrow();
     }
 
     private void cancelled(Node at, String id) {
@@ -57,7 +60,10 @@
         w.after(seconds, () -> n.cutFromStore = false);
     }
 
-    /** The store refuses the holder alone; another confirms that j-1 is cancelled, and its word does not get through. */
+    /**
+     * The store refuses the holder alone; another confirms that j-1 is cancelled, and its word does
+     * not get through.
+     */
     private Node confirmedUnheard(Node holder) {
         Node sibling = other(holder);
         sibling.losesWord = true;
@@ -285,18 +291,24 @@
         int told = 0;
         for (int page = 1; page < 8; page++) {
             Node first = settled(3);
-            Node sibling = w.siblings.stream().map(w.nodes::get).filter(n -> n != first).findFirst().orElseThrow();
+            Node sibling =
+                    w.siblings.stream()
+                            .map(w.nodes::get)
+                            .filter(n -> n != first)
+                            .findFirst()
+                            .orElseThrow();
             int from = w.store.pages + page;
             boolean[] once = {true};
-            w.store.refusePage = n -> {
-                if (n == from && once[0]) {
-                    once[0] = false;
-                    w.rules.asksToCancel("j-1");
-                    w.after(0, () -> sibling.controller.registry().cancel("j-1", a -> { }));
-                    w.after(0.008, () -> w.store.outage(60));
-                }
-                return false;
-            };
+            w.store.refusePage =
+                    n -> {
+                        if (n == from && once[0]) {
+                            once[0] = false;
+                            w.rules.asksToCancel("j-1");
+                            w.after(0, () -> sibling.controller.registry().cancel("j-1", a -> {}));
+                            w.after(0.008, () -> w.store.outage(60));
+                        }
+                        return false;
+                    };
             first.crash();
             w.run(8);
             w.ask(sibling, "j-1");
@@ -307,16 +319,24 @@
         assertTrue(told > 1, "told: " + told);
     }
 
-    /** The transaction is carried out late, another node's user is told by a poll, and its holder's watch hangs. */
+    /**
+     * The transaction is carried out late, another node's user is told by a poll, and its holder's
+     * watch hangs.
+     */
     @Test
     void whoIsToldByAPollIsToldToo() {
         Node holder = settled(3);
         Node sibling = other(holder);
-        Node third = w.nodes.values().stream().filter(n -> n != holder && n != sibling).findFirst().orElseThrow();
+        Node third =
+                w.nodes.values().stream()
+                        .filter(n -> n != holder && n != sibling)
+                        .findFirst()
+                        .orElseThrow();
         w.nodes.values().forEach(n -> n.losesWord = true);
         w.store.hangs = n -> n == holder;
         refuse(holder, 9);
-        w.store.late = t -> t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1")) ? 1 : 0;
+        w.store.late =
+                t -> t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1")) ? 1 : 0;
         assertEquals(null, w.cancel(sibling, "j-1"));
         sibling.crash();
         w.run(1.2);
@@ -333,7 +353,8 @@
         Node holder = settled(1);
         long before = sessions();
         w.store.hangs = n -> true;
-        w.store.late = t -> t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1")) ? 0.7 : 0;
+        w.store.late =
+                t -> t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1")) ? 0.7 : 0;
         w.cancel(holder, "j-1");
         // Just after it was carried out, and before the next comparison would find it.
         w.run(0.605);
@@ -351,8 +372,11 @@
     void anOldReportOfACancelledTaskKeepsNothingAlive() {
         Node holder = settled(3);
         long before = sessions();
-        Worker x = w.workers.values().stream().filter(y -> y.tasks.keySet().stream().anyMatch(k -> k.startsWith("j-1/")))
-                .findFirst().orElseThrow();
+        Worker x =
+                w.workers.values().stream()
+                        .filter(y -> y.tasks.keySet().stream().anyMatch(k -> k.startsWith("j-1/")))
+                        .findFirst()
+                        .orElseThrow();
         Report old = x.message();
         refuse(holder, 9);
         w.run(0.5);
@@ -360,7 +384,7 @@
         w.store.outage(60);
         for (int i = 0; i < 40; i++) {
             w.run(1);
-            w.nodes.values().forEach(n -> n.controller.heartbeat(old, c -> { }));
+            w.nodes.values().forEach(n -> n.controller.heartbeat(old, c -> {}));
         }
         kept(before);
     }
@@ -419,7 +443,10 @@
         assertEquals(0, got[0].token());
     }
 
-    /** A new holder that has not read the jobs leaves workers waiting for a moment, and costs none its session. */
+    /**
+     * A new holder that has not read the jobs leaves workers waiting for a moment, and costs none
+     * its session.
+     */
     @Test
     void aNewHolderAnswersOnlyOnceItKnowsWhatIsOpen() {
         Node first = settled(3);
@@ -436,8 +463,9 @@
     }
 
     /**
-     * Told after the list of open jobs was read and before their parts were: the list still has it. The store is out
-     * from then on, or from the moment on in which all is read, so that no watch ever corrects it.
+     * Told after the list of open jobs was read and before their parts were: the list still has it.
+     * The store is out from then on, or from the moment on in which all is read, so that no watch
+     * ever corrects it.
      */
     @Test
     void whatIsToldBetweenTheListAndThePartsIsNotBroughtBackByTheList() {
@@ -448,8 +476,11 @@
             Node next = null;
             while (next == null) {
                 w.run(0.01);
-                next = w.nodes.values().stream().filter(n -> n.alive && n.controller.leadership.leading()).findFirst()
-                        .orElse(null);
+                next =
+                        w.nodes.values().stream()
+                                .filter(n -> n.alive && n.controller.leadership.leading())
+                                .findFirst()
+                                .orElse(null);
             }
             w.store.refusePrefix = Keys.PART::equals;
             while (!next.controller.keeper.knowsRunning()) {
@@ -457,9 +488,13 @@
             }
             assertFalse(next.controller.keeper.loaded());
             Node holder = next;
-            Node sibling = w.nodes.values().stream().filter(n -> n != holder && n.alive).findFirst().orElseThrow();
+            Node sibling =
+                    w.nodes.values().stream()
+                            .filter(n -> n != holder && n.alive)
+                            .findFirst()
+                            .orElseThrow();
             w.rules.asksToCancel("j-1");
-            sibling.controller.registry().cancel("j-1", a -> { });
+            sibling.controller.registry().cancel("j-1", a -> {});
             w.run(0.02);
             w.ask(sibling, "j-1");
             assertTrue(w.toldCancelled.containsKey("j-1"));
@@ -488,8 +523,11 @@
         Node next = null;
         while (next == null) {
             w.run(0.01);
-            next = w.nodes.values().stream().filter(n -> n.alive && n.controller.leadership.leading()).findFirst()
-                    .orElse(null);
+            next =
+                    w.nodes.values().stream()
+                            .filter(n -> n.alive && n.controller.leadership.leading())
+                            .findFirst()
+                            .orElse(null);
         }
         w.store.slowS = 0.8;
         while (!next.controller.keeper.knowsRunning()) {
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -19,10 +19,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two or three troubles within a lease of each other, while users cancel and ask: refusals of the holder alone, outages,
- * silent siblings, a holder without both, ends, standstills, watches that hang, late transactions, late copies, machines
- * that are cut off, hear nothing or stand still, commands that are held up. The world's checker has the rules: nothing of
- * a job is on a machine cancel_s after any user was told that it is cancelled, nothing runs twice or goes back, and each
+ * Two or three troubles within a lease of each other, while users cancel and ask: refusals of the
+ * holder alone, outages, silent siblings, a holder without both, ends, standstills, watches that
+ * hang, late transactions, late copies, machines that are cut off, hear nothing or stand still,
+ * commands that are held up. The world's checker has the rules: nothing of a job is on a machine
+ * cancel_s after any user was told that it is cancelled, nothing runs twice or goes back, and each
  * accepted job is answered within 75 s once all is over.
  */
 class CancellationSeedsTest {
@@ -60,13 +61,18 @@
 
         /** Mostly the one that holds, or held last. */
         private Node holder() {
-            return w.nodes.values().stream().filter(n -> n.alive && n.controller.leadership.leading())
-                    .filter(n -> random.nextInt(8) > 0).findFirst().orElseGet(this::any);
+            return w.nodes.values().stream()
+                    .filter(n -> n.alive && n.controller.leadership.leading())
+                    .filter(n -> random.nextInt(8) > 0)
+                    .findFirst()
+                    .orElseGet(this::any);
         }
 
         private Node other(Node than) {
             Node n = any();
-            return n == than ? w.nodes.get("k" + (Integer.parseInt(n.name.substring(1)) + 1) % 3) : n;
+            return n == than
+                    ? w.nodes.get("k" + (Integer.parseInt(n.name.substring(1)) + 1) % 3)
+                    : n;
         }
 
         private double upTo(double s) {
@@ -106,29 +112,42 @@
                 case 10, 11 -> {
                     h.cutFromStore = true;
                     w.siblings.forEach(h.cutFrom::add);
-                    w.after(upTo(25), () -> {
-                        h.cutFromStore = false;
-                        h.cutFrom.clear();
-                    });
+                    w.after(
+                            upTo(25),
+                            () -> {
+                                h.cutFromStore = false;
+                                h.cutFrom.clear();
+                            });
                 }
-                case 12 -> w.workers.values().stream().filter(y -> y.up).skip(random.nextInt(3)).findFirst()
-                        .ifPresent(y -> y.hangsUntil = w.clock.now + upTo(20));
+                case 12 ->
+                        w.workers.values().stream()
+                                .filter(y -> y.up)
+                                .skip(random.nextInt(3))
+                                .findFirst()
+                                .ifPresent(y -> y.hangsUntil = w.clock.now + upTo(20));
                 case 13 -> {
                     double late = 0.6 + upTo(8);
                     w.directHeldS = () -> random.nextBoolean() ? late : 0;
                     w.copyAfterS = () -> random.nextInt(4) == 0 ? 2 + upTo(15) : 0;
-                    w.after(upTo(30), () -> {
-                        w.directHeldS = () -> 0;
-                        w.copyAfterS = () -> 0;
-                    });
+                    w.after(
+                            upTo(30),
+                            () -> {
+                                w.directHeldS = () -> 0;
+                                w.copyAfterS = () -> 0;
+                            });
                 }
                 default -> {
-                    Worker x = w.workers.values().stream().filter(y -> y.up).skip(random.nextInt(3)).findFirst().orElse(null);
+                    Worker x =
+                            w.workers.values().stream()
+                                    .filter(y -> y.up)
+                                    .skip(random.nextInt(3))
+                                    .findFirst()
+                                    .orElse(null);
                     if (x != null) {
                         x.deaf = random.nextBoolean();
                         x.cut = !x.deaf;
                         Report old = x.message();
-                        w.after(upTo(30), () -> any().controller.heartbeat(old, c -> { }));
+                        w.after(upTo(30), () -> any().controller.heartbeat(old, c -> {}));
                         w.after(upTo(12), () -> x.deaf = false);
                         w.after(upTo(12), () -> x.cut = false);
                     }
@@ -144,7 +163,14 @@
 
         void submit() {
             String id = "j-" + next++;
-            var a = w.submit(any(), job(id, random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(5), 1));
+            var a =
+                    w.submit(
+                            any(),
+                            job(
+                                    id,
+                                    random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY,
+                                    1 + random.nextInt(5),
+                                    1));
             if (a != null && a.verdict() == Verdict.CREATED) {
                 jobs.add(id);
             }
@@ -187,10 +213,11 @@
             calm = w.clock.now;
             Set<String> open = new HashSet<>(w.accepted.keySet());
             while (!open.isEmpty() && w.clock.now - calm < 75) {
-                open.removeIf(id -> {
-                    var a = w.ask(any(), id);
-                    return a != null && a.verdict() == Verdict.KNOWN;
-                });
+                open.removeIf(
+                        id -> {
+                            var a = w.ask(any(), id);
+                            return a != null && a.verdict() == Verdict.KNOWN;
+                        });
                 w.run(1);
             }
             open.forEach(id -> w.broken.add("forgotten: " + id));
@@ -208,9 +235,15 @@
             assertEquals(List.of(), r.w.broken, "seed " + seed);
             for (String id : r.jobs) {
                 var a = r.w.ask(r.w.leader(), id);
-                assertTrue(a != null && a.verdict() == Verdict.KNOWN, "seed " + seed + ": " + id + " " + a);
-                assertEquals(r.w.toldCancelled.containsKey(id) || a.state().status().equals("cancelled") ? "cancelled" : "done",
-                        a.state().status(), "seed " + seed + ": " + id);
+                assertTrue(
+                        a != null && a.verdict() == Verdict.KNOWN,
+                        "seed " + seed + ": " + id + " " + a);
+                assertEquals(
+                        r.w.toldCancelled.containsKey(id) || a.state().status().equals("cancelled")
+                                ? "cancelled"
+                                : "done",
+                        a.state().status(),
+                        "seed " + seed + ": " + id);
             }
             told += r.w.toldCancelled.size();
         }
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -21,15 +21,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs are cancelled while one controller's work changes hands, at each step of it and through each node, and at the very
- * moment at which the store refuses the leader alone, a second before it is out for longer than cancel_s, at each step of
- * the cancelling transaction. Work that runs, gangs, and what was placed and not launched yet. What starts although its
- * user was told before is counted: nobody can call back an answer that is under way.
+ * Jobs are cancelled while one controller's work changes hands, at each step of it and through each
+ * node, and at the very moment at which the store refuses the leader alone, a second before it is
+ * out for longer than cancel_s, at each step of the cancelling transaction. Work that runs, gangs,
+ * and what was placed and not launched yet. What starts although its user was told before is
+ * counted: nobody can call back an answer that is under way.
  */
 class CancelledAtHandOverTest {
     /** How a controller's work comes to change hands. */
     private enum Change {
-        STOPPED, KILLED, FROZEN, REFUSED, ALONE;
+        STOPPED,
+        KILLED,
+        FROZEN,
+        REFUSED,
+        ALONE;
 
         void happens(World w, Node n, double backAfterS) {
             switch (this) {
@@ -44,26 +49,41 @@
                     n.cutFrom.addAll(this == ALONE ? w.siblings : List.of());
                 }
             }
-            w.after(backAfterS, () -> {
-                n.cutFromStore = false;
-                n.cutFrom.clear();
-                if (!n.alive && w.nodes.get(n.name) == n) {
-                    w.node(n.name).clockOffMs = n.clockOffMs;
-                }
-            });
+            w.after(
+                    backAfterS,
+                    () -> {
+                        n.cutFromStore = false;
+                        n.cutFrom.clear();
+                        if (!n.alive && w.nodes.get(n.name) == n) {
+                            w.node(n.name).clockOffMs = n.clockOffMs;
+                        }
+                    });
         }
     }
 
     /** A moment of the change: before it, at it, or a step of the one that takes over. */
-    private enum Step { BEFORE, AT, AFTER, CLAIMED, LISTED, READ, LAUNCHED }
+    private enum Step {
+        BEFORE,
+        AT,
+        AFTER,
+        CLAIMED,
+        LISTED,
+        READ,
+        LAUNCHED
+    }
 
     private static final List<String> CANCELLED = List.of("j-1", "j-2", "j-3", "j-4");
 
     private World w;
     private Node old;
     private int runs;
-    /** Starts of jobs whose users had been told before that they are cancelled, and at most how long before. */
+
+    /**
+     * Starts of jobs whose users had been told before that they are cancelled, and at most how long
+     * before.
+     */
     private int tooLate;
+
     private double latestS;
 
     /** Work that runs, and, placed a moment ago, work that was not launched everywhere yet. */
@@ -81,7 +101,10 @@
         w.closeLooks = true;
     }
 
-    /** Placed, and launched at those machines only that happened to report; returns a node for users to cancel at. */
+    /**
+     * Placed, and launched at those machines only that happened to report; returns a node for users
+     * to cancel at.
+     */
     private Node fresh(int through) {
         w.run(runs % 10 * 0.2);
         w.submit(old, job("j-3", Shape.ARRAY, 6, 1));
@@ -91,15 +114,30 @@
     }
 
     private void cancels(Node first) {
-        w.accepted.keySet().stream().filter(CANCELLED::contains).sorted().forEach(id -> w.users.cancel(first, id));
+        w.accepted.keySet().stream()
+                .filter(CANCELLED::contains)
+                .sorted()
+                .forEach(id -> w.users.cancel(first, id));
     }
 
     /** Whether the one that takes over is as far as that. */
     private boolean reached(Step step) {
-        return step.compareTo(Step.AFTER) <= 0 || w.nodes.values().stream().anyMatch(n -> n != old && n.alive
-                && n.controller.leadership.leading() && (step == Step.CLAIMED || (step == Step.LISTED
-                ? n.controller.keeper.knowsRunning()
-                : n.controller.keeper.loaded() && (step == Step.READ || n.controller.heartbeats.launches() > 0))));
+        return step.compareTo(Step.AFTER) <= 0
+                || w.nodes.values().stream()
+                        .anyMatch(
+                                n ->
+                                        n != old
+                                                && n.alive
+                                                && n.controller.leadership.leading()
+                                                && (step == Step.CLAIMED
+                                                        || (step == Step.LISTED
+                                                                ? n.controller.keeper.knowsRunning()
+                                                                : n.controller.keeper.loaded()
+                                                                        && (step == Step.READ
+                                                                                || n.controller
+                                                                                                .heartbeats
+                                                                                                .launches()
+                                                                                        > 0))));
     }
 
     /** What was cancelled is gone, what was not runs, and who asks hears the same at each node. */
@@ -109,7 +147,9 @@
             if (w.accepted.containsKey(id)) {
                 assertTrue(w.toldCancelled.containsKey(id), at + ": nobody was told of " + id);
                 assertEquals(0, w.onMachines(id), at);
-                w.nodes.values().stream().filter(n -> n.alive).forEach(n -> assertEquals("cancelled", w.status(n, id), at));
+                w.nodes.values().stream()
+                        .filter(n -> n.alive)
+                        .forEach(n -> assertEquals("cancelled", w.status(n, id), at));
             }
         }
         assertEquals(4, w.onMachines("j-9"), at);
@@ -118,7 +158,10 @@
         latestS = Math.max(latestS, w.rules.latestStartAfterS());
     }
 
-    /** Each change, at each of its steps and some milliseconds off, through the old one, and each of the others. */
+    /**
+     * Each change, at each of its steps and some milliseconds off, through the old one, and each of
+     * the others.
+     */
     @Test
     void whatIsCancelledAtAnyStepOfAChangeIsGoneInTime() {
         int early = 0;
@@ -155,7 +198,10 @@
         few(early);
     }
 
-    /** Ten changes in two minutes, every other time with an outage over some of them, and cancellations at each. */
+    /**
+     * Ten changes in two minutes, every other time with an outage over some of them, and
+     * cancellations at each.
+     */
     @Test
     void tenChangesInTwoMinutes() {
         long changes = 0;
@@ -168,10 +214,15 @@
                 w.after(30 + random.nextInt(20), () -> w.store.outage(40));
             }
             for (int i = 0; i < 10; i++) {
-                old = w.nodes.values().stream().filter(n -> n.alive && n.controller.leadsWith() == w.store.token())
-                        .findFirst().orElse(old);
+                old =
+                        w.nodes.values().stream()
+                                .filter(n -> n.alive && n.controller.leadsWith() == w.store.token())
+                                .findFirst()
+                                .orElse(old);
                 String id = "j-1" + i;
-                w.submit(w.nodes.get("k" + random.nextInt(3)), job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 2, 1));
+                w.submit(
+                        w.nodes.get("k" + random.nextInt(3)),
+                        job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 2, 1));
                 double before = random.nextDouble() * 3;
                 w.run(before);
                 Change.values()[random.nextInt(5)].happens(w, old, 1 + random.nextInt(8));
@@ -189,7 +240,9 @@
             all += w.toldCancelled.size();
             for (String id : w.accepted.keySet()) {
                 if (!w.toldCancelled.containsKey(id)) {
-                    assertTrue(w.onMachines(id) > 0 && w.status(w.leader(), id).equals("running"), seed + ": " + id);
+                    assertTrue(
+                            w.onMachines(id) > 0 && w.status(w.leader(), id).equals("running"),
+                            seed + ": " + id);
                 }
             }
             kept("seed " + seed);
@@ -201,24 +254,39 @@
 
     private void launchesTake(double seconds, int[] on) {
         World.Reach usual = w.reach;
-        w.reach = new World.Reach() {
-            @Override
-            public List<String> up() {
-                return usual.up();
-            }
+        w.reach =
+                new World.Reach() {
+                    @Override
+                    public List<String> up() {
+                        return usual.up();
+                    }
 
-            @Override
-            public void heartbeat(String node, Report report, Consumer<HeartbeatAnswer> answer) {
-                usual.heartbeat(node, report, c -> {
-                    boolean held = on[0] >= 0 && c.orders().stream().anyMatch(o -> o.verb() == Order.Verb.START);
-                    on[0] += held ? 1 : 0;
-                    w.after(held ? seconds : 0, () -> answer.accept(c));
-                });
-            }
-        };
+                    @Override
+                    public void heartbeat(
+                            String node, Report report, Consumer<HeartbeatAnswer> answer) {
+                        usual.heartbeat(
+                                node,
+                                report,
+                                c -> {
+                                    boolean held =
+                                            on[0] >= 0
+                                                    && c.orders().stream()
+                                                            .anyMatch(
+                                                                    o ->
+                                                                            o.verb()
+                                                                                    == Order.Verb
+                                                                                            .START);
+                                    on[0] += held ? 1 : 0;
+                                    w.after(held ? seconds : 0, () -> answer.accept(c));
+                                });
+                    }
+                };
     }
 
-    /** Answers that launch are under way for seconds, as the new holder begins and everything is cancelled. */
+    /**
+     * Answers that launch are under way for seconds, as the new holder begins and everything is
+     * cancelled.
+     */
     @Test
     void launchesThatAreUnderWayGoOnWithinTheRule() {
         int all = 0;
@@ -244,7 +312,10 @@
         assertTrue(all > 2 * runs, "told: " + all);
     }
 
-    /** At each two milliseconds of the cancelling transaction, whatever becomes of it and of its answer. */
+    /**
+     * At each two milliseconds of the cancelling transaction, whatever becomes of it and of its
+     * answer.
+     */
     @Test
     void whatIsCancelledAtTheMomentOfTheRefusalIsGoneThoughTheStoreIsOutThen() {
         int early = 0;
@@ -252,20 +323,41 @@
             int fate = f;
             for (int through = 0; through < 3; through++) {
                 for (int ms = -2; ms <= 10; ms += 2) {
-                    String at = "fate " + fate + " through " + through + ", refused after " + ms + " ms";
+                    String at =
+                            "fate "
+                                    + fate
+                                    + " through "
+                                    + through
+                                    + ", refused after "
+                                    + ms
+                                    + " ms";
                     busy();
                     Node first = fresh(through);
                     // Of some, or all, of the others the old holder hears nothing any more.
-                    List<Node> silent = w.nodes.values().stream().filter(n -> n != old
-                            && (runs % 3 == 2 || runs % 3 == 1 && n == first)).toList();
+                    List<Node> silent =
+                            w.nodes.values().stream()
+                                    .filter(
+                                            n ->
+                                                    n != old
+                                                            && (runs % 3 == 2
+                                                                    || runs % 3 == 1 && n == first))
+                                    .toList();
                     silent.forEach(n -> n.cutFrom.add(old.name));
-                    Predicate<Transaction> ends = t -> t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.OVER));
+                    Predicate<Transaction> ends =
+                            t -> t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.OVER));
                     w.store.unheard = t -> fate == 1 && ends.test(t);
                     w.store.late = t -> fate == 2 && ends.test(t) ? 0.6 : 0;
                     w.after(0.002, () -> cancels(first));
                     // Carried out and not answered: users are told by whom they ask.
-                    w.after(0.95, () -> w.nodes.values().stream().filter(n -> n != old && n != first).forEach(n ->
-                            CANCELLED.forEach(id -> w.users.ask(n, id))));
+                    w.after(
+                            0.95,
+                            () ->
+                                    w.nodes.values().stream()
+                                            .filter(n -> n != old && n != first)
+                                            .forEach(
+                                                    n ->
+                                                            CANCELLED.forEach(
+                                                                    id -> w.users.ask(n, id))));
                     w.after(0.002 + ms / 1000.0, () -> old.cutFromStore = true);
                     w.after(1.002 + ms / 1000.0, () -> w.store.outage(50));
                     w.run(1.1);
@@ -287,13 +379,24 @@
     }
 
     /**
-     * Nobody calls back an answer that is under way, and a leader that the store refuses learns of it by the next renewal,
-     * a fifth of its lease later: after that nothing starts any more of what a user was told is cancelled.
+     * Nobody calls back an answer that is under way, and a leader that the store refuses learns of
+     * it by the next renewal, a fifth of its lease later: after that nothing starts any more of
+     * what a user was told is cancelled.
      */
     private void few(int told) {
-        System.out.println("starts after users were told: " + tooLate + ", the last " + latestS + " s after, " + told
-                + " jobs told of in " + runs + " days");
-        assertTrue(latestS < w.leader().controller.leadership.lifeS() / 5 + 0.02, "the last after " + latestS);
+        System.out.println(
+                "starts after users were told: "
+                        + tooLate
+                        + ", the last "
+                        + latestS
+                        + " s after, "
+                        + told
+                        + " jobs told of in "
+                        + runs
+                        + " days");
+        assertTrue(
+                latestS < w.leader().controller.leadership.lifeS() / 5 + 0.02,
+                "the last after " + latestS);
         assertTrue(tooLate <= told / 20, tooLate + " starts after users were told, of " + told);
     }
 }
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -54,7 +54,8 @@
     @Test
     void whatHomeCannotTakeInTimeRunsElsewhere() {
         settled(1, 10);
-        // Forty tasks of twenty seconds on four CPUs would take two hundred; goals are at a hundred.
+        // Forty tasks of twenty seconds on four CPUs would take two hundred; goals are at a
+        // hundred.
         String id = array(1, 40);
         c.until(20, () -> inWest(id) > 0);
         allDone(id);
@@ -152,8 +153,10 @@
     @Test
     void nothingIsOfferedThatIsNotWritten() {
         settled(1, 10);
-        // The write of the loan gets lost with the holder that made it; its successor knows nothing of it.
-        c.world("east").store.withheld = t -> t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/lent/"));
+        // The write of the loan gets lost with the holder that made it; its successor knows nothing
+        // of it.
+        c.world("east").store.withheld =
+                t -> t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/lent/"));
         String id = array(1, 40);
         c.run(6);
         assertTrue(c.world("east").store.heldBack.size() > 0);
@@ -169,7 +172,8 @@
         settled(1, 10);
         String id = array(1, 40);
         c.until(20, () -> inWest(id) > 0);
-        c.world("west").store.withheld = t -> t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/guest/"));
+        c.world("west").store.withheld =
+                t -> t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/guest/"));
         c.cancel(c.any("east"), id);
         c.run(5);
         assertEquals("LATER", c.cancel(c.any("east"), id));
@@ -182,7 +186,10 @@
     }
 
     private long started() {
-        return c.worlds.values().stream().flatMap(w -> w.workers.values().stream()).mapToLong(w -> w.started).sum();
+        return c.worlds.values().stream()
+                .flatMap(w -> w.workers.values().stream())
+                .mapToLong(w -> w.started)
+                .sum();
     }
 
     @Test
@@ -195,17 +202,35 @@
         c.leader("west").controller.cells().drain(true);
         copy[0] = false;
         c.run(5);
-        long taken = (long) c.leader("west").controller.figures().get("cells.taken").value().getAsDouble();
+        long taken =
+                (long)
+                        c.leader("west")
+                                .controller
+                                .figures()
+                                .get("cells.taken")
+                                .value()
+                                .getAsDouble();
         c.restart(c.leader("west"), 1);
-        c.until(10, () -> c.world("west").nodes.values().stream().anyMatch(n -> n.alive
-                && n.controller.leadership.leading() && n.controller.keeper.loaded()));
+        c.until(
+                10,
+                () ->
+                        c.world("west").nodes.values().stream()
+                                .anyMatch(
+                                        n ->
+                                                n.alive
+                                                        && n.controller.leadership.leading()
+                                                        && n.controller.keeper.loaded()));
         c.run(5);
         c.kept.forEach(Runnable::run);
         c.kept.forEach(Runnable::run);
         c.run(0.5);
         assertEquals(0, taken);
         for (CellMessage m : c.keptMessages) {
-            assertTrue(!c.world("west").store.keys.containsKey(Keys.guest("east", ((Offer) m).number())));
+            assertTrue(
+                    !c.world("west")
+                            .store
+                            .keys
+                            .containsKey(Keys.guest("east", ((Offer) m).number())));
         }
         allDone(id);
     }
@@ -223,7 +248,11 @@
     void aLostEndIsSaidAgainAndSettledOnce() {
         settled(1, 10);
         int[] n = new int[1];
-        c.loses = m -> (m instanceof Settled || m instanceof Word w && w.standing() == Standing.DONE) && n[0]++ < 6;
+        c.loses =
+                m ->
+                        (m instanceof Settled
+                                        || m instanceof Word w && w.standing() == Standing.DONE)
+                                && n[0]++ < 6;
         allDone(array(1, 40));
         assertTrue(n[0] >= 6, "lost " + n[0]);
     }
@@ -302,7 +331,8 @@
         c.run(30);
         String id = array(1, 8);
         c.until(40, () -> c.status(c.any("east"), id).equals("done"));
-        assertEquals(1, c.leader("east").controller.figures().get("cells.silent").value().getAsDouble());
+        assertEquals(
+                1, c.leader("east").controller.figures().get("cells.silent").value().getAsDouble());
         assertEquals(0, lent("east"));
     }
 
@@ -373,7 +403,10 @@
         allDone(id);
     }
 
-    /** The writes of one hand-over to its end, in both stores; each of them once the last one its node made. */
+    /**
+     * The writes of one hand-over to its end, in both stores; each of them once the last one its
+     * node made.
+     */
     @Test
     void everyWriteOfAHandOverMayBeTheLastOfItsNode() {
         int writes = handOver(0, "none");
@@ -394,18 +427,22 @@
         x.cell("west", 2, 10);
         x.run(12);
         int[] n = new int[1];
-        x.onLoanWrites((cell, by, t) -> {
-            if (++n[0] == at) {
-                for (String of : List.of("east", "west")) {
-                    boolean ends = who.equals("both") || who.equals("writer") && of.equals(cell)
-                            || who.equals("home") && of.equals("east") || who.equals("other") && of.equals("west");
-                    if (ends) {
-                        Node l = of.equals(cell) ? by : x.leader(of);
-                        x.restart(l, 8);
+        x.onLoanWrites(
+                (cell, by, t) -> {
+                    if (++n[0] == at) {
+                        for (String of : List.of("east", "west")) {
+                            boolean ends =
+                                    who.equals("both")
+                                            || who.equals("writer") && of.equals(cell)
+                                            || who.equals("home") && of.equals("east")
+                                            || who.equals("other") && of.equals("west");
+                            if (ends) {
+                                Node l = of.equals(cell) ? by : x.leader(of);
+                                x.restart(l, 8);
+                            }
+                        }
                     }
-                }
-            }
-        });
+                });
         String id = x.id("east", 1);
         x.submitSurely("east", job(id, Shape.ARRAY, 40, 1));
         x.until(300, () -> x.status(x.any("east"), id).equals("done"));
@@ -431,15 +468,20 @@
                 String home = i % 3 == 0 ? "west" : "east";
                 String id = x.id(home, i);
                 ids.add(id);
-                x.submitSurely(home, i % 3 == 1 ? job(id, Shape.GANG, 3, 4) : job(id, Shape.ARRAY, 30, 1));
+                x.submitSurely(
+                        home, i % 3 == 1 ? job(id, Shape.GANG, 3, 4) : job(id, Shape.ARRAY, 30, 1));
                 x.run(3);
             }
             x.run(10);
             String gone = ids.get(1);
-            x.until(120, () -> List.of("cancelled", "done").contains(x.cancel(x.any("east"), gone)));
+            x.until(
+                    120,
+                    () -> List.of("cancelled", "done").contains(x.cancel(x.any("east"), gone)));
             for (String id : ids) {
                 String home = x.world("east").directory.home(id);
-                x.until(400, () -> List.of("done", "cancelled").contains(x.status(x.any(home), id)));
+                x.until(
+                        400,
+                        () -> List.of("done", "cancelled").contains(x.status(x.any(home), id)));
             }
             x.run(100);
             assertEquals(List.of(), x.broken(), "seed " + seed);
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -20,41 +20,57 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Users ask at all nodes, again and again within milliseconds, and repeat the submission, right after a job was accepted,
- * ended or confirmed as cancelled; some cancel at once. No node may then answer something older, whatever else meets.
+ * Users ask at all nodes, again and again within milliseconds, and repeat the submission, right
+ * after a job was accepted, ended or confirmed as cancelled; some cancel at once. No node may then
+ * answer something older, whatever else meets.
  */
 class CloseLooksTest {
     /** Between two questions at the same node, and how many there are. */
     private static final double EVERY_S = 0.005;
+
     private static final int TIMES = 16;
 
     private int questions;
     private int lost;
 
-    /** From the moment in which the store has it that a job is accepted or over, so also before any user was told. */
+    /**
+     * From the moment in which the store has it that a job is accepted or over, so also before any
+     * user was told.
+     */
     private void storm(World w, Random random) {
-        w.store.written = (by, t) -> t.writes().stream().filter(x -> x.value() != null
-                && (x.key().startsWith(Keys.OPEN) || x.key().startsWith(Keys.OVER))).forEach(x -> {
-                    String id = x.key().substring(x.key().lastIndexOf('/') + 1);
-                    if (w.specs.containsKey(id)) {
-                        around(w, id, random);
-                    }
-                });
+        w.store.written =
+                (by, t) ->
+                        t.writes().stream()
+                                .filter(
+                                        x ->
+                                                x.value() != null
+                                                        && (x.key().startsWith(Keys.OPEN)
+                                                                || x.key().startsWith(Keys.OVER)))
+                                .forEach(
+                                        x -> {
+                                            String id =
+                                                    x.key().substring(x.key().lastIndexOf('/') + 1);
+                                            if (w.specs.containsKey(id)) {
+                                                around(w, id, random);
+                                            }
+                                        });
     }
 
     private void around(World w, String id, Random random) {
         for (String k : w.siblings) {
             for (int i = 0; i <= TIMES; i++) {
                 boolean repeats = i == TIMES;
-                w.after((repeats ? random.nextDouble() * TIMES : i + random.nextDouble()) * EVERY_S, () -> {
-                    Node n = w.nodes.get(k);
-                    if (n.alive && repeats) {
-                        w.users.repeat(n, id);
-                    } else if (n.alive) {
-                        w.users.ask(n, id);
-                    }
-                    questions += n.alive ? 1 : 0;
-                });
+                w.after(
+                        (repeats ? random.nextDouble() * TIMES : i + random.nextDouble()) * EVERY_S,
+                        () -> {
+                            Node n = w.nodes.get(k);
+                            if (n.alive && repeats) {
+                                w.users.repeat(n, id);
+                            } else if (n.alive) {
+                                w.users.ask(n, id);
+                            }
+                            questions += n.alive ? 1 : 0;
+                        });
             }
         }
     }
@@ -68,7 +84,7 @@
 
     /** All that was accepted ends, and every node says so. */
     private static void ends(World w, double seconds, String at) {
-        w.store.written = (by, t) -> { };
+        w.store.written = (by, t) -> {};
         w.store.unheard = t -> false;
         w.latencyS = null;
         w.run(1);
@@ -77,13 +93,18 @@
         for (String id : w.accepted.keySet()) {
             for (String k : w.siblings) {
                 String status = w.status(w.nodes.get(k), id);
-                assertTrue(List.of("done", "cancelled").contains(status), at + ": " + id + " is " + status);
+                assertTrue(
+                        List.of("done", "cancelled").contains(status),
+                        at + ": " + id + " is " + status);
             }
         }
         assertEquals(List.of(), w.broken, at);
     }
 
-    /** Requests that take from one to 600 ms, lost answers, nodes that end, come back or stand still. */
+    /**
+     * Requests that take from one to 600 ms, lost answers, nodes that end, come back or stand
+     * still.
+     */
     @Test
     void noNodeAnswersSomethingOlderWhateverElseMeets() {
         int accepted = 0;
@@ -94,26 +115,37 @@
             w.closeLooks = true;
             w.runsFor = id -> 1 + Math.floorMod(id.hashCode(), 4);
             w.latencyS = () -> 0.001 + random.nextDouble() * (random.nextInt(12) == 0 ? 0.6 : 0.01);
-            w.store.unheard = t -> {
-                boolean no = !t.writes().isEmpty() && random.nextInt(12) == 0;
-                lost += no ? 1 : 0;
-                return no;
-            };
+            w.store.unheard =
+                    t -> {
+                        boolean no = !t.writes().isEmpty() && random.nextInt(12) == 0;
+                        lost += no ? 1 : 0;
+                        return no;
+                    };
             w.cancelsAtEnd = t -> Math.floorMod(t.job.hashCode(), 3) == 0;
             storm(w, random);
             for (int i = 0; i < 10; i++) {
                 String id = "j-" + (100 + i);
-                w.specs.put(id, job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(2), 1));
+                w.specs.put(
+                        id,
+                        job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(2), 1));
                 w.users.repeat(w.nodes.get("k" + random.nextInt(3)), id);
                 if (random.nextInt(3) == 0) {
                     Node n = w.nodes.get("k" + random.nextInt(3));
-                    w.after(random.nextDouble() * 0.05, () -> w.users.cancel(w.nodes.get(n.name), id));
+                    w.after(
+                            random.nextDouble() * 0.05,
+                            () -> w.users.cancel(w.nodes.get(n.name), id));
                 }
                 Node n = w.nodes.get("k" + random.nextInt(3));
                 switch (random.nextInt(6)) {
-                    case 0 -> w.after(random.nextDouble() * 0.1, () -> kill(w, w.nodes.get(n.name), 0.3));
-                    case 1 -> w.after(random.nextDouble() * 0.1, () -> n.frozenUntil = w.clock.now + random.nextDouble());
-                    default -> { }
+                    case 0 ->
+                            w.after(
+                                    random.nextDouble() * 0.1,
+                                    () -> kill(w, w.nodes.get(n.name), 0.3));
+                    case 1 ->
+                            w.after(
+                                    random.nextDouble() * 0.1,
+                                    () -> n.frozenUntil = w.clock.now + random.nextDouble());
+                    default -> {}
                 }
                 w.run(0.4 + random.nextDouble());
             }
@@ -121,12 +153,23 @@
             accepted += w.accepted.size();
             cancelled += w.toldCancelled.size();
         }
-        System.out.println("close looks: " + accepted + " accepted, " + cancelled + " cancelled, " + questions
-                + " questions, " + lost + " answers lost");
+        System.out.println(
+                "close looks: "
+                        + accepted
+                        + " accepted, "
+                        + cancelled
+                        + " cancelled, "
+                        + questions
+                        + " questions, "
+                        + lost
+                        + " answers lost");
         assertTrue(accepted > 300 && cancelled > 60 && questions > 30_000 && lost > 40);
     }
 
-    /** The node that took the submission ends at each millisecond around its answer, and is back after 0.3 s. */
+    /**
+     * The node that took the submission ends at each millisecond around its answer, and is back
+     * after 0.3 s.
+     */
     @Test
     void whatANodeAcceptedAsItEndedIsForgottenByNone() {
         int told = 0;
@@ -154,7 +197,10 @@
         assertTrue(told > 20, "told " + told);
     }
 
-    /** The id again with other needs, as one that waits for itself, or larger than can be kept: known is known. */
+    /**
+     * The id again with other needs, as one that waits for itself, or larger than can be kept:
+     * known is known.
+     */
     @Test
     void aRepeatWithAnotherBodyIsNeverRefusedOnceTheJobWasAccepted() {
         int known = 0;
@@ -170,25 +216,39 @@
                     assertEquals("done", w.status(w.nodes.get("k1"), "j-1"));
                 }
                 kill(w, w.nodes.get("k" + back), 0.3);
-                // Nobody of that name ever was there, so the same needs are refused for any other id.
-                var wrong = List.of(List.of("j-77"), List.of("j-1"),
-                        IntStream.range(0, 30).mapToObj(i -> "j-9" + i).toList(),
-                        IntStream.range(0, 2000).mapToObj(i -> "j-8" + i).toList());
+                // Nobody of that name ever was there, so the same needs are refused for any other
+                // id.
+                var wrong =
+                        List.of(
+                                List.of("j-77"),
+                                List.of("j-1"),
+                                IntStream.range(0, 30).mapToObj(i -> "j-9" + i).toList(),
+                                IntStream.range(0, 2000).mapToObj(i -> "j-8" + i).toList());
                 for (int i = 0; i < 80; i++) {
                     Node n = w.nodes.get("k" + i % 3);
                     List<String> needs = wrong.get(i / 3 % wrong.size());
                     Answer[] got = new Answer[1];
                     if (n.alive) {
-                        n.controller.registry().submit(job("j-1", Shape.ARRAY, 1 + i % 2, 1), needs, a -> got[0] = a);
+                        n.controller
+                                .registry()
+                                .submit(
+                                        job("j-1", Shape.ARRAY, 1 + i % 2, 1),
+                                        needs,
+                                        a -> got[0] = a);
                     }
                     w.run(0.03);
                     if (got[0] != null) {
-                        assertTrue(List.of(Verdict.KNOWN, Verdict.LATER).contains(got[0].verdict()), got[0].toString());
+                        assertTrue(
+                                List.of(Verdict.KNOWN, Verdict.LATER).contains(got[0].verdict()),
+                                got[0].toString());
                         known += got[0].verdict() == Verdict.KNOWN ? 1 : 0;
                     }
                 }
                 Answer[] other = new Answer[1];
-                w.leader().controller.registry().submit(job("j-2", Shape.ARRAY, 1, 1), List.of("j-77"), a -> other[0] = a);
+                w.leader()
+                        .controller
+                        .registry()
+                        .submit(job("j-2", Shape.ARRAY, 1, 1), List.of("j-77"), a -> other[0] = a);
                 w.run(0.2);
                 assertEquals(Verdict.REFUSED, other[0].verdict());
                 ends(w, 30, "way " + way + ", back " + back);
@@ -197,7 +257,8 @@
         assertTrue(known > 300, "known " + known);
     }
 
-    // ---- answers on their way ---------------------------------------------------------------------
+    // ---- answers on their way
+    // ---------------------------------------------------------------------
 
     /** Asks there, and leaves what it hears, and when, to the story. */
     private static void ask(Node n, String id, Consumer<Answer> hears) {
@@ -208,7 +269,10 @@
         return a.verdict() == Verdict.KNOWN && a.state().status().equals(status);
     }
 
-    /** A node that was told of an end says so also to whoever asked it a moment before, when its answer goes out later. */
+    /**
+     * A node that was told of an end says so also to whoever asked it a moment before, when its
+     * answer goes out later.
+     */
     @Test
     void anAnswerOnItsWayIsNotOlderThanTheEndThatWasHeardOfMeanwhile() {
         int met = 0;
@@ -224,23 +288,38 @@
             List<String> older = new ArrayList<>();
             for (String k : w.siblings) {
                 for (int i = 0; i < 60; i++) {
-                    w.after(i * 0.004, () -> {
-                        double asked = w.clock.now;
-                        ask(w.nodes.get(k), "j-1", a -> {
-                            // The canceller's word takes a millisecond to its siblings.
-                            boolean after = w.clock.now > toldAt[0] + 0.0015;
-                            onTheWay[0] += after && asked < toldAt[0] ? 1 : 0;
-                            if (after && !says(a, "cancelled")) {
-                                older.add(k + " says " + a);
-                            }
-                        });
-                    });
+                    w.after(
+                            i * 0.004,
+                            () -> {
+                                double asked = w.clock.now;
+                                ask(
+                                        w.nodes.get(k),
+                                        "j-1",
+                                        a -> {
+                                            // The canceller's word takes a millisecond to its
+                                            // siblings.
+                                            boolean after = w.clock.now > toldAt[0] + 0.0015;
+                                            onTheWay[0] += after && asked < toldAt[0] ? 1 : 0;
+                                            if (after && !says(a, "cancelled")) {
+                                                older.add(k + " says " + a);
+                                            }
+                                        });
+                            });
                 }
             }
-            w.after(0.05, () -> w.nodes.get("k" + random.nextInt(3)).controller.registry().cancel("j-1", a -> {
-                assertTrue(says(a, "cancelled"));
-                toldAt[0] = w.clock.now;
-            }));
+            w.after(
+                    0.05,
+                    () ->
+                            w.nodes
+                                    .get("k" + random.nextInt(3))
+                                    .controller
+                                    .registry()
+                                    .cancel(
+                                            "j-1",
+                                            a -> {
+                                                assertTrue(says(a, "cancelled"));
+                                                toldAt[0] = w.clock.now;
+                                            }));
             w.run(2);
             assertTrue(toldAt[0] < w.clock.now);
             assertEquals(List.of(), older, "seed " + seed);
@@ -249,7 +328,10 @@
         assertTrue(met > 60, "on the way " + met);
     }
 
-    /** A node that has said that a job is accepted does not answer an earlier question with 404 any more. */
+    /**
+     * A node that has said that a job is accepted does not answer an earlier question with 404 any
+     * more.
+     */
     @Test
     void anAnswerOnItsWayIsNotOlderThanTheAcceptance() {
         int met = 0;
@@ -261,20 +343,34 @@
             boolean[] accepted = new boolean[1];
             List<Answer> onTheWay = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                w.after(i * 0.003, () -> {
-                    boolean before = !accepted[0];
-                    ask(n, "j-1", a -> {
-                        if (before && accepted[0]) {
-                            onTheWay.add(a);
-                        }
-                    });
-                });
+                w.after(
+                        i * 0.003,
+                        () -> {
+                            boolean before = !accepted[0];
+                            ask(
+                                    n,
+                                    "j-1",
+                                    a -> {
+                                        if (before && accepted[0]) {
+                                            onTheWay.add(a);
+                                        }
+                                    });
+                        });
             }
-            w.after(0.02, () -> n.controller.registry().submit(job("j-1", Shape.ARRAY, 1, 1), List.of(),
-                    a -> accepted[0] = a.verdict() == Verdict.CREATED));
+            w.after(
+                    0.02,
+                    () ->
+                            n.controller
+                                    .registry()
+                                    .submit(
+                                            job("j-1", Shape.ARRAY, 1, 1),
+                                            List.of(),
+                                            a -> accepted[0] = a.verdict() == Verdict.CREATED));
             w.run(1);
             assertTrue(accepted[0]);
-            assertTrue(onTheWay.stream().noneMatch(a -> a.verdict() == Verdict.NOT_FOUND), "seed " + seed + " " + onTheWay);
+            assertTrue(
+                    onTheWay.stream().noneMatch(a -> a.verdict() == Verdict.NOT_FOUND),
+                    "seed " + seed + " " + onTheWay);
             met += onTheWay.size();
         }
         assertTrue(met > 60, "on the way " + met);
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -42,10 +42,16 @@
         return (Long) ((Map<?, ?>) w.store.keys.get(Keys.DUTY_TOKEN + duty).value()).get("token");
     }
 
-    /** Nodes that could act now, since they believe that they have the duty and their lease is certain. */
+    /**
+     * Nodes that could act now, since they believe that they have the duty and their lease is
+     * certain.
+     */
     private long entitled(String duty) {
-        return w.nodes.values().stream().filter(n -> n.alive && w.clock.now >= n.frozenUntil)
-                .flatMap(n -> n.controller.duties().stream()).filter(s -> s.name().equals(duty) && s.mine()).count();
+        return w.nodes.values().stream()
+                .filter(n -> n.alive && w.clock.now >= n.frozenUntil)
+                .flatMap(n -> n.controller.duties().stream())
+                .filter(s -> s.name().equals(duty) && s.mine())
+                .count();
     }
 
     private double until(double most, BooleanSupplier so) {
@@ -103,8 +109,18 @@
             w.run(0.01);
             n.crash();
         }
-        assertTrue(until(3, () -> holder("cloud") != null && w.nodes.values().stream().anyMatch(n -> n.alive
-                && n.controller.holds())) < 0.5);
+        assertTrue(
+                until(
+                                3,
+                                () ->
+                                        holder("cloud") != null
+                                                && w.nodes.values().stream()
+                                                        .anyMatch(
+                                                                n ->
+                                                                        n.alive
+                                                                                && n.controller
+                                                                                        .holds()))
+                        < 0.5);
     }
 
     @Test
@@ -115,7 +131,8 @@
         w.run(5);
         String second = holder("cloud");
         int asked = w.cloud.rentals.size();
-        // Work comes whose machines are put down while the first one stands still, and its timers all fire as it goes on.
+        // Work comes whose machines are put down while the first one stands still, and its timers
+        // all fire as it goes on.
         w.submit(w.nodes.get(second), job("j-1", Shape.GANG, 3, 4));
         w.run(4.9);
         w.cloud.withheld = n -> n == first;
@@ -133,8 +150,12 @@
         first.cutFromStore = true;
         until(6, () -> holder("cloud") != null && !holder("cloud").equals(first.name));
         w.run(1);
-        long certain = w.nodes.values().stream().filter(n -> n != first)
-                .flatMap(n -> n.controller.duties().stream()).filter(s -> s.name().equals("cloud") && s.mine()).count();
+        long certain =
+                w.nodes.values().stream()
+                        .filter(n -> n != first)
+                        .flatMap(n -> n.controller.duties().stream())
+                        .filter(s -> s.name().equals("cloud") && s.mine())
+                        .count();
         assertEquals(1, certain);
         first.cutFromStore = false;
         w.run(10);
@@ -159,8 +180,15 @@
     void aClaimWhoseAnswerIsLostIsTheClaimantsAllTheSame() {
         nodes(3);
         boolean[] once = {true};
-        w.store.unheard = t -> t.writes().stream().anyMatch(x -> x.key().equals(Keys.DUTY + "cloud") && x.value() != null)
-                && once[0] && !(once[0] = false);
+        w.store.unheard =
+                t ->
+                        t.writes().stream()
+                                        .anyMatch(
+                                                x ->
+                                                        x.key().equals(Keys.DUTY + "cloud")
+                                                                && x.value() != null)
+                                && once[0]
+                                && !(once[0] = false);
         String first = holder("cloud");
         w.nodes.get(first).crash();
         until(6, () -> !once[0]);
@@ -192,8 +220,11 @@
         w.submit(w.nodes.get("k0"), job("j-1", Shape.GANG, 3, 4));
         long before = token("cloud");
         w.run(180);
-        // Each leaves it to the others for 10, 20, 40, 80 s, so gives it away five times at the most.
-        assertTrue(token("cloud") - before <= 15, "changed hands " + (token("cloud") - before) + " times");
+        // Each leaves it to the others for 10, 20, 40, 80 s, so gives it away five times at the
+        // most.
+        assertTrue(
+                token("cloud") - before <= 15,
+                "changed hands " + (token("cloud") - before) + " times");
         w.cloud.out = false;
         w.run(40);
         assertEquals(3, w.cloud.named);
@@ -223,10 +254,13 @@
                         n.cutFromStore = true;
                         x.after(random.nextDouble() * 6, () -> n.cutFromStore = false);
                     }
-                    default -> { }
+                    default -> {}
                 }
-                long entitled = x.nodes.values().stream().filter(y -> y.alive && x.clock.now >= y.frozenUntil)
-                        .filter(y -> y.controller.entitled("cloud")).count();
+                long entitled =
+                        x.nodes.values().stream()
+                                .filter(y -> y.alive && x.clock.now >= y.frozenUntil)
+                                .filter(y -> y.controller.entitled("cloud"))
+                                .count();
                 most = Math.max(most, entitled);
             }
             assertEquals(1, most, "seed " + seed);
--- a/src/test/java/io/kitepath/core/DutySeedsTest.java
+++ b/src/test/java/io/kitepath/core/DutySeedsTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Renting and returning on a bad network: messages to store and cloud take any time up to seconds, so that they pass
- * each other, answers are lost, requests to the cloud run a minute late, while nodes end, stand still and lose the store.
+ * Renting and returning on a bad network: messages to store and cloud take any time up to seconds,
+ * so that they pass each other, answers are lost, requests to the cloud run a minute late, while
+ * nodes end, stand still and lose the store.
  */
 class DutySeedsTest {
     private final class Run {
@@ -38,8 +39,13 @@
         }
 
         void badNetwork(boolean so) {
-            w.latencyS = so ? () -> random.nextInt(20) == 0 ? random.nextDouble() * 1.5 : 0.002 + random.nextDouble() * 0.05
-                    : null;
+            w.latencyS =
+                    so
+                            ? () ->
+                                    random.nextInt(20) == 0
+                                            ? random.nextDouble() * 1.5
+                                            : 0.002 + random.nextDouble() * 0.05
+                            : null;
             w.losesAnswer = so ? () -> random.nextInt(25) == 0 : () -> false;
             w.cloud.withheld = so ? n -> random.nextInt(6) == 0 : n -> false;
         }
@@ -69,7 +75,10 @@
             }
         }
 
-        /** One gang that needs so many machines, of a fleet that has none, with failures while it is served. */
+        /**
+         * One gang that needs so many machines, of a fleet that has none, with failures while it is
+         * served.
+         */
         void serve(String id, int machines) {
             needed += machines;
             // Only work comes through the good network; what is tested is what it sets off.
@@ -101,13 +110,24 @@
                 assertEquals("done", r.w.status(r.w.leader(), "j-" + i), at);
                 assertEquals(r.needed, r.w.cloud.named, at);
                 assertEquals(r.needed, r.w.cloud.released.stream().distinct().count(), at);
-                assertEquals(0, r.w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.ACT)).count(), at);
+                assertEquals(
+                        0,
+                        r.w.store.keys.keySet().stream()
+                                .filter(k -> k.startsWith(Keys.ACT))
+                                .count(),
+                        at);
             }
             assertEquals(List.of(), r.w.broken, "seed " + seed);
-            assertEquals(r.needed, r.w.workers.values().stream().mapToInt(x -> x.started).sum(), "seed " + seed);
+            assertEquals(
+                    r.needed,
+                    r.w.workers.values().stream().mapToInt(x -> x.started).sum(),
+                    "seed " + seed);
             faults += r.faults;
         }
-        System.out.println("renting and returning on a bad network: 60 runs, " + faults + " failures of nodes");
+        System.out.println(
+                "renting and returning on a bad network: 60 runs, "
+                        + faults
+                        + " failures of nodes");
         assertTrue(faults >= 900);
     }
 }
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -14,7 +14,6 @@
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.Keys;
 import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
 import java.util.List;
 import java.util.Map;
@@ -24,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * New machines are up within two seconds, long before a list shows them, and get work at once, while writes lag or are
- * not answered, and the leader ends: what was asked of the cloud is rented once, what was launched runs once, and
- * nothing stays rented for nothing.
+ * New machines are up within two seconds, long before a list shows them, and get work at once,
+ * while writes lag or are not answered, and the leader ends: what was asked of the cloud is rented
+ * once, what was launched runs once, and nothing stays rented for nothing.
  */
 class FastBootsTest {
     private static final int TASKS = 9;
@@ -51,18 +50,24 @@
     }
 
     private static void handIn(World w) {
-        for (JobSpec s : List.of(bound(job("j-1", Shape.GANG, 4, 2)), spread(job("j-2", Shape.SERVICE, 2, 2)),
-                bound(job("j-3", Shape.ARRAY, 3, 2)))) {
+        for (JobSpec s :
+                List.of(
+                        bound(job("j-1", Shape.GANG, 4, 2)),
+                        spread(job("j-2", Shape.SERVICE, 2, 2)),
+                        bound(job("j-3", Shape.ARRAY, 3, 2)))) {
             while (!w.accepted.containsKey(s.id())) {
-                w.submit(w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow(), s);
+                w.submit(
+                        w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow(),
+                        s);
             }
         }
     }
 
     /** Rentals on record that are not known to be settled, while a machine of theirs is up. */
     private static boolean upBeforeKnown(World w) {
-        return !w.workers.isEmpty() && w.store.keys.subMap(Keys.RENT, Keys.RENT + "~").values().stream()
-                .anyMatch(e -> !((Map<?, ?>) e.value()).containsKey("machines"));
+        return !w.workers.isEmpty()
+                && w.store.keys.subMap(Keys.RENT, Keys.RENT + "~").values().stream()
+                        .anyMatch(e -> !((Map<?, ?>) e.value()).containsKey("machines"));
     }
 
     private static boolean launchedBeforeListed(World w) {
@@ -78,7 +83,9 @@
     }
 
     private static Node holder(World w) {
-        return w.nodes.values().stream().filter(n -> n.alive && n.controller.leadership.leading()).findFirst()
+        return w.nodes.values().stream()
+                .filter(n -> n.alive && n.controller.leadership.leading())
+                .findFirst()
                 .orElse(w.nodes.get("k0"));
     }
 
@@ -95,11 +102,17 @@
         }
         assertTrue(w.cloud.named <= most, at + ": rented " + w.cloud.named);
         assertEquals(Map.of(), w.cloud.machines, at);
-        assertEquals(List.of(), w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.ACT)).toList(), at);
+        assertEquals(
+                List.of(),
+                w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.ACT)).toList(),
+                at);
         runs++;
     }
 
-    /** A day on which nothing goes wrong: how many machines it takes, which the other days are measured by. */
+    /**
+     * A day on which nothing goes wrong: how many machines it takes, which the other days are
+     * measured by.
+     */
     private int usual() {
         World w = world();
         handIn(w);
@@ -109,49 +122,90 @@
         return w.cloud.named;
     }
 
-    // ---- each write, as the leader ends ------------------------------------------------------------
+    // ---- each write, as the leader ends
+    // ------------------------------------------------------------
 
-    private enum Lag { LATE, UNHEARD, LOST }
+    private enum Lag {
+        LATE,
+        UNHEARD,
+        LOST
+    }
 
     /**
-     * The n-th write from the first rental on is late, or carried out without an answer, or lost, and whoever leads ends
-     * at that moment or a little later. Answers false if there are fewer writes.
+     * The n-th write from the first rental on is late, or carried out without an answer, or lost,
+     * and whoever leads ends at that moment or a little later. Answers false if there are fewer
+     * writes.
      */
-    private boolean writeLags(int n, Lag lag, double endsAfter, boolean cut, int usual, Map<String, Integer> met) {
+    private boolean writeLags(
+            int n, Lag lag, double endsAfter, boolean cut, int usual, Map<String, Integer> met) {
         World w = world();
         int[] count = new int[1];
-        Consumer<Transaction> meets = t -> {
-            t.writes().forEach(x -> met.merge(x.key().replaceAll("[0-9].*", "")
-                    + (x.value() instanceof Map<?, ?> m && m.containsKey("machines") ? "with machines" : ""), 1, Integer::sum));
-            w.after(endsAfter, () -> {
-                met.merge(upBeforeKnown(w) ? "up before known" : "-", 1, Integer::sum);
-                met.merge(launchedBeforeListed(w) ? "launched before listed" : "-", 1, Integer::sum);
-                if (cut) {
-                    w.workers.values().forEach(x -> x.cut = true);
-                    w.after(4, () -> w.workers.values().forEach(x -> x.cut = false));
-                }
-                ends(w, holder(w));
-            });
-        };
-        w.store.unheard = t -> {
-            boolean rents = t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.RENT));
-            if (lag == Lag.UNHEARD && (count[0] > 0 && !t.writes().isEmpty() || rents) && count[0]++ == n) {
-                meets.accept(t);
-                return true;
-            }
-            return false;
-        };
-        w.store.late = t -> {
-            boolean rents = t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.RENT));
-            if (lag != Lag.UNHEARD && (count[0] > 0 || rents) && count[0]++ == n) {
-                meets.accept(t);
-                return lag == Lag.LATE ? 3.5 : 1e6;
-            }
-            return 0;
-        };
+        Consumer<Transaction> meets =
+                t -> {
+                    t.writes()
+                            .forEach(
+                                    x ->
+                                            met.merge(
+                                                    x.key().replaceAll("[0-9].*", "")
+                                                            + (x.value() instanceof Map<?, ?> m
+                                                                            && m.containsKey(
+                                                                                    "machines")
+                                                                    ? "with machines"
+                                                                    : ""),
+                                                    1,
+                                                    Integer::sum));
+                    w.after(
+                            endsAfter,
+                            () -> {
+                                met.merge(
+                                        upBeforeKnown(w) ? "up before known" : "-",
+                                        1,
+                                        Integer::sum);
+                                met.merge(
+                                        launchedBeforeListed(w) ? "launched before listed" : "-",
+                                        1,
+                                        Integer::sum);
+                                if (cut) {
+                                    w.workers.values().forEach(x -> x.cut = true);
+                                    w.after(
+                                            4,
+                                            () -> w.workers.values().forEach(x -> x.cut = false));
+                                }
+                                ends(w, holder(w));
+                            });
+                };
+        w.store.unheard =
+                t -> {
+                    boolean rents =
+                            t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.RENT));
+                    if (lag == Lag.UNHEARD
+                            && (count[0] > 0 && !t.writes().isEmpty() || rents)
+                            && count[0]++ == n) {
+                        meets.accept(t);
+                        return true;
+                    }
+                    return false;
+                };
+        w.store.late =
+                t -> {
+                    boolean rents =
+                            t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.RENT));
+                    if (lag != Lag.UNHEARD && (count[0] > 0 || rents) && count[0]++ == n) {
+                        meets.accept(t);
+                        return lag == Lag.LATE ? 3.5 : 1e6;
+                    }
+                    return 0;
+                };
         handIn(w);
         w.run(14);
-        String at = lag + " write " + n + ", the leader ends " + endsAfter + " s later" + (cut ? ", machines cut" : "");
+        String at =
+                lag
+                        + " write "
+                        + n
+                        + ", the leader ends "
+                        + endsAfter
+                        + " s later"
+                        + (cut ? ", machines cut" : "");
         rests(w, TASKS, 2 * usual, at);
         return count[0] > n && w.cloud.named > 0;
     }
@@ -168,13 +222,21 @@
             }
         }
         System.out.println("fast boots: " + runs + " runs, met " + met);
-        assertTrue(met.get("up before known") > 3 && met.get("launched before listed") > 10, met.toString());
-        assertTrue(met.containsKey(Keys.RENT + "r-with machines") && met.containsKey(Keys.PART + "j-"), met.toString());
+        assertTrue(
+                met.get("up before known") > 3 && met.get("launched before listed") > 10,
+                met.toString());
+        assertTrue(
+                met.containsKey(Keys.RENT + "r-with machines") && met.containsKey(Keys.PART + "j-"),
+                met.toString());
     }
 
-    // ---- a name whose answer was lost ---------------------------------------------------------------
+    // ---- a name whose answer was lost
+    // ---------------------------------------------------------------
 
-    /** What came of a rental is not heard, and the leader, or who asked for it, or both end in one of the next seconds. */
+    /**
+     * What came of a rental is not heard, and the leader, or who asked for it, or both end in one
+     * of the next seconds.
+     */
     @Test
     void aRentalWhoseAnswerIsLostIsOfOneNameWhoeverEnds() {
         int usual = usual();
@@ -183,12 +245,22 @@
             for (double ends = 0.02; ends < 4; ends += 0.4) {
                 World w = world();
                 w.cloud.swallow = 3;
-                w.store.withheld = t -> t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.RENT)
-                        && x.value() instanceof Map<?, ?> m && m.containsKey("machines"));
+                w.store.withheld =
+                        t ->
+                                t.writes().stream()
+                                        .anyMatch(
+                                                x ->
+                                                        x.key().startsWith(Keys.RENT)
+                                                                && x.value() instanceof Map<?, ?> m
+                                                                && m.containsKey("machines"));
                 handIn(w);
                 w.run(ends);
                 Node leader = holder(w);
-                Node carrier = w.nodes.values().stream().filter(n -> n.controller.entitled("cloud")).findFirst().orElseThrow();
+                Node carrier =
+                        w.nodes.values().stream()
+                                .filter(n -> n.controller.entitled("cloud"))
+                                .findFirst()
+                                .orElseThrow();
                 unsettled += upBeforeKnown(w) ? 1 : 0;
                 if (who != 1) {
                     ends(w, leader);
@@ -197,7 +269,8 @@
                     ends(w, carrier);
                 }
                 w.run(4);
-                // What came of it can be put down from now on; what was withheld is carried out late.
+                // What came of it can be put down from now on; what was withheld is carried out
+                // late.
                 w.store.withheld = t -> false;
                 w.run(2);
                 w.store.heldBack.forEach(w.store::execute);
@@ -208,9 +281,13 @@
         assertTrue(unsettled > 10, "up before it was known: " + unsettled);
     }
 
-    // ---- two nodes in turn ----------------------------------------------------------------------------
+    // ---- two nodes in turn
+    // ----------------------------------------------------------------------------
 
-    /** Of the answers that workers get some are lost, so they go from node to node; writes lag, and leaders end. */
+    /**
+     * Of the answers that workers get some are lost, so they go from node to node; writes lag, and
+     * leaders end.
+     */
     @Test
     void aMachineThatReportsToOneNodeAfterTheOtherRunsNothingTwice() {
         int turns = 0;
@@ -222,20 +299,23 @@
             int[] moved = new int[1];
             boolean[] calm = new boolean[1];
             World.Reach plain = w.reach;
-            w.reach = new World.Reach() {
-                @Override
-                public List<String> up() {
-                    return plain.up();
-                }
+            w.reach =
+                    new World.Reach() {
+                        @Override
+                        public List<String> up() {
+                            return plain.up();
+                        }
 
-                @Override
-                public void heartbeat(String node, Report report, Consumer<HeartbeatAnswer> answer) {
-                    moved[0] += node.equals(last.put(report.machine(), node)) ? 0 : 1;
-                    boolean lost = !calm[0] && random.nextInt(4) == 0;
-                    plain.heartbeat(node, report, lost ? a -> { } : answer);
-                }
-            };
-            w.store.late = t -> !calm[0] && random.nextInt(4) == 0 ? 1 + random.nextDouble() * 5 : 0;
+                        @Override
+                        public void heartbeat(
+                                String node, Report report, Consumer<HeartbeatAnswer> answer) {
+                            moved[0] += node.equals(last.put(report.machine(), node)) ? 0 : 1;
+                            boolean lost = !calm[0] && random.nextInt(4) == 0;
+                            plain.heartbeat(node, report, lost ? a -> {} : answer);
+                        }
+                    };
+            w.store.late =
+                    t -> !calm[0] && random.nextInt(4) == 0 ? 1 + random.nextDouble() * 5 : 0;
             w.store.unheard = t -> !calm[0] && random.nextInt(6) == 0;
             handIn(w);
             for (int i = 0; i < 3; i++) {
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -65,8 +65,13 @@
         assertEquals(3000, w.workers.values().stream().mapToInt(x -> x.started).sum());
         first.crash();
         double crashed = w.clock.now;
-        while (w.clock.now < crashed + 10 && w.nodes.values().stream().noneMatch(n -> n.alive
-                && n.controller.leadership.leading() && n.controller.keeper.loaded())) {
+        while (w.clock.now < crashed + 10
+                && w.nodes.values().stream()
+                        .noneMatch(
+                                n ->
+                                        n.alive
+                                                && n.controller.leadership.leading()
+                                                && n.controller.keeper.loaded())) {
             w.run(0.1);
         }
         Node second = w.leader();
@@ -92,7 +97,8 @@
         w.run(3);
         List<Worker> cut = w.workers.values().stream().limit(70).toList();
         cut.forEach(x -> x.cut = true);
-        // Their leases end, but nobody can know that: their tasks count as running until they report anew.
+        // Their leases end, but nobody can know that: their tasks count as running until they
+        // report anew.
         w.run(w.leaseS + 2);
         assertEquals(800, w.workers.values().stream().mapToInt(x -> x.started).sum());
         cut.forEach(x -> x.cut = false);
@@ -107,7 +113,11 @@
         Node n = fleet(2, 3, 4);
         arrays(n, 1, 6);
         w.run(2);
-        Worker still = w.workers.values().stream().filter(x -> !x.tasks.isEmpty()).findFirst().orElseThrow();
+        Worker still =
+                w.workers.values().stream()
+                        .filter(x -> !x.tasks.isEmpty())
+                        .findFirst()
+                        .orElseThrow();
         still.cut = true;
         w.run(3);
         still.cut = false;
@@ -147,8 +157,10 @@
         w.run(10);
         rounds = n.controller.rounds() - rounds;
         looks = n.controller.placer.placement().looks() - looks;
-        // One that did not find room speaks for all that ask for no less: of forty jobs, three look at each machine.
-        assertTrue(rounds >= 20 && looks <= 3000 * rounds, looks + " looks in " + rounds + " rounds");
+        // One that did not find room speaks for all that ask for no less: of forty jobs, three look
+        // at each machine.
+        assertTrue(
+                rounds >= 20 && looks <= 3000 * rounds, looks + " looks in " + rounds + " rounds");
     }
 
     @Test
@@ -156,14 +168,57 @@
         Node n = fleet(1, 20, 4);
         w.workers.values().forEach(x -> x.runsFor = 200);
         JobSpec s = job("j-100", Shape.ARRAY, 30, 1);
-        w.submit(n, new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), s.tasks(), s.cpus(), 0, 1,
-                null, null, false, false, false, "img", 1, 200, 0, 0, null));
+        w.submit(
+                n,
+                new JobSpec(
+                        s.id(),
+                        s.jobClass(),
+                        s.team(),
+                        s.shape(),
+                        s.priority(),
+                        s.tasks(),
+                        s.cpus(),
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        200,
+                        0,
+                        0,
+                        null));
         w.run(2);
-        // Needs all machines, in 200 s at the soonest; another one of 20 s fits in before, one of 500 s does not.
+        // Needs all machines, in 200 s at the soonest; another one of 20 s fits in before, one of
+        // 500 s does not.
         w.submit(n, job("j-200", Shape.GANG, 80, 1));
         w.submit(n, job("j-300", Shape.GANG, 12, 1));
-        w.submit(n, new JobSpec("j-400", s.jobClass(), s.team(), Shape.GANG, s.priority(), 12, 1, 0, 1, null,
-                null, false, false, false, "img", 1, 500, 0, 0, null));
+        w.submit(
+                n,
+                new JobSpec(
+                        "j-400",
+                        s.jobClass(),
+                        s.team(),
+                        Shape.GANG,
+                        s.priority(),
+                        12,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        500,
+                        0,
+                        0,
+                        null));
         w.run(5);
         assertEquals(12, running("j-300"));
         assertEquals(0, running("j-200", "j-400"));
@@ -206,11 +261,37 @@
         w.run(30);
         assertEquals("done", w.status(n, "j-1"));
         JobSpec s = World.onSpot(job("j-2", Shape.ARRAY, 2, 1), 20);
-        w.submit(n, new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), s.tasks(), s.cpus(), s.gpus(),
-                s.memoryGb(), null, null, false, false, true, s.image(), s.imageGb(), 20, 0, 0, 50.0));
+        w.submit(
+                n,
+                new JobSpec(
+                        s.id(),
+                        s.jobClass(),
+                        s.team(),
+                        s.shape(),
+                        s.priority(),
+                        s.tasks(),
+                        s.cpus(),
+                        s.gpus(),
+                        s.memoryGb(),
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        s.image(),
+                        s.imageGb(),
+                        20,
+                        0,
+                        0,
+                        50.0));
         w.run(2);
-        assertEquals(2, w.workers.values().stream().filter(x -> !x.spot).flatMap(x -> x.tasks.values().stream())
-                .filter(t -> t.job.equals("j-2")).count());
+        assertEquals(
+                2,
+                w.workers.values().stream()
+                        .filter(x -> !x.spot)
+                        .flatMap(x -> x.tasks.values().stream())
+                        .filter(t -> t.job.equals("j-2"))
+                        .count());
     }
 
     @Test
@@ -219,8 +300,29 @@
         w.workers.values().forEach(x -> x.runsFor = 1);
         for (int i = 0; i < 400; i++) {
             // Users name the classes: any number of them.
-            w.submit(n, new JobSpec("j-" + (10000 + i), "class-" + i, "red", Shape.ARRAY, JobSpec.Priority.NORMAL, 4, 1,
-                    0, 1, null, null, false, false, false, "img-" + i, 1, 2, 0, 0, null));
+            w.submit(
+                    n,
+                    new JobSpec(
+                            "j-" + (10000 + i),
+                            "class-" + i,
+                            "red",
+                            Shape.ARRAY,
+                            JobSpec.Priority.NORMAL,
+                            4,
+                            1,
+                            0,
+                            1,
+                            null,
+                            null,
+                            false,
+                            false,
+                            false,
+                            "img-" + i,
+                            1,
+                            2,
+                            0,
+                            0,
+                            null));
             w.run(0.9);
         }
         w.run(20);
@@ -229,7 +331,12 @@
         assertEquals(0, block.unwritten().changes().size() + block.unwritten().placings().size());
         assertTrue(block.machines().size() <= 11);
         // 50 GB of images of 1 GB.
-        assertTrue(block.machines().values().stream().allMatch(m -> m.attempts().isEmpty() && !m.awaitsRecords()
-                && m.images().size() <= 50));
+        assertTrue(
+                block.machines().values().stream()
+                        .allMatch(
+                                m ->
+                                        m.attempts().isEmpty()
+                                                && !m.awaitsRecords()
+                                                && m.images().size() <= 50));
     }
 }
--- a/src/test/java/io/kitepath/core/GiveAndTakeTest.java
+++ b/src/test/java/io/kitepath/core/GiveAndTakeTest.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Urgent work of one team and guaranteed work of another want the same machine: neither stops the other without end. */
+/**
+ * Urgent work of one team and guaranteed work of another want the same machine: neither stops the
+ * other without end.
+ */
 class GiveAndTakeTest {
     @Test
     void urgentWorkAndAGuaranteeDontStopEachOtherForEver() {
@@ -26,14 +29,28 @@
                     w.siblings.forEach(w::node);
                     w.run(12);
                     w.runsFor = id -> 30;
-                    JobSpec urgent = World.with(World.job("j-1", Shape.ARRAY, 4 / cpus, cpus), "red", Priority.HIGH, oneZone);
-                    JobSpec guaranteed = World.with(World.job("j-2", Shape.ARRAY, 2, 2), "blue", Priority.NORMAL, false);
+                    JobSpec urgent =
+                            World.with(
+                                    World.job("j-1", Shape.ARRAY, 4 / cpus, cpus),
+                                    "red",
+                                    Priority.HIGH,
+                                    oneZone);
+                    JobSpec guaranteed =
+                            World.with(
+                                    World.job("j-2", Shape.ARRAY, 2, 2),
+                                    "blue",
+                                    Priority.NORMAL,
+                                    false);
                     w.submit(w.leader(), urgentFirst ? urgent : guaranteed);
                     w.run(7);
                     w.submit(w.leader(), urgentFirst ? guaranteed : urgent);
                     w.rules.calm();
                     w.run(200);
-                    String at = "urgent of " + cpus + (oneZone ? " in one zone" : "") + (urgentFirst ? ", first" : ", second");
+                    String at =
+                            "urgent of "
+                                    + cpus
+                                    + (oneZone ? " in one zone" : "")
+                                    + (urgentFirst ? ", first" : ", second");
                     long evicted = w.leader().controller.placer.preemption().evictions();
                     met += evicted > 0 ? 1 : 0;
                     assertEquals("done", w.status(w.leader(), "j-1"), at);
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
@@ -19,13 +19,19 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Reports that come once more among other troubles, in days drawn by seed; {@link HeldReportsTest} has each by itself. */
+/**
+ * Reports that come once more among other troubles, in days drawn by seed; {@link HeldReportsTest}
+ * has each by itself.
+ */
 class HeldReportsSeedsTest {
     private static final int IN_CI = 8;
 
     private int heldUp;
 
-    /** Copies, held answers and commands, machines that hang, are cut off or hear nothing, and leaders that change. */
+    /**
+     * Copies, held answers and commands, machines that hang, are cut off or hear nothing, and
+     * leaders that change.
+     */
     private int seeded(long seed) {
         Random random = new Random(seed);
         World w = settled(3, 5);
@@ -38,14 +44,22 @@
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
             String id = "j-" + (10 + i);
-            var a = w.submit(w.nodes.get("k" + random.nextInt(3)), job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
-                    1 + random.nextInt(4), 1 + random.nextInt(2)));
+            var a =
+                    w.submit(
+                            w.nodes.get("k" + random.nextInt(3)),
+                            job(
+                                    id,
+                                    i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
+                                    1 + random.nextInt(4),
+                                    1 + random.nextInt(2)));
             if (a != null && a.verdict() == Verdict.CREATED) {
                 jobs.add(id);
             }
             w.run(random.nextDouble() * 5);
             if (random.nextInt(3) == 0 && !jobs.isEmpty()) {
-                w.cancel(w.nodes.get("k" + random.nextInt(3)), jobs.get(random.nextInt(jobs.size())));
+                w.cancel(
+                        w.nodes.get("k" + random.nextInt(3)),
+                        jobs.get(random.nextInt(jobs.size())));
             }
             List<Worker> up = w.workers.values().stream().filter(x -> x.up).toList();
             Worker x = up.get(random.nextInt(up.size()));
@@ -64,7 +78,7 @@
                     x.die();
                     w.cloud.machines.remove(x.id);
                 }
-                default -> { }
+                default -> {}
             }
             Node n = leading(w);
             if (n != null && random.nextInt(3) == 0) {
@@ -76,7 +90,8 @@
                 }
             }
             if (random.nextBoolean()) {
-                List<Report> some = copies.kept.stream().filter(r -> random.nextInt(3) == 0).toList();
+                List<Report> some =
+                        copies.kept.stream().filter(r -> random.nextInt(3) == 0).toList();
                 w.after(random.nextDouble() * 3, () -> copies.bringAll(some));
             }
         }
@@ -89,13 +104,21 @@
         w.run(200);
         for (String id : jobs) {
             var a = w.ask(w.leader(), id);
-            assertTrue(a != null && a.verdict() == Verdict.KNOWN, "seed " + seed + ": " + id + " " + a);
-            assertEquals(w.toldCancelled.containsKey(id) ? "cancelled" : "done", a.state().status(), "seed " + seed + ": " + id);
+            assertTrue(
+                    a != null && a.verdict() == Verdict.KNOWN,
+                    "seed " + seed + ": " + id + " " + a);
+            assertEquals(
+                    w.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    a.state().status(),
+                    "seed " + seed + ": " + id);
         }
         assertEquals(List.of(), w.broken, "seed " + seed);
         assertTrue(copies.brought > 50, "seed " + seed + ": " + copies.brought);
         heldUp += copies.late;
-        assertFalse(w.leader().controller.block.machines().values().stream().anyMatch(m -> m.deafToAnswers()), "seed " + seed);
+        assertFalse(
+                w.leader().controller.block.machines().values().stream()
+                        .anyMatch(m -> m.deafToAnswers()),
+                "seed " + seed);
         return copies.ofItsToken;
     }
 
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsTest.java
@@ -22,9 +22,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Copies of reports that come once more, to every node as a leader begins or to that one when it has acted: with the
- * tokens of the last holder, of this one and of the one before, of machines that are there, were lost or were given back.
- * They start, end and prove nothing, and cost the worker that sent the report neither its answer nor its lease.
+ * Copies of reports that come once more, to every node as a leader begins or to that one when it
+ * has acted: with the tokens of the last holder, of this one and of the one before, of machines
+ * that are there, were lost or were given back. They start, end and prove nothing, and cost the
+ * worker that sent the report neither its answer nor its lease.
  */
 class HeldReportsTest {
     private World w;
@@ -45,7 +46,10 @@
     }
 
     static Node leading(World w) {
-        return w.nodes.values().stream().filter(n -> n.alive && n.controller.leadsWith() > 0).findFirst().orElse(null);
+        return w.nodes.values().stream()
+                .filter(n -> n.alive && n.controller.leadsWith() > 0)
+                .findFirst()
+                .orElse(null);
     }
 
     private void ends(Node n, double backAfter) {
@@ -68,9 +72,13 @@
         }
     }
 
-    // ---- the answer to the real report --------------------------------------------------------------
+    // ---- the answer to the real report
+    // --------------------------------------------------------------
 
-    /** Seconds that eight small jobs waited for their start at most, on idle machines, with copies coming or without. */
+    /**
+     * Seconds that eight small jobs waited for their start at most, on idle machines, with copies
+     * coming or without.
+     */
     private double latestStart(double offset, boolean withCopies) {
         world(3, 4);
         w.runsFor = id -> 3;
@@ -91,22 +99,31 @@
         }
         assertEquals(List.of(), w.broken, "offset " + offset);
         assertEquals(8, starts(w), "offset " + offset);
-        assertEquals(withCopies, copies.brought > 500 && copies.ofItsToken > 200, "offset " + offset);
+        assertEquals(
+                withCopies, copies.brought > 500 && copies.ofItsToken > 200, "offset " + offset);
         assertEquals(0, copies.launches, "offset " + offset);
         return latest;
     }
 
-    /** An idle machine's answer is held for work that may come; a copy of what it said before neither takes nor ends it. */
+    /**
+     * An idle machine's answer is held for work that may come; a copy of what it said before
+     * neither takes nor ends it.
+     */
     @Test
     void aCopyIsNotToldWhatIsMeantForTheWorker() {
         for (double offset = 0.05; offset < 2.5; offset += 0.2) {
             double calm = latestStart(offset, false);
             double late = latestStart(offset, true);
-            assertTrue(late < calm + 0.1, "offset " + offset + ": begun after " + late + " instead of " + calm);
+            assertTrue(
+                    late < calm + 0.1,
+                    "offset " + offset + ": begun after " + late + " instead of " + calm);
         }
     }
 
-    /** How often workers with tasks were sent on without a word while a leader ended and the next one read the jobs. */
+    /**
+     * How often workers with tasks were sent on without a word while a leader ended and the next
+     * one read the jobs.
+     */
     private int sentOn(double slow, double takenBefore, boolean withCopies) {
         world(3, 6);
         w.runsFor = id -> 200;
@@ -131,19 +148,34 @@
         return copies.sentOn;
     }
 
-    /** While nobody leads, or the jobs are read, workers with tasks wait for their answer: copies don't send them away. */
+    /**
+     * While nobody leads, or the jobs are read, workers with tasks wait for their answer: copies
+     * don't send them away.
+     */
     @Test
     void aCopyDoesNotTakeThePlaceOfAReportThatWaits() {
         for (double slow : new double[] {0, 0.2, 0.3, 0.4}) {
             for (double takenBefore = 0.1; takenBefore < 2.2; takenBefore += 0.4) {
                 int calm = sentOn(slow, takenBefore, false);
                 int late = sentOn(slow, takenBefore, true);
-                assertTrue(late <= calm, "slow " + slow + ", taken " + takenBefore + ": " + late + " instead of " + calm);
+                assertTrue(
+                        late <= calm,
+                        "slow "
+                                + slow
+                                + ", taken "
+                                + takenBefore
+                                + ": "
+                                + late
+                                + " instead of "
+                                + calm);
             }
         }
     }
 
-    /** A launch goes to the worker alone, so three reports without the task never say that a machine hears nothing. */
+    /**
+     * A launch goes to the worker alone, so three reports without the task never say that a machine
+     * hears nothing.
+     */
     @Test
     void copiesInAnOutageDoNotMakeAMachineDeaf() {
         int during = 0;
@@ -156,8 +188,25 @@
             w.submit(w.leader(), job("j-1", Shape.ARRAY, 3, 4));
             w.store.outage(14);
             boolean[] deaf = new boolean[1];
-            repeat(0.25, 60, () -> w.nodes.values().forEach(n -> deaf[0] |= n.controller.block.machines().values().stream()
-                    .anyMatch(m -> m.deafToAnswers())));
+            repeat(
+                    0.25,
+                    60,
+                    () ->
+                            w.nodes
+                                    .values()
+                                    .forEach(
+                                            n ->
+                                                    deaf[0] |=
+                                                            n
+                                                                    .controller
+                                                                    .block
+                                                                    .machines()
+                                                                    .values()
+                                                                    .stream()
+                                                                    .anyMatch(
+                                                                            m ->
+                                                                                    m
+                                                                                            .deafToAnswers())));
             w.run(12);
             during += starts(w) < 3 ? 1 : 0;
             w.run(70);
@@ -168,11 +217,13 @@
         assertTrue(during > 0, "no task was placed and not launched before the outage");
     }
 
-    // ---- the newest that anybody had seen ------------------------------------------------------------
+    // ---- the newest that anybody had seen
+    // ------------------------------------------------------------
 
     /**
-     * The same tasks fail, are cleared and launched anew, so that each machine's past has other attempts of them. Copies of
-     * all of it, up to the very last, come before or after the machine's own next report, to each of three holders.
+     * The same tasks fail, are cleared and launched anew, so that each machine's past has other
+     * attempts of them. Copies of all of it, up to the very last, come before or after the
+     * machine's own next report, to each of three holders.
      */
     @Test
     void noHolderTakesWhatWasForWhatIs() {
@@ -205,24 +256,32 @@
                         w.cancel(other(w, w.leader()), "j-3");
                     }
                     w.run(100);
-                    String at = "changes " + changes + ", arrives " + arrives + (all ? " for all" : "");
+                    String at =
+                            "changes " + changes + ", arrives " + arrives + (all ? " for all" : "");
                     ofItsToken += copies.ofItsToken;
                     assertEquals(List.of(), w.broken, at);
                     assertEquals("done", w.status(w.leader(), "j-1"), at);
                     assertEquals("done", w.status(w.leader(), "j-2"), at);
-                    assertTrue(List.of("done", "cancelled").contains(w.status(w.leader(), "j-3")), at);
+                    assertTrue(
+                            List.of("done", "cancelled").contains(w.status(w.leader(), "j-3")), at);
                     assertEquals(0, w.dropped, at);
-                    assertTrue(w.leader().controller.block.machines().values().stream()
-                            .allMatch(m -> m.attempts().isEmpty() && !m.deafToAnswers()), at);
+                    assertTrue(
+                            w.leader().controller.block.machines().values().stream()
+                                    .allMatch(m -> m.attempts().isEmpty() && !m.deafToAnswers()),
+                            at);
                 }
             }
         }
         assertTrue(ofItsToken > 50, "" + ofItsToken);
     }
 
-    // ---- machines that are gone -----------------------------------------------------------------------
+    // ---- machines that are gone
+    // -----------------------------------------------------------------------
 
-    /** Rented ones come up late; {@code every}: seconds between copies, each of a newer report than the one before. */
+    /**
+     * Rented ones come up late; {@code every}: seconds between copies, each of a newer report than
+     * the one before.
+     */
     private void gone(boolean returned, double dies, double every) {
         world(3, 4);
         w.cloud.capacity = 20;
@@ -240,7 +299,10 @@
         String at = (returned ? "returned" : "died") + " after " + dies + ", copies every " + every;
         if (returned) {
             w.run(40); // The holder has given them back, and knows that they are gone.
-            assertTrue(w.leader().controller.block.machines().keySet().stream().noneMatch(dead::contains), at);
+            assertTrue(
+                    w.leader().controller.block.machines().keySet().stream()
+                            .noneMatch(dead::contains),
+                    at);
         }
         ends(w.leader(), 0.3);
         untilNextLeader(w);
@@ -248,26 +310,54 @@
         double began = w.clock.now;
         for (int i = 1; w.clock.now - began < 2 * w.leaseS; i++) {
             long more = i;
-            copies.bringAll(old.stream().map(r -> new Report(r.machine(), r.address(), r.type(), r.zone(), r.spot(),
-                    r.session(), r.sequence() + more, r.token(), null, r.tasks())).toList());
+            copies.bringAll(
+                    old.stream()
+                            .map(
+                                    r ->
+                                            new Report(
+                                                    r.machine(),
+                                                    r.address(),
+                                                    r.type(),
+                                                    r.zone(),
+                                                    r.spot(),
+                                                    r.session(),
+                                                    r.sequence() + more,
+                                                    r.token(),
+                                                    null,
+                                                    r.tasks()))
+                            .toList());
             w.run(every);
-            assertTrue(w.leader().controller.block.machines().values().stream().filter(m -> dead.contains(m.id))
-                    .allMatch(m -> m.attempts().stream().allMatch(a -> a.job.spec.id().equals("j-1"))), at);
+            assertTrue(
+                    w.leader().controller.block.machines().values().stream()
+                            .filter(m -> dead.contains(m.id))
+                            .allMatch(
+                                    m ->
+                                            m.attempts().stream()
+                                                    .allMatch(a -> a.job.spec.id().equals("j-1"))),
+                    at);
         }
         double calm = w.clock.now;
         w.rules.calm();
         while (!"done".equals(w.status(w.leader(), "j-2")) && w.clock.now - calm < 200) {
             w.run(1);
         }
-        // Three leases until nearly all that seemed to be there is given up, a boot, and the jobs themselves.
-        assertTrue(w.clock.now - calm < 3 * w.leaseS + 20 + 4 * 15, at + ": done after " + (w.clock.now - calm));
+        // Three leases until nearly all that seemed to be there is given up, a boot, and the jobs
+        // themselves.
+        assertTrue(
+                w.clock.now - calm < 3 * w.leaseS + 20 + 4 * 15,
+                at + ": done after " + (w.clock.now - calm));
         w.run(20);
         assertEquals(List.of(), w.broken, at);
         assertEquals("done", w.status(w.leader(), "j-1"), at);
-        assertTrue(w.leader().controller.block.machines().keySet().stream().noneMatch(dead::contains), at);
+        assertTrue(
+                w.leader().controller.block.machines().keySet().stream().noneMatch(dead::contains),
+                at);
     }
 
-    /** The next holder has no word of them but copies of what they said. None gets work, and what waits gets others. */
+    /**
+     * The next holder has no word of them but copies of what they said. None gets work, and what
+     * waits gets others.
+     */
     @Test
     void aMachineThatIsGoneDoesNotComeBackByWhatItSaid() {
         for (double dies : new double[] {0.2, 25}) {
