--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -16,7 +16,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Machines rented and given back while their holder ends, stands still, or is heard minutes late. */
+/**
+ * Machines rented and given back while their holder ends, stands still, or is heard minutes late.
+ */
 class IntentsTest {
     private World w = world();
 
@@ -57,7 +59,8 @@
 
     /** The node that has the duty to ask the cloud. */
     private static Node carrier(World w) {
-        return w.nodes.get((String) ((Map<?, ?>) w.store.keys.get(Keys.DUTY + "cloud").value()).get("node"));
+        return w.nodes.get(
+                (String) ((Map<?, ?>) w.store.keys.get(Keys.DUTY + "cloud").value()).get("node"));
     }
 
     private static long records(World w, String prefix) {
@@ -109,8 +112,14 @@
     void anOutcomeThatIsWrittenMinutesLateBringsNothingBack() {
         Node first = carrier(w);
         // What came of the first one's requests is on its way to the store when it ends.
-        w.store.withheld = t -> t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.RENT)
-                && x.value() instanceof Map<?, ?> m && m.containsKey("machines"));
+        w.store.withheld =
+                t ->
+                        t.writes().stream()
+                                .anyMatch(
+                                        x ->
+                                                x.key().startsWith(Keys.RENT)
+                                                        && x.value() instanceof Map<?, ?> m
+                                                        && m.containsKey("machines"));
         want(w);
         until(w, 5, () -> !w.store.heldBack.isEmpty());
         w.store.withheld = t -> false;
@@ -133,7 +142,8 @@
         Node first = carrier(w);
         w.cloud.withheld = n -> n == first;
         until(w, 200, () -> !w.cloud.heldBack.isEmpty());
-        // Put down and sent, but not arrived: its holder ends, and work comes that would fit on these machines.
+        // Put down and sent, but not arrived: its holder ends, and work comes that would fit on
+        // these machines.
         restart(w, first, 60);
         w.cloud.out = true;
         w.run(5);
@@ -144,17 +154,21 @@
         w.cloud.heldBack.forEach(Runnable::run);
         w.run(120);
         assertEquals("done", w.status(w.leader(), "j-1"));
-        assertEquals(16, w.workers.values().stream().mapToInt(x -> x.started).sum(), "none was lost");
+        assertEquals(
+                16, w.workers.values().stream().mapToInt(x -> x.started).sum(), "none was lost");
         assertEquals(0, records(w, Keys.GOING));
     }
 
     @Test
     void aReturnThatTheCloudRefusedIsAskedForUntilItSaysYes() {
         w.worker("i-000000", "a");
-        until(w, 200, () -> {
-            w.cloud.out |= records(w, Keys.GOING) > 0;
-            return w.cloud.out;
-        });
+        until(
+                w,
+                200,
+                () -> {
+                    w.cloud.out |= records(w, Keys.GOING) > 0;
+                    return w.cloud.out;
+                });
         w.run(20);
         assertEquals(List.of(), w.cloud.released);
         assertEquals(1, records(w, Keys.GOING));
@@ -185,7 +199,7 @@
         w.run(3);
         int asked = w.cloud.rentals.size();
         Node n = w.nodes.get("k0");
-        n.controller.registry().submit(job("j-1", Shape.GANG, 6, 4), a -> { });
+        n.controller.registry().submit(job("j-1", Shape.GANG, 6, 4), a -> {});
         w.run(25);
         assertEquals(asked, w.cloud.rentals.size());
         assertEquals(List.of(), w.cloud.released);
@@ -196,14 +210,16 @@
         want(w);
         w.run(200);
         assertEquals("done", w.status(w.leader(), "j-1"));
-        assertEquals(6, w.cloud.released.stream().distinct().count(), "idle machines are given back");
+        assertEquals(
+                6, w.cloud.released.stream().distinct().count(), "idle machines are given back");
         assertEquals(0, records(w, Keys.ACT));
         assertEquals(0, w.leader().controller.intents.open());
     }
 
     /**
-     * From the wish for six machines on, whoever holds the block, or has the duty, or each of them, ends after its n-th
-     * request to store or cloud and is back later, until nobody sends that many before all is done and returned.
+     * From the wish for six machines on, whoever holds the block, or has the duty, or each of them,
+     * ends after its n-th request to store or cloud and is back later, until nobody sends that many
+     * before all is done and returned.
      */
     @Test
     void everyRequestOfRentingAndReturningMayBeTheLastOfItsNode() {
@@ -213,13 +229,18 @@
                 for (int n = 1; n <= 40; n++) {
                     World x = world();
                     int[] ends = new int[1];
-                    List<Node> ending = new ArrayList<>(who == 0 ? List.of(x.leader()) : who == 1
-                            ? List.of(carrier(x)) : x.nodes.values());
+                    List<Node> ending =
+                            new ArrayList<>(
+                                    who == 0
+                                            ? List.of(x.leader())
+                                            : who == 1 ? List.of(carrier(x)) : x.nodes.values());
                     for (Node node : ending) {
-                        node.endAfter(n, () -> {
-                            ends[0]++;
-                            x.after(backS, () -> x.node(node.name));
-                        });
+                        node.endAfter(
+                                n,
+                                () -> {
+                                    ends[0]++;
+                                    x.after(backS, () -> x.node(node.name));
+                                });
                     }
                     want(x);
                     x.run(75);
@@ -237,7 +258,8 @@
                 }
             }
         }
-        System.out.println("renting and returning: " + points + " nodes ended at one of their requests");
+        System.out.println(
+                "renting and returning: " + points + " nodes ended at one of their requests");
         assertTrue(points >= 200, "points: " + points);
     }
 
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -20,14 +20,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble. The
- * moment is that of the end itself, of its report, and of each step of the write that makes the job done: whoever is
- * first has it, for ever and at every node.
+ * A cancellation, a question or a repeated submission meets the end of a job's last task, with no
+ * other trouble. The moment is that of the end itself, of its report, and of each step of the write
+ * that makes the job done: whoever is first has it, for ever and at every node.
  */
 class LastTaskTest {
     private static final String ID = "j-1";
+
     /** What needs it. */
     private static final String NEXT = "j-2";
+
     /** Within which users expect that a job is called done. */
     private static final double DONE_WITHIN_S = 3;
 
@@ -46,7 +48,9 @@
     }
 
     private void hear(Node n, double asked, Answer a) {
-        assertTrue(a.verdict() == Verdict.KNOWN || a.verdict() == Verdict.LATER, n.name + " says " + a);
+        assertTrue(
+                a.verdict() == Verdict.KNOWN || a.verdict() == Verdict.LATER,
+                n.name + " says " + a);
         if (a.verdict() == Verdict.KNOWN) {
             told.add(new Told(n.name, asked, w.clock.now, a.state().status()));
             if (a.state().status().equals("cancelled")) {
@@ -69,10 +73,14 @@
     private void cancel(Node n) {
         double asked = w.clock.now;
         w.rules.asksToCancel(ID);
-        n.controller.registry().cancel(ID, a -> {
-            hear(n, asked, a);
-            looks();
-        });
+        n.controller
+                .registry()
+                .cancel(
+                        ID,
+                        a -> {
+                            hear(n, asked, a);
+                            looks();
+                        });
     }
 
     private void looks() {
@@ -88,13 +96,16 @@
         written = 0;
         w.fetchS = shape == Shape.GANG ? id -> 0.3 : null;
         int[] i = {0};
-        w.workers.values().forEach(x -> x.runsFor = shape == Shape.GANG ? forS : forS - 1.3 * (i[0]++ % 3));
+        w.workers
+                .values()
+                .forEach(x -> x.runsFor = shape == Shape.GANG ? forS : forS - 1.3 * (i[0]++ % 3));
         w.clock.ends = t -> lastEnd = t.job.equals(ID) ? w.clock.now : lastEnd;
-        w.store.written = (n, t) -> {
-            if (t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + ID))) {
-                written = w.clock.now;
-            }
-        };
+        w.store.written =
+                (n, t) -> {
+                    if (t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + ID))) {
+                        written = w.clock.now;
+                    }
+                };
         spec = job(ID, shape, tasks, 2);
         needs = List.of();
         w.submit(w.leader(), spec);
@@ -108,7 +119,12 @@
         w.run(12);
         String last = w.status(w.leader(), ID);
         assertTrue(last.equals("done") || last.equals("cancelled"), at + ": " + last);
-        double first = told.stream().filter(Told::last).mapToDouble(Told::heard).min().orElse(Double.MAX_VALUE);
+        double first =
+                told.stream()
+                        .filter(Told::last)
+                        .mapToDouble(Told::heard)
+                        .min()
+                        .orElse(Double.MAX_VALUE);
         for (Told t : told) {
             assertTrue(!t.last() || t.status.equals(last), at + ": " + t + ", in the end " + last);
             assertTrue(t.asked < first || t.last(), at + ": " + t + " after " + first);
@@ -118,13 +134,18 @@
             assertEquals(last, w.cancel(n, ID).state().status(), at + " " + n.name);
         }
         assertEquals(0, w.onMachines(ID), at);
-        assertTrue(w.workers.values().stream().noneMatch(x -> x.tasks.values().stream().anyMatch(t ->
-                t.job.equals(ID))), at + ": an ended task is still reported");
+        assertTrue(
+                w.workers.values().stream()
+                        .noneMatch(x -> x.tasks.values().stream().anyMatch(t -> t.job.equals(ID))),
+                at + ": an ended task is still reported");
         assertEquals(List.of(), w.broken, at);
         return last;
     }
 
-    /** When the job is written as done if nobody cancels it; the same each time, as all in this world is. */
+    /**
+     * When the job is written as done if nobody cancels it; the same each time, as all in this
+     * world is.
+     */
     private double writtenAfter(Shape shape, int tasks, double forS, boolean needed) {
         begins(shape, tasks, forS, needed);
         w.run(forS + 10);
@@ -132,7 +153,10 @@
         return written;
     }
 
-    /** The cancellation is sent at each millisecond around the write, and sparsely from before the end. */
+    /**
+     * The cancellation is sent at each millisecond around the write, and sparsely from before the
+     * end.
+     */
     private static List<Double> moments(double lastEnd, double written) {
         List<Double> out = new ArrayList<>();
         for (double t = written - 0.016; t < written + 0.006; t += 0.001) {
@@ -157,7 +181,15 @@
                 cancel(w.nodes.get("k" + which));
                 w.run(0.002);
                 looks();
-                String what = shape + " of " + tasks + ", cancelled at k" + which + " " + (t - at) + " s from the write";
+                String what =
+                        shape
+                                + " of "
+                                + tasks
+                                + ", cancelled at k"
+                                + which
+                                + " "
+                                + (t - at)
+                                + " s from the write";
                 String last = holds(what);
                 answers.add(last);
                 if (needed) {
@@ -172,7 +204,8 @@
     private void behind(String last, String at) {
         w.run(25);
         w.nodes.values().forEach(n -> assertEquals(last, w.status(n, NEXT), at + ": " + NEXT));
-        assertEquals(last.equals("done") ? 2 : 0, w.completed.getOrDefault(NEXT, Set.of()).size(), at);
+        assertEquals(
+                last.equals("done") ? 2 : 0, w.completed.getOrDefault(NEXT, Set.of()).size(), at);
         assertEquals(List.of(), w.broken, at);
     }
 
@@ -196,7 +229,9 @@
         sweep(Shape.ARRAY, 2, true);
     }
 
-    /** The one that waits is cancelled as the one before it ends: nothing of it starts that stays. */
+    /**
+     * The one that waits is cancelled as the one before it ends: nothing of it starts that stays.
+     */
     @Test
     void whatWaitsIsCancelledAsItsTurnComes() {
         double at = writtenAfter(Shape.ARRAY, 1, 6, true);
@@ -206,7 +241,8 @@
                 begins(Shape.ARRAY, 1, 6, true);
                 w.run(t - w.clock.now);
                 int before = MeetingsTest.starts(w);
-                String what = NEXT + " cancelled at k" + which + " " + (t - at) + " s from the write";
+                String what =
+                        NEXT + " cancelled at k" + which + " " + (t - at) + " s from the write";
                 Answer a = w.cancel(w.nodes.get("k" + which), NEXT);
                 assertEquals(Verdict.KNOWN, a.verdict(), what);
                 assertEquals("cancelled", a.state().status(), what);
@@ -255,14 +291,20 @@
                     w.nodes.values().forEach(this::ask);
                     w.run(0.1);
                     String at = shape + " of " + tasks + " for " + forS;
-                    assertEquals(3, told.stream().filter(t -> t.status.equals("done")).count(), at + ": " + told);
+                    assertEquals(
+                            3,
+                            told.stream().filter(t -> t.status.equals("done")).count(),
+                            at + ": " + told);
                     assertEquals("done", holds(at));
                 }
             }
         }
     }
 
-    /** Many at once, of all shapes, each cancelled by somebody within a second of its end; everybody asks meanwhile. */
+    /**
+     * Many at once, of all shapes, each cancelled by somebody within a second of its end; everybody
+     * asks meanwhile.
+     */
     @Test
     void manyEndAndAreCancelledTogether() {
         int[] both = new int[2];
@@ -276,12 +318,26 @@
             for (int i = 0; i < 14; i++) {
                 String id = "j-" + (100 + i);
                 jobs.add(id);
-                JobSpec s = job(id, random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(3), 0.5);
-                w.submit(w.nodes.get("k" + random.nextInt(3)), s, i > 3 && random.nextInt(4) == 0
-                        ? new String[] {"j-10" + random.nextInt(4)} : new String[0]);
+                JobSpec s =
+                        job(
+                                id,
+                                random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY,
+                                1 + random.nextInt(3),
+                                0.5);
+                w.submit(
+                        w.nodes.get("k" + random.nextInt(3)),
+                        s,
+                        i > 3 && random.nextInt(4) == 0
+                                ? new String[] {"j-10" + random.nextInt(4)}
+                                : new String[0]);
             }
-            w.clock.ends = t -> w.after(random.nextDouble() * (random.nextBoolean() ? 0.05 : 0.8), () ->
-                    w.users.cancel(w.nodes.get("k" + random.nextInt(3)), t.job));
+            w.clock.ends =
+                    t ->
+                            w.after(
+                                    random.nextDouble() * (random.nextBoolean() ? 0.05 : 0.8),
+                                    () ->
+                                            w.users.cancel(
+                                                    w.nodes.get("k" + random.nextInt(3)), t.job));
             for (int i = 0; i < 400; i++) {
                 w.ask(w.nodes.get("k" + random.nextInt(3)), jobs.get(random.nextInt(jobs.size())));
             }
@@ -289,7 +345,9 @@
                 Set<String> said = new HashSet<>();
                 w.nodes.values().forEach(n -> said.add(w.status(n, id)));
                 assertEquals(1, said.size(), "seed " + seed + " " + id + " " + said);
-                assertTrue(said.contains("done") || said.contains("cancelled"), "seed " + seed + " " + id + " " + said);
+                assertTrue(
+                        said.contains("done") || said.contains("cancelled"),
+                        "seed " + seed + " " + id + " " + said);
                 both[said.contains("done") ? 0 : 1]++;
                 assertEquals(0, w.onMachines(id), "seed " + seed + " " + id);
             }
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -19,7 +19,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The state service's limits fall: before, while it happens, and for what was written when they were higher. */
+/**
+ * The state service's limits fall: before, while it happens, and for what was written when they
+ * were higher.
+ */
 class LimitsTest {
     private static final Facts.StoreLimits LOW = new Facts.StoreLimits(1000, 1000, 2, 13);
     private final World w = new World();
@@ -36,7 +39,10 @@
     }
 
     private void largestIs(int bytes) {
-        w.store.keys.forEach((k, e) -> assertTrue(Json.size(e.value()) <= bytes, k + " has " + Json.size(e.value())));
+        w.store.keys.forEach(
+                (k, e) ->
+                        assertTrue(
+                                Json.size(e.value()) <= bytes, k + " has " + Json.size(e.value())));
     }
 
     @Test
@@ -97,10 +103,12 @@
         // The machines of a fifth of the service's replicas go.
         List<String> some = new ArrayList<>(w.workers.keySet());
         Collections.shuffle(some, new java.util.Random(5));
-        some.subList(0, 80).forEach(id -> {
-            w.workers.get(id).die();
-            w.cloud.machines.remove(id);
-        });
+        some.subList(0, 80)
+                .forEach(
+                        id -> {
+                            w.workers.get(id).die();
+                            w.cloud.machines.remove(id);
+                        });
         w.submit(n, World.job("j-4", Shape.GANG, 150, 1));
         w.run(200);
         assertEquals(250, w.onMachines("j-3"));
@@ -117,11 +125,16 @@
         w.run(20);
         assertEquals(0, w.onMachines("j-3"));
         w.run(60);
-        assertEquals(List.of(), w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.PART)).toList());
+        assertEquals(
+                List.of(),
+                w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.PART)).toList());
         assertEquals(List.of(), w.broken);
     }
 
-    /** A gang that has not begun when the limits fall is laid out anew, by the holder and after its end. */
+    /**
+     * A gang that has not begun when the limits fall is laid out anew, by the holder and after its
+     * end.
+     */
     @Test
     void aGangTooWideForItsPartsStartsWholeWhereverTheHolderEnds() {
         for (int at = 0; at < 8; at++) {
@@ -129,7 +142,8 @@
             Node old = t.w.node("k0");
             t.w.run(3);
             t.w.submit(old, World.job("j-1", Shape.GANG, 200, 2));
-            assertNull(((Map<?, ?>) t.w.store.keys.get(Keys.OPEN + "j-1").value()).get("partTasks"));
+            assertNull(
+                    ((Map<?, ?>) t.w.store.keys.get(Keys.OPEN + "j-1").value()).get("partTasks"));
             old.crash();
             t.w.next = LOW;
             t.fall();
@@ -137,7 +151,7 @@
             t.w.run(4);
             t.workers(150);
             if (at > 0) {
-                n.endAfter(at, () -> { });
+                n.endAfter(at, () -> {});
             }
             t.w.run(1);
             Node other = t.w.node("k2");
@@ -158,7 +172,7 @@
         w.store.valueBytes = 900;
         for (int i = 0; i < 30; i++) {
             // All at once, so that there is much to write in one transaction.
-            n.controller.registry().submit(World.job("j-" + (100 + i), Shape.ARRAY, 4, 1), a -> { });
+            n.controller.registry().submit(World.job("j-" + (100 + i), Shape.ARRAY, 4, 1), a -> {});
         }
         w.run(60);
         for (int i = 0; i < 30; i++) {
@@ -179,8 +193,28 @@
         for (int i = 0; i < 300; i++) {
             types.add("type-" + i);
         }
-        JobSpec large = new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), 1, 1, 0, 1, types, null, false,
-                false, false, "img", 1, 20, 0, 0, null);
+        JobSpec large =
+                new JobSpec(
+                        s.id(),
+                        s.jobClass(),
+                        s.team(),
+                        s.shape(),
+                        s.priority(),
+                        1,
+                        1,
+                        0,
+                        1,
+                        types,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        20,
+                        0,
+                        0,
+                        null);
         assertEquals(Verdict.INVALID, w.submit(n, large).verdict());
         w.store.valueBytes = 100;
         assertEquals(Verdict.INVALID, w.submit(n, s).verdict());
@@ -196,8 +230,29 @@
         }
         for (String id : List.of("j-1", "j-2")) {
             JobSpec s = World.job(id, Shape.ARRAY, 1, 1);
-            w.submit(old, new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), 1, 1, 0, 1, types, null,
-                    false, false, false, "img", 1, 20, 0, 0, null));
+            w.submit(
+                    old,
+                    new JobSpec(
+                            s.id(),
+                            s.jobClass(),
+                            s.team(),
+                            s.shape(),
+                            s.priority(),
+                            1,
+                            1,
+                            0,
+                            1,
+                            types,
+                            null,
+                            false,
+                            false,
+                            false,
+                            "img",
+                            1,
+                            20,
+                            0,
+                            0,
+                            null));
         }
         w.next = LOW;
         fall();
@@ -211,7 +266,9 @@
         assertEquals(0, w.store.overLimits);
     }
 
-    /** The settings name the fallen limit as the one in force, without a word of what was before. */
+    /**
+     * The settings name the fallen limit as the one in force, without a word of what was before.
+     */
     @Test
     void settingsThatChangeDontChangeWhatAPartsKeyMeans() {
         Node old = w.node("k0");
@@ -227,10 +284,14 @@
         Node n = w.node("k1");
         w.run(1);
         // What ran on them has to run once more, and nothing that has not run may count as done.
-        w.workers.values().stream().limit(60).toList().forEach(x -> {
-            x.die();
-            w.cloud.machines.remove(x.id);
-        });
+        w.workers.values().stream()
+                .limit(60)
+                .toList()
+                .forEach(
+                        x -> {
+                            x.die();
+                            w.cloud.machines.remove(x.id);
+                        });
         w.run(250);
         assertEquals("done", w.status(n, "j-1"));
         assertEquals(300, w.completed.get("j-1").size());
@@ -241,10 +302,16 @@
     @Test
     void earlierVersionsCantReadWhatWouldMislead() {
         JobSpec s = World.job("j-1", Shape.ARRAY, 300, 1);
-        assertEquals(s.toRecord().get("shape"), new JobRecord(s, 5, List.of(), 0, 0).toMap().get("shape"));
-        for (JobRecord r : List.of(new JobRecord(s, 5, List.of("j-2"), 0, 0), new JobRecord(s, 5, List.of(), 64, 7))) {
+        assertEquals(
+                s.toRecord().get("shape"),
+                new JobRecord(s, 5, List.of(), 0, 0).toMap().get("shape"));
+        for (JobRecord r :
+                List.of(
+                        new JobRecord(s, 5, List.of("j-2"), 0, 0),
+                        new JobRecord(s, 5, List.of(), 64, 7))) {
             Object shape = r.toMap().get("shape");
-            assertTrue(java.util.Arrays.stream(Shape.values()).noneMatch(x -> x.name().equals(shape)));
+            assertTrue(
+                    java.util.Arrays.stream(Shape.values()).noneMatch(x -> x.name().equals(shape)));
             assertEquals(r, JobRecord.of("j-1", r.toMap()));
         }
     }
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -21,13 +21,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Lost answers where they meet something else: claims that are won unawares, cancellations and ends that only others know
- * of, comparisons, records that are laid out anew. The days are in {@link LostAnswersTest}.
+ * Lost answers where they meet something else: claims that are won unawares, cancellations and ends
+ * that only others know of, comparisons, records that are laid out anew. The days are in {@link
+ * LostAnswersTest}.
  */
 class LostAnswersMeetTest {
     // ---- claims ---------------------------------------------------------------------------------
 
-    /** A claim is won without its node's knowing: a few times in a row, also while the store refuses what would undo it. */
+    /**
+     * A claim is won without its node's knowing: a few times in a row, also while the store refuses
+     * what would undo it.
+     */
     @Test
     void claimsThatWereWonUnawaresEndAndOneIsHeard() {
         for (String key : List.of(Keys.LEADER, Keys.DUTY + "cloud", Keys.DUTY + "cleanup")) {
@@ -40,24 +44,40 @@
                     handIn(w, 0, job("j-1", Shape.ARRAY, 8, 2));
                     w.run(3);
                     int[] left = {times};
-                    w.store.unheard = t -> {
-                        var claim = t.writes().stream().filter(x -> x.key().equals(key) && x.value() != null).findFirst();
-                        if (claim.isEmpty() || left[0] == 0) {
-                            return false;
-                        }
-                        left[0]--;
-                        Node n = w.nodes.get((String) ((Map<?, ?>) claim.get().value()).get("node"));
-                        n.cutFromStore = refused > 0;
-                        w.after(refused, () -> n.cutFromStore = false);
-                        return true;
-                    };
+                    w.store.unheard =
+                            t -> {
+                                var claim =
+                                        t.writes().stream()
+                                                .filter(
+                                                        x ->
+                                                                x.key().equals(key)
+                                                                        && x.value() != null)
+                                                .findFirst();
+                                if (claim.isEmpty() || left[0] == 0) {
+                                    return false;
+                                }
+                                left[0]--;
+                                Node n =
+                                        w.nodes.get(
+                                                (String)
+                                                        ((Map<?, ?>) claim.get().value())
+                                                                .get("node"));
+                                n.cutFromStore = refused > 0;
+                                w.after(refused, () -> n.cutFromStore = false);
+                                return true;
+                            };
                     long before = w.store.token();
                     Node old = w.leader();
-                    w.nodes.values().stream().filter(n -> n.controller.duties().stream().anyMatch(d -> d.mine()))
+                    w.nodes.values().stream()
+                            .filter(n -> n.controller.duties().stream().anyMatch(d -> d.mine()))
                             .forEach(Node::kill);
                     old.kill();
-                    w.after(0.4, () -> List.copyOf(w.nodes.values()).stream().filter(n -> !n.alive)
-                            .forEach(n -> w.node(n.name)));
+                    w.after(
+                            0.4,
+                            () ->
+                                    List.copyOf(w.nodes.values()).stream()
+                                            .filter(n -> !n.alive)
+                                            .forEach(n -> w.node(n.name)));
                     handIn(w, 1, job("j-2", Shape.GANG, 2, 1));
                     w.run(1);
                     w.users.cancel(w.nodes.get("k1"), "j-2");
@@ -68,14 +88,26 @@
                     w.run(160);
                     assertTrue(left[0] < times, at);
                     assertTrue(w.store.token() > before, at);
-                    assertEquals(0, w.nodes.values().stream().filter(n -> n != w.leader() && n.controller.leadsWith() > 0)
-                            .count(), at);
+                    assertEquals(
+                            0,
+                            w.nodes.values().stream()
+                                    .filter(n -> n != w.leader() && n.controller.leadsWith() > 0)
+                                    .count(),
+                            at);
                     for (String duty : List.of("cloud", "cleanup")) {
-                        assertEquals(1, w.nodes.values().stream().filter(n -> n.controller.entitled(duty)).count(), at);
+                        assertEquals(
+                                1,
+                                w.nodes.values().stream()
+                                        .filter(n -> n.controller.entitled(duty))
+                                        .count(),
+                                at);
                     }
                     for (String id : List.of("j-1", "j-2", "j-3")) {
                         for (Node n : w.nodes.values()) {
-                            assertEquals(id.equals("j-2") ? "cancelled" : "done", w.status(n, id), at + ": " + id);
+                            assertEquals(
+                                    id.equals("j-2") ? "cancelled" : "done",
+                                    w.status(n, id),
+                                    at + ": " + id);
                         }
                     }
                     assertEquals(List.of(), w.broken, at);
@@ -84,11 +116,12 @@
         }
     }
 
-    // ---- cancellations and ends -------------------------------------------------------------------
+    // ---- cancellations and ends
+    // -------------------------------------------------------------------
 
     /**
-     * Nobody hears that a cancellation was carried out, other users read it at once; its node ends, or the holder does, or
-     * hears of it by none of the quick ways.
+     * Nobody hears that a cancellation was carried out, other users read it at once; its node ends,
+     * or the holder does, or hears of it by none of the quick ways.
      */
     @Test
     void aCancellationThatItsNodeDidNotHearOfIsHonouredLikeAnyOther() {
@@ -103,8 +136,10 @@
                 Node holder = w.leader();
                 Node by = how < 2 ? holder : MeetingsTest.other(w, holder);
                 int[] lost = {0};
-                w.store.unheard = t -> t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1"))
-                        && lost[0]++ < 1;
+                w.store.unheard =
+                        t ->
+                                t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1"))
+                                        && lost[0]++ < 1;
                 if (how >= 2) {
                     w.store.hangs = n -> n == holder;
                     w.nodes.values().forEach(n -> n.losesWord = true);
@@ -137,7 +172,9 @@
         System.out.println("unheard cancellations: " + runs);
     }
 
-    /** Users call jobs off as they end, and whoever moves the job first, nobody hears that it did. */
+    /**
+     * Users call jobs off as they end, and whoever moves the job first, nobody hears that it did.
+     */
     @Test
     void endsAndCancellationsMeetAndBothGoUnheard() {
         int done = 0;
@@ -151,7 +188,10 @@
             // The moves themselves take a while, so that either may be first.
             w.store.slowS = i % 4 * 0.03;
             int[] lost = {0};
-            w.store.unheard = t -> t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.OVER)) && lost[0]++ < 8;
+            w.store.unheard =
+                    t ->
+                            t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.OVER))
+                                    && lost[0]++ < 8;
             for (int j = 0; j < 4; j++) {
                 handIn(w, j, job("j-1" + j, j % 2 == 0 ? Shape.ARRAY : Shape.GANG, 1 + j, 1));
             }
@@ -162,20 +202,29 @@
             assertTrue(lost[0] >= 4, at);
             for (int j = 0; j < 4; j++) {
                 String id = "j-1" + j;
-                Set<String> said = w.nodes.values().stream().map(n -> w.status(n, id)).collect(Collectors.toSet());
-                assertTrue(said.equals(Set.of("done")) || said.equals(Set.of("cancelled")), at + ": " + id + " " + said);
+                Set<String> said =
+                        w.nodes.values().stream()
+                                .map(n -> w.status(n, id))
+                                .collect(Collectors.toSet());
+                assertTrue(
+                        said.equals(Set.of("done")) || said.equals(Set.of("cancelled")),
+                        at + ": " + id + " " + said);
                 done += said.contains("done") ? 1 : 0;
                 cancelled += said.contains("cancelled") ? 1 : 0;
             }
             assertEquals(List.of(), w.broken, at);
         }
-        System.out.println("ends and cancellations unheard: " + done + " done, " + cancelled + " cancelled");
+        System.out.println(
+                "ends and cancellations unheard: " + done + " done, " + cancelled + " cancelled");
         assertTrue(done > 0 && cancelled > 0);
     }
 
     // ---- comparisons ----------------------------------------------------------------------------
 
-    /** Answers of comparisons are lost, all or some: the holder's proof comes by the siblings' word, or not at all. */
+    /**
+     * Answers of comparisons are lost, all or some: the holder's proof comes by the siblings' word,
+     * or not at all.
+     */
     @Test
     void answersOfComparisonsAreLost() {
         for (double lasts : new double[] {1, 4, 9, 20, 45}) {
@@ -189,10 +238,16 @@
                 w.closeLooks = true;
                 boolean some = how == 1;
                 int[] lost = {0};
-                w.store.unheard = t -> t.writes().isEmpty() && (!some || random.nextInt(3) > 0) && ++lost[0] > 0;
+                w.store.unheard =
+                        t ->
+                                t.writes().isEmpty()
+                                        && (!some || random.nextInt(3) > 0)
+                                        && ++lost[0] > 0;
                 Node holder = w.leader();
                 if (how >= 2) {
-                    w.nodes.values().stream().filter(n -> n != holder).forEach(n -> holder.cutFrom.add(n.name));
+                    w.nodes.values().stream()
+                            .filter(n -> n != holder)
+                            .forEach(n -> holder.cutFrom.add(n.name));
                 }
                 if (how == 3) {
                     w.store.hangs = n -> n == holder;
@@ -210,10 +265,13 @@
                 w.run(130);
                 String at = "comparisons unheard for " + lasts + ", way " + how;
                 assertTrue(lost[0] > 0, at);
-                w.nodes.values().forEach(n -> {
-                    assertEquals("cancelled", w.status(n, "j-1"), at);
-                    assertEquals("done", w.status(n, "j-2"), at);
-                });
+                w.nodes
+                        .values()
+                        .forEach(
+                                n -> {
+                                    assertEquals("cancelled", w.status(n, "j-1"), at);
+                                    assertEquals("done", w.status(n, "j-2"), at);
+                                });
                 if (how < 2) {
                     assertEquals(w.workers.size(), sessions(w), at);
                 }
@@ -222,9 +280,12 @@
         }
     }
 
-    // ---- records laid out anew --------------------------------------------------------------------
+    // ---- records laid out anew
+    // --------------------------------------------------------------------
 
-    /** A gang's records are laid out anew, and its holder hears nothing of it; some end over that. */
+    /**
+     * A gang's records are laid out anew, and its holder hears nothing of it; some end over that.
+     */
     @Test
     void aJobThatIsLaidOutAnewUnheardStartsWholeAndOnce() {
         for (int times = 1; times <= 3; times++) {
@@ -237,12 +298,29 @@
                 w.next = new Facts.StoreLimits(1000, 1000, 2, 13);
                 int[] lost = {0};
                 int most = times;
-                w.store.unheard = t -> {
-                    boolean anew = t.conditions().stream().anyMatch(c -> c.key().equals(Keys.OPEN + "j-1")
-                            && c.revision() > 0) && t.writes().stream().anyMatch(x -> x.key().equals(Keys.OPEN + "j-1")
-                            && x.value() != null);
-                    return anew && lost[0]++ < most;
-                };
+                w.store.unheard =
+                        t -> {
+                            boolean anew =
+                                    t.conditions().stream()
+                                                    .anyMatch(
+                                                            c ->
+                                                                    c.key()
+                                                                                    .equals(
+                                                                                            Keys
+                                                                                                            .OPEN
+                                                                                                    + "j-1")
+                                                                            && c.revision() > 0)
+                                            && t.writes().stream()
+                                                    .anyMatch(
+                                                            x ->
+                                                                    x.key()
+                                                                                    .equals(
+                                                                                            Keys
+                                                                                                            .OPEN
+                                                                                                    + "j-1")
+                                                                            && x.value() != null);
+                            return anew && lost[0]++ < most;
+                        };
                 Node n = w.node("k1");
                 w.run(4);
                 for (int i = 0; i < 150; i++) {
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -23,26 +23,34 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A transaction is carried out at once and only its answer is lost, while other nodes read what it wrote and tell users.
- * Whoever wrote comes to the same end as those who read: a repeat finds its own write and does not take it for another's,
- * nobody stands back for it, and nothing that a user has been told is undone.
+ * A transaction is carried out at once and only its answer is lost, while other nodes read what it
+ * wrote and tell users. Whoever wrote comes to the same end as those who read: a repeat finds its
+ * own write and does not take it for another's, nobody stands back for it, and nothing that a user
+ * has been told is undone.
  */
 class LostAnswersTest {
-    /** How long after the lost answer a leader ends, and from when on the store is out, in seconds. */
+    /**
+     * How long after the lost answer a leader ends, and from when on the store is out, in seconds.
+     */
     private static final double[] ENDS = {0.1, 0.5, 2};
+
     private static final double[] OUT = {0.01, 0.8, 1.6};
 
     /** One of them for each write, in turns; all with -Dkitepath.lost.all=true. */
     private static double[] every(double[] delays, int write) {
-        return Boolean.getBoolean("kitepath.lost.all") ? delays : new double[] {delays[write % delays.length]};
+        return Boolean.getBoolean("kitepath.lost.all")
+                ? delays
+                : new double[] {delays[write % delays.length]};
     }
 
     /** Loses the answers of one write of a day, and of as many as follow to the same keys. */
     private static final class Loss {
         final int which;
         final int times;
+
         /** What happens in the moment of the first, if anything. */
         final Runnable then;
+
         int count;
         int lost;
         Set<String> keys;
@@ -77,7 +85,10 @@
     }
 
     private static Node leading(World w) {
-        return w.nodes.values().stream().filter(n -> n.alive && n.controller.leadership.leading()).findFirst().orElse(null);
+        return w.nodes.values().stream()
+                .filter(n -> n.alive && n.controller.leadership.leading())
+                .findFirst()
+                .orElse(null);
     }
 
     static void ends(World w, double backS) {
@@ -99,7 +110,10 @@
         }
     }
 
-    /** A day in which everybody who writes anything writes something; leaders change in it if {@code handOver} says so. */
+    /**
+     * A day in which everybody who writes anything writes something; leaders change in it if {@code
+     * handOver} says so.
+     */
     private static void day(World w, boolean handOver) {
         w.closeLooks = true;
         w.cloud.capacity = 4;
@@ -129,28 +143,42 @@
 
     private static final List<String> JOBS = List.of("j-1", "j-2", "j-3", "j-4", "j-5");
 
-    /** All nodes say the same of each job, the records are struck off, and the holder knows all that is rented. */
+    /**
+     * All nodes say the same of each job, the records are struck off, and the holder knows all that
+     * is rented.
+     */
     private static void oneEnd(World w, String at) {
         w.rules.calm();
         w.run(100);
         Node leader = w.leader();
         for (String id : JOBS) {
-            Set<String> said = w.nodes.values().stream().map(n -> w.status(n, id)).collect(Collectors.toSet());
+            Set<String> said =
+                    w.nodes.values().stream().map(n -> w.status(n, id)).collect(Collectors.toSet());
             assertEquals(1, said.size(), at + ": " + id + " is " + said);
-            assertTrue(said.contains("done") || said.contains("cancelled"), at + ": " + id + " is " + said);
+            assertTrue(
+                    said.contains("done") || said.contains("cancelled"),
+                    at + ": " + id + " is " + said);
         }
         assertEquals("done", w.status(leader, "j-5"), at);
         for (String prefix : List.of(Keys.OPEN, Keys.PART, Keys.ACT)) {
-            assertEquals(List.of(), w.store.keys.keySet().stream().filter(k -> k.startsWith(prefix)).toList(), at);
+            assertEquals(
+                    List.of(),
+                    w.store.keys.keySet().stream().filter(k -> k.startsWith(prefix)).toList(),
+                    at);
         }
-        assertTrue(leader.controller.block.machines().keySet().containsAll(w.cloud.machines.keySet()), at);
-        assertTrue(leader.controller.block.machines().values().stream().noneMatch(m -> m.deafToAnswers()), at);
+        assertTrue(
+                leader.controller.block.machines().keySet().containsAll(w.cloud.machines.keySet()),
+                at);
+        assertTrue(
+                leader.controller.block.machines().values().stream()
+                        .noneMatch(m -> m.deafToAnswers()),
+                at);
         assertEquals(List.of(), w.broken, at);
     }
 
     private static int writesOfADay(boolean handOver) {
         World w = settled(3, 4);
-        Loss none = new Loss(w, -1, 0, () -> { });
+        Loss none = new Loss(w, -1, 0, () -> {});
         day(w, handOver);
         oneEnd(w, "no loss");
         return none.count;
@@ -170,7 +198,7 @@
             for (int i = 0; i < all; i++) {
                 World w = settled(3, 4);
                 long token = w.store.token();
-                Loss loss = new Loss(w, i, times, () -> { });
+                Loss loss = new Loss(w, i, times, () -> {});
                 day(w, false);
                 String at = "write " + i + " unheard " + times + " times";
                 oneEnd(w, at);
@@ -184,12 +212,25 @@
             }
         }
         System.out.println("unheard: " + days + " days, " + repeated + " repeated, keys " + kinds);
-        assertTrue(kinds.keySet().containsAll(List.of("jobs/open/j-", "jobs/over/j-", "jobs/part/j-",
-                "kitepath/act/rent/r-", "kitepath/act/going/", "kitepath/images/", "kitepath/served")), kinds.toString());
+        assertTrue(
+                kinds.keySet()
+                        .containsAll(
+                                List.of(
+                                        "jobs/open/j-",
+                                        "jobs/over/j-",
+                                        "jobs/part/j-",
+                                        "kitepath/act/rent/r-",
+                                        "kitepath/act/going/",
+                                        "kitepath/images/",
+                                        "kitepath/served")),
+                kinds.toString());
         assertTrue(repeated > days / 4, "repeated " + repeated);
     }
 
-    /** Its writer ends right after, or a moment later, and whoever follows goes by what is there. Claims are among them. */
+    /**
+     * Its writer ends right after, or a moment later, and whoever follows goes by what is there.
+     * Claims are among them.
+     */
     @Test
     void aLeaderEndsAfterAWriteThatItHeardNothingOf() {
         Map<String, Integer> kinds = new TreeMap<>();
@@ -206,11 +247,23 @@
             }
         }
         System.out.println("unheard, then an end: " + all + " writes, keys " + kinds);
-        assertTrue(kinds.keySet().containsAll(List.of("kitepath/leader", "kitepath/token", "kitepath/duty/cleanup",
-                "kitepath/act/rent/r-", "jobs/over/j-", "jobs/part/j-")), kinds.toString());
+        assertTrue(
+                kinds.keySet()
+                        .containsAll(
+                                List.of(
+                                        "kitepath/leader",
+                                        "kitepath/token",
+                                        "kitepath/duty/cleanup",
+                                        "kitepath/act/rent/r-",
+                                        "jobs/over/j-",
+                                        "jobs/part/j-")),
+                kinds.toString());
     }
 
-    /** The store is out for longer than a lease, from right after the write on or from right after its repeat. */
+    /**
+     * The store is out for longer than a lease, from right after the write on or from right after
+     * its repeat.
+     */
     @Test
     void theStoreIsOutAfterAWriteThatNobodyHeardOf() {
         int all = writesOfADay(false);
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -23,11 +23,17 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The last four meetings of docs/meetings.md: what comes late, is slow, or does not come at all. */
+/**
+ * The last four meetings of docs/meetings.md: what comes late, is slow, or does not come at all.
+ */
 class MeetingsLateTest {
-    // ---- 5. a command or its answer is held up for seconds, and the machine goes on --------------
+    // ---- 5. a command or its answer is held up for seconds, and the machine goes on
+    // --------------
 
-    /** Stops for work of more right are held up; the same tasks are placed anew on the same machines meanwhile. */
+    /**
+     * Stops for work of more right are held up; the same tasks are placed anew on the same machines
+     * meanwhile.
+     */
     @Test
     void aStopThatIsHeldUpEndsNothingThatWasPlacedSince() {
         for (double held = 0.6; held < 16; held += 0.8) {
@@ -38,7 +44,9 @@
             w.submit(w.leader(), job("j-1", Shape.ARRAY, 2, 4));
             w.run(4);
             assertEquals(2, w.onMachines("j-1"));
-            w.submit(w.leader(), World.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
+            w.submit(
+                    w.leader(),
+                    World.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
             // The same tasks on the same machines, when those of more right have ended.
             w.run(60);
             assertEquals("done", w.status(w.leader(), "j-2"), "held " + held);
@@ -48,7 +56,10 @@
         }
     }
 
-    /** A machine stands still with commands and answers under way, for less and for more than its lease, and goes on. */
+    /**
+     * A machine stands still with commands and answers under way, for less and for more than its
+     * lease, and goes on.
+     */
     @Test
     void aMachineThatStoodStillDoesNothingThatIsNotWantedAnyMore() {
         for (double stands = 1; stands < 26; stands += 1) {
@@ -59,7 +70,9 @@
                 w.submit(w.leader(), job("j-1", Shape.ARRAY, 3, 4));
                 w.run(at);
                 x.hangsUntil = w.clock.now + stands;
-                w.submit(w.leader(), World.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
+                w.submit(
+                        w.leader(),
+                        World.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
                 w.run(3);
                 w.cancel(w.leader(), "j-2");
                 w.run(70);
@@ -70,7 +83,8 @@
         }
     }
 
-    // ---- 6. the store answers slowly, also during a takeover --------------------------------------
+    // ---- 6. the store answers slowly, also during a takeover
+    // --------------------------------------
 
     @Test
     void aSlowStoreDelaysButForgetsAndDoublesNothing() {
@@ -85,11 +99,16 @@
                 List<String> handedIn = new ArrayList<>(List.of("j-1"));
                 for (int i = 0; i < 10; i++) {
                     String id = "j-" + (10 + i);
-                    w.submit(w.nodes.get("k" + i % 3), job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 2, 1));
+                    w.submit(
+                            w.nodes.get("k" + i % 3),
+                            job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 2, 1));
                     handedIn.add(id);
                     if (i == 4 && takeover) {
-                        Node n = w.nodes.values().stream().filter(x -> x.controller.leadership.leading()).findFirst()
-                                .orElse(w.nodes.get("k0"));
+                        Node n =
+                                w.nodes.values().stream()
+                                        .filter(x -> x.controller.leadership.leading())
+                                        .findFirst()
+                                        .orElse(w.nodes.get("k0"));
                         n.kill();
                         w.after(0.3, () -> w.node(n.name));
                     }
@@ -106,9 +125,13 @@
                     var a = w.ask(w.leader(), id);
                     // One whose user heard nothing may or may not be there.
                     if (w.accepted.containsKey(id)) {
-                        assertEquals(w.toldCancelled.containsKey(id) ? "cancelled" : a.state().status(),
-                                a.state().status(), at);
-                        assertTrue(List.of("done", "cancelled").contains(a.state().status()), at + " " + a);
+                        assertEquals(
+                                w.toldCancelled.containsKey(id) ? "cancelled" : a.state().status(),
+                                a.state().status(),
+                                at);
+                        assertTrue(
+                                List.of("done", "cancelled").contains(a.state().status()),
+                                at + " " + a);
                     }
                 }
                 if (slow < 0.3) {
@@ -120,7 +143,9 @@
         }
     }
 
-    /** No herd: what all nodes ask of a store that is out stays few a second, whoever waits for it. */
+    /**
+     * No herd: what all nodes ask of a store that is out stays few a second, whoever waits for it.
+     */
     @Test
     void anOutageIsNotAnsweredWithAHerd() {
         World w = settled(3, 6);
@@ -130,8 +155,8 @@
         int before = w.nodes.values().stream().mapToInt(n -> n.requests).sum();
         for (int i = 0; i < 40; i++) {
             for (Node n : w.nodes.values()) {
-                n.controller.registry().status("j-1", a -> { });
-                n.controller.registry().cancel("j-1", a -> { });
+                n.controller.registry().status("j-1", a -> {});
+                n.controller.registry().cancel("j-1", a -> {});
             }
             w.run(0.98);
         }
@@ -140,20 +165,29 @@
         assertTrue(asked < 40 * 3 * 12, "requests " + asked);
     }
 
-    // ---- 7. a transaction without an answer is carried out late, after newer ones -----------------
+    // ---- 7. a transaction without an answer is carried out late, after newer ones
+    // -----------------
 
     /** A day in which everybody who writes anything writes something. */
-    private static World day(int which, double late, int[] count, Map<String, Integer> kinds, double crashAt) {
+    private static World day(
+            int which, double late, int[] count, Map<String, Integer> kinds, double crashAt) {
         World w = settled(3, 4);
         w.cloud.capacity = 8;
         w.runsFor = id -> 7;
-        w.store.late = t -> {
-            if (count[0]++ == which) {
-                t.writes().forEach(x -> kinds.merge(x.key().replaceAll("[0-9]+.*", ""), 1, Integer::sum));
-                return late;
-            }
-            return 0;
-        };
+        w.store.late =
+                t -> {
+                    if (count[0]++ == which) {
+                        t.writes()
+                                .forEach(
+                                        x ->
+                                                kinds.merge(
+                                                        x.key().replaceAll("[0-9]+.*", ""),
+                                                        1,
+                                                        Integer::sum));
+                        return late;
+                    }
+                    return 0;
+                };
         Node a = w.leader();
         w.submit(a, job("j-1", Shape.ARRAY, 6, 2));
         w.submit(other(w, a), job("j-2", Shape.GANG, 4, 2));
@@ -164,14 +198,21 @@
         w.run(3);
         if (crashAt > 0) {
             w.run(crashAt);
-            Node n = w.nodes.values().stream().filter(x -> x.controller.leadership.leading()).findFirst().orElse(a);
+            Node n =
+                    w.nodes.values().stream()
+                            .filter(x -> x.controller.leadership.leading())
+                            .findFirst()
+                            .orElse(a);
             n.kill();
             w.after(0.3, () -> w.node(n.name));
         }
         w.run(4);
         // The same ids again, by users who heard nothing.
         for (String id : List.of("j-1", "j-2", "j-3")) {
-            w.submit(w.nodes.get("k1"), w.specs.get(id), w.needs.getOrDefault(id, List.of()).toArray(String[]::new));
+            w.submit(
+                    w.nodes.get("k1"),
+                    w.specs.get(id),
+                    w.needs.getOrDefault(id, List.of()).toArray(String[]::new));
         }
         w.cancel(w.nodes.get("k2"), "j-2");
         w.submit(w.nodes.get("k0"), job("j-5", Shape.ARRAY, 60, 2));
@@ -200,10 +241,15 @@
                 for (String id : w.accepted.keySet()) {
                     String status = w.status(w.leader(), id);
                     boolean gone = w.toldCancelled.containsKey(id);
-                    assertTrue(status.equals(gone ? "cancelled" : "done")
-                            || id.equals("j-4") && status.equals("cancelled"), at + ": " + id + " is " + status);
+                    assertTrue(
+                            status.equals(gone ? "cancelled" : "done")
+                                    || id.equals("j-4") && status.equals("cancelled"),
+                            at + ": " + id + " is " + status);
                 }
-                assertEquals(0, w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.OPEN)).count(), at);
+                assertEquals(
+                        0,
+                        w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.OPEN)).count(),
+                        at);
                 days++;
             }
         }
@@ -221,11 +267,18 @@
             w.runsFor = id -> 6 + Math.floorMod(id.hashCode(), 9);
             w.store.late = t -> random.nextInt(3) == 0 ? 2 + random.nextDouble() * 10 : 0;
             for (int i = 0; i < 12; i++) {
-                w.submit(w.nodes.get("k" + random.nextInt(3)), job("j-" + (10 + i), i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
-                        1 + random.nextInt(4), 1));
+                w.submit(
+                        w.nodes.get("k" + random.nextInt(3)),
+                        job(
+                                "j-" + (10 + i),
+                                i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
+                                1 + random.nextInt(4),
+                                1));
                 w.run(random.nextDouble() * 4);
                 if (random.nextInt(4) == 0) {
-                    w.cancel(w.nodes.get("k" + random.nextInt(3)), "j-" + (10 + random.nextInt(i + 1)));
+                    w.cancel(
+                            w.nodes.get("k" + random.nextInt(3)),
+                            "j-" + (10 + random.nextInt(i + 1)));
                 }
                 if (random.nextInt(5) == 0) {
                     Node n = w.nodes.get("k" + random.nextInt(3));
@@ -238,42 +291,59 @@
             w.run(120);
             for (String id : w.accepted.keySet()) {
                 var a = w.ask(w.leader(), id);
-                assertTrue(a.verdict() == Verdict.KNOWN && List.of("done", "cancelled").contains(a.state().status()),
+                assertTrue(
+                        a.verdict() == Verdict.KNOWN
+                                && List.of("done", "cancelled").contains(a.state().status()),
                         "seed " + seed + ": " + id + " " + a);
             }
             assertEquals(List.of(), w.broken, "seed " + seed);
         }
     }
 
-    // ---- 8. a leader ends while machines with long tasks can't be reached or hear nothing -----------
+    // ---- 8. a leader ends while machines with long tasks can't be reached or hear nothing
+    // -----------
 
     private static void unreachable(double leaderEnds, double lasts, boolean deaf, Shape shape) {
         World w = settled(3, 8);
-        w.cloud.capacity = 8; // For the machines that are given back, as what hears nobody is after three leases.
+        w.cloud.capacity =
+                8; // For the machines that are given back, as what hears nobody is after three
+        // leases.
         w.runsFor = id -> 90;
         JobSpec s = job("j-1", shape, 4, 4);
         w.submit(w.leader(), shape == Shape.GANG ? World.with(s, "red", Priority.NORMAL, true) : s);
         w.run(6);
-        List<Worker> lost = w.workers.values().stream().filter(x -> !x.tasks.isEmpty()).limit(2).toList();
+        List<Worker> lost =
+                w.workers.values().stream().filter(x -> !x.tasks.isEmpty()).limit(2).toList();
         w.run(2);
-        lost.forEach(x -> {
-            x.deaf = deaf;
-            x.cut = !deaf;
-        });
+        lost.forEach(
+                x -> {
+                    x.deaf = deaf;
+                    x.cut = !deaf;
+                });
         w.run(leaderEnds);
         Node n = w.leader();
         n.kill();
         w.after(0.3, () -> w.node(n.name));
         w.run(lasts);
-        lost.forEach(x -> {
-            x.deaf = false;
-            x.cut = false;
-        });
+        lost.forEach(
+                x -> {
+                    x.deaf = false;
+                    x.cut = false;
+                });
         w.run(280);
-        String at = shape + " leader ends after " + leaderEnds + ", lasts " + lasts + (deaf ? " deaf" : " cut");
+        String at =
+                shape
+                        + " leader ends after "
+                        + leaderEnds
+                        + ", lasts "
+                        + lasts
+                        + (deaf ? " deaf" : " cut");
         assertEquals(List.of(), w.broken, at);
         assertEquals("done", w.status(w.leader(), "j-1"), at);
-        assertTrue(w.leader().controller.block.machines().values().stream().allMatch(m -> m.attempts().isEmpty()), at);
+        assertTrue(
+                w.leader().controller.block.machines().values().stream()
+                        .allMatch(m -> m.attempts().isEmpty()),
+                at);
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -18,12 +18,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The first four meetings of docs/meetings.md, each swept through its timing; {@link MeetingsLateTest} has the others. */
+/**
+ * The first four meetings of docs/meetings.md, each swept through its timing; {@link
+ * MeetingsLateTest} has the others.
+ */
 class MeetingsTest {
     private World w;
 
     static Node other(World w, Node than) {
-        return w.nodes.values().stream().filter(n -> n != than && n.alive).findFirst().orElseThrow();
+        return w.nodes.values().stream()
+                .filter(n -> n != than && n.alive)
+                .findFirst()
+                .orElseThrow();
     }
 
     static long sessions(World w) {
@@ -46,7 +52,10 @@
 
     // ---- 1. the leader without store and siblings, with workers and users -----------------------
 
-    /** Cut for each half second of two leases, and cancelled through the others at three moments of it. */
+    /**
+     * Cut for each half second of two leases, and cancelled through the others at three moments of
+     * it.
+     */
     @Test
     void aHolderAloneWithItsWorkersKeepsNothingThatOthersCancel() {
         for (double cut = 0.5; cut <= 2 * 10; cut += 0.5) {
@@ -62,7 +71,10 @@
                 var a = w.cancel(other(w, holder), "j-1");
                 // Its own users are sent away or told what holds for ever, never how it was.
                 var own = w.ask(holder, "j-1");
-                assertTrue(own == null || own.verdict() == Verdict.LATER || own.verdict() == Verdict.KNOWN);
+                assertTrue(
+                        own == null
+                                || own.verdict() == Verdict.LATER
+                                || own.verdict() == Verdict.KNOWN);
                 w.run(cut * (1 - cancelAfter));
                 joined(holder);
                 w.run(3);
@@ -70,7 +82,8 @@
                 w.run(40);
                 String at = "cut " + cut + ", cancelled after " + cancelAfter;
                 assertEquals(List.of(), w.broken, at);
-                assertEquals(a != null && a.verdict() == Verdict.KNOWN ? 0 : 6, w.onMachines("j-1"), at);
+                assertEquals(
+                        a != null && a.verdict() == Verdict.KNOWN ? 0 : 6, w.onMachines("j-1"), at);
                 assertEquals(6, w.onMachines("j-2"), at);
                 assertEquals(0, w.dropped, at);
             }
@@ -102,7 +115,10 @@
         }
     }
 
-    /** A worker that lost the leader comes with its lease running; whoever hears nobody must not keep it. */
+    /**
+     * A worker that lost the leader comes with its lease running; whoever hears nobody must not
+     * keep it.
+     */
     @Test
     void aNodeThatHearsNobodySendsWorkersOnAtOnce() {
         w = settled(3, 2);
@@ -110,8 +126,19 @@
         alone(w, cut);
         w.run(8);
         HeartbeatAnswer[] got = new HeartbeatAnswer[1];
-        cut.controller.heartbeat(new Report("i-000077", "", "m4", "a", false, 1, 9, w.store.token(), null, List.of(
-                new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))), c -> got[0] = c);
+        cut.controller.heartbeat(
+                new Report(
+                        "i-000077",
+                        "",
+                        "m4",
+                        "a",
+                        false,
+                        1,
+                        9,
+                        w.store.token(),
+                        null,
+                        List.of(new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))),
+                c -> got[0] = c);
         w.run(0.05);
         assertEquals(HeartbeatAnswer.elsewhere(null), got[0]);
     }
@@ -120,7 +147,8 @@
 
     private void endsFarApart(Shape shape, double crashAt, double backAfter, boolean second) {
         w = settled(3, 3);
-        // Each fills a machine, so that the three tasks end apart: far, or in the moment of the change.
+        // Each fills a machine, so that the three tasks end apart: far, or in the moment of the
+        // change.
         double[] run = {4, 11, 26};
         int i = 0;
         for (Worker x : w.workers.values()) {
@@ -138,8 +166,11 @@
         w.run(2.5);
         w.ask(other(w, ends), "j-1");
         if (second) {
-            Node next = w.nodes.values().stream().filter(n -> n.alive && n.controller.leadership.leading()).findFirst()
-                    .orElse(null);
+            Node next =
+                    w.nodes.values().stream()
+                            .filter(n -> n.alive && n.controller.leadership.leading())
+                            .findFirst()
+                            .orElse(null);
             if (next != null) {
                 next.crash();
                 w.after(0.3, () -> w.node(next.name));
@@ -149,7 +180,15 @@
             w.run(1);
             w.ask(w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow(), "j-1");
         }
-        String at = shape + " crash at " + crashAt + " back " + backAfter + (second ? " twice" : "") + ", ended " + ended;
+        String at =
+                shape
+                        + " crash at "
+                        + crashAt
+                        + " back "
+                        + backAfter
+                        + (second ? " twice" : "")
+                        + ", ended "
+                        + ended;
         assertEquals(List.of(), w.broken, at);
         assertEquals("done", w.status(w.leader(), "j-1"), at);
         assertEquals(3, starts(w), at);
@@ -166,7 +205,8 @@
         }
     }
 
-    // ---- 3. controllers hand over and back, all end, one returns, also within a second -----------
+    // ---- 3. controllers hand over and back, all end, one returns, also within a second
+    // -----------
 
     @Test
     void handingOverAndBackLosesNothingAndTokensOnlyRise() {
@@ -178,8 +218,11 @@
             int before = starts(w);
             long token = w.store.token();
             for (int i = 0; i < 6; i++) {
-                Node n = w.nodes.values().stream().filter(x -> x.alive && x.controller.leadership.leading()).findFirst()
-                        .orElse(null);
+                Node n =
+                        w.nodes.values().stream()
+                                .filter(x -> x.alive && x.controller.leadership.leading())
+                                .findFirst()
+                                .orElse(null);
                 if (n != null) {
                     n.controller.stop();
                     w.run(0.02);
@@ -228,9 +271,13 @@
         assertEquals(w.store.token(), highest, at);
     }
 
-    // ---- 4. an old report after newer ones, also of an earlier session or attempt -----------------
+    // ---- 4. an old report after newer ones, also of an earlier session or attempt
+    // -----------------
 
-    /** Taken at every moment of a job's life, and brought to the next holder before and after the machine's own report. */
+    /**
+     * Taken at every moment of a job's life, and brought to the next holder before and after the
+     * machine's own report.
+     */
     @Test
     void anOldReportBringsNothingBackWheneverItComes() {
         for (double takenAt = 0.5; takenAt < 14; takenAt += 1) {
@@ -250,8 +297,17 @@
                 Node holder = w.leader();
                 holder.crash();
                 w.after(0.3, () -> w.node(holder.name));
-                w.after(arrives, () -> old.forEach(r -> w.nodes.values().stream().filter(n -> n.alive)
-                        .forEach(n -> n.controller.heartbeat(r, c -> { }))));
+                w.after(
+                        arrives,
+                        () ->
+                                old.forEach(
+                                        r ->
+                                                w.nodes.values().stream()
+                                                        .filter(n -> n.alive)
+                                                        .forEach(
+                                                                n ->
+                                                                        n.controller.heartbeat(
+                                                                                r, c -> {}))));
                 w.run(70);
                 String at = "taken at " + takenAt + ", arrives after " + arrives;
                 assertEquals(List.of(), w.broken, at);
@@ -277,7 +333,7 @@
         w.run(30);
         assertNotNull(old);
         for (int i = 0; i < 20; i++) {
-            w.nodes.values().forEach(n -> n.controller.heartbeat(old, c -> { }));
+            w.nodes.values().forEach(n -> n.controller.heartbeat(old, c -> {}));
             w.run(1);
         }
         w.run(60);
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Workers that reach no controller while direct commands reach them; all controllers away for longer than a lease, back in
- * any order; more work than room, urgent and not, over slow links. Nothing runs twice or is left waiting, and what is stopped
- * goes at once where it can be told.
+ * Workers that reach no controller while direct commands reach them; all controllers away for
+ * longer than a lease, back in any order; more work than room, urgent and not, over slow links.
+ * Nothing runs twice or is left waiting, and what is stopped goes at once where it can be told.
  */
 class MuteAndAwayTest {
     /** All that was accepted is over, as its users wanted. */
@@ -41,40 +41,71 @@
         for (String id : w.accepted.keySet()) {
             var a = w.ask(w.leader(), id);
             assertEquals(Verdict.KNOWN, a.verdict(), at + ": " + id);
-            assertEquals(w.toldCancelled.containsKey(id) ? "cancelled" : "done", a.state().status(), at + ": " + id);
+            assertEquals(
+                    w.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    a.state().status(),
+                    at + ": " + id);
         }
-        assertTrue(w.leader().controller.block.machines().values().stream().allMatch(m -> m.attempts().isEmpty()), at);
+        assertTrue(
+                w.leader().controller.block.machines().values().stream()
+                        .allMatch(m -> m.attempts().isEmpty()),
+                at);
     }
 
     private static JobSpec of(JobSpec s, Priority p) {
         return World.with(s, "red", p, false);
     }
 
-    // ---- workers that can't open connections ------------------------------------------------------
+    // ---- workers that can't open connections
+    // ------------------------------------------------------
 
     /** Tasks of that job that were stopped by a command on machines that can't report it. */
     private static long stoppedOnMute(World w, String job) {
-        return w.workers.values().stream().filter(x -> x.mute).flatMap(x -> x.tasks.values().stream())
-                .filter(t -> t.job.equals(job) && t.state == State.ENDED && t.cause == Cause.STOPPED).count();
+        return w.workers.values().stream()
+                .filter(x -> x.mute)
+                .flatMap(x -> x.tasks.values().stream())
+                .filter(
+                        t ->
+                                t.job.equals(job)
+                                        && t.state == State.ENDED
+                                        && t.cause == Cause.STOPPED)
+                .count();
     }
 
-    /** {@code mute} of eight machines for so long; work is cancelled and gives way on them; perhaps the leader ends. */
-    private static long mute(int mute, double lasts, double cancelledAfter, double leaderEndsAfter) {
+    /**
+     * {@code mute} of eight machines for so long; work is cancelled and gives way on them; perhaps
+     * the leader ends.
+     */
+    private static long mute(
+            int mute, double lasts, double cancelledAfter, double leaderEndsAfter) {
         World w = settled(3, 8);
         w.cloud.capacity = 8;
         w.runsFor = id -> id.equals("j-3") ? 8 : 25;
-        String at = mute + " mute for " + lasts + ", cancelled after " + cancelledAfter + ", leader ends after " + leaderEndsAfter;
+        String at =
+                mute
+                        + " mute for "
+                        + lasts
+                        + ", cancelled after "
+                        + cancelledAfter
+                        + ", leader ends after "
+                        + leaderEndsAfter;
         w.submit(w.leader(), of(job("j-1", Shape.ARRAY, 16, 1), Priority.LOW));
         w.submit(w.leader(), job("j-2", Shape.ARRAY, 8, 2));
         w.run(6);
         assertEquals(24, w.onMachines("j-1") + w.onMachines("j-2"), at);
         w.workers.values().stream().limit(mute).forEach(x -> x.mute = true);
         if (leaderEndsAfter >= 0) {
-            w.after(leaderEndsAfter, () -> {
-                Node n = w.nodes.values().stream().filter(x -> x.controller.leadership.leading()).findFirst().orElseThrow();
-                n.kill();
-                w.after(0.3, () -> w.node(n.name));
-            });
+            w.after(
+                    leaderEndsAfter,
+                    () -> {
+                        Node n =
+                                w.nodes.values().stream()
+                                        .filter(x -> x.controller.leadership.leading())
+                                        .findFirst()
+                                        .orElseThrow();
+                        n.kill();
+                        w.after(0.3, () -> w.node(n.name));
+                    });
         }
         w.after(lasts, () -> w.workers.values().forEach(x -> x.mute = false));
         w.run(cancelledAfter);
@@ -99,7 +130,9 @@
                     long now = mute(mute, lasts, after, -1);
                     // Told as long as their last reports are not so old that they may be gone.
                     if (after < 2 && lasts > after + 1) {
-                        assertTrue(now >= mute, mute + " mute for " + lasts + " from " + after + " before: " + now);
+                        assertTrue(
+                                now >= mute,
+                                mute + " mute for " + lasts + " from " + after + " before: " + now);
                     }
                     stopped += now > 0 ? 1 : 0;
                     days++;
@@ -121,7 +154,9 @@
         }
     }
 
-    /** What waits begins elsewhere, also while machines that were placed on say nothing any more. */
+    /**
+     * What waits begins elsewhere, also while machines that were placed on say nothing any more.
+     */
     @Test
     void workThatWasPlacedOnMuteMachinesBeginsElsewhere() {
         for (double after = 0.1; after < 4; after += 0.3) {
@@ -133,28 +168,44 @@
             w.run(after);
             w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 4));
             double from = w.clock.now;
-            while (w.completed.getOrDefault("j-1", Set.of()).size() < 4 && w.clock.now - from < 90) {
+            while (w.completed.getOrDefault("j-1", Set.of()).size() < 4
+                    && w.clock.now - from < 90) {
                 w.run(1);
             }
             assertTrue(lost.stream().allMatch(x -> x.started == 0), "they were mute");
             // Until they count as silent, are given back and others are up; and what runs then.
-            assertTrue(w.clock.now - from < 2 * w.leaseS + 15, "after " + after + " took " + (w.clock.now - from));
+            assertTrue(
+                    w.clock.now - from < 2 * w.leaseS + 15,
+                    "after " + after + " took " + (w.clock.now - from));
             over(w, 60, "after " + after);
         }
     }
 
-    // ---- all controllers are away -----------------------------------------------------------------
+    // ---- all controllers are away
+    // -----------------------------------------------------------------
 
-    private static final int[][] ORDERS = {{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}};
+    private static final int[][] ORDERS = {
+        {0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}
+    };
 
-    private static void away(double from, double lasts, int[] order, double apart, boolean cancelled) {
+    private static void away(
+            double from, double lasts, int[] order, double apart, boolean cancelled) {
         World w = settled(3, 6);
         w.cloud.capacity = 6;
         w.runsFor = id -> 7 + Math.floorMod(id.hashCode(), 3) * 9;
-        String at = "away after " + from + " for " + lasts + ", back " + List.of(order[0], order[1], order[2]) + " each " + apart
-                + (cancelled ? ", cancelled" : "");
+        String at =
+                "away after "
+                        + from
+                        + " for "
+                        + lasts
+                        + ", back "
+                        + List.of(order[0], order[1], order[2])
+                        + " each "
+                        + apart
+                        + (cancelled ? ", cancelled" : "");
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 6, 1));
-        w.submit(w.leader(), World.with(job("j-2", Shape.GANG, 4, 2), "red", Priority.NORMAL, true));
+        w.submit(
+                w.leader(), World.with(job("j-2", Shape.GANG, 4, 2), "red", Priority.NORMAL, true));
         w.submit(w.leader(), job("j-3", Shape.ARRAY, 3, 1));
         w.run(4);
         long before = sessions(w);
@@ -172,7 +223,9 @@
         }
         w.run(lasts + 2 * apart);
         if (lasts > w.leaseS + w.reportS + 0.5) {
-            assertTrue(sessions(w) >= before + 6, at + ": their leases ended, " + sessions(w) + " after " + before);
+            assertTrue(
+                    sessions(w) >= before + 6,
+                    at + ": their leases ended, " + sessions(w) + " after " + before);
         }
         w.run(1);
         w.submit(w.nodes.get("k1"), job("j-5", Shape.ARRAY, 4, 1));
@@ -195,9 +248,13 @@
         assertEquals(54, days);
     }
 
-    // ---- more work than room ------------------------------------------------------------------------
+    // ---- more work than room
+    // ------------------------------------------------------------------------
 
-    /** Twice the work that there is room for, of all urgencies and two teams, over links that take up to a second. */
+    /**
+     * Twice the work that there is room for, of all urgencies and two teams, over links that take
+     * up to a second.
+     */
     @Test
     void urgentWorkComesFirstOverSlowLinksAndNothingIsLeft() {
         double[] waits = new double[2];
@@ -215,8 +272,16 @@
                 String id = "j-" + (100 + i);
                 Priority p = Priority.values()[random.nextInt(Priority.values().length)];
                 boolean gang = random.nextInt(4) == 0;
-                JobSpec s = World.with(job(id, gang ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(gang ? 4 : 8),
-                        1 + random.nextInt(2)), random.nextBoolean() ? "red" : "blue", p, gang && random.nextBoolean());
+                JobSpec s =
+                        World.with(
+                                job(
+                                        id,
+                                        gang ? Shape.GANG : Shape.ARRAY,
+                                        1 + random.nextInt(gang ? 4 : 8),
+                                        1 + random.nextInt(2)),
+                                random.nextBoolean() ? "red" : "blue",
+                                p,
+                                gang && random.nextBoolean());
                 handedIn.put(id, w.clock.now);
                 if (p.ordinal() < 2) {
                     urgent.add(id);
@@ -232,7 +297,9 @@
             assertEquals(30, w.accepted.size(), "seed " + seed);
             most = w.leader().controller.placer.preemption().evictions();
             // Each task that gives way does so for one that is more urgent, and not over and over.
-            assertTrue(starts(w) <= tasks + most, "seed " + seed + ": " + starts(w) + " starts of " + tasks + ", " + most);
+            assertTrue(
+                    starts(w) <= tasks + most,
+                    "seed " + seed + ": " + starts(w) + " starts of " + tasks + ", " + most);
             assertTrue(most <= 2 * tasks, "seed " + seed + ": " + most + " gave way for " + tasks);
             for (String id : handedIn.keySet()) {
                 int k = urgent.contains(id) ? 0 : 1;
@@ -240,9 +307,16 @@
                 counts[k]++;
             }
         }
-        System.out.println("more work than room: urgent waited " + waits[0] / counts[0] + ", other " + waits[1] / counts[1]
-                + ", gave way " + evictions);
-        assertTrue(waits[0] / counts[0] < 0.5 * waits[1] / counts[1], waits[0] / counts[0] + " and " + waits[1] / counts[1]);
+        System.out.println(
+                "more work than room: urgent waited "
+                        + waits[0] / counts[0]
+                        + ", other "
+                        + waits[1] / counts[1]
+                        + ", gave way "
+                        + evictions);
+        assertTrue(
+                waits[0] / counts[0] < 0.5 * waits[1] / counts[1],
+                waits[0] / counts[0] + " and " + waits[1] / counts[1]);
         assertTrue(evictions > 10, "gave way: " + evictions);
     }
 
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/OneZoneTest.java
@@ -19,7 +19,10 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Jobs bound to one zone, or spread over zones, lose machines, and the next leader knows less than the last one did. */
+/**
+ * Jobs bound to one zone, or spread over zones, lose machines, and the next leader knows less than
+ * the last one did.
+ */
 class OneZoneTest {
     /** So many nodes and machines, the first ones in zone a, the others in zone b. */
     private static World zones(int nodes, int inA, int inB) {
@@ -32,9 +35,27 @@
     }
 
     private static JobSpec placed(JobSpec s, String zone, boolean oneZone, boolean spread) {
-        return new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), s.tasks(), s.cpus(), s.gpus(),
-                s.memoryGb(), s.types(), zone, oneZone, spread, s.spot(), s.image(), s.imageGb(), s.estimateS(),
-                s.checkpointS(), s.saveS(), s.deadlineS());
+        return new JobSpec(
+                s.id(),
+                s.jobClass(),
+                s.team(),
+                s.shape(),
+                s.priority(),
+                s.tasks(),
+                s.cpus(),
+                s.gpus(),
+                s.memoryGb(),
+                s.types(),
+                zone,
+                oneZone,
+                spread,
+                s.spot(),
+                s.image(),
+                s.imageGb(),
+                s.estimateS(),
+                s.checkpointS(),
+                s.saveS(),
+                s.deadlineS());
     }
 
     private static JobSpec in(String zone, JobSpec s) {
@@ -50,8 +71,11 @@
     }
 
     private static Set<String> zonesOf(World w, String job) {
-        return w.workers.values().stream().flatMap(x -> x.tasks.values().stream())
-                .filter(t -> t.on() && t.job.equals(job)).map(t -> t.worker.zone).collect(Collectors.toSet());
+        return w.workers.values().stream()
+                .flatMap(x -> x.tasks.values().stream())
+                .filter(t -> t.on() && t.job.equals(job))
+                .map(t -> t.worker.zone)
+                .collect(Collectors.toSet());
     }
 
     private static void rests(World w, String at) {
@@ -61,11 +85,13 @@
         assertEquals(List.of(), w.broken, at);
     }
 
-    // ---- attempts that are not proven over -------------------------------------------------------
+    // ---- attempts that are not proven over
+    // -------------------------------------------------------
 
     /**
-     * A task of the job is on a machine that can't be reached, of which the next leader has neither a report nor a list:
-     * it knows the machine's name from the record alone, while machines in the other zone come free.
+     * A task of the job is on a machine that can't be reached, of which the next leader has neither
+     * a report nor a list: it knows the machine's name from the record alone, while machines in the
+     * other zone come free.
      */
     private static void knownByNameAlone(JobSpec s, double leaderEnds, double freeAt) {
         World w = zones(2, 1, 2);
@@ -83,7 +109,8 @@
         w.leader().kill();
         w.run(5 - leaderEnds);
         String at = s + " leader ends after " + leaderEnds + ", free at " + freeAt;
-        // The meeting: the task goes on, and the leader has it on a machine of which nobody has said where it is.
+        // The meeting: the task goes on, and the leader has it on a machine of which nobody has
+        // said where it is.
         assertTrue(held.on(), at);
         assertNull(w.leader().controller.block.machines().get(x.id).zone(), at);
         w.run(8);
@@ -103,7 +130,10 @@
         }
     }
 
-    /** The same with machines that are known, at each moment of two leases, by a seed; arrays and gangs. */
+    /**
+     * The same with machines that are known, at each moment of two leases, by a seed; arrays and
+     * gangs.
+     */
     @Test
     void whatIsNotProvenOverKeepsTheJobInItsZone() {
         int lost = 0;
@@ -113,12 +143,20 @@
             w.cloud.capacity = 8;
             w.runsFor = id -> 5 + random.nextInt(25);
             for (int i = 0; i < 4; i++) {
-                JobSpec s = job("j-" + i, i == 1 ? Shape.GANG : Shape.ARRAY, 2 + random.nextInt(5), 1 + random.nextInt(3));
+                JobSpec s =
+                        job(
+                                "j-" + i,
+                                i == 1 ? Shape.GANG : Shape.ARRAY,
+                                2 + random.nextInt(5),
+                                1 + random.nextInt(3));
                 w.submit(w.leader(), i == 3 ? spread(s) : bound(s));
                 w.run(random.nextDouble() * 2);
             }
             for (int i = 0; i < 3; i++) {
-                List<Worker> busy = w.workers.values().stream().filter(x -> x.up && !x.cut && !x.tasks.isEmpty()).toList();
+                List<Worker> busy =
+                        w.workers.values().stream()
+                                .filter(x -> x.up && !x.cut && !x.tasks.isEmpty())
+                                .toList();
                 if (!busy.isEmpty()) {
                     Worker x = busy.get(random.nextInt(busy.size()));
                     lost++;
@@ -132,8 +170,11 @@
                 }
                 w.run(random.nextDouble() * 5);
                 if (random.nextInt(2) == 0) {
-                    Node n = w.nodes.values().stream().filter(y -> y.controller.leadership.leading()).findFirst()
-                            .orElse(w.nodes.get("k0"));
+                    Node n =
+                            w.nodes.values().stream()
+                                    .filter(y -> y.controller.leadership.leading())
+                                    .findFirst()
+                                    .orElse(w.nodes.get("k0"));
                     n.kill();
                     w.after(0.3, () -> w.node(n.name));
                 }
@@ -145,9 +186,13 @@
         assertTrue(lost > 80, "machines lost with work on them: " + lost);
     }
 
-    // ---- the rest of the zone is full -------------------------------------------------------------
+    // ---- the rest of the zone is full
+    // -------------------------------------------------------------
 
-    /** What a job can't use because its other tasks are elsewhere is neither kept for it nor emptied for it. */
+    /**
+     * What a job can't use because its other tasks are elsewhere is neither kept for it nor emptied
+     * for it.
+     */
     private static void leavesTheOtherZoneAlone(JobSpec s, int inA, int inB, boolean takeover) {
         World w = zones(2, inA, inB);
         w.runsFor = id -> id.equals("j-9") ? 20 : id.equals("j-0") ? 6 : 1e6;
@@ -186,7 +231,9 @@
             w.runsFor = id -> 1e6;
             w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, 4, 4)));
             w.run(3);
-            w.submit(w.leader(), World.with(job("j-1", Shape.ARRAY, 5, 4), "red", Priority.HIGH, true));
+            w.submit(
+                    w.leader(),
+                    World.with(job("j-1", Shape.ARRAY, 5, 4), "red", Priority.HIGH, true));
             w.run(3);
             assertEquals(1, w.onMachines("j-1"));
             if (takeover) {
@@ -199,9 +246,13 @@
         }
     }
 
-    // ---- new machines where the job may use them ----------------------------------------------------
+    // ---- new machines where the job may use them
+    // ----------------------------------------------------
 
-    /** A bound service loses machines; the other zone has room that is no use to it, its own has none but can be rented. */
+    /**
+     * A bound service loses machines; the other zone has room that is no use to it, its own has
+     * none but can be rented.
+     */
     @Test
     void machinesAreRentedInTheZoneWhereTheJobIs() {
         for (boolean takeover : new boolean[] {false, true}) {
@@ -247,7 +298,8 @@
         }
     }
 
-    // ---- the zone is gone -----------------------------------------------------------------------------
+    // ---- the zone is gone
+    // -----------------------------------------------------------------------------
 
     @Test
     void aJobWhoseZoneIsGoneGoesOnInAnotherOnceThatIsProven() {
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -19,7 +19,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that wait for others: when they start, what is cancelled with what, and what users are told. */
+/**
+ * Jobs that wait for others: when they start, what is cancelled with what, and what users are told.
+ */
 class PipelinesTest {
     private final World w = new World();
 
@@ -81,7 +83,8 @@
         w.clock.ends = t -> ended[0] = t.job.equals("j-1") ? w.clock.now : ended[0];
         w.clock.starts = t -> began[0] = t.job.equals("j-2") ? w.clock.now : began[0];
         w.run(40);
-        // A report that is due at once, one write for the end, one for the placing, the next report.
+        // A report that is due at once, one write for the end, one for the placing, the next
+        // report.
         assertTrue(began[0] - ended[0] < 1.5 * w.reportS, "took " + (began[0] - ended[0]));
         holds();
     }
@@ -203,7 +206,7 @@
                 t.w.submit(n, array("j-" + i, 1), "j-" + (i - 1));
             }
             t.w.cancel(other, "j-1");
-            n.endAfter(at, () -> { });
+            n.endAfter(at, () -> {});
             t.w.run(25);
             for (int i = 1; i < 40; i++) {
                 assertEquals("cancelled", t.told(other, "j-" + i), "ended at its request " + at);
@@ -249,19 +252,26 @@
             t.w.submit(n, array("j-1", 1));
             for (int i = 2; i <= 1001; i++) {
                 int id = i;
-                n.controller.registry().submit(array("j-" + id, 1), List.of(chain ? "j-" + (id - 1) : "j-1"), a -> { });
+                n.controller
+                        .registry()
+                        .submit(
+                                array("j-" + id, 1),
+                                List.of(chain ? "j-" + (id - 1) : "j-1"),
+                                a -> {});
                 t.w.needs.put("j-" + id, List.of(chain ? "j-" + (id - 1) : "j-1"));
                 t.w.run(0.02);
             }
             t.w.cancel(n, "j-1");
             double from = t.w.clock.now;
             Random random = new Random(1);
-            while (t.w.store.keys.keySet().stream().anyMatch(k -> k.startsWith(Keys.OPEN)) && t.w.clock.now - from < 300) {
+            while (t.w.store.keys.keySet().stream().anyMatch(k -> k.startsWith(Keys.OPEN))
+                    && t.w.clock.now - from < 300) {
                 t.w.ask(n, "j-" + (2 + random.nextInt(1000)));
                 t.w.run(0.5);
             }
             double took = t.w.clock.now - from;
-            System.out.printf("a %s of 1,000 is cancelled in %.0f s%n", chain ? "chain" : "fan", took);
+            System.out.printf(
+                    "a %s of 1,000 is cancelled in %.0f s%n", chain ? "chain" : "fan", took);
             assertTrue(took < 130, "took " + took);
             t.holds();
         }
@@ -271,14 +281,24 @@
     @Test
     void tenThousandThatWaitCostARoundLittle() {
         Facts facts = w.facts("k0");
-        Block block = new Block(facts, m -> { });
+        Block block = new Block(facts, m -> {});
         long began = System.nanoTime();
         for (int i = 0; i < 10_000; i++) {
-            JobSpec s = World.with(array("j-" + i, 10), "red", i % 100 == 99 ? JobSpec.Priority.HIGH : JobSpec.Priority.LOW,
-                    false);
+            JobSpec s =
+                    World.with(
+                            array("j-" + i, 10),
+                            "red",
+                            i % 100 == 99 ? JobSpec.Priority.HIGH : JobSpec.Priority.LOW,
+                            false);
             // A hundred chains of a hundred.
-            block.addJob(Job.of(new JobRecord(s, i, i % 100 == 0 ? List.of() : List.of("j-" + (i - 1)), 0, 0), facts, "k" + i,
-                    1, 256));
+            block.addJob(
+                    Job.of(
+                            new JobRecord(
+                                    s, i, i % 100 == 0 ? List.of() : List.of("j-" + (i - 1)), 0, 0),
+                            facts,
+                            "k" + i,
+                            1,
+                            256));
         }
         double addedMs = (System.nanoTime() - began) / 1e6;
         assertEquals(9900, block.pipelines().held());
@@ -287,8 +307,9 @@
         placer.queue(0, 20_000);
         began = System.nanoTime();
         assertEquals(100, placer.queue(0, 20_000).size());
-        System.out.printf("10,000 jobs that wait: %.0f ms to add them all, %.1f ms for the order of service%n", addedMs,
-                (System.nanoTime() - began) / 1e6);
+        System.out.printf(
+                "10,000 jobs that wait: %.0f ms to add them all, %.1f ms for the order of service%n",
+                addedMs, (System.nanoTime() - began) / 1e6);
         for (int i = 0; i < 100; i++) {
             block.pipelines().ended("j-" + (100 * i), true, 30_000);
         }
@@ -297,7 +318,10 @@
         assertEquals(98, block.pipelines().doomed().size());
     }
 
-    /** Neither a holder that is frozen nor a node that only reaches users makes them believe in a cancelled job. */
+    /**
+     * Neither a holder that is frozen nor a node that only reaches users makes them believe in a
+     * cancelled job.
+     */
     @Test
     void aNodeThatCantAskTheHolderSaysNothingOldOfAJobThatWaits() {
         Node n = cluster(1);
@@ -333,7 +357,9 @@
         w.submit(n, array("j-3", 4));
         w.run(10);
         assertEquals(4, w.onMachines("j-1") + w.onMachines("j-3"));
-        assertTrue(n.controller.block.jobs().get("j-3").guaranteed() || n.controller.block.jobs().get("j-1").guaranteed());
+        assertTrue(
+                n.controller.block.jobs().get("j-3").guaranteed()
+                        || n.controller.block.jobs().get("j-1").guaranteed());
         assertEquals(0, n.controller.block.jobs().get("j-2").waiting());
         assertTrue(w.workers.size() <= 4, "rented for what can't start: " + w.workers.size());
         holds();
@@ -352,7 +378,10 @@
         holds();
     }
 
-    /** Some of its tasks ran under the last holder, so all that it needs is done; the others are placed as ever. */
+    /**
+     * Some of its tasks ran under the last holder, so all that it needs is done; the others are
+     * placed as ever.
+     */
     @Test
     void aJobThatHasBegunGoesOnUnderTheNextHolder() {
         Node n = cluster(1);
@@ -371,8 +400,28 @@
     void whatAnUrgentJobNeedsIsAsUrgent() {
         Node n = cluster(0);
         JobSpec last = World.with(array("j-3", 1), "red", JobSpec.Priority.HIGH, false);
-        last = new JobSpec(last.id(), last.jobClass(), last.team(), last.shape(), last.priority(), 1, 1, 0, 1, null, null,
-                false, false, false, "img", 1, 20, 0, 0, 300.0);
+        last =
+                new JobSpec(
+                        last.id(),
+                        last.jobClass(),
+                        last.team(),
+                        last.shape(),
+                        last.priority(),
+                        1,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        20,
+                        0,
+                        0,
+                        300.0);
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 1), "j-1");
         var jobs = n.controller.block.jobs();
@@ -382,7 +431,9 @@
         assertEquals(JobSpec.Priority.HIGH, jobs.get("j-1").priority());
         assertTrue(jobs.get("j-1").hasDeadline());
         double due = jobs.get("j-3").dueMs();
-        assertTrue(jobs.get("j-2").dueMs() < due - 20_000 && jobs.get("j-1").dueMs() < jobs.get("j-2").dueMs() - 20_000);
+        assertTrue(
+                jobs.get("j-2").dueMs() < due - 20_000
+                        && jobs.get("j-1").dueMs() < jobs.get("j-2").dueMs() - 20_000);
         w.cancel(n, "j-3");
         w.run(0.5);
         assertEquals(JobSpec.Priority.NORMAL, jobs.get("j-1").priority());
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/QuestionRateTest.java
@@ -13,11 +13,14 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** More questions than a node's part of the store's rate allows, while the holder can't be asked. */
+/**
+ * More questions than a node's part of the store's rate allows, while the holder can't be asked.
+ */
 class QuestionRateTest {
     /**
-     * A node that reaches the store but not the holder is asked about many jobs that it never heard of, more often than
-     * its part of the store's rate allows: each of them gets its answer before it counts as forgotten.
+     * A node that reaches the store but not the holder is asked about many jobs that it never heard
+     * of, more often than its part of the store's rate allows: each of them gets its answer before
+     * it counts as forgotten.
      */
     @Test
     void questionsBeyondTheRateDoNotKeepOthersFromTheirAnswers() {
@@ -43,11 +46,15 @@
             int asked = 0;
             while (!open.isEmpty() && w.clock.now - began < 75) {
                 String id = jobs.get(asked++ % jobs.size());
-                apart.controller.registry().status(id, a -> {
-                    if (a.verdict() == Verdict.KNOWN) {
-                        open.remove(id);
-                    }
-                });
+                apart.controller
+                        .registry()
+                        .status(
+                                id,
+                                a -> {
+                                    if (a.verdict() == Verdict.KNOWN) {
+                                        open.remove(id);
+                                    }
+                                });
                 w.run(0.04);
             }
             assertEquals(List.of(), open, "rate " + rps);
--- a/src/test/java/io/kitepath/core/QuickEndsTest.java
+++ b/src/test/java/io/kitepath/core/QuickEndsTest.java
@@ -13,7 +13,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Processes that end and are back within a fraction of a second, before anybody has seen them silent. */
+/**
+ * Processes that end and are back within a fraction of a second, before anybody has seen them
+ * silent.
+ */
 class QuickEndsTest {
     private static World settled(int nodes, int machines) {
         World w = new World();
@@ -66,7 +69,10 @@
         first.crash();
         // Written as before processes said when they began, and on which lease they lead.
         long lease = w.store.lease.get(Keys.LEADER);
-        w.store.put(Keys.LEADER, Map.of("node", first.name, "token", w.store.token()), lease,
+        w.store.put(
+                Keys.LEADER,
+                Map.of("node", first.name, "token", w.store.token()),
+                lease,
                 ++w.store.revision);
         w.node(first.name);
         assertTrue(untilHeld(w, 20) <= 2 * w.reportS);
@@ -78,7 +84,9 @@
         Node first = w.leader();
         // Nobody ended it: a second one is started under its name.
         Node second = new Node(w, first.name);
-        w.nodes.put(first.name, second); // Whoever asks for the name gets the later one; the other goes on.
+        w.nodes.put(
+                first.name,
+                second); // Whoever asks for the name gets the later one; the other goes on.
         w.nodes.put("old", first);
         second.controller.start();
         long before = w.store.token();
@@ -113,13 +121,17 @@
         if (w.clock.now >= until) {
             return;
         }
-        w.after(lifeS, () -> {
-            w.nodes.get(name).crash();
-            w.after(downS, () -> {
-                w.node(name);
-                loop(w, name, lifeS, downS, until);
-            });
-        });
+        w.after(
+                lifeS,
+                () -> {
+                    w.nodes.get(name).crash();
+                    w.after(
+                            downS,
+                            () -> {
+                                w.node(name);
+                                loop(w, name, lifeS, downS, until);
+                            });
+                });
     }
 
     @Test
@@ -130,14 +142,19 @@
             loop(w, bad, lifeS, 0.3, w.clock.now + 120);
             int accepted = 0;
             for (int i = 0; i < 20; i++) {
-                Node ok = w.nodes.values().stream().filter(n -> !n.name.equals(bad)).findFirst().orElseThrow();
+                Node ok =
+                        w.nodes.values().stream()
+                                .filter(n -> !n.name.equals(bad))
+                                .findFirst()
+                                .orElseThrow();
                 accepted += w.submit(ok, job("j-" + i, Shape.ARRAY, 4, 1)) != null ? 1 : 0;
                 w.run(5.9);
             }
             assertTrue(accepted >= 19, "life " + lifeS + ": " + accepted);
             w.run(90);
             for (int i = 0; i < 20; i++) {
-                assertEquals("done", w.status(w.leader(), "j-" + i), "life " + lifeS + ", job " + i);
+                assertEquals(
+                        "done", w.status(w.leader(), "j-" + i), "life " + lifeS + ", job " + i);
             }
             assertEquals(List.of(), w.broken);
         }
@@ -158,12 +175,13 @@
         w.run(90);
         assertEquals("done", w.status(w.leader(), "j-1"));
         assertEquals(List.of(), w.broken);
-        assertEquals(12, w.workers.values().stream().mapToInt(x -> x.started).sum(), "no work was lost");
+        assertEquals(
+                12, w.workers.values().stream().mapToInt(x -> x.started).sum(), "no work was lost");
     }
 
     /**
-     * The leader ends with all its siblings; whichever node takes over ends in turn after its n-th request, until no
-     * takeover has that many, and is back.
+     * The leader ends with all its siblings; whichever node takes over ends in turn after its n-th
+     * request, until no takeover has that many, and is back.
      */
     @Test
     void everyRequestOfATakeoverMayBeTheLastOfItsNode() {
@@ -178,18 +196,26 @@
                 w.run(0.1);
                 for (String name : List.of("k0", "k1")) {
                     Node fresh = w.node(name);
-                    fresh.endAfter(n, () -> {
-                        hit[0] = true;
-                        w.after(backS, () -> w.node(name));
-                    });
+                    fresh.endAfter(
+                            n,
+                            () -> {
+                                hit[0] = true;
+                                w.after(backS, () -> w.node(name));
+                            });
                 }
                 w.run(12);
                 boolean all = hit[0];
                 points += all ? 1 : 0;
                 w.nodes.values().forEach(x -> x.endsAfter = Integer.MAX_VALUE);
                 w.run(80);
-                assertEquals("done", w.status(w.leader(), "j-1"), "after request " + n + ", back after " + backS);
-                assertEquals("done", w.status(w.leader(), "j-2"), "after request " + n + ", back after " + backS);
+                assertEquals(
+                        "done",
+                        w.status(w.leader(), "j-1"),
+                        "after request " + n + ", back after " + backS);
+                assertEquals(
+                        "done",
+                        w.status(w.leader(), "j-2"),
+                        "after request " + n + ", back after " + backS);
                 assertEquals(List.of(), w.broken, "after request " + n + ", back after " + backS);
                 if (!all) {
                     break;
@@ -200,19 +226,28 @@
         assertTrue(points >= 60, "points: " + points);
     }
 
-    /** Its claim was under way when it was told to stop: it must not begin to lead, and the key must not wait for a lease. */
+    /**
+     * Its claim was under way when it was told to stop: it must not begin to lead, and the key must
+     * not wait for a lease.
+     */
     @Test
     void aNodeThatIsStoppedWhileItsClaimIsUnderWayDoesNotBeginToLead() {
         World w = Worlds.settled(3, 2);
         Node first = w.leader();
         Node[] stopped = new Node[1];
-        w.store.written = (by, t) -> {
-            if (stopped[0] == null && by instanceof Node n && t.writes().stream().anyMatch(x ->
-                    x.key().equals(Keys.LEADER) && x.value() != null)) {
-                stopped[0] = n;
-                n.controller.stop();
-            }
-        };
+        w.store.written =
+                (by, t) -> {
+                    if (stopped[0] == null
+                            && by instanceof Node n
+                            && t.writes().stream()
+                                    .anyMatch(
+                                            x ->
+                                                    x.key().equals(Keys.LEADER)
+                                                            && x.value() != null)) {
+                        stopped[0] = n;
+                        n.controller.stop();
+                    }
+                };
         first.kill();
         w.run(5);
         assertTrue(stopped[0] != null && stopped[0] != first);
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -17,15 +17,24 @@
     final World.Reach usual;
     final List<Report> kept = new ArrayList<>();
     Predicate<Report> keeps = r -> false;
+
     /** How long the next answer is held up on its way back to the worker. */
     DoubleSupplier answerHeldS = () -> 0;
+
     int brought;
-    /** Of those, the ones whose token was the one of the holder that got them, and which were answered with it. */
+
+    /**
+     * Of those, the ones whose token was the one of the holder that got them, and which were
+     * answered with it.
+     */
     int ofItsToken;
+
     /** Answers that were held up. */
     int late;
+
     /** Answers to copies that launch something, which nobody hears. */
     int launches;
+
     /** Reports of workers with tasks that were answered neither with a token nor with a node. */
     int sentOn;
 
@@ -47,25 +56,42 @@
         }
         double held = answerHeldS.getAsDouble();
         late += held > 0 ? 1 : 0;
-        usual.heartbeat(node, report, a -> {
-            sentOn += a.token() == 0 && a.anchor() == null && !report.tasks().isEmpty() ? 1 : 0;
-            if (held > 0) {
-                w.after(held, () -> answer.accept(a));
-            } else {
-                answer.accept(a);
-            }
-        });
+        usual.heartbeat(
+                node,
+                report,
+                a -> {
+                    sentOn +=
+                            a.token() == 0 && a.anchor() == null && !report.tasks().isEmpty()
+                                    ? 1
+                                    : 0;
+                    if (held > 0) {
+                        w.after(held, () -> answer.accept(a));
+                    } else {
+                        answer.accept(a);
+                    }
+                });
     }
 
     /** Nobody hears what is answered to a copy. */
     void bring(Report r, Node n) {
-        n.deliver(() -> {
-            brought++;
-            ofItsToken += r.token() == n.controller.leadsWith() ? 1 : 0;
-            
-            n.controller.heartbeat(r, c -> launches += c.orders().stream().anyMatch(o -> o.verb() == Order.Verb.START)
-                    ? 1 : 0);
-        });
+        n.deliver(
+                () -> {
+                    brought++;
+                    ofItsToken += r.token() == n.controller.leadsWith() ? 1 : 0;
+
+                    n.controller.heartbeat(
+                            r,
+                            c ->
+                                    launches +=
+                                            c.orders().stream()
+                                                            .anyMatch(
+                                                                    o ->
+                                                                            o.verb()
+                                                                                    == Order.Verb
+                                                                                            .START)
+                                                    ? 1
+                                                    : 0);
+                });
     }
 
     void bringAll(List<Report> reports) {
--- a/src/test/java/io/kitepath/core/SettledWritesTest.java
+++ b/src/test/java/io/kitepath/core/SettledWritesTest.java
@@ -12,9 +12,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A round whose answer is lost is settled by what the store has, and not by reading all jobs again. */
+/**
+ * A round whose answer is lost is settled by what the store has, and not by reading all jobs again.
+ */
 class SettledWritesTest {
     private int lost;
+
     /** Pages read in the last day; the clean-up and the cloud's duty read some. */
     private int read;
 
@@ -25,17 +28,18 @@
         Node holder = w.leader();
         int[] seen = new int[1];
         int[] unheard = new int[1];
-        w.store.unheard = t -> {
-            boolean ours = t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.PART));
-            if (ours && seen[0]++ >= nth && unheard[0] < tries) {
-                unheard[0]++;
-                if (cancel) {
-                    w.after(0.05, () -> w.users.cancel(holder, "j-2"));
-                }
-                return true;
-            }
-            return false;
-        };
+        w.store.unheard =
+                t -> {
+                    boolean ours = t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.PART));
+                    if (ours && seen[0]++ >= nth && unheard[0] < tries) {
+                        unheard[0]++;
+                        if (cancel) {
+                            w.after(0.05, () -> w.users.cancel(holder, "j-2"));
+                        }
+                        return true;
+                    }
+                    return false;
+                };
         int pages = w.store.pages;
         w.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
         w.submit(holder, job("j-2", Shape.ARRAY, 5, 1));
@@ -48,10 +52,13 @@
         assertEquals(List.of(), w.broken, at);
         for (String id : List.of("j-1", "j-2", "j-3")) {
             String status = w.status(w.leader(), id);
-            assertTrue(status.equals("done") || cancel && id.equals("j-2") && status.equals("cancelled"), at + ": " + id
-                    + " is " + status);
+            assertTrue(
+                    status.equals("done")
+                            || cancel && id.equals("j-2") && status.equals("cancelled"),
+                    at + ": " + id + " is " + status);
         }
-        assertEquals(0, w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.PART)).count(), at);
+        assertEquals(
+                0, w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.PART)).count(), at);
         return w;
     }
 
@@ -62,7 +69,8 @@
         for (int n = 0; n < 8; n++) {
             for (int tries = 1; tries <= 3; tries++) {
                 day(n, tries, false);
-                assertEquals(usual, read, "write " + n + ", " + tries + " unheard: all is read again");
+                assertEquals(
+                        usual, read, "write " + n + ", " + tries + " unheard: all is read again");
             }
         }
         assertTrue(lost >= 20, "answers lost: " + lost);
--- a/src/test/java/io/kitepath/core/SharesTest.java
+++ b/src/test/java/io/kitepath/core/SharesTest.java
@@ -41,7 +41,9 @@
 
     private static void allDone(Cellular x, List<String> ids, double withinS) {
         for (String id : ids) {
-            x.until(withinS, () -> x.status(x.any(x.world("east").directory.home(id)), id).equals("done"));
+            x.until(
+                    withinS,
+                    () -> x.status(x.any(x.world("east").directory.home(id)), id).equals("done"));
         }
         x.until(60, () -> x.sharesAstray().isEmpty());
     }
@@ -101,7 +103,8 @@
     }
 
     private void loseShareWritesOf(String cell) {
-        c.world(cell).store.withheld = t -> t.writes().stream().anyMatch(w -> w.key().startsWith("kitepath/share/"));
+        c.world(cell).store.withheld =
+                t -> t.writes().stream().anyMatch(w -> w.key().startsWith("kitepath/share/"));
     }
 
     private void endHolderOf(String cell) {
@@ -125,7 +128,11 @@
         loseShareWritesOf("west");
         loseShareWritesOf("north");
         List<String> ids = new ArrayList<>(List.of(array(c, "east", 1, 24)));
-        c.until(20, () -> !c.world("west").store.heldBack.isEmpty() && !c.world("north").store.heldBack.isEmpty());
+        c.until(
+                20,
+                () ->
+                        !c.world("west").store.heldBack.isEmpty()
+                                && !c.world("north").store.heldBack.isEmpty());
         c.run(1);
         endHolderOf("west");
         endHolderOf("north");
@@ -162,7 +169,8 @@
         c.until(8, () -> c.onMachines(id) == 12);
         c.cutBetween("east", "north");
         c.cutBetween("east", "west");
-        // Nearly all of the limit is in the cell that nobody hears: the others have what is left, and no more.
+        // Nearly all of the limit is in the cell that nobody hears: the others have what is left,
+        // and no more.
         String other = array(c, "west", 2, 12);
         c.run(40);
         assertTrue(c.onMachines(other) <= 12);
@@ -182,7 +190,10 @@
         allDone(c, List.of(id, other), 400);
     }
 
-    /** The writes of moving shares, each of them once the last that its node made, or the giver and the taker. */
+    /**
+     * The writes of moving shares, each of them once the last that its node made, or the giver and
+     * the taker.
+     */
     @Test
     void everyWriteOfAShareMayBeTheLastOfItsNode() {
         int writes = moved(0, "none");
@@ -200,16 +211,17 @@
     private static int moved(int at, String who) {
         Cellular x = settled(3, 12);
         int[] n = new int[1];
-        x.onLoanWrites((cell, by, t) -> {
-            if (++n[0] == at) {
-                for (String of : CELLS) {
-                    if (who.equals("all") || of.equals(cell)) {
-                        Node l = of.equals(cell) ? by : x.leader(of);
-                        x.restart(l, 8);
+        x.onLoanWrites(
+                (cell, by, t) -> {
+                    if (++n[0] == at) {
+                        for (String of : CELLS) {
+                            if (who.equals("all") || of.equals(cell)) {
+                                Node l = of.equals(cell) ? by : x.leader(of);
+                                x.restart(l, 8);
+                            }
+                        }
                     }
-                }
-            }
-        });
+                });
         String id = array(x, "east", 1, 24);
         x.run(5);
         String next = array(x, "west", 2, 24);
--- a/src/test/java/io/kitepath/core/SoundMachinesTest.java
+++ b/src/test/java/io/kitepath/core/SoundMachinesTest.java
@@ -15,7 +15,10 @@
 
 /** A machine that was told nothing is not one that hears nothing. */
 class SoundMachinesTest {
-    /** A holder adopts what was placed and never launched, and may launch nothing, since the store is out. */
+    /**
+     * A holder adopts what was placed and never launched, and may launch nothing, since the store
+     * is out.
+     */
     @Test
     void anOutageAfterATakeoverMakesNoMachineDeaf() {
         int adopted = 0;
@@ -32,7 +35,10 @@
                 for (Node x : w.nodes.values()) {
                     for (Machine m : x.controller.block.machines().values()) {
                         assertFalse(m.deafToAnswers(), "out after " + out + ": " + m.id);
-                        placedAndNotSeen |= w.store.out && m.proven() && m.attempts().stream().anyMatch(a -> !a.seen());
+                        placedAndNotSeen |=
+                                w.store.out
+                                        && m.proven()
+                                        && m.attempts().stream().anyMatch(a -> !a.seen());
                     }
                 }
             }
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -19,10 +19,10 @@
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.core.state.Keys;
-import java.util.HashSet;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
+import java.util.HashSet;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -54,7 +54,9 @@
     @Test
     void anArrayRunsAndIsDoneOnEveryNode() {
         settled(3, 2);
-        assertEquals(Verdict.CREATED, w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 6, 1)).verdict());
+        assertEquals(
+                Verdict.CREATED,
+                w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 6, 1)).verdict());
         w.run(40);
         for (Node n : w.nodes.values()) {
             assertEquals("done", w.status(n, "j-1"));
@@ -317,8 +319,13 @@
         w.worker("i-000009", "a");
         w.run(5);
         assertEquals(4, w.onMachines("j-1"));
-        assertEquals(1, w.workers.values().stream().flatMap(x -> x.tasks.values().stream())
-                .map(t -> t.attempt).distinct().count());
+        assertEquals(
+                1,
+                w.workers.values().stream()
+                        .flatMap(x -> x.tasks.values().stream())
+                        .map(t -> t.attempt)
+                        .distinct()
+                        .count());
     }
 
     @Test
@@ -326,15 +333,21 @@
         Node n = settled(1, 4);
         w.submit(n, job("j-1", Shape.GANG, 2, 4));
         w.run(4);
-        Worker one = w.workers.values().stream().filter(x -> x.started > 0).findFirst().orElseThrow();
+        Worker one =
+                w.workers.values().stream().filter(x -> x.started > 0).findFirst().orElseThrow();
         long attempt = one.tasks.values().iterator().next().attempt;
         one.tasks.clear();
         one.session++;
         w.run(6);
         assertEquals(2, w.onMachines("j-1"));
         var attempts = new HashSet<Long>();
-        w.workers.values().forEach(x -> x.tasks.values().stream()
-                .filter(t -> t.state != Report.State.ENDED).forEach(t -> attempts.add(t.attempt)));
+        w.workers
+                .values()
+                .forEach(
+                        x ->
+                                x.tasks.values().stream()
+                                        .filter(t -> t.state != Report.State.ENDED)
+                                        .forEach(t -> attempts.add(t.attempt)));
         assertEquals(1, attempts.size());
         assertTrue(attempts.iterator().next() > attempt);
         w.run(40);
@@ -347,7 +360,13 @@
         w.submit(n, with(job("j-1", Shape.GANG, 3, 4), "red", Priority.HIGH, true));
         w.run(4);
         assertEquals(3, w.onMachines("j-1"));
-        assertEquals(1, w.workers.values().stream().filter(x -> x.started > 0).map(x -> x.zone).distinct().count());
+        assertEquals(
+                1,
+                w.workers.values().stream()
+                        .filter(x -> x.started > 0)
+                        .map(x -> x.zone)
+                        .distinct()
+                        .count());
     }
 
     @Test
@@ -508,7 +527,8 @@
         Node other = notThe(leader);
         long token = leader.controller.block.token();
         HeartbeatAnswer[] got = new HeartbeatAnswer[1];
-        other.controller.heartbeat(new Report("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of()),
+        other.controller.heartbeat(
+                new Report("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of()),
                 c -> got[0] = c);
         w.run(0.1);
         assertEquals(token, got[0].token());
@@ -524,8 +544,19 @@
         cut.cutFrom.add(leader.name);
         w.run(4);
         HeartbeatAnswer[] got = new HeartbeatAnswer[1];
-        cut.controller.heartbeat(new Report("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of(
-                new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))), c -> got[0] = c);
+        cut.controller.heartbeat(
+                new Report(
+                        "i-000077",
+                        "",
+                        "m4",
+                        "a",
+                        false,
+                        1,
+                        9,
+                        token,
+                        null,
+                        List.of(new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))),
+                c -> got[0] = c);
         w.run(0.1);
         assertEquals(token, got[0].token());
     }
@@ -540,8 +571,19 @@
         long token = leader.controller.block.token();
         leader.crash();
         HeartbeatAnswer[] got = new HeartbeatAnswer[1];
-        other.controller.heartbeat(new Report("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of(
-                new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))), c -> got[0] = c);
+        other.controller.heartbeat(
+                new Report(
+                        "i-000077",
+                        "",
+                        "m4",
+                        "a",
+                        false,
+                        1,
+                        9,
+                        token,
+                        null,
+                        List.of(new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))),
+                c -> got[0] = c);
         w.run(3);
         assertEquals(w.leader().controller.block.token(), got[0].token());
         assertTrue(got[0].token() > token);
@@ -556,7 +598,9 @@
         w.run(5);
         Node n = w.node("k0");
         HeartbeatAnswer[] got = new HeartbeatAnswer[1];
-        n.controller.heartbeat(new Report("i-000077", "", "m4", "a", false, 1, 9, 1, null, List.of()), c -> got[0] = c);
+        n.controller.heartbeat(
+                new Report("i-000077", "", "m4", "a", false, 1, 9, 1, null, List.of()),
+                c -> got[0] = c);
         w.run(0.9);
         assertEquals(2, got[0].token());
     }
@@ -572,7 +616,9 @@
         assertEquals(List.of(), w.cloud.released);
         w.workers.get("i-000003").cut = true;
         w.run(25);
-        assertTrue(w.cloud.released.containsAll(List.of("i-000000", "i-000001", "i-000002", "i-000003")));
+        assertTrue(
+                w.cloud.released.containsAll(
+                        List.of("i-000000", "i-000001", "i-000002", "i-000003")));
     }
 
     @Test
@@ -599,10 +645,16 @@
         // A look at every machine for every task would be 400 a task, a record for every task 1.
         long looks = n.controller.placer.placement().looks();
         assertTrue(looks < 15L * tasks, "machines looked at: " + looks);
-        assertTrue(n.controller.keeper.written() < tasks / 20, "records written: " + n.controller.keeper.written());
+        assertTrue(
+                n.controller.keeper.written() < tasks / 20,
+                "records written: " + n.controller.keeper.written());
         w.run(60);
-        assertTrue(s.jobs().isEmpty(), () -> Figures.summary(s, n.controller.heartbeats, n.controller.placer));
-        assertTrue(n.controller.keeper.written() < tasks / 4, "records written: " + n.controller.keeper.written());
+        assertTrue(
+                s.jobs().isEmpty(),
+                () -> Figures.summary(s, n.controller.heartbeats, n.controller.placer));
+        assertTrue(
+                n.controller.keeper.written() < tasks / 4,
+                "records written: " + n.controller.keeper.written());
     }
 
     @Test
@@ -616,7 +668,9 @@
         int[] known = new int[1];
         for (int s = 0; s < 10; s++) {
             for (int i = 0; i < 300; i++) {
-                asked.controller.registry().status("j-" + i, a -> known[0] += a.verdict() == Verdict.KNOWN ? 1 : 0);
+                asked.controller
+                        .registry()
+                        .status("j-" + i, a -> known[0] += a.verdict() == Verdict.KNOWN ? 1 : 0);
             }
             w.run(1);
         }
@@ -666,7 +720,8 @@
         first.crash();
         w.run(8);
         assertTrue(w.leader().controller.block.jobs().size() >= 510);
-        // Two pages of open jobs; one each of parts, of where images are, and of what is asked of the cloud; each refused
+        // Two pages of open jobs; one each of parts, of where images are, and of what is asked of
+        // the cloud; each refused
         // once. What is read about duties comes to four at most.
         assertTrue(w.store.pages >= 10 && w.store.pages <= 14, "pages: " + w.store.pages);
     }
@@ -705,7 +760,9 @@
         assertTrue(w.store.log.size() - writes < 80, w.store.log.size() - writes + " changes");
         assertEquals("done", w.status(n, "j-3"));
         assertEquals(rentals, w.cloud.rentals.size());
-        assertEquals(List.of(), n.controller.block.machines().values().stream().filter(Machine::setAside).toList());
+        assertEquals(
+                List.of(),
+                n.controller.block.machines().values().stream().filter(Machine::setAside).toList());
         assertEquals("cancelled", w.cancel(n, "j-1").state().status());
         w.run(3);
         assertEquals(0, w.onMachines("j-1"));
@@ -767,7 +824,9 @@
         w.run(0.6);
         String note = got[0].state().note();
         assertEquals(4, got[0].state().running());
-        assertTrue(note.contains("does not answer") && note.endsWith("the figures are from before"), note);
+        assertTrue(
+                note.contains("does not answer") && note.endsWith("the figures are from before"),
+                note);
     }
 
     @Test
@@ -781,13 +840,21 @@
         first.crash();
         w.run(10);
         assertTrue(w.leader() != first);
-        assertTrue(w.leader().controller.block.machines().values().stream().allMatch(m -> m.has("img")));
+        assertTrue(
+                w.leader().controller.block.machines().values().stream()
+                        .allMatch(m -> m.has("img")));
         // Nothing changed since, so nothing is written again.
-        long revision = w.store.keys.get(Keys.IMAGES + 0) == null ? 0 : w.store.keys.get(Keys.IMAGES + 0).revision();
+        long revision =
+                w.store.keys.get(Keys.IMAGES + 0) == null
+                        ? 0
+                        : w.store.keys.get(Keys.IMAGES + 0).revision();
         w.run(30);
         assertTrue(w.store.log.stream().filter(x -> x.key().startsWith(Keys.IMAGES)).count() <= 4);
-        assertEquals(revision, w.store.keys.get(Keys.IMAGES + 0) == null ? 0
-                : w.store.keys.get(Keys.IMAGES + 0).revision());
+        assertEquals(
+                revision,
+                w.store.keys.get(Keys.IMAGES + 0) == null
+                        ? 0
+                        : w.store.keys.get(Keys.IMAGES + 0).revision());
     }
 
     @Test
@@ -796,20 +863,24 @@
         w.workers.values().forEach(x -> x.runsFor = 5);
         int before = w.store.log.size();
         for (int i = 0; i < 200; i++) {
-            n.controller.registry().submit(job("j-" + i, Shape.ARRAY, 1, 1), a -> { });
+            n.controller.registry().submit(job("j-" + i, Shape.ARRAY, 1, 1), a -> {});
         }
         w.run(1);
         long looks = n.controller.placer.placement().looks();
         w.run(1);
-        assertTrue(n.controller.placer.placement().looks() - looks < 200, "looks: "
-                + (n.controller.placer.placement().looks() - looks));
+        assertTrue(
+                n.controller.placer.placement().looks() - looks < 200,
+                "looks: " + (n.controller.placer.placement().looks() - looks));
         w.run(150);
         for (int i = 0; i < 200; i++) {
             assertEquals("done", w.status(n, "j-" + i));
         }
-        // Created, placed, moved from open to over, and its part removed; twice a lease what was served; and what
+        // Created, placed, moved from open to over, and its part removed; twice a lease what was
+        // served; and what
         // is asked of a cloud that has nothing is put down before and struck off after.
-        assertTrue(w.store.log.size() - before <= 5 * 200 + 14 + 2 * 172 / w.leaseS + 2 * w.cloud.rentals.size(),
+        assertTrue(
+                w.store.log.size() - before
+                        <= 5 * 200 + 14 + 2 * 172 / w.leaseS + 2 * w.cloud.rentals.size(),
                 w.store.log.size() - before + " changes");
     }
 
@@ -834,8 +905,11 @@
         Node n = settled(1, 30);
         w.workers.values().forEach(x -> x.runsFor = 6);
         for (int i = 0; i < 100; i++) {
-            n.controller.registry().submit(with(job("j-" + i, Shape.ARRAY, 1, 1), "red", Priority.LOW, false),
-                    a -> { });
+            n.controller
+                    .registry()
+                    .submit(
+                            with(job("j-" + i, Shape.ARRAY, 1, 1), "red", Priority.LOW, false),
+                            a -> {});
         }
         w.run(1);
         for (int i = 0; i < 4; i++) {
@@ -874,7 +948,17 @@
         assertEquals("done", w.status(w.leader(), "j-1"));
         int started = w.workers.values().stream().mapToInt(x -> x.started).sum();
         assertTrue(started < 4400, started + " starts");
-        assertTrue(w.store.log.size() - before < started / 2, w.store.log.size() - before + " changes" + w.store.log.subList(before, w.store.log.size()).stream().collect(java.util.stream.Collectors.groupingBy(e -> e.key().replaceAll("[0-9].*", ""), java.util.stream.Collectors.counting())) + w.cloud.rentals.size());
+        assertTrue(
+                w.store.log.size() - before < started / 2,
+                w.store.log.size()
+                        - before
+                        + " changes"
+                        + w.store.log.subList(before, w.store.log.size()).stream()
+                                .collect(
+                                        java.util.stream.Collectors.groupingBy(
+                                                e -> e.key().replaceAll("[0-9].*", ""),
+                                                java.util.stream.Collectors.counting()))
+                        + w.cloud.rentals.size());
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -25,20 +25,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One-task jobs come four a second for minutes, a quarter of them cancelled in whatever state they are, under a store that
- * enforces low rates; also with a leader's end and a short outage. What is in memory and on record stays in proportion to
- * what is unfinished, other work begins beside them, submissions are quick, no end is late, and what is over costs nothing.
+ * One-task jobs come four a second for minutes, a quarter of them cancelled in whatever state they
+ * are, under a store that enforces low rates; also with a leader's end and a short outage. What is
+ * in memory and on record stays in proportion to what is unfinished, other work begins beside them,
+ * submissions are quick, no end is late, and what is over costs nothing.
  */
 class SwarmTest {
     private static final double EVERY_S = 0.25;
+
     /** By the protocol: from then on after a job's last task its user expects it to be done. */
     private static final double DONE_WITHIN_S = 3;
+
     /** As for whatever waits beside room. */
     private static final double BEGINS_WITHIN_S = 90;
+
     /** What a trouble may take beyond itself until its backlog is gone. */
     private static final double SETTLES_S = 15;
 
-    private enum Stage { NOT_HEARD_OF, WAITING, PLACED, RUNNING, ENDED }
+    private enum Stage {
+        NOT_HEARD_OF,
+        WAITING,
+        PLACED,
+        RUNNING,
+        ENDED
+    }
 
     private static final class Swarm {
         final World w = new World();
@@ -47,12 +57,16 @@
         final Map<String, Double> answered = new HashMap<>();
         final Map<String, Double> begun = new HashMap<>();
         final Set<String> calledOff = new HashSet<>();
+
         /** Whose last task has completed. */
         final Set<String> complete = new HashSet<>();
+
         final Map<Stage, Integer> stages = new EnumMap<>(Stage.class);
         final List<String> late = new ArrayList<>();
+
         /** From when to when a trouble, or what it left, may be felt. */
         final List<double[]> troubles = new ArrayList<>();
+
         int next = 1000;
         int looked;
         int unanswered;
@@ -78,8 +92,19 @@
             }
             w.clock.starts = t -> begun.putIfAbsent(t.job, w.clock.now);
             w.clock.ends = t -> ended(t.job);
-            w.store.written = (n, t) -> t.writes().stream().filter(x -> x.value() != null && x.key().startsWith(Keys.PART))
-                    .forEach(x -> placed(x.key().substring(Keys.PART.length(), x.key().lastIndexOf('/'))));
+            w.store.written =
+                    (n, t) ->
+                            t.writes().stream()
+                                    .filter(x -> x.value() != null && x.key().startsWith(Keys.PART))
+                                    .forEach(
+                                            x ->
+                                                    placed(
+                                                            x.key()
+                                                                    .substring(
+                                                                            Keys.PART.length(),
+                                                                            x.key()
+                                                                                    .lastIndexOf(
+                                                                                            '/'))));
             w.run(12);
         }
 
@@ -90,7 +115,10 @@
 
         /** The node that holds the jobs, or null. */
         Node holder() {
-            return w.nodes.values().stream().filter(n -> n.alive && n.controller.holds()).findFirst().orElse(null);
+            return w.nodes.values().stream()
+                    .filter(n -> n.alive && n.controller.holds())
+                    .findFirst()
+                    .orElse(null);
         }
 
         boolean calm(double from, double until) {
@@ -107,30 +135,42 @@
             w.specs.put(s.id(), s);
             handedIn.putIfAbsent(s.id(), w.clock.now);
             boolean[] heard = new boolean[1];
-            any().controller.registry().submit(s, List.of(), a -> {
-                if (a.verdict() != Verdict.LATER && !heard[0]) {
-                    heard[0] = true;
-                    w.accepted.putIfAbsent(s.id(), w.clock.now);
-                    if (answered.putIfAbsent(s.id(), w.clock.now) == null && s.id().startsWith("s-")) {
-                        mayCallOff(s.id());
-                    }
-                }
-            });
+            any().controller
+                    .registry()
+                    .submit(
+                            s,
+                            List.of(),
+                            a -> {
+                                if (a.verdict() != Verdict.LATER && !heard[0]) {
+                                    heard[0] = true;
+                                    w.accepted.putIfAbsent(s.id(), w.clock.now);
+                                    if (answered.putIfAbsent(s.id(), w.clock.now) == null
+                                            && s.id().startsWith("s-")) {
+                                        mayCallOff(s.id());
+                                    }
+                                }
+                            });
             // Again after a second without an answer, or one that says later.
-            w.after(1, () -> {
-                if (!answered.containsKey(s.id()) && w.clock.now - handedIn.get(s.id()) < 60) {
-                    handIn(s);
-                }
-            });
+            w.after(
+                    1,
+                    () -> {
+                        if (!answered.containsKey(s.id())
+                                && w.clock.now - handedIn.get(s.id()) < 60) {
+                            handIn(s);
+                        }
+                    });
         }
 
-        /** A quarter, at once or some seconds later; others when they are placed, see {@link #placed}, or end. */
+        /**
+         * A quarter, at once or some seconds later; others when they are placed, see {@link
+         * #placed}, or end.
+         */
         private void mayCallOff(String id) {
             switch (random.nextInt(20)) {
                 case 0 -> callOff(id);
                 case 1 -> w.after(0.02 + random.nextDouble() * 0.3, () -> callOff(id));
                 case 2, 3 -> w.after(random.nextDouble() * 6, () -> callOff(id));
-                default -> { }
+                default -> {}
             }
         }
 
@@ -148,21 +188,27 @@
             if (w.completed.get(id).size() < w.specs.get(id).tasks() || !complete.add(id)) {
                 return;
             }
-            w.after(DONE_WITHIN_S, () -> {
-                if (!calledOff.contains(id) && calm(at, w.clock.now)) {
-                    looked++;
-                    boolean[] done = new boolean[1];
-                    any().controller.registry().status(id, a -> {
-                        done[0] = true;
-                        if (a.verdict() == Verdict.LATER) {
-                            unanswered++;
-                        } else if (!a.state().status().equals("done")) {
-                            late.add(id + " is " + a.state().status());
+            w.after(
+                    DONE_WITHIN_S,
+                    () -> {
+                        if (!calledOff.contains(id) && calm(at, w.clock.now)) {
+                            looked++;
+                            boolean[] done = new boolean[1];
+                            any().controller
+                                    .registry()
+                                    .status(
+                                            id,
+                                            a -> {
+                                                done[0] = true;
+                                                if (a.verdict() == Verdict.LATER) {
+                                                    unanswered++;
+                                                } else if (!a.state().status().equals("done")) {
+                                                    late.add(id + " is " + a.state().status());
+                                                }
+                                            });
+                            w.after(2, () -> unanswered += done[0] ? 0 : 1);
                         }
                     });
-                    w.after(2, () -> unanswered += done[0] ? 0 : 1);
-                }
-            });
         }
 
         private void callOff(String id) {
@@ -180,15 +226,19 @@
             }
             Node h = holder();
             Job j = h == null ? null : h.controller.block.jobs().get(id);
-            return j == null ? Stage.NOT_HEARD_OF : j.live().values().stream().anyMatch(Attempt::durable)
-                    || w.store.keys.containsKey(Keys.part(id, 0)) ? Stage.PLACED : Stage.WAITING;
+            return j == null
+                    ? Stage.NOT_HEARD_OF
+                    : j.live().values().stream().anyMatch(Attempt::durable)
+                                    || w.store.keys.containsKey(Keys.part(id, 0))
+                            ? Stage.PLACED
+                            : Stage.WAITING;
         }
 
         // ---- the day ----------------------------------------------------------------------------
 
         /** So long; with gangs and arrays beside the swarm, and questions about some of it. */
         void play(double seconds) {
-            for (double until = w.clock.now + seconds; w.clock.now < until;) {
+            for (double until = w.clock.now + seconds; w.clock.now < until; ) {
                 String id = "s-" + next++;
                 handIn(job(id, Shape.ARRAY, 1, 1));
                 if (next % 80 == 0) {
@@ -210,9 +260,17 @@
             }
             Block b = h.controller.block;
             mostJobs = Math.max(mostJobs, b.jobs().size());
-            mostUnwritten = Math.max(mostUnwritten, b.unwritten().placings().size() + b.unwritten().changes().size());
-            mostKeys = Math.max(mostKeys, (int) w.store.keys.keySet().stream()
-                    .filter(k -> !k.startsWith(Keys.OVER)).count());
+            mostUnwritten =
+                    Math.max(
+                            mostUnwritten,
+                            b.unwritten().placings().size() + b.unwritten().changes().size());
+            mostKeys =
+                    Math.max(
+                            mostKeys,
+                            (int)
+                                    w.store.keys.keySet().stream()
+                                            .filter(k -> !k.startsWith(Keys.OVER))
+                                            .count());
         }
 
         void endOfLeader(double backAfterS) {
@@ -241,13 +299,22 @@
                 assertTrue(answered.containsKey(id), at + ": " + id + " was never accepted");
                 var a = w.ask(w.leader(), id);
                 assertEquals(Verdict.KNOWN, a.verdict(), at + ": " + id);
-                assertEquals(w.toldCancelled.containsKey(id) ? "cancelled" : "done", a.state().status(), at + ": " + id);
+                assertEquals(
+                        w.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                        a.state().status(),
+                        at + ": " + id);
             }
             assertEquals(0, w.leader().controller.block.jobs().size(), at);
-            assertEquals(0, w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.PART) || k.startsWith(Keys.OPEN))
-                    .count(), at);
+            assertEquals(
+                    0,
+                    w.store.keys.keySet().stream()
+                            .filter(k -> k.startsWith(Keys.PART) || k.startsWith(Keys.OPEN))
+                            .count(),
+                    at);
             // A quarter, give or take.
-            assertTrue(calledOff.size() > 0.18 * next(), at + ": " + calledOff.size() + " called off of " + next());
+            assertTrue(
+                    calledOff.size() > 0.18 * next(),
+                    at + ": " + calledOff.size() + " called off of " + next());
             assertTrue(looked > 0.1 * next(), at + ": " + looked + " ends looked at");
             assertTrue(unanswered <= 0.01 * looked, at + ": " + unanswered + " unanswered");
         }
@@ -257,7 +324,11 @@
         }
 
         private DoubleStream answers() {
-            return handedIn.keySet().stream().filter(id -> answered.containsKey(id) && calm(handedIn.get(id), answered.get(id)))
+            return handedIn.keySet().stream()
+                    .filter(
+                            id ->
+                                    answered.containsKey(id)
+                                            && calm(handedIn.get(id), answered.get(id)))
                     .mapToDouble(id -> answered.get(id) - handedIn.get(id));
         }
 
@@ -272,14 +343,35 @@
 
         /** Longest that work beside the swarm waited for its first task. */
         double slowestStart() {
-            return handedIn.keySet().stream().filter(id -> !id.startsWith("s-") && begun.containsKey(id))
-                    .mapToDouble(id -> begun.get(id) - handedIn.get(id)).max().orElse(0);
+            return handedIn.keySet().stream()
+                    .filter(id -> !id.startsWith("s-") && begun.containsKey(id))
+                    .mapToDouble(id -> begun.get(id) - handedIn.get(id))
+                    .max()
+                    .orElse(0);
         }
 
         String summary() {
-            return next() + " jobs, called off " + stages + ", most jobs " + mostJobs + ", unwritten " + mostUnwritten + ", keys "
-                    + mostKeys + ", slowest answer " + slowestAnswer() + ", start " + slowestStart() + ", looked " + looked
-                    + ", late " + late.size() + ", unanswered " + unanswered + ", over rate " + w.store.overRate;
+            return next()
+                    + " jobs, called off "
+                    + stages
+                    + ", most jobs "
+                    + mostJobs
+                    + ", unwritten "
+                    + mostUnwritten
+                    + ", keys "
+                    + mostKeys
+                    + ", slowest answer "
+                    + slowestAnswer()
+                    + ", start "
+                    + slowestStart()
+                    + ", looked "
+                    + looked
+                    + ", late "
+                    + late.size()
+                    + ", unanswered "
+                    + unanswered
+                    + ", over rate "
+                    + w.store.overRate;
         }
     }
 
@@ -295,12 +387,24 @@
             from = s.requests();
             s.play(60);
             int last = s.requests() - from;
-            System.out.println("swarm " + seed + ": " + s.summary() + ", requests " + second + " then " + last);
+            System.out.println(
+                    "swarm "
+                            + seed
+                            + ": "
+                            + s.summary()
+                            + ", requests "
+                            + second
+                            + " then "
+                            + last);
             s.over("seed " + seed);
             assertTrue(last < 1.1 * second, "requests a minute: " + second + ", then " + last);
             bounded(s, "seed " + seed);
-            assertTrue(s.stages.keySet().containsAll(Set.of(Stage.values())), "seed " + seed + ": called off " + s.stages);
-            assertTrue(s.looked > 0.5 * s.next(), "seed " + seed + ": " + s.looked + " ends looked at");
+            assertTrue(
+                    s.stages.keySet().containsAll(Set.of(Stage.values())),
+                    "seed " + seed + ": called off " + s.stages);
+            assertTrue(
+                    s.looked > 0.5 * s.next(),
+                    "seed " + seed + ": " + s.looked + " ends looked at");
         }
     }
 
@@ -310,10 +414,13 @@
         assertTrue(s.mostJobs < 2 * lively, at + ": jobs in memory " + s.mostJobs);
         assertTrue(s.mostUnwritten < lively, at + ": unwritten " + s.mostUnwritten);
         assertTrue(s.mostKeys < 4 * lively, at + ": keys " + s.mostKeys);
-        // At rates this low a submission may meet a burst of the holder's writes; its user repeats it once.
+        // At rates this low a submission may meet a burst of the holder's writes; its user repeats
+        // it once.
         assertTrue(s.slowestAnswer() < 2, at + ": submission took " + s.slowestAnswer());
         assertTrue(s.repeated() <= 0.01 * s.next(), at + ": submissions repeated " + s.repeated());
-        assertTrue(s.slowestStart() < BEGINS_WITHIN_S, at + ": others began after " + s.slowestStart());
+        assertTrue(
+                s.slowestStart() < BEGINS_WITHIN_S,
+                at + ": others began after " + s.slowestStart());
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What nothing refers to any more is removed, whatever ends meanwhile; what should not be is said and left. */
+/**
+ * What nothing refers to any more is removed, whatever ends meanwhile; what should not be is said
+ * and left.
+ */
 class SweepTest {
     private final World w = new World();
 
@@ -41,7 +44,10 @@
         return Map.of("next", 2L, "done", "", "live", live);
     }
 
-    /** Parts of jobs that nobody knows, acts of a holder that is gone, one that is unreadable, and good records. */
+    /**
+     * Parts of jobs that nobody knows, acts of a holder that is gone, one that is unreadable, and
+     * good records.
+     */
     private static void litter(World w) {
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 1));
         w.submit(w.leader(), job("j-2", Shape.ARRAY, 400, 1));
@@ -49,9 +55,28 @@
             put(w, Keys.part("j-9" + i, 0), part(Map.of()));
         }
         put(w, Keys.part("j-800", 0), part(Map.of("i-000777", List.of(0L, 1L))));
-        put(w, Keys.ACT + "rent/r-old", Map.of("type", "m4", "zone", "a", "spot", false, "count", 1L, "token", 1L,
-                "askedMs", 1.0, "machines", List.of("i-000555")));
-        put(w, Keys.ACT + "going/old", Map.of("machines", List.of("i-000556"), "token", 1L, "gone", true));
+        put(
+                w,
+                Keys.ACT + "rent/r-old",
+                Map.of(
+                        "type",
+                        "m4",
+                        "zone",
+                        "a",
+                        "spot",
+                        false,
+                        "count",
+                        1L,
+                        "token",
+                        1L,
+                        "askedMs",
+                        1.0,
+                        "machines",
+                        List.of("i-000555")));
+        put(
+                w,
+                Keys.ACT + "going/old",
+                Map.of("machines", List.of("i-000556"), "token", 1L, "gone", true));
         put(w, Keys.ACT + "going/odd", Map.of("machines", 7L));
     }
 
@@ -60,7 +85,9 @@
     }
 
     private Node sweeper(World x) {
-        return x.nodes.values().stream().filter(n -> n.alive && n.controller.entitled("cleanup")).findFirst()
+        return x.nodes.values().stream()
+                .filter(n -> n.alive && n.controller.entitled("cleanup"))
+                .findFirst()
                 .orElseThrow();
     }
 
@@ -88,13 +115,19 @@
         put(w, Keys.part("j-5", 0), part(Map.of()));
         // In the moment of the removal, the job is there.
         boolean[] once = {true};
-        w.store.withheld = t -> {
-            if (once[0] && t.writes().stream().anyMatch(x -> x.key().equals(Keys.part("j-5", 0)) && x.value() == null)) {
-                once[0] = false;
-                put(w, Keys.OPEN + "j-5", Map.of("unreadable", true));
-            }
-            return false;
-        };
+        w.store.withheld =
+                t -> {
+                    if (once[0]
+                            && t.writes().stream()
+                                    .anyMatch(
+                                            x ->
+                                                    x.key().equals(Keys.part("j-5", 0))
+                                                            && x.value() == null)) {
+                        once[0] = false;
+                        put(w, Keys.OPEN + "j-5", Map.of("unreadable", true));
+                    }
+                    return false;
+                };
         w.run(60);
         assertFalse(once[0]);
         assertTrue(there(w, Keys.part("j-5", 0)));
@@ -122,14 +155,21 @@
             int[] ends = new int[1];
             if (n > 0) {
                 Node s = sweeper(x);
-                s.endAfter(n, () -> {
-                    ends[0]++;
-                    x.after(0.3, () -> x.node(s.name));
-                });
+                s.endAfter(
+                        n,
+                        () -> {
+                            ends[0]++;
+                            x.after(0.3, () -> x.node(s.name));
+                        });
             }
             x.run(280);
-            // Work waits, so that machines are asked for again and again: one such act may be under way just now.
-            for (int i = 0; i < 10 && x.store.keys.keySet().stream().anyMatch(k -> k.startsWith(Keys.ACT + "rent/")); i++) {
+            // Work waits, so that machines are asked for again and again: one such act may be under
+            // way just now.
+            for (int i = 0;
+                    i < 10
+                            && x.store.keys.keySet().stream()
+                                    .anyMatch(k -> k.startsWith(Keys.ACT + "rent/"));
+                    i++) {
                 x.run(0.5);
             }
             points += ends[0];
@@ -145,7 +185,10 @@
         assertTrue(points >= 15, "points: " + points);
     }
 
-    /** One that ends while the clean-up looks is in one place at a time; one that is in both is said to be. */
+    /**
+     * One that ends while the clean-up looks is in one place at a time; one that is in both is said
+     * to be.
+     */
     @Test
     void aJobThatEndsWhileItIsLookedAtIsNotCalledStrange() {
         settle(w);
@@ -154,14 +197,18 @@
         }
         put(w, Keys.OVER + "j-6", Map.of("status", "done", "done", 1L));
         boolean[] once = {true};
-        w.store.withheld = t -> {
-            if (once[0] && t.writes().isEmpty() && t.conditions().stream().anyMatch(c -> c.key().equals(Keys.OVER + "j-5"))) {
-                once[0] = false;
-                w.store.put(Keys.OPEN + "j-5", null, 0, ++w.store.revision);
-                put(w, Keys.OVER + "j-5", Map.of("status", "done", "done", 1L));
-            }
-            return false;
-        };
+        w.store.withheld =
+                t -> {
+                    if (once[0]
+                            && t.writes().isEmpty()
+                            && t.conditions().stream()
+                                    .anyMatch(c -> c.key().equals(Keys.OVER + "j-5"))) {
+                        once[0] = false;
+                        w.store.put(Keys.OPEN + "j-5", null, 0, ++w.store.revision);
+                        put(w, Keys.OVER + "j-5", Map.of("status", "done", "done", 1L));
+                    }
+                    return false;
+                };
         long most = 0;
         for (int i = 0; i < 120; i++) {
             w.run(0.5);
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -7,7 +7,6 @@
 
 import io.kitepath.core.model.Facts;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.standin.Task;
@@ -19,18 +18,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Teams at their limits while jobs of theirs are called off on machines that can't be asked, and the leader changes: what
- * may still run counts until something proves it over, what is proven over is used once and at once, and nothing stays
- * taken for good. {@code cancel_s} is hardly twice the lease, the lease five reports.
+ * Teams at their limits while jobs of theirs are called off on machines that can't be asked, and
+ * the leader changes: what may still run counts until something proves it over, what is proven over
+ * is used once and at once, and nothing stays taken for good. {@code cancel_s} is hardly twice the
+ * lease, the lease five reports.
  */
 class TeamLimitMeetingsTest {
     static final List<String> TEAMS = List.of("red", "blue", "green");
+
     /** Longer than any story. */
     private static final double ALWAYS = 1000;
 
     /** How machines can't be asked. */
     enum Lost {
-        HUNG, CUT, DEAF, MUTE;
+        HUNG,
+        CUT,
+        DEAF,
+        MUTE;
 
         void begins(World w, Worker x, double lastsS) {
             set(x, true);
@@ -47,10 +51,18 @@
 
     private World w;
     private List<Worker> lost;
-    /** Tasks of cancelled jobs on machines that could not be asked, when another leader was there. */
+
+    /**
+     * Tasks of cancelled jobs on machines that could not be asked, when another leader was there.
+     */
     private int met;
-    /** When all teams were at their limits with their next jobs, the first ones' last task was gone, troubles were over. */
+
+    /**
+     * When all teams were at their limits with their next jobs, the first ones' last task was gone,
+     * troubles were over.
+     */
     private double fullAt;
+
     private double goneAt;
     private double troublesEnd;
 
@@ -79,19 +91,48 @@
         Shape shape = Shape.values()[TEAMS.indexOf(team)];
         boolean gang = shape == Shape.GANG;
         int tasks = gang ? 3 : shape == Shape.ARRAY ? 4 : 5;
-        JobSpec s = job("j-" + (1 + TEAMS.indexOf(team)) + n, shape, tasks, shape == Shape.SERVICE ? 1 : 2);
-        return new JobSpec(s.id(), s.jobClass(), team, shape, s.priority(), tasks, s.cpus(), gang ? 1 : 0, 1, null, null,
-                gang, false, false, s.image(), s.imageGb(), ALWAYS, 0, 0, null);
+        JobSpec s =
+                job(
+                        "j-" + (1 + TEAMS.indexOf(team)) + n,
+                        shape,
+                        tasks,
+                        shape == Shape.SERVICE ? 1 : 2);
+        return new JobSpec(
+                s.id(),
+                s.jobClass(),
+                team,
+                shape,
+                s.priority(),
+                tasks,
+                s.cpus(),
+                gang ? 1 : 0,
+                1,
+                null,
+                null,
+                gang,
+                false,
+                false,
+                s.image(),
+                s.imageGb(),
+                ALWAYS,
+                0,
+                0,
+                null);
     }
 
     /** Whether the team uses its limit, and how much it is by the leader's count. */
     private void atItsLimit(String team, String when) {
         Facts.Team t = w.teams.get(team);
         double[] used = w.rules.onMachines(team);
-        assertTrue(t.cpusMax() == 0 || used[0] == t.cpusMax(), team + " " + used[0] + " CPUs " + when);
-        assertTrue(t.gpusMax() == 0 || t.cpusMax() > 0 || used[1] == t.gpusMax(), team + " " + used[1] + " GPUs " + when);
-        assertEquals(used[0], w.leader().controller.block.teamUse().cpus(team), 1e-6, team + " " + when);
-        assertEquals(used[1], w.leader().controller.block.teamUse().gpus(team), 1e-6, team + " " + when);
+        assertTrue(
+                t.cpusMax() == 0 || used[0] == t.cpusMax(), team + " " + used[0] + " CPUs " + when);
+        assertTrue(
+                t.gpusMax() == 0 || t.cpusMax() > 0 || used[1] == t.gpusMax(),
+                team + " " + used[1] + " GPUs " + when);
+        assertEquals(
+                used[0], w.leader().controller.block.teamUse().cpus(team), 1e-6, team + " " + when);
+        assertEquals(
+                used[1], w.leader().controller.block.teamUse().gpus(team), 1e-6, team + " " + when);
     }
 
     /** All teams at their limits with a first job, a second one of each waits beside room. */
@@ -101,24 +142,31 @@
         w.run(4);
         TEAMS.forEach(t -> w.submit(w.leader(), whole(t, 2)));
         w.run(4);
-        TEAMS.forEach(t -> {
-            atItsLimit(t, "before");
-            assertEquals(0, w.onMachines(whole(t, 2).id()));
-        });
+        TEAMS.forEach(
+                t -> {
+                    atItsLimit(t, "before");
+                    assertEquals(0, w.onMachines(whole(t, 2).id()));
+                });
         met = 0;
         fullAt = Double.NaN;
     }
 
     private List<Worker> withTasks() {
-        return w.workers.values().stream().filter(x -> x.tasks.values().stream().anyMatch(Task::on)).toList();
+        return w.workers.values().stream()
+                .filter(x -> x.tasks.values().stream().anyMatch(Task::on))
+                .toList();
     }
 
     /** The process of whoever leads by then is killed, and another one comes up. */
     private void leaderEnds() {
-        w.nodes.values().stream().filter(n -> n.alive && n.controller.leadsWith() > 0).findFirst().ifPresent(n -> {
-            n.kill();
-            w.after(0.3, () -> w.node(n.name));
-        });
+        w.nodes.values().stream()
+                .filter(n -> n.alive && n.controller.leadsWith() > 0)
+                .findFirst()
+                .ifPresent(
+                        n -> {
+                            n.kill();
+                            w.after(0.3, () -> w.node(n.name));
+                        });
     }
 
     private long first() {
@@ -130,13 +178,23 @@
         long before = w.store.token();
         for (double until = w.clock.now + seconds; w.clock.now < until; ) {
             w.run(0.25);
-            if (met == 0 && w.nodes.values().stream().anyMatch(n -> n.alive && n.controller.leadsWith() > before)) {
-                met += lost.stream().flatMap(x -> x.tasks.values().stream()).filter(t -> t.on()
-                        && w.toldCancelled.containsKey(t.job) && t.worker.token <= before).count();
+            if (met == 0
+                    && w.nodes.values().stream()
+                            .anyMatch(n -> n.alive && n.controller.leadsWith() > before)) {
+                met +=
+                        lost.stream()
+                                .flatMap(x -> x.tasks.values().stream())
+                                .filter(
+                                        t ->
+                                                t.on()
+                                                        && w.toldCancelled.containsKey(t.job)
+                                                        && t.worker.token <= before)
+                                .count();
             }
             goneAt = first() > 0 ? w.clock.now : goneAt;
             if (Double.isNaN(fullAt)
-                    && TEAMS.stream().allMatch(t -> w.onMachines(whole(t, 2).id()) == whole(t, 2).tasks())) {
+                    && TEAMS.stream()
+                            .allMatch(t -> w.onMachines(whole(t, 2).id()) == whole(t, 2).tasks())) {
                 fullAt = w.clock.now;
             }
         }
@@ -146,15 +204,20 @@
         TEAMS.forEach(t -> w.users.cancel(other(w, null), whole(t, 1).id()));
     }
 
-    /** Nothing broke, the first jobs are gone, the second ones have all that the limits allow, and it is counted right. */
+    /**
+     * Nothing broke, the first jobs are gone, the second ones have all that the limits allow, and
+     * it is counted right.
+     */
     private void settledAgain(String when) {
         assertEquals(List.of(), w.broken, when);
         assertEquals(0, w.rules.startsAfterCancellation(), when);
         assertEquals(0, first(), when);
-        TEAMS.forEach(t -> {
-            assertEquals(whole(t, 2).tasks(), w.onMachines(whole(t, 2).id()), t + " " + when);
-            atItsLimit(t, when);
-        });
+        TEAMS.forEach(
+                t -> {
+                    assertEquals(
+                            whole(t, 2).tasks(), w.onMachines(whole(t, 2).id()), t + " " + when);
+                    atItsLimit(t, when);
+                });
     }
 
     private void meeting(Lost how, double lasts, double leaderEnds, double cancelled, String when) {
@@ -168,7 +231,10 @@
         settledAgain(when);
     }
 
-    /** Each way of not being asked, each quarter of a lease, cancelled before the leader ends, with it, and after. */
+    /**
+     * Each way of not being asked, each quarter of a lease, cancelled before the leader ends, with
+     * it, and after.
+     */
     @Test
     void whatNobodyCanAskCountsUntilItIsProvenOverAndIsUsedAtOnceThen() {
         Map<Lost, Integer> tasks = new TreeMap<>();
@@ -178,19 +244,39 @@
             for (double lasts : new double[] {4, 9.5, 12, 21, 32}) {
                 for (double ends = 0.1; ends < lasts && ends < 11; ends += 2.5) {
                     double after = new double[] {-0.5, 0.05, 2.5}[n++ % 3];
-                    String when = how + " for " + lasts + ", leader ends " + ends + ", cancelled " + (ends + after);
+                    String when =
+                            how
+                                    + " for "
+                                    + lasts
+                                    + ", leader ends "
+                                    + ends
+                                    + ", cancelled "
+                                    + (ends + after);
                     meeting(how, lasts, ends, Math.max(0, ends + after), when);
                     tasks.merge(how, met, Integer::sum);
-                    assertTrue(fullAt <= troublesEnd + w.leaseS, when + ": full " + (fullAt - troublesEnd) + " after");
+                    assertTrue(
+                            fullAt <= troublesEnd + w.leaseS,
+                            when + ": full " + (fullAt - troublesEnd) + " after");
                     latest = Math.max(latest, fullAt - troublesEnd);
                 }
             }
         }
-        System.out.println("limits: " + n + " runs, tasks met " + tasks + ", full again within " + latest + " s");
-        assertTrue(tasks.size() == 4 && tasks.values().stream().allMatch(x -> x > 20), tasks.toString());
+        System.out.println(
+                "limits: "
+                        + n
+                        + " runs, tasks met "
+                        + tasks
+                        + ", full again within "
+                        + latest
+                        + " s");
+        assertTrue(
+                tasks.size() == 4 && tasks.values().stream().allMatch(x -> x > 20),
+                tasks.toString());
     }
 
-    /** The machines stay away for good: their way out is the cloud's word, whoever leads by then. */
+    /**
+     * The machines stay away for good: their way out is the cloud's word, whoever leads by then.
+     */
     @Test
     void noLimitStaysTakenForGood() {
         Map<Lost, Double> gone = new TreeMap<>();
@@ -219,10 +305,16 @@
     }
 
     private double toldAt() {
-        return TEAMS.stream().mapToDouble(t -> w.toldCancelled.get(whole(t, 1).id())).min().orElseThrow();
+        return TEAMS.stream()
+                .mapToDouble(t -> w.toldCancelled.get(whole(t, 1).id()))
+                .min()
+                .orElseThrow();
     }
 
-    /** Most of the machines stand still with what was called off, for longer than it may be there, while leaders change. */
+    /**
+     * Most of the machines stand still with what was called off, for longer than it may be there,
+     * while leaders change.
+     */
     @Test
     void mostMachinesStandStillWithWhatWasCalledOff() {
         int over = 0;
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -21,13 +21,17 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Limits across leaders that end between any two writes, and with all troubles of {@link TeamLimitMeetingsTest} at once. */
+/**
+ * Limits across leaders that end between any two writes, and with all troubles of {@link
+ * TeamLimitMeetingsTest} at once.
+ */
 class TeamLimitSeedsTest {
     private World w;
 
     /**
-     * The leader ends after each of its next requests, so between any two records of a gang that has several, of an array
-     * and a service, which take the room that was called off a moment before; some of the machines are cut off by then.
+     * The leader ends after each of its next requests, so between any two records of a gang that
+     * has several, of an array and a service, which take the room that was called off a moment
+     * before; some of the machines are cut off by then.
      */
     @Test
     void whatWasHalfWrittenAtTheLimitCountsForTheNextLeader() {
@@ -36,9 +40,12 @@
             w = limited(10);
             w.teams.put("blue", new Facts.Team("blue", 0, 18, 0, 0));
             Worker[] cut = w.workers.values().stream().limit(3).toArray(Worker[]::new);
-            JobSpec gang = World.with(job("j-21", Shape.GANG, 18, 1), "blue", Priority.NORMAL, false);
+            JobSpec gang =
+                    World.with(job("j-21", Shape.GANG, 18, 1), "blue", Priority.NORMAL, false);
             w.submit(w.leader(), whole("red", 1));
-            w.submit(w.leader(), World.with(job("j-20", Shape.ARRAY, 18, 1), "blue", Priority.NORMAL, false));
+            w.submit(
+                    w.leader(),
+                    World.with(job("j-20", Shape.ARRAY, 18, 1), "blue", Priority.NORMAL, false));
             w.run(5);
             assertEquals(18, w.rules.onMachines("blue")[0]);
             w.submit(w.leader(), gang);
@@ -46,14 +53,20 @@
             Node leader = w.leader();
             w.users.cancel(leader, "j-20");
             w.users.cancel(leader, "j-11");
-            leader.endAfter(more, () -> {
-                for (Worker x : cut) {
-                    Lost.CUT.begins(w, x, 14);
-                }
-                w.after(0.3, () -> w.node(leader.name));
-            });
+            leader.endAfter(
+                    more,
+                    () -> {
+                        for (Worker x : cut) {
+                            Lost.CUT.begins(w, x, 14);
+                        }
+                        w.after(0.3, () -> w.node(leader.name));
+                    });
             w.run(3);
-            int parts = (int) w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.PART + "j-21")).count();
+            int parts =
+                    (int)
+                            w.store.keys.keySet().stream()
+                                    .filter(k -> k.startsWith(Keys.PART + "j-21"))
+                                    .count();
             half += parts > 0 && parts < 3 ? 1 : 0;
             // The gang that is on record by now is called off too, by half of the users.
             boolean off = more % 4 == 1;
@@ -65,24 +78,31 @@
             assertEquals(List.of(), w.broken, when);
             assertEquals(off ? 0 : 18, w.onMachines("j-21"), when);
             assertEquals(4, w.onMachines("j-12"), when);
-            assertEquals(off ? 0 : 18, w.leader().controller.block.teamUse().cpus("blue"), 1e-6, when);
+            assertEquals(
+                    off ? 0 : 18, w.leader().controller.block.teamUse().cpus("blue"), 1e-6, when);
         }
         System.out.println("limits: half written " + half);
         assertTrue(half > 10, "half written " + half);
     }
 
     private static void trouble(World w, Random random) {
-        Node leader = w.nodes.values().stream().filter(n -> n.alive && n.controller.leadsWith() > 0).findFirst()
-                .orElse(null);
+        Node leader =
+                w.nodes.values().stream()
+                        .filter(n -> n.alive && n.controller.leadsWith() > 0)
+                        .findFirst()
+                        .orElse(null);
         double lasts = random.nextDouble() * 3 * w.leaseS;
         switch (random.nextInt(6)) {
             case 0, 1 -> w.cancelNow(1 + random.nextInt(3), lasts, random);
-            case 2 -> w.workers.values().stream().filter(x -> x.up && random.nextInt(4) == 0).forEach(x ->
-                    Lost.values()[1 + random.nextInt(3)].begins(w, x, lasts));
+            case 2 ->
+                    w.workers.values().stream()
+                            .filter(x -> x.up && random.nextInt(4) == 0)
+                            .forEach(x -> Lost.values()[1 + random.nextInt(3)].begins(w, x, lasts));
             case 3 -> {
                 if (leader != null) {
                     double back = 0.1 + random.nextInt(3);
-                    leader.endAfter(1 + random.nextInt(30), () -> w.after(back, () -> w.node(leader.name)));
+                    leader.endAfter(
+                            1 + random.nextInt(30), () -> w.after(back, () -> w.node(leader.name)));
                 }
             }
             case 4 -> {
@@ -110,14 +130,25 @@
             for (int i = 0; i < 14; i++) {
                 String team = TEAMS.get(i % 3);
                 Shape shape = Shape.values()[random.nextInt(3)];
-                JobSpec s = World.with(job("j-" + (10 + i), shape, 1 + random.nextInt(team.equals("blue") ? 3 : 4), 1), team,
-                        Priority.NORMAL, false);
+                JobSpec s =
+                        World.with(
+                                job(
+                                        "j-" + (10 + i),
+                                        shape,
+                                        1 + random.nextInt(team.equals("blue") ? 3 : 4),
+                                        1),
+                                team,
+                                Priority.NORMAL,
+                                false);
                 w.submit(w.nodes.get("k" + random.nextInt(3)), s);
                 w.run(random.nextDouble() * 3);
                 if (i > 4 && random.nextBoolean()) {
                     trouble(w, random);
                 }
-                atLimit += w.rules.onMachines("red")[0] == 8 || w.rules.onMachines("green")[0] == 5 ? 1 : 0;
+                atLimit +=
+                        w.rules.onMachines("red")[0] == 8 || w.rules.onMachines("green")[0] == 5
+                                ? 1
+                                : 0;
             }
             w.run(3 * w.leaseS);
             w.nodes.values().forEach(n -> n.endsAfter = Integer.MAX_VALUE);
@@ -127,16 +158,20 @@
             String when = "seed " + seed;
             assertEquals(List.of(), w.broken, when);
             cancelled += w.toldCancelled.size();
-            // Services go on; once they are called off as well, no team's limit has anything left on it.
+            // Services go on; once they are called off as well, no team's limit has anything left
+            // on it.
             w.specs.keySet().stream().sorted().forEach(id -> w.users.cancel(other(w, null), id));
             w.run(3 * w.leaseS);
             for (String t : TEAMS) {
                 assertEquals(0, w.rules.onMachines(t)[0], when + " " + t);
-                assertEquals(0, w.leader().controller.block.teamUse().cpus(t), 1e-6, when + " " + t);
+                assertEquals(
+                        0, w.leader().controller.block.teamUse().cpus(t), 1e-6, when + " " + t);
             }
             assertEquals(List.of(), w.broken, when);
         }
         System.out.println("limits: " + cancelled + " cancelled, " + atLimit + " times at a limit");
-        assertTrue(cancelled > 30 && atLimit > 60, cancelled + " cancelled, " + atLimit + " times at a limit");
+        assertTrue(
+                cancelled > 30 && atLimit > 60,
+                cancelled + " cancelled, " + atLimit + " times at a limit");
     }
 }
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -94,7 +94,10 @@
         assertEquals(List.of(), w.broken);
     }
 
-    /** A report of before its machine was given back, or of an earlier session, comes when nobody knows better any more. */
+    /**
+     * A report of before its machine was given back, or of an earlier session, comes when nobody
+     * knows better any more.
+     */
     @Test
     void aLateCopyOfAReportRevivesNothing() {
         World w = settled(2, 3);
@@ -111,11 +114,12 @@
         n.crash();
         w.run(15);
         Node next = w.leader();
-        next.controller.heartbeat(old, (HeartbeatAnswer c) -> { });
+        next.controller.heartbeat(old, (HeartbeatAnswer c) -> {});
         w.submit(next, job("j-2", Shape.ARRAY, 12, 1));
         w.run(10);
-        assertTrue(next.controller.block.jobs().get("j-2").live().values().stream()
-                .noneMatch(a -> a.machine.id.equals(x.id)));
+        assertTrue(
+                next.controller.block.jobs().get("j-2").live().values().stream()
+                        .noneMatch(a -> a.machine.id.equals(x.id)));
         w.run(50);
         assertEquals("done", w.status(next, "j-2"));
         assertEquals(List.of(), w.broken);
@@ -126,12 +130,20 @@
         for (long seed = 0; seed < 12; seed++) {
             World w = settled(3, 6);
             Random random = new Random(seed);
-            w.copyAfterS = () -> random.nextInt(3) == 0 ? 0.5 + random.nextDouble() * 3 * w.leaseS : 0;
+            w.copyAfterS =
+                    () -> random.nextInt(3) == 0 ? 0.5 + random.nextDouble() * 3 * w.leaseS : 0;
             Set<String> jobs = new HashSet<>();
             for (int i = 0; i < 12; i++) {
                 Node n = w.leader();
                 String id = "j-" + (100 + i);
-                if (w.submit(n, job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(8), 1)) != null) {
+                if (w.submit(
+                                n,
+                                job(
+                                        id,
+                                        i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
+                                        1 + random.nextInt(8),
+                                        1))
+                        != null) {
                     jobs.add(id);
                 }
                 w.run(random.nextDouble() * 5);
@@ -166,8 +178,16 @@
         assertFalse(cut.controller.healthy());
         assertEquals(Verdict.LATER, w.ask(cut, "j-1").verdict());
         w.run(12);
-        Node next = w.nodes.values().stream().filter(n -> n != cut && n.controller.holds()).findFirst().orElseThrow();
-        assertEquals(8, next.controller.block.jobs().get("j-1").live().values().stream().filter(a -> a.seen()).count());
+        Node next =
+                w.nodes.values().stream()
+                        .filter(n -> n != cut && n.controller.holds())
+                        .findFirst()
+                        .orElseThrow();
+        assertEquals(
+                8,
+                next.controller.block.jobs().get("j-1").live().values().stream()
+                        .filter(a -> a.seen())
+                        .count());
         assertEquals(8, w.onMachines("j-1"));
         assertEquals(sessions, w.workers.values().stream().mapToLong(x -> x.session).sum());
         cut.cutFromStore = false;
@@ -188,7 +208,10 @@
         }
     }
 
-    /** Silent for as long as it takes to give it back, and heard again in the moment in which that is put down. */
+    /**
+     * Silent for as long as it takes to give it back, and heard again in the moment in which that
+     * is put down.
+     */
     @Test
     void aMachineThatIsHeardAgainAsItIsGivenBackStartsNothing() {
         Mixed m = new Mixed(46);
@@ -209,10 +232,13 @@
             random = new Random(seed);
             w.cloud.capacity = 20;
             w.next = new io.kitepath.core.model.Facts.StoreLimits(1000, 200, 2, 13);
-            w.nodes.keySet().stream().toList().forEach(k -> {
-                w.nodes.get(k).crash();
-                w.node(k);
-            });
+            w.nodes.keySet().stream()
+                    .toList()
+                    .forEach(
+                            k -> {
+                                w.nodes.get(k).crash();
+                                w.node(k);
+                            });
             w.run(10);
         }
 
@@ -225,17 +251,31 @@
                 String id = "j-" + (100 + i);
                 List<String> old = new ArrayList<>(accepted);
                 old.sort(null);
-                String[] needs = random.nextInt(2) == 0 || old.isEmpty() ? new String[0]
-                        : new String[] {old.get(random.nextInt(old.size())), old.get(random.nextInt(old.size()))};
-                var a = w.submit(any(), job(id, random.nextInt(4) == 0 ? Shape.GANG : Shape.ARRAY,
-                        1 + random.nextInt(8), 1), needs);
+                String[] needs =
+                        random.nextInt(2) == 0 || old.isEmpty()
+                                ? new String[0]
+                                : new String[] {
+                                    old.get(random.nextInt(old.size())),
+                                    old.get(random.nextInt(old.size()))
+                                };
+                var a =
+                        w.submit(
+                                any(),
+                                job(
+                                        id,
+                                        random.nextInt(4) == 0 ? Shape.GANG : Shape.ARRAY,
+                                        1 + random.nextInt(8),
+                                        1),
+                                needs);
                 if (a != null && a.verdict() == Verdict.CREATED) {
                     accepted.add(id);
                 }
                 if (random.nextInt(8) == 0 && !old.isEmpty()) {
                     String which = old.get(random.nextInt(old.size()));
                     var c = w.cancel(any(), which);
-                    if (c != null && c.verdict() == Verdict.KNOWN && c.state().status().equals("cancelled")) {
+                    if (c != null
+                            && c.verdict() == Verdict.KNOWN
+                            && c.state().status().equals("cancelled")) {
                         cancelled.add(which);
                     }
                 }
@@ -250,18 +290,24 @@
                 }
             }
             // All troubles are over.
-            w.nodes.keySet().stream().toList().forEach(k -> {
-                Node n = w.nodes.get(k);
-                n.cutFromStore = false;
-                n.cutFrom.clear();
-                if (!n.alive) {
-                    w.node(k);
-                }
-            });
-            w.workers.values().forEach(x -> {
-                x.deaf = false;
-                x.cut = false;
-            });
+            w.nodes.keySet().stream()
+                    .toList()
+                    .forEach(
+                            k -> {
+                                Node n = w.nodes.get(k);
+                                n.cutFromStore = false;
+                                n.cutFrom.clear();
+                                if (!n.alive) {
+                                    w.node(k);
+                                }
+                            });
+            w.workers
+                    .values()
+                    .forEach(
+                            x -> {
+                                x.deaf = false;
+                                x.cut = false;
+                            });
             w.copyAfterS = () -> 0;
         }
 
@@ -272,20 +318,24 @@
             switch (random.nextInt(9)) {
                 case 0, 1 -> {
                     n.crash();
-                    w.after(new double[] {0.1, 0.4, 3}[random.nextInt(3)], () -> {
-                        if (!w.nodes.get(n.name).alive) {
-                            w.node(n.name);
-                        }
-                    });
+                    w.after(
+                            new double[] {0.1, 0.4, 3}[random.nextInt(3)],
+                            () -> {
+                                if (!w.nodes.get(n.name).alive) {
+                                    w.node(n.name);
+                                }
+                            });
                 }
                 case 2 -> n.frozenUntil = w.clock.now + random.nextDouble() * 12;
                 case 3 -> {
                     n.cutFromStore = true;
                     w.siblings.forEach(n.cutFrom::add);
-                    w.after(random.nextDouble() * 25, () -> {
-                        n.cutFromStore = false;
-                        n.cutFrom.clear();
-                    });
+                    w.after(
+                            random.nextDouble() * 25,
+                            () -> {
+                                n.cutFromStore = false;
+                                n.cutFrom.clear();
+                            });
                 }
                 case 4 -> w.store.outage(random.nextDouble() * 8);
                 case 5, 6 -> {
@@ -294,7 +344,9 @@
                         w.after(random.nextDouble() * 40, () -> x.deaf = false);
                     }
                 }
-                case 7 -> w.copyAfterS = () -> random.nextInt(4) == 0 ? 0.5 + random.nextDouble() * 25 : 0;
+                case 7 ->
+                        w.copyAfterS =
+                                () -> random.nextInt(4) == 0 ? 0.5 + random.nextDouble() * 25 : 0;
                 default -> {
                     if (x != null) {
                         x.cut = true;
@@ -327,7 +379,8 @@
         }
 
         private boolean behind(String id) {
-            return cancelled.contains(id) || w.toldCancelled.containsKey(id)
+            return cancelled.contains(id)
+                    || w.toldCancelled.containsKey(id)
                     || w.needs.getOrDefault(id, List.of()).stream().anyMatch(this::behind);
         }
     }
