--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -12,7 +12,6 @@
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Task;
-import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -23,29 +22,47 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A zone with workers and a controller is cut off, for up to four leases: what is inside reaches only what is inside,
- * and neither store nor cloud. Jobs of it end, are cancelled outside and asked about inside meanwhile.
+ * A zone with workers and a controller is cut off, for up to four leases: what is inside reaches
+ * only what is inside, and neither store nor cloud. Jobs of it end, are cancelled outside and asked
+ * about inside meanwhile.
  */
 class ZoneCutTest {
     private static final String ZONE = "a";
     private World w;
     private Cut cut;
-    /** On machines inside as the cut began; and of those not cancelled, what went with its lease, or with its machine. */
+
+    /**
+     * On machines inside as the cut began; and of those not cancelled, what went with its lease, or
+     * with its machine.
+     */
     private List<Task> held;
+
     private int withLease;
     private int withMachine;
-    /** Tasks of the job bound to the zone that run in the other one when the cut ends, as all of it inside is gone. */
+
+    /**
+     * Tasks of the job bound to the zone that run in the other one when the cut ends, as all of it
+     * inside is gone.
+     */
     private int boundOutside;
 
-    /** What crosses the zone's border gets lost, or is refused, while the cut lasts; also answers on their way. */
+    /**
+     * What crosses the zone's border gets lost, or is refused, while the cut lasts; also answers on
+     * their way.
+     */
     private static final class Cut implements World.Reach {
         private final World w;
         private final World.Reach usual;
         final Set<String> inside = new HashSet<>();
         boolean refusing;
         boolean lasts;
-        /** Reports from inside that a controller there answered with its token, and when it last did. */
+
+        /**
+         * Reports from inside that a controller there answered with its token, and when it last
+         * did.
+         */
         int kept;
+
         double lastKept;
 
         Cut(World w) {
@@ -63,10 +80,15 @@
         void begin() {
             lasts = true;
             lastKept = w.clock.now;
-            w.nodes.values().stream().filter(n -> inside.contains(n.name)).forEach(n -> {
-                n.cutFromStore = true;
-                w.siblings.stream().filter(s -> !inside.contains(s)).forEach(n.cutFrom::add);
-            });
+            w.nodes.values().stream()
+                    .filter(n -> inside.contains(n.name))
+                    .forEach(
+                            n -> {
+                                n.cutFromStore = true;
+                                w.siblings.stream()
+                                        .filter(s -> !inside.contains(s))
+                                        .forEach(n.cutFrom::add);
+                            });
         }
 
         void end() {
@@ -88,28 +110,51 @@
                 }
                 return;
             }
-            usual.heartbeat(node, r, c -> {
-                if (!crosses(node, r.zone())) {
-                    boolean keeps = lasts && r.zone().equals(ZONE) && c.token() > 0;
-                    kept += keeps ? 1 : 0;
-                    lastKept = keeps ? w.clock.now : lastKept;
-                    answer.accept(c);
-                }
-            });
+            usual.heartbeat(
+                    node,
+                    r,
+                    c -> {
+                        if (!crosses(node, r.zone())) {
+                            boolean keeps = lasts && r.zone().equals(ZONE) && c.token() > 0;
+                            kept += keeps ? 1 : 0;
+                            lastKept = keeps ? w.clock.now : lastKept;
+                            answer.accept(c);
+                        }
+                    });
         }
     }
 
     private static JobSpec in(String zone, boolean oneZone, JobSpec s) {
-        return new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), s.tasks(), s.cpus(), s.gpus(),
-                s.memoryGb(), s.types(), zone, oneZone, s.spread(), s.spot(), s.image(), s.imageGb(), s.estimateS(),
-                s.checkpointS(), s.saveS(), s.deadlineS());
+        return new JobSpec(
+                s.id(),
+                s.jobClass(),
+                s.team(),
+                s.shape(),
+                s.priority(),
+                s.tasks(),
+                s.cpus(),
+                s.gpus(),
+                s.memoryGb(),
+                s.types(),
+                zone,
+                oneZone,
+                s.spread(),
+                s.spot(),
+                s.image(),
+                s.imageGb(),
+                s.estimateS(),
+                s.checkpointS(),
+                s.saveS(),
+                s.deadlineS());
     }
 
     /**
-     * Eight machines, so many of them in the zone. All are full, and tasks of the job that is bound to the zone wait
-     * without room there. {@code endsS} after the cut begins some end inside, and all outside.
+     * Eight machines, so many of them in the zone. All are full, and tasks of the job that is bound
+     * to the zone wait without room there. {@code endsS} after the cut begins some end inside, and
+     * all outside.
      */
-    private void begins(int machines, double cancelS, int controllers, boolean leads, double endsS) {
+    private void begins(
+            int machines, double cancelS, int controllers, boolean leads, double endsS) {
         w = settled(0, 0);
         w.cancelS = cancelS;
         w.closeLooks = true;
@@ -122,9 +167,15 @@
         w.runsFor = id -> id.equals("j-ends") || id.equals("j-outside") ? 5 + endsS : 45;
         cut = new Cut(w);
         Node leader = w.leader();
-        w.siblings.stream().filter(k -> k.equals(leader.name) == leads).limit(controllers).forEach(cut.inside::add);
+        w.siblings.stream()
+                .filter(k -> k.equals(leader.name) == leads)
+                .limit(controllers)
+                .forEach(cut.inside::add);
         int more = controllers - cut.inside.size();
-        w.siblings.stream().filter(k -> !k.equals(leader.name)).limit(more).forEach(cut.inside::add);
+        w.siblings.stream()
+                .filter(k -> !k.equals(leader.name))
+                .limit(more)
+                .forEach(cut.inside::add);
         w.submit(leader, in("b", false, job("j-outside", Shape.ARRAY, 4 * (8 - machines), 1)));
         w.submit(leader, in(ZONE, false, job("j-off", Shape.ARRAY, 4, 1)));
         w.submit(leader, in(ZONE, false, job("j-ends", Shape.ARRAY, 4, 1)));
@@ -137,28 +188,42 @@
     }
 
     private List<Task> on(String zone) {
-        return w.workers.values().stream().filter(x -> x.zone.equals(zone)).flatMap(x -> x.tasks.values().stream())
-                .filter(Task::on).toList();
+        return w.workers.values().stream()
+                .filter(x -> x.zone.equals(zone))
+                .flatMap(x -> x.tasks.values().stream())
+                .filter(Task::on)
+                .toList();
     }
 
     private Node outside() {
-        return w.nodes.values().stream().filter(n -> !cut.inside.contains(n.name)).findFirst().orElseThrow();
+        return w.nodes.values().stream()
+                .filter(n -> !cut.inside.contains(n.name))
+                .findFirst()
+                .orElseThrow();
     }
 
-    /** Cancelled outside; whoever asks or cancels inside is told the same, as it holds for ever, or nothing. */
+    /**
+     * Cancelled outside; whoever asks or cancels inside is told the same, as it holds for ever, or
+     * nothing.
+     */
     private void cancelled(String id, String at) {
         var told = w.cancel(outside(), id);
         assertEquals(Verdict.KNOWN, told.verdict(), at);
         for (String k : cut.inside) {
             w.accepted.keySet().forEach(j -> w.ask(w.nodes.get(k), j));
             var a = w.cancel(w.nodes.get(k), id);
-            assertTrue(a == null || a.verdict() == Verdict.LATER || a.state().status().equals(told.state().status()), at);
+            assertTrue(
+                    a == null
+                            || a.verdict() == Verdict.LATER
+                            || a.state().status().equals(told.state().status()),
+                    at);
         }
     }
 
     /** What was lost by now is counted, and the zone is back. */
     private void ends(String at) {
-        List<Task> gone = held.stream().filter(t -> t.state != Report.State.ENDED && !t.on()).toList();
+        List<Task> gone =
+                held.stream().filter(t -> t.state != Report.State.ENDED && !t.on()).toList();
         withMachine = (int) gone.stream().filter(t -> !t.worker.up).count();
         withLease = gone.size() - withMachine;
         boundOutside = (int) on("b").stream().filter(t -> t.job.equals("j-bound")).count();
@@ -167,20 +232,44 @@
         w.cloud.capacity = 16;
         w.rules.calm();
         w.run(35); // What was cancelled has had to go by then.
-        for (int i = 0; i < 30 && w.toldCancelled.size() + w.toldDone.size() < w.accepted.size(); i++) {
+        for (int i = 0;
+                i < 30 && w.toldCancelled.size() + w.toldDone.size() < w.accepted.size();
+                i++) {
             w.run(10);
         }
         assertEquals(List.of(), w.broken, at);
         for (String id : w.accepted.keySet()) {
-            assertEquals(w.toldCancelled.containsKey(id) ? "cancelled" : "done", w.status(w.leader(), id), at + ": " + id);
+            assertEquals(
+                    w.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    w.status(w.leader(), id),
+                    at + ": " + id);
             assertEquals(0, w.onMachines(id), at + ": " + id);
         }
     }
 
-    private void story(double lengthS, int machines, int controllers, boolean leads, boolean cloudOut, double cancelAfter,
+    private void story(
+            double lengthS,
+            int machines,
+            int controllers,
+            boolean leads,
+            boolean cloudOut,
+            double cancelAfter,
             double cancelS) {
-        String at = "cut " + lengthS + " s, " + machines + " machines and " + controllers + " controllers inside, leads "
-                + leads + ", no cloud " + cloudOut + ", cancelled after " + cancelAfter + ", gone within " + cancelS;
+        String at =
+                "cut "
+                        + lengthS
+                        + " s, "
+                        + machines
+                        + " machines and "
+                        + controllers
+                        + " controllers inside, leads "
+                        + leads
+                        + ", no cloud "
+                        + cloudOut
+                        + ", cancelled after "
+                        + cancelAfter
+                        + ", gone within "
+                        + cancelS;
         begins(machines, cancelS, controllers, leads, 4);
         long token = w.store.token();
         double began = w.clock.now;
@@ -190,7 +279,8 @@
         w.run(lengthS * cancelAfter);
         cancelled("j-off", at);
         w.run(began + lengthS - w.clock.now);
-        // The meeting: another leads outside, and a leader inside kept work for as long as it might, and no longer.
+        // The meeting: another leads outside, and a leader inside kept work for as long as it
+        // might, and no longer.
         double margin = Math.min(w.leaseS, cancelS - w.leaseS - 2 * w.reportS - 1);
         assertEquals(leads, w.store.token() > token, at);
         assertEquals(leads, cut.kept > 0, at);
@@ -199,7 +289,10 @@
         assertTrue(!leads || lengthS > 1.5 * margin || withLease + withMachine == 0, at);
     }
 
-    /** Each half lease up to four; with half of the machines inside, most of them, and such that can't be given back. */
+    /**
+     * Each half lease up to four; with half of the machines inside, most of them, and such that
+     * can't be given back.
+     */
     @Test
     void aZoneThatIsCutOffKeepsWhatItMayAndRunsNothingTwice() {
         int[] sums = new int[3];
@@ -210,13 +303,22 @@
                 int kind = (half + i / 2) % 3;
                 // What is cancelled early in a long cut has to be gone while it lasts.
                 double after = moments[half < 7 ? (half + i) % 4 : 0];
-                story(5 * half, kind == 1 ? 6 : 4, 1 + half % 2, leads, kind == 2, after, kind == 2 ? 20 : 30);
+                story(
+                        5 * half,
+                        kind == 1 ? 6 : 4,
+                        1 + half % 2,
+                        leads,
+                        kind == 2,
+                        after,
+                        kind == 2 ? 20 : 30);
                 sums[0] += withLease;
                 sums[1] += withMachine;
                 sums[2] += boundOutside;
             }
         }
-        assertTrue(Arrays.stream(sums).allMatch(x -> x > 0), "with leases, machines; moved: " + Arrays.toString(sums));
+        assertTrue(
+                Arrays.stream(sums).allMatch(x -> x > 0),
+                "with leases, machines; moved: " + Arrays.toString(sums));
     }
 
     /** Cut again and again, around other nodes, by a seed; cancelled at any moment. */
@@ -226,7 +328,11 @@
         int lost = 0;
         for (long seed = 0; seed < 12; seed++) {
             Random random = new Random(seed);
-            begins(4 + random.nextInt(3), random.nextBoolean() ? 30 : 20, 1 + random.nextInt(2), random.nextBoolean(),
+            begins(
+                    4 + random.nextInt(3),
+                    random.nextBoolean() ? 30 : 20,
+                    1 + random.nextInt(2),
+                    random.nextBoolean(),
                     random.nextDouble() * 20);
             w.cloud.capacity = random.nextInt(9);
             for (int i = 0; i < 3; i++) {
@@ -245,6 +351,7 @@
             kept += cut.kept;
             lost += withLease + withMachine;
         }
-        assertTrue(kept > 0 && lost > 0, kept + " reports answered inside, " + lost + " tasks lost");
+        assertTrue(
+                kept > 0 && lost > 0, kept + " reports answered inside, " + lost + " tasks lost");
     }
 }
--- a/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
@@ -5,33 +5,46 @@
 
 import io.kitepath.core.model.Facts;
 import io.kitepath.core.model.JobSpec.Shape;
+import io.kitepath.core.model.Order;
 import io.kitepath.core.model.Report;
 import io.kitepath.standin.World;
 import java.util.List;
 import java.util.Map;
-import io.kitepath.core.model.Order;
 import org.junit.jupiter.api.Test;
 
 /** What a report proves. */
 class HeartbeatsTest {
     private final Facts facts = new World().facts("k1");
-    private final Block block = new Block(facts, m -> { });
+    private final Block block = new Block(facts, m -> {});
     private final Heartbeats heartbeats = new Heartbeats(block);
-    private final Job job = new Job(World.job("j-1", Shape.ARRAY, 1, 1), 0, new double[] {60}, "jobs/open/j-1", 1, 256);
+    private final Job job =
+            new Job(
+                    World.job("j-1", Shape.ARRAY, 1, 1),
+                    0,
+                    new double[] {60},
+                    "jobs/open/j-1",
+                    1,
+                    256);
 
     private static Report report(long sequence, long token) {
         return new Report("i-1", "a", "m4", "a", false, 1, sequence, token, null, List.of());
     }
 
     /**
-     * An earlier holder wrote the placing and launched it in an answer that is still on its way; then the job is
-     * cancelled. The worker's report from before it knew us does not show the task, and proves nothing.
+     * An earlier holder wrote the placing and launched it in an answer that is still on its way;
+     * then the job is cancelled. The worker's report from before it knew us does not show the task,
+     * and proves nothing.
      */
     @Test
     void onlyAReportThatCarriesOurTokenProvesWhatIsNotThere() {
         block.hold(5);
         block.addJob(job);
-        block.adopt(job, 0, Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))), 7, 0);
+        block.adopt(
+                job,
+                0,
+                Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
+                7,
+                0);
         block.jobOver("j-1");
         for (int i = 1; i <= 5; i++) {
             heartbeats.heartbeat(report(i, 4), true, id -> true, i);
@@ -42,13 +55,21 @@
         assertEquals(0, job.live().size());
     }
 
-    /** A copy of a report that was read already, or of an older one, neither ends nor proves anything. */
+    /**
+     * A copy of a report that was read already, or of an older one, neither ends nor proves
+     * anything.
+     */
     @Test
     void anOlderReportIsNotRead() {
         block.hold(5);
         block.addJob(job);
         heartbeats.heartbeat(report(9, 4), true, id -> true, 1);
-        block.adopt(job, 0, Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))), 7, 0);
+        block.adopt(
+                job,
+                0,
+                Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
+                7,
+                0);
         block.jobOver("j-1");
         heartbeats.heartbeat(report(8, 5), true, id -> true, 2);
         heartbeats.heartbeat(report(9, 5), true, id -> true, 3);
@@ -56,13 +77,27 @@
         assertEquals(1, block.machines().get("i-1").lastReport());
     }
 
-    /** Whatever this holder knows of the machine: no answer keeps a task alive whose job is over. */
+    /**
+     * Whatever this holder knows of the machine: no answer keeps a task alive whose job is over.
+     */
     @Test
     void aMachineThatHasNotShownOurTokenIsToldToStopWhatIsOver() {
-        Report r = new Report("i-1", "i-1", "m4", "a", false, 1, 7, 4, null, List.of(
-                new Report.TaskReport("j-1", 0, 3, Report.State.RUNNING, null),
-                new Report.TaskReport("j-2", 1, 4, Report.State.RUNNING, null),
-                new Report.TaskReport("j-2", 2, 4, Report.State.ENDED, Report.Cause.DONE)));
+        Report r =
+                new Report(
+                        "i-1",
+                        "i-1",
+                        "m4",
+                        "a",
+                        false,
+                        1,
+                        7,
+                        4,
+                        null,
+                        List.of(
+                                new Report.TaskReport("j-1", 0, 3, Report.State.RUNNING, null),
+                                new Report.TaskReport("j-2", 1, 4, Report.State.RUNNING, null),
+                                new Report.TaskReport(
+                                        "j-2", 2, 4, Report.State.ENDED, Report.Cause.DONE)));
         List<Order> stop = List.of(new Order(Order.Verb.STOP, "j-2", 1, 4, 0));
         assertEquals(stop, heartbeats.heartbeat(r, false, "j-1"::equals, 1));
         Report next = new Report("i-1", "i-1", "m4", "a", false, 1, 8, 4, null, r.tasks());
--- a/src/test/java/io/kitepath/core/block/ServedTest.java
+++ b/src/test/java/io/kitepath/core/block/ServedTest.java
@@ -10,17 +10,47 @@
 
 /** Which classes and teams count as served too little, and when they have caught up. */
 class ServedTest {
-    private final Facts facts = new Facts("n", "a", List.of(), List.of("a"), Map.of(),
-            List.of(new Facts.Objective("finished", "tiles", 50, 1, 0.9),
-                    new Facts.Objective("finished", "tiles", 100, 1, 0.9)),
-            new Facts.Workers(1, 10, 30, 5, 30), new Facts.StoreLimits(1000, 100, 8, 40), new Facts.CloudLimits(10, 2),
-            new Facts.Limits(1, 200, 1000), 5);
+    private final Facts facts =
+            new Facts(
+                    "n",
+                    "a",
+                    List.of(),
+                    List.of("a"),
+                    Map.of(),
+                    List.of(
+                            new Facts.Objective("finished", "tiles", 50, 1, 0.9),
+                            new Facts.Objective("finished", "tiles", 100, 1, 0.9)),
+                    new Facts.Workers(1, 10, 30, 5, 30),
+                    new Facts.StoreLimits(1000, 100, 8, 40),
+                    new Facts.CloudLimits(10, 2),
+                    new Facts.Limits(1, 200, 1000),
+                    5);
     private final Served served = new Served(facts);
     private int named;
 
     private Job job(String of, String team, Double deadlineS) {
-        JobSpec s = new JobSpec("j-" + ++named, of, team, JobSpec.Shape.ARRAY, JobSpec.Priority.LOW, 1, 1, 0, 1, null,
-                null, false, false, false, "img", 1, 10, 0, 0, deadlineS);
+        JobSpec s =
+                new JobSpec(
+                        "j-" + ++named,
+                        of,
+                        team,
+                        JobSpec.Shape.ARRAY,
+                        JobSpec.Priority.LOW,
+                        1,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        10,
+                        0,
+                        0,
+                        deadlineS);
         return new Job(s, 0, facts.startWithinS(s), "k", 1, 256);
     }
 
@@ -52,13 +82,17 @@
         for (int i = 0; i < 10; i++) {
             waiting[i] = job("tiles", "red", null);
         }
-        // Each may wait for 90 s, less the 10 s that such jobs take from placing to running, and has used most of it.
+        // Each may wait for 90 s, less the 10 s that such jobs take from placing to running, and
+        // has used most of it.
         look(47, waiting);
         assertEquals(1, served.standing(waiting[0].spec));
         look(49, waiting);
         assertEquals(0.5, served.standing(waiting[0].spec), 0.02);
-        assertEquals(List.of(10L, 20L), List.of(served.classes().get("tiles").endangered(),
-                served.classes().get("tiles").submitted()));
+        assertEquals(
+                List.of(10L, 20L),
+                List.of(
+                        served.classes().get("tiles").endangered(),
+                        served.classes().get("tiles").submitted()));
         look(49);
         assertEquals(1, served.standing(waiting[0].spec));
     }
@@ -68,12 +102,34 @@
     void theLargestJobsOfAClassAreCountedByThemselves() {
         JobSpec[] s = new JobSpec[40];
         for (int i = 0; i < 40; i++) {
-            s[i] = new JobSpec("j-" + ++named, "tiles", "red", JobSpec.Shape.ARRAY, JobSpec.Priority.LOW,
-                    i % 4 == 0 ? 50 : 2, 1, 0, 1, null, null, false, false, false, "img", 1, 10, 0, 0, null);
+            s[i] =
+                    new JobSpec(
+                            "j-" + ++named,
+                            "tiles",
+                            "red",
+                            JobSpec.Shape.ARRAY,
+                            JobSpec.Priority.LOW,
+                            i % 4 == 0 ? 50 : 2,
+                            1,
+                            0,
+                            1,
+                            null,
+                            null,
+                            false,
+                            false,
+                            false,
+                            "img",
+                            1,
+                            10,
+                            0,
+                            0,
+                            null);
             served.came(s[i]);
         }
         for (JobSpec x : s) {
-            served.done(new Job(x, 0, facts.startWithinS(x), "k", 1, 256), x.tasks() == 50 ? 101_000 : 50_000);
+            served.done(
+                    new Job(x, 0, facts.startWithinS(x), "k", 1, 256),
+                    x.tasks() == 50 ? 101_000 : 50_000);
         }
         look(102);
         assertEquals(1, served.standing(s[1]));
@@ -96,7 +152,10 @@
         Job same = job("tiles", "red", null);
         next.look(List.of(same), x -> 10, 103_000);
         Served.Group g = next.classes().get("tiles");
-        assertEquals(List.of(4L, 1L), List.of(g.inTime(), g.missed()), "what the last one counted is not counted again");
+        assertEquals(
+                List.of(4L, 1L),
+                List.of(g.inTime(), g.missed()),
+                "what the last one counted is not counted again");
         assertEquals(0.8, g.share(), 0.01);
     }
 
@@ -111,7 +170,8 @@
         look(102, late);
         served.done(late, 150_000);
         Served.Group g = served.classes().get("tiles");
-        assertEquals(List.of(1L, 1L, 0L, 1L), List.of(g.submitted(), g.missed(), g.inTime(), g.done()));
+        assertEquals(
+                List.of(1L, 1L, 0L, 1L), List.of(g.submitted(), g.missed(), g.inTime(), g.done()));
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/cell/DivisionTest.java
+++ b/src/test/java/io/kitepath/core/cell/DivisionTest.java
@@ -13,32 +13,44 @@
 
 /** Who is to have how much of a limit. */
 class DivisionTest {
-    private static Claim claim(String cell, long holds, long used, long wants, long head, double since) {
+    private static Claim claim(
+            String cell, long holds, long used, long wants, long head, double since) {
         return new Claim(cell, holds, used, wants, head, 1, since);
     }
 
     @Test
     void whatNobodyWantsStays() {
-        assertEquals(Map.of("a", 10L, "b", 2L), Division.targets(List.of(claim("a", 10, 3, 0, 0, 0),
-                claim("b", 2, 2, 0, 0, 0))));
+        assertEquals(
+                Map.of("a", 10L, "b", 2L),
+                Division.targets(List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 0, 0, 0))));
     }
 
     @Test
     void unusedRoomGoesWhereItIsWantedAndNoMore() {
-        assertEquals(Map.of("a", 6L, "b", 6L), Division.targets(List.of(claim("a", 10, 3, 0, 0, 0),
-                claim("b", 2, 2, 4, 1, 9))));
+        assertEquals(
+                Map.of("a", 6L, "b", 6L),
+                Division.targets(List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 4, 1, 9))));
     }
 
     @Test
     void whenAllWantMoreEachGetsAlike() {
-        assertEquals(Map.of("a", 4L, "b", 4L, "c", 4L), Division.targets(List.of(claim("a", 12, 0, 50, 1, 1),
-                claim("b", 0, 0, 50, 1, 2), claim("c", 0, 0, 50, 1, 3))));
+        assertEquals(
+                Map.of("a", 4L, "b", 4L, "c", 4L),
+                Division.targets(
+                        List.of(
+                                claim("a", 12, 0, 50, 1, 1),
+                                claim("b", 0, 0, 50, 1, 2),
+                                claim("c", 0, 0, 50, 1, 3))));
     }
 
     @Test
     void theGangThatWaitsLongestGetsAllOfItsOwnBeforeTheNextGetsAnything() {
-        Map<String, Long> t = Division.targets(List.of(claim("a", 4, 0, 6, 6, 3), claim("b", 3, 0, 6, 6, 1),
-                claim("c", 3, 0, 6, 6, 2)));
+        Map<String, Long> t =
+                Division.targets(
+                        List.of(
+                                claim("a", 4, 0, 6, 6, 3),
+                                claim("b", 3, 0, 6, 6, 1),
+                                claim("c", 3, 0, 6, 6, 2)));
         assertEquals(Map.of("a", 0L, "b", 6L, "c", 4L), t);
     }
 
@@ -50,11 +62,19 @@
             int n = 1 + r.nextInt(6);
             for (int k = 0; k < n; k++) {
                 long holds = r.nextInt(50);
-                all.add(claim("c" + k, holds, holds == 0 ? 0 : r.nextInt((int) holds + 1), r.nextInt(40), r.nextInt(20),
-                        r.nextInt(5)));
+                all.add(
+                        claim(
+                                "c" + k,
+                                holds,
+                                holds == 0 ? 0 : r.nextInt((int) holds + 1),
+                                r.nextInt(40),
+                                r.nextInt(20),
+                                r.nextInt(5)));
             }
             Map<String, Long> t = Division.targets(all);
-            assertEquals(all.stream().mapToLong(Claim::holds).sum(), t.values().stream().mapToLong(x -> x).sum());
+            assertEquals(
+                    all.stream().mapToLong(Claim::holds).sum(),
+                    t.values().stream().mapToLong(x -> x).sum());
             all.forEach(c -> assertTrue(t.get(c.cell()) >= c.used()));
             List<Claim> otherwise = new ArrayList<>(all);
             Collections.shuffle(otherwise, r);
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -29,8 +29,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every way in which shares can move between a few cells up to some length: the core's own code, with each message
- * delivered, lost or delivered twice, and each holder ended before or after each of its writes.
+ * Every way in which shares can move between a few cells up to some length: the core's own code,
+ * with each message delivered, lost or delivered twice, and each holder ended before or after each
+ * of its writes.
  */
 class SharesModelTest {
     /** Of the team, in thousandths of a CPU. */
@@ -48,6 +49,7 @@
         Block block;
         Shares shares;
         ArrayDeque<Keeper.Rider> riders;
+
         /** Of the present holder: what an earlier one was to hear is heard by nobody. */
         int incarnation;
 
@@ -61,38 +63,69 @@
         void begin() {
             incarnation++;
             token++;
-            Facts facts = new Facts(name, "a", List.of(), List.of("a"), Map.of("t", new Facts.Team("t", 0,
-                    LIMIT / 1000.0 / count, 0, 0)), List.of(), new Facts.Workers(1, 10, 30, 5, 30),
-                    new Facts.StoreLimits(1000, 100, 8, 40), new Facts.CloudLimits(10, 2), new Facts.Limits(1, 200, 1000),
-                    5);
-            block = new Block(facts, m -> { });
+            Facts facts =
+                    new Facts(
+                            name,
+                            "a",
+                            List.of(),
+                            List.of("a"),
+                            Map.of("t", new Facts.Team("t", 0, LIMIT / 1000.0 / count, 0, 0)),
+                            List.of(),
+                            new Facts.Workers(1, 10, 30, 5, 30),
+                            new Facts.StoreLimits(1000, 100, 8, 40),
+                            new Facts.CloudLimits(10, 2),
+                            new Facts.Limits(1, 200, 1000),
+                            5);
+            block = new Block(facts, m -> {});
             block.hold(token);
             riders = new ArrayDeque<>();
             int mine = incarnation;
-            shares = new Shares(name, block, riders::add, new Timers() {
-                @Override
-                public double now() {
-                    return now;
-                }
+            shares =
+                    new Shares(
+                            name,
+                            block,
+                            riders::add,
+                            new Timers() {
+                                @Override
+                                public double now() {
+                                    return now;
+                                }
 
-                @Override
-                public double wallMs() {
-                    return now * 1000;
-                }
+                                @Override
+                                public double wallMs() {
+                                    return now * 1000;
+                                }
 
-                @Override
-                public void after(double seconds, Runnable run) {
-                    throw new UnsupportedOperationException();
-                }
-            }, (to, m, answer) -> messages.add(new Sent(to, m, a -> {
-                if (incarnation == mine) {
-                    answer.accept(a);
-                }
-            })), new Random(1));
+                                @Override
+                                public void after(double seconds, Runnable run) {
+                                    throw new UnsupportedOperationException();
+                                }
+                            },
+                            (to, m, answer) ->
+                                    messages.add(
+                                            new Sent(
+                                                    to,
+                                                    m,
+                                                    a -> {
+                                                        if (incarnation == mine) {
+                                                            answer.accept(a);
+                                                        }
+                                                    })),
+                            new Random(1));
             List<Store.Entry> all = List.copyOf(keys.values());
-            shares.adopt(new Reading.Found(0, List.of(), List.of(), Map.of(), List.of(), List.of(), List.of(),
-                    all.stream().filter(e -> e.key().startsWith(Keys.VOID)).toList(),
-                    all.stream().filter(e -> e.key().startsWith(Keys.SHARE)).toList(), null, null));
+            shares.adopt(
+                    new Reading.Found(
+                            0,
+                            List.of(),
+                            List.of(),
+                            Map.of(),
+                            List.of(),
+                            List.of(),
+                            List.of(),
+                            all.stream().filter(e -> e.key().startsWith(Keys.VOID)).toList(),
+                            all.stream().filter(e -> e.key().startsWith(Keys.SHARE)).toList(),
+                            null,
+                            null));
             job = null;
             if (wants) {
                 want();
@@ -100,8 +133,34 @@
         }
 
         private void want() {
-            job = new Job(new JobSpec("j-" + ++named, "work", "t", JobSpec.Shape.ARRAY, JobSpec.Priority.NORMAL, 9, 1, 0,
-                    1, null, null, false, false, false, "img", 1, 10, 0, 0, null), 0, new double[] {9}, "k", 1, 256);
+            job =
+                    new Job(
+                            new JobSpec(
+                                    "j-" + ++named,
+                                    "work",
+                                    "t",
+                                    JobSpec.Shape.ARRAY,
+                                    JobSpec.Priority.NORMAL,
+                                    9,
+                                    1,
+                                    0,
+                                    1,
+                                    null,
+                                    null,
+                                    false,
+                                    false,
+                                    false,
+                                    "img",
+                                    1,
+                                    10,
+                                    0,
+                                    0,
+                                    null),
+                            0,
+                            new double[] {9},
+                            "k",
+                            1,
+                            256);
             block.addJob(job);
         }
 
@@ -116,7 +175,8 @@
         }
 
         Summary summary() {
-            return new Summary(name, name, 1, true, List.of(), List.of(), List.of(), shares.told(100, 0));
+            return new Summary(
+                    name, name, 1, true, List.of(), List.of(), List.of(), shares.told(100, 0));
         }
 
         /** The next rider's transaction, executed; whether its holder hears of it. */
@@ -129,10 +189,12 @@
             r.board(t);
             for (Store.Condition c : t.conditions()) {
                 Store.Entry e = keys.get(c.key());
-                assertEquals(e == null ? 0 : e.revision(), c.revision(), "only the holder writes here");
+                assertEquals(
+                        e == null ? 0 : e.revision(), c.revision(), "only the holder writes here");
             }
             revision++;
-            t.writes().forEach(w -> keys.put(w.key(), new Store.Entry(w.key(), w.value(), revision)));
+            t.writes()
+                    .forEach(w -> keys.put(w.key(), new Store.Entry(w.key(), w.value(), revision)));
             if (heard) {
                 r.written(revision);
             }
@@ -140,8 +202,15 @@
 
         /** What the store says that it has. */
         long stored() {
-            return LIMIT / count + keys.values().stream().filter(e -> e.key().startsWith(Keys.SHARE))
-                    .mapToLong(e -> Tree.of(e.value()).integer("cpus", Long.MIN_VALUE, Long.MAX_VALUE)).sum();
+            return LIMIT / count
+                    + keys.values().stream()
+                            .filter(e -> e.key().startsWith(Keys.SHARE))
+                            .mapToLong(
+                                    e ->
+                                            Tree.of(e.value())
+                                                    .integer(
+                                                            "cpus", Long.MIN_VALUE, Long.MAX_VALUE))
+                            .sum();
         }
 
         boolean took(String giver, long number) {
@@ -151,7 +220,11 @@
 
         @Override
         public String toString() {
-            return name + keys.values().stream().map(e -> e.key() + e.value()).toList() + shares + wants + token
+            return name
+                    + keys.values().stream().map(e -> e.key() + e.value()).toList()
+                    + shares
+                    + wants
+                    + token
                     + riders.size();
         }
     }
@@ -172,11 +245,15 @@
 
     private int count;
     private double now;
+
     /** How often work may still come to a cell or go from it. */
     private int turns;
+
     private final List<Sent> messages = new ArrayList<>();
+
     /** Questions that arrived and got no answer yet; in time they are given up. */
     private final List<Sent> unanswered = new ArrayList<>();
+
     private final Map<String, Cell> cells = new TreeMap<>();
     private final Set<String> visited = new HashSet<>();
     private long edges;
@@ -203,34 +280,39 @@
         for (Cell c : cells.values()) {
             out.add(() -> step(c));
             if (turns > 0) {
-                out.add(() -> {
-                    turns--;
-                    c.turn();
-                });
+                out.add(
+                        () -> {
+                            turns--;
+                            c.turn();
+                        });
             }
             if (!c.riders.isEmpty()) {
                 out.add(() -> c.commit(true));
                 out.add(c::begin);
-                out.add(() -> {
-                    c.commit(false);
-                    c.begin();
-                });
+                out.add(
+                        () -> {
+                            c.commit(false);
+                            c.begin();
+                        });
             }
         }
         for (Sent m : List.copyOf(messages)) {
-            out.add(() -> {
-                messages.remove(m);
-                arrive(m);
-            });
-            out.add(() -> {
-                messages.remove(m);
-                m.answer.accept(null);
-            });
+            out.add(
+                    () -> {
+                        messages.remove(m);
+                        arrive(m);
+                    });
+            out.add(
+                    () -> {
+                        messages.remove(m);
+                        m.answer.accept(null);
+                    });
             if (!m.doubled && m.message instanceof Grant) {
-                out.add(() -> {
-                    m.doubled = true;
-                    arrive(new Sent(m.to, m.message, a -> { }));
-                });
+                out.add(
+                        () -> {
+                            m.doubled = true;
+                            arrive(new Sent(m.to, m.message, a -> {}));
+                        });
             }
         }
         return out;
@@ -239,11 +321,15 @@
     private void arrive(Sent m) {
         if (m.message instanceof Grant g) {
             unanswered.add(m);
-            cells.get(m.to).shares.granted(g, a -> {
-                if (unanswered.remove(m)) {
-                    messages.add(new Sent(g.from(), a, m.answer));
-                }
-            });
+            cells.get(m.to)
+                    .shares
+                    .granted(
+                            g,
+                            a -> {
+                                if (unanswered.remove(m)) {
+                                    messages.add(new Sent(g.from(), a, m.answer));
+                                }
+                            });
         } else {
             m.answer.accept(m.message);
         }
@@ -251,7 +337,8 @@
 
     private void step(Cell c) {
         now += 1000;
-        List<Summary> others = cells.values().stream().filter(x -> x != c).map(Cell::summary).toList();
+        List<Summary> others =
+                cells.values().stream().filter(x -> x != c).map(Cell::summary).toList();
         c.summary();
         c.shares.divide(others);
         c.shares.tend(now);
@@ -266,14 +353,17 @@
                 if (e.key().startsWith(Keys.SHARE)) {
                     for (Object o : Tree.of(e.value()).list("out")) {
                         List<?> l = (List<?>) o;
-                        if (!cells.get((String) l.get(1)).took(c.name, ((Number) l.get(0)).longValue())) {
+                        if (!cells.get((String) l.get(1))
+                                .took(c.name, ((Number) l.get(0)).longValue())) {
                             sum += ((Number) l.get(3)).longValue();
                         }
                     }
                 }
             }
             Facts.Team t = c.block.facts().teams().get("t");
-            assertTrue(Math.round(c.shares.cpus(t) * 1000) <= c.stored(), () -> c.name + " uses what its store lacks: " + path);
+            assertTrue(
+                    Math.round(c.shares.cpus(t) * 1000) <= c.stored(),
+                    () -> c.name + " uses what its store lacks: " + path);
         }
         assertEquals(LIMIT, sum, "limit and shares, after " + path);
     }
@@ -288,18 +378,25 @@
             while (!messages.isEmpty()) {
                 arrive(messages.remove(0));
             }
-            cells.values().forEach(c -> {
-                while (!c.riders.isEmpty()) {
-                    c.commit(true);
-                }
-            });
+            cells.values()
+                    .forEach(
+                            c -> {
+                                while (!c.riders.isEmpty()) {
+                                    c.commit(true);
+                                }
+                            });
         }
         check(path + " and then quiet");
         cells.values().forEach(c -> assertEquals(0, c.shares.underWay(), path));
         List<Cell> wanting = cells.values().stream().filter(c -> c.wants).toList();
         if (!wanting.isEmpty()) {
-            assertEquals(LIMIT, wanting.stream().mapToLong(Cell::stored).sum(), "all is where it is wanted, after " + path);
-            assertTrue(wanting.stream().allMatch(c -> c.stored() >= LIMIT / count / 1000 * 1000), "nobody waits for ever, after " + path);
+            assertEquals(
+                    LIMIT,
+                    wanting.stream().mapToLong(Cell::stored).sum(),
+                    "all is where it is wanted, after " + path);
+            assertTrue(
+                    wanting.stream().allMatch(c -> c.stored() >= LIMIT / count / 1000 * 1000),
+                    "nobody waits for ever, after " + path);
         }
     }
 
@@ -310,8 +407,15 @@
         }
         String at = Arrays.toString(Arrays.copyOf(path, depth));
         check(at);
-        String state = cells.values() + messages.stream().map(m -> m.to + m.message + m.doubled).sorted().toList()
-                .toString() + unanswered.stream().map(m -> m.to + m.message).sorted().toList() + turns;
+        String state =
+                cells.values()
+                        + messages.stream()
+                                .map(m -> m.to + m.message + m.doubled)
+                                .sorted()
+                                .toList()
+                                .toString()
+                        + unanswered.stream().map(m -> m.to + m.message).sorted().toList()
+                        + turns;
         if (!visited.add(state)) {
             return;
         }
@@ -330,8 +434,14 @@
         int two = visited.size();
         visited.clear();
         explore(3, new int[20], 0, Integer.getInteger("kitepath.model.depth", 7) - 2);
-        System.out.println("shares: " + two + " states of two cells, " + visited.size() + " of three, " + edges
-                + " transitions");
+        System.out.println(
+                "shares: "
+                        + two
+                        + " states of two cells, "
+                        + visited.size()
+                        + " of three, "
+                        + edges
+                        + " transitions");
         assertTrue(two > 500 && visited.size() > 100, two + " and " + visited.size());
     }
 }
--- a/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
@@ -57,7 +57,10 @@
         assertTrue(k.ageS() > 1e9);
     }
 
-    /** Clocks may be apart by twice the settings' error; a word that begins less than that before is not proven to. */
+    /**
+     * Clocks may be apart by twice the settings' error; a word that begins less than that before is
+     * not proven to.
+     */
     @Test
     void clocksThatAreApartCount() {
         KnownCancellations k = new KnownCancellations(facts("k0", "k1"), timers);
@@ -89,7 +92,10 @@
         assertEquals(timers.wallMs() - 30_000, log.digest().sinceMs());
     }
 
-    /** More than can be kept until the store shows it: no word counts any more, rather than one be forgotten. */
+    /**
+     * More than can be kept until the store shows it: no word counts any more, rather than one be
+     * forgotten.
+     */
     @Test
     void withTooManyToldNoWordCounts() {
         KnownCancellations k = new KnownCancellations(facts("k0", "k1"), timers);
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/MarginTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The sum that keeps the rule on cancellations: one that the holder does not know of was confirmed after the moment
- * until which it knows all; the last answer goes a margin after that moment at most, and keeps tasks for a lease.
+ * The sum that keeps the rule on cancellations: one that the holder does not know of was confirmed
+ * after the moment until which it knows all; the last answer goes a margin after that moment at
+ * most, and keeps tasks for a lease.
  */
 class MarginTest {
     private static final double DRIFT = 0.0005;
@@ -26,8 +27,17 @@
 
     @Test
     void tasksAreGoneInTimeWithTheFiguresOfAllKindsOfDeployments() {
-        for (double[] f : new double[][] {{1.5, 10, 30}, {3, 30, 60}, {4, 30, 60}, {4, 22, 42}, {1, 5, 10}, {2, 8, 60},
-            {10, 30, 90}, {0.5, 3, 6}}) {
+        for (double[] f :
+                new double[][] {
+                    {1.5, 10, 30},
+                    {3, 30, 60},
+                    {4, 30, 60},
+                    {4, 22, 42},
+                    {1, 5, 10},
+                    {2, 8, 60},
+                    {10, 30, 90},
+                    {0.5, 3, 6}
+                }) {
             Facts.Workers w = of(f[0], f[1], f[2]);
             assertTrue(worst(w) < w.cancelS(), f[0] + " " + f[1] + " " + f[2] + ": " + worst(w));
             assertTrue(w.marginS() >= w.reportS());
@@ -45,7 +55,10 @@
         }
     }
 
-    /** No answer at all would keep the rule for a machine that falls silent just after one; so work is not given up for it. */
+    /**
+     * No answer at all would keep the rule for a machine that falls silent just after one; so work
+     * is not given up for it.
+     */
     @Test
     void whereCancelSIsShorterThanTheLeaseOnlyAReportIntervalIsLeft() {
         assertEquals(2, of(2, 30, 20).marginS());
--- a/src/test/java/io/kitepath/core/place/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/place/GuaranteeTest.java
@@ -15,18 +15,47 @@
 
 /** Which of a team's jobs its guarantee is for, when they are more than it. */
 class GuaranteeTest {
-    private final Facts facts = new Facts("n", "a", List.of(), List.of("a"),
-            Map.of("red", new Facts.Team("red", 10, 0, 0, 0)),
-            List.of(new Facts.Objective("finished", "small", 100, 1, 0.9),
-                    new Facts.Objective("finished", "large", 100, 1, 0.9)),
-            new Facts.Workers(1, 10, 30, 5, 30), new Facts.StoreLimits(1000, 100, 8, 40), new Facts.CloudLimits(10, 2),
-            new Facts.Limits(1, 200, 1000), 5);
-    private final Block block = new Block(facts, m -> { });
+    private final Facts facts =
+            new Facts(
+                    "n",
+                    "a",
+                    List.of(),
+                    List.of("a"),
+                    Map.of("red", new Facts.Team("red", 10, 0, 0, 0)),
+                    List.of(
+                            new Facts.Objective("finished", "small", 100, 1, 0.9),
+                            new Facts.Objective("finished", "large", 100, 1, 0.9)),
+                    new Facts.Workers(1, 10, 30, 5, 30),
+                    new Facts.StoreLimits(1000, 100, 8, 40),
+                    new Facts.CloudLimits(10, 2),
+                    new Facts.Limits(1, 200, 1000),
+                    5);
+    private final Block block = new Block(facts, m -> {});
     private final Placer placer = new Placer(block, new Random(1), new Spent(() -> 0));
 
     private Job job(String id, String of, int tasks, double submittedS) {
-        JobSpec s = new JobSpec(id, of, "red", JobSpec.Shape.ARRAY, JobSpec.Priority.LOW, tasks, 1, 0, 1, null, null,
-                false, false, false, "img", 1, 10, 0, 0, null);
+        JobSpec s =
+                new JobSpec(
+                        id,
+                        of,
+                        "red",
+                        JobSpec.Shape.ARRAY,
+                        JobSpec.Priority.LOW,
+                        tasks,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        10,
+                        0,
+                        0,
+                        null);
         Job j = new Job(s, 1000 * submittedS, facts.startWithinS(s), "k", 1, 256);
         block.addJob(j);
         return j;
@@ -34,7 +63,11 @@
 
     private List<String> guaranteed(double nowS) {
         placer.queue(nowS, 1000 * nowS);
-        return new ArrayList<>(block.jobs().values().stream().filter(Job::guaranteed).map(j -> j.spec.id()).toList());
+        return new ArrayList<>(
+                block.jobs().values().stream()
+                        .filter(Job::guaranteed)
+                        .map(j -> j.spec.id())
+                        .toList());
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/place/HopelessTest.java
+++ b/src/test/java/io/kitepath/core/place/HopelessTest.java
@@ -13,8 +13,28 @@
     private final Hopeless hopeless = new Hopeless();
 
     private static Job job(Shape shape, int tasks, double cpus, String team, boolean spot) {
-        JobSpec s = new JobSpec("j-1", "work", team, shape, JobSpec.Priority.NORMAL, tasks, cpus, 0, 1, null, null,
-                false, false, spot, "img", 1, 10, 0, 0, null);
+        JobSpec s =
+                new JobSpec(
+                        "j-1",
+                        "work",
+                        team,
+                        shape,
+                        JobSpec.Priority.NORMAL,
+                        tasks,
+                        cpus,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        spot,
+                        "img",
+                        1,
+                        10,
+                        0,
+                        0,
+                        null);
         return new Job(s, 0, new double[] {10}, "k", 1, 256);
     }
 
@@ -38,8 +58,34 @@
 
     @Test
     void whoHoldsOutForAnImageSpeaksOnlyForThatImage() {
-        Job other = new Job(new JobSpec("j-2", "work", "red", Shape.ARRAY, JobSpec.Priority.NORMAL, 5, 2, 0, 1, null,
-                null, false, false, true, "other", 1, 10, 0, 0, null), 0, new double[] {10}, "k", 1, 256);
+        Job other =
+                new Job(
+                        new JobSpec(
+                                "j-2",
+                                "work",
+                                "red",
+                                Shape.ARRAY,
+                                JobSpec.Priority.NORMAL,
+                                5,
+                                2,
+                                0,
+                                1,
+                                null,
+                                null,
+                                false,
+                                false,
+                                true,
+                                "other",
+                                1,
+                                10,
+                                0,
+                                0,
+                                null),
+                        0,
+                        new double[] {10},
+                        "k",
+                        1,
+                        256);
         hopeless.add(job(Shape.ARRAY, 50, 2, "red", true), true);
         assertTrue(hopeless.contains(job(Shape.ARRAY, 1, 2, "red", true)));
         assertFalse(hopeless.contains(other));
--- a/src/test/java/io/kitepath/core/place/LargestTest.java
+++ b/src/test/java/io/kitepath/core/place/LargestTest.java
@@ -12,7 +12,10 @@
 
 /** A class's largest jobs under floods of others. */
 class LargestTest {
-    /** A gang over the whole of a zone, while small jobs of its class and of one above come without an end. */
+    /**
+     * A gang over the whole of a zone, while small jobs of its class and of one above come without
+     * an end.
+     */
     @Test
     void theLargestGangBeginsWithinFourMinutesOfAFlood() {
         for (JobSpec.Priority flood : List.of(JobSpec.Priority.NORMAL, JobSpec.Priority.HIGH)) {
@@ -25,18 +28,37 @@
             }
             w.run(5);
             double[] began = {0};
-            w.clock.starts = t -> began[0] = t.job.equals("j-99999") && began[0] == 0 ? w.clock.now : began[0];
+            w.clock.starts =
+                    t ->
+                            began[0] =
+                                    t.job.equals("j-99999") && began[0] == 0
+                                            ? w.clock.now
+                                            : began[0];
             double since = 0;
             for (int i = 0; i < 400; i++) {
                 // Two gangs of a machine each a second, of 20 s: more than there is room for.
-                w.submit(n, World.with(World.job("j-" + (1000 + i), Shape.GANG, 1, 4), "red", flood, false));
+                w.submit(
+                        n,
+                        World.with(
+                                World.job("j-" + (1000 + i), Shape.GANG, 1, 4),
+                                "red",
+                                flood,
+                                false));
                 if (i == 100) {
                     since = w.clock.now;
-                    w.submit(n, World.with(World.job("j-99999", Shape.GANG, 4, 4), "red", JobSpec.Priority.NORMAL, true));
+                    w.submit(
+                            n,
+                            World.with(
+                                    World.job("j-99999", Shape.GANG, 4, 4),
+                                    "red",
+                                    JobSpec.Priority.NORMAL,
+                                    true));
                 }
                 w.run(0.7);
             }
-            assertTrue(began[0] > 0 && began[0] - since < 240, "took " + (began[0] - since) + " among " + flood);
+            assertTrue(
+                    began[0] > 0 && began[0] - since < 240,
+                    "took " + (began[0] - since) + " among " + flood);
             assertEquals(List.of(), w.broken);
         }
     }
--- a/src/test/java/io/kitepath/core/place/ServiceOrderTest.java
+++ b/src/test/java/io/kitepath/core/place/ServiceOrderTest.java
@@ -13,27 +13,56 @@
 /** Who is served first when there is room for all, and when there is not. */
 class ServiceOrderTest {
     private final List<Job> jobs = new ArrayList<>();
+
     /** Seconds from placing to running. */
     private double lead;
+
     /** Classes that get too little, and how much. */
     private final Map<String, Double> behind = new HashMap<>();
 
-    /** An array whose tasks take 10 s of a CPU each, submitted now, to start within the given times. */
+    /**
+     * An array whose tasks take 10 s of a CPU each, submitted now, to start within the given times.
+     */
     private Job job(String id, int tasks, double... startWithinS) {
         return job(id, "work", tasks, startWithinS);
     }
 
     private Job job(String id, String of, int tasks, double... startWithinS) {
-        JobSpec s = new JobSpec(id, of, "red", JobSpec.Shape.ARRAY, JobSpec.Priority.NORMAL, tasks, 1, 0, 1, null,
-                null, false, false, true, "img", 1, 10, 0, 0, null);
+        JobSpec s =
+                new JobSpec(
+                        id,
+                        of,
+                        "red",
+                        JobSpec.Shape.ARRAY,
+                        JobSpec.Priority.NORMAL,
+                        tasks,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        true,
+                        "img",
+                        1,
+                        10,
+                        0,
+                        0,
+                        null);
         Job j = new Job(s, 0, startWithinS, "k", 1, 256);
         jobs.add(j);
         return j;
     }
 
     private List<String> order(double cpus, double now) {
-        return new ServiceOrder(s -> cpus, s -> lead, s -> behind.getOrDefault(s.jobClass(), 1.0), now,
-                now * 1000).of(jobs).stream().map(j -> j.spec.id()).toList();
+        return new ServiceOrder(
+                        s -> cpus,
+                        s -> lead,
+                        s -> behind.getOrDefault(s.jobClass(), 1.0),
+                        now,
+                        now * 1000)
+                .of(jobs).stream().map(j -> j.spec.id()).toList();
     }
 
     @Test
@@ -48,7 +77,8 @@
         job("j-1", 300, 10);
         job("j-2", 80, 15);
         job("j-3", 80, 20);
-        // 460 tasks of 10 s on 10 CPUs take 460 s; without the largest, two can still be in time on 60.
+        // 460 tasks of 10 s on 10 CPUs take 460 s; without the largest, two can still be in time on
+        // 60.
         assertEquals(List.of("j-2", "j-3", "j-1"), order(60, 0));
     }
 
@@ -58,7 +88,8 @@
         job("j-2", 80, 15);
         job("j-3", 80, 20);
         assertEquals(List.of("j-2", "j-3", "j-1"), order(60, 0));
-        // The large class has got too little lately: now another one goes without, as many as it takes.
+        // The large class has got too little lately: now another one goes without, as many as it
+        // takes.
         behind.put("large", 0.5);
         assertEquals(List.of("j-3", "j-1", "j-2"), order(60, 0));
         assertEquals(List.of("j-1", "j-2", "j-3"), order(45, 0));
@@ -98,7 +129,8 @@
         job("j-1", 10, 15, 150);
         job("j-2", 10, 100);
         assertEquals(List.of("j-1", "j-2"), order(1000, 10));
-        // Placed at second 10 it would run at 18: it waits for its next goal, and what can be in time goes first.
+        // Placed at second 10 it would run at 18: it waits for its next goal, and what can be in
+        // time goes first.
         lead = 8;
         assertEquals(List.of("j-2", "j-1"), order(1000, 10));
     }
@@ -109,7 +141,9 @@
         job("j-2", 80, 15);
         job("j-3", 80, 20);
         // The fleet has a thousand CPUs, but of these jobs it can run only sixty tasks at once.
-        assertEquals(List.of("j-2", "j-3", "j-1"), new ServiceOrder(s -> s.spot() ? 60 : 1000, s -> 0, s -> 1, 0, 0)
-                .of(jobs).stream().map(j -> j.spec.id()).toList());
+        assertEquals(
+                List.of("j-2", "j-3", "j-1"),
+                new ServiceOrder(s -> s.spot() ? 60 : 1000, s -> 0, s -> 1, 0, 0)
+                        .of(jobs).stream().map(j -> j.spec.id()).toList());
     }
 }
--- a/src/test/java/io/kitepath/core/serve/RetryPaceTest.java
+++ b/src/test/java/io/kitepath/core/serve/RetryPaceTest.java
@@ -12,26 +12,41 @@
 /** When users are told to come back. */
 class RetryPaceTest {
     private double now = 10;
+
     /** Three nodes, and 300 requests a second for all of them. */
-    private final Facts facts = new Facts("k0", "a", List.of("k1", "k2"), List.of("a"), Map.of(), List.of(),
-            new Facts.Workers(1, 10, 30, 5, 30), new Facts.StoreLimits(300, 50, 8, 40), new Facts.CloudLimits(10, 2),
-            new Facts.Limits(1, 200, 1000), 5);
-    private final RetryPace pace = new RetryPace(facts, new Timers() {
-        @Override
-        public double now() {
-            return now;
-        }
+    private final Facts facts =
+            new Facts(
+                    "k0",
+                    "a",
+                    List.of("k1", "k2"),
+                    List.of("a"),
+                    Map.of(),
+                    List.of(),
+                    new Facts.Workers(1, 10, 30, 5, 30),
+                    new Facts.StoreLimits(300, 50, 8, 40),
+                    new Facts.CloudLimits(10, 2),
+                    new Facts.Limits(1, 200, 1000),
+                    5);
 
-        @Override
-        public double wallMs() {
-            return now * 1000;
-        }
+    private final RetryPace pace =
+            new RetryPace(
+                    facts,
+                    new Timers() {
+                        @Override
+                        public double now() {
+                            return now;
+                        }
 
-        @Override
-        public void after(double seconds, Runnable run) {
-            throw new UnsupportedOperationException();
-        }
-    });
+                        @Override
+                        public double wallMs() {
+                            return now * 1000;
+                        }
+
+                        @Override
+                        public void after(double seconds, Runnable run) {
+                            throw new UnsupportedOperationException();
+                        }
+                    });
 
     @Test
     void aFewComeBackAfterASecond() {
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -27,76 +27,114 @@
 class CancellationProofTest {
     private final World w = new World();
     private final Timers timers = Worlds.timers(w);
-    private final Block block = new Block(w.facts("k0"), m -> { });
+    private final Block block = new Block(w.facts("k0"), m -> {});
+
     /** What it sent, and when. */
     private final List<Store.Transaction> sent = new ArrayList<>();
+
     private final List<Double> sentAt = new ArrayList<>();
     private final List<Double> proven = new ArrayList<>();
     private final List<String> closed = new ArrayList<>();
+
     /** Keys that are gone. */
     private final List<String> gone = new ArrayList<>();
+
     private Outcome otherwise = Outcome.OK;
     private double answerTakesS = 0.01;
     private int mostConditions = 1000;
+
     /** By the number of the request. */
     private IntPredicate refuses = n -> false;
+
     private boolean holding = true;
 
     /** Answers comparisons a while after they arrived. */
-    private final Store store = new Store() {
-        @Override
-        public void get(String key, BiConsumer<Outcome, Entry> answer) {
-            w.after(answerTakesS, () -> answer.accept(gone.contains(key) ? Outcome.NO : Outcome.OK, null));
-        }
-
-        @Override
-        public void commit(Transaction t, Consumer<Committed> answer) {
-            assertTrue(t.writes().isEmpty());
-            assertTrue(t.conditions().size() <= 160);
-            sent.add(t);
-            sentAt.add(w.clock.now);
-            List<String> failed = t.conditions().stream().map(Condition::key).filter(gone::contains).toList();
-            Outcome o = t.conditions().size() > mostConditions ? Outcome.INVALID
-                    : refuses.test(sent.size()) ? Outcome.REFUSED : failed.isEmpty() ? otherwise : Outcome.NO;
-            w.after(answerTakesS, () -> answer.accept(new Committed(o, 0, failed, false)));
-        }
+    private final Store store =
+            new Store() {
+                @Override
+                public void get(String key, BiConsumer<Outcome, Entry> answer) {
+                    w.after(
+                            answerTakesS,
+                            () ->
+                                    answer.accept(
+                                            gone.contains(key) ? Outcome.NO : Outcome.OK, null));
+                }
 
-        @Override
-        public void page(String prefix, String from, int limit, Consumer<Listing> answer) { }
+                @Override
+                public void commit(Transaction t, Consumer<Committed> answer) {
+                    assertTrue(t.writes().isEmpty());
+                    assertTrue(t.conditions().size() <= 160);
+                    sent.add(t);
+                    sentAt.add(w.clock.now);
+                    List<String> failed =
+                            t.conditions().stream()
+                                    .map(Condition::key)
+                                    .filter(gone::contains)
+                                    .toList();
+                    Outcome o =
+                            t.conditions().size() > mostConditions
+                                    ? Outcome.INVALID
+                                    : refuses.test(sent.size())
+                                            ? Outcome.REFUSED
+                                            : failed.isEmpty() ? otherwise : Outcome.NO;
+                    w.after(answerTakesS, () -> answer.accept(new Committed(o, 0, failed, false)));
+                }
 
-        @Override
-        public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) { }
+                @Override
+                public void page(String prefix, String from, int limit, Consumer<Listing> answer) {}
 
-        @Override
-        public void renew(long lease, Consumer<Outcome> answer) { }
+                @Override
+                public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {}
 
-        @Override
-        public void revoke(long lease) { }
+                @Override
+                public void renew(long lease, Consumer<Outcome> answer) {}
 
-        @Override
-        public void follow(String prefix, long after, long holdMs, Consumer<Changes> answer) { }
-    };
-    private final CancellationProof proof = new CancellationProof(store, timers, new Random(1), block, () -> holding,
-            new CancellationProof.Listener() {
                 @Override
-                public void closed(String job) {
-                    closed.add(job);
-                    block.jobOver(job);
-                }
+                public void revoke(long lease) {}
 
                 @Override
-                public void proven(double atMs) {
-                    proven.add(atMs);
-                }
-            });
+                public void follow(
+                        String prefix, long after, long holdMs, Consumer<Changes> answer) {}
+            };
+
+    private final CancellationProof proof =
+            new CancellationProof(
+                    store,
+                    timers,
+                    new Random(1),
+                    block,
+                    () -> holding,
+                    new CancellationProof.Listener() {
+                        @Override
+                        public void closed(String job) {
+                            closed.add(job);
+                            block.jobOver(job);
+                        }
+
+                        @Override
+                        public void proven(double atMs) {
+                            proven.add(atMs);
+                        }
+                    });
 
     /** Each has a task on a machine, by its record. */
     private void jobs(int n) {
         for (int i = 0; i < n; i++) {
             JobSpec s = job("j-" + i, Shape.ARRAY, 1, 1);
-            Job j = Job.of(new JobRecord(s, 0, List.of(), 0, 0), block.facts(), Keys.OPEN + s.id(), 7, 256);
+            Job j =
+                    Job.of(
+                            new JobRecord(s, 0, List.of(), 0, 0),
+                            block.facts(),
+                            Keys.OPEN + s.id(),
+                            7,
+                            256);
             block.addJob(j);
-            block.adopt(j, 0, Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))), 8, 0);
+            block.adopt(
+                    j,
+                    0,
+                    Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
+                    8,
+                    0);
         }
     }
 
@@ -132,7 +170,9 @@
         assertEquals(List.of("j-1"), closed);
         assertEquals(1, proven.size());
         w.run(3);
-        assertTrue(sent.get(sent.size() - 1).conditions().stream().noneMatch(c -> c.key().endsWith("j-1")));
+        assertTrue(
+                sent.get(sent.size() - 1).conditions().stream()
+                        .noneMatch(c -> c.key().endsWith("j-1")));
     }
 
     @Test
@@ -155,7 +195,9 @@
         proof.stop();
     }
 
-    /** A store over its rate refuses one request of two: what has been answered is not asked again. */
+    /**
+     * A store over its rate refuses one request of two: what has been answered is not asked again.
+     */
     @Test
     void oneOfSeveralThatIsRefusedIsSentAgainByItself() {
         jobs(800);
@@ -167,7 +209,10 @@
         assertTrue(sent.stream().map(t -> t.conditions().get(0).key()).distinct().count() == 5);
     }
 
-    /** A store that takes fewer conditions than its settings say is asked with fewer, rather than never heard again. */
+    /**
+     * A store that takes fewer conditions than its settings say is asked with fewer, rather than
+     * never heard again.
+     */
     @Test
     void aStoreThatTakesFewerConditionsIsAskedWithFewer() {
         jobs(100);
--- a/src/test/java/io/kitepath/net/HttpClientTest.java
+++ b/src/test/java/io/kitepath/net/HttpClientTest.java
@@ -19,16 +19,27 @@
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         List<String> asked = new ArrayList<>();
         // A server that never answers, and a client with one connection to it.
-        Channel server = new HttpServer((r, out) -> asked.add(r.path()), 1024, 10, 60)
-                .listen(group, new InetSocketAddress("127.0.0.1", 0)).sync().channel();
+        Channel server =
+                new HttpServer((r, out) -> asked.add(r.path()), 1024, 10, 60)
+                        .listen(group, new InetSocketAddress("127.0.0.1", 0))
+                        .sync()
+                        .channel();
         EventLoop loop = group.next();
-        HttpClient client = new HttpClient(loop, (InetSocketAddress) server.localAddress(), 1, 1024);
+        HttpClient client =
+                new HttpClient(loop, (InetSocketAddress) server.localAddress(), 1, 1024);
         CompletableFuture<Integer> first = new CompletableFuture<>();
         CompletableFuture<Integer> second = new CompletableFuture<>();
-        loop.execute(() -> {
-            client.call("GET", "/first", null, 60_000, (status, body) -> first.complete(status));
-            client.call("GET", "/second", null, 50, (status, body) -> second.complete(status));
-        });
+        loop.execute(
+                () -> {
+                    client.call(
+                            "GET",
+                            "/first",
+                            null,
+                            60_000,
+                            (status, body) -> first.complete(status));
+                    client.call(
+                            "GET", "/second", null, 50, (status, body) -> second.complete(status));
+                });
         assertEquals(0, second.get(30, TimeUnit.SECONDS));
         assertFalse(first.isDone());
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/src/test/java/io/kitepath/peers/CellLinksTest.java
+++ b/src/test/java/io/kitepath/peers/CellLinksTest.java
@@ -44,17 +44,53 @@
     /** A node of the cell west that listens, and whose store refuses everything. */
     private void west(InetSocketAddress at) throws Exception {
         Map<String, Facts.Team> none = Map.of();
-        Directory d = new Directory(1, "west", Map.of("west", new Directory.Cell("west", true, false, List.of("a"),
-                Map.of("w0", "x"), none), "east", new Directory.Cell("east", true, false, List.of("b"),
-                Map.of("e0", "y"), none)));
-        Facts facts = new Facts("w0", "a", List.of(), List.of("a"), none, List.of(), new Facts.Workers(1, 10, 30, 5, 30),
-                new Facts.StoreLimits(100, 100, 8, 40), new Facts.CloudLimits(1, 1), new Facts.Limits(1, 200, 1000), 5);
+        Directory d =
+                new Directory(
+                        1,
+                        "west",
+                        Map.of(
+                                "west",
+                                new Directory.Cell(
+                                        "west", true, false, List.of("a"), Map.of("w0", "x"), none),
+                                "east",
+                                new Directory.Cell(
+                                        "east",
+                                        true,
+                                        false,
+                                        List.of("b"),
+                                        Map.of("e0", "y"),
+                                        none)));
+        Facts facts =
+                new Facts(
+                        "w0",
+                        "a",
+                        List.of(),
+                        List.of("a"),
+                        none,
+                        List.of(),
+                        new Facts.Workers(1, 10, 30, 5, 30),
+                        new Facts.StoreLimits(100, 100, 8, 40),
+                        new Facts.CloudLimits(1, 1),
+                        new Facts.Limits(1, 200, 1000),
+                        5);
         Peers peers = new Peers(group, "w0", Map.of(), true);
-        loop.submit(() -> {
-            Controller c = new Controller(facts, new RefusingStore(), null, null, new LoopTimers(loop), peers,
-                    new Random(1), d, (cell, node, m, answer) -> answer.accept(null));
-            return peers.start(c, at);
-        }).get().sync();
+        loop.submit(
+                        () -> {
+                            Controller c =
+                                    new Controller(
+                                            facts,
+                                            new RefusingStore(),
+                                            null,
+                                            null,
+                                            new LoopTimers(loop),
+                                            peers,
+                                            new Random(1),
+                                            d,
+                                            (cell, node, m, answer) -> answer.accept(null));
+                            return peers.start(c, at);
+                        })
+                .get()
+                .sync();
     }
 
     private CellMessage ask(CellLinks links, String node, CellMessage m) throws Exception {
@@ -69,8 +105,11 @@
         west(at);
         CellLinks links = new CellLinks(group, Map.of("west", Map.of("w0", at)), new Random(1));
         // Nobody leads there; its store has not said by which homes it goes.
-        assertEquals(new Elsewhere(null), ask(links, null, new CellMessage.Recall("east", 7, 7, true)));
-        assertEquals(new UserAnswer("LATER", null), ask(links, "w0", new UserAsk(Wish.STATUS, "j-1", null)));
+        assertEquals(
+                new Elsewhere(null), ask(links, null, new CellMessage.Recall("east", 7, 7, true)));
+        assertEquals(
+                new UserAnswer("LATER", null),
+                ask(links, "w0", new UserAsk(Wish.STATUS, "j-1", null)));
         assertEquals(new Elsewhere(null), ask(links, "unknown", new CellMessage.Settled(7, 7)));
     }
 
@@ -79,15 +118,25 @@
         CellLinks links = new CellLinks(group, Map.of("west", Map.of("w0", free())), new Random(1));
         assertNull(ask(links, "w0", new CellMessage.Settled(7, 7)));
         CompletableFuture<CellMessage> got = new CompletableFuture<>();
-        loop.execute(() -> links.ask("nowhere", null, new CellMessage.Settled(7, 7), got::complete));
+        loop.execute(
+                () -> links.ask("nowhere", null, new CellMessage.Settled(7, 7), got::complete));
         assertNull(got.get(5, TimeUnit.SECONDS));
     }
 
     @Test
     void oneThatListensAndNeverAnswersIsGivenUp() throws Exception {
         try (ServerSocket mute = new ServerSocket(0, 4, InetAddress.getLoopbackAddress())) {
-            CellLinks links = new CellLinks(group, Map.of("west", Map.of("w0",
-                    new InetSocketAddress(InetAddress.getLoopbackAddress(), mute.getLocalPort()))), new Random(1));
+            CellLinks links =
+                    new CellLinks(
+                            group,
+                            Map.of(
+                                    "west",
+                                    Map.of(
+                                            "w0",
+                                            new InetSocketAddress(
+                                                    InetAddress.getLoopbackAddress(),
+                                                    mute.getLocalPort()))),
+                            new Random(1));
             assertNull(ask(links, "w0", new CellMessage.Settled(7, 7)));
         }
     }
--- a/src/test/java/io/kitepath/peers/PeersTest.java
+++ b/src/test/java/io/kitepath/peers/PeersTest.java
@@ -37,12 +37,14 @@
             ch.closeFuture().addListener(f -> channels.remove(s));
         }
         List<Channel> told = new ArrayList<>();
-        Peers.toAll(channels.values(), ch -> {
-            told.add(ch);
-            if (told.size() == 1) {
-                ch.close();
-            }
-        });
+        Peers.toAll(
+                channels.values(),
+                ch -> {
+                    told.add(ch);
+                    if (told.size() == 1) {
+                        ch.close();
+                    }
+                });
         assertEquals(3, told.size());
         assertEquals(2, channels.size());
     }
@@ -77,29 +79,68 @@
         }
     }
 
-    /** Production ends a connection at a message that it does not know, so that nothing would be said any more at all. */
+    /**
+     * Production ends a connection at a message that it does not know, so that nothing would be
+     * said any more at all.
+     */
     @Test
     void digestsGoOnlyToThoseThatSaidThatTheyReadThem() throws Exception {
         InetAddress here = InetAddress.getLoopbackAddress();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
-        try (ServerSocket old = new ServerSocket(0, 4, here); ServerSocket fresh = new ServerSocket(0, 4, here);
+        try (ServerSocket old = new ServerSocket(0, 4, here);
+                ServerSocket fresh = new ServerSocket(0, 4, here);
                 ServerSocket free = new ServerSocket(0, 1, here)) {
             InetSocketAddress at = new InetSocketAddress(here, free.getLocalPort());
             free.close();
             EventLoop loop = group.next();
-            Peers peers = new Peers(group, "k0", Map.of("old", new InetSocketAddress(here, old.getLocalPort()),
-                    "fresh", new InetSocketAddress(here, fresh.getLocalPort())), false);
-            Facts facts = new Facts("k0", "a", List.of("old", "fresh"), List.of("a"), Map.of(), List.of(),
-                    new Facts.Workers(1, 10, 30, 5, 30), new Facts.StoreLimits(100, 100, 8, 40),
-                    new Facts.CloudLimits(1, 1), new Facts.Limits(1, 200, 1000), 5);
-            loop.submit(() -> peers.start(new Controller(facts, new RefusingStore(), null, null, new LoopTimers(loop),
-                    peers, new Random(1)), at)).get().sync();
+            Peers peers =
+                    new Peers(
+                            group,
+                            "k0",
+                            Map.of(
+                                    "old",
+                                    new InetSocketAddress(here, old.getLocalPort()),
+                                    "fresh",
+                                    new InetSocketAddress(here, fresh.getLocalPort())),
+                            false);
+            Facts facts =
+                    new Facts(
+                            "k0",
+                            "a",
+                            List.of("old", "fresh"),
+                            List.of("a"),
+                            Map.of(),
+                            List.of(),
+                            new Facts.Workers(1, 10, 30, 5, 30),
+                            new Facts.StoreLimits(100, 100, 8, 40),
+                            new Facts.CloudLimits(1, 1),
+                            new Facts.Limits(1, 200, 1000),
+                            5);
+            loop.submit(
+                            () ->
+                                    peers.start(
+                                            new Controller(
+                                                    facts,
+                                                    new RefusingStore(),
+                                                    null,
+                                                    null,
+                                                    new LoopTimers(loop),
+                                                    peers,
+                                                    new Random(1)),
+                                            at))
+                    .get()
+                    .sync();
             CancellationDigest said = new CancellationDigest("k0", 1, 2, List.of("j-1", "j-2"));
-            loop.scheduleAtFixedRate(() -> {
-                peers.tell(7, null, true);
-                peers.digest(said);
-            }, 0, 20, TimeUnit.MILLISECONDS);
-            try (Played o = new Played(old.accept()); Played f = new Played(fresh.accept());
+            loop.scheduleAtFixedRate(
+                    () -> {
+                        peers.tell(7, null, true);
+                        peers.digest(said);
+                    },
+                    0,
+                    20,
+                    TimeUnit.MILLISECONDS);
+            try (Played o = new Played(old.accept());
+                    Played f = new Played(fresh.accept());
                     Played from = new Played(new Socket(here, at.getPort()))) {
                 f.says(new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()));
                 Object heard = f.hears();
@@ -110,10 +151,13 @@
                 for (int i = 0; i < 20; i++) {
                     assertInstanceOf(Messages.View.class, o.hears());
                 }
-                // Whoever tells its view hears what is read here, in the form of an answer that production drops.
+                // Whoever tells its view hears what is read here, in the form of an answer that
+                // production drops.
                 from.says(new Messages.View("old", 7, false, true));
                 assertInstanceOf(Messages.View.class, from.hears());
-                assertEquals(new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()), from.hears());
+                assertEquals(
+                        new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()),
+                        from.hears());
             }
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/src/test/java/io/kitepath/peers/RefusingStore.java
+++ b/src/test/java/io/kitepath/peers/RefusingStore.java
@@ -33,8 +33,8 @@
     }
 
     @Override
-    public void revoke(long lease) { }
+    public void revoke(long lease) {}
 
     @Override
-    public void follow(String prefix, long after, long holdMs, Consumer<Changes> answer) { }
+    public void follow(String prefix, long after, long holdMs, Consumer<Changes> answer) {}
 }
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -29,7 +29,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the version in production wrote and sent, as its own code put it down, against this version. */
+/**
+ * What the version in production wrote and sent, as its own code put it down, against this version.
+ */
 class VersionsTest {
     private final Map<String, byte[]> written = new LinkedHashMap<>();
 
@@ -42,33 +44,83 @@
         }
     }
 
-    /** Byte for byte: a class, a field or a number that moved would end a sibling's connection, again and again. */
+    /**
+     * Byte for byte: a class, a field or a number that moved would end a sibling's connection,
+     * again and again.
+     */
     @Test
     void framesAreTheSameToTheByte() {
         Messages m = new Messages(true);
-        Report r = new Report("i-000231", "10.1.0.232:9000", "g8", "a", true, 3, 88, 41, 12.5, List.of(
-                new TaskReport("j-000412", 3, 2, State.RUNNING, null),
-                new TaskReport("j-000398", 0, 1, State.ENDED, Cause.DONE)));
-        JobSpec s = new JobSpec("j-000412", "train", "vision", JobSpec.Shape.GANG, JobSpec.Priority.HIGH, 16, 8, 1, 64,
-                List.of("g8"), null, true, false, true, "img-07", 6.2, 240, 30, 4, 900.0);
+        Report r =
+                new Report(
+                        "i-000231",
+                        "10.1.0.232:9000",
+                        "g8",
+                        "a",
+                        true,
+                        3,
+                        88,
+                        41,
+                        12.5,
+                        List.of(
+                                new TaskReport("j-000412", 3, 2, State.RUNNING, null),
+                                new TaskReport("j-000398", 0, 1, State.ENDED, Cause.DONE)));
+        JobSpec s =
+                new JobSpec(
+                        "j-000412",
+                        "train",
+                        "vision",
+                        JobSpec.Shape.GANG,
+                        JobSpec.Priority.HIGH,
+                        16,
+                        8,
+                        1,
+                        64,
+                        List.of("g8"),
+                        null,
+                        true,
+                        false,
+                        true,
+                        "img-07",
+                        6.2,
+                        240,
+                        30,
+                        4,
+                        900.0);
         JobState over = new JobState("j-000412", "done", 16, 0);
         Map<String, Object> frames = new LinkedHashMap<>();
         frames.put("view", new Messages.View("kite-1", 7, true, false));
         frames.put("over", new Messages.Over(over));
         frames.put("ask", new Messages.Ask(5, r, true));
-        frames.put("answer", new Messages.Answer(5, new HeartbeatAnswer(41, List.of(
-                new Order(Order.Verb.START, "j-000412", 4, 2, 0), new Order(Order.Verb.STOP, "j-000377", 1, 1, 10)),
-                null)));
+        frames.put(
+                "answer",
+                new Messages.Answer(
+                        5,
+                        new HeartbeatAnswer(
+                                41,
+                                List.of(
+                                        new Order(Order.Verb.START, "j-000412", 4, 2, 0),
+                                        new Order(Order.Verb.STOP, "j-000377", 1, 1, 10)),
+                                null)));
         frames.put("askProgress", new Messages.AskProgress(6, List.of("j-000412", "j-000398")));
-        frames.put("answerProgress", new Messages.AnswerProgress(6, List.of(new Progress("j-000412", 3, 13, "waits"))));
-        frames.put("askCell", new Messages.AskCell(9, new CellMessage.Offer("north", 4, 2, s, 1000.5, 0, 16, 3)));
-        frames.put("answerCell", new Messages.AnswerCell(9, new CellMessage.UserAnswer("KNOWN", over)));
-        frames.forEach((name, message) -> {
-            byte[] theirs = written.get("frame." + name);
-            assertArrayEquals(theirs, m.bytes(message), name);
-            assertEquals(message.getClass(), m.value(theirs).getClass(), name);
-        });
-        assertEquals(frames.size(), written.keySet().stream().filter(k -> k.startsWith("frame.")).count());
+        frames.put(
+                "answerProgress",
+                new Messages.AnswerProgress(6, List.of(new Progress("j-000412", 3, 13, "waits"))));
+        frames.put(
+                "askCell",
+                new Messages.AskCell(9, new CellMessage.Offer("north", 4, 2, s, 1000.5, 0, 16, 3)));
+        frames.put(
+                "answerCell",
+                new Messages.AnswerCell(9, new CellMessage.UserAnswer("KNOWN", over)));
+        frames.forEach(
+                (name, message) -> {
+                    byte[] theirs = written.get("frame." + name);
+                    assertArrayEquals(theirs, m.bytes(message), name);
+                    assertEquals(message.getClass(), m.value(theirs).getClass(), name);
+                });
+        assertEquals(
+                frames.size(),
+                written.keySet().stream().filter(k -> k.startsWith("frame.")).count());
         // Without cells, the classes that come first keep their numbers.
         assertArrayEquals(written.get("frame.view"), new Messages(false).bytes(frames.get("view")));
     }
@@ -95,7 +147,10 @@
         World w = new World();
         w.next = new io.kitepath.core.model.Facts.StoreLimits(1000, 1000, 2, 13);
         for (String k : written.keySet()) {
-            if (k.startsWith("record ") && !k.contains("/duty/") && !k.contains("/leader") && !k.contains("/blocks/")) {
+            if (k.startsWith("record ")
+                    && !k.contains("/duty/")
+                    && !k.contains("/leader")
+                    && !k.contains("/blocks/")) {
                 String key = k.substring("record ".length());
                 w.store.keys.put(key, record(key));
             }
@@ -109,12 +164,20 @@
             String job = part.substring(0, part.indexOf('/'));
             w.specs.put(job, JobRecord.of(job, record(Keys.OPEN + job).value()).spec());
             Map<?, ?> live = (Map<?, ?>) ((Map<?, ?>) record(Keys.PART + part).value()).get("live");
-            live.forEach((machine, l) -> {
-                for (int i = 0; i + 1 < ((List<?>) l).size(); i += 2) {
-                    w.workers.get(machine).execute(new Order(Order.Verb.START, job,
-                            ((Number) ((List<?>) l).get(i)).intValue(), ((Number) ((List<?>) l).get(i + 1)).longValue(), 0));
-                }
-            });
+            live.forEach(
+                    (machine, l) -> {
+                        for (int i = 0; i + 1 < ((List<?>) l).size(); i += 2) {
+                            w.workers
+                                    .get(machine)
+                                    .execute(
+                                            new Order(
+                                                    Order.Verb.START,
+                                                    job,
+                                                    ((Number) ((List<?>) l).get(i)).intValue(),
+                                                    ((Number) ((List<?>) l).get(i + 1)).longValue(),
+                                                    0));
+                        }
+                    });
         }
         long running = w.onMachines("j-1");
         assertTrue(running > 250, "only " + running);
--- a/src/test/java/io/kitepath/settings/CellsFileTest.java
+++ b/src/test/java/io/kitepath/settings/CellsFileTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 class CellsFileTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             {"version":3,"cells":[
               {"name":"east","zones":["a","b"],"nodes":[{"label":"e0","addr":"127.0.0.1:8081"},
                 {"label":"e1","addr":"127.0.0.2:8081"}],"teams":[{"name":"t","cpus":4,"cpus_max":30}]},
@@ -22,10 +23,23 @@
                 "teams":[{"name":"t","cpus":6,"cpus_max":10}]},
               {"name":"spare","home":false,"zones":["d"],"nodes":[{"label":"s0","addr":"127.0.0.4:8081"}]}]}
             """;
-    private final Facts facts = new Facts("e1", "a", List.of("e0"), List.of("a", "b"),
-            Map.of("t", new Facts.Team("t", 10, 40, 0, 0), "free", new Facts.Team("free", 0, 0, 0, 0)), List.of(),
-            new Facts.Workers(1, 10, 30, 5, 30), new Facts.StoreLimits(1000, 100, 8, 40), new Facts.CloudLimits(10, 2),
-            new Facts.Limits(1, 200, 1000), 5);
+    private final Facts facts =
+            new Facts(
+                    "e1",
+                    "a",
+                    List.of("e0"),
+                    List.of("a", "b"),
+                    Map.of(
+                            "t",
+                            new Facts.Team("t", 10, 40, 0, 0),
+                            "free",
+                            new Facts.Team("free", 0, 0, 0, 0)),
+                    List.of(),
+                    new Facts.Workers(1, 10, 30, 5, 30),
+                    new Facts.StoreLimits(1000, 100, 8, 40),
+                    new Facts.CloudLimits(10, 2),
+                    new Facts.Limits(1, 200, 1000),
+                    5);
 
     private CellsFile read(String text) {
         return CellsFile.of(text.getBytes(StandardCharsets.UTF_8), facts);
@@ -52,17 +66,24 @@
     @Test
     void whatIsWrongIsNamed() {
         assertTrue(complaint("\"version\":3,", "").contains("version: is missing"));
-        assertTrue(complaint("\"west\"", "\"east\"").contains("cells[1].name: there are two cells"));
+        assertTrue(
+                complaint("\"west\"", "\"east\"").contains("cells[1].name: there are two cells"));
         assertTrue(complaint("\"west\"", "\"we st\"").contains("cells[1].name: must be 1 to 40"));
         assertTrue(complaint("[\"c\"]", "[\"a\"]").contains("is a zone of cell \"east\" too"));
         assertTrue(complaint("\"w0\"", "\"e0\"").contains("there are two nodes"));
-        assertTrue(complaint("127.0.0.3:8081", "west:8081").contains("cells[1].nodes[0].addr: must be an address"));
+        assertTrue(
+                complaint("127.0.0.3:8081", "west:8081")
+                        .contains("cells[1].nodes[0].addr: must be an address"));
         assertTrue(complaint("\"e1\"", "\"e2\"").contains("no cell has this node"));
         assertTrue(complaint("\"e0\"", "\"e9\"").contains("the settings have"));
-        assertTrue(complaint("[\"a\",\"b\"]", "[\"a\"]").contains("lacks the settings' zone \"b\""));
-        assertTrue(complaint("\"cpus_max\":10", "\"cpus_max\":11").contains("add up to 41.0, the settings have 40.0"));
-        assertTrue(complaint("\"name\":\"t\",\"cpus\":6", "\"name\":\"x\",\"cpus\":6")
-                .contains("no team \"x\""));
+        assertTrue(
+                complaint("[\"a\",\"b\"]", "[\"a\"]").contains("lacks the settings' zone \"b\""));
+        assertTrue(
+                complaint("\"cpus_max\":10", "\"cpus_max\":11")
+                        .contains("add up to 41.0, the settings have 40.0"));
+        assertTrue(
+                complaint("\"name\":\"t\",\"cpus\":6", "\"name\":\"x\",\"cpus\":6")
+                        .contains("no team \"x\""));
     }
 
     @Test
@@ -74,9 +95,12 @@
         }
         assertEquals(2, at.size());
         assertTrue(at.get("east") > 900 && at.get("west") > 900, at.toString());
-        Directory more = read(GOOD.replace("{\"name\":\"spare\"",
-                "{\"name\":\"more\",\"home\":false,\"zones\":[\"e\"],\"nodes\":[{\"label\":\"m0\","
-                        + "\"addr\":\"127.0.0.5:8081\"}]},{\"name\":\"spare\"")).directory();
+        Directory more =
+                read(GOOD.replace(
+                                "{\"name\":\"spare\"",
+                                "{\"name\":\"more\",\"home\":false,\"zones\":[\"e\"],\"nodes\":[{\"label\":\"m0\","
+                                        + "\"addr\":\"127.0.0.5:8081\"}]},{\"name\":\"spare\""))
+                        .directory();
         for (int i = 0; i < 100; i++) {
             assertEquals(d.home("j-" + i), more.home("j-" + i));
         }
--- a/src/test/java/io/kitepath/settings/SettingsTest.java
+++ b/src/test/java/io/kitepath/settings/SettingsTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SettingsTest {
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             {"label":"kite-0","domain":"a","listen":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081","new_field":1,
              "siblings":[{"label":"kite-1","domain":"b","addr":"10.0.0.2:8081"}],
              "endpoints":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},
@@ -23,8 +24,7 @@
               "limits":{"cpu":0.255,"ram_mb":205.0,"sockets":1000},"clock_error_ms":5.0}}
             """;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private Settings read(String text) throws IOException {
         Path f = dir.resolve("settings.json");
@@ -48,15 +48,23 @@
 
     @Test
     void whatIsWrongIsNamedWithItsFile() {
-        assertTrue(complaint(GOOD.replace("\"lease_s\":10.0,", "")).endsWith(
-                "settings.json: facts.workers.lease_s: is missing"));
-        assertTrue(complaint(GOOD.replace("\"lease_s\":10.0", "\"lease_s\":-1")).contains(
-                "facts.workers.lease_s: must be a finite number"));
-        assertTrue(complaint(GOOD.replace("10.2.0.1:2379", "store:2379")).contains("endpoints.state: must be an address"));
-        assertTrue(complaint(GOOD.replace("\"zones\":[\"a\",\"b\"]", "\"zones\":\"a\"")).contains("facts.zones: must be a list"));
+        assertTrue(
+                complaint(GOOD.replace("\"lease_s\":10.0,", ""))
+                        .endsWith("settings.json: facts.workers.lease_s: is missing"));
+        assertTrue(
+                complaint(GOOD.replace("\"lease_s\":10.0", "\"lease_s\":-1"))
+                        .contains("facts.workers.lease_s: must be a finite number"));
+        assertTrue(
+                complaint(GOOD.replace("10.2.0.1:2379", "store:2379"))
+                        .contains("endpoints.state: must be an address"));
+        assertTrue(
+                complaint(GOOD.replace("\"zones\":[\"a\",\"b\"]", "\"zones\":\"a\""))
+                        .contains("facts.zones: must be a list"));
         assertTrue(complaint("{\"label\":").contains("not JSON"));
         assertTrue(complaint("").contains("is empty"));
-        assertTrue(assertThrows(Malformed.class, () -> Settings.read(dir.resolve("none"))).getMessage()
-                .endsWith("none: no such file"));
+        assertTrue(
+                assertThrows(Malformed.class, () -> Settings.read(dir.resolve("none")))
+                        .getMessage()
+                        .endsWith("none: no such file"));
     }
 }
--- a/src/test/java/io/kitepath/standin/CheckerTest.java
+++ b/src/test/java/io/kitepath/standin/CheckerTest.java
@@ -26,7 +26,12 @@
     }
 
     private void start(String cell, String job, int task) {
-        c.world(cell).workers.values().iterator().next().execute(new Order(Order.Verb.START, job, task, 77, 0));
+        c.world(cell)
+                .workers
+                .values()
+                .iterator()
+                .next()
+                .execute(new Order(Order.Verb.START, job, task, 77, 0));
     }
 
     private void finds(String what) {
@@ -58,7 +63,8 @@
         String id = job(2);
         World east = c.world("east");
         east.store.put(Keys.OPEN + id, null, 0, ++east.store.revision);
-        east.store.put(Keys.OVER + id, Map.of("status", "done", "done", 2L), 0, ++east.store.revision);
+        east.store.put(
+                Keys.OVER + id, Map.of("status", "done", "done", 2L), 0, ++east.store.revision);
         c.status(c.any("west"), id);
         finds("not done: " + id);
     }
@@ -68,7 +74,11 @@
         String id = job(2);
         c.until(60, () -> c.status(c.any("east"), id).equals("done"));
         World east = c.world("east");
-        east.store.put(Keys.OVER + id, Map.of("status", "cancelled", "done", 0L), 0, ++east.store.revision);
+        east.store.put(
+                Keys.OVER + id,
+                Map.of("status", "cancelled", "done", 0L),
+                0,
+                ++east.store.revision);
         c.restart(c.any("east"), 1);
         c.run(15);
         c.status(c.any("east"), id);
@@ -82,14 +92,25 @@
 
     @Test
     void aRehearsalIsTheSameEveryTimeAndFindsNothingHere() {
-        Rehearsal.Plan p = new Rehearsal.Plan(3, 8, 0.4, 4, 60, 0.1, 3,
-                List.of(new Rehearsal.Fault("nodes", 1, 20, 15), new Rehearsal.Fault("network", 0, 30, 20)));
+        Rehearsal.Plan p =
+                new Rehearsal.Plan(
+                        3,
+                        8,
+                        0.4,
+                        4,
+                        60,
+                        0.1,
+                        3,
+                        List.of(
+                                new Rehearsal.Fault("nodes", 1, 20, 15),
+                                new Rehearsal.Fault("network", 0, 30, 20)));
         Rehearsal.Result one = new Rehearsal(p, Rehearsal.Way.CELLS).play();
         Rehearsal.Result two = new Rehearsal(p, Rehearsal.Way.CELLS).play();
         assertEquals(List.of(), one.broken());
         assertEquals(0, one.unfinished());
         assertTrue(one.handOvers() > 0);
-        assertEquals(List.of(one.starts(), one.messages(), one.changes(), one.handOvers(), one.tookS()),
+        assertEquals(
+                List.of(one.starts(), one.messages(), one.changes(), one.handOvers(), one.tookS()),
                 List.of(two.starts(), two.messages(), two.changes(), two.handOvers(), two.tookS()));
     }
 }
--- a/src/test/java/io/kitepath/standin/LoopbackTest.java
+++ b/src/test/java/io/kitepath/standin/LoopbackTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.kitepath.cloud.HttpCloud;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.Report;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
-import io.kitepath.cloud.HttpCloud;
 import io.kitepath.net.HttpClient;
 import io.kitepath.store.HttpStore;
 import io.kitepath.wire.Outside;
@@ -57,22 +57,58 @@
     @Test
     void theStateServiceKeepsItsProtocol() throws Exception {
         long lease = this.<Long>on(f -> store.grant(5000, (o, id) -> f.complete(id)));
-        assertEquals(Outcome.OK, on(f -> store.commit(new Transaction().when("a/b", 0).put("a/b", Map.of("x", 1L), lease)
-                .put("a/c", Map.of("y", "z")), c -> f.complete(c.outcome()))));
-        assertEquals(List.of("a/b"), on(f -> store.commit(new Transaction().when("a/b", 0).remove("a/c"),
-                c -> f.complete(c.failed()))));
+        assertEquals(
+                Outcome.OK,
+                on(
+                        f ->
+                                store.commit(
+                                        new Transaction()
+                                                .when("a/b", 0)
+                                                .put("a/b", Map.of("x", 1L), lease)
+                                                .put("a/c", Map.of("y", "z")),
+                                        c -> f.complete(c.outcome()))));
+        assertEquals(
+                List.of("a/b"),
+                on(
+                        f ->
+                                store.commit(
+                                        new Transaction().when("a/b", 0).remove("a/c"),
+                                        c -> f.complete(c.failed()))));
         assertEquals(Map.of("x", 1L), on(f -> store.get("a/b", (o, e) -> f.complete(e.value()))));
-        assertEquals(List.of("a/b", "a/c"), on(f -> store.page("a/", "", 10, l ->
-                f.complete(l.entries().stream().map(Store.Entry::key).toList()))));
+        assertEquals(
+                List.of("a/b", "a/c"),
+                on(
+                        f ->
+                                store.page(
+                                        "a/",
+                                        "",
+                                        10,
+                                        l ->
+                                                f.complete(
+                                                        l.entries().stream()
+                                                                .map(Store.Entry::key)
+                                                                .toList()))));
         // Another's end of the lease is seen by whoever follows.
         CompletableFuture<Object> gone = new CompletableFuture<>();
-        loop.execute(() -> store.follow("a/b", world.store.revision, 5000, c -> gone.complete(c.events().get(0).key()
-                + c.events().get(0).value())));
+        loop.execute(
+                () ->
+                        store.follow(
+                                "a/b",
+                                world.store.revision,
+                                5000,
+                                c ->
+                                        gone.complete(
+                                                c.events().get(0).key()
+                                                        + c.events().get(0).value())));
         loop.execute(() -> store.revoke(lease));
         assertEquals("a/bnull", gone.get(10, TimeUnit.SECONDS));
         assertEquals(Outcome.NO, on(f -> store.renew(lease, f::complete)));
-        assertTrue(this.<Boolean>on(f -> store.commit(new Transaction().put("a/d", Map.of(), lease),
-                c -> f.complete(c.leaseGone()))));
+        assertTrue(
+                this.<Boolean>on(
+                        f ->
+                                store.commit(
+                                        new Transaction().put("a/d", Map.of(), lease),
+                                        c -> f.complete(c.leaseGone()))));
         world.store.out = true;
         assertEquals(Outcome.REFUSED, on(f -> store.get("a/c", (o, e) -> f.complete(o))));
     }
@@ -82,9 +118,20 @@
         world.cloud.capacity = 3;
         assertEquals("m4", on(f -> cloud.types((o, types) -> f.complete(types.get(0).name()))));
         MachineKind kind = new MachineKind("m4", "a", false);
-        List<String> first = this.<List<String>>on(f -> cloud.rent("r-1", kind, 2, (o, names) -> f.complete(names)));
+        List<String> first =
+                this.<List<String>>on(
+                        f -> cloud.rent("r-1", kind, 2, (o, names) -> f.complete(names)));
         assertEquals(first, on(f -> cloud.rent("r-1", kind, 2, (o, names) -> f.complete(names))));
-        assertEquals(first, on(f -> cloud.list((o, all) -> f.complete(all.stream().map(Cloud.Listed::machine).toList()))));
+        assertEquals(
+                first,
+                on(
+                        f ->
+                                cloud.list(
+                                        (o, all) ->
+                                                f.complete(
+                                                        all.stream()
+                                                                .map(Cloud.Listed::machine)
+                                                                .toList()))));
         assertEquals(Outcome.OK, on(f -> cloud.release(first, f::complete)));
         assertEquals(List.of(), on(f -> cloud.list((o, all) -> f.complete(all))));
         world.cloud.capacity = 0;
@@ -93,9 +140,21 @@
 
     @Test
     void whatAWorkerSaysIsReadAsItWasMeant() {
-        Report r = new Report("i-1", "127.0.0.1:9", "m4", "a", true, 2, 7, 41, 3.5, List.of(
-                new Report.TaskReport("j-1", 3, 2, Report.State.RUNNING, null),
-                new Report.TaskReport("j-1", 4, 1, Report.State.ENDED, Report.Cause.NO_ROOM)));
+        Report r =
+                new Report(
+                        "i-1",
+                        "127.0.0.1:9",
+                        "m4",
+                        "a",
+                        true,
+                        2,
+                        7,
+                        41,
+                        3.5,
+                        List.of(
+                                new Report.TaskReport("j-1", 3, 2, Report.State.RUNNING, null),
+                                new Report.TaskReport(
+                                        "j-1", 4, 1, Report.State.ENDED, Report.Cause.NO_ROOM)));
         assertEquals(r, Wire.report(Pack.value(Outside.report(r))));
     }
 }
--- a/src/test/java/io/kitepath/standin/RulesTest.java
+++ b/src/test/java/io/kitepath/standin/RulesTest.java
@@ -6,8 +6,8 @@
 import io.kitepath.core.model.Facts;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Order;
 import io.kitepath.core.model.JobState;
+import io.kitepath.core.model.Order;
 import io.kitepath.core.model.Report.State;
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.state.Keys;
@@ -27,9 +27,30 @@
         w.workers.get(machine).execute(new Order(Order.Verb.START, job, task, 77, 0));
     }
 
-    private JobSpec placedAs(JobSpec s, List<String> types, String zone, boolean oneZone, boolean spread) {
-        JobSpec x = new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(), s.priority(), s.tasks(), s.cpus(), s.gpus(),
-                s.memoryGb(), types, zone, oneZone, spread, s.spot(), s.image(), s.imageGb(), s.estimateS(), 0, 0, null);
+    private JobSpec placedAs(
+            JobSpec s, List<String> types, String zone, boolean oneZone, boolean spread) {
+        JobSpec x =
+                new JobSpec(
+                        s.id(),
+                        s.jobClass(),
+                        s.team(),
+                        s.shape(),
+                        s.priority(),
+                        s.tasks(),
+                        s.cpus(),
+                        s.gpus(),
+                        s.memoryGb(),
+                        types,
+                        zone,
+                        oneZone,
+                        spread,
+                        s.spot(),
+                        s.image(),
+                        s.imageGb(),
+                        s.estimateS(),
+                        0,
+                        0,
+                        null);
         w.specs.put(x.id(), x);
         return x;
     }
@@ -85,7 +106,11 @@
         w.runsFor = id -> 500;
         w.submit(w.leader(), job("j-1"));
         w.run(6);
-        Worker x = w.workers.values().stream().filter(y -> !y.tasks.isEmpty()).findFirst().orElseThrow();
+        Worker x =
+                w.workers.values().stream()
+                        .filter(y -> !y.tasks.isEmpty())
+                        .findFirst()
+                        .orElseThrow();
         Task t = x.tasks.values().iterator().next();
         w.cloud.out = true; // Else it would be given back as silent.
         x.hangsUntil = w.clock.now + w.cancelS + 5;
@@ -94,7 +119,9 @@
         assertEquals(List.of(), w.broken);
         assertTrue(w.rules.hungWithCancelled() > 0);
         // As if its lease were none.
-        w.after(2.904, () -> x.tasks.put(t.key(), new Task(x, t.job, t.number, t.attempt, State.RUNNING)));
+        w.after(
+                2.904,
+                () -> x.tasks.put(t.key(), new Task(x, t.job, t.number, t.attempt, State.RUNNING)));
         w.run(6);
         finds("ran cancelled: " + t.key());
     }
@@ -135,13 +162,16 @@
         w.submit(w.leader(), job("j-2"));
         over("j-1", "done");
         over("j-2", "cancelled");
-        Node other = w.nodes.values().stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
+        Node other =
+                w.nodes.values().stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
         w.ask(other, "j-1");
         finds("not done: j-1");
         w.ask(other, "j-2");
         finds("j-2 is called cancelled and nobody asked");
-        w.rules.heard("j-777", new Registry.Answer(Registry.Verdict.KNOWN,
-                new JobState("j-777", "pending", 0, 0)), w.clock.now);
+        w.rules.heard(
+                "j-777",
+                new Registry.Answer(Registry.Verdict.KNOWN, new JobState("j-777", "pending", 0, 0)),
+                w.clock.now);
         finds("invented: j-777");
     }
 
@@ -170,7 +200,10 @@
         w.workers.get("i-000000").hangsUntil = w.clock.now + 200;
         w.rules.calm();
         w.run(95);
-        assertEquals(List.of("forgotten: no question about j-1 is answered"), w.broken, "its team is at its limit");
+        assertEquals(
+                List.of("forgotten: no question about j-1 is answered"),
+                w.broken,
+                "its team is at its limit");
         w.teams.put("red", new Facts.Team("red", 0, 0, 0, 0));
         w.run(89);
         assertEquals(1, w.broken.size());
--- a/src/test/java/io/kitepath/standin/Worlds.java
+++ b/src/test/java/io/kitepath/standin/Worlds.java
@@ -6,7 +6,10 @@
 public final class Worlds {
     private Worlds() {}
 
-    /** So many nodes and machines, of which one leads and all have reported; the lease is five reports long. */
+    /**
+     * So many nodes and machines, of which one leads and all have reported; the lease is five
+     * reports long.
+     */
     public static World settled(int nodes, int machines) {
         World w = new World();
         w.reportS = 2;
@@ -23,7 +26,9 @@
         return w;
     }
 
-    /** All troubles end but those of nodes that are down, which are for the caller to bring back. */
+    /**
+     * All troubles end but those of nodes that are down, which are for the caller to bring back.
+     */
     public static void endTroubles(World w) {
         w.store.out = false;
         w.store.hangs = n -> false;
@@ -33,16 +38,22 @@
         w.copyAfterS = () -> 0;
         w.keeps = r -> false;
         w.cancelsAtEnd = t -> false;
-        w.workers.values().forEach(x -> {
-            x.cut = false;
-            x.deaf = false;
-            x.mute = false;
-        });
-        w.nodes.values().forEach(n -> {
-            n.cutFromStore = false;
-            n.cutFrom.clear();
-            n.frozenUntil = 0;
-        });
+        w.workers
+                .values()
+                .forEach(
+                        x -> {
+                            x.cut = false;
+                            x.deaf = false;
+                            x.mute = false;
+                        });
+        w.nodes
+                .values()
+                .forEach(
+                        n -> {
+                            n.cutFromStore = false;
+                            n.cutFrom.clear();
+                            n.frozenUntil = 0;
+                        });
     }
 
     /** The world's time, for a part that is tried by itself. */
--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.model.JobState;
 import io.kitepath.core.model.Malformed;
 import io.kitepath.core.model.Order;
-import io.kitepath.core.model.JobState;
 import io.kitepath.core.model.Report;
 import io.kitepath.core.port.Store;
 import io.kitepath.settings.Settings;
@@ -23,7 +23,8 @@
 
 /** The protocol's own examples, read and written. */
 class WireTest {
-    private static final String SUBMISSION = """
+    private static final String SUBMISSION =
+            """
             {"nameId":"j-000412","lane":"train","crew":"vision","shape":"group","urgency":"high","sheets":16,
              "vcpus":8.0,"cards":1.0,"ramGb":64.0,"kit":"img-07","sizeGb":6.2,
              "frames":["g8"],"field":null,"oneZone":true,"spread":false,"loaners":true,
@@ -47,8 +48,29 @@
     @Test
     void theSubmissionOfTheProtocol() {
         JobSpec s = Wire.submission(packed(SUBMISSION));
-        assertEquals(new JobSpec("j-000412", "train", "vision", JobSpec.Shape.GANG, JobSpec.Priority.HIGH, 16, 8, 1, 64,
-                List.of("g8"), null, true, false, true, "img-07", 6.2, 240, 30, 4, 900.0), s);
+        assertEquals(
+                new JobSpec(
+                        "j-000412",
+                        "train",
+                        "vision",
+                        JobSpec.Shape.GANG,
+                        JobSpec.Priority.HIGH,
+                        16,
+                        8,
+                        1,
+                        64,
+                        List.of("g8"),
+                        null,
+                        true,
+                        false,
+                        true,
+                        "img-07",
+                        6.2,
+                        240,
+                        30,
+                        4,
+                        900.0),
+                s);
         assertEquals(s, JobSpec.fromRecord(s.id(), Pack.value(Pack.bytes(s.toRecord()))));
     }
 
@@ -64,7 +86,9 @@
 
     @Test
     void everyFieldIsChecked() {
-        Object[] wrong = {"x", -1.0, Double.NaN, Double.POSITIVE_INFINITY, true, List.of(), null, 1e300};
+        Object[] wrong = {
+            "x", -1.0, Double.NaN, Double.POSITIVE_INFINITY, true, List.of(), null, 1e300
+        };
         for (String field : submission().keySet()) {
             int refused = 0;
             for (Object w : wrong) {
@@ -95,20 +119,30 @@
 
     @Test
     void theReportOfTheProtocol() {
-        Report r = Wire.report(packed("""
+        Report r =
+                Wire.report(
+                        packed(
+                                """
                 {"host":"i-000231","addr":"10.1.0.232:9000","frame":"g8","field":"a","loaners":true,
                  "tenure":1,"tick":88,"baton":41,"recallS":null,
                  "sheets":[{"sheet":"j-000412/3","try":2,"status":"running"},
                            {"sheet":"j-000398/0","try":1,"status":"ended","cause":"done"}]}"""));
-        assertEquals(List.of(new Report.TaskReport("j-000412", 3, 2, Report.State.RUNNING, null),
-                new Report.TaskReport("j-000398", 0, 1, Report.State.ENDED, Report.Cause.DONE)), r.tasks());
+        assertEquals(
+                List.of(
+                        new Report.TaskReport("j-000412", 3, 2, Report.State.RUNNING, null),
+                        new Report.TaskReport(
+                                "j-000398", 0, 1, Report.State.ENDED, Report.Cause.DONE)),
+                r.tasks());
         assertEquals(41, r.token());
         assertNull(r.noticeS());
     }
 
     @Test
     void anUnknownTaskStateIsNeverTakenForAnEnd() {
-        Report r = Wire.report(packed("""
+        Report r =
+                Wire.report(
+                        packed(
+                                """
                 {"host":"i-1","frame":"g8","field":"a","loaners":true,"tenure":1,"tick":1,"baton":0,
                  "sheets":[{"sheet":"j-1/0","try":1,"status":"dreaming"}]}"""));
         assertEquals(Report.State.RUNNING, r.tasks().get(0).state());
@@ -116,42 +150,66 @@
 
     @Test
     void theOrdersOfTheProtocol() {
-        Object sent = Pack.value(Wire.orders(41, List.of(new Order(Order.Verb.START, "j-000412", 4, 2, 0),
-                new Order(Order.Verb.STOP, "j-000377", 1, 1, 10), new Order(Order.Verb.FORGET, "j-000398", 0, 1, 0))));
-        assertEquals(json("""
+        Object sent =
+                Pack.value(
+                        Wire.orders(
+                                41,
+                                List.of(
+                                        new Order(Order.Verb.START, "j-000412", 4, 2, 0),
+                                        new Order(Order.Verb.STOP, "j-000377", 1, 1, 10),
+                                        new Order(Order.Verb.FORGET, "j-000398", 0, 1, 0))));
+        assertEquals(
+                json(
+                        """
                 {"baton":41,"orders":[
                    {"verb":"launch","sheet":"j-000412/4","try":2},
                    {"verb":"halt","sheet":"j-000377/1","try":1,"windDownS":10.0},
-                   {"verb":"clear","sheet":"j-000398/0","try":1}]}"""), sent);
+                   {"verb":"clear","sheet":"j-000398/0","try":1}]}"""),
+                sent);
     }
 
     @Test
     void theTransactionAndTheEventsOfTheProtocol() {
-        assertEquals(json("""
+        assertEquals(
+                json(
+                        """
                 {"when":[{"path":"a/b","stamp":0}],
                  "then":[{"write":"a/b","value":{"x":1},"tether":7},{"remove":"c/d"}]}"""),
-                Pack.value(Wire.transaction(new Store.Transaction().when("a/b", 0).put("a/b", Map.of("x", 1L), 7)
-                        .remove("c/d"))));
-        Object follow = packed("""
+                Pack.value(
+                        Wire.transaction(
+                                new Store.Transaction()
+                                        .when("a/b", 0)
+                                        .put("a/b", Map.of("x", 1L), 7)
+                                        .remove("c/d"))));
+        Object follow =
+                packed(
+                        """
                 {"epoch":433,"events":[{"write":"c/9","value":{},"stamp":433},{"remove":"c/d","stamp":432}]}""");
-        assertEquals(List.of(new Store.Entry("c/9", Map.of(), 433), new Store.Entry("c/d", null, 432)),
+        assertEquals(
+                List.of(new Store.Entry("c/9", Map.of(), 433), new Store.Entry("c/d", null, 432)),
                 Wire.events(follow));
         assertEquals(433, Wire.revision(follow));
     }
 
     @Test
     void theStateThatUsersSee() {
-        assertEquals(json("{\"nameId\":\"j-000412\",\"status\":\"running\",\"done\":3,\"running\":13}"),
+        assertEquals(
+                json("{\"nameId\":\"j-000412\",\"status\":\"running\",\"done\":3,\"running\":13}"),
                 Pack.value(Wire.jobState(new JobState("j-000412", "running", 3, 13, null), false)));
-        assertEquals(json("{\"nameId\":\"j-000412\",\"status\":\"withdrawn\"}"),
+        assertEquals(
+                json("{\"nameId\":\"j-000412\",\"status\":\"withdrawn\"}"),
                 Pack.value(Wire.jobState(new JobState("j-000412", "cancelled", 0, 0, null), true)));
     }
 
     @Test
     void theMachineTypesOfTheProtocol() {
-        var t = Wire.types(packed("""
+        var t =
+                Wire.types(
+                                packed(
+                                        """
                 {"frames":[{"name":"g8","vcpus":96,"cards":8,"ramGb":768,"localGb":200,"pullGbPerS":1.0,
-                  "rate":12.0,"spotPrice":4.5,"readyS":45,"fields":["a","b"]}]}""")).get(0);
+                  "rate":12.0,"spotPrice":4.5,"readyS":45,"fields":["a","b"]}]}"""))
+                        .get(0);
         assertEquals(96, t.cpus());
         assertEquals(4.5, t.spotPrice());
         assertEquals(List.of("a", "b"), t.zones());
@@ -161,8 +219,14 @@
     void bytesThatAreNotMessagePackAreMalformedWhateverTheyAre() {
         Random random = new Random(3);
         byte[] good = Pack.bytes(json(SUBMISSION));
-        List<byte[]> bad = new ArrayList<>(List.of(new byte[0], new byte[] {(byte) 0xc1}, Arrays.copyOf(good, 50),
-                new byte[] {(byte) 0xdd, 0x7f, -1, -1, -1}, new byte[] {(byte) 0xc4, 1, 1}));
+        List<byte[]> bad =
+                new ArrayList<>(
+                        List.of(
+                                new byte[0],
+                                new byte[] {(byte) 0xc1},
+                                Arrays.copyOf(good, 50),
+                                new byte[] {(byte) 0xdd, 0x7f, -1, -1, -1},
+                                new byte[] {(byte) 0xc4, 1, 1}));
         for (int i = 0; i < 200; i++) {
             byte[] b = good.clone();
             b[random.nextInt(b.length)] = (byte) random.nextInt();
