--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -1,7 +1,7 @@
 package io.kitepath.cli;
 
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.settings.CellsFile;
 import io.kitepath.settings.Settings;
 import io.kitepath.wire.Pack;
@@ -137,7 +137,7 @@
                                 + " of "
                                 + (s.siblings().size() + 1));
                 if (cells != null) {
-                    Directory d = CellsFile.read(cells, s.facts()).directory();
+                    CellDirectory d = CellsFile.read(cells, s.facts()).directory();
                     System.out.println(
                             cells
                                     + ": ok, cell "
@@ -148,7 +148,7 @@
                                     + d.homes());
                 }
                 return 0;
-            } catch (Malformed e) {
+            } catch (InvalidInputException e) {
                 System.err.println("kitepath: " + e.getMessage());
                 return 2;
             }
@@ -205,7 +205,7 @@
             Object job;
             try {
                 job = Settings.document(Files.readAllBytes(file));
-            } catch (java.io.IOException | Malformed e) {
+            } catch (java.io.IOException | InvalidInputException e) {
                 System.err.println("kitepath: " + file + ": " + e.getMessage());
                 return 2;
             }
--- a/src/main/java/io/kitepath/cli/Local.java
+++ b/src/main/java/io/kitepath/cli/Local.java
@@ -1,6 +1,6 @@
 package io.kitepath.cli;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.state.Keys;
 import io.kitepath.settings.Settings;
@@ -115,7 +115,7 @@
             world.runsFor = job -> taskS;
             world.reportsChanges = true;
             if (earlier != null) {
-                world.next = new Facts.StoreLimits(1000, 500, 2, 13);
+                world.next = new ClusterSettings.StoreLimits(1000, 500, 2, 13);
             }
             Loopback outside = new Loopback(group, world, labels);
             List<InetSocketAddress> services = outside.start();
--- a/src/main/java/io/kitepath/cli/Main.java
+++ b/src/main/java/io/kitepath/cli/Main.java
@@ -1,6 +1,6 @@
 package io.kitepath.cli;
 
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.settings.CellsFile;
 import io.kitepath.settings.Settings;
 import java.nio.file.Path;
@@ -58,7 +58,7 @@
             new Node(settings, cells == null ? null : CellsFile.read(cells, settings.facts()))
                     .start();
             return 0;
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             System.err.println("kitepath: " + e.getMessage());
             return 2;
         } catch (Exception e) {
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -3,7 +3,7 @@
 import io.kitepath.cloud.HttpCloud;
 import io.kitepath.core.Controller;
 import io.kitepath.core.duty.Duties;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.HttpServer;
 import io.kitepath.net.HttpServer.Request;
@@ -57,7 +57,7 @@
 
     /** Starts to listen and returns; the event loop's thread keeps the process alive. */
     void start() throws InterruptedException {
-        Facts facts = settings.facts();
+        ClusterSettings facts = settings.facts();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         EventLoop loop = group.next();
         LoopTimers timers = new LoopTimers(loop);
--- a/src/main/java/io/kitepath/cli/Rehearse.java
+++ b/src/main/java/io/kitepath/cli/Rehearse.java
@@ -1,7 +1,7 @@
 package io.kitepath.cli;
 
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.settings.Settings;
 import io.kitepath.standin.Rehearsal;
 import io.kitepath.standin.Rehearsal.Fault;
@@ -80,7 +80,7 @@
                                     || way == Way.CELLS && (r.unfinished() > 0 || r.least() < HALF);
                 }
             }
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             System.err.println("kitepath: " + e.getMessage());
             return 2;
         }
@@ -133,13 +133,13 @@
         try {
             bytes = Files.readAllBytes(f);
         } catch (IOException e) {
-            throw new Malformed(f + ": can't be read, and is no builtin plan");
+            throw new InvalidInputException(f + ": can't be read, and is no builtin plan");
         }
         try {
-            Tree t = Tree.of(Settings.document(bytes));
+            DocumentReader t = DocumentReader.of(Settings.document(bytes));
             List<Fault> faults = new ArrayList<>();
             int n = (int) t.integer("cells", 1, 100);
-            for (Tree x : t.children("faults")) {
+            for (DocumentReader x : t.children("faults")) {
                 String kind = x.text("kind");
                 if (!List.of("network", "nodes", "store", "holder", "freeze", "zone")
                         .contains(kind)) {
@@ -162,8 +162,8 @@
                     t.numberOr("bad_network", 0, 0),
                     t.has("seed") ? t.count("seed") + s - 1 : s,
                     faults);
-        } catch (Malformed e) {
-            throw new Malformed(f + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(f + ": " + e.getMessage());
         }
     }
 
--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.net.HttpClient;
@@ -32,7 +32,7 @@
     private static <T> T read(byte[] body, Function<Object, T> reading) {
         try {
             return reading.apply(Pack.value(body));
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             LOG.warn("cloud answered with a body that can't be read: {}", e.getMessage());
             return null;
         }
@@ -80,7 +80,7 @@
     }
 
     private static boolean outage(byte[] body) {
-        String why = read(body, b -> io.kitepath.core.model.Tree.of(b).textOr("error", ""));
+        String why = read(body, b -> io.kitepath.core.model.DocumentReader.of(b).textOr("error", ""));
         return why == null || !why.equals("no capacity");
     }
 
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -15,22 +15,22 @@
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.lead.Views;
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Figure;
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Metric;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JobState;
+import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Spent;
-import io.kitepath.core.model.Spent.On;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.LoopTimeAccounting;
+import io.kitepath.core.model.LoopTimeAccounting.Activity;
 import io.kitepath.core.place.Placer;
-import io.kitepath.core.port.Cells;
+import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.DirectCommands;
-import io.kitepath.core.port.Siblings;
+import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
@@ -61,10 +61,10 @@
     /** A minute. */
     private static final int SUMMARY_TICKS = 240;
 
-    final Facts facts;
+    final ClusterSettings facts;
     private final Timers timers;
     private final DirectStops stops;
-    private final Siblings siblings;
+    private final PeerNodes siblings;
     final Block block;
     final Heartbeats heartbeats;
     final Placer placer;
@@ -74,7 +74,7 @@
     private final Gossip gossip;
     final KnownCancellations known;
     private final CancellationProof proof;
-    private final Spent spent;
+    private final LoopTimeAccounting spent;
     private final Takeover takeover;
     private final Rentals rentals;
     final Intents intents;
@@ -87,9 +87,9 @@
     private final CellDesk cells;
 
     /** What the settings say before this cell's part of it is taken. */
-    private final Facts whole;
+    private final ClusterSettings whole;
 
-    private final Directory directory;
+    private final CellDirectory directory;
     private final HeartbeatDesk desk;
     private final RetryPace retries;
     private boolean ticking;
@@ -103,33 +103,33 @@
 
     /** A node of the only cell there is. */
     public Controller(
-            Facts facts,
+            ClusterSettings facts,
             Store store,
             Cloud cloud,
             DirectCommands direct,
             Timers timers,
-            Siblings siblings,
+            PeerNodes siblings,
             Random random) {
         this(facts, store, cloud, direct, timers, siblings, random, null, null);
     }
 
     /** {@code directory} and {@code others}: null if there are no other cells. */
     public Controller(
-            Facts settings,
+            ClusterSettings settings,
             Store store,
             Cloud cloud,
             DirectCommands direct,
             Timers timers,
-            Siblings siblings,
+            PeerNodes siblings,
             Random random,
-            Directory directory,
-            Cells others) {
+            CellDirectory directory,
+            RemoteCells others) {
         this.whole = settings;
         this.directory = directory;
         this.facts = directory == null ? settings : settings.withTeams(directory.here().teams());
         this.timers = timers;
         this.siblings = siblings;
-        this.spent = new Spent(timers::now);
+        this.spent = new LoopTimeAccounting(timers::now);
         ImageRecords images = new ImageRecords(facts);
         this.block = new Block(facts, images::recall);
         this.heartbeats = new Heartbeats(block);
@@ -257,12 +257,12 @@
     }
 
     /** A worker's report. */
-    public void heartbeat(Report report, Consumer<HeartbeatAnswer> answer) {
+    public void heartbeat(Heartbeat report, Consumer<HeartbeatResponse> answer) {
         desk.heartbeat(report, answer);
     }
 
     /** A report that a sibling asks about; {@code passOn}: the leader may be asked in turn. */
-    public void answerFor(Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
+    public void answerFor(Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
         desk.answerFor(report, passOn, answer);
     }
 
@@ -271,7 +271,7 @@
         return retries.refuse();
     }
 
-    private void ended(JobState job) {
+    private void ended(JobStatus job) {
         registry.ended(job);
     }
 
@@ -281,7 +281,7 @@
     }
 
     /** A sibling's word that the store has the job's end, which never changes. */
-    public void toldOver(JobState job) {
+    public void toldOver(JobStatus job) {
         gossip.toldOver(job);
     }
 
@@ -296,7 +296,7 @@
     }
 
     /** What this node knows of the jobs as their holder; nothing if it does not hold them. */
-    public List<Progress> progress(List<String> jobs) {
+    public List<JobProgress> progress(List<String> jobs) {
         return gossip.progress(jobs);
     }
 
@@ -315,8 +315,8 @@
         return rounds;
     }
 
-    public Map<String, Figure> figures() {
-        Map<String, Figure> all =
+    public Map<String, Metric> figures() {
+        Map<String, Metric> all =
                 new Figures(
                                 timers,
                                 block,
@@ -374,7 +374,7 @@
 
     private final class Keeping implements Keeper.Listener {
         @Override
-        public void over(JobState job) {
+        public void over(JobStatus job) {
             if (cells != null) {
                 cells.done(job.id());
             }
@@ -434,7 +434,7 @@
     /** What the desk for other cells has to know of this node. */
     private final class InCells implements CellDesk.Node {
         /** In here, so that nothing about other cells is loaded where there are none. */
-        CellDesk desk(Store store, Cells others, Random random) {
+        CellDesk desk(Store store, RemoteCells others, Random random) {
             return new CellDesk(
                     directory,
                     block,
@@ -463,7 +463,7 @@
         }
 
         @Override
-        public void cancelled(JobState job) {
+        public void cancelled(JobStatus job) {
             registry.ended(job);
             siblings.over(job);
         }
@@ -509,7 +509,7 @@
         }
         double began = timers.now();
         rentals.tend(keeper.loaded() && leadership.inTouch());
-        spent.on(On.PLANNING, began);
+        spent.on(Activity.PLANNING, began);
         ticks++;
         if (ticks % SUMMARY_TICKS == 0) {
             LOG.info(block.served().summary());
@@ -537,12 +537,12 @@
         double began = timers.now();
         placer.place(began, timers.wallMs(), 20 * facts.store().txnOps());
         double placed = timers.now();
-        spent.on(On.PLACING, began);
+        spent.on(Activity.PLACING, began);
         keeper.write(this::written);
         double wrote = timers.now();
-        spent.on(On.WRITING, placed);
+        spent.on(Activity.WRITING, placed);
         stops.send();
-        spent.on(On.STOPPING, wrote);
+        spent.on(Activity.STOPPING, wrote);
         roundEnded = timers.now();
         roundTook = roundEnded - began;
         roundS += roundTook;
--- a/src/main/java/io/kitepath/core/DutyFigures.java
+++ b/src/main/java/io/kitepath/core/DutyFigures.java
@@ -4,9 +4,9 @@
 import io.kitepath.core.duty.Duties;
 import io.kitepath.core.duty.Intents;
 import io.kitepath.core.duty.Sweep;
-import io.kitepath.core.model.Figure;
-import io.kitepath.core.model.Spent;
-import io.kitepath.core.model.Spent.On;
+import io.kitepath.core.model.Metric;
+import io.kitepath.core.model.LoopTimeAccounting;
+import io.kitepath.core.model.LoopTimeAccounting.Activity;
 import java.util.Locale;
 import java.util.Map;
 
@@ -17,63 +17,63 @@
         Sweep sweep,
         Duties duties,
         Takeover takeover,
-        Spent spent) {
-    void addTo(Map<String, Figure> f) {
+        LoopTimeAccounting spent) {
+    void addTo(Map<String, Metric> f) {
         f.put(
                 "intents.asked",
-                Figure.total("rentals and returns put down by this node", intents::asked));
+                Metric.total("rentals and returns put down by this node", intents::asked));
         f.put(
                 "intents.taken.over",
-                Figure.total(
+                Metric.total(
                         "and those that it took over from earlier holders", intents::takenOver));
         f.put(
                 "intents.backlog",
-                Figure.now("rentals and returns that the cloud has not settled", intents::backlog));
+                Metric.now("rentals and returns that the cloud has not settled", intents::backlog));
         f.put(
                 "duty.cloud.calls",
-                Figure.total(
+                Metric.total(
                         "rentals and returns asked of the cloud by this node", carrier::called));
         f.put(
                 "duty.cloud.failed",
-                Figure.total("of those, refused or not answered", carrier::failed));
+                Metric.total("of those, refused or not answered", carrier::failed));
         f.put(
                 "duty.fenced",
-                Figure.total(
+                Metric.total(
                         "times that nothing was done since the lease of duties was not certain",
                         duties::fenced));
         f.put(
                 "cleanup.looks",
-                Figure.total(
+                Metric.total(
                         "times that this node looked through the state service", sweep::looks));
-        f.put("cleanup.removed", Figure.total("records that it removed there", sweep::removed));
+        f.put("cleanup.removed", Metric.total("records that it removed there", sweep::removed));
         f.put(
                 "cleanup.strange",
-                Figure.now("records that should not be, by its last look", sweep::strange));
+                Metric.now("records that should not be, by its last look", sweep::strange));
         for (Duties.Seat d : duties.seats()) {
             f.put(
                     "duty." + d.name() + ".here",
-                    Figure.now("whether this node has the duty", () -> d.mine() ? 1 : 0));
+                    Metric.now("whether this node has the duty", () -> d.mine() ? 1 : 0));
             f.put(
                     "duty." + d.name() + ".token",
-                    Figure.now("the token of whoever has it", d::token));
+                    Metric.now("the token of whoever has it", d::token));
             f.put(
                     "duty." + d.name() + ".hand.overs",
-                    Figure.total("times that it was seen to change hands", d::handOvers));
+                    Metric.total("times that it was seen to change hands", d::handOvers));
         }
         f.put(
                 "takeover.read",
-                Figure.now(
+                Metric.now(
                         "seconds from winning the lease until the jobs were read",
                         takeover::readS));
         f.put(
                 "takeover.reported",
-                Figure.now(
+                Metric.now(
                         "seconds from winning the lease until nearly all machines had reported",
                         takeover::mostS));
-        for (On on : On.values()) {
+        for (Activity on : Activity.values()) {
             f.put(
                     "time." + on.name().toLowerCase(Locale.ROOT).replace('_', '.'),
-                    Figure.total(
+                    Metric.total(
                             "seconds of the event loop, by activity", () -> spent.seconds(on)));
         }
     }
--- a/src/main/java/io/kitepath/core/Figures.java
+++ b/src/main/java/io/kitepath/core/Figures.java
@@ -8,7 +8,7 @@
 import io.kitepath.core.lead.KnownCancellations;
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.lead.Views;
-import io.kitepath.core.model.Figure;
+import io.kitepath.core.model.Metric;
 import io.kitepath.core.place.Placer;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.serve.HeartbeatDesk;
@@ -52,58 +52,58 @@
         this.desk = desk;
     }
 
-    Map<String, Figure> all(DoubleSupplier roundS, DoubleSupplier directCommands) {
-        Map<String, Figure> f = new LinkedHashMap<>();
-        f.put("leading", Figure.now("1 while this node leads", () -> leadership.leading() ? 1 : 0));
-        f.put("token", Figure.now("highest token known", leadership::highest));
+    Map<String, Metric> all(DoubleSupplier roundS, DoubleSupplier directCommands) {
+        Map<String, Metric> f = new LinkedHashMap<>();
+        f.put("leading", Metric.now("1 while this node leads", () -> leadership.leading() ? 1 : 0));
+        f.put("token", Metric.now("highest token known", leadership::highest));
         f.put(
                 "store.unserved",
-                Figure.now("seconds since the state service answered", leadership::unservedS));
+                Metric.now("seconds since the state service answered", leadership::unservedS));
         f.put(
                 "cancellations.known.age",
-                Figure.now(
+                Metric.now(
                         "seconds ago until when the holder knows what was cancelled; NaN"
                                 + " while this node does not lead",
                         () -> leadership.leading() ? known.ageS() : Double.NaN));
-        f.put("jobs", Figure.now("jobs in the holder's memory", () -> block.jobs().size()));
+        f.put("jobs", Metric.now("jobs in the holder's memory", () -> block.jobs().size()));
         f.put(
                 "tasks.waiting",
-                Figure.now(
+                Metric.now(
                         "tasks without a machine",
                         () -> block.jobs().values().stream().mapToInt(Job::waiting).sum()));
         f.put(
                 "attempts",
-                Figure.now(
+                Metric.now(
                         "attempts not proven over",
                         () -> block.jobs().values().stream().mapToInt(j -> j.live().size()).sum()));
-        f.put("machines", Figure.now("machines known", () -> block.machines().size()));
+        f.put("machines", Metric.now("machines known", () -> block.machines().size()));
         f.put(
                 "machines.starting",
-                Figure.now(
+                Metric.now(
                         "machines rented that have not reported yet",
                         () -> machines(m -> !m.reported())));
         f.put(
                 "machines.late",
-                Figure.now(
+                Metric.now(
                         "of those, later than boots take these days",
                         () -> machines(m -> block.boots().late(m, timers.now()))));
         f.put(
                 "jobs.mistaken",
-                Figure.now(
+                Metric.now(
                         "jobs that fail on every machine",
                         () ->
                                 block.jobs().values().stream()
                                         .filter(j -> block.failures().mistaken(j, timers.now()))
                                         .count()));
-        f.put("jobs.held", Figure.now("jobs that wait for others", () -> block.pipelines().held()));
+        f.put("jobs.held", Metric.now("jobs that wait for others", () -> block.pipelines().held()));
         f.put(
                 "jobs.cascade",
-                Figure.now(
+                Metric.now(
                         "jobs still to be cancelled for one that they need",
                         () -> block.pipelines().cascade()));
         f.put(
                 "jobs.narrow",
-                Figure.now(
+                Metric.now(
                         "jobs laid out in narrower parts",
                         () ->
                                 block.jobs().values().stream()
@@ -111,44 +111,44 @@
                                         .count()));
         f.put(
                 "store.invalid",
-                Figure.total(
+                Metric.total(
                         "transactions that the state service refused for good", keeper::invalid));
         f.put(
                 "store.oversize",
-                Figure.total("times that a record was put off as too large", keeper::oversize));
+                Metric.total("times that a record was put off as too large", keeper::oversize));
         f.put(
                 "siblings.silent",
-                Figure.now("siblings from which nothing is heard", views::silentOnes));
+                Metric.now("siblings from which nothing is heard", views::silentOnes));
         f.put(
                 "machines.set.aside",
-                Figure.now("machines set aside for failing", () -> machines(Machine::setAside)));
-        f.put("checkins", Figure.total("check-ins received", desk::received));
-        f.put("checkins.relayed", Figure.total("check-ins relayed to the leader", desk::relayed));
-        f.put("attempts.ended", Figure.total("attempts proven over", block::ends));
-        f.put("attempts.lost", Figure.total("attempts lost with machine or session", block::lost));
+                Metric.now("machines set aside for failing", () -> machines(Machine::setAside)));
+        f.put("checkins", Metric.total("check-ins received", desk::received));
+        f.put("checkins.relayed", Metric.total("check-ins relayed to the leader", desk::relayed));
+        f.put("attempts.ended", Metric.total("attempts proven over", block::ends));
+        f.put("attempts.lost", Metric.total("attempts lost with machine or session", block::lost));
         f.put(
                 "attempts.evicted",
-                Figure.total(
+                Metric.total(
                         "attempts stopped for work of more right",
                         () -> placer.preemption().evictions()));
         f.put(
                 "attempts.evicted.for.guarantees",
-                Figure.total(
+                Metric.total(
                         "of those, the ones that a guarantee was the reason for",
                         () -> placer.preemption().forGuarantees()));
         f.put(
                 "attempts.evicted.for.large",
-                Figure.total(
+                Metric.total(
                         "and the ones that made room for gangs and large tasks",
                         () -> placer.preemption().forGangs()));
         f.put(
                 "served.least",
-                Figure.now(
+                Metric.now(
                         "the lowest share of jobs in time, of all classes, their largest jobs, and teams as of late",
                         () -> block.served().leastShare()));
         f.put(
                 "served.least.largest",
-                Figure.now(
+                Metric.now(
                         "the lowest share of a class's largest jobs",
                         () ->
                                 block.served().largest().values().stream()
@@ -157,7 +157,7 @@
                                         .orElse(1)));
         f.put(
                 "jobs.missed",
-                Figure.total(
+                Metric.total(
                         "jobs that were not done by the last time expected of them",
                         () ->
                                 block.served().classes().values().stream()
@@ -165,21 +165,21 @@
                                         .sum()));
         f.put(
                 "direct.commands",
-                Figure.total("machines told directly to stop tasks", directCommands));
-        f.put("probes", Figure.total("machines probed", () -> placer.placement().probes()));
+                Metric.total("machines told directly to stop tasks", directCommands));
+        f.put("probes", Metric.total("machines probed", () -> placer.placement().probes()));
         f.put(
                 "probes.passed",
-                Figure.total("probes that passed", () -> placer.placement().passed()));
-        f.put("scans", Figure.total("scans of the block", () -> placer.placement().scans()));
-        f.put("attempts.launched", Figure.total("launch orders given", heartbeats::launches));
+                Metric.total("probes that passed", () -> placer.placement().passed()));
+        f.put("scans", Metric.total("scans of the block", () -> placer.placement().scans()));
+        f.put("attempts.launched", Metric.total("launch orders given", heartbeats::launches));
         f.put(
                 "attempts.launch.delay",
-                Figure.total(
+                Metric.total(
                         "seconds from placings to their launch orders, added up",
                         heartbeats::launchDelayS));
-        f.put("rounds.time", Figure.total("seconds spent in placing and writing down", roundS));
-        f.put("store.records", Figure.total("records written by the holder", keeper::written));
-        f.put("store.rounds", Figure.total("transactions written by the holder", keeper::rounds));
+        f.put("rounds.time", Metric.total("seconds spent in placing and writing down", roundS));
+        f.put("store.records", Metric.total("records written by the holder", keeper::written));
+        f.put("store.rounds", Metric.total("transactions written by the holder", keeper::rounds));
         return f;
     }
 
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -6,10 +6,10 @@
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.lead.Views;
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.port.Siblings;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.serve.Questions;
 import java.util.List;
@@ -20,9 +20,9 @@
 final class Gossip implements Questions.Holder {
     private static final double EVERY_S = 1;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Timers timers;
-    private final Siblings siblings;
+    private final PeerNodes siblings;
     private final Leadership leadership;
     private final Views views;
     private final Block block;
@@ -32,7 +32,7 @@
     /** Whether this node holds the block and knows the jobs. */
     private final BooleanSupplier holds;
 
-    private final Consumer<JobState> ended;
+    private final Consumer<JobStatus> ended;
     private final Runnable changed;
 
     /**
@@ -42,13 +42,13 @@
      */
     Gossip(
             Timers timers,
-            Siblings siblings,
+            PeerNodes siblings,
             Leadership leadership,
             Views views,
             Block block,
             KnownCancellations known,
             BooleanSupplier holds,
-            Consumer<JobState> ended,
+            Consumer<JobStatus> ended,
             Runnable changed) {
         this.facts = block.facts();
         this.timers = timers;
@@ -109,7 +109,7 @@
     }
 
     /** A sibling's word that the store has the job's end, which never changes. */
-    void toldOver(JobState job) {
+    void toldOver(JobStatus job) {
         ended.accept(job);
         if (block.jobOver(job.id())) {
             changed.run();
@@ -125,7 +125,7 @@
     }
 
     /** What this node knows of the jobs as their holder; nothing if it does not hold them. */
-    List<Progress> progress(List<String> jobs) {
+    List<JobProgress> progress(List<String> jobs) {
         return holds.getAsBoolean() ? block.progress(jobs, timers.now()) : List.of();
     }
 
@@ -133,7 +133,7 @@
     // ----------------------------------------------
 
     @Override
-    public void progress(List<String> jobs, Consumer<List<Progress>> answer) {
+    public void progress(List<String> jobs, Consumer<List<JobProgress>> answer) {
         String leader = leadership.leader();
         if (leadership.leading()) {
             answer.accept(progress(jobs));
--- a/src/main/java/io/kitepath/core/block/Attempt.java
+++ b/src/main/java/io/kitepath/core/block/Attempt.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.block;
 
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 
 /**
  * One placing of one task on one machine. It stays unproven, and counts against every limit, until
@@ -35,7 +35,7 @@
     /** Whether a report of the current holder's time has shown it. */
     boolean seen;
 
-    Report.State state;
+    Heartbeat.TaskState state;
     double runningSince = Double.NaN;
     boolean ended;
     int endedVersion;
@@ -69,13 +69,13 @@
     }
 
     /** Null until a report has shown it. */
-    public Report.State state() {
+    public Heartbeat.TaskState state() {
         return state;
     }
 
     /** Whether it waits for its image, or will if the machine does not have it. */
     boolean fetching() {
-        return !unwanted() && (state == null || state == Report.State.FETCHING);
+        return !unwanted() && (state == null || state == Heartbeat.TaskState.FETCHING);
     }
 
     /** Whether it was wanted stopped, so that its end is under way. */
@@ -110,7 +110,7 @@
         return every > 0 ? Math.min(ranS(now), Math.min(every, job.spec.saveS())) : ranS(now);
     }
 
-    boolean is(Report.TaskReport t) {
+    boolean is(Heartbeat.TaskStatus t) {
         return task == t.task() && number == t.attempt() && job.spec.id().equals(t.job());
     }
 
--- a/src/main/java/io/kitepath/core/block/Block.java
+++ b/src/main/java/io/kitepath/core/block/Block.java
@@ -1,13 +1,13 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report.Cause;
-import io.kitepath.core.model.Report.State;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.port.Cloud;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -32,7 +32,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Block.class);
     private static final int TOMBSTONES = 5000;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private final Map<String, MachineType> typesView = Collections.unmodifiableMap(types);
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -81,7 +81,7 @@
     private boolean backlog;
 
     /** {@code newcomers} is told of every machine that becomes known. */
-    public Block(Facts facts, Consumer<Machine> newcomers) {
+    public Block(ClusterSettings facts, Consumer<Machine> newcomers) {
         this.facts = facts;
         this.teamUse = new TeamUse(facts);
         this.newcomers = newcomers;
@@ -93,7 +93,7 @@
         this.recordBytes = facts.store().valueBytes();
     }
 
-    public Facts facts() {
+    public ClusterSettings facts() {
         return facts;
     }
 
@@ -318,8 +318,8 @@
      * How far those of the jobs are that are known here and not about to be cancelled for one
      * before them.
      */
-    public List<Progress> progress(List<String> ids, double now) {
-        List<Progress> out = new ArrayList<>();
+    public List<JobProgress> progress(List<String> ids, double now) {
+        List<JobProgress> out = new ArrayList<>();
         for (String id : ids) {
             Job job = jobs.get(id);
             if (job != null && !job.doomed) {
@@ -355,14 +355,14 @@
      * The attempt is proven over. It stays on the machine's list until that is written, and is
      * cleared after.
      */
-    void end(Attempt a, Cause cause, double now) {
+    void end(Attempt a, EndCause cause, double now) {
         if (a.ended) {
             return;
         }
         Job job = a.job;
         teamUse.count(job.spec, -1);
         a.ended = true;
-        a.state = State.ENDED;
+        a.state = TaskState.ENDED;
         job.liveRemove(a);
         job.stopping -= a.stopping() ? 1 : 0;
         ends++;
@@ -383,10 +383,10 @@
         a.endedVersion = job.version();
     }
 
-    private void judge(Attempt a, Cause cause, double now) {
+    private void judge(Attempt a, EndCause cause, double now) {
         Job job = a.job;
         Machine m = a.machine;
-        switch (cause == null ? Cause.STOPPED : cause) {
+        switch (cause == null ? EndCause.STOPPED : cause) {
             case DONE -> {
                 failures.succeeded(a);
                 if (job.spec.shape() == JobSpec.Shape.SERVICE) {
@@ -408,11 +408,11 @@
             }
             default -> LOG.debug("attempt {} ended: {}", a, cause);
         }
-        if (job.spec.gang() && cause != Cause.DONE) {
-            if (cause == Cause.ALONE) {
+        if (job.spec.gang() && cause != EndCause.DONE) {
+            if (cause == EndCause.ALONE) {
                 hasImage(a);
             }
-            if (cause == Cause.ALONE && fetching(job) && (m.reservedFor == null || m.kept)) {
+            if (cause == EndCause.ALONE && fetching(job) && (m.reservedFor == null || m.kept)) {
                 m.reserve(job, now + 3 * fetchS(job.spec) + facts.workers().gangWaitS());
             }
             restartOnceFetched(job);
@@ -436,7 +436,7 @@
 
     private static boolean fetching(Job job) {
         return job.live.values().stream()
-                .anyMatch(a -> a.seen && !a.unwanted() && a.state == State.FETCHING);
+                .anyMatch(a -> a.seen && !a.unwanted() && a.state == TaskState.FETCHING);
     }
 
     private double fetchS(JobSpec s) {
@@ -531,7 +531,7 @@
      * A worker has an attempt that nothing placed there: it counts until it is proven over, and is
      * stopped.
      */
-    void strayed(Job job, int task, long number, State state, Machine m, double now) {
+    void strayed(Job job, int task, long number, TaskState state, Machine m, double now) {
         LOG.error("machine {} has {}/{} which was not placed there", m.id, job.spec.id(), task);
         unwritten.changed(job.touch(task));
         Attempt a = new Attempt(job, task, number, m, now, job.version());
@@ -588,7 +588,7 @@
     /** The attempt went with its machine or its worker's session. */
     void lose(Attempt a, double now) {
         lost++;
-        end(a, Cause.STOPPED, now);
+        end(a, EndCause.STOPPED, now);
     }
 
     /** What the cloud says exists. A list can be old, so it never proves a machine gone. */
--- a/src/main/java/io/kitepath/core/block/Failures.java
+++ b/src/main/java/io/kitepath/core/block/Failures.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat;
 import java.util.Map;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -22,10 +22,10 @@
     /** After that many failed starts since its last success a machine is set aside. */
     private static final int BLAME = 2;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Map<String, Machine> machines;
 
-    Failures(Facts facts, Map<String, Machine> machines) {
+    Failures(ClusterSettings facts, Map<String, Machine> machines) {
         this.facts = facts;
         this.machines = machines;
     }
@@ -104,7 +104,7 @@
         }
         double proof = 2 * (job.failedWithinS + facts.workers().reportS());
         return job.live.values().stream()
-                .noneMatch(a -> a.state == Report.State.RUNNING && now - a.runningSince > proof);
+                .noneMatch(a -> a.state == Heartbeat.TaskState.RUNNING && now - a.runningSince > proof);
     }
 
     /**
--- a/src/main/java/io/kitepath/core/block/Heartbeats.java
+++ b/src/main/java/io/kitepath/core/block/Heartbeats.java
@@ -1,10 +1,10 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Report.Cause;
-import io.kitepath.core.model.Report.State;
-import io.kitepath.core.model.Report.TaskReport;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.Heartbeat.TaskStatus;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -55,7 +55,7 @@
      * which something may be on machines even before. Answers what to do about tasks that are not
      * ours, or no longer; {@link #commands} has the rest.
      */
-    public List<Order> heartbeat(Report r, boolean loaded, Predicate<String> mayRun, double now) {
+    public List<WorkerCommand> heartbeat(Heartbeat r, boolean loaded, Predicate<String> mayRun, double now) {
         if (block.buried(r.machine())) {
             return List.of();
         }
@@ -105,7 +105,7 @@
                     r.tasks().size());
         }
         m.proven = true;
-        List<Order> orders = reconcile(m, r, now);
+        List<WorkerCommand> orders = reconcile(m, r, now);
         if (open != m.open()) {
             block.change();
         }
@@ -116,7 +116,7 @@
      * Whether it is newer than all that was read of its machine, so that the worker may wait for
      * what it is answered.
      */
-    public boolean news(Report r) {
+    public boolean news(Heartbeat r) {
         Machine m = block.machines().get(r.machine());
         return m == null || r.newerThan(m.session, m.sequence);
     }
@@ -126,7 +126,7 @@
      * from it. Guards against a holder that gives back its whole fleet as silent, once the store is
      * back, since it answered nobody.
      */
-    public void unanswered(Report r, double now) {
+    public void unanswered(Heartbeat r, double now) {
         Machine m = block.machines().get(r.machine());
         if (m != null && r.newerThan(m.session, m.sequence)) {
             m.unanswered(now);
@@ -138,20 +138,20 @@
      * that keeps the lease of a cancelled job's task because the machine has not shown our token
      * yet.
      */
-    private static List<Order> stops(Report r, Predicate<String> mayRun) {
+    private static List<WorkerCommand> stops(Heartbeat r, Predicate<String> mayRun) {
         return r.tasks().stream()
-                .filter(t -> t.state() != State.ENDED && !mayRun.test(t.job()))
+                .filter(t -> t.state() != TaskState.ENDED && !mayRun.test(t.job()))
                 .limit(MAX_ORDERS)
-                .map(t -> new Order(Order.Verb.STOP, t.job(), t.task(), t.attempt(), 0))
+                .map(t -> new WorkerCommand(WorkerCommand.Action.STOP, t.job(), t.task(), t.attempt(), 0))
                 .toList();
     }
 
-    private List<Order> reconcile(Machine m, Report r, double now) {
-        List<Order> orders = new ArrayList<>();
-        List<TaskReport> strays = new ArrayList<>();
+    private List<WorkerCommand> reconcile(Machine m, Heartbeat r, double now) {
+        List<WorkerCommand> orders = new ArrayList<>();
+        List<TaskStatus> strays = new ArrayList<>();
         int before = m.attempts.size();
         int reading = ++m.readings;
-        for (TaskReport t : r.tasks()) {
+        for (TaskStatus t : r.tasks()) {
             Job job = block.jobs().get(t.job());
             Attempt a = job == null ? null : job.live.get(t.task());
             if (a != null && a.machine == m && a.number == t.attempt()) {
@@ -168,13 +168,13 @@
         }
         m.endedLately = before > m.attempts.size();
         m.strangers = 0;
-        for (TaskReport t : strays) {
+        for (TaskStatus t : strays) {
             stray(m, t, orders, now);
         }
         return orders;
     }
 
-    private void present(Attempt a, TaskReport t, double now) {
+    private void present(Attempt a, TaskStatus t, double now) {
         if (!a.seen) {
             a.seen = true;
             a.machine.unconfirmed--;
@@ -184,9 +184,9 @@
         if (t.state() != a.state) {
             a.state = t.state();
             a.machine.progressed();
-            if (t.state() == State.WAITING) {
+            if (t.state() == TaskState.WAITING) {
                 block.hasImage(a);
-            } else if (t.state() == State.RUNNING) {
+            } else if (t.state() == TaskState.RUNNING) {
                 a.runningSince = now;
                 a.job.ran.add(now);
                 if (a.placedVersion > 0) {
@@ -199,7 +199,7 @@
                 block.hasImage(a);
             }
         }
-        if (t.state() == State.ENDED) {
+        if (t.state() == TaskState.ENDED) {
             block.end(a, t.cause(), now);
         }
     }
@@ -210,14 +210,14 @@
             LOG.info("attempt {} lost with its session", a);
             block.lose(a, now);
         } else if (a.durable && (a.unwanted() || a.machine.releasing)) {
-            block.end(a, Cause.STOPPED, now);
+            block.end(a, EndCause.STOPPED, now);
         } else if (a.launched
                 && a.job.spec.gang()
                 && a.job.live.values().stream()
-                        .anyMatch(x -> x.state == State.RUNNING || x.state == State.SAVING)) {
+                        .anyMatch(x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING)) {
             // A gang that ran without this task has lost it; starting it again would not bring the
             // others back.
-            block.end(a, Cause.PEERS, now);
+            block.end(a, EndCause.PEERS, now);
         }
         // Otherwise it was never executed, and this very answer launches it (again).
         boolean ordered = a.ordered;
@@ -231,14 +231,14 @@
             // hears nothing.
             LOG.warn("machine {} reports and does not start what it is told to", a.machine.id);
             a.machine.deaf(now);
-            block.end(a, Cause.STOPPED, now);
+            block.end(a, EndCause.STOPPED, now);
         }
     }
 
     /** The worker has a task that we have not placed there. */
-    private void stray(Machine m, TaskReport t, List<Order> orders, double now) {
-        if (t.state() == State.ENDED) {
-            orders.add(new Order(Order.Verb.FORGET, t.job(), t.task(), t.attempt(), 0));
+    private void stray(Machine m, TaskStatus t, List<WorkerCommand> orders, double now) {
+        if (t.state() == TaskState.ENDED) {
+            orders.add(new WorkerCommand(WorkerCommand.Action.FORGET, t.job(), t.task(), t.attempt(), 0));
             return;
         }
         Job job = block.jobs().get(t.job());
@@ -254,16 +254,16 @@
             return;
         }
         m.strangers++;
-        orders.add(new Order(Order.Verb.STOP, t.job(), t.task(), t.attempt(), 0));
+        orders.add(new WorkerCommand(WorkerCommand.Action.STOP, t.job(), t.task(), t.attempt(), 0));
     }
 
     /**
      * What the machine's worker shall start and stop, to be sent only as the answer to its latest
      * report.
      */
-    public List<Order> commands(String machine, boolean mayStart, double now) {
+    public List<WorkerCommand> commands(String machine, boolean mayStart, double now) {
         Machine m = block.machines().get(machine);
-        List<Order> orders = new ArrayList<>();
+        List<WorkerCommand> orders = new ArrayList<>();
         if (m == null || !m.proven) {
             return orders;
         }
@@ -282,7 +282,7 @@
                 }
                 a.launched = true;
                 a.ordered = true;
-                orders.add(new Order(Order.Verb.START, a.job.spec.id(), a.task, a.number, 0));
+                orders.add(new WorkerCommand(WorkerCommand.Action.START, a.job.spec.id(), a.task, a.number, 0));
             }
         }
         return orders;
@@ -293,8 +293,8 @@
      * in a report interval, and whoever the room is for waits as long. The next answer to its
      * report says it again in any case. {@code most}: machines at once.
      */
-    public Map<Machine, List<Order>> stops(int most, double now) {
-        Map<Machine, List<Order>> out = new LinkedHashMap<>();
+    public Map<Machine, List<WorkerCommand>> stops(int most, double now) {
+        Map<Machine, List<WorkerCommand>> out = new LinkedHashMap<>();
         for (Job job : block.jobs().values()) {
             if (!job.over && job.stopping == 0) {
                 continue;
@@ -317,16 +317,16 @@
         return out;
     }
 
-    private static Order stopOrder(Attempt a) {
-        return new Order(
-                Order.Verb.STOP, a.job.spec.id(), a.task, a.number, a.job.over ? 0 : a.stopGraceS);
+    private static WorkerCommand stopOrder(Attempt a) {
+        return new WorkerCommand(
+                WorkerCommand.Action.STOP, a.job.spec.id(), a.task, a.number, a.job.over ? 0 : a.stopGraceS);
     }
 
     /**
      * A worker's report in answer to direct commands. It proves what ended, but not what is absent:
      * a launch in the answer to a check-in may still be on its way to the worker.
      */
-    public void answered(Machine m, Report r, double now) {
+    public void answered(Machine m, Heartbeat r, double now) {
         if (m.gone
                 || !m.proven
                 || r.session() != m.session
@@ -335,7 +335,7 @@
             return;
         }
         m.sequence = r.sequence();
-        for (TaskReport t : r.tasks()) {
+        for (TaskStatus t : r.tasks()) {
             Job job = block.jobs().get(t.job());
             Attempt a = job == null ? null : job.live.get(t.task());
             if (a != null && a.machine == m && a.number == t.attempt()) {
--- a/src/main/java/io/kitepath/core/block/Job.java
+++ b/src/main/java/io/kitepath/core/block/Job.java
@@ -1,12 +1,12 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Json;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.JsonSize;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.DocumentReader;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Base64;
@@ -93,8 +93,8 @@
             }
             liveBytes +=
                     sign
-                            * (Json.digits(a.task)
-                                    + Json.digits(a.number)
+                            * (JsonSize.digits(a.task)
+                                    + JsonSize.digits(a.number)
                                     + 4
                                     + (first ? a.machine.id.length() + 8 : 0));
         }
@@ -287,7 +287,7 @@
      *
      * @param partTasks how many tasks are in one part where the record does not say
      */
-    public static Job of(JobRecord r, Facts facts, String key, long revision, int partTasks) {
+    public static Job of(JobRecord r, ClusterSettings facts, String key, long revision, int partTasks) {
         Job j =
                 new Job(
                         r.spec(),
@@ -530,13 +530,13 @@
     }
 
     /** The last job that it needed was done then. */
-    void ready(double atMs, Facts facts) {
+    void ready(double atMs, ClusterSettings facts) {
         sinceMs = Math.max(submittedMs, atMs);
         aim(facts);
     }
 
     /** What the jobs that need it ask of it; returns whether that is news. */
-    boolean serves(JobSpec.Priority highest, double[] endByMs, Facts facts) {
+    boolean serves(JobSpec.Priority highest, double[] endByMs, ClusterSettings facts) {
         if (highest == priority && Arrays.equals(endByMs, behindMs)) {
             return false;
         }
@@ -546,7 +546,7 @@
         return true;
     }
 
-    private void aim(Facts facts) {
+    private void aim(ClusterSettings facts) {
         double[] own =
                 Arrays.stream(facts.startWithinS(spec, heldS()))
                         .map(g -> submittedMs + g * 1000)
@@ -711,18 +711,18 @@
         return spec.shape() != JobSpec.Shape.SERVICE && left() == 0;
     }
 
-    private Progress progress;
+    private JobProgress progress;
     private double progressAt;
 
     /** Counted at most once in {@code everyS}: guards against a large job that many ask about. */
-    Progress progress(double now, double everyS, Notes notes) {
+    JobProgress progress(double now, double everyS, Notes notes) {
         if (progress == null || now - progressAt > everyS) {
             int running =
                     (int)
                             live.values().stream()
-                                    .filter(a -> a.state == Report.State.RUNNING)
+                                    .filter(a -> a.state == Heartbeat.TaskState.RUNNING)
                                     .count();
-            progress = new Progress(spec.id(), done.cardinality(), running, notes.of(this, now));
+            progress = new JobProgress(spec.id(), done.cardinality(), running, notes.of(this, now));
             progressAt = now;
         }
         return progress;
@@ -820,20 +820,20 @@
     /**
      * How far the records of a job's parts say that it is: tasks done, and placed, running or not.
      */
-    public static Progress recorded(String id, List<Object> records) {
+    public static JobProgress recorded(String id, List<Object> records) {
         int done = 0;
         int placed = 0;
         for (Object record : records) {
-            Tree t = Tree.of(record);
+            DocumentReader t = DocumentReader.of(record);
             done += doneBits(t).cardinality();
             for (Object on : ((Map<?, ?>) t.raw("live")).values()) {
                 placed += ((List<?>) on).size() / 2;
             }
         }
-        return new Progress(id, done, placed, null);
+        return new JobProgress(id, done, placed, null);
     }
 
-    private static BitSet doneBits(Tree part) {
+    private static BitSet doneBits(DocumentReader part) {
         return BitSet.valueOf(Base64.getDecoder().decode(part.text("done")));
     }
 
@@ -842,7 +842,7 @@
      * the machines.
      */
     Map<?, ?> readPart(int part, Object record, long partRevision) {
-        Tree t = Tree.of(record);
+        DocumentReader t = DocumentReader.of(record);
         parts[part].revision = partRevision;
         nextAttempt = Math.max(nextAttempt, t.count("next"));
         BitSet bits = doneBits(t);
--- a/src/main/java/io/kitepath/core/block/Loan.java
+++ b/src/main/java/io/kitepath/core/block/Loan.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.DocumentReader;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -61,7 +61,7 @@
      * @throws io.kitepath.core.model.Malformed if it did not
      */
     public static List<Loan> read(Object record, double now) {
-        Tree t = Tree.of(record);
+        DocumentReader t = DocumentReader.of(record);
         List<Loan> out = new ArrayList<>();
         for (Object o : t.list("loans")) {
             if (!(o instanceof List<?> l)
--- a/src/main/java/io/kitepath/core/block/Notes.java
+++ b/src/main/java/io/kitepath/core/block/Notes.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.block;
 
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Report.State;
+import io.kitepath.core.model.Heartbeat.TaskState;
 
 /**
  * A sentence on what an unfinished job waits for, out of what the holder knows; null if there is
@@ -100,7 +100,7 @@
     }
 
     private static String fetching(Job job) {
-        long n = job.live.values().stream().filter(a -> a.state == State.FETCHING).count();
+        long n = job.live.values().stream().filter(a -> a.state == TaskState.FETCHING).count();
         return n == 0
                 ? null
                 : (n == 1 ? "1 task fetches" : n + " tasks fetch")
--- a/src/main/java/io/kitepath/core/block/Pipelines.java
+++ b/src/main/java/io/kitepath/core/block/Pipelines.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -37,7 +37,7 @@
     /** How a job ended, and when as far as its record says. */
     private record End(boolean done, double atMs) {}
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Map<String, Job> jobs;
     private final ToDoubleFunction<JobSpec> leadS;
     private final Runnable changed;
@@ -66,7 +66,7 @@
      * @param changed runs when a job may start
      */
     Pipelines(
-            Facts facts, Map<String, Job> jobs, ToDoubleFunction<JobSpec> leadS, Runnable changed) {
+            ClusterSettings facts, Map<String, Job> jobs, ToDoubleFunction<JobSpec> leadS, Runnable changed) {
         this.facts = facts;
         this.jobs = jobs;
         this.leadS = leadS;
--- a/src/main/java/io/kitepath/core/block/Served.java
+++ b/src/main/java/io/kitepath/core/block/Served.java
@@ -1,8 +1,8 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.DocumentReader;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -144,7 +144,7 @@
         }
     }
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Map<String, Group> classes = new LinkedHashMap<>();
     private final Map<String, Group> teams = new LinkedHashMap<>();
 
@@ -159,7 +159,7 @@
     /** What was missed up to then, by the time of day, has been counted by an earlier holder. */
     private double countedUntilMs;
 
-    Served(Facts facts) {
+    Served(ClusterSettings facts) {
         this.facts = facts;
     }
 
@@ -331,14 +331,14 @@
      * @throws io.kitepath.core.model.Malformed if that is not a record of it
      */
     public void restore(Object record) {
-        Tree t = Tree.of(record);
+        DocumentReader t = DocumentReader.of(record);
         countedUntilMs = t.number("untilMs", 0);
         restore(t, "classes", "class", classes);
         restore(t, "teams", "team", teams);
         restore(t, "largest", "largest of", largest);
     }
 
-    private static void restore(Tree record, String field, String kind, Map<String, Group> into) {
+    private static void restore(DocumentReader record, String field, String kind, Map<String, Group> into) {
         if (!(record.raw(field) instanceof Map<?, ?> groups)) {
             return;
         }
--- a/src/main/java/io/kitepath/core/block/TeamUse.java
+++ b/src/main/java/io/kitepath/core/block/TeamUse.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.block;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import java.util.HashMap;
 import java.util.Locale;
@@ -10,31 +10,31 @@
 public final class TeamUse {
     /** What this decider may use of a team's limits; infinite where there is none. */
     public interface Limits {
-        double cpus(Facts.Team team);
+        double cpus(ClusterSettings.Team team);
 
-        double gpus(Facts.Team team);
+        double gpus(ClusterSettings.Team team);
     }
 
     /** As the settings say. */
     private static final class Whole implements Limits {
         @Override
-        public double cpus(Facts.Team t) {
+        public double cpus(ClusterSettings.Team t) {
             return t.cpusMax() > 0 ? t.cpusMax() : Double.POSITIVE_INFINITY;
         }
 
         @Override
-        public double gpus(Facts.Team t) {
+        public double gpus(ClusterSettings.Team t) {
             return t.gpusMax() > 0 ? t.gpusMax() : Double.POSITIVE_INFINITY;
         }
     }
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private Limits limits = new Whole();
 
     /** CPUs and GPUs by team. */
     private final Map<String, double[]> used = new HashMap<>();
 
-    TeamUse(Facts facts) {
+    TeamUse(ClusterSettings facts) {
         this.facts = facts;
     }
 
@@ -67,7 +67,7 @@
 
     /** For notes: what of the limit this decider may use, if that is less than the settings say. */
     String share(String team) {
-        Facts.Team t = facts.teams().get(team);
+        ClusterSettings.Team t = facts.teams().get(team);
         boolean part =
                 t != null
                         && !(limits instanceof Whole)
@@ -83,7 +83,7 @@
 
     /** How many more tasks of this kind the team's limit allows. */
     public int left(JobSpec s) {
-        Facts.Team t = facts.teams().get(s.team());
+        ClusterSettings.Team t = facts.teams().get(s.team());
         if (t == null) {
             return 0;
         }
--- a/src/main/java/io/kitepath/core/cell/CellDesk.java
+++ b/src/main/java/io/kitepath/core/cell/CellDesk.java
@@ -3,24 +3,24 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.cell.Neighbours.Neighbour;
-import io.kitepath.core.model.Bucket;
+import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.CellMessage.Elsewhere;
-import io.kitepath.core.model.CellMessage.Grant;
-import io.kitepath.core.model.CellMessage.Offer;
-import io.kitepath.core.model.CellMessage.Recall;
+import io.kitepath.core.model.CellMessage.Redirect;
+import io.kitepath.core.model.CellMessage.QuotaGrant;
+import io.kitepath.core.model.CellMessage.LoanOffer;
+import io.kitepath.core.model.CellMessage.LoanRecall;
 import io.kitepath.core.model.CellMessage.Summary;
-import io.kitepath.core.model.CellMessage.UserAnswer;
-import io.kitepath.core.model.CellMessage.UserAsk;
-import io.kitepath.core.model.CellMessage.Word;
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Figure;
+import io.kitepath.core.model.CellMessage.UserResponse;
+import io.kitepath.core.model.CellMessage.UserRequest;
+import io.kitepath.core.model.CellMessage.LoanStatus;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.Metric;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JobState;
+import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.place.Placement;
-import io.kitepath.core.port.Cells;
+import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
@@ -61,14 +61,14 @@
         List<Job> queue();
 
         /** A job that was lent in part is cancelled in the store. */
-        void cancelled(JobState job);
+        void cancelled(JobStatus job);
     }
 
-    private final Directory directory;
+    private final CellDirectory directory;
     private final Block block;
     private final Timers timers;
     private final Node node;
-    private final Cells cells;
+    private final RemoteCells cells;
     private final Neighbours neighbours;
     private final Here here;
     private final Spill spill;
@@ -77,18 +77,18 @@
     private final Shares shares;
     private final Homes homes;
     private final HomeJobs jobs;
-    private final Bucket budget;
+    private final TokenBucket budget;
     private double exchangedAt = Double.NEGATIVE_INFINITY;
     private long messages;
 
     public CellDesk(
-            Directory directory,
+            CellDirectory directory,
             Block block,
             Consumer<Keeper.Rider> riding,
             Store store,
             Timers timers,
             Registry registry,
-            Cells cells,
+            RemoteCells cells,
             Random random,
             Node node) {
         this.directory = directory;
@@ -120,7 +120,7 @@
         drain(directory.here().drained());
         this.homes = new Homes(directory, store, timers);
         this.jobs = new HomeJobs(directory, registry, cells, homes::agreed);
-        this.budget = new Bucket(Math.max(1, block.facts().store().writeRps() * SPILL_SHARE));
+        this.budget = new TokenBucket(Math.max(1, block.facts().store().writeRps() * SPILL_SHARE));
     }
 
     public void start() {
@@ -152,7 +152,7 @@
                 n.leader(),
                 m,
                 first -> {
-                    if (first instanceof Elsewhere e
+                    if (first instanceof Redirect e
                             && e.node() != null
                             && !e.node().equals(n.leader())) {
                         messages++;
@@ -164,34 +164,34 @@
                                 null,
                                 m,
                                 second ->
-                                        answer.accept(second instanceof Elsewhere ? null : second));
+                                        answer.accept(second instanceof Redirect ? null : second));
                     } else {
-                        answer.accept(first instanceof Elsewhere ? null : first);
+                        answer.accept(first instanceof Redirect ? null : first);
                     }
                 });
     }
 
     /** A message of another cell; every one gets one answer, null if there is none to give now. */
     public void asked(CellMessage m, Consumer<CellMessage> answer) {
-        if (m instanceof UserAsk u) {
-            jobs.asked(u, a -> answer.accept(new UserAnswer(a.verdict().name(), a.state())));
+        if (m instanceof UserRequest u) {
+            jobs.asked(u, a -> answer.accept(new UserResponse(a.verdict().name(), a.state())));
             return;
         }
         if (!node.holds()) {
             String leader = node.leader();
-            answer.accept(new Elsewhere(leader));
+            answer.accept(new Redirect(leader));
             return;
         }
         if (m instanceof Summary s) {
             neighbours.heard(s, timers.now());
             answer.accept(summary());
-        } else if (m instanceof Offer o) {
+        } else if (m instanceof LoanOffer o) {
             guests.offered(o, welcome(o), answer);
-        } else if (m instanceof Recall r) {
+        } else if (m instanceof LoanRecall r) {
             guests.recalled(r, answer);
-        } else if (m instanceof Grant g) {
+        } else if (m instanceof QuotaGrant g) {
             shares.granted(g, answer);
-        } else if (m instanceof Word w) {
+        } else if (m instanceof LoanStatus w) {
             lending.said(w, answer);
         } else {
             answer.accept(null);
@@ -199,10 +199,10 @@
     }
 
     /** Whether there is room for what is offered, by what is free now. */
-    private boolean welcome(Offer o) {
+    private boolean welcome(LoanOffer o) {
         int most = 0;
         boolean may = false;
-        for (CellMessage.Room r : here.room()) {
+        for (CellMessage.FreeCapacity r : here.room()) {
             MachineType t = block.types().get(r.kind().type());
             if (t != null && Placement.allowed(r.kind(), o.job())) {
                 may = true;
@@ -231,10 +231,10 @@
                 shares());
     }
 
-    private List<CellMessage.Share> shares() {
+    private List<CellMessage.QuotaShare> shares() {
         double cpus = 0;
         double gpus = 0;
-        for (CellMessage.Room r : here.room()) {
+        for (CellMessage.FreeCapacity r : here.room()) {
             cpus += r.cpus();
             gpus += r.gpus();
         }
@@ -329,33 +329,33 @@
         }
     }
 
-    public void figures(Map<String, Figure> f) {
+    public void figures(Map<String, Metric> f) {
         f.put(
                 "cells.silent",
-                Figure.now("other cells from which nothing is heard", neighbours::silentOnes));
+                Metric.now("other cells from which nothing is heard", neighbours::silentOnes));
         f.put(
                 "cells.tasks.lent",
-                Figure.now("tasks that other cells were offered or have taken", lending::tasksOut));
+                Metric.now("tasks that other cells were offered or have taken", lending::tasksOut));
         f.put(
                 "cells.tasks.taken",
-                Figure.now("tasks of other cells that are this one's to run", guests::tasksHere));
-        f.put("cells.lent", Figure.total("hand-overs to other cells", lending::lent));
-        f.put("cells.returned", Figure.total("hand-overs that came to an end", lending::returned));
-        f.put("cells.taken", Figure.total("hand-overs taken from other cells", guests::taken));
+                Metric.now("tasks of other cells that are this one's to run", guests::tasksHere));
+        f.put("cells.lent", Metric.total("hand-overs to other cells", lending::lent));
+        f.put("cells.returned", Metric.total("hand-overs that came to an end", lending::returned));
+        f.put("cells.taken", Metric.total("hand-overs taken from other cells", guests::taken));
         f.put(
                 "cells.refused",
-                Figure.total("hand-overs refused for lack of room", guests::refused));
+                Metric.total("hand-overs refused for lack of room", guests::refused));
         f.put(
                 "cells.shares.given",
-                Figure.total("parts of teams' limits given to other cells", shares::given));
+                Metric.total("parts of teams' limits given to other cells", shares::given));
         f.put(
                 "cells.shares.came",
-                Figure.total("parts of teams' limits that came from other cells", shares::came));
+                Metric.total("parts of teams' limits that came from other cells", shares::came));
         f.put(
                 "cells.shares.under.way",
-                Figure.now("parts given that are not known to have arrived", shares::underWay));
+                Metric.now("parts given that are not known to have arrived", shares::underWay));
         f.put(
                 "cells.messages",
-                Figure.total("messages sent to other cells by the holder", () -> messages));
+                Metric.total("messages sent to other cells by the holder", () -> messages));
     }
 }
--- a/src/main/java/io/kitepath/core/cell/Guests.java
+++ b/src/main/java/io/kitepath/core/cell/Guests.java
@@ -3,14 +3,14 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.CellMessage.Offer;
-import io.kitepath.core.model.CellMessage.Recall;
-import io.kitepath.core.model.CellMessage.Settled;
-import io.kitepath.core.model.CellMessage.Standing;
-import io.kitepath.core.model.CellMessage.Word;
+import io.kitepath.core.model.CellMessage.LoanOffer;
+import io.kitepath.core.model.CellMessage.LoanRecall;
+import io.kitepath.core.model.CellMessage.LoanSettled;
+import io.kitepath.core.model.CellMessage.LoanState;
+import io.kitepath.core.model.CellMessage.LoanStatus;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
@@ -47,7 +47,7 @@
         final int from;
         final int until;
         final double since;
-        Standing standing = Standing.TAKEN;
+        LoanState standing = LoanState.TAKEN;
         byte[] done = new byte[0];
         long next;
         long revision;
@@ -146,7 +146,7 @@
     /** Tasks of other cells that are this one's to run. */
     long tasksHere() {
         return guests.values().stream()
-                .filter(g -> g.standing == Standing.TAKEN)
+                .filter(g -> g.standing == LoanState.TAKEN)
                 .mapToLong(g -> g.until - g.from)
                 .sum();
     }
@@ -173,14 +173,14 @@
         for (Entry x : found.guests()) {
             try {
                 adopt(x, now);
-            } catch (Malformed | IllegalArgumentException bad) {
+            } catch (InvalidInputException | IllegalArgumentException bad) {
                 LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
             }
         }
     }
 
     private void adopt(Entry x, double now) {
-        Tree t = Tree.of(x.value());
+        DocumentReader t = DocumentReader.of(x.value());
         JobSpec spec = JobSpec.fromRecord(t.text("job"), t.raw("spec"));
         Guest g =
                 new Guest(
@@ -192,13 +192,13 @@
                         (int) t.integer("until", 0, spec.tasks()),
                         t.count("next"),
                         now);
-        g.standing = Standing.valueOf(t.text("standing"));
+        g.standing = LoanState.valueOf(t.text("standing"));
         g.done = Base64.getDecoder().decode(t.text("done"));
         g.revision = x.revision();
         guests.put(g.key(), g);
         Job job = job(g);
         g.job = job;
-        if (g.standing == Standing.TAKEN) {
+        if (g.standing == LoanState.TAKEN) {
             block.addJob(job);
         } else {
             block.addOver(job);
@@ -226,18 +226,18 @@
         return n;
     }
 
-    private Word word(Guest g) {
-        return new Word(own, g.number, g.standing, g.done, g.next);
+    private LoanStatus word(Guest g) {
+        return new LoanStatus(own, g.number, g.standing, g.done, g.next);
     }
 
-    private Word nothing(long number) {
-        return new Word(own, number, Standing.VOID, new byte[0], 0);
+    private LoanStatus nothing(long number) {
+        return new LoanStatus(own, number, LoanState.VOID, new byte[0], 0);
     }
 
     // ---- what homes say -------------------------------------------------------------------------
 
     /** {@code roomFor}: whether such work is welcome. */
-    void offered(Offer o, boolean roomFor, Consumer<CellMessage> answer) {
+    void offered(LoanOffer o, boolean roomFor, Consumer<CellMessage> answer) {
         String key = Keys.guest(o.home(), o.number());
         Guest known = guests.get(key);
         Numbers n = numbers(o.home(), o.floor());
@@ -259,7 +259,7 @@
         }
     }
 
-    private void take(Offer o, String key, Consumer<CellMessage> answer) {
+    private void take(LoanOffer o, String key, Consumer<CellMessage> answer) {
         Guest g =
                 new Guest(
                         o.home(),
@@ -363,14 +363,14 @@
         }
     }
 
-    void recalled(Recall r, Consumer<CellMessage> answer) {
+    void recalled(LoanRecall r, Consumer<CellMessage> answer) {
         String key = Keys.guest(r.home(), r.number());
         Guest g = guests.get(key);
         Numbers n = numbers(r.home(), r.floor());
         if (g != null && g.ending) {
             // Its end is not written yet. Guards against a word that a crash would take back.
             answer.accept(null);
-        } else if (g != null && g.standing != Standing.TAKEN) {
+        } else if (g != null && g.standing != LoanState.TAKEN) {
             answer.accept(word(g));
         } else if (g != null) {
             if (r.kill() || g.job.live().isEmpty()) {
@@ -378,8 +378,8 @@
                 end(
                         g,
                         g.job.complete()
-                                ? Standing.DONE
-                                : r.kill() ? Standing.KILLED : Standing.BACK);
+                                ? LoanState.DONE
+                                : r.kill() ? LoanState.KILLED : LoanState.BACK);
             } else {
                 answer.accept(null);
             }
@@ -398,10 +398,10 @@
      * From now on nothing more of it is placed here; what is on machines ends if the loan was
      * stopped for good.
      */
-    private void end(Guest g, Standing as) {
+    private void end(Guest g, LoanState as) {
         g.ending = true;
         g.job.leave();
-        if (as == Standing.KILLED) {
+        if (as == LoanState.KILLED) {
             new ArrayList<>(g.job.live().values()).forEach(a -> block.stop(a, 0));
         }
         riding.accept(
@@ -445,7 +445,7 @@
             if (g.ending) {
                 continue;
             }
-            if (g.standing != Standing.TAKEN) {
+            if (g.standing != LoanState.TAKEN) {
                 if (!g.settled) {
                     tell(g, now);
                 } else if (!g.forgetting && block.jobs().get(g.spec.id()) != g.job) {
@@ -453,9 +453,9 @@
                     riding.accept(new VoidNumber(g.home, g.number, g, () -> {}));
                 }
             } else if (g.job.complete()) {
-                end(g, Standing.DONE);
+                end(g, LoanState.DONE);
             } else if (g.job.live().isEmpty() && (draining || now - g.since > lease)) {
-                end(g, Standing.BACK); // Nothing of it was placed for so long that its home had
+                end(g, LoanState.BACK); // Nothing of it was placed for so long that its home had
                 // better try elsewhere.
             }
         }
@@ -474,7 +474,7 @@
                 word(g),
                 answer -> {
                     g.telling = false;
-                    if (answer instanceof Settled s && s.number() == g.number) {
+                    if (answer instanceof LoanSettled s && s.number() == g.number) {
                         g.settled = true;
                         numbers(g.home, s.floor());
                     }
--- a/src/main/java/io/kitepath/core/cell/Here.java
+++ b/src/main/java/io/kitepath/core/cell/Here.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.CellMessage.Room;
+import io.kitepath.core.model.CellMessage.FreeCapacity;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
@@ -29,7 +29,7 @@
         this.block = block;
     }
 
-    List<Room> room() {
+    List<FreeCapacity> room() {
         Map<MachineKind, double[]> free = new HashMap<>();
         for (Machine m : block.machines().values()) {
             MachineType t = block.types().get(m.type());
@@ -41,10 +41,10 @@
                 f[3] += m.busy() ? 0 : 1;
             }
         }
-        List<Room> out = new ArrayList<>();
-        free.forEach((k, f) -> out.add(new Room(k, f[0], f[1], f[2], (int) f[3])));
+        List<FreeCapacity> out = new ArrayList<>();
+        free.forEach((k, f) -> out.add(new FreeCapacity(k, f[0], f[1], f[2], (int) f[3])));
         out.sort(
-                Comparator.comparingDouble((Room r) -> -r.cpus())
+                Comparator.comparingDouble((FreeCapacity r) -> -r.cpus())
                         .thenComparing(r -> r.kind().toString()));
         return out.size() > MOST_ROOMS ? new ArrayList<>(out.subList(0, MOST_ROOMS)) : out;
     }
--- a/src/main/java/io/kitepath/core/cell/HomeJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeJobs.java
@@ -1,11 +1,11 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.model.CellMessage.UserAnswer;
-import io.kitepath.core.model.CellMessage.UserAsk;
-import io.kitepath.core.model.CellMessage.Wish;
-import io.kitepath.core.model.Directory;
+import io.kitepath.core.model.CellMessage.UserResponse;
+import io.kitepath.core.model.CellMessage.UserRequest;
+import io.kitepath.core.model.CellMessage.RequestKind;
+import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.port.Cells;
+import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.serve.Jobs;
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.serve.Registry.Answer;
@@ -20,14 +20,14 @@
  * is the only one that may accept.
  */
 final class HomeJobs implements Jobs {
-    private final Directory directory;
+    private final CellDirectory directory;
     private final Registry here;
-    private final Cells cells;
+    private final RemoteCells cells;
 
     /** Whether this cell goes by the same homes as this node. */
     private final BooleanSupplier agreed;
 
-    HomeJobs(Directory directory, Registry here, Cells cells, BooleanSupplier agreed) {
+    HomeJobs(CellDirectory directory, Registry here, RemoteCells cells, BooleanSupplier agreed) {
         this.directory = directory;
         this.here = here;
         this.cells = cells;
@@ -37,7 +37,7 @@
     @Override
     public void submit(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
         if (needs.isEmpty()) {
-            ask(new UserAsk(Wish.SUBMIT, spec.id(), spec), answer);
+            ask(new UserRequest(RequestKind.SUBMIT, spec.id(), spec), answer);
         } else if (agreed.getAsBoolean()
                 && isHere(spec.id())
                 && needs.stream().allMatch(this::isHere)) {
@@ -63,15 +63,15 @@
 
     @Override
     public void status(String id, Consumer<Answer> answer) {
-        ask(new UserAsk(Wish.STATUS, id, null), answer);
+        ask(new UserRequest(RequestKind.STATUS, id, null), answer);
     }
 
     @Override
     public void cancel(String id, Consumer<Answer> answer) {
-        ask(new UserAsk(Wish.CANCEL, id, null), answer);
+        ask(new UserRequest(RequestKind.CANCEL, id, null), answer);
     }
 
-    private void ask(UserAsk a, Consumer<Answer> answer) {
+    private void ask(UserRequest a, Consumer<Answer> answer) {
         String home = directory.home(a.id());
         if (home.equals(directory.own())) {
             asked(a, answer);
@@ -83,13 +83,13 @@
                 a,
                 got ->
                         answer.accept(
-                                got instanceof UserAnswer u
+                                got instanceof UserResponse u
                                         ? new Answer(Verdict.valueOf(u.verdict()), u.state())
                                         : Answer.LATER));
     }
 
     /** A user's question that came here, or to another cell's node that sent it on. */
-    void asked(UserAsk a, Consumer<Answer> answer) {
+    void asked(UserRequest a, Consumer<Answer> answer) {
         // Guards against two nodes with different files that each hold another cell to be the job's
         // home.
         if (!agreed.getAsBoolean() || !directory.home(a.id()).equals(directory.own())) {
--- a/src/main/java/io/kitepath/core/cell/Homes.java
+++ b/src/main/java/io/kitepath/core/cell/Homes.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
@@ -20,13 +20,13 @@
 final class Homes {
     private static final Logger LOG = LoggerFactory.getLogger(Homes.class);
 
-    private final Directory directory;
+    private final CellDirectory directory;
     private final Store store;
     private final Timers timers;
     private boolean agreed;
     private boolean said;
 
-    Homes(Directory directory, Store store, Timers timers) {
+    Homes(CellDirectory directory, Store store, Timers timers) {
         this.directory = directory;
         this.store = store;
         this.timers = timers;
@@ -41,7 +41,7 @@
                 Keys.CELLS,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
-                        Tree t = Tree.of(entry.value());
+                        DocumentReader t = DocumentReader.of(entry.value());
                         compare(t.text("homes"));
                         if (agreed && t.count("version") < directory.version()) {
                             write(entry.revision());
--- a/src/main/java/io/kitepath/core/cell/Lending.java
+++ b/src/main/java/io/kitepath/core/cell/Lending.java
@@ -5,13 +5,13 @@
 import io.kitepath.core.block.Loan;
 import io.kitepath.core.cell.Neighbours.Neighbour;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.CellMessage.Offer;
-import io.kitepath.core.model.CellMessage.Recall;
-import io.kitepath.core.model.CellMessage.Settled;
-import io.kitepath.core.model.CellMessage.Standing;
-import io.kitepath.core.model.CellMessage.Word;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.CellMessage.LoanOffer;
+import io.kitepath.core.model.CellMessage.LoanRecall;
+import io.kitepath.core.model.CellMessage.LoanSettled;
+import io.kitepath.core.model.CellMessage.LoanState;
+import io.kitepath.core.model.CellMessage.LoanStatus;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
@@ -43,7 +43,7 @@
     /** What of this the rest of the cell has to know. */
     interface Listener {
         /** Our store has it that the job, part of which was lent, is cancelled. */
-        void cancelled(JobState job);
+        void cancelled(JobStatus job);
     }
 
     private final String own;
@@ -118,7 +118,7 @@
             try {
                 Loan.read(x.value(), now).forEach(job::lend);
                 job.lentRecorded(x.revision());
-            } catch (Malformed bad) {
+            } catch (InvalidInputException bad) {
                 // Nothing of a job whose loans can't be told may be placed.
                 job.leave();
                 LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
@@ -282,8 +282,8 @@
         l.unanswered++;
         CellMessage m =
                 job.leaving()
-                        ? new Recall(own, l.number, floor(l.to), true)
-                        : new Offer(
+                        ? new LoanRecall(own, l.number, floor(l.to), true)
+                        : new LoanOffer(
                                 own,
                                 l.number,
                                 floor(l.to),
@@ -302,17 +302,17 @@
                     if (first && n != null) {
                         n.unconfirmed = Math.max(0, n.unconfirmed - 1);
                     }
-                    if (answer instanceof Word w && w.number() == l.number) {
+                    if (answer instanceof LoanStatus w && w.number() == l.number) {
                         said(w, x -> {});
                     }
                 });
     }
 
     /**
-     * The other cell's word on a loan. {@code answer}: gets {@link Settled} once what follows from
+     * The other cell's word on a loan. {@code answer}: gets {@link LoanSettled} once what follows from
      * it is written.
      */
-    void said(Word w, Consumer<CellMessage> answer) {
+    void said(LoanStatus w, Consumer<CellMessage> answer) {
         for (Job job : block.jobs().values()) {
             for (Loan l : job.loans()) {
                 if (l.number == w.number() && l.to.equals(w.cell())) {
@@ -323,21 +323,21 @@
         }
         // Guards against a former holder that calls a loan of its successor settled, which it can't
         // know of.
-        if (w.standing() != Standing.TAKEN && w.number() < nextNumber()) {
-            answer.accept(new Settled(w.number(), floor(w.cell())));
+        if (w.standing() != LoanState.TAKEN && w.number() < nextNumber()) {
+            answer.accept(new LoanSettled(w.number(), floor(w.cell())));
         } else {
             answer.accept(null);
         }
     }
 
-    private void said(Job job, Loan l, Word w, Consumer<CellMessage> answer) {
+    private void said(Job job, Loan l, LoanStatus w, Consumer<CellMessage> answer) {
         double now = timers.now();
         Neighbour n = neighbours.get(l.to);
         if (!l.written) {
             answer.accept(null);
             return;
         }
-        if (w.standing() == Standing.TAKEN) {
+        if (w.standing() == LoanState.TAKEN) {
             l.taken = true;
             l.unanswered = job.leaving() ? l.unanswered : 0;
             if (n != null) {
@@ -359,10 +359,10 @@
         }
         job.attemptsFrom(w.next());
         block.change();
-        if (n != null && w.standing() == Standing.VOID) {
+        if (n != null && w.standing() == LoanState.VOID) {
             n.refused(now, random);
         }
-        if (w.standing() == Standing.VOID || w.standing() == Standing.BACK) {
+        if (w.standing() == LoanState.VOID || w.standing() == LoanState.BACK) {
             spill.gaveBack(job.spec.id(), l.to, now);
         }
         LOG.info(
@@ -404,7 +404,7 @@
         String cell = l.to;
         List<Consumer<CellMessage>> who = waiting.remove(l.number);
         if (who != null) {
-            who.forEach(x -> x.accept(new Settled(l.number, floor(cell))));
+            who.forEach(x -> x.accept(new LoanSettled(l.number, floor(cell))));
         }
     }
 
@@ -458,7 +458,7 @@
                         job.lentBusy(false);
                         leaving.remove(id);
                         block.jobOver(id);
-                        listener.cancelled(new JobState(id, "cancelled", 0, 0));
+                        listener.cancelled(new JobStatus(id, "cancelled", 0, 0));
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/cell/Neighbours.java
+++ b/src/main/java/io/kitepath/core/cell/Neighbours.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.cell;
 
 import io.kitepath.core.model.CellMessage.Summary;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -109,10 +109,10 @@
         }
     }
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Map<String, Neighbour> all = new LinkedHashMap<>();
 
-    Neighbours(Facts facts, Iterable<String> others) {
+    Neighbours(ClusterSettings facts, Iterable<String> others) {
         this.facts = facts;
         others.forEach(n -> all.put(n, new Neighbour(n)));
     }
--- a/src/main/java/io/kitepath/core/cell/Numbers.java
+++ b/src/main/java/io/kitepath/core/cell/Numbers.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.DocumentReader;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -29,7 +29,7 @@
     /** What {@link #record} wrote. */
     static Numbers read(Object record, long revision) {
         Numbers n = new Numbers();
-        Tree t = Tree.of(record);
+        DocumentReader t = DocumentReader.of(record);
         n.floor = t.count("floor");
         for (Object o : t.list("void")) {
             n.taken.add(((Number) o).longValue());
--- a/src/main/java/io/kitepath/core/cell/Shares.java
+++ b/src/main/java/io/kitepath/core/cell/Shares.java
@@ -6,14 +6,14 @@
 import io.kitepath.core.block.TeamUse;
 import io.kitepath.core.cell.Division.Claim;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.CellMessage.Grant;
-import io.kitepath.core.model.CellMessage.Granted;
-import io.kitepath.core.model.CellMessage.Share;
+import io.kitepath.core.model.CellMessage.QuotaGrant;
+import io.kitepath.core.model.CellMessage.QuotaGrantAccepted;
+import io.kitepath.core.model.CellMessage.QuotaShare;
 import io.kitepath.core.model.CellMessage.Summary;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
@@ -125,7 +125,7 @@
     private final Map<String, List<Consumer<CellMessage>>> taking = new HashMap<>();
 
     private final long[] room = new long[KINDS];
-    private List<Share> told = List.of();
+    private List<QuotaShare> told = List.of();
     private long sequence;
     private long given;
     private long came;
@@ -180,7 +180,7 @@
         }
         for (Entry x : found.shares()) {
             try {
-                Tree t = Tree.of(x.value());
+                DocumentReader t = DocumentReader.of(x.value());
                 Held h = of(t.text("team"));
                 h.revision = x.revision();
                 h.moved[0] = t.integer("cpus", Long.MIN_VALUE, Long.MAX_VALUE);
@@ -196,7 +196,7 @@
                     out.written = true;
                     h.out.add(out);
                 }
-            } catch (Malformed | ClassCastException | IndexOutOfBoundsException bad) {
+            } catch (InvalidInputException | ClassCastException | IndexOutOfBoundsException bad) {
                 LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
             }
         }
@@ -204,31 +204,31 @@
 
     // ---- what may be used -----------------------------------------------------------------------
 
-    private static long whole(Facts.Team t, int kind) {
+    private static long whole(ClusterSettings.Team t, int kind) {
         double max = kind == 0 ? t.cpusMax() : t.gpusMax();
         return max <= 0 ? UNLIMITED : (long) Math.floor(max * 1000 + 1e-3);
     }
 
     /** The cell's share now; unlimited if the team has no limit. */
-    private long holds(Facts.Team t, int kind) {
+    private long holds(ClusterSettings.Team t, int kind) {
         long part = whole(t, kind);
         Held h = held.get(t.name());
         return part == UNLIMITED || h == null ? part : Math.max(0, part + h.moved[kind]);
     }
 
-    private long mayUse(Facts.Team t, int kind) {
+    private long mayUse(ClusterSettings.Team t, int kind) {
         Held h = held.get(t.name());
         return h == null ? holds(t, kind) : Math.min(holds(t, kind), h.cap[kind]);
     }
 
     @Override
-    public double cpus(Facts.Team t) {
+    public double cpus(ClusterSettings.Team t) {
         long may = mayUse(t, 0);
         return may == UNLIMITED ? Double.POSITIVE_INFINITY : may / 1000.0;
     }
 
     @Override
-    public double gpus(Facts.Team t) {
+    public double gpus(ClusterSettings.Team t) {
         long may = mayUse(t, 1);
         return may == UNLIMITED ? Double.POSITIVE_INFINITY : may / 1000.0;
     }
@@ -250,17 +250,17 @@
      * @param freeCpus CPUs and GPUs that are free on its machines: what it can't use it does not
      *     want
      */
-    List<Share> told(double freeCpus, double freeGpus) {
+    List<QuotaShare> told(double freeCpus, double freeGpus) {
         room[0] = (long) (freeCpus * 1000);
         room[1] = (long) (freeGpus * 1000);
-        Map<String, Share> rows = new HashMap<>();
+        Map<String, QuotaShare> rows = new HashMap<>();
         Map<String, List<Job>> waiting = new HashMap<>();
         for (Job j : block.jobs().values()) {
             if (j.waiting() > 0) {
                 waiting.computeIfAbsent(j.spec.team(), k -> new ArrayList<>()).add(j);
             }
         }
-        for (Facts.Team t : block.facts().teams().values()) {
+        for (ClusterSettings.Team t : block.facts().teams().values()) {
             for (int kind = 0; kind < KINDS; kind++) {
                 if (whole(t, kind) != UNLIMITED) {
                     rows.put(
@@ -269,13 +269,13 @@
                 }
             }
         }
-        List<Share> out = new ArrayList<>(rows.values());
-        out.sort(Comparator.comparingLong((Share s) -> -s.wants()).thenComparing(Share::team));
+        List<QuotaShare> out = new ArrayList<>(rows.values());
+        out.sort(Comparator.comparingLong((QuotaShare s) -> -s.wants()).thenComparing(QuotaShare::team));
         told = out.size() > MOST_TOLD ? new ArrayList<>(out.subList(0, MOST_TOLD)) : out;
         return told;
     }
 
-    private Share row(Facts.Team t, int kind, List<Job> waiting) {
+    private QuotaShare row(ClusterSettings.Team t, int kind, List<Job> waiting) {
         long wants = 0;
         Job first = null;
         for (Job j : waiting) {
@@ -292,7 +292,7 @@
         long head =
                 first == null ? 0 : need(first.spec, kind, first.spec.gang() ? first.waiting() : 1);
         wants = room[kind] < head ? 0 : Math.min(wants, room[kind]);
-        return new Share(
+        return new QuotaShare(
                 t.name(),
                 kind,
                 holds(t, kind),
@@ -323,7 +323,7 @@
     void divide(Collection<Summary> others) {
         Map<String, List<Claim>> claims = new HashMap<>();
         for (Summary s : others) {
-            for (Share x : s.shares()) {
+            for (QuotaShare x : s.shares()) {
                 claims.computeIfAbsent(x.team() + '\0' + x.kind(), k -> new ArrayList<>())
                         .add(
                                 new Claim(
@@ -336,12 +336,12 @@
                                         x.since()));
             }
         }
-        Map<String, Share> mine = new HashMap<>();
+        Map<String, QuotaShare> mine = new HashMap<>();
         told.forEach(x -> mine.put(x.team() + '\0' + x.kind(), x));
         held.values().forEach(h -> Arrays.fill(h.cap, UNLIMITED));
         claims.forEach(
                 (k, list) -> {
-                    Share x = mine.get(k);
+                    QuotaShare x = mine.get(k);
                     if (x != null && list.stream().anyMatch(c -> c.wants() > 0)) {
                         list.add(
                                 new Claim(
@@ -352,7 +352,7 @@
                 });
     }
 
-    private void give(Share x, List<Claim> claims) {
+    private void give(QuotaShare x, List<Claim> claims) {
         Map<String, Long> targets = Division.targets(claims);
         Held h = of(x.team());
         // What was told may be a moment old; what is given must be free now.
@@ -490,10 +490,10 @@
         o.unanswered++;
         asking.ask(
                 o.to,
-                new Grant(own, o.number, floor(o.to), h.team, o.kind, o.amount),
+                new QuotaGrant(own, o.number, floor(o.to), h.team, o.kind, o.amount),
                 answer -> {
                     o.asking = false;
-                    if (answer instanceof Granted g
+                    if (answer instanceof QuotaGrantAccepted g
                             && g.number() == o.number
                             && held.get(h.team) == h
                             && !h.writing
@@ -506,8 +506,8 @@
     // ---- taking ---------------------------------------------------------------------------------
 
     /** A share of another cell's becomes ours, once. */
-    void granted(Grant g, Consumer<CellMessage> answer) {
-        Facts.Team t = block.facts().teams().get(g.team());
+    void granted(QuotaGrant g, Consumer<CellMessage> answer) {
+        ClusterSettings.Team t = block.facts().teams().get(g.team());
         Numbers n = numbers(g.from());
         n.raise(g.floor());
         String id = g.from() + '/' + g.number();
@@ -515,7 +515,7 @@
             if (taking.containsKey(id)) {
                 taking.get(id).add(answer); // Being written; said once it is.
             } else {
-                answer.accept(new Granted(g.number()));
+                answer.accept(new QuotaGrantAccepted(g.number()));
             }
             return;
         }
@@ -543,7 +543,7 @@
                             g.number());
                     List<Consumer<CellMessage>> who = taking.remove(id);
                     if (who != null) {
-                        who.forEach(x -> x.accept(new Granted(g.number())));
+                        who.forEach(x -> x.accept(new QuotaGrantAccepted(g.number())));
                     }
                     block.change();
                 });
--- a/src/main/java/io/kitepath/core/cell/Spill.java
+++ b/src/main/java/io/kitepath/core/cell/Spill.java
@@ -2,8 +2,8 @@
 
 import io.kitepath.core.block.Job;
 import io.kitepath.core.cell.Neighbours.Neighbour;
-import io.kitepath.core.model.CellMessage.Room;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.CellMessage.FreeCapacity;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.place.Placement;
@@ -39,7 +39,7 @@
      */
     private static final double UNSURE = 2;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Map<String, MachineType> types;
     private final Map<String, Integer> zonesOf;
     private final Random random;
@@ -50,7 +50,7 @@
 
     /** {@code zonesOf}: how many zones each other cell has. */
     Spill(
-            Facts facts,
+            ClusterSettings facts,
             Map<String, MachineType> types,
             Map<String, Integer> zonesOf,
             Random random) {
@@ -199,7 +199,7 @@
     int slots(JobSpec s, Neighbour n) {
         Map<String, Integer> byZone = new HashMap<>();
         int all = 0;
-        for (Room r : n.summary().room()) {
+        for (FreeCapacity r : n.summary().room()) {
             MachineType t = types.get(r.kind().type());
             if (t == null || !Placement.allowed(r.kind(), s)) {
                 continue;
--- a/src/main/java/io/kitepath/core/duty/Audit.java
+++ b/src/main/java/io/kitepath/core/duty/Audit.java
@@ -1,11 +1,11 @@
 package io.kitepath.core.duty;
 
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Condition;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.port.Store.Listing;
+import io.kitepath.core.port.Store.ListResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.Keys;
@@ -117,7 +117,7 @@
                 });
     }
 
-    private void read(Listing l) {
+    private void read(ListResult l) {
         seen += l.entries().size();
         switch (prefix) {
             case Keys.PART -> parts(l.entries());
@@ -154,8 +154,8 @@
     private void orphan(String id, Entry e) {
         boolean idle;
         try {
-            idle = Tree.of(e.value()).raw("live") instanceof Map<?, ?> live && live.isEmpty();
-        } catch (Malformed bad) {
+            idle = DocumentReader.of(e.value()).raw("live") instanceof Map<?, ?> live && live.isEmpty();
+        } catch (InvalidInputException bad) {
             idle = false;
         }
         found.accept(
@@ -202,7 +202,7 @@
     private void act(Entry e) {
         try {
             Intent.read(e);
-        } catch (Malformed | ClassCastException bad) {
+        } catch (InvalidInputException | ClassCastException bad) {
             found.accept(
                     new Finding(false, e.key(), "is unreadable: " + bad.getMessage(), List.of()));
         }
--- a/src/main/java/io/kitepath/core/duty/Carrier.java
+++ b/src/main/java/io/kitepath/core/duty/Carrier.java
@@ -1,8 +1,8 @@
 package io.kitepath.core.duty;
 
-import io.kitepath.core.model.Bucket;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.TokenBucket;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
@@ -35,7 +35,7 @@
     private final Cloud cloud;
     private final Timers timers;
     private final Random random;
-    private final Bucket calls;
+    private final TokenBucket calls;
     private final double lifeS;
     private final Map<String, Act> acts = new LinkedHashMap<>();
     private long epoch;
@@ -58,13 +58,13 @@
 
     /** {@code lifeS}: of the duty's lease. */
     public Carrier(
-            Facts facts, Store store, Cloud cloud, Timers timers, Random random, double lifeS) {
+            ClusterSettings facts, Store store, Cloud cloud, Timers timers, Random random, double lifeS) {
         this.store = store;
         this.cloud = cloud;
         this.timers = timers;
         this.random = random;
         this.lifeS = lifeS;
-        this.calls = new Bucket(facts.cloud().rps() * RATE_SHARE);
+        this.calls = new TokenBucket(facts.cloud().rps() * RATE_SHARE);
     }
 
     @Override
@@ -153,7 +153,7 @@
             } else if (a == null || a.intent.revision() < x.revision()) {
                 acts.put(x.key(), new Act(i));
             }
-        } catch (Malformed | ClassCastException bad) {
+        } catch (InvalidInputException | ClassCastException bad) {
             LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
         }
     }
--- a/src/main/java/io/kitepath/core/duty/Duties.java
+++ b/src/main/java/io/kitepath/core/duty/Duties.java
@@ -1,9 +1,9 @@
 package io.kitepath.core.duty;
 
 import io.kitepath.core.lead.Incarnation;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Outcome;
@@ -126,7 +126,7 @@
         }
     }
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
     private final Random random;
@@ -143,7 +143,7 @@
 
     /** {@code lifeS}: of the lease, in seconds. */
     public Duties(
-            Facts facts,
+            ClusterSettings facts,
             Store store,
             Timers timers,
             Random random,
@@ -288,7 +288,7 @@
             return; // Older than what is known.
         }
         try {
-            Tree t = Tree.of(e.value());
+            DocumentReader t = DocumentReader.of(e.value());
             String node = t.text("node");
             long token = t.count("token");
             if (lease != 0
@@ -310,7 +310,7 @@
             }
             took(s, node, token);
             s.revision = e.revision();
-        } catch (Malformed bad) {
+        } catch (InvalidInputException bad) {
             LOG.error("record {} is unreadable: {}", e.key(), bad.getMessage());
         }
     }
@@ -391,7 +391,7 @@
                             Math.max(
                                             s.token,
                                             got == Outcome.OK
-                                                    ? Tree.of(entry.value()).count("token")
+                                                    ? DocumentReader.of(entry.value()).count("token")
                                                     : 0)
                                     + 1;
                     Map<String, Object> key = new LinkedHashMap<>();
--- a/src/main/java/io/kitepath/core/duty/Going.java
+++ b/src/main/java/io/kitepath/core/duty/Going.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.duty;
 
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.state.Keys;
 import java.util.LinkedHashMap;
@@ -26,12 +26,12 @@
         this.token = token;
     }
 
-    /** Reads a record; throws {@link Malformed} if it is none. */
+    /** Reads a record; throws {@link InvalidInputException} if it is none. */
     static Going read(Entry e) {
-        Tree t = Tree.of(e.value());
+        DocumentReader t = DocumentReader.of(e.value());
         if (!(t.raw("machines") instanceof List<?> l)
                 || !l.stream().allMatch(String.class::isInstance)) {
-            throw new Malformed("machines: must be a list of names");
+            throw new InvalidInputException("machines: must be a list of names");
         }
         Going g =
                 new Going(
--- a/src/main/java/io/kitepath/core/duty/Intent.java
+++ b/src/main/java/io/kitepath/core/duty/Intent.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.duty;
 
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.state.Keys;
 import java.util.Map;
@@ -19,7 +19,7 @@
         this.key = key;
     }
 
-    /** Reads a record; throws {@link Malformed} if it is none. */
+    /** Reads a record; throws {@link InvalidInputException} if it is none. */
     static Intent read(Entry e) {
         if (e.key().startsWith(Keys.RENT)) {
             return Rental.read(e);
@@ -27,7 +27,7 @@
         if (e.key().startsWith(Keys.GOING)) {
             return Going.read(e);
         }
-        throw new Malformed("is not an act that this version knows");
+        throw new InvalidInputException("is not an act that this version knows");
     }
 
     abstract Map<String, Object> record();
--- a/src/main/java/io/kitepath/core/duty/Intents.java
+++ b/src/main/java/io/kitepath/core/duty/Intents.java
@@ -2,9 +2,9 @@
 
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.MachineKind;
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
@@ -45,7 +45,7 @@
     private static final int MOST_RETURNED = 100;
 
     private final Block block;
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Timers timers;
     private final Consumer<Keeper.Rider> ride;
     private Consumer<Rental> rented = r -> {};
@@ -120,7 +120,7 @@
     private static Intent read(Entry e) {
         try {
             return Intent.read(e);
-        } catch (Malformed | ClassCastException bad) {
+        } catch (InvalidInputException | ClassCastException bad) {
             LOG.error("record {} is unreadable: {}", e.key(), bad.getMessage());
             return null;
         }
--- a/src/main/java/io/kitepath/core/duty/Rental.java
+++ b/src/main/java/io/kitepath/core/duty/Rental.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.duty;
 
 import io.kitepath.core.model.MachineKind;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.state.Keys;
 import java.util.ArrayList;
@@ -31,9 +31,9 @@
         this.askedMs = askedMs;
     }
 
-    /** Reads a record; throws {@link io.kitepath.core.model.Malformed} if it is none. */
+    /** Reads a record; throws {@link io.kitepath.core.model.InvalidInputException} if it is none. */
     static Rental read(Entry e) {
-        Tree t = Tree.of(e.value());
+        DocumentReader t = DocumentReader.of(e.value());
         Rental r =
                 new Rental(
                         e.key().substring(Keys.RENT.length()),
--- a/src/main/java/io/kitepath/core/duty/Sweep.java
+++ b/src/main/java/io/kitepath/core/duty/Sweep.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.duty;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
@@ -28,7 +28,7 @@
     /** What waits to be removed; what is found beyond that is found again by the next look. */
     private static final int MOST = 1000;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
     private final Deque<Audit.Finding> rubbish = new ArrayDeque<>();
@@ -42,7 +42,7 @@
     private long strange;
     private long strangeNow;
 
-    public Sweep(Facts facts, Store store, Timers timers) {
+    public Sweep(ClusterSettings facts, Store store, Timers timers) {
         this.facts = facts;
         this.store = store;
         this.timers = timers;
--- a/src/main/java/io/kitepath/core/fleet/Fleet.java
+++ b/src/main/java/io/kitepath/core/fleet/Fleet.java
@@ -4,7 +4,7 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
@@ -28,7 +28,7 @@
     /** What to rent by kind, the soonest wanted first, and what to give back. */
     public record Plan(Map<MachineKind, Integer> rent, List<String> release) {}
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Block block;
     private final Placer placer;
     private final Market market;
@@ -135,7 +135,7 @@
         Set<Machine> kept = new HashSet<>();
         double boot =
                 block.types().values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
-        for (Facts.Objective o : facts.objectives()) {
+        for (ClusterSettings.Objective o : facts.objectives()) {
             boolean wait =
                     o.kind().equals("wait")
                             && o.withinS() < boot
@@ -213,7 +213,7 @@
     }
 
     private double guaranteedCpus() {
-        return idle() ? 0 : facts.teams().values().stream().mapToDouble(Facts.Team::cpus).sum();
+        return idle() ? 0 : facts.teams().values().stream().mapToDouble(ClusterSettings.Team::cpus).sum();
     }
 
     /**
--- a/src/main/java/io/kitepath/core/fleet/Market.java
+++ b/src/main/java/io/kitepath/core/fleet/Market.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
@@ -16,7 +16,7 @@
  * least for a job.
  */
 final class Market {
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Block block;
 
     /**
--- a/src/main/java/io/kitepath/core/fleet/Presence.java
+++ b/src/main/java/io/kitepath/core/fleet/Presence.java
@@ -2,11 +2,11 @@
 
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 
 /** Which machines are there, or on their way in good time, as far as the holder can tell by now. */
 final class Presence {
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Block block;
 
     /** Silence is counted from then at the earliest. */
--- a/src/main/java/io/kitepath/core/fleet/Rentals.java
+++ b/src/main/java/io/kitepath/core/fleet/Rentals.java
@@ -3,10 +3,10 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.duty.Intents;
 import io.kitepath.core.duty.Rental;
-import io.kitepath.core.model.Bucket;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.TokenBucket;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
@@ -34,7 +34,7 @@
     /** Requests that may wait for their record or their answer at the same time. */
     private static final int AT_ONCE = 3;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Block block;
     private final Fleet fleet;
     private final Store store;
@@ -42,10 +42,10 @@
     private final Timers timers;
     private final BooleanSupplier leading;
     private final Runnable changed;
-    private final Bucket calls;
+    private final TokenBucket calls;
 
     /** What is put down; no more than can be asked for. */
-    private final Bucket wishes;
+    private final TokenBucket wishes;
 
     private final Intents intents;
     private double leadingSince;
@@ -78,8 +78,8 @@
         this.timers = timers;
         this.leading = leading;
         this.changed = changed;
-        this.calls = new Bucket(facts.cloud().rps() * RATE_SHARE);
-        this.wishes = new Bucket(facts.cloud().rps() * RATE_SHARE);
+        this.calls = new TokenBucket(facts.cloud().rps() * RATE_SHARE);
+        this.wishes = new TokenBucket(facts.cloud().rps() * RATE_SHARE);
         intents.listeners(this::rented, this::gone);
     }
 
@@ -104,7 +104,7 @@
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         List<MachineType> known = new ArrayList<>();
-                        for (Tree t : Tree.of(entry.value()).children("types")) {
+                        for (DocumentReader t : DocumentReader.of(entry.value()).children("types")) {
                             known.add(MachineType.fromRecord(t));
                         }
                         if (block.types().isEmpty()) {
--- a/src/main/java/io/kitepath/core/fleet/Returns.java
+++ b/src/main/java/io/kitepath/core/fleet/Returns.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.block.Attempt;
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
 import java.util.ArrayList;
@@ -20,7 +20,7 @@
     /** For how long a machine may report without hearing answers before it is given back. */
     private static final double DEAF_LEASES = 3;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Block block;
     private final Market market;
     private final Presence presence;
--- a/src/main/java/io/kitepath/core/lead/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/lead/CancellationLog.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.lead;
 
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -30,7 +30,7 @@
     private int chars;
     private double sinceMs;
 
-    public CancellationLog(Facts facts, Timers timers) {
+    public CancellationLog(ClusterSettings facts, Timers timers) {
         this.node = facts.node();
         this.timers = timers;
         this.keepMs = 1000 * facts.workers().cancelS();
--- a/src/main/java/io/kitepath/core/lead/KnownCancellations.java
+++ b/src/main/java/io/kitepath/core/lead/KnownCancellations.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.lead;
 
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -47,7 +47,7 @@
     /** Jobs that others said are cancelled, and when they said so, by our clock. */
     private final Map<String, Double> told = new LinkedHashMap<>();
 
-    public KnownCancellations(Facts facts, Timers timers) {
+    public KnownCancellations(ClusterSettings facts, Timers timers) {
         this.siblings = facts.siblings();
         this.timers = timers;
         this.apartMs = 2 * facts.clockErrorMs();
--- a/src/main/java/io/kitepath/core/lead/Leadership.java
+++ b/src/main/java/io/kitepath/core/lead/Leadership.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.lead;
 
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
@@ -37,7 +37,7 @@
         void follows(String leader);
     }
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
     private final Random random;
@@ -68,7 +68,7 @@
     private boolean retired;
 
     public Leadership(
-            Facts facts,
+            ClusterSettings facts,
             Store store,
             Timers timers,
             Random random,
@@ -204,7 +204,7 @@
     }
 
     private void heard(Object value) {
-        Tree t = Tree.of(value);
+        DocumentReader t = DocumentReader.of(value);
         long held = t.count("token");
         String node = t.text("node");
         boolean higher = held > highest;
@@ -304,7 +304,7 @@
                                 }
                                 long last =
                                         got == Outcome.OK
-                                                ? Tree.of(entry.value()).count("token")
+                                                ? DocumentReader.of(entry.value()).count("token")
                                                 : 0;
                                 claim(
                                         id,
--- a/src/main/java/io/kitepath/core/lead/Views.java
+++ b/src/main/java/io/kitepath/core/lead/Views.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.lead;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -30,7 +30,7 @@
 
     private final Set<String> said = new HashSet<>();
 
-    public Views(Facts facts, Timers timers) {
+    public Views(ClusterSettings facts, Timers timers) {
         this.siblings = facts.siblings();
         this.timers = timers;
     }
--- a/src/main/java/io/kitepath/core/model/Directory.java
+++ b/src/main/java/io/kitepath/core/model/CellDirectory.java
@@ -15,7 +15,7 @@
  * @param own the cell that this node is of
  * @param cells by name, this one among them
  */
-public record Directory(long version, String own, Map<String, Cell> cells) {
+public record CellDirectory(long version, String own, Map<String, Cell> cells) {
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
     /**
@@ -33,7 +33,7 @@
             boolean drained,
             List<String> zones,
             Map<String, String> nodes,
-            Map<String, Facts.Team> teams) {}
+            Map<String, ClusterSettings.Team> teams) {}
 
     /**
      * The cell that accepts, answers and cancels the job and keeps its end: the one of the homes
--- a/src/main/java/io/kitepath/core/model/CellMessage.java
+++ b/src/main/java/io/kitepath/core/model/CellMessage.java
@@ -8,10 +8,10 @@
  */
 public sealed interface CellMessage {
     /** Ask that node of the cell, its holder; null: nobody is known to be. */
-    record Elsewhere(String node) implements CellMessage {}
+    record Redirect(String node) implements CellMessage {}
 
     /** Free room on machines of one kind. {@code idle}: machines that nothing runs on. */
-    record Room(MachineKind kind, double cpus, double gpus, double memoryGb, int idle) {}
+    record FreeCapacity(MachineKind kind, double cpus, double gpus, double memoryGb, int idle) {}
 
     /**
      * A cell about itself; answered by the other's.
@@ -30,10 +30,10 @@
             String leader,
             long version,
             boolean takes,
-            List<Room> room,
+            List<FreeCapacity> room,
             List<Double> waitS,
             List<String> hears,
-            List<Share> shares)
+            List<QuotaShare> shares)
             implements CellMessage {}
 
     /**
@@ -47,7 +47,7 @@
      * @param task what one task of that job needs
      * @param since when that was submitted, in milliseconds since 1970
      */
-    record Share(
+    record QuotaShare(
             String team,
             int kind,
             long holds,
@@ -58,11 +58,11 @@
             double since) {}
 
     /** A part of a team's limit goes over, under a number that can be taken once. */
-    record Grant(String from, long number, long floor, String team, int kind, long amount)
+    record QuotaGrant(String from, long number, long floor, String team, int kind, long amount)
             implements CellMessage {}
 
     /** The other cell's store has it. */
-    record Granted(long number) implements CellMessage {}
+    record QuotaGrantAccepted(long number) implements CellMessage {}
 
     /**
      * Take these tasks of a job, under a number that its home never gives twice.
@@ -72,7 +72,7 @@
      * @param until the one after the last
      * @param next the next attempt's number
      */
-    record Offer(
+    record LoanOffer(
             String home,
             long number,
             long floor,
@@ -84,12 +84,12 @@
             implements CellMessage {}
 
     /** Give back what can be given back, or stop all of it for good. */
-    record Recall(String home, long number, long floor, boolean kill) implements CellMessage {}
+    record LoanRecall(String home, long number, long floor, boolean kill) implements CellMessage {}
 
     /**
-     * How a loan stands. All but {@link Standing#TAKEN} are final, written before they are said.
+     * How a loan stands. All but {@link LoanState#TAKEN} are final, written before they are said.
      */
-    enum Standing {
+    enum LoanState {
         TAKEN,
         DONE,
         BACK,
@@ -103,23 +103,23 @@
      * @param done the loan's tasks that are done, by number from the first of the loan
      * @param next the number that the job's next attempt must have at least
      */
-    record Word(String cell, long number, Standing standing, byte[] done, long next)
+    record LoanStatus(String cell, long number, LoanState standing, byte[] done, long next)
             implements CellMessage {}
 
     /** The home has it that the loan is over: the other cell may forget it. */
-    record Settled(long number, long floor) implements CellMessage {}
+    record LoanSettled(long number, long floor) implements CellMessage {}
 
     /**
      * What a user asks of a job whose home is the cell that gets this. {@code job}: only to submit.
      */
-    record UserAsk(Wish wish, String id, JobSpec job) implements CellMessage {}
+    record UserRequest(RequestKind wish, String id, JobSpec job) implements CellMessage {}
 
-    enum Wish {
+    enum RequestKind {
         SUBMIT,
         STATUS,
         CANCEL
     }
 
     /** {@code verdict}: by name, as the home's own nodes would answer. */
-    record UserAnswer(String verdict, JobState state) implements CellMessage {}
+    record UserResponse(String verdict, JobStatus state) implements CellMessage {}
 }
--- a/src/main/java/io/kitepath/core/model/Facts.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -8,7 +8,7 @@
  * What the settings say about the world; every waiting time and bound in the core is a ratio to
  * these.
  */
-public record Facts(
+public record ClusterSettings(
         String node,
         String zone,
         List<String> siblings,
@@ -80,8 +80,8 @@
     public record Limits(double cpu, double ramMb, int sockets) {}
 
     /** The same with other limits and guarantees. */
-    public Facts withTeams(Map<String, Team> others) {
-        return new Facts(
+    public ClusterSettings withTeams(Map<String, Team> others) {
+        return new ClusterSettings(
                 node,
                 zone,
                 siblings,
--- a/src/main/java/io/kitepath/core/model/Tree.java
+++ b/src/main/java/io/kitepath/core/model/DocumentReader.java
@@ -8,24 +8,24 @@
  * Checked reading of a decoded document (maps, lists, text, {@link Long}, {@link Double}, booleans,
  * null), whatever notation it came in. Every complaint names the field.
  */
-public final class Tree {
+public final class DocumentReader {
     private final Map<?, ?> map;
     private final String at;
 
-    private Tree(Map<?, ?> map, String at) {
+    private DocumentReader(Map<?, ?> map, String at) {
         this.map = map;
         this.at = at;
     }
 
-    public static Tree of(Object value) {
+    public static DocumentReader of(Object value) {
         return of(value, "");
     }
 
-    private static Tree of(Object value, String at) {
+    private static DocumentReader of(Object value, String at) {
         if (!(value instanceof Map<?, ?> map)) {
-            throw new Malformed((at.isEmpty() ? "document" : at) + ": must be a map");
+            throw new InvalidInputException((at.isEmpty() ? "document" : at) + ": must be a map");
         }
-        return new Tree(map, at);
+        return new DocumentReader(map, at);
     }
 
     public boolean has(String name) {
@@ -55,7 +55,7 @@
         }
         double d = ((Number) v).doubleValue();
         if (!Double.isFinite(d) || d < least) {
-            throw new Malformed(at + name + ": must be a finite number of at least " + least);
+            throw new InvalidInputException(at + name + ": must be a finite number of at least " + least);
         }
         return d;
     }
@@ -75,7 +75,7 @@
             throw wrong(name, "an integer");
         }
         if (n < least || n > most) {
-            throw new Malformed(at + name + ": must be from " + least + " to " + most);
+            throw new InvalidInputException(at + name + ": must be from " + least + " to " + most);
         }
         return n;
     }
@@ -91,9 +91,9 @@
         throw wrong(name, "true or false");
     }
 
-    public Tree child(String name) {
+    public DocumentReader child(String name) {
         if (map.get(name) instanceof Map<?, ?> m) {
-            return new Tree(m, at + name + ".");
+            return new DocumentReader(m, at + name + ".");
         }
         throw wrong(name, "a map");
     }
@@ -105,15 +105,15 @@
         throw wrong(name, "a list");
     }
 
-    public List<Tree> children(String name) {
-        List<Tree> out = new ArrayList<>();
+    public List<DocumentReader> children(String name) {
+        List<DocumentReader> out = new ArrayList<>();
         int i = 0;
         for (Object o : list(name)) {
             String where = at + name + "[" + i++ + "].";
             if (!(o instanceof Map<?, ?> m)) {
-                throw new Malformed(where.substring(0, where.length() - 1) + ": must be a map");
+                throw new InvalidInputException(where.substring(0, where.length() - 1) + ": must be a map");
             }
-            out.add(new Tree(m, where));
+            out.add(new DocumentReader(m, where));
         }
         return out;
     }
@@ -130,11 +130,11 @@
     }
 
     /** A complaint about the field that names where it is. */
-    public Malformed complaint(String name, String reason) {
-        return new Malformed(at + name + ": " + reason);
+    public InvalidInputException complaint(String name, String reason) {
+        return new InvalidInputException(at + name + ": " + reason);
     }
 
-    private Malformed wrong(String name, String kind) {
-        return new Malformed(at + name + (has(name) ? ": must be " + kind : ": is missing"));
+    private InvalidInputException wrong(String name, String kind) {
+        return new InvalidInputException(at + name + (has(name) ? ": must be " + kind : ": is missing"));
     }
 }
--- a/src/main/java/io/kitepath/core/model/Report.java
+++ b/src/main/java/io/kitepath/core/model/Heartbeat.java
@@ -6,7 +6,7 @@
  * What a worker says of its machine. The report with the larger (session, sequence) is the newer
  * one.
  */
-public record Report(
+public record Heartbeat(
         String machine,
         String address,
         String type,
@@ -16,17 +16,17 @@
         long sequence,
         long token,
         Double noticeS,
-        List<TaskReport> tasks) {
+        List<TaskStatus> tasks) {
 
     /** A task on the machine; {@code cause} is null unless it ended. */
-    public record TaskReport(String job, int task, long attempt, State state, Cause cause) {}
+    public record TaskStatus(String job, int task, long attempt, TaskState state, EndCause cause) {}
 
     /** Whether it was sent after the one of its machine that had these. */
     public boolean newerThan(long otherSession, long otherSequence) {
         return session > otherSession || session == otherSession && sequence > otherSequence;
     }
 
-    public enum State {
+    public enum TaskState {
         FETCHING,
         WAITING,
         RUNNING,
@@ -34,7 +34,7 @@
         ENDED
     }
 
-    public enum Cause {
+    public enum EndCause {
         DONE,
         STOPPED,
         PEERS,
--- a/src/main/java/io/kitepath/core/model/HeartbeatAnswer.java
+++ b/src/main/java/io/kitepath/core/model/HeartbeatResponse.java
@@ -9,9 +9,9 @@
  * @param orders what the worker shall do, in this order
  * @param anchor the node to report to, or null for any other; only without a token
  */
-public record HeartbeatAnswer(long token, List<Order> orders, String anchor) {
+public record HeartbeatResponse(long token, List<WorkerCommand> orders, String anchor) {
     /** Not entitled: report to that node, or to any other one if it is null. */
-    public static HeartbeatAnswer elsewhere(String anchor) {
-        return new HeartbeatAnswer(0, List.of(), anchor);
+    public static HeartbeatResponse elsewhere(String anchor) {
+        return new HeartbeatResponse(0, List.of(), anchor);
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -18,7 +18,7 @@
  *
  * @param submittedMs by the time of day of the node that accepted it
  * @param needs jobs that have to be done before any task of this one starts
- * @param partTasks how many tasks one of its parts holds; 0: as {@link Facts#tasksPerPart} says
+ * @param partTasks how many tasks one of its parts holds; 0: as {@link ClusterSettings#tasksPerPart} says
  * @param next the number of its next attempt, at least; 0 if its parts say all
  */
 public record JobRecord(
@@ -61,7 +61,7 @@
     public Map<String, Object> overMap(Map<String, Object> extra, int bytes) {
         Map<String, Object> m = new JobRecord(spec, submittedMs, List.of(), partTasks, 0).toMap();
         m.putAll(extra);
-        if (Json.size(m) > bytes) {
+        if (JsonSize.size(m) > bytes) {
             m.put("types", null);
             for (String name : List.of("class", "image")) {
                 String s = (String) m.get(name);
@@ -83,11 +83,11 @@
     /**
      * Reads what any version wrote.
      *
-     * @throws Malformed if it is not a job's record
+     * @throws InvalidInputException if it is not a job's record
      * @throws IllegalArgumentException if it has names that this version does not know
      */
     public static JobRecord of(String id, Object record) {
-        Tree t = Tree.of(record);
+        DocumentReader t = DocumentReader.of(record);
         return new JobRecord(
                 JobSpec.fromRecord(id, record),
                 t.number("submittedMs", 0),
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -83,7 +83,7 @@
     }
 
     public static JobSpec fromRecord(String id, Object record) {
-        Tree t = Tree.of(record);
+        DocumentReader t = DocumentReader.of(record);
         return new JobSpec(
                 id,
                 t.text("class"),
@@ -112,8 +112,8 @@
      *
      * @param elsewhere zones of other cells, where all types may be had
      */
-    public String impossible(Map<String, MachineType> known, Facts facts, Set<String> elsewhere) {
-        Facts.Team t = facts.teams().get(team);
+    public String impossible(Map<String, MachineType> known, ClusterSettings facts, Set<String> elsewhere) {
+        ClusterSettings.Team t = facts.teams().get(team);
         if (t == null) {
             return "unknown team " + team;
         }
--- a/src/main/java/io/kitepath/core/model/JobState.java
+++ b/src/main/java/io/kitepath/core/model/JobStatus.java
@@ -9,14 +9,14 @@
  * @param running tasks that run
  * @param note what it waits for, in a sentence, or null if there is nothing to say
  */
-public record JobState(String id, String status, int done, int running, String note) {
-    public JobState(String id, String status, int done, int running) {
+public record JobStatus(String id, String status, int done, int running, String note) {
+    public JobStatus(String id, String status, int done, int running) {
         this(id, status, done, running, null);
     }
 
     /** The state of a job that is neither done nor cancelled. */
-    public static JobState unfinished(Progress p) {
-        return new JobState(
+    public static JobStatus unfinished(JobProgress p) {
+        return new JobStatus(
                 p.job(), p.running() > 0 ? "running" : "pending", p.done(), p.running(), p.note());
     }
 }
--- a/src/main/java/io/kitepath/core/model/Json.java
+++ b/src/main/java/io/kitepath/core/model/JsonSize.java
@@ -7,14 +7,14 @@
  * How many bytes a value takes as JSON, which is what the state service's limits count. Never too
  * few: with a space after each separator, and with everything escaped that may be.
  */
-public final class Json {
+public final class JsonSize {
     /** A number with a fraction, whoever prints it. */
     private static final int DOUBLE = 20;
 
     /** A character outside ASCII as an escape. */
     private static final int ESCAPED = 6;
 
-    private Json() {}
+    private JsonSize() {}
 
     /** In bytes, of plain maps, lists, text, numbers, booleans and null. */
     public static int size(Object value) {
--- a/src/main/java/io/kitepath/core/model/Spent.java
+++ b/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
@@ -9,8 +9,8 @@
  * Seconds that the event loop spent, by what it did. On a sliver of a core that is what runs out
  * first, and nobody can tell from outside what took it.
  */
-public final class Spent {
-    public enum On {
+public final class LoopTimeAccounting {
+    public enum Activity {
         PLACING,
         GIVING_WAY,
         ORDERING,
@@ -22,10 +22,10 @@
     }
 
     private final DoubleSupplier clock;
-    private final Map<On, Double> seconds = new EnumMap<>(On.class);
+    private final Map<Activity, Double> seconds = new EnumMap<>(Activity.class);
 
     /** {@code clock}: seconds on the steady clock. */
-    public Spent(DoubleSupplier clock) {
+    public LoopTimeAccounting(DoubleSupplier clock) {
         this.clock = clock;
     }
 
@@ -34,18 +34,18 @@
     }
 
     /** What was begun then has ended now. */
-    public void on(On what, double begun) {
+    public void on(Activity what, double begun) {
         seconds.merge(what, now() - begun, Double::sum);
     }
 
-    public double seconds(On what) {
+    public double seconds(Activity what) {
         return seconds.getOrDefault(what, 0.0);
     }
 
     @Override
     public String toString() {
         StringBuilder b = new StringBuilder();
-        for (On o : On.values()) {
+        for (Activity o : Activity.values()) {
             b.append(' ')
                     .append(o.name().toLowerCase(Locale.ROOT))
                     .append('=')
--- a/src/main/java/io/kitepath/core/model/MachineType.java
+++ b/src/main/java/io/kitepath/core/model/MachineType.java
@@ -31,7 +31,7 @@
         return m;
     }
 
-    public static MachineType fromRecord(Tree t) {
+    public static MachineType fromRecord(DocumentReader t) {
         return new MachineType(
                 t.text("name"),
                 t.number("cpus", 0),
--- a/src/main/java/io/kitepath/core/model/Figure.java
+++ b/src/main/java/io/kitepath/core/model/Metric.java
@@ -9,12 +9,12 @@
  * @param meaning what it counts, in its unit
  * @param value read when asked for, on the event loop
  */
-public record Figure(boolean total, String meaning, DoubleSupplier value) {
-    public static Figure total(String meaning, DoubleSupplier value) {
-        return new Figure(true, meaning, value);
+public record Metric(boolean total, String meaning, DoubleSupplier value) {
+    public static Metric total(String meaning, DoubleSupplier value) {
+        return new Metric(true, meaning, value);
     }
 
-    public static Figure now(String meaning, DoubleSupplier value) {
-        return new Figure(false, meaning, value);
+    public static Metric now(String meaning, DoubleSupplier value) {
+        return new Metric(false, meaning, value);
     }
 }
--- a/src/main/java/io/kitepath/core/model/Bucket.java
+++ b/src/main/java/io/kitepath/core/model/TokenBucket.java
@@ -1,12 +1,12 @@
 package io.kitepath.core.model;
 
 /** A token bucket with one second's burst, as the outside services count. */
-public final class Bucket {
+public final class TokenBucket {
     private final double perSecond;
     private double filled;
     private double at = Double.NaN;
 
-    public Bucket(double perSecond) {
+    public TokenBucket(double perSecond) {
         this.perSecond = perSecond;
         this.filled = perSecond;
     }
--- a/src/main/java/io/kitepath/core/place/Placer.java
+++ b/src/main/java/io/kitepath/core/place/Placer.java
@@ -3,11 +3,11 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
-import io.kitepath.core.model.Spent;
-import io.kitepath.core.model.Spent.On;
+import io.kitepath.core.model.LoopTimeAccounting;
+import io.kitepath.core.model.LoopTimeAccounting.Activity;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -32,7 +32,7 @@
     private final Block block;
     private final Placement placement;
     private final Preemption preemption;
-    private final Spent spent;
+    private final LoopTimeAccounting spent;
     private final Standby standby;
 
     /** What found no room in this round, and that for which none can be made either. */
@@ -50,7 +50,7 @@
     private double queuedAt;
 
     /** {@code random} chooses the machines that are probed. */
-    public Placer(Block block, Random random, Spent spent) {
+    public Placer(Block block, Random random, LoopTimeAccounting spent) {
         this.block = block;
         this.spent = spent;
         this.placement = new Placement(random, block.types());
@@ -116,7 +116,7 @@
         order.addAll(mistaken);
         queued = List.copyOf(order);
         queuedAt = now;
-        spent.on(On.ORDERING, began);
+        spent.on(Activity.ORDERING, began);
         return order;
     }
 
@@ -203,7 +203,7 @@
      * guarantee.
      */
     private boolean claim(Job j, Map<String, double[]> claimed) {
-        Facts.Team t = block.facts().teams().get(j.spec.team());
+        ClusterSettings.Team t = block.facts().teams().get(j.spec.team());
         if (j.over() || t == null || t.cpus() == 0 && t.gpus() == 0) {
             return false;
         }
@@ -298,7 +298,7 @@
     private boolean makeRoom(Job job, List<Machine> open, double now) {
         double began = spent.now();
         boolean made = preemption.makeRoom(job, open, now);
-        spent.on(On.GIVING_WAY, began);
+        spent.on(Activity.GIVING_WAY, began);
         return made;
     }
 
--- a/src/main/java/io/kitepath/core/place/Preemption.java
+++ b/src/main/java/io/kitepath/core/place/Preemption.java
@@ -4,7 +4,7 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
 import java.util.ArrayList;
@@ -355,7 +355,7 @@
      * the other is within its.
      */
     private boolean borrows(Job job, Job other, double own) {
-        Facts.Team t = block.facts().teams().get(job.spec.team());
+        ClusterSettings.Team t = block.facts().teams().get(job.spec.team());
         return other.guaranteed()
                 && !job.guaranteed()
                 && !job.spec.team().equals(other.spec.team())
--- a/src/main/java/io/kitepath/core/port/Siblings.java
+++ b/src/main/java/io/kitepath/core/port/PeerNodes.java
@@ -1,15 +1,15 @@
 package io.kitepath.core.port;
 
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.HeartbeatAnswer;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** What nodes tell and ask each other. */
-public interface Siblings {
+public interface PeerNodes {
     /**
      * To all: this node's view.
      *
@@ -20,17 +20,17 @@
     void tell(long token, String leader, boolean served);
 
     /** To all: the store has it that this job is over. */
-    void over(JobState job);
+    void over(JobStatus job);
 
     /** To all that can read it: what this node knows to be cancelled. */
     void digest(CancellationDigest digest);
 
     /** Asks the leader how far jobs are; answers an empty list if that can't be had soon. */
-    void progress(String leader, List<String> jobs, Consumer<List<Progress>> answer);
+    void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer);
 
     /**
      * Has a sibling answer a check-in, or pass it on to the leader if it may; false if it can't be
      * asked now.
      */
-    boolean relay(String sibling, Report report, boolean passOn, Consumer<HeartbeatAnswer> answer);
+    boolean relay(String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer);
 }
--- a/src/main/java/io/kitepath/core/port/Cells.java
+++ b/src/main/java/io/kitepath/core/port/RemoteCells.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 
 /** Asks nodes of other cells. */
-public interface Cells {
+public interface RemoteCells {
     /**
      * One message, one answer, or null if none came within about a second: then nobody knows
      * whether it arrived, or will later.
--- a/src/main/java/io/kitepath/core/port/Store.java
+++ b/src/main/java/io/kitepath/core/port/Store.java
@@ -25,13 +25,13 @@
     record Entry(String key, Object value, long revision) {}
 
     /** An entry with a null value was removed at that revision. */
-    record Changes(Outcome outcome, long revision, List<Entry> events) {}
+    record WatchResult(Outcome outcome, long revision, List<Entry> events) {}
 
     /** {@code more}: there are further entries after the last one. */
-    record Listing(Outcome outcome, List<Entry> entries, long revision, boolean more) {}
+    record ListResult(Outcome outcome, List<Entry> entries, long revision, boolean more) {}
 
     /** {@code failed} names the keys whose conditions did not hold. */
-    record Committed(Outcome outcome, long revision, List<String> failed, boolean leaseGone) {}
+    record CommitResult(Outcome outcome, long revision, List<String> failed, boolean leaseGone) {}
 
     record Condition(String key, long revision) {}
 
@@ -71,9 +71,9 @@
      * What is under the prefix after the key {@code from} (empty: from the start), in the keys'
      * order.
      */
-    void page(String prefix, String from, int limit, Consumer<Listing> answer);
+    void page(String prefix, String from, int limit, Consumer<ListResult> answer);
 
-    void commit(Transaction transaction, Consumer<Committed> answer);
+    void commit(Transaction transaction, Consumer<CommitResult> answer);
 
     /** OK with the lease's id. */
     void grant(long lifeMs, BiConsumer<Outcome, Long> answer);
@@ -84,5 +84,5 @@
     void revoke(long lease);
 
     /** Waits for changes after the revision; NO if it is too old to follow from. */
-    void follow(String prefix, long after, long holdMs, Consumer<Changes> answer);
+    void follow(String prefix, long after, long holdMs, Consumer<WatchResult> answer);
 }
--- a/src/main/java/io/kitepath/core/serve/Dependencies.java
+++ b/src/main/java/io/kitepath/core/serve/Dependencies.java
@@ -2,11 +2,11 @@
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
@@ -59,7 +59,7 @@
     /** Jobs that were accepted and are no services. */
     private final Cache<String, Boolean> accepted = Caffeine.newBuilder().maximumSize(5000).build();
 
-    Dependencies(Facts facts, Store store) {
+    Dependencies(ClusterSettings facts, Store store) {
         this.store = store;
         this.most = 2 * facts.store().txnOps();
     }
@@ -140,12 +140,12 @@
     private String wrong(String id, Object record) {
         try {
             Shape shape = JobRecord.of(id, record).spec().shape();
-            if (Tree.of(record).textOr("status", "").equals("cancelled")) {
+            if (DocumentReader.of(record).textOr("status", "").equals("cancelled")) {
                 cancelled(id);
             }
             accepted(id, shape);
             return shape == Shape.SERVICE ? "job " + id + " is a service, which is never done" : "";
-        } catch (Malformed | IllegalArgumentException e) {
+        } catch (InvalidInputException | IllegalArgumentException e) {
             return ""; // Accepted all the same.
         }
     }
--- a/src/main/java/io/kitepath/core/serve/Entitlement.java
+++ b/src/main/java/io/kitepath/core/serve/Entitlement.java
@@ -3,8 +3,8 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.lead.KnownCancellations;
 import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,7 +19,7 @@
 final class Entitlement {
     private static final Logger LOG = LoggerFactory.getLogger(Entitlement.class);
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Block block;
     private final Leadership leadership;
     private final KnownCancellations known;
@@ -32,7 +32,7 @@
         this.known = known;
     }
 
-    boolean toAnswer(Report report) {
+    boolean toAnswer(Heartbeat report) {
         return leadership.leading() && report.token() <= block.token() && knowsCancellations();
     }
 
--- a/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
+++ b/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
@@ -5,13 +5,13 @@
 import io.kitepath.core.lead.KnownCancellations;
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.lead.Views;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.HeartbeatAnswer;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Spent;
-import io.kitepath.core.model.Spent.On;
-import io.kitepath.core.port.Siblings;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.LoopTimeAccounting;
+import io.kitepath.core.model.LoopTimeAccounting.Activity;
+import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.state.Keeper;
 import java.util.ArrayList;
@@ -30,16 +30,16 @@
 
     private static final int SENT_AWAY = 2000;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Block block;
     private final Heartbeats heartbeats;
     private final Leadership leadership;
     private final Keeper keeper;
     private final Views views;
     private final Entitlement entitlement;
-    private final Siblings siblings;
+    private final PeerNodes siblings;
     private final Timers timers;
-    private final Spent spent;
+    private final LoopTimeAccounting spent;
     private final Runnable changed;
 
     /** Workers that were sent to the leader, and when. */
@@ -61,10 +61,10 @@
      * null), or for the answer of the one asked. {@code token}: the highest that was known then.
      */
     private record Parked(
-            Report report, String asked, long token, Consumer<HeartbeatAnswer> answer) {}
+            Heartbeat report, String asked, long token, Consumer<HeartbeatResponse> answer) {}
 
     /** A check-in whose answer waits a moment, so that work placed meanwhile starts at once. */
-    private record Held(Consumer<HeartbeatAnswer> answer, List<Order> orders, long token) {}
+    private record Held(Consumer<HeartbeatResponse> answer, List<WorkerCommand> orders, long token) {}
 
     /** {@code changed} runs when a report may let work be placed. */
     public HeartbeatDesk(
@@ -74,9 +74,9 @@
             Keeper keeper,
             Views views,
             KnownCancellations known,
-            Siblings siblings,
+            PeerNodes siblings,
             Timers timers,
-            Spent spent,
+            LoopTimeAccounting spent,
             Runnable changed) {
         this.facts = block.facts();
         this.block = block;
@@ -100,7 +100,7 @@
     }
 
     /** A worker's report. */
-    public void heartbeat(Report report, Consumer<HeartbeatAnswer> answer) {
+    public void heartbeat(Heartbeat report, Consumer<HeartbeatResponse> answer) {
         received++;
         if (report.token() > leadership.highest()) {
             leadership.outbid(report.token(), null);
@@ -113,13 +113,13 @@
         if (leadership.leading()) {
             double began = spent.now();
             answer(report, answer);
-            spent.on(On.CHECK_INS, began);
+            spent.on(Activity.CHECK_INS, began);
             return;
         }
         if (cutOff()) {
             // Guards against a worker that waits here, its lease running, for a leader that others
             // hear and we don't.
-            answer.accept(HeartbeatAnswer.elsewhere(null));
+            answer.accept(HeartbeatResponse.elsewhere(null));
             return;
         }
         String leader = leadership.leader();
@@ -143,7 +143,7 @@
                         && (report.token() == leadership.highest() || !report.tasks().isEmpty());
         if (!back && !lost) {
             sentAway.put(report.machine(), now);
-            answer.accept(HeartbeatAnswer.elsewhere(leader));
+            answer.accept(HeartbeatResponse.elsewhere(leader));
             return;
         }
         sentAway.putIfAbsent(report.machine(), now);
@@ -152,7 +152,7 @@
         if (p != null && !relay(leader, p) && report.tasks().isEmpty()) {
             // One without tasks has nothing to lose; the others wait for another leader, who may
             // come soon.
-            settle(p, HeartbeatAnswer.elsewhere(back ? null : leader));
+            settle(p, HeartbeatResponse.elsewhere(back ? null : leader));
         }
     }
 
@@ -194,7 +194,7 @@
     }
 
     /** A check-in that a sibling asks about. */
-    public void answerFor(Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
+    public void answerFor(Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
         String leader = leadership.leader();
         if (!passOn
                 || leadership.leading()
@@ -215,31 +215,31 @@
      * one with tasks for as long as it may, any other for as long as it would have waited before
      * its next try.
      */
-    private Parked park(Report report, String asked, Consumer<HeartbeatAnswer> answer) {
+    private Parked park(Heartbeat report, String asked, Consumer<HeartbeatResponse> answer) {
         if (parked.size() >= facts.limits().sockets() / 2) {
-            answer.accept(HeartbeatAnswer.elsewhere(null));
+            answer.accept(HeartbeatResponse.elsewhere(null));
             return null;
         }
         Parked waits = parked.get(report.machine());
         if (waits != null && !report.newerThan(waits.report.session(), waits.report.sequence())) {
             // Guards against a copy of an older report that sends the worker away whose report
             // waits here.
-            answer.accept(HeartbeatAnswer.elsewhere(null));
+            answer.accept(HeartbeatResponse.elsewhere(null));
             return null;
         }
         Parked p = new Parked(report, asked, leadership.highest(), answer);
         Parked older = parked.put(report.machine(), p);
         if (older != null) {
-            older.answer.accept(HeartbeatAnswer.elsewhere(null));
+            older.answer.accept(HeartbeatResponse.elsewhere(null));
         }
         timers.after(
                 report.tasks().isEmpty() ? 1 : MAX_PARK_S,
-                () -> settle(p, HeartbeatAnswer.elsewhere(null)));
+                () -> settle(p, HeartbeatResponse.elsewhere(null)));
         return p;
     }
 
     /** Answers a check-in that waits; nothing happens if it has been answered already. */
-    private void settle(Parked p, HeartbeatAnswer a) {
+    private void settle(Parked p, HeartbeatResponse a) {
         if (parked.get(p.report.machine()) == p) {
             parked.remove(p.report.machine());
             p.answer.accept(a);
@@ -267,13 +267,13 @@
      * The holder's answer to a report that a sibling asks about: at once, for the worker's time is
      * running.
      */
-    private HeartbeatAnswer answer(Report report) {
+    private HeartbeatResponse answer(Heartbeat report) {
         if (!keeper.knowsRunning() || !entitlement.toAnswer(report)) {
             heartbeats.unanswered(report, timers.now());
-            return HeartbeatAnswer.elsewhere(leadership.leading() ? null : leadership.leader());
+            return HeartbeatResponse.elsewhere(leadership.leading() ? null : leadership.leader());
         }
         boolean news = heartbeats.news(report);
-        List<Order> orders =
+        List<WorkerCommand> orders =
                 new ArrayList<>(
                         heartbeats.heartbeat(
                                 report, keeper.loaded(), keeper::mayRun, timers.now()));
@@ -285,10 +285,10 @@
         if (block.changed()) {
             changed.run();
         }
-        return new HeartbeatAnswer(block.token(), orders, null);
+        return new HeartbeatResponse(block.token(), orders, null);
     }
 
-    private void answer(Report report, Consumer<HeartbeatAnswer> answer) {
+    private void answer(Heartbeat report, Consumer<HeartbeatResponse> answer) {
         String machine = report.machine();
         if (!heartbeats.news(report)) {
             // Guards against a late copy that takes the place of the report whose answer is held.
@@ -296,10 +296,10 @@
             return;
         }
         release(machine);
-        HeartbeatAnswer now = answer(report);
+        HeartbeatResponse now = answer(report);
         boolean idle =
                 now.token() > 0
-                        && now.orders().stream().allMatch(o -> o.verb() == Order.Verb.FORGET);
+                        && now.orders().stream().allMatch(o -> o.verb() == WorkerCommand.Action.FORGET);
         double patience =
                 idle && keeper.loaded() && leadership.mayLaunch()
                         ? heartbeats.patience(machine)
@@ -330,12 +330,12 @@
                 || block.token() != h.token
                 || !entitlement.knowsCancellations()) {
             h.answer.accept(
-                    HeartbeatAnswer.elsewhere(leadership.leading() ? null : leadership.leader()));
+                    HeartbeatResponse.elsewhere(leadership.leading() ? null : leadership.leader()));
             return true;
         }
-        List<Order> orders = new ArrayList<>(h.orders);
+        List<WorkerCommand> orders = new ArrayList<>(h.orders);
         orders.addAll(heartbeats.commands(machine, leadership.mayLaunch(), timers.now()));
-        h.answer.accept(new HeartbeatAnswer(h.token, orders, null));
+        h.answer.accept(new HeartbeatResponse(h.token, orders, null));
         return true;
     }
 
@@ -347,7 +347,7 @@
                 release(machine);
             }
         }
-        spent.on(On.ANSWERS, began);
+        spent.on(Activity.ANSWERS, began);
     }
 
     /** This node leads no more. */
--- a/src/main/java/io/kitepath/core/serve/Questions.java
+++ b/src/main/java/io/kitepath/core/serve/Questions.java
@@ -3,12 +3,12 @@
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.model.Bucket;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.TokenBucket;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Progress;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Outcome;
@@ -50,7 +50,7 @@
 
     /** Who knows how far jobs are; answers an empty list if nobody can be asked. */
     public interface Holder {
-        void progress(List<String> jobs, Consumer<List<Progress>> answer);
+        void progress(List<String> jobs, Consumer<List<JobProgress>> answer);
 
         /** Why nobody can be asked, as far as known. */
         String silence();
@@ -63,13 +63,13 @@
     /** Reads how a job that is over ended, which happens once on each node. */
     private final BiConsumer<String, Consumer<Answer>> over;
 
-    private final Bucket requests;
+    private final TokenBucket requests;
 
     /**
      * Guards against jobs that are never answered as their reading waits for what comparing leaves:
      * it takes all there is as long as questions come faster than that.
      */
-    private final Bucket reads;
+    private final TokenBucket reads;
 
     /** Jobs in one comparison. */
     private int most;
@@ -87,10 +87,10 @@
     private final double freshS;
 
     /** How far a job was, and when that was said. */
-    private record Heard(Progress progress, double at) {}
+    private record Heard(JobProgress progress, double at) {}
 
     Questions(
-            Facts facts,
+            ClusterSettings facts,
             Store store,
             Timers timers,
             Holder holder,
@@ -100,8 +100,8 @@
         this.holder = holder;
         this.over = over;
         int nodes = facts.siblings().size() + 1;
-        this.requests = new Bucket(facts.store().rps() * RATE_SHARE / nodes);
-        this.reads = new Bucket(Math.max(1, facts.store().rps() * READ_SHARE / nodes));
+        this.requests = new TokenBucket(facts.store().rps() * RATE_SHARE / nodes);
+        this.reads = new TokenBucket(Math.max(1, facts.store().rps() * READ_SHARE / nodes));
         // A transaction takes four conditions for each change that it may hold, and a job needs
         // two.
         this.most = 2 * facts.store().txnOps();
@@ -111,10 +111,10 @@
 
     /** A job that was accepted here just now; {@code free}: it waits for no others. */
     void accepted(String id, boolean free) {
-        heard(new Progress(id, 0, 0, null), free);
+        heard(new JobProgress(id, 0, 0, null), free);
     }
 
-    private void heard(Progress p, boolean isFree) {
+    private void heard(JobProgress p, boolean isFree) {
         lately.put(p.job(), new Heard(p, timers.now()));
         // What runs, or ran, waits for nothing any more, and can only be cancelled by its own user.
         if (isFree || p.running() > 0 || p.done() > 0) {
@@ -256,8 +256,8 @@
                 });
     }
 
-    private static Answer unfinished(Progress p) {
-        return new Answer(Verdict.KNOWN, JobState.unfinished(p));
+    private static Answer unfinished(JobProgress p) {
+        return new Answer(Verdict.KNOWN, JobStatus.unfinished(p));
     }
 
     /**
@@ -268,13 +268,13 @@
     private void remembered(
             Map<String, List<Consumer<Answer>>> batch, String id, Heard h, boolean silent) {
         if (h != null && (free.getIfPresent(id) != null || timers.now() - h.at < freshS)) {
-            Progress p = h.progress;
+            JobProgress p = h.progress;
             tell(
                     batch,
                     id,
                     unfinished(
                             silent
-                                    ? new Progress(
+                                    ? new JobProgress(
                                             id,
                                             p.done(),
                                             p.running(),
@@ -303,7 +303,7 @@
     private static boolean needsOthers(String id, Object record) {
         try {
             return !JobRecord.of(id, record).needs().isEmpty();
-        } catch (Malformed | IllegalArgumentException e) {
+        } catch (InvalidInputException | IllegalArgumentException e) {
             return true; // Not to be told from one that does.
         }
     }
@@ -326,7 +326,7 @@
                         tell(batch, id, Answer.LATER);
                         return;
                     }
-                    Progress p =
+                    JobProgress p =
                             Job.recorded(id, parts.entries().stream().map(Entry::value).toList());
                     heard(p, true);
                     tell(batch, id, unfinished(p));
--- a/src/main/java/io/kitepath/core/serve/Registry.java
+++ b/src/main/java/io/kitepath/core/serve/Registry.java
@@ -3,13 +3,13 @@
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Json;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.JsonSize;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
@@ -37,11 +37,11 @@
     }
 
     /** {@code why}: of what is refused or invalid. */
-    public record Answer(Verdict verdict, JobState state, String why) {
+    public record Answer(Verdict verdict, JobStatus state, String why) {
         public static final Answer LATER = new Answer(Verdict.LATER, null);
         static final Answer NOT_FOUND = new Answer(Verdict.NOT_FOUND, null);
 
-        public Answer(Verdict verdict, JobState state) {
+        public Answer(Verdict verdict, JobStatus state) {
             this(verdict, state, null);
         }
 
@@ -55,17 +55,17 @@
 
     private static final int MAX_TRIES = 4;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
     private final Dependencies dependencies;
-    private final Cache<String, JobState> over = Caffeine.newBuilder().maximumSize(5000).build();
+    private final Cache<String, JobStatus> over = Caffeine.newBuilder().maximumSize(5000).build();
     private final Questions questions;
 
     /** Whether tasks may be lent to other cells. */
     private final boolean cells;
 
-    private Consumer<JobState> onCancelled = job -> {};
+    private Consumer<JobStatus> onCancelled = job -> {};
     private Consumer<String> knownCancelled = id -> {};
 
     /**
@@ -77,7 +77,7 @@
 
     /** {@code cells}: whether tasks may be lent to other cells. */
     public Registry(
-            Facts facts,
+            ClusterSettings facts,
             Store store,
             Timers timers,
             BooleanSupplier served,
@@ -92,7 +92,7 @@
         this.questions = new Questions(facts, store, timers, holder, this::readOver);
     }
 
-    public void onCancelled(Consumer<JobState> listener) {
+    public void onCancelled(Consumer<JobStatus> listener) {
         onCancelled = listener;
     }
 
@@ -106,7 +106,7 @@
      * now.
      */
     private boolean answeredAtOnce(String id, Consumer<Answer> answer) {
-        JobState known = over.getIfPresent(id);
+        JobStatus known = over.getIfPresent(id);
         if (known != null) {
             answer.accept(new Answer(Verdict.KNOWN, known));
         } else if (!served.getAsBoolean()) {
@@ -121,7 +121,7 @@
      * The store has the job's end, which never changes: a word of the node that wrote it saves a
      * read.
      */
-    public void ended(JobState s) {
+    public void ended(JobStatus s) {
         over.put(s.id(), s);
         if (s.status().equals("cancelled")) {
             dependencies.cancelled(s.id());
@@ -170,7 +170,7 @@
                         ? facts.tasksPerNarrowPart()
                         : 0;
         Map<String, Object> record = new JobRecord(spec, timers.wallMs(), needs, narrow, 0).toMap();
-        if (Json.size(record) + OVER_BYTES > bytes) {
+        if (JsonSize.size(record) + OVER_BYTES > bytes) {
             known(
                     id,
                     new Answer(
@@ -184,8 +184,8 @@
         }
         // One that names a cancelled job is accepted and cancelled in one write, and never called
         // anything else.
-        JobState doomed =
-                dependencies.anyCancelled(needs) ? new JobState(id, "cancelled", 0, 0) : null;
+        JobStatus doomed =
+                dependencies.anyCancelled(needs) ? new JobStatus(id, "cancelled", 0, 0) : null;
         Transaction t = new Transaction().when(Keys.OPEN + id, 0).when(Keys.OVER + id, 0);
         if (doomed == null) {
             t.put(Keys.OPEN + id, record);
@@ -209,7 +209,7 @@
                                             id,
                                             new Answer(
                                                     Verdict.CREATED,
-                                                    new JobState(id, "pending", 0, 0))));
+                                                    new JobStatus(id, "pending", 0, 0))));
                         }
                         case NO -> status(id, answer);
                         case INVALID ->
@@ -235,7 +235,7 @@
      * so.
      */
     private Answer newest(String id, Answer a) {
-        JobState known = over.getIfPresent(id);
+        JobStatus known = over.getIfPresent(id);
         if (known != null) {
             return new Answer(
                     a.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN, known);
@@ -248,8 +248,8 @@
                 Keys.OVER + id,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
-                        Tree t = Tree.of(entry.value());
-                        JobState s = new JobState(id, t.text("status"), (int) t.count("done"), 0);
+                        DocumentReader t = DocumentReader.of(entry.value());
+                        JobStatus s = new JobStatus(id, t.text("status"), (int) t.count("done"), 0);
                         ended(s);
                         answer.accept(new Answer(Verdict.KNOWN, s));
                     } else {
@@ -296,7 +296,7 @@
                             move,
                             c -> {
                                 if (c.outcome() == Outcome.OK) {
-                                    JobState s = new JobState(id, "cancelled", 0, 0);
+                                    JobStatus s = new JobStatus(id, "cancelled", 0, 0);
                                     ended(s);
                                     onCancelled.accept(s);
                                     answer.accept(new Answer(Verdict.KNOWN, s));
@@ -317,7 +317,7 @@
                 Map.of("status", "cancelled", "done", 0L, "endedMs", timers.wallMs());
         try {
             return JobRecord.of(id, open).overMap(end, facts.store().valueBytes());
-        } catch (Malformed | IllegalArgumentException e) {
+        } catch (InvalidInputException | IllegalArgumentException e) {
             // Of a later version, or not what it should be: kept as it is, and cancelled all the
             // same.
             Map<String, Object> record = new LinkedHashMap<>();
--- a/src/main/java/io/kitepath/core/serve/RetryPace.java
+++ b/src/main/java/io/kitepath/core/serve/RetryPace.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.serve;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
 
 /**
@@ -21,7 +21,7 @@
     private int refused;
     private int before;
 
-    public RetryPace(Facts facts, Timers timers) {
+    public RetryPace(ClusterSettings facts, Timers timers) {
         this.timers = timers;
         this.share = facts.store().rps() / (facts.siblings().size() + 1);
     }
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -2,9 +2,9 @@
 
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.port.Store.Committed;
+import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
@@ -37,7 +37,7 @@
     private static final double RETRY_S = 0.4;
     private static final int AT_ONCE = 4;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
     private final Random random;
@@ -146,7 +146,7 @@
             }
         }
 
-        private void answered(Transaction t, Committed c) {
+        private void answered(Transaction t, CommitResult c) {
             switch (c.outcome()) {
                 case OK -> next();
                 case NO -> closed(t, new ArrayDeque<>(c.failed()));
--- a/src/main/java/io/kitepath/core/state/Ends.java
+++ b/src/main/java/io/kitepath/core/state/Ends.java
@@ -1,10 +1,10 @@
 package io.kitepath.core.state;
 
 import io.kitepath.core.block.Pipelines;
-import io.kitepath.core.model.Bucket;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.TokenBucket;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
@@ -32,17 +32,17 @@
     private final Store store;
     private final Timers timers;
     private final Pipelines pipelines;
-    private final Bucket requests;
+    private final TokenBucket requests;
     private final Set<String> asked = new HashSet<>();
     private Runnable ready = () -> {};
     private long epoch;
     private boolean waits;
 
-    Ends(Facts facts, Store store, Timers timers, Pipelines pipelines) {
+    Ends(ClusterSettings facts, Store store, Timers timers, Pipelines pipelines) {
         this.store = store;
         this.timers = timers;
         this.pipelines = pipelines;
-        this.requests = new Bucket(facts.store().rps() * RATE_SHARE);
+        this.requests = new TokenBucket(facts.store().rps() * RATE_SHARE);
     }
 
     /**
@@ -115,12 +115,12 @@
 
     private boolean ended(String id, Object record) {
         try {
-            Tree t = Tree.of(record);
+            DocumentReader t = DocumentReader.of(record);
             // Earlier versions did not put down when.
             pipelines.ended(
                     id, t.text("status").equals("done"), t.numberOr("endedMs", 0, timers.wallMs()));
             return true;
-        } catch (Malformed bad) {
+        } catch (InvalidInputException bad) {
             LOG.error("record {} is unreadable: {}", Keys.OVER + id, bad.getMessage());
             return false;
         }
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.state;
 
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import java.util.ArrayList;
@@ -22,13 +22,13 @@
 public final class ImageRecords {
     private static final int RECORDS = 16;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final List<Map<String, Object>> written = new ArrayList<>();
     private final Map<String, Map<String, Double>> remembered = new HashMap<>();
     private int next;
     private double nextAt;
 
-    public ImageRecords(Facts facts) {
+    public ImageRecords(ClusterSettings facts) {
         this.facts = facts;
         for (int i = 0; i < RECORDS; i++) {
             written.add(null);
--- a/src/main/java/io/kitepath/core/state/Keeper.java
+++ b/src/main/java/io/kitepath/core/state/Keeper.java
@@ -2,11 +2,11 @@
 
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Outcome;
@@ -31,7 +31,7 @@
     /** How often everything is read again before a part of no job is passed over. */
     private static final int MISFITS = 5;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
     private final Block block;
@@ -64,7 +64,7 @@
         void blockLost();
 
         /** The store has it that this job is done, or cancelled for one that it needs. */
-        void over(JobState job);
+        void over(JobStatus job);
 
         /** What earlier holders, or this one, put down to ask of the cloud. */
         void intended(List<Entry> acts);
@@ -328,13 +328,13 @@
         if (found.layout() != null) {
             block.laidOutBy(
                     (int)
-                            Tree.of(found.layout().value())
+                            DocumentReader.of(found.layout().value())
                                     .integer("partTasks", 1, Integer.MAX_VALUE));
         }
         if (servedBefore != null) {
             try {
                 block.served().restore(servedBefore);
-            } catch (Malformed bad) {
+            } catch (InvalidInputException bad) {
                 LOG.error("record {} is unreadable: {}", Keys.SERVED, bad.getMessage());
             }
         }
@@ -350,7 +350,7 @@
                         (id, x) -> {
                             try {
                                 block.addOver(job(id, x));
-                            } catch (Malformed | IllegalArgumentException bad) {
+                            } catch (InvalidInputException | IllegalArgumentException bad) {
                                 LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
                             }
                         });
@@ -393,7 +393,7 @@
         }
         try {
             block.addJob(job(id, x));
-        } catch (Malformed | IllegalArgumentException bad) {
+        } catch (InvalidInputException | IllegalArgumentException bad) {
             LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
         }
     }
--- a/src/main/java/io/kitepath/core/state/Pages.java
+++ b/src/main/java/io/kitepath/core/state/Pages.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.port.Store.Listing;
+import io.kitepath.core.port.Store.ListResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
 import java.util.ArrayList;
@@ -21,11 +21,11 @@
     private final Timers timers;
     private final String prefix;
     private final int tries;
-    private final Consumer<Listing> answer;
+    private final Consumer<ListResult> answer;
     private final List<Entry> entries = new ArrayList<>();
     private long revision = -1;
 
-    private Pages(Store store, Timers timers, String prefix, int tries, Consumer<Listing> answer) {
+    private Pages(Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
         this.store = store;
         this.timers = timers;
         this.prefix = prefix;
@@ -38,7 +38,7 @@
      * read.
      */
     public static void read(
-            Store store, Timers timers, String prefix, int tries, Consumer<Listing> answer) {
+            Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
         new Pages(store, timers, prefix, tries, answer).next(1);
     }
 
@@ -53,7 +53,7 @@
                         if (attempt < tries) {
                             timers.after(Math.min(1, 0.1 * attempt), () -> next(attempt + 1));
                         } else {
-                            answer.accept(new Listing(page.outcome(), List.of(), 0, false));
+                            answer.accept(new ListResult(page.outcome(), List.of(), 0, false));
                         }
                         return;
                     }
@@ -64,7 +64,7 @@
                     if (page.more() && !page.entries().isEmpty()) {
                         next(1);
                     } else {
-                        answer.accept(new Listing(Outcome.OK, entries, revision, false));
+                        answer.accept(new ListResult(Outcome.OK, entries, revision, false));
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/state/Reading.java
+++ b/src/main/java/io/kitepath/core/state/Reading.java
@@ -1,9 +1,9 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.port.Store.Listing;
+import io.kitepath.core.port.Store.ListResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
 import java.util.ArrayDeque;
@@ -52,7 +52,7 @@
             List<Entry> leaving,
             List<Entry> voids,
             List<Entry> shares,
-            Listing acts,
+            ListResult acts,
             Entry layout) {}
 
     /** Takes what the records say about other cells. */
@@ -88,7 +88,7 @@
     private List<Entry> leaving = List.of();
     private List<Entry> voids = List.of();
     private List<Entry> shares = List.of();
-    private Listing acts;
+    private ListResult acts;
     private Entry layout;
 
     /** What is called once all is there, except for what else is still being read. */
@@ -153,7 +153,7 @@
                 });
     }
 
-    private static Set<String> ids(Listing open) {
+    private static Set<String> ids(ListResult open) {
         Set<String> ids = new HashSet<>();
         open.entries().forEach(x -> ids.add(x.key().substring(Keys.OPEN.length())));
         return ids;
@@ -165,7 +165,7 @@
         }
     }
 
-    private void readElsewhere(Listing open) {
+    private void readElsewhere(ListResult open) {
         pages(
                 Keys.LENT,
                 l -> {
@@ -175,7 +175,7 @@
                             g -> {
                                 guests = g.entries();
                                 Set<String> all = ids(open);
-                                guests.forEach(x -> all.add(Tree.of(x.value()).textOr("job", "")));
+                                guests.forEach(x -> all.add(DocumentReader.of(x.value()).textOr("job", "")));
                                 running.accept(all);
                                 pages(
                                         Keys.LEAVE,
@@ -202,7 +202,7 @@
                 });
     }
 
-    private void pages(String prefix, Consumer<Listing> then) {
+    private void pages(String prefix, Consumer<ListResult> then) {
         Pages.read(
                 store,
                 timers,
@@ -220,13 +220,13 @@
                 });
     }
 
-    private void readClosed(Listing open, Listing parts) {
+    private void readClosed(ListResult open, ListResult parts) {
         Set<String> ids = new LinkedHashSet<>();
         parts.entries().forEach(x -> ids.add(Keys.jobOfPart(x.key())));
         ids.removeAll(ids(open));
         // Of what other cells lent to us, nothing is over here that is not over in the loan's own
         // record.
-        guests.forEach(g -> ids.remove(Tree.of(g.value()).textOr("job", "")));
+        guests.forEach(g -> ids.remove(DocumentReader.of(g.value()).textOr("job", "")));
         closed.addAll(ids);
         missing = closed.size();
         Runnable done =
--- a/src/main/java/io/kitepath/core/state/Rounds.java
+++ b/src/main/java/io/kitepath/core/state/Rounds.java
@@ -3,12 +3,12 @@
 import io.kitepath.core.block.Attempt;
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.model.Bucket;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Json;
+import io.kitepath.core.model.TokenBucket;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.JsonSize;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.port.Store.Committed;
+import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.state.Keeper.Rider;
@@ -37,13 +37,13 @@
     /** Of those, a record's key and what depends on it. */
     private static final int RECORD_BYTES = 128;
 
-    private final Facts facts;
+    private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
     private final Block block;
     private final ImageRecords images;
     private final Keeper.Listener listener;
-    private final Bucket writes;
+    private final TokenBucket writes;
 
     /** What waits to be written along, in order. */
     private final ArrayDeque<Rider> riders = new ArrayDeque<>();
@@ -77,7 +77,7 @@
         this.block = block;
         this.images = images;
         this.listener = listener;
-        this.writes = new Bucket(facts.store().writeRps() * WRITE_SHARE);
+        this.writes = new TokenBucket(facts.store().writeRps() * WRITE_SHARE);
         this.mostWrites = facts.store().txnOps();
     }
 
@@ -169,7 +169,7 @@
                 servedAt = now;
                 due = new Store.Write(Keys.SERVED, block.served().record(timers.wallMs()), 0);
             }
-            if (due != null && Json.size(due.value()) <= block.recordBytes()) {
+            if (due != null && JsonSize.size(due.value()) <= block.recordBytes()) {
                 r.transaction.put(due.key(), due.value());
             }
         }
@@ -309,7 +309,7 @@
                                         "endedMs",
                                         timers.wallMs()),
                                 block.recordBytes());
-        r.bytes += Json.size(record) + RECORD_BYTES;
+        r.bytes += JsonSize.size(record) + RECORD_BYTES;
         r.transaction
                 .when(job.key, job.revision())
                 .remove(job.key)
@@ -330,7 +330,7 @@
             r.transaction.remove(key);
         } else {
             Map<String, Object> record = job.partRecord(p.index);
-            if (Json.size(record) > block.recordBytes()) {
+            if (JsonSize.size(record) > block.recordBytes()) {
                 // Placed when records could be larger. Until enough of it has ended, its workers go
                 // on reporting what
                 // has, and no more of it is placed.
@@ -338,7 +338,7 @@
                 r.transaction.conditions().remove(r.transaction.conditions().size() - 1);
                 return;
             }
-            r.bytes += Json.size(record) + RECORD_BYTES;
+            r.bytes += JsonSize.size(record) + RECORD_BYTES;
             r.transaction.put(key, record);
         }
         r.parts.add(new Round.Written(p, job.version(), remove));
@@ -386,13 +386,13 @@
             block.served().done(job, timers.wallMs());
             block.pipelines().ended(job.spec.id(), true, timers.wallMs());
             block.jobOver(job.spec.id());
-            listener.over(new JobState(job.spec.id(), "done", job.spec.tasks(), 0));
+            listener.over(new JobStatus(job.spec.id(), "done", job.spec.tasks(), 0));
         }
         for (Job job : r.cancelling) {
             LOG.info("job {} cancelled, as one that it needs was", job.spec.id());
             block.pipelines().ended(job.spec.id(), false, timers.wallMs());
             block.jobOver(job.spec.id());
-            listener.over(new JobState(job.spec.id(), "cancelled", 0, 0));
+            listener.over(new JobStatus(job.spec.id(), "cancelled", 0, 0));
         }
         if (r.relaid != null) {
             r.relaid.written(block, revision);
@@ -450,10 +450,10 @@
     }
 
     private static int size(Store.Write w) {
-        return w.value() == null ? 0 : Json.size(w.value());
+        return w.value() == null ? 0 : JsonSize.size(w.value());
     }
 
-    private void refused(Round r, Committed c, Runnable done) {
+    private void refused(Round r, CommitResult c, Runnable done) {
         if (c.failed().contains(blockKey)) {
             putBack(r);
             listener.blockLost();
@@ -469,7 +469,7 @@
      * Guards against a holder that reads all jobs again for each answer that gets lost, and does
      * nothing else meanwhile.
      */
-    private void settle(long e, Round r, Committed c, Runnable done) {
+    private void settle(long e, Round r, CommitResult c, Runnable done) {
         Round.Witness witness = r.witness();
         if (witness == null) {
             putBack(r);
@@ -494,7 +494,7 @@
                 });
     }
 
-    private void notWritten(Round r, Committed c) {
+    private void notWritten(Round r, CommitResult c) {
         putBack(r);
         for (String key : c.failed()) {
             if (!key.startsWith(Keys.OPEN)) {
--- a/src/main/java/io/kitepath/peers/CellLinks.java
+++ b/src/main/java/io/kitepath/peers/CellLinks.java
@@ -1,8 +1,8 @@
 package io.kitepath.peers;
 
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.port.Cells;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.port.RemoteCells;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -34,7 +34,7 @@
  * Connections to nodes of other cells, made when something is asked of them and closed when they
  * have been quiet for a while. All of it on the event loop.
  */
-public final class CellLinks implements Cells {
+public final class CellLinks implements RemoteCells {
     private static final Logger LOG = LoggerFactory.getLogger(CellLinks.class);
     private static final int CONNECT_MS = 500;
     private static final int ANSWER_MS = 1000;
@@ -132,7 +132,7 @@
                 if (messages.value(ByteBufUtil.getBytes(frame)) instanceof Messages.AnswerCell a) {
                     settle(a.number(), a.message());
                 }
-            } catch (Malformed e) {
+            } catch (InvalidInputException e) {
                 LOG.warn("another cell's answer can't be read: {}", e.getMessage());
                 ctx.close();
             }
--- a/src/main/java/io/kitepath/peers/CellWords.java
+++ b/src/main/java/io/kitepath/peers/CellWords.java
@@ -14,25 +14,25 @@
         return new Class<?>[] {
             Messages.AskCell.class,
             Messages.AnswerCell.class,
-            CellMessage.Elsewhere.class,
-            CellMessage.Room.class,
+            CellMessage.Redirect.class,
+            CellMessage.FreeCapacity.class,
             CellMessage.Summary.class,
-            CellMessage.Offer.class,
-            CellMessage.Recall.class,
-            CellMessage.Standing.class,
-            CellMessage.Word.class,
-            CellMessage.Settled.class,
-            CellMessage.UserAsk.class,
-            CellMessage.Wish.class,
-            CellMessage.UserAnswer.class,
+            CellMessage.LoanOffer.class,
+            CellMessage.LoanRecall.class,
+            CellMessage.LoanState.class,
+            CellMessage.LoanStatus.class,
+            CellMessage.LoanSettled.class,
+            CellMessage.UserRequest.class,
+            CellMessage.RequestKind.class,
+            CellMessage.UserResponse.class,
             JobSpec.class,
             JobSpec.Shape.class,
             JobSpec.Priority.class,
             MachineKind.class,
             byte[].class,
-            CellMessage.Share.class,
-            CellMessage.Grant.class,
-            CellMessage.Granted.class
+            CellMessage.QuotaShare.class,
+            CellMessage.QuotaGrant.class,
+            CellMessage.QuotaGrantAccepted.class
         };
     }
 
@@ -57,8 +57,8 @@
                     new ArrayList<>(s.hears()),
                     new ArrayList<>(s.shares()));
         }
-        if (m instanceof CellMessage.Offer o) {
-            return new CellMessage.Offer(
+        if (m instanceof CellMessage.LoanOffer o) {
+            return new CellMessage.LoanOffer(
                     o.home(),
                     o.number(),
                     o.floor(),
@@ -68,8 +68,8 @@
                     o.until(),
                     o.next());
         }
-        if (m instanceof CellMessage.UserAsk u) {
-            return new CellMessage.UserAsk(u.wish(), u.id(), plain(u.job()));
+        if (m instanceof CellMessage.UserRequest u) {
+            return new CellMessage.UserRequest(u.wish(), u.id(), plain(u.job()));
         }
         return m;
     }
