--- a/src/main/java/io/kitepath/peers/Messages.java
+++ b/src/main/java/io/kitepath/peers/Messages.java
@@ -4,12 +4,12 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.HeartbeatAnswer;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -25,20 +25,20 @@
     record View(String by, long token, boolean leads, boolean served) {}
 
     /** The store has it that this job is over. */
-    record Over(JobState job) {}
+    record Over(JobStatus job) {}
 
     /**
      * Asks the leader, or one who may pass it on, to answer a check-in; the number ties the answer
      * to it.
      */
-    record Ask(long number, Report report, boolean passOn) {}
+    record Ask(long number, Heartbeat report, boolean passOn) {}
 
-    record Answer(long number, HeartbeatAnswer heartbeat) {}
+    record Answer(long number, HeartbeatResponse heartbeat) {}
 
     /** Asks the leader how far jobs are. */
     record AskProgress(long number, List<String> jobs) {}
 
-    record AnswerProgress(long number, List<Progress> progress) {}
+    record AnswerProgress(long number, List<JobProgress> progress) {}
 
     /** Between cells: a question under a number, and its answer, null if there is none. */
     record AskCell(long number, CellMessage message) {}
@@ -75,18 +75,18 @@
                     Over.class,
                     Ask.class,
                     Answer.class,
-                    Report.class,
-                    Report.TaskReport.class,
-                    Report.State.class,
-                    Report.Cause.class,
-                    HeartbeatAnswer.class,
-                    Order.class,
-                    Order.Verb.class,
+                    Heartbeat.class,
+                    Heartbeat.TaskStatus.class,
+                    Heartbeat.TaskState.class,
+                    Heartbeat.EndCause.class,
+                    HeartbeatResponse.class,
+                    WorkerCommand.class,
+                    WorkerCommand.Action.class,
                     ArrayList.class,
                     AskProgress.class,
                     AnswerProgress.class,
-                    Progress.class,
-                    JobState.class
+                    JobProgress.class,
+                    JobStatus.class
                 }) {
             kryo.register(c, id++);
         }
@@ -108,10 +108,10 @@
     /** Kryo knows one kind of list here. */
     private static Object plain(Object message) {
         if (message instanceof Ask a) {
-            Report r = a.report;
+            Heartbeat r = a.report;
             return new Ask(
                     a.number,
-                    new Report(
+                    new Heartbeat(
                             r.machine(),
                             r.address(),
                             r.type(),
@@ -125,10 +125,10 @@
                     a.passOn);
         }
         if (message instanceof Answer a) {
-            HeartbeatAnswer c = a.heartbeat;
+            HeartbeatResponse c = a.heartbeat;
             return new Answer(
                     a.number,
-                    new HeartbeatAnswer(c.token(), new ArrayList<>(c.orders()), c.anchor()));
+                    new HeartbeatResponse(c.token(), new ArrayList<>(c.orders()), c.anchor()));
         }
         if (message instanceof AskProgress a) {
             return new AskProgress(a.number, new ArrayList<>(a.jobs));
@@ -149,7 +149,7 @@
             return kryo.readClassAndObject(new Input(frame));
         } catch (RuntimeException e) {
             // Kryo throws all kinds on bad bytes.
-            throw new Malformed("message: " + e.getMessage());
+            throw new InvalidInputException("message: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -2,12 +2,12 @@
 
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.HeartbeatAnswer;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.port.Siblings;
+import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.port.PeerNodes;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -39,7 +39,7 @@
 import org.slf4j.LoggerFactory;
 
 /** The nodes' own channel: one kept connection to each sibling, length-prefixed frames. */
-public final class Peers implements Siblings {
+public final class Peers implements PeerNodes {
     private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
 
     /** A worker drops answers after 4 s; a relayed one has to be back well before. */
@@ -61,8 +61,8 @@
     private final String node;
     private final Map<String, InetSocketAddress> addresses;
     private final Map<String, Channel> channels = new HashMap<>();
-    private final Map<Long, Asked<HeartbeatAnswer>> asks = new LinkedHashMap<>();
-    private final Map<Long, Asked<List<Progress>>> progressAsks = new LinkedHashMap<>();
+    private final Map<Long, Asked<HeartbeatResponse>> asks = new LinkedHashMap<>();
+    private final Map<Long, Asked<List<JobProgress>>> progressAsks = new LinkedHashMap<>();
     private Controller controller;
     private long asked;
 
@@ -199,7 +199,7 @@
     }
 
     @Override
-    public void over(JobState job) {
+    public void over(JobStatus job) {
         toAll(channels.values(), ch -> send(ch, new Messages.Over(job)));
     }
 
@@ -214,16 +214,16 @@
 
     @Override
     public boolean relay(
-            String sibling, Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
+            String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
         Channel ch = channels.get(sibling);
         if (ch == null || !ch.isActive() || asks.size() >= MAX_ASKS) {
             return false;
         }
         long number = ++asked;
-        asks.put(number, new Asked<>(ch, answer, new HeartbeatAnswer(0, List.of(), null)));
+        asks.put(number, new Asked<>(ch, answer, new HeartbeatResponse(0, List.of(), null)));
         send(ch, new Messages.Ask(number, report, passOn));
         loop.schedule(
-                () -> settle(asks, number, new HeartbeatAnswer(0, List.of(), null)),
+                () -> settle(asks, number, new HeartbeatResponse(0, List.of(), null)),
                 RELAY_MS,
                 TimeUnit.MILLISECONDS);
         return true;
@@ -238,7 +238,7 @@
     }
 
     @Override
-    public void progress(String leader, List<String> jobs, Consumer<List<Progress>> answer) {
+    public void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
         Channel ch = channels.get(leader);
         if (ch == null || !ch.isActive() || progressAsks.size() >= MAX_ASKS) {
             answer.accept(List.of());
@@ -257,7 +257,7 @@
             Object message;
             try {
                 message = messages.value(ByteBufUtil.getBytes(frame));
-            } catch (Malformed e) {
+            } catch (InvalidInputException e) {
                 LOG.warn("a sibling's message can't be read: {}", e.getMessage());
                 ctx.close();
                 return;
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -1,9 +1,9 @@
 package io.kitepath.settings;
 
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -18,7 +18,7 @@
  * @param addresses by cell and node, of all cells but this one
  */
 public record CellsFile(
-        Directory directory, Map<String, Map<String, InetSocketAddress>> addresses) {
+        CellDirectory directory, Map<String, Map<String, InetSocketAddress>> addresses) {
     /**
      * Less than any task takes: the part of a limit of a cell that has none of it, where 0 would
      * mean no limit.
@@ -28,26 +28,26 @@
     /** How far parts of a whole may add up to more because they are decimal numbers. */
     private static final double ROUNDING = 1e-6;
 
-    /** Complains with a {@link Malformed} that names file, field and reason. */
-    public static CellsFile read(Path file, Facts facts) {
+    /** Complains with a {@link InvalidInputException} that names file, field and reason. */
+    public static CellsFile read(Path file, ClusterSettings facts) {
         byte[] bytes = Settings.bytes(file);
         try {
             return of(bytes, facts);
-        } catch (Malformed e) {
-            throw new Malformed(file + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(file + ": " + e.getMessage());
         }
     }
 
-    /** Complains with a {@link Malformed} that names field and reason. */
-    static CellsFile of(byte[] json, Facts facts) {
-        Tree t = Tree.of(Settings.document(json));
+    /** Complains with a {@link InvalidInputException} that names field and reason. */
+    static CellsFile of(byte[] json, ClusterSettings facts) {
+        DocumentReader t = DocumentReader.of(Settings.document(json));
         long version = t.integer("version", 1, Long.MAX_VALUE);
-        Map<String, Directory.Cell> cells = new LinkedHashMap<>();
+        Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
         Map<String, Map<String, InetSocketAddress>> addresses = new HashMap<>();
         Map<String, String> zoneOf = new HashMap<>();
         Set<String> nodes = new HashSet<>();
         String own = null;
-        for (Tree c : t.children("cells")) {
+        for (DocumentReader c : t.children("cells")) {
             String name = name(c);
             if (cells.containsKey(name)) {
                 throw c.complaint("name", "there are two cells \"" + name + "\"");
@@ -61,7 +61,7 @@
             }
             Map<String, String> of = new LinkedHashMap<>();
             Map<String, InetSocketAddress> at = new LinkedHashMap<>();
-            for (Tree n : c.children("nodes")) {
+            for (DocumentReader n : c.children("nodes")) {
                 String label = n.text("label");
                 if (!nodes.add(label)) {
                     throw n.complaint("label", "there are two nodes \"" + label + "\"");
@@ -80,7 +80,7 @@
             boolean home = !c.has("home") || c.flag("home");
             cells.put(
                     name,
-                    new Directory.Cell(
+                    new CellDirectory.Cell(
                             name,
                             home,
                             c.has("drained") && c.flag("drained"),
@@ -91,17 +91,17 @@
         if (own == null) {
             throw t.complaint("cells", "no cell has this node, \"" + facts.node() + "\"");
         }
-        if (cells.values().stream().noneMatch(Directory.Cell::home)) {
+        if (cells.values().stream().noneMatch(CellDirectory.Cell::home)) {
             throw t.complaint("cells", "none is a home");
         }
-        Directory d = new Directory(version, own, cells);
+        CellDirectory d = new CellDirectory(version, own, cells);
         checkOwn(t, d, facts);
         checkSums(t, d, facts);
         return new CellsFile(d, addresses);
     }
 
     /** A cell's name is a part of keys and messages. */
-    private static String name(Tree c) {
+    private static String name(DocumentReader c) {
         String name = c.text("name");
         if (!name.matches("[a-z0-9][a-z0-9-]{0,39}")) {
             throw c.complaint("name", "must be 1 to 40 of a-z, 0-9 and -, not \"" + name + "\"");
@@ -112,10 +112,10 @@
     /**
      * The cell's part of each team's limits; a team that is not named has an equal part of none.
      */
-    private static Map<String, Facts.Team> teams(Tree c, Facts facts) {
-        Map<String, Tree> named = new HashMap<>();
+    private static Map<String, ClusterSettings.Team> teams(DocumentReader c, ClusterSettings facts) {
+        Map<String, DocumentReader> named = new HashMap<>();
         if (c.has("teams")) {
-            for (Tree x : c.children("teams")) {
+            for (DocumentReader x : c.children("teams")) {
                 if (!facts.teams().containsKey(x.text("name"))) {
                     throw x.complaint(
                             "name", "the settings have no team \"" + x.text("name") + "\"");
@@ -123,12 +123,12 @@
                 named.put(x.text("name"), x);
             }
         }
-        Map<String, Facts.Team> out = new LinkedHashMap<>();
-        for (Facts.Team whole : facts.teams().values()) {
-            Tree x = named.get(whole.name());
+        Map<String, ClusterSettings.Team> out = new LinkedHashMap<>();
+        for (ClusterSettings.Team whole : facts.teams().values()) {
+            DocumentReader x = named.get(whole.name());
             out.put(
                     whole.name(),
-                    new Facts.Team(
+                    new ClusterSettings.Team(
                             whole.name(),
                             x == null ? 0 : x.numberOr("cpus", 0, 0),
                             limit(x, "cpus_max", whole.cpusMax()),
@@ -138,7 +138,7 @@
         return out;
     }
 
-    private static double limit(Tree x, String field, double whole) {
+    private static double limit(DocumentReader x, String field, double whole) {
         double part = x == null ? 0 : x.numberOr(field, 0, 0);
         if (whole == 0) {
             if (part > 0) {
@@ -149,7 +149,7 @@
         return part > 0 ? part : NOTHING;
     }
 
-    private static void checkOwn(Tree t, Directory d, Facts facts) {
+    private static void checkOwn(DocumentReader t, CellDirectory d, ClusterSettings facts) {
         Set<String> mine = new HashSet<>(facts.siblings());
         mine.add(facts.node());
         if (!d.here().nodes().keySet().equals(mine)) {
@@ -171,11 +171,11 @@
     }
 
     /** Parts that add up to more than the whole would be a limit that nobody keeps. */
-    private static void checkSums(Tree t, Directory d, Facts facts) {
-        for (Facts.Team whole : facts.teams().values()) {
+    private static void checkSums(DocumentReader t, CellDirectory d, ClusterSettings facts) {
+        for (ClusterSettings.Team whole : facts.teams().values()) {
             double[] sum = new double[4];
-            for (Directory.Cell c : d.cells().values()) {
-                Facts.Team part = c.teams().get(whole.name());
+            for (CellDirectory.Cell c : d.cells().values()) {
+                ClusterSettings.Team part = c.teams().get(whole.name());
                 sum[0] += part.cpus();
                 sum[1] += part.cpusMax();
                 sum[2] += part.gpus();
--- a/src/main/java/io/kitepath/settings/Settings.java
+++ b/src/main/java/io/kitepath/settings/Settings.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.DocumentReader;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -23,20 +23,20 @@
 
 /** The settings file that the platform hands over, checked. */
 public record Settings(
-        Facts facts,
+        ClusterSettings facts,
         InetSocketAddress listen,
         InetSocketAddress internal,
         Map<String, InetSocketAddress> siblings,
         InetSocketAddress cloud,
         InetSocketAddress state) {
 
-    /** Complains with a {@link Malformed} that names file, field and reason. */
+    /** Complains with a {@link InvalidInputException} that names file, field and reason. */
     public static Settings read(Path file) {
         byte[] bytes = bytes(file);
         try {
             return of(bytes);
-        } catch (Malformed e) {
-            throw new Malformed(file + ": " + e.getMessage());
+        } catch (InvalidInputException e) {
+            throw new InvalidInputException(file + ": " + e.getMessage());
         }
     }
 
@@ -44,40 +44,40 @@
         try {
             return Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
-            throw new Malformed(file + ": no such file");
+            throw new InvalidInputException(file + ": no such file");
         } catch (IOException e) {
-            throw new Malformed(file + ": can't be read: " + e.getMessage());
+            throw new InvalidInputException(file + ": can't be read: " + e.getMessage());
         }
     }
 
-    /** Complains with a {@link Malformed} that names field and reason. */
+    /** Complains with a {@link InvalidInputException} that names field and reason. */
     public static Settings of(byte[] json) {
-        return of(Tree.of(document(json)));
+        return of(DocumentReader.of(document(json)));
     }
 
-    private static Settings of(Tree t) {
+    private static Settings of(DocumentReader t) {
         String node = t.text("label");
         Map<String, InetSocketAddress> siblings = new LinkedHashMap<>();
-        for (Tree s : t.children("siblings")) {
+        for (DocumentReader s : t.children("siblings")) {
             siblings.put(s.text("label"), address(s, "addr"));
         }
-        Tree f = t.child("facts");
-        Map<String, Facts.Team> teams = new LinkedHashMap<>();
-        for (Tree x : f.children("teams")) {
+        DocumentReader f = t.child("facts");
+        Map<String, ClusterSettings.Team> teams = new LinkedHashMap<>();
+        for (DocumentReader x : f.children("teams")) {
             teams.put(
                     x.text("name"),
-                    new Facts.Team(
+                    new ClusterSettings.Team(
                             x.text("name"),
                             x.numberOr("cpus", 0, 0),
                             x.numberOr("cpus_max", 0, 0),
                             x.numberOr("gpus", 0, 0),
                             x.numberOr("gpus_max", 0, 0)));
         }
-        List<Facts.Objective> objectives = new ArrayList<>();
+        List<ClusterSettings.Objective> objectives = new ArrayList<>();
         if (f.has("objectives")) {
-            for (Tree x : f.children("objectives")) {
+            for (DocumentReader x : f.children("objectives")) {
                 objectives.add(
-                        new Facts.Objective(
+                        new ClusterSettings.Objective(
                                 x.text("kind"),
                                 x.textOr("class", ""),
                                 x.numberOr("within_s", 0, 0),
@@ -85,32 +85,32 @@
                                 x.numberOr("share", 0, 0)));
             }
         }
-        Tree w = f.child("workers");
-        Tree s = f.child("state");
-        Tree c = f.child("cloud");
-        Tree l = f.child("limits");
-        Facts facts =
-                new Facts(
+        DocumentReader w = f.child("workers");
+        DocumentReader s = f.child("state");
+        DocumentReader c = f.child("cloud");
+        DocumentReader l = f.child("limits");
+        ClusterSettings facts =
+                new ClusterSettings(
                         node,
                         t.text("domain"),
                         List.copyOf(siblings.keySet()),
                         f.texts("zones"),
                         teams,
                         objectives,
-                        new Facts.Workers(
+                        new ClusterSettings.Workers(
                                 w.number("report_s", 0.001),
                                 w.number("lease_s", 0.001),
                                 w.number("gang_wait_s", 0),
                                 w.number("gang_peer_s", 0),
                                 w.number("cancel_s", 0)),
                         limits(s),
-                        new Facts.CloudLimits(c.number("rps", 0.001), c.number("list_lag_s", 0)),
-                        new Facts.Limits(
+                        new ClusterSettings.CloudLimits(c.number("rps", 0.001), c.number("list_lag_s", 0)),
+                        new ClusterSettings.Limits(
                                 l.number("cpu", 0.001),
                                 l.number("ram_mb", 1),
                                 (int) l.integer("sockets", 16, Integer.MAX_VALUE)),
                         f.numberOr("clock_error_ms", 0, t.numberOr("clock_error_ms", 0, 0)));
-        Tree e = t.child("endpoints");
+        DocumentReader e = t.child("endpoints");
         return new Settings(
                 facts,
                 address(t, "listen"),
@@ -124,9 +124,9 @@
      * The state service's limits, and those that it will have at some later time, if that is
      * announced.
      */
-    private static Facts.StoreLimits limits(Tree s) {
-        Facts.StoreLimits now =
-                new Facts.StoreLimits(
+    private static ClusterSettings.StoreLimits limits(DocumentReader s) {
+        ClusterSettings.StoreLimits now =
+                new ClusterSettings.StoreLimits(
                         s.number("rps", 1),
                         s.number("write_rps", 1),
                         s.number("value_kb", 1),
@@ -134,9 +134,9 @@
         if (!s.has("next")) {
             return now;
         }
-        Tree n = s.child("next");
+        DocumentReader n = s.child("next");
         return now.andLater(
-                new Facts.StoreLimits(
+                new ClusterSettings.StoreLimits(
                         n.numberOr("rps", 1, now.rps()),
                         n.numberOr("write_rps", 1, now.writeRps()),
                         n.numberOr("value_kb", 1, now.valueKb()),
@@ -146,7 +146,7 @@
     }
 
     /** A numeric IPv4 address and a port; names are not looked up. */
-    static InetSocketAddress address(Tree t, String field) {
+    static InetSocketAddress address(DocumentReader t, String field) {
         String s = t.text(field);
         int colon = s.lastIndexOf(':');
         try {
@@ -209,21 +209,21 @@
     public static Object document(byte[] bytes) {
         try (JsonParser p = new JsonFactory().createParser(bytes)) {
             if (p.nextToken() == null) {
-                throw new Malformed("is empty");
+                throw new InvalidInputException("is empty");
             }
             Object value = value(p);
             if (p.nextToken() != null) {
-                throw new Malformed("has more than one value");
+                throw new InvalidInputException("has more than one value");
             }
             return value;
         } catch (JsonProcessingException e) {
-            throw new Malformed(
+            throw new InvalidInputException(
                     "not JSON: "
                             + e.getOriginalMessage()
                             + ", line "
                             + (e.getLocation() == null ? "?" : e.getLocation().getLineNr()));
         } catch (IOException e) {
-            throw new Malformed("not JSON: " + e.getMessage());
+            throw new InvalidInputException("not JSON: " + e.getMessage());
         }
     }
 
--- a/src/main/java/io/kitepath/standin/Cellular.java
+++ b/src/main/java/io/kitepath/standin/Cellular.java
@@ -1,12 +1,12 @@
 package io.kitepath.standin;
 
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Report.State;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.serve.Registry.Verdict;
@@ -33,12 +33,12 @@
      */
     private static final double CANCEL_S = 30;
 
-    private static final Map<String, Facts.Team> TEAMS =
+    private static final Map<String, ClusterSettings.Team> TEAMS =
             Map.of(
                     "red",
-                    new Facts.Team("red", 0, 0, 0, 0),
+                    new ClusterSettings.Team("red", 0, 0, 0, 0),
                     "blue",
-                    new Facts.Team("blue", 0, 0, 0, 0));
+                    new ClusterSettings.Team("blue", 0, 0, 0, 0));
 
     public final Clock clock = new Clock();
 
@@ -99,19 +99,19 @@
         this.random = new Random(seed);
         List<String> names = new ArrayList<>(homes);
         names.addAll(rooms);
-        Map<String, Facts.Team> wholes = new LinkedHashMap<>(TEAMS);
-        Map<String, Facts.Team> parts = new LinkedHashMap<>(TEAMS);
+        Map<String, ClusterSettings.Team> wholes = new LinkedHashMap<>(TEAMS);
+        Map<String, ClusterSettings.Team> parts = new LinkedHashMap<>(TEAMS);
         limits.forEach(
                 (t, cpus) -> {
-                    wholes.put(t, new Facts.Team(t, 0, cpus, 0, 0));
-                    parts.put(t, new Facts.Team(t, 0, cpus / names.size(), 0, 0));
+                    wholes.put(t, new ClusterSettings.Team(t, 0, cpus, 0, 0));
+                    parts.put(t, new ClusterSettings.Team(t, 0, cpus / names.size(), 0, 0));
                 });
         for (String own : names) {
-            Map<String, Directory.Cell> cells = new LinkedHashMap<>();
+            Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
             for (String n : names) {
                 cells.put(
                         n,
-                        new Directory.Cell(
+                        new CellDirectory.Cell(
                                 n,
                                 homes.contains(n),
                                 false,
@@ -119,7 +119,7 @@
                                 Map.of(),
                                 parts));
             }
-            World w = new World(clock, this, apart ? null : new Directory(1, own, cells));
+            World w = new World(clock, this, apart ? null : new CellDirectory(1, own, cells));
             w.teams.putAll(apart ? parts : wholes);
             w.specs = specs;
             w.zones = List.of(own + "1", own + "2");
@@ -264,7 +264,7 @@
 
     /** An id whose home is that cell. */
     public String id(String home, int n) {
-        Directory d = worlds.get(home).directory;
+        CellDirectory d = worlds.get(home).directory;
         for (int i = 1000 * n; ; i++) {
             if (d == null || d.home("j-" + i).equals(home)) {
                 return "j-" + i;
@@ -363,7 +363,7 @@
         for (World w : worlds.values()) {
             for (Worker x : w.workers.values()) {
                 for (Task t : x.tasks.values()) {
-                    if (!x.up || t.state == State.ENDED) {
+                    if (!x.up || t.state == TaskState.ENDED) {
                         continue;
                     }
                     String other = where.put(t.job + "/" + t.number, x.id);
@@ -422,7 +422,7 @@
                                 .filter(e -> e.key().startsWith("kitepath/share/"))
                                 .forEach(
                                         e -> {
-                                            Tree t = Tree.of(e.value());
+                                            DocumentReader t = DocumentReader.of(e.value());
                                             sum[0] +=
                                                     t.integer(
                                                             "cpus", Long.MIN_VALUE, Long.MAX_VALUE);
--- a/src/main/java/io/kitepath/standin/Loopback.java
+++ b/src/main/java/io/kitepath/standin/Loopback.java
@@ -1,11 +1,11 @@
 package io.kitepath.standin;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.MachineKind;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Cloud;
-import io.kitepath.core.port.Store.Committed;
+import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.HttpServer;
@@ -66,7 +66,7 @@
 
                     @Override
                     public void heartbeat(
-                            String node, Report report, Consumer<HeartbeatAnswer> answer) {
+                            String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
                         Loopback.this
                                 .nodes
                                 .get(node)
@@ -76,10 +76,10 @@
                                         Outside.report(report),
                                         TIMEOUT_MS,
                                         (status, body) -> {
-                                            HeartbeatAnswer c = Outside.heartbeat(status, body);
+                                            HeartbeatResponse c = Outside.heartbeat(status, body);
                                             answer.accept(
                                                     c == null
-                                                            ? HeartbeatAnswer.elsewhere(null)
+                                                            ? HeartbeatResponse.elsewhere(null)
                                                             : c);
                                         });
                     }
@@ -109,7 +109,7 @@
                         (request, out) -> {
                             try {
                                 handler.handle(request, out);
-                            } catch (Malformed e) {
+                            } catch (InvalidInputException e) {
                                 out.reply(400, Wire.error(e.getMessage()));
                             }
                         },
@@ -146,11 +146,11 @@
     private void direct(Worker w, Request r, Responder out) {
         try {
             Outside.Direct d = Outside.direct(Pack.value(r.body()));
-            Report report = w.up ? w.directly(d.token(), d.session(), d.orders()) : null;
+            Heartbeat report = w.up ? w.directly(d.token(), d.session(), d.orders()) : null;
             out.reply(
                     report == null ? 409 : 200,
                     Outside.report(report == null ? w.message() : report));
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             out.reply(400, Wire.error(e.getMessage()));
         }
     }
@@ -225,7 +225,7 @@
         }
     }
 
-    private static void committed(Committed c, Responder out) {
+    private static void committed(CommitResult c, Responder out) {
         switch (c.outcome()) {
             case OK -> out.reply(200, Outside.committed(c));
             case NO ->
@@ -245,7 +245,7 @@
     private static long number(Request r, String name, long absent) {
         String s = query(r, name, "" + absent);
         if (!s.matches("[0-9]{1,18}")) {
-            throw new Malformed(name + ": must be a number");
+            throw new InvalidInputException(name + ": must be a number");
         }
         return Long.parseLong(s);
     }
--- a/src/main/java/io/kitepath/standin/MemoryStore.java
+++ b/src/main/java/io/kitepath/standin/MemoryStore.java
@@ -1,8 +1,8 @@
 package io.kitepath.standin;
 
-import io.kitepath.core.model.Bucket;
-import io.kitepath.core.model.Json;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.TokenBucket;
+import io.kitepath.core.model.JsonSize;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.Keys;
 import java.util.ArrayList;
@@ -38,8 +38,8 @@
     public boolean limited;
 
     public int overRate;
-    private Bucket requests;
-    private Bucket writes;
+    private TokenBucket requests;
+    private TokenBucket writes;
 
     /** What every request takes longer to get there than usual. */
     public double slowS;
@@ -97,8 +97,8 @@
             return false;
         }
         if (requests == null) {
-            requests = new Bucket(w.rps);
-            writes = new Bucket(w.writeRps);
+            requests = new TokenBucket(w.rps);
+            writes = new TokenBucket(w.writeRps);
         }
         if (writes.available(w.clock.now) < itsWrites || !requests.take(1, w.clock.now)) {
             overRate++;
@@ -121,7 +121,7 @@
 
     public long token() {
         Store.Entry e = keys.get(Keys.TOKEN);
-        return e == null ? 0 : Tree.of(e.value()).count("token");
+        return e == null ? 0 : DocumentReader.of(e.value()).count("token");
     }
 
     public void expire() {
@@ -173,10 +173,10 @@
         private final Caller node;
         private final String prefix;
         private final long after;
-        private final Consumer<Store.Changes> answer;
+        private final Consumer<Store.WatchResult> answer;
         private boolean touched;
 
-        Watch(Caller node, String prefix, long after, Consumer<Store.Changes> answer) {
+        Watch(Caller node, String prefix, long after, Consumer<Store.WatchResult> answer) {
             this.node = node;
             this.prefix = prefix;
             this.after = after;
@@ -199,7 +199,7 @@
                 return !node.there();
             }
             long r = no ? after : revision;
-            node.after(0.002, () -> answer.accept(new Store.Changes(Store.Outcome.OK, r, events)));
+            node.after(0.002, () -> answer.accept(new Store.WatchResult(Store.Outcome.OK, r, events)));
             return true;
         }
     }
@@ -221,7 +221,7 @@
     }
 
     public void follow(
-            Caller node, String prefix, long after, double holdS, Consumer<Store.Changes> answer) {
+            Caller node, String prefix, long after, double holdS, Consumer<Store.WatchResult> answer) {
         Watch x = new Watch(node, prefix, after, answer);
         x.touched = true;
         watches.add(x);
@@ -248,17 +248,17 @@
     /** Transactions that were over them. */
     public int overLimits;
 
-    public Store.Committed execute(Store.Transaction t) {
+    public Store.CommitResult execute(Store.Transaction t) {
         expire();
         if (t.writes().size() > txnOps
                 || t.conditions().size() > 4L * txnOps
                 || t.writes().stream()
-                        .anyMatch(x -> x.value() != null && Json.size(x.value()) > valueBytes)) {
+                        .anyMatch(x -> x.value() != null && JsonSize.size(x.value()) > valueBytes)) {
             overLimits++;
-            return new Store.Committed(Store.Outcome.INVALID, 0, List.of(), false);
+            return new Store.CommitResult(Store.Outcome.INVALID, 0, List.of(), false);
         }
         if (t.writes().stream().anyMatch(x -> x.lease() != 0 && !leases.containsKey(x.lease()))) {
-            return new Store.Committed(Store.Outcome.NO, 0, List.of(), true);
+            return new Store.CommitResult(Store.Outcome.NO, 0, List.of(), true);
         }
         List<String> failed = new ArrayList<>();
         for (Store.Condition c : t.conditions()) {
@@ -268,10 +268,10 @@
             }
         }
         if (!failed.isEmpty()) {
-            return new Store.Committed(Store.Outcome.NO, 0, failed, false);
+            return new Store.CommitResult(Store.Outcome.NO, 0, failed, false);
         }
         long r = t.writes().isEmpty() ? revision : ++revision;
         t.writes().forEach(w -> put(w.key(), w.value(), w.lease(), r));
-        return new Store.Committed(Store.Outcome.OK, r, List.of(), false);
+        return new Store.CommitResult(Store.Outcome.OK, r, List.of(), false);
     }
 }
--- a/src/main/java/io/kitepath/standin/Node.java
+++ b/src/main/java/io/kitepath/standin/Node.java
@@ -3,12 +3,12 @@
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.HeartbeatAnswer;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.port.Siblings;
+import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Timers;
 import java.util.HashSet;
 import java.util.List;
@@ -16,7 +16,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-public final class Node implements Timers, Siblings, Caller {
+public final class Node implements Timers, PeerNodes, Caller {
     private final World w;
     public final String name;
     public final Controller controller;
@@ -70,7 +70,7 @@
     }
 
     private void direct(
-            String address, long token, long session, List<Order> orders, Consumer<Report> answer) {
+            String address, long token, long session, List<WorkerCommand> orders, Consumer<Heartbeat> answer) {
         Worker x = w.workers.get(address);
         if (x == null
                 || x.cut
@@ -97,7 +97,7 @@
         w.after(
                 w.directDelayS,
                 () -> {
-                    Report r = x.directly(token, session, orders);
+                    Heartbeat r = x.directly(token, session, orders);
                     after(0.002, () -> answer.accept(w.commands.test(this, x) ? r : null));
                 });
     }
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void over(JobState job) {
+    public void over(JobStatus job) {
         if (losesWord) {
             return;
         }
@@ -205,10 +205,10 @@
     }
 
     @Override
-    public void progress(String leader, List<String> jobs, Consumer<List<Progress>> answer) {
+    public void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
         Node n = w.nodes.get(leader);
         boolean[] heard = new boolean[1];
-        Consumer<List<Progress>> once =
+        Consumer<List<JobProgress>> once =
                 p -> {
                     if (!heard[0]) {
                         heard[0] = true;
@@ -219,7 +219,7 @@
             n.after(
                     0.001,
                     () -> {
-                        List<Progress> p = n.controller.progress(jobs);
+                        List<JobProgress> p = n.controller.progress(jobs);
                         after(0.001, () -> once.accept(p));
                     });
         }
@@ -228,7 +228,7 @@
 
     @Override
     public boolean relay(
-            String sibling, Report report, boolean passOn, Consumer<HeartbeatAnswer> answer) {
+            String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
         Node n = w.nodes.get(sibling);
         if (n == null || !reaches(n)) {
             return false;
--- a/src/main/java/io/kitepath/standin/Rehearsal.java
+++ b/src/main/java/io/kitepath/standin/Rehearsal.java
@@ -1,6 +1,6 @@
 package io.kitepath.standin;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.serve.Registry.Verdict;
@@ -149,8 +149,8 @@
             w.reportsChanges = true;
             w.writeRps = 250 * (way == Way.WHOLE ? plan.cells : 1);
             w.type = new MachineType("m16", CPUS, 0, 64, 50, 1, 1.0, 0.4, 1e6, w.zones);
-            w.objectives.add(new Facts.Objective("finished", "tiles", GOAL_S, 1, 0.9));
-            w.objectives.add(new Facts.Objective("finished", "plates", GOAL_S, 1, 0.9));
+            w.objectives.add(new ClusterSettings.Objective("finished", "tiles", GOAL_S, 1, 0.9));
+            w.objectives.add(new ClusterSettings.Objective("finished", "plates", GOAL_S, 1, 0.9));
             w.runsFor = id -> coming.get(id).runS;
             cells.cell(c, 2, plan.machines * (way == Way.WHOLE ? plan.cells : 1));
         }
--- a/src/main/java/io/kitepath/standin/Rules.java
+++ b/src/main/java/io/kitepath/standin/Rules.java
@@ -1,6 +1,6 @@
 package io.kitepath.standin;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.serve.Registry;
 import java.util.ArrayList;
@@ -256,7 +256,7 @@
     }
 
     private void limit(String team) {
-        Facts.Team limit = w.teams.get(team);
+        ClusterSettings.Team limit = w.teams.get(team);
         if (limit == null || limit.cpusMax() <= 0 && limit.gpusMax() <= 0) {
             return;
         }
@@ -341,7 +341,7 @@
             return false;
         }
         long atOnce = s.gang() ? missing : 1;
-        Facts.Team limit = w.teams.get(s.team());
+        ClusterSettings.Team limit = w.teams.get(s.team());
         double[] used = onMachines(s.team());
         if (limit == null
                 || limit.cpusMax() > 0 && used[0] + atOnce * s.cpus() > limit.cpusMax() + 1e-6
--- a/src/main/java/io/kitepath/standin/StoreLink.java
+++ b/src/main/java/io/kitepath/standin/StoreLink.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void page(String prefix, String from, int limit, Consumer<Listing> answer) {
+    public void page(String prefix, String from, int limit, Consumer<ListResult> answer) {
         exchange(
                 () -> {
                     store.pages++;
@@ -57,7 +57,7 @@
                         back(
                                 () ->
                                         answer.accept(
-                                                new Listing(Outcome.REFUSED, List.of(), 0, false)));
+                                                new ListResult(Outcome.REFUSED, List.of(), 0, false)));
                         return;
                     }
                     List<Entry> all =
@@ -72,17 +72,17 @@
                     back(
                             () ->
                                     answer.accept(
-                                            new Listing(
+                                            new ListResult(
                                                     Outcome.OK,
                                                     all.subList(0, Math.min(limit, all.size())),
                                                     r,
                                                     all.size() > limit)));
                 },
-                () -> back(() -> answer.accept(new Listing(Outcome.REFUSED, List.of(), 0, false))));
+                () -> back(() -> answer.accept(new ListResult(Outcome.REFUSED, List.of(), 0, false))));
     }
 
     @Override
-    public void commit(Transaction t, Consumer<Committed> answer) {
+    public void commit(Transaction t, Consumer<CommitResult> answer) {
         exchange(
                 t.writes().size(),
                 () -> {
@@ -94,7 +94,7 @@
                                 0.5,
                                 () ->
                                         answer.accept(
-                                                new Committed(
+                                                new CommitResult(
                                                         Outcome.UNKNOWN, 0, List.of(), false)));
                         return;
                     }
@@ -111,11 +111,11 @@
                                 0.5,
                                 () ->
                                         answer.accept(
-                                                new Committed(
+                                                new CommitResult(
                                                         Outcome.UNKNOWN, 0, List.of(), false)));
                         return;
                     }
-                    Committed c = carryOut(t);
+                    CommitResult c = carryOut(t);
                     if (job && store.swallow > 0
                             || store.unheard.test(t)
                             || w.losesAnswer.getAsBoolean()) {
@@ -124,7 +124,7 @@
                                 0.5,
                                 () ->
                                         answer.accept(
-                                                new Committed(
+                                                new CommitResult(
                                                         Outcome.UNKNOWN, 0, List.of(), false)));
                         return;
                     }
@@ -134,12 +134,12 @@
                         back(
                                 () ->
                                         answer.accept(
-                                                new Committed(
+                                                new CommitResult(
                                                         Outcome.REFUSED, 0, List.of(), false))));
     }
 
-    private Committed carryOut(Transaction t) {
-        Committed c = store.execute(t);
+    private CommitResult carryOut(Transaction t) {
+        CommitResult c = store.execute(t);
         if (c.outcome() == Outcome.OK && !t.writes().isEmpty()) {
             store.changes += t.writes().size();
             store.written.accept(node, t);
@@ -178,9 +178,9 @@
     }
 
     @Override
-    public void follow(String prefix, long after, long holdMs, Consumer<Changes> answer) {
+    public void follow(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
         if (store.tooMany(0)) {
-            back(() -> answer.accept(new Changes(Outcome.REFUSED, 0, List.of())));
+            back(() -> answer.accept(new WatchResult(Outcome.REFUSED, 0, List.of())));
             return;
         }
         store.follow(node, prefix, after, holdMs / 1000.0, answer);
--- a/src/main/java/io/kitepath/standin/Task.java
+++ b/src/main/java/io/kitepath/standin/Task.java
@@ -1,7 +1,7 @@
 package io.kitepath.standin;
 
-import io.kitepath.core.model.Report.Cause;
-import io.kitepath.core.model.Report.State;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
 
 /** One attempt of a task on a worker. */
 public final class Task {
@@ -9,10 +9,10 @@
     public final String job;
     public final int number;
     public final long attempt;
-    public State state;
-    public Cause cause;
+    public TaskState state;
+    public EndCause cause;
 
-    public Task(Worker worker, String job, int number, long attempt, State state) {
+    public Task(Worker worker, String job, int number, long attempt, TaskState state) {
         this.worker = worker;
         this.job = job;
         this.number = number;
@@ -22,7 +22,7 @@
 
     /** Whether it is on its machine. */
     public boolean on() {
-        return worker.up && state != State.ENDED && worker.tasks.get(key()) == this;
+        return worker.up && state != TaskState.ENDED && worker.tasks.get(key()) == this;
     }
 
     public String key() {
--- a/src/main/java/io/kitepath/standin/Worker.java
+++ b/src/main/java/io/kitepath/standin/Worker.java
@@ -1,12 +1,12 @@
 package io.kitepath.standin;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Report.Cause;
-import io.kitepath.core.model.Report.State;
-import io.kitepath.core.model.Report.TaskReport;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.Heartbeat.TaskStatus;
 import io.kitepath.core.state.Keys;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -82,8 +82,8 @@
         tasks.clear();
     }
 
-    public Report message() {
-        return new Report(
+    public Heartbeat message() {
+        return new Heartbeat(
                 id,
                 address,
                 w.type.name(),
@@ -94,12 +94,12 @@
                 token,
                 null,
                 tasks.values().stream()
-                        .map(t -> new TaskReport(t.job, t.number, t.attempt, t.state, t.cause))
+                        .map(t -> new TaskStatus(t.job, t.number, t.attempt, t.state, t.cause))
                         .toList());
     }
 
     /** Commands straight to it: its report after them, or null if they are not for it. */
-    public Report directly(long itsToken, long itsSession, List<Order> orders) {
+    public Heartbeat directly(long itsToken, long itsSession, List<WorkerCommand> orders) {
         if (itsToken < token || itsSession != session) {
             return null;
         }
@@ -218,7 +218,7 @@
         }
     }
 
-    private void hear(HeartbeatAnswer c, double sent) {
+    private void hear(HeartbeatResponse c, double sent) {
         if (hangs()) {
             goesOn(
                     () -> {
@@ -255,7 +255,7 @@
         }
     }
 
-    public void execute(Order o) {
+    public void execute(WorkerCommand o) {
         String key = o.job() + "/" + o.task() + "#" + o.attempt();
         Task t = tasks.get(key);
         switch (o.verb()) {
@@ -265,13 +265,13 @@
                 }
             }
             case STOP -> {
-                if (t != null && t.state != State.ENDED) {
-                    t.state = State.ENDED;
-                    t.cause = Cause.STOPPED;
+                if (t != null && t.state != TaskState.ENDED) {
+                    t.state = TaskState.ENDED;
+                    t.cause = EndCause.STOPPED;
                 }
             }
             case FORGET -> {
-                if (t != null && t.state == State.ENDED) {
+                if (t != null && t.state == TaskState.ENDED) {
                     tasks.remove(key);
                 }
             }
@@ -279,11 +279,11 @@
     }
 
     private void fetched(Task t, String key, JobSpec s) {
-        if (tasks.get(key) != t || t.state != State.FETCHING) {
+        if (tasks.get(key) != t || t.state != TaskState.FETCHING) {
             return; // Given up, and what was fetched with it.
         }
         images.add(s.image());
-        t.state = State.WAITING;
+        t.state = TaskState.WAITING;
         List<Task> gang =
                 w.workers.values().stream()
                         .flatMap(w -> w.tasks.values().stream())
@@ -291,20 +291,20 @@
                                 x ->
                                         x.job.equals(t.job)
                                                 && x.attempt == t.attempt
-                                                && x.state == State.WAITING)
+                                                && x.state == TaskState.WAITING)
                         .toList();
         if (gang.size() == s.tasks()) {
-            gang.forEach(x -> x.state = State.RUNNING);
+            gang.forEach(x -> x.state = TaskState.RUNNING);
             // They complete together, and each machine reports that as any other change.
             w.after(
                     w.runsFor == null ? runsFor : w.runsFor.applyAsDouble(t.job),
                     () ->
                             gang.stream()
-                                    .filter(x -> x.on() && x.state == State.RUNNING)
+                                    .filter(x -> x.on() && x.state == TaskState.RUNNING)
                                     .forEach(
                                             x -> {
-                                                x.state = State.ENDED;
-                                                x.cause = Cause.DONE;
+                                                x.state = TaskState.ENDED;
+                                                x.cause = EndCause.DONE;
                                                 w.completed
                                                         .computeIfAbsent(
                                                                 x.job, k -> new HashSet<>())
@@ -318,14 +318,14 @@
         w.after(
                 30,
                 () -> {
-                    if (t.state == State.WAITING) {
-                        t.state = State.ENDED;
-                        t.cause = Cause.ALONE;
+                    if (t.state == TaskState.WAITING) {
+                        t.state = TaskState.ENDED;
+                        t.cause = EndCause.ALONE;
                     }
                 });
     }
 
-    private void start(Order o, String key) {
+    private void start(WorkerCommand o, String key) {
         Task other = w.clock.lastStarts.get(o.job() + "/" + o.task());
         if (other != null && other.on()) {
             w.broken.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
@@ -339,14 +339,14 @@
             w.broken.add("started on a machine that goes: " + key + " on " + id);
         }
         started++;
-        Task t = new Task(this, o.job(), o.task(), o.attempt(), State.RUNNING);
+        Task t = new Task(this, o.job(), o.task(), o.attempt(), TaskState.RUNNING);
         tasks.put(key, t);
         w.clock.lastStarts.put(o.job() + "/" + o.task(), t);
         w.clock.started(t);
         w.rules.starts(t);
         JobSpec s = w.specs.get(o.job());
         if (w.fetchS != null && s.gang()) {
-            t.state = State.FETCHING;
+            t.state = TaskState.FETCHING;
             w.after(
                     images.contains(s.image()) ? 0 : w.fetchS.applyAsDouble(id),
                     () -> fetched(t, key, s));
@@ -356,9 +356,9 @@
         w.after(
                 error ? 0.1 : w.runsFor == null ? runsFor : w.runsFor.applyAsDouble(o.job()),
                 () -> {
-                    if (up && tasks.get(key) == t && t.state != State.ENDED) {
-                        t.state = State.ENDED;
-                        t.cause = error ? Cause.ERROR : Cause.DONE;
+                    if (up && tasks.get(key) == t && t.state != TaskState.ENDED) {
+                        t.state = TaskState.ENDED;
+                        t.cause = error ? EndCause.ERROR : EndCause.DONE;
                         if (!error) {
                             w.completed.computeIfAbsent(t.job, k -> new HashSet<>()).add(t.number);
                         }
--- a/src/main/java/io/kitepath/standin/World.java
+++ b/src/main/java/io/kitepath/standin/World.java
@@ -1,12 +1,12 @@
 package io.kitepath.standin;
 
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Report.State;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.serve.Registry;
 import java.util.ArrayList;
@@ -47,7 +47,7 @@
     /** The cells that this world is one of, or null. */
     public final Cellular around;
 
-    public final Directory directory;
+    public final CellDirectory directory;
 
     /** Requests and changes a second that the settings allow. */
     public double rps = 1000;
@@ -57,12 +57,12 @@
     /** And the size of values. */
     public double valueKb = 8;
 
-    public final Map<String, Facts.Team> teams = new LinkedHashMap<>();
+    public final Map<String, ClusterSettings.Team> teams = new LinkedHashMap<>();
 
     /** What the settings name as siblings, whether or not they run. */
     public final List<String> siblings = new ArrayList<>();
 
-    public final List<Facts.Objective> objectives = new ArrayList<>();
+    public final List<ClusterSettings.Objective> objectives = new ArrayList<>();
     public final MemoryStore store = new MemoryStore(this);
     public final MemoryCloud cloud = new MemoryCloud();
     public final Map<String, Node> nodes = new LinkedHashMap<>();
@@ -93,11 +93,11 @@
         List<String> up();
 
         /** Reports to a node; there may be no answer. */
-        void heartbeat(String node, Report report, Consumer<HeartbeatAnswer> answer);
+        void heartbeat(String node, Heartbeat report, Consumer<HeartbeatResponse> answer);
     }
 
     /** Reports of which a copy is kept until another node leads. */
-    public Predicate<Report> keeps = r -> false;
+    public Predicate<Heartbeat> keeps = r -> false;
 
     /**
      * Whether the copies come to every node as soon as it leads, else to itself once it has acted;
@@ -106,7 +106,7 @@
     public boolean keptForAll;
 
     public double keptAfterS = 0.001;
-    private final List<Report> kept = new ArrayList<>();
+    private final List<Heartbeat> kept = new ArrayList<>();
 
     /** Copies that came that way. */
     public int keptBrought;
@@ -127,7 +127,7 @@
 
                 @Override
                 public void heartbeat(
-                        String node, Report report, Consumer<HeartbeatAnswer> answer) {
+                        String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
                     Node n = nodes.get(node);
                     if (keeps.test(report)) {
                         kept.add(report);
@@ -229,12 +229,12 @@
     }
 
     /** One cell among others, which share a clock. */
-    public World(Clock clock, Cellular around, Directory directory) {
+    public World(Clock clock, Cellular around, CellDirectory directory) {
         this.clock = clock;
         this.around = around;
         this.directory = directory;
         clock.worlds.add(this);
-        teams.put("red", new Facts.Team("red", 0, 0, 0, 0));
+        teams.put("red", new ClusterSettings.Team("red", 0, 0, 0, 0));
     }
 
     public void after(double s, Runnable r) {
@@ -251,7 +251,7 @@
     }
 
     /** Limits of the store that the settings announce, or null. */
-    public Facts.StoreLimits next;
+    public ClusterSettings.StoreLimits next;
 
     /** What jobs need that were handed in here, by id. */
     public final Map<String, List<String>> needs = new HashMap<>();
@@ -265,23 +265,23 @@
     /** And that it is done. */
     public final Set<String> toldDone = new HashSet<>();
 
-    public Facts facts(String node) {
-        return new Facts(
+    public ClusterSettings facts(String node) {
+        return new ClusterSettings(
                 node,
                 "a",
                 siblings.stream().filter(s -> !s.equals(node)).toList(),
                 zones,
                 teams,
                 objectives,
-                new Facts.Workers(reportS, leaseS, 30, 5, cancelS),
+                new ClusterSettings.Workers(reportS, leaseS, 30, 5, cancelS),
                 next == null ? limits() : limits().andLater(next),
-                new Facts.CloudLimits(10, Math.max(2, cloud.listLagS)),
-                new Facts.Limits(1, 200, 1000),
+                new ClusterSettings.CloudLimits(10, Math.max(2, cloud.listLagS)),
+                new ClusterSettings.Limits(1, 200, 1000),
                 5);
     }
 
-    private Facts.StoreLimits limits() {
-        return new Facts.StoreLimits(rps, writeRps, valueKb, 40);
+    private ClusterSettings.StoreLimits limits() {
+        return new ClusterSettings.StoreLimits(rps, writeRps, valueKb, 40);
     }
 
     public Node node(String name) {
@@ -474,7 +474,7 @@
     }
 
     private void bringKept(List<Node> to) {
-        List<Report> copies = List.copyOf(kept);
+        List<Heartbeat> copies = List.copyOf(kept);
         kept.clear();
         after(
                 keptAfterS,
@@ -503,7 +503,7 @@
         return workers.values().stream()
                 .filter(w -> w.up)
                 .flatMap(w -> w.tasks.values().stream())
-                .filter(t -> t.job.equals(job) && t.state != State.ENDED)
+                .filter(t -> t.job.equals(job) && t.state != TaskState.ENDED)
                 .count();
     }
 }
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -1,6 +1,6 @@
 package io.kitepath.store;
 
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store;
 import io.kitepath.net.HttpClient;
 import io.kitepath.wire.Pack;
@@ -44,7 +44,7 @@
     private static <T> T read(int status, byte[] body, Reading<T> reading) {
         try {
             return reading.of(Pack.value(body));
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             LOG.warn(
                     "state service answered {} with a body that can't be read: {}",
                     status,
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void page(String prefix, String from, int limit, Consumer<Listing> answer) {
+    public void page(String prefix, String from, int limit, Consumer<ListResult> answer) {
         String path =
                 "/keys?prefix="
                         + text(prefix)
@@ -88,13 +88,13 @@
                 null,
                 2 * timeoutMs,
                 (status, body) -> {
-                    Listing page =
+                    ListResult page =
                             status == 200
                                     ? read(
                                             status,
                                             body,
                                             b ->
-                                                    new Listing(
+                                                    new ListResult(
                                                             Outcome.OK,
                                                             Wire.entries(b),
                                                             Wire.revision(b),
@@ -103,7 +103,7 @@
                     answer.accept(
                             page != null
                                     ? page
-                                    : new Listing(
+                                    : new ListResult(
                                             status == 200 ? Outcome.UNKNOWN : other(status),
                                             List.of(),
                                             0,
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public void commit(Transaction t, Consumer<Committed> answer) {
+    public void commit(Transaction t, Consumer<CommitResult> answer) {
         calls.call(
                 "POST",
                 "/multi",
@@ -127,12 +127,12 @@
                         Long revision = read(status, body, Wire::revision);
                         answer.accept(
                                 revision == null
-                                        ? new Committed(Outcome.UNKNOWN, 0, List.of(), false)
-                                        : new Committed(Outcome.OK, revision, List.of(), false));
+                                        ? new CommitResult(Outcome.UNKNOWN, 0, List.of(), false)
+                                        : new CommitResult(Outcome.OK, revision, List.of(), false));
                     } else if (status == 409) {
                         List<String> failed = read(status, body, Wire::failed);
                         answer.accept(
-                                new Committed(
+                                new CommitResult(
                                         Outcome.NO, 0, failed == null ? List.of() : failed, false));
                     } else if (status == 400) {
                         String why = read(status, body, Wire::reason);
@@ -144,10 +144,10 @@
                         // what was sent.
                         boolean lease = Wire.NO_SUCH_LEASE.equals(why);
                         answer.accept(
-                                new Committed(
+                                new CommitResult(
                                         lease ? Outcome.NO : Outcome.INVALID, 0, List.of(), lease));
                     } else {
-                        answer.accept(new Committed(other(status), 0, List.of(), false));
+                        answer.accept(new CommitResult(other(status), 0, List.of(), false));
                     }
                 });
     }
@@ -189,7 +189,7 @@
     }
 
     @Override
-    public void follow(String prefix, long after, long holdMs, Consumer<Changes> answer) {
+    public void follow(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
         String path = "/follow?prefix=" + text(prefix) + "&from=" + after + "&holdMs=" + holdMs;
         follows.call(
                 "GET",
@@ -197,20 +197,20 @@
                 null,
                 holdMs + timeoutMs,
                 (status, body) -> {
-                    Changes c =
+                    WatchResult c =
                             status == 200
                                     ? read(
                                             status,
                                             body,
                                             b ->
-                                                    new Changes(
+                                                    new WatchResult(
                                                             Outcome.OK,
                                                             Wire.revision(b),
                                                             Wire.events(b)))
                                     : null;
                     if (c == null) {
                         c =
-                                new Changes(
+                                new WatchResult(
                                         status == 410
                                                 ? Outcome.NO
                                                 : status == 200 ? Outcome.UNKNOWN : other(status),
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.serve.Registry.Answer;
 import io.kitepath.net.HttpServer.Request;
@@ -53,7 +53,7 @@
         try {
             body = Pack.value(bytes);
             id = Wire.submittedId(body);
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             out.reply(400, Wire.error(e.getMessage()));
             return;
         }
@@ -77,7 +77,7 @@
                 return;
             }
             status = 422;
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             wrong = e.getMessage();
             status = 400;
         }
--- a/src/main/java/io/kitepath/wire/Outside.java
+++ b/src/main/java/io/kitepath/wire/Outside.java
@@ -1,11 +1,11 @@
 package io.kitepath.wire;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import java.util.ArrayList;
@@ -22,20 +22,20 @@
     public record Rent(String name, String type, String zone, boolean spot, int count) {}
 
     /** Commands for a worker's session. */
-    public record Direct(long token, long session, List<Order> orders) {}
+    public record Direct(long token, long session, List<WorkerCommand> orders) {}
 
     private Outside() {}
 
     // ---- state service --------------------------------------------------------------------------
 
     public static Store.Transaction transaction(Object body) {
-        Tree t = Tree.of(body);
+        DocumentReader t = DocumentReader.of(body);
         Store.Transaction out = new Store.Transaction();
-        for (Tree c : t.children("when")) {
+        for (DocumentReader c : t.children("when")) {
             out.when(c.text("path"), c.count("stamp"));
         }
         if (t.has("then")) {
-            for (Tree w : t.children("then")) {
+            for (DocumentReader w : t.children("then")) {
                 if (w.has("remove")) {
                     out.remove(w.text("remove"));
                 } else {
@@ -50,7 +50,7 @@
     }
 
     public static long lifeMs(Object body) {
-        return Tree.of(body).integer("lifeMs", 100, 600_000);
+        return DocumentReader.of(body).integer("lifeMs", 100, 600_000);
     }
 
     public static byte[] entry(Store.Entry e) {
@@ -65,7 +65,7 @@
         return m;
     }
 
-    public static byte[] listing(Store.Listing l) {
+    public static byte[] listing(Store.ListResult l) {
         return Pack.bytes(
                 Map.of(
                         "entries",
@@ -76,14 +76,14 @@
                         l.revision()));
     }
 
-    public static byte[] committed(Store.Committed c) {
+    public static byte[] committed(Store.CommitResult c) {
         return Pack.bytes(
                 c.outcome() == Store.Outcome.OK
                         ? Map.of("epoch", c.revision())
                         : Map.of("failed", c.failed(), "epoch", c.revision()));
     }
 
-    public static byte[] changes(Store.Changes c) {
+    public static byte[] changes(Store.WatchResult c) {
         List<Object> events = new ArrayList<>();
         for (Store.Entry e : c.events()) {
             Map<String, Object> m = new LinkedHashMap<>();
@@ -123,7 +123,7 @@
     }
 
     public static Rent rent(Object body) {
-        Tree t = Tree.of(body);
+        DocumentReader t = DocumentReader.of(body);
         return new Rent(
                 t.text("hire"),
                 t.text("frame"),
@@ -150,7 +150,7 @@
 
     // ---- workers --------------------------------------------------------------------------------
 
-    public static byte[] report(Report r) {
+    public static byte[] report(Heartbeat r) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("host", r.machine());
         m.put("addr", r.address());
@@ -162,7 +162,7 @@
         m.put("baton", r.token());
         m.put("recallS", r.noticeS());
         List<Object> tasks = new ArrayList<>();
-        for (Report.TaskReport t : r.tasks()) {
+        for (Heartbeat.TaskStatus t : r.tasks()) {
             Map<String, Object> x = new LinkedHashMap<>();
             x.put("sheet", t.job() + "/" + t.task());
             x.put("try", t.attempt());
@@ -196,39 +196,39 @@
     }
 
     /** An answer to a check-in, by its HTTP status; null for one that says nothing. */
-    public static HeartbeatAnswer heartbeat(int status, byte[] body) {
+    public static HeartbeatResponse heartbeat(int status, byte[] body) {
         try {
             if (status == 200) {
-                Tree t = Tree.of(Pack.value(body));
-                return new HeartbeatAnswer(t.count("baton"), orders(t), null);
+                DocumentReader t = DocumentReader.of(Pack.value(body));
+                return new HeartbeatResponse(t.count("baton"), orders(t), null);
             }
             if (status == 421) {
-                return HeartbeatAnswer.elsewhere(Tree.of(Pack.value(body)).textOr("anchor", null));
+                return HeartbeatResponse.elsewhere(DocumentReader.of(Pack.value(body)).textOr("anchor", null));
             }
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             return null;
         }
         return null;
     }
 
     public static Direct direct(Object body) {
-        Tree t = Tree.of(body);
+        DocumentReader t = DocumentReader.of(body);
         return new Direct(t.count("baton"), t.count("tenure"), orders(t));
     }
 
-    private static List<Order> orders(Tree t) {
-        List<Order> out = new ArrayList<>();
-        for (Tree o : t.children("orders")) {
+    private static List<WorkerCommand> orders(DocumentReader t) {
+        List<WorkerCommand> out = new ArrayList<>();
+        for (DocumentReader o : t.children("orders")) {
             String sheet = o.text("sheet");
             int slash = sheet.lastIndexOf('/');
-            Order.Verb verb =
+            WorkerCommand.Action verb =
                     switch (o.text("verb")) {
-                        case "launch" -> Order.Verb.START;
-                        case "halt" -> Order.Verb.STOP;
-                        default -> Order.Verb.FORGET;
+                        case "launch" -> WorkerCommand.Action.START;
+                        case "halt" -> WorkerCommand.Action.STOP;
+                        default -> WorkerCommand.Action.FORGET;
                     };
             out.add(
-                    new Order(
+                    new WorkerCommand(
                             verb,
                             sheet.substring(0, slash),
                             Integer.parseInt(sheet.substring(slash + 1)),
--- a/src/main/java/io/kitepath/wire/Pack.java
+++ b/src/main/java/io/kitepath/wire/Pack.java
@@ -1,6 +1,6 @@
 package io.kitepath.wire;
 
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.InvalidInputException;
 import java.io.IOException;
 import java.math.BigInteger;
 import java.util.ArrayList;
@@ -38,19 +38,19 @@
         try (MessageUnpacker in = UNPACKER.newUnpacker(body)) {
             Object value = read(in, body.length, 0);
             if (in.hasNext()) {
-                throw new Malformed("body: more than one value");
+                throw new InvalidInputException("body: more than one value");
             }
             return value;
         } catch (MessageInsufficientBufferException e) {
-            throw new Malformed("body: cut short");
+            throw new InvalidInputException("body: cut short");
         } catch (MessagePackException | IOException e) {
-            throw new Malformed("body: not MessagePack");
+            throw new InvalidInputException("body: not MessagePack");
         }
     }
 
     private static Object read(MessageUnpacker in, int size, int depth) throws IOException {
         if (depth > MAX_DEPTH) {
-            throw new Malformed("body: nested too deeply");
+            throw new InvalidInputException("body: nested too deeply");
         }
         switch (in.getNextFormat().getValueType()) {
             case NIL:
@@ -83,7 +83,7 @@
                     return map;
                 }
             default:
-                throw new Malformed("body: binary values are not allowed");
+                throw new InvalidInputException("body: binary values are not allowed");
         }
     }
 
@@ -105,7 +105,7 @@
      */
     private static int counted(int n, int size) {
         if (n < 0 || n > size) {
-            throw new Malformed("body: cut short");
+            throw new InvalidInputException("body: cut short");
         }
         return n;
     }
--- a/src/main/java/io/kitepath/wire/Wire.java
+++ b/src/main/java/io/kitepath/wire/Wire.java
@@ -2,13 +2,13 @@
 
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JobState;
+import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import java.util.ArrayList;
@@ -37,17 +37,17 @@
     /** The job id in a submission; everything else may still be wrong. */
     public static String submittedId(Object body) {
         if (Pack.jsonSize(body) > MAX_JSON) {
-            throw new Malformed("body: over 64 KiB");
+            throw new InvalidInputException("body: over 64 KiB");
         }
-        String id = Tree.of(body).text("nameId");
+        String id = DocumentReader.of(body).text("nameId");
         if (!isJobId(id)) {
-            throw new Malformed("nameId: must look like j-000412");
+            throw new InvalidInputException("nameId: must look like j-000412");
         }
         return id;
     }
 
     public static JobSpec submission(Object body) {
-        Tree t = Tree.of(body);
+        DocumentReader t = DocumentReader.of(body);
         return new JobSpec(
                 submittedId(body),
                 name(t, "lane"),
@@ -73,28 +73,28 @@
 
     /** The jobs that have to be done before the submitted one starts, each once. */
     public static List<String> needs(Object body) {
-        Tree t = Tree.of(body);
+        DocumentReader t = DocumentReader.of(body);
         if (!t.has("awaits")) {
             return List.of();
         }
         List<String> ids = t.texts("awaits");
         for (String id : ids) {
             if (!isJobId(id)) {
-                throw new Malformed("awaits: must be a list of ids such as j-000412");
+                throw new InvalidInputException("awaits: must be a list of ids such as j-000412");
             }
         }
         return JobRecord.distinct(ids);
     }
 
-    private static String name(Tree t, String field) {
+    private static String name(DocumentReader t, String field) {
         String s = t.text(field);
         if (s.isEmpty() || s.length() > 200) {
-            throw new Malformed(field + ": must have 1 to 200 characters");
+            throw new InvalidInputException(field + ": must have 1 to 200 characters");
         }
         return s;
     }
 
-    private static String image(Tree t) {
+    private static String image(DocumentReader t) {
         String s = t.text("kit");
         if (s.isEmpty()) {
             throw t.complaint("kit", "must not be empty");
@@ -107,7 +107,7 @@
             case "array" -> JobSpec.Shape.ARRAY;
             case "group" -> JobSpec.Shape.GANG;
             case "service" -> JobSpec.Shape.SERVICE;
-            default -> throw new Malformed("shape: must be array, group or service");
+            default -> throw new InvalidInputException("shape: must be array, group or service");
         };
     }
 
@@ -117,11 +117,11 @@
             case "high" -> JobSpec.Priority.HIGH;
             case "standard" -> JobSpec.Priority.NORMAL;
             case "low" -> JobSpec.Priority.LOW;
-            default -> throw new Malformed("urgency: must be production, high, standard or low");
+            default -> throw new InvalidInputException("urgency: must be production, high, standard or low");
         };
     }
 
-    public static byte[] jobState(JobState s, boolean brief) {
+    public static byte[] jobState(JobStatus s, boolean brief) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("nameId", s.id());
         m.put("status", s.status().equals("cancelled") ? "withdrawn" : s.status());
@@ -141,31 +141,31 @@
 
     // ---- workers --------------------------------------------------------------------------------
 
-    public static Report report(Object body) {
-        Tree t = Tree.of(body);
-        List<Report.TaskReport> tasks = new ArrayList<>();
-        for (Tree x : t.children("sheets")) {
+    public static Heartbeat report(Object body) {
+        DocumentReader t = DocumentReader.of(body);
+        List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
+        for (DocumentReader x : t.children("sheets")) {
             String sheet = x.text("sheet");
             int slash = sheet.lastIndexOf('/');
             int task;
             try {
                 task = Integer.parseInt(sheet.substring(slash + 1));
             } catch (NumberFormatException e) {
-                throw new Malformed("sheet: must look like j-000412/3");
+                throw new InvalidInputException("sheet: must look like j-000412/3");
             }
             if (slash < 1) {
-                throw new Malformed("sheet: must look like j-000412/3");
+                throw new InvalidInputException("sheet: must look like j-000412/3");
             }
-            Report.State state = state(x.text("status"));
+            Heartbeat.TaskState state = state(x.text("status"));
             tasks.add(
-                    new Report.TaskReport(
+                    new Heartbeat.TaskStatus(
                             sheet.substring(0, slash),
                             task,
                             x.count("try"),
                             state,
-                            state == Report.State.ENDED ? cause(x.textOr("cause", "")) : null));
+                            state == Heartbeat.TaskState.ENDED ? cause(x.textOr("cause", "")) : null));
         }
-        return new Report(
+        return new Heartbeat(
                 t.text("host"),
                 t.textOr("addr", ""),
                 t.text("frame"),
@@ -178,44 +178,44 @@
                 tasks);
     }
 
-    private static Report.State state(String s) {
+    private static Heartbeat.TaskState state(String s) {
         return switch (s) {
-            case "pulling" -> Report.State.FETCHING;
-            case "waiting" -> Report.State.WAITING;
-            case "saving" -> Report.State.SAVING;
-            case "ended" -> Report.State.ENDED;
+            case "pulling" -> Heartbeat.TaskState.FETCHING;
+            case "waiting" -> Heartbeat.TaskState.WAITING;
+            case "saving" -> Heartbeat.TaskState.SAVING;
+            case "ended" -> Heartbeat.TaskState.ENDED;
             // A state that we don't know is never taken as proof that the task is gone.
-            default -> Report.State.RUNNING;
+            default -> Heartbeat.TaskState.RUNNING;
         };
     }
 
-    private static Report.Cause cause(String s) {
+    private static Heartbeat.EndCause cause(String s) {
         return switch (s) {
-            case "done" -> Report.Cause.DONE;
-            case "halted" -> Report.Cause.STOPPED;
-            case "peers" -> Report.Cause.PEERS;
-            case "alone" -> Report.Cause.ALONE;
-            case "full" -> Report.Cause.NO_ROOM;
-            case "in_use" -> Report.Cause.BUSY;
-            case "unknown" -> Report.Cause.UNKNOWN;
-            default -> Report.Cause.ERROR;
+            case "done" -> Heartbeat.EndCause.DONE;
+            case "halted" -> Heartbeat.EndCause.STOPPED;
+            case "peers" -> Heartbeat.EndCause.PEERS;
+            case "alone" -> Heartbeat.EndCause.ALONE;
+            case "full" -> Heartbeat.EndCause.NO_ROOM;
+            case "in_use" -> Heartbeat.EndCause.BUSY;
+            case "unknown" -> Heartbeat.EndCause.UNKNOWN;
+            default -> Heartbeat.EndCause.ERROR;
         };
     }
 
-    public static byte[] orders(long token, List<Order> orders) {
+    public static byte[] orders(long token, List<WorkerCommand> orders) {
         return Pack.bytes(commands(token, orders));
     }
 
     /** Commands straight to a worker, for one session of it. */
-    public static byte[] direct(long token, long session, List<Order> orders) {
+    public static byte[] direct(long token, long session, List<WorkerCommand> orders) {
         Map<String, Object> m = commands(token, orders);
         m.put("tenure", session);
         return Pack.bytes(m);
     }
 
-    private static Map<String, Object> commands(long token, List<Order> orders) {
+    private static Map<String, Object> commands(long token, List<WorkerCommand> orders) {
         List<Object> list = new ArrayList<>(orders.size());
-        for (Order o : orders) {
+        for (WorkerCommand o : orders) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put(
                     "verb",
@@ -226,7 +226,7 @@
                     });
             m.put("sheet", o.job() + "/" + o.task());
             m.put("try", o.attempt());
-            if (o.verb() == Order.Verb.STOP) {
+            if (o.verb() == WorkerCommand.Action.STOP) {
                 m.put("windDownS", o.graceS());
             }
             list.add(m);
@@ -245,7 +245,7 @@
 
     public static List<MachineType> types(Object body) {
         List<MachineType> out = new ArrayList<>();
-        for (Tree t : Tree.of(body).children("frames")) {
+        for (DocumentReader t : DocumentReader.of(body).children("frames")) {
             out.add(
                     new MachineType(
                             t.text("name"),
@@ -277,12 +277,12 @@
     }
 
     public static List<String> machineNames(Object body) {
-        return Tree.of(body).texts("hosts");
+        return DocumentReader.of(body).texts("hosts");
     }
 
     public static List<Cloud.Listed> listed(Object body) {
         List<Cloud.Listed> out = new ArrayList<>();
-        for (Tree t : Tree.of(body).children("hosts")) {
+        for (DocumentReader t : DocumentReader.of(body).children("hosts")) {
             out.add(
                     new Cloud.Listed(
                             t.text("nameId"),
@@ -296,33 +296,33 @@
     }
 
     public static boolean truncated(Object body) {
-        return Tree.of(body).has("truncated") && Tree.of(body).flag("truncated");
+        return DocumentReader.of(body).has("truncated") && DocumentReader.of(body).flag("truncated");
     }
 
     // ---- state service --------------------------------------------------------------------------
 
     public static Store.Entry entry(Object body) {
-        return entry(Tree.of(body));
+        return entry(DocumentReader.of(body));
     }
 
-    private static Store.Entry entry(Tree t) {
+    private static Store.Entry entry(DocumentReader t) {
         return new Store.Entry(t.text("path"), t.raw("value"), t.count("stamp"));
     }
 
     public static List<Store.Entry> entries(Object body) {
         List<Store.Entry> out = new ArrayList<>();
-        for (Tree t : Tree.of(body).children("entries")) {
+        for (DocumentReader t : DocumentReader.of(body).children("entries")) {
             out.add(entry(t));
         }
         return out;
     }
 
     public static long revision(Object body) {
-        return Tree.of(body).count("epoch");
+        return DocumentReader.of(body).count("epoch");
     }
 
     public static long lease(Object body) {
-        return Tree.of(body).count("tether");
+        return DocumentReader.of(body).count("tether");
     }
 
     public static byte[] leaseLife(long ms) {
@@ -331,16 +331,16 @@
 
     /** Why a request was refused, empty if it does not say. */
     public static String reason(Object body) {
-        return Tree.of(body).textOr("error", "");
+        return DocumentReader.of(body).textOr("error", "");
     }
 
     public static List<String> failed(Object body) {
-        return Tree.of(body).texts("failed");
+        return DocumentReader.of(body).texts("failed");
     }
 
     public static List<Store.Entry> events(Object body) {
         List<Store.Entry> out = new ArrayList<>();
-        for (Tree t : Tree.of(body).children("events")) {
+        for (DocumentReader t : DocumentReader.of(body).children("events")) {
             out.add(
                     t.has("remove")
                             ? new Store.Entry(t.text("remove"), null, t.count("stamp"))
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -1,8 +1,8 @@
 package io.kitepath.workers;
 
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.net.HttpClient;
 import io.kitepath.wire.Pack;
@@ -33,7 +33,7 @@
 
     @Override
     public void send(
-            String address, long token, long session, List<Order> orders, Consumer<Report> answer) {
+            String address, long token, long session, List<WorkerCommand> orders, Consumer<Heartbeat> answer) {
         InetSocketAddress to;
         try {
             int colon = address.lastIndexOf(':');
@@ -57,10 +57,10 @@
                 (status, body) -> answer.accept(status == 200 ? report(body) : null));
     }
 
-    private static Report report(byte[] body) {
+    private static Heartbeat report(byte[] body) {
         try {
             return Wire.report(Pack.value(body));
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             LOG.debug("a worker's answer can't be read: {}", e.getMessage());
             return null;
         }
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -1,8 +1,8 @@
 package io.kitepath.workers;
 
 import io.kitepath.core.Controller;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.wire.Pack;
@@ -26,10 +26,10 @@
             out.reply(405, null);
             return;
         }
-        Report report;
+        Heartbeat report;
         try {
             report = Wire.report(Pack.value(r.body()));
-        } catch (Malformed e) {
+        } catch (InvalidInputException e) {
             LOG.debug("a report can't be read: {}", e.getMessage());
             out.reply(400, Wire.error(e.getMessage()));
             return;
--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
@@ -53,7 +53,7 @@
             w.cloud.bootS = n -> 0.3 + Math.floorMod(n * 7, 5) * (n % 3 == 0 ? 4 : 0.4);
             w.cloud.listLagS = 4;
             w.runsFor = id -> 15 + Math.floorMod(id.hashCode(), 7) * 12;
-            w.teams.put("blue", new Facts.Team("blue", 4, 8, 0, 0));
+            w.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
             for (int i = 0; i < nodes; i++) {
                 w.siblings.add("k" + i);
             }
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.standin.Node;
@@ -39,7 +39,7 @@
     /** Three nodes and four machines; a team with a limit, one that has none. */
     private void begin() {
         w = settled(3, 4);
-        w.teams.put("blue", new Facts.Team("blue", 0, 6, 0, 0));
+        w.teams.put("blue", new ClusterSettings.Team("blue", 0, 6, 0, 0));
     }
 
     private static int[] send(World w, Node n, byte[] body) {
@@ -225,7 +225,7 @@
             begin();
             w.cloud.capacity = 6;
             w.runsFor = id -> 9;
-            w.teams.put("tiny", new Facts.Team("tiny", 0, 0.3, 0, 0));
+            w.teams.put("tiny", new ClusterSettings.Team("tiny", 0, 0.3, 0, 0));
             assertEquals(201, accept(w.nodes.get("k0"), named(body, "j-1")), body.toString());
             w.run(2);
             assertEquals(
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.core.state.Keys;
 import io.kitepath.standin.Node;
@@ -377,7 +377,7 @@
                         .filter(y -> y.tasks.keySet().stream().anyMatch(k -> k.startsWith("j-1/")))
                         .findFirst()
                         .orElseThrow();
-        Report old = x.message();
+        Heartbeat old = x.message();
         refuse(holder, 9);
         w.run(0.5);
         cancelled(other(holder), "j-1");
@@ -436,7 +436,7 @@
             w.run(0.1);
         }
         Worker idle = w.workers.get("i-000009");
-        HeartbeatAnswer[] got = new HeartbeatAnswer[1];
+        HeartbeatResponse[] got = new HeartbeatResponse[1];
         holder.controller.heartbeat(idle.message(), c -> got[0] = c);
         assertEquals(null, got[0]);
         w.run(2.1);
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
@@ -146,7 +146,7 @@
                     if (x != null) {
                         x.deaf = random.nextBoolean();
                         x.cut = !x.deaf;
-                        Report old = x.message();
+                        Heartbeat old = x.message();
                         w.after(upTo(30), () -> any().controller.heartbeat(old, c -> {}));
                         w.after(upTo(12), () -> x.deaf = false);
                         w.after(upTo(12), () -> x.cut = false);
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.Keys;
 import io.kitepath.standin.Node;
@@ -263,7 +263,7 @@
 
                     @Override
                     public void heartbeat(
-                            String node, Report report, Consumer<HeartbeatAnswer> answer) {
+                            String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
                         usual.heartbeat(
                                 node,
                                 report,
@@ -274,7 +274,7 @@
                                                             .anyMatch(
                                                                     o ->
                                                                             o.verb()
-                                                                                    == Order.Verb
+                                                                                    == WorkerCommand.Action
                                                                                             .START);
                                     on[0] += held ? 1 : 0;
                                     w.after(held ? seconds : 0, () -> answer.accept(c));
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.CellMessage.Offer;
-import io.kitepath.core.model.CellMessage.Settled;
-import io.kitepath.core.model.CellMessage.Standing;
-import io.kitepath.core.model.CellMessage.Word;
+import io.kitepath.core.model.CellMessage.LoanOffer;
+import io.kitepath.core.model.CellMessage.LoanSettled;
+import io.kitepath.core.model.CellMessage.LoanState;
+import io.kitepath.core.model.CellMessage.LoanStatus;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.core.state.Keys;
@@ -105,7 +105,7 @@
     void anOfferThatComesAfterTheLoanIsOverStartsNothing() {
         settled(1, 10);
         boolean[] copy = {true};
-        c.keeps = m -> m instanceof Offer && copy[0];
+        c.keeps = m -> m instanceof LoanOffer && copy[0];
         String id = array(1, 40);
         c.until(20, () -> c.kept.size() >= 2);
         copy[0] = false;
@@ -132,7 +132,7 @@
         c.submitSurely("east", job(service, Shape.SERVICE, 6, 4));
         c.until(200, () -> inWest(service) == 6);
         boolean[] copy = {true};
-        c.keeps = m -> m instanceof Offer o && !o.job().id().equals(service) && copy[0];
+        c.keeps = m -> m instanceof LoanOffer o && !o.job().id().equals(service) && copy[0];
         String id = array(3, 40);
         c.until(20, () -> c.kept.size() >= 2);
         copy[0] = false;
@@ -196,7 +196,7 @@
     void anOfferThatWasRefusedCannotBeTakenLater() {
         settled(1, 10);
         boolean[] copy = {true};
-        c.keeps = m -> m instanceof Offer && copy[0];
+        c.keeps = m -> m instanceof LoanOffer && copy[0];
         String id = array(1, 40);
         c.until(20, () -> !c.kept.isEmpty());
         c.leader("west").controller.cells().drain(true);
@@ -230,7 +230,7 @@
                     !c.world("west")
                             .store
                             .keys
-                            .containsKey(Keys.guest("east", ((Offer) m).number())));
+                            .containsKey(Keys.guest("east", ((LoanOffer) m).number())));
         }
         allDone(id);
     }
@@ -239,7 +239,7 @@
     void aLostYesIsAskedForAgainThroughAnotherNode() {
         settled(1, 10);
         int[] n = new int[1];
-        c.loses = m -> m instanceof Word w && w.standing() == Standing.TAKEN && n[0]++ < 3;
+        c.loses = m -> m instanceof LoanStatus w && w.standing() == LoanState.TAKEN && n[0]++ < 3;
         allDone(array(1, 40));
         assertTrue(n[0] >= 3, "lost " + n[0]);
     }
@@ -250,8 +250,8 @@
         int[] n = new int[1];
         c.loses =
                 m ->
-                        (m instanceof Settled
-                                        || m instanceof Word w && w.standing() == Standing.DONE)
+                        (m instanceof LoanSettled
+                                        || m instanceof LoanStatus w && w.standing() == LoanState.DONE)
                                 && n[0]++ < 6;
         allDone(array(1, 40));
         assertTrue(n[0] >= 6, "lost " + n[0]);
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -7,10 +7,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.Keys;
 import io.kitepath.standin.Node;
@@ -308,7 +308,7 @@
 
                         @Override
                         public void heartbeat(
-                                String node, Report report, Consumer<HeartbeatAnswer> answer) {
+                                String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
                             moved[0] += node.equals(last.put(report.machine(), node)) ? 0 : 1;
                             boolean lost = !calm[0] && random.nextInt(4) == 0;
                             plain.heartbeat(node, report, lost ? a -> {} : answer);
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.block.Block;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
@@ -226,7 +226,7 @@
 
     @Test
     void lesserWorkLeavesAnIdleMachineToTheGangThatIsAboutToCome() {
-        w.teams.put("red", new Facts.Team("red", 16, 0, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 16, 0, 0, 0));
         Node n = fleet(1, 4, 4);
         w.workers.values().forEach(x -> x.runsFor = 1);
         for (int i = 0; i < 6; i++) {
@@ -246,7 +246,7 @@
     @Test
     void workWithADeadlineStartsWhereItsImageIsAndNotWhereItHasToBeFetched() {
         // Guaranteed, so that idle ordinary machines are kept.
-        w.teams.put("red", new Facts.Team("red", 100, 0, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 100, 0, 0, 0));
         Node n = fleet(1, 0, 4);
         for (int i = 0; i < 6; i++) {
             w.spotWorker("s-" + i, "a");
--- a/src/test/java/io/kitepath/core/GiveAndTakeTest.java
+++ b/src/test/java/io/kitepath/core/GiveAndTakeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
@@ -24,7 +24,7 @@
             for (boolean urgentFirst : new boolean[] {true, false}) {
                 for (int cpus = 1; cpus <= 4; cpus *= 2) {
                     World w = Worlds.settled(3, 1);
-                    w.teams.put("blue", new Facts.Team("blue", 4, 8, 0, 0));
+                    w.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
                     w.nodes.values().forEach(n -> n.crash());
                     w.siblings.forEach(w::node);
                     w.run(12);
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
@@ -90,7 +90,7 @@
                 }
             }
             if (random.nextBoolean()) {
-                List<Report> some =
+                List<Heartbeat> some =
                         copies.kept.stream().filter(r -> random.nextInt(3) == 0).toList();
                 w.after(random.nextDouble() * 3, () -> copies.bringAll(some));
             }
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.ArrayList;
@@ -37,8 +37,8 @@
     }
 
     /** After so many seconds, the last report that each machine sent in them. */
-    private List<Report> lastOf(double seconds) {
-        Map<String, Report> last = new TreeMap<>();
+    private List<Heartbeat> lastOf(double seconds) {
+        Map<String, Heartbeat> last = new TreeMap<>();
         copies.keeps = r -> last.put(r.machine(), r) == r;
         w.run(seconds);
         copies.keeps = r -> false;
@@ -82,7 +82,7 @@
     private double latestStart(double offset, boolean withCopies) {
         world(3, 4);
         w.runsFor = id -> 3;
-        List<Report> old = lastOf(3);
+        List<Heartbeat> old = lastOf(3);
         if (withCopies) {
             repeat(0.2, 40, () -> copies.bringAll(old));
         }
@@ -129,7 +129,7 @@
         w.runsFor = id -> 200;
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 6, 4));
         w.run(8);
-        List<Report> old = lastOf(takenBefore + 2);
+        List<Heartbeat> old = lastOf(takenBefore + 2);
         long sessions = sessions(w);
         copies.sentOn = 0;
         w.store.slowS = slow;
@@ -182,7 +182,7 @@
         for (double moment = 1.5; moment < 2.8; moment += 0.05) {
             world(3, 3);
             w.runsFor = id -> 20;
-            List<Report> old = lastOf(3);
+            List<Heartbeat> old = lastOf(3);
             repeat(0.1, 20, () -> copies.bringAll(old));
             w.run(moment);
             w.submit(w.leader(), job("j-1", Shape.ARRAY, 3, 4));
@@ -289,9 +289,9 @@
         w.runsFor = id -> 15;
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 4));
         w.run(6 + dies);
-        List<Report> old = lastOf(2).subList(0, 3);
+        List<Heartbeat> old = lastOf(2).subList(0, 3);
         Set<String> dead = new HashSet<>();
-        for (Report r : old) {
+        for (Heartbeat r : old) {
             dead.add(r.machine());
             w.workers.get(r.machine()).die();
             w.cloud.machines.remove(r.machine());
@@ -314,7 +314,7 @@
                     old.stream()
                             .map(
                                     r ->
-                                            new Report(
+                                            new Heartbeat(
                                                     r.machine(),
                                                     r.address(),
                                                     r.type(),
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Json;
+import io.kitepath.core.model.JsonSize;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.core.state.Keys;
 import io.kitepath.standin.Node;
@@ -24,7 +24,7 @@
  * were higher.
  */
 class LimitsTest {
-    private static final Facts.StoreLimits LOW = new Facts.StoreLimits(1000, 1000, 2, 13);
+    private static final ClusterSettings.StoreLimits LOW = new ClusterSettings.StoreLimits(1000, 1000, 2, 13);
     private final World w = new World();
 
     private void workers(int n) {
@@ -42,7 +42,7 @@
         w.store.keys.forEach(
                 (k, e) ->
                         assertTrue(
-                                Json.size(e.value()) <= bytes, k + " has " + Json.size(e.value())));
+                                JsonSize.size(e.value()) <= bytes, k + " has " + JsonSize.size(e.value())));
     }
 
     @Test
@@ -94,7 +94,7 @@
         w.submit(old, World.job("j-1", Shape.ARRAY, 250, 3));
         w.submit(old, World.job("j-3", Shape.SERVICE, 250, 0.5));
         w.run(5);
-        assertTrue(Json.size(w.store.keys.get(Keys.part("j-1", 0)).value()) > 2048);
+        assertTrue(JsonSize.size(w.store.keys.get(Keys.part("j-1", 0)).value()) > 2048);
         old.crash();
         w.next = LOW;
         fall();
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.Keys;
 import io.kitepath.standin.Node;
@@ -295,7 +295,7 @@
                 w.run(3);
                 w.submit(old, job("j-1", Shape.GANG, 200, 2));
                 old.crash();
-                w.next = new Facts.StoreLimits(1000, 1000, 2, 13);
+                w.next = new ClusterSettings.StoreLimits(1000, 1000, 2, 13);
                 int[] lost = {0};
                 int most = times;
                 w.store.unheard =
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -7,9 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
@@ -125,9 +125,9 @@
         Node cut = other(w, w.leader());
         alone(w, cut);
         w.run(8);
-        HeartbeatAnswer[] got = new HeartbeatAnswer[1];
+        HeartbeatResponse[] got = new HeartbeatResponse[1];
         cut.controller.heartbeat(
-                new Report(
+                new Heartbeat(
                         "i-000077",
                         "",
                         "m4",
@@ -137,10 +137,10 @@
                         9,
                         w.store.token(),
                         null,
-                        List.of(new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))),
+                        List.of(new Heartbeat.TaskStatus("j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 c -> got[0] = c);
         w.run(0.05);
-        assertEquals(HeartbeatAnswer.elsewhere(null), got[0]);
+        assertEquals(HeartbeatResponse.elsewhere(null), got[0]);
     }
 
     // ---- 2. jobs of two or three tasks that end far apart, across a change of leader ------------
@@ -286,7 +286,7 @@
                 w.runsFor = id -> 9;
                 w.submit(w.leader(), job("j-1", Shape.ARRAY, 5, 2));
                 w.run(takenAt);
-                List<Report> old = new ArrayList<>();
+                List<Heartbeat> old = new ArrayList<>();
                 w.workers.values().forEach(x -> old.add(x.message()));
                 // One loses its session, one its machine; the work goes on elsewhere.
                 Worker lost = w.workers.get("i-000000");
@@ -325,7 +325,7 @@
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 2));
         w.run(5);
         Worker gone = w.workers.get("i-000000");
-        Report old = gone.message();
+        Heartbeat old = gone.message();
         gone.die();
         w.cloud.machines.remove(gone.id);
         Worker next = w.worker("i-000007", "a");
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -8,12 +8,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report.Cause;
-import io.kitepath.core.model.Report.State;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
@@ -67,8 +67,8 @@
                 .filter(
                         t ->
                                 t.job.equals(job)
-                                        && t.state == State.ENDED
-                                        && t.cause == Cause.STOPPED)
+                                        && t.state == TaskState.ENDED
+                                        && t.cause == EndCause.STOPPED)
                 .count();
     }
 
@@ -322,8 +322,8 @@
 
     private static World slow(Random random) {
         World w = new World();
-        w.teams.put("red", new Facts.Team("red", 8, 20, 0, 0));
-        w.teams.put("blue", new Facts.Team("blue", 8, 16, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 8, 20, 0, 0));
+        w.teams.put("blue", new ClusterSettings.Team("blue", 8, 16, 0, 0));
         w.reportS = 2;
         w.leaseS = 10;
         w.reportsChanges = true;
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -5,11 +5,11 @@
 
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Spent;
+import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.place.Placer;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.core.state.Keys;
@@ -245,7 +245,7 @@
         for (boolean chain : new boolean[] {true, false}) {
             PipelinesTest t = new PipelinesTest();
             t.w.writeRps = 35;
-            t.w.next = new Facts.StoreLimits(150, 35, 2, 13);
+            t.w.next = new ClusterSettings.StoreLimits(150, 35, 2, 13);
             t.w.store.txnOps = 13;
             t.w.runsFor = id -> 10_000;
             Node n = t.cluster(1);
@@ -280,7 +280,7 @@
     /** Ten thousand that wait: what one more costs, and what a round costs. */
     @Test
     void tenThousandThatWaitCostARoundLittle() {
-        Facts facts = w.facts("k0");
+        ClusterSettings facts = w.facts("k0");
         Block block = new Block(facts, m -> {});
         long began = System.nanoTime();
         for (int i = 0; i < 10_000; i++) {
@@ -303,7 +303,7 @@
         double addedMs = (System.nanoTime() - began) / 1e6;
         assertEquals(9900, block.pipelines().held());
         assertEquals(JobSpec.Priority.HIGH, block.jobs().get("j-0").priority());
-        Placer placer = new Placer(block, new Random(1), new Spent(() -> 0));
+        Placer placer = new Placer(block, new Random(1), new LoopTimeAccounting(() -> 0));
         placer.queue(0, 20_000);
         began = System.nanoTime();
         assertEquals(100, placer.queue(0, 20_000).size());
@@ -350,7 +350,7 @@
 
     @Test
     void jobsThatWaitHoldNothingOfALimitOrGuaranteeAndAreNoDemand() {
-        w.teams.put("red", new Facts.Team("red", 4, 4, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 4, 4, 0, 0));
         Node n = cluster(3);
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 400), "j-1");
@@ -367,7 +367,7 @@
 
     @Test
     void jobsThatWaitAreNobodysEarlierUnfinishedJobs() {
-        w.teams.put("red", new Facts.Team("red", 4, 0, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 4, 0, 0, 0));
         Node n = cluster(3);
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 3), "j-1");
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -1,8 +1,8 @@
 package io.kitepath.core;
 
-import io.kitepath.core.model.HeartbeatAnswer;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.ArrayList;
@@ -15,8 +15,8 @@
 final class ReportCopies implements World.Reach {
     final World w;
     final World.Reach usual;
-    final List<Report> kept = new ArrayList<>();
-    Predicate<Report> keeps = r -> false;
+    final List<Heartbeat> kept = new ArrayList<>();
+    Predicate<Heartbeat> keeps = r -> false;
 
     /** How long the next answer is held up on its way back to the worker. */
     DoubleSupplier answerHeldS = () -> 0;
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void heartbeat(String node, Report report, Consumer<HeartbeatAnswer> answer) {
+    public void heartbeat(String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
         if (keeps.test(report)) {
             kept.add(report);
         }
@@ -73,7 +73,7 @@
     }
 
     /** Nobody hears what is answered to a copy. */
-    void bring(Report r, Node n) {
+    void bring(Heartbeat r, Node n) {
         n.deliver(
                 () -> {
                     brought++;
@@ -87,14 +87,14 @@
                                                             .anyMatch(
                                                                     o ->
                                                                             o.verb()
-                                                                                    == Order.Verb
+                                                                                    == WorkerCommand.Action
                                                                                             .START)
                                                     ? 1
                                                     : 0);
                 });
     }
 
-    void bringAll(List<Report> reports) {
+    void bringAll(List<Heartbeat> reports) {
         reports.forEach(r -> w.nodes.values().forEach(n -> bring(r, n)));
     }
 }
--- a/src/test/java/io/kitepath/core/SharesTest.java
+++ b/src/test/java/io/kitepath/core/SharesTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.CellMessage.Grant;
-import io.kitepath.core.model.CellMessage.Granted;
+import io.kitepath.core.model.CellMessage.QuotaGrant;
+import io.kitepath.core.model.CellMessage.QuotaGrantAccepted;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.standin.Cellular;
 import io.kitepath.standin.Node;
@@ -77,7 +77,7 @@
     @Test
     void aGrantThatComesTwiceOrLateMovesNothingTwice() {
         boolean[] copy = {true};
-        c.keeps = m -> m instanceof Grant && copy[0];
+        c.keeps = m -> m instanceof QuotaGrant && copy[0];
         String id = array(c, "east", 1, 24);
         c.until(20, () -> c.kept.size() >= 3);
         copy[0] = false;
@@ -95,7 +95,7 @@
     @Test
     void aLostYesIsAskedForAgain() {
         int[] n = new int[1];
-        c.loses = m -> m instanceof Granted && n[0]++ < 4;
+        c.loses = m -> m instanceof QuotaGrantAccepted && n[0]++ < 4;
         String id = array(c, "east", 1, 24);
         c.until(40, () -> c.onMachines(id) == 12);
         allDone(c, List.of(id), 120);
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -8,13 +8,13 @@
 
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.serve.Registry.Verdict;
@@ -199,7 +199,7 @@
         assertEquals(1, w.store.heldBack.size());
         first.crash();
         w.run(20);
-        Store.Committed late = w.store.execute(w.store.heldBack.get(0));
+        Store.CommitResult late = w.store.execute(w.store.heldBack.get(0));
         assertEquals(Store.Outcome.NO, late.outcome());
         w.run(30);
         assertEquals("done", w.status(w.leader(), "j-1"));
@@ -346,7 +346,7 @@
                 .forEach(
                         x ->
                                 x.tasks.values().stream()
-                                        .filter(t -> t.state != Report.State.ENDED)
+                                        .filter(t -> t.state != Heartbeat.TaskState.ENDED)
                                         .forEach(t -> attempts.add(t.attempt)));
         assertEquals(1, attempts.size());
         assertTrue(attempts.iterator().next() > attempt);
@@ -371,7 +371,7 @@
 
     @Test
     void unprovenAttemptsCountAgainstTheTeamsLimit() {
-        w.teams.put("blue", new Facts.Team("blue", 0, 4, 0, 0));
+        w.teams.put("blue", new ClusterSettings.Team("blue", 0, 4, 0, 0));
         settled(2, 2);
         Node first = w.leader();
         w.submit(first, with(job("j-1", Shape.ARRAY, 6, 1), "blue", Priority.NORMAL, false));
@@ -434,7 +434,7 @@
 
     @Test
     void guaranteedWorkThatGivesWayToHigherPriorityDoesNotTakeTheRoomAgain() {
-        w.teams.put("blue", new Facts.Team("blue", 16, 0, 0, 0));
+        w.teams.put("blue", new ClusterSettings.Team("blue", 16, 0, 0, 0));
         Node n = settled(1, 2);
         w.workers.values().forEach(x -> x.runsFor = 60);
         w.submit(n, with(job("j-1", Shape.ARRAY, 16, 1), "blue", Priority.LOW, false));
@@ -511,8 +511,8 @@
         settled(2, 1);
         Node leader = w.leader();
         Node other = notThe(leader);
-        Report r = new Report("i-000077", "", "m4", "a", false, 1, 1, 0, null, List.of());
-        HeartbeatAnswer[] got = new HeartbeatAnswer[2];
+        Heartbeat r = new Heartbeat("i-000077", "", "m4", "a", false, 1, 1, 0, null, List.of());
+        HeartbeatResponse[] got = new HeartbeatResponse[2];
         other.controller.heartbeat(r, c -> got[0] = c);
         assertEquals(leader.name, got[0].anchor());
         other.controller.heartbeat(r, c -> got[1] = c);
@@ -526,9 +526,9 @@
         Node leader = w.leader();
         Node other = notThe(leader);
         long token = leader.controller.block.token();
-        HeartbeatAnswer[] got = new HeartbeatAnswer[1];
+        HeartbeatResponse[] got = new HeartbeatResponse[1];
         other.controller.heartbeat(
-                new Report("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of()),
+                new Heartbeat("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of()),
                 c -> got[0] = c);
         w.run(0.1);
         assertEquals(token, got[0].token());
@@ -543,9 +543,9 @@
         long token = leader.controller.block.token();
         cut.cutFrom.add(leader.name);
         w.run(4);
-        HeartbeatAnswer[] got = new HeartbeatAnswer[1];
+        HeartbeatResponse[] got = new HeartbeatResponse[1];
         cut.controller.heartbeat(
-                new Report(
+                new Heartbeat(
                         "i-000077",
                         "",
                         "m4",
@@ -555,7 +555,7 @@
                         9,
                         token,
                         null,
-                        List.of(new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))),
+                        List.of(new Heartbeat.TaskStatus("j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 c -> got[0] = c);
         w.run(0.1);
         assertEquals(token, got[0].token());
@@ -570,9 +570,9 @@
         w.run(2);
         long token = leader.controller.block.token();
         leader.crash();
-        HeartbeatAnswer[] got = new HeartbeatAnswer[1];
+        HeartbeatResponse[] got = new HeartbeatResponse[1];
         other.controller.heartbeat(
-                new Report(
+                new Heartbeat(
                         "i-000077",
                         "",
                         "m4",
@@ -582,7 +582,7 @@
                         9,
                         token,
                         null,
-                        List.of(new Report.TaskReport("j-1", 0, 1, Report.State.RUNNING, null))),
+                        List.of(new Heartbeat.TaskStatus("j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 c -> got[0] = c);
         w.run(3);
         assertEquals(w.leader().controller.block.token(), got[0].token());
@@ -597,9 +597,9 @@
         w.nodes.values().forEach(Node::crash);
         w.run(5);
         Node n = w.node("k0");
-        HeartbeatAnswer[] got = new HeartbeatAnswer[1];
+        HeartbeatResponse[] got = new HeartbeatResponse[1];
         n.controller.heartbeat(
-                new Report("i-000077", "", "m4", "a", false, 1, 9, 1, null, List.of()),
+                new Heartbeat("i-000077", "", "m4", "a", false, 1, 9, 1, null, List.of()),
                 c -> got[0] = c);
         w.run(0.9);
         assertEquals(2, got[0].token());
@@ -623,7 +623,7 @@
 
     @Test
     void withNothingToDoMachinesAreGivenBackWhateverIsGuaranteed() {
-        w.teams.put("blue", new Facts.Team("blue", 8, 8, 0, 0));
+        w.teams.put("blue", new ClusterSettings.Team("blue", 8, 8, 0, 0));
         settled(1, 2);
         w.run(90);
         assertTrue(w.cloud.released.containsAll(List.of("i-000000", "i-000001")));
@@ -686,7 +686,7 @@
         Node other = notThe(leader);
         w.submit(leader, job("j-1", Shape.ARRAY, 5, 1));
         w.run(5);
-        JobState seen = w.ask(other, "j-1").state();
+        JobStatus seen = w.ask(other, "j-1").state();
         assertEquals("running", seen.status());
         assertEquals(5, seen.running());
         Node fresh = w.node("k2");
@@ -963,8 +963,8 @@
 
     @Test
     void guestsWithoutAGuaranteeMakeRoomForGuaranteedWorkAndFinishAfterIt() {
-        w.teams.put("red", new Facts.Team("red", 8, 0, 0, 0));
-        w.teams.put("guests", new Facts.Team("guests", 0, 0, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 8, 0, 0, 0));
+        w.teams.put("guests", new ClusterSettings.Team("guests", 0, 0, 0, 0));
         Node n = settled(1, 2);
         w.submit(n, with(job("j-1", Shape.ARRAY, 16, 1), "guests", Priority.LOW, false));
         w.run(3);
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
@@ -73,9 +73,9 @@
         w.cancelS = 2 * w.leaseS + 1;
         w.reportsChanges = true;
         w.type = new MachineType("m4", 4, 2, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
-        w.teams.put("red", new Facts.Team("red", 0, 8, 0, 0));
-        w.teams.put("blue", new Facts.Team("blue", 0, 0, 0, 3));
-        w.teams.put("green", new Facts.Team("green", 0, 5, 0, 4));
+        w.teams.put("red", new ClusterSettings.Team("red", 0, 8, 0, 0));
+        w.teams.put("blue", new ClusterSettings.Team("blue", 0, 0, 0, 3));
+        w.teams.put("green", new ClusterSettings.Team("green", 0, 5, 0, 4));
         w.runsFor = id -> ALWAYS;
         w.siblings.addAll(List.of("k0", "k1", "k2"));
         w.siblings.forEach(w::node);
@@ -122,7 +122,7 @@
 
     /** Whether the team uses its limit, and how much it is by the leader's count. */
     private void atItsLimit(String team, String when) {
-        Facts.Team t = w.teams.get(team);
+        ClusterSettings.Team t = w.teams.get(team);
         double[] used = w.rules.onMachines(team);
         assertTrue(
                 t.cpusMax() == 0 || used[0] == t.cpusMax(), team + " " + used[0] + " CPUs " + when);
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.TeamLimitMeetingsTest.Lost;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
@@ -38,7 +38,7 @@
         int half = 0;
         for (int more = 1; more < 40; more += 2) {
             w = limited(10);
-            w.teams.put("blue", new Facts.Team("blue", 0, 18, 0, 0));
+            w.teams.put("blue", new ClusterSettings.Team("blue", 0, 18, 0, 0));
             Worker[] cut = w.workers.values().stream().limit(3).toArray(Worker[]::new);
             JobSpec gang =
                     World.with(job("j-21", Shape.GANG, 18, 1), "blue", Priority.NORMAL, false);
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
@@ -105,7 +105,7 @@
         w.submit(n, job("j-1", Shape.ARRAY, 6, 1));
         w.run(5);
         Worker x = first(w);
-        Report old = x.message();
+        Heartbeat old = x.message();
         assertFalse(old.tasks().isEmpty());
         x.die();
         w.cloud.machines.remove(x.id);
@@ -114,7 +114,7 @@
         n.crash();
         w.run(15);
         Node next = w.leader();
-        next.controller.heartbeat(old, (HeartbeatAnswer c) -> {});
+        next.controller.heartbeat(old, (HeartbeatResponse c) -> {});
         w.submit(next, job("j-2", Shape.ARRAY, 12, 1));
         w.run(10);
         assertTrue(
@@ -231,7 +231,7 @@
             this.seed = seed;
             random = new Random(seed);
             w.cloud.capacity = 20;
-            w.next = new io.kitepath.core.model.Facts.StoreLimits(1000, 200, 2, 13);
+            w.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 200, 2, 13);
             w.nodes.keySet().stream()
                     .toList()
                     .forEach(
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.Registry.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Task;
@@ -103,10 +103,10 @@
         }
 
         @Override
-        public void heartbeat(String node, Report r, Consumer<HeartbeatAnswer> answer) {
+        public void heartbeat(String node, Heartbeat r, Consumer<HeartbeatResponse> answer) {
             if (crosses(node, r.zone())) {
                 if (refusing) {
-                    w.after(0.002, () -> answer.accept(HeartbeatAnswer.elsewhere(null)));
+                    w.after(0.002, () -> answer.accept(HeartbeatResponse.elsewhere(null)));
                 }
                 return;
             }
@@ -223,7 +223,7 @@
     /** What was lost by now is counted, and the zone is back. */
     private void ends(String at) {
         List<Task> gone =
-                held.stream().filter(t -> t.state != Report.State.ENDED && !t.on()).toList();
+                held.stream().filter(t -> t.state != Heartbeat.TaskState.ENDED && !t.on()).toList();
         withMachine = (int) gone.stream().filter(t -> !t.worker.up).count();
         withLease = gone.size() - withMachine;
         boundOutside = (int) on("b").stream().filter(t -> t.job.equals("j-bound")).count();
--- a/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.standin.World;
 import java.util.List;
 import java.util.Map;
@@ -14,7 +14,7 @@
 
 /** What a report proves. */
 class HeartbeatsTest {
-    private final Facts facts = new World().facts("k1");
+    private final ClusterSettings facts = new World().facts("k1");
     private final Block block = new Block(facts, m -> {});
     private final Heartbeats heartbeats = new Heartbeats(block);
     private final Job job =
@@ -26,8 +26,8 @@
                     1,
                     256);
 
-    private static Report report(long sequence, long token) {
-        return new Report("i-1", "a", "m4", "a", false, 1, sequence, token, null, List.of());
+    private static Heartbeat report(long sequence, long token) {
+        return new Heartbeat("i-1", "a", "m4", "a", false, 1, sequence, token, null, List.of());
     }
 
     /**
@@ -82,8 +82,8 @@
      */
     @Test
     void aMachineThatHasNotShownOurTokenIsToldToStopWhatIsOver() {
-        Report r =
-                new Report(
+        Heartbeat r =
+                new Heartbeat(
                         "i-1",
                         "i-1",
                         "m4",
@@ -94,13 +94,13 @@
                         4,
                         null,
                         List.of(
-                                new Report.TaskReport("j-1", 0, 3, Report.State.RUNNING, null),
-                                new Report.TaskReport("j-2", 1, 4, Report.State.RUNNING, null),
-                                new Report.TaskReport(
-                                        "j-2", 2, 4, Report.State.ENDED, Report.Cause.DONE)));
-        List<Order> stop = List.of(new Order(Order.Verb.STOP, "j-2", 1, 4, 0));
+                                new Heartbeat.TaskStatus("j-1", 0, 3, Heartbeat.TaskState.RUNNING, null),
+                                new Heartbeat.TaskStatus("j-2", 1, 4, Heartbeat.TaskState.RUNNING, null),
+                                new Heartbeat.TaskStatus(
+                                        "j-2", 2, 4, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.DONE)));
+        List<WorkerCommand> stop = List.of(new WorkerCommand(WorkerCommand.Action.STOP, "j-2", 1, 4, 0));
         assertEquals(stop, heartbeats.heartbeat(r, false, "j-1"::equals, 1));
-        Report next = new Report("i-1", "i-1", "m4", "a", false, 1, 8, 4, null, r.tasks());
+        Heartbeat next = new Heartbeat("i-1", "i-1", "m4", "a", false, 1, 8, 4, null, r.tasks());
         assertEquals(stop, heartbeats.heartbeat(next, true, "j-1"::equals, 2));
     }
 }
--- a/src/test/java/io/kitepath/core/block/ServedTest.java
+++ b/src/test/java/io/kitepath/core/block/ServedTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import java.util.List;
 import java.util.Map;
@@ -10,20 +10,20 @@
 
 /** Which classes and teams count as served too little, and when they have caught up. */
 class ServedTest {
-    private final Facts facts =
-            new Facts(
+    private final ClusterSettings facts =
+            new ClusterSettings(
                     "n",
                     "a",
                     List.of(),
                     List.of("a"),
                     Map.of(),
                     List.of(
-                            new Facts.Objective("finished", "tiles", 50, 1, 0.9),
-                            new Facts.Objective("finished", "tiles", 100, 1, 0.9)),
-                    new Facts.Workers(1, 10, 30, 5, 30),
-                    new Facts.StoreLimits(1000, 100, 8, 40),
-                    new Facts.CloudLimits(10, 2),
-                    new Facts.Limits(1, 200, 1000),
+                            new ClusterSettings.Objective("finished", "tiles", 50, 1, 0.9),
+                            new ClusterSettings.Objective("finished", "tiles", 100, 1, 0.9)),
+                    new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                    new ClusterSettings.StoreLimits(1000, 100, 8, 40),
+                    new ClusterSettings.CloudLimits(10, 2),
+                    new ClusterSettings.Limits(1, 200, 1000),
                     5);
     private final Served served = new Served(facts);
     private int named;
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -6,11 +6,11 @@
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.CellMessage.Grant;
+import io.kitepath.core.model.CellMessage.QuotaGrant;
 import io.kitepath.core.model.CellMessage.Summary;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Tree;
+import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.state.Keeper;
@@ -63,18 +63,18 @@
         void begin() {
             incarnation++;
             token++;
-            Facts facts =
-                    new Facts(
+            ClusterSettings facts =
+                    new ClusterSettings(
                             name,
                             "a",
                             List.of(),
                             List.of("a"),
-                            Map.of("t", new Facts.Team("t", 0, LIMIT / 1000.0 / count, 0, 0)),
+                            Map.of("t", new ClusterSettings.Team("t", 0, LIMIT / 1000.0 / count, 0, 0)),
                             List.of(),
-                            new Facts.Workers(1, 10, 30, 5, 30),
-                            new Facts.StoreLimits(1000, 100, 8, 40),
-                            new Facts.CloudLimits(10, 2),
-                            new Facts.Limits(1, 200, 1000),
+                            new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                            new ClusterSettings.StoreLimits(1000, 100, 8, 40),
+                            new ClusterSettings.CloudLimits(10, 2),
+                            new ClusterSettings.Limits(1, 200, 1000),
                             5);
             block = new Block(facts, m -> {});
             block.hold(token);
@@ -207,7 +207,7 @@
                             .filter(e -> e.key().startsWith(Keys.SHARE))
                             .mapToLong(
                                     e ->
-                                            Tree.of(e.value())
+                                            DocumentReader.of(e.value())
                                                     .integer(
                                                             "cpus", Long.MIN_VALUE, Long.MAX_VALUE))
                             .sum();
@@ -307,7 +307,7 @@
                         messages.remove(m);
                         m.answer.accept(null);
                     });
-            if (!m.doubled && m.message instanceof Grant) {
+            if (!m.doubled && m.message instanceof QuotaGrant) {
                 out.add(
                         () -> {
                             m.doubled = true;
@@ -319,7 +319,7 @@
     }
 
     private void arrive(Sent m) {
-        if (m.message instanceof Grant g) {
+        if (m.message instanceof QuotaGrant g) {
             unanswered.add(m);
             cells.get(m.to)
                     .shares
@@ -351,7 +351,7 @@
             sum += c.stored();
             for (Store.Entry e : c.keys.values()) {
                 if (e.key().startsWith(Keys.SHARE)) {
-                    for (Object o : Tree.of(e.value()).list("out")) {
+                    for (Object o : DocumentReader.of(e.value()).list("out")) {
                         List<?> l = (List<?>) o;
                         if (!cells.get((String) l.get(1))
                                 .took(c.name, ((Number) l.get(0)).longValue())) {
@@ -360,7 +360,7 @@
                     }
                 }
             }
-            Facts.Team t = c.block.facts().teams().get("t");
+            ClusterSettings.Team t = c.block.facts().teams().get("t");
             assertTrue(
                     Math.round(c.shares.cpus(t) * 1000) <= c.stored(),
                     () -> c.name + " uses what its store lacks: " + path);
--- a/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
 import io.kitepath.standin.World;
 import io.kitepath.standin.Worlds;
@@ -15,7 +15,7 @@
     private final World w = new World();
     private final Timers timers = Worlds.timers(w);
 
-    private Facts facts(String node, String... others) {
+    private ClusterSettings facts(String node, String... others) {
         w.siblings.clear();
         w.siblings.addAll(List.of(others));
         return w.facts(node);
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/MarginTest.java
@@ -15,14 +15,14 @@
     private static final double CLOCK_ERROR_S = 0.005;
 
     /** When a task of a cancelled job is gone at the latest, in seconds after a user was told. */
-    private static double worst(Facts.Workers w) {
+    private static double worst(ClusterSettings.Workers w) {
         // An attempt that was found by report is named by the next proof only.
         double proof = w.marginS() / 8 * 1.25;
         return proof + w.marginS() * (1 + DRIFT) + 4 * CLOCK_ERROR_S + w.leaseS() * (1 + DRIFT);
     }
 
-    private static Facts.Workers of(double reportS, double leaseS, double cancelS) {
-        return new Facts.Workers(reportS, leaseS, 30, 5, cancelS);
+    private static ClusterSettings.Workers of(double reportS, double leaseS, double cancelS) {
+        return new ClusterSettings.Workers(reportS, leaseS, 30, 5, cancelS);
     }
 
     @Test
@@ -38,7 +38,7 @@
                     {10, 30, 90},
                     {0.5, 3, 6}
                 }) {
-            Facts.Workers w = of(f[0], f[1], f[2]);
+            ClusterSettings.Workers w = of(f[0], f[1], f[2]);
             assertTrue(worst(w) < w.cancelS(), f[0] + " " + f[1] + " " + f[2] + ": " + worst(w));
             assertTrue(w.marginS() >= w.reportS());
         }
@@ -49,7 +49,7 @@
         for (double report = 0.5; report <= 10; report += 0.5) {
             for (double lease = 2 * report; lease <= 120; lease += 1.5) {
                 // Drift of leases of minutes takes its part of the second that is left.
-                Facts.Workers w = of(report, lease, lease + 3 * report + 1 + lease * DRIFT);
+                ClusterSettings.Workers w = of(report, lease, lease + 3 * report + 1 + lease * DRIFT);
                 assertTrue(worst(w) < w.cancelS(), w + ": " + worst(w));
             }
         }
--- a/src/test/java/io/kitepath/core/place/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/place/GuaranteeTest.java
@@ -4,9 +4,9 @@
 
 import io.kitepath.core.block.Block;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Spent;
+import io.kitepath.core.model.LoopTimeAccounting;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -15,23 +15,23 @@
 
 /** Which of a team's jobs its guarantee is for, when they are more than it. */
 class GuaranteeTest {
-    private final Facts facts =
-            new Facts(
+    private final ClusterSettings facts =
+            new ClusterSettings(
                     "n",
                     "a",
                     List.of(),
                     List.of("a"),
-                    Map.of("red", new Facts.Team("red", 10, 0, 0, 0)),
+                    Map.of("red", new ClusterSettings.Team("red", 10, 0, 0, 0)),
                     List.of(
-                            new Facts.Objective("finished", "small", 100, 1, 0.9),
-                            new Facts.Objective("finished", "large", 100, 1, 0.9)),
-                    new Facts.Workers(1, 10, 30, 5, 30),
-                    new Facts.StoreLimits(1000, 100, 8, 40),
-                    new Facts.CloudLimits(10, 2),
-                    new Facts.Limits(1, 200, 1000),
+                            new ClusterSettings.Objective("finished", "small", 100, 1, 0.9),
+                            new ClusterSettings.Objective("finished", "large", 100, 1, 0.9)),
+                    new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                    new ClusterSettings.StoreLimits(1000, 100, 8, 40),
+                    new ClusterSettings.CloudLimits(10, 2),
+                    new ClusterSettings.Limits(1, 200, 1000),
                     5);
     private final Block block = new Block(facts, m -> {});
-    private final Placer placer = new Placer(block, new Random(1), new Spent(() -> 0));
+    private final Placer placer = new Placer(block, new Random(1), new LoopTimeAccounting(() -> 0));
 
     private Job job(String id, String of, int tasks, double submittedS) {
         JobSpec s =
--- a/src/test/java/io/kitepath/core/serve/RetryPaceTest.java
+++ b/src/test/java/io/kitepath/core/serve/RetryPaceTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
 import java.util.List;
 import java.util.Map;
@@ -14,18 +14,18 @@
     private double now = 10;
 
     /** Three nodes, and 300 requests a second for all of them. */
-    private final Facts facts =
-            new Facts(
+    private final ClusterSettings facts =
+            new ClusterSettings(
                     "k0",
                     "a",
                     List.of("k1", "k2"),
                     List.of("a"),
                     Map.of(),
                     List.of(),
-                    new Facts.Workers(1, 10, 30, 5, 30),
-                    new Facts.StoreLimits(300, 50, 8, 40),
-                    new Facts.CloudLimits(10, 2),
-                    new Facts.Limits(1, 200, 1000),
+                    new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                    new ClusterSettings.StoreLimits(300, 50, 8, 40),
+                    new ClusterSettings.CloudLimits(10, 2),
+                    new ClusterSettings.Limits(1, 200, 1000),
                     5);
 
     private final RetryPace pace =
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -10,7 +10,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.port.Store.Committed;
+import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
 import io.kitepath.standin.World;
@@ -61,7 +61,7 @@
                 }
 
                 @Override
-                public void commit(Transaction t, Consumer<Committed> answer) {
+                public void commit(Transaction t, Consumer<CommitResult> answer) {
                     assertTrue(t.writes().isEmpty());
                     assertTrue(t.conditions().size() <= 160);
                     sent.add(t);
@@ -77,11 +77,11 @@
                                     : refuses.test(sent.size())
                                             ? Outcome.REFUSED
                                             : failed.isEmpty() ? otherwise : Outcome.NO;
-                    w.after(answerTakesS, () -> answer.accept(new Committed(o, 0, failed, false)));
+                    w.after(answerTakesS, () -> answer.accept(new CommitResult(o, 0, failed, false)));
                 }
 
                 @Override
-                public void page(String prefix, String from, int limit, Consumer<Listing> answer) {}
+                public void page(String prefix, String from, int limit, Consumer<ListResult> answer) {}
 
                 @Override
                 public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {}
@@ -94,7 +94,7 @@
 
                 @Override
                 public void follow(
-                        String prefix, long after, long holdMs, Consumer<Changes> answer) {}
+                        String prefix, long after, long holdMs, Consumer<WatchResult> answer) {}
             };
 
     private final CancellationProof proof =
--- a/src/test/java/io/kitepath/peers/CellLinksTest.java
+++ b/src/test/java/io/kitepath/peers/CellLinksTest.java
@@ -5,12 +5,12 @@
 
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.CellMessage.Elsewhere;
-import io.kitepath.core.model.CellMessage.UserAnswer;
-import io.kitepath.core.model.CellMessage.UserAsk;
-import io.kitepath.core.model.CellMessage.Wish;
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.CellMessage.Redirect;
+import io.kitepath.core.model.CellMessage.UserResponse;
+import io.kitepath.core.model.CellMessage.UserRequest;
+import io.kitepath.core.model.CellMessage.RequestKind;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.net.LoopTimers;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -43,35 +43,35 @@
 
     /** A node of the cell west that listens, and whose store refuses everything. */
     private void west(InetSocketAddress at) throws Exception {
-        Map<String, Facts.Team> none = Map.of();
-        Directory d =
-                new Directory(
+        Map<String, ClusterSettings.Team> none = Map.of();
+        CellDirectory d =
+                new CellDirectory(
                         1,
                         "west",
                         Map.of(
                                 "west",
-                                new Directory.Cell(
+                                new CellDirectory.Cell(
                                         "west", true, false, List.of("a"), Map.of("w0", "x"), none),
                                 "east",
-                                new Directory.Cell(
+                                new CellDirectory.Cell(
                                         "east",
                                         true,
                                         false,
                                         List.of("b"),
                                         Map.of("e0", "y"),
                                         none)));
-        Facts facts =
-                new Facts(
+        ClusterSettings facts =
+                new ClusterSettings(
                         "w0",
                         "a",
                         List.of(),
                         List.of("a"),
                         none,
                         List.of(),
-                        new Facts.Workers(1, 10, 30, 5, 30),
-                        new Facts.StoreLimits(100, 100, 8, 40),
-                        new Facts.CloudLimits(1, 1),
-                        new Facts.Limits(1, 200, 1000),
+                        new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                        new ClusterSettings.StoreLimits(100, 100, 8, 40),
+                        new ClusterSettings.CloudLimits(1, 1),
+                        new ClusterSettings.Limits(1, 200, 1000),
                         5);
         Peers peers = new Peers(group, "w0", Map.of(), true);
         loop.submit(
@@ -106,20 +106,20 @@
         CellLinks links = new CellLinks(group, Map.of("west", Map.of("w0", at)), new Random(1));
         // Nobody leads there; its store has not said by which homes it goes.
         assertEquals(
-                new Elsewhere(null), ask(links, null, new CellMessage.Recall("east", 7, 7, true)));
+                new Redirect(null), ask(links, null, new CellMessage.LoanRecall("east", 7, 7, true)));
         assertEquals(
-                new UserAnswer("LATER", null),
-                ask(links, "w0", new UserAsk(Wish.STATUS, "j-1", null)));
-        assertEquals(new Elsewhere(null), ask(links, "unknown", new CellMessage.Settled(7, 7)));
+                new UserResponse("LATER", null),
+                ask(links, "w0", new UserRequest(RequestKind.STATUS, "j-1", null)));
+        assertEquals(new Redirect(null), ask(links, "unknown", new CellMessage.LoanSettled(7, 7)));
     }
 
     @Test
     void whoIsNotThereAnswersNothingInTime() throws Exception {
         CellLinks links = new CellLinks(group, Map.of("west", Map.of("w0", free())), new Random(1));
-        assertNull(ask(links, "w0", new CellMessage.Settled(7, 7)));
+        assertNull(ask(links, "w0", new CellMessage.LoanSettled(7, 7)));
         CompletableFuture<CellMessage> got = new CompletableFuture<>();
         loop.execute(
-                () -> links.ask("nowhere", null, new CellMessage.Settled(7, 7), got::complete));
+                () -> links.ask("nowhere", null, new CellMessage.LoanSettled(7, 7), got::complete));
         assertNull(got.get(5, TimeUnit.SECONDS));
     }
 
@@ -137,7 +137,7 @@
                                                     InetAddress.getLoopbackAddress(),
                                                     mute.getLocalPort()))),
                             new Random(1));
-            assertNull(ask(links, "w0", new CellMessage.Settled(7, 7)));
+            assertNull(ask(links, "w0", new CellMessage.LoanSettled(7, 7)));
         }
     }
 }
--- a/src/test/java/io/kitepath/peers/MessagesTest.java
+++ b/src/test/java/io/kitepath/peers/MessagesTest.java
@@ -5,14 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JobState;
+import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.MachineKind;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -27,8 +27,8 @@
 
     @Test
     void aRelayedCheckInArrivesAsItWasSent() {
-        Report r =
-                new Report(
+        Heartbeat r =
+                new Heartbeat(
                         "i-1",
                         "10.1.0.1:9000",
                         "m",
@@ -39,11 +39,11 @@
                         41,
                         null,
                         List.of(
-                                new Report.TaskReport("j-1", 3, 2, Report.State.RUNNING, null),
-                                new Report.TaskReport(
-                                        "j-1", 4, 2, Report.State.ENDED, Report.Cause.DONE)));
+                                new Heartbeat.TaskStatus("j-1", 3, 2, Heartbeat.TaskState.RUNNING, null),
+                                new Heartbeat.TaskStatus(
+                                        "j-1", 4, 2, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.DONE)));
         assertEquals(new Messages.Ask(7, r, true), sent(new Messages.Ask(7, r, true)));
-        Report notice = new Report("i-1", "", "m", "a", true, 2, 89, 41, 12.5, List.of());
+        Heartbeat notice = new Heartbeat("i-1", "", "m", "a", true, 2, 89, 41, 12.5, List.of());
         assertEquals(new Messages.Ask(8, notice, false), sent(new Messages.Ask(8, notice, false)));
     }
 
@@ -52,14 +52,14 @@
         Messages.Answer a =
                 new Messages.Answer(
                         7,
-                        new HeartbeatAnswer(
+                        new HeartbeatResponse(
                                 41,
                                 List.of(
-                                        new Order(Order.Verb.START, "j-1", 5, 3, 0),
-                                        new Order(Order.Verb.STOP, "j-1", 4, 2, 6)),
+                                        new WorkerCommand(WorkerCommand.Action.START, "j-1", 5, 3, 0),
+                                        new WorkerCommand(WorkerCommand.Action.STOP, "j-1", 4, 2, 6)),
                                 null));
         assertEquals(a, sent(a));
-        Messages.Answer no = new Messages.Answer(8, new HeartbeatAnswer(0, List.of(), "kite-2"));
+        Messages.Answer no = new Messages.Answer(8, new HeartbeatResponse(0, List.of(), "kite-2"));
         assertEquals(no, sent(no));
     }
 
@@ -67,12 +67,12 @@
     void viewsEndsAndProgressToo() {
         Messages.View v = new Messages.View("kite-1", 41, true, false);
         assertEquals(v, sent(v));
-        Messages.Over over = new Messages.Over(new JobState("j-1", "cancelled", 0, 0, null));
+        Messages.Over over = new Messages.Over(new JobStatus("j-1", "cancelled", 0, 0, null));
         assertEquals(over, sent(over));
         Messages.AskProgress ask = new Messages.AskProgress(9, List.of("j-1", "j-2"));
         assertEquals(ask, sent(ask));
         Messages.AnswerProgress answer =
-                new Messages.AnswerProgress(9, List.of(new Progress("j-1", 4, 2, "waits")));
+                new Messages.AnswerProgress(9, List.of(new JobProgress("j-1", 4, 2, "waits")));
         assertEquals(answer, sent(answer));
     }
 
@@ -100,12 +100,12 @@
                         45,
                         6,
                         90.0);
-        CellMessage.Room room =
-                new CellMessage.Room(new MachineKind("m4", "a", true), 12, 0, 40, 3);
+        CellMessage.FreeCapacity room =
+                new CellMessage.FreeCapacity(new MachineKind("m4", "a", true), 12, 0, 40, 3);
         List<CellMessage> all =
                 List.of(
-                        new CellMessage.Elsewhere("kite-1"),
-                        new CellMessage.Elsewhere(null),
+                        new CellMessage.Redirect("kite-1"),
+                        new CellMessage.Redirect(null),
                         new CellMessage.Summary(
                                 "east",
                                 "kite-0",
@@ -114,16 +114,16 @@
                                 List.of(room),
                                 List.of(0.0, 4.5),
                                 List.of("west"),
-                                List.of(new CellMessage.Share("red", 0, 4000, 1000, 0, 0, 0, 1.5))),
-                        new CellMessage.Grant("east", 8, 7, "red", 1, 2000),
-                        new CellMessage.Granted(8),
-                        new CellMessage.Offer("east", 1L << 40, 7, job, 1000.5, 0, 4, 2),
-                        new CellMessage.Recall("east", 8, 7, true),
-                        new CellMessage.Settled(8, 9),
-                        new CellMessage.UserAsk(CellMessage.Wish.SUBMIT, "j-1", job),
-                        new CellMessage.UserAsk(CellMessage.Wish.STATUS, "j-1", null),
-                        new CellMessage.UserAnswer(
-                                "KNOWN", new JobState("j-1", "running", 1, 2, "waits")));
+                                List.of(new CellMessage.QuotaShare("red", 0, 4000, 1000, 0, 0, 0, 1.5))),
+                        new CellMessage.QuotaGrant("east", 8, 7, "red", 1, 2000),
+                        new CellMessage.QuotaGrantAccepted(8),
+                        new CellMessage.LoanOffer("east", 1L << 40, 7, job, 1000.5, 0, 4, 2),
+                        new CellMessage.LoanRecall("east", 8, 7, true),
+                        new CellMessage.LoanSettled(8, 9),
+                        new CellMessage.UserRequest(CellMessage.RequestKind.SUBMIT, "j-1", job),
+                        new CellMessage.UserRequest(CellMessage.RequestKind.STATUS, "j-1", null),
+                        new CellMessage.UserResponse(
+                                "KNOWN", new JobStatus("j-1", "running", 1, 2, "waits")));
         Messages one = new Messages(true);
         Messages other = new Messages(true);
         for (CellMessage m : all) {
@@ -133,10 +133,10 @@
                     new Messages.AnswerCell(5, m),
                     other.value(one.bytes(new Messages.AnswerCell(5, m))));
         }
-        CellMessage.Word w =
-                new CellMessage.Word("west", 8, CellMessage.Standing.BACK, new byte[] {3, 1}, 4);
-        CellMessage.Word got =
-                (CellMessage.Word)
+        CellMessage.LoanStatus w =
+                new CellMessage.LoanStatus("west", 8, CellMessage.LoanState.BACK, new byte[] {3, 1}, 4);
+        CellMessage.LoanStatus got =
+                (CellMessage.LoanStatus)
                         ((Messages.AnswerCell)
                                         other.value(one.bytes(new Messages.AnswerCell(6, w))))
                                 .message();
@@ -145,7 +145,7 @@
                 List.of(got.cell(), got.number(), got.standing(), got.next()));
         assertArrayEquals(w.done(), got.done());
         byte[] bytes = one.bytes(new Messages.AskCell(5, all.get(0)));
-        assertThrows(Malformed.class, () -> there.value(bytes));
+        assertThrows(InvalidInputException.class, () -> there.value(bytes));
     }
 
     @Test
@@ -156,11 +156,11 @@
             random.nextBytes(bytes);
             try {
                 there.value(bytes);
-            } catch (Malformed expected) {
+            } catch (InvalidInputException expected) {
                 // Refused, as it should be.
             }
         }
-        assertThrows(Malformed.class, () -> there.value(new byte[] {99, 1, 2}));
+        assertThrows(InvalidInputException.class, () -> there.value(new byte[] {99, 1, 2}));
         viewsEndsAndProgressToo();
     }
 }
--- a/src/test/java/io/kitepath/peers/PeersTest.java
+++ b/src/test/java/io/kitepath/peers/PeersTest.java
@@ -5,7 +5,7 @@
 
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.net.LoopTimers;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -103,18 +103,18 @@
                                     "fresh",
                                     new InetSocketAddress(here, fresh.getLocalPort())),
                             false);
-            Facts facts =
-                    new Facts(
+            ClusterSettings facts =
+                    new ClusterSettings(
                             "k0",
                             "a",
                             List.of("old", "fresh"),
                             List.of("a"),
                             Map.of(),
                             List.of(),
-                            new Facts.Workers(1, 10, 30, 5, 30),
-                            new Facts.StoreLimits(100, 100, 8, 40),
-                            new Facts.CloudLimits(1, 1),
-                            new Facts.Limits(1, 200, 1000),
+                            new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                            new ClusterSettings.StoreLimits(100, 100, 8, 40),
+                            new ClusterSettings.CloudLimits(1, 1),
+                            new ClusterSettings.Limits(1, 200, 1000),
                             5);
             loop.submit(
                             () ->
--- a/src/test/java/io/kitepath/peers/RefusingStore.java
+++ b/src/test/java/io/kitepath/peers/RefusingStore.java
@@ -13,13 +13,13 @@
     }
 
     @Override
-    public void page(String prefix, String from, int limit, Consumer<Listing> answer) {
-        answer.accept(new Listing(Outcome.REFUSED, List.of(), 0, false));
+    public void page(String prefix, String from, int limit, Consumer<ListResult> answer) {
+        answer.accept(new ListResult(Outcome.REFUSED, List.of(), 0, false));
     }
 
     @Override
-    public void commit(Transaction t, Consumer<Committed> answer) {
-        answer.accept(new Committed(Outcome.REFUSED, 0, List.of(), false));
+    public void commit(Transaction t, Consumer<CommitResult> answer) {
+        answer.accept(new CommitResult(Outcome.REFUSED, 0, List.of(), false));
     }
 
     @Override
@@ -36,5 +36,5 @@
     public void revoke(long lease) {}
 
     @Override
-    public void follow(String prefix, long after, long holdMs, Consumer<Changes> answer) {}
+    public void follow(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {}
 }
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -5,16 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.HeartbeatAnswer;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Progress;
-import io.kitepath.core.model.Report;
-import io.kitepath.core.model.Report.Cause;
-import io.kitepath.core.model.Report.State;
-import io.kitepath.core.model.Report.TaskReport;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.Heartbeat.TaskStatus;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.Keys;
 import io.kitepath.standin.Node;
@@ -51,8 +51,8 @@
     @Test
     void framesAreTheSameToTheByte() {
         Messages m = new Messages(true);
-        Report r =
-                new Report(
+        Heartbeat r =
+                new Heartbeat(
                         "i-000231",
                         "10.1.0.232:9000",
                         "g8",
@@ -63,8 +63,8 @@
                         41,
                         12.5,
                         List.of(
-                                new TaskReport("j-000412", 3, 2, State.RUNNING, null),
-                                new TaskReport("j-000398", 0, 1, State.ENDED, Cause.DONE)));
+                                new TaskStatus("j-000412", 3, 2, TaskState.RUNNING, null),
+                                new TaskStatus("j-000398", 0, 1, TaskState.ENDED, EndCause.DONE)));
         JobSpec s =
                 new JobSpec(
                         "j-000412",
@@ -87,7 +87,7 @@
                         30,
                         4,
                         900.0);
-        JobState over = new JobState("j-000412", "done", 16, 0);
+        JobStatus over = new JobStatus("j-000412", "done", 16, 0);
         Map<String, Object> frames = new LinkedHashMap<>();
         frames.put("view", new Messages.View("kite-1", 7, true, false));
         frames.put("over", new Messages.Over(over));
@@ -96,22 +96,22 @@
                 "answer",
                 new Messages.Answer(
                         5,
-                        new HeartbeatAnswer(
+                        new HeartbeatResponse(
                                 41,
                                 List.of(
-                                        new Order(Order.Verb.START, "j-000412", 4, 2, 0),
-                                        new Order(Order.Verb.STOP, "j-000377", 1, 1, 10)),
+                                        new WorkerCommand(WorkerCommand.Action.START, "j-000412", 4, 2, 0),
+                                        new WorkerCommand(WorkerCommand.Action.STOP, "j-000377", 1, 1, 10)),
                                 null)));
         frames.put("askProgress", new Messages.AskProgress(6, List.of("j-000412", "j-000398")));
         frames.put(
                 "answerProgress",
-                new Messages.AnswerProgress(6, List.of(new Progress("j-000412", 3, 13, "waits"))));
+                new Messages.AnswerProgress(6, List.of(new JobProgress("j-000412", 3, 13, "waits"))));
         frames.put(
                 "askCell",
-                new Messages.AskCell(9, new CellMessage.Offer("north", 4, 2, s, 1000.5, 0, 16, 3)));
+                new Messages.AskCell(9, new CellMessage.LoanOffer("north", 4, 2, s, 1000.5, 0, 16, 3)));
         frames.put(
                 "answerCell",
-                new Messages.AnswerCell(9, new CellMessage.UserAnswer("KNOWN", over)));
+                new Messages.AnswerCell(9, new CellMessage.UserResponse("KNOWN", over)));
         frames.forEach(
                 (name, message) -> {
                     byte[] theirs = written.get("frame." + name);
@@ -145,7 +145,7 @@
     @Test
     void aStoreThatProductionWroteIsGoneOnWith() {
         World w = new World();
-        w.next = new io.kitepath.core.model.Facts.StoreLimits(1000, 1000, 2, 13);
+        w.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 1000, 2, 13);
         for (String k : written.keySet()) {
             if (k.startsWith("record ")
                     && !k.contains("/duty/")
@@ -170,8 +170,8 @@
                             w.workers
                                     .get(machine)
                                     .execute(
-                                            new Order(
-                                                    Order.Verb.START,
+                                            new WorkerCommand(
+                                                    WorkerCommand.Action.START,
                                                     job,
                                                     ((Number) ((List<?>) l).get(i)).intValue(),
                                                     ((Number) ((List<?>) l).get(i + 1)).longValue(),
--- a/src/test/java/io/kitepath/settings/CellsFileTest.java
+++ b/src/test/java/io/kitepath/settings/CellsFileTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Directory;
-import io.kitepath.core.model.Facts;
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.InvalidInputException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -23,22 +23,22 @@
                 "teams":[{"name":"t","cpus":6,"cpus_max":10}]},
               {"name":"spare","home":false,"zones":["d"],"nodes":[{"label":"s0","addr":"127.0.0.4:8081"}]}]}
             """;
-    private final Facts facts =
-            new Facts(
+    private final ClusterSettings facts =
+            new ClusterSettings(
                     "e1",
                     "a",
                     List.of("e0"),
                     List.of("a", "b"),
                     Map.of(
                             "t",
-                            new Facts.Team("t", 10, 40, 0, 0),
+                            new ClusterSettings.Team("t", 10, 40, 0, 0),
                             "free",
-                            new Facts.Team("free", 0, 0, 0, 0)),
+                            new ClusterSettings.Team("free", 0, 0, 0, 0)),
                     List.of(),
-                    new Facts.Workers(1, 10, 30, 5, 30),
-                    new Facts.StoreLimits(1000, 100, 8, 40),
-                    new Facts.CloudLimits(10, 2),
-                    new Facts.Limits(1, 200, 1000),
+                    new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                    new ClusterSettings.StoreLimits(1000, 100, 8, 40),
+                    new ClusterSettings.CloudLimits(10, 2),
+                    new ClusterSettings.Limits(1, 200, 1000),
                     5);
 
     private CellsFile read(String text) {
@@ -47,7 +47,7 @@
 
     private String complaint(String from, String to) {
         assertTrue(GOOD.contains(from), from);
-        return assertThrows(Malformed.class, () -> read(GOOD.replace(from, to))).getMessage();
+        return assertThrows(InvalidInputException.class, () -> read(GOOD.replace(from, to))).getMessage();
     }
 
     @Test
@@ -88,14 +88,14 @@
 
     @Test
     void homesAreSpreadEvenlyAndStayWhenRoomIsAdded() {
-        Directory d = read(GOOD).directory();
+        CellDirectory d = read(GOOD).directory();
         Map<String, Integer> at = new TreeMap<>();
         for (int i = 0; i < 2000; i++) {
             at.merge(d.home(String.format("j-%06d", i)), 1, Integer::sum);
         }
         assertEquals(2, at.size());
         assertTrue(at.get("east") > 900 && at.get("west") > 900, at.toString());
-        Directory more =
+        CellDirectory more =
                 read(GOOD.replace(
                                 "{\"name\":\"spare\"",
                                 "{\"name\":\"more\",\"home\":false,\"zones\":[\"e\"],\"nodes\":[{\"label\":\"m0\","
--- a/src/test/java/io/kitepath/settings/SettingsTest.java
+++ b/src/test/java/io/kitepath/settings/SettingsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Malformed;
+import io.kitepath.core.model.InvalidInputException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,7 +33,7 @@
     }
 
     private String complaint(String text) {
-        return assertThrows(Malformed.class, () -> read(text)).getMessage();
+        return assertThrows(InvalidInputException.class, () -> read(text)).getMessage();
     }
 
     @Test
@@ -63,7 +63,7 @@
         assertTrue(complaint("{\"label\":").contains("not JSON"));
         assertTrue(complaint("").contains("is empty"));
         assertTrue(
-                assertThrows(Malformed.class, () -> Settings.read(dir.resolve("none")))
+                assertThrows(InvalidInputException.class, () -> Settings.read(dir.resolve("none")))
                         .getMessage()
                         .endsWith("none: no such file"));
     }
--- a/src/test/java/io/kitepath/standin/CheckerTest.java
+++ b/src/test/java/io/kitepath/standin/CheckerTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.Order;
+import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.state.Keys;
 import java.util.List;
 import java.util.Map;
@@ -31,7 +31,7 @@
                 .values()
                 .iterator()
                 .next()
-                .execute(new Order(Order.Verb.START, job, task, 77, 0));
+                .execute(new WorkerCommand(WorkerCommand.Action.START, job, task, 77, 0));
     }
 
     private void finds(String what) {
--- a/src/test/java/io/kitepath/standin/LoopbackTest.java
+++ b/src/test/java/io/kitepath/standin/LoopbackTest.java
@@ -5,7 +5,7 @@
 
 import io.kitepath.cloud.HttpCloud;
 import io.kitepath.core.model.MachineKind;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
@@ -140,8 +140,8 @@
 
     @Test
     void whatAWorkerSaysIsReadAsItWasMeant() {
-        Report r =
-                new Report(
+        Heartbeat r =
+                new Heartbeat(
                         "i-1",
                         "127.0.0.1:9",
                         "m4",
@@ -152,9 +152,9 @@
                         41,
                         3.5,
                         List.of(
-                                new Report.TaskReport("j-1", 3, 2, Report.State.RUNNING, null),
-                                new Report.TaskReport(
-                                        "j-1", 4, 1, Report.State.ENDED, Report.Cause.NO_ROOM)));
+                                new Heartbeat.TaskStatus("j-1", 3, 2, Heartbeat.TaskState.RUNNING, null),
+                                new Heartbeat.TaskStatus(
+                                        "j-1", 4, 1, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.NO_ROOM)));
         assertEquals(r, Wire.report(Pack.value(Outside.report(r))));
     }
 }
--- a/src/test/java/io/kitepath/standin/RulesTest.java
+++ b/src/test/java/io/kitepath/standin/RulesTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.Facts;
+import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report.State;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.state.Keys;
 import java.util.List;
@@ -24,7 +24,7 @@
     }
 
     private void start(String machine, String job, int task) {
-        w.workers.get(machine).execute(new Order(Order.Verb.START, job, task, 77, 0));
+        w.workers.get(machine).execute(new WorkerCommand(WorkerCommand.Action.START, job, task, 77, 0));
     }
 
     private JobSpec placedAs(
@@ -66,7 +66,7 @@
 
     @Test
     void aTaskTwiceAndATeamOverItsLimitWhereNobodyCanLook() {
-        w.teams.put("red", new Facts.Team("red", 0, 2, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 0, 2, 0, 0));
         w.specs.put("j-1", job("j-1"));
         w.workers.values().forEach(x -> x.cut = true);
         start("i-000000", "j-1", 0);
@@ -121,7 +121,7 @@
         // As if its lease were none.
         w.after(
                 2.904,
-                () -> x.tasks.put(t.key(), new Task(x, t.job, t.number, t.attempt, State.RUNNING)));
+                () -> x.tasks.put(t.key(), new Task(x, t.job, t.number, t.attempt, TaskState.RUNNING)));
         w.run(6);
         finds("ran cancelled: " + t.key());
     }
@@ -170,7 +170,7 @@
         finds("j-2 is called cancelled and nobody asked");
         w.rules.heard(
                 "j-777",
-                new Registry.Answer(Registry.Verdict.KNOWN, new JobState("j-777", "pending", 0, 0)),
+                new Registry.Answer(Registry.Verdict.KNOWN, new JobStatus("j-777", "pending", 0, 0)),
                 w.clock.now);
         finds("invented: j-777");
     }
@@ -194,7 +194,7 @@
         w.nodes.values().forEach(Node::crash);
         w.specs.put("j-1", job("j-1"));
         w.rules.accepted("j-1");
-        w.teams.put("red", new Facts.Team("red", 0, 1, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 0, 1, 0, 0));
         w.specs.put("j-2", job("j-2"));
         start("i-000000", "j-2", 0);
         w.workers.get("i-000000").hangsUntil = w.clock.now + 200;
@@ -204,7 +204,7 @@
                 List.of("forgotten: no question about j-1 is answered"),
                 w.broken,
                 "its team is at its limit");
-        w.teams.put("red", new Facts.Team("red", 0, 0, 0, 0));
+        w.teams.put("red", new ClusterSettings.Team("red", 0, 0, 0, 0));
         w.run(89);
         assertEquals(1, w.broken.size());
         w.run(4);
--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JobState;
-import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Order;
-import io.kitepath.core.model.Report;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.WorkerCommand;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store;
 import io.kitepath.settings.Settings;
 import java.nio.charset.StandardCharsets;
@@ -96,7 +96,7 @@
                 m.put(field, w);
                 try {
                     Wire.submission(m);
-                } catch (Malformed e) {
+                } catch (InvalidInputException e) {
                     assertTrue(e.getMessage().startsWith(field), field + ": " + e.getMessage());
                     refused++;
                 }
@@ -106,7 +106,7 @@
         for (Object sheets : Arrays.asList(0L, 100_001L, 2.5)) {
             Map<String, Object> m = submission();
             m.put("sheets", sheets);
-            assertThrows(Malformed.class, () -> Wire.submission(m));
+            assertThrows(InvalidInputException.class, () -> Wire.submission(m));
         }
     }
 
@@ -114,12 +114,12 @@
     void aBodyOver64KiBIsRefused() {
         Map<String, Object> m = submission();
         m.put("kit", "x".repeat(65 * 1024));
-        assertThrows(Malformed.class, () -> Wire.submittedId(m));
+        assertThrows(InvalidInputException.class, () -> Wire.submittedId(m));
     }
 
     @Test
     void theReportOfTheProtocol() {
-        Report r =
+        Heartbeat r =
                 Wire.report(
                         packed(
                                 """
@@ -129,9 +129,9 @@
                            {"sheet":"j-000398/0","try":1,"status":"ended","cause":"done"}]}"""));
         assertEquals(
                 List.of(
-                        new Report.TaskReport("j-000412", 3, 2, Report.State.RUNNING, null),
-                        new Report.TaskReport(
-                                "j-000398", 0, 1, Report.State.ENDED, Report.Cause.DONE)),
+                        new Heartbeat.TaskStatus("j-000412", 3, 2, Heartbeat.TaskState.RUNNING, null),
+                        new Heartbeat.TaskStatus(
+                                "j-000398", 0, 1, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.DONE)),
                 r.tasks());
         assertEquals(41, r.token());
         assertNull(r.noticeS());
@@ -139,13 +139,13 @@
 
     @Test
     void anUnknownTaskStateIsNeverTakenForAnEnd() {
-        Report r =
+        Heartbeat r =
                 Wire.report(
                         packed(
                                 """
                 {"host":"i-1","frame":"g8","field":"a","loaners":true,"tenure":1,"tick":1,"baton":0,
                  "sheets":[{"sheet":"j-1/0","try":1,"status":"dreaming"}]}"""));
-        assertEquals(Report.State.RUNNING, r.tasks().get(0).state());
+        assertEquals(Heartbeat.TaskState.RUNNING, r.tasks().get(0).state());
     }
 
     @Test
@@ -155,9 +155,9 @@
                         Wire.orders(
                                 41,
                                 List.of(
-                                        new Order(Order.Verb.START, "j-000412", 4, 2, 0),
-                                        new Order(Order.Verb.STOP, "j-000377", 1, 1, 10),
-                                        new Order(Order.Verb.FORGET, "j-000398", 0, 1, 0))));
+                                        new WorkerCommand(WorkerCommand.Action.START, "j-000412", 4, 2, 0),
+                                        new WorkerCommand(WorkerCommand.Action.STOP, "j-000377", 1, 1, 10),
+                                        new WorkerCommand(WorkerCommand.Action.FORGET, "j-000398", 0, 1, 0))));
         assertEquals(
                 json(
                         """
@@ -195,10 +195,10 @@
     void theStateThatUsersSee() {
         assertEquals(
                 json("{\"nameId\":\"j-000412\",\"status\":\"running\",\"done\":3,\"running\":13}"),
-                Pack.value(Wire.jobState(new JobState("j-000412", "running", 3, 13, null), false)));
+                Pack.value(Wire.jobState(new JobStatus("j-000412", "running", 3, 13, null), false)));
         assertEquals(
                 json("{\"nameId\":\"j-000412\",\"status\":\"withdrawn\"}"),
-                Pack.value(Wire.jobState(new JobState("j-000412", "cancelled", 0, 0, null), true)));
+                Pack.value(Wire.jobState(new JobStatus("j-000412", "cancelled", 0, 0, null), true)));
     }
 
     @Test
@@ -236,11 +236,11 @@
         for (byte[] b : bad) {
             try {
                 Wire.submission(Pack.value(b));
-            } catch (Malformed e) {
+            } catch (InvalidInputException e) {
                 refused++;
             }
         }
         assertTrue(refused > 50);
-        assertThrows(Malformed.class, () -> Pack.value(new byte[0]));
+        assertThrows(InvalidInputException.class, () -> Pack.value(new byte[0]));
     }
 }
