--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.Block;
-import io.kitepath.core.block.Heartbeats;
+import io.kitepath.core.block.ShardState;
+import io.kitepath.core.block.HeartbeatProcessor;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.cell.CellDesk;
 import io.kitepath.core.duty.Carrier;
@@ -65,8 +65,8 @@
     private final Timers timers;
     private final DirectStops stops;
     private final PeerNodes siblings;
-    final Block block;
-    final Heartbeats heartbeats;
+    final ShardState block;
+    final HeartbeatProcessor heartbeats;
     final Placer placer;
     final Leadership leadership;
     final Keeper keeper;
@@ -131,8 +131,8 @@
         this.siblings = siblings;
         this.spent = new LoopTimeAccounting(timers::now);
         ImageRecords images = new ImageRecords(facts);
-        this.block = new Block(facts, images::recall);
-        this.heartbeats = new Heartbeats(block);
+        this.block = new ShardState(facts, images::recall);
+        this.heartbeats = new HeartbeatProcessor(block);
         this.takeover = new Takeover(block);
         this.placer = new Placer(block, random, spent);
         this.views = new Views(facts, timers);
--- a/src/main/java/io/kitepath/core/DirectStops.java
+++ b/src/main/java/io/kitepath/core/DirectStops.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.Block;
-import io.kitepath.core.block.Heartbeats;
+import io.kitepath.core.block.ShardState;
+import io.kitepath.core.block.HeartbeatProcessor;
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.core.port.Timers;
@@ -11,8 +11,8 @@
  * Stops that go straight to machines, as these ask only once in a report interval; so many at once.
  */
 final class DirectStops {
-    private final Block block;
-    private final Heartbeats heartbeats;
+    private final ShardState block;
+    private final HeartbeatProcessor heartbeats;
     private final HeartbeatDesk desk;
     private final Leadership leadership;
     private final DirectCommands direct;
@@ -23,8 +23,8 @@
 
     /** {@code changed} runs when a machine's answer may let work be placed. */
     DirectStops(
-            Block block,
-            Heartbeats heartbeats,
+            ShardState block,
+            HeartbeatProcessor heartbeats,
             HeartbeatDesk desk,
             Leadership leadership,
             DirectCommands direct,
--- a/src/main/java/io/kitepath/core/Figures.java
+++ b/src/main/java/io/kitepath/core/Figures.java
@@ -1,10 +1,10 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.Block;
-import io.kitepath.core.block.Heartbeats;
+import io.kitepath.core.block.ShardState;
+import io.kitepath.core.block.HeartbeatProcessor;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
-import io.kitepath.core.block.Served;
+import io.kitepath.core.block.ServiceLevels;
 import io.kitepath.core.lead.KnownCancellations;
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.lead.Views;
@@ -22,8 +22,8 @@
 /** What a node counts, for operators. */
 final class Figures {
     private final Timers timers;
-    private final Block block;
-    private final Heartbeats heartbeats;
+    private final ShardState block;
+    private final HeartbeatProcessor heartbeats;
     private final Placer placer;
     private final Leadership leadership;
     private final Keeper keeper;
@@ -33,8 +33,8 @@
 
     Figures(
             Timers timers,
-            Block block,
-            Heartbeats heartbeats,
+            ShardState block,
+            HeartbeatProcessor heartbeats,
             Placer placer,
             Leadership leadership,
             Keeper keeper,
@@ -152,7 +152,7 @@
                         "the lowest share of a class's largest jobs",
                         () ->
                                 block.served().largest().values().stream()
-                                        .mapToDouble(Served.Group::share)
+                                        .mapToDouble(ServiceLevels.ServiceGroup::share)
                                         .min()
                                         .orElse(1)));
         f.put(
@@ -161,7 +161,7 @@
                         "jobs that were not done by the last time expected of them",
                         () ->
                                 block.served().classes().values().stream()
-                                        .mapToLong(Served.Group::missed)
+                                        .mapToLong(ServiceLevels.ServiceGroup::missed)
                                         .sum()));
         f.put(
                 "direct.commands",
@@ -188,7 +188,7 @@
     }
 
     /** One line for the log that sums up the block. */
-    static String summary(Block block, Heartbeats heartbeats, Placer placer) {
+    static String summary(ShardState block, HeartbeatProcessor heartbeats, Placer placer) {
         Map<String, int[]> classes = new TreeMap<>();
         for (Job j : block.jobs().values()) {
             int[] c = classes.computeIfAbsent(j.spec.jobClass(), k -> new int[3]);
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.lead.CancellationLog;
 import io.kitepath.core.lead.KnownCancellations;
 import io.kitepath.core.lead.Leadership;
@@ -25,7 +25,7 @@
     private final PeerNodes siblings;
     private final Leadership leadership;
     private final Views views;
-    private final Block block;
+    private final ShardState block;
     private final KnownCancellations known;
     private final CancellationLog cancellations;
 
@@ -45,7 +45,7 @@
             PeerNodes siblings,
             Leadership leadership,
             Views views,
-            Block block,
+            ShardState block,
             KnownCancellations known,
             BooleanSupplier holds,
             Consumer<JobStatus> ended,
--- a/src/main/java/io/kitepath/core/Takeover.java
+++ b/src/main/java/io/kitepath/core/Takeover.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Machine;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -16,7 +16,7 @@
     /** Of the machines that were up, how many have to have reported for the takeover to be over. */
     private static final double MOST = 0.95;
 
-    private final Block block;
+    private final ShardState block;
     private double since;
     private double readS = Double.NaN;
     private double launchedS = Double.NaN;
@@ -24,7 +24,7 @@
     private double mostS = Double.NaN;
     private boolean over = true;
 
-    Takeover(Block block) {
+    Takeover(ShardState block) {
         this.block = block;
     }
 
--- a/src/main/java/io/kitepath/core/block/Boots.java
+++ b/src/main/java/io/kitepath/core/block/BootTimes.java
@@ -15,8 +15,8 @@
  * counted as room on its way; and, the other way round, against renting everything twice when all
  * machines come late after all.
  */
-public final class Boots {
-    private static final Logger LOG = LoggerFactory.getLogger(Boots.class);
+public final class BootTimes {
+    private static final Logger LOG = LoggerFactory.getLogger(BootTimes.class);
 
     /** Of a kind's last boots, how many count. */
     private static final int LAST = 8;
@@ -30,7 +30,7 @@
     /** The same by type alone, for kinds of which too few have come. */
     private final Map<String, Deque<Double>> ofType = new HashMap<>();
 
-    Boots(Map<String, MachineType> types) {
+    BootTimes(Map<String, MachineType> types) {
         this.types = types;
     }
 
--- a/src/main/java/io/kitepath/core/block/Unwritten.java
+++ b/src/main/java/io/kitepath/core/block/DirtyParts.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 
 /** Parts of jobs that differ from their records, the longest waiting first. */
-public final class Unwritten {
+public final class DirtyParts {
     private final Set<Job.Part> placings = new LinkedHashSet<>();
     private final Set<Job.Part> changes = new LinkedHashSet<>();
 
--- a/src/main/java/io/kitepath/core/block/Failures.java
+++ b/src/main/java/io/kitepath/core/block/FailureDiagnosis.java
@@ -13,8 +13,8 @@
  * ever more rarely, in room that is free anyway. A job that succeeded once, or runs on longer than
  * it took to fail, is none.
  */
-public final class Failures {
-    private static final Logger LOG = LoggerFactory.getLogger(Failures.class);
+public final class FailureDiagnosis {
+    private static final Logger LOG = LoggerFactory.getLogger(FailureDiagnosis.class);
 
     /** Machines on which a job has to fail before it is held to be at fault itself. */
     private static final int MACHINES = 3;
@@ -25,7 +25,7 @@
     private final ClusterSettings facts;
     private final Map<String, Machine> machines;
 
-    Failures(ClusterSettings facts, Map<String, Machine> machines) {
+    FailureDiagnosis(ClusterSettings facts, Map<String, Machine> machines) {
         this.facts = facts;
         this.machines = machines;
     }
--- a/src/main/java/io/kitepath/core/block/Heartbeats.java
+++ b/src/main/java/io/kitepath/core/block/HeartbeatProcessor.java
@@ -18,8 +18,8 @@
  * over by a report, and only {@link #commands} launches: what is written and not launched before,
  * in the answer to a check-in.
  */
-public final class Heartbeats {
-    private static final Logger LOG = LoggerFactory.getLogger(Heartbeats.class);
+public final class HeartbeatProcessor {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
     /** Commands in one answer; keeps it far below the 64 KiB limit. */
     private static final int MAX_ORDERS = 300;
@@ -30,11 +30,11 @@
     /** Reports in a row that don't show a task which the answers before them launched. */
     private static final int MOST_MISSED = 3;
 
-    private final Block block;
+    private final ShardState block;
     private long launches;
     private double launchDelayS;
 
-    public Heartbeats(Block block) {
+    public HeartbeatProcessor(ShardState block) {
         this.block = block;
     }
 
--- a/src/main/java/io/kitepath/core/block/Job.java
+++ b/src/main/java/io/kitepath/core/block/Job.java
@@ -154,8 +154,8 @@
      */
     private final BitSet away = new BitSet();
 
-    /** What of it is lent to other cells; see {@link Loan}. */
-    private final List<Loan> loans = new ArrayList<>();
+    /** What of it is lent to other cells; see {@link TaskLoan}. */
+    private final List<TaskLoan> loans = new ArrayList<>();
 
     /** The revision of the record of its loans, 0 if there is none. */
     private long lentRevision;
@@ -336,7 +336,7 @@
     }
 
     /** Its loans, in the order of their numbers. */
-    public List<Loan> loans() {
+    public List<TaskLoan> loans() {
         return Collections.unmodifiableList(loans);
     }
 
@@ -349,7 +349,7 @@
     }
 
     /** From now on these tasks are not placed here. None of them may be done or on a machine. */
-    public void lend(Loan l) {
+    public void lend(TaskLoan l) {
         version++;
         loans.add(l);
         away.set(l.from, l.until);
@@ -359,7 +359,7 @@
      * What the other cell's store says is over: its tasks are done, or ours to place again. It
      * stays on the record until {@link #forget}.
      */
-    public void close(Loan l, BitSet doneOfIt) {
+    public void close(TaskLoan l, BitSet doneOfIt) {
         l.closed = true;
         away.clear(l.from, l.until);
         version++;
@@ -372,7 +372,7 @@
     }
 
     /** The store has no record of it any more. */
-    public void forget(Loan l) {
+    public void forget(TaskLoan l) {
         loans.remove(l);
     }
 
@@ -715,7 +715,7 @@
     private double progressAt;
 
     /** Counted at most once in {@code everyS}: guards against a large job that many ask about. */
-    JobProgress progress(double now, double everyS, Notes notes) {
+    JobProgress progress(double now, double everyS, PendingReasons notes) {
         if (progress == null || now - progressAt > everyS) {
             int running =
                     (int)
--- a/src/main/java/io/kitepath/core/block/Pipelines.java
+++ b/src/main/java/io/kitepath/core/block/JobDependencies.java
@@ -24,7 +24,7 @@
  * when they have to be done. Both are worked out as jobs come and end, along what changes by it,
  * not anew for each round.
  */
-public final class Pipelines {
+public final class JobDependencies {
     /** Ends that are remembered; what was forgotten is read again. */
     private static final int ENDS = 10_000;
 
@@ -65,7 +65,7 @@
      *     not known
      * @param changed runs when a job may start
      */
-    Pipelines(
+    JobDependencies(
             ClusterSettings facts, Map<String, Job> jobs, ToDoubleFunction<JobSpec> leadS, Runnable changed) {
         this.facts = facts;
         this.jobs = jobs;
--- a/src/main/java/io/kitepath/core/block/Sizes.java
+++ b/src/main/java/io/kitepath/core/block/JobSizes.java
@@ -9,7 +9,7 @@
 /**
  * How large the jobs of each class are that came lately, in CPUs: which of them are its largest.
  */
-final class Sizes {
+final class JobSizes {
     /** Jobs that are remembered of a class. */
     private static final int LATELY = 64;
 
@@ -22,21 +22,21 @@
     /** Users name the classes, so there may be any number of them. */
     private static final int MOST = 1000;
 
-    private static final class Class {
+    private static final class SizeClass {
         final Deque<Double> lately = new ArrayDeque<>();
 
         /** From that size on a job is one of the largest. */
         double from = Double.POSITIVE_INFINITY;
     }
 
-    private final Cache<String, Class> classes = Caffeine.newBuilder().maximumSize(MOST).build();
+    private final Cache<String, SizeClass> classes = Caffeine.newBuilder().maximumSize(MOST).build();
 
     private static double size(JobSpec s) {
         return s.tasks() * s.cpus();
     }
 
     void came(JobSpec s) {
-        Class c = classes.get(s.jobClass(), k -> new Class());
+        SizeClass c = classes.get(s.jobClass(), k -> new SizeClass());
         c.lately.addLast(size(s));
         if (c.lately.size() > LATELY) {
             c.lately.removeFirst();
@@ -51,7 +51,7 @@
     }
 
     boolean largest(JobSpec s) {
-        Class c = classes.getIfPresent(s.jobClass());
+        SizeClass c = classes.getIfPresent(s.jobClass());
         return c != null && size(s) >= c.from;
     }
 }
--- a/src/main/java/io/kitepath/core/block/Notes.java
+++ b/src/main/java/io/kitepath/core/block/PendingReasons.java
@@ -7,13 +7,13 @@
  * A sentence on what an unfinished job waits for, out of what the holder knows; null if there is
  * nothing to say.
  */
-final class Notes {
+final class PendingReasons {
     /** Of the jobs that one waits for, those that are named. */
     private static final int MOST_NAMED = 5;
 
-    private final Block block;
+    private final ShardState block;
 
-    Notes(Block block) {
+    PendingReasons(ShardState block) {
         this.block = block;
     }
 
@@ -85,7 +85,7 @@
 
     private static String lent(Job job, double now) {
         StringBuilder b = new StringBuilder();
-        for (Loan l : job.loans()) {
+        for (TaskLoan l : job.loans()) {
             if (!l.closed) {
                 b.append(b.isEmpty() ? "" : "; ")
                         .append(l.tasks() == 1 ? "1 task" : l.tasks() + " tasks")
--- a/src/main/java/io/kitepath/core/block/TeamUse.java
+++ b/src/main/java/io/kitepath/core/block/QuotaUsage.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /** What each team's attempts take that are not proven over, against its limit. */
-public final class TeamUse {
+public final class QuotaUsage {
     /** What this decider may use of a team's limits; infinite where there is none. */
-    public interface Limits {
+    public interface QuotaLimits {
         double cpus(ClusterSettings.Team team);
 
         double gpus(ClusterSettings.Team team);
     }
 
     /** As the settings say. */
-    private static final class Whole implements Limits {
+    private static final class Whole implements QuotaLimits {
         @Override
         public double cpus(ClusterSettings.Team t) {
             return t.cpusMax() > 0 ? t.cpusMax() : Double.POSITIVE_INFINITY;
@@ -29,16 +29,16 @@
     }
 
     private final ClusterSettings facts;
-    private Limits limits = new Whole();
+    private QuotaLimits limits = new Whole();
 
     /** CPUs and GPUs by team. */
     private final Map<String, double[]> used = new HashMap<>();
 
-    TeamUse(ClusterSettings facts) {
+    QuotaUsage(ClusterSettings facts) {
         this.facts = facts;
     }
 
-    public void limits(Limits others) {
+    public void limits(QuotaLimits others) {
         limits = others;
     }
 
--- a/src/main/java/io/kitepath/core/block/Lately.java
+++ b/src/main/java/io/kitepath/core/block/RecentArrivals.java
@@ -10,7 +10,7 @@
 import java.util.function.ToDoubleFunction;
 
 /** The jobs that came last: what the next ones may be like. */
-public final class Lately {
+public final class RecentArrivals {
     /** How many are remembered. */
     private static final int MOST = 200;
 
@@ -52,24 +52,24 @@
     }
 
     /** How many tasks of a class of gangs came a second, as of late, and one of its jobs. */
-    public record Pace(JobSpec like, double tasksPerS) {}
+    public record ArrivalRate(JobSpec like, double tasksPerS) {}
 
     /**
      * The classes of gangs that still come by their usual pace, those of the highest priority
      * first.
      */
-    public List<Pace> gangs(double wallMs) {
+    public List<ArrivalRate> gangs(double wallMs) {
         Map<String, List<Job>> classes = new TreeMap<>();
         for (Job j : jobs) {
             if (j.spec.gang() && !j.held()) {
                 classes.computeIfAbsent(j.spec.jobClass(), k -> new ArrayList<>()).add(j);
             }
         }
-        List<Pace> out = new ArrayList<>();
+        List<ArrivalRate> out = new ArrayList<>();
         for (List<Job> of : classes.values()) {
             double tasks = perS(of, wallMs, j -> j.spec.tasks());
             if (tasks > 0) {
-                out.add(new Pace(of.get(0).spec, tasks));
+                out.add(new ArrivalRate(of.get(0).spec, tasks));
             }
         }
         out.sort(Comparator.comparing(p -> p.like.priority()));
--- a/src/main/java/io/kitepath/core/block/Served.java
+++ b/src/main/java/io/kitepath/core/block/ServiceLevels.java
@@ -25,10 +25,10 @@
  * <p>What is decided already says too little, too late: of a class whose jobs have minutes, the
  * first misses are counted when hundreds of jobs can't be in time any more. So jobs that have used
  * most of the time in which they may wait, and still do, count as if they had been missed; see
- * {@link Group#share}.
+ * {@link ServiceGroup#share}.
  */
-public final class Served {
-    private static final Logger LOG = LoggerFactory.getLogger(Served.class);
+public final class ServiceLevels {
+    private static final Logger LOG = LoggerFactory.getLogger(ServiceLevels.class);
 
     /**
      * The share below which a class or team is behind, above the half that it must never fall
@@ -61,7 +61,7 @@
     private static final int GROUP_BYTES = 64;
 
     /** One class or team. Counts are of jobs. */
-    public static final class Group {
+    public static final class ServiceGroup {
         private final String name;
         private long undecided;
         private long endangered;
@@ -76,7 +76,7 @@
         private double decided;
         private boolean behind;
 
-        private Group(String name) {
+        private ServiceGroup(String name) {
             this.name = name;
         }
 
@@ -145,21 +145,21 @@
     }
 
     private final ClusterSettings facts;
-    private final Map<String, Group> classes = new LinkedHashMap<>();
-    private final Map<String, Group> teams = new LinkedHashMap<>();
+    private final Map<String, ServiceGroup> classes = new LinkedHashMap<>();
+    private final Map<String, ServiceGroup> teams = new LinkedHashMap<>();
 
     /**
      * By class, its largest jobs alone: of a class that is served well, they may be the ones that
      * go without.
      */
-    private final Map<String, Group> largest = new LinkedHashMap<>();
+    private final Map<String, ServiceGroup> largest = new LinkedHashMap<>();
 
-    private final Sizes sizes = new Sizes();
+    private final JobSizes sizes = new JobSizes();
 
     /** What was missed up to then, by the time of day, has been counted by an earlier holder. */
     private double countedUntilMs;
 
-    Served(ClusterSettings facts) {
+    ServiceLevels(ClusterSettings facts) {
         this.facts = facts;
     }
 
@@ -170,25 +170,25 @@
         countedUntilMs = 0;
     }
 
-    private static Group group(Map<String, Group> in, String kind, String name) {
-        Group g = in.get(name);
+    private static ServiceGroup group(Map<String, ServiceGroup> in, String kind, String name) {
+        ServiceGroup g = in.get(name);
         if (g == null && in.size() < MOST) {
-            g = new Group(kind + " " + name);
+            g = new ServiceGroup(kind + " " + name);
             in.put(name, g);
         }
         return g;
     }
 
-    private void each(JobSpec s, Consumer<Group> then) {
-        Group c = group(classes, "class", s.jobClass());
-        Group t = group(teams, "team", s.team());
+    private void each(JobSpec s, Consumer<ServiceGroup> then) {
+        ServiceGroup c = group(classes, "class", s.jobClass());
+        ServiceGroup t = group(teams, "team", s.team());
         if (c != null) {
             then.accept(c);
         }
         if (t != null) {
             then.accept(t);
         }
-        Group l = sizes.largest(s) ? group(largest, "largest of", s.jobClass()) : null;
+        ServiceGroup l = sizes.largest(s) ? group(largest, "largest of", s.jobClass()) : null;
         if (l != null) {
             then.accept(l);
         }
@@ -238,7 +238,7 @@
                         });
             }
         }
-        all().forEach(Group::weigh);
+        all().forEach(ServiceGroup::weigh);
     }
 
     private void miss(Job j, double withinS, double wallMs) {
@@ -251,8 +251,8 @@
         }
     }
 
-    private List<Group> all() {
-        List<Group> all = new ArrayList<>(classes.values());
+    private List<ServiceGroup> all() {
+        List<ServiceGroup> all = new ArrayList<>(classes.values());
         all.addAll(teams.values());
         all.addAll(largest.values());
         return all;
@@ -272,9 +272,9 @@
      * that is so little that others of its rank go without before it.
      */
     public double standing(JobSpec s) {
-        Group c = classes.get(s.jobClass());
-        Group t = teams.get(s.team());
-        Group l = sizes.largest(s) ? largest.get(s.jobClass()) : null;
+        ServiceGroup c = classes.get(s.jobClass());
+        ServiceGroup t = teams.get(s.team());
+        ServiceGroup l = sizes.largest(s) ? largest.get(s.jobClass()) : null;
         return Math.min(
                 l == null ? 1 : l.standing(),
                 Math.min(c == null ? 1 : c.standing(), t == null ? 1 : t.standing()));
@@ -298,17 +298,17 @@
         return out;
     }
 
-    private static Map<String, Object> records(Map<String, Group> of, double bytes) {
+    private static Map<String, Object> records(Map<String, ServiceGroup> of, double bytes) {
         Map<String, Object> out = new LinkedHashMap<>();
         double left = bytes;
-        for (Map.Entry<String, Group> e :
+        for (Map.Entry<String, ServiceGroup> e :
                 of.entrySet().stream()
                         .sorted(
                                 Comparator.comparingLong(
-                                        (Map.Entry<String, Group> e) ->
+                                        (Map.Entry<String, ServiceGroup> e) ->
                                                 -e.getValue().inTime - e.getValue().missed))
                         .toList()) {
-            Group g = e.getValue();
+            ServiceGroup g = e.getValue();
             left -= GROUP_BYTES + e.getKey().length();
             if (left < 0 || g.inTime + g.missed == 0) {
                 break;
@@ -338,7 +338,7 @@
         restore(t, "largest", "largest of", largest);
     }
 
-    private static void restore(DocumentReader record, String field, String kind, Map<String, Group> into) {
+    private static void restore(DocumentReader record, String field, String kind, Map<String, ServiceGroup> into) {
         if (!(record.raw(field) instanceof Map<?, ?> groups)) {
             return;
         }
@@ -348,7 +348,7 @@
                             && counts instanceof List<?> l
                             && l.size() == 5
                             && l.stream().allMatch(Number.class::isInstance)) {
-                        Group g = group(into, kind, n);
+                        ServiceGroup g = group(into, kind, n);
                         if (g != null) {
                             g.inTime = ((Number) l.get(0)).longValue();
                             g.done = ((Number) l.get(1)).longValue();
@@ -373,7 +373,7 @@
                                 least(classes),
                                 least(teams),
                                 least(largest)));
-        for (Group g : all()) {
+        for (ServiceGroup g : all()) {
             b.append(
                     String.format(
                             Locale.ROOT,
@@ -388,15 +388,15 @@
     }
 
     /** By name, for operators. */
-    public Map<String, Group> classes() {
+    public Map<String, ServiceGroup> classes() {
         return new TreeMap<>(classes);
     }
 
-    public Map<String, Group> teams() {
+    public Map<String, ServiceGroup> teams() {
         return new TreeMap<>(teams);
     }
 
-    public Map<String, Group> largest() {
+    public Map<String, ServiceGroup> largest() {
         return new TreeMap<>(largest);
     }
 
@@ -405,7 +405,7 @@
         return Math.min(least(largest), Math.min(least(classes), least(teams)));
     }
 
-    private static double least(Map<String, Group> of) {
-        return of.values().stream().mapToDouble(Group::share).min().orElse(1);
+    private static double least(Map<String, ServiceGroup> of) {
+        return of.values().stream().mapToDouble(ServiceGroup::share).min().orElse(1);
     }
 }
--- a/src/main/java/io/kitepath/core/block/Block.java
+++ b/src/main/java/io/kitepath/core/block/ShardState.java
@@ -28,8 +28,8 @@
  * and what of all that the store has not been told. It decides nothing about where work goes; it
  * keeps count of what was decided, so that whatever is unproven counts against every limit.
  */
-public final class Block {
-    private static final Logger LOG = LoggerFactory.getLogger(Block.class);
+public final class ShardState {
+    private static final Logger LOG = LoggerFactory.getLogger(ShardState.class);
     private static final int TOMBSTONES = 5000;
 
     private final ClusterSettings facts;
@@ -39,14 +39,14 @@
     private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
-    private final Failures failures;
-    private final Boots boots;
-    private final Notes notes = new Notes(this);
+    private final FailureDiagnosis failures;
+    private final BootTimes boots;
+    private final PendingReasons notes = new PendingReasons(this);
 
     /** Is told of every machine that becomes known. */
     private final Consumer<Machine> newcomers;
 
-    private final TeamUse teamUse;
+    private final QuotaUsage teamUse;
 
     /** Machines that are put down as going. */
     private final Set<String> going = new HashSet<>();
@@ -61,11 +61,11 @@
                         }
                     });
 
-    private final Lately lately = new Lately();
-    private final Leads leads = new Leads();
-    private final Unwritten unwritten = new Unwritten();
-    private final Served served;
-    private final Pipelines pipelines;
+    private final RecentArrivals lately = new RecentArrivals();
+    private final StartLatencies leads = new StartLatencies();
+    private final DirtyParts unwritten = new DirtyParts();
+    private final ServiceLevels served;
+    private final JobDependencies pipelines;
 
     /** Jobs whose parts are to be laid out anew. */
     private final Set<Job> wide = new LinkedHashSet<>();
@@ -81,14 +81,14 @@
     private boolean backlog;
 
     /** {@code newcomers} is told of every machine that becomes known. */
-    public Block(ClusterSettings facts, Consumer<Machine> newcomers) {
+    public ShardState(ClusterSettings facts, Consumer<Machine> newcomers) {
         this.facts = facts;
-        this.teamUse = new TeamUse(facts);
+        this.teamUse = new QuotaUsage(facts);
         this.newcomers = newcomers;
-        this.served = new Served(facts);
-        this.failures = new Failures(facts, machines);
-        this.boots = new Boots(types);
-        this.pipelines = new Pipelines(facts, jobs, s -> leads.mostS(s.jobClass()), this::change);
+        this.served = new ServiceLevels(facts);
+        this.failures = new FailureDiagnosis(facts, machines);
+        this.boots = new BootTimes(types);
+        this.pipelines = new JobDependencies(facts, jobs, s -> leads.mostS(s.jobClass()), this::change);
         this.partTasks = facts.tasksPerPart();
         this.recordBytes = facts.store().valueBytes();
     }
@@ -116,33 +116,33 @@
         return machinesView;
     }
 
-    public Failures failures() {
+    public FailureDiagnosis failures() {
         return failures;
     }
 
-    public Boots boots() {
+    public BootTimes boots() {
         return boots;
     }
 
-    public TeamUse teamUse() {
+    public QuotaUsage teamUse() {
         return teamUse;
     }
 
-    public Lately lately() {
+    public RecentArrivals lately() {
         return lately;
     }
 
-    public Leads leads() {
+    public StartLatencies leads() {
         return leads;
     }
 
     /** What classes and teams got of what they asked for. */
-    public Served served() {
+    public ServiceLevels served() {
         return served;
     }
 
     /** Which jobs wait for which. */
-    public Pipelines pipelines() {
+    public JobDependencies pipelines() {
         return pipelines;
     }
 
@@ -156,7 +156,7 @@
         partTasks = tasks;
     }
 
-    public Unwritten unwritten() {
+    public DirtyParts unwritten() {
         return unwritten;
     }
 
--- a/src/main/java/io/kitepath/core/block/Leads.java
+++ b/src/main/java/io/kitepath/core/block/StartLatencies.java
@@ -8,7 +8,7 @@
  * down, the worker's next report, the image, a gang's slowest. Guards against an order of service
  * that places jobs in the nick of time, and then all of them fetch their images past their goal.
  */
-public final class Leads {
+public final class StartLatencies {
     /** Of the average, what one more start counts. */
     private static final double WEIGHT = 1.0 / 64;
 
--- a/src/main/java/io/kitepath/core/block/Loan.java
+++ b/src/main/java/io/kitepath/core/block/TaskLoan.java
@@ -10,7 +10,7 @@
  * Tasks of a job that another cell has been offered, and may have taken: they are out, and nothing
  * of them is placed here, until that cell's store says otherwise. Time and silence say nothing.
  */
-public final class Loan {
+public final class TaskLoan {
     public final long number;
     public final String to;
     public final int from;
@@ -32,7 +32,7 @@
     public int unanswered;
     public final double since;
 
-    public Loan(long number, String to, int from, int until, double since) {
+    public TaskLoan(long number, String to, int from, int until, double since) {
         this.number = number;
         this.to = to;
         this.from = from;
@@ -45,9 +45,9 @@
     }
 
     /** The record of all loans of a job. */
-    public static Map<String, Object> record(List<Loan> loans) {
+    public static Map<String, Object> record(List<TaskLoan> loans) {
         List<Object> list = new ArrayList<>();
-        for (Loan l : loans) {
+        for (TaskLoan l : loans) {
             list.add(List.of(l.number, l.to, (long) l.from, (long) l.until));
         }
         Map<String, Object> m = new LinkedHashMap<>();
@@ -60,9 +60,9 @@
      *
      * @throws io.kitepath.core.model.Malformed if it did not
      */
-    public static List<Loan> read(Object record, double now) {
+    public static List<TaskLoan> read(Object record, double now) {
         DocumentReader t = DocumentReader.of(record);
-        List<Loan> out = new ArrayList<>();
+        List<TaskLoan> out = new ArrayList<>();
         for (Object o : t.list("loans")) {
             if (!(o instanceof List<?> l)
                     || l.size() != 4
@@ -72,7 +72,7 @@
                     || !(l.get(3) instanceof Number until)) {
                 throw t.complaint("loans", "must be lists of number, cell, first and last");
             }
-            Loan loan = new Loan(n.longValue(), to, from.intValue(), until.intValue(), now);
+            TaskLoan loan = new TaskLoan(n.longValue(), to, from.intValue(), until.intValue(), now);
             loan.written = true;
             out.add(loan);
         }
--- a/src/main/java/io/kitepath/core/cell/CellDesk.java
+++ b/src/main/java/io/kitepath/core/cell/CellDesk.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.cell.Neighbours.Neighbour;
 import io.kitepath.core.model.TokenBucket;
@@ -65,7 +65,7 @@
     }
 
     private final CellDirectory directory;
-    private final Block block;
+    private final ShardState block;
     private final Timers timers;
     private final Node node;
     private final RemoteCells cells;
@@ -83,7 +83,7 @@
 
     public CellDesk(
             CellDirectory directory,
-            Block block,
+            ShardState block,
             Consumer<Keeper.Rider> riding,
             Store store,
             Timers timers,
--- a/src/main/java/io/kitepath/core/cell/Guests.java
+++ b/src/main/java/io/kitepath/core/cell/Guests.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.LoanOffer;
@@ -102,7 +102,7 @@
     }
 
     private final String own;
-    private final Block block;
+    private final ShardState block;
     private final Consumer<Keeper.Rider> riding;
     private final Timers timers;
     private final Asking asking;
@@ -122,7 +122,7 @@
 
     Guests(
             String own,
-            Block block,
+            ShardState block,
             Consumer<Keeper.Rider> riding,
             Timers timers,
             Asking asking,
--- a/src/main/java/io/kitepath/core/cell/Here.java
+++ b/src/main/java/io/kitepath/core/cell/Here.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.CellMessage.FreeCapacity;
@@ -23,9 +23,9 @@
 
     private static final int RANKS = 2 * JobSpec.Priority.values().length;
 
-    private final Block block;
+    private final ShardState block;
 
-    Here(Block block) {
+    Here(ShardState block) {
         this.block = block;
     }
 
--- a/src/main/java/io/kitepath/core/cell/Lending.java
+++ b/src/main/java/io/kitepath/core/cell/Lending.java
@@ -1,8 +1,8 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.block.Loan;
+import io.kitepath.core.block.TaskLoan;
 import io.kitepath.core.cell.Neighbours.Neighbour;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.LoanOffer;
@@ -47,7 +47,7 @@
     }
 
     private final String own;
-    private final Block block;
+    private final ShardState block;
     private final Consumer<Keeper.Rider> riding;
     private final Timers timers;
     private final Neighbours neighbours;
@@ -67,7 +67,7 @@
 
     Lending(
             String own,
-            Block block,
+            ShardState block,
             Consumer<Keeper.Rider> riding,
             Timers timers,
             Neighbours neighbours,
@@ -100,7 +100,7 @@
         return block.jobs().values().stream()
                 .flatMap(j -> j.loans().stream())
                 .filter(l -> !l.closed)
-                .mapToLong(Loan::tasks)
+                .mapToLong(TaskLoan::tasks)
                 .sum();
     }
 
@@ -116,7 +116,7 @@
                 // more.
             }
             try {
-                Loan.read(x.value(), now).forEach(job::lend);
+                TaskLoan.read(x.value(), now).forEach(job::lend);
                 job.lentRecorded(x.revision());
             } catch (InvalidInputException bad) {
                 // Nothing of a job whose loans can't be told may be placed.
@@ -157,7 +157,7 @@
     private long floor(String cell) {
         long least = nextNumber();
         for (Job j : block.jobs().values()) {
-            for (Loan l : j.loans()) {
+            for (TaskLoan l : j.loans()) {
                 if (l.to.equals(cell)) {
                     least = Math.min(least, l.number);
                 }
@@ -180,8 +180,8 @@
         if (job.lentBusy() || out(p.to()) >= Numbers.MOST / 2 || sequence + 2 >= 1L << BITS) {
             return;
         }
-        Loan loan =
-                new Loan(
+        TaskLoan loan =
+                new TaskLoan(
                         (block.token() << BITS) + ++sequence,
                         p.to(),
                         p.from(),
@@ -211,7 +211,7 @@
         job.lentBusy(true);
         riding.accept(
                 new Keeper.Rider() {
-                    private List<Loan> left;
+                    private List<TaskLoan> left;
 
                     @Override
                     public boolean wanted() {
@@ -229,7 +229,7 @@
                         if (left.isEmpty()) {
                             t.remove(Keys.LENT + id);
                         } else {
-                            t.put(Keys.LENT + id, Loan.record(left));
+                            t.put(Keys.LENT + id, TaskLoan.record(left));
                         }
                     }
 
@@ -250,7 +250,7 @@
             if (job.over()) {
                 continue;
             }
-            for (Loan l : new ArrayList<>(job.loans())) {
+            for (TaskLoan l : new ArrayList<>(job.loans())) {
                 if (l.written && !l.closed) {
                     tell(job, l, now);
                 }
@@ -269,7 +269,7 @@
         }
     }
 
-    private void tell(Job job, Loan l, double now) {
+    private void tell(Job job, TaskLoan l, double now) {
         double mostS = block.facts().workers().leaseS();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
         double dueS =
@@ -314,7 +314,7 @@
      */
     void said(LoanStatus w, Consumer<CellMessage> answer) {
         for (Job job : block.jobs().values()) {
-            for (Loan l : job.loans()) {
+            for (TaskLoan l : job.loans()) {
                 if (l.number == w.number() && l.to.equals(w.cell())) {
                     said(job, l, w, answer);
                     return;
@@ -330,7 +330,7 @@
         }
     }
 
-    private void said(Job job, Loan l, LoanStatus w, Consumer<CellMessage> answer) {
+    private void said(Job job, TaskLoan l, LoanStatus w, Consumer<CellMessage> answer) {
         double now = timers.now();
         Neighbour n = neighbours.get(l.to);
         if (!l.written) {
@@ -385,7 +385,7 @@
         if (job.lentBusy() || job.complete() && !job.leaving()) {
             return; // What is complete is written as done, its record of loans along with it.
         }
-        for (Loan l : job.loans()) {
+        for (TaskLoan l : job.loans()) {
             if (l.closed) {
                 for (int p = job.partOf(l.from); p <= job.partOf(l.until - 1); p++) {
                     if (job.part(p).due()) {
@@ -394,11 +394,11 @@
                 }
             }
         }
-        List<Loan> over = job.loans().stream().filter(l -> l.closed).toList();
+        List<TaskLoan> over = job.loans().stream().filter(l -> l.closed).toList();
         write(job, () -> over.forEach(l -> settled(job, l)));
     }
 
-    private void settled(Job job, Loan l) {
+    private void settled(Job job, TaskLoan l) {
         job.forget(l);
         returned++;
         String cell = l.to;
--- a/src/main/java/io/kitepath/core/cell/Shares.java
+++ b/src/main/java/io/kitepath/core/cell/Shares.java
@@ -1,9 +1,9 @@
 package io.kitepath.core.cell;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.block.TeamUse;
+import io.kitepath.core.block.QuotaUsage;
 import io.kitepath.core.cell.Division.Claim;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.QuotaGrant;
@@ -43,7 +43,7 @@
  * (escrow: P. E. O'Neil, "The escrow transactional method", ACM TODS, 1986). Amounts are in
  * thousandths.
  */
-final class Shares implements TeamUse.Limits {
+final class Shares implements QuotaUsage.QuotaLimits {
     private static final Logger LOG = LoggerFactory.getLogger(Shares.class);
     private static final int BITS = 20;
 
@@ -113,7 +113,7 @@
     }
 
     private final String own;
-    private final Block block;
+    private final ShardState block;
     private final Consumer<Keeper.Rider> riding;
     private final Timers timers;
     private final Asking asking;
@@ -132,7 +132,7 @@
 
     Shares(
             String own,
-            Block block,
+            ShardState block,
             Consumer<Keeper.Rider> riding,
             Timers timers,
             Asking asking,
@@ -234,7 +234,7 @@
     }
 
     private long used(String team, int kind) {
-        TeamUse u = block.teamUse();
+        QuotaUsage u = block.teamUse();
         return (long) Math.ceil((kind == 0 ? u.cpus(team) : u.gpus(team)) * 1000 - 1e-3);
     }
 
--- a/src/main/java/io/kitepath/core/duty/Intents.java
+++ b/src/main/java/io/kitepath/core/duty/Intents.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.duty;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.MachineKind;
@@ -44,7 +44,7 @@
 
     private static final int MOST_RETURNED = 100;
 
-    private final Block block;
+    private final ShardState block;
     private final ClusterSettings facts;
     private final Timers timers;
     private final Consumer<Keeper.Rider> ride;
@@ -62,7 +62,7 @@
     private long takenOver;
 
     /** {@code ride} has something written along with what the holder writes. */
-    public Intents(Block block, Timers timers, Consumer<Keeper.Rider> ride) {
+    public Intents(ShardState block, Timers timers, Consumer<Keeper.Rider> ride) {
         this.block = block;
         this.facts = block.facts();
         this.timers = timers;
--- a/src/main/java/io/kitepath/core/fleet/Fleet.java
+++ b/src/main/java/io/kitepath/core/fleet/Fleet.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.fleet;
 
 import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
@@ -29,7 +29,7 @@
     public record Plan(Map<MachineKind, Integer> rent, List<String> release) {}
 
     private final ClusterSettings facts;
-    private final Block block;
+    private final ShardState block;
     private final Placer placer;
     private final Market market;
     private final Presence presence;
@@ -41,7 +41,7 @@
     /** CPU seconds of waiting work that may use spot machines. */
     private double spotBacklog;
 
-    public Fleet(Block block, Placer placer) {
+    public Fleet(ShardState block, Placer placer) {
         this.facts = block.facts();
         this.block = block;
         this.placer = placer;
--- a/src/main/java/io/kitepath/core/fleet/Market.java
+++ b/src/main/java/io/kitepath/core/fleet/Market.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.fleet;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
@@ -17,7 +17,7 @@
  */
 final class Market {
     private final ClusterSettings facts;
-    private final Block block;
+    private final ShardState block;
 
     /**
      * Kinds that were refused for want of capacity, until when not to ask, and how often in a row.
@@ -27,7 +27,7 @@
     /** Machines by kind, worked out once a plan. */
     private final Map<MachineKind, Integer> counts = new HashMap<>();
 
-    Market(Block block) {
+    Market(ShardState block) {
         this.facts = block.facts();
         this.block = block;
     }
--- a/src/main/java/io/kitepath/core/fleet/Presence.java
+++ b/src/main/java/io/kitepath/core/fleet/Presence.java
@@ -1,18 +1,18 @@
 package io.kitepath.core.fleet;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 
 /** Which machines are there, or on their way in good time, as far as the holder can tell by now. */
 final class Presence {
     private final ClusterSettings facts;
-    private final Block block;
+    private final ShardState block;
 
     /** Silence is counted from then at the earliest. */
     private double since;
 
-    Presence(Block block) {
+    Presence(ShardState block) {
         this.facts = block.facts();
         this.block = block;
     }
--- a/src/main/java/io/kitepath/core/fleet/Rentals.java
+++ b/src/main/java/io/kitepath/core/fleet/Rentals.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.fleet;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.duty.Intents;
 import io.kitepath.core.duty.Rental;
 import io.kitepath.core.model.TokenBucket;
@@ -35,7 +35,7 @@
     private static final int AT_ONCE = 3;
 
     private final ClusterSettings facts;
-    private final Block block;
+    private final ShardState block;
     private final Fleet fleet;
     private final Store store;
     private final Cloud cloud;
@@ -61,7 +61,7 @@
      * @param changed runs when a machine is gone, so that its work may be placed
      */
     public Rentals(
-            Block block,
+            ShardState block,
             Fleet fleet,
             Intents intents,
             Store store,
--- a/src/main/java/io/kitepath/core/fleet/Returns.java
+++ b/src/main/java/io/kitepath/core/fleet/Returns.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.fleet;
 
 import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
@@ -21,11 +21,11 @@
     private static final double DEAF_LEASES = 3;
 
     private final ClusterSettings facts;
-    private final Block block;
+    private final ShardState block;
     private final Market market;
     private final Presence presence;
 
-    Returns(Block block, Market market, Presence presence) {
+    Returns(ShardState block, Market market, Presence presence) {
         this.facts = block.facts();
         this.block = block;
         this.market = market;
--- a/src/main/java/io/kitepath/core/place/Placer.java
+++ b/src/main/java/io/kitepath/core/place/Placer.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.place;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
@@ -29,7 +29,7 @@
     /** Of that, the part after which it is helped. */
     private static final double PATIENT = 0.5;
 
-    private final Block block;
+    private final ShardState block;
     private final Placement placement;
     private final Preemption preemption;
     private final LoopTimeAccounting spent;
@@ -50,7 +50,7 @@
     private double queuedAt;
 
     /** {@code random} chooses the machines that are probed. */
-    public Placer(Block block, Random random, LoopTimeAccounting spent) {
+    public Placer(ShardState block, Random random, LoopTimeAccounting spent) {
         this.block = block;
         this.spent = spent;
         this.placement = new Placement(random, block.types());
--- a/src/main/java/io/kitepath/core/place/Preemption.java
+++ b/src/main/java/io/kitepath/core/place/Preemption.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.place;
 
 import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
@@ -29,7 +29,7 @@
      */
     private static final double PATIENCE = 2;
 
-    private final Block block;
+    private final ShardState block;
     private final Placement placement;
     private long evictions;
     private long forGuarantees;
@@ -50,7 +50,7 @@
      */
     private boolean searchedForSmall;
 
-    Preemption(Block block, Placement placement) {
+    Preemption(ShardState block, Placement placement) {
         this.block = block;
         this.placement = placement;
     }
--- a/src/main/java/io/kitepath/core/place/Standby.java
+++ b/src/main/java/io/kitepath/core/place/Standby.java
@@ -1,8 +1,8 @@
 package io.kitepath.core.place;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.block.Lately;
+import io.kitepath.core.block.RecentArrivals;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.JobSpec;
 import java.util.ArrayList;
@@ -18,13 +18,13 @@
  * one start in six was lost that way, and with it the end of the array that it belonged to.
  */
 final class Standby {
-    private final Block block;
+    private final ShardState block;
     private final Placement placement;
 
     /** The priority of the gangs that a machine waits for. */
     private final Map<Machine, JobSpec.Priority> kept = new HashMap<>();
 
-    Standby(Block block, Placement placement) {
+    Standby(ShardState block, Placement placement) {
         this.block = block;
         this.placement = placement;
     }
@@ -44,7 +44,7 @@
         idle.sort(
                 Comparator.comparingInt((Machine m) -> -m.images().size())
                         .thenComparing(m -> m.id));
-        for (Lately.Pace pace : block.lately().gangs(wallMs)) {
+        for (RecentArrivals.ArrivalRate pace : block.lately().gangs(wallMs)) {
             // Room is made within about one report: what is stopped has to be reported as ended.
             double tasks = pace.tasksPerS() * block.facts().workers().reportS();
             for (Machine m : idle) {
--- a/src/main/java/io/kitepath/core/serve/Entitlement.java
+++ b/src/main/java/io/kitepath/core/serve/Entitlement.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.serve;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.lead.KnownCancellations;
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.model.ClusterSettings;
@@ -20,12 +20,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(Entitlement.class);
 
     private final ClusterSettings facts;
-    private final Block block;
+    private final ShardState block;
     private final Leadership leadership;
     private final KnownCancellations known;
     private boolean refusing;
 
-    Entitlement(Block block, Leadership leadership, KnownCancellations known) {
+    Entitlement(ShardState block, Leadership leadership, KnownCancellations known) {
         this.facts = block.facts();
         this.block = block;
         this.leadership = leadership;
--- a/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
+++ b/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.serve;
 
-import io.kitepath.core.block.Block;
-import io.kitepath.core.block.Heartbeats;
+import io.kitepath.core.block.ShardState;
+import io.kitepath.core.block.HeartbeatProcessor;
 import io.kitepath.core.lead.KnownCancellations;
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.lead.Views;
@@ -31,8 +31,8 @@
     private static final int SENT_AWAY = 2000;
 
     private final ClusterSettings facts;
-    private final Block block;
-    private final Heartbeats heartbeats;
+    private final ShardState block;
+    private final HeartbeatProcessor heartbeats;
     private final Leadership leadership;
     private final Keeper keeper;
     private final Views views;
@@ -68,8 +68,8 @@
 
     /** {@code changed} runs when a report may let work be placed. */
     public HeartbeatDesk(
-            Block block,
-            Heartbeats heartbeats,
+            ShardState block,
+            HeartbeatProcessor heartbeats,
             Leadership leadership,
             Keeper keeper,
             Views views,
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Store;
@@ -41,7 +41,7 @@
     private final Store store;
     private final Timers timers;
     private final Random random;
-    private final Block block;
+    private final ShardState block;
 
     /** Whether the jobs are known and this node holds them. */
     private final BooleanSupplier holding;
@@ -57,7 +57,7 @@
             Store store,
             Timers timers,
             Random random,
-            Block block,
+            ShardState block,
             BooleanSupplier holding,
             Listener listener) {
         this.facts = block.facts();
--- a/src/main/java/io/kitepath/core/state/Ends.java
+++ b/src/main/java/io/kitepath/core/state/Ends.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.Pipelines;
+import io.kitepath.core.block.JobDependencies;
 import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.InvalidInputException;
@@ -31,14 +31,14 @@
 
     private final Store store;
     private final Timers timers;
-    private final Pipelines pipelines;
+    private final JobDependencies pipelines;
     private final TokenBucket requests;
     private final Set<String> asked = new HashSet<>();
     private Runnable ready = () -> {};
     private long epoch;
     private boolean waits;
 
-    Ends(ClusterSettings facts, Store store, Timers timers, Pipelines pipelines) {
+    Ends(ClusterSettings facts, Store store, Timers timers, JobDependencies pipelines) {
         this.store = store;
         this.timers = timers;
         this.pipelines = pipelines;
--- a/src/main/java/io/kitepath/core/state/Keeper.java
+++ b/src/main/java/io/kitepath/core/state/Keeper.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
@@ -34,7 +34,7 @@
     private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
-    private final Block block;
+    private final ShardState block;
     private final ImageRecords images;
     private final Listener listener;
     private final Rounds writes;
@@ -115,7 +115,7 @@
     public Keeper(
             Store store,
             Timers timers,
-            Block block,
+            ShardState block,
             ImageRecords images,
             Listener listener,
             Reading.Elsewhere elsewhere) {
--- a/src/main/java/io/kitepath/core/state/Relayout.java
+++ b/src/main/java/io/kitepath/core/state/Relayout.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.port.Store.Transaction;
@@ -56,7 +56,7 @@
     }
 
     /** The store has it at that revision. */
-    void written(Block block, long revision) {
+    void written(ShardState block, long revision) {
         boolean same = job.version() == version;
         block.relaid(job, record, revision, version, parts.keySet());
         if (!same) {
--- a/src/main/java/io/kitepath/core/state/Rounds.java
+++ b/src/main/java/io/kitepath/core/state/Rounds.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.state;
 
 import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.ClusterSettings;
@@ -40,7 +40,7 @@
     private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
-    private final Block block;
+    private final ShardState block;
     private final ImageRecords images;
     private final Keeper.Listener listener;
     private final TokenBucket writes;
@@ -70,7 +70,7 @@
     private long invalid;
     private long oversize;
 
-    Rounds(Store store, Timers timers, Block block, ImageRecords images, Keeper.Listener listener) {
+    Rounds(Store store, Timers timers, ShardState block, ImageRecords images, Keeper.Listener listener) {
         this.facts = block.facts();
         this.store = store;
         this.timers = timers;
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
@@ -326,7 +326,7 @@
             w.run(0.9);
         }
         w.run(20);
-        Block block = n.controller.block;
+        ShardState block = n.controller.block;
         assertEquals(0, block.jobs().size());
         assertEquals(0, block.unwritten().changes().size() + block.unwritten().placings().size());
         assertTrue(block.machines().size() <= 11);
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobRecord;
@@ -281,7 +281,7 @@
     @Test
     void tenThousandThatWaitCostARoundLittle() {
         ClusterSettings facts = w.facts("k0");
-        Block block = new Block(facts, m -> {});
+        ShardState block = new ShardState(facts, m -> {});
         long began = System.nanoTime();
         for (int i = 0; i < 10_000; i++) {
             JobSpec s =
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.HeartbeatResponse;
@@ -161,7 +161,7 @@
         w.workers.get("i-000000").cut = true;
         first.crash();
         w.run(5);
-        Block s = w.leader().controller.block;
+        ShardState s = w.leader().controller.block;
         assertFalse(s.machines().get("i-000000").open());
         assertEquals(1, s.jobs().get("j-1").live().size());
     }
@@ -641,7 +641,7 @@
         }
         w.run(6);
         assertEquals(tasks, w.workers.values().stream().mapToInt(x -> x.started).sum());
-        Block s = n.controller.block;
+        ShardState s = n.controller.block;
         // A look at every machine for every task would be 400 a task, a record for every task 1.
         long looks = n.controller.placer.placement().looks();
         assertTrue(looks < 15L * tasks, "machines looked at: " + looks);
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
@@ -258,7 +258,7 @@
             if (h == null || !calm(w.clock.now, w.clock.now)) {
                 return;
             }
-            Block b = h.controller.block;
+            ShardState b = h.controller.block;
             mostJobs = Math.max(mostJobs, b.jobs().size());
             mostUnwritten =
                     Math.max(
--- a/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
@@ -15,8 +15,8 @@
 /** What a report proves. */
 class HeartbeatsTest {
     private final ClusterSettings facts = new World().facts("k1");
-    private final Block block = new Block(facts, m -> {});
-    private final Heartbeats heartbeats = new Heartbeats(block);
+    private final ShardState block = new ShardState(facts, m -> {});
+    private final HeartbeatProcessor heartbeats = new HeartbeatProcessor(block);
     private final Job job =
             new Job(
                     World.job("j-1", Shape.ARRAY, 1, 1),
--- a/src/test/java/io/kitepath/core/block/ServedTest.java
+++ b/src/test/java/io/kitepath/core/block/ServedTest.java
@@ -25,7 +25,7 @@
                     new ClusterSettings.CloudLimits(10, 2),
                     new ClusterSettings.Limits(1, 200, 1000),
                     5);
-    private final Served served = new Served(facts);
+    private final ServiceLevels served = new ServiceLevels(facts);
     private int named;
 
     private Job job(String of, String team, Double deadlineS) {
@@ -135,7 +135,7 @@
         assertEquals(1, served.standing(s[1]));
         assertEquals(0, served.standing(s[0]), 0.01);
         assertEquals(0, served.largest().get("tiles").share(), 0.01);
-        Served next = new Served(facts);
+        ServiceLevels next = new ServiceLevels(facts);
         next.restore(served.record(103_000));
         assertEquals(10, next.largest().get("tiles").missed());
     }
@@ -147,11 +147,11 @@
         }
         Job late = job("tiles", "red", null);
         look(101, late);
-        Served next = new Served(facts);
+        ServiceLevels next = new ServiceLevels(facts);
         next.restore(served.record(102_000));
         Job same = job("tiles", "red", null);
         next.look(List.of(same), x -> 10, 103_000);
-        Served.Group g = next.classes().get("tiles");
+        ServiceLevels.ServiceGroup g = next.classes().get("tiles");
         assertEquals(
                 List.of(4L, 1L),
                 List.of(g.inTime(), g.missed()),
@@ -169,7 +169,7 @@
         look(101, late);
         look(102, late);
         served.done(late, 150_000);
-        Served.Group g = served.classes().get("tiles");
+        ServiceLevels.ServiceGroup g = served.classes().get("tiles");
         assertEquals(
                 List.of(1L, 1L, 0L, 1L), List.of(g.submitted(), g.missed(), g.inTime(), g.done()));
     }
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.QuotaGrant;
@@ -46,7 +46,7 @@
         int named;
         long revision;
         long token;
-        Block block;
+        ShardState block;
         Shares shares;
         ArrayDeque<Keeper.Rider> riders;
 
@@ -76,7 +76,7 @@
                             new ClusterSettings.CloudLimits(10, 2),
                             new ClusterSettings.Limits(1, 200, 1000),
                             5);
-            block = new Block(facts, m -> {});
+            block = new ShardState(facts, m -> {});
             block.hold(token);
             riders = new ArrayDeque<>();
             int mine = incarnation;
--- a/src/test/java/io/kitepath/core/place/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/place/GuaranteeTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
@@ -30,7 +30,7 @@
                     new ClusterSettings.CloudLimits(10, 2),
                     new ClusterSettings.Limits(1, 200, 1000),
                     5);
-    private final Block block = new Block(facts, m -> {});
+    private final ShardState block = new ShardState(facts, m -> {});
     private final Placer placer = new Placer(block, new Random(1), new LoopTimeAccounting(() -> 0));
 
     private Job job(String id, String of, int tasks, double submittedS) {
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.Block;
+import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
@@ -27,7 +27,7 @@
 class CancellationProofTest {
     private final World w = new World();
     private final Timers timers = Worlds.timers(w);
-    private final Block block = new Block(w.facts("k0"), m -> {});
+    private final ShardState block = new ShardState(w.facts("k0"), m -> {});
 
     /** What it sent, and when. */
     private final List<Store.Transaction> sent = new ArrayList<>();
