--- a/src/main/java/io/kitepath/cli/Local.java
+++ b/src/main/java/io/kitepath/cli/Local.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.settings.Settings;
 import io.kitepath.standin.Loopback;
 import io.kitepath.standin.World;
@@ -262,7 +262,7 @@
                                                                     .noneMatch(
                                                                             k ->
                                                                                     k.startsWith(
-                                                                                            Keys
+                                                                                            StoreKeys
                                                                                                     .ACT)));
                             return none[0];
                         });
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -40,8 +40,8 @@
 import io.kitepath.core.serve.RetryPace;
 import io.kitepath.core.state.CancellationProof;
 import io.kitepath.core.state.ImageRecords;
-import io.kitepath.core.state.Keeper;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StateWriter;
+import io.kitepath.core.state.StoreKeys;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -69,7 +69,7 @@
     final HeartbeatProcessor heartbeats;
     final Placer placer;
     final Leadership leadership;
-    final Keeper keeper;
+    final StateWriter keeper;
     private final Views views;
     private final Gossip gossip;
     final KnownCancellations known;
@@ -154,7 +154,7 @@
                 new Registry(
                         facts, store, timers, this.gossip::served, this.gossip, directory != null);
         this.cells = directory == null ? null : new InCells().desk(store, others, random);
-        this.keeper = new Keeper(store, timers, block, images, new Keeping(), cells);
+        this.keeper = new StateWriter(store, timers, block, images, new Keeping(), cells);
         this.intents = new Intents(block, timers, this::ride);
         this.rentals =
                 new Rentals(
@@ -346,7 +346,7 @@
             gossip.tell();
             takeover.begins(timers.now());
             launchesBefore = heartbeats.launches();
-            keeper.start(Keys.BLOCKS + "all", blockRevision, Controller.this::soon);
+            keeper.start(StoreKeys.BLOCKS + "all", blockRevision, Controller.this::soon);
             proof.start();
             if (!ticking) {
                 ticking = true;
@@ -372,7 +372,7 @@
         }
     }
 
-    private final class Keeping implements Keeper.Listener {
+    private final class Keeping implements StateWriter.Listener {
         @Override
         public void over(JobStatus job) {
             if (cells != null) {
@@ -413,7 +413,7 @@
         public void outOfStep(String why) {
             LOG.warn("reloading: {}", why);
             if (leadership.leading()) {
-                keeper.start(Keys.BLOCKS + "all", keeper.blockRevision(), Controller.this::soon);
+                keeper.start(StoreKeys.BLOCKS + "all", keeper.blockRevision(), Controller.this::soon);
             }
         }
     }
@@ -487,7 +487,7 @@
         }
     }
 
-    private void ride(Keeper.Rider rider) {
+    private void ride(StateWriter.BatchContributor rider) {
         keeper.ride(rider);
         soon();
     }
--- a/src/main/java/io/kitepath/core/Figures.java
+++ b/src/main/java/io/kitepath/core/Figures.java
@@ -12,7 +12,7 @@
 import io.kitepath.core.place.Placer;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.serve.HeartbeatDesk;
-import io.kitepath.core.state.Keeper;
+import io.kitepath.core.state.StateWriter;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
@@ -26,7 +26,7 @@
     private final HeartbeatProcessor heartbeats;
     private final Placer placer;
     private final Leadership leadership;
-    private final Keeper keeper;
+    private final StateWriter keeper;
     private final Views views;
     private final KnownCancellations known;
     private final HeartbeatDesk desk;
@@ -37,7 +37,7 @@
             HeartbeatProcessor heartbeats,
             Placer placer,
             Leadership leadership,
-            Keeper keeper,
+            StateWriter keeper,
             Views views,
             KnownCancellations known,
             HeartbeatDesk desk) {
--- a/src/main/java/io/kitepath/core/cell/CellDesk.java
+++ b/src/main/java/io/kitepath/core/cell/CellDesk.java
@@ -26,8 +26,8 @@
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.serve.Jobs;
 import io.kitepath.core.serve.Registry;
-import io.kitepath.core.state.Keeper;
-import io.kitepath.core.state.Reading;
+import io.kitepath.core.state.StateWriter;
+import io.kitepath.core.state.StateLoader;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -40,7 +40,7 @@
  * hand-overs, what was taken) go out from here. Every node has one; only the holder's lends and
  * takes.
  */
-public final class CellDesk implements Reading.Elsewhere {
+public final class CellDesk implements StateLoader.LoanRecords {
     private static final double EVERY_S = 1;
 
     /**
@@ -84,7 +84,7 @@
     public CellDesk(
             CellDirectory directory,
             ShardState block,
-            Consumer<Keeper.Rider> riding,
+            Consumer<StateWriter.BatchContributor> riding,
             Store store,
             Timers timers,
             Registry registry,
@@ -310,7 +310,7 @@
     // ---- what a new holder reads ----------------------------------------------------------------
 
     @Override
-    public void adopt(Reading.Found found) {
+    public void adopt(StateLoader.LoadedState found) {
         lending.adopt(found, timers.now());
         guests.adopt(found, timers.now());
         shares.adopt(found);
--- a/src/main/java/io/kitepath/core/cell/Guests.java
+++ b/src/main/java/io/kitepath/core/cell/Guests.java
@@ -14,9 +14,9 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keeper;
-import io.kitepath.core.state.Keys;
-import io.kitepath.core.state.Reading;
+import io.kitepath.core.state.StateWriter;
+import io.kitepath.core.state.StoreKeys;
+import io.kitepath.core.state.StateLoader;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.BitSet;
@@ -82,7 +82,7 @@
         }
 
         String key() {
-            return Keys.guest(home, number);
+            return StoreKeys.guest(home, number);
         }
 
         Map<String, Object> record() {
@@ -103,7 +103,7 @@
 
     private final String own;
     private final ShardState block;
-    private final Consumer<Keeper.Rider> riding;
+    private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
     private final Asking asking;
     private final Random random;
@@ -123,7 +123,7 @@
     Guests(
             String own,
             ShardState block,
-            Consumer<Keeper.Rider> riding,
+            Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
             Asking asking,
             Random random) {
@@ -162,13 +162,13 @@
 
     // ---- what a new holder reads ----------------------------------------------------------------
 
-    void adopt(Reading.Found found, double now) {
+    void adopt(StateLoader.LoadedState found, double now) {
         guests.clear();
         numbers.clear();
         answering.clear();
         for (Entry x : found.voids()) {
             numbers.put(
-                    x.key().substring(Keys.VOID.length()), Numbers.read(x.value(), x.revision()));
+                    x.key().substring(StoreKeys.VOID.length()), Numbers.read(x.value(), x.revision()));
         }
         for (Entry x : found.guests()) {
             try {
@@ -238,7 +238,7 @@
 
     /** {@code roomFor}: whether such work is welcome. */
     void offered(LoanOffer o, boolean roomFor, Consumer<CellMessage> answer) {
-        String key = Keys.guest(o.home(), o.number());
+        String key = StoreKeys.guest(o.home(), o.number());
         Guest known = guests.get(key);
         Numbers n = numbers(o.home(), o.floor());
         if (known != null) {
@@ -272,7 +272,7 @@
                         timers.now());
         answering.put(key, new ArrayList<>(List.of(answer)));
         riding.accept(
-                new Keeper.Rider() {
+                new StateWriter.BatchContributor() {
                     @Override
                     public boolean wanted() {
                         return true;
@@ -281,7 +281,7 @@
                     @Override
                     public void board(Store.Transaction t) {
                         t.when(key, 0)
-                                .when(Keys.VOID + g.home, numbers(g.home, 0).revision())
+                                .when(StoreKeys.VOID + g.home, numbers(g.home, 0).revision())
                                 .put(key, g.record());
                     }
 
@@ -316,13 +316,13 @@
      * told so.
      */
     private void makeVoid(String home, long number, Consumer<CellMessage> answer) {
-        String key = Keys.guest(home, number);
+        String key = StoreKeys.guest(home, number);
         answering.put(key, new ArrayList<>(List.of(answer)));
         riding.accept(new VoidNumber(home, number, null, () -> answer(key, nothing(number))));
     }
 
     /** Writes that a number is void, and forgets the loan that was taken under it, if one was. */
-    private final class VoidNumber implements Keeper.Rider {
+    private final class VoidNumber implements StateWriter.BatchContributor {
         private final String home;
         private final long number;
         private final Guest of;
@@ -345,9 +345,9 @@
             Numbers n = numbers(home, 0);
             n.add(number);
             // Two of these in one transaction write the same record: the last one has it all.
-            t.when(Keys.VOID + home, n.revision());
-            t.writes().removeIf(w -> w.key().equals(Keys.VOID + home));
-            t.put(Keys.VOID + home, n.record());
+            t.when(StoreKeys.VOID + home, n.revision());
+            t.writes().removeIf(w -> w.key().equals(StoreKeys.VOID + home));
+            t.put(StoreKeys.VOID + home, n.record());
             if (of != null) {
                 t.when(of.key(), of.revision).remove(of.key());
             }
@@ -364,7 +364,7 @@
     }
 
     void recalled(LoanRecall r, Consumer<CellMessage> answer) {
-        String key = Keys.guest(r.home(), r.number());
+        String key = StoreKeys.guest(r.home(), r.number());
         Guest g = guests.get(key);
         Numbers n = numbers(r.home(), r.floor());
         if (g != null && g.ending) {
@@ -405,7 +405,7 @@
             new ArrayList<>(g.job.live().values()).forEach(a -> block.stop(a, 0));
         }
         riding.accept(
-                new Keeper.Rider() {
+                new StateWriter.BatchContributor() {
                     @Override
                     public boolean wanted() {
                         return guests.get(g.key()) == g;
--- a/src/main/java/io/kitepath/core/cell/Homes.java
+++ b/src/main/java/io/kitepath/core/cell/Homes.java
@@ -6,7 +6,7 @@
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -38,7 +38,7 @@
 
     void look() {
         store.get(
-                Keys.CELLS,
+                StoreKeys.CELLS,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         DocumentReader t = DocumentReader.of(entry.value());
@@ -70,9 +70,9 @@
     private void write(long revision) {
         store.commit(
                 new Transaction()
-                        .when(Keys.CELLS, revision)
+                        .when(StoreKeys.CELLS, revision)
                         .put(
-                                Keys.CELLS,
+                                StoreKeys.CELLS,
                                 Map.of("version", directory.version(), "homes", directory.homes())),
                 c -> {
                     if (!agreed) {
--- a/src/main/java/io/kitepath/core/cell/Lending.java
+++ b/src/main/java/io/kitepath/core/cell/Lending.java
@@ -15,9 +15,9 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keeper;
-import io.kitepath.core.state.Keys;
-import io.kitepath.core.state.Reading;
+import io.kitepath.core.state.StateWriter;
+import io.kitepath.core.state.StoreKeys;
+import io.kitepath.core.state.StateLoader;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -48,7 +48,7 @@
 
     private final String own;
     private final ShardState block;
-    private final Consumer<Keeper.Rider> riding;
+    private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
     private final Neighbours neighbours;
     private final Spill spill;
@@ -68,7 +68,7 @@
     Lending(
             String own,
             ShardState block,
-            Consumer<Keeper.Rider> riding,
+            Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
             Neighbours neighbours,
             Spill spill,
@@ -106,11 +106,11 @@
 
     // ---- what a new holder reads ----------------------------------------------------------------
 
-    void adopt(Reading.Found found, double now) {
+    void adopt(StateLoader.LoadedState found, double now) {
         waiting.clear();
         leaving.clear();
         for (Entry x : found.lent()) {
-            Job job = block.jobs().get(x.key().substring(Keys.LENT.length()));
+            Job job = block.jobs().get(x.key().substring(StoreKeys.LENT.length()));
             if (job == null) {
                 continue; // Came after the list of open jobs was read; everything is read once
                 // more.
@@ -127,9 +127,9 @@
         found.leaving().forEach(this::leaving);
     }
 
-    /** A record of {@link Keys#LEAVE} came or went. */
+    /** A record of {@link StoreKeys#LEAVE} came or went. */
     void leaving(Entry x) {
-        String id = x.key().substring(Keys.LEAVE.length());
+        String id = x.key().substring(StoreKeys.LEAVE.length());
         if (x.value() == null) {
             leaving.remove(id);
             return;
@@ -210,7 +210,7 @@
         String id = job.spec.id();
         job.lentBusy(true);
         riding.accept(
-                new Keeper.Rider() {
+                new StateWriter.BatchContributor() {
                     private List<TaskLoan> left;
 
                     @Override
@@ -225,11 +225,11 @@
                     @Override
                     public void board(Store.Transaction t) {
                         left = job.loans().stream().filter(l -> !l.closed).toList();
-                        t.when(job.key, job.revision()).when(Keys.LENT + id, job.lentRevision());
+                        t.when(job.key, job.revision()).when(StoreKeys.LENT + id, job.lentRevision());
                         if (left.isEmpty()) {
-                            t.remove(Keys.LENT + id);
+                            t.remove(StoreKeys.LENT + id);
                         } else {
-                            t.put(Keys.LENT + id, TaskLoan.record(left));
+                            t.put(StoreKeys.LENT + id, TaskLoan.record(left));
                         }
                     }
 
@@ -427,7 +427,7 @@
         job.lentBusy(true);
         long asked = leaving.get(id);
         riding.accept(
-                new Keeper.Rider() {
+                new StateWriter.BatchContributor() {
                     @Override
                     public boolean wanted() {
                         boolean still =
@@ -446,11 +446,11 @@
                                                 Map.of("status", "cancelled", "done", 0L),
                                                 block.facts().store().valueBytes());
                         t.when(job.key, job.revision())
-                                .when(Keys.LENT + id, 0)
-                                .when(Keys.LEAVE + id, asked)
+                                .when(StoreKeys.LENT + id, 0)
+                                .when(StoreKeys.LEAVE + id, asked)
                                 .remove(job.key)
-                                .remove(Keys.LEAVE + id)
-                                .put(Keys.OVER + id, record);
+                                .remove(StoreKeys.LEAVE + id)
+                                .put(StoreKeys.OVER + id, record);
                     }
 
                     @Override
@@ -467,7 +467,7 @@
     private void stale(String id) {
         long asked = leaving.remove(id);
         riding.accept(
-                new Keeper.Rider() {
+                new StateWriter.BatchContributor() {
                     @Override
                     public boolean wanted() {
                         return true;
@@ -475,7 +475,7 @@
 
                     @Override
                     public void board(Store.Transaction t) {
-                        t.when(Keys.LEAVE + id, asked).remove(Keys.LEAVE + id);
+                        t.when(StoreKeys.LEAVE + id, asked).remove(StoreKeys.LEAVE + id);
                     }
 
                     @Override
--- a/src/main/java/io/kitepath/core/cell/Shares.java
+++ b/src/main/java/io/kitepath/core/cell/Shares.java
@@ -17,9 +17,9 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keeper;
-import io.kitepath.core.state.Keys;
-import io.kitepath.core.state.Reading;
+import io.kitepath.core.state.StateWriter;
+import io.kitepath.core.state.StoreKeys;
+import io.kitepath.core.state.StateLoader;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
@@ -114,7 +114,7 @@
 
     private final String own;
     private final ShardState block;
-    private final Consumer<Keeper.Rider> riding;
+    private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
     private final Asking asking;
     private final Random random;
@@ -133,7 +133,7 @@
     Shares(
             String own,
             ShardState block,
-            Consumer<Keeper.Rider> riding,
+            Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
             Asking asking,
             Random random) {
@@ -159,7 +159,7 @@
 
     /** A team's name may be longer than a key. */
     private static String key(String team) {
-        return Keys.SHARE + Long.toHexString(Hashing.xxh3_64().hashCharsToLong(team));
+        return StoreKeys.SHARE + Long.toHexString(Hashing.xxh3_64().hashCharsToLong(team));
     }
 
     private Held of(String team) {
@@ -168,12 +168,12 @@
 
     // ---- what a new holder reads ----------------------------------------------------------------
 
-    void adopt(Reading.Found found) {
+    void adopt(StateLoader.LoadedState found) {
         held.clear();
         numbers.clear();
         taking.clear();
         for (Entry x : found.voids()) {
-            String of = x.key().substring(Keys.VOID.length());
+            String of = x.key().substring(StoreKeys.VOID.length());
             if (of.startsWith("share/")) {
                 numbers.put(of.substring("share/".length()), Numbers.read(x.value(), x.revision()));
             }
@@ -423,7 +423,7 @@
     private void write(Held h, String giver, Runnable then) {
         h.writing = true;
         riding.accept(
-                new Keeper.Rider() {
+                new StateWriter.BatchContributor() {
                     @Override
                     public boolean wanted() {
                         return held.get(h.team) == h;
@@ -434,9 +434,9 @@
                         t.when(key(h.team), h.revision).put(key(h.team), h.record());
                         if (giver != null) {
                             Numbers n = numbers(giver);
-                            t.when(Keys.VOID + "share/" + giver, n.revision());
-                            t.writes().removeIf(w -> w.key().equals(Keys.VOID + "share/" + giver));
-                            t.put(Keys.VOID + "share/" + giver, n.record());
+                            t.when(StoreKeys.VOID + "share/" + giver, n.revision());
+                            t.writes().removeIf(w -> w.key().equals(StoreKeys.VOID + "share/" + giver));
+                            t.put(StoreKeys.VOID + "share/" + giver, n.record());
                         }
                     }
 
--- a/src/main/java/io/kitepath/core/duty/Audit.java
+++ b/src/main/java/io/kitepath/core/duty/Audit.java
@@ -8,7 +8,7 @@
 import io.kitepath.core.port.Store.ListResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -42,7 +42,7 @@
     private final int conditions;
     private final Consumer<Finding> found;
     private final Deque<String> prefixes =
-            new ArrayDeque<>(List.of(Keys.PART, Keys.OPEN, Keys.ACT));
+            new ArrayDeque<>(List.of(StoreKeys.PART, StoreKeys.OPEN, StoreKeys.ACT));
     private String prefix = prefixes.poll();
     private String from = "";
 
@@ -120,8 +120,8 @@
     private void read(ListResult l) {
         seen += l.entries().size();
         switch (prefix) {
-            case Keys.PART -> parts(l.entries());
-            case Keys.OPEN -> open(l.entries());
+            case StoreKeys.PART -> parts(l.entries());
+            case StoreKeys.OPEN -> open(l.entries());
             default -> l.entries().forEach(this::act);
         }
     }
@@ -131,7 +131,7 @@
     private void parts(List<Entry> entries) {
         Map<String, List<Entry>> byJob = new LinkedHashMap<>();
         for (Entry e : entries) {
-            String id = Keys.jobOf(e.key());
+            String id = StoreKeys.jobOf(e.key());
             if (id == null) {
                 found.accept(new Finding(false, e.key(), "is not the key of a part", List.of()));
             } else {
@@ -169,15 +169,15 @@
                                         + ", which is neither open nor over",
                         List.of(
                                 new Condition(e.key(), e.revision()),
-                                new Condition(Keys.OPEN + id, 0),
-                                new Condition(Keys.OVER + id, 0))));
+                                new Condition(StoreKeys.OPEN + id, 0),
+                                new Condition(StoreKeys.OVER + id, 0))));
     }
 
     // ---- jobs in two places ---------------------------------------------------------------------
 
     private void open(List<Entry> entries) {
         Map<String, Long> read = new LinkedHashMap<>();
-        entries.forEach(e -> read.put(e.key().substring(Keys.OPEN.length()), e.revision()));
+        entries.forEach(e -> read.put(e.key().substring(StoreKeys.OPEN.length()), e.revision()));
         // Guards against a job that is called open and over since it ended between two reads.
         compare(
                 read,
@@ -186,7 +186,7 @@
                         found.accept(
                                 new Finding(
                                         false,
-                                        Keys.OPEN + id,
+                                        StoreKeys.OPEN + id,
                                         "the job is open and over",
                                         List.of()));
                     }
@@ -238,7 +238,7 @@
     /** Not told, and the step put back, if it can't be had now. */
     private void compare(Map<String, Long> opens, List<String> ids, Places places, Runnable told) {
         Transaction t = new Transaction();
-        ids.forEach(id -> t.when(Keys.OPEN + id, opens.get(id)).when(Keys.OVER + id, 0));
+        ids.forEach(id -> t.when(StoreKeys.OPEN + id, opens.get(id)).when(StoreKeys.OVER + id, 0));
         store.commit(
                 t,
                 c -> {
@@ -249,8 +249,8 @@
                                 id ->
                                         places.are(
                                                 id,
-                                                other.contains(Keys.OPEN + id),
-                                                other.contains(Keys.OVER + id)));
+                                                other.contains(StoreKeys.OPEN + id),
+                                                other.contains(StoreKeys.OVER + id)));
                         told.run();
                     } else if (c.outcome() == Outcome.INVALID && ids.size() > 1) {
                         // The store takes fewer conditions by now than anybody said.
--- a/src/main/java/io/kitepath/core/duty/Carrier.java
+++ b/src/main/java/io/kitepath/core/duty/Carrier.java
@@ -9,8 +9,8 @@
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keys;
-import io.kitepath.core.state.Pages;
+import io.kitepath.core.state.StoreKeys;
+import io.kitepath.core.state.PagedScan;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -97,10 +97,10 @@
     // ---- what is on record ----------------------------------------------------------------------
 
     private void read(long e) {
-        Pages.read(
+        PagedScan.read(
                 store,
                 timers,
-                Keys.ACT,
+                StoreKeys.ACT,
                 3,
                 l -> {
                     if (e != epoch) {
@@ -121,7 +121,7 @@
             return;
         }
         store.follow(
-                Keys.ACT,
+                StoreKeys.ACT,
                 from,
                 (long) (lifeS * 2000),
                 c -> {
--- a/src/main/java/io/kitepath/core/duty/Duties.java
+++ b/src/main/java/io/kitepath/core/duty/Duties.java
@@ -9,8 +9,8 @@
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keys;
-import io.kitepath.core.state.Pages;
+import io.kitepath.core.state.StoreKeys;
+import io.kitepath.core.state.PagedScan;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -87,7 +87,7 @@
 
         private Seat(Work work) {
             this.work = work;
-            this.key = Keys.DUTY + work.name();
+            this.key = StoreKeys.DUTY + work.name();
         }
 
         public String name() {
@@ -156,7 +156,7 @@
         this.random = random;
         this.incarnation = incarnation;
         this.lifeS = lifeS;
-        works.forEach(w -> seats.put(Keys.DUTY + w.name(), new Seat(w)));
+        works.forEach(w -> seats.put(StoreKeys.DUTY + w.name(), new Seat(w)));
         nodes.add(facts.node());
         facts.siblings().stream().filter(s -> !s.equals(facts.node())).forEach(nodes::add);
         nodes.sort(null);
@@ -188,7 +188,7 @@
 
     /** Whether the duty of that name is held here for certain. */
     public boolean holds(String name) {
-        Seat s = seats.get(Keys.DUTY + name);
+        Seat s = seats.get(StoreKeys.DUTY + name);
         boolean certain = s.mine && timers.now() - renewedAt < lifeS * (1 - DRIFT);
         fenced += s.mine && !certain ? 1 : 0;
         return certain;
@@ -206,10 +206,10 @@
         if (retired) {
             return;
         }
-        Pages.read(
+        PagedScan.read(
                 store,
                 timers,
-                Keys.DUTY,
+                StoreKeys.DUTY,
                 3,
                 l -> {
                     if (mine != looks) {
@@ -241,7 +241,7 @@
 
     private void follow(long mine, long from) {
         store.follow(
-                Keys.DUTY,
+                StoreKeys.DUTY,
                 from,
                 (long) (lifeS * 2000),
                 c -> {
@@ -377,7 +377,7 @@
     }
 
     private void claim(Seat s) {
-        String tokenKey = Keys.DUTY_TOKEN + s.name();
+        String tokenKey = StoreKeys.DUTY_TOKEN + s.name();
         store.get(
                 tokenKey,
                 (got, entry) -> {
--- a/src/main/java/io/kitepath/core/duty/Going.java
+++ b/src/main/java/io/kitepath/core/duty/Going.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,7 @@
     private boolean gone;
 
     Going(String name, List<String> machines, long token) {
-        super(Keys.GOING + name);
+        super(StoreKeys.GOING + name);
         this.machines = List.copyOf(machines);
         this.token = token;
     }
@@ -35,7 +35,7 @@
         }
         Going g =
                 new Going(
-                        e.key().substring(Keys.GOING.length()),
+                        e.key().substring(StoreKeys.GOING.length()),
                         l.stream().map(String.class::cast).toList(),
                         t.count("token"));
         g.gone = t.has("gone");
--- a/src/main/java/io/kitepath/core/duty/Intent.java
+++ b/src/main/java/io/kitepath/core/duty/Intent.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.Map;
 
 /**
@@ -21,10 +21,10 @@
 
     /** Reads a record; throws {@link InvalidInputException} if it is none. */
     static Intent read(Entry e) {
-        if (e.key().startsWith(Keys.RENT)) {
+        if (e.key().startsWith(StoreKeys.RENT)) {
             return Rental.read(e);
         }
-        if (e.key().startsWith(Keys.GOING)) {
+        if (e.key().startsWith(StoreKeys.GOING)) {
             return Going.read(e);
         }
         throw new InvalidInputException("is not an act that this version knows");
--- a/src/main/java/io/kitepath/core/duty/Intents.java
+++ b/src/main/java/io/kitepath/core/duty/Intents.java
@@ -8,7 +8,7 @@
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keeper;
+import io.kitepath.core.state.StateWriter;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -47,7 +47,7 @@
     private final ShardState block;
     private final ClusterSettings facts;
     private final Timers timers;
-    private final Consumer<Keeper.Rider> ride;
+    private final Consumer<StateWriter.BatchContributor> ride;
     private Consumer<Rental> rented = r -> {};
     private Consumer<List<String>> gone = m -> {};
     private final Map<String, Rental> rentals = new LinkedHashMap<>();
@@ -62,7 +62,7 @@
     private long takenOver;
 
     /** {@code ride} has something written along with what the holder writes. */
-    public Intents(ShardState block, Timers timers, Consumer<Keeper.Rider> ride) {
+    public Intents(ShardState block, Timers timers, Consumer<StateWriter.BatchContributor> ride) {
         this.block = block;
         this.facts = block.facts();
         this.timers = timers;
@@ -257,7 +257,7 @@
 
     private <T extends Intent> void write(T intent, Map<String, T> books) {
         ride.accept(
-                new Keeper.Rider() {
+                new StateWriter.BatchContributor() {
                     @Override
                     public boolean wanted() {
                         return books.get(intent.key) == intent;
@@ -279,7 +279,7 @@
     private <T extends Intent> void drop(T intent, Map<String, T> books) {
         books.remove(intent.key, intent);
         ride.accept(
-                new Keeper.Rider() {
+                new StateWriter.BatchContributor() {
                     @Override
                     public boolean urgent() {
                         return false;
--- a/src/main/java/io/kitepath/core/duty/Rental.java
+++ b/src/main/java/io/kitepath/core/duty/Rental.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -23,7 +23,7 @@
     private List<String> machines;
 
     Rental(String name, MachineKind kind, int count, long token, double askedMs) {
-        super(Keys.RENT + name);
+        super(StoreKeys.RENT + name);
         this.name = name;
         this.kind = kind;
         this.count = count;
@@ -36,7 +36,7 @@
         DocumentReader t = DocumentReader.of(e.value());
         Rental r =
                 new Rental(
-                        e.key().substring(Keys.RENT.length()),
+                        e.key().substring(StoreKeys.RENT.length()),
                         new MachineKind(t.text("type"), t.text("zone"), t.flag("spot")),
                         (int) t.integer("count", 1, 1000),
                         t.count("token"),
--- a/src/main/java/io/kitepath/core/fleet/Rentals.java
+++ b/src/main/java/io/kitepath/core/fleet/Rentals.java
@@ -11,7 +11,7 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -100,7 +100,7 @@
             return;
         }
         store.get(
-                Keys.TYPES,
+                StoreKeys.TYPES,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         List<MachineType> known = new ArrayList<>();
@@ -140,7 +140,7 @@
         store.commit(
                 new Store.Transaction()
                         .put(
-                                Keys.TYPES,
+                                StoreKeys.TYPES,
                                 Map.of("types", list.stream().map(MachineType::toRecord).toList())),
                 c -> {
                     if (c.outcome() != Outcome.OK) {
--- a/src/main/java/io/kitepath/core/lead/Leadership.java
+++ b/src/main/java/io/kitepath/core/lead/Leadership.java
@@ -6,7 +6,7 @@
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
@@ -170,7 +170,7 @@
 
     private void look() {
         store.get(
-                Keys.LEADER,
+                StoreKeys.LEADER,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         served();
@@ -188,7 +188,7 @@
     private void follow(long from) {
         long holdMs = (long) (lifeS * 500);
         store.follow(
-                Keys.LEADER,
+                StoreKeys.LEADER,
                 from,
                 holdMs,
                 c -> {
@@ -295,7 +295,7 @@
                         return;
                     }
                     store.get(
-                            Keys.TOKEN,
+                            StoreKeys.TOKEN,
                             (got, entry) -> {
                                 if (got != Outcome.OK && got != Outcome.NO) {
                                     campaigning = false;
@@ -328,11 +328,11 @@
         block.put("token", next);
         store.commit(
                 new Transaction()
-                        .when(Keys.LEADER, 0)
-                        .when(Keys.TOKEN, tokenRevision)
-                        .put(Keys.LEADER, key, id)
-                        .put(Keys.BLOCKS + "all", block, id)
-                        .put(Keys.TOKEN, Map.of("token", next)),
+                        .when(StoreKeys.LEADER, 0)
+                        .when(StoreKeys.TOKEN, tokenRevision)
+                        .put(StoreKeys.LEADER, key, id)
+                        .put(StoreKeys.BLOCKS + "all", block, id)
+                        .put(StoreKeys.TOKEN, Map.of("token", next)),
                 c -> {
                     campaigning = false;
                     if (c.outcome() == Outcome.OK && retired) {
--- a/src/main/java/io/kitepath/core/serve/Dependencies.java
+++ b/src/main/java/io/kitepath/core/serve/Dependencies.java
@@ -10,7 +10,7 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -100,12 +100,12 @@
                 id ->
                         read(
                                 id,
-                                Keys.OPEN,
+                                StoreKeys.OPEN,
                                 x -> {
                                     if (x == null) {
                                         read(
                                                 id,
-                                                Keys.OVER,
+                                                StoreKeys.OVER,
                                                 y ->
                                                         once.is(
                                                                 true,
@@ -153,7 +153,7 @@
     private void compare(List<String> ids, Found answer) {
         List<String> some = ids.subList(0, Math.min(most, ids.size()));
         Transaction t = new Transaction();
-        some.forEach(id -> t.when(Keys.OPEN + id, 0).when(Keys.OVER + id, 0));
+        some.forEach(id -> t.when(StoreKeys.OPEN + id, 0).when(StoreKeys.OVER + id, 0));
         store.commit(
                 t,
                 c -> {
@@ -172,7 +172,7 @@
                     Set<String> there = new HashSet<>(c.failed());
                     List<String> missing = new ArrayList<>(some);
                     missing.removeIf(
-                            id -> there.contains(Keys.OPEN + id) || there.contains(Keys.OVER + id));
+                            id -> there.contains(StoreKeys.OPEN + id) || there.contains(StoreKeys.OVER + id));
                     Runnable rest =
                             () -> {
                                 if (some.size() == ids.size()) {
--- a/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
+++ b/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
@@ -13,7 +13,7 @@
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
 import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keeper;
+import io.kitepath.core.state.StateWriter;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -34,7 +34,7 @@
     private final ShardState block;
     private final HeartbeatProcessor heartbeats;
     private final Leadership leadership;
-    private final Keeper keeper;
+    private final StateWriter keeper;
     private final Views views;
     private final Entitlement entitlement;
     private final PeerNodes siblings;
@@ -71,7 +71,7 @@
             ShardState block,
             HeartbeatProcessor heartbeats,
             Leadership leadership,
-            Keeper keeper,
+            StateWriter keeper,
             Views views,
             KnownCancellations known,
             PeerNodes siblings,
--- a/src/main/java/io/kitepath/core/serve/Questions.java
+++ b/src/main/java/io/kitepath/core/serve/Questions.java
@@ -16,8 +16,8 @@
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.serve.Registry.Answer;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
-import io.kitepath.core.state.Pages;
+import io.kitepath.core.state.StoreKeys;
+import io.kitepath.core.state.PagedScan;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.Iterator;
@@ -162,7 +162,7 @@
             all.remove();
             waitingCount -= e.getValue().size();
             batch.put(e.getKey(), e.getValue());
-            compare.when(Keys.OPEN + e.getKey(), 0).when(Keys.OVER + e.getKey(), 0);
+            compare.when(StoreKeys.OPEN + e.getKey(), 0).when(StoreKeys.OVER + e.getKey(), 0);
         }
         if (!batch.isEmpty()) {
             send(compare, batch, MAX_TRIES);
@@ -203,9 +203,9 @@
     private void sort(Map<String, List<Consumer<Answer>>> batch, Set<String> there) {
         List<String> open = new ArrayList<>();
         for (String id : batch.keySet()) {
-            if (there.contains(Keys.OPEN + id)) {
+            if (there.contains(StoreKeys.OPEN + id)) {
                 open.add(id);
-            } else if (there.contains(Keys.OVER + id)) {
+            } else if (there.contains(StoreKeys.OVER + id)) {
                 over.accept(id, a -> tell(batch, id, a));
             } else {
                 confirm(batch, id);
@@ -220,7 +220,7 @@
      */
     private void confirm(Map<String, List<Consumer<Answer>>> batch, String id) {
         store.get(
-                Keys.OPEN + id,
+                StoreKeys.OPEN + id,
                 (outcome, entry) -> {
                     switch (outcome) {
                         case OK -> progress(batch, List.of(id));
@@ -286,7 +286,7 @@
             tell(batch, id, Answer.LATER);
         } else {
             store.get(
-                    Keys.OPEN + id,
+                    StoreKeys.OPEN + id,
                     (outcome, entry) -> {
                         if (outcome == Outcome.NO) {
                             over.accept(id, a -> tell(batch, id, a));
@@ -316,10 +316,10 @@
             tell(batch, id, Answer.LATER);
             return;
         }
-        Pages.read(
+        PagedScan.read(
                 store,
                 timers,
-                Keys.PART + id + "/",
+                StoreKeys.PART + id + "/",
                 2,
                 parts -> {
                     if (parts.outcome() != Outcome.OK) {
--- a/src/main/java/io/kitepath/core/serve/Registry.java
+++ b/src/main/java/io/kitepath/core/serve/Registry.java
@@ -14,7 +14,7 @@
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -186,11 +186,11 @@
         // anything else.
         JobStatus doomed =
                 dependencies.anyCancelled(needs) ? new JobStatus(id, "cancelled", 0, 0) : null;
-        Transaction t = new Transaction().when(Keys.OPEN + id, 0).when(Keys.OVER + id, 0);
+        Transaction t = new Transaction().when(StoreKeys.OPEN + id, 0).when(StoreKeys.OVER + id, 0);
         if (doomed == null) {
-            t.put(Keys.OPEN + id, record);
+            t.put(StoreKeys.OPEN + id, record);
         } else {
-            t.put(Keys.OVER + id, cancelled(id, record));
+            t.put(StoreKeys.OVER + id, cancelled(id, record));
         }
         store.commit(
                 t,
@@ -245,7 +245,7 @@
 
     private void readOver(String id, Consumer<Answer> answer) {
         store.get(
-                Keys.OVER + id,
+                StoreKeys.OVER + id,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         DocumentReader t = DocumentReader.of(entry.value());
@@ -272,7 +272,7 @@
             return;
         }
         store.get(
-                Keys.OPEN + id,
+                StoreKeys.OPEN + id,
                 (outcome, open) -> {
                     if (outcome == Outcome.NO) {
                         readOver(id, answer);
@@ -285,12 +285,12 @@
                     Map<String, Object> record = cancelled(id, open.value());
                     Transaction move =
                             new Transaction()
-                                    .when(Keys.OPEN + id, open.revision())
-                                    .when(Keys.OVER + id, 0)
-                                    .remove(Keys.OPEN + id)
-                                    .put(Keys.OVER + id, record);
+                                    .when(StoreKeys.OPEN + id, open.revision())
+                                    .when(StoreKeys.OVER + id, 0)
+                                    .remove(StoreKeys.OPEN + id)
+                                    .put(StoreKeys.OVER + id, record);
                     if (cells) {
-                        move.when(Keys.LENT + id, 0);
+                        move.when(StoreKeys.LENT + id, 0);
                     }
                     store.commit(
                             move,
@@ -301,7 +301,7 @@
                                     onCancelled.accept(s);
                                     answer.accept(new Answer(Verdict.KNOWN, s));
                                 } else if (c.outcome() == Outcome.NO
-                                        && c.failed().contains(Keys.LENT + id)) {
+                                        && c.failed().contains(StoreKeys.LENT + id)) {
                                     callBack(id, open.revision(), answer);
                                 } else if (c.outcome() == Outcome.NO) {
                                     cancel(id, tries - 1, answer);
@@ -336,9 +336,9 @@
     private void callBack(String id, long openRevision, Consumer<Answer> answer) {
         store.commit(
                 new Transaction()
-                        .when(Keys.OPEN + id, openRevision)
-                        .when(Keys.LEAVE + id, 0)
-                        .put(Keys.LEAVE + id, Map.of()),
+                        .when(StoreKeys.OPEN + id, openRevision)
+                        .when(StoreKeys.LEAVE + id, 0)
+                        .put(StoreKeys.LEAVE + id, Map.of()),
                 c -> answer.accept(Answer.LATER));
     }
 }
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -196,7 +196,7 @@
                             return;
                         }
                         if (of == epoch && outcome == Outcome.NO) {
-                            listener.closed(key.substring(Keys.OPEN.length()));
+                            listener.closed(key.substring(StoreKeys.OPEN.length()));
                         }
                         closed(t, keys);
                     });
--- a/src/main/java/io/kitepath/core/state/Ends.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -18,8 +18,8 @@
  * the most urgent work: a new holder may have to ask about all that was ever done for the pipelines
  * that are open.
  */
-final class Ends {
-    private static final Logger LOG = LoggerFactory.getLogger(Ends.class);
+final class DependencyOutcomes {
+    private static final Logger LOG = LoggerFactory.getLogger(DependencyOutcomes.class);
 
     /** Of the state service's requests. */
     private static final double RATE_SHARE = 0.3;
@@ -38,7 +38,7 @@
     private long epoch;
     private boolean waits;
 
-    Ends(ClusterSettings facts, Store store, Timers timers, JobDependencies pipelines) {
+    DependencyOutcomes(ClusterSettings facts, Store store, Timers timers, JobDependencies pipelines) {
         this.store = store;
         this.timers = timers;
         this.pipelines = pipelines;
@@ -87,7 +87,7 @@
         asked.add(id);
         long e = epoch;
         store.get(
-                Keys.OVER + id,
+                StoreKeys.OVER + id,
                 (outcome, entry) -> {
                     if (e != epoch) {
                         return;
@@ -121,7 +121,7 @@
                     id, t.text("status").equals("done"), t.numberOr("endedMs", 0, timers.wallMs()));
             return true;
         } catch (InvalidInputException bad) {
-            LOG.error("record {} is unreadable: {}", Keys.OVER + id, bad.getMessage());
+            LOG.error("record {} is unreadable: {}", StoreKeys.OVER + id, bad.getMessage());
             return false;
         }
     }
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -48,7 +48,7 @@
             return null;
         }
         written.set(index, record);
-        return new Store.Write(Keys.IMAGES + index, record, 0);
+        return new Store.Write(StoreKeys.IMAGES + index, record, 0);
     }
 
     private static int indexOf(String machine) {
--- a/src/main/java/io/kitepath/core/state/Pages.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -14,7 +14,7 @@
  * every page that is refused: while many ask the state service, a new holder would never get to the
  * end of its jobs.
  */
-public final class Pages {
+public final class PagedScan {
     private static final int PAGE = 500;
 
     private final Store store;
@@ -25,7 +25,7 @@
     private final List<Entry> entries = new ArrayList<>();
     private long revision = -1;
 
-    private Pages(Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
+    private PagedScan(Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
         this.store = store;
         this.timers = timers;
         this.prefix = prefix;
@@ -39,7 +39,7 @@
      */
     public static void read(
             Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
-        new Pages(store, timers, prefix, tries, answer).next(1);
+        new PagedScan(store, timers, prefix, tries, answer).next(1);
     }
 
     private void next(int attempt) {
--- a/src/main/java/io/kitepath/core/state/Relayout.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -12,14 +12,14 @@
  * of whose tasks have to be on record at the same time, which its parts are too wide for under the
  * state service's limits.
  */
-final class Relayout {
+final class RecordMigration {
     final Job job;
     private final JobRecord record;
     private final int version;
     private final Map<Integer, Map<String, Object>> parts = new LinkedHashMap<>();
     private final int removed;
 
-    Relayout(Job job, int partTasks) {
+    RecordMigration(Job job, int partTasks) {
         this.job = job;
         this.version = job.version();
         JobRecord was = job.record();
@@ -47,12 +47,12 @@
         String id = job.spec.id();
         t.when(job.key, job.revision()).put(job.key, record.toMap());
         for (int i = 0; i < job.parts(); i++) {
-            t.when(Keys.part(id, i), job.part(i).revision());
+            t.when(StoreKeys.part(id, i), job.part(i).revision());
             if (job.part(i).revision() > 0 && !parts.containsKey(i)) {
-                t.remove(Keys.part(id, i));
+                t.remove(StoreKeys.part(id, i));
             }
         }
-        parts.forEach((i, p) -> t.put(Keys.part(id, i), p));
+        parts.forEach((i, p) -> t.put(StoreKeys.part(id, i), p));
     }
 
     /** The store has it at that revision. */
--- a/src/main/java/io/kitepath/core/state/Reading.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -21,7 +21,7 @@
  * Reads the records of all jobs that are open or still have something of them left, once, for a new
  * holder.
  */
-public final class Reading {
+public final class StateLoader {
     private static final int PAGE_TRIES = 20;
 
     /** Records read at the same time, of jobs that are over. */
@@ -42,7 +42,7 @@
      * @param acts what was asked of the cloud, read at its own revision
      * @param layout how records are laid out, null if nobody has put it down yet
      */
-    public record Found(
+    public record LoadedState(
             long revision,
             List<Entry> open,
             List<Entry> parts,
@@ -56,9 +56,9 @@
             Entry layout) {}
 
     /** Takes what the records say about other cells. */
-    public interface Elsewhere {
+    public interface LoanRecords {
         /** All of it, after the open jobs and before their parts. */
-        void adopt(Found found);
+        void adopt(LoadedState found);
 
         /**
          * A job's user asks to cancel it while some of it may be lent, or no more if there is no
@@ -82,7 +82,7 @@
      */
     private final Consumer<Set<String>> running;
 
-    private Consumer<Found> answer;
+    private Consumer<LoadedState> answer;
     private List<Entry> lent = List.of();
     private List<Entry> guests = List.of();
     private List<Entry> leaving = List.of();
@@ -98,7 +98,7 @@
     private final Map<String, Entry> over = new HashMap<>();
     private int missing;
 
-    Reading(
+    StateLoader(
             Store store,
             Timers timers,
             boolean cells,
@@ -112,7 +112,7 @@
     }
 
     /** Answers null if it can't be had now; not at all once it is stale. */
-    void read(Consumer<Found> then) {
+    void read(Consumer<LoadedState> then) {
         answer =
                 found -> {
                     answer = x -> {}; // The first of the readings that fails speaks for all.
@@ -120,13 +120,13 @@
                 };
         // Beside the jobs, so that a takeover does not take longer for it.
         pages(
-                Keys.ACT,
+                StoreKeys.ACT,
                 l -> {
                     acts = l;
                     joined();
                 });
         store.get(
-                Keys.LAYOUT,
+                StoreKeys.LAYOUT,
                 (outcome, entry) -> {
                     if (stale.getAsBoolean()) {
                         return;
@@ -142,20 +142,20 @@
 
     private void readJobs() {
         pages(
-                Keys.OPEN,
+                StoreKeys.OPEN,
                 open -> {
                     if (cells) {
                         readElsewhere(open);
                     } else {
                         running.accept(ids(open));
-                        pages(Keys.PART, parts -> readClosed(open, parts));
+                        pages(StoreKeys.PART, parts -> readClosed(open, parts));
                     }
                 });
     }
 
     private static Set<String> ids(ListResult open) {
         Set<String> ids = new HashSet<>();
-        open.entries().forEach(x -> ids.add(x.key().substring(Keys.OPEN.length())));
+        open.entries().forEach(x -> ids.add(x.key().substring(StoreKeys.OPEN.length())));
         return ids;
     }
 
@@ -167,30 +167,30 @@
 
     private void readElsewhere(ListResult open) {
         pages(
-                Keys.LENT,
+                StoreKeys.LENT,
                 l -> {
                     lent = l.entries();
                     pages(
-                            Keys.GUEST,
+                            StoreKeys.GUEST,
                             g -> {
                                 guests = g.entries();
                                 Set<String> all = ids(open);
                                 guests.forEach(x -> all.add(DocumentReader.of(x.value()).textOr("job", "")));
                                 running.accept(all);
                                 pages(
-                                        Keys.LEAVE,
+                                        StoreKeys.LEAVE,
                                         x -> {
                                             leaving = x.entries();
                                             pages(
-                                                    Keys.VOID,
+                                                    StoreKeys.VOID,
                                                     v -> {
                                                         voids = v.entries();
                                                         pages(
-                                                                Keys.SHARE,
+                                                                StoreKeys.SHARE,
                                                                 s -> {
                                                                     shares = s.entries();
                                                                     pages(
-                                                                            Keys.PART,
+                                                                            StoreKeys.PART,
                                                                             parts ->
                                                                                     readClosed(
                                                                                             open,
@@ -203,7 +203,7 @@
     }
 
     private void pages(String prefix, Consumer<ListResult> then) {
-        Pages.read(
+        PagedScan.read(
                 store,
                 timers,
                 prefix,
@@ -222,7 +222,7 @@
 
     private void readClosed(ListResult open, ListResult parts) {
         Set<String> ids = new LinkedHashSet<>();
-        parts.entries().forEach(x -> ids.add(Keys.jobOfPart(x.key())));
+        parts.entries().forEach(x -> ids.add(StoreKeys.jobOfPart(x.key())));
         ids.removeAll(ids(open));
         // Of what other cells lent to us, nothing is over here that is not over in the loan's own
         // record.
@@ -234,7 +234,7 @@
                     jobsRead =
                             () ->
                                     answer.accept(
-                                            new Found(
+                                            new LoadedState(
                                                     open.revision(),
                                                     open.entries(),
                                                     parts.entries(),
@@ -262,7 +262,7 @@
             return;
         }
         store.get(
-                Keys.OVER + id,
+                StoreKeys.OVER + id,
                 (outcome, entry) -> {
                     if (stale.getAsBoolean()) {
                         return;
--- a/src/main/java/io/kitepath/core/state/Keeper.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -25,8 +25,8 @@
  * loads them when a holder begins. Every write depends on the block's revision, the job's and the
  * part's: none can land late.
  */
-public final class Keeper {
-    private static final Logger LOG = LoggerFactory.getLogger(Keeper.class);
+public final class StateWriter {
+    private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
     /** How often everything is read again before a part of no job is passed over. */
     private static final int MISFITS = 5;
@@ -37,11 +37,11 @@
     private final ShardState block;
     private final ImageRecords images;
     private final Listener listener;
-    private final Rounds writes;
-    private final Ends ends;
+    private final WriteBatcher writes;
+    private final DependencyOutcomes ends;
 
     /** Null without other cells. */
-    private final Reading.Elsewhere elsewhere;
+    private final StateLoader.LoanRecords elsewhere;
 
     private long epoch;
     private long blockRevision;
@@ -92,7 +92,7 @@
      * revision and never beside another write of its. Whoever hands one in again after {@link
      * Listener#outOfStep} works it out anew.
      */
-    public interface Rider {
+    public interface BatchContributor {
         /**
          * Whether something waits for it. What can wait itself goes along when the rate has some to
          * spare.
@@ -112,13 +112,13 @@
     }
 
     /** {@code elsewhere} takes the records about other cells, first of all; null without such. */
-    public Keeper(
+    public StateWriter(
             Store store,
             Timers timers,
             ShardState block,
             ImageRecords images,
             Listener listener,
-            Reading.Elsewhere elsewhere) {
+            StateLoader.LoanRecords elsewhere) {
         this.elsewhere = elsewhere;
         this.facts = block.facts();
         this.store = store;
@@ -126,8 +126,8 @@
         this.block = block;
         this.images = images;
         this.listener = listener;
-        this.writes = new Rounds(store, timers, block, images, listener);
-        this.ends = new Ends(facts, store, timers, block.pipelines());
+        this.writes = new WriteBatcher(store, timers, block, images, listener);
+        this.ends = new DependencyOutcomes(facts, store, timers, block.pipelines());
     }
 
     /** Transactions that the store refused for good, as over its limits. */
@@ -194,7 +194,7 @@
     }
 
     /** Writes that along in one of the next rounds. */
-    public void ride(Rider r) {
+    public void ride(BatchContributor r) {
         writes.ride(r);
     }
 
@@ -225,14 +225,14 @@
         writes.stop();
         servedBefore = null;
         store.get(
-                Keys.SERVED,
+                StoreKeys.SERVED,
                 (outcome, entry) -> {
                     if (e == epoch && outcome == Outcome.OK) {
                         servedBefore = entry.value();
                     }
                 });
         double readingMs = timers.wallMs();
-        new Reading(
+        new StateLoader(
                         store,
                         timers,
                         elsewhere != null,
@@ -248,17 +248,17 @@
                                 readImages(e);
                                 ends.begin(ready);
                                 ends.look();
-                                follow(e, Keys.OPEN, found.revision(), ready, this::jobChanged);
+                                follow(e, StoreKeys.OPEN, found.revision(), ready, this::jobChanged);
                                 follow(
                                         e,
-                                        Keys.ACT,
+                                        StoreKeys.ACT,
                                         found.acts().revision(),
                                         ready,
                                         listener::acted);
                                 if (elsewhere != null) {
                                     follow(
                                             e,
-                                            Keys.LEAVE,
+                                            StoreKeys.LEAVE,
                                             found.revision(),
                                             ready,
                                             elsewhere::leaving);
@@ -280,7 +280,7 @@
             return;
         }
         ride(
-                new Rider() {
+                new BatchContributor() {
                     @Override
                     public boolean urgent() {
                         return false;
@@ -293,8 +293,8 @@
 
                     @Override
                     public void board(Transaction t) {
-                        t.when(Keys.LAYOUT, 0)
-                                .put(Keys.LAYOUT, Map.of("partTasks", (long) block.partTasks()));
+                        t.when(StoreKeys.LAYOUT, 0)
+                                .put(StoreKeys.LAYOUT, Map.of("partTasks", (long) block.partTasks()));
                     }
 
                     @Override
@@ -308,10 +308,10 @@
 
     /** After all that work waits for, and without a word if it can't be had. */
     private void readImages(long e) {
-        Pages.read(
+        PagedScan.read(
                 store,
                 timers,
-                Keys.IMAGES,
+                StoreKeys.IMAGES,
                 3,
                 records -> {
                     if (e == epoch && records.outcome() == Outcome.OK) {
@@ -322,7 +322,7 @@
     }
 
     /** False if what was read does not fit together: jobs came or ended while it was read. */
-    private boolean adopt(Reading.Found found) {
+    private boolean adopt(StateLoader.LoadedState found) {
         double now = timers.now();
         block.forgetJobs();
         if (found.layout() != null) {
@@ -335,7 +335,7 @@
             try {
                 block.served().restore(servedBefore);
             } catch (InvalidInputException bad) {
-                LOG.error("record {} is unreadable: {}", Keys.SERVED, bad.getMessage());
+                LOG.error("record {} is unreadable: {}", StoreKeys.SERVED, bad.getMessage());
             }
         }
         // Before the jobs' parts: a machine that goes is one from the first time that it is heard
@@ -355,7 +355,7 @@
                             }
                         });
         for (Entry x : found.parts()) {
-            Job job = block.jobs().get(Keys.jobOfPart(x.key()));
+            Job job = block.jobs().get(StoreKeys.jobOfPart(x.key()));
             if (job == null) {
                 if (misfits++ < MISFITS) {
                     // Created after the list of open jobs was read, or just moved: read everything
@@ -369,7 +369,7 @@
                 LOG.error("record {} is of no job", x.key());
                 continue;
             }
-            int part = Keys.indexOfPart(x.key());
+            int part = StoreKeys.indexOfPart(x.key());
             if (part < job.parts()) {
                 block.adopt(job, part, x.value(), x.revision(), now);
             }
@@ -387,7 +387,7 @@
     }
 
     private void opened(Entry x) {
-        String id = x.key().substring(Keys.OPEN.length());
+        String id = x.key().substring(StoreKeys.OPEN.length());
         if (block.jobs().containsKey(id)) {
             return;
         }
@@ -402,7 +402,7 @@
         if (x.value() != null) {
             opened(x);
         } else {
-            block.jobOver(x.key().substring(Keys.OPEN.length()));
+            block.jobOver(x.key().substring(StoreKeys.OPEN.length()));
         }
     }
 
--- a/src/main/java/io/kitepath/core/state/Keys.java
+++ b/src/main/java/io/kitepath/core/state/StoreKeys.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.state;
 
 /** Where things are kept in the state service. */
-public final class Keys {
+public final class StoreKeys {
     /** Highest token ever given out; never removed. */
     public static final String TOKEN = "kitepath/token";
 
@@ -73,7 +73,7 @@
     /** By which cells file this cell goes. */
     public static final String CELLS = "kitepath/cells";
 
-    private Keys() {}
+    private StoreKeys() {}
 
     public static String guest(String home, long number) {
         return GUEST + home + "/" + String.format("%020d", number);
--- a/src/main/java/io/kitepath/core/state/Round.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -4,14 +4,14 @@
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Transaction;
-import io.kitepath.core.state.Keeper.Rider;
+import io.kitepath.core.state.StateWriter.BatchContributor;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 
 /** One transaction of the holder's, and what in memory follows from it once the store has it. */
-final class Round {
+final class WriteBatch {
     record Written(Job.Part part, int version, boolean removed) {}
 
     /** What a record says about whether its round was carried out. */
@@ -45,8 +45,8 @@
     final List<Job> cancelling = new ArrayList<>();
     final Set<Job.Part> taken = new HashSet<>();
     final Set<Job> conditioned = new HashSet<>();
-    final List<Rider> riders = new ArrayList<>();
-    Relayout relaid;
+    final List<BatchContributor> riders = new ArrayList<>();
+    RecordMigration relaid;
     boolean unsure;
     int bytes;
 
@@ -58,7 +58,7 @@
             }
         }
         if (!finishing.isEmpty()) {
-            return new Witness(Keys.OVER + finishing.get(0).spec.id(), 0, Sign.SAYS_DONE);
+            return new Witness(StoreKeys.OVER + finishing.get(0).spec.id(), 0, Sign.SAYS_DONE);
         }
         // What is gone has no revision, which riders have to be told.
         return parts.isEmpty() || !riders.isEmpty()
@@ -67,6 +67,6 @@
     }
 
     private static String key(Written w) {
-        return Keys.part(w.part.job.spec.id(), w.part.index);
+        return StoreKeys.part(w.part.job.spec.id(), w.part.index);
     }
 }
--- a/src/main/java/io/kitepath/core/state/Rounds.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -11,7 +11,7 @@
 import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keeper.Rider;
+import io.kitepath.core.state.StateWriter.BatchContributor;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -25,8 +25,8 @@
  * block's revision, the job's and the part's, and an unknown outcome is settled by the very same
  * transaction.
  */
-final class Rounds {
-    private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
+final class WriteBatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(WriteBatcher.class);
 
     /** Of the store's write rate; the rest is for submissions, cancellations and leases. */
     private static final double WRITE_SHARE = 0.7;
@@ -42,13 +42,13 @@
     private final Timers timers;
     private final ShardState block;
     private final ImageRecords images;
-    private final Keeper.Listener listener;
+    private final StateWriter.Listener listener;
     private final TokenBucket writes;
 
     /** What waits to be written along, in order. */
-    private final ArrayDeque<Rider> riders = new ArrayDeque<>();
+    private final ArrayDeque<BatchContributor> riders = new ArrayDeque<>();
 
-    private final ArrayDeque<Rider> patient = new ArrayDeque<>();
+    private final ArrayDeque<BatchContributor> patient = new ArrayDeque<>();
 
     /**
      * Writes that a transaction may have: fewer after one was refused for good, until others have
@@ -60,7 +60,7 @@
     private long epoch;
     private String blockKey;
     private long blockRevision;
-    private Round round;
+    private WriteBatch round;
 
     /** When what was served was written last. */
     private double servedAt;
@@ -70,7 +70,7 @@
     private long invalid;
     private long oversize;
 
-    Rounds(Store store, Timers timers, ShardState block, ImageRecords images, Keeper.Listener listener) {
+    WriteBatcher(Store store, Timers timers, ShardState block, ImageRecords images, StateWriter.Listener listener) {
         this.facts = block.facts();
         this.store = store;
         this.timers = timers;
@@ -95,7 +95,7 @@
         patient.clear();
     }
 
-    void ride(Rider r) {
+    void ride(BatchContributor r) {
         (r.urgent() ? riders : patient).add(r);
     }
 
@@ -132,7 +132,7 @@
         double now = timers.now();
         double available = writes.available(now);
         int budget = (int) Math.min(mostWrites, available);
-        Round r = new Round();
+        WriteBatch r = new WriteBatch();
         r.transaction.when(blockKey, blockRevision);
         if (layOutAnew(r, budget)) {
             go(r, done, now);
@@ -167,7 +167,7 @@
             Store.Write due = images.due(block.machines().values(), now);
             if (due == null && now - servedAt > facts.workers().leaseS() / 2) {
                 servedAt = now;
-                due = new Store.Write(Keys.SERVED, block.served().record(timers.wallMs()), 0);
+                due = new Store.Write(StoreKeys.SERVED, block.served().record(timers.wallMs()), 0);
             }
             if (due != null && JsonSize.size(due.value()) <= block.recordBytes()) {
                 r.transaction.put(due.key(), due.value());
@@ -178,7 +178,7 @@
         }
     }
 
-    private void go(Round r, Runnable done, double now) {
+    private void go(WriteBatch r, Runnable done, double now) {
         writes.take(r.transaction.writes().size(), now);
         round = r;
         rounds++;
@@ -187,13 +187,13 @@
     }
 
     /** A job whose parts can't be on record as they are laid out is written anew, by itself. */
-    private boolean layOutAnew(Round r, int budget) {
+    private boolean layOutAnew(WriteBatch r, int budget) {
         for (Job job : block.wide()) {
             if (job.over()) {
                 block.laidOut(job);
                 continue;
             }
-            Relayout l = new Relayout(job, facts.tasksPerNarrowPart());
+            RecordMigration l = new RecordMigration(job, facts.tasksPerNarrowPart());
             if (l.writes() > facts.store().txnOps()) {
                 LOG.error(
                         "job {} has parts that can't be written under the limits that will come",
@@ -208,12 +208,12 @@
         return false;
     }
 
-    private void board(Round r, ArrayDeque<Rider> waiting, int budget) {
+    private void board(WriteBatch r, ArrayDeque<BatchContributor> waiting, int budget) {
         // Each takes a handful of writes at most; a quarter is left to everything else.
         while (!waiting.isEmpty()
                 && r.transaction.writes().size() < budget * 3 / 4
                 && r.bytes < MAX_BYTES / 2) {
-            Rider rider = waiting.poll();
+            BatchContributor rider = waiting.poll();
             if (rider.wanted()) {
                 rider.board(r.transaction);
                 r.riders.add(rider);
@@ -226,7 +226,7 @@
      * Moves jobs that are done from open to over; returns the budget for what comes after, 0 if it
      * did not suffice.
      */
-    private int ends(Round r, int budget) {
+    private int ends(WriteBatch r, int budget) {
         List<Job> dropped = new ArrayList<>();
         int left = budget;
         for (Job job : block.jobs().values()) {
@@ -252,7 +252,7 @@
         return !job.over() && job.complete() && !job.guest && !job.leaving();
     }
 
-    private void take(Round r, List<Job.Part> from, int budget) {
+    private void take(WriteBatch r, List<Job.Part> from, int budget) {
         for (Job.Part p : from) {
             if (r.transaction.writes().size() >= budget || r.bytes >= MAX_BYTES) {
                 return;
@@ -272,12 +272,12 @@
         }
     }
 
-    private void finish(Round r, Job job) {
+    private void finish(WriteBatch r, Job job) {
         over(r, job, "done", job.spec.tasks());
         if (job.lentRevision() > 0) {
             r.transaction
-                    .when(Keys.LENT + job.spec.id(), job.lentRevision())
-                    .remove(Keys.LENT + job.spec.id());
+                    .when(StoreKeys.LENT + job.spec.id(), job.lentRevision())
+                    .remove(StoreKeys.LENT + job.spec.id());
         }
         r.finishing.add(job);
     }
@@ -287,7 +287,7 @@
      * next holder goes on with it wherever this one ends. They have no tasks to stop, as none of
      * them could start; but their users wait for word.
      */
-    private void cascade(Round r, int budget) {
+    private void cascade(WriteBatch r, int budget) {
         for (Job job : block.pipelines().doomed()) {
             if (r.transaction.writes().size() + 2 > budget || r.bytes >= MAX_BYTES) {
                 return;
@@ -297,7 +297,7 @@
         }
     }
 
-    private void over(Round r, Job job, String status, int done) {
+    private void over(WriteBatch r, Job job, String status, int done) {
         Map<String, Object> record =
                 job.record()
                         .overMap(
@@ -313,12 +313,12 @@
         r.transaction
                 .when(job.key, job.revision())
                 .remove(job.key)
-                .put(Keys.OVER + job.spec.id(), record);
+                .put(StoreKeys.OVER + job.spec.id(), record);
     }
 
-    private void putPart(Round r, Job.Part p) {
+    private void putPart(WriteBatch r, Job.Part p) {
         Job job = p.job;
-        String key = Keys.part(job.spec.id(), p.index);
+        String key = StoreKeys.part(job.spec.id(), p.index);
         List<Attempt> live = job.liveIn(p.index);
         boolean remove = job.over() && live.isEmpty();
         if (remove && p.revision() == 0) {
@@ -341,11 +341,11 @@
             r.bytes += JsonSize.size(record) + RECORD_BYTES;
             r.transaction.put(key, record);
         }
-        r.parts.add(new Round.Written(p, job.version(), remove));
+        r.parts.add(new WriteBatch.Written(p, job.version(), remove));
     }
 
     private void send(long e, Runnable done) {
-        Round r = round;
+        WriteBatch r = round;
         store.commit(
                 r.transaction,
                 c -> {
@@ -368,17 +368,17 @@
                 });
     }
 
-    private void resend(long e, Round r, Runnable done) {
+    private void resend(long e, WriteBatch r, Runnable done) {
         if (e == epoch && round == r) {
             send(e, done);
         }
     }
 
-    private void committed(Round r, long revision, Runnable done) {
+    private void committed(WriteBatch r, long revision, Runnable done) {
         round = null;
         mostWrites = Math.min(Math.min(facts.store().txnOps(), refusedWrites - 1), mostWrites + 1);
         r.riders.forEach(x -> x.written(revision));
-        for (Round.Written w : r.parts) {
+        for (WriteBatch.Written w : r.parts) {
             block.recorded(w.part(), w.version(), w.removed() ? 0 : revision);
         }
         for (Job job : r.finishing) {
@@ -401,11 +401,11 @@
     }
 
     /** None of it was written; all of it waits again. */
-    private void putBack(Round r) {
+    private void putBack(WriteBatch r) {
         round = null;
         r.parts.forEach(w -> block.unwritten().queue(w.part()));
         for (int i = r.riders.size() - 1; i >= 0; i--) {
-            Rider rider = r.riders.get(i);
+            BatchContributor rider = r.riders.get(i);
             (rider.urgent() ? riders : patient).addFirst(rider);
         }
     }
@@ -416,12 +416,12 @@
      * smaller, down to a single record, and one that is refused by itself waits until it has
      * changed.
      */
-    private void invalid(Round r) {
+    private void invalid(WriteBatch r) {
         invalid++;
         int n = r.transaction.writes().size();
         Store.Write largest =
                 r.transaction.writes().stream()
-                        .max(Comparator.comparingInt(Rounds::size))
+                        .max(Comparator.comparingInt(WriteBatcher::size))
                         .orElseThrow();
         LOG.warn(
                 "{} writes were refused for good, the largest one {} of {} bytes",
@@ -453,7 +453,7 @@
         return w.value() == null ? 0 : JsonSize.size(w.value());
     }
 
-    private void refused(Round r, CommitResult c, Runnable done) {
+    private void refused(WriteBatch r, CommitResult c, Runnable done) {
         if (c.failed().contains(blockKey)) {
             putBack(r);
             listener.blockLost();
@@ -469,8 +469,8 @@
      * Guards against a holder that reads all jobs again for each answer that gets lost, and does
      * nothing else meanwhile.
      */
-    private void settle(long e, Round r, CommitResult c, Runnable done) {
-        Round.Witness witness = r.witness();
+    private void settle(long e, WriteBatch r, CommitResult c, Runnable done) {
+        WriteBatch.Witness witness = r.witness();
         if (witness == null) {
             putBack(r);
             listener.outOfStep("an earlier try of this write may have been executed");
@@ -494,15 +494,15 @@
                 });
     }
 
-    private void notWritten(Round r, CommitResult c) {
+    private void notWritten(WriteBatch r, CommitResult c) {
         putBack(r);
         for (String key : c.failed()) {
-            if (!key.startsWith(Keys.OPEN)) {
+            if (!key.startsWith(StoreKeys.OPEN)) {
                 listener.outOfStep("unexpected revision of " + key);
                 return;
             }
             // Cancelled just now; the next round goes without it.
-            block.jobOver(key.substring(Keys.OPEN.length()));
+            block.jobOver(key.substring(StoreKeys.OPEN.length()));
         }
         if (c.failed().isEmpty()) {
             listener.outOfStep("a write was refused without a reason");
--- a/src/main/java/io/kitepath/standin/MemoryStore.java
+++ b/src/main/java/io/kitepath/standin/MemoryStore.java
@@ -4,7 +4,7 @@
 import io.kitepath.core.model.JsonSize;
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -110,17 +110,17 @@
 
     /** Whether there ever was a record of a job with that id, open or over. */
     boolean everHad(String id) {
-        return keys.containsKey(Keys.OPEN + id)
-                || keys.containsKey(Keys.OVER + id)
+        return keys.containsKey(StoreKeys.OPEN + id)
+                || keys.containsKey(StoreKeys.OVER + id)
                 || log.stream()
                         .anyMatch(
                                 e ->
-                                        e.key().equals(Keys.OPEN + id)
-                                                || e.key().equals(Keys.OVER + id));
+                                        e.key().equals(StoreKeys.OPEN + id)
+                                                || e.key().equals(StoreKeys.OVER + id));
     }
 
     public long token() {
-        Store.Entry e = keys.get(Keys.TOKEN);
+        Store.Entry e = keys.get(StoreKeys.TOKEN);
         return e == null ? 0 : DocumentReader.of(e.value()).count("token");
     }
 
--- a/src/main/java/io/kitepath/standin/Worker.java
+++ b/src/main/java/io/kitepath/standin/Worker.java
@@ -7,7 +7,7 @@
 import io.kitepath.core.model.Heartbeat.EndCause;
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.Heartbeat.TaskStatus;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -331,7 +331,7 @@
             w.broken.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
         }
         // The range of all keys under that prefix.
-        if (w.store.keys.subMap(Keys.GOING, Keys.GOING + "~").values().stream()
+        if (w.store.keys.subMap(StoreKeys.GOING, StoreKeys.GOING + "~").values().stream()
                 .anyMatch(
                         e ->
                                 ((Map<?, ?>) e.value()).get("machines") instanceof List<?> l
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -9,7 +9,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
@@ -336,7 +336,7 @@
         w.store.hangs = n -> n == holder;
         refuse(holder, 9);
         w.store.late =
-                t -> t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1")) ? 1 : 0;
+                t -> t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1")) ? 1 : 0;
         assertEquals(null, w.cancel(sibling, "j-1"));
         sibling.crash();
         w.run(1.2);
@@ -354,7 +354,7 @@
         long before = sessions();
         w.store.hangs = n -> true;
         w.store.late =
-                t -> t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1")) ? 0.7 : 0;
+                t -> t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1")) ? 0.7 : 0;
         w.cancel(holder, "j-1");
         // Just after it was carried out, and before the next comparison would find it.
         w.run(0.605);
@@ -482,7 +482,7 @@
                                 .findFirst()
                                 .orElse(null);
             }
-            w.store.refusePrefix = Keys.PART::equals;
+            w.store.refusePrefix = StoreKeys.PART::equals;
             while (!next.controller.keeper.knowsRunning()) {
                 w.run(0.001);
             }
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -9,7 +9,7 @@
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store.Transaction;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import io.kitepath.standin.Worlds;
@@ -344,7 +344,7 @@
                                     .toList();
                     silent.forEach(n -> n.cutFrom.add(old.name));
                     Predicate<Transaction> ends =
-                            t -> t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.OVER));
+                            t -> t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.OVER));
                     w.store.unheard = t -> fate == 1 && ends.test(t);
                     w.store.late = t -> fate == 2 && ends.test(t) ? 0.6 : 0;
                     w.after(0.002, () -> cancels(first));
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -12,7 +12,7 @@
 import io.kitepath.core.model.CellMessage.LoanStatus;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Cellular;
 import io.kitepath.standin.Node;
 import java.util.List;
@@ -230,7 +230,7 @@
                     !c.world("west")
                             .store
                             .keys
-                            .containsKey(Keys.guest("east", ((LoanOffer) m).number())));
+                            .containsKey(StoreKeys.guest("east", ((LoanOffer) m).number())));
         }
         allDone(id);
     }
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -9,7 +9,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.Registry.Answer;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.ArrayList;
@@ -44,8 +44,8 @@
                                 .filter(
                                         x ->
                                                 x.value() != null
-                                                        && (x.key().startsWith(Keys.OPEN)
-                                                                || x.key().startsWith(Keys.OVER)))
+                                                        && (x.key().startsWith(StoreKeys.OPEN)
+                                                                || x.key().startsWith(StoreKeys.OVER)))
                                 .forEach(
                                         x -> {
                                             String id =
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -7,7 +7,7 @@
 import io.kitepath.core.duty.Duties;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.HashSet;
@@ -34,12 +34,12 @@
     }
 
     private String holder(String duty) {
-        Store.Entry e = w.store.keys.get(Keys.DUTY + duty);
+        Store.Entry e = w.store.keys.get(StoreKeys.DUTY + duty);
         return e == null ? null : (String) ((Map<?, ?>) e.value()).get("node");
     }
 
     private long token(String duty) {
-        return (Long) ((Map<?, ?>) w.store.keys.get(Keys.DUTY_TOKEN + duty).value()).get("token");
+        return (Long) ((Map<?, ?>) w.store.keys.get(StoreKeys.DUTY_TOKEN + duty).value()).get("token");
     }
 
     /**
@@ -185,7 +185,7 @@
                         t.writes().stream()
                                         .anyMatch(
                                                 x ->
-                                                        x.key().equals(Keys.DUTY + "cloud")
+                                                        x.key().equals(StoreKeys.DUTY + "cloud")
                                                                 && x.value() != null)
                                 && once[0]
                                 && !(once[0] = false);
--- a/src/test/java/io/kitepath/core/DutySeedsTest.java
+++ b/src/test/java/io/kitepath/core/DutySeedsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.List;
@@ -113,7 +113,7 @@
                 assertEquals(
                         0,
                         r.w.store.keys.keySet().stream()
-                                .filter(k -> k.startsWith(Keys.ACT))
+                                .filter(k -> k.startsWith(StoreKeys.ACT))
                                 .count(),
                         at);
             }
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -12,7 +12,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store.Transaction;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.List;
@@ -66,7 +66,7 @@
     /** Rentals on record that are not known to be settled, while a machine of theirs is up. */
     private static boolean upBeforeKnown(World w) {
         return !w.workers.isEmpty()
-                && w.store.keys.subMap(Keys.RENT, Keys.RENT + "~").values().stream()
+                && w.store.keys.subMap(StoreKeys.RENT, StoreKeys.RENT + "~").values().stream()
                         .anyMatch(e -> !((Map<?, ?>) e.value()).containsKey("machines"));
     }
 
@@ -104,7 +104,7 @@
         assertEquals(Map.of(), w.cloud.machines, at);
         assertEquals(
                 List.of(),
-                w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.ACT)).toList(),
+                w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.ACT)).toList(),
                 at);
         runs++;
     }
@@ -177,7 +177,7 @@
         w.store.unheard =
                 t -> {
                     boolean rents =
-                            t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.RENT));
+                            t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.RENT));
                     if (lag == Lag.UNHEARD
                             && (count[0] > 0 && !t.writes().isEmpty() || rents)
                             && count[0]++ == n) {
@@ -189,7 +189,7 @@
         w.store.late =
                 t -> {
                     boolean rents =
-                            t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.RENT));
+                            t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.RENT));
                     if (lag != Lag.UNHEARD && (count[0] > 0 || rents) && count[0]++ == n) {
                         meets.accept(t);
                         return lag == Lag.LATE ? 3.5 : 1e6;
@@ -226,7 +226,7 @@
                 met.get("up before known") > 3 && met.get("launched before listed") > 10,
                 met.toString());
         assertTrue(
-                met.containsKey(Keys.RENT + "r-with machines") && met.containsKey(Keys.PART + "j-"),
+                met.containsKey(StoreKeys.RENT + "r-with machines") && met.containsKey(StoreKeys.PART + "j-"),
                 met.toString());
     }
 
@@ -250,7 +250,7 @@
                                 t.writes().stream()
                                         .anyMatch(
                                                 x ->
-                                                        x.key().startsWith(Keys.RENT)
+                                                        x.key().startsWith(StoreKeys.RENT)
                                                                 && x.value() instanceof Map<?, ?> m
                                                                 && m.containsKey("machines"));
                 handIn(w);
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -6,7 +6,7 @@
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.ArrayList;
@@ -60,7 +60,7 @@
     /** The node that has the duty to ask the cloud. */
     private static Node carrier(World w) {
         return w.nodes.get(
-                (String) ((Map<?, ?>) w.store.keys.get(Keys.DUTY + "cloud").value()).get("node"));
+                (String) ((Map<?, ?>) w.store.keys.get(StoreKeys.DUTY + "cloud").value()).get("node"));
     }
 
     private static long records(World w, String prefix) {
@@ -117,7 +117,7 @@
                         t.writes().stream()
                                 .anyMatch(
                                         x ->
-                                                x.key().startsWith(Keys.RENT)
+                                                x.key().startsWith(StoreKeys.RENT)
                                                         && x.value() instanceof Map<?, ?> m
                                                         && m.containsKey("machines"));
         want(w);
@@ -126,7 +126,7 @@
         restart(w, first, 6);
         w.run(60);
         assertEquals("done", w.status(w.leader(), "j-1"));
-        assertEquals(0, records(w, Keys.RENT), "taken in and struck off");
+        assertEquals(0, records(w, StoreKeys.RENT), "taken in and struck off");
         for (Store.Transaction t : w.store.heldBack) {
             assertEquals(Store.Outcome.NO, w.store.execute(t).outcome());
         }
@@ -156,7 +156,7 @@
         assertEquals("done", w.status(w.leader(), "j-1"));
         assertEquals(
                 16, w.workers.values().stream().mapToInt(x -> x.started).sum(), "none was lost");
-        assertEquals(0, records(w, Keys.GOING));
+        assertEquals(0, records(w, StoreKeys.GOING));
     }
 
     @Test
@@ -166,16 +166,16 @@
                 w,
                 200,
                 () -> {
-                    w.cloud.out |= records(w, Keys.GOING) > 0;
+                    w.cloud.out |= records(w, StoreKeys.GOING) > 0;
                     return w.cloud.out;
                 });
         w.run(20);
         assertEquals(List.of(), w.cloud.released);
-        assertEquals(1, records(w, Keys.GOING));
+        assertEquals(1, records(w, StoreKeys.GOING));
         w.cloud.out = false;
         w.run(40);
         assertEquals(List.of("i-000000"), w.cloud.released);
-        assertEquals(0, records(w, Keys.GOING));
+        assertEquals(0, records(w, StoreKeys.GOING));
     }
 
     @Test
@@ -184,7 +184,7 @@
             World x = world();
             Node first = holder ? x.leader() : carrier(x);
             want(x);
-            until(x, 5, () -> records(x, Keys.RENT) > 0);
+            until(x, 5, () -> records(x, StoreKeys.RENT) > 0);
             first.frozenUntil = x.clock.now + 25;
             x.run(80);
             assertEquals(6, x.cloud.named);
@@ -212,7 +212,7 @@
         assertEquals("done", w.status(w.leader(), "j-1"));
         assertEquals(
                 6, w.cloud.released.stream().distinct().count(), "idle machines are given back");
-        assertEquals(0, records(w, Keys.ACT));
+        assertEquals(0, records(w, StoreKeys.ACT));
         assertEquals(0, w.leader().controller.intents.open());
     }
 
@@ -251,7 +251,7 @@
                     x.run(150);
                     assertEquals(List.of(), x.broken, at);
                     assertEquals(6, x.cloud.released.stream().distinct().count(), at);
-                    assertEquals(0, records(x, Keys.ACT), at);
+                    assertEquals(0, records(x, StoreKeys.ACT), at);
                     if (ends[0] == 0) {
                         break;
                     }
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -9,7 +9,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.Registry.Answer;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.ArrayList;
@@ -102,7 +102,7 @@
         w.clock.ends = t -> lastEnd = t.job.equals(ID) ? w.clock.now : lastEnd;
         w.store.written =
                 (n, t) -> {
-                    if (t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + ID))) {
+                    if (t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + ID))) {
                         written = w.clock.now;
                     }
                 };
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -10,7 +10,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.JsonSize;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.ArrayList;
@@ -94,7 +94,7 @@
         w.submit(old, World.job("j-1", Shape.ARRAY, 250, 3));
         w.submit(old, World.job("j-3", Shape.SERVICE, 250, 0.5));
         w.run(5);
-        assertTrue(JsonSize.size(w.store.keys.get(Keys.part("j-1", 0)).value()) > 2048);
+        assertTrue(JsonSize.size(w.store.keys.get(StoreKeys.part("j-1", 0)).value()) > 2048);
         old.crash();
         w.next = LOW;
         fall();
@@ -127,7 +127,7 @@
         w.run(60);
         assertEquals(
                 List.of(),
-                w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.PART)).toList());
+                w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.PART)).toList());
         assertEquals(List.of(), w.broken);
     }
 
@@ -143,7 +143,7 @@
             t.w.run(3);
             t.w.submit(old, World.job("j-1", Shape.GANG, 200, 2));
             assertNull(
-                    ((Map<?, ?>) t.w.store.keys.get(Keys.OPEN + "j-1").value()).get("partTasks"));
+                    ((Map<?, ?>) t.w.store.keys.get(StoreKeys.OPEN + "j-1").value()).get("partTasks"));
             old.crash();
             t.w.next = LOW;
             t.fall();
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -10,7 +10,7 @@
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.List;
@@ -34,7 +34,7 @@
      */
     @Test
     void claimsThatWereWonUnawaresEndAndOneIsHeard() {
-        for (String key : List.of(Keys.LEADER, Keys.DUTY + "cloud", Keys.DUTY + "cleanup")) {
+        for (String key : List.of(StoreKeys.LEADER, StoreKeys.DUTY + "cloud", StoreKeys.DUTY + "cleanup")) {
             for (int times = 1; times <= 4; times++) {
                 for (double refused : new double[] {0, 0.7, 1.6, 3}) {
                     World w = settled(3, 4);
@@ -138,7 +138,7 @@
                 int[] lost = {0};
                 w.store.unheard =
                         t ->
-                                t.writes().stream().anyMatch(x -> x.key().equals(Keys.OVER + "j-1"))
+                                t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1"))
                                         && lost[0]++ < 1;
                 if (how >= 2) {
                     w.store.hangs = n -> n == holder;
@@ -190,7 +190,7 @@
             int[] lost = {0};
             w.store.unheard =
                     t ->
-                            t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.OVER))
+                            t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.OVER))
                                     && lost[0]++ < 8;
             for (int j = 0; j < 4; j++) {
                 handIn(w, j, job("j-1" + j, j % 2 == 0 ? Shape.ARRAY : Shape.GANG, 1 + j, 1));
@@ -306,7 +306,7 @@
                                                             c ->
                                                                     c.key()
                                                                                     .equals(
-                                                                                            Keys
+                                                                                            StoreKeys
                                                                                                             .OPEN
                                                                                                     + "j-1")
                                                                             && c.revision() > 0)
@@ -315,7 +315,7 @@
                                                             x ->
                                                                     x.key()
                                                                                     .equals(
-                                                                                            Keys
+                                                                                            StoreKeys
                                                                                                             .OPEN
                                                                                                     + "j-1")
                                                                             && x.value() != null);
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -12,7 +12,7 @@
 import io.kitepath.core.port.Store.Write;
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.List;
@@ -160,7 +160,7 @@
                     at + ": " + id + " is " + said);
         }
         assertEquals("done", w.status(leader, "j-5"), at);
-        for (String prefix : List.of(Keys.OPEN, Keys.PART, Keys.ACT)) {
+        for (String prefix : List.of(StoreKeys.OPEN, StoreKeys.PART, StoreKeys.ACT)) {
             assertEquals(
                     List.of(),
                     w.store.keys.keySet().stream().filter(k -> k.startsWith(prefix)).toList(),
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -12,7 +12,7 @@
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
@@ -248,7 +248,7 @@
                 }
                 assertEquals(
                         0,
-                        w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.OPEN)).count(),
+                        w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.OPEN)).count(),
                         at);
                 days++;
             }
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -12,7 +12,7 @@
 import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.place.Placer;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.List;
@@ -164,7 +164,7 @@
         String said = "";
         while (!said.equals("done") && w.clock.now < from + 60) {
             w.run(0.05);
-            if (w.store.keys.containsKey(Keys.OVER + "j-1")) {
+            if (w.store.keys.containsKey(StoreKeys.OVER + "j-1")) {
                 said = w.cancel(n, "j-1").state().status();
             }
         }
@@ -264,7 +264,7 @@
             t.w.cancel(n, "j-1");
             double from = t.w.clock.now;
             Random random = new Random(1);
-            while (t.w.store.keys.keySet().stream().anyMatch(k -> k.startsWith(Keys.OPEN))
+            while (t.w.store.keys.keySet().stream().anyMatch(k -> k.startsWith(StoreKeys.OPEN))
                     && t.w.clock.now - from < 300) {
                 t.w.ask(n, "j-" + (2 + random.nextInt(1000)));
                 t.w.run(0.5);
--- a/src/test/java/io/kitepath/core/QuickEndsTest.java
+++ b/src/test/java/io/kitepath/core/QuickEndsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import io.kitepath.standin.Worlds;
@@ -68,9 +68,9 @@
         Node first = w.leader();
         first.crash();
         // Written as before processes said when they began, and on which lease they lead.
-        long lease = w.store.lease.get(Keys.LEADER);
+        long lease = w.store.lease.get(StoreKeys.LEADER);
         w.store.put(
-                Keys.LEADER,
+                StoreKeys.LEADER,
                 Map.of("node", first.name, "token", w.store.token()),
                 lease,
                 ++w.store.revision);
@@ -242,7 +242,7 @@
                             && t.writes().stream()
                                     .anyMatch(
                                             x ->
-                                                    x.key().equals(Keys.LEADER)
+                                                    x.key().equals(StoreKeys.LEADER)
                                                             && x.value() != null)) {
                         stopped[0] = n;
                         n.controller.stop();
--- a/src/test/java/io/kitepath/core/SettledWritesTest.java
+++ b/src/test/java/io/kitepath/core/SettledWritesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import io.kitepath.standin.Worlds;
@@ -30,7 +30,7 @@
         int[] unheard = new int[1];
         w.store.unheard =
                 t -> {
-                    boolean ours = t.writes().stream().anyMatch(x -> x.key().startsWith(Keys.PART));
+                    boolean ours = t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.PART));
                     if (ours && seen[0]++ >= nth && unheard[0] < tries) {
                         unheard[0]++;
                         if (cancel) {
@@ -58,7 +58,7 @@
                     at + ": " + id + " is " + status);
         }
         assertEquals(
-                0, w.store.keys.keySet().stream().filter(k -> k.startsWith(Keys.PART)).count(), at);
+                0, w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.PART)).count(), at);
         return w;
     }
 
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -18,7 +18,7 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.serve.Registry;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
@@ -208,7 +208,7 @@
     private Store.Transaction submission(JobSpec s) {
         var record = s.toRecord();
         record.put("submittedMs", w.clock.now * 1000);
-        return new Store.Transaction().when(Keys.OPEN + s.id(), 0).put(Keys.OPEN + s.id(), record);
+        return new Store.Transaction().when(StoreKeys.OPEN + s.id(), 0).put(StoreKeys.OPEN + s.id(), record);
     }
 
     @Test
@@ -285,7 +285,7 @@
         assertEquals(0, w.onMachines("j-1"));
         assertEquals("cancelled", w.status(n, "j-1"));
         assertTrue(n.controller.block.jobs().isEmpty());
-        assertTrue(w.store.keys.keySet().stream().noneMatch(k -> k.startsWith(Keys.PART)));
+        assertTrue(w.store.keys.keySet().stream().noneMatch(k -> k.startsWith(StoreKeys.PART)));
     }
 
     @Test
@@ -845,16 +845,16 @@
                         .allMatch(m -> m.has("img")));
         // Nothing changed since, so nothing is written again.
         long revision =
-                w.store.keys.get(Keys.IMAGES + 0) == null
+                w.store.keys.get(StoreKeys.IMAGES + 0) == null
                         ? 0
-                        : w.store.keys.get(Keys.IMAGES + 0).revision();
+                        : w.store.keys.get(StoreKeys.IMAGES + 0).revision();
         w.run(30);
-        assertTrue(w.store.log.stream().filter(x -> x.key().startsWith(Keys.IMAGES)).count() <= 4);
+        assertTrue(w.store.log.stream().filter(x -> x.key().startsWith(StoreKeys.IMAGES)).count() <= 4);
         assertEquals(
                 revision,
-                w.store.keys.get(Keys.IMAGES + 0) == null
+                w.store.keys.get(StoreKeys.IMAGES + 0) == null
                         ? 0
-                        : w.store.keys.get(Keys.IMAGES + 0).revision());
+                        : w.store.keys.get(StoreKeys.IMAGES + 0).revision());
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -10,7 +10,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.Registry.Verdict;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.ArrayList;
@@ -95,13 +95,13 @@
             w.store.written =
                     (n, t) ->
                             t.writes().stream()
-                                    .filter(x -> x.value() != null && x.key().startsWith(Keys.PART))
+                                    .filter(x -> x.value() != null && x.key().startsWith(StoreKeys.PART))
                                     .forEach(
                                             x ->
                                                     placed(
                                                             x.key()
                                                                     .substring(
-                                                                            Keys.PART.length(),
+                                                                            StoreKeys.PART.length(),
                                                                             x.key()
                                                                                     .lastIndexOf(
                                                                                             '/'))));
@@ -229,7 +229,7 @@
             return j == null
                     ? Stage.NOT_HEARD_OF
                     : j.live().values().stream().anyMatch(Attempt::durable)
-                                    || w.store.keys.containsKey(Keys.part(id, 0))
+                                    || w.store.keys.containsKey(StoreKeys.part(id, 0))
                             ? Stage.PLACED
                             : Stage.WAITING;
         }
@@ -269,7 +269,7 @@
                             mostKeys,
                             (int)
                                     w.store.keys.keySet().stream()
-                                            .filter(k -> !k.startsWith(Keys.OVER))
+                                            .filter(k -> !k.startsWith(StoreKeys.OVER))
                                             .count());
         }
 
@@ -308,7 +308,7 @@
             assertEquals(
                     0,
                     w.store.keys.keySet().stream()
-                            .filter(k -> k.startsWith(Keys.PART) || k.startsWith(Keys.OPEN))
+                            .filter(k -> k.startsWith(StoreKeys.PART) || k.startsWith(StoreKeys.OPEN))
                             .count(),
                     at);
             // A quarter, give or take.
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.List;
@@ -52,12 +52,12 @@
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 1));
         w.submit(w.leader(), job("j-2", Shape.ARRAY, 400, 1));
         for (int i = 0; i < 30; i++) {
-            put(w, Keys.part("j-9" + i, 0), part(Map.of()));
+            put(w, StoreKeys.part("j-9" + i, 0), part(Map.of()));
         }
-        put(w, Keys.part("j-800", 0), part(Map.of("i-000777", List.of(0L, 1L))));
+        put(w, StoreKeys.part("j-800", 0), part(Map.of("i-000777", List.of(0L, 1L))));
         put(
                 w,
-                Keys.ACT + "rent/r-old",
+                StoreKeys.ACT + "rent/r-old",
                 Map.of(
                         "type",
                         "m4",
@@ -75,9 +75,9 @@
                         List.of("i-000555")));
         put(
                 w,
-                Keys.ACT + "going/old",
+                StoreKeys.ACT + "going/old",
                 Map.of("machines", List.of("i-000556"), "token", 1L, "gone", true));
-        put(w, Keys.ACT + "going/odd", Map.of("machines", 7L));
+        put(w, StoreKeys.ACT + "going/odd", Map.of("machines", 7L));
     }
 
     private static boolean there(World w, String key) {
@@ -97,22 +97,22 @@
         litter(w);
         w.run(200);
         for (int i = 0; i < 30; i++) {
-            assertFalse(there(w, Keys.part("j-9" + i, 0)));
+            assertFalse(there(w, StoreKeys.part("j-9" + i, 0)));
         }
-        assertFalse(there(w, Keys.ACT + "rent/r-old"));
-        assertFalse(there(w, Keys.ACT + "going/old"));
-        assertTrue(there(w, Keys.part("j-800", 0)), "it says that something is on a machine");
-        assertTrue(there(w, Keys.ACT + "going/odd"));
+        assertFalse(there(w, StoreKeys.ACT + "rent/r-old"));
+        assertFalse(there(w, StoreKeys.ACT + "going/old"));
+        assertTrue(there(w, StoreKeys.part("j-800", 0)), "it says that something is on a machine");
+        assertTrue(there(w, StoreKeys.ACT + "going/odd"));
         assertEquals(2, sweeper(w).controller.sweep.strange());
         assertEquals(30, sweeper(w).controller.sweep.removed());
         assertEquals("done", w.status(w.leader(), "j-1"));
-        assertTrue(there(w, Keys.part("j-2", 0)));
+        assertTrue(there(w, StoreKeys.part("j-2", 0)));
     }
 
     @Test
     void aJobThatIsJustBeingAcceptedKeepsItsParts() {
         settle(w);
-        put(w, Keys.part("j-5", 0), part(Map.of()));
+        put(w, StoreKeys.part("j-5", 0), part(Map.of()));
         // In the moment of the removal, the job is there.
         boolean[] once = {true};
         w.store.withheld =
@@ -121,22 +121,22 @@
                             && t.writes().stream()
                                     .anyMatch(
                                             x ->
-                                                    x.key().equals(Keys.part("j-5", 0))
+                                                    x.key().equals(StoreKeys.part("j-5", 0))
                                                             && x.value() == null)) {
                         once[0] = false;
-                        put(w, Keys.OPEN + "j-5", Map.of("unreadable", true));
+                        put(w, StoreKeys.OPEN + "j-5", Map.of("unreadable", true));
                     }
                     return false;
                 };
         w.run(60);
         assertFalse(once[0]);
-        assertTrue(there(w, Keys.part("j-5", 0)));
+        assertTrue(there(w, StoreKeys.part("j-5", 0)));
     }
 
     @Test
     void aHolderBeginsThoughAPartHasNoJob() {
         settle(w);
-        put(w, Keys.part("j-9", 0), part(Map.of()));
+        put(w, StoreKeys.part("j-9", 0), part(Map.of()));
         w.nodes.values().forEach(Node::crash);
         w.run(0.3);
         w.siblings.forEach(w::node);
@@ -168,13 +168,13 @@
             for (int i = 0;
                     i < 10
                             && x.store.keys.keySet().stream()
-                                    .anyMatch(k -> k.startsWith(Keys.ACT + "rent/"));
+                                    .anyMatch(k -> k.startsWith(StoreKeys.ACT + "rent/"));
                     i++) {
                 x.run(0.5);
             }
             points += ends[0];
             TreeSet<String> left = new TreeSet<>(x.store.keys.keySet());
-            left.removeIf(k -> k.startsWith("kitepath/") && !k.startsWith(Keys.ACT));
+            left.removeIf(k -> k.startsWith("kitepath/") && !k.startsWith(StoreKeys.ACT));
             if (n == 0) {
                 clean = left;
             }
@@ -193,19 +193,19 @@
     void aJobThatEndsWhileItIsLookedAtIsNotCalledStrange() {
         settle(w);
         for (String id : List.of("j-5", "j-6")) {
-            put(w, Keys.OPEN + id, Map.of("unreadable", true));
+            put(w, StoreKeys.OPEN + id, Map.of("unreadable", true));
         }
-        put(w, Keys.OVER + "j-6", Map.of("status", "done", "done", 1L));
+        put(w, StoreKeys.OVER + "j-6", Map.of("status", "done", "done", 1L));
         boolean[] once = {true};
         w.store.withheld =
                 t -> {
                     if (once[0]
                             && t.writes().isEmpty()
                             && t.conditions().stream()
-                                    .anyMatch(c -> c.key().equals(Keys.OVER + "j-5"))) {
+                                    .anyMatch(c -> c.key().equals(StoreKeys.OVER + "j-5"))) {
                         once[0] = false;
-                        w.store.put(Keys.OPEN + "j-5", null, 0, ++w.store.revision);
-                        put(w, Keys.OVER + "j-5", Map.of("status", "done", "done", 1L));
+                        w.store.put(StoreKeys.OPEN + "j-5", null, 0, ++w.store.revision);
+                        put(w, StoreKeys.OVER + "j-5", Map.of("status", "done", "done", 1L));
                     }
                     return false;
                 };
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -13,7 +13,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
@@ -65,7 +65,7 @@
             int parts =
                     (int)
                             w.store.keys.keySet().stream()
-                                    .filter(k -> k.startsWith(Keys.PART + "j-21"))
+                                    .filter(k -> k.startsWith(StoreKeys.PART + "j-21"))
                                     .count();
             half += parts > 0 && parts < 3 ? 1 : 0;
             // The gang that is on record by now is called off too, by half of the users.
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -13,9 +13,9 @@
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.Keeper;
-import io.kitepath.core.state.Keys;
-import io.kitepath.core.state.Reading;
+import io.kitepath.core.state.StateWriter;
+import io.kitepath.core.state.StoreKeys;
+import io.kitepath.core.state.StateLoader;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -48,7 +48,7 @@
         long token;
         ShardState block;
         Shares shares;
-        ArrayDeque<Keeper.Rider> riders;
+        ArrayDeque<StateWriter.BatchContributor> riders;
 
         /** Of the present holder: what an earlier one was to hear is heard by nobody. */
         int incarnation;
@@ -114,7 +114,7 @@
                             new Random(1));
             List<Store.Entry> all = List.copyOf(keys.values());
             shares.adopt(
-                    new Reading.Found(
+                    new StateLoader.LoadedState(
                             0,
                             List.of(),
                             List.of(),
@@ -122,8 +122,8 @@
                             List.of(),
                             List.of(),
                             List.of(),
-                            all.stream().filter(e -> e.key().startsWith(Keys.VOID)).toList(),
-                            all.stream().filter(e -> e.key().startsWith(Keys.SHARE)).toList(),
+                            all.stream().filter(e -> e.key().startsWith(StoreKeys.VOID)).toList(),
+                            all.stream().filter(e -> e.key().startsWith(StoreKeys.SHARE)).toList(),
                             null,
                             null));
             job = null;
@@ -181,7 +181,7 @@
 
         /** The next rider's transaction, executed; whether its holder hears of it. */
         void commit(boolean heard) {
-            Keeper.Rider r = riders.poll();
+            StateWriter.BatchContributor r = riders.poll();
             if (!r.wanted()) {
                 return;
             }
@@ -204,7 +204,7 @@
         long stored() {
             return LIMIT / count
                     + keys.values().stream()
-                            .filter(e -> e.key().startsWith(Keys.SHARE))
+                            .filter(e -> e.key().startsWith(StoreKeys.SHARE))
                             .mapToLong(
                                     e ->
                                             DocumentReader.of(e.value())
@@ -214,7 +214,7 @@
         }
 
         boolean took(String giver, long number) {
-            Store.Entry e = keys.get(Keys.VOID + "share/" + giver);
+            Store.Entry e = keys.get(StoreKeys.VOID + "share/" + giver);
             return e != null && Numbers.read(e.value(), 0).isVoid(number);
         }
 
@@ -350,7 +350,7 @@
         for (Cell c : cells.values()) {
             sum += c.stored();
             for (Store.Entry e : c.keys.values()) {
-                if (e.key().startsWith(Keys.SHARE)) {
+                if (e.key().startsWith(StoreKeys.SHARE)) {
                     for (Object o : DocumentReader.of(e.value()).list("out")) {
                         List<?> l = (List<?>) o;
                         if (!cells.get((String) l.get(1))
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -125,7 +125,7 @@
                     Job.of(
                             new JobRecord(s, 0, List.of(), 0, 0),
                             block.facts(),
-                            Keys.OPEN + s.id(),
+                            StoreKeys.OPEN + s.id(),
                             7,
                             256);
             block.addJob(j);
@@ -162,7 +162,7 @@
     @Test
     void whatIsGoneIsSaidBeforeAnythingIsProven() {
         jobs(3);
-        gone.add(Keys.OPEN + "j-1");
+        gone.add(StoreKeys.OPEN + "j-1");
         proof.start();
         w.run(0.015);
         assertEquals(List.of(), proven);
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -16,7 +16,7 @@
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.Heartbeat.TaskStatus;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import io.kitepath.wire.Pack;
@@ -133,7 +133,7 @@
     @Test
     void recordsOfPlainJobsAreTheSame() {
         for (String id : List.of("j-1", "j-3", "j-4", "j-6")) {
-            Object theirs = record(Keys.OPEN + id).value();
+            Object theirs = record(StoreKeys.OPEN + id).value();
             JobRecord r = JobRecord.of(id, theirs);
             assertArrayEquals(Pack.bytes(theirs), Pack.bytes(r.toMap()), id);
             assertEquals(List.of(), r.needs());
@@ -162,8 +162,8 @@
         // What runs when production ends.
         for (String part : List.of("j-1/0", "j-1/1", "j-3/0", "j-4/0")) {
             String job = part.substring(0, part.indexOf('/'));
-            w.specs.put(job, JobRecord.of(job, record(Keys.OPEN + job).value()).spec());
-            Map<?, ?> live = (Map<?, ?>) ((Map<?, ?>) record(Keys.PART + part).value()).get("live");
+            w.specs.put(job, JobRecord.of(job, record(StoreKeys.OPEN + job).value()).spec());
+            Map<?, ?> live = (Map<?, ?>) ((Map<?, ?>) record(StoreKeys.PART + part).value()).get("live");
             live.forEach(
                     (machine, l) -> {
                         for (int i = 0; i + 1 < ((List<?>) l).size(); i += 2) {
@@ -182,7 +182,7 @@
         long running = w.onMachines("j-1");
         assertTrue(running > 250, "only " + running);
         Node n = w.node("k1");
-        w.specs.put("j-6", JobRecord.of("j-6", record(Keys.OPEN + "j-6").value()).spec());
+        w.specs.put("j-6", JobRecord.of("j-6", record(StoreKeys.OPEN + "j-6").value()).spec());
         w.specs.put("j-2", World.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
         w.completed.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
         w.rules.asksToCancel("j-5"); // So was this.
--- a/src/test/java/io/kitepath/standin/CheckerTest.java
+++ b/src/test/java/io/kitepath/standin/CheckerTest.java
@@ -5,7 +5,7 @@
 
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -62,9 +62,9 @@
     void aJobCalledDoneBeforeItsTasksAre() {
         String id = job(2);
         World east = c.world("east");
-        east.store.put(Keys.OPEN + id, null, 0, ++east.store.revision);
+        east.store.put(StoreKeys.OPEN + id, null, 0, ++east.store.revision);
         east.store.put(
-                Keys.OVER + id, Map.of("status", "done", "done", 2L), 0, ++east.store.revision);
+                StoreKeys.OVER + id, Map.of("status", "done", "done", 2L), 0, ++east.store.revision);
         c.status(c.any("west"), id);
         finds("not done: " + id);
     }
@@ -75,7 +75,7 @@
         c.until(60, () -> c.status(c.any("east"), id).equals("done"));
         World east = c.world("east");
         east.store.put(
-                Keys.OVER + id,
+                StoreKeys.OVER + id,
                 Map.of("status", "cancelled", "done", 0L),
                 0,
                 ++east.store.revision);
@@ -83,7 +83,7 @@
         c.run(15);
         c.status(c.any("east"), id);
         finds("went back: " + id);
-        east.store.put(Keys.OVER + id, null, 0, ++east.store.revision);
+        east.store.put(StoreKeys.OVER + id, null, 0, ++east.store.revision);
         c.restart(c.any("east"), 1);
         c.run(15);
         c.status(c.any("east"), id);
--- a/src/test/java/io/kitepath/standin/RulesTest.java
+++ b/src/test/java/io/kitepath/standin/RulesTest.java
@@ -10,7 +10,7 @@
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.serve.Registry;
-import io.kitepath.core.state.Keys;
+import io.kitepath.core.state.StoreKeys;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -60,8 +60,8 @@
     }
 
     private void over(String id, String status) {
-        w.store.put(Keys.OPEN + id, null, 0, ++w.store.revision);
-        w.store.put(Keys.OVER + id, Map.of("status", status, "done", 0L), 0, ++w.store.revision);
+        w.store.put(StoreKeys.OPEN + id, null, 0, ++w.store.revision);
+        w.store.put(StoreKeys.OVER + id, Map.of("status", status, "done", 0L), 0, ++w.store.revision);
     }
 
     @Test
@@ -145,7 +145,7 @@
         w.runsFor = id -> 500;
         w.submit(w.leader(), job("j-1"));
         w.cancel(w.leader(), "j-1");
-        w.store.put(Keys.OVER + "j-1", null, 0, ++w.store.revision);
+        w.store.put(StoreKeys.OVER + "j-1", null, 0, ++w.store.revision);
         w.nodes.values().forEach(Node::crash);
         w.siblings.forEach(w::node);
         w.run(15);
