--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -11,9 +11,9 @@
 import io.kitepath.core.fleet.Fleet;
 import io.kitepath.core.fleet.Rentals;
 import io.kitepath.core.lead.Incarnation;
-import io.kitepath.core.lead.KnownCancellations;
+import io.kitepath.core.lead.CancellationWatermark;
 import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.lead.Views;
+import io.kitepath.core.lead.MembershipView;
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.ClusterSettings;
@@ -70,9 +70,9 @@
     final Placer placer;
     final Leadership leadership;
     final StateWriter keeper;
-    private final Views views;
+    private final MembershipView views;
     private final Gossip gossip;
-    final KnownCancellations known;
+    final CancellationWatermark known;
     private final CancellationProof proof;
     private final LoopTimeAccounting spent;
     private final Takeover takeover;
@@ -135,10 +135,10 @@
         this.heartbeats = new HeartbeatProcessor(block);
         this.takeover = new Takeover(block);
         this.placer = new Placer(block, random, spent);
-        this.views = new Views(facts, timers);
+        this.views = new MembershipView(facts, timers);
         Incarnation incarnation = new Incarnation(facts.node(), timers.wallMs(), random);
         this.leadership = new Leadership(facts, store, timers, random, incarnation, new Leading());
-        this.known = new KnownCancellations(facts, timers);
+        this.known = new CancellationWatermark(facts, timers);
         this.gossip =
                 new Gossip(
                         timers,
--- a/src/main/java/io/kitepath/core/Figures.java
+++ b/src/main/java/io/kitepath/core/Figures.java
@@ -5,9 +5,9 @@
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.block.ServiceLevels;
-import io.kitepath.core.lead.KnownCancellations;
+import io.kitepath.core.lead.CancellationWatermark;
 import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.lead.Views;
+import io.kitepath.core.lead.MembershipView;
 import io.kitepath.core.model.Metric;
 import io.kitepath.core.place.Placer;
 import io.kitepath.core.port.Timers;
@@ -27,8 +27,8 @@
     private final Placer placer;
     private final Leadership leadership;
     private final StateWriter keeper;
-    private final Views views;
-    private final KnownCancellations known;
+    private final MembershipView views;
+    private final CancellationWatermark known;
     private final HeartbeatDesk desk;
 
     Figures(
@@ -38,8 +38,8 @@
             Placer placer,
             Leadership leadership,
             StateWriter keeper,
-            Views views,
-            KnownCancellations known,
+            MembershipView views,
+            CancellationWatermark known,
             HeartbeatDesk desk) {
         this.known = known;
         this.timers = timers;
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -2,9 +2,9 @@
 
 import io.kitepath.core.block.ShardState;
 import io.kitepath.core.lead.CancellationLog;
-import io.kitepath.core.lead.KnownCancellations;
+import io.kitepath.core.lead.CancellationWatermark;
 import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.lead.Views;
+import io.kitepath.core.lead.MembershipView;
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobStatus;
@@ -24,9 +24,9 @@
     private final Timers timers;
     private final PeerNodes siblings;
     private final Leadership leadership;
-    private final Views views;
+    private final MembershipView views;
     private final ShardState block;
-    private final KnownCancellations known;
+    private final CancellationWatermark known;
     private final CancellationLog cancellations;
 
     /** Whether this node holds the block and knows the jobs. */
@@ -44,9 +44,9 @@
             Timers timers,
             PeerNodes siblings,
             Leadership leadership,
-            Views views,
+            MembershipView views,
             ShardState block,
-            KnownCancellations known,
+            CancellationWatermark known,
             BooleanSupplier holds,
             Consumer<JobStatus> ended,
             Runnable changed) {
--- a/src/main/java/io/kitepath/core/lead/KnownCancellations.java
+++ b/src/main/java/io/kitepath/core/lead/CancellationWatermark.java
@@ -28,7 +28,7 @@
  * confirmed before. Moments are times of day, which on all nodes are right to within the settings'
  * clock error.
  */
-public final class KnownCancellations {
+public final class CancellationWatermark {
     /**
      * Told of by others and not seen in the store yet; with more than that, digests count for
      * nothing.
@@ -47,7 +47,7 @@
     /** Jobs that others said are cancelled, and when they said so, by our clock. */
     private final Map<String, Double> told = new LinkedHashMap<>();
 
-    public KnownCancellations(ClusterSettings facts, Timers timers) {
+    public CancellationWatermark(ClusterSettings facts, Timers timers) {
         this.siblings = facts.siblings();
         this.timers = timers;
         this.apartMs = 2 * facts.clockErrorMs();
--- a/src/main/java/io/kitepath/core/lead/Views.java
+++ b/src/main/java/io/kitepath/core/lead/MembershipView.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /** What the siblings say of themselves, and since when one of them says nothing. */
-public final class Views {
-    private static final Logger LOG = LoggerFactory.getLogger(Views.class);
+public final class MembershipView {
+    private static final Logger LOG = LoggerFactory.getLogger(MembershipView.class);
 
     /** Views come every second; what is older than three of them says nothing of now. */
     private static final double FRESH_S = 3;
@@ -30,7 +30,7 @@
 
     private final Set<String> said = new HashSet<>();
 
-    public Views(ClusterSettings facts, Timers timers) {
+    public MembershipView(ClusterSettings facts, Timers timers) {
         this.siblings = facts.siblings();
         this.timers = timers;
     }
--- a/src/main/java/io/kitepath/core/serve/Entitlement.java
+++ b/src/main/java/io/kitepath/core/serve/Entitlement.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.serve;
 
 import io.kitepath.core.block.ShardState;
-import io.kitepath.core.lead.KnownCancellations;
+import io.kitepath.core.lead.CancellationWatermark;
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.Heartbeat;
@@ -12,7 +12,7 @@
  * Whether this node may answer workers with its token, and so keep their tasks alive.
  *
  * <p>An answer sent at time a keeps tasks until a + {@code lease_s} at most. Every cancellation
- * confirmed before k = {@link KnownCancellations} is known, and each answer says what to stop for
+ * confirmed before k = {@link CancellationWatermark} is known, and each answer says what to stop for
  * it. One that is not known was confirmed after k, so that its tasks are gone {@code a - k +
  * lease_s} after it at the latest: that has to stay under {@code cancel_s}.
  */
@@ -22,10 +22,10 @@
     private final ClusterSettings facts;
     private final ShardState block;
     private final Leadership leadership;
-    private final KnownCancellations known;
+    private final CancellationWatermark known;
     private boolean refusing;
 
-    Entitlement(ShardState block, Leadership leadership, KnownCancellations known) {
+    Entitlement(ShardState block, Leadership leadership, CancellationWatermark known) {
         this.facts = block.facts();
         this.block = block;
         this.leadership = leadership;
--- a/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
+++ b/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
@@ -2,9 +2,9 @@
 
 import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.HeartbeatProcessor;
-import io.kitepath.core.lead.KnownCancellations;
+import io.kitepath.core.lead.CancellationWatermark;
 import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.lead.Views;
+import io.kitepath.core.lead.MembershipView;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.WorkerCommand;
@@ -35,7 +35,7 @@
     private final HeartbeatProcessor heartbeats;
     private final Leadership leadership;
     private final StateWriter keeper;
-    private final Views views;
+    private final MembershipView views;
     private final Entitlement entitlement;
     private final PeerNodes siblings;
     private final Timers timers;
@@ -72,8 +72,8 @@
             HeartbeatProcessor heartbeats,
             Leadership leadership,
             StateWriter keeper,
-            Views views,
-            KnownCancellations known,
+            MembershipView views,
+            CancellationWatermark known,
             PeerNodes siblings,
             Timers timers,
             LoopTimeAccounting spent,
--- a/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void nothingIsKnownBeforeTheStoreWasRead() {
-        KnownCancellations k = new KnownCancellations(facts("k0", "k1"), timers);
+        CancellationWatermark k = new CancellationWatermark(facts("k0", "k1"), timers);
         k.word(digest("k1", 0, 100));
         assertTrue(k.ageS() > 1e9);
         k.proven(95_000);
@@ -36,7 +36,7 @@
 
     @Test
     void wordsCarryOnOnlyFromWhereTheyBegin() {
-        KnownCancellations k = new KnownCancellations(facts("k0", "k1", "k2"), timers);
+        CancellationWatermark k = new CancellationWatermark(facts("k0", "k1", "k2"), timers);
         k.proven(95_000);
         k.word(digest("k1", 94, 99));
         assertEquals(5, k.ageS(), 1e-6, "k2 has not spoken");
@@ -63,7 +63,7 @@
      */
     @Test
     void clocksThatAreApartCount() {
-        KnownCancellations k = new KnownCancellations(facts("k0", "k1"), timers);
+        CancellationWatermark k = new CancellationWatermark(facts("k0", "k1"), timers);
         k.proven(95_000);
         k.word(digest("k1", 94.995, 100));
         assertEquals(5, k.ageS(), 1e-6);
@@ -98,7 +98,7 @@
      */
     @Test
     void withTooManyToldNoWordCounts() {
-        KnownCancellations k = new KnownCancellations(facts("k0", "k1"), timers);
+        CancellationWatermark k = new CancellationWatermark(facts("k0", "k1"), timers);
         k.proven(95_000);
         for (int i = 0; i < 6000; i++) {
             k.told("j-" + i);
