--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -63,7 +63,7 @@
 
     final ClusterSettings facts;
     private final Timers timers;
-    private final DirectStops stops;
+    private final DirectCancellations stops;
     private final PeerNodes siblings;
     final ShardState block;
     final HeartbeatProcessor heartbeats;
@@ -75,7 +75,7 @@
     final CancellationWatermark known;
     private final CancellationProof proof;
     private final LoopTimeAccounting spent;
-    private final Takeover takeover;
+    private final FailoverTimings takeover;
     private final Rentals rentals;
     final Intents intents;
     private final Carrier carrier;
@@ -133,7 +133,7 @@
         ImageRecords images = new ImageRecords(facts);
         this.block = new ShardState(facts, images::recall);
         this.heartbeats = new HeartbeatProcessor(block);
-        this.takeover = new Takeover(block);
+        this.takeover = new FailoverTimings(block);
         this.placer = new Placer(block, random, spent);
         this.views = new MembershipView(facts, timers);
         Incarnation incarnation = new Incarnation(facts.node(), timers.wallMs(), random);
@@ -198,7 +198,7 @@
                         spent,
                         this::soon);
         this.stops =
-                new DirectStops(block, heartbeats, desk, leadership, direct, timers, this::soon);
+                new DirectCancellations(block, heartbeats, desk, leadership, direct, timers, this::soon);
         this.retries = new RetryPace(facts, timers);
         registry.onCancelled(
                 job -> {
@@ -317,7 +317,7 @@
 
     public Map<String, Metric> figures() {
         Map<String, Metric> all =
-                new Figures(
+                new NodeMetrics(
                                 timers,
                                 block,
                                 heartbeats,
@@ -328,7 +328,7 @@
                                 known,
                                 desk)
                         .all(() -> roundS, stops::sent);
-        new DutyFigures(intents, carrier, sweep, duties, takeover, spent).addTo(all);
+        new RoleMetrics(intents, carrier, sweep, duties, takeover, spent).addTo(all);
         if (cells != null) {
             cells.figures(all);
         }
@@ -517,7 +517,7 @@
         if (ticks % SUMMARY_TICKS == 0 || LOG.isDebugEnabled() && ticks % 20 == 0) {
             LOG.info(
                     "{} rounds={} writes={} checkins={} busy={}",
-                    Figures.summary(block, heartbeats, placer),
+                    NodeMetrics.summary(block, heartbeats, placer),
                     keeper.rounds(),
                     keeper.written(),
                     desk.received(),
--- a/src/main/java/io/kitepath/core/DirectStops.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -10,7 +10,7 @@
 /**
  * Stops that go straight to machines, as these ask only once in a report interval; so many at once.
  */
-final class DirectStops {
+final class DirectCancellations {
     private final ShardState block;
     private final HeartbeatProcessor heartbeats;
     private final HeartbeatDesk desk;
@@ -22,7 +22,7 @@
     private long sent;
 
     /** {@code changed} runs when a machine's answer may let work be placed. */
-    DirectStops(
+    DirectCancellations(
             ShardState block,
             HeartbeatProcessor heartbeats,
             HeartbeatDesk desk,
--- a/src/main/java/io/kitepath/core/Takeover.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -10,8 +10,8 @@
  * won the lease. Work waits for the first three of them: jobs are read, the first placing is
  * launched, workers report with the new token.
  */
-final class Takeover {
-    private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
+final class FailoverTimings {
+    private static final Logger LOG = LoggerFactory.getLogger(FailoverTimings.class);
 
     /** Of the machines that were up, how many have to have reported for the takeover to be over. */
     private static final double MOST = 0.95;
@@ -24,7 +24,7 @@
     private double mostS = Double.NaN;
     private boolean over = true;
 
-    Takeover(ShardState block) {
+    FailoverTimings(ShardState block) {
         this.block = block;
     }
 
--- a/src/main/java/io/kitepath/core/Figures.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -20,7 +20,7 @@
 import java.util.function.Predicate;
 
 /** What a node counts, for operators. */
-final class Figures {
+final class NodeMetrics {
     private final Timers timers;
     private final ShardState block;
     private final HeartbeatProcessor heartbeats;
@@ -31,7 +31,7 @@
     private final CancellationWatermark known;
     private final HeartbeatDesk desk;
 
-    Figures(
+    NodeMetrics(
             Timers timers,
             ShardState block,
             HeartbeatProcessor heartbeats,
--- a/src/main/java/io/kitepath/core/DutyFigures.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 
 /** What a node counts about duties, takeovers and its own time, for operators. */
-record DutyFigures(
+record RoleMetrics(
         Intents intents,
         Carrier carrier,
         Sweep sweep,
         Duties duties,
-        Takeover takeover,
+        FailoverTimings takeover,
         LoopTimeAccounting spent) {
     void addTo(Map<String, Metric> f) {
         f.put(
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -651,7 +651,7 @@
         w.run(60);
         assertTrue(
                 s.jobs().isEmpty(),
-                () -> Figures.summary(s, n.controller.heartbeats, n.controller.placer));
+                () -> NodeMetrics.summary(s, n.controller.heartbeats, n.controller.placer));
         assertTrue(
                 n.controller.keeper.written() < tasks / 4,
                 "records written: " + n.controller.keeper.written());
