--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -34,10 +34,10 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.HeartbeatDesk;
-import io.kitepath.core.serve.Jobs;
-import io.kitepath.core.serve.Registry;
-import io.kitepath.core.serve.RetryPace;
+import io.kitepath.core.serve.HeartbeatService;
+import io.kitepath.core.serve.JobApi;
+import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.serve.RetryAfter;
 import io.kitepath.core.state.CancellationProof;
 import io.kitepath.core.state.ImageRecords;
 import io.kitepath.core.state.StateWriter;
@@ -81,7 +81,7 @@
     private final Carrier carrier;
     final Sweep sweep;
     private final Duties duties;
-    private final Registry registry;
+    private final JobSubmissionService registry;
 
     /** Null without other cells. */
     private final CellDesk cells;
@@ -90,8 +90,8 @@
     private final ClusterSettings whole;
 
     private final CellDirectory directory;
-    private final HeartbeatDesk desk;
-    private final RetryPace retries;
+    private final HeartbeatService desk;
+    private final RetryAfter retries;
     private boolean ticking;
     private long ticks;
     private long rounds;
@@ -151,7 +151,7 @@
                         this::ended,
                         this::soon);
         this.registry =
-                new Registry(
+                new JobSubmissionService(
                         facts, store, timers, this.gossip::served, this.gossip, directory != null);
         this.cells = directory == null ? null : new InCells().desk(store, others, random);
         this.keeper = new StateWriter(store, timers, block, images, new Keeping(), cells);
@@ -186,7 +186,7 @@
                         this::holds,
                         new Proof());
         this.desk =
-                new HeartbeatDesk(
+                new HeartbeatService(
                         block,
                         heartbeats,
                         leadership,
@@ -199,7 +199,7 @@
                         this::soon);
         this.stops =
                 new DirectCancellations(block, heartbeats, desk, leadership, direct, timers, this::soon);
-        this.retries = new RetryPace(facts, timers);
+        this.retries = new RetryAfter(facts, timers);
         registry.onCancelled(
                 job -> {
                     block.pipelines().ended(job.id(), false, timers.wallMs());
@@ -236,7 +236,7 @@
     }
 
     /** What users ask. */
-    public Jobs registry() {
+    public JobApi registry() {
         return cells == null ? registry : cells.jobs();
     }
 
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -5,7 +5,7 @@
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.HeartbeatDesk;
+import io.kitepath.core.serve.HeartbeatService;
 
 /**
  * Stops that go straight to machines, as these ask only once in a report interval; so many at once.
@@ -13,7 +13,7 @@
 final class DirectCancellations {
     private final ShardState block;
     private final HeartbeatProcessor heartbeats;
-    private final HeartbeatDesk desk;
+    private final HeartbeatService desk;
     private final Leadership leadership;
     private final DirectCommands direct;
     private final Timers timers;
@@ -25,7 +25,7 @@
     DirectCancellations(
             ShardState block,
             HeartbeatProcessor heartbeats,
-            HeartbeatDesk desk,
+            HeartbeatService desk,
             Leadership leadership,
             DirectCommands direct,
             Timers timers,
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -11,13 +11,13 @@
 import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.Questions;
+import io.kitepath.core.serve.JobStatusQueries;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
 /** What this node and its siblings tell each other, and what follows from it. */
-final class Gossip implements Questions.Holder {
+final class Gossip implements JobStatusQueries.Holder {
     private static final double EVERY_S = 1;
 
     private final ClusterSettings facts;
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -11,7 +11,7 @@
 import io.kitepath.core.model.Metric;
 import io.kitepath.core.place.Placer;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.HeartbeatDesk;
+import io.kitepath.core.serve.HeartbeatService;
 import io.kitepath.core.state.StateWriter;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -29,7 +29,7 @@
     private final StateWriter keeper;
     private final MembershipView views;
     private final CancellationWatermark known;
-    private final HeartbeatDesk desk;
+    private final HeartbeatService desk;
 
     NodeMetrics(
             Timers timers,
@@ -40,7 +40,7 @@
             StateWriter keeper,
             MembershipView views,
             CancellationWatermark known,
-            HeartbeatDesk desk) {
+            HeartbeatService desk) {
         this.known = known;
         this.timers = timers;
         this.block = block;
--- a/src/main/java/io/kitepath/core/cell/CellDesk.java
+++ b/src/main/java/io/kitepath/core/cell/CellDesk.java
@@ -24,8 +24,8 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.Jobs;
-import io.kitepath.core.serve.Registry;
+import io.kitepath.core.serve.JobApi;
+import io.kitepath.core.serve.JobSubmissionService;
 import io.kitepath.core.state.StateWriter;
 import io.kitepath.core.state.StateLoader;
 import java.util.HashMap;
@@ -87,7 +87,7 @@
             Consumer<StateWriter.BatchContributor> riding,
             Store store,
             Timers timers,
-            Registry registry,
+            JobSubmissionService registry,
             RemoteCells cells,
             Random random,
             Node node) {
@@ -128,7 +128,7 @@
     }
 
     /** What users ask of this node, whichever cell the job is at home in. */
-    public Jobs jobs() {
+    public JobApi jobs() {
         return jobs;
     }
 
--- a/src/main/java/io/kitepath/core/cell/HomeJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeJobs.java
@@ -6,10 +6,10 @@
 import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.port.RemoteCells;
-import io.kitepath.core.serve.Jobs;
-import io.kitepath.core.serve.Registry;
-import io.kitepath.core.serve.Registry.Answer;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobApi;
+import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.serve.JobSubmissionService.Answer;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -19,15 +19,15 @@
  * cell that is. Who gets no answer there is told to come back at once; a home that can't be reached
  * is the only one that may accept.
  */
-final class HomeJobs implements Jobs {
+final class HomeJobs implements JobApi {
     private final CellDirectory directory;
-    private final Registry here;
+    private final JobSubmissionService here;
     private final RemoteCells cells;
 
     /** Whether this cell goes by the same homes as this node. */
     private final BooleanSupplier agreed;
 
-    HomeJobs(CellDirectory directory, Registry here, RemoteCells cells, BooleanSupplier agreed) {
+    HomeJobs(CellDirectory directory, JobSubmissionService here, RemoteCells cells, BooleanSupplier agreed) {
         this.directory = directory;
         this.here = here;
         this.cells = cells;
--- a/src/main/java/io/kitepath/core/serve/Dependencies.java
+++ b/src/main/java/io/kitepath/core/serve/DependencyCheck.java
@@ -23,7 +23,7 @@
  * the other is never taken for one that was never accepted. What was accepted stays so, hence what
  * was found once is not looked for again.
  */
-final class Dependencies {
+final class DependencyCheck {
     /**
      * What came of it: whether it could be found out; why not, if one was never accepted or can't
      * be waited for.
@@ -59,7 +59,7 @@
     /** Jobs that were accepted and are no services. */
     private final Cache<String, Boolean> accepted = Caffeine.newBuilder().maximumSize(5000).build();
 
-    Dependencies(ClusterSettings facts, Store store) {
+    DependencyCheck(ClusterSettings facts, Store store) {
         this.store = store;
         this.most = 2 * facts.store().txnOps();
     }
--- a/src/main/java/io/kitepath/core/serve/Entitlement.java
+++ b/src/main/java/io/kitepath/core/serve/HeartbeatAuthority.java
@@ -16,8 +16,8 @@
  * it. One that is not known was confirmed after k, so that its tasks are gone {@code a - k +
  * lease_s} after it at the latest: that has to stay under {@code cancel_s}.
  */
-final class Entitlement {
-    private static final Logger LOG = LoggerFactory.getLogger(Entitlement.class);
+final class HeartbeatAuthority {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatAuthority.class);
 
     private final ClusterSettings facts;
     private final ShardState block;
@@ -25,7 +25,7 @@
     private final CancellationWatermark known;
     private boolean refusing;
 
-    Entitlement(ShardState block, Leadership leadership, CancellationWatermark known) {
+    HeartbeatAuthority(ShardState block, Leadership leadership, CancellationWatermark known) {
         this.facts = block.facts();
         this.block = block;
         this.leadership = leadership;
--- a/src/main/java/io/kitepath/core/serve/HeartbeatDesk.java
+++ b/src/main/java/io/kitepath/core/serve/HeartbeatService.java
@@ -24,7 +24,7 @@
  * Where workers' reports arrive, at any node: answered by the holder, sent or relayed to it by
  * others, or kept waiting a moment for a leader, or for work that is about to be placed.
  */
-public final class HeartbeatDesk {
+public final class HeartbeatService {
     /** Of the 4 s after which a worker drops an answer. */
     private static final double MAX_PARK_S = 3;
 
@@ -36,7 +36,7 @@
     private final Leadership leadership;
     private final StateWriter keeper;
     private final MembershipView views;
-    private final Entitlement entitlement;
+    private final HeartbeatAuthority entitlement;
     private final PeerNodes siblings;
     private final Timers timers;
     private final LoopTimeAccounting spent;
@@ -67,7 +67,7 @@
     private record Held(Consumer<HeartbeatResponse> answer, List<WorkerCommand> orders, long token) {}
 
     /** {@code changed} runs when a report may let work be placed. */
-    public HeartbeatDesk(
+    public HeartbeatService(
             ShardState block,
             HeartbeatProcessor heartbeats,
             Leadership leadership,
@@ -84,7 +84,7 @@
         this.leadership = leadership;
         this.keeper = keeper;
         this.views = views;
-        this.entitlement = new Entitlement(block, leadership, known);
+        this.entitlement = new HeartbeatAuthority(block, leadership, known);
         this.siblings = siblings;
         this.timers = timers;
         this.spent = spent;
--- a/src/main/java/io/kitepath/core/serve/Jobs.java
+++ b/src/main/java/io/kitepath/core/serve/JobApi.java
@@ -1,12 +1,12 @@
 package io.kitepath.core.serve;
 
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.serve.Registry.Answer;
+import io.kitepath.core.serve.JobSubmissionService.Answer;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** What users ask of any node. */
-public interface Jobs {
+public interface JobApi {
     /** Accepts a job that neither is nor was there. */
     default void submit(JobSpec spec, Consumer<Answer> answer) {
         submit(spec, List.of(), answer);
--- a/src/main/java/io/kitepath/core/serve/Questions.java
+++ b/src/main/java/io/kitepath/core/serve/JobStatusQueries.java
@@ -14,8 +14,8 @@
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.Registry.Answer;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Answer;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.core.state.PagedScan;
 import java.util.ArrayList;
@@ -36,7 +36,7 @@
  * older than one that a user got before. How far a job is comes from the holder's memory, which
  * costs the state service nothing.
  */
-public final class Questions {
+public final class JobStatusQueries {
     /** Of the state service's requests, what all nodes together spend on comparing. */
     private static final double RATE_SHARE = 0.15;
 
@@ -89,7 +89,7 @@
     /** How far a job was, and when that was said. */
     private record Heard(JobProgress progress, double at) {}
 
-    Questions(
+    JobStatusQueries(
             ClusterSettings facts,
             Store store,
             Timers timers,
--- a/src/main/java/io/kitepath/core/serve/Registry.java
+++ b/src/main/java/io/kitepath/core/serve/JobSubmissionService.java
@@ -25,7 +25,7 @@
  * What users ask of any node, answered from the store: only it knows whether a job is open or over.
  * Only final states come from memory, because they never change.
  */
-public final class Registry implements Jobs {
+public final class JobSubmissionService implements JobApi {
     /** REFUSED: it can never be accepted; INVALID: nor kept, as it is. */
     public enum Verdict {
         CREATED,
@@ -58,9 +58,9 @@
     private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
-    private final Dependencies dependencies;
+    private final DependencyCheck dependencies;
     private final Cache<String, JobStatus> over = Caffeine.newBuilder().maximumSize(5000).build();
-    private final Questions questions;
+    private final JobStatusQueries questions;
 
     /** Whether tasks may be lent to other cells. */
     private final boolean cells;
@@ -76,20 +76,20 @@
     private final BooleanSupplier served;
 
     /** {@code cells}: whether tasks may be lent to other cells. */
-    public Registry(
+    public JobSubmissionService(
             ClusterSettings facts,
             Store store,
             Timers timers,
             BooleanSupplier served,
-            Questions.Holder holder,
+            JobStatusQueries.Holder holder,
             boolean cells) {
         this.cells = cells;
         this.facts = facts;
-        this.dependencies = new Dependencies(facts, store);
+        this.dependencies = new DependencyCheck(facts, store);
         this.store = store;
         this.timers = timers;
         this.served = served;
-        this.questions = new Questions(facts, store, timers, holder, this::readOver);
+        this.questions = new JobStatusQueries(facts, store, timers, holder, this::readOver);
     }
 
     public void onCancelled(Consumer<JobStatus> listener) {
--- a/src/main/java/io/kitepath/core/serve/RetryPace.java
+++ b/src/main/java/io/kitepath/core/serve/RetryAfter.java
@@ -8,7 +8,7 @@
  * one second, come back together, and are more than the state service can answer: it is given the
  * time that it needs for all of them.
  */
-public final class RetryPace {
+public final class RetryAfter {
     /** Users wait no longer than this on our word. */
     private static final int MOST_S = 30;
 
@@ -21,7 +21,7 @@
     private int refused;
     private int before;
 
-    public RetryPace(ClusterSettings facts, Timers timers) {
+    public RetryAfter(ClusterSettings facts, Timers timers) {
         this.timers = timers;
         this.share = facts.store().rps() / (facts.siblings().size() + 1);
     }
--- a/src/main/java/io/kitepath/standin/Cellular.java
+++ b/src/main/java/io/kitepath/standin/Cellular.java
@@ -8,8 +8,8 @@
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.serve.Registry;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -274,7 +274,7 @@
 
     public Verdict submit(Node n, JobSpec s) {
         specs.put(s.id(), s);
-        Registry.Answer[] got = new Registry.Answer[1];
+        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         n.controller.registry().submit(s, a -> got[0] = a);
         run(0.2);
         if (got[0] == null) {
@@ -295,7 +295,7 @@
     }
 
     public String status(Node n, String id) {
-        Registry.Answer[] got = new Registry.Answer[1];
+        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         n.controller.registry().status(id, a -> got[0] = a);
         run(0.2);
         if (got[0] == null) {
@@ -308,7 +308,7 @@
     }
 
     public String cancel(Node n, String id) {
-        Registry.Answer[] got = new Registry.Answer[1];
+        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         n.controller.registry().cancel(id, a -> got[0] = a);
         run(0.2);
         if (got[0] == null) {
@@ -322,7 +322,7 @@
 
     // ---- the rules ------------------------------------------------------------------------------
 
-    private void heard(String id, Registry.Answer a) {
+    private void heard(String id, JobSubmissionService.Answer a) {
         if (a.verdict() == Verdict.NOT_FOUND && accepted.contains(id)) {
             broken.add("forgotten: " + id);
         }
--- a/src/main/java/io/kitepath/standin/Rehearsal.java
+++ b/src/main/java/io/kitepath/standin/Rehearsal.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
--- a/src/main/java/io/kitepath/standin/Rules.java
+++ b/src/main/java/io/kitepath/standin/Rules.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.serve.Registry;
+import io.kitepath.core.serve.JobSubmissionService;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -102,13 +102,13 @@
      * another was given before it was asked for; of two questions at the same time either may be
      * answered first.
      */
-    Registry.Answer heard(String id, Registry.Answer a, double asked) {
+    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer a, double asked) {
         if (a == null) {
             return null;
         }
         answers++;
-        if (a.verdict() != Registry.Verdict.KNOWN && a.verdict() != Registry.Verdict.CREATED) {
-            if (a.verdict() != Registry.Verdict.LATER
+        if (a.verdict() != JobSubmissionService.Verdict.KNOWN && a.verdict() != JobSubmissionService.Verdict.CREATED) {
+            if (a.verdict() != JobSubmissionService.Verdict.LATER
                     && acceptedAt.getOrDefault(id, 1e18) < asked) {
                 breaks("forgotten: " + id + " gets " + a.verdict());
             }
--- a/src/main/java/io/kitepath/standin/World.java
+++ b/src/main/java/io/kitepath/standin/World.java
@@ -8,7 +8,7 @@
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.port.Cloud;
-import io.kitepath.core.serve.Registry;
+import io.kitepath.core.serve.JobSubmissionService;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -386,8 +386,8 @@
                 s.deadlineS());
     }
 
-    public Registry.Answer submit(Node n, JobSpec s, String... itsNeeds) {
-        Registry.Answer[] got = new Registry.Answer[1];
+    public JobSubmissionService.Answer submit(Node n, JobSpec s, String... itsNeeds) {
+        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         double asked = clock.now;
         specs.put(s.id(), s);
         needs.putIfAbsent(s.id(), List.of(itsNeeds));
@@ -397,8 +397,8 @@
                         s,
                         List.of(itsNeeds),
                         a -> {
-                            if (a.verdict() == Registry.Verdict.CREATED
-                                    || a.verdict() == Registry.Verdict.KNOWN) {
+                            if (a.verdict() == JobSubmissionService.Verdict.CREATED
+                                    || a.verdict() == JobSubmissionService.Verdict.KNOWN) {
                                 rules.accepted(s.id());
                             }
                             got[0] = heard(s.id(), a, asked);
@@ -407,7 +407,7 @@
         return got[0];
     }
 
-    public Registry.Answer cancel(Node n, String id) {
+    public JobSubmissionService.Answer cancel(Node n, String id) {
         rules.asksToCancel(id);
         return told(id, answer -> n.controller.registry().cancel(id, answer));
     }
@@ -420,7 +420,7 @@
         return users.cancelNow(count, hangS, random);
     }
 
-    public Registry.Answer ask(Node n, String id) {
+    public JobSubmissionService.Answer ask(Node n, String id) {
         return told(id, answer -> n.controller.registry().status(id, answer));
     }
 
@@ -428,8 +428,8 @@
      * What a user hears counts from the moment in which it does, also if that is later than the
      * caller waits here.
      */
-    private Registry.Answer told(String id, Consumer<Consumer<Registry.Answer>> question) {
-        Registry.Answer[] got = new Registry.Answer[1];
+    private JobSubmissionService.Answer told(String id, Consumer<Consumer<JobSubmissionService.Answer>> question) {
+        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         double asked = clock.now;
         question.accept(
                 a -> {
@@ -442,7 +442,7 @@
     }
 
     /** A user hears that; {@code asked}: when it asked. */
-    Registry.Answer heard(String id, Registry.Answer a, double asked) {
+    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer a, double asked) {
         rules.heard(id, a, asked);
         if (a != null) {
             users.told(id, a);
@@ -494,8 +494,8 @@
     }
 
     public String status(Node n, String id) {
-        Registry.Answer a = ask(n, id);
-        return a.verdict() == Registry.Verdict.KNOWN ? a.state().status() : a.verdict().toString();
+        JobSubmissionService.Answer a = ask(n, id);
+        return a.verdict() == JobSubmissionService.Verdict.KNOWN ? a.state().status() : a.verdict().toString();
     }
 
     /** How many tasks of the job are on machines. */
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -3,8 +3,8 @@
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.serve.Registry;
-import io.kitepath.core.serve.Registry.Answer;
+import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.serve.JobSubmissionService.Answer;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.wire.Pack;
@@ -73,7 +73,7 @@
                         .submit(
                                 spec,
                                 needs,
-                                a -> answer(a, a.verdict() == Registry.Verdict.CREATED, out));
+                                a -> answer(a, a.verdict() == JobSubmissionService.Verdict.CREATED, out));
                 return;
             }
             status = 422;
@@ -94,7 +94,7 @@
                 .status(
                         id,
                         a -> {
-                            if (a.verdict() == Registry.Verdict.NOT_FOUND) {
+                            if (a.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
                                 out.reply(
                                         status,
                                         Wire.error(why),
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -11,7 +11,7 @@
 import io.kitepath.core.model.CellMessage.LoanState;
 import io.kitepath.core.model.CellMessage.LoanStatus;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Cellular;
 import io.kitepath.standin.Node;
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.serve.Registry.Answer;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Answer;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -10,8 +10,8 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Store.Write;
-import io.kitepath.core.serve.Registry;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
@@ -102,7 +102,7 @@
     /** A user repeats it, at one node after the other, until it is answered. */
     static void handIn(World w, int at, JobSpec s, String... needs) {
         for (int i = 0; i < 12; i++) {
-            Registry.Answer a = w.submit(w.nodes.get("k" + (at + i) % 3), s, needs);
+            JobSubmissionService.Answer a = w.submit(w.nodes.get("k" + (at + i) % 3), s, needs);
             if (a != null && (a.verdict() == Verdict.CREATED || a.verdict() == Verdict.KNOWN)) {
                 return;
             }
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -10,7 +10,7 @@
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -14,7 +14,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat.EndCause;
 import io.kitepath.core.model.Heartbeat.TaskState;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
 import io.kitepath.standin.World;
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -11,7 +11,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.place.Placer;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/QuestionRateTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import java.util.ArrayList;
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -16,8 +16,8 @@
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.serve.Registry;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Worker;
@@ -68,7 +68,7 @@
         Node n = settled(2, 1);
         w.submit(n, job("j-1", Shape.ARRAY, 1, 1));
         w.run(30);
-        Registry.Answer again = w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
+        JobSubmissionService.Answer again = w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
         assertEquals(Verdict.KNOWN, again.verdict());
         assertEquals("done", again.state().status());
     }
@@ -111,11 +111,11 @@
         assertEquals("done", w.status(n, "j-1"));
         w.store.outage(20);
         w.run(10);
-        Registry.Answer[] got = new Registry.Answer[3];
+        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[3];
         n.controller.registry().submit(job("j-2", Shape.ARRAY, 1, 1), a -> got[0] = a);
         n.controller.registry().status("j-2", a -> got[1] = a);
         n.controller.registry().cancel("j-2", a -> got[2] = a);
-        for (Registry.Answer a : got) {
+        for (JobSubmissionService.Answer a : got) {
             assertEquals(Verdict.LATER, a.verdict());
         }
         assertEquals("done", w.status(n, "j-1"));
@@ -819,7 +819,7 @@
         w.run(5);
         assertEquals("2 tasks wait for room of 1.0 CPUs each", w.ask(other, "j-1").state().note());
         leader.crash();
-        Registry.Answer[] got = new Registry.Answer[1];
+        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         other.controller.registry().status("j-1", a -> got[0] = a);
         w.run(0.6);
         String note = got[0].state().note();
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -9,7 +9,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.serve.Registry.Verdict;
+import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.Task;
 import io.kitepath.standin.World;
--- a/src/test/java/io/kitepath/core/serve/RetryPaceTest.java
+++ b/src/test/java/io/kitepath/core/serve/RetryPaceTest.java
@@ -28,8 +28,8 @@
                     new ClusterSettings.Limits(1, 200, 1000),
                     5);
 
-    private final RetryPace pace =
-            new RetryPace(
+    private final RetryAfter pace =
+            new RetryAfter(
                     facts,
                     new Timers() {
                         @Override
--- a/src/test/java/io/kitepath/standin/RulesTest.java
+++ b/src/test/java/io/kitepath/standin/RulesTest.java
@@ -9,7 +9,7 @@
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat.TaskState;
-import io.kitepath.core.serve.Registry;
+import io.kitepath.core.serve.JobSubmissionService;
 import io.kitepath.core.state.StoreKeys;
 import java.util.List;
 import java.util.Map;
@@ -170,7 +170,7 @@
         finds("j-2 is called cancelled and nobody asked");
         w.rules.heard(
                 "j-777",
-                new Registry.Answer(Registry.Verdict.KNOWN, new JobStatus("j-777", "pending", 0, 0)),
+                new JobSubmissionService.Answer(JobSubmissionService.Verdict.KNOWN, new JobStatus("j-777", "pending", 0, 0)),
                 w.clock.now);
         finds("invented: j-777");
     }
