--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -26,7 +26,7 @@
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
-import io.kitepath.core.place.Placer;
+import io.kitepath.core.place.Scheduler;
 import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.DirectCommands;
@@ -67,7 +67,7 @@
     private final PeerNodes siblings;
     final ShardState block;
     final HeartbeatProcessor heartbeats;
-    final Placer placer;
+    final Scheduler placer;
     final Leadership leadership;
     final StateWriter keeper;
     private final MembershipView views;
@@ -134,7 +134,7 @@
         this.block = new ShardState(facts, images::recall);
         this.heartbeats = new HeartbeatProcessor(block);
         this.takeover = new FailoverTimings(block);
-        this.placer = new Placer(block, random, spent);
+        this.placer = new Scheduler(block, random, spent);
         this.views = new MembershipView(facts, timers);
         Incarnation incarnation = new Incarnation(facts.node(), timers.wallMs(), random);
         this.leadership = new Leadership(facts, store, timers, random, incarnation, new Leading());
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -9,7 +9,7 @@
 import io.kitepath.core.lead.Leadership;
 import io.kitepath.core.lead.MembershipView;
 import io.kitepath.core.model.Metric;
-import io.kitepath.core.place.Placer;
+import io.kitepath.core.place.Scheduler;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.serve.HeartbeatService;
 import io.kitepath.core.state.StateWriter;
@@ -24,7 +24,7 @@
     private final Timers timers;
     private final ShardState block;
     private final HeartbeatProcessor heartbeats;
-    private final Placer placer;
+    private final Scheduler placer;
     private final Leadership leadership;
     private final StateWriter keeper;
     private final MembershipView views;
@@ -35,7 +35,7 @@
             Timers timers,
             ShardState block,
             HeartbeatProcessor heartbeats,
-            Placer placer,
+            Scheduler placer,
             Leadership leadership,
             StateWriter keeper,
             MembershipView views,
@@ -188,7 +188,7 @@
     }
 
     /** One line for the log that sums up the block. */
-    static String summary(ShardState block, HeartbeatProcessor heartbeats, Placer placer) {
+    static String summary(ShardState block, HeartbeatProcessor heartbeats, Scheduler placer) {
         Map<String, int[]> classes = new TreeMap<>();
         for (Job j : block.jobs().values()) {
             int[] c = classes.computeIfAbsent(j.spec.jobClass(), k -> new int[3]);
--- a/src/main/java/io/kitepath/core/cell/CellDesk.java
+++ b/src/main/java/io/kitepath/core/cell/CellDesk.java
@@ -19,7 +19,7 @@
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.Placement;
+import io.kitepath.core.place.ProbePlacement;
 import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
@@ -204,10 +204,10 @@
         boolean may = false;
         for (CellMessage.FreeCapacity r : here.room()) {
             MachineType t = block.types().get(r.kind().type());
-            if (t != null && Placement.allowed(r.kind(), o.job())) {
+            if (t != null && ProbePlacement.allowed(r.kind(), o.job())) {
                 may = true;
                 most +=
-                        r.idle() * Placement.slots(o.job(), t)
+                        r.idle() * ProbePlacement.slots(o.job(), t)
                                 + (int)
                                         Math.max(
                                                 0,
@@ -296,9 +296,9 @@
     /** Whether some kind of machine in this cell's zones may run the job. */
     private boolean fitsHere(JobSpec s) {
         for (MachineType t : block.types().values()) {
-            if (Placement.slots(s, t) > 0) {
+            if (ProbePlacement.slots(s, t) > 0) {
                 for (String zone : directory.here().zones()) {
-                    if (Placement.allowed(new MachineKind(t.name(), zone, false), s)) {
+                    if (ProbePlacement.allowed(new MachineKind(t.name(), zone, false), s)) {
                         return true;
                     }
                 }
--- a/src/main/java/io/kitepath/core/cell/Spill.java
+++ b/src/main/java/io/kitepath/core/cell/Spill.java
@@ -6,7 +6,7 @@
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.Placement;
+import io.kitepath.core.place.ProbePlacement;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -18,8 +18,8 @@
 
 /**
  * Which waiting work goes to which other cell: the paper's Threshold one floor up. Work that would
- * miss what is expected of it at home probes up to {@link Placement#PROBES} random cells that say
- * they can take it, and goes once to the first with fewer than {@link Placement#THRESHOLD}
+ * miss what is expected of it at home probes up to {@link ProbePlacement#PROBES} random cells that say
+ * they can take it, and goes once to the first with fewer than {@link ProbePlacement#THRESHOLD}
  * hand-overs unconfirmed for each of its zones; after misses the summaries are scanned for the
  * roomiest; failing that it stays. A function of what it is given and of the random numbers:
  * nothing is asked and nothing written here.
@@ -167,18 +167,18 @@
                 able.add(n);
             }
         }
-        for (int i = 0; i < Placement.PROBES && i < able.size(); i++) {
+        for (int i = 0; i < ProbePlacement.PROBES && i < able.size(); i++) {
             int k = i + random.nextInt(able.size() - i);
             Neighbour n = able.get(k);
             able.set(k, able.get(i));
             able.set(i, n);
-            if (n.unconfirmed < Placement.THRESHOLD) {
+            if (n.unconfirmed < ProbePlacement.THRESHOLD) {
                 return n;
             }
         }
         Neighbour best = null;
         for (Neighbour n : able) {
-            if (n.unconfirmed < Placement.THRESHOLD * zonesOf.getOrDefault(n.name, 1)
+            if (n.unconfirmed < ProbePlacement.THRESHOLD * zonesOf.getOrDefault(n.name, 1)
                     && (best == null || slots(j.spec, n) > slots(j.spec, best))) {
                 best = n;
             }
@@ -201,10 +201,10 @@
         int all = 0;
         for (FreeCapacity r : n.summary().room()) {
             MachineType t = types.get(r.kind().type());
-            if (t == null || !Placement.allowed(r.kind(), s)) {
+            if (t == null || !ProbePlacement.allowed(r.kind(), s)) {
                 continue;
             }
-            int each = Placement.slots(s, t);
+            int each = ProbePlacement.slots(s, t);
             // Of machines in use nobody knows here how their gaps lie: they count for small tasks,
             // and half.
             boolean small = each >= 2;
--- a/src/main/java/io/kitepath/core/fleet/Fleet.java
+++ b/src/main/java/io/kitepath/core/fleet/Fleet.java
@@ -8,8 +8,8 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.Placer;
-import io.kitepath.core.place.ZoneBounds;
+import io.kitepath.core.place.Scheduler;
+import io.kitepath.core.place.ZoneConstraints;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -30,7 +30,7 @@
 
     private final ClusterSettings facts;
     private final ShardState block;
-    private final Placer placer;
+    private final Scheduler placer;
     private final Market market;
     private final Presence presence;
     private final Returns returns;
@@ -41,7 +41,7 @@
     /** CPU seconds of waiting work that may use spot machines. */
     private double spotBacklog;
 
-    public Fleet(ShardState block, Placer placer) {
+    public Fleet(ShardState block, Scheduler placer) {
         this.facts = block.facts();
         this.block = block;
         this.placer = placer;
@@ -159,7 +159,7 @@
                 atOnce = (int) Math.ceil(spread * typical.tasks() / rounds);
             }
             List<Room> rooms = rooms(now, typical);
-            ZoneBounds zones = ZoneBounds.of(typical);
+            ZoneConstraints zones = ZoneConstraints.of(typical);
             decide(zones, typical, atOnce, rooms, now);
             rooms.removeIf(r -> !Market.allowed(r.kind, typical, zones.only()));
             rooms.sort(Comparator.comparingDouble(r -> r.then.cpus - r.type.cpus()));
@@ -183,7 +183,7 @@
     private List<Room> rentFor(
             JobSpec s,
             int tasks,
-            ZoneBounds zones,
+            ZoneConstraints zones,
             Map<MachineKind, Integer> rent,
             double now,
             Predicate<MachineKind> worth) {
@@ -258,7 +258,7 @@
         if (waiting == 0) {
             return;
         }
-        ZoneBounds zones = ZoneBounds.of(job);
+        ZoneConstraints zones = ZoneConstraints.of(job);
         decide(zones, s, waiting, rooms, now);
         // Guards against work that could run on spot machines filling ordinary ones for good, at
         // several times the
@@ -317,7 +317,7 @@
      * is there or coming. A gang needs a zone that holds all of it, or where what it lacks may be
      * had.
      */
-    private void decide(ZoneBounds zones, JobSpec s, int tasks, List<Room> rooms, double now) {
+    private void decide(ZoneConstraints zones, JobSpec s, int tasks, List<Room> rooms, double now) {
         if (!s.oneZone() || zones.decided()) {
             return;
         }
--- a/src/main/java/io/kitepath/core/fleet/Market.java
+++ b/src/main/java/io/kitepath/core/fleet/Market.java
@@ -6,7 +6,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.Placement;
+import io.kitepath.core.place.ProbePlacement;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Predicate;
@@ -69,7 +69,7 @@
         MachineKind best = null;
         double bestPrice = 0;
         for (MachineType t : block.types().values()) {
-            if (Placement.slots(s, t) < 1) {
+            if (ProbePlacement.slots(s, t) < 1) {
                 continue;
             }
             for (String z : t.zones()) {
@@ -78,7 +78,7 @@
                     if (!zones.test(z) || !allowed(k, s, s.zone()) || !mayBeHad(k, now)) {
                         continue;
                     }
-                    double price = price(k, t, Placement.slots(s, t), rent);
+                    double price = price(k, t, ProbePlacement.slots(s, t), rent);
                     if (best == null || price < bestPrice) {
                         best = k;
                         bestPrice = price;
@@ -120,7 +120,7 @@
 
     boolean spotToBeHad(JobSpec s, double now) {
         return block.types().values().stream()
-                .anyMatch(t -> Placement.slots(s, t) > 0 && cheaperToBeHad(t, now));
+                .anyMatch(t -> ProbePlacement.slots(s, t) > 0 && cheaperToBeHad(t, now));
     }
 
     /**
--- a/src/main/java/io/kitepath/core/fleet/Room.java
+++ b/src/main/java/io/kitepath/core/fleet/Room.java
@@ -4,7 +4,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.Placement;
+import io.kitepath.core.place.ProbePlacement;
 
 /** The room that a machine has, or will have once it is up. */
 final class Room {
@@ -59,7 +59,7 @@
         }
 
         int slots(JobSpec s) {
-            return Placement.slots(s, cpus, gpus, memory);
+            return ProbePlacement.slots(s, cpus, gpus, memory);
         }
 
         void less(JobSpec s, int tasks) {
--- a/src/main/java/io/kitepath/core/place/Preemption.java
+++ b/src/main/java/io/kitepath/core/place/Preemption.java
@@ -30,7 +30,7 @@
     private static final double PATIENCE = 2;
 
     private final ShardState block;
-    private final Placement placement;
+    private final ProbePlacement placement;
     private long evictions;
     private long forGuarantees;
     private long forGangs;
@@ -50,7 +50,7 @@
      */
     private boolean searchedForSmall;
 
-    Preemption(ShardState block, Placement placement) {
+    Preemption(ShardState block, ProbePlacement placement) {
         this.block = block;
         this.placement = placement;
     }
@@ -113,7 +113,7 @@
             return false;
         }
         int need = s.gang() ? job.waiting() : Math.min(job.waiting(), block.teamUse().left(s));
-        ZoneBounds bounds = ZoneBounds.of(job);
+        ZoneConstraints bounds = ZoneConstraints.of(job);
         Map<String, List<Offer>> byZone = new LinkedHashMap<>();
         for (Machine m : open) {
             if ((m.reservedFor() == null || m.reservedFor() == job)
@@ -126,7 +126,7 @@
         List<Offer> best = null;
         double bestLoss = Double.MAX_VALUE;
         for (List<Offer> in : byZone.values()) {
-            List<Offer> take = cheapest(in, need, ZoneBounds.of(job));
+            List<Offer> take = cheapest(in, need, ZoneConstraints.of(job));
             double loss = take == null ? 0 : take.stream().mapToDouble(Offer::loss).sum();
             if (take != null && loss < bestLoss) {
                 best = take;
@@ -171,7 +171,7 @@
                     gaps(job, m, now, gaps);
                 }
             }
-            List<Gap> take = soonest(gaps, need, ZoneBounds.of(job));
+            List<Gap> take = soonest(gaps, need, ZoneConstraints.of(job));
             if (take != null && (best == null || last(take) < last(best))) {
                 best = take;
                 where = zone;
@@ -190,7 +190,7 @@
         return gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1).inS;
     }
 
-    private static List<Gap> soonest(List<Gap> gaps, int need, ZoneBounds zones) {
+    private static List<Gap> soonest(List<Gap> gaps, int need, ZoneConstraints zones) {
         gaps.sort(Comparator.comparingDouble(Gap::inS).thenComparing(g -> g.machine.id));
         List<Gap> take = new ArrayList<>();
         int left = need;
@@ -258,7 +258,7 @@
     /**
      * Offers that together hold the tasks, those that lose least first; null if they don't suffice.
      */
-    private static List<Offer> cheapest(List<Offer> in, int need, ZoneBounds zones) {
+    private static List<Offer> cheapest(List<Offer> in, int need, ZoneConstraints zones) {
         List<Offer> sorted = new ArrayList<>(in);
         sorted.sort(
                 Comparator.comparingDouble((Offer o) -> o.loss / Math.max(1, o.stopping))
--- a/src/main/java/io/kitepath/core/place/Placement.java
+++ b/src/main/java/io/kitepath/core/place/ProbePlacement.java
@@ -17,7 +17,7 @@
  * Which machine a task goes to: the first of up to {@link #PROBES} random ones that passes, else
  * the best fit of a scan over the block. See docs/design.md.
  */
-public final class Placement {
+public final class ProbePlacement {
     /** T of the paper: a machine passes a probe with fewer unconfirmed starts than this. */
     public static final int THRESHOLD = 2;
 
@@ -37,7 +37,7 @@
     private long scans;
     private long looks;
 
-    Placement(Random random, Map<String, MachineType> types) {
+    ProbePlacement(Random random, Map<String, MachineType> types) {
         this.random = random;
         this.types = types;
     }
@@ -81,8 +81,8 @@
     }
 
     /** A search for machines for the tasks of one job, out of candidates that are all allowed. */
-    Search search(JobSpec s, List<Machine> candidates) {
-        return new Search(s, candidates);
+    MachineSearch search(JobSpec s, List<Machine> candidates) {
+        return new MachineSearch(s, candidates);
     }
 
     /**
@@ -91,7 +91,7 @@
      * is worked out once. That order holds because the tasks are alike: a machine that gets one
      * becomes fuller still, and one without room stays so.
      */
-    final class Search {
+    final class MachineSearch {
         private final JobSpec spec;
         private final List<Machine> candidates;
 
@@ -117,7 +117,7 @@
          */
         private Walk walk;
 
-        private Search(JobSpec spec, List<Machine> candidates) {
+        private MachineSearch(JobSpec spec, List<Machine> candidates) {
             this.spec = spec;
             this.candidates = candidates;
             if (!spec.spot()) {
@@ -215,8 +215,8 @@
         }
 
         /** The same search among fewer candidates. */
-        Search within(Predicate<Machine> in) {
-            return new Search(spec, candidates.stream().filter(in).toList());
+        MachineSearch within(Predicate<Machine> in) {
+            return new MachineSearch(spec, candidates.stream().filter(in).toList());
         }
 
         /**
@@ -352,7 +352,7 @@
         if (total < s.tasks()) {
             return null;
         }
-        Search all = search(s, candidates);
+        MachineSearch all = search(s, candidates);
         if (!s.oneZone()) {
             return whole(s, all);
         }
@@ -391,8 +391,8 @@
                 .orElse(null);
     }
 
-    private List<Machine> whole(JobSpec s, Search among) {
-        Search search = among;
+    private List<Machine> whole(JobSpec s, MachineSearch among) {
+        MachineSearch search = among;
         List<Machine> found = new ArrayList<>();
         Map<String, Integer> perZone = new HashMap<>();
         for (int i = 0; i < s.tasks(); i++) {
--- a/src/main/java/io/kitepath/core/place/Placer.java
+++ b/src/main/java/io/kitepath/core/place/Scheduler.java
@@ -22,7 +22,7 @@
  * Rounds of placing: which of the waiting work goes where now, in which order, and what gives way
  * to it.
  */
-public final class Placer {
+public final class Scheduler {
     /** Within which every job has to begin, however large. */
     private static final double BEGIN_WITHIN_S = 240;
 
@@ -30,15 +30,15 @@
     private static final double PATIENT = 0.5;
 
     private final ShardState block;
-    private final Placement placement;
+    private final ProbePlacement placement;
     private final Preemption preemption;
     private final LoopTimeAccounting spent;
-    private final Standby standby;
+    private final WarmReserve standby;
 
     /** What found no room in this round, and that for which none can be made either. */
-    private final Hopeless roomless = new Hopeless();
+    private final UnschedulableShapes roomless = new UnschedulableShapes();
 
-    private final Hopeless hopeless = new Hopeless();
+    private final UnschedulableShapes hopeless = new UnschedulableShapes();
 
     /** Whether the last search left out machines only because its image is elsewhere. */
     private boolean heldOut;
@@ -50,15 +50,15 @@
     private double queuedAt;
 
     /** {@code random} chooses the machines that are probed. */
-    public Placer(ShardState block, Random random, LoopTimeAccounting spent) {
+    public Scheduler(ShardState block, Random random, LoopTimeAccounting spent) {
         this.block = block;
         this.spent = spent;
-        this.placement = new Placement(random, block.types());
+        this.placement = new ProbePlacement(random, block.types());
         this.preemption = new Preemption(block, placement);
-        this.standby = new Standby(block, placement);
+        this.standby = new WarmReserve(block, placement);
     }
 
-    public Placement placement() {
+    public ProbePlacement placement() {
         return placement;
     }
 
@@ -104,7 +104,7 @@
             (block.failures().mistaken(j, now) ? mistaken : good).add(j);
         }
         List<Job> order =
-                new ServiceOrder(
+                new SchedulingQueue(
                                 s -> capacity(s, open),
                                 s -> block.leads().mostS(s.jobClass()),
                                 block.served()::standing,
@@ -148,11 +148,11 @@
     private double capacity(JobSpec s, Map<MachineKind, Integer> machines) {
         double cpus = 0;
         for (Map.Entry<MachineKind, Integer> e : machines.entrySet()) {
-            if (Placement.allowed(e.getKey(), s)) {
+            if (ProbePlacement.allowed(e.getKey(), s)) {
                 cpus +=
                         e.getValue()
                                 * s.cpus()
-                                * Placement.most(s, block.types().get(e.getKey().type()));
+                                * ProbePlacement.most(s, block.types().get(e.getKey().type()));
             }
         }
         return cpus;
@@ -307,7 +307,7 @@
         List<Machine> out = new ArrayList<>();
         List<Machine> failed = new ArrayList<>();
         boolean anew = job.failedOn().isEmpty();
-        ZoneBounds zones = ZoneBounds.of(job);
+        ZoneConstraints zones = ZoneConstraints.of(job);
         for (Machine m : open) {
             Job heir = m.reservedFor();
             if ((heir == null
@@ -338,9 +338,9 @@
         if (open.stream().noneMatch(m -> placement.allowed(m, s) && placement.room(m, s))) {
             return 0;
         }
-        ZoneBounds zones = ZoneBounds.of(job);
+        ZoneConstraints zones = ZoneConstraints.of(job);
         List<Machine> candidates = candidates(job, open, now);
-        Placement.Search search = placement.search(s, candidates);
+        ProbePlacement.MachineSearch search = placement.search(s, candidates);
         heldOut = search.holdsOut();
         if (s.oneZone() && !zones.decided()) {
             String zone = placement.roomiest(s, Math.min(n, job.waiting()), candidates);
--- a/src/main/java/io/kitepath/core/place/ServiceOrder.java
+++ b/src/main/java/io/kitepath/core/place/SchedulingQueue.java
@@ -24,7 +24,7 @@
  * whose class and team are not behind, as long as there is one, then of those that get the most.
  * Guards against an overload in which, by due times alone, each job gets its turn just too late.
  */
-public final class ServiceOrder {
+public final class SchedulingQueue {
     /** A job, which of its goals is tried for, and its work in CPU seconds. */
     private record Entry(Job job, int goal, double work, double leadMs, double standing) {
         /** By when it has to be placed, to run by the time that its goal says. */
@@ -69,7 +69,7 @@
      * @param standing 1, or the share that the job's class or team gets if that is so little that
      *     others of a higher one go without before it
      */
-    ServiceOrder(
+    SchedulingQueue(
             ToDoubleFunction<JobSpec> capacity,
             ToDoubleFunction<JobSpec> lead,
             ToDoubleFunction<JobSpec> standing,
--- a/src/main/java/io/kitepath/core/place/Hopeless.java
+++ b/src/main/java/io/kitepath/core/place/UnschedulableShapes.java
@@ -13,7 +13,7 @@
  * against a look at the whole block for each of hundreds of jobs that wait behind one that does not
  * fit.
  */
-final class Hopeless {
+final class UnschedulableShapes {
     /** What decides where a job may go and what gives way to it. */
     private record Rights(
             JobSpec.Shape shape,
@@ -44,25 +44,25 @@
     }
 
     /** {@code tasks}: of a gang, which fits as a whole or not at all; else one. */
-    private record Ask(double cpus, double gpus, double memoryGb, int tasks) {
-        static Ask of(Job j) {
+    private record ResourceRequest(double cpus, double gpus, double memoryGb, int tasks) {
+        static ResourceRequest of(Job j) {
             JobSpec s = j.spec;
-            return new Ask(s.cpus(), s.gpus(), s.memoryGb(), s.gang() ? s.tasks() : 1);
+            return new ResourceRequest(s.cpus(), s.gpus(), s.memoryGb(), s.gang() ? s.tasks() : 1);
         }
 
-        boolean noLessThan(Ask o) {
+        boolean noLessThan(ResourceRequest o) {
             return cpus >= o.cpus && gpus >= o.gpus && memoryGb >= o.memoryGb && tasks >= o.tasks;
         }
     }
 
-    private final Map<Rights, List<Ask>> asks = new HashMap<>();
+    private final Map<Rights, List<ResourceRequest>> asks = new HashMap<>();
 
     void clear() {
         asks.clear();
     }
 
     boolean contains(Job job) {
-        Ask ask = Ask.of(job);
+        ResourceRequest ask = ResourceRequest.of(job);
         return asks.getOrDefault(Rights.of(job, null), List.of()).stream().anyMatch(ask::noLessThan)
                 || asks.getOrDefault(Rights.of(job, job.spec.image()), List.of()).stream()
                         .anyMatch(ask::noLessThan);
@@ -74,8 +74,8 @@
      * shutting all others out of machines that are idle.
      */
     void add(Job job, boolean holdsOut) {
-        Ask ask = Ask.of(job);
-        List<Ask> of =
+        ResourceRequest ask = ResourceRequest.of(job);
+        List<ResourceRequest> of =
                 asks.computeIfAbsent(
                         Rights.of(job, holdsOut ? job.spec.image() : null), k -> new ArrayList<>());
         of.removeIf(o -> o.noLessThan(ask));
--- a/src/main/java/io/kitepath/core/place/Standby.java
+++ b/src/main/java/io/kitepath/core/place/WarmReserve.java
@@ -17,14 +17,14 @@
  * every machine as soon as a gang has left it, only to be stopped for the next one: on a full fleet
  * one start in six was lost that way, and with it the end of the array that it belonged to.
  */
-final class Standby {
+final class WarmReserve {
     private final ShardState block;
-    private final Placement placement;
+    private final ProbePlacement placement;
 
     /** The priority of the gangs that a machine waits for. */
     private final Map<Machine, JobSpec.Priority> kept = new HashMap<>();
 
-    Standby(ShardState block, Placement placement) {
+    WarmReserve(ShardState block, ProbePlacement placement) {
         this.block = block;
         this.placement = placement;
     }
--- a/src/main/java/io/kitepath/core/place/ZoneBounds.java
+++ b/src/main/java/io/kitepath/core/place/ZoneConstraints.java
@@ -12,7 +12,7 @@
  * the job can't use for its other tasks' sake. Where a machine is of which only a record has said
  * the name is not known: what is on it may be in any zone.
  */
-public final class ZoneBounds {
+public final class ZoneConstraints {
     private final JobSpec spec;
 
     /** The only zone that the job may use; null if that is not decided. */
@@ -23,14 +23,14 @@
 
     private int somewhere;
 
-    private ZoneBounds(JobSpec spec) {
+    private ZoneConstraints(JobSpec spec) {
         this.spec = spec;
         this.only = spec.zone();
     }
 
     /** A gang starts anew as a whole, once all that is left of it is over. */
-    public static ZoneBounds of(Job job) {
-        ZoneBounds b = new ZoneBounds(job.spec);
+    public static ZoneConstraints of(Job job) {
+        ZoneConstraints b = new ZoneConstraints(job.spec);
         if (!job.spec.gang() && (job.spec.oneZone() || job.spec.spread())) {
             for (Attempt a : job.live().values()) {
                 b.count(a.machine.zone(), 1);
@@ -43,8 +43,8 @@
     }
 
     /** Of a job none of whose tasks is on a machine. */
-    public static ZoneBounds of(JobSpec spec) {
-        return new ZoneBounds(spec);
+    public static ZoneConstraints of(JobSpec spec) {
+        return new ZoneConstraints(spec);
     }
 
     private void count(String zone, int tasks) {
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -10,7 +10,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.LoopTimeAccounting;
-import io.kitepath.core.place.Placer;
+import io.kitepath.core.place.Scheduler;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
@@ -303,7 +303,7 @@
         double addedMs = (System.nanoTime() - began) / 1e6;
         assertEquals(9900, block.pipelines().held());
         assertEquals(JobSpec.Priority.HIGH, block.jobs().get("j-0").priority());
-        Placer placer = new Placer(block, new Random(1), new LoopTimeAccounting(() -> 0));
+        Scheduler placer = new Scheduler(block, new Random(1), new LoopTimeAccounting(() -> 0));
         placer.queue(0, 20_000);
         began = System.nanoTime();
         assertEquals(100, placer.queue(0, 20_000).size());
--- a/src/test/java/io/kitepath/core/place/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/place/GuaranteeTest.java
@@ -31,7 +31,7 @@
                     new ClusterSettings.Limits(1, 200, 1000),
                     5);
     private final ShardState block = new ShardState(facts, m -> {});
-    private final Placer placer = new Placer(block, new Random(1), new LoopTimeAccounting(() -> 0));
+    private final Scheduler placer = new Scheduler(block, new Random(1), new LoopTimeAccounting(() -> 0));
 
     private Job job(String id, String of, int tasks, double submittedS) {
         JobSpec s =
--- a/src/test/java/io/kitepath/core/place/HopelessTest.java
+++ b/src/test/java/io/kitepath/core/place/HopelessTest.java
@@ -10,7 +10,7 @@
 
 /** For whom a job that found no room speaks, and for whom not. */
 class HopelessTest {
-    private final Hopeless hopeless = new Hopeless();
+    private final UnschedulableShapes hopeless = new UnschedulableShapes();
 
     private static Job job(Shape shape, int tasks, double cpus, String team, boolean spot) {
         JobSpec s =
--- a/src/test/java/io/kitepath/core/place/ServiceOrderTest.java
+++ b/src/test/java/io/kitepath/core/place/ServiceOrderTest.java
@@ -56,7 +56,7 @@
     }
 
     private List<String> order(double cpus, double now) {
-        return new ServiceOrder(
+        return new SchedulingQueue(
                         s -> cpus,
                         s -> lead,
                         s -> behind.getOrDefault(s.jobClass(), 1.0),
@@ -143,7 +143,7 @@
         // The fleet has a thousand CPUs, but of these jobs it can run only sixty tasks at once.
         assertEquals(
                 List.of("j-2", "j-3", "j-1"),
-                new ServiceOrder(s -> s.spot() ? 60 : 1000, s -> 0, s -> 1, 0, 0)
+                new SchedulingQueue(s -> s.spot() ? 60 : 1000, s -> 0, s -> 1, 0, 0)
                         .of(jobs).stream().map(j -> j.spec.id()).toList());
     }
 }
