--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -8,8 +8,8 @@
 import io.kitepath.core.duty.Duties;
 import io.kitepath.core.duty.Intents;
 import io.kitepath.core.duty.Sweep;
-import io.kitepath.core.fleet.Fleet;
-import io.kitepath.core.fleet.Rentals;
+import io.kitepath.core.fleet.ScalingPlanner;
+import io.kitepath.core.fleet.CloudReconciler;
 import io.kitepath.core.lead.Incarnation;
 import io.kitepath.core.lead.CancellationWatermark;
 import io.kitepath.core.lead.Leadership;
@@ -76,7 +76,7 @@
     private final CancellationProof proof;
     private final LoopTimeAccounting spent;
     private final FailoverTimings takeover;
-    private final Rentals rentals;
+    private final CloudReconciler rentals;
     final Intents intents;
     private final Carrier carrier;
     final Sweep sweep;
@@ -157,9 +157,9 @@
         this.keeper = new StateWriter(store, timers, block, images, new Keeping(), cells);
         this.intents = new Intents(block, timers, this::ride);
         this.rentals =
-                new Rentals(
+                new CloudReconciler(
                         block,
-                        new Fleet(block, placer),
+                        new ScalingPlanner(block, placer),
                         intents,
                         store,
                         cloud,
--- a/src/main/java/io/kitepath/core/fleet/Rentals.java
+++ b/src/main/java/io/kitepath/core/fleet/CloudReconciler.java
@@ -25,8 +25,8 @@
  * at which the cloud can be asked for it. Only the cloud's word that a machine was released proves
  * it gone.
  */
-public final class Rentals {
-    private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+public final class CloudReconciler {
+    private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
     /** Of the cloud's call rate; the rest is for the other nodes. */
     private static final double RATE_SHARE = 0.6;
@@ -36,7 +36,7 @@
 
     private final ClusterSettings facts;
     private final ShardState block;
-    private final Fleet fleet;
+    private final ScalingPlanner fleet;
     private final Store store;
     private final Cloud cloud;
     private final Timers timers;
@@ -60,9 +60,9 @@
      * @param leading whether this node holds the machines now
      * @param changed runs when a machine is gone, so that its work may be placed
      */
-    public Rentals(
+    public CloudReconciler(
             ShardState block,
-            Fleet fleet,
+            ScalingPlanner fleet,
             Intents intents,
             Store store,
             Cloud cloud,
@@ -176,7 +176,7 @@
     }
 
     /** Has put down what the plan says and nothing says yet. */
-    private void intend(Fleet.Plan plan, double now) {
+    private void intend(ScalingPlanner.Plan plan, double now) {
         List<String> release = plan.release().stream().filter(m -> !intents.goes(m)).toList();
         if (!release.isEmpty() && intents.goings().size() < AT_ONCE && wishes.take(1, now)) {
             intents.giveBack(release);
--- a/src/main/java/io/kitepath/core/fleet/Room.java
+++ b/src/main/java/io/kitepath/core/fleet/FreeCapacity.java
@@ -7,7 +7,7 @@
 import io.kitepath.core.place.ProbePlacement;
 
 /** The room that a machine has, or will have once it is up. */
-final class Room {
+final class FreeCapacity {
     final MachineType type;
     final MachineKind kind;
     final Machine machine;
@@ -20,7 +20,7 @@
 
     final Space now;
 
-    Room(MachineType type, MachineKind kind, Machine machine) {
+    FreeCapacity(MachineType type, MachineKind kind, Machine machine) {
         this.type = type;
         this.kind = kind;
         this.machine = machine;
--- a/src/main/java/io/kitepath/core/fleet/Market.java
+++ b/src/main/java/io/kitepath/core/fleet/InstanceSelection.java
@@ -15,7 +15,7 @@
  * Which kinds of machine can be had, by what the cloud refused lately, and which of them costs
  * least for a job.
  */
-final class Market {
+final class InstanceSelection {
     private final ClusterSettings facts;
     private final ShardState block;
 
@@ -27,7 +27,7 @@
     /** Machines by kind, worked out once a plan. */
     private final Map<MachineKind, Integer> counts = new HashMap<>();
 
-    Market(ShardState block) {
+    InstanceSelection(ShardState block) {
         this.facts = block.facts();
         this.block = block;
     }
--- a/src/main/java/io/kitepath/core/fleet/Presence.java
+++ b/src/main/java/io/kitepath/core/fleet/MachineLiveness.java
@@ -5,14 +5,14 @@
 import io.kitepath.core.model.ClusterSettings;
 
 /** Which machines are there, or on their way in good time, as far as the holder can tell by now. */
-final class Presence {
+final class MachineLiveness {
     private final ClusterSettings facts;
     private final ShardState block;
 
     /** Silence is counted from then at the earliest. */
     private double since;
 
-    Presence(ShardState block) {
+    MachineLiveness(ShardState block) {
         this.facts = block.facts();
         this.block = block;
     }
--- a/src/main/java/io/kitepath/core/fleet/Returns.java
+++ b/src/main/java/io/kitepath/core/fleet/ScaleIn.java
@@ -14,18 +14,18 @@
 import org.slf4j.LoggerFactory;
 
 /** Which machines are given back, and which are emptied to be given back. */
-final class Returns {
-    private static final Logger LOG = LoggerFactory.getLogger(Returns.class);
+final class ScaleIn {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
     /** For how long a machine may report without hearing answers before it is given back. */
     private static final double DEAF_LEASES = 3;
 
     private final ClusterSettings facts;
     private final ShardState block;
-    private final Market market;
-    private final Presence presence;
+    private final InstanceSelection market;
+    private final MachineLiveness presence;
 
-    Returns(ShardState block, Market market, Presence presence) {
+    ScaleIn(ShardState block, InstanceSelection market, MachineLiveness presence) {
         this.facts = block.facts();
         this.block = block;
         this.market = market;
--- a/src/main/java/io/kitepath/core/fleet/Fleet.java
+++ b/src/main/java/io/kitepath/core/fleet/ScalingPlanner.java
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /** How many machines are wanted: what to rent for the work that waits, and what to give back. */
-public final class Fleet {
-    private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
+public final class ScalingPlanner {
+    private static final Logger LOG = LoggerFactory.getLogger(ScalingPlanner.class);
 
     /** What to rent by kind, the soonest wanted first, and what to give back. */
     public record Plan(Map<MachineKind, Integer> rent, List<String> release) {}
@@ -31,9 +31,9 @@
     private final ClusterSettings facts;
     private final ShardState block;
     private final Scheduler placer;
-    private final Market market;
-    private final Presence presence;
-    private final Returns returns;
+    private final InstanceSelection market;
+    private final MachineLiveness presence;
+    private final ScaleIn returns;
 
     /** CPUs of what is up or coming. */
     private double usableCpus;
@@ -41,13 +41,13 @@
     /** CPU seconds of waiting work that may use spot machines. */
     private double spotBacklog;
 
-    public Fleet(ShardState block, Scheduler placer) {
+    public ScalingPlanner(ShardState block, Scheduler placer) {
         this.facts = block.facts();
         this.block = block;
         this.placer = placer;
-        this.market = new Market(block);
-        this.presence = new Presence(block);
-        this.returns = new Returns(block, market, presence);
+        this.market = new InstanceSelection(block);
+        this.presence = new MachineLiveness(block);
+        this.returns = new ScaleIn(block, market, presence);
     }
 
     /** The cloud refused this kind, in whole or in part. */
@@ -64,7 +64,7 @@
         presence.since(leadingSince);
         survey(now);
         Map<MachineKind, Integer> rent = new LinkedHashMap<>();
-        List<Room> rooms = rooms(now, null);
+        List<FreeCapacity> rooms = rooms(now, null);
         List<Job> queue = placer.queue(now, wallMs, facts.workers().reportS() / 8);
         for (Job job : queue) {
             want(job, rooms, rent, now, wallMs);
@@ -84,7 +84,7 @@
             if (t == null) {
                 continue;
             }
-            if (Presence.usable(m) && !presence.late(m, now)) {
+            if (MachineLiveness.usable(m) && !presence.late(m, now)) {
                 usableCpus += t.cpus();
             }
         }
@@ -100,14 +100,14 @@
      * The room of all machines that are up or coming: as it will be by the time a new machine could
      * be up, or, for a job that may come at any moment, as it is now with lesser work stopped.
      */
-    private List<Room> rooms(double now, JobSpec forNow) {
-        List<Room> rooms = new ArrayList<>();
+    private List<FreeCapacity> rooms(double now, JobSpec forNow) {
+        List<FreeCapacity> rooms = new ArrayList<>();
         for (Machine m : block.machines().values()) {
             MachineType t = m.type() == null ? null : block.types().get(m.type());
-            if (t == null || !Presence.usable(m) || presence.late(m, now)) {
+            if (t == null || !MachineLiveness.usable(m) || presence.late(m, now)) {
                 continue;
             }
-            Room r = new Room(t, m.kind(), m);
+            FreeCapacity r = new FreeCapacity(t, m.kind(), m);
             for (Attempt a : m.attempts()) {
                 if (!a.unwanted()
                         && (forNow == null
@@ -158,12 +158,12 @@
                                 Math.max(1, boot * block.lately().jobsPerS(o.jobClass(), wallMs)));
                 atOnce = (int) Math.ceil(spread * typical.tasks() / rounds);
             }
-            List<Room> rooms = rooms(now, typical);
+            List<FreeCapacity> rooms = rooms(now, typical);
             ZoneConstraints zones = ZoneConstraints.of(typical);
             decide(zones, typical, atOnce, rooms, now);
-            rooms.removeIf(r -> !Market.allowed(r.kind, typical, zones.only()));
+            rooms.removeIf(r -> !InstanceSelection.allowed(r.kind, typical, zones.only()));
             rooms.sort(Comparator.comparingDouble(r -> r.then.cpus - r.type.cpus()));
-            for (Room r : rooms) {
+            for (FreeCapacity r : rooms) {
                 int n = r.take(typical, Math.min(atOnce, zones.left(r.kind.zone())), false);
                 zones.add(r.kind.zone(), n);
                 atOnce -= n;
@@ -180,21 +180,21 @@
      * Adds machines for that many tasks to what is to be rented, of the cheapest kinds; stops at
      * one that is not worth it. Returns the new machines' rooms, with the tasks in them.
      */
-    private List<Room> rentFor(
+    private List<FreeCapacity> rentFor(
             JobSpec s,
             int tasks,
             ZoneConstraints zones,
             Map<MachineKind, Integer> rent,
             double now,
             Predicate<MachineKind> worth) {
-        List<Room> rented = new ArrayList<>();
+        List<FreeCapacity> rented = new ArrayList<>();
         int left = tasks;
         while (left > 0) {
             MachineKind k = market.cheapest(s, z -> zones.left(z) > 0, rent, now);
             if (k == null || !worth.test(k)) {
                 break;
             }
-            Room r = new Room(block.types().get(k.type()), k, null);
+            FreeCapacity r = new FreeCapacity(block.types().get(k.type()), k, null);
             int n = r.take(s, Math.min(left, zones.left(k.zone())), false);
             if (n == 0) {
                 break;
@@ -235,7 +235,7 @@
     }
 
     private void want(
-            Job job, List<Room> rooms, Map<MachineKind, Integer> rent, double now, double wallMs) {
+            Job job, List<FreeCapacity> rooms, Map<MachineKind, Integer> rent, double now, double wallMs) {
         if (block.failures().mistaken(job, now)) {
             return; // It is tried in what is free anyway.
         }
@@ -269,14 +269,14 @@
         // has to start sooner
         // to meet its deadline: such work needs the room that is free now, or more of it.
         boolean atOnce = job.hasDeadline();
-        for (Room r : rooms) {
+        for (FreeCapacity r : rooms) {
             if (waiting == 0) {
                 break;
             }
             int most = zones.left(r.kind.zone());
             if (most > 0
                     && r.holds(s, atOnce)
-                    && Market.allowed(r.kind, s, s.zone())
+                    && InstanceSelection.allowed(r.kind, s, s.zone())
                     && (r.kind.spot() || !spotOnly)) {
                 int n = r.take(s, Math.min(waiting, most), atOnce);
                 zones.add(r.kind.zone(), n);
@@ -317,7 +317,7 @@
      * is there or coming. A gang needs a zone that holds all of it, or where what it lacks may be
      * had.
      */
-    private void decide(ZoneConstraints zones, JobSpec s, int tasks, List<Room> rooms, double now) {
+    private void decide(ZoneConstraints zones, JobSpec s, int tasks, List<FreeCapacity> rooms, double now) {
         if (!s.oneZone() || zones.decided()) {
             return;
         }
@@ -329,8 +329,8 @@
             }
             score.put(z, open.contains(z) ? 0.1 : 0);
         }
-        for (Room r : rooms) {
-            if (Market.allowed(r.kind, s, null) && s.cpus() > 0) {
+        for (FreeCapacity r : rooms) {
+            if (InstanceSelection.allowed(r.kind, s, null) && s.cpus() > 0) {
                 score.merge(r.kind.zone(), Math.floor(r.then.cpus / s.cpus()), Double::sum);
             }
         }
