--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.cloud.HttpCloud;
 import io.kitepath.core.Controller;
-import io.kitepath.core.duty.Duties;
+import io.kitepath.core.duty.LeasedRoles;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.HttpServer;
@@ -131,7 +131,7 @@
             } else if (path.equals("/duties")) {
                 out.reply(
                         200,
-                        Pack.bytes(controller.duties().stream().map(Duties.Seat::shown).toList()));
+                        Pack.bytes(controller.duties().stream().map(LeasedRoles.RoleHolder::shown).toList()));
             } else {
                 if (metrics == null) {
                     metrics = new Metrics(controller);
--- a/src/main/java/io/kitepath/cli/StateCommand.java
+++ b/src/main/java/io/kitepath/cli/StateCommand.java
@@ -1,6 +1,6 @@
 package io.kitepath.cli;
 
-import io.kitepath.core.duty.Audit;
+import io.kitepath.core.duty.OrphanScan;
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.LoopTimers;
 import io.kitepath.store.HttpStore;
@@ -78,8 +78,8 @@
             try {
                 EventLoop loop = group.next();
                 HttpClient http = new HttpClient(loop, at, 1, MAX_ANSWER);
-                Audit audit =
-                        new Audit(
+                OrphanScan audit =
+                        new OrphanScan(
                                 new HttpStore(http, http, http, TIMEOUT_MS),
                                 conditions,
                                 this::show);
@@ -103,7 +103,7 @@
             }
         }
 
-        private void next(Audit audit, LoopTimers timers, CompletableFuture<Boolean> over) {
+        private void next(OrphanScan audit, LoopTimers timers, CompletableFuture<Boolean> over) {
             audit.step(
                     () -> {
                         tries = audit.failed() ? tries + 1 : 0;
@@ -115,7 +115,7 @@
                     });
         }
 
-        private void show(Audit.Finding f) {
+        private void show(OrphanScan.Finding f) {
             rubbish += f.rubbish() ? 1 : 0;
             strange += f.rubbish() ? 0 : 1;
             System.out.println((f.rubbish() ? "remove  " : "strange ") + f.key() + ": " + f.why());
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -4,10 +4,10 @@
 import io.kitepath.core.block.HeartbeatProcessor;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.cell.CellDesk;
-import io.kitepath.core.duty.Carrier;
-import io.kitepath.core.duty.Duties;
-import io.kitepath.core.duty.Intents;
-import io.kitepath.core.duty.Sweep;
+import io.kitepath.core.duty.CloudIntentExecutor;
+import io.kitepath.core.duty.LeasedRoles;
+import io.kitepath.core.duty.CloudIntents;
+import io.kitepath.core.duty.GarbageCollector;
 import io.kitepath.core.fleet.ScalingPlanner;
 import io.kitepath.core.fleet.CloudReconciler;
 import io.kitepath.core.lead.Incarnation;
@@ -77,10 +77,10 @@
     private final LoopTimeAccounting spent;
     private final FailoverTimings takeover;
     private final CloudReconciler rentals;
-    final Intents intents;
-    private final Carrier carrier;
-    final Sweep sweep;
-    private final Duties duties;
+    final CloudIntents intents;
+    private final CloudIntentExecutor carrier;
+    final GarbageCollector sweep;
+    private final LeasedRoles duties;
     private final JobSubmissionService registry;
 
     /** Null without other cells. */
@@ -155,7 +155,7 @@
                         facts, store, timers, this.gossip::served, this.gossip, directory != null);
         this.cells = directory == null ? null : new InCells().desk(store, others, random);
         this.keeper = new StateWriter(store, timers, block, images, new Keeping(), cells);
-        this.intents = new Intents(block, timers, this::ride);
+        this.intents = new CloudIntents(block, timers, this::ride);
         this.rentals =
                 new CloudReconciler(
                         block,
@@ -166,10 +166,10 @@
                         timers,
                         leadership::leading,
                         this::soon);
-        this.carrier = new Carrier(facts, store, cloud, timers, random, leadership.lifeS());
-        this.sweep = new Sweep(facts, store, timers);
+        this.carrier = new CloudIntentExecutor(facts, store, cloud, timers, random, leadership.lifeS());
+        this.sweep = new GarbageCollector(facts, store, timers);
         this.duties =
-                new Duties(
+                new LeasedRoles(
                         facts,
                         store,
                         timers,
@@ -226,7 +226,7 @@
     }
 
     /** The duties, and who has them as far as this node knows. */
-    public List<Duties.Seat> duties() {
+    public List<LeasedRoles.RoleHolder> duties() {
         return duties.seats();
     }
 
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -1,9 +1,9 @@
 package io.kitepath.core;
 
-import io.kitepath.core.duty.Carrier;
-import io.kitepath.core.duty.Duties;
-import io.kitepath.core.duty.Intents;
-import io.kitepath.core.duty.Sweep;
+import io.kitepath.core.duty.CloudIntentExecutor;
+import io.kitepath.core.duty.LeasedRoles;
+import io.kitepath.core.duty.CloudIntents;
+import io.kitepath.core.duty.GarbageCollector;
 import io.kitepath.core.model.Metric;
 import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
@@ -12,10 +12,10 @@
 
 /** What a node counts about duties, takeovers and its own time, for operators. */
 record RoleMetrics(
-        Intents intents,
-        Carrier carrier,
-        Sweep sweep,
-        Duties duties,
+        CloudIntents intents,
+        CloudIntentExecutor carrier,
+        GarbageCollector sweep,
+        LeasedRoles duties,
         FailoverTimings takeover,
         LoopTimeAccounting spent) {
     void addTo(Map<String, Metric> f) {
@@ -49,7 +49,7 @@
         f.put(
                 "cleanup.strange",
                 Metric.now("records that should not be, by its last look", sweep::strange));
-        for (Duties.Seat d : duties.seats()) {
+        for (LeasedRoles.RoleHolder d : duties.seats()) {
             f.put(
                     "duty." + d.name() + ".here",
                     Metric.now("whether this node has the duty", () -> d.mine() ? 1 : 0));
--- a/src/main/java/io/kitepath/core/duty/Intent.java
+++ b/src/main/java/io/kitepath/core/duty/CloudIntent.java
@@ -9,23 +9,23 @@
  * An act outside the store that is on record before it is done, and until whoever wanted it knows
  * what came of it.
  */
-public abstract class Intent {
+public abstract class CloudIntent {
     final String key;
 
     /** Of its record; 0 while there is none. */
     private long revision;
 
-    Intent(String key) {
+    CloudIntent(String key) {
         this.key = key;
     }
 
     /** Reads a record; throws {@link InvalidInputException} if it is none. */
-    static Intent read(Entry e) {
+    static CloudIntent read(Entry e) {
         if (e.key().startsWith(StoreKeys.RENT)) {
-            return Rental.read(e);
+            return RentalIntent.read(e);
         }
         if (e.key().startsWith(StoreKeys.GOING)) {
-            return Going.read(e);
+            return ReleaseIntent.read(e);
         }
         throw new InvalidInputException("is not an act that this version knows");
     }
--- a/src/main/java/io/kitepath/core/duty/Carrier.java
+++ b/src/main/java/io/kitepath/core/duty/CloudIntentExecutor.java
@@ -25,8 +25,8 @@
  * decides nothing: what is on record is asked for, again and again until the cloud has said yes or
  * no, under the name that is on record.
  */
-public final class Carrier implements Duties.Work {
-    private static final Logger LOG = LoggerFactory.getLogger(Carrier.class);
+public final class CloudIntentExecutor implements LeasedRoles.RoleWorker {
+    private static final Logger LOG = LoggerFactory.getLogger(CloudIntentExecutor.class);
 
     /** Of the cloud's call rate; lists, types and the other nodes take the rest. */
     private static final double RATE_SHARE = 0.6;
@@ -37,27 +37,27 @@
     private final Random random;
     private final TokenBucket calls;
     private final double lifeS;
-    private final Map<String, Act> acts = new LinkedHashMap<>();
+    private final Map<String, PendingAction> acts = new LinkedHashMap<>();
     private long epoch;
-    private Duties.Held held;
+    private LeasedRoles.RoleLease held;
     private double failingSince = Double.NaN;
     private long called;
     private long failed;
 
     /** One record that is not settled. */
-    private static final class Act {
-        private final Intent intent;
+    private static final class PendingAction {
+        private final CloudIntent intent;
         private boolean asking;
         private int failures;
         private double notBefore;
 
-        Act(Intent intent) {
+        PendingAction(CloudIntent intent) {
             this.intent = intent;
         }
     }
 
     /** {@code lifeS}: of the duty's lease. */
-    public Carrier(
+    public CloudIntentExecutor(
             ClusterSettings facts, Store store, Cloud cloud, Timers timers, Random random, double lifeS) {
         this.store = store;
         this.cloud = cloud;
@@ -73,7 +73,7 @@
     }
 
     @Override
-    public void begin(Duties.Held duty) {
+    public void begin(LeasedRoles.RoleLease duty) {
         held = duty;
         failingSince = Double.NaN;
         read(++epoch);
@@ -146,12 +146,12 @@
             return;
         }
         try {
-            Intent i = Intent.read(x);
-            Act a = acts.get(x.key());
+            CloudIntent i = CloudIntent.read(x);
+            PendingAction a = acts.get(x.key());
             if (i.settled()) {
                 acts.remove(x.key());
             } else if (a == null || a.intent.revision() < x.revision()) {
-                acts.put(x.key(), new Act(i));
+                acts.put(x.key(), new PendingAction(i));
             }
         } catch (InvalidInputException | ClassCastException bad) {
             LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
@@ -162,7 +162,7 @@
 
     @Override
     public void tick(double now) {
-        for (Act a : new ArrayList<>(acts.values())) {
+        for (PendingAction a : new ArrayList<>(acts.values())) {
             // Last of all, right before the call: whether the duty is still ours.
             if (!a.asking
                     && now >= a.notBefore
@@ -179,11 +179,11 @@
         return Double.isNaN(failingSince) || now - failingSince < 2 * lifeS || acts.isEmpty();
     }
 
-    private void ask(Act a) {
+    private void ask(PendingAction a) {
         a.asking = true;
         called++;
         long e = epoch;
-        if (a.intent instanceof Rental r) {
+        if (a.intent instanceof RentalIntent r) {
             cloud.rent(
                     r.name,
                     r.kind,
@@ -194,13 +194,13 @@
                                     a,
                                     outcome,
                                     i ->
-                                            ((Rental) i)
+                                            ((RentalIntent) i)
                                                     .settle(
                                                             outcome == Outcome.OK
                                                                     ? machines
                                                                     : List.of())));
         } else {
-            Going g = (Going) a.intent;
+            ReleaseIntent g = (ReleaseIntent) a.intent;
             // Nothing but the cloud's yes proves that they are gone.
             cloud.release(
                     g.machines,
@@ -209,11 +209,11 @@
                                     e,
                                     a,
                                     outcome == Outcome.OK ? outcome : Outcome.REFUSED,
-                                    i -> ((Going) i).settle()));
+                                    i -> ((ReleaseIntent) i).settle()));
         }
     }
 
-    private void answered(long e, Act a, Outcome outcome, Consumer<Intent> settle) {
+    private void answered(long e, PendingAction a, Outcome outcome, Consumer<CloudIntent> settle) {
         a.asking = false;
         if (e != epoch || acts.get(a.intent.key) != a) {
             return; // Whoever has the duty now asks again, under the same name.
@@ -234,7 +234,7 @@
         write(e, a);
     }
 
-    private void write(long e, Act a) {
+    private void write(long e, PendingAction a) {
         if (e != epoch) {
             return;
         }
@@ -242,7 +242,7 @@
                 new Transaction()
                         .when(held.key(), held.revision())
                         .when(a.intent.key, a.intent.revision());
-        if (a.intent instanceof Rental r && r.machines().isEmpty()) {
+        if (a.intent instanceof RentalIntent r && r.machines().isEmpty()) {
             t.remove(r.key); // Nothing came of it: the holder sees it gone, and need not write any
             // more.
         } else {
--- a/src/main/java/io/kitepath/core/duty/Intents.java
+++ b/src/main/java/io/kitepath/core/duty/CloudIntents.java
@@ -23,7 +23,7 @@
 /**
  * What the block's holder wants of the cloud. The cloud knows no tokens: a request of a node that
  * was replaced may run minutes after its successor acted. So every wish is on record first, under
- * the block's revision; whoever has the duty ({@link Carrier}) asks for what is on record and puts
+ * the block's revision; whoever has the duty ({@link CloudIntentExecutor}) asks for what is on record and puts
  * down what came of it; and the holder, this one or the next, strikes it off when it need not be
  * known any more:
  *
@@ -36,8 +36,8 @@
  *       gone.
  * </ul>
  */
-public final class Intents {
-    private static final Logger LOG = LoggerFactory.getLogger(Intents.class);
+public final class CloudIntents {
+    private static final Logger LOG = LoggerFactory.getLogger(CloudIntents.class);
 
     /** Machines in one request. */
     private static final int MOST_RENTED = 50;
@@ -48,10 +48,10 @@
     private final ClusterSettings facts;
     private final Timers timers;
     private final Consumer<StateWriter.BatchContributor> ride;
-    private Consumer<Rental> rented = r -> {};
+    private Consumer<RentalIntent> rented = r -> {};
     private Consumer<List<String>> gone = m -> {};
-    private final Map<String, Rental> rentals = new LinkedHashMap<>();
-    private final Map<String, Going> goings = new LinkedHashMap<>();
+    private final Map<String, RentalIntent> rentals = new LinkedHashMap<>();
+    private final Map<String, ReleaseIntent> goings = new LinkedHashMap<>();
 
     /** Machines of the goings. */
     private final Set<String> going = new HashSet<>();
@@ -62,7 +62,7 @@
     private long takenOver;
 
     /** {@code ride} has something written along with what the holder writes. */
-    public Intents(ShardState block, Timers timers, Consumer<StateWriter.BatchContributor> ride) {
+    public CloudIntents(ShardState block, Timers timers, Consumer<StateWriter.BatchContributor> ride) {
         this.block = block;
         this.facts = block.facts();
         this.timers = timers;
@@ -86,7 +86,7 @@
     }
 
     /** Who is told what came of rentals, and which machines are gone for certain. */
-    public void listeners(Consumer<Rental> whenRented, Consumer<List<String>> whenGone) {
+    public void listeners(Consumer<RentalIntent> whenRented, Consumer<List<String>> whenGone) {
         rented = whenRented;
         gone = whenGone;
     }
@@ -95,12 +95,12 @@
     public void adopt(List<Entry> records) {
         forget();
         for (Entry e : records) {
-            Intent i = read(e);
-            if (i instanceof Going g) {
+            CloudIntent i = read(e);
+            if (i instanceof ReleaseIntent g) {
                 goings.put(g.key, g);
                 going.addAll(g.machines);
                 g.machines.forEach(block::goes);
-            } else if (i instanceof Rental r) {
+            } else if (i instanceof RentalIntent r) {
                 rentals.put(r.key, r);
                 known(r);
             }
@@ -114,19 +114,19 @@
                     goings.size(),
                     going.size());
         }
-        goings().stream().filter(Going::settled).forEach(this::confirmed);
+        goings().stream().filter(ReleaseIntent::settled).forEach(this::confirmed);
     }
 
-    private static Intent read(Entry e) {
+    private static CloudIntent read(Entry e) {
         try {
-            return Intent.read(e);
+            return CloudIntent.read(e);
         } catch (InvalidInputException | ClassCastException bad) {
             LOG.error("record {} is unreadable: {}", e.key(), bad.getMessage());
             return null;
         }
     }
 
-    private void known(Rental r) {
+    private void known(RentalIntent r) {
         double now = timers.now();
         double since = now - Math.max(0, timers.wallMs() - r.askedMs()) / 1000;
         r.machines().forEach(m -> block.rented(m, r.kind, now, since));
@@ -139,7 +139,7 @@
      */
     public void changed(Entry e) {
         if (e.value() == null) {
-            Rental asked = rentals.get(e.key());
+            RentalIntent asked = rentals.get(e.key());
             if (asked != null && !asked.settled()) {
                 rentals.remove(e.key());
                 asked.settle(List.of());
@@ -147,17 +147,17 @@
             }
             return;
         }
-        Intent i = read(e);
+        CloudIntent i = read(e);
         if (i == null || !i.settled()) {
             return;
         }
-        if (i instanceof Rental r) {
-            Rental asked = rentals.put(r.key, r);
+        if (i instanceof RentalIntent r) {
+            RentalIntent asked = rentals.put(r.key, r);
             if (asked == null || !asked.settled()) {
                 known(r);
                 rented.accept(r);
             }
-        } else if (i instanceof Going g) {
+        } else if (i instanceof ReleaseIntent g) {
             goings.put(g.key, g);
             confirmed(g);
         }
@@ -167,8 +167,8 @@
 
     /** Puts down that so many machines, or as many as one request may ask for, are to be rented. */
     public void rent(MachineKind kind, int count) {
-        Rental r =
-                new Rental(
+        RentalIntent r =
+                new RentalIntent(
                         "r-" + names + ++named,
                         kind,
                         Math.min(MOST_RENTED, count),
@@ -180,7 +180,7 @@
     }
 
     /** Rentals of which nobody knows yet what came of them, the oldest first. */
-    public List<Rental> unsettled() {
+    public List<RentalIntent> unsettled() {
         return rentals.values().stream().filter(r -> !r.settled()).toList();
     }
 
@@ -193,7 +193,7 @@
     public void listed() {
         double wallMs = timers.wallMs();
         double lagMs = 1000 * facts.cloud().listLagS();
-        for (Rental r : new ArrayList<>(rentals.values())) {
+        for (RentalIntent r : new ArrayList<>(rentals.values())) {
             double age = wallMs - r.askedMs();
             // Guards against a record kept for ever because a machine went before any list showed
             // it.
@@ -233,7 +233,7 @@
         if (batch.isEmpty()) {
             return;
         }
-        Going g = new Going(names + ++named, batch, block.token());
+        ReleaseIntent g = new ReleaseIntent(names + ++named, batch, block.token());
         goings.put(g.key, g);
         going.addAll(batch);
         batch.forEach(block::goes);
@@ -242,12 +242,12 @@
     }
 
     /** Returns that the cloud has not confirmed, the oldest first. */
-    public List<Going> goings() {
+    public List<ReleaseIntent> goings() {
         return List.copyOf(goings.values());
     }
 
     /** The cloud has confirmed it: the machines and all on them are gone. */
-    private void confirmed(Going g) {
+    private void confirmed(ReleaseIntent g) {
         going.removeAll(g.machines);
         drop(g, goings);
         gone.accept(g.machines);
@@ -255,7 +255,7 @@
 
     // ---- writing --------------------------------------------------------------------------------
 
-    private <T extends Intent> void write(T intent, Map<String, T> books) {
+    private <T extends CloudIntent> void write(T intent, Map<String, T> books) {
         ride.accept(
                 new StateWriter.BatchContributor() {
                     @Override
@@ -276,7 +276,7 @@
                 });
     }
 
-    private <T extends Intent> void drop(T intent, Map<String, T> books) {
+    private <T extends CloudIntent> void drop(T intent, Map<String, T> books) {
         books.remove(intent.key, intent);
         ride.accept(
                 new StateWriter.BatchContributor() {
--- a/src/main/java/io/kitepath/core/duty/Sweep.java
+++ b/src/main/java/io/kitepath/core/duty/GarbageCollector.java
@@ -16,8 +16,8 @@
  * record's revision and on what made it rubbish, so that a job which is just being accepted keeps
  * its parts, and a sweep that ends anywhere has done no harm.
  */
-public final class Sweep implements Duties.Work {
-    private static final Logger LOG = LoggerFactory.getLogger(Sweep.class);
+public final class GarbageCollector implements LeasedRoles.RoleWorker {
+    private static final Logger LOG = LoggerFactory.getLogger(GarbageCollector.class);
 
     /** Between two looks, in workers' leases. */
     private static final double PAUSE_LEASES = 10;
@@ -31,9 +31,9 @@
     private final ClusterSettings facts;
     private final Store store;
     private final Timers timers;
-    private final Deque<Audit.Finding> rubbish = new ArrayDeque<>();
-    private Audit audit;
-    private Duties.Held held;
+    private final Deque<OrphanScan.Finding> rubbish = new ArrayDeque<>();
+    private OrphanScan audit;
+    private LeasedRoles.RoleLease held;
     private long epoch;
     private boolean busy;
     private double nextAt;
@@ -42,7 +42,7 @@
     private long strange;
     private long strangeNow;
 
-    public Sweep(ClusterSettings facts, Store store, Timers timers) {
+    public GarbageCollector(ClusterSettings facts, Store store, Timers timers) {
         this.facts = facts;
         this.store = store;
         this.timers = timers;
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void begin(Duties.Held duty) {
+    public void begin(LeasedRoles.RoleLease duty) {
         held = duty;
         // Not at once: whoever ends again and again would do nothing but look.
         nextAt = timers.now() + facts.workers().leaseS();
@@ -102,7 +102,7 @@
         }
         if (audit == null) {
             strangeNow = 0;
-            audit = new Audit(store, 4 * facts.store().txnOps(), this::found);
+            audit = new OrphanScan(store, 4 * facts.store().txnOps(), this::found);
         }
         busy = true;
         long e = epoch;
@@ -126,7 +126,7 @@
                 });
     }
 
-    private void found(Audit.Finding f) {
+    private void found(OrphanScan.Finding f) {
         if (!f.rubbish()) {
             strangeNow++;
             LOG.warn("record {} should not be: {}", f.key(), f.why());
@@ -135,7 +135,7 @@
         }
     }
 
-    private void remove(Audit.Finding f) {
+    private void remove(OrphanScan.Finding f) {
         busy = true;
         long e = epoch;
         Transaction t = new Transaction().when(held.key(), held.revision());
--- a/src/main/java/io/kitepath/core/duty/Duties.java
+++ b/src/main/java/io/kitepath/core/duty/LeasedRoles.java
@@ -31,8 +31,8 @@
  * still arrives; that is harmless, since its writes depend on the revision of a key that is gone,
  * and what it asked of the cloud is on record for its successor.
  */
-public final class Duties {
-    private static final Logger LOG = LoggerFactory.getLogger(Duties.class);
+public final class LeasedRoles {
+    private static final Logger LOG = LoggerFactory.getLogger(LeasedRoles.class);
 
     /** Steady clocks of two machines drift apart by up to half of that. */
     private static final double DRIFT = 0.001;
@@ -40,12 +40,12 @@
     private static final double TICK_S = 0.25;
 
     /** What a duty does while it is held here. */
-    public interface Work {
+    public interface RoleWorker {
         /** The duty's name, which is part of its key. */
         String name();
 
         /** It is held from now on. */
-        void begin(Held held);
+        void begin(RoleLease held);
 
         /** It is held no more, or not for certain. */
         void end();
@@ -66,11 +66,11 @@
      * @param key on whose {@code revision} all that is written for the duty depends
      * @param certain whether it is held for certain, to be asked right before each act
      */
-    public record Held(String key, long revision, long token, BooleanSupplier certain) {}
+    public record RoleLease(String key, long revision, long token, BooleanSupplier certain) {}
 
     /** One duty, as this node sees it. */
-    public static final class Seat {
-        private final Work work;
+    public static final class RoleHolder {
+        private final RoleWorker work;
         private final String key;
         private String holder;
         private long token;
@@ -85,7 +85,7 @@
         private int givenAway;
         private long handOvers;
 
-        private Seat(Work work) {
+        private RoleHolder(RoleWorker work) {
             this.work = work;
             this.key = StoreKeys.DUTY + work.name();
         }
@@ -132,7 +132,7 @@
     private final Random random;
     private final Incarnation incarnation;
     private final double lifeS;
-    private final Map<String, Seat> seats = new LinkedHashMap<>();
+    private final Map<String, RoleHolder> seats = new LinkedHashMap<>();
     private final List<String> nodes = new ArrayList<>();
     private long lease;
     private boolean granting;
@@ -142,21 +142,21 @@
     private long fenced;
 
     /** {@code lifeS}: of the lease, in seconds. */
-    public Duties(
+    public LeasedRoles(
             ClusterSettings facts,
             Store store,
             Timers timers,
             Random random,
             Incarnation incarnation,
             double lifeS,
-            List<Work> works) {
+            List<RoleWorker> works) {
         this.facts = facts;
         this.store = store;
         this.timers = timers;
         this.random = random;
         this.incarnation = incarnation;
         this.lifeS = lifeS;
-        works.forEach(w -> seats.put(StoreKeys.DUTY + w.name(), new Seat(w)));
+        works.forEach(w -> seats.put(StoreKeys.DUTY + w.name(), new RoleHolder(w)));
         nodes.add(facts.node());
         facts.siblings().stream().filter(s -> !s.equals(facts.node())).forEach(nodes::add);
         nodes.sort(null);
@@ -177,7 +177,7 @@
         }
     }
 
-    public List<Seat> seats() {
+    public List<RoleHolder> seats() {
         return List.copyOf(seats.values());
     }
 
@@ -188,7 +188,7 @@
 
     /** Whether the duty of that name is held here for certain. */
     public boolean holds(String name) {
-        Seat s = seats.get(StoreKeys.DUTY + name);
+        RoleHolder s = seats.get(StoreKeys.DUTY + name);
         boolean certain = s.mine && timers.now() - renewedAt < lifeS * (1 - DRIFT);
         fenced += s.mine && !certain ? 1 : 0;
         return certain;
@@ -253,7 +253,7 @@
                         return;
                     }
                     for (Entry e : c.events()) {
-                        Seat s = seats.get(e.key());
+                        RoleHolder s = seats.get(e.key());
                         if (s != null && e.value() == null) {
                             absent(s, e.revision());
                         } else if (s != null) {
@@ -271,7 +271,7 @@
     }
 
     /** The key was not there at that revision. */
-    private void absent(Seat s, long at) {
+    private void absent(RoleHolder s, long at) {
         if (at < s.revision) {
             return; // It has been taken since.
         }
@@ -283,7 +283,7 @@
         claimLater(s);
     }
 
-    private void heard(Seat s, Entry e) {
+    private void heard(RoleHolder s, Entry e) {
         if (e.revision() < s.revision) {
             return; // Older than what is known.
         }
@@ -315,7 +315,7 @@
         }
     }
 
-    private void took(Seat s, String node, long token) {
+    private void took(RoleHolder s, String node, long token) {
         if (!node.equals(s.holder) || token != s.token) {
             s.handOvers++;
             s.since = timers.now();
@@ -327,12 +327,12 @@
     // ---- taking and losing ----------------------------------------------------------------------
 
     /** This node's place in the duty's order: each duty begins with another node. */
-    private int place(Seat s) {
+    private int place(RoleHolder s) {
         int ordinal = new ArrayList<>(seats.keySet()).indexOf(s.key);
         return Math.floorMod(nodes.indexOf(facts.node()) - ordinal - 1, nodes.size());
     }
 
-    private void claimLater(Seat s) {
+    private void claimLater(RoleHolder s) {
         if (s.claiming || retired) {
             return;
         }
@@ -376,7 +376,7 @@
                 });
     }
 
-    private void claim(Seat s) {
+    private void claim(RoleHolder s) {
         String tokenKey = StoreKeys.DUTY_TOKEN + s.name();
         store.get(
                 tokenKey,
@@ -421,7 +421,7 @@
                 });
     }
 
-    private void won(Seat s, long revision, long token) {
+    private void won(RoleHolder s, long revision, long token) {
         if (s.mine && s.revision == revision) {
             return;
         }
@@ -429,14 +429,14 @@
         s.revision = revision;
         took(s, facts.node(), token);
         LOG.info("duty {} is done here, with token {}", s.name(), token);
-        s.work.begin(new Held(s.key, revision, token, () -> holds(s.name())));
+        s.work.begin(new RoleLease(s.key, revision, token, () -> holds(s.name())));
     }
 
     private void lose(String why) {
         seats.values().forEach(s -> lose(s, why));
     }
 
-    private void lose(Seat s, String why) {
+    private void lose(RoleHolder s, String why) {
         if (s.mine) {
             s.mine = false;
             s.holder = null;
@@ -481,7 +481,7 @@
 
     private void tick() {
         double now = timers.now();
-        for (Seat s : seats.values()) {
+        for (RoleHolder s : seats.values()) {
             if (s.mine && holds(s.name())) {
                 if (s.work.fit(now)) {
                     s.work.tick(now);
@@ -500,7 +500,7 @@
      * not answer. Each time that it proves unfit it leaves the duty to others for longer, so that
      * it does not go round in an outage of all.
      */
-    private void giveAway(Seat s, double now) {
+    private void giveAway(RoleHolder s, double now) {
         s.unfitUntil = now + lifeS * 5 * (1 << Math.min(5, s.givenAway++));
         long at = s.revision;
         lose(s, "it can't be done from here");
--- a/src/main/java/io/kitepath/core/duty/Audit.java
+++ b/src/main/java/io/kitepath/core/duty/OrphanScan.java
@@ -25,7 +25,7 @@
  * once, so that a look costs one request for each page of records and one or two for each hundred
  * jobs, however much history there is.
  */
-public final class Audit {
+public final class OrphanScan {
     /** Records in one page. */
     private static final int PAGE = 200;
 
@@ -59,7 +59,7 @@
      * @param conditions how many one transaction may have
      * @param found is told of each finding
      */
-    public Audit(Store store, int conditions, Consumer<Finding> found) {
+    public OrphanScan(Store store, int conditions, Consumer<Finding> found) {
         this.store = store;
         this.conditions = conditions;
         this.found = found;
@@ -201,7 +201,7 @@
      */
     private void act(Entry e) {
         try {
-            Intent.read(e);
+            CloudIntent.read(e);
         } catch (InvalidInputException | ClassCastException bad) {
             found.accept(
                     new Finding(false, e.key(), "is unreadable: " + bad.getMessage(), List.of()));
--- a/src/main/java/io/kitepath/core/duty/Going.java
+++ b/src/main/java/io/kitepath/core/duty/ReleaseIntent.java
@@ -13,28 +13,28 @@
  * anything on them, neither its holder nor any that follows: the request may have been sent, and
  * may run minutes late.
  */
-public final class Going extends Intent {
+public final class ReleaseIntent extends CloudIntent {
     public final List<String> machines;
     private final long token;
 
     /** The cloud has confirmed that they are gone. */
     private boolean gone;
 
-    Going(String name, List<String> machines, long token) {
+    ReleaseIntent(String name, List<String> machines, long token) {
         super(StoreKeys.GOING + name);
         this.machines = List.copyOf(machines);
         this.token = token;
     }
 
     /** Reads a record; throws {@link InvalidInputException} if it is none. */
-    static Going read(Entry e) {
+    static ReleaseIntent read(Entry e) {
         DocumentReader t = DocumentReader.of(e.value());
         if (!(t.raw("machines") instanceof List<?> l)
                 || !l.stream().allMatch(String.class::isInstance)) {
             throw new InvalidInputException("machines: must be a list of names");
         }
-        Going g =
-                new Going(
+        ReleaseIntent g =
+                new ReleaseIntent(
                         e.key().substring(StoreKeys.GOING.length()),
                         l.stream().map(String.class::cast).toList(),
                         t.count("token"));
--- a/src/main/java/io/kitepath/core/duty/Rental.java
+++ b/src/main/java/io/kitepath/core/duty/RentalIntent.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 
 /** Machines that are to be rented, or were and may not be on the cloud's list yet. */
-public final class Rental extends Intent {
+public final class RentalIntent extends CloudIntent {
     /** The name of the request, which is never used for anything else. */
     public final String name;
 
@@ -22,7 +22,7 @@
     /** The machines that came of it; null until that is known. */
     private List<String> machines;
 
-    Rental(String name, MachineKind kind, int count, long token, double askedMs) {
+    RentalIntent(String name, MachineKind kind, int count, long token, double askedMs) {
         super(StoreKeys.RENT + name);
         this.name = name;
         this.kind = kind;
@@ -32,10 +32,10 @@
     }
 
     /** Reads a record; throws {@link io.kitepath.core.model.InvalidInputException} if it is none. */
-    static Rental read(Entry e) {
+    static RentalIntent read(Entry e) {
         DocumentReader t = DocumentReader.of(e.value());
-        Rental r =
-                new Rental(
+        RentalIntent r =
+                new RentalIntent(
                         e.key().substring(StoreKeys.RENT.length()),
                         new MachineKind(t.text("type"), t.text("zone"), t.flag("spot")),
                         (int) t.integer("count", 1, 1000),
--- a/src/main/java/io/kitepath/core/fleet/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/fleet/CloudReconciler.java
@@ -1,8 +1,8 @@
 package io.kitepath.core.fleet;
 
 import io.kitepath.core.block.ShardState;
-import io.kitepath.core.duty.Intents;
-import io.kitepath.core.duty.Rental;
+import io.kitepath.core.duty.CloudIntents;
+import io.kitepath.core.duty.RentalIntent;
 import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.MachineType;
@@ -21,7 +21,7 @@
 
 /**
  * What is asked of the cloud: machine types by every node; the list by the one that holds the
- * machines, which also puts down what is to be rented and given back ({@link Intents}), at the pace
+ * machines, which also puts down what is to be rented and given back ({@link CloudIntents}), at the pace
  * at which the cloud can be asked for it. Only the cloud's word that a machine was released proves
  * it gone.
  */
@@ -47,7 +47,7 @@
     /** What is put down; no more than can be asked for. */
     private final TokenBucket wishes;
 
-    private final Intents intents;
+    private final CloudIntents intents;
     private double leadingSince;
     private boolean typesStored;
     private boolean listing;
@@ -63,7 +63,7 @@
     public CloudReconciler(
             ShardState block,
             ScalingPlanner fleet,
-            Intents intents,
+            CloudIntents intents,
             Store store,
             Cloud cloud,
             Timers timers,
@@ -190,7 +190,7 @@
         }
     }
 
-    private void rented(Rental r) {
+    private void rented(RentalIntent r) {
         int n = r.machines().size();
         LOG.info(
                 "rented {} of {} {} in {}{}",
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.duty.Duties;
+import io.kitepath.core.duty.LeasedRoles;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.StoreKeys;
@@ -67,7 +67,7 @@
     void eachDutyHasOneHolderAndTheyAreSpread() {
         nodes(3);
         Set<String> holders = new HashSet<>();
-        for (Duties.Seat s : w.nodes.get("k0").controller.duties()) {
+        for (LeasedRoles.RoleHolder s : w.nodes.get("k0").controller.duties()) {
             assertEquals(1, entitled(s.name()), s.name());
             holders.add(s.holder());
         }
