--- a/src/main/java/io/kitepath/cli/ArchiveTraining.java
+++ b/src/main/java/io/kitepath/cli/ArchiveTraining.java
@@ -3,7 +3,7 @@
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.HttpServer;
 import io.kitepath.settings.Settings;
-import io.kitepath.wire.Pack;
+import io.kitepath.wire.MessagePackCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.handler.codec.http.QueryStringDecoder;
@@ -84,7 +84,7 @@
         int submitted;
         do {
             TimeUnit.MILLISECONDS.sleep(100);
-            submitted = call(loop, client, "POST", "/submissions", Pack.bytes(job));
+            submitted = call(loop, client, "POST", "/submissions", MessagePackCodec.bytes(job));
         } while (submitted == 503 && System.nanoTime() < end);
         statuses.add(submitted);
         statuses.add(call(loop, client, "GET", "/submissions/j-1", null));
@@ -100,7 +100,7 @@
             statuses.add(
                     call(loop, client, "POST", "/checkin", report(tick, tick < first + 4 ? 1 : 2)));
         }
-        statuses.add(call(loop, client, "POST", "/submissions/j-1/withdraw", Pack.bytes(Map.of())));
+        statuses.add(call(loop, client, "POST", "/submissions/j-1/withdraw", MessagePackCodec.bytes(Map.of())));
         statuses.add(call(loop, client, "POST", "/submissions", new byte[] {1}));
         statuses.add(call(loop, client, "GET", "/metrics", null));
         statuses.add(call(loop, client, "GET", "/nowhere", null));
@@ -123,7 +123,7 @@
                 phase < 2
                         ? List.of()
                         : List.of(Map.of("sheet", "j-1/0", "try", 1L, "status", "running")));
-        return Pack.bytes(report);
+        return MessagePackCodec.bytes(report);
     }
 
     private static int call(
@@ -148,9 +148,9 @@
     private void standIn(HttpServer.Request r, HttpServer.Responder out) {
         String path = r.path();
         if (path.equals("/holds") || path.endsWith("/renew")) {
-            out.reply(200, Pack.bytes(Map.of("tether", 1L)));
+            out.reply(200, MessagePackCodec.bytes(Map.of("tether", 1L)));
         } else if (path.equals("/multi")) {
-            multi(Pack.value(r.body()), out);
+            multi(MessagePackCodec.value(r.body()), out);
         } else if (path.equals("/keys")) {
             List<Object> entries = new ArrayList<>();
             String prefix =
@@ -163,20 +163,20 @@
                     });
             out.reply(
                     200,
-                    Pack.bytes(Map.of("entries", entries, "truncated", false, "epoch", revision)));
+                    MessagePackCodec.bytes(Map.of("entries", entries, "truncated", false, "epoch", revision)));
         } else if (path.startsWith("/keys/")) {
             Object v = keys.get(path.substring("/keys/".length()));
-            out.reply(v == null ? 404 : 200, Pack.bytes(v == null ? Map.of("epoch", revision) : v));
+            out.reply(v == null ? 404 : 200, MessagePackCodec.bytes(v == null ? Map.of("epoch", revision) : v));
         } else if (path.equals("/follow")) {
             long now = revision;
             group.schedule(
-                    () -> out.reply(200, Pack.bytes(Map.of("epoch", now, "events", List.of()))),
+                    () -> out.reply(200, MessagePackCodec.bytes(Map.of("epoch", now, "events", List.of()))),
                     200,
                     TimeUnit.MILLISECONDS);
         } else if (path.equals("/machine_types")) {
             out.reply(
                     200,
-                    Pack.bytes(
+                    MessagePackCodec.bytes(
                             Map.of(
                                     "frames",
                                     List.of(
@@ -196,9 +196,9 @@
                                                     "fields",
                                                     List.of("a"))))));
         } else if (path.equals("/rentals") && r.method().equals("GET")) {
-            out.reply(200, Pack.bytes(Map.of("hosts", List.of(), "truncated", false)));
+            out.reply(200, MessagePackCodec.bytes(Map.of("hosts", List.of(), "truncated", false)));
         } else {
-            out.reply(503, Pack.bytes(Map.of("error", "no capacity")));
+            out.reply(503, MessagePackCodec.bytes(Map.of("error", "no capacity")));
         }
     }
 
@@ -214,7 +214,7 @@
             }
         }
         if (!failed.isEmpty()) {
-            out.reply(409, Pack.bytes(Map.of("failed", failed, "epoch", revision)));
+            out.reply(409, MessagePackCodec.bytes(Map.of("failed", failed, "epoch", revision)));
             return;
         }
         List<?> then = m.containsKey("then") ? (List<?>) m.get("then") : List.of();
@@ -229,6 +229,6 @@
                         Map.of("path", w.get("write"), "value", w.get("value"), "stamp", revision));
             }
         }
-        out.reply(200, Pack.bytes(Map.of("epoch", revision)));
+        out.reply(200, MessagePackCodec.bytes(Map.of("epoch", revision)));
     }
 }
--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -4,7 +4,7 @@
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.settings.CellsFile;
 import io.kitepath.settings.Settings;
-import io.kitepath.wire.Pack;
+import io.kitepath.wire.MessagePackCodec;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
@@ -184,7 +184,7 @@
                 return 1;
             }
             boolean good = r.statusCode() / 100 == 2;
-            String shown = r.body().length == 0 ? "" : " " + Pack.value(r.body());
+            String shown = r.body().length == 0 ? "" : " " + MessagePackCodec.value(r.body());
             (good ? System.out : System.err).println(r.statusCode() + shown);
             return good ? 0 : 1;
         }
@@ -209,7 +209,7 @@
                 System.err.println("kitepath: " + file + ": " + e.getMessage());
                 return 2;
             }
-            return target.call("POST", "/submissions", Pack.bytes(job));
+            return target.call("POST", "/submissions", MessagePackCodec.bytes(job));
         }
     }
 
@@ -248,7 +248,7 @@
 
         @Override
         public Integer call() throws Exception {
-            return target.call("POST", "/submissions/" + job + "/withdraw", Pack.bytes(Map.of()));
+            return target.call("POST", "/submissions/" + job + "/withdraw", MessagePackCodec.bytes(Map.of()));
         }
     }
 }
--- a/src/main/java/io/kitepath/cli/Local.java
+++ b/src/main/java/io/kitepath/cli/Local.java
@@ -6,7 +6,7 @@
 import io.kitepath.settings.Settings;
 import io.kitepath.standin.Loopback;
 import io.kitepath.standin.World;
-import io.kitepath.wire.Pack;
+import io.kitepath.wire.MessagePackCodec;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -480,7 +480,7 @@
                                                                 n,
                                                                 "POST",
                                                                 "/submissions",
-                                                                Pack.bytes(job(id, tasks, needs)),
+                                                                MessagePackCodec.bytes(job(id, tasks, needs)),
                                                                 200,
                                                                 201)
                                                         != null));
@@ -490,7 +490,7 @@
         for (InetSocketAddress n : listens) {
             byte[] b = ask(n, "GET", "/submissions/" + id, null, 200);
             if (b != null) {
-                return (String) ((Map<?, ?>) Pack.value(b)).get("status");
+                return (String) ((Map<?, ?>) MessagePackCodec.value(b)).get("status");
             }
         }
         return null;
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -15,7 +15,7 @@
 import io.kitepath.settings.Settings;
 import io.kitepath.store.HttpStore;
 import io.kitepath.users.UsersApi;
-import io.kitepath.wire.Pack;
+import io.kitepath.wire.MessagePackCodec;
 import io.kitepath.workers.HttpDirectCommands;
 import io.kitepath.workers.WorkersApi;
 import io.netty.channel.EventLoop;
@@ -131,7 +131,7 @@
             } else if (path.equals("/duties")) {
                 out.reply(
                         200,
-                        Pack.bytes(controller.duties().stream().map(LeasedRoles.RoleHolder::shown).toList()));
+                        MessagePackCodec.bytes(controller.duties().stream().map(LeasedRoles.RoleHolder::shown).toList()));
             } else {
                 if (metrics == null) {
                     metrics = new Metrics(controller);
--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -6,8 +6,8 @@
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.net.HttpClient;
-import io.kitepath.wire.Pack;
-import io.kitepath.wire.Wire;
+import io.kitepath.wire.MessagePackCodec;
+import io.kitepath.wire.ProtocolCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -31,7 +31,7 @@
 
     private static <T> T read(byte[] body, Function<Object, T> reading) {
         try {
-            return reading.apply(Pack.value(body));
+            return reading.apply(MessagePackCodec.value(body));
         } catch (InvalidInputException e) {
             LOG.warn("cloud answered with a body that can't be read: {}", e.getMessage());
             return null;
@@ -50,7 +50,7 @@
                 null,
                 timeoutMs,
                 (status, body) -> {
-                    List<MachineType> types = status == 200 ? read(body, Wire::types) : null;
+                    List<MachineType> types = status == 200 ? read(body, ProtocolCodec::types) : null;
                     answer.accept(
                             types != null ? Outcome.OK : failed(status),
                             types == null ? List.of() : types);
@@ -63,11 +63,11 @@
         http.call(
                 "POST",
                 "/rentals",
-                Wire.rental(name, kind, count),
+                ProtocolCodec.rental(name, kind, count),
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        List<String> names = read(body, Wire::machineNames);
+                        List<String> names = read(body, ProtocolCodec::machineNames);
                         answer.accept(
                                 names != null ? Outcome.OK : Outcome.UNKNOWN,
                                 names == null ? List.of() : names);
@@ -89,7 +89,7 @@
         http.call(
                 "POST",
                 "/rentals/release",
-                Wire.machines(machines),
+                ProtocolCodec.machines(machines),
                 timeoutMs,
                 (status, body) -> answer.accept(status == 200 ? Outcome.OK : failed(status)));
     }
@@ -106,13 +106,13 @@
                 null,
                 timeoutMs,
                 (status, body) -> {
-                    List<Listed> page = status == 200 ? read(body, Wire::listed) : null;
+                    List<Listed> page = status == 200 ? read(body, ProtocolCodec::listed) : null;
                     if (page == null) {
                         answer.accept(status == 200 ? Outcome.UNKNOWN : failed(status), List.of());
                         return;
                     }
                     read.addAll(page);
-                    if (Wire.truncated(Pack.value(body)) && !page.isEmpty()) {
+                    if (ProtocolCodec.truncated(MessagePackCodec.value(body)) && !page.isEmpty()) {
                         page(page.get(page.size() - 1).machine(), read, answer);
                     } else {
                         answer.accept(Outcome.OK, read);
--- a/src/main/java/io/kitepath/standin/Loopback.java
+++ b/src/main/java/io/kitepath/standin/Loopback.java
@@ -11,9 +11,9 @@
 import io.kitepath.net.HttpServer;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
-import io.kitepath.wire.Outside;
-import io.kitepath.wire.Pack;
-import io.kitepath.wire.Wire;
+import io.kitepath.wire.EmulatorCodec;
+import io.kitepath.wire.MessagePackCodec;
+import io.kitepath.wire.ProtocolCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.socket.ServerSocketChannel;
@@ -73,10 +73,10 @@
                                 .call(
                                         "POST",
                                         "/checkin",
-                                        Outside.report(report),
+                                        EmulatorCodec.report(report),
                                         TIMEOUT_MS,
                                         (status, body) -> {
-                                            HeartbeatResponse c = Outside.heartbeat(status, body);
+                                            HeartbeatResponse c = EmulatorCodec.heartbeat(status, body);
                                             answer.accept(
                                                     c == null
                                                             ? HeartbeatResponse.elsewhere(null)
@@ -110,7 +110,7 @@
                             try {
                                 handler.handle(request, out);
                             } catch (InvalidInputException e) {
-                                out.reply(400, Wire.error(e.getMessage()));
+                                out.reply(400, ProtocolCodec.error(e.getMessage()));
                             }
                         },
                         MAX_BODY,
@@ -145,13 +145,13 @@
 
     private void direct(Worker w, Request r, Responder out) {
         try {
-            Outside.Direct d = Outside.direct(Pack.value(r.body()));
+            EmulatorCodec.Direct d = EmulatorCodec.direct(MessagePackCodec.value(r.body()));
             Heartbeat report = w.up ? w.directly(d.token(), d.session(), d.orders()) : null;
             out.reply(
                     report == null ? 409 : 200,
-                    Outside.report(report == null ? w.message() : report));
+                    EmulatorCodec.report(report == null ? w.message() : report));
         } catch (InvalidInputException e) {
-            out.reply(400, Wire.error(e.getMessage()));
+            out.reply(400, ProtocolCodec.error(e.getMessage()));
         }
     }
 
@@ -170,9 +170,9 @@
                     path.substring("/keys/".length()),
                     (o, e) -> {
                         if (o == Outcome.OK) {
-                            out.reply(200, Outside.entry(e));
+                            out.reply(200, EmulatorCodec.entry(e));
                         } else if (o == Outcome.NO) {
-                            out.reply(404, Pack.bytes(Map.of("epoch", world.store.revision)));
+                            out.reply(404, MessagePackCodec.bytes(Map.of("epoch", world.store.revision)));
                         } else {
                             failed(o, out);
                         }
@@ -184,25 +184,25 @@
                     (int) number(r, "limit", 1000),
                     l -> {
                         if (l.outcome() == Outcome.OK) {
-                            out.reply(200, Outside.listing(l));
+                            out.reply(200, EmulatorCodec.listing(l));
                         } else {
                             failed(l.outcome(), out);
                         }
                     });
         } else if (path.equals("/multi")) {
-            store.commit(Outside.transaction(Pack.value(r.body())), c -> committed(c, out));
+            store.commit(EmulatorCodec.transaction(MessagePackCodec.value(r.body())), c -> committed(c, out));
         } else if (path.equals("/follow")) {
             store.follow(
                     query(r, "prefix", ""),
                     number(r, "from", 0),
                     number(r, "holdMs", 0),
-                    c -> out.reply(200, Outside.changes(c)));
+                    c -> out.reply(200, EmulatorCodec.changes(c)));
         } else if (path.equals("/holds")) {
             store.grant(
-                    Outside.lifeMs(Pack.value(r.body())),
+                    EmulatorCodec.lifeMs(MessagePackCodec.value(r.body())),
                     (o, id) -> {
                         if (o == Outcome.OK) {
-                            out.reply(200, Outside.lease(id));
+                            out.reply(200, EmulatorCodec.lease(id));
                         } else {
                             failed(o, out);
                         }
@@ -221,18 +221,18 @@
             store.revoke(Long.parseLong(path.split("/")[2]));
             out.reply(200, null);
         } else {
-            out.reply(400, Wire.error("no such call"));
+            out.reply(400, ProtocolCodec.error("no such call"));
         }
     }
 
     private static void committed(CommitResult c, Responder out) {
         switch (c.outcome()) {
-            case OK -> out.reply(200, Outside.committed(c));
+            case OK -> out.reply(200, EmulatorCodec.committed(c));
             case NO ->
                     out.reply(
                             c.leaseGone() ? 400 : 409,
-                            c.leaseGone() ? Wire.error(Wire.NO_SUCH_LEASE) : Outside.committed(c));
-            case INVALID -> out.reply(400, Wire.error("over the limits"));
+                            c.leaseGone() ? ProtocolCodec.error(ProtocolCodec.NO_SUCH_LEASE) : EmulatorCodec.committed(c));
+            case INVALID -> out.reply(400, ProtocolCodec.error("over the limits"));
             default -> failed(c.outcome(), out);
         }
     }
@@ -254,18 +254,18 @@
 
     private void cloud(Request r, Responder out) {
         if (r.path().equals("/machine_types")) {
-            cloud.types((o, types) -> out.reply(200, Outside.types(types)));
+            cloud.types((o, types) -> out.reply(200, EmulatorCodec.types(types)));
         } else if (r.path().equals("/rentals/release")) {
             cloud.release(
-                    Wire.machineNames(Pack.value(r.body())),
-                    o -> answer(o, Pack.bytes(Map.of()), out));
+                    ProtocolCodec.machineNames(MessagePackCodec.value(r.body())),
+                    o -> answer(o, MessagePackCodec.bytes(Map.of()), out));
         } else if (r.path().equals("/rentals") && r.method().equals("POST")) {
-            Outside.Rent q = Outside.rent(Pack.value(r.body()));
+            EmulatorCodec.Rent q = EmulatorCodec.rent(MessagePackCodec.value(r.body()));
             cloud.rent(
                     q.name(),
                     new MachineKind(q.type(), q.zone(), q.spot()),
                     q.count(),
-                    (o, names) -> answer(o, Wire.machines(names), out));
+                    (o, names) -> answer(o, ProtocolCodec.machines(names), out));
         } else if (r.path().equals("/rentals")) {
             String from = query(r, "from", "");
             int limit = (int) number(r, "limit", 500);
@@ -275,21 +275,21 @@
                                 all.stream().filter(m -> m.machine().compareTo(from) > 0).toList();
                         answer(
                                 o,
-                                Outside.machines(
+                                EmulatorCodec.machines(
                                         rest.subList(0, Math.min(limit, rest.size())),
                                         rest.size() > limit),
                                 out);
                     });
         } else {
-            out.reply(400, Wire.error("no such call"));
+            out.reply(400, ProtocolCodec.error("no such call"));
         }
     }
 
     private static void answer(Outcome o, byte[] body, Responder out) {
         switch (o) {
             case OK -> out.reply(200, body);
-            case NO -> out.reply(503, Wire.error("no capacity"));
-            default -> out.reply(503, Wire.error("trouble"));
+            case NO -> out.reply(503, ProtocolCodec.error("no capacity"));
+            default -> out.reply(503, ProtocolCodec.error("trouble"));
         }
     }
 }
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -3,8 +3,8 @@
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store;
 import io.kitepath.net.HttpClient;
-import io.kitepath.wire.Pack;
-import io.kitepath.wire.Wire;
+import io.kitepath.wire.MessagePackCodec;
+import io.kitepath.wire.ProtocolCodec;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -43,7 +43,7 @@
     /** Reads an answer's body; bytes that are not what they should be count as no answer. */
     private static <T> T read(int status, byte[] body, Reading<T> reading) {
         try {
-            return reading.of(Pack.value(body));
+            return reading.of(MessagePackCodec.value(body));
         } catch (InvalidInputException e) {
             LOG.warn(
                     "state service answered {} with a body that can't be read: {}",
@@ -66,7 +66,7 @@
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        Entry e = read(status, body, Wire::entry);
+                        Entry e = read(status, body, ProtocolCodec::entry);
                         answer.accept(e == null ? Outcome.UNKNOWN : Outcome.OK, e);
                     } else {
                         answer.accept(status == 404 ? Outcome.NO : other(status), null);
@@ -96,9 +96,9 @@
                                             b ->
                                                     new ListResult(
                                                             Outcome.OK,
-                                                            Wire.entries(b),
-                                                            Wire.revision(b),
-                                                            Wire.truncated(b)))
+                                                            ProtocolCodec.entries(b),
+                                                            ProtocolCodec.revision(b),
+                                                            ProtocolCodec.truncated(b)))
                                     : null;
                     answer.accept(
                             page != null
@@ -120,29 +120,29 @@
         calls.call(
                 "POST",
                 "/multi",
-                Wire.transaction(t),
+                ProtocolCodec.transaction(t),
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        Long revision = read(status, body, Wire::revision);
+                        Long revision = read(status, body, ProtocolCodec::revision);
                         answer.accept(
                                 revision == null
                                         ? new CommitResult(Outcome.UNKNOWN, 0, List.of(), false)
                                         : new CommitResult(Outcome.OK, revision, List.of(), false));
                     } else if (status == 409) {
-                        List<String> failed = read(status, body, Wire::failed);
+                        List<String> failed = read(status, body, ProtocolCodec::failed);
                         answer.accept(
                                 new CommitResult(
                                         Outcome.NO, 0, failed == null ? List.of() : failed, false));
                     } else if (status == 400) {
-                        String why = read(status, body, Wire::reason);
+                        String why = read(status, body, ProtocolCodec::reason);
                         LOG.warn(
                                 "state service refused a transaction of {} writes: {}",
                                 t.writes().size(),
                                 why);
                         // Only this one says something about the world; anything else is wrong with
                         // what was sent.
-                        boolean lease = Wire.NO_SUCH_LEASE.equals(why);
+                        boolean lease = ProtocolCodec.NO_SUCH_LEASE.equals(why);
                         answer.accept(
                                 new CommitResult(
                                         lease ? Outcome.NO : Outcome.INVALID, 0, List.of(), lease));
@@ -157,10 +157,10 @@
         renewals.call(
                 "POST",
                 "/holds",
-                Wire.leaseLife(lifeMs),
+                ProtocolCodec.leaseLife(lifeMs),
                 timeoutMs,
                 (status, body) -> {
-                    Long id = status == 200 ? read(status, body, Wire::lease) : null;
+                    Long id = status == 200 ? read(status, body, ProtocolCodec::lease) : null;
                     answer.accept(
                             id != null
                                     ? Outcome.OK
@@ -205,8 +205,8 @@
                                             b ->
                                                     new WatchResult(
                                                             Outcome.OK,
-                                                            Wire.revision(b),
-                                                            Wire.events(b)))
+                                                            ProtocolCodec.revision(b),
+                                                            ProtocolCodec.events(b)))
                                     : null;
                     if (c == null) {
                         c =
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -7,8 +7,8 @@
 import io.kitepath.core.serve.JobSubmissionService.Answer;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
-import io.kitepath.wire.Pack;
-import io.kitepath.wire.Wire;
+import io.kitepath.wire.MessagePackCodec;
+import io.kitepath.wire.ProtocolCodec;
 import java.util.List;
 
 /** What users may ask over HTTP. */
@@ -38,7 +38,7 @@
             out.reply(404, null);
         } else if (!r.method().equals(cancel ? "POST" : "GET")) {
             out.reply(405, null);
-        } else if (!Wire.isJobId(id)) {
+        } else if (!ProtocolCodec.isJobId(id)) {
             out.reply(404, null);
         } else if (cancel) {
             controller.registry().cancel(id, a -> answer(a, true, out));
@@ -51,17 +51,17 @@
         Object body;
         String id;
         try {
-            body = Pack.value(bytes);
-            id = Wire.submittedId(body);
+            body = MessagePackCodec.value(bytes);
+            id = ProtocolCodec.submittedId(body);
         } catch (InvalidInputException e) {
-            out.reply(400, Wire.error(e.getMessage()));
+            out.reply(400, ProtocolCodec.error(e.getMessage()));
             return;
         }
         String wrong;
         int status;
         try {
-            JobSpec spec = Wire.submission(body);
-            List<String> needs = Wire.needs(body);
+            JobSpec spec = ProtocolCodec.submission(body);
+            List<String> needs = ProtocolCodec.needs(body);
             if (controller.types().isEmpty()) {
                 known(id, 503, "the machine types are not known yet", out);
                 return;
@@ -97,7 +97,7 @@
                             if (a.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
                                 out.reply(
                                         status,
-                                        Wire.error(why),
+                                        ProtocolCodec.error(why),
                                         status == 503 ? controller.retryS() : 0);
                             } else {
                                 answer(a, false, out);
@@ -107,15 +107,15 @@
 
     private void answer(Answer a, boolean brief, Responder out) {
         switch (a.verdict()) {
-            case CREATED -> out.reply(201, Wire.jobState(a.state(), true));
-            case KNOWN -> out.reply(200, Wire.jobState(a.state(), brief));
-            case REFUSED -> out.reply(422, Wire.error(a.why()));
-            case INVALID -> out.reply(400, Wire.error(a.why()));
-            case NOT_FOUND -> out.reply(404, Wire.error("no such job"));
+            case CREATED -> out.reply(201, ProtocolCodec.jobState(a.state(), true));
+            case KNOWN -> out.reply(200, ProtocolCodec.jobState(a.state(), brief));
+            case REFUSED -> out.reply(422, ProtocolCodec.error(a.why()));
+            case INVALID -> out.reply(400, ProtocolCodec.error(a.why()));
+            case NOT_FOUND -> out.reply(404, ProtocolCodec.error("no such job"));
             default ->
                     out.reply(
                             503,
-                            Wire.error("the state service can't be asked now"),
+                            ProtocolCodec.error("the state service can't be asked now"),
                             controller.retryS());
         }
     }
--- a/src/main/java/io/kitepath/wire/Outside.java
+++ b/src/main/java/io/kitepath/wire/EmulatorCodec.java
@@ -17,14 +17,14 @@
  * The protocol as the other side speaks it: what state service, cloud and workers read and answer.
  * For stand-ins.
  */
-public final class Outside {
+public final class EmulatorCodec {
     /** What a node asks the cloud to rent. */
     public record Rent(String name, String type, String zone, boolean spot, int count) {}
 
     /** Commands for a worker's session. */
     public record Direct(long token, long session, List<WorkerCommand> orders) {}
 
-    private Outside() {}
+    private EmulatorCodec() {}
 
     // ---- state service --------------------------------------------------------------------------
 
@@ -54,7 +54,7 @@
     }
 
     public static byte[] entry(Store.Entry e) {
-        return Pack.bytes(shown(e));
+        return MessagePackCodec.bytes(shown(e));
     }
 
     private static Map<String, Object> shown(Store.Entry e) {
@@ -66,10 +66,10 @@
     }
 
     public static byte[] listing(Store.ListResult l) {
-        return Pack.bytes(
+        return MessagePackCodec.bytes(
                 Map.of(
                         "entries",
-                        l.entries().stream().map(Outside::shown).toList(),
+                        l.entries().stream().map(EmulatorCodec::shown).toList(),
                         "truncated",
                         l.more(),
                         "epoch",
@@ -77,7 +77,7 @@
     }
 
     public static byte[] committed(Store.CommitResult c) {
-        return Pack.bytes(
+        return MessagePackCodec.bytes(
                 c.outcome() == Store.Outcome.OK
                         ? Map.of("epoch", c.revision())
                         : Map.of("failed", c.failed(), "epoch", c.revision()));
@@ -94,11 +94,11 @@
             m.put("stamp", e.revision());
             events.add(m);
         }
-        return Pack.bytes(Map.of("epoch", c.revision(), "events", events));
+        return MessagePackCodec.bytes(Map.of("epoch", c.revision(), "events", events));
     }
 
     public static byte[] lease(long id) {
-        return Pack.bytes(Map.of("tether", id));
+        return MessagePackCodec.bytes(Map.of("tether", id));
     }
 
     // ---- cloud ----------------------------------------------------------------------------------
@@ -119,7 +119,7 @@
             m.put("fields", t.zones());
             list.add(m);
         }
-        return Pack.bytes(Map.of("frames", list));
+        return MessagePackCodec.bytes(Map.of("frames", list));
     }
 
     public static Rent rent(Object body) {
@@ -145,7 +145,7 @@
             m.put("heldS", l.heldS());
             out.add(m);
         }
-        return Pack.bytes(Map.of("hosts", out, "truncated", more));
+        return MessagePackCodec.bytes(Map.of("hosts", out, "truncated", more));
     }
 
     // ---- workers --------------------------------------------------------------------------------
@@ -192,18 +192,18 @@
             tasks.add(x);
         }
         m.put("sheets", tasks);
-        return Pack.bytes(m);
+        return MessagePackCodec.bytes(m);
     }
 
     /** An answer to a check-in, by its HTTP status; null for one that says nothing. */
     public static HeartbeatResponse heartbeat(int status, byte[] body) {
         try {
             if (status == 200) {
-                DocumentReader t = DocumentReader.of(Pack.value(body));
+                DocumentReader t = DocumentReader.of(MessagePackCodec.value(body));
                 return new HeartbeatResponse(t.count("baton"), orders(t), null);
             }
             if (status == 421) {
-                return HeartbeatResponse.elsewhere(DocumentReader.of(Pack.value(body)).textOr("anchor", null));
+                return HeartbeatResponse.elsewhere(DocumentReader.of(MessagePackCodec.value(body)).textOr("anchor", null));
             }
         } catch (InvalidInputException e) {
             return null;
--- a/src/main/java/io/kitepath/wire/Pack.java
+++ b/src/main/java/io/kitepath/wire/MessagePackCodec.java
@@ -16,14 +16,14 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** MessagePack bodies to and from plain maps, lists, text, numbers, booleans and null. */
-public final class Pack {
+public final class MessagePackCodec {
     private static final int MAX_DEPTH = 16;
     private static final MessagePack.PackerConfig PACKER =
             new MessagePack.PackerConfig().withBufferSize(1024);
     private static final MessagePack.UnpackerConfig UNPACKER =
             new MessagePack.UnpackerConfig().withBufferSize(1024);
 
-    private Pack() {}
+    private MessagePackCodec() {}
 
     public static byte[] bytes(Object value) {
         try (MessageBufferPacker out = PACKER.newBufferPacker()) {
--- a/src/main/java/io/kitepath/wire/Wire.java
+++ b/src/main/java/io/kitepath/wire/ProtocolCodec.java
@@ -18,7 +18,7 @@
 import java.util.regex.Pattern;
 
 /** The protocol's names. Nothing outside this package knows them. */
-public final class Wire {
+public final class ProtocolCodec {
     private static final int MAX_TASKS = 100_000;
     private static final int MAX_JSON = 64 * 1024;
     private static final Pattern JOB_ID = Pattern.compile("j-[0-9]{1,18}");
@@ -26,7 +26,7 @@
     /** Why the state service refuses a write that hangs on a lease which is over. */
     public static final String NO_SUCH_LEASE = "no such lease";
 
-    private Wire() {}
+    private ProtocolCodec() {}
 
     // ---- users ----------------------------------------------------------------------------------
 
@@ -36,7 +36,7 @@
 
     /** The job id in a submission; everything else may still be wrong. */
     public static String submittedId(Object body) {
-        if (Pack.jsonSize(body) > MAX_JSON) {
+        if (MessagePackCodec.jsonSize(body) > MAX_JSON) {
             throw new InvalidInputException("body: over 64 KiB");
         }
         String id = DocumentReader.of(body).text("nameId");
@@ -132,11 +132,11 @@
                 m.put("note", s.note());
             }
         }
-        return Pack.bytes(m);
+        return MessagePackCodec.bytes(m);
     }
 
     public static byte[] error(String why) {
-        return Pack.bytes(Map.of("error", why));
+        return MessagePackCodec.bytes(Map.of("error", why));
     }
 
     // ---- workers --------------------------------------------------------------------------------
@@ -203,14 +203,14 @@
     }
 
     public static byte[] orders(long token, List<WorkerCommand> orders) {
-        return Pack.bytes(commands(token, orders));
+        return MessagePackCodec.bytes(commands(token, orders));
     }
 
     /** Commands straight to a worker, for one session of it. */
     public static byte[] direct(long token, long session, List<WorkerCommand> orders) {
         Map<String, Object> m = commands(token, orders);
         m.put("tenure", session);
-        return Pack.bytes(m);
+        return MessagePackCodec.bytes(m);
     }
 
     private static Map<String, Object> commands(long token, List<WorkerCommand> orders) {
@@ -238,7 +238,7 @@
     }
 
     public static byte[] anchor(String node) {
-        return Pack.bytes(node == null ? Map.of() : Map.of("anchor", node));
+        return MessagePackCodec.bytes(node == null ? Map.of() : Map.of("anchor", node));
     }
 
     // ---- cloud ----------------------------------------------------------------------------------
@@ -269,11 +269,11 @@
         m.put("field", kind.zone());
         m.put("loaners", kind.spot());
         m.put("count", (long) count);
-        return Pack.bytes(m);
+        return MessagePackCodec.bytes(m);
     }
 
     public static byte[] machines(List<String> names) {
-        return Pack.bytes(Map.of("hosts", names));
+        return MessagePackCodec.bytes(Map.of("hosts", names));
     }
 
     public static List<String> machineNames(Object body) {
@@ -326,7 +326,7 @@
     }
 
     public static byte[] leaseLife(long ms) {
-        return Pack.bytes(Map.of("lifeMs", ms));
+        return MessagePackCodec.bytes(Map.of("lifeMs", ms));
     }
 
     /** Why a request was refused, empty if it does not say. */
@@ -376,6 +376,6 @@
         if (!then.isEmpty()) {
             m.put("then", then);
         }
-        return Pack.bytes(m);
+        return MessagePackCodec.bytes(m);
     }
 }
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -5,8 +5,8 @@
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.net.HttpClient;
-import io.kitepath.wire.Pack;
-import io.kitepath.wire.Wire;
+import io.kitepath.wire.MessagePackCodec;
+import io.kitepath.wire.ProtocolCodec;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -52,14 +52,14 @@
                 maxBody,
                 "POST",
                 "/do",
-                Wire.direct(token, session, orders),
+                ProtocolCodec.direct(token, session, orders),
                 timeoutMs,
                 (status, body) -> answer.accept(status == 200 ? report(body) : null));
     }
 
     private static Heartbeat report(byte[] body) {
         try {
-            return Wire.report(Pack.value(body));
+            return ProtocolCodec.report(MessagePackCodec.value(body));
         } catch (InvalidInputException e) {
             LOG.debug("a worker's answer can't be read: {}", e.getMessage());
             return null;
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -5,8 +5,8 @@
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
-import io.kitepath.wire.Pack;
-import io.kitepath.wire.Wire;
+import io.kitepath.wire.MessagePackCodec;
+import io.kitepath.wire.ProtocolCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,19 +28,19 @@
         }
         Heartbeat report;
         try {
-            report = Wire.report(Pack.value(r.body()));
+            report = ProtocolCodec.report(MessagePackCodec.value(r.body()));
         } catch (InvalidInputException e) {
             LOG.debug("a report can't be read: {}", e.getMessage());
-            out.reply(400, Wire.error(e.getMessage()));
+            out.reply(400, ProtocolCodec.error(e.getMessage()));
             return;
         }
         controller.heartbeat(
                 report,
                 a -> {
                     if (a.token() > 0) {
-                        out.reply(200, Wire.orders(a.token(), a.orders()));
+                        out.reply(200, ProtocolCodec.orders(a.token(), a.orders()));
                     } else {
-                        out.reply(421, Wire.anchor(a.anchor()));
+                        out.reply(421, ProtocolCodec.anchor(a.anchor()));
                     }
                 });
     }
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -16,8 +16,8 @@
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
 import io.kitepath.users.UsersApi;
-import io.kitepath.wire.Pack;
-import io.kitepath.wire.Wire;
+import io.kitepath.wire.MessagePackCodec;
+import io.kitepath.wire.ProtocolCodec;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -58,7 +58,7 @@
             List<int[]> each = new ArrayList<>();
             for (Node n : w.nodes.values()) {
                 if (n.alive) {
-                    each.add(send(w, n, Pack.bytes(named(b, "j-" + next++))));
+                    each.add(send(w, n, MessagePackCodec.bytes(named(b, "j-" + next++))));
                 }
             }
             got.add(each);
@@ -117,8 +117,8 @@
                         .noneMatch(n -> n.alive && n.controller.leadership.leading()),
                 "one leads");
         Node anew = w.node(gone.name);
-        int[] knowsNoTypes = send(w, anew, Pack.bytes(with("nameId", "j-900", "crew", "nobody")));
-        int[] malformed = send(w, anew, Pack.bytes(with("nameId", "j-901", "sheets", 0L)));
+        int[] knowsNoTypes = send(w, anew, MessagePackCodec.bytes(with("nameId", "j-900", "crew", "nobody")));
+        int[] malformed = send(w, anew, MessagePackCodec.bytes(with("nameId", "j-901", "sheets", 0L)));
         w.run(2);
         assertEquals(List.of(503, 400), List.of(knowsNoTypes[0], malformed[0]));
         w.siblings.stream().filter(k -> !w.nodes.get(k).alive).forEach(w::node);
@@ -137,7 +137,7 @@
         for (Object id :
                 Arrays.asList(null, 5L, "", "x-1", "j-", "j-1x", "j-1/0", List.of("j-1"))) {
             for (Node n : w.nodes.values()) {
-                int[] got = send(w, n, Pack.bytes(with("nameId", id)));
+                int[] got = send(w, n, MessagePackCodec.bytes(with("nameId", id)));
                 assertEquals(400, got[0], "id " + id);
             }
         }
@@ -145,10 +145,10 @@
                 List.of(
                         new byte[0],
                         new byte[] {(byte) 0xc1},
-                        Pack.bytes(null),
-                        Pack.bytes("j-1"),
-                        Pack.bytes(List.of(good("j-1"))),
-                        Arrays.copyOf(Pack.bytes(good("j-1")), 50))) {
+                        MessagePackCodec.bytes(null),
+                        MessagePackCodec.bytes("j-1"),
+                        MessagePackCodec.bytes(List.of(good("j-1"))),
+                        Arrays.copyOf(MessagePackCodec.bytes(good("j-1")), 50))) {
             for (Node n : w.nodes.values()) {
                 assertEquals(400, send(w, n, unreadable)[0]);
             }
@@ -183,7 +183,7 @@
             for (String id : KNOWN) {
                 for (Node n : w.nodes.values()) {
                     List<int[]> got = new ArrayList<>();
-                    bodies.forEach(b -> got.add(send(w, n, Pack.bytes(named(b, id)))));
+                    bodies.forEach(b -> got.add(send(w, n, MessagePackCodec.bytes(named(b, id)))));
                     w.run(3);
                     for (int i = 0; i < bodies.size(); i++) {
                         // How a job ended is known for ever where it was told once, so an outage
@@ -207,8 +207,8 @@
     /** As a user does who hands it in there. */
     private int accept(Node n, Map<String, Object> body) {
         String id = (String) body.get("nameId");
-        w.specs.put(id, Wire.submission(body));
-        int[] got = send(w, n, Pack.bytes(body));
+        w.specs.put(id, ProtocolCodec.submission(body));
+        int[] got = send(w, n, MessagePackCodec.bytes(body));
         w.run(0.1);
         if (got[0] == 201) {
             w.accepted.put(id, w.clock.now);
@@ -306,7 +306,7 @@
     @Test
     void aNumberOf64BitsInAnUnknownFieldIsIgnored() {
         begin();
-        byte[] body = Pack.bytes(good("j-1"));
+        byte[] body = MessagePackCodec.bytes(good("j-1"));
         assertEquals((byte) 0xde, body[0]);
         body[2]++;
         byte[] more = Arrays.copyOf(body, body.length + 11);
@@ -314,7 +314,7 @@
         more[body.length + 1] = 'x';
         more[body.length + 2] = (byte) 0xcf;
         Arrays.fill(more, body.length + 3, more.length, (byte) 0xff);
-        w.specs.put("j-1", Wire.submission(good("j-1")));
+        w.specs.put("j-1", ProtocolCodec.submission(good("j-1")));
         int[] got = send(w, w.nodes.get("k0"), more);
         w.run(1);
         assertEquals(201, got[0]);
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -19,7 +19,7 @@
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.standin.Node;
 import io.kitepath.standin.World;
-import io.kitepath.wire.Pack;
+import io.kitepath.wire.MessagePackCodec;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -126,7 +126,7 @@
     }
 
     private Store.Entry record(String key) {
-        return new Store.Entry(key, Pack.value(written.get("record " + key)), 1);
+        return new Store.Entry(key, MessagePackCodec.value(written.get("record " + key)), 1);
     }
 
     /** A plain job's record has neither more nor less in it than production would write. */
@@ -135,7 +135,7 @@
         for (String id : List.of("j-1", "j-3", "j-4", "j-6")) {
             Object theirs = record(StoreKeys.OPEN + id).value();
             JobRecord r = JobRecord.of(id, theirs);
-            assertArrayEquals(Pack.bytes(theirs), Pack.bytes(r.toMap()), id);
+            assertArrayEquals(MessagePackCodec.bytes(theirs), MessagePackCodec.bytes(r.toMap()), id);
             assertEquals(List.of(), r.needs());
             assertEquals(0, r.partTasks());
         }
--- a/src/test/java/io/kitepath/standin/LoopbackTest.java
+++ b/src/test/java/io/kitepath/standin/LoopbackTest.java
@@ -12,9 +12,9 @@
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.net.HttpClient;
 import io.kitepath.store.HttpStore;
-import io.kitepath.wire.Outside;
-import io.kitepath.wire.Pack;
-import io.kitepath.wire.Wire;
+import io.kitepath.wire.EmulatorCodec;
+import io.kitepath.wire.MessagePackCodec;
+import io.kitepath.wire.ProtocolCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
@@ -155,6 +155,6 @@
                                 new Heartbeat.TaskStatus("j-1", 3, 2, Heartbeat.TaskState.RUNNING, null),
                                 new Heartbeat.TaskStatus(
                                         "j-1", 4, 1, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.NO_ROOM)));
-        assertEquals(r, Wire.report(Pack.value(Outside.report(r))));
+        assertEquals(r, ProtocolCodec.report(MessagePackCodec.value(EmulatorCodec.report(r))));
     }
 }
--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -36,7 +36,7 @@
 
     /** As it would arrive. */
     private static Object packed(String text) {
-        return Pack.value(Pack.bytes(json(text)));
+        return MessagePackCodec.value(MessagePackCodec.bytes(json(text)));
     }
 
     private static Map<String, Object> submission() {
@@ -47,7 +47,7 @@
 
     @Test
     void theSubmissionOfTheProtocol() {
-        JobSpec s = Wire.submission(packed(SUBMISSION));
+        JobSpec s = ProtocolCodec.submission(packed(SUBMISSION));
         assertEquals(
                 new JobSpec(
                         "j-000412",
@@ -71,7 +71,7 @@
                         4,
                         900.0),
                 s);
-        assertEquals(s, JobSpec.fromRecord(s.id(), Pack.value(Pack.bytes(s.toRecord()))));
+        assertEquals(s, JobSpec.fromRecord(s.id(), MessagePackCodec.value(MessagePackCodec.bytes(s.toRecord()))));
     }
 
     @Test
@@ -79,7 +79,7 @@
         Map<String, Object> m = submission();
         List.of("frames", "field", "dueS").forEach(m::remove);
         m.put("somethingNew", 5L);
-        JobSpec s = Wire.submission(Pack.value(Pack.bytes(m)));
+        JobSpec s = ProtocolCodec.submission(MessagePackCodec.value(MessagePackCodec.bytes(m)));
         assertNull(s.types());
         assertNull(s.deadlineS());
     }
@@ -95,7 +95,7 @@
                 Map<String, Object> m = submission();
                 m.put(field, w);
                 try {
-                    Wire.submission(m);
+                    ProtocolCodec.submission(m);
                 } catch (InvalidInputException e) {
                     assertTrue(e.getMessage().startsWith(field), field + ": " + e.getMessage());
                     refused++;
@@ -106,7 +106,7 @@
         for (Object sheets : Arrays.asList(0L, 100_001L, 2.5)) {
             Map<String, Object> m = submission();
             m.put("sheets", sheets);
-            assertThrows(InvalidInputException.class, () -> Wire.submission(m));
+            assertThrows(InvalidInputException.class, () -> ProtocolCodec.submission(m));
         }
     }
 
@@ -114,13 +114,13 @@
     void aBodyOver64KiBIsRefused() {
         Map<String, Object> m = submission();
         m.put("kit", "x".repeat(65 * 1024));
-        assertThrows(InvalidInputException.class, () -> Wire.submittedId(m));
+        assertThrows(InvalidInputException.class, () -> ProtocolCodec.submittedId(m));
     }
 
     @Test
     void theReportOfTheProtocol() {
         Heartbeat r =
-                Wire.report(
+                ProtocolCodec.report(
                         packed(
                                 """
                 {"host":"i-000231","addr":"10.1.0.232:9000","frame":"g8","field":"a","loaners":true,
@@ -140,7 +140,7 @@
     @Test
     void anUnknownTaskStateIsNeverTakenForAnEnd() {
         Heartbeat r =
-                Wire.report(
+                ProtocolCodec.report(
                         packed(
                                 """
                 {"host":"i-1","frame":"g8","field":"a","loaners":true,"tenure":1,"tick":1,"baton":0,
@@ -151,8 +151,8 @@
     @Test
     void theOrdersOfTheProtocol() {
         Object sent =
-                Pack.value(
-                        Wire.orders(
+                MessagePackCodec.value(
+                        ProtocolCodec.orders(
                                 41,
                                 List.of(
                                         new WorkerCommand(WorkerCommand.Action.START, "j-000412", 4, 2, 0),
@@ -175,8 +175,8 @@
                         """
                 {"when":[{"path":"a/b","stamp":0}],
                  "then":[{"write":"a/b","value":{"x":1},"tether":7},{"remove":"c/d"}]}"""),
-                Pack.value(
-                        Wire.transaction(
+                MessagePackCodec.value(
+                        ProtocolCodec.transaction(
                                 new Store.Transaction()
                                         .when("a/b", 0)
                                         .put("a/b", Map.of("x", 1L), 7)
@@ -187,24 +187,24 @@
                 {"epoch":433,"events":[{"write":"c/9","value":{},"stamp":433},{"remove":"c/d","stamp":432}]}""");
         assertEquals(
                 List.of(new Store.Entry("c/9", Map.of(), 433), new Store.Entry("c/d", null, 432)),
-                Wire.events(follow));
-        assertEquals(433, Wire.revision(follow));
+                ProtocolCodec.events(follow));
+        assertEquals(433, ProtocolCodec.revision(follow));
     }
 
     @Test
     void theStateThatUsersSee() {
         assertEquals(
                 json("{\"nameId\":\"j-000412\",\"status\":\"running\",\"done\":3,\"running\":13}"),
-                Pack.value(Wire.jobState(new JobStatus("j-000412", "running", 3, 13, null), false)));
+                MessagePackCodec.value(ProtocolCodec.jobState(new JobStatus("j-000412", "running", 3, 13, null), false)));
         assertEquals(
                 json("{\"nameId\":\"j-000412\",\"status\":\"withdrawn\"}"),
-                Pack.value(Wire.jobState(new JobStatus("j-000412", "cancelled", 0, 0, null), true)));
+                MessagePackCodec.value(ProtocolCodec.jobState(new JobStatus("j-000412", "cancelled", 0, 0, null), true)));
     }
 
     @Test
     void theMachineTypesOfTheProtocol() {
         var t =
-                Wire.types(
+                ProtocolCodec.types(
                                 packed(
                                         """
                 {"frames":[{"name":"g8","vcpus":96,"cards":8,"ramGb":768,"localGb":200,"pullGbPerS":1.0,
@@ -218,7 +218,7 @@
     @Test
     void bytesThatAreNotMessagePackAreMalformedWhateverTheyAre() {
         Random random = new Random(3);
-        byte[] good = Pack.bytes(json(SUBMISSION));
+        byte[] good = MessagePackCodec.bytes(json(SUBMISSION));
         List<byte[]> bad =
                 new ArrayList<>(
                         List.of(
@@ -235,12 +235,12 @@
         int refused = 0;
         for (byte[] b : bad) {
             try {
-                Wire.submission(Pack.value(b));
+                ProtocolCodec.submission(MessagePackCodec.value(b));
             } catch (InvalidInputException e) {
                 refused++;
             }
         }
         assertTrue(refused > 50);
-        assertThrows(InvalidInputException.class, () -> Pack.value(new byte[0]));
+        assertThrows(InvalidInputException.class, () -> MessagePackCodec.value(new byte[0]));
     }
 }
