--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.HeartbeatProcessor;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.cell.CellDesk;
+import io.kitepath.core.cell.CellService;
 import io.kitepath.core.duty.CloudIntentExecutor;
 import io.kitepath.core.duty.LeasedRoles;
 import io.kitepath.core.duty.CloudIntents;
@@ -84,7 +84,7 @@
     private final JobSubmissionService registry;
 
     /** Null without other cells. */
-    private final CellDesk cells;
+    private final CellService cells;
 
     /** What the settings say before this cell's part of it is taken. */
     private final ClusterSettings whole;
@@ -241,7 +241,7 @@
     }
 
     /** The desk for other cells, null without such. */
-    public CellDesk cells() {
+    public CellService cells() {
         return cells;
     }
 
@@ -432,10 +432,10 @@
     }
 
     /** What the desk for other cells has to know of this node. */
-    private final class InCells implements CellDesk.Node {
+    private final class InCells implements CellService.Node {
         /** In here, so that nothing about other cells is loaded where there are none. */
-        CellDesk desk(Store store, RemoteCells others, Random random) {
-            return new CellDesk(
+        CellService desk(Store store, RemoteCells others, Random random) {
+            return new CellService(
                     directory,
                     block,
                     Controller.this::ride,
--- a/src/main/java/io/kitepath/core/cell/Guests.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -35,11 +35,11 @@
  * written that too. An offer that comes twice finds the record of the first; one that comes after
  * the end finds its number void.
  */
-final class Guests {
-    private static final Logger LOG = LoggerFactory.getLogger(Guests.class);
+final class BorrowedTasks {
+    private static final Logger LOG = LoggerFactory.getLogger(BorrowedTasks.class);
 
     /** One loan, as its record says and beyond. */
-    private static final class Guest {
+    private static final class BorrowedLoan {
         final String home;
         final long number;
         final JobSpec spec;
@@ -62,7 +62,7 @@
         int untold;
         double toldAt = Double.NEGATIVE_INFINITY;
 
-        Guest(
+        BorrowedLoan(
                 String home,
                 long number,
                 JobSpec spec,
@@ -105,13 +105,13 @@
     private final ShardState block;
     private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
-    private final Asking asking;
+    private final CellQuery asking;
     private final Random random;
 
     /** By key. */
-    private final Map<String, Guest> guests = new LinkedHashMap<>();
+    private final Map<String, BorrowedLoan> guests = new LinkedHashMap<>();
 
-    private final Map<String, Numbers> numbers = new HashMap<>();
+    private final Map<String, SequenceNumbers> numbers = new HashMap<>();
 
     /** Offers and recalls whose answer is being written, by key. */
     private final Map<String, List<Consumer<CellMessage>>> answering = new HashMap<>();
@@ -120,12 +120,12 @@
     private long taken;
     private long refused;
 
-    Guests(
+    BorrowedTasks(
             String own,
             ShardState block,
             Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
-            Asking asking,
+            CellQuery asking,
             Random random) {
         this.own = own;
         this.block = block;
@@ -168,7 +168,7 @@
         answering.clear();
         for (Entry x : found.voids()) {
             numbers.put(
-                    x.key().substring(StoreKeys.VOID.length()), Numbers.read(x.value(), x.revision()));
+                    x.key().substring(StoreKeys.VOID.length()), SequenceNumbers.read(x.value(), x.revision()));
         }
         for (Entry x : found.guests()) {
             try {
@@ -182,8 +182,8 @@
     private void adopt(Entry x, double now) {
         DocumentReader t = DocumentReader.of(x.value());
         JobSpec spec = JobSpec.fromRecord(t.text("job"), t.raw("spec"));
-        Guest g =
-                new Guest(
+        BorrowedLoan g =
+                new BorrowedLoan(
                         t.text("home"),
                         t.count("number"),
                         spec,
@@ -205,7 +205,7 @@
         }
     }
 
-    private Job job(Guest g) {
+    private Job job(BorrowedLoan g) {
         Job job =
                 Job.guest(
                         g.spec,
@@ -220,13 +220,13 @@
         return job;
     }
 
-    private Numbers numbers(String home, long floor) {
-        Numbers n = numbers.computeIfAbsent(home, k -> new Numbers());
+    private SequenceNumbers numbers(String home, long floor) {
+        SequenceNumbers n = numbers.computeIfAbsent(home, k -> new SequenceNumbers());
         n.raise(floor);
         return n;
     }
 
-    private LoanStatus word(Guest g) {
+    private LoanStatus word(BorrowedLoan g) {
         return new LoanStatus(own, g.number, g.standing, g.done, g.next);
     }
 
@@ -239,8 +239,8 @@
     /** {@code roomFor}: whether such work is welcome. */
     void offered(LoanOffer o, boolean roomFor, Consumer<CellMessage> answer) {
         String key = StoreKeys.guest(o.home(), o.number());
-        Guest known = guests.get(key);
-        Numbers n = numbers(o.home(), o.floor());
+        BorrowedLoan known = guests.get(key);
+        SequenceNumbers n = numbers(o.home(), o.floor());
         if (known != null) {
             answer.accept(known.ending ? null : word(known));
         } else if (n.isVoid(o.number())) {
@@ -260,8 +260,8 @@
     }
 
     private void take(LoanOffer o, String key, Consumer<CellMessage> answer) {
-        Guest g =
-                new Guest(
+        BorrowedLoan g =
+                new BorrowedLoan(
                         o.home(),
                         o.number(),
                         o.job(),
@@ -325,10 +325,10 @@
     private final class VoidNumber implements StateWriter.BatchContributor {
         private final String home;
         private final long number;
-        private final Guest of;
+        private final BorrowedLoan of;
         private final Runnable then;
 
-        VoidNumber(String home, long number, Guest of, Runnable then) {
+        VoidNumber(String home, long number, BorrowedLoan of, Runnable then) {
             this.home = home;
             this.number = number;
             this.of = of;
@@ -342,7 +342,7 @@
 
         @Override
         public void board(Store.Transaction t) {
-            Numbers n = numbers(home, 0);
+            SequenceNumbers n = numbers(home, 0);
             n.add(number);
             // Two of these in one transaction write the same record: the last one has it all.
             t.when(StoreKeys.VOID + home, n.revision());
@@ -365,8 +365,8 @@
 
     void recalled(LoanRecall r, Consumer<CellMessage> answer) {
         String key = StoreKeys.guest(r.home(), r.number());
-        Guest g = guests.get(key);
-        Numbers n = numbers(r.home(), r.floor());
+        BorrowedLoan g = guests.get(key);
+        SequenceNumbers n = numbers(r.home(), r.floor());
         if (g != null && g.ending) {
             // Its end is not written yet. Guards against a word that a crash would take back.
             answer.accept(null);
@@ -398,7 +398,7 @@
      * From now on nothing more of it is placed here; what is on machines ends if the loan was
      * stopped for good.
      */
-    private void end(Guest g, LoanState as) {
+    private void end(BorrowedLoan g, LoanState as) {
         g.ending = true;
         g.job.leave();
         if (as == LoanState.KILLED) {
@@ -441,7 +441,7 @@
     /** Everything that has to be said, written or given back now. */
     void tend(double now) {
         double lease = block.facts().workers().leaseS();
-        for (Guest g : new ArrayList<>(guests.values())) {
+        for (BorrowedLoan g : new ArrayList<>(guests.values())) {
             if (g.ending) {
                 continue;
             }
@@ -461,9 +461,9 @@
         }
     }
 
-    private void tell(Guest g, double now) {
+    private void tell(BorrowedLoan g, double now) {
         double mostS = block.facts().workers().leaseS();
-        if (g.telling || now - g.toldAt < Pace.againS(g.untold, 0.5, mostS, random)) {
+        if (g.telling || now - g.toldAt < RetryBackoff.againS(g.untold, 0.5, mostS, random)) {
             return;
         }
         g.telling = true;
--- a/src/main/java/io/kitepath/core/cell/Neighbours.java
+++ b/src/main/java/io/kitepath/core/cell/CellMembership.java
@@ -14,8 +14,8 @@
  * What is known of the other cells, from their own words and from who else hears them. Nothing is
  * safe because of it: a silent cell keeps what was lent to it.
  */
-final class Neighbours {
-    private static final Logger LOG = LoggerFactory.getLogger(Neighbours.class);
+final class CellMembership {
+    private static final Logger LOG = LoggerFactory.getLogger(CellMembership.class);
 
     /** Exchanges are a second apart: a summary older than three of them says nothing of now. */
     static final double FRESH_S = 3;
@@ -36,7 +36,7 @@
     }
 
     /** Another cell. */
-    final class Neighbour {
+    final class RemoteCell {
         final String name;
         private Summary summary;
         private double heardAt = Double.NEGATIVE_INFINITY;
@@ -56,7 +56,7 @@
 
         private int refusals;
 
-        Neighbour(String name) {
+        RemoteCell(String name) {
             this.name = name;
         }
 
@@ -101,7 +101,7 @@
         void refused(double now, Random random) {
             restUntil =
                     now
-                            + Pace.againS(
+                            + RetryBackoff.againS(
                                     refusals++,
                                     facts.workers().reportS(),
                                     facts.workers().leaseS(),
@@ -110,23 +110,23 @@
     }
 
     private final ClusterSettings facts;
-    private final Map<String, Neighbour> all = new LinkedHashMap<>();
+    private final Map<String, RemoteCell> all = new LinkedHashMap<>();
 
-    Neighbours(ClusterSettings facts, Iterable<String> others) {
+    CellMembership(ClusterSettings facts, Iterable<String> others) {
         this.facts = facts;
-        others.forEach(n -> all.put(n, new Neighbour(n)));
+        others.forEach(n -> all.put(n, new RemoteCell(n)));
     }
 
-    Map<String, Neighbour> all() {
+    Map<String, RemoteCell> all() {
         return all;
     }
 
-    Neighbour get(String cell) {
+    RemoteCell get(String cell) {
         return all.get(cell);
     }
 
     void heard(Summary s, double now) {
-        Neighbour n = all.get(s.cell());
+        RemoteCell n = all.get(s.cell());
         if (n == null) {
             return; // A cell that this node's file does not name yet.
         }
@@ -142,7 +142,7 @@
     /** Looks who has fallen silent. */
     void look(double now) {
         double lease = facts.workers().leaseS();
-        for (Neighbour n : all.values()) {
+        for (RemoteCell n : all.values()) {
             double silence = now - n.heardAt;
             if (n.state == State.WELL && silence > FRESH_S) {
                 become(n, State.SUSPECTED, now);
@@ -157,7 +157,7 @@
         }
     }
 
-    private boolean othersHear(Neighbour of, double now) {
+    private boolean othersHear(RemoteCell of, double now) {
         return all.values().stream()
                 .anyMatch(
                         n ->
@@ -170,7 +170,7 @@
      * Guards against a cell that comes and goes, and is handed work each time: it gets less trust
      * each time.
      */
-    private void become(Neighbour n, State to, double now) {
+    private void become(RemoteCell n, State to, double now) {
         if (to == n.state) {
             return;
         }
@@ -192,7 +192,7 @@
 
     /** What those said of themselves that are heard now. */
     List<Summary> fresh(double now) {
-        return all.values().stream().filter(n -> n.hears(now)).map(Neighbour::summary).toList();
+        return all.values().stream().filter(n -> n.hears(now)).map(RemoteCell::summary).toList();
     }
 
     /** The cells heard lately. */
--- a/src/main/java/io/kitepath/core/cell/CellDesk.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
-import io.kitepath.core.cell.Neighbours.Neighbour;
+import io.kitepath.core.cell.CellMembership.RemoteCell;
 import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.Redirect;
@@ -40,7 +40,7 @@
  * hand-overs, what was taken) go out from here. Every node has one; only the holder's lends and
  * takes.
  */
-public final class CellDesk implements StateLoader.LoanRecords {
+public final class CellService implements StateLoader.LoanRecords {
     private static final double EVERY_S = 1;
 
     /**
@@ -69,19 +69,19 @@
     private final Timers timers;
     private final Node node;
     private final RemoteCells cells;
-    private final Neighbours neighbours;
-    private final Here here;
-    private final Spill spill;
-    private final Lending lending;
-    private final Guests guests;
-    private final Shares shares;
-    private final Homes homes;
-    private final HomeJobs jobs;
+    private final CellMembership neighbours;
+    private final LocalSummary here;
+    private final WorkOffloading spill;
+    private final LentTasks lending;
+    private final BorrowedTasks guests;
+    private final QuotaShares shares;
+    private final HomeAssignment homes;
+    private final HomeCellJobs jobs;
     private final TokenBucket budget;
     private double exchangedAt = Double.NEGATIVE_INFINITY;
     private long messages;
 
-    public CellDesk(
+    public CellService(
             CellDirectory directory,
             ShardState block,
             Consumer<StateWriter.BatchContributor> riding,
@@ -100,11 +100,11 @@
         others.remove(directory.own());
         Map<String, Integer> zones = new HashMap<>();
         others.forEach(c -> zones.put(c, Math.max(1, directory.cells().get(c).zones().size())));
-        this.neighbours = new Neighbours(block.facts(), others);
-        this.here = new Here(block);
-        this.spill = new Spill(block.facts(), block.types(), zones, random);
+        this.neighbours = new CellMembership(block.facts(), others);
+        this.here = new LocalSummary(block);
+        this.spill = new WorkOffloading(block.facts(), block.types(), zones, random);
         this.lending =
-                new Lending(
+                new LentTasks(
                         directory.own(),
                         block,
                         riding,
@@ -114,12 +114,12 @@
                         this::askHolder,
                         random,
                         node::cancelled);
-        this.guests = new Guests(directory.own(), block, riding, timers, this::askHolder, random);
-        this.shares = new Shares(directory.own(), block, riding, timers, this::askHolder, random);
+        this.guests = new BorrowedTasks(directory.own(), block, riding, timers, this::askHolder, random);
+        this.shares = new QuotaShares(directory.own(), block, riding, timers, this::askHolder, random);
         block.teamUse().limits(shares);
         drain(directory.here().drained());
-        this.homes = new Homes(directory, store, timers);
-        this.jobs = new HomeJobs(directory, registry, cells, homes::agreed);
+        this.homes = new HomeAssignment(directory, store, timers);
+        this.jobs = new HomeCellJobs(directory, registry, cells, homes::agreed);
         this.budget = new TokenBucket(Math.max(1, block.facts().store().writeRps() * SPILL_SHARE));
     }
 
@@ -141,7 +141,7 @@
     // ---- asking ---------------------------------------------------------------------------------
 
     private void askHolder(String cell, CellMessage m, Consumer<CellMessage> answer) {
-        Neighbour n = neighbours.get(cell);
+        RemoteCell n = neighbours.get(cell);
         if (n == null) {
             answer.accept(null); // This node's file does not name it: older than another node's.
             return;
@@ -253,7 +253,7 @@
         if (now - exchangedAt >= EVERY_S) {
             exchangedAt = now;
             Summary mine = summary();
-            for (Neighbour n : neighbours.all().values()) {
+            for (RemoteCell n : neighbours.all().values()) {
                 // Of two cells the one of the lower name begins, as long as that works.
                 if (directory.own().compareTo(n.name) < 0 || !n.hears(now)) {
                     askHolder(
@@ -278,7 +278,7 @@
             return;
         }
         spill.forget(block.jobs().keySet());
-        for (Spill.Plan p :
+        for (WorkOffloading.Plan p :
                 spill.plan(
                         queue,
                         this::fitsHere,
--- a/src/main/java/io/kitepath/core/cell/Homes.java
+++ b/src/main/java/io/kitepath/core/cell/HomeAssignment.java
@@ -17,8 +17,8 @@
  * homes would accept it. A node whose homes are not the cell's answers no user until it has the
  * right file; everything else in the file may differ.
  */
-final class Homes {
-    private static final Logger LOG = LoggerFactory.getLogger(Homes.class);
+final class HomeAssignment {
+    private static final Logger LOG = LoggerFactory.getLogger(HomeAssignment.class);
 
     private final CellDirectory directory;
     private final Store store;
@@ -26,7 +26,7 @@
     private boolean agreed;
     private boolean said;
 
-    Homes(CellDirectory directory, Store store, Timers timers) {
+    HomeAssignment(CellDirectory directory, Store store, Timers timers) {
         this.directory = directory;
         this.store = store;
         this.timers = timers;
--- a/src/main/java/io/kitepath/core/cell/HomeJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -19,7 +19,7 @@
  * cell that is. Who gets no answer there is told to come back at once; a home that can't be reached
  * is the only one that may accept.
  */
-final class HomeJobs implements JobApi {
+final class HomeCellJobs implements JobApi {
     private final CellDirectory directory;
     private final JobSubmissionService here;
     private final RemoteCells cells;
@@ -27,7 +27,7 @@
     /** Whether this cell goes by the same homes as this node. */
     private final BooleanSupplier agreed;
 
-    HomeJobs(CellDirectory directory, JobSubmissionService here, RemoteCells cells, BooleanSupplier agreed) {
+    HomeCellJobs(CellDirectory directory, JobSubmissionService here, RemoteCells cells, BooleanSupplier agreed) {
         this.directory = directory;
         this.here = here;
         this.cells = cells;
--- a/src/main/java/io/kitepath/core/cell/Lending.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.TaskLoan;
-import io.kitepath.core.cell.Neighbours.Neighbour;
+import io.kitepath.core.cell.CellMembership.RemoteCell;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.LoanOffer;
 import io.kitepath.core.model.CellMessage.LoanRecall;
@@ -34,8 +34,8 @@
  * never given twice: it holds the holder's token, and counts up under it. docs/cells.md has the
  * states and every crash between two writes.
  */
-final class Lending {
-    private static final Logger LOG = LoggerFactory.getLogger(Lending.class);
+final class LentTasks {
+    private static final Logger LOG = LoggerFactory.getLogger(LentTasks.class);
 
     /** Loans under one token. */
     private static final int BITS = 20;
@@ -50,9 +50,9 @@
     private final ShardState block;
     private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
-    private final Neighbours neighbours;
-    private final Spill spill;
-    private final Asking asking;
+    private final CellMembership neighbours;
+    private final WorkOffloading spill;
+    private final CellQuery asking;
     private final Random random;
     private final Listener listener;
     private long sequence;
@@ -65,14 +65,14 @@
     /** Jobs whose cancellation is under way, and the revision of the record that says so. */
     private final Map<String, Long> leaving = new HashMap<>();
 
-    Lending(
+    LentTasks(
             String own,
             ShardState block,
             Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
-            Neighbours neighbours,
-            Spill spill,
-            Asking asking,
+            CellMembership neighbours,
+            WorkOffloading spill,
+            CellQuery asking,
             Random random,
             Listener listener) {
         this.own = own;
@@ -175,9 +175,9 @@
     }
 
     /** Writes the loan down; it is offered once that is in the store. */
-    void lend(Spill.Plan p) {
+    void lend(WorkOffloading.Plan p) {
         Job job = p.job();
-        if (job.lentBusy() || out(p.to()) >= Numbers.MOST / 2 || sequence + 2 >= 1L << BITS) {
+        if (job.lentBusy() || out(p.to()) >= SequenceNumbers.MOST / 2 || sequence + 2 >= 1L << BITS) {
             return;
         }
         TaskLoan loan =
@@ -273,7 +273,7 @@
         double mostS = block.facts().workers().leaseS();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
         double dueS =
-                l.taken && !job.leaving() ? 2 * mostS : Pace.againS(l.unanswered, 1, mostS, random);
+                l.taken && !job.leaving() ? 2 * mostS : RetryBackoff.againS(l.unanswered, 1, mostS, random);
         if (l.asking || now - l.askedAt < dueS && !(job.leaving() && l.unanswered == 0)) {
             return;
         }
@@ -298,7 +298,7 @@
                 m,
                 answer -> {
                     l.asking = false;
-                    Neighbour n = neighbours.get(l.to);
+                    RemoteCell n = neighbours.get(l.to);
                     if (first && n != null) {
                         n.unconfirmed = Math.max(0, n.unconfirmed - 1);
                     }
@@ -332,7 +332,7 @@
 
     private void said(Job job, TaskLoan l, LoanStatus w, Consumer<CellMessage> answer) {
         double now = timers.now();
-        Neighbour n = neighbours.get(l.to);
+        RemoteCell n = neighbours.get(l.to);
         if (!l.written) {
             answer.accept(null);
             return;
--- a/src/main/java/io/kitepath/core/cell/Here.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -17,7 +17,7 @@
  * This cell as others see it, in a few lines whatever its size: free room by kind of machine, and
  * how long what waits would keep its machines busy.
  */
-final class Here {
+final class LocalSummary {
     /** Kinds told of at most, so that a summary stays small. */
     private static final int MOST_ROOMS = 64;
 
@@ -25,7 +25,7 @@
 
     private final ShardState block;
 
-    Here(ShardState block) {
+    LocalSummary(ShardState block) {
         this.block = block;
     }
 
--- a/src/main/java/io/kitepath/core/cell/Division.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaDivision.java
@@ -15,7 +15,7 @@
  * for ever. The rest is divided so that the least is as large as can be (max-min fairness), and
  * what nobody wants stays where it is.
  */
-final class Division {
+final class QuotaDivision {
     /**
      * One cell's claim; amounts in thousandths.
      *
@@ -26,29 +26,29 @@
      * @param task what one task of that needs: less is of no use to it
      * @param since when that was submitted, in milliseconds since 1970
      */
-    record Claim(
+    record QuotaClaim(
             String cell, long holds, long used, long wants, long head, long task, double since) {}
 
-    private Division() {}
+    private QuotaDivision() {}
 
     /**
      * By cell: what it is to have now. In all exactly what they hold, and none less than it uses.
      */
-    static Map<String, Long> targets(List<Claim> claims) {
+    static Map<String, Long> targets(List<QuotaClaim> claims) {
         Map<String, Long> fair = fair(claims);
         Map<String, Long> out = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
         long free = 0;
-        for (Claim c : claims) {
+        for (QuotaClaim c : claims) {
             out.put(c.cell, c.used);
             free += Math.max(0, c.holds - c.used);
             wanted.put(c.cell, c.wants);
         }
         // Guards against a cell that is full of work and has the oldest of it: it would take all
         // that comes free.
-        List<Claim> due = waiting(claims);
+        List<QuotaClaim> due = waiting(claims);
         due.removeIf(c -> c.used >= fair.get(c.cell));
-        for (Claim c : due) {
+        for (QuotaClaim c : due) {
             long first = Math.min(free, Math.min(c.head, c.wants));
             out.merge(c.cell, first, Long::sum);
             wanted.merge(c.cell, -first, Long::sum);
@@ -64,7 +64,7 @@
         upToFair.forEach((cell, n) -> wanted.merge(cell, -Math.max(0, n), Long::sum));
         free = alike(free, wanted, out);
         // What nobody wants stays with those that have it.
-        for (Claim c : claims.stream().sorted(Comparator.comparing(Claim::cell)).toList()) {
+        for (QuotaClaim c : claims.stream().sorted(Comparator.comparing(QuotaClaim::cell)).toList()) {
             long over = Math.min(free, Math.max(0, c.holds - out.get(c.cell)));
             out.merge(c.cell, over, Long::sum);
             free -= over;
@@ -76,8 +76,8 @@
      * By cell: how much it had best use, if nothing of it were in use now. A cell that uses more
      * puts nothing new in the place of what ends, while others want it.
      */
-    static Map<String, Long> fair(List<Claim> claims) {
-        long all = claims.stream().mapToLong(Claim::holds).sum();
+    static Map<String, Long> fair(List<QuotaClaim> claims) {
+        long all = claims.stream().mapToLong(QuotaClaim::holds).sum();
         Map<String, Long> out = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
         claims.forEach(
@@ -85,7 +85,7 @@
                     out.put(c.cell, 0L);
                     wanted.put(c.cell, c.used + c.wants);
                 });
-        for (Claim c : waiting(claims)) {
+        for (QuotaClaim c : waiting(claims)) {
             long first = Math.min(all, Math.min(c.head, c.wants));
             out.merge(c.cell, first, Long::sum);
             wanted.merge(c.cell, -first, Long::sum);
@@ -95,9 +95,9 @@
         return out;
     }
 
-    private static List<Claim> waiting(List<Claim> claims) {
-        List<Claim> out = new ArrayList<>(claims.stream().filter(c -> c.wants > 0).toList());
-        out.sort(Comparator.comparingDouble(Claim::since).thenComparing(Claim::cell));
+    private static List<QuotaClaim> waiting(List<QuotaClaim> claims) {
+        List<QuotaClaim> out = new ArrayList<>(claims.stream().filter(c -> c.wants > 0).toList());
+        out.sort(Comparator.comparingDouble(QuotaClaim::since).thenComparing(QuotaClaim::cell));
         return out;
     }
 
--- a/src/main/java/io/kitepath/core/cell/Shares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -4,7 +4,7 @@
 import io.kitepath.core.block.ShardState;
 import io.kitepath.core.block.Job;
 import io.kitepath.core.block.QuotaUsage;
-import io.kitepath.core.cell.Division.Claim;
+import io.kitepath.core.cell.QuotaDivision.QuotaClaim;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.QuotaGrant;
 import io.kitepath.core.model.CellMessage.QuotaGrantAccepted;
@@ -43,8 +43,8 @@
  * (escrow: P. E. O'Neil, "The escrow transactional method", ACM TODS, 1986). Amounts are in
  * thousandths.
  */
-final class Shares implements QuotaUsage.QuotaLimits {
-    private static final Logger LOG = LoggerFactory.getLogger(Shares.class);
+final class QuotaShares implements QuotaUsage.QuotaLimits {
+    private static final Logger LOG = LoggerFactory.getLogger(QuotaShares.class);
     private static final int BITS = 20;
 
     /** Resources: CPUs and GPUs. */
@@ -59,7 +59,7 @@
     private static final long UNLIMITED = Long.MAX_VALUE;
 
     /** What was given and is not known to have been taken. */
-    private static final class Out {
+    private static final class OutgoingGrant {
         final long number;
         final String to;
         final int kind;
@@ -69,7 +69,7 @@
         int unanswered;
         double askedAt = Double.NEGATIVE_INFINITY;
 
-        Out(long number, String to, int kind, long amount) {
+        OutgoingGrant(long number, String to, int kind, long amount) {
             this.number = number;
             this.to = to;
             this.kind = kind;
@@ -78,7 +78,7 @@
     }
 
     /** One team here. */
-    private static final class Held {
+    private static final class HeldShare {
         final String team;
 
         /** What came less what went, by resource. */
@@ -90,17 +90,17 @@
         /** More than this is not used at the moment, as others are to have it. */
         final long[] cap = {UNLIMITED, UNLIMITED};
 
-        final List<Out> out = new ArrayList<>();
+        final List<OutgoingGrant> out = new ArrayList<>();
         long revision;
         boolean writing;
 
-        Held(String team) {
+        HeldShare(String team) {
             this.team = team;
         }
 
         Map<String, Object> record() {
             List<Object> list = new ArrayList<>();
-            for (Out o : out) {
+            for (OutgoingGrant o : out) {
                 list.add(List.of(o.number, o.to, (long) o.kind, o.amount));
             }
             Map<String, Object> m = new LinkedHashMap<>();
@@ -116,10 +116,10 @@
     private final ShardState block;
     private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
-    private final Asking asking;
+    private final CellQuery asking;
     private final Random random;
-    private final Map<String, Held> held = new HashMap<>();
-    private final Map<String, Numbers> numbers = new HashMap<>();
+    private final Map<String, HeldShare> held = new HashMap<>();
+    private final Map<String, SequenceNumbers> numbers = new HashMap<>();
 
     /** Grants that are being written as taken, by giver and number. */
     private final Map<String, List<Consumer<CellMessage>>> taking = new HashMap<>();
@@ -130,12 +130,12 @@
     private long given;
     private long came;
 
-    Shares(
+    QuotaShares(
             String own,
             ShardState block,
             Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
-            Asking asking,
+            CellQuery asking,
             Random random) {
         this.own = own;
         this.block = block;
@@ -162,8 +162,8 @@
         return StoreKeys.SHARE + Long.toHexString(Hashing.xxh3_64().hashCharsToLong(team));
     }
 
-    private Held of(String team) {
-        return held.computeIfAbsent(team, Held::new);
+    private HeldShare of(String team) {
+        return held.computeIfAbsent(team, HeldShare::new);
     }
 
     // ---- what a new holder reads ----------------------------------------------------------------
@@ -175,20 +175,20 @@
         for (Entry x : found.voids()) {
             String of = x.key().substring(StoreKeys.VOID.length());
             if (of.startsWith("share/")) {
-                numbers.put(of.substring("share/".length()), Numbers.read(x.value(), x.revision()));
+                numbers.put(of.substring("share/".length()), SequenceNumbers.read(x.value(), x.revision()));
             }
         }
         for (Entry x : found.shares()) {
             try {
                 DocumentReader t = DocumentReader.of(x.value());
-                Held h = of(t.text("team"));
+                HeldShare h = of(t.text("team"));
                 h.revision = x.revision();
                 h.moved[0] = t.integer("cpus", Long.MIN_VALUE, Long.MAX_VALUE);
                 h.moved[1] = t.integer("gpus", Long.MIN_VALUE, Long.MAX_VALUE);
                 for (Object o : t.list("out")) {
                     List<?> l = (List<?>) o;
-                    Out out =
-                            new Out(
+                    OutgoingGrant out =
+                            new OutgoingGrant(
                                     ((Number) l.get(0)).longValue(),
                                     (String) l.get(1),
                                     ((Number) l.get(2)).intValue(),
@@ -212,12 +212,12 @@
     /** The cell's share now; unlimited if the team has no limit. */
     private long holds(ClusterSettings.Team t, int kind) {
         long part = whole(t, kind);
-        Held h = held.get(t.name());
+        HeldShare h = held.get(t.name());
         return part == UNLIMITED || h == null ? part : Math.max(0, part + h.moved[kind]);
     }
 
     private long mayUse(ClusterSettings.Team t, int kind) {
-        Held h = held.get(t.name());
+        HeldShare h = held.get(t.name());
         return h == null ? holds(t, kind) : Math.min(holds(t, kind), h.cap[kind]);
     }
 
@@ -305,7 +305,7 @@
 
     /** What was given to the cell and is not known to have arrived. */
     private long underWay(String team, int kind, String cell) {
-        Held h = held.get(team);
+        HeldShare h = held.get(team);
         return h == null
                 ? 0
                 : h.out.stream()
@@ -321,12 +321,12 @@
      * what is to go.
      */
     void divide(Collection<Summary> others) {
-        Map<String, List<Claim>> claims = new HashMap<>();
+        Map<String, List<QuotaClaim>> claims = new HashMap<>();
         for (Summary s : others) {
             for (QuotaShare x : s.shares()) {
                 claims.computeIfAbsent(x.team() + '\0' + x.kind(), k -> new ArrayList<>())
                         .add(
-                                new Claim(
+                                new QuotaClaim(
                                         s.cell(),
                                         x.holds() + underWay(x.team(), x.kind(), s.cell()),
                                         x.used(),
@@ -344,7 +344,7 @@
                     QuotaShare x = mine.get(k);
                     if (x != null && list.stream().anyMatch(c -> c.wants() > 0)) {
                         list.add(
-                                new Claim(
+                                new QuotaClaim(
                                         own, x.holds(), x.used(), x.wants(), x.head(), x.task(),
                                         x.since()));
                         give(x, list);
@@ -352,15 +352,15 @@
                 });
     }
 
-    private void give(QuotaShare x, List<Claim> claims) {
-        Map<String, Long> targets = Division.targets(claims);
-        Held h = of(x.team());
+    private void give(QuotaShare x, List<QuotaClaim> claims) {
+        Map<String, Long> targets = QuotaDivision.targets(claims);
+        HeldShare h = of(x.team());
         // What was told may be a moment old; what is given must be free now.
         long usedNow = used(x.team(), x.kind());
         // What others are to have is not used here again, so that it comes free as what runs ends.
         h.cap[x.kind()] = Math.max(Math.min(targets.get(own), x.holds()), 0);
         if (claims.stream().anyMatch(c -> !c.cell().equals(own) && c.wants() > 0)) {
-            h.cap[x.kind()] = Math.min(h.cap[x.kind()], Division.fair(claims).get(own));
+            h.cap[x.kind()] = Math.min(h.cap[x.kind()], QuotaDivision.fair(claims).get(own));
         }
         long mine =
                 claims.stream()
@@ -371,8 +371,8 @@
         if (over <= 0 || h.writing || h.out.size() >= MOST_OUT) {
             return;
         }
-        Claim to = null;
-        for (Claim c : claims) {
+        QuotaClaim to = null;
+        for (QuotaClaim c : claims) {
             long lacks = useful(c, targets) - c.holds();
             if (!c.cell().equals(own)
                     && lacks > 0
@@ -384,7 +384,7 @@
             return;
         }
         long amount = Math.min(over, useful(to, targets) - to.holds());
-        Out o = new Out((block.token() << BITS) + ++sequence, to.cell(), x.kind(), amount);
+        OutgoingGrant o = new OutgoingGrant((block.token() << BITS) + ++sequence, to.cell(), x.kind(), amount);
         h.moved[x.kind()] -= amount;
         h.out.add(o);
         given++;
@@ -412,7 +412,7 @@
      * What is in use and whole tasks beyond. Guards against shares that swing to and fro in crumbs
      * of no use to any.
      */
-    private static long useful(Claim c, Map<String, Long> targets) {
+    private static long useful(QuotaClaim c, Map<String, Long> targets) {
         long target = targets.get(c.cell());
         return c.wants() == 0 || c.task() == 0
                 ? target
@@ -420,7 +420,7 @@
     }
 
     /** Writes the team's record, and with it that a number of another cell's is taken. */
-    private void write(Held h, String giver, Runnable then) {
+    private void write(HeldShare h, String giver, Runnable then) {
         h.writing = true;
         riding.accept(
                 new StateWriter.BatchContributor() {
@@ -433,7 +433,7 @@
                     public void board(Store.Transaction t) {
                         t.when(key(h.team), h.revision).put(key(h.team), h.record());
                         if (giver != null) {
-                            Numbers n = numbers(giver);
+                            SequenceNumbers n = numbers(giver);
                             t.when(StoreKeys.VOID + "share/" + giver, n.revision());
                             t.writes().removeIf(w -> w.key().equals(StoreKeys.VOID + "share/" + giver));
                             t.put(StoreKeys.VOID + "share/" + giver, n.record());
@@ -452,15 +452,15 @@
                 });
     }
 
-    private Numbers numbers(String giver) {
-        return numbers.computeIfAbsent(giver, k -> new Numbers());
+    private SequenceNumbers numbers(String giver) {
+        return numbers.computeIfAbsent(giver, k -> new SequenceNumbers());
     }
 
     /** Nothing below this number is under way to the cell any more. */
     private long floor(String cell) {
         long least = (block.token() << BITS) + sequence + 1;
-        for (Held h : held.values()) {
-            for (Out o : h.out) {
+        for (HeldShare h : held.values()) {
+            for (OutgoingGrant o : h.out) {
                 if (o.to.equals(cell)) {
                     least = Math.min(least, o.number);
                 }
@@ -470,8 +470,8 @@
     }
 
     void tend(double now) {
-        for (Held h : new ArrayList<>(held.values())) {
-            for (Out o : new ArrayList<>(h.out)) {
+        for (HeldShare h : new ArrayList<>(held.values())) {
+            for (OutgoingGrant o : new ArrayList<>(h.out)) {
                 if (o.written) {
                     tell(h, o, now);
                 }
@@ -479,10 +479,10 @@
         }
     }
 
-    private void tell(Held h, Out o, double now) {
+    private void tell(HeldShare h, OutgoingGrant o, double now) {
         if (o.asking
                 || now - o.askedAt
-                        < Pace.againS(o.unanswered, 1, block.facts().workers().leaseS(), random)) {
+                        < RetryBackoff.againS(o.unanswered, 1, block.facts().workers().leaseS(), random)) {
             return;
         }
         o.asking = true;
@@ -508,7 +508,7 @@
     /** A share of another cell's becomes ours, once. */
     void granted(QuotaGrant g, Consumer<CellMessage> answer) {
         ClusterSettings.Team t = block.facts().teams().get(g.team());
-        Numbers n = numbers(g.from());
+        SequenceNumbers n = numbers(g.from());
         n.raise(g.floor());
         String id = g.from() + '/' + g.number();
         if (n.isVoid(g.number())) {
@@ -519,7 +519,7 @@
             }
             return;
         }
-        Held h = of(g.team());
+        HeldShare h = of(g.team());
         if (t == null || n.full() || h.writing) {
             answer.accept(null);
             return;
--- a/src/main/java/io/kitepath/core/cell/Pace.java
+++ b/src/main/java/io/kitepath/core/cell/RetryBackoff.java
@@ -6,8 +6,8 @@
  * When something that was said without an answer is said again: ever more rarely, and never by many
  * at once.
  */
-final class Pace {
-    private Pace() {}
+final class RetryBackoff {
+    private RetryBackoff() {}
 
     /**
      * Seconds until the next try.
--- a/src/main/java/io/kitepath/core/cell/Numbers.java
+++ b/src/main/java/io/kitepath/core/cell/SequenceNumbers.java
@@ -13,7 +13,7 @@
  * time. Below the floor, which the home raises, all are void; above it those that are listed, of
  * which there are never more than the home keeps out.
  */
-final class Numbers {
+final class SequenceNumbers {
     /**
      * Numbers of one home that may be void above its floor; a home that leaves more of them
      * unsettled is refused.
@@ -27,8 +27,8 @@
     private long revision;
 
     /** What {@link #record} wrote. */
-    static Numbers read(Object record, long revision) {
-        Numbers n = new Numbers();
+    static SequenceNumbers read(Object record, long revision) {
+        SequenceNumbers n = new SequenceNumbers();
         DocumentReader t = DocumentReader.of(record);
         n.floor = t.count("floor");
         for (Object o : t.list("void")) {
--- a/src/main/java/io/kitepath/core/cell/Spill.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.cell;
 
 import io.kitepath.core.block.Job;
-import io.kitepath.core.cell.Neighbours.Neighbour;
+import io.kitepath.core.cell.CellMembership.RemoteCell;
 import io.kitepath.core.model.CellMessage.FreeCapacity;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
@@ -24,7 +24,7 @@
  * roomiest; failing that it stays. A function of what it is given and of the random numbers:
  * nothing is asked and nothing written here.
  */
-final class Spill {
+final class WorkOffloading {
     /**
      * What one hand-over would be.
      *
@@ -49,7 +49,7 @@
     private final Map<String, Map<String, Double>> givenBack = new HashMap<>();
 
     /** {@code zonesOf}: how many zones each other cell has. */
-    Spill(
+    WorkOffloading(
             ClusterSettings facts,
             Map<String, MachineType> types,
             Map<String, Integer> zonesOf,
@@ -89,7 +89,7 @@
             Predicate<JobSpec> fitsHere,
             ToIntFunction<JobSpec> allowed,
             double hereCpus,
-            Collection<Neighbour> cells,
+            Collection<RemoteCell> cells,
             int most,
             double now,
             double wallMs) {
@@ -99,7 +99,7 @@
             if (out.size() >= most) {
                 break;
             }
-            double work = Here.workS(j);
+            double work = LocalSummary.workS(j);
             double waitS = (ahead + work) / Math.max(1, hereCpus);
             ahead += work;
             String why = whyNotHere(j, fitsHere.test(j.spec), hereCpus, waitS, wallMs);
@@ -108,7 +108,7 @@
             if (why == null || allowed.applyAsInt(j.spec) < least(j)) {
                 continue;
             }
-            Neighbour to = choose(j, cells, waitS, now);
+            RemoteCell to = choose(j, cells, waitS, now);
             if (to != null) {
                 Plan p = range(j, to, why);
                 if (p != null) {
@@ -154,10 +154,10 @@
         return String.format("past its goals, and would wait %.0f s here", waitS);
     }
 
-    private Neighbour choose(Job j, Collection<Neighbour> cells, double waitS, double now) {
-        List<Neighbour> able = new ArrayList<>();
+    private RemoteCell choose(Job j, Collection<RemoteCell> cells, double waitS, double now) {
+        List<RemoteCell> able = new ArrayList<>();
         Map<String, Double> not = givenBack.getOrDefault(j.spec.id(), Map.of());
-        for (Neighbour n : cells) {
+        for (RemoteCell n : cells) {
             // One loan of a job to each cell at a time: its records there are by the job's parts.
             if (n.takes(now)
                     && not.getOrDefault(n.name, 0.0) <= now
@@ -169,15 +169,15 @@
         }
         for (int i = 0; i < ProbePlacement.PROBES && i < able.size(); i++) {
             int k = i + random.nextInt(able.size() - i);
-            Neighbour n = able.get(k);
+            RemoteCell n = able.get(k);
             able.set(k, able.get(i));
             able.set(i, n);
             if (n.unconfirmed < ProbePlacement.THRESHOLD) {
                 return n;
             }
         }
-        Neighbour best = null;
-        for (Neighbour n : able) {
+        RemoteCell best = null;
+        for (RemoteCell n : able) {
             if (n.unconfirmed < ProbePlacement.THRESHOLD * zonesOf.getOrDefault(n.name, 1)
                     && (best == null || slots(j.spec, n) > slots(j.spec, best))) {
                 best = n;
@@ -196,7 +196,7 @@
     }
 
     /** How many such tasks the cell has room for by its word, less what was handed to it since. */
-    int slots(JobSpec s, Neighbour n) {
+    int slots(JobSpec s, RemoteCell n) {
         Map<String, Integer> byZone = new HashMap<>();
         int all = 0;
         for (FreeCapacity r : n.summary().room()) {
@@ -231,7 +231,7 @@
      * All of the job, or of an array the last tasks in a row that wait, as many as there is room
      * for.
      */
-    private Plan range(Job j, Neighbour to, String why) {
+    private Plan range(Job j, RemoteCell to, String why) {
         // What is done of a loan is one field of one record.
         int longest = 16 * facts.tasksPerPart();
         if (least(j) > longest) {
--- a/src/test/java/io/kitepath/core/cell/DivisionTest.java
+++ b/src/test/java/io/kitepath/core/cell/DivisionTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.cell.Division.Claim;
+import io.kitepath.core.cell.QuotaDivision.QuotaClaim;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -13,30 +13,30 @@
 
 /** Who is to have how much of a limit. */
 class DivisionTest {
-    private static Claim claim(
+    private static QuotaClaim claim(
             String cell, long holds, long used, long wants, long head, double since) {
-        return new Claim(cell, holds, used, wants, head, 1, since);
+        return new QuotaClaim(cell, holds, used, wants, head, 1, since);
     }
 
     @Test
     void whatNobodyWantsStays() {
         assertEquals(
                 Map.of("a", 10L, "b", 2L),
-                Division.targets(List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 0, 0, 0))));
+                QuotaDivision.targets(List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 0, 0, 0))));
     }
 
     @Test
     void unusedRoomGoesWhereItIsWantedAndNoMore() {
         assertEquals(
                 Map.of("a", 6L, "b", 6L),
-                Division.targets(List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 4, 1, 9))));
+                QuotaDivision.targets(List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 4, 1, 9))));
     }
 
     @Test
     void whenAllWantMoreEachGetsAlike() {
         assertEquals(
                 Map.of("a", 4L, "b", 4L, "c", 4L),
-                Division.targets(
+                QuotaDivision.targets(
                         List.of(
                                 claim("a", 12, 0, 50, 1, 1),
                                 claim("b", 0, 0, 50, 1, 2),
@@ -46,7 +46,7 @@
     @Test
     void theGangThatWaitsLongestGetsAllOfItsOwnBeforeTheNextGetsAnything() {
         Map<String, Long> t =
-                Division.targets(
+                QuotaDivision.targets(
                         List.of(
                                 claim("a", 4, 0, 6, 6, 3),
                                 claim("b", 3, 0, 6, 6, 1),
@@ -58,7 +58,7 @@
     void whateverIsSaidTheTargetsAddUpToWhatIsHeldAndTakeNothingInUse() {
         Random r = new Random(4);
         for (int i = 0; i < 2000; i++) {
-            List<Claim> all = new ArrayList<>();
+            List<QuotaClaim> all = new ArrayList<>();
             int n = 1 + r.nextInt(6);
             for (int k = 0; k < n; k++) {
                 long holds = r.nextInt(50);
@@ -71,14 +71,14 @@
                                 r.nextInt(20),
                                 r.nextInt(5)));
             }
-            Map<String, Long> t = Division.targets(all);
+            Map<String, Long> t = QuotaDivision.targets(all);
             assertEquals(
-                    all.stream().mapToLong(Claim::holds).sum(),
+                    all.stream().mapToLong(QuotaClaim::holds).sum(),
                     t.values().stream().mapToLong(x -> x).sum());
             all.forEach(c -> assertTrue(t.get(c.cell()) >= c.used()));
-            List<Claim> otherwise = new ArrayList<>(all);
+            List<QuotaClaim> otherwise = new ArrayList<>(all);
             Collections.shuffle(otherwise, r);
-            assertEquals(t, Division.targets(otherwise), "in whatever order they are heard");
+            assertEquals(t, QuotaDivision.targets(otherwise), "in whatever order they are heard");
         }
     }
 }
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -47,7 +47,7 @@
         long revision;
         long token;
         ShardState block;
-        Shares shares;
+        QuotaShares shares;
         ArrayDeque<StateWriter.BatchContributor> riders;
 
         /** Of the present holder: what an earlier one was to hear is heard by nobody. */
@@ -81,7 +81,7 @@
             riders = new ArrayDeque<>();
             int mine = incarnation;
             shares =
-                    new Shares(
+                    new QuotaShares(
                             name,
                             block,
                             riders::add,
@@ -215,7 +215,7 @@
 
         boolean took(String giver, long number) {
             Store.Entry e = keys.get(StoreKeys.VOID + "share/" + giver);
-            return e != null && Numbers.read(e.value(), 0).isVoid(number);
+            return e != null && SequenceNumbers.read(e.value(), 0).isVoid(number);
         }
 
         @Override
