--- a/src/main/java/io/kitepath/cli/Local.java
+++ b/src/main/java/io/kitepath/cli/Local.java
@@ -4,8 +4,8 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.settings.Settings;
-import io.kitepath.standin.Loopback;
-import io.kitepath.standin.World;
+import io.kitepath.standin.LoopbackEmulator;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.wire.MessagePackCodec;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
@@ -109,7 +109,7 @@
                 internal.add(free());
                 labels.put("node-" + i, listens.get(i));
             }
-            World world = new World();
+            SimulatedCluster world = new SimulatedCluster();
             world.cloud.capacity = machines;
             world.cloud.bootS = n -> 0.5;
             world.runsFor = job -> taskS;
@@ -117,7 +117,7 @@
             if (earlier != null) {
                 world.next = new ClusterSettings.StoreLimits(1000, 500, 2, 13);
             }
-            Loopback outside = new Loopback(group, world, labels);
+            LoopbackEmulator outside = new LoopbackEmulator(group, world, labels);
             List<InetSocketAddress> services = outside.start();
             for (int i = 0; i < count; i++) {
                 Path file = dir.resolve("node-" + i + ".json");
@@ -174,7 +174,7 @@
 
     // ---- the drill ------------------------------------------------------------------------------
 
-    private int drill(Loopback outside) throws Exception {
+    private int drill(LoopbackEmulator outside) throws Exception {
         Random random = new Random(seed);
         List<String> jobs = new ArrayList<>();
         double until = now() + forS;
@@ -195,7 +195,7 @@
             int tasks = 1 + random.nextInt(12);
             outside.run(
                     () -> {
-                        outside.world.specs.put(id, World.job(id, JobSpec.Shape.ARRAY, tasks, 1));
+                        outside.world.specs.put(id, SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
                         outside.world.needs.put(id, List.of(needs));
                     });
             if (submit(id, tasks, needs)) {
@@ -344,7 +344,7 @@
     }
 
     private Map<String, Object> settings(
-            int i, List<InetSocketAddress> internal, List<InetSocketAddress> services, World w) {
+            int i, List<InetSocketAddress> internal, List<InetSocketAddress> services, SimulatedCluster w) {
         List<Object> siblings = new ArrayList<>();
         for (int j = 0; j < count; j++) {
             if (j != i) {
--- a/src/main/java/io/kitepath/standin/CloudLink.java
+++ b/src/main/java/io/kitepath/standin/CloudLink.java
@@ -10,10 +10,10 @@
 import java.util.function.Consumer;
 
 final class CloudLink implements Cloud {
-    private final World w;
-    private final Caller node;
+    private final SimulatedCluster w;
+    private final EmulatorClient node;
 
-    CloudLink(World w, Caller node) {
+    CloudLink(SimulatedCluster w, EmulatorClient node) {
         this.w = w;
         this.node = node;
     }
--- a/src/main/java/io/kitepath/standin/Caller.java
+++ b/src/main/java/io/kitepath/standin/EmulatorClient.java
@@ -4,7 +4,7 @@
  * Whoever asks the stand-ins something: a node in memory, or a connection that a real process has
  * opened.
  */
-public interface Caller {
+public interface EmulatorClient {
     /** What it may be answered, a while later; nothing if it has ended by then. */
     void after(double seconds, Runnable run);
 
--- a/src/main/java/io/kitepath/standin/Rules.java
+++ b/src/main/java/io/kitepath/standin/InvariantChecker.java
@@ -14,7 +14,7 @@
  * The protocol's rules, watched by what is on machines and by what users hear; what breaks goes to
  * the world's list.
  */
-public final class Rules {
+public final class InvariantChecker {
     /**
      * Once all troubles are over: how long no question about a job may get an answer, and how long
      * it may wait beside room.
@@ -23,7 +23,7 @@
 
     private static final double LEFT_WAITING_S = 90;
 
-    private final World w;
+    private final SimulatedCluster w;
     private final Map<String, Double> doneAt = new HashMap<>();
     private final Map<String, Double> acceptedAt = new HashMap<>();
     private final Set<String> cancelAsked = new HashSet<>();
@@ -50,7 +50,7 @@
 
     private int answers;
 
-    Rules(World w) {
+    InvariantChecker(SimulatedCluster w) {
         this.w = w;
     }
 
@@ -156,7 +156,7 @@
     // ---- cancelled tasks ------------------------------------------------------------------------
 
     private void hasGone(String id) {
-        for (Worker x : w.workers.values()) {
+        for (SimulatedWorker x : w.workers.values()) {
             x.tasks.values().stream()
                     .filter(t -> t.job.equals(id) && t.on())
                     .forEach(
@@ -189,7 +189,7 @@
     // ---- starts ---------------------------------------------------------------------------------
 
     /** A task starts, and is on its machine already. */
-    void starts(Task t) {
+    void starts(SimulatedTask t) {
         String id = t.job;
         besideRoom.remove(id);
         double after = w.clock.now - w.toldCancelled.getOrDefault(id, Double.POSITIVE_INFINITY);
@@ -215,8 +215,8 @@
         }
     }
 
-    private void place(Task t, JobSpec s) {
-        Worker x = t.worker;
+    private void place(SimulatedTask t, JobSpec s) {
+        SimulatedWorker x = t.worker;
         if (s.types() != null && !s.types().contains(w.type.name())
                 || s.zone() != null && !s.zone().equals(x.zone)
                 || x.spot && !s.spot()) {
@@ -226,7 +226,7 @@
             return;
         }
         int here = 0;
-        for (Worker y : w.workers.values()) {
+        for (SimulatedWorker y : w.workers.values()) {
             long on = y.tasks.values().stream().filter(o -> o.job.equals(t.job) && o.on()).count();
             here += y.zone.equals(x.zone) ? on : 0;
             if (s.oneZone() && on > 0 && !y.zone.equals(x.zone)) {
@@ -243,8 +243,8 @@
      */
     public double[] onMachines(String team) {
         double[] used = new double[2];
-        for (Worker x : w.workers.values()) {
-            for (Task t : x.tasks.values()) {
+        for (SimulatedWorker x : w.workers.values()) {
+            for (SimulatedTask t : x.tasks.values()) {
                 JobSpec s = w.specs.get(t.job);
                 if (s != null && s.team().equals(team) && t.on()) {
                     used[0] += s.cpus();
@@ -300,7 +300,7 @@
         int tick = asksAt++;
         for (String id : unfinished()) {
             if (tick % 5 == 0) {
-                List<Node> up = w.nodes.values().stream().filter(n -> n.alive).toList();
+                List<SimulatedNode> up = w.nodes.values().stream().filter(n -> n.alive).toList();
                 if (!up.isEmpty()) {
                     w.users.ask(up.get(Math.floorMod(id.hashCode() + tick / 5, up.size())), id);
                 }
@@ -362,7 +362,7 @@
 
     /** Whether the job's other tasks, where they are now, let one more of it start in that zone. */
     private boolean fitsBeside(JobSpec s, String zone) {
-        List<Task> on =
+        List<SimulatedTask> on =
                 w.workers.values().stream()
                         .flatMap(x -> x.tasks.values().stream())
                         .filter(t -> t.job.equals(s.id()) && t.on())
@@ -371,10 +371,10 @@
         return (!s.oneZone() || here == on.size()) && here < s.mostPerZone();
     }
 
-    private long room(Worker x, JobSpec s) {
+    private long room(SimulatedWorker x, JobSpec s) {
         double cpus = w.type.cpus();
         double memory = w.type.memoryGb();
-        for (Task t : x.tasks.values()) {
+        for (SimulatedTask t : x.tasks.values()) {
             JobSpec o = w.specs.get(t.job);
             if (t.on() && o != null) {
                 cpus -= o.cpus();
--- a/src/main/java/io/kitepath/standin/Users.java
+++ b/src/main/java/io/kitepath/standin/LoadGenerator.java
@@ -15,7 +15,7 @@
  * Users who do not wait for each other: they ask at once at many nodes, repeat what they sent, and
  * cancel.
  */
-public final class Users {
+public final class LoadGenerator {
     /** They wait so long for an answer about a job; what comes later is told to nobody. */
     private static final double WAIT_S = 2;
 
@@ -28,12 +28,12 @@
     /** Machines that hang at most when jobs are called off. */
     private static final int HANG = 8;
 
-    private final World w;
+    private final SimulatedCluster w;
     private final Set<String> looked = new HashSet<>();
     private int asked;
     private int looks;
 
-    Users(World w) {
+    LoadGenerator(SimulatedCluster w) {
         this.w = w;
     }
 
@@ -42,29 +42,29 @@
         return looks;
     }
 
-    private List<Node> up() {
+    private List<SimulatedNode> up() {
         return w.nodes.values().stream().filter(n -> n.alive).toList();
     }
 
     /** Any node that is up, one after the other; null if none is. */
-    private Node any() {
-        List<Node> up = up();
+    private SimulatedNode any() {
+        List<SimulatedNode> up = up();
         return up.isEmpty() ? null : up.get(asked++ % up.size());
     }
 
     /** Asks there, and waits for no answer here. */
-    public void ask(Node n, String id) {
+    public void ask(SimulatedNode n, String id) {
         double at = w.clock.now;
         n.deliver(() -> n.controller.registry().status(id, a -> hears(id, a, at, WAIT_S)));
     }
 
     /** Hands it in there once more. */
-    public void repeat(Node n, String id) {
+    public void repeat(SimulatedNode n, String id) {
         repeat(n, w.specs.get(id));
     }
 
     /** The same with that body. */
-    public void repeat(Node n, JobSpec body) {
+    public void repeat(SimulatedNode n, JobSpec body) {
         String id = body.id();
         double at = w.clock.now;
         n.deliver(
@@ -85,11 +85,11 @@
     }
 
     /** Calls it off there, and elsewhere for as long as users repeat that. */
-    public void cancel(Node n, String id) {
+    public void cancel(SimulatedNode n, String id) {
         cancel(n, id, w.clock.now + REPEAT_S);
     }
 
-    private void cancel(Node n, String id, double until) {
+    private void cancel(SimulatedNode n, String id, double until) {
         w.rules.asksToCancel(id);
         double at = w.clock.now;
         boolean[] told = new boolean[1];
@@ -136,7 +136,7 @@
             return;
         }
         int i = 0;
-        for (Node n : up()) {
+        for (SimulatedNode n : up()) {
             w.after(0.001 * i++, () -> look(n, id));
             w.after(0.004 + 0.003 * i, () -> look(n, id));
             w.after(
@@ -148,7 +148,7 @@
         }
     }
 
-    private void look(Node n, String id) {
+    private void look(SimulatedNode n, String id) {
         looks++;
         ask(n, id);
     }
@@ -160,13 +160,13 @@
      * hang so long.
      */
     List<String> cancelNow(int count, double hangS, Random random) {
-        TreeMap<String, Worker> running = new TreeMap<>();
+        TreeMap<String, SimulatedWorker> running = new TreeMap<>();
         w.workers
                 .values()
                 .forEach(
                         x ->
                                 x.tasks.values().stream()
-                                        .filter(Task::on)
+                                        .filter(SimulatedTask::on)
                                         .forEach(
                                                 t -> {
                                                     if (!w.toldCancelled.containsKey(t.job)) {
@@ -180,7 +180,7 @@
         for (String id : jobs) {
             w.after(random.nextDouble() / 5, () -> cancel(any(), id));
             if (hangS > 0 && hung++ < HANG) {
-                Worker x = running.get(id);
+                SimulatedWorker x = running.get(id);
                 x.hangsUntil = w.clock.now + hangS;
             }
         }
@@ -188,7 +188,7 @@
     }
 
     /** A task completed; if it was its job's last, some user calls the job off in that moment. */
-    void completed(Task t) {
+    void completed(SimulatedTask t) {
         JobSpec s = w.specs.get(t.job);
         if (s != null
                 && w.cancelsAtEnd.test(t)
--- a/src/main/java/io/kitepath/standin/Loopback.java
+++ b/src/main/java/io/kitepath/standin/LoopbackEmulator.java
@@ -27,19 +27,19 @@
 
 /**
  * The stand-ins of state service, cloud and workers behind real sockets on loopback, for nodes that
- * are real processes. What they do is the {@link World}'s, as in tests and rehearsals; only its
+ * are real processes. What they do is the {@link SimulatedCluster}'s, as in tests and rehearsals; only its
  * clock follows the real one. All of it lives on one event loop.
  */
-public final class Loopback {
+public final class LoopbackEmulator {
     private static final int MAX_BODY = 1 << 20;
     private static final long TIMEOUT_MS = 4000;
 
-    public final World world;
+    public final SimulatedCluster world;
     private final EventLoopGroup group;
     private final EventLoop loop;
 
     /** Whoever is behind a socket. */
-    private final Caller caller;
+    private final EmulatorClient caller;
 
     private final StoreLink store;
     private final CloudLink cloud;
@@ -47,7 +47,7 @@
     private final double offset;
 
     /** {@code nodes}: where workers reach each node, by its label. */
-    public Loopback(EventLoopGroup group, World world, Map<String, InetSocketAddress> nodes) {
+    public LoopbackEmulator(EventLoopGroup group, SimulatedCluster world, Map<String, InetSocketAddress> nodes) {
         this.group = group;
         this.loop = group.next();
         this.world = world;
@@ -58,7 +58,7 @@
         nodes.forEach((label, at) -> this.nodes.put(label, new HttpClient(loop, at, 64, MAX_BODY)));
         List<String> labels = List.copyOf(nodes.keySet());
         world.reach =
-                new World.Reach() {
+                new SimulatedCluster.Reach() {
                     @Override
                     public List<String> up() {
                         return labels; // Which of them are up, a worker finds out by trying.
@@ -67,7 +67,7 @@
                     @Override
                     public void heartbeat(
                             String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
-                        Loopback.this
+                        LoopbackEmulator.this
                                 .nodes
                                 .get(node)
                                 .call(
@@ -126,7 +126,7 @@
 
     // ---- workers --------------------------------------------------------------------------------
 
-    private void born(Worker w) {
+    private void born(SimulatedWorker w) {
         // On the loop already: to wait for the socket here would wait for itself.
         HttpServer server = new HttpServer((r, out) -> direct(w, r, out), MAX_BODY, 100, 60);
         server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
@@ -143,7 +143,7 @@
                         });
     }
 
-    private void direct(Worker w, Request r, Responder out) {
+    private void direct(SimulatedWorker w, Request r, Responder out) {
         try {
             EmulatorCodec.Direct d = EmulatorCodec.direct(MessagePackCodec.value(r.body()));
             Heartbeat report = w.up ? w.directly(d.token(), d.session(), d.orders()) : null;
--- a/src/main/java/io/kitepath/standin/MemoryStore.java
+++ b/src/main/java/io/kitepath/standin/MemoryStore.java
@@ -18,7 +18,7 @@
 
 /** The state service: keys, leases, follows; can refuse, or lose an answer, or execute late. */
 public final class MemoryStore {
-    public MemoryStore(World w) {
+    public MemoryStore(SimulatedCluster w) {
         this.w = w;
     }
 
@@ -44,7 +44,7 @@
     /** What every request takes longer to get there than usual. */
     public double slowS;
 
-    private final World w;
+    private final SimulatedCluster w;
 
     /** Watches that wait for changes. */
     private final List<Watch> watches = new ArrayList<>();
@@ -84,10 +84,10 @@
      * Nodes whose watches hang: they see nothing, and end without having seen anything, while all
      * else is served.
      */
-    public Predicate<Caller> hangs = n -> false;
+    public Predicate<EmulatorClient> hangs = n -> false;
 
     /** Sees every transaction that was executed and changed something, and by whom. */
-    public BiConsumer<Caller, Store.Transaction> written = (n, t) -> {};
+    public BiConsumer<EmulatorClient, Store.Transaction> written = (n, t) -> {};
 
     public long changes;
 
@@ -170,13 +170,13 @@
 
     /** One that waits for changes under a prefix. */
     private final class Watch {
-        private final Caller node;
+        private final EmulatorClient node;
         private final String prefix;
         private final long after;
         private final Consumer<Store.WatchResult> answer;
         private boolean touched;
 
-        Watch(Caller node, String prefix, long after, Consumer<Store.WatchResult> answer) {
+        Watch(EmulatorClient node, String prefix, long after, Consumer<Store.WatchResult> answer) {
             this.node = node;
             this.prefix = prefix;
             this.after = after;
@@ -221,7 +221,7 @@
     }
 
     public void follow(
-            Caller node, String prefix, long after, double holdS, Consumer<Store.WatchResult> answer) {
+            EmulatorClient node, String prefix, long after, double holdS, Consumer<Store.WatchResult> answer) {
         Watch x = new Watch(node, prefix, after, answer);
         x.touched = true;
         watches.add(x);
--- a/src/main/java/io/kitepath/standin/Cellular.java
+++ b/src/main/java/io/kitepath/standin/MultiCellSimulation.java
@@ -23,11 +23,11 @@
 import java.util.function.Predicate;
 
 /**
- * Several cells, each a {@link World} of its own, on one clock, with a network between them that
+ * Several cells, each a {@link SimulatedCluster} of its own, on one clock, with a network between them that
  * loses, doubles, delays and cuts. It watches the rules over all of them, knowing nothing of how
  * they are kept.
  */
-public final class Cellular {
+public final class MultiCellSimulation {
     /**
      * Seconds that a task may still be on a machine once its user was told that it is cancelled.
      */
@@ -40,12 +40,12 @@
                     "blue",
                     new ClusterSettings.Team("blue", 0, 0, 0, 0));
 
-    public final Clock clock = new Clock();
+    public final SimulatedClock clock = new SimulatedClock();
 
     /** Seconds between looks at every task on every machine. */
     public double watchS = 0.25;
 
-    public final Map<String, World> worlds = new LinkedHashMap<>();
+    public final Map<String, SimulatedCluster> worlds = new LinkedHashMap<>();
 
     /** "a>b": nothing gets from a to b. */
     public final Set<String> cut = new HashSet<>();
@@ -79,17 +79,17 @@
      * Cells that are homes, by name, and after them in the second list cells that only lend their
      * room.
      */
-    public Cellular(long seed, List<String> homes, List<String> rooms) {
+    public MultiCellSimulation(long seed, List<String> homes, List<String> rooms) {
         this(seed, homes, rooms, false);
     }
 
     /** {@code apart}: the cells know nothing of each other. */
-    public Cellular(long seed, List<String> homes, List<String> rooms, boolean apart) {
+    public MultiCellSimulation(long seed, List<String> homes, List<String> rooms, boolean apart) {
         this(seed, homes, rooms, apart, Map.of());
     }
 
     /** {@code limits}: CPUs of each team, of which every cell has an equal part at first. */
-    public Cellular(
+    public MultiCellSimulation(
             long seed,
             List<String> homes,
             List<String> rooms,
@@ -119,7 +119,7 @@
                                 Map.of(),
                                 parts));
             }
-            World w = new World(clock, this, apart ? null : new CellDirectory(1, own, cells));
+            SimulatedCluster w = new SimulatedCluster(clock, this, apart ? null : new CellDirectory(1, own, cells));
             w.teams.putAll(apart ? parts : wholes);
             w.specs = specs;
             w.zones = List.of(own + "1", own + "2");
@@ -129,13 +129,13 @@
         watch();
     }
 
-    public World world(String cell) {
+    public SimulatedCluster world(String cell) {
         return worlds.get(cell);
     }
 
     /** Nodes and machines of a cell. */
     public void cell(String cell, int nodes, int machines) {
-        World w = worlds.get(cell);
+        SimulatedCluster w = worlds.get(cell);
         for (int i = 0; i < nodes; i++) {
             w.siblings.add(cell + "-k" + i);
         }
@@ -147,20 +147,20 @@
         }
     }
 
-    public Node any(String cell) {
+    public SimulatedNode any(String cell) {
         return worlds.get(cell).nodes.values().stream()
                 .filter(n -> n.alive)
                 .findFirst()
                 .orElseThrow();
     }
 
-    public Node leader(String cell) {
+    public SimulatedNode leader(String cell) {
         return worlds.get(cell).leader();
     }
 
     /** The process ends, and starts again after some seconds. */
-    public void restart(Node n, double afterS) {
-        World w =
+    public void restart(SimulatedNode n, double afterS) {
+        SimulatedCluster w =
                 worlds.values().stream()
                         .filter(x -> x.nodes.get(n.name) == n)
                         .findFirst()
@@ -193,14 +193,14 @@
     }
 
     public void ask(
-            World from,
-            Node by,
+            SimulatedCluster from,
+            SimulatedNode by,
             String cell,
             String node,
             CellMessage m,
             Consumer<CellMessage> answer) {
         messages++;
-        World to = worlds.get(cell);
+        SimulatedCluster to = worlds.get(cell);
         boolean[] heard = new boolean[1];
         Consumer<CellMessage> once =
                 a ->
@@ -214,15 +214,15 @@
         clock.after(1, () -> once.accept(null));
         String out = from.directory.own() + ">" + cell;
         String back = cell + ">" + from.directory.own();
-        List<Node> up = to.nodes.values().stream().filter(n -> n.alive).toList();
-        Node asked =
+        List<SimulatedNode> up = to.nodes.values().stream().filter(n -> n.alive).toList();
+        SimulatedNode asked =
                 node != null
                         ? to.nodes.get(node)
                         : up.isEmpty() ? null : up.get(random.nextInt(up.size()));
         if (asked == null || cut.contains(out)) {
             return;
         }
-        Consumer<Node> deliver =
+        Consumer<SimulatedNode> deliver =
                 n ->
                         n.deliver(
                                 () ->
@@ -272,7 +272,7 @@
         }
     }
 
-    public Verdict submit(Node n, JobSpec s) {
+    public Verdict submit(SimulatedNode n, JobSpec s) {
         specs.put(s.id(), s);
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         n.controller.registry().submit(s, a -> got[0] = a);
@@ -294,7 +294,7 @@
                 });
     }
 
-    public String status(Node n, String id) {
+    public String status(SimulatedNode n, String id) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         n.controller.registry().status(id, a -> got[0] = a);
         run(0.2);
@@ -307,7 +307,7 @@
                 : got[0].verdict().toString();
     }
 
-    public String cancel(Node n, String id) {
+    public String cancel(SimulatedNode n, String id) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         n.controller.registry().cancel(id, a -> got[0] = a);
         run(0.2);
@@ -360,9 +360,9 @@
     private void watch() {
         Map<String, String> where = new HashMap<>();
         Map<String, Double> used = new HashMap<>();
-        for (World w : worlds.values()) {
-            for (Worker x : w.workers.values()) {
-                for (Task t : x.tasks.values()) {
+        for (SimulatedCluster w : worlds.values()) {
+            for (SimulatedWorker x : w.workers.values()) {
+                for (SimulatedTask t : x.tasks.values()) {
                     if (!x.up || t.state == TaskState.ENDED) {
                         continue;
                     }
@@ -445,7 +445,7 @@
                 (c, w) ->
                         w.store.written =
                                 (n, t) -> {
-                                    if (n instanceof Node by
+                                    if (n instanceof SimulatedNode by
                                             && t.writes().stream()
                                                     .map(Store.Write::key)
                                                     .anyMatch(
@@ -465,6 +465,6 @@
     }
 
     public interface LoanWrites {
-        void written(String cell, Node by, Store.Transaction t);
+        void written(String cell, SimulatedNode by, Store.Transaction t);
     }
 }
--- a/src/main/java/io/kitepath/standin/Rehearsal.java
+++ b/src/main/java/io/kitepath/standin/Rehearsal.java
@@ -102,7 +102,7 @@
 
     private final Plan plan;
     private final Way way;
-    private final Cellular cells;
+    private final MultiCellSimulation cells;
     private final Random random;
     private final Map<String, Coming> coming = new HashMap<>();
     private final Histogram hot = new Histogram(3);
@@ -137,13 +137,13 @@
         for (int i = 0; i < (way == Way.WHOLE ? 1 : plan.cells); i++) {
             names.add("c" + i);
         }
-        this.cells = new Cellular(plan.seed, names, List.of(), way != Way.CELLS);
+        this.cells = new MultiCellSimulation(plan.seed, names, List.of(), way != Way.CELLS);
         cells.watchS = 2;
         cells.lost = plan.bad;
         cells.doubled = plan.bad;
         cells.late = plan.bad / 2;
         for (String c : names) {
-            World w = cells.world(c);
+            SimulatedCluster w = cells.world(c);
             w.reportS = 4;
             w.leaseS = 20;
             w.reportsChanges = true;
@@ -229,7 +229,7 @@
     }
 
     private void submit(Coming c, String home) {
-        List<Node> up = cells.world(home).nodes.values().stream().filter(x -> x.alive).toList();
+        List<SimulatedNode> up = cells.world(home).nodes.values().stream().filter(x -> x.alive).toList();
         boolean[] heard = new boolean[1];
         Runnable again =
                 () -> {
@@ -258,7 +258,7 @@
                         });
     }
 
-    private void started(Task t) {
+    private void started(SimulatedTask t) {
         starts++;
         Coming c = coming.get(t.job);
         if (!c.started.get(t.number)) {
@@ -268,7 +268,7 @@
         }
     }
 
-    private void ended(Task t) {
+    private void ended(SimulatedTask t) {
         Coming c = coming.get(t.job);
         if (c.done.cardinality() == c.spec.tasks()) {
             return;
@@ -295,15 +295,15 @@
 
     private void fail(Fault f) {
         String cell = "c" + f.cell;
-        World w = cells.world(cell);
+        SimulatedCluster w = cells.world(cell);
         if (w == null) {
             return;
         }
         cells.clock.after(
                 f.atS,
                 () -> {
-                    List<Node> up = w.nodes.values().stream().filter(n -> n.alive).toList();
-                    Node holder =
+                    List<SimulatedNode> up = w.nodes.values().stream().filter(n -> n.alive).toList();
+                    SimulatedNode holder =
                             up.stream()
                                     .filter(n -> n.controller.leadsWith() > 0)
                                     .findFirst()
@@ -334,7 +334,7 @@
                             }
                         }
                         case "zone" -> {
-                            List<Worker> of =
+                            List<SimulatedWorker> of =
                                     w.workers.values().stream()
                                             .filter(x -> x.zone.equals(cell + "1"))
                                             .toList();
@@ -372,10 +372,10 @@
         if (way == Way.CELLS && open == 0) {
             cells.leftovers().stream().limit(3).forEach(k -> broken.add("left over: " + k));
         }
-        Collection<World> all = cells.worlds.values();
+        Collection<SimulatedCluster> all = cells.worlds.values();
         long handOvers = 0;
-        for (World w : all) {
-            for (Node n : w.nodes.values()) {
+        for (SimulatedCluster w : all) {
+            for (SimulatedNode n : w.nodes.values()) {
                 handOvers += figure(n, "cells.lent");
             }
         }
@@ -396,7 +396,7 @@
                 open);
     }
 
-    private static long figure(Node n, String name) {
+    private static long figure(SimulatedNode n, String name) {
         var f = n.controller.figures().get(name);
         return f == null ? 0 : (long) f.value().getAsDouble();
     }
--- a/src/main/java/io/kitepath/standin/Clock.java
+++ b/src/main/java/io/kitepath/standin/SimulatedClock.java
@@ -12,29 +12,29 @@
  * The time, and what is due when, for one world or for several that have something to do with each
  * other.
  */
-public final class Clock {
+public final class SimulatedClock {
     private record Due(double at, long order, Runnable run) {}
 
     private final PriorityQueue<Due> due =
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
     private long ordered;
     public double now = 100;
-    public final List<World> worlds = new ArrayList<>();
+    public final List<SimulatedCluster> worlds = new ArrayList<>();
 
     /** By job and task: what was started last. */
-    public final Map<String, Task> lastStarts = new HashMap<>();
+    public final Map<String, SimulatedTask> lastStarts = new HashMap<>();
 
     /** Sees every start. */
-    public Consumer<Task> starts = t -> {};
+    public Consumer<SimulatedTask> starts = t -> {};
 
     /** Sees every task that completed, or failed. */
-    public Consumer<Task> ends = t -> {};
+    public Consumer<SimulatedTask> ends = t -> {};
 
-    public void ended(Task t) {
+    public void ended(SimulatedTask t) {
         ends.accept(t);
     }
 
-    public void started(Task t) {
+    public void started(SimulatedTask t) {
         starts.accept(t);
     }
 
--- a/src/main/java/io/kitepath/standin/World.java
+++ b/src/main/java/io/kitepath/standin/SimulatedCluster.java
@@ -29,7 +29,7 @@
  * A small world in memory for stories: a clock, a store, a cloud, workers and up to three
  * controllers. Nothing here waits for real time, and nothing is random without a seed.
  */
-public final class World {
+public final class SimulatedCluster {
     /** Users wait so long for an answer about a job; what comes later is told to nobody. */
     private static final double USER_WAITS_S = 2;
 
@@ -42,10 +42,10 @@
     public double leaseS = 10;
     public double cancelS = 30;
 
-    public final Clock clock;
+    public final SimulatedClock clock;
 
     /** The cells that this world is one of, or null. */
-    public final Cellular around;
+    public final MultiCellSimulation around;
 
     public final CellDirectory directory;
 
@@ -65,12 +65,12 @@
     public final List<ClusterSettings.Objective> objectives = new ArrayList<>();
     public final MemoryStore store = new MemoryStore(this);
     public final MemoryCloud cloud = new MemoryCloud();
-    public final Map<String, Node> nodes = new LinkedHashMap<>();
+    public final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
 
     /** How many processes have been started under each node's name. */
     final Map<String, Integer> started = new HashMap<>();
 
-    public final Map<String, Worker> workers = new TreeMap<>();
+    public final Map<String, SimulatedWorker> workers = new TreeMap<>();
 
     /** Jobs that fail on every machine. */
     public final Set<String> mistaken = new HashSet<>();
@@ -128,7 +128,7 @@
                 @Override
                 public void heartbeat(
                         String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
-                    Node n = nodes.get(node);
+                    SimulatedNode n = nodes.get(node);
                     if (keeps.test(report)) {
                         kept.add(report);
                     }
@@ -168,13 +168,13 @@
             };
 
     /** Is told of every worker that there is from now on. */
-    public Consumer<Worker> born = x -> {};
+    public Consumer<SimulatedWorker> born = x -> {};
 
     /** Workers get no direct commands. */
     public boolean refuseDirect;
 
     /** Which worker a node's direct commands reach, and its answer that node. */
-    public BiPredicate<Node, Worker> commands = (n, x) -> true;
+    public BiPredicate<SimulatedNode, SimulatedWorker> commands = (n, x) -> true;
 
     /** How late they come. */
     public double directDelayS = 0.002;
@@ -203,10 +203,10 @@
     public boolean closeLooks;
 
     /** Whether users call off the job whose last task completes, in that moment. */
-    public Predicate<Task> cancelsAtEnd = t -> false;
+    public Predicate<SimulatedTask> cancelsAtEnd = t -> false;
 
-    public final Rules rules = new Rules(this);
-    public final Users users = new Users(this);
+    public final InvariantChecker rules = new InvariantChecker(this);
+    public final LoadGenerator users = new LoadGenerator(this);
 
     /** How long a job's tasks run, by its id; null: as long as the machine's tasks do. */
     public ToDoubleFunction<String> runsFor;
@@ -224,12 +224,12 @@
             new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
     public List<String> zones = List.of("a", "b");
 
-    public World() {
-        this(new Clock(), null, null);
+    public SimulatedCluster() {
+        this(new SimulatedClock(), null, null);
     }
 
     /** One cell among others, which share a clock. */
-    public World(Clock clock, Cellular around, CellDirectory directory) {
+    public SimulatedCluster(SimulatedClock clock, MultiCellSimulation around, CellDirectory directory) {
         this.clock = clock;
         this.around = around;
         this.directory = directory;
@@ -284,22 +284,22 @@
         return new ClusterSettings.StoreLimits(rps, writeRps, valueKb, 40);
     }
 
-    public Node node(String name) {
-        Node n = new Node(this, name);
+    public SimulatedNode node(String name) {
+        SimulatedNode n = new SimulatedNode(this, name);
         nodes.put(name, n);
         n.controller.start();
         return n;
     }
 
-    public Node leader() {
+    public SimulatedNode leader() {
         return nodes.values().stream()
                 .filter(n -> n.alive && n.controller.leadsWith() == store.token())
                 .findFirst()
                 .orElseThrow();
     }
 
-    public Worker worker(String id, String zone) {
-        Worker w = new Worker(this, id, zone);
+    public SimulatedWorker worker(String id, String zone) {
+        SimulatedWorker w = new SimulatedWorker(this, id, zone);
         workers.put(id, w);
         born.accept(w);
         cloud.machines.put(id, new Cloud.Listed(id, type.name(), zone, false, "running", 60));
@@ -307,8 +307,8 @@
         return w;
     }
 
-    public Worker spotWorker(String id, String zone) {
-        Worker w = worker(id, zone);
+    public SimulatedWorker spotWorker(String id, String zone) {
+        SimulatedWorker w = worker(id, zone);
         w.spot = true;
         cloud.machines.put(id, new Cloud.Listed(id, type.name(), zone, true, "running", 60));
         return w;
@@ -386,7 +386,7 @@
                 s.deadlineS());
     }
 
-    public JobSubmissionService.Answer submit(Node n, JobSpec s, String... itsNeeds) {
+    public JobSubmissionService.Answer submit(SimulatedNode n, JobSpec s, String... itsNeeds) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         double asked = clock.now;
         specs.put(s.id(), s);
@@ -407,7 +407,7 @@
         return got[0];
     }
 
-    public JobSubmissionService.Answer cancel(Node n, String id) {
+    public JobSubmissionService.Answer cancel(SimulatedNode n, String id) {
         rules.asksToCancel(id);
         return told(id, answer -> n.controller.registry().cancel(id, answer));
     }
@@ -420,7 +420,7 @@
         return users.cancelNow(count, hangS, random);
     }
 
-    public JobSubmissionService.Answer ask(Node n, String id) {
+    public JobSubmissionService.Answer ask(SimulatedNode n, String id) {
         return told(id, answer -> n.controller.registry().status(id, answer));
     }
 
@@ -473,7 +473,7 @@
         }
     }
 
-    private void bringKept(List<Node> to) {
+    private void bringKept(List<SimulatedNode> to) {
         List<Heartbeat> copies = List.copyOf(kept);
         kept.clear();
         after(
@@ -493,7 +493,7 @@
                                                         })));
     }
 
-    public String status(Node n, String id) {
+    public String status(SimulatedNode n, String id) {
         JobSubmissionService.Answer a = ask(n, id);
         return a.verdict() == JobSubmissionService.Verdict.KNOWN ? a.state().status() : a.verdict().toString();
     }
--- a/src/main/java/io/kitepath/standin/Node.java
+++ b/src/main/java/io/kitepath/standin/SimulatedNode.java
@@ -16,8 +16,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-public final class Node implements Timers, PeerNodes, Caller {
-    private final World w;
+public final class SimulatedNode implements Timers, PeerNodes, EmulatorClient {
+    private final SimulatedCluster w;
     public final String name;
     public final Controller controller;
     public boolean alive = true;
@@ -50,7 +50,7 @@
     /** Told when it ends that way. */
     public Runnable ended = () -> {};
 
-    public Node(World w, String name) {
+    public SimulatedNode(SimulatedCluster w, String name) {
         this.w = w;
         this.name = name;
         this.controller =
@@ -71,7 +71,7 @@
 
     private void direct(
             String address, long token, long session, List<WorkerCommand> orders, Consumer<Heartbeat> answer) {
-        Worker x = w.workers.get(address);
+        SimulatedWorker x = w.workers.get(address);
         if (x == null
                 || x.cut
                 || x.deaf
@@ -206,7 +206,7 @@
 
     @Override
     public void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
-        Node n = w.nodes.get(leader);
+        SimulatedNode n = w.nodes.get(leader);
         boolean[] heard = new boolean[1];
         Consumer<List<JobProgress>> once =
                 p -> {
@@ -229,7 +229,7 @@
     @Override
     public boolean relay(
             String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
-        Node n = w.nodes.get(sibling);
+        SimulatedNode n = w.nodes.get(sibling);
         if (n == null || !reaches(n)) {
             return false;
         }
@@ -241,7 +241,7 @@
         return true;
     }
 
-    private boolean reaches(Node other) {
+    private boolean reaches(SimulatedNode other) {
         return !cutFrom.contains(other.name) && !other.cutFrom.contains(name);
     }
 }
--- a/src/main/java/io/kitepath/standin/Task.java
+++ b/src/main/java/io/kitepath/standin/SimulatedTask.java
@@ -4,15 +4,15 @@
 import io.kitepath.core.model.Heartbeat.TaskState;
 
 /** One attempt of a task on a worker. */
-public final class Task {
-    public final Worker worker;
+public final class SimulatedTask {
+    public final SimulatedWorker worker;
     public final String job;
     public final int number;
     public final long attempt;
     public TaskState state;
     public EndCause cause;
 
-    public Task(Worker worker, String job, int number, long attempt, TaskState state) {
+    public SimulatedTask(SimulatedWorker worker, String job, int number, long attempt, TaskState state) {
         this.worker = worker;
         this.job = job;
         this.number = number;
--- a/src/main/java/io/kitepath/standin/Worker.java
+++ b/src/main/java/io/kitepath/standin/SimulatedWorker.java
@@ -15,15 +15,15 @@
 import java.util.Set;
 
 /** A machine with its worker, by the protocol: one report in flight, sessions, tokens, leases. */
-public final class Worker {
-    private final World w;
+public final class SimulatedWorker {
+    private final SimulatedCluster w;
     public final String id;
     public final String zone;
 
     /** Where it takes direct commands. */
     public String address;
 
-    public final Map<String, Task> tasks = new LinkedHashMap<>();
+    public final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
     public final Set<String> images = new HashSet<>();
     public long session = 1;
     public long sequence;
@@ -69,7 +69,7 @@
 
     public int started;
 
-    public Worker(World w, String id, String zone) {
+    public SimulatedWorker(SimulatedCluster w, String id, String zone) {
         this.w = w;
         this.answered = w.clock.now;
         this.id = id;
@@ -257,7 +257,7 @@
 
     public void execute(WorkerCommand o) {
         String key = o.job() + "/" + o.task() + "#" + o.attempt();
-        Task t = tasks.get(key);
+        SimulatedTask t = tasks.get(key);
         switch (o.verb()) {
             case START -> {
                 if (t == null) {
@@ -278,13 +278,13 @@
         }
     }
 
-    private void fetched(Task t, String key, JobSpec s) {
+    private void fetched(SimulatedTask t, String key, JobSpec s) {
         if (tasks.get(key) != t || t.state != TaskState.FETCHING) {
             return; // Given up, and what was fetched with it.
         }
         images.add(s.image());
         t.state = TaskState.WAITING;
-        List<Task> gang =
+        List<SimulatedTask> gang =
                 w.workers.values().stream()
                         .flatMap(w -> w.tasks.values().stream())
                         .filter(
@@ -326,7 +326,7 @@
     }
 
     private void start(WorkerCommand o, String key) {
-        Task other = w.clock.lastStarts.get(o.job() + "/" + o.task());
+        SimulatedTask other = w.clock.lastStarts.get(o.job() + "/" + o.task());
         if (other != null && other.on()) {
             w.broken.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
         }
@@ -339,7 +339,7 @@
             w.broken.add("started on a machine that goes: " + key + " on " + id);
         }
         started++;
-        Task t = new Task(this, o.job(), o.task(), o.attempt(), TaskState.RUNNING);
+        SimulatedTask t = new SimulatedTask(this, o.job(), o.task(), o.attempt(), TaskState.RUNNING);
         tasks.put(key, t);
         w.clock.lastStarts.put(o.job() + "/" + o.task(), t);
         w.clock.started(t);
--- a/src/main/java/io/kitepath/standin/StoreLink.java
+++ b/src/main/java/io/kitepath/standin/StoreLink.java
@@ -7,11 +7,11 @@
 
 /** One node's connection to the store. */
 final class StoreLink implements Store {
-    private final World w;
+    private final SimulatedCluster w;
     private final MemoryStore store;
-    private final Caller node;
+    private final EmulatorClient node;
 
-    StoreLink(World w, Caller node) {
+    StoreLink(SimulatedCluster w, EmulatorClient node) {
         this.w = w;
         this.store = w.store;
         this.node = node;
--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -7,9 +7,9 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.ArrayList;
 import java.util.List;
@@ -30,7 +30,7 @@
     private static final int KINDS = 22;
 
     private static final class Run {
-        final World w = new World();
+        final SimulatedCluster w = new SimulatedCluster();
         final Random random;
         final List<String> jobs = new ArrayList<>();
         final Map<Integer, Integer> met;
@@ -70,11 +70,11 @@
             return random.nextDouble() * s;
         }
 
-        private Node any() {
+        private SimulatedNode any() {
             return w.nodes.get(w.siblings.get(random.nextInt(w.siblings.size())));
         }
 
-        private Node holder() {
+        private SimulatedNode holder() {
             return w.nodes.values().stream()
                     .filter(n -> n.alive && n.controller.leadership.leading())
                     .filter(n -> random.nextInt(8) > 0)
@@ -82,11 +82,11 @@
                     .orElseGet(this::any);
         }
 
-        private List<Worker> some() {
+        private List<SimulatedWorker> some() {
             return w.workers.values().stream().filter(x -> x.up && random.nextInt(3) == 0).toList();
         }
 
-        private void back(Node n, double s) {
+        private void back(SimulatedNode n, double s) {
             w.after(
                     s,
                     () -> {
@@ -96,14 +96,14 @@
                     });
         }
 
-        private void ends(Node n) {
+        private void ends(SimulatedNode n) {
             n.kill();
             back(n, new double[] {0.1, 0.3, 5}[random.nextInt(3)]);
         }
 
         void trouble() {
-            Node h = holder();
-            Node o = any();
+            SimulatedNode h = holder();
+            SimulatedNode o = any();
             int kind = random.nextInt(KINDS);
             met.merge(kind, 1, Integer::sum);
             switch (kind) {
@@ -180,7 +180,7 @@
                                         });
                 case 18 -> w.cancelNow(3, random.nextBoolean() ? upTo(1.5 * w.leaseS) : 0, random);
                 case 19 -> {
-                    w.nodes.values().forEach(Node::kill);
+                    w.nodes.values().forEach(SimulatedNode::kill);
                     double away = upTo(2 * w.leaseS);
                     w.siblings.forEach(k -> back(w.nodes.get(k), away + upTo(2)));
                 }
@@ -203,8 +203,8 @@
             String id = "j-" + next++;
             Shape shape = random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY;
             JobSpec s =
-                    World.with(
-                            World.job(
+                    SimulatedCluster.with(
+                            SimulatedCluster.job(
                                     id,
                                     shape,
                                     1 + random.nextInt(4),
@@ -227,7 +227,7 @@
             if (w.accepted.containsKey(id) || tries == 0) {
                 return;
             }
-            Node n = any();
+            SimulatedNode n = any();
             if (n.alive) {
                 w.users.repeat(n, id);
             }
@@ -237,7 +237,7 @@
         private void users() {
             for (int i = 0; i < 2 && !jobs.isEmpty(); i++) {
                 String id = jobs.get(random.nextInt(jobs.size()));
-                Node n = any();
+                SimulatedNode n = any();
                 if (!n.alive || !w.accepted.containsKey(id)) {
                     continue;
                 }
@@ -247,7 +247,7 @@
                     case 3 ->
                             w.users.repeat(
                                     n,
-                                    World.with(
+                                    SimulatedCluster.with(
                                             w.specs.get(id),
                                             "blue",
                                             Priority.LOW,
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -13,8 +13,8 @@
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.net.HttpServer.Request;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.users.UsersApi;
 import io.kitepath.wire.MessagePackCodec;
 import io.kitepath.wire.ProtocolCodec;
@@ -32,7 +32,7 @@
 class BadInputTest {
     private static final List<String> KNOWN = List.of("j-1", "j-2", "j-3");
 
-    private World w;
+    private SimulatedCluster w;
     private int next = 1000;
     private double answerS = 3;
 
@@ -42,7 +42,7 @@
         w.teams.put("blue", new ClusterSettings.Team("blue", 0, 6, 0, 0));
     }
 
-    private static int[] send(World w, Node n, byte[] body) {
+    private static int[] send(SimulatedCluster w, SimulatedNode n, byte[] body) {
         int[] status = new int[1];
         new UsersApi(n.controller)
                 .handle(
@@ -56,7 +56,7 @@
         List<List<int[]>> got = new ArrayList<>();
         for (Map<String, Object> b : bodies) {
             List<int[]> each = new ArrayList<>();
-            for (Node n : w.nodes.values()) {
+            for (SimulatedNode n : w.nodes.values()) {
                 if (n.alive) {
                     each.add(send(w, n, MessagePackCodec.bytes(named(b, "j-" + next++))));
                 }
@@ -102,7 +102,7 @@
     void alsoWithoutALeaderAndByANodeThatHasJustBegun() {
         begin();
         answerS = 0.6; // Before another leads.
-        Node gone = w.leader();
+        SimulatedNode gone = w.leader();
         gone.crash();
         all(400, malformed());
         assertTrue(
@@ -116,7 +116,7 @@
                 w.nodes.values().stream()
                         .noneMatch(n -> n.alive && n.controller.leadership.leading()),
                 "one leads");
-        Node anew = w.node(gone.name);
+        SimulatedNode anew = w.node(gone.name);
         int[] knowsNoTypes = send(w, anew, MessagePackCodec.bytes(with("nameId", "j-900", "crew", "nobody")));
         int[] malformed = send(w, anew, MessagePackCodec.bytes(with("nameId", "j-901", "sheets", 0L)));
         w.run(2);
@@ -136,7 +136,7 @@
         all(503, bodies);
         for (Object id :
                 Arrays.asList(null, 5L, "", "x-1", "j-", "j-1x", "j-1/0", List.of("j-1"))) {
-            for (Node n : w.nodes.values()) {
+            for (SimulatedNode n : w.nodes.values()) {
                 int[] got = send(w, n, MessagePackCodec.bytes(with("nameId", id)));
                 assertEquals(400, got[0], "id " + id);
             }
@@ -149,7 +149,7 @@
                         MessagePackCodec.bytes("j-1"),
                         MessagePackCodec.bytes(List.of(good("j-1"))),
                         Arrays.copyOf(MessagePackCodec.bytes(good("j-1")), 50))) {
-            for (Node n : w.nodes.values()) {
+            for (SimulatedNode n : w.nodes.values()) {
                 assertEquals(400, send(w, n, unreadable)[0]);
             }
         }
@@ -181,7 +181,7 @@
         bodies.removeIf(b -> !b.get("nameId").equals("j-0"));
         for (int out = 0; out < 2; out++) {
             for (String id : KNOWN) {
-                for (Node n : w.nodes.values()) {
+                for (SimulatedNode n : w.nodes.values()) {
                     List<int[]> got = new ArrayList<>();
                     bodies.forEach(b -> got.add(send(w, n, MessagePackCodec.bytes(named(b, id)))));
                     w.run(3);
@@ -205,7 +205,7 @@
     }
 
     /** As a user does who hands it in there. */
-    private int accept(Node n, Map<String, Object> body) {
+    private int accept(SimulatedNode n, Map<String, Object> body) {
         String id = (String) body.get("nameId");
         w.specs.put(id, ProtocolCodec.submission(body));
         int[] got = send(w, n, MessagePackCodec.bytes(body));
@@ -273,7 +273,7 @@
     /** A type that is offered in no zone, or in one only, is as much of a reason. */
     @Test
     void zonesThatTheTypesAreOfferedIn() {
-        w = new World();
+        w = new SimulatedCluster();
         w.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of("b"));
         w.siblings.add("k0");
         w.node("k0");
@@ -291,7 +291,7 @@
                                 with("field", "b"),
                                 with("sheets", 2L, "spread", true),
                                 with("shape", "group", "spread", true))));
-        w = new World();
+        w = new SimulatedCluster();
         w.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of());
         w.siblings.add("k0");
         w.node("k0");
@@ -322,7 +322,7 @@
 
     private void nothingCameOfIt() {
         w.run(30);
-        for (Node n : w.nodes.values()) {
+        for (SimulatedNode n : w.nodes.values()) {
             for (int i = 1000; i < next; i += 37) {
                 assertEquals("NOT_FOUND", w.status(n, "j-" + i));
             }
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,9 +10,9 @@
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -23,15 +23,15 @@
  * world's checker says what is still on a machine cancel_s after any user was told.
  */
 class CancellationGapTest {
-    private World w;
+    private SimulatedCluster w;
 
-    private Node settled(int nodes) {
+    private SimulatedNode settled(int nodes) {
         w = Worlds.settled(nodes, 4);
         w.runsFor = id -> 400;
         // The clocks of the nodes are apart as far as they may be.
         w.nodes.get("k0").clockOffMs = 5;
         w.nodes.get("k" + (nodes - 1)).clockOffMs = -5;
-        Node holder = w.leader();
+        SimulatedNode holder = w.leader();
         // Two to be cancelled, and one that goes on.
         w.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
         w.submit(holder, job("j-2", Shape.GANG, 3, 1));
@@ -43,19 +43,19 @@
         return holder;
     }
 
-    private Node other(Node than) {
+    private SimulatedNode other(SimulatedNode than) {
         return w.nodes.values().stream()
                 .filter(n -> n != than && n.alive)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private void cancelled(Node at, String id) {
+    private void cancelled(SimulatedNode at, String id) {
         var a = w.cancel(at, id);
         assertEquals("cancelled", a.state().status());
     }
 
-    private void refuse(Node n, double seconds) {
+    private void refuse(SimulatedNode n, double seconds) {
         n.cutFromStore = true;
         w.after(seconds, () -> n.cutFromStore = false);
     }
@@ -64,8 +64,8 @@
      * The store refuses the holder alone; another confirms that j-1 is cancelled, and its word does
      * not get through.
      */
-    private Node confirmedUnheard(Node holder) {
-        Node sibling = other(holder);
+    private SimulatedNode confirmedUnheard(SimulatedNode holder) {
+        SimulatedNode sibling = other(holder);
         sibling.losesWord = true;
         refuse(holder, 9);
         w.run(0.5);
@@ -94,7 +94,7 @@
 
     @Test
     void whatASiblingConfirmedIsGoneInTimeAndNothingElse() {
-        Node holder = settled(3);
+        SimulatedNode holder = settled(3);
         long before = sessions();
         refuse(holder, 9);
         w.run(0.5);
@@ -106,9 +106,9 @@
 
     @Test
     void theWordThatIsLostIsRepeated() {
-        Node holder = settled(3);
+        SimulatedNode holder = settled(3);
         long before = sessions();
-        Node sibling = confirmedUnheard(holder);
+        SimulatedNode sibling = confirmedUnheard(holder);
         w.store.outage(50);
         w.run(4);
         sibling.cutFrom.clear();
@@ -118,8 +118,8 @@
 
     @Test
     void oneThatNeverHearsOfItStopsAnsweringInTime() {
-        Node holder = settled(3);
-        Node sibling = other(holder);
+        SimulatedNode holder = settled(3);
+        SimulatedNode sibling = other(holder);
         refuse(holder, 9);
         sibling.cutFrom.add(holder.name);
         w.run(0.5);
@@ -136,8 +136,8 @@
 
     @Test
     void aConfirmingNodeThatEndsAndIsBackVouchesForNothingOfBefore() {
-        Node holder = settled(3);
-        Node sibling = confirmedUnheard(holder);
+        SimulatedNode holder = settled(3);
+        SimulatedNode sibling = confirmedUnheard(holder);
         sibling.crash();
         w.store.outage(70);
         w.run(0.3);
@@ -150,9 +150,9 @@
 
     @Test
     void twoNodesThatConfirmAreBothHeard() {
-        Node holder = settled(3);
+        SimulatedNode holder = settled(3);
         long before = sessions();
-        List<Node> others = w.nodes.values().stream().filter(n -> n != holder).toList();
+        List<SimulatedNode> others = w.nodes.values().stream().filter(n -> n != holder).toList();
         others.forEach(n -> n.losesWord = true);
         refuse(holder, 9);
         w.run(0.5);
@@ -166,8 +166,8 @@
 
     @Test
     void withAThirdThatIsSilentTheMarginAloneCounts() {
-        Node holder = settled(3);
-        List<Node> others = w.nodes.values().stream().filter(n -> n != holder).toList();
+        SimulatedNode holder = settled(3);
+        List<SimulatedNode> others = w.nodes.values().stream().filter(n -> n != holder).toList();
         others.get(0).losesWord = true;
         others.get(1).crash();
         refuse(holder, 9);
@@ -182,8 +182,8 @@
     /** What the silent one confirmed is not what those say who are heard. */
     @Test
     void whatTheSilentOneConfirmedIsGoneInTimeToo() {
-        Node holder = settled(3);
-        Node sibling = other(holder);
+        SimulatedNode holder = settled(3);
+        SimulatedNode sibling = other(holder);
         sibling.losesWord = true;
         refuse(holder, 9);
         w.run(0.5);
@@ -199,7 +199,7 @@
 
     @Test
     void twoGapsInARow() {
-        Node holder = settled(3);
+        SimulatedNode holder = settled(3);
         long before = sessions();
         w.nodes.values().forEach(n -> n.losesWord = true);
         refuse(holder, 6);
@@ -207,7 +207,7 @@
         cancelled(other(holder), "j-1");
         w.store.outage(40);
         w.run(44);
-        Node next = w.leader();
+        SimulatedNode next = w.leader();
         refuse(next, 6);
         w.run(0.5);
         cancelled(other(next), "j-2");
@@ -220,7 +220,7 @@
     @Test
     void aHolderThatStoodStillInBetweenAnswersNothingFromBefore() {
         for (double stands = 1; stands < 40; stands += 3) {
-            Node holder = settled(3);
+            SimulatedNode holder = settled(3);
             confirmedUnheard(holder);
             holder.frozenUntil = w.clock.now + stands;
             w.store.outage(70);
@@ -232,8 +232,8 @@
     @Test
     void theStoreIsSlowInsteadOfOut() {
         for (double slow : new double[] {0.5, 2, 5, 20}) {
-            Node holder = settled(3);
-            Node sibling = other(holder);
+            SimulatedNode holder = settled(3);
+            SimulatedNode sibling = other(holder);
             sibling.losesWord = true;
             w.run(0.5);
             w.store.hangs = n -> n == holder;
@@ -253,9 +253,9 @@
     /** Renewals go through, so the holder stays one; that its watch says nothing proves nothing. */
     @Test
     void aWatchThatHangsHidesNoCancellation() {
-        Node holder = settled(3);
+        SimulatedNode holder = settled(3);
         long before = sessions();
-        Node sibling = other(holder);
+        SimulatedNode sibling = other(holder);
         sibling.losesWord = true;
         w.store.hangs = n -> n == holder;
         sibling.cutFrom.add(holder.name);
@@ -268,10 +268,10 @@
     @Test
     void theHolderChangedJustBefore() {
         for (double ago = 0; ago < 6; ago += 0.2) {
-            Node first = settled(3);
+            SimulatedNode first = settled(3);
             first.crash();
             w.run(1 + ago);
-            Node sibling = other(first);
+            SimulatedNode sibling = other(first);
             sibling.losesWord = true;
             var a = w.cancel(sibling, "j-1");
             w.store.outage(70);
@@ -290,8 +290,8 @@
     void whatIsToldWhileJobsAreReadCounts() {
         int told = 0;
         for (int page = 1; page < 8; page++) {
-            Node first = settled(3);
-            Node sibling =
+            SimulatedNode first = settled(3);
+            SimulatedNode sibling =
                     w.siblings.stream()
                             .map(w.nodes::get)
                             .filter(n -> n != first)
@@ -325,9 +325,9 @@
      */
     @Test
     void whoIsToldByAPollIsToldToo() {
-        Node holder = settled(3);
-        Node sibling = other(holder);
-        Node third =
+        SimulatedNode holder = settled(3);
+        SimulatedNode sibling = other(holder);
+        SimulatedNode third =
                 w.nodes.values().stream()
                         .filter(n -> n != holder && n != sibling)
                         .findFirst()
@@ -350,7 +350,7 @@
     /** Its own user is told by a poll: the holder knows it then, whatever its watch says. */
     @Test
     void whatTheHolderItselfSaysItKnows() {
-        Node holder = settled(1);
+        SimulatedNode holder = settled(1);
         long before = sessions();
         w.store.hangs = n -> true;
         w.store.late =
@@ -370,9 +370,9 @@
 
     @Test
     void anOldReportOfACancelledTaskKeepsNothingAlive() {
-        Node holder = settled(3);
+        SimulatedNode holder = settled(3);
         long before = sessions();
-        Worker x =
+        SimulatedWorker x =
                 w.workers.values().stream()
                         .filter(y -> y.tasks.keySet().stream().anyMatch(k -> k.startsWith("j-1/")))
                         .findFirst()
@@ -392,7 +392,7 @@
     /** An outage alone kills nothing, however long, as long as all give their word. */
     @Test
     void anOutageAloneEndsNothing() {
-        Node holder = settled(3);
+        SimulatedNode holder = settled(3);
         long before = sessions();
         w.store.outage(200);
         w.run(195);
@@ -408,7 +408,7 @@
     @Test
     void oldSiblingsAndOldHolders() {
         for (int olds = 1; olds < 8; olds++) {
-            Node holder = settled(3);
+            SimulatedNode holder = settled(3);
             for (int i = 0; i < 3; i++) {
                 w.nodes.get("k" + i).old = (olds >> i & 1) == 1;
             }
@@ -426,7 +426,7 @@
     /** An answer that is held for a moment is entitled when it goes, not when the report came. */
     @Test
     void aHeldAnswerIsLookedAtOnceMoreWhenItGoes() {
-        Node holder = settled(2);
+        SimulatedNode holder = settled(2);
         w.worker("i-000009", "a");
         w.run(6);
         w.nodes.values().forEach(n -> n.cutFrom.addAll(w.siblings));
@@ -435,7 +435,7 @@
         while (holder.controller.known.ageS() < holder.controller.facts.workers().marginS() - 0.6) {
             w.run(0.1);
         }
-        Worker idle = w.workers.get("i-000009");
+        SimulatedWorker idle = w.workers.get("i-000009");
         HeartbeatResponse[] got = new HeartbeatResponse[1];
         holder.controller.heartbeat(idle.message(), c -> got[0] = c);
         assertEquals(null, got[0]);
@@ -449,7 +449,7 @@
      */
     @Test
     void aNewHolderAnswersOnlyOnceItKnowsWhatIsOpen() {
-        Node first = settled(3);
+        SimulatedNode first = settled(3);
         long before = sessions();
         long starts = w.workers.values().stream().mapToInt(x -> x.started).sum();
         first.kill();
@@ -470,10 +470,10 @@
     @Test
     void whatIsToldBetweenTheListAndThePartsIsNotBroughtBackByTheList() {
         for (boolean outBeforeAllIsRead : new boolean[] {true, false}) {
-            Node first = settled(3);
+            SimulatedNode first = settled(3);
             first.kill();
             w.node(first.name);
-            Node next = null;
+            SimulatedNode next = null;
             while (next == null) {
                 w.run(0.01);
                 next =
@@ -487,8 +487,8 @@
                 w.run(0.001);
             }
             assertFalse(next.controller.keeper.loaded());
-            Node holder = next;
-            Node sibling =
+            SimulatedNode holder = next;
+            SimulatedNode sibling =
                     w.nodes.values().stream()
                             .filter(n -> n != holder && n.alive)
                             .findFirst()
@@ -518,9 +518,9 @@
     /** What is read counts from when it was asked for, not from when it came. */
     @Test
     void theReadOfOpenJobsCountsFromWhenItWasAskedFor() {
-        Node first = settled(3);
+        SimulatedNode first = settled(3);
         first.kill();
-        Node next = null;
+        SimulatedNode next = null;
         while (next == null) {
             w.run(0.01);
             next =
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -1,15 +1,15 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -30,7 +30,7 @@
     private static final int IN_CI = 60;
 
     private final class Run {
-        final World w = new World();
+        final SimulatedCluster w = new SimulatedCluster();
         final Random random;
         final List<String> jobs = new ArrayList<>();
         int next = 100;
@@ -55,12 +55,12 @@
             w.run(12);
         }
 
-        private Node any() {
+        private SimulatedNode any() {
             return w.nodes.get("k" + random.nextInt(3));
         }
 
         /** Mostly the one that holds, or held last. */
-        private Node holder() {
+        private SimulatedNode holder() {
             return w.nodes.values().stream()
                     .filter(n -> n.alive && n.controller.leadership.leading())
                     .filter(n -> random.nextInt(8) > 0)
@@ -68,8 +68,8 @@
                     .orElseGet(this::any);
         }
 
-        private Node other(Node than) {
-            Node n = any();
+        private SimulatedNode other(SimulatedNode than) {
+            SimulatedNode n = any();
             return n == than
                     ? w.nodes.get("k" + (Integer.parseInt(n.name.substring(1)) + 1) % 3)
                     : n;
@@ -80,8 +80,8 @@
         }
 
         void trouble() {
-            Node h = holder();
-            Node o = other(h);
+            SimulatedNode h = holder();
+            SimulatedNode o = other(h);
             switch (random.nextInt(15)) {
                 case 0, 1 -> {
                     h.cutFromStore = true;
@@ -137,7 +137,7 @@
                             });
                 }
                 default -> {
-                    Worker x =
+                    SimulatedWorker x =
                             w.workers.values().stream()
                                     .filter(y -> y.up)
                                     .skip(random.nextInt(3))
@@ -155,7 +155,7 @@
             }
         }
 
-        private void back(Node n) {
+        private void back(SimulatedNode n) {
             if (!w.nodes.get(n.name).alive) {
                 w.node(n.name).clockOffMs = n.clockOffMs;
             }
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,8 +10,8 @@
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.ArrayList;
 import java.util.List;
@@ -36,7 +36,7 @@
         REFUSED,
         ALONE;
 
-        void happens(World w, Node n, double backAfterS) {
+        void happens(SimulatedCluster w, SimulatedNode n, double backAfterS) {
             switch (this) {
                 case STOPPED -> {
                     n.controller.stop();
@@ -74,8 +74,8 @@
 
     private static final List<String> CANCELLED = List.of("j-1", "j-2", "j-3", "j-4");
 
-    private World w;
-    private Node old;
+    private SimulatedCluster w;
+    private SimulatedNode old;
     private int runs;
 
     /**
@@ -105,15 +105,15 @@
      * Placed, and launched at those machines only that happened to report; returns a node for users
      * to cancel at.
      */
-    private Node fresh(int through) {
+    private SimulatedNode fresh(int through) {
         w.run(runs % 10 * 0.2);
         w.submit(old, job("j-3", Shape.ARRAY, 6, 1));
         w.submit(old, job("j-4", Shape.GANG, 4, 1));
-        List<Node> nodes = new ArrayList<>(w.nodes.values());
+        List<SimulatedNode> nodes = new ArrayList<>(w.nodes.values());
         return nodes.get((nodes.indexOf(old) + through) % 3);
     }
 
-    private void cancels(Node first) {
+    private void cancels(SimulatedNode first) {
         w.accepted.keySet().stream()
                 .filter(CANCELLED::contains)
                 .sorted()
@@ -169,7 +169,7 @@
             for (Step step : Step.values()) {
                 for (int through = 0; through < 3; through++) {
                     busy();
-                    Node first = fresh(through);
+                    SimulatedNode first = fresh(through);
                     long token = w.store.token();
                     String at = change + " " + step + " through " + first.name;
                     if (step == Step.BEFORE) {
@@ -253,9 +253,9 @@
     }
 
     private void launchesTake(double seconds, int[] on) {
-        World.Reach usual = w.reach;
+        SimulatedCluster.Reach usual = w.reach;
         w.reach =
-                new World.Reach() {
+                new SimulatedCluster.Reach() {
                     @Override
                     public List<String> up() {
                         return usual.up();
@@ -295,7 +295,7 @@
                 busy();
                 int[] on = {0};
                 launchesTake(heldS, on);
-                Node first = fresh(runs % 3);
+                SimulatedNode first = fresh(runs % 3);
                 for (int ms = 0; ms < 3000 && on[0] == 0; ms++) {
                     w.run(0.001);
                 }
@@ -332,9 +332,9 @@
                                     + ms
                                     + " ms";
                     busy();
-                    Node first = fresh(through);
+                    SimulatedNode first = fresh(through);
                     // Of some, or all, of the others the old holder hears nothing any more.
-                    List<Node> silent =
+                    List<SimulatedNode> silent =
                             w.nodes.values().stream()
                                     .filter(
                                             n ->
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,15 +13,15 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Cellular;
-import io.kitepath.standin.Node;
+import io.kitepath.standin.MultiCellSimulation;
+import io.kitepath.standin.SimulatedNode;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Cells that hand work to each other, and what breaks between them. */
 class CellsTest {
-    private final Cellular c = new Cellular(11, List.of("east", "west"), List.of());
+    private final MultiCellSimulation c = new MultiCellSimulation(11, List.of("east", "west"), List.of());
 
     @AfterEach
     void rules() {
@@ -303,7 +303,7 @@
     @Test
     void aCancellationInTheMomentOfTheOfferIsOneOrTheOther() {
         for (int i = 1; i <= 6; i++) {
-            Cellular x = new Cellular(20 + i, List.of("east", "west"), List.of());
+            MultiCellSimulation x = new MultiCellSimulation(20 + i, List.of("east", "west"), List.of());
             x.cell("east", 2, 1);
             x.cell("west", 2, 10);
             x.run(12);
@@ -327,7 +327,7 @@
     @Test
     void aCellThatIsSilentCostsTheOthersNothingButItsRoom() {
         settled(4, 10);
-        c.world("west").nodes.values().forEach(Node::crash);
+        c.world("west").nodes.values().forEach(SimulatedNode::crash);
         c.run(30);
         String id = array(1, 8);
         c.until(40, () -> c.status(c.any("east"), id).equals("done"));
@@ -422,7 +422,7 @@
     }
 
     private static int handOver(int at, String who) {
-        Cellular x = new Cellular(5, List.of("east", "west"), List.of());
+        MultiCellSimulation x = new MultiCellSimulation(5, List.of("east", "west"), List.of());
         x.cell("east", 2, 1);
         x.cell("west", 2, 10);
         x.run(12);
@@ -437,7 +437,7 @@
                                             || who.equals("home") && of.equals("east")
                                             || who.equals("other") && of.equals("west");
                             if (ends) {
-                                Node l = of.equals(cell) ? by : x.leader(of);
+                                SimulatedNode l = of.equals(cell) ? by : x.leader(of);
                                 x.restart(l, 8);
                             }
                         }
@@ -455,7 +455,7 @@
     @Test
     void aBadNetworkBetweenCellsLosesAndDoublesNothing() {
         for (int seed = 1; seed <= 8; seed++) {
-            Cellular x = new Cellular(seed, List.of("east", "west"), List.of("spare"));
+            MultiCellSimulation x = new MultiCellSimulation(seed, List.of("east", "west"), List.of("spare"));
             x.lost = 0.2;
             x.doubled = 0.2;
             x.late = 0.1;
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,8 +10,8 @@
 import io.kitepath.core.serve.JobSubmissionService.Answer;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -37,7 +37,7 @@
      * From the moment in which the store has it that a job is accepted or over, so also before any
      * user was told.
      */
-    private void storm(World w, Random random) {
+    private void storm(SimulatedCluster w, Random random) {
         w.store.written =
                 (by, t) ->
                         t.writes().stream()
@@ -56,14 +56,14 @@
                                         });
     }
 
-    private void around(World w, String id, Random random) {
+    private void around(SimulatedCluster w, String id, Random random) {
         for (String k : w.siblings) {
             for (int i = 0; i <= TIMES; i++) {
                 boolean repeats = i == TIMES;
                 w.after(
                         (repeats ? random.nextDouble() * TIMES : i + random.nextDouble()) * EVERY_S,
                         () -> {
-                            Node n = w.nodes.get(k);
+                            SimulatedNode n = w.nodes.get(k);
                             if (n.alive && repeats) {
                                 w.users.repeat(n, id);
                             } else if (n.alive) {
@@ -75,7 +75,7 @@
         }
     }
 
-    private static void kill(World w, Node n, double backAfterS) {
+    private static void kill(SimulatedCluster w, SimulatedNode n, double backAfterS) {
         if (n.alive) {
             n.kill();
             w.after(backAfterS, () -> w.node(n.name));
@@ -83,7 +83,7 @@
     }
 
     /** All that was accepted ends, and every node says so. */
-    private static void ends(World w, double seconds, String at) {
+    private static void ends(SimulatedCluster w, double seconds, String at) {
         w.store.written = (by, t) -> {};
         w.store.unheard = t -> false;
         w.latencyS = null;
@@ -111,7 +111,7 @@
         int cancelled = 0;
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            World w = settled(3, 4);
+            SimulatedCluster w = settled(3, 4);
             w.closeLooks = true;
             w.runsFor = id -> 1 + Math.floorMod(id.hashCode(), 4);
             w.latencyS = () -> 0.001 + random.nextDouble() * (random.nextInt(12) == 0 ? 0.6 : 0.01);
@@ -130,12 +130,12 @@
                         job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(2), 1));
                 w.users.repeat(w.nodes.get("k" + random.nextInt(3)), id);
                 if (random.nextInt(3) == 0) {
-                    Node n = w.nodes.get("k" + random.nextInt(3));
+                    SimulatedNode n = w.nodes.get("k" + random.nextInt(3));
                     w.after(
                             random.nextDouble() * 0.05,
                             () -> w.users.cancel(w.nodes.get(n.name), id));
                 }
-                Node n = w.nodes.get("k" + random.nextInt(3));
+                SimulatedNode n = w.nodes.get("k" + random.nextInt(3));
                 switch (random.nextInt(6)) {
                     case 0 ->
                             w.after(
@@ -175,13 +175,13 @@
         int told = 0;
         for (int holds = 0; holds < 2; holds++) {
             for (int ms = 0; ms <= 40; ms += 2) {
-                World w = settled(3, 2);
+                SimulatedCluster w = settled(3, 2);
                 w.closeLooks = true;
                 w.runsFor = id -> 2;
                 w.latencyS = () -> 0.005;
                 Random random = new Random(ms);
                 storm(w, random);
-                Node taker = holds == 1 ? w.leader() : other(w, w.leader());
+                SimulatedNode taker = holds == 1 ? w.leader() : other(w, w.leader());
                 w.specs.put("j-1", job("j-1", Shape.ARRAY, 1, 1));
                 w.users.repeat(taker, "j-1");
                 w.run(ms / 1000.0);
@@ -206,7 +206,7 @@
         int known = 0;
         for (int way = 0; way < 3; way++) {
             for (int back = 0; back < 3; back++) {
-                World w = settled(3, 3);
+                SimulatedCluster w = settled(3, 3);
                 w.runsFor = id -> 4;
                 w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
                 if (way == 1) {
@@ -225,7 +225,7 @@
                                 IntStream.range(0, 30).mapToObj(i -> "j-9" + i).toList(),
                                 IntStream.range(0, 2000).mapToObj(i -> "j-8" + i).toList());
                 for (int i = 0; i < 80; i++) {
-                    Node n = w.nodes.get("k" + i % 3);
+                    SimulatedNode n = w.nodes.get("k" + i % 3);
                     List<String> needs = wrong.get(i / 3 % wrong.size());
                     Answer[] got = new Answer[1];
                     if (n.alive) {
@@ -261,7 +261,7 @@
     // ---------------------------------------------------------------------
 
     /** Asks there, and leaves what it hears, and when, to the story. */
-    private static void ask(Node n, String id, Consumer<Answer> hears) {
+    private static void ask(SimulatedNode n, String id, Consumer<Answer> hears) {
         n.deliver(() -> n.controller.registry().status(id, hears));
     }
 
@@ -278,7 +278,7 @@
         int met = 0;
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            World w = settled(3, 2);
+            SimulatedCluster w = settled(3, 2);
             w.runsFor = id -> 60;
             w.submit(w.leader(), job("j-1", Shape.ARRAY, 2, 1));
             w.run(4);
@@ -337,9 +337,9 @@
         int met = 0;
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            World w = settled(3, 2);
+            SimulatedCluster w = settled(3, 2);
             w.latencyS = () -> 0.001 + random.nextDouble() * 0.06;
-            Node n = w.nodes.get("k" + seed % 3);
+            SimulatedNode n = w.nodes.get("k" + seed % 3);
             boolean[] accepted = new boolean[1];
             List<Answer> onTheWay = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,8 +8,8 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -20,7 +20,7 @@
 
 /** Duties that only one controller may do, while their holders end, stand still, or are cut off. */
 class DutiesTest {
-    private final World w = new World();
+    private final SimulatedCluster w = new SimulatedCluster();
 
     private void nodes(int n) {
         w.reportS = 2;
@@ -102,9 +102,9 @@
     @Test
     void aNodeThatIsStoppedOnPurposeHandsOverAtOnce() {
         nodes(3);
-        Node leader = w.leader();
-        Node cloud = w.nodes.get(holder("cloud"));
-        for (Node n : Set.of(leader, cloud)) {
+        SimulatedNode leader = w.leader();
+        SimulatedNode cloud = w.nodes.get(holder("cloud"));
+        for (SimulatedNode n : Set.of(leader, cloud)) {
             n.controller.stop();
             w.run(0.01);
             n.crash();
@@ -126,7 +126,7 @@
     @Test
     void oneThatStoodStillFindsOutBeforeItActs() {
         nodes(3);
-        Node first = w.nodes.get(holder("cloud"));
+        SimulatedNode first = w.nodes.get(holder("cloud"));
         first.frozenUntil = w.clock.now + 10;
         w.run(5);
         String second = holder("cloud");
@@ -146,7 +146,7 @@
     @Test
     void theStoresRefusalOfOneNodeTakesTheDutyFromIt() {
         nodes(3);
-        Node first = w.nodes.get(holder("cloud"));
+        SimulatedNode first = w.nodes.get(holder("cloud"));
         first.cutFromStore = true;
         until(6, () -> holder("cloud") != null && !holder("cloud").equals(first.name));
         w.run(1);
@@ -200,7 +200,7 @@
     @Test
     void oneThatTheCloudDoesNotAnswerGivesTheDutyAway() {
         nodes(3);
-        Node first = w.nodes.get(holder("cloud"));
+        SimulatedNode first = w.nodes.get(holder("cloud"));
         w.cloud.withheld = n -> n == first;
         w.submit(w.nodes.get("k0"), job("j-1", Shape.GANG, 3, 4));
         double took = until(10, () -> w.cloud.named == 3);
@@ -233,7 +233,7 @@
     @Test
     void inMinutesOfRandomEndsNoTwoAreEverEntitled() {
         for (int seed = 0; seed < 5; seed++) {
-            World x = new World();
+            SimulatedCluster x = new SimulatedCluster();
             x.reportS = 2;
             x.leaseS = 20;
             x.cloud.capacity = 100;
@@ -243,7 +243,7 @@
             long most = 0;
             for (int i = 0; i < 400; i++) {
                 x.run(random.nextDouble());
-                Node n = x.nodes.get("k" + random.nextInt(3));
+                SimulatedNode n = x.nodes.get("k" + random.nextInt(3));
                 switch (random.nextInt(12)) {
                     case 0 -> {
                         n.crash();
--- a/src/test/java/io/kitepath/core/DutySeedsTest.java
+++ b/src/test/java/io/kitepath/core/DutySeedsTest.java
@@ -1,13 +1,13 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -19,7 +19,7 @@
  */
 class DutySeedsTest {
     private final class Run {
-        final World w = new World();
+        final SimulatedCluster w = new SimulatedCluster();
         final Random random;
         int needed;
         int faults;
@@ -57,7 +57,7 @@
         }
 
         void fault() {
-            Node n = w.nodes.get("k" + random.nextInt(w.siblings.size()));
+            SimulatedNode n = w.nodes.get("k" + random.nextInt(w.siblings.size()));
             faults++;
             switch (random.nextInt(5)) {
                 case 0, 1 -> {
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -3,7 +3,7 @@
 import static io.kitepath.core.MeetingsTest.starts;
 import static io.kitepath.core.OneZoneTest.bound;
 import static io.kitepath.core.OneZoneTest.spread;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,8 +13,8 @@
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -32,8 +32,8 @@
     private int runs;
 
     /** Nodes without machines, and a cloud whose machines are up at once and listed late. */
-    private static World world() {
-        World w = new World();
+    private static SimulatedCluster world() {
+        SimulatedCluster w = new SimulatedCluster();
         w.reportS = 2;
         w.leaseS = 10;
         w.reportsChanges = true;
@@ -49,7 +49,7 @@
         return w;
     }
 
-    private static void handIn(World w) {
+    private static void handIn(SimulatedCluster w) {
         for (JobSpec s :
                 List.of(
                         bound(job("j-1", Shape.GANG, 4, 2)),
@@ -64,25 +64,25 @@
     }
 
     /** Rentals on record that are not known to be settled, while a machine of theirs is up. */
-    private static boolean upBeforeKnown(World w) {
+    private static boolean upBeforeKnown(SimulatedCluster w) {
         return !w.workers.isEmpty()
                 && w.store.keys.subMap(StoreKeys.RENT, StoreKeys.RENT + "~").values().stream()
                         .anyMatch(e -> !((Map<?, ?>) e.value()).containsKey("machines"));
     }
 
-    private static boolean launchedBeforeListed(World w) {
+    private static boolean launchedBeforeListed(SimulatedCluster w) {
         return w.workers.values().stream().anyMatch(x -> !x.tasks.isEmpty());
     }
 
     /** One that leads, or would, ends and is back a second later. */
-    private static void ends(World w, Node n) {
+    private static void ends(SimulatedCluster w, SimulatedNode n) {
         if (n.alive) {
             n.kill();
             w.after(1, () -> w.node(n.name));
         }
     }
 
-    private static Node holder(World w) {
+    private static SimulatedNode holder(SimulatedCluster w) {
         return w.nodes.values().stream()
                 .filter(n -> n.alive && n.controller.leadership.leading())
                 .findFirst()
@@ -90,7 +90,7 @@
     }
 
     /** All done, started {@code starts} times, on {@code most} machines, and none is left. */
-    private void rests(World w, int starts, int most, String at) {
+    private void rests(SimulatedCluster w, int starts, int most, String at) {
         w.run(30);
         w.cancel(w.leader(), "j-2");
         w.run(90);
@@ -114,7 +114,7 @@
      * measured by.
      */
     private int usual() {
-        World w = world();
+        SimulatedCluster w = world();
         handIn(w);
         w.run(10);
         assertEquals(TASKS, w.onMachines("j-1") + w.onMachines("j-2") + w.onMachines("j-3"));
@@ -138,7 +138,7 @@
      */
     private boolean writeLags(
             int n, Lag lag, double endsAfter, boolean cut, int usual, Map<String, Integer> met) {
-        World w = world();
+        SimulatedCluster w = world();
         int[] count = new int[1];
         Consumer<Transaction> meets =
                 t -> {
@@ -243,7 +243,7 @@
         int unsettled = 0;
         for (int who = 0; who < 3; who++) {
             for (double ends = 0.02; ends < 4; ends += 0.4) {
-                World w = world();
+                SimulatedCluster w = world();
                 w.cloud.swallow = 3;
                 w.store.withheld =
                         t ->
@@ -255,8 +255,8 @@
                                                                 && m.containsKey("machines"));
                 handIn(w);
                 w.run(ends);
-                Node leader = holder(w);
-                Node carrier =
+                SimulatedNode leader = holder(w);
+                SimulatedNode carrier =
                         w.nodes.values().stream()
                                 .filter(n -> n.controller.entitled("cloud"))
                                 .findFirst()
@@ -294,13 +294,13 @@
         int ended = 0;
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            World w = world();
+            SimulatedCluster w = world();
             Map<String, String> last = new TreeMap<>();
             int[] moved = new int[1];
             boolean[] calm = new boolean[1];
-            World.Reach plain = w.reach;
+            SimulatedCluster.Reach plain = w.reach;
             w.reach =
-                    new World.Reach() {
+                    new SimulatedCluster.Reach() {
                         @Override
                         public List<String> up() {
                             return plain.up();
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
-import static io.kitepath.standin.World.with;
+import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.standin.SimulatedCluster.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,23 +11,23 @@
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Failures at the size of a large fleet, and the effort that a holder spends there, counted. */
 class FleetStoriesTest {
-    private final World w = new World();
+    private final SimulatedCluster w = new SimulatedCluster();
 
     @AfterEach
     void neverTwice() {
         assertEquals(List.of(), w.broken);
     }
 
-    private Node fleet(int nodes, int machines, double cpus) {
+    private SimulatedNode fleet(int nodes, int machines, double cpus) {
         w.type = new MachineType("m", cpus, 0, 64, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
         for (int i = 0; i < nodes; i++) {
             w.node("k" + i);
@@ -47,7 +47,7 @@
         return n;
     }
 
-    private String[] arrays(Node n, int count, int tasks) {
+    private String[] arrays(SimulatedNode n, int count, int tasks) {
         String[] ids = new String[count];
         for (int i = 0; i < count; i++) {
             ids[i] = "j-" + (100 + i);
@@ -58,7 +58,7 @@
 
     @Test
     void aTakeoverOfNineHundredMachinesPlacesAsSoonAsTheirWorkersHaveReported() {
-        Node first = fleet(3, 900, 4);
+        SimulatedNode first = fleet(3, 900, 4);
         w.workers.values().forEach(x -> x.runsFor = 60);
         arrays(first, 10, 300);
         w.run(3);
@@ -74,7 +74,7 @@
                                                 && n.controller.keeper.loaded())) {
             w.run(0.1);
         }
-        Node second = w.leader();
+        SimulatedNode second = w.leader();
         // The lease of two seconds, and a moment to claim it and to read ten jobs and their parts.
         assertTrue(w.clock.now - crashed < 2.6, "read after " + (w.clock.now - crashed));
         int before = second.requests;
@@ -91,11 +91,11 @@
 
     @Test
     void machinesThatFallSilentTogetherAndComeBackRunNothingTwice() {
-        Node n = fleet(2, 200, 4);
+        SimulatedNode n = fleet(2, 200, 4);
         w.workers.values().forEach(x -> x.runsFor = 40);
         arrays(n, 4, 200);
         w.run(3);
-        List<Worker> cut = w.workers.values().stream().limit(70).toList();
+        List<SimulatedWorker> cut = w.workers.values().stream().limit(70).toList();
         cut.forEach(x -> x.cut = true);
         // Their leases end, but nobody can know that: their tasks count as running until they
         // report anew.
@@ -110,10 +110,10 @@
 
     @Test
     void aMachineThatStandsStillAndGoesOnWithinItsLeaseKeepsItsTasks() {
-        Node n = fleet(2, 3, 4);
+        SimulatedNode n = fleet(2, 3, 4);
         arrays(n, 1, 6);
         w.run(2);
-        Worker still =
+        SimulatedWorker still =
                 w.workers.values().stream()
                         .filter(x -> !x.tasks.isEmpty())
                         .findFirst()
@@ -128,10 +128,10 @@
 
     @Test
     void aCrashOfAllNodesDuringABurstLosesNoJobAndStartsNoTaskTwice() {
-        Node n = fleet(3, 100, 4);
+        SimulatedNode n = fleet(3, 100, 4);
         w.workers.values().forEach(x -> x.runsFor = 8);
         String[] ids = arrays(n, 12, 60);
-        w.nodes.values().forEach(Node::crash);
+        w.nodes.values().forEach(SimulatedNode::crash);
         w.run(3);
         for (String name : List.of("k0", "k1", "k2")) {
             w.node(name);
@@ -144,7 +144,7 @@
 
     @Test
     void tenThousandTasksThatWaitOnAFullFleetCostAHolderABoundedRound() {
-        Node n = fleet(1, 1000, 4);
+        SimulatedNode n = fleet(1, 1000, 4);
         w.workers.values().forEach(x -> x.runsFor = 1000);
         arrays(n, 10, 400);
         w.run(4);
@@ -165,7 +165,7 @@
 
     @Test
     void gapsThatAreKeptForALargeGangAreUsedByGangsThatWillBeOverBeforeItStarts() {
-        Node n = fleet(1, 20, 4);
+        SimulatedNode n = fleet(1, 20, 4);
         w.workers.values().forEach(x -> x.runsFor = 200);
         JobSpec s = job("j-100", Shape.ARRAY, 30, 1);
         w.submit(
@@ -227,7 +227,7 @@
     @Test
     void lesserWorkLeavesAnIdleMachineToTheGangThatIsAboutToCome() {
         w.teams.put("red", new ClusterSettings.Team("red", 16, 0, 0, 0));
-        Node n = fleet(1, 4, 4);
+        SimulatedNode n = fleet(1, 4, 4);
         w.workers.values().forEach(x -> x.runsFor = 1);
         for (int i = 0; i < 6; i++) {
             w.submit(n, with(job("j-1" + i, Shape.GANG, 1, 4), "red", Priority.HIGH, false));
@@ -247,7 +247,7 @@
     void workWithADeadlineStartsWhereItsImageIsAndNotWhereItHasToBeFetched() {
         // Guaranteed, so that idle ordinary machines are kept.
         w.teams.put("red", new ClusterSettings.Team("red", 100, 0, 0, 0));
-        Node n = fleet(1, 0, 4);
+        SimulatedNode n = fleet(1, 0, 4);
         for (int i = 0; i < 6; i++) {
             w.spotWorker("s-" + i, "a");
         }
@@ -260,7 +260,7 @@
         w.submit(n, bound);
         w.run(30);
         assertEquals("done", w.status(n, "j-1"));
-        JobSpec s = World.onSpot(job("j-2", Shape.ARRAY, 2, 1), 20);
+        JobSpec s = SimulatedCluster.onSpot(job("j-2", Shape.ARRAY, 2, 1), 20);
         w.submit(
                 n,
                 new JobSpec(
@@ -296,7 +296,7 @@
 
     @Test
     void afterHundredsOfJobsTheHolderRemembersOnlyWhatIsOpen() {
-        Node n = fleet(1, 10, 4);
+        SimulatedNode n = fleet(1, 10, 4);
         w.workers.values().forEach(x -> x.runsFor = 1);
         for (int i = 0; i < 400; i++) {
             // Users name the classes: any number of them.
--- a/src/test/java/io/kitepath/core/GiveAndTakeTest.java
+++ b/src/test/java/io/kitepath/core/GiveAndTakeTest.java
@@ -7,7 +7,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -23,21 +23,21 @@
         for (boolean oneZone : new boolean[] {true, false}) {
             for (boolean urgentFirst : new boolean[] {true, false}) {
                 for (int cpus = 1; cpus <= 4; cpus *= 2) {
-                    World w = Worlds.settled(3, 1);
+                    SimulatedCluster w = Worlds.settled(3, 1);
                     w.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
                     w.nodes.values().forEach(n -> n.crash());
                     w.siblings.forEach(w::node);
                     w.run(12);
                     w.runsFor = id -> 30;
                     JobSpec urgent =
-                            World.with(
-                                    World.job("j-1", Shape.ARRAY, 4 / cpus, cpus),
+                            SimulatedCluster.with(
+                                    SimulatedCluster.job("j-1", Shape.ARRAY, 4 / cpus, cpus),
                                     "red",
                                     Priority.HIGH,
                                     oneZone);
                     JobSpec guaranteed =
-                            World.with(
-                                    World.job("j-2", Shape.ARRAY, 2, 2),
+                            SimulatedCluster.with(
+                                    SimulatedCluster.job("j-2", Shape.ARRAY, 2, 2),
                                     "blue",
                                     Priority.NORMAL,
                                     false);
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
@@ -2,7 +2,7 @@
 
 import static io.kitepath.core.HeldReportsTest.leading;
 import static io.kitepath.core.HeldReportsTest.untilNextLeader;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,9 +11,9 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -34,7 +34,7 @@
      */
     private int seeded(long seed) {
         Random random = new Random(seed);
-        World w = settled(3, 5);
+        SimulatedCluster w = settled(3, 5);
         ReportCopies copies = new ReportCopies(w);
         w.cloud.capacity = 10;
         w.runsFor = id -> 5 + Math.floorMod(id.hashCode(), 9) * 4;
@@ -61,8 +61,8 @@
                         w.nodes.get("k" + random.nextInt(3)),
                         jobs.get(random.nextInt(jobs.size())));
             }
-            List<Worker> up = w.workers.values().stream().filter(x -> x.up).toList();
-            Worker x = up.get(random.nextInt(up.size()));
+            List<SimulatedWorker> up = w.workers.values().stream().filter(x -> x.up).toList();
+            SimulatedWorker x = up.get(random.nextInt(up.size()));
             double lasts = random.nextDouble() * 15;
             switch (random.nextInt(8)) {
                 case 0 -> x.hangsUntil = w.clock.now + lasts;
@@ -80,7 +80,7 @@
                 }
                 default -> {}
             }
-            Node n = leading(w);
+            SimulatedNode n = leading(w);
             if (n != null && random.nextInt(3) == 0) {
                 n.kill();
                 w.after(0.3, () -> w.node(n.name));
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsTest.java
@@ -3,7 +3,7 @@
 import static io.kitepath.core.MeetingsTest.other;
 import static io.kitepath.core.MeetingsTest.sessions;
 import static io.kitepath.core.MeetingsTest.starts;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,8 +11,8 @@
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -28,7 +28,7 @@
  * worker that sent the report neither its answer nor its lease.
  */
 class HeldReportsTest {
-    private World w;
+    private SimulatedCluster w;
     private ReportCopies copies;
 
     private void world(int nodes, int machines) {
@@ -45,20 +45,20 @@
         return new ArrayList<>(last.values());
     }
 
-    static Node leading(World w) {
+    static SimulatedNode leading(SimulatedCluster w) {
         return w.nodes.values().stream()
                 .filter(n -> n.alive && n.controller.leadsWith() > 0)
                 .findFirst()
                 .orElse(null);
     }
 
-    private void ends(Node n, double backAfter) {
+    private void ends(SimulatedNode n, double backAfter) {
         n.kill();
         w.after(backAfter, () -> w.node(n.name));
     }
 
     /** Until another token is the store's. */
-    static void untilNextLeader(World w) {
+    static void untilNextLeader(SimulatedCluster w) {
         long before = w.store.token();
         for (int i = 0; i < 400 && w.store.token() == before; i++) {
             w.run(0.05);
@@ -241,13 +241,13 @@
                     for (int i = 0; i < 3; i++) {
                         w.run(changes);
                         w.mistaken.clear();
-                        Node ends = leading(w);
+                        SimulatedNode ends = leading(w);
                         if (ends != null) {
                             ends(ends, 0.3);
                             untilNextLeader(w);
                         }
                         w.run(arrives);
-                        Node next = leading(w);
+                        SimulatedNode next = leading(w);
                         if (all || next == null) {
                             copies.bringAll(List.copyOf(copies.kept));
                         } else {
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -20,11 +20,11 @@
  * Machines rented and given back while their holder ends, stands still, or is heard minutes late.
  */
 class IntentsTest {
-    private World w = world();
+    private SimulatedCluster w = world();
 
     /** Three nodes, no machine, and room for many at a cloud whose lists lag. */
-    private static World world() {
-        World w = new World();
+    private static SimulatedCluster world() {
+        SimulatedCluster w = new SimulatedCluster();
         w.reportS = 2;
         w.leaseS = 20;
         w.cloud.capacity = 100;
@@ -44,12 +44,12 @@
     }
 
     /** A gang that needs six machines. */
-    private static void want(World w) {
-        Node any = w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
+    private static void want(SimulatedCluster w) {
+        SimulatedNode any = w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
         w.submit(any, job("j-1", Shape.GANG, 6, 4));
     }
 
-    private static void until(World w, double most, BooleanSupplier so) {
+    private static void until(SimulatedCluster w, double most, BooleanSupplier so) {
         double from = w.clock.now;
         while (!so.getAsBoolean() && w.clock.now - from < most) {
             w.run(0.02);
@@ -58,16 +58,16 @@
     }
 
     /** The node that has the duty to ask the cloud. */
-    private static Node carrier(World w) {
+    private static SimulatedNode carrier(SimulatedCluster w) {
         return w.nodes.get(
                 (String) ((Map<?, ?>) w.store.keys.get(StoreKeys.DUTY + "cloud").value()).get("node"));
     }
 
-    private static long records(World w, String prefix) {
+    private static long records(SimulatedCluster w, String prefix) {
         return w.store.keys.keySet().stream().filter(k -> k.startsWith(prefix)).count();
     }
 
-    private static void restart(World w, Node n, double afterS) {
+    private static void restart(SimulatedCluster w, SimulatedNode n, double afterS) {
         n.crash();
         w.after(afterS, () -> w.node(n.name));
     }
@@ -95,7 +95,7 @@
 
     @Test
     void aRentalThatRunsMinutesLateIsUnderTheNameThatTheNextHolderSettled() {
-        Node first = carrier(w);
+        SimulatedNode first = carrier(w);
         w.cloud.withheld = n -> n == first;
         want(w);
         until(w, 5, () -> !w.cloud.heldBack.isEmpty());
@@ -110,7 +110,7 @@
 
     @Test
     void anOutcomeThatIsWrittenMinutesLateBringsNothingBack() {
-        Node first = carrier(w);
+        SimulatedNode first = carrier(w);
         // What came of the first one's requests is on its way to the store when it ends.
         w.store.withheld =
                 t ->
@@ -139,7 +139,7 @@
             w.worker("i-00000" + i, "a");
         }
         w.run(4);
-        Node first = carrier(w);
+        SimulatedNode first = carrier(w);
         w.cloud.withheld = n -> n == first;
         until(w, 200, () -> !w.cloud.heldBack.isEmpty());
         // Put down and sent, but not arrived: its holder ends, and work comes that would fit on
@@ -181,8 +181,8 @@
     @Test
     void whoeverStandsStillBetweenDecisionAndRequestDoesNoHarm() {
         for (boolean holder : new boolean[] {true, false}) {
-            World x = world();
-            Node first = holder ? x.leader() : carrier(x);
+            SimulatedCluster x = world();
+            SimulatedNode first = holder ? x.leader() : carrier(x);
             want(x);
             until(x, 5, () -> records(x, StoreKeys.RENT) > 0);
             first.frozenUntil = x.clock.now + 25;
@@ -198,7 +198,7 @@
         w.store.outage(30);
         w.run(3);
         int asked = w.cloud.rentals.size();
-        Node n = w.nodes.get("k0");
+        SimulatedNode n = w.nodes.get("k0");
         n.controller.registry().submit(job("j-1", Shape.GANG, 6, 4), a -> {});
         w.run(25);
         assertEquals(asked, w.cloud.rentals.size());
@@ -227,14 +227,14 @@
         for (double backS : new double[] {0, 0.3, 6}) {
             for (int who = 0; who < 3; who++) {
                 for (int n = 1; n <= 40; n++) {
-                    World x = world();
+                    SimulatedCluster x = world();
                     int[] ends = new int[1];
-                    List<Node> ending =
+                    List<SimulatedNode> ending =
                             new ArrayList<>(
                                     who == 0
                                             ? List.of(x.leader())
                                             : who == 1 ? List.of(carrier(x)) : x.nodes.values());
-                    for (Node node : ending) {
+                    for (SimulatedNode node : ending) {
                         node.endAfter(
                                 n,
                                 () -> {
@@ -269,7 +269,7 @@
         w.run(4);
         w.cloud.withheld = n -> true;
         until(w, 200, () -> !w.cloud.heldBack.isEmpty());
-        w.nodes.values().forEach(Node::crash);
+        w.nodes.values().forEach(SimulatedNode::crash);
         w.run(1);
         w.cloud.out = true;
         w.siblings.forEach(w::node);
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,8 +10,8 @@
 import io.kitepath.core.serve.JobSubmissionService.Answer;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -33,7 +33,7 @@
     /** Within which users expect that a job is called done. */
     private static final double DONE_WITHIN_S = 3;
 
-    private World w;
+    private SimulatedCluster w;
     private JobSpec spec;
     private List<String> needs;
     private double lastEnd;
@@ -47,7 +47,7 @@
         }
     }
 
-    private void hear(Node n, double asked, Answer a) {
+    private void hear(SimulatedNode n, double asked, Answer a) {
         assertTrue(
                 a.verdict() == Verdict.KNOWN || a.verdict() == Verdict.LATER,
                 n.name + " says " + a);
@@ -59,18 +59,18 @@
         }
     }
 
-    private void ask(Node n) {
+    private void ask(SimulatedNode n) {
         double asked = w.clock.now;
         n.controller.registry().status(ID, a -> hear(n, asked, a));
     }
 
-    private void repeat(Node n) {
+    private void repeat(SimulatedNode n) {
         double asked = w.clock.now;
         n.controller.registry().submit(spec, needs, a -> hear(n, asked, a));
     }
 
     /** Whoever is told anything makes everybody ask and submit again, at all nodes, at once. */
-    private void cancel(Node n) {
+    private void cancel(SimulatedNode n) {
         double asked = w.clock.now;
         w.rules.asksToCancel(ID);
         n.controller
@@ -129,7 +129,7 @@
             assertTrue(!t.last() || t.status.equals(last), at + ": " + t + ", in the end " + last);
             assertTrue(t.asked < first || t.last(), at + ": " + t + " after " + first);
         }
-        for (Node n : w.nodes.values()) {
+        for (SimulatedNode n : w.nodes.values()) {
             assertEquals(last, w.status(n, ID), at + " " + n.name);
             assertEquals(last, w.cancel(n, ID).state().status(), at + " " + n.name);
         }
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -11,8 +11,8 @@
 import io.kitepath.core.model.JsonSize;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -25,7 +25,7 @@
  */
 class LimitsTest {
     private static final ClusterSettings.StoreLimits LOW = new ClusterSettings.StoreLimits(1000, 1000, 2, 13);
-    private final World w = new World();
+    private final SimulatedCluster w = new SimulatedCluster();
 
     private void workers(int n) {
         for (int i = 0; i < n; i++) {
@@ -48,12 +48,12 @@
     @Test
     void whatIsAnnouncedIsKeptToFromTheStart() {
         w.next = LOW;
-        Node n = w.node("k0");
+        SimulatedNode n = w.node("k0");
         workers(150);
         w.run(5);
-        w.submit(n, World.job("j-1", Shape.ARRAY, 500, 1));
-        w.submit(n, World.job("j-2", Shape.GANG, 100, 1));
-        w.submit(n, World.job("j-3", Shape.SERVICE, 120, 0.1));
+        w.submit(n, SimulatedCluster.job("j-1", Shape.ARRAY, 500, 1));
+        w.submit(n, SimulatedCluster.job("j-2", Shape.GANG, 100, 1));
+        w.submit(n, SimulatedCluster.job("j-3", Shape.SERVICE, 120, 0.1));
         w.run(10);
         largestIs(2048);
         fall();
@@ -71,14 +71,14 @@
     @Test
     void aJobWhoseRecordsAreFullKeepsNobodyWaiting() {
         w.next = LOW;
-        Node n = w.node("k0");
+        SimulatedNode n = w.node("k0");
         workers(250);
         w.run(5);
         w.runsFor = id -> id.equals("j-1") ? 1000 : 20;
-        w.submit(n, World.job("j-1", Shape.ARRAY, 256, 3));
+        w.submit(n, SimulatedCluster.job("j-1", Shape.ARRAY, 256, 3));
         w.run(10);
         assertTrue(w.onMachines("j-1") < 200, "records take " + w.onMachines("j-1"));
-        w.submit(n, World.job("j-2", Shape.ARRAY, 30, 3));
+        w.submit(n, SimulatedCluster.job("j-2", Shape.ARRAY, 30, 3));
         w.run(5);
         assertEquals(30, w.onMachines("j-2"));
     }
@@ -86,19 +86,19 @@
     /** Written by a holder that knew nothing of lower limits, as production does. */
     @Test
     void whatWasWrittenBeforeIsGoneOnWith() {
-        Node old = w.node("k0");
+        SimulatedNode old = w.node("k0");
         workers(400);
         w.run(5);
         java.util.Random random = new java.util.Random(2);
         w.runsFor = id -> id.equals("j-3") ? 10_000 : 20 + random.nextInt(40);
-        w.submit(old, World.job("j-1", Shape.ARRAY, 250, 3));
-        w.submit(old, World.job("j-3", Shape.SERVICE, 250, 0.5));
+        w.submit(old, SimulatedCluster.job("j-1", Shape.ARRAY, 250, 3));
+        w.submit(old, SimulatedCluster.job("j-3", Shape.SERVICE, 250, 0.5));
         w.run(5);
         assertTrue(JsonSize.size(w.store.keys.get(StoreKeys.part("j-1", 0)).value()) > 2048);
         old.crash();
         w.next = LOW;
         fall();
-        Node n = w.node("k1");
+        SimulatedNode n = w.node("k1");
         w.run(20);
         // The machines of a fifth of the service's replicas go.
         List<String> some = new ArrayList<>(w.workers.keySet());
@@ -109,7 +109,7 @@
                             w.workers.get(id).die();
                             w.cloud.machines.remove(id);
                         });
-        w.submit(n, World.job("j-4", Shape.GANG, 150, 1));
+        w.submit(n, SimulatedCluster.job("j-4", Shape.GANG, 150, 1));
         w.run(200);
         assertEquals(250, w.onMachines("j-3"));
         assertEquals("done", w.status(n, "j-1"));
@@ -118,7 +118,7 @@
         assertEquals(0, w.store.overLimits);
         // Takes over what it laid out anew.
         n.crash();
-        Node next = w.node("k2");
+        SimulatedNode next = w.node("k2");
         w.run(20);
         assertEquals(250, w.onMachines("j-3"));
         w.cancel(next, "j-3");
@@ -139,22 +139,22 @@
     void aGangTooWideForItsPartsStartsWholeWhereverTheHolderEnds() {
         for (int at = 0; at < 8; at++) {
             LimitsTest t = new LimitsTest();
-            Node old = t.w.node("k0");
+            SimulatedNode old = t.w.node("k0");
             t.w.run(3);
-            t.w.submit(old, World.job("j-1", Shape.GANG, 200, 2));
+            t.w.submit(old, SimulatedCluster.job("j-1", Shape.GANG, 200, 2));
             assertNull(
                     ((Map<?, ?>) t.w.store.keys.get(StoreKeys.OPEN + "j-1").value()).get("partTasks"));
             old.crash();
             t.w.next = LOW;
             t.fall();
-            Node n = t.w.node("k1");
+            SimulatedNode n = t.w.node("k1");
             t.w.run(4);
             t.workers(150);
             if (at > 0) {
                 n.endAfter(at, () -> {});
             }
             t.w.run(1);
-            Node other = t.w.node("k2");
+            SimulatedNode other = t.w.node("k2");
             t.w.run(60);
             assertEquals("done", t.w.status(other, "j-1"), "ended at " + at);
             assertEquals(List.of(), t.w.broken);
@@ -164,7 +164,7 @@
     @Test
     void limitsLowerThanAnnouncedSlowDownButDontStop() {
         w.next = LOW;
-        Node n = w.node("k0");
+        SimulatedNode n = w.node("k0");
         workers(60);
         w.runsFor = id -> 20;
         w.run(5);
@@ -172,7 +172,7 @@
         w.store.valueBytes = 900;
         for (int i = 0; i < 30; i++) {
             // All at once, so that there is much to write in one transaction.
-            n.controller.registry().submit(World.job("j-" + (100 + i), Shape.ARRAY, 4, 1), a -> {});
+            n.controller.registry().submit(SimulatedCluster.job("j-" + (100 + i), Shape.ARRAY, 4, 1), a -> {});
         }
         w.run(60);
         for (int i = 0; i < 30; i++) {
@@ -186,9 +186,9 @@
     @Test
     void whatCantBeKeptIsRefusedAtOnceAndNotForEver() {
         w.next = LOW;
-        Node n = w.node("k0");
+        SimulatedNode n = w.node("k0");
         w.run(3);
-        JobSpec s = World.job("j-1", Shape.ARRAY, 1, 1);
+        JobSpec s = SimulatedCluster.job("j-1", Shape.ARRAY, 1, 1);
         List<String> types = new ArrayList<>(List.of("m4"));
         for (int i = 0; i < 300; i++) {
             types.add("type-" + i);
@@ -222,14 +222,14 @@
 
     @Test
     void aJobAcceptedWhenRecordsCouldBeLargerEndsAllTheSame() {
-        Node old = w.node("k0");
+        SimulatedNode old = w.node("k0");
         w.run(3);
         List<String> types = new ArrayList<>(List.of("m4"));
         for (int i = 0; i < 250; i++) {
             types.add("type-" + i);
         }
         for (String id : List.of("j-1", "j-2")) {
-            JobSpec s = World.job(id, Shape.ARRAY, 1, 1);
+            JobSpec s = SimulatedCluster.job(id, Shape.ARRAY, 1, 1);
             w.submit(
                     old,
                     new JobSpec(
@@ -257,7 +257,7 @@
         w.next = LOW;
         fall();
         old.crash();
-        Node n = w.node("k1");
+        SimulatedNode n = w.node("k1");
         w.run(10);
         assertEquals("cancelled", w.cancel(n, "j-2").state().status());
         workers(1);
@@ -271,17 +271,17 @@
      */
     @Test
     void settingsThatChangeDontChangeWhatAPartsKeyMeans() {
-        Node old = w.node("k0");
+        SimulatedNode old = w.node("k0");
         workers(100);
         w.run(5);
-        w.submit(old, World.job("j-1", Shape.ARRAY, 300, 1));
+        w.submit(old, SimulatedCluster.job("j-1", Shape.ARRAY, 300, 1));
         w.run(5);
         assertEquals(300, w.onMachines("j-1"));
         w.run(25); // Some of it is done by now.
         old.crash();
         w.valueKb = 2;
         fall();
-        Node n = w.node("k1");
+        SimulatedNode n = w.node("k1");
         w.run(1);
         // What ran on them has to run once more, and nothing that has not run may count as done.
         w.workers.values().stream()
@@ -301,7 +301,7 @@
     /** What earlier versions would take for something else they can't read at all. */
     @Test
     void earlierVersionsCantReadWhatWouldMislead() {
-        JobSpec s = World.job("j-1", Shape.ARRAY, 300, 1);
+        JobSpec s = SimulatedCluster.job("j-1", Shape.ARRAY, 300, 1);
         assertEquals(
                 s.toRecord().get("shape"),
                 new JobRecord(s, 5, List.of(), 0, 0).toMap().get("shape"));
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -3,7 +3,7 @@
 import static io.kitepath.core.LostAnswersTest.ends;
 import static io.kitepath.core.LostAnswersTest.handIn;
 import static io.kitepath.core.MeetingsTest.sessions;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,8 +11,8 @@
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -37,7 +37,7 @@
         for (String key : List.of(StoreKeys.LEADER, StoreKeys.DUTY + "cloud", StoreKeys.DUTY + "cleanup")) {
             for (int times = 1; times <= 4; times++) {
                 for (double refused : new double[] {0, 0.7, 1.6, 3}) {
-                    World w = settled(3, 4);
+                    SimulatedCluster w = settled(3, 4);
                     w.closeLooks = true;
                     w.cloud.capacity = 4;
                     w.runsFor = id -> 25;
@@ -57,7 +57,7 @@
                                     return false;
                                 }
                                 left[0]--;
-                                Node n =
+                                SimulatedNode n =
                                         w.nodes.get(
                                                 (String)
                                                         ((Map<?, ?>) claim.get().value())
@@ -67,10 +67,10 @@
                                 return true;
                             };
                     long before = w.store.token();
-                    Node old = w.leader();
+                    SimulatedNode old = w.leader();
                     w.nodes.values().stream()
                             .filter(n -> n.controller.duties().stream().anyMatch(d -> d.mine()))
-                            .forEach(Node::kill);
+                            .forEach(SimulatedNode::kill);
                     old.kill();
                     w.after(
                             0.4,
@@ -103,7 +103,7 @@
                                 at);
                     }
                     for (String id : List.of("j-1", "j-2", "j-3")) {
-                        for (Node n : w.nodes.values()) {
+                        for (SimulatedNode n : w.nodes.values()) {
                             assertEquals(
                                     id.equals("j-2") ? "cancelled" : "done",
                                     w.status(n, id),
@@ -128,13 +128,13 @@
         int runs = 0;
         for (double at = 0.2; at < 5; at += 0.25) {
             for (int how = 0; how < 6; how++) {
-                World w = settled(3, 4);
+                SimulatedCluster w = settled(3, 4);
                 w.closeLooks = true;
                 w.runsFor = id -> 90;
                 handIn(w, 0, job("j-1", how % 2 == 0 ? Shape.ARRAY : Shape.GANG, 4, 2));
                 w.run(at);
-                Node holder = w.leader();
-                Node by = how < 2 ? holder : MeetingsTest.other(w, holder);
+                SimulatedNode holder = w.leader();
+                SimulatedNode by = how < 2 ? holder : MeetingsTest.other(w, holder);
                 int[] lost = {0};
                 w.store.unheard =
                         t ->
@@ -150,7 +150,7 @@
                     by.kill();
                     w.after(3, () -> w.node(by.name));
                 }
-                for (Node n : w.nodes.values()) {
+                for (SimulatedNode n : w.nodes.values()) {
                     w.users.ask(n, "j-1");
                 }
                 w.run(1.5);
@@ -180,7 +180,7 @@
         int done = 0;
         int cancelled = 0;
         for (int i = 0; i < 40; i++) {
-            World w = settled(3, 4);
+            SimulatedCluster w = settled(3, 4);
             w.closeLooks = true;
             w.cancelsAtEnd = t -> true;
             double longer = i * 0.05;
@@ -229,7 +229,7 @@
     void answersOfComparisonsAreLost() {
         for (double lasts : new double[] {1, 4, 9, 20, 45}) {
             for (int how = 0; how < 4; how++) {
-                World w = settled(3, 4);
+                SimulatedCluster w = settled(3, 4);
                 Random random = new Random(how);
                 w.runsFor = id -> 70;
                 handIn(w, 0, job("j-1", Shape.ARRAY, 4, 1));
@@ -243,7 +243,7 @@
                                 t.writes().isEmpty()
                                         && (!some || random.nextInt(3) > 0)
                                         && ++lost[0] > 0;
-                Node holder = w.leader();
+                SimulatedNode holder = w.leader();
                 if (how >= 2) {
                     w.nodes.values().stream()
                             .filter(n -> n != holder)
@@ -290,8 +290,8 @@
     void aJobThatIsLaidOutAnewUnheardStartsWholeAndOnce() {
         for (int times = 1; times <= 3; times++) {
             for (double ends : new double[] {0, 0.1, 0.5, 2}) {
-                World w = new World();
-                Node old = w.node("k0");
+                SimulatedCluster w = new SimulatedCluster();
+                SimulatedNode old = w.node("k0");
                 w.run(3);
                 w.submit(old, job("j-1", Shape.GANG, 200, 2));
                 old.crash();
@@ -321,7 +321,7 @@
                                                                             && x.value() != null);
                             return anew && lost[0]++ < most;
                         };
-                Node n = w.node("k1");
+                SimulatedNode n = w.node("k1");
                 w.run(4);
                 for (int i = 0; i < 150; i++) {
                     w.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.core.MeetingsTest.sessions;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,8 +13,8 @@
 import io.kitepath.core.serve.JobSubmissionService;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -55,7 +55,7 @@
         int lost;
         Set<String> keys;
 
-        Loss(World w, int which, int times, Runnable then) {
+        Loss(SimulatedCluster w, int which, int times, Runnable then) {
             this.which = which;
             this.times = times;
             this.then = then;
@@ -84,15 +84,15 @@
         }
     }
 
-    private static Node leading(World w) {
+    private static SimulatedNode leading(SimulatedCluster w) {
         return w.nodes.values().stream()
                 .filter(n -> n.alive && n.controller.leadership.leading())
                 .findFirst()
                 .orElse(null);
     }
 
-    static void ends(World w, double backS) {
-        Node n = leading(w);
+    static void ends(SimulatedCluster w, double backS) {
+        SimulatedNode n = leading(w);
         if (n != null) {
             n.kill();
             w.after(backS, () -> w.node(n.name));
@@ -100,7 +100,7 @@
     }
 
     /** A user repeats it, at one node after the other, until it is answered. */
-    static void handIn(World w, int at, JobSpec s, String... needs) {
+    static void handIn(SimulatedCluster w, int at, JobSpec s, String... needs) {
         for (int i = 0; i < 12; i++) {
             JobSubmissionService.Answer a = w.submit(w.nodes.get("k" + (at + i) % 3), s, needs);
             if (a != null && (a.verdict() == Verdict.CREATED || a.verdict() == Verdict.KNOWN)) {
@@ -114,7 +114,7 @@
      * A day in which everybody who writes anything writes something; leaders change in it if {@code
      * handOver} says so.
      */
-    private static void day(World w, boolean handOver) {
+    private static void day(SimulatedCluster w, boolean handOver) {
         w.closeLooks = true;
         w.cloud.capacity = 4;
         w.runsFor = id -> 5;
@@ -126,7 +126,7 @@
         w.users.cancel(w.nodes.get("k1"), "j-2");
         w.run(1);
         if (handOver) {
-            Node n = leading(w);
+            SimulatedNode n = leading(w);
             if (n != null) {
                 n.controller.stop();
                 w.after(0.2, n::kill);
@@ -147,10 +147,10 @@
      * All nodes say the same of each job, the records are struck off, and the holder knows all that
      * is rented.
      */
-    private static void oneEnd(World w, String at) {
+    private static void oneEnd(SimulatedCluster w, String at) {
         w.rules.calm();
         w.run(100);
-        Node leader = w.leader();
+        SimulatedNode leader = w.leader();
         for (String id : JOBS) {
             Set<String> said =
                     w.nodes.values().stream().map(n -> w.status(n, id)).collect(Collectors.toSet());
@@ -177,7 +177,7 @@
     }
 
     private static int writesOfADay(boolean handOver) {
-        World w = settled(3, 4);
+        SimulatedCluster w = settled(3, 4);
         Loss none = new Loss(w, -1, 0, () -> {});
         day(w, handOver);
         oneEnd(w, "no loss");
@@ -196,7 +196,7 @@
         int all = writesOfADay(false);
         for (int times = 1; times <= 2; times++) {
             for (int i = 0; i < all; i++) {
-                World w = settled(3, 4);
+                SimulatedCluster w = settled(3, 4);
                 long token = w.store.token();
                 Loss loss = new Loss(w, i, times, () -> {});
                 day(w, false);
@@ -237,7 +237,7 @@
         int all = writesOfADay(true);
         for (int i = 0; i < all; i++) {
             for (double after : every(ENDS, i)) {
-                World w = settled(3, 4);
+                SimulatedCluster w = settled(3, 4);
                 Loss loss = new Loss(w, i, 1 + i % 2, () -> w.after(after, () -> ends(w, 0.3)));
                 day(w, true);
                 String at = "write " + i + " unheard, leader ends after " + after;
@@ -270,7 +270,7 @@
         int outages = 0;
         for (int i = 0; i < all; i++) {
             for (double after : every(OUT, i)) {
-                World w = settled(3, 4);
+                SimulatedCluster w = settled(3, 4);
                 Loss loss = new Loss(w, i, 1, () -> w.after(after, () -> w.store.outage(13)));
                 day(w, false);
                 String at = "write " + i + " unheard, store out after " + after;
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -3,7 +3,7 @@
 import static io.kitepath.core.MeetingsTest.other;
 import static io.kitepath.core.MeetingsTest.sessions;
 import static io.kitepath.core.MeetingsTest.starts;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,9 +13,9 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -37,7 +37,7 @@
     @Test
     void aStopThatIsHeldUpEndsNothingThatWasPlacedSince() {
         for (double held = 0.6; held < 16; held += 0.8) {
-            World w = settled(2, 2);
+            SimulatedCluster w = settled(2, 2);
             double late = held;
             w.directHeldS = () -> late;
             w.runsFor = id -> id.equals("j-1") ? 25 : 5;
@@ -46,7 +46,7 @@
             assertEquals(2, w.onMachines("j-1"));
             w.submit(
                     w.leader(),
-                    World.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
+                    SimulatedCluster.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
             // The same tasks on the same machines, when those of more right have ended.
             w.run(60);
             assertEquals("done", w.status(w.leader(), "j-2"), "held " + held);
@@ -64,15 +64,15 @@
     void aMachineThatStoodStillDoesNothingThatIsNotWantedAnyMore() {
         for (double stands = 1; stands < 26; stands += 1) {
             for (double at = 0.1; at < 2.5; at += 0.4) {
-                World w = settled(2, 3);
+                SimulatedCluster w = settled(2, 3);
                 w.runsFor = id -> 8;
-                Worker x = w.workers.get("i-000000");
+                SimulatedWorker x = w.workers.get("i-000000");
                 w.submit(w.leader(), job("j-1", Shape.ARRAY, 3, 4));
                 w.run(at);
                 x.hangsUntil = w.clock.now + stands;
                 w.submit(
                         w.leader(),
-                        World.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
+                        SimulatedCluster.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
                 w.run(3);
                 w.cancel(w.leader(), "j-2");
                 w.run(70);
@@ -90,7 +90,7 @@
     void aSlowStoreDelaysButForgetsAndDoublesNothing() {
         for (double slow : new double[] {0.05, 0.2, 0.4, 0.8, 1.2}) {
             for (boolean takeover : new boolean[] {false, true}) {
-                World w = settled(3, 4);
+                SimulatedCluster w = settled(3, 4);
                 w.runsFor = id -> 20;
                 w.submit(w.leader(), job("j-1", Shape.ARRAY, 8, 1));
                 w.run(4);
@@ -104,7 +104,7 @@
                             job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 2, 1));
                     handedIn.add(id);
                     if (i == 4 && takeover) {
-                        Node n =
+                        SimulatedNode n =
                                 w.nodes.values().stream()
                                         .filter(x -> x.controller.leadership.leading())
                                         .findFirst()
@@ -148,13 +148,13 @@
      */
     @Test
     void anOutageIsNotAnsweredWithAHerd() {
-        World w = settled(3, 6);
+        SimulatedCluster w = settled(3, 6);
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 8, 1));
         w.run(4);
         w.store.outage(40);
         int before = w.nodes.values().stream().mapToInt(n -> n.requests).sum();
         for (int i = 0; i < 40; i++) {
-            for (Node n : w.nodes.values()) {
+            for (SimulatedNode n : w.nodes.values()) {
                 n.controller.registry().status("j-1", a -> {});
                 n.controller.registry().cancel("j-1", a -> {});
             }
@@ -169,9 +169,9 @@
     // -----------------
 
     /** A day in which everybody who writes anything writes something. */
-    private static World day(
+    private static SimulatedCluster day(
             int which, double late, int[] count, Map<String, Integer> kinds, double crashAt) {
-        World w = settled(3, 4);
+        SimulatedCluster w = settled(3, 4);
         w.cloud.capacity = 8;
         w.runsFor = id -> 7;
         w.store.late =
@@ -188,7 +188,7 @@
                     }
                     return 0;
                 };
-        Node a = w.leader();
+        SimulatedNode a = w.leader();
         w.submit(a, job("j-1", Shape.ARRAY, 6, 2));
         w.submit(other(w, a), job("j-2", Shape.GANG, 4, 2));
         w.submit(a, job("j-3", Shape.ARRAY, 2, 1), "j-1");
@@ -198,7 +198,7 @@
         w.run(3);
         if (crashAt > 0) {
             w.run(crashAt);
-            Node n =
+            SimulatedNode n =
                     w.nodes.values().stream()
                             .filter(x -> x.controller.leadership.leading())
                             .findFirst()
@@ -235,7 +235,7 @@
             int[] all = new int[1];
             day(-1, late, all, kinds, 1);
             for (int i = 0; i < all[0]; i += 1) {
-                World w = day(i, late, new int[1], kinds, 1);
+                SimulatedCluster w = day(i, late, new int[1], kinds, 1);
                 String at = "write " + i + " late by " + late;
                 assertEquals(List.of(), w.broken, at);
                 for (String id : w.accepted.keySet()) {
@@ -262,7 +262,7 @@
     void manyWritesArriveLate() {
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            World w = settled(3, 5);
+            SimulatedCluster w = settled(3, 5);
             w.cloud.capacity = 10;
             w.runsFor = id -> 6 + Math.floorMod(id.hashCode(), 9);
             w.store.late = t -> random.nextInt(3) == 0 ? 2 + random.nextDouble() * 10 : 0;
@@ -281,7 +281,7 @@
                             "j-" + (10 + random.nextInt(i + 1)));
                 }
                 if (random.nextInt(5) == 0) {
-                    Node n = w.nodes.get("k" + random.nextInt(3));
+                    SimulatedNode n = w.nodes.get("k" + random.nextInt(3));
                     n.kill();
                     w.after(0.3, () -> w.node(n.name));
                 }
@@ -304,15 +304,15 @@
     // -----------
 
     private static void unreachable(double leaderEnds, double lasts, boolean deaf, Shape shape) {
-        World w = settled(3, 8);
+        SimulatedCluster w = settled(3, 8);
         w.cloud.capacity =
                 8; // For the machines that are given back, as what hears nobody is after three
         // leases.
         w.runsFor = id -> 90;
         JobSpec s = job("j-1", shape, 4, 4);
-        w.submit(w.leader(), shape == Shape.GANG ? World.with(s, "red", Priority.NORMAL, true) : s);
+        w.submit(w.leader(), shape == Shape.GANG ? SimulatedCluster.with(s, "red", Priority.NORMAL, true) : s);
         w.run(6);
-        List<Worker> lost =
+        List<SimulatedWorker> lost =
                 w.workers.values().stream().filter(x -> !x.tasks.isEmpty()).limit(2).toList();
         w.run(2);
         lost.forEach(
@@ -321,7 +321,7 @@
                     x.cut = !deaf;
                 });
         w.run(leaderEnds);
-        Node n = w.leader();
+        SimulatedNode n = w.leader();
         n.kill();
         w.after(0.3, () -> w.node(n.name));
         w.run(lasts);
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,9 +11,9 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -23,29 +23,29 @@
  * MeetingsLateTest} has the others.
  */
 class MeetingsTest {
-    private World w;
+    private SimulatedCluster w;
 
-    static Node other(World w, Node than) {
+    static SimulatedNode other(SimulatedCluster w, SimulatedNode than) {
         return w.nodes.values().stream()
                 .filter(n -> n != than && n.alive)
                 .findFirst()
                 .orElseThrow();
     }
 
-    static long sessions(World w) {
+    static long sessions(SimulatedCluster w) {
         return w.workers.values().stream().mapToLong(x -> x.session).sum();
     }
 
-    static int starts(World w) {
+    static int starts(SimulatedCluster w) {
         return w.workers.values().stream().mapToInt(x -> x.started).sum();
     }
 
-    private static void alone(World w, Node n) {
+    private static void alone(SimulatedCluster w, SimulatedNode n) {
         n.cutFromStore = true;
         w.siblings.forEach(n.cutFrom::add);
     }
 
-    private static void joined(Node n) {
+    private static void joined(SimulatedNode n) {
         n.cutFromStore = false;
         n.cutFrom.clear();
     }
@@ -62,7 +62,7 @@
             for (double cancelAfter : new double[] {0.1, 0.4, 0.9}) {
                 w = settled(3, 4);
                 w.runsFor = id -> 300;
-                Node holder = w.leader();
+                SimulatedNode holder = w.leader();
                 w.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
                 w.submit(holder, job("j-2", Shape.ARRAY, 6, 1));
                 w.run(5);
@@ -96,7 +96,7 @@
         for (double period = 1.5; period <= 12; period += 0.75) {
             w = settled(3, 4);
             w.runsFor = id -> 500;
-            Node first = w.leader();
+            SimulatedNode first = w.leader();
             w.submit(first, job("j-1", Shape.ARRAY, 8, 1));
             w.run(5);
             int before = starts(w);
@@ -122,7 +122,7 @@
     @Test
     void aNodeThatHearsNobodySendsWorkersOnAtOnce() {
         w = settled(3, 2);
-        Node cut = other(w, w.leader());
+        SimulatedNode cut = other(w, w.leader());
         alone(w, cut);
         w.run(8);
         HeartbeatResponse[] got = new HeartbeatResponse[1];
@@ -151,14 +151,14 @@
         // change.
         double[] run = {4, 11, 26};
         int i = 0;
-        for (Worker x : w.workers.values()) {
+        for (SimulatedWorker x : w.workers.values()) {
             x.runsFor = run[i++];
         }
-        Node holder = w.leader();
+        SimulatedNode holder = w.leader();
         w.submit(holder, job("j-1", shape, 3, 3));
         w.run(crashAt);
         int ended = w.completed.getOrDefault("j-1", java.util.Set.of()).size();
-        Node ends = w.leader();
+        SimulatedNode ends = w.leader();
         ends.crash();
         if (backAfter >= 0) {
             w.after(backAfter, () -> w.node(ends.name));
@@ -166,7 +166,7 @@
         w.run(2.5);
         w.ask(other(w, ends), "j-1");
         if (second) {
-            Node next =
+            SimulatedNode next =
                     w.nodes.values().stream()
                             .filter(n -> n.alive && n.controller.leadership.leading())
                             .findFirst()
@@ -218,7 +218,7 @@
             int before = starts(w);
             long token = w.store.token();
             for (int i = 0; i < 6; i++) {
-                Node n =
+                SimulatedNode n =
                         w.nodes.values().stream()
                                 .filter(x -> x.alive && x.controller.leadership.leading())
                                 .findFirst()
@@ -247,7 +247,7 @@
                 w.run(5);
                 int before = starts(w);
                 for (int round = 0; round < 3; round++) {
-                    w.nodes.values().forEach(Node::kill);
+                    w.nodes.values().forEach(SimulatedNode::kill);
                     String k = "k" + which;
                     w.run(back);
                     w.node(k);
@@ -289,12 +289,12 @@
                 List<Heartbeat> old = new ArrayList<>();
                 w.workers.values().forEach(x -> old.add(x.message()));
                 // One loses its session, one its machine; the work goes on elsewhere.
-                Worker lost = w.workers.get("i-000000");
+                SimulatedWorker lost = w.workers.get("i-000000");
                 lost.cut = true;
                 w.run(13);
                 lost.cut = false;
                 w.run(1);
-                Node holder = w.leader();
+                SimulatedNode holder = w.leader();
                 holder.crash();
                 w.after(0.3, () -> w.node(holder.name));
                 w.after(
@@ -324,11 +324,11 @@
         w.runsFor = id -> 30;
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 2));
         w.run(5);
-        Worker gone = w.workers.get("i-000000");
+        SimulatedWorker gone = w.workers.get("i-000000");
         Heartbeat old = gone.message();
         gone.die();
         w.cloud.machines.remove(gone.id);
-        Worker next = w.worker("i-000007", "a");
+        SimulatedWorker next = w.worker("i-000007", "a");
         next.address = gone.id;
         w.run(30);
         assertNotNull(old);
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -3,7 +3,7 @@
 import static io.kitepath.core.MeetingsTest.other;
 import static io.kitepath.core.MeetingsTest.sessions;
 import static io.kitepath.core.MeetingsTest.starts;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,9 +15,9 @@
 import io.kitepath.core.model.Heartbeat.EndCause;
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -34,7 +34,7 @@
  */
 class MuteAndAwayTest {
     /** All that was accepted is over, as its users wanted. */
-    private static void over(World w, double within, String at) {
+    private static void over(SimulatedCluster w, double within, String at) {
         w.rules.calm();
         w.run(within);
         assertEquals(List.of(), w.broken, at);
@@ -53,14 +53,14 @@
     }
 
     private static JobSpec of(JobSpec s, Priority p) {
-        return World.with(s, "red", p, false);
+        return SimulatedCluster.with(s, "red", p, false);
     }
 
     // ---- workers that can't open connections
     // ------------------------------------------------------
 
     /** Tasks of that job that were stopped by a command on machines that can't report it. */
-    private static long stoppedOnMute(World w, String job) {
+    private static long stoppedOnMute(SimulatedCluster w, String job) {
         return w.workers.values().stream()
                 .filter(x -> x.mute)
                 .flatMap(x -> x.tasks.values().stream())
@@ -78,7 +78,7 @@
      */
     private static long mute(
             int mute, double lasts, double cancelledAfter, double leaderEndsAfter) {
-        World w = settled(3, 8);
+        SimulatedCluster w = settled(3, 8);
         w.cloud.capacity = 8;
         w.runsFor = id -> id.equals("j-3") ? 8 : 25;
         String at =
@@ -98,7 +98,7 @@
             w.after(
                     leaderEndsAfter,
                     () -> {
-                        Node n =
+                        SimulatedNode n =
                                 w.nodes.values().stream()
                                         .filter(x -> x.controller.leadership.leading())
                                         .findFirst()
@@ -160,10 +160,10 @@
     @Test
     void workThatWasPlacedOnMuteMachinesBeginsElsewhere() {
         for (double after = 0.1; after < 4; after += 0.3) {
-            World w = settled(3, 4);
+            SimulatedCluster w = settled(3, 4);
             w.cloud.capacity = 4;
             w.runsFor = id -> 5;
-            List<Worker> lost = w.workers.values().stream().limit(2).toList();
+            List<SimulatedWorker> lost = w.workers.values().stream().limit(2).toList();
             lost.forEach(x -> x.mute = true);
             w.run(after);
             w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 4));
@@ -190,7 +190,7 @@
 
     private static void away(
             double from, double lasts, int[] order, double apart, boolean cancelled) {
-        World w = settled(3, 6);
+        SimulatedCluster w = settled(3, 6);
         w.cloud.capacity = 6;
         w.runsFor = id -> 7 + Math.floorMod(id.hashCode(), 3) * 9;
         String at =
@@ -205,7 +205,7 @@
                         + (cancelled ? ", cancelled" : "");
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 6, 1));
         w.submit(
-                w.leader(), World.with(job("j-2", Shape.GANG, 4, 2), "red", Priority.NORMAL, true));
+                w.leader(), SimulatedCluster.with(job("j-2", Shape.GANG, 4, 2), "red", Priority.NORMAL, true));
         w.submit(w.leader(), job("j-3", Shape.ARRAY, 3, 1));
         w.run(4);
         long before = sessions(w);
@@ -216,7 +216,7 @@
             w.run(0.005 * from);
         }
         w.submit(w.nodes.get("k2"), job("j-4", Shape.GANG, 2, 1));
-        new ArrayList<>(w.nodes.values()).forEach(Node::kill);
+        new ArrayList<>(w.nodes.values()).forEach(SimulatedNode::kill);
         for (int i = 0; i < 3; i++) {
             String name = "k" + order[i];
             w.after(lasts + i * apart, () -> w.node(name));
@@ -262,7 +262,7 @@
         int evictions = 0;
         for (long seed = 0; seed < 10; seed++) {
             Random random = new Random(seed);
-            World w = slow(random);
+            SimulatedCluster w = slow(random);
             Map<String, Double> handedIn = new HashMap<>();
             Map<String, Double> begun = new HashMap<>();
             w.clock.starts = t -> begun.putIfAbsent(t.job, w.clock.now);
@@ -273,7 +273,7 @@
                 Priority p = Priority.values()[random.nextInt(Priority.values().length)];
                 boolean gang = random.nextInt(4) == 0;
                 JobSpec s =
-                        World.with(
+                        SimulatedCluster.with(
                                 job(
                                         id,
                                         gang ? Shape.GANG : Shape.ARRAY,
@@ -320,8 +320,8 @@
         assertTrue(evictions > 10, "gave way: " + evictions);
     }
 
-    private static World slow(Random random) {
-        World w = new World();
+    private static SimulatedCluster slow(Random random) {
+        SimulatedCluster w = new SimulatedCluster();
         w.teams.put("red", new ClusterSettings.Team("red", 8, 20, 0, 0));
         w.teams.put("blue", new ClusterSettings.Team("blue", 8, 16, 0, 0));
         w.reportS = 2;
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/OneZoneTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -9,10 +9,10 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Task;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedTask;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
@@ -25,8 +25,8 @@
  */
 class OneZoneTest {
     /** So many nodes and machines, the first ones in zone a, the others in zone b. */
-    private static World zones(int nodes, int inA, int inB) {
-        World w = settled(nodes, 0);
+    private static SimulatedCluster zones(int nodes, int inA, int inB) {
+        SimulatedCluster w = settled(nodes, 0);
         for (int i = 0; i < inA + inB; i++) {
             w.worker(String.format("i-%06d", i), i < inA ? "a" : "b");
         }
@@ -70,7 +70,7 @@
         return placed(s, null, false, true);
     }
 
-    private static Set<String> zonesOf(World w, String job) {
+    private static Set<String> zonesOf(SimulatedCluster w, String job) {
         return w.workers.values().stream()
                 .flatMap(x -> x.tasks.values().stream())
                 .filter(t -> t.on() && t.job.equals(job))
@@ -78,7 +78,7 @@
                 .collect(Collectors.toSet());
     }
 
-    private static void rests(World w, String at) {
+    private static void rests(SimulatedCluster w, String at) {
         for (String id : w.accepted.keySet()) {
             assertEquals("done", w.status(w.leader(), id), at + ": " + id);
         }
@@ -94,15 +94,15 @@
      * other zone come free.
      */
     private static void knownByNameAlone(JobSpec s, double leaderEnds, double freeAt) {
-        World w = zones(2, 1, 2);
+        SimulatedCluster w = zones(2, 1, 2);
         w.runsFor = id -> id.equals("j-0") ? 2 + freeAt : 40;
         w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, 2, 4)));
         w.run(1);
         w.submit(w.leader(), s);
         w.run(1);
-        Worker x = w.workers.get("i-000000");
+        SimulatedWorker x = w.workers.get("i-000000");
         assertEquals(1, x.tasks.size());
-        Task held = x.tasks.values().iterator().next();
+        SimulatedTask held = x.tasks.values().iterator().next();
         w.cloud.out = true;
         x.cut = true;
         w.run(leaderEnds);
@@ -139,7 +139,7 @@
         int lost = 0;
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            World w = zones(3, 4, 4);
+            SimulatedCluster w = zones(3, 4, 4);
             w.cloud.capacity = 8;
             w.runsFor = id -> 5 + random.nextInt(25);
             for (int i = 0; i < 4; i++) {
@@ -153,12 +153,12 @@
                 w.run(random.nextDouble() * 2);
             }
             for (int i = 0; i < 3; i++) {
-                List<Worker> busy =
+                List<SimulatedWorker> busy =
                         w.workers.values().stream()
                                 .filter(x -> x.up && !x.cut && !x.tasks.isEmpty())
                                 .toList();
                 if (!busy.isEmpty()) {
-                    Worker x = busy.get(random.nextInt(busy.size()));
+                    SimulatedWorker x = busy.get(random.nextInt(busy.size()));
                     lost++;
                     if (random.nextInt(3) == 0) {
                         x.die();
@@ -170,7 +170,7 @@
                 }
                 w.run(random.nextDouble() * 5);
                 if (random.nextInt(2) == 0) {
-                    Node n =
+                    SimulatedNode n =
                             w.nodes.values().stream()
                                     .filter(y -> y.controller.leadership.leading())
                                     .findFirst()
@@ -194,7 +194,7 @@
      * for it.
      */
     private static void leavesTheOtherZoneAlone(JobSpec s, int inA, int inB, boolean takeover) {
-        World w = zones(2, inA, inB);
+        SimulatedCluster w = zones(2, inA, inB);
         w.runsFor = id -> id.equals("j-9") ? 20 : id.equals("j-0") ? 6 : 1e6;
         w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, inB, 4)));
         w.run(1);
@@ -227,13 +227,13 @@
     @Test
     void nothingGivesWayInAZoneThatTheJobCantUse() {
         for (boolean takeover : new boolean[] {false, true}) {
-            World w = zones(2, 1, 4);
+            SimulatedCluster w = zones(2, 1, 4);
             w.runsFor = id -> 1e6;
             w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, 4, 4)));
             w.run(3);
             w.submit(
                     w.leader(),
-                    World.with(job("j-1", Shape.ARRAY, 5, 4), "red", Priority.HIGH, true));
+                    SimulatedCluster.with(job("j-1", Shape.ARRAY, 5, 4), "red", Priority.HIGH, true));
             w.run(3);
             assertEquals(1, w.onMachines("j-1"));
             if (takeover) {
@@ -256,7 +256,7 @@
     @Test
     void machinesAreRentedInTheZoneWhereTheJobIs() {
         for (boolean takeover : new boolean[] {false, true}) {
-            World w = zones(2, 2, 4);
+            SimulatedCluster w = zones(2, 2, 4);
             w.cloud.capacity = 3;
             w.cloud.bootS = n -> 1.5;
             w.runsFor = id -> 1e6;
@@ -285,7 +285,7 @@
     void machinesAreRentedInAsManyZonesAsASpreadJobNeeds() {
         for (Shape shape : new Shape[] {Shape.GANG, Shape.SERVICE}) {
             for (int tasks = 2; tasks <= 5; tasks++) {
-                World w = zones(2, 0, 0);
+                SimulatedCluster w = zones(2, 0, 0);
                 w.cloud.capacity = 4;
                 w.cloud.bootS = n -> 1.5;
                 w.runsFor = id -> 400;
@@ -305,7 +305,7 @@
     void aJobWhoseZoneIsGoneGoesOnInAnotherOnceThatIsProven() {
         for (Shape shape : Shape.values()) {
             for (double ends = -1; ends < 12; ends += 1.5) {
-                World w = zones(2, 3, 3);
+                SimulatedCluster w = zones(2, 3, 3);
                 w.cloud.capacity = 3;
                 w.runsFor = id -> id.equals("j-1") && shape == Shape.SERVICE ? 1e6 : 30;
                 w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, 3, 4)));
@@ -315,11 +315,11 @@
                 String at = shape + " leader ends after " + ends;
                 assertEquals(6, w.onMachines("j-1"), at);
                 assertEquals(Set.of("a"), zonesOf(w, "j-1"), at);
-                w.workers.values().stream().filter(x -> x.zone.equals("a")).forEach(Worker::die);
+                w.workers.values().stream().filter(x -> x.zone.equals("a")).forEach(SimulatedWorker::die);
                 w.after(30, () -> w.cloud.machines.values().removeIf(m -> m.zone().equals("a")));
                 if (ends >= 0) {
                     w.run(ends);
-                    Node n = w.leader();
+                    SimulatedNode n = w.leader();
                     n.kill();
                     w.after(0.3, () -> w.node(n.name));
                 }
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -13,8 +13,8 @@
 import io.kitepath.core.place.Scheduler;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -23,11 +23,11 @@
  * Jobs that wait for others: when they start, what is cancelled with what, and what users are told.
  */
 class PipelinesTest {
-    private final World w = new World();
+    private final SimulatedCluster w = new SimulatedCluster();
 
-    private Node cluster(int workers) {
+    private SimulatedNode cluster(int workers) {
         w.reportsChanges = true;
-        Node n = w.node("k0");
+        SimulatedNode n = w.node("k0");
         for (int i = 0; i < workers; i++) {
             w.worker("i-" + i, i % 2 == 0 ? "a" : "b");
         }
@@ -36,11 +36,11 @@
     }
 
     private static JobSpec array(String id, int tasks) {
-        return World.job(id, Shape.ARRAY, tasks, 1);
+        return SimulatedCluster.job(id, Shape.ARRAY, tasks, 1);
     }
 
     /** As a user who comes again until there is an answer. */
-    private String told(Node n, String id) {
+    private String told(SimulatedNode n, String id) {
         for (int i = 0; i < 100; i++) {
             var a = w.ask(n, id);
             if (a != null && a.verdict() == Verdict.KNOWN) {
@@ -57,7 +57,7 @@
 
     @Test
     void startsOnceAllThatItNeedsIsDoneAndNotBefore() {
-        Node n = cluster(3);
+        SimulatedNode n = cluster(3);
         w.submit(n, array("j-1", 3));
         w.submit(n, array("j-2", 5), "j-1");
         w.submit(n, array("j-3", 1), "j-1", "j-2", "j-1");
@@ -75,7 +75,7 @@
 
     @Test
     void theNextStageStartsWithinOneReportOfTheLastEnd() {
-        Node n = cluster(2);
+        SimulatedNode n = cluster(2);
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 1), "j-1");
         double[] ended = new double[1];
@@ -91,7 +91,7 @@
 
     @Test
     void whatNamesAJobThatNeverWasIsRefusedAndWhatNamesOneThatIsOverIsNot() {
-        Node n = cluster(1);
+        SimulatedNode n = cluster(1);
         assertEquals(Verdict.REFUSED, w.submit(n, array("j-2", 1), "j-1").verdict());
         assertEquals(Verdict.REFUSED, w.submit(n, array("j-2", 1), "j-2").verdict());
         assertEquals("NOT_FOUND", w.status(n, "j-2"));
@@ -101,7 +101,7 @@
         assertEquals(Verdict.CREATED, w.submit(n, array("j-2", 1), "j-1").verdict());
         w.run(2);
         assertEquals("running", w.status(n, "j-2"));
-        w.submit(n, World.job("j-9", Shape.SERVICE, 1, 1));
+        w.submit(n, SimulatedCluster.job("j-9", Shape.SERVICE, 1, 1));
         assertEquals(Verdict.REFUSED, w.submit(n, array("j-3", 1), "j-9").verdict());
         w.store.outage(3);
         w.run(0.1);
@@ -111,20 +111,20 @@
 
     @Test
     void aKnownJobIsAnsweredWhateverItsRepetitionNames() {
-        Node n = cluster(1);
+        SimulatedNode n = cluster(1);
         w.submit(n, array("j-1", 1));
         assertEquals(Verdict.KNOWN, w.submit(n, array("j-1", 1), "j-77").verdict());
     }
 
     @Test
     void manyNeedsAreLookedForTogether() {
-        Node n = cluster(1);
+        SimulatedNode n = cluster(1);
         String[] ids = new String[120];
         for (int i = 0; i < ids.length; i++) {
             ids[i] = "j-" + (100 + i);
             w.submit(n, array(ids[i], 1));
         }
-        Node other = w.node("k1");
+        SimulatedNode other = w.node("k1");
         w.run(1);
         int before = other.requests;
         assertEquals(Verdict.CREATED, w.submit(other, array("j-1", 1), ids).verdict());
@@ -135,7 +135,7 @@
 
     @Test
     void allBehindACancelledJobIsCancelledWithIt() {
-        Node n = cluster(2);
+        SimulatedNode n = cluster(2);
         w.submit(n, array("j-1", 2));
         w.submit(n, array("j-2", 2), "j-1");
         w.submit(n, array("j-3", 2), "j-2");
@@ -156,7 +156,7 @@
 
     @Test
     void aCancellationThatIsAnsweredWithDoneLetsTheNextGoOn() {
-        Node n = cluster(1);
+        SimulatedNode n = cluster(1);
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 1), "j-1");
         double from = w.clock.now;
@@ -175,12 +175,12 @@
 
     @Test
     void theNextHolderFindsOutHowNeededJobsEnded() {
-        Node n = cluster(2);
-        Node other = w.node("k1");
+        SimulatedNode n = cluster(2);
+        SimulatedNode other = w.node("k1");
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 1));
         w.run(30);
-        w.submit(n, World.with(array("j-20", 40), "red", JobSpec.Priority.HIGH, false));
+        w.submit(n, SimulatedCluster.with(array("j-20", 40), "red", JobSpec.Priority.HIGH, false));
         w.submit(n, array("j-3", 1), "j-1", "j-20");
         w.submit(n, array("j-4", 1), "j-2");
         w.run(5);
@@ -199,8 +199,8 @@
     void aCascadeIsFinishedWhereverItsHolderEnds() {
         for (int at = 1; at <= 12; at++) {
             PipelinesTest t = new PipelinesTest();
-            Node n = t.cluster(1);
-            Node other = t.w.node("k1");
+            SimulatedNode n = t.cluster(1);
+            SimulatedNode other = t.w.node("k1");
             t.w.submit(n, array("j-1", 1));
             for (int i = 2; i < 40; i++) {
                 t.w.submit(n, array("j-" + i, 1), "j-" + (i - 1));
@@ -219,8 +219,8 @@
     void nobodyIsToldThatAJobIsPendingLongAfterOneBeforeItWasCancelled() {
         w.writeRps = 6; // So that the cascade takes its time.
         w.runsFor = id -> 1000;
-        Node n = cluster(1);
-        Node other = w.node("k1");
+        SimulatedNode n = cluster(1);
+        SimulatedNode other = w.node("k1");
         w.submit(n, array("j-1", 1));
         for (int i = 2; i < 200; i++) {
             w.submit(n, array("j-" + i, 1), i % 2 == 0 ? "j-1" : "j-" + (i - 1));
@@ -248,7 +248,7 @@
             t.w.next = new ClusterSettings.StoreLimits(150, 35, 2, 13);
             t.w.store.txnOps = 13;
             t.w.runsFor = id -> 10_000;
-            Node n = t.cluster(1);
+            SimulatedNode n = t.cluster(1);
             t.w.submit(n, array("j-1", 1));
             for (int i = 2; i <= 1001; i++) {
                 int id = i;
@@ -285,7 +285,7 @@
         long began = System.nanoTime();
         for (int i = 0; i < 10_000; i++) {
             JobSpec s =
-                    World.with(
+                    SimulatedCluster.with(
                             array("j-" + i, 10),
                             "red",
                             i % 100 == 99 ? JobSpec.Priority.HIGH : JobSpec.Priority.LOW,
@@ -324,8 +324,8 @@
      */
     @Test
     void aNodeThatCantAskTheHolderSaysNothingOldOfAJobThatWaits() {
-        Node n = cluster(1);
-        Node other = w.node("k1");
+        SimulatedNode n = cluster(1);
+        SimulatedNode other = w.node("k1");
         w.submit(n, array("j-1", 1));
         w.submit(other, array("j-2", 1), "j-1");
         w.run(2);
@@ -351,7 +351,7 @@
     @Test
     void jobsThatWaitHoldNothingOfALimitOrGuaranteeAndAreNoDemand() {
         w.teams.put("red", new ClusterSettings.Team("red", 4, 4, 0, 0));
-        Node n = cluster(3);
+        SimulatedNode n = cluster(3);
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 400), "j-1");
         w.submit(n, array("j-3", 4));
@@ -368,7 +368,7 @@
     @Test
     void jobsThatWaitAreNobodysEarlierUnfinishedJobs() {
         w.teams.put("red", new ClusterSettings.Team("red", 4, 0, 0, 0));
-        Node n = cluster(3);
+        SimulatedNode n = cluster(3);
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 3), "j-1");
         w.submit(n, array("j-3", 3));
@@ -384,8 +384,8 @@
      */
     @Test
     void aJobThatHasBegunGoesOnUnderTheNextHolder() {
-        Node n = cluster(1);
-        Node other = w.node("k1");
+        SimulatedNode n = cluster(1);
+        SimulatedNode other = w.node("k1");
         w.submit(n, array("j-1", 1));
         w.submit(n, array("j-2", 10), "j-1");
         w.run(30);
@@ -398,8 +398,8 @@
 
     @Test
     void whatAnUrgentJobNeedsIsAsUrgent() {
-        Node n = cluster(0);
-        JobSpec last = World.with(array("j-3", 1), "red", JobSpec.Priority.HIGH, false);
+        SimulatedNode n = cluster(0);
+        JobSpec last = SimulatedCluster.with(array("j-3", 1), "red", JobSpec.Priority.HIGH, false);
         last =
                 new JobSpec(
                         last.id(),
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/QuestionRateTest.java
@@ -1,13 +1,13 @@
 package io.kitepath.core;
 
 import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -25,7 +25,7 @@
     @Test
     void questionsBeyondTheRateDoNotKeepOthersFromTheirAnswers() {
         for (double rps : new double[] {60, 120}) {
-            World w = new World();
+            SimulatedCluster w = new SimulatedCluster();
             w.rps = rps;
             w.reportS = 2;
             w.siblings.addAll(List.of("k0", "k1", "k2"));
@@ -35,8 +35,8 @@
             }
             w.run(12);
             w.runsFor = id -> 500;
-            Node holder = w.leader();
-            Node apart = other(w, holder);
+            SimulatedNode holder = w.leader();
+            SimulatedNode apart = other(w, holder);
             w.siblings.forEach(apart.cutFrom::add);
             List<String> jobs = IntStream.range(10, 30).mapToObj(i -> "j-" + i).toList();
             jobs.forEach(id -> w.submit(holder, job(id, Shape.ARRAY, 1, 0.5)));
--- a/src/test/java/io/kitepath/core/QuickEndsTest.java
+++ b/src/test/java/io/kitepath/core/QuickEndsTest.java
@@ -1,13 +1,13 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.List;
 import java.util.Map;
@@ -18,8 +18,8 @@
  * silent.
  */
 class QuickEndsTest {
-    private static World settled(int nodes, int machines) {
-        World w = new World();
+    private static SimulatedCluster settled(int nodes, int machines) {
+        SimulatedCluster w = new SimulatedCluster();
         w.reportS = 4;
         w.leaseS = 30;
         for (int i = 0; i < nodes; i++) {
@@ -33,12 +33,12 @@
         return w;
     }
 
-    private static boolean someoneHolds(World w) {
+    private static boolean someoneHolds(SimulatedCluster w) {
         return w.nodes.values().stream().anyMatch(n -> n.alive && n.controller.holds());
     }
 
     /** Seconds until a node that is up holds the jobs. */
-    private static double untilHeld(World w, double most) {
+    private static double untilHeld(SimulatedCluster w, double most) {
         double from = w.clock.now;
         while (!someoneHolds(w) && w.clock.now - from < most) {
             w.run(0.01);
@@ -49,8 +49,8 @@
     @Test
     void aLeaderThatIsBackAtOnceDoesNotWaitForItsOwnLease() {
         for (int nodes = 1; nodes <= 3; nodes += 2) {
-            World w = settled(nodes, 2);
-            Node first = w.leader();
+            SimulatedCluster w = settled(nodes, 2);
+            SimulatedNode first = w.leader();
             w.submit(first, job("j-1", Shape.ARRAY, 4, 1));
             first.crash();
             w.run(0.1);
@@ -64,8 +64,8 @@
 
     @Test
     void theRecordOfAnEarlierVersionIsWaitedFor() {
-        World w = settled(1, 1);
-        Node first = w.leader();
+        SimulatedCluster w = settled(1, 1);
+        SimulatedNode first = w.leader();
         first.crash();
         // Written as before processes said when they began, and on which lease they lead.
         long lease = w.store.lease.get(StoreKeys.LEADER);
@@ -80,10 +80,10 @@
 
     @Test
     void twoProcessesUnderOneNameDoNotEndEachOthersLeasesInTurns() {
-        World w = settled(2, 2);
-        Node first = w.leader();
+        SimulatedCluster w = settled(2, 2);
+        SimulatedNode first = w.leader();
         // Nobody ended it: a second one is started under its name.
-        Node second = new Node(w, first.name);
+        SimulatedNode second = new SimulatedNode(w, first.name);
         w.nodes.put(
                 first.name,
                 second); // Whoever asks for the name gets the later one; the other goes on.
@@ -100,11 +100,11 @@
 
     @Test
     void aProcessThatStoodStillWhileAnotherTookItsNameStandsBack() {
-        World w = settled(1, 2);
-        Node first = w.leader();
+        SimulatedCluster w = settled(1, 2);
+        SimulatedNode first = w.leader();
         first.frozenUntil = w.clock.now + 20;
         w.run(1);
-        Node second = new Node(w, first.name);
+        SimulatedNode second = new SimulatedNode(w, first.name);
         w.nodes.put(first.name, second);
         w.nodes.put("old", first);
         second.controller.start();
@@ -117,7 +117,7 @@
     }
 
     /** A node that ends again and again, after so many seconds of life, from now on. */
-    private static void loop(World w, String name, double lifeS, double downS, double until) {
+    private static void loop(SimulatedCluster w, String name, double lifeS, double downS, double until) {
         if (w.clock.now >= until) {
             return;
         }
@@ -137,12 +137,12 @@
     @Test
     void aNodeThatEndsAgainAndAgainCostsTheOthersLittle() {
         for (double lifeS : new double[] {0.2, 1, 5}) {
-            World w = settled(3, 4);
+            SimulatedCluster w = settled(3, 4);
             String bad = w.leader().name;
             loop(w, bad, lifeS, 0.3, w.clock.now + 120);
             int accepted = 0;
             for (int i = 0; i < 20; i++) {
-                Node ok =
+                SimulatedNode ok =
                         w.nodes.values().stream()
                                 .filter(n -> !n.name.equals(bad))
                                 .findFirst()
@@ -162,12 +162,12 @@
 
     @Test
     void allNodesThatEndTogetherEveryTwoSecondsLoseAndDoubleNothing() {
-        World w = settled(3, 4);
+        SimulatedCluster w = settled(3, 4);
         w.workers.values().forEach(x -> x.runsFor = 25);
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 12, 1));
         w.run(2);
         for (int i = 0; i < 15; i++) {
-            w.nodes.values().forEach(Node::crash);
+            w.nodes.values().forEach(SimulatedNode::crash);
             w.run(0.3);
             List.of("k0", "k1", "k2").forEach(w::node);
             w.run(1.7);
@@ -188,14 +188,14 @@
         int points = 0;
         for (double backS : new double[] {0, 0.1, 0.5}) {
             for (int n = 1; n < 60; n++) {
-                World w = settled(2, 3);
+                SimulatedCluster w = settled(2, 3);
                 w.submit(w.leader(), job("j-1", Shape.ARRAY, 10, 1));
                 w.submit(w.leader(), job("j-2", Shape.GANG, 2, 1));
                 boolean[] hit = new boolean[1];
-                w.nodes.values().forEach(Node::crash);
+                w.nodes.values().forEach(SimulatedNode::crash);
                 w.run(0.1);
                 for (String name : List.of("k0", "k1")) {
-                    Node fresh = w.node(name);
+                    SimulatedNode fresh = w.node(name);
                     fresh.endAfter(
                             n,
                             () -> {
@@ -232,13 +232,13 @@
      */
     @Test
     void aNodeThatIsStoppedWhileItsClaimIsUnderWayDoesNotBeginToLead() {
-        World w = Worlds.settled(3, 2);
-        Node first = w.leader();
-        Node[] stopped = new Node[1];
+        SimulatedCluster w = Worlds.settled(3, 2);
+        SimulatedNode first = w.leader();
+        SimulatedNode[] stopped = new SimulatedNode[1];
         w.store.written =
                 (by, t) -> {
                     if (stopped[0] == null
-                            && by instanceof Node n
+                            && by instanceof SimulatedNode n
                             && t.writes().stream()
                                     .anyMatch(
                                             x ->
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -3,8 +3,8 @@
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -12,9 +12,9 @@
 import java.util.function.Predicate;
 
 /** Sees all reports on their way, keeps copies of some, and holds up answers. */
-final class ReportCopies implements World.Reach {
-    final World w;
-    final World.Reach usual;
+final class ReportCopies implements SimulatedCluster.Reach {
+    final SimulatedCluster w;
+    final SimulatedCluster.Reach usual;
     final List<Heartbeat> kept = new ArrayList<>();
     Predicate<Heartbeat> keeps = r -> false;
 
@@ -38,7 +38,7 @@
     /** Reports of workers with tasks that were answered neither with a token nor with a node. */
     int sentOn;
 
-    ReportCopies(World w) {
+    ReportCopies(SimulatedCluster w) {
         this.w = w;
         this.usual = w.reach;
         w.reach = this;
@@ -73,7 +73,7 @@
     }
 
     /** Nobody hears what is answered to a copy. */
-    void bring(Heartbeat r, Node n) {
+    void bring(Heartbeat r, SimulatedNode n) {
         n.deliver(
                 () -> {
                     brought++;
--- a/src/test/java/io/kitepath/core/SettledWritesTest.java
+++ b/src/test/java/io/kitepath/core/SettledWritesTest.java
@@ -1,13 +1,13 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -22,10 +22,10 @@
     private int read;
 
     /** The nth write of parts or ends gets no answer; {@code tries}: of it. */
-    private World day(int nth, int tries, boolean cancel) {
-        World w = Worlds.settled(3, 4);
+    private SimulatedCluster day(int nth, int tries, boolean cancel) {
+        SimulatedCluster w = Worlds.settled(3, 4);
         w.runsFor = id -> 6;
-        Node holder = w.leader();
+        SimulatedNode holder = w.leader();
         int[] seen = new int[1];
         int[] unheard = new int[1];
         w.store.unheard =
--- a/src/test/java/io/kitepath/core/SharesTest.java
+++ b/src/test/java/io/kitepath/core/SharesTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.CellMessage.QuotaGrant;
 import io.kitepath.core.model.CellMessage.QuotaGrantAccepted;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.Cellular;
-import io.kitepath.standin.Node;
+import io.kitepath.standin.MultiCellSimulation;
+import io.kitepath.standin.SimulatedNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,10 +18,10 @@
 /** A team's limit over several cells that all decide at once. */
 class SharesTest {
     private static final List<String> CELLS = List.of("east", "north", "west");
-    private final Cellular c = settled(11, 12);
+    private final MultiCellSimulation c = settled(11, 12);
 
-    private static Cellular settled(long seed, double limit) {
-        Cellular x = new Cellular(seed, CELLS, List.of(), false, Map.of("red", limit));
+    private static MultiCellSimulation settled(long seed, double limit) {
+        MultiCellSimulation x = new MultiCellSimulation(seed, CELLS, List.of(), false, Map.of("red", limit));
         x.watchS = 0.05;
         CELLS.forEach(cell -> x.cell(cell, 2, 6));
         x.run(12);
@@ -33,13 +33,13 @@
         assertEquals(List.of(), c.broken());
     }
 
-    private static String array(Cellular x, String cell, int n, int tasks) {
+    private static String array(MultiCellSimulation x, String cell, int n, int tasks) {
         String id = x.id(cell, n);
         x.submitSurely(cell, job(id, Shape.ARRAY, tasks, 1));
         return id;
     }
 
-    private static void allDone(Cellular x, List<String> ids, double withinS) {
+    private static void allDone(MultiCellSimulation x, List<String> ids, double withinS) {
         for (String id : ids) {
             x.until(
                     withinS,
@@ -209,14 +209,14 @@
     }
 
     private static int moved(int at, String who) {
-        Cellular x = settled(3, 12);
+        MultiCellSimulation x = settled(3, 12);
         int[] n = new int[1];
         x.onLoanWrites(
                 (cell, by, t) -> {
                     if (++n[0] == at) {
                         for (String of : CELLS) {
                             if (who.equals("all") || of.equals(cell)) {
-                                Node l = of.equals(cell) ? by : x.leader(of);
+                                SimulatedNode l = of.equals(cell) ? by : x.leader(of);
                                 x.restart(l, 8);
                             }
                         }
@@ -233,7 +233,7 @@
     @Test
     void aBadNetworkLosesAndMakesNoShare() {
         for (int seed = 1; seed <= 6; seed++) {
-            Cellular x = settled(seed, 9);
+            MultiCellSimulation x = settled(seed, 9);
             x.lost = 0.2;
             x.doubled = 0.2;
             x.late = 0.1;
--- a/src/test/java/io/kitepath/core/SoundMachinesTest.java
+++ b/src/test/java/io/kitepath/core/SoundMachinesTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,8 +8,8 @@
 
 import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -23,16 +23,16 @@
     void anOutageAfterATakeoverMakesNoMachineDeaf() {
         int adopted = 0;
         for (double out = 0.2; out < 6; out += 0.2) {
-            World w = settled(3, 4);
+            SimulatedCluster w = settled(3, 4);
             w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 4));
-            Node n = w.leader();
+            SimulatedNode n = w.leader();
             n.kill();
             w.after(0.3, () -> w.node(n.name));
             w.after(out, () -> w.store.outage(14));
             boolean placedAndNotSeen = false;
             for (int i = 0; i < 36; i++) {
                 w.run(0.5);
-                for (Node x : w.nodes.values()) {
+                for (SimulatedNode x : w.nodes.values()) {
                     for (Machine m : x.controller.block.machines().values()) {
                         assertFalse(m.deafToAnswers(), "out after " + out + ": " + m.id);
                         placedAndNotSeen |=
