--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
-import static io.kitepath.standin.World.with;
+import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.standin.SimulatedCluster.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,9 +19,9 @@
 import io.kitepath.core.serve.JobSubmissionService;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.HashSet;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -29,14 +29,14 @@
 
 /** Whole controllers against a world in memory. */
 class StoriesTest {
-    private final World w = new World();
+    private final SimulatedCluster w = new SimulatedCluster();
 
     @AfterEach
     void neverTwice() {
         assertEquals(List.of(), w.broken);
     }
 
-    private Node settled(int nodes, int machines) {
+    private SimulatedNode settled(int nodes, int machines) {
         for (int i = 0; i < nodes; i++) {
             w.node("k" + i);
         }
@@ -47,7 +47,7 @@
         return w.leader();
     }
 
-    private Node notThe(Node leader) {
+    private SimulatedNode notThe(SimulatedNode leader) {
         return w.nodes.values().stream().filter(n -> n != leader).findFirst().orElseThrow();
     }
 
@@ -58,14 +58,14 @@
                 Verdict.CREATED,
                 w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 6, 1)).verdict());
         w.run(40);
-        for (Node n : w.nodes.values()) {
+        for (SimulatedNode n : w.nodes.values()) {
             assertEquals("done", w.status(n, "j-1"));
         }
     }
 
     @Test
     void aJobSubmittedAgainAfterItIsOverGetsItsFinalState() {
-        Node n = settled(2, 1);
+        SimulatedNode n = settled(2, 1);
         w.submit(n, job("j-1", Shape.ARRAY, 1, 1));
         w.run(30);
         JobSubmissionService.Answer again = w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
@@ -80,7 +80,7 @@
 
     @Test
     void aSubmissionWhoseAnswerWasLostIsKnownWhenItIsRepeated() {
-        Node n = settled(1, 0);
+        SimulatedNode n = settled(1, 0);
         w.store.swallow = 1;
         w.submit(n, job("j-1", Shape.ARRAY, 1, 1));
         w.run(1);
@@ -89,7 +89,7 @@
 
     @Test
     void duringAnOutageNothingIsAcceptedAndWorkGoesOn() {
-        Node n = settled(3, 1);
+        SimulatedNode n = settled(3, 1);
         w.workers.get("i-000000").runsFor = 60;
         w.submit(n, job("j-1", Shape.ARRAY, 2, 1));
         w.run(3);
@@ -105,7 +105,7 @@
 
     @Test
     void inAnOutageThatIsKnownUsersAreToldAtOnceToComeBack() {
-        Node n = settled(1, 1);
+        SimulatedNode n = settled(1, 1);
         w.submit(n, job("j-1", Shape.ARRAY, 1, 1));
         w.run(30);
         assertEquals("done", w.status(n, "j-1"));
@@ -130,7 +130,7 @@
         w.run(2);
         w.store.outage(5);
         w.run(1);
-        w.nodes.values().forEach(Node::crash);
+        w.nodes.values().forEach(SimulatedNode::crash);
         w.run(1);
         w.node("k0");
         w.node("k1");
@@ -141,13 +141,13 @@
     @Test
     void aTakeoverWhileLaunchesAreInFlightStartsNothingTwice() {
         settled(2, 3);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.submit(first, job("j-1", Shape.ARRAY, 9, 1));
         // Written, and perhaps launched, when the leader dies.
         w.run(0.02);
         first.crash();
         w.run(60);
-        Node second = w.leader();
+        SimulatedNode second = w.leader();
         assertTrue(second.controller.block.token() > first.controller.block.token());
         assertEquals("done", w.status(second, "j-1"));
     }
@@ -155,7 +155,7 @@
     @Test
     void aNewHolderPlacesOnlyOnMachinesThatHaveReportedWithItsToken() {
         settled(2, 1);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.submit(first, job("j-1", Shape.ARRAY, 1, 1));
         w.run(2);
         w.workers.get("i-000000").cut = true;
@@ -169,12 +169,12 @@
     @Test
     void aFrozenLeaderThatGoesOnStartsNothingAndYields() {
         settled(3, 3);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.submit(first, job("j-1", Shape.ARRAY, 9, 1));
         w.run(0.02);
         first.frozenUntil = w.clock.now + 7;
         w.run(6.9);
-        Node second = w.leader();
+        SimulatedNode second = w.leader();
         assertTrue(second != first);
         w.submit(second, job("j-2", Shape.ARRAY, 3, 1));
         long launched = first.controller.heartbeats.launches();
@@ -190,7 +190,7 @@
     @Test
     void aLateTransactionOfAFormerLeaderFails() {
         settled(2, 1);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.store.hold = 1;
         // Accepted through the other node, so that only the leader's write is held back.
         JobSpec s = job("j-1", Shape.ARRAY, 1, 1);
@@ -213,7 +213,7 @@
 
     @Test
     void aWriteWhoseAnswerWasLostIsSettledByTheStore() {
-        Node n = settled(1, 1);
+        SimulatedNode n = settled(1, 1);
         w.store.execute(submission(job("j-1", Shape.ARRAY, 3, 1)));
         w.store.swallow = 1;
         w.run(60);
@@ -224,12 +224,12 @@
     @Test
     void theLeaderRefusedByTheStoreAloneYieldsToOneThatIsServed() {
         settled(3, 2);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.submit(first, job("j-1", Shape.ARRAY, 4, 1));
         w.run(2);
         first.cutFromStore = true;
         w.run(8);
-        Node second = w.leader();
+        SimulatedNode second = w.leader();
         assertFalse(second == first);
         assertFalse(first.controller.leadership.leading());
         assertFalse(first.controller.healthy());
@@ -240,8 +240,8 @@
 
     @Test
     void aWorkerWhoseSessionEndedHasItsTasksPlacedAgain() {
-        Node n = settled(1, 2);
-        Worker one = w.workers.get("i-000000");
+        SimulatedNode n = settled(1, 2);
+        SimulatedWorker one = w.workers.get("i-000000");
         w.submit(n, job("j-1", Shape.ARRAY, 8, 1));
         w.run(3);
         assertEquals(8, w.onMachines("j-1"));
@@ -253,10 +253,10 @@
 
     @Test
     void aSilentMachineIsReleasedBeforeItsTasksRunElsewhere() {
-        Node n = settled(1, 3);
+        SimulatedNode n = settled(1, 3);
         w.submit(n, job("j-1", Shape.ARRAY, 3, 4));
         w.run(3);
-        Worker lost = w.workers.get("i-000001");
+        SimulatedWorker lost = w.workers.get("i-000001");
         assertEquals(1, lost.started);
         lost.cut = true;
         w.run(6);
@@ -278,7 +278,7 @@
 
     @Test
     void aCancellationRacingTheLaunchWins() {
-        Node n = settled(2, 2);
+        SimulatedNode n = settled(2, 2);
         w.submit(n, job("j-1", Shape.ARRAY, 8, 1));
         assertEquals("cancelled", w.cancel(w.nodes.get("k1"), "j-1").state().status());
         w.run(5);
@@ -290,7 +290,7 @@
 
     @Test
     void aDoneJobCanNotBeCancelled() {
-        Node n = settled(1, 1);
+        SimulatedNode n = settled(1, 1);
         w.submit(n, job("j-1", Shape.ARRAY, 1, 1));
         w.run(30);
         assertEquals("done", w.cancel(n, "j-1").state().status());
@@ -299,12 +299,12 @@
     @Test
     void whatACancelledJobLeftOnMachinesIsStoppedByTheNextLeader() {
         settled(2, 1);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.workers.get("i-000000").runsFor = 500;
         w.submit(first, job("j-1", Shape.SERVICE, 2, 1));
         w.run(3);
         first.crash();
-        Node other = w.nodes.values().stream().filter(n -> n != first).findFirst().orElseThrow();
+        SimulatedNode other = w.nodes.values().stream().filter(n -> n != first).findFirst().orElseThrow();
         w.cancel(other, "j-1");
         w.run(15);
         assertEquals(0, w.onMachines("j-1"));
@@ -312,7 +312,7 @@
 
     @Test
     void aGangStartsWholeOrNotAtAll() {
-        Node n = settled(1, 3);
+        SimulatedNode n = settled(1, 3);
         w.submit(n, job("j-1", Shape.GANG, 4, 4));
         w.run(10);
         assertEquals(0, w.workers.values().stream().mapToInt(x -> x.started).sum());
@@ -330,10 +330,10 @@
 
     @Test
     void aGangThatLosesATaskRestartsWholeWithANewAttempt() {
-        Node n = settled(1, 4);
+        SimulatedNode n = settled(1, 4);
         w.submit(n, job("j-1", Shape.GANG, 2, 4));
         w.run(4);
-        Worker one =
+        SimulatedWorker one =
                 w.workers.values().stream().filter(x -> x.started > 0).findFirst().orElseThrow();
         long attempt = one.tasks.values().iterator().next().attempt;
         one.tasks.clear();
@@ -356,7 +356,7 @@
 
     @Test
     void aGangInOneZoneStaysInOne() {
-        Node n = settled(1, 6);
+        SimulatedNode n = settled(1, 6);
         w.submit(n, with(job("j-1", Shape.GANG, 3, 4), "red", Priority.HIGH, true));
         w.run(4);
         assertEquals(3, w.onMachines("j-1"));
@@ -373,7 +373,7 @@
     void unprovenAttemptsCountAgainstTheTeamsLimit() {
         w.teams.put("blue", new ClusterSettings.Team("blue", 0, 4, 0, 0));
         settled(2, 2);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.submit(first, with(job("j-1", Shape.ARRAY, 6, 1), "blue", Priority.NORMAL, false));
         w.run(3);
         assertEquals(4, w.onMachines("j-1"));
@@ -387,7 +387,7 @@
 
     @Test
     void lesserWorkGivesWayToAGangOfHigherPriority() {
-        Node n = settled(1, 2);
+        SimulatedNode n = settled(1, 2);
         w.workers.values().forEach(x -> x.runsFor = 300);
         w.submit(n, with(job("j-1", Shape.ARRAY, 8, 1), "red", Priority.LOW, false));
         w.run(4);
@@ -402,7 +402,7 @@
 
     @Test
     void whatGivesWayIsToldSoAtOnceAndNotOnlyWhenItsMachineReports() {
-        Node n = settled(1, 4);
+        SimulatedNode n = settled(1, 4);
         w.workers.values().forEach(x -> x.runsFor = 300);
         w.submit(n, with(job("j-1", Shape.ARRAY, 16, 1), "red", Priority.LOW, false));
         w.run(4);
@@ -415,7 +415,7 @@
 
     @Test
     void aDirectCommandThatRunsLateStopsNothingElse() {
-        Node n = settled(1, 1);
+        SimulatedNode n = settled(1, 1);
         w.workers.values().forEach(x -> x.runsFor = 8);
         w.directDelayS = 15;
         w.submit(n, with(job("j-1", Shape.ARRAY, 1, 4), "red", Priority.LOW, false));
@@ -435,7 +435,7 @@
     @Test
     void guaranteedWorkThatGivesWayToHigherPriorityDoesNotTakeTheRoomAgain() {
         w.teams.put("blue", new ClusterSettings.Team("blue", 16, 0, 0, 0));
-        Node n = settled(1, 2);
+        SimulatedNode n = settled(1, 2);
         w.workers.values().forEach(x -> x.runsFor = 60);
         w.submit(n, with(job("j-1", Shape.ARRAY, 16, 1), "blue", Priority.LOW, false));
         w.run(4);
@@ -449,7 +449,7 @@
 
     @Test
     void workThatGivesWayRunsOnMachinesKeptForAGangThatStillWaits() {
-        Node n = settled(1, 3);
+        SimulatedNode n = settled(1, 3);
         w.workers.values().forEach(x -> x.runsFor = 40);
         w.submit(n, with(job("j-1", Shape.GANG, 1, 4), "red", Priority.HIGH, false));
         w.run(4);
@@ -466,7 +466,7 @@
 
     @Test
     void aMachineThatFailsEveryTaskIsSetAsideAndReturned() {
-        Node n = settled(1, 3);
+        SimulatedNode n = settled(1, 3);
         w.workers.get("i-000000").fails = true;
         w.submit(n, job("j-1", Shape.ARRAY, 12, 1));
         w.run(60);
@@ -477,7 +477,7 @@
 
     @Test
     void aJobThatFailsEverywhereDoesNotCostTheMachinesOrOthers() {
-        Node n = settled(1, 4);
+        SimulatedNode n = settled(1, 4);
         w.workers.values().forEach(x -> x.fails = true);
         w.submit(n, job("j-1", Shape.ARRAY, 1, 1));
         w.run(30);
@@ -495,7 +495,7 @@
         w.cloud.capacity = 2;
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 4));
         w.run(60);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         first.crash();
         w.cloud.capacity = 1;
         w.run(10);
@@ -509,8 +509,8 @@
     @Test
     void aWorkerCutOffFromTheLeaderIsAnsweredThroughASibling() {
         settled(2, 1);
-        Node leader = w.leader();
-        Node other = notThe(leader);
+        SimulatedNode leader = w.leader();
+        SimulatedNode other = notThe(leader);
         Heartbeat r = new Heartbeat("i-000077", "", "m4", "a", false, 1, 1, 0, null, List.of());
         HeartbeatResponse[] got = new HeartbeatResponse[2];
         other.controller.heartbeat(r, c -> got[0] = c);
@@ -523,8 +523,8 @@
     @Test
     void aWorkerThatLostTheLeaderIsRelayedAtOnce() {
         settled(2, 1);
-        Node leader = w.leader();
-        Node other = notThe(leader);
+        SimulatedNode leader = w.leader();
+        SimulatedNode other = notThe(leader);
         long token = leader.controller.block.token();
         HeartbeatResponse[] got = new HeartbeatResponse[1];
         other.controller.heartbeat(
@@ -538,8 +538,8 @@
     void aWorkerAndANodeThatBothLostTheLeaderAreAnsweredThroughTheThirdNode() {
         w.siblings.addAll(List.of("k0", "k1", "k2"));
         settled(3, 1);
-        Node leader = w.leader();
-        Node cut = notThe(leader);
+        SimulatedNode leader = w.leader();
+        SimulatedNode cut = notThe(leader);
         long token = leader.controller.block.token();
         cut.cutFrom.add(leader.name);
         w.run(4);
@@ -564,8 +564,8 @@
     @Test
     void aCheckInThatWaitsForALeaderThatFellSilentGoesToTheNextOne() {
         settled(2, 1);
-        Node leader = w.leader();
-        Node other = notThe(leader);
+        SimulatedNode leader = w.leader();
+        SimulatedNode other = notThe(leader);
         w.submit(leader, job("j-1", Shape.ARRAY, 1, 1));
         w.run(2);
         long token = leader.controller.block.token();
@@ -594,9 +594,9 @@
         settled(2, 1);
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 1, 1));
         w.run(3);
-        w.nodes.values().forEach(Node::crash);
+        w.nodes.values().forEach(SimulatedNode::crash);
         w.run(5);
-        Node n = w.node("k0");
+        SimulatedNode n = w.node("k0");
         HeartbeatResponse[] got = new HeartbeatResponse[1];
         n.controller.heartbeat(
                 new Heartbeat("i-000077", "", "m4", "a", false, 1, 9, 1, null, List.of()),
@@ -607,7 +607,7 @@
 
     @Test
     void severalMachinesSilentTogetherAreNotGivenBackAtOnce() {
-        Node n = settled(1, 8);
+        SimulatedNode n = settled(1, 8);
         w.workers.values().forEach(x -> x.runsFor = 100);
         w.submit(n, job("j-1", Shape.ARRAY, 8, 4));
         w.run(2);
@@ -632,7 +632,7 @@
     @Test
     void aBlockOfHundredsOfMachinesIsWorkedWithBoundedEffort() {
         w.writeRps = 50;
-        Node n = settled(1, 400);
+        SimulatedNode n = settled(1, 400);
         int tasks = 0;
         for (int i = 0; i < 10; i++) {
             w.submit(n, job("j-10" + i, Shape.ARRAY, 120, 1));
@@ -660,7 +660,7 @@
     @Test
     void manyQuestionsCostTheStateServiceFewRequests() {
         settled(3, 4);
-        Node asked = notThe(w.leader());
+        SimulatedNode asked = notThe(w.leader());
         for (int i = 0; i < 300; i++) {
             w.submit(asked, job("j-" + i, Shape.ARRAY, 1, 1));
         }
@@ -682,14 +682,14 @@
     @Test
     void progressIsToldFromTheHoldersMemoryAndFromTheRecordsWhenItIsSilent() {
         settled(2, 2);
-        Node leader = w.leader();
-        Node other = notThe(leader);
+        SimulatedNode leader = w.leader();
+        SimulatedNode other = notThe(leader);
         w.submit(leader, job("j-1", Shape.ARRAY, 5, 1));
         w.run(5);
         JobStatus seen = w.ask(other, "j-1").state();
         assertEquals("running", seen.status());
         assertEquals(5, seen.running());
-        Node fresh = w.node("k2");
+        SimulatedNode fresh = w.node("k2");
         w.siblings.addAll(List.of("k0", "k1"));
         w.run(0.05);
         leader.crash();
@@ -701,7 +701,7 @@
         settled(3, 1);
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 1, 1));
         w.run(40);
-        for (Node n : w.nodes.values()) {
+        for (SimulatedNode n : w.nodes.values()) {
             int before = n.requests;
             assertEquals("done", w.status(n, "j-1"));
             assertTrue(n.requests - before <= 2, "asked the store again");
@@ -711,7 +711,7 @@
     @Test
     void aNewHolderReadsOnWhereAPageWasRefused() {
         settled(2, 2);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         for (int i = 0; i < 520; i++) {
             w.submit(first, job("j-" + i, Shape.ARRAY, 1, 4));
         }
@@ -729,14 +729,14 @@
     @Test
     void aHolderThatCanNotReadTheJobsLetsLeasesEndBeforeACancellationIsOverdue() {
         settled(3, 2);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.workers.values().forEach(x -> x.runsFor = 500);
         w.submit(first, job("j-1", Shape.ARRAY, 2, 1));
         w.run(3);
         assertEquals(2, w.onMachines("j-1"));
         first.crash();
         w.store.refusePage = n -> true;
-        Node other = w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
+        SimulatedNode other = w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
         assertEquals(Verdict.KNOWN, w.cancel(other, "j-1").verdict());
         w.run(29);
         assertEquals(0, w.onMachines("j-1"));
@@ -744,7 +744,7 @@
 
     @Test
     void aMistakenArrayOrGangCostsLittleAndIsCancelledAtOnce() {
-        Node n = settled(1, 6);
+        SimulatedNode n = settled(1, 6);
         w.cloud.capacity = 50;
         w.mistaken.addAll(List.of("j-1", "j-2"));
         w.submit(n, job("j-3", Shape.ARRAY, 4, 1));
@@ -770,7 +770,7 @@
 
     @Test
     void aGoodJobThatMetFaultyMachinesIsNotHeldBack() {
-        Node n = settled(1, 8);
+        SimulatedNode n = settled(1, 8);
         for (int i = 0; i < 4; i++) {
             w.workers.get("i-00000" + i).fails = true;
         }
@@ -784,7 +784,7 @@
 
     @Test
     void machinesThatComeLateOrNeverAreReplacedInTimeAndGivenBack() {
-        Node n = settled(1, 0);
+        SimulatedNode n = settled(1, 0);
         w.cloud.capacity = 50;
         // Two of the first three never come, later ones as they should.
         w.cloud.bootS = i -> i < 2 ? -1 : 40;
@@ -797,7 +797,7 @@
 
     @Test
     void whenAllMachinesComeLateTheyAreNotRentedOverAndOver() {
-        Node n = settled(1, 0);
+        SimulatedNode n = settled(1, 0);
         w.cloud.capacity = 50;
         w.cloud.bootS = i -> 120 + i;
         w.workers.values().forEach(x -> x.runsFor = 60);
@@ -813,8 +813,8 @@
     @Test
     void anUnfinishedJobSaysWhatItWaitsFor() {
         settled(2, 1);
-        Node leader = w.leader();
-        Node other = notThe(leader);
+        SimulatedNode leader = w.leader();
+        SimulatedNode other = notThe(leader);
         w.submit(other, job("j-1", Shape.ARRAY, 6, 1));
         w.run(5);
         assertEquals("2 tasks wait for room of 1.0 CPUs each", w.ask(other, "j-1").state().note());
@@ -832,7 +832,7 @@
     @Test
     void aNewHolderKnowsWhereImagesAre() {
         settled(2, 2);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.workers.values().forEach(x -> x.runsFor = 2);
         w.submit(first, job("j-1", Shape.ARRAY, 8, 1));
         w.run(30);
@@ -859,7 +859,7 @@
 
     @Test
     void aSwarmOfSmallJobsThatWaitsCostsBoundedEffortAndFewChanges() {
-        Node n = settled(1, 4);
+        SimulatedNode n = settled(1, 4);
         w.workers.values().forEach(x -> x.runsFor = 5);
         int before = w.store.log.size();
         for (int i = 0; i < 200; i++) {
@@ -886,9 +886,9 @@
 
     @Test
     void aFewSmallTasksAreMovedOffAnOrdinaryMachineToASpotOneThatHasRoom() {
-        Node n = settled(1, 1);
+        SimulatedNode n = settled(1, 1);
         w.workers.values().forEach(x -> x.runsFor = 300);
-        w.submit(n, World.onSpot(job("j-1", Shape.ARRAY, 1, 1), 300));
+        w.submit(n, SimulatedCluster.onSpot(job("j-1", Shape.ARRAY, 1, 1), 300));
         w.run(3);
         w.spotWorker("i-000050", "a").runsFor = 300;
         w.run(20);
@@ -902,7 +902,7 @@
     @Test
     void aGangsRecordsDoNotWaitForThoseOfASwarm() {
         w.writeRps = 20;
-        Node n = settled(1, 30);
+        SimulatedNode n = settled(1, 30);
         w.workers.values().forEach(x -> x.runsFor = 6);
         for (int i = 0; i < 100; i++) {
             n.controller
@@ -923,7 +923,7 @@
 
     @Test
     void aGangWhoseImageTakesLongerThanItsTasksWaitStartsOnceAllHaveIt() {
-        Node n = settled(1, 4);
+        SimulatedNode n = settled(1, 4);
         w.fetchS = machine -> machine.equals("i-000000") ? 1 : machine.equals("i-000001") ? 45 : 80;
         w.submit(n, job("j-1", Shape.GANG, 4, 4));
         w.run(50);
@@ -938,7 +938,7 @@
     @Test
     void aHugeArrayCostsFewChangesAndGoesOnAfterItsLeaderCrashed() {
         settled(2, 20);
-        Node first = w.leader();
+        SimulatedNode first = w.leader();
         w.workers.values().forEach(x -> x.runsFor = 2);
         int before = w.store.log.size();
         w.submit(first, job("j-1", Shape.ARRAY, 4000, 0.25));
@@ -965,7 +965,7 @@
     void guestsWithoutAGuaranteeMakeRoomForGuaranteedWorkAndFinishAfterIt() {
         w.teams.put("red", new ClusterSettings.Team("red", 8, 0, 0, 0));
         w.teams.put("guests", new ClusterSettings.Team("guests", 0, 0, 0, 0));
-        Node n = settled(1, 2);
+        SimulatedNode n = settled(1, 2);
         w.submit(n, with(job("j-1", Shape.ARRAY, 16, 1), "guests", Priority.LOW, false));
         w.run(3);
         assertEquals(8, w.onMachines("j-1"));
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,8 +11,8 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -51,7 +51,7 @@
     }
 
     private static final class Swarm {
-        final World w = new World();
+        final SimulatedCluster w = new SimulatedCluster();
         final Random random;
         final Map<String, Double> handedIn = new HashMap<>();
         final Map<String, Double> answered = new HashMap<>();
@@ -108,13 +108,13 @@
             w.run(12);
         }
 
-        Node any() {
-            List<Node> up = w.nodes.values().stream().filter(n -> n.alive).toList();
+        SimulatedNode any() {
+            List<SimulatedNode> up = w.nodes.values().stream().filter(n -> n.alive).toList();
             return up.get(random.nextInt(up.size()));
         }
 
         /** The node that holds the jobs, or null. */
-        Node holder() {
+        SimulatedNode holder() {
             return w.nodes.values().stream()
                     .filter(n -> n.alive && n.controller.holds())
                     .findFirst()
@@ -224,7 +224,7 @@
             } else if (begun.containsKey(id)) {
                 return Stage.RUNNING;
             }
-            Node h = holder();
+            SimulatedNode h = holder();
             Job j = h == null ? null : h.controller.block.jobs().get(id);
             return j == null
                     ? Stage.NOT_HEARD_OF
@@ -254,7 +254,7 @@
         }
 
         private void look() {
-            Node h = holder();
+            SimulatedNode h = holder();
             if (h == null || !calm(w.clock.now, w.clock.now)) {
                 return;
             }
@@ -274,7 +274,7 @@
         }
 
         void endOfLeader(double backAfterS) {
-            Node n = holder();
+            SimulatedNode n = holder();
             n.kill();
             w.after(backAfterS, () -> w.node(n.name));
             trouble(backAfterS);
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
@@ -20,9 +20,9 @@
  * and left.
  */
 class SweepTest {
-    private final World w = new World();
+    private final SimulatedCluster w = new SimulatedCluster();
 
-    private static void settle(World w) {
+    private static void settle(SimulatedCluster w) {
         w.leaseS = 5;
         w.reportS = 1;
         List.of("k0", "k1", "k2").forEach(w.siblings::add);
@@ -36,7 +36,7 @@
         assertEquals(List.of(), w.broken);
     }
 
-    private static void put(World w, String key, Map<String, Object> value) {
+    private static void put(SimulatedCluster w, String key, Map<String, Object> value) {
         w.store.put(key, value, 0, ++w.store.revision);
     }
 
@@ -48,7 +48,7 @@
      * Parts of jobs that nobody knows, acts of a holder that is gone, one that is unreadable, and
      * good records.
      */
-    private static void litter(World w) {
+    private static void litter(SimulatedCluster w) {
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 1));
         w.submit(w.leader(), job("j-2", Shape.ARRAY, 400, 1));
         for (int i = 0; i < 30; i++) {
@@ -80,11 +80,11 @@
         put(w, StoreKeys.ACT + "going/odd", Map.of("machines", 7L));
     }
 
-    private static boolean there(World w, String key) {
+    private static boolean there(SimulatedCluster w, String key) {
         return w.store.keys.containsKey(key);
     }
 
-    private Node sweeper(World x) {
+    private SimulatedNode sweeper(SimulatedCluster x) {
         return x.nodes.values().stream()
                 .filter(n -> n.alive && n.controller.entitled("cleanup"))
                 .findFirst()
@@ -137,7 +137,7 @@
     void aHolderBeginsThoughAPartHasNoJob() {
         settle(w);
         put(w, StoreKeys.part("j-9", 0), part(Map.of()));
-        w.nodes.values().forEach(Node::crash);
+        w.nodes.values().forEach(SimulatedNode::crash);
         w.run(0.3);
         w.siblings.forEach(w::node);
         w.run(6);
@@ -149,12 +149,12 @@
         int points = 0;
         TreeSet<String> clean = new TreeSet<>();
         for (int n = 0; n < 45; n += n < 10 ? 1 : 5) {
-            World x = new World();
+            SimulatedCluster x = new SimulatedCluster();
             settle(x);
             litter(x);
             int[] ends = new int[1];
             if (n > 0) {
-                Node s = sweeper(x);
+                SimulatedNode s = sweeper(x);
                 s.endAfter(
                         n,
                         () -> {
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,9 +9,9 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.standin.Task;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedTask;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -36,21 +36,21 @@
         DEAF,
         MUTE;
 
-        void begins(World w, Worker x, double lastsS) {
+        void begins(SimulatedCluster w, SimulatedWorker x, double lastsS) {
             set(x, true);
             x.hangsUntil = this == HUNG ? w.clock.now + lastsS : 0;
             w.after(lastsS, () -> set(x, false));
         }
 
-        private void set(Worker x, boolean so) {
+        private void set(SimulatedWorker x, boolean so) {
             x.cut = this == CUT && so;
             x.deaf = this == DEAF && so;
             x.mute = this == MUTE && so;
         }
     }
 
-    private World w;
-    private List<Worker> lost;
+    private SimulatedCluster w;
+    private List<SimulatedWorker> lost;
 
     /**
      * Tasks of cancelled jobs on machines that could not be asked, when another leader was there.
@@ -66,8 +66,8 @@
     private double goneAt;
     private double troublesEnd;
 
-    static World limited(int machines) {
-        World w = new World();
+    static SimulatedCluster limited(int machines) {
+        SimulatedCluster w = new SimulatedCluster();
         w.reportS = 2;
         w.leaseS = 5 * w.reportS;
         w.cancelS = 2 * w.leaseS + 1;
@@ -151,9 +151,9 @@
         fullAt = Double.NaN;
     }
 
-    private List<Worker> withTasks() {
+    private List<SimulatedWorker> withTasks() {
         return w.workers.values().stream()
-                .filter(x -> x.tasks.values().stream().anyMatch(Task::on))
+                .filter(x -> x.tasks.values().stream().anyMatch(SimulatedTask::on))
                 .toList();
     }
 
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -4,7 +4,7 @@
 import static io.kitepath.core.TeamLimitMeetingsTest.TEAMS;
 import static io.kitepath.core.TeamLimitMeetingsTest.limited;
 import static io.kitepath.core.TeamLimitMeetingsTest.whole;
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,9 +14,9 @@
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
  * TeamLimitMeetingsTest} at once.
  */
 class TeamLimitSeedsTest {
-    private World w;
+    private SimulatedCluster w;
 
     /**
      * The leader ends after each of its next requests, so between any two records of a gang that
@@ -39,24 +39,24 @@
         for (int more = 1; more < 40; more += 2) {
             w = limited(10);
             w.teams.put("blue", new ClusterSettings.Team("blue", 0, 18, 0, 0));
-            Worker[] cut = w.workers.values().stream().limit(3).toArray(Worker[]::new);
+            SimulatedWorker[] cut = w.workers.values().stream().limit(3).toArray(SimulatedWorker[]::new);
             JobSpec gang =
-                    World.with(job("j-21", Shape.GANG, 18, 1), "blue", Priority.NORMAL, false);
+                    SimulatedCluster.with(job("j-21", Shape.GANG, 18, 1), "blue", Priority.NORMAL, false);
             w.submit(w.leader(), whole("red", 1));
             w.submit(
                     w.leader(),
-                    World.with(job("j-20", Shape.ARRAY, 18, 1), "blue", Priority.NORMAL, false));
+                    SimulatedCluster.with(job("j-20", Shape.ARRAY, 18, 1), "blue", Priority.NORMAL, false));
             w.run(5);
             assertEquals(18, w.rules.onMachines("blue")[0]);
             w.submit(w.leader(), gang);
             w.submit(w.leader(), whole("red", 2));
-            Node leader = w.leader();
+            SimulatedNode leader = w.leader();
             w.users.cancel(leader, "j-20");
             w.users.cancel(leader, "j-11");
             leader.endAfter(
                     more,
                     () -> {
-                        for (Worker x : cut) {
+                        for (SimulatedWorker x : cut) {
                             Lost.CUT.begins(w, x, 14);
                         }
                         w.after(0.3, () -> w.node(leader.name));
@@ -85,8 +85,8 @@
         assertTrue(half > 10, "half written " + half);
     }
 
-    private static void trouble(World w, Random random) {
-        Node leader =
+    private static void trouble(SimulatedCluster w, Random random) {
+        SimulatedNode leader =
                 w.nodes.values().stream()
                         .filter(n -> n.alive && n.controller.leadsWith() > 0)
                         .findFirst()
@@ -131,7 +131,7 @@
                 String team = TEAMS.get(i % 3);
                 Shape shape = Shape.values()[random.nextInt(3)];
                 JobSpec s =
-                        World.with(
+                        SimulatedCluster.with(
                                 job(
                                         "j-" + (10 + i),
                                         shape,
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,9 +10,9 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Worker;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedWorker;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -22,14 +22,14 @@
 
 /** Machines that hear nothing, late copies of reports, and a node that only workers reach. */
 class TroublesTest {
-    private static Worker first(World w) {
+    private static SimulatedWorker first(SimulatedCluster w) {
         return w.workers.values().iterator().next();
     }
 
     @Test
     void workThatAMachineWithoutAnswersNeverStartsGoesElsewhere() {
-        World w = settled(1, 1);
-        Node n = w.nodes.get("k0");
+        SimulatedCluster w = settled(1, 1);
+        SimulatedNode n = w.nodes.get("k0");
         first(w).deaf = true;
         w.run(1);
         w.submit(n, job("j-1", Shape.ARRAY, 3, 1));
@@ -45,8 +45,8 @@
 
     @Test
     void whatRanOnAMachineThatHearsNothingAnyMoreIsStartedAnewOnceItsSessionIsOver() {
-        World w = settled(2, 2);
-        Node n = w.leader();
+        SimulatedCluster w = settled(2, 2);
+        SimulatedNode n = w.leader();
         w.submit(n, job("j-1", Shape.ARRAY, 2, 3));
         w.run(4);
         assertEquals(2, w.onMachines("j-1"));
@@ -58,10 +58,10 @@
 
     @Test
     void aMachineThatHearsAgainTakesWorkAgainAndOneThatDoesNotIsGivenBack() {
-        World w = settled(1, 2);
+        SimulatedCluster w = settled(1, 2);
         w.cloud.capacity = 10;
-        Node n = w.nodes.get("k0");
-        List<Worker> all = new ArrayList<>(w.workers.values());
+        SimulatedNode n = w.nodes.get("k0");
+        List<SimulatedWorker> all = new ArrayList<>(w.workers.values());
         all.forEach(x -> x.deaf = true);
         w.submit(n, job("j-1", Shape.SERVICE, 8, 1));
         w.run(25);
@@ -80,11 +80,11 @@
 
     @Test
     void aZoneThatHearsNothingDuringATakeoverLosesNothingForGood() {
-        World w = settled(3, 8);
+        SimulatedCluster w = settled(3, 8);
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 20, 1));
         w.run(4);
         w.workers.values().stream().filter(x -> x.zone.equals("b")).forEach(x -> x.deaf = true);
-        Node n = w.leader();
+        SimulatedNode n = w.leader();
         n.crash();
         w.after(0.3, () -> w.node(n.name));
         w.run(50);
@@ -100,11 +100,11 @@
      */
     @Test
     void aLateCopyOfAReportRevivesNothing() {
-        World w = settled(2, 3);
-        Node n = w.leader();
+        SimulatedCluster w = settled(2, 3);
+        SimulatedNode n = w.leader();
         w.submit(n, job("j-1", Shape.ARRAY, 6, 1));
         w.run(5);
-        Worker x = first(w);
+        SimulatedWorker x = first(w);
         Heartbeat old = x.message();
         assertFalse(old.tasks().isEmpty());
         x.die();
@@ -113,7 +113,7 @@
         assertEquals("done", w.status(n, "j-1"));
         n.crash();
         w.run(15);
-        Node next = w.leader();
+        SimulatedNode next = w.leader();
         next.controller.heartbeat(old, (HeartbeatResponse c) -> {});
         w.submit(next, job("j-2", Shape.ARRAY, 12, 1));
         w.run(10);
@@ -128,13 +128,13 @@
     @Test
     void copiesOfReportsSecondsToSeveralLeasesLateChangeNothing() {
         for (long seed = 0; seed < 12; seed++) {
-            World w = settled(3, 6);
+            SimulatedCluster w = settled(3, 6);
             Random random = new Random(seed);
             w.copyAfterS =
                     () -> random.nextInt(3) == 0 ? 0.5 + random.nextDouble() * 3 * w.leaseS : 0;
             Set<String> jobs = new HashSet<>();
             for (int i = 0; i < 12; i++) {
-                Node n = w.leader();
+                SimulatedNode n = w.leader();
                 String id = "j-" + (100 + i);
                 if (w.submit(
                                 n,
@@ -167,8 +167,8 @@
     /** What only workers reach sends them on while their leases last, and users away. */
     @Test
     void aHolderWithoutStoreAndSiblingsLetsItsWorkersGoInTime() {
-        World w = settled(3, 4);
-        Node cut = w.leader();
+        SimulatedCluster w = settled(3, 4);
+        SimulatedNode cut = w.leader();
         w.submit(cut, job("j-1", Shape.SERVICE, 8, 1));
         w.run(5);
         long sessions = w.workers.values().stream().mapToLong(x -> x.session).sum();
@@ -178,7 +178,7 @@
         assertFalse(cut.controller.healthy());
         assertEquals(Verdict.LATER, w.ask(cut, "j-1").verdict());
         w.run(12);
-        Node next =
+        SimulatedNode next =
                 w.nodes.values().stream()
                         .filter(n -> n != cut && n.controller.holds())
                         .findFirst()
@@ -221,7 +221,7 @@
 
     /** All troubles in any order, with pipelines, old jobs and limits that fall in the middle. */
     static final class Mixed {
-        final World w = settled(3, 8);
+        final SimulatedCluster w = settled(3, 8);
         final Random random;
         final long seed;
         final Set<String> accepted = new HashSet<>();
@@ -242,7 +242,7 @@
             w.run(10);
         }
 
-        private Node any() {
+        private SimulatedNode any() {
             return w.nodes.get("k" + random.nextInt(3));
         }
 
@@ -294,7 +294,7 @@
                     .toList()
                     .forEach(
                             k -> {
-                                Node n = w.nodes.get(k);
+                                SimulatedNode n = w.nodes.get(k);
                                 n.cutFromStore = false;
                                 n.cutFrom.clear();
                                 if (!n.alive) {
@@ -312,9 +312,9 @@
         }
 
         private void trouble() {
-            Node n = any();
-            List<Worker> up = w.workers.values().stream().filter(x -> x.up).toList();
-            Worker x = up.isEmpty() ? null : up.get(random.nextInt(up.size()));
+            SimulatedNode n = any();
+            List<SimulatedWorker> up = w.workers.values().stream().filter(x -> x.up).toList();
+            SimulatedWorker x = up.isEmpty() ? null : up.get(random.nextInt(up.size()));
             switch (random.nextInt(9)) {
                 case 0, 1 -> {
                     n.crash();
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static io.kitepath.standin.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,9 +10,9 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.Task;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedTask;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
@@ -28,14 +28,14 @@
  */
 class ZoneCutTest {
     private static final String ZONE = "a";
-    private World w;
+    private SimulatedCluster w;
     private Cut cut;
 
     /**
      * On machines inside as the cut began; and of those not cancelled, what went with its lease, or
      * with its machine.
      */
-    private List<Task> held;
+    private List<SimulatedTask> held;
 
     private int withLease;
     private int withMachine;
@@ -50,9 +50,9 @@
      * What crosses the zone's border gets lost, or is refused, while the cut lasts; also answers on
      * their way.
      */
-    private static final class Cut implements World.Reach {
-        private final World w;
-        private final World.Reach usual;
+    private static final class Cut implements SimulatedCluster.Reach {
+        private final SimulatedCluster w;
+        private final SimulatedCluster.Reach usual;
         final Set<String> inside = new HashSet<>();
         boolean refusing;
         boolean lasts;
@@ -65,12 +65,12 @@
 
         double lastKept;
 
-        Cut(World w) {
+        Cut(SimulatedCluster w) {
             this.w = w;
             this.usual = w.reach;
             w.reach = this;
             w.commands = (n, x) -> !crosses(n.name, x.zone);
-            w.cloud.withheld = c -> lasts && c instanceof Node n && inside.contains(n.name);
+            w.cloud.withheld = c -> lasts && c instanceof SimulatedNode n && inside.contains(n.name);
         }
 
         private boolean crosses(String node, String zone) {
@@ -166,7 +166,7 @@
         w.run(12);
         w.runsFor = id -> id.equals("j-ends") || id.equals("j-outside") ? 5 + endsS : 45;
         cut = new Cut(w);
-        Node leader = w.leader();
+        SimulatedNode leader = w.leader();
         w.siblings.stream()
                 .filter(k -> k.equals(leader.name) == leads)
                 .limit(controllers)
@@ -187,15 +187,15 @@
         assertEquals(4 * machines - 12, held.stream().filter(t -> t.job.equals("j-bound")).count());
     }
 
-    private List<Task> on(String zone) {
+    private List<SimulatedTask> on(String zone) {
         return w.workers.values().stream()
                 .filter(x -> x.zone.equals(zone))
                 .flatMap(x -> x.tasks.values().stream())
-                .filter(Task::on)
+                .filter(SimulatedTask::on)
                 .toList();
     }
 
-    private Node outside() {
+    private SimulatedNode outside() {
         return w.nodes.values().stream()
                 .filter(n -> !cut.inside.contains(n.name))
                 .findFirst()
@@ -222,7 +222,7 @@
 
     /** What was lost by now is counted, and the zone is back. */
     private void ends(String at) {
-        List<Task> gone =
+        List<SimulatedTask> gone =
                 held.stream().filter(t -> t.state != Heartbeat.TaskState.ENDED && !t.on()).toList();
         withMachine = (int) gone.stream().filter(t -> !t.worker.up).count();
         withLease = gone.size() - withMachine;
--- a/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
@@ -7,19 +7,19 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** What a report proves. */
 class HeartbeatsTest {
-    private final ClusterSettings facts = new World().facts("k1");
+    private final ClusterSettings facts = new SimulatedCluster().facts("k1");
     private final ShardState block = new ShardState(facts, m -> {});
     private final HeartbeatProcessor heartbeats = new HeartbeatProcessor(block);
     private final Job job =
             new Job(
-                    World.job("j-1", Shape.ARRAY, 1, 1),
+                    SimulatedCluster.job("j-1", Shape.ARRAY, 1, 1),
                     0,
                     new double[] {60},
                     "jobs/open/j-1",
--- a/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
@@ -6,13 +6,13 @@
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class KnownCancellationsTest {
-    private final World w = new World();
+    private final SimulatedCluster w = new SimulatedCluster();
     private final Timers timers = Worlds.timers(w);
 
     private ClusterSettings facts(String node, String... others) {
--- a/src/test/java/io/kitepath/core/place/LargestTest.java
+++ b/src/test/java/io/kitepath/core/place/LargestTest.java
@@ -5,8 +5,8 @@
 
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -19,10 +19,10 @@
     @Test
     void theLargestGangBeginsWithinFourMinutesOfAFlood() {
         for (JobSpec.Priority flood : List.of(JobSpec.Priority.NORMAL, JobSpec.Priority.HIGH)) {
-            World w = new World();
+            SimulatedCluster w = new SimulatedCluster();
             w.reportsChanges = true;
             w.cloud.capacity = 0;
-            Node n = w.node("k0");
+            SimulatedNode n = w.node("k0");
             for (int i = 0; i < 8; i++) {
                 w.worker("i-" + i, i % 2 == 0 ? "a" : "b");
             }
@@ -39,8 +39,8 @@
                 // Two gangs of a machine each a second, of 20 s: more than there is room for.
                 w.submit(
                         n,
-                        World.with(
-                                World.job("j-" + (1000 + i), Shape.GANG, 1, 4),
+                        SimulatedCluster.with(
+                                SimulatedCluster.job("j-" + (1000 + i), Shape.GANG, 1, 4),
                                 "red",
                                 flood,
                                 false));
@@ -48,8 +48,8 @@
                     since = w.clock.now;
                     w.submit(
                             n,
-                            World.with(
-                                    World.job("j-99999", Shape.GANG, 4, 4),
+                            SimulatedCluster.with(
+                                    SimulatedCluster.job("j-99999", Shape.GANG, 4, 4),
                                     "red",
                                     JobSpec.Priority.NORMAL,
                                     true));
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.state;
 
-import static io.kitepath.standin.World.job;
+import static io.kitepath.standin.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -13,7 +13,7 @@
 import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.standin.Worlds;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 class CancellationProofTest {
-    private final World w = new World();
+    private final SimulatedCluster w = new SimulatedCluster();
     private final Timers timers = Worlds.timers(w);
     private final ShardState block = new ShardState(w.facts("k0"), m -> {});
 
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -17,8 +17,8 @@
 import io.kitepath.core.model.Heartbeat.TaskStatus;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.Node;
-import io.kitepath.standin.World;
+import io.kitepath.standin.SimulatedNode;
+import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.wire.MessagePackCodec;
 import java.io.IOException;
 import java.io.InputStream;
@@ -144,7 +144,7 @@
     /** A new holder goes on where production ended: nothing starts twice, all of it ends. */
     @Test
     void aStoreThatProductionWroteIsGoneOnWith() {
-        World w = new World();
+        SimulatedCluster w = new SimulatedCluster();
         w.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 1000, 2, 13);
         for (String k : written.keySet()) {
             if (k.startsWith("record ")
@@ -181,17 +181,17 @@
         }
         long running = w.onMachines("j-1");
         assertTrue(running > 250, "only " + running);
-        Node n = w.node("k1");
+        SimulatedNode n = w.node("k1");
         w.specs.put("j-6", JobRecord.of("j-6", record(StoreKeys.OPEN + "j-6").value()).spec());
-        w.specs.put("j-2", World.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
+        w.specs.put("j-2", SimulatedCluster.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
         w.completed.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
         w.rules.asksToCancel("j-5"); // So was this.
         w.run(20);
         assertEquals(running, w.onMachines("j-1"));
         assertEquals("done", w.status(n, "j-2"));
         assertEquals("cancelled", w.status(n, "j-5"));
-        w.submit(n, World.job("j-7", JobSpec.Shape.ARRAY, 1, 1), "j-2", "j-3");
-        w.submit(n, World.job("j-8", JobSpec.Shape.ARRAY, 1, 1), "j-5");
+        w.submit(n, SimulatedCluster.job("j-7", JobSpec.Shape.ARRAY, 1, 1), "j-2", "j-3");
+        w.submit(n, SimulatedCluster.job("j-8", JobSpec.Shape.ARRAY, 1, 1), "j-5");
         w.run(120);
         for (String id : List.of("j-1", "j-3", "j-6", "j-7")) {
             assertEquals("done", w.status(n, id), id);
--- a/src/test/java/io/kitepath/standin/CheckerTest.java
+++ b/src/test/java/io/kitepath/standin/CheckerTest.java
@@ -12,14 +12,14 @@
 
 /** What watches the rules finds each of them broken, when it is broken on purpose. */
 class CheckerTest {
-    private final Cellular c = new Cellular(1, List.of("east", "west"), List.of());
+    private final MultiCellSimulation c = new MultiCellSimulation(1, List.of("east", "west"), List.of());
 
     private String job(int tasks) {
         c.cell("east", 1, 2);
         c.cell("west", 1, 2);
         c.run(12);
         String id = c.id("east", 1);
-        c.submitSurely("east", World.job(id, JobSpec.Shape.ARRAY, tasks, 1));
+        c.submitSurely("east", SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
         c.run(3);
         assertEquals(List.of(), c.broken());
         return id;
@@ -61,7 +61,7 @@
     @Test
     void aJobCalledDoneBeforeItsTasksAre() {
         String id = job(2);
-        World east = c.world("east");
+        SimulatedCluster east = c.world("east");
         east.store.put(StoreKeys.OPEN + id, null, 0, ++east.store.revision);
         east.store.put(
                 StoreKeys.OVER + id, Map.of("status", "done", "done", 2L), 0, ++east.store.revision);
@@ -73,7 +73,7 @@
     void aJobThatIsDoneAndThenCancelledOrForgotten() {
         String id = job(2);
         c.until(60, () -> c.status(c.any("east"), id).equals("done"));
-        World east = c.world("east");
+        SimulatedCluster east = c.world("east");
         east.store.put(
                 StoreKeys.OVER + id,
                 Map.of("status", "cancelled", "done", 0L),
--- a/src/test/java/io/kitepath/standin/LoopbackTest.java
+++ b/src/test/java/io/kitepath/standin/LoopbackTest.java
@@ -31,13 +31,13 @@
 class LoopbackTest {
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
-    private final World world = new World();
+    private final SimulatedCluster world = new SimulatedCluster();
     private HttpStore store;
     private HttpCloud cloud;
 
     @BeforeEach
     void start() {
-        List<InetSocketAddress> at = new Loopback(group, world, Map.of()).start();
+        List<InetSocketAddress> at = new LoopbackEmulator(group, world, Map.of()).start();
         HttpClient calls = new HttpClient(loop, at.get(0), 4, 1 << 20);
         store = new HttpStore(calls, calls, calls, 2000);
         cloud = new HttpCloud(new HttpClient(loop, at.get(1), 2, 1 << 20), 2000);
--- a/src/test/java/io/kitepath/standin/RulesTest.java
+++ b/src/test/java/io/kitepath/standin/RulesTest.java
@@ -17,7 +17,7 @@
 
 /** What watches the rules in one world finds each of them broken, when it is broken on purpose. */
 class RulesTest {
-    private final World w = Worlds.settled(2, 4);
+    private final SimulatedCluster w = Worlds.settled(2, 4);
 
     private void finds(String what) {
         assertTrue(w.broken.stream().anyMatch(b -> b.contains(what)), w.broken.toString());
@@ -56,7 +56,7 @@
     }
 
     private JobSpec job(String id) {
-        return World.job(id, Shape.ARRAY, 4, 1);
+        return SimulatedCluster.job(id, Shape.ARRAY, 4, 1);
     }
 
     private void over(String id, String status) {
@@ -106,12 +106,12 @@
         w.runsFor = id -> 500;
         w.submit(w.leader(), job("j-1"));
         w.run(6);
-        Worker x =
+        SimulatedWorker x =
                 w.workers.values().stream()
                         .filter(y -> !y.tasks.isEmpty())
                         .findFirst()
                         .orElseThrow();
-        Task t = x.tasks.values().iterator().next();
+        SimulatedTask t = x.tasks.values().iterator().next();
         w.cloud.out = true; // Else it would be given back as silent.
         x.hangsUntil = w.clock.now + w.cancelS + 5;
         w.cancel(w.leader(), "j-1");
@@ -121,14 +121,14 @@
         // As if its lease were none.
         w.after(
                 2.904,
-                () -> x.tasks.put(t.key(), new Task(x, t.job, t.number, t.attempt, TaskState.RUNNING)));
+                () -> x.tasks.put(t.key(), new SimulatedTask(x, t.job, t.number, t.attempt, TaskState.RUNNING)));
         w.run(6);
         finds("ran cancelled: " + t.key());
     }
 
     @Test
     void aStartAfterAConfirmedCancellationIsCounted() {
-        w.submit(w.leader(), World.job("j-1", Shape.ARRAY, 1, 4));
+        w.submit(w.leader(), SimulatedCluster.job("j-1", Shape.ARRAY, 1, 4));
         w.cancel(w.leader(), "j-1");
         w.run(5);
         int before = w.rules.startsAfterCancellation();
@@ -146,7 +146,7 @@
         w.submit(w.leader(), job("j-1"));
         w.cancel(w.leader(), "j-1");
         w.store.put(StoreKeys.OVER + "j-1", null, 0, ++w.store.revision);
-        w.nodes.values().forEach(Node::crash);
+        w.nodes.values().forEach(SimulatedNode::crash);
         w.siblings.forEach(w::node);
         w.run(15);
         w.ask(w.leader(), "j-1");
@@ -162,7 +162,7 @@
         w.submit(w.leader(), job("j-2"));
         over("j-1", "done");
         over("j-2", "cancelled");
-        Node other =
+        SimulatedNode other =
                 w.nodes.values().stream().filter(n -> n != w.leader()).findFirst().orElseThrow();
         w.ask(other, "j-1");
         finds("not done: j-1");
@@ -191,7 +191,7 @@
     @Test
     void aJobThatIsLeftWaitingBesideRoom() {
         w.runsFor = id -> 500;
-        w.nodes.values().forEach(Node::crash);
+        w.nodes.values().forEach(SimulatedNode::crash);
         w.specs.put("j-1", job("j-1"));
         w.rules.accepted("j-1");
         w.teams.put("red", new ClusterSettings.Team("red", 0, 1, 0, 0));
--- a/src/test/java/io/kitepath/standin/Worlds.java
+++ b/src/test/java/io/kitepath/standin/Worlds.java
@@ -10,8 +10,8 @@
      * So many nodes and machines, of which one leads and all have reported; the lease is five
      * reports long.
      */
-    public static World settled(int nodes, int machines) {
-        World w = new World();
+    public static SimulatedCluster settled(int nodes, int machines) {
+        SimulatedCluster w = new SimulatedCluster();
         w.reportS = 2;
         w.leaseS = 10;
         w.reportsChanges = true;
@@ -29,7 +29,7 @@
     /**
      * All troubles end but those of nodes that are down, which are for the caller to bring back.
      */
-    public static void endTroubles(World w) {
+    public static void endTroubles(SimulatedCluster w) {
         w.store.out = false;
         w.store.hangs = n -> false;
         w.store.late = t -> 0;
@@ -57,7 +57,7 @@
     }
 
     /** The world's time, for a part that is tried by itself. */
-    public static Timers timers(World w) {
+    public static Timers timers(SimulatedCluster w) {
         return new Timers() {
             @Override
             public double now() {
