--- a/src/main/java/io/kitepath/cli/ArchiveTraining.java
+++ b/src/main/java/io/kitepath/cli/ArchiveTraining.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.HttpServer;
-import io.kitepath.settings.Settings;
+import io.kitepath.settings.SettingsFile;
 import io.kitepath.wire.MessagePackCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -54,7 +54,7 @@
                   "limits":{"cpu":1,"ram_mb":200,"sockets":1000},"clock_error_ms":5}}
                 """
                         .formatted(text(node), text(free()), text(outside), text(outside));
-        new Node(Settings.of(json.getBytes(StandardCharsets.UTF_8)), null).start();
+        new Node(SettingsFile.of(json.getBytes(StandardCharsets.UTF_8)), null).start();
     }
 
     /** A user's and a worker's requests; returns the answers' status codes. */
--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.settings.CellsFile;
-import io.kitepath.settings.Settings;
+import io.kitepath.settings.SettingsFile;
 import io.kitepath.wire.MessagePackCodec;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -34,8 +34,8 @@
             CommandLineEntry.Check.class,
             CommandLineEntry.Duties.class,
             StateCommand.class,
-            Local.class,
-            Rehearse.class
+            LocalCommand.class,
+            RehearseCommand.class
         })
 final class CommandLineEntry implements Callable<Integer> {
     @Option(
@@ -129,7 +129,7 @@
         @Override
         public Integer call() {
             try {
-                Settings s = Settings.read(config);
+                SettingsFile s = SettingsFile.read(config);
                 System.out.println(
                         config
                                 + ": ok, node "
@@ -204,7 +204,7 @@
         public Integer call() throws Exception {
             Object job;
             try {
-                job = Settings.document(Files.readAllBytes(file));
+                job = SettingsFile.document(Files.readAllBytes(file));
             } catch (java.io.IOException | InvalidInputException e) {
                 System.err.println("kitepath: " + file + ": " + e.getMessage());
                 return 2;
--- a/src/main/java/io/kitepath/cli/Local.java
+++ b/src/main/java/io/kitepath/cli/LocalCommand.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.settings.Settings;
+import io.kitepath.settings.SettingsFile;
 import io.kitepath.standin.LoopbackEmulator;
 import io.kitepath.standin.SimulatedCluster;
 import io.kitepath.wire.MessagePackCodec;
@@ -43,7 +43,7 @@
             "Runs nodes as processes of their own on loopback, with stand-ins of state service, cloud and workers, and a first job.",
             "With --drill it ends nodes with SIGKILL and freezes them with SIGSTOP while jobs come, and says passed or FAILED."
         })
-final class Local implements Callable<Integer> {
+final class LocalCommand implements Callable<Integer> {
     private static final double MOST_S = 60;
 
     @Option(names = "--nodes", description = "How many nodes; ${DEFAULT-VALUE}.")
@@ -121,7 +121,7 @@
             List<InetSocketAddress> services = outside.start();
             for (int i = 0; i < count; i++) {
                 Path file = dir.resolve("node-" + i + ".json");
-                Files.write(file, Settings.json(settings(i, internal, services, world)));
+                Files.write(file, SettingsFile.json(settings(i, internal, services, world)));
                 settings.put("node-" + i, file);
                 start("node-" + i);
             }
@@ -137,7 +137,7 @@
                     text(services.get(0)),
                     dir);
             Path job = dir.resolve("first-job.json");
-            Files.write(job, Settings.json(job("j-000001", 4)));
+            Files.write(job, SettingsFile.json(job("j-000001", 4)));
             System.out.println("a first job, and how to hand it in and look at it:");
             System.out.println("  kitepath submit --node " + text(listens.get(0)) + " " + job);
             System.out.println("  kitepath status --node " + text(listens.get(0)) + " j-000001");
--- a/src/main/java/io/kitepath/cli/Main.java
+++ b/src/main/java/io/kitepath/cli/Main.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.settings.CellsFile;
-import io.kitepath.settings.Settings;
+import io.kitepath.settings.SettingsFile;
 import java.nio.file.Path;
 
 /** The program's entry. */
@@ -54,7 +54,7 @@
      */
     static int serve(Path file, Path cells) {
         try {
-            Settings settings = Settings.read(file);
+            SettingsFile settings = SettingsFile.read(file);
             new Node(settings, cells == null ? null : CellsFile.read(cells, settings.facts()))
                     .start();
             return 0;
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -12,7 +12,7 @@
 import io.kitepath.peers.CellLinks;
 import io.kitepath.peers.Peers;
 import io.kitepath.settings.CellsFile;
-import io.kitepath.settings.Settings;
+import io.kitepath.settings.SettingsFile;
 import io.kitepath.store.HttpStore;
 import io.kitepath.users.UsersApi;
 import io.kitepath.wire.MessagePackCodec;
@@ -43,14 +43,14 @@
 
     private static final long HAND_OVER_MS = 200;
 
-    private final Settings settings;
+    private final SettingsFile settings;
 
     /** Null without other cells. */
     private final CellsFile cells;
 
-    private Metrics metrics;
+    private PrometheusMetrics metrics;
 
-    Node(Settings settings, CellsFile cells) {
+    Node(SettingsFile settings, CellsFile cells) {
         this.settings = settings;
         this.cells = cells;
     }
@@ -134,7 +134,7 @@
                         MessagePackCodec.bytes(controller.duties().stream().map(LeasedRoles.RoleHolder::shown).toList()));
             } else {
                 if (metrics == null) {
-                    metrics = new Metrics(controller);
+                    metrics = new PrometheusMetrics(controller);
                 }
                 out.reply(200, metrics.scrape());
             }
--- a/src/main/java/io/kitepath/cli/Metrics.java
+++ b/src/main/java/io/kitepath/cli/PrometheusMetrics.java
@@ -11,11 +11,11 @@
  * The node's figures in Prometheus' notation. Built when first asked for: the core counts in plain
  * fields, so a node that nobody scrapes does not pay for the library's start.
  */
-final class Metrics {
+final class PrometheusMetrics {
     private final PrometheusMeterRegistry registry =
             new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
-    Metrics(Controller controller) {
+    PrometheusMetrics(Controller controller) {
         controller
                 .figures()
                 .forEach(
--- a/src/main/java/io/kitepath/cli/Rehearse.java
+++ b/src/main/java/io/kitepath/cli/RehearseCommand.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
-import io.kitepath.settings.Settings;
+import io.kitepath.settings.SettingsFile;
 import io.kitepath.standin.Rehearsal;
 import io.kitepath.standin.Rehearsal.Fault;
 import io.kitepath.standin.Rehearsal.Plan;
@@ -33,7 +33,7 @@
             "Builtin plans: spill (the first cell is asked for five times as much), lost (its network, nodes and store are "
                     + "away for a minute each), seeds (random failures on a bad network)."
         })
-final class Rehearse implements Callable<Integer> {
+final class RehearseCommand implements Callable<Integer> {
     private static final double HALF = 0.5;
 
     @Parameters(paramLabel = "PLAN", description = "spill, lost, seeds, or a JSON file.")
@@ -136,7 +136,7 @@
             throw new InvalidInputException(f + ": can't be read, and is no builtin plan");
         }
         try {
-            DocumentReader t = DocumentReader.of(Settings.document(bytes));
+            DocumentReader t = DocumentReader.of(SettingsFile.document(bytes));
             List<Fault> faults = new ArrayList<>();
             int n = (int) t.integer("cells", 1, 100);
             for (DocumentReader x : t.children("faults")) {
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -30,7 +30,7 @@
 
     /** Complains with a {@link InvalidInputException} that names file, field and reason. */
     public static CellsFile read(Path file, ClusterSettings facts) {
-        byte[] bytes = Settings.bytes(file);
+        byte[] bytes = SettingsFile.bytes(file);
         try {
             return of(bytes, facts);
         } catch (InvalidInputException e) {
@@ -40,7 +40,7 @@
 
     /** Complains with a {@link InvalidInputException} that names field and reason. */
     static CellsFile of(byte[] json, ClusterSettings facts) {
-        DocumentReader t = DocumentReader.of(Settings.document(json));
+        DocumentReader t = DocumentReader.of(SettingsFile.document(json));
         long version = t.integer("version", 1, Long.MAX_VALUE);
         Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
         Map<String, Map<String, InetSocketAddress>> addresses = new HashMap<>();
@@ -66,7 +66,7 @@
                 if (!nodes.add(label)) {
                     throw n.complaint("label", "there are two nodes \"" + label + "\"");
                 }
-                at.put(label, Settings.address(n, "addr"));
+                at.put(label, SettingsFile.address(n, "addr"));
                 of.put(label, n.text("addr"));
             }
             if (of.isEmpty()) {
--- a/src/main/java/io/kitepath/settings/Settings.java
+++ b/src/main/java/io/kitepath/settings/SettingsFile.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 
 /** The settings file that the platform hands over, checked. */
-public record Settings(
+public record SettingsFile(
         ClusterSettings facts,
         InetSocketAddress listen,
         InetSocketAddress internal,
@@ -31,7 +31,7 @@
         InetSocketAddress state) {
 
     /** Complains with a {@link InvalidInputException} that names file, field and reason. */
-    public static Settings read(Path file) {
+    public static SettingsFile read(Path file) {
         byte[] bytes = bytes(file);
         try {
             return of(bytes);
@@ -51,11 +51,11 @@
     }
 
     /** Complains with a {@link InvalidInputException} that names field and reason. */
-    public static Settings of(byte[] json) {
+    public static SettingsFile of(byte[] json) {
         return of(DocumentReader.of(document(json)));
     }
 
-    private static Settings of(DocumentReader t) {
+    private static SettingsFile of(DocumentReader t) {
         String node = t.text("label");
         Map<String, InetSocketAddress> siblings = new LinkedHashMap<>();
         for (DocumentReader s : t.children("siblings")) {
@@ -111,7 +111,7 @@
                                 (int) l.integer("sockets", 16, Integer.MAX_VALUE)),
                         f.numberOr("clock_error_ms", 0, t.numberOr("clock_error_ms", 0, 0)));
         DocumentReader e = t.child("endpoints");
-        return new Settings(
+        return new SettingsFile(
                 facts,
                 address(t, "listen"),
                 address(t, "internal_addr"),
--- a/src/test/java/io/kitepath/settings/SettingsTest.java
+++ b/src/test/java/io/kitepath/settings/SettingsTest.java
@@ -26,10 +26,10 @@
 
     @TempDir Path dir;
 
-    private Settings read(String text) throws IOException {
+    private SettingsFile read(String text) throws IOException {
         Path f = dir.resolve("settings.json");
         Files.writeString(f, text);
-        return Settings.read(f);
+        return SettingsFile.read(f);
     }
 
     private String complaint(String text) {
@@ -38,7 +38,7 @@
 
     @Test
     void aGoodFileIsReadAndUnknownFieldsAreIgnored() throws IOException {
-        Settings s = read(GOOD);
+        SettingsFile s = read(GOOD);
         assertEquals("kite-0", s.facts().node());
         assertEquals(8, s.facts().teams().get("t").cpusMax());
         assertEquals(150, s.facts().finishWithinS("c", 1));
@@ -63,7 +63,7 @@
         assertTrue(complaint("{\"label\":").contains("not JSON"));
         assertTrue(complaint("").contains("is empty"));
         assertTrue(
-                assertThrows(InvalidInputException.class, () -> Settings.read(dir.resolve("none")))
+                assertThrows(InvalidInputException.class, () -> SettingsFile.read(dir.resolve("none")))
                         .getMessage()
                         .endsWith("none: no such file"));
     }
--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -11,7 +11,7 @@
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store;
-import io.kitepath.settings.Settings;
+import io.kitepath.settings.SettingsFile;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -31,7 +31,7 @@
              "expectS":240.0,"markEveryS":30.0,"markCostS":4.0,"dueS":900.0}""";
 
     private static Object json(String text) {
-        return Settings.document(text.getBytes(StandardCharsets.UTF_8));
+        return SettingsFile.document(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** As it would arrive. */
