--- a/src/main/java/io/kitepath/cli/ArchiveTraining.java
+++ b/src/main/java/io/kitepath/cli/ArchiveTraining.java
@@ -100,7 +100,13 @@
             statuses.add(
                     call(loop, client, "POST", "/checkin", report(tick, tick < first + 4 ? 1 : 2)));
         }
-        statuses.add(call(loop, client, "POST", "/submissions/j-1/withdraw", MessagePackCodec.bytes(Map.of())));
+        statuses.add(
+                call(
+                        loop,
+                        client,
+                        "POST",
+                        "/submissions/j-1/withdraw",
+                        MessagePackCodec.bytes(Map.of())));
         statuses.add(call(loop, client, "POST", "/submissions", new byte[] {1}));
         statuses.add(call(loop, client, "GET", "/metrics", null));
         statuses.add(call(loop, client, "GET", "/nowhere", null));
@@ -163,14 +169,21 @@
                     });
             out.reply(
                     200,
-                    MessagePackCodec.bytes(Map.of("entries", entries, "truncated", false, "epoch", revision)));
+                    MessagePackCodec.bytes(
+                            Map.of("entries", entries, "truncated", false, "epoch", revision)));
         } else if (path.startsWith("/keys/")) {
             Object v = keys.get(path.substring("/keys/".length()));
-            out.reply(v == null ? 404 : 200, MessagePackCodec.bytes(v == null ? Map.of("epoch", revision) : v));
+            out.reply(
+                    v == null ? 404 : 200,
+                    MessagePackCodec.bytes(v == null ? Map.of("epoch", revision) : v));
         } else if (path.equals("/follow")) {
             long now = revision;
             group.schedule(
-                    () -> out.reply(200, MessagePackCodec.bytes(Map.of("epoch", now, "events", List.of()))),
+                    () ->
+                            out.reply(
+                                    200,
+                                    MessagePackCodec.bytes(
+                                            Map.of("epoch", now, "events", List.of()))),
                     200,
                     TimeUnit.MILLISECONDS);
         } else if (path.equals("/machine_types")) {
--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -248,7 +248,8 @@
 
         @Override
         public Integer call() throws Exception {
-            return target.call("POST", "/submissions/" + job + "/withdraw", MessagePackCodec.bytes(Map.of()));
+            return target.call(
+                    "POST", "/submissions/" + job + "/withdraw", MessagePackCodec.bytes(Map.of()));
         }
     }
 }
--- a/src/main/java/io/kitepath/cli/LocalCommand.java
+++ b/src/main/java/io/kitepath/cli/LocalCommand.java
@@ -4,8 +4,8 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.settings.SettingsFile;
-import io.kitepath.standin.LoopbackEmulator;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.LoopbackEmulator;
+import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.wire.MessagePackCodec;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
@@ -195,7 +195,8 @@
             int tasks = 1 + random.nextInt(12);
             outside.run(
                     () -> {
-                        outside.world.specs.put(id, SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
+                        outside.world.specs.put(
+                                id, SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
                         outside.world.needs.put(id, List.of(needs));
                     });
             if (submit(id, tasks, needs)) {
@@ -344,7 +345,10 @@
     }
 
     private Map<String, Object> settings(
-            int i, List<InetSocketAddress> internal, List<InetSocketAddress> services, SimulatedCluster w) {
+            int i,
+            List<InetSocketAddress> internal,
+            List<InetSocketAddress> services,
+            SimulatedCluster w) {
         List<Object> siblings = new ArrayList<>();
         for (int j = 0; j < count; j++) {
             if (j != i) {
@@ -480,7 +484,8 @@
                                                                 n,
                                                                 "POST",
                                                                 "/submissions",
-                                                                MessagePackCodec.bytes(job(id, tasks, needs)),
+                                                                MessagePackCodec.bytes(
+                                                                        job(id, tasks, needs)),
                                                                 200,
                                                                 201)
                                                         != null));
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -2,8 +2,8 @@
 
 import io.kitepath.cloud.HttpCloud;
 import io.kitepath.core.Controller;
-import io.kitepath.core.duty.LeasedRoles;
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.role.LeasedRoles;
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.HttpServer;
 import io.kitepath.net.HttpServer.Request;
@@ -131,7 +131,10 @@
             } else if (path.equals("/duties")) {
                 out.reply(
                         200,
-                        MessagePackCodec.bytes(controller.duties().stream().map(LeasedRoles.RoleHolder::shown).toList()));
+                        MessagePackCodec.bytes(
+                                controller.duties().stream()
+                                        .map(LeasedRoles.RoleHolder::shown)
+                                        .toList()));
             } else {
                 if (metrics == null) {
                     metrics = new PrometheusMetrics(controller);
--- a/src/main/java/io/kitepath/cli/RehearseCommand.java
+++ b/src/main/java/io/kitepath/cli/RehearseCommand.java
@@ -1,13 +1,13 @@
 package io.kitepath.cli;
 
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.settings.SettingsFile;
-import io.kitepath.standin.Rehearsal;
-import io.kitepath.standin.Rehearsal.Fault;
-import io.kitepath.standin.Rehearsal.Plan;
-import io.kitepath.standin.Rehearsal.Result;
-import io.kitepath.standin.Rehearsal.Way;
+import io.kitepath.simulation.Rehearsal;
+import io.kitepath.simulation.Rehearsal.Fault;
+import io.kitepath.simulation.Rehearsal.Plan;
+import io.kitepath.simulation.Rehearsal.Result;
+import io.kitepath.simulation.Rehearsal.Way;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/main/java/io/kitepath/cli/StateCommand.java
+++ b/src/main/java/io/kitepath/cli/StateCommand.java
@@ -1,6 +1,6 @@
 package io.kitepath.cli;
 
-import io.kitepath.core.duty.OrphanScan;
+import io.kitepath.core.role.OrphanScan;
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.LoopTimers;
 import io.kitepath.store.HttpStore;
--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -1,8 +1,8 @@
 package io.kitepath.cloud;
 
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.net.HttpClient;
@@ -50,7 +50,8 @@
                 null,
                 timeoutMs,
                 (status, body) -> {
-                    List<MachineType> types = status == 200 ? read(body, ProtocolCodec::types) : null;
+                    List<MachineType> types =
+                            status == 200 ? read(body, ProtocolCodec::types) : null;
                     answer.accept(
                             types != null ? Outcome.OK : failed(status),
                             types == null ? List.of() : types);
@@ -80,7 +81,8 @@
     }
 
     private static boolean outage(byte[] body) {
-        String why = read(body, b -> io.kitepath.core.model.DocumentReader.of(b).textOr("error", ""));
+        String why =
+                read(body, b -> io.kitepath.core.model.DocumentReader.of(b).textOr("error", ""));
         return why == null || !why.equals("no capacity");
     }
 
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -1,43 +1,43 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.HeartbeatProcessor;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.cell.CellService;
-import io.kitepath.core.duty.CloudIntentExecutor;
-import io.kitepath.core.duty.LeasedRoles;
-import io.kitepath.core.duty.CloudIntents;
-import io.kitepath.core.duty.GarbageCollector;
-import io.kitepath.core.fleet.ScalingPlanner;
-import io.kitepath.core.fleet.CloudReconciler;
-import io.kitepath.core.lead.Incarnation;
-import io.kitepath.core.lead.CancellationWatermark;
-import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.lead.MembershipView;
+import io.kitepath.core.leadership.CancellationWatermark;
+import io.kitepath.core.leadership.Incarnation;
+import io.kitepath.core.leadership.Leadership;
+import io.kitepath.core.leadership.MembershipView;
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.Metric;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobStatus;
-import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
-import io.kitepath.core.place.Scheduler;
-import io.kitepath.core.port.RemoteCells;
+import io.kitepath.core.model.MachineType;
+import io.kitepath.core.model.Metric;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.core.port.PeerNodes;
+import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.HeartbeatService;
-import io.kitepath.core.serve.JobApi;
-import io.kitepath.core.serve.JobSubmissionService;
-import io.kitepath.core.serve.RetryAfter;
+import io.kitepath.core.role.CloudIntentExecutor;
+import io.kitepath.core.role.CloudIntents;
+import io.kitepath.core.role.GarbageCollector;
+import io.kitepath.core.role.LeasedRoles;
+import io.kitepath.core.scaling.CloudReconciler;
+import io.kitepath.core.scaling.ScalingPlanner;
+import io.kitepath.core.scheduling.Scheduler;
+import io.kitepath.core.service.HeartbeatService;
+import io.kitepath.core.service.JobApi;
+import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.RetryAfter;
+import io.kitepath.core.shard.HeartbeatProcessor;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.CancellationProof;
 import io.kitepath.core.state.ImageRecords;
 import io.kitepath.core.state.StateWriter;
@@ -166,7 +166,8 @@
                         timers,
                         leadership::leading,
                         this::soon);
-        this.carrier = new CloudIntentExecutor(facts, store, cloud, timers, random, leadership.lifeS());
+        this.carrier =
+                new CloudIntentExecutor(facts, store, cloud, timers, random, leadership.lifeS());
         this.sweep = new GarbageCollector(facts, store, timers);
         this.duties =
                 new LeasedRoles(
@@ -198,7 +199,8 @@
                         spent,
                         this::soon);
         this.stops =
-                new DirectCancellations(block, heartbeats, desk, leadership, direct, timers, this::soon);
+                new DirectCancellations(
+                        block, heartbeats, desk, leadership, direct, timers, this::soon);
         this.retries = new RetryAfter(facts, timers);
         registry.onCancelled(
                 job -> {
@@ -413,7 +415,8 @@
         public void outOfStep(String why) {
             LOG.warn("reloading: {}", why);
             if (leadership.leading()) {
-                keeper.start(StoreKeys.BLOCKS + "all", keeper.blockRevision(), Controller.this::soon);
+                keeper.start(
+                        StoreKeys.BLOCKS + "all", keeper.blockRevision(), Controller.this::soon);
             }
         }
     }
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -1,11 +1,11 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.HeartbeatProcessor;
-import io.kitepath.core.lead.Leadership;
+import io.kitepath.core.leadership.Leadership;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.HeartbeatService;
+import io.kitepath.core.service.HeartbeatService;
+import io.kitepath.core.shard.HeartbeatProcessor;
+import io.kitepath.core.shard.ShardState;
 
 /**
  * Stops that go straight to machines, as these ask only once in a report interval; so many at once.
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Machine;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -1,17 +1,17 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.lead.CancellationLog;
-import io.kitepath.core.lead.CancellationWatermark;
-import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.lead.MembershipView;
+import io.kitepath.core.leadership.CancellationLog;
+import io.kitepath.core.leadership.CancellationWatermark;
+import io.kitepath.core.leadership.Leadership;
+import io.kitepath.core.leadership.MembershipView;
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.JobProgress;
+import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.JobStatusQueries;
+import io.kitepath.core.service.JobStatusQueries;
+import io.kitepath.core.shard.ShardState;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -1,17 +1,17 @@
 package io.kitepath.core;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.HeartbeatProcessor;
-import io.kitepath.core.block.Job;
-import io.kitepath.core.block.Machine;
-import io.kitepath.core.block.ServiceLevels;
-import io.kitepath.core.lead.CancellationWatermark;
-import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.lead.MembershipView;
+import io.kitepath.core.leadership.CancellationWatermark;
+import io.kitepath.core.leadership.Leadership;
+import io.kitepath.core.leadership.MembershipView;
 import io.kitepath.core.model.Metric;
-import io.kitepath.core.place.Scheduler;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.HeartbeatService;
+import io.kitepath.core.scheduling.Scheduler;
+import io.kitepath.core.service.HeartbeatService;
+import io.kitepath.core.shard.HeartbeatProcessor;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ServiceLevels;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StateWriter;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -1,12 +1,12 @@
 package io.kitepath.core;
 
-import io.kitepath.core.duty.CloudIntentExecutor;
-import io.kitepath.core.duty.LeasedRoles;
-import io.kitepath.core.duty.CloudIntents;
-import io.kitepath.core.duty.GarbageCollector;
-import io.kitepath.core.model.Metric;
 import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
+import io.kitepath.core.model.Metric;
+import io.kitepath.core.role.CloudIntentExecutor;
+import io.kitepath.core.role.CloudIntents;
+import io.kitepath.core.role.GarbageCollector;
+import io.kitepath.core.role.LeasedRoles;
 import java.util.Locale;
 import java.util.Map;
 
--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -1,22 +1,22 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.LoanOffer;
 import io.kitepath.core.model.CellMessage.LoanRecall;
 import io.kitepath.core.model.CellMessage.LoanSettled;
 import io.kitepath.core.model.CellMessage.LoanState;
 import io.kitepath.core.model.CellMessage.LoanStatus;
-import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
+import io.kitepath.core.state.StateLoader;
 import io.kitepath.core.state.StateWriter;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.core.state.StateLoader;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.BitSet;
@@ -168,7 +168,8 @@
         answering.clear();
         for (Entry x : found.voids()) {
             numbers.put(
-                    x.key().substring(StoreKeys.VOID.length()), SequenceNumbers.read(x.value(), x.revision()));
+                    x.key().substring(StoreKeys.VOID.length()),
+                    SequenceNumbers.read(x.value(), x.revision()));
         }
         for (Entry x : found.guests()) {
             try {
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -1,33 +1,33 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.cell.CellMembership.RemoteCell;
-import io.kitepath.core.model.TokenBucket;
+import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.CellMessage.Redirect;
-import io.kitepath.core.model.CellMessage.QuotaGrant;
 import io.kitepath.core.model.CellMessage.LoanOffer;
 import io.kitepath.core.model.CellMessage.LoanRecall;
+import io.kitepath.core.model.CellMessage.LoanStatus;
+import io.kitepath.core.model.CellMessage.QuotaGrant;
+import io.kitepath.core.model.CellMessage.Redirect;
 import io.kitepath.core.model.CellMessage.Summary;
-import io.kitepath.core.model.CellMessage.UserResponse;
 import io.kitepath.core.model.CellMessage.UserRequest;
-import io.kitepath.core.model.CellMessage.LoanStatus;
-import io.kitepath.core.model.CellDirectory;
-import io.kitepath.core.model.Metric;
+import io.kitepath.core.model.CellMessage.UserResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.ProbePlacement;
+import io.kitepath.core.model.Metric;
+import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.serve.JobApi;
-import io.kitepath.core.serve.JobSubmissionService;
-import io.kitepath.core.state.StateWriter;
+import io.kitepath.core.scheduling.ProbePlacement;
+import io.kitepath.core.service.JobApi;
+import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StateLoader;
+import io.kitepath.core.state.StateWriter;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -114,8 +114,10 @@
                         this::askHolder,
                         random,
                         node::cancelled);
-        this.guests = new BorrowedTasks(directory.own(), block, riding, timers, this::askHolder, random);
-        this.shares = new QuotaShares(directory.own(), block, riding, timers, this::askHolder, random);
+        this.guests =
+                new BorrowedTasks(directory.own(), block, riding, timers, this::askHolder, random);
+        this.shares =
+                new QuotaShares(directory.own(), block, riding, timers, this::askHolder, random);
         block.teamUse().limits(shares);
         drain(directory.here().drained());
         this.homes = new HomeAssignment(directory, store, timers);
--- a/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -1,15 +1,15 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.model.CellMessage.UserResponse;
-import io.kitepath.core.model.CellMessage.UserRequest;
-import io.kitepath.core.model.CellMessage.RequestKind;
 import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.CellMessage.RequestKind;
+import io.kitepath.core.model.CellMessage.UserRequest;
+import io.kitepath.core.model.CellMessage.UserResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.port.RemoteCells;
-import io.kitepath.core.serve.JobApi;
-import io.kitepath.core.serve.JobSubmissionService;
-import io.kitepath.core.serve.JobSubmissionService.Answer;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobApi;
+import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -27,7 +27,11 @@
     /** Whether this cell goes by the same homes as this node. */
     private final BooleanSupplier agreed;
 
-    HomeCellJobs(CellDirectory directory, JobSubmissionService here, RemoteCells cells, BooleanSupplier agreed) {
+    HomeCellJobs(
+            CellDirectory directory,
+            JobSubmissionService here,
+            RemoteCells cells,
+            BooleanSupplier agreed) {
         this.directory = directory;
         this.here = here;
         this.cells = cells;
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -1,8 +1,5 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
-import io.kitepath.core.block.TaskLoan;
 import io.kitepath.core.cell.CellMembership.RemoteCell;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.LoanOffer;
@@ -10,14 +7,17 @@
 import io.kitepath.core.model.CellMessage.LoanSettled;
 import io.kitepath.core.model.CellMessage.LoanState;
 import io.kitepath.core.model.CellMessage.LoanStatus;
-import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
+import io.kitepath.core.shard.TaskLoan;
+import io.kitepath.core.state.StateLoader;
 import io.kitepath.core.state.StateWriter;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.core.state.StateLoader;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -177,7 +177,9 @@
     /** Writes the loan down; it is offered once that is in the store. */
     void lend(WorkOffloading.Plan p) {
         Job job = p.job();
-        if (job.lentBusy() || out(p.to()) >= SequenceNumbers.MOST / 2 || sequence + 2 >= 1L << BITS) {
+        if (job.lentBusy()
+                || out(p.to()) >= SequenceNumbers.MOST / 2
+                || sequence + 2 >= 1L << BITS) {
             return;
         }
         TaskLoan loan =
@@ -225,7 +227,8 @@
                     @Override
                     public void board(Store.Transaction t) {
                         left = job.loans().stream().filter(l -> !l.closed).toList();
-                        t.when(job.key, job.revision()).when(StoreKeys.LENT + id, job.lentRevision());
+                        t.when(job.key, job.revision())
+                                .when(StoreKeys.LENT + id, job.lentRevision());
                         if (left.isEmpty()) {
                             t.remove(StoreKeys.LENT + id);
                         } else {
@@ -273,7 +276,9 @@
         double mostS = block.facts().workers().leaseS();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
         double dueS =
-                l.taken && !job.leaving() ? 2 * mostS : RetryBackoff.againS(l.unanswered, 1, mostS, random);
+                l.taken && !job.leaving()
+                        ? 2 * mostS
+                        : RetryBackoff.againS(l.unanswered, 1, mostS, random);
         if (l.asking || now - l.askedAt < dueS && !(job.leaving() && l.unanswered == 0)) {
             return;
         }
@@ -309,8 +314,8 @@
     }
 
     /**
-     * The other cell's word on a loan. {@code answer}: gets {@link LoanSettled} once what follows from
-     * it is written.
+     * The other cell's word on a loan. {@code answer}: gets {@link LoanSettled} once what follows
+     * from it is written.
      */
     void said(LoanStatus w, Consumer<CellMessage> answer) {
         for (Job job : block.jobs().values()) {
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -1,12 +1,12 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.CellMessage.FreeCapacity;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/io/kitepath/core/cell/QuotaDivision.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaDivision.java
@@ -64,7 +64,8 @@
         upToFair.forEach((cell, n) -> wanted.merge(cell, -Math.max(0, n), Long::sum));
         free = alike(free, wanted, out);
         // What nobody wants stays with those that have it.
-        for (QuotaClaim c : claims.stream().sorted(Comparator.comparing(QuotaClaim::cell)).toList()) {
+        for (QuotaClaim c :
+                claims.stream().sorted(Comparator.comparing(QuotaClaim::cell)).toList()) {
             long over = Math.min(free, Math.max(0, c.holds - out.get(c.cell)));
             out.merge(c.cell, over, Long::sum);
             free -= over;
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -1,9 +1,6 @@
 package io.kitepath.core.cell;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
-import io.kitepath.core.block.QuotaUsage;
 import io.kitepath.core.cell.QuotaDivision.QuotaClaim;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.QuotaGrant;
@@ -11,15 +8,18 @@
 import io.kitepath.core.model.CellMessage.QuotaShare;
 import io.kitepath.core.model.CellMessage.Summary;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.QuotaUsage;
+import io.kitepath.core.shard.ShardState;
+import io.kitepath.core.state.StateLoader;
 import io.kitepath.core.state.StateWriter;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.core.state.StateLoader;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
@@ -175,7 +175,9 @@
         for (Entry x : found.voids()) {
             String of = x.key().substring(StoreKeys.VOID.length());
             if (of.startsWith("share/")) {
-                numbers.put(of.substring("share/".length()), SequenceNumbers.read(x.value(), x.revision()));
+                numbers.put(
+                        of.substring("share/".length()),
+                        SequenceNumbers.read(x.value(), x.revision()));
             }
         }
         for (Entry x : found.shares()) {
@@ -270,7 +272,9 @@
             }
         }
         List<QuotaShare> out = new ArrayList<>(rows.values());
-        out.sort(Comparator.comparingLong((QuotaShare s) -> -s.wants()).thenComparing(QuotaShare::team));
+        out.sort(
+                Comparator.comparingLong((QuotaShare s) -> -s.wants())
+                        .thenComparing(QuotaShare::team));
         told = out.size() > MOST_TOLD ? new ArrayList<>(out.subList(0, MOST_TOLD)) : out;
         return told;
     }
@@ -384,7 +388,9 @@
             return;
         }
         long amount = Math.min(over, useful(to, targets) - to.holds());
-        OutgoingGrant o = new OutgoingGrant((block.token() << BITS) + ++sequence, to.cell(), x.kind(), amount);
+        OutgoingGrant o =
+                new OutgoingGrant(
+                        (block.token() << BITS) + ++sequence, to.cell(), x.kind(), amount);
         h.moved[x.kind()] -= amount;
         h.out.add(o);
         given++;
@@ -435,7 +441,9 @@
                         if (giver != null) {
                             SequenceNumbers n = numbers(giver);
                             t.when(StoreKeys.VOID + "share/" + giver, n.revision());
-                            t.writes().removeIf(w -> w.key().equals(StoreKeys.VOID + "share/" + giver));
+                            t.writes()
+                                    .removeIf(
+                                            w -> w.key().equals(StoreKeys.VOID + "share/" + giver));
                             t.put(StoreKeys.VOID + "share/" + giver, n.record());
                         }
                     }
@@ -482,7 +490,8 @@
     private void tell(HeldShare h, OutgoingGrant o, double now) {
         if (o.asking
                 || now - o.askedAt
-                        < RetryBackoff.againS(o.unanswered, 1, block.facts().workers().leaseS(), random)) {
+                        < RetryBackoff.againS(
+                                o.unanswered, 1, block.facts().workers().leaseS(), random)) {
             return;
         }
         o.asking = true;
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -1,12 +1,12 @@
 package io.kitepath.core.cell;
 
-import io.kitepath.core.block.Job;
 import io.kitepath.core.cell.CellMembership.RemoteCell;
 import io.kitepath.core.model.CellMessage.FreeCapacity;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.ProbePlacement;
+import io.kitepath.core.scheduling.ProbePlacement;
+import io.kitepath.core.shard.Job;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -18,8 +18,8 @@
 
 /**
  * Which waiting work goes to which other cell: the paper's Threshold one floor up. Work that would
- * miss what is expected of it at home probes up to {@link ProbePlacement#PROBES} random cells that say
- * they can take it, and goes once to the first with fewer than {@link ProbePlacement#THRESHOLD}
+ * miss what is expected of it at home probes up to {@link ProbePlacement#PROBES} random cells that
+ * say they can take it, and goes once to the first with fewer than {@link ProbePlacement#THRESHOLD}
  * hand-overs unconfirmed for each of its zones; after misses the summaries are scanned for the
  * roomiest; failing that it stays. A function of what it is given and of the random numbers:
  * nothing is asked and nothing written here.
--- a/src/main/java/io/kitepath/core/lead/Incarnation.java
+++ b/src/main/java/io/kitepath/core/leadership/Incarnation.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.lead;
+package io.kitepath.core.leadership;
 
 import java.util.Random;
 
--- a/src/main/java/io/kitepath/core/lead/package-info.java
+++ b/src/main/java/io/kitepath/core/leadership/package-info.java
@@ -3,4 +3,4 @@
  * nothing of jobs or machines. It promises that no two nodes ever hold the same token, and takes
  * silence for a reason to look, never for a proof.
  */
-package io.kitepath.core.lead;
+package io.kitepath.core.leadership;
--- a/src/main/java/io/kitepath/core/model/DocumentReader.java
+++ b/src/main/java/io/kitepath/core/model/DocumentReader.java
@@ -55,7 +55,8 @@
         }
         double d = ((Number) v).doubleValue();
         if (!Double.isFinite(d) || d < least) {
-            throw new InvalidInputException(at + name + ": must be a finite number of at least " + least);
+            throw new InvalidInputException(
+                    at + name + ": must be a finite number of at least " + least);
         }
         return d;
     }
@@ -111,7 +112,8 @@
         for (Object o : list(name)) {
             String where = at + name + "[" + i++ + "].";
             if (!(o instanceof Map<?, ?> m)) {
-                throw new InvalidInputException(where.substring(0, where.length() - 1) + ": must be a map");
+                throw new InvalidInputException(
+                        where.substring(0, where.length() - 1) + ": must be a map");
             }
             out.add(new DocumentReader(m, where));
         }
@@ -135,6 +137,7 @@
     }
 
     private InvalidInputException wrong(String name, String kind) {
-        return new InvalidInputException(at + name + (has(name) ? ": must be " + kind : ": is missing"));
+        return new InvalidInputException(
+                at + name + (has(name) ? ": must be " + kind : ": is missing"));
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -18,7 +18,8 @@
  *
  * @param submittedMs by the time of day of the node that accepted it
  * @param needs jobs that have to be done before any task of this one starts
- * @param partTasks how many tasks one of its parts holds; 0: as {@link ClusterSettings#tasksPerPart} says
+ * @param partTasks how many tasks one of its parts holds; 0: as {@link
+ *     ClusterSettings#tasksPerPart} says
  * @param next the number of its next attempt, at least; 0 if its parts say all
  */
 public record JobRecord(
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -112,7 +112,8 @@
      *
      * @param elsewhere zones of other cells, where all types may be had
      */
-    public String impossible(Map<String, MachineType> known, ClusterSettings facts, Set<String> elsewhere) {
+    public String impossible(
+            Map<String, MachineType> known, ClusterSettings facts, Set<String> elsewhere) {
         ClusterSettings.Team t = facts.teams().get(team);
         if (t == null) {
             return "unknown team " + team;
--- a/src/main/java/io/kitepath/core/port/DirectCommands.java
+++ b/src/main/java/io/kitepath/core/port/DirectCommands.java
@@ -1,7 +1,7 @@
 package io.kitepath.core.port;
 
-import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.WorkerCommand;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -16,5 +16,9 @@
      * executed.
      */
     void send(
-            String address, long token, long session, List<WorkerCommand> orders, Consumer<Heartbeat> answer);
+            String address,
+            long token,
+            long session,
+            List<WorkerCommand> orders,
+            Consumer<Heartbeat> answer);
 }
--- a/src/main/java/io/kitepath/core/port/PeerNodes.java
+++ b/src/main/java/io/kitepath/core/port/PeerNodes.java
@@ -1,10 +1,10 @@
 package io.kitepath.core.port;
 
 import io.kitepath.core.model.CancellationDigest;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.JobStatus;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -32,5 +32,6 @@
      * Has a sibling answer a check-in, or pass it on to the leader if it may; false if it can't be
      * asked now.
      */
-    boolean relay(String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer);
+    boolean relay(
+            String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer);
 }
--- a/src/main/java/io/kitepath/core/duty/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -1,16 +1,16 @@
-package io.kitepath.core.duty;
+package io.kitepath.core.role;
 
-import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.StoreKeys;
 import io.kitepath.core.state.PagedScan;
+import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -58,7 +58,12 @@
 
     /** {@code lifeS}: of the duty's lease. */
     public CloudIntentExecutor(
-            ClusterSettings facts, Store store, Cloud cloud, Timers timers, Random random, double lifeS) {
+            ClusterSettings facts,
+            Store store,
+            Cloud cloud,
+            Timers timers,
+            Random random,
+            double lifeS) {
         this.store = store;
         this.cloud = cloud;
         this.timers = timers;
--- a/src/main/java/io/kitepath/core/duty/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -1,13 +1,13 @@
-package io.kitepath.core.duty;
+package io.kitepath.core.role;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StateWriter;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -23,9 +23,9 @@
 /**
  * What the block's holder wants of the cloud. The cloud knows no tokens: a request of a node that
  * was replaced may run minutes after its successor acted. So every wish is on record first, under
- * the block's revision; whoever has the duty ({@link CloudIntentExecutor}) asks for what is on record and puts
- * down what came of it; and the holder, this one or the next, strikes it off when it need not be
- * known any more:
+ * the block's revision; whoever has the duty ({@link CloudIntentExecutor}) asks for what is on
+ * record and puts down what came of it; and the holder, this one or the next, strikes it off when
+ * it need not be known any more:
  *
  * <ul>
  *   <li>a rental whose outcome is not known is asked for again under the very same name, for which
@@ -62,7 +62,8 @@
     private long takenOver;
 
     /** {@code ride} has something written along with what the holder writes. */
-    public CloudIntents(ShardState block, Timers timers, Consumer<StateWriter.BatchContributor> ride) {
+    public CloudIntents(
+            ShardState block, Timers timers, Consumer<StateWriter.BatchContributor> ride) {
         this.block = block;
         this.facts = block.facts();
         this.timers = timers;
--- a/src/main/java/io/kitepath/core/duty/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.duty;
+package io.kitepath.core.role;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Store;
--- a/src/main/java/io/kitepath/core/duty/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -1,16 +1,16 @@
-package io.kitepath.core.duty;
+package io.kitepath.core.role;
 
-import io.kitepath.core.lead.Incarnation;
+import io.kitepath.core.leadership.Incarnation;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.state.StoreKeys;
 import io.kitepath.core.state.PagedScan;
+import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -391,7 +391,8 @@
                             Math.max(
                                             s.token,
                                             got == Outcome.OK
-                                                    ? DocumentReader.of(entry.value()).count("token")
+                                                    ? DocumentReader.of(entry.value())
+                                                            .count("token")
                                                     : 0)
                                     + 1;
                     Map<String, Object> key = new LinkedHashMap<>();
--- a/src/main/java/io/kitepath/core/duty/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -1,7 +1,7 @@
-package io.kitepath.core.duty;
+package io.kitepath.core.role;
 
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Condition;
 import io.kitepath.core.port.Store.Entry;
@@ -154,7 +154,9 @@
     private void orphan(String id, Entry e) {
         boolean idle;
         try {
-            idle = DocumentReader.of(e.value()).raw("live") instanceof Map<?, ?> live && live.isEmpty();
+            idle =
+                    DocumentReader.of(e.value()).raw("live") instanceof Map<?, ?> live
+                            && live.isEmpty();
         } catch (InvalidInputException bad) {
             idle = false;
         }
--- a/src/main/java/io/kitepath/core/duty/ReleaseIntent.java
+++ b/src/main/java/io/kitepath/core/role/ReleaseIntent.java
@@ -1,7 +1,7 @@
-package io.kitepath.core.duty;
+package io.kitepath.core.role;
 
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.state.StoreKeys;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/kitepath/core/duty/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -1,7 +1,7 @@
-package io.kitepath.core.duty;
+package io.kitepath.core.role;
 
-import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
@@ -31,7 +31,9 @@
         this.askedMs = askedMs;
     }
 
-    /** Reads a record; throws {@link io.kitepath.core.model.InvalidInputException} if it is none. */
+    /**
+     * Reads a record; throws {@link io.kitepath.core.model.InvalidInputException} if it is none.
+     */
     static RentalIntent read(Entry e) {
         DocumentReader t = DocumentReader.of(e.value());
         RentalIntent r =
--- a/src/main/java/io/kitepath/core/duty/package-info.java
+++ b/src/main/java/io/kitepath/core/role/package-info.java
@@ -6,4 +6,4 @@
  * machine that was put down as going takes no work from anybody any more, and that nothing is begun
  * by a node that can't prove by its own clock that the duty is its own.
  */
-package io.kitepath.core.duty;
+package io.kitepath.core.role;
--- a/src/main/java/io/kitepath/core/fleet/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -1,16 +1,16 @@
-package io.kitepath.core.fleet;
+package io.kitepath.core.scaling;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.duty.CloudIntents;
-import io.kitepath.core.duty.RentalIntent;
-import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.MachineType;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.MachineType;
+import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.role.CloudIntents;
+import io.kitepath.core.role.RentalIntent;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,9 +21,9 @@
 
 /**
  * What is asked of the cloud: machine types by every node; the list by the one that holds the
- * machines, which also puts down what is to be rented and given back ({@link CloudIntents}), at the pace
- * at which the cloud can be asked for it. Only the cloud's word that a machine was released proves
- * it gone.
+ * machines, which also puts down what is to be rented and given back ({@link CloudIntents}), at the
+ * pace at which the cloud can be asked for it. Only the cloud's word that a machine was released
+ * proves it gone.
  */
 public final class CloudReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
@@ -104,7 +104,8 @@
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         List<MachineType> known = new ArrayList<>();
-                        for (DocumentReader t : DocumentReader.of(entry.value()).children("types")) {
+                        for (DocumentReader t :
+                                DocumentReader.of(entry.value()).children("types")) {
                             known.add(MachineType.fromRecord(t));
                         }
                         if (block.types().isEmpty()) {
--- a/src/main/java/io/kitepath/core/fleet/FreeCapacity.java
+++ b/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
@@ -1,10 +1,10 @@
-package io.kitepath.core.fleet;
+package io.kitepath.core.scaling;
 
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.ProbePlacement;
+import io.kitepath.core.scheduling.ProbePlacement;
+import io.kitepath.core.shard.Machine;
 
 /** The room that a machine has, or will have once it is up. */
 final class FreeCapacity {
--- a/src/main/java/io/kitepath/core/fleet/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -1,12 +1,12 @@
-package io.kitepath.core.fleet;
+package io.kitepath.core.scaling;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.ProbePlacement;
+import io.kitepath.core.scheduling.ProbePlacement;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Predicate;
--- a/src/main/java/io/kitepath/core/fleet/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -1,8 +1,8 @@
-package io.kitepath.core.fleet;
+package io.kitepath.core.scaling;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 
 /** Which machines are there, or on their way in good time, as far as the holder can tell by now. */
 final class MachineLiveness {
--- a/src/main/java/io/kitepath/core/fleet/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -1,11 +1,11 @@
-package io.kitepath.core.fleet;
+package io.kitepath.core.scaling;
 
-import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/io/kitepath/core/fleet/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -1,15 +1,15 @@
-package io.kitepath.core.fleet;
+package io.kitepath.core.scaling;
 
-import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.place.Scheduler;
-import io.kitepath.core.place.ZoneConstraints;
+import io.kitepath.core.scheduling.Scheduler;
+import io.kitepath.core.scheduling.ZoneConstraints;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -213,7 +213,9 @@
     }
 
     private double guaranteedCpus() {
-        return idle() ? 0 : facts.teams().values().stream().mapToDouble(ClusterSettings.Team::cpus).sum();
+        return idle()
+                ? 0
+                : facts.teams().values().stream().mapToDouble(ClusterSettings.Team::cpus).sum();
     }
 
     /**
@@ -235,7 +237,11 @@
     }
 
     private void want(
-            Job job, List<FreeCapacity> rooms, Map<MachineKind, Integer> rent, double now, double wallMs) {
+            Job job,
+            List<FreeCapacity> rooms,
+            Map<MachineKind, Integer> rent,
+            double now,
+            double wallMs) {
         if (block.failures().mistaken(job, now)) {
             return; // It is tried in what is free anyway.
         }
@@ -317,7 +323,8 @@
      * is there or coming. A gang needs a zone that holds all of it, or where what it lacks may be
      * had.
      */
-    private void decide(ZoneConstraints zones, JobSpec s, int tasks, List<FreeCapacity> rooms, double now) {
+    private void decide(
+            ZoneConstraints zones, JobSpec s, int tasks, List<FreeCapacity> rooms, double now) {
         if (!s.oneZone() || zones.decided()) {
             return;
         }
--- a/src/main/java/io/kitepath/core/fleet/package-info.java
+++ b/src/main/java/io/kitepath/core/scaling/package-info.java
@@ -4,4 +4,4 @@
  * promises never to call a machine gone before the cloud has confirmed its release, and never to
  * use a rental's name for two things.
  */
-package io.kitepath.core.fleet;
+package io.kitepath.core.scaling;
--- a/src/main/java/io/kitepath/core/place/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -1,12 +1,12 @@
-package io.kitepath.core.place;
+package io.kitepath.core.scheduling;
 
-import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
--- a/src/main/java/io/kitepath/core/place/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -1,9 +1,9 @@
-package io.kitepath.core.place;
+package io.kitepath.core.scheduling;
 
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
+import io.kitepath.core.shard.Machine;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/io/kitepath/core/place/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -1,8 +1,8 @@
-package io.kitepath.core.place;
+package io.kitepath.core.scheduling;
 
-import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
--- a/src/main/java/io/kitepath/core/place/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -1,10 +1,10 @@
-package io.kitepath.core.place;
+package io.kitepath.core.scheduling;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
-import io.kitepath.core.block.RecentArrivals;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.RecentArrivals;
+import io.kitepath.core.shard.ShardState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/src/main/java/io/kitepath/core/serve/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -1,12 +1,12 @@
-package io.kitepath.core.serve;
+package io.kitepath.core.service;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
@@ -172,7 +172,9 @@
                     Set<String> there = new HashSet<>(c.failed());
                     List<String> missing = new ArrayList<>(some);
                     missing.removeIf(
-                            id -> there.contains(StoreKeys.OPEN + id) || there.contains(StoreKeys.OVER + id));
+                            id ->
+                                    there.contains(StoreKeys.OPEN + id)
+                                            || there.contains(StoreKeys.OVER + id));
                     Runnable rest =
                             () -> {
                                 if (some.size() == ids.size()) {
--- a/src/main/java/io/kitepath/core/serve/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -1,10 +1,10 @@
-package io.kitepath.core.serve;
+package io.kitepath.core.service;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.lead.CancellationWatermark;
-import io.kitepath.core.lead.Leadership;
+import io.kitepath.core.leadership.CancellationWatermark;
+import io.kitepath.core.leadership.Leadership;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.shard.ShardState;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -12,8 +12,8 @@
  * Whether this node may answer workers with its token, and so keep their tasks alive.
  *
  * <p>An answer sent at time a keeps tasks until a + {@code lease_s} at most. Every cancellation
- * confirmed before k = {@link CancellationWatermark} is known, and each answer says what to stop for
- * it. One that is not known was confirmed after k, so that its tasks are gone {@code a - k +
+ * confirmed before k = {@link CancellationWatermark} is known, and each answer says what to stop
+ * for it. One that is not known was confirmed after k, so that its tasks are gone {@code a - k +
  * lease_s} after it at the latest: that has to stay under {@code cancel_s}.
  */
 final class HeartbeatAuthority {
--- a/src/main/java/io/kitepath/core/serve/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -1,18 +1,18 @@
-package io.kitepath.core.serve;
+package io.kitepath.core.service;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.HeartbeatProcessor;
-import io.kitepath.core.lead.CancellationWatermark;
-import io.kitepath.core.lead.Leadership;
-import io.kitepath.core.lead.MembershipView;
+import io.kitepath.core.leadership.CancellationWatermark;
+import io.kitepath.core.leadership.Leadership;
+import io.kitepath.core.leadership.MembershipView;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
+import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.HeartbeatProcessor;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StateWriter;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -64,7 +64,8 @@
             Heartbeat report, String asked, long token, Consumer<HeartbeatResponse> answer) {}
 
     /** A check-in whose answer waits a moment, so that work placed meanwhile starts at once. */
-    private record Held(Consumer<HeartbeatResponse> answer, List<WorkerCommand> orders, long token) {}
+    private record Held(
+            Consumer<HeartbeatResponse> answer, List<WorkerCommand> orders, long token) {}
 
     /** {@code changed} runs when a report may let work be placed. */
     public HeartbeatService(
@@ -299,7 +300,8 @@
         HeartbeatResponse now = answer(report);
         boolean idle =
                 now.token() > 0
-                        && now.orders().stream().allMatch(o -> o.verb() == WorkerCommand.Action.FORGET);
+                        && now.orders().stream()
+                                .allMatch(o -> o.verb() == WorkerCommand.Action.FORGET);
         double patience =
                 idle && keeper.loaded() && leadership.mayLaunch()
                         ? heartbeats.patience(machine)
--- a/src/main/java/io/kitepath/core/serve/JobApi.java
+++ b/src/main/java/io/kitepath/core/service/JobApi.java
@@ -1,7 +1,7 @@
-package io.kitepath.core.serve;
+package io.kitepath.core.service;
 
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.serve.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.Answer;
 import java.util.List;
 import java.util.function.Consumer;
 
--- a/src/main/java/io/kitepath/core/serve/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -1,19 +1,19 @@
-package io.kitepath.core.serve;
+package io.kitepath.core.service;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.JsonSize;
-import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Job;
 import io.kitepath.core.state.StoreKeys;
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/io/kitepath/core/serve/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.serve;
+package io.kitepath.core.service;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
--- a/src/main/java/io/kitepath/core/serve/package-info.java
+++ b/src/main/java/io/kitepath/core/service/package-info.java
@@ -4,4 +4,4 @@
  * promises that no answer is older than one given before, and that whoever can't be answered is
  * told so at once.
  */
-package io.kitepath.core.serve;
+package io.kitepath.core.service;
--- a/src/main/java/io/kitepath/core/block/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -1,7 +1,7 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
-import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.JobSpec;
 
 /**
  * One placing of one task on one machine. It stays unproven, and counts against every limit, until
--- a/src/main/java/io/kitepath/core/block/DirtyParts.java
+++ b/src/main/java/io/kitepath/core/shard/DirtyParts.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/src/main/java/io/kitepath/core/block/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.Heartbeat;
@@ -104,7 +104,10 @@
         }
         double proof = 2 * (job.failedWithinS + facts.workers().reportS());
         return job.live.values().stream()
-                .noneMatch(a -> a.state == Heartbeat.TaskState.RUNNING && now - a.runningSince > proof);
+                .noneMatch(
+                        a ->
+                                a.state == Heartbeat.TaskState.RUNNING
+                                        && now - a.runningSince > proof);
     }
 
     /**
--- a/src/main/java/io/kitepath/core/block/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -1,10 +1,10 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
-import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.Heartbeat.EndCause;
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.Heartbeat.TaskStatus;
+import io.kitepath.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -55,7 +55,8 @@
      * which something may be on machines even before. Answers what to do about tasks that are not
      * ours, or no longer; {@link #commands} has the rest.
      */
-    public List<WorkerCommand> heartbeat(Heartbeat r, boolean loaded, Predicate<String> mayRun, double now) {
+    public List<WorkerCommand> heartbeat(
+            Heartbeat r, boolean loaded, Predicate<String> mayRun, double now) {
         if (block.buried(r.machine())) {
             return List.of();
         }
@@ -142,7 +143,14 @@
         return r.tasks().stream()
                 .filter(t -> t.state() != TaskState.ENDED && !mayRun.test(t.job()))
                 .limit(MAX_ORDERS)
-                .map(t -> new WorkerCommand(WorkerCommand.Action.STOP, t.job(), t.task(), t.attempt(), 0))
+                .map(
+                        t ->
+                                new WorkerCommand(
+                                        WorkerCommand.Action.STOP,
+                                        t.job(),
+                                        t.task(),
+                                        t.attempt(),
+                                        0))
                 .toList();
     }
 
@@ -214,7 +222,8 @@
         } else if (a.launched
                 && a.job.spec.gang()
                 && a.job.live.values().stream()
-                        .anyMatch(x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING)) {
+                        .anyMatch(
+                                x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING)) {
             // A gang that ran without this task has lost it; starting it again would not bring the
             // others back.
             block.end(a, EndCause.PEERS, now);
@@ -238,7 +247,9 @@
     /** The worker has a task that we have not placed there. */
     private void stray(Machine m, TaskStatus t, List<WorkerCommand> orders, double now) {
         if (t.state() == TaskState.ENDED) {
-            orders.add(new WorkerCommand(WorkerCommand.Action.FORGET, t.job(), t.task(), t.attempt(), 0));
+            orders.add(
+                    new WorkerCommand(
+                            WorkerCommand.Action.FORGET, t.job(), t.task(), t.attempt(), 0));
             return;
         }
         Job job = block.jobs().get(t.job());
@@ -282,7 +293,9 @@
                 }
                 a.launched = true;
                 a.ordered = true;
-                orders.add(new WorkerCommand(WorkerCommand.Action.START, a.job.spec.id(), a.task, a.number, 0));
+                orders.add(
+                        new WorkerCommand(
+                                WorkerCommand.Action.START, a.job.spec.id(), a.task, a.number, 0));
             }
         }
         return orders;
@@ -319,7 +332,11 @@
 
     private static WorkerCommand stopOrder(Attempt a) {
         return new WorkerCommand(
-                WorkerCommand.Action.STOP, a.job.spec.id(), a.task, a.number, a.job.over ? 0 : a.stopGraceS);
+                WorkerCommand.Action.STOP,
+                a.job.spec.id(),
+                a.task,
+                a.number,
+                a.job.over ? 0 : a.stopGraceS);
     }
 
     /**
--- a/src/main/java/io/kitepath/core/block/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -1,12 +1,12 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JsonSize;
-import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.model.DocumentReader;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Base64;
@@ -287,7 +287,8 @@
      *
      * @param partTasks how many tasks are in one part where the record does not say
      */
-    public static Job of(JobRecord r, ClusterSettings facts, String key, long revision, int partTasks) {
+    public static Job of(
+            JobRecord r, ClusterSettings facts, String key, long revision, int partTasks) {
         Job j =
                 new Job(
                         r.spec(),
--- a/src/main/java/io/kitepath/core/block/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
@@ -66,7 +66,10 @@
      * @param changed runs when a job may start
      */
     JobDependencies(
-            ClusterSettings facts, Map<String, Job> jobs, ToDoubleFunction<JobSpec> leadS, Runnable changed) {
+            ClusterSettings facts,
+            Map<String, Job> jobs,
+            ToDoubleFunction<JobSpec> leadS,
+            Runnable changed) {
         this.facts = facts;
         this.jobs = jobs;
         this.leadS = leadS;
--- a/src/main/java/io/kitepath/core/block/JobSizes.java
+++ b/src/main/java/io/kitepath/core/shard/JobSizes.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
@@ -29,7 +29,8 @@
         double from = Double.POSITIVE_INFINITY;
     }
 
-    private final Cache<String, SizeClass> classes = Caffeine.newBuilder().maximumSize(MOST).build();
+    private final Cache<String, SizeClass> classes =
+            Caffeine.newBuilder().maximumSize(MOST).build();
 
     private static double size(JobSpec s) {
         return s.tasks() * s.cpus();
--- a/src/main/java/io/kitepath/core/block/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -1,7 +1,7 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
-import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.JobSpec;
 
 /**
  * A sentence on what an unfinished job waits for, out of what the holder knows; null if there is
--- a/src/main/java/io/kitepath/core/block/QuotaUsage.java
+++ b/src/main/java/io/kitepath/core/shard/QuotaUsage.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
--- a/src/main/java/io/kitepath/core/block/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -1,8 +1,8 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.JobSpec;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -328,7 +328,7 @@
     /**
      * Goes on from what an earlier holder counted.
      *
-     * @throws io.kitepath.core.model.Malformed if that is not a record of it
+     * @throws io.kitepath.core.model.InvalidInputException if that is not a record of it
      */
     public void restore(Object record) {
         DocumentReader t = DocumentReader.of(record);
@@ -338,7 +338,8 @@
         restore(t, "largest", "largest of", largest);
     }
 
-    private static void restore(DocumentReader record, String field, String kind, Map<String, ServiceGroup> into) {
+    private static void restore(
+            DocumentReader record, String field, String kind, Map<String, ServiceGroup> into) {
         if (!(record.raw(field) instanceof Map<?, ?> groups)) {
             return;
         }
--- a/src/main/java/io/kitepath/core/block/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -1,13 +1,13 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat.EndCause;
-import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.port.Cloud;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -88,7 +88,8 @@
         this.served = new ServiceLevels(facts);
         this.failures = new FailureDiagnosis(facts, machines);
         this.boots = new BootTimes(types);
-        this.pipelines = new JobDependencies(facts, jobs, s -> leads.mostS(s.jobClass()), this::change);
+        this.pipelines =
+                new JobDependencies(facts, jobs, s -> leads.mostS(s.jobClass()), this::change);
         this.partTasks = facts.tasksPerPart();
         this.recordBytes = facts.store().valueBytes();
     }
@@ -259,7 +260,7 @@
     /**
      * Takes over what a part's record says is done and what is, or may be, on machines.
      *
-     * @throws io.kitepath.core.model.Malformed if the record is not one of a part
+     * @throws io.kitepath.core.model.InvalidInputException if the record is not one of a part
      */
     public void adopt(Job job, int part, Object record, long revision, double now) {
         for (Map.Entry<?, ?> e : job.readPart(part, record, revision).entrySet()) {
--- a/src/main/java/io/kitepath/core/block/StartLatencies.java
+++ b/src/main/java/io/kitepath/core/shard/StartLatencies.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
--- a/src/main/java/io/kitepath/core/block/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import io.kitepath.core.model.DocumentReader;
 import java.util.ArrayList;
@@ -58,7 +58,7 @@
     /**
      * What {@link #record} wrote.
      *
-     * @throws io.kitepath.core.model.Malformed if it did not
+     * @throws io.kitepath.core.model.InvalidInputException if it did not
      */
     public static List<TaskLoan> read(Object record, double now) {
         DocumentReader t = DocumentReader.of(record);
--- a/src/main/java/io/kitepath/core/block/package-info.java
+++ b/src/main/java/io/kitepath/core/shard/package-info.java
@@ -4,4 +4,4 @@
  * only by proof, that unproven ones count against every limit, and that nothing is launched before
  * it is written.
  */
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -1,13 +1,13 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.Random;
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -1,13 +1,13 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.JobDependencies;
-import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.JobDependencies;
 import java.util.HashSet;
 import java.util.Set;
 import org.slf4j.Logger;
@@ -38,7 +38,8 @@
     private long epoch;
     private boolean waits;
 
-    DependencyOutcomes(ClusterSettings facts, Store store, Timers timers, JobDependencies pipelines) {
+    DependencyOutcomes(
+            ClusterSettings facts, Store store, Timers timers, JobDependencies pipelines) {
         this.store = store;
         this.timers = timers;
         this.pipelines = pipelines;
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -1,9 +1,9 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
+import io.kitepath.core.shard.Machine;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/io/kitepath/core/state/PagedScan.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -25,7 +25,8 @@
     private final List<Entry> entries = new ArrayList<>();
     private long revision = -1;
 
-    private PagedScan(Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
+    private PagedScan(
+            Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
         this.store = store;
         this.timers = timers;
         this.prefix = prefix;
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -1,9 +1,9 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.port.Store.Transaction;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -175,7 +175,11 @@
                             g -> {
                                 guests = g.entries();
                                 Set<String> all = ids(open);
-                                guests.forEach(x -> all.add(DocumentReader.of(x.value()).textOr("job", "")));
+                                guests.forEach(
+                                        x ->
+                                                all.add(
+                                                        DocumentReader.of(x.value())
+                                                                .textOr("job", "")));
                                 running.accept(all);
                                 pages(
                                         StoreKeys.LEAVE,
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -1,17 +1,17 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobStatus;
-import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -248,7 +248,12 @@
                                 readImages(e);
                                 ends.begin(ready);
                                 ends.look();
-                                follow(e, StoreKeys.OPEN, found.revision(), ready, this::jobChanged);
+                                follow(
+                                        e,
+                                        StoreKeys.OPEN,
+                                        found.revision(),
+                                        ready,
+                                        this::jobChanged);
                                 follow(
                                         e,
                                         StoreKeys.ACT,
@@ -294,7 +299,9 @@
                     @Override
                     public void board(Transaction t) {
                         t.when(StoreKeys.LAYOUT, 0)
-                                .put(StoreKeys.LAYOUT, Map.of("partTasks", (long) block.partTasks()));
+                                .put(
+                                        StoreKeys.LAYOUT,
+                                        Map.of("partTasks", (long) block.partTasks()));
                     }
 
                     @Override
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -1,9 +1,9 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Transaction;
+import io.kitepath.core.shard.Job;
 import io.kitepath.core.state.StateWriter.BatchContributor;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -33,7 +33,8 @@
             return switch (sign) {
                 case CHANGED -> now != null && now.revision() != before;
                 // A user's cancellation may have been written in its place.
-                case SAYS_DONE -> now != null && DocumentReader.of(now.value()).text("status").equals("done");
+                case SAYS_DONE ->
+                        now != null && DocumentReader.of(now.value()).text("status").equals("done");
                 case GONE -> now == null;
             };
         }
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -1,16 +1,16 @@
 package io.kitepath.core.state;
 
-import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
-import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.JsonSize;
+import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StateWriter.BatchContributor;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -70,7 +70,12 @@
     private long invalid;
     private long oversize;
 
-    WriteBatcher(Store store, Timers timers, ShardState block, ImageRecords images, StateWriter.Listener listener) {
+    WriteBatcher(
+            Store store,
+            Timers timers,
+            ShardState block,
+            ImageRecords images,
+            StateWriter.Listener listener) {
         this.facts = block.facts();
         this.store = store;
         this.timers = timers;
--- a/src/main/java/io/kitepath/peers/Messages.java
+++ b/src/main/java/io/kitepath/peers/Messages.java
@@ -4,12 +4,12 @@
 import com.esotericsoftware.kryo.io.Input;
 import com.esotericsoftware.kryo.io.Output;
 import io.kitepath.core.model.CellMessage;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.WorkerCommand;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -2,11 +2,11 @@
 
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.CancellationDigest;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.port.PeerNodes;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -2,8 +2,8 @@
 
 import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -112,7 +112,8 @@
     /**
      * The cell's part of each team's limits; a team that is not named has an equal part of none.
      */
-    private static Map<String, ClusterSettings.Team> teams(DocumentReader c, ClusterSettings facts) {
+    private static Map<String, ClusterSettings.Team> teams(
+            DocumentReader c, ClusterSettings facts) {
         Map<String, DocumentReader> named = new HashMap<>();
         if (c.has("teams")) {
             for (DocumentReader x : c.children("teams")) {
--- a/src/main/java/io/kitepath/settings/SettingsFile.java
+++ b/src/main/java/io/kitepath/settings/SettingsFile.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.InvalidInputException;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -104,7 +104,8 @@
                                 w.number("gang_peer_s", 0),
                                 w.number("cancel_s", 0)),
                         limits(s),
-                        new ClusterSettings.CloudLimits(c.number("rps", 0.001), c.number("list_lag_s", 0)),
+                        new ClusterSettings.CloudLimits(
+                                c.number("rps", 0.001), c.number("list_lag_s", 0)),
                         new ClusterSettings.Limits(
                                 l.number("cpu", 0.001),
                                 l.number("ram_mb", 1),
--- a/src/main/java/io/kitepath/standin/EmulatorClient.java
+++ b/src/main/java/io/kitepath/simulation/EmulatorClient.java
@@ -1,4 +1,4 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 /**
  * Whoever asks the stand-ins something: a node in memory, or a connection that a real process has
--- a/src/main/java/io/kitepath/standin/InvariantChecker.java
+++ b/src/main/java/io/kitepath/simulation/InvariantChecker.java
@@ -1,8 +1,8 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -107,7 +107,8 @@
             return null;
         }
         answers++;
-        if (a.verdict() != JobSubmissionService.Verdict.KNOWN && a.verdict() != JobSubmissionService.Verdict.CREATED) {
+        if (a.verdict() != JobSubmissionService.Verdict.KNOWN
+                && a.verdict() != JobSubmissionService.Verdict.CREATED) {
             if (a.verdict() != JobSubmissionService.Verdict.LATER
                     && acceptedAt.getOrDefault(id, 1e18) < asked) {
                 breaks("forgotten: " + id + " gets " + a.verdict());
--- a/src/main/java/io/kitepath/standin/LoadGenerator.java
+++ b/src/main/java/io/kitepath/simulation/LoadGenerator.java
@@ -1,8 +1,8 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.serve.JobSubmissionService.Answer;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashSet;
--- a/src/main/java/io/kitepath/standin/LoopbackEmulator.java
+++ b/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
@@ -1,9 +1,9 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
@@ -27,8 +27,8 @@
 
 /**
  * The stand-ins of state service, cloud and workers behind real sockets on loopback, for nodes that
- * are real processes. What they do is the {@link SimulatedCluster}'s, as in tests and rehearsals; only its
- * clock follows the real one. All of it lives on one event loop.
+ * are real processes. What they do is the {@link SimulatedCluster}'s, as in tests and rehearsals;
+ * only its clock follows the real one. All of it lives on one event loop.
  */
 public final class LoopbackEmulator {
     private static final int MAX_BODY = 1 << 20;
@@ -47,7 +47,8 @@
     private final double offset;
 
     /** {@code nodes}: where workers reach each node, by its label. */
-    public LoopbackEmulator(EventLoopGroup group, SimulatedCluster world, Map<String, InetSocketAddress> nodes) {
+    public LoopbackEmulator(
+            EventLoopGroup group, SimulatedCluster world, Map<String, InetSocketAddress> nodes) {
         this.group = group;
         this.loop = group.next();
         this.world = world;
@@ -76,7 +77,8 @@
                                         EmulatorCodec.report(report),
                                         TIMEOUT_MS,
                                         (status, body) -> {
-                                            HeartbeatResponse c = EmulatorCodec.heartbeat(status, body);
+                                            HeartbeatResponse c =
+                                                    EmulatorCodec.heartbeat(status, body);
                                             answer.accept(
                                                     c == null
                                                             ? HeartbeatResponse.elsewhere(null)
@@ -172,7 +174,9 @@
                         if (o == Outcome.OK) {
                             out.reply(200, EmulatorCodec.entry(e));
                         } else if (o == Outcome.NO) {
-                            out.reply(404, MessagePackCodec.bytes(Map.of("epoch", world.store.revision)));
+                            out.reply(
+                                    404,
+                                    MessagePackCodec.bytes(Map.of("epoch", world.store.revision)));
                         } else {
                             failed(o, out);
                         }
@@ -190,7 +194,9 @@
                         }
                     });
         } else if (path.equals("/multi")) {
-            store.commit(EmulatorCodec.transaction(MessagePackCodec.value(r.body())), c -> committed(c, out));
+            store.commit(
+                    EmulatorCodec.transaction(MessagePackCodec.value(r.body())),
+                    c -> committed(c, out));
         } else if (path.equals("/follow")) {
             store.follow(
                     query(r, "prefix", ""),
@@ -231,7 +237,9 @@
             case NO ->
                     out.reply(
                             c.leaseGone() ? 400 : 409,
-                            c.leaseGone() ? ProtocolCodec.error(ProtocolCodec.NO_SUCH_LEASE) : EmulatorCodec.committed(c));
+                            c.leaseGone()
+                                    ? ProtocolCodec.error(ProtocolCodec.NO_SUCH_LEASE)
+                                    : EmulatorCodec.committed(c));
             case INVALID -> out.reply(400, ProtocolCodec.error("over the limits"));
             default -> failed(c.outcome(), out);
         }
--- a/src/main/java/io/kitepath/standin/MemoryStore.java
+++ b/src/main/java/io/kitepath/simulation/MemoryStore.java
@@ -1,8 +1,8 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
-import io.kitepath.core.model.TokenBucket;
-import io.kitepath.core.model.JsonSize;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.JsonSize;
+import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
@@ -199,7 +199,8 @@
                 return !node.there();
             }
             long r = no ? after : revision;
-            node.after(0.002, () -> answer.accept(new Store.WatchResult(Store.Outcome.OK, r, events)));
+            node.after(
+                    0.002, () -> answer.accept(new Store.WatchResult(Store.Outcome.OK, r, events)));
             return true;
         }
     }
@@ -221,7 +222,11 @@
     }
 
     public void follow(
-            EmulatorClient node, String prefix, long after, double holdS, Consumer<Store.WatchResult> answer) {
+            EmulatorClient node,
+            String prefix,
+            long after,
+            double holdS,
+            Consumer<Store.WatchResult> answer) {
         Watch x = new Watch(node, prefix, after, answer);
         x.touched = true;
         watches.add(x);
@@ -253,7 +258,8 @@
         if (t.writes().size() > txnOps
                 || t.conditions().size() > 4L * txnOps
                 || t.writes().stream()
-                        .anyMatch(x -> x.value() != null && JsonSize.size(x.value()) > valueBytes)) {
+                        .anyMatch(
+                                x -> x.value() != null && JsonSize.size(x.value()) > valueBytes)) {
             overLimits++;
             return new Store.CommitResult(Store.Outcome.INVALID, 0, List.of(), false);
         }
--- a/src/main/java/io/kitepath/standin/MultiCellSimulation.java
+++ b/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
@@ -1,15 +1,15 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
-import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Heartbeat.TaskState;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.serve.JobSubmissionService;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -23,9 +23,9 @@
 import java.util.function.Predicate;
 
 /**
- * Several cells, each a {@link SimulatedCluster} of its own, on one clock, with a network between them that
- * loses, doubles, delays and cuts. It watches the rules over all of them, knowing nothing of how
- * they are kept.
+ * Several cells, each a {@link SimulatedCluster} of its own, on one clock, with a network between
+ * them that loses, doubles, delays and cuts. It watches the rules over all of them, knowing nothing
+ * of how they are kept.
  */
 public final class MultiCellSimulation {
     /**
@@ -119,7 +119,9 @@
                                 Map.of(),
                                 parts));
             }
-            SimulatedCluster w = new SimulatedCluster(clock, this, apart ? null : new CellDirectory(1, own, cells));
+            SimulatedCluster w =
+                    new SimulatedCluster(
+                            clock, this, apart ? null : new CellDirectory(1, own, cells));
             w.teams.putAll(apart ? parts : wholes);
             w.specs = specs;
             w.zones = List.of(own + "1", own + "2");
--- a/src/main/java/io/kitepath/standin/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -1,9 +1,9 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
@@ -229,7 +229,8 @@
     }
 
     private void submit(Coming c, String home) {
-        List<SimulatedNode> up = cells.world(home).nodes.values().stream().filter(x -> x.alive).toList();
+        List<SimulatedNode> up =
+                cells.world(home).nodes.values().stream().filter(x -> x.alive).toList();
         boolean[] heard = new boolean[1];
         Runnable again =
                 () -> {
@@ -302,7 +303,8 @@
         cells.clock.after(
                 f.atS,
                 () -> {
-                    List<SimulatedNode> up = w.nodes.values().stream().filter(n -> n.alive).toList();
+                    List<SimulatedNode> up =
+                            w.nodes.values().stream().filter(n -> n.alive).toList();
                     SimulatedNode holder =
                             up.stream()
                                     .filter(n -> n.controller.leadsWith() > 0)
--- a/src/main/java/io/kitepath/standin/SimulatedClock.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedClock.java
@@ -1,4 +1,4 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/io/kitepath/standin/SimulatedCluster.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCluster.java
@@ -1,14 +1,14 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.port.Cloud;
-import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -229,7 +229,8 @@
     }
 
     /** One cell among others, which share a clock. */
-    public SimulatedCluster(SimulatedClock clock, MultiCellSimulation around, CellDirectory directory) {
+    public SimulatedCluster(
+            SimulatedClock clock, MultiCellSimulation around, CellDirectory directory) {
         this.clock = clock;
         this.around = around;
         this.directory = directory;
@@ -428,7 +429,8 @@
      * What a user hears counts from the moment in which it does, also if that is later than the
      * caller waits here.
      */
-    private JobSubmissionService.Answer told(String id, Consumer<Consumer<JobSubmissionService.Answer>> question) {
+    private JobSubmissionService.Answer told(
+            String id, Consumer<Consumer<JobSubmissionService.Answer>> question) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         double asked = clock.now;
         question.accept(
@@ -495,7 +497,9 @@
 
     public String status(SimulatedNode n, String id) {
         JobSubmissionService.Answer a = ask(n, id);
-        return a.verdict() == JobSubmissionService.Verdict.KNOWN ? a.state().status() : a.verdict().toString();
+        return a.verdict() == JobSubmissionService.Verdict.KNOWN
+                ? a.state().status()
+                : a.verdict().toString();
     }
 
     /** How many tasks of the job are on machines. */
--- a/src/main/java/io/kitepath/standin/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -1,13 +1,13 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.CellMessage;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.PeerNodes;
 import io.kitepath.core.port.Timers;
 import java.util.HashSet;
@@ -70,7 +70,11 @@
     }
 
     private void direct(
-            String address, long token, long session, List<WorkerCommand> orders, Consumer<Heartbeat> answer) {
+            String address,
+            long token,
+            long session,
+            List<WorkerCommand> orders,
+            Consumer<Heartbeat> answer) {
         SimulatedWorker x = w.workers.get(address);
         if (x == null
                 || x.cut
--- a/src/main/java/io/kitepath/standin/SimulatedTask.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedTask.java
@@ -1,4 +1,4 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import io.kitepath.core.model.Heartbeat.EndCause;
 import io.kitepath.core.model.Heartbeat.TaskState;
@@ -12,7 +12,8 @@
     public TaskState state;
     public EndCause cause;
 
-    public SimulatedTask(SimulatedWorker worker, String job, int number, long attempt, TaskState state) {
+    public SimulatedTask(
+            SimulatedWorker worker, String job, int number, long attempt, TaskState state) {
         this.worker = worker;
         this.job = job;
         this.number = number;
--- a/src/main/java/io/kitepath/standin/SimulatedWorker.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedWorker.java
@@ -1,12 +1,12 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
-import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.Heartbeat.EndCause;
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.Heartbeat.TaskStatus;
+import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.state.StoreKeys;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -339,7 +339,8 @@
             w.broken.add("started on a machine that goes: " + key + " on " + id);
         }
         started++;
-        SimulatedTask t = new SimulatedTask(this, o.job(), o.task(), o.attempt(), TaskState.RUNNING);
+        SimulatedTask t =
+                new SimulatedTask(this, o.job(), o.task(), o.attempt(), TaskState.RUNNING);
         tasks.put(key, t);
         w.clock.lastStarts.put(o.job() + "/" + o.task(), t);
         w.clock.started(t);
--- a/src/main/java/io/kitepath/standin/StoreLink.java
+++ b/src/main/java/io/kitepath/simulation/StoreLink.java
@@ -1,4 +1,4 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import io.kitepath.core.port.Store;
 import java.util.List;
@@ -57,7 +57,8 @@
                         back(
                                 () ->
                                         answer.accept(
-                                                new ListResult(Outcome.REFUSED, List.of(), 0, false)));
+                                                new ListResult(
+                                                        Outcome.REFUSED, List.of(), 0, false)));
                         return;
                     }
                     List<Entry> all =
@@ -78,7 +79,12 @@
                                                     r,
                                                     all.size() > limit)));
                 },
-                () -> back(() -> answer.accept(new ListResult(Outcome.REFUSED, List.of(), 0, false))));
+                () ->
+                        back(
+                                () ->
+                                        answer.accept(
+                                                new ListResult(
+                                                        Outcome.REFUSED, List.of(), 0, false))));
     }
 
     @Override
--- a/src/main/java/io/kitepath/standin/package-info.java
+++ b/src/main/java/io/kitepath/simulation/package-info.java
@@ -4,4 +4,4 @@
  * tell their stories with them, and {@code kitepath rehearse} its failures. Nothing waits for real
  * time, and nothing is random without a seed.
  */
-package io.kitepath.standin;
+package io.kitepath.simulation;
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -1,10 +1,10 @@
 package io.kitepath.users;
 
 import io.kitepath.core.Controller;
-import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.serve.JobSubmissionService;
-import io.kitepath.core.serve.JobSubmissionService.Answer;
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService.Answer;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.wire.MessagePackCodec;
@@ -73,7 +73,11 @@
                         .submit(
                                 spec,
                                 needs,
-                                a -> answer(a, a.verdict() == JobSubmissionService.Verdict.CREATED, out));
+                                a ->
+                                        answer(
+                                                a,
+                                                a.verdict() == JobSubmissionService.Verdict.CREATED,
+                                                out));
                 return;
             }
             status = 422;
--- a/src/main/java/io/kitepath/wire/EmulatorCodec.java
+++ b/src/main/java/io/kitepath/wire/EmulatorCodec.java
@@ -1,11 +1,11 @@
 package io.kitepath.wire;
 
+import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.MachineType;
 import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.MachineType;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import java.util.ArrayList;
@@ -203,7 +203,8 @@
                 return new HeartbeatResponse(t.count("baton"), orders(t), null);
             }
             if (status == 421) {
-                return HeartbeatResponse.elsewhere(DocumentReader.of(MessagePackCodec.value(body)).textOr("anchor", null));
+                return HeartbeatResponse.elsewhere(
+                        DocumentReader.of(MessagePackCodec.value(body)).textOr("anchor", null));
             }
         } catch (InvalidInputException e) {
             return null;
--- a/src/main/java/io/kitepath/wire/ProtocolCodec.java
+++ b/src/main/java/io/kitepath/wire/ProtocolCodec.java
@@ -1,14 +1,14 @@
 package io.kitepath.wire;
 
+import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import java.util.ArrayList;
@@ -117,7 +117,9 @@
             case "high" -> JobSpec.Priority.HIGH;
             case "standard" -> JobSpec.Priority.NORMAL;
             case "low" -> JobSpec.Priority.LOW;
-            default -> throw new InvalidInputException("urgency: must be production, high, standard or low");
+            default ->
+                    throw new InvalidInputException(
+                            "urgency: must be production, high, standard or low");
         };
     }
 
@@ -163,7 +165,9 @@
                             task,
                             x.count("try"),
                             state,
-                            state == Heartbeat.TaskState.ENDED ? cause(x.textOr("cause", "")) : null));
+                            state == Heartbeat.TaskState.ENDED
+                                    ? cause(x.textOr("cause", ""))
+                                    : null));
         }
         return new Heartbeat(
                 t.text("host"),
@@ -296,7 +300,8 @@
     }
 
     public static boolean truncated(Object body) {
-        return DocumentReader.of(body).has("truncated") && DocumentReader.of(body).flag("truncated");
+        return DocumentReader.of(body).has("truncated")
+                && DocumentReader.of(body).flag("truncated");
     }
 
     // ---- state service --------------------------------------------------------------------------
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -1,8 +1,8 @@
 package io.kitepath.workers;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.net.HttpClient;
 import io.kitepath.wire.MessagePackCodec;
@@ -33,7 +33,11 @@
 
     @Override
     public void send(
-            String address, long token, long session, List<WorkerCommand> orders, Consumer<Heartbeat> answer) {
+            String address,
+            long token,
+            long session,
+            List<WorkerCommand> orders,
+            Consumer<Heartbeat> answer) {
         InetSocketAddress to;
         try {
             int colon = address.lastIndexOf(':');
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -1,8 +1,8 @@
 package io.kitepath.workers;
 
 import io.kitepath.core.Controller;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.wire.MessagePackCodec;
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -6,15 +6,15 @@
 import static io.kitepath.core.Submissions.named;
 import static io.kitepath.core.Submissions.odd;
 import static io.kitepath.core.Submissions.with;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.net.HttpServer.Request;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.users.UsersApi;
 import io.kitepath.wire.MessagePackCodec;
 import io.kitepath.wire.ProtocolCodec;
@@ -117,8 +117,10 @@
                         .noneMatch(n -> n.alive && n.controller.leadership.leading()),
                 "one leads");
         SimulatedNode anew = w.node(gone.name);
-        int[] knowsNoTypes = send(w, anew, MessagePackCodec.bytes(with("nameId", "j-900", "crew", "nobody")));
-        int[] malformed = send(w, anew, MessagePackCodec.bytes(with("nameId", "j-901", "sheets", 0L)));
+        int[] knowsNoTypes =
+                send(w, anew, MessagePackCodec.bytes(with("nameId", "j-900", "crew", "nobody")));
+        int[] malformed =
+                send(w, anew, MessagePackCodec.bytes(with("nameId", "j-901", "sheets", 0L)));
         w.run(2);
         assertEquals(List.of(503, 400), List.of(knowsNoTypes[0], malformed[0]));
         w.siblings.stream().filter(k -> !w.nodes.get(k).alive).forEach(w::node);
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -1,19 +1,19 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
-import io.kitepath.standin.Worlds;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
+import io.kitepath.simulation.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -336,7 +336,10 @@
         w.store.hangs = n -> n == holder;
         refuse(holder, 9);
         w.store.late =
-                t -> t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1")) ? 1 : 0;
+                t ->
+                        t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1"))
+                                ? 1
+                                : 0;
         assertEquals(null, w.cancel(sibling, "j-1"));
         sibling.crash();
         w.run(1.2);
@@ -354,7 +357,10 @@
         long before = sessions();
         w.store.hangs = n -> true;
         w.store.late =
-                t -> t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1")) ? 0.7 : 0;
+                t ->
+                        t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1"))
+                                ? 0.7
+                                : 0;
         w.cancel(holder, "j-1");
         // Just after it was carried out, and before the next comparison would find it.
         w.run(0.605);
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -1,16 +1,16 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
-import io.kitepath.standin.Worlds;
+import io.kitepath.core.model.JobSpec.Shape;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
+import io.kitepath.simulation.Worlds;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -1,18 +1,18 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
-import io.kitepath.standin.Worlds;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.Worlds;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -274,7 +274,8 @@
                                                             .anyMatch(
                                                                     o ->
                                                                             o.verb()
-                                                                                    == WorkerCommand.Action
+                                                                                    == WorkerCommand
+                                                                                            .Action
                                                                                             .START);
                                     on[0] += held ? 1 : 0;
                                     w.after(held ? seconds : 0, () -> answer.accept(c));
@@ -344,7 +345,9 @@
                                     .toList();
                     silent.forEach(n -> n.cutFrom.add(old.name));
                     Predicate<Transaction> ends =
-                            t -> t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.OVER));
+                            t ->
+                                    t.writes().stream()
+                                            .anyMatch(x -> x.key().startsWith(StoreKeys.OVER));
                     w.store.unheard = t -> fate == 1 && ends.test(t);
                     w.store.late = t -> fate == 2 && ends.test(t) ? 0.6 : 0;
                     w.after(0.002, () -> cancels(first));
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,17 +11,18 @@
 import io.kitepath.core.model.CellMessage.LoanState;
 import io.kitepath.core.model.CellMessage.LoanStatus;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.MultiCellSimulation;
-import io.kitepath.standin.SimulatedNode;
+import io.kitepath.simulation.MultiCellSimulation;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Cells that hand work to each other, and what breaks between them. */
 class CellsTest {
-    private final MultiCellSimulation c = new MultiCellSimulation(11, List.of("east", "west"), List.of());
+    private final MultiCellSimulation c =
+            new MultiCellSimulation(11, List.of("east", "west"), List.of());
 
     @AfterEach
     void rules() {
@@ -251,7 +252,8 @@
         c.loses =
                 m ->
                         (m instanceof LoanSettled
-                                        || m instanceof LoanStatus w && w.standing() == LoanState.DONE)
+                                        || m instanceof LoanStatus w
+                                                && w.standing() == LoanState.DONE)
                                 && n[0]++ < 6;
         allDone(array(1, 40));
         assertTrue(n[0] >= 6, "lost " + n[0]);
@@ -303,7 +305,8 @@
     @Test
     void aCancellationInTheMomentOfTheOfferIsOneOrTheOther() {
         for (int i = 1; i <= 6; i++) {
-            MultiCellSimulation x = new MultiCellSimulation(20 + i, List.of("east", "west"), List.of());
+            MultiCellSimulation x =
+                    new MultiCellSimulation(20 + i, List.of("east", "west"), List.of());
             x.cell("east", 2, 1);
             x.cell("west", 2, 10);
             x.run(12);
@@ -455,7 +458,8 @@
     @Test
     void aBadNetworkBetweenCellsLosesAndDoublesNothing() {
         for (int seed = 1; seed <= 8; seed++) {
-            MultiCellSimulation x = new MultiCellSimulation(seed, List.of("east", "west"), List.of("spare"));
+            MultiCellSimulation x =
+                    new MultiCellSimulation(seed, List.of("east", "west"), List.of("spare"));
             x.lost = 0.2;
             x.doubled = 0.2;
             x.late = 0.1;
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -1,17 +1,17 @@
 package io.kitepath.core;
 
 import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.serve.JobSubmissionService.Answer;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -45,7 +45,9 @@
                                         x ->
                                                 x.value() != null
                                                         && (x.key().startsWith(StoreKeys.OPEN)
-                                                                || x.key().startsWith(StoreKeys.OVER)))
+                                                                || x.key()
+                                                                        .startsWith(
+                                                                                StoreKeys.OVER)))
                                 .forEach(
                                         x -> {
                                             String id =
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -1,15 +1,15 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.duty.LeasedRoles;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store;
+import io.kitepath.core.role.LeasedRoles;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +39,8 @@
     }
 
     private long token(String duty) {
-        return (Long) ((Map<?, ?>) w.store.keys.get(StoreKeys.DUTY_TOKEN + duty).value()).get("token");
+        return (Long)
+                ((Map<?, ?>) w.store.keys.get(StoreKeys.DUTY_TOKEN + duty).value()).get("token");
     }
 
     /**
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -3,18 +3,18 @@
 import static io.kitepath.core.MeetingsTest.starts;
 import static io.kitepath.core.OneZoneTest.bound;
 import static io.kitepath.core.OneZoneTest.spread;
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -226,7 +226,8 @@
                 met.get("up before known") > 3 && met.get("launched before listed") > 10,
                 met.toString());
         assertTrue(
-                met.containsKey(StoreKeys.RENT + "r-with machines") && met.containsKey(StoreKeys.PART + "j-"),
+                met.containsKey(StoreKeys.RENT + "r-with machines")
+                        && met.containsKey(StoreKeys.PART + "j-"),
                 met.toString());
     }
 
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -1,19 +1,19 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.SimulatedCluster.with;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.ShardState;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.core.shard.ShardState;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/io/kitepath/core/GiveAndTakeTest.java
+++ b/src/test/java/io/kitepath/core/GiveAndTakeTest.java
@@ -7,8 +7,8 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.SimulatedCluster;
-import io.kitepath.standin.Worlds;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -45,7 +45,8 @@
 
     /** A gang that needs six machines. */
     private static void want(SimulatedCluster w) {
-        SimulatedNode any = w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
+        SimulatedNode any =
+                w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
         w.submit(any, job("j-1", Shape.GANG, 6, 4));
     }
 
@@ -60,7 +61,9 @@
     /** The node that has the duty to ask the cloud. */
     private static SimulatedNode carrier(SimulatedCluster w) {
         return w.nodes.get(
-                (String) ((Map<?, ?>) w.store.keys.get(StoreKeys.DUTY + "cloud").value()).get("node"));
+                (String)
+                        ((Map<?, ?>) w.store.keys.get(StoreKeys.DUTY + "cloud").value())
+                                .get("node"));
     }
 
     private static long records(SimulatedCluster w, String prefix) {
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -9,10 +9,10 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.JsonSize;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -24,7 +24,8 @@
  * were higher.
  */
 class LimitsTest {
-    private static final ClusterSettings.StoreLimits LOW = new ClusterSettings.StoreLimits(1000, 1000, 2, 13);
+    private static final ClusterSettings.StoreLimits LOW =
+            new ClusterSettings.StoreLimits(1000, 1000, 2, 13);
     private final SimulatedCluster w = new SimulatedCluster();
 
     private void workers(int n) {
@@ -42,7 +43,8 @@
         w.store.keys.forEach(
                 (k, e) ->
                         assertTrue(
-                                JsonSize.size(e.value()) <= bytes, k + " has " + JsonSize.size(e.value())));
+                                JsonSize.size(e.value()) <= bytes,
+                                k + " has " + JsonSize.size(e.value())));
     }
 
     @Test
@@ -143,7 +145,8 @@
             t.w.run(3);
             t.w.submit(old, SimulatedCluster.job("j-1", Shape.GANG, 200, 2));
             assertNull(
-                    ((Map<?, ?>) t.w.store.keys.get(StoreKeys.OPEN + "j-1").value()).get("partTasks"));
+                    ((Map<?, ?>) t.w.store.keys.get(StoreKeys.OPEN + "j-1").value())
+                            .get("partTasks"));
             old.crash();
             t.w.next = LOW;
             t.fall();
@@ -172,7 +175,9 @@
         w.store.valueBytes = 900;
         for (int i = 0; i < 30; i++) {
             // All at once, so that there is much to write in one transaction.
-            n.controller.registry().submit(SimulatedCluster.job("j-" + (100 + i), Shape.ARRAY, 4, 1), a -> {});
+            n.controller
+                    .registry()
+                    .submit(SimulatedCluster.job("j-" + (100 + i), Shape.ARRAY, 4, 1), a -> {});
         }
         w.run(60);
         for (int i = 0; i < 30; i++) {
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -3,16 +3,16 @@
 import static io.kitepath.core.LostAnswersTest.ends;
 import static io.kitepath.core.LostAnswersTest.handIn;
 import static io.kitepath.core.MeetingsTest.sessions;
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -34,7 +34,8 @@
      */
     @Test
     void claimsThatWereWonUnawaresEndAndOneIsHeard() {
-        for (String key : List.of(StoreKeys.LEADER, StoreKeys.DUTY + "cloud", StoreKeys.DUTY + "cleanup")) {
+        for (String key :
+                List.of(StoreKeys.LEADER, StoreKeys.DUTY + "cloud", StoreKeys.DUTY + "cleanup")) {
             for (int times = 1; times <= 4; times++) {
                 for (double refused : new double[] {0, 0.7, 1.6, 3}) {
                     SimulatedCluster w = settled(3, 4);
@@ -138,7 +139,9 @@
                 int[] lost = {0};
                 w.store.unheard =
                         t ->
-                                t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1"))
+                                t.writes().stream()
+                                                .anyMatch(
+                                                        x -> x.key().equals(StoreKeys.OVER + "j-1"))
                                         && lost[0]++ < 1;
                 if (how >= 2) {
                     w.store.hangs = n -> n == holder;
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -1,8 +1,8 @@
 package io.kitepath.core;
 
 import static io.kitepath.core.MeetingsTest.sessions;
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,11 +10,11 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Store.Write;
-import io.kitepath.core.serve.JobSubmissionService;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -3,19 +3,19 @@
 import static io.kitepath.core.MeetingsTest.other;
 import static io.kitepath.core.MeetingsTest.sessions;
 import static io.kitepath.core.MeetingsTest.starts;
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -46,7 +46,8 @@
             assertEquals(2, w.onMachines("j-1"));
             w.submit(
                     w.leader(),
-                    SimulatedCluster.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
+                    SimulatedCluster.with(
+                            job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
             // The same tasks on the same machines, when those of more right have ended.
             w.run(60);
             assertEquals("done", w.status(w.leader(), "j-2"), "held " + held);
@@ -72,7 +73,8 @@
                 x.hangsUntil = w.clock.now + stands;
                 w.submit(
                         w.leader(),
-                        SimulatedCluster.with(job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
+                        SimulatedCluster.with(
+                                job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
                 w.run(3);
                 w.cancel(w.leader(), "j-2");
                 w.run(70);
@@ -248,7 +250,9 @@
                 }
                 assertEquals(
                         0,
-                        w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.OPEN)).count(),
+                        w.store.keys.keySet().stream()
+                                .filter(k -> k.startsWith(StoreKeys.OPEN))
+                                .count(),
                         at);
                 days++;
             }
@@ -310,7 +314,9 @@
         // leases.
         w.runsFor = id -> 90;
         JobSpec s = job("j-1", shape, 4, 4);
-        w.submit(w.leader(), shape == Shape.GANG ? SimulatedCluster.with(s, "red", Priority.NORMAL, true) : s);
+        w.submit(
+                w.leader(),
+                shape == Shape.GANG ? SimulatedCluster.with(s, "red", Priority.NORMAL, true) : s);
         w.run(6);
         List<SimulatedWorker> lost =
                 w.workers.values().stream().filter(x -> !x.tasks.isEmpty()).limit(2).toList();
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -1,19 +1,19 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -137,7 +137,9 @@
                         9,
                         w.store.token(),
                         null,
-                        List.of(new Heartbeat.TaskStatus("j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
+                        List.of(
+                                new Heartbeat.TaskStatus(
+                                        "j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 c -> got[0] = c);
         w.run(0.05);
         assertEquals(HeartbeatResponse.elsewhere(null), got[0]);
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -3,21 +3,21 @@
 import static io.kitepath.core.MeetingsTest.other;
 import static io.kitepath.core.MeetingsTest.sessions;
 import static io.kitepath.core.MeetingsTest.starts;
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Heartbeat.EndCause;
-import io.kitepath.core.model.Heartbeat.TaskState;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -205,7 +205,8 @@
                         + (cancelled ? ", cancelled" : "");
         w.submit(w.leader(), job("j-1", Shape.ARRAY, 6, 1));
         w.submit(
-                w.leader(), SimulatedCluster.with(job("j-2", Shape.GANG, 4, 2), "red", Priority.NORMAL, true));
+                w.leader(),
+                SimulatedCluster.with(job("j-2", Shape.GANG, 4, 2), "red", Priority.NORMAL, true));
         w.submit(w.leader(), job("j-3", Shape.ARRAY, 3, 1));
         w.run(4);
         long before = sessions(w);
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/OneZoneTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,10 +9,10 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedTask;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedTask;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
@@ -233,7 +233,8 @@
             w.run(3);
             w.submit(
                     w.leader(),
-                    SimulatedCluster.with(job("j-1", Shape.ARRAY, 5, 4), "red", Priority.HIGH, true));
+                    SimulatedCluster.with(
+                            job("j-1", Shape.ARRAY, 5, 4), "red", Priority.HIGH, true));
             w.run(3);
             assertEquals(1, w.onMachines("j-1"));
             if (takeover) {
@@ -315,7 +316,9 @@
                 String at = shape + " leader ends after " + ends;
                 assertEquals(6, w.onMachines("j-1"), at);
                 assertEquals(Set.of("a"), zonesOf(w, "j-1"), at);
-                w.workers.values().stream().filter(x -> x.zone.equals("a")).forEach(SimulatedWorker::die);
+                w.workers.values().stream()
+                        .filter(x -> x.zone.equals("a"))
+                        .forEach(SimulatedWorker::die);
                 w.after(30, () -> w.cloud.machines.values().removeIf(m -> m.zone().equals("a")));
                 if (ends >= 0) {
                     w.run(ends);
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/QuestionRateTest.java
@@ -1,13 +1,13 @@
 package io.kitepath.core;
 
 import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
--- a/src/test/java/io/kitepath/core/QuickEndsTest.java
+++ b/src/test/java/io/kitepath/core/QuickEndsTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
-import io.kitepath.standin.Worlds;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.Worlds;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -117,7 +117,8 @@
     }
 
     /** A node that ends again and again, after so many seconds of life, from now on. */
-    private static void loop(SimulatedCluster w, String name, double lifeS, double downS, double until) {
+    private static void loop(
+            SimulatedCluster w, String name, double lifeS, double downS, double until) {
         if (w.clock.now >= until) {
             return;
         }
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -1,10 +1,10 @@
 package io.kitepath.core;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -87,7 +87,8 @@
                                                             .anyMatch(
                                                                     o ->
                                                                             o.verb()
-                                                                                    == WorkerCommand.Action
+                                                                                    == WorkerCommand
+                                                                                            .Action
                                                                                             .START)
                                                     ? 1
                                                     : 0);
--- a/src/test/java/io/kitepath/core/SettledWritesTest.java
+++ b/src/test/java/io/kitepath/core/SettledWritesTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
-import io.kitepath.standin.Worlds;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -30,7 +30,8 @@
         int[] unheard = new int[1];
         w.store.unheard =
                 t -> {
-                    boolean ours = t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.PART));
+                    boolean ours =
+                            t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.PART));
                     if (ours && seen[0]++ >= nth && unheard[0] < tries) {
                         unheard[0]++;
                         if (cancel) {
@@ -58,7 +59,9 @@
                     at + ": " + id + " is " + status);
         }
         assertEquals(
-                0, w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.PART)).count(), at);
+                0,
+                w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.PART)).count(),
+                at);
         return w;
     }
 
--- a/src/test/java/io/kitepath/core/SharesTest.java
+++ b/src/test/java/io/kitepath/core/SharesTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.CellMessage.QuotaGrant;
 import io.kitepath.core.model.CellMessage.QuotaGrantAccepted;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.MultiCellSimulation;
-import io.kitepath.standin.SimulatedNode;
+import io.kitepath.simulation.MultiCellSimulation;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -21,7 +21,8 @@
     private final MultiCellSimulation c = settled(11, 12);
 
     private static MultiCellSimulation settled(long seed, double limit) {
-        MultiCellSimulation x = new MultiCellSimulation(seed, CELLS, List.of(), false, Map.of("red", limit));
+        MultiCellSimulation x =
+                new MultiCellSimulation(seed, CELLS, List.of(), false, Map.of("red", limit));
         x.watchS = 0.05;
         CELLS.forEach(cell -> x.cell(cell, 2, 6));
         x.run(12);
--- a/src/test/java/io/kitepath/core/SoundMachinesTest.java
+++ b/src/test/java/io/kitepath/core/SoundMachinesTest.java
@@ -1,15 +1,15 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -1,27 +1,27 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.SimulatedCluster.with;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.with;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Machine;
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.JobStatus;
-import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.serve.JobSubmissionService;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.HashSet;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -68,7 +68,8 @@
         SimulatedNode n = settled(2, 1);
         w.submit(n, job("j-1", Shape.ARRAY, 1, 1));
         w.run(30);
-        JobSubmissionService.Answer again = w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
+        JobSubmissionService.Answer again =
+                w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
         assertEquals(Verdict.KNOWN, again.verdict());
         assertEquals("done", again.state().status());
     }
@@ -208,7 +209,9 @@
     private Store.Transaction submission(JobSpec s) {
         var record = s.toRecord();
         record.put("submittedMs", w.clock.now * 1000);
-        return new Store.Transaction().when(StoreKeys.OPEN + s.id(), 0).put(StoreKeys.OPEN + s.id(), record);
+        return new Store.Transaction()
+                .when(StoreKeys.OPEN + s.id(), 0)
+                .put(StoreKeys.OPEN + s.id(), record);
     }
 
     @Test
@@ -304,7 +307,8 @@
         w.submit(first, job("j-1", Shape.SERVICE, 2, 1));
         w.run(3);
         first.crash();
-        SimulatedNode other = w.nodes.values().stream().filter(n -> n != first).findFirst().orElseThrow();
+        SimulatedNode other =
+                w.nodes.values().stream().filter(n -> n != first).findFirst().orElseThrow();
         w.cancel(other, "j-1");
         w.run(15);
         assertEquals(0, w.onMachines("j-1"));
@@ -555,7 +559,9 @@
                         9,
                         token,
                         null,
-                        List.of(new Heartbeat.TaskStatus("j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
+                        List.of(
+                                new Heartbeat.TaskStatus(
+                                        "j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 c -> got[0] = c);
         w.run(0.1);
         assertEquals(token, got[0].token());
@@ -582,7 +588,9 @@
                         9,
                         token,
                         null,
-                        List.of(new Heartbeat.TaskStatus("j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
+                        List.of(
+                                new Heartbeat.TaskStatus(
+                                        "j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 c -> got[0] = c);
         w.run(3);
         assertEquals(w.leader().controller.block.token(), got[0].token());
@@ -736,7 +744,8 @@
         assertEquals(2, w.onMachines("j-1"));
         first.crash();
         w.store.refusePage = n -> true;
-        SimulatedNode other = w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
+        SimulatedNode other =
+                w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow();
         assertEquals(Verdict.KNOWN, w.cancel(other, "j-1").verdict());
         w.run(29);
         assertEquals(0, w.onMachines("j-1"));
@@ -849,7 +858,9 @@
                         ? 0
                         : w.store.keys.get(StoreKeys.IMAGES + 0).revision();
         w.run(30);
-        assertTrue(w.store.log.stream().filter(x -> x.key().startsWith(StoreKeys.IMAGES)).count() <= 4);
+        assertTrue(
+                w.store.log.stream().filter(x -> x.key().startsWith(StoreKeys.IMAGES)).count()
+                        <= 4);
         assertEquals(
                 revision,
                 w.store.keys.get(StoreKeys.IMAGES + 0) == null
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -1,18 +1,18 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.Attempt;
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashMap;
@@ -95,7 +95,10 @@
             w.store.written =
                     (n, t) ->
                             t.writes().stream()
-                                    .filter(x -> x.value() != null && x.key().startsWith(StoreKeys.PART))
+                                    .filter(
+                                            x ->
+                                                    x.value() != null
+                                                            && x.key().startsWith(StoreKeys.PART))
                                     .forEach(
                                             x ->
                                                     placed(
@@ -308,7 +311,10 @@
             assertEquals(
                     0,
                     w.store.keys.keySet().stream()
-                            .filter(k -> k.startsWith(StoreKeys.PART) || k.startsWith(StoreKeys.OPEN))
+                            .filter(
+                                    k ->
+                                            k.startsWith(StoreKeys.PART)
+                                                    || k.startsWith(StoreKeys.OPEN))
                             .count(),
                     at);
             // A quarter, give or take.
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,9 +9,9 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.standin.SimulatedTask;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedTask;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -4,7 +4,7 @@
 import static io.kitepath.core.TeamLimitMeetingsTest.TEAMS;
 import static io.kitepath.core.TeamLimitMeetingsTest.limited;
 import static io.kitepath.core.TeamLimitMeetingsTest.whole;
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,9 +14,9 @@
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -39,13 +39,16 @@
         for (int more = 1; more < 40; more += 2) {
             w = limited(10);
             w.teams.put("blue", new ClusterSettings.Team("blue", 0, 18, 0, 0));
-            SimulatedWorker[] cut = w.workers.values().stream().limit(3).toArray(SimulatedWorker[]::new);
+            SimulatedWorker[] cut =
+                    w.workers.values().stream().limit(3).toArray(SimulatedWorker[]::new);
             JobSpec gang =
-                    SimulatedCluster.with(job("j-21", Shape.GANG, 18, 1), "blue", Priority.NORMAL, false);
+                    SimulatedCluster.with(
+                            job("j-21", Shape.GANG, 18, 1), "blue", Priority.NORMAL, false);
             w.submit(w.leader(), whole("red", 1));
             w.submit(
                     w.leader(),
-                    SimulatedCluster.with(job("j-20", Shape.ARRAY, 18, 1), "blue", Priority.NORMAL, false));
+                    SimulatedCluster.with(
+                            job("j-20", Shape.ARRAY, 18, 1), "blue", Priority.NORMAL, false));
             w.run(5);
             assertEquals(18, w.rules.onMachines("blue")[0]);
             w.submit(w.leader(), gang);
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -1,18 +1,18 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedWorker;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedWorker;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -1,18 +1,18 @@
 package io.kitepath.core;
 
-import static io.kitepath.standin.SimulatedCluster.job;
-import static io.kitepath.standin.Worlds.settled;
+import static io.kitepath.simulation.SimulatedCluster.job;
+import static io.kitepath.simulation.Worlds.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.serve.JobSubmissionService.Verdict;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedTask;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.SimulatedTask;
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
@@ -70,7 +70,8 @@
             this.usual = w.reach;
             w.reach = this;
             w.commands = (n, x) -> !crosses(n.name, x.zone);
-            w.cloud.withheld = c -> lasts && c instanceof SimulatedNode n && inside.contains(n.name);
+            w.cloud.withheld =
+                    c -> lasts && c instanceof SimulatedNode n && inside.contains(n.name);
         }
 
         private boolean crosses(String node, String zone) {
--- a/src/test/java/io/kitepath/core/cell/DivisionTest.java
+++ b/src/test/java/io/kitepath/core/cell/DivisionTest.java
@@ -22,14 +22,16 @@
     void whatNobodyWantsStays() {
         assertEquals(
                 Map.of("a", 10L, "b", 2L),
-                QuotaDivision.targets(List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 0, 0, 0))));
+                QuotaDivision.targets(
+                        List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 0, 0, 0))));
     }
 
     @Test
     void unusedRoomGoesWhereItIsWantedAndNoMore() {
         assertEquals(
                 Map.of("a", 6L, "b", 6L),
-                QuotaDivision.targets(List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 4, 1, 9))));
+                QuotaDivision.targets(
+                        List.of(claim("a", 10, 3, 0, 0, 0), claim("b", 2, 2, 4, 1, 9))));
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -3,19 +3,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.QuotaGrant;
 import io.kitepath.core.model.CellMessage.Summary;
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Timers;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
+import io.kitepath.core.state.StateLoader;
 import io.kitepath.core.state.StateWriter;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.core.state.StateLoader;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -69,7 +69,9 @@
                             "a",
                             List.of(),
                             List.of("a"),
-                            Map.of("t", new ClusterSettings.Team("t", 0, LIMIT / 1000.0 / count, 0, 0)),
+                            Map.of(
+                                    "t",
+                                    new ClusterSettings.Team("t", 0, LIMIT / 1000.0 / count, 0, 0)),
                             List.of(),
                             new ClusterSettings.Workers(1, 10, 30, 5, 30),
                             new ClusterSettings.StoreLimits(1000, 100, 8, 40),
--- a/src/test/java/io/kitepath/core/lead/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.lead;
+package io.kitepath.core.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,8 +6,8 @@
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
-import io.kitepath.standin.SimulatedCluster;
-import io.kitepath.standin.Worlds;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/MarginTest.java
@@ -49,7 +49,8 @@
         for (double report = 0.5; report <= 10; report += 0.5) {
             for (double lease = 2 * report; lease <= 120; lease += 1.5) {
                 // Drift of leases of minutes takes its part of the second that is left.
-                ClusterSettings.Workers w = of(report, lease, lease + 3 * report + 1 + lease * DRIFT);
+                ClusterSettings.Workers w =
+                        of(report, lease, lease + 3 * report + 1 + lease * DRIFT);
                 assertTrue(worst(w) < w.cancelS(), w + ": " + worst(w));
             }
         }
--- a/src/test/java/io/kitepath/core/place/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
@@ -1,12 +1,12 @@
-package io.kitepath.core.place;
+package io.kitepath.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.LoopTimeAccounting;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -31,7 +31,8 @@
                     new ClusterSettings.Limits(1, 200, 1000),
                     5);
     private final ShardState block = new ShardState(facts, m -> {});
-    private final Scheduler placer = new Scheduler(block, new Random(1), new LoopTimeAccounting(() -> 0));
+    private final Scheduler placer =
+            new Scheduler(block, new Random(1), new LoopTimeAccounting(() -> 0));
 
     private Job job(String id, String of, int tasks, double submittedS) {
         JobSpec s =
--- a/src/test/java/io/kitepath/core/place/HopelessTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/HopelessTest.java
@@ -1,11 +1,11 @@
-package io.kitepath.core.place;
+package io.kitepath.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
+import io.kitepath.core.shard.Job;
 import org.junit.jupiter.api.Test;
 
 /** For whom a job that found no room speaks, and for whom not. */
--- a/src/test/java/io/kitepath/core/place/LargestTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/LargestTest.java
@@ -1,12 +1,12 @@
-package io.kitepath.core.place;
+package io.kitepath.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/io/kitepath/core/place/ServiceOrderTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
@@ -1,9 +1,9 @@
-package io.kitepath.core.place;
+package io.kitepath.core.scheduling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.shard.Job;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/io/kitepath/core/serve/RetryPaceTest.java
+++ b/src/test/java/io/kitepath/core/service/RetryPaceTest.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.serve;
+package io.kitepath.core.service;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/io/kitepath/core/block/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
@@ -1,13 +1,13 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -94,11 +94,18 @@
                         4,
                         null,
                         List.of(
-                                new Heartbeat.TaskStatus("j-1", 0, 3, Heartbeat.TaskState.RUNNING, null),
-                                new Heartbeat.TaskStatus("j-2", 1, 4, Heartbeat.TaskState.RUNNING, null),
                                 new Heartbeat.TaskStatus(
-                                        "j-2", 2, 4, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.DONE)));
-        List<WorkerCommand> stop = List.of(new WorkerCommand(WorkerCommand.Action.STOP, "j-2", 1, 4, 0));
+                                        "j-1", 0, 3, Heartbeat.TaskState.RUNNING, null),
+                                new Heartbeat.TaskStatus(
+                                        "j-2", 1, 4, Heartbeat.TaskState.RUNNING, null),
+                                new Heartbeat.TaskStatus(
+                                        "j-2",
+                                        2,
+                                        4,
+                                        Heartbeat.TaskState.ENDED,
+                                        Heartbeat.EndCause.DONE)));
+        List<WorkerCommand> stop =
+                List.of(new WorkerCommand(WorkerCommand.Action.STOP, "j-2", 1, 4, 0));
         assertEquals(stop, heartbeats.heartbeat(r, false, "j-1"::equals, 1));
         Heartbeat next = new Heartbeat("i-1", "i-1", "m4", "a", false, 1, 8, 4, null, r.tasks());
         assertEquals(stop, heartbeats.heartbeat(next, true, "j-1"::equals, 2));
--- a/src/test/java/io/kitepath/core/block/ServedTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServedTest.java
@@ -1,4 +1,4 @@
-package io.kitepath.core.block;
+package io.kitepath.core.shard;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -1,11 +1,9 @@
 package io.kitepath.core.state;
 
-import static io.kitepath.standin.SimulatedCluster.job;
+import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.block.ShardState;
-import io.kitepath.core.block.Job;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
@@ -13,8 +11,10 @@
 import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
-import io.kitepath.standin.SimulatedCluster;
-import io.kitepath.standin.Worlds;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.Worlds;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -77,11 +77,14 @@
                                     : refuses.test(sent.size())
                                             ? Outcome.REFUSED
                                             : failed.isEmpty() ? otherwise : Outcome.NO;
-                    w.after(answerTakesS, () -> answer.accept(new CommitResult(o, 0, failed, false)));
+                    w.after(
+                            answerTakesS,
+                            () -> answer.accept(new CommitResult(o, 0, failed, false)));
                 }
 
                 @Override
-                public void page(String prefix, String from, int limit, Consumer<ListResult> answer) {}
+                public void page(
+                        String prefix, String from, int limit, Consumer<ListResult> answer) {}
 
                 @Override
                 public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {}
--- a/src/test/java/io/kitepath/peers/CellLinksTest.java
+++ b/src/test/java/io/kitepath/peers/CellLinksTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import io.kitepath.core.Controller;
+import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.Redirect;
-import io.kitepath.core.model.CellMessage.UserResponse;
-import io.kitepath.core.model.CellMessage.UserRequest;
 import io.kitepath.core.model.CellMessage.RequestKind;
-import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.CellMessage.UserRequest;
+import io.kitepath.core.model.CellMessage.UserResponse;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.net.LoopTimers;
 import io.netty.channel.EventLoop;
@@ -106,7 +106,8 @@
         CellLinks links = new CellLinks(group, Map.of("west", Map.of("w0", at)), new Random(1));
         // Nobody leads there; its store has not said by which homes it goes.
         assertEquals(
-                new Redirect(null), ask(links, null, new CellMessage.LoanRecall("east", 7, 7, true)));
+                new Redirect(null),
+                ask(links, null, new CellMessage.LoanRecall("east", 7, 7, true)));
         assertEquals(
                 new UserResponse("LATER", null),
                 ask(links, "w0", new UserRequest(RequestKind.STATUS, "j-1", null)));
--- a/src/test/java/io/kitepath/peers/MessagesTest.java
+++ b/src/test/java/io/kitepath/peers/MessagesTest.java
@@ -5,14 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import io.kitepath.core.model.CellMessage;
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.MachineKind;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat;
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
@@ -39,9 +39,14 @@
                         41,
                         null,
                         List.of(
-                                new Heartbeat.TaskStatus("j-1", 3, 2, Heartbeat.TaskState.RUNNING, null),
                                 new Heartbeat.TaskStatus(
-                                        "j-1", 4, 2, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.DONE)));
+                                        "j-1", 3, 2, Heartbeat.TaskState.RUNNING, null),
+                                new Heartbeat.TaskStatus(
+                                        "j-1",
+                                        4,
+                                        2,
+                                        Heartbeat.TaskState.ENDED,
+                                        Heartbeat.EndCause.DONE)));
         assertEquals(new Messages.Ask(7, r, true), sent(new Messages.Ask(7, r, true)));
         Heartbeat notice = new Heartbeat("i-1", "", "m", "a", true, 2, 89, 41, 12.5, List.of());
         assertEquals(new Messages.Ask(8, notice, false), sent(new Messages.Ask(8, notice, false)));
@@ -55,8 +60,10 @@
                         new HeartbeatResponse(
                                 41,
                                 List.of(
-                                        new WorkerCommand(WorkerCommand.Action.START, "j-1", 5, 3, 0),
-                                        new WorkerCommand(WorkerCommand.Action.STOP, "j-1", 4, 2, 6)),
+                                        new WorkerCommand(
+                                                WorkerCommand.Action.START, "j-1", 5, 3, 0),
+                                        new WorkerCommand(
+                                                WorkerCommand.Action.STOP, "j-1", 4, 2, 6)),
                                 null));
         assertEquals(a, sent(a));
         Messages.Answer no = new Messages.Answer(8, new HeartbeatResponse(0, List.of(), "kite-2"));
@@ -114,7 +121,9 @@
                                 List.of(room),
                                 List.of(0.0, 4.5),
                                 List.of("west"),
-                                List.of(new CellMessage.QuotaShare("red", 0, 4000, 1000, 0, 0, 0, 1.5))),
+                                List.of(
+                                        new CellMessage.QuotaShare(
+                                                "red", 0, 4000, 1000, 0, 0, 0, 1.5))),
                         new CellMessage.QuotaGrant("east", 8, 7, "red", 1, 2000),
                         new CellMessage.QuotaGrantAccepted(8),
                         new CellMessage.LoanOffer("east", 1L << 40, 7, job, 1000.5, 0, 4, 2),
@@ -134,7 +143,8 @@
                     other.value(one.bytes(new Messages.AnswerCell(5, m))));
         }
         CellMessage.LoanStatus w =
-                new CellMessage.LoanStatus("west", 8, CellMessage.LoanState.BACK, new byte[] {3, 1}, 4);
+                new CellMessage.LoanStatus(
+                        "west", 8, CellMessage.LoanState.BACK, new byte[] {3, 1}, 4);
         CellMessage.LoanStatus got =
                 (CellMessage.LoanStatus)
                         ((Messages.AnswerCell)
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -5,20 +5,20 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.CellMessage;
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.Heartbeat.TaskStatus;
 import io.kitepath.core.model.HeartbeatResponse;
+import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.JobProgress;
-import io.kitepath.core.model.Heartbeat;
-import io.kitepath.core.model.Heartbeat.EndCause;
-import io.kitepath.core.model.Heartbeat.TaskState;
-import io.kitepath.core.model.Heartbeat.TaskStatus;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.standin.SimulatedNode;
-import io.kitepath.standin.SimulatedCluster;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.wire.MessagePackCodec;
 import java.io.IOException;
 import java.io.InputStream;
@@ -99,16 +99,20 @@
                         new HeartbeatResponse(
                                 41,
                                 List.of(
-                                        new WorkerCommand(WorkerCommand.Action.START, "j-000412", 4, 2, 0),
-                                        new WorkerCommand(WorkerCommand.Action.STOP, "j-000377", 1, 1, 10)),
+                                        new WorkerCommand(
+                                                WorkerCommand.Action.START, "j-000412", 4, 2, 0),
+                                        new WorkerCommand(
+                                                WorkerCommand.Action.STOP, "j-000377", 1, 1, 10)),
                                 null)));
         frames.put("askProgress", new Messages.AskProgress(6, List.of("j-000412", "j-000398")));
         frames.put(
                 "answerProgress",
-                new Messages.AnswerProgress(6, List.of(new JobProgress("j-000412", 3, 13, "waits"))));
+                new Messages.AnswerProgress(
+                        6, List.of(new JobProgress("j-000412", 3, 13, "waits"))));
         frames.put(
                 "askCell",
-                new Messages.AskCell(9, new CellMessage.LoanOffer("north", 4, 2, s, 1000.5, 0, 16, 3)));
+                new Messages.AskCell(
+                        9, new CellMessage.LoanOffer("north", 4, 2, s, 1000.5, 0, 16, 3)));
         frames.put(
                 "answerCell",
                 new Messages.AnswerCell(9, new CellMessage.UserResponse("KNOWN", over)));
@@ -135,7 +139,8 @@
         for (String id : List.of("j-1", "j-3", "j-4", "j-6")) {
             Object theirs = record(StoreKeys.OPEN + id).value();
             JobRecord r = JobRecord.of(id, theirs);
-            assertArrayEquals(MessagePackCodec.bytes(theirs), MessagePackCodec.bytes(r.toMap()), id);
+            assertArrayEquals(
+                    MessagePackCodec.bytes(theirs), MessagePackCodec.bytes(r.toMap()), id);
             assertEquals(List.of(), r.needs());
             assertEquals(0, r.partTasks());
         }
@@ -163,7 +168,8 @@
         for (String part : List.of("j-1/0", "j-1/1", "j-3/0", "j-4/0")) {
             String job = part.substring(0, part.indexOf('/'));
             w.specs.put(job, JobRecord.of(job, record(StoreKeys.OPEN + job).value()).spec());
-            Map<?, ?> live = (Map<?, ?>) ((Map<?, ?>) record(StoreKeys.PART + part).value()).get("live");
+            Map<?, ?> live =
+                    (Map<?, ?>) ((Map<?, ?>) record(StoreKeys.PART + part).value()).get("live");
             live.forEach(
                     (machine, l) -> {
                         for (int i = 0; i + 1 < ((List<?>) l).size(); i += 2) {
--- a/src/test/java/io/kitepath/settings/CellsFileTest.java
+++ b/src/test/java/io/kitepath/settings/CellsFileTest.java
@@ -47,7 +47,8 @@
 
     private String complaint(String from, String to) {
         assertTrue(GOOD.contains(from), from);
-        return assertThrows(InvalidInputException.class, () -> read(GOOD.replace(from, to))).getMessage();
+        return assertThrows(InvalidInputException.class, () -> read(GOOD.replace(from, to)))
+                .getMessage();
     }
 
     @Test
--- a/src/test/java/io/kitepath/settings/SettingsTest.java
+++ b/src/test/java/io/kitepath/settings/SettingsTest.java
@@ -63,7 +63,9 @@
         assertTrue(complaint("{\"label\":").contains("not JSON"));
         assertTrue(complaint("").contains("is empty"));
         assertTrue(
-                assertThrows(InvalidInputException.class, () -> SettingsFile.read(dir.resolve("none")))
+                assertThrows(
+                                InvalidInputException.class,
+                                () -> SettingsFile.read(dir.resolve("none")))
                         .getMessage()
                         .endsWith("none: no such file"));
     }
--- a/src/test/java/io/kitepath/standin/CheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/CheckerTest.java
@@ -1,4 +1,4 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,8 @@
 
 /** What watches the rules finds each of them broken, when it is broken on purpose. */
 class CheckerTest {
-    private final MultiCellSimulation c = new MultiCellSimulation(1, List.of("east", "west"), List.of());
+    private final MultiCellSimulation c =
+            new MultiCellSimulation(1, List.of("east", "west"), List.of());
 
     private String job(int tasks) {
         c.cell("east", 1, 2);
@@ -64,7 +65,10 @@
         SimulatedCluster east = c.world("east");
         east.store.put(StoreKeys.OPEN + id, null, 0, ++east.store.revision);
         east.store.put(
-                StoreKeys.OVER + id, Map.of("status", "done", "done", 2L), 0, ++east.store.revision);
+                StoreKeys.OVER + id,
+                Map.of("status", "done", "done", 2L),
+                0,
+                ++east.store.revision);
         c.status(c.any("west"), id);
         finds("not done: " + id);
     }
--- a/src/test/java/io/kitepath/standin/LoopbackTest.java
+++ b/src/test/java/io/kitepath/simulation/LoopbackTest.java
@@ -1,11 +1,11 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.cloud.HttpCloud;
-import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
@@ -152,9 +152,14 @@
                         41,
                         3.5,
                         List.of(
-                                new Heartbeat.TaskStatus("j-1", 3, 2, Heartbeat.TaskState.RUNNING, null),
                                 new Heartbeat.TaskStatus(
-                                        "j-1", 4, 1, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.NO_ROOM)));
+                                        "j-1", 3, 2, Heartbeat.TaskState.RUNNING, null),
+                                new Heartbeat.TaskStatus(
+                                        "j-1",
+                                        4,
+                                        1,
+                                        Heartbeat.TaskState.ENDED,
+                                        Heartbeat.EndCause.NO_ROOM)));
         assertEquals(r, ProtocolCodec.report(MessagePackCodec.value(EmulatorCodec.report(r))));
     }
 }
--- a/src/test/java/io/kitepath/standin/RulesTest.java
+++ b/src/test/java/io/kitepath/simulation/RulesTest.java
@@ -1,15 +1,15 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.Heartbeat.TaskState;
-import io.kitepath.core.serve.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService;
 import io.kitepath.core.state.StoreKeys;
 import java.util.List;
 import java.util.Map;
@@ -24,7 +24,9 @@
     }
 
     private void start(String machine, String job, int task) {
-        w.workers.get(machine).execute(new WorkerCommand(WorkerCommand.Action.START, job, task, 77, 0));
+        w.workers
+                .get(machine)
+                .execute(new WorkerCommand(WorkerCommand.Action.START, job, task, 77, 0));
     }
 
     private JobSpec placedAs(
@@ -61,7 +63,8 @@
 
     private void over(String id, String status) {
         w.store.put(StoreKeys.OPEN + id, null, 0, ++w.store.revision);
-        w.store.put(StoreKeys.OVER + id, Map.of("status", status, "done", 0L), 0, ++w.store.revision);
+        w.store.put(
+                StoreKeys.OVER + id, Map.of("status", status, "done", 0L), 0, ++w.store.revision);
     }
 
     @Test
@@ -121,7 +124,11 @@
         // As if its lease were none.
         w.after(
                 2.904,
-                () -> x.tasks.put(t.key(), new SimulatedTask(x, t.job, t.number, t.attempt, TaskState.RUNNING)));
+                () ->
+                        x.tasks.put(
+                                t.key(),
+                                new SimulatedTask(
+                                        x, t.job, t.number, t.attempt, TaskState.RUNNING)));
         w.run(6);
         finds("ran cancelled: " + t.key());
     }
@@ -170,7 +177,9 @@
         finds("j-2 is called cancelled and nobody asked");
         w.rules.heard(
                 "j-777",
-                new JobSubmissionService.Answer(JobSubmissionService.Verdict.KNOWN, new JobStatus("j-777", "pending", 0, 0)),
+                new JobSubmissionService.Answer(
+                        JobSubmissionService.Verdict.KNOWN,
+                        new JobStatus("j-777", "pending", 0, 0)),
                 w.clock.now);
         finds("invented: j-777");
     }
--- a/src/test/java/io/kitepath/standin/Worlds.java
+++ b/src/test/java/io/kitepath/simulation/Worlds.java
@@ -1,4 +1,4 @@
-package io.kitepath.standin;
+package io.kitepath.simulation;
 
 import io.kitepath.core.port.Timers;
 
