--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobStatus;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.port.Store;
 import io.kitepath.settings.SettingsFile;
 import java.nio.charset.StandardCharsets;
@@ -71,7 +71,10 @@
                         4,
                         900.0),
                 s);
-        assertEquals(s, JobSpec.fromRecord(s.id(), MessagePackCodec.value(MessagePackCodec.bytes(s.toRecord()))));
+        assertEquals(
+                s,
+                JobSpec.fromRecord(
+                        s.id(), MessagePackCodec.value(MessagePackCodec.bytes(s.toRecord()))));
     }
 
     @Test
@@ -129,9 +132,14 @@
                            {"sheet":"j-000398/0","try":1,"status":"ended","cause":"done"}]}"""));
         assertEquals(
                 List.of(
-                        new Heartbeat.TaskStatus("j-000412", 3, 2, Heartbeat.TaskState.RUNNING, null),
                         new Heartbeat.TaskStatus(
-                                "j-000398", 0, 1, Heartbeat.TaskState.ENDED, Heartbeat.EndCause.DONE)),
+                                "j-000412", 3, 2, Heartbeat.TaskState.RUNNING, null),
+                        new Heartbeat.TaskStatus(
+                                "j-000398",
+                                0,
+                                1,
+                                Heartbeat.TaskState.ENDED,
+                                Heartbeat.EndCause.DONE)),
                 r.tasks());
         assertEquals(41, r.token());
         assertNull(r.noticeS());
@@ -155,9 +163,16 @@
                         ProtocolCodec.orders(
                                 41,
                                 List.of(
-                                        new WorkerCommand(WorkerCommand.Action.START, "j-000412", 4, 2, 0),
-                                        new WorkerCommand(WorkerCommand.Action.STOP, "j-000377", 1, 1, 10),
-                                        new WorkerCommand(WorkerCommand.Action.FORGET, "j-000398", 0, 1, 0))));
+                                        new WorkerCommand(
+                                                WorkerCommand.Action.START, "j-000412", 4, 2, 0),
+                                        new WorkerCommand(
+                                                WorkerCommand.Action.STOP, "j-000377", 1, 1, 10),
+                                        new WorkerCommand(
+                                                WorkerCommand.Action.FORGET,
+                                                "j-000398",
+                                                0,
+                                                1,
+                                                0))));
         assertEquals(
                 json(
                         """
@@ -195,10 +210,14 @@
     void theStateThatUsersSee() {
         assertEquals(
                 json("{\"nameId\":\"j-000412\",\"status\":\"running\",\"done\":3,\"running\":13}"),
-                MessagePackCodec.value(ProtocolCodec.jobState(new JobStatus("j-000412", "running", 3, 13, null), false)));
+                MessagePackCodec.value(
+                        ProtocolCodec.jobState(
+                                new JobStatus("j-000412", "running", 3, 13, null), false)));
         assertEquals(
                 json("{\"nameId\":\"j-000412\",\"status\":\"withdrawn\"}"),
-                MessagePackCodec.value(ProtocolCodec.jobState(new JobStatus("j-000412", "cancelled", 0, 0, null), true)));
+                MessagePackCodec.value(
+                        ProtocolCodec.jobState(
+                                new JobStatus("j-000412", "cancelled", 0, 0, null), true)));
     }
 
     @Test
