--- a/src/test/java/io/kitepath/peers/FrameBytesTest.java
+++ b/src/test/java/io/kitepath/peers/FrameBytesTest.java
@@ -251,9 +251,36 @@
                 new JobSpec(
                         null, null, null, null, null, -1, -1, -2, -3, List.of(), null, false, true,
                         false, null, -4, -5, -6, -7, null);
+        messages.put(
+                "userAsk.spot", new CellMessage.UserAsk(CellMessage.Wish.SUBMIT, "j-2", spotJob()));
         messages.put("userAsk.absent", new CellMessage.UserAsk(null, null, absent));
     }
 
+    /** Unlike {@link #job}, with another value for each flag that has one there. */
+    private static JobSpec spotJob() {
+        return new JobSpec(
+                "j-2",
+                "serve",
+                "web",
+                JobSpec.Shape.SERVICE,
+                JobSpec.Priority.LOW,
+                1,
+                0.5,
+                0,
+                2,
+                List.of("m4"),
+                null,
+                false,
+                true,
+                true,
+                "img-1",
+                0,
+                1,
+                2,
+                3,
+                4.0);
+    }
+
     private static JobSpec job(
             JobSpec.Shape shape, JobSpec.Priority priority, List<String> types, Double deadlineS) {
         return new JobSpec(
