--- a/src/main/java/io/kitepath/peers/Messages.java
+++ b/src/main/java/io/kitepath/peers/Messages.java
@@ -7,10 +7,8 @@
 import io.kitepath.core.model.HeartbeatAnswer;
 import io.kitepath.core.model.JobState;
 import io.kitepath.core.model.Malformed;
-import io.kitepath.core.model.Order;
 import io.kitepath.core.model.Progress;
 import io.kitepath.core.model.Report;
-import java.util.ArrayList;
 import java.util.List;
 
 /** What goes between controller nodes, in Kryo's notation with registered classes only. */
@@ -55,8 +53,6 @@
      */
     static final long READS_DIGESTS = Long.MIN_VALUE;
 
-    private static final int FIRST_NEW_ID = 100;
-
     private final Kryo kryo = new Kryo();
     private final Output output = new Output(1024, MAX_FRAME);
 
@@ -68,82 +64,18 @@
     Messages(boolean cells) {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
-        int id = 20;
-        for (Class<?> c :
-                new Class<?>[] {
-                    View.class,
-                    Over.class,
-                    Ask.class,
-                    Answer.class,
-                    Report.class,
-                    Report.TaskReport.class,
-                    Report.State.class,
-                    Report.Cause.class,
-                    HeartbeatAnswer.class,
-                    Order.class,
-                    Order.Verb.class,
-                    ArrayList.class,
-                    AskProgress.class,
-                    AnswerProgress.class,
-                    Progress.class,
-                    JobState.class
-                }) {
-            kryo.register(c, id++);
-        }
+        MessageSerializers.register(kryo);
         if (cells) {
-            for (Class<?> c : CellWords.classes()) {
-                kryo.register(c, id++);
-            }
+            CellMessageSerializers.register(kryo);
         }
-        // Past all that production knows, with cells or without.
-        kryo.register(Digest.class, FIRST_NEW_ID);
     }
 
     byte[] bytes(Object message) {
         output.reset();
-        kryo.writeClassAndObject(output, plain(message));
+        kryo.writeClassAndObject(output, message);
         return output.toBytes();
     }
 
-    /** Kryo knows one kind of list here. */
-    private static Object plain(Object message) {
-        if (message instanceof Ask a) {
-            Report r = a.report;
-            return new Ask(
-                    a.number,
-                    new Report(
-                            r.machine(),
-                            r.address(),
-                            r.type(),
-                            r.zone(),
-                            r.spot(),
-                            r.session(),
-                            r.sequence(),
-                            r.token(),
-                            r.noticeS(),
-                            new ArrayList<>(r.tasks())),
-                    a.passOn);
-        }
-        if (message instanceof Answer a) {
-            HeartbeatAnswer c = a.heartbeat;
-            return new Answer(
-                    a.number,
-                    new HeartbeatAnswer(c.token(), new ArrayList<>(c.orders()), c.anchor()));
-        }
-        if (message instanceof AskProgress a) {
-            return new AskProgress(a.number, new ArrayList<>(a.jobs));
-        }
-        if (message instanceof AnswerProgress a) {
-            return new AnswerProgress(a.number, new ArrayList<>(a.progress));
-        }
-        if (message instanceof Digest d) {
-            return new Digest(d.by, d.sinceMs, d.untilMs, new ArrayList<>(d.jobs));
-        }
-        return message instanceof AskCell || message instanceof AnswerCell
-                ? CellWords.plain(message)
-                : message;
-    }
-
     Object value(byte[] frame) {
         try {
             return kryo.readClassAndObject(new Input(frame));
