--- a/src/main/java/io/kitepath/peers/Messages.java
+++ b/src/main/java/io/kitepath/peers/Messages.java
@@ -9,8 +9,6 @@
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobStatus;
-import io.kitepath.core.model.WorkerCommand;
-import java.util.ArrayList;
 import java.util.List;
 
 /** What goes between controller nodes, in Kryo's notation with registered classes only. */
@@ -55,8 +53,6 @@
      */
     static final long READS_DIGESTS = Long.MIN_VALUE;
 
-    private static final int FIRST_NEW_ID = 100;
-
     private final Kryo kryo = new Kryo();
     private final Output output = new Output(1024, MAX_FRAME);
 
@@ -68,82 +64,18 @@
     Messages(boolean cells) {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
-        int id = 20;
-        for (Class<?> c :
-                new Class<?>[] {
-                    View.class,
-                    Over.class,
-                    Ask.class,
-                    Answer.class,
-                    Heartbeat.class,
-                    Heartbeat.TaskStatus.class,
-                    Heartbeat.TaskState.class,
-                    Heartbeat.EndCause.class,
-                    HeartbeatResponse.class,
-                    WorkerCommand.class,
-                    WorkerCommand.Action.class,
-                    ArrayList.class,
-                    AskProgress.class,
-                    AnswerProgress.class,
-                    JobProgress.class,
-                    JobStatus.class
-                }) {
-            kryo.register(c, id++);
-        }
+        MessageSerializers.register(kryo);
         if (cells) {
-            for (Class<?> c : CellWords.classes()) {
-                kryo.register(c, id++);
-            }
+            CellMessageSerializers.register(kryo);
         }
-        // Past all that production knows, with cells or without.
-        kryo.register(Digest.class, FIRST_NEW_ID);
     }
 
     byte[] bytes(Object message) {
         output.reset();
-        kryo.writeClassAndObject(output, plain(message));
+        kryo.writeClassAndObject(output, message);
         return output.toBytes();
     }
 
-    /** Kryo knows one kind of list here. */
-    private static Object plain(Object message) {
-        if (message instanceof Ask a) {
-            Heartbeat r = a.report;
-            return new Ask(
-                    a.number,
-                    new Heartbeat(
-                            r.machine(),
-                            r.address(),
-                            r.type(),
-                            r.zone(),
-                            r.spot(),
-                            r.session(),
-                            r.sequence(),
-                            r.token(),
-                            r.noticeS(),
-                            new ArrayList<>(r.tasks())),
-                    a.passOn);
-        }
-        if (message instanceof Answer a) {
-            HeartbeatResponse c = a.heartbeat;
-            return new Answer(
-                    a.number,
-                    new HeartbeatResponse(c.token(), new ArrayList<>(c.orders()), c.anchor()));
-        }
-        if (message instanceof AskProgress a) {
-            return new AskProgress(a.number, new ArrayList<>(a.jobs));
-        }
-        if (message instanceof AnswerProgress a) {
-            return new AnswerProgress(a.number, new ArrayList<>(a.progress));
-        }
-        if (message instanceof Digest d) {
-            return new Digest(d.by, d.sinceMs, d.untilMs, new ArrayList<>(d.jobs));
-        }
-        return message instanceof AskCell || message instanceof AnswerCell
-                ? CellWords.plain(message)
-                : message;
-    }
-
     Object value(byte[] frame) {
         try {
             return kryo.readClassAndObject(new Input(frame));
