--- a/src/main/java/io/kitepath/cli/ArchiveTraining.java
+++ b/src/main/java/io/kitepath/cli/ArchiveTraining.java
@@ -151,19 +151,22 @@
     }
 
     /** Just enough of the state service and the cloud for one node. */
-    private void standIn(HttpServer.Request r, HttpServer.Responder out) {
-        String path = r.path();
+    private void standIn(HttpServer.Request request, HttpServer.Responder out) {
+        String path = request.path();
         if (path.equals("/holds") || path.endsWith("/renew")) {
             out.reply(200, MessagePackCodec.bytes(Map.of("tether", 1L)));
         } else if (path.equals("/multi")) {
-            multi(MessagePackCodec.value(r.body()), out);
+            multi(MessagePackCodec.value(request.body()), out);
         } else if (path.equals("/keys")) {
             List<Object> entries = new ArrayList<>();
             String prefix =
-                    new QueryStringDecoder(r.query(), false).parameters().get("prefix").get(0);
+                    new QueryStringDecoder(request.query(), false)
+                            .parameters()
+                            .get("prefix")
+                            .get(0);
             keys.forEach(
-                    (k, v) -> {
-                        if (k.startsWith(prefix)) {
+                    (key, v) -> {
+                        if (key.startsWith(prefix)) {
                             entries.add(v);
                         }
                     });
@@ -208,7 +211,7 @@
                                                     5.0,
                                                     "fields",
                                                     List.of("a"))))));
-        } else if (path.equals("/rentals") && r.method().equals("GET")) {
+        } else if (path.equals("/rentals") && request.method().equals("GET")) {
             out.reply(200, MessagePackCodec.bytes(Map.of("hosts", List.of(), "truncated", false)));
         } else {
             out.reply(503, MessagePackCodec.bytes(Map.of("error", "no capacity")));
--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -137,19 +137,19 @@
                                 + " of "
                                 + (s.siblings().size() + 1));
                 if (cells != null) {
-                    CellDirectory d = CellsFile.read(cells, s.facts()).directory();
+                    CellDirectory directory = CellsFile.read(cells, s.facts()).directory();
                     System.out.println(
                             cells
                                     + ": ok, cell "
-                                    + d.own()
+                                    + directory.own()
                                     + " of "
-                                    + d.cells().size()
+                                    + directory.cells().size()
                                     + ", homes: "
-                                    + d.homes());
+                                    + directory.homes());
                 }
                 return 0;
-            } catch (InvalidInputException e) {
-                System.err.println("kitepath: " + e.getMessage());
+            } catch (InvalidInputException invalid) {
+                System.err.println("kitepath: " + invalid.getMessage());
                 return 2;
             }
         }
--- a/src/main/java/io/kitepath/cli/LocalCommand.java
+++ b/src/main/java/io/kitepath/cli/LocalCommand.java
@@ -109,19 +109,19 @@
                 internal.add(free());
                 labels.put("node-" + i, listens.get(i));
             }
-            SimulatedCluster world = new SimulatedCluster();
-            world.cloud.capacity = machines;
-            world.cloud.bootS = n -> 0.5;
-            world.runsFor = job -> taskS;
-            world.reportsChanges = true;
+            SimulatedCluster cluster = new SimulatedCluster();
+            cluster.cloud.capacity = machines;
+            cluster.cloud.bootS = n -> 0.5;
+            cluster.runsFor = job -> taskS;
+            cluster.reportsChanges = true;
             if (earlier != null) {
-                world.next = new ClusterSettings.StoreLimits(1000, 500, 2, 13);
+                cluster.next = new ClusterSettings.StoreLimits(1000, 500, 2, 13);
             }
-            LoopbackEmulator outside = new LoopbackEmulator(group, world, labels);
+            LoopbackEmulator outside = new LoopbackEmulator(group, cluster, labels);
             List<InetSocketAddress> services = outside.start();
             for (int i = 0; i < count; i++) {
                 Path file = dir.resolve("node-" + i + ".json");
-                Files.write(file, SettingsFile.json(settings(i, internal, services, world)));
+                Files.write(file, SettingsFile.json(settings(i, internal, services, cluster)));
                 settings.put("node-" + i, file);
                 start("node-" + i);
             }
@@ -195,9 +195,9 @@
             int tasks = 1 + random.nextInt(12);
             outside.run(
                     () -> {
-                        outside.world.specs.put(
+                        outside.cluster.specs.put(
                                 id, SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
-                        outside.world.needs.put(id, List.of(needs));
+                        outside.cluster.needs.put(id, List.of(needs));
                     });
             if (submit(id, tasks, needs)) {
                 jobs.add(id);
@@ -206,12 +206,12 @@
             if (earlier != null && random.nextInt(3) == 0) {
                 renewed.add(node); // From its next end on.
             }
-            if (all && outside.world.next != null) {
+            if (all && outside.cluster.next != null) {
                 outside.run(
                         () -> {
-                            outside.world.store.valueBytes =
-                                    (int) (1024 * outside.world.next.valueKb());
-                            outside.world.store.txnOps = outside.world.next.txnOps();
+                            outside.cluster.store.valueBytes =
+                                    (int) (1024 * outside.cluster.next.valueKb());
+                            outside.cluster.store.txnOps = outside.cluster.next.txnOps();
                         });
             }
             if (random.nextInt(3) == 0) {
@@ -237,10 +237,10 @@
         List<String> broken = new ArrayList<>();
         outside.run(
                 () -> {
-                    broken.addAll(outside.world.broken);
-                    if (outside.world.store.overLimits > 0) {
+                    broken.addAll(outside.cluster.broken);
+                    if (outside.cluster.store.overLimits > 0) {
                         broken.add(
-                                outside.world.store.overLimits
+                                outside.cluster.store.overLimits
                                         + " transactions over the state service's limits");
                     }
                 });
@@ -253,16 +253,16 @@
                             outside.run(
                                     () ->
                                             none[0] =
-                                                    outside.world.cloud.machines.isEmpty()
+                                                    outside.cluster.cloud.machines.isEmpty()
                                                             && outside
-                                                                    .world
+                                                                    .cluster
                                                                     .store
                                                                     .keys
                                                                     .keySet()
                                                                     .stream()
                                                                     .noneMatch(
-                                                                            k ->
-                                                                                    k.startsWith(
+                                                                            key ->
+                                                                                    key.startsWith(
                                                                                             StoreKeys
                                                                                                     .ACT)));
                             return none[0];
@@ -348,7 +348,7 @@
             int i,
             List<InetSocketAddress> internal,
             List<InetSocketAddress> services,
-            SimulatedCluster w) {
+            SimulatedCluster cluster) {
         List<Object> siblings = new ArrayList<>();
         for (int j = 0; j < count; j++) {
             if (j != i) {
@@ -357,14 +357,14 @@
                                 "label",
                                 "node-" + j,
                                 "domain",
-                                w.zones.get(j % w.zones.size()),
+                                cluster.zones.get(j % cluster.zones.size()),
                                 "addr",
                                 text(internal.get(j))));
             }
         }
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("label", "node-" + i);
-        m.put("domain", w.zones.get(i % w.zones.size()));
+        m.put("domain", cluster.zones.get(i % cluster.zones.size()));
         m.put("listen", text(listens.get(i)));
         m.put("internal_addr", text(internal.get(i)));
         m.put("siblings", siblings);
@@ -373,15 +373,15 @@
                 "facts",
                 Map.of(
                         "zones",
-                        w.zones,
+                        cluster.zones,
                         "teams",
                         List.of(Map.of("name", "red")),
                         "workers",
                         Map.of(
                                 "report_s",
-                                w.reportS,
+                                cluster.reportS,
                                 "lease_s",
-                                w.leaseS,
+                                cluster.leaseS,
                                 "gang_wait_s",
                                 30,
                                 "gang_peer_s",
@@ -399,13 +399,13 @@
                                 "txn_ops",
                                 40,
                                 "next",
-                                w.next == null
+                                cluster.next == null
                                         ? Map.of()
                                         : Map.of(
                                                 "value_kb",
-                                                w.next.valueKb(),
+                                                cluster.next.valueKb(),
                                                 "txn_ops",
-                                                w.next.txnOps())),
+                                                cluster.next.txnOps())),
                         "cloud",
                         Map.of("rps", 10, "list_lag_s", 2),
                         "limits",
--- a/src/main/java/io/kitepath/cli/Main.java
+++ b/src/main/java/io/kitepath/cli/Main.java
@@ -58,8 +58,8 @@
             new Node(settings, cells == null ? null : CellsFile.read(cells, settings.facts()))
                     .start();
             return 0;
-        } catch (InvalidInputException e) {
-            System.err.println("kitepath: " + e.getMessage());
+        } catch (InvalidInputException invalid) {
+            System.err.println("kitepath: " + invalid.getMessage());
             return 2;
         } catch (Exception e) {
             System.err.println("kitepath: can't start: " + e);
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -117,14 +117,18 @@
     }
 
     private void route(
-            Controller controller, UsersApi users, WorkersApi workers, Request r, Responder out) {
-        String path = r.path();
+            Controller controller,
+            UsersApi users,
+            WorkersApi workers,
+            Request request,
+            Responder out) {
+        String path = request.path();
         if (path.equals(WorkersApi.CHECK_IN)) {
-            workers.handle(r, out);
+            workers.handle(request, out);
         } else if (path.equals(UsersApi.JOBS) || path.startsWith(UsersApi.JOBS + "/")) {
-            users.handle(r, out);
+            users.handle(request, out);
         } else if (path.equals("/healthz") || path.equals("/metrics") || path.equals("/duties")) {
-            if (!r.method().equals("GET")) {
+            if (!request.method().equals("GET")) {
                 out.reply(405, null);
             } else if (path.equals("/healthz")) {
                 out.reply(controller.healthy() ? 200 : 503, null);
--- a/src/main/java/io/kitepath/cli/RehearseCommand.java
+++ b/src/main/java/io/kitepath/cli/RehearseCommand.java
@@ -70,9 +70,9 @@
         try {
             for (long s = seed; s < seed + runs; s++) {
                 for (Way way : compare ? Way.values() : new Way[] {Way.CELLS}) {
-                    Plan p = plan(s);
-                    Result r = new Rehearsal(p, way).play();
-                    System.out.println(json ? json(p, way, r) : text(p, way, r));
+                    Plan plan = plan(s);
+                    Result r = new Rehearsal(plan, way).play();
+                    System.out.println(json ? json(plan, way, r) : text(plan, way, r));
                     // Cells apart, and a cell of a size that nobody has, are only there to be
                     // compared with.
                     failed |=
@@ -80,8 +80,8 @@
                                     || way == Way.CELLS && (r.unfinished() > 0 || r.least() < HALF);
                 }
             }
-        } catch (InvalidInputException e) {
-            System.err.println("kitepath: " + e.getMessage());
+        } catch (InvalidInputException invalid) {
+            System.err.println("kitepath: " + invalid.getMessage());
             return 2;
         }
         if (!json) {
@@ -162,8 +162,8 @@
                     t.numberOr("bad_network", 0, 0),
                     t.has("seed") ? t.count("seed") + s - 1 : s,
                     faults);
-        } catch (InvalidInputException e) {
-            throw new InvalidInputException(f + ": " + e.getMessage());
+        } catch (InvalidInputException invalid) {
+            throw new InvalidInputException(f + ": " + invalid.getMessage());
         }
     }
 
@@ -171,19 +171,19 @@
         return String.format(Locale.ROOT, "%.1f", h.getValueAtPercentile(percentile) / 1000.0);
     }
 
-    private static String text(Plan p, Way way, Result r) {
-        StringBuilder b = new StringBuilder();
-        b.append(
+    private static String text(Plan plan, Way way, Result r) {
+        StringBuilder text = new StringBuilder();
+        text.append(
                 String.format(
                         Locale.ROOT,
                         "%s seed %d: %d cells of %d machines, %d jobs, %d tasks%n",
                         way.name().toLowerCase(Locale.ROOT),
-                        p.seed(),
-                        p.cells(),
-                        p.machines(),
+                        plan.seed(),
+                        plan.cells(),
+                        plan.machines(),
                         r.jobs(),
                         r.tasks()));
-        b.append(
+        text.append(
                 String.format(
                         "  waits p50/p99: first cell %s/%s s, others %s/%s s; all done %.0f s after the load%n",
                         s(r.hot(), 50),
@@ -191,18 +191,18 @@
                         s(r.others(), 50),
                         s(r.others(), 99),
                         r.tookS()));
-        b.append("  in time:");
+        text.append("  in time:");
         r.served()
                 .forEach(
-                        (k, x) ->
-                                b.append(
+                        (key, x) ->
+                                text.append(
                                         String.format(
                                                 Locale.ROOT,
                                                 " %s %.3f of %d;",
-                                                k,
+                                                key,
                                                 (double) x[0] / x[1],
                                                 x[1])));
-        b.append(
+        text.append(
                 String.format(
                         Locale.ROOT,
                         "%n  hand-overs %d, messages %.3f and changes %.3f a task; starts %.3f a "
@@ -212,7 +212,7 @@
                         (double) r.changes() / r.tasks(),
                         (double) r.starts() / r.tasks(),
                         r.refusals()));
-        b.append(
+        text.append(
                 String.format(
                         Locale.ROOT,
                         "  rules broken: %d%s; jobs not done: %d; played in %.1f s, %.0f us a start",
@@ -223,12 +223,12 @@
                         r.unfinished(),
                         r.realS(),
                         1e6 * r.realS() / Math.max(1, r.starts())));
-        return b.toString();
+        return text.toString();
     }
 
-    private static String json(Plan p, Way way, Result r) {
-        StringBuilder b = new StringBuilder();
-        b.append(
+    private static String json(Plan plan, Way way, Result r) {
+        StringBuilder text = new StringBuilder();
+        text.append(
                 String.format(
                         Locale.ROOT,
                         "{\"way\":\"%s\",\"seed\":%d,\"cells\":%d,\"machines\":%d,\"jobs\":%d,"
@@ -236,9 +236,9 @@
                                 + "\"hand_overs\":%d,\"messages\":%d,\"changes\":%d,\"refusals\":%d,\"took_s\":%.1f,\"real_s\":%.2f,"
                                 + "\"broken\":%d,\"unfinished\":%d,\"served\":{",
                         way.name().toLowerCase(Locale.ROOT),
-                        p.seed(),
-                        p.cells(),
-                        p.machines(),
+                        plan.seed(),
+                        plan.cells(),
+                        plan.machines(),
                         r.jobs(),
                         r.tasks(),
                         r.starts(),
@@ -256,7 +256,7 @@
                         r.unfinished()));
         String comma = "";
         for (Map.Entry<String, int[]> e : r.served().entrySet()) {
-            b.append(comma)
+            text.append(comma)
                     .append('"')
                     .append(e.getKey())
                     .append("\":")
@@ -267,6 +267,6 @@
                                     (double) e.getValue()[0] / e.getValue()[1]));
             comma = ",";
         }
-        return b.append("}}").toString();
+        return text.append("}}").toString();
     }
 }
--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -32,8 +32,8 @@
     private static <T> T read(byte[] body, Function<Object, T> reading) {
         try {
             return reading.apply(MessagePackCodec.value(body));
-        } catch (InvalidInputException e) {
-            LOG.warn("cloud answered with a body that can't be read: {}", e.getMessage());
+        } catch (InvalidInputException invalid) {
+            LOG.warn("cloud answered with a body that can't be read: {}", invalid.getMessage());
             return null;
         }
     }
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -61,37 +61,37 @@
     /** A minute. */
     private static final int SUMMARY_TICKS = 240;
 
-    final ClusterSettings facts;
+    final ClusterSettings settings;
     private final Timers timers;
-    private final DirectCancellations stops;
+    private final DirectCancellations directCancellations;
     private final PeerNodes siblings;
-    final ShardState block;
-    final HeartbeatProcessor heartbeats;
-    final Scheduler placer;
+    final ShardState shard;
+    final HeartbeatProcessor heartbeatProcessor;
+    final Scheduler scheduler;
     final Leadership leadership;
-    final StateWriter keeper;
-    private final MembershipView views;
+    final StateWriter stateWriter;
+    private final MembershipView membership;
     private final Gossip gossip;
-    final CancellationWatermark known;
+    final CancellationWatermark cancellationWatermark;
     private final CancellationProof proof;
-    private final LoopTimeAccounting spent;
-    private final FailoverTimings takeover;
-    private final CloudReconciler rentals;
+    private final LoopTimeAccounting loopTime;
+    private final FailoverTimings failover;
+    private final CloudReconciler cloudReconciler;
     final CloudIntents intents;
-    private final CloudIntentExecutor carrier;
-    final GarbageCollector sweep;
-    private final LeasedRoles duties;
-    private final JobSubmissionService registry;
+    private final CloudIntentExecutor intentExecutor;
+    final GarbageCollector garbageCollector;
+    private final LeasedRoles roles;
+    private final JobSubmissionService submissions;
 
     /** Null without other cells. */
-    private final CellService cells;
+    private final CellService cellService;
 
     /** What the settings say before this cell's part of it is taken. */
-    private final ClusterSettings whole;
+    private final ClusterSettings clusterWideSettings;
 
-    private final CellDirectory directory;
-    private final HeartbeatService desk;
-    private final RetryAfter retries;
+    private final CellDirectory cellDirectory;
+    private final HeartbeatService heartbeatService;
+    private final RetryAfter retryAfter;
     private boolean ticking;
     private long ticks;
     private long rounds;
@@ -103,120 +103,136 @@
 
     /** A node of the only cell there is. */
     public Controller(
-            ClusterSettings facts,
+            ClusterSettings settings,
             Store store,
             Cloud cloud,
             DirectCommands direct,
             Timers timers,
             PeerNodes siblings,
             Random random) {
-        this(facts, store, cloud, direct, timers, siblings, random, null, null);
+        this(settings, store, cloud, direct, timers, siblings, random, null, null);
     }
 
     /** {@code directory} and {@code others}: null if there are no other cells. */
     public Controller(
-            ClusterSettings settings,
+            ClusterSettings clusterWideSettings,
             Store store,
             Cloud cloud,
             DirectCommands direct,
             Timers timers,
             PeerNodes siblings,
             Random random,
-            CellDirectory directory,
+            CellDirectory cellDirectory,
             RemoteCells others) {
-        this.whole = settings;
-        this.directory = directory;
-        this.facts = directory == null ? settings : settings.withTeams(directory.here().teams());
+        this.clusterWideSettings = clusterWideSettings;
+        this.cellDirectory = cellDirectory;
+        this.settings =
+                cellDirectory == null
+                        ? clusterWideSettings
+                        : clusterWideSettings.withTeams(cellDirectory.here().teams());
         this.timers = timers;
         this.siblings = siblings;
-        this.spent = new LoopTimeAccounting(timers::now);
-        ImageRecords images = new ImageRecords(facts);
-        this.block = new ShardState(facts, images::recall);
-        this.heartbeats = new HeartbeatProcessor(block);
-        this.takeover = new FailoverTimings(block);
-        this.placer = new Scheduler(block, random, spent);
-        this.views = new MembershipView(facts, timers);
-        Incarnation incarnation = new Incarnation(facts.node(), timers.wallMs(), random);
-        this.leadership = new Leadership(facts, store, timers, random, incarnation, new Leading());
-        this.known = new CancellationWatermark(facts, timers);
+        this.loopTime = new LoopTimeAccounting(timers::now);
+        ImageRecords images = new ImageRecords(settings);
+        this.shard = new ShardState(settings, images::recall);
+        this.heartbeatProcessor = new HeartbeatProcessor(shard);
+        this.failover = new FailoverTimings(shard);
+        this.scheduler = new Scheduler(shard, random, loopTime);
+        this.membership = new MembershipView(settings, timers);
+        Incarnation incarnation = new Incarnation(settings.node(), timers.wallMs(), random);
+        this.leadership =
+                new Leadership(settings, store, timers, random, incarnation, new Leading());
+        this.cancellationWatermark = new CancellationWatermark(settings, timers);
         this.gossip =
                 new Gossip(
                         timers,
                         siblings,
                         leadership,
-                        views,
-                        block,
-                        known,
+                        membership,
+                        shard,
+                        cancellationWatermark,
                         this::holds,
                         this::ended,
                         this::soon);
-        this.registry =
+        this.submissions =
                 new JobSubmissionService(
-                        facts, store, timers, this.gossip::served, this.gossip, directory != null);
-        this.cells = directory == null ? null : new InCells().desk(store, others, random);
-        this.keeper = new StateWriter(store, timers, block, images, new Keeping(), cells);
-        this.intents = new CloudIntents(block, timers, this::ride);
-        this.rentals =
+                        settings,
+                        store,
+                        timers,
+                        this.gossip::served,
+                        this.gossip,
+                        cellDirectory != null);
+        this.cellService = cellDirectory == null ? null : new InCells().desk(store, others, random);
+        this.stateWriter =
+                new StateWriter(store, timers, shard, images, new Keeping(), cellService);
+        this.intents = new CloudIntents(shard, timers, this::ride);
+        this.cloudReconciler =
                 new CloudReconciler(
-                        block,
-                        new ScalingPlanner(block, placer),
+                        shard,
+                        new ScalingPlanner(shard, scheduler),
                         intents,
                         store,
                         cloud,
                         timers,
                         leadership::leading,
                         this::soon);
-        this.carrier =
-                new CloudIntentExecutor(facts, store, cloud, timers, random, leadership.lifeS());
-        this.sweep = new GarbageCollector(facts, store, timers);
-        this.duties =
+        this.intentExecutor =
+                new CloudIntentExecutor(settings, store, cloud, timers, random, leadership.lifeS());
+        this.garbageCollector = new GarbageCollector(settings, store, timers);
+        this.roles =
                 new LeasedRoles(
-                        facts,
+                        settings,
                         store,
                         timers,
                         random,
                         incarnation,
                         leadership.lifeS(),
-                        List.of(carrier, sweep));
+                        List.of(intentExecutor, garbageCollector));
         this.proof =
                 new CancellationProof(
                         store,
                         timers,
-                        new Random(facts.node().hashCode()),
-                        block,
+                        new Random(settings.node().hashCode()),
+                        shard,
                         this::holds,
                         new Proof());
-        this.desk =
+        this.heartbeatService =
                 new HeartbeatService(
-                        block,
-                        heartbeats,
+                        shard,
+                        heartbeatProcessor,
                         leadership,
-                        keeper,
-                        views,
-                        known,
+                        stateWriter,
+                        membership,
+                        cancellationWatermark,
                         siblings,
                         timers,
-                        spent,
+                        loopTime,
                         this::soon);
-        this.stops =
+        this.directCancellations =
                 new DirectCancellations(
-                        block, heartbeats, desk, leadership, direct, timers, this::soon);
-        this.retries = new RetryAfter(facts, timers);
-        registry.onCancelled(
+                        shard,
+                        heartbeatProcessor,
+                        heartbeatService,
+                        leadership,
+                        direct,
+                        timers,
+                        this::soon);
+        this.retryAfter = new RetryAfter(settings, timers);
+        submissions.onCancelled(
                 job -> {
-                    block.pipelines().ended(job.id(), false, timers.wallMs());
+                    shard.pipelines().ended(job.id(), false, timers.wallMs());
                     soon();
                     siblings.over(job);
                 });
-        registry.onKnownCancelled(gossip::learned);
+        submissions.onKnownCancelled(gossip::learned);
     }
 
     public void start() {
         leadership.start();
-        rentals.learnTypes();
-        duties.start();
-        if (cells != null) {
-            cells.start();
+        cloudReconciler.learnTypes();
+        roles.start();
+        if (cellService != null) {
+            cellService.start();
         }
         gossip.start();
     }
@@ -224,57 +240,59 @@
     /** Hands over what it leads and holds: the node is being stopped on purpose. */
     public void stop() {
         leadership.retire();
-        duties.retire();
+        roles.retire();
     }
 
     /** The duties, and who has them as far as this node knows. */
     public List<LeasedRoles.RoleHolder> duties() {
-        return duties.seats();
+        return roles.seats();
     }
 
     /** Whether this node may do that duty now, by its own clock. */
     boolean entitled(String duty) {
-        return duties.holds(duty);
+        return roles.holds(duty);
     }
 
     /** What users ask. */
     public JobApi registry() {
-        return cells == null ? registry : cells.jobs();
+        return cellService == null ? submissions : cellService.jobs();
     }
 
     /** The desk for other cells, null without such. */
     public CellService cells() {
-        return cells;
+        return cellService;
     }
 
     /** Why the job can never run, here or in any other cell, or null if it can. */
-    public String impossible(JobSpec s) {
-        return s.impossible(
-                block.types(), whole, directory == null ? Set.of() : directory.zonesElsewhere());
+    public String impossible(JobSpec spec) {
+        return spec.impossible(
+                shard.types(),
+                clusterWideSettings,
+                cellDirectory == null ? Set.of() : cellDirectory.zonesElsewhere());
     }
 
     /** The machine types, empty until they are known. */
     public Map<String, MachineType> types() {
-        return block.types();
+        return shard.types();
     }
 
     /** A worker's report. */
-    public void heartbeat(Heartbeat report, Consumer<HeartbeatResponse> answer) {
-        desk.heartbeat(report, answer);
+    public void heartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+        heartbeatService.heartbeat(heartbeat, answer);
     }
 
     /** A report that a sibling asks about; {@code passOn}: the leader may be asked in turn. */
-    public void answerFor(Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
-        desk.answerFor(report, passOn, answer);
+    public void answerFor(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
+        heartbeatService.answerFor(heartbeat, passOn, answer);
     }
 
     /** In how many seconds a user who can't be answered now shall come back. */
     public int retryS() {
-        return retries.refuse();
+        return retryAfter.refuse();
     }
 
     private void ended(JobStatus job) {
-        registry.ended(job);
+        submissions.ended(job);
     }
 
     /** A sibling's view of itself. */
@@ -309,7 +327,7 @@
 
     /** Whether it holds the block and knows the jobs. */
     public boolean holds() {
-        return leadership.leading() && keeper.loaded();
+        return leadership.leading() && stateWriter.loaded();
     }
 
     /** Rounds of placing so far. */
@@ -321,18 +339,19 @@
         Map<String, Metric> all =
                 new NodeMetrics(
                                 timers,
-                                block,
-                                heartbeats,
-                                placer,
+                                shard,
+                                heartbeatProcessor,
+                                scheduler,
                                 leadership,
-                                keeper,
-                                views,
-                                known,
-                                desk)
-                        .all(() -> roundS, stops::sent);
-        new RoleMetrics(intents, carrier, sweep, duties, takeover, spent).addTo(all);
-        if (cells != null) {
-            cells.figures(all);
+                                stateWriter,
+                                membership,
+                                cancellationWatermark,
+                                heartbeatService)
+                        .all(() -> roundS, directCancellations::sent);
+        new RoleMetrics(intents, intentExecutor, garbageCollector, roles, failover, loopTime)
+                .addTo(all);
+        if (cellService != null) {
+            cellService.figures(all);
         }
         return all;
     }
@@ -342,34 +361,34 @@
     private final class Leading implements Leadership.Listener {
         @Override
         public void won(long token, long leaseId, long blockRevision) {
-            block.hold(token);
-            known.begin();
-            rentals.hold(leaseId);
+            shard.hold(token);
+            cancellationWatermark.begin();
+            cloudReconciler.hold(leaseId);
             gossip.tell();
-            takeover.begins(timers.now());
-            launchesBefore = heartbeats.launches();
-            keeper.start(StoreKeys.BLOCKS + "all", blockRevision, Controller.this::soon);
+            failover.begins(timers.now());
+            launchesBefore = heartbeatProcessor.launches();
+            stateWriter.start(StoreKeys.BLOCKS + "all", blockRevision, Controller.this::soon);
             proof.start();
             if (!ticking) {
                 ticking = true;
                 tick();
             }
-            desk.leaderKnown();
+            heartbeatService.leaderKnown();
         }
 
         @Override
         public void follows(String leader) {
-            desk.leaderKnown();
+            heartbeatService.leaderKnown();
         }
 
         @Override
         public void lost(String why) {
-            LOG.info(block.served().summary());
-            keeper.stop();
+            LOG.info(shard.served().summary());
+            stateWriter.stop();
             proof.stop();
-            placer.forget();
-            block.yield();
-            desk.releaseAll();
+            scheduler.forget();
+            shard.yield();
+            heartbeatService.releaseAll();
             gossip.tell();
         }
     }
@@ -377,10 +396,10 @@
     private final class Keeping implements StateWriter.Listener {
         @Override
         public void over(JobStatus job) {
-            if (cells != null) {
-                cells.done(job.id());
+            if (cellService != null) {
+                cellService.done(job.id());
             }
-            registry.ended(job);
+            submissions.ended(job);
             siblings.over(job);
         }
 
@@ -401,13 +420,13 @@
 
         @Override
         public void read(double sinceMs) {
-            known.proven(sinceMs);
-            desk.leaderKnown();
+            cancellationWatermark.proven(sinceMs);
+            heartbeatService.leaderKnown();
         }
 
         @Override
         public Set<String> cancelledMeanwhile() {
-            return known.told();
+            return cancellationWatermark.told();
         }
 
         /** Reads everything again, under the same token. */
@@ -415,8 +434,10 @@
         public void outOfStep(String why) {
             LOG.warn("reloading: {}", why);
             if (leadership.leading()) {
-                keeper.start(
-                        StoreKeys.BLOCKS + "all", keeper.blockRevision(), Controller.this::soon);
+                stateWriter.start(
+                        StoreKeys.BLOCKS + "all",
+                        stateWriter.blockRevision(),
+                        Controller.this::soon);
             }
         }
     }
@@ -424,13 +445,13 @@
     private final class Proof implements CancellationProof.Listener {
         @Override
         public void closed(String job) {
-            block.jobOver(job);
+            shard.jobOver(job);
             soon();
         }
 
         @Override
         public void proven(double atMs) {
-            known.proven(atMs);
+            cancellationWatermark.proven(atMs);
         }
     }
 
@@ -439,12 +460,12 @@
         /** In here, so that nothing about other cells is loaded where there are none. */
         CellService desk(Store store, RemoteCells others, Random random) {
             return new CellService(
-                    directory,
-                    block,
+                    cellDirectory,
+                    shard,
                     Controller.this::ride,
                     store,
                     timers,
-                    registry,
+                    submissions,
                     others,
                     random,
                     this);
@@ -452,7 +473,7 @@
 
         @Override
         public boolean holds() {
-            return leadership.leading() && keeper.loaded() && leadership.inTouch();
+            return leadership.leading() && stateWriter.loaded() && leadership.inTouch();
         }
 
         @Override
@@ -462,12 +483,12 @@
 
         @Override
         public List<Job> queue() {
-            return placer.queue(timers.now(), timers.wallMs());
+            return scheduler.queue(timers.now(), timers.wallMs());
         }
 
         @Override
         public void cancelled(JobStatus job) {
-            registry.ended(job);
+            submissions.ended(job);
             siblings.over(job);
         }
     }
@@ -491,7 +512,7 @@
     }
 
     private void ride(StateWriter.BatchContributor rider) {
-        keeper.ride(rider);
+        stateWriter.ride(rider);
         soon();
     }
 
@@ -503,56 +524,56 @@
         if (timers.now() >= roundEnded + 4 * roundTook) {
             round();
         }
-        if (keeper.loaded()) {
-            takeover.read(timers.now());
-            takeover.look(timers.now(), heartbeats.launches() - launchesBefore);
+        if (stateWriter.loaded()) {
+            failover.read(timers.now());
+            failover.look(timers.now(), heartbeatProcessor.launches() - launchesBefore);
         }
-        if (cells != null && keeper.loaded() && leadership.inTouch()) {
-            cells.tend();
+        if (cellService != null && stateWriter.loaded() && leadership.inTouch()) {
+            cellService.tend();
         }
         double began = timers.now();
-        rentals.tend(keeper.loaded() && leadership.inTouch());
-        spent.on(Activity.PLANNING, began);
+        cloudReconciler.tend(stateWriter.loaded() && leadership.inTouch());
+        loopTime.on(Activity.PLANNING, began);
         ticks++;
         if (ticks % SUMMARY_TICKS == 0) {
-            LOG.info(block.served().summary());
+            LOG.info(shard.served().summary());
         }
         if (ticks % SUMMARY_TICKS == 0 || LOG.isDebugEnabled() && ticks % 20 == 0) {
             LOG.info(
                     "{} rounds={} writes={} checkins={} busy={}",
-                    NodeMetrics.summary(block, heartbeats, placer),
-                    keeper.rounds(),
-                    keeper.written(),
-                    desk.received(),
-                    String.format("%.1f", roundS) + spent);
+                    NodeMetrics.summary(shard, heartbeatProcessor, scheduler),
+                    stateWriter.rounds(),
+                    stateWriter.written(),
+                    heartbeatService.received(),
+                    String.format("%.1f", roundS) + loopTime);
         }
         timers.after(TICK_S, this::tick);
     }
 
     private void round() {
         if (!leadership.leading()
-                || !keeper.loaded()
-                || keeper.writing()
+                || !stateWriter.loaded()
+                || stateWriter.writing()
                 || !leadership.inTouch()) {
             return;
         }
         rounds++;
         double began = timers.now();
-        placer.place(began, timers.wallMs(), 20 * facts.store().txnOps());
+        scheduler.place(began, timers.wallMs(), 20 * settings.store().txnOps());
         double placed = timers.now();
-        spent.on(Activity.PLACING, began);
-        keeper.write(this::written);
+        loopTime.on(Activity.PLACING, began);
+        stateWriter.write(this::written);
         double wrote = timers.now();
-        spent.on(Activity.WRITING, placed);
-        stops.send();
-        spent.on(Activity.STOPPING, wrote);
+        loopTime.on(Activity.WRITING, placed);
+        directCancellations.send();
+        loopTime.on(Activity.STOPPING, wrote);
         roundEnded = timers.now();
         roundTook = roundEnded - began;
         roundS += roundTook;
     }
 
     private void written() {
-        desk.written();
+        heartbeatService.written();
         soon();
     }
 }
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -11,9 +11,9 @@
  * Stops that go straight to machines, as these ask only once in a report interval; so many at once.
  */
 final class DirectCancellations {
-    private final ShardState block;
-    private final HeartbeatProcessor heartbeats;
-    private final HeartbeatService desk;
+    private final ShardState shard;
+    private final HeartbeatProcessor heartbeatProcessor;
+    private final HeartbeatService heartbeatService;
     private final Leadership leadership;
     private final DirectCommands direct;
     private final Timers timers;
@@ -23,16 +23,16 @@
 
     /** {@code changed} runs when a machine's answer may let work be placed. */
     DirectCancellations(
-            ShardState block,
-            HeartbeatProcessor heartbeats,
-            HeartbeatService desk,
+            ShardState shard,
+            HeartbeatProcessor heartbeatProcessor,
+            HeartbeatService heartbeatService,
             Leadership leadership,
             DirectCommands direct,
             Timers timers,
             Runnable changed) {
-        this.block = block;
-        this.heartbeats = heartbeats;
-        this.desk = desk;
+        this.shard = shard;
+        this.heartbeatProcessor = heartbeatProcessor;
+        this.heartbeatService = heartbeatService;
         this.leadership = leadership;
         this.direct = direct;
         this.timers = timers;
@@ -45,30 +45,31 @@
 
     /** Tells machines what is to stop on them and was not told them yet. */
     void send() {
-        long mine = block.token();
-        int most = block.facts().limits().sockets() / 10 - underWay;
-        heartbeats
+        long mine = shard.token();
+        int most = shard.facts().limits().sockets() / 10 - underWay;
+        heartbeatProcessor
                 .stops(most, timers.now())
                 .forEach(
-                        (m, orders) -> {
-                            if (desk.release(m.id)) {
+                        (machine, orders) -> {
+                            if (heartbeatService.release(machine.id)) {
                                 return; // Its worker hears of it in the answer that was held.
                             }
-                            m.commanded(true);
+                            machine.commanded(true);
                             underWay++;
                             sent++;
                             direct.send(
-                                    m.address(),
+                                    machine.address(),
                                     mine,
-                                    m.session(),
+                                    machine.session(),
                                     orders,
-                                    report -> {
-                                        m.commanded(false);
+                                    heartbeat -> {
+                                        machine.commanded(false);
                                         underWay--;
-                                        if (report != null
+                                        if (heartbeat != null
                                                 && leadership.leading()
-                                                && block.token() == mine) {
-                                            heartbeats.answered(m, report, timers.now());
+                                                && shard.token() == mine) {
+                                            heartbeatProcessor.answered(
+                                                    machine, heartbeat, timers.now());
                                             changed.run();
                                         }
                                     });
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -16,7 +16,7 @@
     /** Of the machines that were up, how many have to have reported for the takeover to be over. */
     private static final double MOST = 0.95;
 
-    private final ShardState block;
+    private final ShardState shard;
     private double since;
     private double readS = Double.NaN;
     private double launchedS = Double.NaN;
@@ -24,8 +24,8 @@
     private double mostS = Double.NaN;
     private boolean over = true;
 
-    FailoverTimings(ShardState block) {
-        this.block = block;
+    FailoverTimings(ShardState shard) {
+        this.shard = shard;
     }
 
     void begins(double now) {
@@ -57,10 +57,10 @@
         }
         int up = 0;
         int proven = 0;
-        for (Machine m : block.machines().values()) {
-            boolean there = m.proven() || m.reported() || !m.attempts().isEmpty();
+        for (Machine machine : shard.machines().values()) {
+            boolean there = machine.proven() || machine.reported() || !machine.attempts().isEmpty();
             up += there ? 1 : 0;
-            proven += m.proven() ? 1 : 0;
+            proven += machine.proven() ? 1 : 0;
         }
         if (Double.isNaN(halfS) && up > 0 && 2 * proven >= up) {
             halfS = now - since;
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -20,13 +20,13 @@
 final class Gossip implements JobStatusQueries.Holder {
     private static final double EVERY_S = 1;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Timers timers;
     private final PeerNodes siblings;
     private final Leadership leadership;
-    private final MembershipView views;
-    private final ShardState block;
-    private final CancellationWatermark known;
+    private final MembershipView membership;
+    private final ShardState shard;
+    private final CancellationWatermark cancellationWatermark;
     private final CancellationLog cancellations;
 
     /** Whether this node holds the block and knows the jobs. */
@@ -44,20 +44,20 @@
             Timers timers,
             PeerNodes siblings,
             Leadership leadership,
-            MembershipView views,
-            ShardState block,
-            CancellationWatermark known,
+            MembershipView membership,
+            ShardState shard,
+            CancellationWatermark cancellationWatermark,
             BooleanSupplier holds,
             Consumer<JobStatus> ended,
             Runnable changed) {
-        this.facts = block.facts();
+        this.settings = shard.facts();
         this.timers = timers;
         this.siblings = siblings;
         this.leadership = leadership;
-        this.views = views;
-        this.block = block;
-        this.known = known;
-        this.cancellations = new CancellationLog(facts, timers);
+        this.membership = membership;
+        this.shard = shard;
+        this.cancellationWatermark = cancellationWatermark;
+        this.cancellations = new CancellationLog(settings, timers);
         this.holds = holds;
         this.ended = ended;
         this.changed = changed;
@@ -65,7 +65,7 @@
 
     void start() {
         tell();
-        views.watch(leadership.leader());
+        membership.watch(leadership.leader());
         timers.after(EVERY_S, this::start);
     }
 
@@ -76,8 +76,8 @@
 
     void tell() {
         siblings.tell(
-                leadership.leading() ? block.token() : leadership.highest(),
-                leadership.leading() ? facts.node() : null,
+                leadership.leading() ? shard.token() : leadership.highest(),
+                leadership.leading() ? settings.node() : null,
                 served());
         siblings.digest(cancellations.digest());
     }
@@ -90,8 +90,8 @@
 
     /** Digests repeat themselves each second: only news is worth a round. */
     private void cancelled(String job) {
-        known.told(job);
-        if (block.jobOver(job)) {
+        cancellationWatermark.told(job);
+        if (shard.jobOver(job)) {
             changed.run();
         }
     }
@@ -99,19 +99,19 @@
     /** A sibling's word on cancellations. */
     void told(CancellationDigest digest) {
         digest.jobs().forEach(this::cancelled);
-        known.word(digest);
+        cancellationWatermark.word(digest);
     }
 
     /** A sibling's view of itself. */
     void told(String by, long token, boolean leads, boolean isServed) {
-        views.told(by, isServed);
+        membership.told(by, isServed);
         leadership.outbid(token, leads ? by : null);
     }
 
     /** A sibling's word that the store has the job's end, which never changes. */
     void toldOver(JobStatus job) {
         ended.accept(job);
-        if (block.jobOver(job.id())) {
+        if (shard.jobOver(job.id())) {
             changed.run();
         }
     }
@@ -121,12 +121,12 @@
      * neither store nor siblings are to be reached, since then it is this node that is cut off.
      */
     boolean healthy() {
-        return served() || !views.someServed() && !views.alone();
+        return served() || !membership.someServed() && !membership.alone();
     }
 
     /** What this node knows of the jobs as their holder; nothing if it does not hold them. */
     List<JobProgress> progress(List<String> jobs) {
-        return holds.getAsBoolean() ? block.progress(jobs, timers.now()) : List.of();
+        return holds.getAsBoolean() ? shard.progress(jobs, timers.now()) : List.of();
     }
 
     // ---- for users' questions: who places tasks now
@@ -137,7 +137,7 @@
         String leader = leadership.leader();
         if (leadership.leading()) {
             answer.accept(progress(jobs));
-        } else if (leader == null || leader.equals(facts.node()) || views.silent(leader)) {
+        } else if (leader == null || leader.equals(settings.node()) || membership.silent(leader)) {
             answer.accept(List.of());
         } else {
             siblings.progress(leader, jobs, answer);
@@ -153,11 +153,11 @@
         if (leadership.leading()) {
             return "this node has just begun to lead and reads the jobs";
         }
-        double silentS = views.silentS(leader);
+        double silentS = membership.silentS(leader);
         return "node "
                 + leader
                 + ", which places tasks, does not answer"
-                + (views.silent(leader) && !Double.isNaN(silentS)
+                + (membership.silent(leader) && !Double.isNaN(silentS)
                         ? " and was last heard " + Math.round(silentS) + " s ago"
                         : "");
     }
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -22,34 +22,34 @@
 /** What a node counts, for operators. */
 final class NodeMetrics {
     private final Timers timers;
-    private final ShardState block;
-    private final HeartbeatProcessor heartbeats;
-    private final Scheduler placer;
+    private final ShardState shard;
+    private final HeartbeatProcessor heartbeatProcessor;
+    private final Scheduler scheduler;
     private final Leadership leadership;
-    private final StateWriter keeper;
-    private final MembershipView views;
-    private final CancellationWatermark known;
-    private final HeartbeatService desk;
+    private final StateWriter stateWriter;
+    private final MembershipView membership;
+    private final CancellationWatermark cancellationWatermark;
+    private final HeartbeatService heartbeatService;
 
     NodeMetrics(
             Timers timers,
-            ShardState block,
-            HeartbeatProcessor heartbeats,
-            Scheduler placer,
+            ShardState shard,
+            HeartbeatProcessor heartbeatProcessor,
+            Scheduler scheduler,
             Leadership leadership,
-            StateWriter keeper,
-            MembershipView views,
-            CancellationWatermark known,
-            HeartbeatService desk) {
-        this.known = known;
+            StateWriter stateWriter,
+            MembershipView membership,
+            CancellationWatermark cancellationWatermark,
+            HeartbeatService heartbeatService) {
+        this.cancellationWatermark = cancellationWatermark;
         this.timers = timers;
-        this.block = block;
-        this.heartbeats = heartbeats;
-        this.placer = placer;
+        this.shard = shard;
+        this.heartbeatProcessor = heartbeatProcessor;
+        this.scheduler = scheduler;
         this.leadership = leadership;
-        this.keeper = keeper;
-        this.views = views;
-        this.desk = desk;
+        this.stateWriter = stateWriter;
+        this.membership = membership;
+        this.heartbeatService = heartbeatService;
     }
 
     Map<String, Metric> all(DoubleSupplier roundS, DoubleSupplier directCommands) {
@@ -64,94 +64,101 @@
                 Metric.now(
                         "seconds ago until when the holder knows what was cancelled; NaN"
                                 + " while this node does not lead",
-                        () -> leadership.leading() ? known.ageS() : Double.NaN));
-        f.put("jobs", Metric.now("jobs in the holder's memory", () -> block.jobs().size()));
+                        () -> leadership.leading() ? cancellationWatermark.ageS() : Double.NaN));
+        f.put("jobs", Metric.now("jobs in the holder's memory", () -> shard.jobs().size()));
         f.put(
                 "tasks.waiting",
                 Metric.now(
                         "tasks without a machine",
-                        () -> block.jobs().values().stream().mapToInt(Job::waiting).sum()));
+                        () -> shard.jobs().values().stream().mapToInt(Job::waiting).sum()));
         f.put(
                 "attempts",
                 Metric.now(
                         "attempts not proven over",
-                        () -> block.jobs().values().stream().mapToInt(j -> j.live().size()).sum()));
-        f.put("machines", Metric.now("machines known", () -> block.machines().size()));
+                        () ->
+                                shard.jobs().values().stream()
+                                        .mapToInt(job -> job.live().size())
+                                        .sum()));
+        f.put("machines", Metric.now("machines known", () -> shard.machines().size()));
         f.put(
                 "machines.starting",
                 Metric.now(
                         "machines rented that have not reported yet",
-                        () -> machines(m -> !m.reported())));
+                        () -> machines(machine -> !machine.reported())));
         f.put(
                 "machines.late",
                 Metric.now(
                         "of those, later than boots take these days",
-                        () -> machines(m -> block.boots().late(m, timers.now()))));
+                        () -> machines(machine -> shard.boots().late(machine, timers.now()))));
         f.put(
                 "jobs.mistaken",
                 Metric.now(
                         "jobs that fail on every machine",
                         () ->
-                                block.jobs().values().stream()
-                                        .filter(j -> block.failures().mistaken(j, timers.now()))
+                                shard.jobs().values().stream()
+                                        .filter(job -> shard.failures().mistaken(job, timers.now()))
                                         .count()));
-        f.put("jobs.held", Metric.now("jobs that wait for others", () -> block.pipelines().held()));
+        f.put("jobs.held", Metric.now("jobs that wait for others", () -> shard.pipelines().held()));
         f.put(
                 "jobs.cascade",
                 Metric.now(
                         "jobs still to be cancelled for one that they need",
-                        () -> block.pipelines().cascade()));
+                        () -> shard.pipelines().cascade()));
         f.put(
                 "jobs.narrow",
                 Metric.now(
                         "jobs laid out in narrower parts",
                         () ->
-                                block.jobs().values().stream()
-                                        .filter(j -> j.record().partTasks() > 0)
+                                shard.jobs().values().stream()
+                                        .filter(job -> job.record().partTasks() > 0)
                                         .count()));
         f.put(
                 "store.invalid",
                 Metric.total(
-                        "transactions that the state service refused for good", keeper::invalid));
+                        "transactions that the state service refused for good",
+                        stateWriter::invalid));
         f.put(
                 "store.oversize",
-                Metric.total("times that a record was put off as too large", keeper::oversize));
+                Metric.total(
+                        "times that a record was put off as too large", stateWriter::oversize));
         f.put(
                 "siblings.silent",
-                Metric.now("siblings from which nothing is heard", views::silentOnes));
+                Metric.now("siblings from which nothing is heard", membership::silentOnes));
         f.put(
                 "machines.set.aside",
                 Metric.now("machines set aside for failing", () -> machines(Machine::setAside)));
-        f.put("checkins", Metric.total("check-ins received", desk::received));
-        f.put("checkins.relayed", Metric.total("check-ins relayed to the leader", desk::relayed));
-        f.put("attempts.ended", Metric.total("attempts proven over", block::ends));
-        f.put("attempts.lost", Metric.total("attempts lost with machine or session", block::lost));
+        f.put("checkins", Metric.total("check-ins received", heartbeatService::received));
+        f.put(
+                "checkins.relayed",
+                Metric.total("check-ins relayed to the leader", heartbeatService::relayed));
+        f.put("attempts.ended", Metric.total("attempts proven over", shard::ends));
+        f.put("attempts.lost", Metric.total("attempts lost with machine or session", shard::lost));
         f.put(
                 "attempts.evicted",
                 Metric.total(
                         "attempts stopped for work of more right",
-                        () -> placer.preemption().evictions()));
+                        () -> scheduler.preemption().evictions()));
         f.put(
                 "attempts.evicted.for.guarantees",
                 Metric.total(
                         "of those, the ones that a guarantee was the reason for",
-                        () -> placer.preemption().forGuarantees()));
+                        () -> scheduler.preemption().forGuarantees()));
         f.put(
                 "attempts.evicted.for.large",
                 Metric.total(
                         "and the ones that made room for gangs and large tasks",
-                        () -> placer.preemption().forGangs()));
+                        () -> scheduler.preemption().forGangs()));
         f.put(
                 "served.least",
                 Metric.now(
                         "the lowest share of jobs in time, of all classes, their largest jobs, and teams as of late",
-                        () -> block.served().leastShare()));
+                        () -> shard.served().leastShare()));
         f.put(
                 "served.least.largest",
                 Metric.now(
                         "the lowest share of a class's largest jobs",
                         () ->
-                                block.served().largest().values().stream()
+                                shard.served().largest().values().stream()
                                         .mapToDouble(ServiceLevels.ServiceGroup::share)
                                         .min()
                                         .orElse(1)));
@@ -160,47 +167,52 @@
                 Metric.total(
                         "jobs that were not done by the last time expected of them",
                         () ->
-                                block.served().classes().values().stream()
+                                shard.served().classes().values().stream()
                                         .mapToLong(ServiceLevels.ServiceGroup::missed)
                                         .sum()));
         f.put(
                 "direct.commands",
                 Metric.total("machines told directly to stop tasks", directCommands));
-        f.put("probes", Metric.total("machines probed", () -> placer.placement().probes()));
+        f.put("probes", Metric.total("machines probed", () -> scheduler.placement().probes()));
         f.put(
                 "probes.passed",
-                Metric.total("probes that passed", () -> placer.placement().passed()));
-        f.put("scans", Metric.total("scans of the block", () -> placer.placement().scans()));
-        f.put("attempts.launched", Metric.total("launch orders given", heartbeats::launches));
+                Metric.total("probes that passed", () -> scheduler.placement().passed()));
+        f.put("scans", Metric.total("scans of the block", () -> scheduler.placement().scans()));
+        f.put(
+                "attempts.launched",
+                Metric.total("launch orders given", heartbeatProcessor::launches));
         f.put(
                 "attempts.launch.delay",
                 Metric.total(
                         "seconds from placings to their launch orders, added up",
-                        heartbeats::launchDelayS));
+                        heartbeatProcessor::launchDelayS));
         f.put("rounds.time", Metric.total("seconds spent in placing and writing down", roundS));
-        f.put("store.records", Metric.total("records written by the holder", keeper::written));
-        f.put("store.rounds", Metric.total("transactions written by the holder", keeper::rounds));
+        f.put("store.records", Metric.total("records written by the holder", stateWriter::written));
+        f.put(
+                "store.rounds",
+                Metric.total("transactions written by the holder", stateWriter::rounds));
         return f;
     }
 
     private long machines(Predicate<Machine> which) {
-        return block.machines().values().stream().filter(which).count();
+        return shard.machines().values().stream().filter(which).count();
     }
 
     /** One line for the log that sums up the block. */
-    static String summary(ShardState block, HeartbeatProcessor heartbeats, Scheduler placer) {
+    static String summary(
+            ShardState shard, HeartbeatProcessor heartbeatProcessor, Scheduler scheduler) {
         Map<String, int[]> classes = new TreeMap<>();
-        for (Job j : block.jobs().values()) {
-            int[] c = classes.computeIfAbsent(j.spec.jobClass(), k -> new int[3]);
+        for (Job job : shard.jobs().values()) {
+            int[] c = classes.computeIfAbsent(job.spec.jobClass(), key -> new int[3]);
             c[0]++;
-            c[1] += j.waiting();
-            c[2] += j.live().size();
+            c[1] += job.waiting();
+            c[2] += job.live().size();
         }
-        StringBuilder b = new StringBuilder("block:");
+        StringBuilder text = new StringBuilder("block:");
         classes.forEach(
-                (k, c) ->
-                        b.append(' ')
-                                .append(k)
+                (key, c) ->
+                        text.append(' ')
+                                .append(key)
                                 .append(" jobs=")
                                 .append(c[0])
                                 .append(" waiting=")
@@ -210,27 +222,27 @@
                                 .append(';'));
         int[] n = new int[6];
         double used = 0;
-        for (Machine m : block.machines().values()) {
-            n[m.spot() ? 1 : 0]++;
-            n[2] += m.proven() ? 0 : 1;
-            n[3] += m.setAside() ? 1 : 0;
-            n[4] += m.busy() ? 0 : 1;
-            n[5] += m.reservedFor() != null ? 1 : 0;
-            used += m.usedCpus();
+        for (Machine machine : shard.machines().values()) {
+            n[machine.spot() ? 1 : 0]++;
+            n[2] += machine.proven() ? 0 : 1;
+            n[3] += machine.setAside() ? 1 : 0;
+            n[4] += machine.busy() ? 0 : 1;
+            n[5] += machine.reservedFor() != null ? 1 : 0;
+            used += machine.usedCpus();
         }
-        block.served()
+        shard.served()
                 .classes()
                 .forEach(
-                        (k, g) ->
-                                b.append(" served ")
-                                        .append(k)
+                        (key, group) ->
+                                text.append(" served ")
+                                        .append(key)
                                         .append('=')
-                                        .append(g.inTime())
+                                        .append(group.inTime())
                                         .append('/')
-                                        .append(g.inTime() + g.missed())
+                                        .append(group.inTime() + group.missed())
                                         .append('/')
-                                        .append(g.submitted()));
-        return b.append(" machines ordinary=")
+                                        .append(group.submitted()));
+        return text.append(" machines ordinary=")
                 .append(n[0])
                 .append(" spot=")
                 .append(n[1])
@@ -245,20 +257,21 @@
                 .append(" cpus=")
                 .append(Math.round(used))
                 .append(" evicted=")
-                .append(placer.preemption().evictions())
+                .append(scheduler.preemption().evictions())
                 .append('/')
-                .append(placer.preemption().forGuarantees())
+                .append(scheduler.preemption().forGuarantees())
                 .append('/')
-                .append(placer.preemption().forGangs())
+                .append(scheduler.preemption().forGangs())
                 .append(" lost=")
-                .append(block.lost())
+                .append(shard.lost())
                 .append(" launched=")
-                .append(heartbeats.launches())
+                .append(heartbeatProcessor.launches())
                 .append(" after=")
                 .append(
                         String.format(
                                 "%.2f",
-                                heartbeats.launchDelayS() / Math.max(1, heartbeats.launches())))
+                                heartbeatProcessor.launchDelayS()
+                                        / Math.max(1, heartbeatProcessor.launches())))
                 .toString();
     }
 }
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -49,16 +49,16 @@
         f.put(
                 "cleanup.strange",
                 Metric.now("records that should not be, by its last look", sweep::strange));
-        for (LeasedRoles.RoleHolder d : duties.seats()) {
+        for (LeasedRoles.RoleHolder holder : duties.seats()) {
             f.put(
-                    "duty." + d.name() + ".here",
-                    Metric.now("whether this node has the duty", () -> d.mine() ? 1 : 0));
+                    "duty." + holder.name() + ".here",
+                    Metric.now("whether this node has the duty", () -> holder.mine() ? 1 : 0));
             f.put(
-                    "duty." + d.name() + ".token",
-                    Metric.now("the token of whoever has it", d::token));
+                    "duty." + holder.name() + ".token",
+                    Metric.now("the token of whoever has it", holder::token));
             f.put(
-                    "duty." + d.name() + ".hand.overs",
-                    Metric.total("times that it was seen to change hands", d::handOvers));
+                    "duty." + holder.name() + ".hand.overs",
+                    Metric.total("times that it was seen to change hands", holder::handOvers));
         }
         f.put(
                 "takeover.read",
--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -102,7 +102,7 @@
     }
 
     private final String own;
-    private final ShardState block;
+    private final ShardState shard;
     private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
     private final CellQuery asking;
@@ -122,13 +122,13 @@
 
     BorrowedTasks(
             String own,
-            ShardState block,
+            ShardState shard,
             Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
             CellQuery asking,
             Random random) {
         this.own = own;
-        this.block = block;
+        this.shard = shard;
         this.riding = riding;
         this.timers = timers;
         this.asking = asking;
@@ -146,8 +146,8 @@
     /** Tasks of other cells that are this one's to run. */
     long tasksHere() {
         return guests.values().stream()
-                .filter(g -> g.standing == LoanState.TAKEN)
-                .mapToLong(g -> g.until - g.from)
+                .filter(borrowed -> borrowed.standing == LoanState.TAKEN)
+                .mapToLong(borrowed -> borrowed.until - borrowed.from)
                 .sum();
     }
 
@@ -166,69 +166,70 @@
         guests.clear();
         numbers.clear();
         answering.clear();
-        for (Entry x : found.voids()) {
+        for (Entry entry : found.voids()) {
             numbers.put(
-                    x.key().substring(StoreKeys.VOID.length()),
-                    SequenceNumbers.read(x.value(), x.revision()));
+                    entry.key().substring(StoreKeys.VOID.length()),
+                    SequenceNumbers.read(entry.value(), entry.revision()));
         }
-        for (Entry x : found.guests()) {
+        for (Entry entry : found.guests()) {
             try {
-                adopt(x, now);
+                adopt(entry, now);
             } catch (InvalidInputException | IllegalArgumentException bad) {
-                LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
+                LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
             }
         }
     }
 
-    private void adopt(Entry x, double now) {
-        DocumentReader t = DocumentReader.of(x.value());
-        JobSpec spec = JobSpec.fromRecord(t.text("job"), t.raw("spec"));
-        BorrowedLoan g =
+    private void adopt(Entry entry, double now) {
+        DocumentReader document = DocumentReader.of(entry.value());
+        JobSpec spec = JobSpec.fromRecord(document.text("job"), document.raw("spec"));
+        BorrowedLoan borrowed =
                 new BorrowedLoan(
-                        t.text("home"),
-                        t.count("number"),
+                        document.text("home"),
+                        document.count("number"),
                         spec,
-                        t.number("submittedMs", 0),
-                        (int) t.integer("from", 0, spec.tasks()),
-                        (int) t.integer("until", 0, spec.tasks()),
-                        t.count("next"),
+                        document.number("submittedMs", 0),
+                        (int) document.integer("from", 0, spec.tasks()),
+                        (int) document.integer("until", 0, spec.tasks()),
+                        document.count("next"),
                         now);
-        g.standing = LoanState.valueOf(t.text("standing"));
-        g.done = Base64.getDecoder().decode(t.text("done"));
-        g.revision = x.revision();
-        guests.put(g.key(), g);
-        Job job = job(g);
-        g.job = job;
-        if (g.standing == LoanState.TAKEN) {
-            block.addJob(job);
+        borrowed.standing = LoanState.valueOf(document.text("standing"));
+        borrowed.done = Base64.getDecoder().decode(document.text("done"));
+        borrowed.revision = entry.revision();
+        guests.put(borrowed.key(), borrowed);
+        Job job = job(borrowed);
+        borrowed.job = job;
+        if (borrowed.standing == LoanState.TAKEN) {
+            shard.addJob(job);
         } else {
-            block.addOver(job);
+            shard.addOver(job);
         }
     }
 
-    private Job job(BorrowedLoan g) {
+    private Job job(BorrowedLoan borrowed) {
         Job job =
                 Job.guest(
-                        g.spec,
-                        g.submittedMs,
-                        block.facts().startWithinS(g.spec),
-                        g.key(),
-                        g.revision,
-                        block.partTasks(),
-                        g.from,
-                        g.until);
-        job.attemptsFrom(g.next);
+                        borrowed.spec,
+                        borrowed.submittedMs,
+                        shard.facts().startWithinS(borrowed.spec),
+                        borrowed.key(),
+                        borrowed.revision,
+                        shard.partTasks(),
+                        borrowed.from,
+                        borrowed.until);
+        job.attemptsFrom(borrowed.next);
         return job;
     }
 
     private SequenceNumbers numbers(String home, long floor) {
-        SequenceNumbers n = numbers.computeIfAbsent(home, k -> new SequenceNumbers());
+        SequenceNumbers n = numbers.computeIfAbsent(home, key -> new SequenceNumbers());
         n.raise(floor);
         return n;
     }
 
-    private LoanStatus word(BorrowedLoan g) {
-        return new LoanStatus(own, g.number, g.standing, g.done, g.next);
+    private LoanStatus word(BorrowedLoan borrowed) {
+        return new LoanStatus(
+                own, borrowed.number, borrowed.standing, borrowed.done, borrowed.next);
     }
 
     private LoanStatus nothing(long number) {
@@ -238,38 +239,38 @@
     // ---- what homes say -------------------------------------------------------------------------
 
     /** {@code roomFor}: whether such work is welcome. */
-    void offered(LoanOffer o, boolean roomFor, Consumer<CellMessage> answer) {
-        String key = StoreKeys.guest(o.home(), o.number());
+    void offered(LoanOffer offer, boolean roomFor, Consumer<CellMessage> answer) {
+        String key = StoreKeys.guest(offer.home(), offer.number());
         BorrowedLoan known = guests.get(key);
-        SequenceNumbers n = numbers(o.home(), o.floor());
+        SequenceNumbers numbers = numbers(offer.home(), offer.floor());
         if (known != null) {
             answer.accept(known.ending ? null : word(known));
-        } else if (n.isVoid(o.number())) {
-            answer.accept(nothing(o.number()));
+        } else if (numbers.isVoid(offer.number())) {
+            answer.accept(nothing(offer.number()));
         } else if (answering.containsKey(key)) {
             answering.get(key).add(answer);
-        } else if (n.full() || block.jobs().containsKey(o.job().id())) {
+        } else if (numbers.full() || shard.jobs().containsKey(offer.job().id())) {
             // Something of it is still being cleared away here; asked again, there will be an
             // answer.
             answer.accept(null);
         } else if (!roomFor || draining) {
             refused++;
-            makeVoid(o.home(), o.number(), answer);
+            makeVoid(offer.home(), offer.number(), answer);
         } else {
-            take(o, key, answer);
+            take(offer, key, answer);
         }
     }
 
-    private void take(LoanOffer o, String key, Consumer<CellMessage> answer) {
-        BorrowedLoan g =
+    private void take(LoanOffer offer, String key, Consumer<CellMessage> answer) {
+        BorrowedLoan borrowed =
                 new BorrowedLoan(
-                        o.home(),
-                        o.number(),
-                        o.job(),
-                        o.submittedMs(),
-                        o.from(),
-                        o.until(),
-                        o.next(),
+                        offer.home(),
+                        offer.number(),
+                        offer.job(),
+                        offer.submittedMs(),
+                        offer.from(),
+                        offer.until(),
+                        offer.next(),
                         timers.now());
         answering.put(key, new ArrayList<>(List.of(answer)));
         riding.accept(
@@ -280,27 +281,30 @@
                     }
 
                     @Override
-                    public void board(Store.Transaction t) {
-                        t.when(key, 0)
-                                .when(StoreKeys.VOID + g.home, numbers(g.home, 0).revision())
-                                .put(key, g.record());
+                    public void board(Store.Transaction transaction) {
+                        transaction
+                                .when(key, 0)
+                                .when(
+                                        StoreKeys.VOID + borrowed.home,
+                                        numbers(borrowed.home, 0).revision())
+                                .put(key, borrowed.record());
                     }
 
                     @Override
                     public void written(long revision) {
-                        g.revision = revision;
+                        borrowed.revision = revision;
                         taken++;
-                        guests.put(key, g);
-                        g.job = job(g);
-                        block.addJob(g.job);
+                        guests.put(key, borrowed);
+                        borrowed.job = job(borrowed);
+                        shard.addJob(borrowed.job);
                         LOG.info(
                                 "takes {} tasks of {} from {} on, of cell {} as {}",
-                                g.until - g.from,
-                                g.spec.id(),
-                                g.from,
-                                g.home,
-                                g.number);
-                        answer(key, word(g));
+                                borrowed.until - borrowed.from,
+                                borrowed.spec.id(),
+                                borrowed.from,
+                                borrowed.home,
+                                borrowed.number);
+                        answer(key, word(borrowed));
                     }
                 });
     }
@@ -326,13 +330,13 @@
     private final class VoidNumber implements StateWriter.BatchContributor {
         private final String home;
         private final long number;
-        private final BorrowedLoan of;
+        private final BorrowedLoan borrowed;
         private final Runnable then;
 
-        VoidNumber(String home, long number, BorrowedLoan of, Runnable then) {
+        VoidNumber(String home, long number, BorrowedLoan borrowed, Runnable then) {
             this.home = home;
             this.number = number;
-            this.of = of;
+            this.borrowed = borrowed;
             this.then = then;
         }
 
@@ -342,23 +346,23 @@
         }
 
         @Override
-        public void board(Store.Transaction t) {
-            SequenceNumbers n = numbers(home, 0);
-            n.add(number);
+        public void board(Store.Transaction transaction) {
+            SequenceNumbers numbers = numbers(home, 0);
+            numbers.add(number);
             // Two of these in one transaction write the same record: the last one has it all.
-            t.when(StoreKeys.VOID + home, n.revision());
-            t.writes().removeIf(w -> w.key().equals(StoreKeys.VOID + home));
-            t.put(StoreKeys.VOID + home, n.record());
-            if (of != null) {
-                t.when(of.key(), of.revision).remove(of.key());
+            transaction.when(StoreKeys.VOID + home, numbers.revision());
+            transaction.writes().removeIf(write -> write.key().equals(StoreKeys.VOID + home));
+            transaction.put(StoreKeys.VOID + home, numbers.record());
+            if (borrowed != null) {
+                transaction.when(borrowed.key(), borrowed.revision).remove(borrowed.key());
             }
         }
 
         @Override
         public void written(long revision) {
             numbers(home, 0).recorded(revision);
-            if (of != null) {
-                guests.remove(of.key());
+            if (borrowed != null) {
+                guests.remove(borrowed.key());
             }
             then.run();
         }
@@ -366,27 +370,27 @@
 
     void recalled(LoanRecall r, Consumer<CellMessage> answer) {
         String key = StoreKeys.guest(r.home(), r.number());
-        BorrowedLoan g = guests.get(key);
-        SequenceNumbers n = numbers(r.home(), r.floor());
-        if (g != null && g.ending) {
+        BorrowedLoan borrowed = guests.get(key);
+        SequenceNumbers numbers = numbers(r.home(), r.floor());
+        if (borrowed != null && borrowed.ending) {
             // Its end is not written yet. Guards against a word that a crash would take back.
             answer.accept(null);
-        } else if (g != null && g.standing != LoanState.TAKEN) {
-            answer.accept(word(g));
-        } else if (g != null) {
-            if (r.kill() || g.job.live().isEmpty()) {
+        } else if (borrowed != null && borrowed.standing != LoanState.TAKEN) {
+            answer.accept(word(borrowed));
+        } else if (borrowed != null) {
+            if (r.kill() || borrowed.job.live().isEmpty()) {
                 answering.computeIfAbsent(key, k -> new ArrayList<>()).add(answer);
                 end(
-                        g,
-                        g.job.complete()
+                        borrowed,
+                        borrowed.job.complete()
                                 ? LoanState.DONE
                                 : r.kill() ? LoanState.KILLED : LoanState.BACK);
             } else {
                 answer.accept(null);
             }
-        } else if (n.isVoid(r.number())) {
+        } else if (numbers.isVoid(r.number())) {
             answer.accept(nothing(r.number()));
-        } else if (answering.containsKey(key) || n.full()) {
+        } else if (answering.containsKey(key) || numbers.full()) {
             answer.accept(null); // An offer is just being taken.
         } else {
             makeVoid(r.home(), r.number(), answer);
@@ -399,85 +403,95 @@
      * From now on nothing more of it is placed here; what is on machines ends if the loan was
      * stopped for good.
      */
-    private void end(BorrowedLoan g, LoanState as) {
-        g.ending = true;
-        g.job.leave();
+    private void end(BorrowedLoan borrowed, LoanState as) {
+        borrowed.ending = true;
+        borrowed.job.leave();
         if (as == LoanState.KILLED) {
-            new ArrayList<>(g.job.live().values()).forEach(a -> block.stop(a, 0));
+            new ArrayList<>(borrowed.job.live().values())
+                    .forEach(attempt -> shard.stop(attempt, 0));
         }
         riding.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean wanted() {
-                        return guests.get(g.key()) == g;
+                        return guests.get(borrowed.key()) == borrowed;
                     }
 
                     @Override
-                    public void board(Store.Transaction t) {
-                        g.standing = as;
-                        g.done = g.job.doneFrom(g.from, g.until);
-                        g.next = g.job.nextAttempt();
-                        t.when(g.key(), g.revision).put(g.key(), g.record());
+                    public void board(Store.Transaction transaction) {
+                        borrowed.standing = as;
+                        borrowed.done = borrowed.job.doneFrom(borrowed.from, borrowed.until);
+                        borrowed.next = borrowed.job.nextAttempt();
+                        transaction
+                                .when(borrowed.key(), borrowed.revision)
+                                .put(borrowed.key(), borrowed.record());
                     }
 
                     @Override
                     public void written(long revision) {
-                        g.ending = false;
-                        g.revision = revision;
-                        block.jobOver(g.spec.id());
+                        borrowed.ending = false;
+                        borrowed.revision = revision;
+                        shard.jobOver(borrowed.spec.id());
                         LOG.info(
                                 "loan {} of cell {} is over: {}, {} of {} tasks of {} done",
-                                g.number,
-                                g.home,
+                                borrowed.number,
+                                borrowed.home,
                                 as,
-                                BitSet.valueOf(g.done).cardinality(),
-                                g.until - g.from,
-                                g.spec.id());
-                        answer(g.key(), word(g));
-                        tell(g, timers.now());
+                                BitSet.valueOf(borrowed.done).cardinality(),
+                                borrowed.until - borrowed.from,
+                                borrowed.spec.id());
+                        answer(borrowed.key(), word(borrowed));
+                        tell(borrowed, timers.now());
                     }
                 });
     }
 
     /** Everything that has to be said, written or given back now. */
     void tend(double now) {
-        double lease = block.facts().workers().leaseS();
-        for (BorrowedLoan g : new ArrayList<>(guests.values())) {
-            if (g.ending) {
+        double lease = shard.facts().workers().leaseS();
+        for (BorrowedLoan borrowed : new ArrayList<>(guests.values())) {
+            if (borrowed.ending) {
                 continue;
             }
-            if (g.standing != LoanState.TAKEN) {
-                if (!g.settled) {
-                    tell(g, now);
-                } else if (!g.forgetting && block.jobs().get(g.spec.id()) != g.job) {
-                    g.forgetting = true; // Nothing of it is left in the records of parts.
-                    riding.accept(new VoidNumber(g.home, g.number, g, () -> {}));
+            if (borrowed.standing != LoanState.TAKEN) {
+                if (!borrowed.settled) {
+                    tell(borrowed, now);
+                } else if (!borrowed.forgetting
+                        && shard.jobs().get(borrowed.spec.id()) != borrowed.job) {
+                    borrowed.forgetting = true; // Nothing of it is left in the records of parts.
+                    riding.accept(
+                            new VoidNumber(borrowed.home, borrowed.number, borrowed, () -> {}));
                 }
-            } else if (g.job.complete()) {
-                end(g, LoanState.DONE);
-            } else if (g.job.live().isEmpty() && (draining || now - g.since > lease)) {
-                end(g, LoanState.BACK); // Nothing of it was placed for so long that its home had
+            } else if (borrowed.job.complete()) {
+                end(borrowed, LoanState.DONE);
+            } else if (borrowed.job.live().isEmpty()
+                    && (draining || now - borrowed.since > lease)) {
+                end(
+                        borrowed,
+                        LoanState.BACK); // Nothing of it was placed for so long that its home had
                 // better try elsewhere.
             }
         }
     }
 
-    private void tell(BorrowedLoan g, double now) {
-        double mostS = block.facts().workers().leaseS();
-        if (g.telling || now - g.toldAt < RetryBackoff.againS(g.untold, 0.5, mostS, random)) {
+    private void tell(BorrowedLoan borrowed, double now) {
+        double mostS = shard.facts().workers().leaseS();
+        if (borrowed.telling
+                || now - borrowed.toldAt
+                        < RetryBackoff.againS(borrowed.untold, 0.5, mostS, random)) {
             return;
         }
-        g.telling = true;
-        g.toldAt = now;
-        g.untold++;
+        borrowed.telling = true;
+        borrowed.toldAt = now;
+        borrowed.untold++;
         asking.ask(
-                g.home,
-                word(g),
+                borrowed.home,
+                word(borrowed),
                 answer -> {
-                    g.telling = false;
-                    if (answer instanceof LoanSettled s && s.number() == g.number) {
-                        g.settled = true;
-                        numbers(g.home, s.floor());
+                    borrowed.telling = false;
+                    if (answer instanceof LoanSettled s && s.number() == borrowed.number) {
+                        borrowed.settled = true;
+                        numbers(borrowed.home, s.floor());
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/cell/CellMembership.java
+++ b/src/main/java/io/kitepath/core/cell/CellMembership.java
@@ -103,17 +103,17 @@
                     now
                             + RetryBackoff.againS(
                                     refusals++,
-                                    facts.workers().reportS(),
-                                    facts.workers().leaseS(),
+                                    settings.workers().reportS(),
+                                    settings.workers().leaseS(),
                                     random);
         }
     }
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Map<String, RemoteCell> all = new LinkedHashMap<>();
 
-    CellMembership(ClusterSettings facts, Iterable<String> others) {
-        this.facts = facts;
+    CellMembership(ClusterSettings settings, Iterable<String> others) {
+        this.settings = settings;
         others.forEach(n -> all.put(n, new RemoteCell(n)));
     }
 
@@ -125,34 +125,36 @@
         return all.get(cell);
     }
 
-    void heard(Summary s, double now) {
-        RemoteCell n = all.get(s.cell());
-        if (n == null) {
+    void heard(Summary summary, double now) {
+        RemoteCell remote = all.get(summary.cell());
+        if (remote == null) {
             return; // A cell that this node's file does not name yet.
         }
-        n.summary = s;
-        n.inARow = now - n.heardAt < FRESH_S ? n.inARow + 1 : 1;
-        n.heardAt = now;
-        n.promisedCpus = 0;
-        if (n.state == State.UNKNOWN || n.state == State.SUSPECTED || n.inARow >= n.needed) {
-            become(n, State.WELL, now);
+        remote.summary = summary;
+        remote.inARow = now - remote.heardAt < FRESH_S ? remote.inARow + 1 : 1;
+        remote.heardAt = now;
+        remote.promisedCpus = 0;
+        if (remote.state == State.UNKNOWN
+                || remote.state == State.SUSPECTED
+                || remote.inARow >= remote.needed) {
+            become(remote, State.WELL, now);
         }
     }
 
     /** Looks who has fallen silent. */
     void look(double now) {
-        double lease = facts.workers().leaseS();
-        for (RemoteCell n : all.values()) {
-            double silence = now - n.heardAt;
-            if (n.state == State.WELL && silence > FRESH_S) {
-                become(n, State.SUSPECTED, now);
-            } else if (n.state == State.SUSPECTED
-                    && (silence > lease || silence > lease / 2 && !othersHear(n, now))) {
+        double lease = settings.workers().leaseS();
+        for (RemoteCell remote : all.values()) {
+            double silence = now - remote.heardAt;
+            if (remote.state == State.WELL && silence > FRESH_S) {
+                become(remote, State.SUSPECTED, now);
+            } else if (remote.state == State.SUSPECTED
+                    && (silence > lease || silence > lease / 2 && !othersHear(remote, now))) {
                 // As long as some other cell hears it, it may be the way to it that is broken.
-                become(n, State.SILENT, now);
-            } else if (n.state == State.WELL && n.inARow > 10 * n.needed) {
-                n.needed = Math.max(BACK_AFTER, n.needed / 2);
-                n.inARow = 0;
+                become(remote, State.SILENT, now);
+            } else if (remote.state == State.WELL && remote.inARow > 10 * remote.needed) {
+                remote.needed = Math.max(BACK_AFTER, remote.needed / 2);
+                remote.inARow = 0;
             }
         }
     }
@@ -170,29 +172,32 @@
      * Guards against a cell that comes and goes, and is handed work each time: it gets less trust
      * each time.
      */
-    private void become(RemoteCell n, State to, double now) {
-        if (to == n.state) {
+    private void become(RemoteCell remote, State to, double now) {
+        if (to == remote.state) {
             return;
         }
         if (to == State.SILENT) {
-            n.needed = Math.min(BACK_AT_MOST, n.needed * 2);
-            n.silentSince = n.heardAt;
+            remote.needed = Math.min(BACK_AT_MOST, remote.needed * 2);
+            remote.silentSince = remote.heardAt;
         }
-        if (to == State.SILENT || n.state == State.SILENT) {
+        if (to == State.SILENT || remote.state == State.SILENT) {
             LOG.info(
                     "cell {} is {}{}",
-                    n.name,
+                    remote.name,
                     to == State.SILENT ? "silent" : "heard again",
-                    n.state == State.SILENT
-                            ? " after " + Math.round(now - n.silentSince) + " s"
+                    remote.state == State.SILENT
+                            ? " after " + Math.round(now - remote.silentSince) + " s"
                             : "");
         }
-        n.state = to;
+        remote.state = to;
     }
 
     /** What those said of themselves that are heard now. */
     List<Summary> fresh(double now) {
-        return all.values().stream().filter(n -> n.hears(now)).map(RemoteCell::summary).toList();
+        return all.values().stream()
+                .filter(remote -> remote.hears(now))
+                .map(RemoteCell::summary)
+                .toList();
     }
 
     /** The cells heard lately. */
@@ -200,15 +205,15 @@
         List<String> out = new ArrayList<>();
         all.values()
                 .forEach(
-                        n -> {
-                            if (now - n.heardAt < FRESH_S) {
-                                out.add(n.name);
+                        remote -> {
+                            if (now - remote.heardAt < FRESH_S) {
+                                out.add(remote.name);
                             }
                         });
         return out;
     }
 
     long silentOnes() {
-        return all.values().stream().filter(n -> n.state == State.SILENT).count();
+        return all.values().stream().filter(remote -> remote.state == State.SILENT).count();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -64,69 +64,71 @@
         void cancelled(JobStatus job);
     }
 
-    private final CellDirectory directory;
-    private final ShardState block;
+    private final CellDirectory cellDirectory;
+    private final ShardState shard;
     private final Timers timers;
     private final Node node;
     private final RemoteCells cells;
-    private final CellMembership neighbours;
-    private final LocalSummary here;
-    private final WorkOffloading spill;
-    private final LentTasks lending;
-    private final BorrowedTasks guests;
-    private final QuotaShares shares;
-    private final HomeAssignment homes;
+    private final CellMembership cellMembership;
+    private final LocalSummary localSummary;
+    private final WorkOffloading workOffloading;
+    private final LentTasks lentTasks;
+    private final BorrowedTasks borrowedTasks;
+    private final QuotaShares quotaShares;
+    private final HomeAssignment homeAssignment;
     private final HomeCellJobs jobs;
     private final TokenBucket budget;
     private double exchangedAt = Double.NEGATIVE_INFINITY;
     private long messages;
 
     public CellService(
-            CellDirectory directory,
-            ShardState block,
+            CellDirectory cellDirectory,
+            ShardState shard,
             Consumer<StateWriter.BatchContributor> riding,
             Store store,
             Timers timers,
-            JobSubmissionService registry,
+            JobSubmissionService submissions,
             RemoteCells cells,
             Random random,
             Node node) {
-        this.directory = directory;
-        this.block = block;
+        this.cellDirectory = cellDirectory;
+        this.shard = shard;
         this.timers = timers;
         this.node = node;
         this.cells = cells;
-        TreeSet<String> others = new TreeSet<>(directory.cells().keySet());
-        others.remove(directory.own());
+        TreeSet<String> others = new TreeSet<>(cellDirectory.cells().keySet());
+        others.remove(cellDirectory.own());
         Map<String, Integer> zones = new HashMap<>();
-        others.forEach(c -> zones.put(c, Math.max(1, directory.cells().get(c).zones().size())));
-        this.neighbours = new CellMembership(block.facts(), others);
-        this.here = new LocalSummary(block);
-        this.spill = new WorkOffloading(block.facts(), block.types(), zones, random);
-        this.lending =
+        others.forEach(c -> zones.put(c, Math.max(1, cellDirectory.cells().get(c).zones().size())));
+        this.cellMembership = new CellMembership(shard.facts(), others);
+        this.localSummary = new LocalSummary(shard);
+        this.workOffloading = new WorkOffloading(shard.facts(), shard.types(), zones, random);
+        this.lentTasks =
                 new LentTasks(
-                        directory.own(),
-                        block,
+                        cellDirectory.own(),
+                        shard,
                         riding,
                         timers,
-                        neighbours,
-                        spill,
+                        cellMembership,
+                        workOffloading,
                         this::askHolder,
                         random,
                         node::cancelled);
-        this.guests =
-                new BorrowedTasks(directory.own(), block, riding, timers, this::askHolder, random);
-        this.shares =
-                new QuotaShares(directory.own(), block, riding, timers, this::askHolder, random);
-        block.teamUse().limits(shares);
-        drain(directory.here().drained());
-        this.homes = new HomeAssignment(directory, store, timers);
-        this.jobs = new HomeCellJobs(directory, registry, cells, homes::agreed);
-        this.budget = new TokenBucket(Math.max(1, block.facts().store().writeRps() * SPILL_SHARE));
+        this.borrowedTasks =
+                new BorrowedTasks(
+                        cellDirectory.own(), shard, riding, timers, this::askHolder, random);
+        this.quotaShares =
+                new QuotaShares(
+                        cellDirectory.own(), shard, riding, timers, this::askHolder, random);
+        shard.teamUse().limits(quotaShares);
+        drain(cellDirectory.here().drained());
+        this.homeAssignment = new HomeAssignment(cellDirectory, store, timers);
+        this.jobs = new HomeCellJobs(cellDirectory, submissions, cells, homeAssignment::agreed);
+        this.budget = new TokenBucket(Math.max(1, shard.facts().store().writeRps() * SPILL_SHARE));
     }
 
     public void start() {
-        homes.look();
+        homeAssignment.look();
     }
 
     /** What users ask of this node, whichever cell the job is at home in. */
@@ -136,35 +138,35 @@
 
     /** Takes nothing more, and gives back what has not begun; or takes work again. */
     public void drain(boolean so) {
-        guests.drain(so);
-        spill.drain(so);
+        borrowedTasks.drain(so);
+        workOffloading.drain(so);
     }
 
     // ---- asking ---------------------------------------------------------------------------------
 
-    private void askHolder(String cell, CellMessage m, Consumer<CellMessage> answer) {
-        RemoteCell n = neighbours.get(cell);
-        if (n == null) {
+    private void askHolder(String cell, CellMessage message, Consumer<CellMessage> answer) {
+        RemoteCell remote = cellMembership.get(cell);
+        if (remote == null) {
             answer.accept(null); // This node's file does not name it: older than another node's.
             return;
         }
         messages++;
         cells.ask(
                 cell,
-                n.leader(),
-                m,
+                remote.leader(),
+                message,
                 first -> {
                     if (first instanceof Redirect e
                             && e.node() != null
-                            && !e.node().equals(n.leader())) {
+                            && !e.node().equals(remote.leader())) {
                         messages++;
-                        cells.ask(cell, e.node(), m, answer);
-                    } else if (first == null && n.leader() != null) {
+                        cells.ask(cell, e.node(), message, answer);
+                    } else if (first == null && remote.leader() != null) {
                         messages++;
                         cells.ask(
                                 cell,
                                 null,
-                                m,
+                                message,
                                 second ->
                                         answer.accept(second instanceof Redirect ? null : second));
                     } else {
@@ -174,8 +176,8 @@
     }
 
     /** A message of another cell; every one gets one answer, null if there is none to give now. */
-    public void asked(CellMessage m, Consumer<CellMessage> answer) {
-        if (m instanceof UserRequest u) {
+    public void asked(CellMessage message, Consumer<CellMessage> answer) {
+        if (message instanceof UserRequest u) {
             jobs.asked(u, a -> answer.accept(new UserResponse(a.verdict().name(), a.state())));
             return;
         }
@@ -184,63 +186,63 @@
             answer.accept(new Redirect(leader));
             return;
         }
-        if (m instanceof Summary s) {
-            neighbours.heard(s, timers.now());
+        if (message instanceof Summary summary) {
+            cellMembership.heard(summary, timers.now());
             answer.accept(summary());
-        } else if (m instanceof LoanOffer o) {
-            guests.offered(o, welcome(o), answer);
-        } else if (m instanceof LoanRecall r) {
-            guests.recalled(r, answer);
-        } else if (m instanceof QuotaGrant g) {
-            shares.granted(g, answer);
-        } else if (m instanceof LoanStatus w) {
-            lending.said(w, answer);
+        } else if (message instanceof LoanOffer offer) {
+            borrowedTasks.offered(offer, welcome(offer), answer);
+        } else if (message instanceof LoanRecall r) {
+            borrowedTasks.recalled(r, answer);
+        } else if (message instanceof QuotaGrant g) {
+            quotaShares.granted(g, answer);
+        } else if (message instanceof LoanStatus status) {
+            lentTasks.said(status, answer);
         } else {
             answer.accept(null);
         }
     }
 
     /** Whether there is room for what is offered, by what is free now. */
-    private boolean welcome(LoanOffer o) {
+    private boolean welcome(LoanOffer offer) {
         int most = 0;
         boolean may = false;
-        for (CellMessage.FreeCapacity r : here.room()) {
-            MachineType t = block.types().get(r.kind().type());
-            if (t != null && ProbePlacement.allowed(r.kind(), o.job())) {
+        for (CellMessage.FreeCapacity capacity : localSummary.room()) {
+            MachineType type = shard.types().get(capacity.kind().type());
+            if (type != null && ProbePlacement.allowed(capacity.kind(), offer.job())) {
                 may = true;
                 most +=
-                        r.idle() * ProbePlacement.slots(o.job(), t)
+                        capacity.idle() * ProbePlacement.slots(offer.job(), type)
                                 + (int)
                                         Math.max(
                                                 0,
-                                                (r.cpus() - r.idle() * t.cpus())
-                                                        / Math.max(1e-6, o.job().cpus()));
+                                                (capacity.cpus() - capacity.idle() * type.cpus())
+                                                        / Math.max(1e-6, offer.job().cpus()));
             }
         }
-        boolean whole = o.job().shape() != JobSpec.Shape.ARRAY;
-        return may && most >= (whole ? o.until() - o.from() : 1);
+        boolean whole = offer.job().shape() != JobSpec.Shape.ARRAY;
+        return may && most >= (whole ? offer.until() - offer.from() : 1);
     }
 
     private Summary summary() {
         return new Summary(
-                directory.own(),
+                cellDirectory.own(),
                 node.leader(),
-                directory.version(),
-                !guests.draining(),
-                here.room(),
-                here.waitS(),
-                neighbours.hears(timers.now()),
+                cellDirectory.version(),
+                !borrowedTasks.draining(),
+                localSummary.room(),
+                localSummary.waitS(),
+                cellMembership.hears(timers.now()),
                 shares());
     }
 
     private List<CellMessage.QuotaShare> shares() {
         double cpus = 0;
         double gpus = 0;
-        for (CellMessage.FreeCapacity r : here.room()) {
-            cpus += r.cpus();
-            gpus += r.gpus();
+        for (CellMessage.FreeCapacity capacity : localSummary.room()) {
+            cpus += capacity.cpus();
+            gpus += capacity.gpus();
         }
-        return shares.told(cpus, gpus);
+        return quotaShares.told(cpus, gpus);
     }
 
     // ---- the holder's loops ---------------------------------------------------------------------
@@ -248,27 +250,27 @@
     /** Called a few times a second while this node holds the block. */
     public void tend() {
         double now = timers.now();
-        neighbours.look(now);
-        lending.tend(now);
-        guests.tend(now);
-        shares.tend(now);
+        cellMembership.look(now);
+        lentTasks.tend(now);
+        borrowedTasks.tend(now);
+        quotaShares.tend(now);
         if (now - exchangedAt >= EVERY_S) {
             exchangedAt = now;
             Summary mine = summary();
-            for (RemoteCell n : neighbours.all().values()) {
+            for (RemoteCell remote : cellMembership.all().values()) {
                 // Of two cells the one of the lower name begins, as long as that works.
-                if (directory.own().compareTo(n.name) < 0 || !n.hears(now)) {
+                if (cellDirectory.own().compareTo(remote.name) < 0 || !remote.hears(now)) {
                     askHolder(
-                            n.name,
+                            remote.name,
                             mine,
-                            a -> {
-                                if (a instanceof Summary s) {
-                                    neighbours.heard(s, timers.now());
+                            message -> {
+                                if (message instanceof Summary summary) {
+                                    cellMembership.heard(summary, timers.now());
                                 }
                             });
                 }
             }
-            shares.divide(neighbours.fresh(now));
+            quotaShares.divide(cellMembership.fresh(now));
             spillOver(now);
         }
     }
@@ -279,83 +281,92 @@
         if (queue.isEmpty()) {
             return;
         }
-        spill.forget(block.jobs().keySet());
+        workOffloading.forget(shard.jobs().keySet());
         for (WorkOffloading.Plan p :
-                spill.plan(
+                workOffloading.plan(
                         queue,
                         this::fitsHere,
-                        block.teamUse()::left,
-                        here.cpus(),
-                        neighbours.all().values(),
+                        shard.teamUse()::left,
+                        localSummary.cpus(),
+                        cellMembership.all().values(),
                         most,
                         now,
                         timers.wallMs())) {
             budget.take(1, now);
-            lending.lend(p);
+            lentTasks.lend(p);
         }
     }
 
     /** Whether some kind of machine in this cell's zones may run the job. */
-    private boolean fitsHere(JobSpec s) {
-        for (MachineType t : block.types().values()) {
-            if (ProbePlacement.slots(s, t) > 0) {
-                for (String zone : directory.here().zones()) {
-                    if (ProbePlacement.allowed(new MachineKind(t.name(), zone, false), s)) {
+    private boolean fitsHere(JobSpec spec) {
+        for (MachineType type : shard.types().values()) {
+            if (ProbePlacement.slots(spec, type) > 0) {
+                for (String zone : cellDirectory.here().zones()) {
+                    if (ProbePlacement.allowed(new MachineKind(type.name(), zone, false), spec)) {
                         return true;
                     }
                 }
             }
         }
-        return block.types().isEmpty();
+        return shard.types().isEmpty();
     }
 
     // ---- what a new holder reads ----------------------------------------------------------------
 
     @Override
     public void adopt(StateLoader.LoadedState found) {
-        lending.adopt(found, timers.now());
-        guests.adopt(found, timers.now());
-        shares.adopt(found);
+        lentTasks.adopt(found, timers.now());
+        borrowedTasks.adopt(found, timers.now());
+        quotaShares.adopt(found);
     }
 
     @Override
     public void leaving(Entry entry) {
-        lending.leaving(entry);
+        lentTasks.leaving(entry);
     }
 
     /** The store has it that the job is done. */
     public void done(String id) {
-        Job job = block.jobs().get(id);
+        Job job = shard.jobs().get(id);
         if (job != null) {
-            lending.over(job);
+            lentTasks.over(job);
         }
     }
 
     public void figures(Map<String, Metric> f) {
         f.put(
                 "cells.silent",
-                Metric.now("other cells from which nothing is heard", neighbours::silentOnes));
+                Metric.now("other cells from which nothing is heard", cellMembership::silentOnes));
         f.put(
                 "cells.tasks.lent",
-                Metric.now("tasks that other cells were offered or have taken", lending::tasksOut));
+                Metric.now(
+                        "tasks that other cells were offered or have taken", lentTasks::tasksOut));
         f.put(
                 "cells.tasks.taken",
-                Metric.now("tasks of other cells that are this one's to run", guests::tasksHere));
-        f.put("cells.lent", Metric.total("hand-overs to other cells", lending::lent));
-        f.put("cells.returned", Metric.total("hand-overs that came to an end", lending::returned));
-        f.put("cells.taken", Metric.total("hand-overs taken from other cells", guests::taken));
+                Metric.now(
+                        "tasks of other cells that are this one's to run",
+                        borrowedTasks::tasksHere));
+        f.put("cells.lent", Metric.total("hand-overs to other cells", lentTasks::lent));
+        f.put(
+                "cells.returned",
+                Metric.total("hand-overs that came to an end", lentTasks::returned));
+        f.put(
+                "cells.taken",
+                Metric.total("hand-overs taken from other cells", borrowedTasks::taken));
         f.put(
                 "cells.refused",
-                Metric.total("hand-overs refused for lack of room", guests::refused));
+                Metric.total("hand-overs refused for lack of room", borrowedTasks::refused));
         f.put(
                 "cells.shares.given",
-                Metric.total("parts of teams' limits given to other cells", shares::given));
+                Metric.total("parts of teams' limits given to other cells", quotaShares::given));
         f.put(
                 "cells.shares.came",
-                Metric.total("parts of teams' limits that came from other cells", shares::came));
+                Metric.total(
+                        "parts of teams' limits that came from other cells", quotaShares::came));
         f.put(
                 "cells.shares.under.way",
-                Metric.now("parts given that are not known to have arrived", shares::underWay));
+                Metric.now(
+                        "parts given that are not known to have arrived", quotaShares::underWay));
         f.put(
                 "cells.messages",
                 Metric.total("messages sent to other cells by the holder", () -> messages));
--- a/src/main/java/io/kitepath/core/cell/HomeAssignment.java
+++ b/src/main/java/io/kitepath/core/cell/HomeAssignment.java
@@ -20,14 +20,14 @@
 final class HomeAssignment {
     private static final Logger LOG = LoggerFactory.getLogger(HomeAssignment.class);
 
-    private final CellDirectory directory;
+    private final CellDirectory cellDirectory;
     private final Store store;
     private final Timers timers;
     private boolean agreed;
     private boolean said;
 
-    HomeAssignment(CellDirectory directory, Store store, Timers timers) {
-        this.directory = directory;
+    HomeAssignment(CellDirectory cellDirectory, Store store, Timers timers) {
+        this.cellDirectory = cellDirectory;
         this.store = store;
         this.timers = timers;
     }
@@ -41,9 +41,9 @@
                 StoreKeys.CELLS,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
-                        DocumentReader t = DocumentReader.of(entry.value());
-                        compare(t.text("homes"));
-                        if (agreed && t.count("version") < directory.version()) {
+                        DocumentReader document = DocumentReader.of(entry.value());
+                        compare(document.text("homes"));
+                        if (agreed && document.count("version") < cellDirectory.version()) {
                             write(entry.revision());
                         }
                     } else if (outcome == Outcome.NO) {
@@ -57,12 +57,12 @@
     }
 
     private void compare(String theirs) {
-        agreed = theirs.equals(directory.homes());
+        agreed = theirs.equals(cellDirectory.homes());
         if (!agreed && !said) {
             said = true;
             LOG.error(
                     "the cells file names the homes \"{}\", this cell goes by \"{}\": no user is answered here",
-                    directory.homes(),
+                    cellDirectory.homes(),
                     theirs);
         }
     }
@@ -73,8 +73,12 @@
                         .when(StoreKeys.CELLS, revision)
                         .put(
                                 StoreKeys.CELLS,
-                                Map.of("version", directory.version(), "homes", directory.homes())),
-                c -> {
+                                Map.of(
+                                        "version",
+                                        cellDirectory.version(),
+                                        "homes",
+                                        cellDirectory.homes())),
+                result -> {
                     if (!agreed) {
                         timers.after(0.1, this::look);
                     }
--- a/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -20,7 +20,7 @@
  * is the only one that may accept.
  */
 final class HomeCellJobs implements JobApi {
-    private final CellDirectory directory;
+    private final CellDirectory cellDirectory;
     private final JobSubmissionService here;
     private final RemoteCells cells;
 
@@ -28,11 +28,11 @@
     private final BooleanSupplier agreed;
 
     HomeCellJobs(
-            CellDirectory directory,
+            CellDirectory cellDirectory,
             JobSubmissionService here,
             RemoteCells cells,
             BooleanSupplier agreed) {
-        this.directory = directory;
+        this.cellDirectory = cellDirectory;
         this.here = here;
         this.cells = cells;
         this.agreed = agreed;
@@ -62,7 +62,7 @@
     }
 
     private boolean isHere(String id) {
-        return directory.home(id).equals(directory.own());
+        return cellDirectory.home(id).equals(cellDirectory.own());
     }
 
     @Override
@@ -76,8 +76,8 @@
     }
 
     private void ask(UserRequest a, Consumer<Answer> answer) {
-        String home = directory.home(a.id());
-        if (home.equals(directory.own())) {
+        String home = cellDirectory.home(a.id());
+        if (home.equals(cellDirectory.own())) {
             asked(a, answer);
             return;
         }
@@ -96,7 +96,7 @@
     void asked(UserRequest a, Consumer<Answer> answer) {
         // Guards against two nodes with different files that each hold another cell to be the job's
         // home.
-        if (!agreed.getAsBoolean() || !directory.home(a.id()).equals(directory.own())) {
+        if (!agreed.getAsBoolean() || !cellDirectory.home(a.id()).equals(cellDirectory.own())) {
             answer.accept(Answer.LATER);
             return;
         }
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -47,11 +47,11 @@
     }
 
     private final String own;
-    private final ShardState block;
+    private final ShardState shard;
     private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
-    private final CellMembership neighbours;
-    private final WorkOffloading spill;
+    private final CellMembership cellMembership;
+    private final WorkOffloading workOffloading;
     private final CellQuery asking;
     private final Random random;
     private final Listener listener;
@@ -67,20 +67,20 @@
 
     LentTasks(
             String own,
-            ShardState block,
+            ShardState shard,
             Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
-            CellMembership neighbours,
-            WorkOffloading spill,
+            CellMembership cellMembership,
+            WorkOffloading workOffloading,
             CellQuery asking,
             Random random,
             Listener listener) {
         this.own = own;
-        this.block = block;
+        this.shard = shard;
         this.riding = riding;
         this.timers = timers;
-        this.neighbours = neighbours;
-        this.spill = spill;
+        this.cellMembership = cellMembership;
+        this.workOffloading = workOffloading;
         this.asking = asking;
         this.random = random;
         this.listener = listener;
@@ -97,9 +97,9 @@
 
     /** Tasks that are lent now. */
     long tasksOut() {
-        return block.jobs().values().stream()
-                .flatMap(j -> j.loans().stream())
-                .filter(l -> !l.closed)
+        return shard.jobs().values().stream()
+                .flatMap(job -> job.loans().stream())
+                .filter(loan -> !loan.closed)
                 .mapToLong(TaskLoan::tasks)
                 .sum();
     }
@@ -109,37 +109,37 @@
     void adopt(StateLoader.LoadedState found, double now) {
         waiting.clear();
         leaving.clear();
-        for (Entry x : found.lent()) {
-            Job job = block.jobs().get(x.key().substring(StoreKeys.LENT.length()));
+        for (Entry entry : found.lent()) {
+            Job job = shard.jobs().get(entry.key().substring(StoreKeys.LENT.length()));
             if (job == null) {
                 continue; // Came after the list of open jobs was read; everything is read once
                 // more.
             }
             try {
-                TaskLoan.read(x.value(), now).forEach(job::lend);
-                job.lentRecorded(x.revision());
-            } catch (InvalidInputException bad) {
+                TaskLoan.read(entry.value(), now).forEach(job::lend);
+                job.lentRecorded(entry.revision());
+            } catch (InvalidInputException invalid) {
                 // Nothing of a job whose loans can't be told may be placed.
                 job.leave();
-                LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
+                LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
             }
         }
         found.leaving().forEach(this::leaving);
     }
 
     /** A record of {@link StoreKeys#LEAVE} came or went. */
-    void leaving(Entry x) {
-        String id = x.key().substring(StoreKeys.LEAVE.length());
-        if (x.value() == null) {
+    void leaving(Entry entry) {
+        String id = entry.key().substring(StoreKeys.LEAVE.length());
+        if (entry.value() == null) {
             leaving.remove(id);
             return;
         }
-        leaving.put(id, x.revision());
-        Job job = block.jobs().get(id);
+        leaving.put(id, entry.revision());
+        Job job = shard.jobs().get(id);
         if (job != null && !job.over() && !job.leaving()) {
             job.leave();
-            new ArrayList<>(job.live().values()).forEach(a -> block.stop(a, 0));
-            block.change();
+            new ArrayList<>(job.live().values()).forEach(attempt -> shard.stop(attempt, 0));
+            shard.change();
             LOG.info(
                     "job {} is to be cancelled; {} loans are called back first",
                     id,
@@ -150,16 +150,16 @@
     // ---- lending --------------------------------------------------------------------------------
 
     private long nextNumber() {
-        return (block.token() << BITS) + sequence + 1;
+        return (shard.token() << BITS) + sequence + 1;
     }
 
     /** No number below this one is out to the cell any more, nor will be. */
     private long floor(String cell) {
         long least = nextNumber();
-        for (Job j : block.jobs().values()) {
-            for (TaskLoan l : j.loans()) {
-                if (l.to.equals(cell)) {
-                    least = Math.min(least, l.number);
+        for (Job job : shard.jobs().values()) {
+            for (TaskLoan loan : job.loans()) {
+                if (loan.to.equals(cell)) {
+                    least = Math.min(least, loan.number);
                 }
             }
         }
@@ -168,9 +168,9 @@
 
     /** How many loans to the cell are not settled. */
     private long out(String cell) {
-        return block.jobs().values().stream()
-                .flatMap(j -> j.loans().stream())
-                .filter(l -> l.to.equals(cell))
+        return shard.jobs().values().stream()
+                .flatMap(job -> job.loans().stream())
+                .filter(loan -> loan.to.equals(cell))
                 .count();
     }
 
@@ -184,7 +184,7 @@
         }
         TaskLoan loan =
                 new TaskLoan(
-                        (block.token() << BITS) + ++sequence,
+                        (shard.token() << BITS) + ++sequence,
                         p.to(),
                         p.from(),
                         p.until(),
@@ -217,7 +217,7 @@
 
                     @Override
                     public boolean wanted() {
-                        if (job.over() || block.jobs().get(id) != job) {
+                        if (job.over() || shard.jobs().get(id) != job) {
                             job.lentBusy(false);
                             return false;
                         }
@@ -225,14 +225,15 @@
                     }
 
                     @Override
-                    public void board(Store.Transaction t) {
-                        left = job.loans().stream().filter(l -> !l.closed).toList();
-                        t.when(job.key, job.revision())
+                    public void board(Store.Transaction transaction) {
+                        left = job.loans().stream().filter(loan -> !loan.closed).toList();
+                        transaction
+                                .when(job.key, job.revision())
                                 .when(StoreKeys.LENT + id, job.lentRevision());
                         if (left.isEmpty()) {
-                            t.remove(StoreKeys.LENT + id);
+                            transaction.remove(StoreKeys.LENT + id);
                         } else {
-                            t.put(StoreKeys.LENT + id, TaskLoan.record(left));
+                            transaction.put(StoreKeys.LENT + id, TaskLoan.record(left));
                         }
                     }
 
@@ -249,16 +250,16 @@
 
     /** Everything that has to be said, written or given up now. */
     void tend(double now) {
-        for (Job job : new ArrayList<>(block.jobs().values())) {
+        for (Job job : new ArrayList<>(shard.jobs().values())) {
             if (job.over()) {
                 continue;
             }
-            for (TaskLoan l : new ArrayList<>(job.loans())) {
-                if (l.written && !l.closed) {
-                    tell(job, l, now);
+            for (TaskLoan loan : new ArrayList<>(job.loans())) {
+                if (loan.written && !loan.closed) {
+                    tell(job, loan, now);
                 }
             }
-            if (job.loans().stream().anyMatch(l -> l.closed)) {
+            if (job.loans().stream().anyMatch(loan -> loan.closed)) {
                 settle(job);
             }
             if (job.leaving() && job.loans().isEmpty() && leaving.containsKey(job.spec.id())) {
@@ -266,49 +267,49 @@
             }
         }
         for (String id : new ArrayList<>(leaving.keySet())) {
-            if (!block.jobs().containsKey(id)) {
+            if (!shard.jobs().containsKey(id)) {
                 stale(id);
             }
         }
     }
 
-    private void tell(Job job, TaskLoan l, double now) {
-        double mostS = block.facts().workers().leaseS();
+    private void tell(Job job, TaskLoan loan, double now) {
+        double mostS = shard.facts().workers().leaseS();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
         double dueS =
-                l.taken && !job.leaving()
+                loan.taken && !job.leaving()
                         ? 2 * mostS
-                        : RetryBackoff.againS(l.unanswered, 1, mostS, random);
-        if (l.asking || now - l.askedAt < dueS && !(job.leaving() && l.unanswered == 0)) {
+                        : RetryBackoff.againS(loan.unanswered, 1, mostS, random);
+        if (loan.asking || now - loan.askedAt < dueS && !(job.leaving() && loan.unanswered == 0)) {
             return;
         }
-        l.asking = true;
-        l.askedAt = now;
-        l.unanswered++;
+        loan.asking = true;
+        loan.askedAt = now;
+        loan.unanswered++;
         CellMessage m =
                 job.leaving()
-                        ? new LoanRecall(own, l.number, floor(l.to), true)
+                        ? new LoanRecall(own, loan.number, floor(loan.to), true)
                         : new LoanOffer(
                                 own,
-                                l.number,
-                                floor(l.to),
+                                loan.number,
+                                floor(loan.to),
                                 job.spec,
                                 job.submittedMs,
-                                l.from,
-                                l.until,
+                                loan.from,
+                                loan.until,
                                 job.nextAttempt());
-        boolean first = !l.taken && l.unanswered == 1;
+        boolean first = !loan.taken && loan.unanswered == 1;
         asking.ask(
-                l.to,
+                loan.to,
                 m,
                 answer -> {
-                    l.asking = false;
-                    RemoteCell n = neighbours.get(l.to);
-                    if (first && n != null) {
-                        n.unconfirmed = Math.max(0, n.unconfirmed - 1);
+                    loan.asking = false;
+                    RemoteCell remote = cellMembership.get(loan.to);
+                    if (first && remote != null) {
+                        remote.unconfirmed = Math.max(0, remote.unconfirmed - 1);
                     }
-                    if (answer instanceof LoanStatus w && w.number() == l.number) {
-                        said(w, x -> {});
+                    if (answer instanceof LoanStatus status && status.number() == loan.number) {
+                        said(status, x -> {});
                     }
                 });
     }
@@ -317,68 +318,68 @@
      * The other cell's word on a loan. {@code answer}: gets {@link LoanSettled} once what follows
      * from it is written.
      */
-    void said(LoanStatus w, Consumer<CellMessage> answer) {
-        for (Job job : block.jobs().values()) {
-            for (TaskLoan l : job.loans()) {
-                if (l.number == w.number() && l.to.equals(w.cell())) {
-                    said(job, l, w, answer);
+    void said(LoanStatus status, Consumer<CellMessage> answer) {
+        for (Job job : shard.jobs().values()) {
+            for (TaskLoan loan : job.loans()) {
+                if (loan.number == status.number() && loan.to.equals(status.cell())) {
+                    said(job, loan, status, answer);
                     return;
                 }
             }
         }
         // Guards against a former holder that calls a loan of its successor settled, which it can't
         // know of.
-        if (w.standing() != LoanState.TAKEN && w.number() < nextNumber()) {
-            answer.accept(new LoanSettled(w.number(), floor(w.cell())));
+        if (status.standing() != LoanState.TAKEN && status.number() < nextNumber()) {
+            answer.accept(new LoanSettled(status.number(), floor(status.cell())));
         } else {
             answer.accept(null);
         }
     }
 
-    private void said(Job job, TaskLoan l, LoanStatus w, Consumer<CellMessage> answer) {
+    private void said(Job job, TaskLoan loan, LoanStatus status, Consumer<CellMessage> answer) {
         double now = timers.now();
-        RemoteCell n = neighbours.get(l.to);
-        if (!l.written) {
+        RemoteCell remote = cellMembership.get(loan.to);
+        if (!loan.written) {
             answer.accept(null);
             return;
         }
-        if (w.standing() == LoanState.TAKEN) {
-            l.taken = true;
-            l.unanswered = job.leaving() ? l.unanswered : 0;
-            if (n != null) {
-                n.accepted();
+        if (status.standing() == LoanState.TAKEN) {
+            loan.taken = true;
+            loan.unanswered = job.leaving() ? loan.unanswered : 0;
+            if (remote != null) {
+                remote.accepted();
             }
             answer.accept(null);
             return;
         }
-        waiting.computeIfAbsent(l.number, k -> new ArrayList<>()).add(answer);
-        if (l.closed) {
+        waiting.computeIfAbsent(loan.number, k -> new ArrayList<>()).add(answer);
+        if (loan.closed) {
             return;
         }
-        BitSet done = BitSet.valueOf(w.done());
-        job.close(l, done);
-        for (int i = l.from; i < l.until; i++) {
+        BitSet done = BitSet.valueOf(status.done());
+        job.close(loan, done);
+        for (int i = loan.from; i < loan.until; i++) {
             if (job.isDone(i)) {
-                block.unwritten().queue(job.part(job.partOf(i)));
+                shard.unwritten().queue(job.part(job.partOf(i)));
             }
         }
-        job.attemptsFrom(w.next());
-        block.change();
-        if (n != null && w.standing() == LoanState.VOID) {
-            n.refused(now, random);
+        job.attemptsFrom(status.next());
+        shard.change();
+        if (remote != null && status.standing() == LoanState.VOID) {
+            remote.refused(now, random);
         }
-        if (w.standing() == LoanState.VOID || w.standing() == LoanState.BACK) {
-            spill.gaveBack(job.spec.id(), l.to, now);
+        if (status.standing() == LoanState.VOID || status.standing() == LoanState.BACK) {
+            workOffloading.gaveBack(job.spec.id(), loan.to, now);
         }
         LOG.info(
                 "loan {} of {} to cell {} is over after {} s: {}, {} of {} tasks done",
-                l.number,
+                loan.number,
                 job.spec.id(),
-                l.to,
-                Math.round(now - l.since),
-                w.standing(),
+                loan.to,
+                Math.round(now - loan.since),
+                status.standing(),
                 done.cardinality(),
-                l.tasks());
+                loan.tasks());
         settle(job);
     }
 
@@ -390,32 +391,32 @@
         if (job.lentBusy() || job.complete() && !job.leaving()) {
             return; // What is complete is written as done, its record of loans along with it.
         }
-        for (TaskLoan l : job.loans()) {
-            if (l.closed) {
-                for (int p = job.partOf(l.from); p <= job.partOf(l.until - 1); p++) {
+        for (TaskLoan loan : job.loans()) {
+            if (loan.closed) {
+                for (int p = job.partOf(loan.from); p <= job.partOf(loan.until - 1); p++) {
                     if (job.part(p).due()) {
                         return;
                     }
                 }
             }
         }
-        List<TaskLoan> over = job.loans().stream().filter(l -> l.closed).toList();
-        write(job, () -> over.forEach(l -> settled(job, l)));
+        List<TaskLoan> over = job.loans().stream().filter(loan -> loan.closed).toList();
+        write(job, () -> over.forEach(loan -> settled(job, loan)));
     }
 
-    private void settled(Job job, TaskLoan l) {
-        job.forget(l);
+    private void settled(Job job, TaskLoan loan) {
+        job.forget(loan);
         returned++;
-        String cell = l.to;
-        List<Consumer<CellMessage>> who = waiting.remove(l.number);
+        String cell = loan.to;
+        List<Consumer<CellMessage>> who = waiting.remove(loan.number);
         if (who != null) {
-            who.forEach(x -> x.accept(new LoanSettled(l.number, floor(cell))));
+            who.forEach(x -> x.accept(new LoanSettled(loan.number, floor(cell))));
         }
     }
 
     /** The job is done in the store, and its loans with it. */
     void over(Job job) {
-        new ArrayList<>(job.loans()).forEach(l -> settled(job, l));
+        new ArrayList<>(job.loans()).forEach(loan -> settled(job, loan));
     }
 
     // ---- cancelling -----------------------------------------------------------------------------
@@ -444,13 +445,14 @@
                     }
 
                     @Override
-                    public void board(Store.Transaction t) {
+                    public void board(Store.Transaction transaction) {
                         Map<String, Object> record =
                                 job.record()
                                         .overMap(
                                                 Map.of("status", "cancelled", "done", 0L),
-                                                block.facts().store().valueBytes());
-                        t.when(job.key, job.revision())
+                                                shard.facts().store().valueBytes());
+                        transaction
+                                .when(job.key, job.revision())
                                 .when(StoreKeys.LENT + id, 0)
                                 .when(StoreKeys.LEAVE + id, asked)
                                 .remove(job.key)
@@ -462,7 +464,7 @@
                     public void written(long revision) {
                         job.lentBusy(false);
                         leaving.remove(id);
-                        block.jobOver(id);
+                        shard.jobOver(id);
                         listener.cancelled(new JobStatus(id, "cancelled", 0, 0));
                     }
                 });
@@ -479,8 +481,8 @@
                     }
 
                     @Override
-                    public void board(Store.Transaction t) {
-                        t.when(StoreKeys.LEAVE + id, asked).remove(StoreKeys.LEAVE + id);
+                    public void board(Store.Transaction transaction) {
+                        transaction.when(StoreKeys.LEAVE + id, asked).remove(StoreKeys.LEAVE + id);
                     }
 
                     @Override
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -23,38 +23,38 @@
 
     private static final int RANKS = 2 * JobSpec.Priority.values().length;
 
-    private final ShardState block;
+    private final ShardState shard;
 
-    LocalSummary(ShardState block) {
-        this.block = block;
+    LocalSummary(ShardState shard) {
+        this.shard = shard;
     }
 
     List<FreeCapacity> room() {
         Map<MachineKind, double[]> free = new HashMap<>();
-        for (Machine m : block.machines().values()) {
-            MachineType t = block.types().get(m.type());
-            if (m.open() && t != null && m.reservedFor() == null) {
-                double[] f = free.computeIfAbsent(m.kind(), k -> new double[4]);
-                f[0] += t.cpus() - m.usedCpus();
-                f[1] += t.gpus() - m.usedGpus();
-                f[2] += t.memoryGb() - m.usedMemory();
-                f[3] += m.busy() ? 0 : 1;
+        for (Machine machine : shard.machines().values()) {
+            MachineType type = shard.types().get(machine.type());
+            if (machine.open() && type != null && machine.reservedFor() == null) {
+                double[] f = free.computeIfAbsent(machine.kind(), kind -> new double[4]);
+                f[0] += type.cpus() - machine.usedCpus();
+                f[1] += type.gpus() - machine.usedGpus();
+                f[2] += type.memoryGb() - machine.usedMemory();
+                f[3] += machine.busy() ? 0 : 1;
             }
         }
         List<FreeCapacity> out = new ArrayList<>();
-        free.forEach((k, f) -> out.add(new FreeCapacity(k, f[0], f[1], f[2], (int) f[3])));
+        free.forEach((kind, f) -> out.add(new FreeCapacity(kind, f[0], f[1], f[2], (int) f[3])));
         out.sort(
-                Comparator.comparingDouble((FreeCapacity r) -> -r.cpus())
-                        .thenComparing(r -> r.kind().toString()));
+                Comparator.comparingDouble((FreeCapacity capacity) -> -capacity.cpus())
+                        .thenComparing(capacity -> capacity.kind().toString()));
         return out.size() > MOST_ROOMS ? new ArrayList<>(out.subList(0, MOST_ROOMS)) : out;
     }
 
     /** CPUs of all machines that may be used. */
     double cpus() {
         double cpus = 0;
-        for (Machine m : block.machines().values()) {
-            MachineType t = block.types().get(m.type());
-            cpus += m.open() && t != null ? t.cpus() : 0;
+        for (Machine machine : shard.machines().values()) {
+            MachineType type = shard.types().get(machine.type());
+            cpus += machine.open() && type != null ? type.cpus() : 0;
         }
         return cpus;
     }
@@ -62,8 +62,8 @@
     /** By rank: how long waiting work up to that rank would take all machines, in seconds. */
     List<Double> waitS() {
         double[] work = new double[RANKS];
-        for (Job j : block.jobs().values()) {
-            work[j.rank()] += workS(j);
+        for (Job job : shard.jobs().values()) {
+            work[job.rank()] += workS(job);
         }
         double cpus = Math.max(1, cpus());
         List<Double> out = new ArrayList<>();
@@ -76,7 +76,7 @@
     }
 
     /** CPU seconds of the job's waiting tasks. */
-    static double workS(Job j) {
-        return j.waiting() * j.spec.cpus() * j.spec.estimateS();
+    static double workS(Job job) {
+        return job.waiting() * job.spec.cpus() * job.spec.estimateS();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/QuotaDivision.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaDivision.java
@@ -39,35 +39,37 @@
         Map<String, Long> out = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
         long free = 0;
-        for (QuotaClaim c : claims) {
-            out.put(c.cell, c.used);
-            free += Math.max(0, c.holds - c.used);
-            wanted.put(c.cell, c.wants);
+        for (QuotaClaim claim : claims) {
+            out.put(claim.cell, claim.used);
+            free += Math.max(0, claim.holds - claim.used);
+            wanted.put(claim.cell, claim.wants);
         }
         // Guards against a cell that is full of work and has the oldest of it: it would take all
         // that comes free.
         List<QuotaClaim> due = waiting(claims);
-        due.removeIf(c -> c.used >= fair.get(c.cell));
-        for (QuotaClaim c : due) {
-            long first = Math.min(free, Math.min(c.head, c.wants));
-            out.merge(c.cell, first, Long::sum);
-            wanted.merge(c.cell, -first, Long::sum);
+        due.removeIf(claim -> claim.used >= fair.get(claim.cell));
+        for (QuotaClaim claim : due) {
+            long first = Math.min(free, Math.min(claim.head, claim.wants));
+            out.merge(claim.cell, first, Long::sum);
+            wanted.merge(claim.cell, -first, Long::sum);
             free -= first;
         }
         Map<String, Long> upToFair = new HashMap<>();
         due.forEach(
-                c ->
+                claim ->
                         upToFair.put(
-                                c.cell,
-                                Math.min(wanted.get(c.cell), fair.get(c.cell) - out.get(c.cell))));
+                                claim.cell,
+                                Math.min(
+                                        wanted.get(claim.cell),
+                                        fair.get(claim.cell) - out.get(claim.cell))));
         free = alike(free, upToFair, out);
         upToFair.forEach((cell, n) -> wanted.merge(cell, -Math.max(0, n), Long::sum));
         free = alike(free, wanted, out);
         // What nobody wants stays with those that have it.
-        for (QuotaClaim c :
+        for (QuotaClaim claim :
                 claims.stream().sorted(Comparator.comparing(QuotaClaim::cell)).toList()) {
-            long over = Math.min(free, Math.max(0, c.holds - out.get(c.cell)));
-            out.merge(c.cell, over, Long::sum);
+            long over = Math.min(free, Math.max(0, claim.holds - out.get(claim.cell)));
+            out.merge(claim.cell, over, Long::sum);
             free -= over;
         }
         return out;
@@ -82,14 +84,14 @@
         Map<String, Long> out = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
         claims.forEach(
-                c -> {
-                    out.put(c.cell, 0L);
-                    wanted.put(c.cell, c.used + c.wants);
+                claim -> {
+                    out.put(claim.cell, 0L);
+                    wanted.put(claim.cell, claim.used + claim.wants);
                 });
-        for (QuotaClaim c : waiting(claims)) {
-            long first = Math.min(all, Math.min(c.head, c.wants));
-            out.merge(c.cell, first, Long::sum);
-            wanted.merge(c.cell, -first, Long::sum);
+        for (QuotaClaim claim : waiting(claims)) {
+            long first = Math.min(all, Math.min(claim.head, claim.wants));
+            out.merge(claim.cell, first, Long::sum);
+            wanted.merge(claim.cell, -first, Long::sum);
             all -= first;
         }
         alike(all, wanted, out);
@@ -97,7 +99,8 @@
     }
 
     private static List<QuotaClaim> waiting(List<QuotaClaim> claims) {
-        List<QuotaClaim> out = new ArrayList<>(claims.stream().filter(c -> c.wants > 0).toList());
+        List<QuotaClaim> out =
+                new ArrayList<>(claims.stream().filter(claim -> claim.wants > 0).toList());
         out.sort(Comparator.comparingDouble(QuotaClaim::since).thenComparing(QuotaClaim::cell));
         return out;
     }
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -100,8 +100,13 @@
 
         Map<String, Object> record() {
             List<Object> list = new ArrayList<>();
-            for (OutgoingGrant o : out) {
-                list.add(List.of(o.number, o.to, (long) o.kind, o.amount));
+            for (OutgoingGrant outgoing : out) {
+                list.add(
+                        List.of(
+                                outgoing.number,
+                                outgoing.to,
+                                (long) outgoing.kind,
+                                outgoing.amount));
             }
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("team", team);
@@ -113,7 +118,7 @@
     }
 
     private final String own;
-    private final ShardState block;
+    private final ShardState shard;
     private final Consumer<StateWriter.BatchContributor> riding;
     private final Timers timers;
     private final CellQuery asking;
@@ -132,13 +137,13 @@
 
     QuotaShares(
             String own,
-            ShardState block,
+            ShardState shard,
             Consumer<StateWriter.BatchContributor> riding,
             Timers timers,
             CellQuery asking,
             Random random) {
         this.own = own;
-        this.block = block;
+        this.shard = shard;
         this.riding = riding;
         this.timers = timers;
         this.asking = asking;
@@ -172,22 +177,22 @@
         held.clear();
         numbers.clear();
         taking.clear();
-        for (Entry x : found.voids()) {
-            String of = x.key().substring(StoreKeys.VOID.length());
+        for (Entry entry : found.voids()) {
+            String of = entry.key().substring(StoreKeys.VOID.length());
             if (of.startsWith("share/")) {
                 numbers.put(
                         of.substring("share/".length()),
-                        SequenceNumbers.read(x.value(), x.revision()));
+                        SequenceNumbers.read(entry.value(), entry.revision()));
             }
         }
-        for (Entry x : found.shares()) {
+        for (Entry entry : found.shares()) {
             try {
-                DocumentReader t = DocumentReader.of(x.value());
-                HeldShare h = of(t.text("team"));
-                h.revision = x.revision();
-                h.moved[0] = t.integer("cpus", Long.MIN_VALUE, Long.MAX_VALUE);
-                h.moved[1] = t.integer("gpus", Long.MIN_VALUE, Long.MAX_VALUE);
-                for (Object o : t.list("out")) {
+                DocumentReader document = DocumentReader.of(entry.value());
+                HeldShare h = of(document.text("team"));
+                h.revision = entry.revision();
+                h.moved[0] = document.integer("cpus", Long.MIN_VALUE, Long.MAX_VALUE);
+                h.moved[1] = document.integer("gpus", Long.MIN_VALUE, Long.MAX_VALUE);
+                for (Object o : document.list("out")) {
                     List<?> l = (List<?>) o;
                     OutgoingGrant out =
                             new OutgoingGrant(
@@ -199,51 +204,51 @@
                     h.out.add(out);
                 }
             } catch (InvalidInputException | ClassCastException | IndexOutOfBoundsException bad) {
-                LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
+                LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
             }
         }
     }
 
     // ---- what may be used -----------------------------------------------------------------------
 
-    private static long whole(ClusterSettings.Team t, int kind) {
-        double max = kind == 0 ? t.cpusMax() : t.gpusMax();
+    private static long whole(ClusterSettings.Team team, int kind) {
+        double max = kind == 0 ? team.cpusMax() : team.gpusMax();
         return max <= 0 ? UNLIMITED : (long) Math.floor(max * 1000 + 1e-3);
     }
 
     /** The cell's share now; unlimited if the team has no limit. */
-    private long holds(ClusterSettings.Team t, int kind) {
-        long part = whole(t, kind);
-        HeldShare h = held.get(t.name());
+    private long holds(ClusterSettings.Team team, int kind) {
+        long part = whole(team, kind);
+        HeldShare h = held.get(team.name());
         return part == UNLIMITED || h == null ? part : Math.max(0, part + h.moved[kind]);
     }
 
-    private long mayUse(ClusterSettings.Team t, int kind) {
-        HeldShare h = held.get(t.name());
-        return h == null ? holds(t, kind) : Math.min(holds(t, kind), h.cap[kind]);
+    private long mayUse(ClusterSettings.Team team, int kind) {
+        HeldShare h = held.get(team.name());
+        return h == null ? holds(team, kind) : Math.min(holds(team, kind), h.cap[kind]);
     }
 
     @Override
-    public double cpus(ClusterSettings.Team t) {
-        long may = mayUse(t, 0);
+    public double cpus(ClusterSettings.Team team) {
+        long may = mayUse(team, 0);
         return may == UNLIMITED ? Double.POSITIVE_INFINITY : may / 1000.0;
     }
 
     @Override
-    public double gpus(ClusterSettings.Team t) {
-        long may = mayUse(t, 1);
+    public double gpus(ClusterSettings.Team team) {
+        long may = mayUse(team, 1);
         return may == UNLIMITED ? Double.POSITIVE_INFINITY : may / 1000.0;
     }
 
     private long used(String team, int kind) {
-        QuotaUsage u = block.teamUse();
+        QuotaUsage u = shard.teamUse();
         return (long) Math.ceil((kind == 0 ? u.cpus(team) : u.gpus(team)) * 1000 - 1e-3);
     }
 
     // ---- what is wanted -------------------------------------------------------------------------
 
-    private static long need(JobSpec s, int kind, int tasks) {
-        return (long) Math.ceil((kind == 0 ? s.cpus() : s.gpus()) * 1000 * tasks - 1e-3);
+    private static long need(JobSpec spec, int kind, int tasks) {
+        return (long) Math.ceil((kind == 0 ? spec.cpus() : spec.gpus()) * 1000 * tasks - 1e-3);
     }
 
     /**
@@ -257,50 +262,50 @@
         room[1] = (long) (freeGpus * 1000);
         Map<String, QuotaShare> rows = new HashMap<>();
         Map<String, List<Job>> waiting = new HashMap<>();
-        for (Job j : block.jobs().values()) {
-            if (j.waiting() > 0) {
-                waiting.computeIfAbsent(j.spec.team(), k -> new ArrayList<>()).add(j);
+        for (Job job : shard.jobs().values()) {
+            if (job.waiting() > 0) {
+                waiting.computeIfAbsent(job.spec.team(), key -> new ArrayList<>()).add(job);
             }
         }
-        for (ClusterSettings.Team t : block.facts().teams().values()) {
+        for (ClusterSettings.Team team : shard.facts().teams().values()) {
             for (int kind = 0; kind < KINDS; kind++) {
-                if (whole(t, kind) != UNLIMITED) {
+                if (whole(team, kind) != UNLIMITED) {
                     rows.put(
-                            t.name() + kind,
-                            row(t, kind, waiting.getOrDefault(t.name(), List.of())));
+                            team.name() + kind,
+                            row(team, kind, waiting.getOrDefault(team.name(), List.of())));
                 }
             }
         }
         List<QuotaShare> out = new ArrayList<>(rows.values());
         out.sort(
-                Comparator.comparingLong((QuotaShare s) -> -s.wants())
+                Comparator.comparingLong((QuotaShare share) -> -share.wants())
                         .thenComparing(QuotaShare::team));
         told = out.size() > MOST_TOLD ? new ArrayList<>(out.subList(0, MOST_TOLD)) : out;
         return told;
     }
 
-    private QuotaShare row(ClusterSettings.Team t, int kind, List<Job> waiting) {
+    private QuotaShare row(ClusterSettings.Team team, int kind, List<Job> waiting) {
         long wants = 0;
         Job first = null;
-        for (Job j : waiting) {
-            wants += need(j.spec, kind, j.waiting());
+        for (Job job : waiting) {
+            wants += need(job.spec, kind, job.waiting());
             boolean older =
                     first == null
-                            || j.submittedMs < first.submittedMs
-                            || j.submittedMs == first.submittedMs
-                                    && j.spec.id().compareTo(first.spec.id()) < 0;
-            if (need(j.spec, kind, 1) > 0 && older) {
-                first = j;
+                            || job.submittedMs < first.submittedMs
+                            || job.submittedMs == first.submittedMs
+                                    && job.spec.id().compareTo(first.spec.id()) < 0;
+            if (need(job.spec, kind, 1) > 0 && older) {
+                first = job;
             }
         }
         long head =
                 first == null ? 0 : need(first.spec, kind, first.spec.gang() ? first.waiting() : 1);
         wants = room[kind] < head ? 0 : Math.min(wants, room[kind]);
         return new QuotaShare(
-                t.name(),
+                team.name(),
                 kind,
-                holds(t, kind),
-                used(t.name(), kind),
+                holds(team, kind),
+                used(team.name(), kind),
                 wants,
                 head,
                 first == null ? 0 : need(first.spec, kind, 1),
@@ -313,8 +318,8 @@
         return h == null
                 ? 0
                 : h.out.stream()
-                        .filter(o -> o.kind == kind && o.to.equals(cell))
-                        .mapToLong(o -> o.amount)
+                        .filter(outgoing -> outgoing.kind == kind && outgoing.to.equals(cell))
+                        .mapToLong(outgoing -> outgoing.amount)
                         .sum();
     }
 
@@ -326,53 +331,63 @@
      */
     void divide(Collection<Summary> others) {
         Map<String, List<QuotaClaim>> claims = new HashMap<>();
-        for (Summary s : others) {
-            for (QuotaShare x : s.shares()) {
-                claims.computeIfAbsent(x.team() + '\0' + x.kind(), k -> new ArrayList<>())
+        for (Summary summary : others) {
+            for (QuotaShare share : summary.shares()) {
+                claims.computeIfAbsent(share.team() + '\0' + share.kind(), key -> new ArrayList<>())
                         .add(
                                 new QuotaClaim(
-                                        s.cell(),
-                                        x.holds() + underWay(x.team(), x.kind(), s.cell()),
-                                        x.used(),
-                                        x.wants(),
-                                        x.head(),
-                                        x.task(),
-                                        x.since()));
+                                        summary.cell(),
+                                        share.holds()
+                                                + underWay(
+                                                        share.team(), share.kind(), summary.cell()),
+                                        share.used(),
+                                        share.wants(),
+                                        share.head(),
+                                        share.task(),
+                                        share.since()));
             }
         }
         Map<String, QuotaShare> mine = new HashMap<>();
-        told.forEach(x -> mine.put(x.team() + '\0' + x.kind(), x));
+        told.forEach(share -> mine.put(share.team() + '\0' + share.kind(), share));
         held.values().forEach(h -> Arrays.fill(h.cap, UNLIMITED));
         claims.forEach(
-                (k, list) -> {
-                    QuotaShare x = mine.get(k);
-                    if (x != null && list.stream().anyMatch(c -> c.wants() > 0)) {
+                (key, list) -> {
+                    QuotaShare share = mine.get(key);
+                    if (share != null && list.stream().anyMatch(claim -> claim.wants() > 0)) {
                         list.add(
                                 new QuotaClaim(
-                                        own, x.holds(), x.used(), x.wants(), x.head(), x.task(),
-                                        x.since()));
-                        give(x, list);
+                                        own,
+                                        share.holds(),
+                                        share.used(),
+                                        share.wants(),
+                                        share.head(),
+                                        share.task(),
+                                        share.since()));
+                        give(share, list);
                     }
                 });
     }
 
-    private void give(QuotaShare x, List<QuotaClaim> claims) {
+    private void give(QuotaShare share, List<QuotaClaim> claims) {
         Map<String, Long> targets = QuotaDivision.targets(claims);
-        HeldShare h = of(x.team());
+        HeldShare held = of(share.team());
         // What was told may be a moment old; what is given must be free now.
-        long usedNow = used(x.team(), x.kind());
+        long usedNow = used(share.team(), share.kind());
         // What others are to have is not used here again, so that it comes free as what runs ends.
-        h.cap[x.kind()] = Math.max(Math.min(targets.get(own), x.holds()), 0);
+        held.cap[share.kind()] = Math.max(Math.min(targets.get(own), share.holds()), 0);
         if (claims.stream().anyMatch(c -> !c.cell().equals(own) && c.wants() > 0)) {
-            h.cap[x.kind()] = Math.min(h.cap[x.kind()], QuotaDivision.fair(claims).get(own));
+            held.cap[share.kind()] =
+                    Math.min(held.cap[share.kind()], QuotaDivision.fair(claims).get(own));
         }
         long mine =
                 claims.stream()
                         .filter(c -> c.cell().equals(own))
                         .mapToLong(c -> useful(c, targets))
                         .sum();
-        long over = holds(block.facts().teams().get(x.team()), x.kind()) - Math.max(mine, usedNow);
-        if (over <= 0 || h.writing || h.out.size() >= MOST_OUT) {
+        long over =
+                holds(shard.facts().teams().get(share.team()), share.kind())
+                        - Math.max(mine, usedNow);
+        if (over <= 0 || held.writing || held.out.size() >= MOST_OUT) {
             return;
         }
         QuotaClaim to = null;
@@ -388,29 +403,29 @@
             return;
         }
         long amount = Math.min(over, useful(to, targets) - to.holds());
-        OutgoingGrant o =
+        OutgoingGrant outgoing =
                 new OutgoingGrant(
-                        (block.token() << BITS) + ++sequence, to.cell(), x.kind(), amount);
-        h.moved[x.kind()] -= amount;
-        h.out.add(o);
+                        (shard.token() << BITS) + ++sequence, to.cell(), share.kind(), amount);
+        held.moved[share.kind()] -= amount;
+        held.out.add(outgoing);
         given++;
         LOG.info(
                 "gives {} {} of team {} to cell {} as {}: it holds {} and is to have {}, here {} of {} are used",
                 amount / 1000.0,
-                x.kind() == 0 ? "CPUs" : "GPUs",
-                x.team(),
+                share.kind() == 0 ? "CPUs" : "GPUs",
+                share.team(),
                 to.cell(),
-                o.number,
+                outgoing.number,
                 to.holds() / 1000.0,
                 targets.get(to.cell()) / 1000.0,
-                x.used() / 1000.0,
-                x.holds() / 1000.0);
+                share.used() / 1000.0,
+                share.holds() / 1000.0);
         write(
-                h,
+                held,
                 null,
                 () -> {
-                    o.written = true;
-                    tell(h, o, timers.now());
+                    outgoing.written = true;
+                    tell(held, outgoing, timers.now());
                 });
     }
 
@@ -418,11 +433,11 @@
      * What is in use and whole tasks beyond. Guards against shares that swing to and fro in crumbs
      * of no use to any.
      */
-    private static long useful(QuotaClaim c, Map<String, Long> targets) {
-        long target = targets.get(c.cell());
-        return c.wants() == 0 || c.task() == 0
+    private static long useful(QuotaClaim claim, Map<String, Long> targets) {
+        long target = targets.get(claim.cell());
+        return claim.wants() == 0 || claim.task() == 0
                 ? target
-                : c.used() + Math.max(0, target - c.used()) / c.task() * c.task();
+                : claim.used() + Math.max(0, target - claim.used()) / claim.task() * claim.task();
     }
 
     /** Writes the team's record, and with it that a number of another cell's is taken. */
@@ -436,15 +451,21 @@
                     }
 
                     @Override
-                    public void board(Store.Transaction t) {
-                        t.when(key(h.team), h.revision).put(key(h.team), h.record());
+                    public void board(Store.Transaction transaction) {
+                        transaction.when(key(h.team), h.revision).put(key(h.team), h.record());
                         if (giver != null) {
-                            SequenceNumbers n = numbers(giver);
-                            t.when(StoreKeys.VOID + "share/" + giver, n.revision());
-                            t.writes()
+                            SequenceNumbers numbers = numbers(giver);
+                            transaction.when(StoreKeys.VOID + "share/" + giver, numbers.revision());
+                            transaction
+                                    .writes()
                                     .removeIf(
-                                            w -> w.key().equals(StoreKeys.VOID + "share/" + giver));
-                            t.put(StoreKeys.VOID + "share/" + giver, n.record());
+                                            write ->
+                                                    write.key()
+                                                            .equals(
+                                                                    StoreKeys.VOID
+                                                                            + "share/"
+                                                                            + giver));
+                            transaction.put(StoreKeys.VOID + "share/" + giver, numbers.record());
                         }
                     }
 
@@ -461,16 +482,16 @@
     }
 
     private SequenceNumbers numbers(String giver) {
-        return numbers.computeIfAbsent(giver, k -> new SequenceNumbers());
+        return numbers.computeIfAbsent(giver, key -> new SequenceNumbers());
     }
 
     /** Nothing below this number is under way to the cell any more. */
     private long floor(String cell) {
-        long least = (block.token() << BITS) + sequence + 1;
+        long least = (shard.token() << BITS) + sequence + 1;
         for (HeldShare h : held.values()) {
-            for (OutgoingGrant o : h.out) {
-                if (o.to.equals(cell)) {
-                    least = Math.min(least, o.number);
+            for (OutgoingGrant outgoing : h.out) {
+                if (outgoing.to.equals(cell)) {
+                    least = Math.min(least, outgoing.number);
                 }
             }
         }
@@ -479,34 +500,40 @@
 
     void tend(double now) {
         for (HeldShare h : new ArrayList<>(held.values())) {
-            for (OutgoingGrant o : new ArrayList<>(h.out)) {
-                if (o.written) {
-                    tell(h, o, now);
+            for (OutgoingGrant outgoing : new ArrayList<>(h.out)) {
+                if (outgoing.written) {
+                    tell(h, outgoing, now);
                 }
             }
         }
     }
 
-    private void tell(HeldShare h, OutgoingGrant o, double now) {
-        if (o.asking
-                || now - o.askedAt
+    private void tell(HeldShare h, OutgoingGrant outgoing, double now) {
+        if (outgoing.asking
+                || now - outgoing.askedAt
                         < RetryBackoff.againS(
-                                o.unanswered, 1, block.facts().workers().leaseS(), random)) {
+                                outgoing.unanswered, 1, shard.facts().workers().leaseS(), random)) {
             return;
         }
-        o.asking = true;
-        o.askedAt = now;
-        o.unanswered++;
+        outgoing.asking = true;
+        outgoing.askedAt = now;
+        outgoing.unanswered++;
         asking.ask(
-                o.to,
-                new QuotaGrant(own, o.number, floor(o.to), h.team, o.kind, o.amount),
+                outgoing.to,
+                new QuotaGrant(
+                        own,
+                        outgoing.number,
+                        floor(outgoing.to),
+                        h.team,
+                        outgoing.kind,
+                        outgoing.amount),
                 answer -> {
-                    o.asking = false;
+                    outgoing.asking = false;
                     if (answer instanceof QuotaGrantAccepted g
-                            && g.number() == o.number
+                            && g.number() == outgoing.number
                             && held.get(h.team) == h
                             && !h.writing
-                            && h.out.remove(o)) {
+                            && h.out.remove(outgoing)) {
                         write(h, null, () -> {});
                     }
                 });
@@ -516,11 +543,11 @@
 
     /** A share of another cell's becomes ours, once. */
     void granted(QuotaGrant g, Consumer<CellMessage> answer) {
-        ClusterSettings.Team t = block.facts().teams().get(g.team());
-        SequenceNumbers n = numbers(g.from());
-        n.raise(g.floor());
+        ClusterSettings.Team team = shard.facts().teams().get(g.team());
+        SequenceNumbers numbers = numbers(g.from());
+        numbers.raise(g.floor());
         String id = g.from() + '/' + g.number();
-        if (n.isVoid(g.number())) {
+        if (numbers.isVoid(g.number())) {
             if (taking.containsKey(id)) {
                 taking.get(id).add(answer); // Being written; said once it is.
             } else {
@@ -528,21 +555,21 @@
             }
             return;
         }
-        HeldShare h = of(g.team());
-        if (t == null || n.full() || h.writing) {
+        HeldShare held = of(g.team());
+        if (team == null || numbers.full() || held.writing) {
             answer.accept(null);
             return;
         }
-        n.add(g.number());
-        h.coming[g.kind()] = g.amount();
+        numbers.add(g.number());
+        held.coming[g.kind()] = g.amount();
         taking.put(id, new ArrayList<>(List.of(answer)));
         write(
-                h,
+                held,
                 g.from(),
                 () -> {
                     came++;
-                    h.moved[g.kind()] += h.coming[g.kind()];
-                    h.coming[g.kind()] = 0;
+                    held.moved[g.kind()] += held.coming[g.kind()];
+                    held.coming[g.kind()] = 0;
                     LOG.info(
                             "{} {} of team {} came from cell {} as {}",
                             g.amount() / 1000.0,
@@ -554,28 +581,30 @@
                     if (who != null) {
                         who.forEach(x -> x.accept(new QuotaGrantAccepted(g.number())));
                     }
-                    block.change();
+                    shard.change();
                 });
     }
 
     /** All that it knows and is about, for a log or a test. */
     @Override
     public String toString() {
-        StringBuilder b = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         held.values().stream()
                 .sorted(Comparator.comparing(h -> h.team))
                 .forEach(
                         h -> {
-                            b.append(h.record())
+                            text.append(h.record())
                                     .append(h.writing ? " writing" : "")
                                     .append(Arrays.toString(h.coming));
                             h.out.forEach(
-                                    o ->
-                                            b.append(' ')
-                                                    .append(o.number)
-                                                    .append(o.written)
-                                                    .append(o.asking));
+                                    outgoing ->
+                                            text.append(' ')
+                                                    .append(outgoing.number)
+                                                    .append(outgoing.written)
+                                                    .append(outgoing.asking));
                         });
-        return b.append(new TreeMap<>(taking).keySet()).append(new TreeMap<>(numbers)).toString();
+        return text.append(new TreeMap<>(taking).keySet())
+                .append(new TreeMap<>(numbers))
+                .toString();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/SequenceNumbers.java
+++ b/src/main/java/io/kitepath/core/cell/SequenceNumbers.java
@@ -28,14 +28,14 @@
 
     /** What {@link #record} wrote. */
     static SequenceNumbers read(Object record, long revision) {
-        SequenceNumbers n = new SequenceNumbers();
-        DocumentReader t = DocumentReader.of(record);
-        n.floor = t.count("floor");
-        for (Object o : t.list("void")) {
-            n.taken.add(((Number) o).longValue());
+        SequenceNumbers numbers = new SequenceNumbers();
+        DocumentReader document = DocumentReader.of(record);
+        numbers.floor = document.count("floor");
+        for (Object o : document.list("void")) {
+            numbers.taken.add(((Number) o).longValue());
         }
-        n.revision = revision;
-        return n;
+        numbers.revision = revision;
+        return numbers;
     }
 
     boolean isVoid(long number) {
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -39,7 +39,7 @@
      */
     private static final double UNSURE = 2;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Map<String, MachineType> types;
     private final Map<String, Integer> zonesOf;
     private final Random random;
@@ -50,11 +50,11 @@
 
     /** {@code zonesOf}: how many zones each other cell has. */
     WorkOffloading(
-            ClusterSettings facts,
+            ClusterSettings settings,
             Map<String, MachineType> types,
             Map<String, Integer> zonesOf,
             Random random) {
-        this.facts = facts;
+        this.settings = settings;
         this.types = types;
         this.zonesOf = zonesOf;
         this.random = random;
@@ -70,8 +70,8 @@
      */
     void gaveBack(String job, String cell, double now) {
         givenBack
-                .computeIfAbsent(job, k -> new HashMap<>())
-                .put(cell, now + 2 * facts.workers().leaseS());
+                .computeIfAbsent(job, key -> new HashMap<>())
+                .put(cell, now + 2 * settings.workers().leaseS());
     }
 
     void forget(Collection<String> known) {
@@ -95,24 +95,24 @@
             double wallMs) {
         List<Plan> out = new ArrayList<>();
         double ahead = 0;
-        for (Job j : order) {
+        for (Job job : order) {
             if (out.size() >= most) {
                 break;
             }
-            double work = LocalSummary.workS(j);
+            double work = LocalSummary.workS(job);
             double waitS = (ahead + work) / Math.max(1, hereCpus);
             ahead += work;
-            String why = whyNotHere(j, fitsHere.test(j.spec), hereCpus, waitS, wallMs);
+            String why = whyNotHere(job, fitsHere.test(job.spec), hereCpus, waitS, wallMs);
             // What waits for its team's limit waits for it everywhere: the limit's shares move to
             // where room is.
-            if (why == null || allowed.applyAsInt(j.spec) < least(j)) {
+            if (why == null || allowed.applyAsInt(job.spec) < least(job)) {
                 continue;
             }
-            RemoteCell to = choose(j, cells, waitS, now);
-            if (to != null) {
-                Plan p = range(j, to, why);
+            RemoteCell remote = choose(job, cells, waitS, now);
+            if (remote != null) {
+                Plan p = range(job, remote, why);
                 if (p != null) {
-                    to.promise((p.until - p.from) * j.spec.cpus());
+                    remote.promise((p.until - p.from) * job.spec.cpus());
                     out.add(p);
                 }
             }
@@ -121,17 +121,20 @@
     }
 
     /** Null if the job stays. */
-    private String whyNotHere(Job j, boolean fits, double cpus, double waitS, double wallMs) {
-        JobSpec s = j.spec;
-        boolean whole = s.shape() != JobSpec.Shape.ARRAY || s.oneZone() || s.spread();
-        if (j.guest
-                || j.over()
-                || j.leaving()
-                || j.waiting() == 0
-                || whole && (!j.live().isEmpty() || j.tasksDone() > 0 || !j.loans().isEmpty())) {
+    private String whyNotHere(Job job, boolean fits, double cpus, double waitS, double wallMs) {
+        JobSpec spec = job.spec;
+        boolean whole = spec.shape() != JobSpec.Shape.ARRAY || spec.oneZone() || spec.spread();
+        if (job.guest
+                || job.over()
+                || job.leaving()
+                || job.waiting() == 0
+                || whole
+                        && (!job.live().isEmpty()
+                                || job.tasksDone() > 0
+                                || !job.loans().isEmpty())) {
             return null;
         }
-        double ageS = (wallMs - j.submittedMs) / 1000;
+        double ageS = (wallMs - job.submittedMs) / 1000;
         if (!fits) {
             return "no machine of this cell may run it";
         }
@@ -139,12 +142,12 @@
             return "this cell is drained";
         }
         // What has only just come may still find room in one of the next rounds.
-        if (ageS < 2 * facts.workers().reportS()
-                || cpus > 0 && waitS < 2 * facts.workers().reportS()) {
+        if (ageS < 2 * settings.workers().reportS()
+                || cpus > 0 && waitS < 2 * settings.workers().reportS()) {
             return null;
         }
-        for (int goal = 0; goal < j.goals(); goal++) {
-            double left = (j.goalMs(goal) - wallMs) / 1000;
+        for (int goal = 0; goal < job.goals(); goal++) {
+            double left = (job.goalMs(goal) - wallMs) / 1000;
             if (left > 0) {
                 return waitS * UNSURE > left
                         ? String.format("would wait %.0f s here of %.0f", waitS, left)
@@ -154,33 +157,33 @@
         return String.format("past its goals, and would wait %.0f s here", waitS);
     }
 
-    private RemoteCell choose(Job j, Collection<RemoteCell> cells, double waitS, double now) {
+    private RemoteCell choose(Job job, Collection<RemoteCell> cells, double waitS, double now) {
         List<RemoteCell> able = new ArrayList<>();
-        Map<String, Double> not = givenBack.getOrDefault(j.spec.id(), Map.of());
-        for (RemoteCell n : cells) {
+        Map<String, Double> not = givenBack.getOrDefault(job.spec.id(), Map.of());
+        for (RemoteCell remote : cells) {
             // One loan of a job to each cell at a time: its records there are by the job's parts.
-            if (n.takes(now)
-                    && not.getOrDefault(n.name, 0.0) <= now
-                    && slots(j.spec, n) >= least(j)
-                    && j.loans().stream().noneMatch(l -> l.to.equals(n.name))
-                    && n.summary().waitS().get(j.rank()) < waitS / 2) {
-                able.add(n);
+            if (remote.takes(now)
+                    && not.getOrDefault(remote.name, 0.0) <= now
+                    && slots(job.spec, remote) >= least(job)
+                    && job.loans().stream().noneMatch(loan -> loan.to.equals(remote.name))
+                    && remote.summary().waitS().get(job.rank()) < waitS / 2) {
+                able.add(remote);
             }
         }
         for (int i = 0; i < ProbePlacement.PROBES && i < able.size(); i++) {
             int k = i + random.nextInt(able.size() - i);
-            RemoteCell n = able.get(k);
+            RemoteCell remote = able.get(k);
             able.set(k, able.get(i));
-            able.set(i, n);
-            if (n.unconfirmed < ProbePlacement.THRESHOLD) {
-                return n;
+            able.set(i, remote);
+            if (remote.unconfirmed < ProbePlacement.THRESHOLD) {
+                return remote;
             }
         }
         RemoteCell best = null;
-        for (RemoteCell n : able) {
-            if (n.unconfirmed < ProbePlacement.THRESHOLD * zonesOf.getOrDefault(n.name, 1)
-                    && (best == null || slots(j.spec, n) > slots(j.spec, best))) {
-                best = n;
+        for (RemoteCell remote : able) {
+            if (remote.unconfirmed < ProbePlacement.THRESHOLD * zonesOf.getOrDefault(remote.name, 1)
+                    && (best == null || slots(job.spec, remote) > slots(job.spec, best))) {
+                best = remote;
             }
         }
         return best;
@@ -190,38 +193,44 @@
      * The least that is worth handing over: all of what has to be together, else a part of an
      * array.
      */
-    private static int least(Job j) {
-        JobSpec s = j.spec;
-        return s.shape() != JobSpec.Shape.ARRAY || s.oneZone() || s.spread() ? s.tasks() : 1;
+    private static int least(Job job) {
+        JobSpec spec = job.spec;
+        return spec.shape() != JobSpec.Shape.ARRAY || spec.oneZone() || spec.spread()
+                ? spec.tasks()
+                : 1;
     }
 
     /** How many such tasks the cell has room for by its word, less what was handed to it since. */
-    int slots(JobSpec s, RemoteCell n) {
+    int slots(JobSpec spec, RemoteCell remote) {
         Map<String, Integer> byZone = new HashMap<>();
         int all = 0;
-        for (FreeCapacity r : n.summary().room()) {
-            MachineType t = types.get(r.kind().type());
-            if (t == null || !ProbePlacement.allowed(r.kind(), s)) {
+        for (FreeCapacity capacity : remote.summary().room()) {
+            MachineType type = types.get(capacity.kind().type());
+            if (type == null || !ProbePlacement.allowed(capacity.kind(), spec)) {
                 continue;
             }
-            int each = ProbePlacement.slots(s, t);
+            int each = ProbePlacement.slots(spec, type);
             // Of machines in use nobody knows here how their gaps lie: they count for small tasks,
             // and half.
             boolean small = each >= 2;
             double rest =
-                    small ? (r.cpus() - r.idle() * t.cpus()) / Math.max(s.cpus(), 1e-6) / 2 : 0;
+                    small
+                            ? (capacity.cpus() - capacity.idle() * type.cpus())
+                                    / Math.max(spec.cpus(), 1e-6)
+                                    / 2
+                            : 0;
             int fit =
                     (int)
                             Math.min(
                                     Integer.MAX_VALUE / 64,
-                                    (long) r.idle() * each + Math.max(0, rest));
+                                    (long) capacity.idle() * each + Math.max(0, rest));
             all += fit;
-            byZone.merge(r.kind().zone(), fit, Integer::sum);
+            byZone.merge(capacity.kind().zone(), fit, Integer::sum);
         }
-        int taken = s.cpus() > 0 ? (int) Math.ceil(n.promisedCpus() / s.cpus()) : 0;
-        int room = s.oneZone() ? byZone.values().stream().mapToInt(x -> x).max().orElse(0) : all;
-        if (s.spread()) {
-            int most = s.mostPerZone();
+        int taken = spec.cpus() > 0 ? (int) Math.ceil(remote.promisedCpus() / spec.cpus()) : 0;
+        int room = spec.oneZone() ? byZone.values().stream().mapToInt(x -> x).max().orElse(0) : all;
+        if (spec.spread()) {
+            int most = spec.mostPerZone();
             room = byZone.values().stream().mapToInt(x -> Math.min(x, most)).sum();
         }
         return Math.max(0, room - taken);
@@ -231,24 +240,24 @@
      * All of the job, or of an array the last tasks in a row that wait, as many as there is room
      * for.
      */
-    private Plan range(Job j, RemoteCell to, String why) {
+    private Plan range(Job job, RemoteCell remote, String why) {
         // What is done of a loan is one field of one record.
-        int longest = 16 * facts.tasksPerPart();
-        if (least(j) > longest) {
+        int longest = 16 * settings.tasksPerPart();
+        if (least(job) > longest) {
             return null;
         }
-        if (least(j) > 1 || j.spec.tasks() == 1) {
-            return new Plan(j, to.name, 0, j.spec.tasks(), why);
+        if (least(job) > 1 || job.spec.tasks() == 1) {
+            return new Plan(job, remote.name, 0, job.spec.tasks(), why);
         }
-        int until = j.spec.tasks();
-        while (until > 0 && !j.placeable(until - 1)) {
+        int until = job.spec.tasks();
+        while (until > 0 && !job.placeable(until - 1)) {
             until--;
         }
         int from = until;
-        int most = Math.min(longest, slots(j.spec, to));
-        while (from > 0 && until - from < most && j.placeable(from - 1)) {
+        int most = Math.min(longest, slots(job.spec, remote));
+        while (from > 0 && until - from < most && job.placeable(from - 1)) {
             from--;
         }
-        return from < until ? new Plan(j, to.name, from, until, why) : null;
+        return from < until ? new Plan(job, remote.name, from, until, why) : null;
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationLog.java
@@ -30,10 +30,10 @@
     private int chars;
     private double sinceMs;
 
-    public CancellationLog(ClusterSettings facts, Timers timers) {
-        this.node = facts.node();
+    public CancellationLog(ClusterSettings settings, Timers timers) {
+        this.node = settings.node();
         this.timers = timers;
-        this.keepMs = 1000 * facts.workers().cancelS();
+        this.keepMs = 1000 * settings.workers().cancelS();
         this.sinceMs = timers.wallMs();
     }
 
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -47,10 +47,10 @@
     /** Jobs that others said are cancelled, and when they said so, by our clock. */
     private final Map<String, Double> told = new LinkedHashMap<>();
 
-    public CancellationWatermark(ClusterSettings facts, Timers timers) {
-        this.siblings = facts.siblings();
+    public CancellationWatermark(ClusterSettings settings, Timers timers) {
+        this.siblings = settings.siblings();
         this.timers = timers;
-        this.apartMs = 2 * facts.clockErrorMs();
+        this.apartMs = 2 * settings.clockErrorMs();
     }
 
     /** A new holder knows nothing before it has read what is open. */
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -37,7 +37,7 @@
         void follows(String leader);
     }
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
     private final Random random;
@@ -68,20 +68,20 @@
     private boolean retired;
 
     public Leadership(
-            ClusterSettings facts,
+            ClusterSettings settings,
             Store store,
             Timers timers,
             Random random,
             Incarnation incarnation,
             Listener listener) {
-        this.facts = facts;
+        this.settings = settings;
         this.store = store;
         this.timers = timers;
         this.random = random;
         this.listener = listener;
         // Short against the workers' lease, so that a new leader is there well before their work is
         // given up.
-        this.lifeS = Math.max(2, facts.workers().reportS());
+        this.lifeS = Math.max(2, settings.workers().reportS());
         this.servedAt = timers.now();
         this.incarnation = incarnation;
     }
@@ -191,11 +191,11 @@
                 StoreKeys.LEADER,
                 from,
                 holdMs,
-                c -> {
+                changes -> {
                     // An empty answer proves nothing: a node that the store refuses waits on its
                     // watches all the same. A
                     // plain read tells whether we are served.
-                    if (c.outcome() == Outcome.OK) {
+                    if (changes.outcome() == Outcome.OK) {
                         look();
                     } else {
                         timers.after(retryS(), this::look);
@@ -204,13 +204,13 @@
     }
 
     private void heard(Object value) {
-        DocumentReader t = DocumentReader.of(value);
-        long held = t.count("token");
-        String node = t.text("node");
+        DocumentReader document = DocumentReader.of(value);
+        long held = document.count("token");
+        String node = document.text("node");
         boolean higher = held > highest;
         highest = Math.max(highest, held);
         if (leading && held == token) {
-            leader = facts.node();
+            leader = settings.node();
             return;
         }
         if (leading) {
@@ -218,18 +218,19 @@
                 stepDown(node + " leads with token " + held);
             }
         }
-        switch (incarnation.judge(node, t.numberOr("since", 0, 0), t.textOr("life", ""))) {
+        switch (incarnation.judge(
+                node, document.numberOr("since", 0, 0), document.textOr("life", ""))) {
             case OTHER -> follows(node, higher);
             case ENDED -> {
                 // Guards against a node that names itself as leader while it leads nothing:
                 // siblings send workers to
                 // it, and nobody places anything until a lease that no process holds has run out.
                 leader = null;
-                if (t.has("lease")) {
+                if (document.has("lease")) {
                     LOG.info(
                             "an earlier process of this node led with token {}: its lease is ended",
                             held);
-                    store.revoke(t.count("lease"));
+                    store.revoke(document.count("lease"));
                 }
             }
             case TWIN -> {
@@ -317,14 +318,14 @@
 
     private void claim(long id, long next, long tokenRevision, double asked) {
         Map<String, Object> key = new LinkedHashMap<>();
-        key.put("node", facts.node());
+        key.put("node", settings.node());
         key.put("token", next);
         key.put("lease", id);
         key.put("since", incarnation.sinceMs());
         key.put("life", incarnation.life());
         Map<String, Object> block = new LinkedHashMap<>();
         block.put("machines", "all");
-        block.put("holder", facts.node());
+        block.put("holder", settings.node());
         block.put("token", next);
         store.commit(
                 new Transaction()
@@ -333,22 +334,22 @@
                         .put(StoreKeys.LEADER, key, id)
                         .put(StoreKeys.BLOCKS + "all", block, id)
                         .put(StoreKeys.TOKEN, Map.of("token", next)),
-                c -> {
+                result -> {
                     campaigning = false;
-                    if (c.outcome() == Outcome.OK && retired) {
+                    if (result.outcome() == Outcome.OK && retired) {
                         // Guards against a node that is being stopped and begins to lead, as its
                         // claim was under way.
                         store.revoke(id);
-                    } else if (c.outcome() == Outcome.OK) {
+                    } else if (result.outcome() == Outcome.OK) {
                         served();
                         leading = true;
                         lease = id;
                         token = next;
                         highest = Math.max(highest, next);
-                        revision = c.revision();
+                        revision = result.revision();
                         renewedAt = asked;
                         doubted = false;
-                        leader = facts.node();
+                        leader = settings.node();
                         LOG.info("leader with token {} on lease {}", next, id);
                         listener.won(next, id, revision);
                         renewLater(id);
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -30,8 +30,8 @@
 
     private final Set<String> said = new HashSet<>();
 
-    public MembershipView(ClusterSettings facts, Timers timers) {
-        this.siblings = facts.siblings();
+    public MembershipView(ClusterSettings settings, Timers timers) {
+        this.siblings = settings.siblings();
         this.timers = timers;
     }
 
--- a/src/main/java/io/kitepath/core/model/CellDirectory.java
+++ b/src/main/java/io/kitepath/core/model/CellDirectory.java
@@ -44,10 +44,10 @@
     public String home(String job) {
         String best = null;
         long most = 0;
-        for (Cell c : cells.values()) {
-            long h = HASH.hashCharsToLong(c.name() + ' ' + job);
-            if (c.home() && (best == null || Long.compareUnsigned(h, most) > 0)) {
-                best = c.name();
+        for (Cell cell : cells.values()) {
+            long h = HASH.hashCharsToLong(cell.name() + ' ' + job);
+            if (cell.home() && (best == null || Long.compareUnsigned(h, most) > 0)) {
+                best = cell.name();
                 most = h;
             }
         }
@@ -57,7 +57,7 @@
     /** The same for two directories if and only if every job has the same home by both. */
     public String homes() {
         TreeSet<String> names = new TreeSet<>();
-        cells.values().stream().filter(Cell::home).forEach(c -> names.add(c.name()));
+        cells.values().stream().filter(Cell::home).forEach(cell -> names.add(cell.name()));
         return String.join(" ", names);
     }
 
@@ -68,8 +68,8 @@
     /** The zones of other cells. */
     public Set<String> zonesElsewhere() {
         return cells.values().stream()
-                .filter(c -> !c.name().equals(own))
-                .flatMap(c -> c.zones().stream())
+                .filter(cell -> !cell.name().equals(own))
+                .flatMap(cell -> cell.zones().stream())
                 .collect(Collectors.toSet());
     }
 }
