--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -117,26 +117,26 @@
      * By when after its submission a job has to start to meet what is expected of it, the soonest
      * first: the objectives of its class, its own deadline; ten leases if nothing is said.
      */
-    public double[] startWithinS(JobSpec s) {
-        return startWithinS(s, 0);
+    public double[] startWithinS(JobSpec spec) {
+        return startWithinS(spec, 0);
     }
 
     /**
      * The same for a job that could not start for that many seconds, since it waited for others:
      * its deadline counts from its submission, everything else from then.
      */
-    public double[] startWithinS(JobSpec s, double readyAfterS) {
+    public double[] startWithinS(JobSpec spec, double readyAfterS) {
         List<Double> goals = new ArrayList<>();
-        for (Objective o : objectives) {
-            if (!o.jobClass.equals(s.jobClass())) {
+        for (Objective objective : objectives) {
+            if (!objective.jobClass.equals(spec.jobClass())) {
                 continue;
             }
-            switch (o.kind) {
-                case "wait" -> goals.add(readyAfterS + o.withinS);
-                case "finished" -> goals.add(readyAfterS + o.withinS - s.estimateS());
+            switch (objective.kind) {
+                case "wait" -> goals.add(readyAfterS + objective.withinS);
+                case "finished" -> goals.add(readyAfterS + objective.withinS - spec.estimateS());
                 case "deadline" -> {
-                    if (s.deadlineS() != null) {
-                        goals.add(s.deadlineS() * o.times - s.estimateS());
+                    if (spec.deadlineS() != null) {
+                        goals.add(spec.deadlineS() * objective.times - spec.estimateS());
                     }
                 }
                 default -> {} // Not about single jobs.
@@ -144,8 +144,8 @@
         }
         if (goals.isEmpty()) {
             goals.add(
-                    s.deadlineS() != null
-                            ? s.deadlineS() - s.estimateS()
+                    spec.deadlineS() != null
+                            ? spec.deadlineS() - spec.estimateS()
                             : readyAfterS + 10 * workers.leaseS());
         }
         return goals.stream().mapToDouble(Double::doubleValue).sorted().toArray();
@@ -155,17 +155,20 @@
      * Within what times after its submission a job has to be done for its own deadline, as its
      * class's objectives count it; the soonest first, none if it has no deadline.
      */
-    public double[] deadlinesS(JobSpec s) {
-        if (s.deadlineS() == null) {
+    public double[] deadlinesS(JobSpec spec) {
+        if (spec.deadlineS() == null) {
             return new double[0];
         }
         double[] of =
                 objectives.stream()
-                        .filter(o -> o.kind.equals("deadline") && o.jobClass.equals(s.jobClass()))
-                        .mapToDouble(o -> s.deadlineS() * o.times)
+                        .filter(
+                                objective ->
+                                        objective.kind.equals("deadline")
+                                                && objective.jobClass.equals(spec.jobClass()))
+                        .mapToDouble(objective -> spec.deadlineS() * objective.times)
                         .sorted()
                         .toArray();
-        return of.length > 0 ? of : new double[] {s.deadlineS()};
+        return of.length > 0 ? of : new double[] {spec.deadlineS()};
     }
 
     /**
@@ -174,21 +177,21 @@
      *
      * @param readyAfterS for how long it waited for other jobs
      */
-    public double servedWithinS(JobSpec s, double readyAfterS) {
+    public double servedWithinS(JobSpec spec, double readyAfterS) {
         double most = Double.NaN;
-        for (Objective o : objectives) {
-            if (!o.jobClass.equals(s.jobClass())) {
+        for (Objective objective : objectives) {
+            if (!objective.jobClass.equals(spec.jobClass())) {
                 continue;
             }
             double within =
-                    o.kind.equals("finished")
-                            ? readyAfterS + o.withinS
-                            : o.kind.equals("deadline") && s.deadlineS() != null
-                                    ? s.deadlineS() * o.times
+                    objective.kind.equals("finished")
+                            ? readyAfterS + objective.withinS
+                            : objective.kind.equals("deadline") && spec.deadlineS() != null
+                                    ? spec.deadlineS() * objective.times
                                     : Double.NaN;
             most = Double.isNaN(most) || within > most ? within : most;
         }
-        return Double.isNaN(most) && s.deadlineS() != null ? s.deadlineS() : most;
+        return Double.isNaN(most) && spec.deadlineS() != null ? spec.deadlineS() : most;
     }
 
     /**
@@ -197,7 +200,10 @@
      */
     public double finishWithinS(String jobClass, double absent) {
         return objectives.stream()
-                .filter(o -> o.kind.equals("finished") && o.jobClass.equals(jobClass))
+                .filter(
+                        objective ->
+                                objective.kind.equals("finished")
+                                        && objective.jobClass.equals(jobClass))
                 .mapToDouble(Objective::withinS)
                 .min()
                 .orElse(absent);
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -88,13 +88,15 @@
      * @throws IllegalArgumentException if it has names that this version does not know
      */
     public static JobRecord of(String id, Object record) {
-        DocumentReader t = DocumentReader.of(record);
+        DocumentReader document = DocumentReader.of(record);
         return new JobRecord(
                 JobSpec.fromRecord(id, record),
-                t.number("submittedMs", 0),
-                t.has("needs") ? t.texts("needs") : List.of(),
-                t.has("partTasks") ? (int) t.integer("partTasks", 1, Integer.MAX_VALUE) : 0,
-                t.has("next") ? t.count("next") : 0);
+                document.number("submittedMs", 0),
+                document.has("needs") ? document.texts("needs") : List.of(),
+                document.has("partTasks")
+                        ? (int) document.integer("partTasks", 1, Integer.MAX_VALUE)
+                        : 0,
+                document.has("next") ? document.count("next") : 0);
     }
 
     static JobSpec.Shape shape(String name) {
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -83,28 +83,28 @@
     }
 
     public static JobSpec fromRecord(String id, Object record) {
-        DocumentReader t = DocumentReader.of(record);
+        DocumentReader document = DocumentReader.of(record);
         return new JobSpec(
                 id,
-                t.text("class"),
-                t.text("team"),
-                JobRecord.shape(t.text("shape")),
-                Priority.valueOf(t.text("priority")),
-                (int) t.integer("tasks", 1, Integer.MAX_VALUE),
-                t.number("cpus", 0),
-                t.number("gpus", 0),
-                t.number("memory", 0),
-                t.has("types") ? t.texts("types") : null,
-                t.textOr("zone", null),
-                t.flag("oneZone"),
-                t.flag("spread"),
-                t.flag("spot"),
-                t.text("image"),
-                t.number("imageGb", 0),
-                t.number("estimate", 0),
-                t.number("checkpoint", 0),
-                t.number("save", 0),
-                t.has("deadline") ? t.number("deadline", 0) : null);
+                document.text("class"),
+                document.text("team"),
+                JobRecord.shape(document.text("shape")),
+                Priority.valueOf(document.text("priority")),
+                (int) document.integer("tasks", 1, Integer.MAX_VALUE),
+                document.number("cpus", 0),
+                document.number("gpus", 0),
+                document.number("memory", 0),
+                document.has("types") ? document.texts("types") : null,
+                document.textOr("zone", null),
+                document.flag("oneZone"),
+                document.flag("spread"),
+                document.flag("spot"),
+                document.text("image"),
+                document.number("imageGb", 0),
+                document.number("estimate", 0),
+                document.number("checkpoint", 0),
+                document.number("save", 0),
+                document.has("deadline") ? document.number("deadline", 0) : null);
     }
 
     /**
@@ -113,8 +113,8 @@
      * @param elsewhere zones of other cells, where all types may be had
      */
     public String impossible(
-            Map<String, MachineType> known, ClusterSettings facts, Set<String> elsewhere) {
-        ClusterSettings.Team t = facts.teams().get(team);
+            Map<String, MachineType> known, ClusterSettings settings, Set<String> elsewhere) {
+        ClusterSettings.Team t = settings.teams().get(team);
         if (t == null) {
             return "unknown team " + team;
         }
@@ -140,8 +140,8 @@
         known.values().stream()
                 .filter(this::fits)
                 .forEach(
-                        t -> {
-                            out.addAll(t.zones());
+                        type -> {
+                            out.addAll(type.zones());
                             out.addAll(elsewhere);
                         });
         out.removeIf(z -> zone != null && !zone.equals(z));
--- a/src/main/java/io/kitepath/core/model/JobStatus.java
+++ b/src/main/java/io/kitepath/core/model/JobStatus.java
@@ -15,8 +15,12 @@
     }
 
     /** The state of a job that is neither done nor cancelled. */
-    public static JobStatus unfinished(JobProgress p) {
+    public static JobStatus unfinished(JobProgress progress) {
         return new JobStatus(
-                p.job(), p.running() > 0 ? "running" : "pending", p.done(), p.running(), p.note());
+                progress.job(),
+                progress.running() > 0 ? "running" : "pending",
+                progress.done(),
+                progress.running(),
+                progress.note());
     }
 }
--- a/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
+++ b/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
@@ -44,13 +44,13 @@
 
     @Override
     public String toString() {
-        StringBuilder b = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         for (Activity o : Activity.values()) {
-            b.append(' ')
+            text.append(' ')
                     .append(o.name().toLowerCase(Locale.ROOT))
                     .append('=')
                     .append(String.format("%.1f", seconds(o)));
         }
-        return b.toString();
+        return text.toString();
     }
 }
--- a/src/main/java/io/kitepath/core/model/MachineType.java
+++ b/src/main/java/io/kitepath/core/model/MachineType.java
@@ -31,17 +31,17 @@
         return m;
     }
 
-    public static MachineType fromRecord(DocumentReader t) {
+    public static MachineType fromRecord(DocumentReader document) {
         return new MachineType(
-                t.text("name"),
-                t.number("cpus", 0),
-                t.number("gpus", 0),
-                t.number("memory", 0),
-                t.number("cache", 0),
-                t.number("fetch", 0),
-                t.number("price", 0),
-                t.number("spotPrice", 0),
-                t.number("boot", 0),
-                t.texts("zones"));
+                document.text("name"),
+                document.number("cpus", 0),
+                document.number("gpus", 0),
+                document.number("memory", 0),
+                document.number("cache", 0),
+                document.number("fetch", 0),
+                document.number("price", 0),
+                document.number("spotPrice", 0),
+                document.number("boot", 0),
+                document.texts("zones"));
     }
 }
--- a/src/main/java/io/kitepath/core/port/PeerNodes.java
+++ b/src/main/java/io/kitepath/core/port/PeerNodes.java
@@ -33,5 +33,8 @@
      * asked now.
      */
     boolean relay(
-            String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer);
+            String sibling,
+            Heartbeat heartbeat,
+            boolean passOn,
+            Consumer<HeartbeatResponse> answer);
 }
--- a/src/main/java/io/kitepath/core/role/CloudIntent.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntent.java
@@ -20,12 +20,12 @@
     }
 
     /** Reads a record; throws {@link InvalidInputException} if it is none. */
-    static CloudIntent read(Entry e) {
-        if (e.key().startsWith(StoreKeys.RENT)) {
-            return RentalIntent.read(e);
+    static CloudIntent read(Entry entry) {
+        if (entry.key().startsWith(StoreKeys.RENT)) {
+            return RentalIntent.read(entry);
         }
-        if (e.key().startsWith(StoreKeys.GOING)) {
-            return ReleaseIntent.read(e);
+        if (entry.key().startsWith(StoreKeys.GOING)) {
+            return ReleaseIntent.read(entry);
         }
         throw new InvalidInputException("is not an act that this version knows");
     }
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -58,7 +58,7 @@
 
     /** {@code lifeS}: of the duty's lease. */
     public CloudIntentExecutor(
-            ClusterSettings facts,
+            ClusterSettings settings,
             Store store,
             Cloud cloud,
             Timers timers,
@@ -69,7 +69,7 @@
         this.timers = timers;
         this.random = random;
         this.lifeS = lifeS;
-        this.calls = new TokenBucket(facts.cloud().rps() * RATE_SHARE);
+        this.calls = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
     }
 
     @Override
@@ -107,17 +107,17 @@
                 timers,
                 StoreKeys.ACT,
                 3,
-                l -> {
+                listing -> {
                     if (e != epoch) {
                         return;
                     }
-                    if (l.outcome() != Outcome.OK) {
+                    if (listing.outcome() != Outcome.OK) {
                         timers.after(0.3, () -> read(e));
                         return;
                     }
                     acts.clear();
-                    l.entries().forEach(this::found);
-                    follow(e, l.revision());
+                    listing.entries().forEach(this::found);
+                    follow(e, listing.revision());
                 });
     }
 
@@ -129,15 +129,15 @@
                 StoreKeys.ACT,
                 from,
                 (long) (lifeS * 2000),
-                c -> {
+                changes -> {
                     if (e != epoch) {
                         return;
                     }
-                    if (c.outcome() == Outcome.OK) {
-                        c.events().forEach(this::found);
+                    if (changes.outcome() == Outcome.OK) {
+                        changes.events().forEach(this::found);
                         tick(timers.now());
-                        follow(e, Math.max(from, c.revision()));
-                    } else if (c.outcome() == Outcome.NO) {
+                        follow(e, Math.max(from, changes.revision()));
+                    } else if (changes.outcome() == Outcome.NO) {
                         read(e);
                     } else {
                         timers.after(0.3, () -> follow(e, from));
@@ -145,21 +145,21 @@
                 });
     }
 
-    private void found(Entry x) {
-        if (x.value() == null) {
-            acts.remove(x.key());
+    private void found(Entry entry) {
+        if (entry.value() == null) {
+            acts.remove(entry.key());
             return;
         }
         try {
-            CloudIntent i = CloudIntent.read(x);
-            PendingAction a = acts.get(x.key());
-            if (i.settled()) {
-                acts.remove(x.key());
-            } else if (a == null || a.intent.revision() < x.revision()) {
-                acts.put(x.key(), new PendingAction(i));
+            CloudIntent intent = CloudIntent.read(entry);
+            PendingAction action = acts.get(entry.key());
+            if (intent.settled()) {
+                acts.remove(entry.key());
+            } else if (action == null || action.intent.revision() < entry.revision()) {
+                acts.put(entry.key(), new PendingAction(intent));
             }
         } catch (InvalidInputException | ClassCastException bad) {
-            LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
+            LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
         }
     }
 
@@ -167,14 +167,14 @@
 
     @Override
     public void tick(double now) {
-        for (PendingAction a : new ArrayList<>(acts.values())) {
+        for (PendingAction action : new ArrayList<>(acts.values())) {
             // Last of all, right before the call: whether the duty is still ours.
-            if (!a.asking
-                    && now >= a.notBefore
+            if (!action.asking
+                    && now >= action.notBefore
                     && calls.available(now) >= 1
                     && held.certain().getAsBoolean()) {
                 calls.take(1, now);
-                ask(a);
+                ask(action);
             }
         }
     }
@@ -184,87 +184,92 @@
         return Double.isNaN(failingSince) || now - failingSince < 2 * lifeS || acts.isEmpty();
     }
 
-    private void ask(PendingAction a) {
-        a.asking = true;
+    private void ask(PendingAction action) {
+        action.asking = true;
         called++;
         long e = epoch;
-        if (a.intent instanceof RentalIntent r) {
+        if (action.intent instanceof RentalIntent rental) {
             cloud.rent(
-                    r.name,
-                    r.kind,
-                    r.count,
+                    rental.name,
+                    rental.kind,
+                    rental.count,
                     (outcome, machines) ->
                             answered(
                                     e,
-                                    a,
+                                    action,
                                     outcome,
-                                    i ->
-                                            ((RentalIntent) i)
+                                    intent ->
+                                            ((RentalIntent) intent)
                                                     .settle(
                                                             outcome == Outcome.OK
                                                                     ? machines
                                                                     : List.of())));
         } else {
-            ReleaseIntent g = (ReleaseIntent) a.intent;
+            ReleaseIntent release = (ReleaseIntent) action.intent;
             // Nothing but the cloud's yes proves that they are gone.
             cloud.release(
-                    g.machines,
+                    release.machines,
                     outcome ->
                             answered(
                                     e,
-                                    a,
+                                    action,
                                     outcome == Outcome.OK ? outcome : Outcome.REFUSED,
-                                    i -> ((ReleaseIntent) i).settle()));
+                                    intent -> ((ReleaseIntent) intent).settle()));
         }
     }
 
-    private void answered(long e, PendingAction a, Outcome outcome, Consumer<CloudIntent> settle) {
-        a.asking = false;
-        if (e != epoch || acts.get(a.intent.key) != a) {
+    private void answered(
+            long e, PendingAction action, Outcome outcome, Consumer<CloudIntent> settle) {
+        action.asking = false;
+        if (e != epoch || acts.get(action.intent.key) != action) {
             return; // Whoever has the duty now asks again, under the same name.
         }
         double now = timers.now();
         if (outcome != Outcome.OK && outcome != Outcome.NO) {
             failed++;
             failingSince = Double.isNaN(failingSince) ? now : failingSince;
-            a.notBefore =
+            action.notBefore =
                     now
-                            + Math.min(2, 0.1 * (1 << Math.min(5, a.failures++)))
+                            + Math.min(2, 0.1 * (1 << Math.min(5, action.failures++)))
                                     * (0.5 + random.nextDouble());
             return;
         }
         failingSince = Double.NaN;
-        settle.accept(a.intent);
-        a.asking = true; // Until what came of it is on record.
-        write(e, a);
+        settle.accept(action.intent);
+        action.asking = true; // Until what came of it is on record.
+        write(e, action);
     }
 
-    private void write(long e, PendingAction a) {
+    private void write(long e, PendingAction action) {
         if (e != epoch) {
             return;
         }
-        Transaction t =
+        Transaction transaction =
                 new Transaction()
                         .when(held.key(), held.revision())
-                        .when(a.intent.key, a.intent.revision());
-        if (a.intent instanceof RentalIntent r && r.machines().isEmpty()) {
-            t.remove(r.key); // Nothing came of it: the holder sees it gone, and need not write any
+                        .when(action.intent.key, action.intent.revision());
+        if (action.intent instanceof RentalIntent rental && rental.machines().isEmpty()) {
+            transaction.remove(
+                    rental.key); // Nothing came of it: the holder sees it gone, and need not write
+            // any
             // more.
         } else {
-            t.put(a.intent.key, a.intent.record());
+            transaction.put(action.intent.key, action.intent.record());
         }
         store.commit(
-                t,
-                c -> {
+                transaction,
+                result -> {
                     if (e != epoch) {
                         return;
                     }
-                    switch (c.outcome()) {
+                    switch (result.outcome()) {
                         // Struck off or settled already, also by a try of ours whose answer was
                         // lost: the records tell.
                         case NO -> read(++epoch);
-                        case OK -> acts.remove(a.intent.key, a);
-                        default -> timers.after(0.1 + 0.1 * random.nextDouble(), () -> write(e, a));
+                        case OK -> acts.remove(action.intent.key, action);
+                        default ->
+                                timers.after(
+                                        0.1 + 0.1 * random.nextDouble(), () -> write(e, action));
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -44,11 +44,11 @@
 
     private static final int MOST_RETURNED = 100;
 
-    private final ShardState block;
-    private final ClusterSettings facts;
+    private final ShardState shard;
+    private final ClusterSettings settings;
     private final Timers timers;
     private final Consumer<StateWriter.BatchContributor> ride;
-    private Consumer<RentalIntent> rented = r -> {};
+    private Consumer<RentalIntent> rented = rental -> {};
     private Consumer<List<String>> gone = m -> {};
     private final Map<String, RentalIntent> rentals = new LinkedHashMap<>();
     private final Map<String, ReleaseIntent> goings = new LinkedHashMap<>();
@@ -63,9 +63,9 @@
 
     /** {@code ride} has something written along with what the holder writes. */
     public CloudIntents(
-            ShardState block, Timers timers, Consumer<StateWriter.BatchContributor> ride) {
-        this.block = block;
-        this.facts = block.facts();
+            ShardState shard, Timers timers, Consumer<StateWriter.BatchContributor> ride) {
+        this.shard = shard;
+        this.settings = shard.facts();
         this.timers = timers;
         this.ride = ride;
     }
@@ -95,15 +95,15 @@
     /** Takes over what earlier holders put down, or this one before it read everything again. */
     public void adopt(List<Entry> records) {
         forget();
-        for (Entry e : records) {
-            CloudIntent i = read(e);
-            if (i instanceof ReleaseIntent g) {
-                goings.put(g.key, g);
-                going.addAll(g.machines);
-                g.machines.forEach(block::goes);
-            } else if (i instanceof RentalIntent r) {
-                rentals.put(r.key, r);
-                known(r);
+        for (Entry entry : records) {
+            CloudIntent intent = read(entry);
+            if (intent instanceof ReleaseIntent release) {
+                goings.put(release.key, release);
+                going.addAll(release.machines);
+                release.machines.forEach(shard::goes);
+            } else if (intent instanceof RentalIntent rental) {
+                rentals.put(rental.key, rental);
+                known(rental);
             }
         }
         takenOver += rentals.size() + goings.size();
@@ -118,19 +118,19 @@
         goings().stream().filter(ReleaseIntent::settled).forEach(this::confirmed);
     }
 
-    private static CloudIntent read(Entry e) {
+    private static CloudIntent read(Entry entry) {
         try {
-            return CloudIntent.read(e);
+            return CloudIntent.read(entry);
         } catch (InvalidInputException | ClassCastException bad) {
-            LOG.error("record {} is unreadable: {}", e.key(), bad.getMessage());
+            LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
             return null;
         }
     }
 
-    private void known(RentalIntent r) {
+    private void known(RentalIntent rental) {
         double now = timers.now();
-        double since = now - Math.max(0, timers.wallMs() - r.askedMs()) / 1000;
-        r.machines().forEach(m -> block.rented(m, r.kind, now, since));
+        double since = now - Math.max(0, timers.wallMs() - rental.askedMs()) / 1000;
+        rental.machines().forEach(m -> shard.rented(m, rental.kind, now, since));
     }
 
     /**
@@ -138,29 +138,29 @@
      * That may be heard of before the answer to the write that put it down, or when that write was
      * done once more after nobody had heard its answer; so it is taken in whatever the books say.
      */
-    public void changed(Entry e) {
-        if (e.value() == null) {
-            RentalIntent asked = rentals.get(e.key());
+    public void changed(Entry entry) {
+        if (entry.value() == null) {
+            RentalIntent asked = rentals.get(entry.key());
             if (asked != null && !asked.settled()) {
-                rentals.remove(e.key());
+                rentals.remove(entry.key());
                 asked.settle(List.of());
                 rented.accept(asked);
             }
             return;
         }
-        CloudIntent i = read(e);
-        if (i == null || !i.settled()) {
+        CloudIntent intent = read(entry);
+        if (intent == null || !intent.settled()) {
             return;
         }
-        if (i instanceof RentalIntent r) {
-            RentalIntent asked = rentals.put(r.key, r);
+        if (intent instanceof RentalIntent rental) {
+            RentalIntent asked = rentals.put(rental.key, rental);
             if (asked == null || !asked.settled()) {
-                known(r);
-                rented.accept(r);
+                known(rental);
+                rented.accept(rental);
             }
-        } else if (i instanceof ReleaseIntent g) {
-            goings.put(g.key, g);
-            confirmed(g);
+        } else if (intent instanceof ReleaseIntent release) {
+            goings.put(release.key, release);
+            confirmed(release);
         }
     }
 
@@ -168,21 +168,21 @@
 
     /** Puts down that so many machines, or as many as one request may ask for, are to be rented. */
     public void rent(MachineKind kind, int count) {
-        RentalIntent r =
+        RentalIntent rental =
                 new RentalIntent(
                         "r-" + names + ++named,
                         kind,
                         Math.min(MOST_RENTED, count),
-                        block.token(),
+                        shard.token(),
                         timers.wallMs());
-        rentals.put(r.key, r);
+        rentals.put(rental.key, rental);
         asked++;
-        write(r, rentals);
+        write(rental, rentals);
     }
 
     /** Rentals of which nobody knows yet what came of them, the oldest first. */
     public List<RentalIntent> unsettled() {
-        return rentals.values().stream().filter(r -> !r.settled()).toList();
+        return rentals.values().stream().filter(rental -> !rental.settled()).toList();
     }
 
     /**
@@ -193,23 +193,23 @@
      */
     public void listed() {
         double wallMs = timers.wallMs();
-        double lagMs = 1000 * facts.cloud().listLagS();
-        for (RentalIntent r : new ArrayList<>(rentals.values())) {
-            double age = wallMs - r.askedMs();
+        double lagMs = 1000 * settings.cloud().listLagS();
+        for (RentalIntent rental : new ArrayList<>(rentals.values())) {
+            double age = wallMs - rental.askedMs();
             // Guards against a record kept for ever because a machine went before any list showed
             // it.
             boolean old = age > 8 * lagMs;
-            if (r.settled()
-                    && r.recorded()
+            if (rental.settled()
+                    && rental.recorded()
                     && age > 2.5 * lagMs
-                    && (old || r.machines().stream().allMatch(this::seen))) {
-                drop(r, rentals);
+                    && (old || rental.machines().stream().allMatch(this::seen))) {
+                drop(rental, rentals);
             }
         }
     }
 
     private boolean seen(String machine) {
-        Machine m = block.machines().get(machine);
+        Machine m = shard.machines().get(machine);
         return m == null || m.listed();
     }
 
@@ -224,7 +224,7 @@
     public void giveBack(Collection<String> machines) {
         List<String> batch = new ArrayList<>();
         // Bytes of a name with its quotes, in a value of limited size.
-        double left = facts.store().valueKb() * 1024 * 0.8;
+        double left = settings.store().valueKb() * 1024 * 0.8;
         for (String m : machines) {
             left -= m.length() + 4;
             if (batch.size() < MOST_RETURNED && left > 0 && !going.contains(m)) {
@@ -234,12 +234,12 @@
         if (batch.isEmpty()) {
             return;
         }
-        ReleaseIntent g = new ReleaseIntent(names + ++named, batch, block.token());
-        goings.put(g.key, g);
+        ReleaseIntent release = new ReleaseIntent(names + ++named, batch, shard.token());
+        goings.put(release.key, release);
         going.addAll(batch);
-        batch.forEach(block::goes);
+        batch.forEach(shard::goes);
         asked++;
-        write(g, goings);
+        write(release, goings);
     }
 
     /** Returns that the cloud has not confirmed, the oldest first. */
@@ -248,10 +248,10 @@
     }
 
     /** The cloud has confirmed it: the machines and all on them are gone. */
-    private void confirmed(ReleaseIntent g) {
-        going.removeAll(g.machines);
-        drop(g, goings);
-        gone.accept(g.machines);
+    private void confirmed(ReleaseIntent release) {
+        going.removeAll(release.machines);
+        drop(release, goings);
+        gone.accept(release.machines);
     }
 
     // ---- writing --------------------------------------------------------------------------------
@@ -265,8 +265,10 @@
                     }
 
                     @Override
-                    public void board(Transaction t) {
-                        t.when(intent.key, intent.revision()).put(intent.key, intent.record());
+                    public void board(Transaction transaction) {
+                        transaction
+                                .when(intent.key, intent.revision())
+                                .put(intent.key, intent.record());
                     }
 
                     @Override
@@ -292,8 +294,8 @@
                     }
 
                     @Override
-                    public void board(Transaction t) {
-                        t.when(intent.key, intent.revision()).remove(intent.key);
+                    public void board(Transaction transaction) {
+                        transaction.when(intent.key, intent.revision()).remove(intent.key);
                     }
 
                     @Override
--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -28,7 +28,7 @@
     /** What waits to be removed; what is found beyond that is found again by the next look. */
     private static final int MOST = 1000;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
     private final Deque<OrphanScan.Finding> rubbish = new ArrayDeque<>();
@@ -42,8 +42,8 @@
     private long strange;
     private long strangeNow;
 
-    public GarbageCollector(ClusterSettings facts, Store store, Timers timers) {
-        this.facts = facts;
+    public GarbageCollector(ClusterSettings settings, Store store, Timers timers) {
+        this.settings = settings;
         this.store = store;
         this.timers = timers;
     }
@@ -57,7 +57,7 @@
     public void begin(LeasedRoles.RoleLease duty) {
         held = duty;
         // Not at once: whoever ends again and again would do nothing but look.
-        nextAt = timers.now() + facts.workers().leaseS();
+        nextAt = timers.now() + settings.workers().leaseS();
     }
 
     @Override
@@ -95,14 +95,14 @@
             return;
         }
         // One request a step, paced so that the sweep is not felt.
-        nextAt = now + 1 / (facts.store().rps() * RATE_SHARE);
+        nextAt = now + 1 / (settings.store().rps() * RATE_SHARE);
         if (!rubbish.isEmpty()) {
             remove(rubbish.poll());
             return;
         }
         if (audit == null) {
             strangeNow = 0;
-            audit = new OrphanScan(store, 4 * facts.store().txnOps(), this::found);
+            audit = new OrphanScan(store, 4 * settings.store().txnOps(), this::found);
         }
         busy = true;
         long e = epoch;
@@ -121,7 +121,7 @@
                                 rubbish.size(),
                                 strange);
                         audit = null;
-                        nextAt = timers.now() + PAUSE_LEASES * facts.workers().leaseS();
+                        nextAt = timers.now() + PAUSE_LEASES * settings.workers().leaseS();
                     }
                 });
     }
@@ -138,19 +138,20 @@
     private void remove(OrphanScan.Finding f) {
         busy = true;
         long e = epoch;
-        Transaction t = new Transaction().when(held.key(), held.revision());
-        f.conditions().forEach(c -> t.when(c.key(), c.revision()));
+        Transaction transaction = new Transaction().when(held.key(), held.revision());
+        f.conditions()
+                .forEach(condition -> transaction.when(condition.key(), condition.revision()));
         store.commit(
-                t.remove(f.key()),
-                c -> {
+                transaction.remove(f.key()),
+                result -> {
                     if (e != epoch) {
                         return;
                     }
                     busy = false;
-                    if (c.outcome() == Outcome.OK) {
+                    if (result.outcome() == Outcome.OK) {
                         removed++;
                         LOG.info("removed {}: {}", f.key(), f.why());
-                    } else if (c.outcome() != Outcome.NO) {
+                    } else if (result.outcome() != Outcome.NO) {
                         rubbish.addFirst(
                                 f); // The same removal once more: its conditions let only one of
                         // the two through.
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -126,7 +126,7 @@
         }
     }
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
     private final Random random;
@@ -143,22 +143,22 @@
 
     /** {@code lifeS}: of the lease, in seconds. */
     public LeasedRoles(
-            ClusterSettings facts,
+            ClusterSettings settings,
             Store store,
             Timers timers,
             Random random,
             Incarnation incarnation,
             double lifeS,
             List<RoleWorker> works) {
-        this.facts = facts;
+        this.settings = settings;
         this.store = store;
         this.timers = timers;
         this.random = random;
         this.incarnation = incarnation;
         this.lifeS = lifeS;
         works.forEach(w -> seats.put(StoreKeys.DUTY + w.name(), new RoleHolder(w)));
-        nodes.add(facts.node());
-        facts.siblings().stream().filter(s -> !s.equals(facts.node())).forEach(nodes::add);
+        nodes.add(settings.node());
+        settings.siblings().stream().filter(s -> !s.equals(settings.node())).forEach(nodes::add);
         nodes.sort(null);
     }
 
@@ -188,9 +188,9 @@
 
     /** Whether the duty of that name is held here for certain. */
     public boolean holds(String name) {
-        RoleHolder s = seats.get(StoreKeys.DUTY + name);
-        boolean certain = s.mine && timers.now() - renewedAt < lifeS * (1 - DRIFT);
-        fenced += s.mine && !certain ? 1 : 0;
+        RoleHolder holder = seats.get(StoreKeys.DUTY + name);
+        boolean certain = holder.mine && timers.now() - renewedAt < lifeS * (1 - DRIFT);
+        fenced += holder.mine && !certain ? 1 : 0;
         return certain;
     }
 
@@ -211,27 +211,27 @@
                 timers,
                 StoreKeys.DUTY,
                 3,
-                l -> {
+                listing -> {
                     if (mine != looks) {
                         return;
                     }
-                    if (l.outcome() != Outcome.OK) {
+                    if (listing.outcome() != Outcome.OK) {
                         lookLater();
                         return;
                     }
                     Map<String, Entry> there = new LinkedHashMap<>();
-                    l.entries().forEach(e -> there.put(e.key(), e));
+                    listing.entries().forEach(entry -> there.put(entry.key(), entry));
                     seats.values()
                             .forEach(
-                                    s -> {
-                                        Entry e = there.get(s.key);
-                                        if (e == null) {
-                                            absent(s, l.revision());
+                                    holder -> {
+                                        Entry entry = there.get(holder.key);
+                                        if (entry == null) {
+                                            absent(holder, listing.revision());
                                         } else {
-                                            heard(s, e);
+                                            heard(holder, entry);
                                         }
                                     });
-                    follow(mine, l.revision());
+                    follow(mine, listing.revision());
                 });
     }
 
@@ -244,108 +244,109 @@
                 StoreKeys.DUTY,
                 from,
                 (long) (lifeS * 2000),
-                c -> {
+                changes -> {
                     if (mine != looks || retired) {
                         return;
                     }
-                    if (c.outcome() != Outcome.OK) {
+                    if (changes.outcome() != Outcome.OK) {
                         lookLater();
                         return;
                     }
-                    for (Entry e : c.events()) {
-                        RoleHolder s = seats.get(e.key());
-                        if (s != null && e.value() == null) {
-                            absent(s, e.revision());
-                        } else if (s != null) {
-                            heard(s, e);
+                    for (Entry entry : changes.events()) {
+                        RoleHolder holder = seats.get(entry.key());
+                        if (holder != null && entry.value() == null) {
+                            absent(holder, entry.revision());
+                        } else if (holder != null) {
+                            heard(holder, entry);
                         }
                     }
-                    if (c.events().isEmpty()) {
+                    if (changes.events().isEmpty()) {
                         // Nothing said for long: what is not heard of may have been missed in an
                         // outage.
                         look();
                     } else {
-                        follow(mine, Math.max(from, c.revision()));
+                        follow(mine, Math.max(from, changes.revision()));
                     }
                 });
     }
 
     /** The key was not there at that revision. */
-    private void absent(RoleHolder s, long at) {
-        if (at < s.revision) {
+    private void absent(RoleHolder holder, long at) {
+        if (at < holder.revision) {
             return; // It has been taken since.
         }
-        s.revision = at;
-        if (s.mine) {
-            lose(s, "its key is gone");
+        holder.revision = at;
+        if (holder.mine) {
+            lose(holder, "its key is gone");
         }
-        s.holder = null;
-        claimLater(s);
+        holder.holder = null;
+        claimLater(holder);
     }
 
-    private void heard(RoleHolder s, Entry e) {
-        if (e.revision() < s.revision) {
+    private void heard(RoleHolder holder, Entry entry) {
+        if (entry.revision() < holder.revision) {
             return; // Older than what is known.
         }
         try {
-            DocumentReader t = DocumentReader.of(e.value());
-            String node = t.text("node");
-            long token = t.count("token");
+            DocumentReader document = DocumentReader.of(entry.value());
+            String node = document.text("node");
+            long token = document.count("token");
             if (lease != 0
-                    && t.textOr("life", "").equals(incarnation.life())
-                    && t.count("lease") == lease) {
+                    && document.textOr("life", "").equals(incarnation.life())
+                    && document.count("lease") == lease) {
                 // Ours, though we heard no answer when we took it.
-                won(s, e.revision(), token);
+                won(holder, entry.revision(), token);
                 return;
             }
-            if (e.revision() == s.revision) {
+            if (entry.revision() == holder.revision) {
                 return;
             }
-            if (s.mine) {
-                lose(s, node + " has it with token " + token);
+            if (holder.mine) {
+                lose(holder, node + " has it with token " + token);
             }
-            if (incarnation.judge(node, t.numberOr("since", 0, 0), t.textOr("life", ""))
+            if (incarnation.judge(
+                            node, document.numberOr("since", 0, 0), document.textOr("life", ""))
                     == Incarnation.Holder.ENDED) {
-                store.revoke(t.count("lease"));
+                store.revoke(document.count("lease"));
             }
-            took(s, node, token);
-            s.revision = e.revision();
-        } catch (InvalidInputException bad) {
-            LOG.error("record {} is unreadable: {}", e.key(), bad.getMessage());
+            took(holder, node, token);
+            holder.revision = entry.revision();
+        } catch (InvalidInputException invalid) {
+            LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
         }
     }
 
-    private void took(RoleHolder s, String node, long token) {
-        if (!node.equals(s.holder) || token != s.token) {
-            s.handOvers++;
-            s.since = timers.now();
+    private void took(RoleHolder holder, String node, long token) {
+        if (!node.equals(holder.holder) || token != holder.token) {
+            holder.handOvers++;
+            holder.since = timers.now();
         }
-        s.holder = node;
-        s.token = token;
+        holder.holder = node;
+        holder.token = token;
     }
 
     // ---- taking and losing ----------------------------------------------------------------------
 
     /** This node's place in the duty's order: each duty begins with another node. */
-    private int place(RoleHolder s) {
-        int ordinal = new ArrayList<>(seats.keySet()).indexOf(s.key);
-        return Math.floorMod(nodes.indexOf(facts.node()) - ordinal - 1, nodes.size());
+    private int place(RoleHolder holder) {
+        int ordinal = new ArrayList<>(seats.keySet()).indexOf(holder.key);
+        return Math.floorMod(nodes.indexOf(settings.node()) - ordinal - 1, nodes.size());
     }
 
-    private void claimLater(RoleHolder s) {
-        if (s.claiming || retired) {
+    private void claimLater(RoleHolder holder) {
+        if (holder.claiming || retired) {
             return;
         }
-        s.claiming = true;
-        double unfit = Math.max(0, s.unfitUntil - timers.now());
+        holder.claiming = true;
+        double unfit = Math.max(0, holder.unfitUntil - timers.now());
         timers.after(
-                place(s) * lifeS / 16 + unfit + random.nextDouble() * 0.05,
+                place(holder) * lifeS / 16 + unfit + random.nextDouble() * 0.05,
                 () -> {
-                    if (s.holder != null || s.mine || retired) {
-                        s.claiming = false;
+                    if (holder.holder != null || holder.mine || retired) {
+                        holder.claiming = false;
                         return;
                     }
-                    withLease(() -> claim(s), () -> s.claiming = false);
+                    withLease(() -> claim(holder), () -> holder.claiming = false);
                 });
     }
 
@@ -376,43 +377,45 @@
                 });
     }
 
-    private void claim(RoleHolder s) {
-        String tokenKey = StoreKeys.DUTY_TOKEN + s.name();
+    private void claim(RoleHolder holder) {
+        String tokenKey = StoreKeys.DUTY_TOKEN + holder.name();
         store.get(
                 tokenKey,
                 (got, entry) -> {
-                    if (got != Outcome.OK && got != Outcome.NO || s.holder != null || lease == 0) {
-                        s.claiming = false;
+                    if (got != Outcome.OK && got != Outcome.NO
+                            || holder.holder != null
+                            || lease == 0) {
+                        holder.claiming = false;
                         lookLater();
                         return;
                     }
                     long on = lease;
                     long next =
                             Math.max(
-                                            s.token,
+                                            holder.token,
                                             got == Outcome.OK
                                                     ? DocumentReader.of(entry.value())
                                                             .count("token")
                                                     : 0)
                                     + 1;
                     Map<String, Object> key = new LinkedHashMap<>();
-                    key.put("node", facts.node());
+                    key.put("node", settings.node());
                     key.put("token", next);
                     key.put("lease", lease);
                     key.put("since", incarnation.sinceMs());
                     key.put("life", incarnation.life());
                     store.commit(
                             new Transaction()
-                                    .when(s.key, 0)
+                                    .when(holder.key, 0)
                                     .when(tokenKey, got == Outcome.OK ? entry.revision() : 0)
-                                    .put(s.key, key, on)
+                                    .put(holder.key, key, on)
                                     .put(tokenKey, Map.of("token", next)),
-                            c -> {
-                                s.claiming = false;
-                                if (c.outcome() == Outcome.OK
+                            result -> {
+                                holder.claiming = false;
+                                if (result.outcome() == Outcome.OK
                                         && lease == on
-                                        && c.revision() >= s.revision) {
-                                    won(s, c.revision(), next);
+                                        && result.revision() >= holder.revision) {
+                                    won(holder, result.revision(), next);
                                 } else {
                                     // Whoever has it, this node too if the answer was lost, is
                                     // heard of.
@@ -422,31 +425,31 @@
                 });
     }
 
-    private void won(RoleHolder s, long revision, long token) {
-        if (s.mine && s.revision == revision) {
+    private void won(RoleHolder holder, long revision, long token) {
+        if (holder.mine && holder.revision == revision) {
             return;
         }
-        s.mine = true;
-        s.revision = revision;
-        took(s, facts.node(), token);
-        LOG.info("duty {} is done here, with token {}", s.name(), token);
-        s.work.begin(new RoleLease(s.key, revision, token, () -> holds(s.name())));
+        holder.mine = true;
+        holder.revision = revision;
+        took(holder, settings.node(), token);
+        LOG.info("duty {} is done here, with token {}", holder.name(), token);
+        holder.work.begin(new RoleLease(holder.key, revision, token, () -> holds(holder.name())));
     }
 
     private void lose(String why) {
-        seats.values().forEach(s -> lose(s, why));
+        seats.values().forEach(holder -> lose(holder, why));
     }
 
-    private void lose(RoleHolder s, String why) {
-        if (s.mine) {
-            s.mine = false;
-            s.holder = null;
+    private void lose(RoleHolder holder, String why) {
+        if (holder.mine) {
+            holder.mine = false;
+            holder.holder = null;
             LOG.info(
                     "duty {} is not done here any more, after {} s: {}",
-                    s.name(),
-                    Math.round(timers.now() - s.since),
+                    holder.name(),
+                    Math.round(timers.now() - holder.since),
                     why);
-            s.work.end();
+            holder.work.end();
         }
     }
 
@@ -482,12 +485,12 @@
 
     private void tick() {
         double now = timers.now();
-        for (RoleHolder s : seats.values()) {
-            if (s.mine && holds(s.name())) {
-                if (s.work.fit(now)) {
-                    s.work.tick(now);
+        for (RoleHolder holder : seats.values()) {
+            if (holder.mine && holds(holder.name())) {
+                if (holder.work.fit(now)) {
+                    holder.work.tick(now);
                 } else {
-                    giveAway(s, now);
+                    giveAway(holder, now);
                 }
             }
         }
@@ -501,10 +504,10 @@
      * not answer. Each time that it proves unfit it leaves the duty to others for longer, so that
      * it does not go round in an outage of all.
      */
-    private void giveAway(RoleHolder s, double now) {
-        s.unfitUntil = now + lifeS * 5 * (1 << Math.min(5, s.givenAway++));
-        long at = s.revision;
-        lose(s, "it can't be done from here");
-        store.commit(new Transaction().when(s.key, at).remove(s.key), c -> {});
+    private void giveAway(RoleHolder holder, double now) {
+        holder.unfitUntil = now + lifeS * 5 * (1 << Math.min(5, holder.givenAway++));
+        long at = holder.revision;
+        lose(holder, "it can't be done from here");
+        store.commit(new Transaction().when(holder.key, at).remove(holder.key), result -> {});
     }
 }
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -102,27 +102,27 @@
                 prefix,
                 from,
                 PAGE,
-                l -> {
-                    if (l.outcome() == Outcome.OK) {
-                        read(l);
-                        if (l.more() && !l.entries().isEmpty()) {
-                            from = l.entries().get(l.entries().size() - 1).key();
+                listing -> {
+                    if (listing.outcome() == Outcome.OK) {
+                        read(listing);
+                        if (listing.more() && !listing.entries().isEmpty()) {
+                            from = listing.entries().get(listing.entries().size() - 1).key();
                         } else {
                             prefix = prefixes.poll();
                             from = "";
                         }
                     }
-                    failed = l.outcome() != Outcome.OK;
+                    failed = listing.outcome() != Outcome.OK;
                     then.run();
                 });
     }
 
-    private void read(ListResult l) {
-        seen += l.entries().size();
+    private void read(ListResult listing) {
+        seen += listing.entries().size();
         switch (prefix) {
-            case StoreKeys.PART -> parts(l.entries());
-            case StoreKeys.OPEN -> open(l.entries());
-            default -> l.entries().forEach(this::act);
+            case StoreKeys.PART -> parts(listing.entries());
+            case StoreKeys.OPEN -> open(listing.entries());
+            default -> listing.entries().forEach(this::act);
         }
     }
 
@@ -130,12 +130,13 @@
 
     private void parts(List<Entry> entries) {
         Map<String, List<Entry>> byJob = new LinkedHashMap<>();
-        for (Entry e : entries) {
-            String id = StoreKeys.jobOf(e.key());
+        for (Entry entry : entries) {
+            String id = StoreKeys.jobOf(entry.key());
             if (id == null) {
-                found.accept(new Finding(false, e.key(), "is not the key of a part", List.of()));
+                found.accept(
+                        new Finding(false, entry.key(), "is not the key of a part", List.of()));
             } else {
-                byJob.computeIfAbsent(id, k -> new ArrayList<>()).add(e);
+                byJob.computeIfAbsent(id, key -> new ArrayList<>()).add(entry);
             }
         }
         // A job moves from open to over in one write, and its two places are looked at in one
@@ -146,31 +147,31 @@
                 anywhere,
                 (id, open, over) -> {
                     if (!open && !over) {
-                        byJob.get(id).forEach(e -> orphan(id, e));
+                        byJob.get(id).forEach(entry -> orphan(id, entry));
                     }
                 });
     }
 
-    private void orphan(String id, Entry e) {
+    private void orphan(String id, Entry entry) {
         boolean idle;
         try {
             idle =
-                    DocumentReader.of(e.value()).raw("live") instanceof Map<?, ?> live
+                    DocumentReader.of(entry.value()).raw("live") instanceof Map<?, ?> live
                             && live.isEmpty();
-        } catch (InvalidInputException bad) {
+        } catch (InvalidInputException invalid) {
             idle = false;
         }
         found.accept(
                 new Finding(
                         idle,
-                        e.key(),
+                        entry.key(),
                         idle
                                 ? "a part of job " + id + ", which is neither open nor over"
                                 : "tasks on machines of job "
                                         + id
                                         + ", which is neither open nor over",
                         List.of(
-                                new Condition(e.key(), e.revision()),
+                                new Condition(entry.key(), entry.revision()),
                                 new Condition(StoreKeys.OPEN + id, 0),
                                 new Condition(StoreKeys.OVER + id, 0))));
     }
@@ -179,7 +180,9 @@
 
     private void open(List<Entry> entries) {
         Map<String, Long> read = new LinkedHashMap<>();
-        entries.forEach(e -> read.put(e.key().substring(StoreKeys.OPEN.length()), e.revision()));
+        entries.forEach(
+                entry ->
+                        read.put(entry.key().substring(StoreKeys.OPEN.length()), entry.revision()));
         // Guards against a job that is called open and over since it ended between two reads.
         compare(
                 read,
@@ -201,12 +204,13 @@
      * Those that can be read are the holder's: it takes in whatever has come of them, also of
      * earlier ones' acts.
      */
-    private void act(Entry e) {
+    private void act(Entry entry) {
         try {
-            CloudIntent.read(e);
+            CloudIntent.read(entry);
         } catch (InvalidInputException | ClassCastException bad) {
             found.accept(
-                    new Finding(false, e.key(), "is unreadable: " + bad.getMessage(), List.of()));
+                    new Finding(
+                            false, entry.key(), "is unreadable: " + bad.getMessage(), List.of()));
         }
     }
 
@@ -239,14 +243,18 @@
 
     /** Not told, and the step put back, if it can't be had now. */
     private void compare(Map<String, Long> opens, List<String> ids, Places places, Runnable told) {
-        Transaction t = new Transaction();
-        ids.forEach(id -> t.when(StoreKeys.OPEN + id, opens.get(id)).when(StoreKeys.OVER + id, 0));
+        Transaction transaction = new Transaction();
+        ids.forEach(
+                id ->
+                        transaction
+                                .when(StoreKeys.OPEN + id, opens.get(id))
+                                .when(StoreKeys.OVER + id, 0));
         store.commit(
-                t,
-                c -> {
-                    if (c.outcome() == Outcome.OK
-                            || c.outcome() == Outcome.NO && !c.failed().isEmpty()) {
-                        Set<String> other = new HashSet<>(c.failed());
+                transaction,
+                result -> {
+                    if (result.outcome() == Outcome.OK
+                            || result.outcome() == Outcome.NO && !result.failed().isEmpty()) {
+                        Set<String> other = new HashSet<>(result.failed());
                         ids.forEach(
                                 id ->
                                         places.are(
@@ -254,7 +262,7 @@
                                                 other.contains(StoreKeys.OPEN + id),
                                                 other.contains(StoreKeys.OVER + id)));
                         told.run();
-                    } else if (c.outcome() == Outcome.INVALID && ids.size() > 1) {
+                    } else if (result.outcome() == Outcome.INVALID && ids.size() > 1) {
                         // The store takes fewer conditions by now than anybody said.
                         int half = ids.size() / 2;
                         compare(
--- a/src/main/java/io/kitepath/core/role/ReleaseIntent.java
+++ b/src/main/java/io/kitepath/core/role/ReleaseIntent.java
@@ -27,20 +27,20 @@
     }
 
     /** Reads a record; throws {@link InvalidInputException} if it is none. */
-    static ReleaseIntent read(Entry e) {
-        DocumentReader t = DocumentReader.of(e.value());
-        if (!(t.raw("machines") instanceof List<?> l)
+    static ReleaseIntent read(Entry entry) {
+        DocumentReader document = DocumentReader.of(entry.value());
+        if (!(document.raw("machines") instanceof List<?> l)
                 || !l.stream().allMatch(String.class::isInstance)) {
             throw new InvalidInputException("machines: must be a list of names");
         }
-        ReleaseIntent g =
+        ReleaseIntent release =
                 new ReleaseIntent(
-                        e.key().substring(StoreKeys.GOING.length()),
+                        entry.key().substring(StoreKeys.GOING.length()),
                         l.stream().map(String.class::cast).toList(),
-                        t.count("token"));
-        g.gone = t.has("gone");
-        g.recorded(e.revision());
-        return g;
+                        document.count("token"));
+        release.gone = document.has("gone");
+        release.recorded(entry.revision());
+        return release;
     }
 
     @Override
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -34,20 +34,23 @@
     /**
      * Reads a record; throws {@link io.kitepath.core.model.InvalidInputException} if it is none.
      */
-    static RentalIntent read(Entry e) {
-        DocumentReader t = DocumentReader.of(e.value());
-        RentalIntent r =
+    static RentalIntent read(Entry entry) {
+        DocumentReader document = DocumentReader.of(entry.value());
+        RentalIntent rental =
                 new RentalIntent(
-                        e.key().substring(StoreKeys.RENT.length()),
-                        new MachineKind(t.text("type"), t.text("zone"), t.flag("spot")),
-                        (int) t.integer("count", 1, 1000),
-                        t.count("token"),
-                        t.number("askedMs", 0));
-        if (t.raw("machines") instanceof List<?> l) {
-            r.machines = new ArrayList<>(l.stream().map(String.class::cast).toList());
+                        entry.key().substring(StoreKeys.RENT.length()),
+                        new MachineKind(
+                                document.text("type"),
+                                document.text("zone"),
+                                document.flag("spot")),
+                        (int) document.integer("count", 1, 1000),
+                        document.count("token"),
+                        document.number("askedMs", 0));
+        if (document.raw("machines") instanceof List<?> l) {
+            rental.machines = new ArrayList<>(l.stream().map(String.class::cast).toList());
         }
-        r.recorded(e.revision());
-        return r;
+        rental.recorded(entry.revision());
+        return rental;
     }
 
     @Override
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -34,9 +34,9 @@
     /** Requests that may wait for their record or their answer at the same time. */
     private static final int AT_ONCE = 3;
 
-    private final ClusterSettings facts;
-    private final ShardState block;
-    private final ScalingPlanner fleet;
+    private final ClusterSettings settings;
+    private final ShardState shard;
+    private final ScalingPlanner scalingPlanner;
     private final Store store;
     private final Cloud cloud;
     private final Timers timers;
@@ -61,25 +61,25 @@
      * @param changed runs when a machine is gone, so that its work may be placed
      */
     public CloudReconciler(
-            ShardState block,
-            ScalingPlanner fleet,
+            ShardState shard,
+            ScalingPlanner scalingPlanner,
             CloudIntents intents,
             Store store,
             Cloud cloud,
             Timers timers,
             BooleanSupplier leading,
             Runnable changed) {
-        this.facts = block.facts();
-        this.block = block;
-        this.fleet = fleet;
+        this.settings = shard.facts();
+        this.shard = shard;
+        this.scalingPlanner = scalingPlanner;
         this.intents = intents;
         this.store = store;
         this.cloud = cloud;
         this.timers = timers;
         this.leading = leading;
         this.changed = changed;
-        this.calls = new TokenBucket(facts.cloud().rps() * RATE_SHARE);
-        this.wishes = new TokenBucket(facts.cloud().rps() * RATE_SHARE);
+        this.calls = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
+        this.wishes = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
         intents.listeners(this::rented, this::gone);
     }
 
@@ -96,7 +96,7 @@
      * cloud.
      */
     public void learnTypes() {
-        if (!block.types().isEmpty()) {
+        if (!shard.types().isEmpty()) {
             return;
         }
         store.get(
@@ -104,12 +104,12 @@
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         List<MachineType> known = new ArrayList<>();
-                        for (DocumentReader t :
+                        for (DocumentReader document :
                                 DocumentReader.of(entry.value()).children("types")) {
-                            known.add(MachineType.fromRecord(t));
+                            known.add(MachineType.fromRecord(document));
                         }
-                        if (block.types().isEmpty()) {
-                            block.learn(known);
+                        if (shard.types().isEmpty()) {
+                            shard.learn(known);
                         }
                         typesStored = true;
                     } else {
@@ -126,7 +126,7 @@
         cloud.types(
                 (outcome, list) -> {
                     if (outcome == Outcome.OK && !list.isEmpty()) {
-                        block.learn(list);
+                        shard.learn(list);
                         typesAt = timers.now();
                         storeTypes(list);
                     }
@@ -143,8 +143,8 @@
                         .put(
                                 StoreKeys.TYPES,
                                 Map.of("types", list.stream().map(MachineType::toRecord).toList())),
-                c -> {
-                    if (c.outcome() != Outcome.OK) {
+                result -> {
+                    if (result.outcome() != Outcome.OK) {
                         typesStored = false;
                     }
                 });
@@ -155,25 +155,25 @@
     /** What is due now; {@code mayPlan}: the jobs are known and the store answers. */
     public void tend(boolean mayPlan) {
         double now = timers.now();
-        if (!listing && now - listedAt > facts.cloud().listLagS() / 2 && calls.take(1, now)) {
+        if (!listing && now - listedAt > settings.cloud().listLagS() / 2 && calls.take(1, now)) {
             list();
         }
-        if (now - typesAt > 20 * facts.workers().reportS()) {
+        if (now - typesAt > 20 * settings.workers().reportS()) {
             typesAt = now;
             fetchTypes();
         }
         if (!mayPlan) {
             return;
         }
-        if (block.types().isEmpty() || listedAt < leadingSince) {
+        if (shard.types().isEmpty() || listedAt < leadingSince) {
             return;
         }
-        if (wishes.available(now) < 1 || now - plannedAt < facts.workers().reportS() / 8) {
+        if (wishes.available(now) < 1 || now - plannedAt < settings.workers().reportS() / 8) {
             return; // Nothing could be done about a plan now, or hardly anything has changed since
             // the last.
         }
         plannedAt = now;
-        intend(fleet.plan(now, timers.wallMs(), leadingSince), now);
+        intend(scalingPlanner.plan(now, timers.wallMs(), leadingSince), now);
     }
 
     /** Has put down what the plan says and nothing says yet. */
@@ -191,40 +191,40 @@
         }
     }
 
-    private void rented(RentalIntent r) {
-        int n = r.machines().size();
+    private void rented(RentalIntent rental) {
+        int n = rental.machines().size();
         LOG.info(
                 "rented {} of {} {} in {}{}",
                 n,
-                r.count,
-                r.kind.type(),
-                r.kind.zone(),
-                r.kind.spot() ? ", spot" : "");
-        if (n < r.count) {
-            fleet.refused(r.kind, timers.now());
+                rental.count,
+                rental.kind.type(),
+                rental.kind.zone(),
+                rental.kind.spot() ? ", spot" : "");
+        if (n < rental.count) {
+            scalingPlanner.refused(rental.kind, timers.now());
         } else {
-            fleet.granted(r.kind);
+            scalingPlanner.granted(rental.kind);
         }
     }
 
     private void gone(List<String> machines) {
-        machines.forEach(m -> block.machineGone(m, timers.now()));
+        machines.forEach(m -> shard.machineGone(m, timers.now()));
         changed.run();
     }
 
     private boolean holds(long token) {
-        return leading.getAsBoolean() && block.token() == token;
+        return leading.getAsBoolean() && shard.token() == token;
     }
 
     private void list() {
         listing = true;
-        long mine = block.token();
+        long mine = shard.token();
         cloud.list(
                 (outcome, list) -> {
                     listing = false;
                     listedAt = timers.now();
                     if (outcome == Outcome.OK && holds(mine)) {
-                        block.listed(list, timers.now());
+                        shard.listed(list, timers.now());
                         intents.listed();
                     }
                 });
--- a/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
+++ b/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
@@ -32,18 +32,18 @@
      * Whether it has CPUs for one task; cheap, for a look at hundreds of rooms for each of hundreds
      * of jobs.
      */
-    boolean holds(JobSpec s, boolean atOnce) {
-        return then.cpus + 1e-6 >= s.cpus() && (!atOnce || now.cpus + 1e-6 >= s.cpus());
+    boolean holds(JobSpec spec, boolean atOnce) {
+        return then.cpus + 1e-6 >= spec.cpus() && (!atOnce || now.cpus + 1e-6 >= spec.cpus());
     }
 
     /** Takes in as many of the tasks as fit, at once or by then; returns how many. */
-    int take(JobSpec s, int tasks, boolean atOnce) {
-        int n = Math.min(tasks, then.slots(s));
+    int take(JobSpec spec, int tasks, boolean atOnce) {
+        int n = Math.min(tasks, then.slots(spec));
         if (atOnce) {
-            n = Math.min(n, now.slots(s));
+            n = Math.min(n, now.slots(spec));
         }
-        then.less(s, n);
-        now.less(s, n);
+        then.less(spec, n);
+        now.less(spec, n);
         return n;
     }
 
@@ -52,20 +52,20 @@
         double gpus;
         double memory;
 
-        Space(MachineType t) {
-            cpus = t.cpus();
-            gpus = t.gpus();
-            memory = t.memoryGb();
+        Space(MachineType type) {
+            cpus = type.cpus();
+            gpus = type.gpus();
+            memory = type.memoryGb();
         }
 
-        int slots(JobSpec s) {
-            return ProbePlacement.slots(s, cpus, gpus, memory);
+        int slots(JobSpec spec) {
+            return ProbePlacement.slots(spec, cpus, gpus, memory);
         }
 
-        void less(JobSpec s, int tasks) {
-            cpus -= tasks * s.cpus();
-            gpus -= tasks * s.gpus();
-            memory -= tasks * s.memoryGb();
+        void less(JobSpec spec, int tasks) {
+            cpus -= tasks * spec.cpus();
+            gpus -= tasks * spec.gpus();
+            memory -= tasks * spec.memoryGb();
         }
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -16,8 +16,8 @@
  * least for a job.
  */
 final class InstanceSelection {
-    private final ClusterSettings facts;
-    private final ShardState block;
+    private final ClusterSettings settings;
+    private final ShardState shard;
 
     /**
      * Kinds that were refused for want of capacity, until when not to ask, and how often in a row.
@@ -27,17 +27,17 @@
     /** Machines by kind, worked out once a plan. */
     private final Map<MachineKind, Integer> counts = new HashMap<>();
 
-    InstanceSelection(ShardState block) {
-        this.facts = block.facts();
-        this.block = block;
+    InstanceSelection(ShardState shard) {
+        this.settings = shard.facts();
+        this.shard = shard;
     }
 
     /** Counts anew what is there. */
     void survey() {
         counts.clear();
-        for (Machine m : block.machines().values()) {
-            if (m.type() != null && block.types().containsKey(m.type())) {
-                counts.merge(m.kind(), 1, Integer::sum);
+        for (Machine machine : shard.machines().values()) {
+            if (machine.type() != null && shard.types().containsKey(machine.type())) {
+                counts.merge(machine.kind(), 1, Integer::sum);
             }
         }
     }
@@ -45,42 +45,44 @@
     void refused(MachineKind k, double now) {
         double[] r = refused.computeIfAbsent(k, x -> new double[2]);
         r[1] = Math.min(4, r[1] + 1);
-        r[0] = now + facts.cloud().listLagS() * (1 << (int) r[1]) / 2;
+        r[0] = now + settings.cloud().listLagS() * (1 << (int) r[1]) / 2;
     }
 
-    boolean mayBeHad(MachineKind k, double now) {
-        double[] r = refused.get(k);
+    boolean mayBeHad(MachineKind kind, double now) {
+        double[] r = refused.get(kind);
         return r == null || now >= r[0];
     }
 
-    void granted(MachineKind k) {
-        refused.remove(k);
+    void granted(MachineKind kind) {
+        refused.remove(kind);
     }
 
-    static boolean allowed(MachineKind k, JobSpec s, String zone) {
-        return (s.types() == null || s.types().contains(k.type()))
-                && (zone == null || zone.equals(k.zone()))
-                && (s.spot() || !k.spot());
+    static boolean allowed(MachineKind kind, JobSpec spec, String zone) {
+        return (spec.types() == null || spec.types().contains(kind.type()))
+                && (zone == null || zone.equals(kind.zone()))
+                && (spec.spot() || !kind.spot());
     }
 
     /** Null if none can be had in these zones. */
     MachineKind cheapest(
-            JobSpec s, Predicate<String> zones, Map<MachineKind, Integer> rent, double now) {
+            JobSpec spec, Predicate<String> zones, Map<MachineKind, Integer> rent, double now) {
         MachineKind best = null;
         double bestPrice = 0;
-        for (MachineType t : block.types().values()) {
-            if (ProbePlacement.slots(s, t) < 1) {
+        for (MachineType type : shard.types().values()) {
+            if (ProbePlacement.slots(spec, type) < 1) {
                 continue;
             }
-            for (String z : t.zones()) {
-                for (int spot = s.spot() ? 1 : 0; spot >= 0; spot--) {
-                    MachineKind k = new MachineKind(t.name(), z, spot == 1);
-                    if (!zones.test(z) || !allowed(k, s, s.zone()) || !mayBeHad(k, now)) {
+            for (String z : type.zones()) {
+                for (int spot = spec.spot() ? 1 : 0; spot >= 0; spot--) {
+                    MachineKind kind = new MachineKind(type.name(), z, spot == 1);
+                    if (!zones.test(z)
+                            || !allowed(kind, spec, spec.zone())
+                            || !mayBeHad(kind, now)) {
                         continue;
                     }
-                    double price = price(k, t, ProbePlacement.slots(s, t), rent);
+                    double price = price(kind, type, ProbePlacement.slots(spec, type), rent);
                     if (best == null || price < bestPrice) {
-                        best = k;
+                        best = kind;
                         bestPrice = price;
                     }
                 }
@@ -93,13 +95,15 @@
     MachineKind cheapestByCpu(Map<MachineKind, Integer> rent, double now) {
         MachineKind best = null;
         double bestPrice = 0;
-        for (MachineType t : block.types().values()) {
-            for (String z : t.zones()) {
+        for (MachineType type : shard.types().values()) {
+            for (String z : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
-                    MachineKind k = new MachineKind(t.name(), z, spot);
-                    double price = price(k, t, t.cpus(), rent);
-                    if (mayBeHad(k, now) && t.cpus() > 0 && (best == null || price < bestPrice)) {
-                        best = k;
+                    MachineKind kind = new MachineKind(type.name(), z, spot);
+                    double price = price(kind, type, type.cpus(), rent);
+                    if (mayBeHad(kind, now)
+                            && type.cpus() > 0
+                            && (best == null || price < bestPrice)) {
+                        best = kind;
                         bestPrice = price;
                     }
                 }
@@ -113,23 +117,24 @@
      * kind.
      */
     private double price(
-            MachineKind k, MachineType t, double units, Map<MachineKind, Integer> rent) {
-        int there = counts.getOrDefault(k, 0) + rent.getOrDefault(k, 0);
-        return (k.spot() ? t.spotPrice() : t.price()) / units * (1 + 1e-4 * there);
+            MachineKind kind, MachineType type, double units, Map<MachineKind, Integer> rent) {
+        int there = counts.getOrDefault(kind, 0) + rent.getOrDefault(kind, 0);
+        return (kind.spot() ? type.spotPrice() : type.price()) / units * (1 + 1e-4 * there);
     }
 
-    boolean spotToBeHad(JobSpec s, double now) {
-        return block.types().values().stream()
-                .anyMatch(t -> ProbePlacement.slots(s, t) > 0 && cheaperToBeHad(t, now));
+    boolean spotToBeHad(JobSpec spec, double now) {
+        return shard.types().values().stream()
+                .anyMatch(
+                        type -> ProbePlacement.slots(spec, type) > 0 && cheaperToBeHad(type, now));
     }
 
     /**
      * Guards against work that could run on spot machines keeping ordinary ones rented: it fills
      * them up again and again, so they never idle.
      */
-    boolean cheaperToBeHad(MachineType t, double now) {
-        return t.spotPrice() < t.price()
-                && t.zones().stream()
-                        .anyMatch(z -> mayBeHad(new MachineKind(t.name(), z, true), now));
+    boolean cheaperToBeHad(MachineType type, double now) {
+        return type.spotPrice() < type.price()
+                && type.zones().stream()
+                        .anyMatch(z -> mayBeHad(new MachineKind(type.name(), z, true), now));
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -6,15 +6,15 @@
 
 /** Which machines are there, or on their way in good time, as far as the holder can tell by now. */
 final class MachineLiveness {
-    private final ClusterSettings facts;
-    private final ShardState block;
+    private final ClusterSettings settings;
+    private final ShardState shard;
 
     /** Silence is counted from then at the earliest. */
     private double since;
 
-    MachineLiveness(ShardState block) {
-        this.facts = block.facts();
-        this.block = block;
+    MachineLiveness(ShardState shard) {
+        this.settings = shard.facts();
+        this.shard = shard;
     }
 
     void since(double leadingSince) {
@@ -26,8 +26,12 @@
     }
 
     /** Up or coming, and not on its way out. */
-    static boolean usable(Machine m) {
-        return !m.releasing() && !m.gone() && !m.setAside() && !m.deafToAnswers() && !m.recalled();
+    static boolean usable(Machine machine) {
+        return !machine.releasing()
+                && !machine.gone()
+                && !machine.setAside()
+                && !machine.deafToAnswers()
+                && !machine.recalled();
     }
 
     /**
@@ -35,12 +39,12 @@
      * worker the time to report yet: it would give back machines full of running tasks, or rent for
      * work that they have room for.
      */
-    boolean mayBeOverdue(Machine m, double now) {
-        return !m.reported() && m.attempts().isEmpty() && now - since > silenceS();
+    boolean mayBeOverdue(Machine machine, double now) {
+        return !machine.reported() && machine.attempts().isEmpty() && now - since > silenceS();
     }
 
-    boolean late(Machine m, double now) {
-        return mayBeOverdue(m, now) && block.boots().late(m, now);
+    boolean late(Machine machine, double now) {
+        return mayBeOverdue(machine, now) && shard.boots().late(machine, now);
     }
 
     /**
@@ -48,6 +52,6 @@
      * nodes.
      */
     double silenceS() {
-        return Math.min(facts.workers().leaseS(), 5 * facts.workers().reportS() + 4);
+        return Math.min(settings.workers().leaseS(), 5 * settings.workers().reportS() + 4);
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -20,14 +20,14 @@
     /** For how long a machine may report without hearing answers before it is given back. */
     private static final double DEAF_LEASES = 3;
 
-    private final ClusterSettings facts;
-    private final ShardState block;
+    private final ClusterSettings settings;
+    private final ShardState shard;
     private final InstanceSelection market;
     private final MachineLiveness presence;
 
-    ScaleIn(ShardState block, InstanceSelection market, MachineLiveness presence) {
-        this.facts = block.facts();
-        this.block = block;
+    ScaleIn(ShardState shard, InstanceSelection market, MachineLiveness presence) {
+        this.settings = shard.facts();
+        this.shard = shard;
         this.market = market;
         this.presence = presence;
     }
@@ -39,24 +39,24 @@
      * @param kept machines in reserve
      */
     List<String> returns(double now, Set<Machine> kept, double spareCpus) {
-        double lease = facts.workers().leaseS();
+        double lease = settings.workers().leaseS();
         double silence = presence.silenceS();
         int up = 0;
         int silent = 0;
         int unheard = 0;
         Set<Machine> mute = new HashSet<>();
-        for (Machine m : block.machines().values()) {
-            if (m.reported() || !m.attempts().isEmpty()) {
+        for (Machine machine : shard.machines().values()) {
+            if (machine.reported() || !machine.attempts().isEmpty()) {
                 up++;
                 double since =
-                        m.reported()
-                                ? Math.max(m.lastReport(), presence.since())
+                        machine.reported()
+                                ? Math.max(machine.lastReport(), presence.since())
                                 : presence.since();
                 if (now - since > silence) {
                     silent++;
-                    mute.add(m);
+                    mute.add(machine);
                 }
-                unheard += deafForLong(m, now) && !m.proven() ? 1 : 0;
+                unheard += deafForLong(machine, now) && !machine.proven() ? 1 : 0;
             }
         }
         // Guards against a holder that is cut off from workers itself: if several fall silent
@@ -68,75 +68,80 @@
         boolean some = silent * 2 <= up;
         List<String> out = new ArrayList<>();
         double spare = spareCpus;
-        for (Machine m : block.machines().values()) {
-            MachineType t = m.type() == null ? null : block.types().get(m.type());
-            boolean give = m.releasing();
+        for (Machine machine : shard.machines().values()) {
+            MachineType type = machine.type() == null ? null : shard.types().get(machine.type());
+            boolean give = machine.releasing();
             boolean surplus =
-                    t != null
-                            && !presence.late(m, now)
-                            && spare >= t.cpus()
-                            && !kept.contains(m)
-                            && m.reservedFor() == null;
-            if (!m.spot() && m.attempts().stream().anyMatch(a -> !a.job.spec.spot())) {
-                m.needed(now);
+                    type != null
+                            && !presence.late(machine, now)
+                            && spare >= type.cpus()
+                            && !kept.contains(machine)
+                            && machine.reservedFor() == null;
+            if (!machine.spot()
+                    && machine.attempts().stream().anyMatch(attempt -> !attempt.job.spec.spot())) {
+                machine.needed(now);
             }
-            m.drain(
+            machine.drain(
                     surplus
-                            && m.proven()
-                            && !m.spot()
-                            && m.neededAt() < now
-                            && market.cheaperToBeHad(t, now));
-            if (mute.contains(m)) {
+                            && machine.proven()
+                            && !machine.spot()
+                            && machine.neededAt() < now
+                            && market.cheaperToBeHad(type, now));
+            if (mute.contains(machine)) {
                 double quiet =
                         now
                                 - Math.max(
                                         presence.since(),
-                                        m.reported() ? m.lastReport() : presence.since());
+                                        machine.reported()
+                                                ? machine.lastReport()
+                                                : presence.since());
                 give |= few || some && quiet > 1.5 * lease || quiet > 3 * lease;
-            } else if (t != null
-                    && presence.mayBeOverdue(m, now)
-                    && block.boots().hopeless(m, now)) {
+            } else if (type != null
+                    && presence.mayBeOverdue(machine, now)
+                    && shard.boots().hopeless(machine, now)) {
                 give = true;
-                if (!m.releasing()) {
-                    market.refused(m.kind(), now); // Where boots fail, others come first.
+                if (!machine.releasing()) {
+                    market.refused(machine.kind(), now); // Where boots fail, others come first.
                 }
-            } else if (m.proven() && !m.busy() && !m.awaitsRecords()) {
-                give |= m.setAside() || deafForLong(m, now);
+            } else if (machine.proven() && !machine.busy() && !machine.awaitsRecords()) {
+                give |= machine.setAside() || deafForLong(machine, now);
                 give |=
                         surplus
-                                && now - m.neededAt() > t.bootS()
-                                && (m.draining() || idleTooLong(m, t, now));
-            } else if (!m.proven() && deafForLong(m, now)) {
+                                && now - machine.neededAt() > type.bootS()
+                                && (machine.draining() || idleTooLong(machine, type, now));
+            } else if (!machine.proven() && deafForLong(machine, now)) {
                 // What an earlier holder left on it can't be proven over by a report. Not if it is
                 // most of them: then it
                 // is hardly they who hear nothing.
                 give |= unheard * 2 <= up;
             }
-            if (surplus && (give || m.draining())) {
-                spare -= t.cpus();
+            if (surplus && (give || machine.draining())) {
+                spare -= type.cpus();
             }
             if (give) {
-                if (!m.releasing()) {
+                if (!machine.releasing()) {
                     LOG.info(
                             "giving back {}: {}",
-                            m.id,
-                            mute.contains(m)
+                            machine.id,
+                            mute.contains(machine)
                                     ? "silent"
-                                    : m.setAside()
+                                    : machine.setAside()
                                             ? "set aside"
-                                            : m.deafToAnswers()
+                                            : machine.deafToAnswers()
                                                     ? "no answer reaches it"
-                                                    : m.reported() ? "idle" : "never came up");
+                                                    : machine.reported()
+                                                            ? "idle"
+                                                            : "never came up");
                 }
-                m.release();
-                out.add(m.id);
+                machine.release();
+                out.add(machine.id);
             }
         }
         return out;
     }
 
-    private boolean deafForLong(Machine m, double now) {
-        return m.deafS(now) > DEAF_LEASES * facts.workers().leaseS();
+    private boolean deafForLong(Machine machine, double now) {
+        return machine.deafS(now) > DEAF_LEASES * settings.workers().leaseS();
     }
 
     /**
@@ -147,49 +152,49 @@
      */
     void clear(double now, double wallMs) {
         double room = 0;
-        for (Machine m : block.machines().values()) {
-            MachineType t = block.types().get(m.type());
-            if (m.spot() && m.open() && t != null) {
-                room += t.cpus() - m.usedCpus();
+        for (Machine machine : shard.machines().values()) {
+            MachineType type = shard.types().get(machine.type());
+            if (machine.spot() && machine.open() && type != null) {
+                room += type.cpus() - machine.usedCpus();
             }
         }
-        for (Machine m : block.machines().values()) {
-            MachineType t = block.types().get(m.type());
-            if (!m.draining()
-                    || m.releasing()
-                    || m.attempts().isEmpty()
-                    || now - m.neededAt() <= t.bootS()
-                    || m.usedCpus() > room
-                    || !worthMoving(m, t, now, wallMs)) {
+        for (Machine machine : shard.machines().values()) {
+            MachineType type = shard.types().get(machine.type());
+            if (!machine.draining()
+                    || machine.releasing()
+                    || machine.attempts().isEmpty()
+                    || now - machine.neededAt() <= type.bootS()
+                    || machine.usedCpus() > room
+                    || !worthMoving(machine, type, now, wallMs)) {
                 continue;
             }
-            room -= m.usedCpus();
-            LOG.debug("clearing {} of {} tasks", m.id, m.attempts().size());
-            for (Attempt a : new ArrayList<>(m.attempts())) {
-                block.stop(a, a.job.spec.stopGraceS());
+            room -= machine.usedCpus();
+            LOG.debug("clearing {} of {} tasks", machine.id, machine.attempts().size());
+            for (Attempt attempt : new ArrayList<>(machine.attempts())) {
+                shard.stop(attempt, attempt.job.spec.stopGraceS());
             }
         }
     }
 
-    private boolean worthMoving(Machine m, MachineType t, double now, double wallMs) {
+    private boolean worthMoving(Machine machine, MachineType type, double now, double wallMs) {
         double rest = 0;
         double lost = 0;
-        for (Attempt a : m.attempts()) {
-            if (a.unwanted()
-                    || !a.seen()
-                    || a.job.spec.shape() != JobSpec.Shape.ARRAY
-                    || a.job.goalMs(0) < wallMs) {
+        for (Attempt attempt : machine.attempts()) {
+            if (attempt.unwanted()
+                    || !attempt.seen()
+                    || attempt.job.spec.shape() != JobSpec.Shape.ARRAY
+                    || attempt.job.goalMs(0) < wallMs) {
                 return false;
             }
-            rest = Math.max(rest, a.remainingS(now));
-            lost += a.job.spec.cpus() * a.unsavedS(now);
+            rest = Math.max(rest, attempt.remainingS(now));
+            lost += attempt.job.spec.cpus() * attempt.unsavedS(now);
         }
-        return rest > 2 * facts.workers().reportS()
-                && rest * t.price() > 2 * lost * t.spotPrice() / t.cpus();
+        return rest > 2 * settings.workers().reportS()
+                && rest * type.price() > 2 * lost * type.spotPrice() / type.cpus();
     }
 
-    private boolean idleTooLong(Machine m, MachineType t, double now) {
+    private boolean idleTooLong(Machine machine, MachineType type, double now) {
         // Worth keeping about as long as a new one would take to come.
-        return now - m.idleSince() > t.bootS();
+        return now - machine.idleSince() > type.bootS();
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -28,9 +28,9 @@
     /** What to rent by kind, the soonest wanted first, and what to give back. */
     public record Plan(Map<MachineKind, Integer> rent, List<String> release) {}
 
-    private final ClusterSettings facts;
-    private final ShardState block;
-    private final Scheduler placer;
+    private final ClusterSettings settings;
+    private final ShardState shard;
+    private final Scheduler scheduler;
     private final InstanceSelection market;
     private final MachineLiveness presence;
     private final ScaleIn returns;
@@ -41,22 +41,22 @@
     /** CPU seconds of waiting work that may use spot machines. */
     private double spotBacklog;
 
-    public ScalingPlanner(ShardState block, Scheduler placer) {
-        this.facts = block.facts();
-        this.block = block;
-        this.placer = placer;
-        this.market = new InstanceSelection(block);
-        this.presence = new MachineLiveness(block);
-        this.returns = new ScaleIn(block, market, presence);
+    public ScalingPlanner(ShardState shard, Scheduler scheduler) {
+        this.settings = shard.facts();
+        this.shard = shard;
+        this.scheduler = scheduler;
+        this.market = new InstanceSelection(shard);
+        this.presence = new MachineLiveness(shard);
+        this.returns = new ScaleIn(shard, market, presence);
     }
 
     /** The cloud refused this kind, in whole or in part. */
-    public void refused(MachineKind k, double now) {
-        market.refused(k, now);
+    public void refused(MachineKind kind, double now) {
+        market.refused(kind, now);
     }
 
-    public void granted(MachineKind k) {
-        market.granted(k);
+    public void granted(MachineKind kind) {
+        market.granted(kind);
     }
 
     /** {@code leadingSince}: silence is counted from then at the earliest. */
@@ -65,7 +65,7 @@
         survey(now);
         Map<MachineKind, Integer> rent = new LinkedHashMap<>();
         List<FreeCapacity> rooms = rooms(now, null);
-        List<Job> queue = placer.queue(now, wallMs, facts.workers().reportS() / 8);
+        List<Job> queue = scheduler.queue(now, wallMs, settings.workers().reportS() / 8);
         for (Job job : queue) {
             want(job, rooms, rent, now, wallMs);
         }
@@ -79,19 +79,19 @@
     private void survey(double now) {
         market.survey();
         usableCpus = 0;
-        for (Machine m : block.machines().values()) {
-            MachineType t = m.type() == null ? null : block.types().get(m.type());
-            if (t == null) {
+        for (Machine machine : shard.machines().values()) {
+            MachineType type = machine.type() == null ? null : shard.types().get(machine.type());
+            if (type == null) {
                 continue;
             }
-            if (MachineLiveness.usable(m) && !presence.late(m, now)) {
-                usableCpus += t.cpus();
+            if (MachineLiveness.usable(machine) && !presence.late(machine, now)) {
+                usableCpus += type.cpus();
             }
         }
         spotBacklog = 0;
-        for (Job j : block.jobs().values()) {
-            if (j.spec.spot() && !block.failures().mistaken(j, now)) {
-                spotBacklog += j.waiting() * j.spec.cpus() * j.spec.estimateS();
+        for (Job job : shard.jobs().values()) {
+            if (job.spec.spot() && !shard.failures().mistaken(job, now)) {
+                spotBacklog += job.waiting() * job.spec.cpus() * job.spec.estimateS();
             }
         }
     }
@@ -102,25 +102,26 @@
      */
     private List<FreeCapacity> rooms(double now, JobSpec forNow) {
         List<FreeCapacity> rooms = new ArrayList<>();
-        for (Machine m : block.machines().values()) {
-            MachineType t = m.type() == null ? null : block.types().get(m.type());
-            if (t == null || !MachineLiveness.usable(m) || presence.late(m, now)) {
+        for (Machine machine : shard.machines().values()) {
+            MachineType type = machine.type() == null ? null : shard.types().get(machine.type());
+            if (type == null || !MachineLiveness.usable(machine) || presence.late(machine, now)) {
                 continue;
             }
-            FreeCapacity r = new FreeCapacity(t, m.kind(), m);
-            for (Attempt a : m.attempts()) {
-                if (!a.unwanted()
+            FreeCapacity capacity = new FreeCapacity(type, machine.kind(), machine);
+            for (Attempt attempt : machine.attempts()) {
+                if (!attempt.unwanted()
                         && (forNow == null
-                                ? a.remainingS(now) > t.bootS()
-                                : a.job.spec.gang()
-                                        || a.job.priority().compareTo(forNow.priority()) <= 0)) {
-                    r.then.less(a.job.spec, 1);
+                                ? attempt.remainingS(now) > type.bootS()
+                                : attempt.job.spec.gang()
+                                        || attempt.job.priority().compareTo(forNow.priority())
+                                                <= 0)) {
+                    capacity.then.less(attempt.job.spec, 1);
                 }
-                if (!a.unwanted()) {
-                    r.now.less(a.job.spec, 1);
+                if (!attempt.unwanted()) {
+                    capacity.now.less(attempt.job.spec, 1);
                 }
             }
-            rooms.add(r);
+            rooms.add(capacity);
         }
         return rooms;
     }
@@ -134,16 +135,21 @@
             List<Job> queue, Map<MachineKind, Integer> rent, double now, double wallMs) {
         Set<Machine> kept = new HashSet<>();
         double boot =
-                block.types().values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
-        for (ClusterSettings.Objective o : facts.objectives()) {
+                shard.types().values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
+        for (ClusterSettings.Objective objective : settings.objectives()) {
             boolean wait =
-                    o.kind().equals("wait")
-                            && o.withinS() < boot
+                    objective.kind().equals("wait")
+                            && objective.withinS() < boot
                             && queue.stream()
-                                    .noneMatch(j -> j.spec.jobClass().equals(o.jobClass()));
+                                    .noneMatch(
+                                            job ->
+                                                    job.spec
+                                                            .jobClass()
+                                                            .equals(objective.jobClass()));
             JobSpec typical =
-                    wait || o.kind().equals("deadline")
-                            ? block.lately().typical(o.jobClass(), o.share(), wallMs, boot)
+                    wait || objective.kind().equals("deadline")
+                            ? shard.lately()
+                                    .typical(objective.jobClass(), objective.share(), wallMs, boot)
                             : null;
             if (typical == null) {
                 continue;
@@ -155,23 +161,32 @@
                 // As many come within a boot time as usual, give or take the square root of it.
                 double spread =
                         Math.sqrt(
-                                Math.max(1, boot * block.lately().jobsPerS(o.jobClass(), wallMs)));
+                                Math.max(
+                                        1,
+                                        boot
+                                                * shard.lately()
+                                                        .jobsPerS(objective.jobClass(), wallMs)));
                 atOnce = (int) Math.ceil(spread * typical.tasks() / rounds);
             }
             List<FreeCapacity> rooms = rooms(now, typical);
             ZoneConstraints zones = ZoneConstraints.of(typical);
             decide(zones, typical, atOnce, rooms, now);
-            rooms.removeIf(r -> !InstanceSelection.allowed(r.kind, typical, zones.only()));
-            rooms.sort(Comparator.comparingDouble(r -> r.then.cpus - r.type.cpus()));
-            for (FreeCapacity r : rooms) {
-                int n = r.take(typical, Math.min(atOnce, zones.left(r.kind.zone())), false);
-                zones.add(r.kind.zone(), n);
+            rooms.removeIf(
+                    capacity -> !InstanceSelection.allowed(capacity.kind, typical, zones.only()));
+            rooms.sort(
+                    Comparator.comparingDouble(
+                            capacity -> capacity.then.cpus - capacity.type.cpus()));
+            for (FreeCapacity capacity : rooms) {
+                int n =
+                        capacity.take(
+                                typical, Math.min(atOnce, zones.left(capacity.kind.zone())), false);
+                zones.add(capacity.kind.zone(), n);
                 atOnce -= n;
                 if (n > 0) {
-                    kept.add(r.machine);
+                    kept.add(capacity.machine);
                 }
             }
-            rentFor(typical, atOnce, zones, rent, now, k -> true);
+            rentFor(typical, atOnce, zones, rent, now, kind -> true);
         }
         return kept;
     }
@@ -181,7 +196,7 @@
      * one that is not worth it. Returns the new machines' rooms, with the tasks in them.
      */
     private List<FreeCapacity> rentFor(
-            JobSpec s,
+            JobSpec spec,
             int tasks,
             ZoneConstraints zones,
             Map<MachineKind, Integer> rent,
@@ -190,32 +205,32 @@
         List<FreeCapacity> rented = new ArrayList<>();
         int left = tasks;
         while (left > 0) {
-            MachineKind k = market.cheapest(s, z -> zones.left(z) > 0, rent, now);
-            if (k == null || !worth.test(k)) {
+            MachineKind kind = market.cheapest(spec, z -> zones.left(z) > 0, rent, now);
+            if (kind == null || !worth.test(kind)) {
                 break;
             }
-            FreeCapacity r = new FreeCapacity(block.types().get(k.type()), k, null);
-            int n = r.take(s, Math.min(left, zones.left(k.zone())), false);
+            FreeCapacity capacity = new FreeCapacity(shard.types().get(kind.type()), kind, null);
+            int n = capacity.take(spec, Math.min(left, zones.left(kind.zone())), false);
             if (n == 0) {
                 break;
             }
-            zones.add(k.zone(), n);
+            zones.add(kind.zone(), n);
             left -= n;
-            rent.merge(k, 1, Integer::sum);
-            rented.add(r);
+            rent.merge(kind, 1, Integer::sum);
+            rented.add(capacity);
         }
         return rented;
     }
 
     /** Guards against a fleet kept rented for work that may come when none has come for long. */
     private boolean idle() {
-        return block.jobs().values().stream().allMatch(j -> j.over());
+        return shard.jobs().values().stream().allMatch(job -> job.over());
     }
 
     private double guaranteedCpus() {
         return idle()
                 ? 0
-                : facts.teams().values().stream().mapToDouble(ClusterSettings.Team::cpus).sum();
+                : settings.teams().values().stream().mapToDouble(ClusterSettings.Team::cpus).sum();
     }
 
     /**
@@ -224,7 +239,7 @@
     private void floor(Map<MachineKind, Integer> rent, double now) {
         double missing = guaranteedCpus() - usableCpus;
         for (Map.Entry<MachineKind, Integer> e : rent.entrySet()) {
-            missing -= e.getValue() * block.types().get(e.getKey().type()).cpus();
+            missing -= e.getValue() * shard.types().get(e.getKey().type()).cpus();
         }
         while (missing > 0) {
             MachineKind best = market.cheapestByCpu(rent, now);
@@ -232,7 +247,7 @@
                 return;
             }
             rent.merge(best, 1, Integer::sum);
-            missing -= block.types().get(best.type()).cpus();
+            missing -= shard.types().get(best.type()).cpus();
         }
     }
 
@@ -242,21 +257,22 @@
             Map<MachineKind, Integer> rent,
             double now,
             double wallMs) {
-        if (block.failures().mistaken(job, now)) {
+        if (shard.failures().mistaken(job, now)) {
             return; // It is tried in what is free anyway.
         }
-        JobSpec s = job.spec;
-        int waiting = Math.min(job.waiting(), block.teamUse().left(s));
-        if (s.gang()) {
-            waiting = waiting == s.tasks() ? waiting : 0;
-        } else if (s.shape() == JobSpec.Shape.ARRAY) {
+        JobSpec spec = job.spec;
+        int waiting = Math.min(job.waiting(), shard.teamUse().left(spec));
+        if (spec.gang()) {
+            waiting = waiting == spec.tasks() ? waiting : 0;
+        } else if (spec.shape() == JobSpec.Shape.ARRAY) {
             // Not a place for every task at once: as many as finish the job in good time, one after
             // the other.
-            double aim = facts.finishWithinS(s.jobClass(), 10 * facts.workers().leaseS()) / 2.5;
+            double aim =
+                    settings.finishWithinS(spec.jobClass(), 10 * settings.workers().leaseS()) / 2.5;
             if (job.hasDeadline()) {
                 aim = (job.dueMs() - wallMs) / 1000;
             }
-            double each = Math.max(1, s.estimateS());
+            double each = Math.max(1, spec.estimateS());
             double places =
                     Math.ceil((job.waiting() + job.live().size()) * each / Math.max(each, aim));
             waiting = (int) Math.max(0, Math.min(waiting, places - job.live().size()));
@@ -265,38 +281,38 @@
             return;
         }
         ZoneConstraints zones = ZoneConstraints.of(job);
-        decide(zones, s, waiting, rooms, now);
+        decide(zones, spec, waiting, rooms, now);
         // Guards against work that could run on spot machines filling ordinary ones for good, at
         // several times the
         // price: it may use what is free there, but spot machines are rented for it as if it could
         // not.
-        boolean spotOnly = s.spot() && market.spotToBeHad(s, now);
+        boolean spotOnly = spec.spot() && market.spotToBeHad(spec, now);
         // Room that frees within a boot time is as good as a new machine, but not for a job that
         // has to start sooner
         // to meet its deadline: such work needs the room that is free now, or more of it.
         boolean atOnce = job.hasDeadline();
-        for (FreeCapacity r : rooms) {
+        for (FreeCapacity capacity : rooms) {
             if (waiting == 0) {
                 break;
             }
-            int most = zones.left(r.kind.zone());
+            int most = zones.left(capacity.kind.zone());
             if (most > 0
-                    && r.holds(s, atOnce)
-                    && InstanceSelection.allowed(r.kind, s, s.zone())
-                    && (r.kind.spot() || !spotOnly)) {
-                int n = r.take(s, Math.min(waiting, most), atOnce);
-                zones.add(r.kind.zone(), n);
+                    && capacity.holds(spec, atOnce)
+                    && InstanceSelection.allowed(capacity.kind, spec, spec.zone())
+                    && (capacity.kind.spot() || !spotOnly)) {
+                int n = capacity.take(spec, Math.min(waiting, most), atOnce);
+                zones.add(capacity.kind.zone(), n);
                 waiting -= n;
             }
         }
         rooms.addAll(
                 rentFor(
-                        s,
+                        spec,
                         waiting,
                         zones,
                         rent,
                         now,
-                        k -> !s.spot() || k.spot() || !inTime(job, wallMs)));
+                        kind -> !spec.spot() || kind.spot() || !inTime(job, wallMs)));
     }
 
     /**
@@ -324,26 +340,29 @@
      * had.
      */
     private void decide(
-            ZoneConstraints zones, JobSpec s, int tasks, List<FreeCapacity> rooms, double now) {
-        if (!s.oneZone() || zones.decided()) {
+            ZoneConstraints zones, JobSpec spec, int tasks, List<FreeCapacity> rooms, double now) {
+        if (!spec.oneZone() || zones.decided()) {
             return;
         }
         Map<String, Double> score = new LinkedHashMap<>();
         Set<String> open = new HashSet<>();
-        for (String z : facts.zones()) {
-            if (market.cheapest(s, z::equals, Map.of(), now) != null) {
+        for (String z : settings.zones()) {
+            if (market.cheapest(spec, z::equals, Map.of(), now) != null) {
                 open.add(z);
             }
             score.put(z, open.contains(z) ? 0.1 : 0);
         }
-        for (FreeCapacity r : rooms) {
-            if (InstanceSelection.allowed(r.kind, s, null) && s.cpus() > 0) {
-                score.merge(r.kind.zone(), Math.floor(r.then.cpus / s.cpus()), Double::sum);
+        for (FreeCapacity capacity : rooms) {
+            if (InstanceSelection.allowed(capacity.kind, spec, null) && spec.cpus() > 0) {
+                score.merge(
+                        capacity.kind.zone(),
+                        Math.floor(capacity.then.cpus / spec.cpus()),
+                        Double::sum);
             }
         }
         Comparator<Map.Entry<String, Double>> order =
                 Comparator.comparing(
-                        e -> s.gang() && (open.contains(e.getKey()) || e.getValue() >= tasks));
+                        e -> spec.gang() && (open.contains(e.getKey()) || e.getValue() >= tasks));
         score.entrySet().stream()
                 .max(order.thenComparing(Map.Entry.comparingByValue()))
                 .ifPresent(e -> zones.bind(e.getKey()));
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -29,8 +29,8 @@
      */
     private static final double PATIENCE = 2;
 
-    private final ShardState block;
-    private final ProbePlacement placement;
+    private final ShardState shard;
+    private final ProbePlacement probePlacement;
     private long evictions;
     private long forGuarantees;
     private long forGangs;
@@ -50,9 +50,9 @@
      */
     private boolean searchedForSmall;
 
-    Preemption(ShardState block, ProbePlacement placement) {
-        this.block = block;
-        this.placement = placement;
+    Preemption(ShardState shard, ProbePlacement probePlacement) {
+        this.shard = shard;
+        this.probePlacement = probePlacement;
     }
 
     /**
@@ -102,8 +102,8 @@
      * stopped or kept.
      */
     boolean makeRoom(Job job, List<Machine> open, double now) {
-        JobSpec s = job.spec;
-        boolean small = small(s);
+        JobSpec spec = job.spec;
+        boolean small = small(spec);
         if (small && searchedForSmall) {
             return false;
         }
@@ -112,15 +112,17 @@
         if (small && giving.yielding.isEmpty()) {
             return false;
         }
-        int need = s.gang() ? job.waiting() : Math.min(job.waiting(), block.teamUse().left(s));
+        int need =
+                spec.gang() ? job.waiting() : Math.min(job.waiting(), shard.teamUse().left(spec));
         ZoneConstraints bounds = ZoneConstraints.of(job);
         Map<String, List<Offer>> byZone = new LinkedHashMap<>();
-        for (Machine m : open) {
-            if ((m.reservedFor() == null || m.reservedFor() == job)
-                    && placement.allowed(m, s)
-                    && bounds.left(m.zone()) > 0) {
-                byZone.computeIfAbsent(s.oneZone() ? m.zone() : "", k -> new ArrayList<>())
-                        .add(offer(job, m, giving, now));
+        for (Machine machine : open) {
+            if ((machine.reservedFor() == null || machine.reservedFor() == job)
+                    && probePlacement.allowed(machine, spec)
+                    && bounds.left(machine.zone()) > 0) {
+                byZone.computeIfAbsent(
+                                spec.oneZone() ? machine.zone() : "", key -> new ArrayList<>())
+                        .add(offer(job, machine, giving, now));
             }
         }
         List<Offer> best = null;
@@ -134,11 +136,11 @@
             }
         }
         if (best != null) {
-            for (Offer o : best) {
-                if (!small || outranked(job, o.machine)) {
-                    o.machine.reserve(job, now + 2 * block.facts().workers().reportS());
+            for (Offer candidate : best) {
+                if (!small || outranked(job, candidate.machine)) {
+                    candidate.machine.reserve(job, now + 2 * shard.facts().workers().reportS());
                 }
-                need -= evict(job, o, need);
+                need -= evict(job, candidate, need);
             }
             return true;
         }
@@ -155,20 +157,20 @@
      * only the first one keeps room, the others take what is free.
      */
     private boolean keep(Job job, int need, Set<String> zones, List<Machine> open, double now) {
-        JobSpec s = job.spec;
+        JobSpec spec = job.spec;
         List<Gap> best = null;
         String where = null;
         for (String zone : zones) {
             if (keepers.getOrDefault(zone, 0)
-                    >= (zone.isEmpty() ? block.facts().zones().size() : 1)) {
+                    >= (zone.isEmpty() ? shard.facts().zones().size() : 1)) {
                 continue;
             }
             List<Gap> gaps = new ArrayList<>();
-            for (Machine m : open) {
-                if ((m.reservedFor() == null || m.reservedFor() == job)
-                        && placement.allowed(m, s)
-                        && (zone.isEmpty() || zone.equals(m.zone()))) {
-                    gaps(job, m, now, gaps);
+            for (Machine machine : open) {
+                if ((machine.reservedFor() == null || machine.reservedFor() == job)
+                        && probePlacement.allowed(machine, spec)
+                        && (zone.isEmpty() || zone.equals(machine.zone()))) {
+                    gaps(job, machine, now, gaps);
                 }
             }
             List<Gap> take = soonest(gaps, need, ZoneConstraints.of(job));
@@ -209,19 +211,25 @@
     }
 
     /** The gaps that open on the machine as its attempts end one after the other. */
-    private void gaps(Job job, Machine m, double now, List<Gap> into) {
-        List<Attempt> ends = new ArrayList<>(m.attempts());
-        ends.sort(Comparator.comparingDouble(a -> mayEvict(job, a) ? 0 : a.remainingS(now)));
+    private void gaps(Job job, Machine machine, double now, List<Gap> into) {
+        List<Attempt> ends = new ArrayList<>(machine.attempts());
+        ends.sort(
+                Comparator.comparingDouble(
+                        attempt -> mayEvict(job, attempt) ? 0 : attempt.remainingS(now)));
         double[] less = new double[3];
-        int before = placement.freeSlots(m, job.spec, 0, 0, 0);
+        int before = probePlacement.freeSlots(machine, job.spec, 0, 0, 0);
         if (before > 0) {
-            into.add(new Gap(m, 0, before));
+            into.add(new Gap(machine, 0, before));
         }
-        for (Attempt a : ends) {
-            less(less, a);
-            int after = placement.freeSlots(m, job.spec, less[0], less[1], less[2]);
+        for (Attempt attempt : ends) {
+            less(less, attempt);
+            int after = probePlacement.freeSlots(machine, job.spec, less[0], less[1], less[2]);
             if (after > before) {
-                into.add(new Gap(m, mayEvict(job, a) ? 0 : a.remainingS(now), after - before));
+                into.add(
+                        new Gap(
+                                machine,
+                                mayEvict(job, attempt) ? 0 : attempt.remainingS(now),
+                                after - before));
                 before = after;
             }
         }
@@ -239,20 +247,23 @@
         if (!small(job.spec)) {
             return false;
         }
-        double reportMs = 1000 * block.facts().workers().reportS();
+        double reportMs = 1000 * shard.facts().workers().reportS();
         // Guards against work stopped half done for a stage that is only as urgent as the one
         // behind it, and has time.
         boolean early =
                 job.priority() != job.spec.priority()
                         && wallMs
                                         + PATIENCE * reportMs
-                                        + 1000 * block.leads().mostS(job.spec.jobClass())
+                                        + 1000 * shard.leads().mostS(job.spec.jobClass())
                                 < job.goalMs(0);
         return early || wallMs - job.sinceMs() < PATIENCE * reportMs;
     }
 
-    private boolean small(JobSpec s) {
-        return !s.gang() && !s.oneZone() && !s.spread() && s.cpus() * 2 <= smallestMachine();
+    private boolean small(JobSpec spec) {
+        return !spec.gang()
+                && !spec.oneZone()
+                && !spec.spread()
+                && spec.cpus() * 2 <= smallestMachine();
     }
 
     /**
@@ -261,20 +272,29 @@
     private static List<Offer> cheapest(List<Offer> in, int need, ZoneConstraints zones) {
         List<Offer> sorted = new ArrayList<>(in);
         sorted.sort(
-                Comparator.comparingDouble((Offer o) -> o.loss / Math.max(1, o.stopping))
-                        .thenComparing(o -> -o.now)
-                        .thenComparing(o -> o.machine.id));
+                Comparator.comparingDouble(
+                                (Offer candidate) ->
+                                        candidate.loss / Math.max(1, candidate.stopping))
+                        .thenComparing(candidate -> -candidate.now)
+                        .thenComparing(candidate -> candidate.machine.id));
         List<Offer> take = new ArrayList<>();
         int left = need;
-        for (Offer o : sorted) {
+        for (Offer candidate : sorted) {
             if (left <= 0) {
                 break;
             }
-            int n = Math.min(o.stopping, zones.left(o.machine.zone()));
+            int n = Math.min(candidate.stopping, zones.left(candidate.machine.zone()));
             if (n > 0) {
                 left -= n;
-                zones.add(o.machine.zone(), n);
-                take.add(n == o.stopping ? o : new Offer(o.machine, Math.min(n, o.now), n, o.loss));
+                zones.add(candidate.machine.zone(), n);
+                take.add(
+                        n == candidate.stopping
+                                ? candidate
+                                : new Offer(
+                                        candidate.machine,
+                                        Math.min(n, candidate.now),
+                                        n,
+                                        candidate.loss));
             }
         }
         return left <= 0 ? take : null;
@@ -287,7 +307,7 @@
             return known;
         }
         Giving g = new Giving();
-        for (Job j : block.jobs().values()) {
+        for (Job j : shard.jobs().values()) {
             if (!j.live().isEmpty() && (j.over() || j.stopping() || yields(j, job))) {
                 g.yielding.add(j);
             }
@@ -300,16 +320,18 @@
      * CPUs, GPUs and memory of what gives way to the job on the machine, and the CPU seconds that
      * stopping it loses.
      */
-    private double[] sums(Job job, Machine m, Giving giving, double now) {
+    private double[] sums(Job job, Machine machine, Giving giving, double now) {
         double[] sum = new double[4];
-        for (Attempt a : m.attempts()) {
-            if (giving.yielding.contains(a.job) && mayEvict(job, a)) {
-                JobSpec v = a.job.spec;
-                less(sum, a);
+        for (Attempt attempt : machine.attempts()) {
+            if (giving.yielding.contains(attempt.job) && mayEvict(job, attempt)) {
+                JobSpec spec = attempt.job.spec;
+                less(sum, attempt);
                 sum[3] +=
-                        a.stopping()
+                        attempt.stopping()
                                 ? 0
-                                : v.cpus() * (a.unsavedS(now) + block.facts().workers().reportS());
+                                : spec.cpus()
+                                        * (attempt.unsavedS(now)
+                                                + shard.facts().workers().reportS());
             }
         }
         return sum;
@@ -318,12 +340,12 @@
     private Offer offer(Job job, Machine m, Giving giving, double now) {
         double[] sum = giving.sums.computeIfAbsent(m, k -> sums(job, m, giving, now));
         double loss = sum[3];
-        MachineType type = block.types().get(m.type());
-        int stopping = placement.freeSlots(m, job.spec, sum[0], sum[1], sum[2]);
+        MachineType type = shard.types().get(m.type());
+        int stopping = probePlacement.freeSlots(m, job.spec, sum[0], sum[1], sum[2]);
         if (!m.has(job.spec.image()) && type.fetchGbPerS() > 0) {
             loss += stopping * job.spec.cpus() * job.spec.imageGb() / type.fetchGbPerS();
         }
-        return new Offer(m, placement.freeSlots(m, job.spec, 0, 0, 0), stopping, loss);
+        return new Offer(m, probePlacement.freeSlots(m, job.spec, 0, 0, 0), stopping, loss);
     }
 
     private boolean mayEvict(Job job, Attempt victim) {
@@ -355,12 +377,12 @@
      * the other is within its.
      */
     private boolean borrows(Job job, Job other, double own) {
-        ClusterSettings.Team t = block.facts().teams().get(job.spec.team());
+        ClusterSettings.Team team = shard.facts().teams().get(job.spec.team());
         return other.guaranteed()
                 && !job.guaranteed()
                 && !job.spec.team().equals(other.spec.team())
-                && t != null
-                && block.teamUse().cpus(job.spec.team()) - own >= t.cpus();
+                && team != null
+                && shard.teamUse().cpus(job.spec.team()) - own >= team.cpus();
     }
 
     /**
@@ -370,52 +392,55 @@
      * can have been reported. Only then, for small tasks: to hold a machine of which they take a
      * thirtieth would leave the rest of it idle.
      */
-    private boolean outranked(Job job, Machine m) {
-        return m.attempts().stream().anyMatch(a -> a.job.rank() < job.rank() && yields(a.job, job));
+    private boolean outranked(Job job, Machine machine) {
+        return machine.attempts().stream()
+                .anyMatch(attempt -> attempt.job.rank() < job.rank() && yields(attempt.job, job));
     }
 
     /**
      * Stops just enough on the machine, the latest placed first; returns how many tasks of the job
      * it will hold.
      */
-    private int evict(Job job, Offer o, int need) {
+    private int evict(Job job, Offer candidate, int need) {
         List<Attempt> victims = new ArrayList<>();
         double[] less = new double[3];
-        for (Attempt a : o.machine.attempts()) {
-            if (mayEvict(job, a)) {
-                if (a.unwanted()) {
-                    less(less, a);
+        for (Attempt attempt : candidate.machine.attempts()) {
+            if (mayEvict(job, attempt)) {
+                if (attempt.unwanted()) {
+                    less(less, attempt);
                 } else {
-                    victims.add(a);
+                    victims.add(attempt);
                 }
             }
         }
         victims.sort(
-                Comparator.comparingDouble((Attempt a) -> -a.placedAt).thenComparing(a -> -a.task));
-        int want = Math.min(need, o.stopping);
-        for (Attempt a : victims) {
-            if (placement.freeSlots(o.machine, job.spec, less[0], less[1], less[2]) >= want) {
+                Comparator.comparingDouble((Attempt attempt) -> -attempt.placedAt)
+                        .thenComparing(attempt -> -attempt.task));
+        int want = Math.min(need, candidate.stopping);
+        for (Attempt attempt : victims) {
+            if (probePlacement.freeSlots(candidate.machine, job.spec, less[0], less[1], less[2])
+                    >= want) {
                 break;
             }
-            boolean written = a.durable();
-            block.stop(a, a.job.spec.stopGraceS());
+            boolean written = attempt.durable();
+            shard.stop(attempt, attempt.job.spec.stopGraceS());
             evictions++;
             forGangs += small(job.spec) ? 0 : 1;
-            forGuarantees += a.job.priority().compareTo(job.priority()) > 0 ? 0 : 1;
+            forGuarantees += attempt.job.priority().compareTo(job.priority()) > 0 ? 0 : 1;
             if (written) {
-                less(less, a);
+                less(less, attempt);
             }
         }
         return want;
     }
 
-    private static void less(double[] sum, Attempt a) {
-        sum[0] += a.job.spec.cpus();
-        sum[1] += a.job.spec.gpus();
-        sum[2] += a.job.spec.memoryGb();
+    private static void less(double[] sum, Attempt attempt) {
+        sum[0] += attempt.job.spec.cpus();
+        sum[1] += attempt.job.spec.gpus();
+        sum[2] += attempt.job.spec.memoryGb();
     }
 
     private double smallestMachine() {
-        return block.types().values().stream().mapToDouble(MachineType::cpus).min().orElse(0);
+        return shard.types().values().stream().mapToDouble(MachineType::cpus).min().orElse(0);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -61,28 +61,29 @@
     }
 
     /** Whether the machine may run the task by everything but its present load. */
-    boolean allowed(Machine m, JobSpec s) {
-        return types.containsKey(m.type()) && allowed(m.type(), m.zone(), m.spot(), s);
+    boolean allowed(Machine machine, JobSpec spec) {
+        return types.containsKey(machine.type())
+                && allowed(machine.type(), machine.zone(), machine.spot(), spec);
     }
 
     /** Whether machines of that kind may run the job. */
-    public static boolean allowed(MachineKind k, JobSpec s) {
-        return allowed(k.type(), k.zone(), k.spot(), s);
+    public static boolean allowed(MachineKind kind, JobSpec spec) {
+        return allowed(kind.type(), kind.zone(), kind.spot(), spec);
     }
 
-    private static boolean allowed(String type, String zone, boolean spot, JobSpec s) {
-        return (s.types() == null || s.types().contains(type))
-                && (s.zone() == null || s.zone().equals(zone))
-                && (s.spot() || !spot);
+    private static boolean allowed(String type, String zone, boolean spot, JobSpec spec) {
+        return (spec.types() == null || spec.types().contains(type))
+                && (spec.zone() == null || spec.zone().equals(zone))
+                && (spec.spot() || !spot);
     }
 
-    boolean room(Machine m, JobSpec s) {
-        return m.fits(s, types.get(m.type()));
+    boolean room(Machine machine, JobSpec spec) {
+        return machine.fits(spec, types.get(machine.type()));
     }
 
     /** A search for machines for the tasks of one job, out of candidates that are all allowed. */
-    MachineSearch search(JobSpec s, List<Machine> candidates) {
-        return new MachineSearch(s, candidates);
+    MachineSearch search(JobSpec spec, List<Machine> candidates) {
+        return new MachineSearch(spec, candidates);
     }
 
     /**
@@ -124,13 +125,13 @@
                 if (large()) {
                     stages.add(this::holds);
                 }
-                stages.add(m -> true);
+                stages.add(machine -> true);
                 return;
             }
             // Work that may use spot machines leaves the others to work that may not; but with a
             // deadline there is no
             // time to fetch an image on the one while the other has it.
-            stages.add(m -> m.spot() && holds(m));
+            stages.add(machine -> machine.spot() && holds(machine));
             if (spec.deadlineS() != null) {
                 stages.add(this::holds);
             }
@@ -148,18 +149,18 @@
                 stages.add(this::holds);
             }
             if (!enoughHold()) {
-                elsewhere(m -> true);
+                elsewhere(machine -> true);
             } else {
                 // Where half a machine is free, one fetch serves many, and nothing is left idle.
                 stages.add(
-                        m ->
-                                2 * m.usedCpus() <= types.get(m.type()).cpus()
-                                        && (m.fetches(spec.image()) || !m.fetches()));
+                        machine ->
+                                2 * machine.usedCpus() <= types.get(machine.type()).cpus()
+                                        && (machine.fetches(spec.image()) || !machine.fetches()));
             }
         }
 
-        private boolean holds(Machine m) {
-            return m.has(spec.image());
+        private boolean holds(Machine machine) {
+            return machine.has(spec.image());
         }
 
         /**
@@ -167,8 +168,8 @@
          * else, since images that are fetched at the same time may share the machine's rate.
          */
         private void elsewhere(Predicate<Machine> of) {
-            stages.add(m -> of.test(m) && m.fetches(spec.image()));
-            stages.add(m -> of.test(m) && !m.fetches());
+            stages.add(machine -> of.test(machine) && machine.fetches(spec.image()));
+            stages.add(machine -> of.test(machine) && !machine.fetches());
             stages.add(of);
         }
 
@@ -181,16 +182,16 @@
         private boolean enoughHold() {
             if (enough == null) {
                 double slots = 0;
-                for (Machine m : candidates) {
-                    if (holds(m) || m.fetches(spec.image())) {
-                        MachineType t = types.get(m.type());
+                for (Machine machine : candidates) {
+                    if (holds(machine) || machine.fetches(spec.image())) {
+                        MachineType type = types.get(machine.type());
                         slots +=
                                 most(
                                         spec,
                                         Integer.MAX_VALUE,
-                                        t.cpus() - m.boundCpus(),
-                                        t.gpus(),
-                                        t.memoryGb());
+                                        type.cpus() - machine.boundCpus(),
+                                        type.gpus(),
+                                        type.memoryGb());
                     }
                     if (slots >= ENOUGH * spec.tasks()) {
                         break;
@@ -211,7 +212,7 @@
          * if it can.
          */
         private boolean large() {
-            return types.values().stream().allMatch(t -> slots(spec, t) < 2);
+            return types.values().stream().allMatch(type -> slots(spec, type) < 2);
         }
 
         /** The same search among fewer candidates. */
@@ -224,7 +225,7 @@
          */
         Machine next() {
             if (roomy == null) {
-                roomy = candidates.stream().filter(m -> room(m, spec)).toList();
+                roomy = candidates.stream().filter(machine -> room(machine, spec)).toList();
             }
             while (walk != null || stage < stages.size() || elsewhereToo) {
                 if (walk == null && stage == stages.size()) {
@@ -242,9 +243,9 @@
                     }
                     walk = new Walk(spec, candidates.stream().filter(in).toList());
                 }
-                Machine m = walk.next();
-                if (m != null) {
-                    return m;
+                Machine machine = walk.next();
+                if (machine != null) {
+                    return machine;
                 }
                 walk = null;
             }
@@ -268,17 +269,17 @@
         Walk(JobSpec spec, List<Machine> from) {
             this.spec = spec;
             this.from = from;
-            for (Machine m : from) {
-                if (m.holdingCpus() > 0) {
-                    used.add(m);
+            for (Machine machine : from) {
+                if (machine.holdingCpus() > 0) {
+                    used.add(machine);
                 }
             }
         }
 
         Machine next() {
             if (order == null || at < order.size()) {
-                Machine m = probe(spec, used);
-                return m != null ? m : scan();
+                Machine machine = probe(spec, used);
+                return machine != null ? machine : scan();
             }
             return null; // A scan found the candidates full.
         }
@@ -288,8 +289,8 @@
          * most images, which large work would start on at once: it takes those first that have few.
          * Less than what a full machine counts.
          */
-        private double worthKeeping(Machine m) {
-            int n = m.images().size();
+        private double worthKeeping(Machine machine) {
+            int n = machine.images().size();
             return 0.25 * n / (n + 4);
         }
 
@@ -299,15 +300,18 @@
             if (order == null) {
                 order = new ArrayList<>();
                 Map<Machine, Double> score = new HashMap<>();
-                for (Machine m : from) {
+                for (Machine machine : from) {
                     looks++;
-                    if (room(m, spec)) {
-                        order.add(m);
+                    if (room(machine, spec)) {
+                        order.add(machine);
                         score.put(
-                                m,
-                                (m.holdingCpus() + m.usedCpus() / 4) / types.get(m.type()).cpus()
-                                        + (m.has(spec.image()) ? 1 : 0)
-                                        - (spec.spot() && !m.spot() ? worthKeeping(m) : 0));
+                                machine,
+                                (machine.holdingCpus() + machine.usedCpus() / 4)
+                                                / types.get(machine.type()).cpus()
+                                        + (machine.has(spec.image()) ? 1 : 0)
+                                        - (spec.spot() && !machine.spot()
+                                                ? worthKeeping(machine)
+                                                : 0));
                     }
                 }
                 order.sort(Comparator.comparing(score::get, Comparator.reverseOrder()));
@@ -322,46 +326,46 @@
         }
     }
 
-    private Machine probe(JobSpec s, List<Machine> from) {
+    private Machine probe(JobSpec spec, List<Machine> from) {
         int n = from.size();
         for (int i = 0; i < PROBES && i < n; i++) {
             // A partial shuffle: distinct machines, as in the paper.
             int j = i + random.nextInt(n - i);
-            Machine m = from.get(j);
+            Machine machine = from.get(j);
             from.set(j, from.get(i));
-            from.set(i, m);
+            from.set(i, machine);
             probes++;
-            if (m.unconfirmed() < THRESHOLD && room(m, s)) {
+            if (machine.unconfirmed() < THRESHOLD && room(machine, spec)) {
                 passed++;
-                return m;
+                return machine;
             }
         }
         return null;
     }
 
     /** Machines for every waiting task of a gang, or null if the gang does not fit as a whole. */
-    List<Machine> chooseGang(JobSpec s, List<Machine> candidates) {
+    List<Machine> chooseGang(JobSpec spec, List<Machine> candidates) {
         Map<String, Integer> slots = new TreeMap<>();
         int total = 0;
-        for (Machine m : candidates) {
+        for (Machine machine : candidates) {
             looks++;
-            int n = freeSlots(m, s, 0, 0, 0);
+            int n = freeSlots(machine, spec, 0, 0, 0);
             total += n;
-            slots.merge(m.zone(), n, Integer::sum);
+            slots.merge(machine.zone(), n, Integer::sum);
         }
-        if (total < s.tasks()) {
+        if (total < spec.tasks()) {
             return null;
         }
-        MachineSearch all = search(s, candidates);
-        if (!s.oneZone()) {
-            return whole(s, all);
+        MachineSearch all = search(spec, candidates);
+        if (!spec.oneZone()) {
+            return whole(spec, all);
         }
         // The zone with the least room that still suffices, so that larger gangs find theirs.
         List<String> zones = new ArrayList<>(slots.keySet());
-        zones.removeIf(z -> slots.get(z) < s.tasks());
+        zones.removeIf(z -> slots.get(z) < spec.tasks());
         zones.sort(Comparator.comparing(slots::get));
         for (String z : zones) {
-            List<Machine> found = whole(s, all.within(m -> m.zone().equals(z)));
+            List<Machine> found = whole(spec, all.within(machine -> machine.zone().equals(z)));
             if (found != null) {
                 return found;
             }
@@ -374,10 +378,10 @@
      * suffices for so many, or else the most. Guards against a job that is bound to a zone which
      * holds few of its tasks by the first of them, while another would hold all.
      */
-    String roomiest(JobSpec s, int tasks, List<Machine> candidates) {
+    String roomiest(JobSpec spec, int tasks, List<Machine> candidates) {
         Map<String, Integer> slots = new TreeMap<>();
-        for (Machine m : candidates) {
-            slots.merge(m.zone(), freeSlots(m, s, 0, 0, 0), Integer::sum);
+        for (Machine machine : candidates) {
+            slots.merge(machine.zone(), freeSlots(machine, spec, 0, 0, 0), Integer::sum);
         }
         return slots.entrySet().stream()
                 .min(
@@ -391,61 +395,62 @@
                 .orElse(null);
     }
 
-    private List<Machine> whole(JobSpec s, MachineSearch among) {
+    private List<Machine> whole(JobSpec spec, MachineSearch among) {
         MachineSearch search = among;
         List<Machine> found = new ArrayList<>();
         Map<String, Integer> perZone = new HashMap<>();
-        for (int i = 0; i < s.tasks(); i++) {
+        for (int i = 0; i < spec.tasks(); i++) {
             Machine m = search.next();
             if (m == null) {
                 break;
             }
-            m.expect(s, 1);
+            m.expect(spec, 1);
             found.add(m);
-            if (perZone.merge(m.zone(), 1, Integer::sum) >= s.mostPerZone()) {
+            if (perZone.merge(m.zone(), 1, Integer::sum) >= spec.mostPerZone()) {
                 search = search.within(x -> !x.zone().equals(m.zone()));
             }
         }
         for (Machine m : found) {
-            m.expect(s, -1);
+            m.expect(spec, -1);
         }
-        return found.size() == s.tasks() ? found : null;
+        return found.size() == spec.tasks() ? found : null;
     }
 
     /** How many such tasks fit on the machine if that much of its load were gone. */
-    int freeSlots(Machine m, JobSpec s, double lessCpus, double lessGpus, double lessMemory) {
-        MachineType t = types.get(m.type());
+    int freeSlots(
+            Machine machine, JobSpec spec, double lessCpus, double lessGpus, double lessMemory) {
+        MachineType type = types.get(machine.type());
         return slots(
-                s,
-                t.cpus() - m.usedCpus() + lessCpus,
-                t.gpus() - m.usedGpus() + lessGpus,
-                t.memoryGb() - m.usedMemory() + lessMemory);
+                spec,
+                type.cpus() - machine.usedCpus() + lessCpus,
+                type.gpus() - machine.usedGpus() + lessGpus,
+                type.memoryGb() - machine.usedMemory() + lessMemory);
     }
 
     /** How many of the job's tasks an empty machine of the type holds. */
-    public static int slots(JobSpec s, MachineType t) {
-        return slots(s, t.cpus(), t.gpus(), t.memoryGb());
+    public static int slots(JobSpec spec, MachineType type) {
+        return slots(spec, type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    public static int slots(JobSpec s, double cpus, double gpus, double memoryGb) {
-        return most(s, s.tasks(), cpus, gpus, memoryGb);
+    public static int slots(JobSpec spec, double cpus, double gpus, double memoryGb) {
+        return most(spec, spec.tasks(), cpus, gpus, memoryGb);
     }
 
     /** How many tasks of that size an empty machine of the type holds, however many the job has. */
-    static int most(JobSpec s, MachineType t) {
-        return most(s, Integer.MAX_VALUE, t.cpus(), t.gpus(), t.memoryGb());
+    static int most(JobSpec spec, MachineType type) {
+        return most(spec, Integer.MAX_VALUE, type.cpus(), type.gpus(), type.memoryGb());
     }
 
-    private static int most(JobSpec s, int tasks, double cpus, double gpus, double memoryGb) {
+    private static int most(JobSpec spec, int tasks, double cpus, double gpus, double memoryGb) {
         double n = tasks;
-        if (s.cpus() > 0) {
-            n = Math.min(n, Math.floor((cpus + 1e-6) / s.cpus()));
+        if (spec.cpus() > 0) {
+            n = Math.min(n, Math.floor((cpus + 1e-6) / spec.cpus()));
         }
-        if (s.gpus() > 0) {
-            n = Math.min(n, Math.floor((gpus + 1e-6) / s.gpus()));
+        if (spec.gpus() > 0) {
+            n = Math.min(n, Math.floor((gpus + 1e-6) / spec.gpus()));
         }
-        if (s.memoryGb() > 0) {
-            n = Math.min(n, Math.floor((memoryGb + 1e-6) / s.memoryGb()));
+        if (spec.memoryGb() > 0) {
+            n = Math.min(n, Math.floor((memoryGb + 1e-6) / spec.memoryGb()));
         }
         return (int) Math.max(0, n);
     }
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -29,10 +29,10 @@
     /** Of that, the part after which it is helped. */
     private static final double PATIENT = 0.5;
 
-    private final ShardState block;
-    private final ProbePlacement placement;
+    private final ShardState shard;
+    private final ProbePlacement probePlacement;
     private final Preemption preemption;
-    private final LoopTimeAccounting spent;
+    private final LoopTimeAccounting loopTime;
     private final WarmReserve standby;
 
     /** What found no room in this round, and that for which none can be made either. */
@@ -50,16 +50,16 @@
     private double queuedAt;
 
     /** {@code random} chooses the machines that are probed. */
-    public Scheduler(ShardState block, Random random, LoopTimeAccounting spent) {
-        this.block = block;
-        this.spent = spent;
-        this.placement = new ProbePlacement(random, block.types());
-        this.preemption = new Preemption(block, placement);
-        this.standby = new WarmReserve(block, placement);
+    public Scheduler(ShardState shard, Random random, LoopTimeAccounting loopTime) {
+        this.shard = shard;
+        this.loopTime = loopTime;
+        this.probePlacement = new ProbePlacement(random, shard.types());
+        this.preemption = new Preemption(shard, probePlacement);
+        this.standby = new WarmReserve(shard, probePlacement);
     }
 
     public ProbePlacement placement() {
-        return placement;
+        return probePlacement;
     }
 
     public Preemption preemption() {
@@ -75,7 +75,7 @@
         if (queued == null || now - queuedAt > agoS) {
             return queue(now, wallMs);
         }
-        return queued.stream().filter(j -> j.waiting() > 0).toList();
+        return queued.stream().filter(job -> job.waiting() > 0).toList();
     }
 
     /** The holder's jobs are others from now on. */
@@ -85,38 +85,38 @@
 
     /** Unfinished jobs with work to place, in the order in which they are served. */
     public List<Job> queue(double now, double wallMs) {
-        double began = spent.now();
+        double began = loopTime.now();
         // Guards against a round of which most goes into sorting thousands of jobs that wait for
         // others.
-        List<Job> all = block.jobs().values().stream().filter(j -> !j.held()).toList();
-        block.served().look(all, s -> block.leads().mostS(s.jobClass()), wallMs);
+        List<Job> all = shard.jobs().values().stream().filter(job -> !job.held()).toList();
+        shard.served().look(all, spec -> shard.leads().mostS(spec.jobClass()), wallMs);
         markGuaranteed(all);
         Map<MachineKind, Integer> open = new HashMap<>();
-        for (Machine m : block.machines().values()) {
-            if (m.open() && block.types().containsKey(m.type())) {
-                open.merge(m.kind(), 1, Integer::sum);
+        for (Machine machine : shard.machines().values()) {
+            if (machine.open() && shard.types().containsKey(machine.type())) {
+                open.merge(machine.kind(), 1, Integer::sum);
             }
         }
         // A mistaken job is served last and takes nobody's time.
         List<Job> good = new ArrayList<>();
         List<Job> mistaken = new ArrayList<>();
-        for (Job j : all) {
-            (block.failures().mistaken(j, now) ? mistaken : good).add(j);
+        for (Job job : all) {
+            (shard.failures().mistaken(job, now) ? mistaken : good).add(job);
         }
         List<Job> order =
                 new SchedulingQueue(
-                                s -> capacity(s, open),
-                                s -> block.leads().mostS(s.jobClass()),
-                                block.served()::standing,
+                                spec -> capacity(spec, open),
+                                spec -> shard.leads().mostS(spec.jobClass()),
+                                shard.served()::standing,
                                 now,
                                 wallMs)
                         .of(good);
         beginFirst(order, wallMs);
-        mistaken.removeIf(j -> j.waiting() == 0);
+        mistaken.removeIf(job -> job.waiting() == 0);
         order.addAll(mistaken);
         queued = List.copyOf(order);
         queuedAt = now;
-        spent.on(Activity.ORDERING, began);
+        loopTime.on(Activity.ORDERING, began);
         return order;
     }
 
@@ -131,28 +131,28 @@
         double since = wallMs - 1000 * BEGIN_WITHIN_S * PATIENT;
         order.stream()
                 .filter(
-                        j ->
-                                (j.spec.gang() || j.spec.oneZone())
-                                        && j.sinceMs() < since
-                                        && !j.begun()
-                                        && block.served().largest(j.spec))
+                        job ->
+                                (job.spec.gang() || job.spec.oneZone())
+                                        && job.sinceMs() < since
+                                        && !job.begun()
+                                        && shard.served().largest(job.spec))
                 .min(Comparator.comparingDouble(Job::sinceMs))
                 .ifPresent(
-                        j -> {
-                            order.remove(j);
-                            order.add(0, j);
+                        job -> {
+                            order.remove(job);
+                            order.add(0, job);
                         });
     }
 
     /** How many CPUs such jobs could use at once if these machines, counted by kind, were empty. */
-    private double capacity(JobSpec s, Map<MachineKind, Integer> machines) {
+    private double capacity(JobSpec spec, Map<MachineKind, Integer> machines) {
         double cpus = 0;
         for (Map.Entry<MachineKind, Integer> e : machines.entrySet()) {
-            if (ProbePlacement.allowed(e.getKey(), s)) {
+            if (ProbePlacement.allowed(e.getKey(), spec)) {
                 cpus +=
                         e.getValue()
-                                * s.cpus()
-                                * ProbePlacement.most(s, block.types().get(e.getKey().type()));
+                                * spec.cpus()
+                                * ProbePlacement.most(spec, shard.types().get(e.getKey().type()));
             }
         }
         return cpus;
@@ -166,10 +166,10 @@
         List<Job> jobs = new ArrayList<>(all);
         jobs.sort(Comparator.comparingDouble(Job::sinceMs));
         Map<String, double[]> claimed = new HashMap<>();
-        for (Job j : jobs) {
-            boolean fits = claim(j, claimed);
-            if (!j.claimed()) {
-                j.claims(fits);
+        for (Job job : jobs) {
+            boolean fits = claim(job, claimed);
+            if (!job.claimed()) {
+                job.claims(fits);
             }
         }
         // Guards against an overload in which a team's guarantee goes to its oldest jobs, all of
@@ -182,19 +182,25 @@
         // served first: else the
         // class with the largest jobs would never have its turn.
         Map<Job, Double> standing = new IdentityHashMap<>();
-        jobs.forEach(j -> standing.put(j, block.served().standing(j.spec)));
+        jobs.forEach(job -> standing.put(job, shard.served().standing(job.spec)));
         jobs.sort(
-                Comparator.comparingInt((Job j) -> j.missed() ? 2 : j.fittedWhenItCame() ? 0 : 1)
+                Comparator.comparingInt(
+                                (Job job) -> job.missed() ? 2 : job.fittedWhenItCame() ? 0 : 1)
                         .thenComparingDouble(
-                                j -> j.missed() || j.fittedWhenItCame() ? 0 : standing.get(j))
+                                job ->
+                                        job.missed() || job.fittedWhenItCame()
+                                                ? 0
+                                                : standing.get(job))
                         .thenComparingDouble(
-                                j ->
-                                        j.missed() || j.fittedWhenItCame()
-                                                ? j.sinceMs()
-                                                : j.left() * j.spec.cpus() * j.spec.estimateS()));
+                                job ->
+                                        job.missed() || job.fittedWhenItCame()
+                                                ? job.sinceMs()
+                                                : job.left()
+                                                        * job.spec.cpus()
+                                                        * job.spec.estimateS()));
         claimed.clear();
-        for (Job j : jobs) {
-            j.guarantee(claim(j, claimed));
+        for (Job job : jobs) {
+            job.guarantee(claim(job, claimed));
         }
     }
 
@@ -202,15 +208,15 @@
      * Adds what is left of the job to what its team has claimed; whether that is within the
      * guarantee.
      */
-    private boolean claim(Job j, Map<String, double[]> claimed) {
-        ClusterSettings.Team t = block.facts().teams().get(j.spec.team());
-        if (j.over() || t == null || t.cpus() == 0 && t.gpus() == 0) {
+    private boolean claim(Job job, Map<String, double[]> claimed) {
+        ClusterSettings.Team team = shard.facts().teams().get(job.spec.team());
+        if (job.over() || team == null || team.cpus() == 0 && team.gpus() == 0) {
             return false;
         }
-        double[] c = claimed.computeIfAbsent(t.name(), k -> new double[2]);
-        c[0] += j.left() * j.spec.cpus();
-        c[1] += j.left() * j.spec.gpus();
-        return c[0] <= t.cpus() + 1e-6 && (j.spec.gpus() == 0 || c[1] <= t.gpus() + 1e-6);
+        double[] c = claimed.computeIfAbsent(team.name(), key -> new double[2]);
+        c[0] += job.left() * job.spec.cpus();
+        c[1] += job.left() * job.spec.gpus();
+        return c[0] <= team.cpus() + 1e-6 && (job.spec.gpus() == 0 || c[1] <= team.gpus() + 1e-6);
     }
 
     /**
@@ -218,19 +224,19 @@
      * written.
      */
     public int place(double now, double wallMs, int most) {
-        block.beginRound(now);
+        shard.beginRound(now);
         preemption.beginRound();
-        List<Machine> open = block.machines().values().stream().filter(Machine::open).toList();
+        List<Machine> open = shard.machines().values().stream().filter(Machine::open).toList();
         standby.choose(open, wallMs);
         roomless.clear();
         hopeless.clear();
         Set<Job> expected = new HashSet<>();
-        open.forEach(m -> expected.add(m.reservedFor()));
+        open.forEach(machine -> expected.add(machine.reservedFor()));
         int placed = 0;
         for (Job job : queue(now, wallMs)) {
-            block.waits();
+            shard.waits();
             if (placed >= most) {
-                block.change();
+                shard.change();
                 break;
             }
             if (now >= job.notBefore()) {
@@ -269,8 +275,8 @@
         boolean wants =
                 job.waiting() > 0
                         && placed < most
-                        && !block.failures().mistaken(job, now)
-                        && block.teamUse().left(job.spec) >= (gang ? job.spec.tasks() : 1);
+                        && !shard.failures().mistaken(job, now)
+                        && shard.teamUse().left(job.spec) >= (gang ? job.spec.tasks() : 1);
         // Guards against a job whose records are full for now, although machines are idle, which
         // speaks for all others
         // that would fit there: hundreds of tasks waited behind it.
@@ -296,28 +302,29 @@
     }
 
     private boolean makeRoom(Job job, List<Machine> open, double now) {
-        double began = spent.now();
+        double began = loopTime.now();
         boolean made = preemption.makeRoom(job, open, now);
-        spent.on(Activity.GIVING_WAY, began);
+        loopTime.on(Activity.GIVING_WAY, began);
         return made;
     }
 
     private List<Machine> candidates(Job job, List<Machine> open, double now) {
-        JobSpec s = job.spec;
+        JobSpec spec = job.spec;
         List<Machine> out = new ArrayList<>();
         List<Machine> failed = new ArrayList<>();
         boolean anew = job.failedOn().isEmpty();
         ZoneConstraints zones = ZoneConstraints.of(job);
-        for (Machine m : open) {
-            Job heir = m.reservedFor();
+        for (Machine machine : open) {
+            Job heir = machine.reservedFor();
             if ((heir == null
                             || heir == job
-                            || m.kept() && (preemption.yields(job, heir) || m.keptFree(job, now)))
-                    && placement.allowed(m, s)
-                    && zones.left(m.zone()) > 0
-                    && !(m.draining() && s.spot())
-                    && !standby.keepsFrom(m, job)) {
-                (!anew && job.failedOn().contains(m.id) ? failed : out).add(m);
+                            || machine.kept()
+                                    && (preemption.yields(job, heir) || machine.keptFree(job, now)))
+                    && probePlacement.allowed(machine, spec)
+                    && zones.left(machine.zone()) > 0
+                    && !(machine.draining() && spec.spot())
+                    && !standby.keepsFrom(machine, job)) {
+                (!anew && job.failedOn().contains(machine.id) ? failed : out).add(machine);
             }
         }
         // Guards against retries that land where they failed: such machines come only when there is
@@ -326,31 +333,32 @@
     }
 
     private int placeTasks(Job job, List<Machine> open, double now, int most) {
-        JobSpec s = job.spec;
-        int n = Math.min(most, block.teamUse().left(s));
-        if (block.failures().mistaken(job, now)) {
+        JobSpec spec = job.spec;
+        int n = Math.min(most, shard.teamUse().left(spec));
+        if (shard.failures().mistaken(job, now)) {
             n = Math.min(n, job.live().isEmpty() ? 1 : 0);
         }
         int placed = 0;
         // Guards against a holder that is busy for seconds with where images are when nothing has
         // room for a task: that
         // is so for all of hundreds of jobs on a full fleet, whatever image they need.
-        if (open.stream().noneMatch(m -> placement.allowed(m, s) && placement.room(m, s))) {
+        if (open.stream()
+                .noneMatch(m -> probePlacement.allowed(m, spec) && probePlacement.room(m, spec))) {
             return 0;
         }
         ZoneConstraints zones = ZoneConstraints.of(job);
         List<Machine> candidates = candidates(job, open, now);
-        ProbePlacement.MachineSearch search = placement.search(s, candidates);
+        ProbePlacement.MachineSearch search = probePlacement.search(spec, candidates);
         heldOut = search.holdsOut();
-        if (s.oneZone() && !zones.decided()) {
-            String zone = placement.roomiest(s, Math.min(n, job.waiting()), candidates);
+        if (spec.oneZone() && !zones.decided()) {
+            String zone = probePlacement.roomiest(spec, Math.min(n, job.waiting()), candidates);
             search = search.within(m -> m.zone().equals(zone));
         }
         for (int t = job.nextWaiting(0); t >= 0 && placed < n; t = job.nextWaiting(t + 1)) {
-            if (!block.recordable(job, t)) {
+            if (!shard.recordable(job, t)) {
                 full = true;
-                if (s.shape() == JobSpec.Shape.SERVICE) {
-                    block.tooWide(job); // Nothing of it ends by itself.
+                if (spec.shape() == JobSpec.Shape.SERVICE) {
+                    shard.tooWide(job); // Nothing of it ends by itself.
                     break;
                 }
                 t =
@@ -363,7 +371,7 @@
             if (m == null) {
                 break;
             }
-            block.place(job, t, m, now);
+            shard.place(job, t, m, now);
             placed++;
             zones.add(m.zone(), 1);
             if (zones.left(m.zone()) == 0) {
@@ -371,7 +379,7 @@
             }
         }
         if (placed > 0) {
-            block.placedTogether(job);
+            shard.placedTogether(job);
         }
         return placed;
     }
@@ -379,24 +387,24 @@
     private int placeGang(Job job, List<Machine> open, double now) {
         // Until every task of the old attempt is proven over, the gang can't start anew.
         if (!job.live().isEmpty()) {
-            block.restartOnceFetched(job);
+            shard.restartOnceFetched(job);
             return 0;
         }
-        if (block.teamUse().left(job.spec) < job.spec.tasks()) {
+        if (shard.teamUse().left(job.spec) < job.spec.tasks()) {
             return 0;
         }
-        if (!block.recordable(job)) {
-            block.tooWide(job);
+        if (!shard.recordable(job)) {
+            shard.tooWide(job);
             return 0;
         }
-        List<Machine> found = placement.chooseGang(job.spec, candidates(job, open, now));
+        List<Machine> found = probePlacement.chooseGang(job.spec, candidates(job, open, now));
         if (found == null) {
             return 0;
         }
         for (int t = 0; t < found.size(); t++) {
-            block.place(job, t, found.get(t), now);
+            shard.place(job, t, found.get(t), now);
         }
-        block.placedTogether(job);
+        shard.placedTogether(job);
         return found.size();
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -85,8 +85,8 @@
     List<Job> of(Collection<Job> jobs) {
         Map<Integer, List<Job>> ranks = new LinkedHashMap<>();
         int least = 2 * JobSpec.Priority.values().length;
-        for (Job j : jobs) {
-            ranks.computeIfAbsent(j.rank(), k -> new ArrayList<>()).add(j);
+        for (Job job : jobs) {
+            ranks.computeIfAbsent(job.rank(), k -> new ArrayList<>()).add(job);
         }
         List<Job> out = new ArrayList<>();
         for (int rank = 0; rank < least; rank++) {
@@ -100,13 +100,14 @@
         return out;
     }
 
-    private void runs(Job j) {
+    private void runs(Job job) {
         double sum = 0;
-        for (Attempt a : j.live().values()) {
-            sum += a.remainingS(now);
+        for (Attempt attempt : job.live().values()) {
+            sum += attempt.remainingS(now);
         }
-        if (!j.live().isEmpty()) {
-            running.add(new double[] {j.live().size() * j.spec.cpus(), sum / j.live().size()});
+        if (!job.live().isEmpty()) {
+            running.add(
+                    new double[] {job.live().size() * job.spec.cpus(), sum / job.live().size()});
         }
     }
 
@@ -128,25 +129,25 @@
      * CPU seconds that there are for such waiting work in that time; what runs takes only its part
      * of it. Asked for each job that waits, so what runs is added up once and not for each of them.
      */
-    private double room(JobSpec s, double seconds) {
+    private double room(JobSpec spec, double seconds) {
         int at = Arrays.binarySearch(ends, seconds);
         int over = at >= 0 ? at : -at - 1;
         double running = taken[over] + (held[ends.length] - held[over]) * seconds;
-        return Math.max(1, capacity.applyAsDouble(s)) * seconds - running;
+        return Math.max(1, capacity.applyAsDouble(spec)) * seconds - running;
     }
 
     private void order(List<Job> jobs, List<Job> out) {
         List<Entry> tried = new ArrayList<>();
         List<Job> last = new ArrayList<>();
-        for (Job j : jobs) {
-            if (!j.over() && j.waiting() > 0) {
+        for (Job job : jobs) {
+            if (!job.over() && job.waiting() > 0) {
                 aim(
                         new Entry(
-                                j,
+                                job,
                                 -1,
-                                j.spec.cpus() * j.spec.estimateS() * j.waiting(),
-                                1000 * lead.applyAsDouble(j.spec),
-                                standing.applyAsDouble(j.spec)),
+                                job.spec.cpus() * job.spec.estimateS() * job.waiting(),
+                                1000 * lead.applyAsDouble(job.spec),
+                                standing.applyAsDouble(job.spec)),
                         tried,
                         last);
             }
@@ -154,29 +155,29 @@
         while (!tried.isEmpty()) {
             tried.sort(
                     Comparator.comparingDouble(Entry::startMs)
-                            .thenComparingDouble(e -> e.job.sinceMs())
-                            .thenComparing(e -> e.job.spec.id()));
+                            .thenComparingDouble(queued -> queued.job.sinceMs())
+                            .thenComparing(queued -> queued.job.spec.id()));
             PriorityQueue<Entry> largest =
                     new PriorityQueue<>(
-                            Comparator.comparingDouble((Entry e) -> -e.standing)
-                                    .thenComparingDouble(e -> -e.work)
-                                    .thenComparing(e -> e.job.spec.id()));
+                            Comparator.comparingDouble((Entry queued) -> -queued.standing)
+                                    .thenComparingDouble(queued -> -queued.work)
+                                    .thenComparing(queued -> queued.job.spec.id()));
             Set<Entry> without = Collections.newSetFromMap(new IdentityHashMap<>());
-            for (Entry e : tried) {
-                largest.add(e);
-                ahead += e.work;
-                double doneMs = e.startMs() + e.job.spec.estimateS() * 1000;
-                double room = room(e.job.spec, (doneMs - wallMs) / 1000);
-                if (e.standing < 1 && e.work > room) {
+            for (Entry queued : tried) {
+                largest.add(queued);
+                ahead += queued.work;
+                double doneMs = queued.startMs() + queued.job.spec.estimateS() * 1000;
+                double room = room(queued.job.spec, (doneMs - wallMs) / 1000);
+                if (queued.standing < 1 && queued.work > room) {
                     // Nobody goes without for what can't be in time in any case.
-                    largest.remove(e);
-                    ahead -= e.work;
-                    without.add(e);
+                    largest.remove(queued);
+                    ahead -= queued.work;
+                    without.add(queued);
                     continue;
                 }
                 // The largest makes room for this one; where smaller ones go because it is behind,
                 // it takes several.
-                for (double made = 0; ahead > room && made < e.work && !largest.isEmpty(); ) {
+                for (double made = 0; ahead > room && made < queued.work && !largest.isEmpty(); ) {
                     Entry gone = largest.poll();
                     ahead -= gone.work;
                     made += gone.work;
@@ -184,17 +185,17 @@
                 }
             }
             List<Entry> again = new ArrayList<>();
-            for (Entry e : tried) {
-                if (without.contains(e)) {
-                    again.add(e);
+            for (Entry queued : tried) {
+                if (without.contains(queued)) {
+                    again.add(queued);
                 } else {
-                    out.add(e.job);
+                    out.add(queued.job);
                 }
             }
             tried.clear();
-            again.forEach(e -> aim(e, tried, last));
+            again.forEach(queued -> aim(queued, tried, last));
         }
-        last.sort(Comparator.comparingDouble(Job::sinceMs).thenComparing(j -> j.spec.id()));
+        last.sort(Comparator.comparingDouble(Job::sinceMs).thenComparing(job -> job.spec.id()));
         out.addAll(last);
     }
 
@@ -202,15 +203,15 @@
      * Puts the job among those that try for their next goal that is not past, or last if it has
      * none.
      */
-    private void aim(Entry e, List<Entry> tried, List<Job> last) {
-        int goal = e.goal + 1;
-        while (goal < e.job.goals() && e.job.goalMs(goal) - e.leadMs < wallMs) {
+    private void aim(Entry queued, List<Entry> tried, List<Job> last) {
+        int goal = queued.goal + 1;
+        while (goal < queued.job.goals() && queued.job.goalMs(goal) - queued.leadMs < wallMs) {
             goal++;
         }
-        if (goal < e.job.goals()) {
-            tried.add(new Entry(e.job, goal, e.work, e.leadMs, e.standing));
+        if (goal < queued.job.goals()) {
+            tried.add(new Entry(queued.job, goal, queued.work, queued.leadMs, queued.standing));
         } else {
-            last.add(e.job);
+            last.add(queued.job);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
+++ b/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
@@ -27,27 +27,28 @@
             boolean spot,
             String image) {
         /** {@code image}: null, or the one that the work holds out for. */
-        static Rights of(Job j, String image) {
-            JobSpec s = j.spec;
+        static Rights of(Job job, String image) {
+            JobSpec spec = job.spec;
             return new Rights(
-                    s.shape(),
-                    j.priority(),
-                    s.team(),
-                    j.guaranteed(),
-                    s.types(),
-                    s.zone(),
-                    s.oneZone(),
-                    s.spread(),
-                    s.spot(),
+                    spec.shape(),
+                    job.priority(),
+                    spec.team(),
+                    job.guaranteed(),
+                    spec.types(),
+                    spec.zone(),
+                    spec.oneZone(),
+                    spec.spread(),
+                    spec.spot(),
                     image);
         }
     }
 
     /** {@code tasks}: of a gang, which fits as a whole or not at all; else one. */
     private record ResourceRequest(double cpus, double gpus, double memoryGb, int tasks) {
-        static ResourceRequest of(Job j) {
-            JobSpec s = j.spec;
-            return new ResourceRequest(s.cpus(), s.gpus(), s.memoryGb(), s.gang() ? s.tasks() : 1);
+        static ResourceRequest of(Job job) {
+            JobSpec spec = job.spec;
+            return new ResourceRequest(
+                    spec.cpus(), spec.gpus(), spec.memoryGb(), spec.gang() ? spec.tasks() : 1);
         }
 
         boolean noLessThan(ResourceRequest o) {
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -18,50 +18,50 @@
  * one start in six was lost that way, and with it the end of the array that it belonged to.
  */
 final class WarmReserve {
-    private final ShardState block;
-    private final ProbePlacement placement;
+    private final ShardState shard;
+    private final ProbePlacement probePlacement;
 
     /** The priority of the gangs that a machine waits for. */
     private final Map<Machine, JobSpec.Priority> kept = new HashMap<>();
 
-    WarmReserve(ShardState block, ProbePlacement placement) {
-        this.block = block;
-        this.placement = placement;
+    WarmReserve(ShardState shard, ProbePlacement probePlacement) {
+        this.shard = shard;
+        this.probePlacement = probePlacement;
     }
 
     /** Chooses anew among the machines that may be used. */
     void choose(List<Machine> open, double wallMs) {
         kept.clear();
         List<Machine> idle = new ArrayList<>();
-        for (Machine m : open) {
-            if (!m.busy() && m.reservedFor() == null && !m.draining()) {
-                idle.add(m);
+        for (Machine machine : open) {
+            if (!machine.busy() && machine.reservedFor() == null && !machine.draining()) {
+                idle.add(machine);
             }
         }
         if (idle.isEmpty()) {
             return;
         }
         idle.sort(
-                Comparator.comparingInt((Machine m) -> -m.images().size())
-                        .thenComparing(m -> m.id));
-        for (RecentArrivals.ArrivalRate pace : block.lately().gangs(wallMs)) {
+                Comparator.comparingInt((Machine machine) -> -machine.images().size())
+                        .thenComparing(machine -> machine.id));
+        for (RecentArrivals.ArrivalRate pace : shard.lately().gangs(wallMs)) {
             // Room is made within about one report: what is stopped has to be reported as ended.
-            double tasks = pace.tasksPerS() * block.facts().workers().reportS();
-            for (Machine m : idle) {
+            double tasks = pace.tasksPerS() * shard.facts().workers().reportS();
+            for (Machine machine : idle) {
                 if (tasks <= 0) {
                     break;
                 }
-                if (!kept.containsKey(m) && placement.allowed(m, pace.like())) {
-                    tasks -= Math.max(1, placement.freeSlots(m, pace.like(), 0, 0, 0));
-                    kept.put(m, pace.like().priority());
+                if (!kept.containsKey(machine) && probePlacement.allowed(machine, pace.like())) {
+                    tasks -= Math.max(1, probePlacement.freeSlots(machine, pace.like(), 0, 0, 0));
+                    kept.put(machine, pace.like().priority());
                 }
             }
         }
     }
 
     /** Whether the job would have to give way here soon. */
-    boolean keepsFrom(Machine m, Job job) {
-        JobSpec.Priority of = kept.get(m);
+    boolean keepsFrom(Machine machine, Job job) {
+        JobSpec.Priority of = kept.get(machine);
         return of != null && !job.spec.gang() && job.priority().compareTo(of) > 0;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
@@ -32,8 +32,8 @@
     public static ZoneConstraints of(Job job) {
         ZoneConstraints b = new ZoneConstraints(job.spec);
         if (!job.spec.gang() && (job.spec.oneZone() || job.spec.spread())) {
-            for (Attempt a : job.live().values()) {
-                b.count(a.machine.zone(), 1);
+            for (Attempt attempt : job.live().values()) {
+                b.count(attempt.machine.zone(), 1);
                 if (b.only != null && !job.spec.spread()) {
                     break; // All the others are in the same zone.
                 }
--- a/src/main/java/io/kitepath/core/service/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -59,9 +59,9 @@
     /** Jobs that were accepted and are no services. */
     private final Cache<String, Boolean> accepted = Caffeine.newBuilder().maximumSize(5000).build();
 
-    DependencyCheck(ClusterSettings facts, Store store) {
+    DependencyCheck(ClusterSettings settings, Store store) {
         this.store = store;
-        this.most = 2 * facts.store().txnOps();
+        this.most = 2 * settings.store().txnOps();
     }
 
     void accepted(String id, Shape shape) {
@@ -152,12 +152,12 @@
 
     private void compare(List<String> ids, Found answer) {
         List<String> some = ids.subList(0, Math.min(most, ids.size()));
-        Transaction t = new Transaction();
-        some.forEach(id -> t.when(StoreKeys.OPEN + id, 0).when(StoreKeys.OVER + id, 0));
+        Transaction transaction = new Transaction();
+        some.forEach(id -> transaction.when(StoreKeys.OPEN + id, 0).when(StoreKeys.OVER + id, 0));
         store.commit(
-                t,
-                c -> {
-                    if (c.outcome() == Outcome.INVALID && some.size() > 1) {
+                transaction,
+                result -> {
+                    if (result.outcome() == Outcome.INVALID && some.size() > 1) {
                         most =
                                 some.size()
                                         / 2; // The store takes fewer conditions by now than anybody
@@ -165,11 +165,11 @@
                         compare(ids, answer);
                         return;
                     }
-                    if (c.outcome() != Outcome.OK && c.outcome() != Outcome.NO) {
+                    if (result.outcome() != Outcome.OK && result.outcome() != Outcome.NO) {
                         answer.is(false, null);
                         return;
                     }
-                    Set<String> there = new HashSet<>(c.failed());
+                    Set<String> there = new HashSet<>(result.failed());
                     List<String> missing = new ArrayList<>(some);
                     missing.removeIf(
                             id ->
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -19,27 +19,28 @@
 final class HeartbeatAuthority {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatAuthority.class);
 
-    private final ClusterSettings facts;
-    private final ShardState block;
+    private final ClusterSettings settings;
+    private final ShardState shard;
     private final Leadership leadership;
-    private final CancellationWatermark known;
+    private final CancellationWatermark cancellationWatermark;
     private boolean refusing;
 
-    HeartbeatAuthority(ShardState block, Leadership leadership, CancellationWatermark known) {
-        this.facts = block.facts();
-        this.block = block;
+    HeartbeatAuthority(
+            ShardState shard, Leadership leadership, CancellationWatermark cancellationWatermark) {
+        this.settings = shard.facts();
+        this.shard = shard;
         this.leadership = leadership;
-        this.known = known;
+        this.cancellationWatermark = cancellationWatermark;
     }
 
-    boolean toAnswer(Heartbeat report) {
-        return leadership.leading() && report.token() <= block.token() && knowsCancellations();
+    boolean toAnswer(Heartbeat heartbeat) {
+        return leadership.leading() && heartbeat.token() <= shard.token() && knowsCancellations();
     }
 
     /** Guards against a holder that keeps tasks alive whose jobs were cancelled behind its back. */
     boolean knowsCancellations() {
-        double age = known.ageS();
-        boolean knows = age < facts.workers().marginS();
+        double age = cancellationWatermark.ageS();
+        boolean knows = age < settings.workers().marginS();
         if (refusing == knows) {
             refusing = !knows;
             if (knows) {
@@ -50,7 +51,7 @@
                                 + " answer of the state service {} s ago, least is known of {}",
                         Math.round(age),
                         Math.round(leadership.unservedS()),
-                        known.leastKnown());
+                        cancellationWatermark.leastKnown());
             }
         }
         return knows;
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -30,16 +30,16 @@
 
     private static final int SENT_AWAY = 2000;
 
-    private final ClusterSettings facts;
-    private final ShardState block;
-    private final HeartbeatProcessor heartbeats;
+    private final ClusterSettings settings;
+    private final ShardState shard;
+    private final HeartbeatProcessor heartbeatProcessor;
     private final Leadership leadership;
-    private final StateWriter keeper;
-    private final MembershipView views;
+    private final StateWriter stateWriter;
+    private final MembershipView membership;
     private final HeartbeatAuthority entitlement;
     private final PeerNodes siblings;
     private final Timers timers;
-    private final LoopTimeAccounting spent;
+    private final LoopTimeAccounting loopTime;
     private final Runnable changed;
 
     /** Workers that were sent to the leader, and when. */
@@ -69,26 +69,26 @@
 
     /** {@code changed} runs when a report may let work be placed. */
     public HeartbeatService(
-            ShardState block,
-            HeartbeatProcessor heartbeats,
+            ShardState shard,
+            HeartbeatProcessor heartbeatProcessor,
             Leadership leadership,
-            StateWriter keeper,
-            MembershipView views,
-            CancellationWatermark known,
+            StateWriter stateWriter,
+            MembershipView membership,
+            CancellationWatermark cancellationWatermark,
             PeerNodes siblings,
             Timers timers,
-            LoopTimeAccounting spent,
+            LoopTimeAccounting loopTime,
             Runnable changed) {
-        this.facts = block.facts();
-        this.block = block;
-        this.heartbeats = heartbeats;
+        this.settings = shard.facts();
+        this.shard = shard;
+        this.heartbeatProcessor = heartbeatProcessor;
         this.leadership = leadership;
-        this.keeper = keeper;
-        this.views = views;
-        this.entitlement = new HeartbeatAuthority(block, leadership, known);
+        this.stateWriter = stateWriter;
+        this.membership = membership;
+        this.entitlement = new HeartbeatAuthority(shard, leadership, cancellationWatermark);
         this.siblings = siblings;
         this.timers = timers;
-        this.spent = spent;
+        this.loopTime = loopTime;
         this.changed = changed;
     }
 
@@ -101,20 +101,20 @@
     }
 
     /** A worker's report. */
-    public void heartbeat(Heartbeat report, Consumer<HeartbeatResponse> answer) {
+    public void heartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         received++;
-        if (report.token() > leadership.highest()) {
-            leadership.outbid(report.token(), null);
+        if (heartbeat.token() > leadership.highest()) {
+            leadership.outbid(heartbeat.token(), null);
         }
-        if (leadership.leading() && !keeper.knowsRunning()) {
+        if (leadership.leading() && !stateWriter.knowsRunning()) {
             // A new holder does not know yet what was cancelled, also shortly before it began.
-            park(report, null, answer);
+            park(heartbeat, null, answer);
             return;
         }
         if (leadership.leading()) {
-            double began = spent.now();
-            answer(report, answer);
-            spent.on(Activity.CHECK_INS, began);
+            double began = loopTime.now();
+            answer(heartbeat, answer);
+            loopTime.on(Activity.CHECK_INS, began);
             return;
         }
         if (cutOff()) {
@@ -124,8 +124,8 @@
             return;
         }
         String leader = leadership.leader();
-        if (leader == null || leader.equals(facts.node())) {
-            park(report, null, answer);
+        if (leader == null || leader.equals(settings.node())) {
+            park(heartbeat, null, answer);
             return;
         }
         // A worker that we sent to the leader and that is back did not get through to it, and one
@@ -135,25 +135,26 @@
         // it up to 5 s, of a lease that may be 10 s long. From time to time it is sent to try
         // again.
         double now = timers.now();
-        double lease = facts.workers().leaseS();
-        Double sent = sentAway.get(report.machine());
+        double lease = settings.workers().leaseS();
+        Double sent = sentAway.get(heartbeat.machine());
         boolean back = sent != null && now - sent < 2 * lease;
         boolean lost =
                 sent == null
-                        && report.token() > 0
-                        && (report.token() == leadership.highest() || !report.tasks().isEmpty());
+                        && heartbeat.token() > 0
+                        && (heartbeat.token() == leadership.highest()
+                                || !heartbeat.tasks().isEmpty());
         if (!back && !lost) {
-            sentAway.put(report.machine(), now);
+            sentAway.put(heartbeat.machine(), now);
             answer.accept(HeartbeatResponse.elsewhere(leader));
             return;
         }
-        sentAway.putIfAbsent(report.machine(), now);
+        sentAway.putIfAbsent(heartbeat.machine(), now);
         relayed++;
-        Parked p = park(report, leader, answer);
-        if (p != null && !relay(leader, p) && report.tasks().isEmpty()) {
+        Parked parked = park(heartbeat, leader, answer);
+        if (parked != null && !relay(leader, parked) && heartbeat.tasks().isEmpty()) {
             // One without tasks has nothing to lose; the others wait for another leader, who may
             // come soon.
-            settle(p, HeartbeatResponse.elsewhere(back ? null : leader));
+            settle(parked, HeartbeatResponse.elsewhere(back ? null : leader));
         }
     }
 
@@ -162,7 +163,7 @@
      * be asked.
      */
     private boolean cutOff() {
-        return views.alone() && leadership.unservedS() > leadership.lifeS() + 1;
+        return membership.alone() && leadership.unservedS() > leadership.lifeS() + 1;
     }
 
     // ---- for siblings ---------------------------------------------------------------------------
@@ -172,20 +173,22 @@
      * that dies with its lease because two zones can't reach each other: its worker loses the
      * leader, and so does the node next to it.
      */
-    private boolean relay(String leader, Parked p) {
-        if (!views.silent(leader) && siblings.relay(leader, p.report, false, x -> settle(p, x))) {
+    private boolean relay(String leader, Parked parked) {
+        if (!membership.silent(leader)
+                && siblings.relay(
+                        leader, parked.report, false, response -> settle(parked, response))) {
             return true;
         }
-        for (String s : facts.siblings()) {
+        for (String s : settings.siblings()) {
             if (!s.equals(leader)
-                    && !views.silent(s)
+                    && !membership.silent(s)
                     && siblings.relay(
                             s,
-                            p.report,
+                            parked.report,
                             true,
-                            x -> {
-                                if (x.token() > 0) {
-                                    settle(p, x);
+                            response -> {
+                                if (response.token() > 0) {
+                                    settle(parked, response);
                                 }
                             })) {
                 return true;
@@ -195,15 +198,15 @@
     }
 
     /** A check-in that a sibling asks about. */
-    public void answerFor(Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
+    public void answerFor(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
         String leader = leadership.leader();
         if (!passOn
                 || leadership.leading()
                 || leader == null
-                || leader.equals(facts.node())
-                || views.silent(leader)
-                || !siblings.relay(leader, report, false, answer)) {
-            answer.accept(answer(report));
+                || leader.equals(settings.node())
+                || membership.silent(leader)
+                || !siblings.relay(leader, heartbeat, false, answer)) {
+            answer.accept(answer(heartbeat));
         }
     }
 
@@ -216,34 +219,35 @@
      * one with tasks for as long as it may, any other for as long as it would have waited before
      * its next try.
      */
-    private Parked park(Heartbeat report, String asked, Consumer<HeartbeatResponse> answer) {
-        if (parked.size() >= facts.limits().sockets() / 2) {
+    private Parked park(Heartbeat heartbeat, String asked, Consumer<HeartbeatResponse> answer) {
+        if (parked.size() >= settings.limits().sockets() / 2) {
             answer.accept(HeartbeatResponse.elsewhere(null));
             return null;
         }
-        Parked waits = parked.get(report.machine());
-        if (waits != null && !report.newerThan(waits.report.session(), waits.report.sequence())) {
+        Parked waits = parked.get(heartbeat.machine());
+        if (waits != null
+                && !heartbeat.newerThan(waits.report.session(), waits.report.sequence())) {
             // Guards against a copy of an older report that sends the worker away whose report
             // waits here.
             answer.accept(HeartbeatResponse.elsewhere(null));
             return null;
         }
-        Parked p = new Parked(report, asked, leadership.highest(), answer);
-        Parked older = parked.put(report.machine(), p);
+        Parked p = new Parked(heartbeat, asked, leadership.highest(), answer);
+        Parked older = parked.put(heartbeat.machine(), p);
         if (older != null) {
             older.answer.accept(HeartbeatResponse.elsewhere(null));
         }
         timers.after(
-                report.tasks().isEmpty() ? 1 : MAX_PARK_S,
+                heartbeat.tasks().isEmpty() ? 1 : MAX_PARK_S,
                 () -> settle(p, HeartbeatResponse.elsewhere(null)));
         return p;
     }
 
     /** Answers a check-in that waits; nothing happens if it has been answered already. */
-    private void settle(Parked p, HeartbeatResponse a) {
+    private void settle(Parked p, HeartbeatResponse response) {
         if (parked.get(p.report.machine()) == p) {
             parked.remove(p.report.machine());
-            p.answer.accept(a);
+            p.answer.accept(response);
         }
     }
 
@@ -268,43 +272,47 @@
      * The holder's answer to a report that a sibling asks about: at once, for the worker's time is
      * running.
      */
-    private HeartbeatResponse answer(Heartbeat report) {
-        if (!keeper.knowsRunning() || !entitlement.toAnswer(report)) {
-            heartbeats.unanswered(report, timers.now());
+    private HeartbeatResponse answer(Heartbeat heartbeat) {
+        if (!stateWriter.knowsRunning() || !entitlement.toAnswer(heartbeat)) {
+            heartbeatProcessor.unanswered(heartbeat, timers.now());
             return HeartbeatResponse.elsewhere(leadership.leading() ? null : leadership.leader());
         }
-        boolean news = heartbeats.news(report);
+        boolean news = heartbeatProcessor.news(heartbeat);
         List<WorkerCommand> orders =
                 new ArrayList<>(
-                        heartbeats.heartbeat(
-                                report, keeper.loaded(), keeper::mayRun, timers.now()));
+                        heartbeatProcessor.heartbeat(
+                                heartbeat,
+                                stateWriter.loaded(),
+                                stateWriter::mayRun,
+                                timers.now()));
         if (news) {
             // Nothing is launched into the answer to a late copy, which nobody hears.
             orders.addAll(
-                    heartbeats.commands(report.machine(), leadership.mayLaunch(), timers.now()));
+                    heartbeatProcessor.commands(
+                            heartbeat.machine(), leadership.mayLaunch(), timers.now()));
         }
-        if (block.changed()) {
+        if (shard.changed()) {
             changed.run();
         }
-        return new HeartbeatResponse(block.token(), orders, null);
+        return new HeartbeatResponse(shard.token(), orders, null);
     }
 
-    private void answer(Heartbeat report, Consumer<HeartbeatResponse> answer) {
-        String machine = report.machine();
-        if (!heartbeats.news(report)) {
+    private void answer(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+        String machine = heartbeat.machine();
+        if (!heartbeatProcessor.news(heartbeat)) {
             // Guards against a late copy that takes the place of the report whose answer is held.
-            answer.accept(answer(report));
+            answer.accept(answer(heartbeat));
             return;
         }
         release(machine);
-        HeartbeatResponse now = answer(report);
+        HeartbeatResponse now = answer(heartbeat);
         boolean idle =
                 now.token() > 0
                         && now.orders().stream()
-                                .allMatch(o -> o.verb() == WorkerCommand.Action.FORGET);
+                                .allMatch(command -> command.verb() == WorkerCommand.Action.FORGET);
         double patience =
-                idle && keeper.loaded() && leadership.mayLaunch()
-                        ? heartbeats.patience(machine)
+                idle && stateWriter.loaded() && leadership.mayLaunch()
+                        ? heartbeatProcessor.patience(machine)
                         : 0;
         if (patience == 0) {
             answer.accept(now);
@@ -329,27 +337,27 @@
         }
         // What was true when the report came need not be when the answer goes.
         if (!leadership.leading()
-                || block.token() != h.token
+                || shard.token() != h.token
                 || !entitlement.knowsCancellations()) {
             h.answer.accept(
                     HeartbeatResponse.elsewhere(leadership.leading() ? null : leadership.leader()));
             return true;
         }
         List<WorkerCommand> orders = new ArrayList<>(h.orders);
-        orders.addAll(heartbeats.commands(machine, leadership.mayLaunch(), timers.now()));
+        orders.addAll(heartbeatProcessor.commands(machine, leadership.mayLaunch(), timers.now()));
         h.answer.accept(new HeartbeatResponse(h.token, orders, null));
         return true;
     }
 
     /** What was just written may be launched. */
     public void written() {
-        double began = spent.now();
+        double began = loopTime.now();
         for (String machine : new ArrayList<>(held.keySet())) {
-            if (heartbeats.hasCommands(machine)) {
+            if (heartbeatProcessor.hasCommands(machine)) {
                 release(machine);
             }
         }
-        spent.on(Activity.ANSWERS, began);
+        loopTime.on(Activity.ANSWERS, began);
     }
 
     /** This node leads no more. */
