--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -90,7 +90,7 @@
     private record Heard(JobProgress progress, double at) {}
 
     JobStatusQueries(
-            ClusterSettings facts,
+            ClusterSettings settings,
             Store store,
             Timers timers,
             Holder holder,
@@ -99,14 +99,14 @@
         this.timers = timers;
         this.holder = holder;
         this.over = over;
-        int nodes = facts.siblings().size() + 1;
-        this.requests = new TokenBucket(facts.store().rps() * RATE_SHARE / nodes);
-        this.reads = new TokenBucket(Math.max(1, facts.store().rps() * READ_SHARE / nodes));
+        int nodes = settings.siblings().size() + 1;
+        this.requests = new TokenBucket(settings.store().rps() * RATE_SHARE / nodes);
+        this.reads = new TokenBucket(Math.max(1, settings.store().rps() * READ_SHARE / nodes));
         // A transaction takes four conditions for each change that it may hold, and a job needs
         // two.
-        this.most = 2 * facts.store().txnOps();
-        this.mostWaiting = facts.limits().sockets();
-        this.freshS = facts.workers().cancelS() / 2;
+        this.most = 2 * settings.store().txnOps();
+        this.mostWaiting = settings.limits().sockets();
+        this.freshS = settings.workers().cancelS() / 2;
     }
 
     /** A job that was accepted here just now; {@code free}: it waits for no others. */
@@ -114,11 +114,11 @@
         heard(new JobProgress(id, 0, 0, null), free);
     }
 
-    private void heard(JobProgress p, boolean isFree) {
-        lately.put(p.job(), new Heard(p, timers.now()));
+    private void heard(JobProgress progress, boolean isFree) {
+        lately.put(progress.job(), new Heard(progress, timers.now()));
         // What runs, or ran, waits for nothing any more, and can only be cancelled by its own user.
-        if (isFree || p.running() > 0 || p.done() > 0) {
-            free.put(p.job(), true);
+        if (isFree || progress.running() > 0 || progress.done() > 0) {
+            free.put(progress.job(), true);
         }
     }
 
@@ -133,7 +133,7 @@
             return;
         }
         waitingCount++;
-        waiting.computeIfAbsent(id, k -> new ArrayList<>()).add(answer);
+        waiting.computeIfAbsent(id, key -> new ArrayList<>()).add(answer);
         gather();
     }
 
@@ -172,11 +172,11 @@
     private void send(Transaction compare, Map<String, List<Consumer<Answer>>> batch, int tries) {
         store.commit(
                 compare,
-                c -> {
-                    switch (c.outcome()) {
+                result -> {
+                    switch (result.outcome()) {
                         // None of the keys exists.
                         case OK -> batch.keySet().forEach(id -> tell(batch, id, Answer.NOT_FOUND));
-                        case NO -> sort(batch, new HashSet<>(c.failed()));
+                        case NO -> sort(batch, new HashSet<>(result.failed()));
                         case INVALID -> {
                             // The store takes fewer conditions by now than anybody said.
                             most = Math.max(1, batch.size() / 2);
@@ -195,8 +195,8 @@
                 });
     }
 
-    private static void tell(Map<String, List<Consumer<Answer>>> batch, String id, Answer a) {
-        batch.get(id).forEach(x -> x.accept(a));
+    private static void tell(Map<String, List<Consumer<Answer>>> batch, String id, Answer answer) {
+        batch.get(id).forEach(x -> x.accept(answer));
     }
 
     /** {@code there}: the keys that exist. */
@@ -206,7 +206,7 @@
             if (there.contains(StoreKeys.OPEN + id)) {
                 open.add(id);
             } else if (there.contains(StoreKeys.OVER + id)) {
-                over.accept(id, a -> tell(batch, id, a));
+                over.accept(id, answer -> tell(batch, id, answer));
             } else {
                 confirm(batch, id);
             }
@@ -226,7 +226,7 @@
                         case OK -> progress(batch, List.of(id));
                         // A job moves from open to over and never back, so what is in neither was
                         // never accepted.
-                        case NO -> over.accept(id, a -> tell(batch, id, a));
+                        case NO -> over.accept(id, answer -> tell(batch, id, answer));
                         default -> tell(batch, id, Answer.LATER);
                     }
                 });
@@ -241,9 +241,9 @@
                 known -> {
                     Set<String> told = new HashSet<>();
                     known.forEach(
-                            p -> {
-                                told.add(p.job());
-                                heard(p, false);
+                            progress -> {
+                                told.add(progress.job());
+                                heard(progress, false);
                             });
                     for (String id : open) {
                         Heard h = lately.getIfPresent(id);
@@ -256,8 +256,8 @@
                 });
     }
 
-    private static Answer unfinished(JobProgress p) {
-        return new Answer(Verdict.KNOWN, JobStatus.unfinished(p));
+    private static Answer unfinished(JobProgress progress) {
+        return new Answer(Verdict.KNOWN, JobStatus.unfinished(progress));
     }
 
     /**
@@ -268,7 +268,7 @@
     private void remembered(
             Map<String, List<Consumer<Answer>>> batch, String id, Heard h, boolean silent) {
         if (h != null && (free.getIfPresent(id) != null || timers.now() - h.at < freshS)) {
-            JobProgress p = h.progress;
+            JobProgress progress = h.progress;
             tell(
                     batch,
                     id,
@@ -276,10 +276,10 @@
                             silent
                                     ? new JobProgress(
                                             id,
-                                            p.done(),
-                                            p.running(),
+                                            progress.done(),
+                                            progress.running(),
                                             holder.silence() + "; the figures are from before")
-                                    : p));
+                                    : progress));
         } else if (free.getIfPresent(id) != null) {
             fromRecords(batch, id);
         } else if (!reads.take(1, timers.now())) {
@@ -289,7 +289,7 @@
                     StoreKeys.OPEN + id,
                     (outcome, entry) -> {
                         if (outcome == Outcome.NO) {
-                            over.accept(id, a -> tell(batch, id, a));
+                            over.accept(id, answer -> tell(batch, id, answer));
                         } else if (outcome != Outcome.OK || needsOthers(id, entry.value())) {
                             tell(batch, id, Answer.LATER);
                         } else {
@@ -326,10 +326,10 @@
                         tell(batch, id, Answer.LATER);
                         return;
                     }
-                    JobProgress p =
+                    JobProgress progress =
                             Job.recorded(id, parts.entries().stream().map(Entry::value).toList());
-                    heard(p, true);
-                    tell(batch, id, unfinished(p));
+                    heard(progress, true);
+                    tell(batch, id, unfinished(progress));
                 });
     }
 }
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -55,7 +55,7 @@
 
     private static final int MAX_TRIES = 4;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
     private final DependencyCheck dependencies;
@@ -77,19 +77,19 @@
 
     /** {@code cells}: whether tasks may be lent to other cells. */
     public JobSubmissionService(
-            ClusterSettings facts,
+            ClusterSettings settings,
             Store store,
             Timers timers,
             BooleanSupplier served,
             JobStatusQueries.Holder holder,
             boolean cells) {
         this.cells = cells;
-        this.facts = facts;
-        this.dependencies = new DependencyCheck(facts, store);
+        this.settings = settings;
+        this.dependencies = new DependencyCheck(settings, store);
         this.store = store;
         this.timers = timers;
         this.served = served;
-        this.questions = new JobStatusQueries(facts, store, timers, holder, this::readOver);
+        this.questions = new JobStatusQueries(settings, store, timers, holder, this::readOver);
     }
 
     public void onCancelled(Consumer<JobStatus> listener) {
@@ -121,11 +121,11 @@
      * The store has the job's end, which never changes: a word of the node that wrote it saves a
      * read.
      */
-    public void ended(JobStatus s) {
-        over.put(s.id(), s);
-        if (s.status().equals("cancelled")) {
-            dependencies.cancelled(s.id());
-            knownCancelled.accept(s.id());
+    public void ended(JobStatus status) {
+        over.put(status.id(), status);
+        if (status.status().equals("cancelled")) {
+            dependencies.cancelled(status.id());
+            knownCancelled.accept(status.id());
         }
     }
 
@@ -164,10 +164,10 @@
     private void create(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
         String id = spec.id();
         boolean atOnce = spec.shape() != JobSpec.Shape.ARRAY;
-        int bytes = facts.store().valueBytes();
+        int bytes = settings.store().valueBytes();
         int narrow =
-                atOnce && !Job.recordableWhole(spec, facts.tasksPerPart(), bytes)
-                        ? facts.tasksPerNarrowPart()
+                atOnce && !Job.recordableWhole(spec, settings.tasksPerPart(), bytes)
+                        ? settings.tasksPerNarrowPart()
                         : 0;
         Map<String, Object> record = new JobRecord(spec, timers.wallMs(), needs, narrow, 0).toMap();
         if (JsonSize.size(record) + OVER_BYTES > bytes) {
@@ -186,16 +186,17 @@
         // anything else.
         JobStatus doomed =
                 dependencies.anyCancelled(needs) ? new JobStatus(id, "cancelled", 0, 0) : null;
-        Transaction t = new Transaction().when(StoreKeys.OPEN + id, 0).when(StoreKeys.OVER + id, 0);
+        Transaction transaction =
+                new Transaction().when(StoreKeys.OPEN + id, 0).when(StoreKeys.OVER + id, 0);
         if (doomed == null) {
-            t.put(StoreKeys.OPEN + id, record);
+            transaction.put(StoreKeys.OPEN + id, record);
         } else {
-            t.put(StoreKeys.OVER + id, cancelled(id, record));
+            transaction.put(StoreKeys.OVER + id, cancelled(id, record));
         }
         store.commit(
-                t,
-                c -> {
-                    switch (c.outcome()) {
+                transaction,
+                result -> {
+                    switch (result.outcome()) {
                         case OK -> {
                             if (doomed != null) {
                                 ended(doomed);
@@ -234,13 +235,15 @@
      * that a job is over goes out to users at once, and that it was accepted when the store says
      * so.
      */
-    private Answer newest(String id, Answer a) {
+    private Answer newest(String id, Answer answer) {
         JobStatus known = over.getIfPresent(id);
         if (known != null) {
             return new Answer(
-                    a.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN, known);
+                    answer.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN, known);
         }
-        return a.verdict() == Verdict.NOT_FOUND && questions.heardOf(id) ? Answer.LATER : a;
+        return answer.verdict() == Verdict.NOT_FOUND && questions.heardOf(id)
+                ? Answer.LATER
+                : answer;
     }
 
     private void readOver(String id, Consumer<Answer> answer) {
@@ -248,10 +251,15 @@
                 StoreKeys.OVER + id,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
-                        DocumentReader t = DocumentReader.of(entry.value());
-                        JobStatus s = new JobStatus(id, t.text("status"), (int) t.count("done"), 0);
-                        ended(s);
-                        answer.accept(new Answer(Verdict.KNOWN, s));
+                        DocumentReader document = DocumentReader.of(entry.value());
+                        JobStatus status =
+                                new JobStatus(
+                                        id,
+                                        document.text("status"),
+                                        (int) document.count("done"),
+                                        0);
+                        ended(status);
+                        answer.accept(new Answer(Verdict.KNOWN, status));
                     } else {
                         answer.accept(outcome == Outcome.NO ? Answer.NOT_FOUND : Answer.LATER);
                     }
@@ -294,16 +302,16 @@
                     }
                     store.commit(
                             move,
-                            c -> {
-                                if (c.outcome() == Outcome.OK) {
-                                    JobStatus s = new JobStatus(id, "cancelled", 0, 0);
-                                    ended(s);
-                                    onCancelled.accept(s);
-                                    answer.accept(new Answer(Verdict.KNOWN, s));
-                                } else if (c.outcome() == Outcome.NO
-                                        && c.failed().contains(StoreKeys.LENT + id)) {
+                            result -> {
+                                if (result.outcome() == Outcome.OK) {
+                                    JobStatus status = new JobStatus(id, "cancelled", 0, 0);
+                                    ended(status);
+                                    onCancelled.accept(status);
+                                    answer.accept(new Answer(Verdict.KNOWN, status));
+                                } else if (result.outcome() == Outcome.NO
+                                        && result.failed().contains(StoreKeys.LENT + id)) {
                                     callBack(id, open.revision(), answer);
-                                } else if (c.outcome() == Outcome.NO) {
+                                } else if (result.outcome() == Outcome.NO) {
                                     cancel(id, tries - 1, answer);
                                 } else {
                                     answer.accept(Answer.LATER);
@@ -316,7 +324,7 @@
         Map<String, Object> end =
                 Map.of("status", "cancelled", "done", 0L, "endedMs", timers.wallMs());
         try {
-            return JobRecord.of(id, open).overMap(end, facts.store().valueBytes());
+            return JobRecord.of(id, open).overMap(end, settings.store().valueBytes());
         } catch (InvalidInputException | IllegalArgumentException e) {
             // Of a later version, or not what it should be: kept as it is, and cancelled all the
             // same.
@@ -339,6 +347,6 @@
                         .when(StoreKeys.OPEN + id, openRevision)
                         .when(StoreKeys.LEAVE + id, 0)
                         .put(StoreKeys.LEAVE + id, Map.of()),
-                c -> answer.accept(Answer.LATER));
+                result -> answer.accept(Answer.LATER));
     }
 }
--- a/src/main/java/io/kitepath/core/service/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -21,9 +21,9 @@
     private int refused;
     private int before;
 
-    public RetryAfter(ClusterSettings facts, Timers timers) {
+    public RetryAfter(ClusterSettings settings, Timers timers) {
         this.timers = timers;
-        this.share = facts.store().rps() / (facts.siblings().size() + 1);
+        this.share = settings.store().rps() / (settings.siblings().size() + 1);
     }
 
     /** One more is told to come back; returns in how many seconds. */
--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -110,8 +110,10 @@
         return every > 0 ? Math.min(ranS(now), Math.min(every, job.spec.saveS())) : ranS(now);
     }
 
-    boolean is(Heartbeat.TaskStatus t) {
-        return task == t.task() && number == t.attempt() && job.spec.id().equals(t.job());
+    boolean is(Heartbeat.TaskStatus status) {
+        return task == status.task()
+                && number == status.attempt()
+                && job.spec.id().equals(status.job());
     }
 
     @Override
--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -35,17 +35,17 @@
     }
 
     /** The machine's first report has come. */
-    void took(Machine m, double now) {
-        double seconds = now - m.knownSince;
-        add(lately.computeIfAbsent(m.kind(), k -> new ArrayDeque<>()), seconds);
-        add(ofType.computeIfAbsent(m.type, k -> new ArrayDeque<>()), seconds);
-        MachineType t = types.get(m.type);
-        if (t != null && seconds > SPREAD * t.bootS()) {
+    void took(Machine machine, double now) {
+        double seconds = now - machine.knownSince;
+        add(lately.computeIfAbsent(machine.kind(), kind -> new ArrayDeque<>()), seconds);
+        add(ofType.computeIfAbsent(machine.type, key -> new ArrayDeque<>()), seconds);
+        MachineType type = types.get(machine.type);
+        if (type != null && seconds > SPREAD * type.bootS()) {
             LOG.info(
                     "machine {} came up late, after {} s instead of {} s",
-                    m.id,
+                    machine.id,
                     Math.round(seconds),
-                    t.bootS());
+                    type.bootS());
         }
     }
 
@@ -61,8 +61,8 @@
      * nothing for the next.
      */
     public double expectedS(MachineKind kind) {
-        MachineType t = types.get(kind.type());
-        double nominal = t == null ? 0 : t.bootS();
+        MachineType type = types.get(kind.type());
+        double nominal = type == null ? 0 : type.bootS();
         Deque<Double> of = lately.get(kind);
         if (of == null || of.size() < LAST / 2) {
             of = ofType.get(kind.type());
@@ -75,19 +75,19 @@
     }
 
     /** Longer under way than boots take these days: no room to count on. */
-    public boolean late(Machine m, double now) {
-        return overdue(m, now, SPREAD);
+    public boolean late(Machine machine, double now) {
+        return overdue(machine, now, SPREAD);
     }
 
     /**
      * So long under way that it is not worth its price any more; some take several times as long as
      * others.
      */
-    public boolean hopeless(Machine m, double now) {
-        return overdue(m, now, 4);
+    public boolean hopeless(Machine machine, double now) {
+        return overdue(machine, now, 4);
     }
 
-    private boolean overdue(Machine m, double now, double times) {
-        return !m.reported() && now - m.knownSince > times * expectedS(m.kind());
+    private boolean overdue(Machine machine, double now, double times) {
+        return !machine.reported() && now - machine.knownSince > times * expectedS(machine.kind());
     }
 }
--- a/src/main/java/io/kitepath/core/shard/DirtyParts.java
+++ b/src/main/java/io/kitepath/core/shard/DirtyParts.java
@@ -14,12 +14,12 @@
         changes.clear();
     }
 
-    void placed(Job.Part p) {
-        placings.add(p);
+    void placed(Job.Part part) {
+        placings.add(part);
     }
 
-    void changed(Job.Part p) {
-        changes.add(p);
+    void changed(Job.Part part) {
+        changes.add(part);
     }
 
     /** Parts with placings that their records lack; nothing of those may start before. */
@@ -33,17 +33,17 @@
     }
 
     /** The part is being written. */
-    public void taken(Job.Part p) {
-        placings.remove(p);
-        changes.remove(p);
+    public void taken(Job.Part part) {
+        placings.remove(part);
+        changes.remove(part);
     }
 
     /** Has the part written if it differs from its record. */
-    public void queue(Job.Part p) {
-        if (p.placingDue()) {
-            placings.add(p);
-        } else if (p.due()) {
-            changes.add(p);
+    public void queue(Job.Part part) {
+        if (part.placingDue()) {
+            placings.add(part);
+        } else if (part.due()) {
+            changes.add(part);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -22,17 +22,17 @@
     /** After that many failed starts since its last success a machine is set aside. */
     private static final int BLAME = 2;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Map<String, Machine> machines;
 
-    FailureDiagnosis(ClusterSettings facts, Map<String, Machine> machines) {
-        this.facts = facts;
+    FailureDiagnosis(ClusterSettings settings, Map<String, Machine> machines) {
+        this.settings = settings;
         this.machines = machines;
     }
 
-    void succeeded(Attempt a) {
-        Job job = a.job;
-        a.machine.failed.clear();
+    void succeeded(Attempt attempt) {
+        Job job = attempt.job;
+        attempt.machine.failed.clear();
         job.triesFailed = 0;
         if (job.successes++ == 0) {
             job.notBefore = 0;
@@ -42,9 +42,9 @@
 
     private void failedOn(Job job, Consumer<Machine> then) {
         for (String id : job.failedOn) {
-            Machine m = machines.get(id);
-            if (m != null) {
-                then.accept(m);
+            Machine machine = machines.get(id);
+            if (machine != null) {
+                then.accept(machine);
             }
         }
     }
@@ -56,35 +56,35 @@
     void acquit(Job job) {
         failedOn(
                 job,
-                m -> {
-                    m.failed.remove(job);
-                    judge(m);
+                machine -> {
+                    machine.failed.remove(job);
+                    judge(machine);
                 });
     }
 
-    void failed(Attempt a, double now) {
-        Job job = a.job;
-        Machine m = a.machine;
-        LOG.info("attempt {} failed", a);
+    void failed(Attempt attempt, double now) {
+        Job job = attempt.job;
+        Machine machine = attempt.machine;
+        LOG.info("attempt {} failed", attempt);
         job.failures++;
-        job.failedOn.add(m.id);
-        if (!Double.isNaN(a.runningSince)) {
-            job.failedWithinS = Math.max(job.failedWithinS, now - a.runningSince);
+        job.failedOn.add(machine.id);
+        if (!Double.isNaN(attempt.runningSince)) {
+            job.failedWithinS = Math.max(job.failedWithinS, now - attempt.runningSince);
         }
-        m.failed.merge(job, 1, Integer::sum);
+        machine.failed.merge(job, 1, Integer::sum);
         if (!mistaken(job, now)) {
-            judge(m);
+            judge(machine);
             return;
         }
         acquit(job);
         // The tasks of an array that were placed together count as one try.
-        if (job.triesFailed == 0 || a.number > job.lastFailed) {
-            job.lastFailed = Math.max(job.lastFailed, a.number);
+        if (job.triesFailed == 0 || attempt.number > job.lastFailed) {
+            job.lastFailed = Math.max(job.lastFailed, attempt.number);
             job.triesFailed++;
             double pause =
                     Math.min(
-                            facts.workers().reportS() * (1 << Math.min(8, job.triesFailed)),
-                            6 * facts.workers().leaseS());
+                            settings.workers().reportS() * (1 << Math.min(8, job.triesFailed)),
+                            6 * settings.workers().leaseS());
             job.notBefore = now + pause;
             LOG.info(
                     "job {} fails everywhere, {} times so far: tried again in {} s",
@@ -102,12 +102,12 @@
         if (job.successes > 0 || job.failedOn.size() < MACHINES) {
             return false;
         }
-        double proof = 2 * (job.failedWithinS + facts.workers().reportS());
+        double proof = 2 * (job.failedWithinS + settings.workers().reportS());
         return job.live.values().stream()
                 .noneMatch(
-                        a ->
-                                a.state == Heartbeat.TaskState.RUNNING
-                                        && now - a.runningSince > proof);
+                        attempt ->
+                                attempt.state == Heartbeat.TaskState.RUNNING
+                                        && now - attempt.runningSince > proof);
     }
 
     /**
@@ -115,15 +115,15 @@
      * only one counts. Guards against a mistaken job, all of whose tasks fail on the first machines
      * it comes to, costing those machines.
      */
-    private void judge(Machine m) {
+    private void judge(Machine machine) {
         int blame = 0;
-        for (Map.Entry<Job, Integer> e : m.failed.entrySet()) {
+        for (Map.Entry<Job, Integer> e : machine.failed.entrySet()) {
             blame += e.getKey().successes > 0 ? e.getValue() : 1;
         }
         boolean bad = blame >= BLAME;
-        if (bad && !m.setAside) {
-            LOG.info("machine {} set aside: starts fail on it", m.id);
+        if (bad && !machine.setAside) {
+            LOG.info("machine {} set aside: starts fail on it", machine.id);
         }
-        m.setAside = bad || m.setAside && m.releasing;
+        machine.setAside = bad || machine.setAside && machine.releasing;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -30,12 +30,12 @@
     /** Reports in a row that don't show a task which the answers before them launched. */
     private static final int MOST_MISSED = 3;
 
-    private final ShardState block;
+    private final ShardState shard;
     private long launches;
     private double launchDelayS;
 
-    public HeartbeatProcessor(ShardState block) {
-        this.block = block;
+    public HeartbeatProcessor(ShardState shard) {
+        this.shard = shard;
     }
 
     /**
@@ -56,59 +56,59 @@
      * ours, or no longer; {@link #commands} has the rest.
      */
     public List<WorkerCommand> heartbeat(
-            Heartbeat r, boolean loaded, Predicate<String> mayRun, double now) {
-        if (block.buried(r.machine())) {
+            Heartbeat heartbeat, boolean loaded, Predicate<String> mayRun, double now) {
+        if (shard.buried(heartbeat.machine())) {
             return List.of();
         }
-        Machine m = block.machine(r.machine(), now);
-        if (!r.newerThan(m.session, m.sequence)) {
+        Machine machine = shard.machine(heartbeat.machine(), now);
+        if (!heartbeat.newerThan(machine.session, machine.sequence)) {
             return List.of(); // Late: a newer report has been read already.
         }
-        m.heard(
-                r.session(),
-                loaded && r.token() == block.token(),
+        machine.heard(
+                heartbeat.session(),
+                loaded && heartbeat.token() == shard.token(),
                 now,
-                block.facts().workers().leaseS());
-        m.session = r.session();
-        m.sequence = r.sequence();
-        m.type = r.type();
-        m.zone = r.zone();
-        m.spot = r.spot();
-        m.address = r.address();
-        if (!m.reported()) {
-            m.idleSince = now;
-            if (m.rentedHere) {
-                block.boots().took(m, now);
+                shard.facts().workers().leaseS());
+        machine.session = heartbeat.session();
+        machine.sequence = heartbeat.sequence();
+        machine.type = heartbeat.type();
+        machine.zone = heartbeat.zone();
+        machine.spot = heartbeat.spot();
+        machine.address = heartbeat.address();
+        if (!machine.reported()) {
+            machine.idleSince = now;
+            if (machine.rentedHere) {
+                shard.boots().took(machine, now);
             }
         }
-        m.lastReport = now;
-        if (r.noticeS() != null) {
-            if (Double.isNaN(m.takenAt)) {
-                LOG.info("machine {} will be taken in {} s", m.id, r.noticeS());
+        machine.lastReport = now;
+        if (heartbeat.noticeS() != null) {
+            if (Double.isNaN(machine.takenAt)) {
+                LOG.info("machine {} will be taken in {} s", machine.id, heartbeat.noticeS());
             }
-            m.takenAt = now + r.noticeS();
+            machine.takenAt = now + heartbeat.noticeS();
         } else {
-            m.takenAt = Double.NaN;
+            machine.takenAt = Double.NaN;
         }
         // Guards against a report that was sent before the worker knew us: an earlier holder's
         // launch might still
         // have been on its way to it then. Only a report that carries our token proves what is not
         // on the machine.
-        if (!loaded || r.token() != block.token()) {
-            return stops(r, mayRun);
+        if (!loaded || heartbeat.token() != shard.token()) {
+            return stops(heartbeat, mayRun);
         }
-        boolean open = m.open();
-        if (!m.proven) {
+        boolean open = machine.open();
+        if (!machine.proven) {
             LOG.debug(
                     "machine {} reports with our token, session {}, {} tasks",
-                    m.id,
-                    r.session(),
-                    r.tasks().size());
+                    machine.id,
+                    heartbeat.session(),
+                    heartbeat.tasks().size());
         }
-        m.proven = true;
-        List<WorkerCommand> orders = reconcile(m, r, now);
-        if (open != m.open()) {
-            block.change();
+        machine.proven = true;
+        List<WorkerCommand> orders = reconcile(machine, heartbeat, now);
+        if (open != machine.open()) {
+            shard.change();
         }
         return orders;
     }
@@ -117,9 +117,9 @@
      * Whether it is newer than all that was read of its machine, so that the worker may wait for
      * what it is answered.
      */
-    public boolean news(Heartbeat r) {
-        Machine m = block.machines().get(r.machine());
-        return m == null || r.newerThan(m.session, m.sequence);
+    public boolean news(Heartbeat heartbeat) {
+        Machine machine = shard.machines().get(heartbeat.machine());
+        return machine == null || heartbeat.newerThan(machine.session, machine.sequence);
     }
 
     /**
@@ -127,10 +127,10 @@
      * from it. Guards against a holder that gives back its whole fleet as silent, once the store is
      * back, since it answered nobody.
      */
-    public void unanswered(Heartbeat r, double now) {
-        Machine m = block.machines().get(r.machine());
-        if (m != null && r.newerThan(m.session, m.sequence)) {
-            m.unanswered(now);
+    public void unanswered(Heartbeat heartbeat, double now) {
+        Machine machine = shard.machines().get(heartbeat.machine());
+        if (machine != null && heartbeat.newerThan(machine.session, machine.sequence)) {
+            machine.unanswered(now);
         }
     }
 
@@ -139,76 +139,76 @@
      * that keeps the lease of a cancelled job's task because the machine has not shown our token
      * yet.
      */
-    private static List<WorkerCommand> stops(Heartbeat r, Predicate<String> mayRun) {
-        return r.tasks().stream()
-                .filter(t -> t.state() != TaskState.ENDED && !mayRun.test(t.job()))
+    private static List<WorkerCommand> stops(Heartbeat heartbeat, Predicate<String> mayRun) {
+        return heartbeat.tasks().stream()
+                .filter(status -> status.state() != TaskState.ENDED && !mayRun.test(status.job()))
                 .limit(MAX_ORDERS)
                 .map(
-                        t ->
+                        status ->
                                 new WorkerCommand(
                                         WorkerCommand.Action.STOP,
-                                        t.job(),
-                                        t.task(),
-                                        t.attempt(),
+                                        status.job(),
+                                        status.task(),
+                                        status.attempt(),
                                         0))
                 .toList();
     }
 
-    private List<WorkerCommand> reconcile(Machine m, Heartbeat r, double now) {
+    private List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, double now) {
         List<WorkerCommand> orders = new ArrayList<>();
         List<TaskStatus> strays = new ArrayList<>();
-        int before = m.attempts.size();
-        int reading = ++m.readings;
-        for (TaskStatus t : r.tasks()) {
-            Job job = block.jobs().get(t.job());
-            Attempt a = job == null ? null : job.live.get(t.task());
-            if (a != null && a.machine == m && a.number == t.attempt()) {
+        int before = machine.attempts.size();
+        int reading = ++machine.readings;
+        for (TaskStatus status : heartbeat.tasks()) {
+            Job job = shard.jobs().get(status.job());
+            Attempt a = job == null ? null : job.live.get(status.task());
+            if (a != null && a.machine == machine && a.number == status.attempt()) {
                 a.reading = reading;
-                present(a, t, now);
-            } else if (m.unwritten.stream().noneMatch(u -> u.is(t))) {
-                strays.add(t);
+                present(a, status, now);
+            } else if (machine.unwritten.stream().noneMatch(u -> u.is(status))) {
+                strays.add(status);
             }
         }
-        for (Attempt a : new ArrayList<>(m.attempts)) {
+        for (Attempt a : new ArrayList<>(machine.attempts)) {
             if (a.reading != reading && !a.ended) {
                 absent(a, now);
             }
         }
-        m.endedLately = before > m.attempts.size();
-        m.strangers = 0;
-        for (TaskStatus t : strays) {
-            stray(m, t, orders, now);
+        machine.endedLately = before > machine.attempts.size();
+        machine.strangers = 0;
+        for (TaskStatus status : strays) {
+            stray(machine, status, orders, now);
         }
         return orders;
     }
 
-    private void present(Attempt a, TaskStatus t, double now) {
-        if (!a.seen) {
-            a.seen = true;
-            a.machine.unconfirmed--;
-            a.machine.showsStart();
+    private void present(Attempt attempt, TaskStatus status, double now) {
+        if (!attempt.seen) {
+            attempt.seen = true;
+            attempt.machine.unconfirmed--;
+            attempt.machine.showsStart();
         }
-        a.launched = true;
-        if (t.state() != a.state) {
-            a.state = t.state();
-            a.machine.progressed();
-            if (t.state() == TaskState.WAITING) {
-                block.hasImage(a);
-            } else if (t.state() == TaskState.RUNNING) {
-                a.runningSince = now;
-                a.job.ran.add(now);
-                if (a.placedVersion > 0) {
-                    block.leads().took(a.job.spec.jobClass(), now - a.placedAt);
+        attempt.launched = true;
+        if (status.state() != attempt.state) {
+            attempt.state = status.state();
+            attempt.machine.progressed();
+            if (status.state() == TaskState.WAITING) {
+                shard.hasImage(attempt);
+            } else if (status.state() == TaskState.RUNNING) {
+                attempt.runningSince = now;
+                attempt.job.ran.add(now);
+                if (attempt.placedVersion > 0) {
+                    shard.leads().took(attempt.job.spec.jobClass(), now - attempt.placedAt);
                 }
                 LOG.debug(
                         "attempt {} runs, {} s after it was placed",
-                        a,
-                        Math.round(now - a.placedAt));
-                block.hasImage(a);
+                        attempt,
+                        Math.round(now - attempt.placedAt));
+                shard.hasImage(attempt);
             }
         }
-        if (t.state() == TaskState.ENDED) {
-            block.end(a, t.cause(), now);
+        if (status.state() == TaskState.ENDED) {
+            shard.end(attempt, status.cause(), now);
         }
     }
 
@@ -216,9 +216,9 @@
     private void absent(Attempt a, double now) {
         if (a.seen) {
             LOG.info("attempt {} lost with its session", a);
-            block.lose(a, now);
+            shard.lose(a, now);
         } else if (a.durable && (a.unwanted() || a.machine.releasing)) {
-            block.end(a, EndCause.STOPPED, now);
+            shard.end(a, EndCause.STOPPED, now);
         } else if (a.launched
                 && a.job.spec.gang()
                 && a.job.live.values().stream()
@@ -226,7 +226,7 @@
                                 x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING)) {
             // A gang that ran without this task has lost it; starting it again would not bring the
             // others back.
-            block.end(a, EndCause.PEERS, now);
+            shard.end(a, EndCause.PEERS, now);
         }
         // Otherwise it was never executed, and this very answer launches it (again).
         boolean ordered = a.ordered;
@@ -240,32 +240,42 @@
             // hears nothing.
             LOG.warn("machine {} reports and does not start what it is told to", a.machine.id);
             a.machine.deaf(now);
-            block.end(a, EndCause.STOPPED, now);
+            shard.end(a, EndCause.STOPPED, now);
         }
     }
 
     /** The worker has a task that we have not placed there. */
-    private void stray(Machine m, TaskStatus t, List<WorkerCommand> orders, double now) {
-        if (t.state() == TaskState.ENDED) {
+    private void stray(Machine machine, TaskStatus status, List<WorkerCommand> orders, double now) {
+        if (status.state() == TaskState.ENDED) {
             orders.add(
                     new WorkerCommand(
-                            WorkerCommand.Action.FORGET, t.job(), t.task(), t.attempt(), 0));
+                            WorkerCommand.Action.FORGET,
+                            status.job(),
+                            status.task(),
+                            status.attempt(),
+                            0));
             return;
         }
-        Job job = block.jobs().get(t.job());
+        Job job = shard.jobs().get(status.job());
         if (job != null
-                && t.task() >= 0
-                && t.task() < job.spec.tasks()
-                && !job.live.containsKey(t.task())
-                && !job.done.get(t.task())
-                && job.placeable(t.task())) {
+                && status.task() >= 0
+                && status.task() < job.spec.tasks()
+                && !job.live.containsKey(status.task())
+                && !job.done.get(status.task())
+                && job.placeable(status.task())) {
             // Should not be: counted in and written down before it is stopped, so the task can't
             // run elsewhere.
-            block.strayed(job, t.task(), t.attempt(), t.state(), m, now);
+            shard.strayed(job, status.task(), status.attempt(), status.state(), machine, now);
             return;
         }
-        m.strangers++;
-        orders.add(new WorkerCommand(WorkerCommand.Action.STOP, t.job(), t.task(), t.attempt(), 0));
+        machine.strangers++;
+        orders.add(
+                new WorkerCommand(
+                        WorkerCommand.Action.STOP,
+                        status.job(),
+                        status.task(),
+                        status.attempt(),
+                        0));
     }
 
     /**
@@ -273,29 +283,33 @@
      * report.
      */
     public List<WorkerCommand> commands(String machine, boolean mayStart, double now) {
-        Machine m = block.machines().get(machine);
+        Machine m = shard.machines().get(machine);
         List<WorkerCommand> orders = new ArrayList<>();
         if (m == null || !m.proven) {
             return orders;
         }
-        for (Attempt a : m.attempts) {
+        for (Attempt attempt : m.attempts) {
             if (orders.size() >= MAX_ORDERS) {
                 break;
             }
-            if (toStop(a)) {
-                orders.add(stopOrder(a));
-            } else if (mayStart && !m.releasing && toStart(a)) {
+            if (toStop(attempt)) {
+                orders.add(stopOrder(attempt));
+            } else if (mayStart && !m.releasing && toStart(attempt)) {
                 // Not on a machine that goes: one that was silent may be heard again just when it
                 // is given back.
-                if (!a.launched) {
+                if (!attempt.launched) {
                     launches++;
-                    launchDelayS += now - a.placedAt;
+                    launchDelayS += now - attempt.placedAt;
                 }
-                a.launched = true;
-                a.ordered = true;
+                attempt.launched = true;
+                attempt.ordered = true;
                 orders.add(
                         new WorkerCommand(
-                                WorkerCommand.Action.START, a.job.spec.id(), a.task, a.number, 0));
+                                WorkerCommand.Action.START,
+                                attempt.job.spec.id(),
+                                attempt.task,
+                                attempt.number,
+                                0));
             }
         }
         return orders;
@@ -308,71 +322,74 @@
      */
     public Map<Machine, List<WorkerCommand>> stops(int most, double now) {
         Map<Machine, List<WorkerCommand>> out = new LinkedHashMap<>();
-        for (Job job : block.jobs().values()) {
+        for (Job job : shard.jobs().values()) {
             if (!job.over && job.stopping == 0) {
                 continue;
             }
-            for (Attempt a : job.live.values()) {
-                Machine m = a.machine;
-                if (toStop(a)
-                        && !a.stopSent
+            for (Attempt attempt : job.live.values()) {
+                Machine m = attempt.machine;
+                if (toStop(attempt)
+                        && !attempt.stopSent
                         && m.proven
                         && !m.commanded
                         && !m.releasing
                         && !m.address.isEmpty()
-                        && now - m.lastReport < 2 * block.facts().workers().reportS()
+                        && now - m.lastReport < 2 * shard.facts().workers().reportS()
                         && (out.size() < most || out.containsKey(m))) {
-                    a.stopSent = true;
-                    out.computeIfAbsent(m, k -> new ArrayList<>()).add(stopOrder(a));
+                    attempt.stopSent = true;
+                    out.computeIfAbsent(m, k -> new ArrayList<>()).add(stopOrder(attempt));
                 }
             }
         }
         return out;
     }
 
-    private static WorkerCommand stopOrder(Attempt a) {
+    private static WorkerCommand stopOrder(Attempt attempt) {
         return new WorkerCommand(
                 WorkerCommand.Action.STOP,
-                a.job.spec.id(),
-                a.task,
-                a.number,
-                a.job.over ? 0 : a.stopGraceS);
+                attempt.job.spec.id(),
+                attempt.task,
+                attempt.number,
+                attempt.job.over ? 0 : attempt.stopGraceS);
     }
 
     /**
      * A worker's report in answer to direct commands. It proves what ended, but not what is absent:
      * a launch in the answer to a check-in may still be on its way to the worker.
      */
-    public void answered(Machine m, Heartbeat r, double now) {
-        if (m.gone
-                || !m.proven
-                || r.session() != m.session
-                || r.sequence() <= m.sequence
-                || r.token() != block.token()) {
+    public void answered(Machine machine, Heartbeat heartbeat, double now) {
+        if (machine.gone
+                || !machine.proven
+                || heartbeat.session() != machine.session
+                || heartbeat.sequence() <= machine.sequence
+                || heartbeat.token() != shard.token()) {
             return;
         }
-        m.sequence = r.sequence();
-        for (TaskStatus t : r.tasks()) {
-            Job job = block.jobs().get(t.job());
-            Attempt a = job == null ? null : job.live.get(t.task());
-            if (a != null && a.machine == m && a.number == t.attempt()) {
-                present(a, t, now);
+        machine.sequence = heartbeat.sequence();
+        for (TaskStatus status : heartbeat.tasks()) {
+            Job job = shard.jobs().get(status.job());
+            Attempt attempt = job == null ? null : job.live.get(status.task());
+            if (attempt != null
+                    && attempt.machine == machine
+                    && attempt.number == status.attempt()) {
+                present(attempt, status, now);
             }
         }
     }
 
     /** Whether something is to be started or stopped on the machine. */
     public boolean hasCommands(String machine) {
-        Machine m = block.machines().get(machine);
-        return m != null && m.attempts.stream().anyMatch(a -> toStop(a) || toStart(a));
+        Machine m = shard.machines().get(machine);
+        return m != null
+                && m.attempts.stream().anyMatch(attempt -> toStop(attempt) || toStart(attempt));
     }
 
-    private static boolean toStop(Attempt a) {
-        return a.unwanted() && a.seen;
+    private static boolean toStop(Attempt attempt) {
+        return attempt.unwanted() && attempt.seen;
     }
 
-    private static boolean toStart(Attempt a) {
-        return !a.unwanted() && a.durable && !a.seen && startable(a);
+    private static boolean toStart(Attempt attempt) {
+        return !attempt.unwanted() && attempt.durable && !attempt.seen && startable(attempt);
     }
 
     /**
@@ -393,14 +410,14 @@
      * takes.
      */
     public double patience(String machine) {
-        Machine m = block.machines().get(machine);
+        Machine m = shard.machines().get(machine);
         if (m == null || !m.open()) {
             return 0;
         }
-        double report = block.facts().workers().reportS();
+        double report = shard.facts().workers().reportS();
         if (!m.busy()) {
             return Math.min(report, MAX_HOLD_S);
         }
-        return m.endedLately && block.backlog() ? report / 10 : 0;
+        return m.endedLately && shard.backlog() ? report / 10 : 0;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -85,18 +85,18 @@
         }
 
         /** An attempt of it is live (1), or no more (-1). */
-        private void count(Attempt a, int sign) {
-            int machines = on.merge(a.machine.id, sign, Integer::sum);
+        private void count(Attempt attempt, int sign) {
+            int machines = on.merge(attempt.machine.id, sign, Integer::sum);
             boolean first = sign > 0 ? machines == 1 : machines == 0;
             if (machines == 0) {
-                on.remove(a.machine.id);
+                on.remove(attempt.machine.id);
             }
             liveBytes +=
                     sign
-                            * (JsonSize.digits(a.task)
-                                    + JsonSize.digits(a.number)
+                            * (JsonSize.digits(attempt.task)
+                                    + JsonSize.digits(attempt.number)
                                     + 4
-                                    + (first ? a.machine.id.length() + 8 : 0));
+                                    + (first ? attempt.machine.id.length() + 8 : 0));
         }
 
         /** Its record holds everything up to that version of the job. */
@@ -288,19 +288,19 @@
      * @param partTasks how many tasks are in one part where the record does not say
      */
     public static Job of(
-            JobRecord r, ClusterSettings facts, String key, long revision, int partTasks) {
-        Job j =
+            JobRecord record, ClusterSettings settings, String key, long revision, int partTasks) {
+        Job job =
                 new Job(
-                        r.spec(),
-                        r.submittedMs(),
-                        facts.startWithinS(r.spec()),
+                        record.spec(),
+                        record.submittedMs(),
+                        settings.startWithinS(record.spec()),
                         key,
                         revision,
-                        r.partTasks() > 0 ? r.partTasks() : partTasks,
+                        record.partTasks() > 0 ? record.partTasks() : partTasks,
                         false);
-        j.record = r;
-        j.attemptsFrom(r.next());
-        return j;
+        job.record = record;
+        job.attemptsFrom(record.next());
+        return job;
     }
 
     /** What its record says, as of its acceptance or its last lay-out. */
@@ -326,10 +326,10 @@
             int partSize,
             int from,
             int until) {
-        Job j = new Job(spec, submittedMs, startWithinS, key, revision, partSize, true);
-        j.away.set(0, from);
-        j.away.set(until, spec.tasks());
-        return j;
+        Job job = new Job(spec, submittedMs, startWithinS, key, revision, partSize, true);
+        job.away.set(0, from);
+        job.away.set(until, spec.tasks());
+        return job;
     }
 
     public boolean over() {
@@ -350,31 +350,31 @@
     }
 
     /** From now on these tasks are not placed here. None of them may be done or on a machine. */
-    public void lend(TaskLoan l) {
+    public void lend(TaskLoan loan) {
         version++;
-        loans.add(l);
-        away.set(l.from, l.until);
+        loans.add(loan);
+        away.set(loan.from, loan.until);
     }
 
     /**
      * What the other cell's store says is over: its tasks are done, or ours to place again. It
      * stays on the record until {@link #forget}.
      */
-    public void close(TaskLoan l, BitSet doneOfIt) {
-        l.closed = true;
-        away.clear(l.from, l.until);
+    public void close(TaskLoan loan, BitSet doneOfIt) {
+        loan.closed = true;
+        away.clear(loan.from, loan.until);
         version++;
         for (int i = doneOfIt.nextSetBit(0);
-                i >= 0 && i < l.tasks();
+                i >= 0 && i < loan.tasks();
                 i = doneOfIt.nextSetBit(i + 1)) {
-            done.set(l.from + i);
-            parts[partOf(l.from + i)].touched();
+            done.set(loan.from + i);
+            parts[partOf(loan.from + i)].touched();
         }
     }
 
     /** The store has no record of it any more. */
-    public void forget(TaskLoan l) {
-        loans.remove(l);
+    public void forget(TaskLoan loan) {
+        loans.remove(loan);
     }
 
     /** Its record of loans is being written by whoever keeps them. */
@@ -531,25 +531,25 @@
     }
 
     /** The last job that it needed was done then. */
-    void ready(double atMs, ClusterSettings facts) {
+    void ready(double atMs, ClusterSettings settings) {
         sinceMs = Math.max(submittedMs, atMs);
-        aim(facts);
+        aim(settings);
     }
 
     /** What the jobs that need it ask of it; returns whether that is news. */
-    boolean serves(JobSpec.Priority highest, double[] endByMs, ClusterSettings facts) {
+    boolean serves(JobSpec.Priority highest, double[] endByMs, ClusterSettings settings) {
         if (highest == priority && Arrays.equals(endByMs, behindMs)) {
             return false;
         }
         priority = highest;
         behindMs = Arrays.equals(endByMs, NOBODY) ? NOBODY : endByMs;
-        aim(facts);
+        aim(settings);
         return true;
     }
 
-    private void aim(ClusterSettings facts) {
+    private void aim(ClusterSettings settings) {
         double[] own =
-                Arrays.stream(facts.startWithinS(spec, heldS()))
+                Arrays.stream(settings.startWithinS(spec, heldS()))
                         .map(g -> submittedMs + g * 1000)
                         .toArray();
         if (behindMs == NOBODY) {
@@ -560,8 +560,9 @@
         // goes.
         boolean expected =
                 spec.deadlineS() != null
-                        || facts.objectives().stream()
-                                .anyMatch(o -> o.jobClass().equals(spec.jobClass()));
+                        || settings.objectives().stream()
+                                .anyMatch(
+                                        objective -> objective.jobClass().equals(spec.jobClass()));
         double[] behind =
                 Arrays.stream(behindMs)
                         .map(ms -> ms - spec.estimateS() * 1000)
@@ -604,8 +605,8 @@
     }
 
     /** The same for a job that is not there yet. */
-    public static boolean recordableWhole(JobSpec s, int partTasks, int bytes) {
-        int at = Math.min(s.tasks(), partTasks);
+    public static boolean recordableWhole(JobSpec spec, int partTasks, int bytes) {
+        int at = Math.min(spec.tasks(), partTasks);
         return PART_BYTES + (partTasks + 7) / 8 * 4 / 3 + 4 + at * MOST_PER_ATTEMPT <= bytes;
     }
 
@@ -614,14 +615,14 @@
         return partSize <= tasks;
     }
 
-    void liveAdd(Attempt a) {
-        live.put(a.task, a);
-        parts[partOf(a.task)].count(a, 1);
+    void liveAdd(Attempt attempt) {
+        live.put(attempt.task, attempt);
+        parts[partOf(attempt.task)].count(attempt, 1);
     }
 
-    void liveRemove(Attempt a) {
-        if (live.remove(a.task, a)) {
-            parts[partOf(a.task)].count(a, -1);
+    void liveRemove(Attempt attempt) {
+        if (live.remove(attempt.task, attempt)) {
+            parts[partOf(attempt.task)].count(attempt, -1);
         }
     }
 
@@ -633,7 +634,7 @@
         record = anew;
         revision = atRevision;
         layOut(anew.partTasks());
-        live.values().forEach(a -> parts[partOf(a.task)].count(a, 1));
+        live.values().forEach(attempt -> parts[partOf(attempt.task)].count(attempt, 1));
     }
 
     /** Seconds on the steady clock before which nothing of it is placed. */
@@ -684,9 +685,9 @@
     /** The part that the task is in differs from its record now. */
     Part touch(int task) {
         version++;
-        Part p = parts[partOf(task)];
-        p.touched();
-        return p;
+        Part part = parts[partOf(task)];
+        part.touched();
+        return part;
     }
 
     Part touchPart(int index) {
@@ -696,16 +697,16 @@
     /** The same for all its parts. */
     void touchAll() {
         version++;
-        for (Part p : parts) {
-            p.touched();
+        for (Part part : parts) {
+            part.touched();
         }
     }
 
     /** The part that the task is in has a placing which its record lacks. */
     Part placing(int task) {
-        Part p = touch(task);
-        p.placed = version;
-        return p;
+        Part part = touch(task);
+        part.placed = version;
+        return part;
     }
 
     public boolean complete() {
@@ -721,7 +722,7 @@
             int running =
                     (int)
                             live.values().stream()
-                                    .filter(a -> a.state == Heartbeat.TaskState.RUNNING)
+                                    .filter(attempt -> attempt.state == Heartbeat.TaskState.RUNNING)
                                     .count();
             progress = new JobProgress(spec.id(), done.cardinality(), running, notes.of(this, now));
             progressAt = now;
@@ -751,13 +752,13 @@
     public boolean begun() {
         return ran.count > 0
                 || done.cardinality() > 0
-                || live.values().stream().anyMatch(a -> a.seen);
+                || live.values().stream().anyMatch(attempt -> attempt.seen);
     }
 
     /** Whether the store still has anything about its tasks. */
     public boolean recorded() {
-        for (Part p : parts) {
-            if (p.revision > 0) {
+        for (Part part : parts) {
+            if (part.revision > 0) {
                 return true;
             }
         }
@@ -804,13 +805,15 @@
         BitSet bits = done.get(from, Math.min(spec.tasks(), from + tasks));
         m.put("done", Base64.getEncoder().encodeToString(bits.toByteArray()));
         Map<String, List<Object>> on = new HashMap<>();
-        for (Attempt a : live.subMap(from, from + tasks).values()) {
-            List<Object> l = on.computeIfAbsent(a.machine.id, k -> new ArrayList<>());
-            l.add((long) a.task);
-            l.add(a.number);
+        for (Attempt attempt : live.subMap(from, from + tasks).values()) {
+            List<Object> l = on.computeIfAbsent(attempt.machine.id, key -> new ArrayList<>());
+            l.add((long) attempt.task);
+            l.add(attempt.number);
         }
         Map<String, Object> live = new LinkedHashMap<>();
-        on.keySet().stream().sorted(Comparator.naturalOrder()).forEach(k -> live.put(k, on.get(k)));
+        on.keySet().stream()
+                .sorted(Comparator.naturalOrder())
+                .forEach(key -> live.put(key, on.get(key)));
         m.put("live", live);
         if (!needs().isEmpty()) {
             m.put("ready", sinceMs);
@@ -825,9 +828,9 @@
         int done = 0;
         int placed = 0;
         for (Object record : records) {
-            DocumentReader t = DocumentReader.of(record);
-            done += doneBits(t).cardinality();
-            for (Object on : ((Map<?, ?>) t.raw("live")).values()) {
+            DocumentReader document = DocumentReader.of(record);
+            done += doneBits(document).cardinality();
+            for (Object on : ((Map<?, ?>) document.raw("live")).values()) {
                 placed += ((List<?>) on).size() / 2;
             }
         }
@@ -843,16 +846,16 @@
      * the machines.
      */
     Map<?, ?> readPart(int part, Object record, long partRevision) {
-        DocumentReader t = DocumentReader.of(record);
+        DocumentReader document = DocumentReader.of(record);
         parts[part].revision = partRevision;
-        nextAttempt = Math.max(nextAttempt, t.count("next"));
-        BitSet bits = doneBits(t);
+        nextAttempt = Math.max(nextAttempt, document.count("next"));
+        BitSet bits = doneBits(document);
         for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1)) {
             done.set(part * partSize + i);
         }
         // It was placed, so all that it needs is done.
         unmet.clear();
-        sinceMs = Math.max(sinceMs, t.numberOr("ready", 0, 0));
-        return t.raw("live") instanceof Map<?, ?> m ? m : Map.of();
+        sinceMs = Math.max(sinceMs, document.numberOr("ready", 0, 0));
+        return document.raw("live") instanceof Map<?, ?> m ? m : Map.of();
     }
 }
--- a/src/main/java/io/kitepath/core/shard/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -37,7 +37,7 @@
     /** How a job ended, and when as far as its record says. */
     private record End(boolean done, double atMs) {}
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Map<String, Job> jobs;
     private final ToDoubleFunction<JobSpec> leadS;
     private final Runnable changed;
@@ -66,11 +66,11 @@
      * @param changed runs when a job may start
      */
     JobDependencies(
-            ClusterSettings facts,
+            ClusterSettings settings,
             Map<String, Job> jobs,
             ToDoubleFunction<JobSpec> leadS,
             Runnable changed) {
-        this.facts = facts;
+        this.settings = settings;
         this.jobs = jobs;
         this.leadS = leadS;
         this.changed = changed;
@@ -93,12 +93,12 @@
             End e = ends.get(need);
             if (e == null) {
                 job.unmet.add(need);
-                waiting.computeIfAbsent(need, k -> new LinkedHashSet<>()).add(job);
+                waiting.computeIfAbsent(need, key -> new LinkedHashSet<>()).add(job);
                 if (!open(need)) {
                     unknown.add(need);
                 }
             } else if (e.done) {
-                job.ready(Math.max(job.sinceMs(), e.atMs), facts);
+                job.ready(Math.max(job.sinceMs(), e.atMs), settings);
             } else {
                 doom(job);
             }
@@ -148,7 +148,7 @@
             if (!done) {
                 doom(job);
             } else if (job.unmet.remove(id)) {
-                job.ready(Math.max(job.sinceMs(), atMs), facts);
+                job.ready(Math.max(job.sinceMs(), atMs), settings);
                 if (job.unmet.isEmpty() && !job.doomed) {
                     changed.run();
                 }
@@ -157,8 +157,8 @@
     }
 
     private boolean open(String id) {
-        Job j = jobs.get(id);
-        return j != null && !j.over;
+        Job job = jobs.get(id);
+        return job != null && !job.over;
     }
 
     private void forget(String need, Job job) {
@@ -203,7 +203,7 @@
     }
 
     private static int rankOf(Collection<Job> who) {
-        return who.stream().mapToInt(j -> j.priority().ordinal()).min().orElse(0);
+        return who.stream().mapToInt(job -> job.priority().ordinal()).min().orElse(0);
     }
 
     /** Jobs to be cancelled because one before them is. */
@@ -218,7 +218,7 @@
 
     /** How many jobs wait for others. */
     public long held() {
-        return jobs.values().stream().filter(j -> !j.over && j.held()).count();
+        return jobs.values().stream().filter(job -> !job.over && job.held()).count();
     }
 
     // ---- what those behind ask of those before --------------------------------------------------
@@ -238,7 +238,7 @@
                 endByMs[0] = Math.min(endByMs[0], start[0]);
                 endByMs[1] = Math.min(endByMs[1], start[1]);
             }
-            if (job.serves(highest, endByMs, facts)) {
+            if (job.serves(highest, endByMs, settings)) {
                 from.addAll(before(job));
             }
         }
@@ -250,7 +250,7 @@
      */
     private double[] startByMs(Job job) {
         double[] own =
-                Arrays.stream(facts.deadlinesS(job.spec))
+                Arrays.stream(settings.deadlinesS(job.spec))
                         .map(s -> job.submittedMs + 1000 * s)
                         .toArray();
         double[] behind = job.behindMs();
@@ -259,8 +259,8 @@
         // Between the end before it and its start: the end is reported and written, its placing
         // written and fetched.
         double gapS =
-                Math.max(leadS.applyAsDouble(job.spec), facts.workers().reportS())
-                        + facts.workers().reportS();
+                Math.max(leadS.applyAsDouble(job.spec), settings.workers().reportS())
+                        + settings.workers().reportS();
         double ms = 1000 * (job.spec.estimateS() + gapS);
         return new double[] {first - ms, last - ms};
     }
--- a/src/main/java/io/kitepath/core/shard/JobSizes.java
+++ b/src/main/java/io/kitepath/core/shard/JobSizes.java
@@ -32,13 +32,13 @@
     private final Cache<String, SizeClass> classes =
             Caffeine.newBuilder().maximumSize(MOST).build();
 
-    private static double size(JobSpec s) {
-        return s.tasks() * s.cpus();
+    private static double size(JobSpec spec) {
+        return spec.tasks() * spec.cpus();
     }
 
-    void came(JobSpec s) {
-        SizeClass c = classes.get(s.jobClass(), k -> new SizeClass());
-        c.lately.addLast(size(s));
+    void came(JobSpec spec) {
+        SizeClass c = classes.get(spec.jobClass(), key -> new SizeClass());
+        c.lately.addLast(size(spec));
         if (c.lately.size() > LATELY) {
             c.lately.removeFirst();
         }
@@ -51,8 +51,8 @@
         c.from = sorted[sorted.length / 2] < at ? at : Math.nextUp(at);
     }
 
-    boolean largest(JobSpec s) {
-        SizeClass c = classes.getIfPresent(s.jobClass());
-        return c != null && size(s) >= c.from;
+    boolean largest(JobSpec spec) {
+        SizeClass c = classes.getIfPresent(spec.jobClass());
+        return c != null && size(spec) >= c.from;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -422,10 +422,10 @@
                 && strangers == 0;
     }
 
-    public boolean fits(JobSpec s, MachineType t) {
-        return usedCpus + s.cpus() <= t.cpus() + 1e-6
-                && usedGpus + s.gpus() <= t.gpus() + 1e-6
-                && usedMemory + s.memoryGb() <= t.memoryGb() + 1e-6;
+    public boolean fits(JobSpec spec, MachineType type) {
+        return usedCpus + spec.cpus() <= type.cpus() + 1e-6
+                && usedGpus + spec.gpus() <= type.gpus() + 1e-6
+                && usedMemory + spec.memoryGb() <= type.memoryGb() + 1e-6;
     }
 
     /**
@@ -454,9 +454,9 @@
     private Set<String> fetched() {
         if (fetched == null) {
             fetched = new HashSet<>();
-            for (Attempt a : attempts) {
-                if (a.fetching() && !has(a.job.spec.image())) {
-                    fetched.add(a.job.spec.image());
+            for (Attempt attempt : attempts) {
+                if (attempt.fetching() && !has(attempt.job.spec.image())) {
+                    fetched.add(attempt.job.spec.image());
                 }
             }
         }
@@ -492,20 +492,20 @@
         }
     }
 
-    void add(Attempt a) {
-        attempts.add(a);
+    void add(Attempt attempt) {
+        attempts.add(attempt);
         fetched = null;
-        count(a.job.spec, 1);
-        unconfirmed += a.seen ? 0 : 1;
+        count(attempt.job.spec, 1);
+        unconfirmed += attempt.seen ? 0 : 1;
     }
 
-    void remove(Attempt a) {
-        if (!attempts.remove(a)) {
+    void remove(Attempt attempt) {
+        if (!attempts.remove(attempt)) {
             return;
         }
         fetched = null;
-        count(a.job.spec, -1);
-        unconfirmed -= a.seen ? 0 : 1;
+        count(attempt.job.spec, -1);
+        unconfirmed -= attempt.seen ? 0 : 1;
         if (attempts.isEmpty()) {
             clear();
         }
@@ -531,18 +531,18 @@
         clear();
     }
 
-    private void count(JobSpec s, int sign) {
-        usedCpus += sign * s.cpus();
-        usedGpus += sign * s.gpus();
-        usedMemory += sign * s.memoryGb();
-        if (!s.spot()) {
-            boundCpus += sign * s.cpus();
+    private void count(JobSpec spec, int sign) {
+        usedCpus += sign * spec.cpus();
+        usedGpus += sign * spec.gpus();
+        usedMemory += sign * spec.memoryGb();
+        if (!spec.spot()) {
+            boundCpus += sign * spec.cpus();
         }
     }
 
     /** Counts a task that is about to be placed here (1), or is not after all (-1). */
-    public void expect(JobSpec s, int sign) {
-        count(s, sign);
+    public void expect(JobSpec spec, int sign) {
+        count(spec, sign);
         unconfirmed += sign;
     }
 
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -11,17 +11,17 @@
     /** Of the jobs that one waits for, those that are named. */
     private static final int MOST_NAMED = 5;
 
-    private final ShardState block;
+    private final ShardState shard;
 
-    PendingReasons(ShardState block) {
-        this.block = block;
+    PendingReasons(ShardState shard) {
+        this.shard = shard;
     }
 
     String of(Job job, double now) {
         if (job.over) {
             return null;
         }
-        if (block.failures().mistaken(job, now)) {
+        if (shard.failures().mistaken(job, now)) {
             return "fails on every machine it was tried on, "
                     + job.failures
                     + " times so far"
@@ -43,30 +43,30 @@
         if (waiting == 0) {
             return lent != null ? lent : fetching(job);
         }
-        JobSpec s = job.spec;
+        JobSpec spec = job.spec;
         String tasks = waiting == 1 ? "1 task waits" : waiting + " tasks wait";
-        if (block.teamUse().left(s) < (s.gang() ? s.tasks() : 1)) {
+        if (shard.teamUse().left(spec) < (spec.gang() ? spec.tasks() : 1)) {
             return tasks
                     + ": team "
-                    + s.team()
+                    + spec.team()
                     + " is at its limit"
-                    + block.teamUse().share(s.team());
+                    + shard.teamUse().share(spec.team());
         }
-        if (s.gang() && !job.live.isEmpty()) {
+        if (spec.gang() && !job.live.isEmpty()) {
             return tasks + " for the rest of the last attempt to end";
         }
         int starting = 0;
         int unheard = 0;
-        for (Machine m : block.machines().values()) {
-            starting += m.reported() || !m.attempts.isEmpty() ? 0 : 1;
-            unheard += m.reported() && !m.proven ? 1 : 0;
+        for (Machine machine : shard.machines().values()) {
+            starting += machine.reported() || !machine.attempts.isEmpty() ? 0 : 1;
+            unheard += machine.reported() && !machine.proven ? 1 : 0;
         }
         String note =
                 tasks
                         + " for room of "
-                        + s.cpus()
+                        + spec.cpus()
                         + " CPUs"
-                        + (s.gang() ? " each, all at once" : " each");
+                        + (spec.gang() ? " each, all at once" : " each");
         if (starting > 0) {
             note += "; machines starting: " + starting;
         }
@@ -84,23 +84,26 @@
     }
 
     private static String lent(Job job, double now) {
-        StringBuilder b = new StringBuilder();
-        for (TaskLoan l : job.loans()) {
-            if (!l.closed) {
-                b.append(b.isEmpty() ? "" : "; ")
-                        .append(l.tasks() == 1 ? "1 task" : l.tasks() + " tasks")
-                        .append(l.taken ? " handed to cell " : " offered to cell ")
-                        .append(l.to)
+        StringBuilder text = new StringBuilder();
+        for (TaskLoan loan : job.loans()) {
+            if (!loan.closed) {
+                text.append(text.isEmpty() ? "" : "; ")
+                        .append(loan.tasks() == 1 ? "1 task" : loan.tasks() + " tasks")
+                        .append(loan.taken ? " handed to cell " : " offered to cell ")
+                        .append(loan.to)
                         .append(' ')
-                        .append(seconds(now - l.since))
+                        .append(seconds(now - loan.since))
                         .append(" ago");
             }
         }
-        return b.isEmpty() ? null : b.toString();
+        return text.isEmpty() ? null : text.toString();
     }
 
     private static String fetching(Job job) {
-        long n = job.live.values().stream().filter(a -> a.state == TaskState.FETCHING).count();
+        long n =
+                job.live.values().stream()
+                        .filter(attempt -> attempt.state == TaskState.FETCHING)
+                        .count();
         return n == 0
                 ? null
                 : (n == 1 ? "1 task fetches" : n + " tasks fetch")
--- a/src/main/java/io/kitepath/core/shard/QuotaUsage.java
+++ b/src/main/java/io/kitepath/core/shard/QuotaUsage.java
@@ -18,24 +18,24 @@
     /** As the settings say. */
     private static final class Whole implements QuotaLimits {
         @Override
-        public double cpus(ClusterSettings.Team t) {
-            return t.cpusMax() > 0 ? t.cpusMax() : Double.POSITIVE_INFINITY;
+        public double cpus(ClusterSettings.Team team) {
+            return team.cpusMax() > 0 ? team.cpusMax() : Double.POSITIVE_INFINITY;
         }
 
         @Override
-        public double gpus(ClusterSettings.Team t) {
-            return t.gpusMax() > 0 ? t.gpusMax() : Double.POSITIVE_INFINITY;
+        public double gpus(ClusterSettings.Team team) {
+            return team.gpusMax() > 0 ? team.gpusMax() : Double.POSITIVE_INFINITY;
         }
     }
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private QuotaLimits limits = new Whole();
 
     /** CPUs and GPUs by team. */
     private final Map<String, double[]> used = new HashMap<>();
 
-    QuotaUsage(ClusterSettings facts) {
-        this.facts = facts;
+    QuotaUsage(ClusterSettings settings) {
+        this.settings = settings;
     }
 
     public void limits(QuotaLimits others) {
@@ -47,10 +47,10 @@
     }
 
     /** An attempt of this kind was placed (1), or is proven over (-1). */
-    void count(JobSpec s, int sign) {
-        double[] u = used.computeIfAbsent(s.team(), k -> new double[2]);
-        u[0] += sign * s.cpus();
-        u[1] += sign * s.gpus();
+    void count(JobSpec spec, int sign) {
+        double[] u = used.computeIfAbsent(spec.team(), key -> new double[2]);
+        u[0] += sign * spec.cpus();
+        u[1] += sign * spec.gpus();
     }
 
     /** CPUs of the team's attempts that are not proven over. */
@@ -67,7 +67,7 @@
 
     /** For notes: what of the limit this decider may use, if that is less than the settings say. */
     String share(String team) {
-        ClusterSettings.Team t = facts.teams().get(team);
+        ClusterSettings.Team t = settings.teams().get(team);
         boolean part =
                 t != null
                         && !(limits instanceof Whole)
@@ -82,18 +82,18 @@
     }
 
     /** How many more tasks of this kind the team's limit allows. */
-    public int left(JobSpec s) {
-        ClusterSettings.Team t = facts.teams().get(s.team());
-        if (t == null) {
+    public int left(JobSpec spec) {
+        ClusterSettings.Team team = settings.teams().get(spec.team());
+        if (team == null) {
             return 0;
         }
-        double[] u = used.getOrDefault(s.team(), new double[2]);
+        double[] u = used.getOrDefault(spec.team(), new double[2]);
         double n = Integer.MAX_VALUE;
-        if (s.cpus() > 0) {
-            n = Math.min(n, (limits.cpus(t) - u[0] + 1e-6) / s.cpus());
+        if (spec.cpus() > 0) {
+            n = Math.min(n, (limits.cpus(team) - u[0] + 1e-6) / spec.cpus());
         }
-        if (s.gpus() > 0) {
-            n = Math.min(n, (limits.gpus(t) - u[1] + 1e-6) / s.gpus());
+        if (spec.gpus() > 0) {
+            n = Math.min(n, (limits.gpus(team) - u[1] + 1e-6) / spec.gpus());
         }
         return (int) Math.max(0, n);
     }
--- a/src/main/java/io/kitepath/core/shard/RecentArrivals.java
+++ b/src/main/java/io/kitepath/core/shard/RecentArrivals.java
@@ -32,7 +32,7 @@
     public JobSpec typical(String jobClass, double share, double wallMs, double patienceS) {
         List<Job> of =
                 jobs.stream()
-                        .filter(j -> j.spec.jobClass().equals(jobClass))
+                        .filter(job -> job.spec.jobClass().equals(jobClass))
                         .sorted(Comparator.comparingDouble(Job::sinceMs))
                         .toList();
         if (of.isEmpty()) {
@@ -44,8 +44,8 @@
             return null;
         }
         return of.stream()
-                .map(j -> j.spec)
-                .sorted(Comparator.comparingDouble(s -> s.tasks() * s.cpus()))
+                .map(job -> job.spec)
+                .sorted(Comparator.comparingDouble(spec -> spec.tasks() * spec.cpus()))
                 .skip((long) Math.min(of.size() - 1, Math.floor(share * of.size())))
                 .findFirst()
                 .orElseThrow();
@@ -60,14 +60,14 @@
      */
     public List<ArrivalRate> gangs(double wallMs) {
         Map<String, List<Job>> classes = new TreeMap<>();
-        for (Job j : jobs) {
-            if (j.spec.gang() && !j.held()) {
-                classes.computeIfAbsent(j.spec.jobClass(), k -> new ArrayList<>()).add(j);
+        for (Job job : jobs) {
+            if (job.spec.gang() && !job.held()) {
+                classes.computeIfAbsent(job.spec.jobClass(), key -> new ArrayList<>()).add(job);
             }
         }
         List<ArrivalRate> out = new ArrayList<>();
         for (List<Job> of : classes.values()) {
-            double tasks = perS(of, wallMs, j -> j.spec.tasks());
+            double tasks = perS(of, wallMs, job -> job.spec.tasks());
             if (tasks > 0) {
                 out.add(new ArrivalRate(of.get(0).spec, tasks));
             }
@@ -79,9 +79,11 @@
     /** How many jobs of the class came a second, as of late. */
     public double jobsPerS(String jobClass, double wallMs) {
         return perS(
-                jobs.stream().filter(j -> j.spec.jobClass().equals(jobClass) && !j.held()).toList(),
+                jobs.stream()
+                        .filter(job -> job.spec.jobClass().equals(jobClass) && !job.held())
+                        .toList(),
                 wallMs,
-                j -> 1);
+                job -> 1);
     }
 
     /**
@@ -91,7 +93,7 @@
     private static double perS(List<Job> of, double wallMs, ToDoubleFunction<Job> what) {
         double first = of.stream().mapToDouble(Job::sinceMs).min().orElse(wallMs);
         double half = (first + wallMs) / 2;
-        double sum = of.stream().filter(j -> j.sinceMs() > half).mapToDouble(what).sum();
+        double sum = of.stream().filter(job -> job.sinceMs() > half).mapToDouble(what).sum();
         return sum == 0 ? 0 : sum * 1000 / (wallMs - half);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -144,7 +144,7 @@
         }
     }
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Map<String, ServiceGroup> classes = new LinkedHashMap<>();
     private final Map<String, ServiceGroup> teams = new LinkedHashMap<>();
 
@@ -159,8 +159,8 @@
     /** What was missed up to then, by the time of day, has been counted by an earlier holder. */
     private double countedUntilMs;
 
-    ServiceLevels(ClusterSettings facts) {
-        this.facts = facts;
+    ServiceLevels(ClusterSettings settings) {
+        this.settings = settings;
     }
 
     void clear() {
@@ -171,37 +171,37 @@
     }
 
     private static ServiceGroup group(Map<String, ServiceGroup> in, String kind, String name) {
-        ServiceGroup g = in.get(name);
-        if (g == null && in.size() < MOST) {
-            g = new ServiceGroup(kind + " " + name);
-            in.put(name, g);
+        ServiceGroup group = in.get(name);
+        if (group == null && in.size() < MOST) {
+            group = new ServiceGroup(kind + " " + name);
+            in.put(name, group);
         }
-        return g;
+        return group;
     }
 
-    private void each(JobSpec s, Consumer<ServiceGroup> then) {
-        ServiceGroup c = group(classes, "class", s.jobClass());
-        ServiceGroup t = group(teams, "team", s.team());
+    private void each(JobSpec spec, Consumer<ServiceGroup> then) {
+        ServiceGroup c = group(classes, "class", spec.jobClass());
+        ServiceGroup t = group(teams, "team", spec.team());
         if (c != null) {
             then.accept(c);
         }
         if (t != null) {
             then.accept(t);
         }
-        ServiceGroup l = sizes.largest(s) ? group(largest, "largest of", s.jobClass()) : null;
+        ServiceGroup l = sizes.largest(spec) ? group(largest, "largest of", spec.jobClass()) : null;
         if (l != null) {
             then.accept(l);
         }
     }
 
     /** A job has become known. */
-    void came(JobSpec s) {
-        sizes.came(s);
+    void came(JobSpec spec) {
+        sizes.came(spec);
     }
 
     /** Whether the job is one of the largest of its class, by those that came lately. */
-    public boolean largest(JobSpec s) {
-        return sizes.largest(s);
+    public boolean largest(JobSpec spec) {
+        return sizes.largest(spec);
     }
 
     /**
@@ -212,41 +212,44 @@
      */
     public void look(Collection<Job> jobs, ToDoubleFunction<JobSpec> leadS, double wallMs) {
         all().forEach(
-                        g -> {
-                            g.undecided = 0;
-                            g.endangered = 0;
-                            g.underWay = 0;
+                        group -> {
+                            group.undecided = 0;
+                            group.endangered = 0;
+                            group.underWay = 0;
                         });
-        for (Job j : jobs) {
+        for (Job job : jobs) {
             // One that waits for others asks for nothing yet.
-            if (j.over || j.guest || j.held()) {
+            if (job.over || job.guest || job.held()) {
                 continue;
             }
-            double withinS = facts.servedWithinS(j.spec, j.heldS());
-            miss(j, withinS, wallMs);
-            if (!j.missed) {
+            double withinS = settings.servedWithinS(job.spec, job.heldS());
+            miss(job, withinS, wallMs);
+            if (!job.missed) {
                 double mayWaitS =
-                        withinS - j.heldS() - j.spec.estimateS() - leadS.applyAsDouble(j.spec);
-                boolean waits = j.waiting() > 0;
-                boolean endangered = waits && wallMs > j.sinceMs() + 1000 * ENDANGERED * mayWaitS;
+                        withinS
+                                - job.heldS()
+                                - job.spec.estimateS()
+                                - leadS.applyAsDouble(job.spec);
+                boolean waits = job.waiting() > 0;
+                boolean endangered = waits && wallMs > job.sinceMs() + 1000 * ENDANGERED * mayWaitS;
                 each(
-                        j.spec,
-                        g -> {
-                            g.undecided++;
-                            g.endangered += endangered ? 1 : 0;
-                            g.underWay += waits ? 0 : 1;
+                        job.spec,
+                        group -> {
+                            group.undecided++;
+                            group.endangered += endangered ? 1 : 0;
+                            group.underWay += waits ? 0 : 1;
                         });
             }
         }
         all().forEach(ServiceGroup::weigh);
     }
 
-    private void miss(Job j, double withinS, double wallMs) {
-        double until = j.submittedMs + 1000 * withinS;
-        if (!j.missed && wallMs > until) {
-            j.missed = true;
+    private void miss(Job job, double withinS, double wallMs) {
+        double until = job.submittedMs + 1000 * withinS;
+        if (!job.missed && wallMs > until) {
+            job.missed = true;
             if (until > countedUntilMs) {
-                each(j.spec, g -> g.decide(false));
+                each(job.spec, group -> group.decide(false));
             }
         }
     }
@@ -260,10 +263,10 @@
 
     /** The store has it that the job is done. */
     public void done(Job job, double wallMs) {
-        miss(job, facts.servedWithinS(job.spec, job.heldS()), wallMs);
-        each(job.spec, g -> g.done++);
+        miss(job, settings.servedWithinS(job.spec, job.heldS()), wallMs);
+        each(job.spec, group -> group.done++);
         if (!job.missed) {
-            each(job.spec, g -> g.decide(true));
+            each(job.spec, group -> group.decide(true));
         }
     }
 
@@ -271,10 +274,10 @@
      * 1, or the share that the job's class, its largest jobs, or its team get, the lowest one, if
      * that is so little that others of its rank go without before it.
      */
-    public double standing(JobSpec s) {
-        ServiceGroup c = classes.get(s.jobClass());
-        ServiceGroup t = teams.get(s.team());
-        ServiceGroup l = sizes.largest(s) ? largest.get(s.jobClass()) : null;
+    public double standing(JobSpec spec) {
+        ServiceGroup c = classes.get(spec.jobClass());
+        ServiceGroup t = teams.get(spec.team());
+        ServiceGroup l = sizes.largest(spec) ? largest.get(spec.jobClass()) : null;
         return Math.min(
                 l == null ? 1 : l.standing(),
                 Math.min(c == null ? 1 : c.standing(), t == null ? 1 : t.standing()));
@@ -291,7 +294,7 @@
     public Map<String, Object> record(double wallMs) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("untilMs", wallMs);
-        double left = facts.store().valueBytes() * 0.3;
+        double left = settings.store().valueBytes() * 0.3;
         out.put("classes", records(classes, left));
         out.put("teams", records(teams, left));
         out.put("largest", records(largest, left));
@@ -308,19 +311,19 @@
                                         (Map.Entry<String, ServiceGroup> e) ->
                                                 -e.getValue().inTime - e.getValue().missed))
                         .toList()) {
-            ServiceGroup g = e.getValue();
+            ServiceGroup group = e.getValue();
             left -= GROUP_BYTES + e.getKey().length();
-            if (left < 0 || g.inTime + g.missed == 0) {
+            if (left < 0 || group.inTime + group.missed == 0) {
                 break;
             }
             out.put(
                     e.getKey(),
                     List.of(
-                            g.inTime,
-                            g.done,
-                            g.missed,
-                            Math.round(1000 * g.served),
-                            Math.round(1000 * g.decided)));
+                            group.inTime,
+                            group.done,
+                            group.missed,
+                            Math.round(1000 * group.served),
+                            Math.round(1000 * group.decided)));
         }
         return out;
     }
@@ -331,11 +334,11 @@
      * @throws io.kitepath.core.model.InvalidInputException if that is not a record of it
      */
     public void restore(Object record) {
-        DocumentReader t = DocumentReader.of(record);
-        countedUntilMs = t.number("untilMs", 0);
-        restore(t, "classes", "class", classes);
-        restore(t, "teams", "team", teams);
-        restore(t, "largest", "largest of", largest);
+        DocumentReader document = DocumentReader.of(record);
+        countedUntilMs = document.number("untilMs", 0);
+        restore(document, "classes", "class", classes);
+        restore(document, "teams", "team", teams);
+        restore(document, "largest", "largest of", largest);
     }
 
     private static void restore(
@@ -349,13 +352,13 @@
                             && counts instanceof List<?> l
                             && l.size() == 5
                             && l.stream().allMatch(Number.class::isInstance)) {
-                        ServiceGroup g = group(into, kind, n);
-                        if (g != null) {
-                            g.inTime = ((Number) l.get(0)).longValue();
-                            g.done = ((Number) l.get(1)).longValue();
-                            g.missed = ((Number) l.get(2)).longValue();
-                            g.served = ((Number) l.get(3)).doubleValue() / 1000;
-                            g.decided = ((Number) l.get(4)).doubleValue() / 1000;
+                        ServiceGroup group = group(into, kind, n);
+                        if (group != null) {
+                            group.inTime = ((Number) l.get(0)).longValue();
+                            group.done = ((Number) l.get(1)).longValue();
+                            group.missed = ((Number) l.get(2)).longValue();
+                            group.served = ((Number) l.get(3)).doubleValue() / 1000;
+                            group.decided = ((Number) l.get(4)).doubleValue() / 1000;
                         }
                     }
                 });
@@ -366,7 +369,7 @@
      * endangered.
      */
     public String summary() {
-        StringBuilder b =
+        StringBuilder text =
                 new StringBuilder(
                         String.format(
                                 Locale.ROOT,
@@ -374,18 +377,18 @@
                                 least(classes),
                                 least(teams),
                                 least(largest)));
-        for (ServiceGroup g : all()) {
-            b.append(
+        for (ServiceGroup group : all()) {
+            text.append(
                     String.format(
                             Locale.ROOT,
                             " %s %d of %d, %d open, %d endangered;",
-                            g.name,
-                            g.inTime,
-                            g.inTime + g.missed,
-                            g.undecided,
-                            g.endangered));
+                            group.name,
+                            group.inTime,
+                            group.inTime + group.missed,
+                            group.undecided,
+                            group.endangered));
         }
-        return b.toString();
+        return text.toString();
     }
 
     /** By name, for operators. */
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -32,7 +32,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ShardState.class);
     private static final int TOMBSTONES = 5000;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private final Map<String, MachineType> typesView = Collections.unmodifiableMap(types);
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -81,21 +81,22 @@
     private boolean backlog;
 
     /** {@code newcomers} is told of every machine that becomes known. */
-    public ShardState(ClusterSettings facts, Consumer<Machine> newcomers) {
-        this.facts = facts;
-        this.teamUse = new QuotaUsage(facts);
+    public ShardState(ClusterSettings settings, Consumer<Machine> newcomers) {
+        this.settings = settings;
+        this.teamUse = new QuotaUsage(settings);
         this.newcomers = newcomers;
-        this.served = new ServiceLevels(facts);
-        this.failures = new FailureDiagnosis(facts, machines);
+        this.served = new ServiceLevels(settings);
+        this.failures = new FailureDiagnosis(settings, machines);
         this.boots = new BootTimes(types);
         this.pipelines =
-                new JobDependencies(facts, jobs, s -> leads.mostS(s.jobClass()), this::change);
-        this.partTasks = facts.tasksPerPart();
-        this.recordBytes = facts.store().valueBytes();
+                new JobDependencies(
+                        settings, jobs, spec -> leads.mostS(spec.jobClass()), this::change);
+        this.partTasks = settings.tasksPerPart();
+        this.recordBytes = settings.store().valueBytes();
     }
 
     public ClusterSettings facts() {
-        return facts;
+        return settings;
     }
 
     /** The machine types by name, empty until they are known. */
@@ -105,7 +106,7 @@
 
     public void learn(Collection<MachineType> all) {
         types.clear();
-        all.forEach(t -> types.put(t.name(), t));
+        all.forEach(type -> types.put(type.name(), type));
     }
 
     /** By id: jobs that are open, or over with something of them left. */
@@ -194,7 +195,7 @@
     public void beginRound(double now) {
         changed = false;
         backlog = false;
-        machines.values().forEach(m -> m.reconsider(now));
+        machines.values().forEach(machine -> machine.reconsider(now));
     }
 
     /** Work waits in this round. */
@@ -226,8 +227,8 @@
         served.clear();
         pipelines.clear();
         wide.clear();
-        for (Machine m : machines.values()) {
-            m.forgetAttempts();
+        for (Machine machine : machines.values()) {
+            machine.forgetAttempts();
         }
     }
 
@@ -264,21 +265,21 @@
      */
     public void adopt(Job job, int part, Object record, long revision, double now) {
         for (Map.Entry<?, ?> e : job.readPart(part, record, revision).entrySet()) {
-            Machine m = machine((String) e.getKey(), now);
+            Machine machine = machine((String) e.getKey(), now);
             List<?> l = (List<?>) e.getValue();
             for (int i = 0; i + 1 < l.size(); i += 2) {
-                Attempt a =
+                Attempt attempt =
                         new Attempt(
                                 job,
                                 ((Number) l.get(i)).intValue(),
                                 ((Number) l.get(i + 1)).longValue(),
-                                m,
+                                machine,
                                 now,
                                 0);
-                a.durable = true;
-                a.launched = true;
-                attach(a);
-                job.nextAttempt = Math.max(job.nextAttempt, a.number + 1);
+                attempt.durable = true;
+                attempt.launched = true;
+                attach(attempt);
+                job.nextAttempt = Math.max(job.nextAttempt, attempt.number + 1);
             }
         }
         pipelines.started(job);
@@ -299,16 +300,16 @@
         job.over = true;
         changed = true;
         pipelines.closed(job);
-        for (Attempt a : new ArrayList<>(job.live.values())) {
-            if (!a.durable) {
-                withdraw(a);
+        for (Attempt attempt : new ArrayList<>(job.live.values())) {
+            if (!attempt.durable) {
+                withdraw(attempt);
             }
         }
         job.touchAll();
-        for (Job.Part p : job.allParts()) {
-            if (p.revision() > 0) {
+        for (Job.Part part : job.allParts()) {
+            if (part.revision() > 0) {
                 unwritten.changed(
-                        p); // To be removed, or kept for as long as something is on machines.
+                        part); // To be removed, or kept for as long as something is on machines.
             }
         }
         LOG.info("job {} over, {} attempts to end", id, job.live.size());
@@ -324,7 +325,7 @@
         for (String id : ids) {
             Job job = jobs.get(id);
             if (job != null && !job.doomed) {
-                out.add(job.progress(now, facts.workers().reportS(), notes));
+                out.add(job.progress(now, settings.workers().reportS(), notes));
             }
         }
         return out;
@@ -332,23 +333,23 @@
 
     // ---- attempts -------------------------------------------------------------------------------
 
-    void attach(Attempt a) {
-        a.job.liveAdd(a);
-        a.machine.add(a);
-        teamUse.count(a.job.spec, 1);
-        a.job.stopping += a.stopping() ? 1 : 0;
+    void attach(Attempt attempt) {
+        attempt.job.liveAdd(attempt);
+        attempt.machine.add(attempt);
+        teamUse.count(attempt.job.spec, 1);
+        attempt.job.stopping += attempt.stopping() ? 1 : 0;
     }
 
     /**
      * Takes back a placing that is not known to be written, so was never launched. Its write may be
      * under way all the same, hence the part counts as changed.
      */
-    private void withdraw(Attempt a) {
-        teamUse.count(a.job.spec, -1);
-        a.job.liveRemove(a);
-        unwritten.changed(a.job.touch(a.task));
-        a.job.stopping -= a.stopping() ? 1 : 0;
-        a.machine.remove(a);
+    private void withdraw(Attempt attempt) {
+        teamUse.count(attempt.job.spec, -1);
+        attempt.job.liveRemove(attempt);
+        unwritten.changed(attempt.job.touch(attempt.task));
+        attempt.job.stopping -= attempt.stopping() ? 1 : 0;
+        attempt.machine.remove(attempt);
         changed = true;
     }
 
@@ -356,40 +357,40 @@
      * The attempt is proven over. It stays on the machine's list until that is written, and is
      * cleared after.
      */
-    void end(Attempt a, EndCause cause, double now) {
-        if (a.ended) {
+    void end(Attempt attempt, EndCause cause, double now) {
+        if (attempt.ended) {
             return;
         }
-        Job job = a.job;
+        Job job = attempt.job;
         teamUse.count(job.spec, -1);
-        a.ended = true;
-        a.state = TaskState.ENDED;
-        job.liveRemove(a);
-        job.stopping -= a.stopping() ? 1 : 0;
+        attempt.ended = true;
+        attempt.state = TaskState.ENDED;
+        job.liveRemove(attempt);
+        job.stopping -= attempt.stopping() ? 1 : 0;
         ends++;
         changed = true;
-        Machine m = a.machine;
-        m.remove(a);
-        if (a.durable) {
-            m.unwritten.add(a);
-            job.unwritten.add(a);
+        Machine machine = attempt.machine;
+        machine.remove(attempt);
+        if (attempt.durable) {
+            machine.unwritten.add(attempt);
+            job.unwritten.add(attempt);
         }
-        if (!m.busy()) {
-            m.idleSince = now;
+        if (!machine.busy()) {
+            machine.idleSince = now;
         }
         if (!job.over) {
-            judge(a, cause, now);
+            judge(attempt, cause, now);
         }
-        unwritten.changed(job.touch(a.task));
-        a.endedVersion = job.version();
+        unwritten.changed(job.touch(attempt.task));
+        attempt.endedVersion = job.version();
     }
 
-    private void judge(Attempt a, EndCause cause, double now) {
-        Job job = a.job;
-        Machine m = a.machine;
+    private void judge(Attempt attempt, EndCause cause, double now) {
+        Job job = attempt.job;
+        Machine machine = attempt.machine;
         switch (cause == null ? EndCause.STOPPED : cause) {
             case DONE -> {
-                failures.succeeded(a);
+                failures.succeeded(attempt);
                 if (job.spec.shape() == JobSpec.Shape.SERVICE) {
                     break;
                 }
@@ -399,22 +400,24 @@
                     job.touchAll();
                     job.allParts().forEach(unwritten::changed);
                 } else {
-                    job.done.set(a.task);
+                    job.done.set(attempt.task);
                 }
             }
-            case ERROR -> failures.failed(a, now);
+            case ERROR -> failures.failed(attempt, now);
             case NO_ROOM, BUSY, UNKNOWN -> {
-                LOG.info("attempt {} refused: {}", a, cause);
-                job.notBefore = Math.max(job.notBefore, now + facts.workers().reportS());
+                LOG.info("attempt {} refused: {}", attempt, cause);
+                job.notBefore = Math.max(job.notBefore, now + settings.workers().reportS());
             }
-            default -> LOG.debug("attempt {} ended: {}", a, cause);
+            default -> LOG.debug("attempt {} ended: {}", attempt, cause);
         }
         if (job.spec.gang() && cause != EndCause.DONE) {
             if (cause == EndCause.ALONE) {
-                hasImage(a);
+                hasImage(attempt);
             }
-            if (cause == EndCause.ALONE && fetching(job) && (m.reservedFor == null || m.kept)) {
-                m.reserve(job, now + 3 * fetchS(job.spec) + facts.workers().gangWaitS());
+            if (cause == EndCause.ALONE
+                    && fetching(job)
+                    && (machine.reservedFor == null || machine.kept)) {
+                machine.reserve(job, now + 3 * fetchS(job.spec) + settings.workers().gangWaitS());
             }
             restartOnceFetched(job);
         }
@@ -437,32 +440,36 @@
 
     private static boolean fetching(Job job) {
         return job.live.values().stream()
-                .anyMatch(a -> a.seen && !a.unwanted() && a.state == TaskState.FETCHING);
+                .anyMatch(
+                        attempt ->
+                                attempt.seen
+                                        && !attempt.unwanted()
+                                        && attempt.state == TaskState.FETCHING);
     }
 
-    private double fetchS(JobSpec s) {
+    private double fetchS(JobSpec spec) {
         double rate =
                 types.values().stream()
                         .mapToDouble(MachineType::fetchGbPerS)
                         .filter(r -> r > 0)
                         .min()
                         .orElse(1);
-        return s.imageGb() / rate;
+        return spec.imageGb() / rate;
     }
 
-    public void stop(Attempt a, double graceS) {
-        if (a.ended) {
+    public void stop(Attempt attempt, double graceS) {
+        if (attempt.ended) {
             return;
         }
-        if (!a.durable) {
-            withdraw(a);
+        if (!attempt.durable) {
+            withdraw(attempt);
             return;
         }
-        if (!a.stopping()) {
-            a.job.stopping++;
-            a.stopGraceS = graceS;
+        if (!attempt.stopping()) {
+            attempt.job.stopping++;
+            attempt.stopGraceS = graceS;
         }
-        a.stopGraceS = Math.min(a.stopGraceS, graceS);
+        attempt.stopGraceS = Math.min(attempt.stopGraceS, graceS);
     }
 
     /**
@@ -487,7 +494,7 @@
 
     /** Whether the records of its parts can take all its tasks at once, or can't be made to. */
     public boolean recordable(Job job) {
-        return job.narrow(facts.tasksPerNarrowPart()) || job.recordableWhole(recordBytes);
+        return job.narrow(settings.tasksPerNarrowPart()) || job.recordableWhole(recordBytes);
     }
 
     /**
@@ -512,12 +519,12 @@
      * A decision: this waiting task goes to that machine, once that is written. See {@link
      * #placedTogether}.
      */
-    public void place(Job job, int task, Machine m, double now) {
+    public void place(Job job, int task, Machine machine, double now) {
         Job.Part part = job.placing(task);
         unwritten.placed(part);
-        attach(new Attempt(job, task, job.nextAttempt, m, now, job.version()));
+        attach(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
         job.placed.add(now);
-        LOG.debug("placed {}/{}#{} on {}", job.spec.id(), task, job.nextAttempt, m.id);
+        LOG.debug("placed {}/{}#{} on {}", job.spec.id(), task, job.nextAttempt, machine.id);
     }
 
     /**
@@ -532,17 +539,18 @@
      * A worker has an attempt that nothing placed there: it counts until it is proven over, and is
      * stopped.
      */
-    void strayed(Job job, int task, long number, TaskState state, Machine m, double now) {
-        LOG.error("machine {} has {}/{} which was not placed there", m.id, job.spec.id(), task);
+    void strayed(Job job, int task, long number, TaskState state, Machine machine, double now) {
+        LOG.error(
+                "machine {} has {}/{} which was not placed there", machine.id, job.spec.id(), task);
         unwritten.changed(job.touch(task));
-        Attempt a = new Attempt(job, task, number, m, now, job.version());
-        a.durable = true;
-        a.launched = true;
-        a.seen = true;
-        a.state = state;
-        a.stopGraceS = 0;
+        Attempt attempt = new Attempt(job, task, number, machine, now, job.version());
+        attempt.durable = true;
+        attempt.launched = true;
+        attempt.seen = true;
+        attempt.state = state;
+        attempt.stopGraceS = 0;
         job.nextAttempt = Math.max(job.nextAttempt, number + 1);
-        attach(a);
+        attach(attempt);
     }
 
     // ---- machines -------------------------------------------------------------------------------
@@ -550,11 +558,11 @@
     Machine machine(String id, double now) {
         return machines.computeIfAbsent(
                 id,
-                k -> {
-                    Machine m = new Machine(k, now);
-                    m.releasing = going.contains(k);
-                    newcomers.accept(m);
-                    return m;
+                key -> {
+                    Machine machine = new Machine(key, now);
+                    machine.releasing = going.contains(key);
+                    newcomers.accept(machine);
+                    return machine;
                 });
     }
 
@@ -564,9 +572,9 @@
      */
     public void goes(String id) {
         going.add(id);
-        Machine m = machines.get(id);
-        if (m != null) {
-            m.releasing = true;
+        Machine machine = machines.get(id);
+        if (machine != null) {
+            machine.releasing = true;
         }
     }
 
@@ -574,41 +582,41 @@
     public void machineGone(String id, double now) {
         tombstones.add(id);
         going.remove(id);
-        Machine m = machines.remove(id);
-        if (m == null) {
+        Machine machine = machines.remove(id);
+        if (machine == null) {
             return;
         }
-        m.gone = true;
-        for (Attempt a : new ArrayList<>(m.attempts)) {
-            lose(a, now);
+        machine.gone = true;
+        for (Attempt attempt : new ArrayList<>(machine.attempts)) {
+            lose(attempt, now);
         }
         changed = true;
         LOG.info("machine {} gone", id);
     }
 
     /** The attempt went with its machine or its worker's session. */
-    void lose(Attempt a, double now) {
+    void lose(Attempt attempt, double now) {
         lost++;
-        end(a, EndCause.STOPPED, now);
+        end(attempt, EndCause.STOPPED, now);
     }
 
     /** What the cloud says exists. A list can be old, so it never proves a machine gone. */
     public void listed(Collection<Cloud.Listed> list, double now) {
-        for (Cloud.Listed l : list) {
-            if (buried(l.machine())) {
+        for (Cloud.Listed listed : list) {
+            if (buried(listed.machine())) {
                 continue;
             }
-            boolean fresh = !machines.containsKey(l.machine());
-            Machine m = machine(l.machine(), now);
+            boolean fresh = !machines.containsKey(listed.machine());
+            Machine machine = machine(listed.machine(), now);
             if (fresh) {
-                m.knownSince = now - l.heldS();
+                machine.knownSince = now - listed.heldS();
             }
-            m.listed = true;
-            m.type = l.type();
-            m.zone = l.zone();
-            m.spot = l.spot();
-            if (l.status().equals("failed")) {
-                m.releasing = true;
+            machine.listed = true;
+            machine.type = listed.type();
+            machine.zone = listed.zone();
+            machine.spot = listed.spot();
+            if (listed.status().equals("failed")) {
+                machine.releasing = true;
             }
         }
     }
@@ -618,14 +626,14 @@
         if (buried(id)) {
             return;
         }
-        Machine m = machine(id, now);
-        if (!m.reported()) {
-            m.rentedHere = true;
-            m.knownSince = since;
+        Machine machine = machine(id, now);
+        if (!machine.reported()) {
+            machine.rentedHere = true;
+            machine.knownSince = since;
         }
-        m.type = kind.type();
-        m.zone = kind.zone();
-        m.spot = kind.spot();
+        machine.type = kind.type();
+        machine.zone = kind.zone();
+        machine.spot = kind.spot();
     }
 
     /** Whether the machine is gone for certain, whoever still speaks of it. */
@@ -633,9 +641,12 @@
         return tombstones.contains(machine);
     }
 
-    void hasImage(Attempt a) {
-        MachineType type = types.get(a.machine.type);
-        a.machine.ran(a.job.spec.image(), a.job.spec.imageGb(), type == null ? 0 : type.cacheGb());
+    void hasImage(Attempt attempt) {
+        MachineType type = types.get(attempt.machine.type);
+        attempt.machine.ran(
+                attempt.job.spec.image(),
+                attempt.job.spec.imageGb(),
+                type == null ? 0 : type.cacheGb());
     }
 
     // ---- what was written -----------------------------------------------------------------------
@@ -645,16 +656,18 @@
         Job job = part.job;
         part.recorded(version, revision);
         unwritten.queue(part);
-        for (Attempt a : job.liveIn(part.index)) {
-            if (a.placedVersion <= version) {
-                a.durable = true;
+        for (Attempt attempt : job.liveIn(part.index)) {
+            if (attempt.placedVersion <= version) {
+                attempt.durable = true;
             }
         }
         job.unwritten.removeIf(
-                a -> {
-                    boolean now = job.partOf(a.task) == part.index && a.endedVersion <= version;
+                attempt -> {
+                    boolean now =
+                            job.partOf(attempt.task) == part.index
+                                    && attempt.endedVersion <= version;
                     if (now) {
-                        a.machine.unwritten.remove(a);
+                        attempt.machine.unwritten.remove(attempt);
                     }
                     return now;
                 });
@@ -664,8 +677,8 @@
     public void relaid(Job job, JobRecord record, long revision, int version, Set<Integer> parts) {
         job.allParts().forEach(unwritten::taken); // Those that were are no more.
         job.laidOut(record, revision);
-        for (Job.Part p : job.allParts()) {
-            recorded(p, version, parts.contains(p.index) ? revision : 0);
+        for (Job.Part part : job.allParts()) {
+            recorded(part, version, parts.contains(part.index) ? revision : 0);
         }
         laidOut(job);
     }
@@ -682,6 +695,6 @@
         if (job.successes == 0) {
             failures.acquit(job);
         }
-        job.unwritten.forEach(a -> a.machine.unwritten.remove(a));
+        job.unwritten.forEach(attempt -> attempt.machine.unwritten.remove(attempt));
     }
 }
--- a/src/main/java/io/kitepath/core/shard/StartLatencies.java
+++ b/src/main/java/io/kitepath/core/shard/StartLatencies.java
@@ -19,7 +19,7 @@
     private final Cache<String, double[]> classes = Caffeine.newBuilder().maximumSize(MOST).build();
 
     void took(String jobClass, double seconds) {
-        double[] l = classes.get(jobClass, k -> new double[] {seconds, 0});
+        double[] l = classes.get(jobClass, key -> new double[] {seconds, 0});
         l[1] += WEIGHT * (Math.abs(seconds - l[0]) - l[1]);
         l[0] += WEIGHT * (seconds - l[0]);
     }
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -47,8 +47,8 @@
     /** The record of all loans of a job. */
     public static Map<String, Object> record(List<TaskLoan> loans) {
         List<Object> list = new ArrayList<>();
-        for (TaskLoan l : loans) {
-            list.add(List.of(l.number, l.to, (long) l.from, (long) l.until));
+        for (TaskLoan loan : loans) {
+            list.add(List.of(loan.number, loan.to, (long) loan.from, (long) loan.until));
         }
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("loans", list);
@@ -61,16 +61,16 @@
      * @throws io.kitepath.core.model.InvalidInputException if it did not
      */
     public static List<TaskLoan> read(Object record, double now) {
-        DocumentReader t = DocumentReader.of(record);
+        DocumentReader document = DocumentReader.of(record);
         List<TaskLoan> out = new ArrayList<>();
-        for (Object o : t.list("loans")) {
+        for (Object o : document.list("loans")) {
             if (!(o instanceof List<?> l)
                     || l.size() != 4
                     || !(l.get(0) instanceof Number n)
                     || !(l.get(1) instanceof String to)
                     || !(l.get(2) instanceof Number from)
                     || !(l.get(3) instanceof Number until)) {
-                throw t.complaint("loans", "must be lists of number, cell, first and last");
+                throw document.complaint("loans", "must be lists of number, cell, first and last");
             }
             TaskLoan loan = new TaskLoan(n.longValue(), to, from.intValue(), until.intValue(), now);
             loan.written = true;
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -37,11 +37,11 @@
     private static final double RETRY_S = 0.4;
     private static final int AT_ONCE = 4;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
     private final Random random;
-    private final ShardState block;
+    private final ShardState shard;
 
     /** Whether the jobs are known and this node holds them. */
     private final BooleanSupplier holding;
@@ -57,17 +57,17 @@
             Store store,
             Timers timers,
             Random random,
-            ShardState block,
+            ShardState shard,
             BooleanSupplier holding,
             Listener listener) {
-        this.facts = block.facts();
+        this.settings = shard.facts();
         this.store = store;
         this.timers = timers;
         this.random = random;
-        this.block = block;
+        this.shard = shard;
         this.holding = holding;
         this.listener = listener;
-        this.most = 4 * facts.store().txnOps();
+        this.most = 4 * settings.store().txnOps();
     }
 
     /** A new holder begins. */
@@ -118,7 +118,7 @@
 
         Look(long of) {
             this.of = of;
-            for (Job job : block.jobs().values()) {
+            for (Job job : shard.jobs().values()) {
                 // Guests are cancelled by their home cell, which waits for this cell's word before
                 // it tells anybody.
                 if (!job.over() && !job.guest && !job.live().isEmpty()) {
@@ -140,32 +140,32 @@
             }
         }
 
-        private void send(Transaction t) {
+        private void send(Transaction transaction) {
             if (of == epoch) {
-                store.commit(t, c -> answered(t, c));
+                store.commit(transaction, result -> answered(transaction, result));
             }
         }
 
-        private void answered(Transaction t, CommitResult c) {
-            switch (c.outcome()) {
+        private void answered(Transaction transaction, CommitResult result) {
+            switch (result.outcome()) {
                 case OK -> next();
-                case NO -> closed(t, new ArrayDeque<>(c.failed()));
+                case NO -> closed(transaction, new ArrayDeque<>(result.failed()));
                 default -> {
-                    if (c.outcome() == Outcome.INVALID) {
+                    if (result.outcome() == Outcome.INVALID) {
                         // The store takes fewer conditions by now than anybody said: those of the
                         // next look.
-                        most = Math.max(1, Math.min(most, t.conditions().size() / 2));
+                        most = Math.max(1, Math.min(most, transaction.conditions().size() / 2));
                         tooLong = true;
                     }
-                    retry(t);
+                    retry(transaction);
                 }
             }
         }
 
-        private void retry(Transaction t) {
-            tooLong |= timers.wallMs() - sentMs > 1000 * facts.workers().marginS();
+        private void retry(Transaction transaction) {
+            tooLong |= timers.wallMs() - sentMs > 1000 * settings.workers().marginS();
             if (!tooLong && holding.getAsBoolean()) {
-                timers.after(jittered(RETRY_S), () -> send(t));
+                timers.after(jittered(RETRY_S), () -> send(transaction));
             } else if (!given) {
                 given = true;
                 again(of, RETRY_S);
@@ -182,7 +182,7 @@
         }
 
         /** Gone, or written anew, as when its parts were laid out in another way. */
-        private void closed(Transaction t, Deque<String> keys) {
+        private void closed(Transaction transaction, Deque<String> keys) {
             if (keys.isEmpty()) {
                 next();
                 return;
@@ -192,13 +192,13 @@
                     key,
                     (outcome, entry) -> {
                         if (outcome != Outcome.OK && outcome != Outcome.NO) {
-                            retry(t);
+                            retry(transaction);
                             return;
                         }
                         if (of == epoch && outcome == Outcome.NO) {
                             listener.closed(key.substring(StoreKeys.OPEN.length()));
                         }
-                        closed(t, keys);
+                        closed(transaction, keys);
                     });
         }
 
@@ -207,7 +207,7 @@
                 if (holding.getAsBoolean()) {
                     listener.proven(sentMs);
                 }
-                again(of, facts.workers().marginS() / 8);
+                again(of, settings.workers().marginS() / 8);
             }
         }
     }
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -39,11 +39,11 @@
     private boolean waits;
 
     DependencyOutcomes(
-            ClusterSettings facts, Store store, Timers timers, JobDependencies pipelines) {
+            ClusterSettings settings, Store store, Timers timers, JobDependencies pipelines) {
         this.store = store;
         this.timers = timers;
         this.pipelines = pipelines;
-        this.requests = new TokenBucket(facts.store().rps() * RATE_SHARE);
+        this.requests = new TokenBucket(settings.store().rps() * RATE_SHARE);
     }
 
     /**
@@ -116,13 +116,15 @@
 
     private boolean ended(String id, Object record) {
         try {
-            DocumentReader t = DocumentReader.of(record);
+            DocumentReader document = DocumentReader.of(record);
             // Earlier versions did not put down when.
             pipelines.ended(
-                    id, t.text("status").equals("done"), t.numberOr("endedMs", 0, timers.wallMs()));
+                    id,
+                    document.text("status").equals("done"),
+                    document.numberOr("endedMs", 0, timers.wallMs()));
             return true;
-        } catch (InvalidInputException bad) {
-            LOG.error("record {} is unreadable: {}", StoreKeys.OVER + id, bad.getMessage());
+        } catch (InvalidInputException invalid) {
+            LOG.error("record {} is unreadable: {}", StoreKeys.OVER + id, invalid.getMessage());
             return false;
         }
     }
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -22,14 +22,14 @@
 public final class ImageRecords {
     private static final int RECORDS = 16;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final List<Map<String, Object>> written = new ArrayList<>();
     private final Map<String, Map<String, Double>> remembered = new HashMap<>();
     private int next;
     private double nextAt;
 
-    public ImageRecords(ClusterSettings facts) {
-        this.facts = facts;
+    public ImageRecords(ClusterSettings settings) {
+        this.settings = settings;
         for (int i = 0; i < RECORDS; i++) {
             written.add(null);
         }
@@ -40,7 +40,7 @@
         if (now < nextAt) {
             return null;
         }
-        nextAt = now + facts.workers().reportS() / 2;
+        nextAt = now + settings.workers().reportS() / 2;
         int index = next++ % RECORDS;
         Map<String, Object> record = record(machines, index);
         if (Objects.equals(record, written.get(index))
@@ -59,18 +59,18 @@
     private Map<String, Object> record(Collection<Machine> machines, int index) {
         Map<String, List<Object>> by = new TreeMap<>();
         int bytes = 0;
-        for (Machine m : machines) {
-            if (indexOf(m.id) != index || m.gone() || m.releasing()) {
+        for (Machine machine : machines) {
+            if (indexOf(machine.id) != index || machine.gone() || machine.releasing()) {
                 continue;
             }
-            for (Map.Entry<String, Double> e : m.images().entrySet()) {
+            for (Map.Entry<String, Double> e : machine.images().entrySet()) {
                 bytes +=
-                        m.id.length()
+                        machine.id.length()
                                 + 4
                                 + (by.containsKey(e.getKey()) ? 0 : e.getKey().length() + 32);
-                if (bytes < facts.store().valueKb() * 1024 * 0.9) {
-                    by.computeIfAbsent(e.getKey(), k -> new ArrayList<>(List.of(e.getValue())))
-                            .add(m.id);
+                if (bytes < settings.store().valueKb() * 1024 * 0.9) {
+                    by.computeIfAbsent(e.getKey(), key -> new ArrayList<>(List.of(e.getValue())))
+                            .add(machine.id);
                 }
             }
         }
@@ -92,7 +92,7 @@
                             for (Object m : list.subList(1, list.size())) {
                                 if (m instanceof String id) {
                                     remembered
-                                            .computeIfAbsent(id, k -> new TreeMap<>())
+                                            .computeIfAbsent(id, key -> new TreeMap<>())
                                             .put(name, gb.doubleValue());
                                 }
                             }
@@ -101,10 +101,10 @@
         }
     }
 
-    public void recall(Machine m) {
-        Map<String, Double> images = remembered.remove(m.id);
+    public void recall(Machine machine) {
+        Map<String, Double> images = remembered.remove(machine.id);
         if (images != null) {
-            images.forEach(m::recall);
+            images.forEach(machine::recall);
         }
     }
 
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -43,24 +43,24 @@
         return 1 + parts.size() + removed;
     }
 
-    void board(Transaction t) {
+    void board(Transaction transaction) {
         String id = job.spec.id();
-        t.when(job.key, job.revision()).put(job.key, record.toMap());
+        transaction.when(job.key, job.revision()).put(job.key, record.toMap());
         for (int i = 0; i < job.parts(); i++) {
-            t.when(StoreKeys.part(id, i), job.part(i).revision());
+            transaction.when(StoreKeys.part(id, i), job.part(i).revision());
             if (job.part(i).revision() > 0 && !parts.containsKey(i)) {
-                t.remove(StoreKeys.part(id, i));
+                transaction.remove(StoreKeys.part(id, i));
             }
         }
-        parts.forEach((i, p) -> t.put(StoreKeys.part(id, i), p));
+        parts.forEach((i, p) -> transaction.put(StoreKeys.part(id, i), p));
     }
 
     /** The store has it at that revision. */
-    void written(ShardState block, long revision) {
+    void written(ShardState shard, long revision) {
         boolean same = job.version() == version;
-        block.relaid(job, record, revision, version, parts.keySet());
+        shard.relaid(job, record, revision, version, parts.keySet());
         if (!same) {
-            block.differs(job);
+            shard.differs(job);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -115,14 +115,14 @@
     void read(Consumer<LoadedState> then) {
         answer =
                 found -> {
-                    answer = x -> {}; // The first of the readings that fails speaks for all.
+                    answer = loaded -> {}; // The first of the readings that fails speaks for all.
                     then.accept(found);
                 };
         // Beside the jobs, so that a takeover does not take longer for it.
         pages(
                 StoreKeys.ACT,
-                l -> {
-                    acts = l;
+                listing -> {
+                    acts = listing;
                     joined();
                 });
         store.get(
@@ -155,7 +155,7 @@
 
     private static Set<String> ids(ListResult open) {
         Set<String> ids = new HashSet<>();
-        open.entries().forEach(x -> ids.add(x.key().substring(StoreKeys.OPEN.length())));
+        open.entries().forEach(entry -> ids.add(entry.key().substring(StoreKeys.OPEN.length())));
         return ids;
     }
 
@@ -176,9 +176,9 @@
                                 guests = g.entries();
                                 Set<String> all = ids(open);
                                 guests.forEach(
-                                        x ->
+                                        entry ->
                                                 all.add(
-                                                        DocumentReader.of(x.value())
+                                                        DocumentReader.of(entry.value())
                                                                 .textOr("job", "")));
                                 running.accept(all);
                                 pages(
@@ -212,12 +212,12 @@
                 timers,
                 prefix,
                 PAGE_TRIES,
-                l -> {
+                listing -> {
                     if (stale.getAsBoolean()) {
                         return;
                     }
-                    if (l.outcome() == Outcome.OK) {
-                        then.accept(l);
+                    if (listing.outcome() == Outcome.OK) {
+                        then.accept(listing);
                     } else {
                         answer.accept(null);
                     }
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -31,14 +31,14 @@
     /** How often everything is read again before a part of no job is passed over. */
     private static final int MISFITS = 5;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
-    private final ShardState block;
+    private final ShardState shard;
     private final ImageRecords images;
     private final Listener listener;
     private final WriteBatcher writes;
-    private final DependencyOutcomes ends;
+    private final DependencyOutcomes dependencyOutcomes;
 
     /** Null without other cells. */
     private final StateLoader.LoanRecords elsewhere;
@@ -105,7 +105,7 @@
         boolean wanted();
 
         /** What it writes and on what that depends. */
-        void board(Transaction t);
+        void board(Transaction transaction);
 
         /** The store has it, at that revision. */
         void written(long revision);
@@ -115,19 +115,20 @@
     public StateWriter(
             Store store,
             Timers timers,
-            ShardState block,
+            ShardState shard,
             ImageRecords images,
             Listener listener,
             StateLoader.LoanRecords elsewhere) {
         this.elsewhere = elsewhere;
-        this.facts = block.facts();
+        this.settings = shard.facts();
         this.store = store;
         this.timers = timers;
-        this.block = block;
+        this.shard = shard;
         this.images = images;
         this.listener = listener;
-        this.writes = new WriteBatcher(store, timers, block, images, listener);
-        this.ends = new DependencyOutcomes(facts, store, timers, block.pipelines());
+        this.writes = new WriteBatcher(store, timers, shard, images, listener);
+        this.dependencyOutcomes =
+                new DependencyOutcomes(settings, store, timers, shard.pipelines());
     }
 
     /** Transactions that the store refused for good, as over its limits. */
@@ -168,7 +169,7 @@
      */
     public boolean mayRun(String id) {
         if (loaded) {
-            Job job = block.jobs().get(id);
+            Job job = shard.jobs().get(id);
             return job != null && !job.over();
         }
         return running != null
@@ -190,7 +191,7 @@
         running = null;
         writes.stop();
         images.forget();
-        ends.stop();
+        dependencyOutcomes.stop();
     }
 
     /** Writes that along in one of the next rounds. */
@@ -206,9 +207,9 @@
         if (loaded) {
             // What is known of them stays known while they are read once more.
             running = new HashSet<>();
-            block.jobs().values().stream()
-                    .filter(j -> !j.over())
-                    .forEach(j -> running.add(j.spec.id()));
+            shard.jobs().values().stream()
+                    .filter(job -> !job.over())
+                    .forEach(job -> running.add(job.spec.id()));
         }
         load(++epoch, ready);
     }
@@ -246,8 +247,8 @@
                             if (found != null && adopt(found)) {
                                 layOut(found.layout());
                                 readImages(e);
-                                ends.begin(ready);
-                                ends.look();
+                                dependencyOutcomes.begin(ready);
+                                dependencyOutcomes.look();
                                 follow(
                                         e,
                                         StoreKeys.OPEN,
@@ -297,18 +298,19 @@
                     }
 
                     @Override
-                    public void board(Transaction t) {
-                        t.when(StoreKeys.LAYOUT, 0)
+                    public void board(Transaction transaction) {
+                        transaction
+                                .when(StoreKeys.LAYOUT, 0)
                                 .put(
                                         StoreKeys.LAYOUT,
-                                        Map.of("partTasks", (long) block.partTasks()));
+                                        Map.of("partTasks", (long) shard.partTasks()));
                     }
 
                     @Override
                     public void written(long revision) {
                         LOG.info(
                                 "parts of jobs hold {} tasks where their records do not say",
-                                block.partTasks());
+                                shard.partTasks());
                     }
                 });
     }
@@ -323,7 +325,7 @@
                 records -> {
                     if (e == epoch && records.outcome() == Outcome.OK) {
                         images.read(records.entries());
-                        block.machines().values().forEach(images::recall);
+                        shard.machines().values().forEach(images::recall);
                     }
                 });
     }
@@ -331,18 +333,18 @@
     /** False if what was read does not fit together: jobs came or ended while it was read. */
     private boolean adopt(StateLoader.LoadedState found) {
         double now = timers.now();
-        block.forgetJobs();
+        shard.forgetJobs();
         if (found.layout() != null) {
-            block.laidOutBy(
+            shard.laidOutBy(
                     (int)
                             DocumentReader.of(found.layout().value())
                                     .integer("partTasks", 1, Integer.MAX_VALUE));
         }
         if (servedBefore != null) {
             try {
-                block.served().restore(servedBefore);
-            } catch (InvalidInputException bad) {
-                LOG.error("record {} is unreadable: {}", StoreKeys.SERVED, bad.getMessage());
+                shard.served().restore(servedBefore);
+            } catch (InvalidInputException invalid) {
+                LOG.error("record {} is unreadable: {}", StoreKeys.SERVED, invalid.getMessage());
             }
         }
         // Before the jobs' parts: a machine that goes is one from the first time that it is heard
@@ -354,15 +356,18 @@
         }
         found.over()
                 .forEach(
-                        (id, x) -> {
+                        (id, entry) -> {
                             try {
-                                block.addOver(job(id, x));
+                                shard.addOver(job(id, entry));
                             } catch (InvalidInputException | IllegalArgumentException bad) {
-                                LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
+                                LOG.error(
+                                        "record {} is unreadable: {}",
+                                        entry.key(),
+                                        bad.getMessage());
                             }
                         });
-        for (Entry x : found.parts()) {
-            Job job = block.jobs().get(StoreKeys.jobOfPart(x.key()));
+        for (Entry entry : found.parts()) {
+            Job job = shard.jobs().get(StoreKeys.jobOfPart(entry.key()));
             if (job == null) {
                 if (misfits++ < MISFITS) {
                     // Created after the list of open jobs was read, or just moved: read everything
@@ -373,43 +378,48 @@
                 // refers to. A job that is
                 // neither open nor over was never accepted, so nothing of it is ever placed; the
                 // cleanup says so.
-                LOG.error("record {} is of no job", x.key());
+                LOG.error("record {} is of no job", entry.key());
                 continue;
             }
-            int part = StoreKeys.indexOfPart(x.key());
+            int part = StoreKeys.indexOfPart(entry.key());
             if (part < job.parts()) {
-                block.adopt(job, part, x.value(), x.revision(), now);
+                shard.adopt(job, part, entry.value(), entry.revision(), now);
             }
         }
         misfits = 0;
         loaded = true;
         // Guards against what was read before a cancellation that others told us of meanwhile.
-        List.copyOf(listener.cancelledMeanwhile()).forEach(block::jobOver);
-        LOG.info("loaded {} jobs, {} parts", block.jobs().size(), found.parts().size());
+        List.copyOf(listener.cancelledMeanwhile()).forEach(shard::jobOver);
+        LOG.info("loaded {} jobs, {} parts", shard.jobs().size(), found.parts().size());
         return true;
     }
 
-    private Job job(String id, Entry x) {
-        return Job.of(JobRecord.of(id, x.value()), facts, x.key(), x.revision(), block.partTasks());
+    private Job job(String id, Entry entry) {
+        return Job.of(
+                JobRecord.of(id, entry.value()),
+                settings,
+                entry.key(),
+                entry.revision(),
+                shard.partTasks());
     }
 
-    private void opened(Entry x) {
-        String id = x.key().substring(StoreKeys.OPEN.length());
-        if (block.jobs().containsKey(id)) {
+    private void opened(Entry entry) {
+        String id = entry.key().substring(StoreKeys.OPEN.length());
+        if (shard.jobs().containsKey(id)) {
             return;
         }
         try {
-            block.addJob(job(id, x));
+            shard.addJob(job(id, entry));
         } catch (InvalidInputException | IllegalArgumentException bad) {
-            LOG.error("record {} is unreadable: {}", x.key(), bad.getMessage());
+            LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
         }
     }
 
-    private void jobChanged(Entry x) {
-        if (x.value() != null) {
-            opened(x);
+    private void jobChanged(Entry entry) {
+        if (entry.value() != null) {
+            opened(entry);
         } else {
-            block.jobOver(x.key().substring(StoreKeys.OPEN.length()));
+            shard.jobOver(entry.key().substring(StoreKeys.OPEN.length()));
         }
     }
 
@@ -418,23 +428,23 @@
         if (e != epoch) {
             return;
         }
-        long holdMs = (long) (facts.workers().leaseS() * 500);
+        long holdMs = (long) (settings.workers().leaseS() * 500);
         store.follow(
                 prefix,
                 after,
                 holdMs,
-                c -> {
+                changes -> {
                     if (e != epoch) {
                         return;
                     }
-                    if (c.outcome() == Outcome.OK) {
-                        c.events().forEach(changed);
-                        ends.look();
-                        follow(e, prefix, Math.max(after, c.revision()), ready, changed);
-                        if (!c.events().isEmpty()) {
+                    if (changes.outcome() == Outcome.OK) {
+                        changes.events().forEach(changed);
+                        dependencyOutcomes.look();
+                        follow(e, prefix, Math.max(after, changes.revision()), ready, changed);
+                        if (!changes.events().isEmpty()) {
                             ready.run();
                         }
-                    } else if (c.outcome() == Outcome.NO) {
+                    } else if (changes.outcome() == Outcome.NO) {
                         listener.outOfStep("changes of the jobs were missed");
                     } else {
                         timers.after(0.3, () -> follow(e, prefix, after, ready, changed));
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -53,9 +53,9 @@
 
     /** Null if all that it writes may have been written by others. */
     Witness witness() {
-        for (Written w : parts) {
-            if (!w.removed) {
-                return new Witness(key(w), w.part.revision(), Sign.CHANGED);
+        for (Written written : parts) {
+            if (!written.removed) {
+                return new Witness(key(written), written.part.revision(), Sign.CHANGED);
             }
         }
         if (!finishing.isEmpty()) {
@@ -67,7 +67,7 @@
                 : new Witness(key(parts.get(0)), parts.get(0).part.revision(), Sign.GONE);
     }
 
-    private static String key(Written w) {
-        return StoreKeys.part(w.part.job.spec.id(), w.part.index);
+    private static String key(Written written) {
+        return StoreKeys.part(written.part.job.spec.id(), written.part.index);
     }
 }
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -37,10 +37,10 @@
     /** Of those, a record's key and what depends on it. */
     private static final int RECORD_BYTES = 128;
 
-    private final ClusterSettings facts;
+    private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
-    private final ShardState block;
+    private final ShardState shard;
     private final ImageRecords images;
     private final StateWriter.Listener listener;
     private final TokenBucket writes;
@@ -73,17 +73,17 @@
     WriteBatcher(
             Store store,
             Timers timers,
-            ShardState block,
+            ShardState shard,
             ImageRecords images,
             StateWriter.Listener listener) {
-        this.facts = block.facts();
+        this.settings = shard.facts();
         this.store = store;
         this.timers = timers;
-        this.block = block;
+        this.shard = shard;
         this.images = images;
         this.listener = listener;
-        this.writes = new TokenBucket(facts.store().writeRps() * WRITE_SHARE);
-        this.mostWrites = facts.store().txnOps();
+        this.writes = new TokenBucket(settings.store().writeRps() * WRITE_SHARE);
+        this.mostWrites = settings.store().txnOps();
     }
 
     /** The block's record, under whose revision everything is written from now on. */
@@ -137,92 +137,95 @@
         double now = timers.now();
         double available = writes.available(now);
         int budget = (int) Math.min(mostWrites, available);
-        WriteBatch r = new WriteBatch();
-        r.transaction.when(blockKey, blockRevision);
-        if (layOutAnew(r, budget)) {
-            go(r, done, now);
+        WriteBatch batch = new WriteBatch();
+        batch.transaction.when(blockKey, blockRevision);
+        if (layOutAnew(batch, budget)) {
+            go(batch, done, now);
             return;
         }
-        board(r, riders, budget);
-        cascade(r, budget * 3 / 4);
+        board(batch, riders, budget);
+        cascade(batch, budget * 3 / 4);
         // In turns: a swarm's ends, two writes each, would leave nothing to what is to start, and
         // the other way round.
         boolean endsFirst = rounds % 2 == 0;
         if (endsFirst) {
-            budget = ends(r, budget);
+            budget = ends(batch, budget);
         }
         // The longest waiting change goes along in any case, so that a stream of placings does not
         // put it off for ever.
-        take(r, block.unwritten().changes(), Math.min(budget, r.transaction.writes().size() + 1));
+        take(
+                batch,
+                shard.unwritten().changes(),
+                Math.min(budget, batch.transaction.writes().size() + 1));
         // Guards against a gang that waits for the records of hundreds of small jobs that were
         // placed before it.
-        List<Job.Part> placings = new ArrayList<>(block.unwritten().placings());
-        placings.sort(Comparator.comparingInt(p -> p.job.rank()));
-        take(r, placings, budget);
+        List<Job.Part> placings = new ArrayList<>(shard.unwritten().placings());
+        placings.sort(Comparator.comparingInt(part -> part.job.rank()));
+        take(batch, placings, budget);
         if (!endsFirst) {
-            ends(r, budget);
+            ends(batch, budget);
         }
-        double spare = available - facts.store().writeRps() * WRITE_SHARE / 2;
-        take(r, block.unwritten().changes(), (int) Math.min(budget, spare));
+        double spare = available - settings.store().writeRps() * WRITE_SHARE / 2;
+        take(batch, shard.unwritten().changes(), (int) Math.min(budget, spare));
         // Guards against placings of a burst that wait for records which are only to be struck off;
         // a backlog of those
         // that would grow for ever goes along all the same.
-        board(r, patient, (int) Math.min(budget, patient.size() > budget ? budget : spare));
-        if (r.transaction.writes().size() < budget && r.bytes < MAX_BYTES / 2) {
-            Store.Write due = images.due(block.machines().values(), now);
-            if (due == null && now - servedAt > facts.workers().leaseS() / 2) {
+        board(batch, patient, (int) Math.min(budget, patient.size() > budget ? budget : spare));
+        if (batch.transaction.writes().size() < budget && batch.bytes < MAX_BYTES / 2) {
+            Store.Write due = images.due(shard.machines().values(), now);
+            if (due == null && now - servedAt > settings.workers().leaseS() / 2) {
                 servedAt = now;
-                due = new Store.Write(StoreKeys.SERVED, block.served().record(timers.wallMs()), 0);
+                due = new Store.Write(StoreKeys.SERVED, shard.served().record(timers.wallMs()), 0);
             }
-            if (due != null && JsonSize.size(due.value()) <= block.recordBytes()) {
-                r.transaction.put(due.key(), due.value());
+            if (due != null && JsonSize.size(due.value()) <= shard.recordBytes()) {
+                batch.transaction.put(due.key(), due.value());
             }
         }
-        if (!r.transaction.writes().isEmpty()) {
-            go(r, done, now);
+        if (!batch.transaction.writes().isEmpty()) {
+            go(batch, done, now);
         }
     }
 
-    private void go(WriteBatch r, Runnable done, double now) {
-        writes.take(r.transaction.writes().size(), now);
-        round = r;
+    private void go(WriteBatch batch, Runnable done, double now) {
+        writes.take(batch.transaction.writes().size(), now);
+        round = batch;
         rounds++;
-        written += r.transaction.writes().size();
+        written += batch.transaction.writes().size();
         send(epoch, done);
     }
 
     /** A job whose parts can't be on record as they are laid out is written anew, by itself. */
-    private boolean layOutAnew(WriteBatch r, int budget) {
-        for (Job job : block.wide()) {
+    private boolean layOutAnew(WriteBatch batch, int budget) {
+        for (Job job : shard.wide()) {
             if (job.over()) {
-                block.laidOut(job);
+                shard.laidOut(job);
                 continue;
             }
-            RecordMigration l = new RecordMigration(job, facts.tasksPerNarrowPart());
-            if (l.writes() > facts.store().txnOps()) {
+            RecordMigration l = new RecordMigration(job, settings.tasksPerNarrowPart());
+            if (l.writes() > settings.store().txnOps()) {
                 LOG.error(
                         "job {} has parts that can't be written under the limits that will come",
                         job.spec.id());
-                block.laidOut(job);
+                shard.laidOut(job);
             } else if (l.writes() <= budget) {
-                l.board(r.transaction);
-                r.relaid = l;
+                l.board(batch.transaction);
+                batch.relaid = l;
                 return true;
             }
         }
         return false;
     }
 
-    private void board(WriteBatch r, ArrayDeque<BatchContributor> waiting, int budget) {
+    private void board(WriteBatch batch, ArrayDeque<BatchContributor> waiting, int budget) {
         // Each takes a handful of writes at most; a quarter is left to everything else.
         while (!waiting.isEmpty()
-                && r.transaction.writes().size() < budget * 3 / 4
-                && r.bytes < MAX_BYTES / 2) {
+                && batch.transaction.writes().size() < budget * 3 / 4
+                && batch.bytes < MAX_BYTES / 2) {
             BatchContributor rider = waiting.poll();
             if (rider.wanted()) {
-                rider.board(r.transaction);
-                r.riders.add(rider);
-                r.bytes += facts.store().valueKb() * 1024 / 4;
+                rider.board(batch.transaction);
+                batch.riders.add(rider);
+                batch.bytes += settings.store().valueKb() * 1024 / 4;
             }
         }
     }
@@ -231,24 +234,24 @@
      * Moves jobs that are done from open to over; returns the budget for what comes after, 0 if it
      * did not suffice.
      */
-    private int ends(WriteBatch r, int budget) {
+    private int ends(WriteBatch batch, int budget) {
         List<Job> dropped = new ArrayList<>();
         int left = budget;
-        for (Job job : block.jobs().values()) {
+        for (Job job : shard.jobs().values()) {
             if (job.over()) {
                 if (job.live().isEmpty() && !job.recorded()) {
                     dropped.add(job);
                 }
             } else if (ending(job) && !job.lentBusy()) {
-                if (r.transaction.writes().size() + 2 > left) {
+                if (batch.transaction.writes().size() + 2 > left) {
                     left = 0; // Guards against placings that leave no job's end its two writes,
                     // round after round.
                 } else {
-                    finish(r, job);
+                    finish(batch, job);
                 }
             }
         }
-        dropped.forEach(block::dropJob);
+        dropped.forEach(shard::dropJob);
         return left;
     }
 
@@ -257,34 +260,34 @@
         return !job.over() && job.complete() && !job.guest && !job.leaving();
     }
 
-    private void take(WriteBatch r, List<Job.Part> from, int budget) {
-        for (Job.Part p : from) {
-            if (r.transaction.writes().size() >= budget || r.bytes >= MAX_BYTES) {
+    private void take(WriteBatch batch, List<Job.Part> from, int budget) {
+        for (Job.Part part : from) {
+            if (batch.transaction.writes().size() >= budget || batch.bytes >= MAX_BYTES) {
                 return;
             }
-            Job job = p.job;
+            Job job = part.job;
             if (ending(job)) {
                 continue; // Once the job is written as done.
             }
-            block.unwritten().taken(p);
-            if (!p.due() || !r.taken.add(p)) {
+            shard.unwritten().taken(part);
+            if (!part.due() || !batch.taken.add(part)) {
                 continue;
             }
-            if (!job.over() && r.conditioned.add(job)) {
-                r.transaction.when(job.key, job.revision());
+            if (!job.over() && batch.conditioned.add(job)) {
+                batch.transaction.when(job.key, job.revision());
             }
-            putPart(r, p);
+            putPart(batch, part);
         }
     }
 
-    private void finish(WriteBatch r, Job job) {
-        over(r, job, "done", job.spec.tasks());
+    private void finish(WriteBatch batch, Job job) {
+        over(batch, job, "done", job.spec.tasks());
         if (job.lentRevision() > 0) {
-            r.transaction
+            batch.transaction
                     .when(StoreKeys.LENT + job.spec.id(), job.lentRevision())
                     .remove(StoreKeys.LENT + job.spec.id());
         }
-        r.finishing.add(job);
+        batch.finishing.add(job);
     }
 
     /**
@@ -292,17 +295,17 @@
      * next holder goes on with it wherever this one ends. They have no tasks to stop, as none of
      * them could start; but their users wait for word.
      */
-    private void cascade(WriteBatch r, int budget) {
-        for (Job job : block.pipelines().doomed()) {
-            if (r.transaction.writes().size() + 2 > budget || r.bytes >= MAX_BYTES) {
+    private void cascade(WriteBatch batch, int budget) {
+        for (Job job : shard.pipelines().doomed()) {
+            if (batch.transaction.writes().size() + 2 > budget || batch.bytes >= MAX_BYTES) {
                 return;
             }
-            over(r, job, "cancelled", 0);
-            r.cancelling.add(job);
+            over(batch, job, "cancelled", 0);
+            batch.cancelling.add(job);
         }
     }
 
-    private void over(WriteBatch r, Job job, String status, int done) {
+    private void over(WriteBatch batch, Job job, String status, int done) {
         Map<String, Object> record =
                 job.record()
                         .overMap(
@@ -313,104 +316,105 @@
                                         (long) done,
                                         "endedMs",
                                         timers.wallMs()),
-                                block.recordBytes());
-        r.bytes += JsonSize.size(record) + RECORD_BYTES;
-        r.transaction
+                                shard.recordBytes());
+        batch.bytes += JsonSize.size(record) + RECORD_BYTES;
+        batch.transaction
                 .when(job.key, job.revision())
                 .remove(job.key)
                 .put(StoreKeys.OVER + job.spec.id(), record);
     }
 
-    private void putPart(WriteBatch r, Job.Part p) {
-        Job job = p.job;
-        String key = StoreKeys.part(job.spec.id(), p.index);
-        List<Attempt> live = job.liveIn(p.index);
+    private void putPart(WriteBatch batch, Job.Part part) {
+        Job job = part.job;
+        String key = StoreKeys.part(job.spec.id(), part.index);
+        List<Attempt> live = job.liveIn(part.index);
         boolean remove = job.over() && live.isEmpty();
-        if (remove && p.revision() == 0) {
-            p.needsNoRecord();
+        if (remove && part.revision() == 0) {
+            part.needsNoRecord();
             return;
         }
-        r.transaction.when(key, p.revision());
+        batch.transaction.when(key, part.revision());
         if (remove) {
-            r.transaction.remove(key);
+            batch.transaction.remove(key);
         } else {
-            Map<String, Object> record = job.partRecord(p.index);
-            if (JsonSize.size(record) > block.recordBytes()) {
+            Map<String, Object> record = job.partRecord(part.index);
+            if (JsonSize.size(record) > shard.recordBytes()) {
                 // Placed when records could be larger. Until enough of it has ended, its workers go
                 // on reporting what
                 // has, and no more of it is placed.
                 oversize++;
-                r.transaction.conditions().remove(r.transaction.conditions().size() - 1);
+                batch.transaction.conditions().remove(batch.transaction.conditions().size() - 1);
                 return;
             }
-            r.bytes += JsonSize.size(record) + RECORD_BYTES;
-            r.transaction.put(key, record);
+            batch.bytes += JsonSize.size(record) + RECORD_BYTES;
+            batch.transaction.put(key, record);
         }
-        r.parts.add(new WriteBatch.Written(p, job.version(), remove));
+        batch.parts.add(new WriteBatch.Written(part, job.version(), remove));
     }
 
     private void send(long e, Runnable done) {
-        WriteBatch r = round;
+        WriteBatch batch = round;
         store.commit(
-                r.transaction,
-                c -> {
-                    if (e != epoch || round != r) {
+                batch.transaction,
+                result -> {
+                    if (e != epoch || round != batch) {
                         return;
                     }
-                    switch (c.outcome()) {
-                        case OK -> committed(r, c.revision(), done);
-                        case NO -> refused(r, c, done);
-                        case INVALID -> invalid(r);
-                        case REFUSED -> timers.after(0.2, () -> resend(e, r, done));
+                    switch (result.outcome()) {
+                        case OK -> committed(batch, result.revision(), done);
+                        case NO -> refused(batch, result, done);
+                        case INVALID -> invalid(batch);
+                        case REFUSED -> timers.after(0.2, () -> resend(e, batch, done));
                         default -> {
                             // It may have been executed, or still be: the very same transaction
                             // again settles it, since
                             // its conditions let only one of the two through.
-                            r.unsure = true;
-                            timers.after(0.1, () -> resend(e, r, done));
+                            batch.unsure = true;
+                            timers.after(0.1, () -> resend(e, batch, done));
                         }
                     }
                 });
     }
 
-    private void resend(long e, WriteBatch r, Runnable done) {
-        if (e == epoch && round == r) {
+    private void resend(long e, WriteBatch batch, Runnable done) {
+        if (e == epoch && round == batch) {
             send(e, done);
         }
     }
 
-    private void committed(WriteBatch r, long revision, Runnable done) {
+    private void committed(WriteBatch batch, long revision, Runnable done) {
         round = null;
-        mostWrites = Math.min(Math.min(facts.store().txnOps(), refusedWrites - 1), mostWrites + 1);
-        r.riders.forEach(x -> x.written(revision));
-        for (WriteBatch.Written w : r.parts) {
-            block.recorded(w.part(), w.version(), w.removed() ? 0 : revision);
+        mostWrites =
+                Math.min(Math.min(settings.store().txnOps(), refusedWrites - 1), mostWrites + 1);
+        batch.riders.forEach(x -> x.written(revision));
+        for (WriteBatch.Written written : batch.parts) {
+            shard.recorded(written.part(), written.version(), written.removed() ? 0 : revision);
         }
-        for (Job job : r.finishing) {
+        for (Job job : batch.finishing) {
             LOG.info("job {} done: {}", job.spec.id(), job.took(timers.now(), timers.wallMs()));
-            block.served().done(job, timers.wallMs());
-            block.pipelines().ended(job.spec.id(), true, timers.wallMs());
-            block.jobOver(job.spec.id());
+            shard.served().done(job, timers.wallMs());
+            shard.pipelines().ended(job.spec.id(), true, timers.wallMs());
+            shard.jobOver(job.spec.id());
             listener.over(new JobStatus(job.spec.id(), "done", job.spec.tasks(), 0));
         }
-        for (Job job : r.cancelling) {
+        for (Job job : batch.cancelling) {
             LOG.info("job {} cancelled, as one that it needs was", job.spec.id());
-            block.pipelines().ended(job.spec.id(), false, timers.wallMs());
-            block.jobOver(job.spec.id());
+            shard.pipelines().ended(job.spec.id(), false, timers.wallMs());
+            shard.jobOver(job.spec.id());
             listener.over(new JobStatus(job.spec.id(), "cancelled", 0, 0));
         }
-        if (r.relaid != null) {
-            r.relaid.written(block, revision);
+        if (batch.relaid != null) {
+            batch.relaid.written(shard, revision);
         }
         done.run();
     }
 
     /** None of it was written; all of it waits again. */
-    private void putBack(WriteBatch r) {
+    private void putBack(WriteBatch batch) {
         round = null;
-        r.parts.forEach(w -> block.unwritten().queue(w.part()));
-        for (int i = r.riders.size() - 1; i >= 0; i--) {
-            BatchContributor rider = r.riders.get(i);
+        batch.parts.forEach(written -> shard.unwritten().queue(written.part()));
+        for (int i = batch.riders.size() - 1; i >= 0; i--) {
+            BatchContributor rider = batch.riders.get(i);
             (rider.urgent() ? riders : patient).addFirst(rider);
         }
     }
@@ -421,11 +425,11 @@
      * smaller, down to a single record, and one that is refused by itself waits until it has
      * changed.
      */
-    private void invalid(WriteBatch r) {
+    private void invalid(WriteBatch batch) {
         invalid++;
-        int n = r.transaction.writes().size();
+        int n = batch.transaction.writes().size();
         Store.Write largest =
-                r.transaction.writes().stream()
+                batch.transaction.writes().stream()
                         .max(Comparator.comparingInt(WriteBatcher::size))
                         .orElseThrow();
         LOG.warn(
@@ -437,35 +441,38 @@
             refusedWrites = Math.min(refusedWrites, n);
             mostWrites = Math.max(2, n / 2);
         } else if (largest.value() != null) {
-            block.recordsBelow(size(largest));
+            shard.recordsBelow(size(largest));
             refusedWrites = Integer.MAX_VALUE; // It may have been this one all the time.
         }
-        if (r.unsure) {
+        if (batch.unsure) {
             round = null;
             listener.outOfStep("an earlier try of this write may have been executed");
-        } else if (r.parts.size() + r.riders.size() + r.finishing.size() + r.cancelling.size()
+        } else if (batch.parts.size()
+                        + batch.riders.size()
+                        + batch.finishing.size()
+                        + batch.cancelling.size()
                 > 1) {
-            putBack(r);
+            putBack(batch);
         } else {
             round = null;
-            if (r.relaid != null) {
-                block.laidOut(r.relaid.job);
+            if (batch.relaid != null) {
+                shard.laidOut(batch.relaid.job);
             }
         }
     }
 
-    private static int size(Store.Write w) {
-        return w.value() == null ? 0 : JsonSize.size(w.value());
+    private static int size(Store.Write write) {
+        return write.value() == null ? 0 : JsonSize.size(write.value());
     }
 
-    private void refused(WriteBatch r, CommitResult c, Runnable done) {
-        if (c.failed().contains(blockKey)) {
-            putBack(r);
+    private void refused(WriteBatch batch, CommitResult result, Runnable done) {
+        if (result.failed().contains(blockKey)) {
+            putBack(batch);
             listener.blockLost();
-        } else if (r.unsure) {
-            settle(epoch, r, c, done);
+        } else if (batch.unsure) {
+            settle(epoch, batch, result, done);
         } else {
-            notWritten(r, c);
+            notWritten(batch, result);
         }
     }
 
@@ -474,42 +481,42 @@
      * Guards against a holder that reads all jobs again for each answer that gets lost, and does
      * nothing else meanwhile.
      */
-    private void settle(long e, WriteBatch r, CommitResult c, Runnable done) {
-        WriteBatch.Witness witness = r.witness();
+    private void settle(long e, WriteBatch batch, CommitResult result, Runnable done) {
+        WriteBatch.Witness witness = batch.witness();
         if (witness == null) {
-            putBack(r);
+            putBack(batch);
             listener.outOfStep("an earlier try of this write may have been executed");
             return;
         }
         store.get(
                 witness.key(),
                 (outcome, entry) -> {
-                    if (e != epoch || round != r) {
+                    if (e != epoch || round != batch) {
                         return;
                     }
                     boolean known = outcome == Outcome.OK || outcome == Outcome.NO;
                     if (known && witness.shows(entry)) {
-                        committed(r, entry == null ? 0 : entry.revision(), done);
+                        committed(batch, entry == null ? 0 : entry.revision(), done);
                     } else if (known) {
                         // Nor can it be any more: a revision that was passed never comes back.
-                        notWritten(r, c);
+                        notWritten(batch, result);
                     } else {
-                        timers.after(0.2, () -> settle(e, r, c, done));
+                        timers.after(0.2, () -> settle(e, batch, result, done));
                     }
                 });
     }
 
-    private void notWritten(WriteBatch r, CommitResult c) {
-        putBack(r);
-        for (String key : c.failed()) {
+    private void notWritten(WriteBatch batch, CommitResult result) {
+        putBack(batch);
+        for (String key : result.failed()) {
             if (!key.startsWith(StoreKeys.OPEN)) {
                 listener.outOfStep("unexpected revision of " + key);
                 return;
             }
             // Cancelled just now; the next round goes without it.
-            block.jobOver(key.substring(StoreKeys.OPEN.length()));
+            shard.jobOver(key.substring(StoreKeys.OPEN.length()));
         }
-        if (c.failed().isEmpty()) {
+        if (result.failed().isEmpty()) {
             listener.outOfStep("a write was refused without a reason");
         }
     }
--- a/src/main/java/io/kitepath/net/HttpClient.java
+++ b/src/main/java/io/kitepath/net/HttpClient.java
@@ -68,8 +68,8 @@
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel ch) {
-                                        ch.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(4096, 8192, 16384),
                                                         new HttpObjectAggregator(
@@ -96,18 +96,18 @@
 
     /** Must be called on the event loop; {@code body} may be null. */
     public void call(String method, String path, byte[] body, long timeoutMs, Callback callback) {
-        Pending p = new Pending(method, path, body, timeoutMs, callback);
+        Pending pending = new Pending(method, path, body, timeoutMs, callback);
         Connection c = idle.pollLast();
         if (c != null) {
-            c.send(p);
+            c.send(pending);
         } else if (open < maxConnections) {
-            connect(p);
+            connect(pending);
         } else if (queue.size() < maxConnections * 4) {
-            queue.add(p);
+            queue.add(pending);
             // Waiting for a connection counts: what has had its time is given up on, not sent late.
             loop.schedule(
                     () -> {
-                        if (queue.remove(p)) {
+                        if (queue.remove(pending)) {
                             callback.done(0, null);
                         }
                     },
@@ -120,42 +120,42 @@
         }
     }
 
-    private void connect(Pending p) {
+    private void connect(Pending pending) {
         open++;
         ChannelFuture connecting =
                 bootstrap
                         .clone()
                         .option(
                                 ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                (int) Math.min(p.timeoutMs, 1000))
+                                (int) Math.min(pending.timeoutMs, 1000))
                         .connect(address);
         connecting.addListener(
                 f -> {
                     if (f.isSuccess()) {
-                        Channel ch = connecting.channel();
-                        ch.closeFuture()
+                        Channel channel = connecting.channel();
+                        channel.closeFuture()
                                 .addListener(
                                         x -> {
                                             open--;
                                             next();
                                         });
-                        ch.pipeline().get(Connection.class).send(p);
+                        channel.pipeline().get(Connection.class).send(pending);
                     } else {
                         open--;
-                        p.callback.done(0, null);
+                        pending.callback.done(0, null);
                         next();
                     }
                 });
     }
 
     private void next() {
-        Pending p;
-        while (open - idle.size() < maxConnections && (p = queue.poll()) != null) {
+        Pending pending;
+        while (open - idle.size() < maxConnections && (pending = queue.poll()) != null) {
             Connection c = idle.pollLast();
             if (c != null) {
-                c.send(p);
+                c.send(pending);
             } else {
-                connect(p);
+                connect(pending);
             }
         }
     }
@@ -170,33 +170,34 @@
             channel = ctx.channel();
         }
 
-        void send(Pending p) {
-            current = p;
+        void send(Pending pending) {
+            current = pending;
             DefaultFullHttpRequest r =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
-                            HttpMethod.valueOf(p.method),
-                            p.path,
-                            p.body == null
+                            HttpMethod.valueOf(pending.method),
+                            pending.path,
+                            pending.body == null
                                     ? Unpooled.EMPTY_BUFFER
-                                    : Unpooled.wrappedBuffer(p.body));
+                                    : Unpooled.wrappedBuffer(pending.body));
             r.headers().set(HttpHeaderNames.HOST, host);
-            if (p.body != null) {
-                r.headers().set(HttpHeaderNames.CONTENT_LENGTH, p.body.length);
+            if (pending.body != null) {
+                r.headers().set(HttpHeaderNames.CONTENT_LENGTH, pending.body.length);
                 r.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
             }
-            timeout = loop.schedule(() -> channel.close(), p.timeoutMs, TimeUnit.MILLISECONDS);
+            timeout =
+                    loop.schedule(() -> channel.close(), pending.timeoutMs, TimeUnit.MILLISECONDS);
             channel.writeAndFlush(r);
         }
 
         private void finish(int status, byte[] body) {
-            Pending p = current;
+            Pending pending = current;
             current = null;
             if (timeout != null) {
                 timeout.cancel(false);
             }
-            if (p != null) {
-                tell(p, status, body);
+            if (pending != null) {
+                tell(pending, status, body);
             }
         }
 
@@ -204,11 +205,16 @@
          * An odd answer may trip its reader, but must not take the connection's bookkeeping with
          * it.
          */
-        private void tell(Pending p, int status, byte[] body) {
+        private void tell(Pending pending, int status, byte[] body) {
             try {
-                p.callback.done(status, body);
+                pending.callback.done(status, body);
             } catch (RuntimeException e) {
-                LOG.error("the answer {} to {} {} can't be used", status, p.method, p.path, e);
+                LOG.error(
+                        "the answer {} to {} {} can't be used",
+                        status,
+                        pending.method,
+                        pending.path,
+                        e);
             }
         }
 
--- a/src/main/java/io/kitepath/net/HttpServer.java
+++ b/src/main/java/io/kitepath/net/HttpServer.java
@@ -67,23 +67,23 @@
                 .childHandler(
                         new ChannelInitializer<SocketChannel>() {
                             @Override
-                            protected void initChannel(SocketChannel ch) {
-                                accept(ch);
+                            protected void initChannel(SocketChannel channel) {
+                                accept(channel);
                             }
                         })
                 .bind(address);
     }
 
-    private void accept(SocketChannel ch) {
+    private void accept(SocketChannel channel) {
         // Guards the socket limit: the platform fails new connections past it, our own outgoing
         // ones too.
         if (connections >= maxConnections) {
-            ch.close();
+            channel.close();
             return;
         }
         connections++;
-        ch.closeFuture().addListener(f -> connections--);
-        ch.pipeline()
+        channel.closeFuture().addListener(f -> connections--);
+        channel.pipeline()
                 .addLast(
                         new HttpServerCodec(4096, 8192, 8192),
                         new Aggregator(maxBody),
--- a/src/main/java/io/kitepath/peers/CellLinks.java
+++ b/src/main/java/io/kitepath/peers/CellLinks.java
@@ -80,13 +80,13 @@
         ChannelFuture link = links.computeIfAbsent(to, this::connect);
         link.addListener(
                 f -> {
-                    Channel ch = link.channel();
+                    Channel channel = link.channel();
                     if (!f.isSuccess()) {
                         settle(number, null);
-                    } else if (ch.isActive() && ch.isWritable()) {
+                    } else if (channel.isActive() && channel.isWritable()) {
                         // A node that does not read must not fill our memory: what it has no room
                         // for is not said.
-                        ch.writeAndFlush(
+                        channel.writeAndFlush(
                                 Unpooled.wrappedBuffer(
                                         messages.bytes(new Messages.AskCell(number, message))));
                     }
@@ -103,8 +103,8 @@
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel ch) {
-                                        ch.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new LengthFieldBasedFrameDecoder(
                                                                 Messages.MAX_FRAME, 0, 4, 0, 4),
@@ -132,8 +132,8 @@
                 if (messages.value(ByteBufUtil.getBytes(frame)) instanceof Messages.AnswerCell a) {
                     settle(a.number(), a.message());
                 }
-            } catch (InvalidInputException e) {
-                LOG.warn("another cell's answer can't be read: {}", e.getMessage());
+            } catch (InvalidInputException invalid) {
+                LOG.warn("another cell's answer can't be read: {}", invalid.getMessage());
                 ctx.close();
             }
         }
--- a/src/main/java/io/kitepath/peers/MessageSerializers.java
+++ b/src/main/java/io/kitepath/peers/MessageSerializers.java
@@ -86,8 +86,8 @@
         public Messages.Ask read(Kryo kryo, Input input, Class<? extends Messages.Ask> type) {
             long number = readLong(input);
             boolean passOn = input.readBoolean();
-            Heartbeat report = kryo.readObjectOrNull(input, Heartbeat.class);
-            return new Messages.Ask(number, report, passOn);
+            Heartbeat heartbeat = kryo.readObjectOrNull(input, Heartbeat.class);
+            return new Messages.Ask(number, heartbeat, passOn);
         }
     }
 
@@ -108,17 +108,17 @@
 
     private static final class ReportSerializer extends FieldSerializer<Heartbeat> {
         @Override
-        public void write(Kryo kryo, Output output, Heartbeat report) {
-            output.writeString(report.address());
-            output.writeString(report.machine());
-            kryo.writeObjectOrNull(output, report.noticeS(), Double.class);
-            writeLong(output, report.sequence());
-            writeLong(output, report.session());
-            output.writeBoolean(report.spot());
-            writeList(kryo, output, report.tasks());
-            writeLong(output, report.token());
-            output.writeString(report.type());
-            output.writeString(report.zone());
+        public void write(Kryo kryo, Output output, Heartbeat heartbeat) {
+            output.writeString(heartbeat.address());
+            output.writeString(heartbeat.machine());
+            kryo.writeObjectOrNull(output, heartbeat.noticeS(), Double.class);
+            writeLong(output, heartbeat.sequence());
+            writeLong(output, heartbeat.session());
+            output.writeBoolean(heartbeat.spot());
+            writeList(kryo, output, heartbeat.tasks());
+            writeLong(output, heartbeat.token());
+            output.writeString(heartbeat.type());
+            output.writeString(heartbeat.zone());
         }
 
         @Override
@@ -163,10 +163,10 @@
     private static final class HeartbeatAnswerSerializer
             extends FieldSerializer<HeartbeatResponse> {
         @Override
-        public void write(Kryo kryo, Output output, HeartbeatResponse answer) {
-            output.writeString(answer.anchor());
-            writeList(kryo, output, answer.orders());
-            writeLong(output, answer.token());
+        public void write(Kryo kryo, Output output, HeartbeatResponse response) {
+            output.writeString(response.anchor());
+            writeList(kryo, output, response.orders());
+            writeLong(output, response.token());
         }
 
         @Override
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -98,8 +98,8 @@
 
     private final class Setup extends ChannelInitializer<SocketChannel> {
         @Override
-        protected void initChannel(SocketChannel ch) {
-            ch.pipeline()
+        protected void initChannel(SocketChannel channel) {
+            channel.pipeline()
                     .addLast(
                             new LengthFieldBasedFrameDecoder(Messages.MAX_FRAME, 0, 4, 0, 4),
                             new LengthFieldPrepender(4),
@@ -141,9 +141,9 @@
      * Guards against questions that wait their whole time for a process that is gone, while the one
      * that took its place a fraction of a second later, under its name, has never heard of them.
      */
-    private static <T> void lost(Channel ch, Map<Long, Asked<T>> asked) {
+    private static <T> void lost(Channel channel, Map<Long, Asked<T>> asked) {
         asked.entrySet().stream()
-                .filter(e -> e.getValue().channel == ch)
+                .filter(e -> e.getValue().channel == channel)
                 .map(Map.Entry::getKey)
                 .toList()
                 .forEach(
@@ -162,17 +162,17 @@
         loop.schedule(() -> connect(sibling, failures), ms, TimeUnit.MILLISECONDS);
     }
 
-    private void send(Channel ch, Object message) {
+    private void send(Channel channel, Object message) {
         // A sibling that does not read must not fill our memory.
-        if (ch != null && ch.isActive() && ch.isWritable()) {
-            ch.writeAndFlush(Unpooled.wrappedBuffer(messages.bytes(message)));
+        if (channel != null && channel.isActive() && channel.isWritable()) {
+            channel.writeAndFlush(Unpooled.wrappedBuffer(messages.bytes(message)));
         }
     }
 
     @Override
     public void tell(long token, String leader, boolean served) {
         view = new Messages.View(node, token, leader != null, served);
-        toAll(channels.values(), ch -> send(ch, view));
+        toAll(channels.values(), channel -> send(channel, view));
     }
 
     private Messages.View view;
@@ -187,20 +187,20 @@
         Object message = new Messages.Digest(d.by(), d.sinceMs(), d.untilMs(), d.jobs());
         toAll(
                 channels.values(),
-                ch -> {
-                    if (ch.hasAttr(READS)) {
-                        send(ch, message);
+                channel -> {
+                    if (channel.hasAttr(READS)) {
+                        send(channel, message);
                     }
                 });
     }
 
-    private void sayWhatWeRead(Channel ch) {
-        send(ch, new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()));
+    private void sayWhatWeRead(Channel channel) {
+        send(channel, new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()));
     }
 
     @Override
     public void over(JobStatus job) {
-        toAll(channels.values(), ch -> send(ch, new Messages.Over(job)));
+        toAll(channels.values(), channel -> send(channel, new Messages.Over(job)));
     }
 
     /**
@@ -214,14 +214,17 @@
 
     @Override
     public boolean relay(
-            String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
-        Channel ch = channels.get(sibling);
-        if (ch == null || !ch.isActive() || asks.size() >= MAX_ASKS) {
+            String sibling,
+            Heartbeat heartbeat,
+            boolean passOn,
+            Consumer<HeartbeatResponse> answer) {
+        Channel channel = channels.get(sibling);
+        if (channel == null || !channel.isActive() || asks.size() >= MAX_ASKS) {
             return false;
         }
         long number = ++asked;
-        asks.put(number, new Asked<>(ch, answer, new HeartbeatResponse(0, List.of(), null)));
-        send(ch, new Messages.Ask(number, report, passOn));
+        asks.put(number, new Asked<>(channel, answer, new HeartbeatResponse(0, List.of(), null)));
+        send(channel, new Messages.Ask(number, heartbeat, passOn));
         loop.schedule(
                 () -> settle(asks, number, new HeartbeatResponse(0, List.of(), null)),
                 RELAY_MS,
@@ -239,14 +242,14 @@
 
     @Override
     public void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
-        Channel ch = channels.get(leader);
-        if (ch == null || !ch.isActive() || progressAsks.size() >= MAX_ASKS) {
+        Channel channel = channels.get(leader);
+        if (channel == null || !channel.isActive() || progressAsks.size() >= MAX_ASKS) {
             answer.accept(List.of());
             return;
         }
         long number = ++asked;
-        progressAsks.put(number, new Asked<>(ch, answer, List.of()));
-        send(ch, new Messages.AskProgress(number, jobs));
+        progressAsks.put(number, new Asked<>(channel, answer, List.of()));
+        send(channel, new Messages.AskProgress(number, jobs));
         loop.schedule(
                 () -> settle(progressAsks, number, List.of()), PROGRESS_MS, TimeUnit.MILLISECONDS);
     }
@@ -257,8 +260,8 @@
             Object message;
             try {
                 message = messages.value(ByteBufUtil.getBytes(frame));
-            } catch (InvalidInputException e) {
-                LOG.warn("a sibling's message can't be read: {}", e.getMessage());
+            } catch (InvalidInputException invalid) {
+                LOG.warn("a sibling's message can't be read: {}", invalid.getMessage());
                 ctx.close();
                 return;
             }
@@ -276,7 +279,7 @@
                 controller.answerFor(
                         a.report(),
                         a.passOn(),
-                        c -> send(ctx.channel(), new Messages.Answer(a.number(), c)));
+                        response -> send(ctx.channel(), new Messages.Answer(a.number(), response)));
             } else if (message instanceof Messages.Answer a) {
                 settle(asks, a.number(), a.heartbeat());
             } else if (message instanceof Messages.AskProgress a) {
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -29,17 +29,17 @@
     private static final double ROUNDING = 1e-6;
 
     /** Complains with a {@link InvalidInputException} that names file, field and reason. */
-    public static CellsFile read(Path file, ClusterSettings facts) {
+    public static CellsFile read(Path file, ClusterSettings settings) {
         byte[] bytes = SettingsFile.bytes(file);
         try {
-            return of(bytes, facts);
-        } catch (InvalidInputException e) {
-            throw new InvalidInputException(file + ": " + e.getMessage());
+            return of(bytes, settings);
+        } catch (InvalidInputException invalid) {
+            throw new InvalidInputException(file + ": " + invalid.getMessage());
         }
     }
 
     /** Complains with a {@link InvalidInputException} that names field and reason. */
-    static CellsFile of(byte[] json, ClusterSettings facts) {
+    static CellsFile of(byte[] json, ClusterSettings settings) {
         DocumentReader t = DocumentReader.of(SettingsFile.document(json));
         long version = t.integer("version", 1, Long.MAX_VALUE);
         Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
@@ -72,7 +72,7 @@
             if (of.isEmpty()) {
                 throw c.complaint("nodes", "must name at least one node");
             }
-            if (of.containsKey(facts.node())) {
+            if (of.containsKey(settings.node())) {
                 own = name;
             } else {
                 addresses.put(name, at);
@@ -86,25 +86,26 @@
                             c.has("drained") && c.flag("drained"),
                             c.texts("zones"),
                             of,
-                            teams(c, facts)));
+                            teams(c, settings)));
         }
         if (own == null) {
-            throw t.complaint("cells", "no cell has this node, \"" + facts.node() + "\"");
+            throw t.complaint("cells", "no cell has this node, \"" + settings.node() + "\"");
         }
         if (cells.values().stream().noneMatch(CellDirectory.Cell::home)) {
             throw t.complaint("cells", "none is a home");
         }
-        CellDirectory d = new CellDirectory(version, own, cells);
-        checkOwn(t, d, facts);
-        checkSums(t, d, facts);
-        return new CellsFile(d, addresses);
+        CellDirectory directory = new CellDirectory(version, own, cells);
+        checkOwn(t, directory, settings);
+        checkSums(t, directory, settings);
+        return new CellsFile(directory, addresses);
     }
 
     /** A cell's name is a part of keys and messages. */
-    private static String name(DocumentReader c) {
-        String name = c.text("name");
+    private static String name(DocumentReader document) {
+        String name = document.text("name");
         if (!name.matches("[a-z0-9][a-z0-9-]{0,39}")) {
-            throw c.complaint("name", "must be 1 to 40 of a-z, 0-9 and -, not \"" + name + "\"");
+            throw document.complaint(
+                    "name", "must be 1 to 40 of a-z, 0-9 and -, not \"" + name + "\"");
         }
         return name;
     }
@@ -113,11 +114,11 @@
      * The cell's part of each team's limits; a team that is not named has an equal part of none.
      */
     private static Map<String, ClusterSettings.Team> teams(
-            DocumentReader c, ClusterSettings facts) {
+            DocumentReader c, ClusterSettings settings) {
         Map<String, DocumentReader> named = new HashMap<>();
         if (c.has("teams")) {
             for (DocumentReader x : c.children("teams")) {
-                if (!facts.teams().containsKey(x.text("name"))) {
+                if (!settings.teams().containsKey(x.text("name"))) {
                     throw x.complaint(
                             "name", "the settings have no team \"" + x.text("name") + "\"");
                 }
@@ -125,7 +126,7 @@
             }
         }
         Map<String, ClusterSettings.Team> out = new LinkedHashMap<>();
-        for (ClusterSettings.Team whole : facts.teams().values()) {
+        for (ClusterSettings.Team whole : settings.teams().values()) {
             DocumentReader x = named.get(whole.name());
             out.put(
                     whole.name(),
@@ -139,44 +140,47 @@
         return out;
     }
 
-    private static double limit(DocumentReader x, String field, double whole) {
-        double part = x == null ? 0 : x.numberOr(field, 0, 0);
+    private static double limit(DocumentReader document, String field, double whole) {
+        double part = document == null ? 0 : document.numberOr(field, 0, 0);
         if (whole == 0) {
             if (part > 0) {
-                throw x.complaint(field, "the settings limit this team to nothing there");
+                throw document.complaint(field, "the settings limit this team to nothing there");
             }
             return 0;
         }
         return part > 0 ? part : NOTHING;
     }
 
-    private static void checkOwn(DocumentReader t, CellDirectory d, ClusterSettings facts) {
-        Set<String> mine = new HashSet<>(facts.siblings());
-        mine.add(facts.node());
-        if (!d.here().nodes().keySet().equals(mine)) {
-            throw t.complaint(
+    private static void checkOwn(
+            DocumentReader document, CellDirectory directory, ClusterSettings settings) {
+        Set<String> mine = new HashSet<>(settings.siblings());
+        mine.add(settings.node());
+        if (!directory.here().nodes().keySet().equals(mine)) {
+            throw document.complaint(
                     "cells",
                     "cell \""
-                            + d.own()
+                            + directory.own()
                             + "\" has the nodes "
-                            + d.here().nodes().keySet()
+                            + directory.here().nodes().keySet()
                             + ", the settings have "
                             + mine);
         }
-        for (String z : facts.zones()) {
-            if (!d.here().zones().contains(z)) {
-                throw t.complaint(
-                        "cells", "cell \"" + d.own() + "\" lacks the settings' zone \"" + z + "\"");
+        for (String z : settings.zones()) {
+            if (!directory.here().zones().contains(z)) {
+                throw document.complaint(
+                        "cells",
+                        "cell \"" + directory.own() + "\" lacks the settings' zone \"" + z + "\"");
             }
         }
     }
 
     /** Parts that add up to more than the whole would be a limit that nobody keeps. */
-    private static void checkSums(DocumentReader t, CellDirectory d, ClusterSettings facts) {
-        for (ClusterSettings.Team whole : facts.teams().values()) {
+    private static void checkSums(
+            DocumentReader document, CellDirectory directory, ClusterSettings settings) {
+        for (ClusterSettings.Team whole : settings.teams().values()) {
             double[] sum = new double[4];
-            for (CellDirectory.Cell c : d.cells().values()) {
-                ClusterSettings.Team part = c.teams().get(whole.name());
+            for (CellDirectory.Cell cell : directory.cells().values()) {
+                ClusterSettings.Team part = cell.teams().get(whole.name());
                 sum[0] += part.cpus();
                 sum[1] += part.cpusMax();
                 sum[2] += part.gpus();
@@ -186,7 +190,7 @@
             String[] names = {"cpus", "cpus_max", "gpus", "gpus_max"};
             for (int i = 0; i < sum.length; i++) {
                 if (sum[i] > of[i] + ROUNDING) {
-                    throw t.complaint(
+                    throw document.complaint(
                             "cells",
                             "the parts of \""
                                     + names[i]
--- a/src/main/java/io/kitepath/settings/SettingsFile.java
+++ b/src/main/java/io/kitepath/settings/SettingsFile.java
@@ -35,8 +35,8 @@
         byte[] bytes = bytes(file);
         try {
             return of(bytes);
-        } catch (InvalidInputException e) {
-            throw new InvalidInputException(file + ": " + e.getMessage());
+        } catch (InvalidInputException invalid) {
+            throw new InvalidInputException(file + ": " + invalid.getMessage());
         }
     }
 
@@ -89,7 +89,7 @@
         DocumentReader s = f.child("state");
         DocumentReader c = f.child("cloud");
         DocumentReader l = f.child("limits");
-        ClusterSettings facts =
+        ClusterSettings settings =
                 new ClusterSettings(
                         node,
                         t.text("domain"),
@@ -113,7 +113,7 @@
                         f.numberOr("clock_error_ms", 0, t.numberOr("clock_error_ms", 0, 0)));
         DocumentReader e = t.child("endpoints");
         return new SettingsFile(
-                facts,
+                settings,
                 address(t, "listen"),
                 address(t, "internal_addr"),
                 siblings,
@@ -147,8 +147,8 @@
     }
 
     /** A numeric IPv4 address and a port; names are not looked up. */
-    static InetSocketAddress address(DocumentReader t, String field) {
-        String s = t.text(field);
+    static InetSocketAddress address(DocumentReader document, String field) {
+        String s = document.text(field);
         int colon = s.lastIndexOf(':');
         try {
             String host = s.substring(0, Math.max(0, colon));
@@ -159,7 +159,8 @@
         } catch (NumberFormatException | UnknownHostException e) {
             // Said below.
         }
-        throw t.complaint(field, "must be an address such as 10.0.0.1:8080, not \"" + s + "\"");
+        throw document.complaint(
+                field, "must be an address such as 10.0.0.1:8080, not \"" + s + "\"");
     }
 
     /**
