--- a/src/main/java/io/kitepath/simulation/CloudLink.java
+++ b/src/main/java/io/kitepath/simulation/CloudLink.java
@@ -10,17 +10,17 @@
 import java.util.function.Consumer;
 
 final class CloudLink implements Cloud {
-    private final SimulatedCluster w;
+    private final SimulatedCluster cluster;
     private final EmulatorClient node;
 
-    CloudLink(SimulatedCluster w, EmulatorClient node) {
-        this.w = w;
+    CloudLink(SimulatedCluster cluster, EmulatorClient node) {
+        this.cluster = cluster;
         this.node = node;
     }
 
     @Override
     public void types(BiConsumer<Store.Outcome, List<MachineType>> answer) {
-        node.after(0.05, () -> answer.accept(Store.Outcome.OK, List.of(w.type)));
+        node.after(0.05, () -> answer.accept(Store.Outcome.OK, List.of(cluster.type)));
     }
 
     /** What the cloud does about a request, and what it answers. */
@@ -30,25 +30,25 @@
 
     private void exchange(Act act, Consumer<Store.Outcome> failed) {
         node.sends();
-        MemoryCloud c = w.cloud;
+        MemoryCloud c = cluster.cloud;
         if (c.withheld.test(node)) {
             c.heldBack.add(act::run);
             node.after(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
             return;
         }
-        w.after(
-                w.takes(0.05),
+        cluster.after(
+                cluster.takes(0.05),
                 () -> {
                     if (c.out) {
-                        node.after(w.takes(0.05), () -> failed.accept(Store.Outcome.REFUSED));
+                        node.after(cluster.takes(0.05), () -> failed.accept(Store.Outcome.REFUSED));
                         return;
                     }
                     Runnable answer = act.run();
-                    if (c.swallow > 0 || w.losesAnswer.getAsBoolean()) {
+                    if (c.swallow > 0 || cluster.losesAnswer.getAsBoolean()) {
                         c.swallow -= c.swallow > 0 ? 1 : 0;
                         node.after(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
                     } else {
-                        node.after(w.takes(0.05), answer);
+                        node.after(cluster.takes(0.05), answer);
                     }
                 });
     }
@@ -61,20 +61,20 @@
             BiConsumer<Store.Outcome, List<String>> answer) {
         exchange(
                 () -> {
-                    w.cloud.rentals.add(name);
-                    List<String> got = w.cloud.granted.get(name);
+                    cluster.cloud.rentals.add(name);
+                    List<String> got = cluster.cloud.granted.get(name);
                     if (got == null) {
                         got = new ArrayList<>();
                         for (int i = 0;
-                                i < count && w.cloud.capacity > 0;
-                                i++, w.cloud.capacity--) {
-                            String id = String.format("i-9%05d", w.cloud.named++);
+                                i < count && cluster.cloud.capacity > 0;
+                                i++, cluster.cloud.capacity--) {
+                            String id = String.format("i-9%05d", cluster.cloud.named++);
                             got.add(id);
-                            w.cloud.rentedAt.put(id, w.clock.now);
+                            cluster.cloud.rentedAt.put(id, cluster.clock.now);
                             boot(id, kind.zone());
                         }
                         if (!got.isEmpty()) {
-                            w.cloud.granted.put(name, got);
+                            cluster.cloud.granted.put(name, got);
                         }
                     }
                     List<String> machines = got;
@@ -83,21 +83,22 @@
                                     machines.isEmpty() ? Store.Outcome.NO : Store.Outcome.OK,
                                     machines);
                 },
-                o -> answer.accept(o, List.of()));
+                outcome -> answer.accept(outcome, List.of()));
     }
 
     private void boot(String id, String zone) {
-        double s = w.cloud.bootS.applyAsDouble(w.cloud.booted++);
+        double s = cluster.cloud.bootS.applyAsDouble(cluster.cloud.booted++);
         if (s == 0) {
-            w.worker(id, zone);
+            cluster.worker(id, zone);
             return;
         }
-        w.cloud.machines.put(id, new Cloud.Listed(id, w.type.name(), zone, false, "starting", 0));
-        w.after(
+        cluster.cloud.machines.put(
+                id, new Cloud.Listed(id, cluster.type.name(), zone, false, "starting", 0));
+        cluster.after(
                 s < 0 ? 1e9 : s,
                 () -> {
-                    if (w.cloud.machines.containsKey(id)) {
-                        w.worker(id, zone);
+                    if (cluster.cloud.machines.containsKey(id)) {
+                        cluster.worker(id, zone);
                     }
                 });
     }
@@ -108,10 +109,10 @@
                 () -> {
                     names.forEach(
                             n -> {
-                                w.cloud.machines.remove(n);
-                                w.cloud.released.add(n);
-                                if (w.workers.containsKey(n)) {
-                                    w.workers.get(n).die();
+                                cluster.cloud.machines.remove(n);
+                                cluster.cloud.released.add(n);
+                                if (cluster.workers.containsKey(n)) {
+                                    cluster.workers.get(n).die();
                                 }
                             });
                     return () -> answer.accept(Store.Outcome.OK);
@@ -121,17 +122,18 @@
 
     @Override
     public void list(BiConsumer<Store.Outcome, List<Listed>> answer) {
-        if (w.cloud.out) {
+        if (cluster.cloud.out) {
             node.after(0.05, () -> answer.accept(Store.Outcome.REFUSED, List.of()));
             return;
         }
         List<Listed> all =
-                w.cloud.machines.values().stream()
+                cluster.cloud.machines.values().stream()
                         .filter(
-                                m ->
-                                        w.clock.now
-                                                >= w.cloud.rentedAt.getOrDefault(m.machine(), -1e9)
-                                                        + w.cloud.listLagS)
+                                listed ->
+                                        cluster.clock.now
+                                                >= cluster.cloud.rentedAt.getOrDefault(
+                                                                listed.machine(), -1e9)
+                                                        + cluster.cloud.listLagS)
                         .toList();
         node.after(0.05, () -> answer.accept(Store.Outcome.OK, all));
     }
--- a/src/main/java/io/kitepath/simulation/InvariantChecker.java
+++ b/src/main/java/io/kitepath/simulation/InvariantChecker.java
@@ -23,7 +23,7 @@
 
     private static final double LEFT_WAITING_S = 90;
 
-    private final SimulatedCluster w;
+    private final SimulatedCluster cluster;
     private final Map<String, Double> doneAt = new HashMap<>();
     private final Map<String, Double> acceptedAt = new HashMap<>();
     private final Set<String> cancelAsked = new HashSet<>();
@@ -50,8 +50,8 @@
 
     private int answers;
 
-    InvariantChecker(SimulatedCluster w) {
-        this.w = w;
+    InvariantChecker(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     public int startsAfterCancellation() {
@@ -72,7 +72,7 @@
     }
 
     private void breaks(String what) {
-        w.broken.add(what);
+        cluster.broken.add(what);
     }
 
     private void breaksOnce(String what) {
@@ -93,8 +93,8 @@
      * before.
      */
     void accepted(String id) {
-        acceptedAt.putIfAbsent(id, w.clock.now);
-        w.accepted.putIfAbsent(id, w.clock.now);
+        acceptedAt.putIfAbsent(id, cluster.clock.now);
+        cluster.accepted.putIfAbsent(id, cluster.clock.now);
     }
 
     /**
@@ -102,73 +102,83 @@
      * another was given before it was asked for; of two questions at the same time either may be
      * answered first.
      */
-    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer a, double asked) {
-        if (a == null) {
+    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer answer, double asked) {
+        if (answer == null) {
             return null;
         }
         answers++;
-        if (a.verdict() != JobSubmissionService.Verdict.KNOWN
-                && a.verdict() != JobSubmissionService.Verdict.CREATED) {
-            if (a.verdict() != JobSubmissionService.Verdict.LATER
+        if (answer.verdict() != JobSubmissionService.Verdict.KNOWN
+                && answer.verdict() != JobSubmissionService.Verdict.CREATED) {
+            if (answer.verdict() != JobSubmissionService.Verdict.LATER
                     && acceptedAt.getOrDefault(id, 1e18) < asked) {
-                breaks("forgotten: " + id + " gets " + a.verdict());
+                breaks("forgotten: " + id + " gets " + answer.verdict());
             }
-            return a;
+            return answer;
         }
-        answeredAt.put(id, w.clock.now);
-        if (w.specs.get(id) == null && !w.store.everHad(id)) {
+        answeredAt.put(id, cluster.clock.now);
+        if (cluster.specs.get(id) == null && !cluster.store.everHad(id)) {
             breaks("invented: " + id);
         }
-        acceptedAt.putIfAbsent(id, w.clock.now);
-        String status = a.state().status();
+        acceptedAt.putIfAbsent(id, cluster.clock.now);
+        String status = answer.state().status();
         if (doneAt.getOrDefault(id, 1e18) <= asked && !status.equals("done")
-                || w.toldCancelled.getOrDefault(id, 1e18) <= asked && !status.equals("cancelled")) {
+                || cluster.toldCancelled.getOrDefault(id, 1e18) <= asked
+                        && !status.equals("cancelled")) {
             breaks("went back: " + id + " is called " + status);
         }
         if (status.equals("done")) {
-            JobSpec s = w.specs.get(id);
-            int ended = w.completed.getOrDefault(id, Set.of()).size();
-            if (s != null && (s.gang() ? ended == 0 : ended < s.tasks())) {
-                breaks("not done: " + id + " is called done after " + ended + " of " + s.tasks());
+            JobSpec spec = cluster.specs.get(id);
+            int ended = cluster.completed.getOrDefault(id, Set.of()).size();
+            if (spec != null && (spec.gang() ? ended == 0 : ended < spec.tasks())) {
+                breaks(
+                        "not done: "
+                                + id
+                                + " is called done after "
+                                + ended
+                                + " of "
+                                + spec.tasks());
             }
-            w.toldDone.add(id);
-            doneAt.putIfAbsent(id, w.clock.now);
+            cluster.toldDone.add(id);
+            doneAt.putIfAbsent(id, cluster.clock.now);
         } else if (status.equals("cancelled")) {
             if (!cancelAsked.contains(id) && before(id).stream().noneMatch(cancelAsked::contains)) {
                 breaksOnce("went back: " + id + " is called cancelled and nobody asked for it");
             }
-            if (w.toldCancelled.putIfAbsent(id, w.clock.now) == null) {
+            if (cluster.toldCancelled.putIfAbsent(id, cluster.clock.now) == null) {
                 // A moment more than the rule's, for what is due in the same moment.
-                w.after(w.cancelS + 0.01, () -> hasGone(id));
+                cluster.after(cluster.cancelS + 0.01, () -> hasGone(id));
             }
         } else if (before(id).stream()
                 .anyMatch(
                         n ->
-                                w.clock.now
+                                cluster.clock.now
                                         > Math.max(
-                                                        w.accepted.getOrDefault(id, 0.0),
-                                                        w.toldCancelled.getOrDefault(n, 1e18))
-                                                + w.cancelS)) {
+                                                        cluster.accepted.getOrDefault(id, 0.0),
+                                                        cluster.toldCancelled.getOrDefault(n, 1e18))
+                                                + cluster.cancelS)) {
             breaks("orphaned: " + id + " is called " + status);
         }
-        return a;
+        return answer;
     }
 
     // ---- cancelled tasks ------------------------------------------------------------------------
 
     private void hasGone(String id) {
-        for (SimulatedWorker x : w.workers.values()) {
-            x.tasks.values().stream()
-                    .filter(t -> t.job.equals(id) && t.on())
+        for (SimulatedWorker worker : cluster.workers.values()) {
+            worker.tasks.values().stream()
+                    .filter(task -> task.job.equals(id) && task.on())
                     .forEach(
-                            t -> {
-                                if (x.hangs()) {
+                            task -> {
+                                if (worker.hangs()) {
                                     // It does nothing while it hangs; it must not go on with it.
                                     hungWithCancelled++;
-                                    x.goesOn(() -> w.after(0.01, () -> hasGone(id)));
+                                    worker.goesOn(() -> cluster.after(0.01, () -> hasGone(id)));
                                 } else {
                                     breaksOnce(
-                                            "ran cancelled: " + t.key() + " is still on " + x.id);
+                                            "ran cancelled: "
+                                                    + task.key()
+                                                    + " is still on "
+                                                    + worker.id);
                                 }
                             });
         }
@@ -177,11 +187,11 @@
     /** All jobs that have to be done before that one, directly or through others. */
     private Set<String> before(String id) {
         Set<String> all = new HashSet<>();
-        List<String> next = new ArrayList<>(w.needs.getOrDefault(id, List.of()));
+        List<String> next = new ArrayList<>(cluster.needs.getOrDefault(id, List.of()));
         while (!next.isEmpty()) {
             String n = next.remove(next.size() - 1);
             if (all.add(n)) {
-                next.addAll(w.needs.getOrDefault(n, List.of()));
+                next.addAll(cluster.needs.getOrDefault(n, List.of()));
             }
         }
         return all;
@@ -190,11 +200,13 @@
     // ---- starts ---------------------------------------------------------------------------------
 
     /** A task starts, and is on its machine already. */
-    void starts(SimulatedTask t) {
-        String id = t.job;
+    void starts(SimulatedTask task) {
+        String id = task.job;
         besideRoom.remove(id);
-        double after = w.clock.now - w.toldCancelled.getOrDefault(id, Double.POSITIVE_INFINITY);
-        if (after > w.cancelS) {
+        double after =
+                cluster.clock.now
+                        - cluster.toldCancelled.getOrDefault(id, Double.POSITIVE_INFINITY);
+        if (after > cluster.cancelS) {
             breaks("ran cancelled: " + id + " starts");
         }
         if (after > 0) {
@@ -202,39 +214,39 @@
             latestStartAfterS = Math.max(latestStartAfterS, after);
         }
         for (String n : before(id)) {
-            JobSpec s = w.specs.get(n);
-            int done = w.completed.getOrDefault(n, Set.of()).size();
+            JobSpec spec = cluster.specs.get(n);
+            int done = cluster.completed.getOrDefault(n, Set.of()).size();
             // The tasks of a gang complete together.
-            if (s == null || (s.gang() ? done == 0 : done < s.tasks())) {
+            if (spec == null || (spec.gang() ? done == 0 : done < spec.tasks())) {
                 breaks("too early: " + id + " starts before " + n + " is done");
             }
         }
-        JobSpec s = w.specs.get(id);
-        if (s != null) {
-            place(t, s);
-            limit(s.team());
+        JobSpec spec = cluster.specs.get(id);
+        if (spec != null) {
+            place(task, spec);
+            limit(spec.team());
         }
     }
 
-    private void place(SimulatedTask t, JobSpec s) {
+    private void place(SimulatedTask t, JobSpec spec) {
         SimulatedWorker x = t.worker;
-        if (s.types() != null && !s.types().contains(w.type.name())
-                || s.zone() != null && !s.zone().equals(x.zone)
-                || x.spot && !s.spot()) {
+        if (spec.types() != null && !spec.types().contains(cluster.type.name())
+                || spec.zone() != null && !spec.zone().equals(x.zone)
+                || x.spot && !spec.spot()) {
             breaks("wrong place: " + t.key() + " on " + x.id);
         }
-        if (!s.oneZone() && !s.spread()) {
+        if (!spec.oneZone() && !spec.spread()) {
             return;
         }
         int here = 0;
-        for (SimulatedWorker y : w.workers.values()) {
+        for (SimulatedWorker y : cluster.workers.values()) {
             long on = y.tasks.values().stream().filter(o -> o.job.equals(t.job) && o.on()).count();
             here += y.zone.equals(x.zone) ? on : 0;
-            if (s.oneZone() && on > 0 && !y.zone.equals(x.zone)) {
+            if (spec.oneZone() && on > 0 && !y.zone.equals(x.zone)) {
                 breaks("wrong place: " + t.key() + " in " + x.zone + " beside tasks in " + y.zone);
             }
         }
-        if (s.spread() && here > s.mostPerZone()) {
+        if (spec.spread() && here > spec.mostPerZone()) {
             breaks("wrong place: " + here + " tasks of " + t.job + " in " + x.zone);
         }
     }
@@ -244,12 +256,12 @@
      */
     public double[] onMachines(String team) {
         double[] used = new double[2];
-        for (SimulatedWorker x : w.workers.values()) {
-            for (SimulatedTask t : x.tasks.values()) {
-                JobSpec s = w.specs.get(t.job);
-                if (s != null && s.team().equals(team) && t.on()) {
-                    used[0] += s.cpus();
-                    used[1] += s.gpus();
+        for (SimulatedWorker worker : cluster.workers.values()) {
+            for (SimulatedTask task : worker.tasks.values()) {
+                JobSpec spec = cluster.specs.get(task.job);
+                if (spec != null && spec.team().equals(team) && task.on()) {
+                    used[0] += spec.cpus();
+                    used[1] += spec.gpus();
                 }
             }
         }
@@ -257,7 +269,7 @@
     }
 
     private void limit(String team) {
-        ClusterSettings.Team limit = w.teams.get(team);
+        ClusterSettings.Team limit = cluster.teams.get(team);
         if (limit == null || limit.cpusMax() <= 0 && limit.gpusMax() <= 0) {
             return;
         }
@@ -282,7 +294,7 @@
      */
     public void calm() {
         boolean first = Double.isNaN(calmAt);
-        calmAt = w.clock.now;
+        calmAt = cluster.clock.now;
         answeredAt.clear();
         besideRoom.clear();
         if (first) {
@@ -291,8 +303,8 @@
     }
 
     private List<String> unfinished() {
-        return w.accepted.keySet().stream()
-                .filter(id -> !w.toldCancelled.containsKey(id) && !doneAt.containsKey(id))
+        return cluster.accepted.keySet().stream()
+                .filter(id -> !cluster.toldCancelled.containsKey(id) && !doneAt.containsKey(id))
                 .sorted()
                 .toList();
     }
@@ -301,22 +313,24 @@
         int tick = asksAt++;
         for (String id : unfinished()) {
             if (tick % 5 == 0) {
-                List<SimulatedNode> up = w.nodes.values().stream().filter(n -> n.alive).toList();
+                List<SimulatedNode> up =
+                        cluster.nodes.values().stream().filter(node -> node.alive).toList();
                 if (!up.isEmpty()) {
-                    w.users.ask(up.get(Math.floorMod(id.hashCode() + tick / 5, up.size())), id);
+                    cluster.users.ask(
+                            up.get(Math.floorMod(id.hashCode() + tick / 5, up.size())), id);
                 }
             }
-            double now = w.clock.now;
+            double now = cluster.clock.now;
             if (now - Math.max(calmAt, answeredAt.getOrDefault(id, 0.0)) > FORGOTTEN_S) {
                 breaksOnce("forgotten: no question about " + id + " is answered");
             }
             if (!waitsBesideRoom(id)) {
                 besideRoom.remove(id);
-            } else if (now - besideRoom.computeIfAbsent(id, k -> now) > LEFT_WAITING_S) {
+            } else if (now - besideRoom.computeIfAbsent(id, key -> now) > LEFT_WAITING_S) {
                 breaksOnce("left waiting: " + id);
             }
         }
-        w.after(1, this::look);
+        cluster.after(1, this::look);
     }
 
     /**
@@ -324,60 +338,73 @@
      * team is under its limit.
      */
     private boolean waitsBesideRoom(String id) {
-        JobSpec s = w.specs.get(id);
-        if (s == null
+        JobSpec spec = cluster.specs.get(id);
+        if (spec == null
                 || cancelAsked.contains(id)
                 || !before(id).stream().allMatch(doneAt::containsKey)) {
             return false;
         }
         long on =
-                w.workers.values().stream()
-                        .flatMap(x -> x.tasks.values().stream())
-                        .filter(t -> t.job.equals(id) && t.on())
-                        .map(t -> t.number)
+                cluster.workers.values().stream()
+                        .flatMap(worker -> worker.tasks.values().stream())
+                        .filter(task -> task.job.equals(id) && task.on())
+                        .map(task -> task.number)
                         .distinct()
                         .count();
-        long missing = s.tasks() - w.completed.getOrDefault(id, Set.of()).size() - on;
-        if (missing <= 0 || s.gang() && on > 0 || s.gang() && w.completed.containsKey(id)) {
+        long missing = spec.tasks() - cluster.completed.getOrDefault(id, Set.of()).size() - on;
+        if (missing <= 0
+                || spec.gang() && on > 0
+                || spec.gang() && cluster.completed.containsKey(id)) {
             return false;
         }
-        long atOnce = s.gang() ? missing : 1;
-        ClusterSettings.Team limit = w.teams.get(s.team());
-        double[] used = onMachines(s.team());
+        long atOnce = spec.gang() ? missing : 1;
+        ClusterSettings.Team limit = cluster.teams.get(spec.team());
+        double[] used = onMachines(spec.team());
         if (limit == null
-                || limit.cpusMax() > 0 && used[0] + atOnce * s.cpus() > limit.cpusMax() + 1e-6
-                || limit.gpusMax() > 0 && used[1] + atOnce * s.gpus() > limit.gpusMax() + 1e-6) {
+                || limit.cpusMax() > 0 && used[0] + atOnce * spec.cpus() > limit.cpusMax() + 1e-6
+                || limit.gpusMax() > 0 && used[1] + atOnce * spec.gpus() > limit.gpusMax() + 1e-6) {
             return false;
         }
         Map<String, Long> rooms = new HashMap<>();
-        w.workers.values().stream()
-                .filter(x -> x.up && !x.cut && !x.deaf && !x.mute && !x.hangs())
+        cluster.workers.values().stream()
                 .filter(
-                        x ->
-                                (s.zone() == null || s.zone().equals(x.zone))
-                                        && (!x.spot || s.spot())
-                                        && fitsBeside(s, x.zone))
-                .forEach(x -> rooms.merge(s.oneZone() ? x.zone : "", room(x, s), Long::sum));
+                        worker ->
+                                worker.up
+                                        && !worker.cut
+                                        && !worker.deaf
+                                        && !worker.mute
+                                        && !worker.hangs())
+                .filter(
+                        worker ->
+                                (spec.zone() == null || spec.zone().equals(worker.zone))
+                                        && (!worker.spot || spec.spot())
+                                        && fitsBeside(spec, worker.zone))
+                .forEach(
+                        worker ->
+                                rooms.merge(
+                                        spec.oneZone() ? worker.zone : "",
+                                        room(worker, spec),
+                                        Long::sum));
         return rooms.values().stream().anyMatch(r -> r >= atOnce);
     }
 
     /** Whether the job's other tasks, where they are now, let one more of it start in that zone. */
-    private boolean fitsBeside(JobSpec s, String zone) {
+    private boolean fitsBeside(JobSpec spec, String zone) {
         List<SimulatedTask> on =
-                w.workers.values().stream()
-                        .flatMap(x -> x.tasks.values().stream())
-                        .filter(t -> t.job.equals(s.id()) && t.on())
+                cluster.workers.values().stream()
+                        .flatMap(worker -> worker.tasks.values().stream())
+                        .filter(task -> task.job.equals(spec.id()) && task.on())
                         .toList();
-        long here = on.stream().filter(t -> t.worker.zone.equals(zone)).count();
-        return (!s.oneZone() || here == on.size()) && here < s.mostPerZone();
+        long here = on.stream().filter(task -> task.worker.zone.equals(zone)).count();
+        return (!spec.oneZone() || here == on.size()) && here < spec.mostPerZone();
     }
 
-    private long room(SimulatedWorker x, JobSpec s) {
-        double cpus = w.type.cpus();
-        double memory = w.type.memoryGb();
-        for (SimulatedTask t : x.tasks.values()) {
-            JobSpec o = w.specs.get(t.job);
-            if (t.on() && o != null) {
+    private long room(SimulatedWorker worker, JobSpec s) {
+        double cpus = cluster.type.cpus();
+        double memory = cluster.type.memoryGb();
+        for (SimulatedTask task : worker.tasks.values()) {
+            JobSpec o = cluster.specs.get(task.job);
+            if (task.on() && o != null) {
                 cpus -= o.cpus();
                 memory -= o.memoryGb();
             }
--- a/src/main/java/io/kitepath/simulation/LoadGenerator.java
+++ b/src/main/java/io/kitepath/simulation/LoadGenerator.java
@@ -28,13 +28,13 @@
     /** Machines that hang at most when jobs are called off. */
     private static final int HANG = 8;
 
-    private final SimulatedCluster w;
+    private final SimulatedCluster cluster;
     private final Set<String> looked = new HashSet<>();
     private int asked;
     private int looks;
 
-    LoadGenerator(SimulatedCluster w) {
-        this.w = w;
+    LoadGenerator(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     /** Questions, and repeated submissions, within milliseconds of an answer. */
@@ -43,7 +43,7 @@
     }
 
     private List<SimulatedNode> up() {
-        return w.nodes.values().stream().filter(n -> n.alive).toList();
+        return cluster.nodes.values().stream().filter(node -> node.alive).toList();
     }
 
     /** Any node that is up, one after the other; null if none is. */
@@ -53,70 +53,74 @@
     }
 
     /** Asks there, and waits for no answer here. */
-    public void ask(SimulatedNode n, String id) {
-        double at = w.clock.now;
-        n.deliver(() -> n.controller.registry().status(id, a -> hears(id, a, at, WAIT_S)));
+    public void ask(SimulatedNode node, String id) {
+        double at = cluster.clock.now;
+        node.deliver(
+                () ->
+                        node.controller
+                                .registry()
+                                .status(id, answer -> hears(id, answer, at, WAIT_S)));
     }
 
     /** Hands it in there once more. */
-    public void repeat(SimulatedNode n, String id) {
-        repeat(n, w.specs.get(id));
+    public void repeat(SimulatedNode node, String id) {
+        repeat(node, cluster.specs.get(id));
     }
 
     /** The same with that body. */
-    public void repeat(SimulatedNode n, JobSpec body) {
+    public void repeat(SimulatedNode node, JobSpec body) {
         String id = body.id();
-        double at = w.clock.now;
-        n.deliver(
+        double at = cluster.clock.now;
+        node.deliver(
                 () ->
-                        n.controller
+                        node.controller
                                 .registry()
                                 .submit(
                                         body,
-                                        w.needs.getOrDefault(id, List.of()),
-                                        a -> {
-                                            if (w.clock.now - at <= INSIST_S
-                                                    && (a.verdict() == Verdict.CREATED
-                                                            || a.verdict() == Verdict.KNOWN)) {
-                                                w.rules.accepted(id);
+                                        cluster.needs.getOrDefault(id, List.of()),
+                                        answer -> {
+                                            if (cluster.clock.now - at <= INSIST_S
+                                                    && (answer.verdict() == Verdict.CREATED
+                                                            || answer.verdict() == Verdict.KNOWN)) {
+                                                cluster.rules.accepted(id);
                                             }
-                                            hears(id, a, at, INSIST_S);
+                                            hears(id, answer, at, INSIST_S);
                                         }));
     }
 
     /** Calls it off there, and elsewhere for as long as users repeat that. */
-    public void cancel(SimulatedNode n, String id) {
-        cancel(n, id, w.clock.now + REPEAT_S);
+    public void cancel(SimulatedNode node, String id) {
+        cancel(node, id, cluster.clock.now + REPEAT_S);
     }
 
-    private void cancel(SimulatedNode n, String id, double until) {
-        w.rules.asksToCancel(id);
-        double at = w.clock.now;
+    private void cancel(SimulatedNode node, String id, double until) {
+        cluster.rules.asksToCancel(id);
+        double at = cluster.clock.now;
         boolean[] told = new boolean[1];
-        if (n != null) {
-            n.deliver(
+        if (node != null) {
+            node.deliver(
                     () ->
-                            n.controller
+                            node.controller
                                     .registry()
                                     .cancel(
                                             id,
-                                            a -> {
-                                                told[0] |= a.verdict() != Verdict.LATER;
-                                                hears(id, a, at, INSIST_S);
+                                            answer -> {
+                                                told[0] |= answer.verdict() != Verdict.LATER;
+                                                hears(id, answer, at, INSIST_S);
                                             }));
         }
-        w.after(
+        cluster.after(
                 1.5,
                 () -> {
-                    if (!told[0] && w.clock.now < until) {
+                    if (!told[0] && cluster.clock.now < until) {
                         cancel(any(), id, until);
                     }
                 });
     }
 
-    private void hears(String id, Answer a, double at, double waits) {
-        if (w.clock.now - at <= waits) {
-            w.heard(id, a, at);
+    private void hears(String id, Answer answer, double at, double waits) {
+        if (cluster.clock.now - at <= waits) {
+            cluster.heard(id, answer, at);
         }
     }
 
@@ -126,31 +130,31 @@
      * A user was told that: others look at once, everywhere, at the first of each kind of answer
      * about a job.
      */
-    void told(String id, Answer a) {
-        boolean accepted = a.verdict() == Verdict.CREATED || a.verdict() == Verdict.KNOWN;
-        if (!w.closeLooks || !accepted || w.specs.get(id) == null) {
+    void told(String id, Answer answer) {
+        boolean accepted = answer.verdict() == Verdict.CREATED || answer.verdict() == Verdict.KNOWN;
+        if (!cluster.closeLooks || !accepted || cluster.specs.get(id) == null) {
             return;
         }
-        String status = a.state().status();
+        String status = answer.state().status();
         if (!looked.add(id + (status.equals("running") ? "pending" : status))) {
             return;
         }
         int i = 0;
-        for (SimulatedNode n : up()) {
-            w.after(0.001 * i++, () -> look(n, id));
-            w.after(0.004 + 0.003 * i, () -> look(n, id));
-            w.after(
+        for (SimulatedNode node : up()) {
+            cluster.after(0.001 * i++, () -> look(node, id));
+            cluster.after(0.004 + 0.003 * i, () -> look(node, id));
+            cluster.after(
                     0.002 * i,
                     () -> {
                         looks++;
-                        repeat(n, id);
+                        repeat(node, id);
                     });
         }
     }
 
-    private void look(SimulatedNode n, String id) {
+    private void look(SimulatedNode node, String id) {
         looks++;
-        ask(n, id);
+        ask(node, id);
     }
 
     // ---- cancellations --------------------------------------------------------------------------
@@ -161,16 +165,17 @@
      */
     List<String> cancelNow(int count, double hangS, Random random) {
         TreeMap<String, SimulatedWorker> running = new TreeMap<>();
-        w.workers
+        cluster.workers
                 .values()
                 .forEach(
-                        x ->
-                                x.tasks.values().stream()
+                        worker ->
+                                worker.tasks.values().stream()
                                         .filter(SimulatedTask::on)
                                         .forEach(
-                                                t -> {
-                                                    if (!w.toldCancelled.containsKey(t.job)) {
-                                                        running.putIfAbsent(t.job, x);
+                                                task -> {
+                                                    if (!cluster.toldCancelled.containsKey(
+                                                            task.job)) {
+                                                        running.putIfAbsent(task.job, worker);
                                                     }
                                                 }));
         List<String> jobs = new ArrayList<>(running.keySet());
@@ -178,22 +183,24 @@
         jobs = jobs.subList(0, Math.min(count, jobs.size()));
         int hung = 0;
         for (String id : jobs) {
-            w.after(random.nextDouble() / 5, () -> cancel(any(), id));
+            cluster.after(random.nextDouble() / 5, () -> cancel(any(), id));
             if (hangS > 0 && hung++ < HANG) {
-                SimulatedWorker x = running.get(id);
-                x.hangsUntil = w.clock.now + hangS;
+                SimulatedWorker worker = running.get(id);
+                worker.hangsUntil = cluster.clock.now + hangS;
             }
         }
         return jobs;
     }
 
     /** A task completed; if it was its job's last, some user calls the job off in that moment. */
-    void completed(SimulatedTask t) {
-        JobSpec s = w.specs.get(t.job);
-        if (s != null
-                && w.cancelsAtEnd.test(t)
-                && (s.gang() || w.completed.getOrDefault(t.job, Set.of()).size() == s.tasks())) {
-            cancel(any(), t.job);
+    void completed(SimulatedTask task) {
+        JobSpec spec = cluster.specs.get(task.job);
+        if (spec != null
+                && cluster.cancelsAtEnd.test(task)
+                && (spec.gang()
+                        || cluster.completed.getOrDefault(task.job, Set.of()).size()
+                                == spec.tasks())) {
+            cancel(any(), task.job);
         }
     }
 }
--- a/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
+++ b/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
@@ -34,7 +34,7 @@
     private static final int MAX_BODY = 1 << 20;
     private static final long TIMEOUT_MS = 4000;
 
-    public final SimulatedCluster world;
+    public final SimulatedCluster cluster;
     private final EventLoopGroup group;
     private final EventLoop loop;
 
@@ -48,17 +48,17 @@
 
     /** {@code nodes}: where workers reach each node, by its label. */
     public LoopbackEmulator(
-            EventLoopGroup group, SimulatedCluster world, Map<String, InetSocketAddress> nodes) {
+            EventLoopGroup group, SimulatedCluster cluster, Map<String, InetSocketAddress> nodes) {
         this.group = group;
         this.loop = group.next();
-        this.world = world;
-        this.offset = world.clock.now - System.nanoTime() / 1e9;
-        this.caller = world::after;
-        this.store = new StoreLink(world, caller);
-        this.cloud = new CloudLink(world, caller);
+        this.cluster = cluster;
+        this.offset = cluster.clock.now - System.nanoTime() / 1e9;
+        this.caller = cluster::after;
+        this.store = new StoreLink(cluster, caller);
+        this.cloud = new CloudLink(cluster, caller);
         nodes.forEach((label, at) -> this.nodes.put(label, new HttpClient(loop, at, 64, MAX_BODY)));
         List<String> labels = List.copyOf(nodes.keySet());
-        world.reach =
+        cluster.reach =
                 new SimulatedCluster.Reach() {
                     @Override
                     public List<String> up() {
@@ -67,26 +67,26 @@
 
                     @Override
                     public void heartbeat(
-                            String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
+                            String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
                         LoopbackEmulator.this
                                 .nodes
                                 .get(node)
                                 .call(
                                         "POST",
                                         "/checkin",
-                                        EmulatorCodec.report(report),
+                                        EmulatorCodec.report(heartbeat),
                                         TIMEOUT_MS,
                                         (status, body) -> {
-                                            HeartbeatResponse c =
+                                            HeartbeatResponse response =
                                                     EmulatorCodec.heartbeat(status, body);
                                             answer.accept(
-                                                    c == null
+                                                    response == null
                                                             ? HeartbeatResponse.elsewhere(null)
-                                                            : c);
+                                                            : response);
                                         });
                     }
                 };
-        world.born = this::born;
+        cluster.born = this::born;
     }
 
     /** Runs that on the loop that owns the stand-ins. */
@@ -98,7 +98,9 @@
     public List<InetSocketAddress> start() {
         List<InetSocketAddress> at = List.of(listen(this::state), listen(this::cloud));
         loop.scheduleAtFixedRate(
-                () -> world.run(Math.max(0, System.nanoTime() / 1e9 + offset - world.clock.now)),
+                () ->
+                        cluster.run(
+                                Math.max(0, System.nanoTime() / 1e9 + offset - cluster.clock.now)),
                 0,
                 5,
                 TimeUnit.MILLISECONDS);
@@ -111,8 +113,8 @@
                         (request, out) -> {
                             try {
                                 handler.handle(request, out);
-                            } catch (InvalidInputException e) {
-                                out.reply(400, ProtocolCodec.error(e.getMessage()));
+                            } catch (InvalidInputException invalid) {
+                                out.reply(400, ProtocolCodec.error(invalid.getMessage()));
                             }
                         },
                         MAX_BODY,
@@ -128,9 +130,10 @@
 
     // ---- workers --------------------------------------------------------------------------------
 
-    private void born(SimulatedWorker w) {
+    private void born(SimulatedWorker worker) {
         // On the loop already: to wait for the socket here would wait for itself.
-        HttpServer server = new HttpServer((r, out) -> direct(w, r, out), MAX_BODY, 100, 60);
+        HttpServer server =
+                new HttpServer((request, out) -> direct(worker, request, out), MAX_BODY, 100, 60);
         server.listen(loop, new InetSocketAddress("127.0.0.1", 0))
                 .addListener(
                         f -> {
@@ -140,90 +143,92 @@
                                                 ((io.netty.channel.ChannelFuture) f)
                                                         .channel()
                                                         .localAddress();
-                                w.address = "127.0.0.1:" + at.getPort();
+                                worker.address = "127.0.0.1:" + at.getPort();
                             }
                         });
     }
 
-    private void direct(SimulatedWorker w, Request r, Responder out) {
+    private void direct(SimulatedWorker worker, Request request, Responder out) {
         try {
-            EmulatorCodec.Direct d = EmulatorCodec.direct(MessagePackCodec.value(r.body()));
-            Heartbeat report = w.up ? w.directly(d.token(), d.session(), d.orders()) : null;
+            EmulatorCodec.Direct d = EmulatorCodec.direct(MessagePackCodec.value(request.body()));
+            Heartbeat heartbeat =
+                    worker.up ? worker.directly(d.token(), d.session(), d.orders()) : null;
             out.reply(
-                    report == null ? 409 : 200,
-                    EmulatorCodec.report(report == null ? w.message() : report));
-        } catch (InvalidInputException e) {
-            out.reply(400, ProtocolCodec.error(e.getMessage()));
+                    heartbeat == null ? 409 : 200,
+                    EmulatorCodec.report(heartbeat == null ? worker.message() : heartbeat));
+        } catch (InvalidInputException invalid) {
+            out.reply(400, ProtocolCodec.error(invalid.getMessage()));
         }
     }
 
     // ---- state service --------------------------------------------------------------------------
 
-    private static void failed(Outcome o, Responder out) {
+    private static void failed(Outcome outcome, Responder out) {
         // Without an answer a caller has to find out by itself; the stand-in says so with a status
         // that tells nothing.
-        out.reply(o == Outcome.REFUSED ? 503 : 500, null);
+        out.reply(outcome == Outcome.REFUSED ? 503 : 500, null);
     }
 
-    private void state(Request r, Responder out) {
-        String path = r.path();
+    private void state(Request request, Responder out) {
+        String path = request.path();
         if (path.startsWith("/keys/")) {
             store.get(
                     path.substring("/keys/".length()),
-                    (o, e) -> {
-                        if (o == Outcome.OK) {
-                            out.reply(200, EmulatorCodec.entry(e));
-                        } else if (o == Outcome.NO) {
+                    (outcome, entry) -> {
+                        if (outcome == Outcome.OK) {
+                            out.reply(200, EmulatorCodec.entry(entry));
+                        } else if (outcome == Outcome.NO) {
                             out.reply(
                                     404,
-                                    MessagePackCodec.bytes(Map.of("epoch", world.store.revision)));
+                                    MessagePackCodec.bytes(
+                                            Map.of("epoch", cluster.store.revision)));
                         } else {
-                            failed(o, out);
+                            failed(outcome, out);
                         }
                     });
         } else if (path.equals("/keys")) {
             store.page(
-                    query(r, "prefix", ""),
-                    query(r, "from", ""),
-                    (int) number(r, "limit", 1000),
-                    l -> {
-                        if (l.outcome() == Outcome.OK) {
-                            out.reply(200, EmulatorCodec.listing(l));
+                    query(request, "prefix", ""),
+                    query(request, "from", ""),
+                    (int) number(request, "limit", 1000),
+                    listing -> {
+                        if (listing.outcome() == Outcome.OK) {
+                            out.reply(200, EmulatorCodec.listing(listing));
                         } else {
-                            failed(l.outcome(), out);
+                            failed(listing.outcome(), out);
                         }
                     });
         } else if (path.equals("/multi")) {
             store.commit(
-                    EmulatorCodec.transaction(MessagePackCodec.value(r.body())),
-                    c -> committed(c, out));
+                    EmulatorCodec.transaction(MessagePackCodec.value(request.body())),
+                    result -> committed(result, out));
         } else if (path.equals("/follow")) {
             store.follow(
-                    query(r, "prefix", ""),
-                    number(r, "from", 0),
-                    number(r, "holdMs", 0),
-                    c -> out.reply(200, EmulatorCodec.changes(c)));
+                    query(request, "prefix", ""),
+                    number(request, "from", 0),
+                    number(request, "holdMs", 0),
+                    changes -> out.reply(200, EmulatorCodec.changes(changes)));
         } else if (path.equals("/holds")) {
             store.grant(
-                    EmulatorCodec.lifeMs(MessagePackCodec.value(r.body())),
-                    (o, id) -> {
-                        if (o == Outcome.OK) {
+                    EmulatorCodec.lifeMs(MessagePackCodec.value(request.body())),
+                    (outcome, id) -> {
+                        if (outcome == Outcome.OK) {
                             out.reply(200, EmulatorCodec.lease(id));
                         } else {
-                            failed(o, out);
+                            failed(outcome, out);
                         }
                     });
         } else if (path.matches("/holds/[0-9]{1,18}/renew")) {
             store.renew(
                     Long.parseLong(path.split("/")[2]),
-                    o -> {
-                        if (o == Outcome.OK || o == Outcome.NO) {
-                            out.reply(o == Outcome.OK ? 200 : 404, null);
+                    outcome -> {
+                        if (outcome == Outcome.OK || outcome == Outcome.NO) {
+                            out.reply(outcome == Outcome.OK ? 200 : 404, null);
                         } else {
-                            failed(o, out);
+                            failed(outcome, out);
                         }
                     });
-        } else if (path.matches("/holds/[0-9]{1,18}") && r.method().equals("DELETE")) {
+        } else if (path.matches("/holds/[0-9]{1,18}") && request.method().equals("DELETE")) {
             store.revoke(Long.parseLong(path.split("/")[2]));
             out.reply(200, null);
         } else {
@@ -231,27 +236,27 @@
         }
     }
 
-    private static void committed(CommitResult c, Responder out) {
-        switch (c.outcome()) {
-            case OK -> out.reply(200, EmulatorCodec.committed(c));
+    private static void committed(CommitResult result, Responder out) {
+        switch (result.outcome()) {
+            case OK -> out.reply(200, EmulatorCodec.committed(result));
             case NO ->
                     out.reply(
-                            c.leaseGone() ? 400 : 409,
-                            c.leaseGone()
+                            result.leaseGone() ? 400 : 409,
+                            result.leaseGone()
                                     ? ProtocolCodec.error(ProtocolCodec.NO_SUCH_LEASE)
-                                    : EmulatorCodec.committed(c));
+                                    : EmulatorCodec.committed(result));
             case INVALID -> out.reply(400, ProtocolCodec.error("over the limits"));
-            default -> failed(c.outcome(), out);
+            default -> failed(result.outcome(), out);
         }
     }
 
-    private static String query(Request r, String name, String absent) {
-        List<String> values = new QueryStringDecoder("/?" + r.query()).parameters().get(name);
+    private static String query(Request request, String name, String absent) {
+        List<String> values = new QueryStringDecoder("/?" + request.query()).parameters().get(name);
         return values == null ? absent : values.get(0);
     }
 
-    private static long number(Request r, String name, long absent) {
-        String s = query(r, name, "" + absent);
+    private static long number(Request request, String name, long absent) {
+        String s = query(request, name, "" + absent);
         if (!s.matches("[0-9]{1,18}")) {
             throw new InvalidInputException(name + ": must be a number");
         }
@@ -260,29 +265,31 @@
 
     // ---- cloud ----------------------------------------------------------------------------------
 
-    private void cloud(Request r, Responder out) {
-        if (r.path().equals("/machine_types")) {
-            cloud.types((o, types) -> out.reply(200, EmulatorCodec.types(types)));
-        } else if (r.path().equals("/rentals/release")) {
+    private void cloud(Request request, Responder out) {
+        if (request.path().equals("/machine_types")) {
+            cloud.types((outcome, types) -> out.reply(200, EmulatorCodec.types(types)));
+        } else if (request.path().equals("/rentals/release")) {
             cloud.release(
-                    ProtocolCodec.machineNames(MessagePackCodec.value(r.body())),
-                    o -> answer(o, MessagePackCodec.bytes(Map.of()), out));
-        } else if (r.path().equals("/rentals") && r.method().equals("POST")) {
-            EmulatorCodec.Rent q = EmulatorCodec.rent(MessagePackCodec.value(r.body()));
+                    ProtocolCodec.machineNames(MessagePackCodec.value(request.body())),
+                    outcome -> answer(outcome, MessagePackCodec.bytes(Map.of()), out));
+        } else if (request.path().equals("/rentals") && request.method().equals("POST")) {
+            EmulatorCodec.Rent q = EmulatorCodec.rent(MessagePackCodec.value(request.body()));
             cloud.rent(
                     q.name(),
                     new MachineKind(q.type(), q.zone(), q.spot()),
                     q.count(),
-                    (o, names) -> answer(o, ProtocolCodec.machines(names), out));
-        } else if (r.path().equals("/rentals")) {
-            String from = query(r, "from", "");
-            int limit = (int) number(r, "limit", 500);
+                    (outcome, names) -> answer(outcome, ProtocolCodec.machines(names), out));
+        } else if (request.path().equals("/rentals")) {
+            String from = query(request, "from", "");
+            int limit = (int) number(request, "limit", 500);
             cloud.list(
-                    (o, all) -> {
+                    (outcome, all) -> {
                         List<Cloud.Listed> rest =
-                                all.stream().filter(m -> m.machine().compareTo(from) > 0).toList();
+                                all.stream()
+                                        .filter(listed -> listed.machine().compareTo(from) > 0)
+                                        .toList();
                         answer(
-                                o,
+                                outcome,
                                 EmulatorCodec.machines(
                                         rest.subList(0, Math.min(limit, rest.size())),
                                         rest.size() > limit),
@@ -293,8 +300,8 @@
         }
     }
 
-    private static void answer(Outcome o, byte[] body, Responder out) {
-        switch (o) {
+    private static void answer(Outcome outcome, byte[] body, Responder out) {
+        switch (outcome) {
             case OK -> out.reply(200, body);
             case NO -> out.reply(503, ProtocolCodec.error("no capacity"));
             default -> out.reply(503, ProtocolCodec.error("trouble"));
--- a/src/main/java/io/kitepath/simulation/MemoryCloud.java
+++ b/src/main/java/io/kitepath/simulation/MemoryCloud.java
@@ -35,7 +35,7 @@
      * Requests to rent or release, by the node that sent them, that a network keeps: they run when
      * it lets them.
      */
-    public Predicate<EmulatorClient> withheld = n -> false;
+    public Predicate<EmulatorClient> withheld = client -> false;
 
     public final List<Runnable> heldBack = new ArrayList<>();
 
--- a/src/main/java/io/kitepath/simulation/MemoryStore.java
+++ b/src/main/java/io/kitepath/simulation/MemoryStore.java
@@ -18,8 +18,8 @@
 
 /** The state service: keys, leases, follows; can refuse, or lose an answer, or execute late. */
 public final class MemoryStore {
-    public MemoryStore(SimulatedCluster w) {
-        this.w = w;
+    public MemoryStore(SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     public final TreeMap<String, Store.Entry> keys = new TreeMap<>();
@@ -44,7 +44,7 @@
     /** What every request takes longer to get there than usual. */
     public double slowS;
 
-    private final SimulatedCluster w;
+    private final SimulatedCluster cluster;
 
     /** Watches that wait for changes. */
     private final List<Watch> watches = new ArrayList<>();
@@ -69,25 +69,25 @@
      * Transactions that get no answer and are kept, as by a network that delivers them some other
      * time.
      */
-    public Predicate<Store.Transaction> withheld = t -> false;
+    public Predicate<Store.Transaction> withheld = transaction -> false;
 
     /** Transactions that are executed, but nobody hears of it. */
-    public Predicate<Store.Transaction> unheard = t -> false;
+    public Predicate<Store.Transaction> unheard = transaction -> false;
 
     /**
      * How late a transaction that gets no answer is carried out, after newer ones of the same node;
      * 0: it is not late.
      */
-    public ToDoubleFunction<Store.Transaction> late = t -> 0;
+    public ToDoubleFunction<Store.Transaction> late = transaction -> 0;
 
     /**
      * Nodes whose watches hang: they see nothing, and end without having seen anything, while all
      * else is served.
      */
-    public Predicate<EmulatorClient> hangs = n -> false;
+    public Predicate<EmulatorClient> hangs = client -> false;
 
     /** Sees every transaction that was executed and changed something, and by whom. */
-    public BiConsumer<EmulatorClient, Store.Transaction> written = (n, t) -> {};
+    public BiConsumer<EmulatorClient, Store.Transaction> written = (client, transaction) -> {};
 
     public long changes;
 
@@ -97,14 +97,15 @@
             return false;
         }
         if (requests == null) {
-            requests = new TokenBucket(w.rps);
-            writes = new TokenBucket(w.writeRps);
+            requests = new TokenBucket(cluster.rps);
+            writes = new TokenBucket(cluster.writeRps);
         }
-        if (writes.available(w.clock.now) < itsWrites || !requests.take(1, w.clock.now)) {
+        if (writes.available(cluster.clock.now) < itsWrites
+                || !requests.take(1, cluster.clock.now)) {
             overRate++;
             return true;
         }
-        writes.take(itsWrites, w.clock.now);
+        writes.take(itsWrites, cluster.clock.now);
         return false;
     }
 
@@ -114,19 +115,19 @@
                 || keys.containsKey(StoreKeys.OVER + id)
                 || log.stream()
                         .anyMatch(
-                                e ->
-                                        e.key().equals(StoreKeys.OPEN + id)
-                                                || e.key().equals(StoreKeys.OVER + id));
+                                entry ->
+                                        entry.key().equals(StoreKeys.OPEN + id)
+                                                || entry.key().equals(StoreKeys.OVER + id));
     }
 
     public long token() {
-        Store.Entry e = keys.get(StoreKeys.TOKEN);
-        return e == null ? 0 : DocumentReader.of(e.value()).count("token");
+        Store.Entry entry = keys.get(StoreKeys.TOKEN);
+        return entry == null ? 0 : DocumentReader.of(entry.value()).count("token");
     }
 
     public void expire() {
         for (Long id : new ArrayList<>(leases.keySet())) {
-            if (!out && leases.get(id) < w.clock.now) {
+            if (!out && leases.get(id) < cluster.clock.now) {
                 end(id);
             }
         }
@@ -134,37 +135,37 @@
 
     public void end(long id) {
         leases.remove(id);
-        for (String k : new ArrayList<>(lease.keySet())) {
-            if (lease.get(k) == id) {
-                put(k, null, 0, ++revision);
+        for (String key : new ArrayList<>(lease.keySet())) {
+            if (lease.get(key) == id) {
+                put(key, null, 0, ++revision);
             }
         }
     }
 
     public void outage(double seconds) {
         out = true;
-        w.after(
+        cluster.after(
                 seconds,
                 () -> {
                     out = false;
-                    leases.replaceAll((id, t) -> w.clock.now + life.get(id));
+                    leases.replaceAll((id, t) -> cluster.clock.now + life.get(id));
                 });
     }
 
-    public void put(String k, Object v, long l, long r) {
-        Store.Entry e = new Store.Entry(k, v, r);
-        lease.remove(k);
+    public void put(String key, Object v, long l, long r) {
+        Store.Entry entry = new Store.Entry(key, v, r);
+        lease.remove(key);
         if (v == null) {
-            keys.remove(k);
+            keys.remove(key);
         } else {
-            keys.put(k, e);
+            keys.put(key, entry);
             if (l != 0) {
-                lease.put(k, l);
+                lease.put(key, l);
             }
         }
-        log.add(e);
+        log.add(entry);
         for (Watch x : watches) {
-            x.touched |= k.startsWith(x.prefix);
+            x.touched |= key.startsWith(x.prefix);
         }
     }
 
@@ -211,7 +212,7 @@
     private void look() {
         looking = !watches.isEmpty();
         if (looking) {
-            w.after(
+            cluster.after(
                     0.01,
                     () -> {
                         expire();
@@ -230,7 +231,7 @@
         Watch x = new Watch(node, prefix, after, answer);
         x.touched = true;
         watches.add(x);
-        w.after(
+        cluster.after(
                 holdS,
                 () -> {
                     if (watches.remove(x)) {
@@ -253,31 +254,32 @@
     /** Transactions that were over them. */
     public int overLimits;
 
-    public Store.CommitResult execute(Store.Transaction t) {
+    public Store.CommitResult execute(Store.Transaction transaction) {
         expire();
-        if (t.writes().size() > txnOps
-                || t.conditions().size() > 4L * txnOps
-                || t.writes().stream()
+        if (transaction.writes().size() > txnOps
+                || transaction.conditions().size() > 4L * txnOps
+                || transaction.writes().stream()
                         .anyMatch(
                                 x -> x.value() != null && JsonSize.size(x.value()) > valueBytes)) {
             overLimits++;
             return new Store.CommitResult(Store.Outcome.INVALID, 0, List.of(), false);
         }
-        if (t.writes().stream().anyMatch(x -> x.lease() != 0 && !leases.containsKey(x.lease()))) {
+        if (transaction.writes().stream()
+                .anyMatch(x -> x.lease() != 0 && !leases.containsKey(x.lease()))) {
             return new Store.CommitResult(Store.Outcome.NO, 0, List.of(), true);
         }
         List<String> failed = new ArrayList<>();
-        for (Store.Condition c : t.conditions()) {
-            Store.Entry e = keys.get(c.key());
-            if ((e == null ? 0 : e.revision()) != c.revision()) {
-                failed.add(c.key());
+        for (Store.Condition condition : transaction.conditions()) {
+            Store.Entry entry = keys.get(condition.key());
+            if ((entry == null ? 0 : entry.revision()) != condition.revision()) {
+                failed.add(condition.key());
             }
         }
         if (!failed.isEmpty()) {
             return new Store.CommitResult(Store.Outcome.NO, 0, failed, false);
         }
-        long r = t.writes().isEmpty() ? revision : ++revision;
-        t.writes().forEach(w -> put(w.key(), w.value(), w.lease(), r));
+        long r = transaction.writes().isEmpty() ? revision : ++revision;
+        transaction.writes().forEach(w -> put(w.key(), w.value(), w.lease(), r));
         return new Store.CommitResult(Store.Outcome.OK, r, List.of(), false);
     }
 }
--- a/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
+++ b/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
@@ -55,10 +55,10 @@
 
     public double doubled;
     public double late;
-    public Predicate<CellMessage> loses = m -> false;
+    public Predicate<CellMessage> loses = message -> false;
 
     /** Messages that the network keeps, to be delivered at some other time. */
-    public Predicate<CellMessage> keeps = m -> false;
+    public Predicate<CellMessage> keeps = message -> false;
 
     public final List<Runnable> kept = new ArrayList<>();
     public final List<CellMessage> keptMessages = new ArrayList<>();
@@ -119,14 +119,14 @@
                                 Map.of(),
                                 parts));
             }
-            SimulatedCluster w =
+            SimulatedCluster cluster =
                     new SimulatedCluster(
                             clock, this, apart ? null : new CellDirectory(1, own, cells));
-            w.teams.putAll(apart ? parts : wholes);
-            w.specs = specs;
-            w.zones = List.of(own + "1", own + "2");
-            w.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 1000, w.zones);
-            worlds.put(own, w);
+            cluster.teams.putAll(apart ? parts : wholes);
+            cluster.specs = specs;
+            cluster.zones = List.of(own + "1", own + "2");
+            cluster.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 1000, cluster.zones);
+            worlds.put(own, cluster);
         }
         watch();
     }
@@ -137,21 +137,21 @@
 
     /** Nodes and machines of a cell. */
     public void cell(String cell, int nodes, int machines) {
-        SimulatedCluster w = worlds.get(cell);
+        SimulatedCluster cluster = worlds.get(cell);
         for (int i = 0; i < nodes; i++) {
-            w.siblings.add(cell + "-k" + i);
+            cluster.siblings.add(cell + "-k" + i);
         }
         for (int i = 0; i < nodes; i++) {
-            w.node(cell + "-k" + i);
+            cluster.node(cell + "-k" + i);
         }
         for (int i = 0; i < machines; i++) {
-            w.worker(String.format("i-%s-%04d", cell, i), cell + (1 + i % 2));
+            cluster.worker(String.format("i-%s-%04d", cell, i), cell + (1 + i % 2));
         }
     }
 
     public SimulatedNode any(String cell) {
         return worlds.get(cell).nodes.values().stream()
-                .filter(n -> n.alive)
+                .filter(node -> node.alive)
                 .findFirst()
                 .orElseThrow();
     }
@@ -161,14 +161,14 @@
     }
 
     /** The process ends, and starts again after some seconds. */
-    public void restart(SimulatedNode n, double afterS) {
+    public void restart(SimulatedNode node, double afterS) {
         SimulatedCluster w =
                 worlds.values().stream()
-                        .filter(x -> x.nodes.get(n.name) == n)
+                        .filter(x -> x.nodes.get(node.name) == node)
                         .findFirst()
                         .orElseThrow();
-        n.crash();
-        clock.after(afterS, () -> w.node(n.name));
+        node.crash();
+        clock.after(afterS, () -> w.node(node.name));
     }
 
     public void run(double s) {
@@ -202,7 +202,7 @@
             CellMessage m,
             Consumer<CellMessage> answer) {
         messages++;
-        SimulatedCluster to = worlds.get(cell);
+        SimulatedCluster cluster = worlds.get(cell);
         boolean[] heard = new boolean[1];
         Consumer<CellMessage> once =
                 a ->
@@ -214,12 +214,12 @@
                                     }
                                 });
         clock.after(1, () -> once.accept(null));
-        String out = from.directory.own() + ">" + cell;
-        String back = cell + ">" + from.directory.own();
-        List<SimulatedNode> up = to.nodes.values().stream().filter(n -> n.alive).toList();
+        String out = from.cellDirectory.own() + ">" + cell;
+        String back = cell + ">" + from.cellDirectory.own();
+        List<SimulatedNode> up = cluster.nodes.values().stream().filter(n -> n.alive).toList();
         SimulatedNode asked =
                 node != null
-                        ? to.nodes.get(node)
+                        ? cluster.nodes.get(node)
                         : up.isEmpty() ? null : up.get(random.nextInt(up.size()));
         if (asked == null || cut.contains(out)) {
             return;
@@ -244,12 +244,12 @@
                                                         }));
         if (keeps.test(m)) {
             // Late, it may reach whoever listens by then, the holder among them.
-            kept.add(() -> List.copyOf(to.nodes.values()).forEach(deliver));
+            kept.add(() -> List.copyOf(cluster.nodes.values()).forEach(deliver));
             keptMessages.add(m);
             return;
         }
         // Whoever listens under that name by then gets it.
-        Runnable delivery = () -> deliver.accept(to.nodes.get(asked.name));
+        Runnable delivery = () -> deliver.accept(cluster.nodes.get(asked.name));
         if (loses.test(m) || random.nextDouble() < lost) {
             return;
         }
@@ -266,39 +266,39 @@
 
     /** An id whose home is that cell. */
     public String id(String home, int n) {
-        CellDirectory d = worlds.get(home).directory;
+        CellDirectory directory = worlds.get(home).cellDirectory;
         for (int i = 1000 * n; ; i++) {
-            if (d == null || d.home("j-" + i).equals(home)) {
+            if (directory == null || directory.home("j-" + i).equals(home)) {
                 return "j-" + i;
             }
         }
     }
 
-    public Verdict submit(SimulatedNode n, JobSpec s) {
-        specs.put(s.id(), s);
+    public Verdict submit(SimulatedNode node, JobSpec spec) {
+        specs.put(spec.id(), spec);
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        n.controller.registry().submit(s, a -> got[0] = a);
+        node.controller.registry().submit(spec, answer -> got[0] = answer);
         run(0.2);
         if (got[0] == null) {
             return Verdict.LATER;
         }
-        heard(s.id(), got[0]);
+        heard(spec.id(), got[0]);
         return got[0].verdict();
     }
 
     /** As users do: again until there is an answer. */
-    public void submitSurely(String cell, JobSpec s) {
+    public void submitSurely(String cell, JobSpec spec) {
         until(
                 60,
                 () -> {
-                    Verdict v = submit(any(cell), s);
+                    Verdict v = submit(any(cell), spec);
                     return v == Verdict.CREATED || v == Verdict.KNOWN;
                 });
     }
 
-    public String status(SimulatedNode n, String id) {
+    public String status(SimulatedNode node, String id) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        n.controller.registry().status(id, a -> got[0] = a);
+        node.controller.registry().status(id, answer -> got[0] = answer);
         run(0.2);
         if (got[0] == null) {
             return "no answer";
@@ -309,9 +309,9 @@
                 : got[0].verdict().toString();
     }
 
-    public String cancel(SimulatedNode n, String id) {
+    public String cancel(SimulatedNode node, String id) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        n.controller.registry().cancel(id, a -> got[0] = a);
+        node.controller.registry().cancel(id, answer -> got[0] = answer);
         run(0.2);
         if (got[0] == null) {
             return "no answer";
@@ -324,15 +324,15 @@
 
     // ---- the rules ------------------------------------------------------------------------------
 
-    private void heard(String id, JobSubmissionService.Answer a) {
-        if (a.verdict() == Verdict.NOT_FOUND && accepted.contains(id)) {
+    private void heard(String id, JobSubmissionService.Answer answer) {
+        if (answer.verdict() == Verdict.NOT_FOUND && accepted.contains(id)) {
             broken.add("forgotten: " + id);
         }
-        if (a.state() == null || a.verdict() == Verdict.LATER) {
+        if (answer.state() == null || answer.verdict() == Verdict.LATER) {
             return;
         }
         accepted.add(id);
-        String now = a.state().status();
+        String now = answer.state().status();
         String before = told.get(id);
         if (before != null && !before.equals(now)) {
             broken.add("went back: " + id + " was " + before + ", is " + now);
@@ -351,34 +351,47 @@
     /** Tasks that have completed on some machine at some time. */
     public int tasksDone(String id) {
         Set<Integer> done = new HashSet<>();
-        worlds.values().forEach(w -> done.addAll(w.completed.getOrDefault(id, Set.of())));
+        worlds.values()
+                .forEach(cluster -> done.addAll(cluster.completed.getOrDefault(id, Set.of())));
         return done.size();
     }
 
     public long onMachines(String id) {
-        return worlds.values().stream().mapToLong(w -> w.onMachines(id)).sum();
+        return worlds.values().stream().mapToLong(cluster -> cluster.onMachines(id)).sum();
     }
 
     private void watch() {
         Map<String, String> where = new HashMap<>();
         Map<String, Double> used = new HashMap<>();
-        for (SimulatedCluster w : worlds.values()) {
-            for (SimulatedWorker x : w.workers.values()) {
-                for (SimulatedTask t : x.tasks.values()) {
-                    if (!x.up || t.state == TaskState.ENDED) {
+        for (SimulatedCluster cluster : worlds.values()) {
+            for (SimulatedWorker worker : cluster.workers.values()) {
+                for (SimulatedTask task : worker.tasks.values()) {
+                    if (!worker.up || task.state == TaskState.ENDED) {
                         continue;
                     }
-                    String other = where.put(t.job + "/" + t.number, x.id);
+                    String other = where.put(task.job + "/" + task.number, worker.id);
                     if (other != null) {
                         broken.add(
-                                "twice: " + t.job + "/" + t.number + " on " + other + " and "
-                                        + x.id);
+                                "twice: "
+                                        + task.job
+                                        + "/"
+                                        + task.number
+                                        + " on "
+                                        + other
+                                        + " and "
+                                        + worker.id);
                     }
-                    JobSpec spec = specs.get(t.job);
+                    JobSpec spec = specs.get(task.job);
                     used.merge(spec.team(), spec.cpus(), Double::sum);
-                    Double at = cancelledAt.get(t.job);
+                    Double at = cancelledAt.get(task.job);
                     if (at != null && clock.now > at + CANCEL_S) {
-                        broken.add("ran cancelled: " + t.job + "/" + t.number + " on " + x.id);
+                        broken.add(
+                                "ran cancelled: "
+                                        + task.job
+                                        + "/"
+                                        + task.number
+                                        + " on "
+                                        + worker.id);
                     }
                 }
             }
@@ -396,7 +409,7 @@
     /** All that broke, in any cell. */
     public List<String> broken() {
         List<String> all = new ArrayList<>(broken);
-        worlds.values().forEach(w -> all.addAll(w.broken));
+        worlds.values().forEach(cluster -> all.addAll(cluster.broken));
         return all;
     }
 
@@ -404,10 +417,13 @@
     public List<String> leftovers() {
         List<String> out = new ArrayList<>();
         worlds.forEach(
-                (c, w) ->
-                        w.store.keys.keySet().stream()
-                                .filter(k -> k.startsWith("jobs/") && !k.startsWith("jobs/over/"))
-                                .forEach(k -> out.add(c + ":" + k)));
+                (c, cluster) ->
+                        cluster.store.keys.keySet().stream()
+                                .filter(
+                                        key ->
+                                                key.startsWith("jobs/")
+                                                        && !key.startsWith("jobs/over/"))
+                                .forEach(key -> out.add(c + ":" + key)));
         return out;
     }
 
@@ -419,17 +435,22 @@
         List<String> out = new ArrayList<>();
         long[] sum = new long[1];
         worlds.forEach(
-                (c, w) ->
-                        w.store.keys.values().stream()
-                                .filter(e -> e.key().startsWith("kitepath/share/"))
+                (c, cluster) ->
+                        cluster.store.keys.values().stream()
+                                .filter(entry -> entry.key().startsWith("kitepath/share/"))
                                 .forEach(
-                                        e -> {
-                                            DocumentReader t = DocumentReader.of(e.value());
+                                        entry -> {
+                                            DocumentReader document =
+                                                    DocumentReader.of(entry.value());
                                             sum[0] +=
-                                                    t.integer(
+                                                    document.integer(
                                                             "cpus", Long.MIN_VALUE, Long.MAX_VALUE);
-                                            if (!t.list("out").isEmpty()) {
-                                                out.add(c + " has " + t.list("out") + " under way");
+                                            if (!document.list("out").isEmpty()) {
+                                                out.add(
+                                                        c
+                                                                + " has "
+                                                                + document.list("out")
+                                                                + " under way");
                                             }
                                         }));
         if (sum[0] != 0) {
@@ -444,29 +465,29 @@
      */
     public void onLoanWrites(LoanWrites seen) {
         worlds.forEach(
-                (c, w) ->
-                        w.store.written =
-                                (n, t) -> {
-                                    if (n instanceof SimulatedNode by
-                                            && t.writes().stream()
+                (c, cluster) ->
+                        cluster.store.written =
+                                (client, transaction) -> {
+                                    if (client instanceof SimulatedNode node
+                                            && transaction.writes().stream()
                                                     .map(Store.Write::key)
                                                     .anyMatch(
-                                                            k ->
-                                                                    k.startsWith("jobs/lent/")
-                                                                            || k.startsWith(
+                                                            key ->
+                                                                    key.startsWith("jobs/lent/")
+                                                                            || key.startsWith(
                                                                                     "jobs/guest/")
-                                                                            || k.startsWith(
+                                                                            || key.startsWith(
                                                                                     "kitepath/share/")
-                                                                            || k.startsWith(
+                                                                            || key.startsWith(
                                                                                     "jobs/leave/")
-                                                                            || k.startsWith(
+                                                                            || key.startsWith(
                                                                                     "kitepath/void/"))) {
-                                        seen.written(c, by, t);
+                                        seen.written(c, node, transaction);
                                     }
                                 });
     }
 
     public interface LoanWrites {
-        void written(String cell, SimulatedNode by, Store.Transaction t);
+        void written(String cell, SimulatedNode node, Store.Transaction transaction);
     }
 }
--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -143,15 +143,17 @@
         cells.doubled = plan.bad;
         cells.late = plan.bad / 2;
         for (String c : names) {
-            SimulatedCluster w = cells.world(c);
-            w.reportS = 4;
-            w.leaseS = 20;
-            w.reportsChanges = true;
-            w.writeRps = 250 * (way == Way.WHOLE ? plan.cells : 1);
-            w.type = new MachineType("m16", CPUS, 0, 64, 50, 1, 1.0, 0.4, 1e6, w.zones);
-            w.objectives.add(new ClusterSettings.Objective("finished", "tiles", GOAL_S, 1, 0.9));
-            w.objectives.add(new ClusterSettings.Objective("finished", "plates", GOAL_S, 1, 0.9));
-            w.runsFor = id -> coming.get(id).runS;
+            SimulatedCluster cluster = cells.world(c);
+            cluster.reportS = 4;
+            cluster.leaseS = 20;
+            cluster.reportsChanges = true;
+            cluster.writeRps = 250 * (way == Way.WHOLE ? plan.cells : 1);
+            cluster.type = new MachineType("m16", CPUS, 0, 64, 50, 1, 1.0, 0.4, 1e6, cluster.zones);
+            cluster.objectives.add(
+                    new ClusterSettings.Objective("finished", "tiles", GOAL_S, 1, 0.9));
+            cluster.objectives.add(
+                    new ClusterSettings.Objective("finished", "plates", GOAL_S, 1, 0.9));
+            cluster.runsFor = id -> coming.get(id).runS;
             cells.cell(c, 2, plan.machines * (way == Way.WHOLE ? plan.cells : 1));
         }
         cells.clock.starts = this::started;
@@ -191,7 +193,7 @@
             double cpus,
             double estimateS) {
         String home = "c" + (way == Way.WHOLE ? 0 : cell);
-        JobSpec s =
+        JobSpec spec =
                 new JobSpec(
                         cells.id(home, n),
                         jobClass,
@@ -215,29 +217,29 @@
                         0,
                         0,
                         null);
-        Coming c = new Coming(s, cell, estimateS * (0.8 + 0.4 * random.nextDouble()));
-        coming.put(s.id(), c);
+        Coming arrival = new Coming(spec, cell, estimateS * (0.8 + 0.4 * random.nextDouble()));
+        coming.put(spec.id(), arrival);
         open++;
         tasks += size;
-        cells.specs.put(s.id(), s);
+        cells.specs.put(spec.id(), spec);
         cells.clock.after(
                 t,
                 () -> {
-                    c.at = cells.clock.now;
-                    submit(c, home);
+                    arrival.at = cells.clock.now;
+                    submit(arrival, home);
                 });
     }
 
-    private void submit(Coming c, String home) {
+    private void submit(Coming arrival, String home) {
         List<SimulatedNode> up =
-                cells.world(home).nodes.values().stream().filter(x -> x.alive).toList();
+                cells.world(home).nodes.values().stream().filter(node -> node.alive).toList();
         boolean[] heard = new boolean[1];
         Runnable again =
                 () -> {
                     if (!heard[0]) {
                         heard[0] = true;
                         refusals++;
-                        cells.clock.after(1 + random.nextDouble(), () -> submit(c, home));
+                        cells.clock.after(1 + random.nextDouble(), () -> submit(arrival, home));
                     }
                 };
         cells.clock.after(5, again);
@@ -249,9 +251,9 @@
                 .controller
                 .registry()
                 .submit(
-                        c.spec,
-                        a -> {
-                            if (a.verdict() == Verdict.LATER) {
+                        arrival.spec,
+                        answer -> {
+                            if (answer.verdict() == Verdict.LATER) {
                                 again.run();
                             } else {
                                 heard[0] = true;
@@ -259,35 +261,35 @@
                         });
     }
 
-    private void started(SimulatedTask t) {
+    private void started(SimulatedTask task) {
         starts++;
-        Coming c = coming.get(t.job);
-        if (!c.started.get(t.number)) {
-            c.started.set(t.number);
-            (c.cell == 0 ? hot : others)
-                    .recordValue(Math.max(0, Math.round(1000 * (cells.clock.now - c.at))));
+        Coming arrival = coming.get(task.job);
+        if (!arrival.started.get(task.number)) {
+            arrival.started.set(task.number);
+            (arrival.cell == 0 ? hot : others)
+                    .recordValue(Math.max(0, Math.round(1000 * (cells.clock.now - arrival.at))));
         }
     }
 
-    private void ended(SimulatedTask t) {
-        Coming c = coming.get(t.job);
-        if (c.done.cardinality() == c.spec.tasks()) {
+    private void ended(SimulatedTask task) {
+        Coming arrival = coming.get(task.job);
+        if (arrival.done.cardinality() == arrival.spec.tasks()) {
             return;
         }
-        if (c.spec.gang()) {
-            c.done.set(0, c.spec.tasks()); // They complete together.
+        if (arrival.spec.gang()) {
+            arrival.done.set(0, arrival.spec.tasks()); // They complete together.
         }
-        c.done.set(t.number);
-        if (c.done.cardinality() == c.spec.tasks()) {
+        arrival.done.set(task.number);
+        if (arrival.done.cardinality() == arrival.spec.tasks()) {
             open--;
-            boolean inTime = cells.clock.now - c.at <= GOAL_S;
-            count("class " + c.spec.jobClass(), inTime);
-            count("team " + c.spec.team(), inTime);
+            boolean inTime = cells.clock.now - arrival.at <= GOAL_S;
+            count("class " + arrival.spec.jobClass(), inTime);
+            count("team " + arrival.spec.team(), inTime);
         }
     }
 
     private void count(String group, boolean inTime) {
-        int[] x = served.computeIfAbsent(group, k -> new int[2]);
+        int[] x = served.computeIfAbsent(group, key -> new int[2]);
         x[0] += inTime ? 1 : 0;
         x[1]++;
     }
@@ -296,23 +298,23 @@
 
     private void fail(Fault f) {
         String cell = "c" + f.cell;
-        SimulatedCluster w = cells.world(cell);
-        if (w == null) {
+        SimulatedCluster cluster = cells.world(cell);
+        if (cluster == null) {
             return;
         }
         cells.clock.after(
                 f.atS,
                 () -> {
                     List<SimulatedNode> up =
-                            w.nodes.values().stream().filter(n -> n.alive).toList();
+                            cluster.nodes.values().stream().filter(node -> node.alive).toList();
                     SimulatedNode holder =
                             up.stream()
-                                    .filter(n -> n.controller.leadsWith() > 0)
+                                    .filter(node -> node.controller.leadsWith() > 0)
                                     .findFirst()
                                     .orElse(null);
                     switch (f.kind) {
-                        case "nodes" -> up.forEach(n -> cells.restart(n, f.forS));
-                        case "store" -> w.store.outage(f.forS);
+                        case "nodes" -> up.forEach(node -> cells.restart(node, f.forS));
+                        case "store" -> cluster.store.outage(f.forS);
                         case "network" -> {
                             for (String other : cells.worlds.keySet()) {
                                 cells.cutBetween(cell, other);
@@ -337,11 +339,12 @@
                         }
                         case "zone" -> {
                             List<SimulatedWorker> of =
-                                    w.workers.values().stream()
-                                            .filter(x -> x.zone.equals(cell + "1"))
+                                    cluster.workers.values().stream()
+                                            .filter(worker -> worker.zone.equals(cell + "1"))
                                             .toList();
-                            of.forEach(x -> x.cut = true);
-                            cells.clock.after(f.forS, () -> of.forEach(x -> x.cut = false));
+                            of.forEach(worker -> worker.cut = true);
+                            cells.clock.after(
+                                    f.forS, () -> of.forEach(worker -> worker.cut = false));
                         }
                         default -> throw new IllegalArgumentException("no such fault: " + f.kind);
                     }
@@ -362,23 +365,23 @@
             cells.run(1);
         }
         double tookS = cells.clock.now - from;
-        for (Coming c : coming.values()) {
-            if (c.done.cardinality() < c.spec.tasks()) {
-                count("class " + c.spec.jobClass(), false);
-                count("team " + c.spec.team(), false);
+        for (Coming arrival : coming.values()) {
+            if (arrival.done.cardinality() < arrival.spec.tasks()) {
+                count("class " + arrival.spec.jobClass(), false);
+                count("team " + arrival.spec.team(), false);
             }
         }
         // What is lent, lost in a message or late has its time to do harm.
         cells.run(90);
         List<String> broken = new ArrayList<>(cells.broken());
         if (way == Way.CELLS && open == 0) {
-            cells.leftovers().stream().limit(3).forEach(k -> broken.add("left over: " + k));
+            cells.leftovers().stream().limit(3).forEach(key -> broken.add("left over: " + key));
         }
         Collection<SimulatedCluster> all = cells.worlds.values();
         long handOvers = 0;
-        for (SimulatedCluster w : all) {
-            for (SimulatedNode n : w.nodes.values()) {
-                handOvers += figure(n, "cells.lent");
+        for (SimulatedCluster cluster : all) {
+            for (SimulatedNode node : cluster.nodes.values()) {
+                handOvers += figure(node, "cells.lent");
             }
         }
         return new Result(
@@ -390,7 +393,7 @@
                 served,
                 handOvers,
                 cells.messages,
-                all.stream().mapToLong(w -> w.store.changes).sum(),
+                all.stream().mapToLong(cluster -> cluster.store.changes).sum(),
                 refusals,
                 tookS,
                 (System.nanoTime() - began) / 1e9,
@@ -398,8 +401,8 @@
                 open);
     }
 
-    private static long figure(SimulatedNode n, String name) {
-        var f = n.controller.figures().get(name);
+    private static long figure(SimulatedNode node, String name) {
+        var f = node.controller.figures().get(name);
         return f == null ? 0 : (long) f.value().getAsDouble();
     }
 }
--- a/src/main/java/io/kitepath/simulation/SimulatedClock.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedClock.java
@@ -25,17 +25,17 @@
     public final Map<String, SimulatedTask> lastStarts = new HashMap<>();
 
     /** Sees every start. */
-    public Consumer<SimulatedTask> starts = t -> {};
+    public Consumer<SimulatedTask> starts = task -> {};
 
     /** Sees every task that completed, or failed. */
-    public Consumer<SimulatedTask> ends = t -> {};
+    public Consumer<SimulatedTask> ends = task -> {};
 
-    public void ended(SimulatedTask t) {
-        ends.accept(t);
+    public void ended(SimulatedTask task) {
+        ends.accept(task);
     }
 
-    public void started(SimulatedTask t) {
-        starts.accept(t);
+    public void started(SimulatedTask task) {
+        starts.accept(task);
     }
 
     public void after(double s, Runnable r) {
--- a/src/main/java/io/kitepath/simulation/SimulatedCluster.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCluster.java
@@ -47,7 +47,7 @@
     /** The cells that this world is one of, or null. */
     public final MultiCellSimulation around;
 
-    public final CellDirectory directory;
+    public final CellDirectory cellDirectory;
 
     /** Requests and changes a second that the settings allow. */
     public double rps = 1000;
@@ -93,11 +93,11 @@
         List<String> up();
 
         /** Reports to a node; there may be no answer. */
-        void heartbeat(String node, Heartbeat report, Consumer<HeartbeatResponse> answer);
+        void heartbeat(String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer);
     }
 
     /** Reports of which a copy is kept until another node leads. */
-    public Predicate<Heartbeat> keeps = r -> false;
+    public Predicate<Heartbeat> keeps = heartbeat -> false;
 
     /**
      * Whether the copies come to every node as soon as it leads, else to itself once it has acted;
@@ -127,10 +127,10 @@
 
                 @Override
                 public void heartbeat(
-                        String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
+                        String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
                     SimulatedNode n = nodes.get(node);
-                    if (keeps.test(report)) {
-                        kept.add(report);
+                    if (keeps.test(heartbeat)) {
+                        kept.add(heartbeat);
                     }
                     double late = copyAfterS.getAsDouble();
                     if (late > 0) {
@@ -148,8 +148,8 @@
                                                                         () ->
                                                                                 x.controller
                                                                                         .heartbeat(
-                                                                                                report,
-                                                                                                c -> {}))));
+                                                                                                heartbeat,
+                                                                                                response -> {}))));
                     }
                     after(
                             0.002,
@@ -157,24 +157,24 @@
                                     n.deliver(
                                             () ->
                                                     n.controller.heartbeat(
-                                                            report,
-                                                            c ->
+                                                            heartbeat,
+                                                            response ->
                                                                     after(
                                                                             0.002,
                                                                             () ->
                                                                                     answer.accept(
-                                                                                            c)))));
+                                                                                            response)))));
                 }
             };
 
     /** Is told of every worker that there is from now on. */
-    public Consumer<SimulatedWorker> born = x -> {};
+    public Consumer<SimulatedWorker> born = worker -> {};
 
     /** Workers get no direct commands. */
     public boolean refuseDirect;
 
     /** Which worker a node's direct commands reach, and its answer that node. */
-    public BiPredicate<SimulatedNode, SimulatedWorker> commands = (n, x) -> true;
+    public BiPredicate<SimulatedNode, SimulatedWorker> commands = (node, worker) -> true;
 
     /** How late they come. */
     public double directDelayS = 0.002;
@@ -203,7 +203,7 @@
     public boolean closeLooks;
 
     /** Whether users call off the job whose last task completes, in that moment. */
-    public Predicate<SimulatedTask> cancelsAtEnd = t -> false;
+    public Predicate<SimulatedTask> cancelsAtEnd = task -> false;
 
     public final InvariantChecker rules = new InvariantChecker(this);
     public final LoadGenerator users = new LoadGenerator(this);
@@ -230,10 +230,10 @@
 
     /** One cell among others, which share a clock. */
     public SimulatedCluster(
-            SimulatedClock clock, MultiCellSimulation around, CellDirectory directory) {
+            SimulatedClock clock, MultiCellSimulation around, CellDirectory cellDirectory) {
         this.clock = clock;
         this.around = around;
-        this.directory = directory;
+        this.cellDirectory = cellDirectory;
         clock.worlds.add(this);
         teams.put("red", new ClusterSettings.Team("red", 0, 0, 0, 0));
     }
@@ -286,57 +286,57 @@
     }
 
     public SimulatedNode node(String name) {
-        SimulatedNode n = new SimulatedNode(this, name);
-        nodes.put(name, n);
-        n.controller.start();
-        return n;
+        SimulatedNode node = new SimulatedNode(this, name);
+        nodes.put(name, node);
+        node.controller.start();
+        return node;
     }
 
     public SimulatedNode leader() {
         return nodes.values().stream()
-                .filter(n -> n.alive && n.controller.leadsWith() == store.token())
+                .filter(node -> node.alive && node.controller.leadsWith() == store.token())
                 .findFirst()
                 .orElseThrow();
     }
 
     public SimulatedWorker worker(String id, String zone) {
-        SimulatedWorker w = new SimulatedWorker(this, id, zone);
-        workers.put(id, w);
-        born.accept(w);
+        SimulatedWorker worker = new SimulatedWorker(this, id, zone);
+        workers.put(id, worker);
+        born.accept(worker);
         cloud.machines.put(id, new Cloud.Listed(id, type.name(), zone, false, "running", 60));
-        after(0, w::report);
-        return w;
+        after(0, worker::report);
+        return worker;
     }
 
     public SimulatedWorker spotWorker(String id, String zone) {
-        SimulatedWorker w = worker(id, zone);
-        w.spot = true;
+        SimulatedWorker worker = worker(id, zone);
+        worker.spot = true;
         cloud.machines.put(id, new Cloud.Listed(id, type.name(), zone, true, "running", 60));
-        return w;
+        return worker;
     }
 
-    public static JobSpec onSpot(JobSpec s, double estimateS) {
+    public static JobSpec onSpot(JobSpec spec, double estimateS) {
         return new JobSpec(
-                s.id(),
-                s.jobClass(),
-                s.team(),
-                s.shape(),
-                s.priority(),
-                s.tasks(),
-                s.cpus(),
-                s.gpus(),
-                s.memoryGb(),
-                s.types(),
-                s.zone(),
-                s.oneZone(),
-                s.spread(),
+                spec.id(),
+                spec.jobClass(),
+                spec.team(),
+                spec.shape(),
+                spec.priority(),
+                spec.tasks(),
+                spec.cpus(),
+                spec.gpus(),
+                spec.memoryGb(),
+                spec.types(),
+                spec.zone(),
+                spec.oneZone(),
+                spec.spread(),
                 true,
-                s.image(),
-                s.imageGb(),
+                spec.image(),
+                spec.imageGb(),
                 estimateS,
-                s.checkpointS(),
-                s.saveS(),
-                s.deadlineS());
+                spec.checkpointS(),
+                spec.saveS(),
+                spec.deadlineS());
     }
 
     public static JobSpec job(String id, JobSpec.Shape shape, int tasks, double cpus) {
@@ -363,54 +363,56 @@
                 null);
     }
 
-    public static JobSpec with(JobSpec s, String team, JobSpec.Priority priority, boolean oneZone) {
+    public static JobSpec with(
+            JobSpec spec, String team, JobSpec.Priority priority, boolean oneZone) {
         return new JobSpec(
-                s.id(),
-                s.jobClass(),
+                spec.id(),
+                spec.jobClass(),
                 team,
-                s.shape(),
+                spec.shape(),
                 priority,
-                s.tasks(),
-                s.cpus(),
-                s.gpus(),
-                s.memoryGb(),
-                s.types(),
-                s.zone(),
+                spec.tasks(),
+                spec.cpus(),
+                spec.gpus(),
+                spec.memoryGb(),
+                spec.types(),
+                spec.zone(),
                 oneZone,
-                s.spread(),
-                s.spot(),
-                s.image(),
-                s.imageGb(),
-                s.estimateS(),
-                s.checkpointS(),
-                s.saveS(),
-                s.deadlineS());
+                spec.spread(),
+                spec.spot(),
+                spec.image(),
+                spec.imageGb(),
+                spec.estimateS(),
+                spec.checkpointS(),
+                spec.saveS(),
+                spec.deadlineS());
     }
 
-    public JobSubmissionService.Answer submit(SimulatedNode n, JobSpec s, String... itsNeeds) {
+    public JobSubmissionService.Answer submit(
+            SimulatedNode node, JobSpec spec, String... itsNeeds) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         double asked = clock.now;
-        specs.put(s.id(), s);
-        needs.putIfAbsent(s.id(), List.of(itsNeeds));
-        n.controller
+        specs.put(spec.id(), spec);
+        needs.putIfAbsent(spec.id(), List.of(itsNeeds));
+        node.controller
                 .registry()
                 .submit(
-                        s,
+                        spec,
                         List.of(itsNeeds),
-                        a -> {
-                            if (a.verdict() == JobSubmissionService.Verdict.CREATED
-                                    || a.verdict() == JobSubmissionService.Verdict.KNOWN) {
-                                rules.accepted(s.id());
+                        answer -> {
+                            if (answer.verdict() == JobSubmissionService.Verdict.CREATED
+                                    || answer.verdict() == JobSubmissionService.Verdict.KNOWN) {
+                                rules.accepted(spec.id());
                             }
-                            got[0] = heard(s.id(), a, asked);
+                            got[0] = heard(spec.id(), answer, asked);
                         });
         run(0.1);
         return got[0];
     }
 
-    public JobSubmissionService.Answer cancel(SimulatedNode n, String id) {
+    public JobSubmissionService.Answer cancel(SimulatedNode node, String id) {
         rules.asksToCancel(id);
-        return told(id, answer -> n.controller.registry().cancel(id, answer));
+        return told(id, answer -> node.controller.registry().cancel(id, answer));
     }
 
     /**
@@ -421,8 +423,8 @@
         return users.cancelNow(count, hangS, random);
     }
 
-    public JobSubmissionService.Answer ask(SimulatedNode n, String id) {
-        return told(id, answer -> n.controller.registry().status(id, answer));
+    public JobSubmissionService.Answer ask(SimulatedNode node, String id) {
+        return told(id, answer -> node.controller.registry().status(id, answer));
     }
 
     /**
@@ -434,9 +436,9 @@
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         double asked = clock.now;
         question.accept(
-                a -> {
+                answer -> {
                     if (clock.now - asked <= USER_WAITS_S) {
-                        got[0] = heard(id, a, asked);
+                        got[0] = heard(id, answer, asked);
                     }
                 });
         run(0.1);
@@ -444,12 +446,12 @@
     }
 
     /** A user hears that; {@code asked}: when it asked. */
-    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer a, double asked) {
-        rules.heard(id, a, asked);
-        if (a != null) {
-            users.told(id, a);
+    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer answer, double asked) {
+        rules.heard(id, answer, asked);
+        if (answer != null) {
+            users.told(id, answer);
         }
-        return a;
+        return answer;
     }
 
     // ---- reports that are kept for another leader
@@ -482,32 +484,34 @@
                 keptAfterS,
                 () ->
                         copies.forEach(
-                                r ->
+                                heartbeat ->
                                         to.stream()
-                                                .filter(n -> n.alive)
+                                                .filter(node -> node.alive)
                                                 .forEach(
-                                                        n -> {
+                                                        node -> {
                                                             keptBrought++;
-                                                            n.deliver(
+                                                            node.deliver(
                                                                     () ->
-                                                                            n.controller.heartbeat(
-                                                                                    r, c -> {}));
+                                                                            node.controller
+                                                                                    .heartbeat(
+                                                                                            heartbeat,
+                                                                                            response -> {}));
                                                         })));
     }
 
-    public String status(SimulatedNode n, String id) {
-        JobSubmissionService.Answer a = ask(n, id);
-        return a.verdict() == JobSubmissionService.Verdict.KNOWN
-                ? a.state().status()
-                : a.verdict().toString();
+    public String status(SimulatedNode node, String id) {
+        JobSubmissionService.Answer answer = ask(node, id);
+        return answer.verdict() == JobSubmissionService.Verdict.KNOWN
+                ? answer.state().status()
+                : answer.verdict().toString();
     }
 
     /** How many tasks of the job are on machines. */
     public long onMachines(String job) {
         return workers.values().stream()
-                .filter(w -> w.up)
-                .flatMap(w -> w.tasks.values().stream())
-                .filter(t -> t.job.equals(job) && t.state != TaskState.ENDED)
+                .filter(worker -> worker.up)
+                .flatMap(worker -> worker.tasks.values().stream())
+                .filter(task -> task.job.equals(job) && task.state != TaskState.ENDED)
                 .count();
     }
 }
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 
 public final class SimulatedNode implements Timers, PeerNodes, EmulatorClient {
-    private final SimulatedCluster w;
+    private final SimulatedCluster cluster;
     public final String name;
     public final Controller controller;
     public boolean alive = true;
@@ -50,23 +50,23 @@
     /** Told when it ends that way. */
     public Runnable ended = () -> {};
 
-    public SimulatedNode(SimulatedCluster w, String name) {
-        this.w = w;
+    public SimulatedNode(SimulatedCluster cluster, String name) {
+        this.cluster = cluster;
         this.name = name;
         this.controller =
                 new Controller(
-                        w.facts(name),
-                        new StoreLink(w, this),
-                        new CloudLink(w, this),
+                        cluster.facts(name),
+                        new StoreLink(cluster, this),
+                        new CloudLink(cluster, this),
                         this::direct,
                         this,
                         this,
                         new Random(
                                 7
                                         + name.hashCode()
-                                        + 31L * (w.started.merge(name, 1, Integer::sum) - 1)),
-                        w.directory,
-                        w.around == null ? null : this::askCell);
+                                        + 31L * (cluster.started.merge(name, 1, Integer::sum) - 1)),
+                        cluster.cellDirectory,
+                        cluster.around == null ? null : this::askCell);
     }
 
     private void direct(
@@ -75,39 +75,49 @@
             long session,
             List<WorkerCommand> orders,
             Consumer<Heartbeat> answer) {
-        SimulatedWorker x = w.workers.get(address);
-        if (x == null
-                || x.cut
-                || x.deaf
-                || !x.up
-                || w.refuseDirect
-                || x.hangs()
-                || !w.commands.test(this, x)) {
-            if (x != null && x.hangs() && !w.refuseDirect && w.commands.test(this, x)) {
-                x.goesOn(
+        SimulatedWorker worker = cluster.workers.get(address);
+        if (worker == null
+                || worker.cut
+                || worker.deaf
+                || !worker.up
+                || cluster.refuseDirect
+                || worker.hangs()
+                || !cluster.commands.test(this, worker)) {
+            if (worker != null
+                    && worker.hangs()
+                    && !cluster.refuseDirect
+                    && cluster.commands.test(this, worker)) {
+                worker.goesOn(
                         () ->
-                                x.directly(
+                                worker.directly(
                                         token, session, orders)); // What is sent to it waits there.
             }
             after(0.5, () -> answer.accept(null));
             return;
         }
-        double held = w.directHeldS.getAsDouble();
+        double held = cluster.directHeldS.getAsDouble();
         if (held > 0) {
-            w.after(held, () -> x.goesOn(() -> x.directly(token, session, orders)));
+            cluster.after(held, () -> worker.goesOn(() -> worker.directly(token, session, orders)));
             after(0.5, () -> answer.accept(null));
             return;
         }
-        w.after(
-                w.directDelayS,
+        cluster.after(
+                cluster.directDelayS,
                 () -> {
-                    Heartbeat r = x.directly(token, session, orders);
-                    after(0.002, () -> answer.accept(w.commands.test(this, x) ? r : null));
+                    Heartbeat heartbeat = worker.directly(token, session, orders);
+                    after(
+                            0.002,
+                            () ->
+                                    answer.accept(
+                                            cluster.commands.test(this, worker)
+                                                    ? heartbeat
+                                                    : null));
                 });
     }
 
-    private void askCell(String cell, String node, CellMessage m, Consumer<CellMessage> answer) {
-        w.around.ask(w, this, cell, node, m, answer);
+    private void askCell(
+            String cell, String node, CellMessage message, Consumer<CellMessage> answer) {
+        cluster.around.ask(cluster, this, cell, node, message, answer);
     }
 
     public void crash() {
@@ -117,7 +127,7 @@
     /** Its process is killed, and what waits for its answers is told so by a reset. */
     public void kill() {
         crash();
-        w.workers.values().forEach(x -> x.resetBy(name));
+        cluster.workers.values().forEach(worker -> worker.resetBy(name));
     }
 
     /** Ends once it has sent that many more requests to the store or the cloud. */
@@ -151,23 +161,23 @@
 
     @Override
     public double now() {
-        return w.clock.now;
+        return cluster.clock.now;
     }
 
     @Override
     public double wallMs() {
-        return w.clock.now * 1000 + clockOffMs;
+        return cluster.clock.now * 1000 + clockOffMs;
     }
 
     @Override
     public void after(double seconds, Runnable run) {
-        w.after(Math.max(0.001, seconds), () -> deliver(run));
+        cluster.after(Math.max(0.001, seconds), () -> deliver(run));
     }
 
     /** What comes while the process stands still waits until it goes on. */
     public void deliver(Runnable run) {
-        if (alive && w.clock.now < frozenUntil) {
-            w.after(frozenUntil - w.clock.now, () -> deliver(run));
+        if (alive && cluster.clock.now < frozenUntil) {
+            cluster.after(frozenUntil - cluster.clock.now, () -> deliver(run));
         } else if (alive) {
             run.run();
         }
@@ -176,25 +186,25 @@
     @Override
     public void tell(long token, String leader, boolean served) {
         if (leader != null) {
-            w.leads(token);
+            cluster.leads(token);
         }
-        w.nodes.values().stream()
-                .filter(n -> n != this && n.alive && reaches(n))
+        cluster.nodes.values().stream()
+                .filter(node -> node != this && node.alive && reaches(node))
                 .forEach(
-                        n ->
-                                n.after(
+                        node ->
+                                node.after(
                                         0.001,
                                         () ->
-                                                n.controller.told(
+                                                node.controller.told(
                                                         name, token, leader != null, served)));
     }
 
     @Override
     public void digest(CancellationDigest digest) {
         if (!old) {
-            w.nodes.values().stream()
-                    .filter(n -> n != this && n.alive && !n.old && reaches(n))
-                    .forEach(n -> n.after(0.001, () -> n.controller.told(digest)));
+            cluster.nodes.values().stream()
+                    .filter(node -> node != this && node.alive && !node.old && reaches(node))
+                    .forEach(node -> node.after(0.001, () -> node.controller.told(digest)));
         }
     }
 
@@ -203,14 +213,14 @@
         if (losesWord) {
             return;
         }
-        w.nodes.values().stream()
-                .filter(n -> n != this && n.alive && reaches(n))
-                .forEach(n -> n.after(0.001, () -> n.controller.toldOver(job)));
+        cluster.nodes.values().stream()
+                .filter(node -> node != this && node.alive && reaches(node))
+                .forEach(node -> node.after(0.001, () -> node.controller.toldOver(job)));
     }
 
     @Override
     public void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
-        SimulatedNode n = w.nodes.get(leader);
+        SimulatedNode node = cluster.nodes.get(leader);
         boolean[] heard = new boolean[1];
         Consumer<List<JobProgress>> once =
                 p -> {
@@ -219,11 +229,11 @@
                         answer.accept(p);
                     }
                 };
-        if (reaches(n)) {
-            n.after(
+        if (reaches(node)) {
+            node.after(
                     0.001,
                     () -> {
-                        List<JobProgress> p = n.controller.progress(jobs);
+                        List<JobProgress> p = node.controller.progress(jobs);
                         after(0.001, () -> once.accept(p));
                     });
         }
@@ -232,16 +242,21 @@
 
     @Override
     public boolean relay(
-            String sibling, Heartbeat report, boolean passOn, Consumer<HeartbeatResponse> answer) {
-        SimulatedNode n = w.nodes.get(sibling);
-        if (n == null || !reaches(n)) {
+            String sibling,
+            Heartbeat heartbeat,
+            boolean passOn,
+            Consumer<HeartbeatResponse> answer) {
+        SimulatedNode node = cluster.nodes.get(sibling);
+        if (node == null || !reaches(node)) {
             return false;
         }
-        n.after(
+        node.after(
                 0.001,
                 () ->
-                        n.controller.answerFor(
-                                report, passOn, c -> after(0.001, () -> answer.accept(c))));
+                        node.controller.answerFor(
+                                heartbeat,
+                                passOn,
+                                response -> after(0.001, () -> answer.accept(response))));
         return true;
     }
 
--- a/src/main/java/io/kitepath/simulation/SimulatedWorker.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedWorker.java
@@ -16,7 +16,7 @@
 
 /** A machine with its worker, by the protocol: one report in flight, sessions, tokens, leases. */
 public final class SimulatedWorker {
-    private final SimulatedCluster w;
+    private final SimulatedCluster cluster;
     public final String id;
     public final String zone;
 
@@ -69,9 +69,9 @@
 
     public int started;
 
-    public SimulatedWorker(SimulatedCluster w, String id, String zone) {
-        this.w = w;
-        this.answered = w.clock.now;
+    public SimulatedWorker(SimulatedCluster cluster, String id, String zone) {
+        this.cluster = cluster;
+        this.answered = cluster.clock.now;
         this.id = id;
         this.address = id;
         this.zone = zone;
@@ -86,7 +86,7 @@
         return new Heartbeat(
                 id,
                 address,
-                w.type.name(),
+                cluster.type.name(),
                 zone,
                 spot,
                 session,
@@ -94,7 +94,14 @@
                 token,
                 null,
                 tasks.values().stream()
-                        .map(t -> new TaskStatus(t.job, t.number, t.attempt, t.state, t.cause))
+                        .map(
+                                task ->
+                                        new TaskStatus(
+                                                task.job,
+                                                task.number,
+                                                task.attempt,
+                                                task.state,
+                                                task.cause))
                         .toList());
     }
 
@@ -109,7 +116,7 @@
     }
 
     private String target() {
-        List<String> up = w.reach.up();
+        List<String> up = cluster.reach.up();
         if (up.isEmpty()) {
             node = null;
         } else if (node == null) {
@@ -123,7 +130,7 @@
 
     private void reportIn(double seconds) {
         long mine = ++due;
-        w.after(
+        cluster.after(
                 seconds,
                 () -> {
                     if (mine == due) {
@@ -135,20 +142,20 @@
     /** A task ended: said at once, but at most every half second. */
     private void changed() {
         changedSince |= inFlight;
-        if (w.reportsChanges && !inFlight) {
-            reportIn(Math.max(0.001, sentAt + 0.5 - w.clock.now));
+        if (cluster.reportsChanges && !inFlight) {
+            reportIn(Math.max(0.001, sentAt + 0.5 - cluster.clock.now));
         }
     }
 
     /** The connection to that node is reset. */
     void resetBy(String itsNode) {
         if (inFlight && itsNode.equals(node)) {
-            w.after(0.002, givenUp);
+            cluster.after(0.002, givenUp);
         }
     }
 
     boolean hangs() {
-        return w.clock.now < hangsUntil;
+        return cluster.clock.now < hangsUntil;
     }
 
     /** Runs that as soon as the machine goes on. */
@@ -157,7 +164,7 @@
             return;
         }
         if (hangs()) {
-            w.after(hangsUntil - w.clock.now, () -> goesOn(then));
+            cluster.after(hangsUntil - cluster.clock.now, () -> goesOn(then));
         } else {
             then.run();
         }
@@ -173,20 +180,20 @@
         }
         inFlight = true;
         changedSince = false;
-        sentAt = w.clock.now;
+        sentAt = cluster.clock.now;
         expire();
         String to = target();
         long mySession = session;
-        double sent = w.clock.now;
+        double sent = cluster.clock.now;
         boolean[] heard = new boolean[1];
         if (to != null && !cut && !mute) {
-            w.reach.heartbeat(
+            cluster.reach.heartbeat(
                     to,
                     message(),
-                    c -> {
+                    response -> {
                         if (!heard[0] && up && session == mySession && !cut && !deaf) {
                             heard[0] = true;
-                            hear(c, sent);
+                            hear(response, sent);
                         }
                     });
         }
@@ -200,7 +207,7 @@
                     }
                 };
         // Where nothing listens, that is known at once, and the next node is tried a second later.
-        w.after(to == null || mute ? 0.8 : 4, givenUp);
+        cluster.after(to == null || mute ? 0.8 : 4, givenUp);
     }
 
     /**
@@ -210,21 +217,22 @@
     private void expire() {
         if (hangs()) {
             goesOn(this::expire);
-        } else if (up && w.clock.now - answered > w.leaseS) {
+        } else if (up && cluster.clock.now - answered > cluster.leaseS) {
             tasks.clear();
             session++;
-            answered = w.clock.now;
+            answered = cluster.clock.now;
             changed();
         }
     }
 
-    private void hear(HeartbeatResponse c, double sent) {
+    private void hear(HeartbeatResponse response, double sent) {
         if (hangs()) {
             goesOn(
                     () -> {
                         // Answers are dropped after 4 s, and those to an earlier session.
-                        if (w.clock.now - sent < 4 && w.clock.now - answered <= w.leaseS) {
-                            hear(c, sent);
+                        if (cluster.clock.now - sent < 4
+                                && cluster.clock.now - answered <= cluster.leaseS) {
+                            hear(response, sent);
                         } else {
                             inFlight = false;
                             reportIn(0.2);
@@ -233,71 +241,71 @@
             return;
         }
         inFlight = false;
-        if (c.token() == 0) {
-            node = c.anchor();
-            reportIn(c.anchor() == null ? 1 : 0.1);
+        if (response.token() == 0) {
+            node = response.anchor();
+            reportIn(response.anchor() == null ? 1 : 0.1);
             return;
         }
-        if (c.token() >= token) {
-            w.acts(node, c.token());
-            token = c.token();
+        if (response.token() >= token) {
+            cluster.acts(node, response.token());
+            token = response.token();
             answered = Math.max(answered, sent);
-            w.after(answered + w.leaseS - w.clock.now + 0.001, this::expire);
-            c.orders().forEach(this::execute);
+            cluster.after(answered + cluster.leaseS - cluster.clock.now + 0.001, this::expire);
+            response.orders().forEach(this::execute);
         }
-        if (c.token() < token) {
-            w.dropped++;
+        if (response.token() < token) {
+            cluster.dropped++;
         }
-        if (changedSince && w.reportsChanges) {
+        if (changedSince && cluster.reportsChanges) {
             changed();
         } else {
-            reportIn(Math.max(0.5, w.reportS - (w.clock.now - sent)));
+            reportIn(Math.max(0.5, cluster.reportS - (cluster.clock.now - sent)));
         }
     }
 
-    public void execute(WorkerCommand o) {
-        String key = o.job() + "/" + o.task() + "#" + o.attempt();
-        SimulatedTask t = tasks.get(key);
-        switch (o.verb()) {
+    public void execute(WorkerCommand command) {
+        String key = command.job() + "/" + command.task() + "#" + command.attempt();
+        SimulatedTask task = tasks.get(key);
+        switch (command.verb()) {
             case START -> {
-                if (t == null) {
-                    start(o, key);
+                if (task == null) {
+                    start(command, key);
                 }
             }
             case STOP -> {
-                if (t != null && t.state != TaskState.ENDED) {
-                    t.state = TaskState.ENDED;
-                    t.cause = EndCause.STOPPED;
+                if (task != null && task.state != TaskState.ENDED) {
+                    task.state = TaskState.ENDED;
+                    task.cause = EndCause.STOPPED;
                 }
             }
             case FORGET -> {
-                if (t != null && t.state == TaskState.ENDED) {
+                if (task != null && task.state == TaskState.ENDED) {
                     tasks.remove(key);
                 }
             }
         }
     }
 
-    private void fetched(SimulatedTask t, String key, JobSpec s) {
+    private void fetched(SimulatedTask t, String key, JobSpec spec) {
         if (tasks.get(key) != t || t.state != TaskState.FETCHING) {
             return; // Given up, and what was fetched with it.
         }
-        images.add(s.image());
+        images.add(spec.image());
         t.state = TaskState.WAITING;
         List<SimulatedTask> gang =
-                w.workers.values().stream()
-                        .flatMap(w -> w.tasks.values().stream())
+                cluster.workers.values().stream()
+                        .flatMap(worker -> worker.tasks.values().stream())
                         .filter(
                                 x ->
                                         x.job.equals(t.job)
                                                 && x.attempt == t.attempt
                                                 && x.state == TaskState.WAITING)
                         .toList();
-        if (gang.size() == s.tasks()) {
+        if (gang.size() == spec.tasks()) {
             gang.forEach(x -> x.state = TaskState.RUNNING);
             // They complete together, and each machine reports that as any other change.
-            w.after(
-                    w.runsFor == null ? runsFor : w.runsFor.applyAsDouble(t.job),
+            cluster.after(
+                    cluster.runsFor == null ? runsFor : cluster.runsFor.applyAsDouble(t.job),
                     () ->
                             gang.stream()
                                     .filter(x -> x.on() && x.state == TaskState.RUNNING)
@@ -305,17 +313,17 @@
                                             x -> {
                                                 x.state = TaskState.ENDED;
                                                 x.cause = EndCause.DONE;
-                                                w.completed
+                                                cluster.completed
                                                         .computeIfAbsent(
                                                                 x.job, k -> new HashSet<>())
                                                         .add(x.number);
-                                                w.clock.ended(x);
+                                                cluster.clock.ended(x);
                                                 x.worker.changed();
-                                                w.users.completed(x);
+                                                cluster.users.completed(x);
                                             }));
             return;
         }
-        w.after(
+        cluster.after(
                 30,
                 () -> {
                     if (t.state == TaskState.WAITING) {
@@ -325,48 +333,55 @@
                 });
     }
 
-    private void start(WorkerCommand o, String key) {
-        SimulatedTask other = w.clock.lastStarts.get(o.job() + "/" + o.task());
+    private void start(WorkerCommand command, String key) {
+        SimulatedTask other = cluster.clock.lastStarts.get(command.job() + "/" + command.task());
         if (other != null && other.on()) {
-            w.broken.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
+            cluster.broken.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
         }
         // The range of all keys under that prefix.
-        if (w.store.keys.subMap(StoreKeys.GOING, StoreKeys.GOING + "~").values().stream()
+        if (cluster.store.keys.subMap(StoreKeys.GOING, StoreKeys.GOING + "~").values().stream()
                 .anyMatch(
-                        e ->
-                                ((Map<?, ?>) e.value()).get("machines") instanceof List<?> l
+                        entry ->
+                                ((Map<?, ?>) entry.value()).get("machines") instanceof List<?> l
                                         && l.contains(id))) {
-            w.broken.add("started on a machine that goes: " + key + " on " + id);
+            cluster.broken.add("started on a machine that goes: " + key + " on " + id);
         }
         started++;
-        SimulatedTask t =
-                new SimulatedTask(this, o.job(), o.task(), o.attempt(), TaskState.RUNNING);
-        tasks.put(key, t);
-        w.clock.lastStarts.put(o.job() + "/" + o.task(), t);
-        w.clock.started(t);
-        w.rules.starts(t);
-        JobSpec s = w.specs.get(o.job());
-        if (w.fetchS != null && s.gang()) {
-            t.state = TaskState.FETCHING;
-            w.after(
-                    images.contains(s.image()) ? 0 : w.fetchS.applyAsDouble(id),
-                    () -> fetched(t, key, s));
+        SimulatedTask task =
+                new SimulatedTask(
+                        this, command.job(), command.task(), command.attempt(), TaskState.RUNNING);
+        tasks.put(key, task);
+        cluster.clock.lastStarts.put(command.job() + "/" + command.task(), task);
+        cluster.clock.started(task);
+        cluster.rules.starts(task);
+        JobSpec spec = cluster.specs.get(command.job());
+        if (cluster.fetchS != null && spec.gang()) {
+            task.state = TaskState.FETCHING;
+            cluster.after(
+                    images.contains(spec.image()) ? 0 : cluster.fetchS.applyAsDouble(id),
+                    () -> fetched(task, key, spec));
             return;
         }
-        boolean error = fails || w.mistaken.contains(o.job());
-        w.after(
-                error ? 0.1 : w.runsFor == null ? runsFor : w.runsFor.applyAsDouble(o.job()),
+        boolean error = fails || cluster.mistaken.contains(command.job());
+        cluster.after(
+                error
+                        ? 0.1
+                        : cluster.runsFor == null
+                                ? runsFor
+                                : cluster.runsFor.applyAsDouble(command.job()),
                 () -> {
-                    if (up && tasks.get(key) == t && t.state != TaskState.ENDED) {
-                        t.state = TaskState.ENDED;
-                        t.cause = error ? EndCause.ERROR : EndCause.DONE;
+                    if (up && tasks.get(key) == task && task.state != TaskState.ENDED) {
+                        task.state = TaskState.ENDED;
+                        task.cause = error ? EndCause.ERROR : EndCause.DONE;
                         if (!error) {
-                            w.completed.computeIfAbsent(t.job, k -> new HashSet<>()).add(t.number);
+                            cluster.completed
+                                    .computeIfAbsent(task.job, k -> new HashSet<>())
+                                    .add(task.number);
                         }
-                        w.clock.ended(t);
+                        cluster.clock.ended(task);
                         changed();
                         if (!error) {
-                            w.users.completed(t);
+                            cluster.users.completed(task);
                         }
                     }
                 });
--- a/src/main/java/io/kitepath/simulation/StoreLink.java
+++ b/src/main/java/io/kitepath/simulation/StoreLink.java
@@ -7,13 +7,13 @@
 
 /** One node's connection to the store. */
 final class StoreLink implements Store {
-    private final SimulatedCluster w;
+    private final SimulatedCluster cluster;
     private final MemoryStore store;
     private final EmulatorClient node;
 
-    StoreLink(SimulatedCluster w, EmulatorClient node) {
-        this.w = w;
-        this.store = w.store;
+    StoreLink(SimulatedCluster cluster, EmulatorClient node) {
+        this.cluster = cluster;
+        this.store = cluster.store;
         this.node = node;
     }
 
@@ -25,8 +25,8 @@
     private void exchange(int writes, Runnable served, Runnable refused) {
         node.asks();
         node.sends();
-        w.after(
-                w.takes(0.002) + store.slowS,
+        cluster.after(
+                cluster.takes(0.002) + store.slowS,
                 () -> {
                     store.expire();
                     boolean no = store.out || node.refused() || store.tooMany(writes);
@@ -35,15 +35,15 @@
     }
 
     private void back(Runnable r) {
-        node.after(w.takes(0.002), r);
+        node.after(cluster.takes(0.002), r);
     }
 
     @Override
     public void get(String key, BiConsumer<Outcome, Entry> answer) {
         exchange(
                 () -> {
-                    Entry e = store.keys.get(key);
-                    back(() -> answer.accept(e == null ? Outcome.NO : Outcome.OK, e));
+                    Entry entry = store.keys.get(key);
+                    back(() -> answer.accept(entry == null ? Outcome.NO : Outcome.OK, entry));
                 },
                 () -> back(() -> answer.accept(Outcome.REFUSED, null)));
     }
@@ -67,7 +67,7 @@
                                     .tailMap(from.isEmpty() ? prefix : from, from.isEmpty())
                                     .values()
                                     .stream()
-                                    .filter(e -> e.key().startsWith(prefix))
+                                    .filter(entry -> entry.key().startsWith(prefix))
                                     .toList();
                     long r = store.revision;
                     back(
@@ -88,14 +88,16 @@
     }
 
     @Override
-    public void commit(Transaction t, Consumer<CommitResult> answer) {
+    public void commit(Transaction transaction, Consumer<CommitResult> answer) {
         exchange(
-                t.writes().size(),
+                transaction.writes().size(),
                 () -> {
-                    boolean job = t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/"));
-                    if (job && store.hold > 0 || store.withheld.test(t)) {
+                    boolean job =
+                            transaction.writes().stream()
+                                    .anyMatch(write -> write.key().startsWith("jobs/"));
+                    if (job && store.hold > 0 || store.withheld.test(transaction)) {
                         store.hold -= store.hold > 0 ? 1 : 0;
-                        store.heldBack.add(t);
+                        store.heldBack.add(transaction);
                         node.after(
                                 0.5,
                                 () ->
@@ -104,13 +106,16 @@
                                                         Outcome.UNKNOWN, 0, List.of(), false)));
                         return;
                     }
-                    double late = t.writes().isEmpty() ? 0 : store.late.applyAsDouble(t);
+                    double late =
+                            transaction.writes().isEmpty()
+                                    ? 0
+                                    : store.late.applyAsDouble(transaction);
                     if (late > 0) {
-                        w.after(
+                        cluster.after(
                                 late,
                                 () -> {
                                     if (!store.out) {
-                                        carryOut(t);
+                                        carryOut(transaction);
                                     }
                                 });
                         node.after(
@@ -121,10 +126,10 @@
                                                         Outcome.UNKNOWN, 0, List.of(), false)));
                         return;
                     }
-                    CommitResult c = carryOut(t);
+                    CommitResult result = carryOut(transaction);
                     if (job && store.swallow > 0
-                            || store.unheard.test(t)
-                            || w.losesAnswer.getAsBoolean()) {
+                            || store.unheard.test(transaction)
+                            || cluster.losesAnswer.getAsBoolean()) {
                         store.swallow -= job && store.swallow > 0 ? 1 : 0;
                         node.after(
                                 0.5,
@@ -134,7 +139,7 @@
                                                         Outcome.UNKNOWN, 0, List.of(), false)));
                         return;
                     }
-                    back(() -> answer.accept(c));
+                    back(() -> answer.accept(result));
                 },
                 () ->
                         back(
@@ -144,13 +149,13 @@
                                                         Outcome.REFUSED, 0, List.of(), false))));
     }
 
-    private CommitResult carryOut(Transaction t) {
-        CommitResult c = store.execute(t);
-        if (c.outcome() == Outcome.OK && !t.writes().isEmpty()) {
-            store.changes += t.writes().size();
-            store.written.accept(node, t);
+    private CommitResult carryOut(Transaction transaction) {
+        CommitResult result = store.execute(transaction);
+        if (result.outcome() == Outcome.OK && !transaction.writes().isEmpty()) {
+            store.changes += transaction.writes().size();
+            store.written.accept(node, transaction);
         }
-        return c;
+        return result;
     }
 
     @Override
@@ -158,7 +163,7 @@
         exchange(
                 () -> {
                     long id = store.nextLease++;
-                    store.leases.put(id, w.clock.now + lifeMs / 1000.0);
+                    store.leases.put(id, cluster.clock.now + lifeMs / 1000.0);
                     store.life.put(id, lifeMs / 1000.0);
                     back(() -> answer.accept(Outcome.OK, id));
                 },
@@ -171,7 +176,7 @@
                 () -> {
                     boolean there = store.leases.containsKey(lease);
                     if (there) {
-                        store.leases.put(lease, w.clock.now + store.life.get(lease));
+                        store.leases.put(lease, cluster.clock.now + store.life.get(lease));
                     }
                     back(() -> answer.accept(there ? Outcome.OK : Outcome.NO));
                 },
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -44,11 +44,11 @@
     private static <T> T read(int status, byte[] body, Reading<T> reading) {
         try {
             return reading.of(MessagePackCodec.value(body));
-        } catch (InvalidInputException e) {
+        } catch (InvalidInputException invalid) {
             LOG.warn(
                     "state service answered {} with a body that can't be read: {}",
                     status,
-                    e.getMessage());
+                    invalid.getMessage());
             return null;
         }
     }
@@ -66,8 +66,8 @@
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        Entry e = read(status, body, ProtocolCodec::entry);
-                        answer.accept(e == null ? Outcome.UNKNOWN : Outcome.OK, e);
+                        Entry entry = read(status, body, ProtocolCodec::entry);
+                        answer.accept(entry == null ? Outcome.UNKNOWN : Outcome.OK, entry);
                     } else {
                         answer.accept(status == 404 ? Outcome.NO : other(status), null);
                     }
@@ -116,11 +116,11 @@
     }
 
     @Override
-    public void commit(Transaction t, Consumer<CommitResult> answer) {
+    public void commit(Transaction transaction, Consumer<CommitResult> answer) {
         calls.call(
                 "POST",
                 "/multi",
-                ProtocolCodec.transaction(t),
+                ProtocolCodec.transaction(transaction),
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
@@ -138,7 +138,7 @@
                         String why = read(status, body, ProtocolCodec::reason);
                         LOG.warn(
                                 "state service refused a transaction of {} writes: {}",
-                                t.writes().size(),
+                                transaction.writes().size(),
                                 why);
                         // Only this one says something about the world; anything else is wrong with
                         // what was sent.
@@ -197,7 +197,7 @@
                 null,
                 holdMs + timeoutMs,
                 (status, body) -> {
-                    WatchResult c =
+                    WatchResult changes =
                             status == 200
                                     ? read(
                                             status,
@@ -208,8 +208,8 @@
                                                             ProtocolCodec.revision(b),
                                                             ProtocolCodec.events(b)))
                                     : null;
-                    if (c == null) {
-                        c =
+                    if (changes == null) {
+                        changes =
                                 new WatchResult(
                                         status == 410
                                                 ? Outcome.NO
@@ -217,7 +217,7 @@
                                         0,
                                         List.of());
                     }
-                    answer.accept(c);
+                    answer.accept(changes);
                 });
     }
 }
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -21,14 +21,14 @@
         this.controller = controller;
     }
 
-    public void handle(Request r, Responder out) {
-        String path = r.path();
+    public void handle(Request request, Responder out) {
+        String path = request.path();
         if (path.equals(JOBS)) {
-            if (!r.method().equals("POST")) {
+            if (!request.method().equals("POST")) {
                 out.reply(405, null);
                 return;
             }
-            submit(r.body(), out);
+            submit(request.body(), out);
             return;
         }
         String rest = path.substring(JOBS.length() + 1);
@@ -36,14 +36,14 @@
         String id = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
         if (id.indexOf('/') >= 0) {
             out.reply(404, null);
-        } else if (!r.method().equals(cancel ? "POST" : "GET")) {
+        } else if (!request.method().equals(cancel ? "POST" : "GET")) {
             out.reply(405, null);
         } else if (!ProtocolCodec.isJobId(id)) {
             out.reply(404, null);
         } else if (cancel) {
-            controller.registry().cancel(id, a -> answer(a, true, out));
+            controller.registry().cancel(id, answer -> answer(answer, true, out));
         } else {
-            controller.registry().status(id, a -> answer(a, false, out));
+            controller.registry().status(id, answer -> answer(answer, false, out));
         }
     }
 
@@ -53,8 +53,8 @@
         try {
             body = MessagePackCodec.value(bytes);
             id = ProtocolCodec.submittedId(body);
-        } catch (InvalidInputException e) {
-            out.reply(400, ProtocolCodec.error(e.getMessage()));
+        } catch (InvalidInputException invalid) {
+            out.reply(400, ProtocolCodec.error(invalid.getMessage()));
             return;
         }
         String wrong;
@@ -73,16 +73,17 @@
                         .submit(
                                 spec,
                                 needs,
-                                a ->
+                                answer ->
                                         answer(
-                                                a,
-                                                a.verdict() == JobSubmissionService.Verdict.CREATED,
+                                                answer,
+                                                answer.verdict()
+                                                        == JobSubmissionService.Verdict.CREATED,
                                                 out));
                 return;
             }
             status = 422;
-        } catch (InvalidInputException e) {
-            wrong = e.getMessage();
+        } catch (InvalidInputException invalid) {
+            wrong = invalid.getMessage();
             status = 400;
         }
         known(id, status, wrong, out);
@@ -97,24 +98,24 @@
                 .registry()
                 .status(
                         id,
-                        a -> {
-                            if (a.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
+                        answer -> {
+                            if (answer.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
                                 out.reply(
                                         status,
                                         ProtocolCodec.error(why),
                                         status == 503 ? controller.retryS() : 0);
                             } else {
-                                answer(a, false, out);
+                                answer(answer, false, out);
                             }
                         });
     }
 
-    private void answer(Answer a, boolean brief, Responder out) {
-        switch (a.verdict()) {
-            case CREATED -> out.reply(201, ProtocolCodec.jobState(a.state(), true));
-            case KNOWN -> out.reply(200, ProtocolCodec.jobState(a.state(), brief));
-            case REFUSED -> out.reply(422, ProtocolCodec.error(a.why()));
-            case INVALID -> out.reply(400, ProtocolCodec.error(a.why()));
+    private void answer(Answer answer, boolean brief, Responder out) {
+        switch (answer.verdict()) {
+            case CREATED -> out.reply(201, ProtocolCodec.jobState(answer.state(), true));
+            case KNOWN -> out.reply(200, ProtocolCodec.jobState(answer.state(), brief));
+            case REFUSED -> out.reply(422, ProtocolCodec.error(answer.why()));
+            case INVALID -> out.reply(400, ProtocolCodec.error(answer.why()));
             case NOT_FOUND -> out.reply(404, ProtocolCodec.error("no such job"));
             default ->
                     out.reply(
--- a/src/main/java/io/kitepath/wire/EmulatorCodec.java
+++ b/src/main/java/io/kitepath/wire/EmulatorCodec.java
@@ -53,48 +53,48 @@
         return DocumentReader.of(body).integer("lifeMs", 100, 600_000);
     }
 
-    public static byte[] entry(Store.Entry e) {
-        return MessagePackCodec.bytes(shown(e));
+    public static byte[] entry(Store.Entry entry) {
+        return MessagePackCodec.bytes(shown(entry));
     }
 
-    private static Map<String, Object> shown(Store.Entry e) {
+    private static Map<String, Object> shown(Store.Entry entry) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("path", e.key());
-        m.put("value", e.value());
-        m.put("stamp", e.revision());
+        m.put("path", entry.key());
+        m.put("value", entry.value());
+        m.put("stamp", entry.revision());
         return m;
     }
 
-    public static byte[] listing(Store.ListResult l) {
+    public static byte[] listing(Store.ListResult listing) {
         return MessagePackCodec.bytes(
                 Map.of(
                         "entries",
-                        l.entries().stream().map(EmulatorCodec::shown).toList(),
+                        listing.entries().stream().map(EmulatorCodec::shown).toList(),
                         "truncated",
-                        l.more(),
+                        listing.more(),
                         "epoch",
-                        l.revision()));
+                        listing.revision()));
     }
 
-    public static byte[] committed(Store.CommitResult c) {
+    public static byte[] committed(Store.CommitResult result) {
         return MessagePackCodec.bytes(
-                c.outcome() == Store.Outcome.OK
-                        ? Map.of("epoch", c.revision())
-                        : Map.of("failed", c.failed(), "epoch", c.revision()));
+                result.outcome() == Store.Outcome.OK
+                        ? Map.of("epoch", result.revision())
+                        : Map.of("failed", result.failed(), "epoch", result.revision()));
     }
 
-    public static byte[] changes(Store.WatchResult c) {
+    public static byte[] changes(Store.WatchResult changes) {
         List<Object> events = new ArrayList<>();
-        for (Store.Entry e : c.events()) {
+        for (Store.Entry entry : changes.events()) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put(e.value() == null ? "remove" : "write", e.key());
-            if (e.value() != null) {
-                m.put("value", e.value());
+            m.put(entry.value() == null ? "remove" : "write", entry.key());
+            if (entry.value() != null) {
+                m.put("value", entry.value());
             }
-            m.put("stamp", e.revision());
+            m.put("stamp", entry.revision());
             events.add(m);
         }
-        return MessagePackCodec.bytes(Map.of("epoch", c.revision(), "events", events));
+        return MessagePackCodec.bytes(Map.of("epoch", changes.revision(), "events", events));
     }
 
     public static byte[] lease(long id) {
@@ -105,44 +105,44 @@
 
     public static byte[] types(List<MachineType> types) {
         List<Object> list = new ArrayList<>();
-        for (MachineType t : types) {
+        for (MachineType type : types) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put("name", t.name());
-            m.put("vcpus", t.cpus());
-            m.put("cards", t.gpus());
-            m.put("ramGb", t.memoryGb());
-            m.put("localGb", t.cacheGb());
-            m.put("pullGbPerS", t.fetchGbPerS());
-            m.put("rate", t.price());
-            m.put("spotPrice", t.spotPrice());
-            m.put("readyS", t.bootS());
-            m.put("fields", t.zones());
+            m.put("name", type.name());
+            m.put("vcpus", type.cpus());
+            m.put("cards", type.gpus());
+            m.put("ramGb", type.memoryGb());
+            m.put("localGb", type.cacheGb());
+            m.put("pullGbPerS", type.fetchGbPerS());
+            m.put("rate", type.price());
+            m.put("spotPrice", type.spotPrice());
+            m.put("readyS", type.bootS());
+            m.put("fields", type.zones());
             list.add(m);
         }
         return MessagePackCodec.bytes(Map.of("frames", list));
     }
 
     public static Rent rent(Object body) {
-        DocumentReader t = DocumentReader.of(body);
+        DocumentReader document = DocumentReader.of(body);
         return new Rent(
-                t.text("hire"),
-                t.text("frame"),
-                t.text("field"),
-                t.flag("loaners"),
-                (int) t.integer("count", 1, 50));
+                document.text("hire"),
+                document.text("frame"),
+                document.text("field"),
+                document.flag("loaners"),
+                (int) document.integer("count", 1, 50));
     }
 
     public static byte[] machines(List<Cloud.Listed> list, boolean more) {
         List<Object> out = new ArrayList<>();
-        for (Cloud.Listed l : list) {
+        for (Cloud.Listed listed : list) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put("nameId", l.machine());
+            m.put("nameId", listed.machine());
             m.put("addr", "");
-            m.put("frame", l.type());
-            m.put("field", l.zone());
-            m.put("loaners", l.spot());
-            m.put("status", l.status());
-            m.put("heldS", l.heldS());
+            m.put("frame", listed.type());
+            m.put("field", listed.zone());
+            m.put("loaners", listed.spot());
+            m.put("status", listed.status());
+            m.put("heldS", listed.heldS());
             out.add(m);
         }
         return MessagePackCodec.bytes(Map.of("hosts", out, "truncated", more));
@@ -150,35 +150,35 @@
 
     // ---- workers --------------------------------------------------------------------------------
 
-    public static byte[] report(Heartbeat r) {
+    public static byte[] report(Heartbeat heartbeat) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("host", r.machine());
-        m.put("addr", r.address());
-        m.put("frame", r.type());
-        m.put("field", r.zone());
-        m.put("loaners", r.spot());
-        m.put("tenure", r.session());
-        m.put("tick", r.sequence());
-        m.put("baton", r.token());
-        m.put("recallS", r.noticeS());
+        m.put("host", heartbeat.machine());
+        m.put("addr", heartbeat.address());
+        m.put("frame", heartbeat.type());
+        m.put("field", heartbeat.zone());
+        m.put("loaners", heartbeat.spot());
+        m.put("tenure", heartbeat.session());
+        m.put("tick", heartbeat.sequence());
+        m.put("baton", heartbeat.token());
+        m.put("recallS", heartbeat.noticeS());
         List<Object> tasks = new ArrayList<>();
-        for (Heartbeat.TaskStatus t : r.tasks()) {
+        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
             Map<String, Object> x = new LinkedHashMap<>();
-            x.put("sheet", t.job() + "/" + t.task());
-            x.put("try", t.attempt());
+            x.put("sheet", status.job() + "/" + status.task());
+            x.put("try", status.attempt());
             x.put(
                     "status",
-                    switch (t.state()) {
+                    switch (status.state()) {
                         case FETCHING -> "pulling";
                         case WAITING -> "waiting";
                         case SAVING -> "saving";
                         case ENDED -> "ended";
                         default -> "running";
                     });
-            if (t.cause() != null) {
+            if (status.cause() != null) {
                 x.put(
                         "cause",
-                        switch (t.cause()) {
+                        switch (status.cause()) {
                             case DONE -> "done";
                             case STOPPED -> "halted";
                             case PEERS -> "peers";
@@ -199,22 +199,22 @@
     public static HeartbeatResponse heartbeat(int status, byte[] body) {
         try {
             if (status == 200) {
-                DocumentReader t = DocumentReader.of(MessagePackCodec.value(body));
-                return new HeartbeatResponse(t.count("baton"), orders(t), null);
+                DocumentReader document = DocumentReader.of(MessagePackCodec.value(body));
+                return new HeartbeatResponse(document.count("baton"), orders(document), null);
             }
             if (status == 421) {
                 return HeartbeatResponse.elsewhere(
                         DocumentReader.of(MessagePackCodec.value(body)).textOr("anchor", null));
             }
-        } catch (InvalidInputException e) {
+        } catch (InvalidInputException invalid) {
             return null;
         }
         return null;
     }
 
     public static Direct direct(Object body) {
-        DocumentReader t = DocumentReader.of(body);
-        return new Direct(t.count("baton"), t.count("tenure"), orders(t));
+        DocumentReader document = DocumentReader.of(body);
+        return new Direct(document.count("baton"), document.count("tenure"), orders(document));
     }
 
     private static List<WorkerCommand> orders(DocumentReader t) {
--- a/src/main/java/io/kitepath/wire/ProtocolCodec.java
+++ b/src/main/java/io/kitepath/wire/ProtocolCodec.java
@@ -47,37 +47,37 @@
     }
 
     public static JobSpec submission(Object body) {
-        DocumentReader t = DocumentReader.of(body);
+        DocumentReader document = DocumentReader.of(body);
         return new JobSpec(
                 submittedId(body),
-                name(t, "lane"),
-                name(t, "crew"),
-                shape(t.text("shape")),
-                priority(t.text("urgency")),
-                (int) t.integer("sheets", 1, MAX_TASKS),
-                t.number("vcpus", 0),
-                t.number("cards", 0),
-                t.number("ramGb", 0),
-                t.has("frames") ? t.texts("frames") : null,
-                t.textOr("field", null),
-                t.flag("oneZone"),
-                t.flag("spread"),
-                t.flag("loaners"),
-                image(t),
-                t.number("sizeGb", 0),
-                t.number("expectS", 0),
-                t.number("markEveryS", 0),
-                t.number("markCostS", 0),
-                t.has("dueS") ? t.number("dueS", 0) : null);
+                name(document, "lane"),
+                name(document, "crew"),
+                shape(document.text("shape")),
+                priority(document.text("urgency")),
+                (int) document.integer("sheets", 1, MAX_TASKS),
+                document.number("vcpus", 0),
+                document.number("cards", 0),
+                document.number("ramGb", 0),
+                document.has("frames") ? document.texts("frames") : null,
+                document.textOr("field", null),
+                document.flag("oneZone"),
+                document.flag("spread"),
+                document.flag("loaners"),
+                image(document),
+                document.number("sizeGb", 0),
+                document.number("expectS", 0),
+                document.number("markEveryS", 0),
+                document.number("markCostS", 0),
+                document.has("dueS") ? document.number("dueS", 0) : null);
     }
 
     /** The jobs that have to be done before the submitted one starts, each once. */
     public static List<String> needs(Object body) {
-        DocumentReader t = DocumentReader.of(body);
-        if (!t.has("awaits")) {
+        DocumentReader document = DocumentReader.of(body);
+        if (!document.has("awaits")) {
             return List.of();
         }
-        List<String> ids = t.texts("awaits");
+        List<String> ids = document.texts("awaits");
         for (String id : ids) {
             if (!isJobId(id)) {
                 throw new InvalidInputException("awaits: must be a list of ids such as j-000412");
@@ -86,18 +86,18 @@
         return JobRecord.distinct(ids);
     }
 
-    private static String name(DocumentReader t, String field) {
-        String s = t.text(field);
+    private static String name(DocumentReader document, String field) {
+        String s = document.text(field);
         if (s.isEmpty() || s.length() > 200) {
             throw new InvalidInputException(field + ": must have 1 to 200 characters");
         }
         return s;
     }
 
-    private static String image(DocumentReader t) {
-        String s = t.text("kit");
+    private static String image(DocumentReader document) {
+        String s = document.text("kit");
         if (s.isEmpty()) {
-            throw t.complaint("kit", "must not be empty");
+            throw document.complaint("kit", "must not be empty");
         }
         return s;
     }
@@ -123,15 +123,15 @@
         };
     }
 
-    public static byte[] jobState(JobStatus s, boolean brief) {
+    public static byte[] jobState(JobStatus status, boolean brief) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("nameId", s.id());
-        m.put("status", s.status().equals("cancelled") ? "withdrawn" : s.status());
+        m.put("nameId", status.id());
+        m.put("status", status.status().equals("cancelled") ? "withdrawn" : status.status());
         if (!brief) {
-            m.put("done", (long) s.done());
-            m.put("running", (long) s.running());
-            if (s.note() != null) {
-                m.put("note", s.note());
+            m.put("done", (long) status.done());
+            m.put("running", (long) status.running());
+            if (status.note() != null) {
+                m.put("note", status.note());
             }
         }
         return MessagePackCodec.bytes(m);
@@ -219,19 +219,19 @@
 
     private static Map<String, Object> commands(long token, List<WorkerCommand> orders) {
         List<Object> list = new ArrayList<>(orders.size());
-        for (WorkerCommand o : orders) {
+        for (WorkerCommand command : orders) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put(
                     "verb",
-                    switch (o.verb()) {
+                    switch (command.verb()) {
                         case START -> "launch";
                         case STOP -> "halt";
                         case FORGET -> "clear";
                     });
-            m.put("sheet", o.job() + "/" + o.task());
-            m.put("try", o.attempt());
-            if (o.verb() == WorkerCommand.Action.STOP) {
-                m.put("windDownS", o.graceS());
+            m.put("sheet", command.job() + "/" + command.task());
+            m.put("try", command.attempt());
+            if (command.verb() == WorkerCommand.Action.STOP) {
+                m.put("windDownS", command.graceS());
             }
             list.add(m);
         }
@@ -249,19 +249,19 @@
 
     public static List<MachineType> types(Object body) {
         List<MachineType> out = new ArrayList<>();
-        for (DocumentReader t : DocumentReader.of(body).children("frames")) {
+        for (DocumentReader document : DocumentReader.of(body).children("frames")) {
             out.add(
                     new MachineType(
-                            t.text("name"),
-                            t.number("vcpus", 0),
-                            t.numberOr("cards", 0, 0),
-                            t.number("ramGb", 0),
-                            t.numberOr("localGb", 0, 0),
-                            t.numberOr("pullGbPerS", 0, 0),
-                            t.number("rate", 0),
-                            t.numberOr("spotPrice", 0, t.number("rate", 0)),
-                            t.number("readyS", 0),
-                            t.texts("fields")));
+                            document.text("name"),
+                            document.number("vcpus", 0),
+                            document.numberOr("cards", 0, 0),
+                            document.number("ramGb", 0),
+                            document.numberOr("localGb", 0, 0),
+                            document.numberOr("pullGbPerS", 0, 0),
+                            document.number("rate", 0),
+                            document.numberOr("spotPrice", 0, document.number("rate", 0)),
+                            document.number("readyS", 0),
+                            document.texts("fields")));
         }
         return out;
     }
@@ -286,15 +286,15 @@
 
     public static List<Cloud.Listed> listed(Object body) {
         List<Cloud.Listed> out = new ArrayList<>();
-        for (DocumentReader t : DocumentReader.of(body).children("hosts")) {
+        for (DocumentReader document : DocumentReader.of(body).children("hosts")) {
             out.add(
                     new Cloud.Listed(
-                            t.text("nameId"),
-                            t.text("frame"),
-                            t.text("field"),
-                            t.flag("loaners"),
-                            t.text("status"),
-                            t.numberOr("heldS", 0, 0)));
+                            document.text("nameId"),
+                            document.text("frame"),
+                            document.text("field"),
+                            document.flag("loaners"),
+                            document.text("status"),
+                            document.numberOr("heldS", 0, 0)));
         }
         return out;
     }
@@ -310,14 +310,15 @@
         return entry(DocumentReader.of(body));
     }
 
-    private static Store.Entry entry(DocumentReader t) {
-        return new Store.Entry(t.text("path"), t.raw("value"), t.count("stamp"));
+    private static Store.Entry entry(DocumentReader document) {
+        return new Store.Entry(
+                document.text("path"), document.raw("value"), document.count("stamp"));
     }
 
     public static List<Store.Entry> entries(Object body) {
         List<Store.Entry> out = new ArrayList<>();
-        for (DocumentReader t : DocumentReader.of(body).children("entries")) {
-            out.add(entry(t));
+        for (DocumentReader document : DocumentReader.of(body).children("entries")) {
+            out.add(entry(document));
         }
         return out;
     }
@@ -345,33 +346,37 @@
 
     public static List<Store.Entry> events(Object body) {
         List<Store.Entry> out = new ArrayList<>();
-        for (DocumentReader t : DocumentReader.of(body).children("events")) {
+        for (DocumentReader document : DocumentReader.of(body).children("events")) {
             out.add(
-                    t.has("remove")
-                            ? new Store.Entry(t.text("remove"), null, t.count("stamp"))
-                            : new Store.Entry(t.text("write"), t.raw("value"), t.count("stamp")));
+                    document.has("remove")
+                            ? new Store.Entry(
+                                    document.text("remove"), null, document.count("stamp"))
+                            : new Store.Entry(
+                                    document.text("write"),
+                                    document.raw("value"),
+                                    document.count("stamp")));
         }
         return out;
     }
 
-    public static byte[] transaction(Store.Transaction t) {
+    public static byte[] transaction(Store.Transaction transaction) {
         List<Object> when = new ArrayList<>();
-        for (Store.Condition c : t.conditions()) {
+        for (Store.Condition condition : transaction.conditions()) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put("path", c.key());
-            m.put("stamp", c.revision());
+            m.put("path", condition.key());
+            m.put("stamp", condition.revision());
             when.add(m);
         }
         List<Object> then = new ArrayList<>();
-        for (Store.Write w : t.writes()) {
+        for (Store.Write write : transaction.writes()) {
             Map<String, Object> m = new LinkedHashMap<>();
-            if (w.value() == null) {
-                m.put("remove", w.key());
+            if (write.value() == null) {
+                m.put("remove", write.key());
             } else {
-                m.put("write", w.key());
-                m.put("value", w.value());
-                if (w.lease() != 0) {
-                    m.put("tether", w.lease());
+                m.put("write", write.key());
+                m.put("value", write.value());
+                if (write.lease() != 0) {
+                    m.put("tether", write.lease());
                 }
             }
             then.add(m);
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -64,8 +64,8 @@
     private static Heartbeat report(byte[] body) {
         try {
             return ProtocolCodec.report(MessagePackCodec.value(body));
-        } catch (InvalidInputException e) {
-            LOG.debug("a worker's answer can't be read: {}", e.getMessage());
+        } catch (InvalidInputException invalid) {
+            LOG.debug("a worker's answer can't be read: {}", invalid.getMessage());
             return null;
         }
     }
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -21,26 +21,26 @@
         this.controller = controller;
     }
 
-    public void handle(Request r, Responder out) {
-        if (!r.method().equals("POST")) {
+    public void handle(Request request, Responder out) {
+        if (!request.method().equals("POST")) {
             out.reply(405, null);
             return;
         }
-        Heartbeat report;
+        Heartbeat heartbeat;
         try {
-            report = ProtocolCodec.report(MessagePackCodec.value(r.body()));
-        } catch (InvalidInputException e) {
-            LOG.debug("a report can't be read: {}", e.getMessage());
-            out.reply(400, ProtocolCodec.error(e.getMessage()));
+            heartbeat = ProtocolCodec.report(MessagePackCodec.value(request.body()));
+        } catch (InvalidInputException invalid) {
+            LOG.debug("a report can't be read: {}", invalid.getMessage());
+            out.reply(400, ProtocolCodec.error(invalid.getMessage()));
             return;
         }
         controller.heartbeat(
-                report,
-                a -> {
-                    if (a.token() > 0) {
-                        out.reply(200, ProtocolCodec.orders(a.token(), a.orders()));
+                heartbeat,
+                response -> {
+                    if (response.token() > 0) {
+                        out.reply(200, ProtocolCodec.orders(response.token(), response.orders()));
                     } else {
-                        out.reply(421, ProtocolCodec.anchor(a.anchor()));
+                        out.reply(421, ProtocolCodec.anchor(response.anchor()));
                     }
                 });
     }
--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -30,7 +30,7 @@
     private static final int KINDS = 22;
 
     private static final class Run {
-        final SimulatedCluster w = new SimulatedCluster();
+        final SimulatedCluster cluster = new SimulatedCluster();
         final Random random;
         final List<String> jobs = new ArrayList<>();
         final Map<Integer, Integer> met;
@@ -39,31 +39,31 @@
         Run(long seed, Map<Integer, Integer> met) {
             this.met = met;
             random = new Random(seed);
-            w.reportS = 1 + random.nextInt(3);
-            w.leaseS = w.reportS * (5 + random.nextInt(6));
-            w.cancelS = 2 * w.leaseS + upTo(3);
+            cluster.reportS = 1 + random.nextInt(3);
+            cluster.leaseS = cluster.reportS * (5 + random.nextInt(6));
+            cluster.cancelS = 2 * cluster.leaseS + upTo(3);
             int nodes = new int[] {1, 2, 3, 3, 3, 5}[random.nextInt(6)];
-            w.rps = 60 + random.nextInt(200);
-            w.writeRps = 25 + random.nextInt(60);
-            w.valueKb = 1 + random.nextInt(8);
-            w.store.limited = random.nextBoolean();
-            w.reportsChanges = true;
-            w.closeLooks = true;
-            w.cloud.capacity = 40;
-            w.cloud.bootS = n -> 0.3 + Math.floorMod(n * 7, 5) * (n % 3 == 0 ? 4 : 0.4);
-            w.cloud.listLagS = 4;
-            w.runsFor = id -> 15 + Math.floorMod(id.hashCode(), 7) * 12;
-            w.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
+            cluster.rps = 60 + random.nextInt(200);
+            cluster.writeRps = 25 + random.nextInt(60);
+            cluster.valueKb = 1 + random.nextInt(8);
+            cluster.store.limited = random.nextBoolean();
+            cluster.reportsChanges = true;
+            cluster.closeLooks = true;
+            cluster.cloud.capacity = 40;
+            cluster.cloud.bootS = n -> 0.3 + Math.floorMod(n * 7, 5) * (n % 3 == 0 ? 4 : 0.4);
+            cluster.cloud.listLagS = 4;
+            cluster.runsFor = id -> 15 + Math.floorMod(id.hashCode(), 7) * 12;
+            cluster.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
             for (int i = 0; i < nodes; i++) {
-                w.siblings.add("k" + i);
+                cluster.siblings.add("k" + i);
             }
-            for (String k : w.siblings) {
-                w.node(k).clockOffMs = random.nextDouble() * 10 - 5;
+            for (String key : cluster.siblings) {
+                cluster.node(key).clockOffMs = random.nextDouble() * 10 - 5;
             }
             for (int i = 0; i < 6; i++) {
-                w.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
+                cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
             }
-            w.run(6 + 2 * w.reportS);
+            cluster.run(6 + 2 * cluster.reportS);
         }
 
         private double upTo(double s) {
@@ -71,34 +71,36 @@
         }
 
         private SimulatedNode any() {
-            return w.nodes.get(w.siblings.get(random.nextInt(w.siblings.size())));
+            return cluster.nodes.get(cluster.siblings.get(random.nextInt(cluster.siblings.size())));
         }
 
         private SimulatedNode holder() {
-            return w.nodes.values().stream()
-                    .filter(n -> n.alive && n.controller.leadership.leading())
-                    .filter(n -> random.nextInt(8) > 0)
+            return cluster.nodes.values().stream()
+                    .filter(node -> node.alive && node.controller.leadership.leading())
+                    .filter(node -> random.nextInt(8) > 0)
                     .findFirst()
                     .orElseGet(this::any);
         }
 
         private List<SimulatedWorker> some() {
-            return w.workers.values().stream().filter(x -> x.up && random.nextInt(3) == 0).toList();
+            return cluster.workers.values().stream()
+                    .filter(worker -> worker.up && random.nextInt(3) == 0)
+                    .toList();
         }
 
-        private void back(SimulatedNode n, double s) {
-            w.after(
+        private void back(SimulatedNode node, double s) {
+            cluster.after(
                     s,
                     () -> {
-                        if (!w.nodes.get(n.name).alive) {
-                            w.node(n.name).clockOffMs = n.clockOffMs;
+                        if (!cluster.nodes.get(node.name).alive) {
+                            cluster.node(node.name).clockOffMs = node.clockOffMs;
                         }
                     });
         }
 
-        private void ends(SimulatedNode n) {
-            n.kill();
-            back(n, new double[] {0.1, 0.3, 5}[random.nextInt(3)]);
+        private void ends(SimulatedNode node) {
+            node.kill();
+            back(node, new double[] {0.1, 0.3, 5}[random.nextInt(3)]);
         }
 
         void trouble() {
@@ -109,92 +111,102 @@
             switch (kind) {
                 case 0, 1 -> {
                     h.cutFromStore = true;
-                    w.after(upTo(20), () -> h.cutFromStore = false);
+                    cluster.after(upTo(20), () -> h.cutFromStore = false);
                 }
-                case 2 -> w.store.outage(upTo(3 * w.leaseS));
+                case 2 -> cluster.store.outage(upTo(3 * cluster.leaseS));
                 case 3 -> {
                     o.cutFrom.add(h.name);
-                    w.after(upTo(60), () -> o.cutFrom.remove(h.name));
+                    cluster.after(upTo(60), () -> o.cutFrom.remove(h.name));
                 }
                 case 4 -> ends(o);
                 case 5, 6 -> ends(h);
                 case 7 ->
                         (random.nextBoolean() ? h : o).frozenUntil =
-                                w.clock.now + upTo(2 * w.leaseS);
+                                cluster.clock.now + upTo(2 * cluster.leaseS);
                 case 8 -> {
-                    w.store.hangs = n -> n == h;
-                    w.after(upTo(40), () -> w.store.hangs = n -> false);
+                    cluster.store.hangs = client -> client == h;
+                    cluster.after(upTo(40), () -> cluster.store.hangs = client -> false);
                 }
                 case 9 -> {
-                    w.store.late = t -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
-                    w.after(upTo(20), () -> w.store.late = t -> 0);
+                    cluster.store.late = transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
+                    cluster.after(upTo(20), () -> cluster.store.late = transaction -> 0);
                 }
                 case 10, 11 -> {
-                    w.store.unheard = t -> random.nextInt(3) == 0;
-                    w.after(upTo(20), () -> w.store.unheard = t -> false);
+                    cluster.store.unheard = transaction -> random.nextInt(3) == 0;
+                    cluster.after(upTo(20), () -> cluster.store.unheard = transaction -> false);
                 }
                 case 12 -> {
                     h.cutFromStore = true;
-                    w.siblings.forEach(h.cutFrom::add);
-                    w.after(
+                    cluster.siblings.forEach(h.cutFrom::add);
+                    cluster.after(
                             upTo(25),
                             () -> {
                                 h.cutFromStore = false;
                                 h.cutFrom.clear();
                             });
                 }
-                case 13 -> some().forEach(x -> x.hangsUntil = w.clock.now + upTo(1.5 * w.leaseS));
+                case 13 ->
+                        some().forEach(
+                                        worker ->
+                                                worker.hangsUntil =
+                                                        cluster.clock.now
+                                                                + upTo(1.5 * cluster.leaseS));
                 case 14 -> {
-                    w.directHeldS = () -> random.nextBoolean() ? 0.6 + upTo(8) : 0;
-                    w.copyAfterS = () -> random.nextInt(4) == 0 ? 2 + upTo(1.5 * w.leaseS) : 0;
-                    w.after(
+                    cluster.directHeldS = () -> random.nextBoolean() ? 0.6 + upTo(8) : 0;
+                    cluster.copyAfterS =
+                            () -> random.nextInt(4) == 0 ? 2 + upTo(1.5 * cluster.leaseS) : 0;
+                    cluster.after(
                             upTo(30),
                             () -> {
-                                w.directHeldS = () -> 0;
-                                w.copyAfterS = () -> 0;
+                                cluster.directHeldS = () -> 0;
+                                cluster.copyAfterS = () -> 0;
                             });
                 }
                 case 15 -> {
-                    w.keptForAll = random.nextBoolean();
-                    w.keptAfterS = upTo(4);
-                    w.keeps = r -> random.nextInt(3) == 0;
-                    w.after(upTo(30), () -> w.keeps = r -> false);
+                    cluster.keptForAll = random.nextBoolean();
+                    cluster.keptAfterS = upTo(4);
+                    cluster.keeps = heartbeat -> random.nextInt(3) == 0;
+                    cluster.after(upTo(30), () -> cluster.keeps = heartbeat -> false);
                 }
                 case 16 ->
                         some().forEach(
-                                        x -> {
-                                            x.mute = true;
-                                            w.after(upTo(2 * w.leaseS), () -> x.mute = false);
+                                        worker -> {
+                                            worker.mute = true;
+                                            cluster.after(
+                                                    upTo(2 * cluster.leaseS),
+                                                    () -> worker.mute = false);
                                         });
                 case 17 ->
                         some().forEach(
-                                        x -> {
-                                            x.deaf = random.nextBoolean();
-                                            x.cut = !x.deaf;
-                                            w.after(
-                                                    upTo(1.5 * w.leaseS),
+                                        worker -> {
+                                            worker.deaf = random.nextBoolean();
+                                            worker.cut = !worker.deaf;
+                                            cluster.after(
+                                                    upTo(1.5 * cluster.leaseS),
                                                     () -> {
-                                                        x.deaf = false;
-                                                        x.cut = false;
+                                                        worker.deaf = false;
+                                                        worker.cut = false;
                                                     });
                                         });
-                case 18 -> w.cancelNow(3, random.nextBoolean() ? upTo(1.5 * w.leaseS) : 0, random);
+                case 18 ->
+                        cluster.cancelNow(
+                                3, random.nextBoolean() ? upTo(1.5 * cluster.leaseS) : 0, random);
                 case 19 -> {
-                    w.nodes.values().forEach(SimulatedNode::kill);
-                    double away = upTo(2 * w.leaseS);
-                    w.siblings.forEach(k -> back(w.nodes.get(k), away + upTo(2)));
+                    cluster.nodes.values().forEach(SimulatedNode::kill);
+                    double away = upTo(2 * cluster.leaseS);
+                    cluster.siblings.forEach(key -> back(cluster.nodes.get(key), away + upTo(2)));
                 }
                 case 20 ->
                         some().stream()
                                 .limit(2)
                                 .forEach(
-                                        x -> {
-                                            x.die();
-                                            w.cloud.machines.remove(x.id);
+                                        worker -> {
+                                            worker.die();
+                                            cluster.cloud.machines.remove(worker.id);
                                         });
                 default -> {
-                    w.cancelsAtEnd = t -> random.nextInt(2) == 0;
-                    w.after(upTo(40), () -> w.cancelsAtEnd = t -> false);
+                    cluster.cancelsAtEnd = task -> random.nextInt(2) == 0;
+                    cluster.after(upTo(40), () -> cluster.cancelsAtEnd = task -> false);
                 }
             }
         }
@@ -202,7 +214,7 @@
         private void submit() {
             String id = "j-" + next++;
             Shape shape = random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY;
-            JobSpec s =
+            JobSpec spec =
                     SimulatedCluster.with(
                             SimulatedCluster.job(
                                     id,
@@ -216,43 +228,43 @@
                     random.nextInt(6) == 0 && !jobs.isEmpty()
                             ? jobs.get(random.nextInt(jobs.size()))
                             : null;
-            w.specs.put(id, s);
-            w.needs.put(id, need == null ? List.of() : List.of(need));
+            cluster.specs.put(id, spec);
+            cluster.needs.put(id, need == null ? List.of() : List.of(need));
             jobs.add(id);
             hand(id, 12);
         }
 
         /** Users try again until they are told that it is accepted. */
         private void hand(String id, int tries) {
-            if (w.accepted.containsKey(id) || tries == 0) {
+            if (cluster.accepted.containsKey(id) || tries == 0) {
                 return;
             }
-            SimulatedNode n = any();
-            if (n.alive) {
-                w.users.repeat(n, id);
+            SimulatedNode node = any();
+            if (node.alive) {
+                cluster.users.repeat(node, id);
             }
-            w.after(1.2, () -> hand(id, tries - 1));
+            cluster.after(1.2, () -> hand(id, tries - 1));
         }
 
         private void users() {
             for (int i = 0; i < 2 && !jobs.isEmpty(); i++) {
                 String id = jobs.get(random.nextInt(jobs.size()));
-                SimulatedNode n = any();
-                if (!n.alive || !w.accepted.containsKey(id)) {
+                SimulatedNode node = any();
+                if (!node.alive || !cluster.accepted.containsKey(id)) {
                     continue;
                 }
                 switch (random.nextInt(12)) {
-                    case 0 -> w.users.cancel(n, id);
-                    case 1, 2 -> w.users.repeat(n, id);
+                    case 0 -> cluster.users.cancel(node, id);
+                    case 1, 2 -> cluster.users.repeat(node, id);
                     case 3 ->
-                            w.users.repeat(
-                                    n,
+                            cluster.users.repeat(
+                                    node,
                                     SimulatedCluster.with(
-                                            w.specs.get(id),
+                                            cluster.specs.get(id),
                                             "blue",
                                             Priority.LOW,
                                             true)); // Another body.
-                    default -> w.users.ask(n, id);
+                    default -> cluster.users.ask(node, id);
                 }
             }
         }
@@ -261,32 +273,32 @@
             for (int burst = 0; burst < 4; burst++) {
                 for (int i = 0; i < 4; i++) {
                     submit();
-                    w.run(0.2);
+                    cluster.run(0.2);
                 }
-                w.run(5);
-                double near = 1 + upTo(w.leaseS);
+                cluster.run(5);
+                double near = 1 + upTo(cluster.leaseS);
                 int troubles = 2 + random.nextInt(2);
                 for (int i = 0; i < troubles; i++) {
                     trouble();
                     for (int q = 0; q < 3; q++) {
-                        w.run(near / 9);
+                        cluster.run(near / 9);
                         users();
                     }
                 }
                 for (int i = 0; i < 6; i++) {
-                    w.run(upTo(12));
+                    cluster.run(upTo(12));
                     users();
                 }
             }
             calm();
-            w.run(70); // Users insist for a minute.
-            w.rules.calm();
-            w.run(420);
+            cluster.run(70); // Users insist for a minute.
+            cluster.rules.calm();
+            cluster.run(420);
         }
 
         private void calm() {
-            Worlds.endTroubles(w);
-            w.siblings.forEach(k -> back(w.nodes.get(k), 0.1));
+            Worlds.endTroubles(cluster);
+            cluster.siblings.forEach(key -> back(cluster.nodes.get(key), 0.1));
         }
     }
 
@@ -303,26 +315,26 @@
         for (long seed = from; seed < from + runs; seed++) {
             Run r = new Run(seed, met);
             r.play();
-            assertEquals(List.of(), r.w.broken, "seed " + seed);
-            for (String id : r.w.accepted.keySet()) {
+            assertEquals(List.of(), r.cluster.broken, "seed " + seed);
+            for (String id : r.cluster.accepted.keySet()) {
                 long of = seed;
                 assertTrue(
-                        r.w.toldDone.contains(id) || r.w.toldCancelled.containsKey(id),
+                        r.cluster.toldDone.contains(id) || r.cluster.toldCancelled.containsKey(id),
                         () ->
                                 "seed "
                                         + of
                                         + ": "
                                         + id
                                         + " "
-                                        + r.w.ask(r.w.leader(), id)
+                                        + r.cluster.ask(r.cluster.leader(), id)
                                         + ", needs "
-                                        + r.w.needs.get(id));
+                                        + r.cluster.needs.get(id));
             }
-            accepted += r.w.accepted.size();
-            cancelled += r.w.toldCancelled.size();
-            starts += MeetingsTest.starts(r.w);
-            afterCancellation += r.w.rules.startsAfterCancellation();
-            latest = Math.max(latest, r.w.rules.latestStartAfterS());
+            accepted += r.cluster.accepted.size();
+            cancelled += r.cluster.toldCancelled.size();
+            starts += MeetingsTest.starts(r.cluster);
+            afterCancellation += r.cluster.rules.startsAfterCancellation();
+            latest = Math.max(latest, r.cluster.rules.latestStartAfterS());
         }
         System.out.println(
                 "all troubles: "
