--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -32,19 +32,19 @@
 class BadInputTest {
     private static final List<String> KNOWN = List.of("j-1", "j-2", "j-3");
 
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
     private int next = 1000;
     private double answerS = 3;
 
     /** Three nodes and four machines; a team with a limit, one that has none. */
     private void begin() {
-        w = settled(3, 4);
-        w.teams.put("blue", new ClusterSettings.Team("blue", 0, 6, 0, 0));
+        cluster = settled(3, 4);
+        cluster.teams.put("blue", new ClusterSettings.Team("blue", 0, 6, 0, 0));
     }
 
-    private static int[] send(SimulatedCluster w, SimulatedNode n, byte[] body) {
+    private static int[] send(SimulatedCluster cluster, SimulatedNode node, byte[] body) {
         int[] status = new int[1];
-        new UsersApi(n.controller)
+        new UsersApi(node.controller)
                 .handle(
                         new Request("POST", UsersApi.JOBS, "", body),
                         (s, b, retry) -> status[0] = s);
@@ -56,14 +56,14 @@
         List<List<int[]>> got = new ArrayList<>();
         for (Map<String, Object> b : bodies) {
             List<int[]> each = new ArrayList<>();
-            for (SimulatedNode n : w.nodes.values()) {
-                if (n.alive) {
-                    each.add(send(w, n, MessagePackCodec.bytes(named(b, "j-" + next++))));
+            for (SimulatedNode node : cluster.nodes.values()) {
+                if (node.alive) {
+                    each.add(send(cluster, node, MessagePackCodec.bytes(named(b, "j-" + next++))));
                 }
             }
             got.add(each);
         }
-        w.run(answerS);
+        cluster.run(answerS);
         return got.stream().map(e -> e.stream().map(x -> x[0]).toList()).toList();
     }
 
@@ -102,29 +102,34 @@
     void alsoWithoutALeaderAndByANodeThatHasJustBegun() {
         begin();
         answerS = 0.6; // Before another leads.
-        SimulatedNode gone = w.leader();
+        SimulatedNode gone = cluster.leader();
         gone.crash();
         all(400, malformed());
         assertTrue(
-                w.nodes.values().stream()
-                        .noneMatch(n -> n.alive && n.controller.leadership.leading()),
+                cluster.nodes.values().stream()
+                        .noneMatch(node -> node.alive && node.controller.leadership.leading()),
                 "one leads");
-        w.run(15);
-        w.leader().crash();
+        cluster.run(15);
+        cluster.leader().crash();
         all(422, impossible());
         assertTrue(
-                w.nodes.values().stream()
-                        .noneMatch(n -> n.alive && n.controller.leadership.leading()),
+                cluster.nodes.values().stream()
+                        .noneMatch(node -> node.alive && node.controller.leadership.leading()),
                 "one leads");
-        SimulatedNode anew = w.node(gone.name);
+        SimulatedNode anew = cluster.node(gone.name);
         int[] knowsNoTypes =
-                send(w, anew, MessagePackCodec.bytes(with("nameId", "j-900", "crew", "nobody")));
+                send(
+                        cluster,
+                        anew,
+                        MessagePackCodec.bytes(with("nameId", "j-900", "crew", "nobody")));
         int[] malformed =
-                send(w, anew, MessagePackCodec.bytes(with("nameId", "j-901", "sheets", 0L)));
-        w.run(2);
+                send(cluster, anew, MessagePackCodec.bytes(with("nameId", "j-901", "sheets", 0L)));
+        cluster.run(2);
         assertEquals(List.of(503, 400), List.of(knowsNoTypes[0], malformed[0]));
-        w.siblings.stream().filter(k -> !w.nodes.get(k).alive).forEach(w::node);
-        w.run(15);
+        cluster.siblings.stream()
+                .filter(key -> !cluster.nodes.get(key).alive)
+                .forEach(cluster::node);
+        cluster.run(15);
         nothingCameOfIt();
     }
 
@@ -132,14 +137,14 @@
     @Test
     void duringAnOutageUsersComeAgainUnlessThereIsNoId() {
         begin();
-        w.store.outage(40);
+        cluster.store.outage(40);
         List<Map<String, Object>> bodies = malformed();
         bodies.addAll(impossible());
         all(503, bodies);
         for (Object id :
                 Arrays.asList(null, 5L, "", "x-1", "j-", "j-1x", "j-1/0", List.of("j-1"))) {
-            for (SimulatedNode n : w.nodes.values()) {
-                int[] got = send(w, n, MessagePackCodec.bytes(with("nameId", id)));
+            for (SimulatedNode node : cluster.nodes.values()) {
+                int[] got = send(cluster, node, MessagePackCodec.bytes(with("nameId", id)));
                 assertEquals(400, got[0], "id " + id);
             }
         }
@@ -151,11 +156,11 @@
                         MessagePackCodec.bytes("j-1"),
                         MessagePackCodec.bytes(List.of(good("j-1"))),
                         Arrays.copyOf(MessagePackCodec.bytes(good("j-1")), 50))) {
-            for (SimulatedNode n : w.nodes.values()) {
-                assertEquals(400, send(w, n, unreadable)[0]);
+            for (SimulatedNode node : cluster.nodes.values()) {
+                assertEquals(400, send(cluster, node, unreadable)[0]);
             }
         }
-        w.run(60);
+        cluster.run(60);
         nothingCameOfIt();
     }
 
@@ -166,13 +171,13 @@
     @Test
     void anAcceptedJobIsKnownWhateverItsRepetitionSays() {
         begin();
-        w.runsFor = id -> id.equals("j-1") ? 1000 : 3;
+        cluster.runsFor = id -> id.equals("j-1") ? 1000 : 3;
         for (String id : KNOWN) {
-            assertEquals(201, accept(w.nodes.get("k0"), named(with("sheets", 2L), id)));
+            assertEquals(201, accept(cluster.nodes.get("k0"), named(with("sheets", 2L), id)));
         }
-        w.cancel(w.nodes.get("k1"), "j-3");
-        w.run(8);
-        assertEquals("done", w.status(w.nodes.get("k2"), "j-2"));
+        cluster.cancel(cluster.nodes.get("k1"), "j-3");
+        cluster.run(8);
+        assertEquals("done", cluster.status(cluster.nodes.get("k2"), "j-2"));
         List<Map<String, Object>> bodies = malformed();
         bodies.addAll(impossible());
         bodies.add(good("j-0"));
@@ -183,37 +188,45 @@
         bodies.removeIf(b -> !b.get("nameId").equals("j-0"));
         for (int out = 0; out < 2; out++) {
             for (String id : KNOWN) {
-                for (SimulatedNode n : w.nodes.values()) {
+                for (SimulatedNode node : cluster.nodes.values()) {
                     List<int[]> got = new ArrayList<>();
-                    bodies.forEach(b -> got.add(send(w, n, MessagePackCodec.bytes(named(b, id)))));
-                    w.run(3);
+                    bodies.forEach(
+                            b ->
+                                    got.add(
+                                            send(
+                                                    cluster,
+                                                    node,
+                                                    MessagePackCodec.bytes(named(b, id)))));
+                    cluster.run(3);
                     for (int i = 0; i < bodies.size(); i++) {
                         // How a job ended is known for ever where it was told once, so an outage
                         // changes nothing.
                         assertEquals(
                                 out == 1 && id.equals("j-1") ? 503 : 200,
                                 got.get(i)[0],
-                                id + " " + n.name + " " + bodies.get(i));
+                                id + " " + node.name + " " + bodies.get(i));
                     }
                 }
             }
-            w.nodes.values().forEach(n -> assertEquals("done", w.status(n, "j-2")));
-            w.store.outage(200);
-            w.run(0.1);
+            cluster.nodes
+                    .values()
+                    .forEach(node -> assertEquals("done", cluster.status(node, "j-2")));
+            cluster.store.outage(200);
+            cluster.run(0.1);
         }
-        w.run(240);
-        assertEquals(2, w.onMachines("j-1"));
-        assertEquals(List.of(), w.broken);
+        cluster.run(240);
+        assertEquals(2, cluster.onMachines("j-1"));
+        assertEquals(List.of(), cluster.broken);
     }
 
     /** As a user does who hands it in there. */
-    private int accept(SimulatedNode n, Map<String, Object> body) {
+    private int accept(SimulatedNode node, Map<String, Object> body) {
         String id = (String) body.get("nameId");
-        w.specs.put(id, ProtocolCodec.submission(body));
-        int[] got = send(w, n, MessagePackCodec.bytes(body));
-        w.run(0.1);
+        cluster.specs.put(id, ProtocolCodec.submission(body));
+        int[] got = send(cluster, node, MessagePackCodec.bytes(body));
+        cluster.run(0.1);
         if (got[0] == 201) {
-            w.accepted.put(id, w.clock.now);
+            cluster.accepted.put(id, cluster.clock.now);
         }
         return got[0];
     }
@@ -225,18 +238,20 @@
     void whatIsAcceptedRunsAndSpoilsNothing() {
         for (Map<String, Object> body : odd()) {
             begin();
-            w.cloud.capacity = 6;
-            w.runsFor = id -> 9;
-            w.teams.put("tiny", new ClusterSettings.Team("tiny", 0, 0.3, 0, 0));
-            assertEquals(201, accept(w.nodes.get("k0"), named(body, "j-1")), body.toString());
-            w.run(2);
+            cluster.cloud.capacity = 6;
+            cluster.runsFor = id -> 9;
+            cluster.teams.put("tiny", new ClusterSettings.Team("tiny", 0, 0.3, 0, 0));
+            assertEquals(201, accept(cluster.nodes.get("k0"), named(body, "j-1")), body.toString());
+            cluster.run(2);
             assertEquals(
-                    201, accept(w.nodes.get("k1"), named(good("j-0"), "j-2")), body.toString());
-            w.rules.calm();
-            w.run(100);
-            assertEquals("done", w.status(w.nodes.get("k2"), "j-2"), "beside " + body);
-            assertEquals("done", w.status(w.nodes.get("k2"), "j-1"), body.toString());
-            assertEquals(List.of(), w.broken, body.toString());
+                    201,
+                    accept(cluster.nodes.get("k1"), named(good("j-0"), "j-2")),
+                    body.toString());
+            cluster.rules.calm();
+            cluster.run(100);
+            assertEquals("done", cluster.status(cluster.nodes.get("k2"), "j-2"), "beside " + body);
+            assertEquals("done", cluster.status(cluster.nodes.get("k2"), "j-1"), body.toString());
+            assertEquals(List.of(), cluster.broken, body.toString());
         }
     }
 
@@ -247,39 +262,39 @@
     @Test
     void aGangThatHasToSpreadGetsMachinesInAnotherZone() {
         for (String shape : List.of("group", "service")) {
-            w = settled(3, 0);
+            cluster = settled(3, 0);
             for (int i = 0; i < 4; i++) {
-                w.worker("i-00000" + i, "a");
+                cluster.worker("i-00000" + i, "a");
             }
-            w.cloud.capacity = 4;
-            w.cloud.bootS = n -> 5;
-            w.runsFor = id -> 200;
-            w.run(5);
+            cluster.cloud.capacity = 4;
+            cluster.cloud.bootS = n -> 5;
+            cluster.runsFor = id -> 200;
+            cluster.run(5);
             assertEquals(
                     201,
                     accept(
-                            w.nodes.get("k0"),
+                            cluster.nodes.get("k0"),
                             named(with("shape", shape, "sheets", 4L, "spread", true), "j-1")));
-            w.run(60);
-            assertEquals(4, w.onMachines("j-1"), shape);
+            cluster.run(60);
+            assertEquals(4, cluster.onMachines("j-1"), shape);
             assertEquals(
                     2,
-                    w.workers.values().stream()
-                            .filter(x -> x.zone.equals("b"))
-                            .mapToInt(x -> x.tasks.size())
+                    cluster.workers.values().stream()
+                            .filter(worker -> worker.zone.equals("b"))
+                            .mapToInt(worker -> worker.tasks.size())
                             .sum());
-            assertEquals(List.of(), w.broken, shape);
+            assertEquals(List.of(), cluster.broken, shape);
         }
     }
 
     /** A type that is offered in no zone, or in one only, is as much of a reason. */
     @Test
     void zonesThatTheTypesAreOfferedIn() {
-        w = new SimulatedCluster();
-        w.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of("b"));
-        w.siblings.add("k0");
-        w.node("k0");
-        w.run(5);
+        cluster = new SimulatedCluster();
+        cluster.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of("b"));
+        cluster.siblings.add("k0");
+        cluster.node("k0");
+        cluster.run(5);
         all(
                 422,
                 List.of(
@@ -293,11 +308,11 @@
                                 with("field", "b"),
                                 with("sheets", 2L, "spread", true),
                                 with("shape", "group", "spread", true))));
-        w = new SimulatedCluster();
-        w.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of());
-        w.siblings.add("k0");
-        w.node("k0");
-        w.run(5);
+        cluster = new SimulatedCluster();
+        cluster.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of());
+        cluster.siblings.add("k0");
+        cluster.node("k0");
+        cluster.run(5);
         all(422, List.of(good("j-0")));
     }
 
@@ -316,20 +331,20 @@
         more[body.length + 1] = 'x';
         more[body.length + 2] = (byte) 0xcf;
         Arrays.fill(more, body.length + 3, more.length, (byte) 0xff);
-        w.specs.put("j-1", ProtocolCodec.submission(good("j-1")));
-        int[] got = send(w, w.nodes.get("k0"), more);
-        w.run(1);
+        cluster.specs.put("j-1", ProtocolCodec.submission(good("j-1")));
+        int[] got = send(cluster, cluster.nodes.get("k0"), more);
+        cluster.run(1);
         assertEquals(201, got[0]);
     }
 
     private void nothingCameOfIt() {
-        w.run(30);
-        for (SimulatedNode n : w.nodes.values()) {
+        cluster.run(30);
+        for (SimulatedNode node : cluster.nodes.values()) {
             for (int i = 1000; i < next; i += 37) {
-                assertEquals("NOT_FOUND", w.status(n, "j-" + i));
+                assertEquals("NOT_FOUND", cluster.status(node, "j-" + i));
             }
         }
-        assertEquals(0, MeetingsTest.starts(w));
-        assertEquals(List.of(), w.broken);
+        assertEquals(0, MeetingsTest.starts(cluster));
+        assertEquals(List.of(), cluster.broken);
     }
 }
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -23,41 +23,41 @@
  * world's checker says what is still on a machine cancel_s after any user was told.
  */
 class CancellationGapTest {
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
 
     private SimulatedNode settled(int nodes) {
-        w = Worlds.settled(nodes, 4);
-        w.runsFor = id -> 400;
+        cluster = Worlds.settled(nodes, 4);
+        cluster.runsFor = id -> 400;
         // The clocks of the nodes are apart as far as they may be.
-        w.nodes.get("k0").clockOffMs = 5;
-        w.nodes.get("k" + (nodes - 1)).clockOffMs = -5;
-        SimulatedNode holder = w.leader();
+        cluster.nodes.get("k0").clockOffMs = 5;
+        cluster.nodes.get("k" + (nodes - 1)).clockOffMs = -5;
+        SimulatedNode holder = cluster.leader();
         // Two to be cancelled, and one that goes on.
-        w.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
-        w.submit(holder, job("j-2", Shape.GANG, 3, 1));
-        w.submit(holder, job("j-3", Shape.ARRAY, 4, 1));
-        w.run(6);
-        assertEquals(6, w.onMachines("j-1"));
-        assertEquals(3, w.onMachines("j-2"));
-        assertEquals(4, w.onMachines("j-3"));
+        cluster.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
+        cluster.submit(holder, job("j-2", Shape.GANG, 3, 1));
+        cluster.submit(holder, job("j-3", Shape.ARRAY, 4, 1));
+        cluster.run(6);
+        assertEquals(6, cluster.onMachines("j-1"));
+        assertEquals(3, cluster.onMachines("j-2"));
+        assertEquals(4, cluster.onMachines("j-3"));
         return holder;
     }
 
     private SimulatedNode other(SimulatedNode than) {
-        return w.nodes.values().stream()
-                .filter(n -> n != than && n.alive)
+        return cluster.nodes.values().stream()
+                .filter(node -> node != than && node.alive)
                 .findFirst()
                 .orElseThrow();
     }
 
-    private void cancelled(SimulatedNode at, String id) {
-        var a = w.cancel(at, id);
-        assertEquals("cancelled", a.state().status());
+    private void cancelled(SimulatedNode node, String id) {
+        var answer = cluster.cancel(node, id);
+        assertEquals("cancelled", answer.state().status());
     }
 
-    private void refuse(SimulatedNode n, double seconds) {
-        n.cutFromStore = true;
-        w.after(seconds, () -> n.cutFromStore = false);
+    private void refuse(SimulatedNode node, double seconds) {
+        node.cutFromStore = true;
+        cluster.after(seconds, () -> node.cutFromStore = false);
     }
 
     /**
@@ -68,27 +68,27 @@
         SimulatedNode sibling = other(holder);
         sibling.losesWord = true;
         refuse(holder, 9);
-        w.run(0.5);
+        cluster.run(0.5);
         sibling.cutFrom.add(holder.name);
         cancelled(sibling, "j-1");
         return sibling;
     }
 
     private long sessions() {
-        return w.workers.values().stream().mapToLong(x -> x.session).sum();
+        return cluster.workers.values().stream().mapToLong(worker -> worker.session).sum();
     }
 
     /** Nothing of the cancelled job was on a machine too late, and all others go on, or again. */
     private void kept(String... gone) {
-        assertEquals(List.of(), w.broken);
+        assertEquals(List.of(), cluster.broken);
         for (String id : gone) {
-            assertEquals(0, w.onMachines(id), id);
+            assertEquals(0, cluster.onMachines(id), id);
         }
     }
 
     private void kept(long sessions) {
         assertEquals(sessions, sessions(), "sessions of workers ended");
-        assertEquals(4, w.onMachines("j-3"));
+        assertEquals(4, cluster.onMachines("j-3"));
         kept("j-1");
     }
 
@@ -97,10 +97,10 @@
         SimulatedNode holder = settled(3);
         long before = sessions();
         refuse(holder, 9);
-        w.run(0.5);
+        cluster.run(0.5);
         cancelled(other(holder), "j-1");
-        w.store.outage(50);
-        w.run(45);
+        cluster.store.outage(50);
+        cluster.run(45);
         kept(before);
     }
 
@@ -109,10 +109,10 @@
         SimulatedNode holder = settled(3);
         long before = sessions();
         SimulatedNode sibling = confirmedUnheard(holder);
-        w.store.outage(50);
-        w.run(4);
+        cluster.store.outage(50);
+        cluster.run(4);
         sibling.cutFrom.clear();
-        w.run(41);
+        cluster.run(41);
         kept(before);
     }
 
@@ -122,16 +122,16 @@
         SimulatedNode sibling = other(holder);
         refuse(holder, 9);
         sibling.cutFrom.add(holder.name);
-        w.run(0.5);
+        cluster.run(0.5);
         cancelled(sibling, "j-1");
-        w.store.outage(70);
-        w.run(65);
+        cluster.store.outage(70);
+        cluster.run(65);
         kept("j-1");
         // Nobody can tell which tasks are cancelled, so all go.
-        assertEquals(0, w.onMachines("j-3"));
+        assertEquals(0, cluster.onMachines("j-3"));
         sibling.cutFrom.clear();
-        w.run(60);
-        assertEquals(4, w.onMachines("j-3"));
+        cluster.run(60);
+        assertEquals(4, cluster.onMachines("j-3"));
     }
 
     @Test
@@ -139,27 +139,28 @@
         SimulatedNode holder = settled(3);
         SimulatedNode sibling = confirmedUnheard(holder);
         sibling.crash();
-        w.store.outage(70);
-        w.run(0.3);
-        w.node(sibling.name);
-        w.run(60);
+        cluster.store.outage(70);
+        cluster.run(0.3);
+        cluster.node(sibling.name);
+        cluster.run(60);
         kept("j-1");
-        w.run(60);
-        assertEquals(4, w.onMachines("j-3"));
+        cluster.run(60);
+        assertEquals(4, cluster.onMachines("j-3"));
     }
 
     @Test
     void twoNodesThatConfirmAreBothHeard() {
         SimulatedNode holder = settled(3);
         long before = sessions();
-        List<SimulatedNode> others = w.nodes.values().stream().filter(n -> n != holder).toList();
-        others.forEach(n -> n.losesWord = true);
+        List<SimulatedNode> others =
+                cluster.nodes.values().stream().filter(node -> node != holder).toList();
+        others.forEach(node -> node.losesWord = true);
         refuse(holder, 9);
-        w.run(0.5);
+        cluster.run(0.5);
         cancelled(others.get(0), "j-1");
         cancelled(others.get(1), "j-2");
-        w.store.outage(50);
-        w.run(45);
+        cluster.store.outage(50);
+        cluster.run(45);
         kept(before);
         kept("j-2");
     }
@@ -167,16 +168,17 @@
     @Test
     void withAThirdThatIsSilentTheMarginAloneCounts() {
         SimulatedNode holder = settled(3);
-        List<SimulatedNode> others = w.nodes.values().stream().filter(n -> n != holder).toList();
+        List<SimulatedNode> others =
+                cluster.nodes.values().stream().filter(node -> node != holder).toList();
         others.get(0).losesWord = true;
         others.get(1).crash();
         refuse(holder, 9);
-        w.run(0.5);
+        cluster.run(0.5);
         cancelled(others.get(0), "j-1");
-        w.store.outage(70);
-        w.run(60);
+        cluster.store.outage(70);
+        cluster.run(60);
         kept("j-1");
-        assertEquals(0, w.onMachines("j-3"));
+        assertEquals(0, cluster.onMachines("j-3"));
     }
 
     /** What the silent one confirmed is not what those say who are heard. */
@@ -186,14 +188,14 @@
         SimulatedNode sibling = other(holder);
         sibling.losesWord = true;
         refuse(holder, 9);
-        w.run(0.5);
-        sibling.frozenUntil = w.clock.now + 0.2;
+        cluster.run(0.5);
+        sibling.frozenUntil = cluster.clock.now + 0.2;
         sibling.cutFrom.add(holder.name);
-        w.run(0.2);
+        cluster.run(0.2);
         cancelled(sibling, "j-1");
-        sibling.frozenUntil = w.clock.now + 80;
-        w.store.outage(75);
-        w.run(65);
+        sibling.frozenUntil = cluster.clock.now + 80;
+        cluster.store.outage(75);
+        cluster.run(65);
         kept("j-1");
     }
 
@@ -201,18 +203,18 @@
     void twoGapsInARow() {
         SimulatedNode holder = settled(3);
         long before = sessions();
-        w.nodes.values().forEach(n -> n.losesWord = true);
+        cluster.nodes.values().forEach(node -> node.losesWord = true);
         refuse(holder, 6);
-        w.run(0.5);
+        cluster.run(0.5);
         cancelled(other(holder), "j-1");
-        w.store.outage(40);
-        w.run(44);
-        SimulatedNode next = w.leader();
+        cluster.store.outage(40);
+        cluster.run(44);
+        SimulatedNode next = cluster.leader();
         refuse(next, 6);
-        w.run(0.5);
+        cluster.run(0.5);
         cancelled(other(next), "j-2");
-        w.store.outage(40);
-        w.run(44);
+        cluster.store.outage(40);
+        cluster.run(44);
         kept(before);
         kept("j-2");
     }
@@ -222,9 +224,9 @@
         for (double stands = 1; stands < 40; stands += 3) {
             SimulatedNode holder = settled(3);
             confirmedUnheard(holder);
-            holder.frozenUntil = w.clock.now + stands;
-            w.store.outage(70);
-            w.run(65);
+            holder.frozenUntil = cluster.clock.now + stands;
+            cluster.store.outage(70);
+            cluster.run(65);
             kept("j-1");
         }
     }
@@ -235,18 +237,18 @@
             SimulatedNode holder = settled(3);
             SimulatedNode sibling = other(holder);
             sibling.losesWord = true;
-            w.run(0.5);
-            w.store.hangs = n -> n == holder;
+            cluster.run(0.5);
+            cluster.store.hangs = client -> client == holder;
             sibling.cutFrom.add(holder.name);
             cancelled(sibling, "j-1");
-            w.store.slowS = slow;
-            w.run(65);
+            cluster.store.slowS = slow;
+            cluster.run(65);
             kept("j-1");
-            w.store.slowS = 0;
-            w.store.hangs = n -> false;
+            cluster.store.slowS = 0;
+            cluster.store.hangs = client -> false;
             sibling.cutFrom.clear();
-            w.run(60);
-            assertEquals(4, w.onMachines("j-3"));
+            cluster.run(60);
+            assertEquals(4, cluster.onMachines("j-3"));
         }
     }
 
@@ -257,10 +259,10 @@
         long before = sessions();
         SimulatedNode sibling = other(holder);
         sibling.losesWord = true;
-        w.store.hangs = n -> n == holder;
+        cluster.store.hangs = client -> client == holder;
         sibling.cutFrom.add(holder.name);
         cancelled(sibling, "j-1");
-        w.run(31);
+        cluster.run(31);
         kept(before);
         assertTrue(holder.controller.holds());
     }
@@ -270,17 +272,17 @@
         for (double ago = 0; ago < 6; ago += 0.2) {
             SimulatedNode first = settled(3);
             first.crash();
-            w.run(1 + ago);
+            cluster.run(1 + ago);
             SimulatedNode sibling = other(first);
             sibling.losesWord = true;
-            var a = w.cancel(sibling, "j-1");
-            w.store.outage(70);
-            w.run(0.4);
-            w.node(first.name);
-            w.run(60);
-            assertEquals(List.of(), w.broken, "after " + ago);
-            if (a != null && a.verdict() == Verdict.KNOWN) {
-                assertEquals(0, w.onMachines("j-1"), "after " + ago);
+            var answer = cluster.cancel(sibling, "j-1");
+            cluster.store.outage(70);
+            cluster.run(0.4);
+            cluster.node(first.name);
+            cluster.run(60);
+            assertEquals(List.of(), cluster.broken, "after " + ago);
+            if (answer != null && answer.verdict() == Verdict.KNOWN) {
+                assertEquals(0, cluster.onMachines("j-1"), "after " + ago);
             }
         }
     }
@@ -292,29 +294,34 @@
         for (int page = 1; page < 8; page++) {
             SimulatedNode first = settled(3);
             SimulatedNode sibling =
-                    w.siblings.stream()
-                            .map(w.nodes::get)
-                            .filter(n -> n != first)
+                    cluster.siblings.stream()
+                            .map(cluster.nodes::get)
+                            .filter(node -> node != first)
                             .findFirst()
                             .orElseThrow();
-            int from = w.store.pages + page;
+            int from = cluster.store.pages + page;
             boolean[] once = {true};
-            w.store.refusePage =
+            cluster.store.refusePage =
                     n -> {
                         if (n == from && once[0]) {
                             once[0] = false;
-                            w.rules.asksToCancel("j-1");
-                            w.after(0, () -> sibling.controller.registry().cancel("j-1", a -> {}));
-                            w.after(0.008, () -> w.store.outage(60));
+                            cluster.rules.asksToCancel("j-1");
+                            cluster.after(
+                                    0,
+                                    () ->
+                                            sibling.controller
+                                                    .registry()
+                                                    .cancel("j-1", answer -> {}));
+                            cluster.after(0.008, () -> cluster.store.outage(60));
                         }
                         return false;
                     };
             first.crash();
-            w.run(8);
-            w.ask(sibling, "j-1");
-            told += w.toldCancelled.containsKey("j-1") ? 1 : 0;
-            w.run(60);
-            assertEquals(List.of(), w.broken, "page " + page);
+            cluster.run(8);
+            cluster.ask(sibling, "j-1");
+            told += cluster.toldCancelled.containsKey("j-1") ? 1 : 0;
+            cluster.run(60);
+            assertEquals(List.of(), cluster.broken, "page " + page);
         }
         assertTrue(told > 1, "told: " + told);
     }
@@ -328,25 +335,27 @@
         SimulatedNode holder = settled(3);
         SimulatedNode sibling = other(holder);
         SimulatedNode third =
-                w.nodes.values().stream()
-                        .filter(n -> n != holder && n != sibling)
+                cluster.nodes.values().stream()
+                        .filter(node -> node != holder && node != sibling)
                         .findFirst()
                         .orElseThrow();
-        w.nodes.values().forEach(n -> n.losesWord = true);
-        w.store.hangs = n -> n == holder;
+        cluster.nodes.values().forEach(node -> node.losesWord = true);
+        cluster.store.hangs = client -> client == holder;
         refuse(holder, 9);
-        w.store.late =
-                t ->
-                        t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1"))
+        cluster.store.late =
+                transaction ->
+                        transaction.writes().stream()
+                                        .anyMatch(
+                                                write -> write.key().equals(StoreKeys.OVER + "j-1"))
                                 ? 1
                                 : 0;
-        assertEquals(null, w.cancel(sibling, "j-1"));
+        assertEquals(null, cluster.cancel(sibling, "j-1"));
         sibling.crash();
-        w.run(1.2);
-        assertEquals("cancelled", w.ask(third, "j-1").state().status());
-        w.store.outage(70);
-        w.node(sibling.name);
-        w.run(65);
+        cluster.run(1.2);
+        assertEquals("cancelled", cluster.ask(third, "j-1").state().status());
+        cluster.store.outage(70);
+        cluster.node(sibling.name);
+        cluster.run(65);
         kept("j-1");
     }
 
@@ -355,22 +364,27 @@
     void whatTheHolderItselfSaysItKnows() {
         SimulatedNode holder = settled(1);
         long before = sessions();
-        w.store.hangs = n -> true;
-        w.store.late =
-                t ->
-                        t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + "j-1"))
+        cluster.store.hangs = client -> true;
+        cluster.store.late =
+                transaction ->
+                        transaction.writes().stream()
+                                        .anyMatch(
+                                                write -> write.key().equals(StoreKeys.OVER + "j-1"))
                                 ? 0.7
                                 : 0;
-        w.cancel(holder, "j-1");
+        cluster.cancel(holder, "j-1");
         // Just after it was carried out, and before the next comparison would find it.
-        w.run(0.605);
-        double proven = holder.controller.known.ageS();
-        w.store.withheld = t -> t.conditions().stream().noneMatch(c -> c.revision() == 0);
-        w.ask(holder, "j-1");
-        assertTrue(w.toldCancelled.containsKey("j-1"));
+        cluster.run(0.605);
+        double proven = holder.controller.cancellationWatermark.ageS();
+        cluster.store.withheld =
+                transaction ->
+                        transaction.conditions().stream()
+                                .noneMatch(condition -> condition.revision() == 0);
+        cluster.ask(holder, "j-1");
+        assertTrue(cluster.toldCancelled.containsKey("j-1"));
         assertTrue(proven < 1.5, "age " + proven);
-        w.store.outage(60);
-        w.run(45);
+        cluster.store.outage(60);
+        cluster.run(45);
         kept(before);
     }
 
@@ -379,18 +393,21 @@
         SimulatedNode holder = settled(3);
         long before = sessions();
         SimulatedWorker x =
-                w.workers.values().stream()
-                        .filter(y -> y.tasks.keySet().stream().anyMatch(k -> k.startsWith("j-1/")))
+                cluster.workers.values().stream()
+                        .filter(
+                                y ->
+                                        y.tasks.keySet().stream()
+                                                .anyMatch(key -> key.startsWith("j-1/")))
                         .findFirst()
                         .orElseThrow();
         Heartbeat old = x.message();
         refuse(holder, 9);
-        w.run(0.5);
+        cluster.run(0.5);
         cancelled(other(holder), "j-1");
-        w.store.outage(60);
+        cluster.store.outage(60);
         for (int i = 0; i < 40; i++) {
-            w.run(1);
-            w.nodes.values().forEach(n -> n.controller.heartbeat(old, c -> {}));
+            cluster.run(1);
+            cluster.nodes.values().forEach(node -> node.controller.heartbeat(old, response -> {}));
         }
         kept(before);
     }
@@ -400,14 +417,14 @@
     void anOutageAloneEndsNothing() {
         SimulatedNode holder = settled(3);
         long before = sessions();
-        w.store.outage(200);
-        w.run(195);
+        cluster.store.outage(200);
+        cluster.run(195);
         assertEquals(before, sessions());
-        assertEquals(6, w.onMachines("j-1"));
-        w.run(30);
+        assertEquals(6, cluster.onMachines("j-1"));
+        cluster.run(30);
         assertEquals(before, sessions());
-        assertEquals(6, w.onMachines("j-1"));
-        assertFalse(holder.controller.known.ageS() > 5);
+        assertEquals(6, cluster.onMachines("j-1"));
+        assertFalse(holder.controller.cancellationWatermark.ageS() > 5);
     }
 
     /** Those of a version without such a word, on either side: the margin alone counts. */
@@ -416,15 +433,15 @@
         for (int olds = 1; olds < 8; olds++) {
             SimulatedNode holder = settled(3);
             for (int i = 0; i < 3; i++) {
-                w.nodes.get("k" + i).old = (olds >> i & 1) == 1;
+                cluster.nodes.get("k" + i).old = (olds >> i & 1) == 1;
             }
-            w.run(3);
-            w.nodes.values().forEach(n -> n.losesWord = true);
+            cluster.run(3);
+            cluster.nodes.values().forEach(node -> node.losesWord = true);
             refuse(holder, 9);
-            w.run(0.5);
+            cluster.run(0.5);
             cancelled(other(holder), "j-1");
-            w.store.outage(70);
-            w.run(65);
+            cluster.store.outage(70);
+            cluster.run(65);
             kept("j-1");
         }
     }
@@ -433,19 +450,20 @@
     @Test
     void aHeldAnswerIsLookedAtOnceMoreWhenItGoes() {
         SimulatedNode holder = settled(2);
-        w.worker("i-000009", "a");
-        w.run(6);
-        w.nodes.values().forEach(n -> n.cutFrom.addAll(w.siblings));
+        cluster.worker("i-000009", "a");
+        cluster.run(6);
+        cluster.nodes.values().forEach(node -> node.cutFrom.addAll(cluster.siblings));
         // Its lease is renewed all the while, but no comparison is answered.
-        w.store.withheld = t -> t.writes().isEmpty();
-        while (holder.controller.known.ageS() < holder.controller.facts.workers().marginS() - 0.6) {
-            w.run(0.1);
+        cluster.store.withheld = transaction -> transaction.writes().isEmpty();
+        while (holder.controller.cancellationWatermark.ageS()
+                < holder.controller.settings.workers().marginS() - 0.6) {
+            cluster.run(0.1);
         }
-        SimulatedWorker idle = w.workers.get("i-000009");
+        SimulatedWorker idle = cluster.workers.get("i-000009");
         HeartbeatResponse[] got = new HeartbeatResponse[1];
-        holder.controller.heartbeat(idle.message(), c -> got[0] = c);
+        holder.controller.heartbeat(idle.message(), response -> got[0] = response);
         assertEquals(null, got[0]);
-        w.run(2.1);
+        cluster.run(2.1);
         assertEquals(0, got[0].token());
     }
 
@@ -457,15 +475,16 @@
     void aNewHolderAnswersOnlyOnceItKnowsWhatIsOpen() {
         SimulatedNode first = settled(3);
         long before = sessions();
-        long starts = w.workers.values().stream().mapToInt(x -> x.started).sum();
+        long starts = cluster.workers.values().stream().mapToInt(worker -> worker.started).sum();
         first.kill();
-        w.run(2.2);
+        cluster.run(2.2);
         cancelled(other(first), "j-1");
-        int from = w.store.pages;
-        w.store.refusePage = n -> n - from < 9;
-        w.run(40);
+        int from = cluster.store.pages;
+        cluster.store.refusePage = n -> n - from < 9;
+        cluster.run(40);
         kept(before);
-        assertEquals(starts, w.workers.values().stream().mapToInt(x -> x.started).sum());
+        assertEquals(
+                starts, cluster.workers.values().stream().mapToInt(worker -> worker.started).sum());
     }
 
     /**
@@ -478,46 +497,48 @@
         for (boolean outBeforeAllIsRead : new boolean[] {true, false}) {
             SimulatedNode first = settled(3);
             first.kill();
-            w.node(first.name);
+            cluster.node(first.name);
             SimulatedNode next = null;
             while (next == null) {
-                w.run(0.01);
+                cluster.run(0.01);
                 next =
-                        w.nodes.values().stream()
-                                .filter(n -> n.alive && n.controller.leadership.leading())
+                        cluster.nodes.values().stream()
+                                .filter(node -> node.alive && node.controller.leadership.leading())
                                 .findFirst()
                                 .orElse(null);
             }
-            w.store.refusePrefix = StoreKeys.PART::equals;
-            while (!next.controller.keeper.knowsRunning()) {
-                w.run(0.001);
+            cluster.store.refusePrefix = StoreKeys.PART::equals;
+            while (!next.controller.stateWriter.knowsRunning()) {
+                cluster.run(0.001);
             }
-            assertFalse(next.controller.keeper.loaded());
+            assertFalse(next.controller.stateWriter.loaded());
             SimulatedNode holder = next;
             SimulatedNode sibling =
-                    w.nodes.values().stream()
-                            .filter(n -> n != holder && n.alive)
+                    cluster.nodes.values().stream()
+                            .filter(node -> node != holder && node.alive)
                             .findFirst()
                             .orElseThrow();
-            w.rules.asksToCancel("j-1");
-            sibling.controller.registry().cancel("j-1", a -> {});
-            w.run(0.02);
-            w.ask(sibling, "j-1");
-            assertTrue(w.toldCancelled.containsKey("j-1"));
+            cluster.rules.asksToCancel("j-1");
+            sibling.controller.registry().cancel("j-1", answer -> {});
+            cluster.run(0.02);
+            cluster.ask(sibling, "j-1");
+            assertTrue(cluster.toldCancelled.containsKey("j-1"));
             if (outBeforeAllIsRead) {
-                w.store.out = true;
-                w.run(1);
-                assertFalse(holder.controller.keeper.loaded());
+                cluster.store.out = true;
+                cluster.run(1);
+                assertFalse(holder.controller.stateWriter.loaded());
             } else {
-                w.store.refusePrefix = prefix -> false;
-                while (!holder.controller.keeper.loaded()) {
-                    w.run(0.0005);
+                cluster.store.refusePrefix = prefix -> false;
+                while (!holder.controller.stateWriter.loaded()) {
+                    cluster.run(0.0005);
                 }
             }
-            w.store.outage(60);
-            w.run(40);
+            cluster.store.outage(60);
+            cluster.run(40);
             kept("j-1");
-            assertTrue(holder.controller.known.ageS() < 5, "age " + holder.controller.known.ageS());
+            assertTrue(
+                    holder.controller.cancellationWatermark.ageS() < 5,
+                    "age " + holder.controller.cancellationWatermark.ageS());
         }
     }
 
@@ -528,17 +549,19 @@
         first.kill();
         SimulatedNode next = null;
         while (next == null) {
-            w.run(0.01);
+            cluster.run(0.01);
             next =
-                    w.nodes.values().stream()
-                            .filter(n -> n.alive && n.controller.leadership.leading())
+                    cluster.nodes.values().stream()
+                            .filter(node -> node.alive && node.controller.leadership.leading())
                             .findFirst()
                             .orElse(null);
         }
-        w.store.slowS = 0.8;
-        while (!next.controller.keeper.knowsRunning()) {
-            w.run(0.01);
+        cluster.store.slowS = 0.8;
+        while (!next.controller.stateWriter.knowsRunning()) {
+            cluster.run(0.01);
         }
-        assertTrue(next.controller.known.ageS() > 0.8, "age " + next.controller.known.ageS());
+        assertTrue(
+                next.controller.cancellationWatermark.ageS() > 0.8,
+                "age " + next.controller.cancellationWatermark.ageS());
     }
 }
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -30,7 +30,7 @@
     private static final int IN_CI = 60;
 
     private final class Run {
-        final SimulatedCluster w = new SimulatedCluster();
+        final SimulatedCluster cluster = new SimulatedCluster();
         final Random random;
         final List<String> jobs = new ArrayList<>();
         int next = 100;
@@ -38,41 +38,41 @@
 
         Run(long seed) {
             random = new Random(seed);
-            w.reportS = 2;
-            w.leaseS = 10;
-            w.reportsChanges = true;
-            w.cloud.capacity = 30;
-            w.runsFor = id -> 60 + Math.floorMod(id.hashCode(), 7) * 20;
+            cluster.reportS = 2;
+            cluster.leaseS = 10;
+            cluster.reportsChanges = true;
+            cluster.cloud.capacity = 30;
+            cluster.runsFor = id -> 60 + Math.floorMod(id.hashCode(), 7) * 20;
             for (int i = 0; i < 3; i++) {
-                w.siblings.add("k" + i);
+                cluster.siblings.add("k" + i);
             }
-            for (String k : w.siblings) {
-                w.node(k).clockOffMs = random.nextDouble() * 10 - 5;
+            for (String key : cluster.siblings) {
+                cluster.node(key).clockOffMs = random.nextDouble() * 10 - 5;
             }
             for (int i = 0; i < 6; i++) {
-                w.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
+                cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
             }
-            w.run(12);
+            cluster.run(12);
         }
 
         private SimulatedNode any() {
-            return w.nodes.get("k" + random.nextInt(3));
+            return cluster.nodes.get("k" + random.nextInt(3));
         }
 
         /** Mostly the one that holds, or held last. */
         private SimulatedNode holder() {
-            return w.nodes.values().stream()
-                    .filter(n -> n.alive && n.controller.leadership.leading())
-                    .filter(n -> random.nextInt(8) > 0)
+            return cluster.nodes.values().stream()
+                    .filter(node -> node.alive && node.controller.leadership.leading())
+                    .filter(node -> random.nextInt(8) > 0)
                     .findFirst()
                     .orElseGet(this::any);
         }
 
         private SimulatedNode other(SimulatedNode than) {
-            SimulatedNode n = any();
-            return n == than
-                    ? w.nodes.get("k" + (Integer.parseInt(n.name.substring(1)) + 1) % 3)
-                    : n;
+            SimulatedNode node = any();
+            return node == than
+                    ? cluster.nodes.get("k" + (Integer.parseInt(node.name.substring(1)) + 1) % 3)
+                    : node;
         }
 
         private double upTo(double s) {
@@ -85,34 +85,34 @@
             switch (random.nextInt(15)) {
                 case 0, 1 -> {
                     h.cutFromStore = true;
-                    w.after(upTo(20), () -> h.cutFromStore = false);
+                    cluster.after(upTo(20), () -> h.cutFromStore = false);
                 }
-                case 2, 3 -> w.store.outage(upTo(60));
+                case 2, 3 -> cluster.store.outage(upTo(60));
                 case 4 -> {
                     o.cutFrom.add(h.name);
-                    w.after(upTo(60), () -> o.cutFrom.remove(h.name));
+                    cluster.after(upTo(60), () -> o.cutFrom.remove(h.name));
                 }
                 case 5 -> {
                     o.crash();
-                    w.after(new double[] {0.1, 0.3, 5}[random.nextInt(3)], () -> back(o));
+                    cluster.after(new double[] {0.1, 0.3, 5}[random.nextInt(3)], () -> back(o));
                 }
                 case 6 -> {
                     h.crash();
-                    w.after(new double[] {0.1, 0.3, 5}[random.nextInt(3)], () -> back(h));
+                    cluster.after(new double[] {0.1, 0.3, 5}[random.nextInt(3)], () -> back(h));
                 }
-                case 7 -> (random.nextBoolean() ? h : o).frozenUntil = w.clock.now + upTo(25);
+                case 7 -> (random.nextBoolean() ? h : o).frozenUntil = cluster.clock.now + upTo(25);
                 case 8 -> {
-                    w.store.hangs = n -> n == h;
-                    w.after(upTo(40), () -> w.store.hangs = n -> false);
+                    cluster.store.hangs = client -> client == h;
+                    cluster.after(upTo(40), () -> cluster.store.hangs = client -> false);
                 }
                 case 9 -> {
-                    w.store.late = t -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
-                    w.after(upTo(20), () -> w.store.late = t -> 0);
+                    cluster.store.late = transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
+                    cluster.after(upTo(20), () -> cluster.store.late = transaction -> 0);
                 }
                 case 10, 11 -> {
                     h.cutFromStore = true;
-                    w.siblings.forEach(h.cutFrom::add);
-                    w.after(
+                    cluster.siblings.forEach(h.cutFrom::add);
+                    cluster.after(
                             upTo(25),
                             () -> {
                                 h.cutFromStore = false;
@@ -120,25 +120,25 @@
                             });
                 }
                 case 12 ->
-                        w.workers.values().stream()
+                        cluster.workers.values().stream()
                                 .filter(y -> y.up)
                                 .skip(random.nextInt(3))
                                 .findFirst()
-                                .ifPresent(y -> y.hangsUntil = w.clock.now + upTo(20));
+                                .ifPresent(y -> y.hangsUntil = cluster.clock.now + upTo(20));
                 case 13 -> {
                     double late = 0.6 + upTo(8);
-                    w.directHeldS = () -> random.nextBoolean() ? late : 0;
-                    w.copyAfterS = () -> random.nextInt(4) == 0 ? 2 + upTo(15) : 0;
-                    w.after(
+                    cluster.directHeldS = () -> random.nextBoolean() ? late : 0;
+                    cluster.copyAfterS = () -> random.nextInt(4) == 0 ? 2 + upTo(15) : 0;
+                    cluster.after(
                             upTo(30),
                             () -> {
-                                w.directHeldS = () -> 0;
-                                w.copyAfterS = () -> 0;
+                                cluster.directHeldS = () -> 0;
+                                cluster.copyAfterS = () -> 0;
                             });
                 }
                 default -> {
                     SimulatedWorker x =
-                            w.workers.values().stream()
+                            cluster.workers.values().stream()
                                     .filter(y -> y.up)
                                     .skip(random.nextInt(3))
                                     .findFirst()
@@ -147,31 +147,32 @@
                         x.deaf = random.nextBoolean();
                         x.cut = !x.deaf;
                         Heartbeat old = x.message();
-                        w.after(upTo(30), () -> any().controller.heartbeat(old, c -> {}));
-                        w.after(upTo(12), () -> x.deaf = false);
-                        w.after(upTo(12), () -> x.cut = false);
+                        cluster.after(
+                                upTo(30), () -> any().controller.heartbeat(old, response -> {}));
+                        cluster.after(upTo(12), () -> x.deaf = false);
+                        cluster.after(upTo(12), () -> x.cut = false);
                     }
                 }
             }
         }
 
-        private void back(SimulatedNode n) {
-            if (!w.nodes.get(n.name).alive) {
-                w.node(n.name).clockOffMs = n.clockOffMs;
+        private void back(SimulatedNode node) {
+            if (!cluster.nodes.get(node.name).alive) {
+                cluster.node(node.name).clockOffMs = node.clockOffMs;
             }
         }
 
         void submit() {
             String id = "j-" + next++;
-            var a =
-                    w.submit(
+            var answer =
+                    cluster.submit(
                             any(),
                             job(
                                     id,
                                     random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY,
                                     1 + random.nextInt(5),
                                     1));
-            if (a != null && a.verdict() == Verdict.CREATED) {
+            if (answer != null && answer.verdict() == Verdict.CREATED) {
                 jobs.add(id);
             }
         }
@@ -181,9 +182,9 @@
             for (int i = 0; i < 3 && !jobs.isEmpty(); i++) {
                 String id = jobs.get(random.nextInt(jobs.size()));
                 if (random.nextInt(2) == 0) {
-                    w.cancel(any(), id);
+                    cluster.cancel(any(), id);
                 } else {
-                    w.ask(any(), id);
+                    cluster.ask(any(), id);
                 }
             }
         }
@@ -193,35 +194,35 @@
                 for (int i = 0; i < 4; i++) {
                     submit();
                 }
-                w.run(6);
-                double near = 1 + upTo(w.leaseS);
+                cluster.run(6);
+                double near = 1 + upTo(cluster.leaseS);
                 int troubles = 2 + random.nextInt(2);
                 for (int i = 0; i < troubles; i++) {
                     trouble();
                     for (int q = 0; q < 3; q++) {
-                        w.run(near / 9);
+                        cluster.run(near / 9);
                         users();
                     }
                 }
                 for (int i = 0; i < 8; i++) {
-                    w.run(upTo(14));
+                    cluster.run(upTo(14));
                     users();
                 }
             }
-            Worlds.endTroubles(w);
-            w.siblings.forEach(k -> back(w.nodes.get(k)));
-            calm = w.clock.now;
-            Set<String> open = new HashSet<>(w.accepted.keySet());
-            while (!open.isEmpty() && w.clock.now - calm < 75) {
+            Worlds.endTroubles(cluster);
+            cluster.siblings.forEach(key -> back(cluster.nodes.get(key)));
+            calm = cluster.clock.now;
+            Set<String> open = new HashSet<>(cluster.accepted.keySet());
+            while (!open.isEmpty() && cluster.clock.now - calm < 75) {
                 open.removeIf(
                         id -> {
-                            var a = w.ask(any(), id);
-                            return a != null && a.verdict() == Verdict.KNOWN;
+                            var answer = cluster.ask(any(), id);
+                            return answer != null && answer.verdict() == Verdict.KNOWN;
                         });
-                w.run(1);
+                cluster.run(1);
             }
-            open.forEach(id -> w.broken.add("forgotten: " + id));
-            w.run(500);
+            open.forEach(id -> cluster.broken.add("forgotten: " + id));
+            cluster.run(500);
         }
     }
 
@@ -232,20 +233,21 @@
         for (long seed = 0; seed < runs; seed++) {
             Run r = new Run(seed);
             r.play();
-            assertEquals(List.of(), r.w.broken, "seed " + seed);
+            assertEquals(List.of(), r.cluster.broken, "seed " + seed);
             for (String id : r.jobs) {
-                var a = r.w.ask(r.w.leader(), id);
+                var answer = r.cluster.ask(r.cluster.leader(), id);
                 assertTrue(
-                        a != null && a.verdict() == Verdict.KNOWN,
-                        "seed " + seed + ": " + id + " " + a);
+                        answer != null && answer.verdict() == Verdict.KNOWN,
+                        "seed " + seed + ": " + id + " " + answer);
                 assertEquals(
-                        r.w.toldCancelled.containsKey(id) || a.state().status().equals("cancelled")
+                        r.cluster.toldCancelled.containsKey(id)
+                                        || answer.state().status().equals("cancelled")
                                 ? "cancelled"
                                 : "done",
-                        a.state().status(),
+                        answer.state().status(),
                         "seed " + seed + ": " + id);
             }
-            told += r.w.toldCancelled.size();
+            told += r.cluster.toldCancelled.size();
         }
         System.out.println("cancellations: " + runs + " runs, " + told + " told to users");
         assertTrue(told > 5 * runs, "told: " + told);
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -36,26 +36,26 @@
         REFUSED,
         ALONE;
 
-        void happens(SimulatedCluster w, SimulatedNode n, double backAfterS) {
+        void happens(SimulatedCluster cluster, SimulatedNode node, double backAfterS) {
             switch (this) {
                 case STOPPED -> {
-                    n.controller.stop();
-                    w.after(0.3, n::kill);
+                    node.controller.stop();
+                    cluster.after(0.3, node::kill);
                 }
-                case KILLED -> n.kill();
-                case FROZEN -> n.frozenUntil = w.clock.now + backAfterS;
+                case KILLED -> node.kill();
+                case FROZEN -> node.frozenUntil = cluster.clock.now + backAfterS;
                 default -> {
-                    n.cutFromStore = true;
-                    n.cutFrom.addAll(this == ALONE ? w.siblings : List.of());
+                    node.cutFromStore = true;
+                    node.cutFrom.addAll(this == ALONE ? cluster.siblings : List.of());
                 }
             }
-            w.after(
+            cluster.after(
                     backAfterS,
                     () -> {
-                        n.cutFromStore = false;
-                        n.cutFrom.clear();
-                        if (!n.alive && w.nodes.get(n.name) == n) {
-                            w.node(n.name).clockOffMs = n.clockOffMs;
+                        node.cutFromStore = false;
+                        node.cutFrom.clear();
+                        if (!node.alive && cluster.nodes.get(node.name) == node) {
+                            cluster.node(node.name).clockOffMs = node.clockOffMs;
                         }
                     });
         }
@@ -74,7 +74,7 @@
 
     private static final List<String> CANCELLED = List.of("j-1", "j-2", "j-3", "j-4");
 
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
     private SimulatedNode old;
     private int runs;
 
@@ -88,17 +88,17 @@
 
     /** Work that runs, and, placed a moment ago, work that was not launched everywhere yet. */
     private void busy() {
-        w = Worlds.settled(3, 6);
-        w.runsFor = id -> 400;
-        w.nodes.get("k0").clockOffMs = 5;
-        w.nodes.get("k2").clockOffMs = -5;
-        old = w.leader();
-        w.submit(old, job("j-1", Shape.ARRAY, 5, 1));
-        w.submit(old, job("j-2", Shape.GANG, 3, 1));
-        w.submit(old, job("j-9", Shape.ARRAY, 4, 1));
-        w.run(5);
-        assertEquals(8, w.onMachines("j-1") + w.onMachines("j-2"));
-        w.closeLooks = true;
+        cluster = Worlds.settled(3, 6);
+        cluster.runsFor = id -> 400;
+        cluster.nodes.get("k0").clockOffMs = 5;
+        cluster.nodes.get("k2").clockOffMs = -5;
+        old = cluster.leader();
+        cluster.submit(old, job("j-1", Shape.ARRAY, 5, 1));
+        cluster.submit(old, job("j-2", Shape.GANG, 3, 1));
+        cluster.submit(old, job("j-9", Shape.ARRAY, 4, 1));
+        cluster.run(5);
+        assertEquals(8, cluster.onMachines("j-1") + cluster.onMachines("j-2"));
+        cluster.closeLooks = true;
     }
 
     /**
@@ -106,56 +106,59 @@
      * to cancel at.
      */
     private SimulatedNode fresh(int through) {
-        w.run(runs % 10 * 0.2);
-        w.submit(old, job("j-3", Shape.ARRAY, 6, 1));
-        w.submit(old, job("j-4", Shape.GANG, 4, 1));
-        List<SimulatedNode> nodes = new ArrayList<>(w.nodes.values());
+        cluster.run(runs % 10 * 0.2);
+        cluster.submit(old, job("j-3", Shape.ARRAY, 6, 1));
+        cluster.submit(old, job("j-4", Shape.GANG, 4, 1));
+        List<SimulatedNode> nodes = new ArrayList<>(cluster.nodes.values());
         return nodes.get((nodes.indexOf(old) + through) % 3);
     }
 
     private void cancels(SimulatedNode first) {
-        w.accepted.keySet().stream()
+        cluster.accepted.keySet().stream()
                 .filter(CANCELLED::contains)
                 .sorted()
-                .forEach(id -> w.users.cancel(first, id));
+                .forEach(id -> cluster.users.cancel(first, id));
     }
 
     /** Whether the one that takes over is as far as that. */
     private boolean reached(Step step) {
         return step.compareTo(Step.AFTER) <= 0
-                || w.nodes.values().stream()
+                || cluster.nodes.values().stream()
                         .anyMatch(
-                                n ->
-                                        n != old
-                                                && n.alive
-                                                && n.controller.leadership.leading()
+                                node ->
+                                        node != old
+                                                && node.alive
+                                                && node.controller.leadership.leading()
                                                 && (step == Step.CLAIMED
                                                         || (step == Step.LISTED
-                                                                ? n.controller.keeper.knowsRunning()
-                                                                : n.controller.keeper.loaded()
+                                                                ? node.controller.stateWriter
+                                                                        .knowsRunning()
+                                                                : node.controller.stateWriter
+                                                                                .loaded()
                                                                         && (step == Step.READ
-                                                                                || n.controller
-                                                                                                .heartbeats
+                                                                                || node.controller
+                                                                                                .heartbeatProcessor
                                                                                                 .launches()
                                                                                         > 0))));
     }
 
     /** What was cancelled is gone, what was not runs, and who asks hears the same at each node. */
     private void kept(String at) {
-        assertEquals(List.of(), w.broken, at);
+        assertEquals(List.of(), cluster.broken, at);
         for (String id : CANCELLED) {
-            if (w.accepted.containsKey(id)) {
-                assertTrue(w.toldCancelled.containsKey(id), at + ": nobody was told of " + id);
-                assertEquals(0, w.onMachines(id), at);
-                w.nodes.values().stream()
-                        .filter(n -> n.alive)
-                        .forEach(n -> assertEquals("cancelled", w.status(n, id), at));
+            if (cluster.accepted.containsKey(id)) {
+                assertTrue(
+                        cluster.toldCancelled.containsKey(id), at + ": nobody was told of " + id);
+                assertEquals(0, cluster.onMachines(id), at);
+                cluster.nodes.values().stream()
+                        .filter(node -> node.alive)
+                        .forEach(node -> assertEquals("cancelled", cluster.status(node, id), at));
             }
         }
-        assertEquals(4, w.onMachines("j-9"), at);
+        assertEquals(4, cluster.onMachines("j-9"), at);
         runs++;
-        tooLate += w.rules.startsAfterCancellation();
-        latestS = Math.max(latestS, w.rules.latestStartAfterS());
+        tooLate += cluster.rules.startsAfterCancellation();
+        latestS = Math.max(latestS, cluster.rules.latestStartAfterS());
     }
 
     /**
@@ -170,25 +173,25 @@
                 for (int through = 0; through < 3; through++) {
                     busy();
                     SimulatedNode first = fresh(through);
-                    long token = w.store.token();
+                    long token = cluster.store.token();
                     String at = change + " " + step + " through " + first.name;
                     if (step == Step.BEFORE) {
                         cancels(first);
-                        w.run(runs % 7 * 0.001);
+                        cluster.run(runs % 7 * 0.001);
                     }
-                    change.happens(w, old, 8);
+                    change.happens(cluster, old, 8);
                     for (int ms = 0; ms < 7000 && !reached(step); ms++) {
-                        w.run(0.001);
+                        cluster.run(0.001);
                     }
                     assertTrue(reached(step) || step == Step.LAUNCHED, at);
-                    w.run(runs % 4 * 0.002 + (step == Step.AFTER ? 0.5 : 0));
-                    cancels(w.nodes.get(first.name));
-                    w.run(1);
-                    early += w.toldCancelled.size();
-                    w.run(8);
-                    w.rules.calm();
-                    w.run(40);
-                    assertTrue(w.store.token() > token, at + ": nothing changed hands");
+                    cluster.run(runs % 4 * 0.002 + (step == Step.AFTER ? 0.5 : 0));
+                    cancels(cluster.nodes.get(first.name));
+                    cluster.run(1);
+                    early += cluster.toldCancelled.size();
+                    cluster.run(8);
+                    cluster.rules.calm();
+                    cluster.run(40);
+                    assertTrue(cluster.store.token() > token, at + ": nothing changed hands");
                     kept(at);
                 }
             }
@@ -209,39 +212,44 @@
         for (int seed = 0; seed < 8; seed++) {
             Random random = new Random(seed);
             busy();
-            long token = w.store.token();
+            long token = cluster.store.token();
             if (seed % 2 == 1) {
-                w.after(30 + random.nextInt(20), () -> w.store.outage(40));
+                cluster.after(30 + random.nextInt(20), () -> cluster.store.outage(40));
             }
             for (int i = 0; i < 10; i++) {
                 old =
-                        w.nodes.values().stream()
-                                .filter(n -> n.alive && n.controller.leadsWith() == w.store.token())
+                        cluster.nodes.values().stream()
+                                .filter(
+                                        node ->
+                                                node.alive
+                                                        && node.controller.leadsWith()
+                                                                == cluster.store.token())
                                 .findFirst()
                                 .orElse(old);
                 String id = "j-1" + i;
-                w.submit(
-                        w.nodes.get("k" + random.nextInt(3)),
+                cluster.submit(
+                        cluster.nodes.get("k" + random.nextInt(3)),
                         job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 2, 1));
                 double before = random.nextDouble() * 3;
-                w.run(before);
-                Change.values()[random.nextInt(5)].happens(w, old, 1 + random.nextInt(8));
-                w.run(random.nextInt(4) * random.nextDouble());
+                cluster.run(before);
+                Change.values()[random.nextInt(5)].happens(cluster, old, 1 + random.nextInt(8));
+                cluster.run(random.nextInt(4) * random.nextDouble());
                 if (i % 2 == 0) {
-                    w.users.cancel(w.nodes.get("k" + random.nextInt(3)), id);
+                    cluster.users.cancel(cluster.nodes.get("k" + random.nextInt(3)), id);
                 }
-                w.run(11.9 - before);
+                cluster.run(11.9 - before);
             }
-            changes += w.store.token() - token;
-            cancels(w.nodes.get("k0"));
-            w.run(10);
-            w.rules.calm();
-            w.run(110);
-            all += w.toldCancelled.size();
-            for (String id : w.accepted.keySet()) {
-                if (!w.toldCancelled.containsKey(id)) {
+            changes += cluster.store.token() - token;
+            cancels(cluster.nodes.get("k0"));
+            cluster.run(10);
+            cluster.rules.calm();
+            cluster.run(110);
+            all += cluster.toldCancelled.size();
+            for (String id : cluster.accepted.keySet()) {
+                if (!cluster.toldCancelled.containsKey(id)) {
                     assertTrue(
-                            w.onMachines(id) > 0 && w.status(w.leader(), id).equals("running"),
+                            cluster.onMachines(id) > 0
+                                    && cluster.status(cluster.leader(), id).equals("running"),
                             seed + ": " + id);
                 }
             }
@@ -253,8 +261,8 @@
     }
 
     private void launchesTake(double seconds, int[] on) {
-        SimulatedCluster.Reach usual = w.reach;
-        w.reach =
+        SimulatedCluster.Reach usual = cluster.reach;
+        cluster.reach =
                 new SimulatedCluster.Reach() {
                     @Override
                     public List<String> up() {
@@ -263,22 +271,23 @@
 
                     @Override
                     public void heartbeat(
-                            String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
+                            String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
                         usual.heartbeat(
                                 node,
-                                report,
-                                c -> {
+                                heartbeat,
+                                response -> {
                                     boolean held =
                                             on[0] >= 0
-                                                    && c.orders().stream()
+                                                    && response.orders().stream()
                                                             .anyMatch(
-                                                                    o ->
-                                                                            o.verb()
+                                                                    command ->
+                                                                            command.verb()
                                                                                     == WorkerCommand
                                                                                             .Action
                                                                                             .START);
                                     on[0] += held ? 1 : 0;
-                                    w.after(held ? seconds : 0, () -> answer.accept(c));
+                                    cluster.after(
+                                            held ? seconds : 0, () -> answer.accept(response));
                                 });
                     }
                 };
@@ -298,15 +307,15 @@
                 launchesTake(heldS, on);
                 SimulatedNode first = fresh(runs % 3);
                 for (int ms = 0; ms < 3000 && on[0] == 0; ms++) {
-                    w.run(0.001);
+                    cluster.run(0.001);
                 }
                 assertTrue(on[0] > 0, "no launch is under way");
-                change.happens(w, old, 8);
+                change.happens(cluster, old, 8);
                 cancels(first);
-                w.run(4);
+                cluster.run(4);
                 on[0] = -1;
-                all += w.toldCancelled.size();
-                w.run(55);
+                all += cluster.toldCancelled.size();
+                cluster.run(55);
                 kept(change + ", held for " + heldS);
             }
         }
@@ -336,42 +345,48 @@
                     SimulatedNode first = fresh(through);
                     // Of some, or all, of the others the old holder hears nothing any more.
                     List<SimulatedNode> silent =
-                            w.nodes.values().stream()
+                            cluster.nodes.values().stream()
                                     .filter(
-                                            n ->
-                                                    n != old
+                                            node ->
+                                                    node != old
                                                             && (runs % 3 == 2
-                                                                    || runs % 3 == 1 && n == first))
+                                                                    || runs % 3 == 1
+                                                                            && node == first))
                                     .toList();
-                    silent.forEach(n -> n.cutFrom.add(old.name));
+                    silent.forEach(node -> node.cutFrom.add(old.name));
                     Predicate<Transaction> ends =
-                            t ->
-                                    t.writes().stream()
-                                            .anyMatch(x -> x.key().startsWith(StoreKeys.OVER));
-                    w.store.unheard = t -> fate == 1 && ends.test(t);
-                    w.store.late = t -> fate == 2 && ends.test(t) ? 0.6 : 0;
-                    w.after(0.002, () -> cancels(first));
+                            transaction ->
+                                    transaction.writes().stream()
+                                            .anyMatch(
+                                                    write ->
+                                                            write.key().startsWith(StoreKeys.OVER));
+                    cluster.store.unheard = transaction -> fate == 1 && ends.test(transaction);
+                    cluster.store.late =
+                            transaction -> fate == 2 && ends.test(transaction) ? 0.6 : 0;
+                    cluster.after(0.002, () -> cancels(first));
                     // Carried out and not answered: users are told by whom they ask.
-                    w.after(
+                    cluster.after(
                             0.95,
                             () ->
-                                    w.nodes.values().stream()
-                                            .filter(n -> n != old && n != first)
+                                    cluster.nodes.values().stream()
+                                            .filter(node -> node != old && node != first)
                                             .forEach(
-                                                    n ->
+                                                    node ->
                                                             CANCELLED.forEach(
-                                                                    id -> w.users.ask(n, id))));
-                    w.after(0.002 + ms / 1000.0, () -> old.cutFromStore = true);
-                    w.after(1.002 + ms / 1000.0, () -> w.store.outage(50));
-                    w.run(1.1);
-                    early += w.toldCancelled.size();
-                    assertTrue(w.store.out && old.cutFromStore, at);
-                    w.after(8, () -> old.cutFromStore = false);
-                    w.run(49);
-                    silent.forEach(n -> n.cutFrom.clear());
-                    w.run(2);
-                    w.rules.calm();
-                    w.run(60);
+                                                                    id ->
+                                                                            cluster.users.ask(
+                                                                                    node, id))));
+                    cluster.after(0.002 + ms / 1000.0, () -> old.cutFromStore = true);
+                    cluster.after(1.002 + ms / 1000.0, () -> cluster.store.outage(50));
+                    cluster.run(1.1);
+                    early += cluster.toldCancelled.size();
+                    assertTrue(cluster.store.out && old.cutFromStore, at);
+                    cluster.after(8, () -> old.cutFromStore = false);
+                    cluster.run(49);
+                    silent.forEach(node -> node.cutFrom.clear());
+                    cluster.run(2);
+                    cluster.rules.calm();
+                    cluster.run(60);
                     kept(at);
                 }
             }
@@ -398,7 +413,7 @@
                         + runs
                         + " days");
         assertTrue(
-                latestS < w.leader().controller.leadership.lifeS() / 5 + 0.02,
+                latestS < cluster.leader().controller.leadership.lifeS() / 5 + 0.02,
                 "the last after " + latestS);
         assertTrue(tooLate <= told / 20, tooLate + " starts after users were told, of " + told);
     }
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -21,35 +21,36 @@
 
 /** Cells that hand work to each other, and what breaks between them. */
 class CellsTest {
-    private final MultiCellSimulation c =
+    private final MultiCellSimulation simulation =
             new MultiCellSimulation(11, List.of("east", "west"), List.of());
 
     @AfterEach
     void rules() {
-        assertEquals(List.of(), c.broken());
+        assertEquals(List.of(), simulation.broken());
     }
 
     private void settled(int east, int west) {
-        c.cell("east", 2, east);
-        c.cell("west", 2, west);
-        c.run(12);
+        simulation.cell("east", 2, east);
+        simulation.cell("west", 2, west);
+        simulation.run(12);
     }
 
     private String array(int n, int tasks) {
-        String id = c.id("east", n);
-        c.submitSurely("east", job(id, Shape.ARRAY, tasks, 1));
+        String id = simulation.id("east", n);
+        simulation.submitSurely("east", job(id, Shape.ARRAY, tasks, 1));
         return id;
     }
 
     private long inWest(String id) {
-        return c.world("west").onMachines(id);
+        return simulation.world("west").onMachines(id);
     }
 
     private void allDone(String... ids) {
         for (String id : ids) {
-            c.until(200, () -> c.status(c.any("east"), id).equals("done"));
+            simulation.until(
+                    200, () -> simulation.status(simulation.any("east"), id).equals("done"));
         }
-        c.until(60, () -> c.leftovers().isEmpty());
+        simulation.until(60, () -> simulation.leftovers().isEmpty());
     }
 
     @Test
@@ -58,17 +59,17 @@
         // Forty tasks of twenty seconds on four CPUs would take two hundred; goals are at a
         // hundred.
         String id = array(1, 40);
-        c.until(20, () -> inWest(id) > 0);
+        simulation.until(20, () -> inWest(id) > 0);
         allDone(id);
-        assertTrue(c.clock.now < 100 + 12 + 120, "took until " + c.clock.now);
+        assertTrue(simulation.clock.now < 100 + 12 + 120, "took until " + simulation.clock.now);
     }
 
     @Test
     void aGangThatFitsOnlyElsewhereStartsThereWhole() {
         settled(1, 6);
-        String id = c.id("east", 1);
-        c.submitSurely("east", job(id, Shape.GANG, 5, 4));
-        c.until(150, () -> inWest(id) == 5);
+        String id = simulation.id("east", 1);
+        simulation.submitSurely("east", job(id, Shape.GANG, 5, 4));
+        simulation.until(150, () -> inWest(id) == 5);
         allDone(id);
     }
 
@@ -77,51 +78,67 @@
         settled(2, 2);
         for (int i = 1; i <= 4; i++) {
             array(i, 40);
-            c.submitSurely("west", job(c.id("west", i), Shape.ARRAY, 40, 1));
+            simulation.submitSurely("west", job(simulation.id("west", i), Shape.ARRAY, 40, 1));
         }
-        c.run(60);
+        simulation.run(60);
         long lent = lent("east") + lent("west");
         assertTrue(lent <= 2, lent + " hand-overs between two full cells");
     }
 
     private long lent(String cell) {
-        return (long) c.leader(cell).controller.figures().get("cells.lent").value().getAsDouble();
+        return (long)
+                simulation
+                        .leader(cell)
+                        .controller
+                        .figures()
+                        .get("cells.lent")
+                        .value()
+                        .getAsDouble();
     }
 
     @Test
     void anyCellsNodesAnswerForTheJobsHome() {
         settled(2, 2);
-        String id = c.id("east", 1);
-        assertEquals(Verdict.CREATED, c.submit(c.any("west"), job(id, Shape.ARRAY, 2, 1)));
-        assertEquals(Verdict.KNOWN, c.submit(c.any("east"), job(id, Shape.ARRAY, 2, 1)));
-        assertEquals(Verdict.KNOWN, c.submit(c.any("west"), job(id, Shape.ARRAY, 2, 1)));
-        c.until(60, () -> c.status(c.any("west"), id).equals("done"));
-        assertEquals("NOT_FOUND", c.status(c.any("west"), c.id("east", 9)));
-        c.cutBetween("east", "west");
-        assertEquals("no answer", c.status(c.any("west"), c.id("east", 9)));
-        assertEquals("done", c.status(c.any("east"), id));
+        String id = simulation.id("east", 1);
+        assertEquals(
+                Verdict.CREATED,
+                simulation.submit(simulation.any("west"), job(id, Shape.ARRAY, 2, 1)));
+        assertEquals(
+                Verdict.KNOWN,
+                simulation.submit(simulation.any("east"), job(id, Shape.ARRAY, 2, 1)));
+        assertEquals(
+                Verdict.KNOWN,
+                simulation.submit(simulation.any("west"), job(id, Shape.ARRAY, 2, 1)));
+        simulation.until(60, () -> simulation.status(simulation.any("west"), id).equals("done"));
+        assertEquals(
+                "NOT_FOUND", simulation.status(simulation.any("west"), simulation.id("east", 9)));
+        simulation.cutBetween("east", "west");
+        assertEquals(
+                "no answer", simulation.status(simulation.any("west"), simulation.id("east", 9)));
+        assertEquals("done", simulation.status(simulation.any("east"), id));
     }
 
     @Test
     void anOfferThatComesAfterTheLoanIsOverStartsNothing() {
         settled(1, 10);
         boolean[] copy = {true};
-        c.keeps = m -> m instanceof LoanOffer && copy[0];
+        simulation.keeps = message -> message instanceof LoanOffer && copy[0];
         String id = array(1, 40);
-        c.until(20, () -> c.kept.size() >= 2);
+        simulation.until(20, () -> simulation.kept.size() >= 2);
         copy[0] = false;
         allDone(id);
-        c.run(10);
+        simulation.run(10);
         long started = started();
-        c.kept.forEach(Runnable::run);
-        c.run(60);
+        simulation.kept.forEach(Runnable::run);
+        simulation.run(60);
         assertEquals(started, started());
-        assertEquals(List.of(), c.leftovers());
+        assertEquals(List.of(), simulation.leftovers());
         // Nor when another holder, who knows only the records, gets it.
-        List.copyOf(c.world("west").nodes.values()).forEach(n -> c.restart(n, 5));
-        c.run(20);
-        c.kept.forEach(Runnable::run);
-        c.run(60);
+        List.copyOf(simulation.world("west").nodes.values())
+                .forEach(node -> simulation.restart(node, 5));
+        simulation.run(20);
+        simulation.kept.forEach(Runnable::run);
+        simulation.run(60);
         assertEquals(started, started());
     }
 
@@ -129,26 +146,32 @@
     void anEndedLoanStaysVoidWhileAnOlderOneIsOut() {
         settled(1, 10);
         array(1, 4);
-        String service = c.id("east", 2);
-        c.submitSurely("east", job(service, Shape.SERVICE, 6, 4));
-        c.until(200, () -> inWest(service) == 6);
+        String service = simulation.id("east", 2);
+        simulation.submitSurely("east", job(service, Shape.SERVICE, 6, 4));
+        simulation.until(200, () -> inWest(service) == 6);
         boolean[] copy = {true};
-        c.keeps = m -> m instanceof LoanOffer o && !o.job().id().equals(service) && copy[0];
+        simulation.keeps =
+                message ->
+                        message instanceof LoanOffer offer
+                                && !offer.job().id().equals(service)
+                                && copy[0];
         String id = array(3, 40);
-        c.until(20, () -> c.kept.size() >= 2);
+        simulation.until(20, () -> simulation.kept.size() >= 2);
         copy[0] = false;
-        c.until(200, () -> c.status(c.any("east"), id).equals("done"));
-        c.run(20);
+        simulation.until(200, () -> simulation.status(simulation.any("east"), id).equals("done"));
+        simulation.run(20);
         for (int i = 0; i < 2; i++) {
-            c.kept.forEach(Runnable::run);
+            simulation.kept.forEach(Runnable::run);
             for (int k = 0; k < 20; k++) {
-                c.run(0.5);
-                assertEquals(0, c.onMachines(id));
+                simulation.run(0.5);
+                assertEquals(0, simulation.onMachines(id));
             }
-            List.copyOf(c.world("west").nodes.values()).forEach(n -> c.restart(n, 5));
-            c.run(15);
+            List.copyOf(simulation.world("west").nodes.values())
+                    .forEach(node -> simulation.restart(node, 5));
+            simulation.run(15);
         }
-        c.until(60, () -> c.cancel(c.any("east"), service).equals("cancelled"));
+        simulation.until(
+                60, () -> simulation.cancel(simulation.any("east"), service).equals("cancelled"));
     }
 
     @Test
@@ -156,15 +179,21 @@
         settled(1, 10);
         // The write of the loan gets lost with the holder that made it; its successor knows nothing
         // of it.
-        c.world("east").store.withheld =
-                t -> t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/lent/"));
+        simulation.world("east").store.withheld =
+                transaction ->
+                        transaction.writes().stream()
+                                .anyMatch(write -> write.key().startsWith("jobs/lent/"));
         String id = array(1, 40);
-        c.run(6);
-        assertTrue(c.world("east").store.heldBack.size() > 0);
-        c.restart(c.leader("east"), 5);
-        c.world("east").store.withheld = t -> false;
-        c.run(8);
-        c.world("east").store.heldBack.forEach(t -> c.world("east").store.execute(t));
+        simulation.run(6);
+        assertTrue(simulation.world("east").store.heldBack.size() > 0);
+        simulation.restart(simulation.leader("east"), 5);
+        simulation.world("east").store.withheld = transaction -> false;
+        simulation.run(8);
+        simulation
+                .world("east")
+                .store
+                .heldBack
+                .forEach(transaction -> simulation.world("east").store.execute(transaction));
         allDone(id);
     }
 
@@ -172,24 +201,27 @@
     void nothingIsSaidToHaveStoppedThatIsNotWritten() {
         settled(1, 10);
         String id = array(1, 40);
-        c.until(20, () -> inWest(id) > 0);
-        c.world("west").store.withheld =
-                t -> t.writes().stream().anyMatch(w -> w.key().startsWith("jobs/guest/"));
-        c.cancel(c.any("east"), id);
-        c.run(5);
-        assertEquals("LATER", c.cancel(c.any("east"), id));
-        c.restart(c.leader("west"), 5);
-        c.world("west").store.withheld = t -> false;
-        c.until(60, () -> c.cancel(c.any("east"), id).equals("cancelled"));
-        c.run(31);
-        assertEquals(0, c.onMachines(id));
-        c.until(60, () -> c.leftovers().isEmpty());
+        simulation.until(20, () -> inWest(id) > 0);
+        simulation.world("west").store.withheld =
+                transaction ->
+                        transaction.writes().stream()
+                                .anyMatch(write -> write.key().startsWith("jobs/guest/"));
+        simulation.cancel(simulation.any("east"), id);
+        simulation.run(5);
+        assertEquals("LATER", simulation.cancel(simulation.any("east"), id));
+        simulation.restart(simulation.leader("west"), 5);
+        simulation.world("west").store.withheld = transaction -> false;
+        simulation.until(
+                60, () -> simulation.cancel(simulation.any("east"), id).equals("cancelled"));
+        simulation.run(31);
+        assertEquals(0, simulation.onMachines(id));
+        simulation.until(60, () -> simulation.leftovers().isEmpty());
     }
 
     private long started() {
-        return c.worlds.values().stream()
-                .flatMap(w -> w.workers.values().stream())
-                .mapToLong(w -> w.started)
+        return simulation.worlds.values().stream()
+                .flatMap(cluster -> cluster.workers.values().stream())
+                .mapToLong(worker -> worker.started)
                 .sum();
     }
 
@@ -197,41 +229,43 @@
     void anOfferThatWasRefusedCannotBeTakenLater() {
         settled(1, 10);
         boolean[] copy = {true};
-        c.keeps = m -> m instanceof LoanOffer && copy[0];
+        simulation.keeps = message -> message instanceof LoanOffer && copy[0];
         String id = array(1, 40);
-        c.until(20, () -> !c.kept.isEmpty());
-        c.leader("west").controller.cells().drain(true);
+        simulation.until(20, () -> !simulation.kept.isEmpty());
+        simulation.leader("west").controller.cells().drain(true);
         copy[0] = false;
-        c.run(5);
+        simulation.run(5);
         long taken =
                 (long)
-                        c.leader("west")
+                        simulation
+                                .leader("west")
                                 .controller
                                 .figures()
                                 .get("cells.taken")
                                 .value()
                                 .getAsDouble();
-        c.restart(c.leader("west"), 1);
-        c.until(
+        simulation.restart(simulation.leader("west"), 1);
+        simulation.until(
                 10,
                 () ->
-                        c.world("west").nodes.values().stream()
+                        simulation.world("west").nodes.values().stream()
                                 .anyMatch(
-                                        n ->
-                                                n.alive
-                                                        && n.controller.leadership.leading()
-                                                        && n.controller.keeper.loaded()));
-        c.run(5);
-        c.kept.forEach(Runnable::run);
-        c.kept.forEach(Runnable::run);
-        c.run(0.5);
+                                        node ->
+                                                node.alive
+                                                        && node.controller.leadership.leading()
+                                                        && node.controller.stateWriter.loaded()));
+        simulation.run(5);
+        simulation.kept.forEach(Runnable::run);
+        simulation.kept.forEach(Runnable::run);
+        simulation.run(0.5);
         assertEquals(0, taken);
-        for (CellMessage m : c.keptMessages) {
+        for (CellMessage message : simulation.keptMessages) {
             assertTrue(
-                    !c.world("west")
+                    !simulation
+                            .world("west")
                             .store
                             .keys
-                            .containsKey(StoreKeys.guest("east", ((LoanOffer) m).number())));
+                            .containsKey(StoreKeys.guest("east", ((LoanOffer) message).number())));
         }
         allDone(id);
     }
@@ -240,7 +274,11 @@
     void aLostYesIsAskedForAgainThroughAnotherNode() {
         settled(1, 10);
         int[] n = new int[1];
-        c.loses = m -> m instanceof LoanStatus w && w.standing() == LoanState.TAKEN && n[0]++ < 3;
+        simulation.loses =
+                message ->
+                        message instanceof LoanStatus status
+                                && status.standing() == LoanState.TAKEN
+                                && n[0]++ < 3;
         allDone(array(1, 40));
         assertTrue(n[0] >= 3, "lost " + n[0]);
     }
@@ -249,11 +287,11 @@
     void aLostEndIsSaidAgainAndSettledOnce() {
         settled(1, 10);
         int[] n = new int[1];
-        c.loses =
-                m ->
-                        (m instanceof LoanSettled
-                                        || m instanceof LoanStatus w
-                                                && w.standing() == LoanState.DONE)
+        simulation.loses =
+                message ->
+                        (message instanceof LoanSettled
+                                        || message instanceof LoanStatus status
+                                                && status.standing() == LoanState.DONE)
                                 && n[0]++ < 6;
         allDone(array(1, 40));
         assertTrue(n[0] >= 6, "lost " + n[0]);
@@ -263,25 +301,25 @@
     void cellsPartInTheMiddleAndNothingIsLostOrDoubled() {
         settled(1, 10);
         String id = array(1, 40);
-        c.until(20, () -> inWest(id) > 0);
-        c.cutBetween("east", "west");
-        c.run(300);
+        simulation.until(20, () -> inWest(id) > 0);
+        simulation.cutBetween("east", "west");
+        simulation.run(300);
         // What was lent is out, however long nothing is heard of it.
-        assertNotEquals("done", c.status(c.any("east"), id));
-        c.cut.clear();
+        assertNotEquals("done", simulation.status(simulation.any("east"), id));
+        simulation.cut.clear();
         allDone(id);
     }
 
     @Test
     void aCutOneWayIsAsGoodAsBoth() {
         settled(1, 10);
-        c.cut.add("west>east");
+        simulation.cut.add("west>east");
         String id = array(1, 40);
-        c.run(40);
-        c.cut.clear();
-        c.cut.add("east>west");
-        c.run(40);
-        c.cut.clear();
+        simulation.run(40);
+        simulation.cut.clear();
+        simulation.cut.add("east>west");
+        simulation.run(40);
+        simulation.cut.clear();
         allDone(id);
     }
 
@@ -289,53 +327,62 @@
     void aCancellationWaitsForTheOtherCellsWord() {
         settled(1, 10);
         String id = array(1, 40);
-        c.until(20, () -> inWest(id) > 0);
-        c.cutBetween("east", "west");
-        assertEquals("LATER", c.cancel(c.any("east"), id));
-        c.run(60);
-        assertEquals("LATER", c.cancel(c.any("east"), id));
-        assertEquals(0, c.world("east").onMachines(id));
-        c.cut.clear();
-        c.until(30, () -> c.cancel(c.any("east"), id).equals("cancelled"));
-        c.run(31);
-        assertEquals(0, c.onMachines(id));
-        c.until(60, () -> c.leftovers().isEmpty());
+        simulation.until(20, () -> inWest(id) > 0);
+        simulation.cutBetween("east", "west");
+        assertEquals("LATER", simulation.cancel(simulation.any("east"), id));
+        simulation.run(60);
+        assertEquals("LATER", simulation.cancel(simulation.any("east"), id));
+        assertEquals(0, simulation.world("east").onMachines(id));
+        simulation.cut.clear();
+        simulation.until(
+                30, () -> simulation.cancel(simulation.any("east"), id).equals("cancelled"));
+        simulation.run(31);
+        assertEquals(0, simulation.onMachines(id));
+        simulation.until(60, () -> simulation.leftovers().isEmpty());
     }
 
     @Test
     void aCancellationInTheMomentOfTheOfferIsOneOrTheOther() {
         for (int i = 1; i <= 6; i++) {
-            MultiCellSimulation x =
+            MultiCellSimulation simulation =
                     new MultiCellSimulation(20 + i, List.of("east", "west"), List.of());
-            x.cell("east", 2, 1);
-            x.cell("west", 2, 10);
-            x.run(12);
-            String id = x.id("east", 1);
-            x.submitSurely("east", job(id, Shape.ARRAY, 40, 1));
+            simulation.cell("east", 2, 1);
+            simulation.cell("west", 2, 10);
+            simulation.run(12);
+            String id = simulation.id("east", 1);
+            simulation.submitSurely("east", job(id, Shape.ARRAY, 40, 1));
             int at = i;
             int[] n = new int[1];
             boolean[] now = new boolean[1];
-            x.onLoanWrites((cell, by, t) -> now[0] |= ++n[0] == at);
+            simulation.onLoanWrites((cell, node, transaction) -> now[0] |= ++n[0] == at);
             for (int k = 0; k < 4000 && !now[0]; k++) {
-                x.run(0.002);
+                simulation.run(0.002);
             }
-            x.until(60, () -> x.cancel(x.any("east"), id).equals("cancelled"));
-            x.run(31);
-            assertEquals(0, x.onMachines(id));
-            x.until(60, () -> x.leftovers().isEmpty());
-            assertEquals(List.of(), x.broken());
+            simulation.until(
+                    60, () -> simulation.cancel(simulation.any("east"), id).equals("cancelled"));
+            simulation.run(31);
+            assertEquals(0, simulation.onMachines(id));
+            simulation.until(60, () -> simulation.leftovers().isEmpty());
+            assertEquals(List.of(), simulation.broken());
         }
     }
 
     @Test
     void aCellThatIsSilentCostsTheOthersNothingButItsRoom() {
         settled(4, 10);
-        c.world("west").nodes.values().forEach(SimulatedNode::crash);
-        c.run(30);
+        simulation.world("west").nodes.values().forEach(SimulatedNode::crash);
+        simulation.run(30);
         String id = array(1, 8);
-        c.until(40, () -> c.status(c.any("east"), id).equals("done"));
+        simulation.until(40, () -> simulation.status(simulation.any("east"), id).equals("done"));
         assertEquals(
-                1, c.leader("east").controller.figures().get("cells.silent").value().getAsDouble());
+                1,
+                simulation
+                        .leader("east")
+                        .controller
+                        .figures()
+                        .get("cells.silent")
+                        .value()
+                        .getAsDouble());
         assertEquals(0, lent("east"));
     }
 
@@ -343,10 +390,11 @@
     void aCellThatEndsWholeKeepsWhatItWasLentAndGoesOnWithIt() {
         settled(1, 10);
         String id = array(1, 40);
-        c.until(20, () -> inWest(id) > 0);
-        List.copyOf(c.world("west").nodes.values()).forEach(n -> c.restart(n, 60));
-        c.run(50);
-        assertNotEquals("done", c.status(c.any("east"), id));
+        simulation.until(20, () -> inWest(id) > 0);
+        List.copyOf(simulation.world("west").nodes.values())
+                .forEach(node -> simulation.restart(node, 60));
+        simulation.run(50);
+        assertNotEquals("done", simulation.status(simulation.any("east"), id));
         allDone(id);
     }
 
@@ -354,9 +402,9 @@
     void theStoreOfTheOtherCellIsAwayForAMinute() {
         settled(1, 10);
         String id = array(1, 40);
-        c.until(20, () -> inWest(id) > 0);
-        c.world("west").store.outage(60);
-        c.run(60);
+        simulation.until(20, () -> inWest(id) > 0);
+        simulation.world("west").store.outage(60);
+        simulation.run(60);
         allDone(id);
     }
 
@@ -364,10 +412,10 @@
     void aFrozenHolderGoesOnAfterItsSuccessorBeganAndChangesNothing() {
         settled(1, 10);
         String id = array(1, 40);
-        c.until(20, () -> inWest(id) > 0);
-        c.leader("east").frozenUntil = c.clock.now + 25;
-        c.leader("west").frozenUntil = c.clock.now + 30;
-        c.run(40);
+        simulation.until(20, () -> inWest(id) > 0);
+        simulation.leader("east").frozenUntil = simulation.clock.now + 25;
+        simulation.leader("west").frozenUntil = simulation.clock.now + 30;
+        simulation.run(40);
         allDone(id);
     }
 
@@ -375,34 +423,35 @@
     void aServiceRunsElsewhereUntilItIsCancelled() {
         settled(1, 10);
         String full = array(1, 4);
-        String id = c.id("east", 2);
-        c.world("west").workers.values().forEach(w -> w.runsFor = 1e6);
-        c.submitSurely("east", job(id, Shape.SERVICE, 6, 4));
-        c.until(200, () -> inWest(id) == 6);
-        c.until(60, () -> c.cancel(c.any("west"), id).equals("cancelled"));
-        c.run(31);
-        assertEquals(0, c.onMachines(id));
-        c.until(60, () -> c.status(c.any("east"), full).equals("done"));
+        String id = simulation.id("east", 2);
+        simulation.world("west").workers.values().forEach(worker -> worker.runsFor = 1e6);
+        simulation.submitSurely("east", job(id, Shape.SERVICE, 6, 4));
+        simulation.until(200, () -> inWest(id) == 6);
+        simulation.until(
+                60, () -> simulation.cancel(simulation.any("west"), id).equals("cancelled"));
+        simulation.run(31);
+        assertEquals(0, simulation.onMachines(id));
+        simulation.until(60, () -> simulation.status(simulation.any("east"), full).equals("done"));
     }
 
     @Test
     void aDrainedCellGivesBackWhatHasNotBegun() {
         settled(1, 10);
         String id = array(1, 40);
-        c.until(20, () -> inWest(id) > 0);
-        c.leader("west").controller.cells().drain(true);
+        simulation.until(20, () -> inWest(id) > 0);
+        simulation.leader("west").controller.cells().drain(true);
         allDone(id);
-        assertEquals(0, c.world("west").onMachines(id));
+        assertEquals(0, simulation.world("west").onMachines(id));
     }
 
     @Test
     void aDrainedHomeHandsOverWhatWaits() {
         settled(1, 10);
         String id = array(1, 12);
-        c.run(4);
+        simulation.run(4);
         assertEquals(0, inWest(id), "it would be in time at home");
-        c.leader("east").controller.cells().drain(true);
-        c.until(10, () -> inWest(id) > 0);
+        simulation.leader("east").controller.cells().drain(true);
+        simulation.until(10, () -> inWest(id) > 0);
         allDone(id);
     }
 
@@ -425,13 +474,14 @@
     }
 
     private static int handOver(int at, String who) {
-        MultiCellSimulation x = new MultiCellSimulation(5, List.of("east", "west"), List.of());
-        x.cell("east", 2, 1);
-        x.cell("west", 2, 10);
-        x.run(12);
+        MultiCellSimulation simulation =
+                new MultiCellSimulation(5, List.of("east", "west"), List.of());
+        simulation.cell("east", 2, 1);
+        simulation.cell("west", 2, 10);
+        simulation.run(12);
         int[] n = new int[1];
-        x.onLoanWrites(
-                (cell, by, t) -> {
+        simulation.onLoanWrites(
+                (cell, by, transaction) -> {
                     if (++n[0] == at) {
                         for (String of : List.of("east", "west")) {
                             boolean ends =
@@ -440,17 +490,17 @@
                                             || who.equals("home") && of.equals("east")
                                             || who.equals("other") && of.equals("west");
                             if (ends) {
-                                SimulatedNode l = of.equals(cell) ? by : x.leader(of);
-                                x.restart(l, 8);
+                                SimulatedNode l = of.equals(cell) ? by : simulation.leader(of);
+                                simulation.restart(l, 8);
                             }
                         }
                     }
                 });
-        String id = x.id("east", 1);
-        x.submitSurely("east", job(id, Shape.ARRAY, 40, 1));
-        x.until(300, () -> x.status(x.any("east"), id).equals("done"));
-        x.until(90, () -> x.leftovers().isEmpty());
-        assertEquals(List.of(), x.broken(), "after write " + at + " of " + who);
+        String id = simulation.id("east", 1);
+        simulation.submitSurely("east", job(id, Shape.ARRAY, 40, 1));
+        simulation.until(300, () -> simulation.status(simulation.any("east"), id).equals("done"));
+        simulation.until(90, () -> simulation.leftovers().isEmpty());
+        assertEquals(List.of(), simulation.broken(), "after write " + at + " of " + who);
         return n[0];
     }
 
@@ -458,38 +508,42 @@
     @Test
     void aBadNetworkBetweenCellsLosesAndDoublesNothing() {
         for (int seed = 1; seed <= 8; seed++) {
-            MultiCellSimulation x =
+            MultiCellSimulation simulation =
                     new MultiCellSimulation(seed, List.of("east", "west"), List.of("spare"));
-            x.lost = 0.2;
-            x.doubled = 0.2;
-            x.late = 0.1;
-            x.cell("east", 2, 2);
-            x.cell("west", 2, 3);
-            x.cell("spare", 2, 8);
-            x.run(15);
+            simulation.lost = 0.2;
+            simulation.doubled = 0.2;
+            simulation.late = 0.1;
+            simulation.cell("east", 2, 2);
+            simulation.cell("west", 2, 3);
+            simulation.cell("spare", 2, 8);
+            simulation.run(15);
             List<String> ids = new java.util.ArrayList<>();
             for (int i = 1; i <= 6; i++) {
                 String home = i % 3 == 0 ? "west" : "east";
-                String id = x.id(home, i);
+                String id = simulation.id(home, i);
                 ids.add(id);
-                x.submitSurely(
+                simulation.submitSurely(
                         home, i % 3 == 1 ? job(id, Shape.GANG, 3, 4) : job(id, Shape.ARRAY, 30, 1));
-                x.run(3);
+                simulation.run(3);
             }
-            x.run(10);
+            simulation.run(10);
             String gone = ids.get(1);
-            x.until(
+            simulation.until(
                     120,
-                    () -> List.of("cancelled", "done").contains(x.cancel(x.any("east"), gone)));
+                    () ->
+                            List.of("cancelled", "done")
+                                    .contains(simulation.cancel(simulation.any("east"), gone)));
             for (String id : ids) {
-                String home = x.world("east").directory.home(id);
-                x.until(
+                String home = simulation.world("east").cellDirectory.home(id);
+                simulation.until(
                         400,
-                        () -> List.of("done", "cancelled").contains(x.status(x.any(home), id)));
+                        () ->
+                                List.of("done", "cancelled")
+                                        .contains(simulation.status(simulation.any(home), id)));
             }
-            x.run(100);
-            assertEquals(List.of(), x.broken(), "seed " + seed);
-            x.until(120, () -> x.leftovers().isEmpty());
+            simulation.run(100);
+            assertEquals(List.of(), simulation.broken(), "seed " + seed);
+            simulation.until(120, () -> simulation.leftovers().isEmpty());
         }
     }
 }
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -37,70 +37,73 @@
      * From the moment in which the store has it that a job is accepted or over, so also before any
      * user was told.
      */
-    private void storm(SimulatedCluster w, Random random) {
-        w.store.written =
-                (by, t) ->
-                        t.writes().stream()
+    private void storm(SimulatedCluster cluster, Random random) {
+        cluster.store.written =
+                (client, transaction) ->
+                        transaction.writes().stream()
                                 .filter(
-                                        x ->
-                                                x.value() != null
-                                                        && (x.key().startsWith(StoreKeys.OPEN)
-                                                                || x.key()
+                                        write ->
+                                                write.value() != null
+                                                        && (write.key().startsWith(StoreKeys.OPEN)
+                                                                || write.key()
                                                                         .startsWith(
                                                                                 StoreKeys.OVER)))
                                 .forEach(
-                                        x -> {
+                                        write -> {
                                             String id =
-                                                    x.key().substring(x.key().lastIndexOf('/') + 1);
-                                            if (w.specs.containsKey(id)) {
-                                                around(w, id, random);
+                                                    write.key()
+                                                            .substring(
+                                                                    write.key().lastIndexOf('/')
+                                                                            + 1);
+                                            if (cluster.specs.containsKey(id)) {
+                                                around(cluster, id, random);
                                             }
                                         });
     }
 
-    private void around(SimulatedCluster w, String id, Random random) {
-        for (String k : w.siblings) {
+    private void around(SimulatedCluster cluster, String id, Random random) {
+        for (String key : cluster.siblings) {
             for (int i = 0; i <= TIMES; i++) {
                 boolean repeats = i == TIMES;
-                w.after(
+                cluster.after(
                         (repeats ? random.nextDouble() * TIMES : i + random.nextDouble()) * EVERY_S,
                         () -> {
-                            SimulatedNode n = w.nodes.get(k);
-                            if (n.alive && repeats) {
-                                w.users.repeat(n, id);
-                            } else if (n.alive) {
-                                w.users.ask(n, id);
+                            SimulatedNode node = cluster.nodes.get(key);
+                            if (node.alive && repeats) {
+                                cluster.users.repeat(node, id);
+                            } else if (node.alive) {
+                                cluster.users.ask(node, id);
                             }
-                            questions += n.alive ? 1 : 0;
+                            questions += node.alive ? 1 : 0;
                         });
             }
         }
     }
 
-    private static void kill(SimulatedCluster w, SimulatedNode n, double backAfterS) {
-        if (n.alive) {
-            n.kill();
-            w.after(backAfterS, () -> w.node(n.name));
+    private static void kill(SimulatedCluster cluster, SimulatedNode node, double backAfterS) {
+        if (node.alive) {
+            node.kill();
+            cluster.after(backAfterS, () -> cluster.node(node.name));
         }
     }
 
     /** All that was accepted ends, and every node says so. */
-    private static void ends(SimulatedCluster w, double seconds, String at) {
-        w.store.written = (by, t) -> {};
-        w.store.unheard = t -> false;
-        w.latencyS = null;
-        w.run(1);
-        w.rules.calm();
-        w.run(seconds);
-        for (String id : w.accepted.keySet()) {
-            for (String k : w.siblings) {
-                String status = w.status(w.nodes.get(k), id);
+    private static void ends(SimulatedCluster cluster, double seconds, String at) {
+        cluster.store.written = (client, transaction) -> {};
+        cluster.store.unheard = transaction -> false;
+        cluster.latencyS = null;
+        cluster.run(1);
+        cluster.rules.calm();
+        cluster.run(seconds);
+        for (String id : cluster.accepted.keySet()) {
+            for (String key : cluster.siblings) {
+                String status = cluster.status(cluster.nodes.get(key), id);
                 assertTrue(
                         List.of("done", "cancelled").contains(status),
                         at + ": " + id + " is " + status);
             }
         }
-        assertEquals(List.of(), w.broken, at);
+        assertEquals(List.of(), cluster.broken, at);
     }
 
     /**
@@ -113,47 +116,50 @@
         int cancelled = 0;
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            SimulatedCluster w = settled(3, 4);
-            w.closeLooks = true;
-            w.runsFor = id -> 1 + Math.floorMod(id.hashCode(), 4);
-            w.latencyS = () -> 0.001 + random.nextDouble() * (random.nextInt(12) == 0 ? 0.6 : 0.01);
-            w.store.unheard =
-                    t -> {
-                        boolean no = !t.writes().isEmpty() && random.nextInt(12) == 0;
+            SimulatedCluster cluster = settled(3, 4);
+            cluster.closeLooks = true;
+            cluster.runsFor = id -> 1 + Math.floorMod(id.hashCode(), 4);
+            cluster.latencyS =
+                    () -> 0.001 + random.nextDouble() * (random.nextInt(12) == 0 ? 0.6 : 0.01);
+            cluster.store.unheard =
+                    transaction -> {
+                        boolean no = !transaction.writes().isEmpty() && random.nextInt(12) == 0;
                         lost += no ? 1 : 0;
                         return no;
                     };
-            w.cancelsAtEnd = t -> Math.floorMod(t.job.hashCode(), 3) == 0;
-            storm(w, random);
+            cluster.cancelsAtEnd = task -> Math.floorMod(task.job.hashCode(), 3) == 0;
+            storm(cluster, random);
             for (int i = 0; i < 10; i++) {
                 String id = "j-" + (100 + i);
-                w.specs.put(
+                cluster.specs.put(
                         id,
                         job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(2), 1));
-                w.users.repeat(w.nodes.get("k" + random.nextInt(3)), id);
+                cluster.users.repeat(cluster.nodes.get("k" + random.nextInt(3)), id);
                 if (random.nextInt(3) == 0) {
-                    SimulatedNode n = w.nodes.get("k" + random.nextInt(3));
-                    w.after(
+                    SimulatedNode node = cluster.nodes.get("k" + random.nextInt(3));
+                    cluster.after(
                             random.nextDouble() * 0.05,
-                            () -> w.users.cancel(w.nodes.get(n.name), id));
+                            () -> cluster.users.cancel(cluster.nodes.get(node.name), id));
                 }
-                SimulatedNode n = w.nodes.get("k" + random.nextInt(3));
+                SimulatedNode node = cluster.nodes.get("k" + random.nextInt(3));
                 switch (random.nextInt(6)) {
                     case 0 ->
-                            w.after(
+                            cluster.after(
                                     random.nextDouble() * 0.1,
-                                    () -> kill(w, w.nodes.get(n.name), 0.3));
+                                    () -> kill(cluster, cluster.nodes.get(node.name), 0.3));
                     case 1 ->
-                            w.after(
+                            cluster.after(
                                     random.nextDouble() * 0.1,
-                                    () -> n.frozenUntil = w.clock.now + random.nextDouble());
+                                    () ->
+                                            node.frozenUntil =
+                                                    cluster.clock.now + random.nextDouble());
                     default -> {}
                 }
-                w.run(0.4 + random.nextDouble());
+                cluster.run(0.4 + random.nextDouble());
             }
-            ends(w, 30, "seed " + seed);
-            accepted += w.accepted.size();
-            cancelled += w.toldCancelled.size();
+            ends(cluster, 30, "seed " + seed);
+            accepted += cluster.accepted.size();
+            cancelled += cluster.toldCancelled.size();
         }
         System.out.println(
                 "close looks: "
@@ -177,23 +183,24 @@
         int told = 0;
         for (int holds = 0; holds < 2; holds++) {
             for (int ms = 0; ms <= 40; ms += 2) {
-                SimulatedCluster w = settled(3, 2);
-                w.closeLooks = true;
-                w.runsFor = id -> 2;
-                w.latencyS = () -> 0.005;
+                SimulatedCluster cluster = settled(3, 2);
+                cluster.closeLooks = true;
+                cluster.runsFor = id -> 2;
+                cluster.latencyS = () -> 0.005;
                 Random random = new Random(ms);
-                storm(w, random);
-                SimulatedNode taker = holds == 1 ? w.leader() : other(w, w.leader());
-                w.specs.put("j-1", job("j-1", Shape.ARRAY, 1, 1));
-                w.users.repeat(taker, "j-1");
-                w.run(ms / 1000.0);
-                kill(w, taker, 0.3);
-                w.run(0.2);
-                told += w.accepted.size();
-                w.users.repeat(other(w, taker), "j-1");
-                w.run(1);
-                assertEquals(1, w.accepted.size());
-                ends(w, 25, "ends after " + ms + " ms" + (holds == 1 ? ", holding" : ""));
+                storm(cluster, random);
+                SimulatedNode taker =
+                        holds == 1 ? cluster.leader() : other(cluster, cluster.leader());
+                cluster.specs.put("j-1", job("j-1", Shape.ARRAY, 1, 1));
+                cluster.users.repeat(taker, "j-1");
+                cluster.run(ms / 1000.0);
+                kill(cluster, taker, 0.3);
+                cluster.run(0.2);
+                told += cluster.accepted.size();
+                cluster.users.repeat(other(cluster, taker), "j-1");
+                cluster.run(1);
+                assertEquals(1, cluster.accepted.size());
+                ends(cluster, 25, "ends after " + ms + " ms" + (holds == 1 ? ", holding" : ""));
             }
         }
         assertTrue(told > 20, "told " + told);
@@ -208,16 +215,16 @@
         int known = 0;
         for (int way = 0; way < 3; way++) {
             for (int back = 0; back < 3; back++) {
-                SimulatedCluster w = settled(3, 3);
-                w.runsFor = id -> 4;
-                w.submit(w.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
+                SimulatedCluster cluster = settled(3, 3);
+                cluster.runsFor = id -> 4;
+                cluster.submit(cluster.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
                 if (way == 1) {
-                    w.cancel(w.nodes.get("k2"), "j-1");
+                    cluster.cancel(cluster.nodes.get("k2"), "j-1");
                 } else if (way == 2) {
-                    w.run(10);
-                    assertEquals("done", w.status(w.nodes.get("k1"), "j-1"));
+                    cluster.run(10);
+                    assertEquals("done", cluster.status(cluster.nodes.get("k1"), "j-1"));
                 }
-                kill(w, w.nodes.get("k" + back), 0.3);
+                kill(cluster, cluster.nodes.get("k" + back), 0.3);
                 // Nobody of that name ever was there, so the same needs are refused for any other
                 // id.
                 var wrong =
@@ -227,18 +234,18 @@
                                 IntStream.range(0, 30).mapToObj(i -> "j-9" + i).toList(),
                                 IntStream.range(0, 2000).mapToObj(i -> "j-8" + i).toList());
                 for (int i = 0; i < 80; i++) {
-                    SimulatedNode n = w.nodes.get("k" + i % 3);
+                    SimulatedNode node = cluster.nodes.get("k" + i % 3);
                     List<String> needs = wrong.get(i / 3 % wrong.size());
                     Answer[] got = new Answer[1];
-                    if (n.alive) {
-                        n.controller
+                    if (node.alive) {
+                        node.controller
                                 .registry()
                                 .submit(
                                         job("j-1", Shape.ARRAY, 1 + i % 2, 1),
                                         needs,
-                                        a -> got[0] = a);
+                                        answer -> got[0] = answer);
                     }
-                    w.run(0.03);
+                    cluster.run(0.03);
                     if (got[0] != null) {
                         assertTrue(
                                 List.of(Verdict.KNOWN, Verdict.LATER).contains(got[0].verdict()),
@@ -247,13 +254,16 @@
                     }
                 }
                 Answer[] other = new Answer[1];
-                w.leader()
+                cluster.leader()
                         .controller
                         .registry()
-                        .submit(job("j-2", Shape.ARRAY, 1, 1), List.of("j-77"), a -> other[0] = a);
-                w.run(0.2);
+                        .submit(
+                                job("j-2", Shape.ARRAY, 1, 1),
+                                List.of("j-77"),
+                                answer -> other[0] = answer);
+                cluster.run(0.2);
                 assertEquals(Verdict.REFUSED, other[0].verdict());
-                ends(w, 30, "way " + way + ", back " + back);
+                ends(cluster, 30, "way " + way + ", back " + back);
             }
         }
         assertTrue(known > 300, "known " + known);
@@ -263,12 +273,12 @@
     // ---------------------------------------------------------------------
 
     /** Asks there, and leaves what it hears, and when, to the story. */
-    private static void ask(SimulatedNode n, String id, Consumer<Answer> hears) {
-        n.deliver(() -> n.controller.registry().status(id, hears));
+    private static void ask(SimulatedNode node, String id, Consumer<Answer> hears) {
+        node.deliver(() -> node.controller.registry().status(id, hears));
     }
 
-    private static boolean says(Answer a, String status) {
-        return a.verdict() == Verdict.KNOWN && a.state().status().equals(status);
+    private static boolean says(Answer answer, String status) {
+        return answer.verdict() == Verdict.KNOWN && answer.state().status().equals(status);
     }
 
     /**
@@ -280,50 +290,50 @@
         int met = 0;
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            SimulatedCluster w = settled(3, 2);
-            w.runsFor = id -> 60;
-            w.submit(w.leader(), job("j-1", Shape.ARRAY, 2, 1));
-            w.run(4);
-            w.latencyS = () -> 0.001 + random.nextDouble() * 0.06;
+            SimulatedCluster cluster = settled(3, 2);
+            cluster.runsFor = id -> 60;
+            cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 2, 1));
+            cluster.run(4);
+            cluster.latencyS = () -> 0.001 + random.nextDouble() * 0.06;
             double[] toldAt = {Double.POSITIVE_INFINITY};
             int[] onTheWay = new int[1];
             List<String> older = new ArrayList<>();
-            for (String k : w.siblings) {
+            for (String key : cluster.siblings) {
                 for (int i = 0; i < 60; i++) {
-                    w.after(
+                    cluster.after(
                             i * 0.004,
                             () -> {
-                                double asked = w.clock.now;
+                                double asked = cluster.clock.now;
                                 ask(
-                                        w.nodes.get(k),
+                                        cluster.nodes.get(key),
                                         "j-1",
-                                        a -> {
+                                        answer -> {
                                             // The canceller's word takes a millisecond to its
                                             // siblings.
-                                            boolean after = w.clock.now > toldAt[0] + 0.0015;
+                                            boolean after = cluster.clock.now > toldAt[0] + 0.0015;
                                             onTheWay[0] += after && asked < toldAt[0] ? 1 : 0;
-                                            if (after && !says(a, "cancelled")) {
-                                                older.add(k + " says " + a);
+                                            if (after && !says(answer, "cancelled")) {
+                                                older.add(key + " says " + answer);
                                             }
                                         });
                             });
                 }
             }
-            w.after(
+            cluster.after(
                     0.05,
                     () ->
-                            w.nodes
+                            cluster.nodes
                                     .get("k" + random.nextInt(3))
                                     .controller
                                     .registry()
                                     .cancel(
                                             "j-1",
-                                            a -> {
-                                                assertTrue(says(a, "cancelled"));
-                                                toldAt[0] = w.clock.now;
+                                            answer -> {
+                                                assertTrue(says(answer, "cancelled"));
+                                                toldAt[0] = cluster.clock.now;
                                             }));
-            w.run(2);
-            assertTrue(toldAt[0] < w.clock.now);
+            cluster.run(2);
+            assertTrue(toldAt[0] < cluster.clock.now);
             assertEquals(List.of(), older, "seed " + seed);
             met += onTheWay[0];
         }
@@ -339,39 +349,41 @@
         int met = 0;
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
-            SimulatedCluster w = settled(3, 2);
-            w.latencyS = () -> 0.001 + random.nextDouble() * 0.06;
-            SimulatedNode n = w.nodes.get("k" + seed % 3);
+            SimulatedCluster cluster = settled(3, 2);
+            cluster.latencyS = () -> 0.001 + random.nextDouble() * 0.06;
+            SimulatedNode node = cluster.nodes.get("k" + seed % 3);
             boolean[] accepted = new boolean[1];
             List<Answer> onTheWay = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                w.after(
+                cluster.after(
                         i * 0.003,
                         () -> {
                             boolean before = !accepted[0];
                             ask(
-                                    n,
+                                    node,
                                     "j-1",
-                                    a -> {
+                                    answer -> {
                                         if (before && accepted[0]) {
-                                            onTheWay.add(a);
+                                            onTheWay.add(answer);
                                         }
                                     });
                         });
             }
-            w.after(
+            cluster.after(
                     0.02,
                     () ->
-                            n.controller
+                            node.controller
                                     .registry()
                                     .submit(
                                             job("j-1", Shape.ARRAY, 1, 1),
                                             List.of(),
-                                            a -> accepted[0] = a.verdict() == Verdict.CREATED));
-            w.run(1);
+                                            answer ->
+                                                    accepted[0] =
+                                                            answer.verdict() == Verdict.CREATED));
+            cluster.run(1);
             assertTrue(accepted[0]);
             assertTrue(
-                    onTheWay.stream().noneMatch(a -> a.verdict() == Verdict.NOT_FOUND),
+                    onTheWay.stream().noneMatch(answer -> answer.verdict() == Verdict.NOT_FOUND),
                     "seed " + seed + " " + onTheWay);
             met += onTheWay.size();
         }
--- a/src/test/java/io/kitepath/core/DutySeedsTest.java
+++ b/src/test/java/io/kitepath/core/DutySeedsTest.java
@@ -19,59 +19,61 @@
  */
 class DutySeedsTest {
     private final class Run {
-        final SimulatedCluster w = new SimulatedCluster();
+        final SimulatedCluster cluster = new SimulatedCluster();
         final Random random;
         int needed;
         int faults;
 
         Run(long seed) {
             random = new Random(seed);
-            w.reportS = 2;
-            w.leaseS = 40;
-            w.cloud.capacity = 1000;
-            w.cloud.listLagS = 8;
-            w.cloud.bootS = n -> 5;
+            cluster.reportS = 2;
+            cluster.leaseS = 40;
+            cluster.cloud.capacity = 1000;
+            cluster.cloud.listLagS = 8;
+            cluster.cloud.bootS = n -> 5;
             for (int i = 0; i < 2 + seed % 2; i++) {
-                w.siblings.add("k" + i);
+                cluster.siblings.add("k" + i);
             }
-            w.siblings.forEach(w::node);
-            w.run(6);
+            cluster.siblings.forEach(cluster::node);
+            cluster.run(6);
         }
 
         void badNetwork(boolean so) {
-            w.latencyS =
+            cluster.latencyS =
                     so
                             ? () ->
                                     random.nextInt(20) == 0
                                             ? random.nextDouble() * 1.5
                                             : 0.002 + random.nextDouble() * 0.05
                             : null;
-            w.losesAnswer = so ? () -> random.nextInt(25) == 0 : () -> false;
-            w.cloud.withheld = so ? n -> random.nextInt(6) == 0 : n -> false;
+            cluster.losesAnswer = so ? () -> random.nextInt(25) == 0 : () -> false;
+            cluster.cloud.withheld = so ? client -> random.nextInt(6) == 0 : client -> false;
         }
 
         void late() {
-            List<Runnable> held = List.copyOf(w.cloud.heldBack);
-            w.cloud.heldBack.clear();
-            held.forEach(r -> w.after(30 + random.nextDouble() * 60, r));
+            List<Runnable> held = List.copyOf(cluster.cloud.heldBack);
+            cluster.cloud.heldBack.clear();
+            held.forEach(r -> cluster.after(30 + random.nextDouble() * 60, r));
         }
 
         void fault() {
-            SimulatedNode n = w.nodes.get("k" + random.nextInt(w.siblings.size()));
+            SimulatedNode node = cluster.nodes.get("k" + random.nextInt(cluster.siblings.size()));
             faults++;
             switch (random.nextInt(5)) {
                 case 0, 1 -> {
-                    if (n.alive) {
-                        n.crash();
-                        w.after(new double[] {0, 0.3, 6}[random.nextInt(3)], () -> w.node(n.name));
+                    if (node.alive) {
+                        node.crash();
+                        cluster.after(
+                                new double[] {0, 0.3, 6}[random.nextInt(3)],
+                                () -> cluster.node(node.name));
                     }
                 }
-                case 2 -> n.frozenUntil = w.clock.now + random.nextDouble() * 8;
+                case 2 -> node.frozenUntil = cluster.clock.now + random.nextDouble() * 8;
                 case 3 -> {
-                    n.cutFromStore = true;
-                    w.after(random.nextDouble() * 8, () -> n.cutFromStore = false);
+                    node.cutFromStore = true;
+                    cluster.after(random.nextDouble() * 8, () -> node.cutFromStore = false);
                 }
-                default -> w.store.outage(random.nextDouble() * 5);
+                default -> cluster.store.outage(random.nextDouble() * 5);
             }
         }
 
@@ -83,19 +85,20 @@
             needed += machines;
             // Only work comes through the good network; what is tested is what it sets off.
             badNetwork(false);
-            while (w.submit(w.nodes.get("k0"), job(id, Shape.GANG, machines, 4)) == null) {
-                w.run(1);
+            while (cluster.submit(cluster.nodes.get("k0"), job(id, Shape.GANG, machines, 4))
+                    == null) {
+                cluster.run(1);
             }
             badNetwork(true);
             for (int i = 0; i < 8; i++) {
-                w.run(random.nextDouble() * 4);
+                cluster.run(random.nextDouble() * 4);
                 fault();
                 late();
             }
-            w.run(10);
+            cluster.run(10);
             badNetwork(false);
             late();
-            w.run(220);
+            cluster.run(220);
         }
     }
 
@@ -107,20 +110,20 @@
             for (int i = 1; i <= 2; i++) {
                 r.serve("j-" + i, 2 + r.random.nextInt(5));
                 String at = "seed " + seed + ", job " + i;
-                assertEquals("done", r.w.status(r.w.leader(), "j-" + i), at);
-                assertEquals(r.needed, r.w.cloud.named, at);
-                assertEquals(r.needed, r.w.cloud.released.stream().distinct().count(), at);
+                assertEquals("done", r.cluster.status(r.cluster.leader(), "j-" + i), at);
+                assertEquals(r.needed, r.cluster.cloud.named, at);
+                assertEquals(r.needed, r.cluster.cloud.released.stream().distinct().count(), at);
                 assertEquals(
                         0,
-                        r.w.store.keys.keySet().stream()
-                                .filter(k -> k.startsWith(StoreKeys.ACT))
+                        r.cluster.store.keys.keySet().stream()
+                                .filter(key -> key.startsWith(StoreKeys.ACT))
                                 .count(),
                         at);
             }
-            assertEquals(List.of(), r.w.broken, "seed " + seed);
+            assertEquals(List.of(), r.cluster.broken, "seed " + seed);
             assertEquals(
                     r.needed,
-                    r.w.workers.values().stream().mapToInt(x -> x.started).sum(),
+                    r.cluster.workers.values().stream().mapToInt(worker -> worker.started).sum(),
                     "seed " + seed);
             faults += r.faults;
         }
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -33,78 +33,83 @@
 
     /** Nodes without machines, and a cloud whose machines are up at once and listed late. */
     private static SimulatedCluster world() {
-        SimulatedCluster w = new SimulatedCluster();
-        w.reportS = 2;
-        w.leaseS = 10;
-        w.reportsChanges = true;
-        w.cloud.listLagS = 8;
-        w.cloud.capacity = 30;
-        w.cloud.bootS = n -> 0.2 + n * 0.7 % 1.8;
-        w.runsFor = id -> id.equals("j-2") ? 1e6 : 22;
+        SimulatedCluster cluster = new SimulatedCluster();
+        cluster.reportS = 2;
+        cluster.leaseS = 10;
+        cluster.reportsChanges = true;
+        cluster.cloud.listLagS = 8;
+        cluster.cloud.capacity = 30;
+        cluster.cloud.bootS = n -> 0.2 + n * 0.7 % 1.8;
+        cluster.runsFor = id -> id.equals("j-2") ? 1e6 : 22;
         for (int i = 0; i < 3; i++) {
-            w.siblings.add("k" + i);
+            cluster.siblings.add("k" + i);
         }
-        w.siblings.forEach(w::node);
-        w.run(12);
-        return w;
+        cluster.siblings.forEach(cluster::node);
+        cluster.run(12);
+        return cluster;
     }
 
-    private static void handIn(SimulatedCluster w) {
-        for (JobSpec s :
+    private static void handIn(SimulatedCluster cluster) {
+        for (JobSpec spec :
                 List.of(
                         bound(job("j-1", Shape.GANG, 4, 2)),
                         spread(job("j-2", Shape.SERVICE, 2, 2)),
                         bound(job("j-3", Shape.ARRAY, 3, 2)))) {
-            while (!w.accepted.containsKey(s.id())) {
-                w.submit(
-                        w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow(),
-                        s);
+            while (!cluster.accepted.containsKey(spec.id())) {
+                cluster.submit(
+                        cluster.nodes.values().stream()
+                                .filter(node -> node.alive)
+                                .findFirst()
+                                .orElseThrow(),
+                        spec);
             }
         }
     }
 
     /** Rentals on record that are not known to be settled, while a machine of theirs is up. */
-    private static boolean upBeforeKnown(SimulatedCluster w) {
-        return !w.workers.isEmpty()
-                && w.store.keys.subMap(StoreKeys.RENT, StoreKeys.RENT + "~").values().stream()
-                        .anyMatch(e -> !((Map<?, ?>) e.value()).containsKey("machines"));
+    private static boolean upBeforeKnown(SimulatedCluster cluster) {
+        return !cluster.workers.isEmpty()
+                && cluster.store.keys.subMap(StoreKeys.RENT, StoreKeys.RENT + "~").values().stream()
+                        .anyMatch(entry -> !((Map<?, ?>) entry.value()).containsKey("machines"));
     }
 
-    private static boolean launchedBeforeListed(SimulatedCluster w) {
-        return w.workers.values().stream().anyMatch(x -> !x.tasks.isEmpty());
+    private static boolean launchedBeforeListed(SimulatedCluster cluster) {
+        return cluster.workers.values().stream().anyMatch(worker -> !worker.tasks.isEmpty());
     }
 
     /** One that leads, or would, ends and is back a second later. */
-    private static void ends(SimulatedCluster w, SimulatedNode n) {
-        if (n.alive) {
-            n.kill();
-            w.after(1, () -> w.node(n.name));
+    private static void ends(SimulatedCluster cluster, SimulatedNode node) {
+        if (node.alive) {
+            node.kill();
+            cluster.after(1, () -> cluster.node(node.name));
         }
     }
 
-    private static SimulatedNode holder(SimulatedCluster w) {
-        return w.nodes.values().stream()
-                .filter(n -> n.alive && n.controller.leadership.leading())
+    private static SimulatedNode holder(SimulatedCluster cluster) {
+        return cluster.nodes.values().stream()
+                .filter(node -> node.alive && node.controller.leadership.leading())
                 .findFirst()
-                .orElse(w.nodes.get("k0"));
+                .orElse(cluster.nodes.get("k0"));
     }
 
     /** All done, started {@code starts} times, on {@code most} machines, and none is left. */
-    private void rests(SimulatedCluster w, int starts, int most, String at) {
-        w.run(30);
-        w.cancel(w.leader(), "j-2");
-        w.run(90);
-        assertEquals("done", w.status(w.leader(), "j-1"), at);
-        assertEquals("done", w.status(w.leader(), "j-3"), at);
-        assertEquals(List.of(), w.broken, at);
+    private void rests(SimulatedCluster cluster, int starts, int most, String at) {
+        cluster.run(30);
+        cluster.cancel(cluster.leader(), "j-2");
+        cluster.run(90);
+        assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
+        assertEquals("done", cluster.status(cluster.leader(), "j-3"), at);
+        assertEquals(List.of(), cluster.broken, at);
         if (starts > 0) {
-            assertEquals(starts, starts(w), at);
+            assertEquals(starts, starts(cluster), at);
         }
-        assertTrue(w.cloud.named <= most, at + ": rented " + w.cloud.named);
-        assertEquals(Map.of(), w.cloud.machines, at);
+        assertTrue(cluster.cloud.named <= most, at + ": rented " + cluster.cloud.named);
+        assertEquals(Map.of(), cluster.cloud.machines, at);
         assertEquals(
                 List.of(),
-                w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.ACT)).toList(),
+                cluster.store.keys.keySet().stream()
+                        .filter(key -> key.startsWith(StoreKeys.ACT))
+                        .toList(),
                 at);
         runs++;
     }
@@ -114,12 +119,14 @@
      * measured by.
      */
     private int usual() {
-        SimulatedCluster w = world();
-        handIn(w);
-        w.run(10);
-        assertEquals(TASKS, w.onMachines("j-1") + w.onMachines("j-2") + w.onMachines("j-3"));
-        rests(w, TASKS, 12, "nothing goes wrong");
-        return w.cloud.named;
+        SimulatedCluster cluster = world();
+        handIn(cluster);
+        cluster.run(10);
+        assertEquals(
+                TASKS,
+                cluster.onMachines("j-1") + cluster.onMachines("j-2") + cluster.onMachines("j-3"));
+        rests(cluster, TASKS, 12, "nothing goes wrong");
+        return cluster.cloud.named;
     }
 
     // ---- each write, as the leader ends
@@ -138,66 +145,74 @@
      */
     private boolean writeLags(
             int n, Lag lag, double endsAfter, boolean cut, int usual, Map<String, Integer> met) {
-        SimulatedCluster w = world();
+        SimulatedCluster cluster = world();
         int[] count = new int[1];
         Consumer<Transaction> meets =
-                t -> {
-                    t.writes()
+                transaction -> {
+                    transaction
+                            .writes()
                             .forEach(
-                                    x ->
+                                    write ->
                                             met.merge(
-                                                    x.key().replaceAll("[0-9].*", "")
-                                                            + (x.value() instanceof Map<?, ?> m
+                                                    write.key().replaceAll("[0-9].*", "")
+                                                            + (write.value() instanceof Map<?, ?> m
                                                                             && m.containsKey(
                                                                                     "machines")
                                                                     ? "with machines"
                                                                     : ""),
                                                     1,
                                                     Integer::sum));
-                    w.after(
+                    cluster.after(
                             endsAfter,
                             () -> {
                                 met.merge(
-                                        upBeforeKnown(w) ? "up before known" : "-",
+                                        upBeforeKnown(cluster) ? "up before known" : "-",
                                         1,
                                         Integer::sum);
                                 met.merge(
-                                        launchedBeforeListed(w) ? "launched before listed" : "-",
+                                        launchedBeforeListed(cluster)
+                                                ? "launched before listed"
+                                                : "-",
                                         1,
                                         Integer::sum);
                                 if (cut) {
-                                    w.workers.values().forEach(x -> x.cut = true);
-                                    w.after(
+                                    cluster.workers.values().forEach(worker -> worker.cut = true);
+                                    cluster.after(
                                             4,
-                                            () -> w.workers.values().forEach(x -> x.cut = false));
+                                            () ->
+                                                    cluster.workers
+                                                            .values()
+                                                            .forEach(worker -> worker.cut = false));
                                 }
-                                ends(w, holder(w));
+                                ends(cluster, holder(cluster));
                             });
                 };
-        w.store.unheard =
-                t -> {
+        cluster.store.unheard =
+                transaction -> {
                     boolean rents =
-                            t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.RENT));
+                            transaction.writes().stream()
+                                    .anyMatch(write -> write.key().startsWith(StoreKeys.RENT));
                     if (lag == Lag.UNHEARD
-                            && (count[0] > 0 && !t.writes().isEmpty() || rents)
+                            && (count[0] > 0 && !transaction.writes().isEmpty() || rents)
                             && count[0]++ == n) {
-                        meets.accept(t);
+                        meets.accept(transaction);
                         return true;
                     }
                     return false;
                 };
-        w.store.late =
-                t -> {
+        cluster.store.late =
+                transaction -> {
                     boolean rents =
-                            t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.RENT));
+                            transaction.writes().stream()
+                                    .anyMatch(write -> write.key().startsWith(StoreKeys.RENT));
                     if (lag != Lag.UNHEARD && (count[0] > 0 || rents) && count[0]++ == n) {
-                        meets.accept(t);
+                        meets.accept(transaction);
                         return lag == Lag.LATE ? 3.5 : 1e6;
                     }
                     return 0;
                 };
-        handIn(w);
-        w.run(14);
+        handIn(cluster);
+        cluster.run(14);
         String at =
                 lag
                         + " write "
@@ -206,8 +221,8 @@
                         + endsAfter
                         + " s later"
                         + (cut ? ", machines cut" : "");
-        rests(w, TASKS, 2 * usual, at);
-        return count[0] > n && w.cloud.named > 0;
+        rests(cluster, TASKS, 2 * usual, at);
+        return count[0] > n && cluster.cloud.named > 0;
     }
 
     @Test
@@ -244,39 +259,40 @@
         int unsettled = 0;
         for (int who = 0; who < 3; who++) {
             for (double ends = 0.02; ends < 4; ends += 0.4) {
-                SimulatedCluster w = world();
-                w.cloud.swallow = 3;
-                w.store.withheld =
-                        t ->
-                                t.writes().stream()
+                SimulatedCluster cluster = world();
+                cluster.cloud.swallow = 3;
+                cluster.store.withheld =
+                        transaction ->
+                                transaction.writes().stream()
                                         .anyMatch(
-                                                x ->
-                                                        x.key().startsWith(StoreKeys.RENT)
-                                                                && x.value() instanceof Map<?, ?> m
+                                                write ->
+                                                        write.key().startsWith(StoreKeys.RENT)
+                                                                && write.value()
+                                                                        instanceof Map<?, ?> m
                                                                 && m.containsKey("machines"));
-                handIn(w);
-                w.run(ends);
-                SimulatedNode leader = holder(w);
+                handIn(cluster);
+                cluster.run(ends);
+                SimulatedNode leader = holder(cluster);
                 SimulatedNode carrier =
-                        w.nodes.values().stream()
-                                .filter(n -> n.controller.entitled("cloud"))
+                        cluster.nodes.values().stream()
+                                .filter(node -> node.controller.entitled("cloud"))
                                 .findFirst()
                                 .orElseThrow();
-                unsettled += upBeforeKnown(w) ? 1 : 0;
+                unsettled += upBeforeKnown(cluster) ? 1 : 0;
                 if (who != 1) {
-                    ends(w, leader);
+                    ends(cluster, leader);
                 }
                 if (who != 0) {
-                    ends(w, carrier);
+                    ends(cluster, carrier);
                 }
-                w.run(4);
+                cluster.run(4);
                 // What came of it can be put down from now on; what was withheld is carried out
                 // late.
-                w.store.withheld = t -> false;
-                w.run(2);
-                w.store.heldBack.forEach(w.store::execute);
-                w.run(10);
-                rests(w, TASKS, 2 * usual, "end " + who + " after " + ends);
+                cluster.store.withheld = transaction -> false;
+                cluster.run(2);
+                cluster.store.heldBack.forEach(cluster.store::execute);
+                cluster.run(10);
+                rests(cluster, TASKS, 2 * usual, "end " + who + " after " + ends);
             }
         }
         assertTrue(unsettled > 10, "up before it was known: " + unsettled);
@@ -295,12 +311,12 @@
         int ended = 0;
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            SimulatedCluster w = world();
+            SimulatedCluster cluster = world();
             Map<String, String> last = new TreeMap<>();
             int[] moved = new int[1];
             boolean[] calm = new boolean[1];
-            SimulatedCluster.Reach plain = w.reach;
-            w.reach =
+            SimulatedCluster.Reach plain = cluster.reach;
+            cluster.reach =
                     new SimulatedCluster.Reach() {
                         @Override
                         public List<String> up() {
@@ -309,26 +325,29 @@
 
                         @Override
                         public void heartbeat(
-                                String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
-                            moved[0] += node.equals(last.put(report.machine(), node)) ? 0 : 1;
+                                String node,
+                                Heartbeat heartbeat,
+                                Consumer<HeartbeatResponse> answer) {
+                            moved[0] += node.equals(last.put(heartbeat.machine(), node)) ? 0 : 1;
                             boolean lost = !calm[0] && random.nextInt(4) == 0;
-                            plain.heartbeat(node, report, lost ? a -> {} : answer);
+                            plain.heartbeat(node, heartbeat, lost ? response -> {} : answer);
                         }
                     };
-            w.store.late =
-                    t -> !calm[0] && random.nextInt(4) == 0 ? 1 + random.nextDouble() * 5 : 0;
-            w.store.unheard = t -> !calm[0] && random.nextInt(6) == 0;
-            handIn(w);
+            cluster.store.late =
+                    transaction ->
+                            !calm[0] && random.nextInt(4) == 0 ? 1 + random.nextDouble() * 5 : 0;
+            cluster.store.unheard = transaction -> !calm[0] && random.nextInt(6) == 0;
+            handIn(cluster);
             for (int i = 0; i < 3; i++) {
-                w.run(0.5 + random.nextDouble() * 5);
-                ended += launchedBeforeListed(w) ? 1 : 0;
-                ends(w, holder(w));
+                cluster.run(0.5 + random.nextDouble() * 5);
+                ended += launchedBeforeListed(cluster) ? 1 : 0;
+                ends(cluster, holder(cluster));
             }
-            w.run(4);
+            cluster.run(4);
             calm[0] = true;
-            turns += moved[0] - w.workers.size();
-            w.run(45);
-            rests(w, 0, 30, "seed " + seed);
+            turns += moved[0] - cluster.workers.size();
+            cluster.run(45);
+            rests(cluster, 0, 30, "seed " + seed);
         }
         assertTrue(turns > 100 && ended > 50, "turns " + turns + ", ends with work " + ended);
     }
--- a/src/test/java/io/kitepath/core/GiveAndTakeTest.java
+++ b/src/test/java/io/kitepath/core/GiveAndTakeTest.java
@@ -23,12 +23,12 @@
         for (boolean oneZone : new boolean[] {true, false}) {
             for (boolean urgentFirst : new boolean[] {true, false}) {
                 for (int cpus = 1; cpus <= 4; cpus *= 2) {
-                    SimulatedCluster w = Worlds.settled(3, 1);
-                    w.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
-                    w.nodes.values().forEach(n -> n.crash());
-                    w.siblings.forEach(w::node);
-                    w.run(12);
-                    w.runsFor = id -> 30;
+                    SimulatedCluster cluster = Worlds.settled(3, 1);
+                    cluster.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
+                    cluster.nodes.values().forEach(node -> node.crash());
+                    cluster.siblings.forEach(cluster::node);
+                    cluster.run(12);
+                    cluster.runsFor = id -> 30;
                     JobSpec urgent =
                             SimulatedCluster.with(
                                     SimulatedCluster.job("j-1", Shape.ARRAY, 4 / cpus, cpus),
@@ -41,22 +41,22 @@
                                     "blue",
                                     Priority.NORMAL,
                                     false);
-                    w.submit(w.leader(), urgentFirst ? urgent : guaranteed);
-                    w.run(7);
-                    w.submit(w.leader(), urgentFirst ? guaranteed : urgent);
-                    w.rules.calm();
-                    w.run(200);
+                    cluster.submit(cluster.leader(), urgentFirst ? urgent : guaranteed);
+                    cluster.run(7);
+                    cluster.submit(cluster.leader(), urgentFirst ? guaranteed : urgent);
+                    cluster.rules.calm();
+                    cluster.run(200);
                     String at =
                             "urgent of "
                                     + cpus
                                     + (oneZone ? " in one zone" : "")
                                     + (urgentFirst ? ", first" : ", second");
-                    long evicted = w.leader().controller.placer.preemption().evictions();
+                    long evicted = cluster.leader().controller.scheduler.preemption().evictions();
                     met += evicted > 0 ? 1 : 0;
-                    assertEquals("done", w.status(w.leader(), "j-1"), at);
-                    assertEquals("done", w.status(w.leader(), "j-2"), at);
+                    assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
+                    assertEquals("done", cluster.status(cluster.leader(), "j-2"), at);
                     assertTrue(evicted <= 8, at + ": " + evicted + " stopped");
-                    assertEquals(List.of(), w.broken, at);
+                    assertEquals(List.of(), cluster.broken, at);
                 }
             }
         }
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
@@ -34,90 +34,91 @@
      */
     private int seeded(long seed) {
         Random random = new Random(seed);
-        SimulatedCluster w = settled(3, 5);
-        ReportCopies copies = new ReportCopies(w);
-        w.cloud.capacity = 10;
-        w.runsFor = id -> 5 + Math.floorMod(id.hashCode(), 9) * 4;
-        copies.keeps = r -> random.nextInt(3) == 0;
+        SimulatedCluster cluster = settled(3, 5);
+        ReportCopies copies = new ReportCopies(cluster);
+        cluster.cloud.capacity = 10;
+        cluster.runsFor = id -> 5 + Math.floorMod(id.hashCode(), 9) * 4;
+        copies.keeps = heartbeat -> random.nextInt(3) == 0;
         copies.answerHeldS = () -> random.nextInt(6) == 0 ? random.nextDouble() * 5 : 0;
-        w.directHeldS = () -> random.nextInt(3) == 0 ? 0.6 + random.nextDouble() * 9 : 0;
+        cluster.directHeldS = () -> random.nextInt(3) == 0 ? 0.6 + random.nextDouble() * 9 : 0;
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
             String id = "j-" + (10 + i);
-            var a =
-                    w.submit(
-                            w.nodes.get("k" + random.nextInt(3)),
+            var answer =
+                    cluster.submit(
+                            cluster.nodes.get("k" + random.nextInt(3)),
                             job(
                                     id,
                                     i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
                                     1 + random.nextInt(4),
                                     1 + random.nextInt(2)));
-            if (a != null && a.verdict() == Verdict.CREATED) {
+            if (answer != null && answer.verdict() == Verdict.CREATED) {
                 jobs.add(id);
             }
-            w.run(random.nextDouble() * 5);
+            cluster.run(random.nextDouble() * 5);
             if (random.nextInt(3) == 0 && !jobs.isEmpty()) {
-                w.cancel(
-                        w.nodes.get("k" + random.nextInt(3)),
+                cluster.cancel(
+                        cluster.nodes.get("k" + random.nextInt(3)),
                         jobs.get(random.nextInt(jobs.size())));
             }
-            List<SimulatedWorker> up = w.workers.values().stream().filter(x -> x.up).toList();
-            SimulatedWorker x = up.get(random.nextInt(up.size()));
+            List<SimulatedWorker> up =
+                    cluster.workers.values().stream().filter(worker -> worker.up).toList();
+            SimulatedWorker worker = up.get(random.nextInt(up.size()));
             double lasts = random.nextDouble() * 15;
             switch (random.nextInt(8)) {
-                case 0 -> x.hangsUntil = w.clock.now + lasts;
+                case 0 -> worker.hangsUntil = cluster.clock.now + lasts;
                 case 1 -> {
-                    x.cut = true;
-                    w.after(lasts, () -> x.cut = false);
+                    worker.cut = true;
+                    cluster.after(lasts, () -> worker.cut = false);
                 }
                 case 2 -> {
-                    x.deaf = true;
-                    w.after(lasts, () -> x.deaf = false);
+                    worker.deaf = true;
+                    cluster.after(lasts, () -> worker.deaf = false);
                 }
                 case 3 -> {
-                    x.die();
-                    w.cloud.machines.remove(x.id);
+                    worker.die();
+                    cluster.cloud.machines.remove(worker.id);
                 }
                 default -> {}
             }
-            SimulatedNode n = leading(w);
-            if (n != null && random.nextInt(3) == 0) {
-                n.kill();
-                w.after(0.3, () -> w.node(n.name));
-                untilNextLeader(w);
+            SimulatedNode node = leading(cluster);
+            if (node != null && random.nextInt(3) == 0) {
+                node.kill();
+                cluster.after(0.3, () -> cluster.node(node.name));
+                untilNextLeader(cluster);
                 if (random.nextBoolean()) {
-                    w.run(random.nextDouble() * 4);
+                    cluster.run(random.nextDouble() * 4);
                 }
             }
             if (random.nextBoolean()) {
                 List<Heartbeat> some =
-                        copies.kept.stream().filter(r -> random.nextInt(3) == 0).toList();
-                w.after(random.nextDouble() * 3, () -> copies.bringAll(some));
+                        copies.kept.stream().filter(heartbeat -> random.nextInt(3) == 0).toList();
+                cluster.after(random.nextDouble() * 3, () -> copies.bringAll(some));
             }
         }
         copies.answerHeldS = () -> 0;
-        w.directHeldS = () -> 0;
-        copies.keeps = r -> false;
-        w.run(15);
-        w.rules.calm();
+        cluster.directHeldS = () -> 0;
+        copies.keeps = heartbeat -> false;
+        cluster.run(15);
+        cluster.rules.calm();
         copies.bringAll(copies.kept);
-        w.run(200);
+        cluster.run(200);
         for (String id : jobs) {
-            var a = w.ask(w.leader(), id);
+            var answer = cluster.ask(cluster.leader(), id);
             assertTrue(
-                    a != null && a.verdict() == Verdict.KNOWN,
-                    "seed " + seed + ": " + id + " " + a);
+                    answer != null && answer.verdict() == Verdict.KNOWN,
+                    "seed " + seed + ": " + id + " " + answer);
             assertEquals(
-                    w.toldCancelled.containsKey(id) ? "cancelled" : "done",
-                    a.state().status(),
+                    cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    answer.state().status(),
                     "seed " + seed + ": " + id);
         }
-        assertEquals(List.of(), w.broken, "seed " + seed);
+        assertEquals(List.of(), cluster.broken, "seed " + seed);
         assertTrue(copies.brought > 50, "seed " + seed + ": " + copies.brought);
         heldUp += copies.late;
         assertFalse(
-                w.leader().controller.block.machines().values().stream()
-                        .anyMatch(m -> m.deafToAnswers()),
+                cluster.leader().controller.shard.machines().values().stream()
+                        .anyMatch(machine -> machine.deafToAnswers()),
                 "seed " + seed);
         return copies.ofItsToken;
     }
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsTest.java
@@ -28,47 +28,47 @@
  * worker that sent the report neither its answer nor its lease.
  */
 class HeldReportsTest {
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
     private ReportCopies copies;
 
     private void world(int nodes, int machines) {
-        w = settled(nodes, machines);
-        copies = new ReportCopies(w);
+        cluster = settled(nodes, machines);
+        copies = new ReportCopies(cluster);
     }
 
     /** After so many seconds, the last report that each machine sent in them. */
     private List<Heartbeat> lastOf(double seconds) {
         Map<String, Heartbeat> last = new TreeMap<>();
-        copies.keeps = r -> last.put(r.machine(), r) == r;
-        w.run(seconds);
-        copies.keeps = r -> false;
+        copies.keeps = heartbeat -> last.put(heartbeat.machine(), heartbeat) == heartbeat;
+        cluster.run(seconds);
+        copies.keeps = heartbeat -> false;
         return new ArrayList<>(last.values());
     }
 
-    static SimulatedNode leading(SimulatedCluster w) {
-        return w.nodes.values().stream()
-                .filter(n -> n.alive && n.controller.leadsWith() > 0)
+    static SimulatedNode leading(SimulatedCluster cluster) {
+        return cluster.nodes.values().stream()
+                .filter(node -> node.alive && node.controller.leadsWith() > 0)
                 .findFirst()
                 .orElse(null);
     }
 
-    private void ends(SimulatedNode n, double backAfter) {
-        n.kill();
-        w.after(backAfter, () -> w.node(n.name));
+    private void ends(SimulatedNode node, double backAfter) {
+        node.kill();
+        cluster.after(backAfter, () -> cluster.node(node.name));
     }
 
     /** Until another token is the store's. */
-    static void untilNextLeader(SimulatedCluster w) {
-        long before = w.store.token();
-        for (int i = 0; i < 400 && w.store.token() == before; i++) {
-            w.run(0.05);
+    static void untilNextLeader(SimulatedCluster cluster) {
+        long before = cluster.store.token();
+        for (int i = 0; i < 400 && cluster.store.token() == before; i++) {
+            cluster.run(0.05);
         }
-        assertTrue(w.store.token() > before);
+        assertTrue(cluster.store.token() > before);
     }
 
     private void repeat(double every, double forS, Runnable r) {
         for (double t = every; t < forS; t += every) {
-            w.after(t, r);
+            cluster.after(t, r);
         }
     }
 
@@ -81,24 +81,24 @@
      */
     private double latestStart(double offset, boolean withCopies) {
         world(3, 4);
-        w.runsFor = id -> 3;
+        cluster.runsFor = id -> 3;
         List<Heartbeat> old = lastOf(3);
         if (withCopies) {
             repeat(0.2, 40, () -> copies.bringAll(old));
         }
-        w.run(offset);
+        cluster.run(offset);
         double latest = 0;
         for (int i = 0; i < 8; i++) {
-            w.submit(w.leader(), job("j-" + (10 + i), Shape.ARRAY, 1, 1));
-            double since = w.clock.now;
-            while (starts(w) <= i && w.clock.now - since < 10) {
-                w.run(0.05);
+            cluster.submit(cluster.leader(), job("j-" + (10 + i), Shape.ARRAY, 1, 1));
+            double since = cluster.clock.now;
+            while (starts(cluster) <= i && cluster.clock.now - since < 10) {
+                cluster.run(0.05);
             }
-            latest = Math.max(latest, w.clock.now - since);
-            w.run(3.7);
+            latest = Math.max(latest, cluster.clock.now - since);
+            cluster.run(3.7);
         }
-        assertEquals(List.of(), w.broken, "offset " + offset);
-        assertEquals(8, starts(w), "offset " + offset);
+        assertEquals(List.of(), cluster.broken, "offset " + offset);
+        assertEquals(8, starts(cluster), "offset " + offset);
         assertEquals(
                 withCopies, copies.brought > 500 && copies.ofItsToken > 200, "offset " + offset);
         assertEquals(0, copies.launches, "offset " + offset);
@@ -126,25 +126,25 @@
      */
     private int sentOn(double slow, double takenBefore, boolean withCopies) {
         world(3, 6);
-        w.runsFor = id -> 200;
-        w.submit(w.leader(), job("j-1", Shape.ARRAY, 6, 4));
-        w.run(8);
+        cluster.runsFor = id -> 200;
+        cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 6, 4));
+        cluster.run(8);
         List<Heartbeat> old = lastOf(takenBefore + 2);
-        long sessions = sessions(w);
+        long sessions = sessions(cluster);
         copies.sentOn = 0;
-        w.store.slowS = slow;
+        cluster.store.slowS = slow;
         if (withCopies) {
             repeat(0.25, 12, () -> copies.bringAll(old));
         }
-        ends(w.leader(), 0.3);
-        w.run(14);
-        w.store.slowS = 0;
-        w.run(20);
+        ends(cluster.leader(), 0.3);
+        cluster.run(14);
+        cluster.store.slowS = 0;
+        cluster.run(20);
         String at = "slow " + slow + ", taken " + takenBefore;
         assertEquals(withCopies, copies.brought > 300, at);
-        assertEquals(List.of(), w.broken, at);
-        assertEquals(sessions, sessions(w), at);
-        assertEquals(6, starts(w), at);
+        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(sessions, sessions(cluster), at);
+        assertEquals(6, starts(cluster), at);
         return copies.sentOn;
     }
 
@@ -181,38 +181,38 @@
         int during = 0;
         for (double moment = 1.5; moment < 2.8; moment += 0.05) {
             world(3, 3);
-            w.runsFor = id -> 20;
+            cluster.runsFor = id -> 20;
             List<Heartbeat> old = lastOf(3);
             repeat(0.1, 20, () -> copies.bringAll(old));
-            w.run(moment);
-            w.submit(w.leader(), job("j-1", Shape.ARRAY, 3, 4));
-            w.store.outage(14);
+            cluster.run(moment);
+            cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 3, 4));
+            cluster.store.outage(14);
             boolean[] deaf = new boolean[1];
             repeat(
                     0.25,
                     60,
                     () ->
-                            w.nodes
+                            cluster.nodes
                                     .values()
                                     .forEach(
-                                            n ->
+                                            node ->
                                                     deaf[0] |=
-                                                            n
+                                                            node
                                                                     .controller
-                                                                    .block
+                                                                    .shard
                                                                     .machines()
                                                                     .values()
                                                                     .stream()
                                                                     .anyMatch(
-                                                                            m ->
-                                                                                    m
+                                                                            machine ->
+                                                                                    machine
                                                                                             .deafToAnswers())));
-            w.run(12);
-            during += starts(w) < 3 ? 1 : 0;
-            w.run(70);
-            assertEquals(List.of(), w.broken, "out at " + moment);
+            cluster.run(12);
+            during += starts(cluster) < 3 ? 1 : 0;
+            cluster.run(70);
+            assertEquals(List.of(), cluster.broken, "out at " + moment);
             assertFalse(deaf[0], "out at " + moment);
-            assertEquals(3, starts(w), "out at " + moment);
+            assertEquals(3, starts(cluster), "out at " + moment);
         }
         assertTrue(during > 0, "no task was placed and not launched before the outage");
     }
@@ -232,42 +232,48 @@
             for (double arrives = 0; arrives < 5; arrives += 0.9) {
                 for (boolean all : new boolean[] {true, false}) {
                     world(3, 4);
-                    w.runsFor = id -> id.equals("j-1") ? 4 : 9;
-                    w.mistaken.add("j-1");
-                    copies.keeps = r -> true;
-                    w.submit(w.leader(), job("j-1", Shape.ARRAY, 3, 1));
-                    w.submit(w.leader(), job("j-2", Shape.GANG, 3, 2));
-                    w.submit(w.leader(), job("j-3", Shape.ARRAY, 5, 1));
+                    cluster.runsFor = id -> id.equals("j-1") ? 4 : 9;
+                    cluster.mistaken.add("j-1");
+                    copies.keeps = heartbeat -> true;
+                    cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 3, 1));
+                    cluster.submit(cluster.leader(), job("j-2", Shape.GANG, 3, 2));
+                    cluster.submit(cluster.leader(), job("j-3", Shape.ARRAY, 5, 1));
                     for (int i = 0; i < 3; i++) {
-                        w.run(changes);
-                        w.mistaken.clear();
-                        SimulatedNode ends = leading(w);
+                        cluster.run(changes);
+                        cluster.mistaken.clear();
+                        SimulatedNode ends = leading(cluster);
                         if (ends != null) {
                             ends(ends, 0.3);
-                            untilNextLeader(w);
+                            untilNextLeader(cluster);
                         }
-                        w.run(arrives);
-                        SimulatedNode next = leading(w);
+                        cluster.run(arrives);
+                        SimulatedNode next = leading(cluster);
                         if (all || next == null) {
                             copies.bringAll(List.copyOf(copies.kept));
                         } else {
-                            List.copyOf(copies.kept).forEach(r -> copies.bring(r, next));
+                            List.copyOf(copies.kept)
+                                    .forEach(heartbeat -> copies.bring(heartbeat, next));
                         }
-                        w.cancel(other(w, w.leader()), "j-3");
+                        cluster.cancel(other(cluster, cluster.leader()), "j-3");
                     }
-                    w.run(100);
+                    cluster.run(100);
                     String at =
                             "changes " + changes + ", arrives " + arrives + (all ? " for all" : "");
                     ofItsToken += copies.ofItsToken;
-                    assertEquals(List.of(), w.broken, at);
-                    assertEquals("done", w.status(w.leader(), "j-1"), at);
-                    assertEquals("done", w.status(w.leader(), "j-2"), at);
+                    assertEquals(List.of(), cluster.broken, at);
+                    assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
+                    assertEquals("done", cluster.status(cluster.leader(), "j-2"), at);
                     assertTrue(
-                            List.of("done", "cancelled").contains(w.status(w.leader(), "j-3")), at);
-                    assertEquals(0, w.dropped, at);
+                            List.of("done", "cancelled")
+                                    .contains(cluster.status(cluster.leader(), "j-3")),
+                            at);
+                    assertEquals(0, cluster.dropped, at);
                     assertTrue(
-                            w.leader().controller.block.machines().values().stream()
-                                    .allMatch(m -> m.attempts().isEmpty() && !m.deafToAnswers()),
+                            cluster.leader().controller.shard.machines().values().stream()
+                                    .allMatch(
+                                            machine ->
+                                                    machine.attempts().isEmpty()
+                                                            && !machine.deafToAnswers()),
                             at);
                 }
             }
@@ -284,73 +290,80 @@
      */
     private void gone(boolean returned, double dies, double every) {
         world(3, 4);
-        w.cloud.capacity = 20;
-        w.cloud.bootS = n -> 20;
-        w.runsFor = id -> 15;
-        w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 4));
-        w.run(6 + dies);
+        cluster.cloud.capacity = 20;
+        cluster.cloud.bootS = n -> 20;
+        cluster.runsFor = id -> 15;
+        cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 4));
+        cluster.run(6 + dies);
         List<Heartbeat> old = lastOf(2).subList(0, 3);
         Set<String> dead = new HashSet<>();
-        for (Heartbeat r : old) {
-            dead.add(r.machine());
-            w.workers.get(r.machine()).die();
-            w.cloud.machines.remove(r.machine());
+        for (Heartbeat heartbeat : old) {
+            dead.add(heartbeat.machine());
+            cluster.workers.get(heartbeat.machine()).die();
+            cluster.cloud.machines.remove(heartbeat.machine());
         }
         String at = (returned ? "returned" : "died") + " after " + dies + ", copies every " + every;
         if (returned) {
-            w.run(40); // The holder has given them back, and knows that they are gone.
+            cluster.run(40); // The holder has given them back, and knows that they are gone.
             assertTrue(
-                    w.leader().controller.block.machines().keySet().stream()
+                    cluster.leader().controller.shard.machines().keySet().stream()
                             .noneMatch(dead::contains),
                     at);
         }
-        ends(w.leader(), 0.3);
-        untilNextLeader(w);
-        w.submit(other(w, w.leader()), job("j-2", Shape.ARRAY, 8, 4));
-        double began = w.clock.now;
-        for (int i = 1; w.clock.now - began < 2 * w.leaseS; i++) {
+        ends(cluster.leader(), 0.3);
+        untilNextLeader(cluster);
+        cluster.submit(other(cluster, cluster.leader()), job("j-2", Shape.ARRAY, 8, 4));
+        double began = cluster.clock.now;
+        for (int i = 1; cluster.clock.now - began < 2 * cluster.leaseS; i++) {
             long more = i;
             copies.bringAll(
                     old.stream()
                             .map(
-                                    r ->
+                                    heartbeat ->
                                             new Heartbeat(
-                                                    r.machine(),
-                                                    r.address(),
-                                                    r.type(),
-                                                    r.zone(),
-                                                    r.spot(),
-                                                    r.session(),
-                                                    r.sequence() + more,
-                                                    r.token(),
+                                                    heartbeat.machine(),
+                                                    heartbeat.address(),
+                                                    heartbeat.type(),
+                                                    heartbeat.zone(),
+                                                    heartbeat.spot(),
+                                                    heartbeat.session(),
+                                                    heartbeat.sequence() + more,
+                                                    heartbeat.token(),
                                                     null,
-                                                    r.tasks()))
+                                                    heartbeat.tasks()))
                             .toList());
-            w.run(every);
+            cluster.run(every);
             assertTrue(
-                    w.leader().controller.block.machines().values().stream()
-                            .filter(m -> dead.contains(m.id))
+                    cluster.leader().controller.shard.machines().values().stream()
+                            .filter(machine -> dead.contains(machine.id))
                             .allMatch(
-                                    m ->
-                                            m.attempts().stream()
-                                                    .allMatch(a -> a.job.spec.id().equals("j-1"))),
+                                    machine ->
+                                            machine.attempts().stream()
+                                                    .allMatch(
+                                                            attempt ->
+                                                                    attempt.job
+                                                                            .spec
+                                                                            .id()
+                                                                            .equals("j-1"))),
                     at);
         }
-        double calm = w.clock.now;
-        w.rules.calm();
-        while (!"done".equals(w.status(w.leader(), "j-2")) && w.clock.now - calm < 200) {
-            w.run(1);
+        double calm = cluster.clock.now;
+        cluster.rules.calm();
+        while (!"done".equals(cluster.status(cluster.leader(), "j-2"))
+                && cluster.clock.now - calm < 200) {
+            cluster.run(1);
         }
         // Three leases until nearly all that seemed to be there is given up, a boot, and the jobs
         // themselves.
         assertTrue(
-                w.clock.now - calm < 3 * w.leaseS + 20 + 4 * 15,
-                at + ": done after " + (w.clock.now - calm));
-        w.run(20);
-        assertEquals(List.of(), w.broken, at);
-        assertEquals("done", w.status(w.leader(), "j-1"), at);
+                cluster.clock.now - calm < 3 * cluster.leaseS + 20 + 4 * 15,
+                at + ": done after " + (cluster.clock.now - calm));
+        cluster.run(20);
+        assertEquals(List.of(), cluster.broken, at);
+        assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
         assertTrue(
-                w.leader().controller.block.machines().keySet().stream().noneMatch(dead::contains),
+                cluster.leader().controller.shard.machines().keySet().stream()
+                        .noneMatch(dead::contains),
                 at);
     }
 
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -33,7 +33,7 @@
     /** Within which users expect that a job is called done. */
     private static final double DONE_WITHIN_S = 3;
 
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
     private JobSpec spec;
     private List<String> needs;
     private double lastEnd;
@@ -47,77 +47,81 @@
         }
     }
 
-    private void hear(SimulatedNode n, double asked, Answer a) {
+    private void hear(SimulatedNode node, double asked, Answer answer) {
         assertTrue(
-                a.verdict() == Verdict.KNOWN || a.verdict() == Verdict.LATER,
-                n.name + " says " + a);
-        if (a.verdict() == Verdict.KNOWN) {
-            told.add(new Told(n.name, asked, w.clock.now, a.state().status()));
-            if (a.state().status().equals("cancelled")) {
-                w.toldCancelled.putIfAbsent(ID, w.clock.now);
+                answer.verdict() == Verdict.KNOWN || answer.verdict() == Verdict.LATER,
+                node.name + " says " + answer);
+        if (answer.verdict() == Verdict.KNOWN) {
+            told.add(new Told(node.name, asked, cluster.clock.now, answer.state().status()));
+            if (answer.state().status().equals("cancelled")) {
+                cluster.toldCancelled.putIfAbsent(ID, cluster.clock.now);
             }
         }
     }
 
-    private void ask(SimulatedNode n) {
-        double asked = w.clock.now;
-        n.controller.registry().status(ID, a -> hear(n, asked, a));
+    private void ask(SimulatedNode node) {
+        double asked = cluster.clock.now;
+        node.controller.registry().status(ID, answer -> hear(node, asked, answer));
     }
 
-    private void repeat(SimulatedNode n) {
-        double asked = w.clock.now;
-        n.controller.registry().submit(spec, needs, a -> hear(n, asked, a));
+    private void repeat(SimulatedNode node) {
+        double asked = cluster.clock.now;
+        node.controller.registry().submit(spec, needs, answer -> hear(node, asked, answer));
     }
 
     /** Whoever is told anything makes everybody ask and submit again, at all nodes, at once. */
-    private void cancel(SimulatedNode n) {
-        double asked = w.clock.now;
-        w.rules.asksToCancel(ID);
-        n.controller
+    private void cancel(SimulatedNode node) {
+        double asked = cluster.clock.now;
+        cluster.rules.asksToCancel(ID);
+        node.controller
                 .registry()
                 .cancel(
                         ID,
-                        a -> {
-                            hear(n, asked, a);
+                        answer -> {
+                            hear(node, asked, answer);
                             looks();
                         });
     }
 
     private void looks() {
-        w.nodes.values().forEach(this::ask);
-        w.nodes.values().forEach(this::repeat);
+        cluster.nodes.values().forEach(this::ask);
+        cluster.nodes.values().forEach(this::repeat);
     }
 
     /** A world in which the job begins; it ends by itself after about so long. */
     private void begins(Shape shape, int tasks, double forS, boolean needed) {
-        w = settled(3, 4);
+        cluster = settled(3, 4);
         told.clear();
         lastEnd = 0;
         written = 0;
-        w.fetchS = shape == Shape.GANG ? id -> 0.3 : null;
+        cluster.fetchS = shape == Shape.GANG ? id -> 0.3 : null;
         int[] i = {0};
-        w.workers
+        cluster.workers
                 .values()
-                .forEach(x -> x.runsFor = shape == Shape.GANG ? forS : forS - 1.3 * (i[0]++ % 3));
-        w.clock.ends = t -> lastEnd = t.job.equals(ID) ? w.clock.now : lastEnd;
-        w.store.written =
-                (n, t) -> {
-                    if (t.writes().stream().anyMatch(x -> x.key().equals(StoreKeys.OVER + ID))) {
-                        written = w.clock.now;
+                .forEach(
+                        worker ->
+                                worker.runsFor =
+                                        shape == Shape.GANG ? forS : forS - 1.3 * (i[0]++ % 3));
+        cluster.clock.ends = task -> lastEnd = task.job.equals(ID) ? cluster.clock.now : lastEnd;
+        cluster.store.written =
+                (client, transaction) -> {
+                    if (transaction.writes().stream()
+                            .anyMatch(write -> write.key().equals(StoreKeys.OVER + ID))) {
+                        written = cluster.clock.now;
                     }
                 };
         spec = job(ID, shape, tasks, 2);
         needs = List.of();
-        w.submit(w.leader(), spec);
+        cluster.submit(cluster.leader(), spec);
         if (needed) {
-            w.submit(w.leader(), job(NEXT, Shape.ARRAY, 2, 1), ID);
+            cluster.submit(cluster.leader(), job(NEXT, Shape.ARRAY, 2, 1), ID);
         }
     }
 
     /** One answer for ever, by every node, and nothing left of it on any machine. */
     private String holds(String at) {
-        w.run(12);
-        String last = w.status(w.leader(), ID);
+        cluster.run(12);
+        String last = cluster.status(cluster.leader(), ID);
         assertTrue(last.equals("done") || last.equals("cancelled"), at + ": " + last);
         double first =
                 told.stream()
@@ -129,16 +133,19 @@
             assertTrue(!t.last() || t.status.equals(last), at + ": " + t + ", in the end " + last);
             assertTrue(t.asked < first || t.last(), at + ": " + t + " after " + first);
         }
-        for (SimulatedNode n : w.nodes.values()) {
-            assertEquals(last, w.status(n, ID), at + " " + n.name);
-            assertEquals(last, w.cancel(n, ID).state().status(), at + " " + n.name);
+        for (SimulatedNode node : cluster.nodes.values()) {
+            assertEquals(last, cluster.status(node, ID), at + " " + node.name);
+            assertEquals(last, cluster.cancel(node, ID).state().status(), at + " " + node.name);
         }
-        assertEquals(0, w.onMachines(ID), at);
+        assertEquals(0, cluster.onMachines(ID), at);
         assertTrue(
-                w.workers.values().stream()
-                        .noneMatch(x -> x.tasks.values().stream().anyMatch(t -> t.job.equals(ID))),
+                cluster.workers.values().stream()
+                        .noneMatch(
+                                worker ->
+                                        worker.tasks.values().stream()
+                                                .anyMatch(task -> task.job.equals(ID))),
                 at + ": an ended task is still reported");
-        assertEquals(List.of(), w.broken, at);
+        assertEquals(List.of(), cluster.broken, at);
         return last;
     }
 
@@ -148,7 +155,7 @@
      */
     private double writtenAfter(Shape shape, int tasks, double forS, boolean needed) {
         begins(shape, tasks, forS, needed);
-        w.run(forS + 10);
+        cluster.run(forS + 10);
         assertTrue(lastEnd > 0 && written >= lastEnd, "ended " + lastEnd + ", written " + written);
         return written;
     }
@@ -175,11 +182,11 @@
             Set<String> answers = new HashSet<>();
             for (double t : moments(lastEnd == 0 ? at : Math.min(lastEnd, at), at)) {
                 begins(shape, tasks, forS, needed);
-                w.run(t - w.clock.now - 0.003);
+                cluster.run(t - cluster.clock.now - 0.003);
                 looks();
-                w.run(0.003);
-                cancel(w.nodes.get("k" + which));
-                w.run(0.002);
+                cluster.run(0.003);
+                cancel(cluster.nodes.get("k" + which));
+                cluster.run(0.002);
                 looks();
                 String what =
                         shape
@@ -202,11 +209,15 @@
 
     /** What waited for it runs, or is cancelled with it. */
     private void behind(String last, String at) {
-        w.run(25);
-        w.nodes.values().forEach(n -> assertEquals(last, w.status(n, NEXT), at + ": " + NEXT));
+        cluster.run(25);
+        cluster.nodes
+                .values()
+                .forEach(node -> assertEquals(last, cluster.status(node, NEXT), at + ": " + NEXT));
         assertEquals(
-                last.equals("done") ? 2 : 0, w.completed.getOrDefault(NEXT, Set.of()).size(), at);
-        assertEquals(List.of(), w.broken, at);
+                last.equals("done") ? 2 : 0,
+                cluster.completed.getOrDefault(NEXT, Set.of()).size(),
+                at);
+        assertEquals(List.of(), cluster.broken, at);
     }
 
     @Test
@@ -239,19 +250,24 @@
         for (double t = at - 0.02; t < at + 2.4; t += t < at + 0.03 ? 0.003 : 0.1) {
             for (int which = 0; which < 3; which++) {
                 begins(Shape.ARRAY, 1, 6, true);
-                w.run(t - w.clock.now);
-                int before = MeetingsTest.starts(w);
+                cluster.run(t - cluster.clock.now);
+                int before = MeetingsTest.starts(cluster);
                 String what =
                         NEXT + " cancelled at k" + which + " " + (t - at) + " s from the write";
-                Answer a = w.cancel(w.nodes.get("k" + which), NEXT);
-                assertEquals(Verdict.KNOWN, a.verdict(), what);
-                assertEquals("cancelled", a.state().status(), what);
-                w.run(5);
-                assertEquals(0, w.onMachines(NEXT), what);
+                Answer answer = cluster.cancel(cluster.nodes.get("k" + which), NEXT);
+                assertEquals(Verdict.KNOWN, answer.verdict(), what);
+                assertEquals("cancelled", answer.state().status(), what);
+                cluster.run(5);
+                assertEquals(0, cluster.onMachines(NEXT), what);
                 began += before > 1 ? 1 : 0;
-                w.nodes.values().forEach(n -> assertEquals("cancelled", w.status(n, NEXT), what));
-                assertEquals("done", w.status(w.leader(), ID), what);
-                assertEquals(List.of(), w.broken, what);
+                cluster.nodes
+                        .values()
+                        .forEach(
+                                node ->
+                                        assertEquals(
+                                                "cancelled", cluster.status(node, NEXT), what));
+                assertEquals("done", cluster.status(cluster.leader(), ID), what);
+                assertEquals(List.of(), cluster.broken, what);
             }
         }
         assertTrue(began > 0, "it was never cancelled after its turn had come");
@@ -264,11 +280,13 @@
         for (double off = -0.4; off < 1.2; off += 0.1) {
             for (int which = 0; which < 3; which++) {
                 begins(Shape.SERVICE, 1, 6, false);
-                w.run(2);
-                double end = w.clock.lastStarts.get(ID + "/0").worker.runsFor + w.accepted.get(ID);
-                w.run(end + off - w.clock.now);
+                cluster.run(2);
+                double end =
+                        cluster.clock.lastStarts.get(ID + "/0").worker.runsFor
+                                + cluster.accepted.get(ID);
+                cluster.run(end + off - cluster.clock.now);
                 looks();
-                cancel(w.nodes.get("k" + which));
+                cancel(cluster.nodes.get("k" + which));
                 assertEquals("cancelled", holds("service, k" + which + " " + off));
                 cancelled += lastEnd > 0 ? 1 : 0;
             }
@@ -283,13 +301,13 @@
             for (int tasks : new int[] {1, 3, 8}) {
                 for (double forS = 4; forS < 8.2; forS += 0.21) {
                     begins(shape, tasks, forS, true);
-                    while (w.completed.getOrDefault(ID, Set.of()).size() < tasks) {
-                        w.run(0.05);
-                        assertTrue(w.clock.now < 300, "never ended");
+                    while (cluster.completed.getOrDefault(ID, Set.of()).size() < tasks) {
+                        cluster.run(0.05);
+                        assertTrue(cluster.clock.now < 300, "never ended");
                     }
-                    w.run(lastEnd + DONE_WITHIN_S - 0.1 - w.clock.now);
-                    w.nodes.values().forEach(this::ask);
-                    w.run(0.1);
+                    cluster.run(lastEnd + DONE_WITHIN_S - 0.1 - cluster.clock.now);
+                    cluster.nodes.values().forEach(this::ask);
+                    cluster.run(0.1);
                     String at = shape + " of " + tasks + " for " + forS;
                     assertEquals(
                             3,
@@ -310,48 +328,51 @@
         int[] both = new int[2];
         for (long seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
-            w = settled(3, 8);
-            w.closeLooks = true;
-            w.fetchS = id -> 0.2;
-            w.runsFor = id -> 7 + Math.floorMod(id.hashCode(), 5) * 0.4;
+            cluster = settled(3, 8);
+            cluster.closeLooks = true;
+            cluster.fetchS = id -> 0.2;
+            cluster.runsFor = id -> 7 + Math.floorMod(id.hashCode(), 5) * 0.4;
             List<String> jobs = new ArrayList<>();
             for (int i = 0; i < 14; i++) {
                 String id = "j-" + (100 + i);
                 jobs.add(id);
-                JobSpec s =
+                JobSpec spec =
                         job(
                                 id,
                                 random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY,
                                 1 + random.nextInt(3),
                                 0.5);
-                w.submit(
-                        w.nodes.get("k" + random.nextInt(3)),
-                        s,
+                cluster.submit(
+                        cluster.nodes.get("k" + random.nextInt(3)),
+                        spec,
                         i > 3 && random.nextInt(4) == 0
                                 ? new String[] {"j-10" + random.nextInt(4)}
                                 : new String[0]);
             }
-            w.clock.ends =
-                    t ->
-                            w.after(
+            cluster.clock.ends =
+                    task ->
+                            cluster.after(
                                     random.nextDouble() * (random.nextBoolean() ? 0.05 : 0.8),
                                     () ->
-                                            w.users.cancel(
-                                                    w.nodes.get("k" + random.nextInt(3)), t.job));
+                                            cluster.users.cancel(
+                                                    cluster.nodes.get("k" + random.nextInt(3)),
+                                                    task.job));
             for (int i = 0; i < 400; i++) {
-                w.ask(w.nodes.get("k" + random.nextInt(3)), jobs.get(random.nextInt(jobs.size())));
+                cluster.ask(
+                        cluster.nodes.get("k" + random.nextInt(3)),
+                        jobs.get(random.nextInt(jobs.size())));
             }
             for (String id : jobs) {
                 Set<String> said = new HashSet<>();
-                w.nodes.values().forEach(n -> said.add(w.status(n, id)));
+                cluster.nodes.values().forEach(node -> said.add(cluster.status(node, id)));
                 assertEquals(1, said.size(), "seed " + seed + " " + id + " " + said);
                 assertTrue(
                         said.contains("done") || said.contains("cancelled"),
                         "seed " + seed + " " + id + " " + said);
                 both[said.contains("done") ? 0 : 1]++;
-                assertEquals(0, w.onMachines(id), "seed " + seed + " " + id);
+                assertEquals(0, cluster.onMachines(id), "seed " + seed + " " + id);
             }
-            assertEquals(List.of(), w.broken, "seed " + seed);
+            assertEquals(List.of(), cluster.broken, "seed " + seed);
         }
         assertTrue(both[0] > 20 && both[1] > 20, "done " + both[0] + ", cancelled " + both[1]);
     }
