--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -55,18 +55,19 @@
         int lost;
         Set<String> keys;
 
-        Loss(SimulatedCluster w, int which, int times, Runnable then) {
+        Loss(SimulatedCluster cluster, int which, int times, Runnable then) {
             this.which = which;
             this.times = times;
             this.then = then;
-            w.store.unheard = this::test;
+            cluster.store.unheard = this::test;
         }
 
-        private boolean test(Transaction t) {
-            if (t.writes().isEmpty()) {
+        private boolean test(Transaction transaction) {
+            if (transaction.writes().isEmpty()) {
                 return false;
             }
-            Set<String> its = t.writes().stream().map(Write::key).collect(Collectors.toSet());
+            Set<String> its =
+                    transaction.writes().stream().map(Write::key).collect(Collectors.toSet());
             boolean first = count++ == which;
             if (first) {
                 keys = its;
@@ -80,33 +81,35 @@
         }
 
         boolean wrote(String prefix) {
-            return keys.stream().anyMatch(k -> k.startsWith(prefix));
+            return keys.stream().anyMatch(key -> key.startsWith(prefix));
         }
     }
 
-    private static SimulatedNode leading(SimulatedCluster w) {
-        return w.nodes.values().stream()
-                .filter(n -> n.alive && n.controller.leadership.leading())
+    private static SimulatedNode leading(SimulatedCluster cluster) {
+        return cluster.nodes.values().stream()
+                .filter(node -> node.alive && node.controller.leadership.leading())
                 .findFirst()
                 .orElse(null);
     }
 
-    static void ends(SimulatedCluster w, double backS) {
-        SimulatedNode n = leading(w);
-        if (n != null) {
-            n.kill();
-            w.after(backS, () -> w.node(n.name));
+    static void ends(SimulatedCluster cluster, double backS) {
+        SimulatedNode node = leading(cluster);
+        if (node != null) {
+            node.kill();
+            cluster.after(backS, () -> cluster.node(node.name));
         }
     }
 
     /** A user repeats it, at one node after the other, until it is answered. */
-    static void handIn(SimulatedCluster w, int at, JobSpec s, String... needs) {
+    static void handIn(SimulatedCluster cluster, int at, JobSpec spec, String... needs) {
         for (int i = 0; i < 12; i++) {
-            JobSubmissionService.Answer a = w.submit(w.nodes.get("k" + (at + i) % 3), s, needs);
-            if (a != null && (a.verdict() == Verdict.CREATED || a.verdict() == Verdict.KNOWN)) {
+            JobSubmissionService.Answer answer =
+                    cluster.submit(cluster.nodes.get("k" + (at + i) % 3), spec, needs);
+            if (answer != null
+                    && (answer.verdict() == Verdict.CREATED || answer.verdict() == Verdict.KNOWN)) {
                 return;
             }
-            w.run(1.2);
+            cluster.run(1.2);
         }
     }
 
@@ -114,31 +117,31 @@
      * A day in which everybody who writes anything writes something; leaders change in it if {@code
      * handOver} says so.
      */
-    private static void day(SimulatedCluster w, boolean handOver) {
-        w.closeLooks = true;
-        w.cloud.capacity = 4;
-        w.runsFor = id -> 5;
-        handIn(w, 0, job("j-1", Shape.ARRAY, 6, 2));
-        handIn(w, 1, job("j-2", Shape.GANG, 4, 2));
-        handIn(w, 2, job("j-3", Shape.ARRAY, 2, 1), "j-1");
-        handIn(w, 0, job("j-4", Shape.ARRAY, 2, 1), "j-2");
-        w.run(1);
-        w.users.cancel(w.nodes.get("k1"), "j-2");
-        w.run(1);
+    private static void day(SimulatedCluster cluster, boolean handOver) {
+        cluster.closeLooks = true;
+        cluster.cloud.capacity = 4;
+        cluster.runsFor = id -> 5;
+        handIn(cluster, 0, job("j-1", Shape.ARRAY, 6, 2));
+        handIn(cluster, 1, job("j-2", Shape.GANG, 4, 2));
+        handIn(cluster, 2, job("j-3", Shape.ARRAY, 2, 1), "j-1");
+        handIn(cluster, 0, job("j-4", Shape.ARRAY, 2, 1), "j-2");
+        cluster.run(1);
+        cluster.users.cancel(cluster.nodes.get("k1"), "j-2");
+        cluster.run(1);
         if (handOver) {
-            SimulatedNode n = leading(w);
-            if (n != null) {
-                n.controller.stop();
-                w.after(0.2, n::kill);
-                w.after(0.6, () -> w.node(n.name));
+            SimulatedNode node = leading(cluster);
+            if (node != null) {
+                node.controller.stop();
+                cluster.after(0.2, node::kill);
+                cluster.after(0.6, () -> cluster.node(node.name));
             }
-            w.run(1);
-            ends(w, 0.3);
+            cluster.run(1);
+            ends(cluster, 0.3);
         }
-        handIn(w, 1, job("j-5", Shape.ARRAY, 24, 4));
-        w.run(3);
-        w.users.cancel(w.nodes.get("k2"), "j-1");
-        w.run(16);
+        handIn(cluster, 1, job("j-5", Shape.ARRAY, 24, 4));
+        cluster.run(3);
+        cluster.users.cancel(cluster.nodes.get("k2"), "j-1");
+        cluster.run(16);
     }
 
     private static final List<String> JOBS = List.of("j-1", "j-2", "j-3", "j-4", "j-5");
@@ -147,45 +150,53 @@
      * All nodes say the same of each job, the records are struck off, and the holder knows all that
      * is rented.
      */
-    private static void oneEnd(SimulatedCluster w, String at) {
-        w.rules.calm();
-        w.run(100);
-        SimulatedNode leader = w.leader();
+    private static void oneEnd(SimulatedCluster cluster, String at) {
+        cluster.rules.calm();
+        cluster.run(100);
+        SimulatedNode leader = cluster.leader();
         for (String id : JOBS) {
             Set<String> said =
-                    w.nodes.values().stream().map(n -> w.status(n, id)).collect(Collectors.toSet());
+                    cluster.nodes.values().stream()
+                            .map(node -> cluster.status(node, id))
+                            .collect(Collectors.toSet());
             assertEquals(1, said.size(), at + ": " + id + " is " + said);
             assertTrue(
                     said.contains("done") || said.contains("cancelled"),
                     at + ": " + id + " is " + said);
         }
-        assertEquals("done", w.status(leader, "j-5"), at);
+        assertEquals("done", cluster.status(leader, "j-5"), at);
         for (String prefix : List.of(StoreKeys.OPEN, StoreKeys.PART, StoreKeys.ACT)) {
             assertEquals(
                     List.of(),
-                    w.store.keys.keySet().stream().filter(k -> k.startsWith(prefix)).toList(),
+                    cluster.store.keys.keySet().stream()
+                            .filter(key -> key.startsWith(prefix))
+                            .toList(),
                     at);
         }
         assertTrue(
-                leader.controller.block.machines().keySet().containsAll(w.cloud.machines.keySet()),
+                leader.controller
+                        .shard
+                        .machines()
+                        .keySet()
+                        .containsAll(cluster.cloud.machines.keySet()),
                 at);
         assertTrue(
-                leader.controller.block.machines().values().stream()
-                        .noneMatch(m -> m.deafToAnswers()),
+                leader.controller.shard.machines().values().stream()
+                        .noneMatch(machine -> machine.deafToAnswers()),
                 at);
-        assertEquals(List.of(), w.broken, at);
+        assertEquals(List.of(), cluster.broken, at);
     }
 
     private static int writesOfADay(boolean handOver) {
-        SimulatedCluster w = settled(3, 4);
-        Loss none = new Loss(w, -1, 0, () -> {});
-        day(w, handOver);
-        oneEnd(w, "no loss");
+        SimulatedCluster cluster = settled(3, 4);
+        Loss none = new Loss(cluster, -1, 0, () -> {});
+        day(cluster, handOver);
+        oneEnd(cluster, "no loss");
         return none.count;
     }
 
     private static void seen(Map<String, Integer> kinds, Set<String> keys) {
-        keys.forEach(k -> kinds.merge(k.replaceAll("[0-9]+.*", ""), 1, Integer::sum));
+        keys.forEach(key -> kinds.merge(key.replaceAll("[0-9]+.*", ""), 1, Integer::sum));
     }
 
     @Test
@@ -196,16 +207,16 @@
         int all = writesOfADay(false);
         for (int times = 1; times <= 2; times++) {
             for (int i = 0; i < all; i++) {
-                SimulatedCluster w = settled(3, 4);
-                long token = w.store.token();
-                Loss loss = new Loss(w, i, times, () -> {});
-                day(w, false);
+                SimulatedCluster cluster = settled(3, 4);
+                long token = cluster.store.token();
+                Loss loss = new Loss(cluster, i, times, () -> {});
+                day(cluster, false);
                 String at = "write " + i + " unheard " + times + " times";
-                oneEnd(w, at);
+                oneEnd(cluster, at);
                 assertTrue(loss.lost > 0, at);
                 // Nobody takes it for another's and stands back, and no work is lost over it.
-                assertEquals(token, w.store.token(), at);
-                assertEquals(w.workers.size(), sessions(w), at);
+                assertEquals(token, cluster.store.token(), at);
+                assertEquals(cluster.workers.size(), sessions(cluster), at);
                 seen(kinds, loss.keys);
                 repeated += loss.lost > 1 ? 1 : 0;
                 days++;
@@ -237,11 +248,16 @@
         int all = writesOfADay(true);
         for (int i = 0; i < all; i++) {
             for (double after : every(ENDS, i)) {
-                SimulatedCluster w = settled(3, 4);
-                Loss loss = new Loss(w, i, 1 + i % 2, () -> w.after(after, () -> ends(w, 0.3)));
-                day(w, true);
+                SimulatedCluster cluster = settled(3, 4);
+                Loss loss =
+                        new Loss(
+                                cluster,
+                                i,
+                                1 + i % 2,
+                                () -> cluster.after(after, () -> ends(cluster, 0.3)));
+                day(cluster, true);
                 String at = "write " + i + " unheard, leader ends after " + after;
-                oneEnd(w, at);
+                oneEnd(cluster, at);
                 assertTrue(loss.lost > 0, at);
                 seen(kinds, loss.keys);
             }
@@ -270,13 +286,18 @@
         int outages = 0;
         for (int i = 0; i < all; i++) {
             for (double after : every(OUT, i)) {
-                SimulatedCluster w = settled(3, 4);
-                Loss loss = new Loss(w, i, 1, () -> w.after(after, () -> w.store.outage(13)));
-                day(w, false);
+                SimulatedCluster cluster = settled(3, 4);
+                Loss loss =
+                        new Loss(
+                                cluster,
+                                i,
+                                1,
+                                () -> cluster.after(after, () -> cluster.store.outage(13)));
+                day(cluster, false);
                 String at = "write " + i + " unheard, store out after " + after;
-                oneEnd(w, at);
+                oneEnd(cluster, at);
                 assertTrue(loss.lost > 0, at);
-                assertEquals(w.workers.size(), sessions(w), at);
+                assertEquals(cluster.workers.size(), sessions(cluster), at);
                 outages++;
             }
         }
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -37,23 +37,23 @@
     @Test
     void aStopThatIsHeldUpEndsNothingThatWasPlacedSince() {
         for (double held = 0.6; held < 16; held += 0.8) {
-            SimulatedCluster w = settled(2, 2);
+            SimulatedCluster cluster = settled(2, 2);
             double late = held;
-            w.directHeldS = () -> late;
-            w.runsFor = id -> id.equals("j-1") ? 25 : 5;
-            w.submit(w.leader(), job("j-1", Shape.ARRAY, 2, 4));
-            w.run(4);
-            assertEquals(2, w.onMachines("j-1"));
-            w.submit(
-                    w.leader(),
+            cluster.directHeldS = () -> late;
+            cluster.runsFor = id -> id.equals("j-1") ? 25 : 5;
+            cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 2, 4));
+            cluster.run(4);
+            assertEquals(2, cluster.onMachines("j-1"));
+            cluster.submit(
+                    cluster.leader(),
                     SimulatedCluster.with(
                             job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
             // The same tasks on the same machines, when those of more right have ended.
-            w.run(60);
-            assertEquals("done", w.status(w.leader(), "j-2"), "held " + held);
-            assertEquals("done", w.status(w.leader(), "j-1"), "held " + held);
-            assertEquals(6, starts(w), "held " + held);
-            assertEquals(List.of(), w.broken, "held " + held);
+            cluster.run(60);
+            assertEquals("done", cluster.status(cluster.leader(), "j-2"), "held " + held);
+            assertEquals("done", cluster.status(cluster.leader(), "j-1"), "held " + held);
+            assertEquals(6, starts(cluster), "held " + held);
+            assertEquals(List.of(), cluster.broken, "held " + held);
         }
     }
 
@@ -65,22 +65,22 @@
     void aMachineThatStoodStillDoesNothingThatIsNotWantedAnyMore() {
         for (double stands = 1; stands < 26; stands += 1) {
             for (double at = 0.1; at < 2.5; at += 0.4) {
-                SimulatedCluster w = settled(2, 3);
-                w.runsFor = id -> 8;
-                SimulatedWorker x = w.workers.get("i-000000");
-                w.submit(w.leader(), job("j-1", Shape.ARRAY, 3, 4));
-                w.run(at);
-                x.hangsUntil = w.clock.now + stands;
-                w.submit(
-                        w.leader(),
+                SimulatedCluster cluster = settled(2, 3);
+                cluster.runsFor = id -> 8;
+                SimulatedWorker worker = cluster.workers.get("i-000000");
+                cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 3, 4));
+                cluster.run(at);
+                worker.hangsUntil = cluster.clock.now + stands;
+                cluster.submit(
+                        cluster.leader(),
                         SimulatedCluster.with(
                                 job("j-2", Shape.ARRAY, 2, 4), "red", Priority.HIGH, false));
-                w.run(3);
-                w.cancel(w.leader(), "j-2");
-                w.run(70);
+                cluster.run(3);
+                cluster.cancel(cluster.leader(), "j-2");
+                cluster.run(70);
                 String when = "stands " + stands + " from " + at;
-                assertEquals(List.of(), w.broken, when);
-                assertEquals("done", w.status(w.leader(), "j-1"), when);
+                assertEquals(List.of(), cluster.broken, when);
+                assertEquals("done", cluster.status(cluster.leader(), "j-1"), when);
             }
         }
     }
@@ -92,55 +92,57 @@
     void aSlowStoreDelaysButForgetsAndDoublesNothing() {
         for (double slow : new double[] {0.05, 0.2, 0.4, 0.8, 1.2}) {
             for (boolean takeover : new boolean[] {false, true}) {
-                SimulatedCluster w = settled(3, 4);
-                w.runsFor = id -> 20;
-                w.submit(w.leader(), job("j-1", Shape.ARRAY, 8, 1));
-                w.run(4);
-                long before = sessions(w);
-                w.store.slowS = slow;
+                SimulatedCluster cluster = settled(3, 4);
+                cluster.runsFor = id -> 20;
+                cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 8, 1));
+                cluster.run(4);
+                long before = sessions(cluster);
+                cluster.store.slowS = slow;
                 List<String> handedIn = new ArrayList<>(List.of("j-1"));
                 for (int i = 0; i < 10; i++) {
                     String id = "j-" + (10 + i);
-                    w.submit(
-                            w.nodes.get("k" + i % 3),
+                    cluster.submit(
+                            cluster.nodes.get("k" + i % 3),
                             job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 2, 1));
                     handedIn.add(id);
                     if (i == 4 && takeover) {
                         SimulatedNode n =
-                                w.nodes.values().stream()
+                                cluster.nodes.values().stream()
                                         .filter(x -> x.controller.leadership.leading())
                                         .findFirst()
-                                        .orElse(w.nodes.get("k0"));
+                                        .orElse(cluster.nodes.get("k0"));
                         n.kill();
-                        w.after(0.3, () -> w.node(n.name));
+                        cluster.after(0.3, () -> cluster.node(n.name));
                     }
                     if (i == 6) {
-                        w.cancel(w.nodes.get("k1"), "j-13");
+                        cluster.cancel(cluster.nodes.get("k1"), "j-13");
                     }
-                    w.run(2.5);
-                    w.ask(w.nodes.get("k" + (i + 1) % 3), handedIn.get(i / 2));
+                    cluster.run(2.5);
+                    cluster.ask(cluster.nodes.get("k" + (i + 1) % 3), handedIn.get(i / 2));
                 }
-                w.store.slowS = 0;
-                w.run(60);
+                cluster.store.slowS = 0;
+                cluster.run(60);
                 String at = "slow " + slow + (takeover ? " with a takeover" : "");
                 for (String id : handedIn) {
-                    var a = w.ask(w.leader(), id);
+                    var answer = cluster.ask(cluster.leader(), id);
                     // One whose user heard nothing may or may not be there.
-                    if (w.accepted.containsKey(id)) {
+                    if (cluster.accepted.containsKey(id)) {
                         assertEquals(
-                                w.toldCancelled.containsKey(id) ? "cancelled" : a.state().status(),
-                                a.state().status(),
+                                cluster.toldCancelled.containsKey(id)
+                                        ? "cancelled"
+                                        : answer.state().status(),
+                                answer.state().status(),
                                 at);
                         assertTrue(
-                                List.of("done", "cancelled").contains(a.state().status()),
-                                at + " " + a);
+                                List.of("done", "cancelled").contains(answer.state().status()),
+                                at + " " + answer);
                     }
                 }
                 if (slow < 0.3) {
-                    assertEquals(before, sessions(w), at);
+                    assertEquals(before, sessions(cluster), at);
                 }
-                assertEquals(List.of(), w.broken, at);
-                assertEquals(0, w.dropped, at);
+                assertEquals(List.of(), cluster.broken, at);
+                assertEquals(0, cluster.dropped, at);
             }
         }
     }
@@ -150,19 +152,19 @@
      */
     @Test
     void anOutageIsNotAnsweredWithAHerd() {
-        SimulatedCluster w = settled(3, 6);
-        w.submit(w.leader(), job("j-1", Shape.ARRAY, 8, 1));
-        w.run(4);
-        w.store.outage(40);
-        int before = w.nodes.values().stream().mapToInt(n -> n.requests).sum();
+        SimulatedCluster cluster = settled(3, 6);
+        cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 8, 1));
+        cluster.run(4);
+        cluster.store.outage(40);
+        int before = cluster.nodes.values().stream().mapToInt(node -> node.requests).sum();
         for (int i = 0; i < 40; i++) {
-            for (SimulatedNode n : w.nodes.values()) {
-                n.controller.registry().status("j-1", a -> {});
-                n.controller.registry().cancel("j-1", a -> {});
+            for (SimulatedNode node : cluster.nodes.values()) {
+                node.controller.registry().status("j-1", answer -> {});
+                node.controller.registry().cancel("j-1", answer -> {});
             }
-            w.run(0.98);
+            cluster.run(0.98);
         }
-        int asked = w.nodes.values().stream().mapToInt(n -> n.requests).sum() - before;
+        int asked = cluster.nodes.values().stream().mapToInt(node -> node.requests).sum() - before;
         // Three nodes, of them one that renews, proves, writes and follows: a few each a second.
         assertTrue(asked < 40 * 3 * 12, "requests " + asked);
     }
@@ -173,60 +175,61 @@
     /** A day in which everybody who writes anything writes something. */
     private static SimulatedCluster day(
             int which, double late, int[] count, Map<String, Integer> kinds, double crashAt) {
-        SimulatedCluster w = settled(3, 4);
-        w.cloud.capacity = 8;
-        w.runsFor = id -> 7;
-        w.store.late =
-                t -> {
+        SimulatedCluster cluster = settled(3, 4);
+        cluster.cloud.capacity = 8;
+        cluster.runsFor = id -> 7;
+        cluster.store.late =
+                transaction -> {
                     if (count[0]++ == which) {
-                        t.writes()
+                        transaction
+                                .writes()
                                 .forEach(
-                                        x ->
+                                        write ->
                                                 kinds.merge(
-                                                        x.key().replaceAll("[0-9]+.*", ""),
+                                                        write.key().replaceAll("[0-9]+.*", ""),
                                                         1,
                                                         Integer::sum));
                         return late;
                     }
                     return 0;
                 };
-        SimulatedNode a = w.leader();
-        w.submit(a, job("j-1", Shape.ARRAY, 6, 2));
-        w.submit(other(w, a), job("j-2", Shape.GANG, 4, 2));
-        w.submit(a, job("j-3", Shape.ARRAY, 2, 1), "j-1");
-        w.submit(a, job("j-4", Shape.ARRAY, 2, 1), "j-2");
-        w.run(2);
-        w.cancel(other(w, a), "j-2");
-        w.run(3);
+        SimulatedNode a = cluster.leader();
+        cluster.submit(a, job("j-1", Shape.ARRAY, 6, 2));
+        cluster.submit(other(cluster, a), job("j-2", Shape.GANG, 4, 2));
+        cluster.submit(a, job("j-3", Shape.ARRAY, 2, 1), "j-1");
+        cluster.submit(a, job("j-4", Shape.ARRAY, 2, 1), "j-2");
+        cluster.run(2);
+        cluster.cancel(other(cluster, a), "j-2");
+        cluster.run(3);
         if (crashAt > 0) {
-            w.run(crashAt);
+            cluster.run(crashAt);
             SimulatedNode n =
-                    w.nodes.values().stream()
+                    cluster.nodes.values().stream()
                             .filter(x -> x.controller.leadership.leading())
                             .findFirst()
                             .orElse(a);
             n.kill();
-            w.after(0.3, () -> w.node(n.name));
+            cluster.after(0.3, () -> cluster.node(n.name));
         }
-        w.run(4);
+        cluster.run(4);
         // The same ids again, by users who heard nothing.
         for (String id : List.of("j-1", "j-2", "j-3")) {
-            w.submit(
-                    w.nodes.get("k1"),
-                    w.specs.get(id),
-                    w.needs.getOrDefault(id, List.of()).toArray(String[]::new));
+            cluster.submit(
+                    cluster.nodes.get("k1"),
+                    cluster.specs.get(id),
+                    cluster.needs.getOrDefault(id, List.of()).toArray(String[]::new));
         }
-        w.cancel(w.nodes.get("k2"), "j-2");
-        w.submit(w.nodes.get("k0"), job("j-5", Shape.ARRAY, 60, 2));
-        w.run(14);
+        cluster.cancel(cluster.nodes.get("k2"), "j-2");
+        cluster.submit(cluster.nodes.get("k0"), job("j-5", Shape.ARRAY, 60, 2));
+        cluster.run(14);
         for (int i = 0; i < 14; i++) {
-            w.run(4);
+            cluster.run(4);
             for (String id : List.of("j-1", "j-2", "j-3", "j-4", "j-5")) {
-                w.ask(w.nodes.get("k" + i % 3), id);
+                cluster.ask(cluster.nodes.get("k" + i % 3), id);
             }
         }
-        w.run(90);
-        return w;
+        cluster.run(90);
+        return cluster;
     }
 
     @Test
@@ -237,12 +240,12 @@
             int[] all = new int[1];
             day(-1, late, all, kinds, 1);
             for (int i = 0; i < all[0]; i += 1) {
-                SimulatedCluster w = day(i, late, new int[1], kinds, 1);
+                SimulatedCluster cluster = day(i, late, new int[1], kinds, 1);
                 String at = "write " + i + " late by " + late;
-                assertEquals(List.of(), w.broken, at);
-                for (String id : w.accepted.keySet()) {
-                    String status = w.status(w.leader(), id);
-                    boolean gone = w.toldCancelled.containsKey(id);
+                assertEquals(List.of(), cluster.broken, at);
+                for (String id : cluster.accepted.keySet()) {
+                    String status = cluster.status(cluster.leader(), id);
+                    boolean gone = cluster.toldCancelled.containsKey(id);
                     assertTrue(
                             status.equals(gone ? "cancelled" : "done")
                                     || id.equals("j-4") && status.equals("cancelled"),
@@ -250,8 +253,8 @@
                 }
                 assertEquals(
                         0,
-                        w.store.keys.keySet().stream()
-                                .filter(k -> k.startsWith(StoreKeys.OPEN))
+                        cluster.store.keys.keySet().stream()
+                                .filter(key -> key.startsWith(StoreKeys.OPEN))
                                 .count(),
                         at);
                 days++;
@@ -266,41 +269,42 @@
     void manyWritesArriveLate() {
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            SimulatedCluster w = settled(3, 5);
-            w.cloud.capacity = 10;
-            w.runsFor = id -> 6 + Math.floorMod(id.hashCode(), 9);
-            w.store.late = t -> random.nextInt(3) == 0 ? 2 + random.nextDouble() * 10 : 0;
+            SimulatedCluster cluster = settled(3, 5);
+            cluster.cloud.capacity = 10;
+            cluster.runsFor = id -> 6 + Math.floorMod(id.hashCode(), 9);
+            cluster.store.late =
+                    transaction -> random.nextInt(3) == 0 ? 2 + random.nextDouble() * 10 : 0;
             for (int i = 0; i < 12; i++) {
-                w.submit(
-                        w.nodes.get("k" + random.nextInt(3)),
+                cluster.submit(
+                        cluster.nodes.get("k" + random.nextInt(3)),
                         job(
                                 "j-" + (10 + i),
                                 i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
                                 1 + random.nextInt(4),
                                 1));
-                w.run(random.nextDouble() * 4);
+                cluster.run(random.nextDouble() * 4);
                 if (random.nextInt(4) == 0) {
-                    w.cancel(
-                            w.nodes.get("k" + random.nextInt(3)),
+                    cluster.cancel(
+                            cluster.nodes.get("k" + random.nextInt(3)),
                             "j-" + (10 + random.nextInt(i + 1)));
                 }
                 if (random.nextInt(5) == 0) {
-                    SimulatedNode n = w.nodes.get("k" + random.nextInt(3));
-                    n.kill();
-                    w.after(0.3, () -> w.node(n.name));
+                    SimulatedNode node = cluster.nodes.get("k" + random.nextInt(3));
+                    node.kill();
+                    cluster.after(0.3, () -> cluster.node(node.name));
                 }
             }
-            w.run(10);
-            w.store.late = t -> 0;
-            w.run(120);
-            for (String id : w.accepted.keySet()) {
-                var a = w.ask(w.leader(), id);
+            cluster.run(10);
+            cluster.store.late = transaction -> 0;
+            cluster.run(120);
+            for (String id : cluster.accepted.keySet()) {
+                var answer = cluster.ask(cluster.leader(), id);
                 assertTrue(
-                        a.verdict() == Verdict.KNOWN
-                                && List.of("done", "cancelled").contains(a.state().status()),
-                        "seed " + seed + ": " + id + " " + a);
+                        answer.verdict() == Verdict.KNOWN
+                                && List.of("done", "cancelled").contains(answer.state().status()),
+                        "seed " + seed + ": " + id + " " + answer);
             }
-            assertEquals(List.of(), w.broken, "seed " + seed);
+            assertEquals(List.of(), cluster.broken, "seed " + seed);
         }
     }
 
@@ -308,35 +312,40 @@
     // -----------
 
     private static void unreachable(double leaderEnds, double lasts, boolean deaf, Shape shape) {
-        SimulatedCluster w = settled(3, 8);
-        w.cloud.capacity =
+        SimulatedCluster cluster = settled(3, 8);
+        cluster.cloud.capacity =
                 8; // For the machines that are given back, as what hears nobody is after three
         // leases.
-        w.runsFor = id -> 90;
-        JobSpec s = job("j-1", shape, 4, 4);
-        w.submit(
-                w.leader(),
-                shape == Shape.GANG ? SimulatedCluster.with(s, "red", Priority.NORMAL, true) : s);
-        w.run(6);
+        cluster.runsFor = id -> 90;
+        JobSpec spec = job("j-1", shape, 4, 4);
+        cluster.submit(
+                cluster.leader(),
+                shape == Shape.GANG
+                        ? SimulatedCluster.with(spec, "red", Priority.NORMAL, true)
+                        : spec);
+        cluster.run(6);
         List<SimulatedWorker> lost =
-                w.workers.values().stream().filter(x -> !x.tasks.isEmpty()).limit(2).toList();
-        w.run(2);
+                cluster.workers.values().stream()
+                        .filter(worker -> !worker.tasks.isEmpty())
+                        .limit(2)
+                        .toList();
+        cluster.run(2);
         lost.forEach(
-                x -> {
-                    x.deaf = deaf;
-                    x.cut = !deaf;
+                worker -> {
+                    worker.deaf = deaf;
+                    worker.cut = !deaf;
                 });
-        w.run(leaderEnds);
-        SimulatedNode n = w.leader();
-        n.kill();
-        w.after(0.3, () -> w.node(n.name));
-        w.run(lasts);
+        cluster.run(leaderEnds);
+        SimulatedNode node = cluster.leader();
+        node.kill();
+        cluster.after(0.3, () -> cluster.node(node.name));
+        cluster.run(lasts);
         lost.forEach(
-                x -> {
-                    x.deaf = false;
-                    x.cut = false;
+                worker -> {
+                    worker.deaf = false;
+                    worker.cut = false;
                 });
-        w.run(280);
+        cluster.run(280);
         String at =
                 shape
                         + " leader ends after "
@@ -344,11 +353,11 @@
                         + ", lasts "
                         + lasts
                         + (deaf ? " deaf" : " cut");
-        assertEquals(List.of(), w.broken, at);
-        assertEquals("done", w.status(w.leader(), "j-1"), at);
+        assertEquals(List.of(), cluster.broken, at);
+        assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
         assertTrue(
-                w.leader().controller.block.machines().values().stream()
-                        .allMatch(m -> m.attempts().isEmpty()),
+                cluster.leader().controller.shard.machines().values().stream()
+                        .allMatch(machine -> machine.attempts().isEmpty()),
                 at);
     }
 
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -23,31 +23,31 @@
  * MeetingsLateTest} has the others.
  */
 class MeetingsTest {
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
 
-    static SimulatedNode other(SimulatedCluster w, SimulatedNode than) {
-        return w.nodes.values().stream()
-                .filter(n -> n != than && n.alive)
+    static SimulatedNode other(SimulatedCluster cluster, SimulatedNode than) {
+        return cluster.nodes.values().stream()
+                .filter(node -> node != than && node.alive)
                 .findFirst()
                 .orElseThrow();
     }
 
-    static long sessions(SimulatedCluster w) {
-        return w.workers.values().stream().mapToLong(x -> x.session).sum();
+    static long sessions(SimulatedCluster cluster) {
+        return cluster.workers.values().stream().mapToLong(worker -> worker.session).sum();
     }
 
-    static int starts(SimulatedCluster w) {
-        return w.workers.values().stream().mapToInt(x -> x.started).sum();
+    static int starts(SimulatedCluster cluster) {
+        return cluster.workers.values().stream().mapToInt(worker -> worker.started).sum();
     }
 
-    private static void alone(SimulatedCluster w, SimulatedNode n) {
-        n.cutFromStore = true;
-        w.siblings.forEach(n.cutFrom::add);
+    private static void alone(SimulatedCluster cluster, SimulatedNode node) {
+        node.cutFromStore = true;
+        cluster.siblings.forEach(node.cutFrom::add);
     }
 
-    private static void joined(SimulatedNode n) {
-        n.cutFromStore = false;
-        n.cutFrom.clear();
+    private static void joined(SimulatedNode node) {
+        node.cutFromStore = false;
+        node.cutFrom.clear();
     }
 
     // ---- 1. the leader without store and siblings, with workers and users -----------------------
@@ -60,32 +60,34 @@
     void aHolderAloneWithItsWorkersKeepsNothingThatOthersCancel() {
         for (double cut = 0.5; cut <= 2 * 10; cut += 0.5) {
             for (double cancelAfter : new double[] {0.1, 0.4, 0.9}) {
-                w = settled(3, 4);
-                w.runsFor = id -> 300;
-                SimulatedNode holder = w.leader();
-                w.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
-                w.submit(holder, job("j-2", Shape.ARRAY, 6, 1));
-                w.run(5);
-                alone(w, holder);
-                w.run(cut * cancelAfter);
-                var a = w.cancel(other(w, holder), "j-1");
+                cluster = settled(3, 4);
+                cluster.runsFor = id -> 300;
+                SimulatedNode holder = cluster.leader();
+                cluster.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
+                cluster.submit(holder, job("j-2", Shape.ARRAY, 6, 1));
+                cluster.run(5);
+                alone(cluster, holder);
+                cluster.run(cut * cancelAfter);
+                var answer = cluster.cancel(other(cluster, holder), "j-1");
                 // Its own users are sent away or told what holds for ever, never how it was.
-                var own = w.ask(holder, "j-1");
+                var own = cluster.ask(holder, "j-1");
                 assertTrue(
                         own == null
                                 || own.verdict() == Verdict.LATER
                                 || own.verdict() == Verdict.KNOWN);
-                w.run(cut * (1 - cancelAfter));
+                cluster.run(cut * (1 - cancelAfter));
                 joined(holder);
-                w.run(3);
-                w.ask(holder, "j-1");
-                w.run(40);
+                cluster.run(3);
+                cluster.ask(holder, "j-1");
+                cluster.run(40);
                 String at = "cut " + cut + ", cancelled after " + cancelAfter;
-                assertEquals(List.of(), w.broken, at);
+                assertEquals(List.of(), cluster.broken, at);
                 assertEquals(
-                        a != null && a.verdict() == Verdict.KNOWN ? 0 : 6, w.onMachines("j-1"), at);
-                assertEquals(6, w.onMachines("j-2"), at);
-                assertEquals(0, w.dropped, at);
+                        answer != null && answer.verdict() == Verdict.KNOWN ? 0 : 6,
+                        cluster.onMachines("j-1"),
+                        at);
+                assertEquals(6, cluster.onMachines("j-2"), at);
+                assertEquals(0, cluster.dropped, at);
             }
         }
     }
@@ -94,23 +96,23 @@
     @Test
     void aHolderThatIsAloneAgainAndAgainChangesNothingForWorkAndUsers() {
         for (double period = 1.5; period <= 12; period += 0.75) {
-            w = settled(3, 4);
-            w.runsFor = id -> 500;
-            SimulatedNode first = w.leader();
-            w.submit(first, job("j-1", Shape.ARRAY, 8, 1));
-            w.run(5);
-            int before = starts(w);
+            cluster = settled(3, 4);
+            cluster.runsFor = id -> 500;
+            SimulatedNode first = cluster.leader();
+            cluster.submit(first, job("j-1", Shape.ARRAY, 8, 1));
+            cluster.run(5);
+            int before = starts(cluster);
             for (int i = 0; i < 8; i++) {
-                alone(w, first);
-                w.run(period);
+                alone(cluster, first);
+                cluster.run(period);
                 joined(first);
-                w.run(period);
-                w.ask(first, "j-1");
+                cluster.run(period);
+                cluster.ask(first, "j-1");
             }
-            w.run(12);
-            assertEquals(List.of(), w.broken, "period " + period);
-            assertEquals(8, w.onMachines("j-1"), "period " + period);
-            assertEquals(before, starts(w), "period " + period);
+            cluster.run(12);
+            assertEquals(List.of(), cluster.broken, "period " + period);
+            assertEquals(8, cluster.onMachines("j-1"), "period " + period);
+            assertEquals(before, starts(cluster), "period " + period);
             assertTrue(first.controller.healthy());
         }
     }
@@ -121,10 +123,10 @@
      */
     @Test
     void aNodeThatHearsNobodySendsWorkersOnAtOnce() {
-        w = settled(3, 2);
-        SimulatedNode cut = other(w, w.leader());
-        alone(w, cut);
-        w.run(8);
+        cluster = settled(3, 2);
+        SimulatedNode cut = other(cluster, cluster.leader());
+        alone(cluster, cut);
+        cluster.run(8);
         HeartbeatResponse[] got = new HeartbeatResponse[1];
         cut.controller.heartbeat(
                 new Heartbeat(
@@ -135,52 +137,57 @@
                         false,
                         1,
                         9,
-                        w.store.token(),
+                        cluster.store.token(),
                         null,
                         List.of(
                                 new Heartbeat.TaskStatus(
                                         "j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
-                c -> got[0] = c);
-        w.run(0.05);
+                response -> got[0] = response);
+        cluster.run(0.05);
         assertEquals(HeartbeatResponse.elsewhere(null), got[0]);
     }
 
     // ---- 2. jobs of two or three tasks that end far apart, across a change of leader ------------
 
     private void endsFarApart(Shape shape, double crashAt, double backAfter, boolean second) {
-        w = settled(3, 3);
+        cluster = settled(3, 3);
         // Each fills a machine, so that the three tasks end apart: far, or in the moment of the
         // change.
         double[] run = {4, 11, 26};
         int i = 0;
-        for (SimulatedWorker x : w.workers.values()) {
-            x.runsFor = run[i++];
+        for (SimulatedWorker worker : cluster.workers.values()) {
+            worker.runsFor = run[i++];
         }
-        SimulatedNode holder = w.leader();
-        w.submit(holder, job("j-1", shape, 3, 3));
-        w.run(crashAt);
-        int ended = w.completed.getOrDefault("j-1", java.util.Set.of()).size();
-        SimulatedNode ends = w.leader();
+        SimulatedNode holder = cluster.leader();
+        cluster.submit(holder, job("j-1", shape, 3, 3));
+        cluster.run(crashAt);
+        int ended = cluster.completed.getOrDefault("j-1", java.util.Set.of()).size();
+        SimulatedNode ends = cluster.leader();
         ends.crash();
         if (backAfter >= 0) {
-            w.after(backAfter, () -> w.node(ends.name));
+            cluster.after(backAfter, () -> cluster.node(ends.name));
         }
-        w.run(2.5);
-        w.ask(other(w, ends), "j-1");
+        cluster.run(2.5);
+        cluster.ask(other(cluster, ends), "j-1");
         if (second) {
             SimulatedNode next =
-                    w.nodes.values().stream()
-                            .filter(n -> n.alive && n.controller.leadership.leading())
+                    cluster.nodes.values().stream()
+                            .filter(node -> node.alive && node.controller.leadership.leading())
                             .findFirst()
                             .orElse(null);
             if (next != null) {
                 next.crash();
-                w.after(0.3, () -> w.node(next.name));
+                cluster.after(0.3, () -> cluster.node(next.name));
             }
         }
         for (int s = 0; s < 60; s++) {
-            w.run(1);
-            w.ask(w.nodes.values().stream().filter(n -> n.alive).findFirst().orElseThrow(), "j-1");
+            cluster.run(1);
+            cluster.ask(
+                    cluster.nodes.values().stream()
+                            .filter(node -> node.alive)
+                            .findFirst()
+                            .orElseThrow(),
+                    "j-1");
         }
         String at =
                 shape
@@ -191,10 +198,10 @@
                         + (second ? " twice" : "")
                         + ", ended "
                         + ended;
-        assertEquals(List.of(), w.broken, at);
-        assertEquals("done", w.status(w.leader(), "j-1"), at);
-        assertEquals(3, starts(w), at);
-        assertEquals(0, w.dropped, at);
+        assertEquals(List.of(), cluster.broken, at);
+        assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
+        assertEquals(3, starts(cluster), at);
+        assertEquals(0, cluster.dropped, at);
     }
 
     @Test
@@ -213,27 +220,27 @@
     @Test
     void handingOverAndBackLosesNothingAndTokensOnlyRise() {
         for (double gap = 0.05; gap < 3; gap += 0.15) {
-            w = settled(3, 4);
-            w.runsFor = id -> 400;
-            w.submit(w.leader(), job("j-1", Shape.ARRAY, 8, 1));
-            w.run(5);
-            int before = starts(w);
-            long token = w.store.token();
+            cluster = settled(3, 4);
+            cluster.runsFor = id -> 400;
+            cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 8, 1));
+            cluster.run(5);
+            int before = starts(cluster);
+            long token = cluster.store.token();
             for (int i = 0; i < 6; i++) {
                 SimulatedNode n =
-                        w.nodes.values().stream()
+                        cluster.nodes.values().stream()
                                 .filter(x -> x.alive && x.controller.leadership.leading())
                                 .findFirst()
                                 .orElse(null);
                 if (n != null) {
                     n.controller.stop();
-                    w.run(0.02);
+                    cluster.run(0.02);
                     n.crash();
-                    w.after(gap, () -> w.node(n.name));
+                    cluster.after(gap, () -> cluster.node(n.name));
                 }
-                w.run(gap * 1.7);
-                assertTrue(w.store.token() >= token);
-                token = w.store.token();
+                cluster.run(gap * 1.7);
+                assertTrue(cluster.store.token() >= token);
+                token = cluster.store.token();
             }
             check("gap " + gap, before);
         }
@@ -243,34 +250,42 @@
     void allEndAndOneReturns() {
         for (double back : new double[] {0.05, 0.2, 0.4, 0.9, 2, 5}) {
             for (int which = 0; which < 3; which++) {
-                w = settled(3, 4);
-                w.runsFor = id -> 400;
-                w.submit(w.leader(), job("j-1", Shape.ARRAY, 8, 1));
-                w.run(5);
-                int before = starts(w);
+                cluster = settled(3, 4);
+                cluster.runsFor = id -> 400;
+                cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 8, 1));
+                cluster.run(5);
+                int before = starts(cluster);
                 for (int round = 0; round < 3; round++) {
-                    w.nodes.values().forEach(SimulatedNode::kill);
-                    String k = "k" + which;
-                    w.run(back);
-                    w.node(k);
-                    var a = w.ask(w.nodes.get(k), "j-1");
-                    assertTrue(a == null || a.verdict() != Verdict.NOT_FOUND, "back " + back);
-                    w.run(back + 1.5);
+                    cluster.nodes.values().forEach(SimulatedNode::kill);
+                    String key = "k" + which;
+                    cluster.run(back);
+                    cluster.node(key);
+                    var answer = cluster.ask(cluster.nodes.get(key), "j-1");
+                    assertTrue(
+                            answer == null || answer.verdict() != Verdict.NOT_FOUND,
+                            "back " + back);
+                    cluster.run(back + 1.5);
                 }
-                w.siblings.stream().filter(k -> !w.nodes.get(k).alive).forEach(w::node);
+                cluster.siblings.stream()
+                        .filter(key -> !cluster.nodes.get(key).alive)
+                        .forEach(cluster::node);
                 check("back " + back + " k" + which, before);
             }
         }
     }
 
     private void check(String at, int startsBefore) {
-        w.run(20);
-        assertEquals(List.of(), w.broken, at);
-        assertEquals(8, w.onMachines("j-1"), at);
-        assertEquals(startsBefore, starts(w), at);
-        assertEquals(0, w.dropped, at);
-        long highest = w.workers.values().stream().mapToLong(x -> x.token).max().orElseThrow();
-        assertEquals(w.store.token(), highest, at);
+        cluster.run(20);
+        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(8, cluster.onMachines("j-1"), at);
+        assertEquals(startsBefore, starts(cluster), at);
+        assertEquals(0, cluster.dropped, at);
+        long highest =
+                cluster.workers.values().stream()
+                        .mapToLong(worker -> worker.token)
+                        .max()
+                        .orElseThrow();
+        assertEquals(cluster.store.token(), highest, at);
     }
 
     // ---- 4. an old report after newer ones, also of an earlier session or attempt
@@ -284,37 +299,38 @@
     void anOldReportBringsNothingBackWheneverItComes() {
         for (double takenAt = 0.5; takenAt < 14; takenAt += 1) {
             for (double arrives : new double[] {0.01, 0.6, 1.2, 2.5, 6, 25}) {
-                w = settled(2, 3);
-                w.runsFor = id -> 9;
-                w.submit(w.leader(), job("j-1", Shape.ARRAY, 5, 2));
-                w.run(takenAt);
+                cluster = settled(2, 3);
+                cluster.runsFor = id -> 9;
+                cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 5, 2));
+                cluster.run(takenAt);
                 List<Heartbeat> old = new ArrayList<>();
-                w.workers.values().forEach(x -> old.add(x.message()));
+                cluster.workers.values().forEach(worker -> old.add(worker.message()));
                 // One loses its session, one its machine; the work goes on elsewhere.
-                SimulatedWorker lost = w.workers.get("i-000000");
+                SimulatedWorker lost = cluster.workers.get("i-000000");
                 lost.cut = true;
-                w.run(13);
+                cluster.run(13);
                 lost.cut = false;
-                w.run(1);
-                SimulatedNode holder = w.leader();
+                cluster.run(1);
+                SimulatedNode holder = cluster.leader();
                 holder.crash();
-                w.after(0.3, () -> w.node(holder.name));
-                w.after(
+                cluster.after(0.3, () -> cluster.node(holder.name));
+                cluster.after(
                         arrives,
                         () ->
                                 old.forEach(
-                                        r ->
-                                                w.nodes.values().stream()
-                                                        .filter(n -> n.alive)
+                                        heartbeat ->
+                                                cluster.nodes.values().stream()
+                                                        .filter(node -> node.alive)
                                                         .forEach(
-                                                                n ->
-                                                                        n.controller.heartbeat(
-                                                                                r, c -> {}))));
-                w.run(70);
+                                                                node ->
+                                                                        node.controller.heartbeat(
+                                                                                heartbeat,
+                                                                                response -> {}))));
+                cluster.run(70);
                 String at = "taken at " + takenAt + ", arrives after " + arrives;
-                assertEquals(List.of(), w.broken, at);
-                assertEquals("done", w.status(w.leader(), "j-1"), at);
-                assertEquals(0, w.dropped, at);
+                assertEquals(List.of(), cluster.broken, at);
+                assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
+                assertEquals(0, cluster.dropped, at);
             }
         }
     }
@@ -322,25 +338,25 @@
     /** Of before its machine was given back, and another came under the same address. */
     @Test
     void anOldReportOfAMachineThatIsGoneIsOfNoOtherMachine() {
-        w = settled(2, 2);
-        w.runsFor = id -> 30;
-        w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 2));
-        w.run(5);
-        SimulatedWorker gone = w.workers.get("i-000000");
+        cluster = settled(2, 2);
+        cluster.runsFor = id -> 30;
+        cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 2));
+        cluster.run(5);
+        SimulatedWorker gone = cluster.workers.get("i-000000");
         Heartbeat old = gone.message();
         gone.die();
-        w.cloud.machines.remove(gone.id);
-        SimulatedWorker next = w.worker("i-000007", "a");
+        cluster.cloud.machines.remove(gone.id);
+        SimulatedWorker next = cluster.worker("i-000007", "a");
         next.address = gone.id;
-        w.run(30);
+        cluster.run(30);
         assertNotNull(old);
         for (int i = 0; i < 20; i++) {
-            w.nodes.values().forEach(n -> n.controller.heartbeat(old, c -> {}));
-            w.run(1);
+            cluster.nodes.values().forEach(node -> node.controller.heartbeat(old, response -> {}));
+            cluster.run(1);
         }
-        w.run(60);
-        assertEquals("done", w.status(w.leader(), "j-1"));
-        assertFalse(w.leader().controller.block.machines().containsKey(gone.id));
-        assertEquals(List.of(), w.broken);
+        cluster.run(60);
+        assertEquals("done", cluster.status(cluster.leader(), "j-1"));
+        assertFalse(cluster.leader().controller.shard.machines().containsKey(gone.id));
+        assertEquals(List.of(), cluster.broken);
     }
 }
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -34,41 +34,41 @@
  */
 class MuteAndAwayTest {
     /** All that was accepted is over, as its users wanted. */
-    private static void over(SimulatedCluster w, double within, String at) {
-        w.rules.calm();
-        w.run(within);
-        assertEquals(List.of(), w.broken, at);
-        for (String id : w.accepted.keySet()) {
-            var a = w.ask(w.leader(), id);
-            assertEquals(Verdict.KNOWN, a.verdict(), at + ": " + id);
+    private static void over(SimulatedCluster cluster, double within, String at) {
+        cluster.rules.calm();
+        cluster.run(within);
+        assertEquals(List.of(), cluster.broken, at);
+        for (String id : cluster.accepted.keySet()) {
+            var answer = cluster.ask(cluster.leader(), id);
+            assertEquals(Verdict.KNOWN, answer.verdict(), at + ": " + id);
             assertEquals(
-                    w.toldCancelled.containsKey(id) ? "cancelled" : "done",
-                    a.state().status(),
+                    cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    answer.state().status(),
                     at + ": " + id);
         }
         assertTrue(
-                w.leader().controller.block.machines().values().stream()
-                        .allMatch(m -> m.attempts().isEmpty()),
+                cluster.leader().controller.shard.machines().values().stream()
+                        .allMatch(machine -> machine.attempts().isEmpty()),
                 at);
     }
 
-    private static JobSpec of(JobSpec s, Priority p) {
-        return SimulatedCluster.with(s, "red", p, false);
+    private static JobSpec of(JobSpec spec, Priority p) {
+        return SimulatedCluster.with(spec, "red", p, false);
     }
 
     // ---- workers that can't open connections
     // ------------------------------------------------------
 
     /** Tasks of that job that were stopped by a command on machines that can't report it. */
-    private static long stoppedOnMute(SimulatedCluster w, String job) {
-        return w.workers.values().stream()
-                .filter(x -> x.mute)
-                .flatMap(x -> x.tasks.values().stream())
+    private static long stoppedOnMute(SimulatedCluster cluster, String job) {
+        return cluster.workers.values().stream()
+                .filter(worker -> worker.mute)
+                .flatMap(worker -> worker.tasks.values().stream())
                 .filter(
-                        t ->
-                                t.job.equals(job)
-                                        && t.state == TaskState.ENDED
-                                        && t.cause == EndCause.STOPPED)
+                        task ->
+                                task.job.equals(job)
+                                        && task.state == TaskState.ENDED
+                                        && task.cause == EndCause.STOPPED)
                 .count();
     }
 
@@ -78,9 +78,9 @@
      */
     private static long mute(
             int mute, double lasts, double cancelledAfter, double leaderEndsAfter) {
-        SimulatedCluster w = settled(3, 8);
-        w.cloud.capacity = 8;
-        w.runsFor = id -> id.equals("j-3") ? 8 : 25;
+        SimulatedCluster cluster = settled(3, 8);
+        cluster.cloud.capacity = 8;
+        cluster.runsFor = id -> id.equals("j-3") ? 8 : 25;
         String at =
                 mute
                         + " mute for "
@@ -89,34 +89,34 @@
                         + cancelledAfter
                         + ", leader ends after "
                         + leaderEndsAfter;
-        w.submit(w.leader(), of(job("j-1", Shape.ARRAY, 16, 1), Priority.LOW));
-        w.submit(w.leader(), job("j-2", Shape.ARRAY, 8, 2));
-        w.run(6);
-        assertEquals(24, w.onMachines("j-1") + w.onMachines("j-2"), at);
-        w.workers.values().stream().limit(mute).forEach(x -> x.mute = true);
+        cluster.submit(cluster.leader(), of(job("j-1", Shape.ARRAY, 16, 1), Priority.LOW));
+        cluster.submit(cluster.leader(), job("j-2", Shape.ARRAY, 8, 2));
+        cluster.run(6);
+        assertEquals(24, cluster.onMachines("j-1") + cluster.onMachines("j-2"), at);
+        cluster.workers.values().stream().limit(mute).forEach(worker -> worker.mute = true);
         if (leaderEndsAfter >= 0) {
-            w.after(
+            cluster.after(
                     leaderEndsAfter,
                     () -> {
                         SimulatedNode n =
-                                w.nodes.values().stream()
+                                cluster.nodes.values().stream()
                                         .filter(x -> x.controller.leadership.leading())
                                         .findFirst()
                                         .orElseThrow();
                         n.kill();
-                        w.after(0.3, () -> w.node(n.name));
+                        cluster.after(0.3, () -> cluster.node(n.name));
                     });
         }
-        w.after(lasts, () -> w.workers.values().forEach(x -> x.mute = false));
-        w.run(cancelledAfter);
-        w.users.cancel(other(w, w.nodes.get("k0")), "j-2");
-        w.submit(w.nodes.get("k1"), of(job("j-3", Shape.ARRAY, 6, 4), Priority.HIGH));
-        w.run(1);
-        long stopped = stoppedOnMute(w, "j-2") + stoppedOnMute(w, "j-1");
-        w.run(lasts);
-        over(w, 200, at);
-        assertTrue(w.accepted.keySet().containsAll(Set.of("j-1", "j-2", "j-3")), at);
-        assertTrue(w.toldCancelled.containsKey("j-2"), at);
+        cluster.after(lasts, () -> cluster.workers.values().forEach(worker -> worker.mute = false));
+        cluster.run(cancelledAfter);
+        cluster.users.cancel(other(cluster, cluster.nodes.get("k0")), "j-2");
+        cluster.submit(cluster.nodes.get("k1"), of(job("j-3", Shape.ARRAY, 6, 4), Priority.HIGH));
+        cluster.run(1);
+        long stopped = stoppedOnMute(cluster, "j-2") + stoppedOnMute(cluster, "j-1");
+        cluster.run(lasts);
+        over(cluster, 200, at);
+        assertTrue(cluster.accepted.keySet().containsAll(Set.of("j-1", "j-2", "j-3")), at);
+        assertTrue(cluster.toldCancelled.containsKey("j-2"), at);
         return stopped;
     }
 
@@ -160,24 +160,24 @@
     @Test
     void workThatWasPlacedOnMuteMachinesBeginsElsewhere() {
         for (double after = 0.1; after < 4; after += 0.3) {
-            SimulatedCluster w = settled(3, 4);
-            w.cloud.capacity = 4;
-            w.runsFor = id -> 5;
-            List<SimulatedWorker> lost = w.workers.values().stream().limit(2).toList();
-            lost.forEach(x -> x.mute = true);
-            w.run(after);
-            w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 4));
-            double from = w.clock.now;
-            while (w.completed.getOrDefault("j-1", Set.of()).size() < 4
-                    && w.clock.now - from < 90) {
-                w.run(1);
+            SimulatedCluster cluster = settled(3, 4);
+            cluster.cloud.capacity = 4;
+            cluster.runsFor = id -> 5;
+            List<SimulatedWorker> lost = cluster.workers.values().stream().limit(2).toList();
+            lost.forEach(worker -> worker.mute = true);
+            cluster.run(after);
+            cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 4));
+            double from = cluster.clock.now;
+            while (cluster.completed.getOrDefault("j-1", Set.of()).size() < 4
+                    && cluster.clock.now - from < 90) {
+                cluster.run(1);
             }
-            assertTrue(lost.stream().allMatch(x -> x.started == 0), "they were mute");
+            assertTrue(lost.stream().allMatch(worker -> worker.started == 0), "they were mute");
             // Until they count as silent, are given back and others are up; and what runs then.
             assertTrue(
-                    w.clock.now - from < 2 * w.leaseS + 15,
-                    "after " + after + " took " + (w.clock.now - from));
-            over(w, 60, "after " + after);
+                    cluster.clock.now - from < 2 * cluster.leaseS + 15,
+                    "after " + after + " took " + (cluster.clock.now - from));
+            over(cluster, 60, "after " + after);
         }
     }
 
@@ -190,9 +190,9 @@
 
     private static void away(
             double from, double lasts, int[] order, double apart, boolean cancelled) {
-        SimulatedCluster w = settled(3, 6);
-        w.cloud.capacity = 6;
-        w.runsFor = id -> 7 + Math.floorMod(id.hashCode(), 3) * 9;
+        SimulatedCluster cluster = settled(3, 6);
+        cluster.cloud.capacity = 6;
+        cluster.runsFor = id -> 7 + Math.floorMod(id.hashCode(), 3) * 9;
         String at =
                 "away after "
                         + from
@@ -203,37 +203,37 @@
                         + " each "
                         + apart
                         + (cancelled ? ", cancelled" : "");
-        w.submit(w.leader(), job("j-1", Shape.ARRAY, 6, 1));
-        w.submit(
-                w.leader(),
+        cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 6, 1));
+        cluster.submit(
+                cluster.leader(),
                 SimulatedCluster.with(job("j-2", Shape.GANG, 4, 2), "red", Priority.NORMAL, true));
-        w.submit(w.leader(), job("j-3", Shape.ARRAY, 3, 1));
-        w.run(4);
-        long before = sessions(w);
-        w.run(from);
+        cluster.submit(cluster.leader(), job("j-3", Shape.ARRAY, 3, 1));
+        cluster.run(4);
+        long before = sessions(cluster);
+        cluster.run(from);
         if (cancelled) {
             // In the moment before; its answer may or may not get out.
-            w.users.cancel(w.nodes.get("k1"), "j-3");
-            w.run(0.005 * from);
+            cluster.users.cancel(cluster.nodes.get("k1"), "j-3");
+            cluster.run(0.005 * from);
         }
-        w.submit(w.nodes.get("k2"), job("j-4", Shape.GANG, 2, 1));
-        new ArrayList<>(w.nodes.values()).forEach(SimulatedNode::kill);
+        cluster.submit(cluster.nodes.get("k2"), job("j-4", Shape.GANG, 2, 1));
+        new ArrayList<>(cluster.nodes.values()).forEach(SimulatedNode::kill);
         for (int i = 0; i < 3; i++) {
             String name = "k" + order[i];
-            w.after(lasts + i * apart, () -> w.node(name));
+            cluster.after(lasts + i * apart, () -> cluster.node(name));
         }
-        w.run(lasts + 2 * apart);
-        if (lasts > w.leaseS + w.reportS + 0.5) {
+        cluster.run(lasts + 2 * apart);
+        if (lasts > cluster.leaseS + cluster.reportS + 0.5) {
             assertTrue(
-                    sessions(w) >= before + 6,
-                    at + ": their leases ended, " + sessions(w) + " after " + before);
+                    sessions(cluster) >= before + 6,
+                    at + ": their leases ended, " + sessions(cluster) + " after " + before);
         }
-        w.run(1);
-        w.submit(w.nodes.get("k1"), job("j-5", Shape.ARRAY, 4, 1));
-        w.users.repeat(w.nodes.get("k0"), "j-1");
-        over(w, 110, at);
-        assertTrue(w.accepted.keySet().containsAll(Set.of("j-1", "j-2", "j-3")), at);
-        assertEquals(cancelled, w.toldCancelled.containsKey("j-3"), at);
+        cluster.run(1);
+        cluster.submit(cluster.nodes.get("k1"), job("j-5", Shape.ARRAY, 4, 1));
+        cluster.users.repeat(cluster.nodes.get("k0"), "j-1");
+        over(cluster, 110, at);
+        assertTrue(cluster.accepted.keySet().containsAll(Set.of("j-1", "j-2", "j-3")), at);
+        assertEquals(cancelled, cluster.toldCancelled.containsKey("j-3"), at);
     }
 
     @Test
@@ -263,17 +263,17 @@
         int evictions = 0;
         for (long seed = 0; seed < 10; seed++) {
             Random random = new Random(seed);
-            SimulatedCluster w = slow(random);
+            SimulatedCluster cluster = slow(random);
             Map<String, Double> handedIn = new HashMap<>();
             Map<String, Double> begun = new HashMap<>();
-            w.clock.starts = t -> begun.putIfAbsent(t.job, w.clock.now);
+            cluster.clock.starts = task -> begun.putIfAbsent(task.job, cluster.clock.now);
             Set<String> urgent = new HashSet<>();
             int tasks = 0;
             for (int i = 0; i < 30; i++) {
                 String id = "j-" + (100 + i);
                 Priority p = Priority.values()[random.nextInt(Priority.values().length)];
                 boolean gang = random.nextInt(4) == 0;
-                JobSpec s =
+                JobSpec spec =
                         SimulatedCluster.with(
                                 job(
                                         id,
@@ -283,24 +283,24 @@
                                 random.nextBoolean() ? "red" : "blue",
                                 p,
                                 gang && random.nextBoolean());
-                handedIn.put(id, w.clock.now);
+                handedIn.put(id, cluster.clock.now);
                 if (p.ordinal() < 2) {
                     urgent.add(id);
                 }
-                tasks += s.tasks();
-                w.submit(w.nodes.get("k" + i % 3), s);
-                w.run(0.5 + random.nextDouble() * 2);
+                tasks += spec.tasks();
+                cluster.submit(cluster.nodes.get("k" + i % 3), spec);
+                cluster.run(0.5 + random.nextDouble() * 2);
             }
             assertTrue(begun.size() < 30, "seed " + seed + ": more work than room");
-            long most = w.leader().controller.placer.preemption().evictions();
+            long most = cluster.leader().controller.scheduler.preemption().evictions();
             evictions += (int) most;
-            over(w, 400, "seed " + seed);
-            assertEquals(30, w.accepted.size(), "seed " + seed);
-            most = w.leader().controller.placer.preemption().evictions();
+            over(cluster, 400, "seed " + seed);
+            assertEquals(30, cluster.accepted.size(), "seed " + seed);
+            most = cluster.leader().controller.scheduler.preemption().evictions();
             // Each task that gives way does so for one that is more urgent, and not over and over.
             assertTrue(
-                    starts(w) <= tasks + most,
-                    "seed " + seed + ": " + starts(w) + " starts of " + tasks + ", " + most);
+                    starts(cluster) <= tasks + most,
+                    "seed " + seed + ": " + starts(cluster) + " starts of " + tasks + ", " + most);
             assertTrue(most <= 2 * tasks, "seed " + seed + ": " + most + " gave way for " + tasks);
             for (String id : handedIn.keySet()) {
                 int k = urgent.contains(id) ? 0 : 1;
@@ -322,23 +322,23 @@
     }
 
     private static SimulatedCluster slow(Random random) {
-        SimulatedCluster w = new SimulatedCluster();
-        w.teams.put("red", new ClusterSettings.Team("red", 8, 20, 0, 0));
-        w.teams.put("blue", new ClusterSettings.Team("blue", 8, 16, 0, 0));
-        w.reportS = 2;
-        w.leaseS = 10;
-        w.reportsChanges = true;
-        w.runsFor = id -> 6 + Math.floorMod(id.hashCode(), 9);
-        w.latencyS = () -> 0.01 + 0.3 * random.nextDouble() * random.nextDouble();
-        w.directDelayS = 0.1 + random.nextDouble();
+        SimulatedCluster cluster = new SimulatedCluster();
+        cluster.teams.put("red", new ClusterSettings.Team("red", 8, 20, 0, 0));
+        cluster.teams.put("blue", new ClusterSettings.Team("blue", 8, 16, 0, 0));
+        cluster.reportS = 2;
+        cluster.leaseS = 10;
+        cluster.reportsChanges = true;
+        cluster.runsFor = id -> 6 + Math.floorMod(id.hashCode(), 9);
+        cluster.latencyS = () -> 0.01 + 0.3 * random.nextDouble() * random.nextDouble();
+        cluster.directDelayS = 0.1 + random.nextDouble();
         for (int i = 0; i < 3; i++) {
-            w.siblings.add("k" + i);
+            cluster.siblings.add("k" + i);
         }
-        w.siblings.forEach(w::node);
+        cluster.siblings.forEach(cluster::node);
         for (int i = 0; i < 6; i++) {
-            w.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
+            cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
         }
-        w.run(14);
-        return w;
+        cluster.run(14);
+        return cluster;
     }
 }
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/OneZoneTest.java
@@ -26,63 +26,63 @@
 class OneZoneTest {
     /** So many nodes and machines, the first ones in zone a, the others in zone b. */
     private static SimulatedCluster zones(int nodes, int inA, int inB) {
-        SimulatedCluster w = settled(nodes, 0);
+        SimulatedCluster cluster = settled(nodes, 0);
         for (int i = 0; i < inA + inB; i++) {
-            w.worker(String.format("i-%06d", i), i < inA ? "a" : "b");
+            cluster.worker(String.format("i-%06d", i), i < inA ? "a" : "b");
         }
-        w.run(6);
-        return w;
+        cluster.run(6);
+        return cluster;
     }
 
-    private static JobSpec placed(JobSpec s, String zone, boolean oneZone, boolean spread) {
+    private static JobSpec placed(JobSpec spec, String zone, boolean oneZone, boolean spread) {
         return new JobSpec(
-                s.id(),
-                s.jobClass(),
-                s.team(),
-                s.shape(),
-                s.priority(),
-                s.tasks(),
-                s.cpus(),
-                s.gpus(),
-                s.memoryGb(),
-                s.types(),
+                spec.id(),
+                spec.jobClass(),
+                spec.team(),
+                spec.shape(),
+                spec.priority(),
+                spec.tasks(),
+                spec.cpus(),
+                spec.gpus(),
+                spec.memoryGb(),
+                spec.types(),
                 zone,
                 oneZone,
                 spread,
-                s.spot(),
-                s.image(),
-                s.imageGb(),
-                s.estimateS(),
-                s.checkpointS(),
-                s.saveS(),
-                s.deadlineS());
+                spec.spot(),
+                spec.image(),
+                spec.imageGb(),
+                spec.estimateS(),
+                spec.checkpointS(),
+                spec.saveS(),
+                spec.deadlineS());
     }
 
-    private static JobSpec in(String zone, JobSpec s) {
-        return placed(s, zone, false, false);
+    private static JobSpec in(String zone, JobSpec spec) {
+        return placed(spec, zone, false, false);
     }
 
-    static JobSpec bound(JobSpec s) {
-        return placed(s, null, true, false);
+    static JobSpec bound(JobSpec spec) {
+        return placed(spec, null, true, false);
     }
 
-    static JobSpec spread(JobSpec s) {
-        return placed(s, null, false, true);
+    static JobSpec spread(JobSpec spec) {
+        return placed(spec, null, false, true);
     }
 
-    private static Set<String> zonesOf(SimulatedCluster w, String job) {
-        return w.workers.values().stream()
-                .flatMap(x -> x.tasks.values().stream())
-                .filter(t -> t.on() && t.job.equals(job))
-                .map(t -> t.worker.zone)
+    private static Set<String> zonesOf(SimulatedCluster cluster, String job) {
+        return cluster.workers.values().stream()
+                .flatMap(worker -> worker.tasks.values().stream())
+                .filter(task -> task.on() && task.job.equals(job))
+                .map(task -> task.worker.zone)
                 .collect(Collectors.toSet());
     }
 
-    private static void rests(SimulatedCluster w, String at) {
-        for (String id : w.accepted.keySet()) {
-            assertEquals("done", w.status(w.leader(), id), at + ": " + id);
+    private static void rests(SimulatedCluster cluster, String at) {
+        for (String id : cluster.accepted.keySet()) {
+            assertEquals("done", cluster.status(cluster.leader(), id), at + ": " + id);
         }
-        assertEquals(List.of(), w.broken, at);
+        assertEquals(List.of(), cluster.broken, at);
     }
 
     // ---- attempts that are not proven over
@@ -93,31 +93,31 @@
      * a report nor a list: it knows the machine's name from the record alone, while machines in the
      * other zone come free.
      */
-    private static void knownByNameAlone(JobSpec s, double leaderEnds, double freeAt) {
-        SimulatedCluster w = zones(2, 1, 2);
-        w.runsFor = id -> id.equals("j-0") ? 2 + freeAt : 40;
-        w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, 2, 4)));
-        w.run(1);
-        w.submit(w.leader(), s);
-        w.run(1);
-        SimulatedWorker x = w.workers.get("i-000000");
-        assertEquals(1, x.tasks.size());
-        SimulatedTask held = x.tasks.values().iterator().next();
-        w.cloud.out = true;
-        x.cut = true;
-        w.run(leaderEnds);
-        w.leader().kill();
-        w.run(5 - leaderEnds);
-        String at = s + " leader ends after " + leaderEnds + ", free at " + freeAt;
+    private static void knownByNameAlone(JobSpec spec, double leaderEnds, double freeAt) {
+        SimulatedCluster cluster = zones(2, 1, 2);
+        cluster.runsFor = id -> id.equals("j-0") ? 2 + freeAt : 40;
+        cluster.submit(cluster.leader(), in("b", job("j-0", Shape.ARRAY, 2, 4)));
+        cluster.run(1);
+        cluster.submit(cluster.leader(), spec);
+        cluster.run(1);
+        SimulatedWorker worker = cluster.workers.get("i-000000");
+        assertEquals(1, worker.tasks.size());
+        SimulatedTask held = worker.tasks.values().iterator().next();
+        cluster.cloud.out = true;
+        worker.cut = true;
+        cluster.run(leaderEnds);
+        cluster.leader().kill();
+        cluster.run(5 - leaderEnds);
+        String at = spec + " leader ends after " + leaderEnds + ", free at " + freeAt;
         // The meeting: the task goes on, and the leader has it on a machine of which nobody has
         // said where it is.
         assertTrue(held.on(), at);
-        assertNull(w.leader().controller.block.machines().get(x.id).zone(), at);
-        w.run(8);
-        x.cut = false;
-        w.cloud.out = false;
-        w.run(300);
-        rests(w, at);
+        assertNull(cluster.leader().controller.shard.machines().get(worker.id).zone(), at);
+        cluster.run(8);
+        worker.cut = false;
+        cluster.cloud.out = false;
+        cluster.run(300);
+        rests(cluster, at);
     }
 
     @Test
@@ -139,49 +139,51 @@
         int lost = 0;
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            SimulatedCluster w = zones(3, 4, 4);
-            w.cloud.capacity = 8;
-            w.runsFor = id -> 5 + random.nextInt(25);
+            SimulatedCluster cluster = zones(3, 4, 4);
+            cluster.cloud.capacity = 8;
+            cluster.runsFor = id -> 5 + random.nextInt(25);
             for (int i = 0; i < 4; i++) {
-                JobSpec s =
+                JobSpec spec =
                         job(
                                 "j-" + i,
                                 i == 1 ? Shape.GANG : Shape.ARRAY,
                                 2 + random.nextInt(5),
                                 1 + random.nextInt(3));
-                w.submit(w.leader(), i == 3 ? spread(s) : bound(s));
-                w.run(random.nextDouble() * 2);
+                cluster.submit(cluster.leader(), i == 3 ? spread(spec) : bound(spec));
+                cluster.run(random.nextDouble() * 2);
             }
             for (int i = 0; i < 3; i++) {
                 List<SimulatedWorker> busy =
-                        w.workers.values().stream()
-                                .filter(x -> x.up && !x.cut && !x.tasks.isEmpty())
+                        cluster.workers.values().stream()
+                                .filter(
+                                        worker ->
+                                                worker.up && !worker.cut && !worker.tasks.isEmpty())
                                 .toList();
                 if (!busy.isEmpty()) {
-                    SimulatedWorker x = busy.get(random.nextInt(busy.size()));
+                    SimulatedWorker worker = busy.get(random.nextInt(busy.size()));
                     lost++;
                     if (random.nextInt(3) == 0) {
-                        x.die();
-                        w.after(30, () -> w.cloud.machines.remove(x.id));
+                        worker.die();
+                        cluster.after(30, () -> cluster.cloud.machines.remove(worker.id));
                     } else {
-                        x.cut = true;
-                        w.after(2 + random.nextDouble() * 18, () -> x.cut = false);
+                        worker.cut = true;
+                        cluster.after(2 + random.nextDouble() * 18, () -> worker.cut = false);
                     }
                 }
-                w.run(random.nextDouble() * 5);
+                cluster.run(random.nextDouble() * 5);
                 if (random.nextInt(2) == 0) {
                     SimulatedNode n =
-                            w.nodes.values().stream()
+                            cluster.nodes.values().stream()
                                     .filter(y -> y.controller.leadership.leading())
                                     .findFirst()
-                                    .orElse(w.nodes.get("k0"));
+                                    .orElse(cluster.nodes.get("k0"));
                     n.kill();
-                    w.after(0.3, () -> w.node(n.name));
+                    cluster.after(0.3, () -> cluster.node(n.name));
                 }
-                w.run(random.nextDouble() * 5);
+                cluster.run(random.nextDouble() * 5);
             }
-            w.run(200);
-            rests(w, "seed " + seed);
+            cluster.run(200);
+            rests(cluster, "seed " + seed);
         }
         assertTrue(lost > 80, "machines lost with work on them: " + lost);
     }
@@ -193,27 +195,27 @@
      * What a job can't use because its other tasks are elsewhere is neither kept for it nor emptied
      * for it.
      */
-    private static void leavesTheOtherZoneAlone(JobSpec s, int inA, int inB, boolean takeover) {
-        SimulatedCluster w = zones(2, inA, inB);
-        w.runsFor = id -> id.equals("j-9") ? 20 : id.equals("j-0") ? 6 : 1e6;
-        w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, inB, 4)));
-        w.run(1);
-        w.submit(w.leader(), s);
-        w.run(4);
-        assertEquals(Set.of("a"), zonesOf(w, s.id()));
-        int on = (int) w.onMachines(s.id());
+    private static void leavesTheOtherZoneAlone(JobSpec spec, int inA, int inB, boolean takeover) {
+        SimulatedCluster cluster = zones(2, inA, inB);
+        cluster.runsFor = id -> id.equals("j-9") ? 20 : id.equals("j-0") ? 6 : 1e6;
+        cluster.submit(cluster.leader(), in("b", job("j-0", Shape.ARRAY, inB, 4)));
+        cluster.run(1);
+        cluster.submit(cluster.leader(), spec);
+        cluster.run(4);
+        assertEquals(Set.of("a"), zonesOf(cluster, spec.id()));
+        int on = (int) cluster.onMachines(spec.id());
         if (takeover) {
-            w.leader().kill();
+            cluster.leader().kill();
         }
-        w.run(8);
-        w.submit(w.leader(), job("j-9", Shape.ARRAY, inB, 4));
-        w.run(12);
-        String at = s + (takeover ? " with a takeover" : "");
-        assertEquals(on, w.onMachines(s.id()), at);
-        assertEquals(inB, w.onMachines("j-9"), at);
-        w.run(60);
-        assertEquals("done", w.status(w.leader(), "j-9"), at);
-        assertEquals(List.of(), w.broken, at);
+        cluster.run(8);
+        cluster.submit(cluster.leader(), job("j-9", Shape.ARRAY, inB, 4));
+        cluster.run(12);
+        String at = spec + (takeover ? " with a takeover" : "");
+        assertEquals(on, cluster.onMachines(spec.id()), at);
+        assertEquals(inB, cluster.onMachines("j-9"), at);
+        cluster.run(60);
+        assertEquals("done", cluster.status(cluster.leader(), "j-9"), at);
+        assertEquals(List.of(), cluster.broken, at);
     }
 
     @Test
@@ -227,23 +229,24 @@
     @Test
     void nothingGivesWayInAZoneThatTheJobCantUse() {
         for (boolean takeover : new boolean[] {false, true}) {
-            SimulatedCluster w = zones(2, 1, 4);
-            w.runsFor = id -> 1e6;
-            w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, 4, 4)));
-            w.run(3);
-            w.submit(
-                    w.leader(),
+            SimulatedCluster cluster = zones(2, 1, 4);
+            cluster.runsFor = id -> 1e6;
+            cluster.submit(cluster.leader(), in("b", job("j-0", Shape.ARRAY, 4, 4)));
+            cluster.run(3);
+            cluster.submit(
+                    cluster.leader(),
                     SimulatedCluster.with(
                             job("j-1", Shape.ARRAY, 5, 4), "red", Priority.HIGH, true));
-            w.run(3);
-            assertEquals(1, w.onMachines("j-1"));
+            cluster.run(3);
+            assertEquals(1, cluster.onMachines("j-1"));
             if (takeover) {
-                w.leader().kill();
+                cluster.leader().kill();
             }
-            w.run(60);
-            assertEquals(5, w.workers.values().stream().mapToInt(x -> x.started).sum());
-            assertEquals(Set.of("a"), zonesOf(w, "j-1"));
-            assertEquals(4, w.onMachines("j-0"));
+            cluster.run(60);
+            assertEquals(
+                    5, cluster.workers.values().stream().mapToInt(worker -> worker.started).sum());
+            assertEquals(Set.of("a"), zonesOf(cluster, "j-1"));
+            assertEquals(4, cluster.onMachines("j-0"));
         }
     }
 
@@ -257,27 +260,27 @@
     @Test
     void machinesAreRentedInTheZoneWhereTheJobIs() {
         for (boolean takeover : new boolean[] {false, true}) {
-            SimulatedCluster w = zones(2, 2, 4);
-            w.cloud.capacity = 3;
-            w.cloud.bootS = n -> 1.5;
-            w.runsFor = id -> 1e6;
+            SimulatedCluster cluster = zones(2, 2, 4);
+            cluster.cloud.capacity = 3;
+            cluster.cloud.bootS = n -> 1.5;
+            cluster.runsFor = id -> 1e6;
             // Three CPUs of each machine in zone b keep it there, with room for a task beside them.
-            w.submit(w.leader(), in("b", job("j-0", Shape.SERVICE, 4, 3)));
-            w.run(2);
-            w.submit(w.leader(), bound(job("j-1", Shape.SERVICE, 8, 1)));
-            w.run(3);
+            cluster.submit(cluster.leader(), in("b", job("j-0", Shape.SERVICE, 4, 3)));
+            cluster.run(2);
+            cluster.submit(cluster.leader(), bound(job("j-1", Shape.SERVICE, 8, 1)));
+            cluster.run(3);
             String at = takeover ? "with a takeover" : "without one";
-            assertEquals(8, w.onMachines("j-1"), at);
-            assertEquals(Set.of("a"), zonesOf(w, "j-1"), at);
-            w.workers.get("i-000001").die();
-            w.after(30, () -> w.cloud.machines.remove("i-000001"));
+            assertEquals(8, cluster.onMachines("j-1"), at);
+            assertEquals(Set.of("a"), zonesOf(cluster, "j-1"), at);
+            cluster.workers.get("i-000001").die();
+            cluster.after(30, () -> cluster.cloud.machines.remove("i-000001"));
             if (takeover) {
-                w.leader().kill();
+                cluster.leader().kill();
             }
-            w.run(90);
-            assertEquals(8, w.onMachines("j-1"), at);
-            assertEquals(Set.of("a"), zonesOf(w, "j-1"), at);
-            assertEquals(List.of(), w.broken, at);
+            cluster.run(90);
+            assertEquals(8, cluster.onMachines("j-1"), at);
+            assertEquals(Set.of("a"), zonesOf(cluster, "j-1"), at);
+            assertEquals(List.of(), cluster.broken, at);
         }
     }
 
@@ -286,15 +289,15 @@
     void machinesAreRentedInAsManyZonesAsASpreadJobNeeds() {
         for (Shape shape : new Shape[] {Shape.GANG, Shape.SERVICE}) {
             for (int tasks = 2; tasks <= 5; tasks++) {
-                SimulatedCluster w = zones(2, 0, 0);
-                w.cloud.capacity = 4;
-                w.cloud.bootS = n -> 1.5;
-                w.runsFor = id -> 400;
-                w.submit(w.leader(), spread(job("j-1", shape, tasks, 0.5)));
-                w.run(60);
-                assertEquals(tasks, w.onMachines("j-1"), shape + " of " + tasks);
-                assertEquals(Set.of("a", "b"), zonesOf(w, "j-1"));
-                assertEquals(List.of(), w.broken);
+                SimulatedCluster cluster = zones(2, 0, 0);
+                cluster.cloud.capacity = 4;
+                cluster.cloud.bootS = n -> 1.5;
+                cluster.runsFor = id -> 400;
+                cluster.submit(cluster.leader(), spread(job("j-1", shape, tasks, 0.5)));
+                cluster.run(60);
+                assertEquals(tasks, cluster.onMachines("j-1"), shape + " of " + tasks);
+                assertEquals(Set.of("a", "b"), zonesOf(cluster, "j-1"));
+                assertEquals(List.of(), cluster.broken);
             }
         }
     }
@@ -306,32 +309,38 @@
     void aJobWhoseZoneIsGoneGoesOnInAnotherOnceThatIsProven() {
         for (Shape shape : Shape.values()) {
             for (double ends = -1; ends < 12; ends += 1.5) {
-                SimulatedCluster w = zones(2, 3, 3);
-                w.cloud.capacity = 3;
-                w.runsFor = id -> id.equals("j-1") && shape == Shape.SERVICE ? 1e6 : 30;
-                w.submit(w.leader(), in("b", job("j-0", Shape.ARRAY, 3, 4)));
-                w.run(1);
-                w.submit(w.leader(), bound(job("j-1", shape, 6, 2)));
-                w.run(3);
+                SimulatedCluster cluster = zones(2, 3, 3);
+                cluster.cloud.capacity = 3;
+                cluster.runsFor = id -> id.equals("j-1") && shape == Shape.SERVICE ? 1e6 : 30;
+                cluster.submit(cluster.leader(), in("b", job("j-0", Shape.ARRAY, 3, 4)));
+                cluster.run(1);
+                cluster.submit(cluster.leader(), bound(job("j-1", shape, 6, 2)));
+                cluster.run(3);
                 String at = shape + " leader ends after " + ends;
-                assertEquals(6, w.onMachines("j-1"), at);
-                assertEquals(Set.of("a"), zonesOf(w, "j-1"), at);
-                w.workers.values().stream()
-                        .filter(x -> x.zone.equals("a"))
+                assertEquals(6, cluster.onMachines("j-1"), at);
+                assertEquals(Set.of("a"), zonesOf(cluster, "j-1"), at);
+                cluster.workers.values().stream()
+                        .filter(worker -> worker.zone.equals("a"))
                         .forEach(SimulatedWorker::die);
-                w.after(30, () -> w.cloud.machines.values().removeIf(m -> m.zone().equals("a")));
+                cluster.after(
+                        30,
+                        () ->
+                                cluster.cloud
+                                        .machines
+                                        .values()
+                                        .removeIf(listed -> listed.zone().equals("a")));
                 if (ends >= 0) {
-                    w.run(ends);
-                    SimulatedNode n = w.leader();
-                    n.kill();
-                    w.after(0.3, () -> w.node(n.name));
+                    cluster.run(ends);
+                    SimulatedNode node = cluster.leader();
+                    node.kill();
+                    cluster.after(0.3, () -> cluster.node(node.name));
                 }
-                w.run(120);
-                assertEquals(List.of(), w.broken, at);
+                cluster.run(120);
+                assertEquals(List.of(), cluster.broken, at);
                 if (shape == Shape.SERVICE) {
-                    assertEquals(6, w.onMachines("j-1"), at);
+                    assertEquals(6, cluster.onMachines("j-1"), at);
                 } else {
-                    assertEquals("done", w.status(w.leader(), "j-1"), at);
+                    assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
                 }
             }
         }
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/QuestionRateTest.java
@@ -25,40 +25,40 @@
     @Test
     void questionsBeyondTheRateDoNotKeepOthersFromTheirAnswers() {
         for (double rps : new double[] {60, 120}) {
-            SimulatedCluster w = new SimulatedCluster();
-            w.rps = rps;
-            w.reportS = 2;
-            w.siblings.addAll(List.of("k0", "k1", "k2"));
-            w.siblings.forEach(w::node);
+            SimulatedCluster cluster = new SimulatedCluster();
+            cluster.rps = rps;
+            cluster.reportS = 2;
+            cluster.siblings.addAll(List.of("k0", "k1", "k2"));
+            cluster.siblings.forEach(cluster::node);
             for (int i = 0; i < 4; i++) {
-                w.worker("i-" + i, i % 2 == 0 ? "a" : "b");
+                cluster.worker("i-" + i, i % 2 == 0 ? "a" : "b");
             }
-            w.run(12);
-            w.runsFor = id -> 500;
-            SimulatedNode holder = w.leader();
-            SimulatedNode apart = other(w, holder);
-            w.siblings.forEach(apart.cutFrom::add);
+            cluster.run(12);
+            cluster.runsFor = id -> 500;
+            SimulatedNode holder = cluster.leader();
+            SimulatedNode apart = other(cluster, holder);
+            cluster.siblings.forEach(apart.cutFrom::add);
             List<String> jobs = IntStream.range(10, 30).mapToObj(i -> "j-" + i).toList();
-            jobs.forEach(id -> w.submit(holder, job(id, Shape.ARRAY, 1, 0.5)));
-            w.run(5);
+            jobs.forEach(id -> cluster.submit(holder, job(id, Shape.ARRAY, 1, 0.5)));
+            cluster.run(5);
             List<String> open = new ArrayList<>(jobs);
-            double began = w.clock.now;
+            double began = cluster.clock.now;
             int asked = 0;
-            while (!open.isEmpty() && w.clock.now - began < 75) {
+            while (!open.isEmpty() && cluster.clock.now - began < 75) {
                 String id = jobs.get(asked++ % jobs.size());
                 apart.controller
                         .registry()
                         .status(
                                 id,
-                                a -> {
-                                    if (a.verdict() == Verdict.KNOWN) {
+                                answer -> {
+                                    if (answer.verdict() == Verdict.KNOWN) {
                                         open.remove(id);
                                     }
                                 });
-                w.run(0.04);
+                cluster.run(0.04);
             }
             assertEquals(List.of(), open, "rate " + rps);
-            assertEquals(List.of(), w.broken, "rate " + rps);
+            assertEquals(List.of(), cluster.broken, "rate " + rps);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -13,10 +13,10 @@
 
 /** Sees all reports on their way, keeps copies of some, and holds up answers. */
 final class ReportCopies implements SimulatedCluster.Reach {
-    final SimulatedCluster w;
+    final SimulatedCluster cluster;
     final SimulatedCluster.Reach usual;
     final List<Heartbeat> kept = new ArrayList<>();
-    Predicate<Heartbeat> keeps = r -> false;
+    Predicate<Heartbeat> keeps = heartbeat -> false;
 
     /** How long the next answer is held up on its way back to the worker. */
     DoubleSupplier answerHeldS = () -> 0;
@@ -38,10 +38,10 @@
     /** Reports of workers with tasks that were answered neither with a token nor with a node. */
     int sentOn;
 
-    ReportCopies(SimulatedCluster w) {
-        this.w = w;
-        this.usual = w.reach;
-        w.reach = this;
+    ReportCopies(SimulatedCluster cluster) {
+        this.cluster = cluster;
+        this.usual = cluster.reach;
+        cluster.reach = this;
     }
 
     @Override
@@ -50,43 +50,45 @@
     }
 
     @Override
-    public void heartbeat(String node, Heartbeat report, Consumer<HeartbeatResponse> answer) {
-        if (keeps.test(report)) {
-            kept.add(report);
+    public void heartbeat(String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+        if (keeps.test(heartbeat)) {
+            kept.add(heartbeat);
         }
         double held = answerHeldS.getAsDouble();
         late += held > 0 ? 1 : 0;
         usual.heartbeat(
                 node,
-                report,
-                a -> {
+                heartbeat,
+                response -> {
                     sentOn +=
-                            a.token() == 0 && a.anchor() == null && !report.tasks().isEmpty()
+                            response.token() == 0
+                                            && response.anchor() == null
+                                            && !heartbeat.tasks().isEmpty()
                                     ? 1
                                     : 0;
                     if (held > 0) {
-                        w.after(held, () -> answer.accept(a));
+                        cluster.after(held, () -> answer.accept(response));
                     } else {
-                        answer.accept(a);
+                        answer.accept(response);
                     }
                 });
     }
 
     /** Nobody hears what is answered to a copy. */
-    void bring(Heartbeat r, SimulatedNode n) {
-        n.deliver(
+    void bring(Heartbeat heartbeat, SimulatedNode node) {
+        node.deliver(
                 () -> {
                     brought++;
-                    ofItsToken += r.token() == n.controller.leadsWith() ? 1 : 0;
+                    ofItsToken += heartbeat.token() == node.controller.leadsWith() ? 1 : 0;
 
-                    n.controller.heartbeat(
-                            r,
-                            c ->
+                    node.controller.heartbeat(
+                            heartbeat,
+                            response ->
                                     launches +=
-                                            c.orders().stream()
+                                            response.orders().stream()
                                                             .anyMatch(
-                                                                    o ->
-                                                                            o.verb()
+                                                                    command ->
+                                                                            command.verb()
                                                                                     == WorkerCommand
                                                                                             .Action
                                                                                             .START)
@@ -96,6 +98,7 @@
     }
 
     void bringAll(List<Heartbeat> reports) {
-        reports.forEach(r -> w.nodes.values().forEach(n -> bring(r, n)));
+        reports.forEach(
+                heartbeat -> cluster.nodes.values().forEach(node -> bring(heartbeat, node)));
     }
 }
--- a/src/test/java/io/kitepath/core/SettledWritesTest.java
+++ b/src/test/java/io/kitepath/core/SettledWritesTest.java
@@ -23,36 +23,37 @@
 
     /** The nth write of parts or ends gets no answer; {@code tries}: of it. */
     private SimulatedCluster day(int nth, int tries, boolean cancel) {
-        SimulatedCluster w = Worlds.settled(3, 4);
-        w.runsFor = id -> 6;
-        SimulatedNode holder = w.leader();
+        SimulatedCluster cluster = Worlds.settled(3, 4);
+        cluster.runsFor = id -> 6;
+        SimulatedNode holder = cluster.leader();
         int[] seen = new int[1];
         int[] unheard = new int[1];
-        w.store.unheard =
-                t -> {
+        cluster.store.unheard =
+                transaction -> {
                     boolean ours =
-                            t.writes().stream().anyMatch(x -> x.key().startsWith(StoreKeys.PART));
+                            transaction.writes().stream()
+                                    .anyMatch(write -> write.key().startsWith(StoreKeys.PART));
                     if (ours && seen[0]++ >= nth && unheard[0] < tries) {
                         unheard[0]++;
                         if (cancel) {
-                            w.after(0.05, () -> w.users.cancel(holder, "j-2"));
+                            cluster.after(0.05, () -> cluster.users.cancel(holder, "j-2"));
                         }
                         return true;
                     }
                     return false;
                 };
-        int pages = w.store.pages;
-        w.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
-        w.submit(holder, job("j-2", Shape.ARRAY, 5, 1));
-        w.run(3);
-        w.submit(holder, job("j-3", Shape.GANG, 3, 1));
-        w.run(60);
+        int pages = cluster.store.pages;
+        cluster.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
+        cluster.submit(holder, job("j-2", Shape.ARRAY, 5, 1));
+        cluster.run(3);
+        cluster.submit(holder, job("j-3", Shape.GANG, 3, 1));
+        cluster.run(60);
         lost += unheard[0];
         String at = "write " + nth + ", " + tries + " unheard" + (cancel ? ", cancelled" : "");
-        read = w.store.pages - pages;
-        assertEquals(List.of(), w.broken, at);
+        read = cluster.store.pages - pages;
+        assertEquals(List.of(), cluster.broken, at);
         for (String id : List.of("j-1", "j-2", "j-3")) {
-            String status = w.status(w.leader(), id);
+            String status = cluster.status(cluster.leader(), id);
             assertTrue(
                     status.equals("done")
                             || cancel && id.equals("j-2") && status.equals("cancelled"),
@@ -60,9 +61,11 @@
         }
         assertEquals(
                 0,
-                w.store.keys.keySet().stream().filter(k -> k.startsWith(StoreKeys.PART)).count(),
+                cluster.store.keys.keySet().stream()
+                        .filter(key -> key.startsWith(StoreKeys.PART))
+                        .count(),
                 at);
-        return w;
+        return cluster;
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/SoundMachinesTest.java
+++ b/src/test/java/io/kitepath/core/SoundMachinesTest.java
@@ -23,29 +23,31 @@
     void anOutageAfterATakeoverMakesNoMachineDeaf() {
         int adopted = 0;
         for (double out = 0.2; out < 6; out += 0.2) {
-            SimulatedCluster w = settled(3, 4);
-            w.submit(w.leader(), job("j-1", Shape.ARRAY, 4, 4));
-            SimulatedNode n = w.leader();
+            SimulatedCluster cluster = settled(3, 4);
+            cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 4));
+            SimulatedNode n = cluster.leader();
             n.kill();
-            w.after(0.3, () -> w.node(n.name));
-            w.after(out, () -> w.store.outage(14));
+            cluster.after(0.3, () -> cluster.node(n.name));
+            cluster.after(out, () -> cluster.store.outage(14));
             boolean placedAndNotSeen = false;
             for (int i = 0; i < 36; i++) {
-                w.run(0.5);
-                for (SimulatedNode x : w.nodes.values()) {
-                    for (Machine m : x.controller.block.machines().values()) {
-                        assertFalse(m.deafToAnswers(), "out after " + out + ": " + m.id);
+                cluster.run(0.5);
+                for (SimulatedNode x : cluster.nodes.values()) {
+                    for (Machine machine : x.controller.shard.machines().values()) {
+                        assertFalse(
+                                machine.deafToAnswers(), "out after " + out + ": " + machine.id);
                         placedAndNotSeen |=
-                                w.store.out
-                                        && m.proven()
-                                        && m.attempts().stream().anyMatch(a -> !a.seen());
+                                cluster.store.out
+                                        && machine.proven()
+                                        && machine.attempts().stream()
+                                                .anyMatch(attempt -> !attempt.seen());
                     }
                 }
             }
             adopted += placedAndNotSeen ? 1 : 0;
-            w.run(60);
-            assertEquals(List.of(), w.broken, "out after " + out);
-            assertEquals("done", w.status(w.leader(), "j-1"), "out after " + out);
+            cluster.run(60);
+            assertEquals(List.of(), cluster.broken, "out after " + out);
+            assertEquals("done", cluster.status(cluster.leader(), "j-1"), "out after " + out);
         }
         assertTrue(adopted >= 10, "in the meeting: " + adopted);
     }
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -51,7 +51,7 @@
     }
 
     private static final class Swarm {
-        final SimulatedCluster w = new SimulatedCluster();
+        final SimulatedCluster cluster = new SimulatedCluster();
         final Random random;
         final Map<String, Double> handedIn = new HashMap<>();
         final Map<String, Double> answered = new HashMap<>();
@@ -76,50 +76,52 @@
 
         Swarm(long seed, int machines) {
             random = new Random(seed);
-            w.reportS = 2;
-            w.leaseS = 10;
-            w.reportsChanges = true;
-            w.rps = 60;
-            w.writeRps = 24;
-            w.store.limited = true;
-            w.runsFor = id -> id.startsWith("s-") ? 2 + Math.floorMod(id.hashCode(), 4) : 6;
+            cluster.reportS = 2;
+            cluster.leaseS = 10;
+            cluster.reportsChanges = true;
+            cluster.rps = 60;
+            cluster.writeRps = 24;
+            cluster.store.limited = true;
+            cluster.runsFor = id -> id.startsWith("s-") ? 2 + Math.floorMod(id.hashCode(), 4) : 6;
             for (int i = 0; i < 3; i++) {
-                w.siblings.add("k" + i);
+                cluster.siblings.add("k" + i);
             }
-            w.siblings.forEach(w::node);
+            cluster.siblings.forEach(cluster::node);
             for (int i = 0; i < machines; i++) {
-                w.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
+                cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
             }
-            w.clock.starts = t -> begun.putIfAbsent(t.job, w.clock.now);
-            w.clock.ends = t -> ended(t.job);
-            w.store.written =
-                    (n, t) ->
-                            t.writes().stream()
+            cluster.clock.starts = task -> begun.putIfAbsent(task.job, cluster.clock.now);
+            cluster.clock.ends = task -> ended(task.job);
+            cluster.store.written =
+                    (client, transaction) ->
+                            transaction.writes().stream()
                                     .filter(
-                                            x ->
-                                                    x.value() != null
-                                                            && x.key().startsWith(StoreKeys.PART))
+                                            write ->
+                                                    write.value() != null
+                                                            && write.key()
+                                                                    .startsWith(StoreKeys.PART))
                                     .forEach(
-                                            x ->
+                                            write ->
                                                     placed(
-                                                            x.key()
+                                                            write.key()
                                                                     .substring(
                                                                             StoreKeys.PART.length(),
-                                                                            x.key()
+                                                                            write.key()
                                                                                     .lastIndexOf(
                                                                                             '/'))));
-            w.run(12);
+            cluster.run(12);
         }
 
         SimulatedNode any() {
-            List<SimulatedNode> up = w.nodes.values().stream().filter(n -> n.alive).toList();
+            List<SimulatedNode> up =
+                    cluster.nodes.values().stream().filter(node -> node.alive).toList();
             return up.get(random.nextInt(up.size()));
         }
 
         /** The node that holds the jobs, or null. */
         SimulatedNode holder() {
-            return w.nodes.values().stream()
-                    .filter(n -> n.alive && n.controller.holds())
+            return cluster.nodes.values().stream()
+                    .filter(node -> node.alive && node.controller.holds())
                     .findFirst()
                     .orElse(null);
         }
@@ -129,37 +131,37 @@
         }
 
         void trouble(double lastsS) {
-            troubles.add(new double[] {w.clock.now, w.clock.now + lastsS + SETTLES_S});
+            troubles.add(new double[] {cluster.clock.now, cluster.clock.now + lastsS + SETTLES_S});
         }
 
         // ---- users ------------------------------------------------------------------------------
 
-        void handIn(JobSpec s) {
-            w.specs.put(s.id(), s);
-            handedIn.putIfAbsent(s.id(), w.clock.now);
+        void handIn(JobSpec spec) {
+            cluster.specs.put(spec.id(), spec);
+            handedIn.putIfAbsent(spec.id(), cluster.clock.now);
             boolean[] heard = new boolean[1];
             any().controller
                     .registry()
                     .submit(
-                            s,
+                            spec,
                             List.of(),
-                            a -> {
-                                if (a.verdict() != Verdict.LATER && !heard[0]) {
+                            answer -> {
+                                if (answer.verdict() != Verdict.LATER && !heard[0]) {
                                     heard[0] = true;
-                                    w.accepted.putIfAbsent(s.id(), w.clock.now);
-                                    if (answered.putIfAbsent(s.id(), w.clock.now) == null
-                                            && s.id().startsWith("s-")) {
-                                        mayCallOff(s.id());
+                                    cluster.accepted.putIfAbsent(spec.id(), cluster.clock.now);
+                                    if (answered.putIfAbsent(spec.id(), cluster.clock.now) == null
+                                            && spec.id().startsWith("s-")) {
+                                        mayCallOff(spec.id());
                                     }
                                 }
                             });
             // Again after a second without an answer, or one that says later.
-            w.after(
+            cluster.after(
                     1,
                     () -> {
-                        if (!answered.containsKey(s.id())
-                                && w.clock.now - handedIn.get(s.id()) < 60) {
-                            handIn(s);
+                        if (!answered.containsKey(spec.id())
+                                && cluster.clock.now - handedIn.get(spec.id()) < 60) {
+                            handIn(spec);
                         }
                     });
         }
@@ -171,8 +173,8 @@
         private void mayCallOff(String id) {
             switch (random.nextInt(20)) {
                 case 0 -> callOff(id);
-                case 1 -> w.after(0.02 + random.nextDouble() * 0.3, () -> callOff(id));
-                case 2, 3 -> w.after(random.nextDouble() * 6, () -> callOff(id));
+                case 1 -> cluster.after(0.02 + random.nextDouble() * 0.3, () -> callOff(id));
+                case 2, 3 -> cluster.after(random.nextDouble() * 6, () -> callOff(id));
                 default -> {}
             }
         }
@@ -187,29 +189,32 @@
             if (id.startsWith("s-") && random.nextInt(25) == 0) {
                 callOff(id);
             }
-            double at = w.clock.now;
-            if (w.completed.get(id).size() < w.specs.get(id).tasks() || !complete.add(id)) {
+            double at = cluster.clock.now;
+            if (cluster.completed.get(id).size() < cluster.specs.get(id).tasks()
+                    || !complete.add(id)) {
                 return;
             }
-            w.after(
+            cluster.after(
                     DONE_WITHIN_S,
                     () -> {
-                        if (!calledOff.contains(id) && calm(at, w.clock.now)) {
+                        if (!calledOff.contains(id) && calm(at, cluster.clock.now)) {
                             looked++;
                             boolean[] done = new boolean[1];
                             any().controller
                                     .registry()
                                     .status(
                                             id,
-                                            a -> {
+                                            answer -> {
                                                 done[0] = true;
-                                                if (a.verdict() == Verdict.LATER) {
+                                                if (answer.verdict() == Verdict.LATER) {
                                                     unanswered++;
-                                                } else if (!a.state().status().equals("done")) {
-                                                    late.add(id + " is " + a.state().status());
+                                                } else if (!answer.state()
+                                                        .status()
+                                                        .equals("done")) {
+                                                    late.add(id + " is " + answer.state().status());
                                                 }
                                             });
-                            w.after(2, () -> unanswered += done[0] ? 0 : 1);
+                            cluster.after(2, () -> unanswered += done[0] ? 0 : 1);
                         }
                     });
         }
@@ -217,22 +222,22 @@
         private void callOff(String id) {
             if (calledOff.add(id)) {
                 stages.merge(stage(id), 1, Integer::sum);
-                w.users.cancel(any(), id);
+                cluster.users.cancel(any(), id);
             }
         }
 
         private Stage stage(String id) {
-            if (w.completed.containsKey(id)) {
+            if (cluster.completed.containsKey(id)) {
                 return Stage.ENDED;
             } else if (begun.containsKey(id)) {
                 return Stage.RUNNING;
             }
-            SimulatedNode h = holder();
-            Job j = h == null ? null : h.controller.block.jobs().get(id);
-            return j == null
+            SimulatedNode node = holder();
+            Job job = node == null ? null : node.controller.shard.jobs().get(id);
+            return job == null
                     ? Stage.NOT_HEARD_OF
-                    : j.live().values().stream().anyMatch(Attempt::durable)
-                                    || w.store.keys.containsKey(StoreKeys.part(id, 0))
+                    : job.live().values().stream().anyMatch(Attempt::durable)
+                                    || cluster.store.keys.containsKey(StoreKeys.part(id, 0))
                             ? Stage.PLACED
                             : Stage.WAITING;
         }
@@ -241,15 +246,15 @@
 
         /** So long; with gangs and arrays beside the swarm, and questions about some of it. */
         void play(double seconds) {
-            for (double until = w.clock.now + seconds; w.clock.now < until; ) {
+            for (double until = cluster.clock.now + seconds; cluster.clock.now < until; ) {
                 String id = "s-" + next++;
                 handIn(job(id, Shape.ARRAY, 1, 1));
                 if (next % 80 == 0) {
                     handIn(job("g-" + next, Shape.GANG, 3, 2));
                     handIn(job("a-" + next, Shape.ARRAY, 8, 1));
                 }
-                w.users.ask(any(), "s-" + (next - 1 - random.nextInt(40)));
-                w.run(EVERY_S);
+                cluster.users.ask(any(), "s-" + (next - 1 - random.nextInt(40)));
+                cluster.run(EVERY_S);
                 if (next % 4 == 0) {
                     look();
                 }
@@ -257,11 +262,11 @@
         }
 
         private void look() {
-            SimulatedNode h = holder();
-            if (h == null || !calm(w.clock.now, w.clock.now)) {
+            SimulatedNode node = holder();
+            if (node == null || !calm(cluster.clock.now, cluster.clock.now)) {
                 return;
             }
-            ShardState b = h.controller.block;
+            ShardState b = node.controller.shard;
             mostJobs = Math.max(mostJobs, b.jobs().size());
             mostUnwritten =
                     Math.max(
@@ -271,50 +276,50 @@
                     Math.max(
                             mostKeys,
                             (int)
-                                    w.store.keys.keySet().stream()
-                                            .filter(k -> !k.startsWith(StoreKeys.OVER))
+                                    cluster.store.keys.keySet().stream()
+                                            .filter(key -> !key.startsWith(StoreKeys.OVER))
                                             .count());
         }
 
         void endOfLeader(double backAfterS) {
-            SimulatedNode n = holder();
-            n.kill();
-            w.after(backAfterS, () -> w.node(n.name));
+            SimulatedNode node = holder();
+            node.kill();
+            cluster.after(backAfterS, () -> cluster.node(node.name));
             trouble(backAfterS);
         }
 
         void outage(double lastsS) {
-            w.store.outage(lastsS);
+            cluster.store.outage(lastsS);
             trouble(lastsS);
         }
 
         int requests() {
-            return w.nodes.values().stream().mapToInt(n -> n.requests).sum();
+            return cluster.nodes.values().stream().mapToInt(node -> node.requests).sum();
         }
 
         /** All that was handed in is over, as its users wanted, and nothing of it is left. */
         void over(String at) {
-            w.rules.calm();
-            w.run(100);
-            assertEquals(List.of(), w.broken, at);
+            cluster.rules.calm();
+            cluster.run(100);
+            assertEquals(List.of(), cluster.broken, at);
             assertEquals(List.of(), late, at);
             for (String id : handedIn.keySet()) {
                 assertTrue(answered.containsKey(id), at + ": " + id + " was never accepted");
-                var a = w.ask(w.leader(), id);
-                assertEquals(Verdict.KNOWN, a.verdict(), at + ": " + id);
+                var answer = cluster.ask(cluster.leader(), id);
+                assertEquals(Verdict.KNOWN, answer.verdict(), at + ": " + id);
                 assertEquals(
-                        w.toldCancelled.containsKey(id) ? "cancelled" : "done",
-                        a.state().status(),
+                        cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                        answer.state().status(),
                         at + ": " + id);
             }
-            assertEquals(0, w.leader().controller.block.jobs().size(), at);
+            assertEquals(0, cluster.leader().controller.shard.jobs().size(), at);
             assertEquals(
                     0,
-                    w.store.keys.keySet().stream()
+                    cluster.store.keys.keySet().stream()
                             .filter(
-                                    k ->
-                                            k.startsWith(StoreKeys.PART)
-                                                    || k.startsWith(StoreKeys.OPEN))
+                                    key ->
+                                            key.startsWith(StoreKeys.PART)
+                                                    || key.startsWith(StoreKeys.OPEN))
                             .count(),
                     at);
             // A quarter, give or take.
@@ -377,7 +382,7 @@
                     + ", unanswered "
                     + unanswered
                     + ", over rate "
-                    + w.store.overRate;
+                    + cluster.store.overRate;
         }
     }
 
@@ -442,7 +447,7 @@
             System.out.println("swarm with troubles " + seed + ": " + s.summary());
             s.over(at);
             bounded(s, at);
-            assertTrue(s.w.store.token() > 1, at);
+            assertTrue(s.cluster.store.token() > 1, at);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -36,20 +36,20 @@
         DEAF,
         MUTE;
 
-        void begins(SimulatedCluster w, SimulatedWorker x, double lastsS) {
-            set(x, true);
-            x.hangsUntil = this == HUNG ? w.clock.now + lastsS : 0;
-            w.after(lastsS, () -> set(x, false));
+        void begins(SimulatedCluster cluster, SimulatedWorker worker, double lastsS) {
+            set(worker, true);
+            worker.hangsUntil = this == HUNG ? cluster.clock.now + lastsS : 0;
+            cluster.after(lastsS, () -> set(worker, false));
         }
 
-        private void set(SimulatedWorker x, boolean so) {
-            x.cut = this == CUT && so;
-            x.deaf = this == DEAF && so;
-            x.mute = this == MUTE && so;
+        private void set(SimulatedWorker worker, boolean so) {
+            worker.cut = this == CUT && so;
+            worker.deaf = this == DEAF && so;
+            worker.mute = this == MUTE && so;
         }
     }
 
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
     private List<SimulatedWorker> lost;
 
     /**
@@ -67,23 +67,23 @@
     private double troublesEnd;
 
     static SimulatedCluster limited(int machines) {
-        SimulatedCluster w = new SimulatedCluster();
-        w.reportS = 2;
-        w.leaseS = 5 * w.reportS;
-        w.cancelS = 2 * w.leaseS + 1;
-        w.reportsChanges = true;
-        w.type = new MachineType("m4", 4, 2, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
-        w.teams.put("red", new ClusterSettings.Team("red", 0, 8, 0, 0));
-        w.teams.put("blue", new ClusterSettings.Team("blue", 0, 0, 0, 3));
-        w.teams.put("green", new ClusterSettings.Team("green", 0, 5, 0, 4));
-        w.runsFor = id -> ALWAYS;
-        w.siblings.addAll(List.of("k0", "k1", "k2"));
-        w.siblings.forEach(w::node);
+        SimulatedCluster cluster = new SimulatedCluster();
+        cluster.reportS = 2;
+        cluster.leaseS = 5 * cluster.reportS;
+        cluster.cancelS = 2 * cluster.leaseS + 1;
+        cluster.reportsChanges = true;
+        cluster.type = new MachineType("m4", 4, 2, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
+        cluster.teams.put("red", new ClusterSettings.Team("red", 0, 8, 0, 0));
+        cluster.teams.put("blue", new ClusterSettings.Team("blue", 0, 0, 0, 3));
+        cluster.teams.put("green", new ClusterSettings.Team("green", 0, 5, 0, 4));
+        cluster.runsFor = id -> ALWAYS;
+        cluster.siblings.addAll(List.of("k0", "k1", "k2"));
+        cluster.siblings.forEach(cluster::node);
         for (int i = 0; i < machines; i++) {
-            w.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
+            cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
         }
-        w.run(12);
-        return w;
+        cluster.run(12);
+        return cluster;
     }
 
     /** A job that takes its team's whole limit: an array, a gang by its GPUs, a service. */
@@ -91,20 +91,20 @@
         Shape shape = Shape.values()[TEAMS.indexOf(team)];
         boolean gang = shape == Shape.GANG;
         int tasks = gang ? 3 : shape == Shape.ARRAY ? 4 : 5;
-        JobSpec s =
+        JobSpec spec =
                 job(
                         "j-" + (1 + TEAMS.indexOf(team)) + n,
                         shape,
                         tasks,
                         shape == Shape.SERVICE ? 1 : 2);
         return new JobSpec(
-                s.id(),
-                s.jobClass(),
+                spec.id(),
+                spec.jobClass(),
                 team,
                 shape,
-                s.priority(),
+                spec.priority(),
                 tasks,
-                s.cpus(),
+                spec.cpus(),
                 gang ? 1 : 0,
                 1,
                 null,
@@ -112,8 +112,8 @@
                 gang,
                 false,
                 false,
-                s.image(),
-                s.imageGb(),
+                spec.image(),
+                spec.imageGb(),
                 ALWAYS,
                 0,
                 0,
@@ -122,86 +122,96 @@
 
     /** Whether the team uses its limit, and how much it is by the leader's count. */
     private void atItsLimit(String team, String when) {
-        ClusterSettings.Team t = w.teams.get(team);
-        double[] used = w.rules.onMachines(team);
+        ClusterSettings.Team t = cluster.teams.get(team);
+        double[] used = cluster.rules.onMachines(team);
         assertTrue(
                 t.cpusMax() == 0 || used[0] == t.cpusMax(), team + " " + used[0] + " CPUs " + when);
         assertTrue(
                 t.gpusMax() == 0 || t.cpusMax() > 0 || used[1] == t.gpusMax(),
                 team + " " + used[1] + " GPUs " + when);
         assertEquals(
-                used[0], w.leader().controller.block.teamUse().cpus(team), 1e-6, team + " " + when);
+                used[0],
+                cluster.leader().controller.shard.teamUse().cpus(team),
+                1e-6,
+                team + " " + when);
         assertEquals(
-                used[1], w.leader().controller.block.teamUse().gpus(team), 1e-6, team + " " + when);
+                used[1],
+                cluster.leader().controller.shard.teamUse().gpus(team),
+                1e-6,
+                team + " " + when);
     }
 
     /** All teams at their limits with a first job, a second one of each waits beside room. */
     private void full(int machines) {
-        w = limited(machines);
-        TEAMS.forEach(t -> w.submit(w.leader(), whole(t, 1)));
-        w.run(4);
-        TEAMS.forEach(t -> w.submit(w.leader(), whole(t, 2)));
-        w.run(4);
+        cluster = limited(machines);
+        TEAMS.forEach(t -> cluster.submit(cluster.leader(), whole(t, 1)));
+        cluster.run(4);
+        TEAMS.forEach(t -> cluster.submit(cluster.leader(), whole(t, 2)));
+        cluster.run(4);
         TEAMS.forEach(
                 t -> {
                     atItsLimit(t, "before");
-                    assertEquals(0, w.onMachines(whole(t, 2).id()));
+                    assertEquals(0, cluster.onMachines(whole(t, 2).id()));
                 });
         met = 0;
         fullAt = Double.NaN;
     }
 
     private List<SimulatedWorker> withTasks() {
-        return w.workers.values().stream()
-                .filter(x -> x.tasks.values().stream().anyMatch(SimulatedTask::on))
+        return cluster.workers.values().stream()
+                .filter(worker -> worker.tasks.values().stream().anyMatch(SimulatedTask::on))
                 .toList();
     }
 
     /** The process of whoever leads by then is killed, and another one comes up. */
     private void leaderEnds() {
-        w.nodes.values().stream()
-                .filter(n -> n.alive && n.controller.leadsWith() > 0)
+        cluster.nodes.values().stream()
+                .filter(node -> node.alive && node.controller.leadsWith() > 0)
                 .findFirst()
                 .ifPresent(
-                        n -> {
-                            n.kill();
-                            w.after(0.3, () -> w.node(n.name));
+                        node -> {
+                            node.kill();
+                            cluster.after(0.3, () -> cluster.node(node.name));
                         });
     }
 
     private long first() {
-        return TEAMS.stream().mapToLong(t -> w.onMachines(whole(t, 1).id())).sum();
+        return TEAMS.stream().mapToLong(t -> cluster.onMachines(whole(t, 1).id())).sum();
     }
 
     /** Looks each quarter second where it stands. */
     private void watch(double seconds) {
-        long before = w.store.token();
-        for (double until = w.clock.now + seconds; w.clock.now < until; ) {
-            w.run(0.25);
+        long before = cluster.store.token();
+        for (double until = cluster.clock.now + seconds; cluster.clock.now < until; ) {
+            cluster.run(0.25);
             if (met == 0
-                    && w.nodes.values().stream()
-                            .anyMatch(n -> n.alive && n.controller.leadsWith() > before)) {
+                    && cluster.nodes.values().stream()
+                            .anyMatch(node -> node.alive && node.controller.leadsWith() > before)) {
                 met +=
                         lost.stream()
-                                .flatMap(x -> x.tasks.values().stream())
+                                .flatMap(worker -> worker.tasks.values().stream())
                                 .filter(
-                                        t ->
-                                                t.on()
-                                                        && w.toldCancelled.containsKey(t.job)
-                                                        && t.worker.token <= before)
+                                        task ->
+                                                task.on()
+                                                        && cluster.toldCancelled.containsKey(
+                                                                task.job)
+                                                        && task.worker.token <= before)
                                 .count();
             }
-            goneAt = first() > 0 ? w.clock.now : goneAt;
+            goneAt = first() > 0 ? cluster.clock.now : goneAt;
             if (Double.isNaN(fullAt)
                     && TEAMS.stream()
-                            .allMatch(t -> w.onMachines(whole(t, 2).id()) == whole(t, 2).tasks())) {
-                fullAt = w.clock.now;
+                            .allMatch(
+                                    t ->
+                                            cluster.onMachines(whole(t, 2).id())
+                                                    == whole(t, 2).tasks())) {
+                fullAt = cluster.clock.now;
             }
         }
     }
 
     private void cancelAll() {
-        TEAMS.forEach(t -> w.users.cancel(other(w, null), whole(t, 1).id()));
+        TEAMS.forEach(t -> cluster.users.cancel(other(cluster, null), whole(t, 1).id()));
     }
 
     /**
@@ -209,13 +219,15 @@
      * it is counted right.
      */
     private void settledAgain(String when) {
-        assertEquals(List.of(), w.broken, when);
-        assertEquals(0, w.rules.startsAfterCancellation(), when);
+        assertEquals(List.of(), cluster.broken, when);
+        assertEquals(0, cluster.rules.startsAfterCancellation(), when);
         assertEquals(0, first(), when);
         TEAMS.forEach(
                 t -> {
                     assertEquals(
-                            whole(t, 2).tasks(), w.onMachines(whole(t, 2).id()), t + " " + when);
+                            whole(t, 2).tasks(),
+                            cluster.onMachines(whole(t, 2).id()),
+                            t + " " + when);
                     atItsLimit(t, when);
                 });
     }
@@ -223,11 +235,11 @@
     private void meeting(Lost how, double lasts, double leaderEnds, double cancelled, String when) {
         full(12);
         lost = withTasks().stream().limit(3).toList();
-        lost.forEach(x -> how.begins(w, x, lasts));
-        w.after(leaderEnds, this::leaderEnds);
-        w.after(cancelled, this::cancelAll);
-        troublesEnd = w.clock.now + Math.max(lasts, Math.max(leaderEnds, cancelled));
-        watch(Math.max(lasts, leaderEnds) + 2.5 * w.leaseS);
+        lost.forEach(worker -> how.begins(cluster, worker, lasts));
+        cluster.after(leaderEnds, this::leaderEnds);
+        cluster.after(cancelled, this::cancelAll);
+        troublesEnd = cluster.clock.now + Math.max(lasts, Math.max(leaderEnds, cancelled));
+        watch(Math.max(lasts, leaderEnds) + 2.5 * cluster.leaseS);
         settledAgain(when);
     }
 
@@ -255,7 +267,7 @@
                     meeting(how, lasts, ends, Math.max(0, ends + after), when);
                     tasks.merge(how, met, Integer::sum);
                     assertTrue(
-                            fullAt <= troublesEnd + w.leaseS,
+                            fullAt <= troublesEnd + cluster.leaseS,
                             when + ": full " + (fullAt - troublesEnd) + " after");
                     latest = Math.max(latest, fullAt - troublesEnd);
                 }
@@ -284,18 +296,19 @@
             for (double ends = 0.1; ends < 9; ends += 2.2) {
                 for (boolean twice : new boolean[] {false, true}) {
                     full(12);
-                    w.cloud.capacity = 12;
+                    cluster.cloud.capacity = 12;
                     lost = withTasks().stream().limit(2).toList();
-                    lost.forEach(x -> how.begins(w, x, ALWAYS));
-                    w.after(ends, this::leaderEnds);
-                    w.after(ends + 0.5, this::cancelAll);
+                    lost.forEach(worker -> how.begins(cluster, worker, ALWAYS));
+                    cluster.after(ends, this::leaderEnds);
+                    cluster.after(ends + 0.5, this::cancelAll);
                     if (twice) {
-                        w.after(ends + 5, this::leaderEnds);
+                        cluster.after(ends + 5, this::leaderEnds);
                     }
-                    watch(9 * w.leaseS);
+                    watch(9 * cluster.leaseS);
                     String when = how + " for good, leader ends " + ends + (twice ? " twice" : "");
                     assertTrue(met > 0, when);
-                    assertTrue(lost.stream().noneMatch(x -> x.up), when + ": not released");
+                    assertTrue(
+                            lost.stream().noneMatch(worker -> worker.up), when + ": not released");
                     settledAgain(when);
                     gone.merge(how, goneAt - toldAt(), Math::max);
                 }
@@ -306,7 +319,7 @@
 
     private double toldAt() {
         return TEAMS.stream()
-                .mapToDouble(t -> w.toldCancelled.get(whole(t, 1).id()))
+                .mapToDouble(t -> cluster.toldCancelled.get(whole(t, 1).id()))
                 .min()
                 .orElseThrow();
     }
@@ -321,15 +334,15 @@
         for (double lasts : new double[] {6, 9.9, 14, 20.9, 25, 40}) {
             for (double ends : new double[] {0.1, 3, 8, 14}) {
                 full(9);
-                w.cloud.capacity = 8;
+                cluster.cloud.capacity = 8;
                 lost = withTasks();
-                lost.forEach(x -> Lost.HUNG.begins(w, x, lasts));
+                lost.forEach(worker -> Lost.HUNG.begins(cluster, worker, lasts));
                 cancelAll();
-                w.after(ends, this::leaderEnds);
-                watch(Math.max(lasts, ends) + 2.5 * w.leaseS);
+                cluster.after(ends, this::leaderEnds);
+                watch(Math.max(lasts, ends) + 2.5 * cluster.leaseS);
                 String when = "hung for " + lasts + ", leader ends " + ends;
                 assertTrue(met > 0 || lasts < ends + 4, when);
-                over += w.rules.hungWithCancelled();
+                over += cluster.rules.hungWithCancelled();
                 settledAgain(when);
             }
         }
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -26,7 +26,7 @@
  * TeamLimitMeetingsTest} at once.
  */
 class TeamLimitSeedsTest {
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
 
     /**
      * The leader ends after each of its next requests, so between any two records of a gang that
@@ -37,84 +37,92 @@
     void whatWasHalfWrittenAtTheLimitCountsForTheNextLeader() {
         int half = 0;
         for (int more = 1; more < 40; more += 2) {
-            w = limited(10);
-            w.teams.put("blue", new ClusterSettings.Team("blue", 0, 18, 0, 0));
+            cluster = limited(10);
+            cluster.teams.put("blue", new ClusterSettings.Team("blue", 0, 18, 0, 0));
             SimulatedWorker[] cut =
-                    w.workers.values().stream().limit(3).toArray(SimulatedWorker[]::new);
+                    cluster.workers.values().stream().limit(3).toArray(SimulatedWorker[]::new);
             JobSpec gang =
                     SimulatedCluster.with(
                             job("j-21", Shape.GANG, 18, 1), "blue", Priority.NORMAL, false);
-            w.submit(w.leader(), whole("red", 1));
-            w.submit(
-                    w.leader(),
+            cluster.submit(cluster.leader(), whole("red", 1));
+            cluster.submit(
+                    cluster.leader(),
                     SimulatedCluster.with(
                             job("j-20", Shape.ARRAY, 18, 1), "blue", Priority.NORMAL, false));
-            w.run(5);
-            assertEquals(18, w.rules.onMachines("blue")[0]);
-            w.submit(w.leader(), gang);
-            w.submit(w.leader(), whole("red", 2));
-            SimulatedNode leader = w.leader();
-            w.users.cancel(leader, "j-20");
-            w.users.cancel(leader, "j-11");
+            cluster.run(5);
+            assertEquals(18, cluster.rules.onMachines("blue")[0]);
+            cluster.submit(cluster.leader(), gang);
+            cluster.submit(cluster.leader(), whole("red", 2));
+            SimulatedNode leader = cluster.leader();
+            cluster.users.cancel(leader, "j-20");
+            cluster.users.cancel(leader, "j-11");
             leader.endAfter(
                     more,
                     () -> {
-                        for (SimulatedWorker x : cut) {
-                            Lost.CUT.begins(w, x, 14);
+                        for (SimulatedWorker worker : cut) {
+                            Lost.CUT.begins(cluster, worker, 14);
                         }
-                        w.after(0.3, () -> w.node(leader.name));
+                        cluster.after(0.3, () -> cluster.node(leader.name));
                     });
-            w.run(3);
+            cluster.run(3);
             int parts =
                     (int)
-                            w.store.keys.keySet().stream()
-                                    .filter(k -> k.startsWith(StoreKeys.PART + "j-21"))
+                            cluster.store.keys.keySet().stream()
+                                    .filter(key -> key.startsWith(StoreKeys.PART + "j-21"))
                                     .count();
             half += parts > 0 && parts < 3 ? 1 : 0;
             // The gang that is on record by now is called off too, by half of the users.
             boolean off = more % 4 == 1;
             if (off) {
-                w.users.cancel(other(w, null), "j-21");
+                cluster.users.cancel(other(cluster, null), "j-21");
             }
-            w.run(70);
+            cluster.run(70);
             String when = "leader ends after " + more + " more requests";
-            assertEquals(List.of(), w.broken, when);
-            assertEquals(off ? 0 : 18, w.onMachines("j-21"), when);
-            assertEquals(4, w.onMachines("j-12"), when);
+            assertEquals(List.of(), cluster.broken, when);
+            assertEquals(off ? 0 : 18, cluster.onMachines("j-21"), when);
+            assertEquals(4, cluster.onMachines("j-12"), when);
             assertEquals(
-                    off ? 0 : 18, w.leader().controller.block.teamUse().cpus("blue"), 1e-6, when);
+                    off ? 0 : 18,
+                    cluster.leader().controller.shard.teamUse().cpus("blue"),
+                    1e-6,
+                    when);
         }
         System.out.println("limits: half written " + half);
         assertTrue(half > 10, "half written " + half);
     }
 
-    private static void trouble(SimulatedCluster w, Random random) {
+    private static void trouble(SimulatedCluster cluster, Random random) {
         SimulatedNode leader =
-                w.nodes.values().stream()
-                        .filter(n -> n.alive && n.controller.leadsWith() > 0)
+                cluster.nodes.values().stream()
+                        .filter(node -> node.alive && node.controller.leadsWith() > 0)
                         .findFirst()
                         .orElse(null);
-        double lasts = random.nextDouble() * 3 * w.leaseS;
+        double lasts = random.nextDouble() * 3 * cluster.leaseS;
         switch (random.nextInt(6)) {
-            case 0, 1 -> w.cancelNow(1 + random.nextInt(3), lasts, random);
+            case 0, 1 -> cluster.cancelNow(1 + random.nextInt(3), lasts, random);
             case 2 ->
-                    w.workers.values().stream()
-                            .filter(x -> x.up && random.nextInt(4) == 0)
-                            .forEach(x -> Lost.values()[1 + random.nextInt(3)].begins(w, x, lasts));
+                    cluster.workers.values().stream()
+                            .filter(worker -> worker.up && random.nextInt(4) == 0)
+                            .forEach(
+                                    worker ->
+                                            Lost.values()[1 + random.nextInt(3)].begins(
+                                                    cluster, worker, lasts));
             case 3 -> {
                 if (leader != null) {
                     double back = 0.1 + random.nextInt(3);
                     leader.endAfter(
-                            1 + random.nextInt(30), () -> w.after(back, () -> w.node(leader.name)));
+                            1 + random.nextInt(30),
+                            () -> cluster.after(back, () -> cluster.node(leader.name)));
                 }
             }
             case 4 -> {
-                w.store.late = t -> random.nextInt(4) == 0 ? 2 + random.nextDouble() * 10 : 0;
-                w.after(lasts / 2, () -> w.store.late = t -> 0);
+                cluster.store.late =
+                        transaction -> random.nextInt(4) == 0 ? 2 + random.nextDouble() * 10 : 0;
+                cluster.after(lasts / 2, () -> cluster.store.late = transaction -> 0);
             }
             default -> {
-                w.store.unheard = t -> random.nextInt(3) == 0;
-                w.after(lasts / 2, () -> w.store.unheard = t -> false);
+                cluster.store.unheard = transaction -> random.nextInt(3) == 0;
+                cluster.after(lasts / 2, () -> cluster.store.unheard = transaction -> false);
             }
         }
     }
@@ -126,14 +134,14 @@
         int atLimit = 0;
         for (long seed = 0; seed < 30; seed++) {
             Random random = new Random(seed);
-            w = limited(10);
-            w.cloud.capacity = 30;
-            w.closeLooks = seed % 3 == 0;
-            w.runsFor = id -> 15 + Math.floorMod(id.hashCode(), 5) * 12;
+            cluster = limited(10);
+            cluster.cloud.capacity = 30;
+            cluster.closeLooks = seed % 3 == 0;
+            cluster.runsFor = id -> 15 + Math.floorMod(id.hashCode(), 5) * 12;
             for (int i = 0; i < 14; i++) {
                 String team = TEAMS.get(i % 3);
                 Shape shape = Shape.values()[random.nextInt(3)];
-                JobSpec s =
+                JobSpec spec =
                         SimulatedCluster.with(
                                 job(
                                         "j-" + (10 + i),
@@ -143,34 +151,40 @@
                                 team,
                                 Priority.NORMAL,
                                 false);
-                w.submit(w.nodes.get("k" + random.nextInt(3)), s);
-                w.run(random.nextDouble() * 3);
+                cluster.submit(cluster.nodes.get("k" + random.nextInt(3)), spec);
+                cluster.run(random.nextDouble() * 3);
                 if (i > 4 && random.nextBoolean()) {
-                    trouble(w, random);
+                    trouble(cluster, random);
                 }
                 atLimit +=
-                        w.rules.onMachines("red")[0] == 8 || w.rules.onMachines("green")[0] == 5
+                        cluster.rules.onMachines("red")[0] == 8
+                                        || cluster.rules.onMachines("green")[0] == 5
                                 ? 1
                                 : 0;
             }
-            w.run(3 * w.leaseS);
-            w.nodes.values().forEach(n -> n.endsAfter = Integer.MAX_VALUE);
-            w.run(4);
-            w.rules.calm();
-            w.run(150);
+            cluster.run(3 * cluster.leaseS);
+            cluster.nodes.values().forEach(node -> node.endsAfter = Integer.MAX_VALUE);
+            cluster.run(4);
+            cluster.rules.calm();
+            cluster.run(150);
             String when = "seed " + seed;
-            assertEquals(List.of(), w.broken, when);
-            cancelled += w.toldCancelled.size();
+            assertEquals(List.of(), cluster.broken, when);
+            cancelled += cluster.toldCancelled.size();
             // Services go on; once they are called off as well, no team's limit has anything left
             // on it.
-            w.specs.keySet().stream().sorted().forEach(id -> w.users.cancel(other(w, null), id));
-            w.run(3 * w.leaseS);
+            cluster.specs.keySet().stream()
+                    .sorted()
+                    .forEach(id -> cluster.users.cancel(other(cluster, null), id));
+            cluster.run(3 * cluster.leaseS);
             for (String t : TEAMS) {
-                assertEquals(0, w.rules.onMachines(t)[0], when + " " + t);
+                assertEquals(0, cluster.rules.onMachines(t)[0], when + " " + t);
                 assertEquals(
-                        0, w.leader().controller.block.teamUse().cpus(t), 1e-6, when + " " + t);
+                        0,
+                        cluster.leader().controller.shard.teamUse().cpus(t),
+                        1e-6,
+                        when + " " + t);
             }
-            assertEquals(List.of(), w.broken, when);
+            assertEquals(List.of(), cluster.broken, when);
         }
         System.out.println("limits: " + cancelled + " cancelled, " + atLimit + " times at a limit");
         assertTrue(
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -22,76 +22,78 @@
 
 /** Machines that hear nothing, late copies of reports, and a node that only workers reach. */
 class TroublesTest {
-    private static SimulatedWorker first(SimulatedCluster w) {
-        return w.workers.values().iterator().next();
+    private static SimulatedWorker first(SimulatedCluster cluster) {
+        return cluster.workers.values().iterator().next();
     }
 
     @Test
     void workThatAMachineWithoutAnswersNeverStartsGoesElsewhere() {
-        SimulatedCluster w = settled(1, 1);
-        SimulatedNode n = w.nodes.get("k0");
-        first(w).deaf = true;
-        w.run(1);
-        w.submit(n, job("j-1", Shape.ARRAY, 3, 1));
-        w.run(12);
-        assertEquals(0, w.onMachines("j-1"));
-        w.worker("i-000009", "a");
-        w.run(15);
-        assertEquals(3, w.onMachines("j-1"));
-        w.run(30);
-        assertEquals("done", w.status(n, "j-1"));
-        assertEquals(List.of(), w.broken);
+        SimulatedCluster cluster = settled(1, 1);
+        SimulatedNode node = cluster.nodes.get("k0");
+        first(cluster).deaf = true;
+        cluster.run(1);
+        cluster.submit(node, job("j-1", Shape.ARRAY, 3, 1));
+        cluster.run(12);
+        assertEquals(0, cluster.onMachines("j-1"));
+        cluster.worker("i-000009", "a");
+        cluster.run(15);
+        assertEquals(3, cluster.onMachines("j-1"));
+        cluster.run(30);
+        assertEquals("done", cluster.status(node, "j-1"));
+        assertEquals(List.of(), cluster.broken);
     }
 
     @Test
     void whatRanOnAMachineThatHearsNothingAnyMoreIsStartedAnewOnceItsSessionIsOver() {
-        SimulatedCluster w = settled(2, 2);
-        SimulatedNode n = w.leader();
-        w.submit(n, job("j-1", Shape.ARRAY, 2, 3));
-        w.run(4);
-        assertEquals(2, w.onMachines("j-1"));
-        first(w).deaf = true;
-        w.run(90);
-        assertEquals("done", w.status(n, "j-1"));
-        assertEquals(List.of(), w.broken);
+        SimulatedCluster cluster = settled(2, 2);
+        SimulatedNode node = cluster.leader();
+        cluster.submit(node, job("j-1", Shape.ARRAY, 2, 3));
+        cluster.run(4);
+        assertEquals(2, cluster.onMachines("j-1"));
+        first(cluster).deaf = true;
+        cluster.run(90);
+        assertEquals("done", cluster.status(node, "j-1"));
+        assertEquals(List.of(), cluster.broken);
     }
 
     @Test
     void aMachineThatHearsAgainTakesWorkAgainAndOneThatDoesNotIsGivenBack() {
-        SimulatedCluster w = settled(1, 2);
-        w.cloud.capacity = 10;
-        SimulatedNode n = w.nodes.get("k0");
-        List<SimulatedWorker> all = new ArrayList<>(w.workers.values());
-        all.forEach(x -> x.deaf = true);
-        w.submit(n, job("j-1", Shape.SERVICE, 8, 1));
-        w.run(25);
-        var machines = n.controller.block.machines();
+        SimulatedCluster cluster = settled(1, 2);
+        cluster.cloud.capacity = 10;
+        SimulatedNode node = cluster.nodes.get("k0");
+        List<SimulatedWorker> all = new ArrayList<>(cluster.workers.values());
+        all.forEach(worker -> worker.deaf = true);
+        cluster.submit(node, job("j-1", Shape.SERVICE, 8, 1));
+        cluster.run(25);
+        var machines = node.controller.shard.machines();
         assertTrue(machines.get(all.get(0).id).deafToAnswers());
         assertFalse(machines.get(all.get(0).id).open());
         all.get(0).deaf = false;
-        w.run(18);
+        cluster.run(18);
         assertFalse(machines.get(all.get(0).id).deafToAnswers());
         assertTrue(machines.get(all.get(0).id).open());
-        w.run(60);
-        assertTrue(w.cloud.released.contains(all.get(1).id));
-        assertEquals(8, w.onMachines("j-1"));
-        assertEquals(List.of(), w.broken);
+        cluster.run(60);
+        assertTrue(cluster.cloud.released.contains(all.get(1).id));
+        assertEquals(8, cluster.onMachines("j-1"));
+        assertEquals(List.of(), cluster.broken);
     }
 
     @Test
     void aZoneThatHearsNothingDuringATakeoverLosesNothingForGood() {
-        SimulatedCluster w = settled(3, 8);
-        w.submit(w.leader(), job("j-1", Shape.ARRAY, 20, 1));
-        w.run(4);
-        w.workers.values().stream().filter(x -> x.zone.equals("b")).forEach(x -> x.deaf = true);
-        SimulatedNode n = w.leader();
-        n.crash();
-        w.after(0.3, () -> w.node(n.name));
-        w.run(50);
-        w.workers.values().forEach(x -> x.deaf = false);
-        w.run(60);
-        assertEquals("done", w.status(w.leader(), "j-1"));
-        assertEquals(List.of(), w.broken);
+        SimulatedCluster cluster = settled(3, 8);
+        cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 20, 1));
+        cluster.run(4);
+        cluster.workers.values().stream()
+                .filter(worker -> worker.zone.equals("b"))
+                .forEach(worker -> worker.deaf = true);
+        SimulatedNode node = cluster.leader();
+        node.crash();
+        cluster.after(0.3, () -> cluster.node(node.name));
+        cluster.run(50);
+        cluster.workers.values().forEach(worker -> worker.deaf = false);
+        cluster.run(60);
+        assertEquals("done", cluster.status(cluster.leader(), "j-1"));
+        assertEquals(List.of(), cluster.broken);
     }
 
     /**
@@ -100,44 +102,47 @@
      */
     @Test
     void aLateCopyOfAReportRevivesNothing() {
-        SimulatedCluster w = settled(2, 3);
-        SimulatedNode n = w.leader();
-        w.submit(n, job("j-1", Shape.ARRAY, 6, 1));
-        w.run(5);
-        SimulatedWorker x = first(w);
-        Heartbeat old = x.message();
+        SimulatedCluster cluster = settled(2, 3);
+        SimulatedNode node = cluster.leader();
+        cluster.submit(node, job("j-1", Shape.ARRAY, 6, 1));
+        cluster.run(5);
+        SimulatedWorker worker = first(cluster);
+        Heartbeat old = worker.message();
         assertFalse(old.tasks().isEmpty());
-        x.die();
-        w.cloud.machines.remove(x.id);
-        w.run(60);
-        assertEquals("done", w.status(n, "j-1"));
-        n.crash();
-        w.run(15);
-        SimulatedNode next = w.leader();
-        next.controller.heartbeat(old, (HeartbeatResponse c) -> {});
-        w.submit(next, job("j-2", Shape.ARRAY, 12, 1));
-        w.run(10);
+        worker.die();
+        cluster.cloud.machines.remove(worker.id);
+        cluster.run(60);
+        assertEquals("done", cluster.status(node, "j-1"));
+        node.crash();
+        cluster.run(15);
+        SimulatedNode next = cluster.leader();
+        next.controller.heartbeat(old, (HeartbeatResponse response) -> {});
+        cluster.submit(next, job("j-2", Shape.ARRAY, 12, 1));
+        cluster.run(10);
         assertTrue(
-                next.controller.block.jobs().get("j-2").live().values().stream()
-                        .noneMatch(a -> a.machine.id.equals(x.id)));
-        w.run(50);
-        assertEquals("done", w.status(next, "j-2"));
-        assertEquals(List.of(), w.broken);
+                next.controller.shard.jobs().get("j-2").live().values().stream()
+                        .noneMatch(attempt -> attempt.machine.id.equals(worker.id)));
+        cluster.run(50);
+        assertEquals("done", cluster.status(next, "j-2"));
+        assertEquals(List.of(), cluster.broken);
     }
 
     @Test
     void copiesOfReportsSecondsToSeveralLeasesLateChangeNothing() {
         for (long seed = 0; seed < 12; seed++) {
-            SimulatedCluster w = settled(3, 6);
+            SimulatedCluster cluster = settled(3, 6);
             Random random = new Random(seed);
-            w.copyAfterS =
-                    () -> random.nextInt(3) == 0 ? 0.5 + random.nextDouble() * 3 * w.leaseS : 0;
+            cluster.copyAfterS =
+                    () ->
+                            random.nextInt(3) == 0
+                                    ? 0.5 + random.nextDouble() * 3 * cluster.leaseS
+                                    : 0;
             Set<String> jobs = new HashSet<>();
             for (int i = 0; i < 12; i++) {
-                SimulatedNode n = w.leader();
+                SimulatedNode node = cluster.leader();
                 String id = "j-" + (100 + i);
-                if (w.submit(
-                                n,
+                if (cluster.submit(
+                                node,
                                 job(
                                         id,
                                         i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
@@ -146,56 +151,59 @@
                         != null) {
                     jobs.add(id);
                 }
-                w.run(random.nextDouble() * 5);
+                cluster.run(random.nextDouble() * 5);
                 if (random.nextInt(3) == 0) {
-                    n.crash();
-                    w.after(random.nextBoolean() ? 0.2 : 4, () -> w.node(n.name));
-                    w.run(14);
+                    node.crash();
+                    cluster.after(random.nextBoolean() ? 0.2 : 4, () -> cluster.node(node.name));
+                    cluster.run(14);
                 }
                 if (random.nextInt(4) == 0) {
-                    w.worker("i-9" + seed + i, "a");
+                    cluster.worker("i-9" + seed + i, "a");
                 }
             }
-            w.run(200);
+            cluster.run(200);
             for (String id : jobs) {
-                assertEquals("done", w.status(w.leader(), id), "seed " + seed);
+                assertEquals("done", cluster.status(cluster.leader(), id), "seed " + seed);
             }
-            assertEquals(List.of(), w.broken, "seed " + seed);
+            assertEquals(List.of(), cluster.broken, "seed " + seed);
         }
     }
 
     /** What only workers reach sends them on while their leases last, and users away. */
     @Test
     void aHolderWithoutStoreAndSiblingsLetsItsWorkersGoInTime() {
-        SimulatedCluster w = settled(3, 4);
-        SimulatedNode cut = w.leader();
-        w.submit(cut, job("j-1", Shape.SERVICE, 8, 1));
-        w.run(5);
-        long sessions = w.workers.values().stream().mapToLong(x -> x.session).sum();
+        SimulatedCluster cluster = settled(3, 4);
+        SimulatedNode cut = cluster.leader();
+        cluster.submit(cut, job("j-1", Shape.SERVICE, 8, 1));
+        cluster.run(5);
+        long sessions = cluster.workers.values().stream().mapToLong(worker -> worker.session).sum();
         cut.cutFromStore = true;
-        w.siblings.forEach(cut.cutFrom::add);
-        w.run(8);
+        cluster.siblings.forEach(cut.cutFrom::add);
+        cluster.run(8);
         assertFalse(cut.controller.healthy());
-        assertEquals(Verdict.LATER, w.ask(cut, "j-1").verdict());
-        w.run(12);
+        assertEquals(Verdict.LATER, cluster.ask(cut, "j-1").verdict());
+        cluster.run(12);
         SimulatedNode next =
-                w.nodes.values().stream()
-                        .filter(n -> n != cut && n.controller.holds())
+                cluster.nodes.values().stream()
+                        .filter(node -> node != cut && node.controller.holds())
                         .findFirst()
                         .orElseThrow();
         assertEquals(
                 8,
-                next.controller.block.jobs().get("j-1").live().values().stream()
-                        .filter(a -> a.seen())
+                next.controller.shard.jobs().get("j-1").live().values().stream()
+                        .filter(attempt -> attempt.seen())
                         .count());
-        assertEquals(8, w.onMachines("j-1"));
-        assertEquals(sessions, w.workers.values().stream().mapToLong(x -> x.session).sum());
+        assertEquals(8, cluster.onMachines("j-1"));
+        assertEquals(
+                sessions,
+                cluster.workers.values().stream().mapToLong(worker -> worker.session).sum());
         cut.cutFromStore = false;
         cut.cutFrom.clear();
-        w.run(10);
+        cluster.run(10);
         assertTrue(cut.controller.healthy());
-        assertEquals(1, w.nodes.values().stream().filter(n -> n.controller.holds()).count());
-        assertEquals(List.of(), w.broken);
+        assertEquals(
+                1, cluster.nodes.values().stream().filter(node -> node.controller.holds()).count());
+        assertEquals(List.of(), cluster.broken);
     }
 
     /** Each accepted job by itself: how well the others fare does not count. */
@@ -221,7 +229,7 @@
 
     /** All troubles in any order, with pipelines, old jobs and limits that fall in the middle. */
     static final class Mixed {
-        final SimulatedCluster w = settled(3, 8);
+        final SimulatedCluster cluster = settled(3, 8);
         final Random random;
         final long seed;
         final Set<String> accepted = new HashSet<>();
@@ -230,20 +238,20 @@
         Mixed(long seed) {
             this.seed = seed;
             random = new Random(seed);
-            w.cloud.capacity = 20;
-            w.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 200, 2, 13);
-            w.nodes.keySet().stream()
+            cluster.cloud.capacity = 20;
+            cluster.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 200, 2, 13);
+            cluster.nodes.keySet().stream()
                     .toList()
                     .forEach(
-                            k -> {
-                                w.nodes.get(k).crash();
-                                w.node(k);
+                            key -> {
+                                cluster.nodes.get(key).crash();
+                                cluster.node(key);
                             });
-            w.run(10);
+            cluster.run(10);
         }
 
         private SimulatedNode any() {
-            return w.nodes.get("k" + random.nextInt(3));
+            return cluster.nodes.get("k" + random.nextInt(3));
         }
 
         void play() {
@@ -259,7 +267,7 @@
                                     old.get(random.nextInt(old.size()))
                                 };
                 var a =
-                        w.submit(
+                        cluster.submit(
                                 any(),
                                 job(
                                         id,
@@ -272,7 +280,7 @@
                 }
                 if (random.nextInt(8) == 0 && !old.isEmpty()) {
                     String which = old.get(random.nextInt(old.size()));
-                    var c = w.cancel(any(), which);
+                    var c = cluster.cancel(any(), which);
                     if (c != null
                             && c.verdict() == Verdict.KNOWN
                             && c.state().status().equals("cancelled")) {
@@ -280,77 +288,78 @@
                     }
                 }
                 trouble();
-                w.run(random.nextDouble() * 4);
+                cluster.run(random.nextDouble() * 4);
                 for (int q = 0; q < 3 && !old.isEmpty(); q++) {
-                    w.ask(any(), old.get(random.nextInt(old.size())));
+                    cluster.ask(any(), old.get(random.nextInt(old.size())));
                 }
                 if (i == 15) {
-                    w.store.valueBytes = 2048;
-                    w.store.txnOps = 13;
+                    cluster.store.valueBytes = 2048;
+                    cluster.store.txnOps = 13;
                 }
             }
             // All troubles are over.
-            w.nodes.keySet().stream()
+            cluster.nodes.keySet().stream()
                     .toList()
                     .forEach(
-                            k -> {
-                                SimulatedNode n = w.nodes.get(k);
-                                n.cutFromStore = false;
-                                n.cutFrom.clear();
-                                if (!n.alive) {
-                                    w.node(k);
+                            key -> {
+                                SimulatedNode node = cluster.nodes.get(key);
+                                node.cutFromStore = false;
+                                node.cutFrom.clear();
+                                if (!node.alive) {
+                                    cluster.node(key);
                                 }
                             });
-            w.workers
+            cluster.workers
                     .values()
                     .forEach(
-                            x -> {
-                                x.deaf = false;
-                                x.cut = false;
+                            worker -> {
+                                worker.deaf = false;
+                                worker.cut = false;
                             });
-            w.copyAfterS = () -> 0;
+            cluster.copyAfterS = () -> 0;
         }
 
         private void trouble() {
-            SimulatedNode n = any();
-            List<SimulatedWorker> up = w.workers.values().stream().filter(x -> x.up).toList();
-            SimulatedWorker x = up.isEmpty() ? null : up.get(random.nextInt(up.size()));
+            SimulatedNode node = any();
+            List<SimulatedWorker> up =
+                    cluster.workers.values().stream().filter(worker -> worker.up).toList();
+            SimulatedWorker worker = up.isEmpty() ? null : up.get(random.nextInt(up.size()));
             switch (random.nextInt(9)) {
                 case 0, 1 -> {
-                    n.crash();
-                    w.after(
+                    node.crash();
+                    cluster.after(
                             new double[] {0.1, 0.4, 3}[random.nextInt(3)],
                             () -> {
-                                if (!w.nodes.get(n.name).alive) {
-                                    w.node(n.name);
+                                if (!cluster.nodes.get(node.name).alive) {
+                                    cluster.node(node.name);
                                 }
                             });
                 }
-                case 2 -> n.frozenUntil = w.clock.now + random.nextDouble() * 12;
+                case 2 -> node.frozenUntil = cluster.clock.now + random.nextDouble() * 12;
                 case 3 -> {
-                    n.cutFromStore = true;
-                    w.siblings.forEach(n.cutFrom::add);
-                    w.after(
+                    node.cutFromStore = true;
+                    cluster.siblings.forEach(node.cutFrom::add);
+                    cluster.after(
                             random.nextDouble() * 25,
                             () -> {
-                                n.cutFromStore = false;
-                                n.cutFrom.clear();
+                                node.cutFromStore = false;
+                                node.cutFrom.clear();
                             });
                 }
-                case 4 -> w.store.outage(random.nextDouble() * 8);
+                case 4 -> cluster.store.outage(random.nextDouble() * 8);
                 case 5, 6 -> {
-                    if (x != null) {
-                        x.deaf = true;
-                        w.after(random.nextDouble() * 40, () -> x.deaf = false);
+                    if (worker != null) {
+                        worker.deaf = true;
+                        cluster.after(random.nextDouble() * 40, () -> worker.deaf = false);
                     }
                 }
                 case 7 ->
-                        w.copyAfterS =
+                        cluster.copyAfterS =
                                 () -> random.nextInt(4) == 0 ? 0.5 + random.nextDouble() * 25 : 0;
                 default -> {
-                    if (x != null) {
-                        x.cut = true;
-                        w.after(random.nextDouble() * 15, () -> x.cut = false);
+                    if (worker != null) {
+                        worker.cut = true;
+                        cluster.after(random.nextDouble() * 15, () -> worker.cut = false);
                     }
                 }
             }
@@ -358,30 +367,33 @@
 
         void check() {
             String at = "seed " + seed;
-            w.run(15);
-            double calm = w.clock.now;
+            cluster.run(15);
+            double calm = cluster.clock.now;
             for (String id : accepted) {
                 boolean answered = false;
-                while (!answered && w.clock.now - calm < 75) {
-                    for (String k : w.siblings) {
-                        var a = w.ask(w.nodes.get(k), id);
-                        answered |= a != null && a.verdict() == Verdict.KNOWN;
+                while (!answered && cluster.clock.now - calm < 75) {
+                    for (String key : cluster.siblings) {
+                        var answer = cluster.ask(cluster.nodes.get(key), id);
+                        answered |= answer != null && answer.verdict() == Verdict.KNOWN;
                     }
                 }
                 assertTrue(answered, at + ": " + id + " is forgotten");
             }
-            w.run(400);
+            cluster.run(400);
             for (String id : accepted) {
-                var a = w.ask(w.leader(), id);
-                assertEquals(behind(id) ? "cancelled" : "done", a.state().status(), at + ": " + a);
+                var answer = cluster.ask(cluster.leader(), id);
+                assertEquals(
+                        behind(id) ? "cancelled" : "done",
+                        answer.state().status(),
+                        at + ": " + answer);
             }
-            assertEquals(List.of(), w.broken, at);
+            assertEquals(List.of(), cluster.broken, at);
         }
 
         private boolean behind(String id) {
             return cancelled.contains(id)
-                    || w.toldCancelled.containsKey(id)
-                    || w.needs.getOrDefault(id, List.of()).stream().anyMatch(this::behind);
+                    || cluster.toldCancelled.containsKey(id)
+                    || cluster.needs.getOrDefault(id, List.of()).stream().anyMatch(this::behind);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -28,7 +28,7 @@
  */
 class ZoneCutTest {
     private static final String ZONE = "a";
-    private SimulatedCluster w;
+    private SimulatedCluster cluster;
     private Cut cut;
 
     /**
@@ -51,7 +51,7 @@
      * their way.
      */
     private static final class Cut implements SimulatedCluster.Reach {
-        private final SimulatedCluster w;
+        private final SimulatedCluster cluster;
         private final SimulatedCluster.Reach usual;
         final Set<String> inside = new HashSet<>();
         boolean refusing;
@@ -65,13 +65,16 @@
 
         double lastKept;
 
-        Cut(SimulatedCluster w) {
-            this.w = w;
-            this.usual = w.reach;
-            w.reach = this;
-            w.commands = (n, x) -> !crosses(n.name, x.zone);
-            w.cloud.withheld =
-                    c -> lasts && c instanceof SimulatedNode n && inside.contains(n.name);
+        Cut(SimulatedCluster cluster) {
+            this.cluster = cluster;
+            this.usual = cluster.reach;
+            cluster.reach = this;
+            cluster.commands = (node, worker) -> !crosses(node.name, worker.zone);
+            cluster.cloud.withheld =
+                    client ->
+                            lasts
+                                    && client instanceof SimulatedNode node
+                                    && inside.contains(node.name);
         }
 
         private boolean crosses(String node, String zone) {
@@ -80,22 +83,22 @@
 
         void begin() {
             lasts = true;
-            lastKept = w.clock.now;
-            w.nodes.values().stream()
-                    .filter(n -> inside.contains(n.name))
+            lastKept = cluster.clock.now;
+            cluster.nodes.values().stream()
+                    .filter(node -> inside.contains(node.name))
                     .forEach(
-                            n -> {
-                                n.cutFromStore = true;
-                                w.siblings.stream()
+                            node -> {
+                                node.cutFromStore = true;
+                                cluster.siblings.stream()
                                         .filter(s -> !inside.contains(s))
-                                        .forEach(n.cutFrom::add);
+                                        .forEach(node.cutFrom::add);
                             });
         }
 
         void end() {
             lasts = false;
-            w.nodes.values().forEach(n -> n.cutFromStore = false);
-            w.nodes.values().forEach(n -> n.cutFrom.clear());
+            cluster.nodes.values().forEach(node -> node.cutFromStore = false);
+            cluster.nodes.values().forEach(node -> node.cutFrom.clear());
         }
 
         @Override
@@ -104,49 +107,51 @@
         }
 
         @Override
-        public void heartbeat(String node, Heartbeat r, Consumer<HeartbeatResponse> answer) {
-            if (crosses(node, r.zone())) {
+        public void heartbeat(
+                String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+            if (crosses(node, heartbeat.zone())) {
                 if (refusing) {
-                    w.after(0.002, () -> answer.accept(HeartbeatResponse.elsewhere(null)));
+                    cluster.after(0.002, () -> answer.accept(HeartbeatResponse.elsewhere(null)));
                 }
                 return;
             }
             usual.heartbeat(
                     node,
-                    r,
-                    c -> {
-                        if (!crosses(node, r.zone())) {
-                            boolean keeps = lasts && r.zone().equals(ZONE) && c.token() > 0;
+                    heartbeat,
+                    response -> {
+                        if (!crosses(node, heartbeat.zone())) {
+                            boolean keeps =
+                                    lasts && heartbeat.zone().equals(ZONE) && response.token() > 0;
                             kept += keeps ? 1 : 0;
-                            lastKept = keeps ? w.clock.now : lastKept;
-                            answer.accept(c);
+                            lastKept = keeps ? cluster.clock.now : lastKept;
+                            answer.accept(response);
                         }
                     });
         }
     }
 
-    private static JobSpec in(String zone, boolean oneZone, JobSpec s) {
+    private static JobSpec in(String zone, boolean oneZone, JobSpec spec) {
         return new JobSpec(
-                s.id(),
-                s.jobClass(),
-                s.team(),
-                s.shape(),
-                s.priority(),
-                s.tasks(),
-                s.cpus(),
-                s.gpus(),
-                s.memoryGb(),
-                s.types(),
+                spec.id(),
+                spec.jobClass(),
+                spec.team(),
+                spec.shape(),
+                spec.priority(),
+                spec.tasks(),
+                spec.cpus(),
+                spec.gpus(),
+                spec.memoryGb(),
+                spec.types(),
                 zone,
                 oneZone,
-                s.spread(),
-                s.spot(),
-                s.image(),
-                s.imageGb(),
-                s.estimateS(),
-                s.checkpointS(),
-                s.saveS(),
-                s.deadlineS());
+                spec.spread(),
+                spec.spot(),
+                spec.image(),
+                spec.imageGb(),
+                spec.estimateS(),
+                spec.checkpointS(),
+                spec.saveS(),
+                spec.deadlineS());
     }
 
     /**
@@ -156,49 +161,52 @@
      */
     private void begins(
             int machines, double cancelS, int controllers, boolean leads, double endsS) {
-        w = settled(0, 0);
-        w.cancelS = cancelS;
-        w.closeLooks = true;
-        List.of("k0", "k1", "k2").forEach(w.siblings::add);
-        w.siblings.forEach(w::node);
+        cluster = settled(0, 0);
+        cluster.cancelS = cancelS;
+        cluster.closeLooks = true;
+        List.of("k0", "k1", "k2").forEach(cluster.siblings::add);
+        cluster.siblings.forEach(cluster::node);
         for (int i = 0; i < 8; i++) {
-            w.worker(String.format("i-%06d", i), i < machines ? ZONE : "b");
+            cluster.worker(String.format("i-%06d", i), i < machines ? ZONE : "b");
         }
-        w.run(12);
-        w.runsFor = id -> id.equals("j-ends") || id.equals("j-outside") ? 5 + endsS : 45;
-        cut = new Cut(w);
-        SimulatedNode leader = w.leader();
-        w.siblings.stream()
-                .filter(k -> k.equals(leader.name) == leads)
+        cluster.run(12);
+        cluster.runsFor = id -> id.equals("j-ends") || id.equals("j-outside") ? 5 + endsS : 45;
+        cut = new Cut(cluster);
+        SimulatedNode leader = cluster.leader();
+        cluster.siblings.stream()
+                .filter(key -> key.equals(leader.name) == leads)
                 .limit(controllers)
                 .forEach(cut.inside::add);
         int more = controllers - cut.inside.size();
-        w.siblings.stream()
-                .filter(k -> !k.equals(leader.name))
+        cluster.siblings.stream()
+                .filter(key -> !key.equals(leader.name))
                 .limit(more)
                 .forEach(cut.inside::add);
-        w.submit(leader, in("b", false, job("j-outside", Shape.ARRAY, 4 * (8 - machines), 1)));
-        w.submit(leader, in(ZONE, false, job("j-off", Shape.ARRAY, 4, 1)));
-        w.submit(leader, in(ZONE, false, job("j-ends", Shape.ARRAY, 4, 1)));
-        w.submit(leader, in(null, true, job("j-gang", Shape.GANG, 4, 1)));
-        w.submit(leader, in(null, true, job("j-bound", Shape.ARRAY, 4 * machines - 8, 1)));
-        w.run(4.5);
+        cluster.submit(
+                leader, in("b", false, job("j-outside", Shape.ARRAY, 4 * (8 - machines), 1)));
+        cluster.submit(leader, in(ZONE, false, job("j-off", Shape.ARRAY, 4, 1)));
+        cluster.submit(leader, in(ZONE, false, job("j-ends", Shape.ARRAY, 4, 1)));
+        cluster.submit(leader, in(null, true, job("j-gang", Shape.GANG, 4, 1)));
+        cluster.submit(leader, in(null, true, job("j-bound", Shape.ARRAY, 4 * machines - 8, 1)));
+        cluster.run(4.5);
         held = on(ZONE);
         assertEquals(4 * machines, held.size());
-        assertEquals(4 * machines - 12, held.stream().filter(t -> t.job.equals("j-bound")).count());
+        assertEquals(
+                4 * machines - 12,
+                held.stream().filter(task -> task.job.equals("j-bound")).count());
     }
 
     private List<SimulatedTask> on(String zone) {
-        return w.workers.values().stream()
-                .filter(x -> x.zone.equals(zone))
-                .flatMap(x -> x.tasks.values().stream())
+        return cluster.workers.values().stream()
+                .filter(worker -> worker.zone.equals(zone))
+                .flatMap(worker -> worker.tasks.values().stream())
                 .filter(SimulatedTask::on)
                 .toList();
     }
 
     private SimulatedNode outside() {
-        return w.nodes.values().stream()
-                .filter(n -> !cut.inside.contains(n.name))
+        return cluster.nodes.values().stream()
+                .filter(node -> !cut.inside.contains(node.name))
                 .findFirst()
                 .orElseThrow();
     }
@@ -208,15 +216,15 @@
      * nothing.
      */
     private void cancelled(String id, String at) {
-        var told = w.cancel(outside(), id);
+        var told = cluster.cancel(outside(), id);
         assertEquals(Verdict.KNOWN, told.verdict(), at);
-        for (String k : cut.inside) {
-            w.accepted.keySet().forEach(j -> w.ask(w.nodes.get(k), j));
-            var a = w.cancel(w.nodes.get(k), id);
+        for (String key : cut.inside) {
+            cluster.accepted.keySet().forEach(j -> cluster.ask(cluster.nodes.get(key), j));
+            var answer = cluster.cancel(cluster.nodes.get(key), id);
             assertTrue(
-                    a == null
-                            || a.verdict() == Verdict.LATER
-                            || a.state().status().equals(told.state().status()),
+                    answer == null
+                            || answer.verdict() == Verdict.LATER
+                            || answer.state().status().equals(told.state().status()),
                     at);
         }
     }
@@ -224,27 +232,31 @@
     /** What was lost by now is counted, and the zone is back. */
     private void ends(String at) {
         List<SimulatedTask> gone =
-                held.stream().filter(t -> t.state != Heartbeat.TaskState.ENDED && !t.on()).toList();
-        withMachine = (int) gone.stream().filter(t -> !t.worker.up).count();
+                held.stream()
+                        .filter(task -> task.state != Heartbeat.TaskState.ENDED && !task.on())
+                        .toList();
+        withMachine = (int) gone.stream().filter(task -> !task.worker.up).count();
         withLease = gone.size() - withMachine;
-        boundOutside = (int) on("b").stream().filter(t -> t.job.equals("j-bound")).count();
+        boundOutside = (int) on("b").stream().filter(task -> task.job.equals("j-bound")).count();
         cut.end();
-        w.cloud.out = false;
-        w.cloud.capacity = 16;
-        w.rules.calm();
-        w.run(35); // What was cancelled has had to go by then.
+        cluster.cloud.out = false;
+        cluster.cloud.capacity = 16;
+        cluster.rules.calm();
+        cluster.run(35); // What was cancelled has had to go by then.
         for (int i = 0;
-                i < 30 && w.toldCancelled.size() + w.toldDone.size() < w.accepted.size();
+                i < 30
+                        && cluster.toldCancelled.size() + cluster.toldDone.size()
+                                < cluster.accepted.size();
                 i++) {
-            w.run(10);
+            cluster.run(10);
         }
-        assertEquals(List.of(), w.broken, at);
-        for (String id : w.accepted.keySet()) {
+        assertEquals(List.of(), cluster.broken, at);
+        for (String id : cluster.accepted.keySet()) {
             assertEquals(
-                    w.toldCancelled.containsKey(id) ? "cancelled" : "done",
-                    w.status(w.leader(), id),
+                    cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    cluster.status(cluster.leader(), id),
                     at + ": " + id);
-            assertEquals(0, w.onMachines(id), at + ": " + id);
+            assertEquals(0, cluster.onMachines(id), at + ": " + id);
         }
     }
 
@@ -272,18 +284,19 @@
                         + ", gone within "
                         + cancelS;
         begins(machines, cancelS, controllers, leads, 4);
-        long token = w.store.token();
-        double began = w.clock.now;
+        long token = cluster.store.token();
+        double began = cluster.clock.now;
         cut.refusing = controllers == 2;
-        w.cloud.out = cloudOut;
+        cluster.cloud.out = cloudOut;
         cut.begin();
-        w.run(lengthS * cancelAfter);
+        cluster.run(lengthS * cancelAfter);
         cancelled("j-off", at);
-        w.run(began + lengthS - w.clock.now);
+        cluster.run(began + lengthS - cluster.clock.now);
         // The meeting: another leads outside, and a leader inside kept work for as long as it
         // might, and no longer.
-        double margin = Math.min(w.leaseS, cancelS - w.leaseS - 2 * w.reportS - 1);
-        assertEquals(leads, w.store.token() > token, at);
+        double margin =
+                Math.min(cluster.leaseS, cancelS - cluster.leaseS - 2 * cluster.reportS - 1);
+        assertEquals(leads, cluster.store.token() > token, at);
         assertEquals(leads, cut.kept > 0, at);
         assertTrue(cut.lastKept - began <= margin, at + ": kept until " + (cut.lastKept - began));
         ends(at);
@@ -335,18 +348,18 @@
                     1 + random.nextInt(2),
                     random.nextBoolean(),
                     random.nextDouble() * 20);
-            w.cloud.capacity = random.nextInt(9);
+            cluster.cloud.capacity = random.nextInt(9);
             for (int i = 0; i < 3; i++) {
                 cut.refusing = random.nextBoolean();
                 cut.begin();
-                w.cloud.out = random.nextInt(3) == 0;
-                w.run(random.nextDouble() * 20);
+                cluster.cloud.out = random.nextInt(3) == 0;
+                cluster.run(random.nextDouble() * 20);
                 cancelled(List.of("j-off", "j-gang", "j-bound").get(i), "seed " + seed);
-                w.run(random.nextDouble() * 20);
+                cluster.run(random.nextDouble() * 20);
                 cut.end();
-                w.run(i < 2 ? random.nextDouble() * 12 : 0);
+                cluster.run(i < 2 ? random.nextDouble() * 12 : 0);
                 cut.inside.clear();
-                random.ints(2, 0, 3).forEach(k -> cut.inside.add(w.siblings.get(k)));
+                random.ints(2, 0, 3).forEach(k -> cut.inside.add(cluster.siblings.get(k)));
             }
             ends("seed " + seed);
             kept += cut.kept;
--- a/src/test/java/io/kitepath/core/cell/DivisionTest.java
+++ b/src/test/java/io/kitepath/core/cell/DivisionTest.java
@@ -77,7 +77,7 @@
             assertEquals(
                     all.stream().mapToLong(QuotaClaim::holds).sum(),
                     t.values().stream().mapToLong(x -> x).sum());
-            all.forEach(c -> assertTrue(t.get(c.cell()) >= c.used()));
+            all.forEach(claim -> assertTrue(t.get(claim.cell()) >= claim.used()));
             List<QuotaClaim> otherwise = new ArrayList<>(all);
             Collections.shuffle(otherwise, r);
             assertEquals(t, QuotaDivision.targets(otherwise), "in whatever order they are heard");
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -46,8 +46,8 @@
         int named;
         long revision;
         long token;
-        ShardState block;
-        QuotaShares shares;
+        ShardState shard;
+        QuotaShares quotaShares;
         ArrayDeque<StateWriter.BatchContributor> riders;
 
         /** Of the present holder: what an earlier one was to hear is heard by nobody. */
@@ -63,7 +63,7 @@
         void begin() {
             incarnation++;
             token++;
-            ClusterSettings facts =
+            ClusterSettings settings =
                     new ClusterSettings(
                             name,
                             "a",
@@ -78,14 +78,14 @@
                             new ClusterSettings.CloudLimits(10, 2),
                             new ClusterSettings.Limits(1, 200, 1000),
                             5);
-            block = new ShardState(facts, m -> {});
-            block.hold(token);
+            shard = new ShardState(settings, machine -> {});
+            shard.hold(token);
             riders = new ArrayDeque<>();
             int mine = incarnation;
-            shares =
+            quotaShares =
                     new QuotaShares(
                             name,
-                            block,
+                            shard,
                             riders::add,
                             new Timers() {
                                 @Override
@@ -115,7 +115,7 @@
                                                     })),
                             new Random(1));
             List<Store.Entry> all = List.copyOf(keys.values());
-            shares.adopt(
+            quotaShares.adopt(
                     new StateLoader.LoadedState(
                             0,
                             List.of(),
@@ -124,8 +124,12 @@
                             List.of(),
                             List.of(),
                             List.of(),
-                            all.stream().filter(e -> e.key().startsWith(StoreKeys.VOID)).toList(),
-                            all.stream().filter(e -> e.key().startsWith(StoreKeys.SHARE)).toList(),
+                            all.stream()
+                                    .filter(entry -> entry.key().startsWith(StoreKeys.VOID))
+                                    .toList(),
+                            all.stream()
+                                    .filter(entry -> entry.key().startsWith(StoreKeys.SHARE))
+                                    .toList(),
                             null,
                             null));
             job = null;
@@ -163,7 +167,7 @@
                             "k",
                             1,
                             256);
-            block.addJob(job);
+            shard.addJob(job);
         }
 
         /** Its work is gone, or there is some now. */
@@ -178,7 +182,7 @@
 
         Summary summary() {
             return new Summary(
-                    name, name, 1, true, List.of(), List.of(), List.of(), shares.told(100, 0));
+                    name, name, 1, true, List.of(), List.of(), List.of(), quotaShares.told(100, 0));
         }
 
         /** The next rider's transaction, executed; whether its holder hears of it. */
@@ -187,16 +191,23 @@
             if (!r.wanted()) {
                 return;
             }
-            Store.Transaction t = new Store.Transaction();
-            r.board(t);
-            for (Store.Condition c : t.conditions()) {
-                Store.Entry e = keys.get(c.key());
+            Store.Transaction transaction = new Store.Transaction();
+            r.board(transaction);
+            for (Store.Condition condition : transaction.conditions()) {
+                Store.Entry entry = keys.get(condition.key());
                 assertEquals(
-                        e == null ? 0 : e.revision(), c.revision(), "only the holder writes here");
+                        entry == null ? 0 : entry.revision(),
+                        condition.revision(),
+                        "only the holder writes here");
             }
             revision++;
-            t.writes()
-                    .forEach(w -> keys.put(w.key(), new Store.Entry(w.key(), w.value(), revision)));
+            transaction
+                    .writes()
+                    .forEach(
+                            write ->
+                                    keys.put(
+                                            write.key(),
+                                            new Store.Entry(write.key(), write.value(), revision)));
             if (heard) {
                 r.written(revision);
             }
@@ -206,25 +217,25 @@
         long stored() {
             return LIMIT / count
                     + keys.values().stream()
-                            .filter(e -> e.key().startsWith(StoreKeys.SHARE))
+                            .filter(entry -> entry.key().startsWith(StoreKeys.SHARE))
                             .mapToLong(
-                                    e ->
-                                            DocumentReader.of(e.value())
+                                    entry ->
+                                            DocumentReader.of(entry.value())
                                                     .integer(
                                                             "cpus", Long.MIN_VALUE, Long.MAX_VALUE))
                             .sum();
         }
 
         boolean took(String giver, long number) {
-            Store.Entry e = keys.get(StoreKeys.VOID + "share/" + giver);
-            return e != null && SequenceNumbers.read(e.value(), 0).isVoid(number);
+            Store.Entry entry = keys.get(StoreKeys.VOID + "share/" + giver);
+            return entry != null && SequenceNumbers.read(entry.value(), 0).isVoid(number);
         }
 
         @Override
         public String toString() {
             return name
-                    + keys.values().stream().map(e -> e.key() + e.value()).toList()
-                    + shares
+                    + keys.values().stream().map(entry -> entry.key() + entry.value()).toList()
+                    + quotaShares
                     + wants
                     + token
                     + riders.size();
@@ -279,22 +290,22 @@
     /** All that may happen next, in an order that depends on the state alone. */
     private List<Action> actions() {
         List<Action> out = new ArrayList<>();
-        for (Cell c : cells.values()) {
-            out.add(() -> step(c));
+        for (Cell cell : cells.values()) {
+            out.add(() -> step(cell));
             if (turns > 0) {
                 out.add(
                         () -> {
                             turns--;
-                            c.turn();
+                            cell.turn();
                         });
             }
-            if (!c.riders.isEmpty()) {
-                out.add(() -> c.commit(true));
-                out.add(c::begin);
+            if (!cell.riders.isEmpty()) {
+                out.add(() -> cell.commit(true));
+                out.add(cell::begin);
                 out.add(
                         () -> {
-                            c.commit(false);
-                            c.begin();
+                            cell.commit(false);
+                            cell.begin();
                         });
             }
         }
@@ -313,7 +324,7 @@
                 out.add(
                         () -> {
                             m.doubled = true;
-                            arrive(new Sent(m.to, m.message, a -> {}));
+                            arrive(new Sent(m.to, m.message, message -> {}));
                         });
             }
         }
@@ -324,12 +335,12 @@
         if (m.message instanceof QuotaGrant g) {
             unanswered.add(m);
             cells.get(m.to)
-                    .shares
+                    .quotaShares
                     .granted(
                             g,
-                            a -> {
+                            message -> {
                                 if (unanswered.remove(m)) {
-                                    messages.add(new Sent(g.from(), a, m.answer));
+                                    messages.add(new Sent(g.from(), message, m.answer));
                                 }
                             });
         } else {
@@ -342,30 +353,30 @@
         List<Summary> others =
                 cells.values().stream().filter(x -> x != c).map(Cell::summary).toList();
         c.summary();
-        c.shares.divide(others);
-        c.shares.tend(now);
+        c.quotaShares.divide(others);
+        c.quotaShares.tend(now);
     }
 
     /** Never more than the limit in the stores and under way, and none of it lost. */
     private void check(String path) {
         long sum = 0;
-        for (Cell c : cells.values()) {
-            sum += c.stored();
-            for (Store.Entry e : c.keys.values()) {
-                if (e.key().startsWith(StoreKeys.SHARE)) {
-                    for (Object o : DocumentReader.of(e.value()).list("out")) {
+        for (Cell cell : cells.values()) {
+            sum += cell.stored();
+            for (Store.Entry entry : cell.keys.values()) {
+                if (entry.key().startsWith(StoreKeys.SHARE)) {
+                    for (Object o : DocumentReader.of(entry.value()).list("out")) {
                         List<?> l = (List<?>) o;
                         if (!cells.get((String) l.get(1))
-                                .took(c.name, ((Number) l.get(0)).longValue())) {
+                                .took(cell.name, ((Number) l.get(0)).longValue())) {
                             sum += ((Number) l.get(3)).longValue();
                         }
                     }
                 }
             }
-            ClusterSettings.Team t = c.block.facts().teams().get("t");
+            ClusterSettings.Team team = cell.shard.facts().teams().get("t");
             assertTrue(
-                    Math.round(c.shares.cpus(t) * 1000) <= c.stored(),
-                    () -> c.name + " uses what its store lacks: " + path);
+                    Math.round(cell.quotaShares.cpus(team) * 1000) <= cell.stored(),
+                    () -> cell.name + " uses what its store lacks: " + path);
         }
         assertEquals(LIMIT, sum, "limit and shares, after " + path);
     }
@@ -382,22 +393,22 @@
             }
             cells.values()
                     .forEach(
-                            c -> {
-                                while (!c.riders.isEmpty()) {
-                                    c.commit(true);
+                            cell -> {
+                                while (!cell.riders.isEmpty()) {
+                                    cell.commit(true);
                                 }
                             });
         }
         check(path + " and then quiet");
-        cells.values().forEach(c -> assertEquals(0, c.shares.underWay(), path));
-        List<Cell> wanting = cells.values().stream().filter(c -> c.wants).toList();
+        cells.values().forEach(cell -> assertEquals(0, cell.quotaShares.underWay(), path));
+        List<Cell> wanting = cells.values().stream().filter(cell -> cell.wants).toList();
         if (!wanting.isEmpty()) {
             assertEquals(
                     LIMIT,
                     wanting.stream().mapToLong(Cell::stored).sum(),
                     "all is where it is wanted, after " + path);
             assertTrue(
-                    wanting.stream().allMatch(c -> c.stored() >= LIMIT / count / 1000 * 1000),
+                    wanting.stream().allMatch(cell -> cell.stored() >= LIMIT / count / 1000 * 1000),
                     "nobody waits for ever, after " + path);
         }
     }
