--- a/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 class KnownCancellationsTest {
-    private final SimulatedCluster w = new SimulatedCluster();
-    private final Timers timers = Worlds.timers(w);
+    private final SimulatedCluster cluster = new SimulatedCluster();
+    private final Timers timers = Worlds.timers(cluster);
 
     private ClusterSettings facts(String node, String... others) {
-        w.siblings.clear();
-        w.siblings.addAll(List.of(others));
-        return w.facts(node);
+        cluster.siblings.clear();
+        cluster.siblings.addAll(List.of(others));
+        return cluster.facts(node);
     }
 
     private CancellationDigest digest(String by, double sinceS, double untilS, String... jobs) {
@@ -27,34 +27,35 @@
 
     @Test
     void nothingIsKnownBeforeTheStoreWasRead() {
-        CancellationWatermark k = new CancellationWatermark(facts("k0", "k1"), timers);
-        k.word(digest("k1", 0, 100));
-        assertTrue(k.ageS() > 1e9);
-        k.proven(95_000);
-        assertEquals(5, k.ageS(), 1e-6);
+        CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
+        watermark.word(digest("k1", 0, 100));
+        assertTrue(watermark.ageS() > 1e9);
+        watermark.proven(95_000);
+        assertEquals(5, watermark.ageS(), 1e-6);
     }
 
     @Test
     void wordsCarryOnOnlyFromWhereTheyBegin() {
-        CancellationWatermark k = new CancellationWatermark(facts("k0", "k1", "k2"), timers);
-        k.proven(95_000);
-        k.word(digest("k1", 94, 99));
-        assertEquals(5, k.ageS(), 1e-6, "k2 has not spoken");
-        k.word(digest("k2", 96, 99));
-        assertEquals(5, k.ageS(), 1e-6, "k2 was started after what is known of it");
-        k.word(digest("k2", 90, 99));
-        assertEquals(1.01, k.ageS(), 1e-6);
+        CancellationWatermark watermark =
+                new CancellationWatermark(facts("k0", "k1", "k2"), timers);
+        watermark.proven(95_000);
+        watermark.word(digest("k1", 94, 99));
+        assertEquals(5, watermark.ageS(), 1e-6, "k2 has not spoken");
+        watermark.word(digest("k2", 96, 99));
+        assertEquals(5, watermark.ageS(), 1e-6, "k2 was started after what is known of it");
+        watermark.word(digest("k2", 90, 99));
+        assertEquals(1.01, watermark.ageS(), 1e-6);
         // Each goes on from its own last word.
-        k.word(digest("k1", 98.9, 100));
-        k.word(digest("k2", 99.5, 100));
-        assertEquals(1.01, k.ageS(), 1e-6);
+        watermark.word(digest("k1", 98.9, 100));
+        watermark.word(digest("k2", 99.5, 100));
+        assertEquals(1.01, watermark.ageS(), 1e-6);
         // A late copy takes nothing back.
-        k.word(digest("k1", 90, 96));
-        assertEquals(1.01, k.ageS(), 1e-6);
+        watermark.word(digest("k1", 90, 96));
+        assertEquals(1.01, watermark.ageS(), 1e-6);
         // Nor does one of nobody known count.
-        k.word(digest("k9", 0, 100));
-        k.begin();
-        assertTrue(k.ageS() > 1e9);
+        watermark.word(digest("k9", 0, 100));
+        watermark.begin();
+        assertTrue(watermark.ageS() > 1e9);
     }
 
     /**
@@ -63,12 +64,12 @@
      */
     @Test
     void clocksThatAreApartCount() {
-        CancellationWatermark k = new CancellationWatermark(facts("k0", "k1"), timers);
-        k.proven(95_000);
-        k.word(digest("k1", 94.995, 100));
-        assertEquals(5, k.ageS(), 1e-6);
-        k.word(digest("k1", 94.98, 100));
-        assertEquals(0.01, k.ageS(), 1e-6);
+        CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
+        watermark.proven(95_000);
+        watermark.word(digest("k1", 94.995, 100));
+        assertEquals(5, watermark.ageS(), 1e-6);
+        watermark.word(digest("k1", 94.98, 100));
+        assertEquals(0.01, watermark.ageS(), 1e-6);
     }
 
     @Test
@@ -77,17 +78,17 @@
         double began = timers.wallMs();
         assertEquals(began, log.digest().sinceMs());
         log.learned("j-0");
-        w.run(1);
+        cluster.run(1);
         for (int i = 1; i <= 1000; i++) {
             log.learned("j-" + i);
             log.learned("j-1");
         }
         assertEquals(1000, log.digest().jobs().size());
         assertEquals(began, log.digest().sinceMs(), "the one that had to go was learned then");
-        w.run(1);
+        cluster.run(1);
         log.learned("j-2000");
         assertEquals(began + 1000, log.digest().sinceMs());
-        w.run(31);
+        cluster.run(31);
         assertEquals(List.of(), log.digest().jobs());
         assertEquals(timers.wallMs() - 30_000, log.digest().sinceMs());
     }
@@ -98,18 +99,18 @@
      */
     @Test
     void withTooManyToldNoWordCounts() {
-        CancellationWatermark k = new CancellationWatermark(facts("k0", "k1"), timers);
-        k.proven(95_000);
+        CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
+        watermark.proven(95_000);
         for (int i = 0; i < 6000; i++) {
-            k.told("j-" + i);
+            watermark.told("j-" + i);
         }
-        assertEquals(5000, k.told().size());
-        k.word(digest("k1", 90, 100));
-        assertEquals(5, k.ageS(), 1e-6);
-        w.run(1);
-        k.proven(100_500);
-        assertEquals(0, k.told().size());
-        k.word(digest("k1", 90, 101));
-        assertEquals(0.01, k.ageS(), 1e-6);
+        assertEquals(5000, watermark.told().size());
+        watermark.word(digest("k1", 90, 100));
+        assertEquals(5, watermark.ageS(), 1e-6);
+        cluster.run(1);
+        watermark.proven(100_500);
+        assertEquals(0, watermark.told().size());
+        watermark.word(digest("k1", 90, 101));
+        assertEquals(0.01, watermark.ageS(), 1e-6);
     }
 }
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/MarginTest.java
@@ -15,10 +15,13 @@
     private static final double CLOCK_ERROR_S = 0.005;
 
     /** When a task of a cancelled job is gone at the latest, in seconds after a user was told. */
-    private static double worst(ClusterSettings.Workers w) {
+    private static double worst(ClusterSettings.Workers workers) {
         // An attempt that was found by report is named by the next proof only.
-        double proof = w.marginS() / 8 * 1.25;
-        return proof + w.marginS() * (1 + DRIFT) + 4 * CLOCK_ERROR_S + w.leaseS() * (1 + DRIFT);
+        double proof = workers.marginS() / 8 * 1.25;
+        return proof
+                + workers.marginS() * (1 + DRIFT)
+                + 4 * CLOCK_ERROR_S
+                + workers.leaseS() * (1 + DRIFT);
     }
 
     private static ClusterSettings.Workers of(double reportS, double leaseS, double cancelS) {
@@ -38,9 +41,11 @@
                     {10, 30, 90},
                     {0.5, 3, 6}
                 }) {
-            ClusterSettings.Workers w = of(f[0], f[1], f[2]);
-            assertTrue(worst(w) < w.cancelS(), f[0] + " " + f[1] + " " + f[2] + ": " + worst(w));
-            assertTrue(w.marginS() >= w.reportS());
+            ClusterSettings.Workers workers = of(f[0], f[1], f[2]);
+            assertTrue(
+                    worst(workers) < workers.cancelS(),
+                    f[0] + " " + f[1] + " " + f[2] + ": " + worst(workers));
+            assertTrue(workers.marginS() >= workers.reportS());
         }
     }
 
@@ -49,9 +54,9 @@
         for (double report = 0.5; report <= 10; report += 0.5) {
             for (double lease = 2 * report; lease <= 120; lease += 1.5) {
                 // Drift of leases of minutes takes its part of the second that is left.
-                ClusterSettings.Workers w =
+                ClusterSettings.Workers workers =
                         of(report, lease, lease + 3 * report + 1 + lease * DRIFT);
-                assertTrue(worst(w) < w.cancelS(), w + ": " + worst(w));
+                assertTrue(worst(workers) < workers.cancelS(), workers + ": " + worst(workers));
             }
         }
     }
--- a/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
@@ -15,7 +15,7 @@
 
 /** Which of a team's jobs its guarantee is for, when they are more than it. */
 class GuaranteeTest {
-    private final ClusterSettings facts =
+    private final ClusterSettings settings =
             new ClusterSettings(
                     "n",
                     "a",
@@ -30,12 +30,12 @@
                     new ClusterSettings.CloudLimits(10, 2),
                     new ClusterSettings.Limits(1, 200, 1000),
                     5);
-    private final ShardState block = new ShardState(facts, m -> {});
-    private final Scheduler placer =
-            new Scheduler(block, new Random(1), new LoopTimeAccounting(() -> 0));
+    private final ShardState shard = new ShardState(settings, machine -> {});
+    private final Scheduler scheduler =
+            new Scheduler(shard, new Random(1), new LoopTimeAccounting(() -> 0));
 
     private Job job(String id, String of, int tasks, double submittedS) {
-        JobSpec s =
+        JobSpec spec =
                 new JobSpec(
                         id,
                         of,
@@ -57,17 +57,17 @@
                         0,
                         0,
                         null);
-        Job j = new Job(s, 1000 * submittedS, facts.startWithinS(s), "k", 1, 256);
-        block.addJob(j);
-        return j;
+        Job job = new Job(spec, 1000 * submittedS, settings.startWithinS(spec), "k", 1, 256);
+        shard.addJob(job);
+        return job;
     }
 
     private List<String> guaranteed(double nowS) {
-        placer.queue(nowS, 1000 * nowS);
+        scheduler.queue(nowS, 1000 * nowS);
         return new ArrayList<>(
-                block.jobs().values().stream()
+                shard.jobs().values().stream()
                         .filter(Job::guaranteed)
-                        .map(j -> j.spec.id())
+                        .map(job -> job.spec.id())
                         .toList());
     }
 
--- a/src/test/java/io/kitepath/core/scheduling/HopelessTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/HopelessTest.java
@@ -13,7 +13,7 @@
     private final UnschedulableShapes hopeless = new UnschedulableShapes();
 
     private static Job job(Shape shape, int tasks, double cpus, String team, boolean spot) {
-        JobSpec s =
+        JobSpec spec =
                 new JobSpec(
                         "j-1",
                         "work",
@@ -35,7 +35,7 @@
                         0,
                         0,
                         null);
-        return new Job(s, 0, new double[] {10}, "k", 1, 256);
+        return new Job(spec, 0, new double[] {10}, "k", 1, 256);
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/scheduling/LargestTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/LargestTest.java
@@ -19,47 +19,47 @@
     @Test
     void theLargestGangBeginsWithinFourMinutesOfAFlood() {
         for (JobSpec.Priority flood : List.of(JobSpec.Priority.NORMAL, JobSpec.Priority.HIGH)) {
-            SimulatedCluster w = new SimulatedCluster();
-            w.reportsChanges = true;
-            w.cloud.capacity = 0;
-            SimulatedNode n = w.node("k0");
+            SimulatedCluster cluster = new SimulatedCluster();
+            cluster.reportsChanges = true;
+            cluster.cloud.capacity = 0;
+            SimulatedNode node = cluster.node("k0");
             for (int i = 0; i < 8; i++) {
-                w.worker("i-" + i, i % 2 == 0 ? "a" : "b");
+                cluster.worker("i-" + i, i % 2 == 0 ? "a" : "b");
             }
-            w.run(5);
+            cluster.run(5);
             double[] began = {0};
-            w.clock.starts =
-                    t ->
+            cluster.clock.starts =
+                    task ->
                             began[0] =
-                                    t.job.equals("j-99999") && began[0] == 0
-                                            ? w.clock.now
+                                    task.job.equals("j-99999") && began[0] == 0
+                                            ? cluster.clock.now
                                             : began[0];
             double since = 0;
             for (int i = 0; i < 400; i++) {
                 // Two gangs of a machine each a second, of 20 s: more than there is room for.
-                w.submit(
-                        n,
+                cluster.submit(
+                        node,
                         SimulatedCluster.with(
                                 SimulatedCluster.job("j-" + (1000 + i), Shape.GANG, 1, 4),
                                 "red",
                                 flood,
                                 false));
                 if (i == 100) {
-                    since = w.clock.now;
-                    w.submit(
-                            n,
+                    since = cluster.clock.now;
+                    cluster.submit(
+                            node,
                             SimulatedCluster.with(
                                     SimulatedCluster.job("j-99999", Shape.GANG, 4, 4),
                                     "red",
                                     JobSpec.Priority.NORMAL,
                                     true));
                 }
-                w.run(0.7);
+                cluster.run(0.7);
             }
             assertTrue(
                     began[0] > 0 && began[0] - since < 240,
                     "took " + (began[0] - since) + " among " + flood);
-            assertEquals(List.of(), w.broken);
+            assertEquals(List.of(), cluster.broken);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
@@ -28,7 +28,7 @@
     }
 
     private Job job(String id, String of, int tasks, double... startWithinS) {
-        JobSpec s =
+        JobSpec spec =
                 new JobSpec(
                         id,
                         of,
@@ -50,19 +50,19 @@
                         0,
                         0,
                         null);
-        Job j = new Job(s, 0, startWithinS, "k", 1, 256);
-        jobs.add(j);
-        return j;
+        Job job = new Job(spec, 0, startWithinS, "k", 1, 256);
+        jobs.add(job);
+        return job;
     }
 
     private List<String> order(double cpus, double now) {
         return new SchedulingQueue(
-                        s -> cpus,
-                        s -> lead,
-                        s -> behind.getOrDefault(s.jobClass(), 1.0),
+                        spec -> cpus,
+                        spec -> lead,
+                        spec -> behind.getOrDefault(spec.jobClass(), 1.0),
                         now,
                         now * 1000)
-                .of(jobs).stream().map(j -> j.spec.id()).toList();
+                .of(jobs).stream().map(job -> job.spec.id()).toList();
     }
 
     @Test
@@ -143,7 +143,7 @@
         // The fleet has a thousand CPUs, but of these jobs it can run only sixty tasks at once.
         assertEquals(
                 List.of("j-2", "j-3", "j-1"),
-                new SchedulingQueue(s -> s.spot() ? 60 : 1000, s -> 0, s -> 1, 0, 0)
-                        .of(jobs).stream().map(j -> j.spec.id()).toList());
+                new SchedulingQueue(spec -> spec.spot() ? 60 : 1000, spec -> 0, spec -> 1, 0, 0)
+                        .of(jobs).stream().map(job -> job.spec.id()).toList());
     }
 }
--- a/src/test/java/io/kitepath/core/service/RetryPaceTest.java
+++ b/src/test/java/io/kitepath/core/service/RetryPaceTest.java
@@ -14,7 +14,7 @@
     private double now = 10;
 
     /** Three nodes, and 300 requests a second for all of them. */
-    private final ClusterSettings facts =
+    private final ClusterSettings settings =
             new ClusterSettings(
                     "k0",
                     "a",
@@ -30,7 +30,7 @@
 
     private final RetryAfter pace =
             new RetryAfter(
-                    facts,
+                    settings,
                     new Timers() {
                         @Override
                         public double now() {
--- a/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
@@ -14,9 +14,9 @@
 
 /** What a report proves. */
 class HeartbeatsTest {
-    private final ClusterSettings facts = new SimulatedCluster().facts("k1");
-    private final ShardState block = new ShardState(facts, m -> {});
-    private final HeartbeatProcessor heartbeats = new HeartbeatProcessor(block);
+    private final ClusterSettings settings = new SimulatedCluster().facts("k1");
+    private final ShardState shard = new ShardState(settings, machine -> {});
+    private final HeartbeatProcessor heartbeatProcessor = new HeartbeatProcessor(shard);
     private final Job job =
             new Job(
                     SimulatedCluster.job("j-1", Shape.ARRAY, 1, 1),
@@ -37,21 +37,21 @@
      */
     @Test
     void onlyAReportThatCarriesOurTokenProvesWhatIsNotThere() {
-        block.hold(5);
-        block.addJob(job);
-        block.adopt(
+        shard.hold(5);
+        shard.addJob(job);
+        shard.adopt(
                 job,
                 0,
                 Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
                 7,
                 0);
-        block.jobOver("j-1");
+        shard.jobOver("j-1");
         for (int i = 1; i <= 5; i++) {
-            heartbeats.heartbeat(report(i, 4), true, id -> true, i);
+            heartbeatProcessor.heartbeat(report(i, 4), true, id -> true, i);
         }
         assertEquals(1, job.live().size());
-        assertFalse(block.machines().get("i-1").proven());
-        heartbeats.heartbeat(report(6, 5), true, id -> true, 6);
+        assertFalse(shard.machines().get("i-1").proven());
+        heartbeatProcessor.heartbeat(report(6, 5), true, id -> true, 6);
         assertEquals(0, job.live().size());
     }
 
@@ -61,20 +61,20 @@
      */
     @Test
     void anOlderReportIsNotRead() {
-        block.hold(5);
-        block.addJob(job);
-        heartbeats.heartbeat(report(9, 4), true, id -> true, 1);
-        block.adopt(
+        shard.hold(5);
+        shard.addJob(job);
+        heartbeatProcessor.heartbeat(report(9, 4), true, id -> true, 1);
+        shard.adopt(
                 job,
                 0,
                 Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
                 7,
                 0);
-        block.jobOver("j-1");
-        heartbeats.heartbeat(report(8, 5), true, id -> true, 2);
-        heartbeats.heartbeat(report(9, 5), true, id -> true, 3);
+        shard.jobOver("j-1");
+        heartbeatProcessor.heartbeat(report(8, 5), true, id -> true, 2);
+        heartbeatProcessor.heartbeat(report(9, 5), true, id -> true, 3);
         assertEquals(1, job.live().size());
-        assertEquals(1, block.machines().get("i-1").lastReport());
+        assertEquals(1, shard.machines().get("i-1").lastReport());
     }
 
     /**
@@ -82,7 +82,7 @@
      */
     @Test
     void aMachineThatHasNotShownOurTokenIsToldToStopWhatIsOver() {
-        Heartbeat r =
+        Heartbeat heartbeat =
                 new Heartbeat(
                         "i-1",
                         "i-1",
@@ -106,8 +106,9 @@
                                         Heartbeat.EndCause.DONE)));
         List<WorkerCommand> stop =
                 List.of(new WorkerCommand(WorkerCommand.Action.STOP, "j-2", 1, 4, 0));
-        assertEquals(stop, heartbeats.heartbeat(r, false, "j-1"::equals, 1));
-        Heartbeat next = new Heartbeat("i-1", "i-1", "m4", "a", false, 1, 8, 4, null, r.tasks());
-        assertEquals(stop, heartbeats.heartbeat(next, true, "j-1"::equals, 2));
+        assertEquals(stop, heartbeatProcessor.heartbeat(heartbeat, false, "j-1"::equals, 1));
+        Heartbeat next =
+                new Heartbeat("i-1", "i-1", "m4", "a", false, 1, 8, 4, null, heartbeat.tasks());
+        assertEquals(stop, heartbeatProcessor.heartbeat(next, true, "j-1"::equals, 2));
     }
 }
--- a/src/test/java/io/kitepath/core/shard/ServedTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServedTest.java
@@ -10,7 +10,7 @@
 
 /** Which classes and teams count as served too little, and when they have caught up. */
 class ServedTest {
-    private final ClusterSettings facts =
+    private final ClusterSettings settings =
             new ClusterSettings(
                     "n",
                     "a",
@@ -25,11 +25,11 @@
                     new ClusterSettings.CloudLimits(10, 2),
                     new ClusterSettings.Limits(1, 200, 1000),
                     5);
-    private final ServiceLevels served = new ServiceLevels(facts);
+    private final ServiceLevels served = new ServiceLevels(settings);
     private int named;
 
     private Job job(String of, String team, Double deadlineS) {
-        JobSpec s =
+        JobSpec spec =
                 new JobSpec(
                         "j-" + ++named,
                         of,
@@ -51,7 +51,7 @@
                         0,
                         0,
                         deadlineS);
-        return new Job(s, 0, facts.startWithinS(s), "k", 1, 256);
+        return new Job(spec, 0, settings.startWithinS(spec), "k", 1, 256);
     }
 
     @Test
@@ -126,16 +126,16 @@
                             null);
             served.came(s[i]);
         }
-        for (JobSpec x : s) {
+        for (JobSpec spec : s) {
             served.done(
-                    new Job(x, 0, facts.startWithinS(x), "k", 1, 256),
-                    x.tasks() == 50 ? 101_000 : 50_000);
+                    new Job(spec, 0, settings.startWithinS(spec), "k", 1, 256),
+                    spec.tasks() == 50 ? 101_000 : 50_000);
         }
         look(102);
         assertEquals(1, served.standing(s[1]));
         assertEquals(0, served.standing(s[0]), 0.01);
         assertEquals(0, served.largest().get("tiles").share(), 0.01);
-        ServiceLevels next = new ServiceLevels(facts);
+        ServiceLevels next = new ServiceLevels(settings);
         next.restore(served.record(103_000));
         assertEquals(10, next.largest().get("tiles").missed());
     }
@@ -147,20 +147,20 @@
         }
         Job late = job("tiles", "red", null);
         look(101, late);
-        ServiceLevels next = new ServiceLevels(facts);
+        ServiceLevels next = new ServiceLevels(settings);
         next.restore(served.record(102_000));
         Job same = job("tiles", "red", null);
-        next.look(List.of(same), x -> 10, 103_000);
-        ServiceLevels.ServiceGroup g = next.classes().get("tiles");
+        next.look(List.of(same), spec -> 10, 103_000);
+        ServiceLevels.ServiceGroup group = next.classes().get("tiles");
         assertEquals(
                 List.of(4L, 1L),
-                List.of(g.inTime(), g.missed()),
+                List.of(group.inTime(), group.missed()),
                 "what the last one counted is not counted again");
-        assertEquals(0.8, g.share(), 0.01);
+        assertEquals(0.8, group.share(), 0.01);
     }
 
     private void look(double s, Job... jobs) {
-        served.look(List.of(jobs), x -> 10, s * 1000);
+        served.look(List.of(jobs), spec -> 10, s * 1000);
     }
 
     @Test
@@ -169,9 +169,10 @@
         look(101, late);
         look(102, late);
         served.done(late, 150_000);
-        ServiceLevels.ServiceGroup g = served.classes().get("tiles");
+        ServiceLevels.ServiceGroup group = served.classes().get("tiles");
         assertEquals(
-                List.of(1L, 1L, 0L, 1L), List.of(g.submitted(), g.missed(), g.inTime(), g.done()));
+                List.of(1L, 1L, 0L, 1L),
+                List.of(group.submitted(), group.missed(), group.inTime(), group.done()));
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.Test;
 
 class CancellationProofTest {
-    private final SimulatedCluster w = new SimulatedCluster();
-    private final Timers timers = Worlds.timers(w);
-    private final ShardState block = new ShardState(w.facts("k0"), m -> {});
+    private final SimulatedCluster cluster = new SimulatedCluster();
+    private final Timers timers = Worlds.timers(cluster);
+    private final ShardState shard = new ShardState(cluster.facts("k0"), machine -> {});
 
     /** What it sent, and when. */
     private final List<Store.Transaction> sent = new ArrayList<>();
@@ -53,7 +53,7 @@
             new Store() {
                 @Override
                 public void get(String key, BiConsumer<Outcome, Entry> answer) {
-                    w.after(
+                    cluster.after(
                             answerTakesS,
                             () ->
                                     answer.accept(
@@ -61,25 +61,25 @@
                 }
 
                 @Override
-                public void commit(Transaction t, Consumer<CommitResult> answer) {
-                    assertTrue(t.writes().isEmpty());
-                    assertTrue(t.conditions().size() <= 160);
-                    sent.add(t);
-                    sentAt.add(w.clock.now);
+                public void commit(Transaction transaction, Consumer<CommitResult> answer) {
+                    assertTrue(transaction.writes().isEmpty());
+                    assertTrue(transaction.conditions().size() <= 160);
+                    sent.add(transaction);
+                    sentAt.add(cluster.clock.now);
                     List<String> failed =
-                            t.conditions().stream()
+                            transaction.conditions().stream()
                                     .map(Condition::key)
                                     .filter(gone::contains)
                                     .toList();
-                    Outcome o =
-                            t.conditions().size() > mostConditions
+                    Outcome outcome =
+                            transaction.conditions().size() > mostConditions
                                     ? Outcome.INVALID
                                     : refuses.test(sent.size())
                                             ? Outcome.REFUSED
                                             : failed.isEmpty() ? otherwise : Outcome.NO;
-                    w.after(
+                    cluster.after(
                             answerTakesS,
-                            () -> answer.accept(new CommitResult(o, 0, failed, false)));
+                            () -> answer.accept(new CommitResult(outcome, 0, failed, false)));
                 }
 
                 @Override
@@ -105,13 +105,13 @@
                     store,
                     timers,
                     new Random(1),
-                    block,
+                    shard,
                     () -> holding,
                     new CancellationProof.Listener() {
                         @Override
                         public void closed(String job) {
                             closed.add(job);
-                            block.jobOver(job);
+                            shard.jobOver(job);
                         }
 
                         @Override
@@ -123,17 +123,17 @@
     /** Each has a task on a machine, by its record. */
     private void jobs(int n) {
         for (int i = 0; i < n; i++) {
-            JobSpec s = job("j-" + i, Shape.ARRAY, 1, 1);
-            Job j =
+            JobSpec spec = job("j-" + i, Shape.ARRAY, 1, 1);
+            Job job =
                     Job.of(
-                            new JobRecord(s, 0, List.of(), 0, 0),
-                            block.facts(),
-                            StoreKeys.OPEN + s.id(),
+                            new JobRecord(spec, 0, List.of(), 0, 0),
+                            shard.facts(),
+                            StoreKeys.OPEN + spec.id(),
                             7,
                             256);
-            block.addJob(j);
-            block.adopt(
-                    j,
+            shard.addJob(job);
+            shard.adopt(
+                    job,
                     0,
                     Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
                     8,
@@ -145,8 +145,9 @@
     void allJobsOfWhichSomethingMayRunAreCompared() {
         jobs(400);
         proof.start();
-        w.run(1);
-        assertEquals(400, sent.stream().mapToInt(t -> t.conditions().size()).sum());
+        cluster.run(1);
+        assertEquals(
+                400, sent.stream().mapToInt(transaction -> transaction.conditions().size()).sum());
         assertEquals(3, sent.size());
         assertEquals(List.of(1000 * sentAt.get(0)), proven);
     }
@@ -157,7 +158,7 @@
         jobs(3);
         answerTakesS = 6;
         proof.start();
-        w.run(7);
+        cluster.run(7);
         assertEquals(1, proven.size());
         assertEquals(1000 * sentAt.get(0), proven.get(0));
     }
@@ -167,33 +168,33 @@
         jobs(3);
         gone.add(StoreKeys.OPEN + "j-1");
         proof.start();
-        w.run(0.015);
+        cluster.run(0.015);
         assertEquals(List.of(), proven);
-        w.run(0.02);
+        cluster.run(0.02);
         assertEquals(List.of("j-1"), closed);
         assertEquals(1, proven.size());
-        w.run(3);
+        cluster.run(3);
         assertTrue(
                 sent.get(sent.size() - 1).conditions().stream()
-                        .noneMatch(c -> c.key().endsWith("j-1")));
+                        .noneMatch(condition -> condition.key().endsWith("j-1")));
     }
 
     @Test
     void refusalsAndUnknownAnswersProveNothingAndAreTriedAgain() {
         jobs(1);
-        for (Outcome o : List.of(Outcome.REFUSED, Outcome.UNKNOWN, Outcome.INVALID)) {
-            otherwise = o;
+        for (Outcome outcome : List.of(Outcome.REFUSED, Outcome.UNKNOWN, Outcome.INVALID)) {
+            otherwise = outcome;
             proof.start();
-            w.run(5);
-            assertEquals(List.of(), proven, o.toString());
+            cluster.run(5);
+            assertEquals(List.of(), proven, outcome.toString());
         }
         assertTrue(sent.size() > 20);
         otherwise = Outcome.OK;
-        w.run(1);
+        cluster.run(1);
         assertEquals(1, proven.size());
         holding = false;
         int before = sent.size();
-        w.run(10);
+        cluster.run(10);
         assertEquals(before, sent.size());
         proof.stop();
     }
@@ -206,10 +207,15 @@
         jobs(800);
         refuses = n -> n % 2 == 0;
         proof.start();
-        w.run(3);
+        cluster.run(3);
         assertTrue(proven.size() >= 1);
         assertEquals(1000 * sentAt.get(0), proven.get(0));
-        assertTrue(sent.stream().map(t -> t.conditions().get(0).key()).distinct().count() == 5);
+        assertTrue(
+                sent.stream()
+                                .map(transaction -> transaction.conditions().get(0).key())
+                                .distinct()
+                                .count()
+                        == 5);
     }
 
     /**
@@ -221,7 +227,7 @@
         jobs(100);
         mostConditions = 30;
         proof.start();
-        w.run(5);
+        cluster.run(5);
         assertTrue(proven.size() >= 1);
         assertTrue(sent.get(sent.size() - 1).conditions().size() <= 30);
     }
@@ -232,7 +238,7 @@
         jobs(800);
         answerTakesS = 3;
         proof.start();
-        w.run(7);
+        cluster.run(7);
         assertEquals(1, proven.size());
         assertEquals(1000 * sentAt.get(0), proven.get(0));
     }
--- a/src/test/java/io/kitepath/net/HttpClientTest.java
+++ b/src/test/java/io/kitepath/net/HttpClientTest.java
@@ -20,7 +20,7 @@
         List<String> asked = new ArrayList<>();
         // A server that never answers, and a client with one connection to it.
         Channel server =
-                new HttpServer((r, out) -> asked.add(r.path()), 1024, 10, 60)
+                new HttpServer((request, out) -> asked.add(request.path()), 1024, 10, 60)
                         .listen(group, new InetSocketAddress("127.0.0.1", 0))
                         .sync()
                         .channel();
--- a/src/test/java/io/kitepath/peers/CellLinksTest.java
+++ b/src/test/java/io/kitepath/peers/CellLinksTest.java
@@ -44,7 +44,7 @@
     /** A node of the cell west that listens, and whose store refuses everything. */
     private void west(InetSocketAddress at) throws Exception {
         Map<String, ClusterSettings.Team> none = Map.of();
-        CellDirectory d =
+        CellDirectory directory =
                 new CellDirectory(
                         1,
                         "west",
@@ -60,7 +60,7 @@
                                         List.of("b"),
                                         Map.of("e0", "y"),
                                         none)));
-        ClusterSettings facts =
+        ClusterSettings settings =
                 new ClusterSettings(
                         "w0",
                         "a",
@@ -78,24 +78,24 @@
                         () -> {
                             Controller c =
                                     new Controller(
-                                            facts,
+                                            settings,
                                             new RefusingStore(),
                                             null,
                                             null,
                                             new LoopTimers(loop),
                                             peers,
                                             new Random(1),
-                                            d,
-                                            (cell, node, m, answer) -> answer.accept(null));
+                                            directory,
+                                            (cell, node, message, answer) -> answer.accept(null));
                             return peers.start(c, at);
                         })
                 .get()
                 .sync();
     }
 
-    private CellMessage ask(CellLinks links, String node, CellMessage m) throws Exception {
+    private CellMessage ask(CellLinks links, String node, CellMessage message) throws Exception {
         CompletableFuture<CellMessage> got = new CompletableFuture<>();
-        loop.execute(() -> links.ask("west", node, m, got::complete));
+        loop.execute(() -> links.ask("west", node, message, got::complete));
         return got.get(5, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/io/kitepath/peers/MessagesTest.java
+++ b/src/test/java/io/kitepath/peers/MessagesTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void aRelayedCheckInArrivesAsItWasSent() {
-        Heartbeat r =
+        Heartbeat heartbeat =
                 new Heartbeat(
                         "i-1",
                         "10.1.0.1:9000",
@@ -47,7 +47,8 @@
                                         2,
                                         Heartbeat.TaskState.ENDED,
                                         Heartbeat.EndCause.DONE)));
-        assertEquals(new Messages.Ask(7, r, true), sent(new Messages.Ask(7, r, true)));
+        assertEquals(
+                new Messages.Ask(7, heartbeat, true), sent(new Messages.Ask(7, heartbeat, true)));
         Heartbeat notice = new Heartbeat("i-1", "", "m", "a", true, 2, 89, 41, 12.5, List.of());
         assertEquals(new Messages.Ask(8, notice, false), sent(new Messages.Ask(8, notice, false)));
     }
@@ -135,25 +136,26 @@
                                 "KNOWN", new JobStatus("j-1", "running", 1, 2, "waits")));
         Messages one = new Messages(true);
         Messages other = new Messages(true);
-        for (CellMessage m : all) {
+        for (CellMessage message : all) {
             assertEquals(
-                    new Messages.AskCell(5, m), other.value(one.bytes(new Messages.AskCell(5, m))));
+                    new Messages.AskCell(5, message),
+                    other.value(one.bytes(new Messages.AskCell(5, message))));
             assertEquals(
-                    new Messages.AnswerCell(5, m),
-                    other.value(one.bytes(new Messages.AnswerCell(5, m))));
+                    new Messages.AnswerCell(5, message),
+                    other.value(one.bytes(new Messages.AnswerCell(5, message))));
         }
-        CellMessage.LoanStatus w =
+        CellMessage.LoanStatus status =
                 new CellMessage.LoanStatus(
                         "west", 8, CellMessage.LoanState.BACK, new byte[] {3, 1}, 4);
         CellMessage.LoanStatus got =
                 (CellMessage.LoanStatus)
                         ((Messages.AnswerCell)
-                                        other.value(one.bytes(new Messages.AnswerCell(6, w))))
+                                        other.value(one.bytes(new Messages.AnswerCell(6, status))))
                                 .message();
         assertEquals(
-                List.of(w.cell(), w.number(), w.standing(), w.next()),
+                List.of(status.cell(), status.number(), status.standing(), status.next()),
                 List.of(got.cell(), got.number(), got.standing(), got.next()));
-        assertArrayEquals(w.done(), got.done());
+        assertArrayEquals(status.done(), got.done());
         byte[] bytes = one.bytes(new Messages.AskCell(5, all.get(0)));
         assertThrows(InvalidInputException.class, () -> there.value(bytes));
     }
--- a/src/test/java/io/kitepath/peers/PeersTest.java
+++ b/src/test/java/io/kitepath/peers/PeersTest.java
@@ -39,10 +39,10 @@
         List<Channel> told = new ArrayList<>();
         Peers.toAll(
                 channels.values(),
-                ch -> {
-                    told.add(ch);
+                channel -> {
+                    told.add(channel);
                     if (told.size() == 1) {
-                        ch.close();
+                        channel.close();
                     }
                 });
         assertEquals(3, told.size());
@@ -103,7 +103,7 @@
                                     "fresh",
                                     new InetSocketAddress(here, fresh.getLocalPort())),
                             false);
-            ClusterSettings facts =
+            ClusterSettings settings =
                     new ClusterSettings(
                             "k0",
                             "a",
@@ -120,7 +120,7 @@
                             () ->
                                     peers.start(
                                             new Controller(
-                                                    facts,
+                                                    settings,
                                                     new RefusingStore(),
                                                     null,
                                                     null,
--- a/src/test/java/io/kitepath/peers/RefusingStore.java
+++ b/src/test/java/io/kitepath/peers/RefusingStore.java
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public void commit(Transaction t, Consumer<CommitResult> answer) {
+    public void commit(Transaction transaction, Consumer<CommitResult> answer) {
         answer.accept(new CommitResult(Outcome.REFUSED, 0, List.of(), false));
     }
 
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -51,7 +51,7 @@
     @Test
     void framesAreTheSameToTheByte() {
         Messages m = new Messages(true);
-        Heartbeat r =
+        Heartbeat heartbeat =
                 new Heartbeat(
                         "i-000231",
                         "10.1.0.232:9000",
@@ -65,7 +65,7 @@
                         List.of(
                                 new TaskStatus("j-000412", 3, 2, TaskState.RUNNING, null),
                                 new TaskStatus("j-000398", 0, 1, TaskState.ENDED, EndCause.DONE)));
-        JobSpec s =
+        JobSpec spec =
                 new JobSpec(
                         "j-000412",
                         "train",
@@ -91,7 +91,7 @@
         Map<String, Object> frames = new LinkedHashMap<>();
         frames.put("view", new Messages.View("kite-1", 7, true, false));
         frames.put("over", new Messages.Over(over));
-        frames.put("ask", new Messages.Ask(5, r, true));
+        frames.put("ask", new Messages.Ask(5, heartbeat, true));
         frames.put(
                 "answer",
                 new Messages.Answer(
@@ -112,7 +112,7 @@
         frames.put(
                 "askCell",
                 new Messages.AskCell(
-                        9, new CellMessage.LoanOffer("north", 4, 2, s, 1000.5, 0, 16, 3)));
+                        9, new CellMessage.LoanOffer("north", 4, 2, spec, 1000.5, 0, 16, 3)));
         frames.put(
                 "answerCell",
                 new Messages.AnswerCell(9, new CellMessage.UserResponse("KNOWN", over)));
@@ -124,7 +124,7 @@
                 });
         assertEquals(
                 frames.size(),
-                written.keySet().stream().filter(k -> k.startsWith("frame.")).count());
+                written.keySet().stream().filter(key -> key.startsWith("frame.")).count());
         // Without cells, the classes that come first keep their numbers.
         assertArrayEquals(written.get("frame.view"), new Messages(false).bytes(frames.get("view")));
     }
@@ -138,42 +138,42 @@
     void recordsOfPlainJobsAreTheSame() {
         for (String id : List.of("j-1", "j-3", "j-4", "j-6")) {
             Object theirs = record(StoreKeys.OPEN + id).value();
-            JobRecord r = JobRecord.of(id, theirs);
+            JobRecord record = JobRecord.of(id, theirs);
             assertArrayEquals(
-                    MessagePackCodec.bytes(theirs), MessagePackCodec.bytes(r.toMap()), id);
-            assertEquals(List.of(), r.needs());
-            assertEquals(0, r.partTasks());
+                    MessagePackCodec.bytes(theirs), MessagePackCodec.bytes(record.toMap()), id);
+            assertEquals(List.of(), record.needs());
+            assertEquals(0, record.partTasks());
         }
     }
 
     /** A new holder goes on where production ended: nothing starts twice, all of it ends. */
     @Test
     void aStoreThatProductionWroteIsGoneOnWith() {
-        SimulatedCluster w = new SimulatedCluster();
-        w.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 1000, 2, 13);
+        SimulatedCluster cluster = new SimulatedCluster();
+        cluster.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 1000, 2, 13);
         for (String k : written.keySet()) {
             if (k.startsWith("record ")
                     && !k.contains("/duty/")
                     && !k.contains("/leader")
                     && !k.contains("/blocks/")) {
                 String key = k.substring("record ".length());
-                w.store.keys.put(key, record(key));
+                cluster.store.keys.put(key, record(key));
             }
         }
-        w.runsFor = id -> 30;
+        cluster.runsFor = id -> 30;
         for (int i = 0; i < 40; i++) {
-            w.worker("i-" + String.format("%06d", i), i % 2 == 0 ? "a" : "b");
+            cluster.worker("i-" + String.format("%06d", i), i % 2 == 0 ? "a" : "b");
         }
         // What runs when production ends.
         for (String part : List.of("j-1/0", "j-1/1", "j-3/0", "j-4/0")) {
             String job = part.substring(0, part.indexOf('/'));
-            w.specs.put(job, JobRecord.of(job, record(StoreKeys.OPEN + job).value()).spec());
+            cluster.specs.put(job, JobRecord.of(job, record(StoreKeys.OPEN + job).value()).spec());
             Map<?, ?> live =
                     (Map<?, ?>) ((Map<?, ?>) record(StoreKeys.PART + part).value()).get("live");
             live.forEach(
                     (machine, l) -> {
                         for (int i = 0; i + 1 < ((List<?>) l).size(); i += 2) {
-                            w.workers
+                            cluster.workers
                                     .get(machine)
                                     .execute(
                                             new WorkerCommand(
@@ -185,24 +185,25 @@
                         }
                     });
         }
-        long running = w.onMachines("j-1");
+        long running = cluster.onMachines("j-1");
         assertTrue(running > 250, "only " + running);
-        SimulatedNode n = w.node("k1");
-        w.specs.put("j-6", JobRecord.of("j-6", record(StoreKeys.OPEN + "j-6").value()).spec());
-        w.specs.put("j-2", SimulatedCluster.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
-        w.completed.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
-        w.rules.asksToCancel("j-5"); // So was this.
-        w.run(20);
-        assertEquals(running, w.onMachines("j-1"));
-        assertEquals("done", w.status(n, "j-2"));
-        assertEquals("cancelled", w.status(n, "j-5"));
-        w.submit(n, SimulatedCluster.job("j-7", JobSpec.Shape.ARRAY, 1, 1), "j-2", "j-3");
-        w.submit(n, SimulatedCluster.job("j-8", JobSpec.Shape.ARRAY, 1, 1), "j-5");
-        w.run(120);
+        SimulatedNode node = cluster.node("k1");
+        cluster.specs.put(
+                "j-6", JobRecord.of("j-6", record(StoreKeys.OPEN + "j-6").value()).spec());
+        cluster.specs.put("j-2", SimulatedCluster.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
+        cluster.completed.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
+        cluster.rules.asksToCancel("j-5"); // So was this.
+        cluster.run(20);
+        assertEquals(running, cluster.onMachines("j-1"));
+        assertEquals("done", cluster.status(node, "j-2"));
+        assertEquals("cancelled", cluster.status(node, "j-5"));
+        cluster.submit(node, SimulatedCluster.job("j-7", JobSpec.Shape.ARRAY, 1, 1), "j-2", "j-3");
+        cluster.submit(node, SimulatedCluster.job("j-8", JobSpec.Shape.ARRAY, 1, 1), "j-5");
+        cluster.run(120);
         for (String id : List.of("j-1", "j-3", "j-6", "j-7")) {
-            assertEquals("done", w.status(n, id), id);
+            assertEquals("done", cluster.status(node, id), id);
         }
-        assertEquals("cancelled", w.status(n, "j-8"));
-        assertEquals(List.of(), w.broken);
+        assertEquals("cancelled", cluster.status(node, "j-8"));
+        assertEquals(List.of(), cluster.broken);
     }
 }
--- a/src/test/java/io/kitepath/settings/CellsFileTest.java
+++ b/src/test/java/io/kitepath/settings/CellsFileTest.java
@@ -23,7 +23,7 @@
                 "teams":[{"name":"t","cpus":6,"cpus_max":10}]},
               {"name":"spare","home":false,"zones":["d"],"nodes":[{"label":"s0","addr":"127.0.0.4:8081"}]}]}
             """;
-    private final ClusterSettings facts =
+    private final ClusterSettings settings =
             new ClusterSettings(
                     "e1",
                     "a",
@@ -42,7 +42,7 @@
                     5);
 
     private CellsFile read(String text) {
-        return CellsFile.of(text.getBytes(StandardCharsets.UTF_8), facts);
+        return CellsFile.of(text.getBytes(StandardCharsets.UTF_8), settings);
     }
 
     private String complaint(String from, String to) {
@@ -89,10 +89,10 @@
 
     @Test
     void homesAreSpreadEvenlyAndStayWhenRoomIsAdded() {
-        CellDirectory d = read(GOOD).directory();
+        CellDirectory directory = read(GOOD).directory();
         Map<String, Integer> at = new TreeMap<>();
         for (int i = 0; i < 2000; i++) {
-            at.merge(d.home(String.format("j-%06d", i)), 1, Integer::sum);
+            at.merge(directory.home(String.format("j-%06d", i)), 1, Integer::sum);
         }
         assertEquals(2, at.size());
         assertTrue(at.get("east") > 900 && at.get("west") > 900, at.toString());
@@ -103,7 +103,7 @@
                                         + "\"addr\":\"127.0.0.5:8081\"}]},{\"name\":\"spare\""))
                         .directory();
         for (int i = 0; i < 100; i++) {
-            assertEquals(d.home("j-" + i), more.home("j-" + i));
+            assertEquals(directory.home("j-" + i), more.home("j-" + i));
         }
     }
 }
--- a/src/test/java/io/kitepath/simulation/CheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/CheckerTest.java
@@ -12,22 +12,23 @@
 
 /** What watches the rules finds each of them broken, when it is broken on purpose. */
 class CheckerTest {
-    private final MultiCellSimulation c =
+    private final MultiCellSimulation simulation =
             new MultiCellSimulation(1, List.of("east", "west"), List.of());
 
     private String job(int tasks) {
-        c.cell("east", 1, 2);
-        c.cell("west", 1, 2);
-        c.run(12);
-        String id = c.id("east", 1);
-        c.submitSurely("east", SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
-        c.run(3);
-        assertEquals(List.of(), c.broken());
+        simulation.cell("east", 1, 2);
+        simulation.cell("west", 1, 2);
+        simulation.run(12);
+        String id = simulation.id("east", 1);
+        simulation.submitSurely("east", SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
+        simulation.run(3);
+        assertEquals(List.of(), simulation.broken());
         return id;
     }
 
     private void start(String cell, String job, int task) {
-        c.world(cell)
+        simulation
+                .world(cell)
                 .workers
                 .values()
                 .iterator()
@@ -36,14 +37,16 @@
     }
 
     private void finds(String what) {
-        assertTrue(c.broken().stream().anyMatch(b -> b.contains(what)), c.broken().toString());
+        assertTrue(
+                simulation.broken().stream().anyMatch(b -> b.contains(what)),
+                simulation.broken().toString());
     }
 
     @Test
     void aTaskInTwoCellsAtOnce() {
         String id = job(2);
         start("west", id, 0);
-        c.run(0.5);
+        simulation.run(0.5);
         finds("ran twice: " + id + "/0");
         finds("twice: " + id + "/0 on");
     }
@@ -51,52 +54,53 @@
     @Test
     void aTaskThatRunsLongAfterItsUserWasToldThatItIsCancelled() {
         String id = job(2);
-        c.until(20, () -> c.cancel(c.any("east"), id).equals("cancelled"));
-        c.run(27);
-        c.world("west").workers.values().forEach(w -> w.cut = true);
+        simulation.until(
+                20, () -> simulation.cancel(simulation.any("east"), id).equals("cancelled"));
+        simulation.run(27);
+        simulation.world("west").workers.values().forEach(worker -> worker.cut = true);
         start("west", id, 0);
-        c.run(5);
+        simulation.run(5);
         finds("ran cancelled: " + id);
     }
 
     @Test
     void aJobCalledDoneBeforeItsTasksAre() {
         String id = job(2);
-        SimulatedCluster east = c.world("east");
+        SimulatedCluster east = simulation.world("east");
         east.store.put(StoreKeys.OPEN + id, null, 0, ++east.store.revision);
         east.store.put(
                 StoreKeys.OVER + id,
                 Map.of("status", "done", "done", 2L),
                 0,
                 ++east.store.revision);
-        c.status(c.any("west"), id);
+        simulation.status(simulation.any("west"), id);
         finds("not done: " + id);
     }
 
     @Test
     void aJobThatIsDoneAndThenCancelledOrForgotten() {
         String id = job(2);
-        c.until(60, () -> c.status(c.any("east"), id).equals("done"));
-        SimulatedCluster east = c.world("east");
+        simulation.until(60, () -> simulation.status(simulation.any("east"), id).equals("done"));
+        SimulatedCluster east = simulation.world("east");
         east.store.put(
                 StoreKeys.OVER + id,
                 Map.of("status", "cancelled", "done", 0L),
                 0,
                 ++east.store.revision);
-        c.restart(c.any("east"), 1);
-        c.run(15);
-        c.status(c.any("east"), id);
+        simulation.restart(simulation.any("east"), 1);
+        simulation.run(15);
+        simulation.status(simulation.any("east"), id);
         finds("went back: " + id);
         east.store.put(StoreKeys.OVER + id, null, 0, ++east.store.revision);
-        c.restart(c.any("east"), 1);
-        c.run(15);
-        c.status(c.any("east"), id);
+        simulation.restart(simulation.any("east"), 1);
+        simulation.run(15);
+        simulation.status(simulation.any("east"), id);
         finds("forgotten: " + id);
     }
 
     @Test
     void aRehearsalIsTheSameEveryTimeAndFindsNothingHere() {
-        Rehearsal.Plan p =
+        Rehearsal.Plan plan =
                 new Rehearsal.Plan(
                         3,
                         8,
@@ -108,8 +112,8 @@
                         List.of(
                                 new Rehearsal.Fault("nodes", 1, 20, 15),
                                 new Rehearsal.Fault("network", 0, 30, 20)));
-        Rehearsal.Result one = new Rehearsal(p, Rehearsal.Way.CELLS).play();
-        Rehearsal.Result two = new Rehearsal(p, Rehearsal.Way.CELLS).play();
+        Rehearsal.Result one = new Rehearsal(plan, Rehearsal.Way.CELLS).play();
+        Rehearsal.Result two = new Rehearsal(plan, Rehearsal.Way.CELLS).play();
         assertEquals(List.of(), one.broken());
         assertEquals(0, one.unfinished());
         assertTrue(one.handOvers() > 0);
--- a/src/test/java/io/kitepath/simulation/LoopbackTest.java
+++ b/src/test/java/io/kitepath/simulation/LoopbackTest.java
@@ -31,13 +31,13 @@
 class LoopbackTest {
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
-    private final SimulatedCluster world = new SimulatedCluster();
+    private final SimulatedCluster cluster = new SimulatedCluster();
     private HttpStore store;
     private HttpCloud cloud;
 
     @BeforeEach
     void start() {
-        List<InetSocketAddress> at = new LoopbackEmulator(group, world, Map.of()).start();
+        List<InetSocketAddress> at = new LoopbackEmulator(group, cluster, Map.of()).start();
         HttpClient calls = new HttpClient(loop, at.get(0), 4, 1 << 20);
         store = new HttpStore(calls, calls, calls, 2000);
         cloud = new HttpCloud(new HttpClient(loop, at.get(1), 2, 1 << 20), 2000);
@@ -56,36 +56,39 @@
 
     @Test
     void theStateServiceKeepsItsProtocol() throws Exception {
-        long lease = this.<Long>on(f -> store.grant(5000, (o, id) -> f.complete(id)));
+        long lease =
+                this.<Long>on(future -> store.grant(5000, (outcome, id) -> future.complete(id)));
         assertEquals(
                 Outcome.OK,
                 on(
-                        f ->
+                        future ->
                                 store.commit(
                                         new Transaction()
                                                 .when("a/b", 0)
                                                 .put("a/b", Map.of("x", 1L), lease)
                                                 .put("a/c", Map.of("y", "z")),
-                                        c -> f.complete(c.outcome()))));
+                                        result -> future.complete(result.outcome()))));
         assertEquals(
                 List.of("a/b"),
                 on(
-                        f ->
+                        future ->
                                 store.commit(
                                         new Transaction().when("a/b", 0).remove("a/c"),
-                                        c -> f.complete(c.failed()))));
-        assertEquals(Map.of("x", 1L), on(f -> store.get("a/b", (o, e) -> f.complete(e.value()))));
+                                        result -> future.complete(result.failed()))));
+        assertEquals(
+                Map.of("x", 1L),
+                on(future -> store.get("a/b", (outcome, entry) -> future.complete(entry.value()))));
         assertEquals(
                 List.of("a/b", "a/c"),
                 on(
-                        f ->
+                        future ->
                                 store.page(
                                         "a/",
                                         "",
                                         10,
-                                        l ->
-                                                f.complete(
-                                                        l.entries().stream()
+                                        listing ->
+                                                future.complete(
+                                                        listing.entries().stream()
                                                                 .map(Store.Entry::key)
                                                                 .toList()))));
         // Another's end of the lease is seen by whoever follows.
@@ -94,53 +97,81 @@
                 () ->
                         store.follow(
                                 "a/b",
-                                world.store.revision,
+                                cluster.store.revision,
                                 5000,
-                                c ->
+                                changes ->
                                         gone.complete(
-                                                c.events().get(0).key()
-                                                        + c.events().get(0).value())));
+                                                changes.events().get(0).key()
+                                                        + changes.events().get(0).value())));
         loop.execute(() -> store.revoke(lease));
         assertEquals("a/bnull", gone.get(10, TimeUnit.SECONDS));
-        assertEquals(Outcome.NO, on(f -> store.renew(lease, f::complete)));
+        assertEquals(Outcome.NO, on(future -> store.renew(lease, future::complete)));
         assertTrue(
                 this.<Boolean>on(
-                        f ->
+                        future ->
                                 store.commit(
                                         new Transaction().put("a/d", Map.of(), lease),
-                                        c -> f.complete(c.leaseGone()))));
-        world.store.out = true;
-        assertEquals(Outcome.REFUSED, on(f -> store.get("a/c", (o, e) -> f.complete(o))));
+                                        result -> future.complete(result.leaseGone()))));
+        cluster.store.out = true;
+        assertEquals(
+                Outcome.REFUSED,
+                on(future -> store.get("a/c", (outcome, entry) -> future.complete(outcome))));
     }
 
     @Test
     void theCloudRentsOnceForANameAndListsWhatThereIs() throws Exception {
-        world.cloud.capacity = 3;
-        assertEquals("m4", on(f -> cloud.types((o, types) -> f.complete(types.get(0).name()))));
+        cluster.cloud.capacity = 3;
+        assertEquals(
+                "m4",
+                on(
+                        future ->
+                                cloud.types(
+                                        (outcome, types) -> future.complete(types.get(0).name()))));
         MachineKind kind = new MachineKind("m4", "a", false);
         List<String> first =
                 this.<List<String>>on(
-                        f -> cloud.rent("r-1", kind, 2, (o, names) -> f.complete(names)));
-        assertEquals(first, on(f -> cloud.rent("r-1", kind, 2, (o, names) -> f.complete(names))));
+                        future ->
+                                cloud.rent(
+                                        "r-1",
+                                        kind,
+                                        2,
+                                        (outcome, names) -> future.complete(names)));
+        assertEquals(
+                first,
+                on(
+                        future ->
+                                cloud.rent(
+                                        "r-1",
+                                        kind,
+                                        2,
+                                        (outcome, names) -> future.complete(names))));
         assertEquals(
                 first,
                 on(
-                        f ->
+                        future ->
                                 cloud.list(
-                                        (o, all) ->
-                                                f.complete(
+                                        (outcome, all) ->
+                                                future.complete(
                                                         all.stream()
                                                                 .map(Cloud.Listed::machine)
                                                                 .toList()))));
-        assertEquals(Outcome.OK, on(f -> cloud.release(first, f::complete)));
-        assertEquals(List.of(), on(f -> cloud.list((o, all) -> f.complete(all))));
-        world.cloud.capacity = 0;
-        assertEquals(Outcome.NO, on(f -> cloud.rent("r-2", kind, 2, (o, names) -> f.complete(o))));
+        assertEquals(Outcome.OK, on(future -> cloud.release(first, future::complete)));
+        assertEquals(List.of(), on(future -> cloud.list((outcome, all) -> future.complete(all))));
+        cluster.cloud.capacity = 0;
+        assertEquals(
+                Outcome.NO,
+                on(
+                        future ->
+                                cloud.rent(
+                                        "r-2",
+                                        kind,
+                                        2,
+                                        (outcome, names) -> future.complete(outcome))));
     }
 
     @Test
     void whatAWorkerSaysIsReadAsItWasMeant() {
-        Heartbeat r =
+        Heartbeat heartbeat =
                 new Heartbeat(
                         "i-1",
                         "127.0.0.1:9",
@@ -160,6 +191,8 @@
                                         1,
                                         Heartbeat.TaskState.ENDED,
                                         Heartbeat.EndCause.NO_ROOM)));
-        assertEquals(r, ProtocolCodec.report(MessagePackCodec.value(EmulatorCodec.report(r))));
+        assertEquals(
+                heartbeat,
+                ProtocolCodec.report(MessagePackCodec.value(EmulatorCodec.report(heartbeat))));
     }
 }
--- a/src/test/java/io/kitepath/simulation/Worlds.java
+++ b/src/test/java/io/kitepath/simulation/Worlds.java
@@ -11,67 +11,67 @@
      * reports long.
      */
     public static SimulatedCluster settled(int nodes, int machines) {
-        SimulatedCluster w = new SimulatedCluster();
-        w.reportS = 2;
-        w.leaseS = 10;
-        w.reportsChanges = true;
+        SimulatedCluster cluster = new SimulatedCluster();
+        cluster.reportS = 2;
+        cluster.leaseS = 10;
+        cluster.reportsChanges = true;
         for (int i = 0; i < nodes; i++) {
-            w.siblings.add("k" + i);
+            cluster.siblings.add("k" + i);
         }
-        w.siblings.forEach(w::node);
+        cluster.siblings.forEach(cluster::node);
         for (int i = 0; i < machines; i++) {
-            w.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
+            cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
         }
-        w.run(12);
-        return w;
+        cluster.run(12);
+        return cluster;
     }
 
     /**
      * All troubles end but those of nodes that are down, which are for the caller to bring back.
      */
-    public static void endTroubles(SimulatedCluster w) {
-        w.store.out = false;
-        w.store.hangs = n -> false;
-        w.store.late = t -> 0;
-        w.store.unheard = t -> false;
-        w.directHeldS = () -> 0;
-        w.copyAfterS = () -> 0;
-        w.keeps = r -> false;
-        w.cancelsAtEnd = t -> false;
-        w.workers
+    public static void endTroubles(SimulatedCluster cluster) {
+        cluster.store.out = false;
+        cluster.store.hangs = client -> false;
+        cluster.store.late = transaction -> 0;
+        cluster.store.unheard = transaction -> false;
+        cluster.directHeldS = () -> 0;
+        cluster.copyAfterS = () -> 0;
+        cluster.keeps = heartbeat -> false;
+        cluster.cancelsAtEnd = task -> false;
+        cluster.workers
                 .values()
                 .forEach(
-                        x -> {
-                            x.cut = false;
-                            x.deaf = false;
-                            x.mute = false;
+                        worker -> {
+                            worker.cut = false;
+                            worker.deaf = false;
+                            worker.mute = false;
                         });
-        w.nodes
+        cluster.nodes
                 .values()
                 .forEach(
-                        n -> {
-                            n.cutFromStore = false;
-                            n.cutFrom.clear();
-                            n.frozenUntil = 0;
+                        node -> {
+                            node.cutFromStore = false;
+                            node.cutFrom.clear();
+                            node.frozenUntil = 0;
                         });
     }
 
     /** The world's time, for a part that is tried by itself. */
-    public static Timers timers(SimulatedCluster w) {
+    public static Timers timers(SimulatedCluster cluster) {
         return new Timers() {
             @Override
             public double now() {
-                return w.clock.now;
+                return cluster.clock.now;
             }
 
             @Override
             public double wallMs() {
-                return w.clock.now * 1000;
+                return cluster.clock.now * 1000;
             }
 
             @Override
             public void after(double seconds, Runnable run) {
-                w.after(seconds, run);
+                cluster.after(seconds, run);
             }
         };
     }
--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -47,7 +47,7 @@
 
     @Test
     void theSubmissionOfTheProtocol() {
-        JobSpec s = ProtocolCodec.submission(packed(SUBMISSION));
+        JobSpec spec = ProtocolCodec.submission(packed(SUBMISSION));
         assertEquals(
                 new JobSpec(
                         "j-000412",
@@ -70,11 +70,12 @@
                         30,
                         4,
                         900.0),
-                s);
+                spec);
         assertEquals(
-                s,
+                spec,
                 JobSpec.fromRecord(
-                        s.id(), MessagePackCodec.value(MessagePackCodec.bytes(s.toRecord()))));
+                        spec.id(),
+                        MessagePackCodec.value(MessagePackCodec.bytes(spec.toRecord()))));
     }
 
     @Test
@@ -82,9 +83,9 @@
         Map<String, Object> m = submission();
         List.of("frames", "field", "dueS").forEach(m::remove);
         m.put("somethingNew", 5L);
-        JobSpec s = ProtocolCodec.submission(MessagePackCodec.value(MessagePackCodec.bytes(m)));
-        assertNull(s.types());
-        assertNull(s.deadlineS());
+        JobSpec spec = ProtocolCodec.submission(MessagePackCodec.value(MessagePackCodec.bytes(m)));
+        assertNull(spec.types());
+        assertNull(spec.deadlineS());
     }
 
     @Test
@@ -99,8 +100,10 @@
                 m.put(field, w);
                 try {
                     ProtocolCodec.submission(m);
-                } catch (InvalidInputException e) {
-                    assertTrue(e.getMessage().startsWith(field), field + ": " + e.getMessage());
+                } catch (InvalidInputException invalid) {
+                    assertTrue(
+                            invalid.getMessage().startsWith(field),
+                            field + ": " + invalid.getMessage());
                     refused++;
                 }
             }
@@ -122,7 +125,7 @@
 
     @Test
     void theReportOfTheProtocol() {
-        Heartbeat r =
+        Heartbeat heartbeat =
                 ProtocolCodec.report(
                         packed(
                                 """
@@ -140,20 +143,20 @@
                                 1,
                                 Heartbeat.TaskState.ENDED,
                                 Heartbeat.EndCause.DONE)),
-                r.tasks());
-        assertEquals(41, r.token());
-        assertNull(r.noticeS());
+                heartbeat.tasks());
+        assertEquals(41, heartbeat.token());
+        assertNull(heartbeat.noticeS());
     }
 
     @Test
     void anUnknownTaskStateIsNeverTakenForAnEnd() {
-        Heartbeat r =
+        Heartbeat heartbeat =
                 ProtocolCodec.report(
                         packed(
                                 """
                 {"host":"i-1","frame":"g8","field":"a","loaners":true,"tenure":1,"tick":1,"baton":0,
                  "sheets":[{"sheet":"j-1/0","try":1,"status":"dreaming"}]}"""));
-        assertEquals(Heartbeat.TaskState.RUNNING, r.tasks().get(0).state());
+        assertEquals(Heartbeat.TaskState.RUNNING, heartbeat.tasks().get(0).state());
     }
 
     @Test
@@ -222,16 +225,16 @@
 
     @Test
     void theMachineTypesOfTheProtocol() {
-        var t =
+        var type =
                 ProtocolCodec.types(
                                 packed(
                                         """
                 {"frames":[{"name":"g8","vcpus":96,"cards":8,"ramGb":768,"localGb":200,"pullGbPerS":1.0,
                   "rate":12.0,"spotPrice":4.5,"readyS":45,"fields":["a","b"]}]}"""))
                         .get(0);
-        assertEquals(96, t.cpus());
-        assertEquals(4.5, t.spotPrice());
-        assertEquals(List.of("a", "b"), t.zones());
+        assertEquals(96, type.cpus());
+        assertEquals(4.5, type.spotPrice());
+        assertEquals(List.of("a", "b"), type.zones());
     }
 
     @Test
@@ -255,7 +258,7 @@
         for (byte[] b : bad) {
             try {
                 ProtocolCodec.submission(MessagePackCodec.value(b));
-            } catch (InvalidInputException e) {
+            } catch (InvalidInputException invalid) {
                 refused++;
             }
         }
