--- a/src/main/java/io/kitepath/cli/Main.java
+++ b/src/main/java/io/kitepath/cli/Main.java
@@ -12,8 +12,7 @@
     public static void main(String[] args) {
         properties();
         // The platform starts every node as "--config FILE", on a sliver of a core: that way must
-        // not load the
-        // command line's library first. Everything else goes through it.
+        // not load the command line's library first. Everything else goes through it.
         if (args.length == 2 && args[0].equals("--config")) {
             int status = serve(Path.of(args[1]), null);
             if (status != 0) {
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -94,8 +94,7 @@
                         facts.limits().sockets() * 3 / 4,
                         60);
         // Guards the leader's lease against a second process started by mistake: one whose
-        // addresses are taken must end
-        // before it says in the store that it is this node now.
+        // addresses are taken must end before it says in the store that it is this node now.
         loop.submit(() -> peers.start(controller, settings.internal())).sync().getNow().sync();
         server.listen(group, settings.listen()).sync();
         loop.submit(controller::start).sync();
--- a/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -48,8 +48,8 @@
             here.submit(spec, needs, answer);
         } else {
             // Whether a job of another cell is done only that cell's records say, and they may be
-            // out of reach when it
-            // matters. One that is known all the same is answered as any other.
+            // out of reach when it matters. One that is known all the same is answered as any
+            // other.
             status(
                     spec.id(),
                     a ->
--- a/src/main/java/io/kitepath/core/leadership/Incarnation.java
+++ b/src/main/java/io/kitepath/core/leadership/Incarnation.java
@@ -62,8 +62,8 @@
             return Holder.ENDED;
         }
         // Without a word on its start it is of an earlier version, so was there before this
-        // process. Of two that
-        // started in the same millisecond, as far as their clocks can tell, chance has the say.
+        // process. Of two that started in the same millisecond, as far as their clocks can tell,
+        // chance has the say.
         boolean later = since > sinceMs || since == sinceMs && itsLife.compareTo(life) > 0;
         return later ? Holder.TWIN : Holder.ENDED;
     }
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -193,8 +193,7 @@
                 holdMs,
                 changes -> {
                     // An empty answer proves nothing: a node that the store refuses waits on its
-                    // watches all the same. A
-                    // plain read tells whether we are served.
+                    // watches all the same. A plain read tells whether we are served.
                     if (changes.outcome() == Outcome.OK) {
                         look();
                     } else {
@@ -223,8 +222,8 @@
             case OTHER -> follows(node, higher);
             case ENDED -> {
                 // Guards against a node that names itself as leader while it leads nothing:
-                // siblings send workers to
-                // it, and nobody places anything until a lease that no process holds has run out.
+                // siblings send workers to it, and nobody places anything until a lease that no
+                // process holds has run out.
                 leader = null;
                 if (document.has("lease")) {
                     LOG.info(
@@ -264,9 +263,8 @@
         }
         leader = null;
         // One that has a twin leaves the others the time to come first, each time: the two never
-        // end each other's
-        // lease in turns, since only the later one ever ends one, and this one does not race with
-        // it.
+        // end each other's lease in turns, since only the later one ever ends one, and this one
+        // does not race with it.
         double patience = twin ? lifeS : 0;
         timers.after(patience + random.nextDouble() * 0.1, this::campaign);
     }
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -251,8 +251,7 @@
         if (action.intent instanceof RentalIntent rental && rental.machines().isEmpty()) {
             transaction.remove(
                     rental.key); // Nothing came of it: the holder sees it gone, and need not write
-            // any
-            // more.
+            // any more.
         } else {
             transaction.put(action.intent.key, action.intent.record());
         }
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -60,10 +60,9 @@
             }
         }
         // Guards against a holder that is cut off from workers itself: if several fall silent
-        // together, the fault is
-        // hardly theirs, and they may be on their way to another node. Once their leases have run
-        // out for certain,
-        // nothing is lost by giving them back, unless it is nearly all of them.
+        // together, the fault is hardly theirs, and they may be on their way to another node. Once
+        // their leases have run out for certain, nothing is lost by giving them back, unless it is
+        // nearly all of them.
         boolean few = silent <= Math.max(1, up / 8);
         boolean some = silent * 2 <= up;
         List<String> out = new ArrayList<>();
@@ -111,8 +110,7 @@
                                 && (machine.draining() || idleTooLong(machine, type, now));
             } else if (!machine.proven() && deafForLong(machine, now)) {
                 // What an earlier holder left on it can't be proven over by a report. Not if it is
-                // most of them: then it
-                // is hardly they who hear nothing.
+                // most of them: then it is hardly they who hear nothing.
                 give |= unheard * 2 <= up;
             }
             if (surplus && (give || machine.draining())) {
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -283,13 +283,12 @@
         ZoneConstraints zones = ZoneConstraints.of(job);
         decide(zones, spec, waiting, rooms, now);
         // Guards against work that could run on spot machines filling ordinary ones for good, at
-        // several times the
-        // price: it may use what is free there, but spot machines are rented for it as if it could
-        // not.
+        // several times the price: it may use what is free there, but spot machines are rented for
+        // it as if it could not.
         boolean spotOnly = spec.spot() && market.spotToBeHad(spec, now);
         // Room that frees within a boot time is as good as a new machine, but not for a job that
-        // has to start sooner
-        // to meet its deadline: such work needs the room that is free now, or more of it.
+        // has to start sooner to meet its deadline: such work needs the room that is free now, or
+        // more of it.
         boolean atOnce = job.hasDeadline();
         for (FreeCapacity capacity : rooms) {
             if (waiting == 0) {
--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -129,8 +129,7 @@
                 return;
             }
             // Work that may use spot machines leaves the others to work that may not; but with a
-            // deadline there is no
-            // time to fetch an image on the one while the other has it.
+            // deadline there is no time to fetch an image on the one while the other has it.
             stages.add(machine -> machine.spot() && holds(machine));
             if (spec.deadlineS() != null) {
                 stages.add(this::holds);
@@ -235,9 +234,8 @@
                 if (walk == null) {
                     Predicate<Machine> in = stages.get(stage++);
                     // Where none has room, probes would miss and a scan find nothing: on a full
-                    // fleet that is nearly
-                    // every stage of nearly every search, and to ask hundreds of machines for an
-                    // image takes its time.
+                    // fleet that is nearly every stage of nearly every search, and to ask hundreds
+                    // of machines for an image takes its time.
                     if (roomy.stream().noneMatch(in)) {
                         continue;
                     }
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -173,13 +173,10 @@
             }
         }
         // Guards against an overload in which a team's guarantee goes to its oldest jobs, all of
-        // which become late one
-        // behind the other: what fitted when it came has its word; then those with the least work
-        // left come first, as
-        // most of them can be in time; what is past all that is expected of it takes what the
-        // others leave. Where a
-        // class or team gets too little, its jobs come before other unpromised ones, the least
-        // served first: else the
+        // which become late one behind the other: what fitted when it came has its word; then those
+        // with the least work left come first, as most of them can be in time; what is past all
+        // that is expected of it takes what the others leave. Where a class or team gets too
+        // little, its jobs come before other unpromised ones, the least served first: else the
         // class with the largest jobs would never have its turn.
         Map<Job, Double> standing = new IdentityHashMap<>();
         jobs.forEach(job -> standing.put(job, shard.served().standing(job.spec)));
@@ -278,8 +275,7 @@
                         && !shard.failures().mistaken(job, now)
                         && shard.teamUse().left(job.spec) >= (gang ? job.spec.tasks() : 1);
         // Guards against a job whose records are full for now, although machines are idle, which
-        // speaks for all others
-        // that would fit there: hundreds of tasks waited behind it.
+        // speaks for all others that would fit there: hundreds of tasks waited behind it.
         if (!wants || full) {
             return placed;
         }
@@ -293,8 +289,8 @@
                 }
             } else if (!gang) {
                 // Guards against room of placings that were taken back, as they had not been
-                // written yet, which the very
-                // work that gave way takes again in the same round, over and over.
+                // written yet, which the very work that gave way takes again in the same round,
+                // over and over.
                 placed += placeTasks(job, open, now, most - placed);
             }
         }
@@ -340,8 +336,8 @@
         }
         int placed = 0;
         // Guards against a holder that is busy for seconds with where images are when nothing has
-        // room for a task: that
-        // is so for all of hundreds of jobs on a full fleet, whatever image they need.
+        // room for a task: that is so for all of hundreds of jobs on a full fleet, whatever image
+        // they need.
         if (open.stream()
                 .noneMatch(m -> probePlacement.allowed(m, spec) && probePlacement.room(m, spec))) {
             return 0;
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -129,11 +129,9 @@
             return;
         }
         // A worker that we sent to the leader and that is back did not get through to it, and one
-        // that comes with
-        // tasks and a token has lost it, this one or the last: ask on its behalf. Sending it away
-        // once more would cost
-        // it up to 5 s, of a lease that may be 10 s long. From time to time it is sent to try
-        // again.
+        // that comes with tasks and a token has lost it, this one or the last: ask on its behalf.
+        // Sending it away once more would cost it up to 5 s, of a lease that may be 10 s long. From
+        // time to time it is sent to try again.
         double now = timers.now();
         double lease = settings.workers().leaseS();
         Double sent = sentAway.get(heartbeat.machine());
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -91,9 +91,8 @@
             machine.takenAt = Double.NaN;
         }
         // Guards against a report that was sent before the worker knew us: an earlier holder's
-        // launch might still
-        // have been on its way to it then. Only a report that carries our token proves what is not
-        // on the machine.
+        // launch might still have been on its way to it then. Only a report that carries our token
+        // proves what is not on the machine.
         if (!loaded || heartbeat.token() != shard.token()) {
             return stops(heartbeat, mayRun);
         }
@@ -233,11 +232,9 @@
         a.ordered = false;
         if (!a.ended && ordered && ++a.missed >= MOST_MISSED) {
             // Nothing sent before this report can start it any more. Guards against tasks that stay
-            // placed for good on a
-            // machine whose reports arrive, but which no answer reaches. Only answers with the
-            // order in them count, so
-            // that a machine that was told nothing, as in an outage, does not pass for one that
-            // hears nothing.
+            // placed for good on a machine whose reports arrive, but which no answer reaches. Only
+            // answers with the order in them count, so that a machine that was told nothing, as in
+            // an outage, does not pass for one that hears nothing.
             LOG.warn("machine {} reports and does not start what it is told to", a.machine.id);
             a.machine.deaf(now);
             shard.end(a, EndCause.STOPPED, now);
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -364,8 +364,8 @@
             unheardSince = now;
         } else if (now - unheardSince > HEARS_AGAIN * leaseS) {
             // Guards against a limit that stays taken for as long as no answer gets through: deaf
-            // since before this
-            // holder began, it never shows the token that would prove what is on it.
+            // since before this holder began, it never shows the token that would prove what is on
+            // it.
             deaf(unheardSince);
         }
     }
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -375,9 +375,8 @@
                     return false;
                 }
                 // Guards against a holder that reads for ever because of a record that nothing
-                // refers to. A job that is
-                // neither open nor over was never accepted, so nothing of it is ever placed; the
-                // cleanup says so.
+                // refers to. A job that is neither open nor over was never accepted, so nothing of
+                // it is ever placed; the cleanup says so.
                 LOG.error("record {} is of no job", entry.key());
                 continue;
             }
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -340,8 +340,7 @@
             Map<String, Object> record = job.partRecord(part.index);
             if (JsonSize.size(record) > shard.recordBytes()) {
                 // Placed when records could be larger. Until enough of it has ended, its workers go
-                // on reporting what
-                // has, and no more of it is placed.
+                // on reporting what has, and no more of it is placed.
                 oversize++;
                 batch.transaction.conditions().remove(batch.transaction.conditions().size() - 1);
                 return;
@@ -367,8 +366,8 @@
                         case REFUSED -> timers.after(0.2, () -> resend(e, batch, done));
                         default -> {
                             // It may have been executed, or still be: the very same transaction
-                            // again settles it, since
-                            // its conditions let only one of the two through.
+                            // again settles it, since its conditions let only one of the two
+                            // through.
                             batch.unsure = true;
                             timers.after(0.1, () -> resend(e, batch, done));
                         }
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -748,8 +748,7 @@
         cluster.run(8);
         assertTrue(cluster.leader().controller.shard.jobs().size() >= 510);
         // Two pages of open jobs; one each of parts, of where images are, and of what is asked of
-        // the cloud; each refused
-        // once. What is read about duties comes to four at most.
+        // the cloud; each refused once. What is read about duties comes to four at most.
         assertTrue(
                 cluster.store.pages >= 10 && cluster.store.pages <= 14,
                 "pages: " + cluster.store.pages);
@@ -919,8 +918,8 @@
             assertEquals("done", cluster.status(node, "j-" + i));
         }
         // Created, placed, moved from open to over, and its part removed; twice a lease what was
-        // served; and what
-        // is asked of a cloud that has nothing is put down before and struck off after.
+        // served; and what is asked of a cloud that has nothing is put down before and struck off
+        // after.
         assertTrue(
                 cluster.store.log.size() - before
                         <= 5 * 200
