--- a/src/main/java/io/kitepath/cli/ArchiveTraining.java
+++ b/src/main/java/io/kitepath/cli/ArchiveTraining.java
@@ -54,7 +54,7 @@
                   "limits":{"cpu":1,"ram_mb":200,"sockets":1000},"clock_error_ms":5}}
                 """
                         .formatted(text(node), text(free()), text(outside), text(outside));
-        new Node(SettingsFile.of(json.getBytes(StandardCharsets.UTF_8)), null).start();
+        new Node(SettingsFile.parse(json.getBytes(StandardCharsets.UTF_8)), null).start();
     }
 
     /** A user's and a worker's requests; returns the answers' status codes. */
@@ -84,7 +84,7 @@
         int submitted;
         do {
             TimeUnit.MILLISECONDS.sleep(100);
-            submitted = call(loop, client, "POST", "/submissions", MessagePackCodec.bytes(job));
+            submitted = call(loop, client, "POST", "/submissions", MessagePackCodec.encode(job));
         } while (submitted == 503 && System.nanoTime() < end);
         statuses.add(submitted);
         statuses.add(call(loop, client, "GET", "/submissions/j-1", null));
@@ -106,7 +106,7 @@
                         client,
                         "POST",
                         "/submissions/j-1/withdraw",
-                        MessagePackCodec.bytes(Map.of())));
+                        MessagePackCodec.encode(Map.of())));
         statuses.add(call(loop, client, "POST", "/submissions", new byte[] {1}));
         statuses.add(call(loop, client, "GET", "/metrics", null));
         statuses.add(call(loop, client, "GET", "/nowhere", null));
@@ -129,7 +129,7 @@
                 phase < 2
                         ? List.of()
                         : List.of(Map.of("sheet", "j-1/0", "try", 1L, "status", "running")));
-        return MessagePackCodec.bytes(report);
+        return MessagePackCodec.encode(report);
     }
 
     private static int call(
@@ -154,9 +154,9 @@
     private void standIn(HttpServer.Request request, HttpServer.Responder out) {
         String path = request.path();
         if (path.equals("/holds") || path.endsWith("/renew")) {
-            out.reply(200, MessagePackCodec.bytes(Map.of("tether", 1L)));
+            out.reply(200, MessagePackCodec.encode(Map.of("tether", 1L)));
         } else if (path.equals("/multi")) {
-            multi(MessagePackCodec.value(request.body()), out);
+            multi(MessagePackCodec.decode(request.body()), out);
         } else if (path.equals("/keys")) {
             List<Object> entries = new ArrayList<>();
             String prefix =
@@ -172,27 +172,27 @@
                     });
             out.reply(
                     200,
-                    MessagePackCodec.bytes(
+                    MessagePackCodec.encode(
                             Map.of("entries", entries, "truncated", false, "epoch", revision)));
         } else if (path.startsWith("/keys/")) {
             Object v = keys.get(path.substring("/keys/".length()));
             out.reply(
                     v == null ? 404 : 200,
-                    MessagePackCodec.bytes(v == null ? Map.of("epoch", revision) : v));
+                    MessagePackCodec.encode(v == null ? Map.of("epoch", revision) : v));
         } else if (path.equals("/follow")) {
             long now = revision;
             group.schedule(
                     () ->
                             out.reply(
                                     200,
-                                    MessagePackCodec.bytes(
+                                    MessagePackCodec.encode(
                                             Map.of("epoch", now, "events", List.of()))),
                     200,
                     TimeUnit.MILLISECONDS);
         } else if (path.equals("/machine_types")) {
             out.reply(
                     200,
-                    MessagePackCodec.bytes(
+                    MessagePackCodec.encode(
                             Map.of(
                                     "frames",
                                     List.of(
@@ -212,9 +212,9 @@
                                                     "fields",
                                                     List.of("a"))))));
         } else if (path.equals("/rentals") && request.method().equals("GET")) {
-            out.reply(200, MessagePackCodec.bytes(Map.of("hosts", List.of(), "truncated", false)));
+            out.reply(200, MessagePackCodec.encode(Map.of("hosts", List.of(), "truncated", false)));
         } else {
-            out.reply(503, MessagePackCodec.bytes(Map.of("error", "no capacity")));
+            out.reply(503, MessagePackCodec.encode(Map.of("error", "no capacity")));
         }
     }
 
@@ -230,7 +230,7 @@
             }
         }
         if (!failed.isEmpty()) {
-            out.reply(409, MessagePackCodec.bytes(Map.of("failed", failed, "epoch", revision)));
+            out.reply(409, MessagePackCodec.encode(Map.of("failed", failed, "epoch", revision)));
             return;
         }
         List<?> then = m.containsKey("then") ? (List<?>) m.get("then") : List.of();
@@ -245,6 +245,6 @@
                         Map.of("path", w.get("write"), "value", w.get("value"), "stamp", revision));
             }
         }
-        out.reply(200, MessagePackCodec.bytes(Map.of("epoch", revision)));
+        out.reply(200, MessagePackCodec.encode(Map.of("epoch", revision)));
     }
 }
--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -133,19 +133,19 @@
                 System.out.println(
                         config
                                 + ": ok, node "
-                                + s.facts().node()
+                                + s.settings().node()
                                 + " of "
-                                + (s.siblings().size() + 1));
+                                + (s.siblingAddresses().size() + 1));
                 if (cells != null) {
-                    CellDirectory directory = CellsFile.read(cells, s.facts()).directory();
+                    CellDirectory directory = CellsFile.read(cells, s.settings()).directory();
                     System.out.println(
                             cells
                                     + ": ok, cell "
-                                    + directory.own()
+                                    + directory.ownCellName()
                                     + " of "
                                     + directory.cells().size()
                                     + ", homes: "
-                                    + directory.homes());
+                                    + directory.homeCellNames());
                 }
                 return 0;
             } catch (InvalidInputException invalid) {
@@ -184,7 +184,7 @@
                 return 1;
             }
             boolean good = r.statusCode() / 100 == 2;
-            String shown = r.body().length == 0 ? "" : " " + MessagePackCodec.value(r.body());
+            String shown = r.body().length == 0 ? "" : " " + MessagePackCodec.decode(r.body());
             (good ? System.out : System.err).println(r.statusCode() + shown);
             return good ? 0 : 1;
         }
@@ -204,12 +204,12 @@
         public Integer call() throws Exception {
             Object job;
             try {
-                job = SettingsFile.document(Files.readAllBytes(file));
+                job = SettingsFile.parseJson(Files.readAllBytes(file));
             } catch (java.io.IOException | InvalidInputException e) {
                 System.err.println("kitepath: " + file + ": " + e.getMessage());
                 return 2;
             }
-            return target.call("POST", "/submissions", MessagePackCodec.bytes(job));
+            return target.call("POST", "/submissions", MessagePackCodec.encode(job));
         }
     }
 
@@ -218,11 +218,11 @@
         @Mixin Target target;
 
         @Parameters(paramLabel = "JOB", description = "The job's id.")
-        String job;
+        String jobId;
 
         @Override
         public Integer call() throws Exception {
-            return target.call("GET", "/submissions/" + job, null);
+            return target.call("GET", "/submissions/" + jobId, null);
         }
     }
 
@@ -244,12 +244,12 @@
         @Mixin Target target;
 
         @Parameters(paramLabel = "JOB", description = "The job's id.")
-        String job;
+        String jobId;
 
         @Override
         public Integer call() throws Exception {
             return target.call(
-                    "POST", "/submissions/" + job + "/withdraw", MessagePackCodec.bytes(Map.of()));
+                    "POST", "/submissions/" + jobId + "/withdraw", MessagePackCodec.encode(Map.of()));
         }
     }
 }
--- a/src/main/java/io/kitepath/cli/LocalCommand.java
+++ b/src/main/java/io/kitepath/cli/LocalCommand.java
@@ -112,7 +112,7 @@
             SimulatedCluster cluster = new SimulatedCluster();
             cluster.cloud.capacity = machines;
             cluster.cloud.bootS = n -> 0.5;
-            cluster.runsFor = job -> taskS;
+            cluster.runsFor = jobId -> taskS;
             cluster.reportsChanges = true;
             if (earlier != null) {
                 cluster.next = new ClusterSettings.StoreLimits(1000, 500, 2, 13);
@@ -121,7 +121,7 @@
             List<InetSocketAddress> services = outside.start();
             for (int i = 0; i < count; i++) {
                 Path file = dir.resolve("node-" + i + ".json");
-                Files.write(file, SettingsFile.json(settings(i, internal, services, cluster)));
+                Files.write(file, SettingsFile.toJson(settings(i, internal, services, cluster)));
                 settings.put("node-" + i, file);
                 start("node-" + i);
             }
@@ -137,7 +137,7 @@
                     text(services.get(0)),
                     dir);
             Path job = dir.resolve("first-job.json");
-            Files.write(job, SettingsFile.json(job("j-000001", 4)));
+            Files.write(job, SettingsFile.toJson(job("j-000001", 4)));
             System.out.println("a first job, and how to hand it in and look at it:");
             System.out.println("  kitepath submit --node " + text(listens.get(0)) + " " + job);
             System.out.println("  kitepath status --node " + text(listens.get(0)) + " j-000001");
@@ -210,8 +210,8 @@
                 outside.run(
                         () -> {
                             outside.cluster.store.valueBytes =
-                                    (int) (1024 * outside.cluster.next.valueKb());
-                            outside.cluster.store.txnOps = outside.cluster.next.txnOps();
+                                    (int) (1024 * outside.cluster.next.maxValueKibibytes());
+                            outside.cluster.store.txnOps = outside.cluster.next.maxTransactionOperations();
                         });
             }
             if (random.nextInt(3) == 0) {
@@ -403,9 +403,9 @@
                                         ? Map.of()
                                         : Map.of(
                                                 "value_kb",
-                                                cluster.next.valueKb(),
+                                                cluster.next.maxValueKibibytes(),
                                                 "txn_ops",
-                                                cluster.next.txnOps())),
+                                                cluster.next.maxTransactionOperations())),
                         "cloud",
                         Map.of("rps", 10, "list_lag_s", 2),
                         "limits",
@@ -484,7 +484,7 @@
                                                                 n,
                                                                 "POST",
                                                                 "/submissions",
-                                                                MessagePackCodec.bytes(
+                                                                MessagePackCodec.encode(
                                                                         job(id, tasks, needs)),
                                                                 200,
                                                                 201)
@@ -495,7 +495,7 @@
         for (InetSocketAddress n : listens) {
             byte[] b = ask(n, "GET", "/submissions/" + id, null, 200);
             if (b != null) {
-                return (String) ((Map<?, ?>) MessagePackCodec.value(b)).get("status");
+                return (String) ((Map<?, ?>) MessagePackCodec.decode(b)).get("status");
             }
         }
         return null;
--- a/src/main/java/io/kitepath/cli/Main.java
+++ b/src/main/java/io/kitepath/cli/Main.java
@@ -54,7 +54,7 @@
     static int serve(Path file, Path cells) {
         try {
             SettingsFile settings = SettingsFile.read(file);
-            new Node(settings, cells == null ? null : CellsFile.read(cells, settings.facts()))
+            new Node(settings, cells == null ? null : CellsFile.read(cells, settings.settings()))
                     .start();
             return 0;
         } catch (InvalidInputException invalid) {
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -57,20 +57,20 @@
 
     /** Starts to listen and returns; the event loop's thread keeps the process alive. */
     void start() throws InterruptedException {
-        ClusterSettings facts = settings.facts();
+        ClusterSettings facts = settings.settings();
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         EventLoop loop = group.next();
         LoopTimers timers = new LoopTimers(loop);
-        long timeoutMs = Math.round(Math.min(1000, facts.workers().reportS() * 500));
+        long timeoutMs = Math.round(Math.min(1000, facts.workers().heartbeatIntervalSeconds() * 500));
         HttpStore store =
                 new HttpStore(
-                        new HttpClient(loop, settings.state(), 8, MAX_ANSWER),
-                        new HttpClient(loop, settings.state(), 2, MAX_ANSWER),
-                        new HttpClient(loop, settings.state(), WATCHES, MAX_ANSWER),
+                        new HttpClient(loop, settings.storeAddress(), 8, MAX_ANSWER),
+                        new HttpClient(loop, settings.storeAddress(), 2, MAX_ANSWER),
+                        new HttpClient(loop, settings.storeAddress(), WATCHES, MAX_ANSWER),
                         timeoutMs);
         HttpCloud cloud =
-                new HttpCloud(new HttpClient(loop, settings.cloud(), 3, MAX_ANSWER), 3000);
-        Peers peers = new Peers(group, facts.node(), settings.siblings(), cells != null);
+                new HttpCloud(new HttpClient(loop, settings.cloudAddress(), 3, MAX_ANSWER), 3000);
+        Peers peers = new Peers(group, facts.node(), settings.siblingAddresses(), cells != null);
         // The seed only spreads probes and retries of different nodes and runs.
         Random random = new Random(facts.node().hashCode() ^ System.nanoTime());
         HttpDirectCommands direct = new HttpDirectCommands(loop, MAX_ANSWER, timeoutMs);
@@ -91,14 +91,14 @@
                 new HttpServer(
                         (request, out) -> route(controller, users, workers, request, out),
                         MAX_BODY,
-                        facts.limits().sockets() * 3 / 4,
+                        facts.limits().maxSockets() * 3 / 4,
                         60);
         // Guards the leader's lease against a second process started by mistake: one whose
         // addresses are taken must end before it says in the store that it is this node now.
-        loop.submit(() -> peers.start(controller, settings.internal())).sync().getNow().sync();
-        server.listen(group, settings.listen()).sync();
+        loop.submit(() -> peers.start(controller, settings.internalAddress())).sync().getNow().sync();
+        server.listen(group, settings.listenAddress()).sync();
         loop.submit(controller::start).sync();
-        LOG.info("{} listens on {}", facts.node(), settings.listen());
+        LOG.info("{} listens on {}", facts.node(), settings.listenAddress());
         Runtime.getRuntime().addShutdownHook(new Thread(() -> handOver(loop, controller)));
     }
 
@@ -134,7 +134,7 @@
             } else if (path.equals("/duties")) {
                 out.reply(
                         200,
-                        MessagePackCodec.bytes(
+                        MessagePackCodec.encode(
                                 controller.duties().stream()
                                         .map(LeasedRoles.RoleHolder::shown)
                                         .toList()));
--- a/src/main/java/io/kitepath/cli/PrometheusMetrics.java
+++ b/src/main/java/io/kitepath/cli/PrometheusMetrics.java
@@ -20,14 +20,14 @@
                 .figures()
                 .forEach(
                         (name, f) -> {
-                            if (f.total()) {
+                            if (f.counter()) {
                                 FunctionCounter.builder(
                                                 "kitepath." + name, f, x -> x.value().getAsDouble())
-                                        .description(f.meaning())
+                                        .description(f.description())
                                         .register(registry);
                             } else {
                                 Gauge.builder("kitepath." + name, f, x -> x.value().getAsDouble())
-                                        .description(f.meaning())
+                                        .description(f.description())
                                         .strongReference(true)
                                         .register(registry);
                             }
--- a/src/main/java/io/kitepath/cli/RehearseCommand.java
+++ b/src/main/java/io/kitepath/cli/RehearseCommand.java
@@ -136,14 +136,14 @@
             throw new InvalidInputException(f + ": can't be read, and is no builtin plan");
         }
         try {
-            DocumentReader t = DocumentReader.of(SettingsFile.document(bytes));
+            DocumentReader t = DocumentReader.of(SettingsFile.parseJson(bytes));
             List<Fault> faults = new ArrayList<>();
             int n = (int) t.integer("cells", 1, 100);
             for (DocumentReader x : t.children("faults")) {
                 String kind = x.text("kind");
                 if (!List.of("network", "nodes", "store", "holder", "freeze", "zone")
                         .contains(kind)) {
-                    throw x.complaint(
+                    throw x.invalid(
                             "kind", "must be network, nodes, store, holder, freeze or zone");
                 }
                 faults.add(
--- a/src/main/java/io/kitepath/cli/StateCommand.java
+++ b/src/main/java/io/kitepath/cli/StateCommand.java
@@ -110,7 +110,7 @@
                         if (audit.done() || tries > TRIES) {
                             over.complete(audit.done());
                         } else {
-                            timers.after(0.05 * (1 + tries), () -> next(audit, timers, over));
+                            timers.schedule(0.05 * (1 + tries), () -> next(audit, timers, over));
                         }
                     });
         }
--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -31,7 +31,7 @@
 
     private static <T> T read(byte[] body, Function<Object, T> reading) {
         try {
-            return reading.apply(MessagePackCodec.value(body));
+            return reading.apply(MessagePackCodec.decode(body));
         } catch (InvalidInputException invalid) {
             LOG.warn("cloud answered with a body that can't be read: {}", invalid.getMessage());
             return null;
@@ -39,11 +39,11 @@
     }
 
     private static Outcome failed(int status) {
-        return status == 429 || status == 503 ? Outcome.REFUSED : Outcome.UNKNOWN;
+        return status == 429 || status == 503 ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
     }
 
     @Override
-    public void types(BiConsumer<Outcome, List<MachineType>> answer) {
+    public void listMachineTypes(BiConsumer<Outcome, List<MachineType>> answer) {
         http.call(
                 "GET",
                 "/machine_types",
@@ -51,7 +51,7 @@
                 timeoutMs,
                 (status, body) -> {
                     List<MachineType> types =
-                            status == 200 ? read(body, ProtocolCodec::types) : null;
+                            status == 200 ? read(body, ProtocolCodec::decodeMachineTypes) : null;
                     answer.accept(
                             types != null ? Outcome.OK : failed(status),
                             types == null ? List.of() : types);
@@ -64,16 +64,16 @@
         http.call(
                 "POST",
                 "/rentals",
-                ProtocolCodec.rental(name, kind, count),
+                ProtocolCodec.encodeRental(name, kind, count),
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        List<String> names = read(body, ProtocolCodec::machineNames);
+                        List<String> names = read(body, ProtocolCodec::decodeMachineIds);
                         answer.accept(
                                 names != null ? Outcome.OK : Outcome.UNKNOWN,
                                 names == null ? List.of() : names);
                     } else if (status == 503 && !outage(body) || status == 400) {
-                        answer.accept(Outcome.NO, List.of());
+                        answer.accept(Outcome.REJECTED, List.of());
                     } else {
                         answer.accept(failed(status), List.of());
                     }
@@ -91,13 +91,13 @@
         http.call(
                 "POST",
                 "/rentals/release",
-                ProtocolCodec.machines(machines),
+                ProtocolCodec.encodeMachineIds(machines),
                 timeoutMs,
                 (status, body) -> answer.accept(status == 200 ? Outcome.OK : failed(status)));
     }
 
     @Override
-    public void list(BiConsumer<Outcome, List<Listed>> answer) {
+    public void listMachines(BiConsumer<Outcome, List<Listed>> answer) {
         page("", new ArrayList<>(), answer);
     }
 
@@ -108,14 +108,14 @@
                 null,
                 timeoutMs,
                 (status, body) -> {
-                    List<Listed> page = status == 200 ? read(body, ProtocolCodec::listed) : null;
+                    List<Listed> page = status == 200 ? read(body, ProtocolCodec::decodeListedMachines) : null;
                     if (page == null) {
                         answer.accept(status == 200 ? Outcome.UNKNOWN : failed(status), List.of());
                         return;
                     }
                     read.addAll(page);
-                    if (ProtocolCodec.truncated(MessagePackCodec.value(body)) && !page.isEmpty()) {
-                        page(page.get(page.size() - 1).machine(), read, answer);
+                    if (ProtocolCodec.isTruncated(MessagePackCodec.decode(body)) && !page.isEmpty()) {
+                        page(page.get(page.size() - 1).machineId(), read, answer);
                     } else {
                         answer.accept(Outcome.OK, read);
                     }
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -129,17 +129,17 @@
         this.settings =
                 cellDirectory == null
                         ? clusterWideSettings
-                        : clusterWideSettings.withTeams(cellDirectory.here().teams());
+                        : clusterWideSettings.withTeams(cellDirectory.ownCell().teams());
         this.timers = timers;
         this.siblings = siblings;
-        this.loopTime = new LoopTimeAccounting(timers::now);
+        this.loopTime = new LoopTimeAccounting(timers::nowSeconds);
         ImageRecords images = new ImageRecords(settings);
         this.shard = new ShardState(settings, images::recall);
         this.heartbeatProcessor = new HeartbeatProcessor(shard);
         this.failover = new FailoverTimings(shard);
         this.scheduler = new Scheduler(shard, random, loopTime);
         this.membership = new MembershipView(settings, timers);
-        Incarnation incarnation = new Incarnation(settings.node(), timers.wallMs(), random);
+        Incarnation incarnation = new Incarnation(settings.node(), timers.wallClockMillis(), random);
         this.leadership =
                 new Leadership(settings, store, timers, random, incarnation, new Leading());
         this.cancellationWatermark = new CancellationWatermark(settings, timers);
@@ -220,9 +220,9 @@
         this.retryAfter = new RetryAfter(settings, timers);
         submissions.onCancelled(
                 job -> {
-                    shard.pipelines().ended(job.id(), false, timers.wallMs());
+                    shard.pipelines().ended(job.jobId(), false, timers.wallClockMillis());
                     soon();
-                    siblings.over(job);
+                    siblings.announceJobEnd(job);
                 });
         submissions.onKnownCancelled(gossip::learned);
     }
@@ -265,10 +265,10 @@
 
     /** Why the job can never run, here or in any other cell, or null if it can. */
     public String impossible(JobSpec spec) {
-        return spec.impossible(
+        return spec.reasonImpossible(
                 shard.types(),
                 clusterWideSettings,
-                cellDirectory == null ? Set.of() : cellDirectory.zonesElsewhere());
+                cellDirectory == null ? Set.of() : cellDirectory.zonesOfOtherCells());
     }
 
     /** The machine types, empty until they are known. */
@@ -365,7 +365,7 @@
             cancellationWatermark.begin();
             cloudReconciler.hold(leaseId);
             gossip.tell();
-            failover.begins(timers.now());
+            failover.begins(timers.nowSeconds());
             launchesBefore = heartbeatProcessor.launches();
             stateWriter.start(StoreKeys.BLOCKS + "all", blockRevision, Controller.this::soon);
             proof.start();
@@ -397,10 +397,10 @@
         @Override
         public void over(JobStatus job) {
             if (cellService != null) {
-                cellService.done(job.id());
+                cellService.done(job.jobId());
             }
             submissions.ended(job);
-            siblings.over(job);
+            siblings.announceJobEnd(job);
         }
 
         @Override
@@ -444,8 +444,8 @@
 
     private final class Proof implements CancellationProof.Listener {
         @Override
-        public void closed(String job) {
-            shard.jobOver(job);
+        public void closed(String jobId) {
+            shard.jobOver(jobId);
             soon();
         }
 
@@ -483,13 +483,13 @@
 
         @Override
         public List<Job> queue() {
-            return scheduler.queue(timers.now(), timers.wallMs());
+            return scheduler.queue(timers.nowSeconds(), timers.wallClockMillis());
         }
 
         @Override
         public void cancelled(JobStatus job) {
             submissions.ended(job);
-            siblings.over(job);
+            siblings.announceJobEnd(job);
         }
     }
 
@@ -501,8 +501,8 @@
             soonAsked = true;
             // Rounds take at most a fifth of the time: check-ins, users and the lease need the
             // rest.
-            double pause = Math.max(0.02, roundEnded + 4 * roundTook - timers.now());
-            timers.after(
+            double pause = Math.max(0.02, roundEnded + 4 * roundTook - timers.nowSeconds());
+            timers.schedule(
                     pause,
                     () -> {
                         soonAsked = false;
@@ -521,19 +521,19 @@
             ticking = false;
             return;
         }
-        if (timers.now() >= roundEnded + 4 * roundTook) {
+        if (timers.nowSeconds() >= roundEnded + 4 * roundTook) {
             round();
         }
         if (stateWriter.loaded()) {
-            failover.read(timers.now());
-            failover.look(timers.now(), heartbeatProcessor.launches() - launchesBefore);
+            failover.read(timers.nowSeconds());
+            failover.look(timers.nowSeconds(), heartbeatProcessor.launches() - launchesBefore);
         }
         if (cellService != null && stateWriter.loaded() && leadership.inTouch()) {
             cellService.tend();
         }
-        double began = timers.now();
+        double began = timers.nowSeconds();
         cloudReconciler.tend(stateWriter.loaded() && leadership.inTouch());
-        loopTime.on(Activity.PLANNING, began);
+        loopTime.record(Activity.PLANNING, began);
         ticks++;
         if (ticks % SUMMARY_TICKS == 0) {
             LOG.info(shard.served().summary());
@@ -547,7 +547,7 @@
                     heartbeatService.received(),
                     String.format("%.1f", roundS) + loopTime);
         }
-        timers.after(TICK_S, this::tick);
+        timers.schedule(TICK_S, this::tick);
     }
 
     private void round() {
@@ -558,16 +558,16 @@
             return;
         }
         rounds++;
-        double began = timers.now();
-        scheduler.place(began, timers.wallMs(), 20 * settings.store().txnOps());
-        double placed = timers.now();
-        loopTime.on(Activity.PLACING, began);
+        double began = timers.nowSeconds();
+        scheduler.place(began, timers.wallClockMillis(), 20 * settings.store().maxTransactionOperations());
+        double placed = timers.nowSeconds();
+        loopTime.record(Activity.PLACING, began);
         stateWriter.write(this::written);
-        double wrote = timers.now();
-        loopTime.on(Activity.WRITING, placed);
+        double wrote = timers.nowSeconds();
+        loopTime.record(Activity.WRITING, placed);
         directCancellations.send();
-        loopTime.on(Activity.STOPPING, wrote);
-        roundEnded = timers.now();
+        loopTime.record(Activity.STOPPING, wrote);
+        roundEnded = timers.nowSeconds();
         roundTook = roundEnded - began;
         roundS += roundTook;
     }
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -46,9 +46,9 @@
     /** Tells machines what is to stop on them and was not told them yet. */
     void send() {
         long mine = shard.token();
-        int most = shard.facts().limits().sockets() / 10 - underWay;
+        int most = shard.facts().limits().maxSockets() / 10 - underWay;
         heartbeatProcessor
-                .stops(most, timers.now())
+                .stops(most, timers.nowSeconds())
                 .forEach(
                         (machine, orders) -> {
                             if (heartbeatService.release(machine.id)) {
@@ -69,7 +69,7 @@
                                                 && leadership.leading()
                                                 && shard.token() == mine) {
                                             heartbeatProcessor.answered(
-                                                    machine, heartbeat, timers.now());
+                                                    machine, heartbeat, timers.nowSeconds());
                                             changed.run();
                                         }
                                     });
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -66,7 +66,7 @@
     void start() {
         tell();
         membership.watch(leadership.leader());
-        timers.after(EVERY_S, this::start);
+        timers.schedule(EVERY_S, this::start);
     }
 
     /** Whether the store answers this node. */
@@ -75,30 +75,30 @@
     }
 
     void tell() {
-        siblings.tell(
+        siblings.announceState(
                 leadership.leading() ? shard.token() : leadership.highest(),
                 leadership.leading() ? settings.node() : null,
                 served());
-        siblings.digest(cancellations.digest());
+        siblings.sendCancellationDigest(cancellations.digest());
     }
 
     /** This node knows that the job is cancelled, and may tell users so from now on. */
-    void learned(String job) {
-        cancellations.learned(job);
-        cancelled(job);
+    void learned(String jobId) {
+        cancellations.learned(jobId);
+        cancelled(jobId);
     }
 
     /** Digests repeat themselves each second: only news is worth a round. */
-    private void cancelled(String job) {
-        cancellationWatermark.told(job);
-        if (shard.jobOver(job)) {
+    private void cancelled(String jobId) {
+        cancellationWatermark.told(jobId);
+        if (shard.jobOver(jobId)) {
             changed.run();
         }
     }
 
     /** A sibling's word on cancellations. */
     void told(CancellationDigest digest) {
-        digest.jobs().forEach(this::cancelled);
+        digest.jobIds().forEach(this::cancelled);
         cancellationWatermark.word(digest);
     }
 
@@ -111,7 +111,7 @@
     /** A sibling's word that the store has the job's end, which never changes. */
     void toldOver(JobStatus job) {
         ended.accept(job);
-        if (shard.jobOver(job.id())) {
+        if (shard.jobOver(job.jobId())) {
             changed.run();
         }
     }
@@ -126,7 +126,7 @@
 
     /** What this node knows of the jobs as their holder; nothing if it does not hold them. */
     List<JobProgress> progress(List<String> jobs) {
-        return holds.getAsBoolean() ? shard.progress(jobs, timers.now()) : List.of();
+        return holds.getAsBoolean() ? shard.progress(jobs, timers.nowSeconds()) : List.of();
     }
 
     // ---- for users' questions: who places tasks now
@@ -140,7 +140,7 @@
         } else if (leader == null || leader.equals(settings.node()) || membership.silent(leader)) {
             answer.accept(List.of());
         } else {
-            siblings.progress(leader, jobs, answer);
+            siblings.requestProgress(leader, jobs, answer);
         }
     }
 
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -54,108 +54,108 @@
 
     Map<String, Metric> all(DoubleSupplier roundS, DoubleSupplier directCommands) {
         Map<String, Metric> f = new LinkedHashMap<>();
-        f.put("leading", Metric.now("1 while this node leads", () -> leadership.leading() ? 1 : 0));
-        f.put("token", Metric.now("highest token known", leadership::highest));
+        f.put("leading", Metric.gauge("1 while this node leads", () -> leadership.leading() ? 1 : 0));
+        f.put("token", Metric.gauge("highest token known", leadership::highest));
         f.put(
                 "store.unserved",
-                Metric.now("seconds since the state service answered", leadership::unservedS));
+                Metric.gauge("seconds since the state service answered", leadership::unservedS));
         f.put(
                 "cancellations.known.age",
-                Metric.now(
+                Metric.gauge(
                         "seconds ago until when the holder knows what was cancelled; NaN"
                                 + " while this node does not lead",
                         () -> leadership.leading() ? cancellationWatermark.ageS() : Double.NaN));
-        f.put("jobs", Metric.now("jobs in the holder's memory", () -> shard.jobs().size()));
+        f.put("jobs", Metric.gauge("jobs in the holder's memory", () -> shard.jobs().size()));
         f.put(
                 "tasks.waiting",
-                Metric.now(
+                Metric.gauge(
                         "tasks without a machine",
                         () -> shard.jobs().values().stream().mapToInt(Job::waiting).sum()));
         f.put(
                 "attempts",
-                Metric.now(
+                Metric.gauge(
                         "attempts not proven over",
                         () ->
                                 shard.jobs().values().stream()
                                         .mapToInt(job -> job.live().size())
                                         .sum()));
-        f.put("machines", Metric.now("machines known", () -> shard.machines().size()));
+        f.put("machines", Metric.gauge("machines known", () -> shard.machines().size()));
         f.put(
                 "machines.starting",
-                Metric.now(
+                Metric.gauge(
                         "machines rented that have not reported yet",
                         () -> machines(machine -> !machine.reported())));
         f.put(
                 "machines.late",
-                Metric.now(
+                Metric.gauge(
                         "of those, later than boots take these days",
-                        () -> machines(machine -> shard.boots().late(machine, timers.now()))));
+                        () -> machines(machine -> shard.boots().late(machine, timers.nowSeconds()))));
         f.put(
                 "jobs.mistaken",
-                Metric.now(
+                Metric.gauge(
                         "jobs that fail on every machine",
                         () ->
                                 shard.jobs().values().stream()
-                                        .filter(job -> shard.failures().mistaken(job, timers.now()))
+                                        .filter(job -> shard.failures().mistaken(job, timers.nowSeconds()))
                                         .count()));
-        f.put("jobs.held", Metric.now("jobs that wait for others", () -> shard.pipelines().held()));
+        f.put("jobs.held", Metric.gauge("jobs that wait for others", () -> shard.pipelines().held()));
         f.put(
                 "jobs.cascade",
-                Metric.now(
+                Metric.gauge(
                         "jobs still to be cancelled for one that they need",
                         () -> shard.pipelines().cascade()));
         f.put(
                 "jobs.narrow",
-                Metric.now(
+                Metric.gauge(
                         "jobs laid out in narrower parts",
                         () ->
                                 shard.jobs().values().stream()
-                                        .filter(job -> job.record().partTasks() > 0)
+                                        .filter(job -> job.record().tasksPerPart() > 0)
                                         .count()));
         f.put(
                 "store.invalid",
-                Metric.total(
+                Metric.counter(
                         "transactions that the state service refused for good",
                         stateWriter::invalid));
         f.put(
                 "store.oversize",
-                Metric.total(
+                Metric.counter(
                         "times that a record was put off as too large", stateWriter::oversize));
         f.put(
                 "siblings.silent",
-                Metric.now("siblings from which nothing is heard", membership::silentOnes));
+                Metric.gauge("siblings from which nothing is heard", membership::silentOnes));
         f.put(
                 "machines.set.aside",
-                Metric.now("machines set aside for failing", () -> machines(Machine::setAside)));
-        f.put("checkins", Metric.total("check-ins received", heartbeatService::received));
+                Metric.gauge("machines set aside for failing", () -> machines(Machine::setAside)));
+        f.put("checkins", Metric.counter("check-ins received", heartbeatService::received));
         f.put(
                 "checkins.relayed",
-                Metric.total("check-ins relayed to the leader", heartbeatService::relayed));
-        f.put("attempts.ended", Metric.total("attempts proven over", shard::ends));
-        f.put("attempts.lost", Metric.total("attempts lost with machine or session", shard::lost));
+                Metric.counter("check-ins relayed to the leader", heartbeatService::relayed));
+        f.put("attempts.ended", Metric.counter("attempts proven over", shard::ends));
+        f.put("attempts.lost", Metric.counter("attempts lost with machine or session", shard::lost));
         f.put(
                 "attempts.evicted",
-                Metric.total(
+                Metric.counter(
                         "attempts stopped for work of more right",
                         () -> scheduler.preemption().evictions()));
         f.put(
                 "attempts.evicted.for.guarantees",
-                Metric.total(
+                Metric.counter(
                         "of those, the ones that a guarantee was the reason for",
                         () -> scheduler.preemption().forGuarantees()));
         f.put(
                 "attempts.evicted.for.large",
-                Metric.total(
+                Metric.counter(
                         "and the ones that made room for gangs and large tasks",
                         () -> scheduler.preemption().forGangs()));
         f.put(
                 "served.least",
-                Metric.now(
+                Metric.gauge(
                         "the lowest share of jobs in time, of all classes, their largest jobs, and teams as of late",
                         () -> shard.served().leastShare()));
         f.put(
                 "served.least.largest",
-                Metric.now(
+                Metric.gauge(
                         "the lowest share of a class's largest jobs",
                         () ->
                                 shard.served().largest().values().stream()
@@ -164,7 +164,7 @@
                                         .orElse(1)));
         f.put(
                 "jobs.missed",
-                Metric.total(
+                Metric.counter(
                         "jobs that were not done by the last time expected of them",
                         () ->
                                 shard.served().classes().values().stream()
@@ -172,25 +172,25 @@
                                         .sum()));
         f.put(
                 "direct.commands",
-                Metric.total("machines told directly to stop tasks", directCommands));
-        f.put("probes", Metric.total("machines probed", () -> scheduler.placement().probes()));
+                Metric.counter("machines told directly to stop tasks", directCommands));
+        f.put("probes", Metric.counter("machines probed", () -> scheduler.placement().probes()));
         f.put(
                 "probes.passed",
-                Metric.total("probes that passed", () -> scheduler.placement().passed()));
-        f.put("scans", Metric.total("scans of the block", () -> scheduler.placement().scans()));
+                Metric.counter("probes that passed", () -> scheduler.placement().passed()));
+        f.put("scans", Metric.counter("scans of the block", () -> scheduler.placement().scans()));
         f.put(
                 "attempts.launched",
-                Metric.total("launch orders given", heartbeatProcessor::launches));
+                Metric.counter("launch orders given", heartbeatProcessor::launches));
         f.put(
                 "attempts.launch.delay",
-                Metric.total(
+                Metric.counter(
                         "seconds from placings to their launch orders, added up",
                         heartbeatProcessor::launchDelayS));
-        f.put("rounds.time", Metric.total("seconds spent in placing and writing down", roundS));
-        f.put("store.records", Metric.total("records written by the holder", stateWriter::written));
+        f.put("rounds.time", Metric.counter("seconds spent in placing and writing down", roundS));
+        f.put("store.records", Metric.counter("records written by the holder", stateWriter::written));
         f.put(
                 "store.rounds",
-                Metric.total("transactions written by the holder", stateWriter::rounds));
+                Metric.counter("transactions written by the holder", stateWriter::rounds));
         return f;
     }
 
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -21,59 +21,59 @@
     void addTo(Map<String, Metric> f) {
         f.put(
                 "intents.asked",
-                Metric.total("rentals and returns put down by this node", intents::asked));
+                Metric.counter("rentals and returns put down by this node", intents::asked));
         f.put(
                 "intents.taken.over",
-                Metric.total(
+                Metric.counter(
                         "and those that it took over from earlier holders", intents::takenOver));
         f.put(
                 "intents.backlog",
-                Metric.now("rentals and returns that the cloud has not settled", intents::backlog));
+                Metric.gauge("rentals and returns that the cloud has not settled", intents::backlog));
         f.put(
                 "duty.cloud.calls",
-                Metric.total(
+                Metric.counter(
                         "rentals and returns asked of the cloud by this node", carrier::called));
         f.put(
                 "duty.cloud.failed",
-                Metric.total("of those, refused or not answered", carrier::failed));
+                Metric.counter("of those, refused or not answered", carrier::failed));
         f.put(
                 "duty.fenced",
-                Metric.total(
+                Metric.counter(
                         "times that nothing was done since the lease of duties was not certain",
                         duties::fenced));
         f.put(
                 "cleanup.looks",
-                Metric.total(
+                Metric.counter(
                         "times that this node looked through the state service", sweep::looks));
-        f.put("cleanup.removed", Metric.total("records that it removed there", sweep::removed));
+        f.put("cleanup.removed", Metric.counter("records that it removed there", sweep::removed));
         f.put(
                 "cleanup.strange",
-                Metric.now("records that should not be, by its last look", sweep::strange));
+                Metric.gauge("records that should not be, by its last look", sweep::strange));
         for (LeasedRoles.RoleHolder holder : duties.seats()) {
             f.put(
                     "duty." + holder.name() + ".here",
-                    Metric.now("whether this node has the duty", () -> holder.mine() ? 1 : 0));
+                    Metric.gauge("whether this node has the duty", () -> holder.mine() ? 1 : 0));
             f.put(
                     "duty." + holder.name() + ".token",
-                    Metric.now("the token of whoever has it", holder::token));
+                    Metric.gauge("the token of whoever has it", holder::token));
             f.put(
                     "duty." + holder.name() + ".hand.overs",
-                    Metric.total("times that it was seen to change hands", holder::handOvers));
+                    Metric.counter("times that it was seen to change hands", holder::handOvers));
         }
         f.put(
                 "takeover.read",
-                Metric.now(
+                Metric.gauge(
                         "seconds from winning the lease until the jobs were read",
                         takeover::readS));
         f.put(
                 "takeover.reported",
-                Metric.now(
+                Metric.gauge(
                         "seconds from winning the lease until nearly all machines had reported",
                         takeover::mostS));
         for (Activity on : Activity.values()) {
             f.put(
                     "time." + on.name().toLowerCase(Locale.ROOT).replace('_', '.'),
-                    Metric.total(
+                    Metric.counter(
                             "seconds of the event loop, by activity", () -> spent.seconds(on)));
         }
     }
--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -189,8 +189,8 @@
                         document.count("number"),
                         spec,
                         document.number("submittedMs", 0),
-                        (int) document.integer("from", 0, spec.tasks()),
-                        (int) document.integer("until", 0, spec.tasks()),
+                        (int) document.integer("from", 0, spec.taskCount()),
+                        (int) document.integer("until", 0, spec.taskCount()),
                         document.count("next"),
                         now);
         borrowed.standing = LoanState.valueOf(document.text("standing"));
@@ -211,7 +211,7 @@
                 Job.guest(
                         borrowed.spec,
                         borrowed.submittedMs,
-                        shard.facts().startWithinS(borrowed.spec),
+                        shard.facts().startDeadlinesSeconds(borrowed.spec),
                         borrowed.key(),
                         borrowed.revision,
                         shard.partTasks(),
@@ -240,22 +240,22 @@
 
     /** {@code roomFor}: whether such work is welcome. */
     void offered(LoanOffer offer, boolean roomFor, Consumer<CellMessage> answer) {
-        String key = StoreKeys.guest(offer.home(), offer.number());
+        String key = StoreKeys.guest(offer.homeCell(), offer.loanNumber());
         BorrowedLoan known = guests.get(key);
-        SequenceNumbers numbers = numbers(offer.home(), offer.floor());
+        SequenceNumbers numbers = numbers(offer.homeCell(), offer.lowestOpenNumber());
         if (known != null) {
             answer.accept(known.ending ? null : word(known));
-        } else if (numbers.isVoid(offer.number())) {
-            answer.accept(nothing(offer.number()));
+        } else if (numbers.isVoid(offer.loanNumber())) {
+            answer.accept(nothing(offer.loanNumber()));
         } else if (answering.containsKey(key)) {
             answering.get(key).add(answer);
-        } else if (numbers.full() || shard.jobs().containsKey(offer.job().id())) {
+        } else if (numbers.full() || shard.jobs().containsKey(offer.spec().id())) {
             // Something of it is still being cleared away here; asked again, there will be an
             // answer.
             answer.accept(null);
         } else if (!roomFor || draining) {
             refused++;
-            makeVoid(offer.home(), offer.number(), answer);
+            makeVoid(offer.homeCell(), offer.loanNumber(), answer);
         } else {
             take(offer, key, answer);
         }
@@ -264,14 +264,14 @@
     private void take(LoanOffer offer, String key, Consumer<CellMessage> answer) {
         BorrowedLoan borrowed =
                 new BorrowedLoan(
-                        offer.home(),
-                        offer.number(),
-                        offer.job(),
-                        offer.submittedMs(),
-                        offer.from(),
-                        offer.until(),
-                        offer.next(),
-                        timers.now());
+                        offer.homeCell(),
+                        offer.loanNumber(),
+                        offer.spec(),
+                        offer.submittedMillis(),
+                        offer.firstTask(),
+                        offer.endTask(),
+                        offer.nextAttempt(),
+                        timers.nowSeconds());
         answering.put(key, new ArrayList<>(List.of(answer)));
         riding.accept(
                 new StateWriter.BatchContributor() {
@@ -283,8 +283,8 @@
                     @Override
                     public void board(Store.Transaction transaction) {
                         transaction
-                                .when(key, 0)
-                                .when(
+                                .requireRevision(key, 0)
+                                .requireRevision(
                                         StoreKeys.VOID + borrowed.home,
                                         numbers(borrowed.home, 0).revision())
                                 .put(key, borrowed.record());
@@ -350,11 +350,11 @@
             SequenceNumbers numbers = numbers(home, 0);
             numbers.add(number);
             // Two of these in one transaction write the same record: the last one has it all.
-            transaction.when(StoreKeys.VOID + home, numbers.revision());
+            transaction.requireRevision(StoreKeys.VOID + home, numbers.revision());
             transaction.writes().removeIf(write -> write.key().equals(StoreKeys.VOID + home));
             transaction.put(StoreKeys.VOID + home, numbers.record());
             if (borrowed != null) {
-                transaction.when(borrowed.key(), borrowed.revision).remove(borrowed.key());
+                transaction.requireRevision(borrowed.key(), borrowed.revision).remove(borrowed.key());
             }
         }
 
@@ -369,9 +369,9 @@
     }
 
     void recalled(LoanRecall r, Consumer<CellMessage> answer) {
-        String key = StoreKeys.guest(r.home(), r.number());
+        String key = StoreKeys.guest(r.homeCell(), r.loanNumber());
         BorrowedLoan borrowed = guests.get(key);
-        SequenceNumbers numbers = numbers(r.home(), r.floor());
+        SequenceNumbers numbers = numbers(r.homeCell(), r.lowestOpenNumber());
         if (borrowed != null && borrowed.ending) {
             // Its end is not written yet. Guards against a word that a crash would take back.
             answer.accept(null);
@@ -388,12 +388,12 @@
             } else {
                 answer.accept(null);
             }
-        } else if (numbers.isVoid(r.number())) {
-            answer.accept(nothing(r.number()));
+        } else if (numbers.isVoid(r.loanNumber())) {
+            answer.accept(nothing(r.loanNumber()));
         } else if (answering.containsKey(key) || numbers.full()) {
             answer.accept(null); // An offer is just being taken.
         } else {
-            makeVoid(r.home(), r.number(), answer);
+            makeVoid(r.homeCell(), r.loanNumber(), answer);
         }
     }
 
@@ -423,7 +423,7 @@
                         borrowed.done = borrowed.job.doneFrom(borrowed.from, borrowed.until);
                         borrowed.next = borrowed.job.nextAttempt();
                         transaction
-                                .when(borrowed.key(), borrowed.revision)
+                                .requireRevision(borrowed.key(), borrowed.revision)
                                 .put(borrowed.key(), borrowed.record());
                     }
 
@@ -441,14 +441,14 @@
                                 borrowed.until - borrowed.from,
                                 borrowed.spec.id());
                         answer(borrowed.key(), word(borrowed));
-                        tell(borrowed, timers.now());
+                        tell(borrowed, timers.nowSeconds());
                     }
                 });
     }
 
     /** Everything that has to be said, written or given back now. */
     void tend(double now) {
-        double lease = shard.facts().workers().leaseS();
+        double lease = shard.facts().workers().leaseSeconds();
         for (BorrowedLoan borrowed : new ArrayList<>(guests.values())) {
             if (borrowed.ending) {
                 continue;
@@ -475,7 +475,7 @@
     }
 
     private void tell(BorrowedLoan borrowed, double now) {
-        double mostS = shard.facts().workers().leaseS();
+        double mostS = shard.facts().workers().leaseSeconds();
         if (borrowed.telling
                 || now - borrowed.toldAt
                         < RetryBackoff.againS(borrowed.untold, 0.5, mostS, random)) {
@@ -489,9 +489,9 @@
                 word(borrowed),
                 answer -> {
                     borrowed.telling = false;
-                    if (answer instanceof LoanSettled s && s.number() == borrowed.number) {
+                    if (answer instanceof LoanSettled s && s.loanNumber() == borrowed.number) {
                         borrowed.settled = true;
-                        numbers(borrowed.home, s.floor());
+                        numbers(borrowed.home, s.lowestOpenNumber());
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/cell/CellMembership.java
+++ b/src/main/java/io/kitepath/core/cell/CellMembership.java
@@ -84,7 +84,7 @@
         boolean takes(double now) {
             return state == State.WELL
                     && now - heardAt < FRESH_S
-                    && summary.takes()
+                    && summary.acceptsLoans()
                     && now >= restUntil;
         }
 
@@ -103,8 +103,8 @@
                     now
                             + RetryBackoff.againS(
                                     refusals++,
-                                    settings.workers().reportS(),
-                                    settings.workers().leaseS(),
+                                    settings.workers().heartbeatIntervalSeconds(),
+                                    settings.workers().leaseSeconds(),
                                     random);
         }
     }
@@ -143,7 +143,7 @@
 
     /** Looks who has fallen silent. */
     void look(double now) {
-        double lease = settings.workers().leaseS();
+        double lease = settings.workers().leaseSeconds();
         for (RemoteCell remote : all.values()) {
             double silence = now - remote.heardAt;
             if (remote.state == State.WELL && silence > FRESH_S) {
@@ -165,7 +165,7 @@
                         n ->
                                 n != of
                                         && now - n.heardAt < FRESH_S
-                                        && n.summary.hears().contains(of.name));
+                                        && n.summary.reachableCells().contains(of.name));
     }
 
     /**
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -97,7 +97,7 @@
         this.node = node;
         this.cells = cells;
         TreeSet<String> others = new TreeSet<>(cellDirectory.cells().keySet());
-        others.remove(cellDirectory.own());
+        others.remove(cellDirectory.ownCellName());
         Map<String, Integer> zones = new HashMap<>();
         others.forEach(c -> zones.put(c, Math.max(1, cellDirectory.cells().get(c).zones().size())));
         this.cellMembership = new CellMembership(shard.facts(), others);
@@ -105,7 +105,7 @@
         this.workOffloading = new WorkOffloading(shard.facts(), shard.types(), zones, random);
         this.lentTasks =
                 new LentTasks(
-                        cellDirectory.own(),
+                        cellDirectory.ownCellName(),
                         shard,
                         riding,
                         timers,
@@ -116,15 +116,15 @@
                         node::cancelled);
         this.borrowedTasks =
                 new BorrowedTasks(
-                        cellDirectory.own(), shard, riding, timers, this::askHolder, random);
+                        cellDirectory.ownCellName(), shard, riding, timers, this::askHolder, random);
         this.quotaShares =
                 new QuotaShares(
-                        cellDirectory.own(), shard, riding, timers, this::askHolder, random);
+                        cellDirectory.ownCellName(), shard, riding, timers, this::askHolder, random);
         shard.teamUse().limits(quotaShares);
-        drain(cellDirectory.here().drained());
+        drain(cellDirectory.ownCell().isDraining());
         this.homeAssignment = new HomeAssignment(cellDirectory, store, timers);
         this.jobs = new HomeCellJobs(cellDirectory, submissions, cells, homeAssignment::agreed);
-        this.budget = new TokenBucket(Math.max(1, shard.facts().store().writeRps() * SPILL_SHARE));
+        this.budget = new TokenBucket(Math.max(1, shard.facts().store().writesPerSecond() * SPILL_SHARE));
     }
 
     public void start() {
@@ -187,7 +187,7 @@
             return;
         }
         if (message instanceof Summary summary) {
-            cellMembership.heard(summary, timers.now());
+            cellMembership.heard(summary, timers.nowSeconds());
             answer.accept(summary());
         } else if (message instanceof LoanOffer offer) {
             borrowedTasks.offered(offer, welcome(offer), answer);
@@ -207,31 +207,31 @@
         int most = 0;
         boolean may = false;
         for (CellMessage.FreeCapacity capacity : localSummary.room()) {
-            MachineType type = shard.types().get(capacity.kind().type());
-            if (type != null && ProbePlacement.allowed(capacity.kind(), offer.job())) {
+            MachineType type = shard.types().get(capacity.kind().machineType());
+            if (type != null && ProbePlacement.allowed(capacity.kind(), offer.spec())) {
                 may = true;
                 most +=
-                        capacity.idle() * ProbePlacement.slots(offer.job(), type)
+                        capacity.idleMachines() * ProbePlacement.slots(offer.spec(), type)
                                 + (int)
                                         Math.max(
                                                 0,
-                                                (capacity.cpus() - capacity.idle() * type.cpus())
-                                                        / Math.max(1e-6, offer.job().cpus()));
+                                                (capacity.cpus() - capacity.idleMachines() * type.cpus())
+                                                        / Math.max(1e-6, offer.spec().cpusPerTask()));
             }
         }
-        boolean whole = offer.job().shape() != JobSpec.Shape.ARRAY;
-        return may && most >= (whole ? offer.until() - offer.from() : 1);
+        boolean whole = offer.spec().shape() != JobSpec.Shape.ARRAY;
+        return may && most >= (whole ? offer.endTask() - offer.firstTask() : 1);
     }
 
     private Summary summary() {
         return new Summary(
-                cellDirectory.own(),
+                cellDirectory.ownCellName(),
                 node.leader(),
                 cellDirectory.version(),
                 !borrowedTasks.draining(),
                 localSummary.room(),
                 localSummary.waitS(),
-                cellMembership.hears(timers.now()),
+                cellMembership.hears(timers.nowSeconds()),
                 shares());
     }
 
@@ -249,7 +249,7 @@
 
     /** Called a few times a second while this node holds the block. */
     public void tend() {
-        double now = timers.now();
+        double now = timers.nowSeconds();
         cellMembership.look(now);
         lentTasks.tend(now);
         borrowedTasks.tend(now);
@@ -259,13 +259,13 @@
             Summary mine = summary();
             for (RemoteCell remote : cellMembership.all().values()) {
                 // Of two cells the one of the lower name begins, as long as that works.
-                if (cellDirectory.own().compareTo(remote.name) < 0 || !remote.hears(now)) {
+                if (cellDirectory.ownCellName().compareTo(remote.name) < 0 || !remote.hears(now)) {
                     askHolder(
                             remote.name,
                             mine,
                             message -> {
                                 if (message instanceof Summary summary) {
-                                    cellMembership.heard(summary, timers.now());
+                                    cellMembership.heard(summary, timers.nowSeconds());
                                 }
                             });
                 }
@@ -291,8 +291,8 @@
                         cellMembership.all().values(),
                         most,
                         now,
-                        timers.wallMs())) {
-            budget.take(1, now);
+                        timers.wallClockMillis())) {
+            budget.tryTake(1, now);
             lentTasks.lend(p);
         }
     }
@@ -301,7 +301,7 @@
     private boolean fitsHere(JobSpec spec) {
         for (MachineType type : shard.types().values()) {
             if (ProbePlacement.slots(spec, type) > 0) {
-                for (String zone : cellDirectory.here().zones()) {
+                for (String zone : cellDirectory.ownCell().zones()) {
                     if (ProbePlacement.allowed(new MachineKind(type.name(), zone, false), spec)) {
                         return true;
                     }
@@ -315,8 +315,8 @@
 
     @Override
     public void adopt(StateLoader.LoadedState found) {
-        lentTasks.adopt(found, timers.now());
-        borrowedTasks.adopt(found, timers.now());
+        lentTasks.adopt(found, timers.nowSeconds());
+        borrowedTasks.adopt(found, timers.nowSeconds());
         quotaShares.adopt(found);
     }
 
@@ -336,39 +336,39 @@
     public void figures(Map<String, Metric> f) {
         f.put(
                 "cells.silent",
-                Metric.now("other cells from which nothing is heard", cellMembership::silentOnes));
+                Metric.gauge("other cells from which nothing is heard", cellMembership::silentOnes));
         f.put(
                 "cells.tasks.lent",
-                Metric.now(
+                Metric.gauge(
                         "tasks that other cells were offered or have taken", lentTasks::tasksOut));
         f.put(
                 "cells.tasks.taken",
-                Metric.now(
+                Metric.gauge(
                         "tasks of other cells that are this one's to run",
                         borrowedTasks::tasksHere));
-        f.put("cells.lent", Metric.total("hand-overs to other cells", lentTasks::lent));
+        f.put("cells.lent", Metric.counter("hand-overs to other cells", lentTasks::lent));
         f.put(
                 "cells.returned",
-                Metric.total("hand-overs that came to an end", lentTasks::returned));
+                Metric.counter("hand-overs that came to an end", lentTasks::returned));
         f.put(
                 "cells.taken",
-                Metric.total("hand-overs taken from other cells", borrowedTasks::taken));
+                Metric.counter("hand-overs taken from other cells", borrowedTasks::taken));
         f.put(
                 "cells.refused",
-                Metric.total("hand-overs refused for lack of room", borrowedTasks::refused));
+                Metric.counter("hand-overs refused for lack of room", borrowedTasks::refused));
         f.put(
                 "cells.shares.given",
-                Metric.total("parts of teams' limits given to other cells", quotaShares::given));
+                Metric.counter("parts of teams' limits given to other cells", quotaShares::given));
         f.put(
                 "cells.shares.came",
-                Metric.total(
+                Metric.counter(
                         "parts of teams' limits that came from other cells", quotaShares::came));
         f.put(
                 "cells.shares.under.way",
-                Metric.now(
+                Metric.gauge(
                         "parts given that are not known to have arrived", quotaShares::underWay));
         f.put(
                 "cells.messages",
-                Metric.total("messages sent to other cells by the holder", () -> messages));
+                Metric.counter("messages sent to other cells by the holder", () -> messages));
     }
 }
--- a/src/main/java/io/kitepath/core/cell/HomeAssignment.java
+++ b/src/main/java/io/kitepath/core/cell/HomeAssignment.java
@@ -46,23 +46,23 @@
                         if (agreed && document.count("version") < cellDirectory.version()) {
                             write(entry.revision());
                         }
-                    } else if (outcome == Outcome.NO) {
+                    } else if (outcome == Outcome.REJECTED) {
                         write(0);
                         return;
                     }
                     if (!agreed) {
-                        timers.after(outcome == Outcome.OK ? 10 : 0.5, this::look);
+                        timers.schedule(outcome == Outcome.OK ? 10 : 0.5, this::look);
                     }
                 });
     }
 
     private void compare(String theirs) {
-        agreed = theirs.equals(cellDirectory.homes());
+        agreed = theirs.equals(cellDirectory.homeCellNames());
         if (!agreed && !said) {
             said = true;
             LOG.error(
                     "the cells file names the homes \"{}\", this cell goes by \"{}\": no user is answered here",
-                    cellDirectory.homes(),
+                    cellDirectory.homeCellNames(),
                     theirs);
         }
     }
@@ -70,17 +70,17 @@
     private void write(long revision) {
         store.commit(
                 new Transaction()
-                        .when(StoreKeys.CELLS, revision)
+                        .requireRevision(StoreKeys.CELLS, revision)
                         .put(
                                 StoreKeys.CELLS,
                                 Map.of(
                                         "version",
                                         cellDirectory.version(),
                                         "homes",
-                                        cellDirectory.homes())),
+                                        cellDirectory.homeCellNames())),
                 result -> {
                     if (!agreed) {
-                        timers.after(0.1, this::look);
+                        timers.schedule(0.1, this::look);
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -62,7 +62,7 @@
     }
 
     private boolean isHere(String id) {
-        return cellDirectory.home(id).equals(cellDirectory.own());
+        return cellDirectory.homeCellOf(id).equals(cellDirectory.ownCellName());
     }
 
     @Override
@@ -76,8 +76,8 @@
     }
 
     private void ask(UserRequest a, Consumer<Answer> answer) {
-        String home = cellDirectory.home(a.id());
-        if (home.equals(cellDirectory.own())) {
+        String home = cellDirectory.homeCellOf(a.jobId());
+        if (home.equals(cellDirectory.ownCellName())) {
             asked(a, answer);
             return;
         }
@@ -88,7 +88,7 @@
                 got ->
                         answer.accept(
                                 got instanceof UserResponse u
-                                        ? new Answer(Verdict.valueOf(u.verdict()), u.state())
+                                        ? new Answer(Verdict.valueOf(u.verdict()), u.status())
                                         : Answer.LATER));
     }
 
@@ -96,14 +96,14 @@
     void asked(UserRequest a, Consumer<Answer> answer) {
         // Guards against two nodes with different files that each hold another cell to be the job's
         // home.
-        if (!agreed.getAsBoolean() || !cellDirectory.home(a.id()).equals(cellDirectory.own())) {
+        if (!agreed.getAsBoolean() || !cellDirectory.homeCellOf(a.jobId()).equals(cellDirectory.ownCellName())) {
             answer.accept(Answer.LATER);
             return;
         }
-        switch (a.wish()) {
-            case SUBMIT -> here.submit(a.job(), answer);
-            case STATUS -> here.status(a.id(), answer);
-            case CANCEL -> here.cancel(a.id(), answer);
+        switch (a.kind()) {
+            case SUBMIT -> here.submit(a.spec(), answer);
+            case STATUS -> here.status(a.jobId(), answer);
+            case CANCEL -> here.cancel(a.jobId(), answer);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -188,7 +188,7 @@
                         p.to(),
                         p.from(),
                         p.until(),
-                        timers.now());
+                        timers.nowSeconds());
         job.lend(loan);
         lent++;
         LOG.info(
@@ -203,7 +203,7 @@
                 job,
                 () -> {
                     loan.written = true;
-                    tell(job, loan, timers.now());
+                    tell(job, loan, timers.nowSeconds());
                 });
     }
 
@@ -228,8 +228,8 @@
                     public void board(Store.Transaction transaction) {
                         left = job.loans().stream().filter(loan -> !loan.closed).toList();
                         transaction
-                                .when(job.key, job.revision())
-                                .when(StoreKeys.LENT + id, job.lentRevision());
+                                .requireRevision(job.key, job.revision())
+                                .requireRevision(StoreKeys.LENT + id, job.lentRevision());
                         if (left.isEmpty()) {
                             transaction.remove(StoreKeys.LENT + id);
                         } else {
@@ -274,7 +274,7 @@
     }
 
     private void tell(Job job, TaskLoan loan, double now) {
-        double mostS = shard.facts().workers().leaseS();
+        double mostS = shard.facts().workers().leaseSeconds();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
         double dueS =
                 loan.taken && !job.leaving()
@@ -308,7 +308,7 @@
                     if (first && remote != null) {
                         remote.unconfirmed = Math.max(0, remote.unconfirmed - 1);
                     }
-                    if (answer instanceof LoanStatus status && status.number() == loan.number) {
+                    if (answer instanceof LoanStatus status && status.loanNumber() == loan.number) {
                         said(status, x -> {});
                     }
                 });
@@ -321,7 +321,7 @@
     void said(LoanStatus status, Consumer<CellMessage> answer) {
         for (Job job : shard.jobs().values()) {
             for (TaskLoan loan : job.loans()) {
-                if (loan.number == status.number() && loan.to.equals(status.cell())) {
+                if (loan.number == status.loanNumber() && loan.to.equals(status.cell())) {
                     said(job, loan, status, answer);
                     return;
                 }
@@ -329,21 +329,21 @@
         }
         // Guards against a former holder that calls a loan of its successor settled, which it can't
         // know of.
-        if (status.standing() != LoanState.TAKEN && status.number() < nextNumber()) {
-            answer.accept(new LoanSettled(status.number(), floor(status.cell())));
+        if (status.state() != LoanState.TAKEN && status.loanNumber() < nextNumber()) {
+            answer.accept(new LoanSettled(status.loanNumber(), floor(status.cell())));
         } else {
             answer.accept(null);
         }
     }
 
     private void said(Job job, TaskLoan loan, LoanStatus status, Consumer<CellMessage> answer) {
-        double now = timers.now();
+        double now = timers.nowSeconds();
         RemoteCell remote = cellMembership.get(loan.to);
         if (!loan.written) {
             answer.accept(null);
             return;
         }
-        if (status.standing() == LoanState.TAKEN) {
+        if (status.state() == LoanState.TAKEN) {
             loan.taken = true;
             loan.unanswered = job.leaving() ? loan.unanswered : 0;
             if (remote != null) {
@@ -356,19 +356,19 @@
         if (loan.closed) {
             return;
         }
-        BitSet done = BitSet.valueOf(status.done());
+        BitSet done = BitSet.valueOf(status.doneTasks());
         job.close(loan, done);
         for (int i = loan.from; i < loan.until; i++) {
             if (job.isDone(i)) {
                 shard.unwritten().queue(job.part(job.partOf(i)));
             }
         }
-        job.attemptsFrom(status.next());
+        job.attemptsFrom(status.nextAttempt());
         shard.change();
-        if (remote != null && status.standing() == LoanState.VOID) {
+        if (remote != null && status.state() == LoanState.VOID) {
             remote.refused(now, random);
         }
-        if (status.standing() == LoanState.VOID || status.standing() == LoanState.BACK) {
+        if (status.state() == LoanState.VOID || status.state() == LoanState.BACK) {
             workOffloading.gaveBack(job.spec.id(), loan.to, now);
         }
         LOG.info(
@@ -377,7 +377,7 @@
                 job.spec.id(),
                 loan.to,
                 Math.round(now - loan.since),
-                status.standing(),
+                status.state(),
                 done.cardinality(),
                 loan.tasks());
         settle(job);
@@ -448,13 +448,13 @@
                     public void board(Store.Transaction transaction) {
                         Map<String, Object> record =
                                 job.record()
-                                        .overMap(
+                                        .toFinishedRecord(
                                                 Map.of("status", "cancelled", "done", 0L),
-                                                shard.facts().store().valueBytes());
+                                                shard.facts().store().maxValueBytes());
                         transaction
-                                .when(job.key, job.revision())
-                                .when(StoreKeys.LENT + id, 0)
-                                .when(StoreKeys.LEAVE + id, asked)
+                                .requireRevision(job.key, job.revision())
+                                .requireRevision(StoreKeys.LENT + id, 0)
+                                .requireRevision(StoreKeys.LEAVE + id, asked)
                                 .remove(job.key)
                                 .remove(StoreKeys.LEAVE + id)
                                 .put(StoreKeys.OVER + id, record);
@@ -482,7 +482,7 @@
 
                     @Override
                     public void board(Store.Transaction transaction) {
-                        transaction.when(StoreKeys.LEAVE + id, asked).remove(StoreKeys.LEAVE + id);
+                        transaction.requireRevision(StoreKeys.LEAVE + id, asked).remove(StoreKeys.LEAVE + id);
                     }
 
                     @Override
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -37,7 +37,7 @@
                 double[] f = free.computeIfAbsent(machine.kind(), kind -> new double[4]);
                 f[0] += type.cpus() - machine.usedCpus();
                 f[1] += type.gpus() - machine.usedGpus();
-                f[2] += type.memoryGb() - machine.usedMemory();
+                f[2] += type.memoryGigabytes() - machine.usedMemory();
                 f[3] += machine.busy() ? 0 : 1;
             }
         }
@@ -77,6 +77,6 @@
 
     /** CPU seconds of the job's waiting tasks. */
     static double workS(Job job) {
-        return job.waiting() * job.spec.cpus() * job.spec.estimateS();
+        return job.waiting() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -212,7 +212,7 @@
     // ---- what may be used -----------------------------------------------------------------------
 
     private static long whole(ClusterSettings.Team team, int kind) {
-        double max = kind == 0 ? team.cpusMax() : team.gpusMax();
+        double max = kind == 0 ? team.maxCpus() : team.maxGpus();
         return max <= 0 ? UNLIMITED : (long) Math.floor(max * 1000 + 1e-3);
     }
 
@@ -248,7 +248,7 @@
     // ---- what is wanted -------------------------------------------------------------------------
 
     private static long need(JobSpec spec, int kind, int tasks) {
-        return (long) Math.ceil((kind == 0 ? spec.cpus() : spec.gpus()) * 1000 * tasks - 1e-3);
+        return (long) Math.ceil((kind == 0 ? spec.cpusPerTask() : spec.gpusPerTask()) * 1000 * tasks - 1e-3);
     }
 
     /**
@@ -278,7 +278,7 @@
         }
         List<QuotaShare> out = new ArrayList<>(rows.values());
         out.sort(
-                Comparator.comparingLong((QuotaShare share) -> -share.wants())
+                Comparator.comparingLong((QuotaShare share) -> -share.wanted())
                         .thenComparing(QuotaShare::team));
         told = out.size() > MOST_TOLD ? new ArrayList<>(out.subList(0, MOST_TOLD)) : out;
         return told;
@@ -299,7 +299,7 @@
             }
         }
         long head =
-                first == null ? 0 : need(first.spec, kind, first.spec.gang() ? first.waiting() : 1);
+                first == null ? 0 : need(first.spec, kind, first.spec.isGang() ? first.waiting() : 1);
         wants = room[kind] < head ? 0 : Math.min(wants, room[kind]);
         return new QuotaShare(
                 team.name(),
@@ -332,23 +332,23 @@
     void divide(Collection<Summary> others) {
         Map<String, List<QuotaClaim>> claims = new HashMap<>();
         for (Summary summary : others) {
-            for (QuotaShare share : summary.shares()) {
-                claims.computeIfAbsent(share.team() + '\0' + share.kind(), key -> new ArrayList<>())
+            for (QuotaShare share : summary.quotaShares()) {
+                claims.computeIfAbsent(share.team() + '\0' + share.resourceKind(), key -> new ArrayList<>())
                         .add(
                                 new QuotaClaim(
                                         summary.cell(),
-                                        share.holds()
+                                        share.held()
                                                 + underWay(
-                                                        share.team(), share.kind(), summary.cell()),
+                                                        share.team(), share.resourceKind(), summary.cell()),
                                         share.used(),
-                                        share.wants(),
-                                        share.head(),
-                                        share.task(),
-                                        share.since()));
+                                        share.wanted(),
+                                        share.nextJobNeed(),
+                                        share.nextTaskNeed(),
+                                        share.nextJobSubmittedMillis()));
             }
         }
         Map<String, QuotaShare> mine = new HashMap<>();
-        told.forEach(share -> mine.put(share.team() + '\0' + share.kind(), share));
+        told.forEach(share -> mine.put(share.team() + '\0' + share.resourceKind(), share));
         held.values().forEach(h -> Arrays.fill(h.cap, UNLIMITED));
         claims.forEach(
                 (key, list) -> {
@@ -357,12 +357,12 @@
                         list.add(
                                 new QuotaClaim(
                                         own,
-                                        share.holds(),
+                                        share.held(),
                                         share.used(),
-                                        share.wants(),
-                                        share.head(),
-                                        share.task(),
-                                        share.since()));
+                                        share.wanted(),
+                                        share.nextJobNeed(),
+                                        share.nextTaskNeed(),
+                                        share.nextJobSubmittedMillis()));
                         give(share, list);
                     }
                 });
@@ -372,12 +372,12 @@
         Map<String, Long> targets = QuotaDivision.targets(claims);
         HeldShare held = of(share.team());
         // What was told may be a moment old; what is given must be free now.
-        long usedNow = used(share.team(), share.kind());
+        long usedNow = used(share.team(), share.resourceKind());
         // What others are to have is not used here again, so that it comes free as what runs ends.
-        held.cap[share.kind()] = Math.max(Math.min(targets.get(own), share.holds()), 0);
+        held.cap[share.resourceKind()] = Math.max(Math.min(targets.get(own), share.held()), 0);
         if (claims.stream().anyMatch(c -> !c.cell().equals(own) && c.wants() > 0)) {
-            held.cap[share.kind()] =
-                    Math.min(held.cap[share.kind()], QuotaDivision.fair(claims).get(own));
+            held.cap[share.resourceKind()] =
+                    Math.min(held.cap[share.resourceKind()], QuotaDivision.fair(claims).get(own));
         }
         long mine =
                 claims.stream()
@@ -385,7 +385,7 @@
                         .mapToLong(c -> useful(c, targets))
                         .sum();
         long over =
-                holds(shard.facts().teams().get(share.team()), share.kind())
+                holds(shard.facts().teams().get(share.team()), share.resourceKind())
                         - Math.max(mine, usedNow);
         if (over <= 0 || held.writing || held.out.size() >= MOST_OUT) {
             return;
@@ -405,27 +405,27 @@
         long amount = Math.min(over, useful(to, targets) - to.holds());
         OutgoingGrant outgoing =
                 new OutgoingGrant(
-                        (shard.token() << BITS) + ++sequence, to.cell(), share.kind(), amount);
-        held.moved[share.kind()] -= amount;
+                        (shard.token() << BITS) + ++sequence, to.cell(), share.resourceKind(), amount);
+        held.moved[share.resourceKind()] -= amount;
         held.out.add(outgoing);
         given++;
         LOG.info(
                 "gives {} {} of team {} to cell {} as {}: it holds {} and is to have {}, here {} of {} are used",
                 amount / 1000.0,
-                share.kind() == 0 ? "CPUs" : "GPUs",
+                share.resourceKind() == 0 ? "CPUs" : "GPUs",
                 share.team(),
                 to.cell(),
                 outgoing.number,
                 to.holds() / 1000.0,
                 targets.get(to.cell()) / 1000.0,
                 share.used() / 1000.0,
-                share.holds() / 1000.0);
+                share.held() / 1000.0);
         write(
                 held,
                 null,
                 () -> {
                     outgoing.written = true;
-                    tell(held, outgoing, timers.now());
+                    tell(held, outgoing, timers.nowSeconds());
                 });
     }
 
@@ -452,10 +452,10 @@
 
                     @Override
                     public void board(Store.Transaction transaction) {
-                        transaction.when(key(h.team), h.revision).put(key(h.team), h.record());
+                        transaction.requireRevision(key(h.team), h.revision).put(key(h.team), h.record());
                         if (giver != null) {
                             SequenceNumbers numbers = numbers(giver);
-                            transaction.when(StoreKeys.VOID + "share/" + giver, numbers.revision());
+                            transaction.requireRevision(StoreKeys.VOID + "share/" + giver, numbers.revision());
                             transaction
                                     .writes()
                                     .removeIf(
@@ -512,7 +512,7 @@
         if (outgoing.asking
                 || now - outgoing.askedAt
                         < RetryBackoff.againS(
-                                outgoing.unanswered, 1, shard.facts().workers().leaseS(), random)) {
+                                outgoing.unanswered, 1, shard.facts().workers().leaseSeconds(), random)) {
             return;
         }
         outgoing.asking = true;
@@ -530,7 +530,7 @@
                 answer -> {
                     outgoing.asking = false;
                     if (answer instanceof QuotaGrantAccepted g
-                            && g.number() == outgoing.number
+                            && g.grantNumber() == outgoing.number
                             && held.get(h.team) == h
                             && !h.writing
                             && h.out.remove(outgoing)) {
@@ -544,14 +544,14 @@
     /** A share of another cell's becomes ours, once. */
     void granted(QuotaGrant g, Consumer<CellMessage> answer) {
         ClusterSettings.Team team = shard.facts().teams().get(g.team());
-        SequenceNumbers numbers = numbers(g.from());
-        numbers.raise(g.floor());
-        String id = g.from() + '/' + g.number();
-        if (numbers.isVoid(g.number())) {
+        SequenceNumbers numbers = numbers(g.fromCell());
+        numbers.raise(g.lowestOpenNumber());
+        String id = g.fromCell() + '/' + g.grantNumber();
+        if (numbers.isVoid(g.grantNumber())) {
             if (taking.containsKey(id)) {
                 taking.get(id).add(answer); // Being written; said once it is.
             } else {
-                answer.accept(new QuotaGrantAccepted(g.number()));
+                answer.accept(new QuotaGrantAccepted(g.grantNumber()));
             }
             return;
         }
@@ -560,26 +560,26 @@
             answer.accept(null);
             return;
         }
-        numbers.add(g.number());
-        held.coming[g.kind()] = g.amount();
+        numbers.add(g.grantNumber());
+        held.coming[g.resourceKind()] = g.amount();
         taking.put(id, new ArrayList<>(List.of(answer)));
         write(
                 held,
-                g.from(),
+                g.fromCell(),
                 () -> {
                     came++;
-                    held.moved[g.kind()] += held.coming[g.kind()];
-                    held.coming[g.kind()] = 0;
+                    held.moved[g.resourceKind()] += held.coming[g.resourceKind()];
+                    held.coming[g.resourceKind()] = 0;
                     LOG.info(
                             "{} {} of team {} came from cell {} as {}",
                             g.amount() / 1000.0,
-                            g.kind() == 0 ? "CPUs" : "GPUs",
+                            g.resourceKind() == 0 ? "CPUs" : "GPUs",
                             g.team(),
-                            g.from(),
-                            g.number());
+                            g.fromCell(),
+                            g.grantNumber());
                     List<Consumer<CellMessage>> who = taking.remove(id);
                     if (who != null) {
-                        who.forEach(x -> x.accept(new QuotaGrantAccepted(g.number())));
+                        who.forEach(x -> x.accept(new QuotaGrantAccepted(g.grantNumber())));
                     }
                     shard.change();
                 });
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -68,10 +68,10 @@
      * Guards against work that bounces: a cell that gave it back is not asked again until that has
      * news.
      */
-    void gaveBack(String job, String cell, double now) {
+    void gaveBack(String jobId, String cell, double now) {
         givenBack
-                .computeIfAbsent(job, key -> new HashMap<>())
-                .put(cell, now + 2 * settings.workers().leaseS());
+                .computeIfAbsent(jobId, key -> new HashMap<>())
+                .put(cell, now + 2 * settings.workers().leaseSeconds());
     }
 
     void forget(Collection<String> known) {
@@ -112,7 +112,7 @@
             if (remote != null) {
                 Plan p = range(job, remote, why);
                 if (p != null) {
-                    remote.promise((p.until - p.from) * job.spec.cpus());
+                    remote.promise((p.until - p.from) * job.spec.cpusPerTask());
                     out.add(p);
                 }
             }
@@ -123,7 +123,7 @@
     /** Null if the job stays. */
     private String whyNotHere(Job job, boolean fits, double cpus, double waitS, double wallMs) {
         JobSpec spec = job.spec;
-        boolean whole = spec.shape() != JobSpec.Shape.ARRAY || spec.oneZone() || spec.spread();
+        boolean whole = spec.shape() != JobSpec.Shape.ARRAY || spec.isSingleZone() || spec.isSpreadAcrossZones();
         if (job.guest
                 || job.over()
                 || job.leaving()
@@ -142,8 +142,8 @@
             return "this cell is drained";
         }
         // What has only just come may still find room in one of the next rounds.
-        if (ageS < 2 * settings.workers().reportS()
-                || cpus > 0 && waitS < 2 * settings.workers().reportS()) {
+        if (ageS < 2 * settings.workers().heartbeatIntervalSeconds()
+                || cpus > 0 && waitS < 2 * settings.workers().heartbeatIntervalSeconds()) {
             return null;
         }
         for (int goal = 0; goal < job.goals(); goal++) {
@@ -166,7 +166,7 @@
                     && not.getOrDefault(remote.name, 0.0) <= now
                     && slots(job.spec, remote) >= least(job)
                     && job.loans().stream().noneMatch(loan -> loan.to.equals(remote.name))
-                    && remote.summary().waitS().get(job.rank()) < waitS / 2) {
+                    && remote.summary().queueSecondsByRank().get(job.rank()) < waitS / 2) {
                 able.add(remote);
             }
         }
@@ -195,8 +195,8 @@
      */
     private static int least(Job job) {
         JobSpec spec = job.spec;
-        return spec.shape() != JobSpec.Shape.ARRAY || spec.oneZone() || spec.spread()
-                ? spec.tasks()
+        return spec.shape() != JobSpec.Shape.ARRAY || spec.isSingleZone() || spec.isSpreadAcrossZones()
+                ? spec.taskCount()
                 : 1;
     }
 
@@ -204,8 +204,8 @@
     int slots(JobSpec spec, RemoteCell remote) {
         Map<String, Integer> byZone = new HashMap<>();
         int all = 0;
-        for (FreeCapacity capacity : remote.summary().room()) {
-            MachineType type = types.get(capacity.kind().type());
+        for (FreeCapacity capacity : remote.summary().freeCapacity()) {
+            MachineType type = types.get(capacity.kind().machineType());
             if (type == null || !ProbePlacement.allowed(capacity.kind(), spec)) {
                 continue;
             }
@@ -215,22 +215,22 @@
             boolean small = each >= 2;
             double rest =
                     small
-                            ? (capacity.cpus() - capacity.idle() * type.cpus())
-                                    / Math.max(spec.cpus(), 1e-6)
+                            ? (capacity.cpus() - capacity.idleMachines() * type.cpus())
+                                    / Math.max(spec.cpusPerTask(), 1e-6)
                                     / 2
                             : 0;
             int fit =
                     (int)
                             Math.min(
                                     Integer.MAX_VALUE / 64,
-                                    (long) capacity.idle() * each + Math.max(0, rest));
+                                    (long) capacity.idleMachines() * each + Math.max(0, rest));
             all += fit;
             byZone.merge(capacity.kind().zone(), fit, Integer::sum);
         }
-        int taken = spec.cpus() > 0 ? (int) Math.ceil(remote.promisedCpus() / spec.cpus()) : 0;
-        int room = spec.oneZone() ? byZone.values().stream().mapToInt(x -> x).max().orElse(0) : all;
-        if (spec.spread()) {
-            int most = spec.mostPerZone();
+        int taken = spec.cpusPerTask() > 0 ? (int) Math.ceil(remote.promisedCpus() / spec.cpusPerTask()) : 0;
+        int room = spec.isSingleZone() ? byZone.values().stream().mapToInt(x -> x).max().orElse(0) : all;
+        if (spec.isSpreadAcrossZones()) {
+            int most = spec.maxTasksPerZone();
             room = byZone.values().stream().mapToInt(x -> Math.min(x, most)).sum();
         }
         return Math.max(0, room - taken);
@@ -246,10 +246,10 @@
         if (least(job) > longest) {
             return null;
         }
-        if (least(job) > 1 || job.spec.tasks() == 1) {
-            return new Plan(job, remote.name, 0, job.spec.tasks(), why);
+        if (least(job) > 1 || job.spec.taskCount() == 1) {
+            return new Plan(job, remote.name, 0, job.spec.taskCount(), why);
         }
-        int until = job.spec.tasks();
+        int until = job.spec.taskCount();
         while (until > 0 && !job.placeable(until - 1)) {
             until--;
         }
--- a/src/main/java/io/kitepath/core/leadership/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationLog.java
@@ -33,15 +33,15 @@
     public CancellationLog(ClusterSettings settings, Timers timers) {
         this.node = settings.node();
         this.timers = timers;
-        this.keepMs = 1000 * settings.workers().cancelS();
-        this.sinceMs = timers.wallMs();
+        this.keepMs = 1000 * settings.workers().cancelDeadlineSeconds();
+        this.sinceMs = timers.wallClockMillis();
     }
 
     /** The job is cancelled for good, as this node knows from now on. */
-    public void learned(String job) {
-        if (ids.add(job)) {
-            log.add(new Learned(job, timers.wallMs()));
-            chars += job.length();
+    public void learned(String jobId) {
+        if (ids.add(jobId)) {
+            log.add(new Learned(jobId, timers.wallClockMillis()));
+            chars += jobId.length();
         }
         trim();
     }
@@ -49,11 +49,11 @@
     public CancellationDigest digest() {
         trim();
         return new CancellationDigest(
-                node, sinceMs, timers.wallMs(), log.stream().map(Learned::job).toList());
+                node, sinceMs, timers.wallClockMillis(), log.stream().map(Learned::job).toList());
     }
 
     private void trim() {
-        double oldest = timers.wallMs() - keepMs;
+        double oldest = timers.wallClockMillis() - keepMs;
         while (!log.isEmpty()
                 && (log.peek().atMs < oldest || log.size() > MOST || chars > MOST_CHARS)) {
             Learned gone = log.poll();
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -50,7 +50,7 @@
     public CancellationWatermark(ClusterSettings settings, Timers timers) {
         this.siblings = settings.siblings();
         this.timers = timers;
-        this.apartMs = 2 * settings.clockErrorMs();
+        this.apartMs = 2 * settings.clockErrorMillis();
     }
 
     /** A new holder knows nothing before it has read what is open. */
@@ -69,9 +69,9 @@
     }
 
     /** Somebody, or the store, said just now that the job is cancelled, which stays so. */
-    public void told(String job) {
+    public void told(String jobId) {
         if (told.size() < MOST_TOLD) {
-            told.putIfAbsent(job, timers.wallMs());
+            told.putIfAbsent(jobId, timers.wallClockMillis());
         }
     }
 
@@ -82,11 +82,11 @@
 
     /** A sibling's word; what it names has been taken in already. */
     public void word(CancellationDigest d) {
-        double until = Math.max(storeMs, wordMs.getOrDefault(d.by(), Double.NEGATIVE_INFINITY));
-        if (siblings.contains(d.by())
+        double until = Math.max(storeMs, wordMs.getOrDefault(d.node(), Double.NEGATIVE_INFINITY));
+        if (siblings.contains(d.node())
                 && told.size() < MOST_TOLD
-                && d.sinceMs() + apartMs <= until) {
-            wordMs.merge(d.by(), Math.min(timers.wallMs(), d.untilMs()) - apartMs, Math::max);
+                && d.sinceMillis() + apartMs <= until) {
+            wordMs.merge(d.node(), Math.min(timers.wallClockMillis(), d.untilMillis()) - apartMs, Math::max);
         }
     }
 
@@ -95,7 +95,7 @@
      * first.
      */
     public double ageS() {
-        double now = timers.wallMs();
+        double now = timers.wallClockMillis();
         return (now - siblings.stream().mapToDouble(this::untilMs).min().orElse(now)) / 1000;
     }
 
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -81,8 +81,8 @@
         this.listener = listener;
         // Short against the workers' lease, so that a new leader is there well before their work is
         // given up.
-        this.lifeS = Math.max(2, settings.workers().reportS());
-        this.servedAt = timers.now();
+        this.lifeS = Math.max(2, settings.workers().heartbeatIntervalSeconds());
+        this.servedAt = timers.nowSeconds();
         this.incarnation = incarnation;
     }
 
@@ -117,7 +117,7 @@
 
     /** Seconds since the store last answered us. */
     public double unservedS() {
-        return timers.now() - servedAt;
+        return timers.nowSeconds() - servedAt;
     }
 
     /**
@@ -125,7 +125,7 @@
      * its last renewal. A leader for whom it may be over starts nothing and asks for nothing.
      */
     public boolean inTouch() {
-        return timers.now() - renewedAt < lifeS * (1 - DRIFT);
+        return timers.nowSeconds() - renewedAt < lifeS * (1 - DRIFT);
     }
 
     /**
@@ -161,7 +161,7 @@
         }
         leading = false;
         leader = null;
-        store.revoke(lease); // Nobody need wait for it to run out.
+        store.revokeLease(lease); // Nobody need wait for it to run out.
         LOG.info("no longer leader with token {}: {}", token, why);
         listener.lost(why);
     }
@@ -176,18 +176,18 @@
                         served();
                         heard(entry.value());
                         follow(entry.revision());
-                    } else if (outcome == Outcome.NO) {
+                    } else if (outcome == Outcome.REJECTED) {
                         served();
                         absent();
                     } else {
-                        timers.after(retryS(), this::look);
+                        timers.schedule(retryS(), this::look);
                     }
                 });
     }
 
     private void follow(long from) {
         long holdMs = (long) (lifeS * 500);
-        store.follow(
+        store.watch(
                 StoreKeys.LEADER,
                 from,
                 holdMs,
@@ -197,7 +197,7 @@
                     if (changes.outcome() == Outcome.OK) {
                         look();
                     } else {
-                        timers.after(retryS(), this::look);
+                        timers.schedule(retryS(), this::look);
                     }
                 });
     }
@@ -229,7 +229,7 @@
                     LOG.info(
                             "an earlier process of this node led with token {}: its lease is ended",
                             held);
-                    store.revoke(document.count("lease"));
+                    store.revokeLease(document.count("lease"));
                 }
             }
             case TWIN -> {
@@ -266,7 +266,7 @@
         // end each other's lease in turns, since only the later one ever ends one, and this one
         // does not race with it.
         double patience = twin ? lifeS : 0;
-        timers.after(patience + random.nextDouble() * 0.1, this::campaign);
+        timers.schedule(patience + random.nextDouble() * 0.1, this::campaign);
     }
 
     private double retryS() {
@@ -274,7 +274,7 @@
     }
 
     private void served() {
-        servedAt = timers.now();
+        servedAt = timers.nowSeconds();
     }
 
     // ---- taking and keeping the lease -----------------------------------------------------------
@@ -284,21 +284,21 @@
             return;
         }
         campaigning = true;
-        double asked = timers.now();
-        store.grant(
+        double asked = timers.nowSeconds();
+        store.grantLease(
                 (long) (lifeS * 1000),
                 (outcome, id) -> {
                     if (outcome != Outcome.OK) {
                         campaigning = false;
-                        timers.after(retryS(), this::look);
+                        timers.schedule(retryS(), this::look);
                         return;
                     }
                     store.get(
                             StoreKeys.TOKEN,
                             (got, entry) -> {
-                                if (got != Outcome.OK && got != Outcome.NO) {
+                                if (got != Outcome.OK && got != Outcome.REJECTED) {
                                     campaigning = false;
-                                    timers.after(retryS(), this::look);
+                                    timers.schedule(retryS(), this::look);
                                     return;
                                 }
                                 long last =
@@ -327,8 +327,8 @@
         block.put("token", next);
         store.commit(
                 new Transaction()
-                        .when(StoreKeys.LEADER, 0)
-                        .when(StoreKeys.TOKEN, tokenRevision)
+                        .requireRevision(StoreKeys.LEADER, 0)
+                        .requireRevision(StoreKeys.TOKEN, tokenRevision)
                         .put(StoreKeys.LEADER, key, id)
                         .put(StoreKeys.BLOCKS + "all", block, id)
                         .put(StoreKeys.TOKEN, Map.of("token", next)),
@@ -337,7 +337,7 @@
                     if (result.outcome() == Outcome.OK && retired) {
                         // Guards against a node that is being stopped and begins to lead, as its
                         // claim was under way.
-                        store.revoke(id);
+                        store.revokeLease(id);
                     } else if (result.outcome() == Outcome.OK) {
                         served();
                         leading = true;
@@ -355,21 +355,21 @@
                     } else {
                         // After an unknown outcome the key may be ours with nobody behind it;
                         // ending the lease removes it.
-                        store.revoke(id);
-                        timers.after(retryS(), this::look);
+                        store.revokeLease(id);
+                        timers.schedule(retryS(), this::look);
                     }
                 });
     }
 
     private void renewLater(long id) {
-        timers.after(
+        timers.schedule(
                 lifeS / 5,
                 () -> {
                     if (!leading || lease != id) {
                         return;
                     }
-                    double asked = timers.now();
-                    store.renew(
+                    double asked = timers.nowSeconds();
+                    store.renewLease(
                             id,
                             outcome -> {
                                 if (!leading || lease != id) {
@@ -379,7 +379,7 @@
                                 if (outcome == Outcome.OK) {
                                     served();
                                     renewedAt = asked;
-                                } else if (outcome == Outcome.NO) {
+                                } else if (outcome == Outcome.REJECTED) {
                                     stepDown("our lease ended");
                                     return;
                                 }
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -36,9 +36,9 @@
     }
 
     public void told(String by, boolean isServed) {
-        heard.put(by, timers.now());
+        heard.put(by, timers.nowSeconds());
         if (isServed) {
-            served.put(by, timers.now());
+            served.put(by, timers.nowSeconds());
         } else {
             served.remove(by);
         }
@@ -49,12 +49,12 @@
      * second.
      */
     public boolean silent(String sibling) {
-        return timers.now() - heard.getOrDefault(sibling, -1e9) > 2.5;
+        return timers.nowSeconds() - heard.getOrDefault(sibling, -1e9) > 2.5;
     }
 
     /** Seconds since the sibling was heard; NaN if it never was. */
     public double silentS(String sibling) {
-        return timers.now() - heard.getOrDefault(sibling, Double.NaN);
+        return timers.nowSeconds() - heard.getOrDefault(sibling, Double.NaN);
     }
 
     public long silentOnes() {
@@ -68,7 +68,7 @@
 
     /** Whether some sibling says that the store serves it. */
     public boolean someServed() {
-        double now = timers.now();
+        double now = timers.nowSeconds();
         return served.values().stream().anyMatch(t -> now - t < FRESH_S);
     }
 
--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -19,17 +19,17 @@
         StoreLimits store,
         CloudLimits cloud,
         Limits limits,
-        double clockErrorMs) {
+        double clockErrorMillis) {
 
     /** Guarantees and limits; 0 means none. */
-    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+    public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
-    /** {@code times}: of a job's own deadline; 1 unless that is what the objective is about. */
+    /** {@code deadlineFactor}: of a job's own deadline; 1 unless that is what the objective is about. */
     public record Objective(
-            String kind, String jobClass, double withinS, double times, double share) {}
+            String kind, String jobClass, double withinSeconds, double deadlineFactor, double targetShare) {}
 
     public record Workers(
-            double reportS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {
+            double heartbeatIntervalSeconds, double leaseSeconds, double gangStartTimeoutSeconds, double gangPeerTimeoutSeconds, double cancelDeadlineSeconds) {
         /**
          * For how long workers may be answered without knowing what was cancelled, in seconds:
          * their lease has to run out after the last answer, in {@code cancelS} altogether. Two
@@ -38,10 +38,10 @@
          * which only matters where {@code cancelS} is hardly longer than the lease, so that no way
          * of answering keeps the rule for a machine that falls silent.
          */
-        public double marginS() {
+        public double cancellationStalenessSeconds() {
             // Not longer than a lease of theirs: by then another node leads, which they would have
             // to reach as well.
-            return Math.max(reportS, Math.min(leaseS, cancelS - leaseS - 2 * reportS - 1));
+            return Math.max(heartbeatIntervalSeconds, Math.min(leaseSeconds, cancelDeadlineSeconds - leaseSeconds - 2 * heartbeatIntervalSeconds - 1));
         }
     }
 
@@ -50,34 +50,34 @@
      * fallen: whoever writes keeps to the lower ones from the start, since nobody says when they
      * fall.
      *
-     * @param layoutKb the size of values by which records are laid out that earlier versions wrote,
+     * @param layoutValueKibibytes the size of values by which records are laid out that earlier versions wrote,
      *     and may still read
      */
     public record StoreLimits(
-            double rps, double writeRps, double valueKb, int txnOps, double layoutKb) {
+            double requestsPerSecond, double writesPerSecond, double maxValueKibibytes, int maxTransactionOperations, double layoutValueKibibytes) {
         public StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {
             this(rps, writeRps, valueKb, txnOps, valueKb);
         }
 
         /** The lower of each; records stay laid out as they are. */
-        public StoreLimits andLater(StoreLimits next) {
+        public StoreLimits tightenedBy(StoreLimits next) {
             return new StoreLimits(
-                    Math.min(rps, next.rps),
-                    Math.min(writeRps, next.writeRps),
-                    Math.min(valueKb, next.valueKb),
-                    Math.min(txnOps, next.txnOps),
-                    layoutKb);
+                    Math.min(requestsPerSecond, next.requestsPerSecond),
+                    Math.min(writesPerSecond, next.writesPerSecond),
+                    Math.min(maxValueKibibytes, next.maxValueKibibytes),
+                    Math.min(maxTransactionOperations, next.maxTransactionOperations),
+                    layoutValueKibibytes);
         }
 
         /** The bytes, in the JSON form that the state service counts, that a value may have. */
-        public int valueBytes() {
-            return (int) (valueKb * 1024);
+        public int maxValueBytes() {
+            return (int) (maxValueKibibytes * 1024);
         }
     }
 
-    public record CloudLimits(double rps, double listLagS) {}
+    public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
-    public record Limits(double cpu, double ramMb, int sockets) {}
+    public record Limits(double cpuCores, double ramMegabytes, int maxSockets) {}
 
     /** The same with other limits and guarantees. */
     public ClusterSettings withTeams(Map<String, Team> others) {
@@ -92,7 +92,7 @@
                 store,
                 cloud,
                 limits,
-                clockErrorMs);
+                clockErrorMillis);
     }
 
     /**
@@ -101,12 +101,12 @@
      * deployment: a part's key means these tasks, to nodes of every version.
      */
     public int tasksPerPart() {
-        return tasksPerPart(store.layoutKb);
+        return tasksPerPart(store.layoutValueKibibytes);
     }
 
     /** The same for parts that stay under the value limit whatever machines their tasks are on. */
-    public int tasksPerNarrowPart() {
-        return tasksPerPart(store.valueKb);
+    public int tasksPerCompactPart() {
+        return tasksPerPart(store.maxValueKibibytes);
     }
 
     private static int tasksPerPart(double valueKb) {
@@ -117,26 +117,26 @@
      * By when after its submission a job has to start to meet what is expected of it, the soonest
      * first: the objectives of its class, its own deadline; ten leases if nothing is said.
      */
-    public double[] startWithinS(JobSpec spec) {
-        return startWithinS(spec, 0);
+    public double[] startDeadlinesSeconds(JobSpec spec) {
+        return startDeadlinesSeconds(spec, 0);
     }
 
     /**
      * The same for a job that could not start for that many seconds, since it waited for others:
      * its deadline counts from its submission, everything else from then.
      */
-    public double[] startWithinS(JobSpec spec, double readyAfterS) {
+    public double[] startDeadlinesSeconds(JobSpec spec, double readyAfterS) {
         List<Double> goals = new ArrayList<>();
         for (Objective objective : objectives) {
             if (!objective.jobClass.equals(spec.jobClass())) {
                 continue;
             }
             switch (objective.kind) {
-                case "wait" -> goals.add(readyAfterS + objective.withinS);
-                case "finished" -> goals.add(readyAfterS + objective.withinS - spec.estimateS());
+                case "wait" -> goals.add(readyAfterS + objective.withinSeconds);
+                case "finished" -> goals.add(readyAfterS + objective.withinSeconds - spec.estimatedSeconds());
                 case "deadline" -> {
-                    if (spec.deadlineS() != null) {
-                        goals.add(spec.deadlineS() * objective.times - spec.estimateS());
+                    if (spec.deadlineSeconds() != null) {
+                        goals.add(spec.deadlineSeconds() * objective.deadlineFactor - spec.estimatedSeconds());
                     }
                 }
                 default -> {} // Not about single jobs.
@@ -144,9 +144,9 @@
         }
         if (goals.isEmpty()) {
             goals.add(
-                    spec.deadlineS() != null
-                            ? spec.deadlineS() - spec.estimateS()
-                            : readyAfterS + 10 * workers.leaseS());
+                    spec.deadlineSeconds() != null
+                            ? spec.deadlineSeconds() - spec.estimatedSeconds()
+                            : readyAfterS + 10 * workers.leaseSeconds());
         }
         return goals.stream().mapToDouble(Double::doubleValue).sorted().toArray();
     }
@@ -155,8 +155,8 @@
      * Within what times after its submission a job has to be done for its own deadline, as its
      * class's objectives count it; the soonest first, none if it has no deadline.
      */
-    public double[] deadlinesS(JobSpec spec) {
-        if (spec.deadlineS() == null) {
+    public double[] ownDeadlinesSeconds(JobSpec spec) {
+        if (spec.deadlineSeconds() == null) {
             return new double[0];
         }
         double[] of =
@@ -165,10 +165,10 @@
                                 objective ->
                                         objective.kind.equals("deadline")
                                                 && objective.jobClass.equals(spec.jobClass()))
-                        .mapToDouble(objective -> spec.deadlineS() * objective.times)
+                        .mapToDouble(objective -> spec.deadlineSeconds() * objective.deadlineFactor)
                         .sorted()
                         .toArray();
-        return of.length > 0 ? of : new double[] {spec.deadlineS()};
+        return of.length > 0 ? of : new double[] {spec.deadlineSeconds()};
     }
 
     /**
@@ -177,7 +177,7 @@
      *
      * @param readyAfterS for how long it waited for other jobs
      */
-    public double servedWithinS(JobSpec spec, double readyAfterS) {
+    public double latestUsefulCompletionSeconds(JobSpec spec, double readyAfterS) {
         double most = Double.NaN;
         for (Objective objective : objectives) {
             if (!objective.jobClass.equals(spec.jobClass())) {
@@ -185,26 +185,26 @@
             }
             double within =
                     objective.kind.equals("finished")
-                            ? readyAfterS + objective.withinS
-                            : objective.kind.equals("deadline") && spec.deadlineS() != null
-                                    ? spec.deadlineS() * objective.times
+                            ? readyAfterS + objective.withinSeconds
+                            : objective.kind.equals("deadline") && spec.deadlineSeconds() != null
+                                    ? spec.deadlineSeconds() * objective.deadlineFactor
                                     : Double.NaN;
             most = Double.isNaN(most) || within > most ? within : most;
         }
-        return Double.isNaN(most) && spec.deadlineS() != null ? spec.deadlineS() : most;
+        return Double.isNaN(most) && spec.deadlineSeconds() != null ? spec.deadlineSeconds() : most;
     }
 
     /**
      * The shortest time within which the class's jobs are expected to finish; {@code absent} if
      * nothing is said.
      */
-    public double finishWithinS(String jobClass, double absent) {
+    public double shortestFinishObjectiveSeconds(String jobClass, double absent) {
         return objectives.stream()
                 .filter(
                         objective ->
                                 objective.kind.equals("finished")
                                         && objective.jobClass.equals(jobClass))
-                .mapToDouble(Objective::withinS)
+                .mapToDouble(Objective::withinSeconds)
                 .min()
                 .orElse(absent);
     }
--- a/src/main/java/io/kitepath/core/model/DocumentReader.java
+++ b/src/main/java/io/kitepath/core/model/DocumentReader.java
@@ -10,11 +10,11 @@
  */
 public final class DocumentReader {
     private final Map<?, ?> map;
-    private final String at;
+    private final String path;
 
     private DocumentReader(Map<?, ?> map, String at) {
         this.map = map;
-        this.at = at;
+        this.path = at;
     }
 
     public static DocumentReader of(Object value) {
@@ -40,7 +40,7 @@
         if (map.get(name) instanceof String s) {
             return s;
         }
-        throw wrong(name, "text");
+        throw wrongType(name, "text");
     }
 
     public String textOr(String name, String absent) {
@@ -51,12 +51,12 @@
     public double number(String name, double least) {
         Object v = map.get(name);
         if (!(v instanceof Long) && !(v instanceof Double)) {
-            throw wrong(name, "a number");
+            throw wrongType(name, "a number");
         }
         double d = ((Number) v).doubleValue();
         if (!Double.isFinite(d) || d < least) {
             throw new InvalidInputException(
-                    at + name + ": must be a finite number of at least " + least);
+                    path + name + ": must be a finite number of at least " + least);
         }
         return d;
     }
@@ -73,10 +73,10 @@
         } else if (v instanceof Double d && d == Math.rint(d) && Math.abs(d) < 1L << 53) {
             n = d.longValue();
         } else {
-            throw wrong(name, "an integer");
+            throw wrongType(name, "an integer");
         }
         if (n < least || n > most) {
-            throw new InvalidInputException(at + name + ": must be from " + least + " to " + most);
+            throw new InvalidInputException(path + name + ": must be from " + least + " to " + most);
         }
         return n;
     }
@@ -89,28 +89,28 @@
         if (map.get(name) instanceof Boolean b) {
             return b;
         }
-        throw wrong(name, "true or false");
+        throw wrongType(name, "true or false");
     }
 
     public DocumentReader child(String name) {
         if (map.get(name) instanceof Map<?, ?> m) {
-            return new DocumentReader(m, at + name + ".");
+            return new DocumentReader(m, path + name + ".");
         }
-        throw wrong(name, "a map");
+        throw wrongType(name, "a map");
     }
 
     public List<?> list(String name) {
         if (map.get(name) instanceof List<?> l) {
             return l;
         }
-        throw wrong(name, "a list");
+        throw wrongType(name, "a list");
     }
 
     public List<DocumentReader> children(String name) {
         List<DocumentReader> out = new ArrayList<>();
         int i = 0;
         for (Object o : list(name)) {
-            String where = at + name + "[" + i++ + "].";
+            String where = path + name + "[" + i++ + "].";
             if (!(o instanceof Map<?, ?> m)) {
                 throw new InvalidInputException(
                         where.substring(0, where.length() - 1) + ": must be a map");
@@ -124,7 +124,7 @@
         List<String> out = new ArrayList<>();
         for (Object o : list(name)) {
             if (!(o instanceof String s)) {
-                throw wrong(name, "a list of text");
+                throw wrongType(name, "a list of text");
             }
             out.add(s);
         }
@@ -132,12 +132,12 @@
     }
 
     /** A complaint about the field that names where it is. */
-    public InvalidInputException complaint(String name, String reason) {
-        return new InvalidInputException(at + name + ": " + reason);
+    public InvalidInputException invalid(String name, String reason) {
+        return new InvalidInputException(path + name + ": " + reason);
     }
 
-    private InvalidInputException wrong(String name, String kind) {
+    private InvalidInputException wrongType(String name, String kind) {
         return new InvalidInputException(
-                at + name + (has(name) ? ": must be " + kind : ": is missing"));
+                path + name + (has(name) ? ": must be " + kind : ": is missing"));
     }
 }
--- a/src/main/java/io/kitepath/core/model/Heartbeat.java
+++ b/src/main/java/io/kitepath/core/model/Heartbeat.java
@@ -7,41 +7,41 @@
  * one.
  */
 public record Heartbeat(
-        String machine,
+        String machineId,
         String address,
-        String type,
+        String machineType,
         String zone,
         boolean spot,
-        long session,
+        long agentIncarnation,
         long sequence,
-        long token,
-        Double noticeS,
+        long fencingToken,
+        Double noticeSeconds,
         List<TaskStatus> tasks) {
 
     /** A task on the machine; {@code cause} is null unless it ended. */
-    public record TaskStatus(String job, int task, long attempt, TaskState state, EndCause cause) {}
+    public record TaskStatus(String jobId, int task, long attempt, TaskState state, EndCause cause) {}
 
     /** Whether it was sent after the one of its machine that had these. */
-    public boolean newerThan(long otherSession, long otherSequence) {
-        return session > otherSession || session == otherSession && sequence > otherSequence;
+    public boolean isNewerThan(long otherSession, long otherSequence) {
+        return agentIncarnation > otherSession || agentIncarnation == otherSession && sequence > otherSequence;
     }
 
     public enum TaskState {
-        FETCHING,
-        WAITING,
+        FETCHING_IMAGE,
+        WAITING_FOR_GANG,
         RUNNING,
-        SAVING,
+        SAVING_CHECKPOINT,
         ENDED
     }
 
     public enum EndCause {
         DONE,
         STOPPED,
-        PEERS,
-        ALONE,
+        GANG_PEER_LOST,
+        GANG_START_TIMEOUT,
         ERROR,
-        NO_ROOM,
-        BUSY,
-        UNKNOWN
+        INSUFFICIENT_RESOURCES,
+        OTHER_ATTEMPT_PRESENT,
+        UNKNOWN_TASK
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -16,41 +16,41 @@
  * that comes back and starts a job before those that it needs, or reads a part's key as other tasks
  * and starts them twice.
  *
- * @param submittedMs by the time of day of the node that accepted it
- * @param needs jobs that have to be done before any task of this one starts
- * @param partTasks how many tasks one of its parts holds; 0: as {@link
+ * @param submittedMillis by the time of day of the node that accepted it
+ * @param dependencies jobs that have to be done before any task of this one starts
+ * @param tasksPerPart how many tasks one of its parts holds; 0: as {@link
  *     ClusterSettings#tasksPerPart} says
- * @param next the number of its next attempt, at least; 0 if its parts say all
+ * @param nextAttempt the number of its next attempt, at least; 0 if its parts say all
  */
 public record JobRecord(
-        JobSpec spec, double submittedMs, List<String> needs, int partTasks, long next) {
+        JobSpec spec, double submittedMillis, List<String> dependencies, int tasksPerPart, long nextAttempt) {
     /** After a shape's name, where earlier versions must not read the record. */
-    private static final String LATER = "/2";
+    private static final String NEWER_SHAPE_SUFFIX = "/2";
 
     public JobRecord {
-        needs = List.copyOf(needs);
+        dependencies = List.copyOf(dependencies);
     }
 
-    public Map<String, Object> toMap() {
+    public Map<String, Object> toRecord() {
         Map<String, Object> m = spec.toRecord();
-        if (!needs.isEmpty() || partTasks > 0) {
-            m.put("shape", spec.shape().name() + LATER);
+        if (!dependencies.isEmpty() || tasksPerPart > 0) {
+            m.put("shape", spec.shape().name() + NEWER_SHAPE_SUFFIX);
         }
-        if (!needs.isEmpty()) {
-            m.put("needs", needs);
+        if (!dependencies.isEmpty()) {
+            m.put("needs", dependencies);
         }
-        if (partTasks > 0) {
-            m.put("partTasks", (long) partTasks);
+        if (tasksPerPart > 0) {
+            m.put("partTasks", (long) tasksPerPart);
         }
-        if (next > 0) {
-            m.put("next", next);
+        if (nextAttempt > 0) {
+            m.put("next", nextAttempt);
         }
-        m.put("submittedMs", submittedMs);
+        m.put("submittedMs", submittedMillis);
         return m;
     }
 
     /** Of a name that may be cut. */
-    private static final int SLIM = 40;
+    private static final int TRIMMED_NAME_LENGTH = 40;
 
     /**
      * What is kept of a job that is over: what it waited for does not matter any more, and where
@@ -59,14 +59,14 @@
      *
      * @param extra what is said besides
      */
-    public Map<String, Object> overMap(Map<String, Object> extra, int bytes) {
-        Map<String, Object> m = new JobRecord(spec, submittedMs, List.of(), partTasks, 0).toMap();
+    public Map<String, Object> toFinishedRecord(Map<String, Object> extra, int bytes) {
+        Map<String, Object> m = new JobRecord(spec, submittedMillis, List.of(), tasksPerPart, 0).toRecord();
         m.putAll(extra);
-        if (JsonSize.size(m) > bytes) {
+        if (JsonSize.sizeInBytes(m) > bytes) {
             m.put("types", null);
             for (String name : List.of("class", "image")) {
                 String s = (String) m.get(name);
-                m.put(name, s.substring(0, Math.min(SLIM, s.length())));
+                m.put(name, s.substring(0, Math.min(TRIMMED_NAME_LENGTH, s.length())));
             }
         }
         return m;
@@ -76,7 +76,7 @@
      * A submission's needs: each once, in their order by name, so that two records of one
      * submission are equal.
      */
-    public static List<String> distinct(List<String> needs) {
+    public static List<String> distinctSorted(List<String> needs) {
         Set<String> once = new TreeSet<>(needs);
         return new ArrayList<>(once);
     }
@@ -87,7 +87,7 @@
      * @throws InvalidInputException if it is not a job's record
      * @throws IllegalArgumentException if it has names that this version does not know
      */
-    public static JobRecord of(String id, Object record) {
+    public static JobRecord fromRecord(String id, Object record) {
         DocumentReader document = DocumentReader.of(record);
         return new JobRecord(
                 JobSpec.fromRecord(id, record),
@@ -99,8 +99,8 @@
                 document.has("next") ? document.count("next") : 0);
     }
 
-    static JobSpec.Shape shape(String name) {
+    static JobSpec.Shape parseShape(String name) {
         return JobSpec.Shape.valueOf(
-                name.endsWith(LATER) ? name.substring(0, name.length() - LATER.length()) : name);
+                name.endsWith(NEWER_SHAPE_SUFFIX) ? name.substring(0, name.length() - NEWER_SHAPE_SUFFIX.length()) : name);
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -13,21 +13,21 @@
         String team,
         Shape shape,
         Priority priority,
-        int tasks,
-        double cpus,
-        double gpus,
-        double memoryGb,
-        List<String> types,
+        int taskCount,
+        double cpusPerTask,
+        double gpusPerTask,
+        double memoryGigabytesPerTask,
+        List<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
-        boolean spot,
+        boolean isSingleZone,
+        boolean isSpreadAcrossZones,
+        boolean allowsSpot,
         String image,
-        double imageGb,
-        double estimateS,
-        double checkpointS,
-        double saveS,
-        Double deadlineS) {
+        double imageGigabytes,
+        double estimatedSeconds,
+        double checkpointIntervalSeconds,
+        double checkpointSaveSeconds,
+        Double deadlineSeconds) {
 
     public enum Shape {
         ARRAY,
@@ -43,18 +43,18 @@
         LOW
     }
 
-    public boolean gang() {
+    public boolean isGang() {
         return shape == Shape.GANG;
     }
 
     /** How long a task that is stopped gets to save its progress; 0 if it can't. */
-    public double stopGraceS() {
-        return checkpointS > 0 ? saveS : 0;
+    public double stopGraceSeconds() {
+        return checkpointIntervalSeconds > 0 ? checkpointSaveSeconds : 0;
     }
 
     /** How many tasks the job may have in one zone. */
-    public int mostPerZone() {
-        return spread ? (tasks + 1) / 2 : tasks;
+    public int maxTasksPerZone() {
+        return isSpreadAcrossZones ? (taskCount + 1) / 2 : taskCount;
     }
 
     /** The form that is kept in the state service, as a part of {@link JobRecord}. */
@@ -64,21 +64,21 @@
         m.put("team", team);
         m.put("shape", shape.name());
         m.put("priority", priority.name());
-        m.put("tasks", (long) tasks);
-        m.put("cpus", cpus);
-        m.put("gpus", gpus);
-        m.put("memory", memoryGb);
-        m.put("types", types);
+        m.put("tasks", (long) taskCount);
+        m.put("cpus", cpusPerTask);
+        m.put("gpus", gpusPerTask);
+        m.put("memory", memoryGigabytesPerTask);
+        m.put("types", machineTypes);
         m.put("zone", zone);
-        m.put("oneZone", oneZone);
-        m.put("spread", spread);
-        m.put("spot", spot);
+        m.put("oneZone", isSingleZone);
+        m.put("spread", isSpreadAcrossZones);
+        m.put("spot", allowsSpot);
         m.put("image", image);
-        m.put("imageGb", imageGb);
-        m.put("estimate", estimateS);
-        m.put("checkpoint", checkpointS);
-        m.put("save", saveS);
-        m.put("deadline", deadlineS);
+        m.put("imageGb", imageGigabytes);
+        m.put("estimate", estimatedSeconds);
+        m.put("checkpoint", checkpointIntervalSeconds);
+        m.put("save", checkpointSaveSeconds);
+        m.put("deadline", deadlineSeconds);
         return m;
     }
 
@@ -88,7 +88,7 @@
                 id,
                 document.text("class"),
                 document.text("team"),
-                JobRecord.shape(document.text("shape")),
+                JobRecord.parseShape(document.text("shape")),
                 Priority.valueOf(document.text("priority")),
                 (int) document.integer("tasks", 1, Integer.MAX_VALUE),
                 document.number("cpus", 0),
@@ -112,33 +112,33 @@
      *
      * @param elsewhere zones of other cells, where all types may be had
      */
-    public String impossible(
+    public String reasonImpossible(
             Map<String, MachineType> known, ClusterSettings settings, Set<String> elsewhere) {
         ClusterSettings.Team t = settings.teams().get(team);
         if (t == null) {
             return "unknown team " + team;
         }
-        Set<String> zones = zones(known, elsewhere);
+        Set<String> zones = feasibleZones(known, elsewhere);
         if (zones.isEmpty()) {
             return "a task fits no allowed machine type";
         }
-        int atOnce = shape == Shape.ARRAY ? 1 : tasks;
-        if (t.cpusMax() > 0 && atOnce * cpus > t.cpusMax() + 1e-9
-                || t.gpusMax() > 0 && atOnce * gpus > t.gpusMax() + 1e-9) {
+        int atOnce = shape == Shape.ARRAY ? 1 : taskCount;
+        if (t.maxCpus() > 0 && atOnce * cpusPerTask > t.maxCpus() + 1e-9
+                || t.maxGpus() > 0 && atOnce * gpusPerTask > t.maxGpus() + 1e-9) {
             return "more than the limit of team " + team;
         }
         // An array runs by halves, but the others need all their tasks at the same time.
-        if (shape != Shape.ARRAY && spread && tasks > 1 && (oneZone || zones.size() == 1)) {
+        if (shape != Shape.ARRAY && isSpreadAcrossZones && taskCount > 1 && (isSingleZone || zones.size() == 1)) {
             return "only half of the tasks may be in one zone, and no other is allowed";
         }
         return null;
     }
 
     /** Allowed zones in which there may be machines that hold a task. */
-    private Set<String> zones(Map<String, MachineType> known, Set<String> elsewhere) {
+    private Set<String> feasibleZones(Map<String, MachineType> known, Set<String> elsewhere) {
         Set<String> out = new HashSet<>();
         known.values().stream()
-                .filter(this::fits)
+                .filter(this::fitsOn)
                 .forEach(
                         type -> {
                             out.addAll(type.zones());
@@ -148,10 +148,10 @@
         return out;
     }
 
-    private boolean fits(MachineType type) {
-        return (types == null || types.contains(type.name()))
-                && cpus <= type.cpus()
-                && gpus <= type.gpus()
-                && memoryGb <= type.memoryGb();
+    private boolean fitsOn(MachineType type) {
+        return (machineTypes == null || machineTypes.contains(type.name()))
+                && cpusPerTask <= type.cpus()
+                && gpusPerTask <= type.gpus()
+                && memoryGigabytesPerTask <= type.memoryGigabytes();
     }
 }
--- a/src/main/java/io/kitepath/core/model/JsonSize.java
+++ b/src/main/java/io/kitepath/core/model/JsonSize.java
@@ -9,42 +9,42 @@
  */
 public final class JsonSize {
     /** A number with a fraction, whoever prints it. */
-    private static final int DOUBLE = 20;
+    private static final int MAX_DOUBLE_BYTES = 20;
 
     /** A character outside ASCII as an escape. */
-    private static final int ESCAPED = 6;
+    private static final int ESCAPE_BYTES = 6;
 
     private JsonSize() {}
 
     /** In bytes, of plain maps, lists, text, numbers, booleans and null. */
-    public static int size(Object value) {
+    public static int sizeInBytes(Object value) {
         if (value instanceof String s) {
-            return size(s);
+            return sizeInBytes(s);
         }
         if (value instanceof Map<?, ?> map) {
             int n = 2;
             for (Map.Entry<?, ?> e : map.entrySet()) {
-                n += size((String) e.getKey()) + 4 + size(e.getValue());
+                n += sizeInBytes((String) e.getKey()) + 4 + sizeInBytes(e.getValue());
             }
             return n;
         }
         if (value instanceof List<?> list) {
             int n = 2;
             for (Object o : list) {
-                n += size(o) + 2;
+                n += sizeInBytes(o) + 2;
             }
             return n;
         }
         return value instanceof Double || value instanceof Float
-                ? DOUBLE
+                ? MAX_DOUBLE_BYTES
                 : String.valueOf(value).length();
     }
 
-    private static int size(String s) {
+    private static int sizeInBytes(String s) {
         int n = 2;
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
-            n += c == '"' || c == '\\' ? 2 : c < 0x20 || c > 0x7e ? ESCAPED : 1;
+            n += c == '"' || c == '\\' ? 2 : c < 0x20 || c > 0x7e ? ESCAPE_BYTES : 1;
         }
         return n;
     }
--- a/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
+++ b/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
@@ -34,7 +34,7 @@
     }
 
     /** What was begun then has ended now. */
-    public void on(Activity what, double begun) {
+    public void record(Activity what, double begun) {
         seconds.merge(what, now() - begun, Double::sum);
     }
 
--- a/src/main/java/io/kitepath/core/model/MachineType.java
+++ b/src/main/java/io/kitepath/core/model/MachineType.java
@@ -8,12 +8,12 @@
         String name,
         double cpus,
         double gpus,
-        double memoryGb,
-        double cacheGb,
-        double fetchGbPerS,
-        double price,
-        double spotPrice,
-        double bootS,
+        double memoryGigabytes,
+        double cacheGigabytes,
+        double fetchGigabytesPerSecond,
+        double pricePerHour,
+        double spotPricePerHour,
+        double bootSeconds,
         List<String> zones) {
 
     public Map<String, Object> toRecord() {
@@ -21,12 +21,12 @@
         m.put("name", name);
         m.put("cpus", cpus);
         m.put("gpus", gpus);
-        m.put("memory", memoryGb);
-        m.put("cache", cacheGb);
-        m.put("fetch", fetchGbPerS);
-        m.put("price", price);
-        m.put("spotPrice", spotPrice);
-        m.put("boot", bootS);
+        m.put("memory", memoryGigabytes);
+        m.put("cache", cacheGigabytes);
+        m.put("fetch", fetchGigabytesPerSecond);
+        m.put("price", pricePerHour);
+        m.put("spotPrice", spotPricePerHour);
+        m.put("boot", bootSeconds);
         m.put("zones", zones);
         return m;
     }
--- a/src/main/java/io/kitepath/core/model/TokenBucket.java
+++ b/src/main/java/io/kitepath/core/model/TokenBucket.java
@@ -2,33 +2,33 @@
 
 /** A token bucket with one second's burst, as the outside services count. */
 public final class TokenBucket {
-    private final double perSecond;
-    private double filled;
-    private double at = Double.NaN;
+    private final double ratePerSecond;
+    private double tokens;
+    private double updatedAtSeconds = Double.NaN;
 
     public TokenBucket(double perSecond) {
-        this.perSecond = perSecond;
-        this.filled = perSecond;
+        this.ratePerSecond = perSecond;
+        this.tokens = perSecond;
     }
 
     public double available(double now) {
-        if (!Double.isNaN(at)) {
-            filled = Math.min(perSecond, filled + (now - at) * perSecond);
+        if (!Double.isNaN(updatedAtSeconds)) {
+            tokens = Math.min(ratePerSecond, tokens + (now - updatedAtSeconds) * ratePerSecond);
         }
-        at = now;
-        return filled;
+        updatedAtSeconds = now;
+        return tokens;
     }
 
-    public boolean take(double n, double now) {
+    public boolean tryTake(double n, double now) {
         if (available(now) < n) {
             return false;
         }
-        filled -= n;
+        tokens -= n;
         return true;
     }
 
     /** In how many seconds that many will be there, if nobody else takes any. */
-    public double inS(double n, double now) {
-        return Math.max(0, (n - available(now)) / perSecond);
+    public double secondsUntil(double n, double now) {
+        return Math.max(0, (n - available(now)) / ratePerSecond);
     }
 }
--- a/src/main/java/io/kitepath/core/port/Cloud.java
+++ b/src/main/java/io/kitepath/core/port/Cloud.java
@@ -8,9 +8,9 @@
 /** Rents machines by the second. */
 public interface Cloud {
     record Listed(
-            String machine, String type, String zone, boolean spot, String status, double heldS) {}
+            String machineId, String machineType, String zone, boolean spot, String status, double heldSeconds) {}
 
-    void types(BiConsumer<Store.Outcome, List<MachineType>> answer);
+    void listMachineTypes(BiConsumer<Store.Outcome, List<MachineType>> answer);
 
     /**
      * NO: no capacity. The same name must be used again after an unknown outcome, and never for
@@ -25,5 +25,5 @@
     /** OK: the machines and everything on them are gone. */
     void release(List<String> machines, java.util.function.Consumer<Store.Outcome> answer);
 
-    void list(BiConsumer<Store.Outcome, List<Listed>> answer);
+    void listMachines(BiConsumer<Store.Outcome, List<Listed>> answer);
 }
--- a/src/main/java/io/kitepath/core/port/PeerNodes.java
+++ b/src/main/java/io/kitepath/core/port/PeerNodes.java
@@ -17,22 +17,22 @@
      * @param leader itself if it leads, else null
      * @param served whether the store answers it
      */
-    void tell(long token, String leader, boolean served);
+    void announceState(long token, String leader, boolean served);
 
     /** To all: the store has it that this job is over. */
-    void over(JobStatus job);
+    void announceJobEnd(JobStatus job);
 
     /** To all that can read it: what this node knows to be cancelled. */
-    void digest(CancellationDigest digest);
+    void sendCancellationDigest(CancellationDigest digest);
 
     /** Asks the leader how far jobs are; answers an empty list if that can't be had soon. */
-    void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer);
+    void requestProgress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer);
 
     /**
      * Has a sibling answer a check-in, or pass it on to the leader if it may; false if it can't be
      * asked now.
      */
-    boolean relay(
+    boolean relayHeartbeat(
             String sibling,
             Heartbeat heartbeat,
             boolean passOn,
--- a/src/main/java/io/kitepath/core/port/Store.java
+++ b/src/main/java/io/kitepath/core/port/Store.java
@@ -16,8 +16,8 @@
      */
     enum Outcome {
         OK,
-        NO,
-        REFUSED,
+        REJECTED,
+        NOT_EXECUTED,
         UNKNOWN,
         INVALID
     }
@@ -27,16 +27,16 @@
     /** An entry with a null value was removed at that revision. */
     record WatchResult(Outcome outcome, long revision, List<Entry> events) {}
 
-    /** {@code more}: there are further entries after the last one. */
-    record ListResult(Outcome outcome, List<Entry> entries, long revision, boolean more) {}
+    /** {@code hasMore}: there are further entries after the last one. */
+    record ListResult(Outcome outcome, List<Entry> entries, long revision, boolean hasMore) {}
 
-    /** {@code failed} names the keys whose conditions did not hold. */
-    record CommitResult(Outcome outcome, long revision, List<String> failed, boolean leaseGone) {}
+    /** {@code failedKeys} names the keys whose conditions did not hold. */
+    record CommitResult(Outcome outcome, long revision, List<String> failedKeys, boolean isLeaseExpired) {}
 
     record Condition(String key, long revision) {}
 
     /** A null value removes the key; lease 0: none. */
-    record Write(String key, Object value, long lease) {}
+    record Write(String key, Object value, long leaseId) {}
 
     /** All or nothing, if every condition holds. */
     record Transaction(List<Condition> conditions, List<Write> writes) {
@@ -44,7 +44,7 @@
             this(new ArrayList<>(), new ArrayList<>());
         }
 
-        public Transaction when(String key, long revision) {
+        public Transaction requireRevision(String key, long revision) {
             conditions.add(new Condition(key, revision));
             return this;
         }
@@ -71,18 +71,18 @@
      * What is under the prefix after the key {@code from} (empty: from the start), in the keys'
      * order.
      */
-    void page(String prefix, String from, int limit, Consumer<ListResult> answer);
+    void list(String prefix, String from, int limit, Consumer<ListResult> answer);
 
     void commit(Transaction transaction, Consumer<CommitResult> answer);
 
     /** OK with the lease's id. */
-    void grant(long lifeMs, BiConsumer<Outcome, Long> answer);
+    void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer);
 
     /** NO: the lease is over. */
-    void renew(long lease, Consumer<Outcome> answer);
+    void renewLease(long lease, Consumer<Outcome> answer);
 
-    void revoke(long lease);
+    void revokeLease(long lease);
 
     /** Waits for changes after the revision; NO if it is too old to follow from. */
-    void follow(String prefix, long after, long holdMs, Consumer<WatchResult> answer);
+    void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer);
 }
--- a/src/main/java/io/kitepath/core/port/Timers.java
+++ b/src/main/java/io/kitepath/core/port/Timers.java
@@ -3,10 +3,10 @@
 /** The steady clock, the time of day, and things to do later, all on the event loop. */
 public interface Timers {
     /** Seconds on the steady clock. */
-    double now();
+    double nowSeconds();
 
     /** Milliseconds since 1970, right to within the settings' clock error. */
-    double wallMs();
+    double wallClockMillis();
 
-    void after(double seconds, Runnable run);
+    void schedule(double seconds, Runnable run);
 }
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -69,7 +69,7 @@
         this.timers = timers;
         this.random = random;
         this.lifeS = lifeS;
-        this.calls = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
+        this.calls = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
     }
 
     @Override
@@ -112,7 +112,7 @@
                         return;
                     }
                     if (listing.outcome() != Outcome.OK) {
-                        timers.after(0.3, () -> read(e));
+                        timers.schedule(0.3, () -> read(e));
                         return;
                     }
                     acts.clear();
@@ -125,7 +125,7 @@
         if (e != epoch) {
             return;
         }
-        store.follow(
+        store.watch(
                 StoreKeys.ACT,
                 from,
                 (long) (lifeS * 2000),
@@ -135,12 +135,12 @@
                     }
                     if (changes.outcome() == Outcome.OK) {
                         changes.events().forEach(this::found);
-                        tick(timers.now());
+                        tick(timers.nowSeconds());
                         follow(e, Math.max(from, changes.revision()));
-                    } else if (changes.outcome() == Outcome.NO) {
+                    } else if (changes.outcome() == Outcome.REJECTED) {
                         read(e);
                     } else {
-                        timers.after(0.3, () -> follow(e, from));
+                        timers.schedule(0.3, () -> follow(e, from));
                     }
                 });
     }
@@ -173,7 +173,7 @@
                     && now >= action.notBefore
                     && calls.available(now) >= 1
                     && held.certain().getAsBoolean()) {
-                calls.take(1, now);
+                calls.tryTake(1, now);
                 ask(action);
             }
         }
@@ -213,7 +213,7 @@
                             answered(
                                     e,
                                     action,
-                                    outcome == Outcome.OK ? outcome : Outcome.REFUSED,
+                                    outcome == Outcome.OK ? outcome : Outcome.NOT_EXECUTED,
                                     intent -> ((ReleaseIntent) intent).settle()));
         }
     }
@@ -224,8 +224,8 @@
         if (e != epoch || acts.get(action.intent.key) != action) {
             return; // Whoever has the duty now asks again, under the same name.
         }
-        double now = timers.now();
-        if (outcome != Outcome.OK && outcome != Outcome.NO) {
+        double now = timers.nowSeconds();
+        if (outcome != Outcome.OK && outcome != Outcome.REJECTED) {
             failed++;
             failingSince = Double.isNaN(failingSince) ? now : failingSince;
             action.notBefore =
@@ -246,8 +246,8 @@
         }
         Transaction transaction =
                 new Transaction()
-                        .when(held.key(), held.revision())
-                        .when(action.intent.key, action.intent.revision());
+                        .requireRevision(held.key(), held.revision())
+                        .requireRevision(action.intent.key, action.intent.revision());
         if (action.intent instanceof RentalIntent rental && rental.machines().isEmpty()) {
             transaction.remove(
                     rental.key); // Nothing came of it: the holder sees it gone, and need not write
@@ -264,10 +264,10 @@
                     switch (result.outcome()) {
                         // Struck off or settled already, also by a try of ours whose answer was
                         // lost: the records tell.
-                        case NO -> read(++epoch);
+                        case REJECTED -> read(++epoch);
                         case OK -> acts.remove(action.intent.key, action);
                         default ->
-                                timers.after(
+                                timers.schedule(
                                         0.1 + 0.1 * random.nextDouble(), () -> write(e, action));
                     }
                 });
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -128,8 +128,8 @@
     }
 
     private void known(RentalIntent rental) {
-        double now = timers.now();
-        double since = now - Math.max(0, timers.wallMs() - rental.askedMs()) / 1000;
+        double now = timers.nowSeconds();
+        double since = now - Math.max(0, timers.wallClockMillis() - rental.askedMs()) / 1000;
         rental.machines().forEach(m -> shard.rented(m, rental.kind, now, since));
     }
 
@@ -174,7 +174,7 @@
                         kind,
                         Math.min(MOST_RENTED, count),
                         shard.token(),
-                        timers.wallMs());
+                        timers.wallClockMillis());
         rentals.put(rental.key, rental);
         asked++;
         write(rental, rentals);
@@ -192,8 +192,8 @@
      * twice what the settings say, and may be older than the one before.
      */
     public void listed() {
-        double wallMs = timers.wallMs();
-        double lagMs = 1000 * settings.cloud().listLagS();
+        double wallMs = timers.wallClockMillis();
+        double lagMs = 1000 * settings.cloud().listLagSeconds();
         for (RentalIntent rental : new ArrayList<>(rentals.values())) {
             double age = wallMs - rental.askedMs();
             // Guards against a record kept for ever because a machine went before any list showed
@@ -224,7 +224,7 @@
     public void giveBack(Collection<String> machines) {
         List<String> batch = new ArrayList<>();
         // Bytes of a name with its quotes, in a value of limited size.
-        double left = settings.store().valueKb() * 1024 * 0.8;
+        double left = settings.store().maxValueKibibytes() * 1024 * 0.8;
         for (String m : machines) {
             left -= m.length() + 4;
             if (batch.size() < MOST_RETURNED && left > 0 && !going.contains(m)) {
@@ -267,7 +267,7 @@
                     @Override
                     public void board(Transaction transaction) {
                         transaction
-                                .when(intent.key, intent.revision())
+                                .requireRevision(intent.key, intent.revision())
                                 .put(intent.key, intent.record());
                     }
 
@@ -295,7 +295,7 @@
 
                     @Override
                     public void board(Transaction transaction) {
-                        transaction.when(intent.key, intent.revision()).remove(intent.key);
+                        transaction.requireRevision(intent.key, intent.revision()).remove(intent.key);
                     }
 
                     @Override
--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -57,7 +57,7 @@
     public void begin(LeasedRoles.RoleLease duty) {
         held = duty;
         // Not at once: whoever ends again and again would do nothing but look.
-        nextAt = timers.now() + settings.workers().leaseS();
+        nextAt = timers.nowSeconds() + settings.workers().leaseSeconds();
     }
 
     @Override
@@ -95,14 +95,14 @@
             return;
         }
         // One request a step, paced so that the sweep is not felt.
-        nextAt = now + 1 / (settings.store().rps() * RATE_SHARE);
+        nextAt = now + 1 / (settings.store().requestsPerSecond() * RATE_SHARE);
         if (!rubbish.isEmpty()) {
             remove(rubbish.poll());
             return;
         }
         if (audit == null) {
             strangeNow = 0;
-            audit = new OrphanScan(store, 4 * settings.store().txnOps(), this::found);
+            audit = new OrphanScan(store, 4 * settings.store().maxTransactionOperations(), this::found);
         }
         busy = true;
         long e = epoch;
@@ -121,7 +121,7 @@
                                 rubbish.size(),
                                 strange);
                         audit = null;
-                        nextAt = timers.now() + PAUSE_LEASES * settings.workers().leaseS();
+                        nextAt = timers.nowSeconds() + PAUSE_LEASES * settings.workers().leaseSeconds();
                     }
                 });
     }
@@ -138,9 +138,9 @@
     private void remove(OrphanScan.Finding f) {
         busy = true;
         long e = epoch;
-        Transaction transaction = new Transaction().when(held.key(), held.revision());
+        Transaction transaction = new Transaction().requireRevision(held.key(), held.revision());
         f.conditions()
-                .forEach(condition -> transaction.when(condition.key(), condition.revision()));
+                .forEach(condition -> transaction.requireRevision(condition.key(), condition.revision()));
         store.commit(
                 transaction.remove(f.key()),
                 result -> {
@@ -151,7 +151,7 @@
                     if (result.outcome() == Outcome.OK) {
                         removed++;
                         LOG.info("removed {}: {}", f.key(), f.why());
-                    } else if (result.outcome() != Outcome.NO) {
+                    } else if (result.outcome() != Outcome.REJECTED) {
                         rubbish.addFirst(
                                 f); // The same removal once more: its conditions let only one of
                         // the two through.
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -172,7 +172,7 @@
         retired = true;
         lose("the node is being stopped");
         if (lease != 0) {
-            store.revoke(lease);
+            store.revokeLease(lease);
             lease = 0;
         }
     }
@@ -189,7 +189,7 @@
     /** Whether the duty of that name is held here for certain. */
     public boolean holds(String name) {
         RoleHolder holder = seats.get(StoreKeys.DUTY + name);
-        boolean certain = holder.mine && timers.now() - renewedAt < lifeS * (1 - DRIFT);
+        boolean certain = holder.mine && timers.nowSeconds() - renewedAt < lifeS * (1 - DRIFT);
         fenced += holder.mine && !certain ? 1 : 0;
         return certain;
     }
@@ -236,11 +236,11 @@
     }
 
     private void lookLater() {
-        timers.after(lifeS / 4 + random.nextDouble() * 0.3, this::look);
+        timers.schedule(lifeS / 4 + random.nextDouble() * 0.3, this::look);
     }
 
     private void follow(long mine, long from) {
-        store.follow(
+        store.watch(
                 StoreKeys.DUTY,
                 from,
                 (long) (lifeS * 2000),
@@ -307,7 +307,7 @@
             if (incarnation.judge(
                             node, document.numberOr("since", 0, 0), document.textOr("life", ""))
                     == Incarnation.Holder.ENDED) {
-                store.revoke(document.count("lease"));
+                store.revokeLease(document.count("lease"));
             }
             took(holder, node, token);
             holder.revision = entry.revision();
@@ -319,7 +319,7 @@
     private void took(RoleHolder holder, String node, long token) {
         if (!node.equals(holder.holder) || token != holder.token) {
             holder.handOvers++;
-            holder.since = timers.now();
+            holder.since = timers.nowSeconds();
         }
         holder.holder = node;
         holder.token = token;
@@ -338,8 +338,8 @@
             return;
         }
         holder.claiming = true;
-        double unfit = Math.max(0, holder.unfitUntil - timers.now());
-        timers.after(
+        double unfit = Math.max(0, holder.unfitUntil - timers.nowSeconds());
+        timers.schedule(
                 place(holder) * lifeS / 16 + unfit + random.nextDouble() * 0.05,
                 () -> {
                     if (holder.holder != null || holder.mine || retired) {
@@ -356,12 +356,12 @@
             return;
         }
         if (granting) {
-            timers.after(0.05, () -> withLease(then, orElse));
+            timers.schedule(0.05, () -> withLease(then, orElse));
             return;
         }
         granting = true;
-        double asked = timers.now();
-        store.grant(
+        double asked = timers.nowSeconds();
+        store.grantLease(
                 (long) (lifeS * 1000),
                 (outcome, id) -> {
                     granting = false;
@@ -382,7 +382,7 @@
         store.get(
                 tokenKey,
                 (got, entry) -> {
-                    if (got != Outcome.OK && got != Outcome.NO
+                    if (got != Outcome.OK && got != Outcome.REJECTED
                             || holder.holder != null
                             || lease == 0) {
                         holder.claiming = false;
@@ -406,8 +406,8 @@
                     key.put("life", incarnation.life());
                     store.commit(
                             new Transaction()
-                                    .when(holder.key, 0)
-                                    .when(tokenKey, got == Outcome.OK ? entry.revision() : 0)
+                                    .requireRevision(holder.key, 0)
+                                    .requireRevision(tokenKey, got == Outcome.OK ? entry.revision() : 0)
                                     .put(holder.key, key, on)
                                     .put(tokenKey, Map.of("token", next)),
                             result -> {
@@ -419,7 +419,7 @@
                                 } else {
                                     // Whoever has it, this node too if the answer was lost, is
                                     // heard of.
-                                    timers.after(random.nextDouble() * 0.1, this::look);
+                                    timers.schedule(random.nextDouble() * 0.1, this::look);
                                 }
                             });
                 });
@@ -447,27 +447,27 @@
             LOG.info(
                     "duty {} is not done here any more, after {} s: {}",
                     holder.name(),
-                    Math.round(timers.now() - holder.since),
+                    Math.round(timers.nowSeconds() - holder.since),
                     why);
             holder.work.end();
         }
     }
 
     private void renewLater(long id) {
-        timers.after(
+        timers.schedule(
                 lifeS / 5,
                 () -> {
                     if (lease != id) {
                         return;
                     }
-                    double asked = timers.now();
-                    store.renew(
+                    double asked = timers.nowSeconds();
+                    store.renewLease(
                             id,
                             outcome -> {
                                 if (lease != id) {
                                     return;
                                 }
-                                if (outcome == Outcome.NO) {
+                                if (outcome == Outcome.REJECTED) {
                                     lease = 0;
                                     lose("the lease ended");
                                     look();
@@ -484,7 +484,7 @@
     // ---- doing ----------------------------------------------------------------------------------
 
     private void tick() {
-        double now = timers.now();
+        double now = timers.nowSeconds();
         for (RoleHolder holder : seats.values()) {
             if (holder.mine && holds(holder.name())) {
                 if (holder.work.fit(now)) {
@@ -495,7 +495,7 @@
             }
         }
         if (!retired) {
-            timers.after(TICK_S, this::tick);
+            timers.schedule(TICK_S, this::tick);
         }
     }
 
@@ -508,6 +508,6 @@
         holder.unfitUntil = now + lifeS * 5 * (1 << Math.min(5, holder.givenAway++));
         long at = holder.revision;
         lose(holder, "it can't be done from here");
-        store.commit(new Transaction().when(holder.key, at).remove(holder.key), result -> {});
+        store.commit(new Transaction().requireRevision(holder.key, at).remove(holder.key), result -> {});
     }
 }
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -98,14 +98,14 @@
     }
 
     private void page() {
-        store.page(
+        store.list(
                 prefix,
                 from,
                 PAGE,
                 listing -> {
                     if (listing.outcome() == Outcome.OK) {
                         read(listing);
-                        if (listing.more() && !listing.entries().isEmpty()) {
+                        if (listing.hasMore() && !listing.entries().isEmpty()) {
                             from = listing.entries().get(listing.entries().size() - 1).key();
                         } else {
                             prefix = prefixes.poll();
@@ -247,14 +247,14 @@
         ids.forEach(
                 id ->
                         transaction
-                                .when(StoreKeys.OPEN + id, opens.get(id))
-                                .when(StoreKeys.OVER + id, 0));
+                                .requireRevision(StoreKeys.OPEN + id, opens.get(id))
+                                .requireRevision(StoreKeys.OVER + id, 0));
         store.commit(
                 transaction,
                 result -> {
                     if (result.outcome() == Outcome.OK
-                            || result.outcome() == Outcome.NO && !result.failed().isEmpty()) {
-                        Set<String> other = new HashSet<>(result.failed());
+                            || result.outcome() == Outcome.REJECTED && !result.failedKeys().isEmpty()) {
+                        Set<String> other = new HashSet<>(result.failedKeys());
                         ids.forEach(
                                 id ->
                                         places.are(
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -56,7 +56,7 @@
     @Override
     Map<String, Object> record() {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("type", kind.type());
+        m.put("type", kind.machineType());
         m.put("zone", kind.zone());
         m.put("spot", kind.spot());
         m.put("count", (long) count);
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -78,15 +78,15 @@
         this.timers = timers;
         this.leading = leading;
         this.changed = changed;
-        this.calls = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
-        this.wishes = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
+        this.calls = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
+        this.wishes = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
         intents.listeners(this::rented, this::gone);
     }
 
     /** This node holds the machines now, on a lease whose id the store never gives out again. */
     public void hold(long lease) {
         intents.hold(lease);
-        leadingSince = timers.now();
+        leadingSince = timers.nowSeconds();
     }
 
     // ---- machine types --------------------------------------------------------------------------
@@ -114,20 +114,20 @@
                         typesStored = true;
                     } else {
                         fetchTypes();
-                        timers.after(1, this::learnTypes);
+                        timers.schedule(1, this::learnTypes);
                     }
                 });
     }
 
     private void fetchTypes() {
-        if (!calls.take(1, timers.now())) {
+        if (!calls.tryTake(1, timers.nowSeconds())) {
             return;
         }
-        cloud.types(
+        cloud.listMachineTypes(
                 (outcome, list) -> {
                     if (outcome == Outcome.OK && !list.isEmpty()) {
                         shard.learn(list);
-                        typesAt = timers.now();
+                        typesAt = timers.nowSeconds();
                         storeTypes(list);
                     }
                 });
@@ -154,11 +154,11 @@
 
     /** What is due now; {@code mayPlan}: the jobs are known and the store answers. */
     public void tend(boolean mayPlan) {
-        double now = timers.now();
-        if (!listing && now - listedAt > settings.cloud().listLagS() / 2 && calls.take(1, now)) {
+        double now = timers.nowSeconds();
+        if (!listing && now - listedAt > settings.cloud().listLagSeconds() / 2 && calls.tryTake(1, now)) {
             list();
         }
-        if (now - typesAt > 20 * settings.workers().reportS()) {
+        if (now - typesAt > 20 * settings.workers().heartbeatIntervalSeconds()) {
             typesAt = now;
             fetchTypes();
         }
@@ -168,25 +168,25 @@
         if (shard.types().isEmpty() || listedAt < leadingSince) {
             return;
         }
-        if (wishes.available(now) < 1 || now - plannedAt < settings.workers().reportS() / 8) {
+        if (wishes.available(now) < 1 || now - plannedAt < settings.workers().heartbeatIntervalSeconds() / 8) {
             return; // Nothing could be done about a plan now, or hardly anything has changed since
             // the last.
         }
         plannedAt = now;
-        intend(scalingPlanner.plan(now, timers.wallMs(), leadingSince), now);
+        intend(scalingPlanner.plan(now, timers.wallClockMillis(), leadingSince), now);
     }
 
     /** Has put down what the plan says and nothing says yet. */
     private void intend(ScalingPlanner.Plan plan, double now) {
         List<String> release = plan.release().stream().filter(m -> !intents.goes(m)).toList();
-        if (!release.isEmpty() && intents.goings().size() < AT_ONCE && wishes.take(1, now)) {
+        if (!release.isEmpty() && intents.goings().size() < AT_ONCE && wishes.tryTake(1, now)) {
             intents.giveBack(release);
         }
         // One plan's rentals at a time: the next plan has to know what came of them.
         if (intents.unsettled().isEmpty()) {
             plan.rent().entrySet().stream()
                     .limit(AT_ONCE)
-                    .filter(e -> wishes.take(1, now))
+                    .filter(e -> wishes.tryTake(1, now))
                     .forEach(e -> intents.rent(e.getKey(), e.getValue()));
         }
     }
@@ -197,18 +197,18 @@
                 "rented {} of {} {} in {}{}",
                 n,
                 rental.count,
-                rental.kind.type(),
+                rental.kind.machineType(),
                 rental.kind.zone(),
                 rental.kind.spot() ? ", spot" : "");
         if (n < rental.count) {
-            scalingPlanner.refused(rental.kind, timers.now());
+            scalingPlanner.refused(rental.kind, timers.nowSeconds());
         } else {
             scalingPlanner.granted(rental.kind);
         }
     }
 
     private void gone(List<String> machines) {
-        machines.forEach(m -> shard.machineGone(m, timers.now()));
+        machines.forEach(m -> shard.machineGone(m, timers.nowSeconds()));
         changed.run();
     }
 
@@ -219,12 +219,12 @@
     private void list() {
         listing = true;
         long mine = shard.token();
-        cloud.list(
+        cloud.listMachines(
                 (outcome, list) -> {
                     listing = false;
-                    listedAt = timers.now();
+                    listedAt = timers.nowSeconds();
                     if (outcome == Outcome.OK && holds(mine)) {
-                        shard.listed(list, timers.now());
+                        shard.listed(list, timers.nowSeconds());
                         intents.listed();
                     }
                 });
--- a/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
+++ b/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
@@ -33,7 +33,7 @@
      * of jobs.
      */
     boolean holds(JobSpec spec, boolean atOnce) {
-        return then.cpus + 1e-6 >= spec.cpus() && (!atOnce || now.cpus + 1e-6 >= spec.cpus());
+        return then.cpus + 1e-6 >= spec.cpusPerTask() && (!atOnce || now.cpus + 1e-6 >= spec.cpusPerTask());
     }
 
     /** Takes in as many of the tasks as fit, at once or by then; returns how many. */
@@ -55,7 +55,7 @@
         Space(MachineType type) {
             cpus = type.cpus();
             gpus = type.gpus();
-            memory = type.memoryGb();
+            memory = type.memoryGigabytes();
         }
 
         int slots(JobSpec spec) {
@@ -63,9 +63,9 @@
         }
 
         void less(JobSpec spec, int tasks) {
-            cpus -= tasks * spec.cpus();
-            gpus -= tasks * spec.gpus();
-            memory -= tasks * spec.memoryGb();
+            cpus -= tasks * spec.cpusPerTask();
+            gpus -= tasks * spec.gpusPerTask();
+            memory -= tasks * spec.memoryGigabytesPerTask();
         }
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -45,7 +45,7 @@
     void refused(MachineKind k, double now) {
         double[] r = refused.computeIfAbsent(k, x -> new double[2]);
         r[1] = Math.min(4, r[1] + 1);
-        r[0] = now + settings.cloud().listLagS() * (1 << (int) r[1]) / 2;
+        r[0] = now + settings.cloud().listLagSeconds() * (1 << (int) r[1]) / 2;
     }
 
     boolean mayBeHad(MachineKind kind, double now) {
@@ -58,9 +58,9 @@
     }
 
     static boolean allowed(MachineKind kind, JobSpec spec, String zone) {
-        return (spec.types() == null || spec.types().contains(kind.type()))
+        return (spec.machineTypes() == null || spec.machineTypes().contains(kind.machineType()))
                 && (zone == null || zone.equals(kind.zone()))
-                && (spec.spot() || !kind.spot());
+                && (spec.allowsSpot() || !kind.spot());
     }
 
     /** Null if none can be had in these zones. */
@@ -73,7 +73,7 @@
                 continue;
             }
             for (String z : type.zones()) {
-                for (int spot = spec.spot() ? 1 : 0; spot >= 0; spot--) {
+                for (int spot = spec.allowsSpot() ? 1 : 0; spot >= 0; spot--) {
                     MachineKind kind = new MachineKind(type.name(), z, spot == 1);
                     if (!zones.test(z)
                             || !allowed(kind, spec, spec.zone())
@@ -119,7 +119,7 @@
     private double price(
             MachineKind kind, MachineType type, double units, Map<MachineKind, Integer> rent) {
         int there = counts.getOrDefault(kind, 0) + rent.getOrDefault(kind, 0);
-        return (kind.spot() ? type.spotPrice() : type.price()) / units * (1 + 1e-4 * there);
+        return (kind.spot() ? type.spotPricePerHour() : type.pricePerHour()) / units * (1 + 1e-4 * there);
     }
 
     boolean spotToBeHad(JobSpec spec, double now) {
@@ -133,7 +133,7 @@
      * them up again and again, so they never idle.
      */
     boolean cheaperToBeHad(MachineType type, double now) {
-        return type.spotPrice() < type.price()
+        return type.spotPricePerHour() < type.pricePerHour()
                 && type.zones().stream()
                         .anyMatch(z -> mayBeHad(new MachineKind(type.name(), z, true), now));
     }
--- a/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -52,6 +52,6 @@
      * nodes.
      */
     double silenceS() {
-        return Math.min(settings.workers().leaseS(), 5 * settings.workers().reportS() + 4);
+        return Math.min(settings.workers().leaseSeconds(), 5 * settings.workers().heartbeatIntervalSeconds() + 4);
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -39,7 +39,7 @@
      * @param kept machines in reserve
      */
     List<String> returns(double now, Set<Machine> kept, double spareCpus) {
-        double lease = settings.workers().leaseS();
+        double lease = settings.workers().leaseSeconds();
         double silence = presence.silenceS();
         int up = 0;
         int silent = 0;
@@ -77,7 +77,7 @@
                             && !kept.contains(machine)
                             && machine.reservedFor() == null;
             if (!machine.spot()
-                    && machine.attempts().stream().anyMatch(attempt -> !attempt.job.spec.spot())) {
+                    && machine.attempts().stream().anyMatch(attempt -> !attempt.job.spec.allowsSpot())) {
                 machine.needed(now);
             }
             machine.drain(
@@ -106,7 +106,7 @@
                 give |= machine.setAside() || deafForLong(machine, now);
                 give |=
                         surplus
-                                && now - machine.neededAt() > type.bootS()
+                                && now - machine.neededAt() > type.bootSeconds()
                                 && (machine.draining() || idleTooLong(machine, type, now));
             } else if (!machine.proven() && deafForLong(machine, now)) {
                 // What an earlier holder left on it can't be proven over by a report. Not if it is
@@ -139,7 +139,7 @@
     }
 
     private boolean deafForLong(Machine machine, double now) {
-        return machine.deafS(now) > DEAF_LEASES * settings.workers().leaseS();
+        return machine.deafS(now) > DEAF_LEASES * settings.workers().leaseSeconds();
     }
 
     /**
@@ -161,7 +161,7 @@
             if (!machine.draining()
                     || machine.releasing()
                     || machine.attempts().isEmpty()
-                    || now - machine.neededAt() <= type.bootS()
+                    || now - machine.neededAt() <= type.bootSeconds()
                     || machine.usedCpus() > room
                     || !worthMoving(machine, type, now, wallMs)) {
                 continue;
@@ -169,7 +169,7 @@
             room -= machine.usedCpus();
             LOG.debug("clearing {} of {} tasks", machine.id, machine.attempts().size());
             for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-                shard.stop(attempt, attempt.job.spec.stopGraceS());
+                shard.stop(attempt, attempt.job.spec.stopGraceSeconds());
             }
         }
     }
@@ -185,14 +185,14 @@
                 return false;
             }
             rest = Math.max(rest, attempt.remainingS(now));
-            lost += attempt.job.spec.cpus() * attempt.unsavedS(now);
+            lost += attempt.job.spec.cpusPerTask() * attempt.unsavedS(now);
         }
-        return rest > 2 * settings.workers().reportS()
-                && rest * type.price() > 2 * lost * type.spotPrice() / type.cpus();
+        return rest > 2 * settings.workers().heartbeatIntervalSeconds()
+                && rest * type.pricePerHour() > 2 * lost * type.spotPricePerHour() / type.cpus();
     }
 
     private boolean idleTooLong(Machine machine, MachineType type, double now) {
         // Worth keeping about as long as a new one would take to come.
-        return now - machine.idleSince() > type.bootS();
+        return now - machine.idleSince() > type.bootSeconds();
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -65,7 +65,7 @@
         survey(now);
         Map<MachineKind, Integer> rent = new LinkedHashMap<>();
         List<FreeCapacity> rooms = rooms(now, null);
-        List<Job> queue = scheduler.queue(now, wallMs, settings.workers().reportS() / 8);
+        List<Job> queue = scheduler.queue(now, wallMs, settings.workers().heartbeatIntervalSeconds() / 8);
         for (Job job : queue) {
             want(job, rooms, rent, now, wallMs);
         }
@@ -90,8 +90,8 @@
         }
         spotBacklog = 0;
         for (Job job : shard.jobs().values()) {
-            if (job.spec.spot() && !shard.failures().mistaken(job, now)) {
-                spotBacklog += job.waiting() * job.spec.cpus() * job.spec.estimateS();
+            if (job.spec.allowsSpot() && !shard.failures().mistaken(job, now)) {
+                spotBacklog += job.waiting() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
             }
         }
     }
@@ -111,8 +111,8 @@
             for (Attempt attempt : machine.attempts()) {
                 if (!attempt.unwanted()
                         && (forNow == null
-                                ? attempt.remainingS(now) > type.bootS()
-                                : attempt.job.spec.gang()
+                                ? attempt.remainingS(now) > type.bootSeconds()
+                                : attempt.job.spec.isGang()
                                         || attempt.job.priority().compareTo(forNow.priority())
                                                 <= 0)) {
                     capacity.then.less(attempt.job.spec, 1);
@@ -135,11 +135,11 @@
             List<Job> queue, Map<MachineKind, Integer> rent, double now, double wallMs) {
         Set<Machine> kept = new HashSet<>();
         double boot =
-                shard.types().values().stream().mapToDouble(MachineType::bootS).min().orElse(0);
+                shard.types().values().stream().mapToDouble(MachineType::bootSeconds).min().orElse(0);
         for (ClusterSettings.Objective objective : settings.objectives()) {
             boolean wait =
                     objective.kind().equals("wait")
-                            && objective.withinS() < boot
+                            && objective.withinSeconds() < boot
                             && queue.stream()
                                     .noneMatch(
                                             job ->
@@ -149,15 +149,15 @@
             JobSpec typical =
                     wait || objective.kind().equals("deadline")
                             ? shard.lately()
-                                    .typical(objective.jobClass(), objective.share(), wallMs, boot)
+                                    .typical(objective.jobClass(), objective.targetShare(), wallMs, boot)
                             : null;
             if (typical == null) {
                 continue;
             }
-            int atOnce = typical.tasks();
-            if (typical.shape() == JobSpec.Shape.ARRAY && typical.deadlineS() != null) {
+            int atOnce = typical.taskCount();
+            if (typical.shape() == JobSpec.Shape.ARRAY && typical.deadlineSeconds() != null) {
                 double rounds =
-                        Math.max(1, typical.deadlineS() / 2 / Math.max(1, typical.estimateS()));
+                        Math.max(1, typical.deadlineSeconds() / 2 / Math.max(1, typical.estimatedSeconds()));
                 // As many come within a boot time as usual, give or take the square root of it.
                 double spread =
                         Math.sqrt(
@@ -166,7 +166,7 @@
                                         boot
                                                 * shard.lately()
                                                         .jobsPerS(objective.jobClass(), wallMs)));
-                atOnce = (int) Math.ceil(spread * typical.tasks() / rounds);
+                atOnce = (int) Math.ceil(spread * typical.taskCount() / rounds);
             }
             List<FreeCapacity> rooms = rooms(now, typical);
             ZoneConstraints zones = ZoneConstraints.of(typical);
@@ -209,7 +209,7 @@
             if (kind == null || !worth.test(kind)) {
                 break;
             }
-            FreeCapacity capacity = new FreeCapacity(shard.types().get(kind.type()), kind, null);
+            FreeCapacity capacity = new FreeCapacity(shard.types().get(kind.machineType()), kind, null);
             int n = capacity.take(spec, Math.min(left, zones.left(kind.zone())), false);
             if (n == 0) {
                 break;
@@ -230,7 +230,7 @@
     private double guaranteedCpus() {
         return idle()
                 ? 0
-                : settings.teams().values().stream().mapToDouble(ClusterSettings.Team::cpus).sum();
+                : settings.teams().values().stream().mapToDouble(ClusterSettings.Team::guaranteedCpus).sum();
     }
 
     /**
@@ -239,7 +239,7 @@
     private void floor(Map<MachineKind, Integer> rent, double now) {
         double missing = guaranteedCpus() - usableCpus;
         for (Map.Entry<MachineKind, Integer> e : rent.entrySet()) {
-            missing -= e.getValue() * shard.types().get(e.getKey().type()).cpus();
+            missing -= e.getValue() * shard.types().get(e.getKey().machineType()).cpus();
         }
         while (missing > 0) {
             MachineKind best = market.cheapestByCpu(rent, now);
@@ -247,7 +247,7 @@
                 return;
             }
             rent.merge(best, 1, Integer::sum);
-            missing -= shard.types().get(best.type()).cpus();
+            missing -= shard.types().get(best.machineType()).cpus();
         }
     }
 
@@ -262,17 +262,17 @@
         }
         JobSpec spec = job.spec;
         int waiting = Math.min(job.waiting(), shard.teamUse().left(spec));
-        if (spec.gang()) {
-            waiting = waiting == spec.tasks() ? waiting : 0;
+        if (spec.isGang()) {
+            waiting = waiting == spec.taskCount() ? waiting : 0;
         } else if (spec.shape() == JobSpec.Shape.ARRAY) {
             // Not a place for every task at once: as many as finish the job in good time, one after
             // the other.
             double aim =
-                    settings.finishWithinS(spec.jobClass(), 10 * settings.workers().leaseS()) / 2.5;
+                    settings.shortestFinishObjectiveSeconds(spec.jobClass(), 10 * settings.workers().leaseSeconds()) / 2.5;
             if (job.hasDeadline()) {
                 aim = (job.dueMs() - wallMs) / 1000;
             }
-            double each = Math.max(1, spec.estimateS());
+            double each = Math.max(1, spec.estimatedSeconds());
             double places =
                     Math.ceil((job.waiting() + job.live().size()) * each / Math.max(each, aim));
             waiting = (int) Math.max(0, Math.min(waiting, places - job.live().size()));
@@ -285,7 +285,7 @@
         // Guards against work that could run on spot machines filling ordinary ones for good, at
         // several times the price: it may use what is free there, but spot machines are rented for
         // it as if it could not.
-        boolean spotOnly = spec.spot() && market.spotToBeHad(spec, now);
+        boolean spotOnly = spec.allowsSpot() && market.spotToBeHad(spec, now);
         // Room that frees within a boot time is as good as a new machine, but not for a job that
         // has to start sooner to meet its deadline: such work needs the room that is free now, or
         // more of it.
@@ -311,7 +311,7 @@
                         zones,
                         rent,
                         now,
-                        kind -> !spec.spot() || kind.spot() || !inTime(job, wallMs)));
+                        kind -> !spec.allowsSpot() || kind.spot() || !inTime(job, wallMs)));
     }
 
     /**
@@ -340,7 +340,7 @@
      */
     private void decide(
             ZoneConstraints zones, JobSpec spec, int tasks, List<FreeCapacity> rooms, double now) {
-        if (!spec.oneZone() || zones.decided()) {
+        if (!spec.isSingleZone() || zones.decided()) {
             return;
         }
         Map<String, Double> score = new LinkedHashMap<>();
@@ -352,16 +352,16 @@
             score.put(z, open.contains(z) ? 0.1 : 0);
         }
         for (FreeCapacity capacity : rooms) {
-            if (InstanceSelection.allowed(capacity.kind, spec, null) && spec.cpus() > 0) {
+            if (InstanceSelection.allowed(capacity.kind, spec, null) && spec.cpusPerTask() > 0) {
                 score.merge(
                         capacity.kind.zone(),
-                        Math.floor(capacity.then.cpus / spec.cpus()),
+                        Math.floor(capacity.then.cpus / spec.cpusPerTask()),
                         Double::sum);
             }
         }
         Comparator<Map.Entry<String, Double>> order =
                 Comparator.comparing(
-                        e -> spec.gang() && (open.contains(e.getKey()) || e.getValue() >= tasks));
+                        e -> spec.isGang() && (open.contains(e.getKey()) || e.getValue() >= tasks));
         score.entrySet().stream()
                 .max(order.thenComparing(Map.Entry.comparingByValue()))
                 .ifPresent(e -> zones.bind(e.getKey()));
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -113,7 +113,7 @@
             return false;
         }
         int need =
-                spec.gang() ? job.waiting() : Math.min(job.waiting(), shard.teamUse().left(spec));
+                spec.isGang() ? job.waiting() : Math.min(job.waiting(), shard.teamUse().left(spec));
         ZoneConstraints bounds = ZoneConstraints.of(job);
         Map<String, List<Offer>> byZone = new LinkedHashMap<>();
         for (Machine machine : open) {
@@ -121,7 +121,7 @@
                     && probePlacement.allowed(machine, spec)
                     && bounds.left(machine.zone()) > 0) {
                 byZone.computeIfAbsent(
-                                spec.oneZone() ? machine.zone() : "", key -> new ArrayList<>())
+                                spec.isSingleZone() ? machine.zone() : "", key -> new ArrayList<>())
                         .add(offer(job, machine, giving, now));
             }
         }
@@ -138,7 +138,7 @@
         if (best != null) {
             for (Offer candidate : best) {
                 if (!small || outranked(job, candidate.machine)) {
-                    candidate.machine.reserve(job, now + 2 * shard.facts().workers().reportS());
+                    candidate.machine.reserve(job, now + 2 * shard.facts().workers().heartbeatIntervalSeconds());
                 }
                 need -= evict(job, candidate, need);
             }
@@ -247,7 +247,7 @@
         if (!small(job.spec)) {
             return false;
         }
-        double reportMs = 1000 * shard.facts().workers().reportS();
+        double reportMs = 1000 * shard.facts().workers().heartbeatIntervalSeconds();
         // Guards against work stopped half done for a stage that is only as urgent as the one
         // behind it, and has time.
         boolean early =
@@ -260,10 +260,10 @@
     }
 
     private boolean small(JobSpec spec) {
-        return !spec.gang()
-                && !spec.oneZone()
-                && !spec.spread()
-                && spec.cpus() * 2 <= smallestMachine();
+        return !spec.isGang()
+                && !spec.isSingleZone()
+                && !spec.isSpreadAcrossZones()
+                && spec.cpusPerTask() * 2 <= smallestMachine();
     }
 
     /**
@@ -329,9 +329,9 @@
                 sum[3] +=
                         attempt.stopping()
                                 ? 0
-                                : spec.cpus()
+                                : spec.cpusPerTask()
                                         * (attempt.unsavedS(now)
-                                                + shard.facts().workers().reportS());
+                                                + shard.facts().workers().heartbeatIntervalSeconds());
             }
         }
         return sum;
@@ -342,8 +342,8 @@
         double loss = sum[3];
         MachineType type = shard.types().get(m.type());
         int stopping = probePlacement.freeSlots(m, job.spec, sum[0], sum[1], sum[2]);
-        if (!m.has(job.spec.image()) && type.fetchGbPerS() > 0) {
-            loss += stopping * job.spec.cpus() * job.spec.imageGb() / type.fetchGbPerS();
+        if (!m.has(job.spec.image()) && type.fetchGigabytesPerSecond() > 0) {
+            loss += stopping * job.spec.cpusPerTask() * job.spec.imageGigabytes() / type.fetchGigabytesPerSecond();
         }
         return new Offer(m, probePlacement.freeSlots(m, job.spec, 0, 0, 0), stopping, loss);
     }
@@ -365,11 +365,11 @@
         if (holding.priority().compareTo(job.priority()) > 0) {
             return firm(job) || !borrows(job, holding, 0);
         }
-        return borrows(holding, job, holding.spec.cpus());
+        return borrows(holding, job, holding.spec.cpusPerTask());
     }
 
     private static boolean firm(Job job) {
-        return job.spec.gang() || job.spec.shape() == JobSpec.Shape.SERVICE;
+        return job.spec.isGang() || job.spec.shape() == JobSpec.Shape.SERVICE;
     }
 
     /**
@@ -382,7 +382,7 @@
                 && !job.guaranteed()
                 && !job.spec.team().equals(other.spec.team())
                 && team != null
-                && shard.teamUse().cpus(job.spec.team()) - own >= team.cpus();
+                && shard.teamUse().cpus(job.spec.team()) - own >= team.guaranteedCpus();
     }
 
     /**
@@ -423,7 +423,7 @@
                 break;
             }
             boolean written = attempt.durable();
-            shard.stop(attempt, attempt.job.spec.stopGraceS());
+            shard.stop(attempt, attempt.job.spec.stopGraceSeconds());
             evictions++;
             forGangs += small(job.spec) ? 0 : 1;
             forGuarantees += attempt.job.priority().compareTo(job.priority()) > 0 ? 0 : 1;
@@ -435,9 +435,9 @@
     }
 
     private static void less(double[] sum, Attempt attempt) {
-        sum[0] += attempt.job.spec.cpus();
-        sum[1] += attempt.job.spec.gpus();
-        sum[2] += attempt.job.spec.memoryGb();
+        sum[0] += attempt.job.spec.cpusPerTask();
+        sum[1] += attempt.job.spec.gpusPerTask();
+        sum[2] += attempt.job.spec.memoryGigabytesPerTask();
     }
 
     private double smallestMachine() {
