--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -68,13 +68,13 @@
 
     /** Whether machines of that kind may run the job. */
     public static boolean allowed(MachineKind kind, JobSpec spec) {
-        return allowed(kind.type(), kind.zone(), kind.spot(), spec);
+        return allowed(kind.machineType(), kind.zone(), kind.spot(), spec);
     }
 
     private static boolean allowed(String type, String zone, boolean spot, JobSpec spec) {
-        return (spec.types() == null || spec.types().contains(type))
+        return (spec.machineTypes() == null || spec.machineTypes().contains(type))
                 && (spec.zone() == null || spec.zone().equals(zone))
-                && (spec.spot() || !spot);
+                && (spec.allowsSpot() || !spot);
     }
 
     boolean room(Machine machine, JobSpec spec) {
@@ -121,7 +121,7 @@
         private MachineSearch(JobSpec spec, List<Machine> candidates) {
             this.spec = spec;
             this.candidates = candidates;
-            if (!spec.spot()) {
+            if (!spec.allowsSpot()) {
                 if (large()) {
                     stages.add(this::holds);
                 }
@@ -131,7 +131,7 @@
             // Work that may use spot machines leaves the others to work that may not; but with a
             // deadline there is no time to fetch an image on the one while the other has it.
             stages.add(machine -> machine.spot() && holds(machine));
-            if (spec.deadlineS() != null) {
+            if (spec.deadlineSeconds() != null) {
                 stages.add(this::holds);
             }
             elsewhereToo = true;
@@ -140,7 +140,7 @@
         /** Once those that have the image are full. */
         private void goElsewhere() {
             elsewhereToo = false;
-            boolean hurried = spec.deadlineS() != null;
+            boolean hurried = spec.deadlineSeconds() != null;
             if (!enoughHold()) {
                 elsewhere(Machine::spot);
             }
@@ -190,13 +190,13 @@
                                         Integer.MAX_VALUE,
                                         type.cpus() - machine.boundCpus(),
                                         type.gpus(),
-                                        type.memoryGb());
+                                        type.memoryGigabytes());
                     }
-                    if (slots >= ENOUGH * spec.tasks()) {
+                    if (slots >= ENOUGH * spec.taskCount()) {
                         break;
                     }
                 }
-                enough = slots >= ENOUGH * spec.tasks();
+                enough = slots >= ENOUGH * spec.taskCount();
             }
             return enough;
         }
@@ -307,7 +307,7 @@
                                 (machine.holdingCpus() + machine.usedCpus() / 4)
                                                 / types.get(machine.type()).cpus()
                                         + (machine.has(spec.image()) ? 1 : 0)
-                                        - (spec.spot() && !machine.spot()
+                                        - (spec.allowsSpot() && !machine.spot()
                                                 ? worthKeeping(machine)
                                                 : 0));
                     }
@@ -351,16 +351,16 @@
             total += n;
             slots.merge(machine.zone(), n, Integer::sum);
         }
-        if (total < spec.tasks()) {
+        if (total < spec.taskCount()) {
             return null;
         }
         MachineSearch all = search(spec, candidates);
-        if (!spec.oneZone()) {
+        if (!spec.isSingleZone()) {
             return whole(spec, all);
         }
         // The zone with the least room that still suffices, so that larger gangs find theirs.
         List<String> zones = new ArrayList<>(slots.keySet());
-        zones.removeIf(z -> slots.get(z) < spec.tasks());
+        zones.removeIf(z -> slots.get(z) < spec.taskCount());
         zones.sort(Comparator.comparing(slots::get));
         for (String z : zones) {
             List<Machine> found = whole(spec, all.within(machine -> machine.zone().equals(z)));
@@ -397,21 +397,21 @@
         MachineSearch search = among;
         List<Machine> found = new ArrayList<>();
         Map<String, Integer> perZone = new HashMap<>();
-        for (int i = 0; i < spec.tasks(); i++) {
+        for (int i = 0; i < spec.taskCount(); i++) {
             Machine m = search.next();
             if (m == null) {
                 break;
             }
             m.expect(spec, 1);
             found.add(m);
-            if (perZone.merge(m.zone(), 1, Integer::sum) >= spec.mostPerZone()) {
+            if (perZone.merge(m.zone(), 1, Integer::sum) >= spec.maxTasksPerZone()) {
                 search = search.within(x -> !x.zone().equals(m.zone()));
             }
         }
         for (Machine m : found) {
             m.expect(spec, -1);
         }
-        return found.size() == spec.tasks() ? found : null;
+        return found.size() == spec.taskCount() ? found : null;
     }
 
     /** How many such tasks fit on the machine if that much of its load were gone. */
@@ -422,33 +422,33 @@
                 spec,
                 type.cpus() - machine.usedCpus() + lessCpus,
                 type.gpus() - machine.usedGpus() + lessGpus,
-                type.memoryGb() - machine.usedMemory() + lessMemory);
+                type.memoryGigabytes() - machine.usedMemory() + lessMemory);
     }
 
     /** How many of the job's tasks an empty machine of the type holds. */
     public static int slots(JobSpec spec, MachineType type) {
-        return slots(spec, type.cpus(), type.gpus(), type.memoryGb());
+        return slots(spec, type.cpus(), type.gpus(), type.memoryGigabytes());
     }
 
     public static int slots(JobSpec spec, double cpus, double gpus, double memoryGb) {
-        return most(spec, spec.tasks(), cpus, gpus, memoryGb);
+        return most(spec, spec.taskCount(), cpus, gpus, memoryGb);
     }
 
     /** How many tasks of that size an empty machine of the type holds, however many the job has. */
     static int most(JobSpec spec, MachineType type) {
-        return most(spec, Integer.MAX_VALUE, type.cpus(), type.gpus(), type.memoryGb());
+        return most(spec, Integer.MAX_VALUE, type.cpus(), type.gpus(), type.memoryGigabytes());
     }
 
     private static int most(JobSpec spec, int tasks, double cpus, double gpus, double memoryGb) {
         double n = tasks;
-        if (spec.cpus() > 0) {
-            n = Math.min(n, Math.floor((cpus + 1e-6) / spec.cpus()));
+        if (spec.cpusPerTask() > 0) {
+            n = Math.min(n, Math.floor((cpus + 1e-6) / spec.cpusPerTask()));
         }
-        if (spec.gpus() > 0) {
-            n = Math.min(n, Math.floor((gpus + 1e-6) / spec.gpus()));
+        if (spec.gpusPerTask() > 0) {
+            n = Math.min(n, Math.floor((gpus + 1e-6) / spec.gpusPerTask()));
         }
-        if (spec.memoryGb() > 0) {
-            n = Math.min(n, Math.floor((memoryGb + 1e-6) / spec.memoryGb()));
+        if (spec.memoryGigabytesPerTask() > 0) {
+            n = Math.min(n, Math.floor((memoryGb + 1e-6) / spec.memoryGigabytesPerTask()));
         }
         return (int) Math.max(0, n);
     }
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -116,7 +116,7 @@
         order.addAll(mistaken);
         queued = List.copyOf(order);
         queuedAt = now;
-        loopTime.on(Activity.ORDERING, began);
+        loopTime.record(Activity.ORDERING, began);
         return order;
     }
 
@@ -132,7 +132,7 @@
         order.stream()
                 .filter(
                         job ->
-                                (job.spec.gang() || job.spec.oneZone())
+                                (job.spec.isGang() || job.spec.isSingleZone())
                                         && job.sinceMs() < since
                                         && !job.begun()
                                         && shard.served().largest(job.spec))
@@ -151,8 +151,8 @@
             if (ProbePlacement.allowed(e.getKey(), spec)) {
                 cpus +=
                         e.getValue()
-                                * spec.cpus()
-                                * ProbePlacement.most(spec, shard.types().get(e.getKey().type()));
+                                * spec.cpusPerTask()
+                                * ProbePlacement.most(spec, shard.types().get(e.getKey().machineType()));
             }
         }
         return cpus;
@@ -193,8 +193,8 @@
                                         job.missed() || job.fittedWhenItCame()
                                                 ? job.sinceMs()
                                                 : job.left()
-                                                        * job.spec.cpus()
-                                                        * job.spec.estimateS()));
+                                                        * job.spec.cpusPerTask()
+                                                        * job.spec.estimatedSeconds()));
         claimed.clear();
         for (Job job : jobs) {
             job.guarantee(claim(job, claimed));
@@ -207,13 +207,13 @@
      */
     private boolean claim(Job job, Map<String, double[]> claimed) {
         ClusterSettings.Team team = shard.facts().teams().get(job.spec.team());
-        if (job.over() || team == null || team.cpus() == 0 && team.gpus() == 0) {
+        if (job.over() || team == null || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
             return false;
         }
         double[] c = claimed.computeIfAbsent(team.name(), key -> new double[2]);
-        c[0] += job.left() * job.spec.cpus();
-        c[1] += job.left() * job.spec.gpus();
-        return c[0] <= team.cpus() + 1e-6 && (job.spec.gpus() == 0 || c[1] <= team.gpus() + 1e-6);
+        c[0] += job.left() * job.spec.cpusPerTask();
+        c[1] += job.left() * job.spec.gpusPerTask();
+        return c[0] <= team.guaranteedCpus() + 1e-6 && (job.spec.gpusPerTask() == 0 || c[1] <= team.guaranteedGpus() + 1e-6);
     }
 
     /**
@@ -249,7 +249,7 @@
      */
     private int serve(
             Job job, List<Machine> open, boolean expected, int most, double now, double wallMs) {
-        boolean gang = job.spec.gang();
+        boolean gang = job.spec.isGang();
         // Of a job that has to look at where its other tasks are, or failed, nothing follows for
         // others, nor from them.
         boolean alike =
@@ -257,7 +257,7 @@
                         && !expected
                         && (gang
                                 ? job.live().isEmpty()
-                                : !job.spec.oneZone() && !job.spec.spread());
+                                : !job.spec.isSingleZone() && !job.spec.isSpreadAcrossZones());
         boolean patient = preemption.patient(job, wallMs);
         if (alike && (hopeless.contains(job) || patient && roomless.contains(job))) {
             return 0;
@@ -273,7 +273,7 @@
                 job.waiting() > 0
                         && placed < most
                         && !shard.failures().mistaken(job, now)
-                        && shard.teamUse().left(job.spec) >= (gang ? job.spec.tasks() : 1);
+                        && shard.teamUse().left(job.spec) >= (gang ? job.spec.taskCount() : 1);
         // Guards against a job whose records are full for now, although machines are idle, which
         // speaks for all others that would fit there: hundreds of tasks waited behind it.
         if (!wants || full) {
@@ -300,7 +300,7 @@
     private boolean makeRoom(Job job, List<Machine> open, double now) {
         double began = loopTime.now();
         boolean made = preemption.makeRoom(job, open, now);
-        loopTime.on(Activity.GIVING_WAY, began);
+        loopTime.record(Activity.GIVING_WAY, began);
         return made;
     }
 
@@ -318,7 +318,7 @@
                                     && (preemption.yields(job, heir) || machine.keptFree(job, now)))
                     && probePlacement.allowed(machine, spec)
                     && zones.left(machine.zone()) > 0
-                    && !(machine.draining() && spec.spot())
+                    && !(machine.draining() && spec.allowsSpot())
                     && !standby.keepsFrom(machine, job)) {
                 (!anew && job.failedOn().contains(machine.id) ? failed : out).add(machine);
             }
@@ -346,7 +346,7 @@
         List<Machine> candidates = candidates(job, open, now);
         ProbePlacement.MachineSearch search = probePlacement.search(spec, candidates);
         heldOut = search.holdsOut();
-        if (spec.oneZone() && !zones.decided()) {
+        if (spec.isSingleZone() && !zones.decided()) {
             String zone = probePlacement.roomiest(spec, Math.min(n, job.waiting()), candidates);
             search = search.within(m -> m.zone().equals(zone));
         }
@@ -386,7 +386,7 @@
             shard.restartOnceFetched(job);
             return 0;
         }
-        if (shard.teamUse().left(job.spec) < job.spec.tasks()) {
+        if (shard.teamUse().left(job.spec) < job.spec.taskCount()) {
             return 0;
         }
         if (!shard.recordable(job)) {
--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -107,7 +107,7 @@
         }
         if (!job.live().isEmpty()) {
             running.add(
-                    new double[] {job.live().size() * job.spec.cpus(), sum / job.live().size()});
+                    new double[] {job.live().size() * job.spec.cpusPerTask(), sum / job.live().size()});
         }
     }
 
@@ -145,7 +145,7 @@
                         new Entry(
                                 job,
                                 -1,
-                                job.spec.cpus() * job.spec.estimateS() * job.waiting(),
+                                job.spec.cpusPerTask() * job.spec.estimatedSeconds() * job.waiting(),
                                 1000 * lead.applyAsDouble(job.spec),
                                 standing.applyAsDouble(job.spec)),
                         tried,
@@ -166,7 +166,7 @@
             for (Entry queued : tried) {
                 largest.add(queued);
                 ahead += queued.work;
-                double doneMs = queued.startMs() + queued.job.spec.estimateS() * 1000;
+                double doneMs = queued.startMs() + queued.job.spec.estimatedSeconds() * 1000;
                 double room = room(queued.job.spec, (doneMs - wallMs) / 1000);
                 if (queued.standing < 1 && queued.work > room) {
                     // Nobody goes without for what can't be in time in any case.
--- a/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
+++ b/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
@@ -34,11 +34,11 @@
                     job.priority(),
                     spec.team(),
                     job.guaranteed(),
-                    spec.types(),
+                    spec.machineTypes(),
                     spec.zone(),
-                    spec.oneZone(),
-                    spec.spread(),
-                    spec.spot(),
+                    spec.isSingleZone(),
+                    spec.isSpreadAcrossZones(),
+                    spec.allowsSpot(),
                     image);
         }
     }
@@ -48,7 +48,7 @@
         static ResourceRequest of(Job job) {
             JobSpec spec = job.spec;
             return new ResourceRequest(
-                    spec.cpus(), spec.gpus(), spec.memoryGb(), spec.gang() ? spec.tasks() : 1);
+                    spec.cpusPerTask(), spec.gpusPerTask(), spec.memoryGigabytesPerTask(), spec.isGang() ? spec.taskCount() : 1);
         }
 
         boolean noLessThan(ResourceRequest o) {
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -46,7 +46,7 @@
                         .thenComparing(machine -> machine.id));
         for (RecentArrivals.ArrivalRate pace : shard.lately().gangs(wallMs)) {
             // Room is made within about one report: what is stopped has to be reported as ended.
-            double tasks = pace.tasksPerS() * shard.facts().workers().reportS();
+            double tasks = pace.tasksPerS() * shard.facts().workers().heartbeatIntervalSeconds();
             for (Machine machine : idle) {
                 if (tasks <= 0) {
                     break;
@@ -62,6 +62,6 @@
     /** Whether the job would have to give way here soon. */
     boolean keepsFrom(Machine machine, Job job) {
         JobSpec.Priority of = kept.get(machine);
-        return of != null && !job.spec.gang() && job.priority().compareTo(of) > 0;
+        return of != null && !job.spec.isGang() && job.priority().compareTo(of) > 0;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
@@ -31,10 +31,10 @@
     /** A gang starts anew as a whole, once all that is left of it is over. */
     public static ZoneConstraints of(Job job) {
         ZoneConstraints b = new ZoneConstraints(job.spec);
-        if (!job.spec.gang() && (job.spec.oneZone() || job.spec.spread())) {
+        if (!job.spec.isGang() && (job.spec.isSingleZone() || job.spec.isSpreadAcrossZones())) {
             for (Attempt attempt : job.live().values()) {
                 b.count(attempt.machine.zone(), 1);
-                if (b.only != null && !job.spec.spread()) {
+                if (b.only != null && !job.spec.isSpreadAcrossZones()) {
                     break; // All the others are in the same zone.
                 }
             }
@@ -52,7 +52,7 @@
             somewhere += tasks;
             return;
         }
-        if (spec.oneZone()) {
+        if (spec.isSingleZone()) {
             only = zone;
         }
         perZone.merge(zone, tasks, Integer::sum);
@@ -72,7 +72,7 @@
 
     /** Whether the zone that the job is bound to is decided, or can't be yet. */
     public boolean decided() {
-        return only != null || spec.oneZone() && somewhere > 0;
+        return only != null || spec.isSingleZone() && somewhere > 0;
     }
 
     /**
@@ -85,11 +85,11 @@
 
     /** How many more tasks may go to that zone. */
     public int left(String zone) {
-        if (only != null && !only.equals(zone) || only == null && spec.oneZone() && somewhere > 0) {
+        if (only != null && !only.equals(zone) || only == null && spec.isSingleZone() && somewhere > 0) {
             return 0;
         }
-        return spec.spread()
-                ? Math.max(0, spec.mostPerZone() - perZone.getOrDefault(zone, 0) - somewhere)
+        return spec.isSpreadAcrossZones()
+                ? Math.max(0, spec.maxTasksPerZone() - perZone.getOrDefault(zone, 0) - somewhere)
                 : Integer.MAX_VALUE;
     }
 }
--- a/src/main/java/io/kitepath/core/service/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -61,7 +61,7 @@
 
     DependencyCheck(ClusterSettings settings, Store store) {
         this.store = store;
-        this.most = 2 * settings.store().txnOps();
+        this.most = 2 * settings.store().maxTransactionOperations();
     }
 
     void accepted(String id, Shape shape) {
@@ -127,7 +127,7 @@
         store.get(
                 where + id,
                 (outcome, entry) -> {
-                    if (outcome == Outcome.NO) {
+                    if (outcome == Outcome.REJECTED) {
                         found.accept(null);
                     } else if (outcome != Outcome.OK) {
                         unsure.run();
@@ -139,7 +139,7 @@
 
     private String wrong(String id, Object record) {
         try {
-            Shape shape = JobRecord.of(id, record).spec().shape();
+            Shape shape = JobRecord.fromRecord(id, record).spec().shape();
             if (DocumentReader.of(record).textOr("status", "").equals("cancelled")) {
                 cancelled(id);
             }
@@ -153,7 +153,7 @@
     private void compare(List<String> ids, Found answer) {
         List<String> some = ids.subList(0, Math.min(most, ids.size()));
         Transaction transaction = new Transaction();
-        some.forEach(id -> transaction.when(StoreKeys.OPEN + id, 0).when(StoreKeys.OVER + id, 0));
+        some.forEach(id -> transaction.requireRevision(StoreKeys.OPEN + id, 0).requireRevision(StoreKeys.OVER + id, 0));
         store.commit(
                 transaction,
                 result -> {
@@ -165,11 +165,11 @@
                         compare(ids, answer);
                         return;
                     }
-                    if (result.outcome() != Outcome.OK && result.outcome() != Outcome.NO) {
+                    if (result.outcome() != Outcome.OK && result.outcome() != Outcome.REJECTED) {
                         answer.is(false, null);
                         return;
                     }
-                    Set<String> there = new HashSet<>(result.failed());
+                    Set<String> there = new HashSet<>(result.failedKeys());
                     List<String> missing = new ArrayList<>(some);
                     missing.removeIf(
                             id ->
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -34,13 +34,13 @@
     }
 
     boolean toAnswer(Heartbeat heartbeat) {
-        return leadership.leading() && heartbeat.token() <= shard.token() && knowsCancellations();
+        return leadership.leading() && heartbeat.fencingToken() <= shard.token() && knowsCancellations();
     }
 
     /** Guards against a holder that keeps tasks alive whose jobs were cancelled behind its back. */
     boolean knowsCancellations() {
         double age = cancellationWatermark.ageS();
-        boolean knows = age < settings.workers().marginS();
+        boolean knows = age < settings.workers().cancellationStalenessSeconds();
         if (refusing == knows) {
             refusing = !knows;
             if (knows) {
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -103,8 +103,8 @@
     /** A worker's report. */
     public void heartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         received++;
-        if (heartbeat.token() > leadership.highest()) {
-            leadership.outbid(heartbeat.token(), null);
+        if (heartbeat.fencingToken() > leadership.highest()) {
+            leadership.outbid(heartbeat.fencingToken(), null);
         }
         if (leadership.leading() && !stateWriter.knowsRunning()) {
             // A new holder does not know yet what was cancelled, also shortly before it began.
@@ -114,13 +114,13 @@
         if (leadership.leading()) {
             double began = loopTime.now();
             answer(heartbeat, answer);
-            loopTime.on(Activity.CHECK_INS, began);
+            loopTime.record(Activity.CHECK_INS, began);
             return;
         }
         if (cutOff()) {
             // Guards against a worker that waits here, its lease running, for a leader that others
             // hear and we don't.
-            answer.accept(HeartbeatResponse.elsewhere(null));
+            answer.accept(HeartbeatResponse.redirectTo(null));
             return;
         }
         String leader = leadership.leader();
@@ -132,27 +132,27 @@
         // that comes with tasks and a token has lost it, this one or the last: ask on its behalf.
         // Sending it away once more would cost it up to 5 s, of a lease that may be 10 s long. From
         // time to time it is sent to try again.
-        double now = timers.now();
-        double lease = settings.workers().leaseS();
-        Double sent = sentAway.get(heartbeat.machine());
+        double now = timers.nowSeconds();
+        double lease = settings.workers().leaseSeconds();
+        Double sent = sentAway.get(heartbeat.machineId());
         boolean back = sent != null && now - sent < 2 * lease;
         boolean lost =
                 sent == null
-                        && heartbeat.token() > 0
-                        && (heartbeat.token() == leadership.highest()
+                        && heartbeat.fencingToken() > 0
+                        && (heartbeat.fencingToken() == leadership.highest()
                                 || !heartbeat.tasks().isEmpty());
         if (!back && !lost) {
-            sentAway.put(heartbeat.machine(), now);
-            answer.accept(HeartbeatResponse.elsewhere(leader));
+            sentAway.put(heartbeat.machineId(), now);
+            answer.accept(HeartbeatResponse.redirectTo(leader));
             return;
         }
-        sentAway.putIfAbsent(heartbeat.machine(), now);
+        sentAway.putIfAbsent(heartbeat.machineId(), now);
         relayed++;
         Parked parked = park(heartbeat, leader, answer);
         if (parked != null && !relay(leader, parked) && heartbeat.tasks().isEmpty()) {
             // One without tasks has nothing to lose; the others wait for another leader, who may
             // come soon.
-            settle(parked, HeartbeatResponse.elsewhere(back ? null : leader));
+            settle(parked, HeartbeatResponse.redirectTo(back ? null : leader));
         }
     }
 
@@ -173,19 +173,19 @@
      */
     private boolean relay(String leader, Parked parked) {
         if (!membership.silent(leader)
-                && siblings.relay(
+                && siblings.relayHeartbeat(
                         leader, parked.report, false, response -> settle(parked, response))) {
             return true;
         }
         for (String s : settings.siblings()) {
             if (!s.equals(leader)
                     && !membership.silent(s)
-                    && siblings.relay(
+                    && siblings.relayHeartbeat(
                             s,
                             parked.report,
                             true,
                             response -> {
-                                if (response.token() > 0) {
+                                if (response.fencingToken() > 0) {
                                     settle(parked, response);
                                 }
                             })) {
@@ -203,7 +203,7 @@
                 || leader == null
                 || leader.equals(settings.node())
                 || membership.silent(leader)
-                || !siblings.relay(leader, heartbeat, false, answer)) {
+                || !siblings.relayHeartbeat(leader, heartbeat, false, answer)) {
             answer.accept(answer(heartbeat));
         }
     }
@@ -218,33 +218,33 @@
      * its next try.
      */
     private Parked park(Heartbeat heartbeat, String asked, Consumer<HeartbeatResponse> answer) {
-        if (parked.size() >= settings.limits().sockets() / 2) {
-            answer.accept(HeartbeatResponse.elsewhere(null));
+        if (parked.size() >= settings.limits().maxSockets() / 2) {
+            answer.accept(HeartbeatResponse.redirectTo(null));
             return null;
         }
-        Parked waits = parked.get(heartbeat.machine());
+        Parked waits = parked.get(heartbeat.machineId());
         if (waits != null
-                && !heartbeat.newerThan(waits.report.session(), waits.report.sequence())) {
+                && !heartbeat.isNewerThan(waits.report.agentIncarnation(), waits.report.sequence())) {
             // Guards against a copy of an older report that sends the worker away whose report
             // waits here.
-            answer.accept(HeartbeatResponse.elsewhere(null));
+            answer.accept(HeartbeatResponse.redirectTo(null));
             return null;
         }
         Parked p = new Parked(heartbeat, asked, leadership.highest(), answer);
-        Parked older = parked.put(heartbeat.machine(), p);
+        Parked older = parked.put(heartbeat.machineId(), p);
         if (older != null) {
-            older.answer.accept(HeartbeatResponse.elsewhere(null));
+            older.answer.accept(HeartbeatResponse.redirectTo(null));
         }
-        timers.after(
+        timers.schedule(
                 heartbeat.tasks().isEmpty() ? 1 : MAX_PARK_S,
-                () -> settle(p, HeartbeatResponse.elsewhere(null)));
+                () -> settle(p, HeartbeatResponse.redirectTo(null)));
         return p;
     }
 
     /** Answers a check-in that waits; nothing happens if it has been answered already. */
     private void settle(Parked p, HeartbeatResponse response) {
-        if (parked.get(p.report.machine()) == p) {
-            parked.remove(p.report.machine());
+        if (parked.get(p.report.machineId()) == p) {
+            parked.remove(p.report.machineId());
             p.answer.accept(response);
         }
     }
@@ -258,7 +258,7 @@
         String leader = leadership.leader();
         for (Parked p : new ArrayList<>(parked.values())) {
             if (p.asked == null || !p.asked.equals(leader) || p.token < leadership.highest()) {
-                parked.remove(p.report.machine(), p);
+                parked.remove(p.report.machineId(), p);
                 heartbeat(p.report, p.answer);
             }
         }
@@ -272,8 +272,8 @@
      */
     private HeartbeatResponse answer(Heartbeat heartbeat) {
         if (!stateWriter.knowsRunning() || !entitlement.toAnswer(heartbeat)) {
-            heartbeatProcessor.unanswered(heartbeat, timers.now());
-            return HeartbeatResponse.elsewhere(leadership.leading() ? null : leadership.leader());
+            heartbeatProcessor.unanswered(heartbeat, timers.nowSeconds());
+            return HeartbeatResponse.redirectTo(leadership.leading() ? null : leadership.leader());
         }
         boolean news = heartbeatProcessor.news(heartbeat);
         List<WorkerCommand> orders =
@@ -282,12 +282,12 @@
                                 heartbeat,
                                 stateWriter.loaded(),
                                 stateWriter::mayRun,
-                                timers.now()));
+                                timers.nowSeconds()));
         if (news) {
             // Nothing is launched into the answer to a late copy, which nobody hears.
             orders.addAll(
                     heartbeatProcessor.commands(
-                            heartbeat.machine(), leadership.mayLaunch(), timers.now()));
+                            heartbeat.machineId(), leadership.mayLaunch(), timers.nowSeconds()));
         }
         if (shard.changed()) {
             changed.run();
@@ -296,7 +296,7 @@
     }
 
     private void answer(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-        String machine = heartbeat.machine();
+        String machine = heartbeat.machineId();
         if (!heartbeatProcessor.news(heartbeat)) {
             // Guards against a late copy that takes the place of the report whose answer is held.
             answer.accept(answer(heartbeat));
@@ -305,9 +305,9 @@
         release(machine);
         HeartbeatResponse now = answer(heartbeat);
         boolean idle =
-                now.token() > 0
-                        && now.orders().stream()
-                                .allMatch(command -> command.verb() == WorkerCommand.Action.FORGET);
+                now.fencingToken() > 0
+                        && now.commands().stream()
+                                .allMatch(command -> command.action() == WorkerCommand.Action.FORGET);
         double patience =
                 idle && stateWriter.loaded() && leadership.mayLaunch()
                         ? heartbeatProcessor.patience(machine)
@@ -316,9 +316,9 @@
             answer.accept(now);
             return;
         }
-        Held h = new Held(answer, now.orders(), now.token());
+        Held h = new Held(answer, now.commands(), now.fencingToken());
         held.put(machine, h);
-        timers.after(
+        timers.schedule(
                 patience,
                 () -> {
                     if (held.get(machine) == h) {
@@ -338,11 +338,11 @@
                 || shard.token() != h.token
                 || !entitlement.knowsCancellations()) {
             h.answer.accept(
-                    HeartbeatResponse.elsewhere(leadership.leading() ? null : leadership.leader()));
+                    HeartbeatResponse.redirectTo(leadership.leading() ? null : leadership.leader()));
             return true;
         }
         List<WorkerCommand> orders = new ArrayList<>(h.orders);
-        orders.addAll(heartbeatProcessor.commands(machine, leadership.mayLaunch(), timers.now()));
+        orders.addAll(heartbeatProcessor.commands(machine, leadership.mayLaunch(), timers.nowSeconds()));
         h.answer.accept(new HeartbeatResponse(h.token, orders, null));
         return true;
     }
@@ -355,7 +355,7 @@
                 release(machine);
             }
         }
-        loopTime.on(Activity.ANSWERS, began);
+        loopTime.record(Activity.ANSWERS, began);
     }
 
     /** This node leads no more. */
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -100,13 +100,13 @@
         this.holder = holder;
         this.over = over;
         int nodes = settings.siblings().size() + 1;
-        this.requests = new TokenBucket(settings.store().rps() * RATE_SHARE / nodes);
-        this.reads = new TokenBucket(Math.max(1, settings.store().rps() * READ_SHARE / nodes));
+        this.requests = new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
+        this.reads = new TokenBucket(Math.max(1, settings.store().requestsPerSecond() * READ_SHARE / nodes));
         // A transaction takes four conditions for each change that it may hold, and a job needs
         // two.
-        this.most = 2 * settings.store().txnOps();
-        this.mostWaiting = settings.limits().sockets();
-        this.freshS = settings.workers().cancelS() / 2;
+        this.most = 2 * settings.store().maxTransactionOperations();
+        this.mostWaiting = settings.limits().maxSockets();
+        this.freshS = settings.workers().cancelDeadlineSeconds() / 2;
     }
 
     /** A job that was accepted here just now; {@code free}: it waits for no others. */
@@ -115,10 +115,10 @@
     }
 
     private void heard(JobProgress progress, boolean isFree) {
-        lately.put(progress.job(), new Heard(progress, timers.now()));
+        lately.put(progress.jobId(), new Heard(progress, timers.nowSeconds()));
         // What runs, or ran, waits for nothing any more, and can only be cancelled by its own user.
-        if (isFree || progress.running() > 0 || progress.done() > 0) {
-            free.put(progress.job(), true);
+        if (isFree || progress.runningTaskCount() > 0 || progress.doneTaskCount() > 0) {
+            free.put(progress.jobId(), true);
         }
     }
 
@@ -142,11 +142,11 @@
             return;
         }
         gathering = true;
-        timers.after(
-                Math.max(GATHER_S, requests.inS(1, timers.now())),
+        timers.schedule(
+                Math.max(GATHER_S, requests.secondsUntil(1, timers.nowSeconds())),
                 () -> {
                     gathering = false;
-                    if (requests.take(1, timers.now())) {
+                    if (requests.tryTake(1, timers.nowSeconds())) {
                         send();
                     }
                     gather();
@@ -162,7 +162,7 @@
             all.remove();
             waitingCount -= e.getValue().size();
             batch.put(e.getKey(), e.getValue());
-            compare.when(StoreKeys.OPEN + e.getKey(), 0).when(StoreKeys.OVER + e.getKey(), 0);
+            compare.requireRevision(StoreKeys.OPEN + e.getKey(), 0).requireRevision(StoreKeys.OVER + e.getKey(), 0);
         }
         if (!batch.isEmpty()) {
             send(compare, batch, MAX_TRIES);
@@ -176,7 +176,7 @@
                     switch (result.outcome()) {
                         // None of the keys exists.
                         case OK -> batch.keySet().forEach(id -> tell(batch, id, Answer.NOT_FOUND));
-                        case NO -> sort(batch, new HashSet<>(result.failed()));
+                        case REJECTED -> sort(batch, new HashSet<>(result.failedKeys()));
                         case INVALID -> {
                             // The store takes fewer conditions by now than anybody said.
                             most = Math.max(1, batch.size() / 2);
@@ -184,7 +184,7 @@
                         }
                         default -> {
                             if (tries > 1) {
-                                timers.after(
+                                timers.schedule(
                                         0.1 * (MAX_TRIES + 1 - tries),
                                         () -> send(compare, batch, tries - 1));
                             } else {
@@ -226,7 +226,7 @@
                         case OK -> progress(batch, List.of(id));
                         // A job moves from open to over and never back, so what is in neither was
                         // never accepted.
-                        case NO -> over.accept(id, answer -> tell(batch, id, answer));
+                        case REJECTED -> over.accept(id, answer -> tell(batch, id, answer));
                         default -> tell(batch, id, Answer.LATER);
                     }
                 });
@@ -242,7 +242,7 @@
                     Set<String> told = new HashSet<>();
                     known.forEach(
                             progress -> {
-                                told.add(progress.job());
+                                told.add(progress.jobId());
                                 heard(progress, false);
                             });
                     for (String id : open) {
@@ -257,7 +257,7 @@
     }
 
     private static Answer unfinished(JobProgress progress) {
-        return new Answer(Verdict.KNOWN, JobStatus.unfinished(progress));
+        return new Answer(Verdict.KNOWN, JobStatus.ofUnfinished(progress));
     }
 
     /**
@@ -267,7 +267,7 @@
      */
     private void remembered(
             Map<String, List<Consumer<Answer>>> batch, String id, Heard h, boolean silent) {
-        if (h != null && (free.getIfPresent(id) != null || timers.now() - h.at < freshS)) {
+        if (h != null && (free.getIfPresent(id) != null || timers.nowSeconds() - h.at < freshS)) {
             JobProgress progress = h.progress;
             tell(
                     batch,
@@ -276,19 +276,19 @@
                             silent
                                     ? new JobProgress(
                                             id,
-                                            progress.done(),
-                                            progress.running(),
+                                            progress.doneTaskCount(),
+                                            progress.runningTaskCount(),
                                             holder.silence() + "; the figures are from before")
                                     : progress));
         } else if (free.getIfPresent(id) != null) {
             fromRecords(batch, id);
-        } else if (!reads.take(1, timers.now())) {
+        } else if (!reads.tryTake(1, timers.nowSeconds())) {
             tell(batch, id, Answer.LATER);
         } else {
             store.get(
                     StoreKeys.OPEN + id,
                     (outcome, entry) -> {
-                        if (outcome == Outcome.NO) {
+                        if (outcome == Outcome.REJECTED) {
                             over.accept(id, answer -> tell(batch, id, answer));
                         } else if (outcome != Outcome.OK || needsOthers(id, entry.value())) {
                             tell(batch, id, Answer.LATER);
@@ -302,7 +302,7 @@
 
     private static boolean needsOthers(String id, Object record) {
         try {
-            return !JobRecord.of(id, record).needs().isEmpty();
+            return !JobRecord.fromRecord(id, record).dependencies().isEmpty();
         } catch (InvalidInputException | IllegalArgumentException e) {
             return true; // Not to be told from one that does.
         }
@@ -312,7 +312,7 @@
      * The holder can't be asked or does not know the job, and nothing was heard of it here before.
      */
     private void fromRecords(Map<String, List<Consumer<Answer>>> batch, String id) {
-        if (!reads.take(1, timers.now())) {
+        if (!reads.tryTake(1, timers.nowSeconds())) {
             tell(batch, id, Answer.LATER);
             return;
         }
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -122,10 +122,10 @@
      * read.
      */
     public void ended(JobStatus status) {
-        over.put(status.id(), status);
+        over.put(status.jobId(), status);
         if (status.status().equals("cancelled")) {
-            dependencies.cancelled(status.id());
-            knownCancelled.accept(status.id());
+            dependencies.cancelled(status.jobId());
+            knownCancelled.accept(status.jobId());
         }
     }
 
@@ -164,13 +164,13 @@
     private void create(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
         String id = spec.id();
         boolean atOnce = spec.shape() != JobSpec.Shape.ARRAY;
-        int bytes = settings.store().valueBytes();
+        int bytes = settings.store().maxValueBytes();
         int narrow =
                 atOnce && !Job.recordableWhole(spec, settings.tasksPerPart(), bytes)
-                        ? settings.tasksPerNarrowPart()
+                        ? settings.tasksPerCompactPart()
                         : 0;
-        Map<String, Object> record = new JobRecord(spec, timers.wallMs(), needs, narrow, 0).toMap();
-        if (JsonSize.size(record) + OVER_BYTES > bytes) {
+        Map<String, Object> record = new JobRecord(spec, timers.wallClockMillis(), needs, narrow, 0).toRecord();
+        if (JsonSize.sizeInBytes(record) + OVER_BYTES > bytes) {
             known(
                     id,
                     new Answer(
@@ -187,7 +187,7 @@
         JobStatus doomed =
                 dependencies.anyCancelled(needs) ? new JobStatus(id, "cancelled", 0, 0) : null;
         Transaction transaction =
-                new Transaction().when(StoreKeys.OPEN + id, 0).when(StoreKeys.OVER + id, 0);
+                new Transaction().requireRevision(StoreKeys.OPEN + id, 0).requireRevision(StoreKeys.OVER + id, 0);
         if (doomed == null) {
             transaction.put(StoreKeys.OPEN + id, record);
         } else {
@@ -212,7 +212,7 @@
                                                     Verdict.CREATED,
                                                     new JobStatus(id, "pending", 0, 0))));
                         }
-                        case NO -> status(id, answer);
+                        case REJECTED -> status(id, answer);
                         case INVALID ->
                                 known(
                                         id,
@@ -261,7 +261,7 @@
                         ended(status);
                         answer.accept(new Answer(Verdict.KNOWN, status));
                     } else {
-                        answer.accept(outcome == Outcome.NO ? Answer.NOT_FOUND : Answer.LATER);
+                        answer.accept(outcome == Outcome.REJECTED ? Answer.NOT_FOUND : Answer.LATER);
                     }
                 });
     }
@@ -282,7 +282,7 @@
         store.get(
                 StoreKeys.OPEN + id,
                 (outcome, open) -> {
-                    if (outcome == Outcome.NO) {
+                    if (outcome == Outcome.REJECTED) {
                         readOver(id, answer);
                         return;
                     }
@@ -293,12 +293,12 @@
                     Map<String, Object> record = cancelled(id, open.value());
                     Transaction move =
                             new Transaction()
-                                    .when(StoreKeys.OPEN + id, open.revision())
-                                    .when(StoreKeys.OVER + id, 0)
+                                    .requireRevision(StoreKeys.OPEN + id, open.revision())
+                                    .requireRevision(StoreKeys.OVER + id, 0)
                                     .remove(StoreKeys.OPEN + id)
                                     .put(StoreKeys.OVER + id, record);
                     if (cells) {
-                        move.when(StoreKeys.LENT + id, 0);
+                        move.requireRevision(StoreKeys.LENT + id, 0);
                     }
                     store.commit(
                             move,
@@ -308,10 +308,10 @@
                                     ended(status);
                                     onCancelled.accept(status);
                                     answer.accept(new Answer(Verdict.KNOWN, status));
-                                } else if (result.outcome() == Outcome.NO
-                                        && result.failed().contains(StoreKeys.LENT + id)) {
+                                } else if (result.outcome() == Outcome.REJECTED
+                                        && result.failedKeys().contains(StoreKeys.LENT + id)) {
                                     callBack(id, open.revision(), answer);
-                                } else if (result.outcome() == Outcome.NO) {
+                                } else if (result.outcome() == Outcome.REJECTED) {
                                     cancel(id, tries - 1, answer);
                                 } else {
                                     answer.accept(Answer.LATER);
@@ -322,9 +322,9 @@
 
     private Map<String, Object> cancelled(String id, Object open) {
         Map<String, Object> end =
-                Map.of("status", "cancelled", "done", 0L, "endedMs", timers.wallMs());
+                Map.of("status", "cancelled", "done", 0L, "endedMs", timers.wallClockMillis());
         try {
-            return JobRecord.of(id, open).overMap(end, settings.store().valueBytes());
+            return JobRecord.fromRecord(id, open).toFinishedRecord(end, settings.store().maxValueBytes());
         } catch (InvalidInputException | IllegalArgumentException e) {
             // Of a later version, or not what it should be: kept as it is, and cancelled all the
             // same.
@@ -344,8 +344,8 @@
     private void callBack(String id, long openRevision, Consumer<Answer> answer) {
         store.commit(
                 new Transaction()
-                        .when(StoreKeys.OPEN + id, openRevision)
-                        .when(StoreKeys.LEAVE + id, 0)
+                        .requireRevision(StoreKeys.OPEN + id, openRevision)
+                        .requireRevision(StoreKeys.LEAVE + id, 0)
                         .put(StoreKeys.LEAVE + id, Map.of()),
                 result -> answer.accept(Answer.LATER));
     }
--- a/src/main/java/io/kitepath/core/service/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -23,12 +23,12 @@
 
     public RetryAfter(ClusterSettings settings, Timers timers) {
         this.timers = timers;
-        this.share = settings.store().rps() / (settings.siblings().size() + 1);
+        this.share = settings.store().requestsPerSecond() / (settings.siblings().size() + 1);
     }
 
     /** One more is told to come back; returns in how many seconds. */
     public int refuse() {
-        double now = timers.now();
+        double now = timers.nowSeconds();
         if (now - second >= 1) {
             before = now - second < 2 ? refused : 0;
             refused = 0;
--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -75,7 +75,7 @@
 
     /** Whether it waits for its image, or will if the machine does not have it. */
     boolean fetching() {
-        return !unwanted() && (state == null || state == Heartbeat.TaskState.FETCHING);
+        return !unwanted() && (state == null || state == Heartbeat.TaskState.FETCHING_IMAGE);
     }
 
     /** Whether it was wanted stopped, so that its end is under way. */
@@ -90,7 +90,7 @@
 
     /** How long it will probably still run, by its owner's estimate. */
     public double remainingS(double now) {
-        double estimate = job.spec.estimateS();
+        double estimate = job.spec.estimatedSeconds();
         if (job.spec.shape() == JobSpec.Shape.SERVICE) {
             return Double.MAX_VALUE;
         }
@@ -106,14 +106,14 @@
      * saving takes.
      */
     public double unsavedS(double now) {
-        double every = job.spec.checkpointS();
-        return every > 0 ? Math.min(ranS(now), Math.min(every, job.spec.saveS())) : ranS(now);
+        double every = job.spec.checkpointIntervalSeconds();
+        return every > 0 ? Math.min(ranS(now), Math.min(every, job.spec.checkpointSaveSeconds())) : ranS(now);
     }
 
     boolean is(Heartbeat.TaskStatus status) {
         return task == status.task()
                 && number == status.attempt()
-                && job.spec.id().equals(status.job());
+                && job.spec.id().equals(status.jobId());
     }
 
     @Override
--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -40,12 +40,12 @@
         add(lately.computeIfAbsent(machine.kind(), kind -> new ArrayDeque<>()), seconds);
         add(ofType.computeIfAbsent(machine.type, key -> new ArrayDeque<>()), seconds);
         MachineType type = types.get(machine.type);
-        if (type != null && seconds > SPREAD * type.bootS()) {
+        if (type != null && seconds > SPREAD * type.bootSeconds()) {
             LOG.info(
                     "machine {} came up late, after {} s instead of {} s",
                     machine.id,
                     Math.round(seconds),
-                    type.bootS());
+                    type.bootSeconds());
         }
     }
 
@@ -61,11 +61,11 @@
      * nothing for the next.
      */
     public double expectedS(MachineKind kind) {
-        MachineType type = types.get(kind.type());
-        double nominal = type == null ? 0 : type.bootS();
+        MachineType type = types.get(kind.machineType());
+        double nominal = type == null ? 0 : type.bootSeconds();
         Deque<Double> of = lately.get(kind);
         if (of == null || of.size() < LAST / 2) {
-            of = ofType.get(kind.type());
+            of = ofType.get(kind.machineType());
         }
         if (of == null || of.size() < LAST / 2) {
             return nominal;
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -83,8 +83,8 @@
             job.triesFailed++;
             double pause =
                     Math.min(
-                            settings.workers().reportS() * (1 << Math.min(8, job.triesFailed)),
-                            6 * settings.workers().leaseS());
+                            settings.workers().heartbeatIntervalSeconds() * (1 << Math.min(8, job.triesFailed)),
+                            6 * settings.workers().leaseSeconds());
             job.notBefore = now + pause;
             LOG.info(
                     "job {} fails everywhere, {} times so far: tried again in {} s",
@@ -102,7 +102,7 @@
         if (job.successes > 0 || job.failedOn.size() < MACHINES) {
             return false;
         }
-        double proof = 2 * (job.failedWithinS + settings.workers().reportS());
+        double proof = 2 * (job.failedWithinS + settings.workers().heartbeatIntervalSeconds());
         return job.live.values().stream()
                 .noneMatch(
                         attempt ->
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -57,21 +57,21 @@
      */
     public List<WorkerCommand> heartbeat(
             Heartbeat heartbeat, boolean loaded, Predicate<String> mayRun, double now) {
-        if (shard.buried(heartbeat.machine())) {
+        if (shard.buried(heartbeat.machineId())) {
             return List.of();
         }
-        Machine machine = shard.machine(heartbeat.machine(), now);
-        if (!heartbeat.newerThan(machine.session, machine.sequence)) {
+        Machine machine = shard.machine(heartbeat.machineId(), now);
+        if (!heartbeat.isNewerThan(machine.session, machine.sequence)) {
             return List.of(); // Late: a newer report has been read already.
         }
         machine.heard(
-                heartbeat.session(),
-                loaded && heartbeat.token() == shard.token(),
+                heartbeat.agentIncarnation(),
+                loaded && heartbeat.fencingToken() == shard.token(),
                 now,
-                shard.facts().workers().leaseS());
-        machine.session = heartbeat.session();
+                shard.facts().workers().leaseSeconds());
+        machine.session = heartbeat.agentIncarnation();
         machine.sequence = heartbeat.sequence();
-        machine.type = heartbeat.type();
+        machine.type = heartbeat.machineType();
         machine.zone = heartbeat.zone();
         machine.spot = heartbeat.spot();
         machine.address = heartbeat.address();
@@ -82,18 +82,18 @@
             }
         }
         machine.lastReport = now;
-        if (heartbeat.noticeS() != null) {
+        if (heartbeat.noticeSeconds() != null) {
             if (Double.isNaN(machine.takenAt)) {
-                LOG.info("machine {} will be taken in {} s", machine.id, heartbeat.noticeS());
+                LOG.info("machine {} will be taken in {} s", machine.id, heartbeat.noticeSeconds());
             }
-            machine.takenAt = now + heartbeat.noticeS();
+            machine.takenAt = now + heartbeat.noticeSeconds();
         } else {
             machine.takenAt = Double.NaN;
         }
         // Guards against a report that was sent before the worker knew us: an earlier holder's
         // launch might still have been on its way to it then. Only a report that carries our token
         // proves what is not on the machine.
-        if (!loaded || heartbeat.token() != shard.token()) {
+        if (!loaded || heartbeat.fencingToken() != shard.token()) {
             return stops(heartbeat, mayRun);
         }
         boolean open = machine.open();
@@ -101,7 +101,7 @@
             LOG.debug(
                     "machine {} reports with our token, session {}, {} tasks",
                     machine.id,
-                    heartbeat.session(),
+                    heartbeat.agentIncarnation(),
                     heartbeat.tasks().size());
         }
         machine.proven = true;
@@ -117,8 +117,8 @@
      * what it is answered.
      */
     public boolean news(Heartbeat heartbeat) {
-        Machine machine = shard.machines().get(heartbeat.machine());
-        return machine == null || heartbeat.newerThan(machine.session, machine.sequence);
+        Machine machine = shard.machines().get(heartbeat.machineId());
+        return machine == null || heartbeat.isNewerThan(machine.session, machine.sequence);
     }
 
     /**
@@ -127,8 +127,8 @@
      * back, since it answered nobody.
      */
     public void unanswered(Heartbeat heartbeat, double now) {
-        Machine machine = shard.machines().get(heartbeat.machine());
-        if (machine != null && heartbeat.newerThan(machine.session, machine.sequence)) {
+        Machine machine = shard.machines().get(heartbeat.machineId());
+        if (machine != null && heartbeat.isNewerThan(machine.session, machine.sequence)) {
             machine.unanswered(now);
         }
     }
@@ -140,13 +140,13 @@
      */
     private static List<WorkerCommand> stops(Heartbeat heartbeat, Predicate<String> mayRun) {
         return heartbeat.tasks().stream()
-                .filter(status -> status.state() != TaskState.ENDED && !mayRun.test(status.job()))
+                .filter(status -> status.state() != TaskState.ENDED && !mayRun.test(status.jobId()))
                 .limit(MAX_ORDERS)
                 .map(
                         status ->
                                 new WorkerCommand(
                                         WorkerCommand.Action.STOP,
-                                        status.job(),
+                                        status.jobId(),
                                         status.task(),
                                         status.attempt(),
                                         0))
@@ -159,7 +159,7 @@
         int before = machine.attempts.size();
         int reading = ++machine.readings;
         for (TaskStatus status : heartbeat.tasks()) {
-            Job job = shard.jobs().get(status.job());
+            Job job = shard.jobs().get(status.jobId());
             Attempt a = job == null ? null : job.live.get(status.task());
             if (a != null && a.machine == machine && a.number == status.attempt()) {
                 a.reading = reading;
@@ -191,7 +191,7 @@
         if (status.state() != attempt.state) {
             attempt.state = status.state();
             attempt.machine.progressed();
-            if (status.state() == TaskState.WAITING) {
+            if (status.state() == TaskState.WAITING_FOR_GANG) {
                 shard.hasImage(attempt);
             } else if (status.state() == TaskState.RUNNING) {
                 attempt.runningSince = now;
@@ -219,13 +219,13 @@
         } else if (a.durable && (a.unwanted() || a.machine.releasing)) {
             shard.end(a, EndCause.STOPPED, now);
         } else if (a.launched
-                && a.job.spec.gang()
+                && a.job.spec.isGang()
                 && a.job.live.values().stream()
                         .anyMatch(
-                                x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING)) {
+                                x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING_CHECKPOINT)) {
             // A gang that ran without this task has lost it; starting it again would not bring the
             // others back.
-            shard.end(a, EndCause.PEERS, now);
+            shard.end(a, EndCause.GANG_PEER_LOST, now);
         }
         // Otherwise it was never executed, and this very answer launches it (again).
         boolean ordered = a.ordered;
@@ -247,16 +247,16 @@
             orders.add(
                     new WorkerCommand(
                             WorkerCommand.Action.FORGET,
-                            status.job(),
+                            status.jobId(),
                             status.task(),
                             status.attempt(),
                             0));
             return;
         }
-        Job job = shard.jobs().get(status.job());
+        Job job = shard.jobs().get(status.jobId());
         if (job != null
                 && status.task() >= 0
-                && status.task() < job.spec.tasks()
+                && status.task() < job.spec.taskCount()
                 && !job.live.containsKey(status.task())
                 && !job.done.get(status.task())
                 && job.placeable(status.task())) {
@@ -269,7 +269,7 @@
         orders.add(
                 new WorkerCommand(
                         WorkerCommand.Action.STOP,
-                        status.job(),
+                        status.jobId(),
                         status.task(),
                         status.attempt(),
                         0));
@@ -331,7 +331,7 @@
                         && !m.commanded
                         && !m.releasing
                         && !m.address.isEmpty()
-                        && now - m.lastReport < 2 * shard.facts().workers().reportS()
+                        && now - m.lastReport < 2 * shard.facts().workers().heartbeatIntervalSeconds()
                         && (out.size() < most || out.containsKey(m))) {
                     attempt.stopSent = true;
                     out.computeIfAbsent(m, k -> new ArrayList<>()).add(stopOrder(attempt));
@@ -357,14 +357,14 @@
     public void answered(Machine machine, Heartbeat heartbeat, double now) {
         if (machine.gone
                 || !machine.proven
-                || heartbeat.session() != machine.session
+                || heartbeat.agentIncarnation() != machine.session
                 || heartbeat.sequence() <= machine.sequence
-                || heartbeat.token() != shard.token()) {
+                || heartbeat.fencingToken() != shard.token()) {
             return;
         }
         machine.sequence = heartbeat.sequence();
         for (TaskStatus status : heartbeat.tasks()) {
-            Job job = shard.jobs().get(status.job());
+            Job job = shard.jobs().get(status.jobId());
             Attempt attempt = job == null ? null : job.live.get(status.task());
             if (attempt != null
                     && attempt.machine == machine
@@ -393,10 +393,10 @@
      * A gang is launched only when every one of its tasks has a machine, and that is written down.
      */
     private static boolean startable(Attempt a) {
-        if (!a.job.spec.gang()) {
+        if (!a.job.spec.isGang()) {
             return true;
         }
-        return a.job.live.size() == a.job.spec.tasks()
+        return a.job.live.size() == a.job.spec.taskCount()
                 && a.job.live.values().stream().allMatch(x -> x.durable && x.number == a.number);
     }
 
@@ -411,7 +411,7 @@
         if (m == null || !m.open()) {
             return 0;
         }
-        double report = shard.facts().workers().reportS();
+        double report = shard.facts().workers().heartbeatIntervalSeconds();
         if (!m.busy()) {
             return Math.min(report, MAX_HOLD_S);
         }
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -276,7 +276,7 @@
 
     private void layOut(int tasks) {
         partSize = tasks;
-        parts = new Part[(spec.tasks() + partSize - 1) / partSize];
+        parts = new Part[(spec.taskCount() + partSize - 1) / partSize];
         for (int i = 0; i < parts.length; i++) {
             parts[i] = new Part(this, i);
         }
@@ -292,14 +292,14 @@
         Job job =
                 new Job(
                         record.spec(),
-                        record.submittedMs(),
-                        settings.startWithinS(record.spec()),
+                        record.submittedMillis(),
+                        settings.startDeadlinesSeconds(record.spec()),
                         key,
                         revision,
-                        record.partTasks() > 0 ? record.partTasks() : partTasks,
+                        record.tasksPerPart() > 0 ? record.tasksPerPart() : partTasks,
                         false);
         job.record = record;
-        job.attemptsFrom(record.next());
+        job.attemptsFrom(record.nextAttempt());
         return job;
     }
 
@@ -328,7 +328,7 @@
             int until) {
         Job job = new Job(spec, submittedMs, startWithinS, key, revision, partSize, true);
         job.away.set(0, from);
-        job.away.set(until, spec.tasks());
+        job.away.set(until, spec.taskCount());
         return job;
     }
 
@@ -416,7 +416,7 @@
 
     /** Its tasks that are this cell's and not done, or lent. */
     public int left() {
-        return spec.tasks() - done.cardinality() - (guest ? away.cardinality() : 0);
+        return spec.taskCount() - done.cardinality() - (guest ? away.cardinality() : 0);
     }
 
     public boolean isDone(int task) {
@@ -476,7 +476,7 @@
 
     /** Jobs that have to be done before any of its tasks starts. */
     public List<String> needs() {
-        return record == null ? List.of() : record.needs();
+        return record == null ? List.of() : record.dependencies();
     }
 
     /** Those of them that are not known to be done. */
@@ -511,7 +511,7 @@
 
     /** Whether a deadline counts for it: its own, or one of a job that needs it. */
     public boolean hasDeadline() {
-        return spec.deadlineS() != null || behindMs != NOBODY;
+        return spec.deadlineSeconds() != null || behindMs != NOBODY;
     }
 
     /**
@@ -520,9 +520,9 @@
      */
     public double dueMs() {
         double own =
-                spec.deadlineS() == null
+                spec.deadlineSeconds() == null
                         ? Double.POSITIVE_INFINITY
-                        : submittedMs + 1000 * spec.deadlineS();
+                        : submittedMs + 1000 * spec.deadlineSeconds();
         return Math.min(own, behindMs[0]);
     }
 
@@ -549,7 +549,7 @@
 
     private void aim(ClusterSettings settings) {
         double[] own =
-                Arrays.stream(settings.startWithinS(spec, heldS()))
+                Arrays.stream(settings.startDeadlinesSeconds(spec, heldS()))
                         .map(g -> submittedMs + g * 1000)
                         .toArray();
         if (behindMs == NOBODY) {
@@ -559,13 +559,13 @@
         // What its own class is expected to do, and what those behind it need; what is only a habit
         // goes.
         boolean expected =
-                spec.deadlineS() != null
+                spec.deadlineSeconds() != null
                         || settings.objectives().stream()
                                 .anyMatch(
                                         objective -> objective.jobClass().equals(spec.jobClass()));
         double[] behind =
                 Arrays.stream(behindMs)
-                        .map(ms -> ms - spec.estimateS() * 1000)
+                        .map(ms -> ms - spec.estimatedSeconds() * 1000)
                         .distinct()
                         .toArray();
         goalsMs =
@@ -606,7 +606,7 @@
 
     /** The same for a job that is not there yet. */
     public static boolean recordableWhole(JobSpec spec, int partTasks, int bytes) {
-        int at = Math.min(spec.tasks(), partTasks);
+        int at = Math.min(spec.taskCount(), partTasks);
         return PART_BYTES + (partTasks + 7) / 8 * 4 / 3 + 4 + at * MOST_PER_ATTEMPT <= bytes;
     }
 
@@ -633,7 +633,7 @@
     public void laidOut(JobRecord anew, long atRevision) {
         record = anew;
         revision = atRevision;
-        layOut(anew.partTasks());
+        layOut(anew.tasksPerPart());
         live.values().forEach(attempt -> parts[partOf(attempt.task)].count(attempt, 1));
     }
 
@@ -736,12 +736,12 @@
      */
     public String took(double now, double wallMs) {
         String deadline =
-                spec.deadlineS() == null ? "" : String.format(" of %.1f", spec.deadlineS());
+                spec.deadlineSeconds() == null ? "" : String.format(" of %.1f", spec.deadlineSeconds());
         return String.format(
                 "%s, %d tasks of %.0f s, after %.1f s%s; placed %s, begun %s before",
                 spec.jobClass(),
-                spec.tasks(),
-                spec.estimateS(),
+                spec.taskCount(),
+                spec.estimatedSeconds(),
                 (wallMs - submittedMs) / 1000,
                 deadline,
                 placed.before(now),
@@ -768,12 +768,12 @@
     public int waiting() {
         return over || leaving || held() || complete()
                 ? 0
-                : spec.tasks() - done.cardinality() - away.cardinality() - live.size();
+                : spec.taskCount() - done.cardinality() - away.cardinality() - live.size();
     }
 
     /** The first task from {@code from} on that is neither done nor placed, or -1. */
     public int nextWaiting(int from) {
-        for (int t = done.nextClearBit(from); t < spec.tasks(); t = done.nextClearBit(t + 1)) {
+        for (int t = done.nextClearBit(from); t < spec.taskCount(); t = done.nextClearBit(t + 1)) {
             if (!live.containsKey(t) && !away.get(t)) {
                 return t;
             }
@@ -802,7 +802,7 @@
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("next", nextAttempt);
         int from = part * tasks;
-        BitSet bits = done.get(from, Math.min(spec.tasks(), from + tasks));
+        BitSet bits = done.get(from, Math.min(spec.taskCount(), from + tasks));
         m.put("done", Base64.getEncoder().encodeToString(bits.toByteArray()));
         Map<String, List<Object>> on = new HashMap<>();
         for (Attempt attempt : live.subMap(from, from + tasks).values()) {
--- a/src/main/java/io/kitepath/core/shard/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -250,7 +250,7 @@
      */
     private double[] startByMs(Job job) {
         double[] own =
-                Arrays.stream(settings.deadlinesS(job.spec))
+                Arrays.stream(settings.ownDeadlinesSeconds(job.spec))
                         .map(s -> job.submittedMs + 1000 * s)
                         .toArray();
         double[] behind = job.behindMs();
@@ -259,9 +259,9 @@
         // Between the end before it and its start: the end is reported and written, its placing
         // written and fetched.
         double gapS =
-                Math.max(leadS.applyAsDouble(job.spec), settings.workers().reportS())
-                        + settings.workers().reportS();
-        double ms = 1000 * (job.spec.estimateS() + gapS);
+                Math.max(leadS.applyAsDouble(job.spec), settings.workers().heartbeatIntervalSeconds())
+                        + settings.workers().heartbeatIntervalSeconds();
+        double ms = 1000 * (job.spec.estimatedSeconds() + gapS);
         return new double[] {first - ms, last - ms};
     }
 }
--- a/src/main/java/io/kitepath/core/shard/JobSizes.java
+++ b/src/main/java/io/kitepath/core/shard/JobSizes.java
@@ -33,7 +33,7 @@
             Caffeine.newBuilder().maximumSize(MOST).build();
 
     private static double size(JobSpec spec) {
-        return spec.tasks() * spec.cpus();
+        return spec.taskCount() * spec.cpusPerTask();
     }
 
     void came(JobSpec spec) {
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -293,7 +293,7 @@
      * kept for.
      */
     public boolean keptFree(Job job, double now) {
-        return job.spec.shape() != JobSpec.Shape.SERVICE && now + job.spec.estimateS() <= keptFrom;
+        return job.spec.shape() != JobSpec.Shape.SERVICE && now + job.spec.estimatedSeconds() <= keptFrom;
     }
 
     /**
@@ -423,9 +423,9 @@
     }
 
     public boolean fits(JobSpec spec, MachineType type) {
-        return usedCpus + spec.cpus() <= type.cpus() + 1e-6
-                && usedGpus + spec.gpus() <= type.gpus() + 1e-6
-                && usedMemory + spec.memoryGb() <= type.memoryGb() + 1e-6;
+        return usedCpus + spec.cpusPerTask() <= type.cpus() + 1e-6
+                && usedGpus + spec.gpusPerTask() <= type.gpus() + 1e-6
+                && usedMemory + spec.memoryGigabytesPerTask() <= type.memoryGigabytes() + 1e-6;
     }
 
     /**
@@ -532,11 +532,11 @@
     }
 
     private void count(JobSpec spec, int sign) {
-        usedCpus += sign * spec.cpus();
-        usedGpus += sign * spec.gpus();
-        usedMemory += sign * spec.memoryGb();
-        if (!spec.spot()) {
-            boundCpus += sign * spec.cpus();
+        usedCpus += sign * spec.cpusPerTask();
+        usedGpus += sign * spec.gpusPerTask();
+        usedMemory += sign * spec.memoryGigabytesPerTask();
+        if (!spec.allowsSpot()) {
+            boundCpus += sign * spec.cpusPerTask();
         }
     }
 
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -45,14 +45,14 @@
         }
         JobSpec spec = job.spec;
         String tasks = waiting == 1 ? "1 task waits" : waiting + " tasks wait";
-        if (shard.teamUse().left(spec) < (spec.gang() ? spec.tasks() : 1)) {
+        if (shard.teamUse().left(spec) < (spec.isGang() ? spec.taskCount() : 1)) {
             return tasks
                     + ": team "
                     + spec.team()
                     + " is at its limit"
                     + shard.teamUse().share(spec.team());
         }
-        if (spec.gang() && !job.live.isEmpty()) {
+        if (spec.isGang() && !job.live.isEmpty()) {
             return tasks + " for the rest of the last attempt to end";
         }
         int starting = 0;
@@ -64,9 +64,9 @@
         String note =
                 tasks
                         + " for room of "
-                        + spec.cpus()
+                        + spec.cpusPerTask()
                         + " CPUs"
-                        + (spec.gang() ? " each, all at once" : " each");
+                        + (spec.isGang() ? " each, all at once" : " each");
         if (starting > 0) {
             note += "; machines starting: " + starting;
         }
@@ -102,7 +102,7 @@
     private static String fetching(Job job) {
         long n =
                 job.live.values().stream()
-                        .filter(attempt -> attempt.state == TaskState.FETCHING)
+                        .filter(attempt -> attempt.state == TaskState.FETCHING_IMAGE)
                         .count();
         return n == 0
                 ? null
--- a/src/main/java/io/kitepath/core/shard/QuotaUsage.java
+++ b/src/main/java/io/kitepath/core/shard/QuotaUsage.java
@@ -19,12 +19,12 @@
     private static final class Whole implements QuotaLimits {
         @Override
         public double cpus(ClusterSettings.Team team) {
-            return team.cpusMax() > 0 ? team.cpusMax() : Double.POSITIVE_INFINITY;
+            return team.maxCpus() > 0 ? team.maxCpus() : Double.POSITIVE_INFINITY;
         }
 
         @Override
         public double gpus(ClusterSettings.Team team) {
-            return team.gpusMax() > 0 ? team.gpusMax() : Double.POSITIVE_INFINITY;
+            return team.maxGpus() > 0 ? team.maxGpus() : Double.POSITIVE_INFINITY;
         }
     }
 
@@ -49,8 +49,8 @@
     /** An attempt of this kind was placed (1), or is proven over (-1). */
     void count(JobSpec spec, int sign) {
         double[] u = used.computeIfAbsent(spec.team(), key -> new double[2]);
-        u[0] += sign * spec.cpus();
-        u[1] += sign * spec.gpus();
+        u[0] += sign * spec.cpusPerTask();
+        u[1] += sign * spec.gpusPerTask();
     }
 
     /** CPUs of the team's attempts that are not proven over. */
@@ -89,11 +89,11 @@
         }
         double[] u = used.getOrDefault(spec.team(), new double[2]);
         double n = Integer.MAX_VALUE;
-        if (spec.cpus() > 0) {
-            n = Math.min(n, (limits.cpus(team) - u[0] + 1e-6) / spec.cpus());
+        if (spec.cpusPerTask() > 0) {
+            n = Math.min(n, (limits.cpus(team) - u[0] + 1e-6) / spec.cpusPerTask());
         }
-        if (spec.gpus() > 0) {
-            n = Math.min(n, (limits.gpus(team) - u[1] + 1e-6) / spec.gpus());
+        if (spec.gpusPerTask() > 0) {
+            n = Math.min(n, (limits.gpus(team) - u[1] + 1e-6) / spec.gpusPerTask());
         }
         return (int) Math.max(0, n);
     }
--- a/src/main/java/io/kitepath/core/shard/RecentArrivals.java
+++ b/src/main/java/io/kitepath/core/shard/RecentArrivals.java
@@ -45,7 +45,7 @@
         }
         return of.stream()
                 .map(job -> job.spec)
-                .sorted(Comparator.comparingDouble(spec -> spec.tasks() * spec.cpus()))
+                .sorted(Comparator.comparingDouble(spec -> spec.taskCount() * spec.cpusPerTask()))
                 .skip((long) Math.min(of.size() - 1, Math.floor(share * of.size())))
                 .findFirst()
                 .orElseThrow();
@@ -61,13 +61,13 @@
     public List<ArrivalRate> gangs(double wallMs) {
         Map<String, List<Job>> classes = new TreeMap<>();
         for (Job job : jobs) {
-            if (job.spec.gang() && !job.held()) {
+            if (job.spec.isGang() && !job.held()) {
                 classes.computeIfAbsent(job.spec.jobClass(), key -> new ArrayList<>()).add(job);
             }
         }
         List<ArrivalRate> out = new ArrayList<>();
         for (List<Job> of : classes.values()) {
-            double tasks = perS(of, wallMs, job -> job.spec.tasks());
+            double tasks = perS(of, wallMs, job -> job.spec.taskCount());
             if (tasks > 0) {
                 out.add(new ArrivalRate(of.get(0).spec, tasks));
             }
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -222,13 +222,13 @@
             if (job.over || job.guest || job.held()) {
                 continue;
             }
-            double withinS = settings.servedWithinS(job.spec, job.heldS());
+            double withinS = settings.latestUsefulCompletionSeconds(job.spec, job.heldS());
             miss(job, withinS, wallMs);
             if (!job.missed) {
                 double mayWaitS =
                         withinS
                                 - job.heldS()
-                                - job.spec.estimateS()
+                                - job.spec.estimatedSeconds()
                                 - leadS.applyAsDouble(job.spec);
                 boolean waits = job.waiting() > 0;
                 boolean endangered = waits && wallMs > job.sinceMs() + 1000 * ENDANGERED * mayWaitS;
@@ -263,7 +263,7 @@
 
     /** The store has it that the job is done. */
     public void done(Job job, double wallMs) {
-        miss(job, settings.servedWithinS(job.spec, job.heldS()), wallMs);
+        miss(job, settings.latestUsefulCompletionSeconds(job.spec, job.heldS()), wallMs);
         each(job.spec, group -> group.done++);
         if (!job.missed) {
             each(job.spec, group -> group.decide(true));
@@ -294,7 +294,7 @@
     public Map<String, Object> record(double wallMs) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("untilMs", wallMs);
-        double left = settings.store().valueBytes() * 0.3;
+        double left = settings.store().maxValueBytes() * 0.3;
         out.put("classes", records(classes, left));
         out.put("teams", records(teams, left));
         out.put("largest", records(largest, left));
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -92,7 +92,7 @@
                 new JobDependencies(
                         settings, jobs, spec -> leads.mostS(spec.jobClass()), this::change);
         this.partTasks = settings.tasksPerPart();
-        this.recordBytes = settings.store().valueBytes();
+        this.recordBytes = settings.store().maxValueBytes();
     }
 
     public ClusterSettings facts() {
@@ -238,8 +238,8 @@
                 "job {} of {}: {} tasks of {} CPUs, image {}",
                 job.spec.id(),
                 job.spec.jobClass(),
-                job.spec.tasks(),
-                job.spec.cpus(),
+                job.spec.taskCount(),
+                job.spec.cpusPerTask(),
                 job.spec.image());
         changed = true;
         lately.came(job);
@@ -325,7 +325,7 @@
         for (String id : ids) {
             Job job = jobs.get(id);
             if (job != null && !job.doomed) {
-                out.add(job.progress(now, settings.workers().reportS(), notes));
+                out.add(job.progress(now, settings.workers().heartbeatIntervalSeconds(), notes));
             }
         }
         return out;
@@ -394,9 +394,9 @@
                 if (job.spec.shape() == JobSpec.Shape.SERVICE) {
                     break;
                 }
-                if (job.spec.gang()) {
+                if (job.spec.isGang()) {
                     // The tasks of a gang complete together.
-                    job.done.set(0, job.spec.tasks());
+                    job.done.set(0, job.spec.taskCount());
                     job.touchAll();
                     job.allParts().forEach(unwritten::changed);
                 } else {
@@ -404,20 +404,20 @@
                 }
             }
             case ERROR -> failures.failed(attempt, now);
-            case NO_ROOM, BUSY, UNKNOWN -> {
+            case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_TASK -> {
                 LOG.info("attempt {} refused: {}", attempt, cause);
-                job.notBefore = Math.max(job.notBefore, now + settings.workers().reportS());
+                job.notBefore = Math.max(job.notBefore, now + settings.workers().heartbeatIntervalSeconds());
             }
             default -> LOG.debug("attempt {} ended: {}", attempt, cause);
         }
-        if (job.spec.gang() && cause != EndCause.DONE) {
-            if (cause == EndCause.ALONE) {
+        if (job.spec.isGang() && cause != EndCause.DONE) {
+            if (cause == EndCause.GANG_START_TIMEOUT) {
                 hasImage(attempt);
             }
-            if (cause == EndCause.ALONE
+            if (cause == EndCause.GANG_START_TIMEOUT
                     && fetching(job)
                     && (machine.reservedFor == null || machine.kept)) {
-                machine.reserve(job, now + 3 * fetchS(job.spec) + settings.workers().gangWaitS());
+                machine.reserve(job, now + 3 * fetchS(job.spec) + settings.workers().gangStartTimeoutSeconds());
             }
             restartOnceFetched(job);
         }
@@ -431,7 +431,7 @@
      * gave up is held, and all restart where the image is.
      */
     public void restartOnceFetched(Job job) {
-        if (!job.live.isEmpty() && job.live.size() < job.spec.tasks() && !fetching(job)) {
+        if (!job.live.isEmpty() && job.live.size() < job.spec.taskCount() && !fetching(job)) {
             for (Attempt other : new ArrayList<>(job.live.values())) {
                 stop(other, 0);
             }
@@ -444,17 +444,17 @@
                         attempt ->
                                 attempt.seen
                                         && !attempt.unwanted()
-                                        && attempt.state == TaskState.FETCHING);
+                                        && attempt.state == TaskState.FETCHING_IMAGE);
     }
 
     private double fetchS(JobSpec spec) {
         double rate =
                 types.values().stream()
-                        .mapToDouble(MachineType::fetchGbPerS)
+                        .mapToDouble(MachineType::fetchGigabytesPerSecond)
                         .filter(r -> r > 0)
                         .min()
                         .orElse(1);
-        return spec.imageGb() / rate;
+        return spec.imageGigabytes() / rate;
     }
 
     public void stop(Attempt attempt, double graceS) {
@@ -494,7 +494,7 @@
 
     /** Whether the records of its parts can take all its tasks at once, or can't be made to. */
     public boolean recordable(Job job) {
-        return job.narrow(settings.tasksPerNarrowPart()) || job.recordableWhole(recordBytes);
+        return job.narrow(settings.tasksPerCompactPart()) || job.recordableWhole(recordBytes);
     }
 
     /**
@@ -603,16 +603,16 @@
     /** What the cloud says exists. A list can be old, so it never proves a machine gone. */
     public void listed(Collection<Cloud.Listed> list, double now) {
         for (Cloud.Listed listed : list) {
-            if (buried(listed.machine())) {
+            if (buried(listed.machineId())) {
                 continue;
             }
-            boolean fresh = !machines.containsKey(listed.machine());
-            Machine machine = machine(listed.machine(), now);
+            boolean fresh = !machines.containsKey(listed.machineId());
+            Machine machine = machine(listed.machineId(), now);
             if (fresh) {
-                machine.knownSince = now - listed.heldS();
+                machine.knownSince = now - listed.heldSeconds();
             }
             machine.listed = true;
-            machine.type = listed.type();
+            machine.type = listed.machineType();
             machine.zone = listed.zone();
             machine.spot = listed.spot();
             if (listed.status().equals("failed")) {
@@ -631,7 +631,7 @@
             machine.rentedHere = true;
             machine.knownSince = since;
         }
-        machine.type = kind.type();
+        machine.type = kind.machineType();
         machine.zone = kind.zone();
         machine.spot = kind.spot();
     }
@@ -645,8 +645,8 @@
         MachineType type = types.get(attempt.machine.type);
         attempt.machine.ran(
                 attempt.job.spec.image(),
-                attempt.job.spec.imageGb(),
-                type == null ? 0 : type.cacheGb());
+                attempt.job.spec.imageGigabytes(),
+                type == null ? 0 : type.cacheGigabytes());
     }
 
     // ---- what was written -----------------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -70,7 +70,7 @@
                     || !(l.get(1) instanceof String to)
                     || !(l.get(2) instanceof Number from)
                     || !(l.get(3) instanceof Number until)) {
-                throw document.complaint("loans", "must be lists of number, cell, first and last");
+                throw document.invalid("loans", "must be lists of number, cell, first and last");
             }
             TaskLoan loan = new TaskLoan(n.longValue(), to, from.intValue(), until.intValue(), now);
             loan.written = true;
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -26,7 +26,7 @@
 public final class CancellationProof {
     public interface Listener {
         /** The job is not open any more, though no watch said so. */
-        void closed(String job);
+        void closed(String jobId);
 
         /**
          * All that was cancelled before that moment, in milliseconds by our time of day, is known.
@@ -67,7 +67,7 @@
         this.shard = shard;
         this.holding = holding;
         this.listener = listener;
-        this.most = 4 * settings.store().txnOps();
+        this.most = 4 * settings.store().maxTransactionOperations();
     }
 
     /** A new holder begins. */
@@ -91,7 +91,7 @@
     }
 
     private void again(long e, double seconds) {
-        timers.after(jittered(seconds), () -> look(e));
+        timers.schedule(jittered(seconds), () -> look(e));
     }
 
     private double jittered(double seconds) {
@@ -106,7 +106,7 @@
      */
     private final class Look {
         private final long of;
-        private final double sentMs = timers.wallMs();
+        private final double sentMs = timers.wallClockMillis();
         private final Deque<Transaction> left = new ArrayDeque<>();
         private int missing;
 
@@ -125,7 +125,7 @@
                     if (left.isEmpty() || left.getLast().conditions().size() >= most) {
                         left.add(new Transaction());
                     }
-                    left.getLast().when(job.key, job.revision());
+                    left.getLast().requireRevision(job.key, job.revision());
                 }
             }
             missing = left.size();
@@ -149,7 +149,7 @@
         private void answered(Transaction transaction, CommitResult result) {
             switch (result.outcome()) {
                 case OK -> next();
-                case NO -> closed(transaction, new ArrayDeque<>(result.failed()));
+                case REJECTED -> closed(transaction, new ArrayDeque<>(result.failedKeys()));
                 default -> {
                     if (result.outcome() == Outcome.INVALID) {
                         // The store takes fewer conditions by now than anybody said: those of the
@@ -163,9 +163,9 @@
         }
 
         private void retry(Transaction transaction) {
-            tooLong |= timers.wallMs() - sentMs > 1000 * settings.workers().marginS();
+            tooLong |= timers.wallClockMillis() - sentMs > 1000 * settings.workers().cancellationStalenessSeconds();
             if (!tooLong && holding.getAsBoolean()) {
-                timers.after(jittered(RETRY_S), () -> send(transaction));
+                timers.schedule(jittered(RETRY_S), () -> send(transaction));
             } else if (!given) {
                 given = true;
                 again(of, RETRY_S);
@@ -191,11 +191,11 @@
             store.get(
                     key,
                     (outcome, entry) -> {
-                        if (outcome != Outcome.OK && outcome != Outcome.NO) {
+                        if (outcome != Outcome.OK && outcome != Outcome.REJECTED) {
                             retry(transaction);
                             return;
                         }
-                        if (of == epoch && outcome == Outcome.NO) {
+                        if (of == epoch && outcome == Outcome.REJECTED) {
                             listener.closed(key.substring(StoreKeys.OPEN.length()));
                         }
                         closed(transaction, keys);
@@ -207,7 +207,7 @@
                 if (holding.getAsBoolean()) {
                     listener.proven(sentMs);
                 }
-                again(of, settings.workers().marginS() / 8);
+                again(of, settings.workers().cancellationStalenessSeconds() / 8);
             }
         }
     }
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -43,7 +43,7 @@
         this.store = store;
         this.timers = timers;
         this.pipelines = pipelines;
-        this.requests = new TokenBucket(settings.store().rps() * RATE_SHARE);
+        this.requests = new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE);
     }
 
     /**
@@ -67,11 +67,11 @@
             return;
         }
         for (String id : pipelines.unknown(AT_ONCE - asked.size(), asked)) {
-            if (!requests.take(1, timers.now())) {
+            if (!requests.tryTake(1, timers.nowSeconds())) {
                 waits = true;
                 long e = epoch;
-                timers.after(
-                        requests.inS(1, timers.now()),
+                timers.schedule(
+                        requests.secondsUntil(1, timers.nowSeconds()),
                         () -> {
                             if (e == epoch) {
                                 waits = false;
@@ -102,8 +102,8 @@
                     } else {
                         // Not over: it is open, and this holder has not heard of it yet; or it
                         // can't be asked now.
-                        timers.after(
-                                outcome == Outcome.NO ? AGAIN_S : AGAIN_S / 2,
+                        timers.schedule(
+                                outcome == Outcome.REJECTED ? AGAIN_S : AGAIN_S / 2,
                                 () -> {
                                     if (e == epoch) {
                                         asked.remove(id);
@@ -121,7 +121,7 @@
             pipelines.ended(
                     id,
                     document.text("status").equals("done"),
-                    document.numberOr("endedMs", 0, timers.wallMs()));
+                    document.numberOr("endedMs", 0, timers.wallClockMillis()));
             return true;
         } catch (InvalidInputException invalid) {
             LOG.error("record {} is unreadable: {}", StoreKeys.OVER + id, invalid.getMessage());
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -40,7 +40,7 @@
         if (now < nextAt) {
             return null;
         }
-        nextAt = now + settings.workers().reportS() / 2;
+        nextAt = now + settings.workers().heartbeatIntervalSeconds() / 2;
         int index = next++ % RECORDS;
         Map<String, Object> record = record(machines, index);
         if (Objects.equals(record, written.get(index))
@@ -68,7 +68,7 @@
                         machine.id.length()
                                 + 4
                                 + (by.containsKey(e.getKey()) ? 0 : e.getKey().length() + 32);
-                if (bytes < settings.store().valueKb() * 1024 * 0.9) {
+                if (bytes < settings.store().maxValueKibibytes() * 1024 * 0.9) {
                     by.computeIfAbsent(e.getKey(), key -> new ArrayList<>(List.of(e.getValue())))
                             .add(machine.id);
                 }
--- a/src/main/java/io/kitepath/core/state/PagedScan.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -45,14 +45,14 @@
 
     private void next(int attempt) {
         String from = entries.isEmpty() ? "" : entries.get(entries.size() - 1).key();
-        store.page(
+        store.list(
                 prefix,
                 from,
                 PAGE,
                 page -> {
                     if (page.outcome() != Outcome.OK) {
                         if (attempt < tries) {
-                            timers.after(Math.min(1, 0.1 * attempt), () -> next(attempt + 1));
+                            timers.schedule(Math.min(1, 0.1 * attempt), () -> next(attempt + 1));
                         } else {
                             answer.accept(new ListResult(page.outcome(), List.of(), 0, false));
                         }
@@ -62,7 +62,7 @@
                         revision = page.revision();
                     }
                     entries.addAll(page.entries());
-                    if (page.more() && !page.entries().isEmpty()) {
+                    if (page.hasMore() && !page.entries().isEmpty()) {
                         next(1);
                     } else {
                         answer.accept(new ListResult(Outcome.OK, entries, revision, false));
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -25,8 +25,8 @@
         JobRecord was = job.record();
         this.record =
                 new JobRecord(
-                        was.spec(), was.submittedMs(), was.needs(), partTasks, job.nextAttempt());
-        for (int i = 0; i * partTasks < job.spec.tasks(); i++) {
+                        was.spec(), was.submittedMillis(), was.dependencies(), partTasks, job.nextAttempt());
+        for (int i = 0; i * partTasks < job.spec.taskCount(); i++) {
             Map<String, Object> part = job.partRecordOf(i, partTasks);
             if (part != null) {
                 parts.put(i, part);
@@ -45,9 +45,9 @@
 
     void board(Transaction transaction) {
         String id = job.spec.id();
-        transaction.when(job.key, job.revision()).put(job.key, record.toMap());
+        transaction.requireRevision(job.key, job.revision()).put(job.key, record.toRecord());
         for (int i = 0; i < job.parts(); i++) {
-            transaction.when(StoreKeys.part(id, i), job.part(i).revision());
+            transaction.requireRevision(StoreKeys.part(id, i), job.part(i).revision());
             if (job.part(i).revision() > 0 && !parts.containsKey(i)) {
                 transaction.remove(StoreKeys.part(id, i));
             }
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -131,7 +131,7 @@
                     if (stale.getAsBoolean()) {
                         return;
                     }
-                    if (outcome == Outcome.OK || outcome == Outcome.NO) {
+                    if (outcome == Outcome.OK || outcome == Outcome.REJECTED) {
                         layout = entry;
                         readJobs();
                     } else {
@@ -271,8 +271,8 @@
                     if (stale.getAsBoolean()) {
                         return;
                     }
-                    if (outcome != Outcome.OK && outcome != Outcome.NO) {
-                        timers.after(
+                    if (outcome != Outcome.OK && outcome != Outcome.REJECTED) {
+                        timers.schedule(
                                 Math.min(1, 0.1 * attempt), () -> readOver(id, attempt + 1, done));
                         return;
                     }
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -215,7 +215,7 @@
     }
 
     private void again(long e, Runnable ready) {
-        timers.after(0.3, () -> load(e, ready));
+        timers.schedule(0.3, () -> load(e, ready));
     }
 
     private void load(long e, Runnable ready) {
@@ -232,7 +232,7 @@
                         servedBefore = entry.value();
                     }
                 });
-        double readingMs = timers.wallMs();
+        double readingMs = timers.wallClockMillis();
         new StateLoader(
                         store,
                         timers,
@@ -300,7 +300,7 @@
                     @Override
                     public void board(Transaction transaction) {
                         transaction
-                                .when(StoreKeys.LAYOUT, 0)
+                                .requireRevision(StoreKeys.LAYOUT, 0)
                                 .put(
                                         StoreKeys.LAYOUT,
                                         Map.of("partTasks", (long) shard.partTasks()));
@@ -332,7 +332,7 @@
 
     /** False if what was read does not fit together: jobs came or ended while it was read. */
     private boolean adopt(StateLoader.LoadedState found) {
-        double now = timers.now();
+        double now = timers.nowSeconds();
         shard.forgetJobs();
         if (found.layout() != null) {
             shard.laidOutBy(
@@ -395,7 +395,7 @@
 
     private Job job(String id, Entry entry) {
         return Job.of(
-                JobRecord.of(id, entry.value()),
+                JobRecord.fromRecord(id, entry.value()),
                 settings,
                 entry.key(),
                 entry.revision(),
@@ -427,8 +427,8 @@
         if (e != epoch) {
             return;
         }
-        long holdMs = (long) (settings.workers().leaseS() * 500);
-        store.follow(
+        long holdMs = (long) (settings.workers().leaseSeconds() * 500);
+        store.watch(
                 prefix,
                 after,
                 holdMs,
@@ -443,10 +443,10 @@
                         if (!changes.events().isEmpty()) {
                             ready.run();
                         }
-                    } else if (changes.outcome() == Outcome.NO) {
+                    } else if (changes.outcome() == Outcome.REJECTED) {
                         listener.outOfStep("changes of the jobs were missed");
                     } else {
-                        timers.after(0.3, () -> follow(e, prefix, after, ready, changed));
+                        timers.schedule(0.3, () -> follow(e, prefix, after, ready, changed));
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/state/StoreKeys.java
+++ b/src/main/java/io/kitepath/core/state/StoreKeys.java
@@ -79,8 +79,8 @@
         return GUEST + home + "/" + String.format("%020d", number);
     }
 
-    public static String part(String job, int part) {
-        return PART + job + "/" + part;
+    public static String part(String jobId, int part) {
+        return PART + jobId + "/" + part;
     }
 
     /** The job whose part that is the key of, or null if it is none. */
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -82,8 +82,8 @@
         this.shard = shard;
         this.images = images;
         this.listener = listener;
-        this.writes = new TokenBucket(settings.store().writeRps() * WRITE_SHARE);
-        this.mostWrites = settings.store().txnOps();
+        this.writes = new TokenBucket(settings.store().writesPerSecond() * WRITE_SHARE);
+        this.mostWrites = settings.store().maxTransactionOperations();
     }
 
     /** The block's record, under whose revision everything is written from now on. */
@@ -134,11 +134,11 @@
         if (round != null) {
             return;
         }
-        double now = timers.now();
+        double now = timers.nowSeconds();
         double available = writes.available(now);
         int budget = (int) Math.min(mostWrites, available);
         WriteBatch batch = new WriteBatch();
-        batch.transaction.when(blockKey, blockRevision);
+        batch.transaction.requireRevision(blockKey, blockRevision);
         if (layOutAnew(batch, budget)) {
             go(batch, done, now);
             return;
@@ -165,7 +165,7 @@
         if (!endsFirst) {
             ends(batch, budget);
         }
-        double spare = available - settings.store().writeRps() * WRITE_SHARE / 2;
+        double spare = available - settings.store().writesPerSecond() * WRITE_SHARE / 2;
         take(batch, shard.unwritten().changes(), (int) Math.min(budget, spare));
         // Guards against placings of a burst that wait for records which are only to be struck off;
         // a backlog of those
@@ -173,11 +173,11 @@
         board(batch, patient, (int) Math.min(budget, patient.size() > budget ? budget : spare));
         if (batch.transaction.writes().size() < budget && batch.bytes < MAX_BYTES / 2) {
             Store.Write due = images.due(shard.machines().values(), now);
-            if (due == null && now - servedAt > settings.workers().leaseS() / 2) {
+            if (due == null && now - servedAt > settings.workers().leaseSeconds() / 2) {
                 servedAt = now;
-                due = new Store.Write(StoreKeys.SERVED, shard.served().record(timers.wallMs()), 0);
+                due = new Store.Write(StoreKeys.SERVED, shard.served().record(timers.wallClockMillis()), 0);
             }
-            if (due != null && JsonSize.size(due.value()) <= shard.recordBytes()) {
+            if (due != null && JsonSize.sizeInBytes(due.value()) <= shard.recordBytes()) {
                 batch.transaction.put(due.key(), due.value());
             }
         }
@@ -187,7 +187,7 @@
     }
 
     private void go(WriteBatch batch, Runnable done, double now) {
-        writes.take(batch.transaction.writes().size(), now);
+        writes.tryTake(batch.transaction.writes().size(), now);
         round = batch;
         rounds++;
         written += batch.transaction.writes().size();
@@ -201,8 +201,8 @@
                 shard.laidOut(job);
                 continue;
             }
-            RecordMigration l = new RecordMigration(job, settings.tasksPerNarrowPart());
-            if (l.writes() > settings.store().txnOps()) {
+            RecordMigration l = new RecordMigration(job, settings.tasksPerCompactPart());
+            if (l.writes() > settings.store().maxTransactionOperations()) {
                 LOG.error(
                         "job {} has parts that can't be written under the limits that will come",
                         job.spec.id());
@@ -225,7 +225,7 @@
             if (rider.wanted()) {
                 rider.board(batch.transaction);
                 batch.riders.add(rider);
-                batch.bytes += settings.store().valueKb() * 1024 / 4;
+                batch.bytes += settings.store().maxValueKibibytes() * 1024 / 4;
             }
         }
     }
@@ -274,17 +274,17 @@
                 continue;
             }
             if (!job.over() && batch.conditioned.add(job)) {
-                batch.transaction.when(job.key, job.revision());
+                batch.transaction.requireRevision(job.key, job.revision());
             }
             putPart(batch, part);
         }
     }
 
     private void finish(WriteBatch batch, Job job) {
-        over(batch, job, "done", job.spec.tasks());
+        over(batch, job, "done", job.spec.taskCount());
         if (job.lentRevision() > 0) {
             batch.transaction
-                    .when(StoreKeys.LENT + job.spec.id(), job.lentRevision())
+                    .requireRevision(StoreKeys.LENT + job.spec.id(), job.lentRevision())
                     .remove(StoreKeys.LENT + job.spec.id());
         }
         batch.finishing.add(job);
@@ -308,18 +308,18 @@
     private void over(WriteBatch batch, Job job, String status, int done) {
         Map<String, Object> record =
                 job.record()
-                        .overMap(
+                        .toFinishedRecord(
                                 Map.of(
                                         "status",
                                         status,
                                         "done",
                                         (long) done,
                                         "endedMs",
-                                        timers.wallMs()),
+                                        timers.wallClockMillis()),
                                 shard.recordBytes());
-        batch.bytes += JsonSize.size(record) + RECORD_BYTES;
+        batch.bytes += JsonSize.sizeInBytes(record) + RECORD_BYTES;
         batch.transaction
-                .when(job.key, job.revision())
+                .requireRevision(job.key, job.revision())
                 .remove(job.key)
                 .put(StoreKeys.OVER + job.spec.id(), record);
     }
@@ -333,19 +333,19 @@
             part.needsNoRecord();
             return;
         }
-        batch.transaction.when(key, part.revision());
+        batch.transaction.requireRevision(key, part.revision());
         if (remove) {
             batch.transaction.remove(key);
         } else {
             Map<String, Object> record = job.partRecord(part.index);
-            if (JsonSize.size(record) > shard.recordBytes()) {
+            if (JsonSize.sizeInBytes(record) > shard.recordBytes()) {
                 // Placed when records could be larger. Until enough of it has ended, its workers go
                 // on reporting what has, and no more of it is placed.
                 oversize++;
                 batch.transaction.conditions().remove(batch.transaction.conditions().size() - 1);
                 return;
             }
-            batch.bytes += JsonSize.size(record) + RECORD_BYTES;
+            batch.bytes += JsonSize.sizeInBytes(record) + RECORD_BYTES;
             batch.transaction.put(key, record);
         }
         batch.parts.add(new WriteBatch.Written(part, job.version(), remove));
@@ -361,15 +361,15 @@
                     }
                     switch (result.outcome()) {
                         case OK -> committed(batch, result.revision(), done);
-                        case NO -> refused(batch, result, done);
+                        case REJECTED -> refused(batch, result, done);
                         case INVALID -> invalid(batch);
-                        case REFUSED -> timers.after(0.2, () -> resend(e, batch, done));
+                        case NOT_EXECUTED -> timers.schedule(0.2, () -> resend(e, batch, done));
                         default -> {
                             // It may have been executed, or still be: the very same transaction
                             // again settles it, since its conditions let only one of the two
                             // through.
                             batch.unsure = true;
-                            timers.after(0.1, () -> resend(e, batch, done));
+                            timers.schedule(0.1, () -> resend(e, batch, done));
                         }
                     }
                 });
@@ -384,21 +384,21 @@
     private void committed(WriteBatch batch, long revision, Runnable done) {
         round = null;
         mostWrites =
-                Math.min(Math.min(settings.store().txnOps(), refusedWrites - 1), mostWrites + 1);
+                Math.min(Math.min(settings.store().maxTransactionOperations(), refusedWrites - 1), mostWrites + 1);
         batch.riders.forEach(x -> x.written(revision));
         for (WriteBatch.Written written : batch.parts) {
             shard.recorded(written.part(), written.version(), written.removed() ? 0 : revision);
         }
         for (Job job : batch.finishing) {
-            LOG.info("job {} done: {}", job.spec.id(), job.took(timers.now(), timers.wallMs()));
-            shard.served().done(job, timers.wallMs());
-            shard.pipelines().ended(job.spec.id(), true, timers.wallMs());
+            LOG.info("job {} done: {}", job.spec.id(), job.took(timers.nowSeconds(), timers.wallClockMillis()));
+            shard.served().done(job, timers.wallClockMillis());
+            shard.pipelines().ended(job.spec.id(), true, timers.wallClockMillis());
             shard.jobOver(job.spec.id());
-            listener.over(new JobStatus(job.spec.id(), "done", job.spec.tasks(), 0));
+            listener.over(new JobStatus(job.spec.id(), "done", job.spec.taskCount(), 0));
         }
         for (Job job : batch.cancelling) {
             LOG.info("job {} cancelled, as one that it needs was", job.spec.id());
-            shard.pipelines().ended(job.spec.id(), false, timers.wallMs());
+            shard.pipelines().ended(job.spec.id(), false, timers.wallClockMillis());
             shard.jobOver(job.spec.id());
             listener.over(new JobStatus(job.spec.id(), "cancelled", 0, 0));
         }
@@ -461,11 +461,11 @@
     }
 
     private static int size(Store.Write write) {
-        return write.value() == null ? 0 : JsonSize.size(write.value());
+        return write.value() == null ? 0 : JsonSize.sizeInBytes(write.value());
     }
 
     private void refused(WriteBatch batch, CommitResult result, Runnable done) {
-        if (result.failed().contains(blockKey)) {
+        if (result.failedKeys().contains(blockKey)) {
             putBack(batch);
             listener.blockLost();
         } else if (batch.unsure) {
@@ -493,21 +493,21 @@
                     if (e != epoch || round != batch) {
                         return;
                     }
-                    boolean known = outcome == Outcome.OK || outcome == Outcome.NO;
+                    boolean known = outcome == Outcome.OK || outcome == Outcome.REJECTED;
                     if (known && witness.shows(entry)) {
                         committed(batch, entry == null ? 0 : entry.revision(), done);
                     } else if (known) {
                         // Nor can it be any more: a revision that was passed never comes back.
                         notWritten(batch, result);
                     } else {
-                        timers.after(0.2, () -> settle(e, batch, result, done));
+                        timers.schedule(0.2, () -> settle(e, batch, result, done));
                     }
                 });
     }
 
     private void notWritten(WriteBatch batch, CommitResult result) {
         putBack(batch);
-        for (String key : result.failed()) {
+        for (String key : result.failedKeys()) {
             if (!key.startsWith(StoreKeys.OPEN)) {
                 listener.outOfStep("unexpected revision of " + key);
                 return;
@@ -515,7 +515,7 @@
             // Cancelled just now; the next round goes without it.
             shard.jobOver(key.substring(StoreKeys.OPEN.length()));
         }
-        if (result.failed().isEmpty()) {
+        if (result.failedKeys().isEmpty()) {
             listener.outOfStep("a write was refused without a reason");
         }
     }
--- a/src/main/java/io/kitepath/net/LoopTimers.java
+++ b/src/main/java/io/kitepath/net/LoopTimers.java
@@ -17,17 +17,17 @@
     }
 
     @Override
-    public double now() {
+    public double nowSeconds() {
         return System.nanoTime() / 1e9;
     }
 
     @Override
-    public double wallMs() {
+    public double wallClockMillis() {
         return System.currentTimeMillis();
     }
 
     @Override
-    public void after(double seconds, Runnable run) {
+    public void schedule(double seconds, Runnable run) {
         loop.schedule(
                 () -> {
                     try {
--- a/src/main/java/io/kitepath/peers/CellMessageSerializers.java
+++ b/src/main/java/io/kitepath/peers/CellMessageSerializers.java
@@ -94,9 +94,9 @@
         public void write(Kryo kryo, Output output, CellMessage.FreeCapacity room) {
             output.writeDouble(room.cpus());
             output.writeDouble(room.gpus());
-            writeInt(output, room.idle());
+            writeInt(output, room.idleMachines());
             kryo.writeObjectOrNull(output, room.kind(), MachineKind.class);
-            output.writeDouble(room.memoryGb());
+            output.writeDouble(room.memoryGigabytes());
         }
 
         @Override
@@ -115,13 +115,13 @@
         @Override
         public void write(Kryo kryo, Output output, CellMessage.Summary summary) {
             output.writeString(summary.cell());
-            writeList(kryo, output, summary.hears());
+            writeList(kryo, output, summary.reachableCells());
             output.writeString(summary.leader());
-            writeList(kryo, output, summary.room());
-            writeList(kryo, output, summary.shares());
-            output.writeBoolean(summary.takes());
-            writeLong(output, summary.version());
-            writeList(kryo, output, summary.waitS());
+            writeList(kryo, output, summary.freeCapacity());
+            writeList(kryo, output, summary.quotaShares());
+            output.writeBoolean(summary.acceptsLoans());
+            writeLong(output, summary.directoryVersion());
+            writeList(kryo, output, summary.queueSecondsByRank());
         }
 
         @Override
@@ -145,14 +145,14 @@
     private static final class OfferSerializer extends FieldSerializer<CellMessage.LoanOffer> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.LoanOffer offer) {
-            writeLong(output, offer.floor());
-            writeInt(output, offer.from());
-            output.writeString(offer.home());
-            kryo.writeObjectOrNull(output, offer.job(), JobSpec.class);
-            writeLong(output, offer.next());
-            writeLong(output, offer.number());
-            output.writeDouble(offer.submittedMs());
-            writeInt(output, offer.until());
+            writeLong(output, offer.lowestOpenNumber());
+            writeInt(output, offer.firstTask());
+            output.writeString(offer.homeCell());
+            kryo.writeObjectOrNull(output, offer.spec(), JobSpec.class);
+            writeLong(output, offer.nextAttempt());
+            writeLong(output, offer.loanNumber());
+            output.writeDouble(offer.submittedMillis());
+            writeInt(output, offer.endTask());
         }
 
         @Override
@@ -174,10 +174,10 @@
     private static final class RecallSerializer extends FieldSerializer<CellMessage.LoanRecall> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.LoanRecall recall) {
-            writeLong(output, recall.floor());
-            output.writeString(recall.home());
+            writeLong(output, recall.lowestOpenNumber());
+            output.writeString(recall.homeCell());
             output.writeBoolean(recall.kill());
-            writeLong(output, recall.number());
+            writeLong(output, recall.loanNumber());
         }
 
         @Override
@@ -195,10 +195,10 @@
         @Override
         public void write(Kryo kryo, Output output, CellMessage.LoanStatus word) {
             output.writeString(word.cell());
-            kryo.writeObjectOrNull(output, word.done(), byte[].class);
-            writeLong(output, word.next());
-            writeLong(output, word.number());
-            kryo.writeObjectOrNull(output, word.standing(), CellMessage.LoanState.class);
+            kryo.writeObjectOrNull(output, word.doneTasks(), byte[].class);
+            writeLong(output, word.nextAttempt());
+            writeLong(output, word.loanNumber());
+            kryo.writeObjectOrNull(output, word.state(), CellMessage.LoanState.class);
         }
 
         @Override
@@ -217,8 +217,8 @@
     private static final class SettledSerializer extends FieldSerializer<CellMessage.LoanSettled> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.LoanSettled settled) {
-            writeLong(output, settled.floor());
-            writeLong(output, settled.number());
+            writeLong(output, settled.lowestOpenNumber());
+            writeLong(output, settled.loanNumber());
         }
 
         @Override
@@ -233,9 +233,9 @@
     private static final class UserAskSerializer extends FieldSerializer<CellMessage.UserRequest> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.UserRequest ask) {
-            output.writeString(ask.id());
-            kryo.writeObjectOrNull(output, ask.job(), JobSpec.class);
-            kryo.writeObjectOrNull(output, ask.wish(), CellMessage.RequestKind.class);
+            output.writeString(ask.jobId());
+            kryo.writeObjectOrNull(output, ask.spec(), JobSpec.class);
+            kryo.writeObjectOrNull(output, ask.kind(), CellMessage.RequestKind.class);
         }
 
         @Override
@@ -243,9 +243,9 @@
                 Kryo kryo, Input input, Class<? extends CellMessage.UserRequest> type) {
             String id = input.readString();
             JobSpec job = kryo.readObjectOrNull(input, JobSpec.class);
-            CellMessage.RequestKind wish =
+            CellMessage.RequestKind kind =
                     kryo.readObjectOrNull(input, CellMessage.RequestKind.class);
-            return new CellMessage.UserRequest(wish, id, job);
+            return new CellMessage.UserRequest(kind, id, job);
         }
     }
 
@@ -253,7 +253,7 @@
             extends FieldSerializer<CellMessage.UserResponse> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.UserResponse answer) {
-            kryo.writeObjectOrNull(output, answer.state(), JobStatus.class);
+            kryo.writeObjectOrNull(output, answer.status(), JobStatus.class);
             output.writeString(answer.verdict());
         }
 
@@ -269,25 +269,25 @@
     private static final class JobSpecSerializer extends FieldSerializer<JobSpec> {
         @Override
         public void write(Kryo kryo, Output output, JobSpec job) {
-            output.writeDouble(job.checkpointS());
-            output.writeDouble(job.cpus());
-            kryo.writeObjectOrNull(output, job.deadlineS(), Double.class);
-            output.writeDouble(job.estimateS());
-            output.writeDouble(job.gpus());
+            output.writeDouble(job.checkpointIntervalSeconds());
+            output.writeDouble(job.cpusPerTask());
+            kryo.writeObjectOrNull(output, job.deadlineSeconds(), Double.class);
+            output.writeDouble(job.estimatedSeconds());
+            output.writeDouble(job.gpusPerTask());
             output.writeString(job.id());
             output.writeString(job.image());
-            output.writeDouble(job.imageGb());
+            output.writeDouble(job.imageGigabytes());
             output.writeString(job.jobClass());
-            output.writeDouble(job.memoryGb());
-            output.writeBoolean(job.oneZone());
+            output.writeDouble(job.memoryGigabytesPerTask());
+            output.writeBoolean(job.isSingleZone());
             kryo.writeObjectOrNull(output, job.priority(), JobSpec.Priority.class);
-            output.writeDouble(job.saveS());
+            output.writeDouble(job.checkpointSaveSeconds());
             kryo.writeObjectOrNull(output, job.shape(), JobSpec.Shape.class);
-            output.writeBoolean(job.spot());
-            output.writeBoolean(job.spread());
-            writeInt(output, job.tasks());
+            output.writeBoolean(job.allowsSpot());
+            output.writeBoolean(job.isSpreadAcrossZones());
+            writeInt(output, job.taskCount());
             output.writeString(job.team());
-            writeListOrNull(kryo, output, job.types());
+            writeListOrNull(kryo, output, job.machineTypes());
             output.writeString(job.zone());
         }
 
@@ -341,7 +341,7 @@
         @Override
         public void write(Kryo kryo, Output output, MachineKind kind) {
             output.writeBoolean(kind.spot());
-            output.writeString(kind.type());
+            output.writeString(kind.machineType());
             output.writeString(kind.zone());
         }
 
@@ -357,14 +357,14 @@
     private static final class ShareSerializer extends FieldSerializer<CellMessage.QuotaShare> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.QuotaShare share) {
-            writeLong(output, share.head());
-            writeLong(output, share.holds());
-            writeInt(output, share.kind());
-            output.writeDouble(share.since());
-            writeLong(output, share.task());
+            writeLong(output, share.nextJobNeed());
+            writeLong(output, share.held());
+            writeInt(output, share.resourceKind());
+            output.writeDouble(share.nextJobSubmittedMillis());
+            writeLong(output, share.nextTaskNeed());
             output.writeString(share.team());
             writeLong(output, share.used());
-            writeLong(output, share.wants());
+            writeLong(output, share.wanted());
         }
 
         @Override
@@ -386,10 +386,10 @@
         @Override
         public void write(Kryo kryo, Output output, CellMessage.QuotaGrant grant) {
             writeLong(output, grant.amount());
-            writeLong(output, grant.floor());
-            output.writeString(grant.from());
-            writeInt(output, grant.kind());
-            writeLong(output, grant.number());
+            writeLong(output, grant.lowestOpenNumber());
+            output.writeString(grant.fromCell());
+            writeInt(output, grant.resourceKind());
+            writeLong(output, grant.grantNumber());
             output.writeString(grant.team());
         }
 
@@ -410,7 +410,7 @@
             extends FieldSerializer<CellMessage.QuotaGrantAccepted> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.QuotaGrantAccepted granted) {
-            writeLong(output, granted.number());
+            writeLong(output, granted.grantNumber());
         }
 
         @Override
--- a/src/main/java/io/kitepath/peers/MessageSerializers.java
+++ b/src/main/java/io/kitepath/peers/MessageSerializers.java
@@ -110,14 +110,14 @@
         @Override
         public void write(Kryo kryo, Output output, Heartbeat heartbeat) {
             output.writeString(heartbeat.address());
-            output.writeString(heartbeat.machine());
-            kryo.writeObjectOrNull(output, heartbeat.noticeS(), Double.class);
+            output.writeString(heartbeat.machineId());
+            kryo.writeObjectOrNull(output, heartbeat.noticeSeconds(), Double.class);
             writeLong(output, heartbeat.sequence());
-            writeLong(output, heartbeat.session());
+            writeLong(output, heartbeat.agentIncarnation());
             output.writeBoolean(heartbeat.spot());
             writeList(kryo, output, heartbeat.tasks());
-            writeLong(output, heartbeat.token());
-            output.writeString(heartbeat.type());
+            writeLong(output, heartbeat.fencingToken());
+            output.writeString(heartbeat.machineType());
             output.writeString(heartbeat.zone());
         }
 
@@ -143,7 +143,7 @@
         public void write(Kryo kryo, Output output, Heartbeat.TaskStatus report) {
             writeLong(output, report.attempt());
             kryo.writeObjectOrNull(output, report.cause(), Heartbeat.EndCause.class);
-            output.writeString(report.job());
+            output.writeString(report.jobId());
             kryo.writeObjectOrNull(output, report.state(), Heartbeat.TaskState.class);
             writeInt(output, report.task());
         }
@@ -153,10 +153,10 @@
                 Kryo kryo, Input input, Class<? extends Heartbeat.TaskStatus> type) {
             long attempt = readLong(input);
             Heartbeat.EndCause cause = kryo.readObjectOrNull(input, Heartbeat.EndCause.class);
-            String job = input.readString();
+            String jobId = input.readString();
             Heartbeat.TaskState state = kryo.readObjectOrNull(input, Heartbeat.TaskState.class);
             int task = readInt(input);
-            return new Heartbeat.TaskStatus(job, task, attempt, state, cause);
+            return new Heartbeat.TaskStatus(jobId, task, attempt, state, cause);
         }
     }
 
@@ -164,9 +164,9 @@
             extends FieldSerializer<HeartbeatResponse> {
         @Override
         public void write(Kryo kryo, Output output, HeartbeatResponse response) {
-            output.writeString(response.anchor());
-            writeList(kryo, output, response.orders());
-            writeLong(output, response.token());
+            output.writeString(response.redirectNode());
+            writeList(kryo, output, response.commands());
+            writeLong(output, response.fencingToken());
         }
 
         @Override
@@ -183,20 +183,20 @@
         @Override
         public void write(Kryo kryo, Output output, WorkerCommand order) {
             writeLong(output, order.attempt());
-            output.writeDouble(order.graceS());
-            output.writeString(order.job());
+            output.writeDouble(order.graceSeconds());
+            output.writeString(order.jobId());
             writeInt(output, order.task());
-            kryo.writeObjectOrNull(output, order.verb(), WorkerCommand.Action.class);
+            kryo.writeObjectOrNull(output, order.action(), WorkerCommand.Action.class);
         }
 
         @Override
         public WorkerCommand read(Kryo kryo, Input input, Class<? extends WorkerCommand> type) {
             long attempt = readLong(input);
             double graceS = input.readDouble();
-            String job = input.readString();
+            String jobId = input.readString();
             int task = readInt(input);
-            WorkerCommand.Action verb = kryo.readObjectOrNull(input, WorkerCommand.Action.class);
-            return new WorkerCommand(verb, job, task, attempt, graceS);
+            WorkerCommand.Action action = kryo.readObjectOrNull(input, WorkerCommand.Action.class);
+            return new WorkerCommand(action, jobId, task, attempt, graceS);
         }
     }
 
@@ -236,29 +236,29 @@
     private static final class ProgressSerializer extends FieldSerializer<JobProgress> {
         @Override
         public void write(Kryo kryo, Output output, JobProgress progress) {
-            writeInt(output, progress.done());
-            output.writeString(progress.job());
+            writeInt(output, progress.doneTaskCount());
+            output.writeString(progress.jobId());
             output.writeString(progress.note());
-            writeInt(output, progress.running());
+            writeInt(output, progress.runningTaskCount());
         }
 
         @Override
         public JobProgress read(Kryo kryo, Input input, Class<? extends JobProgress> type) {
             int done = readInt(input);
-            String job = input.readString();
+            String jobId = input.readString();
             String note = input.readString();
             int running = readInt(input);
-            return new JobProgress(job, done, running, note);
+            return new JobProgress(jobId, done, running, note);
         }
     }
 
     private static final class JobStateSerializer extends FieldSerializer<JobStatus> {
         @Override
         public void write(Kryo kryo, Output output, JobStatus state) {
-            writeInt(output, state.done());
-            output.writeString(state.id());
+            writeInt(output, state.doneTaskCount());
+            output.writeString(state.jobId());
             output.writeString(state.note());
-            writeInt(output, state.running());
+            writeInt(output, state.runningTaskCount());
             output.writeString(state.status());
         }
 
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public void tell(long token, String leader, boolean served) {
+    public void announceState(long token, String leader, boolean served) {
         view = new Messages.View(node, token, leader != null, served);
         toAll(channels.values(), channel -> send(channel, view));
     }
@@ -183,8 +183,8 @@
      * any more.
      */
     @Override
-    public void digest(CancellationDigest d) {
-        Object message = new Messages.Digest(d.by(), d.sinceMs(), d.untilMs(), d.jobs());
+    public void sendCancellationDigest(CancellationDigest d) {
+        Object message = new Messages.Digest(d.node(), d.sinceMillis(), d.untilMillis(), d.jobIds());
         toAll(
                 channels.values(),
                 channel -> {
@@ -199,7 +199,7 @@
     }
 
     @Override
-    public void over(JobStatus job) {
+    public void announceJobEnd(JobStatus job) {
         toAll(channels.values(), channel -> send(channel, new Messages.Over(job)));
     }
 
@@ -213,7 +213,7 @@
     }
 
     @Override
-    public boolean relay(
+    public boolean relayHeartbeat(
             String sibling,
             Heartbeat heartbeat,
             boolean passOn,
@@ -241,7 +241,7 @@
     }
 
     @Override
-    public void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
+    public void requestProgress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
         Channel channel = channels.get(leader);
         if (channel == null || !channel.isActive() || progressAsks.size() >= MAX_ASKS) {
             answer.accept(List.of());
--- a/src/main/java/io/kitepath/settings/SettingsFile.java
+++ b/src/main/java/io/kitepath/settings/SettingsFile.java
@@ -23,24 +23,24 @@
 
 /** The settings file that the platform hands over, checked. */
 public record SettingsFile(
-        ClusterSettings facts,
-        InetSocketAddress listen,
-        InetSocketAddress internal,
-        Map<String, InetSocketAddress> siblings,
-        InetSocketAddress cloud,
-        InetSocketAddress state) {
+        ClusterSettings settings,
+        InetSocketAddress listenAddress,
+        InetSocketAddress internalAddress,
+        Map<String, InetSocketAddress> siblingAddresses,
+        InetSocketAddress cloudAddress,
+        InetSocketAddress storeAddress) {
 
     /** Complains with a {@link InvalidInputException} that names file, field and reason. */
     public static SettingsFile read(Path file) {
-        byte[] bytes = bytes(file);
+        byte[] bytes = readBytes(file);
         try {
-            return of(bytes);
+            return parse(bytes);
         } catch (InvalidInputException invalid) {
             throw new InvalidInputException(file + ": " + invalid.getMessage());
         }
     }
 
-    static byte[] bytes(Path file) {
+    static byte[] readBytes(Path file) {
         try {
             return Files.readAllBytes(file);
         } catch (NoSuchFileException e) {
@@ -51,15 +51,15 @@
     }
 
     /** Complains with a {@link InvalidInputException} that names field and reason. */
-    public static SettingsFile of(byte[] json) {
-        return of(DocumentReader.of(document(json)));
+    public static SettingsFile parse(byte[] json) {
+        return parse(DocumentReader.of(parseJson(json)));
     }
 
-    private static SettingsFile of(DocumentReader t) {
+    private static SettingsFile parse(DocumentReader t) {
         String node = t.text("label");
         Map<String, InetSocketAddress> siblings = new LinkedHashMap<>();
         for (DocumentReader s : t.children("siblings")) {
-            siblings.put(s.text("label"), address(s, "addr"));
+            siblings.put(s.text("label"), parseAddress(s, "addr"));
         }
         DocumentReader f = t.child("facts");
         Map<String, ClusterSettings.Team> teams = new LinkedHashMap<>();
@@ -103,7 +103,7 @@
                                 w.number("gang_wait_s", 0),
                                 w.number("gang_peer_s", 0),
                                 w.number("cancel_s", 0)),
-                        limits(s),
+                        storeLimits(s),
                         new ClusterSettings.CloudLimits(
                                 c.number("rps", 0.001), c.number("list_lag_s", 0)),
                         new ClusterSettings.Limits(
@@ -114,18 +114,18 @@
         DocumentReader e = t.child("endpoints");
         return new SettingsFile(
                 settings,
-                address(t, "listen"),
-                address(t, "internal_addr"),
+                parseAddress(t, "listen"),
+                parseAddress(t, "internal_addr"),
                 siblings,
-                address(e, "cloud"),
-                address(e, "state"));
+                parseAddress(e, "cloud"),
+                parseAddress(e, "state"));
     }
 
     /**
      * The state service's limits, and those that it will have at some later time, if that is
      * announced.
      */
-    private static ClusterSettings.StoreLimits limits(DocumentReader s) {
+    private static ClusterSettings.StoreLimits storeLimits(DocumentReader s) {
         ClusterSettings.StoreLimits now =
                 new ClusterSettings.StoreLimits(
                         s.number("rps", 1),
@@ -136,18 +136,18 @@
             return now;
         }
         DocumentReader n = s.child("next");
-        return now.andLater(
+        return now.tightenedBy(
                 new ClusterSettings.StoreLimits(
-                        n.numberOr("rps", 1, now.rps()),
-                        n.numberOr("write_rps", 1, now.writeRps()),
-                        n.numberOr("value_kb", 1, now.valueKb()),
+                        n.numberOr("rps", 1, now.requestsPerSecond()),
+                        n.numberOr("write_rps", 1, now.writesPerSecond()),
+                        n.numberOr("value_kb", 1, now.maxValueKibibytes()),
                         n.has("txn_ops")
                                 ? (int) n.integer("txn_ops", 4, 1_000_000)
-                                : now.txnOps()));
+                                : now.maxTransactionOperations()));
     }
 
     /** A numeric IPv4 address and a port; names are not looked up. */
-    static InetSocketAddress address(DocumentReader document, String field) {
+    static InetSocketAddress parseAddress(DocumentReader document, String field) {
         String s = document.text(field);
         int colon = s.lastIndexOf(':');
         try {
@@ -159,7 +159,7 @@
         } catch (NumberFormatException | UnknownHostException e) {
             // Said below.
         }
-        throw document.complaint(
+        throw document.invalid(
                 field, "must be an address such as 10.0.0.1:8080, not \"" + s + "\"");
     }
 
@@ -167,29 +167,29 @@
      * Plain maps, lists, text, numbers, booleans and null as a JSON document; what {@link
      * #document} reads.
      */
-    public static byte[] json(Object value) {
+    public static byte[] toJson(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator g = new JsonFactory().createGenerator(out)) {
             g.useDefaultPrettyPrinter();
-            write(g, value);
+            writeJson(g, value);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
         return out.toByteArray();
     }
 
-    private static void write(JsonGenerator g, Object value) throws IOException {
+    private static void writeJson(JsonGenerator g, Object value) throws IOException {
         if (value instanceof Map<?, ?> m) {
             g.writeStartObject();
             for (Map.Entry<?, ?> e : m.entrySet()) {
                 g.writeFieldName((String) e.getKey());
-                write(g, e.getValue());
+                writeJson(g, e.getValue());
             }
             g.writeEndObject();
         } else if (value instanceof List<?> l) {
             g.writeStartArray();
             for (Object x : l) {
-                write(g, x);
+                writeJson(g, x);
             }
             g.writeEndArray();
         } else if (value instanceof Integer i) {
@@ -208,12 +208,12 @@
     }
 
     /** A JSON document as plain maps, lists, text, numbers, booleans and null. */
-    public static Object document(byte[] bytes) {
+    public static Object parseJson(byte[] bytes) {
         try (JsonParser p = new JsonFactory().createParser(bytes)) {
             if (p.nextToken() == null) {
                 throw new InvalidInputException("is empty");
             }
-            Object value = value(p);
+            Object value = readJson(p);
             if (p.nextToken() != null) {
                 throw new InvalidInputException("has more than one value");
             }
@@ -229,7 +229,7 @@
         }
     }
 
-    private static Object value(JsonParser p) throws IOException {
+    private static Object readJson(JsonParser p) throws IOException {
         JsonToken t = p.currentToken();
         switch (t) {
             case START_OBJECT:
@@ -238,7 +238,7 @@
                     while (p.nextToken() != JsonToken.END_OBJECT) {
                         String name = p.currentName();
                         p.nextToken();
-                        m.put(name, value(p));
+                        m.put(name, readJson(p));
                     }
                     return m;
                 }
@@ -246,7 +246,7 @@
                 {
                     List<Object> l = new ArrayList<>();
                     while (p.nextToken() != JsonToken.END_ARRAY) {
-                        l.add(value(p));
+                        l.add(readJson(p));
                     }
                     return l;
                 }
--- a/src/main/java/io/kitepath/simulation/CloudLink.java
+++ b/src/main/java/io/kitepath/simulation/CloudLink.java
@@ -19,8 +19,8 @@
     }
 
     @Override
-    public void types(BiConsumer<Store.Outcome, List<MachineType>> answer) {
-        node.after(0.05, () -> answer.accept(Store.Outcome.OK, List.of(cluster.type)));
+    public void listMachineTypes(BiConsumer<Store.Outcome, List<MachineType>> answer) {
+        node.schedule(0.05, () -> answer.accept(Store.Outcome.OK, List.of(cluster.type)));
     }
 
     /** What the cloud does about a request, and what it answers. */
@@ -33,22 +33,22 @@
         MemoryCloud c = cluster.cloud;
         if (c.withheld.test(node)) {
             c.heldBack.add(act::run);
-            node.after(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
+            node.schedule(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
             return;
         }
         cluster.after(
                 cluster.takes(0.05),
                 () -> {
                     if (c.out) {
-                        node.after(cluster.takes(0.05), () -> failed.accept(Store.Outcome.REFUSED));
+                        node.schedule(cluster.takes(0.05), () -> failed.accept(Store.Outcome.NOT_EXECUTED));
                         return;
                     }
                     Runnable answer = act.run();
                     if (c.swallow > 0 || cluster.losesAnswer.getAsBoolean()) {
                         c.swallow -= c.swallow > 0 ? 1 : 0;
-                        node.after(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
+                        node.schedule(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
                     } else {
-                        node.after(cluster.takes(0.05), answer);
+                        node.schedule(cluster.takes(0.05), answer);
                     }
                 });
     }
@@ -80,7 +80,7 @@
                     List<String> machines = got;
                     return () ->
                             answer.accept(
-                                    machines.isEmpty() ? Store.Outcome.NO : Store.Outcome.OK,
+                                    machines.isEmpty() ? Store.Outcome.REJECTED : Store.Outcome.OK,
                                     machines);
                 },
                 outcome -> answer.accept(outcome, List.of()));
@@ -121,9 +121,9 @@
     }
 
     @Override
-    public void list(BiConsumer<Store.Outcome, List<Listed>> answer) {
+    public void listMachines(BiConsumer<Store.Outcome, List<Listed>> answer) {
         if (cluster.cloud.out) {
-            node.after(0.05, () -> answer.accept(Store.Outcome.REFUSED, List.of()));
+            node.schedule(0.05, () -> answer.accept(Store.Outcome.NOT_EXECUTED, List.of()));
             return;
         }
         List<Listed> all =
@@ -132,9 +132,9 @@
                                 listed ->
                                         cluster.clock.now
                                                 >= cluster.cloud.rentedAt.getOrDefault(
-                                                                listed.machine(), -1e9)
+                                                                listed.machineId(), -1e9)
                                                         + cluster.cloud.listLagS)
                         .toList();
-        node.after(0.05, () -> answer.accept(Store.Outcome.OK, all));
+        node.schedule(0.05, () -> answer.accept(Store.Outcome.OK, all));
     }
 }
--- a/src/main/java/io/kitepath/simulation/EmulatorClient.java
+++ b/src/main/java/io/kitepath/simulation/EmulatorClient.java
@@ -6,7 +6,7 @@
  */
 public interface EmulatorClient {
     /** What it may be answered, a while later; nothing if it has ended by then. */
-    void after(double seconds, Runnable run);
+    void schedule(double seconds, Runnable run);
 
     /** Whether it is still there. */
     default boolean there() {
--- a/src/main/java/io/kitepath/simulation/InvariantChecker.java
+++ b/src/main/java/io/kitepath/simulation/InvariantChecker.java
@@ -129,14 +129,14 @@
         if (status.equals("done")) {
             JobSpec spec = cluster.specs.get(id);
             int ended = cluster.completed.getOrDefault(id, Set.of()).size();
-            if (spec != null && (spec.gang() ? ended == 0 : ended < spec.tasks())) {
+            if (spec != null && (spec.isGang() ? ended == 0 : ended < spec.taskCount())) {
                 breaks(
                         "not done: "
                                 + id
                                 + " is called done after "
                                 + ended
                                 + " of "
-                                + spec.tasks());
+                                + spec.taskCount());
             }
             cluster.toldDone.add(id);
             doneAt.putIfAbsent(id, cluster.clock.now);
@@ -166,7 +166,7 @@
     private void hasGone(String id) {
         for (SimulatedWorker worker : cluster.workers.values()) {
             worker.tasks.values().stream()
-                    .filter(task -> task.job.equals(id) && task.on())
+                    .filter(task -> task.jobId.equals(id) && task.on())
                     .forEach(
                             task -> {
                                 if (worker.hangs()) {
@@ -201,7 +201,7 @@
 
     /** A task starts, and is on its machine already. */
     void starts(SimulatedTask task) {
-        String id = task.job;
+        String id = task.jobId;
         besideRoom.remove(id);
         double after =
                 cluster.clock.now
@@ -217,7 +217,7 @@
             JobSpec spec = cluster.specs.get(n);
             int done = cluster.completed.getOrDefault(n, Set.of()).size();
             // The tasks of a gang complete together.
-            if (spec == null || (spec.gang() ? done == 0 : done < spec.tasks())) {
+            if (spec == null || (spec.isGang() ? done == 0 : done < spec.taskCount())) {
                 breaks("too early: " + id + " starts before " + n + " is done");
             }
         }
@@ -230,24 +230,24 @@
 
     private void place(SimulatedTask t, JobSpec spec) {
         SimulatedWorker x = t.worker;
-        if (spec.types() != null && !spec.types().contains(cluster.type.name())
+        if (spec.machineTypes() != null && !spec.machineTypes().contains(cluster.type.name())
                 || spec.zone() != null && !spec.zone().equals(x.zone)
-                || x.spot && !spec.spot()) {
+                || x.spot && !spec.allowsSpot()) {
             breaks("wrong place: " + t.key() + " on " + x.id);
         }
-        if (!spec.oneZone() && !spec.spread()) {
+        if (!spec.isSingleZone() && !spec.isSpreadAcrossZones()) {
             return;
         }
         int here = 0;
         for (SimulatedWorker y : cluster.workers.values()) {
-            long on = y.tasks.values().stream().filter(o -> o.job.equals(t.job) && o.on()).count();
+            long on = y.tasks.values().stream().filter(o -> o.jobId.equals(t.jobId) && o.on()).count();
             here += y.zone.equals(x.zone) ? on : 0;
-            if (spec.oneZone() && on > 0 && !y.zone.equals(x.zone)) {
+            if (spec.isSingleZone() && on > 0 && !y.zone.equals(x.zone)) {
                 breaks("wrong place: " + t.key() + " in " + x.zone + " beside tasks in " + y.zone);
             }
         }
-        if (spec.spread() && here > spec.mostPerZone()) {
-            breaks("wrong place: " + here + " tasks of " + t.job + " in " + x.zone);
+        if (spec.isSpreadAcrossZones() && here > spec.maxTasksPerZone()) {
+            breaks("wrong place: " + here + " tasks of " + t.jobId + " in " + x.zone);
         }
     }
 
@@ -258,10 +258,10 @@
         double[] used = new double[2];
         for (SimulatedWorker worker : cluster.workers.values()) {
             for (SimulatedTask task : worker.tasks.values()) {
-                JobSpec spec = cluster.specs.get(task.job);
+                JobSpec spec = cluster.specs.get(task.jobId);
                 if (spec != null && spec.team().equals(team) && task.on()) {
-                    used[0] += spec.cpus();
-                    used[1] += spec.gpus();
+                    used[0] += spec.cpusPerTask();
+                    used[1] += spec.gpusPerTask();
                 }
             }
         }
@@ -270,12 +270,12 @@
 
     private void limit(String team) {
         ClusterSettings.Team limit = cluster.teams.get(team);
-        if (limit == null || limit.cpusMax() <= 0 && limit.gpusMax() <= 0) {
+        if (limit == null || limit.maxCpus() <= 0 && limit.maxGpus() <= 0) {
             return;
         }
         double[] used = onMachines(team);
-        if (limit.cpusMax() > 0 && used[0] > limit.cpusMax() + 1e-6
-                || limit.gpusMax() > 0 && used[1] > limit.gpusMax() + 1e-6) {
+        if (limit.maxCpus() > 0 && used[0] > limit.maxCpus() + 1e-6
+                || limit.maxGpus() > 0 && used[1] > limit.maxGpus() + 1e-6) {
             breaks(
                     "quota: team "
                             + team
@@ -347,22 +347,22 @@
         long on =
                 cluster.workers.values().stream()
                         .flatMap(worker -> worker.tasks.values().stream())
-                        .filter(task -> task.job.equals(id) && task.on())
+                        .filter(task -> task.jobId.equals(id) && task.on())
                         .map(task -> task.number)
                         .distinct()
                         .count();
-        long missing = spec.tasks() - cluster.completed.getOrDefault(id, Set.of()).size() - on;
+        long missing = spec.taskCount() - cluster.completed.getOrDefault(id, Set.of()).size() - on;
         if (missing <= 0
-                || spec.gang() && on > 0
-                || spec.gang() && cluster.completed.containsKey(id)) {
+                || spec.isGang() && on > 0
+                || spec.isGang() && cluster.completed.containsKey(id)) {
             return false;
         }
-        long atOnce = spec.gang() ? missing : 1;
+        long atOnce = spec.isGang() ? missing : 1;
         ClusterSettings.Team limit = cluster.teams.get(spec.team());
         double[] used = onMachines(spec.team());
         if (limit == null
-                || limit.cpusMax() > 0 && used[0] + atOnce * spec.cpus() > limit.cpusMax() + 1e-6
-                || limit.gpusMax() > 0 && used[1] + atOnce * spec.gpus() > limit.gpusMax() + 1e-6) {
+                || limit.maxCpus() > 0 && used[0] + atOnce * spec.cpusPerTask() > limit.maxCpus() + 1e-6
+                || limit.maxGpus() > 0 && used[1] + atOnce * spec.gpusPerTask() > limit.maxGpus() + 1e-6) {
             return false;
         }
         Map<String, Long> rooms = new HashMap<>();
@@ -377,12 +377,12 @@
                 .filter(
                         worker ->
                                 (spec.zone() == null || spec.zone().equals(worker.zone))
-                                        && (!worker.spot || spec.spot())
+                                        && (!worker.spot || spec.allowsSpot())
                                         && fitsBeside(spec, worker.zone))
                 .forEach(
                         worker ->
                                 rooms.merge(
-                                        spec.oneZone() ? worker.zone : "",
+                                        spec.isSingleZone() ? worker.zone : "",
                                         room(worker, spec),
                                         Long::sum));
         return rooms.values().stream().anyMatch(r -> r >= atOnce);
@@ -393,27 +393,27 @@
         List<SimulatedTask> on =
                 cluster.workers.values().stream()
                         .flatMap(worker -> worker.tasks.values().stream())
-                        .filter(task -> task.job.equals(spec.id()) && task.on())
+                        .filter(task -> task.jobId.equals(spec.id()) && task.on())
                         .toList();
         long here = on.stream().filter(task -> task.worker.zone.equals(zone)).count();
-        return (!spec.oneZone() || here == on.size()) && here < spec.mostPerZone();
+        return (!spec.isSingleZone() || here == on.size()) && here < spec.maxTasksPerZone();
     }
 
     private long room(SimulatedWorker worker, JobSpec s) {
         double cpus = cluster.type.cpus();
-        double memory = cluster.type.memoryGb();
+        double memory = cluster.type.memoryGigabytes();
         for (SimulatedTask task : worker.tasks.values()) {
-            JobSpec o = cluster.specs.get(task.job);
+            JobSpec o = cluster.specs.get(task.jobId);
             if (task.on() && o != null) {
-                cpus -= o.cpus();
-                memory -= o.memoryGb();
+                cpus -= o.cpusPerTask();
+                memory -= o.memoryGigabytesPerTask();
             }
         }
         return (long)
                 Math.max(
                         0,
                         Math.min(
-                                s.cpus() > 0 ? (cpus + 1e-9) / s.cpus() : 1e6,
-                                s.memoryGb() > 0 ? (memory + 1e-9) / s.memoryGb() : 1e6));
+                                s.cpusPerTask() > 0 ? (cpus + 1e-9) / s.cpusPerTask() : 1e6,
+                                s.memoryGigabytesPerTask() > 0 ? (memory + 1e-9) / s.memoryGigabytesPerTask() : 1e6));
     }
 }
--- a/src/main/java/io/kitepath/simulation/LoadGenerator.java
+++ b/src/main/java/io/kitepath/simulation/LoadGenerator.java
@@ -174,8 +174,8 @@
                                         .forEach(
                                                 task -> {
                                                     if (!cluster.toldCancelled.containsKey(
-                                                            task.job)) {
-                                                        running.putIfAbsent(task.job, worker);
+                                                            task.jobId)) {
+                                                        running.putIfAbsent(task.jobId, worker);
                                                     }
                                                 }));
         List<String> jobs = new ArrayList<>(running.keySet());
@@ -194,13 +194,13 @@
 
     /** A task completed; if it was its job's last, some user calls the job off in that moment. */
     void completed(SimulatedTask task) {
-        JobSpec spec = cluster.specs.get(task.job);
+        JobSpec spec = cluster.specs.get(task.jobId);
         if (spec != null
                 && cluster.cancelsAtEnd.test(task)
-                && (spec.gang()
-                        || cluster.completed.getOrDefault(task.job, Set.of()).size()
-                                == spec.tasks())) {
-            cancel(any(), task.job);
+                && (spec.isGang()
+                        || cluster.completed.getOrDefault(task.jobId, Set.of()).size()
+                                == spec.taskCount())) {
+            cancel(any(), task.jobId);
         }
     }
 }
--- a/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
+++ b/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
@@ -74,14 +74,14 @@
                                 .call(
                                         "POST",
                                         "/checkin",
-                                        EmulatorCodec.report(heartbeat),
+                                        EmulatorCodec.encodeHeartbeat(heartbeat),
                                         TIMEOUT_MS,
                                         (status, body) -> {
                                             HeartbeatResponse response =
-                                                    EmulatorCodec.heartbeat(status, body);
+                                                    EmulatorCodec.decodeHeartbeatResponse(status, body);
                                             answer.accept(
                                                     response == null
-                                                            ? HeartbeatResponse.elsewhere(null)
+                                                            ? HeartbeatResponse.redirectTo(null)
                                                             : response);
                                         });
                     }
@@ -114,7 +114,7 @@
                             try {
                                 handler.handle(request, out);
                             } catch (InvalidInputException invalid) {
-                                out.reply(400, ProtocolCodec.error(invalid.getMessage()));
+                                out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
                             }
                         },
                         MAX_BODY,
@@ -150,14 +150,14 @@
 
     private void direct(SimulatedWorker worker, Request request, Responder out) {
         try {
-            EmulatorCodec.Direct d = EmulatorCodec.direct(MessagePackCodec.value(request.body()));
+            EmulatorCodec.Direct d = EmulatorCodec.decodeDirectCommands(MessagePackCodec.decode(request.body()));
             Heartbeat heartbeat =
-                    worker.up ? worker.directly(d.token(), d.session(), d.orders()) : null;
+                    worker.up ? worker.directly(d.fencingToken(), d.agentIncarnation(), d.commands()) : null;
             out.reply(
                     heartbeat == null ? 409 : 200,
-                    EmulatorCodec.report(heartbeat == null ? worker.message() : heartbeat));
+                    EmulatorCodec.encodeHeartbeat(heartbeat == null ? worker.message() : heartbeat));
         } catch (InvalidInputException invalid) {
-            out.reply(400, ProtocolCodec.error(invalid.getMessage()));
+            out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
         }
     }
 
@@ -166,7 +166,7 @@
     private static void failed(Outcome outcome, Responder out) {
         // Without an answer a caller has to find out by itself; the stand-in says so with a status
         // that tells nothing.
-        out.reply(outcome == Outcome.REFUSED ? 503 : 500, null);
+        out.reply(outcome == Outcome.NOT_EXECUTED ? 503 : 500, null);
     }
 
     private void state(Request request, Responder out) {
@@ -176,76 +176,76 @@
                     path.substring("/keys/".length()),
                     (outcome, entry) -> {
                         if (outcome == Outcome.OK) {
-                            out.reply(200, EmulatorCodec.entry(entry));
-                        } else if (outcome == Outcome.NO) {
+                            out.reply(200, EmulatorCodec.encodeEntry(entry));
+                        } else if (outcome == Outcome.REJECTED) {
                             out.reply(
                                     404,
-                                    MessagePackCodec.bytes(
+                                    MessagePackCodec.encode(
                                             Map.of("epoch", cluster.store.revision)));
                         } else {
                             failed(outcome, out);
                         }
                     });
         } else if (path.equals("/keys")) {
-            store.page(
+            store.list(
                     query(request, "prefix", ""),
                     query(request, "from", ""),
                     (int) number(request, "limit", 1000),
                     listing -> {
                         if (listing.outcome() == Outcome.OK) {
-                            out.reply(200, EmulatorCodec.listing(listing));
+                            out.reply(200, EmulatorCodec.encodeListing(listing));
                         } else {
                             failed(listing.outcome(), out);
                         }
                     });
         } else if (path.equals("/multi")) {
             store.commit(
-                    EmulatorCodec.transaction(MessagePackCodec.value(request.body())),
+                    EmulatorCodec.decodeTransaction(MessagePackCodec.decode(request.body())),
                     result -> committed(result, out));
         } else if (path.equals("/follow")) {
-            store.follow(
+            store.watch(
                     query(request, "prefix", ""),
                     number(request, "from", 0),
                     number(request, "holdMs", 0),
-                    changes -> out.reply(200, EmulatorCodec.changes(changes)));
+                    changes -> out.reply(200, EmulatorCodec.encodeWatchResult(changes)));
         } else if (path.equals("/holds")) {
-            store.grant(
-                    EmulatorCodec.lifeMs(MessagePackCodec.value(request.body())),
+            store.grantLease(
+                    EmulatorCodec.decodeLeaseMillis(MessagePackCodec.decode(request.body())),
                     (outcome, id) -> {
                         if (outcome == Outcome.OK) {
-                            out.reply(200, EmulatorCodec.lease(id));
+                            out.reply(200, EmulatorCodec.encodeLease(id));
                         } else {
                             failed(outcome, out);
                         }
                     });
         } else if (path.matches("/holds/[0-9]{1,18}/renew")) {
-            store.renew(
+            store.renewLease(
                     Long.parseLong(path.split("/")[2]),
                     outcome -> {
-                        if (outcome == Outcome.OK || outcome == Outcome.NO) {
+                        if (outcome == Outcome.OK || outcome == Outcome.REJECTED) {
                             out.reply(outcome == Outcome.OK ? 200 : 404, null);
                         } else {
                             failed(outcome, out);
                         }
                     });
         } else if (path.matches("/holds/[0-9]{1,18}") && request.method().equals("DELETE")) {
-            store.revoke(Long.parseLong(path.split("/")[2]));
+            store.revokeLease(Long.parseLong(path.split("/")[2]));
             out.reply(200, null);
         } else {
-            out.reply(400, ProtocolCodec.error("no such call"));
+            out.reply(400, ProtocolCodec.encodeError("no such call"));
         }
     }
 
     private static void committed(CommitResult result, Responder out) {
         switch (result.outcome()) {
-            case OK -> out.reply(200, EmulatorCodec.committed(result));
-            case NO ->
+            case OK -> out.reply(200, EmulatorCodec.encodeCommitResult(result));
+            case REJECTED ->
                     out.reply(
-                            result.leaseGone() ? 400 : 409,
-                            result.leaseGone()
-                                    ? ProtocolCodec.error(ProtocolCodec.NO_SUCH_LEASE)
-                                    : EmulatorCodec.committed(result));
-            case INVALID -> out.reply(400, ProtocolCodec.error("over the limits"));
+                            result.isLeaseExpired() ? 400 : 409,
+                            result.isLeaseExpired()
+                                    ? ProtocolCodec.encodeError(ProtocolCodec.NO_SUCH_LEASE)
+                                    : EmulatorCodec.encodeCommitResult(result));
+            case INVALID -> out.reply(400, ProtocolCodec.encodeError("over the limits"));
             default -> failed(result.outcome(), out);
         }
     }
@@ -267,44 +267,44 @@
 
     private void cloud(Request request, Responder out) {
         if (request.path().equals("/machine_types")) {
-            cloud.types((outcome, types) -> out.reply(200, EmulatorCodec.types(types)));
+            cloud.listMachineTypes((outcome, types) -> out.reply(200, EmulatorCodec.encodeMachineTypes(types)));
         } else if (request.path().equals("/rentals/release")) {
             cloud.release(
-                    ProtocolCodec.machineNames(MessagePackCodec.value(request.body())),
-                    outcome -> answer(outcome, MessagePackCodec.bytes(Map.of()), out));
+                    ProtocolCodec.decodeMachineIds(MessagePackCodec.decode(request.body())),
+                    outcome -> answer(outcome, MessagePackCodec.encode(Map.of()), out));
         } else if (request.path().equals("/rentals") && request.method().equals("POST")) {
-            EmulatorCodec.Rent q = EmulatorCodec.rent(MessagePackCodec.value(request.body()));
+            EmulatorCodec.Rent q = EmulatorCodec.decodeRental(MessagePackCodec.decode(request.body()));
             cloud.rent(
                     q.name(),
-                    new MachineKind(q.type(), q.zone(), q.spot()),
+                    new MachineKind(q.machineType(), q.zone(), q.spot()),
                     q.count(),
-                    (outcome, names) -> answer(outcome, ProtocolCodec.machines(names), out));
+                    (outcome, names) -> answer(outcome, ProtocolCodec.encodeMachineIds(names), out));
         } else if (request.path().equals("/rentals")) {
             String from = query(request, "from", "");
             int limit = (int) number(request, "limit", 500);
-            cloud.list(
+            cloud.listMachines(
                     (outcome, all) -> {
                         List<Cloud.Listed> rest =
                                 all.stream()
-                                        .filter(listed -> listed.machine().compareTo(from) > 0)
+                                        .filter(listed -> listed.machineId().compareTo(from) > 0)
                                         .toList();
                         answer(
                                 outcome,
-                                EmulatorCodec.machines(
+                                EmulatorCodec.encodeMachines(
                                         rest.subList(0, Math.min(limit, rest.size())),
                                         rest.size() > limit),
                                 out);
                     });
         } else {
-            out.reply(400, ProtocolCodec.error("no such call"));
+            out.reply(400, ProtocolCodec.encodeError("no such call"));
         }
     }
 
     private static void answer(Outcome outcome, byte[] body, Responder out) {
         switch (outcome) {
             case OK -> out.reply(200, body);
-            case NO -> out.reply(503, ProtocolCodec.error("no capacity"));
-            default -> out.reply(503, ProtocolCodec.error("trouble"));
+            case REJECTED -> out.reply(503, ProtocolCodec.encodeError("no capacity"));
+            default -> out.reply(503, ProtocolCodec.encodeError("trouble"));
         }
     }
 }
--- a/src/main/java/io/kitepath/simulation/MemoryStore.java
+++ b/src/main/java/io/kitepath/simulation/MemoryStore.java
@@ -101,11 +101,11 @@
             writes = new TokenBucket(cluster.writeRps);
         }
         if (writes.available(cluster.clock.now) < itsWrites
-                || !requests.take(1, cluster.clock.now)) {
+                || !requests.tryTake(1, cluster.clock.now)) {
             overRate++;
             return true;
         }
-        writes.take(itsWrites, cluster.clock.now);
+        writes.tryTake(itsWrites, cluster.clock.now);
         return false;
     }
 
@@ -200,7 +200,7 @@
                 return !node.there();
             }
             long r = no ? after : revision;
-            node.after(
+            node.schedule(
                     0.002, () -> answer.accept(new Store.WatchResult(Store.Outcome.OK, r, events)));
             return true;
         }
@@ -260,13 +260,13 @@
                 || transaction.conditions().size() > 4L * txnOps
                 || transaction.writes().stream()
                         .anyMatch(
-                                x -> x.value() != null && JsonSize.size(x.value()) > valueBytes)) {
+                                x -> x.value() != null && JsonSize.sizeInBytes(x.value()) > valueBytes)) {
             overLimits++;
             return new Store.CommitResult(Store.Outcome.INVALID, 0, List.of(), false);
         }
         if (transaction.writes().stream()
-                .anyMatch(x -> x.lease() != 0 && !leases.containsKey(x.lease()))) {
-            return new Store.CommitResult(Store.Outcome.NO, 0, List.of(), true);
+                .anyMatch(x -> x.leaseId() != 0 && !leases.containsKey(x.leaseId()))) {
+            return new Store.CommitResult(Store.Outcome.REJECTED, 0, List.of(), true);
         }
         List<String> failed = new ArrayList<>();
         for (Store.Condition condition : transaction.conditions()) {
@@ -276,10 +276,10 @@
             }
         }
         if (!failed.isEmpty()) {
-            return new Store.CommitResult(Store.Outcome.NO, 0, failed, false);
+            return new Store.CommitResult(Store.Outcome.REJECTED, 0, failed, false);
         }
         long r = transaction.writes().isEmpty() ? revision : ++revision;
-        transaction.writes().forEach(w -> put(w.key(), w.value(), w.lease(), r));
+        transaction.writes().forEach(w -> put(w.key(), w.value(), w.leaseId(), r));
         return new Store.CommitResult(Store.Outcome.OK, r, List.of(), false);
     }
 }
--- a/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
+++ b/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
@@ -214,8 +214,8 @@
                                     }
                                 });
         clock.after(1, () -> once.accept(null));
-        String out = from.cellDirectory.own() + ">" + cell;
-        String back = cell + ">" + from.cellDirectory.own();
+        String out = from.cellDirectory.ownCellName() + ">" + cell;
+        String back = cell + ">" + from.cellDirectory.ownCellName();
         List<SimulatedNode> up = cluster.nodes.values().stream().filter(n -> n.alive).toList();
         SimulatedNode asked =
                 node != null
@@ -268,7 +268,7 @@
     public String id(String home, int n) {
         CellDirectory directory = worlds.get(home).cellDirectory;
         for (int i = 1000 * n; ; i++) {
-            if (directory == null || directory.home("j-" + i).equals(home)) {
+            if (directory == null || directory.homeCellOf("j-" + i).equals(home)) {
                 return "j-" + i;
             }
         }
@@ -343,7 +343,7 @@
         if (now.equals("cancelled")) {
             cancelledAt.putIfAbsent(id, clock.now);
         }
-        if (now.equals("done") && tasksDone(id) < specs.get(id).tasks()) {
+        if (now.equals("done") && tasksDone(id) < specs.get(id).taskCount()) {
             broken.add("not done: " + id);
         }
     }
@@ -369,11 +369,11 @@
                     if (!worker.up || task.state == TaskState.ENDED) {
                         continue;
                     }
-                    String other = where.put(task.job + "/" + task.number, worker.id);
+                    String other = where.put(task.jobId + "/" + task.number, worker.id);
                     if (other != null) {
                         broken.add(
                                 "twice: "
-                                        + task.job
+                                        + task.jobId
                                         + "/"
                                         + task.number
                                         + " on "
@@ -381,13 +381,13 @@
                                         + " and "
                                         + worker.id);
                     }
-                    JobSpec spec = specs.get(task.job);
-                    used.merge(spec.team(), spec.cpus(), Double::sum);
-                    Double at = cancelledAt.get(task.job);
+                    JobSpec spec = specs.get(task.jobId);
+                    used.merge(spec.team(), spec.cpusPerTask(), Double::sum);
+                    Double at = cancelledAt.get(task.jobId);
                     if (at != null && clock.now > at + CANCEL_S) {
                         broken.add(
                                 "ran cancelled: "
-                                        + task.job
+                                        + task.jobId
                                         + "/"
                                         + task.number
                                         + " on "
--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -263,7 +263,7 @@
 
     private void started(SimulatedTask task) {
         starts++;
-        Coming arrival = coming.get(task.job);
+        Coming arrival = coming.get(task.jobId);
         if (!arrival.started.get(task.number)) {
             arrival.started.set(task.number);
             (arrival.cell == 0 ? hot : others)
@@ -272,15 +272,15 @@
     }
 
     private void ended(SimulatedTask task) {
-        Coming arrival = coming.get(task.job);
-        if (arrival.done.cardinality() == arrival.spec.tasks()) {
+        Coming arrival = coming.get(task.jobId);
+        if (arrival.done.cardinality() == arrival.spec.taskCount()) {
             return;
         }
-        if (arrival.spec.gang()) {
-            arrival.done.set(0, arrival.spec.tasks()); // They complete together.
+        if (arrival.spec.isGang()) {
+            arrival.done.set(0, arrival.spec.taskCount()); // They complete together.
         }
         arrival.done.set(task.number);
-        if (arrival.done.cardinality() == arrival.spec.tasks()) {
+        if (arrival.done.cardinality() == arrival.spec.taskCount()) {
             open--;
             boolean inTime = cells.clock.now - arrival.at <= GOAL_S;
             count("class " + arrival.spec.jobClass(), inTime);
@@ -366,7 +366,7 @@
         }
         double tookS = cells.clock.now - from;
         for (Coming arrival : coming.values()) {
-            if (arrival.done.cardinality() < arrival.spec.tasks()) {
+            if (arrival.done.cardinality() < arrival.spec.taskCount()) {
                 count("class " + arrival.spec.jobClass(), false);
                 count("team " + arrival.spec.team(), false);
             }
--- a/src/main/java/io/kitepath/simulation/SimulatedCluster.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCluster.java
@@ -275,7 +275,7 @@
                 teams,
                 objectives,
                 new ClusterSettings.Workers(reportS, leaseS, 30, 5, cancelS),
-                next == null ? limits() : limits().andLater(next),
+                next == null ? limits() : limits().tightenedBy(next),
                 new ClusterSettings.CloudLimits(10, Math.max(2, cloud.listLagS)),
                 new ClusterSettings.Limits(1, 200, 1000),
                 5);
@@ -322,21 +322,21 @@
                 spec.team(),
                 spec.shape(),
                 spec.priority(),
-                spec.tasks(),
-                spec.cpus(),
-                spec.gpus(),
-                spec.memoryGb(),
-                spec.types(),
+                spec.taskCount(),
+                spec.cpusPerTask(),
+                spec.gpusPerTask(),
+                spec.memoryGigabytesPerTask(),
+                spec.machineTypes(),
                 spec.zone(),
-                spec.oneZone(),
-                spec.spread(),
+                spec.isSingleZone(),
+                spec.isSpreadAcrossZones(),
                 true,
                 spec.image(),
-                spec.imageGb(),
+                spec.imageGigabytes(),
                 estimateS,
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointSaveSeconds(),
+                spec.deadlineSeconds());
     }
 
     public static JobSpec job(String id, JobSpec.Shape shape, int tasks, double cpus) {
@@ -371,21 +371,21 @@
                 team,
                 spec.shape(),
                 priority,
-                spec.tasks(),
-                spec.cpus(),
-                spec.gpus(),
-                spec.memoryGb(),
-                spec.types(),
+                spec.taskCount(),
+                spec.cpusPerTask(),
+                spec.gpusPerTask(),
+                spec.memoryGigabytesPerTask(),
+                spec.machineTypes(),
                 spec.zone(),
                 oneZone,
-                spec.spread(),
-                spec.spot(),
+                spec.isSpreadAcrossZones(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.imageGigabytes(),
+                spec.estimatedSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointSaveSeconds(),
+                spec.deadlineSeconds());
     }
 
     public JobSubmissionService.Answer submit(
@@ -507,11 +507,11 @@
     }
 
     /** How many tasks of the job are on machines. */
-    public long onMachines(String job) {
+    public long onMachines(String jobId) {
         return workers.values().stream()
                 .filter(worker -> worker.up)
                 .flatMap(worker -> worker.tasks.values().stream())
-                .filter(task -> task.job.equals(job) && task.state != TaskState.ENDED)
+                .filter(task -> task.jobId.equals(jobId) && task.state != TaskState.ENDED)
                 .count();
     }
 }
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -92,20 +92,20 @@
                                 worker.directly(
                                         token, session, orders)); // What is sent to it waits there.
             }
-            after(0.5, () -> answer.accept(null));
+            schedule(0.5, () -> answer.accept(null));
             return;
         }
         double held = cluster.directHeldS.getAsDouble();
         if (held > 0) {
             cluster.after(held, () -> worker.goesOn(() -> worker.directly(token, session, orders)));
-            after(0.5, () -> answer.accept(null));
+            schedule(0.5, () -> answer.accept(null));
             return;
         }
         cluster.after(
                 cluster.directDelayS,
                 () -> {
                     Heartbeat heartbeat = worker.directly(token, session, orders);
-                    after(
+                    schedule(
                             0.002,
                             () ->
                                     answer.accept(
@@ -160,17 +160,17 @@
     }
 
     @Override
-    public double now() {
+    public double nowSeconds() {
         return cluster.clock.now;
     }
 
     @Override
-    public double wallMs() {
+    public double wallClockMillis() {
         return cluster.clock.now * 1000 + clockOffMs;
     }
 
     @Override
-    public void after(double seconds, Runnable run) {
+    public void schedule(double seconds, Runnable run) {
         cluster.after(Math.max(0.001, seconds), () -> deliver(run));
     }
 
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void tell(long token, String leader, boolean served) {
+    public void announceState(long token, String leader, boolean served) {
         if (leader != null) {
             cluster.leads(token);
         }
@@ -192,7 +192,7 @@
                 .filter(node -> node != this && node.alive && reaches(node))
                 .forEach(
                         node ->
-                                node.after(
+                                node.schedule(
                                         0.001,
                                         () ->
                                                 node.controller.told(
@@ -200,26 +200,26 @@
     }
 
     @Override
-    public void digest(CancellationDigest digest) {
+    public void sendCancellationDigest(CancellationDigest digest) {
         if (!old) {
             cluster.nodes.values().stream()
                     .filter(node -> node != this && node.alive && !node.old && reaches(node))
-                    .forEach(node -> node.after(0.001, () -> node.controller.told(digest)));
+                    .forEach(node -> node.schedule(0.001, () -> node.controller.told(digest)));
         }
     }
 
     @Override
-    public void over(JobStatus job) {
+    public void announceJobEnd(JobStatus job) {
         if (losesWord) {
             return;
         }
         cluster.nodes.values().stream()
                 .filter(node -> node != this && node.alive && reaches(node))
-                .forEach(node -> node.after(0.001, () -> node.controller.toldOver(job)));
+                .forEach(node -> node.schedule(0.001, () -> node.controller.toldOver(job)));
     }
 
     @Override
-    public void progress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
+    public void requestProgress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
         SimulatedNode node = cluster.nodes.get(leader);
         boolean[] heard = new boolean[1];
         Consumer<List<JobProgress>> once =
@@ -230,18 +230,18 @@
                     }
                 };
         if (reaches(node)) {
-            node.after(
+            node.schedule(
                     0.001,
                     () -> {
                         List<JobProgress> p = node.controller.progress(jobs);
-                        after(0.001, () -> once.accept(p));
+                        schedule(0.001, () -> once.accept(p));
                     });
         }
-        after(0.5, () -> once.accept(List.of()));
+        schedule(0.5, () -> once.accept(List.of()));
     }
 
     @Override
-    public boolean relay(
+    public boolean relayHeartbeat(
             String sibling,
             Heartbeat heartbeat,
             boolean passOn,
@@ -250,13 +250,13 @@
         if (node == null || !reaches(node)) {
             return false;
         }
-        node.after(
+        node.schedule(
                 0.001,
                 () ->
                         node.controller.answerFor(
                                 heartbeat,
                                 passOn,
-                                response -> after(0.001, () -> answer.accept(response))));
+                                response -> schedule(0.001, () -> answer.accept(response))));
         return true;
     }
 
--- a/src/main/java/io/kitepath/simulation/SimulatedTask.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedTask.java
@@ -6,16 +6,16 @@
 /** One attempt of a task on a worker. */
 public final class SimulatedTask {
     public final SimulatedWorker worker;
-    public final String job;
+    public final String jobId;
     public final int number;
     public final long attempt;
     public TaskState state;
     public EndCause cause;
 
     public SimulatedTask(
-            SimulatedWorker worker, String job, int number, long attempt, TaskState state) {
+            SimulatedWorker worker, String jobId, int number, long attempt, TaskState state) {
         this.worker = worker;
-        this.job = job;
+        this.jobId = jobId;
         this.number = number;
         this.attempt = attempt;
         this.state = state;
@@ -27,6 +27,6 @@
     }
 
     public String key() {
-        return job + "/" + number + "#" + attempt;
+        return jobId + "/" + number + "#" + attempt;
     }
 }
--- a/src/main/java/io/kitepath/simulation/SimulatedWorker.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedWorker.java
@@ -97,7 +97,7 @@
                         .map(
                                 task ->
                                         new TaskStatus(
-                                                task.job,
+                                                task.jobId,
                                                 task.number,
                                                 task.attempt,
                                                 task.state,
@@ -241,19 +241,19 @@
             return;
         }
         inFlight = false;
-        if (response.token() == 0) {
-            node = response.anchor();
-            reportIn(response.anchor() == null ? 1 : 0.1);
+        if (response.fencingToken() == 0) {
+            node = response.redirectNode();
+            reportIn(response.redirectNode() == null ? 1 : 0.1);
             return;
         }
-        if (response.token() >= token) {
-            cluster.acts(node, response.token());
-            token = response.token();
+        if (response.fencingToken() >= token) {
+            cluster.acts(node, response.fencingToken());
+            token = response.fencingToken();
             answered = Math.max(answered, sent);
             cluster.after(answered + cluster.leaseS - cluster.clock.now + 0.001, this::expire);
-            response.orders().forEach(this::execute);
+            response.commands().forEach(this::execute);
         }
-        if (response.token() < token) {
+        if (response.fencingToken() < token) {
             cluster.dropped++;
         }
         if (changedSince && cluster.reportsChanges) {
@@ -264,9 +264,9 @@
     }
 
     public void execute(WorkerCommand command) {
-        String key = command.job() + "/" + command.task() + "#" + command.attempt();
+        String key = command.jobId() + "/" + command.task() + "#" + command.attempt();
         SimulatedTask task = tasks.get(key);
-        switch (command.verb()) {
+        switch (command.action()) {
             case START -> {
                 if (task == null) {
                     start(command, key);
@@ -287,25 +287,25 @@
     }
 
     private void fetched(SimulatedTask t, String key, JobSpec spec) {
-        if (tasks.get(key) != t || t.state != TaskState.FETCHING) {
+        if (tasks.get(key) != t || t.state != TaskState.FETCHING_IMAGE) {
             return; // Given up, and what was fetched with it.
         }
         images.add(spec.image());
-        t.state = TaskState.WAITING;
+        t.state = TaskState.WAITING_FOR_GANG;
         List<SimulatedTask> gang =
                 cluster.workers.values().stream()
                         .flatMap(worker -> worker.tasks.values().stream())
                         .filter(
                                 x ->
-                                        x.job.equals(t.job)
+                                        x.jobId.equals(t.jobId)
                                                 && x.attempt == t.attempt
-                                                && x.state == TaskState.WAITING)
+                                                && x.state == TaskState.WAITING_FOR_GANG)
                         .toList();
-        if (gang.size() == spec.tasks()) {
+        if (gang.size() == spec.taskCount()) {
             gang.forEach(x -> x.state = TaskState.RUNNING);
             // They complete together, and each machine reports that as any other change.
             cluster.after(
-                    cluster.runsFor == null ? runsFor : cluster.runsFor.applyAsDouble(t.job),
+                    cluster.runsFor == null ? runsFor : cluster.runsFor.applyAsDouble(t.jobId),
                     () ->
                             gang.stream()
                                     .filter(x -> x.on() && x.state == TaskState.RUNNING)
@@ -315,7 +315,7 @@
                                                 x.cause = EndCause.DONE;
                                                 cluster.completed
                                                         .computeIfAbsent(
-                                                                x.job, k -> new HashSet<>())
+                                                                x.jobId, k -> new HashSet<>())
                                                         .add(x.number);
                                                 cluster.clock.ended(x);
                                                 x.worker.changed();
@@ -326,15 +326,15 @@
         cluster.after(
                 30,
                 () -> {
-                    if (t.state == TaskState.WAITING) {
+                    if (t.state == TaskState.WAITING_FOR_GANG) {
                         t.state = TaskState.ENDED;
-                        t.cause = EndCause.ALONE;
+                        t.cause = EndCause.GANG_START_TIMEOUT;
                     }
                 });
     }
 
     private void start(WorkerCommand command, String key) {
-        SimulatedTask other = cluster.clock.lastStarts.get(command.job() + "/" + command.task());
+        SimulatedTask other = cluster.clock.lastStarts.get(command.jobId() + "/" + command.task());
         if (other != null && other.on()) {
             cluster.broken.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
         }
@@ -349,33 +349,33 @@
         started++;
         SimulatedTask task =
                 new SimulatedTask(
-                        this, command.job(), command.task(), command.attempt(), TaskState.RUNNING);
+                        this, command.jobId(), command.task(), command.attempt(), TaskState.RUNNING);
         tasks.put(key, task);
-        cluster.clock.lastStarts.put(command.job() + "/" + command.task(), task);
+        cluster.clock.lastStarts.put(command.jobId() + "/" + command.task(), task);
         cluster.clock.started(task);
         cluster.rules.starts(task);
-        JobSpec spec = cluster.specs.get(command.job());
-        if (cluster.fetchS != null && spec.gang()) {
-            task.state = TaskState.FETCHING;
+        JobSpec spec = cluster.specs.get(command.jobId());
+        if (cluster.fetchS != null && spec.isGang()) {
+            task.state = TaskState.FETCHING_IMAGE;
             cluster.after(
                     images.contains(spec.image()) ? 0 : cluster.fetchS.applyAsDouble(id),
                     () -> fetched(task, key, spec));
             return;
         }
-        boolean error = fails || cluster.mistaken.contains(command.job());
+        boolean error = fails || cluster.mistaken.contains(command.jobId());
         cluster.after(
                 error
                         ? 0.1
                         : cluster.runsFor == null
                                 ? runsFor
-                                : cluster.runsFor.applyAsDouble(command.job()),
+                                : cluster.runsFor.applyAsDouble(command.jobId()),
                 () -> {
                     if (up && tasks.get(key) == task && task.state != TaskState.ENDED) {
                         task.state = TaskState.ENDED;
                         task.cause = error ? EndCause.ERROR : EndCause.DONE;
                         if (!error) {
                             cluster.completed
-                                    .computeIfAbsent(task.job, k -> new HashSet<>())
+                                    .computeIfAbsent(task.jobId, k -> new HashSet<>())
                                     .add(task.number);
                         }
                         cluster.clock.ended(task);
--- a/src/main/java/io/kitepath/simulation/StoreLink.java
+++ b/src/main/java/io/kitepath/simulation/StoreLink.java
@@ -35,7 +35,7 @@
     }
 
     private void back(Runnable r) {
-        node.after(cluster.takes(0.002), r);
+        node.schedule(cluster.takes(0.002), r);
     }
 
     @Override
@@ -43,13 +43,13 @@
         exchange(
                 () -> {
                     Entry entry = store.keys.get(key);
-                    back(() -> answer.accept(entry == null ? Outcome.NO : Outcome.OK, entry));
+                    back(() -> answer.accept(entry == null ? Outcome.REJECTED : Outcome.OK, entry));
                 },
-                () -> back(() -> answer.accept(Outcome.REFUSED, null)));
+                () -> back(() -> answer.accept(Outcome.NOT_EXECUTED, null)));
     }
 
     @Override
-    public void page(String prefix, String from, int limit, Consumer<ListResult> answer) {
+    public void list(String prefix, String from, int limit, Consumer<ListResult> answer) {
         exchange(
                 () -> {
                     store.pages++;
@@ -58,7 +58,7 @@
                                 () ->
                                         answer.accept(
                                                 new ListResult(
-                                                        Outcome.REFUSED, List.of(), 0, false)));
+                                                        Outcome.NOT_EXECUTED, List.of(), 0, false)));
                         return;
                     }
                     List<Entry> all =
@@ -84,7 +84,7 @@
                                 () ->
                                         answer.accept(
                                                 new ListResult(
-                                                        Outcome.REFUSED, List.of(), 0, false))));
+                                                        Outcome.NOT_EXECUTED, List.of(), 0, false))));
     }
 
     @Override
@@ -98,7 +98,7 @@
                     if (job && store.hold > 0 || store.withheld.test(transaction)) {
                         store.hold -= store.hold > 0 ? 1 : 0;
                         store.heldBack.add(transaction);
-                        node.after(
+                        node.schedule(
                                 0.5,
                                 () ->
                                         answer.accept(
@@ -118,7 +118,7 @@
                                         carryOut(transaction);
                                     }
                                 });
-                        node.after(
+                        node.schedule(
                                 0.5,
                                 () ->
                                         answer.accept(
@@ -131,7 +131,7 @@
                             || store.unheard.test(transaction)
                             || cluster.losesAnswer.getAsBoolean()) {
                         store.swallow -= job && store.swallow > 0 ? 1 : 0;
-                        node.after(
+                        node.schedule(
                                 0.5,
                                 () ->
                                         answer.accept(
@@ -146,7 +146,7 @@
                                 () ->
                                         answer.accept(
                                                 new CommitResult(
-                                                        Outcome.REFUSED, 0, List.of(), false))));
+                                                        Outcome.NOT_EXECUTED, 0, List.of(), false))));
     }
 
     private CommitResult carryOut(Transaction transaction) {
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {
+    public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {
         exchange(
                 () -> {
                     long id = store.nextLease++;
@@ -167,31 +167,31 @@
                     store.life.put(id, lifeMs / 1000.0);
                     back(() -> answer.accept(Outcome.OK, id));
                 },
-                () -> back(() -> answer.accept(Outcome.REFUSED, null)));
+                () -> back(() -> answer.accept(Outcome.NOT_EXECUTED, null)));
     }
 
     @Override
-    public void renew(long lease, Consumer<Outcome> answer) {
+    public void renewLease(long lease, Consumer<Outcome> answer) {
         exchange(
                 () -> {
                     boolean there = store.leases.containsKey(lease);
                     if (there) {
                         store.leases.put(lease, cluster.clock.now + store.life.get(lease));
                     }
-                    back(() -> answer.accept(there ? Outcome.OK : Outcome.NO));
+                    back(() -> answer.accept(there ? Outcome.OK : Outcome.REJECTED));
                 },
-                () -> back(() -> answer.accept(Outcome.REFUSED)));
+                () -> back(() -> answer.accept(Outcome.NOT_EXECUTED)));
     }
 
     @Override
-    public void revoke(long lease) {
+    public void revokeLease(long lease) {
         exchange(() -> store.end(lease), () -> {});
     }
 
     @Override
-    public void follow(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
+    public void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
         if (store.tooMany(0)) {
-            back(() -> answer.accept(new WatchResult(Outcome.REFUSED, 0, List.of())));
+            back(() -> answer.accept(new WatchResult(Outcome.NOT_EXECUTED, 0, List.of())));
             return;
         }
         store.follow(node, prefix, after, holdMs / 1000.0, answer);
