--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -43,7 +43,7 @@
     /** Reads an answer's body; bytes that are not what they should be count as no answer. */
     private static <T> T read(int status, byte[] body, Reading<T> reading) {
         try {
-            return reading.of(MessagePackCodec.value(body));
+            return reading.of(MessagePackCodec.decode(body));
         } catch (InvalidInputException invalid) {
             LOG.warn(
                     "state service answered {} with a body that can't be read: {}",
@@ -54,7 +54,7 @@
     }
 
     private static Outcome other(int status) {
-        return status == 429 || status == 503 ? Outcome.REFUSED : Outcome.UNKNOWN;
+        return status == 429 || status == 503 ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
     }
 
     @Override
@@ -66,16 +66,16 @@
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        Entry entry = read(status, body, ProtocolCodec::entry);
+                        Entry entry = read(status, body, ProtocolCodec::decodeEntry);
                         answer.accept(entry == null ? Outcome.UNKNOWN : Outcome.OK, entry);
                     } else {
-                        answer.accept(status == 404 ? Outcome.NO : other(status), null);
+                        answer.accept(status == 404 ? Outcome.REJECTED : other(status), null);
                     }
                 });
     }
 
     @Override
-    public void page(String prefix, String from, int limit, Consumer<ListResult> answer) {
+    public void list(String prefix, String from, int limit, Consumer<ListResult> answer) {
         String path =
                 "/keys?prefix="
                         + text(prefix)
@@ -96,9 +96,9 @@
                                             b ->
                                                     new ListResult(
                                                             Outcome.OK,
-                                                            ProtocolCodec.entries(b),
-                                                            ProtocolCodec.revision(b),
-                                                            ProtocolCodec.truncated(b)))
+                                                            ProtocolCodec.decodeEntries(b),
+                                                            ProtocolCodec.decodeRevision(b),
+                                                            ProtocolCodec.isTruncated(b)))
                                     : null;
                     answer.accept(
                             page != null
@@ -120,22 +120,22 @@
         calls.call(
                 "POST",
                 "/multi",
-                ProtocolCodec.transaction(transaction),
+                ProtocolCodec.encodeTransaction(transaction),
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        Long revision = read(status, body, ProtocolCodec::revision);
+                        Long revision = read(status, body, ProtocolCodec::decodeRevision);
                         answer.accept(
                                 revision == null
                                         ? new CommitResult(Outcome.UNKNOWN, 0, List.of(), false)
                                         : new CommitResult(Outcome.OK, revision, List.of(), false));
                     } else if (status == 409) {
-                        List<String> failed = read(status, body, ProtocolCodec::failed);
+                        List<String> failed = read(status, body, ProtocolCodec::decodeFailedKeys);
                         answer.accept(
                                 new CommitResult(
-                                        Outcome.NO, 0, failed == null ? List.of() : failed, false));
+                                        Outcome.REJECTED, 0, failed == null ? List.of() : failed, false));
                     } else if (status == 400) {
-                        String why = read(status, body, ProtocolCodec::reason);
+                        String why = read(status, body, ProtocolCodec::decodeErrorReason);
                         LOG.warn(
                                 "state service refused a transaction of {} writes: {}",
                                 transaction.writes().size(),
@@ -145,7 +145,7 @@
                         boolean lease = ProtocolCodec.NO_SUCH_LEASE.equals(why);
                         answer.accept(
                                 new CommitResult(
-                                        lease ? Outcome.NO : Outcome.INVALID, 0, List.of(), lease));
+                                        lease ? Outcome.REJECTED : Outcome.INVALID, 0, List.of(), lease));
                     } else {
                         answer.accept(new CommitResult(other(status), 0, List.of(), false));
                     }
@@ -153,14 +153,14 @@
     }
 
     @Override
-    public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {
+    public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {
         renewals.call(
                 "POST",
                 "/holds",
-                ProtocolCodec.leaseLife(lifeMs),
+                ProtocolCodec.encodeLeaseDuration(lifeMs),
                 timeoutMs,
                 (status, body) -> {
-                    Long id = status == 200 ? read(status, body, ProtocolCodec::lease) : null;
+                    Long id = status == 200 ? read(status, body, ProtocolCodec::decodeLeaseId) : null;
                     answer.accept(
                             id != null
                                     ? Outcome.OK
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public void renew(long lease, Consumer<Outcome> answer) {
+    public void renewLease(long lease, Consumer<Outcome> answer) {
         renewals.call(
                 "POST",
                 "/holds/" + lease + "/renew",
@@ -180,16 +180,16 @@
                         answer.accept(
                                 status == 200
                                         ? Outcome.OK
-                                        : status == 404 ? Outcome.NO : other(status)));
+                                        : status == 404 ? Outcome.REJECTED : other(status)));
     }
 
     @Override
-    public void revoke(long lease) {
+    public void revokeLease(long lease) {
         renewals.call("DELETE", "/holds/" + lease, null, timeoutMs, (status, body) -> {});
     }
 
     @Override
-    public void follow(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
+    public void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
         String path = "/follow?prefix=" + text(prefix) + "&from=" + after + "&holdMs=" + holdMs;
         follows.call(
                 "GET",
@@ -205,14 +205,14 @@
                                             b ->
                                                     new WatchResult(
                                                             Outcome.OK,
-                                                            ProtocolCodec.revision(b),
-                                                            ProtocolCodec.events(b)))
+                                                            ProtocolCodec.decodeRevision(b),
+                                                            ProtocolCodec.decodeEvents(b)))
                                     : null;
                     if (changes == null) {
                         changes =
                                 new WatchResult(
                                         status == 410
-                                                ? Outcome.NO
+                                                ? Outcome.REJECTED
                                                 : status == 200 ? Outcome.UNKNOWN : other(status),
                                         0,
                                         List.of());
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -51,17 +51,17 @@
         Object body;
         String id;
         try {
-            body = MessagePackCodec.value(bytes);
-            id = ProtocolCodec.submittedId(body);
+            body = MessagePackCodec.decode(bytes);
+            id = ProtocolCodec.decodeSubmittedId(body);
         } catch (InvalidInputException invalid) {
-            out.reply(400, ProtocolCodec.error(invalid.getMessage()));
+            out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
             return;
         }
         String wrong;
         int status;
         try {
-            JobSpec spec = ProtocolCodec.submission(body);
-            List<String> needs = ProtocolCodec.needs(body);
+            JobSpec spec = ProtocolCodec.decodeSubmission(body);
+            List<String> needs = ProtocolCodec.decodeDependencies(body);
             if (controller.types().isEmpty()) {
                 known(id, 503, "the machine types are not known yet", out);
                 return;
@@ -102,7 +102,7 @@
                             if (answer.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
                                 out.reply(
                                         status,
-                                        ProtocolCodec.error(why),
+                                        ProtocolCodec.encodeError(why),
                                         status == 503 ? controller.retryS() : 0);
                             } else {
                                 answer(answer, false, out);
@@ -112,15 +112,15 @@
 
     private void answer(Answer answer, boolean brief, Responder out) {
         switch (answer.verdict()) {
-            case CREATED -> out.reply(201, ProtocolCodec.jobState(answer.state(), true));
-            case KNOWN -> out.reply(200, ProtocolCodec.jobState(answer.state(), brief));
-            case REFUSED -> out.reply(422, ProtocolCodec.error(answer.why()));
-            case INVALID -> out.reply(400, ProtocolCodec.error(answer.why()));
-            case NOT_FOUND -> out.reply(404, ProtocolCodec.error("no such job"));
+            case CREATED -> out.reply(201, ProtocolCodec.encodeJobStatus(answer.state(), true));
+            case KNOWN -> out.reply(200, ProtocolCodec.encodeJobStatus(answer.state(), brief));
+            case REFUSED -> out.reply(422, ProtocolCodec.encodeError(answer.why()));
+            case INVALID -> out.reply(400, ProtocolCodec.encodeError(answer.why()));
+            case NOT_FOUND -> out.reply(404, ProtocolCodec.encodeError("no such job"));
             default ->
                     out.reply(
                             503,
-                            ProtocolCodec.error("the state service can't be asked now"),
+                            ProtocolCodec.encodeError("the state service can't be asked now"),
                             controller.retryS());
         }
     }
--- a/src/main/java/io/kitepath/wire/EmulatorCodec.java
+++ b/src/main/java/io/kitepath/wire/EmulatorCodec.java
@@ -19,20 +19,20 @@
  */
 public final class EmulatorCodec {
     /** What a node asks the cloud to rent. */
-    public record Rent(String name, String type, String zone, boolean spot, int count) {}
+    public record Rent(String name, String machineType, String zone, boolean spot, int count) {}
 
     /** Commands for a worker's session. */
-    public record Direct(long token, long session, List<WorkerCommand> orders) {}
+    public record Direct(long fencingToken, long agentIncarnation, List<WorkerCommand> commands) {}
 
     private EmulatorCodec() {}
 
     // ---- state service --------------------------------------------------------------------------
 
-    public static Store.Transaction transaction(Object body) {
+    public static Store.Transaction decodeTransaction(Object body) {
         DocumentReader t = DocumentReader.of(body);
         Store.Transaction out = new Store.Transaction();
         for (DocumentReader c : t.children("when")) {
-            out.when(c.text("path"), c.count("stamp"));
+            out.requireRevision(c.text("path"), c.count("stamp"));
         }
         if (t.has("then")) {
             for (DocumentReader w : t.children("then")) {
@@ -49,15 +49,15 @@
         return out;
     }
 
-    public static long lifeMs(Object body) {
+    public static long decodeLeaseMillis(Object body) {
         return DocumentReader.of(body).integer("lifeMs", 100, 600_000);
     }
 
-    public static byte[] entry(Store.Entry entry) {
-        return MessagePackCodec.bytes(shown(entry));
+    public static byte[] encodeEntry(Store.Entry entry) {
+        return MessagePackCodec.encode(entryFields(entry));
     }
 
-    private static Map<String, Object> shown(Store.Entry entry) {
+    private static Map<String, Object> entryFields(Store.Entry entry) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("path", entry.key());
         m.put("value", entry.value());
@@ -65,25 +65,25 @@
         return m;
     }
 
-    public static byte[] listing(Store.ListResult listing) {
-        return MessagePackCodec.bytes(
+    public static byte[] encodeListing(Store.ListResult listing) {
+        return MessagePackCodec.encode(
                 Map.of(
                         "entries",
-                        listing.entries().stream().map(EmulatorCodec::shown).toList(),
+                        listing.entries().stream().map(EmulatorCodec::entryFields).toList(),
                         "truncated",
-                        listing.more(),
+                        listing.hasMore(),
                         "epoch",
                         listing.revision()));
     }
 
-    public static byte[] committed(Store.CommitResult result) {
-        return MessagePackCodec.bytes(
+    public static byte[] encodeCommitResult(Store.CommitResult result) {
+        return MessagePackCodec.encode(
                 result.outcome() == Store.Outcome.OK
                         ? Map.of("epoch", result.revision())
-                        : Map.of("failed", result.failed(), "epoch", result.revision()));
+                        : Map.of("failed", result.failedKeys(), "epoch", result.revision()));
     }
 
-    public static byte[] changes(Store.WatchResult changes) {
+    public static byte[] encodeWatchResult(Store.WatchResult changes) {
         List<Object> events = new ArrayList<>();
         for (Store.Entry entry : changes.events()) {
             Map<String, Object> m = new LinkedHashMap<>();
@@ -94,35 +94,35 @@
             m.put("stamp", entry.revision());
             events.add(m);
         }
-        return MessagePackCodec.bytes(Map.of("epoch", changes.revision(), "events", events));
+        return MessagePackCodec.encode(Map.of("epoch", changes.revision(), "events", events));
     }
 
-    public static byte[] lease(long id) {
-        return MessagePackCodec.bytes(Map.of("tether", id));
+    public static byte[] encodeLease(long id) {
+        return MessagePackCodec.encode(Map.of("tether", id));
     }
 
     // ---- cloud ----------------------------------------------------------------------------------
 
-    public static byte[] types(List<MachineType> types) {
+    public static byte[] encodeMachineTypes(List<MachineType> types) {
         List<Object> list = new ArrayList<>();
         for (MachineType type : types) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("name", type.name());
             m.put("vcpus", type.cpus());
             m.put("cards", type.gpus());
-            m.put("ramGb", type.memoryGb());
-            m.put("localGb", type.cacheGb());
-            m.put("pullGbPerS", type.fetchGbPerS());
-            m.put("rate", type.price());
-            m.put("spotPrice", type.spotPrice());
-            m.put("readyS", type.bootS());
+            m.put("ramGb", type.memoryGigabytes());
+            m.put("localGb", type.cacheGigabytes());
+            m.put("pullGbPerS", type.fetchGigabytesPerSecond());
+            m.put("rate", type.pricePerHour());
+            m.put("spotPrice", type.spotPricePerHour());
+            m.put("readyS", type.bootSeconds());
             m.put("fields", type.zones());
             list.add(m);
         }
-        return MessagePackCodec.bytes(Map.of("frames", list));
+        return MessagePackCodec.encode(Map.of("frames", list));
     }
 
-    public static Rent rent(Object body) {
+    public static Rent decodeRental(Object body) {
         DocumentReader document = DocumentReader.of(body);
         return new Rent(
                 document.text("hire"),
@@ -132,46 +132,46 @@
                 (int) document.integer("count", 1, 50));
     }
 
-    public static byte[] machines(List<Cloud.Listed> list, boolean more) {
+    public static byte[] encodeMachines(List<Cloud.Listed> list, boolean more) {
         List<Object> out = new ArrayList<>();
         for (Cloud.Listed listed : list) {
             Map<String, Object> m = new LinkedHashMap<>();
-            m.put("nameId", listed.machine());
+            m.put("nameId", listed.machineId());
             m.put("addr", "");
-            m.put("frame", listed.type());
+            m.put("frame", listed.machineType());
             m.put("field", listed.zone());
             m.put("loaners", listed.spot());
             m.put("status", listed.status());
-            m.put("heldS", listed.heldS());
+            m.put("heldS", listed.heldSeconds());
             out.add(m);
         }
-        return MessagePackCodec.bytes(Map.of("hosts", out, "truncated", more));
+        return MessagePackCodec.encode(Map.of("hosts", out, "truncated", more));
     }
 
     // ---- workers --------------------------------------------------------------------------------
 
-    public static byte[] report(Heartbeat heartbeat) {
+    public static byte[] encodeHeartbeat(Heartbeat heartbeat) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("host", heartbeat.machine());
+        m.put("host", heartbeat.machineId());
         m.put("addr", heartbeat.address());
-        m.put("frame", heartbeat.type());
+        m.put("frame", heartbeat.machineType());
         m.put("field", heartbeat.zone());
         m.put("loaners", heartbeat.spot());
-        m.put("tenure", heartbeat.session());
+        m.put("tenure", heartbeat.agentIncarnation());
         m.put("tick", heartbeat.sequence());
-        m.put("baton", heartbeat.token());
-        m.put("recallS", heartbeat.noticeS());
+        m.put("baton", heartbeat.fencingToken());
+        m.put("recallS", heartbeat.noticeSeconds());
         List<Object> tasks = new ArrayList<>();
         for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
             Map<String, Object> x = new LinkedHashMap<>();
-            x.put("sheet", status.job() + "/" + status.task());
+            x.put("sheet", status.jobId() + "/" + status.task());
             x.put("try", status.attempt());
             x.put(
                     "status",
                     switch (status.state()) {
-                        case FETCHING -> "pulling";
-                        case WAITING -> "waiting";
-                        case SAVING -> "saving";
+                        case FETCHING_IMAGE -> "pulling";
+                        case WAITING_FOR_GANG -> "waiting";
+                        case SAVING_CHECKPOINT -> "saving";
                         case ENDED -> "ended";
                         default -> "running";
                     });
@@ -181,30 +181,30 @@
                         switch (status.cause()) {
                             case DONE -> "done";
                             case STOPPED -> "halted";
-                            case PEERS -> "peers";
-                            case ALONE -> "alone";
-                            case NO_ROOM -> "full";
-                            case BUSY -> "in_use";
-                            case UNKNOWN -> "unknown";
+                            case GANG_PEER_LOST -> "peers";
+                            case GANG_START_TIMEOUT -> "alone";
+                            case INSUFFICIENT_RESOURCES -> "full";
+                            case OTHER_ATTEMPT_PRESENT -> "in_use";
+                            case UNKNOWN_TASK -> "unknown";
                             case ERROR -> "error";
                         });
             }
             tasks.add(x);
         }
         m.put("sheets", tasks);
-        return MessagePackCodec.bytes(m);
+        return MessagePackCodec.encode(m);
     }
 
     /** An answer to a check-in, by its HTTP status; null for one that says nothing. */
-    public static HeartbeatResponse heartbeat(int status, byte[] body) {
+    public static HeartbeatResponse decodeHeartbeatResponse(int status, byte[] body) {
         try {
             if (status == 200) {
-                DocumentReader document = DocumentReader.of(MessagePackCodec.value(body));
-                return new HeartbeatResponse(document.count("baton"), orders(document), null);
+                DocumentReader document = DocumentReader.of(MessagePackCodec.decode(body));
+                return new HeartbeatResponse(document.count("baton"), decodeCommands(document), null);
             }
             if (status == 421) {
-                return HeartbeatResponse.elsewhere(
-                        DocumentReader.of(MessagePackCodec.value(body)).textOr("anchor", null));
+                return HeartbeatResponse.redirectTo(
+                        DocumentReader.of(MessagePackCodec.decode(body)).textOr("anchor", null));
             }
         } catch (InvalidInputException invalid) {
             return null;
@@ -212,17 +212,17 @@
         return null;
     }
 
-    public static Direct direct(Object body) {
+    public static Direct decodeDirectCommands(Object body) {
         DocumentReader document = DocumentReader.of(body);
-        return new Direct(document.count("baton"), document.count("tenure"), orders(document));
+        return new Direct(document.count("baton"), document.count("tenure"), decodeCommands(document));
     }
 
-    private static List<WorkerCommand> orders(DocumentReader t) {
+    private static List<WorkerCommand> decodeCommands(DocumentReader t) {
         List<WorkerCommand> out = new ArrayList<>();
         for (DocumentReader o : t.children("orders")) {
             String sheet = o.text("sheet");
             int slash = sheet.lastIndexOf('/');
-            WorkerCommand.Action verb =
+            WorkerCommand.Action action =
                     switch (o.text("verb")) {
                         case "launch" -> WorkerCommand.Action.START;
                         case "halt" -> WorkerCommand.Action.STOP;
@@ -230,7 +230,7 @@
                     };
             out.add(
                     new WorkerCommand(
-                            verb,
+                            action,
                             sheet.substring(0, slash),
                             Integer.parseInt(sheet.substring(slash + 1)),
                             o.count("try"),
--- a/src/main/java/io/kitepath/wire/MessagePackCodec.java
+++ b/src/main/java/io/kitepath/wire/MessagePackCodec.java
@@ -25,7 +25,7 @@
 
     private MessagePackCodec() {}
 
-    public static byte[] bytes(Object value) {
+    public static byte[] encode(Object value) {
         try (MessageBufferPacker out = PACKER.newBufferPacker()) {
             write(out, value);
             return out.toByteArray();
@@ -34,7 +34,7 @@
         }
     }
 
-    public static Object value(byte[] body) {
+    public static Object decode(byte[] body) {
         try (MessageUnpacker in = UNPACKER.newUnpacker(body)) {
             Object value = read(in, body.length, 0);
             if (in.hasNext()) {
@@ -66,7 +66,7 @@
                 return in.unpackString();
             case ARRAY:
                 {
-                    int n = counted(in.unpackArrayHeader(), size);
+                    int n = checkedCount(in.unpackArrayHeader(), size);
                     List<Object> list = new ArrayList<>(n);
                     for (int i = 0; i < n; i++) {
                         list.add(read(in, size, depth + 1));
@@ -75,7 +75,7 @@
                 }
             case MAP:
                 {
-                    int n = counted(in.unpackMapHeader(), size);
+                    int n = checkedCount(in.unpackMapHeader(), size);
                     Map<String, Object> map = new LinkedHashMap<>(n * 2);
                     for (int i = 0; i < n; i++) {
                         map.put(in.unpackString(), read(in, size, depth + 1));
@@ -103,7 +103,7 @@
      * Guards against a header that promises more items than the body has bytes, which would exhaust
      * memory.
      */
-    private static int counted(int n, int size) {
+    private static int checkedCount(int n, int size) {
         if (n < 0 || n > size) {
             throw new InvalidInputException("body: cut short");
         }
@@ -141,21 +141,21 @@
      * About how many bytes the value takes written as JSON, which is what the protocol's size
      * limits count.
      */
-    public static int jsonSize(Object value) {
+    public static int approximateJsonSize(Object value) {
         if (value instanceof String s) {
             return s.length() + 2;
         }
         if (value instanceof Map<?, ?> map) {
             int n = 2;
             for (Map.Entry<?, ?> e : map.entrySet()) {
-                n += ((String) e.getKey()).length() + 4 + jsonSize(e.getValue());
+                n += ((String) e.getKey()).length() + 4 + approximateJsonSize(e.getValue());
             }
             return n;
         }
         if (value instanceof List<?> list) {
             int n = 2;
             for (Object o : list) {
-                n += jsonSize(o) + 1;
+                n += approximateJsonSize(o) + 1;
             }
             return n;
         }
--- a/src/main/java/io/kitepath/wire/ProtocolCodec.java
+++ b/src/main/java/io/kitepath/wire/ProtocolCodec.java
@@ -19,8 +19,8 @@
 
 /** The protocol's names. Nothing outside this package knows them. */
 public final class ProtocolCodec {
-    private static final int MAX_TASKS = 100_000;
-    private static final int MAX_JSON = 64 * 1024;
+    private static final int MAX_TASKS_PER_JOB = 100_000;
+    private static final int MAX_SUBMISSION_BYTES = 64 * 1024;
     private static final Pattern JOB_ID = Pattern.compile("j-[0-9]{1,18}");
 
     /** Why the state service refuses a write that hangs on a lease which is over. */
@@ -35,8 +35,8 @@
     }
 
     /** The job id in a submission; everything else may still be wrong. */
-    public static String submittedId(Object body) {
-        if (MessagePackCodec.jsonSize(body) > MAX_JSON) {
+    public static String decodeSubmittedId(Object body) {
+        if (MessagePackCodec.approximateJsonSize(body) > MAX_SUBMISSION_BYTES) {
             throw new InvalidInputException("body: over 64 KiB");
         }
         String id = DocumentReader.of(body).text("nameId");
@@ -46,15 +46,15 @@
         return id;
     }
 
-    public static JobSpec submission(Object body) {
+    public static JobSpec decodeSubmission(Object body) {
         DocumentReader document = DocumentReader.of(body);
         return new JobSpec(
-                submittedId(body),
-                name(document, "lane"),
-                name(document, "crew"),
-                shape(document.text("shape")),
-                priority(document.text("urgency")),
-                (int) document.integer("sheets", 1, MAX_TASKS),
+                decodeSubmittedId(body),
+                readName(document, "lane"),
+                readName(document, "crew"),
+                parseShape(document.text("shape")),
+                parsePriority(document.text("urgency")),
+                (int) document.integer("sheets", 1, MAX_TASKS_PER_JOB),
                 document.number("vcpus", 0),
                 document.number("cards", 0),
                 document.number("ramGb", 0),
@@ -63,7 +63,7 @@
                 document.flag("oneZone"),
                 document.flag("spread"),
                 document.flag("loaners"),
-                image(document),
+                readImage(document),
                 document.number("sizeGb", 0),
                 document.number("expectS", 0),
                 document.number("markEveryS", 0),
@@ -72,7 +72,7 @@
     }
 
     /** The jobs that have to be done before the submitted one starts, each once. */
-    public static List<String> needs(Object body) {
+    public static List<String> decodeDependencies(Object body) {
         DocumentReader document = DocumentReader.of(body);
         if (!document.has("awaits")) {
             return List.of();
@@ -83,10 +83,10 @@
                 throw new InvalidInputException("awaits: must be a list of ids such as j-000412");
             }
         }
-        return JobRecord.distinct(ids);
+        return JobRecord.distinctSorted(ids);
     }
 
-    private static String name(DocumentReader document, String field) {
+    private static String readName(DocumentReader document, String field) {
         String s = document.text(field);
         if (s.isEmpty() || s.length() > 200) {
             throw new InvalidInputException(field + ": must have 1 to 200 characters");
@@ -94,15 +94,15 @@
         return s;
     }
 
-    private static String image(DocumentReader document) {
+    private static String readImage(DocumentReader document) {
         String s = document.text("kit");
         if (s.isEmpty()) {
-            throw document.complaint("kit", "must not be empty");
+            throw document.invalid("kit", "must not be empty");
         }
         return s;
     }
 
-    private static JobSpec.Shape shape(String s) {
+    private static JobSpec.Shape parseShape(String s) {
         return switch (s) {
             case "array" -> JobSpec.Shape.ARRAY;
             case "group" -> JobSpec.Shape.GANG;
@@ -111,7 +111,7 @@
         };
     }
 
-    private static JobSpec.Priority priority(String s) {
+    private static JobSpec.Priority parsePriority(String s) {
         return switch (s) {
             case "production" -> JobSpec.Priority.PRODUCTION;
             case "high" -> JobSpec.Priority.HIGH;
@@ -123,27 +123,27 @@
         };
     }
 
-    public static byte[] jobState(JobStatus status, boolean brief) {
+    public static byte[] encodeJobStatus(JobStatus status, boolean brief) {
         Map<String, Object> m = new LinkedHashMap<>();
-        m.put("nameId", status.id());
+        m.put("nameId", status.jobId());
         m.put("status", status.status().equals("cancelled") ? "withdrawn" : status.status());
         if (!brief) {
-            m.put("done", (long) status.done());
-            m.put("running", (long) status.running());
+            m.put("done", (long) status.doneTaskCount());
+            m.put("running", (long) status.runningTaskCount());
             if (status.note() != null) {
                 m.put("note", status.note());
             }
         }
-        return MessagePackCodec.bytes(m);
+        return MessagePackCodec.encode(m);
     }
 
-    public static byte[] error(String why) {
-        return MessagePackCodec.bytes(Map.of("error", why));
+    public static byte[] encodeError(String why) {
+        return MessagePackCodec.encode(Map.of("error", why));
     }
 
     // ---- workers --------------------------------------------------------------------------------
 
-    public static Heartbeat report(Object body) {
+    public static Heartbeat decodeHeartbeat(Object body) {
         DocumentReader t = DocumentReader.of(body);
         List<Heartbeat.TaskStatus> tasks = new ArrayList<>();
         for (DocumentReader x : t.children("sheets")) {
@@ -158,7 +158,7 @@
             if (slash < 1) {
                 throw new InvalidInputException("sheet: must look like j-000412/3");
             }
-            Heartbeat.TaskState state = state(x.text("status"));
+            Heartbeat.TaskState state = parseTaskState(x.text("status"));
             tasks.add(
                     new Heartbeat.TaskStatus(
                             sheet.substring(0, slash),
@@ -166,7 +166,7 @@
                             x.count("try"),
                             state,
                             state == Heartbeat.TaskState.ENDED
-                                    ? cause(x.textOr("cause", ""))
+                                    ? parseEndCause(x.textOr("cause", ""))
                                     : null));
         }
         return new Heartbeat(
@@ -182,56 +182,56 @@
                 tasks);
     }
 
-    private static Heartbeat.TaskState state(String s) {
+    private static Heartbeat.TaskState parseTaskState(String s) {
         return switch (s) {
-            case "pulling" -> Heartbeat.TaskState.FETCHING;
-            case "waiting" -> Heartbeat.TaskState.WAITING;
-            case "saving" -> Heartbeat.TaskState.SAVING;
+            case "pulling" -> Heartbeat.TaskState.FETCHING_IMAGE;
+            case "waiting" -> Heartbeat.TaskState.WAITING_FOR_GANG;
+            case "saving" -> Heartbeat.TaskState.SAVING_CHECKPOINT;
             case "ended" -> Heartbeat.TaskState.ENDED;
             // A state that we don't know is never taken as proof that the task is gone.
             default -> Heartbeat.TaskState.RUNNING;
         };
     }
 
-    private static Heartbeat.EndCause cause(String s) {
+    private static Heartbeat.EndCause parseEndCause(String s) {
         return switch (s) {
             case "done" -> Heartbeat.EndCause.DONE;
             case "halted" -> Heartbeat.EndCause.STOPPED;
-            case "peers" -> Heartbeat.EndCause.PEERS;
-            case "alone" -> Heartbeat.EndCause.ALONE;
-            case "full" -> Heartbeat.EndCause.NO_ROOM;
-            case "in_use" -> Heartbeat.EndCause.BUSY;
-            case "unknown" -> Heartbeat.EndCause.UNKNOWN;
+            case "peers" -> Heartbeat.EndCause.GANG_PEER_LOST;
+            case "alone" -> Heartbeat.EndCause.GANG_START_TIMEOUT;
+            case "full" -> Heartbeat.EndCause.INSUFFICIENT_RESOURCES;
+            case "in_use" -> Heartbeat.EndCause.OTHER_ATTEMPT_PRESENT;
+            case "unknown" -> Heartbeat.EndCause.UNKNOWN_TASK;
             default -> Heartbeat.EndCause.ERROR;
         };
     }
 
-    public static byte[] orders(long token, List<WorkerCommand> orders) {
-        return MessagePackCodec.bytes(commands(token, orders));
+    public static byte[] encodeCommands(long token, List<WorkerCommand> orders) {
+        return MessagePackCodec.encode(commandFields(token, orders));
     }
 
     /** Commands straight to a worker, for one session of it. */
-    public static byte[] direct(long token, long session, List<WorkerCommand> orders) {
-        Map<String, Object> m = commands(token, orders);
+    public static byte[] encodeDirectCommands(long token, long session, List<WorkerCommand> orders) {
+        Map<String, Object> m = commandFields(token, orders);
         m.put("tenure", session);
-        return MessagePackCodec.bytes(m);
+        return MessagePackCodec.encode(m);
     }
 
-    private static Map<String, Object> commands(long token, List<WorkerCommand> orders) {
+    private static Map<String, Object> commandFields(long token, List<WorkerCommand> orders) {
         List<Object> list = new ArrayList<>(orders.size());
         for (WorkerCommand command : orders) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put(
                     "verb",
-                    switch (command.verb()) {
+                    switch (command.action()) {
                         case START -> "launch";
                         case STOP -> "halt";
                         case FORGET -> "clear";
                     });
-            m.put("sheet", command.job() + "/" + command.task());
+            m.put("sheet", command.jobId() + "/" + command.task());
             m.put("try", command.attempt());
-            if (command.verb() == WorkerCommand.Action.STOP) {
-                m.put("windDownS", command.graceS());
+            if (command.action() == WorkerCommand.Action.STOP) {
+                m.put("windDownS", command.graceSeconds());
             }
             list.add(m);
         }
@@ -241,13 +241,13 @@
         return m;
     }
 
-    public static byte[] anchor(String node) {
-        return MessagePackCodec.bytes(node == null ? Map.of() : Map.of("anchor", node));
+    public static byte[] encodeRedirect(String node) {
+        return MessagePackCodec.encode(node == null ? Map.of() : Map.of("anchor", node));
     }
 
     // ---- cloud ----------------------------------------------------------------------------------
 
-    public static List<MachineType> types(Object body) {
+    public static List<MachineType> decodeMachineTypes(Object body) {
         List<MachineType> out = new ArrayList<>();
         for (DocumentReader document : DocumentReader.of(body).children("frames")) {
             out.add(
@@ -266,25 +266,25 @@
         return out;
     }
 
-    public static byte[] rental(String name, MachineKind kind, int count) {
+    public static byte[] encodeRental(String name, MachineKind kind, int count) {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("hire", name);
-        m.put("frame", kind.type());
+        m.put("frame", kind.machineType());
         m.put("field", kind.zone());
         m.put("loaners", kind.spot());
         m.put("count", (long) count);
-        return MessagePackCodec.bytes(m);
+        return MessagePackCodec.encode(m);
     }
 
-    public static byte[] machines(List<String> names) {
-        return MessagePackCodec.bytes(Map.of("hosts", names));
+    public static byte[] encodeMachineIds(List<String> names) {
+        return MessagePackCodec.encode(Map.of("hosts", names));
     }
 
-    public static List<String> machineNames(Object body) {
+    public static List<String> decodeMachineIds(Object body) {
         return DocumentReader.of(body).texts("hosts");
     }
 
-    public static List<Cloud.Listed> listed(Object body) {
+    public static List<Cloud.Listed> decodeListedMachines(Object body) {
         List<Cloud.Listed> out = new ArrayList<>();
         for (DocumentReader document : DocumentReader.of(body).children("hosts")) {
             out.add(
@@ -299,52 +299,52 @@
         return out;
     }
 
-    public static boolean truncated(Object body) {
+    public static boolean isTruncated(Object body) {
         return DocumentReader.of(body).has("truncated")
                 && DocumentReader.of(body).flag("truncated");
     }
 
     // ---- state service --------------------------------------------------------------------------
 
-    public static Store.Entry entry(Object body) {
-        return entry(DocumentReader.of(body));
+    public static Store.Entry decodeEntry(Object body) {
+        return decodeEntry(DocumentReader.of(body));
     }
 
-    private static Store.Entry entry(DocumentReader document) {
+    private static Store.Entry decodeEntry(DocumentReader document) {
         return new Store.Entry(
                 document.text("path"), document.raw("value"), document.count("stamp"));
     }
 
-    public static List<Store.Entry> entries(Object body) {
+    public static List<Store.Entry> decodeEntries(Object body) {
         List<Store.Entry> out = new ArrayList<>();
         for (DocumentReader document : DocumentReader.of(body).children("entries")) {
-            out.add(entry(document));
+            out.add(decodeEntry(document));
         }
         return out;
     }
 
-    public static long revision(Object body) {
+    public static long decodeRevision(Object body) {
         return DocumentReader.of(body).count("epoch");
     }
 
-    public static long lease(Object body) {
+    public static long decodeLeaseId(Object body) {
         return DocumentReader.of(body).count("tether");
     }
 
-    public static byte[] leaseLife(long ms) {
-        return MessagePackCodec.bytes(Map.of("lifeMs", ms));
+    public static byte[] encodeLeaseDuration(long ms) {
+        return MessagePackCodec.encode(Map.of("lifeMs", ms));
     }
 
     /** Why a request was refused, empty if it does not say. */
-    public static String reason(Object body) {
+    public static String decodeErrorReason(Object body) {
         return DocumentReader.of(body).textOr("error", "");
     }
 
-    public static List<String> failed(Object body) {
+    public static List<String> decodeFailedKeys(Object body) {
         return DocumentReader.of(body).texts("failed");
     }
 
-    public static List<Store.Entry> events(Object body) {
+    public static List<Store.Entry> decodeEvents(Object body) {
         List<Store.Entry> out = new ArrayList<>();
         for (DocumentReader document : DocumentReader.of(body).children("events")) {
             out.add(
@@ -359,7 +359,7 @@
         return out;
     }
 
-    public static byte[] transaction(Store.Transaction transaction) {
+    public static byte[] encodeTransaction(Store.Transaction transaction) {
         List<Object> when = new ArrayList<>();
         for (Store.Condition condition : transaction.conditions()) {
             Map<String, Object> m = new LinkedHashMap<>();
@@ -375,8 +375,8 @@
             } else {
                 m.put("write", write.key());
                 m.put("value", write.value());
-                if (write.lease() != 0) {
-                    m.put("tether", write.lease());
+                if (write.leaseId() != 0) {
+                    m.put("tether", write.leaseId());
                 }
             }
             then.add(m);
@@ -386,6 +386,6 @@
         if (!then.isEmpty()) {
             m.put("then", then);
         }
-        return MessagePackCodec.bytes(m);
+        return MessagePackCodec.encode(m);
     }
 }
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -56,14 +56,14 @@
                 maxBody,
                 "POST",
                 "/do",
-                ProtocolCodec.direct(token, session, orders),
+                ProtocolCodec.encodeDirectCommands(token, session, orders),
                 timeoutMs,
                 (status, body) -> answer.accept(status == 200 ? report(body) : null));
     }
 
     private static Heartbeat report(byte[] body) {
         try {
-            return ProtocolCodec.report(MessagePackCodec.value(body));
+            return ProtocolCodec.decodeHeartbeat(MessagePackCodec.decode(body));
         } catch (InvalidInputException invalid) {
             LOG.debug("a worker's answer can't be read: {}", invalid.getMessage());
             return null;
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -28,19 +28,19 @@
         }
         Heartbeat heartbeat;
         try {
-            heartbeat = ProtocolCodec.report(MessagePackCodec.value(request.body()));
+            heartbeat = ProtocolCodec.decodeHeartbeat(MessagePackCodec.decode(request.body()));
         } catch (InvalidInputException invalid) {
             LOG.debug("a report can't be read: {}", invalid.getMessage());
-            out.reply(400, ProtocolCodec.error(invalid.getMessage()));
+            out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
             return;
         }
         controller.heartbeat(
                 heartbeat,
                 response -> {
-                    if (response.token() > 0) {
-                        out.reply(200, ProtocolCodec.orders(response.token(), response.orders()));
+                    if (response.fencingToken() > 0) {
+                        out.reply(200, ProtocolCodec.encodeCommands(response.fencingToken(), response.commands()));
                     } else {
-                        out.reply(421, ProtocolCodec.anchor(response.anchor()));
+                        out.reply(421, ProtocolCodec.encodeRedirect(response.redirectNode()));
                     }
                 });
     }
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -58,7 +58,7 @@
             List<int[]> each = new ArrayList<>();
             for (SimulatedNode node : cluster.nodes.values()) {
                 if (node.alive) {
-                    each.add(send(cluster, node, MessagePackCodec.bytes(named(b, "j-" + next++))));
+                    each.add(send(cluster, node, MessagePackCodec.encode(named(b, "j-" + next++))));
                 }
             }
             got.add(each);
@@ -121,9 +121,9 @@
                 send(
                         cluster,
                         anew,
-                        MessagePackCodec.bytes(with("nameId", "j-900", "crew", "nobody")));
+                        MessagePackCodec.encode(with("nameId", "j-900", "crew", "nobody")));
         int[] malformed =
-                send(cluster, anew, MessagePackCodec.bytes(with("nameId", "j-901", "sheets", 0L)));
+                send(cluster, anew, MessagePackCodec.encode(with("nameId", "j-901", "sheets", 0L)));
         cluster.run(2);
         assertEquals(List.of(503, 400), List.of(knowsNoTypes[0], malformed[0]));
         cluster.siblings.stream()
@@ -144,7 +144,7 @@
         for (Object id :
                 Arrays.asList(null, 5L, "", "x-1", "j-", "j-1x", "j-1/0", List.of("j-1"))) {
             for (SimulatedNode node : cluster.nodes.values()) {
-                int[] got = send(cluster, node, MessagePackCodec.bytes(with("nameId", id)));
+                int[] got = send(cluster, node, MessagePackCodec.encode(with("nameId", id)));
                 assertEquals(400, got[0], "id " + id);
             }
         }
@@ -152,10 +152,10 @@
                 List.of(
                         new byte[0],
                         new byte[] {(byte) 0xc1},
-                        MessagePackCodec.bytes(null),
-                        MessagePackCodec.bytes("j-1"),
-                        MessagePackCodec.bytes(List.of(good("j-1"))),
-                        Arrays.copyOf(MessagePackCodec.bytes(good("j-1")), 50))) {
+                        MessagePackCodec.encode(null),
+                        MessagePackCodec.encode("j-1"),
+                        MessagePackCodec.encode(List.of(good("j-1"))),
+                        Arrays.copyOf(MessagePackCodec.encode(good("j-1")), 50))) {
             for (SimulatedNode node : cluster.nodes.values()) {
                 assertEquals(400, send(cluster, node, unreadable)[0]);
             }
@@ -196,7 +196,7 @@
                                             send(
                                                     cluster,
                                                     node,
-                                                    MessagePackCodec.bytes(named(b, id)))));
+                                                    MessagePackCodec.encode(named(b, id)))));
                     cluster.run(3);
                     for (int i = 0; i < bodies.size(); i++) {
                         // How a job ended is known for ever where it was told once, so an outage
@@ -222,8 +222,8 @@
     /** As a user does who hands it in there. */
     private int accept(SimulatedNode node, Map<String, Object> body) {
         String id = (String) body.get("nameId");
-        cluster.specs.put(id, ProtocolCodec.submission(body));
-        int[] got = send(cluster, node, MessagePackCodec.bytes(body));
+        cluster.specs.put(id, ProtocolCodec.decodeSubmission(body));
+        int[] got = send(cluster, node, MessagePackCodec.encode(body));
         cluster.run(0.1);
         if (got[0] == 201) {
             cluster.accepted.put(id, cluster.clock.now);
@@ -323,7 +323,7 @@
     @Test
     void aNumberOf64BitsInAnUnknownFieldIsIgnored() {
         begin();
-        byte[] body = MessagePackCodec.bytes(good("j-1"));
+        byte[] body = MessagePackCodec.encode(good("j-1"));
         assertEquals((byte) 0xde, body[0]);
         body[2]++;
         byte[] more = Arrays.copyOf(body, body.length + 11);
@@ -331,7 +331,7 @@
         more[body.length + 1] = 'x';
         more[body.length + 2] = (byte) 0xcf;
         Arrays.fill(more, body.length + 3, more.length, (byte) 0xff);
-        cluster.specs.put("j-1", ProtocolCodec.submission(good("j-1")));
+        cluster.specs.put("j-1", ProtocolCodec.decodeSubmission(good("j-1")));
         int[] got = send(cluster, cluster.nodes.get("k0"), more);
         cluster.run(1);
         assertEquals(201, got[0]);
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -456,7 +456,7 @@
         // Its lease is renewed all the while, but no comparison is answered.
         cluster.store.withheld = transaction -> transaction.writes().isEmpty();
         while (holder.controller.cancellationWatermark.ageS()
-                < holder.controller.settings.workers().marginS() - 0.6) {
+                < holder.controller.settings.workers().cancellationStalenessSeconds() - 0.6) {
             cluster.run(0.1);
         }
         SimulatedWorker idle = cluster.workers.get("i-000009");
@@ -464,7 +464,7 @@
         holder.controller.heartbeat(idle.message(), response -> got[0] = response);
         assertEquals(null, got[0]);
         cluster.run(2.1);
-        assertEquals(0, got[0].token());
+        assertEquals(0, got[0].fencingToken());
     }
 
     /**
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -278,10 +278,10 @@
                                 response -> {
                                     boolean held =
                                             on[0] >= 0
-                                                    && response.orders().stream()
+                                                    && response.commands().stream()
                                                             .anyMatch(
                                                                     command ->
-                                                                            command.verb()
+                                                                            command.action()
                                                                                     == WorkerCommand
                                                                                             .Action
                                                                                             .START);
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -153,7 +153,7 @@
         simulation.keeps =
                 message ->
                         message instanceof LoanOffer offer
-                                && !offer.job().id().equals(service)
+                                && !offer.spec().id().equals(service)
                                 && copy[0];
         String id = array(3, 40);
         simulation.until(20, () -> simulation.kept.size() >= 2);
@@ -265,7 +265,7 @@
                             .world("west")
                             .store
                             .keys
-                            .containsKey(StoreKeys.guest("east", ((LoanOffer) message).number())));
+                            .containsKey(StoreKeys.guest("east", ((LoanOffer) message).loanNumber())));
         }
         allDone(id);
     }
@@ -277,7 +277,7 @@
         simulation.loses =
                 message ->
                         message instanceof LoanStatus status
-                                && status.standing() == LoanState.TAKEN
+                                && status.state() == LoanState.TAKEN
                                 && n[0]++ < 3;
         allDone(array(1, 40));
         assertTrue(n[0] >= 3, "lost " + n[0]);
@@ -291,7 +291,7 @@
                 message ->
                         (message instanceof LoanSettled
                                         || message instanceof LoanStatus status
-                                                && status.standing() == LoanState.DONE)
+                                                && status.state() == LoanState.DONE)
                                 && n[0]++ < 6;
         allDone(array(1, 40));
         assertTrue(n[0] >= 6, "lost " + n[0]);
@@ -534,7 +534,7 @@
                             List.of("cancelled", "done")
                                     .contains(simulation.cancel(simulation.any("east"), gone)));
             for (String id : ids) {
-                String home = simulation.world("east").cellDirectory.home(id);
+                String home = simulation.world("east").cellDirectory.homeCellOf(id);
                 simulation.until(
                         400,
                         () ->
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -127,7 +127,7 @@
                         lost += no ? 1 : 0;
                         return no;
                     };
-            cluster.cancelsAtEnd = task -> Math.floorMod(task.job.hashCode(), 3) == 0;
+            cluster.cancelsAtEnd = task -> Math.floorMod(task.jobId.hashCode(), 3) == 0;
             storm(cluster, random);
             for (int i = 0; i < 10; i++) {
                 String id = "j-" + (100 + i);
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -328,7 +328,7 @@
                                 String node,
                                 Heartbeat heartbeat,
                                 Consumer<HeartbeatResponse> answer) {
-                            moved[0] += node.equals(last.put(heartbeat.machine(), node)) ? 0 : 1;
+                            moved[0] += node.equals(last.put(heartbeat.machineId(), node)) ? 0 : 1;
                             boolean lost = !calm[0] && random.nextInt(4) == 0;
                             plain.heartbeat(node, heartbeat, lost ? response -> {} : answer);
                         }
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -181,8 +181,8 @@
                         spec.team(),
                         spec.shape(),
                         spec.priority(),
-                        spec.tasks(),
-                        spec.cpus(),
+                        spec.taskCount(),
+                        spec.cpusPerTask(),
                         0,
                         1,
                         null,
@@ -275,17 +275,17 @@
                         spec.team(),
                         spec.shape(),
                         spec.priority(),
-                        spec.tasks(),
-                        spec.cpus(),
-                        spec.gpus(),
-                        spec.memoryGb(),
+                        spec.taskCount(),
+                        spec.cpusPerTask(),
+                        spec.gpusPerTask(),
+                        spec.memoryGigabytesPerTask(),
                         null,
                         null,
                         false,
                         false,
                         true,
                         spec.image(),
-                        spec.imageGb(),
+                        spec.imageGigabytes(),
                         20,
                         0,
                         0,
@@ -296,7 +296,7 @@
                 cluster.workers.values().stream()
                         .filter(worker -> !worker.spot)
                         .flatMap(worker -> worker.tasks.values().stream())
-                        .filter(task -> task.job.equals("j-2"))
+                        .filter(task -> task.jobId.equals("j-2"))
                         .count());
     }
 
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsTest.java
@@ -39,7 +39,7 @@
     /** After so many seconds, the last report that each machine sent in them. */
     private List<Heartbeat> lastOf(double seconds) {
         Map<String, Heartbeat> last = new TreeMap<>();
-        copies.keeps = heartbeat -> last.put(heartbeat.machine(), heartbeat) == heartbeat;
+        copies.keeps = heartbeat -> last.put(heartbeat.machineId(), heartbeat) == heartbeat;
         cluster.run(seconds);
         copies.keeps = heartbeat -> false;
         return new ArrayList<>(last.values());
@@ -298,9 +298,9 @@
         List<Heartbeat> old = lastOf(2).subList(0, 3);
         Set<String> dead = new HashSet<>();
         for (Heartbeat heartbeat : old) {
-            dead.add(heartbeat.machine());
-            cluster.workers.get(heartbeat.machine()).die();
-            cluster.cloud.machines.remove(heartbeat.machine());
+            dead.add(heartbeat.machineId());
+            cluster.workers.get(heartbeat.machineId()).die();
+            cluster.cloud.machines.remove(heartbeat.machineId());
         }
         String at = (returned ? "returned" : "died") + " after " + dies + ", copies every " + every;
         if (returned) {
@@ -321,14 +321,14 @@
                             .map(
                                     heartbeat ->
                                             new Heartbeat(
-                                                    heartbeat.machine(),
+                                                    heartbeat.machineId(),
                                                     heartbeat.address(),
-                                                    heartbeat.type(),
+                                                    heartbeat.machineType(),
                                                     heartbeat.zone(),
                                                     heartbeat.spot(),
-                                                    heartbeat.session(),
+                                                    heartbeat.agentIncarnation(),
                                                     heartbeat.sequence() + more,
-                                                    heartbeat.token(),
+                                                    heartbeat.fencingToken(),
                                                     null,
                                                     heartbeat.tasks()))
                             .toList());
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -134,7 +134,7 @@
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
         assertEquals(0, records(cluster, StoreKeys.RENT), "taken in and struck off");
         for (Store.Transaction transaction : cluster.store.heldBack) {
-            assertEquals(Store.Outcome.NO, cluster.store.execute(transaction).outcome());
+            assertEquals(Store.Outcome.REJECTED, cluster.store.execute(transaction).outcome());
         }
         assertEquals(6, cluster.cloud.named);
     }
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -102,7 +102,7 @@
                         worker ->
                                 worker.runsFor =
                                         shape == Shape.GANG ? forS : forS - 1.3 * (i[0]++ % 3));
-        cluster.clock.ends = task -> lastEnd = task.job.equals(ID) ? cluster.clock.now : lastEnd;
+        cluster.clock.ends = task -> lastEnd = task.jobId.equals(ID) ? cluster.clock.now : lastEnd;
         cluster.store.written =
                 (client, transaction) -> {
                     if (transaction.writes().stream()
@@ -143,7 +143,7 @@
                         .noneMatch(
                                 worker ->
                                         worker.tasks.values().stream()
-                                                .anyMatch(task -> task.job.equals(ID))),
+                                                .anyMatch(task -> task.jobId.equals(ID))),
                 at + ": an ended task is still reported");
         assertEquals(List.of(), cluster.broken, at);
         return last;
@@ -356,7 +356,7 @@
                                     () ->
                                             cluster.users.cancel(
                                                     cluster.nodes.get("k" + random.nextInt(3)),
-                                                    task.job));
+                                                    task.jobId));
             for (int i = 0; i < 400; i++) {
                 cluster.ask(
                         cluster.nodes.get("k" + random.nextInt(3)),
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -43,8 +43,8 @@
         cluster.store.keys.forEach(
                 (key, entry) ->
                         assertTrue(
-                                JsonSize.size(entry.value()) <= bytes,
-                                key + " has " + JsonSize.size(entry.value())));
+                                JsonSize.sizeInBytes(entry.value()) <= bytes,
+                                key + " has " + JsonSize.sizeInBytes(entry.value())));
     }
 
     @Test
@@ -96,7 +96,7 @@
         cluster.submit(old, SimulatedCluster.job("j-1", Shape.ARRAY, 250, 3));
         cluster.submit(old, SimulatedCluster.job("j-3", Shape.SERVICE, 250, 0.5));
         cluster.run(5);
-        assertTrue(JsonSize.size(cluster.store.keys.get(StoreKeys.part("j-1", 0)).value()) > 2048);
+        assertTrue(JsonSize.sizeInBytes(cluster.store.keys.get(StoreKeys.part("j-1", 0)).value()) > 2048);
         old.crash();
         cluster.next = LOW;
         fall();
@@ -313,15 +313,15 @@
         JobSpec spec = SimulatedCluster.job("j-1", Shape.ARRAY, 300, 1);
         assertEquals(
                 spec.toRecord().get("shape"),
-                new JobRecord(spec, 5, List.of(), 0, 0).toMap().get("shape"));
+                new JobRecord(spec, 5, List.of(), 0, 0).toRecord().get("shape"));
         for (JobRecord record :
                 List.of(
                         new JobRecord(spec, 5, List.of("j-2"), 0, 0),
                         new JobRecord(spec, 5, List.of(), 64, 7))) {
-            Object shape = record.toMap().get("shape");
+            Object shape = record.toRecord().get("shape");
             assertTrue(
                     java.util.Arrays.stream(Shape.values()).noneMatch(x -> x.name().equals(shape)));
-            assertEquals(record, JobRecord.of("j-1", record.toMap()));
+            assertEquals(record, JobRecord.fromRecord("j-1", record.toRecord()));
         }
     }
 }
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -144,7 +144,7 @@
                                         "j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 response -> got[0] = response);
         cluster.run(0.05);
-        assertEquals(HeartbeatResponse.elsewhere(null), got[0]);
+        assertEquals(HeartbeatResponse.redirectTo(null), got[0]);
     }
 
     // ---- 2. jobs of two or three tasks that end far apart, across a change of leader ------------
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -60,13 +60,13 @@
     // ------------------------------------------------------
 
     /** Tasks of that job that were stopped by a command on machines that can't report it. */
-    private static long stoppedOnMute(SimulatedCluster cluster, String job) {
+    private static long stoppedOnMute(SimulatedCluster cluster, String jobId) {
         return cluster.workers.values().stream()
                 .filter(worker -> worker.mute)
                 .flatMap(worker -> worker.tasks.values().stream())
                 .filter(
                         task ->
-                                task.job.equals(job)
+                                task.jobId.equals(jobId)
                                         && task.state == TaskState.ENDED
                                         && task.cause == EndCause.STOPPED)
                 .count();
@@ -266,7 +266,7 @@
             SimulatedCluster cluster = slow(random);
             Map<String, Double> handedIn = new HashMap<>();
             Map<String, Double> begun = new HashMap<>();
-            cluster.clock.starts = task -> begun.putIfAbsent(task.job, cluster.clock.now);
+            cluster.clock.starts = task -> begun.putIfAbsent(task.jobId, cluster.clock.now);
             Set<String> urgent = new HashSet<>();
             int tasks = 0;
             for (int i = 0; i < 30; i++) {
@@ -287,7 +287,7 @@
                 if (p.ordinal() < 2) {
                     urgent.add(id);
                 }
-                tasks += spec.tasks();
+                tasks += spec.taskCount();
                 cluster.submit(cluster.nodes.get("k" + i % 3), spec);
                 cluster.run(0.5 + random.nextDouble() * 2);
             }
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/OneZoneTest.java
@@ -41,21 +41,21 @@
                 spec.team(),
                 spec.shape(),
                 spec.priority(),
-                spec.tasks(),
-                spec.cpus(),
-                spec.gpus(),
-                spec.memoryGb(),
-                spec.types(),
+                spec.taskCount(),
+                spec.cpusPerTask(),
+                spec.gpusPerTask(),
+                spec.memoryGigabytesPerTask(),
+                spec.machineTypes(),
                 zone,
                 oneZone,
                 spread,
-                spec.spot(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.imageGigabytes(),
+                spec.estimatedSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointSaveSeconds(),
+                spec.deadlineSeconds());
     }
 
     private static JobSpec in(String zone, JobSpec spec) {
@@ -70,10 +70,10 @@
         return placed(spec, null, false, true);
     }
 
-    private static Set<String> zonesOf(SimulatedCluster cluster, String job) {
+    private static Set<String> zonesOf(SimulatedCluster cluster, String jobId) {
         return cluster.workers.values().stream()
                 .flatMap(worker -> worker.tasks.values().stream())
-                .filter(task -> task.on() && task.job.equals(job))
+                .filter(task -> task.on() && task.jobId.equals(jobId))
                 .map(task -> task.worker.zone)
                 .collect(Collectors.toSet());
     }
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -81,9 +81,9 @@
         double[] ended = new double[1];
         double[] began = new double[1];
         cluster.clock.ends =
-                task -> ended[0] = task.job.equals("j-1") ? cluster.clock.now : ended[0];
+                task -> ended[0] = task.jobId.equals("j-1") ? cluster.clock.now : ended[0];
         cluster.clock.starts =
-                task -> began[0] = task.job.equals("j-2") ? cluster.clock.now : began[0];
+                task -> began[0] = task.jobId.equals("j-2") ? cluster.clock.now : began[0];
         cluster.run(40);
         // A report that is due at once, one write for the end, one for the placing, the next
         // report.
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -61,8 +61,8 @@
                 heartbeat,
                 response -> {
                     sentOn +=
-                            response.token() == 0
-                                            && response.anchor() == null
+                            response.fencingToken() == 0
+                                            && response.redirectNode() == null
                                             && !heartbeat.tasks().isEmpty()
                                     ? 1
                                     : 0;
@@ -79,16 +79,16 @@
         node.deliver(
                 () -> {
                     brought++;
-                    ofItsToken += heartbeat.token() == node.controller.leadsWith() ? 1 : 0;
+                    ofItsToken += heartbeat.fencingToken() == node.controller.leadsWith() ? 1 : 0;
 
                     node.controller.heartbeat(
                             heartbeat,
                             response ->
                                     launches +=
-                                            response.orders().stream()
+                                            response.commands().stream()
                                                             .anyMatch(
                                                                     command ->
-                                                                            command.verb()
+                                                                            command.action()
                                                                                     == WorkerCommand
                                                                                             .Action
                                                                                             .START)
--- a/src/test/java/io/kitepath/core/SharesTest.java
+++ b/src/test/java/io/kitepath/core/SharesTest.java
@@ -51,7 +51,7 @@
                                                     simulation
                                                             .world("east")
                                                             .cellDirectory
-                                                            .home(id)),
+                                                            .homeCellOf(id)),
                                             id)
                                     .equals("done"));
         }
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -205,7 +205,7 @@
         first.crash();
         cluster.run(20);
         Store.CommitResult late = cluster.store.execute(cluster.store.heldBack.get(0));
-        assertEquals(Store.Outcome.NO, late.outcome());
+        assertEquals(Store.Outcome.REJECTED, late.outcome());
         cluster.run(30);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
     }
@@ -214,7 +214,7 @@
         var record = spec.toRecord();
         record.put("submittedMs", cluster.clock.now * 1000);
         return new Store.Transaction()
-                .when(StoreKeys.OPEN + spec.id(), 0)
+                .requireRevision(StoreKeys.OPEN + spec.id(), 0)
                 .put(StoreKeys.OPEN + spec.id(), record);
     }
 
@@ -532,10 +532,10 @@
                 new Heartbeat("i-000077", "", "m4", "a", false, 1, 1, 0, null, List.of());
         HeartbeatResponse[] got = new HeartbeatResponse[2];
         other.controller.heartbeat(heartbeat, response -> got[0] = response);
-        assertEquals(leader.name, got[0].anchor());
+        assertEquals(leader.name, got[0].redirectNode());
         other.controller.heartbeat(heartbeat, response -> got[1] = response);
         cluster.run(0.1);
-        assertEquals(leader.controller.shard.token(), got[1].token());
+        assertEquals(leader.controller.shard.token(), got[1].fencingToken());
     }
 
     @Test
@@ -549,7 +549,7 @@
                 new Heartbeat("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of()),
                 response -> got[0] = response);
         cluster.run(0.1);
-        assertEquals(token, got[0].token());
+        assertEquals(token, got[0].fencingToken());
     }
 
     @Test
@@ -578,7 +578,7 @@
                                         "j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 response -> got[0] = response);
         cluster.run(0.1);
-        assertEquals(token, got[0].token());
+        assertEquals(token, got[0].fencingToken());
     }
 
     @Test
@@ -607,8 +607,8 @@
                                         "j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 response -> got[0] = response);
         cluster.run(3);
-        assertEquals(cluster.leader().controller.shard.token(), got[0].token());
-        assertTrue(got[0].token() > token);
+        assertEquals(cluster.leader().controller.shard.token(), got[0].fencingToken());
+        assertTrue(got[0].fencingToken() > token);
     }
 
     @Test
@@ -624,7 +624,7 @@
                 new Heartbeat("i-000077", "", "m4", "a", false, 1, 9, 1, null, List.of()),
                 response -> got[0] = response);
         cluster.run(0.9);
-        assertEquals(2, got[0].token());
+        assertEquals(2, got[0].fencingToken());
     }
 
     @Test
@@ -715,12 +715,12 @@
         cluster.run(5);
         JobStatus seen = cluster.ask(other, "j-1").state();
         assertEquals("running", seen.status());
-        assertEquals(5, seen.running());
+        assertEquals(5, seen.runningTaskCount());
         SimulatedNode fresh = cluster.node("k2");
         cluster.siblings.addAll(List.of("k0", "k1"));
         cluster.run(0.05);
         leader.crash();
-        assertEquals(5, cluster.ask(fresh, "j-1").state().running());
+        assertEquals(5, cluster.ask(fresh, "j-1").state().runningTaskCount());
     }
 
     @Test
@@ -861,7 +861,7 @@
         other.controller.registry().status("j-1", answer -> got[0] = answer);
         cluster.run(0.6);
         String note = got[0].state().note();
-        assertEquals(4, got[0].state().running());
+        assertEquals(4, got[0].state().runningTaskCount());
         assertTrue(
                 note.contains("does not answer") && note.endsWith("the figures are from before"),
                 note);
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -90,8 +90,8 @@
             for (int i = 0; i < machines; i++) {
                 cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
             }
-            cluster.clock.starts = task -> begun.putIfAbsent(task.job, cluster.clock.now);
-            cluster.clock.ends = task -> ended(task.job);
+            cluster.clock.starts = task -> begun.putIfAbsent(task.jobId, cluster.clock.now);
+            cluster.clock.ends = task -> ended(task.jobId);
             cluster.store.written =
                     (client, transaction) ->
                             transaction.writes().stream()
@@ -190,7 +190,7 @@
                 callOff(id);
             }
             double at = cluster.clock.now;
-            if (cluster.completed.get(id).size() < cluster.specs.get(id).tasks()
+            if (cluster.completed.get(id).size() < cluster.specs.get(id).taskCount()
                     || !complete.add(id)) {
                 return;
             }
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -104,7 +104,7 @@
                 shape,
                 spec.priority(),
                 tasks,
-                spec.cpus(),
+                spec.cpusPerTask(),
                 gang ? 1 : 0,
                 1,
                 null,
@@ -113,7 +113,7 @@
                 false,
                 false,
                 spec.image(),
-                spec.imageGb(),
+                spec.imageGigabytes(),
                 ALWAYS,
                 0,
                 0,
@@ -125,9 +125,9 @@
         ClusterSettings.Team t = cluster.teams.get(team);
         double[] used = cluster.rules.onMachines(team);
         assertTrue(
-                t.cpusMax() == 0 || used[0] == t.cpusMax(), team + " " + used[0] + " CPUs " + when);
+                t.maxCpus() == 0 || used[0] == t.maxCpus(), team + " " + used[0] + " CPUs " + when);
         assertTrue(
-                t.gpusMax() == 0 || t.cpusMax() > 0 || used[1] == t.gpusMax(),
+                t.maxGpus() == 0 || t.maxCpus() > 0 || used[1] == t.maxGpus(),
                 team + " " + used[1] + " GPUs " + when);
         assertEquals(
                 used[0],
@@ -194,7 +194,7 @@
                                         task ->
                                                 task.on()
                                                         && cluster.toldCancelled.containsKey(
-                                                                task.job)
+                                                                task.jobId)
                                                         && task.worker.token <= before)
                                 .count();
             }
@@ -204,7 +204,7 @@
                             .allMatch(
                                     t ->
                                             cluster.onMachines(whole(t, 2).id())
-                                                    == whole(t, 2).tasks())) {
+                                                    == whole(t, 2).taskCount())) {
                 fullAt = cluster.clock.now;
             }
         }
@@ -225,7 +225,7 @@
         TEAMS.forEach(
                 t -> {
                     assertEquals(
-                            whole(t, 2).tasks(),
+                            whole(t, 2).taskCount(),
                             cluster.onMachines(whole(t, 2).id()),
                             t + " " + when);
                     atItsLimit(t, when);
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -111,7 +111,7 @@
                 String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
             if (crosses(node, heartbeat.zone())) {
                 if (refusing) {
-                    cluster.after(0.002, () -> answer.accept(HeartbeatResponse.elsewhere(null)));
+                    cluster.after(0.002, () -> answer.accept(HeartbeatResponse.redirectTo(null)));
                 }
                 return;
             }
@@ -121,7 +121,7 @@
                     response -> {
                         if (!crosses(node, heartbeat.zone())) {
                             boolean keeps =
-                                    lasts && heartbeat.zone().equals(ZONE) && response.token() > 0;
+                                    lasts && heartbeat.zone().equals(ZONE) && response.fencingToken() > 0;
                             kept += keeps ? 1 : 0;
                             lastKept = keeps ? cluster.clock.now : lastKept;
                             answer.accept(response);
@@ -137,21 +137,21 @@
                 spec.team(),
                 spec.shape(),
                 spec.priority(),
-                spec.tasks(),
-                spec.cpus(),
-                spec.gpus(),
-                spec.memoryGb(),
-                spec.types(),
+                spec.taskCount(),
+                spec.cpusPerTask(),
+                spec.gpusPerTask(),
+                spec.memoryGigabytesPerTask(),
+                spec.machineTypes(),
                 zone,
                 oneZone,
-                spec.spread(),
-                spec.spot(),
+                spec.isSpreadAcrossZones(),
+                spec.allowsSpot(),
                 spec.image(),
-                spec.imageGb(),
-                spec.estimateS(),
-                spec.checkpointS(),
-                spec.saveS(),
-                spec.deadlineS());
+                spec.imageGigabytes(),
+                spec.estimatedSeconds(),
+                spec.checkpointIntervalSeconds(),
+                spec.checkpointSaveSeconds(),
+                spec.deadlineSeconds());
     }
 
     /**
@@ -193,7 +193,7 @@
         assertEquals(4 * machines, held.size());
         assertEquals(
                 4 * machines - 12,
-                held.stream().filter(task -> task.job.equals("j-bound")).count());
+                held.stream().filter(task -> task.jobId.equals("j-bound")).count());
     }
 
     private List<SimulatedTask> on(String zone) {
@@ -237,7 +237,7 @@
                         .toList();
         withMachine = (int) gone.stream().filter(task -> !task.worker.up).count();
         withLease = gone.size() - withMachine;
-        boundOutside = (int) on("b").stream().filter(task -> task.job.equals("j-bound")).count();
+        boundOutside = (int) on("b").stream().filter(task -> task.jobId.equals("j-bound")).count();
         cut.end();
         cluster.cloud.out = false;
         cluster.cloud.capacity = 16;
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -89,17 +89,17 @@
                             riders::add,
                             new Timers() {
                                 @Override
-                                public double now() {
+                                public double nowSeconds() {
                                     return now;
                                 }
 
                                 @Override
-                                public double wallMs() {
+                                public double wallClockMillis() {
                                     return now * 1000;
                                 }
 
                                 @Override
-                                public void after(double seconds, Runnable run) {
+                                public void schedule(double seconds, Runnable run) {
                                     throw new UnsupportedOperationException();
                                 }
                             },
@@ -340,7 +340,7 @@
                             g,
                             message -> {
                                 if (unanswered.remove(m)) {
-                                    messages.add(new Sent(g.from(), message, m.answer));
+                                    messages.add(new Sent(g.fromCell(), message, m.answer));
                                 }
                             });
         } else {
--- a/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
@@ -75,22 +75,22 @@
     @Test
     void aLogVouchesForWhatItStillHas() {
         CancellationLog log = new CancellationLog(facts("k1", "k0"), timers);
-        double began = timers.wallMs();
-        assertEquals(began, log.digest().sinceMs());
+        double began = timers.wallClockMillis();
+        assertEquals(began, log.digest().sinceMillis());
         log.learned("j-0");
         cluster.run(1);
         for (int i = 1; i <= 1000; i++) {
             log.learned("j-" + i);
             log.learned("j-1");
         }
-        assertEquals(1000, log.digest().jobs().size());
-        assertEquals(began, log.digest().sinceMs(), "the one that had to go was learned then");
+        assertEquals(1000, log.digest().jobIds().size());
+        assertEquals(began, log.digest().sinceMillis(), "the one that had to go was learned then");
         cluster.run(1);
         log.learned("j-2000");
-        assertEquals(began + 1000, log.digest().sinceMs());
+        assertEquals(began + 1000, log.digest().sinceMillis());
         cluster.run(31);
-        assertEquals(List.of(), log.digest().jobs());
-        assertEquals(timers.wallMs() - 30_000, log.digest().sinceMs());
+        assertEquals(List.of(), log.digest().jobIds());
+        assertEquals(timers.wallClockMillis() - 30_000, log.digest().sinceMillis());
     }
 
     /**
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/MarginTest.java
@@ -17,11 +17,11 @@
     /** When a task of a cancelled job is gone at the latest, in seconds after a user was told. */
     private static double worst(ClusterSettings.Workers workers) {
         // An attempt that was found by report is named by the next proof only.
-        double proof = workers.marginS() / 8 * 1.25;
+        double proof = workers.cancellationStalenessSeconds() / 8 * 1.25;
         return proof
-                + workers.marginS() * (1 + DRIFT)
+                + workers.cancellationStalenessSeconds() * (1 + DRIFT)
                 + 4 * CLOCK_ERROR_S
-                + workers.leaseS() * (1 + DRIFT);
+                + workers.leaseSeconds() * (1 + DRIFT);
     }
 
     private static ClusterSettings.Workers of(double reportS, double leaseS, double cancelS) {
@@ -43,9 +43,9 @@
                 }) {
             ClusterSettings.Workers workers = of(f[0], f[1], f[2]);
             assertTrue(
-                    worst(workers) < workers.cancelS(),
+                    worst(workers) < workers.cancelDeadlineSeconds(),
                     f[0] + " " + f[1] + " " + f[2] + ": " + worst(workers));
-            assertTrue(workers.marginS() >= workers.reportS());
+            assertTrue(workers.cancellationStalenessSeconds() >= workers.heartbeatIntervalSeconds());
         }
     }
 
@@ -56,7 +56,7 @@
                 // Drift of leases of minutes takes its part of the second that is left.
                 ClusterSettings.Workers workers =
                         of(report, lease, lease + 3 * report + 1 + lease * DRIFT);
-                assertTrue(worst(workers) < workers.cancelS(), workers + ": " + worst(workers));
+                assertTrue(worst(workers) < workers.cancelDeadlineSeconds(), workers + ": " + worst(workers));
             }
         }
     }
@@ -67,7 +67,7 @@
      */
     @Test
     void whereCancelSIsShorterThanTheLeaseOnlyAReportIntervalIsLeft() {
-        assertEquals(2, of(2, 30, 20).marginS());
-        assertEquals(2, of(2, 30, 32).marginS());
+        assertEquals(2, of(2, 30, 20).cancellationStalenessSeconds());
+        assertEquals(2, of(2, 30, 32).cancellationStalenessSeconds());
     }
 }
--- a/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
@@ -57,7 +57,7 @@
                         0,
                         0,
                         null);
-        Job job = new Job(spec, 1000 * submittedS, settings.startWithinS(spec), "k", 1, 256);
+        Job job = new Job(spec, 1000 * submittedS, settings.startDeadlinesSeconds(spec), "k", 1, 256);
         shard.addJob(job);
         return job;
     }
--- a/src/test/java/io/kitepath/core/scheduling/LargestTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/LargestTest.java
@@ -31,7 +31,7 @@
             cluster.clock.starts =
                     task ->
                             began[0] =
-                                    task.job.equals("j-99999") && began[0] == 0
+                                    task.jobId.equals("j-99999") && began[0] == 0
                                             ? cluster.clock.now
                                             : began[0];
             double since = 0;
--- a/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
@@ -143,7 +143,7 @@
         // The fleet has a thousand CPUs, but of these jobs it can run only sixty tasks at once.
         assertEquals(
                 List.of("j-2", "j-3", "j-1"),
-                new SchedulingQueue(spec -> spec.spot() ? 60 : 1000, spec -> 0, spec -> 1, 0, 0)
+                new SchedulingQueue(spec -> spec.allowsSpot() ? 60 : 1000, spec -> 0, spec -> 1, 0, 0)
                         .of(jobs).stream().map(job -> job.spec.id()).toList());
     }
 }
--- a/src/test/java/io/kitepath/core/service/RetryPaceTest.java
+++ b/src/test/java/io/kitepath/core/service/RetryPaceTest.java
@@ -33,17 +33,17 @@
                     settings,
                     new Timers() {
                         @Override
-                        public double now() {
+                        public double nowSeconds() {
                             return now;
                         }
 
                         @Override
-                        public double wallMs() {
+                        public double wallClockMillis() {
                             return now * 1000;
                         }
 
                         @Override
-                        public void after(double seconds, Runnable run) {
+                        public void schedule(double seconds, Runnable run) {
                             throw new UnsupportedOperationException();
                         }
                     });
--- a/src/test/java/io/kitepath/core/shard/ServedTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServedTest.java
@@ -51,7 +51,7 @@
                         0,
                         0,
                         deadlineS);
-        return new Job(spec, 0, settings.startWithinS(spec), "k", 1, 256);
+        return new Job(spec, 0, settings.startDeadlinesSeconds(spec), "k", 1, 256);
     }
 
     @Test
@@ -128,8 +128,8 @@
         }
         for (JobSpec spec : s) {
             served.done(
-                    new Job(spec, 0, settings.startWithinS(spec), "k", 1, 256),
-                    spec.tasks() == 50 ? 101_000 : 50_000);
+                    new Job(spec, 0, settings.startDeadlinesSeconds(spec), "k", 1, 256),
+                    spec.taskCount() == 50 ? 101_000 : 50_000);
         }
         look(102);
         assertEquals(1, served.standing(s[1]));
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -57,7 +57,7 @@
                             answerTakesS,
                             () ->
                                     answer.accept(
-                                            gone.contains(key) ? Outcome.NO : Outcome.OK, null));
+                                            gone.contains(key) ? Outcome.REJECTED : Outcome.OK, null));
                 }
 
                 @Override
@@ -75,28 +75,28 @@
                             transaction.conditions().size() > mostConditions
                                     ? Outcome.INVALID
                                     : refuses.test(sent.size())
-                                            ? Outcome.REFUSED
-                                            : failed.isEmpty() ? otherwise : Outcome.NO;
+                                            ? Outcome.NOT_EXECUTED
+                                            : failed.isEmpty() ? otherwise : Outcome.REJECTED;
                     cluster.after(
                             answerTakesS,
                             () -> answer.accept(new CommitResult(outcome, 0, failed, false)));
                 }
 
                 @Override
-                public void page(
+                public void list(
                         String prefix, String from, int limit, Consumer<ListResult> answer) {}
 
                 @Override
-                public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {}
+                public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {}
 
                 @Override
-                public void renew(long lease, Consumer<Outcome> answer) {}
+                public void renewLease(long lease, Consumer<Outcome> answer) {}
 
                 @Override
-                public void revoke(long lease) {}
+                public void revokeLease(long lease) {}
 
                 @Override
-                public void follow(
+                public void watch(
                         String prefix, long after, long holdMs, Consumer<WatchResult> answer) {}
             };
 
@@ -109,9 +109,9 @@
                     () -> holding,
                     new CancellationProof.Listener() {
                         @Override
-                        public void closed(String job) {
-                            closed.add(job);
-                            shard.jobOver(job);
+                        public void closed(String jobId) {
+                            closed.add(jobId);
+                            shard.jobOver(jobId);
                         }
 
                         @Override
@@ -182,7 +182,7 @@
     @Test
     void refusalsAndUnknownAnswersProveNothingAndAreTriedAgain() {
         jobs(1);
-        for (Outcome outcome : List.of(Outcome.REFUSED, Outcome.UNKNOWN, Outcome.INVALID)) {
+        for (Outcome outcome : List.of(Outcome.NOT_EXECUTED, Outcome.UNKNOWN, Outcome.INVALID)) {
             otherwise = outcome;
             proof.start();
             cluster.run(5);
--- a/src/test/java/io/kitepath/peers/FrameBytesTest.java
+++ b/src/test/java/io/kitepath/peers/FrameBytesTest.java
@@ -126,8 +126,8 @@
 
     private static void putAnswers(Map<String, Object> messages) {
         List<WorkerCommand> ofEveryVerb = new ArrayList<>();
-        for (WorkerCommand.Action verb : WorkerCommand.Action.values()) {
-            ofEveryVerb.add(new WorkerCommand(verb, "j-000412", 4 + verb.ordinal(), 200, 10.25));
+        for (WorkerCommand.Action action : WorkerCommand.Action.values()) {
+            ofEveryVerb.add(new WorkerCommand(action, "j-000412", 4 + action.ordinal(), 200, 10.25));
         }
         messages.put(
                 "answer.verbs",
@@ -251,8 +251,8 @@
         messages.put(
                 "offer.absent",
                 new CellMessage.LoanOffer(null, 1L << 40, -2, null, -0.5, -1, -16, -3));
-        for (CellMessage.RequestKind wish : CellMessage.RequestKind.values()) {
-            messages.put("userAsk." + wish, new CellMessage.UserRequest(wish, "j-000412", null));
+        for (CellMessage.RequestKind kind : CellMessage.RequestKind.values()) {
+            messages.put("userAsk." + kind, new CellMessage.UserRequest(kind, "j-000412", null));
         }
         JobSpec absent =
                 new JobSpec(
@@ -373,8 +373,8 @@
             return List.of("answer", answer.number(), comparable(answer.message()));
         }
         if (message instanceof CellMessage.LoanStatus word) {
-            String done = word.done() == null ? null : HexFormat.of().formatHex(word.done());
-            return Arrays.asList(word.cell(), word.number(), word.standing(), done, word.next());
+            String done = word.doneTasks() == null ? null : HexFormat.of().formatHex(word.doneTasks());
+            return Arrays.asList(word.cell(), word.loanNumber(), word.state(), done, word.nextAttempt());
         }
         return message == null ? "nothing" : message;
     }
--- a/src/test/java/io/kitepath/peers/MessagesTest.java
+++ b/src/test/java/io/kitepath/peers/MessagesTest.java
@@ -153,9 +153,9 @@
                                         other.value(one.bytes(new Messages.AnswerCell(6, status))))
                                 .message();
         assertEquals(
-                List.of(status.cell(), status.number(), status.standing(), status.next()),
-                List.of(got.cell(), got.number(), got.standing(), got.next()));
-        assertArrayEquals(status.done(), got.done());
+                List.of(status.cell(), status.loanNumber(), status.state(), status.nextAttempt()),
+                List.of(got.cell(), got.loanNumber(), got.state(), got.nextAttempt()));
+        assertArrayEquals(status.doneTasks(), got.doneTasks());
         byte[] bytes = one.bytes(new Messages.AskCell(5, all.get(0)));
         assertThrows(InvalidInputException.class, () -> there.value(bytes));
     }
--- a/src/test/java/io/kitepath/peers/PeersTest.java
+++ b/src/test/java/io/kitepath/peers/PeersTest.java
@@ -133,8 +133,8 @@
             CancellationDigest said = new CancellationDigest("k0", 1, 2, List.of("j-1", "j-2"));
             loop.scheduleAtFixedRate(
                     () -> {
-                        peers.tell(7, null, true);
-                        peers.digest(said);
+                        peers.announceState(7, null, true);
+                        peers.sendCancellationDigest(said);
                     },
                     0,
                     20,
@@ -147,7 +147,7 @@
                 while (!(heard instanceof Messages.Digest)) {
                     heard = f.hears();
                 }
-                assertEquals(new Messages.Digest("k0", 1, 2, new ArrayList<>(said.jobs())), heard);
+                assertEquals(new Messages.Digest("k0", 1, 2, new ArrayList<>(said.jobIds())), heard);
                 for (int i = 0; i < 20; i++) {
                     assertInstanceOf(Messages.View.class, o.hears());
                 }
--- a/src/test/java/io/kitepath/peers/RefusingStore.java
+++ b/src/test/java/io/kitepath/peers/RefusingStore.java
@@ -9,32 +9,32 @@
 final class RefusingStore implements Store {
     @Override
     public void get(String key, BiConsumer<Outcome, Entry> answer) {
-        answer.accept(Outcome.REFUSED, null);
+        answer.accept(Outcome.NOT_EXECUTED, null);
     }
 
     @Override
-    public void page(String prefix, String from, int limit, Consumer<ListResult> answer) {
-        answer.accept(new ListResult(Outcome.REFUSED, List.of(), 0, false));
+    public void list(String prefix, String from, int limit, Consumer<ListResult> answer) {
+        answer.accept(new ListResult(Outcome.NOT_EXECUTED, List.of(), 0, false));
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<CommitResult> answer) {
-        answer.accept(new CommitResult(Outcome.REFUSED, 0, List.of(), false));
+        answer.accept(new CommitResult(Outcome.NOT_EXECUTED, 0, List.of(), false));
     }
 
     @Override
-    public void grant(long lifeMs, BiConsumer<Outcome, Long> answer) {
-        answer.accept(Outcome.REFUSED, null);
+    public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {
+        answer.accept(Outcome.NOT_EXECUTED, null);
     }
 
     @Override
-    public void renew(long lease, Consumer<Outcome> answer) {
-        answer.accept(Outcome.REFUSED);
+    public void renewLease(long lease, Consumer<Outcome> answer) {
+        answer.accept(Outcome.NOT_EXECUTED);
     }
 
     @Override
-    public void revoke(long lease) {}
+    public void revokeLease(long lease) {}
 
     @Override
-    public void follow(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {}
+    public void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {}
 }
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -130,7 +130,7 @@
     }
 
     private Store.Entry record(String key) {
-        return new Store.Entry(key, MessagePackCodec.value(written.get("record " + key)), 1);
+        return new Store.Entry(key, MessagePackCodec.decode(written.get("record " + key)), 1);
     }
 
     /** A plain job's record has neither more nor less in it than production would write. */
@@ -138,11 +138,11 @@
     void recordsOfPlainJobsAreTheSame() {
         for (String id : List.of("j-1", "j-3", "j-4", "j-6")) {
             Object theirs = record(StoreKeys.OPEN + id).value();
-            JobRecord record = JobRecord.of(id, theirs);
+            JobRecord record = JobRecord.fromRecord(id, theirs);
             assertArrayEquals(
-                    MessagePackCodec.bytes(theirs), MessagePackCodec.bytes(record.toMap()), id);
-            assertEquals(List.of(), record.needs());
-            assertEquals(0, record.partTasks());
+                    MessagePackCodec.encode(theirs), MessagePackCodec.encode(record.toRecord()), id);
+            assertEquals(List.of(), record.dependencies());
+            assertEquals(0, record.tasksPerPart());
         }
     }
 
@@ -166,8 +166,8 @@
         }
         // What runs when production ends.
         for (String part : List.of("j-1/0", "j-1/1", "j-3/0", "j-4/0")) {
-            String job = part.substring(0, part.indexOf('/'));
-            cluster.specs.put(job, JobRecord.of(job, record(StoreKeys.OPEN + job).value()).spec());
+            String jobId = part.substring(0, part.indexOf('/'));
+            cluster.specs.put(jobId, JobRecord.fromRecord(jobId, record(StoreKeys.OPEN + jobId).value()).spec());
             Map<?, ?> live =
                     (Map<?, ?>) ((Map<?, ?>) record(StoreKeys.PART + part).value()).get("live");
             live.forEach(
@@ -178,7 +178,7 @@
                                     .execute(
                                             new WorkerCommand(
                                                     WorkerCommand.Action.START,
-                                                    job,
+                                                    jobId,
                                                     ((Number) ((List<?>) l).get(i)).intValue(),
                                                     ((Number) ((List<?>) l).get(i + 1)).longValue(),
                                                     0));
@@ -189,7 +189,7 @@
         assertTrue(running > 250, "only " + running);
         SimulatedNode node = cluster.node("k1");
         cluster.specs.put(
-                "j-6", JobRecord.of("j-6", record(StoreKeys.OPEN + "j-6").value()).spec());
+                "j-6", JobRecord.fromRecord("j-6", record(StoreKeys.OPEN + "j-6").value()).spec());
         cluster.specs.put("j-2", SimulatedCluster.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
         cluster.completed.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
         cluster.rules.asksToCancel("j-5"); // So was this.
--- a/src/test/java/io/kitepath/settings/CellsFileTest.java
+++ b/src/test/java/io/kitepath/settings/CellsFileTest.java
@@ -42,7 +42,7 @@
                     5);
 
     private CellsFile read(String text) {
-        return CellsFile.of(text.getBytes(StandardCharsets.UTF_8), settings);
+        return CellsFile.parse(text.getBytes(StandardCharsets.UTF_8), settings);
     }
 
     private String complaint(String from, String to) {
@@ -54,12 +54,12 @@
     @Test
     void aGoodFileNamesTheCellOfItsNodeAndItsPart() {
         CellsFile f = read(GOOD);
-        assertEquals("east", f.directory().own());
-        assertEquals("east west", f.directory().homes());
-        assertEquals(30, f.directory().here().teams().get("t").cpusMax());
-        assertEquals(0, f.directory().here().teams().get("free").cpusMax(), "no limit stays none");
+        assertEquals("east", f.directory().ownCellName());
+        assertEquals("east west", f.directory().homeCellNames());
+        assertEquals(30, f.directory().ownCell().teams().get("t").maxCpus());
+        assertEquals(0, f.directory().ownCell().teams().get("free").maxCpus(), "no limit stays none");
         // A cell without a part of a limit may run nothing of that team, which 0 would not say.
-        assertTrue(f.directory().cells().get("spare").teams().get("t").cpusMax() > 0);
+        assertTrue(f.directory().cells().get("spare").teams().get("t").maxCpus() > 0);
         assertEquals(8081, f.addresses().get("west").get("w0").getPort());
         assertEquals(2, f.addresses().size());
     }
@@ -92,7 +92,7 @@
         CellDirectory directory = read(GOOD).directory();
         Map<String, Integer> at = new TreeMap<>();
         for (int i = 0; i < 2000; i++) {
-            at.merge(directory.home(String.format("j-%06d", i)), 1, Integer::sum);
+            at.merge(directory.homeCellOf(String.format("j-%06d", i)), 1, Integer::sum);
         }
         assertEquals(2, at.size());
         assertTrue(at.get("east") > 900 && at.get("west") > 900, at.toString());
@@ -103,7 +103,7 @@
                                         + "\"addr\":\"127.0.0.5:8081\"}]},{\"name\":\"spare\""))
                         .directory();
         for (int i = 0; i < 100; i++) {
-            assertEquals(directory.home("j-" + i), more.home("j-" + i));
+            assertEquals(directory.homeCellOf("j-" + i), more.homeCellOf("j-" + i));
         }
     }
 }
--- a/src/test/java/io/kitepath/settings/SettingsTest.java
+++ b/src/test/java/io/kitepath/settings/SettingsTest.java
@@ -39,11 +39,11 @@
     @Test
     void aGoodFileIsReadAndUnknownFieldsAreIgnored() throws IOException {
         SettingsFile s = read(GOOD);
-        assertEquals("kite-0", s.facts().node());
-        assertEquals(8, s.facts().teams().get("t").cpusMax());
-        assertEquals(150, s.facts().finishWithinS("c", 1));
-        assertEquals(256, s.facts().tasksPerPart());
-        assertEquals(8081, s.siblings().get("kite-1").getPort());
+        assertEquals("kite-0", s.settings().node());
+        assertEquals(8, s.settings().teams().get("t").maxCpus());
+        assertEquals(150, s.settings().shortestFinishObjectiveSeconds("c", 1));
+        assertEquals(256, s.settings().tasksPerPart());
+        assertEquals(8081, s.siblingAddresses().get("kite-1").getPort());
     }
 
     @Test
--- a/src/test/java/io/kitepath/simulation/CheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/CheckerTest.java
@@ -26,14 +26,14 @@
         return id;
     }
 
-    private void start(String cell, String job, int task) {
+    private void start(String cell, String jobId, int task) {
         simulation
                 .world(cell)
                 .workers
                 .values()
                 .iterator()
                 .next()
-                .execute(new WorkerCommand(WorkerCommand.Action.START, job, task, 77, 0));
+                .execute(new WorkerCommand(WorkerCommand.Action.START, jobId, task, 77, 0));
     }
 
     private void finds(String what) {
--- a/src/test/java/io/kitepath/simulation/LoopbackTest.java
+++ b/src/test/java/io/kitepath/simulation/LoopbackTest.java
@@ -57,14 +57,14 @@
     @Test
     void theStateServiceKeepsItsProtocol() throws Exception {
         long lease =
-                this.<Long>on(future -> store.grant(5000, (outcome, id) -> future.complete(id)));
+                this.<Long>on(future -> store.grantLease(5000, (outcome, id) -> future.complete(id)));
         assertEquals(
                 Outcome.OK,
                 on(
                         future ->
                                 store.commit(
                                         new Transaction()
-                                                .when("a/b", 0)
+                                                .requireRevision("a/b", 0)
                                                 .put("a/b", Map.of("x", 1L), lease)
                                                 .put("a/c", Map.of("y", "z")),
                                         result -> future.complete(result.outcome()))));
@@ -73,8 +73,8 @@
                 on(
                         future ->
                                 store.commit(
-                                        new Transaction().when("a/b", 0).remove("a/c"),
-                                        result -> future.complete(result.failed()))));
+                                        new Transaction().requireRevision("a/b", 0).remove("a/c"),
+                                        result -> future.complete(result.failedKeys()))));
         assertEquals(
                 Map.of("x", 1L),
                 on(future -> store.get("a/b", (outcome, entry) -> future.complete(entry.value()))));
@@ -82,7 +82,7 @@
                 List.of("a/b", "a/c"),
                 on(
                         future ->
-                                store.page(
+                                store.list(
                                         "a/",
                                         "",
                                         10,
@@ -95,7 +95,7 @@
         CompletableFuture<Object> gone = new CompletableFuture<>();
         loop.execute(
                 () ->
-                        store.follow(
+                        store.watch(
                                 "a/b",
                                 cluster.store.revision,
                                 5000,
@@ -103,18 +103,18 @@
                                         gone.complete(
                                                 changes.events().get(0).key()
                                                         + changes.events().get(0).value())));
-        loop.execute(() -> store.revoke(lease));
+        loop.execute(() -> store.revokeLease(lease));
         assertEquals("a/bnull", gone.get(10, TimeUnit.SECONDS));
-        assertEquals(Outcome.NO, on(future -> store.renew(lease, future::complete)));
+        assertEquals(Outcome.REJECTED, on(future -> store.renewLease(lease, future::complete)));
         assertTrue(
                 this.<Boolean>on(
                         future ->
                                 store.commit(
                                         new Transaction().put("a/d", Map.of(), lease),
-                                        result -> future.complete(result.leaseGone()))));
+                                        result -> future.complete(result.isLeaseExpired()))));
         cluster.store.out = true;
         assertEquals(
-                Outcome.REFUSED,
+                Outcome.NOT_EXECUTED,
                 on(future -> store.get("a/c", (outcome, entry) -> future.complete(outcome))));
     }
 
@@ -125,7 +125,7 @@
                 "m4",
                 on(
                         future ->
-                                cloud.types(
+                                cloud.listMachineTypes(
                                         (outcome, types) -> future.complete(types.get(0).name()))));
         MachineKind kind = new MachineKind("m4", "a", false);
         List<String> first =
@@ -149,17 +149,17 @@
                 first,
                 on(
                         future ->
-                                cloud.list(
+                                cloud.listMachines(
                                         (outcome, all) ->
                                                 future.complete(
                                                         all.stream()
-                                                                .map(Cloud.Listed::machine)
+                                                                .map(Cloud.Listed::machineId)
                                                                 .toList()))));
         assertEquals(Outcome.OK, on(future -> cloud.release(first, future::complete)));
-        assertEquals(List.of(), on(future -> cloud.list((outcome, all) -> future.complete(all))));
+        assertEquals(List.of(), on(future -> cloud.listMachines((outcome, all) -> future.complete(all))));
         cluster.cloud.capacity = 0;
         assertEquals(
-                Outcome.NO,
+                Outcome.REJECTED,
                 on(
                         future ->
                                 cloud.rent(
@@ -190,9 +190,9 @@
                                         4,
                                         1,
                                         Heartbeat.TaskState.ENDED,
-                                        Heartbeat.EndCause.NO_ROOM)));
+                                        Heartbeat.EndCause.INSUFFICIENT_RESOURCES)));
         assertEquals(
                 heartbeat,
-                ProtocolCodec.report(MessagePackCodec.value(EmulatorCodec.report(heartbeat))));
+                ProtocolCodec.decodeHeartbeat(MessagePackCodec.decode(EmulatorCodec.encodeHeartbeat(heartbeat))));
     }
 }
--- a/src/test/java/io/kitepath/simulation/RulesTest.java
+++ b/src/test/java/io/kitepath/simulation/RulesTest.java
@@ -24,10 +24,10 @@
                 cluster.broken.stream().anyMatch(b -> b.contains(what)), cluster.broken.toString());
     }
 
-    private void start(String machine, String job, int task) {
+    private void start(String machine, String jobId, int task) {
         cluster.workers
                 .get(machine)
-                .execute(new WorkerCommand(WorkerCommand.Action.START, job, task, 77, 0));
+                .execute(new WorkerCommand(WorkerCommand.Action.START, jobId, task, 77, 0));
     }
 
     private JobSpec placedAs(
@@ -39,18 +39,18 @@
                         s.team(),
                         s.shape(),
                         s.priority(),
-                        s.tasks(),
-                        s.cpus(),
-                        s.gpus(),
-                        s.memoryGb(),
+                        s.taskCount(),
+                        s.cpusPerTask(),
+                        s.gpusPerTask(),
+                        s.memoryGigabytesPerTask(),
                         types,
                         zone,
                         oneZone,
                         spread,
-                        s.spot(),
+                        s.allowsSpot(),
                         s.image(),
-                        s.imageGb(),
-                        s.estimateS(),
+                        s.imageGigabytes(),
+                        s.estimatedSeconds(),
                         0,
                         0,
                         null);
@@ -133,7 +133,7 @@
                                 task.key(),
                                 new SimulatedTask(
                                         x,
-                                        task.job,
+                                        task.jobId,
                                         task.number,
                                         task.attempt,
                                         TaskState.RUNNING)));
--- a/src/test/java/io/kitepath/simulation/Worlds.java
+++ b/src/test/java/io/kitepath/simulation/Worlds.java
@@ -60,17 +60,17 @@
     public static Timers timers(SimulatedCluster cluster) {
         return new Timers() {
             @Override
-            public double now() {
+            public double nowSeconds() {
                 return cluster.clock.now;
             }
 
             @Override
-            public double wallMs() {
+            public double wallClockMillis() {
                 return cluster.clock.now * 1000;
             }
 
             @Override
-            public void after(double seconds, Runnable run) {
+            public void schedule(double seconds, Runnable run) {
                 cluster.after(seconds, run);
             }
         };
--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -31,12 +31,12 @@
              "expectS":240.0,"markEveryS":30.0,"markCostS":4.0,"dueS":900.0}""";
 
     private static Object json(String text) {
-        return SettingsFile.document(text.getBytes(StandardCharsets.UTF_8));
+        return SettingsFile.parseJson(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** As it would arrive. */
     private static Object packed(String text) {
-        return MessagePackCodec.value(MessagePackCodec.bytes(json(text)));
+        return MessagePackCodec.decode(MessagePackCodec.encode(json(text)));
     }
 
     private static Map<String, Object> submission() {
@@ -47,7 +47,7 @@
 
     @Test
     void theSubmissionOfTheProtocol() {
-        JobSpec spec = ProtocolCodec.submission(packed(SUBMISSION));
+        JobSpec spec = ProtocolCodec.decodeSubmission(packed(SUBMISSION));
         assertEquals(
                 new JobSpec(
                         "j-000412",
@@ -75,7 +75,7 @@
                 spec,
                 JobSpec.fromRecord(
                         spec.id(),
-                        MessagePackCodec.value(MessagePackCodec.bytes(spec.toRecord()))));
+                        MessagePackCodec.decode(MessagePackCodec.encode(spec.toRecord()))));
     }
 
     @Test
@@ -83,9 +83,9 @@
         Map<String, Object> m = submission();
         List.of("frames", "field", "dueS").forEach(m::remove);
         m.put("somethingNew", 5L);
-        JobSpec spec = ProtocolCodec.submission(MessagePackCodec.value(MessagePackCodec.bytes(m)));
-        assertNull(spec.types());
-        assertNull(spec.deadlineS());
+        JobSpec spec = ProtocolCodec.decodeSubmission(MessagePackCodec.decode(MessagePackCodec.encode(m)));
+        assertNull(spec.machineTypes());
+        assertNull(spec.deadlineSeconds());
     }
 
     @Test
@@ -99,7 +99,7 @@
                 Map<String, Object> m = submission();
                 m.put(field, w);
                 try {
-                    ProtocolCodec.submission(m);
+                    ProtocolCodec.decodeSubmission(m);
                 } catch (InvalidInputException invalid) {
                     assertTrue(
                             invalid.getMessage().startsWith(field),
@@ -112,7 +112,7 @@
         for (Object sheets : Arrays.asList(0L, 100_001L, 2.5)) {
             Map<String, Object> m = submission();
             m.put("sheets", sheets);
-            assertThrows(InvalidInputException.class, () -> ProtocolCodec.submission(m));
+            assertThrows(InvalidInputException.class, () -> ProtocolCodec.decodeSubmission(m));
         }
     }
 
@@ -120,13 +120,13 @@
     void aBodyOver64KiBIsRefused() {
         Map<String, Object> m = submission();
         m.put("kit", "x".repeat(65 * 1024));
-        assertThrows(InvalidInputException.class, () -> ProtocolCodec.submittedId(m));
+        assertThrows(InvalidInputException.class, () -> ProtocolCodec.decodeSubmittedId(m));
     }
 
     @Test
     void theReportOfTheProtocol() {
         Heartbeat heartbeat =
-                ProtocolCodec.report(
+                ProtocolCodec.decodeHeartbeat(
                         packed(
                                 """
                 {"host":"i-000231","addr":"10.1.0.232:9000","frame":"g8","field":"a","loaners":true,
@@ -144,14 +144,14 @@
                                 Heartbeat.TaskState.ENDED,
                                 Heartbeat.EndCause.DONE)),
                 heartbeat.tasks());
-        assertEquals(41, heartbeat.token());
-        assertNull(heartbeat.noticeS());
+        assertEquals(41, heartbeat.fencingToken());
+        assertNull(heartbeat.noticeSeconds());
     }
 
     @Test
     void anUnknownTaskStateIsNeverTakenForAnEnd() {
         Heartbeat heartbeat =
-                ProtocolCodec.report(
+                ProtocolCodec.decodeHeartbeat(
                         packed(
                                 """
                 {"host":"i-1","frame":"g8","field":"a","loaners":true,"tenure":1,"tick":1,"baton":0,
@@ -162,8 +162,8 @@
     @Test
     void theOrdersOfTheProtocol() {
         Object sent =
-                MessagePackCodec.value(
-                        ProtocolCodec.orders(
+                MessagePackCodec.decode(
+                        ProtocolCodec.encodeCommands(
                                 41,
                                 List.of(
                                         new WorkerCommand(
@@ -193,10 +193,10 @@
                         """
                 {"when":[{"path":"a/b","stamp":0}],
                  "then":[{"write":"a/b","value":{"x":1},"tether":7},{"remove":"c/d"}]}"""),
-                MessagePackCodec.value(
-                        ProtocolCodec.transaction(
+                MessagePackCodec.decode(
+                        ProtocolCodec.encodeTransaction(
                                 new Store.Transaction()
-                                        .when("a/b", 0)
+                                        .requireRevision("a/b", 0)
                                         .put("a/b", Map.of("x", 1L), 7)
                                         .remove("c/d"))));
         Object follow =
@@ -205,42 +205,42 @@
                 {"epoch":433,"events":[{"write":"c/9","value":{},"stamp":433},{"remove":"c/d","stamp":432}]}""");
         assertEquals(
                 List.of(new Store.Entry("c/9", Map.of(), 433), new Store.Entry("c/d", null, 432)),
-                ProtocolCodec.events(follow));
-        assertEquals(433, ProtocolCodec.revision(follow));
+                ProtocolCodec.decodeEvents(follow));
+        assertEquals(433, ProtocolCodec.decodeRevision(follow));
     }
 
     @Test
     void theStateThatUsersSee() {
         assertEquals(
                 json("{\"nameId\":\"j-000412\",\"status\":\"running\",\"done\":3,\"running\":13}"),
-                MessagePackCodec.value(
-                        ProtocolCodec.jobState(
+                MessagePackCodec.decode(
+                        ProtocolCodec.encodeJobStatus(
                                 new JobStatus("j-000412", "running", 3, 13, null), false)));
         assertEquals(
                 json("{\"nameId\":\"j-000412\",\"status\":\"withdrawn\"}"),
-                MessagePackCodec.value(
-                        ProtocolCodec.jobState(
+                MessagePackCodec.decode(
+                        ProtocolCodec.encodeJobStatus(
                                 new JobStatus("j-000412", "cancelled", 0, 0, null), true)));
     }
 
     @Test
     void theMachineTypesOfTheProtocol() {
         var type =
-                ProtocolCodec.types(
+                ProtocolCodec.decodeMachineTypes(
                                 packed(
                                         """
                 {"frames":[{"name":"g8","vcpus":96,"cards":8,"ramGb":768,"localGb":200,"pullGbPerS":1.0,
                   "rate":12.0,"spotPrice":4.5,"readyS":45,"fields":["a","b"]}]}"""))
                         .get(0);
         assertEquals(96, type.cpus());
-        assertEquals(4.5, type.spotPrice());
+        assertEquals(4.5, type.spotPricePerHour());
         assertEquals(List.of("a", "b"), type.zones());
     }
 
     @Test
     void bytesThatAreNotMessagePackAreMalformedWhateverTheyAre() {
         Random random = new Random(3);
-        byte[] good = MessagePackCodec.bytes(json(SUBMISSION));
+        byte[] good = MessagePackCodec.encode(json(SUBMISSION));
         List<byte[]> bad =
                 new ArrayList<>(
                         List.of(
@@ -257,12 +257,12 @@
         int refused = 0;
         for (byte[] b : bad) {
             try {
-                ProtocolCodec.submission(MessagePackCodec.value(b));
+                ProtocolCodec.decodeSubmission(MessagePackCodec.decode(b));
             } catch (InvalidInputException invalid) {
                 refused++;
             }
         }
         assertTrue(refused > 50);
-        assertThrows(InvalidInputException.class, () -> MessagePackCodec.value(new byte[0]));
+        assertThrows(InvalidInputException.class, () -> MessagePackCodec.decode(new byte[0]));
     }
 }
