--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -220,7 +220,7 @@
         this.retryAfter = new RetryAfter(settings, timers);
         submissions.onCancelled(
                 job -> {
-                    shard.pipelines().ended(job.jobId(), false, timers.wallClockMillis());
+                    shard.pipelines().recordOutcome(job.jobId(), false, timers.wallClockMillis());
                     soon();
                     siblings.announceJobEnd(job);
                 });
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -70,14 +70,14 @@
                 "tasks.waiting",
                 Metric.gauge(
                         "tasks without a machine",
-                        () -> shard.jobs().values().stream().mapToInt(Job::waiting).sum()));
+                        () -> shard.jobs().values().stream().mapToInt(Job::waitingTasks).sum()));
         f.put(
                 "attempts",
                 Metric.gauge(
                         "attempts not proven over",
                         () ->
                                 shard.jobs().values().stream()
-                                        .mapToInt(job -> job.live().size())
+                                        .mapToInt(job -> job.liveAttempts().size())
                                         .sum()));
         f.put("machines", Metric.gauge("machines known", () -> shard.machines().size()));
         f.put(
@@ -98,12 +98,12 @@
                                 shard.jobs().values().stream()
                                         .filter(job -> shard.failures().mistaken(job, timers.nowSeconds()))
                                         .count()));
-        f.put("jobs.held", Metric.gauge("jobs that wait for others", () -> shard.pipelines().held()));
+        f.put("jobs.held", Metric.gauge("jobs that wait for others", () -> shard.pipelines().heldJobCount()));
         f.put(
                 "jobs.cascade",
                 Metric.gauge(
                         "jobs still to be cancelled for one that they need",
-                        () -> shard.pipelines().cascade()));
+                        () -> shard.pipelines().jobsToCancelCount()));
         f.put(
                 "jobs.narrow",
                 Metric.gauge(
@@ -205,8 +205,8 @@
         for (Job job : shard.jobs().values()) {
             int[] c = classes.computeIfAbsent(job.spec.jobClass(), key -> new int[3]);
             c[0]++;
-            c[1] += job.waiting();
-            c[2] += job.live().size();
+            c[1] += job.waitingTasks();
+            c[2] += job.liveAttempts().size();
         }
         StringBuilder text = new StringBuilder("block:");
         classes.forEach(
--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -208,7 +208,7 @@
 
     private Job job(BorrowedLoan borrowed) {
         Job job =
-                Job.guest(
+                Job.borrowed(
                         borrowed.spec,
                         borrowed.submittedMs,
                         shard.facts().startDeadlinesSeconds(borrowed.spec),
@@ -217,7 +217,7 @@
                         shard.partTasks(),
                         borrowed.from,
                         borrowed.until);
-        job.attemptsFrom(borrowed.next);
+        job.raiseNextAttempt(borrowed.next);
         return job;
     }
 
@@ -378,11 +378,11 @@
         } else if (borrowed != null && borrowed.standing != LoanState.TAKEN) {
             answer.accept(word(borrowed));
         } else if (borrowed != null) {
-            if (r.kill() || borrowed.job.live().isEmpty()) {
+            if (r.kill() || borrowed.job.liveAttempts().isEmpty()) {
                 answering.computeIfAbsent(key, k -> new ArrayList<>()).add(answer);
                 end(
                         borrowed,
-                        borrowed.job.complete()
+                        borrowed.job.areAllTasksDone()
                                 ? LoanState.DONE
                                 : r.kill() ? LoanState.KILLED : LoanState.BACK);
             } else {
@@ -405,9 +405,9 @@
      */
     private void end(BorrowedLoan borrowed, LoanState as) {
         borrowed.ending = true;
-        borrowed.job.leave();
+        borrowed.job.requestCancel();
         if (as == LoanState.KILLED) {
-            new ArrayList<>(borrowed.job.live().values())
+            new ArrayList<>(borrowed.job.liveAttempts().values())
                     .forEach(attempt -> shard.stop(attempt, 0));
         }
         riding.accept(
@@ -420,7 +420,7 @@
                     @Override
                     public void board(Store.Transaction transaction) {
                         borrowed.standing = as;
-                        borrowed.done = borrowed.job.doneFrom(borrowed.from, borrowed.until);
+                        borrowed.done = borrowed.job.doneBitsOf(borrowed.from, borrowed.until);
                         borrowed.next = borrowed.job.nextAttempt();
                         transaction
                                 .requireRevision(borrowed.key(), borrowed.revision)
@@ -462,9 +462,9 @@
                     riding.accept(
                             new VoidNumber(borrowed.home, borrowed.number, borrowed, () -> {}));
                 }
-            } else if (borrowed.job.complete()) {
+            } else if (borrowed.job.areAllTasksDone()) {
                 end(borrowed, LoanState.DONE);
-            } else if (borrowed.job.live().isEmpty()
+            } else if (borrowed.job.liveAttempts().isEmpty()
                     && (draining || now - borrowed.since > lease)) {
                 end(
                         borrowed,
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -99,8 +99,8 @@
     long tasksOut() {
         return shard.jobs().values().stream()
                 .flatMap(job -> job.loans().stream())
-                .filter(loan -> !loan.closed)
-                .mapToLong(TaskLoan::tasks)
+                .filter(loan -> !loan.isClosed)
+                .mapToLong(TaskLoan::taskCount)
                 .sum();
     }
 
@@ -116,11 +116,11 @@
                 // more.
             }
             try {
-                TaskLoan.read(entry.value(), now).forEach(job::lend);
-                job.lentRecorded(entry.revision());
+                TaskLoan.fromRecord(entry.value(), now).forEach(job::lend);
+                job.setLoansRevision(entry.revision());
             } catch (InvalidInputException invalid) {
                 // Nothing of a job whose loans can't be told may be placed.
-                job.leave();
+                job.requestCancel();
                 LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
             }
         }
@@ -136,9 +136,9 @@
         }
         leaving.put(id, entry.revision());
         Job job = shard.jobs().get(id);
-        if (job != null && !job.over() && !job.leaving()) {
-            job.leave();
-            new ArrayList<>(job.live().values()).forEach(attempt -> shard.stop(attempt, 0));
+        if (job != null && !job.isFinished() && !job.isCancelRequested()) {
+            job.requestCancel();
+            new ArrayList<>(job.liveAttempts().values()).forEach(attempt -> shard.stop(attempt, 0));
             shard.change();
             LOG.info(
                     "job {} is to be cancelled; {} loans are called back first",
@@ -158,7 +158,7 @@
         long least = nextNumber();
         for (Job job : shard.jobs().values()) {
             for (TaskLoan loan : job.loans()) {
-                if (loan.to.equals(cell)) {
+                if (loan.borrowerCell.equals(cell)) {
                     least = Math.min(least, loan.number);
                 }
             }
@@ -170,14 +170,14 @@
     private long out(String cell) {
         return shard.jobs().values().stream()
                 .flatMap(job -> job.loans().stream())
-                .filter(loan -> loan.to.equals(cell))
+                .filter(loan -> loan.borrowerCell.equals(cell))
                 .count();
     }
 
     /** Writes the loan down; it is offered once that is in the store. */
     void lend(WorkOffloading.Plan p) {
         Job job = p.job();
-        if (job.lentBusy()
+        if (job.writingLoans()
                 || out(p.to()) >= SequenceNumbers.MOST / 2
                 || sequence + 2 >= 1L << BITS) {
             return;
@@ -193,16 +193,16 @@
         lent++;
         LOG.info(
                 "lends {} tasks of {} from {} on to cell {} as {}: {}",
-                loan.tasks(),
+                loan.taskCount(),
                 job.spec.id(),
-                loan.from,
-                loan.to,
+                loan.firstTask,
+                loan.borrowerCell,
                 loan.number,
                 p.why());
         write(
                 job,
                 () -> {
-                    loan.written = true;
+                    loan.isRecorded = true;
                     tell(job, loan, timers.nowSeconds());
                 });
     }
@@ -210,15 +210,15 @@
     /** Writes what is lent of the job now; loans that are closed are left out of it. */
     private void write(Job job, Runnable then) {
         String id = job.spec.id();
-        job.lentBusy(true);
+        job.writingLoans(true);
         riding.accept(
                 new StateWriter.BatchContributor() {
                     private List<TaskLoan> left;
 
                     @Override
                     public boolean wanted() {
-                        if (job.over() || shard.jobs().get(id) != job) {
-                            job.lentBusy(false);
+                        if (job.isFinished() || shard.jobs().get(id) != job) {
+                            job.writingLoans(false);
                             return false;
                         }
                         return true;
@@ -226,21 +226,21 @@
 
                     @Override
                     public void board(Store.Transaction transaction) {
-                        left = job.loans().stream().filter(loan -> !loan.closed).toList();
+                        left = job.loans().stream().filter(loan -> !loan.isClosed).toList();
                         transaction
-                                .requireRevision(job.key, job.revision())
-                                .requireRevision(StoreKeys.LENT + id, job.lentRevision());
+                                .requireRevision(job.recordKey, job.revision())
+                                .requireRevision(StoreKeys.LENT + id, job.loansRevision());
                         if (left.isEmpty()) {
                             transaction.remove(StoreKeys.LENT + id);
                         } else {
-                            transaction.put(StoreKeys.LENT + id, TaskLoan.record(left));
+                            transaction.put(StoreKeys.LENT + id, TaskLoan.toRecord(left));
                         }
                     }
 
                     @Override
                     public void written(long revision) {
-                        job.lentBusy(false);
-                        job.lentRecorded(left.isEmpty() ? 0 : revision);
+                        job.writingLoans(false);
+                        job.setLoansRevision(left.isEmpty() ? 0 : revision);
                         then.run();
                     }
                 });
@@ -251,18 +251,18 @@
     /** Everything that has to be said, written or given up now. */
     void tend(double now) {
         for (Job job : new ArrayList<>(shard.jobs().values())) {
-            if (job.over()) {
+            if (job.isFinished()) {
                 continue;
             }
             for (TaskLoan loan : new ArrayList<>(job.loans())) {
-                if (loan.written && !loan.closed) {
+                if (loan.isRecorded && !loan.isClosed) {
                     tell(job, loan, now);
                 }
             }
-            if (job.loans().stream().anyMatch(loan -> loan.closed)) {
+            if (job.loans().stream().anyMatch(loan -> loan.isClosed)) {
                 settle(job);
             }
-            if (job.leaving() && job.loans().isEmpty() && leaving.containsKey(job.spec.id())) {
+            if (job.isCancelRequested() && job.loans().isEmpty() && leaving.containsKey(job.spec.id())) {
                 cancel(job);
             }
         }
@@ -277,34 +277,34 @@
         double mostS = shard.facts().workers().leaseSeconds();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
         double dueS =
-                loan.taken && !job.leaving()
+                loan.isAccepted && !job.isCancelRequested()
                         ? 2 * mostS
-                        : RetryBackoff.againS(loan.unanswered, 1, mostS, random);
-        if (loan.asking || now - loan.askedAt < dueS && !(job.leaving() && loan.unanswered == 0)) {
+                        : RetryBackoff.againS(loan.unansweredQueries, 1, mostS, random);
+        if (loan.isAwaitingAnswer || now - loan.lastQueriedAt < dueS && !(job.isCancelRequested() && loan.unansweredQueries == 0)) {
             return;
         }
-        loan.asking = true;
-        loan.askedAt = now;
-        loan.unanswered++;
+        loan.isAwaitingAnswer = true;
+        loan.lastQueriedAt = now;
+        loan.unansweredQueries++;
         CellMessage m =
-                job.leaving()
-                        ? new LoanRecall(own, loan.number, floor(loan.to), true)
+                job.isCancelRequested()
+                        ? new LoanRecall(own, loan.number, floor(loan.borrowerCell), true)
                         : new LoanOffer(
                                 own,
                                 loan.number,
-                                floor(loan.to),
+                                floor(loan.borrowerCell),
                                 job.spec,
-                                job.submittedMs,
-                                loan.from,
-                                loan.until,
+                                job.submittedMillis,
+                                loan.firstTask,
+                                loan.endTask,
                                 job.nextAttempt());
-        boolean first = !loan.taken && loan.unanswered == 1;
+        boolean first = !loan.isAccepted && loan.unansweredQueries == 1;
         asking.ask(
-                loan.to,
+                loan.borrowerCell,
                 m,
                 answer -> {
-                    loan.asking = false;
-                    RemoteCell remote = cellMembership.get(loan.to);
+                    loan.isAwaitingAnswer = false;
+                    RemoteCell remote = cellMembership.get(loan.borrowerCell);
                     if (first && remote != null) {
                         remote.unconfirmed = Math.max(0, remote.unconfirmed - 1);
                     }
@@ -321,7 +321,7 @@
     void said(LoanStatus status, Consumer<CellMessage> answer) {
         for (Job job : shard.jobs().values()) {
             for (TaskLoan loan : job.loans()) {
-                if (loan.number == status.loanNumber() && loan.to.equals(status.cell())) {
+                if (loan.number == status.loanNumber() && loan.borrowerCell.equals(status.cell())) {
                     said(job, loan, status, answer);
                     return;
                 }
@@ -338,14 +338,14 @@
 
     private void said(Job job, TaskLoan loan, LoanStatus status, Consumer<CellMessage> answer) {
         double now = timers.nowSeconds();
-        RemoteCell remote = cellMembership.get(loan.to);
-        if (!loan.written) {
+        RemoteCell remote = cellMembership.get(loan.borrowerCell);
+        if (!loan.isRecorded) {
             answer.accept(null);
             return;
         }
         if (status.state() == LoanState.TAKEN) {
-            loan.taken = true;
-            loan.unanswered = job.leaving() ? loan.unanswered : 0;
+            loan.isAccepted = true;
+            loan.unansweredQueries = job.isCancelRequested() ? loan.unansweredQueries : 0;
             if (remote != null) {
                 remote.accepted();
             }
@@ -353,33 +353,33 @@
             return;
         }
         waiting.computeIfAbsent(loan.number, k -> new ArrayList<>()).add(answer);
-        if (loan.closed) {
+        if (loan.isClosed) {
             return;
         }
         BitSet done = BitSet.valueOf(status.doneTasks());
-        job.close(loan, done);
-        for (int i = loan.from; i < loan.until; i++) {
+        job.closeLoan(loan, done);
+        for (int i = loan.firstTask; i < loan.endTask; i++) {
             if (job.isDone(i)) {
-                shard.unwritten().queue(job.part(job.partOf(i)));
+                shard.unwritten().enqueueIfDirty(job.part(job.partOf(i)));
             }
         }
-        job.attemptsFrom(status.nextAttempt());
+        job.raiseNextAttempt(status.nextAttempt());
         shard.change();
         if (remote != null && status.state() == LoanState.VOID) {
             remote.refused(now, random);
         }
         if (status.state() == LoanState.VOID || status.state() == LoanState.BACK) {
-            workOffloading.gaveBack(job.spec.id(), loan.to, now);
+            workOffloading.gaveBack(job.spec.id(), loan.borrowerCell, now);
         }
         LOG.info(
                 "loan {} of {} to cell {} is over after {} s: {}, {} of {} tasks done",
                 loan.number,
                 job.spec.id(),
-                loan.to,
-                Math.round(now - loan.since),
+                loan.borrowerCell,
+                Math.round(now - loan.offeredAt),
                 status.state(),
                 done.cardinality(),
-                loan.tasks());
+                loan.taskCount());
         settle(job);
     }
 
@@ -388,26 +388,26 @@
      * the job's parts. Guards against a crash in between after which done tasks would be run again.
      */
     private void settle(Job job) {
-        if (job.lentBusy() || job.complete() && !job.leaving()) {
+        if (job.writingLoans() || job.areAllTasksDone() && !job.isCancelRequested()) {
             return; // What is complete is written as done, its record of loans along with it.
         }
         for (TaskLoan loan : job.loans()) {
-            if (loan.closed) {
-                for (int p = job.partOf(loan.from); p <= job.partOf(loan.until - 1); p++) {
-                    if (job.part(p).due()) {
+            if (loan.isClosed) {
+                for (int p = job.partOf(loan.firstTask); p <= job.partOf(loan.endTask - 1); p++) {
+                    if (job.part(p).isDirty()) {
                         return;
                     }
                 }
             }
         }
-        List<TaskLoan> over = job.loans().stream().filter(loan -> loan.closed).toList();
+        List<TaskLoan> over = job.loans().stream().filter(loan -> loan.isClosed).toList();
         write(job, () -> over.forEach(loan -> settled(job, loan)));
     }
 
     private void settled(Job job, TaskLoan loan) {
-        job.forget(loan);
+        job.forgetLoan(loan);
         returned++;
-        String cell = loan.to;
+        String cell = loan.borrowerCell;
         List<Consumer<CellMessage>> who = waiting.remove(loan.number);
         if (who != null) {
             who.forEach(x -> x.accept(new LoanSettled(loan.number, floor(cell))));
@@ -427,19 +427,19 @@
      */
     private void cancel(Job job) {
         String id = job.spec.id();
-        if (job.lentBusy()) {
+        if (job.writingLoans()) {
             return;
         }
-        job.lentBusy(true);
+        job.writingLoans(true);
         long asked = leaving.get(id);
         riding.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean wanted() {
                         boolean still =
-                                !job.over() && job.loans().isEmpty() && leaving.containsKey(id);
+                                !job.isFinished() && job.loans().isEmpty() && leaving.containsKey(id);
                         if (!still) {
-                            job.lentBusy(false);
+                            job.writingLoans(false);
                         }
                         return still;
                     }
@@ -452,17 +452,17 @@
                                                 Map.of("status", "cancelled", "done", 0L),
                                                 shard.facts().store().maxValueBytes());
                         transaction
-                                .requireRevision(job.key, job.revision())
+                                .requireRevision(job.recordKey, job.revision())
                                 .requireRevision(StoreKeys.LENT + id, 0)
                                 .requireRevision(StoreKeys.LEAVE + id, asked)
-                                .remove(job.key)
+                                .remove(job.recordKey)
                                 .remove(StoreKeys.LEAVE + id)
                                 .put(StoreKeys.OVER + id, record);
                     }
 
                     @Override
                     public void written(long revision) {
-                        job.lentBusy(false);
+                        job.writingLoans(false);
                         leaving.remove(id);
                         shard.jobOver(id);
                         listener.cancelled(new JobStatus(id, "cancelled", 0, 0));
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -63,7 +63,7 @@
     List<Double> waitS() {
         double[] work = new double[RANKS];
         for (Job job : shard.jobs().values()) {
-            work[job.rank()] += workS(job);
+            work[job.queueRank()] += workS(job);
         }
         double cpus = Math.max(1, cpus());
         List<Double> out = new ArrayList<>();
@@ -77,6 +77,6 @@
 
     /** CPU seconds of the job's waiting tasks. */
     static double workS(Job job) {
-        return job.waiting() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
+        return job.waitingTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -263,7 +263,7 @@
         Map<String, QuotaShare> rows = new HashMap<>();
         Map<String, List<Job>> waiting = new HashMap<>();
         for (Job job : shard.jobs().values()) {
-            if (job.waiting() > 0) {
+            if (job.waitingTasks() > 0) {
                 waiting.computeIfAbsent(job.spec.team(), key -> new ArrayList<>()).add(job);
             }
         }
@@ -288,18 +288,18 @@
         long wants = 0;
         Job first = null;
         for (Job job : waiting) {
-            wants += need(job.spec, kind, job.waiting());
+            wants += need(job.spec, kind, job.waitingTasks());
             boolean older =
                     first == null
-                            || job.submittedMs < first.submittedMs
-                            || job.submittedMs == first.submittedMs
+                            || job.submittedMillis < first.submittedMillis
+                            || job.submittedMillis == first.submittedMillis
                                     && job.spec.id().compareTo(first.spec.id()) < 0;
             if (need(job.spec, kind, 1) > 0 && older) {
                 first = job;
             }
         }
         long head =
-                first == null ? 0 : need(first.spec, kind, first.spec.isGang() ? first.waiting() : 1);
+                first == null ? 0 : need(first.spec, kind, first.spec.isGang() ? first.waitingTasks() : 1);
         wants = room[kind] < head ? 0 : Math.min(wants, room[kind]);
         return new QuotaShare(
                 team.name(),
@@ -309,7 +309,7 @@
                 wants,
                 head,
                 first == null ? 0 : need(first.spec, kind, 1),
-                first == null ? 0 : first.submittedMs);
+                first == null ? 0 : first.submittedMillis);
     }
 
     /** What was given to the cell and is not known to have arrived. */
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -124,17 +124,17 @@
     private String whyNotHere(Job job, boolean fits, double cpus, double waitS, double wallMs) {
         JobSpec spec = job.spec;
         boolean whole = spec.shape() != JobSpec.Shape.ARRAY || spec.isSingleZone() || spec.isSpreadAcrossZones();
-        if (job.guest
-                || job.over()
-                || job.leaving()
-                || job.waiting() == 0
+        if (job.borrowed
+                || job.isFinished()
+                || job.isCancelRequested()
+                || job.waitingTasks() == 0
                 || whole
-                        && (!job.live().isEmpty()
-                                || job.tasksDone() > 0
+                        && (!job.liveAttempts().isEmpty()
+                                || job.doneTaskCount() > 0
                                 || !job.loans().isEmpty())) {
             return null;
         }
-        double ageS = (wallMs - job.submittedMs) / 1000;
+        double ageS = (wallMs - job.submittedMillis) / 1000;
         if (!fits) {
             return "no machine of this cell may run it";
         }
@@ -146,8 +146,8 @@
                 || cpus > 0 && waitS < 2 * settings.workers().heartbeatIntervalSeconds()) {
             return null;
         }
-        for (int goal = 0; goal < job.goals(); goal++) {
-            double left = (job.goalMs(goal) - wallMs) / 1000;
+        for (int goal = 0; goal < job.startGoalCount(); goal++) {
+            double left = (job.startGoalMillis(goal) - wallMs) / 1000;
             if (left > 0) {
                 return waitS * UNSURE > left
                         ? String.format("would wait %.0f s here of %.0f", waitS, left)
@@ -165,8 +165,8 @@
             if (remote.takes(now)
                     && not.getOrDefault(remote.name, 0.0) <= now
                     && slots(job.spec, remote) >= least(job)
-                    && job.loans().stream().noneMatch(loan -> loan.to.equals(remote.name))
-                    && remote.summary().queueSecondsByRank().get(job.rank()) < waitS / 2) {
+                    && job.loans().stream().noneMatch(loan -> loan.borrowerCell.equals(remote.name))
+                    && remote.summary().queueSecondsByRank().get(job.queueRank()) < waitS / 2) {
                 able.add(remote);
             }
         }
@@ -250,12 +250,12 @@
             return new Plan(job, remote.name, 0, job.spec.taskCount(), why);
         }
         int until = job.spec.taskCount();
-        while (until > 0 && !job.placeable(until - 1)) {
+        while (until > 0 && !job.isPlaceable(until - 1)) {
             until--;
         }
         int from = until;
         int most = Math.min(longest, slots(job.spec, remote));
-        while (from > 0 && until - from < most && job.placeable(from - 1)) {
+        while (from > 0 && until - from < most && job.isPlaceable(from - 1)) {
             from--;
         }
         return from < until ? new Plan(job, remote.name, from, until, why) : null;
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -178,14 +178,14 @@
         double rest = 0;
         double lost = 0;
         for (Attempt attempt : machine.attempts()) {
-            if (attempt.unwanted()
-                    || !attempt.seen()
+            if (attempt.isUnwanted()
+                    || !attempt.isSeen()
                     || attempt.job.spec.shape() != JobSpec.Shape.ARRAY
-                    || attempt.job.goalMs(0) < wallMs) {
+                    || attempt.job.startGoalMillis(0) < wallMs) {
                 return false;
             }
-            rest = Math.max(rest, attempt.remainingS(now));
-            lost += attempt.job.spec.cpusPerTask() * attempt.unsavedS(now);
+            rest = Math.max(rest, attempt.remainingSeconds(now));
+            lost += attempt.job.spec.cpusPerTask() * attempt.unsavedSeconds(now);
         }
         return rest > 2 * settings.workers().heartbeatIntervalSeconds()
                 && rest * type.pricePerHour() > 2 * lost * type.spotPricePerHour() / type.cpus();
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -91,7 +91,7 @@
         spotBacklog = 0;
         for (Job job : shard.jobs().values()) {
             if (job.spec.allowsSpot() && !shard.failures().mistaken(job, now)) {
-                spotBacklog += job.waiting() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
+                spotBacklog += job.waitingTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
             }
         }
     }
@@ -109,15 +109,15 @@
             }
             FreeCapacity capacity = new FreeCapacity(type, machine.kind(), machine);
             for (Attempt attempt : machine.attempts()) {
-                if (!attempt.unwanted()
+                if (!attempt.isUnwanted()
                         && (forNow == null
-                                ? attempt.remainingS(now) > type.bootSeconds()
+                                ? attempt.remainingSeconds(now) > type.bootSeconds()
                                 : attempt.job.spec.isGang()
-                                        || attempt.job.priority().compareTo(forNow.priority())
+                                        || attempt.job.effectivePriority().compareTo(forNow.priority())
                                                 <= 0)) {
                     capacity.then.less(attempt.job.spec, 1);
                 }
-                if (!attempt.unwanted()) {
+                if (!attempt.isUnwanted()) {
                     capacity.now.less(attempt.job.spec, 1);
                 }
             }
@@ -149,7 +149,7 @@
             JobSpec typical =
                     wait || objective.kind().equals("deadline")
                             ? shard.lately()
-                                    .typical(objective.jobClass(), objective.targetShare(), wallMs, boot)
+                                    .typicalSpec(objective.jobClass(), objective.targetShare(), wallMs, boot)
                             : null;
             if (typical == null) {
                 continue;
@@ -165,7 +165,7 @@
                                         1,
                                         boot
                                                 * shard.lately()
-                                                        .jobsPerS(objective.jobClass(), wallMs)));
+                                                        .jobsPerSecond(objective.jobClass(), wallMs)));
                 atOnce = (int) Math.ceil(spread * typical.taskCount() / rounds);
             }
             List<FreeCapacity> rooms = rooms(now, typical);
@@ -224,7 +224,7 @@
 
     /** Guards against a fleet kept rented for work that may come when none has come for long. */
     private boolean idle() {
-        return shard.jobs().values().stream().allMatch(job -> job.over());
+        return shard.jobs().values().stream().allMatch(job -> job.isFinished());
     }
 
     private double guaranteedCpus() {
@@ -261,7 +261,7 @@
             return; // It is tried in what is free anyway.
         }
         JobSpec spec = job.spec;
-        int waiting = Math.min(job.waiting(), shard.teamUse().left(spec));
+        int waiting = Math.min(job.waitingTasks(), shard.teamUse().left(spec));
         if (spec.isGang()) {
             waiting = waiting == spec.taskCount() ? waiting : 0;
         } else if (spec.shape() == JobSpec.Shape.ARRAY) {
@@ -270,12 +270,12 @@
             double aim =
                     settings.shortestFinishObjectiveSeconds(spec.jobClass(), 10 * settings.workers().leaseSeconds()) / 2.5;
             if (job.hasDeadline()) {
-                aim = (job.dueMs() - wallMs) / 1000;
+                aim = (job.dueMillis() - wallMs) / 1000;
             }
             double each = Math.max(1, spec.estimatedSeconds());
             double places =
-                    Math.ceil((job.waiting() + job.live().size()) * each / Math.max(each, aim));
-            waiting = (int) Math.max(0, Math.min(waiting, places - job.live().size()));
+                    Math.ceil((job.waitingTasks() + job.liveAttempts().size()) * each / Math.max(each, aim));
+            waiting = (int) Math.max(0, Math.min(waiting, places - job.liveAttempts().size()));
         }
         if (waiting == 0) {
             return;
@@ -320,16 +320,16 @@
      * have run out for the moment.
      */
     private boolean inTime(Job job, double wallMs) {
-        int goal = job.goals() - 1;
+        int goal = job.startGoalCount() - 1;
         if (job.hasDeadline()) {
             // A deadline is missed long before a machine is up, by this job and by those that come
             // like it meanwhile.
             goal = 0;
-            while (goal < job.goals() - 1 && job.goalMs(goal) < wallMs) {
+            while (goal < job.startGoalCount() - 1 && job.startGoalMillis(goal) < wallMs) {
                 goal++;
             }
         }
-        double left = job.goalMs(goal) - wallMs;
+        double left = job.startGoalMillis(goal) - wallMs;
         return spotBacklog / Math.max(1, usableCpus) < left / 1000;
     }
 
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -113,7 +113,7 @@
             return false;
         }
         int need =
-                spec.isGang() ? job.waiting() : Math.min(job.waiting(), shard.teamUse().left(spec));
+                spec.isGang() ? job.waitingTasks() : Math.min(job.waitingTasks(), shard.teamUse().left(spec));
         ZoneConstraints bounds = ZoneConstraints.of(job);
         Map<String, List<Offer>> byZone = new LinkedHashMap<>();
         for (Machine machine : open) {
@@ -215,7 +215,7 @@
         List<Attempt> ends = new ArrayList<>(machine.attempts());
         ends.sort(
                 Comparator.comparingDouble(
-                        attempt -> mayEvict(job, attempt) ? 0 : attempt.remainingS(now)));
+                        attempt -> mayEvict(job, attempt) ? 0 : attempt.remainingSeconds(now)));
         double[] less = new double[3];
         int before = probePlacement.freeSlots(machine, job.spec, 0, 0, 0);
         if (before > 0) {
@@ -228,7 +228,7 @@
                 into.add(
                         new Gap(
                                 machine,
-                                mayEvict(job, attempt) ? 0 : attempt.remainingS(now),
+                                mayEvict(job, attempt) ? 0 : attempt.remainingSeconds(now),
                                 after - before));
                 before = after;
             }
@@ -251,12 +251,12 @@
         // Guards against work stopped half done for a stage that is only as urgent as the one
         // behind it, and has time.
         boolean early =
-                job.priority() != job.spec.priority()
+                job.effectivePriority() != job.spec.priority()
                         && wallMs
                                         + PATIENCE * reportMs
                                         + 1000 * shard.leads().mostS(job.spec.jobClass())
-                                < job.goalMs(0);
-        return early || wallMs - job.sinceMs() < PATIENCE * reportMs;
+                                < job.startGoalMillis(0);
+        return early || wallMs - job.eligibleSinceMillis() < PATIENCE * reportMs;
     }
 
     private boolean small(JobSpec spec) {
@@ -301,14 +301,14 @@
     }
 
     private Giving giving(Job job) {
-        Claim claim = new Claim(job.priority(), job.guaranteed(), job.spec.team(), firm(job));
+        Claim claim = new Claim(job.effectivePriority(), job.isWithinGuarantee(), job.spec.team(), firm(job));
         Giving known = givings.get(claim);
         if (known != null) {
             return known;
         }
         Giving g = new Giving();
         for (Job j : shard.jobs().values()) {
-            if (!j.live().isEmpty() && (j.over() || j.stopping() || yields(j, job))) {
+            if (!j.liveAttempts().isEmpty() && (j.isFinished() || j.hasStoppingAttempts() || yields(j, job))) {
                 g.yielding.add(j);
             }
         }
@@ -327,10 +327,10 @@
                 JobSpec spec = attempt.job.spec;
                 less(sum, attempt);
                 sum[3] +=
-                        attempt.stopping()
+                        attempt.isStopping()
                                 ? 0
                                 : spec.cpusPerTask()
-                                        * (attempt.unsavedS(now)
+                                        * (attempt.unsavedSeconds(now)
                                                 + shard.facts().workers().heartbeatIntervalSeconds());
             }
         }
@@ -349,7 +349,7 @@
     }
 
     private boolean mayEvict(Job job, Attempt victim) {
-        return victim.unwanted() || yields(victim.job, job); // What is unwanted goes anyway.
+        return victim.isUnwanted() || yields(victim.job, job); // What is unwanted goes anyway.
     }
 
     /**
@@ -362,7 +362,7 @@
         if (firm(holding)) {
             return false;
         }
-        if (holding.priority().compareTo(job.priority()) > 0) {
+        if (holding.effectivePriority().compareTo(job.effectivePriority()) > 0) {
             return firm(job) || !borrows(job, holding, 0);
         }
         return borrows(holding, job, holding.spec.cpusPerTask());
@@ -378,8 +378,8 @@
      */
     private boolean borrows(Job job, Job other, double own) {
         ClusterSettings.Team team = shard.facts().teams().get(job.spec.team());
-        return other.guaranteed()
-                && !job.guaranteed()
+        return other.isWithinGuarantee()
+                && !job.isWithinGuarantee()
                 && !job.spec.team().equals(other.spec.team())
                 && team != null
                 && shard.teamUse().cpus(job.spec.team()) - own >= team.guaranteedCpus();
@@ -394,7 +394,7 @@
      */
     private boolean outranked(Job job, Machine machine) {
         return machine.attempts().stream()
-                .anyMatch(attempt -> attempt.job.rank() < job.rank() && yields(attempt.job, job));
+                .anyMatch(attempt -> attempt.job.queueRank() < job.queueRank() && yields(attempt.job, job));
     }
 
     /**
@@ -406,7 +406,7 @@
         double[] less = new double[3];
         for (Attempt attempt : candidate.machine.attempts()) {
             if (mayEvict(job, attempt)) {
-                if (attempt.unwanted()) {
+                if (attempt.isUnwanted()) {
                     less(less, attempt);
                 } else {
                     victims.add(attempt);
@@ -422,11 +422,11 @@
                     >= want) {
                 break;
             }
-            boolean written = attempt.durable();
+            boolean written = attempt.isDurable();
             shard.stop(attempt, attempt.job.spec.stopGraceSeconds());
             evictions++;
             forGangs += small(job.spec) ? 0 : 1;
-            forGuarantees += attempt.job.priority().compareTo(job.priority()) > 0 ? 0 : 1;
+            forGuarantees += attempt.job.effectivePriority().compareTo(job.effectivePriority()) > 0 ? 0 : 1;
             if (written) {
                 less(less, attempt);
             }
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -75,7 +75,7 @@
         if (queued == null || now - queuedAt > agoS) {
             return queue(now, wallMs);
         }
-        return queued.stream().filter(job -> job.waiting() > 0).toList();
+        return queued.stream().filter(job -> job.waitingTasks() > 0).toList();
     }
 
     /** The holder's jobs are others from now on. */
@@ -88,7 +88,7 @@
         double began = loopTime.now();
         // Guards against a round of which most goes into sorting thousands of jobs that wait for
         // others.
-        List<Job> all = shard.jobs().values().stream().filter(job -> !job.held()).toList();
+        List<Job> all = shard.jobs().values().stream().filter(job -> !job.isHeld()).toList();
         shard.served().look(all, spec -> shard.leads().mostS(spec.jobClass()), wallMs);
         markGuaranteed(all);
         Map<MachineKind, Integer> open = new HashMap<>();
@@ -112,7 +112,7 @@
                                 wallMs)
                         .of(good);
         beginFirst(order, wallMs);
-        mistaken.removeIf(job -> job.waiting() == 0);
+        mistaken.removeIf(job -> job.waitingTasks() == 0);
         order.addAll(mistaken);
         queued = List.copyOf(order);
         queuedAt = now;
@@ -133,10 +133,10 @@
                 .filter(
                         job ->
                                 (job.spec.isGang() || job.spec.isSingleZone())
-                                        && job.sinceMs() < since
-                                        && !job.begun()
+                                        && job.eligibleSinceMillis() < since
+                                        && !job.hasStarted()
                                         && shard.served().largest(job.spec))
-                .min(Comparator.comparingDouble(Job::sinceMs))
+                .min(Comparator.comparingDouble(Job::eligibleSinceMillis))
                 .ifPresent(
                         job -> {
                             order.remove(job);
@@ -164,12 +164,12 @@
      */
     private void markGuaranteed(List<Job> all) {
         List<Job> jobs = new ArrayList<>(all);
-        jobs.sort(Comparator.comparingDouble(Job::sinceMs));
+        jobs.sort(Comparator.comparingDouble(Job::eligibleSinceMillis));
         Map<String, double[]> claimed = new HashMap<>();
         for (Job job : jobs) {
             boolean fits = claim(job, claimed);
-            if (!job.claimed()) {
-                job.claims(fits);
+            if (!job.isGuaranteeClaimKnown()) {
+                job.setGuaranteeClaim(fits);
             }
         }
         // Guards against an overload in which a team's guarantee goes to its oldest jobs, all of
@@ -182,22 +182,22 @@
         jobs.forEach(job -> standing.put(job, shard.served().standing(job.spec)));
         jobs.sort(
                 Comparator.comparingInt(
-                                (Job job) -> job.missed() ? 2 : job.fittedWhenItCame() ? 0 : 1)
+                                (Job job) -> job.hasMissedAllGoals() ? 2 : job.wasWithinGuaranteeOnArrival() ? 0 : 1)
                         .thenComparingDouble(
                                 job ->
-                                        job.missed() || job.fittedWhenItCame()
+                                        job.hasMissedAllGoals() || job.wasWithinGuaranteeOnArrival()
                                                 ? 0
                                                 : standing.get(job))
                         .thenComparingDouble(
                                 job ->
-                                        job.missed() || job.fittedWhenItCame()
-                                                ? job.sinceMs()
-                                                : job.left()
+                                        job.hasMissedAllGoals() || job.wasWithinGuaranteeOnArrival()
+                                                ? job.eligibleSinceMillis()
+                                                : job.unfinishedTasks()
                                                         * job.spec.cpusPerTask()
                                                         * job.spec.estimatedSeconds()));
         claimed.clear();
         for (Job job : jobs) {
-            job.guarantee(claim(job, claimed));
+            job.setWithinGuarantee(claim(job, claimed));
         }
     }
 
@@ -207,12 +207,12 @@
      */
     private boolean claim(Job job, Map<String, double[]> claimed) {
         ClusterSettings.Team team = shard.facts().teams().get(job.spec.team());
-        if (job.over() || team == null || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
+        if (job.isFinished() || team == null || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
             return false;
         }
         double[] c = claimed.computeIfAbsent(team.name(), key -> new double[2]);
-        c[0] += job.left() * job.spec.cpusPerTask();
-        c[1] += job.left() * job.spec.gpusPerTask();
+        c[0] += job.unfinishedTasks() * job.spec.cpusPerTask();
+        c[1] += job.unfinishedTasks() * job.spec.gpusPerTask();
         return c[0] <= team.guaranteedCpus() + 1e-6 && (job.spec.gpusPerTask() == 0 || c[1] <= team.guaranteedGpus() + 1e-6);
     }
 
@@ -253,10 +253,10 @@
         // Of a job that has to look at where its other tasks are, or failed, nothing follows for
         // others, nor from them.
         boolean alike =
-                job.failedOn().isEmpty()
+                job.failedMachines().isEmpty()
                         && !expected
                         && (gang
-                                ? job.live().isEmpty()
+                                ? job.liveAttempts().isEmpty()
                                 : !job.spec.isSingleZone() && !job.spec.isSpreadAcrossZones());
         boolean patient = preemption.patient(job, wallMs);
         if (alike && (hopeless.contains(job) || patient && roomless.contains(job))) {
@@ -270,7 +270,7 @@
         }
         // A gang that still has tasks on machines waits for those, whatever room there is.
         boolean wants =
-                job.waiting() > 0
+                job.waitingTasks() > 0
                         && placed < most
                         && !shard.failures().mistaken(job, now)
                         && shard.teamUse().left(job.spec) >= (gang ? job.spec.taskCount() : 1);
@@ -308,7 +308,7 @@
         JobSpec spec = job.spec;
         List<Machine> out = new ArrayList<>();
         List<Machine> failed = new ArrayList<>();
-        boolean anew = job.failedOn().isEmpty();
+        boolean anew = job.failedMachines().isEmpty();
         ZoneConstraints zones = ZoneConstraints.of(job);
         for (Machine machine : open) {
             Job heir = machine.reservedFor();
@@ -320,7 +320,7 @@
                     && zones.left(machine.zone()) > 0
                     && !(machine.draining() && spec.allowsSpot())
                     && !standby.keepsFrom(machine, job)) {
-                (!anew && job.failedOn().contains(machine.id) ? failed : out).add(machine);
+                (!anew && job.failedMachines().contains(machine.id) ? failed : out).add(machine);
             }
         }
         // Guards against retries that land where they failed: such machines come only when there is
@@ -332,7 +332,7 @@
         JobSpec spec = job.spec;
         int n = Math.min(most, shard.teamUse().left(spec));
         if (shard.failures().mistaken(job, now)) {
-            n = Math.min(n, job.live().isEmpty() ? 1 : 0);
+            n = Math.min(n, job.liveAttempts().isEmpty() ? 1 : 0);
         }
         int placed = 0;
         // Guards against a holder that is busy for seconds with where images are when nothing has
@@ -347,10 +347,10 @@
         ProbePlacement.MachineSearch search = probePlacement.search(spec, candidates);
         heldOut = search.holdsOut();
         if (spec.isSingleZone() && !zones.decided()) {
-            String zone = probePlacement.roomiest(spec, Math.min(n, job.waiting()), candidates);
+            String zone = probePlacement.roomiest(spec, Math.min(n, job.waitingTasks()), candidates);
             search = search.within(m -> m.zone().equals(zone));
         }
-        for (int t = job.nextWaiting(0); t >= 0 && placed < n; t = job.nextWaiting(t + 1)) {
+        for (int t = job.nextWaitingTask(0); t >= 0 && placed < n; t = job.nextWaitingTask(t + 1)) {
             if (!shard.recordable(job, t)) {
                 full = true;
                 if (spec.shape() == JobSpec.Shape.SERVICE) {
@@ -382,7 +382,7 @@
 
     private int placeGang(Job job, List<Machine> open, double now) {
         // Until every task of the old attempt is proven over, the gang can't start anew.
-        if (!job.live().isEmpty()) {
+        if (!job.liveAttempts().isEmpty()) {
             shard.restartOnceFetched(job);
             return 0;
         }
--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -29,7 +29,7 @@
     private record Entry(Job job, int goal, double work, double leadMs, double standing) {
         /** By when it has to be placed, to run by the time that its goal says. */
         double startMs() {
-            return job.goalMs(goal) - leadMs;
+            return job.startGoalMillis(goal) - leadMs;
         }
     }
 
@@ -86,7 +86,7 @@
         Map<Integer, List<Job>> ranks = new LinkedHashMap<>();
         int least = 2 * JobSpec.Priority.values().length;
         for (Job job : jobs) {
-            ranks.computeIfAbsent(job.rank(), k -> new ArrayList<>()).add(job);
+            ranks.computeIfAbsent(job.queueRank(), k -> new ArrayList<>()).add(job);
         }
         List<Job> out = new ArrayList<>();
         for (int rank = 0; rank < least; rank++) {
@@ -102,12 +102,12 @@
 
     private void runs(Job job) {
         double sum = 0;
-        for (Attempt attempt : job.live().values()) {
-            sum += attempt.remainingS(now);
+        for (Attempt attempt : job.liveAttempts().values()) {
+            sum += attempt.remainingSeconds(now);
         }
-        if (!job.live().isEmpty()) {
+        if (!job.liveAttempts().isEmpty()) {
             running.add(
-                    new double[] {job.live().size() * job.spec.cpusPerTask(), sum / job.live().size()});
+                    new double[] {job.liveAttempts().size() * job.spec.cpusPerTask(), sum / job.liveAttempts().size()});
         }
     }
 
@@ -140,12 +140,12 @@
         List<Entry> tried = new ArrayList<>();
         List<Job> last = new ArrayList<>();
         for (Job job : jobs) {
-            if (!job.over() && job.waiting() > 0) {
+            if (!job.isFinished() && job.waitingTasks() > 0) {
                 aim(
                         new Entry(
                                 job,
                                 -1,
-                                job.spec.cpusPerTask() * job.spec.estimatedSeconds() * job.waiting(),
+                                job.spec.cpusPerTask() * job.spec.estimatedSeconds() * job.waitingTasks(),
                                 1000 * lead.applyAsDouble(job.spec),
                                 standing.applyAsDouble(job.spec)),
                         tried,
@@ -155,7 +155,7 @@
         while (!tried.isEmpty()) {
             tried.sort(
                     Comparator.comparingDouble(Entry::startMs)
-                            .thenComparingDouble(queued -> queued.job.sinceMs())
+                            .thenComparingDouble(queued -> queued.job.eligibleSinceMillis())
                             .thenComparing(queued -> queued.job.spec.id()));
             PriorityQueue<Entry> largest =
                     new PriorityQueue<>(
@@ -195,7 +195,7 @@
             tried.clear();
             again.forEach(queued -> aim(queued, tried, last));
         }
-        last.sort(Comparator.comparingDouble(Job::sinceMs).thenComparing(job -> job.spec.id()));
+        last.sort(Comparator.comparingDouble(Job::eligibleSinceMillis).thenComparing(job -> job.spec.id()));
         out.addAll(last);
     }
 
@@ -205,10 +205,10 @@
      */
     private void aim(Entry queued, List<Entry> tried, List<Job> last) {
         int goal = queued.goal + 1;
-        while (goal < queued.job.goals() && queued.job.goalMs(goal) - queued.leadMs < wallMs) {
+        while (goal < queued.job.startGoalCount() && queued.job.startGoalMillis(goal) - queued.leadMs < wallMs) {
             goal++;
         }
-        if (goal < queued.job.goals()) {
+        if (goal < queued.job.startGoalCount()) {
             tried.add(new Entry(queued.job, goal, queued.work, queued.leadMs, queued.standing));
         } else {
             last.add(queued.job);
--- a/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
+++ b/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
@@ -31,9 +31,9 @@
             JobSpec spec = job.spec;
             return new Rights(
                     spec.shape(),
-                    job.priority(),
+                    job.effectivePriority(),
                     spec.team(),
-                    job.guaranteed(),
+                    job.isWithinGuarantee(),
                     spec.machineTypes(),
                     spec.zone(),
                     spec.isSingleZone(),
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -44,16 +44,16 @@
         idle.sort(
                 Comparator.comparingInt((Machine machine) -> -machine.images().size())
                         .thenComparing(machine -> machine.id));
-        for (RecentArrivals.ArrivalRate pace : shard.lately().gangs(wallMs)) {
+        for (RecentArrivals.ArrivalRate pace : shard.lately().gangArrivalRates(wallMs)) {
             // Room is made within about one report: what is stopped has to be reported as ended.
-            double tasks = pace.tasksPerS() * shard.facts().workers().heartbeatIntervalSeconds();
+            double tasks = pace.tasksPerSecond() * shard.facts().workers().heartbeatIntervalSeconds();
             for (Machine machine : idle) {
                 if (tasks <= 0) {
                     break;
                 }
-                if (!kept.containsKey(machine) && probePlacement.allowed(machine, pace.like())) {
-                    tasks -= Math.max(1, probePlacement.freeSlots(machine, pace.like(), 0, 0, 0));
-                    kept.put(machine, pace.like().priority());
+                if (!kept.containsKey(machine) && probePlacement.allowed(machine, pace.sampleSpec())) {
+                    tasks -= Math.max(1, probePlacement.freeSlots(machine, pace.sampleSpec(), 0, 0, 0));
+                    kept.put(machine, pace.sampleSpec().priority());
                 }
             }
         }
@@ -62,6 +62,6 @@
     /** Whether the job would have to give way here soon. */
     boolean keepsFrom(Machine machine, Job job) {
         JobSpec.Priority of = kept.get(machine);
-        return of != null && !job.spec.isGang() && job.priority().compareTo(of) > 0;
+        return of != null && !job.spec.isGang() && job.effectivePriority().compareTo(of) > 0;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
@@ -32,7 +32,7 @@
     public static ZoneConstraints of(Job job) {
         ZoneConstraints b = new ZoneConstraints(job.spec);
         if (!job.spec.isGang() && (job.spec.isSingleZone() || job.spec.isSpreadAcrossZones())) {
-            for (Attempt attempt : job.live().values()) {
+            for (Attempt attempt : job.liveAttempts().values()) {
                 b.count(attempt.machine.zone(), 1);
                 if (b.only != null && !job.spec.isSpreadAcrossZones()) {
                     break; // All the others are in the same zone.
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -327,7 +327,7 @@
                         return;
                     }
                     JobProgress progress =
-                            Job.recorded(id, parts.entries().stream().map(Entry::value).toList());
+                            Job.hasPartRecords(id, parts.entries().stream().map(Entry::value).toList());
                     heard(progress, true);
                     tell(batch, id, unfinished(progress));
                 });
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -166,7 +166,7 @@
         boolean atOnce = spec.shape() != JobSpec.Shape.ARRAY;
         int bytes = settings.store().maxValueBytes();
         int narrow =
-                atOnce && !Job.recordableWhole(spec, settings.tasksPerPart(), bytes)
+                atOnce && !Job.allTasksFitRecords(spec, settings.tasksPerPart(), bytes)
                         ? settings.tasksPerCompactPart()
                         : 0;
         Map<String, Object> record = new JobRecord(spec, timers.wallClockMillis(), needs, narrow, 0).toRecord();
--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -21,33 +21,33 @@
      */
     final int placedVersion;
 
-    boolean durable;
+    boolean isDurable;
 
     /** Launched by us, or perhaps by a holder before us. */
-    boolean launched;
+    boolean mayBeLaunched;
 
     /** The last answer to its machine told it to start. */
-    boolean ordered;
+    boolean isStartSent;
 
     /** Reports after such an answer that did not show it. */
-    int missed;
+    int missedReports;
 
     /** Whether a report of the current holder's time has shown it. */
-    boolean seen;
+    boolean isSeen;
 
     Heartbeat.TaskState state;
     double runningSince = Double.NaN;
-    boolean ended;
+    boolean isEnded;
     int endedVersion;
 
     /** Wanted stopped; NaN while it is not. */
-    double stopGraceS = Double.NaN;
+    double stopGraceSeconds = Double.NaN;
 
     /** It was told to stop by a direct command. */
-    boolean stopSent;
+    boolean isStopSent;
 
     /** The reading of its machine's reports that showed it last. */
-    int reading;
+    int lastSeenReading;
 
     Attempt(Job job, int task, long number, Machine machine, double now, int version) {
         this.job = job;
@@ -59,13 +59,13 @@
     }
 
     /** Whether the store has it. Only then it may be launched. */
-    public boolean durable() {
-        return durable;
+    public boolean isDurable() {
+        return isDurable;
     }
 
     /** Whether a report of the current holder's time has shown it. */
-    public boolean seen() {
-        return seen;
+    public boolean isSeen() {
+        return isSeen;
     }
 
     /** Null until a report has shown it. */
@@ -74,30 +74,30 @@
     }
 
     /** Whether it waits for its image, or will if the machine does not have it. */
-    boolean fetching() {
-        return !unwanted() && (state == null || state == Heartbeat.TaskState.FETCHING_IMAGE);
+    boolean isFetching() {
+        return !isUnwanted() && (state == null || state == Heartbeat.TaskState.FETCHING_IMAGE);
     }
 
     /** Whether it was wanted stopped, so that its end is under way. */
-    public boolean stopping() {
-        return !Double.isNaN(stopGraceS);
+    public boolean isStopping() {
+        return !Double.isNaN(stopGraceSeconds);
     }
 
     /** It has to go, or goes already. */
-    public boolean unwanted() {
-        return job.over || stopping();
+    public boolean isUnwanted() {
+        return job.isFinished || isStopping();
     }
 
     /** How long it will probably still run, by its owner's estimate. */
-    public double remainingS(double now) {
+    public double remainingSeconds(double now) {
         double estimate = job.spec.estimatedSeconds();
         if (job.spec.shape() == JobSpec.Shape.SERVICE) {
             return Double.MAX_VALUE;
         }
-        return Math.max(estimate - ranS(now), estimate / 5);
+        return Math.max(estimate - ranSeconds(now), estimate / 5);
     }
 
-    private double ranS(double now) {
+    private double ranSeconds(double now) {
         return Double.isNaN(runningSince) ? 0 : now - runningSince;
     }
 
@@ -105,12 +105,12 @@
      * The time that is lost if it is stopped now: what it did since it began or saved last, or what
      * saving takes.
      */
-    public double unsavedS(double now) {
+    public double unsavedSeconds(double now) {
         double every = job.spec.checkpointIntervalSeconds();
-        return every > 0 ? Math.min(ranS(now), Math.min(every, job.spec.checkpointSaveSeconds())) : ranS(now);
+        return every > 0 ? Math.min(ranSeconds(now), Math.min(every, job.spec.checkpointSaveSeconds())) : ranSeconds(now);
     }
 
-    boolean is(Heartbeat.TaskStatus status) {
+    boolean matches(Heartbeat.TaskStatus status) {
         return task == status.task()
                 && number == status.attempt()
                 && job.spec.id().equals(status.jobId());
--- a/src/main/java/io/kitepath/core/shard/DirtyParts.java
+++ b/src/main/java/io/kitepath/core/shard/DirtyParts.java
@@ -6,44 +6,44 @@
 
 /** Parts of jobs that differ from their records, the longest waiting first. */
 public final class DirtyParts {
-    private final Set<Job.Part> placings = new LinkedHashSet<>();
-    private final Set<Job.Part> changes = new LinkedHashSet<>();
+    private final Set<Job.Part> withPlacements = new LinkedHashSet<>();
+    private final Set<Job.Part> withOtherChanges = new LinkedHashSet<>();
 
     void clear() {
-        placings.clear();
-        changes.clear();
+        withPlacements.clear();
+        withOtherChanges.clear();
     }
 
-    void placed(Job.Part part) {
-        placings.add(part);
+    void addPlacement(Job.Part part) {
+        withPlacements.add(part);
     }
 
-    void changed(Job.Part part) {
-        changes.add(part);
+    void addChange(Job.Part part) {
+        withOtherChanges.add(part);
     }
 
     /** Parts with placings that their records lack; nothing of those may start before. */
-    public List<Job.Part> placings() {
-        return List.copyOf(placings);
+    public List<Job.Part> withPlacements() {
+        return List.copyOf(withPlacements);
     }
 
     /** Parts that differ otherwise. */
-    public List<Job.Part> changes() {
-        return List.copyOf(changes);
+    public List<Job.Part> withOtherChanges() {
+        return List.copyOf(withOtherChanges);
     }
 
     /** The part is being written. */
-    public void taken(Job.Part part) {
-        placings.remove(part);
-        changes.remove(part);
+    public void remove(Job.Part part) {
+        withPlacements.remove(part);
+        withOtherChanges.remove(part);
     }
 
     /** Has the part written if it differs from its record. */
-    public void queue(Job.Part part) {
-        if (part.placingDue()) {
-            placings.add(part);
-        } else if (part.due()) {
-            changes.add(part);
+    public void enqueueIfDirty(Job.Part part) {
+        if (part.hasUnwrittenPlacement()) {
+            withPlacements.add(part);
+        } else if (part.isDirty()) {
+            withOtherChanges.add(part);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -33,15 +33,15 @@
     void succeeded(Attempt attempt) {
         Job job = attempt.job;
         attempt.machine.failed.clear();
-        job.triesFailed = 0;
-        if (job.successes++ == 0) {
+        job.failedRetries = 0;
+        if (job.successCount++ == 0) {
             job.notBefore = 0;
             failedOn(job, this::judge); // They are to blame after all.
         }
     }
 
     private void failedOn(Job job, Consumer<Machine> then) {
-        for (String id : job.failedOn) {
+        for (String id : job.failedMachines) {
             Machine machine = machines.get(id);
             if (machine != null) {
                 then.accept(machine);
@@ -66,10 +66,10 @@
         Job job = attempt.job;
         Machine machine = attempt.machine;
         LOG.info("attempt {} failed", attempt);
-        job.failures++;
-        job.failedOn.add(machine.id);
+        job.failureCount++;
+        job.failedMachines.add(machine.id);
         if (!Double.isNaN(attempt.runningSince)) {
-            job.failedWithinS = Math.max(job.failedWithinS, now - attempt.runningSince);
+            job.longestFailedRunSeconds = Math.max(job.longestFailedRunSeconds, now - attempt.runningSince);
         }
         machine.failed.merge(job, 1, Integer::sum);
         if (!mistaken(job, now)) {
@@ -78,18 +78,18 @@
         }
         acquit(job);
         // The tasks of an array that were placed together count as one try.
-        if (job.triesFailed == 0 || attempt.number > job.lastFailed) {
-            job.lastFailed = Math.max(job.lastFailed, attempt.number);
-            job.triesFailed++;
+        if (job.failedRetries == 0 || attempt.number > job.lastFailedRetryNumber) {
+            job.lastFailedRetryNumber = Math.max(job.lastFailedRetryNumber, attempt.number);
+            job.failedRetries++;
             double pause =
                     Math.min(
-                            settings.workers().heartbeatIntervalSeconds() * (1 << Math.min(8, job.triesFailed)),
+                            settings.workers().heartbeatIntervalSeconds() * (1 << Math.min(8, job.failedRetries)),
                             6 * settings.workers().leaseSeconds());
             job.notBefore = now + pause;
             LOG.info(
                     "job {} fails everywhere, {} times so far: tried again in {} s",
                     job.spec.id(),
-                    job.failures,
+                    job.failureCount,
                     Math.round(pause));
         }
     }
@@ -99,11 +99,11 @@
      * it took to fail: a good job that met several faulty machines is not held back.
      */
     public boolean mistaken(Job job, double now) {
-        if (job.successes > 0 || job.failedOn.size() < MACHINES) {
+        if (job.successCount > 0 || job.failedMachines.size() < MACHINES) {
             return false;
         }
-        double proof = 2 * (job.failedWithinS + settings.workers().heartbeatIntervalSeconds());
-        return job.live.values().stream()
+        double proof = 2 * (job.longestFailedRunSeconds + settings.workers().heartbeatIntervalSeconds());
+        return job.liveAttempts.values().stream()
                 .noneMatch(
                         attempt ->
                                 attempt.state == Heartbeat.TaskState.RUNNING
@@ -118,7 +118,7 @@
     private void judge(Machine machine) {
         int blame = 0;
         for (Map.Entry<Job, Integer> e : machine.failed.entrySet()) {
-            blame += e.getKey().successes > 0 ? e.getValue() : 1;
+            blame += e.getKey().successCount > 0 ? e.getValue() : 1;
         }
         boolean bad = blame >= BLAME;
         if (bad && !machine.setAside) {
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -160,16 +160,16 @@
         int reading = ++machine.readings;
         for (TaskStatus status : heartbeat.tasks()) {
             Job job = shard.jobs().get(status.jobId());
-            Attempt a = job == null ? null : job.live.get(status.task());
+            Attempt a = job == null ? null : job.liveAttempts.get(status.task());
             if (a != null && a.machine == machine && a.number == status.attempt()) {
-                a.reading = reading;
+                a.lastSeenReading = reading;
                 present(a, status, now);
-            } else if (machine.unwritten.stream().noneMatch(u -> u.is(status))) {
+            } else if (machine.unwritten.stream().noneMatch(u -> u.matches(status))) {
                 strays.add(status);
             }
         }
         for (Attempt a : new ArrayList<>(machine.attempts)) {
-            if (a.reading != reading && !a.ended) {
+            if (a.lastSeenReading != reading && !a.isEnded) {
                 absent(a, now);
             }
         }
@@ -182,12 +182,12 @@
     }
 
     private void present(Attempt attempt, TaskStatus status, double now) {
-        if (!attempt.seen) {
-            attempt.seen = true;
+        if (!attempt.isSeen) {
+            attempt.isSeen = true;
             attempt.machine.unconfirmed--;
             attempt.machine.showsStart();
         }
-        attempt.launched = true;
+        attempt.mayBeLaunched = true;
         if (status.state() != attempt.state) {
             attempt.state = status.state();
             attempt.machine.progressed();
@@ -195,7 +195,7 @@
                 shard.hasImage(attempt);
             } else if (status.state() == TaskState.RUNNING) {
                 attempt.runningSince = now;
-                attempt.job.ran.add(now);
+                attempt.job.startTimes.add(now);
                 if (attempt.placedVersion > 0) {
                     shard.leads().took(attempt.job.spec.jobClass(), now - attempt.placedAt);
                 }
@@ -213,14 +213,14 @@
 
     /** A report newer than any launch of this attempt does not show it. */
     private void absent(Attempt a, double now) {
-        if (a.seen) {
+        if (a.isSeen) {
             LOG.info("attempt {} lost with its session", a);
             shard.lose(a, now);
-        } else if (a.durable && (a.unwanted() || a.machine.releasing)) {
+        } else if (a.isDurable && (a.isUnwanted() || a.machine.releasing)) {
             shard.end(a, EndCause.STOPPED, now);
-        } else if (a.launched
+        } else if (a.mayBeLaunched
                 && a.job.spec.isGang()
-                && a.job.live.values().stream()
+                && a.job.liveAttempts.values().stream()
                         .anyMatch(
                                 x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING_CHECKPOINT)) {
             // A gang that ran without this task has lost it; starting it again would not bring the
@@ -228,9 +228,9 @@
             shard.end(a, EndCause.GANG_PEER_LOST, now);
         }
         // Otherwise it was never executed, and this very answer launches it (again).
-        boolean ordered = a.ordered;
-        a.ordered = false;
-        if (!a.ended && ordered && ++a.missed >= MOST_MISSED) {
+        boolean ordered = a.isStartSent;
+        a.isStartSent = false;
+        if (!a.isEnded && ordered && ++a.missedReports >= MOST_MISSED) {
             // Nothing sent before this report can start it any more. Guards against tasks that stay
             // placed for good on a machine whose reports arrive, but which no answer reaches. Only
             // answers with the order in them count, so that a machine that was told nothing, as in
@@ -257,9 +257,9 @@
         if (job != null
                 && status.task() >= 0
                 && status.task() < job.spec.taskCount()
-                && !job.live.containsKey(status.task())
-                && !job.done.get(status.task())
-                && job.placeable(status.task())) {
+                && !job.liveAttempts.containsKey(status.task())
+                && !job.doneTasks.get(status.task())
+                && job.isPlaceable(status.task())) {
             // Should not be: counted in and written down before it is stopped, so the task can't
             // run elsewhere.
             shard.strayed(job, status.task(), status.attempt(), status.state(), machine, now);
@@ -294,12 +294,12 @@
             } else if (mayStart && !m.releasing && toStart(attempt)) {
                 // Not on a machine that goes: one that was silent may be heard again just when it
                 // is given back.
-                if (!attempt.launched) {
+                if (!attempt.mayBeLaunched) {
                     launches++;
                     launchDelayS += now - attempt.placedAt;
                 }
-                attempt.launched = true;
-                attempt.ordered = true;
+                attempt.mayBeLaunched = true;
+                attempt.isStartSent = true;
                 orders.add(
                         new WorkerCommand(
                                 WorkerCommand.Action.START,
@@ -320,20 +320,20 @@
     public Map<Machine, List<WorkerCommand>> stops(int most, double now) {
         Map<Machine, List<WorkerCommand>> out = new LinkedHashMap<>();
         for (Job job : shard.jobs().values()) {
-            if (!job.over && job.stopping == 0) {
+            if (!job.isFinished && job.hasStoppingAttempts == 0) {
                 continue;
             }
-            for (Attempt attempt : job.live.values()) {
+            for (Attempt attempt : job.liveAttempts.values()) {
                 Machine m = attempt.machine;
                 if (toStop(attempt)
-                        && !attempt.stopSent
+                        && !attempt.isStopSent
                         && m.proven
                         && !m.commanded
                         && !m.releasing
                         && !m.address.isEmpty()
                         && now - m.lastReport < 2 * shard.facts().workers().heartbeatIntervalSeconds()
                         && (out.size() < most || out.containsKey(m))) {
-                    attempt.stopSent = true;
+                    attempt.isStopSent = true;
                     out.computeIfAbsent(m, k -> new ArrayList<>()).add(stopOrder(attempt));
                 }
             }
@@ -347,7 +347,7 @@
                 attempt.job.spec.id(),
                 attempt.task,
                 attempt.number,
-                attempt.job.over ? 0 : attempt.stopGraceS);
+                attempt.job.isFinished ? 0 : attempt.stopGraceSeconds);
     }
 
     /**
@@ -365,7 +365,7 @@
         machine.sequence = heartbeat.sequence();
         for (TaskStatus status : heartbeat.tasks()) {
             Job job = shard.jobs().get(status.jobId());
-            Attempt attempt = job == null ? null : job.live.get(status.task());
+            Attempt attempt = job == null ? null : job.liveAttempts.get(status.task());
             if (attempt != null
                     && attempt.machine == machine
                     && attempt.number == status.attempt()) {
@@ -382,11 +382,11 @@
     }
 
     private static boolean toStop(Attempt attempt) {
-        return attempt.unwanted() && attempt.seen;
+        return attempt.isUnwanted() && attempt.isSeen;
     }
 
     private static boolean toStart(Attempt attempt) {
-        return !attempt.unwanted() && attempt.durable && !attempt.seen && startable(attempt);
+        return !attempt.isUnwanted() && attempt.isDurable && !attempt.isSeen && startable(attempt);
     }
 
     /**
@@ -396,8 +396,8 @@
         if (!a.job.spec.isGang()) {
             return true;
         }
-        return a.job.live.size() == a.job.spec.taskCount()
-                && a.job.live.values().stream().allMatch(x -> x.durable && x.number == a.number);
+        return a.job.liveAttempts.size() == a.job.spec.taskCount()
+                && a.job.liveAttempts.values().stream().allMatch(x -> x.isDurable && x.number == a.number);
     }
 
     /**
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -30,9 +30,9 @@
     private static final int PART_BYTES = 110;
 
     /** An attempt on a machine of its own. */
-    private static final int MOST_PER_ATTEMPT = 32;
+    private static final int MAX_ATTEMPT_BYTES = 32;
 
-    private static final double[] NOBODY = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
+    private static final double[] NO_DEPENDENTS_DUE = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
 
     /**
      * A slice of the job's tasks, which is one record in the store; revision 0: not written yet.
@@ -41,19 +41,19 @@
         public final Job job;
         public final int index;
         private long revision;
-        private int changed;
+        private int changedVersion;
 
         /** The version of the last placing in it. */
-        private int placed;
+        private int placedVersion;
 
-        private int written;
+        private int writtenVersion;
 
         /**
          * What its attempts take of its record, in bytes, and how many of them are on each machine.
          */
         private int liveBytes;
 
-        private final Map<String, Integer> on = new HashMap<>();
+        private final Map<String, Integer> attemptsPerMachine = new HashMap<>();
 
         Part(Job job, int index) {
             this.job = job;
@@ -66,30 +66,30 @@
         }
 
         /** Whether it differs from its record. */
-        public boolean due() {
-            return changed > written;
+        public boolean isDirty() {
+            return changedVersion > writtenVersion;
         }
 
         /** Whether a placing in it is not in its record, which nothing may start before. */
-        boolean placingDue() {
-            return placed > written;
+        boolean hasUnwrittenPlacement() {
+            return placedVersion > writtenVersion;
         }
 
         /** Nothing about it is in the store, and nothing needs to be. */
-        public void needsNoRecord() {
-            written = job.version;
+        public void markRecordUnneeded() {
+            writtenVersion = job.version;
         }
 
-        void touched() {
-            changed = job.version;
+        void markDirty() {
+            changedVersion = job.version;
         }
 
         /** An attempt of it is live (1), or no more (-1). */
-        private void count(Attempt attempt, int sign) {
-            int machines = on.merge(attempt.machine.id, sign, Integer::sum);
+        private void countAttempt(Attempt attempt, int sign) {
+            int machines = attemptsPerMachine.merge(attempt.machine.id, sign, Integer::sum);
             boolean first = sign > 0 ? machines == 1 : machines == 0;
             if (machines == 0) {
-                on.remove(attempt.machine.id);
+                attemptsPerMachine.remove(attempt.machine.id);
             }
             liveBytes +=
                     sign
@@ -100,123 +100,123 @@
         }
 
         /** Its record holds everything up to that version of the job. */
-        void recorded(int version, long atRevision) {
+        void markWritten(int version, long atRevision) {
             revision = atRevision;
-            written = version;
+            writtenVersion = version;
         }
     }
 
     public final JobSpec spec;
 
     /** Milliseconds since 1970, by the clock of the node that accepted it. */
-    public final double submittedMs;
+    public final double submittedMillis;
 
     /** The record on which every write about the job depends, and its revision. */
-    public final String key;
+    public final String recordKey;
 
     private long revision;
 
     /** Whether another cell is its home, which lent some of its tasks to this one. */
-    public final boolean guest;
+    public final boolean borrowed;
 
-    private Part[] parts;
-    private int partSize;
+    private Part[] partCount;
+    private int tasksPerPart;
 
     /** What its record says; null of a guest, whose record is its loan's. */
     private JobRecord record;
 
     /** Jobs that it needs and that are not known to be done. */
-    final Set<String> unmet = new LinkedHashSet<>();
+    final Set<String> unmetDependencies = new LinkedHashSet<>();
 
     /** A job before it is cancelled, so it will be. */
-    boolean doomed;
+    boolean hasCancelledDependency;
 
     /**
      * From when on it could start, by the time of day: its submission, or the end of the last job
      * that it needed.
      */
-    private double sinceMs;
+    private double eligibleSinceMillis;
 
     /** The highest of its own and of all jobs that need it. */
-    private JobSpec.Priority priority;
+    private JobSpec.Priority effectivePriority;
 
     /**
      * By when it has to be done for the jobs that need it, the soonest and the latest that is still
      * worth it.
      */
-    private double[] behindMs = NOBODY;
+    private double[] dependentsDueMillis = NO_DEPENDENTS_DUE;
 
-    final BitSet done = new BitSet();
+    final BitSet doneTasks = new BitSet();
 
     /**
      * Tasks that are not this cell's to place: lent to another, or of a guest those that were not
      * lent to us.
      */
-    private final BitSet away = new BitSet();
+    private final BitSet tasksElsewhere = new BitSet();
 
     /** What of it is lent to other cells; see {@link TaskLoan}. */
     private final List<TaskLoan> loans = new ArrayList<>();
 
     /** The revision of the record of its loans, 0 if there is none. */
-    private long lentRevision;
+    private long loansRevision;
 
-    private boolean lentBusy;
+    private boolean writingLoans;
 
     /** Its user asked to cancel it; it is over once no other cell may run anything of it. */
-    private boolean leaving;
+    private boolean isCancelRequested;
 
-    final TreeMap<Integer, Attempt> live = new TreeMap<>();
-    private final SortedMap<Integer, Attempt> liveView = Collections.unmodifiableSortedMap(live);
+    final TreeMap<Integer, Attempt> liveAttempts = new TreeMap<>();
+    private final SortedMap<Integer, Attempt> liveView = Collections.unmodifiableSortedMap(liveAttempts);
 
     /** Proven over, but not written yet. */
-    final List<Attempt> unwritten = new ArrayList<>();
+    final List<Attempt> unwrittenEnds = new ArrayList<>();
 
     /** Attempts that are wanted stopped. */
-    int stopping;
+    int hasStoppingAttempts;
 
     /** When its tasks have to start to meet what is expected of it, the soonest first. */
-    private double[] goalsMs;
+    private double[] startGoalsMillis;
 
     long nextAttempt = 1;
     private int version = 1;
 
     /** Done or cancelled; kept only until all attempts are proven over. */
-    boolean over;
+    boolean isFinished;
 
-    private boolean guaranteed;
+    private boolean isWithinGuarantee;
 
     /** Whether it fitted into its team's guarantee when this holder saw it first; null before. */
-    private Boolean fitted;
+    private Boolean fittedOnArrival;
 
     /** Past all that is expected of it, which is counted once. */
-    boolean missed;
+    boolean hasMissedAllGoals;
 
     double notBefore;
 
     /** Machines on which this job's tasks failed, and how often in all. */
-    final Set<String> failedOn = new HashSet<>();
+    final Set<String> failedMachines = new HashSet<>();
 
-    int failures;
-    int successes;
+    int failureCount;
+    int successCount;
 
     /**
      * Tries that failed in a row since it is held to be mistaken, and the last one's attempt
      * number.
      */
-    int triesFailed;
+    int failedRetries;
 
-    long lastFailed;
+    long lastFailedRetryNumber;
 
     /** The longest that a task of it ran before it failed. */
-    double failedWithinS;
+    double longestFailedRunSeconds;
 
     /**
      * Of this holder's placings and of the starts it saw: how many, when on average, and when the
      * last one was.
      */
-    final Times placed = new Times();
+    final Times placementTimes = new Times();
 
-    final Times ran = new Times();
+    final Times startTimes = new Times();
 
     /** Moments on the steady clock, in seconds. */
     static final class Times {
@@ -231,7 +231,7 @@
         }
 
         /** How long before {@code now} they were, on average and the last of them. */
-        String before(double now) {
+        String describeBefore(double now) {
             return count == 0
                     ? "unknown"
                     : String.format("%.1f (the last %.1f)", now - sum / count, now - last);
@@ -264,21 +264,21 @@
             int partSize,
             boolean guest) {
         this.spec = spec;
-        this.key = key;
-        this.guest = guest;
-        this.submittedMs = submittedMs;
-        this.sinceMs = submittedMs;
-        this.priority = spec.priority();
-        this.goalsMs = Arrays.stream(startWithinS).map(g -> submittedMs + g * 1000).toArray();
+        this.recordKey = key;
+        this.borrowed = guest;
+        this.submittedMillis = submittedMs;
+        this.eligibleSinceMillis = submittedMs;
+        this.effectivePriority = spec.priority();
+        this.startGoalsMillis = Arrays.stream(startWithinS).map(g -> submittedMs + g * 1000).toArray();
         this.revision = revision;
-        layOut(partSize);
+        createParts(partSize);
     }
 
-    private void layOut(int tasks) {
-        partSize = tasks;
-        parts = new Part[(spec.taskCount() + partSize - 1) / partSize];
-        for (int i = 0; i < parts.length; i++) {
-            parts[i] = new Part(this, i);
+    private void createParts(int tasks) {
+        tasksPerPart = tasks;
+        partCount = new Part[(spec.taskCount() + tasksPerPart - 1) / tasksPerPart];
+        for (int i = 0; i < partCount.length; i++) {
+            partCount[i] = new Part(this, i);
         }
     }
 
@@ -299,13 +299,13 @@
                         record.tasksPerPart() > 0 ? record.tasksPerPart() : partTasks,
                         false);
         job.record = record;
-        job.attemptsFrom(record.nextAttempt());
+        job.raiseNextAttempt(record.nextAttempt());
         return job;
     }
 
     /** What its record says, as of its acceptance or its last lay-out. */
     public JobRecord record() {
-        return record != null ? record : new JobRecord(spec, submittedMs, List.of(), 0, 0);
+        return record != null ? record : new JobRecord(spec, submittedMillis, List.of(), 0, 0);
     }
 
     /** The revision of the record on which every write about the job depends. */
@@ -317,7 +317,7 @@
      * Tasks {@code from} to before {@code until} of a job whose home is another cell; {@code key}:
      * of that loan.
      */
-    public static Job guest(
+    public static Job borrowed(
             JobSpec spec,
             double submittedMs,
             double[] startWithinS,
@@ -327,13 +327,13 @@
             int from,
             int until) {
         Job job = new Job(spec, submittedMs, startWithinS, key, revision, partSize, true);
-        job.away.set(0, from);
-        job.away.set(until, spec.taskCount());
+        job.tasksElsewhere.set(0, from);
+        job.tasksElsewhere.set(until, spec.taskCount());
         return job;
     }
 
-    public boolean over() {
-        return over;
+    public boolean isFinished() {
+        return isFinished;
     }
 
     /** Its loans, in the order of their numbers. */
@@ -341,56 +341,56 @@
         return Collections.unmodifiableList(loans);
     }
 
-    public long lentRevision() {
-        return lentRevision;
+    public long loansRevision() {
+        return loansRevision;
     }
 
-    public void lentRecorded(long atRevision) {
-        lentRevision = atRevision;
+    public void setLoansRevision(long atRevision) {
+        loansRevision = atRevision;
     }
 
     /** From now on these tasks are not placed here. None of them may be done or on a machine. */
     public void lend(TaskLoan loan) {
         version++;
         loans.add(loan);
-        away.set(loan.from, loan.until);
+        tasksElsewhere.set(loan.firstTask, loan.endTask);
     }
 
     /**
      * What the other cell's store says is over: its tasks are done, or ours to place again. It
-     * stays on the record until {@link #forget}.
+     * stays on the record until {@link #forgetLoan}.
      */
-    public void close(TaskLoan loan, BitSet doneOfIt) {
-        loan.closed = true;
-        away.clear(loan.from, loan.until);
+    public void closeLoan(TaskLoan loan, BitSet doneOfIt) {
+        loan.isClosed = true;
+        tasksElsewhere.clear(loan.firstTask, loan.endTask);
         version++;
         for (int i = doneOfIt.nextSetBit(0);
-                i >= 0 && i < loan.tasks();
+                i >= 0 && i < loan.taskCount();
                 i = doneOfIt.nextSetBit(i + 1)) {
-            done.set(loan.from + i);
-            parts[partOf(loan.from + i)].touched();
+            doneTasks.set(loan.firstTask + i);
+            partCount[partOf(loan.firstTask + i)].markDirty();
         }
     }
 
     /** The store has no record of it any more. */
-    public void forget(TaskLoan loan) {
+    public void forgetLoan(TaskLoan loan) {
         loans.remove(loan);
     }
 
     /** Its record of loans is being written by whoever keeps them. */
-    public boolean lentBusy() {
-        return lentBusy;
+    public boolean writingLoans() {
+        return writingLoans;
     }
 
-    public void lentBusy(boolean so) {
-        lentBusy = so;
+    public void writingLoans(boolean so) {
+        writingLoans = so;
     }
 
     /**
      * The next attempt's number is at least that one, which another cell's attempts have not
      * reached.
      */
-    public void attemptsFrom(long number) {
+    public void raiseNextAttempt(long number) {
         nextAttempt = Math.max(nextAttempt, number);
     }
 
@@ -401,159 +401,159 @@
     /**
      * Of the tasks from that one to before the other, those that are done, counted from the first.
      */
-    public byte[] doneFrom(int from, int until) {
-        return done.get(from, until).toByteArray();
+    public byte[] doneBitsOf(int from, int until) {
+        return doneTasks.get(from, until).toByteArray();
     }
 
-    public boolean leaving() {
-        return leaving;
+    public boolean isCancelRequested() {
+        return isCancelRequested;
     }
 
     /** Its user wants it cancelled: nothing more of it is placed. */
-    public void leave() {
-        leaving = true;
+    public void requestCancel() {
+        isCancelRequested = true;
     }
 
     /** Its tasks that are this cell's and not done, or lent. */
-    public int left() {
-        return spec.taskCount() - done.cardinality() - (guest ? away.cardinality() : 0);
+    public int unfinishedTasks() {
+        return spec.taskCount() - doneTasks.cardinality() - (borrowed ? tasksElsewhere.cardinality() : 0);
     }
 
     public boolean isDone(int task) {
-        return done.get(task);
+        return doneTasks.get(task);
     }
 
     /** Whether the task is this cell's to place. */
-    public boolean placeable(int task) {
-        return !done.get(task) && !away.get(task) && !live.containsKey(task);
+    public boolean isPlaceable(int task) {
+        return !doneTasks.get(task) && !tasksElsewhere.get(task) && !liveAttempts.containsKey(task);
     }
 
     /** How many goals there are for its start, the soonest first. */
-    public int goals() {
-        return goalsMs.length;
+    public int startGoalCount() {
+        return startGoalsMillis.length;
     }
 
     /** By when its tasks have to start to meet that goal, in milliseconds since 1970. */
-    public double goalMs(int goal) {
-        return goalsMs[goal];
+    public double startGoalMillis(int goal) {
+        return startGoalsMillis[goal];
     }
 
     /** Whether it is past all that is expected of it. */
-    public boolean missed() {
-        return missed;
+    public boolean hasMissedAllGoals() {
+        return hasMissedAllGoals;
     }
 
     /** Whether it is known if it fitted into its team's guarantee when it came. */
-    public boolean claimed() {
-        return fitted != null;
+    public boolean isGuaranteeClaimKnown() {
+        return fittedOnArrival != null;
     }
 
-    public void claims(boolean fits) {
-        fitted = fits;
+    public void setGuaranteeClaim(boolean fits) {
+        fittedOnArrival = fits;
     }
 
-    public boolean fittedWhenItCame() {
-        return Boolean.TRUE.equals(fitted);
+    public boolean wasWithinGuaranteeOnArrival() {
+        return Boolean.TRUE.equals(fittedOnArrival);
     }
 
     /**
      * Whether it fits into its team's guarantee together with the team's earlier unfinished jobs.
      */
-    public boolean guaranteed() {
-        return guaranteed;
+    public boolean isWithinGuarantee() {
+        return isWithinGuarantee;
     }
 
-    public void guarantee(boolean within) {
-        guaranteed = within;
+    public void setWithinGuarantee(boolean within) {
+        isWithinGuarantee = within;
     }
 
     /** The lower, the sooner served: work within its team's guarantee first, then by priority. */
-    public int rank() {
-        return (guaranteed ? 0 : JobSpec.Priority.values().length) + priority.ordinal();
+    public int queueRank() {
+        return (isWithinGuarantee ? 0 : JobSpec.Priority.values().length) + effectivePriority.ordinal();
     }
 
     // ---- jobs before it, and behind it ----------------------------------------------------------
 
     /** Jobs that have to be done before any of its tasks starts. */
-    public List<String> needs() {
+    public List<String> dependencies() {
         return record == null ? List.of() : record.dependencies();
     }
 
     /** Those of them that are not known to be done. */
-    public Set<String> unmet() {
-        return Collections.unmodifiableSet(unmet);
+    public Set<String> unmetDependencies() {
+        return Collections.unmodifiableSet(unmetDependencies);
     }
 
     /** Whether it can't start yet, or ever, for the jobs that it needs. */
-    public boolean held() {
-        return doomed || !unmet.isEmpty();
+    public boolean isHeld() {
+        return hasCancelledDependency || !unmetDependencies.isEmpty();
     }
 
     /** Whether a job before it is cancelled, so that it has to be cancelled too. */
-    public boolean doomed() {
-        return doomed;
+    public boolean hasCancelledDependency() {
+        return hasCancelledDependency;
     }
 
     /** From when on it could start, in milliseconds since 1970. */
-    public double sinceMs() {
-        return sinceMs;
+    public double eligibleSinceMillis() {
+        return eligibleSinceMillis;
     }
 
     /** For how many seconds after its submission it waited for others. */
-    public double heldS() {
-        return (sinceMs - submittedMs) / 1000;
+    public double heldSeconds() {
+        return (eligibleSinceMillis - submittedMillis) / 1000;
     }
 
     /** The highest of its own and of all jobs that need it: the one that counts. */
-    public JobSpec.Priority priority() {
-        return priority;
+    public JobSpec.Priority effectivePriority() {
+        return effectivePriority;
     }
 
     /** Whether a deadline counts for it: its own, or one of a job that needs it. */
     public boolean hasDeadline() {
-        return spec.deadlineSeconds() != null || behindMs != NOBODY;
+        return spec.deadlineSeconds() != null || dependentsDueMillis != NO_DEPENDENTS_DUE;
     }
 
     /**
      * By when it should be done for the sake of a deadline, in milliseconds since 1970; infinite
      * without one.
      */
-    public double dueMs() {
+    public double dueMillis() {
         double own =
                 spec.deadlineSeconds() == null
                         ? Double.POSITIVE_INFINITY
-                        : submittedMs + 1000 * spec.deadlineSeconds();
-        return Math.min(own, behindMs[0]);
+                        : submittedMillis + 1000 * spec.deadlineSeconds();
+        return Math.min(own, dependentsDueMillis[0]);
     }
 
-    double[] behindMs() {
-        return behindMs;
+    double[] dependentsDueMillis() {
+        return dependentsDueMillis;
     }
 
     /** The last job that it needed was done then. */
-    void ready(double atMs, ClusterSettings settings) {
-        sinceMs = Math.max(submittedMs, atMs);
-        aim(settings);
+    void becomeEligible(double atMs, ClusterSettings settings) {
+        eligibleSinceMillis = Math.max(submittedMillis, atMs);
+        recomputeStartGoals(settings);
     }
 
     /** What the jobs that need it ask of it; returns whether that is news. */
-    boolean serves(JobSpec.Priority highest, double[] endByMs, ClusterSettings settings) {
-        if (highest == priority && Arrays.equals(endByMs, behindMs)) {
+    boolean applyDependentsDemand(JobSpec.Priority highest, double[] endByMs, ClusterSettings settings) {
+        if (highest == effectivePriority && Arrays.equals(endByMs, dependentsDueMillis)) {
             return false;
         }
-        priority = highest;
-        behindMs = Arrays.equals(endByMs, NOBODY) ? NOBODY : endByMs;
-        aim(settings);
+        effectivePriority = highest;
+        dependentsDueMillis = Arrays.equals(endByMs, NO_DEPENDENTS_DUE) ? NO_DEPENDENTS_DUE : endByMs;
+        recomputeStartGoals(settings);
         return true;
     }
 
-    private void aim(ClusterSettings settings) {
+    private void recomputeStartGoals(ClusterSettings settings) {
         double[] own =
-                Arrays.stream(settings.startDeadlinesSeconds(spec, heldS()))
-                        .map(g -> submittedMs + g * 1000)
+                Arrays.stream(settings.startDeadlinesSeconds(spec, heldSeconds()))
+                        .map(g -> submittedMillis + g * 1000)
                         .toArray();
-        if (behindMs == NOBODY) {
-            goalsMs = own;
+        if (dependentsDueMillis == NO_DEPENDENTS_DUE) {
+            startGoalsMillis = own;
             return;
         }
         // What its own class is expected to do, and what those behind it need; what is only a habit
@@ -564,11 +564,11 @@
                                 .anyMatch(
                                         objective -> objective.jobClass().equals(spec.jobClass()));
         double[] behind =
-                Arrays.stream(behindMs)
+                Arrays.stream(dependentsDueMillis)
                         .map(ms -> ms - spec.estimatedSeconds() * 1000)
                         .distinct()
                         .toArray();
-        goalsMs =
+        startGoalsMillis =
                 DoubleStream.concat(
                                 Arrays.stream(behind),
                                 expected ? Arrays.stream(own) : DoubleStream.empty())
@@ -582,47 +582,47 @@
      * Whether one more attempt of the task can be on record: its part's record would hold that many
      * bytes at most.
      */
-    public boolean recordable(int task, int bytes) {
-        return partBytes(partOf(task)) + MOST_PER_ATTEMPT <= bytes;
+    public boolean fitsRecord(int task, int bytes) {
+        return partBytes(partOf(task)) + MAX_ATTEMPT_BYTES <= bytes;
     }
 
     /** The last task in the part that this task is in. */
     public int lastOfPart(int task) {
-        return (partOf(task) + 1) * partSize - 1;
+        return (partOf(task) + 1) * tasksPerPart - 1;
     }
 
     /** At least the bytes of the part's record as it is now. */
     public int partBytes(int part) {
-        return PART_BYTES + (partSize + 7) / 8 * 4 / 3 + 4 + parts[part].liveBytes;
+        return PART_BYTES + (tasksPerPart + 7) / 8 * 4 / 3 + 4 + partCount[part].liveBytes;
     }
 
     /**
      * Whether all tasks of each part may be on machines of their own and its record still has that
      * many bytes at most.
      */
-    boolean recordableWhole(int bytes) {
-        return recordableWhole(spec, partSize, bytes);
+    boolean allTasksFitRecords(int bytes) {
+        return allTasksFitRecords(spec, tasksPerPart, bytes);
     }
 
     /** The same for a job that is not there yet. */
-    public static boolean recordableWhole(JobSpec spec, int partTasks, int bytes) {
+    public static boolean allTasksFitRecords(JobSpec spec, int partTasks, int bytes) {
         int at = Math.min(spec.taskCount(), partTasks);
-        return PART_BYTES + (partTasks + 7) / 8 * 4 / 3 + 4 + at * MOST_PER_ATTEMPT <= bytes;
+        return PART_BYTES + (partTasks + 7) / 8 * 4 / 3 + 4 + at * MAX_ATTEMPT_BYTES <= bytes;
     }
 
     /** Whether its parts hold no more than so many tasks. */
-    boolean narrow(int tasks) {
-        return partSize <= tasks;
+    boolean hasPartsOfAtMost(int tasks) {
+        return tasksPerPart <= tasks;
     }
 
-    void liveAdd(Attempt attempt) {
-        live.put(attempt.task, attempt);
-        parts[partOf(attempt.task)].count(attempt, 1);
+    void addLive(Attempt attempt) {
+        liveAttempts.put(attempt.task, attempt);
+        partCount[partOf(attempt.task)].countAttempt(attempt, 1);
     }
 
-    void liveRemove(Attempt attempt) {
-        if (live.remove(attempt.task, attempt)) {
-            parts[partOf(attempt.task)].count(attempt, -1);
+    void removeLive(Attempt attempt) {
+        if (liveAttempts.remove(attempt.task, attempt)) {
+            partCount[partOf(attempt.task)].countAttempt(attempt, -1);
         }
     }
 
@@ -630,11 +630,11 @@
      * Its record was written anew at that revision; nothing is known of its parts' records until
      * they are told.
      */
-    public void laidOut(JobRecord anew, long atRevision) {
+    public void applyMigration(JobRecord anew, long atRevision) {
         record = anew;
         revision = atRevision;
-        layOut(anew.tasksPerPart());
-        live.values().forEach(attempt -> parts[partOf(attempt.task)].count(attempt, 1));
+        createParts(anew.tasksPerPart());
+        liveAttempts.values().forEach(attempt -> partCount[partOf(attempt.task)].countAttempt(attempt, 1));
     }
 
     /** Seconds on the steady clock before which nothing of it is placed. */
@@ -643,22 +643,22 @@
     }
 
     /** Its attempts that are not proven over, by task. */
-    public SortedMap<Integer, Attempt> live() {
+    public SortedMap<Integer, Attempt> liveAttempts() {
         return liveView;
     }
 
     /** Whether some of its attempts are wanted stopped. */
-    public boolean stopping() {
-        return stopping > 0;
+    public boolean hasStoppingAttempts() {
+        return hasStoppingAttempts > 0;
     }
 
     /** Machines on which its tasks failed. */
-    public Set<String> failedOn() {
-        return Collections.unmodifiableSet(failedOn);
+    public Set<String> failedMachines() {
+        return Collections.unmodifiableSet(failedMachines);
     }
 
-    public int tasksDone() {
-        return done.cardinality();
+    public int doneTaskCount() {
+        return doneTasks.cardinality();
     }
 
     public int version() {
@@ -666,66 +666,66 @@
     }
 
     public Part part(int index) {
-        return parts[index];
+        return partCount[index];
     }
 
     /** How many parts it has. */
-    public int parts() {
-        return parts.length;
+    public int partCount() {
+        return partCount.length;
     }
 
     List<Part> allParts() {
-        return List.of(parts);
+        return List.of(partCount);
     }
 
     public int partOf(int task) {
-        return task / partSize;
+        return task / tasksPerPart;
     }
 
     /** The part that the task is in differs from its record now. */
-    Part touch(int task) {
+    Part markDirty(int task) {
         version++;
-        Part part = parts[partOf(task)];
-        part.touched();
+        Part part = partCount[partOf(task)];
+        part.markDirty();
         return part;
     }
 
-    Part touchPart(int index) {
-        return touch(index * partSize);
+    Part markPartDirty(int index) {
+        return markDirty(index * tasksPerPart);
     }
 
     /** The same for all its parts. */
-    void touchAll() {
+    void markAllDirty() {
         version++;
-        for (Part part : parts) {
-            part.touched();
+        for (Part part : partCount) {
+            part.markDirty();
         }
     }
 
     /** The part that the task is in has a placing which its record lacks. */
-    Part placing(int task) {
-        Part part = touch(task);
-        part.placed = version;
+    Part markPlacementDirty(int task) {
+        Part part = markDirty(task);
+        part.placedVersion = version;
         return part;
     }
 
-    public boolean complete() {
-        return spec.shape() != JobSpec.Shape.SERVICE && left() == 0;
+    public boolean areAllTasksDone() {
+        return spec.shape() != JobSpec.Shape.SERVICE && unfinishedTasks() == 0;
     }
 
     private JobProgress progress;
-    private double progressAt;
+    private double progressCountedAt;
 
     /** Counted at most once in {@code everyS}: guards against a large job that many ask about. */
     JobProgress progress(double now, double everyS, PendingReasons notes) {
-        if (progress == null || now - progressAt > everyS) {
+        if (progress == null || now - progressCountedAt > everyS) {
             int running =
                     (int)
-                            live.values().stream()
+                            liveAttempts.values().stream()
                                     .filter(attempt -> attempt.state == Heartbeat.TaskState.RUNNING)
                                     .count();
-            progress = new JobProgress(spec.id(), done.cardinality(), running, notes.of(this, now));
-            progressAt = now;
+            progress = new JobProgress(spec.id(), doneTasks.cardinality(), running, notes.describe(this, now));
+            progressCountedAt = now;
         }
         return progress;
     }
@@ -734,7 +734,7 @@
      * For the log, in seconds: how long it took, and how long before its end its tasks were placed
      * and began.
      */
-    public String took(double now, double wallMs) {
+    public String describeTimings(double now, double wallMs) {
         String deadline =
                 spec.deadlineSeconds() == null ? "" : String.format(" of %.1f", spec.deadlineSeconds());
         return String.format(
@@ -742,22 +742,22 @@
                 spec.jobClass(),
                 spec.taskCount(),
                 spec.estimatedSeconds(),
-                (wallMs - submittedMs) / 1000,
+                (wallMs - submittedMillis) / 1000,
                 deadline,
-                placed.before(now),
-                ran.before(now));
+                placementTimes.describeBefore(now),
+                startTimes.describeBefore(now));
     }
 
     /** Whether any of its tasks has run, or was seen on a machine, as far as this holder knows. */
-    public boolean begun() {
-        return ran.count > 0
-                || done.cardinality() > 0
-                || live.values().stream().anyMatch(attempt -> attempt.seen);
+    public boolean hasStarted() {
+        return startTimes.count > 0
+                || doneTasks.cardinality() > 0
+                || liveAttempts.values().stream().anyMatch(attempt -> attempt.isSeen);
     }
 
     /** Whether the store still has anything about its tasks. */
-    public boolean recorded() {
-        for (Part part : parts) {
+    public boolean hasPartRecords() {
+        for (Part part : partCount) {
             if (part.revision > 0) {
                 return true;
             }
@@ -765,36 +765,36 @@
         return false;
     }
 
-    public int waiting() {
-        return over || leaving || held() || complete()
+    public int waitingTasks() {
+        return isFinished || isCancelRequested || isHeld() || areAllTasksDone()
                 ? 0
-                : spec.taskCount() - done.cardinality() - away.cardinality() - live.size();
+                : spec.taskCount() - doneTasks.cardinality() - tasksElsewhere.cardinality() - liveAttempts.size();
     }
 
     /** The first task from {@code from} on that is neither done nor placed, or -1. */
-    public int nextWaiting(int from) {
-        for (int t = done.nextClearBit(from); t < spec.taskCount(); t = done.nextClearBit(t + 1)) {
-            if (!live.containsKey(t) && !away.get(t)) {
+    public int nextWaitingTask(int from) {
+        for (int t = doneTasks.nextClearBit(from); t < spec.taskCount(); t = doneTasks.nextClearBit(t + 1)) {
+            if (!liveAttempts.containsKey(t) && !tasksElsewhere.get(t)) {
                 return t;
             }
         }
         return -1;
     }
 
-    public List<Attempt> liveIn(int part) {
-        return new ArrayList<>(live.subMap(part * partSize, (part + 1) * partSize).values());
+    public List<Attempt> liveAttemptsInPart(int part) {
+        return new ArrayList<>(liveAttempts.subMap(part * tasksPerPart, (part + 1) * tasksPerPart).values());
     }
 
     public Map<String, Object> partRecord(int part) {
-        return partRecord(part, partSize);
+        return partRecord(part, tasksPerPart);
     }
 
     /** The same of a part that holds so many tasks; null if there is nothing to say in it. */
     public Map<String, Object> partRecordOf(int part, int tasks) {
         boolean said =
-                !live.subMap(part * tasks, (part + 1) * tasks).isEmpty()
-                        || done.nextSetBit(part * tasks) >= 0
-                                && done.nextSetBit(part * tasks) < (part + 1) * tasks;
+                !liveAttempts.subMap(part * tasks, (part + 1) * tasks).isEmpty()
+                        || doneTasks.nextSetBit(part * tasks) >= 0
+                                && doneTasks.nextSetBit(part * tasks) < (part + 1) * tasks;
         return said ? partRecord(part, tasks) : null;
     }
 
@@ -802,10 +802,10 @@
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("next", nextAttempt);
         int from = part * tasks;
-        BitSet bits = done.get(from, Math.min(spec.taskCount(), from + tasks));
+        BitSet bits = doneTasks.get(from, Math.min(spec.taskCount(), from + tasks));
         m.put("done", Base64.getEncoder().encodeToString(bits.toByteArray()));
         Map<String, List<Object>> on = new HashMap<>();
-        for (Attempt attempt : live.subMap(from, from + tasks).values()) {
+        for (Attempt attempt : liveAttempts.subMap(from, from + tasks).values()) {
             List<Object> l = on.computeIfAbsent(attempt.machine.id, key -> new ArrayList<>());
             l.add((long) attempt.task);
             l.add(attempt.number);
@@ -815,8 +815,8 @@
                 .sorted(Comparator.naturalOrder())
                 .forEach(key -> live.put(key, on.get(key)));
         m.put("live", live);
-        if (!needs().isEmpty()) {
-            m.put("ready", sinceMs);
+        if (!dependencies().isEmpty()) {
+            m.put("ready", eligibleSinceMillis);
         }
         return m;
     }
@@ -824,12 +824,12 @@
     /**
      * How far the records of a job's parts say that it is: tasks done, and placed, running or not.
      */
-    public static JobProgress recorded(String id, List<Object> records) {
+    public static JobProgress hasPartRecords(String id, List<Object> records) {
         int done = 0;
         int placed = 0;
         for (Object record : records) {
             DocumentReader document = DocumentReader.of(record);
-            done += doneBits(document).cardinality();
+            done += decodeDoneBits(document).cardinality();
             for (Object on : ((Map<?, ?>) document.raw("live")).values()) {
                 placed += ((List<?>) on).size() / 2;
             }
@@ -837,7 +837,7 @@
         return new JobProgress(id, done, placed, null);
     }
 
-    private static BitSet doneBits(DocumentReader part) {
+    private static BitSet decodeDoneBits(DocumentReader part) {
         return BitSet.valueOf(Base64.getDecoder().decode(part.text("done")));
     }
 
@@ -847,15 +847,15 @@
      */
     Map<?, ?> readPart(int part, Object record, long partRevision) {
         DocumentReader document = DocumentReader.of(record);
-        parts[part].revision = partRevision;
+        partCount[part].revision = partRevision;
         nextAttempt = Math.max(nextAttempt, document.count("next"));
-        BitSet bits = doneBits(document);
+        BitSet bits = decodeDoneBits(document);
         for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1)) {
-            done.set(part * partSize + i);
+            doneTasks.set(part * tasksPerPart + i);
         }
         // It was placed, so all that it needs is done.
-        unmet.clear();
-        sinceMs = Math.max(sinceMs, document.numberOr("ready", 0, 0));
+        unmetDependencies.clear();
+        eligibleSinceMillis = Math.max(eligibleSinceMillis, document.numberOr("ready", 0, 0));
         return document.raw("live") instanceof Map<?, ?> m ? m : Map.of();
     }
 }
--- a/src/main/java/io/kitepath/core/shard/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -26,38 +26,38 @@
  */
 public final class JobDependencies {
     /** Ends that are remembered; what was forgotten is read again. */
-    private static final int ENDS = 10_000;
+    private static final int MAX_OUTCOMES = 10_000;
 
     /**
      * Of those to be found out, how many are compared to find the most urgent: it is done anew
      * after each answer.
      */
-    private static final int RANKED = 256;
+    private static final int MAX_COMPARED = 256;
 
     /** How a job ended, and when as far as its record says. */
-    private record End(boolean done, double atMs) {}
+    private record End(boolean isDone, double atMillis) {}
 
     private final ClusterSettings settings;
     private final Map<String, Job> jobs;
-    private final ToDoubleFunction<JobSpec> leadS;
-    private final Runnable changed;
+    private final ToDoubleFunction<JobSpec> startLatencySeconds;
+    private final Runnable onEligible;
 
     /** Open jobs by each that they need, as long as it is not known to be over. */
-    private final Map<String, Set<Job>> waiting = new LinkedHashMap<>();
+    private final Map<String, Set<Job>> dependentsByDependency = new LinkedHashMap<>();
 
-    private final Map<String, End> ends =
+    private final Map<String, End> outcomes =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, End> eldest) {
-                    return size() > ENDS;
+                    return size() > MAX_OUTCOMES;
                 }
             };
 
     /** Needed, not open here, and it is not known how they ended. */
-    private final Set<String> unknown = new LinkedHashSet<>();
+    private final Set<String> unknownOutcomes = new LinkedHashSet<>();
 
     /** To be cancelled, those nearest to what was cancelled first. */
-    private final Set<Job> doomed = new LinkedHashSet<>();
+    private final Set<Job> jobsToCancel = new LinkedHashSet<>();
 
     /**
      * @param jobs those that are open, or over with something of them left
@@ -72,100 +72,100 @@
             Runnable changed) {
         this.settings = settings;
         this.jobs = jobs;
-        this.leadS = leadS;
-        this.changed = changed;
+        this.startLatencySeconds = leadS;
+        this.onEligible = changed;
     }
 
     void clear() {
-        waiting.clear();
-        ends.clear();
-        unknown.clear();
-        doomed.clear();
+        dependentsByDependency.clear();
+        outcomes.clear();
+        unknownOutcomes.clear();
+        jobsToCancel.clear();
     }
 
     // ---- jobs come and go -----------------------------------------------------------------------
 
     /** An open job is known from now on. */
-    void opened(Job job) {
+    void jobOpened(Job job) {
         String id = job.spec.id();
-        unknown.remove(id);
-        for (String need : job.needs()) {
-            End e = ends.get(need);
+        unknownOutcomes.remove(id);
+        for (String need : job.dependencies()) {
+            End e = outcomes.get(need);
             if (e == null) {
-                job.unmet.add(need);
-                waiting.computeIfAbsent(need, key -> new LinkedHashSet<>()).add(job);
-                if (!open(need)) {
-                    unknown.add(need);
+                job.unmetDependencies.add(need);
+                dependentsByDependency.computeIfAbsent(need, key -> new LinkedHashSet<>()).add(job);
+                if (!isOpen(need)) {
+                    unknownOutcomes.add(need);
                 }
-            } else if (e.done) {
-                job.ready(Math.max(job.sinceMs(), e.atMs), settings);
+            } else if (e.isDone) {
+                job.becomeEligible(Math.max(job.eligibleSinceMillis(), e.atMillis), settings);
             } else {
-                doom(job);
+                markForCancellation(job);
             }
         }
         // Those that need it may have become known before it.
         Deque<Job> from = new ArrayDeque<>();
-        if (waiting.containsKey(id)) {
+        if (dependentsByDependency.containsKey(id)) {
             from.add(job);
         }
-        from.addAll(before(job));
-        reckon(from);
+        from.addAll(openDependencies(job));
+        propagateDemand(from);
     }
 
     /** Open jobs that it waits for. */
-    private List<Job> before(Job job) {
-        return job.unmet.stream().map(jobs::get).filter(j -> j != null && !j.over).toList();
+    private List<Job> openDependencies(Job job) {
+        return job.unmetDependencies.stream().map(jobs::get).filter(j -> j != null && !j.isFinished).toList();
     }
 
     /** Some of its tasks were placed, by its records: all that it needs is done. */
-    void started(Job job) {
-        job.needs().forEach(n -> forget(n, job));
+    void jobStarted(Job job) {
+        job.dependencies().forEach(n -> removeDependent(n, job));
     }
 
     /** A job is not open any more; how it ended is for its record to say, unless that is known. */
-    void closed(Job job) {
+    void jobClosed(Job job) {
         String id = job.spec.id();
-        doomed.remove(job);
-        Deque<Job> before = new ArrayDeque<>(before(job));
-        job.needs().forEach(n -> forget(n, job));
-        if (waiting.containsKey(id) && !ends.containsKey(id)) {
-            unknown.add(id);
+        jobsToCancel.remove(job);
+        Deque<Job> before = new ArrayDeque<>(openDependencies(job));
+        job.dependencies().forEach(n -> removeDependent(n, job));
+        if (dependentsByDependency.containsKey(id) && !outcomes.containsKey(id)) {
+            unknownOutcomes.add(id);
         }
-        reckon(before);
+        propagateDemand(before);
     }
 
     /**
      * The store has it that the job is done, or cancelled; {@code atMs}: when, by the time of day.
      */
-    public void ended(String id, boolean done, double atMs) {
-        ends.put(id, new End(done, atMs));
-        unknown.remove(id);
-        Set<Job> who = waiting.remove(id);
+    public void recordOutcome(String id, boolean done, double atMs) {
+        outcomes.put(id, new End(done, atMs));
+        unknownOutcomes.remove(id);
+        Set<Job> who = dependentsByDependency.remove(id);
         if (who == null) {
             return;
         }
         for (Job job : who) {
             if (!done) {
-                doom(job);
-            } else if (job.unmet.remove(id)) {
-                job.ready(Math.max(job.sinceMs(), atMs), settings);
-                if (job.unmet.isEmpty() && !job.doomed) {
-                    changed.run();
+                markForCancellation(job);
+            } else if (job.unmetDependencies.remove(id)) {
+                job.becomeEligible(Math.max(job.eligibleSinceMillis(), atMs), settings);
+                if (job.unmetDependencies.isEmpty() && !job.hasCancelledDependency) {
+                    onEligible.run();
                 }
             }
         }
     }
 
-    private boolean open(String id) {
+    private boolean isOpen(String id) {
         Job job = jobs.get(id);
-        return job != null && !job.over;
+        return job != null && !job.isFinished;
     }
 
-    private void forget(String need, Job job) {
-        Set<Job> who = waiting.get(need);
+    private void removeDependent(String need, Job job) {
+        Set<Job> who = dependentsByDependency.get(need);
         if (who != null && who.remove(job) && who.isEmpty()) {
-            waiting.remove(need);
-            unknown.remove(need);
+            dependentsByDependency.remove(need);
+            unknownOutcomes.remove(need);
         }
     }
 
@@ -173,14 +173,14 @@
      * It, and all that need it directly or through others, nearest first; a chain may be long, so
      * without recursion.
      */
-    private void doom(Job first) {
+    private void markForCancellation(Job first) {
         Deque<Job> next = new ArrayDeque<>(List.of(first));
         while (!next.isEmpty()) {
             Job job = next.poll();
-            if (!job.over && !job.doomed) {
-                job.doomed = true;
-                doomed.add(job);
-                next.addAll(waiting.getOrDefault(job.spec.id(), Set.of()));
+            if (!job.isFinished && !job.hasCancelledDependency) {
+                job.hasCancelledDependency = true;
+                jobsToCancel.add(job);
+                next.addAll(dependentsByDependency.getOrDefault(job.spec.id(), Set.of()));
             }
         }
     }
@@ -191,34 +191,34 @@
      * Jobs whose records have to say how they ended, so many at most; those that block the most
      * urgent work first.
      */
-    public List<String> unknown(int most, Set<String> but) {
-        return unknown.stream()
-                .limit(RANKED)
+    public List<String> unknownOutcomes(int most, Set<String> but) {
+        return unknownOutcomes.stream()
+                .limit(MAX_COMPARED)
                 .filter(id -> !but.contains(id))
                 .sorted(
                         Comparator.comparingInt(
-                                (String id) -> rankOf(waiting.getOrDefault(id, Set.of()))))
+                                (String id) -> mostUrgentRank(dependentsByDependency.getOrDefault(id, Set.of()))))
                 .limit(most)
                 .toList();
     }
 
-    private static int rankOf(Collection<Job> who) {
-        return who.stream().mapToInt(job -> job.priority().ordinal()).min().orElse(0);
+    private static int mostUrgentRank(Collection<Job> who) {
+        return who.stream().mapToInt(job -> job.effectivePriority().ordinal()).min().orElse(0);
     }
 
     /** Jobs to be cancelled because one before them is. */
-    public List<Job> doomed() {
-        return List.copyOf(doomed);
+    public List<Job> jobsToCancel() {
+        return List.copyOf(jobsToCancel);
     }
 
     /** How many that are. */
-    public int cascade() {
-        return doomed.size();
+    public int jobsToCancelCount() {
+        return jobsToCancel.size();
     }
 
     /** How many jobs wait for others. */
-    public long held() {
-        return jobs.values().stream().filter(job -> !job.over && job.held()).count();
+    public long heldJobCount() {
+        return jobs.values().stream().filter(job -> !job.isFinished && job.isHeld()).count();
     }
 
     // ---- what those behind ask of those before --------------------------------------------------
@@ -227,19 +227,19 @@
      * Works out anew what is asked of these jobs, and of those before them as far as that changes
      * anything.
      */
-    private void reckon(Deque<Job> from) {
+    private void propagateDemand(Deque<Job> from) {
         while (!from.isEmpty()) {
             Job job = from.poll();
             JobSpec.Priority highest = job.spec.priority();
             double[] endByMs = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
-            for (Job behind : waiting.getOrDefault(job.spec.id(), Set.of())) {
-                highest = behind.priority().compareTo(highest) < 0 ? behind.priority() : highest;
-                double[] start = startByMs(behind);
+            for (Job behind : dependentsByDependency.getOrDefault(job.spec.id(), Set.of())) {
+                highest = behind.effectivePriority().compareTo(highest) < 0 ? behind.effectivePriority() : highest;
+                double[] start = startByMillis(behind);
                 endByMs[0] = Math.min(endByMs[0], start[0]);
                 endByMs[1] = Math.min(endByMs[1], start[1]);
             }
-            if (job.serves(highest, endByMs, settings)) {
-                from.addAll(before(job));
+            if (job.applyDependentsDemand(highest, endByMs, settings)) {
+                from.addAll(openDependencies(job));
             }
         }
     }
@@ -248,18 +248,18 @@
      * By when the job has to start for its deadline and those behind it: the soonest, and the last
      * that is worth it.
      */
-    private double[] startByMs(Job job) {
+    private double[] startByMillis(Job job) {
         double[] own =
                 Arrays.stream(settings.ownDeadlinesSeconds(job.spec))
-                        .map(s -> job.submittedMs + 1000 * s)
+                        .map(s -> job.submittedMillis + 1000 * s)
                         .toArray();
-        double[] behind = job.behindMs();
+        double[] behind = job.dependentsDueMillis();
         double first = own.length == 0 ? behind[0] : Math.min(own[0], behind[0]);
         double last = own.length == 0 ? behind[1] : Math.min(own[own.length - 1], behind[1]);
         // Between the end before it and its start: the end is reported and written, its placing
         // written and fetched.
         double gapS =
-                Math.max(leadS.applyAsDouble(job.spec), settings.workers().heartbeatIntervalSeconds())
+                Math.max(startLatencySeconds.applyAsDouble(job.spec), settings.workers().heartbeatIntervalSeconds())
                         + settings.workers().heartbeatIntervalSeconds();
         double ms = 1000 * (job.spec.estimatedSeconds() + gapS);
         return new double[] {first - ms, last - ms};
--- a/src/main/java/io/kitepath/core/shard/JobSizes.java
+++ b/src/main/java/io/kitepath/core/shard/JobSizes.java
@@ -11,48 +11,48 @@
  */
 final class JobSizes {
     /** Jobs that are remembered of a class. */
-    private static final int LATELY = 64;
+    private static final int MAX_SIZES = 64;
 
     /** Jobs from which on that says something. */
-    private static final int ENOUGH = 8;
+    private static final int MIN_SIZES = 8;
 
     /** Of the jobs of a class, the part that is smaller than its largest ones. */
-    private static final double SMALLER = 0.75;
+    private static final double LARGE_QUANTILE = 0.75;
 
     /** Users name the classes, so there may be any number of them. */
-    private static final int MOST = 1000;
+    private static final int MAX_CLASSES = 1000;
 
     private static final class SizeClass {
-        final Deque<Double> lately = new ArrayDeque<>();
+        final Deque<Double> recentSizes = new ArrayDeque<>();
 
         /** From that size on a job is one of the largest. */
-        double from = Double.POSITIVE_INFINITY;
+        double largeFrom = Double.POSITIVE_INFINITY;
     }
 
     private final Cache<String, SizeClass> classes =
-            Caffeine.newBuilder().maximumSize(MOST).build();
+            Caffeine.newBuilder().maximumSize(MAX_CLASSES).build();
 
-    private static double size(JobSpec spec) {
+    private static double totalCpus(JobSpec spec) {
         return spec.taskCount() * spec.cpusPerTask();
     }
 
-    void came(JobSpec spec) {
+    void add(JobSpec spec) {
         SizeClass c = classes.get(spec.jobClass(), key -> new SizeClass());
-        c.lately.addLast(size(spec));
-        if (c.lately.size() > LATELY) {
-            c.lately.removeFirst();
+        c.recentSizes.addLast(totalCpus(spec));
+        if (c.recentSizes.size() > MAX_SIZES) {
+            c.recentSizes.removeFirst();
         }
-        if (c.lately.size() < ENOUGH) {
+        if (c.recentSizes.size() < MIN_SIZES) {
             return;
         }
-        double[] sorted = c.lately.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-        double at = sorted[(int) (SMALLER * sorted.length)];
+        double[] sorted = c.recentSizes.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+        double at = sorted[(int) (LARGE_QUANTILE * sorted.length)];
         // Where most are of that size, only what is larger than those is large.
-        c.from = sorted[sorted.length / 2] < at ? at : Math.nextUp(at);
+        c.largeFrom = sorted[sorted.length / 2] < at ? at : Math.nextUp(at);
     }
 
-    boolean largest(JobSpec spec) {
+    boolean isAmongLargest(JobSpec spec) {
         SizeClass c = classes.getIfPresent(spec.jobClass());
-        return c != null && size(spec) >= c.from;
+        return c != null && totalCpus(spec) >= c.largeFrom;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -301,7 +301,7 @@
      * needs or may.
      */
     public void reconsider(double now) {
-        if (kept || now >= reservedUntil || reservedFor != null && reservedFor.waiting() == 0) {
+        if (kept || now >= reservedUntil || reservedFor != null && reservedFor.waitingTasks() == 0) {
             unreserve();
         }
     }
@@ -455,7 +455,7 @@
         if (fetched == null) {
             fetched = new HashSet<>();
             for (Attempt attempt : attempts) {
-                if (attempt.fetching() && !has(attempt.job.spec.image())) {
+                if (attempt.isFetching() && !has(attempt.job.spec.image())) {
                     fetched.add(attempt.job.spec.image());
                 }
             }
@@ -496,7 +496,7 @@
         attempts.add(attempt);
         fetched = null;
         count(attempt.job.spec, 1);
-        unconfirmed += attempt.seen ? 0 : 1;
+        unconfirmed += attempt.isSeen ? 0 : 1;
     }
 
     void remove(Attempt attempt) {
@@ -505,7 +505,7 @@
         }
         fetched = null;
         count(attempt.job.spec, -1);
-        unconfirmed -= attempt.seen ? 0 : 1;
+        unconfirmed -= attempt.isSeen ? 0 : 1;
         if (attempts.isEmpty()) {
             clear();
         }
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -9,7 +9,7 @@
  */
 final class PendingReasons {
     /** Of the jobs that one waits for, those that are named. */
-    private static final int MOST_NAMED = 5;
+    private static final int MAX_NAMED_DEPENDENCIES = 5;
 
     private final ShardState shard;
 
@@ -17,31 +17,31 @@
         this.shard = shard;
     }
 
-    String of(Job job, double now) {
-        if (job.over) {
+    String describe(Job job, double now) {
+        if (job.isFinished) {
             return null;
         }
         if (shard.failures().mistaken(job, now)) {
             return "fails on every machine it was tried on, "
-                    + job.failures
+                    + job.failureCount
                     + " times so far"
                     + (job.notBefore > now
-                            ? "; tried again in " + seconds(job.notBefore - now)
+                            ? "; tried again in " + formatSeconds(job.notBefore - now)
                             : "");
         }
-        String lent = lent(job, now);
-        if (job.leaving()) {
+        String lent = describeLoans(job, now);
+        if (job.isCancelRequested()) {
             return "is to be cancelled" + (lent == null ? "" : " once it is called back: " + lent);
         }
-        if (job.doomed()) {
+        if (job.hasCancelledDependency()) {
             return "is to be cancelled, as a job that it needs is";
         }
-        if (job.held()) {
-            return "waits for " + before(job);
+        if (job.isHeld()) {
+            return "waits for " + describeDependencies(job);
         }
-        int waiting = job.waiting();
+        int waiting = job.waitingTasks();
         if (waiting == 0) {
-            return lent != null ? lent : fetching(job);
+            return lent != null ? lent : describeImageFetch(job);
         }
         JobSpec spec = job.spec;
         String tasks = waiting == 1 ? "1 task waits" : waiting + " tasks wait";
@@ -52,7 +52,7 @@
                     + " is at its limit"
                     + shard.teamUse().share(spec.team());
         }
-        if (spec.isGang() && !job.live.isEmpty()) {
+        if (spec.isGang() && !job.liveAttempts.isEmpty()) {
             return tasks + " for the rest of the last attempt to end";
         }
         int starting = 0;
@@ -76,32 +76,32 @@
         return note;
     }
 
-    private static String before(Job job) {
-        int n = job.unmet.size();
-        return String.join(", ", job.unmet.stream().limit(MOST_NAMED).toList())
-                + (n > MOST_NAMED ? " and " + (n - MOST_NAMED) + " more" : "")
+    private static String describeDependencies(Job job) {
+        int n = job.unmetDependencies.size();
+        return String.join(", ", job.unmetDependencies.stream().limit(MAX_NAMED_DEPENDENCIES).toList())
+                + (n > MAX_NAMED_DEPENDENCIES ? " and " + (n - MAX_NAMED_DEPENDENCIES) + " more" : "")
                 + " to be done";
     }
 
-    private static String lent(Job job, double now) {
+    private static String describeLoans(Job job, double now) {
         StringBuilder text = new StringBuilder();
         for (TaskLoan loan : job.loans()) {
-            if (!loan.closed) {
+            if (!loan.isClosed) {
                 text.append(text.isEmpty() ? "" : "; ")
-                        .append(loan.tasks() == 1 ? "1 task" : loan.tasks() + " tasks")
-                        .append(loan.taken ? " handed to cell " : " offered to cell ")
-                        .append(loan.to)
+                        .append(loan.taskCount() == 1 ? "1 task" : loan.taskCount() + " tasks")
+                        .append(loan.isAccepted ? " handed to cell " : " offered to cell ")
+                        .append(loan.borrowerCell)
                         .append(' ')
-                        .append(seconds(now - loan.since))
+                        .append(formatSeconds(now - loan.offeredAt))
                         .append(" ago");
             }
         }
         return text.isEmpty() ? null : text.toString();
     }
 
-    private static String fetching(Job job) {
+    private static String describeImageFetch(Job job) {
         long n =
-                job.live.values().stream()
+                job.liveAttempts.values().stream()
                         .filter(attempt -> attempt.state == TaskState.FETCHING_IMAGE)
                         .count();
         return n == 0
@@ -111,7 +111,7 @@
                         + job.spec.image();
     }
 
-    private static String seconds(double s) {
+    private static String formatSeconds(double s) {
         return Math.max(1, Math.round(s)) + " s";
     }
 }
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -188,7 +188,7 @@
         if (t != null) {
             then.accept(t);
         }
-        ServiceGroup l = sizes.largest(spec) ? group(largest, "largest of", spec.jobClass()) : null;
+        ServiceGroup l = sizes.isAmongLargest(spec) ? group(largest, "largest of", spec.jobClass()) : null;
         if (l != null) {
             then.accept(l);
         }
@@ -196,12 +196,12 @@
 
     /** A job has become known. */
     void came(JobSpec spec) {
-        sizes.came(spec);
+        sizes.add(spec);
     }
 
     /** Whether the job is one of the largest of its class, by those that came lately. */
     public boolean largest(JobSpec spec) {
-        return sizes.largest(spec);
+        return sizes.isAmongLargest(spec);
     }
 
     /**
@@ -219,19 +219,19 @@
                         });
         for (Job job : jobs) {
             // One that waits for others asks for nothing yet.
-            if (job.over || job.guest || job.held()) {
+            if (job.isFinished || job.borrowed || job.isHeld()) {
                 continue;
             }
-            double withinS = settings.latestUsefulCompletionSeconds(job.spec, job.heldS());
+            double withinS = settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds());
             miss(job, withinS, wallMs);
-            if (!job.missed) {
+            if (!job.hasMissedAllGoals) {
                 double mayWaitS =
                         withinS
-                                - job.heldS()
+                                - job.heldSeconds()
                                 - job.spec.estimatedSeconds()
                                 - leadS.applyAsDouble(job.spec);
-                boolean waits = job.waiting() > 0;
-                boolean endangered = waits && wallMs > job.sinceMs() + 1000 * ENDANGERED * mayWaitS;
+                boolean waits = job.waitingTasks() > 0;
+                boolean endangered = waits && wallMs > job.eligibleSinceMillis() + 1000 * ENDANGERED * mayWaitS;
                 each(
                         job.spec,
                         group -> {
@@ -245,9 +245,9 @@
     }
 
     private void miss(Job job, double withinS, double wallMs) {
-        double until = job.submittedMs + 1000 * withinS;
-        if (!job.missed && wallMs > until) {
-            job.missed = true;
+        double until = job.submittedMillis + 1000 * withinS;
+        if (!job.hasMissedAllGoals && wallMs > until) {
+            job.hasMissedAllGoals = true;
             if (until > countedUntilMs) {
                 each(job.spec, group -> group.decide(false));
             }
@@ -263,9 +263,9 @@
 
     /** The store has it that the job is done. */
     public void done(Job job, double wallMs) {
-        miss(job, settings.latestUsefulCompletionSeconds(job.spec, job.heldS()), wallMs);
+        miss(job, settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()), wallMs);
         each(job.spec, group -> group.done++);
-        if (!job.missed) {
+        if (!job.hasMissedAllGoals) {
             each(job.spec, group -> group.decide(true));
         }
     }
@@ -277,7 +277,7 @@
     public double standing(JobSpec spec) {
         ServiceGroup c = classes.get(spec.jobClass());
         ServiceGroup t = teams.get(spec.team());
-        ServiceGroup l = sizes.largest(spec) ? largest.get(spec.jobClass()) : null;
+        ServiceGroup l = sizes.isAmongLargest(spec) ? largest.get(spec.jobClass()) : null;
         return Math.min(
                 l == null ? 1 : l.standing(),
                 Math.min(c == null ? 1 : c.standing(), t == null ? 1 : t.standing()));
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -242,10 +242,10 @@
                 job.spec.cpusPerTask(),
                 job.spec.image());
         changed = true;
-        lately.came(job);
+        lately.add(job);
         served.came(job.spec);
-        if (!job.over) {
-            pipelines.opened(job);
+        if (!job.isFinished) {
+            pipelines.jobOpened(job);
         }
     }
 
@@ -254,7 +254,7 @@
      * machines.
      */
     public void addOver(Job job) {
-        job.over = true;
+        job.isFinished = true;
         addJob(job);
     }
 
@@ -276,15 +276,15 @@
                                 machine,
                                 now,
                                 0);
-                attempt.durable = true;
-                attempt.launched = true;
+                attempt.isDurable = true;
+                attempt.mayBeLaunched = true;
                 attach(attempt);
                 job.nextAttempt = Math.max(job.nextAttempt, attempt.number + 1);
             }
         }
-        pipelines.started(job);
-        if (job.over) {
-            unwritten.queue(job.touchPart(part));
+        pipelines.jobStarted(job);
+        if (job.isFinished) {
+            unwritten.enqueueIfDirty(job.markPartDirty(part));
         }
     }
 
@@ -294,25 +294,25 @@
      */
     public boolean jobOver(String id) {
         Job job = jobs.get(id);
-        if (job == null || job.over) {
+        if (job == null || job.isFinished) {
             return false;
         }
-        job.over = true;
+        job.isFinished = true;
         changed = true;
-        pipelines.closed(job);
-        for (Attempt attempt : new ArrayList<>(job.live.values())) {
-            if (!attempt.durable) {
+        pipelines.jobClosed(job);
+        for (Attempt attempt : new ArrayList<>(job.liveAttempts.values())) {
+            if (!attempt.isDurable) {
                 withdraw(attempt);
             }
         }
-        job.touchAll();
+        job.markAllDirty();
         for (Job.Part part : job.allParts()) {
             if (part.revision() > 0) {
-                unwritten.changed(
+                unwritten.addChange(
                         part); // To be removed, or kept for as long as something is on machines.
             }
         }
-        LOG.info("job {} over, {} attempts to end", id, job.live.size());
+        LOG.info("job {} over, {} attempts to end", id, job.liveAttempts.size());
         return true;
     }
 
@@ -324,7 +324,7 @@
         List<JobProgress> out = new ArrayList<>();
         for (String id : ids) {
             Job job = jobs.get(id);
-            if (job != null && !job.doomed) {
+            if (job != null && !job.hasCancelledDependency) {
                 out.add(job.progress(now, settings.workers().heartbeatIntervalSeconds(), notes));
             }
         }
@@ -334,10 +334,10 @@
     // ---- attempts -------------------------------------------------------------------------------
 
     void attach(Attempt attempt) {
-        attempt.job.liveAdd(attempt);
+        attempt.job.addLive(attempt);
         attempt.machine.add(attempt);
         teamUse.count(attempt.job.spec, 1);
-        attempt.job.stopping += attempt.stopping() ? 1 : 0;
+        attempt.job.hasStoppingAttempts += attempt.isStopping() ? 1 : 0;
     }
 
     /**
@@ -346,9 +346,9 @@
      */
     private void withdraw(Attempt attempt) {
         teamUse.count(attempt.job.spec, -1);
-        attempt.job.liveRemove(attempt);
-        unwritten.changed(attempt.job.touch(attempt.task));
-        attempt.job.stopping -= attempt.stopping() ? 1 : 0;
+        attempt.job.removeLive(attempt);
+        unwritten.addChange(attempt.job.markDirty(attempt.task));
+        attempt.job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
         attempt.machine.remove(attempt);
         changed = true;
     }
@@ -358,30 +358,30 @@
      * cleared after.
      */
     void end(Attempt attempt, EndCause cause, double now) {
-        if (attempt.ended) {
+        if (attempt.isEnded) {
             return;
         }
         Job job = attempt.job;
         teamUse.count(job.spec, -1);
-        attempt.ended = true;
+        attempt.isEnded = true;
         attempt.state = TaskState.ENDED;
-        job.liveRemove(attempt);
-        job.stopping -= attempt.stopping() ? 1 : 0;
+        job.removeLive(attempt);
+        job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
         ends++;
         changed = true;
         Machine machine = attempt.machine;
         machine.remove(attempt);
-        if (attempt.durable) {
+        if (attempt.isDurable) {
             machine.unwritten.add(attempt);
-            job.unwritten.add(attempt);
+            job.unwrittenEnds.add(attempt);
         }
         if (!machine.busy()) {
             machine.idleSince = now;
         }
-        if (!job.over) {
+        if (!job.isFinished) {
             judge(attempt, cause, now);
         }
-        unwritten.changed(job.touch(attempt.task));
+        unwritten.addChange(job.markDirty(attempt.task));
         attempt.endedVersion = job.version();
     }
 
@@ -396,11 +396,11 @@
                 }
                 if (job.spec.isGang()) {
                     // The tasks of a gang complete together.
-                    job.done.set(0, job.spec.taskCount());
-                    job.touchAll();
-                    job.allParts().forEach(unwritten::changed);
+                    job.doneTasks.set(0, job.spec.taskCount());
+                    job.markAllDirty();
+                    job.allParts().forEach(unwritten::addChange);
                 } else {
-                    job.done.set(attempt.task);
+                    job.doneTasks.set(attempt.task);
                 }
             }
             case ERROR -> failures.failed(attempt, now);
@@ -431,19 +431,19 @@
      * gave up is held, and all restart where the image is.
      */
     public void restartOnceFetched(Job job) {
-        if (!job.live.isEmpty() && job.live.size() < job.spec.taskCount() && !fetching(job)) {
-            for (Attempt other : new ArrayList<>(job.live.values())) {
+        if (!job.liveAttempts.isEmpty() && job.liveAttempts.size() < job.spec.taskCount() && !fetching(job)) {
+            for (Attempt other : new ArrayList<>(job.liveAttempts.values())) {
                 stop(other, 0);
             }
         }
     }
 
     private static boolean fetching(Job job) {
-        return job.live.values().stream()
+        return job.liveAttempts.values().stream()
                 .anyMatch(
                         attempt ->
-                                attempt.seen
-                                        && !attempt.unwanted()
+                                attempt.isSeen
+                                        && !attempt.isUnwanted()
                                         && attempt.state == TaskState.FETCHING_IMAGE);
     }
 
@@ -458,18 +458,18 @@
     }
 
     public void stop(Attempt attempt, double graceS) {
-        if (attempt.ended) {
+        if (attempt.isEnded) {
             return;
         }
-        if (!attempt.durable) {
+        if (!attempt.isDurable) {
             withdraw(attempt);
             return;
         }
-        if (!attempt.stopping()) {
-            attempt.job.stopping++;
-            attempt.stopGraceS = graceS;
+        if (!attempt.isStopping()) {
+            attempt.job.hasStoppingAttempts++;
+            attempt.stopGraceSeconds = graceS;
         }
-        attempt.stopGraceS = Math.min(attempt.stopGraceS, graceS);
+        attempt.stopGraceSeconds = Math.min(attempt.stopGraceSeconds, graceS);
     }
 
     /**
@@ -489,12 +489,12 @@
      * not on record.
      */
     public boolean recordable(Job job, int task) {
-        return job.recordable(task, recordBytes);
+        return job.fitsRecord(task, recordBytes);
     }
 
     /** Whether the records of its parts can take all its tasks at once, or can't be made to. */
     public boolean recordable(Job job) {
-        return job.narrow(settings.tasksPerCompactPart()) || job.recordableWhole(recordBytes);
+        return job.hasPartsOfAtMost(settings.tasksPerCompactPart()) || job.allTasksFitRecords(recordBytes);
     }
 
     /**
@@ -520,10 +520,10 @@
      * #placedTogether}.
      */
     public void place(Job job, int task, Machine machine, double now) {
-        Job.Part part = job.placing(task);
-        unwritten.placed(part);
+        Job.Part part = job.markPlacementDirty(task);
+        unwritten.addPlacement(part);
         attach(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
-        job.placed.add(now);
+        job.placementTimes.add(now);
         LOG.debug("placed {}/{}#{} on {}", job.spec.id(), task, job.nextAttempt, machine.id);
     }
 
@@ -542,13 +542,13 @@
     void strayed(Job job, int task, long number, TaskState state, Machine machine, double now) {
         LOG.error(
                 "machine {} has {}/{} which was not placed there", machine.id, job.spec.id(), task);
-        unwritten.changed(job.touch(task));
+        unwritten.addChange(job.markDirty(task));
         Attempt attempt = new Attempt(job, task, number, machine, now, job.version());
-        attempt.durable = true;
-        attempt.launched = true;
-        attempt.seen = true;
+        attempt.isDurable = true;
+        attempt.mayBeLaunched = true;
+        attempt.isSeen = true;
         attempt.state = state;
-        attempt.stopGraceS = 0;
+        attempt.stopGraceSeconds = 0;
         job.nextAttempt = Math.max(job.nextAttempt, number + 1);
         attach(attempt);
     }
@@ -654,14 +654,14 @@
     /** Everything about this part up to {@code version} is in the store now. */
     public void recorded(Job.Part part, int version, long revision) {
         Job job = part.job;
-        part.recorded(version, revision);
-        unwritten.queue(part);
-        for (Attempt attempt : job.liveIn(part.index)) {
+        part.markWritten(version, revision);
+        unwritten.enqueueIfDirty(part);
+        for (Attempt attempt : job.liveAttemptsInPart(part.index)) {
             if (attempt.placedVersion <= version) {
-                attempt.durable = true;
+                attempt.isDurable = true;
             }
         }
-        job.unwritten.removeIf(
+        job.unwrittenEnds.removeIf(
                 attempt -> {
                     boolean now =
                             job.partOf(attempt.task) == part.index
@@ -675,8 +675,8 @@
 
     /** The job's records are laid out anew, as of that version of it, with these parts. */
     public void relaid(Job job, JobRecord record, long revision, int version, Set<Integer> parts) {
-        job.allParts().forEach(unwritten::taken); // Those that were are no more.
-        job.laidOut(record, revision);
+        job.allParts().forEach(unwritten::remove); // Those that were are no more.
+        job.applyMigration(record, revision);
         for (Job.Part part : job.allParts()) {
             recorded(part, version, parts.contains(part.index) ? revision : 0);
         }
@@ -685,16 +685,16 @@
 
     /** All the job's parts may differ from their records. */
     public void differs(Job job) {
-        job.touchAll();
-        job.allParts().forEach(unwritten::changed);
+        job.markAllDirty();
+        job.allParts().forEach(unwritten::addChange);
     }
 
     /** A job that is over, with nothing of it left anywhere. */
     public void dropJob(Job job) {
         jobs.remove(job.spec.id());
-        if (job.successes == 0) {
+        if (job.successCount == 0) {
             failures.acquit(job);
         }
-        job.unwritten.forEach(attempt -> attempt.machine.unwritten.remove(attempt));
+        job.unwrittenEnds.forEach(attempt -> attempt.machine.unwritten.remove(attempt));
     }
 }
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -12,43 +12,43 @@
  */
 public final class TaskLoan {
     public final long number;
-    public final String to;
-    public final int from;
-    public final int until;
+    public final String borrowerCell;
+    public final int firstTask;
+    public final int endTask;
 
     /** The other cell says that it has taken it. */
-    public boolean taken;
+    public boolean isAccepted;
 
     /** Its word that it is over, which is being written down. */
-    public boolean closed;
+    public boolean isClosed;
 
     /** Our store has the loan. Nothing is offered before. */
-    public boolean written;
+    public boolean isRecorded;
 
     /** For how it is told of: seconds on the steady clock, and whether an answer is awaited. */
-    public double askedAt = Double.NEGATIVE_INFINITY;
+    public double lastQueriedAt = Double.NEGATIVE_INFINITY;
 
-    public boolean asking;
-    public int unanswered;
-    public final double since;
+    public boolean isAwaitingAnswer;
+    public int unansweredQueries;
+    public final double offeredAt;
 
     public TaskLoan(long number, String to, int from, int until, double since) {
         this.number = number;
-        this.to = to;
-        this.from = from;
-        this.until = until;
-        this.since = since;
+        this.borrowerCell = to;
+        this.firstTask = from;
+        this.endTask = until;
+        this.offeredAt = since;
     }
 
-    public int tasks() {
-        return until - from;
+    public int taskCount() {
+        return endTask - firstTask;
     }
 
     /** The record of all loans of a job. */
-    public static Map<String, Object> record(List<TaskLoan> loans) {
+    public static Map<String, Object> toRecord(List<TaskLoan> loans) {
         List<Object> list = new ArrayList<>();
         for (TaskLoan loan : loans) {
-            list.add(List.of(loan.number, loan.to, (long) loan.from, (long) loan.until));
+            list.add(List.of(loan.number, loan.borrowerCell, (long) loan.firstTask, (long) loan.endTask));
         }
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("loans", list);
@@ -56,11 +56,11 @@
     }
 
     /**
-     * What {@link #record} wrote.
+     * What {@link #toRecord} wrote.
      *
      * @throws io.kitepath.core.model.InvalidInputException if it did not
      */
-    public static List<TaskLoan> read(Object record, double now) {
+    public static List<TaskLoan> fromRecord(Object record, double now) {
         DocumentReader document = DocumentReader.of(record);
         List<TaskLoan> out = new ArrayList<>();
         for (Object o : document.list("loans")) {
@@ -73,7 +73,7 @@
                 throw document.invalid("loans", "must be lists of number, cell, first and last");
             }
             TaskLoan loan = new TaskLoan(n.longValue(), to, from.intValue(), until.intValue(), now);
-            loan.written = true;
+            loan.isRecorded = true;
             out.add(loan);
         }
         return out;
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -121,11 +121,11 @@
             for (Job job : shard.jobs().values()) {
                 // Guests are cancelled by their home cell, which waits for this cell's word before
                 // it tells anybody.
-                if (!job.over() && !job.guest && !job.live().isEmpty()) {
+                if (!job.isFinished() && !job.borrowed && !job.liveAttempts().isEmpty()) {
                     if (left.isEmpty() || left.getLast().conditions().size() >= most) {
                         left.add(new Transaction());
                     }
-                    left.getLast().requireRevision(job.key, job.revision());
+                    left.getLast().requireRevision(job.recordKey, job.revision());
                 }
             }
             missing = left.size();
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -66,7 +66,7 @@
         if (waits) {
             return;
         }
-        for (String id : pipelines.unknown(AT_ONCE - asked.size(), asked)) {
+        for (String id : pipelines.unknownOutcomes(AT_ONCE - asked.size(), asked)) {
             if (!requests.tryTake(1, timers.nowSeconds())) {
                 waits = true;
                 long e = epoch;
@@ -118,7 +118,7 @@
         try {
             DocumentReader document = DocumentReader.of(record);
             // Earlier versions did not put down when.
-            pipelines.ended(
+            pipelines.recordOutcome(
                     id,
                     document.text("status").equals("done"),
                     document.numberOr("endedMs", 0, timers.wallClockMillis()));
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -33,7 +33,7 @@
             }
         }
         int gone = 0;
-        for (int i = 0; i < job.parts(); i++) {
+        for (int i = 0; i < job.partCount(); i++) {
             gone += job.part(i).revision() > 0 && !parts.containsKey(i) ? 1 : 0;
         }
         this.removed = gone;
@@ -45,8 +45,8 @@
 
     void board(Transaction transaction) {
         String id = job.spec.id();
-        transaction.requireRevision(job.key, job.revision()).put(job.key, record.toRecord());
-        for (int i = 0; i < job.parts(); i++) {
+        transaction.requireRevision(job.recordKey, job.revision()).put(job.recordKey, record.toRecord());
+        for (int i = 0; i < job.partCount(); i++) {
             transaction.requireRevision(StoreKeys.part(id, i), job.part(i).revision());
             if (job.part(i).revision() > 0 && !parts.containsKey(i)) {
                 transaction.remove(StoreKeys.part(id, i));
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -170,7 +170,7 @@
     public boolean mayRun(String id) {
         if (loaded) {
             Job job = shard.jobs().get(id);
-            return job != null && !job.over();
+            return job != null && !job.isFinished();
         }
         return running != null
                 && running.contains(id)
@@ -208,7 +208,7 @@
             // What is known of them stays known while they are read once more.
             running = new HashSet<>();
             shard.jobs().values().stream()
-                    .filter(job -> !job.over())
+                    .filter(job -> !job.isFinished())
                     .forEach(job -> running.add(job.spec.id()));
         }
         load(++epoch, ready);
@@ -381,7 +381,7 @@
                 continue;
             }
             int part = StoreKeys.indexOfPart(entry.key());
-            if (part < job.parts()) {
+            if (part < job.partCount()) {
                 shard.adopt(job, part, entry.value(), entry.revision(), now);
             }
         }
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -155,18 +155,18 @@
         // put it off for ever.
         take(
                 batch,
-                shard.unwritten().changes(),
+                shard.unwritten().withOtherChanges(),
                 Math.min(budget, batch.transaction.writes().size() + 1));
         // Guards against a gang that waits for the records of hundreds of small jobs that were
         // placed before it.
-        List<Job.Part> placings = new ArrayList<>(shard.unwritten().placings());
-        placings.sort(Comparator.comparingInt(part -> part.job.rank()));
+        List<Job.Part> placings = new ArrayList<>(shard.unwritten().withPlacements());
+        placings.sort(Comparator.comparingInt(part -> part.job.queueRank()));
         take(batch, placings, budget);
         if (!endsFirst) {
             ends(batch, budget);
         }
         double spare = available - settings.store().writesPerSecond() * WRITE_SHARE / 2;
-        take(batch, shard.unwritten().changes(), (int) Math.min(budget, spare));
+        take(batch, shard.unwritten().withOtherChanges(), (int) Math.min(budget, spare));
         // Guards against placings of a burst that wait for records which are only to be struck off;
         // a backlog of those
         // that would grow for ever goes along all the same.
@@ -197,7 +197,7 @@
     /** A job whose parts can't be on record as they are laid out is written anew, by itself. */
     private boolean layOutAnew(WriteBatch batch, int budget) {
         for (Job job : shard.wide()) {
-            if (job.over()) {
+            if (job.isFinished()) {
                 shard.laidOut(job);
                 continue;
             }
@@ -238,11 +238,11 @@
         List<Job> dropped = new ArrayList<>();
         int left = budget;
         for (Job job : shard.jobs().values()) {
-            if (job.over()) {
-                if (job.live().isEmpty() && !job.recorded()) {
+            if (job.isFinished()) {
+                if (job.liveAttempts().isEmpty() && !job.hasPartRecords()) {
                     dropped.add(job);
                 }
-            } else if (ending(job) && !job.lentBusy()) {
+            } else if (ending(job) && !job.writingLoans()) {
                 if (batch.transaction.writes().size() + 2 > left) {
                     left = 0; // Guards against placings that leave no job's end its two writes,
                     // round after round.
@@ -257,7 +257,7 @@
 
     /** All its tasks are done, and it is for us to say so. */
     private static boolean ending(Job job) {
-        return !job.over() && job.complete() && !job.guest && !job.leaving();
+        return !job.isFinished() && job.areAllTasksDone() && !job.borrowed && !job.isCancelRequested();
     }
 
     private void take(WriteBatch batch, List<Job.Part> from, int budget) {
@@ -269,12 +269,12 @@
             if (ending(job)) {
                 continue; // Once the job is written as done.
             }
-            shard.unwritten().taken(part);
-            if (!part.due() || !batch.taken.add(part)) {
+            shard.unwritten().remove(part);
+            if (!part.isDirty() || !batch.taken.add(part)) {
                 continue;
             }
-            if (!job.over() && batch.conditioned.add(job)) {
-                batch.transaction.requireRevision(job.key, job.revision());
+            if (!job.isFinished() && batch.conditioned.add(job)) {
+                batch.transaction.requireRevision(job.recordKey, job.revision());
             }
             putPart(batch, part);
         }
@@ -282,9 +282,9 @@
 
     private void finish(WriteBatch batch, Job job) {
         over(batch, job, "done", job.spec.taskCount());
-        if (job.lentRevision() > 0) {
+        if (job.loansRevision() > 0) {
             batch.transaction
-                    .requireRevision(StoreKeys.LENT + job.spec.id(), job.lentRevision())
+                    .requireRevision(StoreKeys.LENT + job.spec.id(), job.loansRevision())
                     .remove(StoreKeys.LENT + job.spec.id());
         }
         batch.finishing.add(job);
@@ -296,7 +296,7 @@
      * them could start; but their users wait for word.
      */
     private void cascade(WriteBatch batch, int budget) {
-        for (Job job : shard.pipelines().doomed()) {
+        for (Job job : shard.pipelines().jobsToCancel()) {
             if (batch.transaction.writes().size() + 2 > budget || batch.bytes >= MAX_BYTES) {
                 return;
             }
@@ -319,18 +319,18 @@
                                 shard.recordBytes());
         batch.bytes += JsonSize.sizeInBytes(record) + RECORD_BYTES;
         batch.transaction
-                .requireRevision(job.key, job.revision())
-                .remove(job.key)
+                .requireRevision(job.recordKey, job.revision())
+                .remove(job.recordKey)
                 .put(StoreKeys.OVER + job.spec.id(), record);
     }
 
     private void putPart(WriteBatch batch, Job.Part part) {
         Job job = part.job;
         String key = StoreKeys.part(job.spec.id(), part.index);
-        List<Attempt> live = job.liveIn(part.index);
-        boolean remove = job.over() && live.isEmpty();
+        List<Attempt> live = job.liveAttemptsInPart(part.index);
+        boolean remove = job.isFinished() && live.isEmpty();
         if (remove && part.revision() == 0) {
-            part.needsNoRecord();
+            part.markRecordUnneeded();
             return;
         }
         batch.transaction.requireRevision(key, part.revision());
@@ -390,15 +390,15 @@
             shard.recorded(written.part(), written.version(), written.removed() ? 0 : revision);
         }
         for (Job job : batch.finishing) {
-            LOG.info("job {} done: {}", job.spec.id(), job.took(timers.nowSeconds(), timers.wallClockMillis()));
+            LOG.info("job {} done: {}", job.spec.id(), job.describeTimings(timers.nowSeconds(), timers.wallClockMillis()));
             shard.served().done(job, timers.wallClockMillis());
-            shard.pipelines().ended(job.spec.id(), true, timers.wallClockMillis());
+            shard.pipelines().recordOutcome(job.spec.id(), true, timers.wallClockMillis());
             shard.jobOver(job.spec.id());
             listener.over(new JobStatus(job.spec.id(), "done", job.spec.taskCount(), 0));
         }
         for (Job job : batch.cancelling) {
             LOG.info("job {} cancelled, as one that it needs was", job.spec.id());
-            shard.pipelines().ended(job.spec.id(), false, timers.wallClockMillis());
+            shard.pipelines().recordOutcome(job.spec.id(), false, timers.wallClockMillis());
             shard.jobOver(job.spec.id());
             listener.over(new JobStatus(job.spec.id(), "cancelled", 0, 0));
         }
@@ -411,7 +411,7 @@
     /** None of it was written; all of it waits again. */
     private void putBack(WriteBatch batch) {
         round = null;
-        batch.parts.forEach(written -> shard.unwritten().queue(written.part()));
+        batch.parts.forEach(written -> shard.unwritten().enqueueIfDirty(written.part()));
         for (int i = batch.riders.size() - 1; i >= 0; i--) {
             BatchContributor rider = batch.riders.get(i);
             (rider.urgent() ? riders : patient).addFirst(rider);
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -334,7 +334,7 @@
         cluster.run(20);
         ShardState shard = node.controller.shard;
         assertEquals(0, shard.jobs().size());
-        assertEquals(0, shard.unwritten().changes().size() + shard.unwritten().placings().size());
+        assertEquals(0, shard.unwritten().withOtherChanges().size() + shard.unwritten().withPlacements().size());
         assertTrue(shard.machines().size() <= 11);
         // 50 GB of images of 1 GB.
         assertTrue(
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -311,8 +311,8 @@
                             256));
         }
         double addedMs = (System.nanoTime() - began) / 1e6;
-        assertEquals(9900, shard.pipelines().held());
-        assertEquals(JobSpec.Priority.HIGH, shard.jobs().get("j-0").priority());
+        assertEquals(9900, shard.pipelines().heldJobCount());
+        assertEquals(JobSpec.Priority.HIGH, shard.jobs().get("j-0").effectivePriority());
         Scheduler scheduler = new Scheduler(shard, new Random(1), new LoopTimeAccounting(() -> 0));
         scheduler.queue(0, 20_000);
         began = System.nanoTime();
@@ -321,11 +321,11 @@
                 "10,000 jobs that wait: %.0f ms to add them all, %.1f ms for the order of service%n",
                 addedMs, (System.nanoTime() - began) / 1e6);
         for (int i = 0; i < 100; i++) {
-            shard.pipelines().ended("j-" + (100 * i), true, 30_000);
+            shard.pipelines().recordOutcome("j-" + (100 * i), true, 30_000);
         }
-        assertEquals(9800, shard.pipelines().held());
-        shard.pipelines().ended("j-101", false, 30_000);
-        assertEquals(98, shard.pipelines().doomed().size());
+        assertEquals(9800, shard.pipelines().heldJobCount());
+        shard.pipelines().recordOutcome("j-101", false, 30_000);
+        assertEquals(98, shard.pipelines().jobsToCancel().size());
     }
 
     /**
@@ -368,9 +368,9 @@
         cluster.run(10);
         assertEquals(4, cluster.onMachines("j-1") + cluster.onMachines("j-3"));
         assertTrue(
-                node.controller.shard.jobs().get("j-3").guaranteed()
-                        || node.controller.shard.jobs().get("j-1").guaranteed());
-        assertEquals(0, node.controller.shard.jobs().get("j-2").waiting());
+                node.controller.shard.jobs().get("j-3").isWithinGuarantee()
+                        || node.controller.shard.jobs().get("j-1").isWithinGuarantee());
+        assertEquals(0, node.controller.shard.jobs().get("j-2").waitingTasks());
         assertTrue(
                 cluster.workers.size() <= 4,
                 "rented for what can't start: " + cluster.workers.size());
@@ -386,7 +386,7 @@
         cluster.submit(node, array("j-3", 3));
         cluster.run(3);
         var jobs = node.controller.shard.jobs();
-        assertTrue(jobs.get("j-1").guaranteed() && jobs.get("j-3").guaranteed());
+        assertTrue(jobs.get("j-1").isWithinGuarantee() && jobs.get("j-3").isWithinGuarantee());
         holds();
     }
 
@@ -437,18 +437,18 @@
         cluster.submit(node, array("j-1", 1));
         cluster.submit(node, array("j-2", 1), "j-1");
         var jobs = node.controller.shard.jobs();
-        assertEquals(JobSpec.Priority.NORMAL, jobs.get("j-1").priority());
+        assertEquals(JobSpec.Priority.NORMAL, jobs.get("j-1").effectivePriority());
         cluster.submit(node, last, "j-2");
         cluster.run(0.5);
-        assertEquals(JobSpec.Priority.HIGH, jobs.get("j-1").priority());
+        assertEquals(JobSpec.Priority.HIGH, jobs.get("j-1").effectivePriority());
         assertTrue(jobs.get("j-1").hasDeadline());
-        double due = jobs.get("j-3").dueMs();
+        double due = jobs.get("j-3").dueMillis();
         assertTrue(
-                jobs.get("j-2").dueMs() < due - 20_000
-                        && jobs.get("j-1").dueMs() < jobs.get("j-2").dueMs() - 20_000);
+                jobs.get("j-2").dueMillis() < due - 20_000
+                        && jobs.get("j-1").dueMillis() < jobs.get("j-2").dueMillis() - 20_000);
         cluster.cancel(node, "j-3");
         cluster.run(0.5);
-        assertEquals(JobSpec.Priority.NORMAL, jobs.get("j-1").priority());
+        assertEquals(JobSpec.Priority.NORMAL, jobs.get("j-1").effectivePriority());
         assertTrue(!jobs.get("j-1").hasDeadline());
     }
 }
--- a/src/test/java/io/kitepath/core/SoundMachinesTest.java
+++ b/src/test/java/io/kitepath/core/SoundMachinesTest.java
@@ -40,7 +40,7 @@
                                 cluster.store.out
                                         && machine.proven()
                                         && machine.attempts().stream()
-                                                .anyMatch(attempt -> !attempt.seen());
+                                                .anyMatch(attempt -> !attempt.isSeen());
                     }
                 }
             }
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -168,7 +168,7 @@
         cluster.run(5);
         ShardState s = cluster.leader().controller.shard;
         assertFalse(s.machines().get("i-000000").open());
-        assertEquals(1, s.jobs().get("j-1").live().size());
+        assertEquals(1, s.jobs().get("j-1").liveAttempts().size());
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -236,7 +236,7 @@
             Job job = node == null ? null : node.controller.shard.jobs().get(id);
             return job == null
                     ? Stage.NOT_HEARD_OF
-                    : job.live().values().stream().anyMatch(Attempt::durable)
+                    : job.liveAttempts().values().stream().anyMatch(Attempt::isDurable)
                                     || cluster.store.keys.containsKey(StoreKeys.part(id, 0))
                             ? Stage.PLACED
                             : Stage.WAITING;
@@ -271,7 +271,7 @@
             mostUnwritten =
                     Math.max(
                             mostUnwritten,
-                            b.unwritten().placings().size() + b.unwritten().changes().size());
+                            b.unwritten().withPlacements().size() + b.unwritten().withOtherChanges().size());
             mostKeys =
                     Math.max(
                             mostKeys,
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -120,7 +120,7 @@
         cluster.submit(next, job("j-2", Shape.ARRAY, 12, 1));
         cluster.run(10);
         assertTrue(
-                next.controller.shard.jobs().get("j-2").live().values().stream()
+                next.controller.shard.jobs().get("j-2").liveAttempts().values().stream()
                         .noneMatch(attempt -> attempt.machine.id.equals(worker.id)));
         cluster.run(50);
         assertEquals("done", cluster.status(next, "j-2"));
@@ -190,8 +190,8 @@
                         .orElseThrow();
         assertEquals(
                 8,
-                next.controller.shard.jobs().get("j-1").live().values().stream()
-                        .filter(attempt -> attempt.seen())
+                next.controller.shard.jobs().get("j-1").liveAttempts().values().stream()
+                        .filter(attempt -> attempt.isSeen())
                         .count());
         assertEquals(8, cluster.onMachines("j-1"));
         assertEquals(
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -176,7 +176,7 @@
             if (wants) {
                 want();
             } else {
-                job.leave();
+                job.requestCancel();
             }
         }
 
--- a/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
@@ -66,7 +66,7 @@
         scheduler.queue(nowS, 1000 * nowS);
         return new ArrayList<>(
                 shard.jobs().values().stream()
-                        .filter(Job::guaranteed)
+                        .filter(Job::isWithinGuarantee)
                         .map(job -> job.spec.id())
                         .toList());
     }
--- a/src/test/java/io/kitepath/core/scheduling/HopelessTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/HopelessTest.java
@@ -99,7 +99,7 @@
         assertFalse(hopeless.contains(job(Shape.ARRAY, 1, 2, "blue", false)));
         assertFalse(hopeless.contains(job(Shape.ARRAY, 1, 2, "red", true)));
         Job guaranteed = job(Shape.ARRAY, 1, 2, "red", false);
-        guaranteed.guarantee(true);
+        guaranteed.setWithinGuarantee(true);
         assertFalse(hopeless.contains(guaranteed));
     }
 }
--- a/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
@@ -120,7 +120,7 @@
     @Test
     void theGuaranteedComeFirstWhateverTheirPriority() {
         job("j-1", 10, 10);
-        job("j-2", 10, 90).guarantee(true);
+        job("j-2", 10, 90).setWithinGuarantee(true);
         assertEquals(List.of("j-2", "j-1"), order(100, 0));
     }
 
--- a/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
@@ -49,10 +49,10 @@
         for (int i = 1; i <= 5; i++) {
             heartbeatProcessor.heartbeat(report(i, 4), true, id -> true, i);
         }
-        assertEquals(1, job.live().size());
+        assertEquals(1, job.liveAttempts().size());
         assertFalse(shard.machines().get("i-1").proven());
         heartbeatProcessor.heartbeat(report(6, 5), true, id -> true, 6);
-        assertEquals(0, job.live().size());
+        assertEquals(0, job.liveAttempts().size());
     }
 
     /**
@@ -73,7 +73,7 @@
         shard.jobOver("j-1");
         heartbeatProcessor.heartbeat(report(8, 5), true, id -> true, 2);
         heartbeatProcessor.heartbeat(report(9, 5), true, id -> true, 3);
-        assertEquals(1, job.live().size());
+        assertEquals(1, job.liveAttempts().size());
         assertEquals(1, shard.machines().get("i-1").lastReport());
     }
 
