--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -220,7 +220,7 @@
         this.retryAfter = new RetryAfter(settings, timers);
         submissions.onCancelled(
                 job -> {
-                    shard.pipelines().recordOutcome(job.jobId(), false, timers.wallClockMillis());
+                    shard.jobDependencies().recordOutcome(job.jobId(), false, timers.wallClockMillis());
                     soon();
                     siblings.announceJobEnd(job);
                 });
@@ -266,14 +266,14 @@
     /** Why the job can never run, here or in any other cell, or null if it can. */
     public String impossible(JobSpec spec) {
         return spec.reasonImpossible(
-                shard.types(),
+                shard.machineTypes(),
                 clusterWideSettings,
                 cellDirectory == null ? Set.of() : cellDirectory.zonesOfOtherCells());
     }
 
     /** The machine types, empty until they are known. */
     public Map<String, MachineType> types() {
-        return shard.types();
+        return shard.machineTypes();
     }
 
     /** A worker's report. */
@@ -361,12 +361,12 @@
     private final class Leading implements Leadership.Listener {
         @Override
         public void won(long token, long leaseId, long blockRevision) {
-            shard.hold(token);
+            shard.takeLeadership(token);
             cancellationWatermark.begin();
             cloudReconciler.hold(leaseId);
             gossip.tell();
             failover.begins(timers.nowSeconds());
-            launchesBefore = heartbeatProcessor.launches();
+            launchesBefore = heartbeatProcessor.launchCount();
             stateWriter.start(StoreKeys.BLOCKS + "all", blockRevision, Controller.this::soon);
             proof.start();
             if (!ticking) {
@@ -383,11 +383,11 @@
 
         @Override
         public void lost(String why) {
-            LOG.info(shard.served().summary());
+            LOG.info(shard.serviceLevels().summary());
             stateWriter.stop();
             proof.stop();
             scheduler.forget();
-            shard.yield();
+            shard.giveUpLeadership();
             heartbeatService.releaseAll();
             gossip.tell();
         }
@@ -445,7 +445,7 @@
     private final class Proof implements CancellationProof.Listener {
         @Override
         public void closed(String jobId) {
-            shard.jobOver(jobId);
+            shard.finishJob(jobId);
             soon();
         }
 
@@ -526,7 +526,7 @@
         }
         if (stateWriter.loaded()) {
             failover.read(timers.nowSeconds());
-            failover.look(timers.nowSeconds(), heartbeatProcessor.launches() - launchesBefore);
+            failover.look(timers.nowSeconds(), heartbeatProcessor.launchCount() - launchesBefore);
         }
         if (cellService != null && stateWriter.loaded() && leadership.inTouch()) {
             cellService.tend();
@@ -536,7 +536,7 @@
         loopTime.record(Activity.PLANNING, began);
         ticks++;
         if (ticks % SUMMARY_TICKS == 0) {
-            LOG.info(shard.served().summary());
+            LOG.info(shard.serviceLevels().summary());
         }
         if (ticks % SUMMARY_TICKS == 0 || LOG.isDebugEnabled() && ticks % 20 == 0) {
             LOG.info(
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -45,30 +45,30 @@
 
     /** Tells machines what is to stop on them and was not told them yet. */
     void send() {
-        long mine = shard.token();
-        int most = shard.facts().limits().maxSockets() / 10 - underWay;
+        long mine = shard.fencingToken();
+        int most = shard.settings().limits().maxSockets() / 10 - underWay;
         heartbeatProcessor
-                .stops(most, timers.nowSeconds())
+                .stopCommands(most, timers.nowSeconds())
                 .forEach(
                         (machine, orders) -> {
                             if (heartbeatService.release(machine.id)) {
                                 return; // Its worker hears of it in the answer that was held.
                             }
-                            machine.commanded(true);
+                            machine.setCommandInFlight(true);
                             underWay++;
                             sent++;
                             direct.send(
                                     machine.address(),
                                     mine,
-                                    machine.session(),
+                                    machine.agentIncarnation(),
                                     orders,
                                     heartbeat -> {
-                                        machine.commanded(false);
+                                        machine.setCommandInFlight(false);
                                         underWay--;
                                         if (heartbeat != null
                                                 && leadership.leading()
-                                                && shard.token() == mine) {
-                                            heartbeatProcessor.answered(
+                                                && shard.fencingToken() == mine) {
+                                            heartbeatProcessor.processCommandAnswer(
                                                     machine, heartbeat, timers.nowSeconds());
                                             changed.run();
                                         }
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -58,9 +58,9 @@
         int up = 0;
         int proven = 0;
         for (Machine machine : shard.machines().values()) {
-            boolean there = machine.proven() || machine.reported() || !machine.attempts().isEmpty();
+            boolean there = machine.isTokenConfirmed() || machine.hasReported() || !machine.attempts().isEmpty();
             up += there ? 1 : 0;
-            proven += machine.proven() ? 1 : 0;
+            proven += machine.isTokenConfirmed() ? 1 : 0;
         }
         if (Double.isNaN(halfS) && up > 0 && 2 * proven >= up) {
             halfS = now - since;
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -50,7 +50,7 @@
             BooleanSupplier holds,
             Consumer<JobStatus> ended,
             Runnable changed) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.timers = timers;
         this.siblings = siblings;
         this.leadership = leadership;
@@ -76,7 +76,7 @@
 
     void tell() {
         siblings.announceState(
-                leadership.leading() ? shard.token() : leadership.highest(),
+                leadership.leading() ? shard.fencingToken() : leadership.highest(),
                 leadership.leading() ? settings.node() : null,
                 served());
         siblings.sendCancellationDigest(cancellations.digest());
@@ -91,7 +91,7 @@
     /** Digests repeat themselves each second: only news is worth a round. */
     private void cancelled(String jobId) {
         cancellationWatermark.told(jobId);
-        if (shard.jobOver(jobId)) {
+        if (shard.finishJob(jobId)) {
             changed.run();
         }
     }
@@ -111,7 +111,7 @@
     /** A sibling's word that the store has the job's end, which never changes. */
     void toldOver(JobStatus job) {
         ended.accept(job);
-        if (shard.jobOver(job.jobId())) {
+        if (shard.finishJob(job.jobId())) {
             changed.run();
         }
     }
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -84,26 +84,26 @@
                 "machines.starting",
                 Metric.gauge(
                         "machines rented that have not reported yet",
-                        () -> machines(machine -> !machine.reported())));
+                        () -> machines(machine -> !machine.hasReported())));
         f.put(
                 "machines.late",
                 Metric.gauge(
                         "of those, later than boots take these days",
-                        () -> machines(machine -> shard.boots().late(machine, timers.nowSeconds()))));
+                        () -> machines(machine -> shard.bootTimes().isLate(machine, timers.nowSeconds()))));
         f.put(
                 "jobs.mistaken",
                 Metric.gauge(
                         "jobs that fail on every machine",
                         () ->
                                 shard.jobs().values().stream()
-                                        .filter(job -> shard.failures().mistaken(job, timers.nowSeconds()))
+                                        .filter(job -> shard.failureDiagnosis().isJobAtFault(job, timers.nowSeconds()))
                                         .count()));
-        f.put("jobs.held", Metric.gauge("jobs that wait for others", () -> shard.pipelines().heldJobCount()));
+        f.put("jobs.held", Metric.gauge("jobs that wait for others", () -> shard.jobDependencies().heldJobCount()));
         f.put(
                 "jobs.cascade",
                 Metric.gauge(
                         "jobs still to be cancelled for one that they need",
-                        () -> shard.pipelines().jobsToCancelCount()));
+                        () -> shard.jobDependencies().jobsToCancelCount()));
         f.put(
                 "jobs.narrow",
                 Metric.gauge(
@@ -126,13 +126,13 @@
                 Metric.gauge("siblings from which nothing is heard", membership::silentOnes));
         f.put(
                 "machines.set.aside",
-                Metric.gauge("machines set aside for failing", () -> machines(Machine::setAside)));
+                Metric.gauge("machines set aside for failing", () -> machines(Machine::isQuarantined)));
         f.put("checkins", Metric.counter("check-ins received", heartbeatService::received));
         f.put(
                 "checkins.relayed",
                 Metric.counter("check-ins relayed to the leader", heartbeatService::relayed));
-        f.put("attempts.ended", Metric.counter("attempts proven over", shard::ends));
-        f.put("attempts.lost", Metric.counter("attempts lost with machine or session", shard::lost));
+        f.put("attempts.ended", Metric.counter("attempts proven over", shard::attemptsEnded));
+        f.put("attempts.lost", Metric.counter("attempts lost with machine or session", shard::attemptsLost));
         f.put(
                 "attempts.evicted",
                 Metric.counter(
@@ -152,13 +152,13 @@
                 "served.least",
                 Metric.gauge(
                         "the lowest share of jobs in time, of all classes, their largest jobs, and teams as of late",
-                        () -> shard.served().leastShare()));
+                        () -> shard.serviceLevels().leastShare()));
         f.put(
                 "served.least.largest",
                 Metric.gauge(
                         "the lowest share of a class's largest jobs",
                         () ->
-                                shard.served().largest().values().stream()
+                                shard.serviceLevels().largest().values().stream()
                                         .mapToDouble(ServiceLevels.ServiceGroup::share)
                                         .min()
                                         .orElse(1)));
@@ -167,7 +167,7 @@
                 Metric.counter(
                         "jobs that were not done by the last time expected of them",
                         () ->
-                                shard.served().classes().values().stream()
+                                shard.serviceLevels().classes().values().stream()
                                         .mapToLong(ServiceLevels.ServiceGroup::missed)
                                         .sum()));
         f.put(
@@ -180,12 +180,12 @@
         f.put("scans", Metric.counter("scans of the block", () -> scheduler.placement().scans()));
         f.put(
                 "attempts.launched",
-                Metric.counter("launch orders given", heartbeatProcessor::launches));
+                Metric.counter("launch orders given", heartbeatProcessor::launchCount));
         f.put(
                 "attempts.launch.delay",
                 Metric.counter(
                         "seconds from placings to their launch orders, added up",
-                        heartbeatProcessor::launchDelayS));
+                        heartbeatProcessor::launchDelaySeconds));
         f.put("rounds.time", Metric.counter("seconds spent in placing and writing down", roundS));
         f.put("store.records", Metric.counter("records written by the holder", stateWriter::written));
         f.put(
@@ -223,14 +223,14 @@
         int[] n = new int[6];
         double used = 0;
         for (Machine machine : shard.machines().values()) {
-            n[machine.spot() ? 1 : 0]++;
-            n[2] += machine.proven() ? 0 : 1;
-            n[3] += machine.setAside() ? 1 : 0;
-            n[4] += machine.busy() ? 0 : 1;
+            n[machine.isSpot() ? 1 : 0]++;
+            n[2] += machine.isTokenConfirmed() ? 0 : 1;
+            n[3] += machine.isQuarantined() ? 1 : 0;
+            n[4] += machine.isBusy() ? 0 : 1;
             n[5] += machine.reservedFor() != null ? 1 : 0;
             used += machine.usedCpus();
         }
-        shard.served()
+        shard.serviceLevels()
                 .classes()
                 .forEach(
                         (key, group) ->
@@ -263,15 +263,15 @@
                 .append('/')
                 .append(scheduler.preemption().forGangs())
                 .append(" lost=")
-                .append(shard.lost())
+                .append(shard.attemptsLost())
                 .append(" launched=")
-                .append(heartbeatProcessor.launches())
+                .append(heartbeatProcessor.launchCount())
                 .append(" after=")
                 .append(
                         String.format(
                                 "%.2f",
-                                heartbeatProcessor.launchDelayS()
-                                        / Math.max(1, heartbeatProcessor.launches())))
+                                heartbeatProcessor.launchDelaySeconds()
+                                        / Math.max(1, heartbeatProcessor.launchCount())))
                 .toString();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -202,7 +202,7 @@
         if (borrowed.standing == LoanState.TAKEN) {
             shard.addJob(job);
         } else {
-            shard.addOver(job);
+            shard.addFinishedJob(job);
         }
     }
 
@@ -211,10 +211,10 @@
                 Job.borrowed(
                         borrowed.spec,
                         borrowed.submittedMs,
-                        shard.facts().startDeadlinesSeconds(borrowed.spec),
+                        shard.settings().startDeadlinesSeconds(borrowed.spec),
                         borrowed.key(),
                         borrowed.revision,
-                        shard.partTasks(),
+                        shard.tasksPerPart(),
                         borrowed.from,
                         borrowed.until);
         job.raiseNextAttempt(borrowed.next);
@@ -408,7 +408,7 @@
         borrowed.job.requestCancel();
         if (as == LoanState.KILLED) {
             new ArrayList<>(borrowed.job.liveAttempts().values())
-                    .forEach(attempt -> shard.stop(attempt, 0));
+                    .forEach(attempt -> shard.stopAttempt(attempt, 0));
         }
         riding.accept(
                 new StateWriter.BatchContributor() {
@@ -431,7 +431,7 @@
                     public void written(long revision) {
                         borrowed.ending = false;
                         borrowed.revision = revision;
-                        shard.jobOver(borrowed.spec.id());
+                        shard.finishJob(borrowed.spec.id());
                         LOG.info(
                                 "loan {} of cell {} is over: {}, {} of {} tasks of {} done",
                                 borrowed.number,
@@ -448,7 +448,7 @@
 
     /** Everything that has to be said, written or given back now. */
     void tend(double now) {
-        double lease = shard.facts().workers().leaseSeconds();
+        double lease = shard.settings().workers().leaseSeconds();
         for (BorrowedLoan borrowed : new ArrayList<>(guests.values())) {
             if (borrowed.ending) {
                 continue;
@@ -475,7 +475,7 @@
     }
 
     private void tell(BorrowedLoan borrowed, double now) {
-        double mostS = shard.facts().workers().leaseSeconds();
+        double mostS = shard.settings().workers().leaseSeconds();
         if (borrowed.telling
                 || now - borrowed.toldAt
                         < RetryBackoff.againS(borrowed.untold, 0.5, mostS, random)) {
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -100,9 +100,9 @@
         others.remove(cellDirectory.ownCellName());
         Map<String, Integer> zones = new HashMap<>();
         others.forEach(c -> zones.put(c, Math.max(1, cellDirectory.cells().get(c).zones().size())));
-        this.cellMembership = new CellMembership(shard.facts(), others);
+        this.cellMembership = new CellMembership(shard.settings(), others);
         this.localSummary = new LocalSummary(shard);
-        this.workOffloading = new WorkOffloading(shard.facts(), shard.types(), zones, random);
+        this.workOffloading = new WorkOffloading(shard.settings(), shard.machineTypes(), zones, random);
         this.lentTasks =
                 new LentTasks(
                         cellDirectory.ownCellName(),
@@ -120,11 +120,11 @@
         this.quotaShares =
                 new QuotaShares(
                         cellDirectory.ownCellName(), shard, riding, timers, this::askHolder, random);
-        shard.teamUse().limits(quotaShares);
+        shard.quotaUsage().setLimits(quotaShares);
         drain(cellDirectory.ownCell().isDraining());
         this.homeAssignment = new HomeAssignment(cellDirectory, store, timers);
         this.jobs = new HomeCellJobs(cellDirectory, submissions, cells, homeAssignment::agreed);
-        this.budget = new TokenBucket(Math.max(1, shard.facts().store().writesPerSecond() * SPILL_SHARE));
+        this.budget = new TokenBucket(Math.max(1, shard.settings().store().writesPerSecond() * SPILL_SHARE));
     }
 
     public void start() {
@@ -207,7 +207,7 @@
         int most = 0;
         boolean may = false;
         for (CellMessage.FreeCapacity capacity : localSummary.room()) {
-            MachineType type = shard.types().get(capacity.kind().machineType());
+            MachineType type = shard.machineTypes().get(capacity.kind().machineType());
             if (type != null && ProbePlacement.allowed(capacity.kind(), offer.spec())) {
                 may = true;
                 most +=
@@ -286,7 +286,7 @@
                 workOffloading.plan(
                         queue,
                         this::fitsHere,
-                        shard.teamUse()::left,
+                        shard.quotaUsage()::remainingTasks,
                         localSummary.cpus(),
                         cellMembership.all().values(),
                         most,
@@ -299,7 +299,7 @@
 
     /** Whether some kind of machine in this cell's zones may run the job. */
     private boolean fitsHere(JobSpec spec) {
-        for (MachineType type : shard.types().values()) {
+        for (MachineType type : shard.machineTypes().values()) {
             if (ProbePlacement.slots(spec, type) > 0) {
                 for (String zone : cellDirectory.ownCell().zones()) {
                     if (ProbePlacement.allowed(new MachineKind(type.name(), zone, false), spec)) {
@@ -308,7 +308,7 @@
                 }
             }
         }
-        return shard.types().isEmpty();
+        return shard.machineTypes().isEmpty();
     }
 
     // ---- what a new holder reads ----------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -138,8 +138,8 @@
         Job job = shard.jobs().get(id);
         if (job != null && !job.isFinished() && !job.isCancelRequested()) {
             job.requestCancel();
-            new ArrayList<>(job.liveAttempts().values()).forEach(attempt -> shard.stop(attempt, 0));
-            shard.change();
+            new ArrayList<>(job.liveAttempts().values()).forEach(attempt -> shard.stopAttempt(attempt, 0));
+            shard.requestScheduling();
             LOG.info(
                     "job {} is to be cancelled; {} loans are called back first",
                     id,
@@ -150,7 +150,7 @@
     // ---- lending --------------------------------------------------------------------------------
 
     private long nextNumber() {
-        return (shard.token() << BITS) + sequence + 1;
+        return (shard.fencingToken() << BITS) + sequence + 1;
     }
 
     /** No number below this one is out to the cell any more, nor will be. */
@@ -184,7 +184,7 @@
         }
         TaskLoan loan =
                 new TaskLoan(
-                        (shard.token() << BITS) + ++sequence,
+                        (shard.fencingToken() << BITS) + ++sequence,
                         p.to(),
                         p.from(),
                         p.until(),
@@ -274,7 +274,7 @@
     }
 
     private void tell(Job job, TaskLoan loan, double now) {
-        double mostS = shard.facts().workers().leaseSeconds();
+        double mostS = shard.settings().workers().leaseSeconds();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
         double dueS =
                 loan.isAccepted && !job.isCancelRequested()
@@ -360,11 +360,11 @@
         job.closeLoan(loan, done);
         for (int i = loan.firstTask; i < loan.endTask; i++) {
             if (job.isDone(i)) {
-                shard.unwritten().enqueueIfDirty(job.part(job.partOf(i)));
+                shard.dirtyParts().enqueueIfDirty(job.part(job.partOf(i)));
             }
         }
         job.raiseNextAttempt(status.nextAttempt());
-        shard.change();
+        shard.requestScheduling();
         if (remote != null && status.state() == LoanState.VOID) {
             remote.refused(now, random);
         }
@@ -450,7 +450,7 @@
                                 job.record()
                                         .toFinishedRecord(
                                                 Map.of("status", "cancelled", "done", 0L),
-                                                shard.facts().store().maxValueBytes());
+                                                shard.settings().store().maxValueBytes());
                         transaction
                                 .requireRevision(job.recordKey, job.revision())
                                 .requireRevision(StoreKeys.LENT + id, 0)
@@ -464,7 +464,7 @@
                     public void written(long revision) {
                         job.writingLoans(false);
                         leaving.remove(id);
-                        shard.jobOver(id);
+                        shard.finishJob(id);
                         listener.cancelled(new JobStatus(id, "cancelled", 0, 0));
                     }
                 });
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -32,13 +32,13 @@
     List<FreeCapacity> room() {
         Map<MachineKind, double[]> free = new HashMap<>();
         for (Machine machine : shard.machines().values()) {
-            MachineType type = shard.types().get(machine.type());
-            if (machine.open() && type != null && machine.reservedFor() == null) {
+            MachineType type = shard.machineTypes().get(machine.type());
+            if (machine.isSchedulable() && type != null && machine.reservedFor() == null) {
                 double[] f = free.computeIfAbsent(machine.kind(), kind -> new double[4]);
                 f[0] += type.cpus() - machine.usedCpus();
                 f[1] += type.gpus() - machine.usedGpus();
                 f[2] += type.memoryGigabytes() - machine.usedMemory();
-                f[3] += machine.busy() ? 0 : 1;
+                f[3] += machine.isBusy() ? 0 : 1;
             }
         }
         List<FreeCapacity> out = new ArrayList<>();
@@ -53,8 +53,8 @@
     double cpus() {
         double cpus = 0;
         for (Machine machine : shard.machines().values()) {
-            MachineType type = shard.types().get(machine.type());
-            cpus += machine.open() && type != null ? type.cpus() : 0;
+            MachineType type = shard.machineTypes().get(machine.type());
+            cpus += machine.isSchedulable() && type != null ? type.cpus() : 0;
         }
         return cpus;
     }
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -229,20 +229,20 @@
     }
 
     @Override
-    public double cpus(ClusterSettings.Team team) {
+    public double maxCpus(ClusterSettings.Team team) {
         long may = mayUse(team, 0);
         return may == UNLIMITED ? Double.POSITIVE_INFINITY : may / 1000.0;
     }
 
     @Override
-    public double gpus(ClusterSettings.Team team) {
+    public double maxGpus(ClusterSettings.Team team) {
         long may = mayUse(team, 1);
         return may == UNLIMITED ? Double.POSITIVE_INFINITY : may / 1000.0;
     }
 
     private long used(String team, int kind) {
-        QuotaUsage u = shard.teamUse();
-        return (long) Math.ceil((kind == 0 ? u.cpus(team) : u.gpus(team)) * 1000 - 1e-3);
+        QuotaUsage u = shard.quotaUsage();
+        return (long) Math.ceil((kind == 0 ? u.usedCpus(team) : u.usedGpus(team)) * 1000 - 1e-3);
     }
 
     // ---- what is wanted -------------------------------------------------------------------------
@@ -267,7 +267,7 @@
                 waiting.computeIfAbsent(job.spec.team(), key -> new ArrayList<>()).add(job);
             }
         }
-        for (ClusterSettings.Team team : shard.facts().teams().values()) {
+        for (ClusterSettings.Team team : shard.settings().teams().values()) {
             for (int kind = 0; kind < KINDS; kind++) {
                 if (whole(team, kind) != UNLIMITED) {
                     rows.put(
@@ -385,7 +385,7 @@
                         .mapToLong(c -> useful(c, targets))
                         .sum();
         long over =
-                holds(shard.facts().teams().get(share.team()), share.resourceKind())
+                holds(shard.settings().teams().get(share.team()), share.resourceKind())
                         - Math.max(mine, usedNow);
         if (over <= 0 || held.writing || held.out.size() >= MOST_OUT) {
             return;
@@ -405,7 +405,7 @@
         long amount = Math.min(over, useful(to, targets) - to.holds());
         OutgoingGrant outgoing =
                 new OutgoingGrant(
-                        (shard.token() << BITS) + ++sequence, to.cell(), share.resourceKind(), amount);
+                        (shard.fencingToken() << BITS) + ++sequence, to.cell(), share.resourceKind(), amount);
         held.moved[share.resourceKind()] -= amount;
         held.out.add(outgoing);
         given++;
@@ -487,7 +487,7 @@
 
     /** Nothing below this number is under way to the cell any more. */
     private long floor(String cell) {
-        long least = (shard.token() << BITS) + sequence + 1;
+        long least = (shard.fencingToken() << BITS) + sequence + 1;
         for (HeldShare h : held.values()) {
             for (OutgoingGrant outgoing : h.out) {
                 if (outgoing.to.equals(cell)) {
@@ -512,7 +512,7 @@
         if (outgoing.asking
                 || now - outgoing.askedAt
                         < RetryBackoff.againS(
-                                outgoing.unanswered, 1, shard.facts().workers().leaseSeconds(), random)) {
+                                outgoing.unanswered, 1, shard.settings().workers().leaseSeconds(), random)) {
             return;
         }
         outgoing.asking = true;
@@ -543,7 +543,7 @@
 
     /** A share of another cell's becomes ours, once. */
     void granted(QuotaGrant g, Consumer<CellMessage> answer) {
-        ClusterSettings.Team team = shard.facts().teams().get(g.team());
+        ClusterSettings.Team team = shard.settings().teams().get(g.team());
         SequenceNumbers numbers = numbers(g.fromCell());
         numbers.raise(g.lowestOpenNumber());
         String id = g.fromCell() + '/' + g.grantNumber();
@@ -581,7 +581,7 @@
                     if (who != null) {
                         who.forEach(x -> x.accept(new QuotaGrantAccepted(g.grantNumber())));
                     }
-                    shard.change();
+                    shard.requestScheduling();
                 });
     }
 
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -65,7 +65,7 @@
     public CloudIntents(
             ShardState shard, Timers timers, Consumer<StateWriter.BatchContributor> ride) {
         this.shard = shard;
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.timers = timers;
         this.ride = ride;
     }
@@ -100,7 +100,7 @@
             if (intent instanceof ReleaseIntent release) {
                 goings.put(release.key, release);
                 going.addAll(release.machines);
-                release.machines.forEach(shard::goes);
+                release.machines.forEach(shard::markForRelease);
             } else if (intent instanceof RentalIntent rental) {
                 rentals.put(rental.key, rental);
                 known(rental);
@@ -130,7 +130,7 @@
     private void known(RentalIntent rental) {
         double now = timers.nowSeconds();
         double since = now - Math.max(0, timers.wallClockMillis() - rental.askedMs()) / 1000;
-        rental.machines().forEach(m -> shard.rented(m, rental.kind, now, since));
+        rental.machines().forEach(m -> shard.addRentedMachine(m, rental.kind, now, since));
     }
 
     /**
@@ -173,7 +173,7 @@
                         "r-" + names + ++named,
                         kind,
                         Math.min(MOST_RENTED, count),
-                        shard.token(),
+                        shard.fencingToken(),
                         timers.wallClockMillis());
         rentals.put(rental.key, rental);
         asked++;
@@ -210,7 +210,7 @@
 
     private boolean seen(String machine) {
         Machine m = shard.machines().get(machine);
-        return m == null || m.listed();
+        return m == null || m.isListed();
     }
 
     // ---- giving back ----------------------------------------------------------------------------
@@ -234,10 +234,10 @@
         if (batch.isEmpty()) {
             return;
         }
-        ReleaseIntent release = new ReleaseIntent(names + ++named, batch, shard.token());
+        ReleaseIntent release = new ReleaseIntent(names + ++named, batch, shard.fencingToken());
         goings.put(release.key, release);
         going.addAll(batch);
-        batch.forEach(shard::goes);
+        batch.forEach(shard::markForRelease);
         asked++;
         write(release, goings);
     }
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -69,7 +69,7 @@
             Timers timers,
             BooleanSupplier leading,
             Runnable changed) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.shard = shard;
         this.scalingPlanner = scalingPlanner;
         this.intents = intents;
@@ -96,7 +96,7 @@
      * cloud.
      */
     public void learnTypes() {
-        if (!shard.types().isEmpty()) {
+        if (!shard.machineTypes().isEmpty()) {
             return;
         }
         store.get(
@@ -108,8 +108,8 @@
                                 DocumentReader.of(entry.value()).children("types")) {
                             known.add(MachineType.fromRecord(document));
                         }
-                        if (shard.types().isEmpty()) {
-                            shard.learn(known);
+                        if (shard.machineTypes().isEmpty()) {
+                            shard.setMachineTypes(known);
                         }
                         typesStored = true;
                     } else {
@@ -126,7 +126,7 @@
         cloud.listMachineTypes(
                 (outcome, list) -> {
                     if (outcome == Outcome.OK && !list.isEmpty()) {
-                        shard.learn(list);
+                        shard.setMachineTypes(list);
                         typesAt = timers.nowSeconds();
                         storeTypes(list);
                     }
@@ -165,7 +165,7 @@
         if (!mayPlan) {
             return;
         }
-        if (shard.types().isEmpty() || listedAt < leadingSince) {
+        if (shard.machineTypes().isEmpty() || listedAt < leadingSince) {
             return;
         }
         if (wishes.available(now) < 1 || now - plannedAt < settings.workers().heartbeatIntervalSeconds() / 8) {
@@ -208,23 +208,23 @@
     }
 
     private void gone(List<String> machines) {
-        machines.forEach(m -> shard.machineGone(m, timers.nowSeconds()));
+        machines.forEach(m -> shard.removeMachine(m, timers.nowSeconds()));
         changed.run();
     }
 
     private boolean holds(long token) {
-        return leading.getAsBoolean() && shard.token() == token;
+        return leading.getAsBoolean() && shard.fencingToken() == token;
     }
 
     private void list() {
         listing = true;
-        long mine = shard.token();
+        long mine = shard.fencingToken();
         cloud.listMachines(
                 (outcome, list) -> {
                     listing = false;
                     listedAt = timers.nowSeconds();
                     if (outcome == Outcome.OK && holds(mine)) {
-                        shard.listed(list, timers.nowSeconds());
+                        shard.applyCloudList(list, timers.nowSeconds());
                         intents.listed();
                     }
                 });
--- a/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -28,7 +28,7 @@
     private final Map<MachineKind, Integer> counts = new HashMap<>();
 
     InstanceSelection(ShardState shard) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.shard = shard;
     }
 
@@ -36,7 +36,7 @@
     void survey() {
         counts.clear();
         for (Machine machine : shard.machines().values()) {
-            if (machine.type() != null && shard.types().containsKey(machine.type())) {
+            if (machine.type() != null && shard.machineTypes().containsKey(machine.type())) {
                 counts.merge(machine.kind(), 1, Integer::sum);
             }
         }
@@ -68,7 +68,7 @@
             JobSpec spec, Predicate<String> zones, Map<MachineKind, Integer> rent, double now) {
         MachineKind best = null;
         double bestPrice = 0;
-        for (MachineType type : shard.types().values()) {
+        for (MachineType type : shard.machineTypes().values()) {
             if (ProbePlacement.slots(spec, type) < 1) {
                 continue;
             }
@@ -95,7 +95,7 @@
     MachineKind cheapestByCpu(Map<MachineKind, Integer> rent, double now) {
         MachineKind best = null;
         double bestPrice = 0;
-        for (MachineType type : shard.types().values()) {
+        for (MachineType type : shard.machineTypes().values()) {
             for (String z : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     MachineKind kind = new MachineKind(type.name(), z, spot);
@@ -123,7 +123,7 @@
     }
 
     boolean spotToBeHad(JobSpec spec, double now) {
-        return shard.types().values().stream()
+        return shard.machineTypes().values().stream()
                 .anyMatch(
                         type -> ProbePlacement.slots(spec, type) > 0 && cheaperToBeHad(type, now));
     }
--- a/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -13,7 +13,7 @@
     private double since;
 
     MachineLiveness(ShardState shard) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.shard = shard;
     }
 
@@ -27,11 +27,11 @@
 
     /** Up or coming, and not on its way out. */
     static boolean usable(Machine machine) {
-        return !machine.releasing()
-                && !machine.gone()
-                && !machine.setAside()
-                && !machine.deafToAnswers()
-                && !machine.recalled();
+        return !machine.isReleasing()
+                && !machine.isGone()
+                && !machine.isQuarantined()
+                && !machine.isMissingAnswers()
+                && !machine.hasInterruptionNotice();
     }
 
     /**
@@ -40,11 +40,11 @@
      * work that they have room for.
      */
     boolean mayBeOverdue(Machine machine, double now) {
-        return !machine.reported() && machine.attempts().isEmpty() && now - since > silenceS();
+        return !machine.hasReported() && machine.attempts().isEmpty() && now - since > silenceS();
     }
 
     boolean late(Machine machine, double now) {
-        return mayBeOverdue(machine, now) && shard.boots().late(machine, now);
+        return mayBeOverdue(machine, now) && shard.bootTimes().isLate(machine, now);
     }
 
     /**
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -26,7 +26,7 @@
     private final MachineLiveness presence;
 
     ScaleIn(ShardState shard, InstanceSelection market, MachineLiveness presence) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.shard = shard;
         this.market = market;
         this.presence = presence;
@@ -46,17 +46,17 @@
         int unheard = 0;
         Set<Machine> mute = new HashSet<>();
         for (Machine machine : shard.machines().values()) {
-            if (machine.reported() || !machine.attempts().isEmpty()) {
+            if (machine.hasReported() || !machine.attempts().isEmpty()) {
                 up++;
                 double since =
-                        machine.reported()
-                                ? Math.max(machine.lastReport(), presence.since())
+                        machine.hasReported()
+                                ? Math.max(machine.lastHeartbeatAt(), presence.since())
                                 : presence.since();
                 if (now - since > silence) {
                     silent++;
                     mute.add(machine);
                 }
-                unheard += deafForLong(machine, now) && !machine.proven() ? 1 : 0;
+                unheard += deafForLong(machine, now) && !machine.isTokenConfirmed() ? 1 : 0;
             }
         }
         // Guards against a holder that is cut off from workers itself: if several fall silent
@@ -68,66 +68,66 @@
         List<String> out = new ArrayList<>();
         double spare = spareCpus;
         for (Machine machine : shard.machines().values()) {
-            MachineType type = machine.type() == null ? null : shard.types().get(machine.type());
-            boolean give = machine.releasing();
+            MachineType type = machine.type() == null ? null : shard.machineTypes().get(machine.type());
+            boolean give = machine.isReleasing();
             boolean surplus =
                     type != null
                             && !presence.late(machine, now)
                             && spare >= type.cpus()
                             && !kept.contains(machine)
                             && machine.reservedFor() == null;
-            if (!machine.spot()
+            if (!machine.isSpot()
                     && machine.attempts().stream().anyMatch(attempt -> !attempt.job.spec.allowsSpot())) {
-                machine.needed(now);
+                machine.markNeeded(now);
             }
-            machine.drain(
+            machine.setDraining(
                     surplus
-                            && machine.proven()
-                            && !machine.spot()
-                            && machine.neededAt() < now
+                            && machine.isTokenConfirmed()
+                            && !machine.isSpot()
+                            && machine.lastNeededAt() < now
                             && market.cheaperToBeHad(type, now));
             if (mute.contains(machine)) {
                 double quiet =
                         now
                                 - Math.max(
                                         presence.since(),
-                                        machine.reported()
-                                                ? machine.lastReport()
+                                        machine.hasReported()
+                                                ? machine.lastHeartbeatAt()
                                                 : presence.since());
                 give |= few || some && quiet > 1.5 * lease || quiet > 3 * lease;
             } else if (type != null
                     && presence.mayBeOverdue(machine, now)
-                    && shard.boots().hopeless(machine, now)) {
+                    && shard.bootTimes().isHopeless(machine, now)) {
                 give = true;
-                if (!machine.releasing()) {
+                if (!machine.isReleasing()) {
                     market.refused(machine.kind(), now); // Where boots fail, others come first.
                 }
-            } else if (machine.proven() && !machine.busy() && !machine.awaitsRecords()) {
-                give |= machine.setAside() || deafForLong(machine, now);
+            } else if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUnwrittenEnds()) {
+                give |= machine.isQuarantined() || deafForLong(machine, now);
                 give |=
                         surplus
-                                && now - machine.neededAt() > type.bootSeconds()
-                                && (machine.draining() || idleTooLong(machine, type, now));
-            } else if (!machine.proven() && deafForLong(machine, now)) {
+                                && now - machine.lastNeededAt() > type.bootSeconds()
+                                && (machine.isDraining() || idleTooLong(machine, type, now));
+            } else if (!machine.isTokenConfirmed() && deafForLong(machine, now)) {
                 // What an earlier holder left on it can't be proven over by a report. Not if it is
                 // most of them: then it is hardly they who hear nothing.
                 give |= unheard * 2 <= up;
             }
-            if (surplus && (give || machine.draining())) {
+            if (surplus && (give || machine.isDraining())) {
                 spare -= type.cpus();
             }
             if (give) {
-                if (!machine.releasing()) {
+                if (!machine.isReleasing()) {
                     LOG.info(
                             "giving back {}: {}",
                             machine.id,
                             mute.contains(machine)
                                     ? "silent"
-                                    : machine.setAside()
+                                    : machine.isQuarantined()
                                             ? "set aside"
-                                            : machine.deafToAnswers()
+                                            : machine.isMissingAnswers()
                                                     ? "no answer reaches it"
-                                                    : machine.reported()
+                                                    : machine.hasReported()
                                                             ? "idle"
                                                             : "never came up");
                 }
@@ -139,7 +139,7 @@
     }
 
     private boolean deafForLong(Machine machine, double now) {
-        return machine.deafS(now) > DEAF_LEASES * settings.workers().leaseSeconds();
+        return machine.missingAnswersSeconds(now) > DEAF_LEASES * settings.workers().leaseSeconds();
     }
 
     /**
@@ -151,17 +151,17 @@
     void clear(double now, double wallMs) {
         double room = 0;
         for (Machine machine : shard.machines().values()) {
-            MachineType type = shard.types().get(machine.type());
-            if (machine.spot() && machine.open() && type != null) {
+            MachineType type = shard.machineTypes().get(machine.type());
+            if (machine.isSpot() && machine.isSchedulable() && type != null) {
                 room += type.cpus() - machine.usedCpus();
             }
         }
         for (Machine machine : shard.machines().values()) {
-            MachineType type = shard.types().get(machine.type());
-            if (!machine.draining()
-                    || machine.releasing()
+            MachineType type = shard.machineTypes().get(machine.type());
+            if (!machine.isDraining()
+                    || machine.isReleasing()
                     || machine.attempts().isEmpty()
-                    || now - machine.neededAt() <= type.bootSeconds()
+                    || now - machine.lastNeededAt() <= type.bootSeconds()
                     || machine.usedCpus() > room
                     || !worthMoving(machine, type, now, wallMs)) {
                 continue;
@@ -169,7 +169,7 @@
             room -= machine.usedCpus();
             LOG.debug("clearing {} of {} tasks", machine.id, machine.attempts().size());
             for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-                shard.stop(attempt, attempt.job.spec.stopGraceSeconds());
+                shard.stopAttempt(attempt, attempt.job.spec.stopGraceSeconds());
             }
         }
     }
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -42,7 +42,7 @@
     private double spotBacklog;
 
     public ScalingPlanner(ShardState shard, Scheduler scheduler) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.shard = shard;
         this.scheduler = scheduler;
         this.market = new InstanceSelection(shard);
@@ -80,7 +80,7 @@
         market.survey();
         usableCpus = 0;
         for (Machine machine : shard.machines().values()) {
-            MachineType type = machine.type() == null ? null : shard.types().get(machine.type());
+            MachineType type = machine.type() == null ? null : shard.machineTypes().get(machine.type());
             if (type == null) {
                 continue;
             }
@@ -90,7 +90,7 @@
         }
         spotBacklog = 0;
         for (Job job : shard.jobs().values()) {
-            if (job.spec.allowsSpot() && !shard.failures().mistaken(job, now)) {
+            if (job.spec.allowsSpot() && !shard.failureDiagnosis().isJobAtFault(job, now)) {
                 spotBacklog += job.waitingTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
             }
         }
@@ -103,7 +103,7 @@
     private List<FreeCapacity> rooms(double now, JobSpec forNow) {
         List<FreeCapacity> rooms = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
-            MachineType type = machine.type() == null ? null : shard.types().get(machine.type());
+            MachineType type = machine.type() == null ? null : shard.machineTypes().get(machine.type());
             if (type == null || !MachineLiveness.usable(machine) || presence.late(machine, now)) {
                 continue;
             }
@@ -135,7 +135,7 @@
             List<Job> queue, Map<MachineKind, Integer> rent, double now, double wallMs) {
         Set<Machine> kept = new HashSet<>();
         double boot =
-                shard.types().values().stream().mapToDouble(MachineType::bootSeconds).min().orElse(0);
+                shard.machineTypes().values().stream().mapToDouble(MachineType::bootSeconds).min().orElse(0);
         for (ClusterSettings.Objective objective : settings.objectives()) {
             boolean wait =
                     objective.kind().equals("wait")
@@ -148,7 +148,7 @@
                                                             .equals(objective.jobClass()));
             JobSpec typical =
                     wait || objective.kind().equals("deadline")
-                            ? shard.lately()
+                            ? shard.recentArrivals()
                                     .typicalSpec(objective.jobClass(), objective.targetShare(), wallMs, boot)
                             : null;
             if (typical == null) {
@@ -164,7 +164,7 @@
                                 Math.max(
                                         1,
                                         boot
-                                                * shard.lately()
+                                                * shard.recentArrivals()
                                                         .jobsPerSecond(objective.jobClass(), wallMs)));
                 atOnce = (int) Math.ceil(spread * typical.taskCount() / rounds);
             }
@@ -209,7 +209,7 @@
             if (kind == null || !worth.test(kind)) {
                 break;
             }
-            FreeCapacity capacity = new FreeCapacity(shard.types().get(kind.machineType()), kind, null);
+            FreeCapacity capacity = new FreeCapacity(shard.machineTypes().get(kind.machineType()), kind, null);
             int n = capacity.take(spec, Math.min(left, zones.left(kind.zone())), false);
             if (n == 0) {
                 break;
@@ -239,7 +239,7 @@
     private void floor(Map<MachineKind, Integer> rent, double now) {
         double missing = guaranteedCpus() - usableCpus;
         for (Map.Entry<MachineKind, Integer> e : rent.entrySet()) {
-            missing -= e.getValue() * shard.types().get(e.getKey().machineType()).cpus();
+            missing -= e.getValue() * shard.machineTypes().get(e.getKey().machineType()).cpus();
         }
         while (missing > 0) {
             MachineKind best = market.cheapestByCpu(rent, now);
@@ -247,7 +247,7 @@
                 return;
             }
             rent.merge(best, 1, Integer::sum);
-            missing -= shard.types().get(best.machineType()).cpus();
+            missing -= shard.machineTypes().get(best.machineType()).cpus();
         }
     }
 
@@ -257,11 +257,11 @@
             Map<MachineKind, Integer> rent,
             double now,
             double wallMs) {
-        if (shard.failures().mistaken(job, now)) {
+        if (shard.failureDiagnosis().isJobAtFault(job, now)) {
             return; // It is tried in what is free anyway.
         }
         JobSpec spec = job.spec;
-        int waiting = Math.min(job.waitingTasks(), shard.teamUse().left(spec));
+        int waiting = Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(spec));
         if (spec.isGang()) {
             waiting = waiting == spec.taskCount() ? waiting : 0;
         } else if (spec.shape() == JobSpec.Shape.ARRAY) {
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -113,7 +113,7 @@
             return false;
         }
         int need =
-                spec.isGang() ? job.waitingTasks() : Math.min(job.waitingTasks(), shard.teamUse().left(spec));
+                spec.isGang() ? job.waitingTasks() : Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(spec));
         ZoneConstraints bounds = ZoneConstraints.of(job);
         Map<String, List<Offer>> byZone = new LinkedHashMap<>();
         for (Machine machine : open) {
@@ -138,7 +138,7 @@
         if (best != null) {
             for (Offer candidate : best) {
                 if (!small || outranked(job, candidate.machine)) {
-                    candidate.machine.reserve(job, now + 2 * shard.facts().workers().heartbeatIntervalSeconds());
+                    candidate.machine.reserve(job, now + 2 * shard.settings().workers().heartbeatIntervalSeconds());
                 }
                 need -= evict(job, candidate, need);
             }
@@ -162,7 +162,7 @@
         String where = null;
         for (String zone : zones) {
             if (keepers.getOrDefault(zone, 0)
-                    >= (zone.isEmpty() ? shard.facts().zones().size() : 1)) {
+                    >= (zone.isEmpty() ? shard.settings().zones().size() : 1)) {
                 continue;
             }
             List<Gap> gaps = new ArrayList<>();
@@ -183,7 +183,7 @@
             return false;
         }
         double from = now + last(best);
-        best.forEach(g -> g.machine.keepFor(job, from));
+        best.forEach(g -> g.machine.reserveAllowingBackfill(job, from));
         keepers.merge(where, 1, Integer::sum);
         return true;
     }
@@ -247,14 +247,14 @@
         if (!small(job.spec)) {
             return false;
         }
-        double reportMs = 1000 * shard.facts().workers().heartbeatIntervalSeconds();
+        double reportMs = 1000 * shard.settings().workers().heartbeatIntervalSeconds();
         // Guards against work stopped half done for a stage that is only as urgent as the one
         // behind it, and has time.
         boolean early =
                 job.effectivePriority() != job.spec.priority()
                         && wallMs
                                         + PATIENCE * reportMs
-                                        + 1000 * shard.leads().mostS(job.spec.jobClass())
+                                        + 1000 * shard.startLatencies().upperEstimateSeconds(job.spec.jobClass())
                                 < job.startGoalMillis(0);
         return early || wallMs - job.eligibleSinceMillis() < PATIENCE * reportMs;
     }
@@ -331,21 +331,21 @@
                                 ? 0
                                 : spec.cpusPerTask()
                                         * (attempt.unsavedSeconds(now)
-                                                + shard.facts().workers().heartbeatIntervalSeconds());
+                                                + shard.settings().workers().heartbeatIntervalSeconds());
             }
         }
         return sum;
     }
 
-    private Offer offer(Job job, Machine m, Giving giving, double now) {
-        double[] sum = giving.sums.computeIfAbsent(m, k -> sums(job, m, giving, now));
+    private Offer offer(Job job, Machine machine, Giving giving, double now) {
+        double[] sum = giving.sums.computeIfAbsent(machine, k -> sums(job, machine, giving, now));
         double loss = sum[3];
-        MachineType type = shard.types().get(m.type());
-        int stopping = probePlacement.freeSlots(m, job.spec, sum[0], sum[1], sum[2]);
-        if (!m.has(job.spec.image()) && type.fetchGigabytesPerSecond() > 0) {
+        MachineType type = shard.machineTypes().get(machine.type());
+        int stopping = probePlacement.freeSlots(machine, job.spec, sum[0], sum[1], sum[2]);
+        if (!machine.hasImage(job.spec.image()) && type.fetchGigabytesPerSecond() > 0) {
             loss += stopping * job.spec.cpusPerTask() * job.spec.imageGigabytes() / type.fetchGigabytesPerSecond();
         }
-        return new Offer(m, probePlacement.freeSlots(m, job.spec, 0, 0, 0), stopping, loss);
+        return new Offer(machine, probePlacement.freeSlots(machine, job.spec, 0, 0, 0), stopping, loss);
     }
 
     private boolean mayEvict(Job job, Attempt victim) {
@@ -377,12 +377,12 @@
      * the other is within its.
      */
     private boolean borrows(Job job, Job other, double own) {
-        ClusterSettings.Team team = shard.facts().teams().get(job.spec.team());
+        ClusterSettings.Team team = shard.settings().teams().get(job.spec.team());
         return other.isWithinGuarantee()
                 && !job.isWithinGuarantee()
                 && !job.spec.team().equals(other.spec.team())
                 && team != null
-                && shard.teamUse().cpus(job.spec.team()) - own >= team.guaranteedCpus();
+                && shard.quotaUsage().usedCpus(job.spec.team()) - own >= team.guaranteedCpus();
     }
 
     /**
@@ -423,7 +423,7 @@
                 break;
             }
             boolean written = attempt.isDurable();
-            shard.stop(attempt, attempt.job.spec.stopGraceSeconds());
+            shard.stopAttempt(attempt, attempt.job.spec.stopGraceSeconds());
             evictions++;
             forGangs += small(job.spec) ? 0 : 1;
             forGuarantees += attempt.job.effectivePriority().compareTo(job.effectivePriority()) > 0 ? 0 : 1;
@@ -441,6 +441,6 @@
     }
 
     private double smallestMachine() {
-        return shard.types().values().stream().mapToDouble(MachineType::cpus).min().orElse(0);
+        return shard.machineTypes().values().stream().mapToDouble(MachineType::cpus).min().orElse(0);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -63,7 +63,7 @@
     /** Whether the machine may run the task by everything but its present load. */
     boolean allowed(Machine machine, JobSpec spec) {
         return types.containsKey(machine.type())
-                && allowed(machine.type(), machine.zone(), machine.spot(), spec);
+                && allowed(machine.type(), machine.zone(), machine.isSpot(), spec);
     }
 
     /** Whether machines of that kind may run the job. */
@@ -130,7 +130,7 @@
             }
             // Work that may use spot machines leaves the others to work that may not; but with a
             // deadline there is no time to fetch an image on the one while the other has it.
-            stages.add(machine -> machine.spot() && holds(machine));
+            stages.add(machine -> machine.isSpot() && holds(machine));
             if (spec.deadlineSeconds() != null) {
                 stages.add(this::holds);
             }
@@ -142,7 +142,7 @@
             elsewhereToo = false;
             boolean hurried = spec.deadlineSeconds() != null;
             if (!enoughHold()) {
-                elsewhere(Machine::spot);
+                elsewhere(Machine::isSpot);
             }
             if (!hurried) {
                 stages.add(this::holds);
@@ -154,12 +154,12 @@
                 stages.add(
                         machine ->
                                 2 * machine.usedCpus() <= types.get(machine.type()).cpus()
-                                        && (machine.fetches(spec.image()) || !machine.fetches()));
+                                        && (machine.isFetching(spec.image()) || !machine.isFetching()));
             }
         }
 
         private boolean holds(Machine machine) {
-            return machine.has(spec.image());
+            return machine.hasImage(spec.image());
         }
 
         /**
@@ -167,8 +167,8 @@
          * else, since images that are fetched at the same time may share the machine's rate.
          */
         private void elsewhere(Predicate<Machine> of) {
-            stages.add(machine -> of.test(machine) && machine.fetches(spec.image()));
-            stages.add(machine -> of.test(machine) && !machine.fetches());
+            stages.add(machine -> of.test(machine) && machine.isFetching(spec.image()));
+            stages.add(machine -> of.test(machine) && !machine.isFetching());
             stages.add(of);
         }
 
@@ -182,13 +182,13 @@
             if (enough == null) {
                 double slots = 0;
                 for (Machine machine : candidates) {
-                    if (holds(machine) || machine.fetches(spec.image())) {
+                    if (holds(machine) || machine.isFetching(spec.image())) {
                         MachineType type = types.get(machine.type());
                         slots +=
                                 most(
                                         spec,
                                         Integer.MAX_VALUE,
-                                        type.cpus() - machine.boundCpus(),
+                                        type.cpus() - machine.nonSpotCpus(),
                                         type.gpus(),
                                         type.memoryGigabytes());
                     }
@@ -268,7 +268,7 @@
             this.spec = spec;
             this.from = from;
             for (Machine machine : from) {
-                if (machine.holdingCpus() > 0) {
+                if (machine.cpusJustifyingRental() > 0) {
                     used.add(machine);
                 }
             }
@@ -304,10 +304,10 @@
                         order.add(machine);
                         score.put(
                                 machine,
-                                (machine.holdingCpus() + machine.usedCpus() / 4)
+                                (machine.cpusJustifyingRental() + machine.usedCpus() / 4)
                                                 / types.get(machine.type()).cpus()
-                                        + (machine.has(spec.image()) ? 1 : 0)
-                                        - (spec.allowsSpot() && !machine.spot()
+                                        + (machine.hasImage(spec.image()) ? 1 : 0)
+                                        - (spec.allowsSpot() && !machine.isSpot()
                                                 ? worthKeeping(machine)
                                                 : 0));
                     }
@@ -333,7 +333,7 @@
             from.set(j, from.get(i));
             from.set(i, machine);
             probes++;
-            if (machine.unconfirmed() < THRESHOLD && room(machine, spec)) {
+            if (machine.unconfirmedStarts() < THRESHOLD && room(machine, spec)) {
                 passed++;
                 return machine;
             }
@@ -398,18 +398,18 @@
         List<Machine> found = new ArrayList<>();
         Map<String, Integer> perZone = new HashMap<>();
         for (int i = 0; i < spec.taskCount(); i++) {
-            Machine m = search.next();
-            if (m == null) {
+            Machine machine = search.next();
+            if (machine == null) {
                 break;
             }
-            m.expect(spec, 1);
-            found.add(m);
-            if (perZone.merge(m.zone(), 1, Integer::sum) >= spec.maxTasksPerZone()) {
-                search = search.within(x -> !x.zone().equals(m.zone()));
+            machine.countTentatively(spec, 1);
+            found.add(machine);
+            if (perZone.merge(machine.zone(), 1, Integer::sum) >= spec.maxTasksPerZone()) {
+                search = search.within(x -> !x.zone().equals(machine.zone()));
             }
         }
-        for (Machine m : found) {
-            m.expect(spec, -1);
+        for (Machine machine : found) {
+            machine.countTentatively(spec, -1);
         }
         return found.size() == spec.taskCount() ? found : null;
     }
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -53,7 +53,7 @@
     public Scheduler(ShardState shard, Random random, LoopTimeAccounting loopTime) {
         this.shard = shard;
         this.loopTime = loopTime;
-        this.probePlacement = new ProbePlacement(random, shard.types());
+        this.probePlacement = new ProbePlacement(random, shard.machineTypes());
         this.preemption = new Preemption(shard, probePlacement);
         this.standby = new WarmReserve(shard, probePlacement);
     }
@@ -89,11 +89,11 @@
         // Guards against a round of which most goes into sorting thousands of jobs that wait for
         // others.
         List<Job> all = shard.jobs().values().stream().filter(job -> !job.isHeld()).toList();
-        shard.served().look(all, spec -> shard.leads().mostS(spec.jobClass()), wallMs);
+        shard.serviceLevels().update(all, spec -> shard.startLatencies().upperEstimateSeconds(spec.jobClass()), wallMs);
         markGuaranteed(all);
         Map<MachineKind, Integer> open = new HashMap<>();
         for (Machine machine : shard.machines().values()) {
-            if (machine.open() && shard.types().containsKey(machine.type())) {
+            if (machine.isSchedulable() && shard.machineTypes().containsKey(machine.type())) {
                 open.merge(machine.kind(), 1, Integer::sum);
             }
         }
@@ -101,13 +101,13 @@
         List<Job> good = new ArrayList<>();
         List<Job> mistaken = new ArrayList<>();
         for (Job job : all) {
-            (shard.failures().mistaken(job, now) ? mistaken : good).add(job);
+            (shard.failureDiagnosis().isJobAtFault(job, now) ? mistaken : good).add(job);
         }
         List<Job> order =
                 new SchedulingQueue(
                                 spec -> capacity(spec, open),
-                                spec -> shard.leads().mostS(spec.jobClass()),
-                                shard.served()::standing,
+                                spec -> shard.startLatencies().upperEstimateSeconds(spec.jobClass()),
+                                shard.serviceLevels()::catchUpShare,
                                 now,
                                 wallMs)
                         .of(good);
@@ -135,7 +135,7 @@
                                 (job.spec.isGang() || job.spec.isSingleZone())
                                         && job.eligibleSinceMillis() < since
                                         && !job.hasStarted()
-                                        && shard.served().largest(job.spec))
+                                        && shard.serviceLevels().largest(job.spec))
                 .min(Comparator.comparingDouble(Job::eligibleSinceMillis))
                 .ifPresent(
                         job -> {
@@ -152,7 +152,7 @@
                 cpus +=
                         e.getValue()
                                 * spec.cpusPerTask()
-                                * ProbePlacement.most(spec, shard.types().get(e.getKey().machineType()));
+                                * ProbePlacement.most(spec, shard.machineTypes().get(e.getKey().machineType()));
             }
         }
         return cpus;
@@ -179,7 +179,7 @@
         // little, its jobs come before other unpromised ones, the least served first: else the
         // class with the largest jobs would never have its turn.
         Map<Job, Double> standing = new IdentityHashMap<>();
-        jobs.forEach(job -> standing.put(job, shard.served().standing(job.spec)));
+        jobs.forEach(job -> standing.put(job, shard.serviceLevels().catchUpShare(job.spec)));
         jobs.sort(
                 Comparator.comparingInt(
                                 (Job job) -> job.hasMissedAllGoals() ? 2 : job.wasWithinGuaranteeOnArrival() ? 0 : 1)
@@ -206,7 +206,7 @@
      * guarantee.
      */
     private boolean claim(Job job, Map<String, double[]> claimed) {
-        ClusterSettings.Team team = shard.facts().teams().get(job.spec.team());
+        ClusterSettings.Team team = shard.settings().teams().get(job.spec.team());
         if (job.isFinished() || team == null || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
             return false;
         }
@@ -221,9 +221,9 @@
      * written.
      */
     public int place(double now, double wallMs, int most) {
-        shard.beginRound(now);
+        shard.beginSchedulingRound(now);
         preemption.beginRound();
-        List<Machine> open = shard.machines().values().stream().filter(Machine::open).toList();
+        List<Machine> open = shard.machines().values().stream().filter(Machine::isSchedulable).toList();
         standby.choose(open, wallMs);
         roomless.clear();
         hopeless.clear();
@@ -231,9 +231,9 @@
         open.forEach(machine -> expected.add(machine.reservedFor()));
         int placed = 0;
         for (Job job : queue(now, wallMs)) {
-            shard.waits();
+            shard.markBacklog();
             if (placed >= most) {
-                shard.change();
+                shard.requestScheduling();
                 break;
             }
             if (now >= job.notBefore()) {
@@ -272,8 +272,8 @@
         boolean wants =
                 job.waitingTasks() > 0
                         && placed < most
-                        && !shard.failures().mistaken(job, now)
-                        && shard.teamUse().left(job.spec) >= (gang ? job.spec.taskCount() : 1);
+                        && !shard.failureDiagnosis().isJobAtFault(job, now)
+                        && shard.quotaUsage().remainingTasks(job.spec) >= (gang ? job.spec.taskCount() : 1);
         // Guards against a job whose records are full for now, although machines are idle, which
         // speaks for all others that would fit there: hundreds of tasks waited behind it.
         if (!wants || full) {
@@ -314,11 +314,11 @@
             Job heir = machine.reservedFor();
             if ((heir == null
                             || heir == job
-                            || machine.kept()
-                                    && (preemption.yields(job, heir) || machine.keptFree(job, now)))
+                            || machine.isBackfillAllowed()
+                                    && (preemption.yields(job, heir) || machine.mayBackfill(job, now)))
                     && probePlacement.allowed(machine, spec)
                     && zones.left(machine.zone()) > 0
-                    && !(machine.draining() && spec.allowsSpot())
+                    && !(machine.isDraining() && spec.allowsSpot())
                     && !standby.keepsFrom(machine, job)) {
                 (!anew && job.failedMachines().contains(machine.id) ? failed : out).add(machine);
             }
@@ -330,8 +330,8 @@
 
     private int placeTasks(Job job, List<Machine> open, double now, int most) {
         JobSpec spec = job.spec;
-        int n = Math.min(most, shard.teamUse().left(spec));
-        if (shard.failures().mistaken(job, now)) {
+        int n = Math.min(most, shard.quotaUsage().remainingTasks(spec));
+        if (shard.failureDiagnosis().isJobAtFault(job, now)) {
             n = Math.min(n, job.liveAttempts().isEmpty() ? 1 : 0);
         }
         int placed = 0;
@@ -339,7 +339,7 @@
         // room for a task: that is so for all of hundreds of jobs on a full fleet, whatever image
         // they need.
         if (open.stream()
-                .noneMatch(m -> probePlacement.allowed(m, spec) && probePlacement.room(m, spec))) {
+                .noneMatch(machine -> probePlacement.allowed(machine, spec) && probePlacement.room(machine, spec))) {
             return 0;
         }
         ZoneConstraints zones = ZoneConstraints.of(job);
@@ -348,13 +348,13 @@
         heldOut = search.holdsOut();
         if (spec.isSingleZone() && !zones.decided()) {
             String zone = probePlacement.roomiest(spec, Math.min(n, job.waitingTasks()), candidates);
-            search = search.within(m -> m.zone().equals(zone));
+            search = search.within(machine -> machine.zone().equals(zone));
         }
         for (int t = job.nextWaitingTask(0); t >= 0 && placed < n; t = job.nextWaitingTask(t + 1)) {
-            if (!shard.recordable(job, t)) {
+            if (!shard.fitsRecord(job, t)) {
                 full = true;
                 if (spec.shape() == JobSpec.Shape.SERVICE) {
-                    shard.tooWide(job); // Nothing of it ends by itself.
+                    shard.requestMigration(job); // Nothing of it ends by itself.
                     break;
                 }
                 t =
@@ -363,19 +363,19 @@
                 // of it ends.
                 continue;
             }
-            Machine m = search.next();
-            if (m == null) {
+            Machine machine = search.next();
+            if (machine == null) {
                 break;
             }
-            shard.place(job, t, m, now);
+            shard.place(job, t, machine, now);
             placed++;
-            zones.add(m.zone(), 1);
-            if (zones.left(m.zone()) == 0) {
-                search = search.within(x -> !x.zone().equals(m.zone()));
+            zones.add(machine.zone(), 1);
+            if (zones.left(machine.zone()) == 0) {
+                search = search.within(x -> !x.zone().equals(machine.zone()));
             }
         }
         if (placed > 0) {
-            shard.placedTogether(job);
+            shard.advanceAttemptNumber(job);
         }
         return placed;
     }
@@ -383,14 +383,14 @@
     private int placeGang(Job job, List<Machine> open, double now) {
         // Until every task of the old attempt is proven over, the gang can't start anew.
         if (!job.liveAttempts().isEmpty()) {
-            shard.restartOnceFetched(job);
+            shard.restartGangOnceImagesFetched(job);
             return 0;
         }
-        if (shard.teamUse().left(job.spec) < job.spec.taskCount()) {
+        if (shard.quotaUsage().remainingTasks(job.spec) < job.spec.taskCount()) {
             return 0;
         }
-        if (!shard.recordable(job)) {
-            shard.tooWide(job);
+        if (!shard.fitsRecord(job)) {
+            shard.requestMigration(job);
             return 0;
         }
         List<Machine> found = probePlacement.chooseGang(job.spec, candidates(job, open, now));
@@ -400,7 +400,7 @@
         for (int t = 0; t < found.size(); t++) {
             shard.place(job, t, found.get(t), now);
         }
-        shard.placedTogether(job);
+        shard.advanceAttemptNumber(job);
         return found.size();
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -34,7 +34,7 @@
         kept.clear();
         List<Machine> idle = new ArrayList<>();
         for (Machine machine : open) {
-            if (!machine.busy() && machine.reservedFor() == null && !machine.draining()) {
+            if (!machine.isBusy() && machine.reservedFor() == null && !machine.isDraining()) {
                 idle.add(machine);
             }
         }
@@ -44,9 +44,9 @@
         idle.sort(
                 Comparator.comparingInt((Machine machine) -> -machine.images().size())
                         .thenComparing(machine -> machine.id));
-        for (RecentArrivals.ArrivalRate pace : shard.lately().gangArrivalRates(wallMs)) {
+        for (RecentArrivals.ArrivalRate pace : shard.recentArrivals().gangArrivalRates(wallMs)) {
             // Room is made within about one report: what is stopped has to be reported as ended.
-            double tasks = pace.tasksPerSecond() * shard.facts().workers().heartbeatIntervalSeconds();
+            double tasks = pace.tasksPerSecond() * shard.settings().workers().heartbeatIntervalSeconds();
             for (Machine machine : idle) {
                 if (tasks <= 0) {
                     break;
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -27,14 +27,14 @@
 
     HeartbeatAuthority(
             ShardState shard, Leadership leadership, CancellationWatermark cancellationWatermark) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.shard = shard;
         this.leadership = leadership;
         this.cancellationWatermark = cancellationWatermark;
     }
 
     boolean toAnswer(Heartbeat heartbeat) {
-        return leadership.leading() && heartbeat.fencingToken() <= shard.token() && knowsCancellations();
+        return leadership.leading() && heartbeat.fencingToken() <= shard.fencingToken() && knowsCancellations();
     }
 
     /** Guards against a holder that keeps tasks alive whose jobs were cancelled behind its back. */
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -79,7 +79,7 @@
             Timers timers,
             LoopTimeAccounting loopTime,
             Runnable changed) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.shard = shard;
         this.heartbeatProcessor = heartbeatProcessor;
         this.leadership = leadership;
@@ -272,13 +272,13 @@
      */
     private HeartbeatResponse answer(Heartbeat heartbeat) {
         if (!stateWriter.knowsRunning() || !entitlement.toAnswer(heartbeat)) {
-            heartbeatProcessor.unanswered(heartbeat, timers.nowSeconds());
+            heartbeatProcessor.recordUnanswered(heartbeat, timers.nowSeconds());
             return HeartbeatResponse.redirectTo(leadership.leading() ? null : leadership.leader());
         }
-        boolean news = heartbeatProcessor.news(heartbeat);
+        boolean news = heartbeatProcessor.isNewer(heartbeat);
         List<WorkerCommand> orders =
                 new ArrayList<>(
-                        heartbeatProcessor.heartbeat(
+                        heartbeatProcessor.process(
                                 heartbeat,
                                 stateWriter.loaded(),
                                 stateWriter::mayRun,
@@ -289,15 +289,15 @@
                     heartbeatProcessor.commands(
                             heartbeat.machineId(), leadership.mayLaunch(), timers.nowSeconds()));
         }
-        if (shard.changed()) {
+        if (shard.isSchedulingNeeded()) {
             changed.run();
         }
-        return new HeartbeatResponse(shard.token(), orders, null);
+        return new HeartbeatResponse(shard.fencingToken(), orders, null);
     }
 
     private void answer(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         String machine = heartbeat.machineId();
-        if (!heartbeatProcessor.news(heartbeat)) {
+        if (!heartbeatProcessor.isNewer(heartbeat)) {
             // Guards against a late copy that takes the place of the report whose answer is held.
             answer.accept(answer(heartbeat));
             return;
@@ -310,7 +310,7 @@
                                 .allMatch(command -> command.action() == WorkerCommand.Action.FORGET);
         double patience =
                 idle && stateWriter.loaded() && leadership.mayLaunch()
-                        ? heartbeatProcessor.patience(machine)
+                        ? heartbeatProcessor.answerHoldSeconds(machine)
                         : 0;
         if (patience == 0) {
             answer.accept(now);
@@ -335,7 +335,7 @@
         }
         // What was true when the report came need not be when the answer goes.
         if (!leadership.leading()
-                || shard.token() != h.token
+                || shard.fencingToken() != h.token
                 || !entitlement.knowsCancellations()) {
             h.answer.accept(
                     HeartbeatResponse.redirectTo(leadership.leading() ? null : leadership.leader()));
--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -19,28 +19,28 @@
     private static final Logger LOG = LoggerFactory.getLogger(BootTimes.class);
 
     /** Of a kind's last boots, how many count. */
-    private static final int LAST = 8;
+    private static final int WINDOW = 8;
 
     /** Normal boots take up to one and a half times the nominal time. */
-    private static final double SPREAD = 1.5;
+    private static final double LATE_FACTOR = 1.5;
 
     private final Map<String, MachineType> types;
-    private final Map<MachineKind, Deque<Double>> lately = new HashMap<>();
+    private final Map<MachineKind, Deque<Double>> recentByKind = new HashMap<>();
 
     /** The same by type alone, for kinds of which too few have come. */
-    private final Map<String, Deque<Double>> ofType = new HashMap<>();
+    private final Map<String, Deque<Double>> recentByType = new HashMap<>();
 
     BootTimes(Map<String, MachineType> types) {
         this.types = types;
     }
 
     /** The machine's first report has come. */
-    void took(Machine machine, double now) {
+    void recordBoot(Machine machine, double now) {
         double seconds = now - machine.knownSince;
-        add(lately.computeIfAbsent(machine.kind(), kind -> new ArrayDeque<>()), seconds);
-        add(ofType.computeIfAbsent(machine.type, key -> new ArrayDeque<>()), seconds);
+        add(recentByKind.computeIfAbsent(machine.kind(), kind -> new ArrayDeque<>()), seconds);
+        add(recentByType.computeIfAbsent(machine.type, key -> new ArrayDeque<>()), seconds);
         MachineType type = types.get(machine.type);
-        if (type != null && seconds > SPREAD * type.bootSeconds()) {
+        if (type != null && seconds > LATE_FACTOR * type.bootSeconds()) {
             LOG.info(
                     "machine {} came up late, after {} s instead of {} s",
                     machine.id,
@@ -51,7 +51,7 @@
 
     private static void add(Deque<Double> of, double seconds) {
         of.addLast(seconds);
-        if (of.size() > LAST) {
+        if (of.size() > WINDOW) {
             of.removeFirst();
         }
     }
@@ -60,14 +60,14 @@
      * The median of the last boots, at least the nominal time: a machine up at once promises
      * nothing for the next.
      */
-    public double expectedS(MachineKind kind) {
+    public double expectedSeconds(MachineKind kind) {
         MachineType type = types.get(kind.machineType());
         double nominal = type == null ? 0 : type.bootSeconds();
-        Deque<Double> of = lately.get(kind);
-        if (of == null || of.size() < LAST / 2) {
-            of = ofType.get(kind.machineType());
+        Deque<Double> of = recentByKind.get(kind);
+        if (of == null || of.size() < WINDOW / 2) {
+            of = recentByType.get(kind.machineType());
         }
-        if (of == null || of.size() < LAST / 2) {
+        if (of == null || of.size() < WINDOW / 2) {
             return nominal;
         }
         return Math.max(
@@ -75,19 +75,19 @@
     }
 
     /** Longer under way than boots take these days: no room to count on. */
-    public boolean late(Machine machine, double now) {
-        return overdue(machine, now, SPREAD);
+    public boolean isLate(Machine machine, double now) {
+        return isOverdue(machine, now, LATE_FACTOR);
     }
 
     /**
      * So long under way that it is not worth its price any more; some take several times as long as
      * others.
      */
-    public boolean hopeless(Machine machine, double now) {
-        return overdue(machine, now, 4);
+    public boolean isHopeless(Machine machine, double now) {
+        return isOverdue(machine, now, 4);
     }
 
-    private boolean overdue(Machine machine, double now, double times) {
-        return !machine.reported() && now - machine.knownSince > times * expectedS(machine.kind());
+    private boolean isOverdue(Machine machine, double now, double times) {
+        return !machine.hasReported() && now - machine.knownSince > times * expectedSeconds(machine.kind());
     }
 }
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -17,10 +17,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(FailureDiagnosis.class);
 
     /** Machines on which a job has to fail before it is held to be at fault itself. */
-    private static final int MACHINES = 3;
+    private static final int MIN_FAILED_MACHINES = 3;
 
     /** After that many failed starts since its last success a machine is set aside. */
-    private static final int BLAME = 2;
+    private static final int QUARANTINE_FAILURES = 2;
 
     private final ClusterSettings settings;
     private final Map<String, Machine> machines;
@@ -30,17 +30,17 @@
         this.machines = machines;
     }
 
-    void succeeded(Attempt attempt) {
+    void recordSuccess(Attempt attempt) {
         Job job = attempt.job;
-        attempt.machine.failed.clear();
+        attempt.machine.failuresByJob.clear();
         job.failedRetries = 0;
         if (job.successCount++ == 0) {
             job.notBefore = 0;
-            failedOn(job, this::judge); // They are to blame after all.
+            forEachFailedMachine(job, this::updateQuarantine); // They are to blame after all.
         }
     }
 
-    private void failedOn(Job job, Consumer<Machine> then) {
+    private void forEachFailedMachine(Job job, Consumer<Machine> then) {
         for (String id : job.failedMachines) {
             Machine machine = machines.get(id);
             if (machine != null) {
@@ -53,16 +53,16 @@
      * What the job failed on is not to blame for it: the fault was its own, or can't be told any
      * more.
      */
-    void acquit(Job job) {
-        failedOn(
+    void clearBlame(Job job) {
+        forEachFailedMachine(
                 job,
                 machine -> {
-                    machine.failed.remove(job);
-                    judge(machine);
+                    machine.failuresByJob.remove(job);
+                    updateQuarantine(machine);
                 });
     }
 
-    void failed(Attempt attempt, double now) {
+    void recordFailure(Attempt attempt, double now) {
         Job job = attempt.job;
         Machine machine = attempt.machine;
         LOG.info("attempt {} failed", attempt);
@@ -71,12 +71,12 @@
         if (!Double.isNaN(attempt.runningSince)) {
             job.longestFailedRunSeconds = Math.max(job.longestFailedRunSeconds, now - attempt.runningSince);
         }
-        machine.failed.merge(job, 1, Integer::sum);
-        if (!mistaken(job, now)) {
-            judge(machine);
+        machine.failuresByJob.merge(job, 1, Integer::sum);
+        if (!isJobAtFault(job, now)) {
+            updateQuarantine(machine);
             return;
         }
-        acquit(job);
+        clearBlame(job);
         // The tasks of an array that were placed together count as one try.
         if (job.failedRetries == 0 || attempt.number > job.lastFailedRetryNumber) {
             job.lastFailedRetryNumber = Math.max(job.lastFailedRetryNumber, attempt.number);
@@ -98,8 +98,8 @@
      * Failed on several machines, never succeeded, and nothing of it has run for much longer than
      * it took to fail: a good job that met several faulty machines is not held back.
      */
-    public boolean mistaken(Job job, double now) {
-        if (job.successCount > 0 || job.failedMachines.size() < MACHINES) {
+    public boolean isJobAtFault(Job job, double now) {
+        if (job.successCount > 0 || job.failedMachines.size() < MIN_FAILED_MACHINES) {
             return false;
         }
         double proof = 2 * (job.longestFailedRunSeconds + settings.workers().heartbeatIntervalSeconds());
@@ -115,15 +115,15 @@
      * only one counts. Guards against a mistaken job, all of whose tasks fail on the first machines
      * it comes to, costing those machines.
      */
-    private void judge(Machine machine) {
+    private void updateQuarantine(Machine machine) {
         int blame = 0;
-        for (Map.Entry<Job, Integer> e : machine.failed.entrySet()) {
+        for (Map.Entry<Job, Integer> e : machine.failuresByJob.entrySet()) {
             blame += e.getKey().successCount > 0 ? e.getValue() : 1;
         }
-        boolean bad = blame >= BLAME;
-        if (bad && !machine.setAside) {
+        boolean bad = blame >= QUARANTINE_FAILURES;
+        if (bad && !machine.isQuarantined) {
             LOG.info("machine {} set aside: starts fail on it", machine.id);
         }
-        machine.setAside = bad || machine.setAside && machine.releasing;
+        machine.isQuarantined = bad || machine.isQuarantined && machine.isReleasing;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -22,17 +22,17 @@
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
     /** Commands in one answer; keeps it far below the 64 KiB limit. */
-    private static final int MAX_ORDERS = 300;
+    private static final int MAX_COMMANDS = 300;
 
     /** Half of what a worker waits for an answer. */
-    private static final double MAX_HOLD_S = 2;
+    private static final double MAX_HOLD_SECONDS = 2;
 
     /** Reports in a row that don't show a task which the answers before them launched. */
-    private static final int MOST_MISSED = 3;
+    private static final int MAX_MISSED_REPORTS = 3;
 
     private final ShardState shard;
-    private long launches;
-    private double launchDelayS;
+    private long launchCount;
+    private double launchDelaySeconds;
 
     public HeartbeatProcessor(ShardState shard) {
         this.shard = shard;
@@ -42,12 +42,12 @@
      * Launch orders given, and the seconds that passed between their placing and their order, added
      * up.
      */
-    public long launches() {
-        return launches;
+    public long launchCount() {
+        return launchCount;
     }
 
-    public double launchDelayS() {
-        return launchDelayS;
+    public double launchDelaySeconds() {
+        return launchDelaySeconds;
     }
 
     /**
@@ -55,59 +55,59 @@
      * which something may be on machines even before. Answers what to do about tasks that are not
      * ours, or no longer; {@link #commands} has the rest.
      */
-    public List<WorkerCommand> heartbeat(
+    public List<WorkerCommand> process(
             Heartbeat heartbeat, boolean loaded, Predicate<String> mayRun, double now) {
-        if (shard.buried(heartbeat.machineId())) {
+        if (shard.isKnownGone(heartbeat.machineId())) {
             return List.of();
         }
-        Machine machine = shard.machine(heartbeat.machineId(), now);
-        if (!heartbeat.isNewerThan(machine.session, machine.sequence)) {
+        Machine machine = shard.getOrAddMachine(heartbeat.machineId(), now);
+        if (!heartbeat.isNewerThan(machine.agentIncarnation, machine.lastSequence)) {
             return List.of(); // Late: a newer report has been read already.
         }
-        machine.heard(
+        machine.recordHeartbeat(
                 heartbeat.agentIncarnation(),
-                loaded && heartbeat.fencingToken() == shard.token(),
+                loaded && heartbeat.fencingToken() == shard.fencingToken(),
                 now,
-                shard.facts().workers().leaseSeconds());
-        machine.session = heartbeat.agentIncarnation();
-        machine.sequence = heartbeat.sequence();
+                shard.settings().workers().leaseSeconds());
+        machine.agentIncarnation = heartbeat.agentIncarnation();
+        machine.lastSequence = heartbeat.sequence();
         machine.type = heartbeat.machineType();
         machine.zone = heartbeat.zone();
-        machine.spot = heartbeat.spot();
+        machine.isSpot = heartbeat.spot();
         machine.address = heartbeat.address();
-        if (!machine.reported()) {
+        if (!machine.hasReported()) {
             machine.idleSince = now;
-            if (machine.rentedHere) {
-                shard.boots().took(machine, now);
+            if (machine.isBootStartKnown) {
+                shard.bootTimes().recordBoot(machine, now);
             }
         }
-        machine.lastReport = now;
+        machine.lastHeartbeatAt = now;
         if (heartbeat.noticeSeconds() != null) {
-            if (Double.isNaN(machine.takenAt)) {
+            if (Double.isNaN(machine.interruptionAt)) {
                 LOG.info("machine {} will be taken in {} s", machine.id, heartbeat.noticeSeconds());
             }
-            machine.takenAt = now + heartbeat.noticeSeconds();
+            machine.interruptionAt = now + heartbeat.noticeSeconds();
         } else {
-            machine.takenAt = Double.NaN;
+            machine.interruptionAt = Double.NaN;
         }
         // Guards against a report that was sent before the worker knew us: an earlier holder's
         // launch might still have been on its way to it then. Only a report that carries our token
         // proves what is not on the machine.
-        if (!loaded || heartbeat.fencingToken() != shard.token()) {
-            return stops(heartbeat, mayRun);
+        if (!loaded || heartbeat.fencingToken() != shard.fencingToken()) {
+            return stopCommands(heartbeat, mayRun);
         }
-        boolean open = machine.open();
-        if (!machine.proven) {
+        boolean open = machine.isSchedulable();
+        if (!machine.isTokenConfirmed) {
             LOG.debug(
                     "machine {} reports with our token, session {}, {} tasks",
                     machine.id,
                     heartbeat.agentIncarnation(),
                     heartbeat.tasks().size());
         }
-        machine.proven = true;
+        machine.isTokenConfirmed = true;
         List<WorkerCommand> orders = reconcile(machine, heartbeat, now);
-        if (open != machine.open()) {
-            shard.change();
+        if (open != machine.isSchedulable()) {
+            shard.requestScheduling();
         }
         return orders;
     }
@@ -116,9 +116,9 @@
      * Whether it is newer than all that was read of its machine, so that the worker may wait for
      * what it is answered.
      */
-    public boolean news(Heartbeat heartbeat) {
+    public boolean isNewer(Heartbeat heartbeat) {
         Machine machine = shard.machines().get(heartbeat.machineId());
-        return machine == null || heartbeat.isNewerThan(machine.session, machine.sequence);
+        return machine == null || heartbeat.isNewerThan(machine.agentIncarnation, machine.lastSequence);
     }
 
     /**
@@ -126,10 +126,10 @@
      * from it. Guards against a holder that gives back its whole fleet as silent, once the store is
      * back, since it answered nobody.
      */
-    public void unanswered(Heartbeat heartbeat, double now) {
+    public void recordUnanswered(Heartbeat heartbeat, double now) {
         Machine machine = shard.machines().get(heartbeat.machineId());
-        if (machine != null && heartbeat.isNewerThan(machine.session, machine.sequence)) {
-            machine.unanswered(now);
+        if (machine != null && heartbeat.isNewerThan(machine.agentIncarnation, machine.lastSequence)) {
+            machine.recordUnansweredHeartbeat(now);
         }
     }
 
@@ -138,10 +138,10 @@
      * that keeps the lease of a cancelled job's task because the machine has not shown our token
      * yet.
      */
-    private static List<WorkerCommand> stops(Heartbeat heartbeat, Predicate<String> mayRun) {
+    private static List<WorkerCommand> stopCommands(Heartbeat heartbeat, Predicate<String> mayRun) {
         return heartbeat.tasks().stream()
                 .filter(status -> status.state() != TaskState.ENDED && !mayRun.test(status.jobId()))
-                .limit(MAX_ORDERS)
+                .limit(MAX_COMMANDS)
                 .map(
                         status ->
                                 new WorkerCommand(
@@ -157,67 +157,67 @@
         List<WorkerCommand> orders = new ArrayList<>();
         List<TaskStatus> strays = new ArrayList<>();
         int before = machine.attempts.size();
-        int reading = ++machine.readings;
+        int reading = ++machine.fullReportsRead;
         for (TaskStatus status : heartbeat.tasks()) {
             Job job = shard.jobs().get(status.jobId());
             Attempt a = job == null ? null : job.liveAttempts.get(status.task());
             if (a != null && a.machine == machine && a.number == status.attempt()) {
                 a.lastSeenReading = reading;
-                present(a, status, now);
-            } else if (machine.unwritten.stream().noneMatch(u -> u.matches(status))) {
+                applyStatus(a, status, now);
+            } else if (machine.unwrittenEnds.stream().noneMatch(u -> u.matches(status))) {
                 strays.add(status);
             }
         }
         for (Attempt a : new ArrayList<>(machine.attempts)) {
             if (a.lastSeenReading != reading && !a.isEnded) {
-                absent(a, now);
+                applyAbsence(a, now);
             }
         }
-        machine.endedLately = before > machine.attempts.size();
-        machine.strangers = 0;
+        machine.didLastReportEndTask = before > machine.attempts.size();
+        machine.unknownTasks = 0;
         for (TaskStatus status : strays) {
-            stray(machine, status, orders, now);
+            handleUnexpectedTask(machine, status, orders, now);
         }
         return orders;
     }
 
-    private void present(Attempt attempt, TaskStatus status, double now) {
+    private void applyStatus(Attempt attempt, TaskStatus status, double now) {
         if (!attempt.isSeen) {
             attempt.isSeen = true;
-            attempt.machine.unconfirmed--;
-            attempt.machine.showsStart();
+            attempt.machine.unconfirmedStarts--;
+            attempt.machine.recordDeliveredStart();
         }
         attempt.mayBeLaunched = true;
         if (status.state() != attempt.state) {
             attempt.state = status.state();
-            attempt.machine.progressed();
+            attempt.machine.invalidateFetchingImages();
             if (status.state() == TaskState.WAITING_FOR_GANG) {
-                shard.hasImage(attempt);
+                shard.recordImageUse(attempt);
             } else if (status.state() == TaskState.RUNNING) {
                 attempt.runningSince = now;
                 attempt.job.startTimes.add(now);
                 if (attempt.placedVersion > 0) {
-                    shard.leads().took(attempt.job.spec.jobClass(), now - attempt.placedAt);
+                    shard.startLatencies().recordStart(attempt.job.spec.jobClass(), now - attempt.placedAt);
                 }
                 LOG.debug(
                         "attempt {} runs, {} s after it was placed",
                         attempt,
                         Math.round(now - attempt.placedAt));
-                shard.hasImage(attempt);
+                shard.recordImageUse(attempt);
             }
         }
         if (status.state() == TaskState.ENDED) {
-            shard.end(attempt, status.cause(), now);
+            shard.endAttempt(attempt, status.cause(), now);
         }
     }
 
     /** A report newer than any launch of this attempt does not show it. */
-    private void absent(Attempt a, double now) {
+    private void applyAbsence(Attempt a, double now) {
         if (a.isSeen) {
             LOG.info("attempt {} lost with its session", a);
-            shard.lose(a, now);
-        } else if (a.isDurable && (a.isUnwanted() || a.machine.releasing)) {
-            shard.end(a, EndCause.STOPPED, now);
+            shard.loseAttempt(a, now);
+        } else if (a.isDurable && (a.isUnwanted() || a.machine.isReleasing)) {
+            shard.endAttempt(a, EndCause.STOPPED, now);
         } else if (a.mayBeLaunched
                 && a.job.spec.isGang()
                 && a.job.liveAttempts.values().stream()
@@ -225,24 +225,24 @@
                                 x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING_CHECKPOINT)) {
             // A gang that ran without this task has lost it; starting it again would not bring the
             // others back.
-            shard.end(a, EndCause.GANG_PEER_LOST, now);
+            shard.endAttempt(a, EndCause.GANG_PEER_LOST, now);
         }
         // Otherwise it was never executed, and this very answer launches it (again).
         boolean ordered = a.isStartSent;
         a.isStartSent = false;
-        if (!a.isEnded && ordered && ++a.missedReports >= MOST_MISSED) {
+        if (!a.isEnded && ordered && ++a.missedReports >= MAX_MISSED_REPORTS) {
             // Nothing sent before this report can start it any more. Guards against tasks that stay
             // placed for good on a machine whose reports arrive, but which no answer reaches. Only
             // answers with the order in them count, so that a machine that was told nothing, as in
             // an outage, does not pass for one that hears nothing.
             LOG.warn("machine {} reports and does not start what it is told to", a.machine.id);
-            a.machine.deaf(now);
-            shard.end(a, EndCause.STOPPED, now);
+            a.machine.markMissingAnswers(now);
+            shard.endAttempt(a, EndCause.STOPPED, now);
         }
     }
 
     /** The worker has a task that we have not placed there. */
-    private void stray(Machine machine, TaskStatus status, List<WorkerCommand> orders, double now) {
+    private void handleUnexpectedTask(Machine machine, TaskStatus status, List<WorkerCommand> orders, double now) {
         if (status.state() == TaskState.ENDED) {
             orders.add(
                     new WorkerCommand(
@@ -262,10 +262,10 @@
                 && job.isPlaceable(status.task())) {
             // Should not be: counted in and written down before it is stopped, so the task can't
             // run elsewhere.
-            shard.strayed(job, status.task(), status.attempt(), status.state(), machine, now);
+            shard.addUnexpectedAttempt(job, status.task(), status.attempt(), status.state(), machine, now);
             return;
         }
-        machine.strangers++;
+        machine.unknownTasks++;
         orders.add(
                 new WorkerCommand(
                         WorkerCommand.Action.STOP,
@@ -282,21 +282,21 @@
     public List<WorkerCommand> commands(String machine, boolean mayStart, double now) {
         Machine m = shard.machines().get(machine);
         List<WorkerCommand> orders = new ArrayList<>();
-        if (m == null || !m.proven) {
+        if (m == null || !m.isTokenConfirmed) {
             return orders;
         }
         for (Attempt attempt : m.attempts) {
-            if (orders.size() >= MAX_ORDERS) {
+            if (orders.size() >= MAX_COMMANDS) {
                 break;
             }
-            if (toStop(attempt)) {
-                orders.add(stopOrder(attempt));
-            } else if (mayStart && !m.releasing && toStart(attempt)) {
+            if (mustStop(attempt)) {
+                orders.add(stopCommand(attempt));
+            } else if (mayStart && !m.isReleasing && mayStart(attempt)) {
                 // Not on a machine that goes: one that was silent may be heard again just when it
                 // is given back.
                 if (!attempt.mayBeLaunched) {
-                    launches++;
-                    launchDelayS += now - attempt.placedAt;
+                    launchCount++;
+                    launchDelaySeconds += now - attempt.placedAt;
                 }
                 attempt.mayBeLaunched = true;
                 attempt.isStartSent = true;
@@ -317,31 +317,31 @@
      * in a report interval, and whoever the room is for waits as long. The next answer to its
      * report says it again in any case. {@code most}: machines at once.
      */
-    public Map<Machine, List<WorkerCommand>> stops(int most, double now) {
+    public Map<Machine, List<WorkerCommand>> stopCommands(int most, double now) {
         Map<Machine, List<WorkerCommand>> out = new LinkedHashMap<>();
         for (Job job : shard.jobs().values()) {
             if (!job.isFinished && job.hasStoppingAttempts == 0) {
                 continue;
             }
             for (Attempt attempt : job.liveAttempts.values()) {
-                Machine m = attempt.machine;
-                if (toStop(attempt)
+                Machine machine = attempt.machine;
+                if (mustStop(attempt)
                         && !attempt.isStopSent
-                        && m.proven
-                        && !m.commanded
-                        && !m.releasing
-                        && !m.address.isEmpty()
-                        && now - m.lastReport < 2 * shard.facts().workers().heartbeatIntervalSeconds()
-                        && (out.size() < most || out.containsKey(m))) {
+                        && machine.isTokenConfirmed
+                        && !machine.setCommandInFlight
+                        && !machine.isReleasing
+                        && !machine.address.isEmpty()
+                        && now - machine.lastHeartbeatAt < 2 * shard.settings().workers().heartbeatIntervalSeconds()
+                        && (out.size() < most || out.containsKey(machine))) {
                     attempt.isStopSent = true;
-                    out.computeIfAbsent(m, k -> new ArrayList<>()).add(stopOrder(attempt));
+                    out.computeIfAbsent(machine, k -> new ArrayList<>()).add(stopCommand(attempt));
                 }
             }
         }
         return out;
     }
 
-    private static WorkerCommand stopOrder(Attempt attempt) {
+    private static WorkerCommand stopCommand(Attempt attempt) {
         return new WorkerCommand(
                 WorkerCommand.Action.STOP,
                 attempt.job.spec.id(),
@@ -354,22 +354,22 @@
      * A worker's report in answer to direct commands. It proves what ended, but not what is absent:
      * a launch in the answer to a check-in may still be on its way to the worker.
      */
-    public void answered(Machine machine, Heartbeat heartbeat, double now) {
-        if (machine.gone
-                || !machine.proven
-                || heartbeat.agentIncarnation() != machine.session
-                || heartbeat.sequence() <= machine.sequence
-                || heartbeat.fencingToken() != shard.token()) {
+    public void processCommandAnswer(Machine machine, Heartbeat heartbeat, double now) {
+        if (machine.isGone
+                || !machine.isTokenConfirmed
+                || heartbeat.agentIncarnation() != machine.agentIncarnation
+                || heartbeat.sequence() <= machine.lastSequence
+                || heartbeat.fencingToken() != shard.fencingToken()) {
             return;
         }
-        machine.sequence = heartbeat.sequence();
+        machine.lastSequence = heartbeat.sequence();
         for (TaskStatus status : heartbeat.tasks()) {
             Job job = shard.jobs().get(status.jobId());
             Attempt attempt = job == null ? null : job.liveAttempts.get(status.task());
             if (attempt != null
                     && attempt.machine == machine
                     && attempt.number == status.attempt()) {
-                present(attempt, status, now);
+                applyStatus(attempt, status, now);
             }
         }
     }
@@ -378,21 +378,21 @@
     public boolean hasCommands(String machine) {
         Machine m = shard.machines().get(machine);
         return m != null
-                && m.attempts.stream().anyMatch(attempt -> toStop(attempt) || toStart(attempt));
+                && m.attempts.stream().anyMatch(attempt -> mustStop(attempt) || mayStart(attempt));
     }
 
-    private static boolean toStop(Attempt attempt) {
+    private static boolean mustStop(Attempt attempt) {
         return attempt.isUnwanted() && attempt.isSeen;
     }
 
-    private static boolean toStart(Attempt attempt) {
-        return !attempt.isUnwanted() && attempt.isDurable && !attempt.isSeen && startable(attempt);
+    private static boolean mayStart(Attempt attempt) {
+        return !attempt.isUnwanted() && attempt.isDurable && !attempt.isSeen && isStartable(attempt);
     }
 
     /**
      * A gang is launched only when every one of its tasks has a machine, and that is written down.
      */
-    private static boolean startable(Attempt a) {
+    private static boolean isStartable(Attempt a) {
         if (!a.job.spec.isGang()) {
             return true;
         }
@@ -406,15 +406,15 @@
      * where something just ended while other work waits, for the moment that placing and writing
      * takes.
      */
-    public double patience(String machine) {
+    public double answerHoldSeconds(String machine) {
         Machine m = shard.machines().get(machine);
-        if (m == null || !m.open()) {
+        if (m == null || !m.isSchedulable()) {
             return 0;
         }
-        double report = shard.facts().workers().heartbeatIntervalSeconds();
-        if (!m.busy()) {
-            return Math.min(report, MAX_HOLD_S);
+        double report = shard.settings().workers().heartbeatIntervalSeconds();
+        if (!m.isBusy()) {
+            return Math.min(report, MAX_HOLD_SECONDS);
         }
-        return m.endedLately && shard.backlog() ? report / 10 : 0;
+        return m.didLastReportEndTask && shard.hasBacklog() ? report / 10 : 0;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -19,9 +19,9 @@
  */
 public final class Machine {
     /** In leases. */
-    private static final double HEARS_AGAIN = 1.5;
+    private static final double ANSWERS_ARRIVE_LEASES = 1.5;
 
-    private static final int MOST_LOST = 2;
+    private static final int MAX_LOST_INCARNATIONS = 2;
 
     public final String id;
     String type;
@@ -31,67 +31,67 @@
     String address = "";
 
     /** Direct commands are under way to it. */
-    boolean commanded;
+    boolean setCommandInFlight;
 
-    boolean spot;
+    boolean isSpot;
 
     /** Times are seconds on the steady clock. */
     double knownSince;
 
     /** A list of the cloud has shown it. */
-    boolean listed;
+    boolean isListed;
 
     /**
      * Rented by this holder, or by one that put it on record, so that it is known when its boot
      * began.
      */
-    boolean rentedHere;
+    boolean isBootStartKnown;
 
     /** NaN until the first report. */
-    double lastReport = Double.NaN;
+    double lastHeartbeatAt = Double.NaN;
 
-    long session;
-    long sequence;
+    long agentIncarnation;
+    long lastSequence;
 
     /**
      * A report with our own token has come: nothing that an earlier holder sent can start here any
      * more.
      */
-    boolean proven;
+    boolean isTokenConfirmed;
 
     /**
      * When the first report of its session came, and the first one in it with our own token; NaN
      * before.
      */
-    private double sessionAt = Double.NaN;
+    private double agentIncarnationSince = Double.NaN;
 
-    private double provenAt = Double.NaN;
+    private double tokenConfirmedAt = Double.NaN;
 
     /** Sessions in a row that ended although their reports were answered. */
-    private int lostInVain;
+    private int answeredIncarnationsLost;
 
     /**
      * Since when it is known to report without hearing what it is answered; NaN while it is not.
      */
-    private double deafSince = Double.NaN;
+    private double missingAnswersSince = Double.NaN;
 
     /**
      * Since when it has been answered with our token and has not shown it; NaN once it has, or
      * before.
      */
-    private double unheardSince = Double.NaN;
+    private double tokenUnconfirmedSince = Double.NaN;
 
     /** NaN, or when the cloud takes the machine away. */
-    double takenAt = Double.NaN;
+    double interruptionAt = Double.NaN;
 
-    boolean releasing;
-    boolean gone;
+    boolean isReleasing;
+    boolean isGone;
 
     /** Set aside because what it starts fails while the same work runs elsewhere. */
-    boolean setAside;
+    boolean isQuarantined;
 
     /** Jobs that failed here since something succeeded, and how often. */
-    final Map<Job, Integer> failed = new HashMap<>();
+    final Map<Job, Integer> failuresByJob = new HashMap<>();
 
     /** Attempts not proven over. */
     final List<Attempt> attempts = new ArrayList<>();
@@ -99,36 +99,36 @@
     private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
 
     /** Attempts proven over, which the store does not know yet; they are cleared once it does. */
-    final List<Attempt> unwritten = new ArrayList<>();
+    final List<Attempt> unwrittenEnds = new ArrayList<>();
 
     /**
      * Tasks on the machine that belong to no job we know; until they are gone, the machine takes
      * nothing.
      */
-    int strangers;
+    int unknownTasks;
 
     double idleSince;
 
     /** When it last had work that could not have run on a spot machine. */
-    double neededAt;
+    double lastNeededAt;
 
     /** To be given back once empty: takes no work that a cheaper machine could do. */
-    boolean draining;
+    boolean isDraining;
 
     /** Images that it probably has, with their size, the least recently used first. */
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
     /** Images that it probably fetches now; null if that is to be worked out anew. */
-    private Set<String> fetched;
+    private Set<String> fetchingImages;
 
     double usedCpus;
     double usedGpus;
     double usedMemory;
 
     /** Of the used CPUs, what work takes that may not use spot machines. */
-    double boundCpus;
+    double nonSpotCpus;
 
-    int unconfirmed;
+    int unconfirmedStarts;
 
     /** The job that is to have the room here, and until when other work has been stopped for it. */
     Job reservedFor;
@@ -140,21 +140,21 @@
      * job may run meanwhile. Guards against machines that idle for minutes because a gang waits for
      * the last of those that it needs.
      */
-    boolean kept;
+    boolean isBackfillAllowed;
 
-    private double keptFrom;
+    private double reservationStartsAt;
 
     /** Whether the last report ended something. */
-    boolean endedLately;
+    boolean didLastReportEndTask;
 
     /** Counts reports that were read in full, to tell what one of them did not show. */
-    int readings;
+    int fullReportsRead;
 
     Machine(String id, double now) {
         this.id = id;
         this.knownSince = now;
         this.idleSince = now;
-        this.neededAt = now;
+        this.lastNeededAt = now;
     }
 
     /** Its type's name; null until something has said it. */
@@ -166,55 +166,55 @@
         return zone;
     }
 
-    public boolean spot() {
-        return spot;
+    public boolean isSpot() {
+        return isSpot;
     }
 
     public MachineKind kind() {
-        return new MachineKind(type, zone, spot);
+        return new MachineKind(type, zone, isSpot);
     }
 
     public String address() {
         return address;
     }
 
-    public long session() {
-        return session;
+    public long agentIncarnation() {
+        return agentIncarnation;
     }
 
     /** Seconds on the steady clock; NaN until the first report. */
-    public double lastReport() {
-        return lastReport;
+    public double lastHeartbeatAt() {
+        return lastHeartbeatAt;
     }
 
     /**
      * Whether a report with the holder's own token has come: nothing that an earlier one sent can
      * start here.
      */
-    public boolean proven() {
-        return proven;
+    public boolean isTokenConfirmed() {
+        return isTokenConfirmed;
     }
 
-    public boolean releasing() {
-        return releasing;
+    public boolean isReleasing() {
+        return isReleasing;
     }
 
-    public boolean gone() {
-        return gone;
+    public boolean isGone() {
+        return isGone;
     }
 
     /** Whether a list of the cloud has shown it. */
-    public boolean listed() {
-        return listed;
+    public boolean isListed() {
+        return isListed;
     }
 
-    public boolean setAside() {
-        return setAside;
+    public boolean isQuarantined() {
+        return isQuarantined;
     }
 
     /** Whether the cloud has said that it takes the machine away. */
-    public boolean recalled() {
-        return !Double.isNaN(takenAt);
+    public boolean hasInterruptionNotice() {
+        return !Double.isNaN(interruptionAt);
     }
 
     /** Attempts not proven over. */
@@ -223,20 +223,20 @@
     }
 
     /** Whether its worker still has ended attempts that the store does not know. */
-    public boolean awaitsRecords() {
-        return !unwritten.isEmpty();
+    public boolean hasUnwrittenEnds() {
+        return !unwrittenEnds.isEmpty();
     }
 
     public double idleSince() {
         return idleSince;
     }
 
-    public double neededAt() {
-        return neededAt;
+    public double lastNeededAt() {
+        return lastNeededAt;
     }
 
-    public boolean draining() {
-        return draining;
+    public boolean isDraining() {
+        return isDraining;
     }
 
     public double usedCpus() {
@@ -244,8 +244,8 @@
     }
 
     /** Of the used CPUs, what work takes that may not use spot machines. */
-    public double boundCpus() {
-        return boundCpus;
+    public double nonSpotCpus() {
+        return nonSpotCpus;
     }
 
     public double usedGpus() {
@@ -257,8 +257,8 @@
     }
 
     /** Starts that no report has shown. */
-    public int unconfirmed() {
-        return unconfirmed;
+    public int unconfirmedStarts() {
+        return unconfirmedStarts;
     }
 
     public Job reservedFor() {
@@ -268,8 +268,8 @@
     /**
      * Whether work that would give way to the job that it is reserved for may run here meanwhile.
      */
-    public boolean kept() {
-        return kept;
+    public boolean isBackfillAllowed() {
+        return isBackfillAllowed;
     }
 
     // ---- what others decide about it ----------------------------------------------------------
@@ -277,61 +277,61 @@
     /** Holds the room here for the job, for which other work is being stopped. */
     public void reserve(Job job, double until) {
         reservedFor = job;
-        kept = false;
+        isBackfillAllowed = false;
         reservedUntil = until;
     }
 
-    /** Keeps the room for the job, which other work will have left by then; see {@link #kept()}. */
-    public void keepFor(Job job, double from) {
+    /** Keeps the room for the job, which other work will have left by then; see {@link #isBackfillAllowed()}. */
+    public void reserveAllowingBackfill(Job job, double from) {
         reservedFor = job;
-        kept = true;
-        keptFrom = from;
+        isBackfillAllowed = true;
+        reservationStartsAt = from;
     }
 
     /**
      * Whether the job would by its estimate be over here before the one starts that the room is
      * kept for.
      */
-    public boolean keptFree(Job job, double now) {
-        return job.spec.shape() != JobSpec.Shape.SERVICE && now + job.spec.estimatedSeconds() <= keptFrom;
+    public boolean mayBackfill(Job job, double now) {
+        return job.spec.shape() != JobSpec.Shape.SERVICE && now + job.spec.estimatedSeconds() <= reservationStartsAt;
     }
 
     /**
      * A new round: what was only kept is decided anew, and room is not held longer than its job
      * needs or may.
      */
-    public void reconsider(double now) {
-        if (kept || now >= reservedUntil || reservedFor != null && reservedFor.waitingTasks() == 0) {
+    public void refreshReservation(double now) {
+        if (isBackfillAllowed || now >= reservedUntil || reservedFor != null && reservedFor.waitingTasks() == 0) {
             unreserve();
         }
     }
 
     private void unreserve() {
         reservedFor = null;
-        kept = false;
+        isBackfillAllowed = false;
     }
 
     /** It has work that could not run on a cheaper machine. */
-    public void needed(double now) {
-        neededAt = now;
+    public void markNeeded(double now) {
+        lastNeededAt = now;
     }
 
-    public void drain(boolean so) {
-        draining = so;
+    public void setDraining(boolean so) {
+        isDraining = so;
     }
 
     /** It is to be given back and takes no work any more. */
     public void release() {
-        releasing = true;
+        isReleasing = true;
     }
 
     /** Direct commands are under way to it, or have been answered. */
-    public void commanded(boolean underWay) {
-        commanded = underWay;
+    public void setCommandInFlight(boolean underWay) {
+        setCommandInFlight = underWay;
     }
 
-    public boolean reported() {
-        return !Double.isNaN(lastReport);
+    public boolean hasReported() {
+        return !Double.isNaN(lastHeartbeatAt);
     }
 
     /**
@@ -341,32 +341,32 @@
      * nothing (once may be a network that was slow for a while); one that stays in a session for
      * longer than a lease hears again.
      */
-    void heard(long itsSession, boolean ours, double now, double leaseS) {
-        if (itsSession > session) {
-            boolean answered = now - provenAt > leaseS / 2 && now - lastReport < leaseS / 2;
-            lostInVain = answered ? lostInVain + 1 : 0;
-            if (lostInVain >= MOST_LOST) {
-                deaf(now);
+    void recordHeartbeat(long itsSession, boolean ours, double now, double leaseS) {
+        if (itsSession > agentIncarnation) {
+            boolean answered = now - tokenConfirmedAt > leaseS / 2 && now - lastHeartbeatAt < leaseS / 2;
+            answeredIncarnationsLost = answered ? answeredIncarnationsLost + 1 : 0;
+            if (answeredIncarnationsLost >= MAX_LOST_INCARNATIONS) {
+                markMissingAnswers(now);
             }
-            sessionAt = now;
-            provenAt = Double.NaN;
-        } else if (now - sessionAt > HEARS_AGAIN * leaseS) {
-            deafSince = Double.NaN;
-            lostInVain = 0;
+            agentIncarnationSince = now;
+            tokenConfirmedAt = Double.NaN;
+        } else if (now - agentIncarnationSince > ANSWERS_ARRIVE_LEASES * leaseS) {
+            missingAnswersSince = Double.NaN;
+            answeredIncarnationsLost = 0;
         }
-        if (ours && Double.isNaN(provenAt)) {
-            provenAt = now;
+        if (ours && Double.isNaN(tokenConfirmedAt)) {
+            tokenConfirmedAt = now;
         }
         if (ours) {
-            deafSince = deafSince == unheardSince ? Double.NaN : deafSince;
-            unheardSince = Double.NaN;
-        } else if (Double.isNaN(unheardSince)) {
-            unheardSince = now;
-        } else if (now - unheardSince > HEARS_AGAIN * leaseS) {
+            missingAnswersSince = missingAnswersSince == tokenUnconfirmedSince ? Double.NaN : missingAnswersSince;
+            tokenUnconfirmedSince = Double.NaN;
+        } else if (Double.isNaN(tokenUnconfirmedSince)) {
+            tokenUnconfirmedSince = now;
+        } else if (now - tokenUnconfirmedSince > ANSWERS_ARRIVE_LEASES * leaseS) {
             // Guards against a limit that stays taken for as long as no answer gets through: deaf
             // since before this holder began, it never shows the token that would prove what is on
             // it.
-            deaf(unheardSince);
+            markMissingAnswers(tokenUnconfirmedSince);
         }
     }
 
@@ -374,52 +374,52 @@
      * A report came that was not answered: it is there, and may lose its session for want of
      * answers.
      */
-    void unanswered(double now) {
-        if (reported()) {
-            lastReport = now;
-            provenAt = Double.NaN;
-            unheardSince = Double.NaN;
+    void recordUnansweredHeartbeat(double now) {
+        if (hasReported()) {
+            lastHeartbeatAt = now;
+            tokenConfirmedAt = Double.NaN;
+            tokenUnconfirmedSince = Double.NaN;
         }
     }
 
     /** Another token is ours: nothing is proven until a report shows it. */
-    void unproven() {
-        proven = false;
-        unheardSince = Double.NaN;
+    void resetTokenConfirmation() {
+        isTokenConfirmed = false;
+        tokenUnconfirmedSince = Double.NaN;
     }
 
     /** What it was told does not reach it. */
-    void deaf(double now) {
-        if (!deafToAnswers()) {
-            deafSince = now;
+    void markMissingAnswers(double now) {
+        if (!isMissingAnswers()) {
+            missingAnswersSince = now;
         }
     }
 
     /** Whether its reports arrive, but answers don't reach it. */
-    public boolean deafToAnswers() {
-        return !Double.isNaN(deafSince);
+    public boolean isMissingAnswers() {
+        return !Double.isNaN(missingAnswersSince);
     }
 
     /** Seconds since that is known. */
-    public double deafS(double now) {
-        return deafToAnswers() ? now - deafSince : 0;
+    public double missingAnswersSeconds(double now) {
+        return isMissingAnswers() ? now - missingAnswersSince : 0;
     }
 
     /** A task that it was told to start is there. */
-    void showsStart() {
-        deafSince = Double.NaN;
-        lostInVain = 0;
+    void recordDeliveredStart() {
+        missingAnswersSince = Double.NaN;
+        answeredIncarnationsLost = 0;
     }
 
     /** Whether new tasks may be placed here. */
-    public boolean open() {
-        return proven
-                && !deafToAnswers()
-                && !releasing
-                && !gone
-                && !setAside
-                && !recalled()
-                && strangers == 0;
+    public boolean isSchedulable() {
+        return isTokenConfirmed
+                && !isMissingAnswers()
+                && !isReleasing
+                && !isGone
+                && !isQuarantined
+                && !hasInterruptionNotice()
+                && unknownTasks == 0;
     }
 
     public boolean fits(JobSpec spec, MachineType type) {
@@ -433,43 +433,43 @@
      * spot ones. Guards against work that could run cheaper elsewhere keeping ordinary machines
      * rented, each with a little of the rest.
      */
-    public double holdingCpus() {
-        return spot ? usedCpus : boundCpus;
+    public double cpusJustifyingRental() {
+        return isSpot ? usedCpus : nonSpotCpus;
     }
 
-    public boolean has(String image) {
+    public boolean hasImage(String image) {
         return images.containsKey(image);
     }
 
     /** Whether it probably fetches that image now, for an attempt that was placed here. */
-    public boolean fetches(String image) {
-        return fetched().contains(image);
+    public boolean isFetching(String image) {
+        return fetchingImages().contains(image);
     }
 
     /** Whether it probably fetches any image now. */
-    public boolean fetches() {
-        return !fetched().isEmpty();
+    public boolean isFetching() {
+        return !fetchingImages().isEmpty();
     }
 
-    private Set<String> fetched() {
-        if (fetched == null) {
-            fetched = new HashSet<>();
+    private Set<String> fetchingImages() {
+        if (fetchingImages == null) {
+            fetchingImages = new HashSet<>();
             for (Attempt attempt : attempts) {
-                if (attempt.isFetching() && !has(attempt.job.spec.image())) {
-                    fetched.add(attempt.job.spec.image());
+                if (attempt.isFetching() && !hasImage(attempt.job.spec.image())) {
+                    fetchingImages.add(attempt.job.spec.image());
                 }
             }
         }
-        return fetched;
+        return fetchingImages;
     }
 
     /** An attempt here has gone on. */
-    void progressed() {
-        fetched = null;
+    void invalidateFetchingImages() {
+        fetchingImages = null;
     }
 
     /** What an earlier holder knew to be here; nothing that this one saw is displaced by it. */
-    public void recall(String image, double gb) {
+    public void restoreImage(String image, double gb) {
         images.putIfAbsent(image, gb);
     }
 
@@ -478,8 +478,8 @@
     }
 
     /** A task with this image runs here; the machine keeps the most recently used ones. */
-    void ran(String image, double gb, double cacheGb) {
-        fetched = null;
+    void recordImageUse(String image, double gb, double cacheGb) {
+        fetchingImages = null;
         images.put(image, gb);
         double sum = 0;
         for (double size : images.values()) {
@@ -492,22 +492,22 @@
         }
     }
 
-    void add(Attempt attempt) {
+    void addAttempt(Attempt attempt) {
         attempts.add(attempt);
-        fetched = null;
-        count(attempt.job.spec, 1);
-        unconfirmed += attempt.isSeen ? 0 : 1;
+        fetchingImages = null;
+        countUsage(attempt.job.spec, 1);
+        unconfirmedStarts += attempt.isSeen ? 0 : 1;
     }
 
-    void remove(Attempt attempt) {
+    void removeAttempt(Attempt attempt) {
         if (!attempts.remove(attempt)) {
             return;
         }
-        fetched = null;
-        count(attempt.job.spec, -1);
-        unconfirmed -= attempt.isSeen ? 0 : 1;
+        fetchingImages = null;
+        countUsage(attempt.job.spec, -1);
+        unconfirmedStarts -= attempt.isSeen ? 0 : 1;
         if (attempts.isEmpty()) {
-            clear();
+            resetUsage();
         }
     }
 
@@ -515,38 +515,38 @@
      * Sums are kept, not made anew; an empty machine starts from zero, so that errors of rounding
      * don't add up.
      */
-    private void clear() {
+    private void resetUsage() {
         usedCpus = 0;
         usedGpus = 0;
         usedMemory = 0;
-        boundCpus = 0;
-        unconfirmed = 0;
+        nonSpotCpus = 0;
+        unconfirmedStarts = 0;
     }
 
     void forgetAttempts() {
-        fetched = null;
+        fetchingImages = null;
         attempts.clear();
-        unwritten.clear();
-        failed.clear();
-        clear();
+        unwrittenEnds.clear();
+        failuresByJob.clear();
+        resetUsage();
     }
 
-    private void count(JobSpec spec, int sign) {
+    private void countUsage(JobSpec spec, int sign) {
         usedCpus += sign * spec.cpusPerTask();
         usedGpus += sign * spec.gpusPerTask();
         usedMemory += sign * spec.memoryGigabytesPerTask();
         if (!spec.allowsSpot()) {
-            boundCpus += sign * spec.cpusPerTask();
+            nonSpotCpus += sign * spec.cpusPerTask();
         }
     }
 
     /** Counts a task that is about to be placed here (1), or is not after all (-1). */
-    public void expect(JobSpec spec, int sign) {
-        count(spec, sign);
-        unconfirmed += sign;
+    public void countTentatively(JobSpec spec, int sign) {
+        countUsage(spec, sign);
+        unconfirmedStarts += sign;
     }
 
-    public boolean busy() {
-        return strangers > 0 || !attempts.isEmpty();
+    public boolean isBusy() {
+        return unknownTasks > 0 || !attempts.isEmpty();
     }
 }
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -21,7 +21,7 @@
         if (job.isFinished) {
             return null;
         }
-        if (shard.failures().mistaken(job, now)) {
+        if (shard.failureDiagnosis().isJobAtFault(job, now)) {
             return "fails on every machine it was tried on, "
                     + job.failureCount
                     + " times so far"
@@ -45,12 +45,12 @@
         }
         JobSpec spec = job.spec;
         String tasks = waiting == 1 ? "1 task waits" : waiting + " tasks wait";
-        if (shard.teamUse().left(spec) < (spec.isGang() ? spec.taskCount() : 1)) {
+        if (shard.quotaUsage().remainingTasks(spec) < (spec.isGang() ? spec.taskCount() : 1)) {
             return tasks
                     + ": team "
                     + spec.team()
                     + " is at its limit"
-                    + shard.teamUse().share(spec.team());
+                    + shard.quotaUsage().describeShare(spec.team());
         }
         if (spec.isGang() && !job.liveAttempts.isEmpty()) {
             return tasks + " for the rest of the last attempt to end";
@@ -58,8 +58,8 @@
         int starting = 0;
         int unheard = 0;
         for (Machine machine : shard.machines().values()) {
-            starting += machine.reported() || !machine.attempts.isEmpty() ? 0 : 1;
-            unheard += machine.reported() && !machine.proven ? 1 : 0;
+            starting += machine.hasReported() || !machine.attempts.isEmpty() ? 0 : 1;
+            unheard += machine.hasReported() && !machine.isTokenConfirmed ? 1 : 0;
         }
         String note =
                 tasks
--- a/src/main/java/io/kitepath/core/shard/QuotaUsage.java
+++ b/src/main/java/io/kitepath/core/shard/QuotaUsage.java
@@ -10,26 +10,26 @@
 public final class QuotaUsage {
     /** What this decider may use of a team's limits; infinite where there is none. */
     public interface QuotaLimits {
-        double cpus(ClusterSettings.Team team);
+        double maxCpus(ClusterSettings.Team team);
 
-        double gpus(ClusterSettings.Team team);
+        double maxGpus(ClusterSettings.Team team);
     }
 
     /** As the settings say. */
     private static final class Whole implements QuotaLimits {
         @Override
-        public double cpus(ClusterSettings.Team team) {
+        public double maxCpus(ClusterSettings.Team team) {
             return team.maxCpus() > 0 ? team.maxCpus() : Double.POSITIVE_INFINITY;
         }
 
         @Override
-        public double gpus(ClusterSettings.Team team) {
+        public double maxGpus(ClusterSettings.Team team) {
             return team.maxGpus() > 0 ? team.maxGpus() : Double.POSITIVE_INFINITY;
         }
     }
 
     private final ClusterSettings settings;
-    private QuotaLimits limits = new Whole();
+    private QuotaLimits setLimits = new Whole();
 
     /** CPUs and GPUs by team. */
     private final Map<String, double[]> used = new HashMap<>();
@@ -38,8 +38,8 @@
         this.settings = settings;
     }
 
-    public void limits(QuotaLimits others) {
-        limits = others;
+    public void setLimits(QuotaLimits others) {
+        setLimits = others;
     }
 
     void clear() {
@@ -47,42 +47,42 @@
     }
 
     /** An attempt of this kind was placed (1), or is proven over (-1). */
-    void count(JobSpec spec, int sign) {
+    void countAttempt(JobSpec spec, int sign) {
         double[] u = used.computeIfAbsent(spec.team(), key -> new double[2]);
         u[0] += sign * spec.cpusPerTask();
         u[1] += sign * spec.gpusPerTask();
     }
 
     /** CPUs of the team's attempts that are not proven over. */
-    public double cpus(String team) {
+    public double usedCpus(String team) {
         double[] u = used.get(team);
         return u == null ? 0 : u[0];
     }
 
     /** And their GPUs. */
-    public double gpus(String team) {
+    public double usedGpus(String team) {
         double[] u = used.get(team);
         return u == null ? 0 : u[1];
     }
 
     /** For notes: what of the limit this decider may use, if that is less than the settings say. */
-    String share(String team) {
+    String describeShare(String team) {
         ClusterSettings.Team t = settings.teams().get(team);
         boolean part =
                 t != null
-                        && !(limits instanceof Whole)
-                        && limits.cpus(t) < Double.POSITIVE_INFINITY;
+                        && !(setLimits instanceof Whole)
+                        && setLimits.maxCpus(t) < Double.POSITIVE_INFINITY;
         return part
                 ? String.format(
                         Locale.ROOT,
                         "; this cell may use %.1f CPUs of it now and uses %.1f",
-                        limits.cpus(t),
-                        cpus(team))
+                        setLimits.maxCpus(t),
+                        usedCpus(team))
                 : "";
     }
 
     /** How many more tasks of this kind the team's limit allows. */
-    public int left(JobSpec spec) {
+    public int remainingTasks(JobSpec spec) {
         ClusterSettings.Team team = settings.teams().get(spec.team());
         if (team == null) {
             return 0;
@@ -90,10 +90,10 @@
         double[] u = used.getOrDefault(spec.team(), new double[2]);
         double n = Integer.MAX_VALUE;
         if (spec.cpusPerTask() > 0) {
-            n = Math.min(n, (limits.cpus(team) - u[0] + 1e-6) / spec.cpusPerTask());
+            n = Math.min(n, (setLimits.maxCpus(team) - u[0] + 1e-6) / spec.cpusPerTask());
         }
         if (spec.gpusPerTask() > 0) {
-            n = Math.min(n, (limits.gpus(team) - u[1] + 1e-6) / spec.gpusPerTask());
+            n = Math.min(n, (setLimits.maxGpus(team) - u[1] + 1e-6) / spec.gpusPerTask());
         }
         return (int) Math.max(0, n);
     }
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -34,28 +34,28 @@
      * The share below which a class or team is behind, above the half that it must never fall
      * under. What is endangered may still be served, so the share that comes of it is higher.
      */
-    public static final double FLOOR = 0.55;
+    public static final double BEHIND_BELOW = 0.55;
 
     /** Above which it is not any more. */
-    private static final double CAUGHT_UP = 0.6;
+    private static final double CAUGHT_UP_FROM = 0.6;
 
     /**
      * How much an older job counts for each one decided after it: what counts is about the last
      * 256.
      */
-    private static final double FADES = 1 - 1.0 / 256;
+    private static final double DECAY = 1 - 1.0 / 256;
 
     /** Decided jobs from which on a share says something. */
-    private static final double ENOUGH = 8;
+    private static final double MIN_WEIGHT = 8;
 
     /** Users name the classes, so there may be any number of them. */
-    private static final int MOST = 1000;
+    private static final int MAX_GROUPS = 1000;
 
     /**
      * Of the time that a job may wait and still be in time, the part after which it counts as
      * endangered.
      */
-    private static final double ENDANGERED = 0.6;
+    private static final double ENDANGERED_FRACTION = 0.6;
 
     /** What one group takes in the record, in bytes of its JSON form, besides its name. */
     private static final int GROUP_BYTES = 64;
@@ -67,14 +67,14 @@
         private long endangered;
 
         /** Open, in time so far, and all placed. */
-        private long underWay;
+        private long fullyPlaced;
 
         private long inTime;
         private long done;
         private long missed;
-        private double served;
-        private double decided;
-        private boolean behind;
+        private double decayedInTime;
+        private double decayedDecided;
+        private boolean isBehind;
 
         private ServiceGroup(String name) {
             this.name = name;
@@ -110,24 +110,24 @@
          * served or probably will be; 1 while there are none.
          */
         public double share() {
-            return weight() == 0 ? 1 : (served + underWay) / weight();
+            return weight() == 0 ? 1 : (decayedInTime + fullyPlaced) / weight();
         }
 
         private double weight() {
-            return decided + underWay + endangered;
+            return decayedDecided + fullyPlaced + endangered;
         }
 
-        private void decide(boolean intoTime) {
-            served = served * FADES + (intoTime ? 1 : 0);
-            decided = decided * FADES + 1;
+        private void recordDecision(boolean intoTime) {
+            decayedInTime = decayedInTime * DECAY + (intoTime ? 1 : 0);
+            decayedDecided = decayedDecided * DECAY + 1;
             inTime += intoTime ? 1 : 0;
             missed += intoTime ? 0 : 1;
         }
 
-        private void weigh() {
-            boolean now = weight() >= ENOUGH && share() < (behind ? CAUGHT_UP : FLOOR);
-            if (now != behind) {
-                behind = now;
+        private void updateBehind() {
+            boolean now = weight() >= MIN_WEIGHT && share() < (isBehind ? CAUGHT_UP_FROM : BEHIND_BELOW);
+            if (now != isBehind) {
+                isBehind = now;
                 LOG.warn(
                         "{} {}: {} of {} jobs decided were served in time, {} endangered of {} open",
                         name,
@@ -139,8 +139,8 @@
             }
         }
 
-        private double standing() {
-            return behind ? share() : 1;
+        private double catchUpShare() {
+            return isBehind ? share() : 1;
         }
     }
 
@@ -157,7 +157,7 @@
     private final JobSizes sizes = new JobSizes();
 
     /** What was missed up to then, by the time of day, has been counted by an earlier holder. */
-    private double countedUntilMs;
+    private double countedUntilMillis;
 
     ServiceLevels(ClusterSettings settings) {
         this.settings = settings;
@@ -167,19 +167,19 @@
         classes.clear();
         teams.clear();
         largest.clear();
-        countedUntilMs = 0;
+        countedUntilMillis = 0;
     }
 
     private static ServiceGroup group(Map<String, ServiceGroup> in, String kind, String name) {
         ServiceGroup group = in.get(name);
-        if (group == null && in.size() < MOST) {
+        if (group == null && in.size() < MAX_GROUPS) {
             group = new ServiceGroup(kind + " " + name);
             in.put(name, group);
         }
         return group;
     }
 
-    private void each(JobSpec spec, Consumer<ServiceGroup> then) {
+    private void forEachGroup(JobSpec spec, Consumer<ServiceGroup> then) {
         ServiceGroup c = group(classes, "class", spec.jobClass());
         ServiceGroup t = group(teams, "team", spec.team());
         if (c != null) {
@@ -195,7 +195,7 @@
     }
 
     /** A job has become known. */
-    void came(JobSpec spec) {
+    void recordArrival(JobSpec spec) {
         sizes.add(spec);
     }
 
@@ -210,12 +210,12 @@
      *
      * @param leadS how long jobs of a kind take from placing to running
      */
-    public void look(Collection<Job> jobs, ToDoubleFunction<JobSpec> leadS, double wallMs) {
-        all().forEach(
+    public void update(Collection<Job> jobs, ToDoubleFunction<JobSpec> leadS, double wallMs) {
+        allGroups().forEach(
                         group -> {
                             group.undecided = 0;
                             group.endangered = 0;
-                            group.underWay = 0;
+                            group.fullyPlaced = 0;
                         });
         for (Job job : jobs) {
             // One that waits for others asks for nothing yet.
@@ -223,7 +223,7 @@
                 continue;
             }
             double withinS = settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds());
-            miss(job, withinS, wallMs);
+            recordIfMissed(job, withinS, wallMs);
             if (!job.hasMissedAllGoals) {
                 double mayWaitS =
                         withinS
@@ -231,30 +231,30 @@
                                 - job.spec.estimatedSeconds()
                                 - leadS.applyAsDouble(job.spec);
                 boolean waits = job.waitingTasks() > 0;
-                boolean endangered = waits && wallMs > job.eligibleSinceMillis() + 1000 * ENDANGERED * mayWaitS;
-                each(
+                boolean endangered = waits && wallMs > job.eligibleSinceMillis() + 1000 * ENDANGERED_FRACTION * mayWaitS;
+                forEachGroup(
                         job.spec,
                         group -> {
                             group.undecided++;
                             group.endangered += endangered ? 1 : 0;
-                            group.underWay += waits ? 0 : 1;
+                            group.fullyPlaced += waits ? 0 : 1;
                         });
             }
         }
-        all().forEach(ServiceGroup::weigh);
+        allGroups().forEach(ServiceGroup::updateBehind);
     }
 
-    private void miss(Job job, double withinS, double wallMs) {
+    private void recordIfMissed(Job job, double withinS, double wallMs) {
         double until = job.submittedMillis + 1000 * withinS;
         if (!job.hasMissedAllGoals && wallMs > until) {
             job.hasMissedAllGoals = true;
-            if (until > countedUntilMs) {
-                each(job.spec, group -> group.decide(false));
+            if (until > countedUntilMillis) {
+                forEachGroup(job.spec, group -> group.recordDecision(false));
             }
         }
     }
 
-    private List<ServiceGroup> all() {
+    private List<ServiceGroup> allGroups() {
         List<ServiceGroup> all = new ArrayList<>(classes.values());
         all.addAll(teams.values());
         all.addAll(largest.values());
@@ -262,11 +262,11 @@
     }
 
     /** The store has it that the job is done. */
-    public void done(Job job, double wallMs) {
-        miss(job, settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()), wallMs);
-        each(job.spec, group -> group.done++);
+    public void recordDone(Job job, double wallMs) {
+        recordIfMissed(job, settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()), wallMs);
+        forEachGroup(job.spec, group -> group.done++);
         if (!job.hasMissedAllGoals) {
-            each(job.spec, group -> group.decide(true));
+            forEachGroup(job.spec, group -> group.recordDecision(true));
         }
     }
 
@@ -274,13 +274,13 @@
      * 1, or the share that the job's class, its largest jobs, or its team get, the lowest one, if
      * that is so little that others of its rank go without before it.
      */
-    public double standing(JobSpec spec) {
+    public double catchUpShare(JobSpec spec) {
         ServiceGroup c = classes.get(spec.jobClass());
         ServiceGroup t = teams.get(spec.team());
         ServiceGroup l = sizes.isAmongLargest(spec) ? largest.get(spec.jobClass()) : null;
         return Math.min(
-                l == null ? 1 : l.standing(),
-                Math.min(c == null ? 1 : c.standing(), t == null ? 1 : t.standing()));
+                l == null ? 1 : l.catchUpShare(),
+                Math.min(c == null ? 1 : c.catchUpShare(), t == null ? 1 : t.catchUpShare()));
     }
 
     // ---- for the next holder
@@ -291,7 +291,7 @@
      * a day with many ends nobody would ever be behind. Those with the most jobs decided, as many
      * as a value may hold.
      */
-    public Map<String, Object> record(double wallMs) {
+    public Map<String, Object> toRecord(double wallMs) {
         Map<String, Object> out = new LinkedHashMap<>();
         out.put("untilMs", wallMs);
         double left = settings.store().maxValueBytes() * 0.3;
@@ -322,8 +322,8 @@
                             group.inTime,
                             group.done,
                             group.missed,
-                            Math.round(1000 * group.served),
-                            Math.round(1000 * group.decided)));
+                            Math.round(1000 * group.decayedInTime),
+                            Math.round(1000 * group.decayedDecided)));
         }
         return out;
     }
@@ -335,7 +335,7 @@
      */
     public void restore(Object record) {
         DocumentReader document = DocumentReader.of(record);
-        countedUntilMs = document.number("untilMs", 0);
+        countedUntilMillis = document.number("untilMs", 0);
         restore(document, "classes", "class", classes);
         restore(document, "teams", "team", teams);
         restore(document, "largest", "largest of", largest);
@@ -357,8 +357,8 @@
                             group.inTime = ((Number) l.get(0)).longValue();
                             group.done = ((Number) l.get(1)).longValue();
                             group.missed = ((Number) l.get(2)).longValue();
-                            group.served = ((Number) l.get(3)).doubleValue() / 1000;
-                            group.decided = ((Number) l.get(4)).doubleValue() / 1000;
+                            group.decayedInTime = ((Number) l.get(3)).doubleValue() / 1000;
+                            group.decayedDecided = ((Number) l.get(4)).doubleValue() / 1000;
                         }
                     }
                 });
@@ -377,7 +377,7 @@
                                 least(classes),
                                 least(teams),
                                 least(largest)));
-        for (ServiceGroup group : all()) {
+        for (ServiceGroup group : allGroups()) {
             text.append(
                     String.format(
                             Locale.ROOT,
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -30,26 +30,26 @@
  */
 public final class ShardState {
     private static final Logger LOG = LoggerFactory.getLogger(ShardState.class);
-    private static final int TOMBSTONES = 5000;
+    private static final int MAX_TOMBSTONES = 5000;
 
     private final ClusterSettings settings;
-    private final Map<String, MachineType> types = new LinkedHashMap<>();
-    private final Map<String, MachineType> typesView = Collections.unmodifiableMap(types);
+    private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
+    private final Map<String, MachineType> machineTypesView = Collections.unmodifiableMap(machineTypes);
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
-    private final FailureDiagnosis failures;
-    private final BootTimes boots;
-    private final PendingReasons notes = new PendingReasons(this);
+    private final FailureDiagnosis failureDiagnosis;
+    private final BootTimes bootTimes;
+    private final PendingReasons pendingReasons = new PendingReasons(this);
 
     /** Is told of every machine that becomes known. */
-    private final Consumer<Machine> newcomers;
+    private final Consumer<Machine> machineAddedListener;
 
-    private final QuotaUsage teamUse;
+    private final QuotaUsage quotaUsage;
 
     /** Machines that are put down as going. */
-    private final Set<String> going = new HashSet<>();
+    private final Set<String> markedForRelease = new HashSet<>();
 
     /** Names of machines that are gone for certain; lists may show them a while longer. */
     private final Set<String> tombstones =
@@ -57,56 +57,56 @@
                     new LinkedHashMap<>() {
                         @Override
                         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                            return size() > TOMBSTONES;
+                            return size() > MAX_TOMBSTONES;
                         }
                     });
 
-    private final RecentArrivals lately = new RecentArrivals();
-    private final StartLatencies leads = new StartLatencies();
-    private final DirtyParts unwritten = new DirtyParts();
-    private final ServiceLevels served;
-    private final JobDependencies pipelines;
+    private final RecentArrivals recentArrivals = new RecentArrivals();
+    private final StartLatencies startLatencies = new StartLatencies();
+    private final DirtyParts dirtyParts = new DirtyParts();
+    private final ServiceLevels serviceLevels;
+    private final JobDependencies jobDependencies;
 
     /** Jobs whose parts are to be laid out anew. */
-    private final Set<Job> wide = new LinkedHashSet<>();
+    private final Set<Job> jobsToMigrate = new LinkedHashSet<>();
 
     /** How many tasks one part of a job holds whose record does not say. */
-    private int partTasks;
+    private int tasksPerPart;
 
-    private int recordBytes;
-    private long token;
-    private long ends;
-    private long lost;
-    private boolean changed;
-    private boolean backlog;
+    private int maxRecordBytes;
+    private long fencingToken;
+    private long attemptsEnded;
+    private long attemptsLost;
+    private boolean isSchedulingNeeded;
+    private boolean hasBacklog;
 
     /** {@code newcomers} is told of every machine that becomes known. */
     public ShardState(ClusterSettings settings, Consumer<Machine> newcomers) {
         this.settings = settings;
-        this.teamUse = new QuotaUsage(settings);
-        this.newcomers = newcomers;
-        this.served = new ServiceLevels(settings);
-        this.failures = new FailureDiagnosis(settings, machines);
-        this.boots = new BootTimes(types);
-        this.pipelines =
+        this.quotaUsage = new QuotaUsage(settings);
+        this.machineAddedListener = newcomers;
+        this.serviceLevels = new ServiceLevels(settings);
+        this.failureDiagnosis = new FailureDiagnosis(settings, machines);
+        this.bootTimes = new BootTimes(machineTypes);
+        this.jobDependencies =
                 new JobDependencies(
-                        settings, jobs, spec -> leads.mostS(spec.jobClass()), this::change);
-        this.partTasks = settings.tasksPerPart();
-        this.recordBytes = settings.store().maxValueBytes();
+                        settings, jobs, spec -> startLatencies.upperEstimateSeconds(spec.jobClass()), this::requestScheduling);
+        this.tasksPerPart = settings.tasksPerPart();
+        this.maxRecordBytes = settings.store().maxValueBytes();
     }
 
-    public ClusterSettings facts() {
+    public ClusterSettings settings() {
         return settings;
     }
 
     /** The machine types by name, empty until they are known. */
-    public Map<String, MachineType> types() {
-        return typesView;
+    public Map<String, MachineType> machineTypes() {
+        return machineTypesView;
     }
 
-    public void learn(Collection<MachineType> all) {
-        types.clear();
-        all.forEach(type -> types.put(type.name(), type));
+    public void setMachineTypes(Collection<MachineType> all) {
+        machineTypes.clear();
+        all.forEach(type -> machineTypes.put(type.name(), type));
     }
 
     /** By id: jobs that are open, or over with something of them left. */
@@ -118,115 +118,115 @@
         return machinesView;
     }
 
-    public FailureDiagnosis failures() {
-        return failures;
+    public FailureDiagnosis failureDiagnosis() {
+        return failureDiagnosis;
     }
 
-    public BootTimes boots() {
-        return boots;
+    public BootTimes bootTimes() {
+        return bootTimes;
     }
 
-    public QuotaUsage teamUse() {
-        return teamUse;
+    public QuotaUsage quotaUsage() {
+        return quotaUsage;
     }
 
-    public RecentArrivals lately() {
-        return lately;
+    public RecentArrivals recentArrivals() {
+        return recentArrivals;
     }
 
-    public StartLatencies leads() {
-        return leads;
+    public StartLatencies startLatencies() {
+        return startLatencies;
     }
 
     /** What classes and teams got of what they asked for. */
-    public ServiceLevels served() {
-        return served;
+    public ServiceLevels serviceLevels() {
+        return serviceLevels;
     }
 
     /** Which jobs wait for which. */
-    public JobDependencies pipelines() {
-        return pipelines;
+    public JobDependencies jobDependencies() {
+        return jobDependencies;
     }
 
     /** How many tasks one part of a job holds whose record does not say. */
-    public int partTasks() {
-        return partTasks;
+    public int tasksPerPart() {
+        return tasksPerPart;
     }
 
     /** What the deployment's records are laid out by, whatever the settings say by now. */
-    public void laidOutBy(int tasks) {
-        partTasks = tasks;
+    public void setTasksPerPart(int tasks) {
+        tasksPerPart = tasks;
     }
 
-    public DirtyParts unwritten() {
-        return unwritten;
+    public DirtyParts dirtyParts() {
+        return dirtyParts;
     }
 
-    public long token() {
-        return token;
+    public long fencingToken() {
+        return fencingToken;
     }
 
     /**
      * Attempts proven over, and of those the ones that were lost with their machine or its session.
      */
-    public long ends() {
-        return ends;
+    public long attemptsEnded() {
+        return attemptsEnded;
     }
 
-    public long lost() {
-        return lost;
+    public long attemptsLost() {
+        return attemptsLost;
     }
 
     /** Whether something changed that may let work be placed. */
-    public boolean changed() {
-        return changed;
+    public boolean isSchedulingNeeded() {
+        return isSchedulingNeeded;
     }
 
-    public void change() {
-        changed = true;
+    public void requestScheduling() {
+        isSchedulingNeeded = true;
     }
 
     /** Whether work waited after the last placing. */
-    public boolean backlog() {
-        return backlog;
+    public boolean hasBacklog() {
+        return hasBacklog;
     }
 
     /** A round of placing begins: what changed until now is looked at. */
-    public void beginRound(double now) {
-        changed = false;
-        backlog = false;
-        machines.values().forEach(machine -> machine.reconsider(now));
+    public void beginSchedulingRound(double now) {
+        isSchedulingNeeded = false;
+        hasBacklog = false;
+        machines.values().forEach(machine -> machine.refreshReservation(now));
     }
 
     /** Work waits in this round. */
-    public void waits() {
-        backlog = true;
+    public void markBacklog() {
+        hasBacklog = true;
     }
 
     // ---- holding ------------------------------------------------------------------------------
 
     /** From now on this token is ours; every machine has to report with it before it gets work. */
-    public void hold(long newToken) {
-        token = newToken;
-        machines.values().forEach(Machine::unproven);
+    public void takeLeadership(long newToken) {
+        fencingToken = newToken;
+        machines.values().forEach(Machine::resetTokenConfirmation);
     }
 
     /** Held by somebody else: what this node knew may be wrong from now on. */
-    public void yield() {
-        forgetJobs();
+    public void giveUpLeadership() {
+        clearJobs();
         machines.clear();
-        going.clear();
+        markedForRelease.clear();
     }
 
     // ---- jobs -----------------------------------------------------------------------------------
 
-    public void forgetJobs() {
+    public void clearJobs() {
         jobs.clear();
-        teamUse.clear();
-        unwritten.clear();
-        served.clear();
-        pipelines.clear();
-        wide.clear();
+        quotaUsage.clear();
+        dirtyParts.clear();
+        serviceLevels.clear();
+        jobDependencies.clear();
+        jobsToMigrate.clear();
         for (Machine machine : machines.values()) {
             machine.forgetAttempts();
         }
@@ -241,11 +241,11 @@
                 job.spec.taskCount(),
                 job.spec.cpusPerTask(),
                 job.spec.image());
-        changed = true;
-        lately.add(job);
-        served.came(job.spec);
+        isSchedulingNeeded = true;
+        recentArrivals.add(job);
+        serviceLevels.recordArrival(job.spec);
         if (!job.isFinished) {
-            pipelines.jobOpened(job);
+            jobDependencies.jobOpened(job);
         }
     }
 
@@ -253,7 +253,7 @@
      * A job that is over and has records of its tasks left: something of it may still be on
      * machines.
      */
-    public void addOver(Job job) {
+    public void addFinishedJob(Job job) {
         job.isFinished = true;
         addJob(job);
     }
@@ -263,9 +263,9 @@
      *
      * @throws io.kitepath.core.model.InvalidInputException if the record is not one of a part
      */
-    public void adopt(Job job, int part, Object record, long revision, double now) {
+    public void restorePart(Job job, int part, Object record, long revision, double now) {
         for (Map.Entry<?, ?> e : job.readPart(part, record, revision).entrySet()) {
-            Machine machine = machine((String) e.getKey(), now);
+            Machine machine = getOrAddMachine((String) e.getKey(), now);
             List<?> l = (List<?>) e.getValue();
             for (int i = 0; i + 1 < l.size(); i += 2) {
                 Attempt attempt =
@@ -278,13 +278,13 @@
                                 0);
                 attempt.isDurable = true;
                 attempt.mayBeLaunched = true;
-                attach(attempt);
+                addAttempt(attempt);
                 job.nextAttempt = Math.max(job.nextAttempt, attempt.number + 1);
             }
         }
-        pipelines.jobStarted(job);
+        jobDependencies.jobStarted(job);
         if (job.isFinished) {
-            unwritten.enqueueIfDirty(job.markPartDirty(part));
+            dirtyParts.enqueueIfDirty(job.markPartDirty(part));
         }
     }
 
@@ -292,23 +292,23 @@
      * The job is done or cancelled in the store; whatever of it is still on machines has to go.
      * Returns whether that is news here.
      */
-    public boolean jobOver(String id) {
+    public boolean finishJob(String id) {
         Job job = jobs.get(id);
         if (job == null || job.isFinished) {
             return false;
         }
         job.isFinished = true;
-        changed = true;
-        pipelines.jobClosed(job);
+        isSchedulingNeeded = true;
+        jobDependencies.jobClosed(job);
         for (Attempt attempt : new ArrayList<>(job.liveAttempts.values())) {
             if (!attempt.isDurable) {
-                withdraw(attempt);
+                withdrawPlacement(attempt);
             }
         }
         job.markAllDirty();
         for (Job.Part part : job.allParts()) {
             if (part.revision() > 0) {
-                unwritten.addChange(
+                dirtyParts.addChange(
                         part); // To be removed, or kept for as long as something is on machines.
             }
         }
@@ -325,7 +325,7 @@
         for (String id : ids) {
             Job job = jobs.get(id);
             if (job != null && !job.hasCancelledDependency) {
-                out.add(job.progress(now, settings.workers().heartbeatIntervalSeconds(), notes));
+                out.add(job.progress(now, settings.workers().heartbeatIntervalSeconds(), pendingReasons));
             }
         }
         return out;
@@ -333,10 +333,10 @@
 
     // ---- attempts -------------------------------------------------------------------------------
 
-    void attach(Attempt attempt) {
+    void addAttempt(Attempt attempt) {
         attempt.job.addLive(attempt);
-        attempt.machine.add(attempt);
-        teamUse.count(attempt.job.spec, 1);
+        attempt.machine.addAttempt(attempt);
+        quotaUsage.countAttempt(attempt.job.spec, 1);
         attempt.job.hasStoppingAttempts += attempt.isStopping() ? 1 : 0;
     }
 
@@ -344,53 +344,53 @@
      * Takes back a placing that is not known to be written, so was never launched. Its write may be
      * under way all the same, hence the part counts as changed.
      */
-    private void withdraw(Attempt attempt) {
-        teamUse.count(attempt.job.spec, -1);
+    private void withdrawPlacement(Attempt attempt) {
+        quotaUsage.countAttempt(attempt.job.spec, -1);
         attempt.job.removeLive(attempt);
-        unwritten.addChange(attempt.job.markDirty(attempt.task));
+        dirtyParts.addChange(attempt.job.markDirty(attempt.task));
         attempt.job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
-        attempt.machine.remove(attempt);
-        changed = true;
+        attempt.machine.removeAttempt(attempt);
+        isSchedulingNeeded = true;
     }
 
     /**
      * The attempt is proven over. It stays on the machine's list until that is written, and is
      * cleared after.
      */
-    void end(Attempt attempt, EndCause cause, double now) {
+    void endAttempt(Attempt attempt, EndCause cause, double now) {
         if (attempt.isEnded) {
             return;
         }
         Job job = attempt.job;
-        teamUse.count(job.spec, -1);
+        quotaUsage.countAttempt(job.spec, -1);
         attempt.isEnded = true;
         attempt.state = TaskState.ENDED;
         job.removeLive(attempt);
         job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
-        ends++;
-        changed = true;
+        attemptsEnded++;
+        isSchedulingNeeded = true;
         Machine machine = attempt.machine;
-        machine.remove(attempt);
+        machine.removeAttempt(attempt);
         if (attempt.isDurable) {
-            machine.unwritten.add(attempt);
+            machine.unwrittenEnds.add(attempt);
             job.unwrittenEnds.add(attempt);
         }
-        if (!machine.busy()) {
+        if (!machine.isBusy()) {
             machine.idleSince = now;
         }
         if (!job.isFinished) {
-            judge(attempt, cause, now);
+            applyEndCause(attempt, cause, now);
         }
-        unwritten.addChange(job.markDirty(attempt.task));
+        dirtyParts.addChange(job.markDirty(attempt.task));
         attempt.endedVersion = job.version();
     }
 
-    private void judge(Attempt attempt, EndCause cause, double now) {
+    private void applyEndCause(Attempt attempt, EndCause cause, double now) {
         Job job = attempt.job;
         Machine machine = attempt.machine;
         switch (cause == null ? EndCause.STOPPED : cause) {
             case DONE -> {
-                failures.succeeded(attempt);
+                failureDiagnosis.recordSuccess(attempt);
                 if (job.spec.shape() == JobSpec.Shape.SERVICE) {
                     break;
                 }
@@ -398,12 +398,12 @@
                     // The tasks of a gang complete together.
                     job.doneTasks.set(0, job.spec.taskCount());
                     job.markAllDirty();
-                    job.allParts().forEach(unwritten::addChange);
+                    job.allParts().forEach(dirtyParts::addChange);
                 } else {
                     job.doneTasks.set(attempt.task);
                 }
             }
-            case ERROR -> failures.failed(attempt, now);
+            case ERROR -> failureDiagnosis.recordFailure(attempt, now);
             case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_TASK -> {
                 LOG.info("attempt {} refused: {}", attempt, cause);
                 job.notBefore = Math.max(job.notBefore, now + settings.workers().heartbeatIntervalSeconds());
@@ -412,14 +412,14 @@
         }
         if (job.spec.isGang() && cause != EndCause.DONE) {
             if (cause == EndCause.GANG_START_TIMEOUT) {
-                hasImage(attempt);
+                recordImageUse(attempt);
             }
             if (cause == EndCause.GANG_START_TIMEOUT
-                    && fetching(job)
-                    && (machine.reservedFor == null || machine.kept)) {
-                machine.reserve(job, now + 3 * fetchS(job.spec) + settings.workers().gangStartTimeoutSeconds());
+                    && isFetchingImages(job)
+                    && (machine.reservedFor == null || machine.isBackfillAllowed)) {
+                machine.reserve(job, now + 3 * imageFetchSeconds(job.spec) + settings.workers().gangStartTimeoutSeconds());
             }
-            restartOnceFetched(job);
+            restartGangOnceImagesFetched(job);
         }
     }
 
@@ -430,15 +430,15 @@
      * what they had fetched was lost, and it began anew. So they fetch on, the room of those that
      * gave up is held, and all restart where the image is.
      */
-    public void restartOnceFetched(Job job) {
-        if (!job.liveAttempts.isEmpty() && job.liveAttempts.size() < job.spec.taskCount() && !fetching(job)) {
+    public void restartGangOnceImagesFetched(Job job) {
+        if (!job.liveAttempts.isEmpty() && job.liveAttempts.size() < job.spec.taskCount() && !isFetchingImages(job)) {
             for (Attempt other : new ArrayList<>(job.liveAttempts.values())) {
-                stop(other, 0);
+                stopAttempt(other, 0);
             }
         }
     }
 
-    private static boolean fetching(Job job) {
+    private static boolean isFetchingImages(Job job) {
         return job.liveAttempts.values().stream()
                 .anyMatch(
                         attempt ->
@@ -447,9 +447,9 @@
                                         && attempt.state == TaskState.FETCHING_IMAGE);
     }
 
-    private double fetchS(JobSpec spec) {
+    private double imageFetchSeconds(JobSpec spec) {
         double rate =
-                types.values().stream()
+                machineTypes.values().stream()
                         .mapToDouble(MachineType::fetchGigabytesPerSecond)
                         .filter(r -> r > 0)
                         .min()
@@ -457,12 +457,12 @@
         return spec.imageGigabytes() / rate;
     }
 
-    public void stop(Attempt attempt, double graceS) {
+    public void stopAttempt(Attempt attempt, double graceS) {
         if (attempt.isEnded) {
             return;
         }
         if (!attempt.isDurable) {
-            withdraw(attempt);
+            withdrawPlacement(attempt);
             return;
         }
         if (!attempt.isStopping()) {
@@ -476,43 +476,43 @@
      * The bytes that a record may have: as the settings say, or fewer if the store has refused one
      * of that size.
      */
-    public int recordBytes() {
-        return recordBytes;
+    public int maxRecordBytes() {
+        return maxRecordBytes;
     }
 
-    public void recordsBelow(int bytes) {
-        recordBytes = Math.min(recordBytes, bytes - 1);
+    public void lowerMaxRecordBytes(int bytes) {
+        maxRecordBytes = Math.min(maxRecordBytes, bytes - 1);
     }
 
     /**
      * Whether the record of the task's part can take one more attempt; nothing may start that is
      * not on record.
      */
-    public boolean recordable(Job job, int task) {
-        return job.fitsRecord(task, recordBytes);
+    public boolean fitsRecord(Job job, int task) {
+        return job.fitsRecord(task, maxRecordBytes);
     }
 
     /** Whether the records of its parts can take all its tasks at once, or can't be made to. */
-    public boolean recordable(Job job) {
-        return job.hasPartsOfAtMost(settings.tasksPerCompactPart()) || job.allTasksFitRecords(recordBytes);
+    public boolean fitsRecord(Job job) {
+        return job.hasPartsOfAtMost(settings.tasksPerCompactPart()) || job.allTasksFitRecords(maxRecordBytes);
     }
 
     /**
      * The job's parts can't be on record as they are laid out; nothing more of it is placed until
      * they are anew.
      */
-    public void tooWide(Job job) {
-        wide.add(job);
-        changed = true;
+    public void requestMigration(Job job) {
+        jobsToMigrate.add(job);
+        isSchedulingNeeded = true;
     }
 
-    public List<Job> wide() {
-        return List.copyOf(wide);
+    public List<Job> jobsToMigrate() {
+        return List.copyOf(jobsToMigrate);
     }
 
-    public void laidOut(Job job) {
-        wide.remove(job);
-        changed = true;
+    public void migrationDone(Job job) {
+        jobsToMigrate.remove(job);
+        isSchedulingNeeded = true;
     }
 
     /**
@@ -521,8 +521,8 @@
      */
     public void place(Job job, int task, Machine machine, double now) {
         Job.Part part = job.markPlacementDirty(task);
-        unwritten.addPlacement(part);
-        attach(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
+        dirtyParts.addPlacement(part);
+        addAttempt(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
         job.placementTimes.add(now);
         LOG.debug("placed {}/{}#{} on {}", job.spec.id(), task, job.nextAttempt, machine.id);
     }
@@ -531,7 +531,7 @@
      * What was placed of the job since the last call shares an attempt number; the next ones get
      * another.
      */
-    public void placedTogether(Job job) {
+    public void advanceAttemptNumber(Job job) {
         job.nextAttempt++;
     }
 
@@ -539,10 +539,10 @@
      * A worker has an attempt that nothing placed there: it counts until it is proven over, and is
      * stopped.
      */
-    void strayed(Job job, int task, long number, TaskState state, Machine machine, double now) {
+    void addUnexpectedAttempt(Job job, int task, long number, TaskState state, Machine machine, double now) {
         LOG.error(
                 "machine {} has {}/{} which was not placed there", machine.id, job.spec.id(), task);
-        unwritten.addChange(job.markDirty(task));
+        dirtyParts.addChange(job.markDirty(task));
         Attempt attempt = new Attempt(job, task, number, machine, now, job.version());
         attempt.isDurable = true;
         attempt.mayBeLaunched = true;
@@ -550,18 +550,18 @@
         attempt.state = state;
         attempt.stopGraceSeconds = 0;
         job.nextAttempt = Math.max(job.nextAttempt, number + 1);
-        attach(attempt);
+        addAttempt(attempt);
     }
 
     // ---- machines -------------------------------------------------------------------------------
 
-    Machine machine(String id, double now) {
+    Machine getOrAddMachine(String id, double now) {
         return machines.computeIfAbsent(
                 id,
                 key -> {
                     Machine machine = new Machine(key, now);
-                    machine.releasing = going.contains(key);
-                    newcomers.accept(machine);
+                    machine.isReleasing = markedForRelease.contains(key);
+                    machineAddedListener.accept(machine);
                     return machine;
                 });
     }
@@ -570,80 +570,80 @@
      * The machine is put down as one to be given back: whenever it is heard of, it takes no work
      * any more.
      */
-    public void goes(String id) {
-        going.add(id);
+    public void markForRelease(String id) {
+        markedForRelease.add(id);
         Machine machine = machines.get(id);
         if (machine != null) {
-            machine.releasing = true;
+            machine.isReleasing = true;
         }
     }
 
     /** The machine and all on it are gone for certain: released, taken, or unknown to the cloud. */
-    public void machineGone(String id, double now) {
+    public void removeMachine(String id, double now) {
         tombstones.add(id);
-        going.remove(id);
+        markedForRelease.remove(id);
         Machine machine = machines.remove(id);
         if (machine == null) {
             return;
         }
-        machine.gone = true;
+        machine.isGone = true;
         for (Attempt attempt : new ArrayList<>(machine.attempts)) {
-            lose(attempt, now);
+            loseAttempt(attempt, now);
         }
-        changed = true;
+        isSchedulingNeeded = true;
         LOG.info("machine {} gone", id);
     }
 
     /** The attempt went with its machine or its worker's session. */
-    void lose(Attempt attempt, double now) {
-        lost++;
-        end(attempt, EndCause.STOPPED, now);
+    void loseAttempt(Attempt attempt, double now) {
+        attemptsLost++;
+        endAttempt(attempt, EndCause.STOPPED, now);
     }
 
     /** What the cloud says exists. A list can be old, so it never proves a machine gone. */
-    public void listed(Collection<Cloud.Listed> list, double now) {
+    public void applyCloudList(Collection<Cloud.Listed> list, double now) {
         for (Cloud.Listed listed : list) {
-            if (buried(listed.machineId())) {
+            if (isKnownGone(listed.machineId())) {
                 continue;
             }
             boolean fresh = !machines.containsKey(listed.machineId());
-            Machine machine = machine(listed.machineId(), now);
+            Machine machine = getOrAddMachine(listed.machineId(), now);
             if (fresh) {
                 machine.knownSince = now - listed.heldSeconds();
             }
-            machine.listed = true;
+            machine.isListed = true;
             machine.type = listed.machineType();
             machine.zone = listed.zone();
-            machine.spot = listed.spot();
+            machine.isSpot = listed.spot();
             if (listed.status().equals("failed")) {
-                machine.releasing = true;
+                machine.isReleasing = true;
             }
         }
     }
 
     /** The cloud has rented this machine to us; its boot began at {@code since}. */
-    public void rented(String id, MachineKind kind, double now, double since) {
-        if (buried(id)) {
+    public void addRentedMachine(String id, MachineKind kind, double now, double since) {
+        if (isKnownGone(id)) {
             return;
         }
-        Machine machine = machine(id, now);
-        if (!machine.reported()) {
-            machine.rentedHere = true;
+        Machine machine = getOrAddMachine(id, now);
+        if (!machine.hasReported()) {
+            machine.isBootStartKnown = true;
             machine.knownSince = since;
         }
         machine.type = kind.machineType();
         machine.zone = kind.zone();
-        machine.spot = kind.spot();
+        machine.isSpot = kind.spot();
     }
 
     /** Whether the machine is gone for certain, whoever still speaks of it. */
-    boolean buried(String machine) {
+    boolean isKnownGone(String machine) {
         return tombstones.contains(machine);
     }
 
-    void hasImage(Attempt attempt) {
-        MachineType type = types.get(attempt.machine.type);
-        attempt.machine.ran(
+    void recordImageUse(Attempt attempt) {
+        MachineType type = machineTypes.get(attempt.machine.type);
+        attempt.machine.recordImageUse(
                 attempt.job.spec.image(),
                 attempt.job.spec.imageGigabytes(),
                 type == null ? 0 : type.cacheGigabytes());
@@ -652,10 +652,10 @@
     // ---- what was written -----------------------------------------------------------------------
 
     /** Everything about this part up to {@code version} is in the store now. */
-    public void recorded(Job.Part part, int version, long revision) {
+    public void markPartWritten(Job.Part part, int version, long revision) {
         Job job = part.job;
         part.markWritten(version, revision);
-        unwritten.enqueueIfDirty(part);
+        dirtyParts.enqueueIfDirty(part);
         for (Attempt attempt : job.liveAttemptsInPart(part.index)) {
             if (attempt.placedVersion <= version) {
                 attempt.isDurable = true;
@@ -667,34 +667,34 @@
                             job.partOf(attempt.task) == part.index
                                     && attempt.endedVersion <= version;
                     if (now) {
-                        attempt.machine.unwritten.remove(attempt);
+                        attempt.machine.unwrittenEnds.remove(attempt);
                     }
                     return now;
                 });
     }
 
     /** The job's records are laid out anew, as of that version of it, with these parts. */
-    public void relaid(Job job, JobRecord record, long revision, int version, Set<Integer> parts) {
-        job.allParts().forEach(unwritten::remove); // Those that were are no more.
+    public void applyMigration(Job job, JobRecord record, long revision, int version, Set<Integer> parts) {
+        job.allParts().forEach(dirtyParts::remove); // Those that were are no more.
         job.applyMigration(record, revision);
         for (Job.Part part : job.allParts()) {
-            recorded(part, version, parts.contains(part.index) ? revision : 0);
+            markPartWritten(part, version, parts.contains(part.index) ? revision : 0);
         }
-        laidOut(job);
+        migrationDone(job);
     }
 
     /** All the job's parts may differ from their records. */
-    public void differs(Job job) {
+    public void markAllPartsDirty(Job job) {
         job.markAllDirty();
-        job.allParts().forEach(unwritten::addChange);
+        job.allParts().forEach(dirtyParts::addChange);
     }
 
     /** A job that is over, with nothing of it left anywhere. */
-    public void dropJob(Job job) {
+    public void removeJob(Job job) {
         jobs.remove(job.spec.id());
         if (job.successCount == 0) {
-            failures.acquit(job);
+            failureDiagnosis.clearBlame(job);
         }
-        job.unwrittenEnds.forEach(attempt -> attempt.machine.unwritten.remove(attempt));
+        job.unwrittenEnds.forEach(attempt -> attempt.machine.unwrittenEnds.remove(attempt));
     }
 }
--- a/src/main/java/io/kitepath/core/shard/StartLatencies.java
+++ b/src/main/java/io/kitepath/core/shard/StartLatencies.java
@@ -13,19 +13,19 @@
     private static final double WEIGHT = 1.0 / 64;
 
     /** Users name the classes, so there may be any number of them. */
-    private static final int MOST = 1000;
+    private static final int MAX_CLASSES = 1000;
 
     /** Seconds by class: the average, and how far from it they are on average. */
-    private final Cache<String, double[]> classes = Caffeine.newBuilder().maximumSize(MOST).build();
+    private final Cache<String, double[]> classes = Caffeine.newBuilder().maximumSize(MAX_CLASSES).build();
 
-    void took(String jobClass, double seconds) {
+    void recordStart(String jobClass, double seconds) {
         double[] l = classes.get(jobClass, key -> new double[] {seconds, 0});
         l[1] += WEIGHT * (Math.abs(seconds - l[0]) - l[1]);
         l[0] += WEIGHT * (seconds - l[0]);
     }
 
     /** What most of the class's tasks take, in seconds; 0 while nothing is known. */
-    public double mostS(String jobClass) {
+    public double upperEstimateSeconds(String jobClass) {
         double[] l = classes.getIfPresent(jobClass);
         return l == null ? 0 : l[0] + l[1];
     }
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -60,7 +60,7 @@
             ShardState shard,
             BooleanSupplier holding,
             Listener listener) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.store = store;
         this.timers = timers;
         this.random = random;
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -60,7 +60,7 @@
         Map<String, List<Object>> by = new TreeMap<>();
         int bytes = 0;
         for (Machine machine : machines) {
-            if (indexOf(machine.id) != index || machine.gone() || machine.releasing()) {
+            if (indexOf(machine.id) != index || machine.isGone() || machine.isReleasing()) {
                 continue;
             }
             for (Map.Entry<String, Double> e : machine.images().entrySet()) {
@@ -104,7 +104,7 @@
     public void recall(Machine machine) {
         Map<String, Double> images = remembered.remove(machine.id);
         if (images != null) {
-            images.forEach(machine::recall);
+            images.forEach(machine::restoreImage);
         }
     }
 
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -58,9 +58,9 @@
     /** The store has it at that revision. */
     void written(ShardState shard, long revision) {
         boolean same = job.version() == version;
-        shard.relaid(job, record, revision, version, parts.keySet());
+        shard.applyMigration(job, record, revision, version, parts.keySet());
         if (!same) {
-            shard.differs(job);
+            shard.markAllPartsDirty(job);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -120,7 +120,7 @@
             Listener listener,
             StateLoader.LoanRecords elsewhere) {
         this.elsewhere = elsewhere;
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.store = store;
         this.timers = timers;
         this.shard = shard;
@@ -128,7 +128,7 @@
         this.listener = listener;
         this.writes = new WriteBatcher(store, timers, shard, images, listener);
         this.dependencyOutcomes =
-                new DependencyOutcomes(settings, store, timers, shard.pipelines());
+                new DependencyOutcomes(settings, store, timers, shard.jobDependencies());
     }
 
     /** Transactions that the store refused for good, as over its limits. */
@@ -303,14 +303,14 @@
                                 .requireRevision(StoreKeys.LAYOUT, 0)
                                 .put(
                                         StoreKeys.LAYOUT,
-                                        Map.of("partTasks", (long) shard.partTasks()));
+                                        Map.of("partTasks", (long) shard.tasksPerPart()));
                     }
 
                     @Override
                     public void written(long revision) {
                         LOG.info(
                                 "parts of jobs hold {} tasks where their records do not say",
-                                shard.partTasks());
+                                shard.tasksPerPart());
                     }
                 });
     }
@@ -333,16 +333,16 @@
     /** False if what was read does not fit together: jobs came or ended while it was read. */
     private boolean adopt(StateLoader.LoadedState found) {
         double now = timers.nowSeconds();
-        shard.forgetJobs();
+        shard.clearJobs();
         if (found.layout() != null) {
-            shard.laidOutBy(
+            shard.setTasksPerPart(
                     (int)
                             DocumentReader.of(found.layout().value())
                                     .integer("partTasks", 1, Integer.MAX_VALUE));
         }
         if (servedBefore != null) {
             try {
-                shard.served().restore(servedBefore);
+                shard.serviceLevels().restore(servedBefore);
             } catch (InvalidInputException invalid) {
                 LOG.error("record {} is unreadable: {}", StoreKeys.SERVED, invalid.getMessage());
             }
@@ -358,7 +358,7 @@
                 .forEach(
                         (id, entry) -> {
                             try {
-                                shard.addOver(job(id, entry));
+                                shard.addFinishedJob(job(id, entry));
                             } catch (InvalidInputException | IllegalArgumentException bad) {
                                 LOG.error(
                                         "record {} is unreadable: {}",
@@ -382,13 +382,13 @@
             }
             int part = StoreKeys.indexOfPart(entry.key());
             if (part < job.partCount()) {
-                shard.adopt(job, part, entry.value(), entry.revision(), now);
+                shard.restorePart(job, part, entry.value(), entry.revision(), now);
             }
         }
         misfits = 0;
         loaded = true;
         // Guards against what was read before a cancellation that others told us of meanwhile.
-        List.copyOf(listener.cancelledMeanwhile()).forEach(shard::jobOver);
+        List.copyOf(listener.cancelledMeanwhile()).forEach(shard::finishJob);
         LOG.info("loaded {} jobs, {} parts", shard.jobs().size(), found.parts().size());
         return true;
     }
@@ -399,7 +399,7 @@
                 settings,
                 entry.key(),
                 entry.revision(),
-                shard.partTasks());
+                shard.tasksPerPart());
     }
 
     private void opened(Entry entry) {
@@ -418,7 +418,7 @@
         if (entry.value() != null) {
             opened(entry);
         } else {
-            shard.jobOver(entry.key().substring(StoreKeys.OPEN.length()));
+            shard.finishJob(entry.key().substring(StoreKeys.OPEN.length()));
         }
     }
 
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -76,7 +76,7 @@
             ShardState shard,
             ImageRecords images,
             StateWriter.Listener listener) {
-        this.settings = shard.facts();
+        this.settings = shard.settings();
         this.store = store;
         this.timers = timers;
         this.shard = shard;
@@ -155,18 +155,18 @@
         // put it off for ever.
         take(
                 batch,
-                shard.unwritten().withOtherChanges(),
+                shard.dirtyParts().withOtherChanges(),
                 Math.min(budget, batch.transaction.writes().size() + 1));
         // Guards against a gang that waits for the records of hundreds of small jobs that were
         // placed before it.
-        List<Job.Part> placings = new ArrayList<>(shard.unwritten().withPlacements());
+        List<Job.Part> placings = new ArrayList<>(shard.dirtyParts().withPlacements());
         placings.sort(Comparator.comparingInt(part -> part.job.queueRank()));
         take(batch, placings, budget);
         if (!endsFirst) {
             ends(batch, budget);
         }
         double spare = available - settings.store().writesPerSecond() * WRITE_SHARE / 2;
-        take(batch, shard.unwritten().withOtherChanges(), (int) Math.min(budget, spare));
+        take(batch, shard.dirtyParts().withOtherChanges(), (int) Math.min(budget, spare));
         // Guards against placings of a burst that wait for records which are only to be struck off;
         // a backlog of those
         // that would grow for ever goes along all the same.
@@ -175,9 +175,9 @@
             Store.Write due = images.due(shard.machines().values(), now);
             if (due == null && now - servedAt > settings.workers().leaseSeconds() / 2) {
                 servedAt = now;
-                due = new Store.Write(StoreKeys.SERVED, shard.served().record(timers.wallClockMillis()), 0);
+                due = new Store.Write(StoreKeys.SERVED, shard.serviceLevels().toRecord(timers.wallClockMillis()), 0);
             }
-            if (due != null && JsonSize.sizeInBytes(due.value()) <= shard.recordBytes()) {
+            if (due != null && JsonSize.sizeInBytes(due.value()) <= shard.maxRecordBytes()) {
                 batch.transaction.put(due.key(), due.value());
             }
         }
@@ -196,9 +196,9 @@
 
     /** A job whose parts can't be on record as they are laid out is written anew, by itself. */
     private boolean layOutAnew(WriteBatch batch, int budget) {
-        for (Job job : shard.wide()) {
+        for (Job job : shard.jobsToMigrate()) {
             if (job.isFinished()) {
-                shard.laidOut(job);
+                shard.migrationDone(job);
                 continue;
             }
             RecordMigration l = new RecordMigration(job, settings.tasksPerCompactPart());
@@ -206,7 +206,7 @@
                 LOG.error(
                         "job {} has parts that can't be written under the limits that will come",
                         job.spec.id());
-                shard.laidOut(job);
+                shard.migrationDone(job);
             } else if (l.writes() <= budget) {
                 l.board(batch.transaction);
                 batch.relaid = l;
@@ -251,7 +251,7 @@
                 }
             }
         }
-        dropped.forEach(shard::dropJob);
+        dropped.forEach(shard::removeJob);
         return left;
     }
 
@@ -269,7 +269,7 @@
             if (ending(job)) {
                 continue; // Once the job is written as done.
             }
-            shard.unwritten().remove(part);
+            shard.dirtyParts().remove(part);
             if (!part.isDirty() || !batch.taken.add(part)) {
                 continue;
             }
@@ -296,7 +296,7 @@
      * them could start; but their users wait for word.
      */
     private void cascade(WriteBatch batch, int budget) {
-        for (Job job : shard.pipelines().jobsToCancel()) {
+        for (Job job : shard.jobDependencies().jobsToCancel()) {
             if (batch.transaction.writes().size() + 2 > budget || batch.bytes >= MAX_BYTES) {
                 return;
             }
@@ -316,7 +316,7 @@
                                         (long) done,
                                         "endedMs",
                                         timers.wallClockMillis()),
-                                shard.recordBytes());
+                                shard.maxRecordBytes());
         batch.bytes += JsonSize.sizeInBytes(record) + RECORD_BYTES;
         batch.transaction
                 .requireRevision(job.recordKey, job.revision())
@@ -338,7 +338,7 @@
             batch.transaction.remove(key);
         } else {
             Map<String, Object> record = job.partRecord(part.index);
-            if (JsonSize.sizeInBytes(record) > shard.recordBytes()) {
+            if (JsonSize.sizeInBytes(record) > shard.maxRecordBytes()) {
                 // Placed when records could be larger. Until enough of it has ended, its workers go
                 // on reporting what has, and no more of it is placed.
                 oversize++;
@@ -387,19 +387,19 @@
                 Math.min(Math.min(settings.store().maxTransactionOperations(), refusedWrites - 1), mostWrites + 1);
         batch.riders.forEach(x -> x.written(revision));
         for (WriteBatch.Written written : batch.parts) {
-            shard.recorded(written.part(), written.version(), written.removed() ? 0 : revision);
+            shard.markPartWritten(written.part(), written.version(), written.removed() ? 0 : revision);
         }
         for (Job job : batch.finishing) {
             LOG.info("job {} done: {}", job.spec.id(), job.describeTimings(timers.nowSeconds(), timers.wallClockMillis()));
-            shard.served().done(job, timers.wallClockMillis());
-            shard.pipelines().recordOutcome(job.spec.id(), true, timers.wallClockMillis());
-            shard.jobOver(job.spec.id());
+            shard.serviceLevels().recordDone(job, timers.wallClockMillis());
+            shard.jobDependencies().recordOutcome(job.spec.id(), true, timers.wallClockMillis());
+            shard.finishJob(job.spec.id());
             listener.over(new JobStatus(job.spec.id(), "done", job.spec.taskCount(), 0));
         }
         for (Job job : batch.cancelling) {
             LOG.info("job {} cancelled, as one that it needs was", job.spec.id());
-            shard.pipelines().recordOutcome(job.spec.id(), false, timers.wallClockMillis());
-            shard.jobOver(job.spec.id());
+            shard.jobDependencies().recordOutcome(job.spec.id(), false, timers.wallClockMillis());
+            shard.finishJob(job.spec.id());
             listener.over(new JobStatus(job.spec.id(), "cancelled", 0, 0));
         }
         if (batch.relaid != null) {
@@ -411,7 +411,7 @@
     /** None of it was written; all of it waits again. */
     private void putBack(WriteBatch batch) {
         round = null;
-        batch.parts.forEach(written -> shard.unwritten().enqueueIfDirty(written.part()));
+        batch.parts.forEach(written -> shard.dirtyParts().enqueueIfDirty(written.part()));
         for (int i = batch.riders.size() - 1; i >= 0; i--) {
             BatchContributor rider = batch.riders.get(i);
             (rider.urgent() ? riders : patient).addFirst(rider);
@@ -440,7 +440,7 @@
             refusedWrites = Math.min(refusedWrites, n);
             mostWrites = Math.max(2, n / 2);
         } else if (largest.value() != null) {
-            shard.recordsBelow(size(largest));
+            shard.lowerMaxRecordBytes(size(largest));
             refusedWrites = Integer.MAX_VALUE; // It may have been this one all the time.
         }
         if (batch.unsure) {
@@ -455,7 +455,7 @@
         } else {
             round = null;
             if (batch.relaid != null) {
-                shard.laidOut(batch.relaid.job);
+                shard.migrationDone(batch.relaid.job);
             }
         }
     }
@@ -513,7 +513,7 @@
                 return;
             }
             // Cancelled just now; the next round goes without it.
-            shard.jobOver(key.substring(StoreKeys.OPEN.length()));
+            shard.finishJob(key.substring(StoreKeys.OPEN.length()));
         }
         if (result.failedKeys().isEmpty()) {
             listener.outOfStep("a write was refused without a reason");
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -138,7 +138,7 @@
                                                                         && (step == Step.READ
                                                                                 || node.controller
                                                                                                 .heartbeatProcessor
-                                                                                                .launches()
+                                                                                                .launchCount()
                                                                                         > 0))));
     }
 
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
@@ -118,7 +118,7 @@
         heldUp += copies.late;
         assertFalse(
                 cluster.leader().controller.shard.machines().values().stream()
-                        .anyMatch(machine -> machine.deafToAnswers()),
+                        .anyMatch(machine -> machine.isMissingAnswers()),
                 "seed " + seed);
         return copies.ofItsToken;
     }
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsTest.java
@@ -206,7 +206,7 @@
                                                                     .anyMatch(
                                                                             machine ->
                                                                                     machine
-                                                                                            .deafToAnswers())));
+                                                                                            .isMissingAnswers())));
             cluster.run(12);
             during += starts(cluster) < 3 ? 1 : 0;
             cluster.run(70);
@@ -273,7 +273,7 @@
                                     .allMatch(
                                             machine ->
                                                     machine.attempts().isEmpty()
-                                                            && !machine.deafToAnswers()),
+                                                            && !machine.isMissingAnswers()),
                             at);
                 }
             }
