--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -182,7 +182,7 @@
                 at);
         assertTrue(
                 leader.controller.shard.machines().values().stream()
-                        .noneMatch(machine -> machine.deafToAnswers()),
+                        .noneMatch(machine -> machine.isMissingAnswers()),
                 at);
         assertEquals(List.of(), cluster.broken, at);
     }
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -311,7 +311,7 @@
                             256));
         }
         double addedMs = (System.nanoTime() - began) / 1e6;
-        assertEquals(9900, shard.pipelines().heldJobCount());
+        assertEquals(9900, shard.jobDependencies().heldJobCount());
         assertEquals(JobSpec.Priority.HIGH, shard.jobs().get("j-0").effectivePriority());
         Scheduler scheduler = new Scheduler(shard, new Random(1), new LoopTimeAccounting(() -> 0));
         scheduler.queue(0, 20_000);
@@ -321,11 +321,11 @@
                 "10,000 jobs that wait: %.0f ms to add them all, %.1f ms for the order of service%n",
                 addedMs, (System.nanoTime() - began) / 1e6);
         for (int i = 0; i < 100; i++) {
-            shard.pipelines().recordOutcome("j-" + (100 * i), true, 30_000);
+            shard.jobDependencies().recordOutcome("j-" + (100 * i), true, 30_000);
         }
-        assertEquals(9800, shard.pipelines().heldJobCount());
-        shard.pipelines().recordOutcome("j-101", false, 30_000);
-        assertEquals(98, shard.pipelines().jobsToCancel().size());
+        assertEquals(9800, shard.jobDependencies().heldJobCount());
+        shard.jobDependencies().recordOutcome("j-101", false, 30_000);
+        assertEquals(98, shard.jobDependencies().jobsToCancel().size());
     }
 
     /**
--- a/src/test/java/io/kitepath/core/SoundMachinesTest.java
+++ b/src/test/java/io/kitepath/core/SoundMachinesTest.java
@@ -35,10 +35,10 @@
                 for (SimulatedNode x : cluster.nodes.values()) {
                     for (Machine machine : x.controller.shard.machines().values()) {
                         assertFalse(
-                                machine.deafToAnswers(), "out after " + out + ": " + machine.id);
+                                machine.isMissingAnswers(), "out after " + out + ": " + machine.id);
                         placedAndNotSeen |=
                                 cluster.store.out
-                                        && machine.proven()
+                                        && machine.isTokenConfirmed()
                                         && machine.attempts().stream()
                                                 .anyMatch(attempt -> !attempt.isSeen());
                     }
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -153,7 +153,7 @@
         first.crash();
         cluster.run(60);
         SimulatedNode second = cluster.leader();
-        assertTrue(second.controller.shard.token() > first.controller.shard.token());
+        assertTrue(second.controller.shard.fencingToken() > first.controller.shard.fencingToken());
         assertEquals("done", cluster.status(second, "j-1"));
     }
 
@@ -166,9 +166,9 @@
         cluster.workers.get("i-000000").cut = true;
         first.crash();
         cluster.run(5);
-        ShardState s = cluster.leader().controller.shard;
-        assertFalse(s.machines().get("i-000000").open());
-        assertEquals(1, s.jobs().get("j-1").liveAttempts().size());
+        ShardState shard = cluster.leader().controller.shard;
+        assertFalse(shard.machines().get("i-000000").isSchedulable());
+        assertEquals(1, shard.jobs().get("j-1").liveAttempts().size());
     }
 
     @Test
@@ -182,10 +182,10 @@
         SimulatedNode second = cluster.leader();
         assertTrue(second != first);
         cluster.submit(second, job("j-2", Shape.ARRAY, 3, 1));
-        long launched = first.controller.heartbeatProcessor.launches();
+        long launched = first.controller.heartbeatProcessor.launchCount();
         cluster.run(3);
         assertFalse(first.controller.leadership.leading());
-        assertEquals(launched, first.controller.heartbeatProcessor.launches());
+        assertEquals(launched, first.controller.heartbeatProcessor.launchCount());
         cluster.run(60);
         assertEquals("done", cluster.status(first, "j-1"));
         assertEquals("done", cluster.status(first, "j-2"));
@@ -535,7 +535,7 @@
         assertEquals(leader.name, got[0].redirectNode());
         other.controller.heartbeat(heartbeat, response -> got[1] = response);
         cluster.run(0.1);
-        assertEquals(leader.controller.shard.token(), got[1].fencingToken());
+        assertEquals(leader.controller.shard.fencingToken(), got[1].fencingToken());
     }
 
     @Test
@@ -543,7 +543,7 @@
         settled(2, 1);
         SimulatedNode leader = cluster.leader();
         SimulatedNode other = notThe(leader);
-        long token = leader.controller.shard.token();
+        long token = leader.controller.shard.fencingToken();
         HeartbeatResponse[] got = new HeartbeatResponse[1];
         other.controller.heartbeat(
                 new Heartbeat("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of()),
@@ -558,7 +558,7 @@
         settled(3, 1);
         SimulatedNode leader = cluster.leader();
         SimulatedNode cut = notThe(leader);
-        long token = leader.controller.shard.token();
+        long token = leader.controller.shard.fencingToken();
         cut.cutFrom.add(leader.name);
         cluster.run(4);
         HeartbeatResponse[] got = new HeartbeatResponse[1];
@@ -588,7 +588,7 @@
         SimulatedNode other = notThe(leader);
         cluster.submit(leader, job("j-1", Shape.ARRAY, 1, 1));
         cluster.run(2);
-        long token = leader.controller.shard.token();
+        long token = leader.controller.shard.fencingToken();
         leader.crash();
         HeartbeatResponse[] got = new HeartbeatResponse[1];
         other.controller.heartbeat(
@@ -607,7 +607,7 @@
                                         "j-1", 0, 1, Heartbeat.TaskState.RUNNING, null))),
                 response -> got[0] = response);
         cluster.run(3);
-        assertEquals(cluster.leader().controller.shard.token(), got[0].fencingToken());
+        assertEquals(cluster.leader().controller.shard.fencingToken(), got[0].fencingToken());
         assertTrue(got[0].fencingToken() > token);
     }
 
@@ -664,7 +664,7 @@
         cluster.run(6);
         assertEquals(
                 tasks, cluster.workers.values().stream().mapToInt(worker -> worker.started).sum());
-        ShardState s = node.controller.shard;
+        ShardState shard = node.controller.shard;
         // A look at every machine for every task would be 400 a task, a record for every task 1.
         long looks = node.controller.scheduler.placement().looks();
         assertTrue(looks < 15L * tasks, "machines looked at: " + looks);
@@ -673,10 +673,10 @@
                 "records written: " + node.controller.stateWriter.written());
         cluster.run(60);
         assertTrue(
-                s.jobs().isEmpty(),
+                shard.jobs().isEmpty(),
                 () ->
                         NodeMetrics.summary(
-                                s, node.controller.heartbeatProcessor, node.controller.scheduler));
+                                shard, node.controller.heartbeatProcessor, node.controller.scheduler));
         assertTrue(
                 node.controller.stateWriter.written() < tasks / 4,
                 "records written: " + node.controller.stateWriter.written());
@@ -798,7 +798,7 @@
         assertEquals(
                 List.of(),
                 node.controller.shard.machines().values().stream()
-                        .filter(Machine::setAside)
+                        .filter(Machine::isQuarantined)
                         .toList());
         assertEquals("cancelled", cluster.cancel(node, "j-1").state().status());
         cluster.run(3);
@@ -880,7 +880,7 @@
         assertTrue(cluster.leader() != first);
         assertTrue(
                 cluster.leader().controller.shard.machines().values().stream()
-                        .allMatch(machine -> machine.has("img")));
+                        .allMatch(machine -> machine.hasImage("img")));
         // Nothing changed since, so nothing is written again.
         long revision =
                 cluster.store.keys.get(StoreKeys.IMAGES + 0) == null
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -266,12 +266,12 @@
             if (node == null || !calm(cluster.clock.now, cluster.clock.now)) {
                 return;
             }
-            ShardState b = node.controller.shard;
-            mostJobs = Math.max(mostJobs, b.jobs().size());
+            ShardState shard = node.controller.shard;
+            mostJobs = Math.max(mostJobs, shard.jobs().size());
             mostUnwritten =
                     Math.max(
                             mostUnwritten,
-                            b.unwritten().withPlacements().size() + b.unwritten().withOtherChanges().size());
+                            shard.dirtyParts().withPlacements().size() + shard.dirtyParts().withOtherChanges().size());
             mostKeys =
                     Math.max(
                             mostKeys,
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -131,12 +131,12 @@
                 team + " " + used[1] + " GPUs " + when);
         assertEquals(
                 used[0],
-                cluster.leader().controller.shard.teamUse().cpus(team),
+                cluster.leader().controller.shard.quotaUsage().usedCpus(team),
                 1e-6,
                 team + " " + when);
         assertEquals(
                 used[1],
-                cluster.leader().controller.shard.teamUse().gpus(team),
+                cluster.leader().controller.shard.quotaUsage().usedGpus(team),
                 1e-6,
                 team + " " + when);
     }
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -83,7 +83,7 @@
             assertEquals(4, cluster.onMachines("j-12"), when);
             assertEquals(
                     off ? 0 : 18,
-                    cluster.leader().controller.shard.teamUse().cpus("blue"),
+                    cluster.leader().controller.shard.quotaUsage().usedCpus("blue"),
                     1e-6,
                     when);
         }
@@ -180,7 +180,7 @@
                 assertEquals(0, cluster.rules.onMachines(t)[0], when + " " + t);
                 assertEquals(
                         0,
-                        cluster.leader().controller.shard.teamUse().cpus(t),
+                        cluster.leader().controller.shard.quotaUsage().usedCpus(t),
                         1e-6,
                         when + " " + t);
             }
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -66,12 +66,12 @@
         cluster.submit(node, job("j-1", Shape.SERVICE, 8, 1));
         cluster.run(25);
         var machines = node.controller.shard.machines();
-        assertTrue(machines.get(all.get(0).id).deafToAnswers());
-        assertFalse(machines.get(all.get(0).id).open());
+        assertTrue(machines.get(all.get(0).id).isMissingAnswers());
+        assertFalse(machines.get(all.get(0).id).isSchedulable());
         all.get(0).deaf = false;
         cluster.run(18);
-        assertFalse(machines.get(all.get(0).id).deafToAnswers());
-        assertTrue(machines.get(all.get(0).id).open());
+        assertFalse(machines.get(all.get(0).id).isMissingAnswers());
+        assertTrue(machines.get(all.get(0).id).isSchedulable());
         cluster.run(60);
         assertTrue(cluster.cloud.released.contains(all.get(1).id));
         assertEquals(8, cluster.onMachines("j-1"));
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -79,7 +79,7 @@
                             new ClusterSettings.Limits(1, 200, 1000),
                             5);
             shard = new ShardState(settings, machine -> {});
-            shard.hold(token);
+            shard.takeLeadership(token);
             riders = new ArrayDeque<>();
             int mine = incarnation;
             quotaShares =
@@ -373,9 +373,9 @@
                     }
                 }
             }
-            ClusterSettings.Team team = cell.shard.facts().teams().get("t");
+            ClusterSettings.Team team = cell.shard.settings().teams().get("t");
             assertTrue(
-                    Math.round(cell.quotaShares.cpus(team) * 1000) <= cell.stored(),
+                    Math.round(cell.quotaShares.maxCpus(team) * 1000) <= cell.stored(),
                     () -> cell.name + " uses what its store lacks: " + path);
         }
         assertEquals(LIMIT, sum, "limit and shares, after " + path);
--- a/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
@@ -37,21 +37,21 @@
      */
     @Test
     void onlyAReportThatCarriesOurTokenProvesWhatIsNotThere() {
-        shard.hold(5);
+        shard.takeLeadership(5);
         shard.addJob(job);
-        shard.adopt(
+        shard.restorePart(
                 job,
                 0,
                 Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
                 7,
                 0);
-        shard.jobOver("j-1");
+        shard.finishJob("j-1");
         for (int i = 1; i <= 5; i++) {
-            heartbeatProcessor.heartbeat(report(i, 4), true, id -> true, i);
+            heartbeatProcessor.process(report(i, 4), true, id -> true, i);
         }
         assertEquals(1, job.liveAttempts().size());
-        assertFalse(shard.machines().get("i-1").proven());
-        heartbeatProcessor.heartbeat(report(6, 5), true, id -> true, 6);
+        assertFalse(shard.machines().get("i-1").isTokenConfirmed());
+        heartbeatProcessor.process(report(6, 5), true, id -> true, 6);
         assertEquals(0, job.liveAttempts().size());
     }
 
@@ -61,20 +61,20 @@
      */
     @Test
     void anOlderReportIsNotRead() {
-        shard.hold(5);
+        shard.takeLeadership(5);
         shard.addJob(job);
-        heartbeatProcessor.heartbeat(report(9, 4), true, id -> true, 1);
-        shard.adopt(
+        heartbeatProcessor.process(report(9, 4), true, id -> true, 1);
+        shard.restorePart(
                 job,
                 0,
                 Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
                 7,
                 0);
-        shard.jobOver("j-1");
-        heartbeatProcessor.heartbeat(report(8, 5), true, id -> true, 2);
-        heartbeatProcessor.heartbeat(report(9, 5), true, id -> true, 3);
+        shard.finishJob("j-1");
+        heartbeatProcessor.process(report(8, 5), true, id -> true, 2);
+        heartbeatProcessor.process(report(9, 5), true, id -> true, 3);
         assertEquals(1, job.liveAttempts().size());
-        assertEquals(1, shard.machines().get("i-1").lastReport());
+        assertEquals(1, shard.machines().get("i-1").lastHeartbeatAt());
     }
 
     /**
@@ -106,9 +106,9 @@
                                         Heartbeat.EndCause.DONE)));
         List<WorkerCommand> stop =
                 List.of(new WorkerCommand(WorkerCommand.Action.STOP, "j-2", 1, 4, 0));
-        assertEquals(stop, heartbeatProcessor.heartbeat(heartbeat, false, "j-1"::equals, 1));
+        assertEquals(stop, heartbeatProcessor.process(heartbeat, false, "j-1"::equals, 1));
         Heartbeat next =
                 new Heartbeat("i-1", "i-1", "m4", "a", false, 1, 8, 4, null, heartbeat.tasks());
-        assertEquals(stop, heartbeatProcessor.heartbeat(next, true, "j-1"::equals, 2));
+        assertEquals(stop, heartbeatProcessor.process(next, true, "j-1"::equals, 2));
     }
 }
--- a/src/test/java/io/kitepath/core/shard/ServedTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServedTest.java
@@ -25,7 +25,7 @@
                     new ClusterSettings.CloudLimits(10, 2),
                     new ClusterSettings.Limits(1, 200, 1000),
                     5);
-    private final ServiceLevels served = new ServiceLevels(settings);
+    private final ServiceLevels serviceLevels = new ServiceLevels(settings);
     private int named;
 
     private Job job(String of, String team, Double deadlineS) {
@@ -57,26 +57,26 @@
     @Test
     void aClassFallsBehindAndCatchesUp() {
         for (int i = 0; i < 5; i++) {
-            served.done(job("tiles", "red", null), 99_000);
+            serviceLevels.recordDone(job("tiles", "red", null), 99_000);
         }
         for (int i = 0; i < 5; i++) {
             look(101, job("tiles", "red", null));
         }
-        assertEquals(0.5, served.standing(job("tiles", "blue", null).spec), 0.01, "its class");
-        assertEquals(0.5, served.standing(job("other", "red", null).spec), 0.01, "its team");
-        assertEquals(1, served.standing(job("other", "blue", null).spec));
-        assertEquals(0.5, served.leastShare(), 0.01);
+        assertEquals(0.5, serviceLevels.catchUpShare(job("tiles", "blue", null).spec), 0.01, "its class");
+        assertEquals(0.5, serviceLevels.catchUpShare(job("other", "red", null).spec), 0.01, "its team");
+        assertEquals(1, serviceLevels.catchUpShare(job("other", "blue", null).spec));
+        assertEquals(0.5, serviceLevels.leastShare(), 0.01);
         for (int i = 0; i < 15; i++) {
-            served.done(job("tiles", "red", null), 99_000);
+            serviceLevels.recordDone(job("tiles", "red", null), 99_000);
         }
         look(99);
-        assertEquals(1, served.standing(job("tiles", "red", null).spec));
+        assertEquals(1, serviceLevels.catchUpShare(job("tiles", "red", null).spec));
     }
 
     @Test
     void jobsThatWaitTooLongCountBeforeTheyAreMissed() {
         for (int i = 0; i < 10; i++) {
-            served.done(job("tiles", "red", null), 50_000);
+            serviceLevels.recordDone(job("tiles", "red", null), 50_000);
         }
         Job[] waiting = new Job[10];
         for (int i = 0; i < 10; i++) {
@@ -85,16 +85,16 @@
         // Each may wait for 90 s, less the 10 s that such jobs take from placing to running, and
         // has used most of it.
         look(47, waiting);
-        assertEquals(1, served.standing(waiting[0].spec));
+        assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
         look(49, waiting);
-        assertEquals(0.5, served.standing(waiting[0].spec), 0.02);
+        assertEquals(0.5, serviceLevels.catchUpShare(waiting[0].spec), 0.02);
         assertEquals(
                 List.of(10L, 20L),
                 List.of(
-                        served.classes().get("tiles").endangered(),
-                        served.classes().get("tiles").submitted()));
+                        serviceLevels.classes().get("tiles").endangered(),
+                        serviceLevels.classes().get("tiles").submitted()));
         look(49);
-        assertEquals(1, served.standing(waiting[0].spec));
+        assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
     }
 
     /** The class as a whole does well, its largest jobs do not. */
@@ -124,33 +124,33 @@
                             0,
                             0,
                             null);
-            served.came(s[i]);
+            serviceLevels.recordArrival(s[i]);
         }
         for (JobSpec spec : s) {
-            served.done(
+            serviceLevels.recordDone(
                     new Job(spec, 0, settings.startDeadlinesSeconds(spec), "k", 1, 256),
                     spec.taskCount() == 50 ? 101_000 : 50_000);
         }
         look(102);
-        assertEquals(1, served.standing(s[1]));
-        assertEquals(0, served.standing(s[0]), 0.01);
-        assertEquals(0, served.largest().get("tiles").share(), 0.01);
+        assertEquals(1, serviceLevels.catchUpShare(s[1]));
+        assertEquals(0, serviceLevels.catchUpShare(s[0]), 0.01);
+        assertEquals(0, serviceLevels.largest().get("tiles").share(), 0.01);
         ServiceLevels next = new ServiceLevels(settings);
-        next.restore(served.record(103_000));
+        next.restore(serviceLevels.toRecord(103_000));
         assertEquals(10, next.largest().get("tiles").missed());
     }
 
     @Test
     void theNextHolderGoesOnCountingWhereTheLastOneWas() {
         for (int i = 0; i < 4; i++) {
-            served.done(job("tiles", "red", null), 50_000);
+            serviceLevels.recordDone(job("tiles", "red", null), 50_000);
         }
         Job late = job("tiles", "red", null);
         look(101, late);
         ServiceLevels next = new ServiceLevels(settings);
-        next.restore(served.record(102_000));
+        next.restore(serviceLevels.toRecord(102_000));
         Job same = job("tiles", "red", null);
-        next.look(List.of(same), spec -> 10, 103_000);
+        next.update(List.of(same), spec -> 10, 103_000);
         ServiceLevels.ServiceGroup group = next.classes().get("tiles");
         assertEquals(
                 List.of(4L, 1L),
@@ -160,7 +160,7 @@
     }
 
     private void look(double s, Job... jobs) {
-        served.look(List.of(jobs), spec -> 10, s * 1000);
+        serviceLevels.update(List.of(jobs), spec -> 10, s * 1000);
     }
 
     @Test
@@ -168,8 +168,8 @@
         Job late = job("tiles", "red", null);
         look(101, late);
         look(102, late);
-        served.done(late, 150_000);
-        ServiceLevels.ServiceGroup group = served.classes().get("tiles");
+        serviceLevels.recordDone(late, 150_000);
+        ServiceLevels.ServiceGroup group = serviceLevels.classes().get("tiles");
         assertEquals(
                 List.of(1L, 1L, 0L, 1L),
                 List.of(group.submitted(), group.missed(), group.inTime(), group.done()));
@@ -178,7 +178,7 @@
     @Test
     void ownDeadlinesCountWhereNothingElseIsSaid() {
         look(25, job("other", "red", 20.0), job("quiet", "red", null));
-        assertEquals(1, served.classes().get("other").missed());
-        assertEquals(0, served.classes().get("quiet").missed());
+        assertEquals(1, serviceLevels.classes().get("other").missed());
+        assertEquals(0, serviceLevels.classes().get("quiet").missed());
     }
 }
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -111,7 +111,7 @@
                         @Override
                         public void closed(String jobId) {
                             closed.add(jobId);
-                            shard.jobOver(jobId);
+                            shard.finishJob(jobId);
                         }
 
                         @Override
@@ -127,12 +127,12 @@
             Job job =
                     Job.of(
                             new JobRecord(spec, 0, List.of(), 0, 0),
-                            shard.facts(),
+                            shard.settings(),
                             StoreKeys.OPEN + spec.id(),
                             7,
                             256);
             shard.addJob(job);
-            shard.adopt(
+            shard.restorePart(
                     job,
                     0,
                     Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
