--- a/src/main/java/io/kitepath/cli/LocalCommand.java
+++ b/src/main/java/io/kitepath/cli/LocalCommand.java
@@ -264,7 +264,7 @@
                                                                             key ->
                                                                                     key.startsWith(
                                                                                             StoreKeys
-                                                                                                    .ACT)));
+                                                                                                    .CLOUD_INTENTS)));
                             return none[0];
                         });
         System.out.printf(
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -134,7 +134,7 @@
         this.siblings = siblings;
         this.loopTime = new LoopTimeAccounting(timers::nowSeconds);
         ImageRecords images = new ImageRecords(settings);
-        this.shard = new ShardState(settings, images::recall);
+        this.shard = new ShardState(settings, images::restoreImages);
         this.heartbeatProcessor = new HeartbeatProcessor(shard);
         this.failover = new FailoverTimings(shard);
         this.scheduler = new Scheduler(shard, random, loopTime);
@@ -327,7 +327,7 @@
 
     /** Whether it holds the block and knows the jobs. */
     public boolean holds() {
-        return leadership.leading() && stateWriter.loaded();
+        return leadership.leading() && stateWriter.isLoaded();
     }
 
     /** Rounds of placing so far. */
@@ -367,7 +367,7 @@
             gossip.tell();
             failover.begins(timers.nowSeconds());
             launchesBefore = heartbeatProcessor.launchCount();
-            stateWriter.start(StoreKeys.BLOCKS + "all", blockRevision, Controller.this::soon);
+            stateWriter.start(StoreKeys.SHARDS + "all", blockRevision, Controller.this::soon);
             proof.start();
             if (!ticking) {
                 ticking = true;
@@ -395,7 +395,7 @@
 
     private final class Keeping implements StateWriter.Listener {
         @Override
-        public void over(JobStatus job) {
+        public void jobEnded(JobStatus job) {
             if (cellService != null) {
                 cellService.done(job.jobId());
             }
@@ -404,22 +404,22 @@
         }
 
         @Override
-        public void blockLost() {
+        public void shardLost() {
             leadership.stepDown("the block is no longer ours");
         }
 
         @Override
-        public void intended(List<Entry> acts) {
+        public void cloudIntentsLoaded(List<Entry> acts) {
             intents.adopt(acts);
         }
 
         @Override
-        public void acted(Entry act) {
+        public void cloudIntentChanged(Entry act) {
             intents.changed(act);
         }
 
         @Override
-        public void read(double sinceMs) {
+        public void runningJobsKnown(double sinceMs) {
             cancellationWatermark.proven(sinceMs);
             heartbeatService.leaderKnown();
         }
@@ -431,12 +431,12 @@
 
         /** Reads everything again, under the same token. */
         @Override
-        public void outOfStep(String why) {
+        public void reloadRequired(String why) {
             LOG.warn("reloading: {}", why);
             if (leadership.leading()) {
                 stateWriter.start(
-                        StoreKeys.BLOCKS + "all",
-                        stateWriter.blockRevision(),
+                        StoreKeys.SHARDS + "all",
+                        stateWriter.shardRevision(),
                         Controller.this::soon);
             }
         }
@@ -444,13 +444,13 @@
 
     private final class Proof implements CancellationProof.Listener {
         @Override
-        public void closed(String jobId) {
+        public void jobClosed(String jobId) {
             shard.finishJob(jobId);
             soon();
         }
 
         @Override
-        public void proven(double atMs) {
+        public void cancellationsKnownAsOf(double atMs) {
             cancellationWatermark.proven(atMs);
         }
     }
@@ -473,7 +473,7 @@
 
         @Override
         public boolean holds() {
-            return leadership.leading() && stateWriter.loaded() && leadership.inTouch();
+            return leadership.leading() && stateWriter.isLoaded() && leadership.inTouch();
         }
 
         @Override
@@ -511,8 +511,8 @@
         }
     }
 
-    private void ride(StateWriter.BatchContributor rider) {
-        stateWriter.ride(rider);
+    private void ride(StateWriter.BatchContributor contributor) {
+        stateWriter.enqueue(contributor);
         soon();
     }
 
@@ -524,15 +524,15 @@
         if (timers.nowSeconds() >= roundEnded + 4 * roundTook) {
             round();
         }
-        if (stateWriter.loaded()) {
+        if (stateWriter.isLoaded()) {
             failover.read(timers.nowSeconds());
             failover.look(timers.nowSeconds(), heartbeatProcessor.launchCount() - launchesBefore);
         }
-        if (cellService != null && stateWriter.loaded() && leadership.inTouch()) {
+        if (cellService != null && stateWriter.isLoaded() && leadership.inTouch()) {
             cellService.tend();
         }
         double began = timers.nowSeconds();
-        cloudReconciler.tend(stateWriter.loaded() && leadership.inTouch());
+        cloudReconciler.tend(stateWriter.isLoaded() && leadership.inTouch());
         loopTime.record(Activity.PLANNING, began);
         ticks++;
         if (ticks % SUMMARY_TICKS == 0) {
@@ -542,8 +542,8 @@
             LOG.info(
                     "{} rounds={} writes={} checkins={} busy={}",
                     NodeMetrics.summary(shard, heartbeatProcessor, scheduler),
-                    stateWriter.rounds(),
-                    stateWriter.written(),
+                    stateWriter.transactionsSent(),
+                    stateWriter.recordsSent(),
                     heartbeatService.received(),
                     String.format("%.1f", roundS) + loopTime);
         }
@@ -552,8 +552,8 @@
 
     private void round() {
         if (!leadership.leading()
-                || !stateWriter.loaded()
-                || stateWriter.writing()
+                || !stateWriter.isLoaded()
+                || stateWriter.isWriting()
                 || !leadership.inTouch()) {
             return;
         }
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -116,11 +116,11 @@
                 "store.invalid",
                 Metric.counter(
                         "transactions that the state service refused for good",
-                        stateWriter::invalid));
+                        stateWriter::rejectedTransactions));
         f.put(
                 "store.oversize",
                 Metric.counter(
-                        "times that a record was put off as too large", stateWriter::oversize));
+                        "times that a record was put off as too large", stateWriter::oversizeRecords));
         f.put(
                 "siblings.silent",
                 Metric.gauge("siblings from which nothing is heard", membership::silentOnes));
@@ -187,10 +187,10 @@
                         "seconds from placings to their launch orders, added up",
                         heartbeatProcessor::launchDelaySeconds));
         f.put("rounds.time", Metric.counter("seconds spent in placing and writing down", roundS));
-        f.put("store.records", Metric.counter("records written by the holder", stateWriter::written));
+        f.put("store.records", Metric.counter("records written by the holder", stateWriter::recordsSent));
         f.put(
                 "store.rounds",
-                Metric.counter("transactions written by the holder", stateWriter::rounds));
+                Metric.counter("transactions written by the holder", stateWriter::transactionsSent));
         return f;
     }
 
--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -82,7 +82,7 @@
         }
 
         String key() {
-            return StoreKeys.guest(home, number);
+            return StoreKeys.borrowedTasksKey(home, number);
         }
 
         Map<String, Object> record() {
@@ -166,12 +166,12 @@
         guests.clear();
         numbers.clear();
         answering.clear();
-        for (Entry entry : found.voids()) {
+        for (Entry entry : found.voidedNumbers()) {
             numbers.put(
-                    entry.key().substring(StoreKeys.VOID.length()),
+                    entry.key().substring(StoreKeys.VOIDED_NUMBERS.length()),
                     SequenceNumbers.read(entry.value(), entry.revision()));
         }
-        for (Entry entry : found.guests()) {
+        for (Entry entry : found.borrowedTasks()) {
             try {
                 adopt(entry, now);
             } catch (InvalidInputException | IllegalArgumentException bad) {
@@ -240,7 +240,7 @@
 
     /** {@code roomFor}: whether such work is welcome. */
     void offered(LoanOffer offer, boolean roomFor, Consumer<CellMessage> answer) {
-        String key = StoreKeys.guest(offer.homeCell(), offer.loanNumber());
+        String key = StoreKeys.borrowedTasksKey(offer.homeCell(), offer.loanNumber());
         BorrowedLoan known = guests.get(key);
         SequenceNumbers numbers = numbers(offer.homeCell(), offer.lowestOpenNumber());
         if (known != null) {
@@ -276,22 +276,22 @@
         riding.accept(
                 new StateWriter.BatchContributor() {
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         return true;
                     }
 
                     @Override
-                    public void board(Store.Transaction transaction) {
+                    public void contributeTo(Store.Transaction transaction) {
                         transaction
                                 .requireRevision(key, 0)
                                 .requireRevision(
-                                        StoreKeys.VOID + borrowed.home,
+                                        StoreKeys.VOIDED_NUMBERS + borrowed.home,
                                         numbers(borrowed.home, 0).revision())
                                 .put(key, borrowed.record());
                     }
 
                     @Override
-                    public void written(long revision) {
+                    public void onCommitted(long revision) {
                         borrowed.revision = revision;
                         taken++;
                         guests.put(key, borrowed);
@@ -321,7 +321,7 @@
      * told so.
      */
     private void makeVoid(String home, long number, Consumer<CellMessage> answer) {
-        String key = StoreKeys.guest(home, number);
+        String key = StoreKeys.borrowedTasksKey(home, number);
         answering.put(key, new ArrayList<>(List.of(answer)));
         riding.accept(new VoidNumber(home, number, null, () -> answer(key, nothing(number))));
     }
@@ -341,25 +341,25 @@
         }
 
         @Override
-        public boolean wanted() {
+        public boolean isStillWanted() {
             return true;
         }
 
         @Override
-        public void board(Store.Transaction transaction) {
+        public void contributeTo(Store.Transaction transaction) {
             SequenceNumbers numbers = numbers(home, 0);
             numbers.add(number);
             // Two of these in one transaction write the same record: the last one has it all.
-            transaction.requireRevision(StoreKeys.VOID + home, numbers.revision());
-            transaction.writes().removeIf(write -> write.key().equals(StoreKeys.VOID + home));
-            transaction.put(StoreKeys.VOID + home, numbers.record());
+            transaction.requireRevision(StoreKeys.VOIDED_NUMBERS + home, numbers.revision());
+            transaction.writes().removeIf(write -> write.key().equals(StoreKeys.VOIDED_NUMBERS + home));
+            transaction.put(StoreKeys.VOIDED_NUMBERS + home, numbers.record());
             if (borrowed != null) {
                 transaction.requireRevision(borrowed.key(), borrowed.revision).remove(borrowed.key());
             }
         }
 
         @Override
-        public void written(long revision) {
+        public void onCommitted(long revision) {
             numbers(home, 0).recorded(revision);
             if (borrowed != null) {
                 guests.remove(borrowed.key());
@@ -369,7 +369,7 @@
     }
 
     void recalled(LoanRecall r, Consumer<CellMessage> answer) {
-        String key = StoreKeys.guest(r.homeCell(), r.loanNumber());
+        String key = StoreKeys.borrowedTasksKey(r.homeCell(), r.loanNumber());
         BorrowedLoan borrowed = guests.get(key);
         SequenceNumbers numbers = numbers(r.homeCell(), r.lowestOpenNumber());
         if (borrowed != null && borrowed.ending) {
@@ -413,12 +413,12 @@
         riding.accept(
                 new StateWriter.BatchContributor() {
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         return guests.get(borrowed.key()) == borrowed;
                     }
 
                     @Override
-                    public void board(Store.Transaction transaction) {
+                    public void contributeTo(Store.Transaction transaction) {
                         borrowed.standing = as;
                         borrowed.done = borrowed.job.doneBitsOf(borrowed.from, borrowed.until);
                         borrowed.next = borrowed.job.nextAttempt();
@@ -428,7 +428,7 @@
                     }
 
                     @Override
-                    public void written(long revision) {
+                    public void onCommitted(long revision) {
                         borrowed.ending = false;
                         borrowed.revision = revision;
                         shard.finishJob(borrowed.spec.id());
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -314,14 +314,14 @@
     // ---- what a new holder reads ----------------------------------------------------------------
 
     @Override
-    public void adopt(StateLoader.LoadedState found) {
+    public void adoptLoaded(StateLoader.LoadedState found) {
         lentTasks.adopt(found, timers.nowSeconds());
         borrowedTasks.adopt(found, timers.nowSeconds());
         quotaShares.adopt(found);
     }
 
     @Override
-    public void leaving(Entry entry) {
+    public void cancellationRequestChanged(Entry entry) {
         lentTasks.leaving(entry);
     }
 
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -109,8 +109,8 @@
     void adopt(StateLoader.LoadedState found, double now) {
         waiting.clear();
         leaving.clear();
-        for (Entry entry : found.lent()) {
-            Job job = shard.jobs().get(entry.key().substring(StoreKeys.LENT.length()));
+        for (Entry entry : found.lentTasks()) {
+            Job job = shard.jobs().get(entry.key().substring(StoreKeys.LENT_TASKS.length()));
             if (job == null) {
                 continue; // Came after the list of open jobs was read; everything is read once
                 // more.
@@ -124,12 +124,12 @@
                 LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
             }
         }
-        found.leaving().forEach(this::leaving);
+        found.cancellationRequests().forEach(this::leaving);
     }
 
-    /** A record of {@link StoreKeys#LEAVE} came or went. */
+    /** A record of {@link StoreKeys#CANCELLATION_REQUESTS} came or went. */
     void leaving(Entry entry) {
-        String id = entry.key().substring(StoreKeys.LEAVE.length());
+        String id = entry.key().substring(StoreKeys.CANCELLATION_REQUESTS.length());
         if (entry.value() == null) {
             leaving.remove(id);
             return;
@@ -216,7 +216,7 @@
                     private List<TaskLoan> left;
 
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         if (job.isFinished() || shard.jobs().get(id) != job) {
                             job.writingLoans(false);
                             return false;
@@ -225,20 +225,20 @@
                     }
 
                     @Override
-                    public void board(Store.Transaction transaction) {
+                    public void contributeTo(Store.Transaction transaction) {
                         left = job.loans().stream().filter(loan -> !loan.isClosed).toList();
                         transaction
                                 .requireRevision(job.recordKey, job.revision())
-                                .requireRevision(StoreKeys.LENT + id, job.loansRevision());
+                                .requireRevision(StoreKeys.LENT_TASKS + id, job.loansRevision());
                         if (left.isEmpty()) {
-                            transaction.remove(StoreKeys.LENT + id);
+                            transaction.remove(StoreKeys.LENT_TASKS + id);
                         } else {
-                            transaction.put(StoreKeys.LENT + id, TaskLoan.toRecord(left));
+                            transaction.put(StoreKeys.LENT_TASKS + id, TaskLoan.toRecord(left));
                         }
                     }
 
                     @Override
-                    public void written(long revision) {
+                    public void onCommitted(long revision) {
                         job.writingLoans(false);
                         job.setLoansRevision(left.isEmpty() ? 0 : revision);
                         then.run();
@@ -435,7 +435,7 @@
         riding.accept(
                 new StateWriter.BatchContributor() {
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         boolean still =
                                 !job.isFinished() && job.loans().isEmpty() && leaving.containsKey(id);
                         if (!still) {
@@ -445,7 +445,7 @@
                     }
 
                     @Override
-                    public void board(Store.Transaction transaction) {
+                    public void contributeTo(Store.Transaction transaction) {
                         Map<String, Object> record =
                                 job.record()
                                         .toFinishedRecord(
@@ -453,15 +453,15 @@
                                                 shard.settings().store().maxValueBytes());
                         transaction
                                 .requireRevision(job.recordKey, job.revision())
-                                .requireRevision(StoreKeys.LENT + id, 0)
-                                .requireRevision(StoreKeys.LEAVE + id, asked)
+                                .requireRevision(StoreKeys.LENT_TASKS + id, 0)
+                                .requireRevision(StoreKeys.CANCELLATION_REQUESTS + id, asked)
                                 .remove(job.recordKey)
-                                .remove(StoreKeys.LEAVE + id)
-                                .put(StoreKeys.OVER + id, record);
+                                .remove(StoreKeys.CANCELLATION_REQUESTS + id)
+                                .put(StoreKeys.ENDED_JOBS + id, record);
                     }
 
                     @Override
-                    public void written(long revision) {
+                    public void onCommitted(long revision) {
                         job.writingLoans(false);
                         leaving.remove(id);
                         shard.finishJob(id);
@@ -476,17 +476,17 @@
         riding.accept(
                 new StateWriter.BatchContributor() {
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         return true;
                     }
 
                     @Override
-                    public void board(Store.Transaction transaction) {
-                        transaction.requireRevision(StoreKeys.LEAVE + id, asked).remove(StoreKeys.LEAVE + id);
+                    public void contributeTo(Store.Transaction transaction) {
+                        transaction.requireRevision(StoreKeys.CANCELLATION_REQUESTS + id, asked).remove(StoreKeys.CANCELLATION_REQUESTS + id);
                     }
 
                     @Override
-                    public void written(long revision) {}
+                    public void onCommitted(long revision) {}
                 });
     }
 }
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -164,7 +164,7 @@
 
     /** A team's name may be longer than a key. */
     private static String key(String team) {
-        return StoreKeys.SHARE + Long.toHexString(Hashing.xxh3_64().hashCharsToLong(team));
+        return StoreKeys.QUOTA_SHARES + Long.toHexString(Hashing.xxh3_64().hashCharsToLong(team));
     }
 
     private HeldShare of(String team) {
@@ -177,15 +177,15 @@
         held.clear();
         numbers.clear();
         taking.clear();
-        for (Entry entry : found.voids()) {
-            String of = entry.key().substring(StoreKeys.VOID.length());
+        for (Entry entry : found.voidedNumbers()) {
+            String of = entry.key().substring(StoreKeys.VOIDED_NUMBERS.length());
             if (of.startsWith("share/")) {
                 numbers.put(
                         of.substring("share/".length()),
                         SequenceNumbers.read(entry.value(), entry.revision()));
             }
         }
-        for (Entry entry : found.shares()) {
+        for (Entry entry : found.quotaShares()) {
             try {
                 DocumentReader document = DocumentReader.of(entry.value());
                 HeldShare h = of(document.text("team"));
@@ -446,31 +446,31 @@
         riding.accept(
                 new StateWriter.BatchContributor() {
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         return held.get(h.team) == h;
                     }
 
                     @Override
-                    public void board(Store.Transaction transaction) {
+                    public void contributeTo(Store.Transaction transaction) {
                         transaction.requireRevision(key(h.team), h.revision).put(key(h.team), h.record());
                         if (giver != null) {
                             SequenceNumbers numbers = numbers(giver);
-                            transaction.requireRevision(StoreKeys.VOID + "share/" + giver, numbers.revision());
+                            transaction.requireRevision(StoreKeys.VOIDED_NUMBERS + "share/" + giver, numbers.revision());
                             transaction
                                     .writes()
                                     .removeIf(
                                             write ->
                                                     write.key()
                                                             .equals(
-                                                                    StoreKeys.VOID
+                                                                    StoreKeys.VOIDED_NUMBERS
                                                                             + "share/"
                                                                             + giver));
-                            transaction.put(StoreKeys.VOID + "share/" + giver, numbers.record());
+                            transaction.put(StoreKeys.VOIDED_NUMBERS + "share/" + giver, numbers.record());
                         }
                     }
 
                     @Override
-                    public void written(long revision) {
+                    public void onCommitted(long revision) {
                         h.writing = false;
                         h.revision = revision;
                         if (giver != null) {
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -294,7 +294,7 @@
                         return;
                     }
                     store.get(
-                            StoreKeys.TOKEN,
+                            StoreKeys.FENCING_TOKEN,
                             (got, entry) -> {
                                 if (got != Outcome.OK && got != Outcome.REJECTED) {
                                     campaigning = false;
@@ -328,10 +328,10 @@
         store.commit(
                 new Transaction()
                         .requireRevision(StoreKeys.LEADER, 0)
-                        .requireRevision(StoreKeys.TOKEN, tokenRevision)
+                        .requireRevision(StoreKeys.FENCING_TOKEN, tokenRevision)
                         .put(StoreKeys.LEADER, key, id)
-                        .put(StoreKeys.BLOCKS + "all", block, id)
-                        .put(StoreKeys.TOKEN, Map.of("token", next)),
+                        .put(StoreKeys.SHARDS + "all", block, id)
+                        .put(StoreKeys.FENCING_TOKEN, Map.of("token", next)),
                 result -> {
                     campaigning = false;
                     if (result.outcome() == Outcome.OK && retired) {
--- a/src/main/java/io/kitepath/core/role/CloudIntent.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntent.java
@@ -21,10 +21,10 @@
 
     /** Reads a record; throws {@link InvalidInputException} if it is none. */
     static CloudIntent read(Entry entry) {
-        if (entry.key().startsWith(StoreKeys.RENT)) {
+        if (entry.key().startsWith(StoreKeys.RENTAL_INTENTS)) {
             return RentalIntent.read(entry);
         }
-        if (entry.key().startsWith(StoreKeys.GOING)) {
+        if (entry.key().startsWith(StoreKeys.RELEASE_INTENTS)) {
             return ReleaseIntent.read(entry);
         }
         throw new InvalidInputException("is not an act that this version knows");
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -105,7 +105,7 @@
         PagedScan.read(
                 store,
                 timers,
-                StoreKeys.ACT,
+                StoreKeys.CLOUD_INTENTS,
                 3,
                 listing -> {
                     if (e != epoch) {
@@ -126,7 +126,7 @@
             return;
         }
         store.watch(
-                StoreKeys.ACT,
+                StoreKeys.CLOUD_INTENTS,
                 from,
                 (long) (lifeS * 2000),
                 changes -> {
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -260,19 +260,19 @@
         ride.accept(
                 new StateWriter.BatchContributor() {
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         return books.get(intent.key) == intent;
                     }
 
                     @Override
-                    public void board(Transaction transaction) {
+                    public void contributeTo(Transaction transaction) {
                         transaction
                                 .requireRevision(intent.key, intent.revision())
                                 .put(intent.key, intent.record());
                     }
 
                     @Override
-                    public void written(long revision) {
+                    public void onCommitted(long revision) {
                         // Unless what came of it has been heard of already.
                         intent.recorded(Math.max(intent.revision(), revision));
                     }
@@ -284,22 +284,22 @@
         ride.accept(
                 new StateWriter.BatchContributor() {
                     @Override
-                    public boolean urgent() {
+                    public boolean isUrgent() {
                         return false;
                     }
 
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         return intent.recorded();
                     }
 
                     @Override
-                    public void board(Transaction transaction) {
+                    public void contributeTo(Transaction transaction) {
                         transaction.requireRevision(intent.key, intent.revision()).remove(intent.key);
                     }
 
                     @Override
-                    public void written(long revision) {
+                    public void onCommitted(long revision) {
                         intent.recorded(0);
                     }
                 });
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -87,7 +87,7 @@
 
         private RoleHolder(RoleWorker work) {
             this.work = work;
-            this.key = StoreKeys.DUTY + work.name();
+            this.key = StoreKeys.ROLES + work.name();
         }
 
         public String name() {
@@ -156,7 +156,7 @@
         this.random = random;
         this.incarnation = incarnation;
         this.lifeS = lifeS;
-        works.forEach(w -> seats.put(StoreKeys.DUTY + w.name(), new RoleHolder(w)));
+        works.forEach(w -> seats.put(StoreKeys.ROLES + w.name(), new RoleHolder(w)));
         nodes.add(settings.node());
         settings.siblings().stream().filter(s -> !s.equals(settings.node())).forEach(nodes::add);
         nodes.sort(null);
@@ -188,7 +188,7 @@
 
     /** Whether the duty of that name is held here for certain. */
     public boolean holds(String name) {
-        RoleHolder holder = seats.get(StoreKeys.DUTY + name);
+        RoleHolder holder = seats.get(StoreKeys.ROLES + name);
         boolean certain = holder.mine && timers.nowSeconds() - renewedAt < lifeS * (1 - DRIFT);
         fenced += holder.mine && !certain ? 1 : 0;
         return certain;
@@ -209,7 +209,7 @@
         PagedScan.read(
                 store,
                 timers,
-                StoreKeys.DUTY,
+                StoreKeys.ROLES,
                 3,
                 listing -> {
                     if (mine != looks) {
@@ -241,7 +241,7 @@
 
     private void follow(long mine, long from) {
         store.watch(
-                StoreKeys.DUTY,
+                StoreKeys.ROLES,
                 from,
                 (long) (lifeS * 2000),
                 changes -> {
@@ -378,7 +378,7 @@
     }
 
     private void claim(RoleHolder holder) {
-        String tokenKey = StoreKeys.DUTY_TOKEN + holder.name();
+        String tokenKey = StoreKeys.ROLE_FENCING_TOKENS + holder.name();
         store.get(
                 tokenKey,
                 (got, entry) -> {
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -42,7 +42,7 @@
     private final int conditions;
     private final Consumer<Finding> found;
     private final Deque<String> prefixes =
-            new ArrayDeque<>(List.of(StoreKeys.PART, StoreKeys.OPEN, StoreKeys.ACT));
+            new ArrayDeque<>(List.of(StoreKeys.JOB_PARTS, StoreKeys.OPEN_JOBS, StoreKeys.CLOUD_INTENTS));
     private String prefix = prefixes.poll();
     private String from = "";
 
@@ -120,8 +120,8 @@
     private void read(ListResult listing) {
         seen += listing.entries().size();
         switch (prefix) {
-            case StoreKeys.PART -> parts(listing.entries());
-            case StoreKeys.OPEN -> open(listing.entries());
+            case StoreKeys.JOB_PARTS -> parts(listing.entries());
+            case StoreKeys.OPEN_JOBS -> open(listing.entries());
             default -> listing.entries().forEach(this::act);
         }
     }
@@ -131,7 +131,7 @@
     private void parts(List<Entry> entries) {
         Map<String, List<Entry>> byJob = new LinkedHashMap<>();
         for (Entry entry : entries) {
-            String id = StoreKeys.jobOf(entry.key());
+            String id = StoreKeys.findJobOfPart(entry.key());
             if (id == null) {
                 found.accept(
                         new Finding(false, entry.key(), "is not the key of a part", List.of()));
@@ -172,8 +172,8 @@
                                         + ", which is neither open nor over",
                         List.of(
                                 new Condition(entry.key(), entry.revision()),
-                                new Condition(StoreKeys.OPEN + id, 0),
-                                new Condition(StoreKeys.OVER + id, 0))));
+                                new Condition(StoreKeys.OPEN_JOBS + id, 0),
+                                new Condition(StoreKeys.ENDED_JOBS + id, 0))));
     }
 
     // ---- jobs in two places ---------------------------------------------------------------------
@@ -182,7 +182,7 @@
         Map<String, Long> read = new LinkedHashMap<>();
         entries.forEach(
                 entry ->
-                        read.put(entry.key().substring(StoreKeys.OPEN.length()), entry.revision()));
+                        read.put(entry.key().substring(StoreKeys.OPEN_JOBS.length()), entry.revision()));
         // Guards against a job that is called open and over since it ended between two reads.
         compare(
                 read,
@@ -191,7 +191,7 @@
                         found.accept(
                                 new Finding(
                                         false,
-                                        StoreKeys.OPEN + id,
+                                        StoreKeys.OPEN_JOBS + id,
                                         "the job is open and over",
                                         List.of()));
                     }
@@ -247,8 +247,8 @@
         ids.forEach(
                 id ->
                         transaction
-                                .requireRevision(StoreKeys.OPEN + id, opens.get(id))
-                                .requireRevision(StoreKeys.OVER + id, 0));
+                                .requireRevision(StoreKeys.OPEN_JOBS + id, opens.get(id))
+                                .requireRevision(StoreKeys.ENDED_JOBS + id, 0));
         store.commit(
                 transaction,
                 result -> {
@@ -259,8 +259,8 @@
                                 id ->
                                         places.are(
                                                 id,
-                                                other.contains(StoreKeys.OPEN + id),
-                                                other.contains(StoreKeys.OVER + id)));
+                                                other.contains(StoreKeys.OPEN_JOBS + id),
+                                                other.contains(StoreKeys.ENDED_JOBS + id)));
                         told.run();
                     } else if (result.outcome() == Outcome.INVALID && ids.size() > 1) {
                         // The store takes fewer conditions by now than anybody said.
--- a/src/main/java/io/kitepath/core/role/ReleaseIntent.java
+++ b/src/main/java/io/kitepath/core/role/ReleaseIntent.java
@@ -21,7 +21,7 @@
     private boolean gone;
 
     ReleaseIntent(String name, List<String> machines, long token) {
-        super(StoreKeys.GOING + name);
+        super(StoreKeys.RELEASE_INTENTS + name);
         this.machines = List.copyOf(machines);
         this.token = token;
     }
@@ -35,7 +35,7 @@
         }
         ReleaseIntent release =
                 new ReleaseIntent(
-                        entry.key().substring(StoreKeys.GOING.length()),
+                        entry.key().substring(StoreKeys.RELEASE_INTENTS.length()),
                         l.stream().map(String.class::cast).toList(),
                         document.count("token"));
         release.gone = document.has("gone");
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -23,7 +23,7 @@
     private List<String> machines;
 
     RentalIntent(String name, MachineKind kind, int count, long token, double askedMs) {
-        super(StoreKeys.RENT + name);
+        super(StoreKeys.RENTAL_INTENTS + name);
         this.name = name;
         this.kind = kind;
         this.count = count;
@@ -38,7 +38,7 @@
         DocumentReader document = DocumentReader.of(entry.value());
         RentalIntent rental =
                 new RentalIntent(
-                        entry.key().substring(StoreKeys.RENT.length()),
+                        entry.key().substring(StoreKeys.RENTAL_INTENTS.length()),
                         new MachineKind(
                                 document.text("type"),
                                 document.text("zone"),
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -100,7 +100,7 @@
             return;
         }
         store.get(
-                StoreKeys.TYPES,
+                StoreKeys.INSTANCE_TYPES,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         List<MachineType> known = new ArrayList<>();
@@ -141,7 +141,7 @@
         store.commit(
                 new Store.Transaction()
                         .put(
-                                StoreKeys.TYPES,
+                                StoreKeys.INSTANCE_TYPES,
                                 Map.of("types", list.stream().map(MachineType::toRecord).toList())),
                 result -> {
                     if (result.outcome() != Outcome.OK) {
--- a/src/main/java/io/kitepath/core/service/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -100,12 +100,12 @@
                 id ->
                         read(
                                 id,
-                                StoreKeys.OPEN,
+                                StoreKeys.OPEN_JOBS,
                                 x -> {
                                     if (x == null) {
                                         read(
                                                 id,
-                                                StoreKeys.OVER,
+                                                StoreKeys.ENDED_JOBS,
                                                 y ->
                                                         once.is(
                                                                 true,
@@ -153,7 +153,7 @@
     private void compare(List<String> ids, Found answer) {
         List<String> some = ids.subList(0, Math.min(most, ids.size()));
         Transaction transaction = new Transaction();
-        some.forEach(id -> transaction.requireRevision(StoreKeys.OPEN + id, 0).requireRevision(StoreKeys.OVER + id, 0));
+        some.forEach(id -> transaction.requireRevision(StoreKeys.OPEN_JOBS + id, 0).requireRevision(StoreKeys.ENDED_JOBS + id, 0));
         store.commit(
                 transaction,
                 result -> {
@@ -173,8 +173,8 @@
                     List<String> missing = new ArrayList<>(some);
                     missing.removeIf(
                             id ->
-                                    there.contains(StoreKeys.OPEN + id)
-                                            || there.contains(StoreKeys.OVER + id));
+                                    there.contains(StoreKeys.OPEN_JOBS + id)
+                                            || there.contains(StoreKeys.ENDED_JOBS + id));
                     Runnable rest =
                             () -> {
                                 if (some.size() == ids.size()) {
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -106,7 +106,7 @@
         if (heartbeat.fencingToken() > leadership.highest()) {
             leadership.outbid(heartbeat.fencingToken(), null);
         }
-        if (leadership.leading() && !stateWriter.knowsRunning()) {
+        if (leadership.leading() && !stateWriter.knowsRunningJobs()) {
             // A new holder does not know yet what was cancelled, also shortly before it began.
             park(heartbeat, null, answer);
             return;
@@ -271,7 +271,7 @@
      * running.
      */
     private HeartbeatResponse answer(Heartbeat heartbeat) {
-        if (!stateWriter.knowsRunning() || !entitlement.toAnswer(heartbeat)) {
+        if (!stateWriter.knowsRunningJobs() || !entitlement.toAnswer(heartbeat)) {
             heartbeatProcessor.recordUnanswered(heartbeat, timers.nowSeconds());
             return HeartbeatResponse.redirectTo(leadership.leading() ? null : leadership.leader());
         }
@@ -280,7 +280,7 @@
                 new ArrayList<>(
                         heartbeatProcessor.process(
                                 heartbeat,
-                                stateWriter.loaded(),
+                                stateWriter.isLoaded(),
                                 stateWriter::mayRun,
                                 timers.nowSeconds()));
         if (news) {
@@ -309,7 +309,7 @@
                         && now.commands().stream()
                                 .allMatch(command -> command.action() == WorkerCommand.Action.FORGET);
         double patience =
-                idle && stateWriter.loaded() && leadership.mayLaunch()
+                idle && stateWriter.isLoaded() && leadership.mayLaunch()
                         ? heartbeatProcessor.answerHoldSeconds(machine)
                         : 0;
         if (patience == 0) {
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -162,7 +162,7 @@
             all.remove();
             waitingCount -= e.getValue().size();
             batch.put(e.getKey(), e.getValue());
-            compare.requireRevision(StoreKeys.OPEN + e.getKey(), 0).requireRevision(StoreKeys.OVER + e.getKey(), 0);
+            compare.requireRevision(StoreKeys.OPEN_JOBS + e.getKey(), 0).requireRevision(StoreKeys.ENDED_JOBS + e.getKey(), 0);
         }
         if (!batch.isEmpty()) {
             send(compare, batch, MAX_TRIES);
@@ -203,9 +203,9 @@
     private void sort(Map<String, List<Consumer<Answer>>> batch, Set<String> there) {
         List<String> open = new ArrayList<>();
         for (String id : batch.keySet()) {
-            if (there.contains(StoreKeys.OPEN + id)) {
+            if (there.contains(StoreKeys.OPEN_JOBS + id)) {
                 open.add(id);
-            } else if (there.contains(StoreKeys.OVER + id)) {
+            } else if (there.contains(StoreKeys.ENDED_JOBS + id)) {
                 over.accept(id, answer -> tell(batch, id, answer));
             } else {
                 confirm(batch, id);
@@ -220,7 +220,7 @@
      */
     private void confirm(Map<String, List<Consumer<Answer>>> batch, String id) {
         store.get(
-                StoreKeys.OPEN + id,
+                StoreKeys.OPEN_JOBS + id,
                 (outcome, entry) -> {
                     switch (outcome) {
                         case OK -> progress(batch, List.of(id));
@@ -286,7 +286,7 @@
             tell(batch, id, Answer.LATER);
         } else {
             store.get(
-                    StoreKeys.OPEN + id,
+                    StoreKeys.OPEN_JOBS + id,
                     (outcome, entry) -> {
                         if (outcome == Outcome.REJECTED) {
                             over.accept(id, answer -> tell(batch, id, answer));
@@ -319,7 +319,7 @@
         PagedScan.read(
                 store,
                 timers,
-                StoreKeys.PART + id + "/",
+                StoreKeys.JOB_PARTS + id + "/",
                 2,
                 parts -> {
                     if (parts.outcome() != Outcome.OK) {
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -187,11 +187,11 @@
         JobStatus doomed =
                 dependencies.anyCancelled(needs) ? new JobStatus(id, "cancelled", 0, 0) : null;
         Transaction transaction =
-                new Transaction().requireRevision(StoreKeys.OPEN + id, 0).requireRevision(StoreKeys.OVER + id, 0);
+                new Transaction().requireRevision(StoreKeys.OPEN_JOBS + id, 0).requireRevision(StoreKeys.ENDED_JOBS + id, 0);
         if (doomed == null) {
-            transaction.put(StoreKeys.OPEN + id, record);
+            transaction.put(StoreKeys.OPEN_JOBS + id, record);
         } else {
-            transaction.put(StoreKeys.OVER + id, cancelled(id, record));
+            transaction.put(StoreKeys.ENDED_JOBS + id, cancelled(id, record));
         }
         store.commit(
                 transaction,
@@ -248,7 +248,7 @@
 
     private void readOver(String id, Consumer<Answer> answer) {
         store.get(
-                StoreKeys.OVER + id,
+                StoreKeys.ENDED_JOBS + id,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         DocumentReader document = DocumentReader.of(entry.value());
@@ -280,7 +280,7 @@
             return;
         }
         store.get(
-                StoreKeys.OPEN + id,
+                StoreKeys.OPEN_JOBS + id,
                 (outcome, open) -> {
                     if (outcome == Outcome.REJECTED) {
                         readOver(id, answer);
@@ -293,12 +293,12 @@
                     Map<String, Object> record = cancelled(id, open.value());
                     Transaction move =
                             new Transaction()
-                                    .requireRevision(StoreKeys.OPEN + id, open.revision())
-                                    .requireRevision(StoreKeys.OVER + id, 0)
-                                    .remove(StoreKeys.OPEN + id)
-                                    .put(StoreKeys.OVER + id, record);
+                                    .requireRevision(StoreKeys.OPEN_JOBS + id, open.revision())
+                                    .requireRevision(StoreKeys.ENDED_JOBS + id, 0)
+                                    .remove(StoreKeys.OPEN_JOBS + id)
+                                    .put(StoreKeys.ENDED_JOBS + id, record);
                     if (cells) {
-                        move.requireRevision(StoreKeys.LENT + id, 0);
+                        move.requireRevision(StoreKeys.LENT_TASKS + id, 0);
                     }
                     store.commit(
                             move,
@@ -309,7 +309,7 @@
                                     onCancelled.accept(status);
                                     answer.accept(new Answer(Verdict.KNOWN, status));
                                 } else if (result.outcome() == Outcome.REJECTED
-                                        && result.failedKeys().contains(StoreKeys.LENT + id)) {
+                                        && result.failedKeys().contains(StoreKeys.LENT_TASKS + id)) {
                                     callBack(id, open.revision(), answer);
                                 } else if (result.outcome() == Outcome.REJECTED) {
                                     cancel(id, tries - 1, answer);
@@ -344,9 +344,9 @@
     private void callBack(String id, long openRevision, Consumer<Answer> answer) {
         store.commit(
                 new Transaction()
-                        .requireRevision(StoreKeys.OPEN + id, openRevision)
-                        .requireRevision(StoreKeys.LEAVE + id, 0)
-                        .put(StoreKeys.LEAVE + id, Map.of()),
+                        .requireRevision(StoreKeys.OPEN_JOBS + id, openRevision)
+                        .requireRevision(StoreKeys.CANCELLATION_REQUESTS + id, 0)
+                        .put(StoreKeys.CANCELLATION_REQUESTS + id, Map.of()),
                 result -> answer.accept(Answer.LATER));
     }
 }
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -26,16 +26,16 @@
 public final class CancellationProof {
     public interface Listener {
         /** The job is not open any more, though no watch said so. */
-        void closed(String jobId);
+        void jobClosed(String jobId);
 
         /**
          * All that was cancelled before that moment, in milliseconds by our time of day, is known.
          */
-        void proven(double atMs);
+        void cancellationsKnownAsOf(double atMs);
     }
 
-    private static final double RETRY_S = 0.4;
-    private static final int AT_ONCE = 4;
+    private static final double RETRY_SECONDS = 0.4;
+    private static final int MAX_IN_FLIGHT = 4;
 
     private final ClusterSettings settings;
     private final Store store;
@@ -49,7 +49,7 @@
     private final Listener listener;
 
     /** Conditions in one transaction. */
-    private int most;
+    private int maxConditions;
 
     private long epoch;
 
@@ -67,31 +67,31 @@
         this.shard = shard;
         this.holding = holding;
         this.listener = listener;
-        this.most = 4 * settings.store().maxTransactionOperations();
+        this.maxConditions = 4 * settings.store().maxTransactionOperations();
     }
 
     /** A new holder begins. */
     public void start() {
-        look(++epoch);
+        startRound(++epoch);
     }
 
     public void stop() {
         epoch++;
     }
 
-    private void look(long e) {
+    private void startRound(long e) {
         if (e != epoch) {
             return;
         }
         if (holding.getAsBoolean()) {
             new Look(e).send();
         } else {
-            again(e, RETRY_S);
+            startRoundAfter(e, RETRY_SECONDS);
         }
     }
 
-    private void again(long e, double seconds) {
-        timers.schedule(jittered(seconds), () -> look(e));
+    private void startRoundAfter(long e, double seconds) {
+        timers.schedule(jittered(seconds), () -> startRound(e));
     }
 
     private double jittered(double seconds) {
@@ -122,7 +122,7 @@
                 // Guests are cancelled by their home cell, which waits for this cell's word before
                 // it tells anybody.
                 if (!job.isFinished() && !job.borrowed && !job.liveAttempts().isEmpty()) {
-                    if (left.isEmpty() || left.getLast().conditions().size() >= most) {
+                    if (left.isEmpty() || left.getLast().conditions().size() >= maxConditions) {
                         left.add(new Transaction());
                     }
                     left.getLast().requireRevision(job.recordKey, job.revision());
@@ -135,7 +135,7 @@
             if (missing == 0) {
                 settled();
             }
-            for (int i = 0; i < AT_ONCE && !left.isEmpty(); i++) {
+            for (int i = 0; i < MAX_IN_FLIGHT && !left.isEmpty(); i++) {
                 send(left.poll());
             }
         }
@@ -154,7 +154,7 @@
                     if (result.outcome() == Outcome.INVALID) {
                         // The store takes fewer conditions by now than anybody said: those of the
                         // next look.
-                        most = Math.max(1, Math.min(most, transaction.conditions().size() / 2));
+                        maxConditions = Math.max(1, Math.min(maxConditions, transaction.conditions().size() / 2));
                         tooLong = true;
                     }
                     retry(transaction);
@@ -165,10 +165,10 @@
         private void retry(Transaction transaction) {
             tooLong |= timers.wallClockMillis() - sentMs > 1000 * settings.workers().cancellationStalenessSeconds();
             if (!tooLong && holding.getAsBoolean()) {
-                timers.schedule(jittered(RETRY_S), () -> send(transaction));
+                timers.schedule(jittered(RETRY_SECONDS), () -> send(transaction));
             } else if (!given) {
                 given = true;
-                again(of, RETRY_S);
+                startRoundAfter(of, RETRY_SECONDS);
             }
         }
 
@@ -196,7 +196,7 @@
                             return;
                         }
                         if (of == epoch && outcome == Outcome.REJECTED) {
-                            listener.closed(key.substring(StoreKeys.OPEN.length()));
+                            listener.jobClosed(key.substring(StoreKeys.OPEN_JOBS.length()));
                         }
                         closed(transaction, keys);
                     });
@@ -205,9 +205,9 @@
         private void settled() {
             if (of == epoch && !given) {
                 if (holding.getAsBoolean()) {
-                    listener.proven(sentMs);
+                    listener.cancellationsKnownAsOf(sentMs);
                 }
-                again(of, settings.workers().cancellationStalenessSeconds() / 8);
+                startRoundAfter(of, settings.workers().cancellationStalenessSeconds() / 8);
             }
         }
     }
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -24,25 +24,25 @@
     /** Of the state service's requests. */
     private static final double RATE_SHARE = 0.3;
 
-    private static final int AT_ONCE = 8;
+    private static final int MAX_IN_FLIGHT = 8;
 
     /** Between two looks for a job that is neither open nor over as yet. */
-    private static final double AGAIN_S = 0.5;
+    private static final double RETRY_SECONDS = 0.5;
 
     private final Store store;
     private final Timers timers;
-    private final JobDependencies pipelines;
+    private final JobDependencies dependencies;
     private final TokenBucket requests;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> inFlight = new HashSet<>();
     private Runnable ready = () -> {};
     private long epoch;
-    private boolean waits;
+    private boolean waitingForRate;
 
     DependencyOutcomes(
             ClusterSettings settings, Store store, Timers timers, JobDependencies pipelines) {
         this.store = store;
         this.timers = timers;
-        this.pipelines = pipelines;
+        this.dependencies = pipelines;
         this.requests = new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE);
     }
 
@@ -50,32 +50,32 @@
      * {@code whenKnown} runs when a job may start, or has to be cancelled, that could not or had
      * not to before.
      */
-    void begin(Runnable whenKnown) {
+    void start(Runnable whenKnown) {
         stop();
         ready = whenKnown;
     }
 
     void stop() {
         epoch++;
-        asked.clear();
-        waits = false;
+        inFlight.clear();
+        waitingForRate = false;
     }
 
     /** Asks what is to be asked. */
-    void look() {
-        if (waits) {
+    void askForUnknown() {
+        if (waitingForRate) {
             return;
         }
-        for (String id : pipelines.unknownOutcomes(AT_ONCE - asked.size(), asked)) {
+        for (String id : dependencies.unknownOutcomes(MAX_IN_FLIGHT - inFlight.size(), inFlight)) {
             if (!requests.tryTake(1, timers.nowSeconds())) {
-                waits = true;
+                waitingForRate = true;
                 long e = epoch;
                 timers.schedule(
                         requests.secondsUntil(1, timers.nowSeconds()),
                         () -> {
                             if (e == epoch) {
-                                waits = false;
-                                look();
+                                waitingForRate = false;
+                                askForUnknown();
                             }
                         });
                 return;
@@ -85,46 +85,46 @@
     }
 
     private void ask(String id) {
-        asked.add(id);
+        inFlight.add(id);
         long e = epoch;
         store.get(
-                StoreKeys.OVER + id,
+                StoreKeys.ENDED_JOBS + id,
                 (outcome, entry) -> {
                     if (e != epoch) {
                         return;
                     }
                     if (outcome == Outcome.OK) {
-                        asked.remove(id);
-                        if (ended(id, entry.value())) {
+                        inFlight.remove(id);
+                        if (recordOutcome(id, entry.value())) {
                             ready.run();
                         }
-                        look();
+                        askForUnknown();
                     } else {
                         // Not over: it is open, and this holder has not heard of it yet; or it
                         // can't be asked now.
                         timers.schedule(
-                                outcome == Outcome.REJECTED ? AGAIN_S : AGAIN_S / 2,
+                                outcome == Outcome.REJECTED ? RETRY_SECONDS : RETRY_SECONDS / 2,
                                 () -> {
                                     if (e == epoch) {
-                                        asked.remove(id);
-                                        look();
+                                        inFlight.remove(id);
+                                        askForUnknown();
                                     }
                                 });
                     }
                 });
     }
 
-    private boolean ended(String id, Object record) {
+    private boolean recordOutcome(String id, Object record) {
         try {
             DocumentReader document = DocumentReader.of(record);
             // Earlier versions did not put down when.
-            pipelines.recordOutcome(
+            dependencies.recordOutcome(
                     id,
                     document.text("status").equals("done"),
                     document.numberOr("endedMs", 0, timers.wallClockMillis()));
             return true;
         } catch (InvalidInputException invalid) {
-            LOG.error("record {} is unreadable: {}", StoreKeys.OVER + id, invalid.getMessage());
+            LOG.error("record {} is unreadable: {}", StoreKeys.ENDED_JOBS + id, invalid.getMessage());
             return false;
         }
     }
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -20,7 +20,7 @@
  * few records after the other, if it changed.
  */
 public final class ImageRecords {
-    private static final int RECORDS = 16;
+    private static final int RECORD_COUNT = 16;
 
     private final ClusterSettings settings;
     private final List<Map<String, Object>> written = new ArrayList<>();
@@ -30,18 +30,18 @@
 
     public ImageRecords(ClusterSettings settings) {
         this.settings = settings;
-        for (int i = 0; i < RECORDS; i++) {
+        for (int i = 0; i < RECORD_COUNT; i++) {
             written.add(null);
         }
     }
 
     /** The next record that is to be written, or null if none is due. */
-    Store.Write due(Collection<Machine> machines, double now) {
+    Store.Write nextDueRecord(Collection<Machine> machines, double now) {
         if (now < nextAt) {
             return null;
         }
         nextAt = now + settings.workers().heartbeatIntervalSeconds() / 2;
-        int index = next++ % RECORDS;
+        int index = next++ % RECORD_COUNT;
         Map<String, Object> record = record(machines, index);
         if (Objects.equals(record, written.get(index))
                 || written.get(index) == null && record.isEmpty()) {
@@ -52,7 +52,7 @@
     }
 
     private static int indexOf(String machine) {
-        return Math.floorMod(machine.hashCode(), RECORDS);
+        return Math.floorMod(machine.hashCode(), RECORD_COUNT);
     }
 
     /** By image: its size, and the machines that have it. */
@@ -78,7 +78,7 @@
     }
 
     /** What the last holder knew, for machines as they become known here. */
-    void read(List<Entry> entries) {
+    void load(List<Entry> entries) {
         for (Entry entry : entries) {
             if (!(entry.value() instanceof Map<?, ?> by)) {
                 continue;
@@ -101,14 +101,14 @@
         }
     }
 
-    public void recall(Machine machine) {
+    public void restoreImages(Machine machine) {
         Map<String, Double> images = remembered.remove(machine.id);
         if (images != null) {
             images.forEach(machine::restoreImage);
         }
     }
 
-    void forget() {
+    void clear() {
         remembered.clear();
         written.replaceAll(r -> null);
     }
--- a/src/main/java/io/kitepath/core/state/PagedScan.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -15,12 +15,12 @@
  * end of its jobs.
  */
 public final class PagedScan {
-    private static final int PAGE = 500;
+    private static final int PAGE_SIZE = 500;
 
     private final Store store;
     private final Timers timers;
     private final String prefix;
-    private final int tries;
+    private final int maxAttempts;
     private final Consumer<ListResult> answer;
     private final List<Entry> entries = new ArrayList<>();
     private long revision = -1;
@@ -30,7 +30,7 @@
         this.store = store;
         this.timers = timers;
         this.prefix = prefix;
-        this.tries = tries;
+        this.maxAttempts = tries;
         this.answer = answer;
     }
 
@@ -40,19 +40,19 @@
      */
     public static void read(
             Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
-        new PagedScan(store, timers, prefix, tries, answer).next(1);
+        new PagedScan(store, timers, prefix, tries, answer).readPage(1);
     }
 
-    private void next(int attempt) {
+    private void readPage(int attempt) {
         String from = entries.isEmpty() ? "" : entries.get(entries.size() - 1).key();
         store.list(
                 prefix,
                 from,
-                PAGE,
+                PAGE_SIZE,
                 page -> {
                     if (page.outcome() != Outcome.OK) {
-                        if (attempt < tries) {
-                            timers.schedule(Math.min(1, 0.1 * attempt), () -> next(attempt + 1));
+                        if (attempt < maxAttempts) {
+                            timers.schedule(Math.min(1, 0.1 * attempt), () -> readPage(attempt + 1));
                         } else {
                             answer.accept(new ListResult(page.outcome(), List.of(), 0, false));
                         }
@@ -63,7 +63,7 @@
                     }
                     entries.addAll(page.entries());
                     if (page.hasMore() && !page.entries().isEmpty()) {
-                        next(1);
+                        readPage(1);
                     } else {
                         answer.accept(new ListResult(Outcome.OK, entries, revision, false));
                     }
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -17,7 +17,7 @@
     private final JobRecord record;
     private final int version;
     private final Map<Integer, Map<String, Object>> parts = new LinkedHashMap<>();
-    private final int removed;
+    private final int removedParts;
 
     RecordMigration(Job job, int partTasks) {
         this.job = job;
@@ -36,27 +36,27 @@
         for (int i = 0; i < job.partCount(); i++) {
             gone += job.part(i).revision() > 0 && !parts.containsKey(i) ? 1 : 0;
         }
-        this.removed = gone;
+        this.removedParts = gone;
     }
 
-    int writes() {
-        return 1 + parts.size() + removed;
+    int writeCount() {
+        return 1 + parts.size() + removedParts;
     }
 
-    void board(Transaction transaction) {
+    void contributeTo(Transaction transaction) {
         String id = job.spec.id();
         transaction.requireRevision(job.recordKey, job.revision()).put(job.recordKey, record.toRecord());
         for (int i = 0; i < job.partCount(); i++) {
-            transaction.requireRevision(StoreKeys.part(id, i), job.part(i).revision());
+            transaction.requireRevision(StoreKeys.partKey(id, i), job.part(i).revision());
             if (job.part(i).revision() > 0 && !parts.containsKey(i)) {
-                transaction.remove(StoreKeys.part(id, i));
+                transaction.remove(StoreKeys.partKey(id, i));
             }
         }
-        parts.forEach((i, p) -> transaction.put(StoreKeys.part(id, i), p));
+        parts.forEach((i, p) -> transaction.put(StoreKeys.partKey(id, i), p));
     }
 
     /** The store has it at that revision. */
-    void written(ShardState shard, long revision) {
+    void onCommitted(ShardState shard, long revision) {
         boolean same = job.version() == version;
         shard.applyMigration(job, record, revision, version, parts.keySet());
         if (!same) {
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -32,39 +32,39 @@
      *
      * @param revision from before the first record was read: from there on changes have to be
      *     followed
-     * @param over by id: jobs that are over and have parts left, so that something of them may be
+     * @param endedJobs by id: jobs that are over and have parts left, so that something of them may be
      *     on machines
-     * @param lent what of open jobs is lent to other cells
-     * @param guests what other cells lent to this one
-     * @param shares of the teams' limits, what came to this cell and what went
-     * @param voids which of their numbers can't be taken any more
-     * @param leaving open jobs whose users asked to cancel them
-     * @param acts what was asked of the cloud, read at its own revision
+     * @param lentTasks what of open jobs is lent to other cells
+     * @param borrowedTasks what other cells lent to this one
+     * @param quotaShares of the teams' limits, what came to this cell and what went
+     * @param voidedNumbers which of their numbers can't be taken any more
+     * @param cancellationRequests open jobs whose users asked to cancel them
+     * @param cloudIntents what was asked of the cloud, read at its own revision
      * @param layout how records are laid out, null if nobody has put it down yet
      */
     public record LoadedState(
             long revision,
-            List<Entry> open,
+            List<Entry> openJobs,
             List<Entry> parts,
-            Map<String, Entry> over,
-            List<Entry> lent,
-            List<Entry> guests,
-            List<Entry> leaving,
-            List<Entry> voids,
-            List<Entry> shares,
-            ListResult acts,
+            Map<String, Entry> endedJobs,
+            List<Entry> lentTasks,
+            List<Entry> borrowedTasks,
+            List<Entry> cancellationRequests,
+            List<Entry> voidedNumbers,
+            List<Entry> quotaShares,
+            ListResult cloudIntents,
             Entry layout) {}
 
     /** Takes what the records say about other cells. */
     public interface LoanRecords {
         /** All of it, after the open jobs and before their parts. */
-        void adopt(LoadedState found);
+        void adoptLoaded(LoadedState found);
 
         /**
          * A job's user asks to cancel it while some of it may be lent, or no more if there is no
          * value.
          */
-        void leaving(Entry entry);
+        void cancellationRequestChanged(Entry entry);
     }
 
     private final Store store;
@@ -120,7 +120,7 @@
                 };
         // Beside the jobs, so that a takeover does not take longer for it.
         pages(
-                StoreKeys.ACT,
+                StoreKeys.CLOUD_INTENTS,
                 listing -> {
                     acts = listing;
                     joined();
@@ -142,20 +142,20 @@
 
     private void readJobs() {
         pages(
-                StoreKeys.OPEN,
+                StoreKeys.OPEN_JOBS,
                 open -> {
                     if (cells) {
                         readElsewhere(open);
                     } else {
                         running.accept(ids(open));
-                        pages(StoreKeys.PART, parts -> readClosed(open, parts));
+                        pages(StoreKeys.JOB_PARTS, parts -> readClosed(open, parts));
                     }
                 });
     }
 
     private static Set<String> ids(ListResult open) {
         Set<String> ids = new HashSet<>();
-        open.entries().forEach(entry -> ids.add(entry.key().substring(StoreKeys.OPEN.length())));
+        open.entries().forEach(entry -> ids.add(entry.key().substring(StoreKeys.OPEN_JOBS.length())));
         return ids;
     }
 
@@ -167,11 +167,11 @@
 
     private void readElsewhere(ListResult open) {
         pages(
-                StoreKeys.LENT,
+                StoreKeys.LENT_TASKS,
                 l -> {
                     lent = l.entries();
                     pages(
-                            StoreKeys.GUEST,
+                            StoreKeys.BORROWED_TASKS,
                             g -> {
                                 guests = g.entries();
                                 Set<String> all = ids(open);
@@ -182,19 +182,19 @@
                                                                 .textOr("job", "")));
                                 running.accept(all);
                                 pages(
-                                        StoreKeys.LEAVE,
+                                        StoreKeys.CANCELLATION_REQUESTS,
                                         x -> {
                                             leaving = x.entries();
                                             pages(
-                                                    StoreKeys.VOID,
+                                                    StoreKeys.VOIDED_NUMBERS,
                                                     v -> {
                                                         voids = v.entries();
                                                         pages(
-                                                                StoreKeys.SHARE,
+                                                                StoreKeys.QUOTA_SHARES,
                                                                 s -> {
                                                                     shares = s.entries();
                                                                     pages(
-                                                                            StoreKeys.PART,
+                                                                            StoreKeys.JOB_PARTS,
                                                                             parts ->
                                                                                     readClosed(
                                                                                             open,
@@ -266,7 +266,7 @@
             return;
         }
         store.get(
-                StoreKeys.OVER + id,
+                StoreKeys.ENDED_JOBS + id,
                 (outcome, entry) -> {
                     if (stale.getAsBoolean()) {
                         return;
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -29,7 +29,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
     /** How often everything is read again before a part of no job is passed over. */
-    private static final int MISFITS = 5;
+    private static final int MAX_RELOADS_FOR_ORPHAN_PARTS = 5;
 
     private final ClusterSettings settings;
     private final Store store;
@@ -37,46 +37,46 @@
     private final ShardState shard;
     private final ImageRecords images;
     private final Listener listener;
-    private final WriteBatcher writes;
+    private final WriteBatcher batcher;
     private final DependencyOutcomes dependencyOutcomes;
 
     /** Null without other cells. */
-    private final StateLoader.LoanRecords elsewhere;
+    private final StateLoader.LoanRecords loanRecords;
 
     private long epoch;
-    private long blockRevision;
-    private boolean loaded;
+    private long shardRevision;
+    private boolean isLoaded;
 
     /**
      * While the jobs are not known: ids of those of which something may run; null before that is
      * known.
      */
-    private Set<String> running;
+    private Set<String> runningJobIds;
 
     /** How often in a row what was read did not fit together. */
-    private int misfits;
+    private int inconsistentReads;
 
     /** What an earlier holder counted as served, if that was read in time. */
-    private Object servedBefore;
+    private Object previousServiceRecord;
 
     public interface Listener {
         /** Somebody else holds the block, or nobody. */
-        void blockLost();
+        void shardLost();
 
         /** The store has it that this job is done, or cancelled for one that it needs. */
-        void over(JobStatus job);
+        void jobEnded(JobStatus job);
 
         /** What earlier holders, or this one, put down to ask of the cloud. */
-        void intended(List<Entry> acts);
+        void cloudIntentsLoaded(List<Entry> acts);
 
         /** One of these records has changed. */
-        void acted(Entry act);
+        void cloudIntentChanged(Entry act);
 
         /**
          * It is known which jobs may run, by what was read from that moment on, in milliseconds of
          * our time of day.
          */
-        void read(double sinceMs);
+        void runningJobsKnown(double sinceMs);
 
         /**
          * Jobs that others say are cancelled, which what is read from the store may not show yet.
@@ -84,7 +84,7 @@
         Set<String> cancelledMeanwhile();
 
         /** The memory and the store may differ. */
-        void outOfStep(String why);
+        void reloadRequired(String why);
     }
 
     /**
@@ -97,18 +97,18 @@
          * Whether something waits for it. What can wait itself goes along when the rate has some to
          * spare.
          */
-        default boolean urgent() {
+        default boolean isUrgent() {
             return true;
         }
 
         /** False if it is not wanted any more, as when its job is over by now. */
-        boolean wanted();
+        boolean isStillWanted();
 
         /** What it writes and on what that depends. */
-        void board(Transaction transaction);
+        void contributeTo(Transaction transaction);
 
         /** The store has it, at that revision. */
-        void written(long revision);
+        void onCommitted(long revision);
     }
 
     /** {@code elsewhere} takes the records about other cells, first of all; null without such. */
@@ -119,47 +119,47 @@
             ImageRecords images,
             Listener listener,
             StateLoader.LoanRecords elsewhere) {
-        this.elsewhere = elsewhere;
+        this.loanRecords = elsewhere;
         this.settings = shard.settings();
         this.store = store;
         this.timers = timers;
         this.shard = shard;
         this.images = images;
         this.listener = listener;
-        this.writes = new WriteBatcher(store, timers, shard, images, listener);
+        this.batcher = new WriteBatcher(store, timers, shard, images, listener);
         this.dependencyOutcomes =
                 new DependencyOutcomes(settings, store, timers, shard.jobDependencies());
     }
 
     /** Transactions that the store refused for good, as over its limits. */
-    public long invalid() {
-        return writes.invalid();
+    public long rejectedTransactions() {
+        return batcher.rejectedTransactions();
     }
 
     /**
      * Times that a record was not written since it would be too large; it is once there is less to
      * say in it.
      */
-    public long oversize() {
-        return writes.oversize();
+    public long oversizeRecords() {
+        return batcher.oversizeRecords();
     }
 
     /** Transactions, and records, that this holder has written. */
-    public long rounds() {
-        return writes.rounds();
+    public long transactionsSent() {
+        return batcher.transactionsSent();
     }
 
-    public long written() {
-        return writes.written();
+    public long recordsSent() {
+        return batcher.recordsSent();
     }
 
-    public boolean loaded() {
-        return loaded;
+    public boolean isLoaded() {
+        return isLoaded;
     }
 
     /** Whether it is known of which jobs something may run, if not yet all about them. */
-    public boolean knowsRunning() {
-        return loaded || running != null;
+    public boolean knowsRunningJobs() {
+        return isLoaded || runningJobIds != null;
     }
 
     /**
@@ -168,48 +168,48 @@
      * our token yet.
      */
     public boolean mayRun(String id) {
-        if (loaded) {
+        if (isLoaded) {
             Job job = shard.jobs().get(id);
             return job != null && !job.isFinished();
         }
-        return running != null
-                && running.contains(id)
+        return runningJobIds != null
+                && runningJobIds.contains(id)
                 && !listener.cancelledMeanwhile().contains(id);
     }
 
-    public long blockRevision() {
-        return blockRevision;
+    public long shardRevision() {
+        return shardRevision;
     }
 
-    public boolean writing() {
-        return writes.underWay();
+    public boolean isWriting() {
+        return batcher.isWriting();
     }
 
     public void stop() {
         epoch++;
-        loaded = false;
-        running = null;
-        writes.stop();
-        images.forget();
+        isLoaded = false;
+        runningJobIds = null;
+        batcher.stop();
+        images.clear();
         dependencyOutcomes.stop();
     }
 
     /** Writes that along in one of the next rounds. */
-    public void ride(BatchContributor r) {
-        writes.ride(r);
+    public void enqueue(BatchContributor contributor) {
+        batcher.enqueue(contributor);
     }
 
     // ---- loading --------------------------------------------------------------------------------
 
     public void start(String key, long revision, Runnable ready) {
-        blockRevision = revision;
-        writes.under(key, revision);
-        if (loaded) {
+        shardRevision = revision;
+        batcher.useShardRecord(key, revision);
+        if (isLoaded) {
             // What is known of them stays known while they are read once more.
-            running = new HashSet<>();
+            runningJobIds = new HashSet<>();
             shard.jobs().values().stream()
                     .filter(job -> !job.isFinished())
-                    .forEach(job -> running.add(job.spec.id()));
+                    .forEach(job -> runningJobIds.add(job.spec.id()));
         }
         load(++epoch, ready);
     }
@@ -222,52 +222,52 @@
         if (e != epoch) {
             return;
         }
-        loaded = false;
-        writes.stop();
-        servedBefore = null;
+        isLoaded = false;
+        batcher.stop();
+        previousServiceRecord = null;
         store.get(
-                StoreKeys.SERVED,
+                StoreKeys.SERVICE_LEVELS,
                 (outcome, entry) -> {
                     if (e == epoch && outcome == Outcome.OK) {
-                        servedBefore = entry.value();
+                        previousServiceRecord = entry.value();
                     }
                 });
         double readingMs = timers.wallClockMillis();
         new StateLoader(
                         store,
                         timers,
-                        elsewhere != null,
+                        loanRecords != null,
                         () -> e != epoch,
                         ids -> {
-                            running = ids;
-                            listener.read(readingMs);
+                            runningJobIds = ids;
+                            listener.runningJobsKnown(readingMs);
                         })
                 .read(
                         found -> {
                             if (found != null && adopt(found)) {
                                 layOut(found.layout());
                                 readImages(e);
-                                dependencyOutcomes.begin(ready);
-                                dependencyOutcomes.look();
+                                dependencyOutcomes.start(ready);
+                                dependencyOutcomes.askForUnknown();
                                 follow(
                                         e,
-                                        StoreKeys.OPEN,
+                                        StoreKeys.OPEN_JOBS,
                                         found.revision(),
                                         ready,
                                         this::jobChanged);
                                 follow(
                                         e,
-                                        StoreKeys.ACT,
-                                        found.acts().revision(),
+                                        StoreKeys.CLOUD_INTENTS,
+                                        found.cloudIntents().revision(),
                                         ready,
-                                        listener::acted);
-                                if (elsewhere != null) {
+                                        listener::cloudIntentChanged);
+                                if (loanRecords != null) {
                                     follow(
                                             e,
-                                            StoreKeys.LEAVE,
+                                            StoreKeys.CANCELLATION_REQUESTS,
                                             found.revision(),
                                             ready,
-                                            elsewhere::leaving);
+                                            loanRecords::cancellationRequestChanged);
                                 }
                                 ready.run();
                             } else {
@@ -285,20 +285,20 @@
         if (known != null) {
             return;
         }
-        ride(
+        enqueue(
                 new BatchContributor() {
                     @Override
-                    public boolean urgent() {
+                    public boolean isUrgent() {
                         return false;
                     }
 
                     @Override
-                    public boolean wanted() {
+                    public boolean isStillWanted() {
                         return true;
                     }
 
                     @Override
-                    public void board(Transaction transaction) {
+                    public void contributeTo(Transaction transaction) {
                         transaction
                                 .requireRevision(StoreKeys.LAYOUT, 0)
                                 .put(
@@ -307,7 +307,7 @@
                     }
 
                     @Override
-                    public void written(long revision) {
+                    public void onCommitted(long revision) {
                         LOG.info(
                                 "parts of jobs hold {} tasks where their records do not say",
                                 shard.tasksPerPart());
@@ -324,8 +324,8 @@
                 3,
                 records -> {
                     if (e == epoch && records.outcome() == Outcome.OK) {
-                        images.read(records.entries());
-                        shard.machines().values().forEach(images::recall);
+                        images.load(records.entries());
+                        shard.machines().values().forEach(images::restoreImages);
                     }
                 });
     }
@@ -340,21 +340,21 @@
                             DocumentReader.of(found.layout().value())
                                     .integer("partTasks", 1, Integer.MAX_VALUE));
         }
-        if (servedBefore != null) {
+        if (previousServiceRecord != null) {
             try {
-                shard.serviceLevels().restore(servedBefore);
+                shard.serviceLevels().restore(previousServiceRecord);
             } catch (InvalidInputException invalid) {
-                LOG.error("record {} is unreadable: {}", StoreKeys.SERVED, invalid.getMessage());
+                LOG.error("record {} is unreadable: {}", StoreKeys.SERVICE_LEVELS, invalid.getMessage());
             }
         }
         // Before the jobs' parts: a machine that goes is one from the first time that it is heard
         // of.
-        listener.intended(found.acts().entries());
-        found.open().forEach(this::opened);
-        if (elsewhere != null) {
-            elsewhere.adopt(found);
+        listener.cloudIntentsLoaded(found.cloudIntents().entries());
+        found.openJobs().forEach(this::opened);
+        if (loanRecords != null) {
+            loanRecords.adoptLoaded(found);
         }
-        found.over()
+        found.endedJobs()
                 .forEach(
                         (id, entry) -> {
                             try {
@@ -369,7 +369,7 @@
         for (Entry entry : found.parts()) {
             Job job = shard.jobs().get(StoreKeys.jobOfPart(entry.key()));
             if (job == null) {
-                if (misfits++ < MISFITS) {
+                if (inconsistentReads++ < MAX_RELOADS_FOR_ORPHAN_PARTS) {
                     // Created after the list of open jobs was read, or just moved: read everything
                     // once more.
                     return false;
@@ -385,8 +385,8 @@
                 shard.restorePart(job, part, entry.value(), entry.revision(), now);
             }
         }
-        misfits = 0;
-        loaded = true;
+        inconsistentReads = 0;
+        isLoaded = true;
         // Guards against what was read before a cancellation that others told us of meanwhile.
         List.copyOf(listener.cancelledMeanwhile()).forEach(shard::finishJob);
         LOG.info("loaded {} jobs, {} parts", shard.jobs().size(), found.parts().size());
@@ -403,7 +403,7 @@
     }
 
     private void opened(Entry entry) {
-        String id = entry.key().substring(StoreKeys.OPEN.length());
+        String id = entry.key().substring(StoreKeys.OPEN_JOBS.length());
         if (shard.jobs().containsKey(id)) {
             return;
         }
@@ -418,7 +418,7 @@
         if (entry.value() != null) {
             opened(entry);
         } else {
-            shard.finishJob(entry.key().substring(StoreKeys.OPEN.length()));
+            shard.finishJob(entry.key().substring(StoreKeys.OPEN_JOBS.length()));
         }
     }
 
@@ -438,13 +438,13 @@
                     }
                     if (changes.outcome() == Outcome.OK) {
                         changes.events().forEach(changed);
-                        dependencyOutcomes.look();
+                        dependencyOutcomes.askForUnknown();
                         follow(e, prefix, Math.max(after, changes.revision()), ready, changed);
                         if (!changes.events().isEmpty()) {
                             ready.run();
                         }
                     } else if (changes.outcome() == Outcome.REJECTED) {
-                        listener.outOfStep("changes of the jobs were missed");
+                        listener.reloadRequired("changes of the jobs were missed");
                     } else {
                         timers.schedule(0.3, () -> follow(e, prefix, after, ready, changed));
                     }
@@ -458,8 +458,8 @@
      * the store.
      */
     public void write(Runnable done) {
-        if (loaded) {
-            writes.write(done);
+        if (isLoaded) {
+            batcher.write(done);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -25,13 +25,13 @@
      * A record that this round writes and that nobody else does under the same revision of the
      * block.
      *
-     * @param before its revision before, 0 if there was none
+     * @param revisionBefore its revision before, 0 if there was none
      */
-    record Witness(String key, long before, Sign sign) {
+    record Witness(String key, long revisionBefore, Sign sign) {
         /** Whether the round was carried out; {@code now}: null if there is no such record. */
-        boolean shows(Entry now) {
+        boolean showsCommitted(Entry now) {
             return switch (sign) {
-                case CHANGED -> now != null && now.revision() != before;
+                case CHANGED -> now != null && now.revision() != revisionBefore;
                 // A user's cancellation may have been written in its place.
                 case SAYS_DONE ->
                         now != null && DocumentReader.of(now.value()).text("status").equals("done");
@@ -46,9 +46,9 @@
     final List<Job> cancelling = new ArrayList<>();
     final Set<Job.Part> taken = new HashSet<>();
     final Set<Job> conditioned = new HashSet<>();
-    final List<BatchContributor> riders = new ArrayList<>();
-    RecordMigration relaid;
-    boolean unsure;
+    final List<BatchContributor> contributors = new ArrayList<>();
+    RecordMigration migration;
+    boolean mayHaveExecuted;
     int bytes;
 
     /** Null if all that it writes may have been written by others. */
@@ -59,15 +59,15 @@
             }
         }
         if (!finishing.isEmpty()) {
-            return new Witness(StoreKeys.OVER + finishing.get(0).spec.id(), 0, Sign.SAYS_DONE);
+            return new Witness(StoreKeys.ENDED_JOBS + finishing.get(0).spec.id(), 0, Sign.SAYS_DONE);
         }
         // What is gone has no revision, which riders have to be told.
-        return parts.isEmpty() || !riders.isEmpty()
+        return parts.isEmpty() || !contributors.isEmpty()
                 ? null
                 : new Witness(key(parts.get(0)), parts.get(0).part.revision(), Sign.GONE);
     }
 
     private static String key(Written written) {
-        return StoreKeys.part(written.part.job.spec.id(), written.part.index);
+        return StoreKeys.partKey(written.part.job.spec.id(), written.part.index);
     }
 }
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -65,10 +65,10 @@
     /** When what was served was written last. */
     private double servedAt;
 
-    private long rounds;
-    private long written;
-    private long invalid;
-    private long oversize;
+    private long transactionsSent;
+    private long recordsSent;
+    private long rejectedTransactions;
+    private long oversizeRecords;
 
     WriteBatcher(
             Store store,
@@ -87,7 +87,7 @@
     }
 
     /** The block's record, under whose revision everything is written from now on. */
-    void under(String key, long revision) {
+    void useShardRecord(String key, long revision) {
         blockKey = key;
         blockRevision = revision;
     }
@@ -100,28 +100,28 @@
         patient.clear();
     }
 
-    void ride(BatchContributor r) {
-        (r.urgent() ? riders : patient).add(r);
+    void enqueue(BatchContributor contributor) {
+        (contributor.isUrgent() ? riders : patient).add(contributor);
     }
 
-    boolean underWay() {
+    boolean isWriting() {
         return round != null;
     }
 
-    long invalid() {
-        return invalid;
+    long rejectedTransactions() {
+        return rejectedTransactions;
     }
 
-    long oversize() {
-        return oversize;
+    long oversizeRecords() {
+        return oversizeRecords;
     }
 
-    long rounds() {
-        return rounds;
+    long transactionsSent() {
+        return transactionsSent;
     }
 
-    long written() {
-        return written;
+    long recordsSent() {
+        return recordsSent;
     }
 
     /**
@@ -147,7 +147,7 @@
         cascade(batch, budget * 3 / 4);
         // In turns: a swarm's ends, two writes each, would leave nothing to what is to start, and
         // the other way round.
-        boolean endsFirst = rounds % 2 == 0;
+        boolean endsFirst = transactionsSent % 2 == 0;
         if (endsFirst) {
             budget = ends(batch, budget);
         }
@@ -172,10 +172,10 @@
         // that would grow for ever goes along all the same.
         board(batch, patient, (int) Math.min(budget, patient.size() > budget ? budget : spare));
         if (batch.transaction.writes().size() < budget && batch.bytes < MAX_BYTES / 2) {
-            Store.Write due = images.due(shard.machines().values(), now);
+            Store.Write due = images.nextDueRecord(shard.machines().values(), now);
             if (due == null && now - servedAt > settings.workers().leaseSeconds() / 2) {
                 servedAt = now;
-                due = new Store.Write(StoreKeys.SERVED, shard.serviceLevels().toRecord(timers.wallClockMillis()), 0);
+                due = new Store.Write(StoreKeys.SERVICE_LEVELS, shard.serviceLevels().toRecord(timers.wallClockMillis()), 0);
             }
             if (due != null && JsonSize.sizeInBytes(due.value()) <= shard.maxRecordBytes()) {
                 batch.transaction.put(due.key(), due.value());
@@ -189,8 +189,8 @@
     private void go(WriteBatch batch, Runnable done, double now) {
         writes.tryTake(batch.transaction.writes().size(), now);
         round = batch;
-        rounds++;
-        written += batch.transaction.writes().size();
+        transactionsSent++;
+        recordsSent += batch.transaction.writes().size();
         send(epoch, done);
     }
 
@@ -202,14 +202,14 @@
                 continue;
             }
             RecordMigration l = new RecordMigration(job, settings.tasksPerCompactPart());
-            if (l.writes() > settings.store().maxTransactionOperations()) {
+            if (l.writeCount() > settings.store().maxTransactionOperations()) {
                 LOG.error(
                         "job {} has parts that can't be written under the limits that will come",
                         job.spec.id());
                 shard.migrationDone(job);
-            } else if (l.writes() <= budget) {
-                l.board(batch.transaction);
-                batch.relaid = l;
+            } else if (l.writeCount() <= budget) {
+                l.contributeTo(batch.transaction);
+                batch.migration = l;
                 return true;
             }
         }
@@ -221,10 +221,10 @@
         while (!waiting.isEmpty()
                 && batch.transaction.writes().size() < budget * 3 / 4
                 && batch.bytes < MAX_BYTES / 2) {
-            BatchContributor rider = waiting.poll();
-            if (rider.wanted()) {
-                rider.board(batch.transaction);
-                batch.riders.add(rider);
+            BatchContributor contributor = waiting.poll();
+            if (contributor.isStillWanted()) {
+                contributor.contributeTo(batch.transaction);
+                batch.contributors.add(contributor);
                 batch.bytes += settings.store().maxValueKibibytes() * 1024 / 4;
             }
         }
@@ -284,8 +284,8 @@
         over(batch, job, "done", job.spec.taskCount());
         if (job.loansRevision() > 0) {
             batch.transaction
-                    .requireRevision(StoreKeys.LENT + job.spec.id(), job.loansRevision())
-                    .remove(StoreKeys.LENT + job.spec.id());
+                    .requireRevision(StoreKeys.LENT_TASKS + job.spec.id(), job.loansRevision())
+                    .remove(StoreKeys.LENT_TASKS + job.spec.id());
         }
         batch.finishing.add(job);
     }
@@ -321,12 +321,12 @@
         batch.transaction
                 .requireRevision(job.recordKey, job.revision())
                 .remove(job.recordKey)
-                .put(StoreKeys.OVER + job.spec.id(), record);
+                .put(StoreKeys.ENDED_JOBS + job.spec.id(), record);
     }
 
     private void putPart(WriteBatch batch, Job.Part part) {
         Job job = part.job;
-        String key = StoreKeys.part(job.spec.id(), part.index);
+        String key = StoreKeys.partKey(job.spec.id(), part.index);
         List<Attempt> live = job.liveAttemptsInPart(part.index);
         boolean remove = job.isFinished() && live.isEmpty();
         if (remove && part.revision() == 0) {
@@ -341,7 +341,7 @@
             if (JsonSize.sizeInBytes(record) > shard.maxRecordBytes()) {
                 // Placed when records could be larger. Until enough of it has ended, its workers go
                 // on reporting what has, and no more of it is placed.
-                oversize++;
+                oversizeRecords++;
                 batch.transaction.conditions().remove(batch.transaction.conditions().size() - 1);
                 return;
             }
@@ -362,13 +362,13 @@
                     switch (result.outcome()) {
                         case OK -> committed(batch, result.revision(), done);
                         case REJECTED -> refused(batch, result, done);
-                        case INVALID -> invalid(batch);
+                        case INVALID -> rejectedTransactions(batch);
                         case NOT_EXECUTED -> timers.schedule(0.2, () -> resend(e, batch, done));
                         default -> {
                             // It may have been executed, or still be: the very same transaction
                             // again settles it, since its conditions let only one of the two
                             // through.
-                            batch.unsure = true;
+                            batch.mayHaveExecuted = true;
                             timers.schedule(0.1, () -> resend(e, batch, done));
                         }
                     }
@@ -385,7 +385,7 @@
         round = null;
         mostWrites =
                 Math.min(Math.min(settings.store().maxTransactionOperations(), refusedWrites - 1), mostWrites + 1);
-        batch.riders.forEach(x -> x.written(revision));
+        batch.contributors.forEach(x -> x.onCommitted(revision));
         for (WriteBatch.Written written : batch.parts) {
             shard.markPartWritten(written.part(), written.version(), written.removed() ? 0 : revision);
         }
@@ -394,16 +394,16 @@
             shard.serviceLevels().recordDone(job, timers.wallClockMillis());
             shard.jobDependencies().recordOutcome(job.spec.id(), true, timers.wallClockMillis());
             shard.finishJob(job.spec.id());
-            listener.over(new JobStatus(job.spec.id(), "done", job.spec.taskCount(), 0));
+            listener.jobEnded(new JobStatus(job.spec.id(), "done", job.spec.taskCount(), 0));
         }
         for (Job job : batch.cancelling) {
             LOG.info("job {} cancelled, as one that it needs was", job.spec.id());
             shard.jobDependencies().recordOutcome(job.spec.id(), false, timers.wallClockMillis());
             shard.finishJob(job.spec.id());
-            listener.over(new JobStatus(job.spec.id(), "cancelled", 0, 0));
+            listener.jobEnded(new JobStatus(job.spec.id(), "cancelled", 0, 0));
         }
-        if (batch.relaid != null) {
-            batch.relaid.written(shard, revision);
+        if (batch.migration != null) {
+            batch.migration.onCommitted(shard, revision);
         }
         done.run();
     }
@@ -412,9 +412,9 @@
     private void putBack(WriteBatch batch) {
         round = null;
         batch.parts.forEach(written -> shard.dirtyParts().enqueueIfDirty(written.part()));
-        for (int i = batch.riders.size() - 1; i >= 0; i--) {
-            BatchContributor rider = batch.riders.get(i);
-            (rider.urgent() ? riders : patient).addFirst(rider);
+        for (int i = batch.contributors.size() - 1; i >= 0; i--) {
+            BatchContributor contributor = batch.contributors.get(i);
+            (contributor.isUrgent() ? riders : patient).addFirst(contributor);
         }
     }
 
@@ -424,8 +424,8 @@
      * smaller, down to a single record, and one that is refused by itself waits until it has
      * changed.
      */
-    private void invalid(WriteBatch batch) {
-        invalid++;
+    private void rejectedTransactions(WriteBatch batch) {
+        rejectedTransactions++;
         int n = batch.transaction.writes().size();
         Store.Write largest =
                 batch.transaction.writes().stream()
@@ -443,19 +443,19 @@
             shard.lowerMaxRecordBytes(size(largest));
             refusedWrites = Integer.MAX_VALUE; // It may have been this one all the time.
         }
-        if (batch.unsure) {
+        if (batch.mayHaveExecuted) {
             round = null;
-            listener.outOfStep("an earlier try of this write may have been executed");
+            listener.reloadRequired("an earlier try of this write may have been executed");
         } else if (batch.parts.size()
-                        + batch.riders.size()
+                        + batch.contributors.size()
                         + batch.finishing.size()
                         + batch.cancelling.size()
                 > 1) {
             putBack(batch);
         } else {
             round = null;
-            if (batch.relaid != null) {
-                shard.migrationDone(batch.relaid.job);
+            if (batch.migration != null) {
+                shard.migrationDone(batch.migration.job);
             }
         }
     }
@@ -467,8 +467,8 @@
     private void refused(WriteBatch batch, CommitResult result, Runnable done) {
         if (result.failedKeys().contains(blockKey)) {
             putBack(batch);
-            listener.blockLost();
-        } else if (batch.unsure) {
+            listener.shardLost();
+        } else if (batch.mayHaveExecuted) {
             settle(epoch, batch, result, done);
         } else {
             notWritten(batch, result);
@@ -484,7 +484,7 @@
         WriteBatch.Witness witness = batch.witness();
         if (witness == null) {
             putBack(batch);
-            listener.outOfStep("an earlier try of this write may have been executed");
+            listener.reloadRequired("an earlier try of this write may have been executed");
             return;
         }
         store.get(
@@ -494,7 +494,7 @@
                         return;
                     }
                     boolean known = outcome == Outcome.OK || outcome == Outcome.REJECTED;
-                    if (known && witness.shows(entry)) {
+                    if (known && witness.showsCommitted(entry)) {
                         committed(batch, entry == null ? 0 : entry.revision(), done);
                     } else if (known) {
                         // Nor can it be any more: a revision that was passed never comes back.
@@ -508,15 +508,15 @@
     private void notWritten(WriteBatch batch, CommitResult result) {
         putBack(batch);
         for (String key : result.failedKeys()) {
-            if (!key.startsWith(StoreKeys.OPEN)) {
-                listener.outOfStep("unexpected revision of " + key);
+            if (!key.startsWith(StoreKeys.OPEN_JOBS)) {
+                listener.reloadRequired("unexpected revision of " + key);
                 return;
             }
             // Cancelled just now; the next round goes without it.
-            shard.finishJob(key.substring(StoreKeys.OPEN.length()));
+            shard.finishJob(key.substring(StoreKeys.OPEN_JOBS.length()));
         }
         if (result.failedKeys().isEmpty()) {
-            listener.outOfStep("a write was refused without a reason");
+            listener.reloadRequired("a write was refused without a reason");
         }
     }
 }
--- a/src/main/java/io/kitepath/simulation/MemoryStore.java
+++ b/src/main/java/io/kitepath/simulation/MemoryStore.java
@@ -111,17 +111,17 @@
 
     /** Whether there ever was a record of a job with that id, open or over. */
     boolean everHad(String id) {
-        return keys.containsKey(StoreKeys.OPEN + id)
-                || keys.containsKey(StoreKeys.OVER + id)
+        return keys.containsKey(StoreKeys.OPEN_JOBS + id)
+                || keys.containsKey(StoreKeys.ENDED_JOBS + id)
                 || log.stream()
                         .anyMatch(
                                 entry ->
-                                        entry.key().equals(StoreKeys.OPEN + id)
-                                                || entry.key().equals(StoreKeys.OVER + id));
+                                        entry.key().equals(StoreKeys.OPEN_JOBS + id)
+                                                || entry.key().equals(StoreKeys.ENDED_JOBS + id));
     }
 
     public long token() {
-        Store.Entry entry = keys.get(StoreKeys.TOKEN);
+        Store.Entry entry = keys.get(StoreKeys.FENCING_TOKEN);
         return entry == null ? 0 : DocumentReader.of(entry.value()).count("token");
     }
 
--- a/src/main/java/io/kitepath/simulation/SimulatedWorker.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedWorker.java
@@ -339,7 +339,7 @@
             cluster.broken.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
         }
         // The range of all keys under that prefix.
-        if (cluster.store.keys.subMap(StoreKeys.GOING, StoreKeys.GOING + "~").values().stream()
+        if (cluster.store.keys.subMap(StoreKeys.RELEASE_INTENTS, StoreKeys.RELEASE_INTENTS + "~").values().stream()
                 .anyMatch(
                         entry ->
                                 ((Map<?, ?>) entry.value()).get("machines") instanceof List<?> l
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -346,7 +346,7 @@
                 transaction ->
                         transaction.writes().stream()
                                         .anyMatch(
-                                                write -> write.key().equals(StoreKeys.OVER + "j-1"))
+                                                write -> write.key().equals(StoreKeys.ENDED_JOBS + "j-1"))
                                 ? 1
                                 : 0;
         assertEquals(null, cluster.cancel(sibling, "j-1"));
@@ -369,7 +369,7 @@
                 transaction ->
                         transaction.writes().stream()
                                         .anyMatch(
-                                                write -> write.key().equals(StoreKeys.OVER + "j-1"))
+                                                write -> write.key().equals(StoreKeys.ENDED_JOBS + "j-1"))
                                 ? 0.7
                                 : 0;
         cluster.cancel(holder, "j-1");
@@ -507,11 +507,11 @@
                                 .findFirst()
                                 .orElse(null);
             }
-            cluster.store.refusePrefix = StoreKeys.PART::equals;
-            while (!next.controller.stateWriter.knowsRunning()) {
+            cluster.store.refusePrefix = StoreKeys.JOB_PARTS::equals;
+            while (!next.controller.stateWriter.knowsRunningJobs()) {
                 cluster.run(0.001);
             }
-            assertFalse(next.controller.stateWriter.loaded());
+            assertFalse(next.controller.stateWriter.isLoaded());
             SimulatedNode holder = next;
             SimulatedNode sibling =
                     cluster.nodes.values().stream()
@@ -526,10 +526,10 @@
             if (outBeforeAllIsRead) {
                 cluster.store.out = true;
                 cluster.run(1);
-                assertFalse(holder.controller.stateWriter.loaded());
+                assertFalse(holder.controller.stateWriter.isLoaded());
             } else {
                 cluster.store.refusePrefix = prefix -> false;
-                while (!holder.controller.stateWriter.loaded()) {
+                while (!holder.controller.stateWriter.isLoaded()) {
                     cluster.run(0.0005);
                 }
             }
@@ -557,7 +557,7 @@
                             .orElse(null);
         }
         cluster.store.slowS = 0.8;
-        while (!next.controller.stateWriter.knowsRunning()) {
+        while (!next.controller.stateWriter.knowsRunningJobs()) {
             cluster.run(0.01);
         }
         assertTrue(
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -132,9 +132,9 @@
                                                 && (step == Step.CLAIMED
                                                         || (step == Step.LISTED
                                                                 ? node.controller.stateWriter
-                                                                        .knowsRunning()
+                                                                        .knowsRunningJobs()
                                                                 : node.controller.stateWriter
-                                                                                .loaded()
+                                                                                .isLoaded()
                                                                         && (step == Step.READ
                                                                                 || node.controller
                                                                                                 .heartbeatProcessor
@@ -359,7 +359,7 @@
                                     transaction.writes().stream()
                                             .anyMatch(
                                                     write ->
-                                                            write.key().startsWith(StoreKeys.OVER));
+                                                            write.key().startsWith(StoreKeys.ENDED_JOBS));
                     cluster.store.unheard = transaction -> fate == 1 && ends.test(transaction);
                     cluster.store.late =
                             transaction -> fate == 2 && ends.test(transaction) ? 0.6 : 0;
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -253,7 +253,7 @@
                                         node ->
                                                 node.alive
                                                         && node.controller.leadership.leading()
-                                                        && node.controller.stateWriter.loaded()));
+                                                        && node.controller.stateWriter.isLoaded()));
         simulation.run(5);
         simulation.kept.forEach(Runnable::run);
         simulation.kept.forEach(Runnable::run);
@@ -265,7 +265,7 @@
                             .world("west")
                             .store
                             .keys
-                            .containsKey(StoreKeys.guest("east", ((LoanOffer) message).loanNumber())));
+                            .containsKey(StoreKeys.borrowedTasksKey("east", ((LoanOffer) message).loanNumber())));
         }
         allDone(id);
     }
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -44,10 +44,10 @@
                                 .filter(
                                         write ->
                                                 write.value() != null
-                                                        && (write.key().startsWith(StoreKeys.OPEN)
+                                                        && (write.key().startsWith(StoreKeys.OPEN_JOBS)
                                                                 || write.key()
                                                                         .startsWith(
-                                                                                StoreKeys.OVER)))
+                                                                                StoreKeys.ENDED_JOBS)))
                                 .forEach(
                                         write -> {
                                             String id =
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -34,13 +34,13 @@
     }
 
     private String holder(String duty) {
-        Store.Entry entry = cluster.store.keys.get(StoreKeys.DUTY + duty);
+        Store.Entry entry = cluster.store.keys.get(StoreKeys.ROLES + duty);
         return entry == null ? null : (String) ((Map<?, ?>) entry.value()).get("node");
     }
 
     private long token(String duty) {
         return (Long)
-                ((Map<?, ?>) cluster.store.keys.get(StoreKeys.DUTY_TOKEN + duty).value())
+                ((Map<?, ?>) cluster.store.keys.get(StoreKeys.ROLE_FENCING_TOKENS + duty).value())
                         .get("token");
     }
 
@@ -192,7 +192,7 @@
                         transaction.writes().stream()
                                         .anyMatch(
                                                 write ->
-                                                        write.key().equals(StoreKeys.DUTY + "cloud")
+                                                        write.key().equals(StoreKeys.ROLES + "cloud")
                                                                 && write.value() != null)
                                 && once[0]
                                 && !(once[0] = false);
--- a/src/test/java/io/kitepath/core/DutySeedsTest.java
+++ b/src/test/java/io/kitepath/core/DutySeedsTest.java
@@ -116,7 +116,7 @@
                 assertEquals(
                         0,
                         r.cluster.store.keys.keySet().stream()
-                                .filter(key -> key.startsWith(StoreKeys.ACT))
+                                .filter(key -> key.startsWith(StoreKeys.CLOUD_INTENTS))
                                 .count(),
                         at);
             }
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -69,7 +69,7 @@
     /** Rentals on record that are not known to be settled, while a machine of theirs is up. */
     private static boolean upBeforeKnown(SimulatedCluster cluster) {
         return !cluster.workers.isEmpty()
-                && cluster.store.keys.subMap(StoreKeys.RENT, StoreKeys.RENT + "~").values().stream()
+                && cluster.store.keys.subMap(StoreKeys.RENTAL_INTENTS, StoreKeys.RENTAL_INTENTS + "~").values().stream()
                         .anyMatch(entry -> !((Map<?, ?>) entry.value()).containsKey("machines"));
     }
 
@@ -108,7 +108,7 @@
         assertEquals(
                 List.of(),
                 cluster.store.keys.keySet().stream()
-                        .filter(key -> key.startsWith(StoreKeys.ACT))
+                        .filter(key -> key.startsWith(StoreKeys.CLOUD_INTENTS))
                         .toList(),
                 at);
         runs++;
@@ -191,7 +191,7 @@
                 transaction -> {
                     boolean rents =
                             transaction.writes().stream()
-                                    .anyMatch(write -> write.key().startsWith(StoreKeys.RENT));
+                                    .anyMatch(write -> write.key().startsWith(StoreKeys.RENTAL_INTENTS));
                     if (lag == Lag.UNHEARD
                             && (count[0] > 0 && !transaction.writes().isEmpty() || rents)
                             && count[0]++ == n) {
@@ -204,7 +204,7 @@
                 transaction -> {
                     boolean rents =
                             transaction.writes().stream()
-                                    .anyMatch(write -> write.key().startsWith(StoreKeys.RENT));
+                                    .anyMatch(write -> write.key().startsWith(StoreKeys.RENTAL_INTENTS));
                     if (lag != Lag.UNHEARD && (count[0] > 0 || rents) && count[0]++ == n) {
                         meets.accept(transaction);
                         return lag == Lag.LATE ? 3.5 : 1e6;
@@ -241,8 +241,8 @@
                 met.get("up before known") > 3 && met.get("launched before listed") > 10,
                 met.toString());
         assertTrue(
-                met.containsKey(StoreKeys.RENT + "r-with machines")
-                        && met.containsKey(StoreKeys.PART + "j-"),
+                met.containsKey(StoreKeys.RENTAL_INTENTS + "r-with machines")
+                        && met.containsKey(StoreKeys.JOB_PARTS + "j-"),
                 met.toString());
     }
 
@@ -266,7 +266,7 @@
                                 transaction.writes().stream()
                                         .anyMatch(
                                                 write ->
-                                                        write.key().startsWith(StoreKeys.RENT)
+                                                        write.key().startsWith(StoreKeys.RENTAL_INTENTS)
                                                                 && write.value()
                                                                         instanceof Map<?, ?> m
                                                                 && m.containsKey("machines"));
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -72,7 +72,7 @@
                                 node ->
                                         node.alive
                                                 && node.controller.leadership.leading()
-                                                && node.controller.stateWriter.loaded())) {
+                                                && node.controller.stateWriter.isLoaded())) {
             cluster.run(0.1);
         }
         SimulatedNode second = cluster.leader();
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -65,7 +65,7 @@
     private static SimulatedNode carrier(SimulatedCluster cluster) {
         return cluster.nodes.get(
                 (String)
-                        ((Map<?, ?>) cluster.store.keys.get(StoreKeys.DUTY + "cloud").value())
+                        ((Map<?, ?>) cluster.store.keys.get(StoreKeys.ROLES + "cloud").value())
                                 .get("node"));
     }
 
@@ -123,7 +123,7 @@
                         transaction.writes().stream()
                                 .anyMatch(
                                         write ->
-                                                write.key().startsWith(StoreKeys.RENT)
+                                                write.key().startsWith(StoreKeys.RENTAL_INTENTS)
                                                         && write.value() instanceof Map<?, ?> m
                                                         && m.containsKey("machines"));
         want(cluster);
@@ -132,7 +132,7 @@
         restart(cluster, first, 6);
         cluster.run(60);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
-        assertEquals(0, records(cluster, StoreKeys.RENT), "taken in and struck off");
+        assertEquals(0, records(cluster, StoreKeys.RENTAL_INTENTS), "taken in and struck off");
         for (Store.Transaction transaction : cluster.store.heldBack) {
             assertEquals(Store.Outcome.REJECTED, cluster.store.execute(transaction).outcome());
         }
@@ -164,7 +164,7 @@
                 16,
                 cluster.workers.values().stream().mapToInt(worker -> worker.started).sum(),
                 "none was lost");
-        assertEquals(0, records(cluster, StoreKeys.GOING));
+        assertEquals(0, records(cluster, StoreKeys.RELEASE_INTENTS));
     }
 
     @Test
@@ -174,16 +174,16 @@
                 cluster,
                 200,
                 () -> {
-                    cluster.cloud.out |= records(cluster, StoreKeys.GOING) > 0;
+                    cluster.cloud.out |= records(cluster, StoreKeys.RELEASE_INTENTS) > 0;
                     return cluster.cloud.out;
                 });
         cluster.run(20);
         assertEquals(List.of(), cluster.cloud.released);
-        assertEquals(1, records(cluster, StoreKeys.GOING));
+        assertEquals(1, records(cluster, StoreKeys.RELEASE_INTENTS));
         cluster.cloud.out = false;
         cluster.run(40);
         assertEquals(List.of("i-000000"), cluster.cloud.released);
-        assertEquals(0, records(cluster, StoreKeys.GOING));
+        assertEquals(0, records(cluster, StoreKeys.RELEASE_INTENTS));
     }
 
     @Test
@@ -192,7 +192,7 @@
             SimulatedCluster cluster = world();
             SimulatedNode first = holder ? cluster.leader() : carrier(cluster);
             want(cluster);
-            until(cluster, 5, () -> records(cluster, StoreKeys.RENT) > 0);
+            until(cluster, 5, () -> records(cluster, StoreKeys.RENTAL_INTENTS) > 0);
             first.frozenUntil = cluster.clock.now + 25;
             cluster.run(80);
             assertEquals(6, cluster.cloud.named);
@@ -222,7 +222,7 @@
                 6,
                 cluster.cloud.released.stream().distinct().count(),
                 "idle machines are given back");
-        assertEquals(0, records(cluster, StoreKeys.ACT));
+        assertEquals(0, records(cluster, StoreKeys.CLOUD_INTENTS));
         assertEquals(0, cluster.leader().controller.intents.open());
     }
 
@@ -263,7 +263,7 @@
                     cluster.run(150);
                     assertEquals(List.of(), cluster.broken, at);
                     assertEquals(6, cluster.cloud.released.stream().distinct().count(), at);
-                    assertEquals(0, records(cluster, StoreKeys.ACT), at);
+                    assertEquals(0, records(cluster, StoreKeys.CLOUD_INTENTS), at);
                     if (ends[0] == 0) {
                         break;
                     }
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -106,7 +106,7 @@
         cluster.store.written =
                 (client, transaction) -> {
                     if (transaction.writes().stream()
-                            .anyMatch(write -> write.key().equals(StoreKeys.OVER + ID))) {
+                            .anyMatch(write -> write.key().equals(StoreKeys.ENDED_JOBS + ID))) {
                         written = cluster.clock.now;
                     }
                 };
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -96,7 +96,7 @@
         cluster.submit(old, SimulatedCluster.job("j-1", Shape.ARRAY, 250, 3));
         cluster.submit(old, SimulatedCluster.job("j-3", Shape.SERVICE, 250, 0.5));
         cluster.run(5);
-        assertTrue(JsonSize.sizeInBytes(cluster.store.keys.get(StoreKeys.part("j-1", 0)).value()) > 2048);
+        assertTrue(JsonSize.sizeInBytes(cluster.store.keys.get(StoreKeys.partKey("j-1", 0)).value()) > 2048);
         old.crash();
         cluster.next = LOW;
         fall();
@@ -130,7 +130,7 @@
         assertEquals(
                 List.of(),
                 cluster.store.keys.keySet().stream()
-                        .filter(key -> key.startsWith(StoreKeys.PART))
+                        .filter(key -> key.startsWith(StoreKeys.JOB_PARTS))
                         .toList());
         assertEquals(List.of(), cluster.broken);
     }
@@ -147,7 +147,7 @@
             t.cluster.run(3);
             t.cluster.submit(old, SimulatedCluster.job("j-1", Shape.GANG, 200, 2));
             assertNull(
-                    ((Map<?, ?>) t.cluster.store.keys.get(StoreKeys.OPEN + "j-1").value())
+                    ((Map<?, ?>) t.cluster.store.keys.get(StoreKeys.OPEN_JOBS + "j-1").value())
                             .get("partTasks"));
             old.crash();
             t.cluster.next = LOW;
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -35,7 +35,7 @@
     @Test
     void claimsThatWereWonUnawaresEndAndOneIsHeard() {
         for (String key :
-                List.of(StoreKeys.LEADER, StoreKeys.DUTY + "cloud", StoreKeys.DUTY + "cleanup")) {
+                List.of(StoreKeys.LEADER, StoreKeys.ROLES + "cloud", StoreKeys.ROLES + "cleanup")) {
             for (int times = 1; times <= 4; times++) {
                 for (double refused : new double[] {0, 0.7, 1.6, 3}) {
                     SimulatedCluster cluster = settled(3, 4);
@@ -150,7 +150,7 @@
                                                         write ->
                                                                 write.key()
                                                                         .equals(
-                                                                                StoreKeys.OVER
+                                                                                StoreKeys.ENDED_JOBS
                                                                                         + "j-1"))
                                         && lost[0]++ < 1;
                 if (how >= 2) {
@@ -207,7 +207,7 @@
                     transaction ->
                             transaction.writes().stream()
                                             .anyMatch(
-                                                    write -> write.key().startsWith(StoreKeys.OVER))
+                                                    write -> write.key().startsWith(StoreKeys.ENDED_JOBS))
                                     && lost[0]++ < 8;
             for (int j = 0; j < 4; j++) {
                 handIn(cluster, j, job("j-1" + j, j % 2 == 0 ? Shape.ARRAY : Shape.GANG, 1 + j, 1));
@@ -325,7 +325,7 @@
                                                                                     .key()
                                                                                     .equals(
                                                                                             StoreKeys
-                                                                                                            .OPEN
+                                                                                                            .OPEN_JOBS
                                                                                                     + "j-1")
                                                                             && condition.revision()
                                                                                     > 0)
@@ -335,7 +335,7 @@
                                                                     write.key()
                                                                                     .equals(
                                                                                             StoreKeys
-                                                                                                            .OPEN
+                                                                                                            .OPEN_JOBS
                                                                                                     + "j-1")
                                                                             && write.value()
                                                                                     != null);
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -165,7 +165,7 @@
                     at + ": " + id + " is " + said);
         }
         assertEquals("done", cluster.status(leader, "j-5"), at);
-        for (String prefix : List.of(StoreKeys.OPEN, StoreKeys.PART, StoreKeys.ACT)) {
+        for (String prefix : List.of(StoreKeys.OPEN_JOBS, StoreKeys.JOB_PARTS, StoreKeys.CLOUD_INTENTS)) {
             assertEquals(
                     List.of(),
                     cluster.store.keys.keySet().stream()
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -254,7 +254,7 @@
                 assertEquals(
                         0,
                         cluster.store.keys.keySet().stream()
-                                .filter(key -> key.startsWith(StoreKeys.OPEN))
+                                .filter(key -> key.startsWith(StoreKeys.OPEN_JOBS))
                                 .count(),
                         at);
                 days++;
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -167,7 +167,7 @@
         String said = "";
         while (!said.equals("done") && cluster.clock.now < from + 60) {
             cluster.run(0.05);
-            if (cluster.store.keys.containsKey(StoreKeys.OVER + "j-1")) {
+            if (cluster.store.keys.containsKey(StoreKeys.ENDED_JOBS + "j-1")) {
                 said = cluster.cancel(node, "j-1").state().status();
             }
         }
@@ -270,7 +270,7 @@
             double from = t.cluster.clock.now;
             Random random = new Random(1);
             while (t.cluster.store.keys.keySet().stream()
-                            .anyMatch(key -> key.startsWith(StoreKeys.OPEN))
+                            .anyMatch(key -> key.startsWith(StoreKeys.OPEN_JOBS))
                     && t.cluster.clock.now - from < 300) {
                 t.cluster.ask(node, "j-" + (2 + random.nextInt(1000)));
                 t.cluster.run(0.5);
--- a/src/test/java/io/kitepath/core/SettledWritesTest.java
+++ b/src/test/java/io/kitepath/core/SettledWritesTest.java
@@ -32,7 +32,7 @@
                 transaction -> {
                     boolean ours =
                             transaction.writes().stream()
-                                    .anyMatch(write -> write.key().startsWith(StoreKeys.PART));
+                                    .anyMatch(write -> write.key().startsWith(StoreKeys.JOB_PARTS));
                     if (ours && seen[0]++ >= nth && unheard[0] < tries) {
                         unheard[0]++;
                         if (cancel) {
@@ -62,7 +62,7 @@
         assertEquals(
                 0,
                 cluster.store.keys.keySet().stream()
-                        .filter(key -> key.startsWith(StoreKeys.PART))
+                        .filter(key -> key.startsWith(StoreKeys.JOB_PARTS))
                         .count(),
                 at);
         return cluster;
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -214,8 +214,8 @@
         var record = spec.toRecord();
         record.put("submittedMs", cluster.clock.now * 1000);
         return new Store.Transaction()
-                .requireRevision(StoreKeys.OPEN + spec.id(), 0)
-                .put(StoreKeys.OPEN + spec.id(), record);
+                .requireRevision(StoreKeys.OPEN_JOBS + spec.id(), 0)
+                .put(StoreKeys.OPEN_JOBS + spec.id(), record);
     }
 
     @Test
@@ -294,7 +294,7 @@
         assertTrue(node.controller.shard.jobs().isEmpty());
         assertTrue(
                 cluster.store.keys.keySet().stream()
-                        .noneMatch(key -> key.startsWith(StoreKeys.PART)));
+                        .noneMatch(key -> key.startsWith(StoreKeys.JOB_PARTS)));
     }
 
     @Test
@@ -669,8 +669,8 @@
         long looks = node.controller.scheduler.placement().looks();
         assertTrue(looks < 15L * tasks, "machines looked at: " + looks);
         assertTrue(
-                node.controller.stateWriter.written() < tasks / 20,
-                "records written: " + node.controller.stateWriter.written());
+                node.controller.stateWriter.recordsSent() < tasks / 20,
+                "records written: " + node.controller.stateWriter.recordsSent());
         cluster.run(60);
         assertTrue(
                 shard.jobs().isEmpty(),
@@ -678,8 +678,8 @@
                         NodeMetrics.summary(
                                 shard, node.controller.heartbeatProcessor, node.controller.scheduler));
         assertTrue(
-                node.controller.stateWriter.written() < tasks / 4,
-                "records written: " + node.controller.stateWriter.written());
+                node.controller.stateWriter.recordsSent() < tasks / 4,
+                "records written: " + node.controller.stateWriter.recordsSent());
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -99,13 +99,13 @@
                                             write ->
                                                     write.value() != null
                                                             && write.key()
-                                                                    .startsWith(StoreKeys.PART))
+                                                                    .startsWith(StoreKeys.JOB_PARTS))
                                     .forEach(
                                             write ->
                                                     placed(
                                                             write.key()
                                                                     .substring(
-                                                                            StoreKeys.PART.length(),
+                                                                            StoreKeys.JOB_PARTS.length(),
                                                                             write.key()
                                                                                     .lastIndexOf(
                                                                                             '/'))));
@@ -237,7 +237,7 @@
             return job == null
                     ? Stage.NOT_HEARD_OF
                     : job.liveAttempts().values().stream().anyMatch(Attempt::isDurable)
-                                    || cluster.store.keys.containsKey(StoreKeys.part(id, 0))
+                                    || cluster.store.keys.containsKey(StoreKeys.partKey(id, 0))
                             ? Stage.PLACED
                             : Stage.WAITING;
         }
@@ -277,7 +277,7 @@
                             mostKeys,
                             (int)
                                     cluster.store.keys.keySet().stream()
-                                            .filter(key -> !key.startsWith(StoreKeys.OVER))
+                                            .filter(key -> !key.startsWith(StoreKeys.ENDED_JOBS))
                                             .count());
         }
 
@@ -318,8 +318,8 @@
                     cluster.store.keys.keySet().stream()
                             .filter(
                                     key ->
-                                            key.startsWith(StoreKeys.PART)
-                                                    || key.startsWith(StoreKeys.OPEN))
+                                            key.startsWith(StoreKeys.JOB_PARTS)
+                                                    || key.startsWith(StoreKeys.OPEN_JOBS))
                             .count(),
                     at);
             // A quarter, give or take.
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -52,12 +52,12 @@
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 1));
         cluster.submit(cluster.leader(), job("j-2", Shape.ARRAY, 400, 1));
         for (int i = 0; i < 30; i++) {
-            put(cluster, StoreKeys.part("j-9" + i, 0), part(Map.of()));
+            put(cluster, StoreKeys.partKey("j-9" + i, 0), part(Map.of()));
         }
-        put(cluster, StoreKeys.part("j-800", 0), part(Map.of("i-000777", List.of(0L, 1L))));
+        put(cluster, StoreKeys.partKey("j-800", 0), part(Map.of("i-000777", List.of(0L, 1L))));
         put(
                 cluster,
-                StoreKeys.ACT + "rent/r-old",
+                StoreKeys.CLOUD_INTENTS + "rent/r-old",
                 Map.of(
                         "type",
                         "m4",
@@ -75,9 +75,9 @@
                         List.of("i-000555")));
         put(
                 cluster,
-                StoreKeys.ACT + "going/old",
+                StoreKeys.CLOUD_INTENTS + "going/old",
                 Map.of("machines", List.of("i-000556"), "token", 1L, "gone", true));
-        put(cluster, StoreKeys.ACT + "going/odd", Map.of("machines", 7L));
+        put(cluster, StoreKeys.CLOUD_INTENTS + "going/odd", Map.of("machines", 7L));
     }
 
     private static boolean there(SimulatedCluster cluster, String key) {
@@ -97,24 +97,24 @@
         litter(cluster);
         cluster.run(200);
         for (int i = 0; i < 30; i++) {
-            assertFalse(there(cluster, StoreKeys.part("j-9" + i, 0)));
+            assertFalse(there(cluster, StoreKeys.partKey("j-9" + i, 0)));
         }
-        assertFalse(there(cluster, StoreKeys.ACT + "rent/r-old"));
-        assertFalse(there(cluster, StoreKeys.ACT + "going/old"));
+        assertFalse(there(cluster, StoreKeys.CLOUD_INTENTS + "rent/r-old"));
+        assertFalse(there(cluster, StoreKeys.CLOUD_INTENTS + "going/old"));
         assertTrue(
-                there(cluster, StoreKeys.part("j-800", 0)),
+                there(cluster, StoreKeys.partKey("j-800", 0)),
                 "it says that something is on a machine");
-        assertTrue(there(cluster, StoreKeys.ACT + "going/odd"));
+        assertTrue(there(cluster, StoreKeys.CLOUD_INTENTS + "going/odd"));
         assertEquals(2, sweeper(cluster).controller.garbageCollector.strange());
         assertEquals(30, sweeper(cluster).controller.garbageCollector.removed());
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
-        assertTrue(there(cluster, StoreKeys.part("j-2", 0)));
+        assertTrue(there(cluster, StoreKeys.partKey("j-2", 0)));
     }
 
     @Test
     void aJobThatIsJustBeingAcceptedKeepsItsParts() {
         settle(cluster);
-        put(cluster, StoreKeys.part("j-5", 0), part(Map.of()));
+        put(cluster, StoreKeys.partKey("j-5", 0), part(Map.of()));
         // In the moment of the removal, the job is there.
         boolean[] once = {true};
         cluster.store.withheld =
@@ -123,22 +123,22 @@
                             && transaction.writes().stream()
                                     .anyMatch(
                                             write ->
-                                                    write.key().equals(StoreKeys.part("j-5", 0))
+                                                    write.key().equals(StoreKeys.partKey("j-5", 0))
                                                             && write.value() == null)) {
                         once[0] = false;
-                        put(cluster, StoreKeys.OPEN + "j-5", Map.of("unreadable", true));
+                        put(cluster, StoreKeys.OPEN_JOBS + "j-5", Map.of("unreadable", true));
                     }
                     return false;
                 };
         cluster.run(60);
         assertFalse(once[0]);
-        assertTrue(there(cluster, StoreKeys.part("j-5", 0)));
+        assertTrue(there(cluster, StoreKeys.partKey("j-5", 0)));
     }
 
     @Test
     void aHolderBeginsThoughAPartHasNoJob() {
         settle(cluster);
-        put(cluster, StoreKeys.part("j-9", 0), part(Map.of()));
+        put(cluster, StoreKeys.partKey("j-9", 0), part(Map.of()));
         cluster.nodes.values().forEach(SimulatedNode::crash);
         cluster.run(0.3);
         cluster.siblings.forEach(cluster::node);
@@ -170,13 +170,13 @@
             for (int i = 0;
                     i < 10
                             && cluster.store.keys.keySet().stream()
-                                    .anyMatch(key -> key.startsWith(StoreKeys.ACT + "rent/"));
+                                    .anyMatch(key -> key.startsWith(StoreKeys.CLOUD_INTENTS + "rent/"));
                     i++) {
                 cluster.run(0.5);
             }
             points += ends[0];
             TreeSet<String> left = new TreeSet<>(cluster.store.keys.keySet());
-            left.removeIf(key -> key.startsWith("kitepath/") && !key.startsWith(StoreKeys.ACT));
+            left.removeIf(key -> key.startsWith("kitepath/") && !key.startsWith(StoreKeys.CLOUD_INTENTS));
             if (n == 0) {
                 clean = left;
             }
@@ -195,9 +195,9 @@
     void aJobThatEndsWhileItIsLookedAtIsNotCalledStrange() {
         settle(cluster);
         for (String id : List.of("j-5", "j-6")) {
-            put(cluster, StoreKeys.OPEN + id, Map.of("unreadable", true));
+            put(cluster, StoreKeys.OPEN_JOBS + id, Map.of("unreadable", true));
         }
-        put(cluster, StoreKeys.OVER + "j-6", Map.of("status", "done", "done", 1L));
+        put(cluster, StoreKeys.ENDED_JOBS + "j-6", Map.of("status", "done", "done", 1L));
         boolean[] once = {true};
         cluster.store.withheld =
                 transaction -> {
@@ -208,11 +208,11 @@
                                             condition ->
                                                     condition
                                                             .key()
-                                                            .equals(StoreKeys.OVER + "j-5"))) {
+                                                            .equals(StoreKeys.ENDED_JOBS + "j-5"))) {
                         once[0] = false;
                         cluster.store.put(
-                                StoreKeys.OPEN + "j-5", null, 0, ++cluster.store.revision);
-                        put(cluster, StoreKeys.OVER + "j-5", Map.of("status", "done", "done", 1L));
+                                StoreKeys.OPEN_JOBS + "j-5", null, 0, ++cluster.store.revision);
+                        put(cluster, StoreKeys.ENDED_JOBS + "j-5", Map.of("status", "done", "done", 1L));
                     }
                     return false;
                 };
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -68,7 +68,7 @@
             int parts =
                     (int)
                             cluster.store.keys.keySet().stream()
-                                    .filter(key -> key.startsWith(StoreKeys.PART + "j-21"))
+                                    .filter(key -> key.startsWith(StoreKeys.JOB_PARTS + "j-21"))
                                     .count();
             half += parts > 0 && parts < 3 ? 1 : 0;
             // The gang that is on record by now is called off too, by half of the users.
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -125,10 +125,10 @@
                             List.of(),
                             List.of(),
                             all.stream()
-                                    .filter(entry -> entry.key().startsWith(StoreKeys.VOID))
+                                    .filter(entry -> entry.key().startsWith(StoreKeys.VOIDED_NUMBERS))
                                     .toList(),
                             all.stream()
-                                    .filter(entry -> entry.key().startsWith(StoreKeys.SHARE))
+                                    .filter(entry -> entry.key().startsWith(StoreKeys.QUOTA_SHARES))
                                     .toList(),
                             null,
                             null));
@@ -187,12 +187,12 @@
 
         /** The next rider's transaction, executed; whether its holder hears of it. */
         void commit(boolean heard) {
-            StateWriter.BatchContributor r = riders.poll();
-            if (!r.wanted()) {
+            StateWriter.BatchContributor contributor = riders.poll();
+            if (!contributor.isStillWanted()) {
                 return;
             }
             Store.Transaction transaction = new Store.Transaction();
-            r.board(transaction);
+            contributor.contributeTo(transaction);
             for (Store.Condition condition : transaction.conditions()) {
                 Store.Entry entry = keys.get(condition.key());
                 assertEquals(
@@ -209,7 +209,7 @@
                                             write.key(),
                                             new Store.Entry(write.key(), write.value(), revision)));
             if (heard) {
-                r.written(revision);
+                contributor.onCommitted(revision);
             }
         }
 
@@ -217,7 +217,7 @@
         long stored() {
             return LIMIT / count
                     + keys.values().stream()
-                            .filter(entry -> entry.key().startsWith(StoreKeys.SHARE))
+                            .filter(entry -> entry.key().startsWith(StoreKeys.QUOTA_SHARES))
                             .mapToLong(
                                     entry ->
                                             DocumentReader.of(entry.value())
@@ -227,7 +227,7 @@
         }
 
         boolean took(String giver, long number) {
-            Store.Entry entry = keys.get(StoreKeys.VOID + "share/" + giver);
+            Store.Entry entry = keys.get(StoreKeys.VOIDED_NUMBERS + "share/" + giver);
             return entry != null && SequenceNumbers.read(entry.value(), 0).isVoid(number);
         }
 
@@ -363,7 +363,7 @@
         for (Cell cell : cells.values()) {
             sum += cell.stored();
             for (Store.Entry entry : cell.keys.values()) {
-                if (entry.key().startsWith(StoreKeys.SHARE)) {
+                if (entry.key().startsWith(StoreKeys.QUOTA_SHARES)) {
                     for (Object o : DocumentReader.of(entry.value()).list("out")) {
                         List<?> l = (List<?>) o;
                         if (!cells.get((String) l.get(1))
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -109,13 +109,13 @@
                     () -> holding,
                     new CancellationProof.Listener() {
                         @Override
-                        public void closed(String jobId) {
+                        public void jobClosed(String jobId) {
                             closed.add(jobId);
                             shard.finishJob(jobId);
                         }
 
                         @Override
-                        public void proven(double atMs) {
+                        public void cancellationsKnownAsOf(double atMs) {
                             proven.add(atMs);
                         }
                     });
@@ -128,7 +128,7 @@
                     Job.of(
                             new JobRecord(spec, 0, List.of(), 0, 0),
                             shard.settings(),
-                            StoreKeys.OPEN + spec.id(),
+                            StoreKeys.OPEN_JOBS + spec.id(),
                             7,
                             256);
             shard.addJob(job);
@@ -166,7 +166,7 @@
     @Test
     void whatIsGoneIsSaidBeforeAnythingIsProven() {
         jobs(3);
-        gone.add(StoreKeys.OPEN + "j-1");
+        gone.add(StoreKeys.OPEN_JOBS + "j-1");
         proof.start();
         cluster.run(0.015);
         assertEquals(List.of(), proven);
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -137,7 +137,7 @@
     @Test
     void recordsOfPlainJobsAreTheSame() {
         for (String id : List.of("j-1", "j-3", "j-4", "j-6")) {
-            Object theirs = record(StoreKeys.OPEN + id).value();
+            Object theirs = record(StoreKeys.OPEN_JOBS + id).value();
             JobRecord record = JobRecord.fromRecord(id, theirs);
             assertArrayEquals(
                     MessagePackCodec.encode(theirs), MessagePackCodec.encode(record.toRecord()), id);
@@ -167,9 +167,9 @@
         // What runs when production ends.
         for (String part : List.of("j-1/0", "j-1/1", "j-3/0", "j-4/0")) {
             String jobId = part.substring(0, part.indexOf('/'));
-            cluster.specs.put(jobId, JobRecord.fromRecord(jobId, record(StoreKeys.OPEN + jobId).value()).spec());
+            cluster.specs.put(jobId, JobRecord.fromRecord(jobId, record(StoreKeys.OPEN_JOBS + jobId).value()).spec());
             Map<?, ?> live =
-                    (Map<?, ?>) ((Map<?, ?>) record(StoreKeys.PART + part).value()).get("live");
+                    (Map<?, ?>) ((Map<?, ?>) record(StoreKeys.JOB_PARTS + part).value()).get("live");
             live.forEach(
                     (machine, l) -> {
                         for (int i = 0; i + 1 < ((List<?>) l).size(); i += 2) {
@@ -189,7 +189,7 @@
         assertTrue(running > 250, "only " + running);
         SimulatedNode node = cluster.node("k1");
         cluster.specs.put(
-                "j-6", JobRecord.fromRecord("j-6", record(StoreKeys.OPEN + "j-6").value()).spec());
+                "j-6", JobRecord.fromRecord("j-6", record(StoreKeys.OPEN_JOBS + "j-6").value()).spec());
         cluster.specs.put("j-2", SimulatedCluster.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
         cluster.completed.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
         cluster.rules.asksToCancel("j-5"); // So was this.
--- a/src/test/java/io/kitepath/simulation/CheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/CheckerTest.java
@@ -67,9 +67,9 @@
     void aJobCalledDoneBeforeItsTasksAre() {
         String id = job(2);
         SimulatedCluster east = simulation.world("east");
-        east.store.put(StoreKeys.OPEN + id, null, 0, ++east.store.revision);
+        east.store.put(StoreKeys.OPEN_JOBS + id, null, 0, ++east.store.revision);
         east.store.put(
-                StoreKeys.OVER + id,
+                StoreKeys.ENDED_JOBS + id,
                 Map.of("status", "done", "done", 2L),
                 0,
                 ++east.store.revision);
@@ -83,7 +83,7 @@
         simulation.until(60, () -> simulation.status(simulation.any("east"), id).equals("done"));
         SimulatedCluster east = simulation.world("east");
         east.store.put(
-                StoreKeys.OVER + id,
+                StoreKeys.ENDED_JOBS + id,
                 Map.of("status", "cancelled", "done", 0L),
                 0,
                 ++east.store.revision);
@@ -91,7 +91,7 @@
         simulation.run(15);
         simulation.status(simulation.any("east"), id);
         finds("went back: " + id);
-        east.store.put(StoreKeys.OVER + id, null, 0, ++east.store.revision);
+        east.store.put(StoreKeys.ENDED_JOBS + id, null, 0, ++east.store.revision);
         simulation.restart(simulation.any("east"), 1);
         simulation.run(15);
         simulation.status(simulation.any("east"), id);
--- a/src/test/java/io/kitepath/simulation/RulesTest.java
+++ b/src/test/java/io/kitepath/simulation/RulesTest.java
@@ -63,9 +63,9 @@
     }
 
     private void over(String id, String status) {
-        cluster.store.put(StoreKeys.OPEN + id, null, 0, ++cluster.store.revision);
+        cluster.store.put(StoreKeys.OPEN_JOBS + id, null, 0, ++cluster.store.revision);
         cluster.store.put(
-                StoreKeys.OVER + id,
+                StoreKeys.ENDED_JOBS + id,
                 Map.of("status", status, "done", 0L),
                 0,
                 ++cluster.store.revision);
@@ -160,7 +160,7 @@
         cluster.runsFor = id -> 500;
         cluster.submit(cluster.leader(), job("j-1"));
         cluster.cancel(cluster.leader(), "j-1");
-        cluster.store.put(StoreKeys.OVER + "j-1", null, 0, ++cluster.store.revision);
+        cluster.store.put(StoreKeys.ENDED_JOBS + "j-1", null, 0, ++cluster.store.revision);
         cluster.nodes.values().forEach(SimulatedNode::crash);
         cluster.siblings.forEach(cluster::node);
         cluster.run(15);
