--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -130,12 +130,12 @@
             if (!request.method().equals("GET")) {
                 out.reply(405, null);
             } else if (path.equals("/healthz")) {
-                out.reply(controller.healthy() ? 200 : 503, null);
+                out.reply(controller.isHealthy() ? 200 : 503, null);
             } else if (path.equals("/duties")) {
                 out.reply(
                         200,
                         MessagePackCodec.encode(
-                                controller.duties().stream()
+                                controller.roles().stream()
                                         .map(LeasedRoles.RoleHolder::shown)
                                         .toList()));
             } else {
--- a/src/main/java/io/kitepath/cli/PrometheusMetrics.java
+++ b/src/main/java/io/kitepath/cli/PrometheusMetrics.java
@@ -17,7 +17,7 @@
 
     PrometheusMetrics(Controller controller) {
         controller
-                .figures()
+                .metrics()
                 .forEach(
                         (name, f) -> {
                             if (f.counter()) {
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -56,7 +56,7 @@
  */
 public final class Controller {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-    private static final double TICK_S = 0.25;
+    private static final double TICK_SECONDS = 0.25;
 
     /** A minute. */
     private static final int SUMMARY_TICKS = 240;
@@ -64,7 +64,7 @@
     final ClusterSettings settings;
     private final Timers timers;
     private final DirectCancellations directCancellations;
-    private final PeerNodes siblings;
+    private final PeerNodes peerNodes;
     final ShardState shard;
     final HeartbeatProcessor heartbeatProcessor;
     final Scheduler scheduler;
@@ -73,14 +73,14 @@
     private final MembershipView membership;
     private final Gossip gossip;
     final CancellationWatermark cancellationWatermark;
-    private final CancellationProof proof;
+    private final CancellationProof cancellationProof;
     private final LoopTimeAccounting loopTime;
     private final FailoverTimings failover;
     private final CloudReconciler cloudReconciler;
-    final CloudIntents intents;
+    final CloudIntents cloudIntents;
     private final CloudIntentExecutor intentExecutor;
     final GarbageCollector garbageCollector;
-    private final LeasedRoles roles;
+    private final LeasedRoles leasedRoles;
     private final JobSubmissionService submissions;
 
     /** Null without other cells. */
@@ -92,14 +92,14 @@
     private final CellDirectory cellDirectory;
     private final HeartbeatService heartbeatService;
     private final RetryAfter retryAfter;
-    private boolean ticking;
+    private boolean isTicking;
     private long ticks;
-    private long rounds;
+    private long schedulingRounds;
     private long launchesBefore;
-    private double roundS;
-    private double roundTook;
-    private double roundEnded;
-    private boolean soonAsked;
+    private double totalRoundSeconds;
+    private double lastRoundSeconds;
+    private double lastRoundEndedAt;
+    private boolean isRoundRequested;
 
     /** A node of the only cell there is. */
     public Controller(
@@ -131,7 +131,7 @@
                         ? clusterWideSettings
                         : clusterWideSettings.withTeams(cellDirectory.ownCell().teams());
         this.timers = timers;
-        this.siblings = siblings;
+        this.peerNodes = siblings;
         this.loopTime = new LoopTimeAccounting(timers::nowSeconds);
         ImageRecords images = new ImageRecords(settings);
         this.shard = new ShardState(settings, images::restoreImages);
@@ -151,50 +151,50 @@
                         membership,
                         shard,
                         cancellationWatermark,
-                        this::holds,
-                        this::ended,
-                        this::soon);
+                        this::holdsShard,
+                        this::onJobEnded,
+                        this::requestRound);
         this.submissions =
                 new JobSubmissionService(
                         settings,
                         store,
                         timers,
-                        this.gossip::served,
+                        this.gossip::isServedByStore,
                         this.gossip,
                         cellDirectory != null);
         this.cellService = cellDirectory == null ? null : new InCells().desk(store, others, random);
         this.stateWriter =
                 new StateWriter(store, timers, shard, images, new Keeping(), cellService);
-        this.intents = new CloudIntents(shard, timers, this::ride);
+        this.cloudIntents = new CloudIntents(shard, timers, this::contributeToNextWrite);
         this.cloudReconciler =
                 new CloudReconciler(
                         shard,
                         new ScalingPlanner(shard, scheduler),
-                        intents,
+                        cloudIntents,
                         store,
                         cloud,
                         timers,
-                        leadership::leading,
-                        this::soon);
+                        leadership::isLeading,
+                        this::requestRound);
         this.intentExecutor =
-                new CloudIntentExecutor(settings, store, cloud, timers, random, leadership.lifeS());
+                new CloudIntentExecutor(settings, store, cloud, timers, random, leadership.leaseSeconds());
         this.garbageCollector = new GarbageCollector(settings, store, timers);
-        this.roles =
+        this.leasedRoles =
                 new LeasedRoles(
                         settings,
                         store,
                         timers,
                         random,
                         incarnation,
-                        leadership.lifeS(),
+                        leadership.leaseSeconds(),
                         List.of(intentExecutor, garbageCollector));
-        this.proof =
+        this.cancellationProof =
                 new CancellationProof(
                         store,
                         timers,
                         new Random(settings.node().hashCode()),
                         shard,
-                        this::holds,
+                        this::holdsShard,
                         new Proof());
         this.heartbeatService =
                 new HeartbeatService(
@@ -207,7 +207,7 @@
                         siblings,
                         timers,
                         loopTime,
-                        this::soon);
+                        this::requestRound);
         this.directCancellations =
                 new DirectCancellations(
                         shard,
@@ -216,21 +216,21 @@
                         leadership,
                         direct,
                         timers,
-                        this::soon);
+                        this::requestRound);
         this.retryAfter = new RetryAfter(settings, timers);
         submissions.onCancelled(
                 job -> {
                     shard.jobDependencies().recordOutcome(job.jobId(), false, timers.wallClockMillis());
-                    soon();
+                    requestRound();
                     siblings.announceJobEnd(job);
                 });
-        submissions.onKnownCancelled(gossip::learned);
+        submissions.onKnownCancelled(gossip::onCancellationConfirmed);
     }
 
     public void start() {
         leadership.start();
         cloudReconciler.learnTypes();
-        roles.start();
+        leasedRoles.start();
         if (cellService != null) {
             cellService.start();
         }
@@ -239,32 +239,32 @@
 
     /** Hands over what it leads and holds: the node is being stopped on purpose. */
     public void stop() {
-        leadership.retire();
-        roles.retire();
+        leadership.stop();
+        leasedRoles.retire();
     }
 
     /** The duties, and who has them as far as this node knows. */
-    public List<LeasedRoles.RoleHolder> duties() {
-        return roles.seats();
+    public List<LeasedRoles.RoleHolder> roles() {
+        return leasedRoles.seats();
     }
 
     /** Whether this node may do that duty now, by its own clock. */
-    boolean entitled(String duty) {
-        return roles.holds(duty);
+    boolean holdsRole(String duty) {
+        return leasedRoles.holds(duty);
     }
 
     /** What users ask. */
-    public JobApi registry() {
+    public JobApi jobApi() {
         return cellService == null ? submissions : cellService.jobs();
     }
 
     /** The desk for other cells, null without such. */
-    public CellService cells() {
+    public CellService otherCells() {
         return cellService;
     }
 
     /** Why the job can never run, here or in any other cell, or null if it can. */
-    public String impossible(JobSpec spec) {
+    public String reasonImpossible(JobSpec spec) {
         return spec.reasonImpossible(
                 shard.machineTypes(),
                 clusterWideSettings,
@@ -272,70 +272,70 @@
     }
 
     /** The machine types, empty until they are known. */
-    public Map<String, MachineType> types() {
+    public Map<String, MachineType> machineTypes() {
         return shard.machineTypes();
     }
 
     /** A worker's report. */
-    public void heartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+    public void onHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         heartbeatService.heartbeat(heartbeat, answer);
     }
 
     /** A report that a sibling asks about; {@code passOn}: the leader may be asked in turn. */
-    public void answerFor(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
+    public void onRelayedHeartbeat(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
         heartbeatService.answerFor(heartbeat, passOn, answer);
     }
 
     /** In how many seconds a user who can't be answered now shall come back. */
-    public int retryS() {
+    public int retryAfterSeconds() {
         return retryAfter.refuse();
     }
 
-    private void ended(JobStatus job) {
+    private void onJobEnded(JobStatus job) {
         submissions.ended(job);
     }
 
     /** A sibling's view of itself. */
-    public void told(String by, long token, boolean leads, boolean served) {
-        gossip.told(by, token, leads, served);
+    public void onPeerState(String by, long token, boolean leads, boolean served) {
+        gossip.onPeerState(by, token, leads, served);
     }
 
     /** A sibling's word that the store has the job's end, which never changes. */
-    public void toldOver(JobStatus job) {
-        gossip.toldOver(job);
+    public void onJobEndedAtPeer(JobStatus job) {
+        gossip.onJobEndedAtPeer(job);
     }
 
     /** A sibling's word on cancellations. */
-    public void told(CancellationDigest digest) {
-        gossip.told(digest);
+    public void onPeerState(CancellationDigest digest) {
+        gossip.onPeerState(digest);
     }
 
     /** Whether users are better off here than at a sibling, as far as known. */
-    public boolean healthy() {
-        return gossip.healthy();
+    public boolean isHealthy() {
+        return gossip.isHealthy();
     }
 
     /** What this node knows of the jobs as their holder; nothing if it does not hold them. */
-    public List<JobProgress> progress(List<String> jobs) {
+    public List<JobProgress> jobProgress(List<String> jobs) {
         return gossip.progress(jobs);
     }
 
     /** The token that it leads with, 0 if it does not lead. */
-    public long leadsWith() {
-        return leadership.leading() ? leadership.token() : 0;
+    public long fencingTokenIfLeading() {
+        return leadership.isLeading() ? leadership.fencingToken() : 0;
     }
 
     /** Whether it holds the block and knows the jobs. */
-    public boolean holds() {
-        return leadership.leading() && stateWriter.isLoaded();
+    public boolean holdsShard() {
+        return leadership.isLeading() && stateWriter.isLoaded();
     }
 
     /** Rounds of placing so far. */
-    long rounds() {
-        return rounds;
+    long schedulingRounds() {
+        return schedulingRounds;
     }
 
-    public Map<String, Metric> figures() {
+    public Map<String, Metric> metrics() {
         Map<String, Metric> all =
                 new NodeMetrics(
                                 timers,
@@ -347,8 +347,8 @@
                                 membership,
                                 cancellationWatermark,
                                 heartbeatService)
-                        .all(() -> roundS, directCancellations::sent);
-        new RoleMetrics(intents, intentExecutor, garbageCollector, roles, failover, loopTime)
+                        .all(() -> totalRoundSeconds, directCancellations::sent);
+        new RoleMetrics(cloudIntents, intentExecutor, garbageCollector, leasedRoles, failover, loopTime)
                 .addTo(all);
         if (cellService != null) {
             cellService.figures(all);
@@ -360,36 +360,36 @@
 
     private final class Leading implements Leadership.Listener {
         @Override
-        public void won(long token, long leaseId, long blockRevision) {
+        public void onLeadershipWon(long token, long leaseId, long blockRevision) {
             shard.takeLeadership(token);
-            cancellationWatermark.begin();
+            cancellationWatermark.reset();
             cloudReconciler.hold(leaseId);
-            gossip.tell();
-            failover.begins(timers.nowSeconds());
+            gossip.broadcast();
+            failover.onLeadershipWon(timers.nowSeconds());
             launchesBefore = heartbeatProcessor.launchCount();
-            stateWriter.start(StoreKeys.SHARDS + "all", blockRevision, Controller.this::soon);
-            proof.start();
-            if (!ticking) {
-                ticking = true;
+            stateWriter.start(StoreKeys.SHARDS + "all", blockRevision, Controller.this::requestRound);
+            cancellationProof.start();
+            if (!isTicking) {
+                isTicking = true;
                 tick();
             }
             heartbeatService.leaderKnown();
         }
 
         @Override
-        public void follows(String leader) {
+        public void onLeaderChanged(String leader) {
             heartbeatService.leaderKnown();
         }
 
         @Override
-        public void lost(String why) {
+        public void onLeadershipLost(String why) {
             LOG.info(shard.serviceLevels().summary());
             stateWriter.stop();
-            proof.stop();
+            cancellationProof.stop();
             scheduler.forget();
             shard.giveUpLeadership();
             heartbeatService.releaseAll();
-            gossip.tell();
+            gossip.broadcast();
         }
     }
 
@@ -400,7 +400,7 @@
                 cellService.done(job.jobId());
             }
             submissions.ended(job);
-            siblings.announceJobEnd(job);
+            peerNodes.announceJobEnd(job);
         }
 
         @Override
@@ -410,34 +410,34 @@
 
         @Override
         public void cloudIntentsLoaded(List<Entry> acts) {
-            intents.adopt(acts);
+            cloudIntents.adopt(acts);
         }
 
         @Override
         public void cloudIntentChanged(Entry act) {
-            intents.changed(act);
+            cloudIntents.changed(act);
         }
 
         @Override
         public void runningJobsKnown(double sinceMs) {
-            cancellationWatermark.proven(sinceMs);
+            cancellationWatermark.advanceByStore(sinceMs);
             heartbeatService.leaderKnown();
         }
 
         @Override
         public Set<String> cancelledMeanwhile() {
-            return cancellationWatermark.told();
+            return cancellationWatermark.unprovenCancellations();
         }
 
         /** Reads everything again, under the same token. */
         @Override
         public void reloadRequired(String why) {
             LOG.warn("reloading: {}", why);
-            if (leadership.leading()) {
+            if (leadership.isLeading()) {
                 stateWriter.start(
                         StoreKeys.SHARDS + "all",
                         stateWriter.shardRevision(),
-                        Controller.this::soon);
+                        Controller.this::requestRound);
             }
         }
     }
@@ -446,12 +446,12 @@
         @Override
         public void jobClosed(String jobId) {
             shard.finishJob(jobId);
-            soon();
+            requestRound();
         }
 
         @Override
         public void cancellationsKnownAsOf(double atMs) {
-            cancellationWatermark.proven(atMs);
+            cancellationWatermark.advanceByStore(atMs);
         }
     }
 
@@ -462,7 +462,7 @@
             return new CellService(
                     cellDirectory,
                     shard,
-                    Controller.this::ride,
+                    Controller.this::contributeToNextWrite,
                     store,
                     timers,
                     submissions,
@@ -473,7 +473,7 @@
 
         @Override
         public boolean holds() {
-            return leadership.leading() && stateWriter.isLoaded() && leadership.inTouch();
+            return leadership.isLeading() && stateWriter.isLoaded() && leadership.isLeaseValid();
         }
 
         @Override
@@ -489,50 +489,50 @@
         @Override
         public void cancelled(JobStatus job) {
             submissions.ended(job);
-            siblings.announceJobEnd(job);
+            peerNodes.announceJobEnd(job);
         }
     }
 
     // ---- rounds ---------------------------------------------------------------------------------
 
     /** Something changed that may let work be placed or written. */
-    private void soon() {
-        if (!soonAsked) {
-            soonAsked = true;
+    private void requestRound() {
+        if (!isRoundRequested) {
+            isRoundRequested = true;
             // Rounds take at most a fifth of the time: check-ins, users and the lease need the
             // rest.
-            double pause = Math.max(0.02, roundEnded + 4 * roundTook - timers.nowSeconds());
+            double pause = Math.max(0.02, lastRoundEndedAt + 4 * lastRoundSeconds - timers.nowSeconds());
             timers.schedule(
                     pause,
                     () -> {
-                        soonAsked = false;
-                        round();
+                        isRoundRequested = false;
+                        runRound();
                     });
         }
     }
 
-    private void ride(StateWriter.BatchContributor contributor) {
+    private void contributeToNextWrite(StateWriter.BatchContributor contributor) {
         stateWriter.enqueue(contributor);
-        soon();
+        requestRound();
     }
 
     private void tick() {
-        if (!leadership.leading()) {
-            ticking = false;
+        if (!leadership.isLeading()) {
+            isTicking = false;
             return;
         }
-        if (timers.nowSeconds() >= roundEnded + 4 * roundTook) {
-            round();
+        if (timers.nowSeconds() >= lastRoundEndedAt + 4 * lastRoundSeconds) {
+            runRound();
         }
         if (stateWriter.isLoaded()) {
-            failover.read(timers.nowSeconds());
-            failover.look(timers.nowSeconds(), heartbeatProcessor.launchCount() - launchesBefore);
+            failover.onJobsRead(timers.nowSeconds());
+            failover.update(timers.nowSeconds(), heartbeatProcessor.launchCount() - launchesBefore);
         }
-        if (cellService != null && stateWriter.isLoaded() && leadership.inTouch()) {
+        if (cellService != null && stateWriter.isLoaded() && leadership.isLeaseValid()) {
             cellService.tend();
         }
         double began = timers.nowSeconds();
-        cloudReconciler.tend(stateWriter.isLoaded() && leadership.inTouch());
+        cloudReconciler.tend(stateWriter.isLoaded() && leadership.isLeaseValid());
         loopTime.record(Activity.PLANNING, began);
         ticks++;
         if (ticks % SUMMARY_TICKS == 0) {
@@ -545,35 +545,35 @@
                     stateWriter.transactionsSent(),
                     stateWriter.recordsSent(),
                     heartbeatService.received(),
-                    String.format("%.1f", roundS) + loopTime);
+                    String.format("%.1f", totalRoundSeconds) + loopTime);
         }
-        timers.schedule(TICK_S, this::tick);
+        timers.schedule(TICK_SECONDS, this::tick);
     }
 
-    private void round() {
-        if (!leadership.leading()
+    private void runRound() {
+        if (!leadership.isLeading()
                 || !stateWriter.isLoaded()
                 || stateWriter.isWriting()
-                || !leadership.inTouch()) {
+                || !leadership.isLeaseValid()) {
             return;
         }
-        rounds++;
+        schedulingRounds++;
         double began = timers.nowSeconds();
         scheduler.place(began, timers.wallClockMillis(), 20 * settings.store().maxTransactionOperations());
         double placed = timers.nowSeconds();
         loopTime.record(Activity.PLACING, began);
-        stateWriter.write(this::written);
+        stateWriter.write(this::onWritten);
         double wrote = timers.nowSeconds();
         loopTime.record(Activity.WRITING, placed);
         directCancellations.send();
         loopTime.record(Activity.STOPPING, wrote);
-        roundEnded = timers.nowSeconds();
-        roundTook = roundEnded - began;
-        roundS += roundTook;
+        lastRoundEndedAt = timers.nowSeconds();
+        lastRoundSeconds = lastRoundEndedAt - began;
+        totalRoundSeconds += lastRoundSeconds;
     }
 
-    private void written() {
+    private void onWritten() {
         heartbeatService.written();
-        soon();
+        requestRound();
     }
 }
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -15,10 +15,10 @@
     private final HeartbeatProcessor heartbeatProcessor;
     private final HeartbeatService heartbeatService;
     private final Leadership leadership;
-    private final DirectCommands direct;
+    private final DirectCommands directCommands;
     private final Timers timers;
-    private final Runnable changed;
-    private int underWay;
+    private final Runnable requestRound;
+    private int inFlight;
     private long sent;
 
     /** {@code changed} runs when a machine's answer may let work be placed. */
@@ -34,9 +34,9 @@
         this.heartbeatProcessor = heartbeatProcessor;
         this.heartbeatService = heartbeatService;
         this.leadership = leadership;
-        this.direct = direct;
+        this.directCommands = direct;
         this.timers = timers;
-        this.changed = changed;
+        this.requestRound = changed;
     }
 
     long sent() {
@@ -46,7 +46,7 @@
     /** Tells machines what is to stop on them and was not told them yet. */
     void send() {
         long mine = shard.fencingToken();
-        int most = shard.settings().limits().maxSockets() / 10 - underWay;
+        int most = shard.settings().limits().maxSockets() / 10 - inFlight;
         heartbeatProcessor
                 .stopCommands(most, timers.nowSeconds())
                 .forEach(
@@ -55,22 +55,22 @@
                                 return; // Its worker hears of it in the answer that was held.
                             }
                             machine.setCommandInFlight(true);
-                            underWay++;
+                            inFlight++;
                             sent++;
-                            direct.send(
+                            directCommands.send(
                                     machine.address(),
                                     mine,
                                     machine.agentIncarnation(),
                                     orders,
                                     heartbeat -> {
                                         machine.setCommandInFlight(false);
-                                        underWay--;
+                                        inFlight--;
                                         if (heartbeat != null
-                                                && leadership.leading()
+                                                && leadership.isLeading()
                                                 && shard.fencingToken() == mine) {
                                             heartbeatProcessor.processCommandAnswer(
                                                     machine, heartbeat, timers.nowSeconds());
-                                            changed.run();
+                                            requestRound.run();
                                         }
                                     });
                         });
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -14,33 +14,33 @@
     private static final Logger LOG = LoggerFactory.getLogger(FailoverTimings.class);
 
     /** Of the machines that were up, how many have to have reported for the takeover to be over. */
-    private static final double MOST = 0.95;
+    private static final double COMPLETE_SHARE = 0.95;
 
     private final ShardState shard;
-    private double since;
-    private double readS = Double.NaN;
-    private double launchedS = Double.NaN;
-    private double halfS = Double.NaN;
-    private double mostS = Double.NaN;
-    private boolean over = true;
+    private double wonAt;
+    private double secondsToJobsRead = Double.NaN;
+    private double secondsToFirstLaunch = Double.NaN;
+    private double secondsToHalfReported = Double.NaN;
+    private double secondsToMostReported = Double.NaN;
+    private boolean isComplete = true;
 
     FailoverTimings(ShardState shard) {
         this.shard = shard;
     }
 
-    void begins(double now) {
-        since = now;
-        readS = Double.NaN;
-        launchedS = Double.NaN;
-        halfS = Double.NaN;
-        mostS = Double.NaN;
-        over = false;
+    void onLeadershipWon(double now) {
+        wonAt = now;
+        secondsToJobsRead = Double.NaN;
+        secondsToFirstLaunch = Double.NaN;
+        secondsToHalfReported = Double.NaN;
+        secondsToMostReported = Double.NaN;
+        isComplete = false;
     }
 
     /** The jobs are known. */
-    void read(double now) {
-        if (Double.isNaN(readS)) {
-            readS = now - since;
+    void onJobsRead(double now) {
+        if (Double.isNaN(secondsToJobsRead)) {
+            secondsToJobsRead = now - wonAt;
         }
     }
 
@@ -48,12 +48,12 @@
      * Looks where it stands; {@code launches}: orders to start that this node has given since it
      * leads.
      */
-    void look(double now, long launches) {
-        if (over || Double.isNaN(readS)) {
+    void update(double now, long launches) {
+        if (isComplete || Double.isNaN(secondsToJobsRead)) {
             return;
         }
-        if (Double.isNaN(launchedS) && launches > 0) {
-            launchedS = now - since;
+        if (Double.isNaN(secondsToFirstLaunch) && launches > 0) {
+            secondsToFirstLaunch = now - wonAt;
         }
         int up = 0;
         int proven = 0;
@@ -62,27 +62,27 @@
             up += there ? 1 : 0;
             proven += machine.isTokenConfirmed() ? 1 : 0;
         }
-        if (Double.isNaN(halfS) && up > 0 && 2 * proven >= up) {
-            halfS = now - since;
+        if (Double.isNaN(secondsToHalfReported) && up > 0 && 2 * proven >= up) {
+            secondsToHalfReported = now - wonAt;
         }
-        if (up > 0 && proven >= MOST * up) {
-            mostS = now - since;
-            over = true;
+        if (up > 0 && proven >= COMPLETE_SHARE * up) {
+            secondsToMostReported = now - wonAt;
+            isComplete = true;
             LOG.info(
                     String.format(
                             "takeover: jobs read after %.2f s, first launch %.2f, half of %d machines reported "
                                     + "%.2f, %.0f%% of them %.2f",
-                            readS, launchedS, up, halfS, 100 * MOST, mostS));
+                            secondsToJobsRead, secondsToFirstLaunch, up, secondsToHalfReported, 100 * COMPLETE_SHARE, secondsToMostReported));
         }
     }
 
     /** Seconds from winning until the jobs were read; NaN if this node never led. */
-    double readS() {
-        return readS;
+    double secondsToJobsRead() {
+        return secondsToJobsRead;
     }
 
     /** Seconds from winning until nearly all machines had reported; NaN until they have. */
-    double mostS() {
-        return mostS;
+    double secondsToMostReported() {
+        return secondsToMostReported;
     }
 }
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -18,22 +18,22 @@
 
 /** What this node and its siblings tell each other, and what follows from it. */
 final class Gossip implements JobStatusQueries.Holder {
-    private static final double EVERY_S = 1;
+    private static final double INTERVAL_SECONDS = 1;
 
     private final ClusterSettings settings;
     private final Timers timers;
-    private final PeerNodes siblings;
+    private final PeerNodes peerNodes;
     private final Leadership leadership;
     private final MembershipView membership;
     private final ShardState shard;
     private final CancellationWatermark cancellationWatermark;
-    private final CancellationLog cancellations;
+    private final CancellationLog cancellationLog;
 
     /** Whether this node holds the block and knows the jobs. */
-    private final BooleanSupplier holds;
+    private final BooleanSupplier holdsShard;
 
-    private final Consumer<JobStatus> ended;
-    private final Runnable changed;
+    private final Consumer<JobStatus> onJobEnded;
+    private final Runnable requestRound;
 
     /**
      * @param holds whether this node holds the block and knows the jobs
@@ -52,67 +52,67 @@
             Runnable changed) {
         this.settings = shard.settings();
         this.timers = timers;
-        this.siblings = siblings;
+        this.peerNodes = siblings;
         this.leadership = leadership;
         this.membership = membership;
         this.shard = shard;
         this.cancellationWatermark = cancellationWatermark;
-        this.cancellations = new CancellationLog(settings, timers);
-        this.holds = holds;
-        this.ended = ended;
-        this.changed = changed;
+        this.cancellationLog = new CancellationLog(settings, timers);
+        this.holdsShard = holds;
+        this.onJobEnded = ended;
+        this.requestRound = changed;
     }
 
     void start() {
-        tell();
-        membership.watch(leadership.leader());
-        timers.schedule(EVERY_S, this::start);
+        broadcast();
+        membership.logSilenceChanges(leadership.leader());
+        timers.schedule(INTERVAL_SECONDS, this::start);
     }
 
     /** Whether the store answers this node. */
-    boolean served() {
-        return leadership.unservedS() < leadership.lifeS() + 1;
+    boolean isServedByStore() {
+        return leadership.secondsSinceStoreAnswered() < leadership.leaseSeconds() + 1;
     }
 
-    void tell() {
-        siblings.announceState(
-                leadership.leading() ? shard.fencingToken() : leadership.highest(),
-                leadership.leading() ? settings.node() : null,
-                served());
-        siblings.sendCancellationDigest(cancellations.digest());
+    void broadcast() {
+        peerNodes.announceState(
+                leadership.isLeading() ? shard.fencingToken() : leadership.highestFencingToken(),
+                leadership.isLeading() ? settings.node() : null,
+                isServedByStore());
+        peerNodes.sendCancellationDigest(cancellationLog.digest());
     }
 
     /** This node knows that the job is cancelled, and may tell users so from now on. */
-    void learned(String jobId) {
-        cancellations.learned(jobId);
-        cancelled(jobId);
+    void onCancellationConfirmed(String jobId) {
+        cancellationLog.add(jobId);
+        markCancelled(jobId);
     }
 
     /** Digests repeat themselves each second: only news is worth a round. */
-    private void cancelled(String jobId) {
-        cancellationWatermark.told(jobId);
+    private void markCancelled(String jobId) {
+        cancellationWatermark.unprovenCancellations(jobId);
         if (shard.finishJob(jobId)) {
-            changed.run();
+            requestRound.run();
         }
     }
 
     /** A sibling's word on cancellations. */
-    void told(CancellationDigest digest) {
-        digest.jobIds().forEach(this::cancelled);
-        cancellationWatermark.word(digest);
+    void onPeerState(CancellationDigest digest) {
+        digest.jobIds().forEach(this::markCancelled);
+        cancellationWatermark.advanceByDigest(digest);
     }
 
     /** A sibling's view of itself. */
-    void told(String by, long token, boolean leads, boolean isServed) {
-        membership.told(by, isServed);
-        leadership.outbid(token, leads ? by : null);
+    void onPeerState(String by, long token, boolean leads, boolean isServed) {
+        membership.onPeerState(by, isServed);
+        leadership.onFencingTokenSeen(token, leads ? by : null);
     }
 
     /** A sibling's word that the store has the job's end, which never changes. */
-    void toldOver(JobStatus job) {
-        ended.accept(job);
+    void onJobEndedAtPeer(JobStatus job) {
+        onJobEnded.accept(job);
         if (shard.finishJob(job.jobId())) {
-            changed.run();
+            requestRound.run();
         }
     }
 
@@ -120,13 +120,13 @@
      * Whether users are better off here: not if the store serves a sibling and not us, nor if
      * neither store nor siblings are to be reached, since then it is this node that is cut off.
      */
-    boolean healthy() {
-        return served() || !membership.someServed() && !membership.alone();
+    boolean isHealthy() {
+        return isServedByStore() || !membership.isAnyPeerServedByStore() && !membership.isIsolated();
     }
 
     /** What this node knows of the jobs as their holder; nothing if it does not hold them. */
     List<JobProgress> progress(List<String> jobs) {
-        return holds.getAsBoolean() ? shard.progress(jobs, timers.nowSeconds()) : List.of();
+        return holdsShard.getAsBoolean() ? shard.progress(jobs, timers.nowSeconds()) : List.of();
     }
 
     // ---- for users' questions: who places tasks now
@@ -135,12 +135,12 @@
     @Override
     public void progress(List<String> jobs, Consumer<List<JobProgress>> answer) {
         String leader = leadership.leader();
-        if (leadership.leading()) {
+        if (leadership.isLeading()) {
             answer.accept(progress(jobs));
-        } else if (leader == null || leader.equals(settings.node()) || membership.silent(leader)) {
+        } else if (leader == null || leader.equals(settings.node()) || membership.isSilent(leader)) {
             answer.accept(List.of());
         } else {
-            siblings.requestProgress(leader, jobs, answer);
+            peerNodes.requestProgress(leader, jobs, answer);
         }
     }
 
@@ -150,14 +150,14 @@
         if (leader == null) {
             return "no node leads at the moment";
         }
-        if (leadership.leading()) {
+        if (leadership.isLeading()) {
             return "this node has just begun to lead and reads the jobs";
         }
-        double silentS = membership.silentS(leader);
+        double silentS = membership.silentSeconds(leader);
         return "node "
                 + leader
                 + ", which places tasks, does not answer"
-                + (membership.silent(leader) && !Double.isNaN(silentS)
+                + (membership.isSilent(leader) && !Double.isNaN(silentS)
                         ? " and was last heard " + Math.round(silentS) + " s ago"
                         : "");
     }
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -54,17 +54,17 @@
 
     Map<String, Metric> all(DoubleSupplier roundS, DoubleSupplier directCommands) {
         Map<String, Metric> f = new LinkedHashMap<>();
-        f.put("leading", Metric.gauge("1 while this node leads", () -> leadership.leading() ? 1 : 0));
-        f.put("token", Metric.gauge("highest token known", leadership::highest));
+        f.put("leading", Metric.gauge("1 while this node leads", () -> leadership.isLeading() ? 1 : 0));
+        f.put("token", Metric.gauge("highest token known", leadership::highestFencingToken));
         f.put(
                 "store.unserved",
-                Metric.gauge("seconds since the state service answered", leadership::unservedS));
+                Metric.gauge("seconds since the state service answered", leadership::secondsSinceStoreAnswered));
         f.put(
                 "cancellations.known.age",
                 Metric.gauge(
                         "seconds ago until when the holder knows what was cancelled; NaN"
                                 + " while this node does not lead",
-                        () -> leadership.leading() ? cancellationWatermark.ageS() : Double.NaN));
+                        () -> leadership.isLeading() ? cancellationWatermark.ageSeconds() : Double.NaN));
         f.put("jobs", Metric.gauge("jobs in the holder's memory", () -> shard.jobs().size()));
         f.put(
                 "tasks.waiting",
@@ -84,12 +84,12 @@
                 "machines.starting",
                 Metric.gauge(
                         "machines rented that have not reported yet",
-                        () -> machines(machine -> !machine.hasReported())));
+                        () -> countMachines(machine -> !machine.hasReported())));
         f.put(
                 "machines.late",
                 Metric.gauge(
                         "of those, later than boots take these days",
-                        () -> machines(machine -> shard.bootTimes().isLate(machine, timers.nowSeconds()))));
+                        () -> countMachines(machine -> shard.bootTimes().isLate(machine, timers.nowSeconds()))));
         f.put(
                 "jobs.mistaken",
                 Metric.gauge(
@@ -123,10 +123,10 @@
                         "times that a record was put off as too large", stateWriter::oversizeRecords));
         f.put(
                 "siblings.silent",
-                Metric.gauge("siblings from which nothing is heard", membership::silentOnes));
+                Metric.gauge("siblings from which nothing is heard", membership::silentCount));
         f.put(
                 "machines.set.aside",
-                Metric.gauge("machines set aside for failing", () -> machines(Machine::isQuarantined)));
+                Metric.gauge("machines set aside for failing", () -> countMachines(Machine::isQuarantined)));
         f.put("checkins", Metric.counter("check-ins received", heartbeatService::received));
         f.put(
                 "checkins.relayed",
@@ -194,7 +194,7 @@
         return f;
     }
 
-    private long machines(Predicate<Machine> which) {
+    private long countMachines(Predicate<Machine> which) {
         return shard.machines().values().stream().filter(which).count();
     }
 
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -12,44 +12,44 @@
 
 /** What a node counts about duties, takeovers and its own time, for operators. */
 record RoleMetrics(
-        CloudIntents intents,
-        CloudIntentExecutor carrier,
-        GarbageCollector sweep,
-        LeasedRoles duties,
-        FailoverTimings takeover,
-        LoopTimeAccounting spent) {
+        CloudIntents cloudIntents,
+        CloudIntentExecutor intentExecutor,
+        GarbageCollector garbageCollector,
+        LeasedRoles roles,
+        FailoverTimings failoverTimings,
+        LoopTimeAccounting loopTime) {
     void addTo(Map<String, Metric> f) {
         f.put(
                 "intents.asked",
-                Metric.counter("rentals and returns put down by this node", intents::asked));
+                Metric.counter("rentals and returns put down by this node", cloudIntents::asked));
         f.put(
                 "intents.taken.over",
                 Metric.counter(
-                        "and those that it took over from earlier holders", intents::takenOver));
+                        "and those that it took over from earlier holders", cloudIntents::takenOver));
         f.put(
                 "intents.backlog",
-                Metric.gauge("rentals and returns that the cloud has not settled", intents::backlog));
+                Metric.gauge("rentals and returns that the cloud has not settled", cloudIntents::backlog));
         f.put(
                 "duty.cloud.calls",
                 Metric.counter(
-                        "rentals and returns asked of the cloud by this node", carrier::called));
+                        "rentals and returns asked of the cloud by this node", intentExecutor::called));
         f.put(
                 "duty.cloud.failed",
-                Metric.counter("of those, refused or not answered", carrier::failed));
+                Metric.counter("of those, refused or not answered", intentExecutor::failed));
         f.put(
                 "duty.fenced",
                 Metric.counter(
                         "times that nothing was done since the lease of duties was not certain",
-                        duties::fenced));
+                        roles::fenced));
         f.put(
                 "cleanup.looks",
                 Metric.counter(
-                        "times that this node looked through the state service", sweep::looks));
-        f.put("cleanup.removed", Metric.counter("records that it removed there", sweep::removed));
+                        "times that this node looked through the state service", garbageCollector::looks));
+        f.put("cleanup.removed", Metric.counter("records that it removed there", garbageCollector::removed));
         f.put(
                 "cleanup.strange",
-                Metric.gauge("records that should not be, by its last look", sweep::strange));
-        for (LeasedRoles.RoleHolder holder : duties.seats()) {
+                Metric.gauge("records that should not be, by its last look", garbageCollector::strange));
+        for (LeasedRoles.RoleHolder holder : roles.seats()) {
             f.put(
                     "duty." + holder.name() + ".here",
                     Metric.gauge("whether this node has the duty", () -> holder.mine() ? 1 : 0));
@@ -64,17 +64,17 @@
                 "takeover.read",
                 Metric.gauge(
                         "seconds from winning the lease until the jobs were read",
-                        takeover::readS));
+                        failoverTimings::secondsToJobsRead));
         f.put(
                 "takeover.reported",
                 Metric.gauge(
                         "seconds from winning the lease until nearly all machines had reported",
-                        takeover::mostS));
+                        failoverTimings::secondsToMostReported));
         for (Activity on : Activity.values()) {
             f.put(
                     "time." + on.name().toLowerCase(Locale.ROOT).replace('_', '.'),
                     Metric.counter(
-                            "seconds of the event loop, by activity", () -> spent.seconds(on)));
+                            "seconds of the event loop, by activity", () -> loopTime.seconds(on)));
         }
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationLog.java
@@ -15,33 +15,33 @@
  * workers anyway. Bounded: what does not fit shortens the time that it vouches for.
  */
 public final class CancellationLog {
-    private static final int MOST = 1000;
+    private static final int MAX_JOBS = 1000;
 
     /** A quarter of what a frame between nodes may hold. */
-    private static final int MOST_CHARS = 64 * 1024;
+    private static final int MAX_CHARS = 64 * 1024;
 
-    private record Learned(String job, double atMs) {}
+    private record Learned(String jobId, double atMillis) {}
 
     private final String node;
     private final Timers timers;
-    private final double keepMs;
-    private final Deque<Learned> log = new ArrayDeque<>();
-    private final Set<String> ids = new HashSet<>();
-    private int chars;
-    private double sinceMs;
+    private final double retentionMillis;
+    private final Deque<Learned> entries = new ArrayDeque<>();
+    private final Set<String> jobIds = new HashSet<>();
+    private int totalChars;
+    private double completeSinceMillis;
 
     public CancellationLog(ClusterSettings settings, Timers timers) {
         this.node = settings.node();
         this.timers = timers;
-        this.keepMs = 1000 * settings.workers().cancelDeadlineSeconds();
-        this.sinceMs = timers.wallClockMillis();
+        this.retentionMillis = 1000 * settings.workers().cancelDeadlineSeconds();
+        this.completeSinceMillis = timers.wallClockMillis();
     }
 
     /** The job is cancelled for good, as this node knows from now on. */
-    public void learned(String jobId) {
-        if (ids.add(jobId)) {
-            log.add(new Learned(jobId, timers.wallClockMillis()));
-            chars += jobId.length();
+    public void add(String jobId) {
+        if (jobIds.add(jobId)) {
+            entries.add(new Learned(jobId, timers.wallClockMillis()));
+            totalChars += jobId.length();
         }
         trim();
     }
@@ -49,18 +49,18 @@
     public CancellationDigest digest() {
         trim();
         return new CancellationDigest(
-                node, sinceMs, timers.wallClockMillis(), log.stream().map(Learned::job).toList());
+                node, completeSinceMillis, timers.wallClockMillis(), entries.stream().map(Learned::jobId).toList());
     }
 
     private void trim() {
-        double oldest = timers.wallClockMillis() - keepMs;
-        while (!log.isEmpty()
-                && (log.peek().atMs < oldest || log.size() > MOST || chars > MOST_CHARS)) {
-            Learned gone = log.poll();
-            ids.remove(gone.job);
-            chars -= gone.job.length();
-            sinceMs = Math.max(sinceMs, gone.atMs);
+        double oldest = timers.wallClockMillis() - retentionMillis;
+        while (!entries.isEmpty()
+                && (entries.peek().atMillis < oldest || entries.size() > MAX_JOBS || totalChars > MAX_CHARS)) {
+            Learned gone = entries.poll();
+            jobIds.remove(gone.jobId);
+            totalChars -= gone.jobId.length();
+            completeSinceMillis = Math.max(completeSinceMillis, gone.atMillis);
         }
-        sinceMs = Math.max(sinceMs, oldest);
+        completeSinceMillis = Math.max(completeSinceMillis, oldest);
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -33,60 +33,60 @@
      * Told of by others and not seen in the store yet; with more than that, digests count for
      * nothing.
      */
-    private static final int MOST_TOLD = 5000;
+    private static final int MAX_UNPROVEN = 5000;
 
     private final List<String> siblings;
     private final Timers timers;
 
     /** Two clocks may be apart by that. */
-    private final double apartMs;
+    private final double maxClockSkewMillis;
 
-    private double storeMs = Double.NEGATIVE_INFINITY;
-    private final Map<String, Double> wordMs = new HashMap<>();
+    private double storeWatermarkMillis = Double.NEGATIVE_INFINITY;
+    private final Map<String, Double> digestWatermarkMillis = new HashMap<>();
 
     /** Jobs that others said are cancelled, and when they said so, by our clock. */
-    private final Map<String, Double> told = new LinkedHashMap<>();
+    private final Map<String, Double> unprovenCancellations = new LinkedHashMap<>();
 
     public CancellationWatermark(ClusterSettings settings, Timers timers) {
         this.siblings = settings.siblings();
         this.timers = timers;
-        this.apartMs = 2 * settings.clockErrorMillis();
+        this.maxClockSkewMillis = 2 * settings.clockErrorMillis();
     }
 
     /** A new holder knows nothing before it has read what is open. */
-    public void begin() {
-        storeMs = Double.NEGATIVE_INFINITY;
-        wordMs.clear();
+    public void reset() {
+        storeWatermarkMillis = Double.NEGATIVE_INFINITY;
+        digestWatermarkMillis.clear();
     }
 
     /**
      * By the store the holder knows all that was confirmed before that moment, in milliseconds of
      * our time of day.
      */
-    public void proven(double atMs) {
-        storeMs = Math.max(storeMs, atMs);
-        told.values().removeIf(t -> t < storeMs);
+    public void advanceByStore(double atMs) {
+        storeWatermarkMillis = Math.max(storeWatermarkMillis, atMs);
+        unprovenCancellations.values().removeIf(t -> t < storeWatermarkMillis);
     }
 
     /** Somebody, or the store, said just now that the job is cancelled, which stays so. */
-    public void told(String jobId) {
-        if (told.size() < MOST_TOLD) {
-            told.putIfAbsent(jobId, timers.wallClockMillis());
+    public void unprovenCancellations(String jobId) {
+        if (unprovenCancellations.size() < MAX_UNPROVEN) {
+            unprovenCancellations.putIfAbsent(jobId, timers.wallClockMillis());
         }
     }
 
     /** Cancelled, but what was read from the store may still show them open. */
-    public Set<String> told() {
-        return told.keySet();
+    public Set<String> unprovenCancellations() {
+        return unprovenCancellations.keySet();
     }
 
     /** A sibling's word; what it names has been taken in already. */
-    public void word(CancellationDigest d) {
-        double until = Math.max(storeMs, wordMs.getOrDefault(d.node(), Double.NEGATIVE_INFINITY));
+    public void advanceByDigest(CancellationDigest d) {
+        double until = Math.max(storeWatermarkMillis, digestWatermarkMillis.getOrDefault(d.node(), Double.NEGATIVE_INFINITY));
         if (siblings.contains(d.node())
-                && told.size() < MOST_TOLD
-                && d.sinceMillis() + apartMs <= until) {
-            wordMs.merge(d.node(), Math.min(timers.wallClockMillis(), d.untilMillis()) - apartMs, Math::max);
+                && unprovenCancellations.size() < MAX_UNPROVEN
+                && d.sinceMillis() + maxClockSkewMillis <= until) {
+            digestWatermarkMillis.merge(d.node(), Math.min(timers.wallClockMillis(), d.untilMillis()) - maxClockSkewMillis, Math::max);
         }
     }
 
@@ -94,17 +94,17 @@
      * For how long it has not been known what may have been confirmed, in seconds; infinite at
      * first.
      */
-    public double ageS() {
+    public double ageSeconds() {
         double now = timers.wallClockMillis();
-        return (now - siblings.stream().mapToDouble(this::untilMs).min().orElse(now)) / 1000;
+        return (now - siblings.stream().mapToDouble(this::watermarkMillis).min().orElse(now)) / 1000;
     }
 
-    private double untilMs(String sibling) {
-        return Math.max(storeMs, wordMs.getOrDefault(sibling, Double.NEGATIVE_INFINITY));
+    private double watermarkMillis(String sibling) {
+        return Math.max(storeWatermarkMillis, digestWatermarkMillis.getOrDefault(sibling, Double.NEGATIVE_INFINITY));
     }
 
     /** The sibling of whose confirmations the least is known, null if there are none. */
-    public String leastKnown() {
-        return siblings.stream().min((a, b) -> Double.compare(untilMs(a), untilMs(b))).orElse(null);
+    public String leastKnownPeer() {
+        return siblings.stream().min((a, b) -> Double.compare(watermarkMillis(a), watermarkMillis(b))).orElse(null);
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/Incarnation.java
+++ b/src/main/java/io/kitepath/core/leadership/Incarnation.java
@@ -17,32 +17,32 @@
     /** What a record that names a holder says about us. */
     public enum Holder {
         /** Another node, or this very process. */
-        OTHER,
+        OTHER_NODE,
         /** An earlier process of this node, which is gone, or to be replaced. */
-        ENDED,
+        ABANDONED,
         /** A later process under our name. */
-        TWIN
+        LATER_PROCESS
     }
 
     private final String node;
-    private final double sinceMs;
-    private final String life;
+    private final double startedAtMillis;
+    private final String processId;
 
     /** {@code sinceMs}: the time of day at which the process started, in milliseconds. */
     public Incarnation(String node, double sinceMs, Random random) {
         this.node = node;
-        this.sinceMs = sinceMs;
-        this.life = Long.toHexString(random.nextLong());
+        this.startedAtMillis = sinceMs;
+        this.processId = Long.toHexString(random.nextLong());
     }
 
     /** When the process started, in milliseconds by its time of day. */
-    public double sinceMs() {
-        return sinceMs;
+    public double startedAtMillis() {
+        return startedAtMillis;
     }
 
     /** Tells it from every other process, also of its own name. */
-    public String life() {
-        return life;
+    public String processId() {
+        return processId;
     }
 
     /**
@@ -51,20 +51,20 @@
      * @param holder the node that it names
      * @param since when that process started; 0 if the record does not say, as those of earlier
      *     versions
-     * @param itsLife as of {@link #life}; empty if the record does not say
+     * @param itsLife as of {@link #processId}; empty if the record does not say
      */
-    public Holder judge(String holder, double since, String itsLife) {
+    public Holder ownerOf(String holder, double since, String itsLife) {
         if (!holder.equals(node)) {
-            return Holder.OTHER;
+            return Holder.OTHER_NODE;
         }
-        if (itsLife.equals(life)) {
+        if (itsLife.equals(processId)) {
             // Our own claim, whose answer we did not get and which we gave up.
-            return Holder.ENDED;
+            return Holder.ABANDONED;
         }
         // Without a word on its start it is of an earlier version, so was there before this
         // process. Of two that started in the same millisecond, as far as their clocks can tell,
         // chance has the say.
-        boolean later = since > sinceMs || since == sinceMs && itsLife.compareTo(life) > 0;
-        return later ? Holder.TWIN : Holder.ENDED;
+        boolean later = since > startedAtMillis || since == startedAtMillis && itsLife.compareTo(processId) > 0;
+        return later ? Holder.LATER_PROCESS : Holder.ABANDONED;
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -26,15 +26,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
     /** Steady clocks of two machines drift apart by up to half of that. */
-    private static final double DRIFT = 0.001;
+    private static final double MAX_CLOCK_DRIFT = 0.001;
 
     public interface Listener {
-        void won(long token, long lease, long blockRevision);
+        void onLeadershipWon(long token, long lease, long blockRevision);
 
-        void lost(String why);
+        void onLeadershipLost(String why);
 
         /** Another node leads, for all we know. */
-        void follows(String leader);
+        void onLeaderChanged(String leader);
     }
 
     private final ClusterSettings settings;
@@ -42,30 +42,30 @@
     private final Timers timers;
     private final Random random;
     private final Listener listener;
-    private final double lifeS;
-    private boolean leading;
-    private long token;
-    private long lease;
-    private long revision;
-    private double renewedAt;
+    private final double leaseSeconds;
+    private boolean isLeading;
+    private long fencingToken;
+    private long leaseId;
+    private long leaderRevision;
+    private double renewalRequestedAt;
 
     /** The last renewal was refused or got no answer. */
-    private boolean doubted;
+    private boolean isRenewalInDoubt;
 
     /** Who leads by the last that we heard, or null. */
     private String leader;
 
-    private long highest;
-    private boolean campaigning;
+    private long highestFencingToken;
+    private boolean isCampaigning;
     private final Incarnation incarnation;
 
     /** When the store last answered us. */
-    private double servedAt;
+    private double storeAnsweredAt;
 
     /** A process that was started later leads under our name. */
-    private boolean twin;
+    private boolean hasLaterProcess;
 
-    private boolean retired;
+    private boolean isStopped;
 
     public Leadership(
             ClusterSettings settings,
@@ -81,51 +81,51 @@
         this.listener = listener;
         // Short against the workers' lease, so that a new leader is there well before their work is
         // given up.
-        this.lifeS = Math.max(2, settings.workers().heartbeatIntervalSeconds());
-        this.servedAt = timers.nowSeconds();
+        this.leaseSeconds = Math.max(2, settings.workers().heartbeatIntervalSeconds());
+        this.storeAnsweredAt = timers.nowSeconds();
         this.incarnation = incarnation;
     }
 
     public void start() {
-        look();
+        readLeaderRecord();
     }
 
     /**
      * Leads no more, and never again: the node is being stopped. Its successor need not wait for a
      * lease to run out.
      */
-    public void retire() {
-        retired = true;
+    public void stop() {
+        isStopped = true;
         stepDown("the node is being stopped");
     }
 
-    public boolean leading() {
-        return leading;
+    public boolean isLeading() {
+        return isLeading;
     }
 
     public String leader() {
         return leader;
     }
 
-    public double lifeS() {
-        return lifeS;
+    public double leaseSeconds() {
+        return leaseSeconds;
     }
 
-    public long highest() {
-        return highest;
+    public long highestFencingToken() {
+        return highestFencingToken;
     }
 
     /** Seconds since the store last answered us. */
-    public double unservedS() {
-        return timers.nowSeconds() - servedAt;
+    public double secondsSinceStoreAnswered() {
+        return timers.nowSeconds() - storeAnsweredAt;
     }
 
     /**
      * Whether our lease holds for certain, by our own clock and by the moment at which we asked for
      * its last renewal. A leader for whom it may be over starts nothing and asks for nothing.
      */
-    public boolean inTouch() {
-        return timers.nowSeconds() - renewedAt < lifeS * (1 - DRIFT);
+    public boolean isLeaseValid() {
+        return timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
     }
 
     /**
@@ -135,58 +135,58 @@
      * after, not at the end of it. What waits is launched by the answer to a later report.
      */
     public boolean mayLaunch() {
-        return inTouch() && !doubted;
+        return isLeaseValid() && !isRenewalInDoubt;
     }
 
     /** A worker or sibling has seen a higher token than ours: somebody else leads. */
-    public void outbid(long seen, String by) {
-        if (seen > highest) {
-            highest = seen;
-            if (by != null && !leading) {
-                follows(by, true);
+    public void onFencingTokenSeen(long seen, String by) {
+        if (seen > highestFencingToken) {
+            highestFencingToken = seen;
+            if (by != null && !isLeading) {
+                setLeader(by, true);
             }
         }
-        if (leading && seen > token) {
+        if (isLeading && seen > fencingToken) {
             stepDown("a higher token " + seen + " was seen");
         }
     }
 
-    public long token() {
-        return token;
+    public long fencingToken() {
+        return fencingToken;
     }
 
     public void stepDown(String why) {
-        if (!leading) {
+        if (!isLeading) {
             return;
         }
-        leading = false;
+        isLeading = false;
         leader = null;
-        store.revokeLease(lease); // Nobody need wait for it to run out.
-        LOG.info("no longer leader with token {}: {}", token, why);
-        listener.lost(why);
+        store.revokeLease(leaseId); // Nobody need wait for it to run out.
+        LOG.info("no longer leader with token {}: {}", fencingToken, why);
+        listener.onLeadershipLost(why);
     }
 
     // ---- following the leader's key -------------------------------------------------------------
 
-    private void look() {
+    private void readLeaderRecord() {
         store.get(
                 StoreKeys.LEADER,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
-                        served();
-                        heard(entry.value());
-                        follow(entry.revision());
+                        onStoreAnswered();
+                        onLeaderRecord(entry.value());
+                        watchLeaderRecord(entry.revision());
                     } else if (outcome == Outcome.REJECTED) {
-                        served();
-                        absent();
+                        onStoreAnswered();
+                        onLeaderRecordAbsent();
                     } else {
-                        timers.schedule(retryS(), this::look);
+                        timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
                     }
                 });
     }
 
-    private void follow(long from) {
-        long holdMs = (long) (lifeS * 500);
+    private void watchLeaderRecord(long from) {
+        long holdMs = (long) (leaseSeconds * 500);
         store.watch(
                 StoreKeys.LEADER,
                 from,
@@ -195,32 +195,32 @@
                     // An empty answer proves nothing: a node that the store refuses waits on its
                     // watches all the same. A plain read tells whether we are served.
                     if (changes.outcome() == Outcome.OK) {
-                        look();
+                        readLeaderRecord();
                     } else {
-                        timers.schedule(retryS(), this::look);
+                        timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
                     }
                 });
     }
 
-    private void heard(Object value) {
+    private void onLeaderRecord(Object value) {
         DocumentReader document = DocumentReader.of(value);
         long held = document.count("token");
         String node = document.text("node");
-        boolean higher = held > highest;
-        highest = Math.max(highest, held);
-        if (leading && held == token) {
+        boolean higher = held > highestFencingToken;
+        highestFencingToken = Math.max(highestFencingToken, held);
+        if (isLeading && held == fencingToken) {
             leader = settings.node();
             return;
         }
-        if (leading) {
-            if (held > token) {
+        if (isLeading) {
+            if (held > fencingToken) {
                 stepDown(node + " leads with token " + held);
             }
         }
-        switch (incarnation.judge(
+        switch (incarnation.ownerOf(
                 node, document.numberOr("since", 0, 0), document.textOr("life", ""))) {
-            case OTHER -> follows(node, higher);
-            case ENDED -> {
+            case OTHER_NODE -> setLeader(node, higher);
+            case ABANDONED -> {
                 // Guards against a node that names itself as leader while it leads nothing:
                 // siblings send workers to it, and nobody places anything until a lease that no
                 // process holds has run out.
@@ -232,14 +232,14 @@
                     store.revokeLease(document.count("lease"));
                 }
             }
-            case TWIN -> {
+            case LATER_PROCESS -> {
                 leader = null;
-                if (!twin) {
+                if (!hasLaterProcess) {
                     LOG.error(
                             "another process that was started later leads as {}: this one stands back",
                             node);
                 }
-                twin = true;
+                hasLaterProcess = true;
             }
         }
     }
@@ -248,57 +248,57 @@
      * {@code anew}: its token is higher than all that we knew, so it may have ended and be back
      * since.
      */
-    private void follows(String node, boolean anew) {
+    private void setLeader(String node, boolean anew) {
         boolean news = anew || !node.equals(leader);
         leader = node;
         if (news) {
-            LOG.debug("{} leads with token {}", node, highest);
-            listener.follows(node);
+            LOG.debug("{} leads with token {}", node, highestFencingToken);
+            listener.onLeaderChanged(node);
         }
     }
 
-    private void absent() {
-        if (leading) {
+    private void onLeaderRecordAbsent() {
+        if (isLeading) {
             stepDown("our key is gone");
         }
         leader = null;
         // One that has a twin leaves the others the time to come first, each time: the two never
         // end each other's lease in turns, since only the later one ever ends one, and this one
         // does not race with it.
-        double patience = twin ? lifeS : 0;
+        double patience = hasLaterProcess ? leaseSeconds : 0;
         timers.schedule(patience + random.nextDouble() * 0.1, this::campaign);
     }
 
-    private double retryS() {
+    private double retryDelaySeconds() {
         return 0.2 + random.nextDouble() * 0.3;
     }
 
-    private void served() {
-        servedAt = timers.nowSeconds();
+    private void onStoreAnswered() {
+        storeAnsweredAt = timers.nowSeconds();
     }
 
     // ---- taking and keeping the lease -----------------------------------------------------------
 
     private void campaign() {
-        if (leading || campaigning || retired) {
+        if (isLeading || isCampaigning || isStopped) {
             return;
         }
-        campaigning = true;
+        isCampaigning = true;
         double asked = timers.nowSeconds();
         store.grantLease(
-                (long) (lifeS * 1000),
+                (long) (leaseSeconds * 1000),
                 (outcome, id) -> {
                     if (outcome != Outcome.OK) {
-                        campaigning = false;
-                        timers.schedule(retryS(), this::look);
+                        isCampaigning = false;
+                        timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
                         return;
                     }
                     store.get(
                             StoreKeys.FENCING_TOKEN,
                             (got, entry) -> {
                                 if (got != Outcome.OK && got != Outcome.REJECTED) {
-                                    campaigning = false;
-                                    timers.schedule(retryS(), this::look);
+                                    isCampaigning = false;
+                                    timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
                                     return;
                                 }
                                 long last =
@@ -307,7 +307,7 @@
                                                 : 0;
                                 claim(
                                         id,
-                                        Math.max(last, highest) + 1,
+                                        Math.max(last, highestFencingToken) + 1,
                                         got == Outcome.OK ? entry.revision() : 0,
                                         asked);
                             });
@@ -319,8 +319,8 @@
         key.put("node", settings.node());
         key.put("token", next);
         key.put("lease", id);
-        key.put("since", incarnation.sinceMs());
-        key.put("life", incarnation.life());
+        key.put("since", incarnation.startedAtMillis());
+        key.put("life", incarnation.processId());
         Map<String, Object> block = new LinkedHashMap<>();
         block.put("machines", "all");
         block.put("holder", settings.node());
@@ -333,57 +333,57 @@
                         .put(StoreKeys.SHARDS + "all", block, id)
                         .put(StoreKeys.FENCING_TOKEN, Map.of("token", next)),
                 result -> {
-                    campaigning = false;
-                    if (result.outcome() == Outcome.OK && retired) {
+                    isCampaigning = false;
+                    if (result.outcome() == Outcome.OK && isStopped) {
                         // Guards against a node that is being stopped and begins to lead, as its
                         // claim was under way.
                         store.revokeLease(id);
                     } else if (result.outcome() == Outcome.OK) {
-                        served();
-                        leading = true;
-                        lease = id;
-                        token = next;
-                        highest = Math.max(highest, next);
-                        revision = result.revision();
-                        renewedAt = asked;
-                        doubted = false;
+                        onStoreAnswered();
+                        isLeading = true;
+                        leaseId = id;
+                        fencingToken = next;
+                        highestFencingToken = Math.max(highestFencingToken, next);
+                        leaderRevision = result.revision();
+                        renewalRequestedAt = asked;
+                        isRenewalInDoubt = false;
                         leader = settings.node();
                         LOG.info("leader with token {} on lease {}", next, id);
-                        listener.won(next, id, revision);
-                        renewLater(id);
-                        follow(revision);
+                        listener.onLeadershipWon(next, id, leaderRevision);
+                        scheduleRenewal(id);
+                        watchLeaderRecord(leaderRevision);
                     } else {
                         // After an unknown outcome the key may be ours with nobody behind it;
                         // ending the lease removes it.
                         store.revokeLease(id);
-                        timers.schedule(retryS(), this::look);
+                        timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
                     }
                 });
     }
 
-    private void renewLater(long id) {
+    private void scheduleRenewal(long id) {
         timers.schedule(
-                lifeS / 5,
+                leaseSeconds / 5,
                 () -> {
-                    if (!leading || lease != id) {
+                    if (!isLeading || leaseId != id) {
                         return;
                     }
                     double asked = timers.nowSeconds();
                     store.renewLease(
                             id,
                             outcome -> {
-                                if (!leading || lease != id) {
+                                if (!isLeading || leaseId != id) {
                                     return;
                                 }
-                                doubted = outcome != Outcome.OK;
+                                isRenewalInDoubt = outcome != Outcome.OK;
                                 if (outcome == Outcome.OK) {
-                                    served();
-                                    renewedAt = asked;
+                                    onStoreAnswered();
+                                    renewalRequestedAt = asked;
                                 } else if (outcome == Outcome.REJECTED) {
                                     stepDown("our lease ended");
                                     return;
                                 }
-                                renewLater(id);
+                                scheduleRenewal(id);
                             });
                 });
     }
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -292,7 +292,7 @@
             String node = document.text("node");
             long token = document.count("token");
             if (lease != 0
-                    && document.textOr("life", "").equals(incarnation.life())
+                    && document.textOr("life", "").equals(incarnation.processId())
                     && document.count("lease") == lease) {
                 // Ours, though we heard no answer when we took it.
                 won(holder, entry.revision(), token);
@@ -304,9 +304,9 @@
             if (holder.mine) {
                 lose(holder, node + " has it with token " + token);
             }
-            if (incarnation.judge(
+            if (incarnation.ownerOf(
                             node, document.numberOr("since", 0, 0), document.textOr("life", ""))
-                    == Incarnation.Holder.ENDED) {
+                    == Incarnation.Holder.ABANDONED) {
                 store.revokeLease(document.count("lease"));
             }
             took(holder, node, token);
@@ -402,8 +402,8 @@
                     key.put("node", settings.node());
                     key.put("token", next);
                     key.put("lease", lease);
-                    key.put("since", incarnation.sinceMs());
-                    key.put("life", incarnation.life());
+                    key.put("since", incarnation.startedAtMillis());
+                    key.put("life", incarnation.processId());
                     store.commit(
                             new Transaction()
                                     .requireRevision(holder.key, 0)
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -34,12 +34,12 @@
     }
 
     boolean toAnswer(Heartbeat heartbeat) {
-        return leadership.leading() && heartbeat.fencingToken() <= shard.fencingToken() && knowsCancellations();
+        return leadership.isLeading() && heartbeat.fencingToken() <= shard.fencingToken() && knowsCancellations();
     }
 
     /** Guards against a holder that keeps tasks alive whose jobs were cancelled behind its back. */
     boolean knowsCancellations() {
-        double age = cancellationWatermark.ageS();
+        double age = cancellationWatermark.ageSeconds();
         boolean knows = age < settings.workers().cancellationStalenessSeconds();
         if (refusing == knows) {
             refusing = !knows;
@@ -50,8 +50,8 @@
                         "workers are not answered any more: which jobs were cancelled is known until {} s ago; last"
                                 + " answer of the state service {} s ago, least is known of {}",
                         Math.round(age),
-                        Math.round(leadership.unservedS()),
-                        cancellationWatermark.leastKnown());
+                        Math.round(leadership.secondsSinceStoreAnswered()),
+                        cancellationWatermark.leastKnownPeer());
             }
         }
         return knows;
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -103,15 +103,15 @@
     /** A worker's report. */
     public void heartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         received++;
-        if (heartbeat.fencingToken() > leadership.highest()) {
-            leadership.outbid(heartbeat.fencingToken(), null);
+        if (heartbeat.fencingToken() > leadership.highestFencingToken()) {
+            leadership.onFencingTokenSeen(heartbeat.fencingToken(), null);
         }
-        if (leadership.leading() && !stateWriter.knowsRunningJobs()) {
+        if (leadership.isLeading() && !stateWriter.knowsRunningJobs()) {
             // A new holder does not know yet what was cancelled, also shortly before it began.
             park(heartbeat, null, answer);
             return;
         }
-        if (leadership.leading()) {
+        if (leadership.isLeading()) {
             double began = loopTime.now();
             answer(heartbeat, answer);
             loopTime.record(Activity.CHECK_INS, began);
@@ -139,7 +139,7 @@
         boolean lost =
                 sent == null
                         && heartbeat.fencingToken() > 0
-                        && (heartbeat.fencingToken() == leadership.highest()
+                        && (heartbeat.fencingToken() == leadership.highestFencingToken()
                                 || !heartbeat.tasks().isEmpty());
         if (!back && !lost) {
             sentAway.put(heartbeat.machineId(), now);
@@ -161,7 +161,7 @@
      * be asked.
      */
     private boolean cutOff() {
-        return membership.alone() && leadership.unservedS() > leadership.lifeS() + 1;
+        return membership.isIsolated() && leadership.secondsSinceStoreAnswered() > leadership.leaseSeconds() + 1;
     }
 
     // ---- for siblings ---------------------------------------------------------------------------
@@ -172,14 +172,14 @@
      * leader, and so does the node next to it.
      */
     private boolean relay(String leader, Parked parked) {
-        if (!membership.silent(leader)
+        if (!membership.isSilent(leader)
                 && siblings.relayHeartbeat(
                         leader, parked.report, false, response -> settle(parked, response))) {
             return true;
         }
         for (String s : settings.siblings()) {
             if (!s.equals(leader)
-                    && !membership.silent(s)
+                    && !membership.isSilent(s)
                     && siblings.relayHeartbeat(
                             s,
                             parked.report,
@@ -199,10 +199,10 @@
     public void answerFor(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
         String leader = leadership.leader();
         if (!passOn
-                || leadership.leading()
+                || leadership.isLeading()
                 || leader == null
                 || leader.equals(settings.node())
-                || membership.silent(leader)
+                || membership.isSilent(leader)
                 || !siblings.relayHeartbeat(leader, heartbeat, false, answer)) {
             answer.accept(answer(heartbeat));
         }
@@ -230,7 +230,7 @@
             answer.accept(HeartbeatResponse.redirectTo(null));
             return null;
         }
-        Parked p = new Parked(heartbeat, asked, leadership.highest(), answer);
+        Parked p = new Parked(heartbeat, asked, leadership.highestFencingToken(), answer);
         Parked older = parked.put(heartbeat.machineId(), p);
         if (older != null) {
             older.answer.accept(HeartbeatResponse.redirectTo(null));
@@ -257,7 +257,7 @@
     public void leaderKnown() {
         String leader = leadership.leader();
         for (Parked p : new ArrayList<>(parked.values())) {
-            if (p.asked == null || !p.asked.equals(leader) || p.token < leadership.highest()) {
+            if (p.asked == null || !p.asked.equals(leader) || p.token < leadership.highestFencingToken()) {
                 parked.remove(p.report.machineId(), p);
                 heartbeat(p.report, p.answer);
             }
@@ -273,7 +273,7 @@
     private HeartbeatResponse answer(Heartbeat heartbeat) {
         if (!stateWriter.knowsRunningJobs() || !entitlement.toAnswer(heartbeat)) {
             heartbeatProcessor.recordUnanswered(heartbeat, timers.nowSeconds());
-            return HeartbeatResponse.redirectTo(leadership.leading() ? null : leadership.leader());
+            return HeartbeatResponse.redirectTo(leadership.isLeading() ? null : leadership.leader());
         }
         boolean news = heartbeatProcessor.isNewer(heartbeat);
         List<WorkerCommand> orders =
@@ -334,11 +334,11 @@
             return false;
         }
         // What was true when the report came need not be when the answer goes.
-        if (!leadership.leading()
+        if (!leadership.isLeading()
                 || shard.fencingToken() != h.token
                 || !entitlement.knowsCancellations()) {
             h.answer.accept(
-                    HeartbeatResponse.redirectTo(leadership.leading() ? null : leadership.leader()));
+                    HeartbeatResponse.redirectTo(leadership.isLeading() ? null : leadership.leader()));
             return true;
         }
         List<WorkerCommand> orders = new ArrayList<>(h.orders);
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -266,7 +266,7 @@
                 return;
             }
             if (message instanceof Messages.View v) {
-                controller.told(v.by(), v.token(), v.leads(), v.served());
+                controller.onPeerState(v.by(), v.token(), v.leads(), v.served());
                 if (!channels.containsValue(ctx.channel()) && view != null) {
                     // Answer on the connection it came by, so that the other side sees that it
                     // lives.
@@ -274,9 +274,9 @@
                     sayWhatWeRead(ctx.channel());
                 }
             } else if (message instanceof Messages.Over o) {
-                controller.toldOver(o.job());
+                controller.onJobEndedAtPeer(o.job());
             } else if (message instanceof Messages.Ask a) {
-                controller.answerFor(
+                controller.onRelayedHeartbeat(
                         a.report(),
                         a.passOn(),
                         response -> send(ctx.channel(), new Messages.Answer(a.number(), response)));
@@ -285,17 +285,17 @@
             } else if (message instanceof Messages.AskProgress a) {
                 send(
                         ctx.channel(),
-                        new Messages.AnswerProgress(a.number(), controller.progress(a.jobs())));
+                        new Messages.AnswerProgress(a.number(), controller.jobProgress(a.jobs())));
             } else if (message instanceof Messages.Digest d) {
-                controller.told(new CancellationDigest(d.by(), d.sinceMs(), d.untilMs(), d.jobs()));
+                controller.onPeerState(new CancellationDigest(d.by(), d.sinceMs(), d.untilMs(), d.jobs()));
             } else if (message instanceof Messages.AnswerProgress a
                     && a.number() == Messages.READS_DIGESTS) {
                 ctx.channel().attr(READS).set(true);
             } else if (message instanceof Messages.AnswerProgress a) {
                 settle(progressAsks, a.number(), a.progress());
-            } else if (message instanceof Messages.AskCell a && controller.cells() != null) {
+            } else if (message instanceof Messages.AskCell a && controller.otherCells() != null) {
                 controller
-                        .cells()
+                        .otherCells()
                         .asked(
                                 a.message(),
                                 m -> {
--- a/src/main/java/io/kitepath/simulation/LoadGenerator.java
+++ b/src/main/java/io/kitepath/simulation/LoadGenerator.java
@@ -58,7 +58,7 @@
         node.deliver(
                 () ->
                         node.controller
-                                .registry()
+                                .jobApi()
                                 .status(id, answer -> hears(id, answer, at, WAIT_S)));
     }
 
@@ -74,7 +74,7 @@
         node.deliver(
                 () ->
                         node.controller
-                                .registry()
+                                .jobApi()
                                 .submit(
                                         body,
                                         cluster.needs.getOrDefault(id, List.of()),
@@ -101,7 +101,7 @@
             node.deliver(
                     () ->
                             node.controller
-                                    .registry()
+                                    .jobApi()
                                     .cancel(
                                             id,
                                             answer -> {
--- a/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
+++ b/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
@@ -229,7 +229,7 @@
                         n.deliver(
                                 () ->
                                         n.controller
-                                                .cells()
+                                                .otherCells()
                                                 .asked(
                                                         m,
                                                         a -> {
@@ -277,7 +277,7 @@
     public Verdict submit(SimulatedNode node, JobSpec spec) {
         specs.put(spec.id(), spec);
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        node.controller.registry().submit(spec, answer -> got[0] = answer);
+        node.controller.jobApi().submit(spec, answer -> got[0] = answer);
         run(0.2);
         if (got[0] == null) {
             return Verdict.LATER;
@@ -298,7 +298,7 @@
 
     public String status(SimulatedNode node, String id) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        node.controller.registry().status(id, answer -> got[0] = answer);
+        node.controller.jobApi().status(id, answer -> got[0] = answer);
         run(0.2);
         if (got[0] == null) {
             return "no answer";
@@ -311,7 +311,7 @@
 
     public String cancel(SimulatedNode node, String id) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        node.controller.registry().cancel(id, answer -> got[0] = answer);
+        node.controller.jobApi().cancel(id, answer -> got[0] = answer);
         run(0.2);
         if (got[0] == null) {
             return "no answer";
--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -249,7 +249,7 @@
         }
         up.get(random.nextInt(up.size()))
                 .controller
-                .registry()
+                .jobApi()
                 .submit(
                         arrival.spec,
                         answer -> {
@@ -309,7 +309,7 @@
                             cluster.nodes.values().stream().filter(node -> node.alive).toList();
                     SimulatedNode holder =
                             up.stream()
-                                    .filter(node -> node.controller.leadsWith() > 0)
+                                    .filter(node -> node.controller.fencingTokenIfLeading() > 0)
                                     .findFirst()
                                     .orElse(null);
                     switch (f.kind) {
@@ -402,7 +402,7 @@
     }
 
     private static long figure(SimulatedNode node, String name) {
-        var f = node.controller.figures().get(name);
+        var f = node.controller.metrics().get(name);
         return f == null ? 0 : (long) f.value().getAsDouble();
     }
 }
--- a/src/main/java/io/kitepath/simulation/SimulatedCluster.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCluster.java
@@ -147,7 +147,7 @@
                                                                 x.deliver(
                                                                         () ->
                                                                                 x.controller
-                                                                                        .heartbeat(
+                                                                                        .onHeartbeat(
                                                                                                 heartbeat,
                                                                                                 response -> {}))));
                     }
@@ -156,7 +156,7 @@
                             () ->
                                     n.deliver(
                                             () ->
-                                                    n.controller.heartbeat(
+                                                    n.controller.onHeartbeat(
                                                             heartbeat,
                                                             response ->
                                                                     after(
@@ -294,7 +294,7 @@
 
     public SimulatedNode leader() {
         return nodes.values().stream()
-                .filter(node -> node.alive && node.controller.leadsWith() == store.token())
+                .filter(node -> node.alive && node.controller.fencingTokenIfLeading() == store.token())
                 .findFirst()
                 .orElseThrow();
     }
@@ -395,7 +395,7 @@
         specs.put(spec.id(), spec);
         needs.putIfAbsent(spec.id(), List.of(itsNeeds));
         node.controller
-                .registry()
+                .jobApi()
                 .submit(
                         spec,
                         List.of(itsNeeds),
@@ -412,7 +412,7 @@
 
     public JobSubmissionService.Answer cancel(SimulatedNode node, String id) {
         rules.asksToCancel(id);
-        return told(id, answer -> node.controller.registry().cancel(id, answer));
+        return told(id, answer -> node.controller.jobApi().cancel(id, answer));
     }
 
     /**
@@ -424,7 +424,7 @@
     }
 
     public JobSubmissionService.Answer ask(SimulatedNode node, String id) {
-        return told(id, answer -> node.controller.registry().status(id, answer));
+        return told(id, answer -> node.controller.jobApi().status(id, answer));
     }
 
     /**
@@ -493,7 +493,7 @@
                                                             node.deliver(
                                                                     () ->
                                                                             node.controller
-                                                                                    .heartbeat(
+                                                                                    .onHeartbeat(
                                                                                             heartbeat,
                                                                                             response -> {}));
                                                         })));
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -195,7 +195,7 @@
                                 node.schedule(
                                         0.001,
                                         () ->
-                                                node.controller.told(
+                                                node.controller.onPeerState(
                                                         name, token, leader != null, served)));
     }
 
@@ -204,7 +204,7 @@
         if (!old) {
             cluster.nodes.values().stream()
                     .filter(node -> node != this && node.alive && !node.old && reaches(node))
-                    .forEach(node -> node.schedule(0.001, () -> node.controller.told(digest)));
+                    .forEach(node -> node.schedule(0.001, () -> node.controller.onPeerState(digest)));
         }
     }
 
@@ -215,7 +215,7 @@
         }
         cluster.nodes.values().stream()
                 .filter(node -> node != this && node.alive && reaches(node))
-                .forEach(node -> node.schedule(0.001, () -> node.controller.toldOver(job)));
+                .forEach(node -> node.schedule(0.001, () -> node.controller.onJobEndedAtPeer(job)));
     }
 
     @Override
@@ -233,7 +233,7 @@
             node.schedule(
                     0.001,
                     () -> {
-                        List<JobProgress> p = node.controller.progress(jobs);
+                        List<JobProgress> p = node.controller.jobProgress(jobs);
                         schedule(0.001, () -> once.accept(p));
                     });
         }
@@ -253,7 +253,7 @@
         node.schedule(
                 0.001,
                 () ->
-                        node.controller.answerFor(
+                        node.controller.onRelayedHeartbeat(
                                 heartbeat,
                                 passOn,
                                 response -> schedule(0.001, () -> answer.accept(response))));
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -41,9 +41,9 @@
         } else if (!ProtocolCodec.isJobId(id)) {
             out.reply(404, null);
         } else if (cancel) {
-            controller.registry().cancel(id, answer -> answer(answer, true, out));
+            controller.jobApi().cancel(id, answer -> answer(answer, true, out));
         } else {
-            controller.registry().status(id, answer -> answer(answer, false, out));
+            controller.jobApi().status(id, answer -> answer(answer, false, out));
         }
     }
 
@@ -62,14 +62,14 @@
         try {
             JobSpec spec = ProtocolCodec.decodeSubmission(body);
             List<String> needs = ProtocolCodec.decodeDependencies(body);
-            if (controller.types().isEmpty()) {
+            if (controller.machineTypes().isEmpty()) {
                 known(id, 503, "the machine types are not known yet", out);
                 return;
             }
-            wrong = controller.impossible(spec);
+            wrong = controller.reasonImpossible(spec);
             if (wrong == null) {
                 controller
-                        .registry()
+                        .jobApi()
                         .submit(
                                 spec,
                                 needs,
@@ -95,7 +95,7 @@
      */
     private void known(String id, int status, String why, Responder out) {
         controller
-                .registry()
+                .jobApi()
                 .status(
                         id,
                         answer -> {
@@ -103,7 +103,7 @@
                                 out.reply(
                                         status,
                                         ProtocolCodec.encodeError(why),
-                                        status == 503 ? controller.retryS() : 0);
+                                        status == 503 ? controller.retryAfterSeconds() : 0);
                             } else {
                                 answer(answer, false, out);
                             }
@@ -121,7 +121,7 @@
                     out.reply(
                             503,
                             ProtocolCodec.encodeError("the state service can't be asked now"),
-                            controller.retryS());
+                            controller.retryAfterSeconds());
         }
     }
 }
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -34,7 +34,7 @@
             out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
             return;
         }
-        controller.heartbeat(
+        controller.onHeartbeat(
                 heartbeat,
                 response -> {
                     if (response.fencingToken() > 0) {
--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -76,7 +76,7 @@
 
         private SimulatedNode holder() {
             return cluster.nodes.values().stream()
-                    .filter(node -> node.alive && node.controller.leadership.leading())
+                    .filter(node -> node.alive && node.controller.leadership.isLeading())
                     .filter(node -> random.nextInt(8) > 0)
                     .findFirst()
                     .orElseGet(this::any);
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -107,14 +107,14 @@
         all(400, malformed());
         assertTrue(
                 cluster.nodes.values().stream()
-                        .noneMatch(node -> node.alive && node.controller.leadership.leading()),
+                        .noneMatch(node -> node.alive && node.controller.leadership.isLeading()),
                 "one leads");
         cluster.run(15);
         cluster.leader().crash();
         all(422, impossible());
         assertTrue(
                 cluster.nodes.values().stream()
-                        .noneMatch(node -> node.alive && node.controller.leadership.leading()),
+                        .noneMatch(node -> node.alive && node.controller.leadership.isLeading()),
                 "one leads");
         SimulatedNode anew = cluster.node(gone.name);
         int[] knowsNoTypes =
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -264,7 +264,7 @@
         cancelled(sibling, "j-1");
         cluster.run(31);
         kept(before);
-        assertTrue(holder.controller.holds());
+        assertTrue(holder.controller.holdsShard());
     }
 
     @Test
@@ -310,7 +310,7 @@
                                     0,
                                     () ->
                                             sibling.controller
-                                                    .registry()
+                                                    .jobApi()
                                                     .cancel("j-1", answer -> {}));
                             cluster.after(0.008, () -> cluster.store.outage(60));
                         }
@@ -375,7 +375,7 @@
         cluster.cancel(holder, "j-1");
         // Just after it was carried out, and before the next comparison would find it.
         cluster.run(0.605);
-        double proven = holder.controller.cancellationWatermark.ageS();
+        double proven = holder.controller.cancellationWatermark.ageSeconds();
         cluster.store.withheld =
                 transaction ->
                         transaction.conditions().stream()
@@ -407,7 +407,7 @@
         cluster.store.outage(60);
         for (int i = 0; i < 40; i++) {
             cluster.run(1);
-            cluster.nodes.values().forEach(node -> node.controller.heartbeat(old, response -> {}));
+            cluster.nodes.values().forEach(node -> node.controller.onHeartbeat(old, response -> {}));
         }
         kept(before);
     }
@@ -424,7 +424,7 @@
         cluster.run(30);
         assertEquals(before, sessions());
         assertEquals(6, cluster.onMachines("j-1"));
-        assertFalse(holder.controller.cancellationWatermark.ageS() > 5);
+        assertFalse(holder.controller.cancellationWatermark.ageSeconds() > 5);
     }
 
     /** Those of a version without such a word, on either side: the margin alone counts. */
@@ -455,13 +455,13 @@
         cluster.nodes.values().forEach(node -> node.cutFrom.addAll(cluster.siblings));
         // Its lease is renewed all the while, but no comparison is answered.
         cluster.store.withheld = transaction -> transaction.writes().isEmpty();
-        while (holder.controller.cancellationWatermark.ageS()
+        while (holder.controller.cancellationWatermark.ageSeconds()
                 < holder.controller.settings.workers().cancellationStalenessSeconds() - 0.6) {
             cluster.run(0.1);
         }
         SimulatedWorker idle = cluster.workers.get("i-000009");
         HeartbeatResponse[] got = new HeartbeatResponse[1];
-        holder.controller.heartbeat(idle.message(), response -> got[0] = response);
+        holder.controller.onHeartbeat(idle.message(), response -> got[0] = response);
         assertEquals(null, got[0]);
         cluster.run(2.1);
         assertEquals(0, got[0].fencingToken());
@@ -503,7 +503,7 @@
                 cluster.run(0.01);
                 next =
                         cluster.nodes.values().stream()
-                                .filter(node -> node.alive && node.controller.leadership.leading())
+                                .filter(node -> node.alive && node.controller.leadership.isLeading())
                                 .findFirst()
                                 .orElse(null);
             }
@@ -519,7 +519,7 @@
                             .findFirst()
                             .orElseThrow();
             cluster.rules.asksToCancel("j-1");
-            sibling.controller.registry().cancel("j-1", answer -> {});
+            sibling.controller.jobApi().cancel("j-1", answer -> {});
             cluster.run(0.02);
             cluster.ask(sibling, "j-1");
             assertTrue(cluster.toldCancelled.containsKey("j-1"));
@@ -537,8 +537,8 @@
             cluster.run(40);
             kept("j-1");
             assertTrue(
-                    holder.controller.cancellationWatermark.ageS() < 5,
-                    "age " + holder.controller.cancellationWatermark.ageS());
+                    holder.controller.cancellationWatermark.ageSeconds() < 5,
+                    "age " + holder.controller.cancellationWatermark.ageSeconds());
         }
     }
 
@@ -552,7 +552,7 @@
             cluster.run(0.01);
             next =
                     cluster.nodes.values().stream()
-                            .filter(node -> node.alive && node.controller.leadership.leading())
+                            .filter(node -> node.alive && node.controller.leadership.isLeading())
                             .findFirst()
                             .orElse(null);
         }
@@ -561,7 +561,7 @@
             cluster.run(0.01);
         }
         assertTrue(
-                next.controller.cancellationWatermark.ageS() > 0.8,
-                "age " + next.controller.cancellationWatermark.ageS());
+                next.controller.cancellationWatermark.ageSeconds() > 0.8,
+                "age " + next.controller.cancellationWatermark.ageSeconds());
     }
 }
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -62,7 +62,7 @@
         /** Mostly the one that holds, or held last. */
         private SimulatedNode holder() {
             return cluster.nodes.values().stream()
-                    .filter(node -> node.alive && node.controller.leadership.leading())
+                    .filter(node -> node.alive && node.controller.leadership.isLeading())
                     .filter(node -> random.nextInt(8) > 0)
                     .findFirst()
                     .orElseGet(this::any);
@@ -148,7 +148,7 @@
                         x.cut = !x.deaf;
                         Heartbeat old = x.message();
                         cluster.after(
-                                upTo(30), () -> any().controller.heartbeat(old, response -> {}));
+                                upTo(30), () -> any().controller.onHeartbeat(old, response -> {}));
                         cluster.after(upTo(12), () -> x.deaf = false);
                         cluster.after(upTo(12), () -> x.cut = false);
                     }
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -128,7 +128,7 @@
                                 node ->
                                         node != old
                                                 && node.alive
-                                                && node.controller.leadership.leading()
+                                                && node.controller.leadership.isLeading()
                                                 && (step == Step.CLAIMED
                                                         || (step == Step.LISTED
                                                                 ? node.controller.stateWriter
@@ -222,7 +222,7 @@
                                 .filter(
                                         node ->
                                                 node.alive
-                                                        && node.controller.leadsWith()
+                                                        && node.controller.fencingTokenIfLeading()
                                                                 == cluster.store.token())
                                 .findFirst()
                                 .orElse(old);
@@ -413,7 +413,7 @@
                         + runs
                         + " days");
         assertTrue(
-                latestS < cluster.leader().controller.leadership.lifeS() / 5 + 0.02,
+                latestS < cluster.leader().controller.leadership.leaseSeconds() / 5 + 0.02,
                 "the last after " + latestS);
         assertTrue(tooLate <= told / 20, tooLate + " starts after users were told, of " + told);
     }
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -90,7 +90,7 @@
                 simulation
                         .leader(cell)
                         .controller
-                        .figures()
+                        .metrics()
                         .get("cells.lent")
                         .value()
                         .getAsDouble();
@@ -232,7 +232,7 @@
         simulation.keeps = message -> message instanceof LoanOffer && copy[0];
         String id = array(1, 40);
         simulation.until(20, () -> !simulation.kept.isEmpty());
-        simulation.leader("west").controller.cells().drain(true);
+        simulation.leader("west").controller.otherCells().drain(true);
         copy[0] = false;
         simulation.run(5);
         long taken =
@@ -240,7 +240,7 @@
                         simulation
                                 .leader("west")
                                 .controller
-                                .figures()
+                                .metrics()
                                 .get("cells.taken")
                                 .value()
                                 .getAsDouble();
@@ -252,7 +252,7 @@
                                 .anyMatch(
                                         node ->
                                                 node.alive
-                                                        && node.controller.leadership.leading()
+                                                        && node.controller.leadership.isLeading()
                                                         && node.controller.stateWriter.isLoaded()));
         simulation.run(5);
         simulation.kept.forEach(Runnable::run);
@@ -379,7 +379,7 @@
                 simulation
                         .leader("east")
                         .controller
-                        .figures()
+                        .metrics()
                         .get("cells.silent")
                         .value()
                         .getAsDouble());
@@ -439,7 +439,7 @@
         settled(1, 10);
         String id = array(1, 40);
         simulation.until(20, () -> inWest(id) > 0);
-        simulation.leader("west").controller.cells().drain(true);
+        simulation.leader("west").controller.otherCells().drain(true);
         allDone(id);
         assertEquals(0, simulation.world("west").onMachines(id));
     }
@@ -450,7 +450,7 @@
         String id = array(1, 12);
         simulation.run(4);
         assertEquals(0, inWest(id), "it would be in time at home");
-        simulation.leader("east").controller.cells().drain(true);
+        simulation.leader("east").controller.otherCells().drain(true);
         simulation.until(10, () -> inWest(id) > 0);
         allDone(id);
     }
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -239,7 +239,7 @@
                     Answer[] got = new Answer[1];
                     if (node.alive) {
                         node.controller
-                                .registry()
+                                .jobApi()
                                 .submit(
                                         job("j-1", Shape.ARRAY, 1 + i % 2, 1),
                                         needs,
@@ -256,7 +256,7 @@
                 Answer[] other = new Answer[1];
                 cluster.leader()
                         .controller
-                        .registry()
+                        .jobApi()
                         .submit(
                                 job("j-2", Shape.ARRAY, 1, 1),
                                 List.of("j-77"),
@@ -274,7 +274,7 @@
 
     /** Asks there, and leaves what it hears, and when, to the story. */
     private static void ask(SimulatedNode node, String id, Consumer<Answer> hears) {
-        node.deliver(() -> node.controller.registry().status(id, hears));
+        node.deliver(() -> node.controller.jobApi().status(id, hears));
     }
 
     private static boolean says(Answer answer, String status) {
@@ -325,7 +325,7 @@
                             cluster.nodes
                                     .get("k" + random.nextInt(3))
                                     .controller
-                                    .registry()
+                                    .jobApi()
                                     .cancel(
                                             "j-1",
                                             answer -> {
@@ -373,7 +373,7 @@
                     0.02,
                     () ->
                             node.controller
-                                    .registry()
+                                    .jobApi()
                                     .submit(
                                             job("j-1", Shape.ARRAY, 1, 1),
                                             List.of(),
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -51,7 +51,7 @@
     private long entitled(String duty) {
         return cluster.nodes.values().stream()
                 .filter(node -> node.alive && cluster.clock.now >= node.frozenUntil)
-                .flatMap(node -> node.controller.duties().stream())
+                .flatMap(node -> node.controller.roles().stream())
                 .filter(holder -> holder.name().equals(duty) && holder.mine())
                 .count();
     }
@@ -69,12 +69,12 @@
     void eachDutyHasOneHolderAndTheyAreSpread() {
         nodes(3);
         Set<String> holders = new HashSet<>();
-        for (LeasedRoles.RoleHolder holder : cluster.nodes.get("k0").controller.duties()) {
+        for (LeasedRoles.RoleHolder holder : cluster.nodes.get("k0").controller.roles()) {
             assertEquals(1, entitled(holder.name()), holder.name());
             holders.add(holder.holder());
         }
         assertEquals(
-                Math.min(3, cluster.nodes.get("k0").controller.duties().size()), holders.size());
+                Math.min(3, cluster.nodes.get("k0").controller.roles().size()), holders.size());
     }
 
     @Test
@@ -83,7 +83,7 @@
         cluster.nodes
                 .get("k0")
                 .controller
-                .duties()
+                .roles()
                 .forEach(holder -> assertTrue(holder.mine(), holder.name()));
     }
 
@@ -126,7 +126,7 @@
                                                                 node ->
                                                                         node.alive
                                                                                 && node.controller
-                                                                                        .holds()))
+                                                                                        .holdsShard()))
                         < 0.5);
     }
 
@@ -160,7 +160,7 @@
         long certain =
                 cluster.nodes.values().stream()
                         .filter(node -> node != first)
-                        .flatMap(node -> node.controller.duties().stream())
+                        .flatMap(node -> node.controller.roles().stream())
                         .filter(holder -> holder.name().equals("cloud") && holder.mine())
                         .count();
         assertEquals(1, certain);
@@ -266,7 +266,7 @@
                 long entitled =
                         cluster.nodes.values().stream()
                                 .filter(y -> y.alive && cluster.clock.now >= y.frozenUntil)
-                                .filter(y -> y.controller.entitled("cloud"))
+                                .filter(y -> y.controller.holdsRole("cloud"))
                                 .count();
                 most = Math.max(most, entitled);
             }
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -87,7 +87,7 @@
 
     private static SimulatedNode holder(SimulatedCluster cluster) {
         return cluster.nodes.values().stream()
-                .filter(node -> node.alive && node.controller.leadership.leading())
+                .filter(node -> node.alive && node.controller.leadership.isLeading())
                 .findFirst()
                 .orElse(cluster.nodes.get("k0"));
     }
@@ -275,7 +275,7 @@
                 SimulatedNode leader = holder(cluster);
                 SimulatedNode carrier =
                         cluster.nodes.values().stream()
-                                .filter(node -> node.controller.entitled("cloud"))
+                                .filter(node -> node.controller.holdsRole("cloud"))
                                 .findFirst()
                                 .orElseThrow();
                 unsettled += upBeforeKnown(cluster) ? 1 : 0;
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -71,7 +71,7 @@
                         .noneMatch(
                                 node ->
                                         node.alive
-                                                && node.controller.leadership.leading()
+                                                && node.controller.leadership.isLeading()
                                                 && node.controller.stateWriter.isLoaded())) {
             cluster.run(0.1);
         }
@@ -158,9 +158,9 @@
             cluster.submit(node, job("j-3" + (10 + i), Shape.ARRAY, 250, 1 + i % 3));
         }
         long looks = node.controller.scheduler.placement().looks();
-        long rounds = node.controller.rounds();
+        long rounds = node.controller.schedulingRounds();
         cluster.run(10);
-        rounds = node.controller.rounds() - rounds;
+        rounds = node.controller.schedulingRounds() - rounds;
         looks = node.controller.scheduler.placement().looks() - looks;
         // One that did not find room speaks for all that ask for no less: of forty jobs, three look
         // at each machine.
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsTest.java
@@ -47,7 +47,7 @@
 
     static SimulatedNode leading(SimulatedCluster cluster) {
         return cluster.nodes.values().stream()
-                .filter(node -> node.alive && node.controller.leadsWith() > 0)
+                .filter(node -> node.alive && node.controller.fencingTokenIfLeading() > 0)
                 .findFirst()
                 .orElse(null);
     }
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -61,12 +61,12 @@
 
     private void ask(SimulatedNode node) {
         double asked = cluster.clock.now;
-        node.controller.registry().status(ID, answer -> hear(node, asked, answer));
+        node.controller.jobApi().status(ID, answer -> hear(node, asked, answer));
     }
 
     private void repeat(SimulatedNode node) {
         double asked = cluster.clock.now;
-        node.controller.registry().submit(spec, needs, answer -> hear(node, asked, answer));
+        node.controller.jobApi().submit(spec, needs, answer -> hear(node, asked, answer));
     }
 
     /** Whoever is told anything makes everybody ask and submit again, at all nodes, at once. */
@@ -74,7 +74,7 @@
         double asked = cluster.clock.now;
         cluster.rules.asksToCancel(ID);
         node.controller
-                .registry()
+                .jobApi()
                 .cancel(
                         ID,
                         answer -> {
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -178,7 +178,7 @@
         for (int i = 0; i < 30; i++) {
             // All at once, so that there is much to write in one transaction.
             node.controller
-                    .registry()
+                    .jobApi()
                     .submit(
                             SimulatedCluster.job("j-" + (100 + i), Shape.ARRAY, 4, 1),
                             answer -> {});
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -72,7 +72,7 @@
                     cluster.nodes.values().stream()
                             .filter(
                                     node ->
-                                            node.controller.duties().stream()
+                                            node.controller.roles().stream()
                                                     .anyMatch(holder -> holder.mine()))
                             .forEach(SimulatedNode::kill);
                     old.kill();
@@ -98,14 +98,14 @@
                                     .filter(
                                             node ->
                                                     node != cluster.leader()
-                                                            && node.controller.leadsWith() > 0)
+                                                            && node.controller.fencingTokenIfLeading() > 0)
                                     .count(),
                             at);
                     for (String duty : List.of("cloud", "cleanup")) {
                         assertEquals(
                                 1,
                                 cluster.nodes.values().stream()
-                                        .filter(node -> node.controller.entitled(duty))
+                                        .filter(node -> node.controller.holdsRole(duty))
                                         .count(),
                                 at);
                     }
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -87,7 +87,7 @@
 
     private static SimulatedNode leading(SimulatedCluster cluster) {
         return cluster.nodes.values().stream()
-                .filter(node -> node.alive && node.controller.leadership.leading())
+                .filter(node -> node.alive && node.controller.leadership.isLeading())
                 .findFirst()
                 .orElse(null);
     }
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -108,7 +108,7 @@
                     if (i == 4 && takeover) {
                         SimulatedNode n =
                                 cluster.nodes.values().stream()
-                                        .filter(x -> x.controller.leadership.leading())
+                                        .filter(x -> x.controller.leadership.isLeading())
                                         .findFirst()
                                         .orElse(cluster.nodes.get("k0"));
                         n.kill();
@@ -159,8 +159,8 @@
         int before = cluster.nodes.values().stream().mapToInt(node -> node.requests).sum();
         for (int i = 0; i < 40; i++) {
             for (SimulatedNode node : cluster.nodes.values()) {
-                node.controller.registry().status("j-1", answer -> {});
-                node.controller.registry().cancel("j-1", answer -> {});
+                node.controller.jobApi().status("j-1", answer -> {});
+                node.controller.jobApi().cancel("j-1", answer -> {});
             }
             cluster.run(0.98);
         }
@@ -205,7 +205,7 @@
             cluster.run(crashAt);
             SimulatedNode n =
                     cluster.nodes.values().stream()
-                            .filter(x -> x.controller.leadership.leading())
+                            .filter(x -> x.controller.leadership.isLeading())
                             .findFirst()
                             .orElse(a);
             n.kill();
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -113,7 +113,7 @@
             assertEquals(List.of(), cluster.broken, "period " + period);
             assertEquals(8, cluster.onMachines("j-1"), "period " + period);
             assertEquals(before, starts(cluster), "period " + period);
-            assertTrue(first.controller.healthy());
+            assertTrue(first.controller.isHealthy());
         }
     }
 
@@ -128,7 +128,7 @@
         alone(cluster, cut);
         cluster.run(8);
         HeartbeatResponse[] got = new HeartbeatResponse[1];
-        cut.controller.heartbeat(
+        cut.controller.onHeartbeat(
                 new Heartbeat(
                         "i-000077",
                         "",
@@ -172,7 +172,7 @@
         if (second) {
             SimulatedNode next =
                     cluster.nodes.values().stream()
-                            .filter(node -> node.alive && node.controller.leadership.leading())
+                            .filter(node -> node.alive && node.controller.leadership.isLeading())
                             .findFirst()
                             .orElse(null);
             if (next != null) {
@@ -229,7 +229,7 @@
             for (int i = 0; i < 6; i++) {
                 SimulatedNode n =
                         cluster.nodes.values().stream()
-                                .filter(x -> x.alive && x.controller.leadership.leading())
+                                .filter(x -> x.alive && x.controller.leadership.isLeading())
                                 .findFirst()
                                 .orElse(null);
                 if (n != null) {
@@ -323,7 +323,7 @@
                                                         .filter(node -> node.alive)
                                                         .forEach(
                                                                 node ->
-                                                                        node.controller.heartbeat(
+                                                                        node.controller.onHeartbeat(
                                                                                 heartbeat,
                                                                                 response -> {}))));
                 cluster.run(70);
@@ -351,7 +351,7 @@
         cluster.run(30);
         assertNotNull(old);
         for (int i = 0; i < 20; i++) {
-            cluster.nodes.values().forEach(node -> node.controller.heartbeat(old, response -> {}));
+            cluster.nodes.values().forEach(node -> node.controller.onHeartbeat(old, response -> {}));
             cluster.run(1);
         }
         cluster.run(60);
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -100,7 +100,7 @@
                     () -> {
                         SimulatedNode n =
                                 cluster.nodes.values().stream()
-                                        .filter(x -> x.controller.leadership.leading())
+                                        .filter(x -> x.controller.leadership.isLeading())
                                         .findFirst()
                                         .orElseThrow();
                         n.kill();
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/OneZoneTest.java
@@ -174,7 +174,7 @@
                 if (random.nextInt(2) == 0) {
                     SimulatedNode n =
                             cluster.nodes.values().stream()
-                                    .filter(y -> y.controller.leadership.leading())
+                                    .filter(y -> y.controller.leadership.isLeading())
                                     .findFirst()
                                     .orElse(cluster.nodes.get("k0"));
                     n.kill();
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -258,7 +258,7 @@
             for (int i = 2; i <= 1001; i++) {
                 int id = i;
                 node.controller
-                        .registry()
+                        .jobApi()
                         .submit(
                                 array("j-" + id, 1),
                                 List.of(chain ? "j-" + (id - 1) : "j-1"),
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/QuestionRateTest.java
@@ -47,7 +47,7 @@
             while (!open.isEmpty() && cluster.clock.now - began < 75) {
                 String id = jobs.get(asked++ % jobs.size());
                 apart.controller
-                        .registry()
+                        .jobApi()
                         .status(
                                 id,
                                 answer -> {
--- a/src/test/java/io/kitepath/core/QuickEndsTest.java
+++ b/src/test/java/io/kitepath/core/QuickEndsTest.java
@@ -35,7 +35,7 @@
 
     private static boolean someoneHolds(SimulatedCluster cluster) {
         return cluster.nodes.values().stream()
-                .anyMatch(node -> node.alive && node.controller.holds());
+                .anyMatch(node -> node.alive && node.controller.holdsShard());
     }
 
     /** Seconds until a node that is up holds the jobs. */
@@ -97,7 +97,7 @@
                 cluster.store.token() - before <= 2,
                 "leaders: " + (cluster.store.token() - before));
         assertEquals("done", cluster.status(second, "j-1"));
-        assertEquals(0, first.controller.leadsWith(), "the later one stays");
+        assertEquals(0, first.controller.fencingTokenIfLeading(), "the later one stays");
         assertEquals(List.of(), cluster.broken);
     }
 
@@ -112,11 +112,11 @@
         cluster.nodes.put("old", first);
         second.controller.start();
         cluster.run(1);
-        assertTrue(second.controller.leadsWith() > 0);
+        assertTrue(second.controller.fencingTokenIfLeading() > 0);
         long token = cluster.store.token();
         cluster.run(60);
         assertEquals(token, cluster.store.token());
-        assertEquals(0, first.controller.leadsWith());
+        assertEquals(0, first.controller.fencingTokenIfLeading());
     }
 
     /** A node that ends again and again, after so many seconds of life, from now on. */
@@ -260,8 +260,8 @@
         first.kill();
         cluster.run(5);
         assertTrue(stopped[0] != null && stopped[0] != first);
-        assertEquals(0, stopped[0].controller.leadsWith());
-        assertTrue(cluster.leader() != stopped[0] && cluster.leader().controller.holds());
+        assertEquals(0, stopped[0].controller.fencingTokenIfLeading());
+        assertTrue(cluster.leader() != stopped[0] && cluster.leader().controller.holdsShard());
         assertEquals(List.of(), cluster.broken);
     }
 }
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -79,9 +79,9 @@
         node.deliver(
                 () -> {
                     brought++;
-                    ofItsToken += heartbeat.fencingToken() == node.controller.leadsWith() ? 1 : 0;
+                    ofItsToken += heartbeat.fencingToken() == node.controller.fencingTokenIfLeading() ? 1 : 0;
 
-                    node.controller.heartbeat(
+                    node.controller.onHeartbeat(
                             heartbeat,
                             response ->
                                     launches +=
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -116,9 +116,9 @@
         cluster.store.outage(20);
         cluster.run(10);
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[3];
-        node.controller.registry().submit(job("j-2", Shape.ARRAY, 1, 1), answer -> got[0] = answer);
-        node.controller.registry().status("j-2", answer -> got[1] = answer);
-        node.controller.registry().cancel("j-2", answer -> got[2] = answer);
+        node.controller.jobApi().submit(job("j-2", Shape.ARRAY, 1, 1), answer -> got[0] = answer);
+        node.controller.jobApi().status("j-2", answer -> got[1] = answer);
+        node.controller.jobApi().cancel("j-2", answer -> got[2] = answer);
         for (JobSubmissionService.Answer answer : got) {
             assertEquals(Verdict.LATER, answer.verdict());
         }
@@ -184,7 +184,7 @@
         cluster.submit(second, job("j-2", Shape.ARRAY, 3, 1));
         long launched = first.controller.heartbeatProcessor.launchCount();
         cluster.run(3);
-        assertFalse(first.controller.leadership.leading());
+        assertFalse(first.controller.leadership.isLeading());
         assertEquals(launched, first.controller.heartbeatProcessor.launchCount());
         cluster.run(60);
         assertEquals("done", cluster.status(first, "j-1"));
@@ -238,8 +238,8 @@
         cluster.run(8);
         SimulatedNode second = cluster.leader();
         assertFalse(second == first);
-        assertFalse(first.controller.leadership.leading());
-        assertFalse(first.controller.healthy());
+        assertFalse(first.controller.leadership.isLeading());
+        assertFalse(first.controller.isHealthy());
         cluster.run(40);
         assertEquals("done", cluster.status(second, "j-1"));
         assertEquals(4, cluster.workers.values().stream().mapToInt(worker -> worker.started).sum());
@@ -531,9 +531,9 @@
         Heartbeat heartbeat =
                 new Heartbeat("i-000077", "", "m4", "a", false, 1, 1, 0, null, List.of());
         HeartbeatResponse[] got = new HeartbeatResponse[2];
-        other.controller.heartbeat(heartbeat, response -> got[0] = response);
+        other.controller.onHeartbeat(heartbeat, response -> got[0] = response);
         assertEquals(leader.name, got[0].redirectNode());
-        other.controller.heartbeat(heartbeat, response -> got[1] = response);
+        other.controller.onHeartbeat(heartbeat, response -> got[1] = response);
         cluster.run(0.1);
         assertEquals(leader.controller.shard.fencingToken(), got[1].fencingToken());
     }
@@ -545,7 +545,7 @@
         SimulatedNode other = notThe(leader);
         long token = leader.controller.shard.fencingToken();
         HeartbeatResponse[] got = new HeartbeatResponse[1];
-        other.controller.heartbeat(
+        other.controller.onHeartbeat(
                 new Heartbeat("i-000077", "", "m4", "a", false, 1, 9, token, null, List.of()),
                 response -> got[0] = response);
         cluster.run(0.1);
@@ -562,7 +562,7 @@
         cut.cutFrom.add(leader.name);
         cluster.run(4);
         HeartbeatResponse[] got = new HeartbeatResponse[1];
-        cut.controller.heartbeat(
+        cut.controller.onHeartbeat(
                 new Heartbeat(
                         "i-000077",
                         "",
@@ -591,7 +591,7 @@
         long token = leader.controller.shard.fencingToken();
         leader.crash();
         HeartbeatResponse[] got = new HeartbeatResponse[1];
-        other.controller.heartbeat(
+        other.controller.onHeartbeat(
                 new Heartbeat(
                         "i-000077",
                         "",
@@ -620,7 +620,7 @@
         cluster.run(5);
         SimulatedNode node = cluster.node("k0");
         HeartbeatResponse[] got = new HeartbeatResponse[1];
-        node.controller.heartbeat(
+        node.controller.onHeartbeat(
                 new Heartbeat("i-000077", "", "m4", "a", false, 1, 9, 1, null, List.of()),
                 response -> got[0] = response);
         cluster.run(0.9);
@@ -694,7 +694,7 @@
         for (int s = 0; s < 10; s++) {
             for (int i = 0; i < 300; i++) {
                 asked.controller
-                        .registry()
+                        .jobApi()
                         .status(
                                 "j-" + i,
                                 answer -> known[0] += answer.verdict() == Verdict.KNOWN ? 1 : 0);
@@ -858,7 +858,7 @@
                 "2 tasks wait for room of 1.0 CPUs each", cluster.ask(other, "j-1").state().note());
         leader.crash();
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        other.controller.registry().status("j-1", answer -> got[0] = answer);
+        other.controller.jobApi().status("j-1", answer -> got[0] = answer);
         cluster.run(0.6);
         String note = got[0].state().note();
         assertEquals(4, got[0].state().runningTaskCount());
@@ -905,7 +905,7 @@
         cluster.workers.values().forEach(worker -> worker.runsFor = 5);
         int before = cluster.store.log.size();
         for (int i = 0; i < 200; i++) {
-            node.controller.registry().submit(job("j-" + i, Shape.ARRAY, 1, 1), answer -> {});
+            node.controller.jobApi().submit(job("j-" + i, Shape.ARRAY, 1, 1), answer -> {});
         }
         cluster.run(1);
         long looks = node.controller.scheduler.placement().looks();
@@ -951,7 +951,7 @@
         cluster.workers.values().forEach(worker -> worker.runsFor = 6);
         for (int i = 0; i < 100; i++) {
             node.controller
-                    .registry()
+                    .jobApi()
                     .submit(
                             with(job("j-" + i, Shape.ARRAY, 1, 1), "red", Priority.LOW, false),
                             answer -> {});
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -121,7 +121,7 @@
         /** The node that holds the jobs, or null. */
         SimulatedNode holder() {
             return cluster.nodes.values().stream()
-                    .filter(node -> node.alive && node.controller.holds())
+                    .filter(node -> node.alive && node.controller.holdsShard())
                     .findFirst()
                     .orElse(null);
         }
@@ -141,7 +141,7 @@
             handedIn.putIfAbsent(spec.id(), cluster.clock.now);
             boolean[] heard = new boolean[1];
             any().controller
-                    .registry()
+                    .jobApi()
                     .submit(
                             spec,
                             List.of(),
@@ -201,7 +201,7 @@
                             looked++;
                             boolean[] done = new boolean[1];
                             any().controller
-                                    .registry()
+                                    .jobApi()
                                     .status(
                                             id,
                                             answer -> {
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -86,7 +86,7 @@
 
     private SimulatedNode sweeper(SimulatedCluster cluster) {
         return cluster.nodes.values().stream()
-                .filter(node -> node.alive && node.controller.entitled("cleanup"))
+                .filter(node -> node.alive && node.controller.holdsRole("cleanup"))
                 .findFirst()
                 .orElseThrow();
     }
@@ -143,7 +143,7 @@
         cluster.run(0.3);
         cluster.siblings.forEach(cluster::node);
         cluster.run(6);
-        assertTrue(cluster.leader().controller.holds());
+        assertTrue(cluster.leader().controller.holdsShard());
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -166,7 +166,7 @@
     /** The process of whoever leads by then is killed, and another one comes up. */
     private void leaderEnds() {
         cluster.nodes.values().stream()
-                .filter(node -> node.alive && node.controller.leadsWith() > 0)
+                .filter(node -> node.alive && node.controller.fencingTokenIfLeading() > 0)
                 .findFirst()
                 .ifPresent(
                         node -> {
@@ -186,7 +186,7 @@
             cluster.run(0.25);
             if (met == 0
                     && cluster.nodes.values().stream()
-                            .anyMatch(node -> node.alive && node.controller.leadsWith() > before)) {
+                            .anyMatch(node -> node.alive && node.controller.fencingTokenIfLeading() > before)) {
                 met +=
                         lost.stream()
                                 .flatMap(worker -> worker.tasks.values().stream())
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -94,7 +94,7 @@
     private static void trouble(SimulatedCluster cluster, Random random) {
         SimulatedNode leader =
                 cluster.nodes.values().stream()
-                        .filter(node -> node.alive && node.controller.leadsWith() > 0)
+                        .filter(node -> node.alive && node.controller.fencingTokenIfLeading() > 0)
                         .findFirst()
                         .orElse(null);
         double lasts = random.nextDouble() * 3 * cluster.leaseS;
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -116,7 +116,7 @@
         node.crash();
         cluster.run(15);
         SimulatedNode next = cluster.leader();
-        next.controller.heartbeat(old, (HeartbeatResponse response) -> {});
+        next.controller.onHeartbeat(old, (HeartbeatResponse response) -> {});
         cluster.submit(next, job("j-2", Shape.ARRAY, 12, 1));
         cluster.run(10);
         assertTrue(
@@ -180,12 +180,12 @@
         cut.cutFromStore = true;
         cluster.siblings.forEach(cut.cutFrom::add);
         cluster.run(8);
-        assertFalse(cut.controller.healthy());
+        assertFalse(cut.controller.isHealthy());
         assertEquals(Verdict.LATER, cluster.ask(cut, "j-1").verdict());
         cluster.run(12);
         SimulatedNode next =
                 cluster.nodes.values().stream()
-                        .filter(node -> node != cut && node.controller.holds())
+                        .filter(node -> node != cut && node.controller.holdsShard())
                         .findFirst()
                         .orElseThrow();
         assertEquals(
@@ -200,9 +200,9 @@
         cut.cutFromStore = false;
         cut.cutFrom.clear();
         cluster.run(10);
-        assertTrue(cut.controller.healthy());
+        assertTrue(cut.controller.isHealthy());
         assertEquals(
-                1, cluster.nodes.values().stream().filter(node -> node.controller.holds()).count());
+                1, cluster.nodes.values().stream().filter(node -> node.controller.holdsShard()).count());
         assertEquals(List.of(), cluster.broken);
     }
 
--- a/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
@@ -28,34 +28,34 @@
     @Test
     void nothingIsKnownBeforeTheStoreWasRead() {
         CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
-        watermark.word(digest("k1", 0, 100));
-        assertTrue(watermark.ageS() > 1e9);
-        watermark.proven(95_000);
-        assertEquals(5, watermark.ageS(), 1e-6);
+        watermark.advanceByDigest(digest("k1", 0, 100));
+        assertTrue(watermark.ageSeconds() > 1e9);
+        watermark.advanceByStore(95_000);
+        assertEquals(5, watermark.ageSeconds(), 1e-6);
     }
 
     @Test
     void wordsCarryOnOnlyFromWhereTheyBegin() {
         CancellationWatermark watermark =
                 new CancellationWatermark(facts("k0", "k1", "k2"), timers);
-        watermark.proven(95_000);
-        watermark.word(digest("k1", 94, 99));
-        assertEquals(5, watermark.ageS(), 1e-6, "k2 has not spoken");
-        watermark.word(digest("k2", 96, 99));
-        assertEquals(5, watermark.ageS(), 1e-6, "k2 was started after what is known of it");
-        watermark.word(digest("k2", 90, 99));
-        assertEquals(1.01, watermark.ageS(), 1e-6);
+        watermark.advanceByStore(95_000);
+        watermark.advanceByDigest(digest("k1", 94, 99));
+        assertEquals(5, watermark.ageSeconds(), 1e-6, "k2 has not spoken");
+        watermark.advanceByDigest(digest("k2", 96, 99));
+        assertEquals(5, watermark.ageSeconds(), 1e-6, "k2 was started after what is known of it");
+        watermark.advanceByDigest(digest("k2", 90, 99));
+        assertEquals(1.01, watermark.ageSeconds(), 1e-6);
         // Each goes on from its own last word.
-        watermark.word(digest("k1", 98.9, 100));
-        watermark.word(digest("k2", 99.5, 100));
-        assertEquals(1.01, watermark.ageS(), 1e-6);
+        watermark.advanceByDigest(digest("k1", 98.9, 100));
+        watermark.advanceByDigest(digest("k2", 99.5, 100));
+        assertEquals(1.01, watermark.ageSeconds(), 1e-6);
         // A late copy takes nothing back.
-        watermark.word(digest("k1", 90, 96));
-        assertEquals(1.01, watermark.ageS(), 1e-6);
+        watermark.advanceByDigest(digest("k1", 90, 96));
+        assertEquals(1.01, watermark.ageSeconds(), 1e-6);
         // Nor does one of nobody known count.
-        watermark.word(digest("k9", 0, 100));
-        watermark.begin();
-        assertTrue(watermark.ageS() > 1e9);
+        watermark.advanceByDigest(digest("k9", 0, 100));
+        watermark.reset();
+        assertTrue(watermark.ageSeconds() > 1e9);
     }
 
     /**
@@ -65,11 +65,11 @@
     @Test
     void clocksThatAreApartCount() {
         CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
-        watermark.proven(95_000);
-        watermark.word(digest("k1", 94.995, 100));
-        assertEquals(5, watermark.ageS(), 1e-6);
-        watermark.word(digest("k1", 94.98, 100));
-        assertEquals(0.01, watermark.ageS(), 1e-6);
+        watermark.advanceByStore(95_000);
+        watermark.advanceByDigest(digest("k1", 94.995, 100));
+        assertEquals(5, watermark.ageSeconds(), 1e-6);
+        watermark.advanceByDigest(digest("k1", 94.98, 100));
+        assertEquals(0.01, watermark.ageSeconds(), 1e-6);
     }
 
     @Test
@@ -77,16 +77,16 @@
         CancellationLog log = new CancellationLog(facts("k1", "k0"), timers);
         double began = timers.wallClockMillis();
         assertEquals(began, log.digest().sinceMillis());
-        log.learned("j-0");
+        log.add("j-0");
         cluster.run(1);
         for (int i = 1; i <= 1000; i++) {
-            log.learned("j-" + i);
-            log.learned("j-1");
+            log.add("j-" + i);
+            log.add("j-1");
         }
         assertEquals(1000, log.digest().jobIds().size());
         assertEquals(began, log.digest().sinceMillis(), "the one that had to go was learned then");
         cluster.run(1);
-        log.learned("j-2000");
+        log.add("j-2000");
         assertEquals(began + 1000, log.digest().sinceMillis());
         cluster.run(31);
         assertEquals(List.of(), log.digest().jobIds());
@@ -100,17 +100,17 @@
     @Test
     void withTooManyToldNoWordCounts() {
         CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
-        watermark.proven(95_000);
+        watermark.advanceByStore(95_000);
         for (int i = 0; i < 6000; i++) {
-            watermark.told("j-" + i);
+            watermark.unprovenCancellations("j-" + i);
         }
-        assertEquals(5000, watermark.told().size());
-        watermark.word(digest("k1", 90, 100));
-        assertEquals(5, watermark.ageS(), 1e-6);
+        assertEquals(5000, watermark.unprovenCancellations().size());
+        watermark.advanceByDigest(digest("k1", 90, 100));
+        assertEquals(5, watermark.ageSeconds(), 1e-6);
         cluster.run(1);
-        watermark.proven(100_500);
-        assertEquals(0, watermark.told().size());
-        watermark.word(digest("k1", 90, 101));
-        assertEquals(0.01, watermark.ageS(), 1e-6);
+        watermark.advanceByStore(100_500);
+        assertEquals(0, watermark.unprovenCancellations().size());
+        watermark.advanceByDigest(digest("k1", 90, 101));
+        assertEquals(0.01, watermark.ageSeconds(), 1e-6);
     }
 }
