--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -136,7 +136,7 @@
                         200,
                         MessagePackCodec.encode(
                                 controller.roles().stream()
-                                        .map(LeasedRoles.RoleHolder::shown)
+                                        .map(LeasedRoles.RoleHolder::describe)
                                         .toList()));
             } else {
                 if (metrics == null) {
--- a/src/main/java/io/kitepath/cli/StateCommand.java
+++ b/src/main/java/io/kitepath/cli/StateCommand.java
@@ -78,20 +78,20 @@
             try {
                 EventLoop loop = group.next();
                 HttpClient http = new HttpClient(loop, at, 1, MAX_ANSWER);
-                OrphanScan audit =
+                OrphanScan scan =
                         new OrphanScan(
                                 new HttpStore(http, http, http, TIMEOUT_MS),
                                 conditions,
                                 this::show);
                 CompletableFuture<Boolean> over = new CompletableFuture<>();
-                loop.execute(() -> next(audit, new LoopTimers(loop), over));
+                loop.execute(() -> next(scan, new LoopTimers(loop), over));
                 if (!over.get(1, TimeUnit.HOURS)) {
                     System.err.println(
                             "kitepath: the state service at " + address + " does not answer");
                     return 1;
                 }
                 System.out.println(
-                        audit.seen()
+                        scan.recordsSeen()
                                 + " records: "
                                 + rubbish
                                 + " would be removed, "
@@ -103,22 +103,22 @@
             }
         }
 
-        private void next(OrphanScan audit, LoopTimers timers, CompletableFuture<Boolean> over) {
-            audit.step(
+        private void next(OrphanScan scan, LoopTimers timers, CompletableFuture<Boolean> over) {
+            scan.step(
                     () -> {
-                        tries = audit.failed() ? tries + 1 : 0;
-                        if (audit.done() || tries > TRIES) {
-                            over.complete(audit.done());
+                        tries = scan.hasLastStepFailed() ? tries + 1 : 0;
+                        if (scan.isComplete() || tries > TRIES) {
+                            over.complete(scan.isComplete());
                         } else {
-                            timers.schedule(0.05 * (1 + tries), () -> next(audit, timers, over));
+                            timers.schedule(0.05 * (1 + tries), () -> next(scan, timers, over));
                         }
                     });
         }
 
-        private void show(OrphanScan.Finding f) {
-            rubbish += f.rubbish() ? 1 : 0;
-            strange += f.rubbish() ? 0 : 1;
-            System.out.println((f.rubbish() ? "remove  " : "strange ") + f.key() + ": " + f.why());
+        private void show(OrphanScan.Finding finding) {
+            rubbish += finding.isRemovable() ? 1 : 0;
+            strange += finding.isRemovable() ? 0 : 1;
+            System.out.println((finding.isRemovable() ? "remove  " : "strange ") + finding.key() + ": " + finding.reason());
         }
     }
 }
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -240,12 +240,12 @@
     /** Hands over what it leads and holds: the node is being stopped on purpose. */
     public void stop() {
         leadership.stop();
-        leasedRoles.retire();
+        leasedRoles.stop();
     }
 
     /** The duties, and who has them as far as this node knows. */
     public List<LeasedRoles.RoleHolder> roles() {
-        return leasedRoles.seats();
+        return leasedRoles.roles();
     }
 
     /** Whether this node may do that duty now, by its own clock. */
@@ -278,21 +278,21 @@
 
     /** A worker's report. */
     public void onHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-        heartbeatService.heartbeat(heartbeat, answer);
+        heartbeatService.receive(heartbeat, answer);
     }
 
     /** A report that a sibling asks about; {@code passOn}: the leader may be asked in turn. */
     public void onRelayedHeartbeat(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
-        heartbeatService.answerFor(heartbeat, passOn, answer);
+        heartbeatService.answerForPeer(heartbeat, passOn, answer);
     }
 
     /** In how many seconds a user who can't be answered now shall come back. */
     public int retryAfterSeconds() {
-        return retryAfter.refuse();
+        return retryAfter.nextRetryAfterSeconds();
     }
 
     private void onJobEnded(JobStatus job) {
-        submissions.ended(job);
+        submissions.onJobEnded(job);
     }
 
     /** A sibling's view of itself. */
@@ -373,12 +373,12 @@
                 isTicking = true;
                 tick();
             }
-            heartbeatService.leaderKnown();
+            heartbeatService.onLeaderKnown();
         }
 
         @Override
         public void onLeaderChanged(String leader) {
-            heartbeatService.leaderKnown();
+            heartbeatService.onLeaderKnown();
         }
 
         @Override
@@ -399,7 +399,7 @@
             if (cellService != null) {
                 cellService.done(job.jobId());
             }
-            submissions.ended(job);
+            submissions.onJobEnded(job);
             peerNodes.announceJobEnd(job);
         }
 
@@ -415,13 +415,13 @@
 
         @Override
         public void cloudIntentChanged(Entry act) {
-            cloudIntents.changed(act);
+            cloudIntents.onRecordChanged(act);
         }
 
         @Override
         public void runningJobsKnown(double sinceMs) {
             cancellationWatermark.advanceByStore(sinceMs);
-            heartbeatService.leaderKnown();
+            heartbeatService.onLeaderKnown();
         }
 
         @Override
@@ -488,7 +488,7 @@
 
         @Override
         public void cancelled(JobStatus job) {
-            submissions.ended(job);
+            submissions.onJobEnded(job);
             peerNodes.announceJobEnd(job);
         }
     }
@@ -544,7 +544,7 @@
                     NodeMetrics.summary(shard, heartbeatProcessor, scheduler),
                     stateWriter.transactionsSent(),
                     stateWriter.recordsSent(),
-                    heartbeatService.received(),
+                    heartbeatService.receivedCount(),
                     String.format("%.1f", totalRoundSeconds) + loopTime);
         }
         timers.schedule(TICK_SECONDS, this::tick);
@@ -573,7 +573,7 @@
     }
 
     private void onWritten() {
-        heartbeatService.written();
+        heartbeatService.onWritten();
         requestRound();
     }
 }
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public String silence() {
+    public String whyUnavailable() {
         String leader = leadership.leader();
         if (leader == null) {
             return "no node leads at the moment";
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -127,10 +127,10 @@
         f.put(
                 "machines.set.aside",
                 Metric.gauge("machines set aside for failing", () -> countMachines(Machine::isQuarantined)));
-        f.put("checkins", Metric.counter("check-ins received", heartbeatService::received));
+        f.put("checkins", Metric.counter("check-ins received", heartbeatService::receivedCount));
         f.put(
                 "checkins.relayed",
-                Metric.counter("check-ins relayed to the leader", heartbeatService::relayed));
+                Metric.counter("check-ins relayed to the leader", heartbeatService::relayedCount));
         f.put("attempts.ended", Metric.counter("attempts proven over", shard::attemptsEnded));
         f.put("attempts.lost", Metric.counter("attempts lost with machine or session", shard::attemptsLost));
         f.put(
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -21,44 +21,44 @@
     void addTo(Map<String, Metric> f) {
         f.put(
                 "intents.asked",
-                Metric.counter("rentals and returns put down by this node", cloudIntents::asked));
+                Metric.counter("rentals and returns put down by this node", cloudIntents::requestedCount));
         f.put(
                 "intents.taken.over",
                 Metric.counter(
-                        "and those that it took over from earlier holders", cloudIntents::takenOver));
+                        "and those that it took over from earlier holders", cloudIntents::adoptedCount));
         f.put(
                 "intents.backlog",
                 Metric.gauge("rentals and returns that the cloud has not settled", cloudIntents::backlog));
         f.put(
                 "duty.cloud.calls",
                 Metric.counter(
-                        "rentals and returns asked of the cloud by this node", intentExecutor::called));
+                        "rentals and returns asked of the cloud by this node", intentExecutor::callCount));
         f.put(
                 "duty.cloud.failed",
-                Metric.counter("of those, refused or not answered", intentExecutor::failed));
+                Metric.counter("of those, refused or not answered", intentExecutor::failedCallCount));
         f.put(
                 "duty.fenced",
                 Metric.counter(
                         "times that nothing was done since the lease of duties was not certain",
-                        roles::fenced));
+                        roles::fencedCount));
         f.put(
                 "cleanup.looks",
                 Metric.counter(
-                        "times that this node looked through the state service", garbageCollector::looks));
-        f.put("cleanup.removed", Metric.counter("records that it removed there", garbageCollector::removed));
+                        "times that this node looked through the state service", garbageCollector::completedScans));
+        f.put("cleanup.removed", Metric.counter("records that it removed there", garbageCollector::removedCount));
         f.put(
                 "cleanup.strange",
-                Metric.gauge("records that should not be, by its last look", garbageCollector::strange));
-        for (LeasedRoles.RoleHolder holder : roles.seats()) {
+                Metric.gauge("records that should not be, by its last look", garbageCollector::inconsistentCount));
+        for (LeasedRoles.RoleHolder role : roles.roles()) {
             f.put(
-                    "duty." + holder.name() + ".here",
-                    Metric.gauge("whether this node has the duty", () -> holder.mine() ? 1 : 0));
+                    "duty." + role.name() + ".here",
+                    Metric.gauge("whether this node has the duty", () -> role.isHeldHere() ? 1 : 0));
             f.put(
-                    "duty." + holder.name() + ".token",
-                    Metric.gauge("the token of whoever has it", holder::token));
+                    "duty." + role.name() + ".token",
+                    Metric.gauge("the token of whoever has it", role::fencingToken));
             f.put(
-                    "duty." + holder.name() + ".hand.overs",
-                    Metric.counter("times that it was seen to change hands", holder::handOvers));
+                    "duty." + role.name() + ".hand.overs",
+                    Metric.counter("times that it was seen to change hands", role::handOvers));
         }
         f.put(
                 "takeover.read",
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -178,7 +178,7 @@
     /** A message of another cell; every one gets one answer, null if there is none to give now. */
     public void asked(CellMessage message, Consumer<CellMessage> answer) {
         if (message instanceof UserRequest u) {
-            jobs.asked(u, a -> answer.accept(new UserResponse(a.verdict().name(), a.state())));
+            jobs.asked(u, response -> answer.accept(new UserResponse(response.verdict().name(), response.jobStatus())));
             return;
         }
         if (!node.holds()) {
--- a/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -52,12 +52,12 @@
             // other.
             status(
                     spec.id(),
-                    a ->
+                    response ->
                             answer.accept(
-                                    a.verdict() == Verdict.NOT_FOUND
+                                    response.verdict() == Verdict.NOT_FOUND
                                             ? Answer.refused(
                                                     "a job waits only for jobs whose home is the cell that it is handed in to")
-                                            : a));
+                                            : response));
         }
     }
 
--- a/src/main/java/io/kitepath/core/role/CloudIntent.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntent.java
@@ -30,10 +30,10 @@
         throw new InvalidInputException("is not an act that this version knows");
     }
 
-    abstract Map<String, Object> record();
+    abstract Map<String, Object> toMap();
 
     /** Whether the cloud has said what came of it. */
-    public abstract boolean settled();
+    public abstract boolean isSettled();
 
     boolean recorded() {
         return revision > 0;
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -35,21 +35,21 @@
     private final Cloud cloud;
     private final Timers timers;
     private final Random random;
-    private final TokenBucket calls;
-    private final double lifeS;
-    private final Map<String, PendingAction> acts = new LinkedHashMap<>();
+    private final TokenBucket callBudget;
+    private final double leaseSeconds;
+    private final Map<String, PendingAction> pending = new LinkedHashMap<>();
     private long epoch;
-    private LeasedRoles.RoleLease held;
+    private LeasedRoles.RoleLease roleLease;
     private double failingSince = Double.NaN;
-    private long called;
-    private long failed;
+    private long callCount;
+    private long failedCallCount;
 
     /** One record that is not settled. */
     private static final class PendingAction {
         private final CloudIntent intent;
-        private boolean asking;
+        private boolean isInFlight;
         private int failures;
-        private double notBefore;
+        private double retryNotBefore;
 
         PendingAction(CloudIntent intent) {
             this.intent = intent;
@@ -68,8 +68,8 @@
         this.cloud = cloud;
         this.timers = timers;
         this.random = random;
-        this.lifeS = lifeS;
-        this.calls = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
+        this.leaseSeconds = lifeS;
+        this.callBudget = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
     }
 
     @Override
@@ -78,25 +78,25 @@
     }
 
     @Override
-    public void begin(LeasedRoles.RoleLease duty) {
-        held = duty;
+    public void onAcquired(LeasedRoles.RoleLease lease) {
+        roleLease = lease;
         failingSince = Double.NaN;
         read(++epoch);
     }
 
     @Override
-    public void end() {
+    public void onLost() {
         epoch++;
-        acts.clear();
+        pending.clear();
     }
 
     /** Calls made, and those that were refused or not answered. */
-    public long called() {
-        return called;
+    public long callCount() {
+        return callCount;
     }
 
-    public long failed() {
-        return failed;
+    public long failedCallCount() {
+        return failedCallCount;
     }
 
     // ---- what is on record ----------------------------------------------------------------------
@@ -115,8 +115,8 @@
                         timers.schedule(0.3, () -> read(e));
                         return;
                     }
-                    acts.clear();
-                    listing.entries().forEach(this::found);
+                    pending.clear();
+                    listing.entries().forEach(this::onIntentRead);
                     follow(e, listing.revision());
                 });
     }
@@ -128,13 +128,13 @@
         store.watch(
                 StoreKeys.CLOUD_INTENTS,
                 from,
-                (long) (lifeS * 2000),
+                (long) (leaseSeconds * 2000),
                 changes -> {
                     if (e != epoch) {
                         return;
                     }
                     if (changes.outcome() == Outcome.OK) {
-                        changes.events().forEach(this::found);
+                        changes.events().forEach(this::onIntentRead);
                         tick(timers.nowSeconds());
                         follow(e, Math.max(from, changes.revision()));
                     } else if (changes.outcome() == Outcome.REJECTED) {
@@ -145,18 +145,18 @@
                 });
     }
 
-    private void found(Entry entry) {
+    private void onIntentRead(Entry entry) {
         if (entry.value() == null) {
-            acts.remove(entry.key());
+            pending.remove(entry.key());
             return;
         }
         try {
             CloudIntent intent = CloudIntent.read(entry);
-            PendingAction action = acts.get(entry.key());
-            if (intent.settled()) {
-                acts.remove(entry.key());
+            PendingAction action = pending.get(entry.key());
+            if (intent.isSettled()) {
+                pending.remove(entry.key());
             } else if (action == null || action.intent.revision() < entry.revision()) {
-                acts.put(entry.key(), new PendingAction(intent));
+                pending.put(entry.key(), new PendingAction(intent));
             }
         } catch (InvalidInputException | ClassCastException bad) {
             LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
@@ -167,26 +167,26 @@
 
     @Override
     public void tick(double now) {
-        for (PendingAction action : new ArrayList<>(acts.values())) {
+        for (PendingAction action : new ArrayList<>(pending.values())) {
             // Last of all, right before the call: whether the duty is still ours.
-            if (!action.asking
-                    && now >= action.notBefore
-                    && calls.available(now) >= 1
-                    && held.certain().getAsBoolean()) {
-                calls.tryTake(1, now);
-                ask(action);
+            if (!action.isInFlight
+                    && now >= action.retryNotBefore
+                    && callBudget.available(now) >= 1
+                    && roleLease.isCertain().getAsBoolean()) {
+                callBudget.tryTake(1, now);
+                execute(action);
             }
         }
     }
 
     @Override
-    public boolean fit(double now) {
-        return Double.isNaN(failingSince) || now - failingSince < 2 * lifeS || acts.isEmpty();
+    public boolean canPerform(double now) {
+        return Double.isNaN(failingSince) || now - failingSince < 2 * leaseSeconds || pending.isEmpty();
     }
 
-    private void ask(PendingAction action) {
-        action.asking = true;
-        called++;
+    private void execute(PendingAction action) {
+        action.isInFlight = true;
+        callCount++;
         long e = epoch;
         if (action.intent instanceof RentalIntent rental) {
             cloud.rent(
@@ -194,7 +194,7 @@
                     rental.kind,
                     rental.count,
                     (outcome, machines) ->
-                            answered(
+                            onCloudAnswer(
                                     e,
                                     action,
                                     outcome,
@@ -210,7 +210,7 @@
             cloud.release(
                     release.machines,
                     outcome ->
-                            answered(
+                            onCloudAnswer(
                                     e,
                                     action,
                                     outcome == Outcome.OK ? outcome : Outcome.NOT_EXECUTED,
@@ -218,17 +218,17 @@
         }
     }
 
-    private void answered(
+    private void onCloudAnswer(
             long e, PendingAction action, Outcome outcome, Consumer<CloudIntent> settle) {
-        action.asking = false;
-        if (e != epoch || acts.get(action.intent.key) != action) {
+        action.isInFlight = false;
+        if (e != epoch || pending.get(action.intent.key) != action) {
             return; // Whoever has the duty now asks again, under the same name.
         }
         double now = timers.nowSeconds();
         if (outcome != Outcome.OK && outcome != Outcome.REJECTED) {
-            failed++;
+            failedCallCount++;
             failingSince = Double.isNaN(failingSince) ? now : failingSince;
-            action.notBefore =
+            action.retryNotBefore =
                     now
                             + Math.min(2, 0.1 * (1 << Math.min(5, action.failures++)))
                                     * (0.5 + random.nextDouble());
@@ -236,24 +236,24 @@
         }
         failingSince = Double.NaN;
         settle.accept(action.intent);
-        action.asking = true; // Until what came of it is on record.
-        write(e, action);
+        action.isInFlight = true; // Until what came of it is on record.
+        recordOutcome(e, action);
     }
 
-    private void write(long e, PendingAction action) {
+    private void recordOutcome(long e, PendingAction action) {
         if (e != epoch) {
             return;
         }
         Transaction transaction =
                 new Transaction()
-                        .requireRevision(held.key(), held.revision())
+                        .requireRevision(roleLease.key(), roleLease.revision())
                         .requireRevision(action.intent.key, action.intent.revision());
         if (action.intent instanceof RentalIntent rental && rental.machines().isEmpty()) {
             transaction.remove(
                     rental.key); // Nothing came of it: the holder sees it gone, and need not write
             // any more.
         } else {
-            transaction.put(action.intent.key, action.intent.record());
+            transaction.put(action.intent.key, action.intent.toMap());
         }
         store.commit(
                 transaction,
@@ -265,10 +265,10 @@
                         // Struck off or settled already, also by a try of ours whose answer was
                         // lost: the records tell.
                         case REJECTED -> read(++epoch);
-                        case OK -> acts.remove(action.intent.key, action);
+                        case OK -> pending.remove(action.intent.key, action);
                         default ->
                                 timers.schedule(
-                                        0.1 + 0.1 * random.nextDouble(), () -> write(e, action));
+                                        0.1 + 0.1 * random.nextDouble(), () -> recordOutcome(e, action));
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -40,26 +40,26 @@
     private static final Logger LOG = LoggerFactory.getLogger(CloudIntents.class);
 
     /** Machines in one request. */
-    private static final int MOST_RENTED = 50;
+    private static final int MAX_MACHINES_PER_RENTAL = 50;
 
-    private static final int MOST_RETURNED = 100;
+    private static final int MAX_MACHINES_PER_RELEASE = 100;
 
     private final ShardState shard;
     private final ClusterSettings settings;
     private final Timers timers;
-    private final Consumer<StateWriter.BatchContributor> ride;
-    private Consumer<RentalIntent> rented = rental -> {};
-    private Consumer<List<String>> gone = m -> {};
+    private final Consumer<StateWriter.BatchContributor> writeWithBatch;
+    private Consumer<RentalIntent> onRented = rental -> {};
+    private Consumer<List<String>> onGone = m -> {};
     private final Map<String, RentalIntent> rentals = new LinkedHashMap<>();
-    private final Map<String, ReleaseIntent> goings = new LinkedHashMap<>();
+    private final Map<String, ReleaseIntent> releases = new LinkedHashMap<>();
 
     /** Machines of the goings. */
-    private final Set<String> going = new HashSet<>();
+    private final Set<String> releasingMachines = new HashSet<>();
 
-    private String names = "";
-    private int named;
-    private long asked;
-    private long takenOver;
+    private String namePrefix = "";
+    private int lastNameNumber;
+    private long requestedCount;
+    private long adoptedCount;
 
     /** {@code ride} has something written along with what the holder writes. */
     public CloudIntents(
@@ -67,55 +67,55 @@
         this.shard = shard;
         this.settings = shard.settings();
         this.timers = timers;
-        this.ride = ride;
+        this.writeWithBatch = ride;
     }
 
     /**
      * This node holds the machines now; the store never gives out that lease's id again, hence no
      * name twice.
      */
-    public void hold(long lease) {
-        names = lease + "-";
-        named = 0;
-        forget();
+    public void startTerm(long lease) {
+        namePrefix = lease + "-";
+        lastNameNumber = 0;
+        clear();
     }
 
-    private void forget() {
+    private void clear() {
         rentals.clear();
-        goings.clear();
-        going.clear();
+        releases.clear();
+        releasingMachines.clear();
     }
 
     /** Who is told what came of rentals, and which machines are gone for certain. */
-    public void listeners(Consumer<RentalIntent> whenRented, Consumer<List<String>> whenGone) {
-        rented = whenRented;
-        gone = whenGone;
+    public void setListeners(Consumer<RentalIntent> whenRented, Consumer<List<String>> whenGone) {
+        onRented = whenRented;
+        onGone = whenGone;
     }
 
     /** Takes over what earlier holders put down, or this one before it read everything again. */
     public void adopt(List<Entry> records) {
-        forget();
+        clear();
         for (Entry entry : records) {
             CloudIntent intent = read(entry);
             if (intent instanceof ReleaseIntent release) {
-                goings.put(release.key, release);
-                going.addAll(release.machines);
+                releases.put(release.key, release);
+                releasingMachines.addAll(release.machines);
                 release.machines.forEach(shard::markForRelease);
             } else if (intent instanceof RentalIntent rental) {
                 rentals.put(rental.key, rental);
-                known(rental);
+                addToShard(rental);
             }
         }
-        takenOver += rentals.size() + goings.size();
-        if (!rentals.isEmpty() || !goings.isEmpty()) {
+        adoptedCount += rentals.size() + releases.size();
+        if (!rentals.isEmpty() || !releases.isEmpty()) {
             LOG.info(
                     "takes over {} rentals, {} of them not settled, and {} returns of {} machines",
                     rentals.size(),
-                    unsettled().size(),
-                    goings.size(),
-                    going.size());
+                    unsettledRentals().size(),
+                    releases.size(),
+                    releasingMachines.size());
         }
-        goings().stream().filter(ReleaseIntent::settled).forEach(this::confirmed);
+        releases().stream().filter(ReleaseIntent::isSettled).forEach(this::onReleaseConfirmed);
     }
 
     private static CloudIntent read(Entry entry) {
@@ -127,9 +127,9 @@
         }
     }
 
-    private void known(RentalIntent rental) {
+    private void addToShard(RentalIntent rental) {
         double now = timers.nowSeconds();
-        double since = now - Math.max(0, timers.wallClockMillis() - rental.askedMs()) / 1000;
+        double since = now - Math.max(0, timers.wallClockMillis() - rental.requestedAtMillis()) / 1000;
         rental.machines().forEach(m -> shard.addRentedMachine(m, rental.kind, now, since));
     }
 
@@ -138,51 +138,51 @@
      * That may be heard of before the answer to the write that put it down, or when that write was
      * done once more after nobody had heard its answer; so it is taken in whatever the books say.
      */
-    public void changed(Entry entry) {
+    public void onRecordChanged(Entry entry) {
         if (entry.value() == null) {
             RentalIntent asked = rentals.get(entry.key());
-            if (asked != null && !asked.settled()) {
+            if (asked != null && !asked.isSettled()) {
                 rentals.remove(entry.key());
                 asked.settle(List.of());
-                rented.accept(asked);
+                onRented.accept(asked);
             }
             return;
         }
         CloudIntent intent = read(entry);
-        if (intent == null || !intent.settled()) {
+        if (intent == null || !intent.isSettled()) {
             return;
         }
         if (intent instanceof RentalIntent rental) {
             RentalIntent asked = rentals.put(rental.key, rental);
-            if (asked == null || !asked.settled()) {
-                known(rental);
-                rented.accept(rental);
+            if (asked == null || !asked.isSettled()) {
+                addToShard(rental);
+                onRented.accept(rental);
             }
         } else if (intent instanceof ReleaseIntent release) {
-            goings.put(release.key, release);
-            confirmed(release);
+            releases.put(release.key, release);
+            onReleaseConfirmed(release);
         }
     }
 
     // ---- renting --------------------------------------------------------------------------------
 
     /** Puts down that so many machines, or as many as one request may ask for, are to be rented. */
-    public void rent(MachineKind kind, int count) {
+    public void requestRental(MachineKind kind, int count) {
         RentalIntent rental =
                 new RentalIntent(
-                        "r-" + names + ++named,
+                        "r-" + namePrefix + ++lastNameNumber,
                         kind,
-                        Math.min(MOST_RENTED, count),
+                        Math.min(MAX_MACHINES_PER_RENTAL, count),
                         shard.fencingToken(),
                         timers.wallClockMillis());
         rentals.put(rental.key, rental);
-        asked++;
-        write(rental, rentals);
+        requestedCount++;
+        writeRecord(rental, rentals);
     }
 
     /** Rentals of which nobody knows yet what came of them, the oldest first. */
-    public List<RentalIntent> unsettled() {
-        return rentals.values().stream().filter(rental -> !rental.settled()).toList();
+    public List<RentalIntent> unsettledRentals() {
+        return rentals.values().stream().filter(rental -> !rental.isSettled()).toList();
     }
 
     /**
@@ -191,24 +191,24 @@
      * would know of them neither from a report nor from a list, and rent again. Lists lag by up to
      * twice what the settings say, and may be older than the one before.
      */
-    public void listed() {
+    public void dropListedRentals() {
         double wallMs = timers.wallClockMillis();
         double lagMs = 1000 * settings.cloud().listLagSeconds();
         for (RentalIntent rental : new ArrayList<>(rentals.values())) {
-            double age = wallMs - rental.askedMs();
+            double age = wallMs - rental.requestedAtMillis();
             // Guards against a record kept for ever because a machine went before any list showed
             // it.
             boolean old = age > 8 * lagMs;
-            if (rental.settled()
+            if (rental.isSettled()
                     && rental.recorded()
                     && age > 2.5 * lagMs
-                    && (old || rental.machines().stream().allMatch(this::seen))) {
-                drop(rental, rentals);
+                    && (old || rental.machines().stream().allMatch(this::isListed))) {
+                removeRecord(rental, rentals);
             }
         }
     }
 
-    private boolean seen(String machine) {
+    private boolean isListed(String machine) {
         Machine m = shard.machines().get(machine);
         return m == null || m.isListed();
     }
@@ -216,48 +216,48 @@
     // ---- giving back ----------------------------------------------------------------------------
 
     /** Whether the machine is put down as going. */
-    public boolean goes(String machine) {
-        return going.contains(machine);
+    public boolean isReleasing(String machine) {
+        return releasingMachines.contains(machine);
     }
 
     /** Puts down that these machines go; no decision about them is taken back. */
-    public void giveBack(Collection<String> machines) {
+    public void requestRelease(Collection<String> machines) {
         List<String> batch = new ArrayList<>();
         // Bytes of a name with its quotes, in a value of limited size.
         double left = settings.store().maxValueKibibytes() * 1024 * 0.8;
         for (String m : machines) {
             left -= m.length() + 4;
-            if (batch.size() < MOST_RETURNED && left > 0 && !going.contains(m)) {
+            if (batch.size() < MAX_MACHINES_PER_RELEASE && left > 0 && !releasingMachines.contains(m)) {
                 batch.add(m);
             }
         }
         if (batch.isEmpty()) {
             return;
         }
-        ReleaseIntent release = new ReleaseIntent(names + ++named, batch, shard.fencingToken());
-        goings.put(release.key, release);
-        going.addAll(batch);
+        ReleaseIntent release = new ReleaseIntent(namePrefix + ++lastNameNumber, batch, shard.fencingToken());
+        releases.put(release.key, release);
+        releasingMachines.addAll(batch);
         batch.forEach(shard::markForRelease);
-        asked++;
-        write(release, goings);
+        requestedCount++;
+        writeRecord(release, releases);
     }
 
     /** Returns that the cloud has not confirmed, the oldest first. */
-    public List<ReleaseIntent> goings() {
-        return List.copyOf(goings.values());
+    public List<ReleaseIntent> releases() {
+        return List.copyOf(releases.values());
     }
 
     /** The cloud has confirmed it: the machines and all on them are gone. */
-    private void confirmed(ReleaseIntent release) {
-        going.removeAll(release.machines);
-        drop(release, goings);
-        gone.accept(release.machines);
+    private void onReleaseConfirmed(ReleaseIntent release) {
+        releasingMachines.removeAll(release.machines);
+        removeRecord(release, releases);
+        onGone.accept(release.machines);
     }
 
     // ---- writing --------------------------------------------------------------------------------
 
-    private <T extends CloudIntent> void write(T intent, Map<String, T> books) {
-        ride.accept(
+    private <T extends CloudIntent> void writeRecord(T intent, Map<String, T> books) {
+        writeWithBatch.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean isStillWanted() {
@@ -268,7 +268,7 @@
                     public void contributeTo(Transaction transaction) {
                         transaction
                                 .requireRevision(intent.key, intent.revision())
-                                .put(intent.key, intent.record());
+                                .put(intent.key, intent.toMap());
                     }
 
                     @Override
@@ -279,9 +279,9 @@
                 });
     }
 
-    private <T extends CloudIntent> void drop(T intent, Map<String, T> books) {
+    private <T extends CloudIntent> void removeRecord(T intent, Map<String, T> books) {
         books.remove(intent.key, intent);
-        ride.accept(
+        writeWithBatch.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean isUrgent() {
@@ -308,20 +308,20 @@
     // ---- for operators --------------------------------------------------------------------------
 
     /** Acts put down by this node so far, and those that it took over from earlier holders. */
-    public long asked() {
-        return asked;
+    public long requestedCount() {
+        return requestedCount;
     }
 
-    public long takenOver() {
-        return takenOver;
+    public long adoptedCount() {
+        return adoptedCount;
     }
 
     /** Rentals and returns on the books now, and of them those not settled. */
-    public int open() {
-        return rentals.size() + goings.size();
+    public int openCount() {
+        return rentals.size() + releases.size();
     }
 
     public int backlog() {
-        return unsettled().size() + goings.size();
+        return unsettledRentals().size() + releases.size();
     }
 }
--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -20,27 +20,27 @@
     private static final Logger LOG = LoggerFactory.getLogger(GarbageCollector.class);
 
     /** Between two looks, in workers' leases. */
-    private static final double PAUSE_LEASES = 10;
+    private static final double PAUSE_IN_LEASES = 10;
 
     /** Of the store's request and change rates. */
     private static final double RATE_SHARE = 0.01;
 
     /** What waits to be removed; what is found beyond that is found again by the next look. */
-    private static final int MOST = 1000;
+    private static final int MAX_QUEUED = 1000;
 
     private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
-    private final Deque<OrphanScan.Finding> rubbish = new ArrayDeque<>();
-    private OrphanScan audit;
-    private LeasedRoles.RoleLease held;
+    private final Deque<OrphanScan.Finding> garbage = new ArrayDeque<>();
+    private OrphanScan scan;
+    private LeasedRoles.RoleLease roleLease;
     private long epoch;
-    private boolean busy;
-    private double nextAt;
-    private long looks;
-    private long removed;
-    private long strange;
-    private long strangeNow;
+    private boolean isRequestInFlight;
+    private double nextStepAt;
+    private long completedScans;
+    private long removedCount;
+    private long inconsistentCount;
+    private long inconsistentInScan;
 
     public GarbageCollector(ClusterSettings settings, Store store, Timers timers) {
         this.settings = settings;
@@ -54,22 +54,22 @@
     }
 
     @Override
-    public void begin(LeasedRoles.RoleLease duty) {
-        held = duty;
+    public void onAcquired(LeasedRoles.RoleLease lease) {
+        roleLease = lease;
         // Not at once: whoever ends again and again would do nothing but look.
-        nextAt = timers.nowSeconds() + settings.workers().leaseSeconds();
+        nextStepAt = timers.nowSeconds() + settings.workers().leaseSeconds();
     }
 
     @Override
-    public void end() {
+    public void onLost() {
         epoch++;
-        busy = false;
-        audit = null;
-        rubbish.clear();
+        isRequestInFlight = false;
+        scan = null;
+        garbage.clear();
     }
 
     @Override
-    public boolean fit(double now) {
+    public boolean canPerform(double now) {
         return true; // Whoever holds a lease of the store reaches all that it takes.
     }
 
@@ -77,83 +77,83 @@
      * Looks that were finished; records removed; findings of the last look that a person has to
      * look at.
      */
-    public long looks() {
-        return looks;
+    public long completedScans() {
+        return completedScans;
     }
 
-    public long removed() {
-        return removed;
+    public long removedCount() {
+        return removedCount;
     }
 
-    public long strange() {
-        return strange;
+    public long inconsistentCount() {
+        return inconsistentCount;
     }
 
     @Override
     public void tick(double now) {
-        if (busy || now < nextAt || !held.certain().getAsBoolean()) {
+        if (isRequestInFlight || now < nextStepAt || !roleLease.isCertain().getAsBoolean()) {
             return;
         }
         // One request a step, paced so that the sweep is not felt.
-        nextAt = now + 1 / (settings.store().requestsPerSecond() * RATE_SHARE);
-        if (!rubbish.isEmpty()) {
-            remove(rubbish.poll());
+        nextStepAt = now + 1 / (settings.store().requestsPerSecond() * RATE_SHARE);
+        if (!garbage.isEmpty()) {
+            remove(garbage.poll());
             return;
         }
-        if (audit == null) {
-            strangeNow = 0;
-            audit = new OrphanScan(store, 4 * settings.store().maxTransactionOperations(), this::found);
+        if (scan == null) {
+            inconsistentInScan = 0;
+            scan = new OrphanScan(store, 4 * settings.store().maxTransactionOperations(), this::onFinding);
         }
-        busy = true;
+        isRequestInFlight = true;
         long e = epoch;
-        audit.step(
+        scan.step(
                 () -> {
                     if (e != epoch) {
                         return;
                     }
-                    busy = false;
-                    if (audit.done()) {
-                        strange = strangeNow;
-                        looks++;
+                    isRequestInFlight = false;
+                    if (scan.isComplete()) {
+                        inconsistentCount = inconsistentInScan;
+                        completedScans++;
                         LOG.debug(
                                 "cleanup: looked at {} records, {} are rubbish, {} should not be",
-                                audit.seen(),
-                                rubbish.size(),
-                                strange);
-                        audit = null;
-                        nextAt = timers.nowSeconds() + PAUSE_LEASES * settings.workers().leaseSeconds();
+                                scan.recordsSeen(),
+                                garbage.size(),
+                                inconsistentCount);
+                        scan = null;
+                        nextStepAt = timers.nowSeconds() + PAUSE_IN_LEASES * settings.workers().leaseSeconds();
                     }
                 });
     }
 
-    private void found(OrphanScan.Finding f) {
-        if (!f.rubbish()) {
-            strangeNow++;
-            LOG.warn("record {} should not be: {}", f.key(), f.why());
-        } else if (rubbish.size() < MOST) {
-            rubbish.add(f);
+    private void onFinding(OrphanScan.Finding finding) {
+        if (!finding.isRemovable()) {
+            inconsistentInScan++;
+            LOG.warn("record {} should not be: {}", finding.key(), finding.reason());
+        } else if (garbage.size() < MAX_QUEUED) {
+            garbage.add(finding);
         }
     }
 
-    private void remove(OrphanScan.Finding f) {
-        busy = true;
+    private void remove(OrphanScan.Finding finding) {
+        isRequestInFlight = true;
         long e = epoch;
-        Transaction transaction = new Transaction().requireRevision(held.key(), held.revision());
-        f.conditions()
+        Transaction transaction = new Transaction().requireRevision(roleLease.key(), roleLease.revision());
+        finding.conditions()
                 .forEach(condition -> transaction.requireRevision(condition.key(), condition.revision()));
         store.commit(
-                transaction.remove(f.key()),
+                transaction.remove(finding.key()),
                 result -> {
                     if (e != epoch) {
                         return;
                     }
-                    busy = false;
+                    isRequestInFlight = false;
                     if (result.outcome() == Outcome.OK) {
-                        removed++;
-                        LOG.info("removed {}: {}", f.key(), f.why());
+                        removedCount++;
+                        LOG.info("removed {}: {}", finding.key(), finding.reason());
                     } else if (result.outcome() != Outcome.REJECTED) {
-                        rubbish.addFirst(
-                                f); // The same removal once more: its conditions let only one of
+                        garbage.addFirst(
+                                finding); // The same removal once more: its conditions let only one of
                         // the two through.
                     }
                 });
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -35,9 +35,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeasedRoles.class);
 
     /** Steady clocks of two machines drift apart by up to half of that. */
-    private static final double DRIFT = 0.001;
+    private static final double MAX_CLOCK_DRIFT = 0.001;
 
-    private static final double TICK_S = 0.25;
+    private static final double TICK_SECONDS = 0.25;
 
     /** What a duty does while it is held here. */
     public interface RoleWorker {
@@ -45,10 +45,10 @@
         String name();
 
         /** It is held from now on. */
-        void begin(RoleLease held);
+        void onAcquired(RoleLease held);
 
         /** It is held no more, or not for certain. */
-        void end();
+        void onLost();
 
         /** Called again and again while it is held for certain. */
         void tick(double now);
@@ -57,65 +57,65 @@
          * Whether this node can do it. One that can't gives it away, and leaves it to others for a
          * while.
          */
-        boolean fit(double now);
+        boolean canPerform(double now);
     }
 
     /**
      * A duty that is held here.
      *
      * @param key on whose {@code revision} all that is written for the duty depends
-     * @param certain whether it is held for certain, to be asked right before each act
+     * @param isCertain whether it is held for certain, to be asked right before each act
      */
-    public record RoleLease(String key, long revision, long token, BooleanSupplier certain) {}
+    public record RoleLease(String key, long revision, long fencingToken, BooleanSupplier isCertain) {}
 
     /** One duty, as this node sees it. */
     public static final class RoleHolder {
-        private final RoleWorker work;
+        private final RoleWorker worker;
         private final String key;
-        private String holder;
-        private long token;
+        private String holderNode;
+        private long fencingToken;
         private long revision;
-        private double since;
-        private boolean mine;
-        private boolean claiming;
+        private double heldSince;
+        private boolean isHeldHere;
+        private boolean isClaiming;
 
         /** Until when it is left to others. */
-        private double unfitUntil;
+        private double abstainsUntil;
 
-        private int givenAway;
+        private int handBacks;
         private long handOvers;
 
         private RoleHolder(RoleWorker work) {
-            this.work = work;
+            this.worker = work;
             this.key = StoreKeys.ROLES + work.name();
         }
 
         public String name() {
-            return work.name();
+            return worker.name();
         }
 
         /** The node that has it, or null. */
-        public String holder() {
-            return holder;
+        public String holderNode() {
+            return holderNode;
         }
 
-        public long token() {
-            return token;
+        public long fencingToken() {
+            return fencingToken;
         }
 
-        public boolean mine() {
-            return mine;
+        public boolean isHeldHere() {
+            return isHeldHere;
         }
 
         /**
          * For people: the duty, who has it, with which token, and how often it was seen to change
          * hands.
          */
-        public Map<String, Object> shown() {
+        public Map<String, Object> describe() {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("duty", name());
-            m.put("node", holder);
-            m.put("token", token);
+            m.put("node", holderNode);
+            m.put("token", fencingToken);
             m.put("handOvers", handOvers);
             return m;
         }
@@ -131,15 +131,15 @@
     private final Timers timers;
     private final Random random;
     private final Incarnation incarnation;
-    private final double lifeS;
-    private final Map<String, RoleHolder> seats = new LinkedHashMap<>();
+    private final double leaseSeconds;
+    private final Map<String, RoleHolder> roles = new LinkedHashMap<>();
     private final List<String> nodes = new ArrayList<>();
-    private long lease;
-    private boolean granting;
-    private double renewedAt = Double.NEGATIVE_INFINITY;
-    private boolean retired;
-    private long looks;
-    private long fenced;
+    private long leaseId;
+    private boolean isGrantInFlight;
+    private double renewalRequestedAt = Double.NEGATIVE_INFINITY;
+    private boolean isStopped;
+    private long currentRead;
+    private long fencedCount;
 
     /** {@code lifeS}: of the lease, in seconds. */
     public LeasedRoles(
@@ -155,42 +155,42 @@
         this.timers = timers;
         this.random = random;
         this.incarnation = incarnation;
-        this.lifeS = lifeS;
-        works.forEach(w -> seats.put(StoreKeys.ROLES + w.name(), new RoleHolder(w)));
+        this.leaseSeconds = lifeS;
+        works.forEach(worker -> roles.put(StoreKeys.ROLES + worker.name(), new RoleHolder(worker)));
         nodes.add(settings.node());
         settings.siblings().stream().filter(s -> !s.equals(settings.node())).forEach(nodes::add);
         nodes.sort(null);
     }
 
     public void start() {
-        look();
+        readRoleKeys();
         tick();
     }
 
     /** Gives all duties back at once, and takes none any more: the node is being stopped. */
-    public void retire() {
-        retired = true;
+    public void stop() {
+        isStopped = true;
         lose("the node is being stopped");
-        if (lease != 0) {
-            store.revokeLease(lease);
-            lease = 0;
+        if (leaseId != 0) {
+            store.revokeLease(leaseId);
+            leaseId = 0;
         }
     }
 
-    public List<RoleHolder> seats() {
-        return List.copyOf(seats.values());
+    public List<RoleHolder> roles() {
+        return List.copyOf(roles.values());
     }
 
     /** How often something was not done because the lease could not be proven any more. */
-    public long fenced() {
-        return fenced;
+    public long fencedCount() {
+        return fencedCount;
     }
 
     /** Whether the duty of that name is held here for certain. */
     public boolean holds(String name) {
-        RoleHolder holder = seats.get(StoreKeys.ROLES + name);
-        boolean certain = holder.mine && timers.nowSeconds() - renewedAt < lifeS * (1 - DRIFT);
-        fenced += holder.mine && !certain ? 1 : 0;
+        RoleHolder role = roles.get(StoreKeys.ROLES + name);
+        boolean certain = role.isHeldHere && timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
+        fencedCount += role.isHeldHere && !certain ? 1 : 0;
         return certain;
     }
 
@@ -201,9 +201,9 @@
      * earlier and comes later tells what was, and each would follow on, until no connection is left
      * for other watches.
      */
-    private void look() {
-        long mine = ++looks;
-        if (retired) {
+    private void readRoleKeys() {
+        long mine = ++currentRead;
+        if (isStopped) {
             return;
         }
         PagedScan.read(
@@ -212,187 +212,187 @@
                 StoreKeys.ROLES,
                 3,
                 listing -> {
-                    if (mine != looks) {
+                    if (mine != currentRead) {
                         return;
                     }
                     if (listing.outcome() != Outcome.OK) {
-                        lookLater();
+                        readRoleKeysLater();
                         return;
                     }
                     Map<String, Entry> there = new LinkedHashMap<>();
                     listing.entries().forEach(entry -> there.put(entry.key(), entry));
-                    seats.values()
+                    roles.values()
                             .forEach(
-                                    holder -> {
-                                        Entry entry = there.get(holder.key);
+                                    role -> {
+                                        Entry entry = there.get(role.key);
                                         if (entry == null) {
-                                            absent(holder, listing.revision());
+                                            onKeyAbsent(role, listing.revision());
                                         } else {
-                                            heard(holder, entry);
+                                            onKeyRead(role, entry);
                                         }
                                     });
-                    follow(mine, listing.revision());
+                    watchRoleKeys(mine, listing.revision());
                 });
     }
 
-    private void lookLater() {
-        timers.schedule(lifeS / 4 + random.nextDouble() * 0.3, this::look);
+    private void readRoleKeysLater() {
+        timers.schedule(leaseSeconds / 4 + random.nextDouble() * 0.3, this::readRoleKeys);
     }
 
-    private void follow(long mine, long from) {
+    private void watchRoleKeys(long mine, long from) {
         store.watch(
                 StoreKeys.ROLES,
                 from,
-                (long) (lifeS * 2000),
+                (long) (leaseSeconds * 2000),
                 changes -> {
-                    if (mine != looks || retired) {
+                    if (mine != currentRead || isStopped) {
                         return;
                     }
                     if (changes.outcome() != Outcome.OK) {
-                        lookLater();
+                        readRoleKeysLater();
                         return;
                     }
                     for (Entry entry : changes.events()) {
-                        RoleHolder holder = seats.get(entry.key());
-                        if (holder != null && entry.value() == null) {
-                            absent(holder, entry.revision());
-                        } else if (holder != null) {
-                            heard(holder, entry);
+                        RoleHolder role = roles.get(entry.key());
+                        if (role != null && entry.value() == null) {
+                            onKeyAbsent(role, entry.revision());
+                        } else if (role != null) {
+                            onKeyRead(role, entry);
                         }
                     }
                     if (changes.events().isEmpty()) {
                         // Nothing said for long: what is not heard of may have been missed in an
                         // outage.
-                        look();
+                        readRoleKeys();
                     } else {
-                        follow(mine, Math.max(from, changes.revision()));
+                        watchRoleKeys(mine, Math.max(from, changes.revision()));
                     }
                 });
     }
 
     /** The key was not there at that revision. */
-    private void absent(RoleHolder holder, long at) {
-        if (at < holder.revision) {
+    private void onKeyAbsent(RoleHolder role, long at) {
+        if (at < role.revision) {
             return; // It has been taken since.
         }
-        holder.revision = at;
-        if (holder.mine) {
-            lose(holder, "its key is gone");
+        role.revision = at;
+        if (role.isHeldHere) {
+            lose(role, "its key is gone");
         }
-        holder.holder = null;
-        claimLater(holder);
+        role.holderNode = null;
+        scheduleClaim(role);
     }
 
-    private void heard(RoleHolder holder, Entry entry) {
-        if (entry.revision() < holder.revision) {
+    private void onKeyRead(RoleHolder role, Entry entry) {
+        if (entry.revision() < role.revision) {
             return; // Older than what is known.
         }
         try {
             DocumentReader document = DocumentReader.of(entry.value());
             String node = document.text("node");
             long token = document.count("token");
-            if (lease != 0
+            if (leaseId != 0
                     && document.textOr("life", "").equals(incarnation.processId())
-                    && document.count("lease") == lease) {
+                    && document.count("lease") == leaseId) {
                 // Ours, though we heard no answer when we took it.
-                won(holder, entry.revision(), token);
+                onAcquired(role, entry.revision(), token);
                 return;
             }
-            if (entry.revision() == holder.revision) {
+            if (entry.revision() == role.revision) {
                 return;
             }
-            if (holder.mine) {
-                lose(holder, node + " has it with token " + token);
+            if (role.isHeldHere) {
+                lose(role, node + " has it with token " + token);
             }
             if (incarnation.ownerOf(
                             node, document.numberOr("since", 0, 0), document.textOr("life", ""))
                     == Incarnation.Holder.ABANDONED) {
                 store.revokeLease(document.count("lease"));
             }
-            took(holder, node, token);
-            holder.revision = entry.revision();
+            recordHolder(role, node, token);
+            role.revision = entry.revision();
         } catch (InvalidInputException invalid) {
             LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
         }
     }
 
-    private void took(RoleHolder holder, String node, long token) {
-        if (!node.equals(holder.holder) || token != holder.token) {
-            holder.handOvers++;
-            holder.since = timers.nowSeconds();
+    private void recordHolder(RoleHolder role, String node, long token) {
+        if (!node.equals(role.holderNode) || token != role.fencingToken) {
+            role.handOvers++;
+            role.heldSince = timers.nowSeconds();
         }
-        holder.holder = node;
-        holder.token = token;
+        role.holderNode = node;
+        role.fencingToken = token;
     }
 
     // ---- taking and losing ----------------------------------------------------------------------
 
     /** This node's place in the duty's order: each duty begins with another node. */
-    private int place(RoleHolder holder) {
-        int ordinal = new ArrayList<>(seats.keySet()).indexOf(holder.key);
+    private int claimRank(RoleHolder role) {
+        int ordinal = new ArrayList<>(roles.keySet()).indexOf(role.key);
         return Math.floorMod(nodes.indexOf(settings.node()) - ordinal - 1, nodes.size());
     }
 
-    private void claimLater(RoleHolder holder) {
-        if (holder.claiming || retired) {
+    private void scheduleClaim(RoleHolder role) {
+        if (role.isClaiming || isStopped) {
             return;
         }
-        holder.claiming = true;
-        double unfit = Math.max(0, holder.unfitUntil - timers.nowSeconds());
+        role.isClaiming = true;
+        double unfit = Math.max(0, role.abstainsUntil - timers.nowSeconds());
         timers.schedule(
-                place(holder) * lifeS / 16 + unfit + random.nextDouble() * 0.05,
+                claimRank(role) * leaseSeconds / 16 + unfit + random.nextDouble() * 0.05,
                 () -> {
-                    if (holder.holder != null || holder.mine || retired) {
-                        holder.claiming = false;
+                    if (role.holderNode != null || role.isHeldHere || isStopped) {
+                        role.isClaiming = false;
                         return;
                     }
-                    withLease(() -> claim(holder), () -> holder.claiming = false);
+                    withLease(() -> claim(role), () -> role.isClaiming = false);
                 });
     }
 
     private void withLease(Runnable then, Runnable orElse) {
-        if (lease != 0) {
+        if (leaseId != 0) {
             then.run();
             return;
         }
-        if (granting) {
+        if (isGrantInFlight) {
             timers.schedule(0.05, () -> withLease(then, orElse));
             return;
         }
-        granting = true;
+        isGrantInFlight = true;
         double asked = timers.nowSeconds();
         store.grantLease(
-                (long) (lifeS * 1000),
+                (long) (leaseSeconds * 1000),
                 (outcome, id) -> {
-                    granting = false;
+                    isGrantInFlight = false;
                     if (outcome == Outcome.OK) {
-                        lease = id;
-                        renewedAt = asked;
-                        renewLater(id);
+                        leaseId = id;
+                        renewalRequestedAt = asked;
+                        scheduleRenewal(id);
                         then.run();
                     } else {
                         orElse.run();
-                        lookLater();
+                        readRoleKeysLater();
                     }
                 });
     }
 
-    private void claim(RoleHolder holder) {
-        String tokenKey = StoreKeys.ROLE_FENCING_TOKENS + holder.name();
+    private void claim(RoleHolder role) {
+        String tokenKey = StoreKeys.ROLE_FENCING_TOKENS + role.name();
         store.get(
                 tokenKey,
                 (got, entry) -> {
                     if (got != Outcome.OK && got != Outcome.REJECTED
-                            || holder.holder != null
-                            || lease == 0) {
-                        holder.claiming = false;
-                        lookLater();
+                            || role.holderNode != null
+                            || leaseId == 0) {
+                        role.isClaiming = false;
+                        readRoleKeysLater();
                         return;
                     }
-                    long on = lease;
+                    long on = leaseId;
                     long next =
                             Math.max(
-                                            holder.token,
+                                            role.fencingToken,
                                             got == Outcome.OK
                                                     ? DocumentReader.of(entry.value())
                                                             .count("token")
@@ -401,82 +401,82 @@
                     Map<String, Object> key = new LinkedHashMap<>();
                     key.put("node", settings.node());
                     key.put("token", next);
-                    key.put("lease", lease);
+                    key.put("lease", leaseId);
                     key.put("since", incarnation.startedAtMillis());
                     key.put("life", incarnation.processId());
                     store.commit(
                             new Transaction()
-                                    .requireRevision(holder.key, 0)
+                                    .requireRevision(role.key, 0)
                                     .requireRevision(tokenKey, got == Outcome.OK ? entry.revision() : 0)
-                                    .put(holder.key, key, on)
+                                    .put(role.key, key, on)
                                     .put(tokenKey, Map.of("token", next)),
                             result -> {
-                                holder.claiming = false;
+                                role.isClaiming = false;
                                 if (result.outcome() == Outcome.OK
-                                        && lease == on
-                                        && result.revision() >= holder.revision) {
-                                    won(holder, result.revision(), next);
+                                        && leaseId == on
+                                        && result.revision() >= role.revision) {
+                                    onAcquired(role, result.revision(), next);
                                 } else {
                                     // Whoever has it, this node too if the answer was lost, is
                                     // heard of.
-                                    timers.schedule(random.nextDouble() * 0.1, this::look);
+                                    timers.schedule(random.nextDouble() * 0.1, this::readRoleKeys);
                                 }
                             });
                 });
     }
 
-    private void won(RoleHolder holder, long revision, long token) {
-        if (holder.mine && holder.revision == revision) {
+    private void onAcquired(RoleHolder role, long revision, long token) {
+        if (role.isHeldHere && role.revision == revision) {
             return;
         }
-        holder.mine = true;
-        holder.revision = revision;
-        took(holder, settings.node(), token);
-        LOG.info("duty {} is done here, with token {}", holder.name(), token);
-        holder.work.begin(new RoleLease(holder.key, revision, token, () -> holds(holder.name())));
+        role.isHeldHere = true;
+        role.revision = revision;
+        recordHolder(role, settings.node(), token);
+        LOG.info("duty {} is done here, with token {}", role.name(), token);
+        role.worker.onAcquired(new RoleLease(role.key, revision, token, () -> holds(role.name())));
     }
 
     private void lose(String why) {
-        seats.values().forEach(holder -> lose(holder, why));
+        roles.values().forEach(role -> lose(role, why));
     }
 
-    private void lose(RoleHolder holder, String why) {
-        if (holder.mine) {
-            holder.mine = false;
-            holder.holder = null;
+    private void lose(RoleHolder role, String why) {
+        if (role.isHeldHere) {
+            role.isHeldHere = false;
+            role.holderNode = null;
             LOG.info(
                     "duty {} is not done here any more, after {} s: {}",
-                    holder.name(),
-                    Math.round(timers.nowSeconds() - holder.since),
+                    role.name(),
+                    Math.round(timers.nowSeconds() - role.heldSince),
                     why);
-            holder.work.end();
+            role.worker.onLost();
         }
     }
 
-    private void renewLater(long id) {
+    private void scheduleRenewal(long id) {
         timers.schedule(
-                lifeS / 5,
+                leaseSeconds / 5,
                 () -> {
-                    if (lease != id) {
+                    if (leaseId != id) {
                         return;
                     }
                     double asked = timers.nowSeconds();
                     store.renewLease(
                             id,
                             outcome -> {
-                                if (lease != id) {
+                                if (leaseId != id) {
                                     return;
                                 }
                                 if (outcome == Outcome.REJECTED) {
-                                    lease = 0;
+                                    leaseId = 0;
                                     lose("the lease ended");
-                                    look();
+                                    readRoleKeys();
                                     return;
                                 }
                                 if (outcome == Outcome.OK) {
-                                    renewedAt = asked;
+                                    renewalRequestedAt = asked;
                                 }
-                                renewLater(id);
+                                scheduleRenewal(id);
                             });
                 });
     }
@@ -485,17 +485,17 @@
 
     private void tick() {
         double now = timers.nowSeconds();
-        for (RoleHolder holder : seats.values()) {
-            if (holder.mine && holds(holder.name())) {
-                if (holder.work.fit(now)) {
-                    holder.work.tick(now);
+        for (RoleHolder role : roles.values()) {
+            if (role.isHeldHere && holds(role.name())) {
+                if (role.worker.canPerform(now)) {
+                    role.worker.tick(now);
                 } else {
-                    giveAway(holder, now);
+                    handBack(role, now);
                 }
             }
         }
-        if (!retired) {
-            timers.schedule(TICK_S, this::tick);
+        if (!isStopped) {
+            timers.schedule(TICK_SECONDS, this::tick);
         }
     }
 
@@ -504,10 +504,10 @@
      * not answer. Each time that it proves unfit it leaves the duty to others for longer, so that
      * it does not go round in an outage of all.
      */
-    private void giveAway(RoleHolder holder, double now) {
-        holder.unfitUntil = now + lifeS * 5 * (1 << Math.min(5, holder.givenAway++));
-        long at = holder.revision;
-        lose(holder, "it can't be done from here");
-        store.commit(new Transaction().requireRevision(holder.key, at).remove(holder.key), result -> {});
+    private void handBack(RoleHolder role, double now) {
+        role.abstainsUntil = now + leaseSeconds * 5 * (1 << Math.min(5, role.handBacks++));
+        long at = role.revision;
+        lose(role, "it can't be done from here");
+        store.commit(new Transaction().requireRevision(role.key, at).remove(role.key), result -> {});
     }
 }
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -27,31 +27,31 @@
  */
 public final class OrphanScan {
     /** Records in one page. */
-    private static final int PAGE = 200;
+    private static final int PAGE_SIZE = 200;
 
     /**
      * What was found.
      *
-     * @param rubbish whether it can be removed; if not, it should not be, and a person has to look
-     * @param why in words
+     * @param isRemovable whether it can be removed; if not, it should not be, and a person has to look
+     * @param reason in words
      * @param conditions under which it is rubbish, its own revision among them
      */
-    public record Finding(boolean rubbish, String key, String why, List<Condition> conditions) {}
+    public record Finding(boolean isRemovable, String key, String reason, List<Condition> conditions) {}
 
     private final Store store;
-    private final int conditions;
-    private final Consumer<Finding> found;
+    private final int maxConditions;
+    private final Consumer<Finding> findingListener;
     private final Deque<String> prefixes =
             new ArrayDeque<>(List.of(StoreKeys.JOB_PARTS, StoreKeys.OPEN_JOBS, StoreKeys.CLOUD_INTENTS));
     private String prefix = prefixes.poll();
     private String from = "";
 
     /** What has to be compared before the next page is read. */
-    private final Deque<Runnable> steps = new ArrayDeque<>();
+    private final Deque<Runnable> pendingComparisons = new ArrayDeque<>();
 
-    private Runnable then = () -> {};
-    private long seen;
-    private boolean failed;
+    private Runnable whenStepDone = () -> {};
+    private long recordsSeen;
+    private boolean hasLastStepFailed;
 
     /**
      * A look that begins at the start.
@@ -61,18 +61,18 @@
      */
     public OrphanScan(Store store, int conditions, Consumer<Finding> found) {
         this.store = store;
-        this.conditions = conditions;
-        this.found = found;
+        this.maxConditions = conditions;
+        this.findingListener = found;
     }
 
     /** Whether all has been looked at. */
-    public boolean done() {
-        return prefix == null && steps.isEmpty();
+    public boolean isComplete() {
+        return prefix == null && pendingComparisons.isEmpty();
     }
 
     /** Records looked at so far. */
-    public long seen() {
-        return seen;
+    public long recordsSeen() {
+        return recordsSeen;
     }
 
     /**
@@ -80,31 +80,31 @@
      * are tried again.
      */
     public void step(Runnable afterwards) {
-        then = afterwards;
-        failed = false;
-        Runnable next = steps.poll();
+        whenStepDone = afterwards;
+        hasLastStepFailed = false;
+        Runnable next = pendingComparisons.poll();
         if (next != null) {
             next.run();
         } else if (prefix != null) {
-            page();
+            readPage();
         } else {
-            then.run();
+            whenStepDone.run();
         }
     }
 
     /** Whether the last step got no answer, so that the next one should wait. */
-    public boolean failed() {
-        return failed;
+    public boolean hasLastStepFailed() {
+        return hasLastStepFailed;
     }
 
-    private void page() {
+    private void readPage() {
         store.list(
                 prefix,
                 from,
-                PAGE,
+                PAGE_SIZE,
                 listing -> {
                     if (listing.outcome() == Outcome.OK) {
-                        read(listing);
+                        checkPage(listing);
                         if (listing.hasMore() && !listing.entries().isEmpty()) {
                             from = listing.entries().get(listing.entries().size() - 1).key();
                         } else {
@@ -112,28 +112,28 @@
                             from = "";
                         }
                     }
-                    failed = listing.outcome() != Outcome.OK;
-                    then.run();
+                    hasLastStepFailed = listing.outcome() != Outcome.OK;
+                    whenStepDone.run();
                 });
     }
 
-    private void read(ListResult listing) {
-        seen += listing.entries().size();
+    private void checkPage(ListResult listing) {
+        recordsSeen += listing.entries().size();
         switch (prefix) {
-            case StoreKeys.JOB_PARTS -> parts(listing.entries());
-            case StoreKeys.OPEN_JOBS -> open(listing.entries());
-            default -> listing.entries().forEach(this::act);
+            case StoreKeys.JOB_PARTS -> checkParts(listing.entries());
+            case StoreKeys.OPEN_JOBS -> checkOpenJobs(listing.entries());
+            default -> listing.entries().forEach(this::checkIntent);
         }
     }
 
     // ---- parts without a job --------------------------------------------------------------------
 
-    private void parts(List<Entry> entries) {
+    private void checkParts(List<Entry> entries) {
         Map<String, List<Entry>> byJob = new LinkedHashMap<>();
         for (Entry entry : entries) {
             String id = StoreKeys.findJobOfPart(entry.key());
             if (id == null) {
-                found.accept(
+                findingListener.accept(
                         new Finding(false, entry.key(), "is not the key of a part", List.of()));
             } else {
                 byJob.computeIfAbsent(id, key -> new ArrayList<>()).add(entry);
@@ -147,12 +147,12 @@
                 anywhere,
                 (id, open, over) -> {
                     if (!open && !over) {
-                        byJob.get(id).forEach(entry -> orphan(id, entry));
+                        byJob.get(id).forEach(entry -> reportOrphan(id, entry));
                     }
                 });
     }
 
-    private void orphan(String id, Entry entry) {
+    private void reportOrphan(String id, Entry entry) {
         boolean idle;
         try {
             idle =
@@ -161,7 +161,7 @@
         } catch (InvalidInputException invalid) {
             idle = false;
         }
-        found.accept(
+        findingListener.accept(
                 new Finding(
                         idle,
                         entry.key(),
@@ -178,7 +178,7 @@
 
     // ---- jobs in two places ---------------------------------------------------------------------
 
-    private void open(List<Entry> entries) {
+    private void checkOpenJobs(List<Entry> entries) {
         Map<String, Long> read = new LinkedHashMap<>();
         entries.forEach(
                 entry ->
@@ -188,7 +188,7 @@
                 read,
                 (id, changed, over) -> {
                     if (over && !changed) {
-                        found.accept(
+                        findingListener.accept(
                                 new Finding(
                                         false,
                                         StoreKeys.OPEN_JOBS + id,
@@ -204,11 +204,11 @@
      * Those that can be read are the holder's: it takes in whatever has come of them, also of
      * earlier ones' acts.
      */
-    private void act(Entry entry) {
+    private void checkIntent(Entry entry) {
         try {
             CloudIntent.read(entry);
         } catch (InvalidInputException | ClassCastException bad) {
-            found.accept(
+            findingListener.accept(
                     new Finding(
                             false, entry.key(), "is unreadable: " + bad.getMessage(), List.of()));
         }
@@ -225,7 +225,7 @@
          *     for none
          * @param over whether it has a record as over
          */
-        void are(String id, boolean open, boolean over);
+        void accept(String id, boolean open, boolean over);
     }
 
     /**
@@ -234,10 +234,10 @@
      */
     private void compare(Map<String, Long> opens, Places places) {
         List<String> ids = new ArrayList<>(opens.keySet());
-        int most = Math.max(1, conditions / 2);
+        int most = Math.max(1, maxConditions / 2);
         for (int i = 0; i < ids.size(); i += most) {
             List<String> some = ids.subList(i, Math.min(ids.size(), i + most));
-            steps.add(() -> compare(opens, some, places, () -> then.run()));
+            pendingComparisons.add(() -> compare(opens, some, places, () -> whenStepDone.run()));
         }
     }
 
@@ -257,7 +257,7 @@
                         Set<String> other = new HashSet<>(result.failedKeys());
                         ids.forEach(
                                 id ->
-                                        places.are(
+                                        places.accept(
                                                 id,
                                                 other.contains(StoreKeys.OPEN_JOBS + id),
                                                 other.contains(StoreKeys.ENDED_JOBS + id)));
@@ -271,9 +271,9 @@
                                 places,
                                 () -> compare(opens, ids.subList(half, ids.size()), places, told));
                     } else {
-                        steps.addFirst(() -> compare(opens, ids, places, told));
-                        failed = true;
-                        then.run();
+                        pendingComparisons.addFirst(() -> compare(opens, ids, places, told));
+                        hasLastStepFailed = true;
+                        whenStepDone.run();
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/role/ReleaseIntent.java
+++ b/src/main/java/io/kitepath/core/role/ReleaseIntent.java
@@ -15,15 +15,15 @@
  */
 public final class ReleaseIntent extends CloudIntent {
     public final List<String> machines;
-    private final long token;
+    private final long fencingToken;
 
     /** The cloud has confirmed that they are gone. */
-    private boolean gone;
+    private boolean isConfirmedGone;
 
     ReleaseIntent(String name, List<String> machines, long token) {
         super(StoreKeys.RELEASE_INTENTS + name);
         this.machines = List.copyOf(machines);
-        this.token = token;
+        this.fencingToken = token;
     }
 
     /** Reads a record; throws {@link InvalidInputException} if it is none. */
@@ -38,28 +38,28 @@
                         entry.key().substring(StoreKeys.RELEASE_INTENTS.length()),
                         l.stream().map(String.class::cast).toList(),
                         document.count("token"));
-        release.gone = document.has("gone");
+        release.isConfirmedGone = document.has("gone");
         release.recorded(entry.revision());
         return release;
     }
 
     @Override
-    Map<String, Object> record() {
+    Map<String, Object> toMap() {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("machines", machines);
-        m.put("token", token);
-        if (gone) {
+        m.put("token", fencingToken);
+        if (isConfirmedGone) {
             m.put("gone", true);
         }
         return m;
     }
 
     @Override
-    public boolean settled() {
-        return gone;
+    public boolean isSettled() {
+        return isConfirmedGone;
     }
 
     void settle() {
-        gone = true;
+        isConfirmedGone = true;
     }
 }
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -16,8 +16,8 @@
 
     public final MachineKind kind;
     public final int count;
-    private final long token;
-    private final double askedMs;
+    private final long fencingToken;
+    private final double requestedAtMillis;
 
     /** The machines that came of it; null until that is known. */
     private List<String> machines;
@@ -27,8 +27,8 @@
         this.name = name;
         this.kind = kind;
         this.count = count;
-        this.token = token;
-        this.askedMs = askedMs;
+        this.fencingToken = token;
+        this.requestedAtMillis = askedMs;
     }
 
     /**
@@ -54,14 +54,14 @@
     }
 
     @Override
-    Map<String, Object> record() {
+    Map<String, Object> toMap() {
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("type", kind.machineType());
         m.put("zone", kind.zone());
         m.put("spot", kind.spot());
         m.put("count", (long) count);
-        m.put("token", token);
-        m.put("askedMs", askedMs);
+        m.put("token", fencingToken);
+        m.put("askedMs", requestedAtMillis);
         if (machines != null) {
             m.put("machines", machines);
         }
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public boolean settled() {
+    public boolean isSettled() {
         return machines != null;
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** Milliseconds since 1970 at which it was put down. */
-    double askedMs() {
-        return askedMs;
+    double requestedAtMillis() {
+        return requestedAtMillis;
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -80,12 +80,12 @@
         this.changed = changed;
         this.calls = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
         this.wishes = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
-        intents.listeners(this::rented, this::gone);
+        intents.setListeners(this::rented, this::gone);
     }
 
     /** This node holds the machines now, on a lease whose id the store never gives out again. */
     public void hold(long lease) {
-        intents.hold(lease);
+        intents.startTerm(lease);
         leadingSince = timers.nowSeconds();
     }
 
@@ -178,16 +178,16 @@
 
     /** Has put down what the plan says and nothing says yet. */
     private void intend(ScalingPlanner.Plan plan, double now) {
-        List<String> release = plan.release().stream().filter(m -> !intents.goes(m)).toList();
-        if (!release.isEmpty() && intents.goings().size() < AT_ONCE && wishes.tryTake(1, now)) {
-            intents.giveBack(release);
+        List<String> release = plan.release().stream().filter(m -> !intents.isReleasing(m)).toList();
+        if (!release.isEmpty() && intents.releases().size() < AT_ONCE && wishes.tryTake(1, now)) {
+            intents.requestRelease(release);
         }
         // One plan's rentals at a time: the next plan has to know what came of them.
-        if (intents.unsettled().isEmpty()) {
+        if (intents.unsettledRentals().isEmpty()) {
             plan.rent().entrySet().stream()
                     .limit(AT_ONCE)
                     .filter(e -> wishes.tryTake(1, now))
-                    .forEach(e -> intents.rent(e.getKey(), e.getValue()));
+                    .forEach(e -> intents.requestRental(e.getKey(), e.getValue()));
         }
     }
 
@@ -225,7 +225,7 @@
                     listedAt = timers.nowSeconds();
                     if (outcome == Outcome.OK && holds(mine)) {
                         shard.applyCloudList(list, timers.nowSeconds());
-                        intents.listed();
+                        intents.dropListedRentals();
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/service/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -29,7 +29,7 @@
      * be waited for.
      */
     interface Found {
-        void is(boolean known, String wrong);
+        void onResult(boolean known, String wrong);
     }
 
     /** Jobs that were cancelled, for ever. */
@@ -49,19 +49,19 @@
      * Read one by one up to that many, which also tells services; more are only compared, many at a
      * time.
      */
-    private static final int READ = 16;
+    private static final int MAX_READ_SINGLY = 16;
 
     private final Store store;
 
     /** Of a transaction's conditions, of which a job takes two. */
-    private int most;
+    private int maxIdsPerComparison;
 
     /** Jobs that were accepted and are no services. */
     private final Cache<String, Boolean> accepted = Caffeine.newBuilder().maximumSize(5000).build();
 
     DependencyCheck(ClusterSettings settings, Store store) {
         this.store = store;
-        this.most = 2 * settings.store().maxTransactionOperations();
+        this.maxIdsPerComparison = 2 * settings.store().maxTransactionOperations();
     }
 
     void accepted(String id, Shape shape) {
@@ -73,26 +73,26 @@
     void check(List<String> needs, Found answer) {
         List<String> open = needs.stream().filter(id -> accepted.getIfPresent(id) == null).toList();
         if (open.isEmpty()) {
-            answer.is(true, null);
-        } else if (open.size() <= READ) {
-            all(open, answer);
+            answer.onResult(true, null);
+        } else if (open.size() <= MAX_READ_SINGLY) {
+            readEach(open, answer);
         } else {
             compare(open, answer);
         }
     }
 
-    private void all(List<String> ids, Found answer) {
+    private void readEach(List<String> ids, Found answer) {
         int[] left = {ids.size()};
         Found once =
                 new Found() {
                     private boolean said;
 
                     @Override
-                    public void is(boolean known, String wrong) {
+                    public void onResult(boolean known, String wrong) {
                         boolean bad = wrong != null && !wrong.isEmpty();
                         if (!said && (!known || bad || --left[0] == 0)) {
                             said = true;
-                            answer.is(known, bad ? wrong : null);
+                            answer.onResult(known, bad ? wrong : null);
                         }
                     }
                 };
@@ -107,19 +107,19 @@
                                                 id,
                                                 StoreKeys.ENDED_JOBS,
                                                 y ->
-                                                        once.is(
+                                                        once.onResult(
                                                                 true,
                                                                 y == null
                                                                         ? "job "
                                                                                 + id
                                                                                 + " was never accepted"
                                                                         : y),
-                                                () -> once.is(false, null));
+                                                () -> once.onResult(false, null));
                                     } else {
-                                        once.is(true, x);
+                                        once.onResult(true, x);
                                     }
                                 },
-                                () -> once.is(false, null)));
+                                () -> once.onResult(false, null)));
     }
 
     /** {@code found}: empty if it is fine, why not otherwise, null if there is no such record. */
@@ -132,12 +132,12 @@
                     } else if (outcome != Outcome.OK) {
                         unsure.run();
                     } else {
-                        found.accept(wrong(id, entry.value()));
+                        found.accept(rejectionReason(id, entry.value()));
                     }
                 });
     }
 
-    private String wrong(String id, Object record) {
+    private String rejectionReason(String id, Object record) {
         try {
             Shape shape = JobRecord.fromRecord(id, record).spec().shape();
             if (DocumentReader.of(record).textOr("status", "").equals("cancelled")) {
@@ -151,14 +151,14 @@
     }
 
     private void compare(List<String> ids, Found answer) {
-        List<String> some = ids.subList(0, Math.min(most, ids.size()));
+        List<String> some = ids.subList(0, Math.min(maxIdsPerComparison, ids.size()));
         Transaction transaction = new Transaction();
         some.forEach(id -> transaction.requireRevision(StoreKeys.OPEN_JOBS + id, 0).requireRevision(StoreKeys.ENDED_JOBS + id, 0));
         store.commit(
                 transaction,
                 result -> {
                     if (result.outcome() == Outcome.INVALID && some.size() > 1) {
-                        most =
+                        maxIdsPerComparison =
                                 some.size()
                                         / 2; // The store takes fewer conditions by now than anybody
                         // said.
@@ -166,7 +166,7 @@
                         return;
                     }
                     if (result.outcome() != Outcome.OK && result.outcome() != Outcome.REJECTED) {
-                        answer.is(false, null);
+                        answer.onResult(false, null);
                         return;
                     }
                     Set<String> there = new HashSet<>(result.failedKeys());
@@ -178,7 +178,7 @@
                     Runnable rest =
                             () -> {
                                 if (some.size() == ids.size()) {
-                                    answer.is(true, null);
+                                    answer.onResult(true, null);
                                 } else {
                                     compare(ids.subList(some.size(), ids.size()), answer);
                                 }
@@ -187,13 +187,13 @@
                         rest.run();
                     } else {
                         // That one was never accepted is only said after one more look.
-                        all(
-                                missing.subList(0, Math.min(READ, missing.size())),
+                        readEach(
+                                missing.subList(0, Math.min(MAX_READ_SINGLY, missing.size())),
                                 (known, wrong) -> {
-                                    if (known && wrong == null && missing.size() <= READ) {
+                                    if (known && wrong == null && missing.size() <= MAX_READ_SINGLY) {
                                         rest.run();
                                     } else {
-                                        answer.is(known && wrong != null, wrong);
+                                        answer.onResult(known && wrong != null, wrong);
                                     }
                                 });
                     }
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -23,7 +23,7 @@
     private final ShardState shard;
     private final Leadership leadership;
     private final CancellationWatermark cancellationWatermark;
-    private boolean refusing;
+    private boolean isRefusing;
 
     HeartbeatAuthority(
             ShardState shard, Leadership leadership, CancellationWatermark cancellationWatermark) {
@@ -33,7 +33,7 @@
         this.cancellationWatermark = cancellationWatermark;
     }
 
-    boolean toAnswer(Heartbeat heartbeat) {
+    boolean mayAnswer(Heartbeat heartbeat) {
         return leadership.isLeading() && heartbeat.fencingToken() <= shard.fencingToken() && knowsCancellations();
     }
 
@@ -41,8 +41,8 @@
     boolean knowsCancellations() {
         double age = cancellationWatermark.ageSeconds();
         boolean knows = age < settings.workers().cancellationStalenessSeconds();
-        if (refusing == knows) {
-            refusing = !knows;
+        if (isRefusing == knows) {
+            isRefusing = !knows;
             if (knows) {
                 LOG.info("all cancellations are known again: workers are answered");
             } else {
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -26,9 +26,9 @@
  */
 public final class HeartbeatService {
     /** Of the 4 s after which a worker drops an answer. */
-    private static final double MAX_PARK_S = 3;
+    private static final double MAX_PARK_SECONDS = 3;
 
-    private static final int SENT_AWAY = 2000;
+    private static final int MAX_REDIRECTS_REMEMBERED = 2000;
 
     private final ClusterSettings settings;
     private final ShardState shard;
@@ -36,36 +36,36 @@
     private final Leadership leadership;
     private final StateWriter stateWriter;
     private final MembershipView membership;
-    private final HeartbeatAuthority entitlement;
+    private final HeartbeatAuthority authority;
     private final PeerNodes siblings;
     private final Timers timers;
     private final LoopTimeAccounting loopTime;
-    private final Runnable changed;
+    private final Runnable onShardChanged;
 
     /** Workers that were sent to the leader, and when. */
-    private final Map<String, Double> sentAway =
+    private final Map<String, Double> redirectedAt =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-                    return size() > SENT_AWAY;
+                    return size() > MAX_REDIRECTS_REMEMBERED;
                 }
             };
 
     private final Map<String, Parked> parked = new LinkedHashMap<>();
-    private final Map<String, Held> held = new LinkedHashMap<>();
-    private long received;
-    private long relayed;
+    private final Map<String, Held> heldAnswers = new LinkedHashMap<>();
+    private long receivedCount;
+    private long relayedCount;
 
     /**
-     * A check-in that waits for a leader, or for this one to know which jobs may run ({@code asked}
-     * null), or for the answer of the one asked. {@code token}: the highest that was known then.
+     * A check-in that waits for a leader, or for this one to know which jobs may run ({@code askedLeader}
+     * null), or for the answer of the one asked. {@code fencingToken}: the highest that was known then.
      */
     private record Parked(
-            Heartbeat report, String asked, long token, Consumer<HeartbeatResponse> answer) {}
+            Heartbeat heartbeat, String askedLeader, long fencingToken, Consumer<HeartbeatResponse> answer) {}
 
     /** A check-in whose answer waits a moment, so that work placed meanwhile starts at once. */
     private record Held(
-            Consumer<HeartbeatResponse> answer, List<WorkerCommand> orders, long token) {}
+            Consumer<HeartbeatResponse> answer, List<WorkerCommand> orders, long fencingToken) {}
 
     /** {@code changed} runs when a report may let work be placed. */
     public HeartbeatService(
@@ -85,24 +85,24 @@
         this.leadership = leadership;
         this.stateWriter = stateWriter;
         this.membership = membership;
-        this.entitlement = new HeartbeatAuthority(shard, leadership, cancellationWatermark);
+        this.authority = new HeartbeatAuthority(shard, leadership, cancellationWatermark);
         this.siblings = siblings;
         this.timers = timers;
         this.loopTime = loopTime;
-        this.changed = changed;
+        this.onShardChanged = changed;
     }
 
-    public long received() {
-        return received;
+    public long receivedCount() {
+        return receivedCount;
     }
 
-    public long relayed() {
-        return relayed;
+    public long relayedCount() {
+        return relayedCount;
     }
 
     /** A worker's report. */
-    public void heartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-        received++;
+    public void receive(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+        receivedCount++;
         if (heartbeat.fencingToken() > leadership.highestFencingToken()) {
             leadership.onFencingTokenSeen(heartbeat.fencingToken(), null);
         }
@@ -117,7 +117,7 @@
             loopTime.record(Activity.CHECK_INS, began);
             return;
         }
-        if (cutOff()) {
+        if (isCutOff()) {
             // Guards against a worker that waits here, its lease running, for a leader that others
             // hear and we don't.
             answer.accept(HeartbeatResponse.redirectTo(null));
@@ -134,7 +134,7 @@
         // time to time it is sent to try again.
         double now = timers.nowSeconds();
         double lease = settings.workers().leaseSeconds();
-        Double sent = sentAway.get(heartbeat.machineId());
+        Double sent = redirectedAt.get(heartbeat.machineId());
         boolean back = sent != null && now - sent < 2 * lease;
         boolean lost =
                 sent == null
@@ -142,12 +142,12 @@
                         && (heartbeat.fencingToken() == leadership.highestFencingToken()
                                 || !heartbeat.tasks().isEmpty());
         if (!back && !lost) {
-            sentAway.put(heartbeat.machineId(), now);
+            redirectedAt.put(heartbeat.machineId(), now);
             answer.accept(HeartbeatResponse.redirectTo(leader));
             return;
         }
-        sentAway.putIfAbsent(heartbeat.machineId(), now);
-        relayed++;
+        redirectedAt.putIfAbsent(heartbeat.machineId(), now);
+        relayedCount++;
         Parked parked = park(heartbeat, leader, answer);
         if (parked != null && !relay(leader, parked) && heartbeat.tasks().isEmpty()) {
             // One without tasks has nothing to lose; the others wait for another leader, who may
@@ -160,7 +160,7 @@
      * Neither the store nor any sibling is heard: whoever leads, it is not to be known here, nor to
      * be asked.
      */
-    private boolean cutOff() {
+    private boolean isCutOff() {
         return membership.isIsolated() && leadership.secondsSinceStoreAnswered() > leadership.leaseSeconds() + 1;
     }
 
@@ -174,7 +174,7 @@
     private boolean relay(String leader, Parked parked) {
         if (!membership.isSilent(leader)
                 && siblings.relayHeartbeat(
-                        leader, parked.report, false, response -> settle(parked, response))) {
+                        leader, parked.heartbeat, false, response -> settle(parked, response))) {
             return true;
         }
         for (String s : settings.siblings()) {
@@ -182,7 +182,7 @@
                     && !membership.isSilent(s)
                     && siblings.relayHeartbeat(
                             s,
-                            parked.report,
+                            parked.heartbeat,
                             true,
                             response -> {
                                 if (response.fencingToken() > 0) {
@@ -196,7 +196,7 @@
     }
 
     /** A check-in that a sibling asks about. */
-    public void answerFor(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
+    public void answerForPeer(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
         String leader = leadership.leader();
         if (!passOn
                 || leadership.isLeading()
@@ -224,28 +224,28 @@
         }
         Parked waits = parked.get(heartbeat.machineId());
         if (waits != null
-                && !heartbeat.isNewerThan(waits.report.agentIncarnation(), waits.report.sequence())) {
+                && !heartbeat.isNewerThan(waits.heartbeat.agentIncarnation(), waits.heartbeat.sequence())) {
             // Guards against a copy of an older report that sends the worker away whose report
             // waits here.
             answer.accept(HeartbeatResponse.redirectTo(null));
             return null;
         }
-        Parked p = new Parked(heartbeat, asked, leadership.highestFencingToken(), answer);
-        Parked older = parked.put(heartbeat.machineId(), p);
+        Parked parkedHeartbeat = new Parked(heartbeat, asked, leadership.highestFencingToken(), answer);
+        Parked older = parked.put(heartbeat.machineId(), parkedHeartbeat);
         if (older != null) {
             older.answer.accept(HeartbeatResponse.redirectTo(null));
         }
         timers.schedule(
-                heartbeat.tasks().isEmpty() ? 1 : MAX_PARK_S,
-                () -> settle(p, HeartbeatResponse.redirectTo(null)));
-        return p;
+                heartbeat.tasks().isEmpty() ? 1 : MAX_PARK_SECONDS,
+                () -> settle(parkedHeartbeat, HeartbeatResponse.redirectTo(null)));
+        return parkedHeartbeat;
     }
 
     /** Answers a check-in that waits; nothing happens if it has been answered already. */
-    private void settle(Parked p, HeartbeatResponse response) {
-        if (parked.get(p.report.machineId()) == p) {
-            parked.remove(p.report.machineId());
-            p.answer.accept(response);
+    private void settle(Parked parkedHeartbeat, HeartbeatResponse response) {
+        if (parked.get(parkedHeartbeat.heartbeat.machineId()) == parkedHeartbeat) {
+            parked.remove(parkedHeartbeat.heartbeat.machineId());
+            parkedHeartbeat.answer.accept(response);
         }
     }
 
@@ -254,12 +254,12 @@
      * The last one may have had the same name: a process that ended and is back has forgotten what
      * it was asked.
      */
-    public void leaderKnown() {
+    public void onLeaderKnown() {
         String leader = leadership.leader();
-        for (Parked p : new ArrayList<>(parked.values())) {
-            if (p.asked == null || !p.asked.equals(leader) || p.token < leadership.highestFencingToken()) {
-                parked.remove(p.report.machineId(), p);
-                heartbeat(p.report, p.answer);
+        for (Parked parkedHeartbeat : new ArrayList<>(parked.values())) {
+            if (parkedHeartbeat.askedLeader == null || !parkedHeartbeat.askedLeader.equals(leader) || parkedHeartbeat.fencingToken < leadership.highestFencingToken()) {
+                parked.remove(parkedHeartbeat.heartbeat.machineId(), parkedHeartbeat);
+                receive(parkedHeartbeat.heartbeat, parkedHeartbeat.answer);
             }
         }
     }
@@ -271,7 +271,7 @@
      * running.
      */
     private HeartbeatResponse answer(Heartbeat heartbeat) {
-        if (!stateWriter.knowsRunningJobs() || !entitlement.toAnswer(heartbeat)) {
+        if (!stateWriter.knowsRunningJobs() || !authority.mayAnswer(heartbeat)) {
             heartbeatProcessor.recordUnanswered(heartbeat, timers.nowSeconds());
             return HeartbeatResponse.redirectTo(leadership.isLeading() ? null : leadership.leader());
         }
@@ -290,7 +290,7 @@
                             heartbeat.machineId(), leadership.mayLaunch(), timers.nowSeconds()));
         }
         if (shard.isSchedulingNeeded()) {
-            changed.run();
+            onShardChanged.run();
         }
         return new HeartbeatResponse(shard.fencingToken(), orders, null);
     }
@@ -316,12 +316,12 @@
             answer.accept(now);
             return;
         }
-        Held h = new Held(answer, now.commands(), now.fencingToken());
-        held.put(machine, h);
+        Held heldAnswer = new Held(answer, now.commands(), now.fencingToken());
+        heldAnswers.put(machine, heldAnswer);
         timers.schedule(
                 patience,
                 () -> {
-                    if (held.get(machine) == h) {
+                    if (heldAnswers.get(machine) == heldAnswer) {
                         release(machine);
                     }
                 });
@@ -329,28 +329,28 @@
 
     /** Answers the machine's check-in now if its answer is held; returns whether it was. */
     public boolean release(String machine) {
-        Held h = held.remove(machine);
-        if (h == null) {
+        Held heldAnswer = heldAnswers.remove(machine);
+        if (heldAnswer == null) {
             return false;
         }
         // What was true when the report came need not be when the answer goes.
         if (!leadership.isLeading()
-                || shard.fencingToken() != h.token
-                || !entitlement.knowsCancellations()) {
-            h.answer.accept(
+                || shard.fencingToken() != heldAnswer.fencingToken
+                || !authority.knowsCancellations()) {
+            heldAnswer.answer.accept(
                     HeartbeatResponse.redirectTo(leadership.isLeading() ? null : leadership.leader()));
             return true;
         }
-        List<WorkerCommand> orders = new ArrayList<>(h.orders);
+        List<WorkerCommand> orders = new ArrayList<>(heldAnswer.orders);
         orders.addAll(heartbeatProcessor.commands(machine, leadership.mayLaunch(), timers.nowSeconds()));
-        h.answer.accept(new HeartbeatResponse(h.token, orders, null));
+        heldAnswer.answer.accept(new HeartbeatResponse(heldAnswer.fencingToken, orders, null));
         return true;
     }
 
     /** What was just written may be launched. */
-    public void written() {
+    public void onWritten() {
         double began = loopTime.now();
-        for (String machine : new ArrayList<>(held.keySet())) {
+        for (String machine : new ArrayList<>(heldAnswers.keySet())) {
             if (heartbeatProcessor.hasCommands(machine)) {
                 release(machine);
             }
@@ -360,7 +360,7 @@
 
     /** This node leads no more. */
     public void releaseAll() {
-        for (String machine : new ArrayList<>(held.keySet())) {
+        for (String machine : new ArrayList<>(heldAnswers.keySet())) {
             release(machine);
         }
     }
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -44,7 +44,7 @@
     private static final double READ_SHARE = 0.05;
 
     /** How long the first question waits for others. */
-    private static final double GATHER_S = 0.01;
+    private static final double GATHER_SECONDS = 0.01;
 
     private static final int MAX_TRIES = 3;
 
@@ -53,41 +53,41 @@
         void progress(List<String> jobs, Consumer<List<JobProgress>> answer);
 
         /** Why nobody can be asked, as far as known. */
-        String silence();
+        String whyUnavailable();
     }
 
     private final Store store;
     private final Timers timers;
-    private final Holder holder;
+    private final Holder progressSource;
 
     /** Reads how a job that is over ended, which happens once on each node. */
-    private final BiConsumer<String, Consumer<Answer>> over;
+    private final BiConsumer<String, Consumer<Answer>> finalStateReader;
 
-    private final TokenBucket requests;
+    private final TokenBucket requestBudget;
 
     /**
      * Guards against jobs that are never answered as their reading waits for what comparing leaves:
      * it takes all there is as long as questions come faster than that.
      */
-    private final TokenBucket reads;
+    private final TokenBucket readBudget;
 
     /** Jobs in one comparison. */
-    private int most;
+    private int maxJobsPerComparison;
 
-    private final int mostWaiting;
+    private final int maxWaiting;
     private final Map<String, List<Consumer<Answer>>> waiting = new LinkedHashMap<>();
     private int waitingCount;
-    private boolean gathering;
-    private final Cache<String, Heard> lately = Caffeine.newBuilder().maximumSize(3000).build();
+    private boolean isGathering;
+    private final Cache<String, Heard> lastHeard = Caffeine.newBuilder().maximumSize(3000).build();
 
     /** Jobs that wait for no others, or not any more. */
-    private final Cache<String, Boolean> free = Caffeine.newBuilder().maximumSize(10_000).build();
+    private final Cache<String, Boolean> withoutDependencies = Caffeine.newBuilder().maximumSize(10_000).build();
 
     /** For how long it may be said of one that may wait for others how far it was. */
-    private final double freshS;
+    private final double freshSeconds;
 
     /** How far a job was, and when that was said. */
-    private record Heard(JobProgress progress, double at) {}
+    private record Heard(JobProgress progress, double heardAt) {}
 
     JobStatusQueries(
             ClusterSettings settings,
@@ -97,38 +97,38 @@
             BiConsumer<String, Consumer<Answer>> over) {
         this.store = store;
         this.timers = timers;
-        this.holder = holder;
-        this.over = over;
+        this.progressSource = holder;
+        this.finalStateReader = over;
         int nodes = settings.siblings().size() + 1;
-        this.requests = new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
-        this.reads = new TokenBucket(Math.max(1, settings.store().requestsPerSecond() * READ_SHARE / nodes));
+        this.requestBudget = new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
+        this.readBudget = new TokenBucket(Math.max(1, settings.store().requestsPerSecond() * READ_SHARE / nodes));
         // A transaction takes four conditions for each change that it may hold, and a job needs
         // two.
-        this.most = 2 * settings.store().maxTransactionOperations();
-        this.mostWaiting = settings.limits().maxSockets();
-        this.freshS = settings.workers().cancelDeadlineSeconds() / 2;
+        this.maxJobsPerComparison = 2 * settings.store().maxTransactionOperations();
+        this.maxWaiting = settings.limits().maxSockets();
+        this.freshSeconds = settings.workers().cancelDeadlineSeconds() / 2;
     }
 
     /** A job that was accepted here just now; {@code free}: it waits for no others. */
-    void accepted(String id, boolean free) {
-        heard(new JobProgress(id, 0, 0, null), free);
+    void onAccepted(String id, boolean free) {
+        remember(new JobProgress(id, 0, 0, null), free);
     }
 
-    private void heard(JobProgress progress, boolean isFree) {
-        lately.put(progress.jobId(), new Heard(progress, timers.nowSeconds()));
+    private void remember(JobProgress progress, boolean isFree) {
+        lastHeard.put(progress.jobId(), new Heard(progress, timers.nowSeconds()));
         // What runs, or ran, waits for nothing any more, and can only be cancelled by its own user.
         if (isFree || progress.runningTaskCount() > 0 || progress.doneTaskCount() > 0) {
-            free.put(progress.jobId(), true);
+            withoutDependencies.put(progress.jobId(), true);
         }
     }
 
     /** Whether the job was accepted, as far as this node has heard. */
-    boolean heardOf(String id) {
-        return lately.getIfPresent(id) != null;
+    boolean hasHeardOf(String id) {
+        return lastHeard.getIfPresent(id) != null;
     }
 
-    void ask(String id, Consumer<Answer> answer) {
-        if (waitingCount >= mostWaiting) {
+    void query(String id, Consumer<Answer> answer) {
+        if (waitingCount >= maxWaiting) {
             answer.accept(Answer.LATER);
             return;
         }
@@ -138,15 +138,15 @@
     }
 
     private void gather() {
-        if (gathering || waiting.isEmpty()) {
+        if (isGathering || waiting.isEmpty()) {
             return;
         }
-        gathering = true;
+        isGathering = true;
         timers.schedule(
-                Math.max(GATHER_S, requests.secondsUntil(1, timers.nowSeconds())),
+                Math.max(GATHER_SECONDS, requestBudget.secondsUntil(1, timers.nowSeconds())),
                 () -> {
-                    gathering = false;
-                    if (requests.tryTake(1, timers.nowSeconds())) {
+                    isGathering = false;
+                    if (requestBudget.tryTake(1, timers.nowSeconds())) {
                         send();
                     }
                     gather();
@@ -157,7 +157,7 @@
         Map<String, List<Consumer<Answer>>> batch = new LinkedHashMap<>();
         Transaction compare = new Transaction();
         Iterator<Map.Entry<String, List<Consumer<Answer>>>> all = waiting.entrySet().iterator();
-        while (all.hasNext() && batch.size() < most) {
+        while (all.hasNext() && batch.size() < maxJobsPerComparison) {
             Map.Entry<String, List<Consumer<Answer>>> e = all.next();
             all.remove();
             waitingCount -= e.getValue().size();
@@ -175,12 +175,12 @@
                 result -> {
                     switch (result.outcome()) {
                         // None of the keys exists.
-                        case OK -> batch.keySet().forEach(id -> tell(batch, id, Answer.NOT_FOUND));
-                        case REJECTED -> sort(batch, new HashSet<>(result.failedKeys()));
+                        case OK -> batch.keySet().forEach(id -> answerAll(batch, id, Answer.NOT_FOUND));
+                        case REJECTED -> dispatch(batch, new HashSet<>(result.failedKeys()));
                         case INVALID -> {
                             // The store takes fewer conditions by now than anybody said.
-                            most = Math.max(1, batch.size() / 2);
-                            batch.keySet().forEach(id -> tell(batch, id, Answer.LATER));
+                            maxJobsPerComparison = Math.max(1, batch.size() / 2);
+                            batch.keySet().forEach(id -> answerAll(batch, id, Answer.LATER));
                         }
                         default -> {
                             if (tries > 1) {
@@ -188,69 +188,69 @@
                                         0.1 * (MAX_TRIES + 1 - tries),
                                         () -> send(compare, batch, tries - 1));
                             } else {
-                                batch.keySet().forEach(id -> tell(batch, id, Answer.LATER));
+                                batch.keySet().forEach(id -> answerAll(batch, id, Answer.LATER));
                             }
                         }
                     }
                 });
     }
 
-    private static void tell(Map<String, List<Consumer<Answer>>> batch, String id, Answer answer) {
-        batch.get(id).forEach(x -> x.accept(answer));
+    private static void answerAll(Map<String, List<Consumer<Answer>>> batch, String id, Answer response) {
+        batch.get(id).forEach(x -> x.accept(response));
     }
 
     /** {@code there}: the keys that exist. */
-    private void sort(Map<String, List<Consumer<Answer>>> batch, Set<String> there) {
+    private void dispatch(Map<String, List<Consumer<Answer>>> batch, Set<String> there) {
         List<String> open = new ArrayList<>();
         for (String id : batch.keySet()) {
             if (there.contains(StoreKeys.OPEN_JOBS + id)) {
                 open.add(id);
             } else if (there.contains(StoreKeys.ENDED_JOBS + id)) {
-                over.accept(id, answer -> tell(batch, id, answer));
+                finalStateReader.accept(id, response -> answerAll(batch, id, response));
             } else {
-                confirm(batch, id);
+                confirmAbsent(batch, id);
             }
         }
-        progress(batch, open);
+        askProgress(batch, open);
     }
 
     /**
      * A job that the comparison did not find; that it was never accepted is only said after one
      * more look.
      */
-    private void confirm(Map<String, List<Consumer<Answer>>> batch, String id) {
+    private void confirmAbsent(Map<String, List<Consumer<Answer>>> batch, String id) {
         store.get(
                 StoreKeys.OPEN_JOBS + id,
                 (outcome, entry) -> {
                     switch (outcome) {
-                        case OK -> progress(batch, List.of(id));
+                        case OK -> askProgress(batch, List.of(id));
                         // A job moves from open to over and never back, so what is in neither was
                         // never accepted.
-                        case REJECTED -> over.accept(id, answer -> tell(batch, id, answer));
-                        default -> tell(batch, id, Answer.LATER);
+                        case REJECTED -> finalStateReader.accept(id, response -> answerAll(batch, id, response));
+                        default -> answerAll(batch, id, Answer.LATER);
                     }
                 });
     }
 
-    private void progress(Map<String, List<Consumer<Answer>>> batch, List<String> open) {
+    private void askProgress(Map<String, List<Consumer<Answer>>> batch, List<String> open) {
         if (open.isEmpty()) {
             return;
         }
-        holder.progress(
+        progressSource.progress(
                 open,
                 known -> {
                     Set<String> told = new HashSet<>();
                     known.forEach(
                             progress -> {
                                 told.add(progress.jobId());
-                                heard(progress, false);
+                                remember(progress, false);
                             });
                     for (String id : open) {
-                        Heard h = lately.getIfPresent(id);
+                        Heard h = lastHeard.getIfPresent(id);
                         if (h != null && told.contains(id)) {
-                            tell(batch, id, unfinished(h.progress));
+                            answerAll(batch, id, unfinished(h.progress));
                         } else {
-                            remembered(batch, id, h, known.isEmpty());
+                            answerFromMemory(batch, id, h, known.isEmpty());
                         }
                     }
                 });
@@ -265,11 +265,11 @@
      * is pending which is cancelled, because one before it was: that is only known to the holder
      * until it has been written. So nothing old is said of one that may still wait for others.
      */
-    private void remembered(
+    private void answerFromMemory(
             Map<String, List<Consumer<Answer>>> batch, String id, Heard h, boolean silent) {
-        if (h != null && (free.getIfPresent(id) != null || timers.nowSeconds() - h.at < freshS)) {
+        if (h != null && (withoutDependencies.getIfPresent(id) != null || timers.nowSeconds() - h.heardAt < freshSeconds)) {
             JobProgress progress = h.progress;
-            tell(
+            answerAll(
                     batch,
                     id,
                     unfinished(
@@ -278,29 +278,29 @@
                                             id,
                                             progress.doneTaskCount(),
                                             progress.runningTaskCount(),
-                                            holder.silence() + "; the figures are from before")
+                                            progressSource.whyUnavailable() + "; the figures are from before")
                                     : progress));
-        } else if (free.getIfPresent(id) != null) {
-            fromRecords(batch, id);
-        } else if (!reads.tryTake(1, timers.nowSeconds())) {
-            tell(batch, id, Answer.LATER);
+        } else if (withoutDependencies.getIfPresent(id) != null) {
+            answerFromRecords(batch, id);
+        } else if (!readBudget.tryTake(1, timers.nowSeconds())) {
+            answerAll(batch, id, Answer.LATER);
         } else {
             store.get(
                     StoreKeys.OPEN_JOBS + id,
                     (outcome, entry) -> {
                         if (outcome == Outcome.REJECTED) {
-                            over.accept(id, answer -> tell(batch, id, answer));
-                        } else if (outcome != Outcome.OK || needsOthers(id, entry.value())) {
-                            tell(batch, id, Answer.LATER);
+                            finalStateReader.accept(id, response -> answerAll(batch, id, response));
+                        } else if (outcome != Outcome.OK || mayHaveDependencies(id, entry.value())) {
+                            answerAll(batch, id, Answer.LATER);
                         } else {
-                            free.put(id, true);
-                            remembered(batch, id, h, silent);
+                            withoutDependencies.put(id, true);
+                            answerFromMemory(batch, id, h, silent);
                         }
                     });
         }
     }
 
-    private static boolean needsOthers(String id, Object record) {
+    private static boolean mayHaveDependencies(String id, Object record) {
         try {
             return !JobRecord.fromRecord(id, record).dependencies().isEmpty();
         } catch (InvalidInputException | IllegalArgumentException e) {
@@ -311,9 +311,9 @@
     /**
      * The holder can't be asked or does not know the job, and nothing was heard of it here before.
      */
-    private void fromRecords(Map<String, List<Consumer<Answer>>> batch, String id) {
-        if (!reads.tryTake(1, timers.nowSeconds())) {
-            tell(batch, id, Answer.LATER);
+    private void answerFromRecords(Map<String, List<Consumer<Answer>>> batch, String id) {
+        if (!readBudget.tryTake(1, timers.nowSeconds())) {
+            answerAll(batch, id, Answer.LATER);
             return;
         }
         PagedScan.read(
@@ -323,13 +323,13 @@
                 2,
                 parts -> {
                     if (parts.outcome() != Outcome.OK) {
-                        tell(batch, id, Answer.LATER);
+                        answerAll(batch, id, Answer.LATER);
                         return;
                     }
                     JobProgress progress =
                             Job.hasPartRecords(id, parts.entries().stream().map(Entry::value).toList());
-                    heard(progress, true);
-                    tell(batch, id, unfinished(progress));
+                    remember(progress, true);
+                    answerAll(batch, id, unfinished(progress));
                 });
     }
 }
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -36,8 +36,8 @@
         INVALID
     }
 
-    /** {@code why}: of what is refused or invalid. */
-    public record Answer(Verdict verdict, JobStatus state, String why) {
+    /** {@code reason}: of what is refused or invalid. */
+    public record Answer(Verdict verdict, JobStatus jobStatus, String reason) {
         public static final Answer LATER = new Answer(Verdict.LATER, null);
         static final Answer NOT_FOUND = new Answer(Verdict.NOT_FOUND, null);
 
@@ -51,7 +51,7 @@
     }
 
     /** What a record of a job that is over says beyond one of an open job, in bytes. */
-    private static final int OVER_BYTES = 96;
+    private static final int FINAL_STATE_BYTES = 96;
 
     private static final int MAX_TRIES = 4;
 
@@ -59,11 +59,11 @@
     private final Store store;
     private final Timers timers;
     private final DependencyCheck dependencies;
-    private final Cache<String, JobStatus> over = Caffeine.newBuilder().maximumSize(5000).build();
-    private final JobStatusQueries questions;
+    private final Cache<String, JobStatus> finalStates = Caffeine.newBuilder().maximumSize(5000).build();
+    private final JobStatusQueries statusQueries;
 
     /** Whether tasks may be lent to other cells. */
-    private final boolean cells;
+    private final boolean mayLendTasks;
 
     private Consumer<JobStatus> onCancelled = job -> {};
     private Consumer<String> knownCancelled = id -> {};
@@ -73,7 +73,7 @@
      * one behind the other, when it is known that they can't be answered: users are told at once
      * when to come back.
      */
-    private final BooleanSupplier served;
+    private final BooleanSupplier isStoreReachable;
 
     /** {@code cells}: whether tasks may be lent to other cells. */
     public JobSubmissionService(
@@ -83,13 +83,13 @@
             BooleanSupplier served,
             JobStatusQueries.Holder holder,
             boolean cells) {
-        this.cells = cells;
+        this.mayLendTasks = cells;
         this.settings = settings;
         this.dependencies = new DependencyCheck(settings, store);
         this.store = store;
         this.timers = timers;
-        this.served = served;
-        this.questions = new JobStatusQueries(settings, store, timers, holder, this::readOver);
+        this.isStoreReachable = served;
+        this.statusQueries = new JobStatusQueries(settings, store, timers, holder, this::readFinalState);
     }
 
     public void onCancelled(Consumer<JobStatus> listener) {
@@ -105,11 +105,11 @@
      * Answers what needs no look into the store: a final state, or that the store can't be asked
      * now.
      */
-    private boolean answeredAtOnce(String id, Consumer<Answer> answer) {
-        JobStatus known = over.getIfPresent(id);
+    private boolean answeredWithoutStore(String id, Consumer<Answer> answer) {
+        JobStatus known = finalStates.getIfPresent(id);
         if (known != null) {
             answer.accept(new Answer(Verdict.KNOWN, known));
-        } else if (!served.getAsBoolean()) {
+        } else if (!isStoreReachable.getAsBoolean()) {
             answer.accept(Answer.LATER);
         } else {
             return false;
@@ -121,8 +121,8 @@
      * The store has the job's end, which never changes: a word of the node that wrote it saves a
      * read.
      */
-    public void ended(JobStatus status) {
-        over.put(status.jobId(), status);
+    public void onJobEnded(JobStatus status) {
+        finalStates.put(status.jobId(), status);
         if (status.status().equals("cancelled")) {
             dependencies.cancelled(status.jobId());
             knownCancelled.accept(status.jobId());
@@ -132,11 +132,11 @@
     @Override
     public void submit(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
         String id = spec.id();
-        if (answeredAtOnce(id, answer)) {
+        if (answeredWithoutStore(id, answer)) {
             return;
         }
         if (needs.contains(id)) {
-            known(id, Answer.refused("a job can't wait for itself"), answer);
+            answerIfKnown(id, Answer.refused("a job can't wait for itself"), answer);
             return;
         }
         if (needs.isEmpty()) {
@@ -149,7 +149,7 @@
                     if (!sure) {
                         answer.accept(Answer.LATER);
                     } else if (wrong != null) {
-                        known(id, Answer.refused(wrong), answer);
+                        answerIfKnown(id, Answer.refused(wrong), answer);
                     } else {
                         create(spec, needs, answer);
                     }
@@ -157,8 +157,8 @@
     }
 
     /** A job that is known gets its state whatever else is said of it now. */
-    private void known(String id, Answer otherwise, Consumer<Answer> answer) {
-        status(id, a -> answer.accept(a.verdict() == Verdict.NOT_FOUND ? otherwise : a));
+    private void answerIfKnown(String id, Answer otherwise, Consumer<Answer> answer) {
+        status(id, response -> answer.accept(response.verdict() == Verdict.NOT_FOUND ? otherwise : response));
     }
 
     private void create(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
@@ -170,14 +170,14 @@
                         ? settings.tasksPerCompactPart()
                         : 0;
         Map<String, Object> record = new JobRecord(spec, timers.wallClockMillis(), needs, narrow, 0).toRecord();
-        if (JsonSize.sizeInBytes(record) + OVER_BYTES > bytes) {
-            known(
+        if (JsonSize.sizeInBytes(record) + FINAL_STATE_BYTES > bytes) {
+            answerIfKnown(
                     id,
                     new Answer(
                             Verdict.INVALID,
                             null,
                             "names and lists that can't be kept: over "
-                                    + (bytes - OVER_BYTES)
+                                    + (bytes - FINAL_STATE_BYTES)
                                     + " bytes together"),
                     answer);
             return;
@@ -191,7 +191,7 @@
         if (doomed == null) {
             transaction.put(StoreKeys.OPEN_JOBS + id, record);
         } else {
-            transaction.put(StoreKeys.ENDED_JOBS + id, cancelled(id, record));
+            transaction.put(StoreKeys.ENDED_JOBS + id, cancelledRecord(id, record));
         }
         store.commit(
                 transaction,
@@ -199,14 +199,14 @@
                     switch (result.outcome()) {
                         case OK -> {
                             if (doomed != null) {
-                                ended(doomed);
+                                onJobEnded(doomed);
                                 answer.accept(new Answer(Verdict.CREATED, doomed));
                                 return;
                             }
-                            questions.accepted(id, needs.isEmpty());
+                            statusQueries.onAccepted(id, needs.isEmpty());
                             dependencies.accepted(id, spec.shape());
                             answer.accept(
-                                    newest(
+                                    latest(
                                             id,
                                             new Answer(
                                                     Verdict.CREATED,
@@ -214,7 +214,7 @@
                         }
                         case REJECTED -> status(id, answer);
                         case INVALID ->
-                                known(
+                                answerIfKnown(
                                         id,
                                         new Answer(Verdict.INVALID, null, "can't be kept as it is"),
                                         answer);
@@ -225,8 +225,8 @@
 
     @Override
     public void status(String id, Consumer<Answer> answer) {
-        if (!answeredAtOnce(id, answer)) {
-            questions.ask(id, a -> answer.accept(newest(id, a)));
+        if (!answeredWithoutStore(id, answer)) {
+            statusQueries.query(id, response -> answer.accept(latest(id, response)));
         }
     }
 
@@ -235,18 +235,18 @@
      * that a job is over goes out to users at once, and that it was accepted when the store says
      * so.
      */
-    private Answer newest(String id, Answer answer) {
-        JobStatus known = over.getIfPresent(id);
+    private Answer latest(String id, Answer response) {
+        JobStatus known = finalStates.getIfPresent(id);
         if (known != null) {
             return new Answer(
-                    answer.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN, known);
+                    response.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN, known);
         }
-        return answer.verdict() == Verdict.NOT_FOUND && questions.heardOf(id)
+        return response.verdict() == Verdict.NOT_FOUND && statusQueries.hasHeardOf(id)
                 ? Answer.LATER
-                : answer;
+                : response;
     }
 
-    private void readOver(String id, Consumer<Answer> answer) {
+    private void readFinalState(String id, Consumer<Answer> answer) {
         store.get(
                 StoreKeys.ENDED_JOBS + id,
                 (outcome, entry) -> {
@@ -258,7 +258,7 @@
                                         document.text("status"),
                                         (int) document.count("done"),
                                         0);
-                        ended(status);
+                        onJobEnded(status);
                         answer.accept(new Answer(Verdict.KNOWN, status));
                     } else {
                         answer.accept(outcome == Outcome.REJECTED ? Answer.NOT_FOUND : Answer.LATER);
@@ -272,7 +272,7 @@
     }
 
     private void cancel(String id, int tries, Consumer<Answer> answer) {
-        if (answeredAtOnce(id, answer)) {
+        if (answeredWithoutStore(id, answer)) {
             return;
         }
         if (tries == 0) {
@@ -283,21 +283,21 @@
                 StoreKeys.OPEN_JOBS + id,
                 (outcome, open) -> {
                     if (outcome == Outcome.REJECTED) {
-                        readOver(id, answer);
+                        readFinalState(id, answer);
                         return;
                     }
                     if (outcome != Outcome.OK) {
                         answer.accept(Answer.LATER);
                         return;
                     }
-                    Map<String, Object> record = cancelled(id, open.value());
+                    Map<String, Object> record = cancelledRecord(id, open.value());
                     Transaction move =
                             new Transaction()
                                     .requireRevision(StoreKeys.OPEN_JOBS + id, open.revision())
                                     .requireRevision(StoreKeys.ENDED_JOBS + id, 0)
                                     .remove(StoreKeys.OPEN_JOBS + id)
                                     .put(StoreKeys.ENDED_JOBS + id, record);
-                    if (cells) {
+                    if (mayLendTasks) {
                         move.requireRevision(StoreKeys.LENT_TASKS + id, 0);
                     }
                     store.commit(
@@ -305,12 +305,12 @@
                             result -> {
                                 if (result.outcome() == Outcome.OK) {
                                     JobStatus status = new JobStatus(id, "cancelled", 0, 0);
-                                    ended(status);
+                                    onJobEnded(status);
                                     onCancelled.accept(status);
                                     answer.accept(new Answer(Verdict.KNOWN, status));
                                 } else if (result.outcome() == Outcome.REJECTED
                                         && result.failedKeys().contains(StoreKeys.LENT_TASKS + id)) {
-                                    callBack(id, open.revision(), answer);
+                                    recallLoans(id, open.revision(), answer);
                                 } else if (result.outcome() == Outcome.REJECTED) {
                                     cancel(id, tries - 1, answer);
                                 } else {
@@ -320,7 +320,7 @@
                 });
     }
 
-    private Map<String, Object> cancelled(String id, Object open) {
+    private Map<String, Object> cancelledRecord(String id, Object open) {
         Map<String, Object> end =
                 Map.of("status", "cancelled", "done", 0L, "endedMs", timers.wallClockMillis());
         try {
@@ -341,7 +341,7 @@
      * and the user told to come again, until its holder has it from that cell's own records that no
      * more of it will start.
      */
-    private void callBack(String id, long openRevision, Consumer<Answer> answer) {
+    private void recallLoans(String id, long openRevision, Consumer<Answer> answer) {
         store.commit(
                 new Transaction()
                         .requireRevision(StoreKeys.OPEN_JOBS + id, openRevision)
--- a/src/main/java/io/kitepath/core/service/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -10,31 +10,31 @@
  */
 public final class RetryAfter {
     /** Users wait no longer than this on our word. */
-    private static final int MOST_S = 30;
+    private static final int MAX_SECONDS = 30;
 
     private final Timers timers;
 
     /** Requests a second of the state service that are this node's. */
-    private final double share;
+    private final double requestsPerSecond;
 
-    private double second = Double.NEGATIVE_INFINITY;
-    private int refused;
-    private int before;
+    private double windowStart = Double.NEGATIVE_INFINITY;
+    private int refusedInWindow;
+    private int refusedInLastWindow;
 
     public RetryAfter(ClusterSettings settings, Timers timers) {
         this.timers = timers;
-        this.share = settings.store().requestsPerSecond() / (settings.siblings().size() + 1);
+        this.requestsPerSecond = settings.store().requestsPerSecond() / (settings.siblings().size() + 1);
     }
 
     /** One more is told to come back; returns in how many seconds. */
-    public int refuse() {
+    public int nextRetryAfterSeconds() {
         double now = timers.nowSeconds();
-        if (now - second >= 1) {
-            before = now - second < 2 ? refused : 0;
-            refused = 0;
-            second = now;
+        if (now - windowStart >= 1) {
+            refusedInLastWindow = now - windowStart < 2 ? refusedInWindow : 0;
+            refusedInWindow = 0;
+            windowStart = now;
         }
-        refused++;
-        return (int) Math.max(1, Math.min(MOST_S, Math.ceil(Math.max(before, refused) / share)));
+        refusedInWindow++;
+        return (int) Math.max(1, Math.min(MAX_SECONDS, Math.ceil(Math.max(refusedInLastWindow, refusedInWindow) / requestsPerSecond)));
     }
 }
--- a/src/main/java/io/kitepath/simulation/InvariantChecker.java
+++ b/src/main/java/io/kitepath/simulation/InvariantChecker.java
@@ -102,25 +102,25 @@
      * another was given before it was asked for; of two questions at the same time either may be
      * answered first.
      */
-    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer answer, double asked) {
-        if (answer == null) {
+    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer response, double asked) {
+        if (response == null) {
             return null;
         }
         answers++;
-        if (answer.verdict() != JobSubmissionService.Verdict.KNOWN
-                && answer.verdict() != JobSubmissionService.Verdict.CREATED) {
-            if (answer.verdict() != JobSubmissionService.Verdict.LATER
+        if (response.verdict() != JobSubmissionService.Verdict.KNOWN
+                && response.verdict() != JobSubmissionService.Verdict.CREATED) {
+            if (response.verdict() != JobSubmissionService.Verdict.LATER
                     && acceptedAt.getOrDefault(id, 1e18) < asked) {
-                breaks("forgotten: " + id + " gets " + answer.verdict());
+                breaks("forgotten: " + id + " gets " + response.verdict());
             }
-            return answer;
+            return response;
         }
         answeredAt.put(id, cluster.clock.now);
         if (cluster.specs.get(id) == null && !cluster.store.everHad(id)) {
             breaks("invented: " + id);
         }
         acceptedAt.putIfAbsent(id, cluster.clock.now);
-        String status = answer.state().status();
+        String status = response.jobStatus().status();
         if (doneAt.getOrDefault(id, 1e18) <= asked && !status.equals("done")
                 || cluster.toldCancelled.getOrDefault(id, 1e18) <= asked
                         && !status.equals("cancelled")) {
@@ -158,7 +158,7 @@
                                                 + cluster.cancelS)) {
             breaks("orphaned: " + id + " is called " + status);
         }
-        return answer;
+        return response;
     }
 
     // ---- cancelled tasks ------------------------------------------------------------------------
--- a/src/main/java/io/kitepath/simulation/LoadGenerator.java
+++ b/src/main/java/io/kitepath/simulation/LoadGenerator.java
@@ -59,7 +59,7 @@
                 () ->
                         node.controller
                                 .jobApi()
-                                .status(id, answer -> hears(id, answer, at, WAIT_S)));
+                                .status(id, response -> hears(id, response, at, WAIT_S)));
     }
 
     /** Hands it in there once more. */
@@ -78,13 +78,13 @@
                                 .submit(
                                         body,
                                         cluster.needs.getOrDefault(id, List.of()),
-                                        answer -> {
+                                        response -> {
                                             if (cluster.clock.now - at <= INSIST_S
-                                                    && (answer.verdict() == Verdict.CREATED
-                                                            || answer.verdict() == Verdict.KNOWN)) {
+                                                    && (response.verdict() == Verdict.CREATED
+                                                            || response.verdict() == Verdict.KNOWN)) {
                                                 cluster.rules.accepted(id);
                                             }
-                                            hears(id, answer, at, INSIST_S);
+                                            hears(id, response, at, INSIST_S);
                                         }));
     }
 
@@ -104,9 +104,9 @@
                                     .jobApi()
                                     .cancel(
                                             id,
-                                            answer -> {
-                                                told[0] |= answer.verdict() != Verdict.LATER;
-                                                hears(id, answer, at, INSIST_S);
+                                            response -> {
+                                                told[0] |= response.verdict() != Verdict.LATER;
+                                                hears(id, response, at, INSIST_S);
                                             }));
         }
         cluster.after(
@@ -118,9 +118,9 @@
                 });
     }
 
-    private void hears(String id, Answer answer, double at, double waits) {
+    private void hears(String id, Answer response, double at, double waits) {
         if (cluster.clock.now - at <= waits) {
-            cluster.heard(id, answer, at);
+            cluster.heard(id, response, at);
         }
     }
 
@@ -130,12 +130,12 @@
      * A user was told that: others look at once, everywhere, at the first of each kind of answer
      * about a job.
      */
-    void told(String id, Answer answer) {
-        boolean accepted = answer.verdict() == Verdict.CREATED || answer.verdict() == Verdict.KNOWN;
+    void told(String id, Answer response) {
+        boolean accepted = response.verdict() == Verdict.CREATED || response.verdict() == Verdict.KNOWN;
         if (!cluster.closeLooks || !accepted || cluster.specs.get(id) == null) {
             return;
         }
-        String status = answer.state().status();
+        String status = response.jobStatus().status();
         if (!looked.add(id + (status.equals("running") ? "pending" : status))) {
             return;
         }
--- a/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
+++ b/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
@@ -277,7 +277,7 @@
     public Verdict submit(SimulatedNode node, JobSpec spec) {
         specs.put(spec.id(), spec);
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        node.controller.jobApi().submit(spec, answer -> got[0] = answer);
+        node.controller.jobApi().submit(spec, response -> got[0] = response);
         run(0.2);
         if (got[0] == null) {
             return Verdict.LATER;
@@ -298,41 +298,41 @@
 
     public String status(SimulatedNode node, String id) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        node.controller.jobApi().status(id, answer -> got[0] = answer);
+        node.controller.jobApi().status(id, response -> got[0] = response);
         run(0.2);
         if (got[0] == null) {
             return "no answer";
         }
         heard(id, got[0]);
         return got[0].verdict() == Verdict.KNOWN
-                ? got[0].state().status()
+                ? got[0].jobStatus().status()
                 : got[0].verdict().toString();
     }
 
     public String cancel(SimulatedNode node, String id) {
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        node.controller.jobApi().cancel(id, answer -> got[0] = answer);
+        node.controller.jobApi().cancel(id, response -> got[0] = response);
         run(0.2);
         if (got[0] == null) {
             return "no answer";
         }
         heard(id, got[0]);
         return got[0].verdict() == Verdict.KNOWN
-                ? got[0].state().status()
+                ? got[0].jobStatus().status()
                 : got[0].verdict().toString();
     }
 
     // ---- the rules ------------------------------------------------------------------------------
 
-    private void heard(String id, JobSubmissionService.Answer answer) {
-        if (answer.verdict() == Verdict.NOT_FOUND && accepted.contains(id)) {
+    private void heard(String id, JobSubmissionService.Answer response) {
+        if (response.verdict() == Verdict.NOT_FOUND && accepted.contains(id)) {
             broken.add("forgotten: " + id);
         }
-        if (answer.state() == null || answer.verdict() == Verdict.LATER) {
+        if (response.jobStatus() == null || response.verdict() == Verdict.LATER) {
             return;
         }
         accepted.add(id);
-        String now = answer.state().status();
+        String now = response.jobStatus().status();
         String before = told.get(id);
         if (before != null && !before.equals(now)) {
             broken.add("went back: " + id + " was " + before + ", is " + now);
--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -252,8 +252,8 @@
                 .jobApi()
                 .submit(
                         arrival.spec,
-                        answer -> {
-                            if (answer.verdict() == Verdict.LATER) {
+                        response -> {
+                            if (response.verdict() == Verdict.LATER) {
                                 again.run();
                             } else {
                                 heard[0] = true;
--- a/src/main/java/io/kitepath/simulation/SimulatedCluster.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCluster.java
@@ -399,12 +399,12 @@
                 .submit(
                         spec,
                         List.of(itsNeeds),
-                        answer -> {
-                            if (answer.verdict() == JobSubmissionService.Verdict.CREATED
-                                    || answer.verdict() == JobSubmissionService.Verdict.KNOWN) {
+                        response -> {
+                            if (response.verdict() == JobSubmissionService.Verdict.CREATED
+                                    || response.verdict() == JobSubmissionService.Verdict.KNOWN) {
                                 rules.accepted(spec.id());
                             }
-                            got[0] = heard(spec.id(), answer, asked);
+                            got[0] = heard(spec.id(), response, asked);
                         });
         run(0.1);
         return got[0];
@@ -436,9 +436,9 @@
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         double asked = clock.now;
         question.accept(
-                answer -> {
+                response -> {
                     if (clock.now - asked <= USER_WAITS_S) {
-                        got[0] = heard(id, answer, asked);
+                        got[0] = heard(id, response, asked);
                     }
                 });
         run(0.1);
@@ -446,12 +446,12 @@
     }
 
     /** A user hears that; {@code asked}: when it asked. */
-    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer answer, double asked) {
-        rules.heard(id, answer, asked);
-        if (answer != null) {
-            users.told(id, answer);
+    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer response, double asked) {
+        rules.heard(id, response, asked);
+        if (response != null) {
+            users.told(id, response);
         }
-        return answer;
+        return response;
     }
 
     // ---- reports that are kept for another leader
@@ -500,10 +500,10 @@
     }
 
     public String status(SimulatedNode node, String id) {
-        JobSubmissionService.Answer answer = ask(node, id);
-        return answer.verdict() == JobSubmissionService.Verdict.KNOWN
-                ? answer.state().status()
-                : answer.verdict().toString();
+        JobSubmissionService.Answer response = ask(node, id);
+        return response.verdict() == JobSubmissionService.Verdict.KNOWN
+                ? response.jobStatus().status()
+                : response.verdict().toString();
     }
 
     /** How many tasks of the job are on machines. */
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -41,9 +41,9 @@
         } else if (!ProtocolCodec.isJobId(id)) {
             out.reply(404, null);
         } else if (cancel) {
-            controller.jobApi().cancel(id, answer -> answer(answer, true, out));
+            controller.jobApi().cancel(id, response -> answer(response, true, out));
         } else {
-            controller.jobApi().status(id, answer -> answer(answer, false, out));
+            controller.jobApi().status(id, response -> answer(response, false, out));
         }
     }
 
@@ -73,10 +73,10 @@
                         .submit(
                                 spec,
                                 needs,
-                                answer ->
+                                response ->
                                         answer(
-                                                answer,
-                                                answer.verdict()
+                                                response,
+                                                response.verdict()
                                                         == JobSubmissionService.Verdict.CREATED,
                                                 out));
                 return;
@@ -98,24 +98,24 @@
                 .jobApi()
                 .status(
                         id,
-                        answer -> {
-                            if (answer.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
+                        response -> {
+                            if (response.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
                                 out.reply(
                                         status,
                                         ProtocolCodec.encodeError(why),
                                         status == 503 ? controller.retryAfterSeconds() : 0);
                             } else {
-                                answer(answer, false, out);
+                                answer(response, false, out);
                             }
                         });
     }
 
-    private void answer(Answer answer, boolean brief, Responder out) {
-        switch (answer.verdict()) {
-            case CREATED -> out.reply(201, ProtocolCodec.encodeJobStatus(answer.state(), true));
-            case KNOWN -> out.reply(200, ProtocolCodec.encodeJobStatus(answer.state(), brief));
-            case REFUSED -> out.reply(422, ProtocolCodec.encodeError(answer.why()));
-            case INVALID -> out.reply(400, ProtocolCodec.encodeError(answer.why()));
+    private void answer(Answer response, boolean brief, Responder out) {
+        switch (response.verdict()) {
+            case CREATED -> out.reply(201, ProtocolCodec.encodeJobStatus(response.jobStatus(), true));
+            case KNOWN -> out.reply(200, ProtocolCodec.encodeJobStatus(response.jobStatus(), brief));
+            case REFUSED -> out.reply(422, ProtocolCodec.encodeError(response.reason()));
+            case INVALID -> out.reply(400, ProtocolCodec.encodeError(response.reason()));
             case NOT_FOUND -> out.reply(404, ProtocolCodec.encodeError("no such job"));
             default ->
                     out.reply(
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -51,8 +51,8 @@
     }
 
     private void cancelled(SimulatedNode node, String id) {
-        var answer = cluster.cancel(node, id);
-        assertEquals("cancelled", answer.state().status());
+        var response = cluster.cancel(node, id);
+        assertEquals("cancelled", response.jobStatus().status());
     }
 
     private void refuse(SimulatedNode node, double seconds) {
@@ -275,13 +275,13 @@
             cluster.run(1 + ago);
             SimulatedNode sibling = other(first);
             sibling.losesWord = true;
-            var answer = cluster.cancel(sibling, "j-1");
+            var response = cluster.cancel(sibling, "j-1");
             cluster.store.outage(70);
             cluster.run(0.4);
             cluster.node(first.name);
             cluster.run(60);
             assertEquals(List.of(), cluster.broken, "after " + ago);
-            if (answer != null && answer.verdict() == Verdict.KNOWN) {
+            if (response != null && response.verdict() == Verdict.KNOWN) {
                 assertEquals(0, cluster.onMachines("j-1"), "after " + ago);
             }
         }
@@ -311,7 +311,7 @@
                                     () ->
                                             sibling.controller
                                                     .jobApi()
-                                                    .cancel("j-1", answer -> {}));
+                                                    .cancel("j-1", response -> {}));
                             cluster.after(0.008, () -> cluster.store.outage(60));
                         }
                         return false;
@@ -352,7 +352,7 @@
         assertEquals(null, cluster.cancel(sibling, "j-1"));
         sibling.crash();
         cluster.run(1.2);
-        assertEquals("cancelled", cluster.ask(third, "j-1").state().status());
+        assertEquals("cancelled", cluster.ask(third, "j-1").jobStatus().status());
         cluster.store.outage(70);
         cluster.node(sibling.name);
         cluster.run(65);
@@ -519,7 +519,7 @@
                             .findFirst()
                             .orElseThrow();
             cluster.rules.asksToCancel("j-1");
-            sibling.controller.jobApi().cancel("j-1", answer -> {});
+            sibling.controller.jobApi().cancel("j-1", response -> {});
             cluster.run(0.02);
             cluster.ask(sibling, "j-1");
             assertTrue(cluster.toldCancelled.containsKey("j-1"));
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -164,7 +164,7 @@
 
         void submit() {
             String id = "j-" + next++;
-            var answer =
+            var response =
                     cluster.submit(
                             any(),
                             job(
@@ -172,7 +172,7 @@
                                     random.nextInt(3) == 0 ? Shape.GANG : Shape.ARRAY,
                                     1 + random.nextInt(5),
                                     1));
-            if (answer != null && answer.verdict() == Verdict.CREATED) {
+            if (response != null && response.verdict() == Verdict.CREATED) {
                 jobs.add(id);
             }
         }
@@ -216,8 +216,8 @@
             while (!open.isEmpty() && cluster.clock.now - calm < 75) {
                 open.removeIf(
                         id -> {
-                            var answer = cluster.ask(any(), id);
-                            return answer != null && answer.verdict() == Verdict.KNOWN;
+                            var response = cluster.ask(any(), id);
+                            return response != null && response.verdict() == Verdict.KNOWN;
                         });
                 cluster.run(1);
             }
@@ -235,16 +235,16 @@
             r.play();
             assertEquals(List.of(), r.cluster.broken, "seed " + seed);
             for (String id : r.jobs) {
-                var answer = r.cluster.ask(r.cluster.leader(), id);
+                var response = r.cluster.ask(r.cluster.leader(), id);
                 assertTrue(
-                        answer != null && answer.verdict() == Verdict.KNOWN,
-                        "seed " + seed + ": " + id + " " + answer);
+                        response != null && response.verdict() == Verdict.KNOWN,
+                        "seed " + seed + ": " + id + " " + response);
                 assertEquals(
                         r.cluster.toldCancelled.containsKey(id)
-                                        || answer.state().status().equals("cancelled")
+                                        || response.jobStatus().status().equals("cancelled")
                                 ? "cancelled"
                                 : "done",
-                        answer.state().status(),
+                        response.jobStatus().status(),
                         "seed " + seed + ": " + id);
             }
             told += r.cluster.toldCancelled.size();
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -243,7 +243,7 @@
                                 .submit(
                                         job("j-1", Shape.ARRAY, 1 + i % 2, 1),
                                         needs,
-                                        answer -> got[0] = answer);
+                                        response -> got[0] = response);
                     }
                     cluster.run(0.03);
                     if (got[0] != null) {
@@ -260,7 +260,7 @@
                         .submit(
                                 job("j-2", Shape.ARRAY, 1, 1),
                                 List.of("j-77"),
-                                answer -> other[0] = answer);
+                                response -> other[0] = response);
                 cluster.run(0.2);
                 assertEquals(Verdict.REFUSED, other[0].verdict());
                 ends(cluster, 30, "way " + way + ", back " + back);
@@ -277,8 +277,8 @@
         node.deliver(() -> node.controller.jobApi().status(id, hears));
     }
 
-    private static boolean says(Answer answer, String status) {
-        return answer.verdict() == Verdict.KNOWN && answer.state().status().equals(status);
+    private static boolean says(Answer response, String status) {
+        return response.verdict() == Verdict.KNOWN && response.jobStatus().status().equals(status);
     }
 
     /**
@@ -307,13 +307,13 @@
                                 ask(
                                         cluster.nodes.get(key),
                                         "j-1",
-                                        answer -> {
+                                        response -> {
                                             // The canceller's word takes a millisecond to its
                                             // siblings.
                                             boolean after = cluster.clock.now > toldAt[0] + 0.0015;
                                             onTheWay[0] += after && asked < toldAt[0] ? 1 : 0;
-                                            if (after && !says(answer, "cancelled")) {
-                                                older.add(key + " says " + answer);
+                                            if (after && !says(response, "cancelled")) {
+                                                older.add(key + " says " + response);
                                             }
                                         });
                             });
@@ -328,8 +328,8 @@
                                     .jobApi()
                                     .cancel(
                                             "j-1",
-                                            answer -> {
-                                                assertTrue(says(answer, "cancelled"));
+                                            response -> {
+                                                assertTrue(says(response, "cancelled"));
                                                 toldAt[0] = cluster.clock.now;
                                             }));
             cluster.run(2);
@@ -362,9 +362,9 @@
                             ask(
                                     node,
                                     "j-1",
-                                    answer -> {
+                                    response -> {
                                         if (before && accepted[0]) {
-                                            onTheWay.add(answer);
+                                            onTheWay.add(response);
                                         }
                                     });
                         });
@@ -377,13 +377,13 @@
                                     .submit(
                                             job("j-1", Shape.ARRAY, 1, 1),
                                             List.of(),
-                                            answer ->
+                                            response ->
                                                     accepted[0] =
-                                                            answer.verdict() == Verdict.CREATED));
+                                                            response.verdict() == Verdict.CREATED));
             cluster.run(1);
             assertTrue(accepted[0]);
             assertTrue(
-                    onTheWay.stream().noneMatch(answer -> answer.verdict() == Verdict.NOT_FOUND),
+                    onTheWay.stream().noneMatch(response -> response.verdict() == Verdict.NOT_FOUND),
                     "seed " + seed + " " + onTheWay);
             met += onTheWay.size();
         }
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -52,7 +52,7 @@
         return cluster.nodes.values().stream()
                 .filter(node -> node.alive && cluster.clock.now >= node.frozenUntil)
                 .flatMap(node -> node.controller.roles().stream())
-                .filter(holder -> holder.name().equals(duty) && holder.mine())
+                .filter(role -> role.name().equals(duty) && role.isHeldHere())
                 .count();
     }
 
@@ -69,9 +69,9 @@
     void eachDutyHasOneHolderAndTheyAreSpread() {
         nodes(3);
         Set<String> holders = new HashSet<>();
-        for (LeasedRoles.RoleHolder holder : cluster.nodes.get("k0").controller.roles()) {
-            assertEquals(1, entitled(holder.name()), holder.name());
-            holders.add(holder.holder());
+        for (LeasedRoles.RoleHolder role : cluster.nodes.get("k0").controller.roles()) {
+            assertEquals(1, entitled(role.name()), role.name());
+            holders.add(role.holderNode());
         }
         assertEquals(
                 Math.min(3, cluster.nodes.get("k0").controller.roles().size()), holders.size());
@@ -84,7 +84,7 @@
                 .get("k0")
                 .controller
                 .roles()
-                .forEach(holder -> assertTrue(holder.mine(), holder.name()));
+                .forEach(role -> assertTrue(role.isHeldHere(), role.name()));
     }
 
     @Test
@@ -161,7 +161,7 @@
                 cluster.nodes.values().stream()
                         .filter(node -> node != first)
                         .flatMap(node -> node.controller.roles().stream())
-                        .filter(holder -> holder.name().equals("cloud") && holder.mine())
+                        .filter(role -> role.name().equals("cloud") && role.isHeldHere())
                         .count();
         assertEquals(1, certain);
         first.cutFromStore = false;
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
@@ -44,7 +44,7 @@
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
             String id = "j-" + (10 + i);
-            var answer =
+            var response =
                     cluster.submit(
                             cluster.nodes.get("k" + random.nextInt(3)),
                             job(
@@ -52,7 +52,7 @@
                                     i % 3 == 0 ? Shape.GANG : Shape.ARRAY,
                                     1 + random.nextInt(4),
                                     1 + random.nextInt(2)));
-            if (answer != null && answer.verdict() == Verdict.CREATED) {
+            if (response != null && response.verdict() == Verdict.CREATED) {
                 jobs.add(id);
             }
             cluster.run(random.nextDouble() * 5);
@@ -104,13 +104,13 @@
         copies.bringAll(copies.kept);
         cluster.run(200);
         for (String id : jobs) {
-            var answer = cluster.ask(cluster.leader(), id);
+            var response = cluster.ask(cluster.leader(), id);
             assertTrue(
-                    answer != null && answer.verdict() == Verdict.KNOWN,
-                    "seed " + seed + ": " + id + " " + answer);
+                    response != null && response.verdict() == Verdict.KNOWN,
+                    "seed " + seed + ": " + id + " " + response);
             assertEquals(
                     cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
-                    answer.state().status(),
+                    response.jobStatus().status(),
                     "seed " + seed + ": " + id);
         }
         assertEquals(List.of(), cluster.broken, "seed " + seed);
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -207,7 +207,7 @@
         cluster.run(3);
         int asked = cluster.cloud.rentals.size();
         SimulatedNode node = cluster.nodes.get("k0");
-        node.controller.jobApi().submit(job("j-1", Shape.GANG, 6, 4), answer -> {});
+        node.controller.jobApi().submit(job("j-1", Shape.GANG, 6, 4), response -> {});
         cluster.run(25);
         assertEquals(asked, cluster.cloud.rentals.size());
         assertEquals(List.of(), cluster.cloud.released);
@@ -223,7 +223,7 @@
                 cluster.cloud.released.stream().distinct().count(),
                 "idle machines are given back");
         assertEquals(0, records(cluster, StoreKeys.CLOUD_INTENTS));
-        assertEquals(0, cluster.leader().controller.cloudIntents.open());
+        assertEquals(0, cluster.leader().controller.cloudIntents.openCount());
     }
 
     /**
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -47,13 +47,13 @@
         }
     }
 
-    private void hear(SimulatedNode node, double asked, Answer answer) {
+    private void hear(SimulatedNode node, double asked, Answer response) {
         assertTrue(
-                answer.verdict() == Verdict.KNOWN || answer.verdict() == Verdict.LATER,
-                node.name + " says " + answer);
-        if (answer.verdict() == Verdict.KNOWN) {
-            told.add(new Told(node.name, asked, cluster.clock.now, answer.state().status()));
-            if (answer.state().status().equals("cancelled")) {
+                response.verdict() == Verdict.KNOWN || response.verdict() == Verdict.LATER,
+                node.name + " says " + response);
+        if (response.verdict() == Verdict.KNOWN) {
+            told.add(new Told(node.name, asked, cluster.clock.now, response.jobStatus().status()));
+            if (response.jobStatus().status().equals("cancelled")) {
                 cluster.toldCancelled.putIfAbsent(ID, cluster.clock.now);
             }
         }
@@ -61,12 +61,12 @@
 
     private void ask(SimulatedNode node) {
         double asked = cluster.clock.now;
-        node.controller.jobApi().status(ID, answer -> hear(node, asked, answer));
+        node.controller.jobApi().status(ID, response -> hear(node, asked, response));
     }
 
     private void repeat(SimulatedNode node) {
         double asked = cluster.clock.now;
-        node.controller.jobApi().submit(spec, needs, answer -> hear(node, asked, answer));
+        node.controller.jobApi().submit(spec, needs, response -> hear(node, asked, response));
     }
 
     /** Whoever is told anything makes everybody ask and submit again, at all nodes, at once. */
@@ -77,8 +77,8 @@
                 .jobApi()
                 .cancel(
                         ID,
-                        answer -> {
-                            hear(node, asked, answer);
+                        response -> {
+                            hear(node, asked, response);
                             looks();
                         });
     }
@@ -135,7 +135,7 @@
         }
         for (SimulatedNode node : cluster.nodes.values()) {
             assertEquals(last, cluster.status(node, ID), at + " " + node.name);
-            assertEquals(last, cluster.cancel(node, ID).state().status(), at + " " + node.name);
+            assertEquals(last, cluster.cancel(node, ID).jobStatus().status(), at + " " + node.name);
         }
         assertEquals(0, cluster.onMachines(ID), at);
         assertTrue(
@@ -254,9 +254,9 @@
                 int before = MeetingsTest.starts(cluster);
                 String what =
                         NEXT + " cancelled at k" + which + " " + (t - at) + " s from the write";
-                Answer answer = cluster.cancel(cluster.nodes.get("k" + which), NEXT);
-                assertEquals(Verdict.KNOWN, answer.verdict(), what);
-                assertEquals("cancelled", answer.state().status(), what);
+                Answer response = cluster.cancel(cluster.nodes.get("k" + which), NEXT);
+                assertEquals(Verdict.KNOWN, response.verdict(), what);
+                assertEquals("cancelled", response.jobStatus().status(), what);
                 cluster.run(5);
                 assertEquals(0, cluster.onMachines(NEXT), what);
                 began += before > 1 ? 1 : 0;
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -181,7 +181,7 @@
                     .jobApi()
                     .submit(
                             SimulatedCluster.job("j-" + (100 + i), Shape.ARRAY, 4, 1),
-                            answer -> {});
+                            response -> {});
         }
         cluster.run(60);
         for (int i = 0; i < 30; i++) {
@@ -268,7 +268,7 @@
         old.crash();
         SimulatedNode node = cluster.node("k1");
         cluster.run(10);
-        assertEquals("cancelled", cluster.cancel(node, "j-2").state().status());
+        assertEquals("cancelled", cluster.cancel(node, "j-2").jobStatus().status());
         workers(1);
         cluster.run(40);
         assertEquals("done", cluster.status(node, "j-1"));
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -73,7 +73,7 @@
                             .filter(
                                     node ->
                                             node.controller.roles().stream()
-                                                    .anyMatch(holder -> holder.mine()))
+                                                    .anyMatch(role -> role.isHeldHere()))
                             .forEach(SimulatedNode::kill);
                     old.kill();
                     cluster.after(
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -103,10 +103,10 @@
     /** A user repeats it, at one node after the other, until it is answered. */
     static void handIn(SimulatedCluster cluster, int at, JobSpec spec, String... needs) {
         for (int i = 0; i < 12; i++) {
-            JobSubmissionService.Answer answer =
+            JobSubmissionService.Answer response =
                     cluster.submit(cluster.nodes.get("k" + (at + i) % 3), spec, needs);
-            if (answer != null
-                    && (answer.verdict() == Verdict.CREATED || answer.verdict() == Verdict.KNOWN)) {
+            if (response != null
+                    && (response.verdict() == Verdict.CREATED || response.verdict() == Verdict.KNOWN)) {
                 return;
             }
             cluster.run(1.2);
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -124,18 +124,18 @@
                 cluster.run(60);
                 String at = "slow " + slow + (takeover ? " with a takeover" : "");
                 for (String id : handedIn) {
-                    var answer = cluster.ask(cluster.leader(), id);
+                    var response = cluster.ask(cluster.leader(), id);
                     // One whose user heard nothing may or may not be there.
                     if (cluster.accepted.containsKey(id)) {
                         assertEquals(
                                 cluster.toldCancelled.containsKey(id)
                                         ? "cancelled"
-                                        : answer.state().status(),
-                                answer.state().status(),
+                                        : response.jobStatus().status(),
+                                response.jobStatus().status(),
                                 at);
                         assertTrue(
-                                List.of("done", "cancelled").contains(answer.state().status()),
-                                at + " " + answer);
+                                List.of("done", "cancelled").contains(response.jobStatus().status()),
+                                at + " " + response);
                     }
                 }
                 if (slow < 0.3) {
@@ -159,8 +159,8 @@
         int before = cluster.nodes.values().stream().mapToInt(node -> node.requests).sum();
         for (int i = 0; i < 40; i++) {
             for (SimulatedNode node : cluster.nodes.values()) {
-                node.controller.jobApi().status("j-1", answer -> {});
-                node.controller.jobApi().cancel("j-1", answer -> {});
+                node.controller.jobApi().status("j-1", response -> {});
+                node.controller.jobApi().cancel("j-1", response -> {});
             }
             cluster.run(0.98);
         }
@@ -298,11 +298,11 @@
             cluster.store.late = transaction -> 0;
             cluster.run(120);
             for (String id : cluster.accepted.keySet()) {
-                var answer = cluster.ask(cluster.leader(), id);
+                var response = cluster.ask(cluster.leader(), id);
                 assertTrue(
-                        answer.verdict() == Verdict.KNOWN
-                                && List.of("done", "cancelled").contains(answer.state().status()),
-                        "seed " + seed + ": " + id + " " + answer);
+                        response.verdict() == Verdict.KNOWN
+                                && List.of("done", "cancelled").contains(response.jobStatus().status()),
+                        "seed " + seed + ": " + id + " " + response);
             }
             assertEquals(List.of(), cluster.broken, "seed " + seed);
         }
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -68,7 +68,7 @@
                 cluster.run(5);
                 alone(cluster, holder);
                 cluster.run(cut * cancelAfter);
-                var answer = cluster.cancel(other(cluster, holder), "j-1");
+                var response = cluster.cancel(other(cluster, holder), "j-1");
                 // Its own users are sent away or told what holds for ever, never how it was.
                 var own = cluster.ask(holder, "j-1");
                 assertTrue(
@@ -83,7 +83,7 @@
                 String at = "cut " + cut + ", cancelled after " + cancelAfter;
                 assertEquals(List.of(), cluster.broken, at);
                 assertEquals(
-                        answer != null && answer.verdict() == Verdict.KNOWN ? 0 : 6,
+                        response != null && response.verdict() == Verdict.KNOWN ? 0 : 6,
                         cluster.onMachines("j-1"),
                         at);
                 assertEquals(6, cluster.onMachines("j-2"), at);
@@ -260,9 +260,9 @@
                     String key = "k" + which;
                     cluster.run(back);
                     cluster.node(key);
-                    var answer = cluster.ask(cluster.nodes.get(key), "j-1");
+                    var response = cluster.ask(cluster.nodes.get(key), "j-1");
                     assertTrue(
-                            answer == null || answer.verdict() != Verdict.NOT_FOUND,
+                            response == null || response.verdict() != Verdict.NOT_FOUND,
                             "back " + back);
                     cluster.run(back + 1.5);
                 }
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -39,11 +39,11 @@
         cluster.run(within);
         assertEquals(List.of(), cluster.broken, at);
         for (String id : cluster.accepted.keySet()) {
-            var answer = cluster.ask(cluster.leader(), id);
-            assertEquals(Verdict.KNOWN, answer.verdict(), at + ": " + id);
+            var response = cluster.ask(cluster.leader(), id);
+            assertEquals(Verdict.KNOWN, response.verdict(), at + ": " + id);
             assertEquals(
                     cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
-                    answer.state().status(),
+                    response.jobStatus().status(),
                     at + ": " + id);
         }
         assertTrue(
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -42,9 +42,9 @@
     /** As a user who comes again until there is an answer. */
     private String told(SimulatedNode node, String id) {
         for (int i = 0; i < 100; i++) {
-            var answer = cluster.ask(node, id);
-            if (answer != null && answer.verdict() == Verdict.KNOWN) {
-                return answer.state().status();
+            var response = cluster.ask(node, id);
+            if (response != null && response.verdict() == Verdict.KNOWN) {
+                return response.jobStatus().status();
             }
             cluster.run(0.5);
         }
@@ -63,8 +63,8 @@
         cluster.submit(node, array("j-3", 1), "j-1", "j-2", "j-1");
         cluster.run(19);
         assertEquals("pending", cluster.status(node, "j-2"));
-        assertEquals("waits for j-1 to be done", cluster.ask(node, "j-2").state().note());
-        assertEquals("waits for j-1, j-2 to be done", cluster.ask(node, "j-3").state().note());
+        assertEquals("waits for j-1 to be done", cluster.ask(node, "j-2").jobStatus().note());
+        assertEquals("waits for j-1, j-2 to be done", cluster.ask(node, "j-3").jobStatus().note());
         cluster.run(4);
         assertEquals("running", cluster.status(node, "j-2"));
         assertEquals("pending", cluster.status(node, "j-3"));
@@ -143,7 +143,7 @@
         cluster.submit(node, array("j-3", 2), "j-2");
         cluster.submit(node, array("j-4", 2));
         cluster.run(3);
-        assertEquals("cancelled", cluster.cancel(node, "j-1").state().status());
+        assertEquals("cancelled", cluster.cancel(node, "j-1").jobStatus().status());
         cluster.run(2);
         assertEquals("cancelled", cluster.status(node, "j-2"));
         assertEquals("cancelled", cluster.status(node, "j-3"));
@@ -168,7 +168,7 @@
         while (!said.equals("done") && cluster.clock.now < from + 60) {
             cluster.run(0.05);
             if (cluster.store.keys.containsKey(StoreKeys.ENDED_JOBS + "j-1")) {
-                said = cluster.cancel(node, "j-1").state().status();
+                said = cluster.cancel(node, "j-1").jobStatus().status();
             }
         }
         cluster.run(30);
@@ -262,7 +262,7 @@
                         .submit(
                                 array("j-" + id, 1),
                                 List.of(chain ? "j-" + (id - 1) : "j-1"),
-                                answer -> {});
+                                response -> {});
                 t.cluster.needs.put("j-" + id, List.of(chain ? "j-" + (id - 1) : "j-1"));
                 t.cluster.run(0.02);
             }
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/QuestionRateTest.java
@@ -50,8 +50,8 @@
                         .jobApi()
                         .status(
                                 id,
-                                answer -> {
-                                    if (answer.verdict() == Verdict.KNOWN) {
+                                response -> {
+                                    if (response.verdict() == Verdict.KNOWN) {
                                         open.remove(id);
                                     }
                                 });
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -74,7 +74,7 @@
         JobSubmissionService.Answer again =
                 cluster.submit(cluster.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
         assertEquals(Verdict.KNOWN, again.verdict());
-        assertEquals("done", again.state().status());
+        assertEquals("done", again.jobStatus().status());
     }
 
     @Test
@@ -116,11 +116,11 @@
         cluster.store.outage(20);
         cluster.run(10);
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[3];
-        node.controller.jobApi().submit(job("j-2", Shape.ARRAY, 1, 1), answer -> got[0] = answer);
-        node.controller.jobApi().status("j-2", answer -> got[1] = answer);
-        node.controller.jobApi().cancel("j-2", answer -> got[2] = answer);
-        for (JobSubmissionService.Answer answer : got) {
-            assertEquals(Verdict.LATER, answer.verdict());
+        node.controller.jobApi().submit(job("j-2", Shape.ARRAY, 1, 1), response -> got[0] = response);
+        node.controller.jobApi().status("j-2", response -> got[1] = response);
+        node.controller.jobApi().cancel("j-2", response -> got[2] = response);
+        for (JobSubmissionService.Answer response : got) {
+            assertEquals(Verdict.LATER, response.verdict());
         }
         assertEquals("done", cluster.status(node, "j-1"));
         cluster.run(11);
@@ -287,7 +287,7 @@
     void aCancellationRacingTheLaunchWins() {
         SimulatedNode node = settled(2, 2);
         cluster.submit(node, job("j-1", Shape.ARRAY, 8, 1));
-        assertEquals("cancelled", cluster.cancel(cluster.nodes.get("k1"), "j-1").state().status());
+        assertEquals("cancelled", cluster.cancel(cluster.nodes.get("k1"), "j-1").jobStatus().status());
         cluster.run(5);
         assertEquals(0, cluster.onMachines("j-1"));
         assertEquals("cancelled", cluster.status(node, "j-1"));
@@ -302,7 +302,7 @@
         SimulatedNode node = settled(1, 1);
         cluster.submit(node, job("j-1", Shape.ARRAY, 1, 1));
         cluster.run(30);
-        assertEquals("done", cluster.cancel(node, "j-1").state().status());
+        assertEquals("done", cluster.cancel(node, "j-1").jobStatus().status());
     }
 
     @Test
@@ -697,7 +697,7 @@
                         .jobApi()
                         .status(
                                 "j-" + i,
-                                answer -> known[0] += answer.verdict() == Verdict.KNOWN ? 1 : 0);
+                                response -> known[0] += response.verdict() == Verdict.KNOWN ? 1 : 0);
             }
             cluster.run(1);
         }
@@ -713,14 +713,14 @@
         SimulatedNode other = notThe(leader);
         cluster.submit(leader, job("j-1", Shape.ARRAY, 5, 1));
         cluster.run(5);
-        JobStatus seen = cluster.ask(other, "j-1").state();
+        JobStatus seen = cluster.ask(other, "j-1").jobStatus();
         assertEquals("running", seen.status());
         assertEquals(5, seen.runningTaskCount());
         SimulatedNode fresh = cluster.node("k2");
         cluster.siblings.addAll(List.of("k0", "k1"));
         cluster.run(0.05);
         leader.crash();
-        assertEquals(5, cluster.ask(fresh, "j-1").state().runningTaskCount());
+        assertEquals(5, cluster.ask(fresh, "j-1").jobStatus().runningTaskCount());
     }
 
     @Test
@@ -800,7 +800,7 @@
                 node.controller.shard.machines().values().stream()
                         .filter(Machine::isQuarantined)
                         .toList());
-        assertEquals("cancelled", cluster.cancel(node, "j-1").state().status());
+        assertEquals("cancelled", cluster.cancel(node, "j-1").jobStatus().status());
         cluster.run(3);
         assertEquals(0, cluster.onMachines("j-1"));
     }
@@ -855,13 +855,13 @@
         cluster.submit(other, job("j-1", Shape.ARRAY, 6, 1));
         cluster.run(5);
         assertEquals(
-                "2 tasks wait for room of 1.0 CPUs each", cluster.ask(other, "j-1").state().note());
+                "2 tasks wait for room of 1.0 CPUs each", cluster.ask(other, "j-1").jobStatus().note());
         leader.crash();
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
-        other.controller.jobApi().status("j-1", answer -> got[0] = answer);
+        other.controller.jobApi().status("j-1", response -> got[0] = response);
         cluster.run(0.6);
-        String note = got[0].state().note();
-        assertEquals(4, got[0].state().runningTaskCount());
+        String note = got[0].jobStatus().note();
+        assertEquals(4, got[0].jobStatus().runningTaskCount());
         assertTrue(
                 note.contains("does not answer") && note.endsWith("the figures are from before"),
                 note);
@@ -905,7 +905,7 @@
         cluster.workers.values().forEach(worker -> worker.runsFor = 5);
         int before = cluster.store.log.size();
         for (int i = 0; i < 200; i++) {
-            node.controller.jobApi().submit(job("j-" + i, Shape.ARRAY, 1, 1), answer -> {});
+            node.controller.jobApi().submit(job("j-" + i, Shape.ARRAY, 1, 1), response -> {});
         }
         cluster.run(1);
         long looks = node.controller.scheduler.placement().looks();
@@ -954,7 +954,7 @@
                     .jobApi()
                     .submit(
                             with(job("j-" + i, Shape.ARRAY, 1, 1), "red", Priority.LOW, false),
-                            answer -> {});
+                            response -> {});
         }
         cluster.run(1);
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -145,8 +145,8 @@
                     .submit(
                             spec,
                             List.of(),
-                            answer -> {
-                                if (answer.verdict() != Verdict.LATER && !heard[0]) {
+                            response -> {
+                                if (response.verdict() != Verdict.LATER && !heard[0]) {
                                     heard[0] = true;
                                     cluster.accepted.putIfAbsent(spec.id(), cluster.clock.now);
                                     if (answered.putIfAbsent(spec.id(), cluster.clock.now) == null
@@ -204,14 +204,14 @@
                                     .jobApi()
                                     .status(
                                             id,
-                                            answer -> {
+                                            response -> {
                                                 done[0] = true;
-                                                if (answer.verdict() == Verdict.LATER) {
+                                                if (response.verdict() == Verdict.LATER) {
                                                     unanswered++;
-                                                } else if (!answer.state()
+                                                } else if (!response.jobStatus()
                                                         .status()
                                                         .equals("done")) {
-                                                    late.add(id + " is " + answer.state().status());
+                                                    late.add(id + " is " + response.jobStatus().status());
                                                 }
                                             });
                             cluster.after(2, () -> unanswered += done[0] ? 0 : 1);
@@ -305,11 +305,11 @@
             assertEquals(List.of(), late, at);
             for (String id : handedIn.keySet()) {
                 assertTrue(answered.containsKey(id), at + ": " + id + " was never accepted");
-                var answer = cluster.ask(cluster.leader(), id);
-                assertEquals(Verdict.KNOWN, answer.verdict(), at + ": " + id);
+                var response = cluster.ask(cluster.leader(), id);
+                assertEquals(Verdict.KNOWN, response.verdict(), at + ": " + id);
                 assertEquals(
                         cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
-                        answer.state().status(),
+                        response.jobStatus().status(),
                         at + ": " + id);
             }
             assertEquals(0, cluster.leader().controller.shard.jobs().size(), at);
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -105,8 +105,8 @@
                 there(cluster, StoreKeys.partKey("j-800", 0)),
                 "it says that something is on a machine");
         assertTrue(there(cluster, StoreKeys.CLOUD_INTENTS + "going/odd"));
-        assertEquals(2, sweeper(cluster).controller.garbageCollector.strange());
-        assertEquals(30, sweeper(cluster).controller.garbageCollector.removed());
+        assertEquals(2, sweeper(cluster).controller.garbageCollector.inconsistentCount());
+        assertEquals(30, sweeper(cluster).controller.garbageCollector.removedCount());
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
         assertTrue(there(cluster, StoreKeys.partKey("j-2", 0)));
     }
@@ -219,7 +219,7 @@
         long most = 0;
         for (int i = 0; i < 120; i++) {
             cluster.run(0.5);
-            most = Math.max(most, sweeper(cluster).controller.garbageCollector.strange());
+            most = Math.max(most, sweeper(cluster).controller.garbageCollector.inconsistentCount());
         }
         assertFalse(once[0]);
         assertEquals(1, most);
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -266,7 +266,7 @@
                                     old.get(random.nextInt(old.size())),
                                     old.get(random.nextInt(old.size()))
                                 };
-                var a =
+                var response =
                         cluster.submit(
                                 any(),
                                 job(
@@ -275,7 +275,7 @@
                                         1 + random.nextInt(8),
                                         1),
                                 needs);
-                if (a != null && a.verdict() == Verdict.CREATED) {
+                if (response != null && response.verdict() == Verdict.CREATED) {
                     accepted.add(id);
                 }
                 if (random.nextInt(8) == 0 && !old.isEmpty()) {
@@ -283,7 +283,7 @@
                     var c = cluster.cancel(any(), which);
                     if (c != null
                             && c.verdict() == Verdict.KNOWN
-                            && c.state().status().equals("cancelled")) {
+                            && c.jobStatus().status().equals("cancelled")) {
                         cancelled.add(which);
                     }
                 }
@@ -373,19 +373,19 @@
                 boolean answered = false;
                 while (!answered && cluster.clock.now - calm < 75) {
                     for (String key : cluster.siblings) {
-                        var answer = cluster.ask(cluster.nodes.get(key), id);
-                        answered |= answer != null && answer.verdict() == Verdict.KNOWN;
+                        var response = cluster.ask(cluster.nodes.get(key), id);
+                        answered |= response != null && response.verdict() == Verdict.KNOWN;
                     }
                 }
                 assertTrue(answered, at + ": " + id + " is forgotten");
             }
             cluster.run(400);
             for (String id : accepted) {
-                var answer = cluster.ask(cluster.leader(), id);
+                var response = cluster.ask(cluster.leader(), id);
                 assertEquals(
                         behind(id) ? "cancelled" : "done",
-                        answer.state().status(),
-                        at + ": " + answer);
+                        response.jobStatus().status(),
+                        at + ": " + response);
             }
             assertEquals(List.of(), cluster.broken, at);
         }
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -220,11 +220,11 @@
         assertEquals(Verdict.KNOWN, told.verdict(), at);
         for (String key : cut.inside) {
             cluster.accepted.keySet().forEach(j -> cluster.ask(cluster.nodes.get(key), j));
-            var answer = cluster.cancel(cluster.nodes.get(key), id);
+            var response = cluster.cancel(cluster.nodes.get(key), id);
             assertTrue(
-                    answer == null
-                            || answer.verdict() == Verdict.LATER
-                            || answer.state().status().equals(told.state().status()),
+                    response == null
+                            || response.verdict() == Verdict.LATER
+                            || response.jobStatus().status().equals(told.jobStatus().status()),
                     at);
         }
     }
--- a/src/test/java/io/kitepath/core/service/RetryPaceTest.java
+++ b/src/test/java/io/kitepath/core/service/RetryPaceTest.java
@@ -51,27 +51,27 @@
     @Test
     void aFewComeBackAfterASecond() {
         for (int i = 0; i < 100; i++) {
-            assertEquals(1, pace.refuse());
+            assertEquals(1, pace.nextRetryAfterSeconds());
         }
     }
 
     @Test
     void aCrowdIsGivenTheTimeThatItsAnswersTake() {
         for (int i = 0; i < 799; i++) {
-            pace.refuse();
+            pace.nextRetryAfterSeconds();
         }
-        assertEquals(8, pace.refuse());
+        assertEquals(8, pace.nextRetryAfterSeconds());
         now += 1.1;
-        assertEquals(8, pace.refuse());
+        assertEquals(8, pace.nextRetryAfterSeconds());
         now += 5;
-        assertEquals(1, pace.refuse());
+        assertEquals(1, pace.nextRetryAfterSeconds());
     }
 
     @Test
     void nobodyIsToldMoreThanHalfAMinute() {
         int last = 0;
         for (int i = 0; i < 100_000; i++) {
-            last = pace.refuse();
+            last = pace.nextRetryAfterSeconds();
         }
         assertTrue(last == 30, "told " + last);
     }
