--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -229,7 +229,7 @@
 
     public void start() {
         leadership.start();
-        cloudReconciler.learnTypes();
+        cloudReconciler.loadMachineTypes();
         leasedRoles.start();
         if (cellService != null) {
             cellService.start();
@@ -363,7 +363,7 @@
         public void onLeadershipWon(long token, long leaseId, long blockRevision) {
             shard.takeLeadership(token);
             cancellationWatermark.reset();
-            cloudReconciler.hold(leaseId);
+            cloudReconciler.startLeading(leaseId);
             gossip.broadcast();
             failover.onLeadershipWon(timers.nowSeconds());
             launchesBefore = heartbeatProcessor.launchCount();
@@ -386,7 +386,7 @@
             LOG.info(shard.serviceLevels().summary());
             stateWriter.stop();
             cancellationProof.stop();
-            scheduler.forget();
+            scheduler.forgetOrder();
             shard.giveUpLeadership();
             heartbeatService.releaseAll();
             gossip.broadcast();
@@ -483,7 +483,7 @@
 
         @Override
         public List<Job> queue() {
-            return scheduler.queue(timers.nowSeconds(), timers.wallClockMillis());
+            return scheduler.orderedJobs(timers.nowSeconds(), timers.wallClockMillis());
         }
 
         @Override
@@ -532,7 +532,7 @@
             cellService.tend();
         }
         double began = timers.nowSeconds();
-        cloudReconciler.tend(stateWriter.isLoaded() && leadership.isLeaseValid());
+        cloudReconciler.reconcile(stateWriter.isLoaded() && leadership.isLeaseValid());
         loopTime.record(Activity.PLANNING, began);
         ticks++;
         if (ticks % SUMMARY_TICKS == 0) {
@@ -559,7 +559,7 @@
         }
         schedulingRounds++;
         double began = timers.nowSeconds();
-        scheduler.place(began, timers.wallClockMillis(), 20 * settings.store().maxTransactionOperations());
+        scheduler.placeWaitingTasks(began, timers.wallClockMillis(), 20 * settings.store().maxTransactionOperations());
         double placed = timers.nowSeconds();
         loopTime.record(Activity.PLACING, began);
         stateWriter.write(this::onWritten);
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -142,12 +142,12 @@
                 "attempts.evicted.for.guarantees",
                 Metric.counter(
                         "of those, the ones that a guarantee was the reason for",
-                        () -> scheduler.preemption().forGuarantees()));
+                        () -> scheduler.preemption().evictionsForGuarantees()));
         f.put(
                 "attempts.evicted.for.large",
                 Metric.counter(
                         "and the ones that made room for gangs and large tasks",
-                        () -> scheduler.preemption().forGangs()));
+                        () -> scheduler.preemption().evictionsForGangs()));
         f.put(
                 "served.least",
                 Metric.gauge(
@@ -173,11 +173,11 @@
         f.put(
                 "direct.commands",
                 Metric.counter("machines told directly to stop tasks", directCommands));
-        f.put("probes", Metric.counter("machines probed", () -> scheduler.placement().probes()));
+        f.put("probes", Metric.counter("machines probed", () -> scheduler.probePlacement().probeCount()));
         f.put(
                 "probes.passed",
-                Metric.counter("probes that passed", () -> scheduler.placement().passed()));
-        f.put("scans", Metric.counter("scans of the block", () -> scheduler.placement().scans()));
+                Metric.counter("probes that passed", () -> scheduler.probePlacement().passedProbeCount()));
+        f.put("scans", Metric.counter("scans of the block", () -> scheduler.probePlacement().scanCount()));
         f.put(
                 "attempts.launched",
                 Metric.counter("launch orders given", heartbeatProcessor::launchCount));
@@ -259,9 +259,9 @@
                 .append(" evicted=")
                 .append(scheduler.preemption().evictions())
                 .append('/')
-                .append(scheduler.preemption().forGuarantees())
+                .append(scheduler.preemption().evictionsForGuarantees())
                 .append('/')
-                .append(scheduler.preemption().forGangs())
+                .append(scheduler.preemption().evictionsForGangs())
                 .append(" lost=")
                 .append(shard.attemptsLost())
                 .append(" launched=")
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -208,7 +208,7 @@
         boolean may = false;
         for (CellMessage.FreeCapacity capacity : localSummary.room()) {
             MachineType type = shard.machineTypes().get(capacity.kind().machineType());
-            if (type != null && ProbePlacement.allowed(capacity.kind(), offer.spec())) {
+            if (type != null && ProbePlacement.isAllowed(capacity.kind(), offer.spec())) {
                 may = true;
                 most +=
                         capacity.idleMachines() * ProbePlacement.slots(offer.spec(), type)
@@ -302,7 +302,7 @@
         for (MachineType type : shard.machineTypes().values()) {
             if (ProbePlacement.slots(spec, type) > 0) {
                 for (String zone : cellDirectory.ownCell().zones()) {
-                    if (ProbePlacement.allowed(new MachineKind(type.name(), zone, false), spec)) {
+                    if (ProbePlacement.isAllowed(new MachineKind(type.name(), zone, false), spec)) {
                         return true;
                     }
                 }
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -18,8 +18,8 @@
 
 /**
  * Which waiting work goes to which other cell: the paper's Threshold one floor up. Work that would
- * miss what is expected of it at home probes up to {@link ProbePlacement#PROBES} random cells that
- * say they can take it, and goes once to the first with fewer than {@link ProbePlacement#THRESHOLD}
+ * miss what is expected of it at home probes up to {@link ProbePlacement#MAX_PROBES} random cells that
+ * say they can take it, and goes once to the first with fewer than {@link ProbePlacement#UNCONFIRMED_THRESHOLD}
  * hand-overs unconfirmed for each of its zones; after misses the summaries are scanned for the
  * roomiest; failing that it stays. A function of what it is given and of the random numbers:
  * nothing is asked and nothing written here.
@@ -170,18 +170,18 @@
                 able.add(remote);
             }
         }
-        for (int i = 0; i < ProbePlacement.PROBES && i < able.size(); i++) {
+        for (int i = 0; i < ProbePlacement.MAX_PROBES && i < able.size(); i++) {
             int k = i + random.nextInt(able.size() - i);
             RemoteCell remote = able.get(k);
             able.set(k, able.get(i));
             able.set(i, remote);
-            if (remote.unconfirmed < ProbePlacement.THRESHOLD) {
+            if (remote.unconfirmed < ProbePlacement.UNCONFIRMED_THRESHOLD) {
                 return remote;
             }
         }
         RemoteCell best = null;
         for (RemoteCell remote : able) {
-            if (remote.unconfirmed < ProbePlacement.THRESHOLD * zonesOf.getOrDefault(remote.name, 1)
+            if (remote.unconfirmed < ProbePlacement.UNCONFIRMED_THRESHOLD * zonesOf.getOrDefault(remote.name, 1)
                     && (best == null || slots(job.spec, remote) > slots(job.spec, best))) {
                 best = remote;
             }
@@ -206,7 +206,7 @@
         int all = 0;
         for (FreeCapacity capacity : remote.summary().freeCapacity()) {
             MachineType type = types.get(capacity.kind().machineType());
-            if (type == null || !ProbePlacement.allowed(capacity.kind(), spec)) {
+            if (type == null || !ProbePlacement.isAllowed(capacity.kind(), spec)) {
                 continue;
             }
             int each = ProbePlacement.slots(spec, type);
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -29,10 +29,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
     /** Of the cloud's call rate; the rest is for the other nodes. */
-    private static final double RATE_SHARE = 0.6;
+    private static final double CALL_RATE_SHARE = 0.6;
 
     /** Requests that may wait for their record or their answer at the same time. */
-    private static final int AT_ONCE = 3;
+    private static final int MAX_PENDING_REQUESTS = 3;
 
     private final ClusterSettings settings;
     private final ShardState shard;
@@ -40,20 +40,20 @@
     private final Store store;
     private final Cloud cloud;
     private final Timers timers;
-    private final BooleanSupplier leading;
-    private final Runnable changed;
-    private final TokenBucket calls;
+    private final BooleanSupplier leadsMachines;
+    private final Runnable onMachinesGone;
+    private final TokenBucket callBucket;
 
     /** What is put down; no more than can be asked for. */
-    private final TokenBucket wishes;
+    private final TokenBucket intentBucket;
 
     private final CloudIntents intents;
-    private double leadingSince;
-    private boolean typesStored;
-    private boolean listing;
-    private double listedAt = Double.NEGATIVE_INFINITY;
-    private double typesAt = Double.NEGATIVE_INFINITY;
-    private double plannedAt = Double.NEGATIVE_INFINITY;
+    private double leadingSinceSeconds;
+    private boolean areTypesStored;
+    private boolean isListing;
+    private double listedAtSeconds = Double.NEGATIVE_INFINITY;
+    private double typesFetchedAtSeconds = Double.NEGATIVE_INFINITY;
+    private double plannedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /**
      * @param intents what is on record before it is asked for
@@ -76,17 +76,17 @@
         this.store = store;
         this.cloud = cloud;
         this.timers = timers;
-        this.leading = leading;
-        this.changed = changed;
-        this.calls = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
-        this.wishes = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
-        intents.setListeners(this::rented, this::gone);
+        this.leadsMachines = leading;
+        this.onMachinesGone = changed;
+        this.callBucket = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
+        this.intentBucket = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
+        intents.setListeners(this::onRented, this::onReleased);
     }
 
     /** This node holds the machines now, on a lease whose id the store never gives out again. */
-    public void hold(long lease) {
+    public void startLeading(long lease) {
         intents.startTerm(lease);
-        leadingSince = timers.nowSeconds();
+        leadingSinceSeconds = timers.nowSeconds();
     }
 
     // ---- machine types --------------------------------------------------------------------------
@@ -95,7 +95,7 @@
      * Until the machine types are known: from the record of a node that knew them, or from the
      * cloud.
      */
-    public void learnTypes() {
+    public void loadMachineTypes() {
         if (!shard.machineTypes().isEmpty()) {
             return;
         }
@@ -111,33 +111,33 @@
                         if (shard.machineTypes().isEmpty()) {
                             shard.setMachineTypes(known);
                         }
-                        typesStored = true;
+                        areTypesStored = true;
                     } else {
-                        fetchTypes();
-                        timers.schedule(1, this::learnTypes);
+                        fetchMachineTypes();
+                        timers.schedule(1, this::loadMachineTypes);
                     }
                 });
     }
 
-    private void fetchTypes() {
-        if (!calls.tryTake(1, timers.nowSeconds())) {
+    private void fetchMachineTypes() {
+        if (!callBucket.tryTake(1, timers.nowSeconds())) {
             return;
         }
         cloud.listMachineTypes(
                 (outcome, list) -> {
                     if (outcome == Outcome.OK && !list.isEmpty()) {
                         shard.setMachineTypes(list);
-                        typesAt = timers.nowSeconds();
-                        storeTypes(list);
+                        typesFetchedAtSeconds = timers.nowSeconds();
+                        storeMachineTypes(list);
                     }
                 });
     }
 
-    private void storeTypes(List<MachineType> list) {
-        if (typesStored) {
+    private void storeMachineTypes(List<MachineType> list) {
+        if (areTypesStored) {
             return;
         }
-        typesStored = true;
+        areTypesStored = true;
         store.commit(
                 new Store.Transaction()
                         .put(
@@ -145,7 +145,7 @@
                                 Map.of("types", list.stream().map(MachineType::toRecord).toList())),
                 result -> {
                     if (result.outcome() != Outcome.OK) {
-                        typesStored = false;
+                        areTypesStored = false;
                     }
                 });
     }
@@ -153,45 +153,45 @@
     // ---- machines -------------------------------------------------------------------------------
 
     /** What is due now; {@code mayPlan}: the jobs are known and the store answers. */
-    public void tend(boolean mayPlan) {
+    public void reconcile(boolean mayPlan) {
         double now = timers.nowSeconds();
-        if (!listing && now - listedAt > settings.cloud().listLagSeconds() / 2 && calls.tryTake(1, now)) {
-            list();
+        if (!isListing && now - listedAtSeconds > settings.cloud().listLagSeconds() / 2 && callBucket.tryTake(1, now)) {
+            listMachines();
         }
-        if (now - typesAt > 20 * settings.workers().heartbeatIntervalSeconds()) {
-            typesAt = now;
-            fetchTypes();
+        if (now - typesFetchedAtSeconds > 20 * settings.workers().heartbeatIntervalSeconds()) {
+            typesFetchedAtSeconds = now;
+            fetchMachineTypes();
         }
         if (!mayPlan) {
             return;
         }
-        if (shard.machineTypes().isEmpty() || listedAt < leadingSince) {
+        if (shard.machineTypes().isEmpty() || listedAtSeconds < leadingSinceSeconds) {
             return;
         }
-        if (wishes.available(now) < 1 || now - plannedAt < settings.workers().heartbeatIntervalSeconds() / 8) {
+        if (intentBucket.available(now) < 1 || now - plannedAtSeconds < settings.workers().heartbeatIntervalSeconds() / 8) {
             return; // Nothing could be done about a plan now, or hardly anything has changed since
             // the last.
         }
-        plannedAt = now;
-        intend(scalingPlanner.plan(now, timers.wallClockMillis(), leadingSince), now);
+        plannedAtSeconds = now;
+        recordIntents(scalingPlanner.plan(now, timers.wallClockMillis(), leadingSinceSeconds), now);
     }
 
     /** Has put down what the plan says and nothing says yet. */
-    private void intend(ScalingPlanner.Plan plan, double now) {
-        List<String> release = plan.release().stream().filter(m -> !intents.isReleasing(m)).toList();
-        if (!release.isEmpty() && intents.releases().size() < AT_ONCE && wishes.tryTake(1, now)) {
+    private void recordIntents(ScalingPlanner.Plan plan, double now) {
+        List<String> release = plan.machinesToRelease().stream().filter(m -> !intents.isReleasing(m)).toList();
+        if (!release.isEmpty() && intents.releases().size() < MAX_PENDING_REQUESTS && intentBucket.tryTake(1, now)) {
             intents.requestRelease(release);
         }
         // One plan's rentals at a time: the next plan has to know what came of them.
         if (intents.unsettledRentals().isEmpty()) {
-            plan.rent().entrySet().stream()
-                    .limit(AT_ONCE)
-                    .filter(e -> wishes.tryTake(1, now))
+            plan.countsToRent().entrySet().stream()
+                    .limit(MAX_PENDING_REQUESTS)
+                    .filter(e -> intentBucket.tryTake(1, now))
                     .forEach(e -> intents.requestRental(e.getKey(), e.getValue()));
         }
     }
 
-    private void rented(RentalIntent rental) {
+    private void onRented(RentalIntent rental) {
         int n = rental.machines().size();
         LOG.info(
                 "rented {} of {} {} in {}{}",
@@ -201,29 +201,29 @@
                 rental.kind.zone(),
                 rental.kind.spot() ? ", spot" : "");
         if (n < rental.count) {
-            scalingPlanner.refused(rental.kind, timers.nowSeconds());
+            scalingPlanner.recordRefusal(rental.kind, timers.nowSeconds());
         } else {
-            scalingPlanner.granted(rental.kind);
+            scalingPlanner.recordGrant(rental.kind);
         }
     }
 
-    private void gone(List<String> machines) {
+    private void onReleased(List<String> machines) {
         machines.forEach(m -> shard.removeMachine(m, timers.nowSeconds()));
-        changed.run();
+        onMachinesGone.run();
     }
 
-    private boolean holds(long token) {
-        return leading.getAsBoolean() && shard.fencingToken() == token;
+    private boolean isStillLeading(long token) {
+        return leadsMachines.getAsBoolean() && shard.fencingToken() == token;
     }
 
-    private void list() {
-        listing = true;
+    private void listMachines() {
+        isListing = true;
         long mine = shard.fencingToken();
         cloud.listMachines(
                 (outcome, list) -> {
-                    listing = false;
-                    listedAt = timers.nowSeconds();
-                    if (outcome == Outcome.OK && holds(mine)) {
+                    isListing = false;
+                    listedAtSeconds = timers.nowSeconds();
+                    if (outcome == Outcome.OK && isStillLeading(mine)) {
                         shard.applyCloudList(list, timers.nowSeconds());
                         intents.dropListedRentals();
                     }
--- a/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
+++ b/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
@@ -16,56 +16,56 @@
      * Of the machine's room, what is left by the time that the plan looks at, and what is left
      * until then.
      */
-    final Space then;
+    final Space afterBoot;
 
-    final Space now;
+    final Space immediately;
 
     FreeCapacity(MachineType type, MachineKind kind, Machine machine) {
         this.type = type;
         this.kind = kind;
         this.machine = machine;
-        this.then = new Space(type);
-        this.now = new Space(type);
+        this.afterBoot = new Space(type);
+        this.immediately = new Space(type);
     }
 
     /**
      * Whether it has CPUs for one task; cheap, for a look at hundreds of rooms for each of hundreds
      * of jobs.
      */
-    boolean holds(JobSpec spec, boolean atOnce) {
-        return then.cpus + 1e-6 >= spec.cpusPerTask() && (!atOnce || now.cpus + 1e-6 >= spec.cpusPerTask());
+    boolean hasCpusFor(JobSpec spec, boolean atOnce) {
+        return afterBoot.cpus + 1e-6 >= spec.cpusPerTask() && (!atOnce || immediately.cpus + 1e-6 >= spec.cpusPerTask());
     }
 
     /** Takes in as many of the tasks as fit, at once or by then; returns how many. */
-    int take(JobSpec spec, int tasks, boolean atOnce) {
-        int n = Math.min(tasks, then.slots(spec));
+    int allocate(JobSpec spec, int tasks, boolean atOnce) {
+        int n = Math.min(tasks, afterBoot.slots(spec));
         if (atOnce) {
-            n = Math.min(n, now.slots(spec));
+            n = Math.min(n, immediately.slots(spec));
         }
-        then.less(spec, n);
-        now.less(spec, n);
+        afterBoot.subtract(spec, n);
+        immediately.subtract(spec, n);
         return n;
     }
 
     static final class Space {
         double cpus;
         double gpus;
-        double memory;
+        double memoryGb;
 
         Space(MachineType type) {
             cpus = type.cpus();
             gpus = type.gpus();
-            memory = type.memoryGigabytes();
+            memoryGb = type.memoryGigabytes();
         }
 
         int slots(JobSpec spec) {
-            return ProbePlacement.slots(spec, cpus, gpus, memory);
+            return ProbePlacement.slots(spec, cpus, gpus, memoryGb);
         }
 
-        void less(JobSpec spec, int tasks) {
+        void subtract(JobSpec spec, int tasks) {
             cpus -= tasks * spec.cpusPerTask();
             gpus -= tasks * spec.gpusPerTask();
-            memory -= tasks * spec.memoryGigabytesPerTask();
+            memoryGb -= tasks * spec.memoryGigabytesPerTask();
         }
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -25,7 +25,7 @@
     private final Map<MachineKind, double[]> refused = new HashMap<>();
 
     /** Machines by kind, worked out once a plan. */
-    private final Map<MachineKind, Integer> counts = new HashMap<>();
+    private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
 
     InstanceSelection(ShardState shard) {
         this.settings = shard.settings();
@@ -33,11 +33,11 @@
     }
 
     /** Counts anew what is there. */
-    void survey() {
-        counts.clear();
+    void countMachines() {
+        machineCounts.clear();
         for (Machine machine : shard.machines().values()) {
             if (machine.type() != null && shard.machineTypes().containsKey(machine.type())) {
-                counts.merge(machine.kind(), 1, Integer::sum);
+                machineCounts.merge(machine.kind(), 1, Integer::sum);
             }
         }
     }
@@ -48,23 +48,23 @@
         r[0] = now + settings.cloud().listLagSeconds() * (1 << (int) r[1]) / 2;
     }
 
-    boolean mayBeHad(MachineKind kind, double now) {
+    boolean isAvailable(MachineKind kind, double now) {
         double[] r = refused.get(kind);
         return r == null || now >= r[0];
     }
 
-    void granted(MachineKind kind) {
+    void recordGrant(MachineKind kind) {
         refused.remove(kind);
     }
 
-    static boolean allowed(MachineKind kind, JobSpec spec, String zone) {
+    static boolean isAllowed(MachineKind kind, JobSpec spec, String zone) {
         return (spec.machineTypes() == null || spec.machineTypes().contains(kind.machineType()))
                 && (zone == null || zone.equals(kind.zone()))
                 && (spec.allowsSpot() || !kind.spot());
     }
 
     /** Null if none can be had in these zones. */
-    MachineKind cheapest(
+    MachineKind cheapestKind(
             JobSpec spec, Predicate<String> zones, Map<MachineKind, Integer> rent, double now) {
         MachineKind best = null;
         double bestPrice = 0;
@@ -76,11 +76,11 @@
                 for (int spot = spec.allowsSpot() ? 1 : 0; spot >= 0; spot--) {
                     MachineKind kind = new MachineKind(type.name(), z, spot == 1);
                     if (!zones.test(z)
-                            || !allowed(kind, spec, spec.zone())
-                            || !mayBeHad(kind, now)) {
+                            || !isAllowed(kind, spec, spec.zone())
+                            || !isAvailable(kind, now)) {
                         continue;
                     }
-                    double price = price(kind, type, ProbePlacement.slots(spec, type), rent);
+                    double price = pricePerUnit(kind, type, ProbePlacement.slots(spec, type), rent);
                     if (best == null || price < bestPrice) {
                         best = kind;
                         bestPrice = price;
@@ -92,15 +92,15 @@
     }
 
     /** The cheapest kind by the CPU; null if none can be had. */
-    MachineKind cheapestByCpu(Map<MachineKind, Integer> rent, double now) {
+    MachineKind cheapestKindByCpu(Map<MachineKind, Integer> rent, double now) {
         MachineKind best = null;
         double bestPrice = 0;
         for (MachineType type : shard.machineTypes().values()) {
             for (String z : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     MachineKind kind = new MachineKind(type.name(), z, spot);
-                    double price = price(kind, type, type.cpus(), rent);
-                    if (mayBeHad(kind, now)
+                    double price = pricePerUnit(kind, type, type.cpus(), rent);
+                    if (isAvailable(kind, now)
                             && type.cpus() > 0
                             && (best == null || price < bestPrice)) {
                         best = kind;
@@ -116,25 +116,25 @@
      * Per unit of what a machine offers. Zones share: of equal ones, the one with the least of this
      * kind.
      */
-    private double price(
+    private double pricePerUnit(
             MachineKind kind, MachineType type, double units, Map<MachineKind, Integer> rent) {
-        int there = counts.getOrDefault(kind, 0) + rent.getOrDefault(kind, 0);
+        int there = machineCounts.getOrDefault(kind, 0) + rent.getOrDefault(kind, 0);
         return (kind.spot() ? type.spotPricePerHour() : type.pricePerHour()) / units * (1 + 1e-4 * there);
     }
 
-    boolean spotToBeHad(JobSpec spec, double now) {
+    boolean isSpotAvailable(JobSpec spec, double now) {
         return shard.machineTypes().values().stream()
                 .anyMatch(
-                        type -> ProbePlacement.slots(spec, type) > 0 && cheaperToBeHad(type, now));
+                        type -> ProbePlacement.slots(spec, type) > 0 && isCheaperSpotAvailable(type, now));
     }
 
     /**
      * Guards against work that could run on spot machines keeping ordinary ones rented: it fills
      * them up again and again, so they never idle.
      */
-    boolean cheaperToBeHad(MachineType type, double now) {
+    boolean isCheaperSpotAvailable(MachineType type, double now) {
         return type.spotPricePerHour() < type.pricePerHour()
                 && type.zones().stream()
-                        .anyMatch(z -> mayBeHad(new MachineKind(type.name(), z, true), now));
+                        .anyMatch(z -> isAvailable(new MachineKind(type.name(), z, true), now));
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -10,23 +10,23 @@
     private final ShardState shard;
 
     /** Silence is counted from then at the earliest. */
-    private double since;
+    private double silenceSince;
 
     MachineLiveness(ShardState shard) {
         this.settings = shard.settings();
         this.shard = shard;
     }
 
-    void since(double leadingSince) {
-        since = leadingSince;
+    void silenceSince(double leadingSince) {
+        silenceSince = leadingSince;
     }
 
-    double since() {
-        return since;
+    double silenceSince() {
+        return silenceSince;
     }
 
     /** Up or coming, and not on its way out. */
-    static boolean usable(Machine machine) {
+    static boolean isUsable(Machine machine) {
         return !machine.isReleasing()
                 && !machine.isGone()
                 && !machine.isQuarantined()
@@ -40,10 +40,10 @@
      * work that they have room for.
      */
     boolean mayBeOverdue(Machine machine, double now) {
-        return !machine.hasReported() && machine.attempts().isEmpty() && now - since > silenceS();
+        return !machine.hasReported() && machine.attempts().isEmpty() && now - silenceSince > silenceSeconds();
     }
 
-    boolean late(Machine machine, double now) {
+    boolean isLate(Machine machine, double now) {
         return mayBeOverdue(machine, now) && shard.bootTimes().isLate(machine, now);
     }
 
@@ -51,7 +51,7 @@
      * How long a worker that is up may take to report: its lease, or a few reports and a change of
      * nodes.
      */
-    double silenceS() {
+    double silenceSeconds() {
         return Math.min(settings.workers().leaseSeconds(), 5 * settings.workers().heartbeatIntervalSeconds() + 4);
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -22,14 +22,14 @@
 
     private final ClusterSettings settings;
     private final ShardState shard;
-    private final InstanceSelection market;
-    private final MachineLiveness presence;
+    private final InstanceSelection instanceSelection;
+    private final MachineLiveness machineLiveness;
 
     ScaleIn(ShardState shard, InstanceSelection market, MachineLiveness presence) {
         this.settings = shard.settings();
         this.shard = shard;
-        this.market = market;
-        this.presence = presence;
+        this.instanceSelection = market;
+        this.machineLiveness = presence;
     }
 
     /**
@@ -38,9 +38,9 @@
      * @param spareCpus of the CPUs that are up or coming, those that no guarantee needs
      * @param kept machines in reserve
      */
-    List<String> returns(double now, Set<Machine> kept, double spareCpus) {
+    List<String> machinesToRelease(double now, Set<Machine> kept, double spareCpus) {
         double lease = settings.workers().leaseSeconds();
-        double silence = presence.silenceS();
+        double silence = machineLiveness.silenceSeconds();
         int up = 0;
         int silent = 0;
         int unheard = 0;
@@ -50,13 +50,13 @@
                 up++;
                 double since =
                         machine.hasReported()
-                                ? Math.max(machine.lastHeartbeatAt(), presence.since())
-                                : presence.since();
+                                ? Math.max(machine.lastHeartbeatAt(), machineLiveness.silenceSince())
+                                : machineLiveness.silenceSince();
                 if (now - since > silence) {
                     silent++;
                     mute.add(machine);
                 }
-                unheard += deafForLong(machine, now) && !machine.isTokenConfirmed() ? 1 : 0;
+                unheard += isDeafForLong(machine, now) && !machine.isTokenConfirmed() ? 1 : 0;
             }
         }
         // Guards against a holder that is cut off from workers itself: if several fall silent
@@ -72,7 +72,7 @@
             boolean give = machine.isReleasing();
             boolean surplus =
                     type != null
-                            && !presence.late(machine, now)
+                            && !machineLiveness.isLate(machine, now)
                             && spare >= type.cpus()
                             && !kept.contains(machine)
                             && machine.reservedFor() == null;
@@ -85,30 +85,30 @@
                             && machine.isTokenConfirmed()
                             && !machine.isSpot()
                             && machine.lastNeededAt() < now
-                            && market.cheaperToBeHad(type, now));
+                            && instanceSelection.isCheaperSpotAvailable(type, now));
             if (mute.contains(machine)) {
                 double quiet =
                         now
                                 - Math.max(
-                                        presence.since(),
+                                        machineLiveness.silenceSince(),
                                         machine.hasReported()
                                                 ? machine.lastHeartbeatAt()
-                                                : presence.since());
+                                                : machineLiveness.silenceSince());
                 give |= few || some && quiet > 1.5 * lease || quiet > 3 * lease;
             } else if (type != null
-                    && presence.mayBeOverdue(machine, now)
+                    && machineLiveness.mayBeOverdue(machine, now)
                     && shard.bootTimes().isHopeless(machine, now)) {
                 give = true;
                 if (!machine.isReleasing()) {
-                    market.refused(machine.kind(), now); // Where boots fail, others come first.
+                    instanceSelection.refused(machine.kind(), now); // Where boots fail, others come first.
                 }
             } else if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUnwrittenEnds()) {
-                give |= machine.isQuarantined() || deafForLong(machine, now);
+                give |= machine.isQuarantined() || isDeafForLong(machine, now);
                 give |=
                         surplus
                                 && now - machine.lastNeededAt() > type.bootSeconds()
-                                && (machine.isDraining() || idleTooLong(machine, type, now));
-            } else if (!machine.isTokenConfirmed() && deafForLong(machine, now)) {
+                                && (machine.isDraining() || isIdleTooLong(machine, type, now));
+            } else if (!machine.isTokenConfirmed() && isDeafForLong(machine, now)) {
                 // What an earlier holder left on it can't be proven over by a report. Not if it is
                 // most of them: then it is hardly they who hear nothing.
                 give |= unheard * 2 <= up;
@@ -138,7 +138,7 @@
         return out;
     }
 
-    private boolean deafForLong(Machine machine, double now) {
+    private boolean isDeafForLong(Machine machine, double now) {
         return machine.missingAnswersSeconds(now) > DEAF_LEASES * settings.workers().leaseSeconds();
     }
 
@@ -148,7 +148,7 @@
      * than the machine until they end, and they can begin anew and still be in time for all that is
      * expected.
      */
-    void clear(double now, double wallMs) {
+    void moveTasksToSpot(double now, double wallMs) {
         double room = 0;
         for (Machine machine : shard.machines().values()) {
             MachineType type = shard.machineTypes().get(machine.type());
@@ -163,7 +163,7 @@
                     || machine.attempts().isEmpty()
                     || now - machine.lastNeededAt() <= type.bootSeconds()
                     || machine.usedCpus() > room
-                    || !worthMoving(machine, type, now, wallMs)) {
+                    || !isWorthMoving(machine, type, now, wallMs)) {
                 continue;
             }
             room -= machine.usedCpus();
@@ -174,7 +174,7 @@
         }
     }
 
-    private boolean worthMoving(Machine machine, MachineType type, double now, double wallMs) {
+    private boolean isWorthMoving(Machine machine, MachineType type, double now, double wallMs) {
         double rest = 0;
         double lost = 0;
         for (Attempt attempt : machine.attempts()) {
@@ -191,7 +191,7 @@
                 && rest * type.pricePerHour() > 2 * lost * type.spotPricePerHour() / type.cpus();
     }
 
-    private boolean idleTooLong(Machine machine, MachineType type, double now) {
+    private boolean isIdleTooLong(Machine machine, MachineType type, double now) {
         // Worth keeping about as long as a new one would take to come.
         return now - machine.idleSince() > type.bootSeconds();
     }
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -26,14 +26,14 @@
     private static final Logger LOG = LoggerFactory.getLogger(ScalingPlanner.class);
 
     /** What to rent by kind, the soonest wanted first, and what to give back. */
-    public record Plan(Map<MachineKind, Integer> rent, List<String> release) {}
+    public record Plan(Map<MachineKind, Integer> countsToRent, List<String> machinesToRelease) {}
 
     private final ClusterSettings settings;
     private final ShardState shard;
     private final Scheduler scheduler;
-    private final InstanceSelection market;
-    private final MachineLiveness presence;
-    private final ScaleIn returns;
+    private final InstanceSelection instanceSelection;
+    private final MachineLiveness machineLiveness;
+    private final ScaleIn scaleIn;
 
     /** CPUs of what is up or coming. */
     private double usableCpus;
@@ -45,46 +45,46 @@
         this.settings = shard.settings();
         this.shard = shard;
         this.scheduler = scheduler;
-        this.market = new InstanceSelection(shard);
-        this.presence = new MachineLiveness(shard);
-        this.returns = new ScaleIn(shard, market, presence);
+        this.instanceSelection = new InstanceSelection(shard);
+        this.machineLiveness = new MachineLiveness(shard);
+        this.scaleIn = new ScaleIn(shard, instanceSelection, machineLiveness);
     }
 
     /** The cloud refused this kind, in whole or in part. */
-    public void refused(MachineKind kind, double now) {
-        market.refused(kind, now);
+    public void recordRefusal(MachineKind kind, double now) {
+        instanceSelection.refused(kind, now);
     }
 
-    public void granted(MachineKind kind) {
-        market.granted(kind);
+    public void recordGrant(MachineKind kind) {
+        instanceSelection.recordGrant(kind);
     }
 
     /** {@code leadingSince}: silence is counted from then at the earliest. */
     public Plan plan(double now, double wallMs, double leadingSince) {
-        presence.since(leadingSince);
-        survey(now);
+        machineLiveness.silenceSince(leadingSince);
+        measureCapacity(now);
         Map<MachineKind, Integer> rent = new LinkedHashMap<>();
-        List<FreeCapacity> rooms = rooms(now, null);
-        List<Job> queue = scheduler.queue(now, wallMs, settings.workers().heartbeatIntervalSeconds() / 8);
+        List<FreeCapacity> rooms = freeCapacities(now, null);
+        List<Job> queue = scheduler.orderedJobs(now, wallMs, settings.workers().heartbeatIntervalSeconds() / 8);
         for (Job job : queue) {
-            want(job, rooms, rent, now, wallMs);
+            planForJob(job, rooms, rent, now, wallMs);
         }
-        Set<Machine> kept = idle() ? Set.of() : reserve(queue, rent, now, wallMs);
-        floor(rent, now);
-        List<String> release = returns.returns(now, kept, usableCpus - guaranteedCpus());
-        returns.clear(now, wallMs);
+        Set<Machine> kept = isIdle() ? Set.of() : reserveForObjectives(queue, rent, now, wallMs);
+        rentForGuarantees(rent, now);
+        List<String> release = scaleIn.machinesToRelease(now, kept, usableCpus - guaranteedCpus());
+        scaleIn.moveTasksToSpot(now, wallMs);
         return new Plan(rent, release);
     }
 
-    private void survey(double now) {
-        market.survey();
+    private void measureCapacity(double now) {
+        instanceSelection.countMachines();
         usableCpus = 0;
         for (Machine machine : shard.machines().values()) {
             MachineType type = machine.type() == null ? null : shard.machineTypes().get(machine.type());
             if (type == null) {
                 continue;
             }
-            if (MachineLiveness.usable(machine) && !presence.late(machine, now)) {
+            if (MachineLiveness.isUsable(machine) && !machineLiveness.isLate(machine, now)) {
                 usableCpus += type.cpus();
             }
         }
@@ -100,11 +100,11 @@
      * The room of all machines that are up or coming: as it will be by the time a new machine could
      * be up, or, for a job that may come at any moment, as it is now with lesser work stopped.
      */
-    private List<FreeCapacity> rooms(double now, JobSpec forNow) {
+    private List<FreeCapacity> freeCapacities(double now, JobSpec forNow) {
         List<FreeCapacity> rooms = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             MachineType type = machine.type() == null ? null : shard.machineTypes().get(machine.type());
-            if (type == null || !MachineLiveness.usable(machine) || presence.late(machine, now)) {
+            if (type == null || !MachineLiveness.isUsable(machine) || machineLiveness.isLate(machine, now)) {
                 continue;
             }
             FreeCapacity capacity = new FreeCapacity(type, machine.kind(), machine);
@@ -115,10 +115,10 @@
                                 : attempt.job.spec.isGang()
                                         || attempt.job.effectivePriority().compareTo(forNow.priority())
                                                 <= 0)) {
-                    capacity.then.less(attempt.job.spec, 1);
+                    capacity.afterBoot.subtract(attempt.job.spec, 1);
                 }
                 if (!attempt.isUnwanted()) {
-                    capacity.now.less(attempt.job.spec, 1);
+                    capacity.immediately.subtract(attempt.job.spec, 1);
                 }
             }
             rooms.add(capacity);
@@ -131,7 +131,7 @@
      * already: enough for all but the largest of the gangs that came lately, by the share that the
      * objective names.
      */
-    private Set<Machine> reserve(
+    private Set<Machine> reserveForObjectives(
             List<Job> queue, Map<MachineKind, Integer> rent, double now, double wallMs) {
         Set<Machine> kept = new HashSet<>();
         double boot =
@@ -168,25 +168,25 @@
                                                         .jobsPerSecond(objective.jobClass(), wallMs)));
                 atOnce = (int) Math.ceil(spread * typical.taskCount() / rounds);
             }
-            List<FreeCapacity> rooms = rooms(now, typical);
+            List<FreeCapacity> rooms = freeCapacities(now, typical);
             ZoneConstraints zones = ZoneConstraints.of(typical);
-            decide(zones, typical, atOnce, rooms, now);
+            chooseZone(zones, typical, atOnce, rooms, now);
             rooms.removeIf(
-                    capacity -> !InstanceSelection.allowed(capacity.kind, typical, zones.only()));
+                    capacity -> !InstanceSelection.isAllowed(capacity.kind, typical, zones.boundZone()));
             rooms.sort(
                     Comparator.comparingDouble(
-                            capacity -> capacity.then.cpus - capacity.type.cpus()));
+                            capacity -> capacity.afterBoot.cpus - capacity.type.cpus()));
             for (FreeCapacity capacity : rooms) {
                 int n =
-                        capacity.take(
-                                typical, Math.min(atOnce, zones.left(capacity.kind.zone())), false);
-                zones.add(capacity.kind.zone(), n);
+                        capacity.allocate(
+                                typical, Math.min(atOnce, zones.remainingTasks(capacity.kind.zone())), false);
+                zones.addTasks(capacity.kind.zone(), n);
                 atOnce -= n;
                 if (n > 0) {
                     kept.add(capacity.machine);
                 }
             }
-            rentFor(typical, atOnce, zones, rent, now, kind -> true);
+            addRentals(typical, atOnce, zones, rent, now, kind -> true);
         }
         return kept;
     }
@@ -195,7 +195,7 @@
      * Adds machines for that many tasks to what is to be rented, of the cheapest kinds; stops at
      * one that is not worth it. Returns the new machines' rooms, with the tasks in them.
      */
-    private List<FreeCapacity> rentFor(
+    private List<FreeCapacity> addRentals(
             JobSpec spec,
             int tasks,
             ZoneConstraints zones,
@@ -205,16 +205,16 @@
         List<FreeCapacity> rented = new ArrayList<>();
         int left = tasks;
         while (left > 0) {
-            MachineKind kind = market.cheapest(spec, z -> zones.left(z) > 0, rent, now);
+            MachineKind kind = instanceSelection.cheapestKind(spec, z -> zones.remainingTasks(z) > 0, rent, now);
             if (kind == null || !worth.test(kind)) {
                 break;
             }
             FreeCapacity capacity = new FreeCapacity(shard.machineTypes().get(kind.machineType()), kind, null);
-            int n = capacity.take(spec, Math.min(left, zones.left(kind.zone())), false);
+            int n = capacity.allocate(spec, Math.min(left, zones.remainingTasks(kind.zone())), false);
             if (n == 0) {
                 break;
             }
-            zones.add(kind.zone(), n);
+            zones.addTasks(kind.zone(), n);
             left -= n;
             rent.merge(kind, 1, Integer::sum);
             rented.add(capacity);
@@ -223,12 +223,12 @@
     }
 
     /** Guards against a fleet kept rented for work that may come when none has come for long. */
-    private boolean idle() {
+    private boolean isIdle() {
         return shard.jobs().values().stream().allMatch(job -> job.isFinished());
     }
 
     private double guaranteedCpus() {
-        return idle()
+        return isIdle()
                 ? 0
                 : settings.teams().values().stream().mapToDouble(ClusterSettings.Team::guaranteedCpus).sum();
     }
@@ -236,13 +236,13 @@
     /**
      * What teams are guaranteed must not wait for a boot: all guarantees together are kept rented.
      */
-    private void floor(Map<MachineKind, Integer> rent, double now) {
+    private void rentForGuarantees(Map<MachineKind, Integer> rent, double now) {
         double missing = guaranteedCpus() - usableCpus;
         for (Map.Entry<MachineKind, Integer> e : rent.entrySet()) {
             missing -= e.getValue() * shard.machineTypes().get(e.getKey().machineType()).cpus();
         }
         while (missing > 0) {
-            MachineKind best = market.cheapestByCpu(rent, now);
+            MachineKind best = instanceSelection.cheapestKindByCpu(rent, now);
             if (best == null) {
                 return;
             }
@@ -251,7 +251,7 @@
         }
     }
 
-    private void want(
+    private void planForJob(
             Job job,
             List<FreeCapacity> rooms,
             Map<MachineKind, Integer> rent,
@@ -281,11 +281,11 @@
             return;
         }
         ZoneConstraints zones = ZoneConstraints.of(job);
-        decide(zones, spec, waiting, rooms, now);
+        chooseZone(zones, spec, waiting, rooms, now);
         // Guards against work that could run on spot machines filling ordinary ones for good, at
         // several times the price: it may use what is free there, but spot machines are rented for
         // it as if it could not.
-        boolean spotOnly = spec.allowsSpot() && market.spotToBeHad(spec, now);
+        boolean spotOnly = spec.allowsSpot() && instanceSelection.isSpotAvailable(spec, now);
         // Room that frees within a boot time is as good as a new machine, but not for a job that
         // has to start sooner to meet its deadline: such work needs the room that is free now, or
         // more of it.
@@ -294,24 +294,24 @@
             if (waiting == 0) {
                 break;
             }
-            int most = zones.left(capacity.kind.zone());
+            int most = zones.remainingTasks(capacity.kind.zone());
             if (most > 0
-                    && capacity.holds(spec, atOnce)
-                    && InstanceSelection.allowed(capacity.kind, spec, spec.zone())
+                    && capacity.hasCpusFor(spec, atOnce)
+                    && InstanceSelection.isAllowed(capacity.kind, spec, spec.zone())
                     && (capacity.kind.spot() || !spotOnly)) {
-                int n = capacity.take(spec, Math.min(waiting, most), atOnce);
-                zones.add(capacity.kind.zone(), n);
+                int n = capacity.allocate(spec, Math.min(waiting, most), atOnce);
+                zones.addTasks(capacity.kind.zone(), n);
                 waiting -= n;
             }
         }
         rooms.addAll(
-                rentFor(
+                addRentals(
                         spec,
                         waiting,
                         zones,
                         rent,
                         now,
-                        kind -> !spec.allowsSpot() || kind.spot() || !inTime(job, wallMs)));
+                        kind -> !spec.allowsSpot() || kind.spot() || !mayFinishOnSpot(job, wallMs)));
     }
 
     /**
@@ -319,7 +319,7 @@
      * rented. Guards against ordinary machines rented at several times the price because spot ones
      * have run out for the moment.
      */
-    private boolean inTime(Job job, double wallMs) {
+    private boolean mayFinishOnSpot(Job job, double wallMs) {
         int goal = job.startGoalCount() - 1;
         if (job.hasDeadline()) {
             // A deadline is missed long before a machine is up, by this job and by those that come
@@ -338,24 +338,24 @@
      * is there or coming. A gang needs a zone that holds all of it, or where what it lacks may be
      * had.
      */
-    private void decide(
+    private void chooseZone(
             ZoneConstraints zones, JobSpec spec, int tasks, List<FreeCapacity> rooms, double now) {
-        if (!spec.isSingleZone() || zones.decided()) {
+        if (!spec.isSingleZone() || zones.isDecided()) {
             return;
         }
         Map<String, Double> score = new LinkedHashMap<>();
         Set<String> open = new HashSet<>();
         for (String z : settings.zones()) {
-            if (market.cheapest(spec, z::equals, Map.of(), now) != null) {
+            if (instanceSelection.cheapestKind(spec, z::equals, Map.of(), now) != null) {
                 open.add(z);
             }
             score.put(z, open.contains(z) ? 0.1 : 0);
         }
         for (FreeCapacity capacity : rooms) {
-            if (InstanceSelection.allowed(capacity.kind, spec, null) && spec.cpusPerTask() > 0) {
+            if (InstanceSelection.isAllowed(capacity.kind, spec, null) && spec.cpusPerTask() > 0) {
                 score.merge(
                         capacity.kind.zone(),
-                        Math.floor(capacity.then.cpus / spec.cpusPerTask()),
+                        Math.floor(capacity.afterBoot.cpus / spec.cpusPerTask()),
                         Double::sum);
             }
         }
@@ -364,6 +364,6 @@
                         e -> spec.isGang() && (open.contains(e.getKey()) || e.getValue() >= tasks));
         score.entrySet().stream()
                 .max(order.thenComparing(Map.Entry.comparingByValue()))
-                .ifPresent(e -> zones.bind(e.getKey()));
+                .ifPresent(e -> zones.bindTo(e.getKey()));
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -27,28 +27,28 @@
      * are stopped for them. Guards against work that is stopped by the ten thousand on a full
      * fleet, half done, for tasks that would have had the room of one that ended a second later.
      */
-    private static final double PATIENCE = 2;
+    private static final double WAIT_REPORT_INTERVALS = 2;
 
     private final ShardState shard;
     private final ProbePlacement probePlacement;
     private long evictions;
-    private long forGuarantees;
-    private long forGangs;
+    private long evictionsForGuarantees;
+    private long evictionsForGangs;
 
     /**
      * By zone, or "" for jobs that may be in any: for how many jobs machines are kept in this
      * round.
      */
-    private final Map<String, Integer> keepers = new HashMap<>();
+    private final Map<String, Integer> reservingJobsByZone = new HashMap<>();
 
-    private final Map<Claim, Giving> givings = new HashMap<>();
+    private final Map<Claim, Giving> yieldingWorkByClaim = new HashMap<>();
 
     /**
      * Whether this round looked for room for small tasks. Guards against rounds of which two thirds
      * go into looking at every attempt of a full fleet for one small job after the other, when the
      * next round comes in a moment.
      */
-    private boolean searchedForSmall;
+    private boolean hasSearchedForSmallJobs;
 
     Preemption(ShardState shard, ProbePlacement probePlacement) {
         this.shard = shard;
@@ -63,24 +63,24 @@
         return evictions;
     }
 
-    public long forGuarantees() {
-        return forGuarantees;
+    public long evictionsForGuarantees() {
+        return evictionsForGuarantees;
     }
 
     /** And those that made room for gangs and large tasks. */
-    public long forGangs() {
-        return forGangs;
+    public long evictionsForGangs() {
+        return evictionsForGangs;
     }
 
     /**
      * A machine that a job might be given room on: tasks that fit now and with others stopped, and
      * what stopping them and fetching the image would lose, in CPU seconds.
      */
-    private record Offer(Machine machine, int now, int stopping, double loss) {}
+    private record Offer(Machine machine, int slotsNow, int slotsAfterEviction, double lostCpuSeconds) {}
 
-    /** What decides whose work gives way to a job; {@code firm}: its own never does. */
+    /** What decides whose work gives way to a job; {@code nonPreemptible}: its own never does. */
     private record Claim(
-            JobSpec.Priority priority, boolean guaranteed, String team, boolean firm) {}
+            JobSpec.Priority priority, boolean guaranteed, String team, boolean nonPreemptible) {}
 
     /**
      * What gives way to jobs of one claim: whose work, and by machine its CPUs, GPUs, memory and
@@ -89,12 +89,12 @@
      * is not counted, and machines where something is stopped are reserved.
      */
     private static final class Giving {
-        private final Set<Job> yielding = Collections.newSetFromMap(new IdentityHashMap<>());
-        private final Map<Machine, double[]> sums = new IdentityHashMap<>();
+        private final Set<Job> jobs = Collections.newSetFromMap(new IdentityHashMap<>());
+        private final Map<Machine, double[]> resourcesByMachine = new IdentityHashMap<>();
     }
 
     /** Room for so many tasks of a job that comes free on a machine, after so many seconds. */
-    private record Gap(Machine machine, double inS, int tasks) {}
+    private record Gap(Machine machine, double inSeconds, int tasks) {}
 
     /**
      * For a job that found no room: stops lesser work where that is enough, and keeps machines for
@@ -103,33 +103,33 @@
      */
     boolean makeRoom(Job job, List<Machine> open, double now) {
         JobSpec spec = job.spec;
-        boolean small = small(spec);
-        if (small && searchedForSmall) {
+        boolean small = isSmall(spec);
+        if (small && hasSearchedForSmallJobs) {
             return false;
         }
-        searchedForSmall |= small;
-        Giving giving = giving(job);
-        if (small && giving.yielding.isEmpty()) {
+        hasSearchedForSmallJobs |= small;
+        Giving giving = yieldingWork(job);
+        if (small && giving.jobs.isEmpty()) {
             return false;
         }
         int need =
                 spec.isGang() ? job.waitingTasks() : Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(spec));
-        ZoneConstraints bounds = ZoneConstraints.of(job);
+        ZoneConstraints zones = ZoneConstraints.of(job);
         Map<String, List<Offer>> byZone = new LinkedHashMap<>();
         for (Machine machine : open) {
             if ((machine.reservedFor() == null || machine.reservedFor() == job)
-                    && probePlacement.allowed(machine, spec)
-                    && bounds.left(machine.zone()) > 0) {
+                    && probePlacement.isAllowed(machine, spec)
+                    && zones.remainingTasks(machine.zone()) > 0) {
                 byZone.computeIfAbsent(
                                 spec.isSingleZone() ? machine.zone() : "", key -> new ArrayList<>())
-                        .add(offer(job, machine, giving, now));
+                        .add(evictionCandidate(job, machine, giving, now));
             }
         }
         List<Offer> best = null;
         double bestLoss = Double.MAX_VALUE;
         for (List<Offer> in : byZone.values()) {
-            List<Offer> take = cheapest(in, need, ZoneConstraints.of(job));
-            double loss = take == null ? 0 : take.stream().mapToDouble(Offer::loss).sum();
+            List<Offer> take = chooseCheapest(in, need, ZoneConstraints.of(job));
+            double loss = take == null ? 0 : take.stream().mapToDouble(Offer::lostCpuSeconds).sum();
             if (take != null && loss < bestLoss) {
                 best = take;
                 bestLoss = loss;
@@ -137,7 +137,7 @@
         }
         if (best != null) {
             for (Offer candidate : best) {
-                if (!small || outranked(job, candidate.machine)) {
+                if (!small || hasWorkServedBefore(job, candidate.machine)) {
                     candidate.machine.reserve(job, now + 2 * shard.settings().workers().heartbeatIntervalSeconds());
                 }
                 need -= evict(job, candidate, need);
@@ -147,7 +147,7 @@
         if (small) {
             return false; // Small tasks find gaps by themselves.
         }
-        return keep(job, need, byZone.keySet(), open, now);
+        return reserveSoonestRoom(job, need, byZone.keySet(), open, now);
     }
 
     /**
@@ -156,25 +156,25 @@
      * a fifth of the fleet idles in gaps that would together hold several of them: in each zone
      * only the first one keeps room, the others take what is free.
      */
-    private boolean keep(Job job, int need, Set<String> zones, List<Machine> open, double now) {
+    private boolean reserveSoonestRoom(Job job, int need, Set<String> zones, List<Machine> open, double now) {
         JobSpec spec = job.spec;
         List<Gap> best = null;
         String where = null;
         for (String zone : zones) {
-            if (keepers.getOrDefault(zone, 0)
+            if (reservingJobsByZone.getOrDefault(zone, 0)
                     >= (zone.isEmpty() ? shard.settings().zones().size() : 1)) {
                 continue;
             }
             List<Gap> gaps = new ArrayList<>();
             for (Machine machine : open) {
                 if ((machine.reservedFor() == null || machine.reservedFor() == job)
-                        && probePlacement.allowed(machine, spec)
+                        && probePlacement.isAllowed(machine, spec)
                         && (zone.isEmpty() || zone.equals(machine.zone()))) {
-                    gaps(job, machine, now, gaps);
+                    addExpectedRoom(job, machine, now, gaps);
                 }
             }
-            List<Gap> take = soonest(gaps, need, ZoneConstraints.of(job));
-            if (take != null && (best == null || last(take) < last(best))) {
+            List<Gap> take = chooseSoonest(gaps, need, ZoneConstraints.of(job));
+            if (take != null && (best == null || lastOpeningSeconds(take) < lastOpeningSeconds(best))) {
                 best = take;
                 where = zone;
             }
@@ -182,36 +182,36 @@
         if (best == null) {
             return false;
         }
-        double from = now + last(best);
+        double from = now + lastOpeningSeconds(best);
         best.forEach(g -> g.machine.reserveAllowingBackfill(job, from));
-        keepers.merge(where, 1, Integer::sum);
+        reservingJobsByZone.merge(where, 1, Integer::sum);
         return true;
     }
 
-    private static double last(List<Gap> gaps) {
-        return gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1).inS;
+    private static double lastOpeningSeconds(List<Gap> gaps) {
+        return gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1).inSeconds;
     }
 
-    private static List<Gap> soonest(List<Gap> gaps, int need, ZoneConstraints zones) {
-        gaps.sort(Comparator.comparingDouble(Gap::inS).thenComparing(g -> g.machine.id));
+    private static List<Gap> chooseSoonest(List<Gap> gaps, int need, ZoneConstraints zones) {
+        gaps.sort(Comparator.comparingDouble(Gap::inSeconds).thenComparing(g -> g.machine.id));
         List<Gap> take = new ArrayList<>();
         int left = need;
         for (Gap g : gaps) {
             if (left <= 0) {
                 break;
             }
-            int n = Math.min(g.tasks, zones.left(g.machine.zone()));
+            int n = Math.min(g.tasks, zones.remainingTasks(g.machine.zone()));
             if (n > 0) {
                 take.add(g);
                 left -= n;
-                zones.add(g.machine.zone(), n);
+                zones.addTasks(g.machine.zone(), n);
             }
         }
         return left <= 0 ? take : null;
     }
 
     /** The gaps that open on the machine as its attempts end one after the other. */
-    private void gaps(Job job, Machine machine, double now, List<Gap> into) {
+    private void addExpectedRoom(Job job, Machine machine, double now, List<Gap> into) {
         List<Attempt> ends = new ArrayList<>(machine.attempts());
         ends.sort(
                 Comparator.comparingDouble(
@@ -222,7 +222,7 @@
             into.add(new Gap(machine, 0, before));
         }
         for (Attempt attempt : ends) {
-            less(less, attempt);
+            addResources(less, attempt);
             int after = probePlacement.freeSlots(machine, job.spec, less[0], less[1], less[2]);
             if (after > before) {
                 into.add(
@@ -237,14 +237,14 @@
 
     /** A new round: who keeps room is decided anew. */
     void beginRound() {
-        keepers.clear();
-        givings.clear();
-        searchedForSmall = false;
+        reservingJobsByZone.clear();
+        yieldingWorkByClaim.clear();
+        hasSearchedForSmallJobs = false;
     }
 
     /** Whether the job waits a little for room that comes free by itself. */
-    boolean patient(Job job, double wallMs) {
-        if (!small(job.spec)) {
+    boolean isWaitingForFreeRoom(Job job, double wallMs) {
+        if (!isSmall(job.spec)) {
             return false;
         }
         double reportMs = 1000 * shard.settings().workers().heartbeatIntervalSeconds();
@@ -253,13 +253,13 @@
         boolean early =
                 job.effectivePriority() != job.spec.priority()
                         && wallMs
-                                        + PATIENCE * reportMs
+                                        + WAIT_REPORT_INTERVALS * reportMs
                                         + 1000 * shard.startLatencies().upperEstimateSeconds(job.spec.jobClass())
                                 < job.startGoalMillis(0);
-        return early || wallMs - job.eligibleSinceMillis() < PATIENCE * reportMs;
+        return early || wallMs - job.eligibleSinceMillis() < WAIT_REPORT_INTERVALS * reportMs;
     }
 
-    private boolean small(JobSpec spec) {
+    private boolean isSmall(JobSpec spec) {
         return !spec.isGang()
                 && !spec.isSingleZone()
                 && !spec.isSpreadAcrossZones()
@@ -269,13 +269,13 @@
     /**
      * Offers that together hold the tasks, those that lose least first; null if they don't suffice.
      */
-    private static List<Offer> cheapest(List<Offer> in, int need, ZoneConstraints zones) {
+    private static List<Offer> chooseCheapest(List<Offer> in, int need, ZoneConstraints zones) {
         List<Offer> sorted = new ArrayList<>(in);
         sorted.sort(
                 Comparator.comparingDouble(
                                 (Offer candidate) ->
-                                        candidate.loss / Math.max(1, candidate.stopping))
-                        .thenComparing(candidate -> -candidate.now)
+                                        candidate.lostCpuSeconds / Math.max(1, candidate.slotsAfterEviction))
+                        .thenComparing(candidate -> -candidate.slotsNow)
                         .thenComparing(candidate -> candidate.machine.id));
         List<Offer> take = new ArrayList<>();
         int left = need;
@@ -283,36 +283,36 @@
             if (left <= 0) {
                 break;
             }
-            int n = Math.min(candidate.stopping, zones.left(candidate.machine.zone()));
+            int n = Math.min(candidate.slotsAfterEviction, zones.remainingTasks(candidate.machine.zone()));
             if (n > 0) {
                 left -= n;
-                zones.add(candidate.machine.zone(), n);
+                zones.addTasks(candidate.machine.zone(), n);
                 take.add(
-                        n == candidate.stopping
+                        n == candidate.slotsAfterEviction
                                 ? candidate
                                 : new Offer(
                                         candidate.machine,
-                                        Math.min(n, candidate.now),
+                                        Math.min(n, candidate.slotsNow),
                                         n,
-                                        candidate.loss));
+                                        candidate.lostCpuSeconds));
             }
         }
         return left <= 0 ? take : null;
     }
 
-    private Giving giving(Job job) {
-        Claim claim = new Claim(job.effectivePriority(), job.isWithinGuarantee(), job.spec.team(), firm(job));
-        Giving known = givings.get(claim);
+    private Giving yieldingWork(Job job) {
+        Claim claim = new Claim(job.effectivePriority(), job.isWithinGuarantee(), job.spec.team(), isNonPreemptible(job));
+        Giving known = yieldingWorkByClaim.get(claim);
         if (known != null) {
             return known;
         }
         Giving g = new Giving();
         for (Job j : shard.jobs().values()) {
-            if (!j.liveAttempts().isEmpty() && (j.isFinished() || j.hasStoppingAttempts() || yields(j, job))) {
-                g.yielding.add(j);
+            if (!j.liveAttempts().isEmpty() && (j.isFinished() || j.hasStoppingAttempts() || mustYield(j, job))) {
+                g.jobs.add(j);
             }
         }
-        givings.put(claim, g);
+        yieldingWorkByClaim.put(claim, g);
         return g;
     }
 
@@ -320,12 +320,12 @@
      * CPUs, GPUs and memory of what gives way to the job on the machine, and the CPU seconds that
      * stopping it loses.
      */
-    private double[] sums(Job job, Machine machine, Giving giving, double now) {
+    private double[] evictableResources(Job job, Machine machine, Giving giving, double now) {
         double[] sum = new double[4];
         for (Attempt attempt : machine.attempts()) {
-            if (giving.yielding.contains(attempt.job) && mayEvict(job, attempt)) {
+            if (giving.jobs.contains(attempt.job) && mayEvict(job, attempt)) {
                 JobSpec spec = attempt.job.spec;
-                less(sum, attempt);
+                addResources(sum, attempt);
                 sum[3] +=
                         attempt.isStopping()
                                 ? 0
@@ -337,8 +337,8 @@
         return sum;
     }
 
-    private Offer offer(Job job, Machine machine, Giving giving, double now) {
-        double[] sum = giving.sums.computeIfAbsent(machine, k -> sums(job, machine, giving, now));
+    private Offer evictionCandidate(Job job, Machine machine, Giving giving, double now) {
+        double[] sum = giving.resourcesByMachine.computeIfAbsent(machine, k -> evictableResources(job, machine, giving, now));
         double loss = sum[3];
         MachineType type = shard.machineTypes().get(machine.type());
         int stopping = probePlacement.freeSlots(machine, job.spec, sum[0], sum[1], sum[2]);
@@ -349,7 +349,7 @@
     }
 
     private boolean mayEvict(Job job, Attempt victim) {
-        return victim.isUnwanted() || yields(victim.job, job); // What is unwanted goes anyway.
+        return victim.isUnwanted() || mustYield(victim.job, job); // What is unwanted goes anyway.
     }
 
     /**
@@ -358,17 +358,17 @@
      * done: what is within a guarantee does not give way to more urgent work that would have to
      * give it back.
      */
-    boolean yields(Job holding, Job job) {
-        if (firm(holding)) {
+    boolean mustYield(Job holding, Job job) {
+        if (isNonPreemptible(holding)) {
             return false;
         }
         if (holding.effectivePriority().compareTo(job.effectivePriority()) > 0) {
-            return firm(job) || !borrows(job, holding, 0);
+            return isNonPreemptible(job) || !isBorrowingAgainst(job, holding, 0);
         }
-        return borrows(holding, job, holding.spec.cpusPerTask());
+        return isBorrowingAgainst(holding, job, holding.spec.cpusPerTask());
     }
 
-    private static boolean firm(Job job) {
+    private static boolean isNonPreemptible(Job job) {
         return job.spec.isGang() || job.spec.shape() == JobSpec.Shape.SERVICE;
     }
 
@@ -376,7 +376,7 @@
      * Whether the job's team has that work beyond its guarantee, {@code own} CPUs of it apart, and
      * the other is within its.
      */
-    private boolean borrows(Job job, Job other, double own) {
+    private boolean isBorrowingAgainst(Job job, Job other, double own) {
         ClusterSettings.Team team = shard.settings().teams().get(job.spec.team());
         return other.isWithinGuarantee()
                 && !job.isWithinGuarantee()
@@ -392,9 +392,9 @@
      * can have been reported. Only then, for small tasks: to hold a machine of which they take a
      * thirtieth would leave the rest of it idle.
      */
-    private boolean outranked(Job job, Machine machine) {
+    private boolean hasWorkServedBefore(Job job, Machine machine) {
         return machine.attempts().stream()
-                .anyMatch(attempt -> attempt.job.queueRank() < job.queueRank() && yields(attempt.job, job));
+                .anyMatch(attempt -> attempt.job.queueRank() < job.queueRank() && mustYield(attempt.job, job));
     }
 
     /**
@@ -407,7 +407,7 @@
         for (Attempt attempt : candidate.machine.attempts()) {
             if (mayEvict(job, attempt)) {
                 if (attempt.isUnwanted()) {
-                    less(less, attempt);
+                    addResources(less, attempt);
                 } else {
                     victims.add(attempt);
                 }
@@ -416,7 +416,7 @@
         victims.sort(
                 Comparator.comparingDouble((Attempt attempt) -> -attempt.placedAt)
                         .thenComparing(attempt -> -attempt.task));
-        int want = Math.min(need, candidate.stopping);
+        int want = Math.min(need, candidate.slotsAfterEviction);
         for (Attempt attempt : victims) {
             if (probePlacement.freeSlots(candidate.machine, job.spec, less[0], less[1], less[2])
                     >= want) {
@@ -425,16 +425,16 @@
             boolean written = attempt.isDurable();
             shard.stopAttempt(attempt, attempt.job.spec.stopGraceSeconds());
             evictions++;
-            forGangs += small(job.spec) ? 0 : 1;
-            forGuarantees += attempt.job.effectivePriority().compareTo(job.effectivePriority()) > 0 ? 0 : 1;
+            evictionsForGangs += isSmall(job.spec) ? 0 : 1;
+            evictionsForGuarantees += attempt.job.effectivePriority().compareTo(job.effectivePriority()) > 0 ? 0 : 1;
             if (written) {
-                less(less, attempt);
+                addResources(less, attempt);
             }
         }
         return want;
     }
 
-    private static void less(double[] sum, Attempt attempt) {
+    private static void addResources(double[] sum, Attempt attempt) {
         sum[0] += attempt.job.spec.cpusPerTask();
         sum[1] += attempt.job.spec.gpusPerTask();
         sum[2] += attempt.job.spec.memoryGigabytesPerTask();
--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -14,28 +14,28 @@
 import java.util.function.Predicate;
 
 /**
- * Which machine a task goes to: the first of up to {@link #PROBES} random ones that passes, else
+ * Which machine a task goes to: the first of up to {@link #MAX_PROBES} random ones that passes, else
  * the best fit of a scan over the block. See docs/design.md.
  */
 public final class ProbePlacement {
     /** T of the paper: a machine passes a probe with fewer unconfirmed starts than this. */
-    public static final int THRESHOLD = 2;
+    public static final int UNCONFIRMED_THRESHOLD = 2;
 
     /** Lp of the paper. */
-    public static final int PROBES = 3;
+    public static final int MAX_PROBES = 3;
 
     /**
      * How often the places of the machines that hold an image have to hold a job for it to wait for
      * those.
      */
-    private static final double ENOUGH = 4;
+    private static final double IMAGE_SLOTS_FACTOR = 4;
 
     private final Random random;
     private final Map<String, MachineType> types;
-    private long probes;
-    private long passed;
-    private long scans;
-    private long looks;
+    private long probeCount;
+    private long passedProbeCount;
+    private long scanCount;
+    private long inspectedMachineCount;
 
     ProbePlacement(Random random, Map<String, MachineType> types) {
         this.random = random;
@@ -43,46 +43,46 @@
     }
 
     /** Machines probed, and how many of them passed. */
-    public long probes() {
-        return probes;
+    public long probeCount() {
+        return probeCount;
     }
 
-    public long passed() {
-        return passed;
+    public long passedProbeCount() {
+        return passedProbeCount;
     }
 
-    public long scans() {
-        return scans;
+    public long scanCount() {
+        return scanCount;
     }
 
     /** Machines looked at by scans and for gangs. */
-    public long looks() {
-        return looks;
+    public long inspectedMachineCount() {
+        return inspectedMachineCount;
     }
 
     /** Whether the machine may run the task by everything but its present load. */
-    boolean allowed(Machine machine, JobSpec spec) {
+    boolean isAllowed(Machine machine, JobSpec spec) {
         return types.containsKey(machine.type())
-                && allowed(machine.type(), machine.zone(), machine.isSpot(), spec);
+                && isAllowed(machine.type(), machine.zone(), machine.isSpot(), spec);
     }
 
     /** Whether machines of that kind may run the job. */
-    public static boolean allowed(MachineKind kind, JobSpec spec) {
-        return allowed(kind.machineType(), kind.zone(), kind.spot(), spec);
+    public static boolean isAllowed(MachineKind kind, JobSpec spec) {
+        return isAllowed(kind.machineType(), kind.zone(), kind.spot(), spec);
     }
 
-    private static boolean allowed(String type, String zone, boolean spot, JobSpec spec) {
+    private static boolean isAllowed(String type, String zone, boolean spot, JobSpec spec) {
         return (spec.machineTypes() == null || spec.machineTypes().contains(type))
                 && (spec.zone() == null || spec.zone().equals(zone))
                 && (spec.allowsSpot() || !spot);
     }
 
-    boolean room(Machine machine, JobSpec spec) {
+    boolean hasRoom(Machine machine, JobSpec spec) {
         return machine.fits(spec, types.get(machine.type()));
     }
 
     /** A search for machines for the tasks of one job, out of candidates that are all allowed. */
-    MachineSearch search(JobSpec spec, List<Machine> candidates) {
+    MachineSearch newSearch(JobSpec spec, List<Machine> candidates) {
         return new MachineSearch(spec, candidates);
     }
 
@@ -102,53 +102,53 @@
         private int stage;
 
         /** Whether the stages for machines without the image have still to be worked out. */
-        private boolean elsewhereToo;
+        private boolean stagesWithoutImagePending;
 
-        private Boolean enough;
+        private Boolean enoughSlotsWithImage;
 
         /**
          * The candidates with room for a task, as of when the search began: room only shrinks while
          * it lasts.
          */
-        private List<Machine> roomy;
+        private List<Machine> machinesWithRoom;
 
         /**
          * Null before a stage begins. Room only shrinks while a search lasts, so a stage that found
          * none is over.
          */
-        private Walk walk;
+        private Walk stageSearch;
 
         private MachineSearch(JobSpec spec, List<Machine> candidates) {
             this.spec = spec;
             this.candidates = candidates;
             if (!spec.allowsSpot()) {
-                if (large()) {
-                    stages.add(this::holds);
+                if (fillsWholeMachine()) {
+                    stages.add(this::hasImage);
                 }
                 stages.add(machine -> true);
                 return;
             }
             // Work that may use spot machines leaves the others to work that may not; but with a
             // deadline there is no time to fetch an image on the one while the other has it.
-            stages.add(machine -> machine.isSpot() && holds(machine));
+            stages.add(machine -> machine.isSpot() && hasImage(machine));
             if (spec.deadlineSeconds() != null) {
-                stages.add(this::holds);
+                stages.add(this::hasImage);
             }
-            elsewhereToo = true;
+            stagesWithoutImagePending = true;
         }
 
         /** Once those that have the image are full. */
-        private void goElsewhere() {
-            elsewhereToo = false;
+        private void addStagesWithoutImage() {
+            stagesWithoutImagePending = false;
             boolean hurried = spec.deadlineSeconds() != null;
-            if (!enoughHold()) {
-                elsewhere(Machine::isSpot);
+            if (!hasEnoughSlotsWithImage()) {
+                addFetchStages(Machine::isSpot);
             }
             if (!hurried) {
-                stages.add(this::holds);
+                stages.add(this::hasImage);
             }
-            if (!enoughHold()) {
-                elsewhere(machine -> true);
+            if (!hasEnoughSlotsWithImage()) {
+                addFetchStages(machine -> true);
             } else {
                 // Where half a machine is free, one fetch serves many, and nothing is left idle.
                 stages.add(
@@ -158,7 +158,7 @@
             }
         }
 
-        private boolean holds(Machine machine) {
+        private boolean hasImage(Machine machine) {
             return machine.hasImage(spec.image());
         }
 
@@ -166,7 +166,7 @@
          * Machines that lack the image: those that fetch it already, then those that fetch nothing
          * else, since images that are fetched at the same time may share the machine's rate.
          */
-        private void elsewhere(Predicate<Machine> of) {
+        private void addFetchStages(Predicate<Machine> of) {
             stages.add(machine -> of.test(machine) && machine.isFetching(spec.image()));
             stages.add(machine -> of.test(machine) && !machine.isFetching());
             stages.add(of);
@@ -178,74 +178,74 @@
          * an image on a machine that three others fetch theirs on, while their like end every
          * second where the image is.
          */
-        private boolean enoughHold() {
-            if (enough == null) {
+        private boolean hasEnoughSlotsWithImage() {
+            if (enoughSlotsWithImage == null) {
                 double slots = 0;
                 for (Machine machine : candidates) {
-                    if (holds(machine) || machine.isFetching(spec.image())) {
+                    if (hasImage(machine) || machine.isFetching(spec.image())) {
                         MachineType type = types.get(machine.type());
                         slots +=
-                                most(
+                                maxSlots(
                                         spec,
                                         Integer.MAX_VALUE,
                                         type.cpus() - machine.nonSpotCpus(),
                                         type.gpus(),
                                         type.memoryGigabytes());
                     }
-                    if (slots >= ENOUGH * spec.taskCount()) {
+                    if (slots >= IMAGE_SLOTS_FACTOR * spec.taskCount()) {
                         break;
                     }
                 }
-                enough = slots >= ENOUGH * spec.taskCount();
+                enoughSlotsWithImage = slots >= IMAGE_SLOTS_FACTOR * spec.taskCount();
             }
-            return enough;
+            return enoughSlotsWithImage;
         }
 
         /** Whether it left out machines only because the image is elsewhere. */
-        boolean holdsOut() {
-            return Boolean.TRUE.equals(enough);
+        boolean isWaitingForImage() {
+            return Boolean.TRUE.equals(enoughSlotsWithImage);
         }
 
         /**
          * Guards against bound work spread over empty machines for the sake of its image: it packs,
          * if it can.
          */
-        private boolean large() {
+        private boolean fillsWholeMachine() {
             return types.values().stream().allMatch(type -> slots(spec, type) < 2);
         }
 
         /** The same search among fewer candidates. */
-        MachineSearch within(Predicate<Machine> in) {
+        MachineSearch restrictedTo(Predicate<Machine> in) {
             return new MachineSearch(spec, candidates.stream().filter(in).toList());
         }
 
         /**
          * Null if there is none now; the caller puts the task there before it asks for the next.
          */
-        Machine next() {
-            if (roomy == null) {
-                roomy = candidates.stream().filter(machine -> room(machine, spec)).toList();
+        Machine nextMachine() {
+            if (machinesWithRoom == null) {
+                machinesWithRoom = candidates.stream().filter(machine -> hasRoom(machine, spec)).toList();
             }
-            while (walk != null || stage < stages.size() || elsewhereToo) {
-                if (walk == null && stage == stages.size()) {
-                    goElsewhere();
+            while (stageSearch != null || stage < stages.size() || stagesWithoutImagePending) {
+                if (stageSearch == null && stage == stages.size()) {
+                    addStagesWithoutImage();
                     continue;
                 }
-                if (walk == null) {
+                if (stageSearch == null) {
                     Predicate<Machine> in = stages.get(stage++);
                     // Where none has room, probes would miss and a scan find nothing: on a full
                     // fleet that is nearly every stage of nearly every search, and to ask hundreds
                     // of machines for an image takes its time.
-                    if (roomy.stream().noneMatch(in)) {
+                    if (machinesWithRoom.stream().noneMatch(in)) {
                         continue;
                     }
-                    walk = new Walk(spec, candidates.stream().filter(in).toList());
+                    stageSearch = new Walk(spec, candidates.stream().filter(in).toList());
                 }
-                Machine machine = walk.next();
+                Machine machine = stageSearch.nextMachine();
                 if (machine != null) {
                     return machine;
                 }
-                walk = null;
+                stageSearch = null;
             }
             return null;
         }
@@ -253,30 +253,30 @@
 
     private final class Walk {
         private final JobSpec spec;
-        private final List<Machine> from;
+        private final List<Machine> candidates;
 
         /**
          * Machines in use come first, so that idle ones stay whole for gangs and large tasks, or
          * empty to return.
          */
-        private final List<Machine> used = new ArrayList<>();
+        private final List<Machine> machinesInUse = new ArrayList<>();
 
-        private List<Machine> order;
-        private int at;
+        private List<Machine> scanOrder;
+        private int nextInOrder;
 
         Walk(JobSpec spec, List<Machine> from) {
             this.spec = spec;
-            this.from = from;
+            this.candidates = from;
             for (Machine machine : from) {
                 if (machine.cpusJustifyingRental() > 0) {
-                    used.add(machine);
+                    machinesInUse.add(machine);
                 }
             }
         }
 
-        Machine next() {
-            if (order == null || at < order.size()) {
-                Machine machine = probe(spec, used);
+        Machine nextMachine() {
+            if (scanOrder == null || nextInOrder < scanOrder.size()) {
+                Machine machine = probe(spec, machinesInUse);
                 return machine != null ? machine : scan();
             }
             return null; // A scan found the candidates full.
@@ -287,37 +287,37 @@
          * most images, which large work would start on at once: it takes those first that have few.
          * Less than what a full machine counts.
          */
-        private double worthKeeping(Machine machine) {
+        private double imageCountPenalty(Machine machine) {
             int n = machine.images().size();
             return 0.25 * n / (n + 4);
         }
 
         /** The fullest machine that has room, those with the image first. */
         private Machine scan() {
-            scans++;
-            if (order == null) {
-                order = new ArrayList<>();
+            scanCount++;
+            if (scanOrder == null) {
+                scanOrder = new ArrayList<>();
                 Map<Machine, Double> score = new HashMap<>();
-                for (Machine machine : from) {
-                    looks++;
-                    if (room(machine, spec)) {
-                        order.add(machine);
+                for (Machine machine : candidates) {
+                    inspectedMachineCount++;
+                    if (hasRoom(machine, spec)) {
+                        scanOrder.add(machine);
                         score.put(
                                 machine,
                                 (machine.cpusJustifyingRental() + machine.usedCpus() / 4)
                                                 / types.get(machine.type()).cpus()
                                         + (machine.hasImage(spec.image()) ? 1 : 0)
                                         - (spec.allowsSpot() && !machine.isSpot()
-                                                ? worthKeeping(machine)
+                                                ? imageCountPenalty(machine)
                                                 : 0));
                     }
                 }
-                order.sort(Comparator.comparing(score::get, Comparator.reverseOrder()));
+                scanOrder.sort(Comparator.comparing(score::get, Comparator.reverseOrder()));
             }
-            for (; at < order.size(); at++) {
-                looks++;
-                if (room(order.get(at), spec)) {
-                    return order.get(at);
+            for (; nextInOrder < scanOrder.size(); nextInOrder++) {
+                inspectedMachineCount++;
+                if (hasRoom(scanOrder.get(nextInOrder), spec)) {
+                    return scanOrder.get(nextInOrder);
                 }
             }
             return null;
@@ -326,15 +326,15 @@
 
     private Machine probe(JobSpec spec, List<Machine> from) {
         int n = from.size();
-        for (int i = 0; i < PROBES && i < n; i++) {
+        for (int i = 0; i < MAX_PROBES && i < n; i++) {
             // A partial shuffle: distinct machines, as in the paper.
             int j = i + random.nextInt(n - i);
             Machine machine = from.get(j);
             from.set(j, from.get(i));
             from.set(i, machine);
-            probes++;
-            if (machine.unconfirmedStarts() < THRESHOLD && room(machine, spec)) {
-                passed++;
+            probeCount++;
+            if (machine.unconfirmedStarts() < UNCONFIRMED_THRESHOLD && hasRoom(machine, spec)) {
+                passedProbeCount++;
                 return machine;
             }
         }
@@ -346,7 +346,7 @@
         Map<String, Integer> slots = new TreeMap<>();
         int total = 0;
         for (Machine machine : candidates) {
-            looks++;
+            inspectedMachineCount++;
             int n = freeSlots(machine, spec, 0, 0, 0);
             total += n;
             slots.merge(machine.zone(), n, Integer::sum);
@@ -354,16 +354,16 @@
         if (total < spec.taskCount()) {
             return null;
         }
-        MachineSearch all = search(spec, candidates);
+        MachineSearch all = newSearch(spec, candidates);
         if (!spec.isSingleZone()) {
-            return whole(spec, all);
+            return findWholeGang(spec, all);
         }
         // The zone with the least room that still suffices, so that larger gangs find theirs.
         List<String> zones = new ArrayList<>(slots.keySet());
         zones.removeIf(z -> slots.get(z) < spec.taskCount());
         zones.sort(Comparator.comparing(slots::get));
         for (String z : zones) {
-            List<Machine> found = whole(spec, all.within(machine -> machine.zone().equals(z)));
+            List<Machine> found = findWholeGang(spec, all.restrictedTo(machine -> machine.zone().equals(z)));
             if (found != null) {
                 return found;
             }
@@ -376,7 +376,7 @@
      * suffices for so many, or else the most. Guards against a job that is bound to a zone which
      * holds few of its tasks by the first of them, while another would hold all.
      */
-    String roomiest(JobSpec spec, int tasks, List<Machine> candidates) {
+    String chooseZone(JobSpec spec, int tasks, List<Machine> candidates) {
         Map<String, Integer> slots = new TreeMap<>();
         for (Machine machine : candidates) {
             slots.merge(machine.zone(), freeSlots(machine, spec, 0, 0, 0), Integer::sum);
@@ -393,19 +393,19 @@
                 .orElse(null);
     }
 
-    private List<Machine> whole(JobSpec spec, MachineSearch among) {
+    private List<Machine> findWholeGang(JobSpec spec, MachineSearch among) {
         MachineSearch search = among;
         List<Machine> found = new ArrayList<>();
         Map<String, Integer> perZone = new HashMap<>();
         for (int i = 0; i < spec.taskCount(); i++) {
-            Machine machine = search.next();
+            Machine machine = search.nextMachine();
             if (machine == null) {
                 break;
             }
             machine.countTentatively(spec, 1);
             found.add(machine);
             if (perZone.merge(machine.zone(), 1, Integer::sum) >= spec.maxTasksPerZone()) {
-                search = search.within(x -> !x.zone().equals(machine.zone()));
+                search = search.restrictedTo(x -> !x.zone().equals(machine.zone()));
             }
         }
         for (Machine machine : found) {
@@ -431,15 +431,15 @@
     }
 
     public static int slots(JobSpec spec, double cpus, double gpus, double memoryGb) {
-        return most(spec, spec.taskCount(), cpus, gpus, memoryGb);
+        return maxSlots(spec, spec.taskCount(), cpus, gpus, memoryGb);
     }
 
     /** How many tasks of that size an empty machine of the type holds, however many the job has. */
-    static int most(JobSpec spec, MachineType type) {
-        return most(spec, Integer.MAX_VALUE, type.cpus(), type.gpus(), type.memoryGigabytes());
+    static int maxSlots(JobSpec spec, MachineType type) {
+        return maxSlots(spec, Integer.MAX_VALUE, type.cpus(), type.gpus(), type.memoryGigabytes());
     }
 
-    private static int most(JobSpec spec, int tasks, double cpus, double gpus, double memoryGb) {
+    private static int maxSlots(JobSpec spec, int tasks, double cpus, double gpus, double memoryGb) {
         double n = tasks;
         if (spec.cpusPerTask() > 0) {
             n = Math.min(n, Math.floor((cpus + 1e-6) / spec.cpusPerTask()));
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -24,30 +24,30 @@
  */
 public final class Scheduler {
     /** Within which every job has to begin, however large. */
-    private static final double BEGIN_WITHIN_S = 240;
+    private static final double LARGE_JOB_START_SECONDS = 240;
 
     /** Of that, the part after which it is helped. */
-    private static final double PATIENT = 0.5;
+    private static final double PROMOTE_AFTER_FRACTION = 0.5;
 
     private final ShardState shard;
     private final ProbePlacement probePlacement;
     private final Preemption preemption;
     private final LoopTimeAccounting loopTime;
-    private final WarmReserve standby;
+    private final WarmReserve warmReserve;
 
     /** What found no room in this round, and that for which none can be made either. */
-    private final UnschedulableShapes roomless = new UnschedulableShapes();
+    private final UnschedulableShapes withoutFreeRoom = new UnschedulableShapes();
 
-    private final UnschedulableShapes hopeless = new UnschedulableShapes();
+    private final UnschedulableShapes beyondPreemption = new UnschedulableShapes();
 
     /** Whether the last search left out machines only because its image is elsewhere. */
-    private boolean heldOut;
+    private boolean skippedForImage;
 
     /** Whether it left out tasks because their parts' records are full. */
-    private boolean full;
+    private boolean recordsFull;
 
-    private List<Job> queued;
-    private double queuedAt;
+    private List<Job> lastOrder;
+    private double lastOrderAt;
 
     /** {@code random} chooses the machines that are probed. */
     public Scheduler(ShardState shard, Random random, LoopTimeAccounting loopTime) {
@@ -55,10 +55,10 @@
         this.loopTime = loopTime;
         this.probePlacement = new ProbePlacement(random, shard.machineTypes());
         this.preemption = new Preemption(shard, probePlacement);
-        this.standby = new WarmReserve(shard, probePlacement);
+        this.warmReserve = new WarmReserve(shard, probePlacement);
     }
 
-    public ProbePlacement placement() {
+    public ProbePlacement probePlacement() {
         return probePlacement;
     }
 
@@ -71,20 +71,20 @@
      * waits, and not at which of it comes first by a moment: to work the order out takes as long as
      * a whole round of placing.
      */
-    public List<Job> queue(double now, double wallMs, double agoS) {
-        if (queued == null || now - queuedAt > agoS) {
-            return queue(now, wallMs);
+    public List<Job> orderedJobs(double now, double wallMs, double agoS) {
+        if (lastOrder == null || now - lastOrderAt > agoS) {
+            return orderedJobs(now, wallMs);
         }
-        return queued.stream().filter(job -> job.waitingTasks() > 0).toList();
+        return lastOrder.stream().filter(job -> job.waitingTasks() > 0).toList();
     }
 
     /** The holder's jobs are others from now on. */
-    public void forget() {
-        queued = null;
+    public void forgetOrder() {
+        lastOrder = null;
     }
 
     /** Unfinished jobs with work to place, in the order in which they are served. */
-    public List<Job> queue(double now, double wallMs) {
+    public List<Job> orderedJobs(double now, double wallMs) {
         double began = loopTime.now();
         // Guards against a round of which most goes into sorting thousands of jobs that wait for
         // others.
@@ -105,17 +105,17 @@
         }
         List<Job> order =
                 new SchedulingQueue(
-                                spec -> capacity(spec, open),
+                                spec -> usableCpus(spec, open),
                                 spec -> shard.startLatencies().upperEstimateSeconds(spec.jobClass()),
                                 shard.serviceLevels()::catchUpShare,
                                 now,
                                 wallMs)
-                        .of(good);
-        beginFirst(order, wallMs);
+                        .sortJobs(good);
+        promoteLargestJob(order, wallMs);
         mistaken.removeIf(job -> job.waitingTasks() == 0);
         order.addAll(mistaken);
-        queued = List.copyOf(order);
-        queuedAt = now;
+        lastOrder = List.copyOf(order);
+        lastOrderAt = now;
         loopTime.record(Activity.ORDERING, began);
         return order;
     }
@@ -127,8 +127,8 @@
      * room that comes free; it stops nothing that it might not stop anyway. One at a time: room is
      * kept for it meanwhile.
      */
-    private void beginFirst(List<Job> order, double wallMs) {
-        double since = wallMs - 1000 * BEGIN_WITHIN_S * PATIENT;
+    private void promoteLargestJob(List<Job> order, double wallMs) {
+        double since = wallMs - 1000 * LARGE_JOB_START_SECONDS * PROMOTE_AFTER_FRACTION;
         order.stream()
                 .filter(
                         job ->
@@ -145,14 +145,14 @@
     }
 
     /** How many CPUs such jobs could use at once if these machines, counted by kind, were empty. */
-    private double capacity(JobSpec spec, Map<MachineKind, Integer> machines) {
+    private double usableCpus(JobSpec spec, Map<MachineKind, Integer> machines) {
         double cpus = 0;
         for (Map.Entry<MachineKind, Integer> e : machines.entrySet()) {
-            if (ProbePlacement.allowed(e.getKey(), spec)) {
+            if (ProbePlacement.isAllowed(e.getKey(), spec)) {
                 cpus +=
                         e.getValue()
                                 * spec.cpusPerTask()
-                                * ProbePlacement.most(spec, shard.machineTypes().get(e.getKey().machineType()));
+                                * ProbePlacement.maxSlots(spec, shard.machineTypes().get(e.getKey().machineType()));
             }
         }
         return cpus;
@@ -167,7 +167,7 @@
         jobs.sort(Comparator.comparingDouble(Job::eligibleSinceMillis));
         Map<String, double[]> claimed = new HashMap<>();
         for (Job job : jobs) {
-            boolean fits = claim(job, claimed);
+            boolean fits = claimGuarantee(job, claimed);
             if (!job.isGuaranteeClaimKnown()) {
                 job.setGuaranteeClaim(fits);
             }
@@ -197,7 +197,7 @@
                                                         * job.spec.estimatedSeconds()));
         claimed.clear();
         for (Job job : jobs) {
-            job.setWithinGuarantee(claim(job, claimed));
+            job.setWithinGuarantee(claimGuarantee(job, claimed));
         }
     }
 
@@ -205,7 +205,7 @@
      * Adds what is left of the job to what its team has claimed; whether that is within the
      * guarantee.
      */
-    private boolean claim(Job job, Map<String, double[]> claimed) {
+    private boolean claimGuarantee(Job job, Map<String, double[]> claimed) {
         ClusterSettings.Team team = shard.settings().teams().get(job.spec.team());
         if (job.isFinished() || team == null || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
             return false;
@@ -220,24 +220,24 @@
      * Places what it can, at most {@code most} tasks; the placings take effect once they are
      * written.
      */
-    public int place(double now, double wallMs, int most) {
+    public int placeWaitingTasks(double now, double wallMs, int most) {
         shard.beginSchedulingRound(now);
         preemption.beginRound();
         List<Machine> open = shard.machines().values().stream().filter(Machine::isSchedulable).toList();
-        standby.choose(open, wallMs);
-        roomless.clear();
-        hopeless.clear();
+        warmReserve.chooseMachines(open, wallMs);
+        withoutFreeRoom.clear();
+        beyondPreemption.clear();
         Set<Job> expected = new HashSet<>();
         open.forEach(machine -> expected.add(machine.reservedFor()));
         int placed = 0;
-        for (Job job : queue(now, wallMs)) {
+        for (Job job : orderedJobs(now, wallMs)) {
             shard.markBacklog();
             if (placed >= most) {
                 shard.requestScheduling();
                 break;
             }
             if (now >= job.notBefore()) {
-                placed += serve(job, open, expected.contains(job), most - placed, now, wallMs);
+                placed += placeJob(job, open, expected.contains(job), most - placed, now, wallMs);
             }
         }
         return placed;
@@ -247,7 +247,7 @@
      * Places what it can of the job, and makes room for the rest; {@code expected}: room is
      * reserved for it.
      */
-    private int serve(
+    private int placeJob(
             Job job, List<Machine> open, boolean expected, int most, double now, double wallMs) {
         boolean gang = job.spec.isGang();
         // Of a job that has to look at where its other tasks are, or failed, nothing follows for
@@ -258,14 +258,14 @@
                         && (gang
                                 ? job.liveAttempts().isEmpty()
                                 : !job.spec.isSingleZone() && !job.spec.isSpreadAcrossZones());
-        boolean patient = preemption.patient(job, wallMs);
-        if (alike && (hopeless.contains(job) || patient && roomless.contains(job))) {
+        boolean patient = preemption.isWaitingForFreeRoom(job, wallMs);
+        if (alike && (beyondPreemption.contains(job) || patient && withoutFreeRoom.contains(job))) {
             return 0;
         }
         int placed = 0;
-        heldOut = false;
-        full = false;
-        if (!alike || !roomless.contains(job)) {
+        skippedForImage = false;
+        recordsFull = false;
+        if (!alike || !withoutFreeRoom.contains(job)) {
             placed = gang ? placeGang(job, open, now) : placeTasks(job, open, now, most);
         }
         // A gang that still has tasks on machines waits for those, whatever room there is.
@@ -276,16 +276,16 @@
                         && shard.quotaUsage().remainingTasks(job.spec) >= (gang ? job.spec.taskCount() : 1);
         // Guards against a job whose records are full for now, although machines are idle, which
         // speaks for all others that would fit there: hundreds of tasks waited behind it.
-        if (!wants || full) {
+        if (!wants || recordsFull) {
             return placed;
         }
         if (alike) {
-            roomless.add(job, heldOut);
+            withoutFreeRoom.add(job, skippedForImage);
         }
         if (!patient) {
             if (!makeRoom(job, open, now)) {
                 if (alike) {
-                    hopeless.add(job, heldOut);
+                    beyondPreemption.add(job, skippedForImage);
                 }
             } else if (!gang) {
                 // Guards against room of placings that were taken back, as they had not been
@@ -304,7 +304,7 @@
         return made;
     }
 
-    private List<Machine> candidates(Job job, List<Machine> open, double now) {
+    private List<Machine> candidateMachines(Job job, List<Machine> open, double now) {
         JobSpec spec = job.spec;
         List<Machine> out = new ArrayList<>();
         List<Machine> failed = new ArrayList<>();
@@ -315,11 +315,11 @@
             if ((heir == null
                             || heir == job
                             || machine.isBackfillAllowed()
-                                    && (preemption.yields(job, heir) || machine.mayBackfill(job, now)))
-                    && probePlacement.allowed(machine, spec)
-                    && zones.left(machine.zone()) > 0
+                                    && (preemption.mustYield(job, heir) || machine.mayBackfill(job, now)))
+                    && probePlacement.isAllowed(machine, spec)
+                    && zones.remainingTasks(machine.zone()) > 0
                     && !(machine.isDraining() && spec.allowsSpot())
-                    && !standby.keepsFrom(machine, job)) {
+                    && !warmReserve.isReservedAgainst(machine, job)) {
                 (!anew && job.failedMachines().contains(machine.id) ? failed : out).add(machine);
             }
         }
@@ -339,20 +339,20 @@
         // room for a task: that is so for all of hundreds of jobs on a full fleet, whatever image
         // they need.
         if (open.stream()
-                .noneMatch(machine -> probePlacement.allowed(machine, spec) && probePlacement.room(machine, spec))) {
+                .noneMatch(machine -> probePlacement.isAllowed(machine, spec) && probePlacement.hasRoom(machine, spec))) {
             return 0;
         }
         ZoneConstraints zones = ZoneConstraints.of(job);
-        List<Machine> candidates = candidates(job, open, now);
-        ProbePlacement.MachineSearch search = probePlacement.search(spec, candidates);
-        heldOut = search.holdsOut();
-        if (spec.isSingleZone() && !zones.decided()) {
-            String zone = probePlacement.roomiest(spec, Math.min(n, job.waitingTasks()), candidates);
-            search = search.within(machine -> machine.zone().equals(zone));
+        List<Machine> candidates = candidateMachines(job, open, now);
+        ProbePlacement.MachineSearch search = probePlacement.newSearch(spec, candidates);
+        skippedForImage = search.isWaitingForImage();
+        if (spec.isSingleZone() && !zones.isDecided()) {
+            String zone = probePlacement.chooseZone(spec, Math.min(n, job.waitingTasks()), candidates);
+            search = search.restrictedTo(machine -> machine.zone().equals(zone));
         }
         for (int t = job.nextWaitingTask(0); t >= 0 && placed < n; t = job.nextWaitingTask(t + 1)) {
             if (!shard.fitsRecord(job, t)) {
-                full = true;
+                recordsFull = true;
                 if (spec.shape() == JobSpec.Shape.SERVICE) {
                     shard.requestMigration(job); // Nothing of it ends by itself.
                     break;
@@ -363,15 +363,15 @@
                 // of it ends.
                 continue;
             }
-            Machine machine = search.next();
+            Machine machine = search.nextMachine();
             if (machine == null) {
                 break;
             }
             shard.place(job, t, machine, now);
             placed++;
-            zones.add(machine.zone(), 1);
-            if (zones.left(machine.zone()) == 0) {
-                search = search.within(x -> !x.zone().equals(machine.zone()));
+            zones.addTasks(machine.zone(), 1);
+            if (zones.remainingTasks(machine.zone()) == 0) {
+                search = search.restrictedTo(x -> !x.zone().equals(machine.zone()));
             }
         }
         if (placed > 0) {
@@ -393,7 +393,7 @@
             shard.requestMigration(job);
             return 0;
         }
-        List<Machine> found = probePlacement.chooseGang(job.spec, candidates(job, open, now));
+        List<Machine> found = probePlacement.chooseGang(job.spec, candidateMachines(job, open, now));
         if (found == null) {
             return 0;
         }
--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -26,24 +26,24 @@
  */
 public final class SchedulingQueue {
     /** A job, which of its goals is tried for, and its work in CPU seconds. */
-    private record Entry(Job job, int goal, double work, double leadMs, double standing) {
+    private record Entry(Job job, int goal, double workCpuSeconds, double startLatencyMillis, double serviceShare) {
         /** By when it has to be placed, to run by the time that its goal says. */
-        double startMs() {
-            return job.startGoalMillis(goal) - leadMs;
+        double latestStartMillis() {
+            return job.startGoalMillis(goal) - startLatencyMillis;
         }
     }
 
-    private final ToDoubleFunction<JobSpec> capacity;
-    private final ToDoubleFunction<JobSpec> lead;
+    private final ToDoubleFunction<JobSpec> usableCpus;
+    private final ToDoubleFunction<JobSpec> startLatencySeconds;
 
     /** 1, or below it if a job's class or team gets so little that others go without before it. */
-    private final ToDoubleFunction<JobSpec> standing;
+    private final ToDoubleFunction<JobSpec> serviceShare;
 
     private final double now;
     private final double wallMs;
 
     /** CPU seconds of waiting work that goes before what is looked at. */
-    private double ahead;
+    private double cpuSecondsAhead;
 
     /**
      * CPUs of what runs and does not give way, by job, and for how long they will probably be
@@ -55,10 +55,10 @@
      * The same, those that end soonest first; and added up to each, what they take in all, and
      * their CPUs.
      */
-    private double[] ends = new double[0];
+    private double[] runningEndSeconds = new double[0];
 
-    private double[] taken = new double[1];
-    private double[] held = new double[1];
+    private double[] cumulativeCpuSeconds = new double[1];
+    private double[] cumulativeCpus = new double[1];
 
     /**
      * Guards against an overload of work for ordinary machines that nobody sees because spot
@@ -75,14 +75,14 @@
             ToDoubleFunction<JobSpec> standing,
             double now,
             double wallMs) {
-        this.capacity = capacity;
-        this.lead = lead;
-        this.standing = standing;
+        this.usableCpus = capacity;
+        this.startLatencySeconds = lead;
+        this.serviceShare = standing;
         this.now = now;
         this.wallMs = wallMs;
     }
 
-    List<Job> of(Collection<Job> jobs) {
+    List<Job> sortJobs(Collection<Job> jobs) {
         Map<Integer, List<Job>> ranks = new LinkedHashMap<>();
         int least = 2 * JobSpec.Priority.values().length;
         for (Job job : jobs) {
@@ -91,16 +91,16 @@
         List<Job> out = new ArrayList<>();
         for (int rank = 0; rank < least; rank++) {
             List<Job> in = ranks.getOrDefault(rank, List.of());
-            in.forEach(this::runs);
-            if (running.size() > ends.length) {
-                addUp();
+            in.forEach(this::addRunning);
+            if (running.size() > runningEndSeconds.length) {
+                sumRunning();
             }
-            order(in, out);
+            orderRank(in, out);
         }
         return out;
     }
 
-    private void runs(Job job) {
+    private void addRunning(Job job) {
         double sum = 0;
         for (Attempt attempt : job.liveAttempts().values()) {
             sum += attempt.remainingSeconds(now);
@@ -111,17 +111,17 @@
         }
     }
 
-    private void addUp() {
+    private void sumRunning() {
         running.sort(Comparator.comparingDouble(r -> r[1]));
         int n = running.size();
-        ends = new double[n];
-        taken = new double[n + 1];
-        held = new double[n + 1];
+        runningEndSeconds = new double[n];
+        cumulativeCpuSeconds = new double[n + 1];
+        cumulativeCpus = new double[n + 1];
         for (int i = 0; i < n; i++) {
             double[] r = running.get(i);
-            ends[i] = r[1];
-            taken[i + 1] = taken[i] + r[0] * r[1];
-            held[i + 1] = held[i] + r[0];
+            runningEndSeconds[i] = r[1];
+            cumulativeCpuSeconds[i + 1] = cumulativeCpuSeconds[i] + r[0] * r[1];
+            cumulativeCpus[i + 1] = cumulativeCpus[i] + r[0];
         }
     }
 
@@ -129,58 +129,58 @@
      * CPU seconds that there are for such waiting work in that time; what runs takes only its part
      * of it. Asked for each job that waits, so what runs is added up once and not for each of them.
      */
-    private double room(JobSpec spec, double seconds) {
-        int at = Arrays.binarySearch(ends, seconds);
+    private double availableCpuSeconds(JobSpec spec, double seconds) {
+        int at = Arrays.binarySearch(runningEndSeconds, seconds);
         int over = at >= 0 ? at : -at - 1;
-        double running = taken[over] + (held[ends.length] - held[over]) * seconds;
-        return Math.max(1, capacity.applyAsDouble(spec)) * seconds - running;
+        double running = cumulativeCpuSeconds[over] + (cumulativeCpus[runningEndSeconds.length] - cumulativeCpus[over]) * seconds;
+        return Math.max(1, usableCpus.applyAsDouble(spec)) * seconds - running;
     }
 
-    private void order(List<Job> jobs, List<Job> out) {
+    private void orderRank(List<Job> jobs, List<Job> out) {
         List<Entry> tried = new ArrayList<>();
         List<Job> last = new ArrayList<>();
         for (Job job : jobs) {
             if (!job.isFinished() && job.waitingTasks() > 0) {
-                aim(
+                addForNextGoal(
                         new Entry(
                                 job,
                                 -1,
                                 job.spec.cpusPerTask() * job.spec.estimatedSeconds() * job.waitingTasks(),
-                                1000 * lead.applyAsDouble(job.spec),
-                                standing.applyAsDouble(job.spec)),
+                                1000 * startLatencySeconds.applyAsDouble(job.spec),
+                                serviceShare.applyAsDouble(job.spec)),
                         tried,
                         last);
             }
         }
         while (!tried.isEmpty()) {
             tried.sort(
-                    Comparator.comparingDouble(Entry::startMs)
+                    Comparator.comparingDouble(Entry::latestStartMillis)
                             .thenComparingDouble(queued -> queued.job.eligibleSinceMillis())
                             .thenComparing(queued -> queued.job.spec.id()));
             PriorityQueue<Entry> largest =
                     new PriorityQueue<>(
-                            Comparator.comparingDouble((Entry queued) -> -queued.standing)
-                                    .thenComparingDouble(queued -> -queued.work)
+                            Comparator.comparingDouble((Entry queued) -> -queued.serviceShare)
+                                    .thenComparingDouble(queued -> -queued.workCpuSeconds)
                                     .thenComparing(queued -> queued.job.spec.id()));
             Set<Entry> without = Collections.newSetFromMap(new IdentityHashMap<>());
             for (Entry queued : tried) {
                 largest.add(queued);
-                ahead += queued.work;
-                double doneMs = queued.startMs() + queued.job.spec.estimatedSeconds() * 1000;
-                double room = room(queued.job.spec, (doneMs - wallMs) / 1000);
-                if (queued.standing < 1 && queued.work > room) {
+                cpuSecondsAhead += queued.workCpuSeconds;
+                double doneMs = queued.latestStartMillis() + queued.job.spec.estimatedSeconds() * 1000;
+                double room = availableCpuSeconds(queued.job.spec, (doneMs - wallMs) / 1000);
+                if (queued.serviceShare < 1 && queued.workCpuSeconds > room) {
                     // Nobody goes without for what can't be in time in any case.
                     largest.remove(queued);
-                    ahead -= queued.work;
+                    cpuSecondsAhead -= queued.workCpuSeconds;
                     without.add(queued);
                     continue;
                 }
                 // The largest makes room for this one; where smaller ones go because it is behind,
                 // it takes several.
-                for (double made = 0; ahead > room && made < queued.work && !largest.isEmpty(); ) {
+                for (double made = 0; cpuSecondsAhead > room && made < queued.workCpuSeconds && !largest.isEmpty(); ) {
                     Entry gone = largest.poll();
-                    ahead -= gone.work;
-                    made += gone.work;
+                    cpuSecondsAhead -= gone.workCpuSeconds;
+                    made += gone.workCpuSeconds;
                     without.add(gone);
                 }
             }
@@ -193,7 +193,7 @@
                 }
             }
             tried.clear();
-            again.forEach(queued -> aim(queued, tried, last));
+            again.forEach(queued -> addForNextGoal(queued, tried, last));
         }
         last.sort(Comparator.comparingDouble(Job::eligibleSinceMillis).thenComparing(job -> job.spec.id()));
         out.addAll(last);
@@ -203,13 +203,13 @@
      * Puts the job among those that try for their next goal that is not past, or last if it has
      * none.
      */
-    private void aim(Entry queued, List<Entry> tried, List<Job> last) {
+    private void addForNextGoal(Entry queued, List<Entry> tried, List<Job> last) {
         int goal = queued.goal + 1;
-        while (goal < queued.job.startGoalCount() && queued.job.startGoalMillis(goal) - queued.leadMs < wallMs) {
+        while (goal < queued.job.startGoalCount() && queued.job.startGoalMillis(goal) - queued.startLatencyMillis < wallMs) {
             goal++;
         }
         if (goal < queued.job.startGoalCount()) {
-            tried.add(new Entry(queued.job, goal, queued.work, queued.leadMs, queued.standing));
+            tried.add(new Entry(queued.job, goal, queued.workCpuSeconds, queued.startLatencyMillis, queued.serviceShare));
         } else {
             last.add(queued.job);
         }
--- a/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
+++ b/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
@@ -51,22 +51,22 @@
                     spec.cpusPerTask(), spec.gpusPerTask(), spec.memoryGigabytesPerTask(), spec.isGang() ? spec.taskCount() : 1);
         }
 
-        boolean noLessThan(ResourceRequest o) {
+        boolean isAtLeast(ResourceRequest o) {
             return cpus >= o.cpus && gpus >= o.gpus && memoryGb >= o.memoryGb && tasks >= o.tasks;
         }
     }
 
-    private final Map<Rights, List<ResourceRequest>> asks = new HashMap<>();
+    private final Map<Rights, List<ResourceRequest>> requestsByRights = new HashMap<>();
 
     void clear() {
-        asks.clear();
+        requestsByRights.clear();
     }
 
     boolean contains(Job job) {
         ResourceRequest ask = ResourceRequest.of(job);
-        return asks.getOrDefault(Rights.of(job, null), List.of()).stream().anyMatch(ask::noLessThan)
-                || asks.getOrDefault(Rights.of(job, job.spec.image()), List.of()).stream()
-                        .anyMatch(ask::noLessThan);
+        return requestsByRights.getOrDefault(Rights.of(job, null), List.of()).stream().anyMatch(ask::isAtLeast)
+                || requestsByRights.getOrDefault(Rights.of(job, job.spec.image()), List.of()).stream()
+                        .anyMatch(ask::isAtLeast);
     }
 
     /**
@@ -77,9 +77,9 @@
     void add(Job job, boolean holdsOut) {
         ResourceRequest ask = ResourceRequest.of(job);
         List<ResourceRequest> of =
-                asks.computeIfAbsent(
+                requestsByRights.computeIfAbsent(
                         Rights.of(job, holdsOut ? job.spec.image() : null), k -> new ArrayList<>());
-        of.removeIf(o -> o.noLessThan(ask));
+        of.removeIf(o -> o.isAtLeast(ask));
         of.add(ask);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -22,7 +22,7 @@
     private final ProbePlacement probePlacement;
 
     /** The priority of the gangs that a machine waits for. */
-    private final Map<Machine, JobSpec.Priority> kept = new HashMap<>();
+    private final Map<Machine, JobSpec.Priority> reservedPriorities = new HashMap<>();
 
     WarmReserve(ShardState shard, ProbePlacement probePlacement) {
         this.shard = shard;
@@ -30,8 +30,8 @@
     }
 
     /** Chooses anew among the machines that may be used. */
-    void choose(List<Machine> open, double wallMs) {
-        kept.clear();
+    void chooseMachines(List<Machine> open, double wallMs) {
+        reservedPriorities.clear();
         List<Machine> idle = new ArrayList<>();
         for (Machine machine : open) {
             if (!machine.isBusy() && machine.reservedFor() == null && !machine.isDraining()) {
@@ -51,17 +51,17 @@
                 if (tasks <= 0) {
                     break;
                 }
-                if (!kept.containsKey(machine) && probePlacement.allowed(machine, pace.sampleSpec())) {
+                if (!reservedPriorities.containsKey(machine) && probePlacement.isAllowed(machine, pace.sampleSpec())) {
                     tasks -= Math.max(1, probePlacement.freeSlots(machine, pace.sampleSpec(), 0, 0, 0));
-                    kept.put(machine, pace.sampleSpec().priority());
+                    reservedPriorities.put(machine, pace.sampleSpec().priority());
                 }
             }
         }
     }
 
     /** Whether the job would have to give way here soon. */
-    boolean keepsFrom(Machine machine, Job job) {
-        JobSpec.Priority of = kept.get(machine);
+    boolean isReservedAgainst(Machine machine, Job job) {
+        JobSpec.Priority of = reservedPriorities.get(machine);
         return of != null && !job.spec.isGang() && job.effectivePriority().compareTo(of) > 0;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
@@ -16,16 +16,16 @@
     private final JobSpec spec;
 
     /** The only zone that the job may use; null if that is not decided. */
-    private String only;
+    private String boundZone;
 
     /** Tasks by zone, counted only if that matters. */
-    private final Map<String, Integer> perZone = new HashMap<>();
+    private final Map<String, Integer> tasksByZone = new HashMap<>();
 
-    private int somewhere;
+    private int tasksInUnknownZone;
 
     private ZoneConstraints(JobSpec spec) {
         this.spec = spec;
-        this.only = spec.zone();
+        this.boundZone = spec.zone();
     }
 
     /** A gang starts anew as a whole, once all that is left of it is over. */
@@ -33,8 +33,8 @@
         ZoneConstraints b = new ZoneConstraints(job.spec);
         if (!job.spec.isGang() && (job.spec.isSingleZone() || job.spec.isSpreadAcrossZones())) {
             for (Attempt attempt : job.liveAttempts().values()) {
-                b.count(attempt.machine.zone(), 1);
-                if (b.only != null && !job.spec.isSpreadAcrossZones()) {
+                b.countTasks(attempt.machine.zone(), 1);
+                if (b.boundZone != null && !job.spec.isSpreadAcrossZones()) {
                     break; // All the others are in the same zone.
                 }
             }
@@ -47,49 +47,49 @@
         return new ZoneConstraints(spec);
     }
 
-    private void count(String zone, int tasks) {
+    private void countTasks(String zone, int tasks) {
         if (zone == null) {
-            somewhere += tasks;
+            tasksInUnknownZone += tasks;
             return;
         }
         if (spec.isSingleZone()) {
-            only = zone;
+            boundZone = zone;
         }
-        perZone.merge(zone, tasks, Integer::sum);
+        tasksByZone.merge(zone, tasks, Integer::sum);
     }
 
     /** So many tasks more go to that zone. */
-    public void add(String zone, int tasks) {
+    public void addTasks(String zone, int tasks) {
         if (tasks > 0) {
-            count(zone, tasks);
+            countTasks(zone, tasks);
         }
     }
 
     /** Its zone is decided. */
-    public void bind(String zone) {
-        only = zone;
+    public void bindTo(String zone) {
+        boundZone = zone;
     }
 
     /** Whether the zone that the job is bound to is decided, or can't be yet. */
-    public boolean decided() {
-        return only != null || spec.isSingleZone() && somewhere > 0;
+    public boolean isDecided() {
+        return boundZone != null || spec.isSingleZone() && tasksInUnknownZone > 0;
     }
 
     /**
      * The zone that the job is bound to; null if it is bound to none, or to one that is not known
      * yet.
      */
-    public String only() {
-        return only;
+    public String boundZone() {
+        return boundZone;
     }
 
     /** How many more tasks may go to that zone. */
-    public int left(String zone) {
-        if (only != null && !only.equals(zone) || only == null && spec.isSingleZone() && somewhere > 0) {
+    public int remainingTasks(String zone) {
+        if (boundZone != null && !boundZone.equals(zone) || boundZone == null && spec.isSingleZone() && tasksInUnknownZone > 0) {
             return 0;
         }
         return spec.isSpreadAcrossZones()
-                ? Math.max(0, spec.maxTasksPerZone() - perZone.getOrDefault(zone, 0) - somewhere)
+                ? Math.max(0, spec.maxTasksPerZone() - tasksByZone.getOrDefault(zone, 0) - tasksInUnknownZone)
                 : Integer.MAX_VALUE;
     }
 }
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -157,11 +157,11 @@
         for (int i = 0; i < 40; i++) {
             cluster.submit(node, job("j-3" + (10 + i), Shape.ARRAY, 250, 1 + i % 3));
         }
-        long looks = node.controller.scheduler.placement().looks();
+        long looks = node.controller.scheduler.probePlacement().inspectedMachineCount();
         long rounds = node.controller.schedulingRounds();
         cluster.run(10);
         rounds = node.controller.schedulingRounds() - rounds;
-        looks = node.controller.scheduler.placement().looks() - looks;
+        looks = node.controller.scheduler.probePlacement().inspectedMachineCount() - looks;
         // One that did not find room speaks for all that ask for no less: of forty jobs, three look
         // at each machine.
         assertTrue(
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -314,9 +314,9 @@
         assertEquals(9900, shard.jobDependencies().heldJobCount());
         assertEquals(JobSpec.Priority.HIGH, shard.jobs().get("j-0").effectivePriority());
         Scheduler scheduler = new Scheduler(shard, new Random(1), new LoopTimeAccounting(() -> 0));
-        scheduler.queue(0, 20_000);
+        scheduler.orderedJobs(0, 20_000);
         began = System.nanoTime();
-        assertEquals(100, scheduler.queue(0, 20_000).size());
+        assertEquals(100, scheduler.orderedJobs(0, 20_000).size());
         System.out.printf(
                 "10,000 jobs that wait: %.0f ms to add them all, %.1f ms for the order of service%n",
                 addedMs, (System.nanoTime() - began) / 1e6);
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -666,7 +666,7 @@
                 tasks, cluster.workers.values().stream().mapToInt(worker -> worker.started).sum());
         ShardState shard = node.controller.shard;
         // A look at every machine for every task would be 400 a task, a record for every task 1.
-        long looks = node.controller.scheduler.placement().looks();
+        long looks = node.controller.scheduler.probePlacement().inspectedMachineCount();
         assertTrue(looks < 15L * tasks, "machines looked at: " + looks);
         assertTrue(
                 node.controller.stateWriter.recordsSent() < tasks / 20,
@@ -908,11 +908,11 @@
             node.controller.jobApi().submit(job("j-" + i, Shape.ARRAY, 1, 1), response -> {});
         }
         cluster.run(1);
-        long looks = node.controller.scheduler.placement().looks();
+        long looks = node.controller.scheduler.probePlacement().inspectedMachineCount();
         cluster.run(1);
         assertTrue(
-                node.controller.scheduler.placement().looks() - looks < 200,
-                "looks: " + (node.controller.scheduler.placement().looks() - looks));
+                node.controller.scheduler.probePlacement().inspectedMachineCount() - looks < 200,
+                "looks: " + (node.controller.scheduler.probePlacement().inspectedMachineCount() - looks));
         cluster.run(150);
         for (int i = 0; i < 200; i++) {
             assertEquals("done", cluster.status(node, "j-" + i));
--- a/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
@@ -63,7 +63,7 @@
     }
 
     private List<String> guaranteed(double nowS) {
-        scheduler.queue(nowS, 1000 * nowS);
+        scheduler.orderedJobs(nowS, 1000 * nowS);
         return new ArrayList<>(
                 shard.jobs().values().stream()
                         .filter(Job::isWithinGuarantee)
--- a/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
@@ -62,7 +62,7 @@
                         spec -> behind.getOrDefault(spec.jobClass(), 1.0),
                         now,
                         now * 1000)
-                .of(jobs).stream().map(job -> job.spec.id()).toList();
+                .sortJobs(jobs).stream().map(job -> job.spec.id()).toList();
     }
 
     @Test
@@ -144,6 +144,6 @@
         assertEquals(
                 List.of("j-2", "j-3", "j-1"),
                 new SchedulingQueue(spec -> spec.allowsSpot() ? 60 : 1000, spec -> 0, spec -> 1, 0, 0)
-                        .of(jobs).stream().map(job -> job.spec.id()).toList());
+                        .sortJobs(jobs).stream().map(job -> job.spec.id()).toList());
     }
 }
