--- a/src/main/java/io/kitepath/cli/LocalCommand.java
+++ b/src/main/java/io/kitepath/cli/LocalCommand.java
@@ -111,11 +111,11 @@
             }
             SimulatedCluster cluster = new SimulatedCluster();
             cluster.cloud.capacity = machines;
-            cluster.cloud.bootS = n -> 0.5;
-            cluster.runsFor = jobId -> taskS;
-            cluster.reportsChanges = true;
+            cluster.cloud.bootSeconds = n -> 0.5;
+            cluster.taskSeconds = jobId -> taskS;
+            cluster.reportsChangesImmediately = true;
             if (earlier != null) {
-                cluster.next = new ClusterSettings.StoreLimits(1000, 500, 2, 13);
+                cluster.announcedStoreLimits = new ClusterSettings.StoreLimits(1000, 500, 2, 13);
             }
             LoopbackEmulator outside = new LoopbackEmulator(group, cluster, labels);
             List<InetSocketAddress> services = outside.start();
@@ -197,7 +197,7 @@
                     () -> {
                         outside.cluster.specs.put(
                                 id, SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
-                        outside.cluster.needs.put(id, List.of(needs));
+                        outside.cluster.dependencies.put(id, List.of(needs));
                     });
             if (submit(id, tasks, needs)) {
                 jobs.add(id);
@@ -206,12 +206,12 @@
             if (earlier != null && random.nextInt(3) == 0) {
                 renewed.add(node); // From its next end on.
             }
-            if (all && outside.cluster.next != null) {
+            if (all && outside.cluster.announcedStoreLimits != null) {
                 outside.run(
                         () -> {
-                            outside.cluster.store.valueBytes =
-                                    (int) (1024 * outside.cluster.next.maxValueKibibytes());
-                            outside.cluster.store.txnOps = outside.cluster.next.maxTransactionOperations();
+                            outside.cluster.store.largestValueBytes =
+                                    (int) (1024 * outside.cluster.announcedStoreLimits.maxValueKibibytes());
+                            outside.cluster.store.largestTransactionOperations = outside.cluster.announcedStoreLimits.maxTransactionOperations();
                         });
             }
             if (random.nextInt(3) == 0) {
@@ -237,10 +237,10 @@
         List<String> broken = new ArrayList<>();
         outside.run(
                 () -> {
-                    broken.addAll(outside.cluster.broken);
-                    if (outside.cluster.store.overLimits > 0) {
+                    broken.addAll(outside.cluster.violations);
+                    if (outside.cluster.store.transactionsOverLimits > 0) {
                         broken.add(
-                                outside.cluster.store.overLimits
+                                outside.cluster.store.transactionsOverLimits
                                         + " transactions over the state service's limits");
                     }
                 });
@@ -257,7 +257,7 @@
                                                             && outside
                                                                     .cluster
                                                                     .store
-                                                                    .keys
+                                                                    .entries
                                                                     .keySet()
                                                                     .stream()
                                                                     .noneMatch(
@@ -379,9 +379,9 @@
                         "workers",
                         Map.of(
                                 "report_s",
-                                cluster.reportS,
+                                cluster.heartbeatIntervalSeconds,
                                 "lease_s",
-                                cluster.leaseS,
+                                cluster.leaseSeconds,
                                 "gang_wait_s",
                                 30,
                                 "gang_peer_s",
@@ -399,13 +399,13 @@
                                 "txn_ops",
                                 40,
                                 "next",
-                                cluster.next == null
+                                cluster.announcedStoreLimits == null
                                         ? Map.of()
                                         : Map.of(
                                                 "value_kb",
-                                                cluster.next.maxValueKibibytes(),
+                                                cluster.announcedStoreLimits.maxValueKibibytes(),
                                                 "txn_ops",
-                                                cluster.next.maxTransactionOperations())),
+                                                cluster.announcedStoreLimits.maxTransactionOperations())),
                         "cloud",
                         Map.of("rps", 10, "list_lag_s", 2),
                         "limits",
--- a/src/main/java/io/kitepath/cli/RehearseCommand.java
+++ b/src/main/java/io/kitepath/cli/RehearseCommand.java
@@ -76,8 +76,8 @@
                     // Cells apart, and a cell of a size that nobody has, are only there to be
                     // compared with.
                     failed |=
-                            !r.broken().isEmpty()
-                                    || way == Way.CELLS && (r.unfinished() > 0 || r.least() < HALF);
+                            !r.violations().isEmpty()
+                                    || way == Way.CELLS && (r.unfinished() > 0 || r.leastServedShare() < HALF);
                 }
             }
         } catch (InvalidInputException invalid) {
@@ -190,7 +190,7 @@
                         s(r.hot(), 99),
                         s(r.others(), 50),
                         s(r.others(), 99),
-                        r.tookS()));
+                        r.simulatedSeconds()));
         text.append("  in time:");
         r.served()
                 .forEach(
@@ -216,13 +216,13 @@
                 String.format(
                         Locale.ROOT,
                         "  rules broken: %d%s; jobs not done: %d; played in %.1f s, %.0f us a start",
-                        r.broken().size(),
-                        r.broken().isEmpty()
+                        r.violations().size(),
+                        r.violations().isEmpty()
                                 ? ""
-                                : " " + r.broken().subList(0, Math.min(3, r.broken().size())),
+                                : " " + r.violations().subList(0, Math.min(3, r.violations().size())),
                         r.unfinished(),
-                        r.realS(),
-                        1e6 * r.realS() / Math.max(1, r.starts())));
+                        r.realSeconds(),
+                        1e6 * r.realSeconds() / Math.max(1, r.starts())));
         return text.toString();
     }
 
@@ -250,9 +250,9 @@
                         r.messages(),
                         r.changes(),
                         r.refusals(),
-                        r.tookS(),
-                        r.realS(),
-                        r.broken().size(),
+                        r.simulatedSeconds(),
+                        r.realSeconds(),
+                        r.violations().size(),
                         r.unfinished()));
         String comma = "";
         for (Map.Entry<String, int[]> e : r.served().entrySet()) {
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -351,7 +351,7 @@
         new RoleMetrics(cloudIntents, intentExecutor, garbageCollector, leasedRoles, failover, loopTime)
                 .addTo(all);
         if (cellService != null) {
-            cellService.figures(all);
+            cellService.addMetrics(all);
         }
         return all;
     }
@@ -397,7 +397,7 @@
         @Override
         public void jobEnded(JobStatus job) {
             if (cellService != null) {
-                cellService.done(job.jobId());
+                cellService.jobDone(job.jobId());
             }
             submissions.onJobEnded(job);
             peerNodes.announceJobEnd(job);
@@ -472,7 +472,7 @@
         }
 
         @Override
-        public boolean holds() {
+        public boolean holdsShard() {
             return leadership.isLeading() && stateWriter.isLoaded() && leadership.isLeaseValid();
         }
 
@@ -529,7 +529,7 @@
             failover.update(timers.nowSeconds(), heartbeatProcessor.launchCount() - launchesBefore);
         }
         if (cellService != null && stateWriter.isLoaded() && leadership.isLeaseValid()) {
-            cellService.tend();
+            cellService.reconcile();
         }
         double began = timers.nowSeconds();
         cloudReconciler.reconcile(stateWriter.isLoaded() && leadership.isLeaseValid());
--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -44,12 +44,12 @@
         final long number;
         final JobSpec spec;
         final double submittedMs;
-        final int from;
-        final int until;
-        final double since;
-        LoanState standing = LoanState.TAKEN;
+        final int firstTask;
+        final int endTask;
+        final double borrowedAt;
+        LoanState state = LoanState.TAKEN;
         byte[] done = new byte[0];
-        long next;
+        long nextAttempt;
         long revision;
         Job job;
 
@@ -58,9 +58,9 @@
 
         boolean settled;
         boolean forgetting;
-        boolean telling;
-        int untold;
-        double toldAt = Double.NEGATIVE_INFINITY;
+        boolean reporting;
+        int unansweredReports;
+        double reportedAt = Double.NEGATIVE_INFINITY;
 
         BorrowedLoan(
                 String home,
@@ -75,10 +75,10 @@
             this.number = number;
             this.spec = spec;
             this.submittedMs = submittedMs;
-            this.from = from;
-            this.until = until;
-            this.next = next;
-            this.since = since;
+            this.firstTask = from;
+            this.endTask = until;
+            this.nextAttempt = next;
+            this.borrowedAt = since;
         }
 
         String key() {
@@ -92,33 +92,33 @@
             m.put("number", number);
             m.put("spec", spec.toRecord());
             m.put("submittedMs", submittedMs);
-            m.put("from", (long) from);
-            m.put("until", (long) until);
-            m.put("next", next);
-            m.put("standing", standing.name());
+            m.put("from", (long) firstTask);
+            m.put("until", (long) endTask);
+            m.put("next", nextAttempt);
+            m.put("standing", state.name());
             m.put("done", Base64.getEncoder().encodeToString(done));
             return m;
         }
     }
 
-    private final String own;
+    private final String ownCell;
     private final ShardState shard;
-    private final Consumer<StateWriter.BatchContributor> riding;
+    private final Consumer<StateWriter.BatchContributor> batchQueue;
     private final Timers timers;
-    private final CellQuery asking;
+    private final CellQuery cellQuery;
     private final Random random;
 
     /** By key. */
-    private final Map<String, BorrowedLoan> guests = new LinkedHashMap<>();
+    private final Map<String, BorrowedLoan> loans = new LinkedHashMap<>();
 
     private final Map<String, SequenceNumbers> numbers = new HashMap<>();
 
     /** Offers and recalls whose answer is being written, by key. */
-    private final Map<String, List<Consumer<CellMessage>>> answering = new HashMap<>();
+    private final Map<String, List<Consumer<CellMessage>>> pendingReplies = new HashMap<>();
 
-    private boolean draining;
-    private long taken;
-    private long refused;
+    private boolean isDraining;
+    private long loansTaken;
+    private long loansRefused;
 
     BorrowedTasks(
             String own,
@@ -127,45 +127,45 @@
             Timers timers,
             CellQuery asking,
             Random random) {
-        this.own = own;
+        this.ownCell = own;
         this.shard = shard;
-        this.riding = riding;
+        this.batchQueue = riding;
         this.timers = timers;
-        this.asking = asking;
+        this.cellQuery = asking;
         this.random = random;
     }
 
-    long taken() {
-        return taken;
+    long loansTaken() {
+        return loansTaken;
     }
 
-    long refused() {
-        return refused;
+    long loansRefused() {
+        return loansRefused;
     }
 
     /** Tasks of other cells that are this one's to run. */
-    long tasksHere() {
-        return guests.values().stream()
-                .filter(borrowed -> borrowed.standing == LoanState.TAKEN)
-                .mapToLong(borrowed -> borrowed.until - borrowed.from)
+    long borrowedTaskCount() {
+        return loans.values().stream()
+                .filter(borrowed -> borrowed.state == LoanState.TAKEN)
+                .mapToLong(borrowed -> borrowed.endTask - borrowed.firstTask)
                 .sum();
     }
 
     /** Whether the cell takes nothing more, and gives back what has not begun. */
-    void drain(boolean so) {
-        draining = so;
+    void setDraining(boolean so) {
+        isDraining = so;
     }
 
-    boolean draining() {
-        return draining;
+    boolean isDraining() {
+        return isDraining;
     }
 
     // ---- what a new holder reads ----------------------------------------------------------------
 
-    void adopt(StateLoader.LoadedState found, double now) {
-        guests.clear();
+    void restore(StateLoader.LoadedState found, double now) {
+        loans.clear();
         numbers.clear();
-        answering.clear();
+        pendingReplies.clear();
         for (Entry entry : found.voidedNumbers()) {
             numbers.put(
                     entry.key().substring(StoreKeys.VOIDED_NUMBERS.length()),
@@ -173,14 +173,14 @@
         }
         for (Entry entry : found.borrowedTasks()) {
             try {
-                adopt(entry, now);
+                restore(entry, now);
             } catch (InvalidInputException | IllegalArgumentException bad) {
                 LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
             }
         }
     }
 
-    private void adopt(Entry entry, double now) {
+    private void restore(Entry entry, double now) {
         DocumentReader document = DocumentReader.of(entry.value());
         JobSpec spec = JobSpec.fromRecord(document.text("job"), document.raw("spec"));
         BorrowedLoan borrowed =
@@ -193,13 +193,13 @@
                         (int) document.integer("until", 0, spec.taskCount()),
                         document.count("next"),
                         now);
-        borrowed.standing = LoanState.valueOf(document.text("standing"));
+        borrowed.state = LoanState.valueOf(document.text("standing"));
         borrowed.done = Base64.getDecoder().decode(document.text("done"));
         borrowed.revision = entry.revision();
-        guests.put(borrowed.key(), borrowed);
+        loans.put(borrowed.key(), borrowed);
         Job job = job(borrowed);
         borrowed.job = job;
-        if (borrowed.standing == LoanState.TAKEN) {
+        if (borrowed.state == LoanState.TAKEN) {
             shard.addJob(job);
         } else {
             shard.addFinishedJob(job);
@@ -215,53 +215,53 @@
                         borrowed.key(),
                         borrowed.revision,
                         shard.tasksPerPart(),
-                        borrowed.from,
-                        borrowed.until);
-        job.raiseNextAttempt(borrowed.next);
+                        borrowed.firstTask,
+                        borrowed.endTask);
+        job.raiseNextAttempt(borrowed.nextAttempt);
         return job;
     }
 
     private SequenceNumbers numbers(String home, long floor) {
         SequenceNumbers n = numbers.computeIfAbsent(home, key -> new SequenceNumbers());
-        n.raise(floor);
+        n.raiseFloor(floor);
         return n;
     }
 
-    private LoanStatus word(BorrowedLoan borrowed) {
+    private LoanStatus statusOf(BorrowedLoan borrowed) {
         return new LoanStatus(
-                own, borrowed.number, borrowed.standing, borrowed.done, borrowed.next);
+                ownCell, borrowed.number, borrowed.state, borrowed.done, borrowed.nextAttempt);
     }
 
-    private LoanStatus nothing(long number) {
-        return new LoanStatus(own, number, LoanState.VOID, new byte[0], 0);
+    private LoanStatus voidStatus(long number) {
+        return new LoanStatus(ownCell, number, LoanState.VOID, new byte[0], 0);
     }
 
     // ---- what homes say -------------------------------------------------------------------------
 
     /** {@code roomFor}: whether such work is welcome. */
-    void offered(LoanOffer offer, boolean roomFor, Consumer<CellMessage> answer) {
+    void onOffer(LoanOffer offer, boolean roomFor, Consumer<CellMessage> answer) {
         String key = StoreKeys.borrowedTasksKey(offer.homeCell(), offer.loanNumber());
-        BorrowedLoan known = guests.get(key);
+        BorrowedLoan known = loans.get(key);
         SequenceNumbers numbers = numbers(offer.homeCell(), offer.lowestOpenNumber());
         if (known != null) {
-            answer.accept(known.ending ? null : word(known));
+            answer.accept(known.ending ? null : statusOf(known));
         } else if (numbers.isVoid(offer.loanNumber())) {
-            answer.accept(nothing(offer.loanNumber()));
-        } else if (answering.containsKey(key)) {
-            answering.get(key).add(answer);
-        } else if (numbers.full() || shard.jobs().containsKey(offer.spec().id())) {
+            answer.accept(voidStatus(offer.loanNumber()));
+        } else if (pendingReplies.containsKey(key)) {
+            pendingReplies.get(key).add(answer);
+        } else if (numbers.isFull() || shard.jobs().containsKey(offer.spec().id())) {
             // Something of it is still being cleared away here; asked again, there will be an
             // answer.
             answer.accept(null);
-        } else if (!roomFor || draining) {
-            refused++;
-            makeVoid(offer.homeCell(), offer.loanNumber(), answer);
+        } else if (!roomFor || isDraining) {
+            loansRefused++;
+            recordVoid(offer.homeCell(), offer.loanNumber(), answer);
         } else {
-            take(offer, key, answer);
+            accept(offer, key, answer);
         }
     }
 
-    private void take(LoanOffer offer, String key, Consumer<CellMessage> answer) {
+    private void accept(LoanOffer offer, String key, Consumer<CellMessage> answer) {
         BorrowedLoan borrowed =
                 new BorrowedLoan(
                         offer.homeCell(),
@@ -272,8 +272,8 @@
                         offer.endTask(),
                         offer.nextAttempt(),
                         timers.nowSeconds());
-        answering.put(key, new ArrayList<>(List.of(answer)));
-        riding.accept(
+        pendingReplies.put(key, new ArrayList<>(List.of(answer)));
+        batchQueue.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean isStillWanted() {
@@ -293,24 +293,24 @@
                     @Override
                     public void onCommitted(long revision) {
                         borrowed.revision = revision;
-                        taken++;
-                        guests.put(key, borrowed);
+                        loansTaken++;
+                        loans.put(key, borrowed);
                         borrowed.job = job(borrowed);
                         shard.addJob(borrowed.job);
                         LOG.info(
                                 "takes {} tasks of {} from {} on, of cell {} as {}",
-                                borrowed.until - borrowed.from,
+                                borrowed.endTask - borrowed.firstTask,
                                 borrowed.spec.id(),
-                                borrowed.from,
+                                borrowed.firstTask,
                                 borrowed.home,
                                 borrowed.number);
-                        answer(key, word(borrowed));
+                        reply(key, statusOf(borrowed));
                     }
                 });
     }
 
-    private void answer(String key, CellMessage with) {
-        List<Consumer<CellMessage>> who = answering.remove(key);
+    private void reply(String key, CellMessage with) {
+        List<Consumer<CellMessage>> who = pendingReplies.remove(key);
         if (who != null) {
             who.forEach(x -> x.accept(with));
         }
@@ -320,10 +320,10 @@
      * Nothing was taken under that number, and from now on nothing can be: only then the home is
      * told so.
      */
-    private void makeVoid(String home, long number, Consumer<CellMessage> answer) {
+    private void recordVoid(String home, long number, Consumer<CellMessage> answer) {
         String key = StoreKeys.borrowedTasksKey(home, number);
-        answering.put(key, new ArrayList<>(List.of(answer)));
-        riding.accept(new VoidNumber(home, number, null, () -> answer(key, nothing(number))));
+        pendingReplies.put(key, new ArrayList<>(List.of(answer)));
+        batchQueue.accept(new VoidNumber(home, number, null, () -> reply(key, voidStatus(number))));
     }
 
     /** Writes that a number is void, and forgets the loan that was taken under it, if one was. */
@@ -362,25 +362,25 @@
         public void onCommitted(long revision) {
             numbers(home, 0).recorded(revision);
             if (borrowed != null) {
-                guests.remove(borrowed.key());
+                loans.remove(borrowed.key());
             }
             then.run();
         }
     }
 
-    void recalled(LoanRecall r, Consumer<CellMessage> answer) {
+    void onRecall(LoanRecall r, Consumer<CellMessage> answer) {
         String key = StoreKeys.borrowedTasksKey(r.homeCell(), r.loanNumber());
-        BorrowedLoan borrowed = guests.get(key);
+        BorrowedLoan borrowed = loans.get(key);
         SequenceNumbers numbers = numbers(r.homeCell(), r.lowestOpenNumber());
         if (borrowed != null && borrowed.ending) {
             // Its end is not written yet. Guards against a word that a crash would take back.
             answer.accept(null);
-        } else if (borrowed != null && borrowed.standing != LoanState.TAKEN) {
-            answer.accept(word(borrowed));
+        } else if (borrowed != null && borrowed.state != LoanState.TAKEN) {
+            answer.accept(statusOf(borrowed));
         } else if (borrowed != null) {
             if (r.kill() || borrowed.job.liveAttempts().isEmpty()) {
-                answering.computeIfAbsent(key, k -> new ArrayList<>()).add(answer);
-                end(
+                pendingReplies.computeIfAbsent(key, k -> new ArrayList<>()).add(answer);
+                beginEnd(
                         borrowed,
                         borrowed.job.areAllTasksDone()
                                 ? LoanState.DONE
@@ -389,11 +389,11 @@
                 answer.accept(null);
             }
         } else if (numbers.isVoid(r.loanNumber())) {
-            answer.accept(nothing(r.loanNumber()));
-        } else if (answering.containsKey(key) || numbers.full()) {
+            answer.accept(voidStatus(r.loanNumber()));
+        } else if (pendingReplies.containsKey(key) || numbers.isFull()) {
             answer.accept(null); // An offer is just being taken.
         } else {
-            makeVoid(r.homeCell(), r.loanNumber(), answer);
+            recordVoid(r.homeCell(), r.loanNumber(), answer);
         }
     }
 
@@ -403,25 +403,25 @@
      * From now on nothing more of it is placed here; what is on machines ends if the loan was
      * stopped for good.
      */
-    private void end(BorrowedLoan borrowed, LoanState as) {
+    private void beginEnd(BorrowedLoan borrowed, LoanState as) {
         borrowed.ending = true;
         borrowed.job.requestCancel();
         if (as == LoanState.KILLED) {
             new ArrayList<>(borrowed.job.liveAttempts().values())
                     .forEach(attempt -> shard.stopAttempt(attempt, 0));
         }
-        riding.accept(
+        batchQueue.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean isStillWanted() {
-                        return guests.get(borrowed.key()) == borrowed;
+                        return loans.get(borrowed.key()) == borrowed;
                     }
 
                     @Override
                     public void contributeTo(Store.Transaction transaction) {
-                        borrowed.standing = as;
-                        borrowed.done = borrowed.job.doneBitsOf(borrowed.from, borrowed.until);
-                        borrowed.next = borrowed.job.nextAttempt();
+                        borrowed.state = as;
+                        borrowed.done = borrowed.job.doneBitsOf(borrowed.firstTask, borrowed.endTask);
+                        borrowed.nextAttempt = borrowed.job.nextAttempt();
                         transaction
                                 .requireRevision(borrowed.key(), borrowed.revision)
                                 .put(borrowed.key(), borrowed.record());
@@ -438,35 +438,35 @@
                                 borrowed.home,
                                 as,
                                 BitSet.valueOf(borrowed.done).cardinality(),
-                                borrowed.until - borrowed.from,
+                                borrowed.endTask - borrowed.firstTask,
                                 borrowed.spec.id());
-                        answer(borrowed.key(), word(borrowed));
-                        tell(borrowed, timers.nowSeconds());
+                        reply(borrowed.key(), statusOf(borrowed));
+                        reportStatus(borrowed, timers.nowSeconds());
                     }
                 });
     }
 
     /** Everything that has to be said, written or given back now. */
-    void tend(double now) {
+    void reconcile(double now) {
         double lease = shard.settings().workers().leaseSeconds();
-        for (BorrowedLoan borrowed : new ArrayList<>(guests.values())) {
+        for (BorrowedLoan borrowed : new ArrayList<>(loans.values())) {
             if (borrowed.ending) {
                 continue;
             }
-            if (borrowed.standing != LoanState.TAKEN) {
+            if (borrowed.state != LoanState.TAKEN) {
                 if (!borrowed.settled) {
-                    tell(borrowed, now);
+                    reportStatus(borrowed, now);
                 } else if (!borrowed.forgetting
                         && shard.jobs().get(borrowed.spec.id()) != borrowed.job) {
                     borrowed.forgetting = true; // Nothing of it is left in the records of parts.
-                    riding.accept(
+                    batchQueue.accept(
                             new VoidNumber(borrowed.home, borrowed.number, borrowed, () -> {}));
                 }
             } else if (borrowed.job.areAllTasksDone()) {
-                end(borrowed, LoanState.DONE);
+                beginEnd(borrowed, LoanState.DONE);
             } else if (borrowed.job.liveAttempts().isEmpty()
-                    && (draining || now - borrowed.since > lease)) {
-                end(
+                    && (isDraining || now - borrowed.borrowedAt > lease)) {
+                beginEnd(
                         borrowed,
                         LoanState.BACK); // Nothing of it was placed for so long that its home had
                 // better try elsewhere.
@@ -474,21 +474,21 @@
         }
     }
 
-    private void tell(BorrowedLoan borrowed, double now) {
+    private void reportStatus(BorrowedLoan borrowed, double now) {
         double mostS = shard.settings().workers().leaseSeconds();
-        if (borrowed.telling
-                || now - borrowed.toldAt
-                        < RetryBackoff.againS(borrowed.untold, 0.5, mostS, random)) {
+        if (borrowed.reporting
+                || now - borrowed.reportedAt
+                        < RetryBackoff.delaySeconds(borrowed.unansweredReports, 0.5, mostS, random)) {
             return;
         }
-        borrowed.telling = true;
-        borrowed.toldAt = now;
-        borrowed.untold++;
-        asking.ask(
+        borrowed.reporting = true;
+        borrowed.reportedAt = now;
+        borrowed.unansweredReports++;
+        cellQuery.ask(
                 borrowed.home,
-                word(borrowed),
+                statusOf(borrowed),
                 answer -> {
-                    borrowed.telling = false;
+                    borrowed.reporting = false;
                     if (answer instanceof LoanSettled s && s.loanNumber() == borrowed.number) {
                         borrowed.settled = true;
                         numbers(borrowed.home, s.lowestOpenNumber());
--- a/src/main/java/io/kitepath/core/cell/CellMembership.java
+++ b/src/main/java/io/kitepath/core/cell/CellMembership.java
@@ -18,19 +18,19 @@
     private static final Logger LOG = LoggerFactory.getLogger(CellMembership.class);
 
     /** Exchanges are a second apart: a summary older than three of them says nothing of now. */
-    static final double FRESH_S = 3;
+    static final double SUMMARY_FRESH_SECONDS = 3;
 
     /**
      * How many summaries in a row a cell that was silent has to send before it is trusted with work
      * again.
      */
-    private static final int BACK_AFTER = 3;
+    private static final int SUMMARIES_UNTIL_HEALTHY = 3;
 
-    private static final int BACK_AT_MOST = 48;
+    private static final int MAX_SUMMARIES_UNTIL_HEALTHY = 48;
 
     enum State {
         UNKNOWN,
-        WELL,
+        HEALTHY,
         SUSPECTED,
         SILENT
     }
@@ -41,18 +41,18 @@
         private Summary summary;
         private double heardAt = Double.NEGATIVE_INFINITY;
         private State state = State.UNKNOWN;
-        private int inARow;
-        private int needed = BACK_AFTER;
+        private int summariesInARow;
+        private int summariesNeeded = SUMMARIES_UNTIL_HEALTHY;
         private double silentSince;
 
         /** Handed over since its last summary, which cannot show it yet. */
-        private double promisedCpus;
+        private double offeredCpus;
 
         /** Offers that it has not answered. */
         int unconfirmed;
 
         /** It said that it has no room, or takes nothing: left alone until then. */
-        private double restUntil = Double.NEGATIVE_INFINITY;
+        private double pausedUntil = Double.NEGATIVE_INFINITY;
 
         private int refusals;
 
@@ -68,12 +68,12 @@
             return state;
         }
 
-        boolean hears(double now) {
-            return now - heardAt < FRESH_S;
+        boolean isHeard(double now) {
+            return now - heardAt < SUMMARY_FRESH_SECONDS;
         }
 
-        double promisedCpus() {
-            return promisedCpus;
+        double offeredCpus() {
+            return offeredCpus;
         }
 
         /** Its own word on who leads there, or null. */
@@ -81,27 +81,27 @@
             return summary == null ? null : summary.leader();
         }
 
-        boolean takes(double now) {
-            return state == State.WELL
-                    && now - heardAt < FRESH_S
+        boolean acceptsWork(double now) {
+            return state == State.HEALTHY
+                    && now - heardAt < SUMMARY_FRESH_SECONDS
                     && summary.acceptsLoans()
-                    && now >= restUntil;
+                    && now >= pausedUntil;
         }
 
-        void promise(double cpus) {
-            promisedCpus += cpus;
+        void reserveOffered(double cpus) {
+            offeredCpus += cpus;
             unconfirmed++;
         }
 
-        void accepted() {
+        void onAccepted() {
             refusals = 0;
         }
 
         /** Guards against a full cell that is asked again and again by all the others. */
-        void refused(double now, Random random) {
-            restUntil =
+        void onRefused(double now, Random random) {
+            pausedUntil =
                     now
-                            + RetryBackoff.againS(
+                            + RetryBackoff.delaySeconds(
                                     refusals++,
                                     settings.workers().heartbeatIntervalSeconds(),
                                     settings.workers().leaseSeconds(),
@@ -125,46 +125,46 @@
         return all.get(cell);
     }
 
-    void heard(Summary summary, double now) {
+    void onSummary(Summary summary, double now) {
         RemoteCell remote = all.get(summary.cell());
         if (remote == null) {
             return; // A cell that this node's file does not name yet.
         }
         remote.summary = summary;
-        remote.inARow = now - remote.heardAt < FRESH_S ? remote.inARow + 1 : 1;
+        remote.summariesInARow = now - remote.heardAt < SUMMARY_FRESH_SECONDS ? remote.summariesInARow + 1 : 1;
         remote.heardAt = now;
-        remote.promisedCpus = 0;
+        remote.offeredCpus = 0;
         if (remote.state == State.UNKNOWN
                 || remote.state == State.SUSPECTED
-                || remote.inARow >= remote.needed) {
-            become(remote, State.WELL, now);
+                || remote.summariesInARow >= remote.summariesNeeded) {
+            changeState(remote, State.HEALTHY, now);
         }
     }
 
     /** Looks who has fallen silent. */
-    void look(double now) {
+    void updateStates(double now) {
         double lease = settings.workers().leaseSeconds();
         for (RemoteCell remote : all.values()) {
             double silence = now - remote.heardAt;
-            if (remote.state == State.WELL && silence > FRESH_S) {
-                become(remote, State.SUSPECTED, now);
+            if (remote.state == State.HEALTHY && silence > SUMMARY_FRESH_SECONDS) {
+                changeState(remote, State.SUSPECTED, now);
             } else if (remote.state == State.SUSPECTED
-                    && (silence > lease || silence > lease / 2 && !othersHear(remote, now))) {
+                    && (silence > lease || silence > lease / 2 && !isHeardByOthers(remote, now))) {
                 // As long as some other cell hears it, it may be the way to it that is broken.
-                become(remote, State.SILENT, now);
-            } else if (remote.state == State.WELL && remote.inARow > 10 * remote.needed) {
-                remote.needed = Math.max(BACK_AFTER, remote.needed / 2);
-                remote.inARow = 0;
+                changeState(remote, State.SILENT, now);
+            } else if (remote.state == State.HEALTHY && remote.summariesInARow > 10 * remote.summariesNeeded) {
+                remote.summariesNeeded = Math.max(SUMMARIES_UNTIL_HEALTHY, remote.summariesNeeded / 2);
+                remote.summariesInARow = 0;
             }
         }
     }
 
-    private boolean othersHear(RemoteCell of, double now) {
+    private boolean isHeardByOthers(RemoteCell of, double now) {
         return all.values().stream()
                 .anyMatch(
                         n ->
                                 n != of
-                                        && now - n.heardAt < FRESH_S
+                                        && now - n.heardAt < SUMMARY_FRESH_SECONDS
                                         && n.summary.reachableCells().contains(of.name));
     }
 
@@ -172,12 +172,12 @@
      * Guards against a cell that comes and goes, and is handed work each time: it gets less trust
      * each time.
      */
-    private void become(RemoteCell remote, State to, double now) {
+    private void changeState(RemoteCell remote, State to, double now) {
         if (to == remote.state) {
             return;
         }
         if (to == State.SILENT) {
-            remote.needed = Math.min(BACK_AT_MOST, remote.needed * 2);
+            remote.summariesNeeded = Math.min(MAX_SUMMARIES_UNTIL_HEALTHY, remote.summariesNeeded * 2);
             remote.silentSince = remote.heardAt;
         }
         if (to == State.SILENT || remote.state == State.SILENT) {
@@ -193,27 +193,27 @@
     }
 
     /** What those said of themselves that are heard now. */
-    List<Summary> fresh(double now) {
+    List<Summary> freshSummaries(double now) {
         return all.values().stream()
-                .filter(remote -> remote.hears(now))
+                .filter(remote -> remote.isHeard(now))
                 .map(RemoteCell::summary)
                 .toList();
     }
 
     /** The cells heard lately. */
-    List<String> hears(double now) {
+    List<String> heardCells(double now) {
         List<String> out = new ArrayList<>();
         all.values()
                 .forEach(
                         remote -> {
-                            if (now - remote.heardAt < FRESH_S) {
+                            if (now - remote.heardAt < SUMMARY_FRESH_SECONDS) {
                                 out.add(remote.name);
                             }
                         });
         return out;
     }
 
-    long silentOnes() {
+    long silentCount() {
         return all.values().stream().filter(remote -> remote.state == State.SILENT).count();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -41,18 +41,18 @@
  * takes.
  */
 public final class CellService implements StateLoader.LoanRecords {
-    private static final double EVERY_S = 1;
+    private static final double EXCHANGE_INTERVAL_SECONDS = 1;
 
     /**
      * Of the changes a second that the store allows, the hand-overs a second, each of which costs
      * about four here.
      */
-    private static final double SPILL_SHARE = 0.05;
+    private static final double OFFLOAD_RATE_SHARE = 0.05;
 
     /** What the desk has to know of its node. */
     public interface Node {
         /** Whether it holds the block, knows its jobs and is in touch with the store. */
-        boolean holds();
+        boolean holdsShard();
 
         /** Who leads, as far as known. */
         String leader();
@@ -121,14 +121,14 @@
                 new QuotaShares(
                         cellDirectory.ownCellName(), shard, riding, timers, this::askHolder, random);
         shard.quotaUsage().setLimits(quotaShares);
-        drain(cellDirectory.ownCell().isDraining());
+        setDraining(cellDirectory.ownCell().isDraining());
         this.homeAssignment = new HomeAssignment(cellDirectory, store, timers);
         this.jobs = new HomeCellJobs(cellDirectory, submissions, cells, homeAssignment::agreed);
-        this.budget = new TokenBucket(Math.max(1, shard.settings().store().writesPerSecond() * SPILL_SHARE));
+        this.budget = new TokenBucket(Math.max(1, shard.settings().store().writesPerSecond() * OFFLOAD_RATE_SHARE));
     }
 
     public void start() {
-        homeAssignment.look();
+        homeAssignment.check();
     }
 
     /** What users ask of this node, whichever cell the job is at home in. */
@@ -137,9 +137,9 @@
     }
 
     /** Takes nothing more, and gives back what has not begun; or takes work again. */
-    public void drain(boolean so) {
-        borrowedTasks.drain(so);
-        workOffloading.drain(so);
+    public void setDraining(boolean so) {
+        borrowedTasks.setDraining(so);
+        workOffloading.setDraining(so);
     }
 
     // ---- asking ---------------------------------------------------------------------------------
@@ -176,37 +176,37 @@
     }
 
     /** A message of another cell; every one gets one answer, null if there is none to give now. */
-    public void asked(CellMessage message, Consumer<CellMessage> answer) {
+    public void onMessage(CellMessage message, Consumer<CellMessage> answer) {
         if (message instanceof UserRequest u) {
-            jobs.asked(u, response -> answer.accept(new UserResponse(response.verdict().name(), response.jobStatus())));
+            jobs.onUserRequest(u, response -> answer.accept(new UserResponse(response.verdict().name(), response.jobStatus())));
             return;
         }
-        if (!node.holds()) {
+        if (!node.holdsShard()) {
             String leader = node.leader();
             answer.accept(new Redirect(leader));
             return;
         }
         if (message instanceof Summary summary) {
-            cellMembership.heard(summary, timers.nowSeconds());
+            cellMembership.onSummary(summary, timers.nowSeconds());
             answer.accept(summary());
         } else if (message instanceof LoanOffer offer) {
-            borrowedTasks.offered(offer, welcome(offer), answer);
+            borrowedTasks.onOffer(offer, acceptsOffer(offer), answer);
         } else if (message instanceof LoanRecall r) {
-            borrowedTasks.recalled(r, answer);
+            borrowedTasks.onRecall(r, answer);
         } else if (message instanceof QuotaGrant g) {
-            quotaShares.granted(g, answer);
+            quotaShares.onGrant(g, answer);
         } else if (message instanceof LoanStatus status) {
-            lentTasks.said(status, answer);
+            lentTasks.onStatus(status, answer);
         } else {
             answer.accept(null);
         }
     }
 
     /** Whether there is room for what is offered, by what is free now. */
-    private boolean welcome(LoanOffer offer) {
+    private boolean acceptsOffer(LoanOffer offer) {
         int most = 0;
         boolean may = false;
-        for (CellMessage.FreeCapacity capacity : localSummary.room()) {
+        for (CellMessage.FreeCapacity capacity : localSummary.freeCapacity()) {
             MachineType type = shard.machineTypes().get(capacity.kind().machineType());
             if (type != null && ProbePlacement.isAllowed(capacity.kind(), offer.spec())) {
                 may = true;
@@ -228,54 +228,54 @@
                 cellDirectory.ownCellName(),
                 node.leader(),
                 cellDirectory.version(),
-                !borrowedTasks.draining(),
-                localSummary.room(),
-                localSummary.waitS(),
-                cellMembership.hears(timers.nowSeconds()),
+                !borrowedTasks.isDraining(),
+                localSummary.freeCapacity(),
+                localSummary.waitSecondsByRank(),
+                cellMembership.heardCells(timers.nowSeconds()),
                 shares());
     }
 
     private List<CellMessage.QuotaShare> shares() {
         double cpus = 0;
         double gpus = 0;
-        for (CellMessage.FreeCapacity capacity : localSummary.room()) {
+        for (CellMessage.FreeCapacity capacity : localSummary.freeCapacity()) {
             cpus += capacity.cpus();
             gpus += capacity.gpus();
         }
-        return quotaShares.told(cpus, gpus);
+        return quotaShares.summaryRows(cpus, gpus);
     }
 
     // ---- the holder's loops ---------------------------------------------------------------------
 
     /** Called a few times a second while this node holds the block. */
-    public void tend() {
+    public void reconcile() {
         double now = timers.nowSeconds();
-        cellMembership.look(now);
-        lentTasks.tend(now);
-        borrowedTasks.tend(now);
-        quotaShares.tend(now);
-        if (now - exchangedAt >= EVERY_S) {
+        cellMembership.updateStates(now);
+        lentTasks.reconcile(now);
+        borrowedTasks.reconcile(now);
+        quotaShares.reconcile(now);
+        if (now - exchangedAt >= EXCHANGE_INTERVAL_SECONDS) {
             exchangedAt = now;
             Summary mine = summary();
             for (RemoteCell remote : cellMembership.all().values()) {
                 // Of two cells the one of the lower name begins, as long as that works.
-                if (cellDirectory.ownCellName().compareTo(remote.name) < 0 || !remote.hears(now)) {
+                if (cellDirectory.ownCellName().compareTo(remote.name) < 0 || !remote.isHeard(now)) {
                     askHolder(
                             remote.name,
                             mine,
                             message -> {
                                 if (message instanceof Summary summary) {
-                                    cellMembership.heard(summary, timers.nowSeconds());
+                                    cellMembership.onSummary(summary, timers.nowSeconds());
                                 }
                             });
                 }
             }
-            quotaShares.divide(cellMembership.fresh(now));
-            spillOver(now);
+            quotaShares.rebalance(cellMembership.freshSummaries(now));
+            offloadWork(now);
         }
     }
 
-    private void spillOver(double now) {
+    private void offloadWork(double now) {
         int most = (int) budget.available(now);
         List<Job> queue = most == 0 ? List.of() : node.queue();
         if (queue.isEmpty()) {
@@ -315,58 +315,58 @@
 
     @Override
     public void adoptLoaded(StateLoader.LoadedState found) {
-        lentTasks.adopt(found, timers.nowSeconds());
-        borrowedTasks.adopt(found, timers.nowSeconds());
-        quotaShares.adopt(found);
+        lentTasks.restore(found, timers.nowSeconds());
+        borrowedTasks.restore(found, timers.nowSeconds());
+        quotaShares.restore(found);
     }
 
     @Override
     public void cancellationRequestChanged(Entry entry) {
-        lentTasks.leaving(entry);
+        lentTasks.cancelling(entry);
     }
 
     /** The store has it that the job is done. */
-    public void done(String id) {
+    public void jobDone(String id) {
         Job job = shard.jobs().get(id);
         if (job != null) {
             lentTasks.over(job);
         }
     }
 
-    public void figures(Map<String, Metric> f) {
+    public void addMetrics(Map<String, Metric> f) {
         f.put(
                 "cells.silent",
-                Metric.gauge("other cells from which nothing is heard", cellMembership::silentOnes));
+                Metric.gauge("other cells from which nothing is heard", cellMembership::silentCount));
         f.put(
                 "cells.tasks.lent",
                 Metric.gauge(
-                        "tasks that other cells were offered or have taken", lentTasks::tasksOut));
+                        "tasks that other cells were offered or have taken", lentTasks::lentTaskCount));
         f.put(
                 "cells.tasks.taken",
                 Metric.gauge(
                         "tasks of other cells that are this one's to run",
-                        borrowedTasks::tasksHere));
-        f.put("cells.lent", Metric.counter("hand-overs to other cells", lentTasks::lent));
+                        borrowedTasks::borrowedTaskCount));
+        f.put("cells.lent", Metric.counter("hand-overs to other cells", lentTasks::loansMade));
         f.put(
                 "cells.returned",
-                Metric.counter("hand-overs that came to an end", lentTasks::returned));
+                Metric.counter("hand-overs that came to an end", lentTasks::loansReturned));
         f.put(
                 "cells.taken",
-                Metric.counter("hand-overs taken from other cells", borrowedTasks::taken));
+                Metric.counter("hand-overs taken from other cells", borrowedTasks::loansTaken));
         f.put(
                 "cells.refused",
-                Metric.counter("hand-overs refused for lack of room", borrowedTasks::refused));
+                Metric.counter("hand-overs refused for lack of room", borrowedTasks::loansRefused));
         f.put(
                 "cells.shares.given",
-                Metric.counter("parts of teams' limits given to other cells", quotaShares::given));
+                Metric.counter("parts of teams' limits given to other cells", quotaShares::grantsSent));
         f.put(
                 "cells.shares.came",
                 Metric.counter(
-                        "parts of teams' limits that came from other cells", quotaShares::came));
+                        "parts of teams' limits that came from other cells", quotaShares::grantsReceived));
         f.put(
                 "cells.shares.under.way",
                 Metric.gauge(
-                        "parts given that are not known to have arrived", quotaShares::underWay));
+                        "parts given that are not known to have arrived", quotaShares::amountInTransit));
         f.put(
                 "cells.messages",
                 Metric.counter("messages sent to other cells by the holder", () -> messages));
--- a/src/main/java/io/kitepath/core/cell/HomeAssignment.java
+++ b/src/main/java/io/kitepath/core/cell/HomeAssignment.java
@@ -24,7 +24,7 @@
     private final Store store;
     private final Timers timers;
     private boolean agreed;
-    private boolean said;
+    private boolean disagreementLogged;
 
     HomeAssignment(CellDirectory cellDirectory, Store store, Timers timers) {
         this.cellDirectory = cellDirectory;
@@ -36,7 +36,7 @@
         return agreed;
     }
 
-    void look() {
+    void check() {
         store.get(
                 StoreKeys.CELLS,
                 (outcome, entry) -> {
@@ -51,15 +51,15 @@
                         return;
                     }
                     if (!agreed) {
-                        timers.schedule(outcome == Outcome.OK ? 10 : 0.5, this::look);
+                        timers.schedule(outcome == Outcome.OK ? 10 : 0.5, this::check);
                     }
                 });
     }
 
     private void compare(String theirs) {
         agreed = theirs.equals(cellDirectory.homeCellNames());
-        if (!agreed && !said) {
-            said = true;
+        if (!agreed && !disagreementLogged) {
+            disagreementLogged = true;
             LOG.error(
                     "the cells file names the homes \"{}\", this cell goes by \"{}\": no user is answered here",
                     cellDirectory.homeCellNames(),
@@ -80,7 +80,7 @@
                                         cellDirectory.homeCellNames())),
                 result -> {
                     if (!agreed) {
-                        timers.schedule(0.1, this::look);
+                        timers.schedule(0.1, this::check);
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -21,11 +21,11 @@
  */
 final class HomeCellJobs implements JobApi {
     private final CellDirectory cellDirectory;
-    private final JobSubmissionService here;
+    private final JobSubmissionService submissions;
     private final RemoteCells cells;
 
     /** Whether this cell goes by the same homes as this node. */
-    private final BooleanSupplier agreed;
+    private final BooleanSupplier homesAgreed;
 
     HomeCellJobs(
             CellDirectory cellDirectory,
@@ -33,19 +33,19 @@
             RemoteCells cells,
             BooleanSupplier agreed) {
         this.cellDirectory = cellDirectory;
-        this.here = here;
+        this.submissions = here;
         this.cells = cells;
-        this.agreed = agreed;
+        this.homesAgreed = agreed;
     }
 
     @Override
     public void submit(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
         if (needs.isEmpty()) {
             ask(new UserRequest(RequestKind.SUBMIT, spec.id(), spec), answer);
-        } else if (agreed.getAsBoolean()
+        } else if (homesAgreed.getAsBoolean()
                 && isHere(spec.id())
                 && needs.stream().allMatch(this::isHere)) {
-            here.submit(spec, needs, answer);
+            submissions.submit(spec, needs, answer);
         } else {
             // Whether a job of another cell is done only that cell's records say, and they may be
             // out of reach when it matters. One that is known all the same is answered as any
@@ -78,7 +78,7 @@
     private void ask(UserRequest a, Consumer<Answer> answer) {
         String home = cellDirectory.homeCellOf(a.jobId());
         if (home.equals(cellDirectory.ownCellName())) {
-            asked(a, answer);
+            onUserRequest(a, answer);
             return;
         }
         cells.ask(
@@ -93,17 +93,17 @@
     }
 
     /** A user's question that came here, or to another cell's node that sent it on. */
-    void asked(UserRequest a, Consumer<Answer> answer) {
+    void onUserRequest(UserRequest a, Consumer<Answer> answer) {
         // Guards against two nodes with different files that each hold another cell to be the job's
         // home.
-        if (!agreed.getAsBoolean() || !cellDirectory.homeCellOf(a.jobId()).equals(cellDirectory.ownCellName())) {
+        if (!homesAgreed.getAsBoolean() || !cellDirectory.homeCellOf(a.jobId()).equals(cellDirectory.ownCellName())) {
             answer.accept(Answer.LATER);
             return;
         }
         switch (a.kind()) {
-            case SUBMIT -> here.submit(a.spec(), answer);
-            case STATUS -> here.status(a.jobId(), answer);
-            case CANCEL -> here.cancel(a.jobId(), answer);
+            case SUBMIT -> submissions.submit(a.spec(), answer);
+            case STATUS -> submissions.status(a.jobId(), answer);
+            case CANCEL -> submissions.cancel(a.jobId(), answer);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -38,7 +38,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(LentTasks.class);
 
     /** Loans under one token. */
-    private static final int BITS = 20;
+    private static final int SEQUENCE_BITS = 20;
 
     /** What of this the rest of the cell has to know. */
     interface Listener {
@@ -46,24 +46,24 @@
         void cancelled(JobStatus job);
     }
 
-    private final String own;
+    private final String ownCell;
     private final ShardState shard;
-    private final Consumer<StateWriter.BatchContributor> riding;
+    private final Consumer<StateWriter.BatchContributor> batchQueue;
     private final Timers timers;
     private final CellMembership cellMembership;
     private final WorkOffloading workOffloading;
-    private final CellQuery asking;
+    private final CellQuery cellQuery;
     private final Random random;
     private final Listener listener;
     private long sequence;
-    private long lent;
-    private long returned;
+    private long loansMade;
+    private long loansReturned;
 
     /** By number: who waits to hear that its end is written. */
     private final Map<Long, List<Consumer<CellMessage>>> waiting = new HashMap<>();
 
     /** Jobs whose cancellation is under way, and the revision of the record that says so. */
-    private final Map<String, Long> leaving = new HashMap<>();
+    private final Map<String, Long> cancelling = new HashMap<>();
 
     LentTasks(
             String own,
@@ -75,28 +75,28 @@
             CellQuery asking,
             Random random,
             Listener listener) {
-        this.own = own;
+        this.ownCell = own;
         this.shard = shard;
-        this.riding = riding;
+        this.batchQueue = riding;
         this.timers = timers;
         this.cellMembership = cellMembership;
         this.workOffloading = workOffloading;
-        this.asking = asking;
+        this.cellQuery = asking;
         this.random = random;
         this.listener = listener;
     }
 
     /** Loans made and loans that came to an end, since this node started. */
-    long lent() {
-        return lent;
+    long loansMade() {
+        return loansMade;
     }
 
-    long returned() {
-        return returned;
+    long loansReturned() {
+        return loansReturned;
     }
 
     /** Tasks that are lent now. */
-    long tasksOut() {
+    long lentTaskCount() {
         return shard.jobs().values().stream()
                 .flatMap(job -> job.loans().stream())
                 .filter(loan -> !loan.isClosed)
@@ -106,9 +106,9 @@
 
     // ---- what a new holder reads ----------------------------------------------------------------
 
-    void adopt(StateLoader.LoadedState found, double now) {
+    void restore(StateLoader.LoadedState found, double now) {
         waiting.clear();
-        leaving.clear();
+        cancelling.clear();
         for (Entry entry : found.lentTasks()) {
             Job job = shard.jobs().get(entry.key().substring(StoreKeys.LENT_TASKS.length()));
             if (job == null) {
@@ -124,17 +124,17 @@
                 LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
             }
         }
-        found.cancellationRequests().forEach(this::leaving);
+        found.cancellationRequests().forEach(this::cancelling);
     }
 
     /** A record of {@link StoreKeys#CANCELLATION_REQUESTS} came or went. */
-    void leaving(Entry entry) {
+    void cancelling(Entry entry) {
         String id = entry.key().substring(StoreKeys.CANCELLATION_REQUESTS.length());
         if (entry.value() == null) {
-            leaving.remove(id);
+            cancelling.remove(id);
             return;
         }
-        leaving.put(id, entry.revision());
+        cancelling.put(id, entry.revision());
         Job job = shard.jobs().get(id);
         if (job != null && !job.isFinished() && !job.isCancelRequested()) {
             job.requestCancel();
@@ -150,7 +150,7 @@
     // ---- lending --------------------------------------------------------------------------------
 
     private long nextNumber() {
-        return (shard.fencingToken() << BITS) + sequence + 1;
+        return (shard.fencingToken() << SEQUENCE_BITS) + sequence + 1;
     }
 
     /** No number below this one is out to the cell any more, nor will be. */
@@ -167,7 +167,7 @@
     }
 
     /** How many loans to the cell are not settled. */
-    private long out(String cell) {
+    private long openLoans(String cell) {
         return shard.jobs().values().stream()
                 .flatMap(job -> job.loans().stream())
                 .filter(loan -> loan.borrowerCell.equals(cell))
@@ -178,19 +178,19 @@
     void lend(WorkOffloading.Plan p) {
         Job job = p.job();
         if (job.writingLoans()
-                || out(p.to()) >= SequenceNumbers.MOST / 2
-                || sequence + 2 >= 1L << BITS) {
+                || openLoans(p.targetCell()) >= SequenceNumbers.MAX_LISTED / 2
+                || sequence + 2 >= 1L << SEQUENCE_BITS) {
             return;
         }
         TaskLoan loan =
                 new TaskLoan(
-                        (shard.fencingToken() << BITS) + ++sequence,
-                        p.to(),
-                        p.from(),
-                        p.until(),
+                        (shard.fencingToken() << SEQUENCE_BITS) + ++sequence,
+                        p.targetCell(),
+                        p.firstTask(),
+                        p.endTask(),
                         timers.nowSeconds());
         job.lend(loan);
-        lent++;
+        loansMade++;
         LOG.info(
                 "lends {} tasks of {} from {} on to cell {} as {}: {}",
                 loan.taskCount(),
@@ -198,12 +198,12 @@
                 loan.firstTask,
                 loan.borrowerCell,
                 loan.number,
-                p.why());
+                p.reason());
         write(
                 job,
                 () -> {
                     loan.isRecorded = true;
-                    tell(job, loan, timers.nowSeconds());
+                    offerOrRecall(job, loan, timers.nowSeconds());
                 });
     }
 
@@ -211,7 +211,7 @@
     private void write(Job job, Runnable then) {
         String id = job.spec.id();
         job.writingLoans(true);
-        riding.accept(
+        batchQueue.accept(
                 new StateWriter.BatchContributor() {
                     private List<TaskLoan> left;
 
@@ -249,37 +249,37 @@
     // ---- telling the others ---------------------------------------------------------------------
 
     /** Everything that has to be said, written or given up now. */
-    void tend(double now) {
+    void reconcile(double now) {
         for (Job job : new ArrayList<>(shard.jobs().values())) {
             if (job.isFinished()) {
                 continue;
             }
             for (TaskLoan loan : new ArrayList<>(job.loans())) {
                 if (loan.isRecorded && !loan.isClosed) {
-                    tell(job, loan, now);
+                    offerOrRecall(job, loan, now);
                 }
             }
             if (job.loans().stream().anyMatch(loan -> loan.isClosed)) {
                 settle(job);
             }
-            if (job.isCancelRequested() && job.loans().isEmpty() && leaving.containsKey(job.spec.id())) {
+            if (job.isCancelRequested() && job.loans().isEmpty() && cancelling.containsKey(job.spec.id())) {
                 cancel(job);
             }
         }
-        for (String id : new ArrayList<>(leaving.keySet())) {
+        for (String id : new ArrayList<>(cancelling.keySet())) {
             if (!shard.jobs().containsKey(id)) {
-                stale(id);
+                removeStaleCancellation(id);
             }
         }
     }
 
-    private void tell(Job job, TaskLoan loan, double now) {
+    private void offerOrRecall(Job job, TaskLoan loan, double now) {
         double mostS = shard.settings().workers().leaseSeconds();
         // What is taken is only looked after; what is called back or not taken yet is asked for.
         double dueS =
                 loan.isAccepted && !job.isCancelRequested()
                         ? 2 * mostS
-                        : RetryBackoff.againS(loan.unansweredQueries, 1, mostS, random);
+                        : RetryBackoff.delaySeconds(loan.unansweredQueries, 1, mostS, random);
         if (loan.isAwaitingAnswer || now - loan.lastQueriedAt < dueS && !(job.isCancelRequested() && loan.unansweredQueries == 0)) {
             return;
         }
@@ -288,9 +288,9 @@
         loan.unansweredQueries++;
         CellMessage m =
                 job.isCancelRequested()
-                        ? new LoanRecall(own, loan.number, floor(loan.borrowerCell), true)
+                        ? new LoanRecall(ownCell, loan.number, floor(loan.borrowerCell), true)
                         : new LoanOffer(
-                                own,
+                                ownCell,
                                 loan.number,
                                 floor(loan.borrowerCell),
                                 job.spec,
@@ -299,7 +299,7 @@
                                 loan.endTask,
                                 job.nextAttempt());
         boolean first = !loan.isAccepted && loan.unansweredQueries == 1;
-        asking.ask(
+        cellQuery.ask(
                 loan.borrowerCell,
                 m,
                 answer -> {
@@ -309,7 +309,7 @@
                         remote.unconfirmed = Math.max(0, remote.unconfirmed - 1);
                     }
                     if (answer instanceof LoanStatus status && status.loanNumber() == loan.number) {
-                        said(status, x -> {});
+                        onStatus(status, x -> {});
                     }
                 });
     }
@@ -318,11 +318,11 @@
      * The other cell's word on a loan. {@code answer}: gets {@link LoanSettled} once what follows
      * from it is written.
      */
-    void said(LoanStatus status, Consumer<CellMessage> answer) {
+    void onStatus(LoanStatus status, Consumer<CellMessage> answer) {
         for (Job job : shard.jobs().values()) {
             for (TaskLoan loan : job.loans()) {
                 if (loan.number == status.loanNumber() && loan.borrowerCell.equals(status.cell())) {
-                    said(job, loan, status, answer);
+                    onStatus(job, loan, status, answer);
                     return;
                 }
             }
@@ -336,7 +336,7 @@
         }
     }
 
-    private void said(Job job, TaskLoan loan, LoanStatus status, Consumer<CellMessage> answer) {
+    private void onStatus(Job job, TaskLoan loan, LoanStatus status, Consumer<CellMessage> answer) {
         double now = timers.nowSeconds();
         RemoteCell remote = cellMembership.get(loan.borrowerCell);
         if (!loan.isRecorded) {
@@ -347,7 +347,7 @@
             loan.isAccepted = true;
             loan.unansweredQueries = job.isCancelRequested() ? loan.unansweredQueries : 0;
             if (remote != null) {
-                remote.accepted();
+                remote.onAccepted();
             }
             answer.accept(null);
             return;
@@ -366,10 +366,10 @@
         job.raiseNextAttempt(status.nextAttempt());
         shard.requestScheduling();
         if (remote != null && status.state() == LoanState.VOID) {
-            remote.refused(now, random);
+            remote.onRefused(now, random);
         }
         if (status.state() == LoanState.VOID || status.state() == LoanState.BACK) {
-            workOffloading.gaveBack(job.spec.id(), loan.borrowerCell, now);
+            workOffloading.onReturned(job.spec.id(), loan.borrowerCell, now);
         }
         LOG.info(
                 "loan {} of {} to cell {} is over after {} s: {}, {} of {} tasks done",
@@ -406,7 +406,7 @@
 
     private void settled(Job job, TaskLoan loan) {
         job.forgetLoan(loan);
-        returned++;
+        loansReturned++;
         String cell = loan.borrowerCell;
         List<Consumer<CellMessage>> who = waiting.remove(loan.number);
         if (who != null) {
@@ -431,13 +431,13 @@
             return;
         }
         job.writingLoans(true);
-        long asked = leaving.get(id);
-        riding.accept(
+        long asked = cancelling.get(id);
+        batchQueue.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean isStillWanted() {
                         boolean still =
-                                !job.isFinished() && job.loans().isEmpty() && leaving.containsKey(id);
+                                !job.isFinished() && job.loans().isEmpty() && cancelling.containsKey(id);
                         if (!still) {
                             job.writingLoans(false);
                         }
@@ -463,7 +463,7 @@
                     @Override
                     public void onCommitted(long revision) {
                         job.writingLoans(false);
-                        leaving.remove(id);
+                        cancelling.remove(id);
                         shard.finishJob(id);
                         listener.cancelled(new JobStatus(id, "cancelled", 0, 0));
                     }
@@ -471,9 +471,9 @@
     }
 
     /** A wish to cancel a job that was over already. */
-    private void stale(String id) {
-        long asked = leaving.remove(id);
-        riding.accept(
+    private void removeStaleCancellation(String id) {
+        long asked = cancelling.remove(id);
+        batchQueue.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean isStillWanted() {
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -19,7 +19,7 @@
  */
 final class LocalSummary {
     /** Kinds told of at most, so that a summary stays small. */
-    private static final int MOST_ROOMS = 64;
+    private static final int MAX_MACHINE_KINDS = 64;
 
     private static final int RANKS = 2 * JobSpec.Priority.values().length;
 
@@ -29,7 +29,7 @@
         this.shard = shard;
     }
 
-    List<FreeCapacity> room() {
+    List<FreeCapacity> freeCapacity() {
         Map<MachineKind, double[]> free = new HashMap<>();
         for (Machine machine : shard.machines().values()) {
             MachineType type = shard.machineTypes().get(machine.type());
@@ -46,7 +46,7 @@
         out.sort(
                 Comparator.comparingDouble((FreeCapacity capacity) -> -capacity.cpus())
                         .thenComparing(capacity -> capacity.kind().toString()));
-        return out.size() > MOST_ROOMS ? new ArrayList<>(out.subList(0, MOST_ROOMS)) : out;
+        return out.size() > MAX_MACHINE_KINDS ? new ArrayList<>(out.subList(0, MAX_MACHINE_KINDS)) : out;
     }
 
     /** CPUs of all machines that may be used. */
@@ -60,10 +60,10 @@
     }
 
     /** By rank: how long waiting work up to that rank would take all machines, in seconds. */
-    List<Double> waitS() {
+    List<Double> waitSecondsByRank() {
         double[] work = new double[RANKS];
         for (Job job : shard.jobs().values()) {
-            work[job.queueRank()] += workS(job);
+            work[job.queueRank()] += workSeconds(job);
         }
         double cpus = Math.max(1, cpus());
         List<Double> out = new ArrayList<>();
@@ -76,7 +76,7 @@
     }
 
     /** CPU seconds of the job's waiting tasks. */
-    static double workS(Job job) {
+    static double workSeconds(Job job) {
         return job.waitingTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/QuotaDivision.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaDivision.java
@@ -19,15 +19,15 @@
     /**
      * One cell's claim; amounts in thousandths.
      *
-     * @param holds its share, used or not
+     * @param share its share, used or not
      * @param used what its attempts that are not proven over take
-     * @param wants what its waiting work could use at once beyond that
-     * @param head what the first of that needs at once
+     * @param wanted what its waiting work could use at once beyond that
+     * @param firstWaiting what the first of that needs at once
      * @param task what one task of that needs: less is of no use to it
-     * @param since when that was submitted, in milliseconds since 1970
+     * @param waitingSince when that was submitted, in milliseconds since 1970
      */
     record QuotaClaim(
-            String cell, long holds, long used, long wants, long head, long task, double since) {}
+            String cell, long share, long used, long wanted, long firstWaiting, long task, double waitingSince) {}
 
     private QuotaDivision() {}
 
@@ -35,21 +35,21 @@
      * By cell: what it is to have now. In all exactly what they hold, and none less than it uses.
      */
     static Map<String, Long> targets(List<QuotaClaim> claims) {
-        Map<String, Long> fair = fair(claims);
+        Map<String, Long> fair = maxMinFair(claims);
         Map<String, Long> out = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
         long free = 0;
         for (QuotaClaim claim : claims) {
             out.put(claim.cell, claim.used);
-            free += Math.max(0, claim.holds - claim.used);
-            wanted.put(claim.cell, claim.wants);
+            free += Math.max(0, claim.share - claim.used);
+            wanted.put(claim.cell, claim.wanted);
         }
         // Guards against a cell that is full of work and has the oldest of it: it would take all
         // that comes free.
         List<QuotaClaim> due = waiting(claims);
         due.removeIf(claim -> claim.used >= fair.get(claim.cell));
         for (QuotaClaim claim : due) {
-            long first = Math.min(free, Math.min(claim.head, claim.wants));
+            long first = Math.min(free, Math.min(claim.firstWaiting, claim.wanted));
             out.merge(claim.cell, first, Long::sum);
             wanted.merge(claim.cell, -first, Long::sum);
             free -= first;
@@ -62,13 +62,13 @@
                                 Math.min(
                                         wanted.get(claim.cell),
                                         fair.get(claim.cell) - out.get(claim.cell))));
-        free = alike(free, upToFair, out);
+        free = equalShares(free, upToFair, out);
         upToFair.forEach((cell, n) -> wanted.merge(cell, -Math.max(0, n), Long::sum));
-        free = alike(free, wanted, out);
+        free = equalShares(free, wanted, out);
         // What nobody wants stays with those that have it.
         for (QuotaClaim claim :
                 claims.stream().sorted(Comparator.comparing(QuotaClaim::cell)).toList()) {
-            long over = Math.min(free, Math.max(0, claim.holds - out.get(claim.cell)));
+            long over = Math.min(free, Math.max(0, claim.share - out.get(claim.cell)));
             out.merge(claim.cell, over, Long::sum);
             free -= over;
         }
@@ -79,29 +79,29 @@
      * By cell: how much it had best use, if nothing of it were in use now. A cell that uses more
      * puts nothing new in the place of what ends, while others want it.
      */
-    static Map<String, Long> fair(List<QuotaClaim> claims) {
-        long all = claims.stream().mapToLong(QuotaClaim::holds).sum();
+    static Map<String, Long> maxMinFair(List<QuotaClaim> claims) {
+        long all = claims.stream().mapToLong(QuotaClaim::share).sum();
         Map<String, Long> out = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
         claims.forEach(
                 claim -> {
                     out.put(claim.cell, 0L);
-                    wanted.put(claim.cell, claim.used + claim.wants);
+                    wanted.put(claim.cell, claim.used + claim.wanted);
                 });
         for (QuotaClaim claim : waiting(claims)) {
-            long first = Math.min(all, Math.min(claim.head, claim.wants));
+            long first = Math.min(all, Math.min(claim.firstWaiting, claim.wanted));
             out.merge(claim.cell, first, Long::sum);
             wanted.merge(claim.cell, -first, Long::sum);
             all -= first;
         }
-        alike(all, wanted, out);
+        equalShares(all, wanted, out);
         return out;
     }
 
     private static List<QuotaClaim> waiting(List<QuotaClaim> claims) {
         List<QuotaClaim> out =
-                new ArrayList<>(claims.stream().filter(claim -> claim.wants > 0).toList());
-        out.sort(Comparator.comparingDouble(QuotaClaim::since).thenComparing(QuotaClaim::cell));
+                new ArrayList<>(claims.stream().filter(claim -> claim.wanted > 0).toList());
+        out.sort(Comparator.comparingDouble(QuotaClaim::waitingSince).thenComparing(QuotaClaim::cell));
         return out;
     }
 
@@ -109,7 +109,7 @@
      * Equal parts of what is free, again and again as some have all they want; returns what nobody
      * wants.
      */
-    private static long alike(long free, Map<String, Long> wanted, Map<String, Long> out) {
+    private static long equalShares(long free, Map<String, Long> wanted, Map<String, Long> out) {
         Map<String, Long> left = new TreeMap<>(wanted);
         long rest = free;
         while (rest > 0) {
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -45,16 +45,16 @@
  */
 final class QuotaShares implements QuotaUsage.QuotaLimits {
     private static final Logger LOG = LoggerFactory.getLogger(QuotaShares.class);
-    private static final int BITS = 20;
+    private static final int SEQUENCE_BITS = 20;
 
     /** Resources: CPUs and GPUs. */
-    private static final int KINDS = 2;
+    private static final int RESOURCE_KINDS = 2;
 
     /** Grants of one team that are under way at most. */
-    private static final int MOST_OUT = 8;
+    private static final int MAX_OUTGOING_GRANTS = 8;
 
     /** Teams told of in a summary, those that want most first. */
-    private static final int MOST_TOLD = 64;
+    private static final int MAX_SHARES_IN_SUMMARY = 64;
 
     private static final long UNLIMITED = Long.MAX_VALUE;
 
@@ -82,15 +82,15 @@
         final String team;
 
         /** What came less what went, by resource. */
-        final long[] moved = new long[KINDS];
+        final long[] moved = new long[RESOURCE_KINDS];
 
         /** What came and is being written: it is not ours before. */
-        final long[] coming = new long[KINDS];
+        final long[] expected = new long[RESOURCE_KINDS];
 
         /** More than this is not used at the moment, as others are to have it. */
         final long[] cap = {UNLIMITED, UNLIMITED};
 
-        final List<OutgoingGrant> out = new ArrayList<>();
+        final List<OutgoingGrant> outgoing = new ArrayList<>();
         long revision;
         boolean writing;
 
@@ -100,7 +100,7 @@
 
         Map<String, Object> record() {
             List<Object> list = new ArrayList<>();
-            for (OutgoingGrant outgoing : out) {
+            for (OutgoingGrant outgoing : outgoing) {
                 list.add(
                         List.of(
                                 outgoing.number,
@@ -110,30 +110,30 @@
             }
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("team", team);
-            m.put("cpus", moved[0] + coming[0]);
-            m.put("gpus", moved[1] + coming[1]);
+            m.put("cpus", moved[0] + expected[0]);
+            m.put("gpus", moved[1] + expected[1]);
             m.put("out", list);
             return m;
         }
     }
 
-    private final String own;
+    private final String ownCell;
     private final ShardState shard;
-    private final Consumer<StateWriter.BatchContributor> riding;
+    private final Consumer<StateWriter.BatchContributor> batchQueue;
     private final Timers timers;
-    private final CellQuery asking;
+    private final CellQuery cellQuery;
     private final Random random;
     private final Map<String, HeldShare> held = new HashMap<>();
     private final Map<String, SequenceNumbers> numbers = new HashMap<>();
 
     /** Grants that are being written as taken, by giver and number. */
-    private final Map<String, List<Consumer<CellMessage>>> taking = new HashMap<>();
+    private final Map<String, List<Consumer<CellMessage>>> pendingReplies = new HashMap<>();
 
-    private final long[] room = new long[KINDS];
-    private List<QuotaShare> told = List.of();
+    private final long[] room = new long[RESOURCE_KINDS];
+    private List<QuotaShare> summaryRows = List.of();
     private long sequence;
-    private long given;
-    private long came;
+    private long grantsSent;
+    private long grantsReceived;
 
     QuotaShares(
             String own,
@@ -142,24 +142,24 @@
             Timers timers,
             CellQuery asking,
             Random random) {
-        this.own = own;
+        this.ownCell = own;
         this.shard = shard;
-        this.riding = riding;
+        this.batchQueue = riding;
         this.timers = timers;
-        this.asking = asking;
+        this.cellQuery = asking;
         this.random = random;
     }
 
-    long given() {
-        return given;
+    long grantsSent() {
+        return grantsSent;
     }
 
-    long came() {
-        return came;
+    long grantsReceived() {
+        return grantsReceived;
     }
 
-    long underWay() {
-        return held.values().stream().mapToLong(h -> h.out.size()).sum();
+    long amountInTransit() {
+        return held.values().stream().mapToLong(h -> h.outgoing.size()).sum();
     }
 
     /** A team's name may be longer than a key. */
@@ -167,16 +167,16 @@
         return StoreKeys.QUOTA_SHARES + Long.toHexString(Hashing.xxh3_64().hashCharsToLong(team));
     }
 
-    private HeldShare of(String team) {
+    private HeldShare heldShare(String team) {
         return held.computeIfAbsent(team, HeldShare::new);
     }
 
     // ---- what a new holder reads ----------------------------------------------------------------
 
-    void adopt(StateLoader.LoadedState found) {
+    void restore(StateLoader.LoadedState found) {
         held.clear();
         numbers.clear();
-        taking.clear();
+        pendingReplies.clear();
         for (Entry entry : found.voidedNumbers()) {
             String of = entry.key().substring(StoreKeys.VOIDED_NUMBERS.length());
             if (of.startsWith("share/")) {
@@ -188,7 +188,7 @@
         for (Entry entry : found.quotaShares()) {
             try {
                 DocumentReader document = DocumentReader.of(entry.value());
-                HeldShare h = of(document.text("team"));
+                HeldShare h = heldShare(document.text("team"));
                 h.revision = entry.revision();
                 h.moved[0] = document.integer("cpus", Long.MIN_VALUE, Long.MAX_VALUE);
                 h.moved[1] = document.integer("gpus", Long.MIN_VALUE, Long.MAX_VALUE);
@@ -201,7 +201,7 @@
                                     ((Number) l.get(2)).intValue(),
                                     ((Number) l.get(3)).longValue());
                     out.written = true;
-                    h.out.add(out);
+                    h.outgoing.add(out);
                 }
             } catch (InvalidInputException | ClassCastException | IndexOutOfBoundsException bad) {
                 LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
@@ -211,21 +211,21 @@
 
     // ---- what may be used -----------------------------------------------------------------------
 
-    private static long whole(ClusterSettings.Team team, int kind) {
+    private static long configuredShare(ClusterSettings.Team team, int kind) {
         double max = kind == 0 ? team.maxCpus() : team.maxGpus();
         return max <= 0 ? UNLIMITED : (long) Math.floor(max * 1000 + 1e-3);
     }
 
     /** The cell's share now; unlimited if the team has no limit. */
-    private long holds(ClusterSettings.Team team, int kind) {
-        long part = whole(team, kind);
+    private long currentShare(ClusterSettings.Team team, int kind) {
+        long part = configuredShare(team, kind);
         HeldShare h = held.get(team.name());
         return part == UNLIMITED || h == null ? part : Math.max(0, part + h.moved[kind]);
     }
 
     private long mayUse(ClusterSettings.Team team, int kind) {
         HeldShare h = held.get(team.name());
-        return h == null ? holds(team, kind) : Math.min(holds(team, kind), h.cap[kind]);
+        return h == null ? currentShare(team, kind) : Math.min(currentShare(team, kind), h.cap[kind]);
     }
 
     @Override
@@ -257,7 +257,7 @@
      * @param freeCpus CPUs and GPUs that are free on its machines: what it can't use it does not
      *     want
      */
-    List<QuotaShare> told(double freeCpus, double freeGpus) {
+    List<QuotaShare> summaryRows(double freeCpus, double freeGpus) {
         room[0] = (long) (freeCpus * 1000);
         room[1] = (long) (freeGpus * 1000);
         Map<String, QuotaShare> rows = new HashMap<>();
@@ -268,8 +268,8 @@
             }
         }
         for (ClusterSettings.Team team : shard.settings().teams().values()) {
-            for (int kind = 0; kind < KINDS; kind++) {
-                if (whole(team, kind) != UNLIMITED) {
+            for (int kind = 0; kind < RESOURCE_KINDS; kind++) {
+                if (configuredShare(team, kind) != UNLIMITED) {
                     rows.put(
                             team.name() + kind,
                             row(team, kind, waiting.getOrDefault(team.name(), List.of())));
@@ -280,8 +280,8 @@
         out.sort(
                 Comparator.comparingLong((QuotaShare share) -> -share.wanted())
                         .thenComparing(QuotaShare::team));
-        told = out.size() > MOST_TOLD ? new ArrayList<>(out.subList(0, MOST_TOLD)) : out;
-        return told;
+        summaryRows = out.size() > MAX_SHARES_IN_SUMMARY ? new ArrayList<>(out.subList(0, MAX_SHARES_IN_SUMMARY)) : out;
+        return summaryRows;
     }
 
     private QuotaShare row(ClusterSettings.Team team, int kind, List<Job> waiting) {
@@ -304,7 +304,7 @@
         return new QuotaShare(
                 team.name(),
                 kind,
-                holds(team, kind),
+                currentShare(team, kind),
                 used(team.name(), kind),
                 wants,
                 head,
@@ -313,11 +313,11 @@
     }
 
     /** What was given to the cell and is not known to have arrived. */
-    private long underWay(String team, int kind, String cell) {
+    private long amountInTransit(String team, int kind, String cell) {
         HeldShare h = held.get(team);
         return h == null
                 ? 0
-                : h.out.stream()
+                : h.outgoing.stream()
                         .filter(outgoing -> outgoing.kind == kind && outgoing.to.equals(cell))
                         .mapToLong(outgoing -> outgoing.amount)
                         .sum();
@@ -329,7 +329,7 @@
      * Divides what is held anew by what the others said lately and what was told last, and gives
      * what is to go.
      */
-    void divide(Collection<Summary> others) {
+    void rebalance(Collection<Summary> others) {
         Map<String, List<QuotaClaim>> claims = new HashMap<>();
         for (Summary summary : others) {
             for (QuotaShare share : summary.quotaShares()) {
@@ -338,7 +338,7 @@
                                 new QuotaClaim(
                                         summary.cell(),
                                         share.held()
-                                                + underWay(
+                                                + amountInTransit(
                                                         share.team(), share.resourceKind(), summary.cell()),
                                         share.used(),
                                         share.wanted(),
@@ -348,67 +348,67 @@
             }
         }
         Map<String, QuotaShare> mine = new HashMap<>();
-        told.forEach(share -> mine.put(share.team() + '\0' + share.resourceKind(), share));
+        summaryRows.forEach(share -> mine.put(share.team() + '\0' + share.resourceKind(), share));
         held.values().forEach(h -> Arrays.fill(h.cap, UNLIMITED));
         claims.forEach(
                 (key, list) -> {
                     QuotaShare share = mine.get(key);
-                    if (share != null && list.stream().anyMatch(claim -> claim.wants() > 0)) {
+                    if (share != null && list.stream().anyMatch(claim -> claim.wanted() > 0)) {
                         list.add(
                                 new QuotaClaim(
-                                        own,
+                                        ownCell,
                                         share.held(),
                                         share.used(),
                                         share.wanted(),
                                         share.nextJobNeed(),
                                         share.nextTaskNeed(),
                                         share.nextJobSubmittedMillis()));
-                        give(share, list);
+                        grant(share, list);
                     }
                 });
     }
 
-    private void give(QuotaShare share, List<QuotaClaim> claims) {
+    private void grant(QuotaShare share, List<QuotaClaim> claims) {
         Map<String, Long> targets = QuotaDivision.targets(claims);
-        HeldShare held = of(share.team());
+        HeldShare held = heldShare(share.team());
         // What was told may be a moment old; what is given must be free now.
         long usedNow = used(share.team(), share.resourceKind());
         // What others are to have is not used here again, so that it comes free as what runs ends.
-        held.cap[share.resourceKind()] = Math.max(Math.min(targets.get(own), share.held()), 0);
-        if (claims.stream().anyMatch(c -> !c.cell().equals(own) && c.wants() > 0)) {
+        held.cap[share.resourceKind()] = Math.max(Math.min(targets.get(ownCell), share.held()), 0);
+        if (claims.stream().anyMatch(c -> !c.cell().equals(ownCell) && c.wanted() > 0)) {
             held.cap[share.resourceKind()] =
-                    Math.min(held.cap[share.resourceKind()], QuotaDivision.fair(claims).get(own));
+                    Math.min(held.cap[share.resourceKind()], QuotaDivision.maxMinFair(claims).get(ownCell));
         }
         long mine =
                 claims.stream()
-                        .filter(c -> c.cell().equals(own))
-                        .mapToLong(c -> useful(c, targets))
+                        .filter(c -> c.cell().equals(ownCell))
+                        .mapToLong(c -> usefulAmount(c, targets))
                         .sum();
         long over =
-                holds(shard.settings().teams().get(share.team()), share.resourceKind())
+                currentShare(shard.settings().teams().get(share.team()), share.resourceKind())
                         - Math.max(mine, usedNow);
-        if (over <= 0 || held.writing || held.out.size() >= MOST_OUT) {
+        if (over <= 0 || held.writing || held.outgoing.size() >= MAX_OUTGOING_GRANTS) {
             return;
         }
         QuotaClaim to = null;
         for (QuotaClaim c : claims) {
-            long lacks = useful(c, targets) - c.holds();
-            if (!c.cell().equals(own)
+            long lacks = usefulAmount(c, targets) - c.share();
+            if (!c.cell().equals(ownCell)
                     && lacks > 0
-                    && (to == null || lacks > useful(to, targets) - to.holds())) {
+                    && (to == null || lacks > usefulAmount(to, targets) - to.share())) {
                 to = c;
             }
         }
         if (to == null) {
             return;
         }
-        long amount = Math.min(over, useful(to, targets) - to.holds());
+        long amount = Math.min(over, usefulAmount(to, targets) - to.share());
         OutgoingGrant outgoing =
                 new OutgoingGrant(
-                        (shard.fencingToken() << BITS) + ++sequence, to.cell(), share.resourceKind(), amount);
+                        (shard.fencingToken() << SEQUENCE_BITS) + ++sequence, to.cell(), share.resourceKind(), amount);
         held.moved[share.resourceKind()] -= amount;
-        held.out.add(outgoing);
-        given++;
+        held.outgoing.add(outgoing);
+        grantsSent++;
         LOG.info(
                 "gives {} {} of team {} to cell {} as {}: it holds {} and is to have {}, here {} of {} are used",
                 amount / 1000.0,
@@ -416,7 +416,7 @@
                 share.team(),
                 to.cell(),
                 outgoing.number,
-                to.holds() / 1000.0,
+                to.share() / 1000.0,
                 targets.get(to.cell()) / 1000.0,
                 share.used() / 1000.0,
                 share.held() / 1000.0);
@@ -425,7 +425,7 @@
                 null,
                 () -> {
                     outgoing.written = true;
-                    tell(held, outgoing, timers.nowSeconds());
+                    sendGrant(held, outgoing, timers.nowSeconds());
                 });
     }
 
@@ -433,9 +433,9 @@
      * What is in use and whole tasks beyond. Guards against shares that swing to and fro in crumbs
      * of no use to any.
      */
-    private static long useful(QuotaClaim claim, Map<String, Long> targets) {
+    private static long usefulAmount(QuotaClaim claim, Map<String, Long> targets) {
         long target = targets.get(claim.cell());
-        return claim.wants() == 0 || claim.task() == 0
+        return claim.wanted() == 0 || claim.task() == 0
                 ? target
                 : claim.used() + Math.max(0, target - claim.used()) / claim.task() * claim.task();
     }
@@ -443,7 +443,7 @@
     /** Writes the team's record, and with it that a number of another cell's is taken. */
     private void write(HeldShare h, String giver, Runnable then) {
         h.writing = true;
-        riding.accept(
+        batchQueue.accept(
                 new StateWriter.BatchContributor() {
                     @Override
                     public boolean isStillWanted() {
@@ -487,9 +487,9 @@
 
     /** Nothing below this number is under way to the cell any more. */
     private long floor(String cell) {
-        long least = (shard.fencingToken() << BITS) + sequence + 1;
+        long least = (shard.fencingToken() << SEQUENCE_BITS) + sequence + 1;
         for (HeldShare h : held.values()) {
-            for (OutgoingGrant outgoing : h.out) {
+            for (OutgoingGrant outgoing : h.outgoing) {
                 if (outgoing.to.equals(cell)) {
                     least = Math.min(least, outgoing.number);
                 }
@@ -498,30 +498,30 @@
         return least;
     }
 
-    void tend(double now) {
+    void reconcile(double now) {
         for (HeldShare h : new ArrayList<>(held.values())) {
-            for (OutgoingGrant outgoing : new ArrayList<>(h.out)) {
+            for (OutgoingGrant outgoing : new ArrayList<>(h.outgoing)) {
                 if (outgoing.written) {
-                    tell(h, outgoing, now);
+                    sendGrant(h, outgoing, now);
                 }
             }
         }
     }
 
-    private void tell(HeldShare h, OutgoingGrant outgoing, double now) {
+    private void sendGrant(HeldShare h, OutgoingGrant outgoing, double now) {
         if (outgoing.asking
                 || now - outgoing.askedAt
-                        < RetryBackoff.againS(
+                        < RetryBackoff.delaySeconds(
                                 outgoing.unanswered, 1, shard.settings().workers().leaseSeconds(), random)) {
             return;
         }
         outgoing.asking = true;
         outgoing.askedAt = now;
         outgoing.unanswered++;
-        asking.ask(
+        cellQuery.ask(
                 outgoing.to,
                 new QuotaGrant(
-                        own,
+                        ownCell,
                         outgoing.number,
                         floor(outgoing.to),
                         h.team,
@@ -533,7 +533,7 @@
                             && g.grantNumber() == outgoing.number
                             && held.get(h.team) == h
                             && !h.writing
-                            && h.out.remove(outgoing)) {
+                            && h.outgoing.remove(outgoing)) {
                         write(h, null, () -> {});
                     }
                 });
@@ -542,34 +542,34 @@
     // ---- taking ---------------------------------------------------------------------------------
 
     /** A share of another cell's becomes ours, once. */
-    void granted(QuotaGrant g, Consumer<CellMessage> answer) {
+    void onGrant(QuotaGrant g, Consumer<CellMessage> answer) {
         ClusterSettings.Team team = shard.settings().teams().get(g.team());
         SequenceNumbers numbers = numbers(g.fromCell());
-        numbers.raise(g.lowestOpenNumber());
+        numbers.raiseFloor(g.lowestOpenNumber());
         String id = g.fromCell() + '/' + g.grantNumber();
         if (numbers.isVoid(g.grantNumber())) {
-            if (taking.containsKey(id)) {
-                taking.get(id).add(answer); // Being written; said once it is.
+            if (pendingReplies.containsKey(id)) {
+                pendingReplies.get(id).add(answer); // Being written; said once it is.
             } else {
                 answer.accept(new QuotaGrantAccepted(g.grantNumber()));
             }
             return;
         }
-        HeldShare held = of(g.team());
-        if (team == null || numbers.full() || held.writing) {
+        HeldShare held = heldShare(g.team());
+        if (team == null || numbers.isFull() || held.writing) {
             answer.accept(null);
             return;
         }
         numbers.add(g.grantNumber());
-        held.coming[g.resourceKind()] = g.amount();
-        taking.put(id, new ArrayList<>(List.of(answer)));
+        held.expected[g.resourceKind()] = g.amount();
+        pendingReplies.put(id, new ArrayList<>(List.of(answer)));
         write(
                 held,
                 g.fromCell(),
                 () -> {
-                    came++;
-                    held.moved[g.resourceKind()] += held.coming[g.resourceKind()];
-                    held.coming[g.resourceKind()] = 0;
+                    grantsReceived++;
+                    held.moved[g.resourceKind()] += held.expected[g.resourceKind()];
+                    held.expected[g.resourceKind()] = 0;
                     LOG.info(
                             "{} {} of team {} came from cell {} as {}",
                             g.amount() / 1000.0,
@@ -577,7 +577,7 @@
                             g.team(),
                             g.fromCell(),
                             g.grantNumber());
-                    List<Consumer<CellMessage>> who = taking.remove(id);
+                    List<Consumer<CellMessage>> who = pendingReplies.remove(id);
                     if (who != null) {
                         who.forEach(x -> x.accept(new QuotaGrantAccepted(g.grantNumber())));
                     }
@@ -595,15 +595,15 @@
                         h -> {
                             text.append(h.record())
                                     .append(h.writing ? " writing" : "")
-                                    .append(Arrays.toString(h.coming));
-                            h.out.forEach(
+                                    .append(Arrays.toString(h.expected));
+                            h.outgoing.forEach(
                                     outgoing ->
                                             text.append(' ')
                                                     .append(outgoing.number)
                                                     .append(outgoing.written)
                                                     .append(outgoing.asking));
                         });
-        return text.append(new TreeMap<>(taking).keySet())
+        return text.append(new TreeMap<>(pendingReplies).keySet())
                 .append(new TreeMap<>(numbers))
                 .toString();
     }
--- a/src/main/java/io/kitepath/core/cell/RetryBackoff.java
+++ b/src/main/java/io/kitepath/core/cell/RetryBackoff.java
@@ -16,7 +16,7 @@
      * @param firstS after the first
      * @param mostS at most
      */
-    static double againS(int unanswered, double firstS, double mostS, Random random) {
+    static double delaySeconds(int unanswered, double firstS, double mostS, Random random) {
         double s = Math.min(mostS, firstS * (1L << Math.min(20, unanswered)));
         return s * (0.75 + 0.5 * random.nextDouble());
     }
--- a/src/main/java/io/kitepath/core/cell/SequenceNumbers.java
+++ b/src/main/java/io/kitepath/core/cell/SequenceNumbers.java
@@ -18,10 +18,10 @@
      * Numbers of one home that may be void above its floor; a home that leaves more of them
      * unsettled is refused.
      */
-    static final int MOST = 200;
+    static final int MAX_LISTED = 200;
 
     private long floor;
-    private final TreeSet<Long> taken = new TreeSet<>();
+    private final TreeSet<Long> listed = new TreeSet<>();
 
     /** Of its record, 0 while there is none. */
     private long revision;
@@ -32,34 +32,34 @@
         DocumentReader document = DocumentReader.of(record);
         numbers.floor = document.count("floor");
         for (Object o : document.list("void")) {
-            numbers.taken.add(((Number) o).longValue());
+            numbers.listed.add(((Number) o).longValue());
         }
         numbers.revision = revision;
         return numbers;
     }
 
     boolean isVoid(long number) {
-        return number < floor || taken.contains(number);
+        return number < floor || listed.contains(number);
     }
 
-    boolean full() {
-        return taken.size() >= MOST;
+    boolean isFull() {
+        return listed.size() >= MAX_LISTED;
     }
 
     /** The home has nothing out any more below that number. */
-    void raise(long to) {
+    void raiseFloor(long to) {
         floor = Math.max(floor, to);
-        taken.headSet(floor).clear();
+        listed.headSet(floor).clear();
     }
 
     void add(long number) {
         if (number >= floor) {
-            taken.add(number);
+            listed.add(number);
         }
     }
 
     Map<String, Object> record() {
-        List<Object> list = new ArrayList<>(taken);
+        List<Object> list = new ArrayList<>(listed);
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("floor", floor);
         m.put("void", list);
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -28,16 +28,16 @@
     /**
      * What one hand-over would be.
      *
-     * @param until one after the last task
-     * @param why for the log
+     * @param endTask one after the last task
+     * @param reason for the log
      */
-    record Plan(Job job, String to, int from, int until, String why) {}
+    record Plan(Job job, String targetCell, int firstTask, int endTask, String reason) {}
 
     /**
      * Owners' estimates are often wrong by half: what would wait longer than the time it has, over
      * this, goes.
      */
-    private static final double UNSURE = 2;
+    private static final double WAIT_ESTIMATE_MARGIN = 2;
 
     private final ClusterSettings settings;
     private final Map<String, MachineType> types;
@@ -46,7 +46,7 @@
     private boolean draining;
 
     /** Cells that gave a job back, by job, and when that counts no more. */
-    private final Map<String, Map<String, Double>> givenBack = new HashMap<>();
+    private final Map<String, Map<String, Double>> returnedAt = new HashMap<>();
 
     /** {@code zonesOf}: how many zones each other cell has. */
     WorkOffloading(
@@ -60,7 +60,7 @@
         this.random = random;
     }
 
-    void drain(boolean so) {
+    void setDraining(boolean so) {
         draining = so;
     }
 
@@ -68,14 +68,14 @@
      * Guards against work that bounces: a cell that gave it back is not asked again until that has
      * news.
      */
-    void gaveBack(String jobId, String cell, double now) {
-        givenBack
+    void onReturned(String jobId, String cell, double now) {
+        returnedAt
                 .computeIfAbsent(jobId, key -> new HashMap<>())
                 .put(cell, now + 2 * settings.workers().leaseSeconds());
     }
 
     void forget(Collection<String> known) {
-        givenBack.keySet().retainAll(known);
+        returnedAt.keySet().retainAll(known);
     }
 
     /**
@@ -99,20 +99,20 @@
             if (out.size() >= most) {
                 break;
             }
-            double work = LocalSummary.workS(job);
+            double work = LocalSummary.workSeconds(job);
             double waitS = (ahead + work) / Math.max(1, hereCpus);
             ahead += work;
-            String why = whyNotHere(job, fitsHere.test(job.spec), hereCpus, waitS, wallMs);
+            String why = reasonToOffload(job, fitsHere.test(job.spec), hereCpus, waitS, wallMs);
             // What waits for its team's limit waits for it everywhere: the limit's shares move to
             // where room is.
-            if (why == null || allowed.applyAsInt(job.spec) < least(job)) {
+            if (why == null || allowed.applyAsInt(job.spec) < smallestUnit(job)) {
                 continue;
             }
-            RemoteCell remote = choose(job, cells, waitS, now);
+            RemoteCell remote = chooseCell(job, cells, waitS, now);
             if (remote != null) {
-                Plan p = range(job, remote, why);
+                Plan p = planTasks(job, remote, why);
                 if (p != null) {
-                    remote.promise((p.until - p.from) * job.spec.cpusPerTask());
+                    remote.reserveOffered((p.endTask - p.firstTask) * job.spec.cpusPerTask());
                     out.add(p);
                 }
             }
@@ -121,7 +121,7 @@
     }
 
     /** Null if the job stays. */
-    private String whyNotHere(Job job, boolean fits, double cpus, double waitS, double wallMs) {
+    private String reasonToOffload(Job job, boolean fits, double cpus, double waitS, double wallMs) {
         JobSpec spec = job.spec;
         boolean whole = spec.shape() != JobSpec.Shape.ARRAY || spec.isSingleZone() || spec.isSpreadAcrossZones();
         if (job.borrowed
@@ -149,7 +149,7 @@
         for (int goal = 0; goal < job.startGoalCount(); goal++) {
             double left = (job.startGoalMillis(goal) - wallMs) / 1000;
             if (left > 0) {
-                return waitS * UNSURE > left
+                return waitS * WAIT_ESTIMATE_MARGIN > left
                         ? String.format("would wait %.0f s here of %.0f", waitS, left)
                         : null;
             }
@@ -157,14 +157,14 @@
         return String.format("past its goals, and would wait %.0f s here", waitS);
     }
 
-    private RemoteCell choose(Job job, Collection<RemoteCell> cells, double waitS, double now) {
+    private RemoteCell chooseCell(Job job, Collection<RemoteCell> cells, double waitS, double now) {
         List<RemoteCell> able = new ArrayList<>();
-        Map<String, Double> not = givenBack.getOrDefault(job.spec.id(), Map.of());
+        Map<String, Double> not = returnedAt.getOrDefault(job.spec.id(), Map.of());
         for (RemoteCell remote : cells) {
             // One loan of a job to each cell at a time: its records there are by the job's parts.
-            if (remote.takes(now)
+            if (remote.acceptsWork(now)
                     && not.getOrDefault(remote.name, 0.0) <= now
-                    && slots(job.spec, remote) >= least(job)
+                    && slots(job.spec, remote) >= smallestUnit(job)
                     && job.loans().stream().noneMatch(loan -> loan.borrowerCell.equals(remote.name))
                     && remote.summary().queueSecondsByRank().get(job.queueRank()) < waitS / 2) {
                 able.add(remote);
@@ -193,7 +193,7 @@
      * The least that is worth handing over: all of what has to be together, else a part of an
      * array.
      */
-    private static int least(Job job) {
+    private static int smallestUnit(Job job) {
         JobSpec spec = job.spec;
         return spec.shape() != JobSpec.Shape.ARRAY || spec.isSingleZone() || spec.isSpreadAcrossZones()
                 ? spec.taskCount()
@@ -227,7 +227,7 @@
             all += fit;
             byZone.merge(capacity.kind().zone(), fit, Integer::sum);
         }
-        int taken = spec.cpusPerTask() > 0 ? (int) Math.ceil(remote.promisedCpus() / spec.cpusPerTask()) : 0;
+        int taken = spec.cpusPerTask() > 0 ? (int) Math.ceil(remote.offeredCpus() / spec.cpusPerTask()) : 0;
         int room = spec.isSingleZone() ? byZone.values().stream().mapToInt(x -> x).max().orElse(0) : all;
         if (spec.isSpreadAcrossZones()) {
             int most = spec.maxTasksPerZone();
@@ -240,13 +240,13 @@
      * All of the job, or of an array the last tasks in a row that wait, as many as there is room
      * for.
      */
-    private Plan range(Job job, RemoteCell remote, String why) {
+    private Plan planTasks(Job job, RemoteCell remote, String why) {
         // What is done of a loan is one field of one record.
         int longest = 16 * settings.tasksPerPart();
-        if (least(job) > longest) {
+        if (smallestUnit(job) > longest) {
             return null;
         }
-        if (least(job) > 1 || job.spec.taskCount() == 1) {
+        if (smallestUnit(job) > 1 || job.spec.taskCount() == 1) {
             return new Plan(job, remote.name, 0, job.spec.taskCount(), why);
         }
         int until = job.spec.taskCount();
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -296,7 +296,7 @@
             } else if (message instanceof Messages.AskCell a && controller.otherCells() != null) {
                 controller
                         .otherCells()
-                        .asked(
+                        .onMessage(
                                 a.message(),
                                 m -> {
                                     if (m != null) {
--- a/src/main/java/io/kitepath/simulation/CloudLink.java
+++ b/src/main/java/io/kitepath/simulation/CloudLink.java
@@ -29,26 +29,26 @@
     }
 
     private void exchange(Act act, Consumer<Store.Outcome> failed) {
-        node.sends();
+        node.onRequestSent();
         MemoryCloud c = cluster.cloud;
-        if (c.withheld.test(node)) {
-            c.heldBack.add(act::run);
+        if (c.holdsBackRequestsOf.test(node)) {
+            c.heldBackRequests.add(act::run);
             node.schedule(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
             return;
         }
         cluster.after(
-                cluster.takes(0.05),
+                cluster.messageLatencySeconds(0.05),
                 () -> {
-                    if (c.out) {
-                        node.schedule(cluster.takes(0.05), () -> failed.accept(Store.Outcome.NOT_EXECUTED));
+                    if (c.unavailable) {
+                        node.schedule(cluster.messageLatencySeconds(0.05), () -> failed.accept(Store.Outcome.NOT_EXECUTED));
                         return;
                     }
                     Runnable answer = act.run();
-                    if (c.swallow > 0 || cluster.losesAnswer.getAsBoolean()) {
-                        c.swallow -= c.swallow > 0 ? 1 : 0;
+                    if (c.responsesToLose > 0 || cluster.losesNextResponse.getAsBoolean()) {
+                        c.responsesToLose -= c.responsesToLose > 0 ? 1 : 0;
                         node.schedule(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
                     } else {
-                        node.schedule(cluster.takes(0.05), answer);
+                        node.schedule(cluster.messageLatencySeconds(0.05), answer);
                     }
                 });
     }
@@ -68,7 +68,7 @@
                         for (int i = 0;
                                 i < count && cluster.cloud.capacity > 0;
                                 i++, cluster.cloud.capacity--) {
-                            String id = String.format("i-9%05d", cluster.cloud.named++);
+                            String id = String.format("i-9%05d", cluster.cloud.nameCount++);
                             got.add(id);
                             cluster.cloud.rentedAt.put(id, cluster.clock.now);
                             boot(id, kind.zone());
@@ -87,7 +87,7 @@
     }
 
     private void boot(String id, String zone) {
-        double s = cluster.cloud.bootS.applyAsDouble(cluster.cloud.booted++);
+        double s = cluster.cloud.bootSeconds.applyAsDouble(cluster.cloud.bootCount++);
         if (s == 0) {
             cluster.worker(id, zone);
             return;
@@ -122,7 +122,7 @@
 
     @Override
     public void listMachines(BiConsumer<Store.Outcome, List<Listed>> answer) {
-        if (cluster.cloud.out) {
+        if (cluster.cloud.unavailable) {
             node.schedule(0.05, () -> answer.accept(Store.Outcome.NOT_EXECUTED, List.of()));
             return;
         }
@@ -133,7 +133,7 @@
                                         cluster.clock.now
                                                 >= cluster.cloud.rentedAt.getOrDefault(
                                                                 listed.machineId(), -1e9)
-                                                        + cluster.cloud.listLagS)
+                                                        + cluster.cloud.listLagSeconds)
                         .toList();
         node.schedule(0.05, () -> answer.accept(Store.Outcome.OK, all));
     }
--- a/src/main/java/io/kitepath/simulation/EmulatorClient.java
+++ b/src/main/java/io/kitepath/simulation/EmulatorClient.java
@@ -9,18 +9,18 @@
     void schedule(double seconds, Runnable run);
 
     /** Whether it is still there. */
-    default boolean there() {
+    default boolean isAlive() {
         return true;
     }
 
     /** Whether the store refuses it, alone among all. */
-    default boolean refused() {
+    default boolean isRefused() {
         return false;
     }
 
     /** It asks the store something. */
-    default void asks() {}
+    default void onRequest() {}
 
     /** It sends a request to the store or the cloud. */
-    default void sends() {}
+    default void onRequestSent() {}
 }
--- a/src/main/java/io/kitepath/simulation/InvariantChecker.java
+++ b/src/main/java/io/kitepath/simulation/InvariantChecker.java
@@ -19,36 +19,36 @@
      * Once all troubles are over: how long no question about a job may get an answer, and how long
      * it may wait beside room.
      */
-    private static final double FORGOTTEN_S = 75;
+    private static final double FORGOTTEN_AFTER_SECONDS = 75;
 
-    private static final double LEFT_WAITING_S = 90;
+    private static final double STARVED_AFTER_SECONDS = 90;
 
     private final SimulatedCluster cluster;
     private final Map<String, Double> doneAt = new HashMap<>();
     private final Map<String, Double> acceptedAt = new HashMap<>();
-    private final Set<String> cancelAsked = new HashSet<>();
+    private final Set<String> cancellationRequestedFor = new HashSet<>();
 
     /** When a question about the job was last answered. */
     private final Map<String, Double> answeredAt = new HashMap<>();
 
     /** Since when it waits beside room. */
-    private final Map<String, Double> besideRoom = new HashMap<>();
+    private final Map<String, Double> waitingBesideCapacitySince = new HashMap<>();
 
-    private final Set<String> said = new HashSet<>();
-    private double calmAt = Double.NaN;
-    private int asksAt;
+    private final Set<String> reportedViolations = new HashSet<>();
+    private double troublesOverAt = Double.NaN;
+    private int pollCount;
 
     /**
      * Starts of jobs that a user was told are cancelled, and the longest that one came after that.
      */
     private int startsAfterCancellation;
 
-    private double latestStartAfterS;
+    private double latestStartAfterCancellationSeconds;
 
     /** Tasks of cancelled jobs that were on a machine which hung when they had to be gone. */
-    private int hungWithCancelled;
+    private int cancelledTasksOnHungMachines;
 
-    private int answers;
+    private int answersChecked;
 
     InvariantChecker(SimulatedCluster cluster) {
         this.cluster = cluster;
@@ -58,34 +58,34 @@
         return startsAfterCancellation;
     }
 
-    public double latestStartAfterS() {
-        return latestStartAfterS;
+    public double latestStartAfterCancellationSeconds() {
+        return latestStartAfterCancellationSeconds;
     }
 
-    public int hungWithCancelled() {
-        return hungWithCancelled;
+    public int cancelledTasksOnHungMachines() {
+        return cancelledTasksOnHungMachines;
     }
 
     /** Answers to users that were held against the rules. */
-    public int answers() {
-        return answers;
+    public int answersChecked() {
+        return answersChecked;
     }
 
-    private void breaks(String what) {
-        cluster.broken.add(what);
+    private void violation(String what) {
+        cluster.violations.add(what);
     }
 
-    private void breaksOnce(String what) {
-        if (said.add(what)) {
-            breaks(what);
+    private void violationOnce(String what) {
+        if (reportedViolations.add(what)) {
+            violation(what);
         }
     }
 
     // ---- what users hear ------------------------------------------------------------------------
 
     /** A user asks for the job's end; to be said by whoever does so without the world. */
-    public void asksToCancel(String id) {
-        cancelAsked.add(id);
+    public void cancellationRequested(String id) {
+        cancellationRequestedFor.add(id);
     }
 
     /**
@@ -94,7 +94,7 @@
      */
     void accepted(String id) {
         acceptedAt.putIfAbsent(id, cluster.clock.now);
-        cluster.accepted.putIfAbsent(id, cluster.clock.now);
+        cluster.acceptedAt.putIfAbsent(id, cluster.clock.now);
     }
 
     /**
@@ -102,35 +102,35 @@
      * another was given before it was asked for; of two questions at the same time either may be
      * answered first.
      */
-    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer response, double asked) {
+    JobSubmissionService.Answer checkAnswer(String id, JobSubmissionService.Answer response, double asked) {
         if (response == null) {
             return null;
         }
-        answers++;
+        answersChecked++;
         if (response.verdict() != JobSubmissionService.Verdict.KNOWN
                 && response.verdict() != JobSubmissionService.Verdict.CREATED) {
             if (response.verdict() != JobSubmissionService.Verdict.LATER
                     && acceptedAt.getOrDefault(id, 1e18) < asked) {
-                breaks("forgotten: " + id + " gets " + response.verdict());
+                violation("forgotten: " + id + " gets " + response.verdict());
             }
             return response;
         }
         answeredAt.put(id, cluster.clock.now);
-        if (cluster.specs.get(id) == null && !cluster.store.everHad(id)) {
-            breaks("invented: " + id);
+        if (cluster.specs.get(id) == null && !cluster.store.hasEverHeld(id)) {
+            violation("invented: " + id);
         }
         acceptedAt.putIfAbsent(id, cluster.clock.now);
         String status = response.jobStatus().status();
         if (doneAt.getOrDefault(id, 1e18) <= asked && !status.equals("done")
-                || cluster.toldCancelled.getOrDefault(id, 1e18) <= asked
+                || cluster.reportedCancelledAt.getOrDefault(id, 1e18) <= asked
                         && !status.equals("cancelled")) {
-            breaks("went back: " + id + " is called " + status);
+            violation("went back: " + id + " is called " + status);
         }
         if (status.equals("done")) {
             JobSpec spec = cluster.specs.get(id);
-            int ended = cluster.completed.getOrDefault(id, Set.of()).size();
+            int ended = cluster.completedTasks.getOrDefault(id, Set.of()).size();
             if (spec != null && (spec.isGang() ? ended == 0 : ended < spec.taskCount())) {
-                breaks(
+                violation(
                         "not done: "
                                 + id
                                 + " is called done after "
@@ -138,43 +138,43 @@
                                 + " of "
                                 + spec.taskCount());
             }
-            cluster.toldDone.add(id);
+            cluster.reportedDone.add(id);
             doneAt.putIfAbsent(id, cluster.clock.now);
         } else if (status.equals("cancelled")) {
-            if (!cancelAsked.contains(id) && before(id).stream().noneMatch(cancelAsked::contains)) {
-                breaksOnce("went back: " + id + " is called cancelled and nobody asked for it");
+            if (!cancellationRequestedFor.contains(id) && transitiveDependencies(id).stream().noneMatch(cancellationRequestedFor::contains)) {
+                violationOnce("went back: " + id + " is called cancelled and nobody asked for it");
             }
-            if (cluster.toldCancelled.putIfAbsent(id, cluster.clock.now) == null) {
+            if (cluster.reportedCancelledAt.putIfAbsent(id, cluster.clock.now) == null) {
                 // A moment more than the rule's, for what is due in the same moment.
-                cluster.after(cluster.cancelS + 0.01, () -> hasGone(id));
+                cluster.after(cluster.cancelSeconds + 0.01, () -> checkCancelledTasksEnded(id));
             }
-        } else if (before(id).stream()
+        } else if (transitiveDependencies(id).stream()
                 .anyMatch(
                         n ->
                                 cluster.clock.now
                                         > Math.max(
-                                                        cluster.accepted.getOrDefault(id, 0.0),
-                                                        cluster.toldCancelled.getOrDefault(n, 1e18))
-                                                + cluster.cancelS)) {
-            breaks("orphaned: " + id + " is called " + status);
+                                                        cluster.acceptedAt.getOrDefault(id, 0.0),
+                                                        cluster.reportedCancelledAt.getOrDefault(n, 1e18))
+                                                + cluster.cancelSeconds)) {
+            violation("orphaned: " + id + " is called " + status);
         }
         return response;
     }
 
     // ---- cancelled tasks ------------------------------------------------------------------------
 
-    private void hasGone(String id) {
+    private void checkCancelledTasksEnded(String id) {
         for (SimulatedWorker worker : cluster.workers.values()) {
             worker.tasks.values().stream()
-                    .filter(task -> task.jobId.equals(id) && task.on())
+                    .filter(task -> task.jobId.equals(id) && task.isOnMachine())
                     .forEach(
                             task -> {
-                                if (worker.hangs()) {
+                                if (worker.isHanging()) {
                                     // It does nothing while it hangs; it must not go on with it.
-                                    hungWithCancelled++;
-                                    worker.goesOn(() -> cluster.after(0.01, () -> hasGone(id)));
+                                    cancelledTasksOnHungMachines++;
+                                    worker.onResume(() -> cluster.after(0.01, () -> checkCancelledTasksEnded(id)));
                                 } else {
-                                    breaksOnce(
+                                    violationOnce(
                                             "ran cancelled: "
                                                     + task.key()
                                                     + " is still on "
@@ -185,13 +185,13 @@
     }
 
     /** All jobs that have to be done before that one, directly or through others. */
-    private Set<String> before(String id) {
+    private Set<String> transitiveDependencies(String id) {
         Set<String> all = new HashSet<>();
-        List<String> next = new ArrayList<>(cluster.needs.getOrDefault(id, List.of()));
+        List<String> next = new ArrayList<>(cluster.dependencies.getOrDefault(id, List.of()));
         while (!next.isEmpty()) {
             String n = next.remove(next.size() - 1);
             if (all.add(n)) {
-                next.addAll(cluster.needs.getOrDefault(n, List.of()));
+                next.addAll(cluster.dependencies.getOrDefault(n, List.of()));
             }
         }
         return all;
@@ -200,66 +200,66 @@
     // ---- starts ---------------------------------------------------------------------------------
 
     /** A task starts, and is on its machine already. */
-    void starts(SimulatedTask task) {
+    void checkStart(SimulatedTask task) {
         String id = task.jobId;
-        besideRoom.remove(id);
+        waitingBesideCapacitySince.remove(id);
         double after =
                 cluster.clock.now
-                        - cluster.toldCancelled.getOrDefault(id, Double.POSITIVE_INFINITY);
-        if (after > cluster.cancelS) {
-            breaks("ran cancelled: " + id + " starts");
+                        - cluster.reportedCancelledAt.getOrDefault(id, Double.POSITIVE_INFINITY);
+        if (after > cluster.cancelSeconds) {
+            violation("ran cancelled: " + id + " starts");
         }
         if (after > 0) {
             startsAfterCancellation++;
-            latestStartAfterS = Math.max(latestStartAfterS, after);
+            latestStartAfterCancellationSeconds = Math.max(latestStartAfterCancellationSeconds, after);
         }
-        for (String n : before(id)) {
+        for (String n : transitiveDependencies(id)) {
             JobSpec spec = cluster.specs.get(n);
-            int done = cluster.completed.getOrDefault(n, Set.of()).size();
+            int done = cluster.completedTasks.getOrDefault(n, Set.of()).size();
             // The tasks of a gang complete together.
             if (spec == null || (spec.isGang() ? done == 0 : done < spec.taskCount())) {
-                breaks("too early: " + id + " starts before " + n + " is done");
+                violation("too early: " + id + " starts before " + n + " is done");
             }
         }
         JobSpec spec = cluster.specs.get(id);
         if (spec != null) {
-            place(task, spec);
-            limit(spec.team());
+            checkPlacement(task, spec);
+            checkQuota(spec.team());
         }
     }
 
-    private void place(SimulatedTask t, JobSpec spec) {
+    private void checkPlacement(SimulatedTask t, JobSpec spec) {
         SimulatedWorker x = t.worker;
         if (spec.machineTypes() != null && !spec.machineTypes().contains(cluster.type.name())
                 || spec.zone() != null && !spec.zone().equals(x.zone)
                 || x.spot && !spec.allowsSpot()) {
-            breaks("wrong place: " + t.key() + " on " + x.id);
+            violation("wrong place: " + t.key() + " on " + x.id);
         }
         if (!spec.isSingleZone() && !spec.isSpreadAcrossZones()) {
             return;
         }
         int here = 0;
         for (SimulatedWorker y : cluster.workers.values()) {
-            long on = y.tasks.values().stream().filter(o -> o.jobId.equals(t.jobId) && o.on()).count();
+            long on = y.tasks.values().stream().filter(o -> o.jobId.equals(t.jobId) && o.isOnMachine()).count();
             here += y.zone.equals(x.zone) ? on : 0;
             if (spec.isSingleZone() && on > 0 && !y.zone.equals(x.zone)) {
-                breaks("wrong place: " + t.key() + " in " + x.zone + " beside tasks in " + y.zone);
+                violation("wrong place: " + t.key() + " in " + x.zone + " beside tasks in " + y.zone);
             }
         }
         if (spec.isSpreadAcrossZones() && here > spec.maxTasksPerZone()) {
-            breaks("wrong place: " + here + " tasks of " + t.jobId + " in " + x.zone);
+            violation("wrong place: " + here + " tasks of " + t.jobId + " in " + x.zone);
         }
     }
 
     /**
      * CPUs and GPUs of the team's tasks that are on machines, also on such that nobody can reach.
      */
-    public double[] onMachines(String team) {
+    public double[] usageOnMachines(String team) {
         double[] used = new double[2];
         for (SimulatedWorker worker : cluster.workers.values()) {
             for (SimulatedTask task : worker.tasks.values()) {
                 JobSpec spec = cluster.specs.get(task.jobId);
-                if (spec != null && spec.team().equals(team) && task.on()) {
+                if (spec != null && spec.team().equals(team) && task.isOnMachine()) {
                     used[0] += spec.cpusPerTask();
                     used[1] += spec.gpusPerTask();
                 }
@@ -268,15 +268,15 @@
         return used;
     }
 
-    private void limit(String team) {
+    private void checkQuota(String team) {
         ClusterSettings.Team limit = cluster.teams.get(team);
         if (limit == null || limit.maxCpus() <= 0 && limit.maxGpus() <= 0) {
             return;
         }
-        double[] used = onMachines(team);
+        double[] used = usageOnMachines(team);
         if (limit.maxCpus() > 0 && used[0] > limit.maxCpus() + 1e-6
                 || limit.maxGpus() > 0 && used[1] > limit.maxGpus() + 1e-6) {
-            breaks(
+            violation(
                     "quota: team "
                             + team
                             + " has "
@@ -292,74 +292,74 @@
     /**
      * All troubles are over: users poll, and nothing may be forgotten or left waiting from now on.
      */
-    public void calm() {
-        boolean first = Double.isNaN(calmAt);
-        calmAt = cluster.clock.now;
+    public void troublesAreOver() {
+        boolean first = Double.isNaN(troublesOverAt);
+        troublesOverAt = cluster.clock.now;
         answeredAt.clear();
-        besideRoom.clear();
+        waitingBesideCapacitySince.clear();
         if (first) {
-            look();
+            pollUnfinished();
         }
     }
 
     private List<String> unfinished() {
-        return cluster.accepted.keySet().stream()
-                .filter(id -> !cluster.toldCancelled.containsKey(id) && !doneAt.containsKey(id))
+        return cluster.acceptedAt.keySet().stream()
+                .filter(id -> !cluster.reportedCancelledAt.containsKey(id) && !doneAt.containsKey(id))
                 .sorted()
                 .toList();
     }
 
-    private void look() {
-        int tick = asksAt++;
+    private void pollUnfinished() {
+        int tick = pollCount++;
         for (String id : unfinished()) {
             if (tick % 5 == 0) {
                 List<SimulatedNode> up =
                         cluster.nodes.values().stream().filter(node -> node.alive).toList();
                 if (!up.isEmpty()) {
-                    cluster.users.ask(
+                    cluster.loadGenerator.queryStatus(
                             up.get(Math.floorMod(id.hashCode() + tick / 5, up.size())), id);
                 }
             }
             double now = cluster.clock.now;
-            if (now - Math.max(calmAt, answeredAt.getOrDefault(id, 0.0)) > FORGOTTEN_S) {
-                breaksOnce("forgotten: no question about " + id + " is answered");
+            if (now - Math.max(troublesOverAt, answeredAt.getOrDefault(id, 0.0)) > FORGOTTEN_AFTER_SECONDS) {
+                violationOnce("forgotten: no question about " + id + " is answered");
             }
-            if (!waitsBesideRoom(id)) {
-                besideRoom.remove(id);
-            } else if (now - besideRoom.computeIfAbsent(id, key -> now) > LEFT_WAITING_S) {
-                breaksOnce("left waiting: " + id);
+            if (!waitsBesideFreeCapacity(id)) {
+                waitingBesideCapacitySince.remove(id);
+            } else if (now - waitingBesideCapacitySince.computeIfAbsent(id, key -> now) > STARVED_AFTER_SECONDS) {
+                violationOnce("left waiting: " + id);
             }
         }
-        cluster.after(1, this::look);
+        cluster.after(1, this::pollUnfinished);
     }
 
     /**
      * Whether tasks of it are neither done nor on machines, and could be: there is room, and its
      * team is under its limit.
      */
-    private boolean waitsBesideRoom(String id) {
+    private boolean waitsBesideFreeCapacity(String id) {
         JobSpec spec = cluster.specs.get(id);
         if (spec == null
-                || cancelAsked.contains(id)
-                || !before(id).stream().allMatch(doneAt::containsKey)) {
+                || cancellationRequestedFor.contains(id)
+                || !transitiveDependencies(id).stream().allMatch(doneAt::containsKey)) {
             return false;
         }
         long on =
                 cluster.workers.values().stream()
                         .flatMap(worker -> worker.tasks.values().stream())
-                        .filter(task -> task.jobId.equals(id) && task.on())
+                        .filter(task -> task.jobId.equals(id) && task.isOnMachine())
                         .map(task -> task.number)
                         .distinct()
                         .count();
-        long missing = spec.taskCount() - cluster.completed.getOrDefault(id, Set.of()).size() - on;
+        long missing = spec.taskCount() - cluster.completedTasks.getOrDefault(id, Set.of()).size() - on;
         if (missing <= 0
                 || spec.isGang() && on > 0
-                || spec.isGang() && cluster.completed.containsKey(id)) {
+                || spec.isGang() && cluster.completedTasks.containsKey(id)) {
             return false;
         }
         long atOnce = spec.isGang() ? missing : 1;
         ClusterSettings.Team limit = cluster.teams.get(spec.team());
-        double[] used = onMachines(spec.team());
+        double[] used = usageOnMachines(spec.team());
         if (limit == null
                 || limit.maxCpus() > 0 && used[0] + atOnce * spec.cpusPerTask() > limit.maxCpus() + 1e-6
                 || limit.maxGpus() > 0 && used[1] + atOnce * spec.gpusPerTask() > limit.maxGpus() + 1e-6) {
@@ -370,41 +370,41 @@
                 .filter(
                         worker ->
                                 worker.up
-                                        && !worker.cut
-                                        && !worker.deaf
-                                        && !worker.mute
-                                        && !worker.hangs())
+                                        && !worker.isCutOff
+                                        && !worker.receivesNothing
+                                        && !worker.sendsNothing
+                                        && !worker.isHanging())
                 .filter(
                         worker ->
                                 (spec.zone() == null || spec.zone().equals(worker.zone))
                                         && (!worker.spot || spec.allowsSpot())
-                                        && fitsBeside(spec, worker.zone))
+                                        && zoneConstraintAllows(spec, worker.zone))
                 .forEach(
                         worker ->
                                 rooms.merge(
                                         spec.isSingleZone() ? worker.zone : "",
-                                        room(worker, spec),
+                                        freeSlots(worker, spec),
                                         Long::sum));
         return rooms.values().stream().anyMatch(r -> r >= atOnce);
     }
 
     /** Whether the job's other tasks, where they are now, let one more of it start in that zone. */
-    private boolean fitsBeside(JobSpec spec, String zone) {
+    private boolean zoneConstraintAllows(JobSpec spec, String zone) {
         List<SimulatedTask> on =
                 cluster.workers.values().stream()
                         .flatMap(worker -> worker.tasks.values().stream())
-                        .filter(task -> task.jobId.equals(spec.id()) && task.on())
+                        .filter(task -> task.jobId.equals(spec.id()) && task.isOnMachine())
                         .toList();
         long here = on.stream().filter(task -> task.worker.zone.equals(zone)).count();
         return (!spec.isSingleZone() || here == on.size()) && here < spec.maxTasksPerZone();
     }
 
-    private long room(SimulatedWorker worker, JobSpec s) {
+    private long freeSlots(SimulatedWorker worker, JobSpec s) {
         double cpus = cluster.type.cpus();
         double memory = cluster.type.memoryGigabytes();
         for (SimulatedTask task : worker.tasks.values()) {
             JobSpec o = cluster.specs.get(task.jobId);
-            if (task.on() && o != null) {
+            if (task.isOnMachine() && o != null) {
                 cpus -= o.cpusPerTask();
                 memory -= o.memoryGigabytesPerTask();
             }
--- a/src/main/java/io/kitepath/simulation/LoadGenerator.java
+++ b/src/main/java/io/kitepath/simulation/LoadGenerator.java
@@ -17,49 +17,49 @@
  */
 public final class LoadGenerator {
     /** They wait so long for an answer about a job; what comes later is told to nobody. */
-    private static final double WAIT_S = 2;
+    private static final double RESPONSE_TIMEOUT_SECONDS = 2;
 
     /** And so long for one about a submission or a cancellation. */
-    private static final double INSIST_S = 5;
+    private static final double RETRY_FOR_SECONDS = 5;
 
     /** For how long they repeat a request that gets no answer. */
-    private static final double REPEAT_S = 60;
+    private static final double RETRY_INTERVAL_SECONDS = 60;
 
     /** Machines that hang at most when jobs are called off. */
     private static final int HANG = 8;
 
     private final SimulatedCluster cluster;
-    private final Set<String> looked = new HashSet<>();
-    private int asked;
-    private int looks;
+    private final Set<String> polledStates = new HashSet<>();
+    private int requestCount;
+    private int polls;
 
     LoadGenerator(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
     /** Questions, and repeated submissions, within milliseconds of an answer. */
-    public int looks() {
-        return looks;
+    public int polls() {
+        return polls;
     }
 
-    private List<SimulatedNode> up() {
+    private List<SimulatedNode> aliveNodes() {
         return cluster.nodes.values().stream().filter(node -> node.alive).toList();
     }
 
     /** Any node that is up, one after the other; null if none is. */
-    private SimulatedNode any() {
-        List<SimulatedNode> up = up();
-        return up.isEmpty() ? null : up.get(asked++ % up.size());
+    private SimulatedNode nextAliveNode() {
+        List<SimulatedNode> up = aliveNodes();
+        return up.isEmpty() ? null : up.get(requestCount++ % up.size());
     }
 
     /** Asks there, and waits for no answer here. */
-    public void ask(SimulatedNode node, String id) {
+    public void queryStatus(SimulatedNode node, String id) {
         double at = cluster.clock.now;
         node.deliver(
                 () ->
                         node.controller
                                 .jobApi()
-                                .status(id, response -> hears(id, response, at, WAIT_S)));
+                                .status(id, response -> onAnswer(id, response, at, RESPONSE_TIMEOUT_SECONDS)));
     }
 
     /** Hands it in there once more. */
@@ -77,24 +77,24 @@
                                 .jobApi()
                                 .submit(
                                         body,
-                                        cluster.needs.getOrDefault(id, List.of()),
+                                        cluster.dependencies.getOrDefault(id, List.of()),
                                         response -> {
-                                            if (cluster.clock.now - at <= INSIST_S
+                                            if (cluster.clock.now - at <= RETRY_FOR_SECONDS
                                                     && (response.verdict() == Verdict.CREATED
                                                             || response.verdict() == Verdict.KNOWN)) {
-                                                cluster.rules.accepted(id);
+                                                cluster.invariants.accepted(id);
                                             }
-                                            hears(id, response, at, INSIST_S);
+                                            onAnswer(id, response, at, RETRY_FOR_SECONDS);
                                         }));
     }
 
     /** Calls it off there, and elsewhere for as long as users repeat that. */
     public void cancel(SimulatedNode node, String id) {
-        cancel(node, id, cluster.clock.now + REPEAT_S);
+        cancel(node, id, cluster.clock.now + RETRY_INTERVAL_SECONDS);
     }
 
     private void cancel(SimulatedNode node, String id, double until) {
-        cluster.rules.asksToCancel(id);
+        cluster.invariants.cancellationRequested(id);
         double at = cluster.clock.now;
         boolean[] told = new boolean[1];
         if (node != null) {
@@ -106,19 +106,19 @@
                                             id,
                                             response -> {
                                                 told[0] |= response.verdict() != Verdict.LATER;
-                                                hears(id, response, at, INSIST_S);
+                                                onAnswer(id, response, at, RETRY_FOR_SECONDS);
                                             }));
         }
         cluster.after(
                 1.5,
                 () -> {
                     if (!told[0] && cluster.clock.now < until) {
-                        cancel(any(), id, until);
+                        cancel(nextAliveNode(), id, until);
                     }
                 });
     }
 
-    private void hears(String id, Answer response, double at, double waits) {
+    private void onAnswer(String id, Answer response, double at, double waits) {
         if (cluster.clock.now - at <= waits) {
             cluster.heard(id, response, at);
         }
@@ -130,31 +130,31 @@
      * A user was told that: others look at once, everywhere, at the first of each kind of answer
      * about a job.
      */
-    void told(String id, Answer response) {
+    void onFinalAnswer(String id, Answer response) {
         boolean accepted = response.verdict() == Verdict.CREATED || response.verdict() == Verdict.KNOWN;
-        if (!cluster.closeLooks || !accepted || cluster.specs.get(id) == null) {
+        if (!cluster.pollsRightAfterAnswers || !accepted || cluster.specs.get(id) == null) {
             return;
         }
         String status = response.jobStatus().status();
-        if (!looked.add(id + (status.equals("running") ? "pending" : status))) {
+        if (!polledStates.add(id + (status.equals("running") ? "pending" : status))) {
             return;
         }
         int i = 0;
-        for (SimulatedNode node : up()) {
-            cluster.after(0.001 * i++, () -> look(node, id));
-            cluster.after(0.004 + 0.003 * i, () -> look(node, id));
+        for (SimulatedNode node : aliveNodes()) {
+            cluster.after(0.001 * i++, () -> pollAllNodes(node, id));
+            cluster.after(0.004 + 0.003 * i, () -> pollAllNodes(node, id));
             cluster.after(
                     0.002 * i,
                     () -> {
-                        looks++;
+                        polls++;
                         repeat(node, id);
                     });
         }
     }
 
-    private void look(SimulatedNode node, String id) {
-        looks++;
-        ask(node, id);
+    private void pollAllNodes(SimulatedNode node, String id) {
+        polls++;
+        queryStatus(node, id);
     }
 
     // ---- cancellations --------------------------------------------------------------------------
@@ -163,17 +163,17 @@
      * That many jobs that run are called off within a fifth of a second; some of their machines
      * hang so long.
      */
-    List<String> cancelNow(int count, double hangS, Random random) {
+    List<String> cancelSome(int count, double hangS, Random random) {
         TreeMap<String, SimulatedWorker> running = new TreeMap<>();
         cluster.workers
                 .values()
                 .forEach(
                         worker ->
                                 worker.tasks.values().stream()
-                                        .filter(SimulatedTask::on)
+                                        .filter(SimulatedTask::isOnMachine)
                                         .forEach(
                                                 task -> {
-                                                    if (!cluster.toldCancelled.containsKey(
+                                                    if (!cluster.reportedCancelledAt.containsKey(
                                                             task.jobId)) {
                                                         running.putIfAbsent(task.jobId, worker);
                                                     }
@@ -183,24 +183,24 @@
         jobs = jobs.subList(0, Math.min(count, jobs.size()));
         int hung = 0;
         for (String id : jobs) {
-            cluster.after(random.nextDouble() / 5, () -> cancel(any(), id));
+            cluster.after(random.nextDouble() / 5, () -> cancel(nextAliveNode(), id));
             if (hangS > 0 && hung++ < HANG) {
                 SimulatedWorker worker = running.get(id);
-                worker.hangsUntil = cluster.clock.now + hangS;
+                worker.hangingUntil = cluster.clock.now + hangS;
             }
         }
         return jobs;
     }
 
     /** A task completed; if it was its job's last, some user calls the job off in that moment. */
-    void completed(SimulatedTask task) {
+    void onTaskCompleted(SimulatedTask task) {
         JobSpec spec = cluster.specs.get(task.jobId);
         if (spec != null
-                && cluster.cancelsAtEnd.test(task)
+                && cluster.cancelsOnCompletion.test(task)
                 && (spec.isGang()
-                        || cluster.completed.getOrDefault(task.jobId, Set.of()).size()
+                        || cluster.completedTasks.getOrDefault(task.jobId, Set.of()).size()
                                 == spec.taskCount())) {
-            cancel(any(), task.jobId);
+            cancel(nextAliveNode(), task.jobId);
         }
     }
 }
--- a/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
+++ b/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
@@ -39,7 +39,7 @@
     private final EventLoop loop;
 
     /** Whoever is behind a socket. */
-    private final EmulatorClient caller;
+    private final EmulatorClient clientIdentity;
 
     private final StoreLink store;
     private final CloudLink cloud;
@@ -53,15 +53,15 @@
         this.loop = group.next();
         this.cluster = cluster;
         this.offset = cluster.clock.now - System.nanoTime() / 1e9;
-        this.caller = cluster::after;
-        this.store = new StoreLink(cluster, caller);
-        this.cloud = new CloudLink(cluster, caller);
+        this.clientIdentity = cluster::after;
+        this.store = new StoreLink(cluster, clientIdentity);
+        this.cloud = new CloudLink(cluster, clientIdentity);
         nodes.forEach((label, at) -> this.nodes.put(label, new HttpClient(loop, at, 64, MAX_BODY)));
         List<String> labels = List.copyOf(nodes.keySet());
-        cluster.reach =
+        cluster.workerNetwork =
                 new SimulatedCluster.Reach() {
                     @Override
-                    public List<String> up() {
+                    public List<String> aliveNodes() {
                         return labels; // Which of them are up, a worker finds out by trying.
                     }
 
@@ -86,7 +86,7 @@
                                         });
                     }
                 };
-        cluster.born = this::born;
+        cluster.onWorkerCreated = this::workerCreated;
     }
 
     /** Runs that on the loop that owns the stand-ins. */
@@ -130,7 +130,7 @@
 
     // ---- workers --------------------------------------------------------------------------------
 
-    private void born(SimulatedWorker worker) {
+    private void workerCreated(SimulatedWorker worker) {
         // On the loop already: to wait for the socket here would wait for itself.
         HttpServer server =
                 new HttpServer((request, out) -> direct(worker, request, out), MAX_BODY, 100, 60);
@@ -152,10 +152,10 @@
         try {
             EmulatorCodec.Direct d = EmulatorCodec.decodeDirectCommands(MessagePackCodec.decode(request.body()));
             Heartbeat heartbeat =
-                    worker.up ? worker.directly(d.fencingToken(), d.agentIncarnation(), d.commands()) : null;
+                    worker.up ? worker.executeDirectCommands(d.fencingToken(), d.agentIncarnation(), d.commands()) : null;
             out.reply(
                     heartbeat == null ? 409 : 200,
-                    EmulatorCodec.encodeHeartbeat(heartbeat == null ? worker.message() : heartbeat));
+                    EmulatorCodec.encodeHeartbeat(heartbeat == null ? worker.currentHeartbeat() : heartbeat));
         } catch (InvalidInputException invalid) {
             out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
         }
@@ -163,7 +163,7 @@
 
     // ---- state service --------------------------------------------------------------------------
 
-    private static void failed(Outcome outcome, Responder out) {
+    private static void replyFailure(Outcome outcome, Responder out) {
         // Without an answer a caller has to find out by itself; the stand-in says so with a status
         // that tells nothing.
         out.reply(outcome == Outcome.NOT_EXECUTED ? 503 : 500, null);
@@ -183,7 +183,7 @@
                                     MessagePackCodec.encode(
                                             Map.of("epoch", cluster.store.revision)));
                         } else {
-                            failed(outcome, out);
+                            replyFailure(outcome, out);
                         }
                     });
         } else if (path.equals("/keys")) {
@@ -195,7 +195,7 @@
                         if (listing.outcome() == Outcome.OK) {
                             out.reply(200, EmulatorCodec.encodeListing(listing));
                         } else {
-                            failed(listing.outcome(), out);
+                            replyFailure(listing.outcome(), out);
                         }
                     });
         } else if (path.equals("/multi")) {
@@ -215,7 +215,7 @@
                         if (outcome == Outcome.OK) {
                             out.reply(200, EmulatorCodec.encodeLease(id));
                         } else {
-                            failed(outcome, out);
+                            replyFailure(outcome, out);
                         }
                     });
         } else if (path.matches("/holds/[0-9]{1,18}/renew")) {
@@ -225,7 +225,7 @@
                         if (outcome == Outcome.OK || outcome == Outcome.REJECTED) {
                             out.reply(outcome == Outcome.OK ? 200 : 404, null);
                         } else {
-                            failed(outcome, out);
+                            replyFailure(outcome, out);
                         }
                     });
         } else if (path.matches("/holds/[0-9]{1,18}") && request.method().equals("DELETE")) {
@@ -246,7 +246,7 @@
                                     ? ProtocolCodec.encodeError(ProtocolCodec.NO_SUCH_LEASE)
                                     : EmulatorCodec.encodeCommitResult(result));
             case INVALID -> out.reply(400, ProtocolCodec.encodeError("over the limits"));
-            default -> failed(result.outcome(), out);
+            default -> replyFailure(result.outcome(), out);
         }
     }
 
--- a/src/main/java/io/kitepath/simulation/MemoryCloud.java
+++ b/src/main/java/io/kitepath/simulation/MemoryCloud.java
@@ -20,27 +20,27 @@
     public int capacity;
 
     /** When the n-th rented machine comes up, in seconds; negative: never. */
-    public IntToDoubleFunction bootS = n -> 0;
+    public IntToDoubleFunction bootSeconds = n -> 0;
 
-    public int booted;
-    public int named;
+    public int bootCount;
+    public int nameCount;
 
     /** How long after they were rented lists do not show machines. */
-    public double listLagS;
+    public double listLagSeconds;
 
     /** It refuses everything. */
-    public boolean out;
+    public boolean unavailable;
 
     /**
      * Requests to rent or release, by the node that sent them, that a network keeps: they run when
      * it lets them.
      */
-    public Predicate<EmulatorClient> withheld = client -> false;
+    public Predicate<EmulatorClient> holdsBackRequestsOf = client -> false;
 
-    public final List<Runnable> heldBack = new ArrayList<>();
+    public final List<Runnable> heldBackRequests = new ArrayList<>();
 
     /** The next requests are executed, but nobody hears of it. */
-    public int swallow;
+    public int responsesToLose;
 
     /** What came of each name, and when each machine was rented. */
     final Map<String, List<String>> granted = new HashMap<>();
--- a/src/main/java/io/kitepath/simulation/MemoryStore.java
+++ b/src/main/java/io/kitepath/simulation/MemoryStore.java
@@ -22,27 +22,27 @@
         this.cluster = cluster;
     }
 
-    public final TreeMap<String, Store.Entry> keys = new TreeMap<>();
-    public final Map<String, Long> lease = new HashMap<>();
-    public final Map<Long, Double> leases = new HashMap<>();
-    public final Map<Long, Double> life = new HashMap<>();
+    public final TreeMap<String, Store.Entry> entries = new TreeMap<>();
+    public final Map<String, Long> leaseOfKey = new HashMap<>();
+    public final Map<Long, Double> leaseExpiries = new HashMap<>();
+    public final Map<Long, Double> leaseDurations = new HashMap<>();
     public final List<Store.Entry> log = new ArrayList<>();
     public long revision = 1;
     public long nextLease = 1;
-    public boolean out;
+    public boolean unavailable;
 
     /**
      * Whether it refuses what comes above the settings' rates; it allows bursts of one second's
      * worth.
      */
-    public boolean limited;
+    public boolean enforcesRates;
 
-    public int overRate;
+    public int requestsOverRate;
     private TokenBucket requests;
     private TokenBucket writes;
 
     /** What every request takes longer to get there than usual. */
-    public double slowS;
+    public double extraLatencySeconds;
 
     private final SimulatedCluster cluster;
 
@@ -50,59 +50,59 @@
     private final List<Watch> watches = new ArrayList<>();
 
     /** Pages asked for, and which of them are refused. */
-    public int pages;
+    public int pagesRead;
 
-    public IntPredicate refusePage = n -> false;
+    public IntPredicate refusesPage = n -> false;
 
     /** Prefixes under which no page is to be had. */
-    public Predicate<String> refusePrefix = p -> false;
+    public Predicate<String> refusesPrefix = p -> false;
 
     /** The next transactions are executed, but nobody hears of it. */
-    public int swallow;
+    public int responsesToLose;
 
     /** The next transactions get no answer, and are kept to be executed late. */
-    public int hold;
+    public int transactionsToHold;
 
-    public final List<Store.Transaction> heldBack = new ArrayList<>();
+    public final List<Store.Transaction> heldBackTransactions = new ArrayList<>();
 
     /**
      * Transactions that get no answer and are kept, as by a network that delivers them some other
      * time.
      */
-    public Predicate<Store.Transaction> withheld = transaction -> false;
+    public Predicate<Store.Transaction> holdsBack = transaction -> false;
 
     /** Transactions that are executed, but nobody hears of it. */
-    public Predicate<Store.Transaction> unheard = transaction -> false;
+    public Predicate<Store.Transaction> losesResponseOf = transaction -> false;
 
     /**
      * How late a transaction that gets no answer is carried out, after newer ones of the same node;
      * 0: it is not late.
      */
-    public ToDoubleFunction<Store.Transaction> late = transaction -> 0;
+    public ToDoubleFunction<Store.Transaction> executionDelaySeconds = transaction -> 0;
 
     /**
      * Nodes whose watches hang: they see nothing, and end without having seen anything, while all
      * else is served.
      */
-    public Predicate<EmulatorClient> hangs = client -> false;
+    public Predicate<EmulatorClient> ignoresRequestsOf = client -> false;
 
     /** Sees every transaction that was executed and changed something, and by whom. */
-    public BiConsumer<EmulatorClient, Store.Transaction> written = (client, transaction) -> {};
+    public BiConsumer<EmulatorClient, Store.Transaction> onCommit = (client, transaction) -> {};
 
-    public long changes;
+    public long writeCount;
 
     /** Whether a request with so many changes is over the rates; counts it if not. */
-    boolean tooMany(int itsWrites) {
-        if (!limited) {
+    boolean exceedsRate(int itsWrites) {
+        if (!enforcesRates) {
             return false;
         }
         if (requests == null) {
-            requests = new TokenBucket(cluster.rps);
-            writes = new TokenBucket(cluster.writeRps);
+            requests = new TokenBucket(cluster.requestsPerSecond);
+            writes = new TokenBucket(cluster.writesPerSecond);
         }
         if (writes.available(cluster.clock.now) < itsWrites
                 || !requests.tryTake(1, cluster.clock.now)) {
-            overRate++;
+            requestsOverRate++;
             return true;
         }
         writes.tryTake(itsWrites, cluster.clock.now);
@@ -110,9 +110,9 @@
     }
 
     /** Whether there ever was a record of a job with that id, open or over. */
-    boolean everHad(String id) {
-        return keys.containsKey(StoreKeys.OPEN_JOBS + id)
-                || keys.containsKey(StoreKeys.ENDED_JOBS + id)
+    boolean hasEverHeld(String id) {
+        return entries.containsKey(StoreKeys.OPEN_JOBS + id)
+                || entries.containsKey(StoreKeys.ENDED_JOBS + id)
                 || log.stream()
                         .anyMatch(
                                 entry ->
@@ -120,52 +120,52 @@
                                                 || entry.key().equals(StoreKeys.ENDED_JOBS + id));
     }
 
-    public long token() {
-        Store.Entry entry = keys.get(StoreKeys.FENCING_TOKEN);
+    public long leaderFencingToken() {
+        Store.Entry entry = entries.get(StoreKeys.FENCING_TOKEN);
         return entry == null ? 0 : DocumentReader.of(entry.value()).count("token");
     }
 
     public void expire() {
-        for (Long id : new ArrayList<>(leases.keySet())) {
-            if (!out && leases.get(id) < cluster.clock.now) {
-                end(id);
+        for (Long id : new ArrayList<>(leaseExpiries.keySet())) {
+            if (!unavailable && leaseExpiries.get(id) < cluster.clock.now) {
+                endLease(id);
             }
         }
     }
 
-    public void end(long id) {
-        leases.remove(id);
-        for (String key : new ArrayList<>(lease.keySet())) {
-            if (lease.get(key) == id) {
+    public void endLease(long id) {
+        leaseExpiries.remove(id);
+        for (String key : new ArrayList<>(leaseOfKey.keySet())) {
+            if (leaseOfKey.get(key) == id) {
                 put(key, null, 0, ++revision);
             }
         }
     }
 
     public void outage(double seconds) {
-        out = true;
+        unavailable = true;
         cluster.after(
                 seconds,
                 () -> {
-                    out = false;
-                    leases.replaceAll((id, t) -> cluster.clock.now + life.get(id));
+                    unavailable = false;
+                    leaseExpiries.replaceAll((id, t) -> cluster.clock.now + leaseDurations.get(id));
                 });
     }
 
     public void put(String key, Object v, long l, long r) {
         Store.Entry entry = new Store.Entry(key, v, r);
-        lease.remove(key);
+        leaseOfKey.remove(key);
         if (v == null) {
-            keys.remove(key);
+            entries.remove(key);
         } else {
-            keys.put(key, entry);
+            entries.put(key, entry);
             if (l != 0) {
-                lease.put(key, l);
+                leaseOfKey.put(key, l);
             }
         }
         log.add(entry);
         for (Watch x : watches) {
-            x.touched |= key.startsWith(x.prefix);
+            x.matched |= key.startsWith(x.prefix);
         }
     }
 
@@ -173,63 +173,63 @@
     private final class Watch {
         private final EmulatorClient node;
         private final String prefix;
-        private final long after;
+        private final long afterRevision;
         private final Consumer<Store.WatchResult> answer;
-        private boolean touched;
+        private boolean matched;
 
         Watch(EmulatorClient node, String prefix, long after, Consumer<Store.WatchResult> answer) {
             this.node = node;
             this.prefix = prefix;
-            this.after = after;
+            this.afterRevision = after;
             this.answer = answer;
         }
 
         /** Looks after some changes; while the store does not serve the node, nothing is seen. */
         private boolean served(boolean last) {
-            boolean no = out || node.refused() || hangs.test(node);
+            boolean no = unavailable || node.isRefused() || ignoresRequestsOf.test(node);
             List<Store.Entry> events = new ArrayList<>();
-            if (!no && (touched || last)) {
-                for (int i = log.size() - 1; i >= 0 && log.get(i).revision() > after; i--) {
+            if (!no && (matched || last)) {
+                for (int i = log.size() - 1; i >= 0 && log.get(i).revision() > afterRevision; i--) {
                     if (log.get(i).key().startsWith(prefix)) {
                         events.add(0, log.get(i));
                     }
                 }
             }
-            touched &= no;
+            matched &= no;
             if (events.isEmpty() && !last) {
-                return !node.there();
+                return !node.isAlive();
             }
-            long r = no ? after : revision;
+            long r = no ? afterRevision : revision;
             node.schedule(
                     0.002, () -> answer.accept(new Store.WatchResult(Store.Outcome.OK, r, events)));
             return true;
         }
     }
 
-    private boolean looking;
+    private boolean expiryCheckScheduled;
 
     /** Watches are looked through every few milliseconds, as long as there are any. */
-    private void look() {
-        looking = !watches.isEmpty();
-        if (looking) {
+    private void expireDueLeases() {
+        expiryCheckScheduled = !watches.isEmpty();
+        if (expiryCheckScheduled) {
             cluster.after(
                     0.01,
                     () -> {
                         expire();
-                        watches.removeIf(x -> x.touched && x.served(false));
-                        look();
+                        watches.removeIf(x -> x.matched && x.served(false));
+                        expireDueLeases();
                     });
         }
     }
 
-    public void follow(
+    public void watch(
             EmulatorClient node,
             String prefix,
             long after,
             double holdS,
             Consumer<Store.WatchResult> answer) {
         Watch x = new Watch(node, prefix, after, answer);
-        x.touched = true;
+        x.matched = true;
         watches.add(x);
         cluster.after(
                 holdS,
@@ -238,8 +238,8 @@
                         x.served(true);
                     }
                 });
-        if (!looking) {
-            look();
+        if (!expiryCheckScheduled) {
+            expireDueLeases();
         }
     }
 
@@ -247,30 +247,30 @@
      * The limits that it has from now on: bytes of a value, changes of a transaction; none at
      * first.
      */
-    public int valueBytes = Integer.MAX_VALUE;
+    public int largestValueBytes = Integer.MAX_VALUE;
 
-    public int txnOps = Integer.MAX_VALUE;
+    public int largestTransactionOperations = Integer.MAX_VALUE;
 
     /** Transactions that were over them. */
-    public int overLimits;
+    public int transactionsOverLimits;
 
     public Store.CommitResult execute(Store.Transaction transaction) {
         expire();
-        if (transaction.writes().size() > txnOps
-                || transaction.conditions().size() > 4L * txnOps
+        if (transaction.writes().size() > largestTransactionOperations
+                || transaction.conditions().size() > 4L * largestTransactionOperations
                 || transaction.writes().stream()
                         .anyMatch(
-                                x -> x.value() != null && JsonSize.sizeInBytes(x.value()) > valueBytes)) {
-            overLimits++;
+                                x -> x.value() != null && JsonSize.sizeInBytes(x.value()) > largestValueBytes)) {
+            transactionsOverLimits++;
             return new Store.CommitResult(Store.Outcome.INVALID, 0, List.of(), false);
         }
         if (transaction.writes().stream()
-                .anyMatch(x -> x.leaseId() != 0 && !leases.containsKey(x.leaseId()))) {
+                .anyMatch(x -> x.leaseId() != 0 && !leaseExpiries.containsKey(x.leaseId()))) {
             return new Store.CommitResult(Store.Outcome.REJECTED, 0, List.of(), true);
         }
         List<String> failed = new ArrayList<>();
         for (Store.Condition condition : transaction.conditions()) {
-            Store.Entry entry = keys.get(condition.key());
+            Store.Entry entry = entries.get(condition.key());
             if ((entry == null ? 0 : entry.revision()) != condition.revision()) {
                 failed.add(condition.key());
             }
--- a/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
+++ b/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
@@ -31,7 +31,7 @@
     /**
      * Seconds that a task may still be on a machine once its user was told that it is cancelled.
      */
-    private static final double CANCEL_S = 30;
+    private static final double CANCEL_SECONDS = 30;
 
     private static final Map<String, ClusterSettings.Team> TEAMS =
             Map.of(
@@ -43,25 +43,25 @@
     public final SimulatedClock clock = new SimulatedClock();
 
     /** Seconds between looks at every task on every machine. */
-    public double watchS = 0.25;
+    public double checkIntervalSeconds = 0.25;
 
-    public final Map<String, SimulatedCluster> worlds = new LinkedHashMap<>();
+    public final Map<String, SimulatedCluster> clusters = new LinkedHashMap<>();
 
     /** "a>b": nothing gets from a to b. */
-    public final Set<String> cut = new HashSet<>();
+    public final Set<String> cutConnections = new HashSet<>();
 
     /** Shares of messages, with a seed. */
-    public double lost;
+    public double lossProbability;
 
-    public double doubled;
-    public double late;
+    public double duplicationProbability;
+    public double delayProbability;
     public Predicate<CellMessage> loses = message -> false;
 
     /** Messages that the network keeps, to be delivered at some other time. */
-    public Predicate<CellMessage> keeps = message -> false;
+    public Predicate<CellMessage> holdsBack = message -> false;
 
-    public final List<Runnable> kept = new ArrayList<>();
-    public final List<CellMessage> keptMessages = new ArrayList<>();
+    public final List<Runnable> heldBackDeliveries = new ArrayList<>();
+    public final List<CellMessage> heldBackMessages = new ArrayList<>();
     private final Random random;
     private final Map<String, Double> limits;
 
@@ -69,8 +69,8 @@
     public final Map<String, Double> mostUsed = new HashMap<>();
 
     public final Map<String, JobSpec> specs = new HashMap<>();
-    public final List<String> broken = new ArrayList<>();
-    private final Map<String, String> told = new HashMap<>();
+    public final List<String> violations = new ArrayList<>();
+    private final Map<String, String> reportedStatus = new HashMap<>();
     private final Map<String, Double> cancelledAt = new HashMap<>();
     private final Set<String> accepted = new HashSet<>();
     public long messages;
@@ -126,18 +126,18 @@
             cluster.specs = specs;
             cluster.zones = List.of(own + "1", own + "2");
             cluster.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 1000, cluster.zones);
-            worlds.put(own, cluster);
+            clusters.put(own, cluster);
         }
-        watch();
+        checkInvariants();
     }
 
-    public SimulatedCluster world(String cell) {
-        return worlds.get(cell);
+    public SimulatedCluster cluster(String cell) {
+        return clusters.get(cell);
     }
 
     /** Nodes and machines of a cell. */
     public void cell(String cell, int nodes, int machines) {
-        SimulatedCluster cluster = worlds.get(cell);
+        SimulatedCluster cluster = clusters.get(cell);
         for (int i = 0; i < nodes; i++) {
             cluster.siblings.add(cell + "-k" + i);
         }
@@ -149,21 +149,21 @@
         }
     }
 
-    public SimulatedNode any(String cell) {
-        return worlds.get(cell).nodes.values().stream()
+    public SimulatedNode anyAliveNode(String cell) {
+        return clusters.get(cell).nodes.values().stream()
                 .filter(node -> node.alive)
                 .findFirst()
                 .orElseThrow();
     }
 
     public SimulatedNode leader(String cell) {
-        return worlds.get(cell).leader();
+        return clusters.get(cell).leader();
     }
 
     /** The process ends, and starts again after some seconds. */
     public void restart(SimulatedNode node, double afterS) {
         SimulatedCluster w =
-                worlds.values().stream()
+                clusters.values().stream()
                         .filter(x -> x.nodes.get(node.name) == node)
                         .findFirst()
                         .orElseThrow();
@@ -176,7 +176,7 @@
     }
 
     /** Runs until that holds, at most so long; returns the seconds, or fails. */
-    public double until(double mostS, BooleanSupplier holds) {
+    public double runUntil(double mostS, BooleanSupplier holds) {
         double from = clock.now;
         while (!holds.getAsBoolean()) {
             if (clock.now - from > mostS) {
@@ -190,8 +190,8 @@
     // ---- the network ----------------------------------------------------------------------------
 
     public void cutBetween(String a, String b) {
-        cut.add(a + ">" + b);
-        cut.add(b + ">" + a);
+        cutConnections.add(a + ">" + b);
+        cutConnections.add(b + ">" + a);
     }
 
     public void ask(
@@ -202,7 +202,7 @@
             CellMessage m,
             Consumer<CellMessage> answer) {
         messages++;
-        SimulatedCluster cluster = worlds.get(cell);
+        SimulatedCluster cluster = clusters.get(cell);
         boolean[] heard = new boolean[1];
         Consumer<CellMessage> once =
                 a ->
@@ -221,7 +221,7 @@
                 node != null
                         ? cluster.nodes.get(node)
                         : up.isEmpty() ? null : up.get(random.nextInt(up.size()));
-        if (asked == null || cut.contains(out)) {
+        if (asked == null || cutConnections.contains(out)) {
             return;
         }
         Consumer<SimulatedNode> deliver =
@@ -230,34 +230,34 @@
                                 () ->
                                         n.controller
                                                 .otherCells()
-                                                .asked(
+                                                .onMessage(
                                                         m,
                                                         a -> {
-                                                            if (!cut.contains(back)
+                                                            if (!cutConnections.contains(back)
                                                                     && !(a != null && loses.test(a))
                                                                     && random.nextDouble()
-                                                                            >= lost) {
+                                                                            >= lossProbability) {
                                                                 clock.after(
                                                                         0.002,
                                                                         () -> once.accept(a));
                                                             }
                                                         }));
-        if (keeps.test(m)) {
+        if (holdsBack.test(m)) {
             // Late, it may reach whoever listens by then, the holder among them.
-            kept.add(() -> List.copyOf(cluster.nodes.values()).forEach(deliver));
-            keptMessages.add(m);
+            heldBackDeliveries.add(() -> List.copyOf(cluster.nodes.values()).forEach(deliver));
+            heldBackMessages.add(m);
             return;
         }
         // Whoever listens under that name by then gets it.
         Runnable delivery = () -> deliver.accept(cluster.nodes.get(asked.name));
-        if (loses.test(m) || random.nextDouble() < lost) {
+        if (loses.test(m) || random.nextDouble() < lossProbability) {
             return;
         }
         clock.after(0.002, delivery);
-        if (random.nextDouble() < doubled) {
+        if (random.nextDouble() < duplicationProbability) {
             clock.after(0.002 + 5 * random.nextDouble(), delivery);
         }
-        if (random.nextDouble() < late) {
+        if (random.nextDouble() < delayProbability) {
             clock.after(60 * random.nextDouble(), delivery);
         }
     }
@@ -266,7 +266,7 @@
 
     /** An id whose home is that cell. */
     public String id(String home, int n) {
-        CellDirectory directory = worlds.get(home).cellDirectory;
+        CellDirectory directory = clusters.get(home).cellDirectory;
         for (int i = 1000 * n; ; i++) {
             if (directory == null || directory.homeCellOf("j-" + i).equals(home)) {
                 return "j-" + i;
@@ -282,16 +282,16 @@
         if (got[0] == null) {
             return Verdict.LATER;
         }
-        heard(spec.id(), got[0]);
+        checkAnswer(spec.id(), got[0]);
         return got[0].verdict();
     }
 
     /** As users do: again until there is an answer. */
-    public void submitSurely(String cell, JobSpec spec) {
-        until(
+    public void submitUntilAccepted(String cell, JobSpec spec) {
+        runUntil(
                 60,
                 () -> {
-                    Verdict v = submit(any(cell), spec);
+                    Verdict v = submit(anyAliveNode(cell), spec);
                     return v == Verdict.CREATED || v == Verdict.KNOWN;
                 });
     }
@@ -303,7 +303,7 @@
         if (got[0] == null) {
             return "no answer";
         }
-        heard(id, got[0]);
+        checkAnswer(id, got[0]);
         return got[0].verdict() == Verdict.KNOWN
                 ? got[0].jobStatus().status()
                 : got[0].verdict().toString();
@@ -316,7 +316,7 @@
         if (got[0] == null) {
             return "no answer";
         }
-        heard(id, got[0]);
+        checkAnswer(id, got[0]);
         return got[0].verdict() == Verdict.KNOWN
                 ? got[0].jobStatus().status()
                 : got[0].verdict().toString();
@@ -324,46 +324,46 @@
 
     // ---- the rules ------------------------------------------------------------------------------
 
-    private void heard(String id, JobSubmissionService.Answer response) {
+    private void checkAnswer(String id, JobSubmissionService.Answer response) {
         if (response.verdict() == Verdict.NOT_FOUND && accepted.contains(id)) {
-            broken.add("forgotten: " + id);
+            violations.add("forgotten: " + id);
         }
         if (response.jobStatus() == null || response.verdict() == Verdict.LATER) {
             return;
         }
         accepted.add(id);
         String now = response.jobStatus().status();
-        String before = told.get(id);
+        String before = reportedStatus.get(id);
         if (before != null && !before.equals(now)) {
-            broken.add("went back: " + id + " was " + before + ", is " + now);
+            violations.add("went back: " + id + " was " + before + ", is " + now);
         }
         if (now.equals("done") || now.equals("cancelled")) {
-            told.put(id, now);
+            reportedStatus.put(id, now);
         }
         if (now.equals("cancelled")) {
             cancelledAt.putIfAbsent(id, clock.now);
         }
         if (now.equals("done") && tasksDone(id) < specs.get(id).taskCount()) {
-            broken.add("not done: " + id);
+            violations.add("not done: " + id);
         }
     }
 
     /** Tasks that have completed on some machine at some time. */
     public int tasksDone(String id) {
         Set<Integer> done = new HashSet<>();
-        worlds.values()
-                .forEach(cluster -> done.addAll(cluster.completed.getOrDefault(id, Set.of())));
+        clusters.values()
+                .forEach(cluster -> done.addAll(cluster.completedTasks.getOrDefault(id, Set.of())));
         return done.size();
     }
 
-    public long onMachines(String id) {
-        return worlds.values().stream().mapToLong(cluster -> cluster.onMachines(id)).sum();
+    public long tasksOnMachines(String id) {
+        return clusters.values().stream().mapToLong(cluster -> cluster.onMachines(id)).sum();
     }
 
-    private void watch() {
+    private void checkInvariants() {
         Map<String, String> where = new HashMap<>();
         Map<String, Double> used = new HashMap<>();
-        for (SimulatedCluster cluster : worlds.values()) {
+        for (SimulatedCluster cluster : clusters.values()) {
             for (SimulatedWorker worker : cluster.workers.values()) {
                 for (SimulatedTask task : worker.tasks.values()) {
                     if (!worker.up || task.state == TaskState.ENDED) {
@@ -371,7 +371,7 @@
                     }
                     String other = where.put(task.jobId + "/" + task.number, worker.id);
                     if (other != null) {
-                        broken.add(
+                        violations.add(
                                 "twice: "
                                         + task.jobId
                                         + "/"
@@ -384,8 +384,8 @@
                     JobSpec spec = specs.get(task.jobId);
                     used.merge(spec.team(), spec.cpusPerTask(), Double::sum);
                     Double at = cancelledAt.get(task.jobId);
-                    if (at != null && clock.now > at + CANCEL_S) {
-                        broken.add(
+                    if (at != null && clock.now > at + CANCEL_SECONDS) {
+                        violations.add(
                                 "ran cancelled: "
                                         + task.jobId
                                         + "/"
@@ -400,25 +400,25 @@
                 (team, cpus) -> {
                     mostUsed.merge(team, cpus, Math::max);
                     if (cpus > limits.getOrDefault(team, Double.MAX_VALUE) + 1e-6) {
-                        broken.add("quota: team " + team + " has " + cpus + " CPUs");
+                        violations.add("quota: team " + team + " has " + cpus + " CPUs");
                     }
                 });
-        clock.after(watchS, this::watch);
+        clock.after(checkIntervalSeconds, this::checkInvariants);
     }
 
     /** All that broke, in any cell. */
-    public List<String> broken() {
-        List<String> all = new ArrayList<>(broken);
-        worlds.values().forEach(cluster -> all.addAll(cluster.broken));
+    public List<String> violations() {
+        List<String> all = new ArrayList<>(violations);
+        clusters.values().forEach(cluster -> all.addAll(cluster.violations));
         return all;
     }
 
     /** Records of jobs that are left in the stores, those of jobs that are over apart. */
-    public List<String> leftovers() {
+    public List<String> leftoverRecords() {
         List<String> out = new ArrayList<>();
-        worlds.forEach(
+        clusters.forEach(
                 (c, cluster) ->
-                        cluster.store.keys.keySet().stream()
+                        cluster.store.entries.keySet().stream()
                                 .filter(
                                         key ->
                                                 key.startsWith("jobs/")
@@ -431,12 +431,12 @@
      * What the stores say has come to cells and gone from them of all limits: nothing in all, once
      * all has arrived.
      */
-    public List<String> sharesAstray() {
+    public List<String> unbalancedShares() {
         List<String> out = new ArrayList<>();
         long[] sum = new long[1];
-        worlds.forEach(
+        clusters.forEach(
                 (c, cluster) ->
-                        cluster.store.keys.values().stream()
+                        cluster.store.entries.values().stream()
                                 .filter(entry -> entry.key().startsWith("kitepath/share/"))
                                 .forEach(
                                         entry -> {
@@ -464,9 +464,9 @@
      * wrote it.
      */
     public void onLoanWrites(LoanWrites seen) {
-        worlds.forEach(
+        clusters.forEach(
                 (c, cluster) ->
-                        cluster.store.written =
+                        cluster.store.onCommit =
                                 (client, transaction) -> {
                                     if (client instanceof SimulatedNode node
                                             && transaction.writes().stream()
--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -35,10 +35,10 @@
      *     cut, {@code holder} ends, {@code freeze}: the holder stands still, {@code zone}: half of
      *     the machines are cut off
      * @param cell which one, from 0
-     * @param atS after the load began, in seconds
-     * @param forS how long, in seconds
+     * @param atSeconds after the load began, in seconds
+     * @param durationSeconds how long, in seconds
      */
-    public record Fault(String kind, int cell, double atS, double forS) {}
+    public record Fault(String kind, int cell, double atSeconds, double durationSeconds) {}
 
     /**
      * What is played.
@@ -46,17 +46,17 @@
      * @param cells how many
      * @param machines in each, of 16 CPUs
      * @param load what each cell is asked for, of what its machines can do
-     * @param hot how many times as much the first cell is asked for
-     * @param forS for how long jobs come, in seconds
-     * @param bad shares of messages between cells that are lost, doubled and late
+     * @param hotCellShare how many times as much the first cell is asked for
+     * @param durationSeconds for how long jobs come, in seconds
+     * @param networkFaultProbability shares of messages between cells that are lost, doubled and late
      */
     public record Plan(
             int cells,
             int machines,
             double load,
-            double hot,
-            double forS,
-            double bad,
+            double hotCellShare,
+            double durationSeconds,
+            double networkFaultProbability,
             long seed,
             List<Fault> faults) {}
 
@@ -68,8 +68,8 @@
      * @param served by class and team: jobs that were done in time, and all
      * @param handOvers loans, {@code messages} between cells, {@code changes} of the stores
      * @param refusals tries to submit that were not accepted at once
-     * @param tookS from the end of the load until all was done
-     * @param realS of this machine's time
+     * @param simulatedSeconds from the end of the load until all was done
+     * @param realSeconds of this machine's time
      */
     public record Result(
             long jobs,
@@ -82,12 +82,12 @@
             long messages,
             long changes,
             long refusals,
-            double tookS,
-            double realS,
-            List<String> broken,
+            double simulatedSeconds,
+            double realSeconds,
+            List<String> violations,
             long unfinished) {
         /** The lowest share served of any class or team. */
-        public double least() {
+        public double leastServedShare() {
             return served.values().stream().mapToDouble(x -> (double) x[0] / x[1]).min().orElse(1);
         }
     }
@@ -95,16 +95,16 @@
     private static final double CPUS = 16;
 
     /** What is expected: done within that time. */
-    private static final double GOAL_S = 120;
+    private static final double WAIT_OBJECTIVE_SECONDS = 120;
 
     /** How long after the load everything may take. */
-    private static final double MOST_S = 1800;
+    private static final double MAX_DRAIN_SECONDS = 1800;
 
     private final Plan plan;
-    private final Way way;
+    private final Way topology;
     private final MultiCellSimulation cells;
     private final Random random;
-    private final Map<String, Coming> coming = new HashMap<>();
+    private final Map<String, Coming> plannedJobs = new HashMap<>();
     private final Histogram hot = new Histogram(3);
     private final Histogram others = new Histogram(3);
     private final Map<String, int[]> served = new TreeMap<>();
@@ -131,33 +131,33 @@
 
     public Rehearsal(Plan plan, Way way) {
         this.plan = plan;
-        this.way = way;
+        this.topology = way;
         this.random = new Random(plan.seed);
         List<String> names = new ArrayList<>();
         for (int i = 0; i < (way == Way.WHOLE ? 1 : plan.cells); i++) {
             names.add("c" + i);
         }
         this.cells = new MultiCellSimulation(plan.seed, names, List.of(), way != Way.CELLS);
-        cells.watchS = 2;
-        cells.lost = plan.bad;
-        cells.doubled = plan.bad;
-        cells.late = plan.bad / 2;
+        cells.checkIntervalSeconds = 2;
+        cells.lossProbability = plan.networkFaultProbability;
+        cells.duplicationProbability = plan.networkFaultProbability;
+        cells.delayProbability = plan.networkFaultProbability / 2;
         for (String c : names) {
-            SimulatedCluster cluster = cells.world(c);
-            cluster.reportS = 4;
-            cluster.leaseS = 20;
-            cluster.reportsChanges = true;
-            cluster.writeRps = 250 * (way == Way.WHOLE ? plan.cells : 1);
+            SimulatedCluster cluster = cells.cluster(c);
+            cluster.heartbeatIntervalSeconds = 4;
+            cluster.leaseSeconds = 20;
+            cluster.reportsChangesImmediately = true;
+            cluster.writesPerSecond = 250 * (way == Way.WHOLE ? plan.cells : 1);
             cluster.type = new MachineType("m16", CPUS, 0, 64, 50, 1, 1.0, 0.4, 1e6, cluster.zones);
             cluster.objectives.add(
-                    new ClusterSettings.Objective("finished", "tiles", GOAL_S, 1, 0.9));
+                    new ClusterSettings.Objective("finished", "tiles", WAIT_OBJECTIVE_SECONDS, 1, 0.9));
             cluster.objectives.add(
-                    new ClusterSettings.Objective("finished", "plates", GOAL_S, 1, 0.9));
-            cluster.runsFor = id -> coming.get(id).runS;
+                    new ClusterSettings.Objective("finished", "plates", WAIT_OBJECTIVE_SECONDS, 1, 0.9));
+            cluster.taskSeconds = id -> plannedJobs.get(id).runS;
             cells.cell(c, 2, plan.machines * (way == Way.WHOLE ? plan.cells : 1));
         }
-        cells.clock.starts = this::started;
-        cells.clock.ends = this::ended;
+        cells.clock.onTaskStart = this::started;
+        cells.clock.onTaskEnd = this::ended;
     }
 
     // ---- load -----------------------------------------------------------------------------------
@@ -166,24 +166,24 @@
         return -Math.log(1 - random.nextDouble()) / perS;
     }
 
-    private void load() {
+    private void planJobs() {
         int n = 0;
         for (int cell = 0; cell < plan.cells; cell++) {
-            double cpus = plan.load * plan.machines * CPUS * (cell == 0 ? plan.hot : 1);
+            double cpus = plan.load * plan.machines * CPUS * (cell == 0 ? plan.hotCellShare : 1);
             // Two thirds of the work are arrays, a third gangs; by their mean work.
             double tilesPerS = cpus * 2 / 3 / (66 * 20);
             double platesPerS = cpus / 3 / (3.75 * 8 * 40);
-            for (double t = exponential(tilesPerS); t < plan.forS; t += exponential(tilesPerS)) {
+            for (double t = exponential(tilesPerS); t < plan.durationSeconds; t += exponential(tilesPerS)) {
                 int size = (int) Math.max(1, Math.min(1000, 40 * Math.exp(random.nextGaussian())));
-                come(t, cell, ++n, "tiles", JobSpec.Shape.ARRAY, size, 1, 20);
+                planJob(t, cell, ++n, "tiles", JobSpec.Shape.ARRAY, size, 1, 20);
             }
-            for (double t = exponential(platesPerS); t < plan.forS; t += exponential(platesPerS)) {
-                come(t, cell, ++n, "plates", JobSpec.Shape.GANG, 1 << random.nextInt(4), 8, 40);
+            for (double t = exponential(platesPerS); t < plan.durationSeconds; t += exponential(platesPerS)) {
+                planJob(t, cell, ++n, "plates", JobSpec.Shape.GANG, 1 << random.nextInt(4), 8, 40);
             }
         }
     }
 
-    private void come(
+    private void planJob(
             double t,
             int cell,
             int n,
@@ -192,7 +192,7 @@
             int size,
             double cpus,
             double estimateS) {
-        String home = "c" + (way == Way.WHOLE ? 0 : cell);
+        String home = "c" + (topology == Way.WHOLE ? 0 : cell);
         JobSpec spec =
                 new JobSpec(
                         cells.id(home, n),
@@ -218,7 +218,7 @@
                         0,
                         null);
         Coming arrival = new Coming(spec, cell, estimateS * (0.8 + 0.4 * random.nextDouble()));
-        coming.put(spec.id(), arrival);
+        plannedJobs.put(spec.id(), arrival);
         open++;
         tasks += size;
         cells.specs.put(spec.id(), spec);
@@ -232,7 +232,7 @@
 
     private void submit(Coming arrival, String home) {
         List<SimulatedNode> up =
-                cells.world(home).nodes.values().stream().filter(node -> node.alive).toList();
+                cells.cluster(home).nodes.values().stream().filter(node -> node.alive).toList();
         boolean[] heard = new boolean[1];
         Runnable again =
                 () -> {
@@ -263,7 +263,7 @@
 
     private void started(SimulatedTask task) {
         starts++;
-        Coming arrival = coming.get(task.jobId);
+        Coming arrival = plannedJobs.get(task.jobId);
         if (!arrival.started.get(task.number)) {
             arrival.started.set(task.number);
             (arrival.cell == 0 ? hot : others)
@@ -272,7 +272,7 @@
     }
 
     private void ended(SimulatedTask task) {
-        Coming arrival = coming.get(task.jobId);
+        Coming arrival = plannedJobs.get(task.jobId);
         if (arrival.done.cardinality() == arrival.spec.taskCount()) {
             return;
         }
@@ -282,13 +282,13 @@
         arrival.done.set(task.number);
         if (arrival.done.cardinality() == arrival.spec.taskCount()) {
             open--;
-            boolean inTime = cells.clock.now - arrival.at <= GOAL_S;
-            count("class " + arrival.spec.jobClass(), inTime);
-            count("team " + arrival.spec.team(), inTime);
+            boolean inTime = cells.clock.now - arrival.at <= WAIT_OBJECTIVE_SECONDS;
+            countServed("class " + arrival.spec.jobClass(), inTime);
+            countServed("team " + arrival.spec.team(), inTime);
         }
     }
 
-    private void count(String group, boolean inTime) {
+    private void countServed(String group, boolean inTime) {
         int[] x = served.computeIfAbsent(group, key -> new int[2]);
         x[0] += inTime ? 1 : 0;
         x[1]++;
@@ -296,14 +296,14 @@
 
     // ---- failures -------------------------------------------------------------------------------
 
-    private void fail(Fault f) {
+    private void injectFault(Fault f) {
         String cell = "c" + f.cell;
-        SimulatedCluster cluster = cells.world(cell);
+        SimulatedCluster cluster = cells.cluster(cell);
         if (cluster == null) {
             return;
         }
         cells.clock.after(
-                f.atS,
+                f.atSeconds,
                 () -> {
                     List<SimulatedNode> up =
                             cluster.nodes.values().stream().filter(node -> node.alive).toList();
@@ -313,28 +313,28 @@
                                     .findFirst()
                                     .orElse(null);
                     switch (f.kind) {
-                        case "nodes" -> up.forEach(node -> cells.restart(node, f.forS));
-                        case "store" -> cluster.store.outage(f.forS);
+                        case "nodes" -> up.forEach(node -> cells.restart(node, f.durationSeconds));
+                        case "store" -> cluster.store.outage(f.durationSeconds);
                         case "network" -> {
-                            for (String other : cells.worlds.keySet()) {
+                            for (String other : cells.clusters.keySet()) {
                                 cells.cutBetween(cell, other);
                             }
                             cells.clock.after(
-                                    f.forS,
+                                    f.durationSeconds,
                                     () ->
-                                            cells.cut.removeIf(
+                                            cells.cutConnections.removeIf(
                                                     x ->
                                                             x.startsWith(cell + ">")
                                                                     || x.endsWith(">" + cell)));
                         }
                         case "holder" -> {
                             if (holder != null) {
-                                cells.restart(holder, f.forS);
+                                cells.restart(holder, f.durationSeconds);
                             }
                         }
                         case "freeze" -> {
                             if (holder != null) {
-                                holder.frozenUntil = cells.clock.now + f.forS;
+                                holder.frozenUntil = cells.clock.now + f.durationSeconds;
                             }
                         }
                         case "zone" -> {
@@ -342,9 +342,9 @@
                                     cluster.workers.values().stream()
                                             .filter(worker -> worker.zone.equals(cell + "1"))
                                             .toList();
-                            of.forEach(worker -> worker.cut = true);
+                            of.forEach(worker -> worker.isCutOff = true);
                             cells.clock.after(
-                                    f.forS, () -> of.forEach(worker -> worker.cut = false));
+                                    f.durationSeconds, () -> of.forEach(worker -> worker.isCutOff = false));
                         }
                         default -> throw new IllegalArgumentException("no such fault: " + f.kind);
                     }
@@ -357,35 +357,35 @@
     public Result play() {
         long began = System.nanoTime();
         cells.run(15);
-        load();
-        plan.faults.forEach(this::fail);
-        cells.run(plan.forS);
+        planJobs();
+        plan.faults.forEach(this::injectFault);
+        cells.run(plan.durationSeconds);
         double from = cells.clock.now;
-        while (open > 0 && cells.clock.now - from < MOST_S) {
+        while (open > 0 && cells.clock.now - from < MAX_DRAIN_SECONDS) {
             cells.run(1);
         }
         double tookS = cells.clock.now - from;
-        for (Coming arrival : coming.values()) {
+        for (Coming arrival : plannedJobs.values()) {
             if (arrival.done.cardinality() < arrival.spec.taskCount()) {
-                count("class " + arrival.spec.jobClass(), false);
-                count("team " + arrival.spec.team(), false);
+                countServed("class " + arrival.spec.jobClass(), false);
+                countServed("team " + arrival.spec.team(), false);
             }
         }
         // What is lent, lost in a message or late has its time to do harm.
         cells.run(90);
-        List<String> broken = new ArrayList<>(cells.broken());
-        if (way == Way.CELLS && open == 0) {
-            cells.leftovers().stream().limit(3).forEach(key -> broken.add("left over: " + key));
+        List<String> broken = new ArrayList<>(cells.violations());
+        if (topology == Way.CELLS && open == 0) {
+            cells.leftoverRecords().stream().limit(3).forEach(key -> broken.add("left over: " + key));
         }
-        Collection<SimulatedCluster> all = cells.worlds.values();
+        Collection<SimulatedCluster> all = cells.clusters.values();
         long handOvers = 0;
         for (SimulatedCluster cluster : all) {
             for (SimulatedNode node : cluster.nodes.values()) {
-                handOvers += figure(node, "cells.lent");
+                handOvers += metricValue(node, "cells.lent");
             }
         }
         return new Result(
-                coming.size(),
+                plannedJobs.size(),
                 tasks,
                 starts,
                 hot,
@@ -393,7 +393,7 @@
                 served,
                 handOvers,
                 cells.messages,
-                all.stream().mapToLong(cluster -> cluster.store.changes).sum(),
+                all.stream().mapToLong(cluster -> cluster.store.writeCount).sum(),
                 refusals,
                 tookS,
                 (System.nanoTime() - began) / 1e9,
@@ -401,7 +401,7 @@
                 open);
     }
 
-    private static long figure(SimulatedNode node, String name) {
+    private static long metricValue(SimulatedNode node, String name) {
         var f = node.controller.metrics().get(name);
         return f == null ? 0 : (long) f.value().getAsDouble();
     }
