--- a/src/main/java/io/kitepath/simulation/SimulatedClock.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedClock.java
@@ -15,37 +15,37 @@
 public final class SimulatedClock {
     private record Due(double at, long order, Runnable run) {}
 
-    private final PriorityQueue<Due> due =
+    private final PriorityQueue<Due> scheduledActions =
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
-    private long ordered;
+    private long scheduledCount;
     public double now = 100;
-    public final List<SimulatedCluster> worlds = new ArrayList<>();
+    public final List<SimulatedCluster> clusters = new ArrayList<>();
 
     /** By job and task: what was started last. */
     public final Map<String, SimulatedTask> lastStarts = new HashMap<>();
 
     /** Sees every start. */
-    public Consumer<SimulatedTask> starts = task -> {};
+    public Consumer<SimulatedTask> onTaskStart = task -> {};
 
     /** Sees every task that completed, or failed. */
-    public Consumer<SimulatedTask> ends = task -> {};
+    public Consumer<SimulatedTask> onTaskEnd = task -> {};
 
     public void ended(SimulatedTask task) {
-        ends.accept(task);
+        onTaskEnd.accept(task);
     }
 
     public void started(SimulatedTask task) {
-        starts.accept(task);
+        onTaskStart.accept(task);
     }
 
     public void after(double s, Runnable r) {
-        due.add(new Due(now + s, ordered++, r));
+        scheduledActions.add(new Due(now + s, scheduledCount++, r));
     }
 
     public void run(double seconds) {
         double until = now + seconds;
-        while (!due.isEmpty() && due.peek().at <= until) {
-            Due d = due.poll();
+        while (!scheduledActions.isEmpty() && scheduledActions.peek().at <= until) {
+            Due d = scheduledActions.poll();
             now = Math.max(now, d.at);
             d.run.run();
         }
--- a/src/main/java/io/kitepath/simulation/SimulatedCluster.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCluster.java
@@ -31,31 +31,31 @@
  */
 public final class SimulatedCluster {
     /** Users wait so long for an answer about a job; what comes later is told to nobody. */
-    private static final double USER_WAITS_S = 2;
+    private static final double USER_TIMEOUT_SECONDS = 2;
 
     /**
      * Seconds between a worker's reports, those of its lease, and those that tasks of a cancelled
      * job may take to go.
      */
-    public double reportS = 1;
+    public double heartbeatIntervalSeconds = 1;
 
-    public double leaseS = 10;
-    public double cancelS = 30;
+    public double leaseSeconds = 10;
+    public double cancelSeconds = 30;
 
     public final SimulatedClock clock;
 
     /** The cells that this world is one of, or null. */
-    public final MultiCellSimulation around;
+    public final MultiCellSimulation multiCell;
 
     public final CellDirectory cellDirectory;
 
     /** Requests and changes a second that the settings allow. */
-    public double rps = 1000;
+    public double requestsPerSecond = 1000;
 
-    public double writeRps = 1000;
+    public double writesPerSecond = 1000;
 
     /** And the size of values. */
-    public double valueKb = 8;
+    public double valueKilobytes = 8;
 
     public final Map<String, ClusterSettings.Team> teams = new LinkedHashMap<>();
 
@@ -68,60 +68,60 @@
     public final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
 
     /** How many processes have been started under each node's name. */
-    final Map<String, Integer> started = new HashMap<>();
+    final Map<String, Integer> processStarts = new HashMap<>();
 
     public final Map<String, SimulatedWorker> workers = new TreeMap<>();
 
     /** Jobs that fail on every machine. */
-    public final Set<String> mistaken = new HashSet<>();
+    public final Set<String> jobsThatFailEverywhere = new HashSet<>();
 
     /**
      * How long a request to the store or the cloud takes to get there, and its answer back; fixed
      * unless it is set.
      */
-    public DoubleSupplier latencyS;
+    public DoubleSupplier latencySeconds;
 
     /**
      * Whether the next answer of store or cloud is lost, which its node takes for an unknown
      * outcome.
      */
-    public BooleanSupplier losesAnswer = () -> false;
+    public BooleanSupplier losesNextResponse = () -> false;
 
     /** How workers reach nodes. */
     public interface Reach {
         /** The names of nodes that a worker may try. */
-        List<String> up();
+        List<String> aliveNodes();
 
         /** Reports to a node; there may be no answer. */
         void heartbeat(String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer);
     }
 
     /** Reports of which a copy is kept until another node leads. */
-    public Predicate<Heartbeat> keeps = heartbeat -> false;
+    public Predicate<Heartbeat> copiesHeartbeat = heartbeat -> false;
 
     /**
      * Whether the copies come to every node as soon as it leads, else to itself once it has acted;
      * and how long after.
      */
-    public boolean keptForAll;
+    public boolean deliversCopiesToAllNodes;
 
-    public double keptAfterS = 0.001;
-    private final List<Heartbeat> kept = new ArrayList<>();
+    public double copyDeliveryDelaySeconds = 0.001;
+    private final List<Heartbeat> copiedHeartbeats = new ArrayList<>();
 
     /** Copies that came that way. */
-    public int keptBrought;
+    public int copiesDelivered;
 
     private long leads;
     private long acts;
 
     /** How late a copy of the next report comes to some node; 0: there is none. */
-    public DoubleSupplier copyAfterS = () -> 0;
+    public DoubleSupplier duplicateDelaySeconds = () -> 0;
 
     /** To the nodes in memory, unless it is set to something else. */
-    public Reach reach =
+    public Reach workerNetwork =
             new Reach() {
                 @Override
-                public List<String> up() {
+                public List<String> aliveNodes() {
                     return nodes.values().stream().filter(n -> n.alive).map(n -> n.name).toList();
                 }
 
@@ -129,10 +129,10 @@
                 public void heartbeat(
                         String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
                     SimulatedNode n = nodes.get(node);
-                    if (keeps.test(heartbeat)) {
-                        kept.add(heartbeat);
+                    if (copiesHeartbeat.test(heartbeat)) {
+                        copiedHeartbeats.add(heartbeat);
                     }
-                    double late = copyAfterS.getAsDouble();
+                    double late = duplicateDelaySeconds.getAsDouble();
                     if (late > 0) {
                         // Whoever answers a copy is not heard.
                         after(
@@ -168,31 +168,31 @@
             };
 
     /** Is told of every worker that there is from now on. */
-    public Consumer<SimulatedWorker> born = worker -> {};
+    public Consumer<SimulatedWorker> onWorkerCreated = worker -> {};
 
     /** Workers get no direct commands. */
-    public boolean refuseDirect;
+    public boolean refusesDirectCommands;
 
     /** Which worker a node's direct commands reach, and its answer that node. */
-    public BiPredicate<SimulatedNode, SimulatedWorker> commands = (node, worker) -> true;
+    public BiPredicate<SimulatedNode, SimulatedWorker> directCommandReaches = (node, worker) -> true;
 
     /** How late they come. */
-    public double directDelayS = 0.002;
+    public double directCommandDelaySeconds = 0.002;
 
     /**
      * How late the next one comes on a connection that its sender has given up by then; 0: it is
      * not held up.
      */
-    public DoubleSupplier directHeldS = () -> 0;
+    public DoubleSupplier directCommandHoldSeconds = () -> 0;
 
     /** Answers that workers had to drop, as their token was lower than one that they had seen. */
-    public int dropped;
+    public int responsesDropped;
 
     /**
      * How long a machine fetches an image that it does not have, by its name; with this set, the
      * tasks of a gang wait for each other, and give up after the settings' time.
      */
-    public ToDoubleFunction<String> fetchS;
+    public ToDoubleFunction<String> imageFetchSeconds;
 
     public Map<String, JobSpec> specs = new HashMap<>();
 
@@ -200,25 +200,25 @@
      * After an answer that a job is accepted, done or cancelled, users ask at all nodes, and
      * repeat, within milliseconds.
      */
-    public boolean closeLooks;
+    public boolean pollsRightAfterAnswers;
 
     /** Whether users call off the job whose last task completes, in that moment. */
-    public Predicate<SimulatedTask> cancelsAtEnd = task -> false;
+    public Predicate<SimulatedTask> cancelsOnCompletion = task -> false;
 
-    public final InvariantChecker rules = new InvariantChecker(this);
-    public final LoadGenerator users = new LoadGenerator(this);
+    public final InvariantChecker invariants = new InvariantChecker(this);
+    public final LoadGenerator loadGenerator = new LoadGenerator(this);
 
     /** How long a job's tasks run, by its id; null: as long as the machine's tasks do. */
-    public ToDoubleFunction<String> runsFor;
+    public ToDoubleFunction<String> taskSeconds;
 
     /** Whether workers report as soon as a task ends, as they do outside. */
-    public boolean reportsChanges;
+    public boolean reportsChangesImmediately;
 
     /** Tasks that completed, by job. */
-    public final Map<String, Set<Integer>> completed = new HashMap<>();
+    public final Map<String, Set<Integer>> completedTasks = new HashMap<>();
 
     /** What broke: a task that starts while it is on another machine. */
-    public final List<String> broken = new ArrayList<>();
+    public final List<String> violations = new ArrayList<>();
 
     public MachineType type =
             new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
@@ -232,9 +232,9 @@
     public SimulatedCluster(
             SimulatedClock clock, MultiCellSimulation around, CellDirectory cellDirectory) {
         this.clock = clock;
-        this.around = around;
+        this.multiCell = around;
         this.cellDirectory = cellDirectory;
-        clock.worlds.add(this);
+        clock.clusters.add(this);
         teams.put("red", new ClusterSettings.Team("red", 0, 0, 0, 0));
     }
 
@@ -243,8 +243,8 @@
     }
 
     /** What a message takes that usually takes so long. */
-    double takes(double usualS) {
-        return latencyS == null ? usualS : latencyS.getAsDouble();
+    double messageLatencySeconds(double usualS) {
+        return latencySeconds == null ? usualS : latencySeconds.getAsDouble();
     }
 
     public void run(double seconds) {
@@ -252,21 +252,21 @@
     }
 
     /** Limits of the store that the settings announce, or null. */
-    public ClusterSettings.StoreLimits next;
+    public ClusterSettings.StoreLimits announcedStoreLimits;
 
     /** What jobs need that were handed in here, by id. */
-    public final Map<String, List<String>> needs = new HashMap<>();
+    public final Map<String, List<String>> dependencies = new HashMap<>();
 
     /** When they were accepted. */
-    public final Map<String, Double> accepted = new HashMap<>();
+    public final Map<String, Double> acceptedAt = new HashMap<>();
 
     /** When users were told that a job is cancelled, by id. */
-    public final Map<String, Double> toldCancelled = new HashMap<>();
+    public final Map<String, Double> reportedCancelledAt = new HashMap<>();
 
     /** And that it is done. */
-    public final Set<String> toldDone = new HashSet<>();
+    public final Set<String> reportedDone = new HashSet<>();
 
-    public ClusterSettings facts(String node) {
+    public ClusterSettings settings(String node) {
         return new ClusterSettings(
                 node,
                 "a",
@@ -274,15 +274,15 @@
                 zones,
                 teams,
                 objectives,
-                new ClusterSettings.Workers(reportS, leaseS, 30, 5, cancelS),
-                next == null ? limits() : limits().tightenedBy(next),
-                new ClusterSettings.CloudLimits(10, Math.max(2, cloud.listLagS)),
+                new ClusterSettings.Workers(heartbeatIntervalSeconds, leaseSeconds, 30, 5, cancelSeconds),
+                announcedStoreLimits == null ? limits() : limits().tightenedBy(announcedStoreLimits),
+                new ClusterSettings.CloudLimits(10, Math.max(2, cloud.listLagSeconds)),
                 new ClusterSettings.Limits(1, 200, 1000),
                 5);
     }
 
     private ClusterSettings.StoreLimits limits() {
-        return new ClusterSettings.StoreLimits(rps, writeRps, valueKb, 40);
+        return new ClusterSettings.StoreLimits(requestsPerSecond, writesPerSecond, valueKilobytes, 40);
     }
 
     public SimulatedNode node(String name) {
@@ -294,7 +294,7 @@
 
     public SimulatedNode leader() {
         return nodes.values().stream()
-                .filter(node -> node.alive && node.controller.fencingTokenIfLeading() == store.token())
+                .filter(node -> node.alive && node.controller.fencingTokenIfLeading() == store.leaderFencingToken())
                 .findFirst()
                 .orElseThrow();
     }
@@ -302,7 +302,7 @@
     public SimulatedWorker worker(String id, String zone) {
         SimulatedWorker worker = new SimulatedWorker(this, id, zone);
         workers.put(id, worker);
-        born.accept(worker);
+        onWorkerCreated.accept(worker);
         cloud.machines.put(id, new Cloud.Listed(id, type.name(), zone, false, "running", 60));
         after(0, worker::report);
         return worker;
@@ -393,7 +393,7 @@
         JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
         double asked = clock.now;
         specs.put(spec.id(), spec);
-        needs.putIfAbsent(spec.id(), List.of(itsNeeds));
+        dependencies.putIfAbsent(spec.id(), List.of(itsNeeds));
         node.controller
                 .jobApi()
                 .submit(
@@ -402,7 +402,7 @@
                         response -> {
                             if (response.verdict() == JobSubmissionService.Verdict.CREATED
                                     || response.verdict() == JobSubmissionService.Verdict.KNOWN) {
-                                rules.accepted(spec.id());
+                                invariants.accepted(spec.id());
                             }
                             got[0] = heard(spec.id(), response, asked);
                         });
@@ -411,7 +411,7 @@
     }
 
     public JobSubmissionService.Answer cancel(SimulatedNode node, String id) {
-        rules.asksToCancel(id);
+        invariants.cancellationRequested(id);
         return told(id, answer -> node.controller.jobApi().cancel(id, answer));
     }
 
@@ -420,7 +420,7 @@
      * machines hang so long.
      */
     public List<String> cancelNow(int count, double hangS, Random random) {
-        return users.cancelNow(count, hangS, random);
+        return loadGenerator.cancelSome(count, hangS, random);
     }
 
     public JobSubmissionService.Answer ask(SimulatedNode node, String id) {
@@ -437,7 +437,7 @@
         double asked = clock.now;
         question.accept(
                 response -> {
-                    if (clock.now - asked <= USER_WAITS_S) {
+                    if (clock.now - asked <= USER_TIMEOUT_SECONDS) {
                         got[0] = heard(id, response, asked);
                     }
                 });
@@ -447,9 +447,9 @@
 
     /** A user hears that; {@code asked}: when it asked. */
     JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer response, double asked) {
-        rules.heard(id, response, asked);
+        invariants.checkAnswer(id, response, asked);
         if (response != null) {
-            users.told(id, response);
+            loadGenerator.onFinalAnswer(id, response);
         }
         return response;
     }
@@ -461,7 +461,7 @@
     void leads(long token) {
         if (token > leads) {
             leads = token;
-            if (keptForAll) {
+            if (deliversCopiesToAllNodes) {
                 bringKept(List.copyOf(nodes.values()));
             }
         }
@@ -471,17 +471,17 @@
     void acts(String node, long token) {
         if (token > acts) {
             acts = token;
-            if (!keptForAll && nodes.get(node) != null) {
+            if (!deliversCopiesToAllNodes && nodes.get(node) != null) {
                 bringKept(List.of(nodes.get(node)));
             }
         }
     }
 
     private void bringKept(List<SimulatedNode> to) {
-        List<Heartbeat> copies = List.copyOf(kept);
-        kept.clear();
+        List<Heartbeat> copies = List.copyOf(copiedHeartbeats);
+        copiedHeartbeats.clear();
         after(
-                keptAfterS,
+                copyDeliveryDelaySeconds,
                 () ->
                         copies.forEach(
                                 heartbeat ->
@@ -489,7 +489,7 @@
                                                 .filter(node -> node.alive)
                                                 .forEach(
                                                         node -> {
-                                                            keptBrought++;
+                                                            copiesDelivered++;
                                                             node.deliver(
                                                                     () ->
                                                                             node.controller
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -24,13 +24,13 @@
     public double frozenUntil;
 
     /** How far its time of day is ahead of the true one, in milliseconds. */
-    public double clockOffMs;
+    public double clockOffsetMillis;
 
     /** Of a version that neither sends digests nor reads them. */
-    public boolean old;
+    public boolean isProductionVersion;
 
     /** What it tells the others of jobs that are over gets lost. */
-    public boolean losesWord;
+    public boolean losesPeerMessages;
 
     /** Cut off from the store, as is what it sent there unless it is delivered late. */
     public boolean cutFromStore;
@@ -42,20 +42,20 @@
     public int requests;
 
     /** What it sent to the store and the cloud. */
-    private int sent;
+    private int requestsSent;
 
     /** The process ends once it has sent that many; what it sent arrives all the same. */
-    public int endsAfter = Integer.MAX_VALUE;
+    public int crashesAfterRequests = Integer.MAX_VALUE;
 
     /** Told when it ends that way. */
-    public Runnable ended = () -> {};
+    public Runnable onCrash = () -> {};
 
     public SimulatedNode(SimulatedCluster cluster, String name) {
         this.cluster = cluster;
         this.name = name;
         this.controller =
                 new Controller(
-                        cluster.facts(name),
+                        cluster.settings(name),
                         new StoreLink(cluster, this),
                         new CloudLink(cluster, this),
                         this::direct,
@@ -64,9 +64,9 @@
                         new Random(
                                 7
                                         + name.hashCode()
-                                        + 31L * (cluster.started.merge(name, 1, Integer::sum) - 1)),
+                                        + 31L * (cluster.processStarts.merge(name, 1, Integer::sum) - 1)),
                         cluster.cellDirectory,
-                        cluster.around == null ? null : this::askCell);
+                        cluster.multiCell == null ? null : this::askCell);
     }
 
     private void direct(
@@ -77,39 +77,39 @@
             Consumer<Heartbeat> answer) {
         SimulatedWorker worker = cluster.workers.get(address);
         if (worker == null
-                || worker.cut
-                || worker.deaf
+                || worker.isCutOff
+                || worker.receivesNothing
                 || !worker.up
-                || cluster.refuseDirect
-                || worker.hangs()
-                || !cluster.commands.test(this, worker)) {
+                || cluster.refusesDirectCommands
+                || worker.isHanging()
+                || !cluster.directCommandReaches.test(this, worker)) {
             if (worker != null
-                    && worker.hangs()
-                    && !cluster.refuseDirect
-                    && cluster.commands.test(this, worker)) {
-                worker.goesOn(
+                    && worker.isHanging()
+                    && !cluster.refusesDirectCommands
+                    && cluster.directCommandReaches.test(this, worker)) {
+                worker.onResume(
                         () ->
-                                worker.directly(
+                                worker.executeDirectCommands(
                                         token, session, orders)); // What is sent to it waits there.
             }
             schedule(0.5, () -> answer.accept(null));
             return;
         }
-        double held = cluster.directHeldS.getAsDouble();
+        double held = cluster.directCommandHoldSeconds.getAsDouble();
         if (held > 0) {
-            cluster.after(held, () -> worker.goesOn(() -> worker.directly(token, session, orders)));
+            cluster.after(held, () -> worker.onResume(() -> worker.executeDirectCommands(token, session, orders)));
             schedule(0.5, () -> answer.accept(null));
             return;
         }
         cluster.after(
-                cluster.directDelayS,
+                cluster.directCommandDelaySeconds,
                 () -> {
-                    Heartbeat heartbeat = worker.directly(token, session, orders);
+                    Heartbeat heartbeat = worker.executeDirectCommands(token, session, orders);
                     schedule(
                             0.002,
                             () ->
                                     answer.accept(
-                                            cluster.commands.test(this, worker)
+                                            cluster.directCommandReaches.test(this, worker)
                                                     ? heartbeat
                                                     : null));
                 });
@@ -117,7 +117,7 @@
 
     private void askCell(
             String cell, String node, CellMessage message, Consumer<CellMessage> answer) {
-        cluster.around.ask(cluster, this, cell, node, message, answer);
+        cluster.multiCell.ask(cluster, this, cell, node, message, answer);
     }
 
     public void crash() {
@@ -131,31 +131,31 @@
     }
 
     /** Ends once it has sent that many more requests to the store or the cloud. */
-    public void endAfter(int more, Runnable then) {
-        endsAfter = sent + more;
-        ended = then;
+    public void crashAfterRequests(int more, Runnable then) {
+        crashesAfterRequests = requestsSent + more;
+        onCrash = then;
     }
 
     @Override
-    public boolean there() {
+    public boolean isAlive() {
         return alive;
     }
 
     @Override
-    public boolean refused() {
+    public boolean isRefused() {
         return cutFromStore;
     }
 
     @Override
-    public void asks() {
+    public void onRequest() {
         requests++;
     }
 
     @Override
-    public void sends() {
-        if (alive && ++sent >= endsAfter) {
+    public void onRequestSent() {
+        if (alive && ++requestsSent >= crashesAfterRequests) {
             crash();
-            ended.run();
+            onCrash.run();
         }
     }
 
@@ -166,7 +166,7 @@
 
     @Override
     public double wallClockMillis() {
-        return cluster.clock.now * 1000 + clockOffMs;
+        return cluster.clock.now * 1000 + clockOffsetMillis;
     }
 
     @Override
@@ -201,16 +201,16 @@
 
     @Override
     public void sendCancellationDigest(CancellationDigest digest) {
-        if (!old) {
+        if (!isProductionVersion) {
             cluster.nodes.values().stream()
-                    .filter(node -> node != this && node.alive && !node.old && reaches(node))
+                    .filter(node -> node != this && node.alive && !node.isProductionVersion && reaches(node))
                     .forEach(node -> node.schedule(0.001, () -> node.controller.onPeerState(digest)));
         }
     }
 
     @Override
     public void announceJobEnd(JobStatus job) {
-        if (losesWord) {
+        if (losesPeerMessages) {
             return;
         }
         cluster.nodes.values().stream()
--- a/src/main/java/io/kitepath/simulation/SimulatedTask.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedTask.java
@@ -22,7 +22,7 @@
     }
 
     /** Whether it is on its machine. */
-    public boolean on() {
+    public boolean isOnMachine() {
         return worker.up && state != TaskState.ENDED && worker.tasks.get(key()) == this;
     }
 
--- a/src/main/java/io/kitepath/simulation/SimulatedWorker.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedWorker.java
@@ -31,24 +31,24 @@
     public boolean up = true;
 
     /** What is sent to it gets lost: answers to its reports, and commands. */
-    public boolean deaf;
+    public boolean receivesNothing;
 
     /** It reaches no controller; direct commands reach it. */
-    public boolean mute;
+    public boolean sendsNothing;
 
     /** It stands still until then; what is sent to it waits, and its lease runs. */
-    public double hangsUntil;
+    public double hangingUntil;
 
     /** Its packets get lost. */
-    public boolean cut;
+    public boolean isCutOff;
 
-    public boolean fails;
+    public boolean failsTasks;
     public boolean spot;
-    public double runsFor = 20;
-    private double answered;
+    public double taskSeconds = 20;
+    private double lastAnsweredAt;
 
     /** The next report that is due; those scheduled before it are not made. */
-    private long due;
+    private long nextHeartbeatId;
 
     private double sentAt = Double.NEGATIVE_INFINITY;
     private boolean inFlight;
@@ -62,16 +62,16 @@
     private String node;
 
     /** Gives up the report that waits for its answer. */
-    private Runnable givenUp = () -> {};
+    private Runnable onGiveUp = () -> {};
 
     /** Nodes that it has tried one after the other. */
-    private int tries;
+    private int attemptsToReport;
 
     public int started;
 
     public SimulatedWorker(SimulatedCluster cluster, String id, String zone) {
         this.cluster = cluster;
-        this.answered = cluster.clock.now;
+        this.lastAnsweredAt = cluster.clock.now;
         this.id = id;
         this.address = id;
         this.zone = zone;
@@ -82,7 +82,7 @@
         tasks.clear();
     }
 
-    public Heartbeat message() {
+    public Heartbeat currentHeartbeat() {
         return new Heartbeat(
                 id,
                 address,
@@ -106,34 +106,34 @@
     }
 
     /** Commands straight to it: its report after them, or null if they are not for it. */
-    public Heartbeat directly(long itsToken, long itsSession, List<WorkerCommand> orders) {
+    public Heartbeat executeDirectCommands(long itsToken, long itsSession, List<WorkerCommand> orders) {
         if (itsToken < token || itsSession != session) {
             return null;
         }
         token = itsToken;
         orders.forEach(this::execute);
-        return message();
+        return currentHeartbeat();
     }
 
-    private String target() {
-        List<String> up = cluster.reach.up();
+    private String nextNode() {
+        List<String> up = cluster.workerNetwork.aliveNodes();
         if (up.isEmpty()) {
             node = null;
         } else if (node == null) {
-            tries++;
-            node = up.get(tries % up.size());
+            attemptsToReport++;
+            node = up.get(attemptsToReport % up.size());
         } else if (!up.contains(node)) {
-            node = up.get(tries % up.size());
+            node = up.get(attemptsToReport % up.size());
         }
         return node;
     }
 
     private void reportIn(double seconds) {
-        long mine = ++due;
+        long mine = ++nextHeartbeatId;
         cluster.after(
                 seconds,
                 () -> {
-                    if (mine == due) {
+                    if (mine == nextHeartbeatId) {
                         report();
                     }
                 });
@@ -142,7 +142,7 @@
     /** A task ended: said at once, but at most every half second. */
     private void changed() {
         changedSince |= inFlight;
-        if (cluster.reportsChanges && !inFlight) {
+        if (cluster.reportsChangesImmediately && !inFlight) {
             reportIn(Math.max(0.001, sentAt + 0.5 - cluster.clock.now));
         }
     }
@@ -150,21 +150,21 @@
     /** The connection to that node is reset. */
     void resetBy(String itsNode) {
         if (inFlight && itsNode.equals(node)) {
-            cluster.after(0.002, givenUp);
+            cluster.after(0.002, onGiveUp);
         }
     }
 
-    boolean hangs() {
-        return cluster.clock.now < hangsUntil;
+    boolean isHanging() {
+        return cluster.clock.now < hangingUntil;
     }
 
     /** Runs that as soon as the machine goes on. */
-    void goesOn(Runnable then) {
+    void onResume(Runnable then) {
         if (!up) {
             return;
         }
-        if (hangs()) {
-            cluster.after(hangsUntil - cluster.clock.now, () -> goesOn(then));
+        if (isHanging()) {
+            cluster.after(hangingUntil - cluster.clock.now, () -> onResume(then));
         } else {
             then.run();
         }
@@ -174,30 +174,30 @@
         if (!up) {
             return;
         }
-        if (hangs()) {
-            goesOn(this::report);
+        if (isHanging()) {
+            onResume(this::report);
             return;
         }
         inFlight = true;
         changedSince = false;
         sentAt = cluster.clock.now;
-        expire();
-        String to = target();
+        checkLease();
+        String to = nextNode();
         long mySession = session;
         double sent = cluster.clock.now;
         boolean[] heard = new boolean[1];
-        if (to != null && !cut && !mute) {
-            cluster.reach.heartbeat(
+        if (to != null && !isCutOff && !sendsNothing) {
+            cluster.workerNetwork.heartbeat(
                     to,
-                    message(),
+                    currentHeartbeat(),
                     response -> {
-                        if (!heard[0] && up && session == mySession && !cut && !deaf) {
+                        if (!heard[0] && up && session == mySession && !isCutOff && !receivesNothing) {
                             heard[0] = true;
-                            hear(response, sent);
+                            receiveResponse(response, sent);
                         }
                     });
         }
-        givenUp =
+        onGiveUp =
                 () -> {
                     if (!heard[0] && up) {
                         heard[0] = true;
@@ -207,32 +207,32 @@
                     }
                 };
         // Where nothing listens, that is known at once, and the next node is tried a second later.
-        cluster.after(to == null || mute ? 0.8 : 4, givenUp);
+        cluster.after(to == null || sendsNothing ? 0.8 : 4, onGiveUp);
     }
 
     /**
      * Its lease is over once the last answered report was sent too long ago; what it had on it is
      * gone then.
      */
-    private void expire() {
-        if (hangs()) {
-            goesOn(this::expire);
-        } else if (up && cluster.clock.now - answered > cluster.leaseS) {
+    private void checkLease() {
+        if (isHanging()) {
+            onResume(this::checkLease);
+        } else if (up && cluster.clock.now - lastAnsweredAt > cluster.leaseSeconds) {
             tasks.clear();
             session++;
-            answered = cluster.clock.now;
+            lastAnsweredAt = cluster.clock.now;
             changed();
         }
     }
 
-    private void hear(HeartbeatResponse response, double sent) {
-        if (hangs()) {
-            goesOn(
+    private void receiveResponse(HeartbeatResponse response, double sent) {
+        if (isHanging()) {
+            onResume(
                     () -> {
                         // Answers are dropped after 4 s, and those to an earlier session.
                         if (cluster.clock.now - sent < 4
-                                && cluster.clock.now - answered <= cluster.leaseS) {
-                            hear(response, sent);
+                                && cluster.clock.now - lastAnsweredAt <= cluster.leaseSeconds) {
+                            receiveResponse(response, sent);
                         } else {
                             inFlight = false;
                             reportIn(0.2);
@@ -249,17 +249,17 @@
         if (response.fencingToken() >= token) {
             cluster.acts(node, response.fencingToken());
             token = response.fencingToken();
-            answered = Math.max(answered, sent);
-            cluster.after(answered + cluster.leaseS - cluster.clock.now + 0.001, this::expire);
+            lastAnsweredAt = Math.max(lastAnsweredAt, sent);
+            cluster.after(lastAnsweredAt + cluster.leaseSeconds - cluster.clock.now + 0.001, this::checkLease);
             response.commands().forEach(this::execute);
         }
         if (response.fencingToken() < token) {
-            cluster.dropped++;
+            cluster.responsesDropped++;
         }
-        if (changedSince && cluster.reportsChanges) {
+        if (changedSince && cluster.reportsChangesImmediately) {
             changed();
         } else {
-            reportIn(Math.max(0.5, cluster.reportS - (cluster.clock.now - sent)));
+            reportIn(Math.max(0.5, cluster.heartbeatIntervalSeconds - (cluster.clock.now - sent)));
         }
     }
 
@@ -286,7 +286,7 @@
         }
     }
 
-    private void fetched(SimulatedTask t, String key, JobSpec spec) {
+    private void imageFetched(SimulatedTask t, String key, JobSpec spec) {
         if (tasks.get(key) != t || t.state != TaskState.FETCHING_IMAGE) {
             return; // Given up, and what was fetched with it.
         }
@@ -305,21 +305,21 @@
             gang.forEach(x -> x.state = TaskState.RUNNING);
             // They complete together, and each machine reports that as any other change.
             cluster.after(
-                    cluster.runsFor == null ? runsFor : cluster.runsFor.applyAsDouble(t.jobId),
+                    cluster.taskSeconds == null ? taskSeconds : cluster.taskSeconds.applyAsDouble(t.jobId),
                     () ->
                             gang.stream()
-                                    .filter(x -> x.on() && x.state == TaskState.RUNNING)
+                                    .filter(x -> x.isOnMachine() && x.state == TaskState.RUNNING)
                                     .forEach(
                                             x -> {
                                                 x.state = TaskState.ENDED;
                                                 x.cause = EndCause.DONE;
-                                                cluster.completed
+                                                cluster.completedTasks
                                                         .computeIfAbsent(
                                                                 x.jobId, k -> new HashSet<>())
                                                         .add(x.number);
                                                 cluster.clock.ended(x);
                                                 x.worker.changed();
-                                                cluster.users.completed(x);
+                                                cluster.loadGenerator.onTaskCompleted(x);
                                             }));
             return;
         }
@@ -335,16 +335,16 @@
 
     private void start(WorkerCommand command, String key) {
         SimulatedTask other = cluster.clock.lastStarts.get(command.jobId() + "/" + command.task());
-        if (other != null && other.on()) {
-            cluster.broken.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
+        if (other != null && other.isOnMachine()) {
+            cluster.violations.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
         }
         // The range of all keys under that prefix.
-        if (cluster.store.keys.subMap(StoreKeys.RELEASE_INTENTS, StoreKeys.RELEASE_INTENTS + "~").values().stream()
+        if (cluster.store.entries.subMap(StoreKeys.RELEASE_INTENTS, StoreKeys.RELEASE_INTENTS + "~").values().stream()
                 .anyMatch(
                         entry ->
                                 ((Map<?, ?>) entry.value()).get("machines") instanceof List<?> l
                                         && l.contains(id))) {
-            cluster.broken.add("started on a machine that goes: " + key + " on " + id);
+            cluster.violations.add("started on a machine that goes: " + key + " on " + id);
         }
         started++;
         SimulatedTask task =
@@ -353,35 +353,35 @@
         tasks.put(key, task);
         cluster.clock.lastStarts.put(command.jobId() + "/" + command.task(), task);
         cluster.clock.started(task);
-        cluster.rules.starts(task);
+        cluster.invariants.checkStart(task);
         JobSpec spec = cluster.specs.get(command.jobId());
-        if (cluster.fetchS != null && spec.isGang()) {
+        if (cluster.imageFetchSeconds != null && spec.isGang()) {
             task.state = TaskState.FETCHING_IMAGE;
             cluster.after(
-                    images.contains(spec.image()) ? 0 : cluster.fetchS.applyAsDouble(id),
-                    () -> fetched(task, key, spec));
+                    images.contains(spec.image()) ? 0 : cluster.imageFetchSeconds.applyAsDouble(id),
+                    () -> imageFetched(task, key, spec));
             return;
         }
-        boolean error = fails || cluster.mistaken.contains(command.jobId());
+        boolean error = failsTasks || cluster.jobsThatFailEverywhere.contains(command.jobId());
         cluster.after(
                 error
                         ? 0.1
-                        : cluster.runsFor == null
-                                ? runsFor
-                                : cluster.runsFor.applyAsDouble(command.jobId()),
+                        : cluster.taskSeconds == null
+                                ? taskSeconds
+                                : cluster.taskSeconds.applyAsDouble(command.jobId()),
                 () -> {
                     if (up && tasks.get(key) == task && task.state != TaskState.ENDED) {
                         task.state = TaskState.ENDED;
                         task.cause = error ? EndCause.ERROR : EndCause.DONE;
                         if (!error) {
-                            cluster.completed
+                            cluster.completedTasks
                                     .computeIfAbsent(task.jobId, k -> new HashSet<>())
                                     .add(task.number);
                         }
                         cluster.clock.ended(task);
                         changed();
                         if (!error) {
-                            cluster.users.completed(task);
+                            cluster.loadGenerator.onTaskCompleted(task);
                         }
                     }
                 });
--- a/src/main/java/io/kitepath/simulation/StoreLink.java
+++ b/src/main/java/io/kitepath/simulation/StoreLink.java
@@ -23,38 +23,38 @@
     }
 
     private void exchange(int writes, Runnable served, Runnable refused) {
-        node.asks();
-        node.sends();
+        node.onRequest();
+        node.onRequestSent();
         cluster.after(
-                cluster.takes(0.002) + store.slowS,
+                cluster.messageLatencySeconds(0.002) + store.extraLatencySeconds,
                 () -> {
                     store.expire();
-                    boolean no = store.out || node.refused() || store.tooMany(writes);
+                    boolean no = store.unavailable || node.isRefused() || store.exceedsRate(writes);
                     (no ? refused : served).run();
                 });
     }
 
-    private void back(Runnable r) {
-        node.schedule(cluster.takes(0.002), r);
+    private void deliverResponse(Runnable r) {
+        node.schedule(cluster.messageLatencySeconds(0.002), r);
     }
 
     @Override
     public void get(String key, BiConsumer<Outcome, Entry> answer) {
         exchange(
                 () -> {
-                    Entry entry = store.keys.get(key);
-                    back(() -> answer.accept(entry == null ? Outcome.REJECTED : Outcome.OK, entry));
+                    Entry entry = store.entries.get(key);
+                    deliverResponse(() -> answer.accept(entry == null ? Outcome.REJECTED : Outcome.OK, entry));
                 },
-                () -> back(() -> answer.accept(Outcome.NOT_EXECUTED, null)));
+                () -> deliverResponse(() -> answer.accept(Outcome.NOT_EXECUTED, null)));
     }
 
     @Override
     public void list(String prefix, String from, int limit, Consumer<ListResult> answer) {
         exchange(
                 () -> {
-                    store.pages++;
-                    if (store.refusePage.test(store.pages) || store.refusePrefix.test(prefix)) {
-                        back(
+                    store.pagesRead++;
+                    if (store.refusesPage.test(store.pagesRead) || store.refusesPrefix.test(prefix)) {
+                        deliverResponse(
                                 () ->
                                         answer.accept(
                                                 new ListResult(
@@ -63,14 +63,14 @@
                     }
                     List<Entry> all =
                             store
-                                    .keys
+                                    .entries
                                     .tailMap(from.isEmpty() ? prefix : from, from.isEmpty())
                                     .values()
                                     .stream()
                                     .filter(entry -> entry.key().startsWith(prefix))
                                     .toList();
                     long r = store.revision;
-                    back(
+                    deliverResponse(
                             () ->
                                     answer.accept(
                                             new ListResult(
@@ -80,7 +80,7 @@
                                                     all.size() > limit)));
                 },
                 () ->
-                        back(
+                        deliverResponse(
                                 () ->
                                         answer.accept(
                                                 new ListResult(
@@ -95,9 +95,9 @@
                     boolean job =
                             transaction.writes().stream()
                                     .anyMatch(write -> write.key().startsWith("jobs/"));
-                    if (job && store.hold > 0 || store.withheld.test(transaction)) {
-                        store.hold -= store.hold > 0 ? 1 : 0;
-                        store.heldBack.add(transaction);
+                    if (job && store.transactionsToHold > 0 || store.holdsBack.test(transaction)) {
+                        store.transactionsToHold -= store.transactionsToHold > 0 ? 1 : 0;
+                        store.heldBackTransactions.add(transaction);
                         node.schedule(
                                 0.5,
                                 () ->
@@ -109,13 +109,13 @@
                     double late =
                             transaction.writes().isEmpty()
                                     ? 0
-                                    : store.late.applyAsDouble(transaction);
+                                    : store.executionDelaySeconds.applyAsDouble(transaction);
                     if (late > 0) {
                         cluster.after(
                                 late,
                                 () -> {
-                                    if (!store.out) {
-                                        carryOut(transaction);
+                                    if (!store.unavailable) {
+                                        execute(transaction);
                                     }
                                 });
                         node.schedule(
@@ -126,11 +126,11 @@
                                                         Outcome.UNKNOWN, 0, List.of(), false)));
                         return;
                     }
-                    CommitResult result = carryOut(transaction);
-                    if (job && store.swallow > 0
-                            || store.unheard.test(transaction)
-                            || cluster.losesAnswer.getAsBoolean()) {
-                        store.swallow -= job && store.swallow > 0 ? 1 : 0;
+                    CommitResult result = execute(transaction);
+                    if (job && store.responsesToLose > 0
+                            || store.losesResponseOf.test(transaction)
+                            || cluster.losesNextResponse.getAsBoolean()) {
+                        store.responsesToLose -= job && store.responsesToLose > 0 ? 1 : 0;
                         node.schedule(
                                 0.5,
                                 () ->
@@ -139,21 +139,21 @@
                                                         Outcome.UNKNOWN, 0, List.of(), false)));
                         return;
                     }
-                    back(() -> answer.accept(result));
+                    deliverResponse(() -> answer.accept(result));
                 },
                 () ->
-                        back(
+                        deliverResponse(
                                 () ->
                                         answer.accept(
                                                 new CommitResult(
                                                         Outcome.NOT_EXECUTED, 0, List.of(), false))));
     }
 
-    private CommitResult carryOut(Transaction transaction) {
+    private CommitResult execute(Transaction transaction) {
         CommitResult result = store.execute(transaction);
         if (result.outcome() == Outcome.OK && !transaction.writes().isEmpty()) {
-            store.changes += transaction.writes().size();
-            store.written.accept(node, transaction);
+            store.writeCount += transaction.writes().size();
+            store.onCommit.accept(node, transaction);
         }
         return result;
     }
@@ -163,37 +163,37 @@
         exchange(
                 () -> {
                     long id = store.nextLease++;
-                    store.leases.put(id, cluster.clock.now + lifeMs / 1000.0);
-                    store.life.put(id, lifeMs / 1000.0);
-                    back(() -> answer.accept(Outcome.OK, id));
+                    store.leaseExpiries.put(id, cluster.clock.now + lifeMs / 1000.0);
+                    store.leaseDurations.put(id, lifeMs / 1000.0);
+                    deliverResponse(() -> answer.accept(Outcome.OK, id));
                 },
-                () -> back(() -> answer.accept(Outcome.NOT_EXECUTED, null)));
+                () -> deliverResponse(() -> answer.accept(Outcome.NOT_EXECUTED, null)));
     }
 
     @Override
     public void renewLease(long lease, Consumer<Outcome> answer) {
         exchange(
                 () -> {
-                    boolean there = store.leases.containsKey(lease);
+                    boolean there = store.leaseExpiries.containsKey(lease);
                     if (there) {
-                        store.leases.put(lease, cluster.clock.now + store.life.get(lease));
+                        store.leaseExpiries.put(lease, cluster.clock.now + store.leaseDurations.get(lease));
                     }
-                    back(() -> answer.accept(there ? Outcome.OK : Outcome.REJECTED));
+                    deliverResponse(() -> answer.accept(there ? Outcome.OK : Outcome.REJECTED));
                 },
-                () -> back(() -> answer.accept(Outcome.NOT_EXECUTED)));
+                () -> deliverResponse(() -> answer.accept(Outcome.NOT_EXECUTED)));
     }
 
     @Override
     public void revokeLease(long lease) {
-        exchange(() -> store.end(lease), () -> {});
+        exchange(() -> store.endLease(lease), () -> {});
     }
 
     @Override
     public void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
-        if (store.tooMany(0)) {
-            back(() -> answer.accept(new WatchResult(Outcome.NOT_EXECUTED, 0, List.of())));
+        if (store.exceedsRate(0)) {
+            deliverResponse(() -> answer.accept(new WatchResult(Outcome.NOT_EXECUTED, 0, List.of())));
             return;
         }
-        store.follow(node, prefix, after, holdMs / 1000.0, answer);
+        store.watch(node, prefix, after, holdMs / 1000.0, answer);
     }
 }
--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -39,31 +39,31 @@
         Run(long seed, Map<Integer, Integer> met) {
             this.met = met;
             random = new Random(seed);
-            cluster.reportS = 1 + random.nextInt(3);
-            cluster.leaseS = cluster.reportS * (5 + random.nextInt(6));
-            cluster.cancelS = 2 * cluster.leaseS + upTo(3);
+            cluster.heartbeatIntervalSeconds = 1 + random.nextInt(3);
+            cluster.leaseSeconds = cluster.heartbeatIntervalSeconds * (5 + random.nextInt(6));
+            cluster.cancelSeconds = 2 * cluster.leaseSeconds + upTo(3);
             int nodes = new int[] {1, 2, 3, 3, 3, 5}[random.nextInt(6)];
-            cluster.rps = 60 + random.nextInt(200);
-            cluster.writeRps = 25 + random.nextInt(60);
-            cluster.valueKb = 1 + random.nextInt(8);
-            cluster.store.limited = random.nextBoolean();
-            cluster.reportsChanges = true;
-            cluster.closeLooks = true;
+            cluster.requestsPerSecond = 60 + random.nextInt(200);
+            cluster.writesPerSecond = 25 + random.nextInt(60);
+            cluster.valueKilobytes = 1 + random.nextInt(8);
+            cluster.store.enforcesRates = random.nextBoolean();
+            cluster.reportsChangesImmediately = true;
+            cluster.pollsRightAfterAnswers = true;
             cluster.cloud.capacity = 40;
-            cluster.cloud.bootS = n -> 0.3 + Math.floorMod(n * 7, 5) * (n % 3 == 0 ? 4 : 0.4);
-            cluster.cloud.listLagS = 4;
-            cluster.runsFor = id -> 15 + Math.floorMod(id.hashCode(), 7) * 12;
+            cluster.cloud.bootSeconds = n -> 0.3 + Math.floorMod(n * 7, 5) * (n % 3 == 0 ? 4 : 0.4);
+            cluster.cloud.listLagSeconds = 4;
+            cluster.taskSeconds = id -> 15 + Math.floorMod(id.hashCode(), 7) * 12;
             cluster.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
             for (int i = 0; i < nodes; i++) {
                 cluster.siblings.add("k" + i);
             }
             for (String key : cluster.siblings) {
-                cluster.node(key).clockOffMs = random.nextDouble() * 10 - 5;
+                cluster.node(key).clockOffsetMillis = random.nextDouble() * 10 - 5;
             }
             for (int i = 0; i < 6; i++) {
                 cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
             }
-            cluster.run(6 + 2 * cluster.reportS);
+            cluster.run(6 + 2 * cluster.heartbeatIntervalSeconds);
         }
 
         private double upTo(double s) {
@@ -93,7 +93,7 @@
                     s,
                     () -> {
                         if (!cluster.nodes.get(node.name).alive) {
-                            cluster.node(node.name).clockOffMs = node.clockOffMs;
+                            cluster.node(node.name).clockOffsetMillis = node.clockOffsetMillis;
                         }
                     });
         }
@@ -113,7 +113,7 @@
                     h.cutFromStore = true;
                     cluster.after(upTo(20), () -> h.cutFromStore = false);
                 }
-                case 2 -> cluster.store.outage(upTo(3 * cluster.leaseS));
+                case 2 -> cluster.store.outage(upTo(3 * cluster.leaseSeconds));
                 case 3 -> {
                     o.cutFrom.add(h.name);
                     cluster.after(upTo(60), () -> o.cutFrom.remove(h.name));
@@ -122,18 +122,18 @@
                 case 5, 6 -> ends(h);
                 case 7 ->
                         (random.nextBoolean() ? h : o).frozenUntil =
-                                cluster.clock.now + upTo(2 * cluster.leaseS);
+                                cluster.clock.now + upTo(2 * cluster.leaseSeconds);
                 case 8 -> {
-                    cluster.store.hangs = client -> client == h;
-                    cluster.after(upTo(40), () -> cluster.store.hangs = client -> false);
+                    cluster.store.ignoresRequestsOf = client -> client == h;
+                    cluster.after(upTo(40), () -> cluster.store.ignoresRequestsOf = client -> false);
                 }
                 case 9 -> {
-                    cluster.store.late = transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
-                    cluster.after(upTo(20), () -> cluster.store.late = transaction -> 0);
+                    cluster.store.executionDelaySeconds = transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
+                    cluster.after(upTo(20), () -> cluster.store.executionDelaySeconds = transaction -> 0);
                 }
                 case 10, 11 -> {
-                    cluster.store.unheard = transaction -> random.nextInt(3) == 0;
-                    cluster.after(upTo(20), () -> cluster.store.unheard = transaction -> false);
+                    cluster.store.losesResponseOf = transaction -> random.nextInt(3) == 0;
+                    cluster.after(upTo(20), () -> cluster.store.losesResponseOf = transaction -> false);
                 }
                 case 12 -> {
                     h.cutFromStore = true;
@@ -148,52 +148,52 @@
                 case 13 ->
                         some().forEach(
                                         worker ->
-                                                worker.hangsUntil =
+                                                worker.hangingUntil =
                                                         cluster.clock.now
-                                                                + upTo(1.5 * cluster.leaseS));
+                                                                + upTo(1.5 * cluster.leaseSeconds));
                 case 14 -> {
-                    cluster.directHeldS = () -> random.nextBoolean() ? 0.6 + upTo(8) : 0;
-                    cluster.copyAfterS =
-                            () -> random.nextInt(4) == 0 ? 2 + upTo(1.5 * cluster.leaseS) : 0;
+                    cluster.directCommandHoldSeconds = () -> random.nextBoolean() ? 0.6 + upTo(8) : 0;
+                    cluster.duplicateDelaySeconds =
+                            () -> random.nextInt(4) == 0 ? 2 + upTo(1.5 * cluster.leaseSeconds) : 0;
                     cluster.after(
                             upTo(30),
                             () -> {
-                                cluster.directHeldS = () -> 0;
-                                cluster.copyAfterS = () -> 0;
+                                cluster.directCommandHoldSeconds = () -> 0;
+                                cluster.duplicateDelaySeconds = () -> 0;
                             });
                 }
                 case 15 -> {
-                    cluster.keptForAll = random.nextBoolean();
-                    cluster.keptAfterS = upTo(4);
-                    cluster.keeps = heartbeat -> random.nextInt(3) == 0;
-                    cluster.after(upTo(30), () -> cluster.keeps = heartbeat -> false);
+                    cluster.deliversCopiesToAllNodes = random.nextBoolean();
+                    cluster.copyDeliveryDelaySeconds = upTo(4);
+                    cluster.copiesHeartbeat = heartbeat -> random.nextInt(3) == 0;
+                    cluster.after(upTo(30), () -> cluster.copiesHeartbeat = heartbeat -> false);
                 }
                 case 16 ->
                         some().forEach(
                                         worker -> {
-                                            worker.mute = true;
+                                            worker.sendsNothing = true;
                                             cluster.after(
-                                                    upTo(2 * cluster.leaseS),
-                                                    () -> worker.mute = false);
+                                                    upTo(2 * cluster.leaseSeconds),
+                                                    () -> worker.sendsNothing = false);
                                         });
                 case 17 ->
                         some().forEach(
                                         worker -> {
-                                            worker.deaf = random.nextBoolean();
-                                            worker.cut = !worker.deaf;
+                                            worker.receivesNothing = random.nextBoolean();
+                                            worker.isCutOff = !worker.receivesNothing;
                                             cluster.after(
-                                                    upTo(1.5 * cluster.leaseS),
+                                                    upTo(1.5 * cluster.leaseSeconds),
                                                     () -> {
-                                                        worker.deaf = false;
-                                                        worker.cut = false;
+                                                        worker.receivesNothing = false;
+                                                        worker.isCutOff = false;
                                                     });
                                         });
                 case 18 ->
                         cluster.cancelNow(
-                                3, random.nextBoolean() ? upTo(1.5 * cluster.leaseS) : 0, random);
+                                3, random.nextBoolean() ? upTo(1.5 * cluster.leaseSeconds) : 0, random);
                 case 19 -> {
                     cluster.nodes.values().forEach(SimulatedNode::kill);
-                    double away = upTo(2 * cluster.leaseS);
+                    double away = upTo(2 * cluster.leaseSeconds);
                     cluster.siblings.forEach(key -> back(cluster.nodes.get(key), away + upTo(2)));
                 }
                 case 20 ->
@@ -205,8 +205,8 @@
                                             cluster.cloud.machines.remove(worker.id);
                                         });
                 default -> {
-                    cluster.cancelsAtEnd = task -> random.nextInt(2) == 0;
-                    cluster.after(upTo(40), () -> cluster.cancelsAtEnd = task -> false);
+                    cluster.cancelsOnCompletion = task -> random.nextInt(2) == 0;
+                    cluster.after(upTo(40), () -> cluster.cancelsOnCompletion = task -> false);
                 }
             }
         }
@@ -229,19 +229,19 @@
                             ? jobs.get(random.nextInt(jobs.size()))
                             : null;
             cluster.specs.put(id, spec);
-            cluster.needs.put(id, need == null ? List.of() : List.of(need));
+            cluster.dependencies.put(id, need == null ? List.of() : List.of(need));
             jobs.add(id);
             hand(id, 12);
         }
 
         /** Users try again until they are told that it is accepted. */
         private void hand(String id, int tries) {
-            if (cluster.accepted.containsKey(id) || tries == 0) {
+            if (cluster.acceptedAt.containsKey(id) || tries == 0) {
                 return;
             }
             SimulatedNode node = any();
             if (node.alive) {
-                cluster.users.repeat(node, id);
+                cluster.loadGenerator.repeat(node, id);
             }
             cluster.after(1.2, () -> hand(id, tries - 1));
         }
@@ -250,21 +250,21 @@
             for (int i = 0; i < 2 && !jobs.isEmpty(); i++) {
                 String id = jobs.get(random.nextInt(jobs.size()));
                 SimulatedNode node = any();
-                if (!node.alive || !cluster.accepted.containsKey(id)) {
+                if (!node.alive || !cluster.acceptedAt.containsKey(id)) {
                     continue;
                 }
                 switch (random.nextInt(12)) {
-                    case 0 -> cluster.users.cancel(node, id);
-                    case 1, 2 -> cluster.users.repeat(node, id);
+                    case 0 -> cluster.loadGenerator.cancel(node, id);
+                    case 1, 2 -> cluster.loadGenerator.repeat(node, id);
                     case 3 ->
-                            cluster.users.repeat(
+                            cluster.loadGenerator.repeat(
                                     node,
                                     SimulatedCluster.with(
                                             cluster.specs.get(id),
                                             "blue",
                                             Priority.LOW,
                                             true)); // Another body.
-                    default -> cluster.users.ask(node, id);
+                    default -> cluster.loadGenerator.queryStatus(node, id);
                 }
             }
         }
@@ -276,7 +276,7 @@
                     cluster.run(0.2);
                 }
                 cluster.run(5);
-                double near = 1 + upTo(cluster.leaseS);
+                double near = 1 + upTo(cluster.leaseSeconds);
                 int troubles = 2 + random.nextInt(2);
                 for (int i = 0; i < troubles; i++) {
                     trouble();
@@ -292,7 +292,7 @@
             }
             calm();
             cluster.run(70); // Users insist for a minute.
-            cluster.rules.calm();
+            cluster.invariants.troublesAreOver();
             cluster.run(420);
         }
 
@@ -315,11 +315,11 @@
         for (long seed = from; seed < from + runs; seed++) {
             Run r = new Run(seed, met);
             r.play();
-            assertEquals(List.of(), r.cluster.broken, "seed " + seed);
-            for (String id : r.cluster.accepted.keySet()) {
+            assertEquals(List.of(), r.cluster.violations, "seed " + seed);
+            for (String id : r.cluster.acceptedAt.keySet()) {
                 long of = seed;
                 assertTrue(
-                        r.cluster.toldDone.contains(id) || r.cluster.toldCancelled.containsKey(id),
+                        r.cluster.reportedDone.contains(id) || r.cluster.reportedCancelledAt.containsKey(id),
                         () ->
                                 "seed "
                                         + of
@@ -328,13 +328,13 @@
                                         + " "
                                         + r.cluster.ask(r.cluster.leader(), id)
                                         + ", needs "
-                                        + r.cluster.needs.get(id));
+                                        + r.cluster.dependencies.get(id));
             }
-            accepted += r.cluster.accepted.size();
-            cancelled += r.cluster.toldCancelled.size();
+            accepted += r.cluster.acceptedAt.size();
+            cancelled += r.cluster.reportedCancelledAt.size();
             starts += MeetingsTest.starts(r.cluster);
-            afterCancellation += r.cluster.rules.startsAfterCancellation();
-            latest = Math.max(latest, r.cluster.rules.latestStartAfterS());
+            afterCancellation += r.cluster.invariants.startsAfterCancellation();
+            latest = Math.max(latest, r.cluster.invariants.latestStartAfterCancellationSeconds());
         }
         System.out.println(
                 "all troubles: "
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -171,7 +171,7 @@
     @Test
     void anAcceptedJobIsKnownWhateverItsRepetitionSays() {
         begin();
-        cluster.runsFor = id -> id.equals("j-1") ? 1000 : 3;
+        cluster.taskSeconds = id -> id.equals("j-1") ? 1000 : 3;
         for (String id : KNOWN) {
             assertEquals(201, accept(cluster.nodes.get("k0"), named(with("sheets", 2L), id)));
         }
@@ -216,7 +216,7 @@
         }
         cluster.run(240);
         assertEquals(2, cluster.onMachines("j-1"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** As a user does who hands it in there. */
@@ -226,7 +226,7 @@
         int[] got = send(cluster, node, MessagePackCodec.encode(body));
         cluster.run(0.1);
         if (got[0] == 201) {
-            cluster.accepted.put(id, cluster.clock.now);
+            cluster.acceptedAt.put(id, cluster.clock.now);
         }
         return got[0];
     }
@@ -239,7 +239,7 @@
         for (Map<String, Object> body : odd()) {
             begin();
             cluster.cloud.capacity = 6;
-            cluster.runsFor = id -> 9;
+            cluster.taskSeconds = id -> 9;
             cluster.teams.put("tiny", new ClusterSettings.Team("tiny", 0, 0.3, 0, 0));
             assertEquals(201, accept(cluster.nodes.get("k0"), named(body, "j-1")), body.toString());
             cluster.run(2);
@@ -247,11 +247,11 @@
                     201,
                     accept(cluster.nodes.get("k1"), named(good("j-0"), "j-2")),
                     body.toString());
-            cluster.rules.calm();
+            cluster.invariants.troublesAreOver();
             cluster.run(100);
             assertEquals("done", cluster.status(cluster.nodes.get("k2"), "j-2"), "beside " + body);
             assertEquals("done", cluster.status(cluster.nodes.get("k2"), "j-1"), body.toString());
-            assertEquals(List.of(), cluster.broken, body.toString());
+            assertEquals(List.of(), cluster.violations, body.toString());
         }
     }
 
@@ -267,8 +267,8 @@
                 cluster.worker("i-00000" + i, "a");
             }
             cluster.cloud.capacity = 4;
-            cluster.cloud.bootS = n -> 5;
-            cluster.runsFor = id -> 200;
+            cluster.cloud.bootSeconds = n -> 5;
+            cluster.taskSeconds = id -> 200;
             cluster.run(5);
             assertEquals(
                     201,
@@ -283,7 +283,7 @@
                             .filter(worker -> worker.zone.equals("b"))
                             .mapToInt(worker -> worker.tasks.size())
                             .sum());
-            assertEquals(List.of(), cluster.broken, shape);
+            assertEquals(List.of(), cluster.violations, shape);
         }
     }
 
@@ -345,6 +345,6 @@
             }
         }
         assertEquals(0, MeetingsTest.starts(cluster));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -27,10 +27,10 @@
 
     private SimulatedNode settled(int nodes) {
         cluster = Worlds.settled(nodes, 4);
-        cluster.runsFor = id -> 400;
+        cluster.taskSeconds = id -> 400;
         // The clocks of the nodes are apart as far as they may be.
-        cluster.nodes.get("k0").clockOffMs = 5;
-        cluster.nodes.get("k" + (nodes - 1)).clockOffMs = -5;
+        cluster.nodes.get("k0").clockOffsetMillis = 5;
+        cluster.nodes.get("k" + (nodes - 1)).clockOffsetMillis = -5;
         SimulatedNode holder = cluster.leader();
         // Two to be cancelled, and one that goes on.
         cluster.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
@@ -66,7 +66,7 @@
      */
     private SimulatedNode confirmedUnheard(SimulatedNode holder) {
         SimulatedNode sibling = other(holder);
-        sibling.losesWord = true;
+        sibling.losesPeerMessages = true;
         refuse(holder, 9);
         cluster.run(0.5);
         sibling.cutFrom.add(holder.name);
@@ -80,7 +80,7 @@
 
     /** Nothing of the cancelled job was on a machine too late, and all others go on, or again. */
     private void kept(String... gone) {
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         for (String id : gone) {
             assertEquals(0, cluster.onMachines(id), id);
         }
@@ -154,7 +154,7 @@
         long before = sessions();
         List<SimulatedNode> others =
                 cluster.nodes.values().stream().filter(node -> node != holder).toList();
-        others.forEach(node -> node.losesWord = true);
+        others.forEach(node -> node.losesPeerMessages = true);
         refuse(holder, 9);
         cluster.run(0.5);
         cancelled(others.get(0), "j-1");
@@ -170,7 +170,7 @@
         SimulatedNode holder = settled(3);
         List<SimulatedNode> others =
                 cluster.nodes.values().stream().filter(node -> node != holder).toList();
-        others.get(0).losesWord = true;
+        others.get(0).losesPeerMessages = true;
         others.get(1).crash();
         refuse(holder, 9);
         cluster.run(0.5);
@@ -186,7 +186,7 @@
     void whatTheSilentOneConfirmedIsGoneInTimeToo() {
         SimulatedNode holder = settled(3);
         SimulatedNode sibling = other(holder);
-        sibling.losesWord = true;
+        sibling.losesPeerMessages = true;
         refuse(holder, 9);
         cluster.run(0.5);
         sibling.frozenUntil = cluster.clock.now + 0.2;
@@ -203,7 +203,7 @@
     void twoGapsInARow() {
         SimulatedNode holder = settled(3);
         long before = sessions();
-        cluster.nodes.values().forEach(node -> node.losesWord = true);
+        cluster.nodes.values().forEach(node -> node.losesPeerMessages = true);
         refuse(holder, 6);
         cluster.run(0.5);
         cancelled(other(holder), "j-1");
@@ -236,16 +236,16 @@
         for (double slow : new double[] {0.5, 2, 5, 20}) {
             SimulatedNode holder = settled(3);
             SimulatedNode sibling = other(holder);
-            sibling.losesWord = true;
+            sibling.losesPeerMessages = true;
             cluster.run(0.5);
-            cluster.store.hangs = client -> client == holder;
+            cluster.store.ignoresRequestsOf = client -> client == holder;
             sibling.cutFrom.add(holder.name);
             cancelled(sibling, "j-1");
-            cluster.store.slowS = slow;
+            cluster.store.extraLatencySeconds = slow;
             cluster.run(65);
             kept("j-1");
-            cluster.store.slowS = 0;
-            cluster.store.hangs = client -> false;
+            cluster.store.extraLatencySeconds = 0;
+            cluster.store.ignoresRequestsOf = client -> false;
             sibling.cutFrom.clear();
             cluster.run(60);
             assertEquals(4, cluster.onMachines("j-3"));
@@ -258,8 +258,8 @@
         SimulatedNode holder = settled(3);
         long before = sessions();
         SimulatedNode sibling = other(holder);
-        sibling.losesWord = true;
-        cluster.store.hangs = client -> client == holder;
+        sibling.losesPeerMessages = true;
+        cluster.store.ignoresRequestsOf = client -> client == holder;
         sibling.cutFrom.add(holder.name);
         cancelled(sibling, "j-1");
         cluster.run(31);
@@ -274,13 +274,13 @@
             first.crash();
             cluster.run(1 + ago);
             SimulatedNode sibling = other(first);
-            sibling.losesWord = true;
+            sibling.losesPeerMessages = true;
             var response = cluster.cancel(sibling, "j-1");
             cluster.store.outage(70);
             cluster.run(0.4);
             cluster.node(first.name);
             cluster.run(60);
-            assertEquals(List.of(), cluster.broken, "after " + ago);
+            assertEquals(List.of(), cluster.violations, "after " + ago);
             if (response != null && response.verdict() == Verdict.KNOWN) {
                 assertEquals(0, cluster.onMachines("j-1"), "after " + ago);
             }
@@ -299,13 +299,13 @@
                             .filter(node -> node != first)
                             .findFirst()
                             .orElseThrow();
-            int from = cluster.store.pages + page;
+            int from = cluster.store.pagesRead + page;
             boolean[] once = {true};
-            cluster.store.refusePage =
+            cluster.store.refusesPage =
                     n -> {
                         if (n == from && once[0]) {
                             once[0] = false;
-                            cluster.rules.asksToCancel("j-1");
+                            cluster.invariants.cancellationRequested("j-1");
                             cluster.after(
                                     0,
                                     () ->
@@ -319,9 +319,9 @@
             first.crash();
             cluster.run(8);
             cluster.ask(sibling, "j-1");
-            told += cluster.toldCancelled.containsKey("j-1") ? 1 : 0;
+            told += cluster.reportedCancelledAt.containsKey("j-1") ? 1 : 0;
             cluster.run(60);
-            assertEquals(List.of(), cluster.broken, "page " + page);
+            assertEquals(List.of(), cluster.violations, "page " + page);
         }
         assertTrue(told > 1, "told: " + told);
     }
@@ -339,10 +339,10 @@
                         .filter(node -> node != holder && node != sibling)
                         .findFirst()
                         .orElseThrow();
-        cluster.nodes.values().forEach(node -> node.losesWord = true);
-        cluster.store.hangs = client -> client == holder;
+        cluster.nodes.values().forEach(node -> node.losesPeerMessages = true);
+        cluster.store.ignoresRequestsOf = client -> client == holder;
         refuse(holder, 9);
-        cluster.store.late =
+        cluster.store.executionDelaySeconds =
                 transaction ->
                         transaction.writes().stream()
                                         .anyMatch(
@@ -364,8 +364,8 @@
     void whatTheHolderItselfSaysItKnows() {
         SimulatedNode holder = settled(1);
         long before = sessions();
-        cluster.store.hangs = client -> true;
-        cluster.store.late =
+        cluster.store.ignoresRequestsOf = client -> true;
+        cluster.store.executionDelaySeconds =
                 transaction ->
                         transaction.writes().stream()
                                         .anyMatch(
@@ -376,12 +376,12 @@
         // Just after it was carried out, and before the next comparison would find it.
         cluster.run(0.605);
         double proven = holder.controller.cancellationWatermark.ageSeconds();
-        cluster.store.withheld =
+        cluster.store.holdsBack =
                 transaction ->
                         transaction.conditions().stream()
                                 .noneMatch(condition -> condition.revision() == 0);
         cluster.ask(holder, "j-1");
-        assertTrue(cluster.toldCancelled.containsKey("j-1"));
+        assertTrue(cluster.reportedCancelledAt.containsKey("j-1"));
         assertTrue(proven < 1.5, "age " + proven);
         cluster.store.outage(60);
         cluster.run(45);
@@ -400,7 +400,7 @@
                                                 .anyMatch(key -> key.startsWith("j-1/")))
                         .findFirst()
                         .orElseThrow();
-        Heartbeat old = x.message();
+        Heartbeat old = x.currentHeartbeat();
         refuse(holder, 9);
         cluster.run(0.5);
         cancelled(other(holder), "j-1");
@@ -433,10 +433,10 @@
         for (int olds = 1; olds < 8; olds++) {
             SimulatedNode holder = settled(3);
             for (int i = 0; i < 3; i++) {
-                cluster.nodes.get("k" + i).old = (olds >> i & 1) == 1;
+                cluster.nodes.get("k" + i).isProductionVersion = (olds >> i & 1) == 1;
             }
             cluster.run(3);
-            cluster.nodes.values().forEach(node -> node.losesWord = true);
+            cluster.nodes.values().forEach(node -> node.losesPeerMessages = true);
             refuse(holder, 9);
             cluster.run(0.5);
             cancelled(other(holder), "j-1");
@@ -454,14 +454,14 @@
         cluster.run(6);
         cluster.nodes.values().forEach(node -> node.cutFrom.addAll(cluster.siblings));
         // Its lease is renewed all the while, but no comparison is answered.
-        cluster.store.withheld = transaction -> transaction.writes().isEmpty();
+        cluster.store.holdsBack = transaction -> transaction.writes().isEmpty();
         while (holder.controller.cancellationWatermark.ageSeconds()
                 < holder.controller.settings.workers().cancellationStalenessSeconds() - 0.6) {
             cluster.run(0.1);
         }
         SimulatedWorker idle = cluster.workers.get("i-000009");
         HeartbeatResponse[] got = new HeartbeatResponse[1];
-        holder.controller.onHeartbeat(idle.message(), response -> got[0] = response);
+        holder.controller.onHeartbeat(idle.currentHeartbeat(), response -> got[0] = response);
         assertEquals(null, got[0]);
         cluster.run(2.1);
         assertEquals(0, got[0].fencingToken());
@@ -479,8 +479,8 @@
         first.kill();
         cluster.run(2.2);
         cancelled(other(first), "j-1");
-        int from = cluster.store.pages;
-        cluster.store.refusePage = n -> n - from < 9;
+        int from = cluster.store.pagesRead;
+        cluster.store.refusesPage = n -> n - from < 9;
         cluster.run(40);
         kept(before);
         assertEquals(
@@ -507,7 +507,7 @@
                                 .findFirst()
                                 .orElse(null);
             }
-            cluster.store.refusePrefix = StoreKeys.JOB_PARTS::equals;
+            cluster.store.refusesPrefix = StoreKeys.JOB_PARTS::equals;
             while (!next.controller.stateWriter.knowsRunningJobs()) {
                 cluster.run(0.001);
             }
@@ -518,17 +518,17 @@
                             .filter(node -> node != holder && node.alive)
                             .findFirst()
                             .orElseThrow();
-            cluster.rules.asksToCancel("j-1");
+            cluster.invariants.cancellationRequested("j-1");
             sibling.controller.jobApi().cancel("j-1", response -> {});
             cluster.run(0.02);
             cluster.ask(sibling, "j-1");
-            assertTrue(cluster.toldCancelled.containsKey("j-1"));
+            assertTrue(cluster.reportedCancelledAt.containsKey("j-1"));
             if (outBeforeAllIsRead) {
-                cluster.store.out = true;
+                cluster.store.unavailable = true;
                 cluster.run(1);
                 assertFalse(holder.controller.stateWriter.isLoaded());
             } else {
-                cluster.store.refusePrefix = prefix -> false;
+                cluster.store.refusesPrefix = prefix -> false;
                 while (!holder.controller.stateWriter.isLoaded()) {
                     cluster.run(0.0005);
                 }
@@ -556,7 +556,7 @@
                             .findFirst()
                             .orElse(null);
         }
-        cluster.store.slowS = 0.8;
+        cluster.store.extraLatencySeconds = 0.8;
         while (!next.controller.stateWriter.knowsRunningJobs()) {
             cluster.run(0.01);
         }
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -38,16 +38,16 @@
 
         Run(long seed) {
             random = new Random(seed);
-            cluster.reportS = 2;
-            cluster.leaseS = 10;
-            cluster.reportsChanges = true;
+            cluster.heartbeatIntervalSeconds = 2;
+            cluster.leaseSeconds = 10;
+            cluster.reportsChangesImmediately = true;
             cluster.cloud.capacity = 30;
-            cluster.runsFor = id -> 60 + Math.floorMod(id.hashCode(), 7) * 20;
+            cluster.taskSeconds = id -> 60 + Math.floorMod(id.hashCode(), 7) * 20;
             for (int i = 0; i < 3; i++) {
                 cluster.siblings.add("k" + i);
             }
             for (String key : cluster.siblings) {
-                cluster.node(key).clockOffMs = random.nextDouble() * 10 - 5;
+                cluster.node(key).clockOffsetMillis = random.nextDouble() * 10 - 5;
             }
             for (int i = 0; i < 6; i++) {
                 cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
@@ -102,12 +102,12 @@
                 }
                 case 7 -> (random.nextBoolean() ? h : o).frozenUntil = cluster.clock.now + upTo(25);
                 case 8 -> {
-                    cluster.store.hangs = client -> client == h;
-                    cluster.after(upTo(40), () -> cluster.store.hangs = client -> false);
+                    cluster.store.ignoresRequestsOf = client -> client == h;
+                    cluster.after(upTo(40), () -> cluster.store.ignoresRequestsOf = client -> false);
                 }
                 case 9 -> {
-                    cluster.store.late = transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
-                    cluster.after(upTo(20), () -> cluster.store.late = transaction -> 0);
+                    cluster.store.executionDelaySeconds = transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
+                    cluster.after(upTo(20), () -> cluster.store.executionDelaySeconds = transaction -> 0);
                 }
                 case 10, 11 -> {
                     h.cutFromStore = true;
@@ -124,16 +124,16 @@
                                 .filter(y -> y.up)
                                 .skip(random.nextInt(3))
                                 .findFirst()
-                                .ifPresent(y -> y.hangsUntil = cluster.clock.now + upTo(20));
+                                .ifPresent(y -> y.hangingUntil = cluster.clock.now + upTo(20));
                 case 13 -> {
                     double late = 0.6 + upTo(8);
-                    cluster.directHeldS = () -> random.nextBoolean() ? late : 0;
-                    cluster.copyAfterS = () -> random.nextInt(4) == 0 ? 2 + upTo(15) : 0;
+                    cluster.directCommandHoldSeconds = () -> random.nextBoolean() ? late : 0;
+                    cluster.duplicateDelaySeconds = () -> random.nextInt(4) == 0 ? 2 + upTo(15) : 0;
                     cluster.after(
                             upTo(30),
                             () -> {
-                                cluster.directHeldS = () -> 0;
-                                cluster.copyAfterS = () -> 0;
+                                cluster.directCommandHoldSeconds = () -> 0;
+                                cluster.duplicateDelaySeconds = () -> 0;
                             });
                 }
                 default -> {
@@ -144,13 +144,13 @@
                                     .findFirst()
                                     .orElse(null);
                     if (x != null) {
-                        x.deaf = random.nextBoolean();
-                        x.cut = !x.deaf;
-                        Heartbeat old = x.message();
+                        x.receivesNothing = random.nextBoolean();
+                        x.isCutOff = !x.receivesNothing;
+                        Heartbeat old = x.currentHeartbeat();
                         cluster.after(
                                 upTo(30), () -> any().controller.onHeartbeat(old, response -> {}));
-                        cluster.after(upTo(12), () -> x.deaf = false);
-                        cluster.after(upTo(12), () -> x.cut = false);
+                        cluster.after(upTo(12), () -> x.receivesNothing = false);
+                        cluster.after(upTo(12), () -> x.isCutOff = false);
                     }
                 }
             }
@@ -158,7 +158,7 @@
 
         private void back(SimulatedNode node) {
             if (!cluster.nodes.get(node.name).alive) {
-                cluster.node(node.name).clockOffMs = node.clockOffMs;
+                cluster.node(node.name).clockOffsetMillis = node.clockOffsetMillis;
             }
         }
 
@@ -195,7 +195,7 @@
                     submit();
                 }
                 cluster.run(6);
-                double near = 1 + upTo(cluster.leaseS);
+                double near = 1 + upTo(cluster.leaseSeconds);
                 int troubles = 2 + random.nextInt(2);
                 for (int i = 0; i < troubles; i++) {
                     trouble();
@@ -212,7 +212,7 @@
             Worlds.endTroubles(cluster);
             cluster.siblings.forEach(key -> back(cluster.nodes.get(key)));
             calm = cluster.clock.now;
-            Set<String> open = new HashSet<>(cluster.accepted.keySet());
+            Set<String> open = new HashSet<>(cluster.acceptedAt.keySet());
             while (!open.isEmpty() && cluster.clock.now - calm < 75) {
                 open.removeIf(
                         id -> {
@@ -221,7 +221,7 @@
                         });
                 cluster.run(1);
             }
-            open.forEach(id -> cluster.broken.add("forgotten: " + id));
+            open.forEach(id -> cluster.violations.add("forgotten: " + id));
             cluster.run(500);
         }
     }
@@ -233,21 +233,21 @@
         for (long seed = 0; seed < runs; seed++) {
             Run r = new Run(seed);
             r.play();
-            assertEquals(List.of(), r.cluster.broken, "seed " + seed);
+            assertEquals(List.of(), r.cluster.violations, "seed " + seed);
             for (String id : r.jobs) {
                 var response = r.cluster.ask(r.cluster.leader(), id);
                 assertTrue(
                         response != null && response.verdict() == Verdict.KNOWN,
                         "seed " + seed + ": " + id + " " + response);
                 assertEquals(
-                        r.cluster.toldCancelled.containsKey(id)
+                        r.cluster.reportedCancelledAt.containsKey(id)
                                         || response.jobStatus().status().equals("cancelled")
                                 ? "cancelled"
                                 : "done",
                         response.jobStatus().status(),
                         "seed " + seed + ": " + id);
             }
-            told += r.cluster.toldCancelled.size();
+            told += r.cluster.reportedCancelledAt.size();
         }
         System.out.println("cancellations: " + runs + " runs, " + told + " told to users");
         assertTrue(told > 5 * runs, "told: " + told);
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -55,7 +55,7 @@
                         node.cutFromStore = false;
                         node.cutFrom.clear();
                         if (!node.alive && cluster.nodes.get(node.name) == node) {
-                            cluster.node(node.name).clockOffMs = node.clockOffMs;
+                            cluster.node(node.name).clockOffsetMillis = node.clockOffsetMillis;
                         }
                     });
         }
@@ -89,16 +89,16 @@
     /** Work that runs, and, placed a moment ago, work that was not launched everywhere yet. */
     private void busy() {
         cluster = Worlds.settled(3, 6);
-        cluster.runsFor = id -> 400;
-        cluster.nodes.get("k0").clockOffMs = 5;
-        cluster.nodes.get("k2").clockOffMs = -5;
+        cluster.taskSeconds = id -> 400;
+        cluster.nodes.get("k0").clockOffsetMillis = 5;
+        cluster.nodes.get("k2").clockOffsetMillis = -5;
         old = cluster.leader();
         cluster.submit(old, job("j-1", Shape.ARRAY, 5, 1));
         cluster.submit(old, job("j-2", Shape.GANG, 3, 1));
         cluster.submit(old, job("j-9", Shape.ARRAY, 4, 1));
         cluster.run(5);
         assertEquals(8, cluster.onMachines("j-1") + cluster.onMachines("j-2"));
-        cluster.closeLooks = true;
+        cluster.pollsRightAfterAnswers = true;
     }
 
     /**
@@ -114,10 +114,10 @@
     }
 
     private void cancels(SimulatedNode first) {
-        cluster.accepted.keySet().stream()
+        cluster.acceptedAt.keySet().stream()
                 .filter(CANCELLED::contains)
                 .sorted()
-                .forEach(id -> cluster.users.cancel(first, id));
+                .forEach(id -> cluster.loadGenerator.cancel(first, id));
     }
 
     /** Whether the one that takes over is as far as that. */
@@ -144,11 +144,11 @@
 
     /** What was cancelled is gone, what was not runs, and who asks hears the same at each node. */
     private void kept(String at) {
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
         for (String id : CANCELLED) {
-            if (cluster.accepted.containsKey(id)) {
+            if (cluster.acceptedAt.containsKey(id)) {
                 assertTrue(
-                        cluster.toldCancelled.containsKey(id), at + ": nobody was told of " + id);
+                        cluster.reportedCancelledAt.containsKey(id), at + ": nobody was told of " + id);
                 assertEquals(0, cluster.onMachines(id), at);
                 cluster.nodes.values().stream()
                         .filter(node -> node.alive)
@@ -157,8 +157,8 @@
         }
         assertEquals(4, cluster.onMachines("j-9"), at);
         runs++;
-        tooLate += cluster.rules.startsAfterCancellation();
-        latestS = Math.max(latestS, cluster.rules.latestStartAfterS());
+        tooLate += cluster.invariants.startsAfterCancellation();
+        latestS = Math.max(latestS, cluster.invariants.latestStartAfterCancellationSeconds());
     }
 
     /**
@@ -173,7 +173,7 @@
                 for (int through = 0; through < 3; through++) {
                     busy();
                     SimulatedNode first = fresh(through);
-                    long token = cluster.store.token();
+                    long token = cluster.store.leaderFencingToken();
                     String at = change + " " + step + " through " + first.name;
                     if (step == Step.BEFORE) {
                         cancels(first);
@@ -187,11 +187,11 @@
                     cluster.run(runs % 4 * 0.002 + (step == Step.AFTER ? 0.5 : 0));
                     cancels(cluster.nodes.get(first.name));
                     cluster.run(1);
-                    early += cluster.toldCancelled.size();
+                    early += cluster.reportedCancelledAt.size();
                     cluster.run(8);
-                    cluster.rules.calm();
+                    cluster.invariants.troublesAreOver();
                     cluster.run(40);
-                    assertTrue(cluster.store.token() > token, at + ": nothing changed hands");
+                    assertTrue(cluster.store.leaderFencingToken() > token, at + ": nothing changed hands");
                     kept(at);
                 }
             }
@@ -212,7 +212,7 @@
         for (int seed = 0; seed < 8; seed++) {
             Random random = new Random(seed);
             busy();
-            long token = cluster.store.token();
+            long token = cluster.store.leaderFencingToken();
             if (seed % 2 == 1) {
                 cluster.after(30 + random.nextInt(20), () -> cluster.store.outage(40));
             }
@@ -223,7 +223,7 @@
                                         node ->
                                                 node.alive
                                                         && node.controller.fencingTokenIfLeading()
-                                                                == cluster.store.token())
+                                                                == cluster.store.leaderFencingToken())
                                 .findFirst()
                                 .orElse(old);
                 String id = "j-1" + i;
@@ -235,18 +235,18 @@
                 Change.values()[random.nextInt(5)].happens(cluster, old, 1 + random.nextInt(8));
                 cluster.run(random.nextInt(4) * random.nextDouble());
                 if (i % 2 == 0) {
-                    cluster.users.cancel(cluster.nodes.get("k" + random.nextInt(3)), id);
+                    cluster.loadGenerator.cancel(cluster.nodes.get("k" + random.nextInt(3)), id);
                 }
                 cluster.run(11.9 - before);
             }
-            changes += cluster.store.token() - token;
+            changes += cluster.store.leaderFencingToken() - token;
             cancels(cluster.nodes.get("k0"));
             cluster.run(10);
-            cluster.rules.calm();
+            cluster.invariants.troublesAreOver();
             cluster.run(110);
-            all += cluster.toldCancelled.size();
-            for (String id : cluster.accepted.keySet()) {
-                if (!cluster.toldCancelled.containsKey(id)) {
+            all += cluster.reportedCancelledAt.size();
+            for (String id : cluster.acceptedAt.keySet()) {
+                if (!cluster.reportedCancelledAt.containsKey(id)) {
                     assertTrue(
                             cluster.onMachines(id) > 0
                                     && cluster.status(cluster.leader(), id).equals("running"),
@@ -261,12 +261,12 @@
     }
 
     private void launchesTake(double seconds, int[] on) {
-        SimulatedCluster.Reach usual = cluster.reach;
-        cluster.reach =
+        SimulatedCluster.Reach usual = cluster.workerNetwork;
+        cluster.workerNetwork =
                 new SimulatedCluster.Reach() {
                     @Override
-                    public List<String> up() {
-                        return usual.up();
+                    public List<String> aliveNodes() {
+                        return usual.aliveNodes();
                     }
 
                     @Override
@@ -314,7 +314,7 @@
                 cancels(first);
                 cluster.run(4);
                 on[0] = -1;
-                all += cluster.toldCancelled.size();
+                all += cluster.reportedCancelledAt.size();
                 cluster.run(55);
                 kept(change + ", held for " + heldS);
             }
@@ -360,8 +360,8 @@
                                             .anyMatch(
                                                     write ->
                                                             write.key().startsWith(StoreKeys.ENDED_JOBS));
-                    cluster.store.unheard = transaction -> fate == 1 && ends.test(transaction);
-                    cluster.store.late =
+                    cluster.store.losesResponseOf = transaction -> fate == 1 && ends.test(transaction);
+                    cluster.store.executionDelaySeconds =
                             transaction -> fate == 2 && ends.test(transaction) ? 0.6 : 0;
                     cluster.after(0.002, () -> cancels(first));
                     // Carried out and not answered: users are told by whom they ask.
@@ -374,18 +374,18 @@
                                                     node ->
                                                             CANCELLED.forEach(
                                                                     id ->
-                                                                            cluster.users.ask(
+                                                                            cluster.loadGenerator.queryStatus(
                                                                                     node, id))));
                     cluster.after(0.002 + ms / 1000.0, () -> old.cutFromStore = true);
                     cluster.after(1.002 + ms / 1000.0, () -> cluster.store.outage(50));
                     cluster.run(1.1);
-                    early += cluster.toldCancelled.size();
-                    assertTrue(cluster.store.out && old.cutFromStore, at);
+                    early += cluster.reportedCancelledAt.size();
+                    assertTrue(cluster.store.unavailable && old.cutFromStore, at);
                     cluster.after(8, () -> old.cutFromStore = false);
                     cluster.run(49);
                     silent.forEach(node -> node.cutFrom.clear());
                     cluster.run(2);
-                    cluster.rules.calm();
+                    cluster.invariants.troublesAreOver();
                     cluster.run(60);
                     kept(at);
                 }
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -26,7 +26,7 @@
 
     @AfterEach
     void rules() {
-        assertEquals(List.of(), simulation.broken());
+        assertEquals(List.of(), simulation.violations());
     }
 
     private void settled(int east, int west) {
@@ -37,20 +37,20 @@
 
     private String array(int n, int tasks) {
         String id = simulation.id("east", n);
-        simulation.submitSurely("east", job(id, Shape.ARRAY, tasks, 1));
+        simulation.submitUntilAccepted("east", job(id, Shape.ARRAY, tasks, 1));
         return id;
     }
 
     private long inWest(String id) {
-        return simulation.world("west").onMachines(id);
+        return simulation.cluster("west").onMachines(id);
     }
 
     private void allDone(String... ids) {
         for (String id : ids) {
-            simulation.until(
-                    200, () -> simulation.status(simulation.any("east"), id).equals("done"));
+            simulation.runUntil(
+                    200, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
         }
-        simulation.until(60, () -> simulation.leftovers().isEmpty());
+        simulation.runUntil(60, () -> simulation.leftoverRecords().isEmpty());
     }
 
     @Test
@@ -59,7 +59,7 @@
         // Forty tasks of twenty seconds on four CPUs would take two hundred; goals are at a
         // hundred.
         String id = array(1, 40);
-        simulation.until(20, () -> inWest(id) > 0);
+        simulation.runUntil(20, () -> inWest(id) > 0);
         allDone(id);
         assertTrue(simulation.clock.now < 100 + 12 + 120, "took until " + simulation.clock.now);
     }
@@ -68,8 +68,8 @@
     void aGangThatFitsOnlyElsewhereStartsThereWhole() {
         settled(1, 6);
         String id = simulation.id("east", 1);
-        simulation.submitSurely("east", job(id, Shape.GANG, 5, 4));
-        simulation.until(150, () -> inWest(id) == 5);
+        simulation.submitUntilAccepted("east", job(id, Shape.GANG, 5, 4));
+        simulation.runUntil(150, () -> inWest(id) == 5);
         allDone(id);
     }
 
@@ -78,7 +78,7 @@
         settled(2, 2);
         for (int i = 1; i <= 4; i++) {
             array(i, 40);
-            simulation.submitSurely("west", job(simulation.id("west", i), Shape.ARRAY, 40, 1));
+            simulation.submitUntilAccepted("west", job(simulation.id("west", i), Shape.ARRAY, 40, 1));
         }
         simulation.run(60);
         long lent = lent("east") + lent("west");
@@ -102,42 +102,42 @@
         String id = simulation.id("east", 1);
         assertEquals(
                 Verdict.CREATED,
-                simulation.submit(simulation.any("west"), job(id, Shape.ARRAY, 2, 1)));
+                simulation.submit(simulation.anyAliveNode("west"), job(id, Shape.ARRAY, 2, 1)));
         assertEquals(
                 Verdict.KNOWN,
-                simulation.submit(simulation.any("east"), job(id, Shape.ARRAY, 2, 1)));
+                simulation.submit(simulation.anyAliveNode("east"), job(id, Shape.ARRAY, 2, 1)));
         assertEquals(
                 Verdict.KNOWN,
-                simulation.submit(simulation.any("west"), job(id, Shape.ARRAY, 2, 1)));
-        simulation.until(60, () -> simulation.status(simulation.any("west"), id).equals("done"));
+                simulation.submit(simulation.anyAliveNode("west"), job(id, Shape.ARRAY, 2, 1)));
+        simulation.runUntil(60, () -> simulation.status(simulation.anyAliveNode("west"), id).equals("done"));
         assertEquals(
-                "NOT_FOUND", simulation.status(simulation.any("west"), simulation.id("east", 9)));
+                "NOT_FOUND", simulation.status(simulation.anyAliveNode("west"), simulation.id("east", 9)));
         simulation.cutBetween("east", "west");
         assertEquals(
-                "no answer", simulation.status(simulation.any("west"), simulation.id("east", 9)));
-        assertEquals("done", simulation.status(simulation.any("east"), id));
+                "no answer", simulation.status(simulation.anyAliveNode("west"), simulation.id("east", 9)));
+        assertEquals("done", simulation.status(simulation.anyAliveNode("east"), id));
     }
 
     @Test
     void anOfferThatComesAfterTheLoanIsOverStartsNothing() {
         settled(1, 10);
         boolean[] copy = {true};
-        simulation.keeps = message -> message instanceof LoanOffer && copy[0];
+        simulation.holdsBack = message -> message instanceof LoanOffer && copy[0];
         String id = array(1, 40);
-        simulation.until(20, () -> simulation.kept.size() >= 2);
+        simulation.runUntil(20, () -> simulation.heldBackDeliveries.size() >= 2);
         copy[0] = false;
         allDone(id);
         simulation.run(10);
         long started = started();
-        simulation.kept.forEach(Runnable::run);
+        simulation.heldBackDeliveries.forEach(Runnable::run);
         simulation.run(60);
         assertEquals(started, started());
-        assertEquals(List.of(), simulation.leftovers());
+        assertEquals(List.of(), simulation.leftoverRecords());
         // Nor when another holder, who knows only the records, gets it.
-        List.copyOf(simulation.world("west").nodes.values())
+        List.copyOf(simulation.cluster("west").nodes.values())
                 .forEach(node -> simulation.restart(node, 5));
         simulation.run(20);
-        simulation.kept.forEach(Runnable::run);
+        simulation.heldBackDeliveries.forEach(Runnable::run);
         simulation.run(60);
         assertEquals(started, started());
     }
@@ -147,31 +147,31 @@
         settled(1, 10);
         array(1, 4);
         String service = simulation.id("east", 2);
-        simulation.submitSurely("east", job(service, Shape.SERVICE, 6, 4));
-        simulation.until(200, () -> inWest(service) == 6);
+        simulation.submitUntilAccepted("east", job(service, Shape.SERVICE, 6, 4));
+        simulation.runUntil(200, () -> inWest(service) == 6);
         boolean[] copy = {true};
-        simulation.keeps =
+        simulation.holdsBack =
                 message ->
                         message instanceof LoanOffer offer
                                 && !offer.spec().id().equals(service)
                                 && copy[0];
         String id = array(3, 40);
-        simulation.until(20, () -> simulation.kept.size() >= 2);
+        simulation.runUntil(20, () -> simulation.heldBackDeliveries.size() >= 2);
         copy[0] = false;
-        simulation.until(200, () -> simulation.status(simulation.any("east"), id).equals("done"));
+        simulation.runUntil(200, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
         simulation.run(20);
         for (int i = 0; i < 2; i++) {
-            simulation.kept.forEach(Runnable::run);
+            simulation.heldBackDeliveries.forEach(Runnable::run);
             for (int k = 0; k < 20; k++) {
                 simulation.run(0.5);
-                assertEquals(0, simulation.onMachines(id));
+                assertEquals(0, simulation.tasksOnMachines(id));
             }
-            List.copyOf(simulation.world("west").nodes.values())
+            List.copyOf(simulation.cluster("west").nodes.values())
                     .forEach(node -> simulation.restart(node, 5));
             simulation.run(15);
         }
-        simulation.until(
-                60, () -> simulation.cancel(simulation.any("east"), service).equals("cancelled"));
+        simulation.runUntil(
+                60, () -> simulation.cancel(simulation.anyAliveNode("east"), service).equals("cancelled"));
     }
 
     @Test
@@ -179,21 +179,21 @@
         settled(1, 10);
         // The write of the loan gets lost with the holder that made it; its successor knows nothing
         // of it.
-        simulation.world("east").store.withheld =
+        simulation.cluster("east").store.holdsBack =
                 transaction ->
                         transaction.writes().stream()
                                 .anyMatch(write -> write.key().startsWith("jobs/lent/"));
         String id = array(1, 40);
         simulation.run(6);
-        assertTrue(simulation.world("east").store.heldBack.size() > 0);
+        assertTrue(simulation.cluster("east").store.heldBackTransactions.size() > 0);
         simulation.restart(simulation.leader("east"), 5);
-        simulation.world("east").store.withheld = transaction -> false;
+        simulation.cluster("east").store.holdsBack = transaction -> false;
         simulation.run(8);
         simulation
-                .world("east")
+                .cluster("east")
                 .store
-                .heldBack
-                .forEach(transaction -> simulation.world("east").store.execute(transaction));
+                .heldBackTransactions
+                .forEach(transaction -> simulation.cluster("east").store.execute(transaction));
         allDone(id);
     }
 
@@ -201,25 +201,25 @@
     void nothingIsSaidToHaveStoppedThatIsNotWritten() {
         settled(1, 10);
         String id = array(1, 40);
-        simulation.until(20, () -> inWest(id) > 0);
-        simulation.world("west").store.withheld =
+        simulation.runUntil(20, () -> inWest(id) > 0);
+        simulation.cluster("west").store.holdsBack =
                 transaction ->
                         transaction.writes().stream()
                                 .anyMatch(write -> write.key().startsWith("jobs/guest/"));
-        simulation.cancel(simulation.any("east"), id);
+        simulation.cancel(simulation.anyAliveNode("east"), id);
         simulation.run(5);
-        assertEquals("LATER", simulation.cancel(simulation.any("east"), id));
+        assertEquals("LATER", simulation.cancel(simulation.anyAliveNode("east"), id));
         simulation.restart(simulation.leader("west"), 5);
-        simulation.world("west").store.withheld = transaction -> false;
-        simulation.until(
-                60, () -> simulation.cancel(simulation.any("east"), id).equals("cancelled"));
+        simulation.cluster("west").store.holdsBack = transaction -> false;
+        simulation.runUntil(
+                60, () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
         simulation.run(31);
-        assertEquals(0, simulation.onMachines(id));
-        simulation.until(60, () -> simulation.leftovers().isEmpty());
+        assertEquals(0, simulation.tasksOnMachines(id));
+        simulation.runUntil(60, () -> simulation.leftoverRecords().isEmpty());
     }
 
     private long started() {
-        return simulation.worlds.values().stream()
+        return simulation.clusters.values().stream()
                 .flatMap(cluster -> cluster.workers.values().stream())
                 .mapToLong(worker -> worker.started)
                 .sum();
@@ -229,10 +229,10 @@
     void anOfferThatWasRefusedCannotBeTakenLater() {
         settled(1, 10);
         boolean[] copy = {true};
-        simulation.keeps = message -> message instanceof LoanOffer && copy[0];
+        simulation.holdsBack = message -> message instanceof LoanOffer && copy[0];
         String id = array(1, 40);
-        simulation.until(20, () -> !simulation.kept.isEmpty());
-        simulation.leader("west").controller.otherCells().drain(true);
+        simulation.runUntil(20, () -> !simulation.heldBackDeliveries.isEmpty());
+        simulation.leader("west").controller.otherCells().setDraining(true);
         copy[0] = false;
         simulation.run(5);
         long taken =
@@ -245,26 +245,26 @@
                                 .value()
                                 .getAsDouble();
         simulation.restart(simulation.leader("west"), 1);
-        simulation.until(
+        simulation.runUntil(
                 10,
                 () ->
-                        simulation.world("west").nodes.values().stream()
+                        simulation.cluster("west").nodes.values().stream()
                                 .anyMatch(
                                         node ->
                                                 node.alive
                                                         && node.controller.leadership.isLeading()
                                                         && node.controller.stateWriter.isLoaded()));
         simulation.run(5);
-        simulation.kept.forEach(Runnable::run);
-        simulation.kept.forEach(Runnable::run);
+        simulation.heldBackDeliveries.forEach(Runnable::run);
+        simulation.heldBackDeliveries.forEach(Runnable::run);
         simulation.run(0.5);
         assertEquals(0, taken);
-        for (CellMessage message : simulation.keptMessages) {
+        for (CellMessage message : simulation.heldBackMessages) {
             assertTrue(
                     !simulation
-                            .world("west")
+                            .cluster("west")
                             .store
-                            .keys
+                            .entries
                             .containsKey(StoreKeys.borrowedTasksKey("east", ((LoanOffer) message).loanNumber())));
         }
         allDone(id);
@@ -301,25 +301,25 @@
     void cellsPartInTheMiddleAndNothingIsLostOrDoubled() {
         settled(1, 10);
         String id = array(1, 40);
-        simulation.until(20, () -> inWest(id) > 0);
+        simulation.runUntil(20, () -> inWest(id) > 0);
         simulation.cutBetween("east", "west");
         simulation.run(300);
         // What was lent is out, however long nothing is heard of it.
-        assertNotEquals("done", simulation.status(simulation.any("east"), id));
-        simulation.cut.clear();
+        assertNotEquals("done", simulation.status(simulation.anyAliveNode("east"), id));
+        simulation.cutConnections.clear();
         allDone(id);
     }
 
     @Test
     void aCutOneWayIsAsGoodAsBoth() {
         settled(1, 10);
-        simulation.cut.add("west>east");
+        simulation.cutConnections.add("west>east");
         String id = array(1, 40);
         simulation.run(40);
-        simulation.cut.clear();
-        simulation.cut.add("east>west");
+        simulation.cutConnections.clear();
+        simulation.cutConnections.add("east>west");
         simulation.run(40);
-        simulation.cut.clear();
+        simulation.cutConnections.clear();
         allDone(id);
     }
 
@@ -327,18 +327,18 @@
     void aCancellationWaitsForTheOtherCellsWord() {
         settled(1, 10);
         String id = array(1, 40);
-        simulation.until(20, () -> inWest(id) > 0);
+        simulation.runUntil(20, () -> inWest(id) > 0);
         simulation.cutBetween("east", "west");
-        assertEquals("LATER", simulation.cancel(simulation.any("east"), id));
+        assertEquals("LATER", simulation.cancel(simulation.anyAliveNode("east"), id));
         simulation.run(60);
-        assertEquals("LATER", simulation.cancel(simulation.any("east"), id));
-        assertEquals(0, simulation.world("east").onMachines(id));
-        simulation.cut.clear();
-        simulation.until(
-                30, () -> simulation.cancel(simulation.any("east"), id).equals("cancelled"));
+        assertEquals("LATER", simulation.cancel(simulation.anyAliveNode("east"), id));
+        assertEquals(0, simulation.cluster("east").onMachines(id));
+        simulation.cutConnections.clear();
+        simulation.runUntil(
+                30, () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
         simulation.run(31);
-        assertEquals(0, simulation.onMachines(id));
-        simulation.until(60, () -> simulation.leftovers().isEmpty());
+        assertEquals(0, simulation.tasksOnMachines(id));
+        simulation.runUntil(60, () -> simulation.leftoverRecords().isEmpty());
     }
 
     @Test
@@ -350,7 +350,7 @@
             simulation.cell("west", 2, 10);
             simulation.run(12);
             String id = simulation.id("east", 1);
-            simulation.submitSurely("east", job(id, Shape.ARRAY, 40, 1));
+            simulation.submitUntilAccepted("east", job(id, Shape.ARRAY, 40, 1));
             int at = i;
             int[] n = new int[1];
             boolean[] now = new boolean[1];
@@ -358,22 +358,22 @@
             for (int k = 0; k < 4000 && !now[0]; k++) {
                 simulation.run(0.002);
             }
-            simulation.until(
-                    60, () -> simulation.cancel(simulation.any("east"), id).equals("cancelled"));
+            simulation.runUntil(
+                    60, () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
             simulation.run(31);
-            assertEquals(0, simulation.onMachines(id));
-            simulation.until(60, () -> simulation.leftovers().isEmpty());
-            assertEquals(List.of(), simulation.broken());
+            assertEquals(0, simulation.tasksOnMachines(id));
+            simulation.runUntil(60, () -> simulation.leftoverRecords().isEmpty());
+            assertEquals(List.of(), simulation.violations());
         }
     }
 
     @Test
     void aCellThatIsSilentCostsTheOthersNothingButItsRoom() {
         settled(4, 10);
-        simulation.world("west").nodes.values().forEach(SimulatedNode::crash);
+        simulation.cluster("west").nodes.values().forEach(SimulatedNode::crash);
         simulation.run(30);
         String id = array(1, 8);
-        simulation.until(40, () -> simulation.status(simulation.any("east"), id).equals("done"));
+        simulation.runUntil(40, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
         assertEquals(
                 1,
                 simulation
@@ -390,11 +390,11 @@
     void aCellThatEndsWholeKeepsWhatItWasLentAndGoesOnWithIt() {
         settled(1, 10);
         String id = array(1, 40);
-        simulation.until(20, () -> inWest(id) > 0);
-        List.copyOf(simulation.world("west").nodes.values())
+        simulation.runUntil(20, () -> inWest(id) > 0);
+        List.copyOf(simulation.cluster("west").nodes.values())
                 .forEach(node -> simulation.restart(node, 60));
         simulation.run(50);
-        assertNotEquals("done", simulation.status(simulation.any("east"), id));
+        assertNotEquals("done", simulation.status(simulation.anyAliveNode("east"), id));
         allDone(id);
     }
 
@@ -402,8 +402,8 @@
     void theStoreOfTheOtherCellIsAwayForAMinute() {
         settled(1, 10);
         String id = array(1, 40);
-        simulation.until(20, () -> inWest(id) > 0);
-        simulation.world("west").store.outage(60);
+        simulation.runUntil(20, () -> inWest(id) > 0);
+        simulation.cluster("west").store.outage(60);
         simulation.run(60);
         allDone(id);
     }
@@ -412,7 +412,7 @@
     void aFrozenHolderGoesOnAfterItsSuccessorBeganAndChangesNothing() {
         settled(1, 10);
         String id = array(1, 40);
-        simulation.until(20, () -> inWest(id) > 0);
+        simulation.runUntil(20, () -> inWest(id) > 0);
         simulation.leader("east").frozenUntil = simulation.clock.now + 25;
         simulation.leader("west").frozenUntil = simulation.clock.now + 30;
         simulation.run(40);
@@ -424,24 +424,24 @@
         settled(1, 10);
         String full = array(1, 4);
         String id = simulation.id("east", 2);
-        simulation.world("west").workers.values().forEach(worker -> worker.runsFor = 1e6);
-        simulation.submitSurely("east", job(id, Shape.SERVICE, 6, 4));
-        simulation.until(200, () -> inWest(id) == 6);
-        simulation.until(
-                60, () -> simulation.cancel(simulation.any("west"), id).equals("cancelled"));
+        simulation.cluster("west").workers.values().forEach(worker -> worker.taskSeconds = 1e6);
+        simulation.submitUntilAccepted("east", job(id, Shape.SERVICE, 6, 4));
+        simulation.runUntil(200, () -> inWest(id) == 6);
+        simulation.runUntil(
+                60, () -> simulation.cancel(simulation.anyAliveNode("west"), id).equals("cancelled"));
         simulation.run(31);
-        assertEquals(0, simulation.onMachines(id));
-        simulation.until(60, () -> simulation.status(simulation.any("east"), full).equals("done"));
+        assertEquals(0, simulation.tasksOnMachines(id));
+        simulation.runUntil(60, () -> simulation.status(simulation.anyAliveNode("east"), full).equals("done"));
     }
 
     @Test
     void aDrainedCellGivesBackWhatHasNotBegun() {
         settled(1, 10);
         String id = array(1, 40);
-        simulation.until(20, () -> inWest(id) > 0);
-        simulation.leader("west").controller.otherCells().drain(true);
+        simulation.runUntil(20, () -> inWest(id) > 0);
+        simulation.leader("west").controller.otherCells().setDraining(true);
         allDone(id);
-        assertEquals(0, simulation.world("west").onMachines(id));
+        assertEquals(0, simulation.cluster("west").onMachines(id));
     }
 
     @Test
@@ -450,8 +450,8 @@
         String id = array(1, 12);
         simulation.run(4);
         assertEquals(0, inWest(id), "it would be in time at home");
-        simulation.leader("east").controller.otherCells().drain(true);
-        simulation.until(10, () -> inWest(id) > 0);
+        simulation.leader("east").controller.otherCells().setDraining(true);
+        simulation.runUntil(10, () -> inWest(id) > 0);
         allDone(id);
     }
 
@@ -497,10 +497,10 @@
                     }
                 });
         String id = simulation.id("east", 1);
-        simulation.submitSurely("east", job(id, Shape.ARRAY, 40, 1));
-        simulation.until(300, () -> simulation.status(simulation.any("east"), id).equals("done"));
-        simulation.until(90, () -> simulation.leftovers().isEmpty());
-        assertEquals(List.of(), simulation.broken(), "after write " + at + " of " + who);
+        simulation.submitUntilAccepted("east", job(id, Shape.ARRAY, 40, 1));
+        simulation.runUntil(300, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
+        simulation.runUntil(90, () -> simulation.leftoverRecords().isEmpty());
+        assertEquals(List.of(), simulation.violations(), "after write " + at + " of " + who);
         return n[0];
     }
 
@@ -510,9 +510,9 @@
         for (int seed = 1; seed <= 8; seed++) {
             MultiCellSimulation simulation =
                     new MultiCellSimulation(seed, List.of("east", "west"), List.of("spare"));
-            simulation.lost = 0.2;
-            simulation.doubled = 0.2;
-            simulation.late = 0.1;
+            simulation.lossProbability = 0.2;
+            simulation.duplicationProbability = 0.2;
+            simulation.delayProbability = 0.1;
             simulation.cell("east", 2, 2);
             simulation.cell("west", 2, 3);
             simulation.cell("spare", 2, 8);
@@ -522,28 +522,28 @@
                 String home = i % 3 == 0 ? "west" : "east";
                 String id = simulation.id(home, i);
                 ids.add(id);
-                simulation.submitSurely(
+                simulation.submitUntilAccepted(
                         home, i % 3 == 1 ? job(id, Shape.GANG, 3, 4) : job(id, Shape.ARRAY, 30, 1));
                 simulation.run(3);
             }
             simulation.run(10);
             String gone = ids.get(1);
-            simulation.until(
+            simulation.runUntil(
                     120,
                     () ->
                             List.of("cancelled", "done")
-                                    .contains(simulation.cancel(simulation.any("east"), gone)));
+                                    .contains(simulation.cancel(simulation.anyAliveNode("east"), gone)));
             for (String id : ids) {
-                String home = simulation.world("east").cellDirectory.homeCellOf(id);
-                simulation.until(
+                String home = simulation.cluster("east").cellDirectory.homeCellOf(id);
+                simulation.runUntil(
                         400,
                         () ->
                                 List.of("done", "cancelled")
-                                        .contains(simulation.status(simulation.any(home), id)));
+                                        .contains(simulation.status(simulation.anyAliveNode(home), id)));
             }
             simulation.run(100);
-            assertEquals(List.of(), simulation.broken(), "seed " + seed);
-            simulation.until(120, () -> simulation.leftovers().isEmpty());
+            assertEquals(List.of(), simulation.violations(), "seed " + seed);
+            simulation.runUntil(120, () -> simulation.leftoverRecords().isEmpty());
         }
     }
 }
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -38,7 +38,7 @@
      * user was told.
      */
     private void storm(SimulatedCluster cluster, Random random) {
-        cluster.store.written =
+        cluster.store.onCommit =
                 (client, transaction) ->
                         transaction.writes().stream()
                                 .filter(
@@ -70,9 +70,9 @@
                         () -> {
                             SimulatedNode node = cluster.nodes.get(key);
                             if (node.alive && repeats) {
-                                cluster.users.repeat(node, id);
+                                cluster.loadGenerator.repeat(node, id);
                             } else if (node.alive) {
-                                cluster.users.ask(node, id);
+                                cluster.loadGenerator.queryStatus(node, id);
                             }
                             questions += node.alive ? 1 : 0;
                         });
@@ -89,13 +89,13 @@
 
     /** All that was accepted ends, and every node says so. */
     private static void ends(SimulatedCluster cluster, double seconds, String at) {
-        cluster.store.written = (client, transaction) -> {};
-        cluster.store.unheard = transaction -> false;
-        cluster.latencyS = null;
+        cluster.store.onCommit = (client, transaction) -> {};
+        cluster.store.losesResponseOf = transaction -> false;
+        cluster.latencySeconds = null;
         cluster.run(1);
-        cluster.rules.calm();
+        cluster.invariants.troublesAreOver();
         cluster.run(seconds);
-        for (String id : cluster.accepted.keySet()) {
+        for (String id : cluster.acceptedAt.keySet()) {
             for (String key : cluster.siblings) {
                 String status = cluster.status(cluster.nodes.get(key), id);
                 assertTrue(
@@ -103,7 +103,7 @@
                         at + ": " + id + " is " + status);
             }
         }
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
     }
 
     /**
@@ -117,29 +117,29 @@
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
             SimulatedCluster cluster = settled(3, 4);
-            cluster.closeLooks = true;
-            cluster.runsFor = id -> 1 + Math.floorMod(id.hashCode(), 4);
-            cluster.latencyS =
+            cluster.pollsRightAfterAnswers = true;
+            cluster.taskSeconds = id -> 1 + Math.floorMod(id.hashCode(), 4);
+            cluster.latencySeconds =
                     () -> 0.001 + random.nextDouble() * (random.nextInt(12) == 0 ? 0.6 : 0.01);
-            cluster.store.unheard =
+            cluster.store.losesResponseOf =
                     transaction -> {
                         boolean no = !transaction.writes().isEmpty() && random.nextInt(12) == 0;
                         lost += no ? 1 : 0;
                         return no;
                     };
-            cluster.cancelsAtEnd = task -> Math.floorMod(task.jobId.hashCode(), 3) == 0;
+            cluster.cancelsOnCompletion = task -> Math.floorMod(task.jobId.hashCode(), 3) == 0;
             storm(cluster, random);
             for (int i = 0; i < 10; i++) {
                 String id = "j-" + (100 + i);
                 cluster.specs.put(
                         id,
                         job(id, i % 3 == 0 ? Shape.GANG : Shape.ARRAY, 1 + random.nextInt(2), 1));
-                cluster.users.repeat(cluster.nodes.get("k" + random.nextInt(3)), id);
+                cluster.loadGenerator.repeat(cluster.nodes.get("k" + random.nextInt(3)), id);
                 if (random.nextInt(3) == 0) {
                     SimulatedNode node = cluster.nodes.get("k" + random.nextInt(3));
                     cluster.after(
                             random.nextDouble() * 0.05,
-                            () -> cluster.users.cancel(cluster.nodes.get(node.name), id));
+                            () -> cluster.loadGenerator.cancel(cluster.nodes.get(node.name), id));
                 }
                 SimulatedNode node = cluster.nodes.get("k" + random.nextInt(3));
                 switch (random.nextInt(6)) {
@@ -158,8 +158,8 @@
                 cluster.run(0.4 + random.nextDouble());
             }
             ends(cluster, 30, "seed " + seed);
-            accepted += cluster.accepted.size();
-            cancelled += cluster.toldCancelled.size();
+            accepted += cluster.acceptedAt.size();
+            cancelled += cluster.reportedCancelledAt.size();
         }
         System.out.println(
                 "close looks: "
@@ -184,22 +184,22 @@
         for (int holds = 0; holds < 2; holds++) {
             for (int ms = 0; ms <= 40; ms += 2) {
                 SimulatedCluster cluster = settled(3, 2);
-                cluster.closeLooks = true;
-                cluster.runsFor = id -> 2;
-                cluster.latencyS = () -> 0.005;
+                cluster.pollsRightAfterAnswers = true;
+                cluster.taskSeconds = id -> 2;
+                cluster.latencySeconds = () -> 0.005;
                 Random random = new Random(ms);
                 storm(cluster, random);
                 SimulatedNode taker =
                         holds == 1 ? cluster.leader() : other(cluster, cluster.leader());
                 cluster.specs.put("j-1", job("j-1", Shape.ARRAY, 1, 1));
-                cluster.users.repeat(taker, "j-1");
+                cluster.loadGenerator.repeat(taker, "j-1");
                 cluster.run(ms / 1000.0);
                 kill(cluster, taker, 0.3);
                 cluster.run(0.2);
-                told += cluster.accepted.size();
-                cluster.users.repeat(other(cluster, taker), "j-1");
+                told += cluster.acceptedAt.size();
+                cluster.loadGenerator.repeat(other(cluster, taker), "j-1");
                 cluster.run(1);
-                assertEquals(1, cluster.accepted.size());
+                assertEquals(1, cluster.acceptedAt.size());
                 ends(cluster, 25, "ends after " + ms + " ms" + (holds == 1 ? ", holding" : ""));
             }
         }
@@ -216,7 +216,7 @@
         for (int way = 0; way < 3; way++) {
             for (int back = 0; back < 3; back++) {
                 SimulatedCluster cluster = settled(3, 3);
-                cluster.runsFor = id -> 4;
+                cluster.taskSeconds = id -> 4;
                 cluster.submit(cluster.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
                 if (way == 1) {
                     cluster.cancel(cluster.nodes.get("k2"), "j-1");
@@ -291,10 +291,10 @@
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
             SimulatedCluster cluster = settled(3, 2);
-            cluster.runsFor = id -> 60;
+            cluster.taskSeconds = id -> 60;
             cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 2, 1));
             cluster.run(4);
-            cluster.latencyS = () -> 0.001 + random.nextDouble() * 0.06;
+            cluster.latencySeconds = () -> 0.001 + random.nextDouble() * 0.06;
             double[] toldAt = {Double.POSITIVE_INFINITY};
             int[] onTheWay = new int[1];
             List<String> older = new ArrayList<>();
@@ -350,7 +350,7 @@
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
             SimulatedCluster cluster = settled(3, 2);
-            cluster.latencyS = () -> 0.001 + random.nextDouble() * 0.06;
+            cluster.latencySeconds = () -> 0.001 + random.nextDouble() * 0.06;
             SimulatedNode node = cluster.nodes.get("k" + seed % 3);
             boolean[] accepted = new boolean[1];
             List<Answer> onTheWay = new ArrayList<>();
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -23,8 +23,8 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     private void nodes(int n) {
-        cluster.reportS = 2;
-        cluster.leaseS = 20;
+        cluster.heartbeatIntervalSeconds = 2;
+        cluster.leaseSeconds = 20;
         cluster.cloud.capacity = 100;
         for (int i = 0; i < n; i++) {
             cluster.siblings.add("k" + i);
@@ -34,13 +34,13 @@
     }
 
     private String holder(String duty) {
-        Store.Entry entry = cluster.store.keys.get(StoreKeys.ROLES + duty);
+        Store.Entry entry = cluster.store.entries.get(StoreKeys.ROLES + duty);
         return entry == null ? null : (String) ((Map<?, ?>) entry.value()).get("node");
     }
 
     private long token(String duty) {
         return (Long)
-                ((Map<?, ?>) cluster.store.keys.get(StoreKeys.ROLE_FENCING_TOKENS + duty).value())
+                ((Map<?, ?>) cluster.store.entries.get(StoreKeys.ROLE_FENCING_TOKENS + duty).value())
                         .get("token");
     }
 
@@ -142,11 +142,11 @@
         // all fire as it goes on.
         cluster.submit(cluster.nodes.get(second), job("j-1", Shape.GANG, 3, 4));
         cluster.run(4.9);
-        cluster.cloud.withheld = client -> client == first;
+        cluster.cloud.holdsBackRequestsOf = client -> client == first;
         cluster.run(20);
-        assertEquals(List.of(), cluster.cloud.heldBack, "it asked for nothing any more");
+        assertEquals(List.of(), cluster.cloud.heldBackRequests, "it asked for nothing any more");
         assertTrue(cluster.cloud.rentals.size() > asked);
-        assertEquals(3, cluster.cloud.named);
+        assertEquals(3, cluster.cloud.nameCount);
         assertEquals(1, entitled("cloud"));
     }
 
@@ -180,14 +180,14 @@
         assertEquals(before, token("cloud"));
         cluster.submit(cluster.nodes.get("k0"), job("j-1", Shape.GANG, 3, 4));
         cluster.run(10);
-        assertEquals(3, cluster.cloud.named);
+        assertEquals(3, cluster.cloud.nameCount);
     }
 
     @Test
     void aClaimWhoseAnswerIsLostIsTheClaimantsAllTheSame() {
         nodes(3);
         boolean[] once = {true};
-        cluster.store.unheard =
+        cluster.store.losesResponseOf =
                 transaction ->
                         transaction.writes().stream()
                                         .anyMatch(
@@ -208,22 +208,22 @@
     void oneThatTheCloudDoesNotAnswerGivesTheDutyAway() {
         nodes(3);
         SimulatedNode first = cluster.nodes.get(holder("cloud"));
-        cluster.cloud.withheld = client -> client == first;
+        cluster.cloud.holdsBackRequestsOf = client -> client == first;
         cluster.submit(cluster.nodes.get("k0"), job("j-1", Shape.GANG, 3, 4));
-        double took = until(10, () -> cluster.cloud.named == 3);
-        assertTrue(took < 3 * cluster.reportS, "took " + took);
+        double took = until(10, () -> cluster.cloud.nameCount == 3);
+        assertTrue(took < 3 * cluster.heartbeatIntervalSeconds, "took " + took);
         assertTrue(!first.name.equals(holder("cloud")));
         // What the network kept runs minutes late, under names that were settled meanwhile.
         cluster.run(60);
-        cluster.cloud.heldBack.forEach(Runnable::run);
+        cluster.cloud.heldBackRequests.forEach(Runnable::run);
         cluster.run(5);
-        assertEquals(3, cluster.cloud.named);
+        assertEquals(3, cluster.cloud.nameCount);
     }
 
     @Test
     void whenTheCloudAnswersNobodyTheDutyDoesNotGoRound() {
         nodes(3);
-        cluster.cloud.out = true;
+        cluster.cloud.unavailable = true;
         cluster.submit(cluster.nodes.get("k0"), job("j-1", Shape.GANG, 3, 4));
         long before = token("cloud");
         cluster.run(180);
@@ -232,17 +232,17 @@
         assertTrue(
                 token("cloud") - before <= 15,
                 "changed hands " + (token("cloud") - before) + " times");
-        cluster.cloud.out = false;
+        cluster.cloud.unavailable = false;
         cluster.run(40);
-        assertEquals(3, cluster.cloud.named);
+        assertEquals(3, cluster.cloud.nameCount);
     }
 
     @Test
     void inMinutesOfRandomEndsNoTwoAreEverEntitled() {
         for (int seed = 0; seed < 5; seed++) {
             SimulatedCluster cluster = new SimulatedCluster();
-            cluster.reportS = 2;
-            cluster.leaseS = 20;
+            cluster.heartbeatIntervalSeconds = 2;
+            cluster.leaseSeconds = 20;
             cluster.cloud.capacity = 100;
             List.of("k0", "k1", "k2").forEach(cluster.siblings::add);
             cluster.siblings.forEach(cluster::node);
--- a/src/test/java/io/kitepath/core/DutySeedsTest.java
+++ b/src/test/java/io/kitepath/core/DutySeedsTest.java
@@ -26,11 +26,11 @@
 
         Run(long seed) {
             random = new Random(seed);
-            cluster.reportS = 2;
-            cluster.leaseS = 40;
+            cluster.heartbeatIntervalSeconds = 2;
+            cluster.leaseSeconds = 40;
             cluster.cloud.capacity = 1000;
-            cluster.cloud.listLagS = 8;
-            cluster.cloud.bootS = n -> 5;
+            cluster.cloud.listLagSeconds = 8;
+            cluster.cloud.bootSeconds = n -> 5;
             for (int i = 0; i < 2 + seed % 2; i++) {
                 cluster.siblings.add("k" + i);
             }
@@ -39,20 +39,20 @@
         }
 
         void badNetwork(boolean so) {
-            cluster.latencyS =
+            cluster.latencySeconds =
                     so
                             ? () ->
                                     random.nextInt(20) == 0
                                             ? random.nextDouble() * 1.5
                                             : 0.002 + random.nextDouble() * 0.05
                             : null;
-            cluster.losesAnswer = so ? () -> random.nextInt(25) == 0 : () -> false;
-            cluster.cloud.withheld = so ? client -> random.nextInt(6) == 0 : client -> false;
+            cluster.losesNextResponse = so ? () -> random.nextInt(25) == 0 : () -> false;
+            cluster.cloud.holdsBackRequestsOf = so ? client -> random.nextInt(6) == 0 : client -> false;
         }
 
         void late() {
-            List<Runnable> held = List.copyOf(cluster.cloud.heldBack);
-            cluster.cloud.heldBack.clear();
+            List<Runnable> held = List.copyOf(cluster.cloud.heldBackRequests);
+            cluster.cloud.heldBackRequests.clear();
             held.forEach(r -> cluster.after(30 + random.nextDouble() * 60, r));
         }
 
@@ -111,16 +111,16 @@
                 r.serve("j-" + i, 2 + r.random.nextInt(5));
                 String at = "seed " + seed + ", job " + i;
                 assertEquals("done", r.cluster.status(r.cluster.leader(), "j-" + i), at);
-                assertEquals(r.needed, r.cluster.cloud.named, at);
+                assertEquals(r.needed, r.cluster.cloud.nameCount, at);
                 assertEquals(r.needed, r.cluster.cloud.released.stream().distinct().count(), at);
                 assertEquals(
                         0,
-                        r.cluster.store.keys.keySet().stream()
+                        r.cluster.store.entries.keySet().stream()
                                 .filter(key -> key.startsWith(StoreKeys.CLOUD_INTENTS))
                                 .count(),
                         at);
             }
-            assertEquals(List.of(), r.cluster.broken, "seed " + seed);
+            assertEquals(List.of(), r.cluster.violations, "seed " + seed);
             assertEquals(
                     r.needed,
                     r.cluster.workers.values().stream().mapToInt(worker -> worker.started).sum(),
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -34,13 +34,13 @@
     /** Nodes without machines, and a cloud whose machines are up at once and listed late. */
     private static SimulatedCluster world() {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.reportS = 2;
-        cluster.leaseS = 10;
-        cluster.reportsChanges = true;
-        cluster.cloud.listLagS = 8;
+        cluster.heartbeatIntervalSeconds = 2;
+        cluster.leaseSeconds = 10;
+        cluster.reportsChangesImmediately = true;
+        cluster.cloud.listLagSeconds = 8;
         cluster.cloud.capacity = 30;
-        cluster.cloud.bootS = n -> 0.2 + n * 0.7 % 1.8;
-        cluster.runsFor = id -> id.equals("j-2") ? 1e6 : 22;
+        cluster.cloud.bootSeconds = n -> 0.2 + n * 0.7 % 1.8;
+        cluster.taskSeconds = id -> id.equals("j-2") ? 1e6 : 22;
         for (int i = 0; i < 3; i++) {
             cluster.siblings.add("k" + i);
         }
@@ -55,7 +55,7 @@
                         bound(job("j-1", Shape.GANG, 4, 2)),
                         spread(job("j-2", Shape.SERVICE, 2, 2)),
                         bound(job("j-3", Shape.ARRAY, 3, 2)))) {
-            while (!cluster.accepted.containsKey(spec.id())) {
+            while (!cluster.acceptedAt.containsKey(spec.id())) {
                 cluster.submit(
                         cluster.nodes.values().stream()
                                 .filter(node -> node.alive)
@@ -69,7 +69,7 @@
     /** Rentals on record that are not known to be settled, while a machine of theirs is up. */
     private static boolean upBeforeKnown(SimulatedCluster cluster) {
         return !cluster.workers.isEmpty()
-                && cluster.store.keys.subMap(StoreKeys.RENTAL_INTENTS, StoreKeys.RENTAL_INTENTS + "~").values().stream()
+                && cluster.store.entries.subMap(StoreKeys.RENTAL_INTENTS, StoreKeys.RENTAL_INTENTS + "~").values().stream()
                         .anyMatch(entry -> !((Map<?, ?>) entry.value()).containsKey("machines"));
     }
 
@@ -99,15 +99,15 @@
         cluster.run(90);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
         assertEquals("done", cluster.status(cluster.leader(), "j-3"), at);
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
         if (starts > 0) {
             assertEquals(starts, starts(cluster), at);
         }
-        assertTrue(cluster.cloud.named <= most, at + ": rented " + cluster.cloud.named);
+        assertTrue(cluster.cloud.nameCount <= most, at + ": rented " + cluster.cloud.nameCount);
         assertEquals(Map.of(), cluster.cloud.machines, at);
         assertEquals(
                 List.of(),
-                cluster.store.keys.keySet().stream()
+                cluster.store.entries.keySet().stream()
                         .filter(key -> key.startsWith(StoreKeys.CLOUD_INTENTS))
                         .toList(),
                 at);
@@ -126,7 +126,7 @@
                 TASKS,
                 cluster.onMachines("j-1") + cluster.onMachines("j-2") + cluster.onMachines("j-3"));
         rests(cluster, TASKS, 12, "nothing goes wrong");
-        return cluster.cloud.named;
+        return cluster.cloud.nameCount;
     }
 
     // ---- each write, as the leader ends
@@ -176,18 +176,18 @@
                                         1,
                                         Integer::sum);
                                 if (cut) {
-                                    cluster.workers.values().forEach(worker -> worker.cut = true);
+                                    cluster.workers.values().forEach(worker -> worker.isCutOff = true);
                                     cluster.after(
                                             4,
                                             () ->
                                                     cluster.workers
                                                             .values()
-                                                            .forEach(worker -> worker.cut = false));
+                                                            .forEach(worker -> worker.isCutOff = false));
                                 }
                                 ends(cluster, holder(cluster));
                             });
                 };
-        cluster.store.unheard =
+        cluster.store.losesResponseOf =
                 transaction -> {
                     boolean rents =
                             transaction.writes().stream()
@@ -200,7 +200,7 @@
                     }
                     return false;
                 };
-        cluster.store.late =
+        cluster.store.executionDelaySeconds =
                 transaction -> {
                     boolean rents =
                             transaction.writes().stream()
@@ -222,7 +222,7 @@
                         + " s later"
                         + (cut ? ", machines cut" : "");
         rests(cluster, TASKS, 2 * usual, at);
-        return count[0] > n && cluster.cloud.named > 0;
+        return count[0] > n && cluster.cloud.nameCount > 0;
     }
 
     @Test
@@ -260,8 +260,8 @@
         for (int who = 0; who < 3; who++) {
             for (double ends = 0.02; ends < 4; ends += 0.4) {
                 SimulatedCluster cluster = world();
-                cluster.cloud.swallow = 3;
-                cluster.store.withheld =
+                cluster.cloud.responsesToLose = 3;
+                cluster.store.holdsBack =
                         transaction ->
                                 transaction.writes().stream()
                                         .anyMatch(
@@ -288,9 +288,9 @@
                 cluster.run(4);
                 // What came of it can be put down from now on; what was withheld is carried out
                 // late.
-                cluster.store.withheld = transaction -> false;
+                cluster.store.holdsBack = transaction -> false;
                 cluster.run(2);
-                cluster.store.heldBack.forEach(cluster.store::execute);
+                cluster.store.heldBackTransactions.forEach(cluster.store::execute);
                 cluster.run(10);
                 rests(cluster, TASKS, 2 * usual, "end " + who + " after " + ends);
             }
@@ -315,12 +315,12 @@
             Map<String, String> last = new TreeMap<>();
             int[] moved = new int[1];
             boolean[] calm = new boolean[1];
-            SimulatedCluster.Reach plain = cluster.reach;
-            cluster.reach =
+            SimulatedCluster.Reach plain = cluster.workerNetwork;
+            cluster.workerNetwork =
                     new SimulatedCluster.Reach() {
                         @Override
-                        public List<String> up() {
-                            return plain.up();
+                        public List<String> aliveNodes() {
+                            return plain.aliveNodes();
                         }
 
                         @Override
@@ -333,10 +333,10 @@
                             plain.heartbeat(node, heartbeat, lost ? response -> {} : answer);
                         }
                     };
-            cluster.store.late =
+            cluster.store.executionDelaySeconds =
                     transaction ->
                             !calm[0] && random.nextInt(4) == 0 ? 1 + random.nextDouble() * 5 : 0;
-            cluster.store.unheard = transaction -> !calm[0] && random.nextInt(6) == 0;
+            cluster.store.losesResponseOf = transaction -> !calm[0] && random.nextInt(6) == 0;
             handIn(cluster);
             for (int i = 0; i < 3; i++) {
                 cluster.run(0.5 + random.nextDouble() * 5);
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -24,7 +24,7 @@
 
     @AfterEach
     void neverTwice() {
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     private SimulatedNode fleet(int nodes, int machines, double cpus) {
@@ -59,7 +59,7 @@
     @Test
     void aTakeoverOfNineHundredMachinesPlacesAsSoonAsTheirWorkersHaveReported() {
         SimulatedNode first = fleet(3, 900, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 60);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 60);
         arrays(first, 10, 300);
         cluster.run(3);
         assertEquals(
@@ -82,7 +82,7 @@
         int before = second.requests;
         cluster.submit(second, job("j-900", Shape.ARRAY, 500, 1));
         // Idle machines' reports were held by the node that died, for which their workers wait 4 s.
-        cluster.run(4 + 2 * cluster.reportS);
+        cluster.run(4 + 2 * cluster.heartbeatIntervalSeconds);
         assertEquals(500, running("j-900"));
         // 900 machines that report anew cost the store nothing.
         assertTrue(second.requests - before < 60, "requests: " + (second.requests - before));
@@ -95,17 +95,17 @@
     @Test
     void machinesThatFallSilentTogetherAndComeBackRunNothingTwice() {
         SimulatedNode node = fleet(2, 200, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 40);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 40);
         arrays(node, 4, 200);
         cluster.run(3);
         List<SimulatedWorker> cut = cluster.workers.values().stream().limit(70).toList();
-        cut.forEach(worker -> worker.cut = true);
+        cut.forEach(worker -> worker.isCutOff = true);
         // Their leases end, but nobody can know that: their tasks count as running until they
         // report anew.
-        cluster.run(cluster.leaseS + 2);
+        cluster.run(cluster.leaseSeconds + 2);
         assertEquals(
                 800, cluster.workers.values().stream().mapToInt(worker -> worker.started).sum());
-        cut.forEach(worker -> worker.cut = false);
+        cut.forEach(worker -> worker.isCutOff = false);
         cluster.run(100);
         for (int i = 0; i < 4; i++) {
             assertEquals("done", cluster.status(node, "j-" + (100 + i)));
@@ -122,9 +122,9 @@
                         .filter(worker -> !worker.tasks.isEmpty())
                         .findFirst()
                         .orElseThrow();
-        still.cut = true;
+        still.isCutOff = true;
         cluster.run(3);
-        still.cut = false;
+        still.isCutOff = false;
         cluster.run(60);
         assertEquals("done", cluster.status(node, "j-100"));
         assertEquals(6, cluster.workers.values().stream().mapToInt(worker -> worker.started).sum());
@@ -133,7 +133,7 @@
     @Test
     void aCrashOfAllNodesDuringABurstLosesNoJobAndStartsNoTaskTwice() {
         SimulatedNode node = fleet(3, 100, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 8);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 8);
         String[] ids = arrays(node, 12, 60);
         cluster.nodes.values().forEach(SimulatedNode::crash);
         cluster.run(3);
@@ -149,7 +149,7 @@
     @Test
     void tenThousandTasksThatWaitOnAFullFleetCostAHolderABoundedRound() {
         SimulatedNode node = fleet(1, 1000, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 1000);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 1000);
         arrays(node, 10, 400);
         cluster.run(4);
         assertEquals(
@@ -171,7 +171,7 @@
     @Test
     void gapsThatAreKeptForALargeGangAreUsedByGangsThatWillBeOverBeforeItStarts() {
         SimulatedNode node = fleet(1, 20, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 200);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 200);
         JobSpec spec = job("j-100", Shape.ARRAY, 30, 1);
         cluster.submit(
                 node,
@@ -233,13 +233,13 @@
     void lesserWorkLeavesAnIdleMachineToTheGangThatIsAboutToCome() {
         cluster.teams.put("red", new ClusterSettings.Team("red", 16, 0, 0, 0));
         SimulatedNode node = fleet(1, 4, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 1);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 1);
         for (int i = 0; i < 6; i++) {
             cluster.submit(
                     node, with(job("j-1" + i, Shape.GANG, 1, 4), "red", Priority.HIGH, false));
             cluster.run(1.9);
         }
-        cluster.workers.values().forEach(worker -> worker.runsFor = 30);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 30);
         cluster.submit(node, with(job("j-200", Shape.ARRAY, 100, 1), "red", Priority.LOW, false));
         cluster.run(1.4);
         assertEquals(12, running("j-200"));
@@ -303,7 +303,7 @@
     @Test
     void afterHundredsOfJobsTheHolderRemembersOnlyWhatIsOpen() {
         SimulatedNode node = fleet(1, 10, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 1);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 1);
         for (int i = 0; i < 400; i++) {
             // Users name the classes: any number of them.
             cluster.submit(
--- a/src/test/java/io/kitepath/core/GiveAndTakeTest.java
+++ b/src/test/java/io/kitepath/core/GiveAndTakeTest.java
@@ -28,7 +28,7 @@
                     cluster.nodes.values().forEach(node -> node.crash());
                     cluster.siblings.forEach(cluster::node);
                     cluster.run(12);
-                    cluster.runsFor = id -> 30;
+                    cluster.taskSeconds = id -> 30;
                     JobSpec urgent =
                             SimulatedCluster.with(
                                     SimulatedCluster.job("j-1", Shape.ARRAY, 4 / cpus, cpus),
@@ -44,7 +44,7 @@
                     cluster.submit(cluster.leader(), urgentFirst ? urgent : guaranteed);
                     cluster.run(7);
                     cluster.submit(cluster.leader(), urgentFirst ? guaranteed : urgent);
-                    cluster.rules.calm();
+                    cluster.invariants.troublesAreOver();
                     cluster.run(200);
                     String at =
                             "urgent of "
@@ -56,7 +56,7 @@
                     assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
                     assertEquals("done", cluster.status(cluster.leader(), "j-2"), at);
                     assertTrue(evicted <= 8, at + ": " + evicted + " stopped");
-                    assertEquals(List.of(), cluster.broken, at);
+                    assertEquals(List.of(), cluster.violations, at);
                 }
             }
         }
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
@@ -37,10 +37,10 @@
         SimulatedCluster cluster = settled(3, 5);
         ReportCopies copies = new ReportCopies(cluster);
         cluster.cloud.capacity = 10;
-        cluster.runsFor = id -> 5 + Math.floorMod(id.hashCode(), 9) * 4;
+        cluster.taskSeconds = id -> 5 + Math.floorMod(id.hashCode(), 9) * 4;
         copies.keeps = heartbeat -> random.nextInt(3) == 0;
         copies.answerHeldS = () -> random.nextInt(6) == 0 ? random.nextDouble() * 5 : 0;
-        cluster.directHeldS = () -> random.nextInt(3) == 0 ? 0.6 + random.nextDouble() * 9 : 0;
+        cluster.directCommandHoldSeconds = () -> random.nextInt(3) == 0 ? 0.6 + random.nextDouble() * 9 : 0;
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
             String id = "j-" + (10 + i);
@@ -66,14 +66,14 @@
             SimulatedWorker worker = up.get(random.nextInt(up.size()));
             double lasts = random.nextDouble() * 15;
             switch (random.nextInt(8)) {
-                case 0 -> worker.hangsUntil = cluster.clock.now + lasts;
+                case 0 -> worker.hangingUntil = cluster.clock.now + lasts;
                 case 1 -> {
-                    worker.cut = true;
-                    cluster.after(lasts, () -> worker.cut = false);
+                    worker.isCutOff = true;
+                    cluster.after(lasts, () -> worker.isCutOff = false);
                 }
                 case 2 -> {
-                    worker.deaf = true;
-                    cluster.after(lasts, () -> worker.deaf = false);
+                    worker.receivesNothing = true;
+                    cluster.after(lasts, () -> worker.receivesNothing = false);
                 }
                 case 3 -> {
                     worker.die();
@@ -97,10 +97,10 @@
             }
         }
         copies.answerHeldS = () -> 0;
-        cluster.directHeldS = () -> 0;
+        cluster.directCommandHoldSeconds = () -> 0;
         copies.keeps = heartbeat -> false;
         cluster.run(15);
-        cluster.rules.calm();
+        cluster.invariants.troublesAreOver();
         copies.bringAll(copies.kept);
         cluster.run(200);
         for (String id : jobs) {
@@ -109,11 +109,11 @@
                     response != null && response.verdict() == Verdict.KNOWN,
                     "seed " + seed + ": " + id + " " + response);
             assertEquals(
-                    cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    cluster.reportedCancelledAt.containsKey(id) ? "cancelled" : "done",
                     response.jobStatus().status(),
                     "seed " + seed + ": " + id);
         }
-        assertEquals(List.of(), cluster.broken, "seed " + seed);
+        assertEquals(List.of(), cluster.violations, "seed " + seed);
         assertTrue(copies.brought > 50, "seed " + seed + ": " + copies.brought);
         heldUp += copies.late;
         assertFalse(
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsTest.java
@@ -59,11 +59,11 @@
 
     /** Until another token is the store's. */
     static void untilNextLeader(SimulatedCluster cluster) {
-        long before = cluster.store.token();
-        for (int i = 0; i < 400 && cluster.store.token() == before; i++) {
+        long before = cluster.store.leaderFencingToken();
+        for (int i = 0; i < 400 && cluster.store.leaderFencingToken() == before; i++) {
             cluster.run(0.05);
         }
-        assertTrue(cluster.store.token() > before);
+        assertTrue(cluster.store.leaderFencingToken() > before);
     }
 
     private void repeat(double every, double forS, Runnable r) {
@@ -81,7 +81,7 @@
      */
     private double latestStart(double offset, boolean withCopies) {
         world(3, 4);
-        cluster.runsFor = id -> 3;
+        cluster.taskSeconds = id -> 3;
         List<Heartbeat> old = lastOf(3);
         if (withCopies) {
             repeat(0.2, 40, () -> copies.bringAll(old));
@@ -97,7 +97,7 @@
             latest = Math.max(latest, cluster.clock.now - since);
             cluster.run(3.7);
         }
-        assertEquals(List.of(), cluster.broken, "offset " + offset);
+        assertEquals(List.of(), cluster.violations, "offset " + offset);
         assertEquals(8, starts(cluster), "offset " + offset);
         assertEquals(
                 withCopies, copies.brought > 500 && copies.ofItsToken > 200, "offset " + offset);
@@ -126,23 +126,23 @@
      */
     private int sentOn(double slow, double takenBefore, boolean withCopies) {
         world(3, 6);
-        cluster.runsFor = id -> 200;
+        cluster.taskSeconds = id -> 200;
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 6, 4));
         cluster.run(8);
         List<Heartbeat> old = lastOf(takenBefore + 2);
         long sessions = sessions(cluster);
         copies.sentOn = 0;
-        cluster.store.slowS = slow;
+        cluster.store.extraLatencySeconds = slow;
         if (withCopies) {
             repeat(0.25, 12, () -> copies.bringAll(old));
         }
         ends(cluster.leader(), 0.3);
         cluster.run(14);
-        cluster.store.slowS = 0;
+        cluster.store.extraLatencySeconds = 0;
         cluster.run(20);
         String at = "slow " + slow + ", taken " + takenBefore;
         assertEquals(withCopies, copies.brought > 300, at);
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
         assertEquals(sessions, sessions(cluster), at);
         assertEquals(6, starts(cluster), at);
         return copies.sentOn;
@@ -181,7 +181,7 @@
         int during = 0;
         for (double moment = 1.5; moment < 2.8; moment += 0.05) {
             world(3, 3);
-            cluster.runsFor = id -> 20;
+            cluster.taskSeconds = id -> 20;
             List<Heartbeat> old = lastOf(3);
             repeat(0.1, 20, () -> copies.bringAll(old));
             cluster.run(moment);
@@ -210,7 +210,7 @@
             cluster.run(12);
             during += starts(cluster) < 3 ? 1 : 0;
             cluster.run(70);
-            assertEquals(List.of(), cluster.broken, "out at " + moment);
+            assertEquals(List.of(), cluster.violations, "out at " + moment);
             assertFalse(deaf[0], "out at " + moment);
             assertEquals(3, starts(cluster), "out at " + moment);
         }
@@ -232,15 +232,15 @@
             for (double arrives = 0; arrives < 5; arrives += 0.9) {
                 for (boolean all : new boolean[] {true, false}) {
                     world(3, 4);
-                    cluster.runsFor = id -> id.equals("j-1") ? 4 : 9;
-                    cluster.mistaken.add("j-1");
+                    cluster.taskSeconds = id -> id.equals("j-1") ? 4 : 9;
+                    cluster.jobsThatFailEverywhere.add("j-1");
                     copies.keeps = heartbeat -> true;
                     cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 3, 1));
                     cluster.submit(cluster.leader(), job("j-2", Shape.GANG, 3, 2));
                     cluster.submit(cluster.leader(), job("j-3", Shape.ARRAY, 5, 1));
                     for (int i = 0; i < 3; i++) {
                         cluster.run(changes);
-                        cluster.mistaken.clear();
+                        cluster.jobsThatFailEverywhere.clear();
                         SimulatedNode ends = leading(cluster);
                         if (ends != null) {
                             ends(ends, 0.3);
@@ -260,14 +260,14 @@
                     String at =
                             "changes " + changes + ", arrives " + arrives + (all ? " for all" : "");
                     ofItsToken += copies.ofItsToken;
-                    assertEquals(List.of(), cluster.broken, at);
+                    assertEquals(List.of(), cluster.violations, at);
                     assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
                     assertEquals("done", cluster.status(cluster.leader(), "j-2"), at);
                     assertTrue(
                             List.of("done", "cancelled")
                                     .contains(cluster.status(cluster.leader(), "j-3")),
                             at);
-                    assertEquals(0, cluster.dropped, at);
+                    assertEquals(0, cluster.responsesDropped, at);
                     assertTrue(
                             cluster.leader().controller.shard.machines().values().stream()
                                     .allMatch(
@@ -291,8 +291,8 @@
     private void gone(boolean returned, double dies, double every) {
         world(3, 4);
         cluster.cloud.capacity = 20;
-        cluster.cloud.bootS = n -> 20;
-        cluster.runsFor = id -> 15;
+        cluster.cloud.bootSeconds = n -> 20;
+        cluster.taskSeconds = id -> 15;
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 4));
         cluster.run(6 + dies);
         List<Heartbeat> old = lastOf(2).subList(0, 3);
@@ -314,7 +314,7 @@
         untilNextLeader(cluster);
         cluster.submit(other(cluster, cluster.leader()), job("j-2", Shape.ARRAY, 8, 4));
         double began = cluster.clock.now;
-        for (int i = 1; cluster.clock.now - began < 2 * cluster.leaseS; i++) {
+        for (int i = 1; cluster.clock.now - began < 2 * cluster.leaseSeconds; i++) {
             long more = i;
             copies.bringAll(
                     old.stream()
@@ -348,7 +348,7 @@
                     at);
         }
         double calm = cluster.clock.now;
-        cluster.rules.calm();
+        cluster.invariants.troublesAreOver();
         while (!"done".equals(cluster.status(cluster.leader(), "j-2"))
                 && cluster.clock.now - calm < 200) {
             cluster.run(1);
@@ -356,10 +356,10 @@
         // Three leases until nearly all that seemed to be there is given up, a boot, and the jobs
         // themselves.
         assertTrue(
-                cluster.clock.now - calm < 3 * cluster.leaseS + 20 + 4 * 15,
+                cluster.clock.now - calm < 3 * cluster.leaseSeconds + 20 + 4 * 15,
                 at + ": done after " + (cluster.clock.now - calm));
         cluster.run(20);
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
         assertTrue(
                 cluster.leader().controller.shard.machines().keySet().stream()
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -25,11 +25,11 @@
     /** Three nodes, no machine, and room for many at a cloud whose lists lag. */
     private static SimulatedCluster world() {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.reportS = 2;
-        cluster.leaseS = 20;
+        cluster.heartbeatIntervalSeconds = 2;
+        cluster.leaseSeconds = 20;
         cluster.cloud.capacity = 100;
-        cluster.cloud.listLagS = 12;
-        cluster.cloud.bootS = n -> 15;
+        cluster.cloud.listLagSeconds = 12;
+        cluster.cloud.bootSeconds = n -> 15;
         for (int i = 0; i < 3; i++) {
             cluster.siblings.add("k" + i);
         }
@@ -40,7 +40,7 @@
 
     @AfterEach
     void rules() {
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** A gang that needs six machines. */
@@ -65,12 +65,12 @@
     private static SimulatedNode carrier(SimulatedCluster cluster) {
         return cluster.nodes.get(
                 (String)
-                        ((Map<?, ?>) cluster.store.keys.get(StoreKeys.ROLES + "cloud").value())
+                        ((Map<?, ?>) cluster.store.entries.get(StoreKeys.ROLES + "cloud").value())
                                 .get("node"));
     }
 
     private static long records(SimulatedCluster cluster, String prefix) {
-        return cluster.store.keys.keySet().stream().filter(key -> key.startsWith(prefix)).count();
+        return cluster.store.entries.keySet().stream().filter(key -> key.startsWith(prefix)).count();
     }
 
     private static void restart(SimulatedCluster cluster, SimulatedNode node, double afterS) {
@@ -80,11 +80,11 @@
 
     private void theHolderEndsOnceSixAreRented(double laterS) {
         want(cluster);
-        until(cluster, 5, () -> cluster.cloud.named == 6);
+        until(cluster, 5, () -> cluster.cloud.nameCount == 6);
         cluster.run(laterS);
         restart(cluster, cluster.leader(), 6);
         cluster.run(60);
-        assertEquals(6, cluster.cloud.named);
+        assertEquals(6, cluster.cloud.nameCount);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
     }
 
@@ -95,22 +95,22 @@
 
     @Test
     void aRentalWhoseAnswerNobodyHeardIsAskedForAgainUnderItsName() {
-        cluster.cloud.swallow = 1;
+        cluster.cloud.responsesToLose = 1;
         theHolderEndsOnceSixAreRented(0);
     }
 
     @Test
     void aRentalThatRunsMinutesLateIsUnderTheNameThatTheNextHolderSettled() {
         SimulatedNode first = carrier(cluster);
-        cluster.cloud.withheld = client -> client == first;
+        cluster.cloud.holdsBackRequestsOf = client -> client == first;
         want(cluster);
-        until(cluster, 5, () -> !cluster.cloud.heldBack.isEmpty());
+        until(cluster, 5, () -> !cluster.cloud.heldBackRequests.isEmpty());
         first.frozenUntil = cluster.clock.now + 30;
         cluster.run(40);
-        assertEquals(6, cluster.cloud.named);
-        cluster.cloud.heldBack.forEach(Runnable::run);
+        assertEquals(6, cluster.cloud.nameCount);
+        cluster.cloud.heldBackRequests.forEach(Runnable::run);
         cluster.run(60);
-        assertEquals(6, cluster.cloud.named);
+        assertEquals(6, cluster.cloud.nameCount);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
     }
 
@@ -118,7 +118,7 @@
     void anOutcomeThatIsWrittenMinutesLateBringsNothingBack() {
         SimulatedNode first = carrier(cluster);
         // What came of the first one's requests is on its way to the store when it ends.
-        cluster.store.withheld =
+        cluster.store.holdsBack =
                 transaction ->
                         transaction.writes().stream()
                                 .anyMatch(
@@ -127,16 +127,16 @@
                                                         && write.value() instanceof Map<?, ?> m
                                                         && m.containsKey("machines"));
         want(cluster);
-        until(cluster, 5, () -> !cluster.store.heldBack.isEmpty());
-        cluster.store.withheld = transaction -> false;
+        until(cluster, 5, () -> !cluster.store.heldBackTransactions.isEmpty());
+        cluster.store.holdsBack = transaction -> false;
         restart(cluster, first, 6);
         cluster.run(60);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
         assertEquals(0, records(cluster, StoreKeys.RENTAL_INTENTS), "taken in and struck off");
-        for (Store.Transaction transaction : cluster.store.heldBack) {
+        for (Store.Transaction transaction : cluster.store.heldBackTransactions) {
             assertEquals(Store.Outcome.REJECTED, cluster.store.execute(transaction).outcome());
         }
-        assertEquals(6, cluster.cloud.named);
+        assertEquals(6, cluster.cloud.nameCount);
     }
 
     @Test
@@ -146,18 +146,18 @@
         }
         cluster.run(4);
         SimulatedNode first = carrier(cluster);
-        cluster.cloud.withheld = client -> client == first;
-        until(cluster, 200, () -> !cluster.cloud.heldBack.isEmpty());
+        cluster.cloud.holdsBackRequestsOf = client -> client == first;
+        until(cluster, 200, () -> !cluster.cloud.heldBackRequests.isEmpty());
         // Put down and sent, but not arrived: its holder ends, and work comes that would fit on
         // these machines.
         restart(cluster, first, 60);
-        cluster.cloud.out = true;
+        cluster.cloud.unavailable = true;
         cluster.run(5);
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 16, 1));
         cluster.run(20);
         assertEquals(0, cluster.onMachines("j-1"));
-        cluster.cloud.out = false;
-        cluster.cloud.heldBack.forEach(Runnable::run);
+        cluster.cloud.unavailable = false;
+        cluster.cloud.heldBackRequests.forEach(Runnable::run);
         cluster.run(120);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
         assertEquals(
@@ -174,13 +174,13 @@
                 cluster,
                 200,
                 () -> {
-                    cluster.cloud.out |= records(cluster, StoreKeys.RELEASE_INTENTS) > 0;
-                    return cluster.cloud.out;
+                    cluster.cloud.unavailable |= records(cluster, StoreKeys.RELEASE_INTENTS) > 0;
+                    return cluster.cloud.unavailable;
                 });
         cluster.run(20);
         assertEquals(List.of(), cluster.cloud.released);
         assertEquals(1, records(cluster, StoreKeys.RELEASE_INTENTS));
-        cluster.cloud.out = false;
+        cluster.cloud.unavailable = false;
         cluster.run(40);
         assertEquals(List.of("i-000000"), cluster.cloud.released);
         assertEquals(0, records(cluster, StoreKeys.RELEASE_INTENTS));
@@ -195,9 +195,9 @@
             until(cluster, 5, () -> records(cluster, StoreKeys.RENTAL_INTENTS) > 0);
             first.frozenUntil = cluster.clock.now + 25;
             cluster.run(80);
-            assertEquals(6, cluster.cloud.named);
+            assertEquals(6, cluster.cloud.nameCount);
             assertEquals("done", cluster.status(cluster.leader(), "j-1"));
-            assertEquals(List.of(), cluster.broken);
+            assertEquals(List.of(), cluster.violations);
         }
     }
 
@@ -247,7 +247,7 @@
                                                     ? List.of(carrier(cluster))
                                                     : cluster.nodes.values());
                     for (SimulatedNode node : ending) {
-                        node.endAfter(
+                        node.crashAfterRequests(
                                 n,
                                 () -> {
                                     ends[0]++;
@@ -259,9 +259,9 @@
                     points += ends[0];
                     String at = "ended " + who + " at request " + n + ", back after " + backS;
                     assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
-                    assertEquals(6, cluster.cloud.named, at);
+                    assertEquals(6, cluster.cloud.nameCount, at);
                     cluster.run(150);
-                    assertEquals(List.of(), cluster.broken, at);
+                    assertEquals(List.of(), cluster.violations, at);
                     assertEquals(6, cluster.cloud.released.stream().distinct().count(), at);
                     assertEquals(0, records(cluster, StoreKeys.CLOUD_INTENTS), at);
                     if (ends[0] == 0) {
@@ -279,18 +279,18 @@
     void aMachineThatGoesIsNotPlacedOnBySomebodyWhoHearsOfItLater() {
         cluster.worker("i-000000", "a");
         cluster.run(4);
-        cluster.cloud.withheld = client -> true;
-        until(cluster, 200, () -> !cluster.cloud.heldBack.isEmpty());
+        cluster.cloud.holdsBackRequestsOf = client -> true;
+        until(cluster, 200, () -> !cluster.cloud.heldBackRequests.isEmpty());
         cluster.nodes.values().forEach(SimulatedNode::crash);
         cluster.run(1);
-        cluster.cloud.out = true;
+        cluster.cloud.unavailable = true;
         cluster.siblings.forEach(cluster::node);
         cluster.run(6);
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 1, 1));
         cluster.run(10);
         assertEquals(0, cluster.workers.get("i-000000").started);
-        cluster.cloud.out = false;
-        cluster.cloud.withheld = client -> false;
+        cluster.cloud.unavailable = false;
+        cluster.cloud.holdsBackRequestsOf = client -> false;
         cluster.run(60);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
     }
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -54,7 +54,7 @@
         if (response.verdict() == Verdict.KNOWN) {
             told.add(new Told(node.name, asked, cluster.clock.now, response.jobStatus().status()));
             if (response.jobStatus().status().equals("cancelled")) {
-                cluster.toldCancelled.putIfAbsent(ID, cluster.clock.now);
+                cluster.reportedCancelledAt.putIfAbsent(ID, cluster.clock.now);
             }
         }
     }
@@ -72,7 +72,7 @@
     /** Whoever is told anything makes everybody ask and submit again, at all nodes, at once. */
     private void cancel(SimulatedNode node) {
         double asked = cluster.clock.now;
-        cluster.rules.asksToCancel(ID);
+        cluster.invariants.cancellationRequested(ID);
         node.controller
                 .jobApi()
                 .cancel(
@@ -94,16 +94,16 @@
         told.clear();
         lastEnd = 0;
         written = 0;
-        cluster.fetchS = shape == Shape.GANG ? id -> 0.3 : null;
+        cluster.imageFetchSeconds = shape == Shape.GANG ? id -> 0.3 : null;
         int[] i = {0};
         cluster.workers
                 .values()
                 .forEach(
                         worker ->
-                                worker.runsFor =
+                                worker.taskSeconds =
                                         shape == Shape.GANG ? forS : forS - 1.3 * (i[0]++ % 3));
-        cluster.clock.ends = task -> lastEnd = task.jobId.equals(ID) ? cluster.clock.now : lastEnd;
-        cluster.store.written =
+        cluster.clock.onTaskEnd = task -> lastEnd = task.jobId.equals(ID) ? cluster.clock.now : lastEnd;
+        cluster.store.onCommit =
                 (client, transaction) -> {
                     if (transaction.writes().stream()
                             .anyMatch(write -> write.key().equals(StoreKeys.ENDED_JOBS + ID))) {
@@ -145,7 +145,7 @@
                                         worker.tasks.values().stream()
                                                 .anyMatch(task -> task.jobId.equals(ID))),
                 at + ": an ended task is still reported");
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
         return last;
     }
 
@@ -215,9 +215,9 @@
                 .forEach(node -> assertEquals(last, cluster.status(node, NEXT), at + ": " + NEXT));
         assertEquals(
                 last.equals("done") ? 2 : 0,
-                cluster.completed.getOrDefault(NEXT, Set.of()).size(),
+                cluster.completedTasks.getOrDefault(NEXT, Set.of()).size(),
                 at);
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
     }
 
     @Test
@@ -267,7 +267,7 @@
                                         assertEquals(
                                                 "cancelled", cluster.status(node, NEXT), what));
                 assertEquals("done", cluster.status(cluster.leader(), ID), what);
-                assertEquals(List.of(), cluster.broken, what);
+                assertEquals(List.of(), cluster.violations, what);
             }
         }
         assertTrue(began > 0, "it was never cancelled after its turn had come");
@@ -282,8 +282,8 @@
                 begins(Shape.SERVICE, 1, 6, false);
                 cluster.run(2);
                 double end =
-                        cluster.clock.lastStarts.get(ID + "/0").worker.runsFor
-                                + cluster.accepted.get(ID);
+                        cluster.clock.lastStarts.get(ID + "/0").worker.taskSeconds
+                                + cluster.acceptedAt.get(ID);
                 cluster.run(end + off - cluster.clock.now);
                 looks();
                 cancel(cluster.nodes.get("k" + which));
@@ -301,7 +301,7 @@
             for (int tasks : new int[] {1, 3, 8}) {
                 for (double forS = 4; forS < 8.2; forS += 0.21) {
                     begins(shape, tasks, forS, true);
-                    while (cluster.completed.getOrDefault(ID, Set.of()).size() < tasks) {
+                    while (cluster.completedTasks.getOrDefault(ID, Set.of()).size() < tasks) {
                         cluster.run(0.05);
                         assertTrue(cluster.clock.now < 300, "never ended");
                     }
@@ -329,9 +329,9 @@
         for (long seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
             cluster = settled(3, 8);
-            cluster.closeLooks = true;
-            cluster.fetchS = id -> 0.2;
-            cluster.runsFor = id -> 7 + Math.floorMod(id.hashCode(), 5) * 0.4;
+            cluster.pollsRightAfterAnswers = true;
+            cluster.imageFetchSeconds = id -> 0.2;
+            cluster.taskSeconds = id -> 7 + Math.floorMod(id.hashCode(), 5) * 0.4;
             List<String> jobs = new ArrayList<>();
             for (int i = 0; i < 14; i++) {
                 String id = "j-" + (100 + i);
@@ -349,12 +349,12 @@
                                 ? new String[] {"j-10" + random.nextInt(4)}
                                 : new String[0]);
             }
-            cluster.clock.ends =
+            cluster.clock.onTaskEnd =
                     task ->
                             cluster.after(
                                     random.nextDouble() * (random.nextBoolean() ? 0.05 : 0.8),
                                     () ->
-                                            cluster.users.cancel(
+                                            cluster.loadGenerator.cancel(
                                                     cluster.nodes.get("k" + random.nextInt(3)),
                                                     task.jobId));
             for (int i = 0; i < 400; i++) {
@@ -372,7 +372,7 @@
                 both[said.contains("done") ? 0 : 1]++;
                 assertEquals(0, cluster.onMachines(id), "seed " + seed + " " + id);
             }
-            assertEquals(List.of(), cluster.broken, "seed " + seed);
+            assertEquals(List.of(), cluster.violations, "seed " + seed);
         }
         assertTrue(both[0] > 20 && both[1] > 20, "done " + both[0] + ", cancelled " + both[1]);
     }
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -30,17 +30,17 @@
 
     private void workers(int n) {
         for (int i = 0; i < n; i++) {
-            cluster.worker("i-" + String.format("%06d", i), "a").runsFor = 20 + i % 9 * 5;
+            cluster.worker("i-" + String.format("%06d", i), "a").taskSeconds = 20 + i % 9 * 5;
         }
     }
 
     private void fall() {
-        cluster.store.valueBytes = 2048;
-        cluster.store.txnOps = 13;
+        cluster.store.largestValueBytes = 2048;
+        cluster.store.largestTransactionOperations = 13;
     }
 
     private void largestIs(int bytes) {
-        cluster.store.keys.forEach(
+        cluster.store.entries.forEach(
                 (key, entry) ->
                         assertTrue(
                                 JsonSize.sizeInBytes(entry.value()) <= bytes,
@@ -49,7 +49,7 @@
 
     @Test
     void whatIsAnnouncedIsKeptToFromTheStart() {
-        cluster.next = LOW;
+        cluster.announcedStoreLimits = LOW;
         SimulatedNode node = cluster.node("k0");
         workers(150);
         cluster.run(5);
@@ -65,18 +65,18 @@
         cluster.run(90);
         assertEquals("done", cluster.status(node, "j-1"));
         assertEquals("done", cluster.status(node, "j-2"));
-        assertEquals(0, cluster.store.overLimits);
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(0, cluster.store.transactionsOverLimits);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** One job whose records are full says nothing about whether there is room for others. */
     @Test
     void aJobWhoseRecordsAreFullKeepsNobodyWaiting() {
-        cluster.next = LOW;
+        cluster.announcedStoreLimits = LOW;
         SimulatedNode node = cluster.node("k0");
         workers(250);
         cluster.run(5);
-        cluster.runsFor = id -> id.equals("j-1") ? 1000 : 20;
+        cluster.taskSeconds = id -> id.equals("j-1") ? 1000 : 20;
         cluster.submit(node, SimulatedCluster.job("j-1", Shape.ARRAY, 256, 3));
         cluster.run(10);
         assertTrue(cluster.onMachines("j-1") < 200, "records take " + cluster.onMachines("j-1"));
@@ -92,13 +92,13 @@
         workers(400);
         cluster.run(5);
         java.util.Random random = new java.util.Random(2);
-        cluster.runsFor = id -> id.equals("j-3") ? 10_000 : 20 + random.nextInt(40);
+        cluster.taskSeconds = id -> id.equals("j-3") ? 10_000 : 20 + random.nextInt(40);
         cluster.submit(old, SimulatedCluster.job("j-1", Shape.ARRAY, 250, 3));
         cluster.submit(old, SimulatedCluster.job("j-3", Shape.SERVICE, 250, 0.5));
         cluster.run(5);
-        assertTrue(JsonSize.sizeInBytes(cluster.store.keys.get(StoreKeys.partKey("j-1", 0)).value()) > 2048);
+        assertTrue(JsonSize.sizeInBytes(cluster.store.entries.get(StoreKeys.partKey("j-1", 0)).value()) > 2048);
         old.crash();
-        cluster.next = LOW;
+        cluster.announcedStoreLimits = LOW;
         fall();
         SimulatedNode node = cluster.node("k1");
         cluster.run(20);
@@ -116,8 +116,8 @@
         assertEquals(250, cluster.onMachines("j-3"));
         assertEquals("done", cluster.status(node, "j-1"));
         assertEquals("done", cluster.status(node, "j-4"));
-        assertEquals(List.of(), cluster.broken);
-        assertEquals(0, cluster.store.overLimits);
+        assertEquals(List.of(), cluster.violations);
+        assertEquals(0, cluster.store.transactionsOverLimits);
         // Takes over what it laid out anew.
         node.crash();
         SimulatedNode next = cluster.node("k2");
@@ -129,10 +129,10 @@
         cluster.run(60);
         assertEquals(
                 List.of(),
-                cluster.store.keys.keySet().stream()
+                cluster.store.entries.keySet().stream()
                         .filter(key -> key.startsWith(StoreKeys.JOB_PARTS))
                         .toList());
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
@@ -147,34 +147,34 @@
             t.cluster.run(3);
             t.cluster.submit(old, SimulatedCluster.job("j-1", Shape.GANG, 200, 2));
             assertNull(
-                    ((Map<?, ?>) t.cluster.store.keys.get(StoreKeys.OPEN_JOBS + "j-1").value())
+                    ((Map<?, ?>) t.cluster.store.entries.get(StoreKeys.OPEN_JOBS + "j-1").value())
                             .get("partTasks"));
             old.crash();
-            t.cluster.next = LOW;
+            t.cluster.announcedStoreLimits = LOW;
             t.fall();
             SimulatedNode node = t.cluster.node("k1");
             t.cluster.run(4);
             t.workers(150);
             if (at > 0) {
-                node.endAfter(at, () -> {});
+                node.crashAfterRequests(at, () -> {});
             }
             t.cluster.run(1);
             SimulatedNode other = t.cluster.node("k2");
             t.cluster.run(60);
             assertEquals("done", t.cluster.status(other, "j-1"), "ended at " + at);
-            assertEquals(List.of(), t.cluster.broken);
+            assertEquals(List.of(), t.cluster.violations);
         }
     }
 
     @Test
     void limitsLowerThanAnnouncedSlowDownButDontStop() {
-        cluster.next = LOW;
+        cluster.announcedStoreLimits = LOW;
         SimulatedNode node = cluster.node("k0");
         workers(60);
-        cluster.runsFor = id -> 20;
+        cluster.taskSeconds = id -> 20;
         cluster.run(5);
-        cluster.store.txnOps = 5;
-        cluster.store.valueBytes = 900;
+        cluster.store.largestTransactionOperations = 5;
+        cluster.store.largestValueBytes = 900;
         for (int i = 0; i < 30; i++) {
             // All at once, so that there is much to write in one transaction.
             node.controller
@@ -187,14 +187,14 @@
         for (int i = 0; i < 30; i++) {
             assertEquals("done", cluster.status(node, "j-" + (100 + i)));
         }
-        assertTrue(cluster.store.overLimits > 0);
-        assertTrue(cluster.store.overLimits < 60, cluster.store.overLimits + " refused");
-        assertEquals(List.of(), cluster.broken);
+        assertTrue(cluster.store.transactionsOverLimits > 0);
+        assertTrue(cluster.store.transactionsOverLimits < 60, cluster.store.transactionsOverLimits + " refused");
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
     void whatCantBeKeptIsRefusedAtOnceAndNotForEver() {
-        cluster.next = LOW;
+        cluster.announcedStoreLimits = LOW;
         SimulatedNode node = cluster.node("k0");
         cluster.run(3);
         JobSpec spec = SimulatedCluster.job("j-1", Shape.ARRAY, 1, 1);
@@ -225,7 +225,7 @@
                         0,
                         null);
         assertEquals(Verdict.INVALID, cluster.submit(node, large).verdict());
-        cluster.store.valueBytes = 100;
+        cluster.store.largestValueBytes = 100;
         assertEquals(Verdict.INVALID, cluster.submit(node, spec).verdict());
     }
 
@@ -263,7 +263,7 @@
                             0,
                             null));
         }
-        cluster.next = LOW;
+        cluster.announcedStoreLimits = LOW;
         fall();
         old.crash();
         SimulatedNode node = cluster.node("k1");
@@ -272,7 +272,7 @@
         workers(1);
         cluster.run(40);
         assertEquals("done", cluster.status(node, "j-1"));
-        assertEquals(0, cluster.store.overLimits);
+        assertEquals(0, cluster.store.transactionsOverLimits);
     }
 
     /**
@@ -288,7 +288,7 @@
         assertEquals(300, cluster.onMachines("j-1"));
         cluster.run(25); // Some of it is done by now.
         old.crash();
-        cluster.valueKb = 2;
+        cluster.valueKilobytes = 2;
         fall();
         SimulatedNode node = cluster.node("k1");
         cluster.run(1);
@@ -303,8 +303,8 @@
                         });
         cluster.run(250);
         assertEquals("done", cluster.status(node, "j-1"));
-        assertEquals(300, cluster.completed.get("j-1").size());
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(300, cluster.completedTasks.get("j-1").size());
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** What earlier versions would take for something else they can't read at all. */
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -39,13 +39,13 @@
             for (int times = 1; times <= 4; times++) {
                 for (double refused : new double[] {0, 0.7, 1.6, 3}) {
                     SimulatedCluster cluster = settled(3, 4);
-                    cluster.closeLooks = true;
+                    cluster.pollsRightAfterAnswers = true;
                     cluster.cloud.capacity = 4;
-                    cluster.runsFor = id -> 25;
+                    cluster.taskSeconds = id -> 25;
                     handIn(cluster, 0, job("j-1", Shape.ARRAY, 8, 2));
                     cluster.run(3);
                     int[] left = {times};
-                    cluster.store.unheard =
+                    cluster.store.losesResponseOf =
                             transaction -> {
                                 var claim =
                                         transaction.writes().stream()
@@ -67,7 +67,7 @@
                                 cluster.after(refused, () -> node.cutFromStore = false);
                                 return true;
                             };
-                    long before = cluster.store.token();
+                    long before = cluster.store.leaderFencingToken();
                     SimulatedNode old = cluster.leader();
                     cluster.nodes.values().stream()
                             .filter(
@@ -84,14 +84,14 @@
                                             .forEach(node -> cluster.node(node.name)));
                     handIn(cluster, 1, job("j-2", Shape.GANG, 2, 1));
                     cluster.run(1);
-                    cluster.users.cancel(cluster.nodes.get("k1"), "j-2");
+                    cluster.loadGenerator.cancel(cluster.nodes.get("k1"), "j-2");
                     handIn(cluster, 2, job("j-3", Shape.ARRAY, 30, 4));
                     cluster.run(20);
                     String at = key + " won unawares " + times + " times, refused for " + refused;
-                    cluster.rules.calm();
+                    cluster.invariants.troublesAreOver();
                     cluster.run(160);
                     assertTrue(left[0] < times, at);
-                    assertTrue(cluster.store.token() > before, at);
+                    assertTrue(cluster.store.leaderFencingToken() > before, at);
                     assertEquals(
                             0,
                             cluster.nodes.values().stream()
@@ -117,7 +117,7 @@
                                     at + ": " + id);
                         }
                     }
-                    assertEquals(List.of(), cluster.broken, at);
+                    assertEquals(List.of(), cluster.violations, at);
                 }
             }
         }
@@ -136,14 +136,14 @@
         for (double at = 0.2; at < 5; at += 0.25) {
             for (int how = 0; how < 6; how++) {
                 SimulatedCluster cluster = settled(3, 4);
-                cluster.closeLooks = true;
-                cluster.runsFor = id -> 90;
+                cluster.pollsRightAfterAnswers = true;
+                cluster.taskSeconds = id -> 90;
                 handIn(cluster, 0, job("j-1", how % 2 == 0 ? Shape.ARRAY : Shape.GANG, 4, 2));
                 cluster.run(at);
                 SimulatedNode holder = cluster.leader();
                 SimulatedNode by = how < 2 ? holder : MeetingsTest.other(cluster, holder);
                 int[] lost = {0};
-                cluster.store.unheard =
+                cluster.store.losesResponseOf =
                         transaction ->
                                 transaction.writes().stream()
                                                 .anyMatch(
@@ -154,33 +154,33 @@
                                                                                         + "j-1"))
                                         && lost[0]++ < 1;
                 if (how >= 2) {
-                    cluster.store.hangs = client -> client == holder;
-                    cluster.nodes.values().forEach(n -> n.losesWord = true);
+                    cluster.store.ignoresRequestsOf = client -> client == holder;
+                    cluster.nodes.values().forEach(n -> n.losesPeerMessages = true);
                 }
-                cluster.users.cancel(by, "j-1");
+                cluster.loadGenerator.cancel(by, "j-1");
                 cluster.run(0.02);
                 if (how >= 4) {
                     by.kill();
                     cluster.after(3, () -> cluster.node(by.name));
                 }
                 for (SimulatedNode n : cluster.nodes.values()) {
-                    cluster.users.ask(n, "j-1");
+                    cluster.loadGenerator.queryStatus(n, "j-1");
                 }
                 cluster.run(1.5);
                 if (how == 3 || how == 5) {
                     ends(cluster, 0.3);
                 }
                 cluster.run(45);
-                cluster.store.hangs = client -> false;
+                cluster.store.ignoresRequestsOf = client -> false;
                 String when = "cancelled after " + at + ", way " + how;
-                assertTrue(lost[0] > 0 && cluster.toldCancelled.containsKey("j-1"), when);
+                assertTrue(lost[0] > 0 && cluster.reportedCancelledAt.containsKey("j-1"), when);
                 cluster.run(10);
                 assertEquals(0, cluster.onMachines("j-1"), when);
                 cluster.nodes
                         .values()
                         .forEach(n -> assertEquals("cancelled", cluster.status(n, "j-1"), when));
-                assertEquals(List.of(), cluster.broken, when);
-                assertEquals(0, cluster.rules.startsAfterCancellation(), when);
+                assertEquals(List.of(), cluster.violations, when);
+                assertEquals(0, cluster.invariants.startsAfterCancellation(), when);
                 runs++;
             }
         }
@@ -196,14 +196,14 @@
         int cancelled = 0;
         for (int i = 0; i < 40; i++) {
             SimulatedCluster cluster = settled(3, 4);
-            cluster.closeLooks = true;
-            cluster.cancelsAtEnd = task -> true;
+            cluster.pollsRightAfterAnswers = true;
+            cluster.cancelsOnCompletion = task -> true;
             double longer = i * 0.05;
-            cluster.runsFor = id -> 3 + longer;
+            cluster.taskSeconds = id -> 3 + longer;
             // The moves themselves take a while, so that either may be first.
-            cluster.store.slowS = i % 4 * 0.03;
+            cluster.store.extraLatencySeconds = i % 4 * 0.03;
             int[] lost = {0};
-            cluster.store.unheard =
+            cluster.store.losesResponseOf =
                     transaction ->
                             transaction.writes().stream()
                                             .anyMatch(
@@ -213,7 +213,7 @@
                 handIn(cluster, j, job("j-1" + j, j % 2 == 0 ? Shape.ARRAY : Shape.GANG, 1 + j, 1));
             }
             cluster.run(12);
-            cluster.rules.calm();
+            cluster.invariants.troublesAreOver();
             cluster.run(100);
             String at = "run " + i;
             assertTrue(lost[0] >= 4, at);
@@ -229,7 +229,7 @@
                 done += said.contains("done") ? 1 : 0;
                 cancelled += said.contains("cancelled") ? 1 : 0;
             }
-            assertEquals(List.of(), cluster.broken, at);
+            assertEquals(List.of(), cluster.violations, at);
         }
         System.out.println(
                 "ends and cancellations unheard: " + done + " done, " + cancelled + " cancelled");
@@ -248,14 +248,14 @@
             for (int how = 0; how < 4; how++) {
                 SimulatedCluster cluster = settled(3, 4);
                 Random random = new Random(how);
-                cluster.runsFor = id -> 70;
+                cluster.taskSeconds = id -> 70;
                 handIn(cluster, 0, job("j-1", Shape.ARRAY, 4, 1));
                 handIn(cluster, 1, job("j-2", Shape.GANG, 4, 1));
                 cluster.run(4);
-                cluster.closeLooks = true;
+                cluster.pollsRightAfterAnswers = true;
                 boolean some = how == 1;
                 int[] lost = {0};
-                cluster.store.unheard =
+                cluster.store.losesResponseOf =
                         transaction ->
                                 transaction.writes().isEmpty()
                                         && (!some || random.nextInt(3) > 0)
@@ -267,18 +267,18 @@
                             .forEach(node -> holder.cutFrom.add(node.name));
                 }
                 if (how == 3) {
-                    cluster.store.hangs = client -> client == holder;
+                    cluster.store.ignoresRequestsOf = client -> client == holder;
                 }
                 cluster.run(0.5);
-                cluster.users.cancel(MeetingsTest.other(cluster, holder), "j-1");
+                cluster.loadGenerator.cancel(MeetingsTest.other(cluster, holder), "j-1");
                 for (double t = 0; t < lasts; t += 0.5) {
-                    cluster.nodes.values().forEach(node -> cluster.users.ask(node, "j-2"));
+                    cluster.nodes.values().forEach(node -> cluster.loadGenerator.queryStatus(node, "j-2"));
                     cluster.run(0.5);
                 }
-                cluster.store.unheard = transaction -> false;
-                cluster.store.hangs = client -> false;
+                cluster.store.losesResponseOf = transaction -> false;
+                cluster.store.ignoresRequestsOf = client -> false;
                 holder.cutFrom.clear();
-                cluster.rules.calm();
+                cluster.invariants.troublesAreOver();
                 cluster.run(130);
                 String at = "comparisons unheard for " + lasts + ", way " + how;
                 assertTrue(lost[0] > 0, at);
@@ -292,7 +292,7 @@
                 if (how < 2) {
                     assertEquals(cluster.workers.size(), sessions(cluster), at);
                 }
-                assertEquals(List.of(), cluster.broken, at);
+                assertEquals(List.of(), cluster.violations, at);
             }
         }
     }
@@ -312,10 +312,10 @@
                 cluster.run(3);
                 cluster.submit(old, job("j-1", Shape.GANG, 200, 2));
                 old.crash();
-                cluster.next = new ClusterSettings.StoreLimits(1000, 1000, 2, 13);
+                cluster.announcedStoreLimits = new ClusterSettings.StoreLimits(1000, 1000, 2, 13);
                 int[] lost = {0};
                 int most = times;
-                cluster.store.unheard =
+                cluster.store.losesResponseOf =
                         transaction -> {
                             boolean anew =
                                     transaction.conditions().stream()
@@ -359,7 +359,7 @@
                 assertTrue(lost[0] > 0, at);
                 assertEquals("done", cluster.status(cluster.nodes.get("k2"), "j-1"), at);
                 assertEquals(200, MeetingsTest.starts(cluster), at);
-                assertEquals(List.of(), cluster.broken, at);
+                assertEquals(List.of(), cluster.violations, at);
             }
         }
     }
