--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -59,7 +59,7 @@
             this.which = which;
             this.times = times;
             this.then = then;
-            cluster.store.unheard = this::test;
+            cluster.store.losesResponseOf = this::test;
         }
 
         private boolean test(Transaction transaction) {
@@ -118,15 +118,15 @@
      * handOver} says so.
      */
     private static void day(SimulatedCluster cluster, boolean handOver) {
-        cluster.closeLooks = true;
+        cluster.pollsRightAfterAnswers = true;
         cluster.cloud.capacity = 4;
-        cluster.runsFor = id -> 5;
+        cluster.taskSeconds = id -> 5;
         handIn(cluster, 0, job("j-1", Shape.ARRAY, 6, 2));
         handIn(cluster, 1, job("j-2", Shape.GANG, 4, 2));
         handIn(cluster, 2, job("j-3", Shape.ARRAY, 2, 1), "j-1");
         handIn(cluster, 0, job("j-4", Shape.ARRAY, 2, 1), "j-2");
         cluster.run(1);
-        cluster.users.cancel(cluster.nodes.get("k1"), "j-2");
+        cluster.loadGenerator.cancel(cluster.nodes.get("k1"), "j-2");
         cluster.run(1);
         if (handOver) {
             SimulatedNode node = leading(cluster);
@@ -140,7 +140,7 @@
         }
         handIn(cluster, 1, job("j-5", Shape.ARRAY, 24, 4));
         cluster.run(3);
-        cluster.users.cancel(cluster.nodes.get("k2"), "j-1");
+        cluster.loadGenerator.cancel(cluster.nodes.get("k2"), "j-1");
         cluster.run(16);
     }
 
@@ -151,7 +151,7 @@
      * is rented.
      */
     private static void oneEnd(SimulatedCluster cluster, String at) {
-        cluster.rules.calm();
+        cluster.invariants.troublesAreOver();
         cluster.run(100);
         SimulatedNode leader = cluster.leader();
         for (String id : JOBS) {
@@ -168,7 +168,7 @@
         for (String prefix : List.of(StoreKeys.OPEN_JOBS, StoreKeys.JOB_PARTS, StoreKeys.CLOUD_INTENTS)) {
             assertEquals(
                     List.of(),
-                    cluster.store.keys.keySet().stream()
+                    cluster.store.entries.keySet().stream()
                             .filter(key -> key.startsWith(prefix))
                             .toList(),
                     at);
@@ -184,7 +184,7 @@
                 leader.controller.shard.machines().values().stream()
                         .noneMatch(machine -> machine.isMissingAnswers()),
                 at);
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
     }
 
     private static int writesOfADay(boolean handOver) {
@@ -208,14 +208,14 @@
         for (int times = 1; times <= 2; times++) {
             for (int i = 0; i < all; i++) {
                 SimulatedCluster cluster = settled(3, 4);
-                long token = cluster.store.token();
+                long token = cluster.store.leaderFencingToken();
                 Loss loss = new Loss(cluster, i, times, () -> {});
                 day(cluster, false);
                 String at = "write " + i + " unheard " + times + " times";
                 oneEnd(cluster, at);
                 assertTrue(loss.lost > 0, at);
                 // Nobody takes it for another's and stands back, and no work is lost over it.
-                assertEquals(token, cluster.store.token(), at);
+                assertEquals(token, cluster.store.leaderFencingToken(), at);
                 assertEquals(cluster.workers.size(), sessions(cluster), at);
                 seen(kinds, loss.keys);
                 repeated += loss.lost > 1 ? 1 : 0;
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -39,8 +39,8 @@
         for (double held = 0.6; held < 16; held += 0.8) {
             SimulatedCluster cluster = settled(2, 2);
             double late = held;
-            cluster.directHeldS = () -> late;
-            cluster.runsFor = id -> id.equals("j-1") ? 25 : 5;
+            cluster.directCommandHoldSeconds = () -> late;
+            cluster.taskSeconds = id -> id.equals("j-1") ? 25 : 5;
             cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 2, 4));
             cluster.run(4);
             assertEquals(2, cluster.onMachines("j-1"));
@@ -53,7 +53,7 @@
             assertEquals("done", cluster.status(cluster.leader(), "j-2"), "held " + held);
             assertEquals("done", cluster.status(cluster.leader(), "j-1"), "held " + held);
             assertEquals(6, starts(cluster), "held " + held);
-            assertEquals(List.of(), cluster.broken, "held " + held);
+            assertEquals(List.of(), cluster.violations, "held " + held);
         }
     }
 
@@ -66,11 +66,11 @@
         for (double stands = 1; stands < 26; stands += 1) {
             for (double at = 0.1; at < 2.5; at += 0.4) {
                 SimulatedCluster cluster = settled(2, 3);
-                cluster.runsFor = id -> 8;
+                cluster.taskSeconds = id -> 8;
                 SimulatedWorker worker = cluster.workers.get("i-000000");
                 cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 3, 4));
                 cluster.run(at);
-                worker.hangsUntil = cluster.clock.now + stands;
+                worker.hangingUntil = cluster.clock.now + stands;
                 cluster.submit(
                         cluster.leader(),
                         SimulatedCluster.with(
@@ -79,7 +79,7 @@
                 cluster.cancel(cluster.leader(), "j-2");
                 cluster.run(70);
                 String when = "stands " + stands + " from " + at;
-                assertEquals(List.of(), cluster.broken, when);
+                assertEquals(List.of(), cluster.violations, when);
                 assertEquals("done", cluster.status(cluster.leader(), "j-1"), when);
             }
         }
@@ -93,11 +93,11 @@
         for (double slow : new double[] {0.05, 0.2, 0.4, 0.8, 1.2}) {
             for (boolean takeover : new boolean[] {false, true}) {
                 SimulatedCluster cluster = settled(3, 4);
-                cluster.runsFor = id -> 20;
+                cluster.taskSeconds = id -> 20;
                 cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 8, 1));
                 cluster.run(4);
                 long before = sessions(cluster);
-                cluster.store.slowS = slow;
+                cluster.store.extraLatencySeconds = slow;
                 List<String> handedIn = new ArrayList<>(List.of("j-1"));
                 for (int i = 0; i < 10; i++) {
                     String id = "j-" + (10 + i);
@@ -120,15 +120,15 @@
                     cluster.run(2.5);
                     cluster.ask(cluster.nodes.get("k" + (i + 1) % 3), handedIn.get(i / 2));
                 }
-                cluster.store.slowS = 0;
+                cluster.store.extraLatencySeconds = 0;
                 cluster.run(60);
                 String at = "slow " + slow + (takeover ? " with a takeover" : "");
                 for (String id : handedIn) {
                     var response = cluster.ask(cluster.leader(), id);
                     // One whose user heard nothing may or may not be there.
-                    if (cluster.accepted.containsKey(id)) {
+                    if (cluster.acceptedAt.containsKey(id)) {
                         assertEquals(
-                                cluster.toldCancelled.containsKey(id)
+                                cluster.reportedCancelledAt.containsKey(id)
                                         ? "cancelled"
                                         : response.jobStatus().status(),
                                 response.jobStatus().status(),
@@ -141,8 +141,8 @@
                 if (slow < 0.3) {
                     assertEquals(before, sessions(cluster), at);
                 }
-                assertEquals(List.of(), cluster.broken, at);
-                assertEquals(0, cluster.dropped, at);
+                assertEquals(List.of(), cluster.violations, at);
+                assertEquals(0, cluster.responsesDropped, at);
             }
         }
     }
@@ -177,8 +177,8 @@
             int which, double late, int[] count, Map<String, Integer> kinds, double crashAt) {
         SimulatedCluster cluster = settled(3, 4);
         cluster.cloud.capacity = 8;
-        cluster.runsFor = id -> 7;
-        cluster.store.late =
+        cluster.taskSeconds = id -> 7;
+        cluster.store.executionDelaySeconds =
                 transaction -> {
                     if (count[0]++ == which) {
                         transaction
@@ -217,7 +217,7 @@
             cluster.submit(
                     cluster.nodes.get("k1"),
                     cluster.specs.get(id),
-                    cluster.needs.getOrDefault(id, List.of()).toArray(String[]::new));
+                    cluster.dependencies.getOrDefault(id, List.of()).toArray(String[]::new));
         }
         cluster.cancel(cluster.nodes.get("k2"), "j-2");
         cluster.submit(cluster.nodes.get("k0"), job("j-5", Shape.ARRAY, 60, 2));
@@ -242,10 +242,10 @@
             for (int i = 0; i < all[0]; i += 1) {
                 SimulatedCluster cluster = day(i, late, new int[1], kinds, 1);
                 String at = "write " + i + " late by " + late;
-                assertEquals(List.of(), cluster.broken, at);
-                for (String id : cluster.accepted.keySet()) {
+                assertEquals(List.of(), cluster.violations, at);
+                for (String id : cluster.acceptedAt.keySet()) {
                     String status = cluster.status(cluster.leader(), id);
-                    boolean gone = cluster.toldCancelled.containsKey(id);
+                    boolean gone = cluster.reportedCancelledAt.containsKey(id);
                     assertTrue(
                             status.equals(gone ? "cancelled" : "done")
                                     || id.equals("j-4") && status.equals("cancelled"),
@@ -253,7 +253,7 @@
                 }
                 assertEquals(
                         0,
-                        cluster.store.keys.keySet().stream()
+                        cluster.store.entries.keySet().stream()
                                 .filter(key -> key.startsWith(StoreKeys.OPEN_JOBS))
                                 .count(),
                         at);
@@ -271,8 +271,8 @@
             Random random = new Random(seed);
             SimulatedCluster cluster = settled(3, 5);
             cluster.cloud.capacity = 10;
-            cluster.runsFor = id -> 6 + Math.floorMod(id.hashCode(), 9);
-            cluster.store.late =
+            cluster.taskSeconds = id -> 6 + Math.floorMod(id.hashCode(), 9);
+            cluster.store.executionDelaySeconds =
                     transaction -> random.nextInt(3) == 0 ? 2 + random.nextDouble() * 10 : 0;
             for (int i = 0; i < 12; i++) {
                 cluster.submit(
@@ -295,16 +295,16 @@
                 }
             }
             cluster.run(10);
-            cluster.store.late = transaction -> 0;
+            cluster.store.executionDelaySeconds = transaction -> 0;
             cluster.run(120);
-            for (String id : cluster.accepted.keySet()) {
+            for (String id : cluster.acceptedAt.keySet()) {
                 var response = cluster.ask(cluster.leader(), id);
                 assertTrue(
                         response.verdict() == Verdict.KNOWN
                                 && List.of("done", "cancelled").contains(response.jobStatus().status()),
                         "seed " + seed + ": " + id + " " + response);
             }
-            assertEquals(List.of(), cluster.broken, "seed " + seed);
+            assertEquals(List.of(), cluster.violations, "seed " + seed);
         }
     }
 
@@ -316,7 +316,7 @@
         cluster.cloud.capacity =
                 8; // For the machines that are given back, as what hears nobody is after three
         // leases.
-        cluster.runsFor = id -> 90;
+        cluster.taskSeconds = id -> 90;
         JobSpec spec = job("j-1", shape, 4, 4);
         cluster.submit(
                 cluster.leader(),
@@ -332,8 +332,8 @@
         cluster.run(2);
         lost.forEach(
                 worker -> {
-                    worker.deaf = deaf;
-                    worker.cut = !deaf;
+                    worker.receivesNothing = deaf;
+                    worker.isCutOff = !deaf;
                 });
         cluster.run(leaderEnds);
         SimulatedNode node = cluster.leader();
@@ -342,8 +342,8 @@
         cluster.run(lasts);
         lost.forEach(
                 worker -> {
-                    worker.deaf = false;
-                    worker.cut = false;
+                    worker.receivesNothing = false;
+                    worker.isCutOff = false;
                 });
         cluster.run(280);
         String at =
@@ -353,7 +353,7 @@
                         + ", lasts "
                         + lasts
                         + (deaf ? " deaf" : " cut");
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
         assertTrue(
                 cluster.leader().controller.shard.machines().values().stream()
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -61,7 +61,7 @@
         for (double cut = 0.5; cut <= 2 * 10; cut += 0.5) {
             for (double cancelAfter : new double[] {0.1, 0.4, 0.9}) {
                 cluster = settled(3, 4);
-                cluster.runsFor = id -> 300;
+                cluster.taskSeconds = id -> 300;
                 SimulatedNode holder = cluster.leader();
                 cluster.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
                 cluster.submit(holder, job("j-2", Shape.ARRAY, 6, 1));
@@ -81,13 +81,13 @@
                 cluster.ask(holder, "j-1");
                 cluster.run(40);
                 String at = "cut " + cut + ", cancelled after " + cancelAfter;
-                assertEquals(List.of(), cluster.broken, at);
+                assertEquals(List.of(), cluster.violations, at);
                 assertEquals(
                         response != null && response.verdict() == Verdict.KNOWN ? 0 : 6,
                         cluster.onMachines("j-1"),
                         at);
                 assertEquals(6, cluster.onMachines("j-2"), at);
-                assertEquals(0, cluster.dropped, at);
+                assertEquals(0, cluster.responsesDropped, at);
             }
         }
     }
@@ -97,7 +97,7 @@
     void aHolderThatIsAloneAgainAndAgainChangesNothingForWorkAndUsers() {
         for (double period = 1.5; period <= 12; period += 0.75) {
             cluster = settled(3, 4);
-            cluster.runsFor = id -> 500;
+            cluster.taskSeconds = id -> 500;
             SimulatedNode first = cluster.leader();
             cluster.submit(first, job("j-1", Shape.ARRAY, 8, 1));
             cluster.run(5);
@@ -110,7 +110,7 @@
                 cluster.ask(first, "j-1");
             }
             cluster.run(12);
-            assertEquals(List.of(), cluster.broken, "period " + period);
+            assertEquals(List.of(), cluster.violations, "period " + period);
             assertEquals(8, cluster.onMachines("j-1"), "period " + period);
             assertEquals(before, starts(cluster), "period " + period);
             assertTrue(first.controller.isHealthy());
@@ -137,7 +137,7 @@
                         false,
                         1,
                         9,
-                        cluster.store.token(),
+                        cluster.store.leaderFencingToken(),
                         null,
                         List.of(
                                 new Heartbeat.TaskStatus(
@@ -156,12 +156,12 @@
         double[] run = {4, 11, 26};
         int i = 0;
         for (SimulatedWorker worker : cluster.workers.values()) {
-            worker.runsFor = run[i++];
+            worker.taskSeconds = run[i++];
         }
         SimulatedNode holder = cluster.leader();
         cluster.submit(holder, job("j-1", shape, 3, 3));
         cluster.run(crashAt);
-        int ended = cluster.completed.getOrDefault("j-1", java.util.Set.of()).size();
+        int ended = cluster.completedTasks.getOrDefault("j-1", java.util.Set.of()).size();
         SimulatedNode ends = cluster.leader();
         ends.crash();
         if (backAfter >= 0) {
@@ -198,10 +198,10 @@
                         + (second ? " twice" : "")
                         + ", ended "
                         + ended;
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
         assertEquals(3, starts(cluster), at);
-        assertEquals(0, cluster.dropped, at);
+        assertEquals(0, cluster.responsesDropped, at);
     }
 
     @Test
@@ -221,11 +221,11 @@
     void handingOverAndBackLosesNothingAndTokensOnlyRise() {
         for (double gap = 0.05; gap < 3; gap += 0.15) {
             cluster = settled(3, 4);
-            cluster.runsFor = id -> 400;
+            cluster.taskSeconds = id -> 400;
             cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 8, 1));
             cluster.run(5);
             int before = starts(cluster);
-            long token = cluster.store.token();
+            long token = cluster.store.leaderFencingToken();
             for (int i = 0; i < 6; i++) {
                 SimulatedNode n =
                         cluster.nodes.values().stream()
@@ -239,8 +239,8 @@
                     cluster.after(gap, () -> cluster.node(n.name));
                 }
                 cluster.run(gap * 1.7);
-                assertTrue(cluster.store.token() >= token);
-                token = cluster.store.token();
+                assertTrue(cluster.store.leaderFencingToken() >= token);
+                token = cluster.store.leaderFencingToken();
             }
             check("gap " + gap, before);
         }
@@ -251,7 +251,7 @@
         for (double back : new double[] {0.05, 0.2, 0.4, 0.9, 2, 5}) {
             for (int which = 0; which < 3; which++) {
                 cluster = settled(3, 4);
-                cluster.runsFor = id -> 400;
+                cluster.taskSeconds = id -> 400;
                 cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 8, 1));
                 cluster.run(5);
                 int before = starts(cluster);
@@ -276,16 +276,16 @@
 
     private void check(String at, int startsBefore) {
         cluster.run(20);
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
         assertEquals(8, cluster.onMachines("j-1"), at);
         assertEquals(startsBefore, starts(cluster), at);
-        assertEquals(0, cluster.dropped, at);
+        assertEquals(0, cluster.responsesDropped, at);
         long highest =
                 cluster.workers.values().stream()
                         .mapToLong(worker -> worker.token)
                         .max()
                         .orElseThrow();
-        assertEquals(cluster.store.token(), highest, at);
+        assertEquals(cluster.store.leaderFencingToken(), highest, at);
     }
 
     // ---- 4. an old report after newer ones, also of an earlier session or attempt
@@ -300,16 +300,16 @@
         for (double takenAt = 0.5; takenAt < 14; takenAt += 1) {
             for (double arrives : new double[] {0.01, 0.6, 1.2, 2.5, 6, 25}) {
                 cluster = settled(2, 3);
-                cluster.runsFor = id -> 9;
+                cluster.taskSeconds = id -> 9;
                 cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 5, 2));
                 cluster.run(takenAt);
                 List<Heartbeat> old = new ArrayList<>();
-                cluster.workers.values().forEach(worker -> old.add(worker.message()));
+                cluster.workers.values().forEach(worker -> old.add(worker.currentHeartbeat()));
                 // One loses its session, one its machine; the work goes on elsewhere.
                 SimulatedWorker lost = cluster.workers.get("i-000000");
-                lost.cut = true;
+                lost.isCutOff = true;
                 cluster.run(13);
-                lost.cut = false;
+                lost.isCutOff = false;
                 cluster.run(1);
                 SimulatedNode holder = cluster.leader();
                 holder.crash();
@@ -328,9 +328,9 @@
                                                                                 response -> {}))));
                 cluster.run(70);
                 String at = "taken at " + takenAt + ", arrives after " + arrives;
-                assertEquals(List.of(), cluster.broken, at);
+                assertEquals(List.of(), cluster.violations, at);
                 assertEquals("done", cluster.status(cluster.leader(), "j-1"), at);
-                assertEquals(0, cluster.dropped, at);
+                assertEquals(0, cluster.responsesDropped, at);
             }
         }
     }
@@ -339,11 +339,11 @@
     @Test
     void anOldReportOfAMachineThatIsGoneIsOfNoOtherMachine() {
         cluster = settled(2, 2);
-        cluster.runsFor = id -> 30;
+        cluster.taskSeconds = id -> 30;
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 2));
         cluster.run(5);
         SimulatedWorker gone = cluster.workers.get("i-000000");
-        Heartbeat old = gone.message();
+        Heartbeat old = gone.currentHeartbeat();
         gone.die();
         cluster.cloud.machines.remove(gone.id);
         SimulatedWorker next = cluster.worker("i-000007", "a");
@@ -357,6 +357,6 @@
         cluster.run(60);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
         assertFalse(cluster.leader().controller.shard.machines().containsKey(gone.id));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -35,14 +35,14 @@
 class MuteAndAwayTest {
     /** All that was accepted is over, as its users wanted. */
     private static void over(SimulatedCluster cluster, double within, String at) {
-        cluster.rules.calm();
+        cluster.invariants.troublesAreOver();
         cluster.run(within);
-        assertEquals(List.of(), cluster.broken, at);
-        for (String id : cluster.accepted.keySet()) {
+        assertEquals(List.of(), cluster.violations, at);
+        for (String id : cluster.acceptedAt.keySet()) {
             var response = cluster.ask(cluster.leader(), id);
             assertEquals(Verdict.KNOWN, response.verdict(), at + ": " + id);
             assertEquals(
-                    cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    cluster.reportedCancelledAt.containsKey(id) ? "cancelled" : "done",
                     response.jobStatus().status(),
                     at + ": " + id);
         }
@@ -62,7 +62,7 @@
     /** Tasks of that job that were stopped by a command on machines that can't report it. */
     private static long stoppedOnMute(SimulatedCluster cluster, String jobId) {
         return cluster.workers.values().stream()
-                .filter(worker -> worker.mute)
+                .filter(worker -> worker.sendsNothing)
                 .flatMap(worker -> worker.tasks.values().stream())
                 .filter(
                         task ->
@@ -80,7 +80,7 @@
             int mute, double lasts, double cancelledAfter, double leaderEndsAfter) {
         SimulatedCluster cluster = settled(3, 8);
         cluster.cloud.capacity = 8;
-        cluster.runsFor = id -> id.equals("j-3") ? 8 : 25;
+        cluster.taskSeconds = id -> id.equals("j-3") ? 8 : 25;
         String at =
                 mute
                         + " mute for "
@@ -93,7 +93,7 @@
         cluster.submit(cluster.leader(), job("j-2", Shape.ARRAY, 8, 2));
         cluster.run(6);
         assertEquals(24, cluster.onMachines("j-1") + cluster.onMachines("j-2"), at);
-        cluster.workers.values().stream().limit(mute).forEach(worker -> worker.mute = true);
+        cluster.workers.values().stream().limit(mute).forEach(worker -> worker.sendsNothing = true);
         if (leaderEndsAfter >= 0) {
             cluster.after(
                     leaderEndsAfter,
@@ -107,16 +107,16 @@
                         cluster.after(0.3, () -> cluster.node(n.name));
                     });
         }
-        cluster.after(lasts, () -> cluster.workers.values().forEach(worker -> worker.mute = false));
+        cluster.after(lasts, () -> cluster.workers.values().forEach(worker -> worker.sendsNothing = false));
         cluster.run(cancelledAfter);
-        cluster.users.cancel(other(cluster, cluster.nodes.get("k0")), "j-2");
+        cluster.loadGenerator.cancel(other(cluster, cluster.nodes.get("k0")), "j-2");
         cluster.submit(cluster.nodes.get("k1"), of(job("j-3", Shape.ARRAY, 6, 4), Priority.HIGH));
         cluster.run(1);
         long stopped = stoppedOnMute(cluster, "j-2") + stoppedOnMute(cluster, "j-1");
         cluster.run(lasts);
         over(cluster, 200, at);
-        assertTrue(cluster.accepted.keySet().containsAll(Set.of("j-1", "j-2", "j-3")), at);
-        assertTrue(cluster.toldCancelled.containsKey("j-2"), at);
+        assertTrue(cluster.acceptedAt.keySet().containsAll(Set.of("j-1", "j-2", "j-3")), at);
+        assertTrue(cluster.reportedCancelledAt.containsKey("j-2"), at);
         return stopped;
     }
 
@@ -162,20 +162,20 @@
         for (double after = 0.1; after < 4; after += 0.3) {
             SimulatedCluster cluster = settled(3, 4);
             cluster.cloud.capacity = 4;
-            cluster.runsFor = id -> 5;
+            cluster.taskSeconds = id -> 5;
             List<SimulatedWorker> lost = cluster.workers.values().stream().limit(2).toList();
-            lost.forEach(worker -> worker.mute = true);
+            lost.forEach(worker -> worker.sendsNothing = true);
             cluster.run(after);
             cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 4));
             double from = cluster.clock.now;
-            while (cluster.completed.getOrDefault("j-1", Set.of()).size() < 4
+            while (cluster.completedTasks.getOrDefault("j-1", Set.of()).size() < 4
                     && cluster.clock.now - from < 90) {
                 cluster.run(1);
             }
             assertTrue(lost.stream().allMatch(worker -> worker.started == 0), "they were mute");
             // Until they count as silent, are given back and others are up; and what runs then.
             assertTrue(
-                    cluster.clock.now - from < 2 * cluster.leaseS + 15,
+                    cluster.clock.now - from < 2 * cluster.leaseSeconds + 15,
                     "after " + after + " took " + (cluster.clock.now - from));
             over(cluster, 60, "after " + after);
         }
@@ -192,7 +192,7 @@
             double from, double lasts, int[] order, double apart, boolean cancelled) {
         SimulatedCluster cluster = settled(3, 6);
         cluster.cloud.capacity = 6;
-        cluster.runsFor = id -> 7 + Math.floorMod(id.hashCode(), 3) * 9;
+        cluster.taskSeconds = id -> 7 + Math.floorMod(id.hashCode(), 3) * 9;
         String at =
                 "away after "
                         + from
@@ -213,7 +213,7 @@
         cluster.run(from);
         if (cancelled) {
             // In the moment before; its answer may or may not get out.
-            cluster.users.cancel(cluster.nodes.get("k1"), "j-3");
+            cluster.loadGenerator.cancel(cluster.nodes.get("k1"), "j-3");
             cluster.run(0.005 * from);
         }
         cluster.submit(cluster.nodes.get("k2"), job("j-4", Shape.GANG, 2, 1));
@@ -223,17 +223,17 @@
             cluster.after(lasts + i * apart, () -> cluster.node(name));
         }
         cluster.run(lasts + 2 * apart);
-        if (lasts > cluster.leaseS + cluster.reportS + 0.5) {
+        if (lasts > cluster.leaseSeconds + cluster.heartbeatIntervalSeconds + 0.5) {
             assertTrue(
                     sessions(cluster) >= before + 6,
                     at + ": their leases ended, " + sessions(cluster) + " after " + before);
         }
         cluster.run(1);
         cluster.submit(cluster.nodes.get("k1"), job("j-5", Shape.ARRAY, 4, 1));
-        cluster.users.repeat(cluster.nodes.get("k0"), "j-1");
+        cluster.loadGenerator.repeat(cluster.nodes.get("k0"), "j-1");
         over(cluster, 110, at);
-        assertTrue(cluster.accepted.keySet().containsAll(Set.of("j-1", "j-2", "j-3")), at);
-        assertEquals(cancelled, cluster.toldCancelled.containsKey("j-3"), at);
+        assertTrue(cluster.acceptedAt.keySet().containsAll(Set.of("j-1", "j-2", "j-3")), at);
+        assertEquals(cancelled, cluster.reportedCancelledAt.containsKey("j-3"), at);
     }
 
     @Test
@@ -266,7 +266,7 @@
             SimulatedCluster cluster = slow(random);
             Map<String, Double> handedIn = new HashMap<>();
             Map<String, Double> begun = new HashMap<>();
-            cluster.clock.starts = task -> begun.putIfAbsent(task.jobId, cluster.clock.now);
+            cluster.clock.onTaskStart = task -> begun.putIfAbsent(task.jobId, cluster.clock.now);
             Set<String> urgent = new HashSet<>();
             int tasks = 0;
             for (int i = 0; i < 30; i++) {
@@ -295,7 +295,7 @@
             long most = cluster.leader().controller.scheduler.preemption().evictions();
             evictions += (int) most;
             over(cluster, 400, "seed " + seed);
-            assertEquals(30, cluster.accepted.size(), "seed " + seed);
+            assertEquals(30, cluster.acceptedAt.size(), "seed " + seed);
             most = cluster.leader().controller.scheduler.preemption().evictions();
             // Each task that gives way does so for one that is more urgent, and not over and over.
             assertTrue(
@@ -325,12 +325,12 @@
         SimulatedCluster cluster = new SimulatedCluster();
         cluster.teams.put("red", new ClusterSettings.Team("red", 8, 20, 0, 0));
         cluster.teams.put("blue", new ClusterSettings.Team("blue", 8, 16, 0, 0));
-        cluster.reportS = 2;
-        cluster.leaseS = 10;
-        cluster.reportsChanges = true;
-        cluster.runsFor = id -> 6 + Math.floorMod(id.hashCode(), 9);
-        cluster.latencyS = () -> 0.01 + 0.3 * random.nextDouble() * random.nextDouble();
-        cluster.directDelayS = 0.1 + random.nextDouble();
+        cluster.heartbeatIntervalSeconds = 2;
+        cluster.leaseSeconds = 10;
+        cluster.reportsChangesImmediately = true;
+        cluster.taskSeconds = id -> 6 + Math.floorMod(id.hashCode(), 9);
+        cluster.latencySeconds = () -> 0.01 + 0.3 * random.nextDouble() * random.nextDouble();
+        cluster.directCommandDelaySeconds = 0.1 + random.nextDouble();
         for (int i = 0; i < 3; i++) {
             cluster.siblings.add("k" + i);
         }
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/OneZoneTest.java
@@ -73,16 +73,16 @@
     private static Set<String> zonesOf(SimulatedCluster cluster, String jobId) {
         return cluster.workers.values().stream()
                 .flatMap(worker -> worker.tasks.values().stream())
-                .filter(task -> task.on() && task.jobId.equals(jobId))
+                .filter(task -> task.isOnMachine() && task.jobId.equals(jobId))
                 .map(task -> task.worker.zone)
                 .collect(Collectors.toSet());
     }
 
     private static void rests(SimulatedCluster cluster, String at) {
-        for (String id : cluster.accepted.keySet()) {
+        for (String id : cluster.acceptedAt.keySet()) {
             assertEquals("done", cluster.status(cluster.leader(), id), at + ": " + id);
         }
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
     }
 
     // ---- attempts that are not proven over
@@ -95,7 +95,7 @@
      */
     private static void knownByNameAlone(JobSpec spec, double leaderEnds, double freeAt) {
         SimulatedCluster cluster = zones(2, 1, 2);
-        cluster.runsFor = id -> id.equals("j-0") ? 2 + freeAt : 40;
+        cluster.taskSeconds = id -> id.equals("j-0") ? 2 + freeAt : 40;
         cluster.submit(cluster.leader(), in("b", job("j-0", Shape.ARRAY, 2, 4)));
         cluster.run(1);
         cluster.submit(cluster.leader(), spec);
@@ -103,19 +103,19 @@
         SimulatedWorker worker = cluster.workers.get("i-000000");
         assertEquals(1, worker.tasks.size());
         SimulatedTask held = worker.tasks.values().iterator().next();
-        cluster.cloud.out = true;
-        worker.cut = true;
+        cluster.cloud.unavailable = true;
+        worker.isCutOff = true;
         cluster.run(leaderEnds);
         cluster.leader().kill();
         cluster.run(5 - leaderEnds);
         String at = spec + " leader ends after " + leaderEnds + ", free at " + freeAt;
         // The meeting: the task goes on, and the leader has it on a machine of which nobody has
         // said where it is.
-        assertTrue(held.on(), at);
+        assertTrue(held.isOnMachine(), at);
         assertNull(cluster.leader().controller.shard.machines().get(worker.id).zone(), at);
         cluster.run(8);
-        worker.cut = false;
-        cluster.cloud.out = false;
+        worker.isCutOff = false;
+        cluster.cloud.unavailable = false;
         cluster.run(300);
         rests(cluster, at);
     }
@@ -141,7 +141,7 @@
             Random random = new Random(seed);
             SimulatedCluster cluster = zones(3, 4, 4);
             cluster.cloud.capacity = 8;
-            cluster.runsFor = id -> 5 + random.nextInt(25);
+            cluster.taskSeconds = id -> 5 + random.nextInt(25);
             for (int i = 0; i < 4; i++) {
                 JobSpec spec =
                         job(
@@ -157,7 +157,7 @@
                         cluster.workers.values().stream()
                                 .filter(
                                         worker ->
-                                                worker.up && !worker.cut && !worker.tasks.isEmpty())
+                                                worker.up && !worker.isCutOff && !worker.tasks.isEmpty())
                                 .toList();
                 if (!busy.isEmpty()) {
                     SimulatedWorker worker = busy.get(random.nextInt(busy.size()));
@@ -166,8 +166,8 @@
                         worker.die();
                         cluster.after(30, () -> cluster.cloud.machines.remove(worker.id));
                     } else {
-                        worker.cut = true;
-                        cluster.after(2 + random.nextDouble() * 18, () -> worker.cut = false);
+                        worker.isCutOff = true;
+                        cluster.after(2 + random.nextDouble() * 18, () -> worker.isCutOff = false);
                     }
                 }
                 cluster.run(random.nextDouble() * 5);
@@ -197,7 +197,7 @@
      */
     private static void leavesTheOtherZoneAlone(JobSpec spec, int inA, int inB, boolean takeover) {
         SimulatedCluster cluster = zones(2, inA, inB);
-        cluster.runsFor = id -> id.equals("j-9") ? 20 : id.equals("j-0") ? 6 : 1e6;
+        cluster.taskSeconds = id -> id.equals("j-9") ? 20 : id.equals("j-0") ? 6 : 1e6;
         cluster.submit(cluster.leader(), in("b", job("j-0", Shape.ARRAY, inB, 4)));
         cluster.run(1);
         cluster.submit(cluster.leader(), spec);
@@ -215,7 +215,7 @@
         assertEquals(inB, cluster.onMachines("j-9"), at);
         cluster.run(60);
         assertEquals("done", cluster.status(cluster.leader(), "j-9"), at);
-        assertEquals(List.of(), cluster.broken, at);
+        assertEquals(List.of(), cluster.violations, at);
     }
 
     @Test
@@ -230,7 +230,7 @@
     void nothingGivesWayInAZoneThatTheJobCantUse() {
         for (boolean takeover : new boolean[] {false, true}) {
             SimulatedCluster cluster = zones(2, 1, 4);
-            cluster.runsFor = id -> 1e6;
+            cluster.taskSeconds = id -> 1e6;
             cluster.submit(cluster.leader(), in("b", job("j-0", Shape.ARRAY, 4, 4)));
             cluster.run(3);
             cluster.submit(
@@ -262,8 +262,8 @@
         for (boolean takeover : new boolean[] {false, true}) {
             SimulatedCluster cluster = zones(2, 2, 4);
             cluster.cloud.capacity = 3;
-            cluster.cloud.bootS = n -> 1.5;
-            cluster.runsFor = id -> 1e6;
+            cluster.cloud.bootSeconds = n -> 1.5;
+            cluster.taskSeconds = id -> 1e6;
             // Three CPUs of each machine in zone b keep it there, with room for a task beside them.
             cluster.submit(cluster.leader(), in("b", job("j-0", Shape.SERVICE, 4, 3)));
             cluster.run(2);
@@ -280,7 +280,7 @@
             cluster.run(90);
             assertEquals(8, cluster.onMachines("j-1"), at);
             assertEquals(Set.of("a"), zonesOf(cluster, "j-1"), at);
-            assertEquals(List.of(), cluster.broken, at);
+            assertEquals(List.of(), cluster.violations, at);
         }
     }
 
@@ -291,13 +291,13 @@
             for (int tasks = 2; tasks <= 5; tasks++) {
                 SimulatedCluster cluster = zones(2, 0, 0);
                 cluster.cloud.capacity = 4;
-                cluster.cloud.bootS = n -> 1.5;
-                cluster.runsFor = id -> 400;
+                cluster.cloud.bootSeconds = n -> 1.5;
+                cluster.taskSeconds = id -> 400;
                 cluster.submit(cluster.leader(), spread(job("j-1", shape, tasks, 0.5)));
                 cluster.run(60);
                 assertEquals(tasks, cluster.onMachines("j-1"), shape + " of " + tasks);
                 assertEquals(Set.of("a", "b"), zonesOf(cluster, "j-1"));
-                assertEquals(List.of(), cluster.broken);
+                assertEquals(List.of(), cluster.violations);
             }
         }
     }
@@ -311,7 +311,7 @@
             for (double ends = -1; ends < 12; ends += 1.5) {
                 SimulatedCluster cluster = zones(2, 3, 3);
                 cluster.cloud.capacity = 3;
-                cluster.runsFor = id -> id.equals("j-1") && shape == Shape.SERVICE ? 1e6 : 30;
+                cluster.taskSeconds = id -> id.equals("j-1") && shape == Shape.SERVICE ? 1e6 : 30;
                 cluster.submit(cluster.leader(), in("b", job("j-0", Shape.ARRAY, 3, 4)));
                 cluster.run(1);
                 cluster.submit(cluster.leader(), bound(job("j-1", shape, 6, 2)));
@@ -336,7 +336,7 @@
                     cluster.after(0.3, () -> cluster.node(node.name));
                 }
                 cluster.run(120);
-                assertEquals(List.of(), cluster.broken, at);
+                assertEquals(List.of(), cluster.violations, at);
                 if (shape == Shape.SERVICE) {
                     assertEquals(6, cluster.onMachines("j-1"), at);
                 } else {
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -26,7 +26,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     private SimulatedNode cluster(int workers) {
-        cluster.reportsChanges = true;
+        cluster.reportsChangesImmediately = true;
         SimulatedNode node = cluster.node("k0");
         for (int i = 0; i < workers; i++) {
             cluster.worker("i-" + i, i % 2 == 0 ? "a" : "b");
@@ -52,7 +52,7 @@
     }
 
     private void holds() {
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -80,14 +80,14 @@
         cluster.submit(node, array("j-2", 1), "j-1");
         double[] ended = new double[1];
         double[] began = new double[1];
-        cluster.clock.ends =
+        cluster.clock.onTaskEnd =
                 task -> ended[0] = task.jobId.equals("j-1") ? cluster.clock.now : ended[0];
-        cluster.clock.starts =
+        cluster.clock.onTaskStart =
                 task -> began[0] = task.jobId.equals("j-2") ? cluster.clock.now : began[0];
         cluster.run(40);
         // A report that is due at once, one write for the end, one for the placing, the next
         // report.
-        assertTrue(began[0] - ended[0] < 1.5 * cluster.reportS, "took " + (began[0] - ended[0]));
+        assertTrue(began[0] - ended[0] < 1.5 * cluster.heartbeatIntervalSeconds, "took " + (began[0] - ended[0]));
         holds();
     }
 
@@ -167,7 +167,7 @@
         String said = "";
         while (!said.equals("done") && cluster.clock.now < from + 60) {
             cluster.run(0.05);
-            if (cluster.store.keys.containsKey(StoreKeys.ENDED_JOBS + "j-1")) {
+            if (cluster.store.entries.containsKey(StoreKeys.ENDED_JOBS + "j-1")) {
                 said = cluster.cancel(node, "j-1").jobStatus().status();
             }
         }
@@ -211,7 +211,7 @@
                 t.cluster.submit(node, array("j-" + i, 1), "j-" + (i - 1));
             }
             t.cluster.cancel(other, "j-1");
-            node.endAfter(at, () -> {});
+            node.crashAfterRequests(at, () -> {});
             t.cluster.run(25);
             for (int i = 1; i < 40; i++) {
                 assertEquals("cancelled", t.told(other, "j-" + i), "ended at its request " + at);
@@ -222,8 +222,8 @@
 
     @Test
     void nobodyIsToldThatAJobIsPendingLongAfterOneBeforeItWasCancelled() {
-        cluster.writeRps = 6; // So that the cascade takes its time.
-        cluster.runsFor = id -> 1000;
+        cluster.writesPerSecond = 6; // So that the cascade takes its time.
+        cluster.taskSeconds = id -> 1000;
         SimulatedNode node = cluster(1);
         SimulatedNode other = cluster.node("k1");
         cluster.submit(node, array("j-1", 1));
@@ -249,10 +249,10 @@
     void aThousandBehindOneAreCancelledWithinMinutesAndNobodyIsCalledPendingMeanwhile() {
         for (boolean chain : new boolean[] {true, false}) {
             PipelinesTest t = new PipelinesTest();
-            t.cluster.writeRps = 35;
-            t.cluster.next = new ClusterSettings.StoreLimits(150, 35, 2, 13);
-            t.cluster.store.txnOps = 13;
-            t.cluster.runsFor = id -> 10_000;
+            t.cluster.writesPerSecond = 35;
+            t.cluster.announcedStoreLimits = new ClusterSettings.StoreLimits(150, 35, 2, 13);
+            t.cluster.store.largestTransactionOperations = 13;
+            t.cluster.taskSeconds = id -> 10_000;
             SimulatedNode node = t.cluster(1);
             t.cluster.submit(node, array("j-1", 1));
             for (int i = 2; i <= 1001; i++) {
@@ -263,13 +263,13 @@
                                 array("j-" + id, 1),
                                 List.of(chain ? "j-" + (id - 1) : "j-1"),
                                 response -> {});
-                t.cluster.needs.put("j-" + id, List.of(chain ? "j-" + (id - 1) : "j-1"));
+                t.cluster.dependencies.put("j-" + id, List.of(chain ? "j-" + (id - 1) : "j-1"));
                 t.cluster.run(0.02);
             }
             t.cluster.cancel(node, "j-1");
             double from = t.cluster.clock.now;
             Random random = new Random(1);
-            while (t.cluster.store.keys.keySet().stream()
+            while (t.cluster.store.entries.keySet().stream()
                             .anyMatch(key -> key.startsWith(StoreKeys.OPEN_JOBS))
                     && t.cluster.clock.now - from < 300) {
                 t.cluster.ask(node, "j-" + (2 + random.nextInt(1000)));
@@ -286,7 +286,7 @@
     /** Ten thousand that wait: what one more costs, and what a round costs. */
     @Test
     void tenThousandThatWaitCostARoundLittle() {
-        ClusterSettings settings = cluster.facts("k0");
+        ClusterSettings settings = cluster.settings("k0");
         ShardState shard = new ShardState(settings, machine -> {});
         long began = System.nanoTime();
         for (int i = 0; i < 10_000; i++) {
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/QuestionRateTest.java
@@ -26,15 +26,15 @@
     void questionsBeyondTheRateDoNotKeepOthersFromTheirAnswers() {
         for (double rps : new double[] {60, 120}) {
             SimulatedCluster cluster = new SimulatedCluster();
-            cluster.rps = rps;
-            cluster.reportS = 2;
+            cluster.requestsPerSecond = rps;
+            cluster.heartbeatIntervalSeconds = 2;
             cluster.siblings.addAll(List.of("k0", "k1", "k2"));
             cluster.siblings.forEach(cluster::node);
             for (int i = 0; i < 4; i++) {
                 cluster.worker("i-" + i, i % 2 == 0 ? "a" : "b");
             }
             cluster.run(12);
-            cluster.runsFor = id -> 500;
+            cluster.taskSeconds = id -> 500;
             SimulatedNode holder = cluster.leader();
             SimulatedNode apart = other(cluster, holder);
             cluster.siblings.forEach(apart.cutFrom::add);
@@ -58,7 +58,7 @@
                 cluster.run(0.04);
             }
             assertEquals(List.of(), open, "rate " + rps);
-            assertEquals(List.of(), cluster.broken, "rate " + rps);
+            assertEquals(List.of(), cluster.violations, "rate " + rps);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/QuickEndsTest.java
+++ b/src/test/java/io/kitepath/core/QuickEndsTest.java
@@ -20,8 +20,8 @@
 class QuickEndsTest {
     private static SimulatedCluster settled(int nodes, int machines) {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.reportS = 4;
-        cluster.leaseS = 30;
+        cluster.heartbeatIntervalSeconds = 4;
+        cluster.leaseSeconds = 30;
         for (int i = 0; i < nodes; i++) {
             cluster.node("k" + i);
             cluster.siblings.add("k" + i);
@@ -56,10 +56,10 @@
             first.crash();
             cluster.run(0.1);
             cluster.node(first.name);
-            assertTrue(untilHeld(cluster, 10) < 0.25 * cluster.reportS, "with " + nodes + " nodes");
+            assertTrue(untilHeld(cluster, 10) < 0.25 * cluster.heartbeatIntervalSeconds, "with " + nodes + " nodes");
             cluster.run(60);
             assertEquals("done", cluster.status(cluster.leader(), "j-1"));
-            assertEquals(List.of(), cluster.broken);
+            assertEquals(List.of(), cluster.violations);
         }
     }
 
@@ -69,14 +69,14 @@
         SimulatedNode first = cluster.leader();
         first.crash();
         // Written as before processes said when they began, and on which lease they lead.
-        long lease = cluster.store.lease.get(StoreKeys.LEADER);
+        long lease = cluster.store.leaseOfKey.get(StoreKeys.LEADER);
         cluster.store.put(
                 StoreKeys.LEADER,
-                Map.of("node", first.name, "token", cluster.store.token()),
+                Map.of("node", first.name, "token", cluster.store.leaderFencingToken()),
                 lease,
                 ++cluster.store.revision);
         cluster.node(first.name);
-        assertTrue(untilHeld(cluster, 20) <= 2 * cluster.reportS);
+        assertTrue(untilHeld(cluster, 20) <= 2 * cluster.heartbeatIntervalSeconds);
     }
 
     @Test
@@ -90,15 +90,15 @@
                 second); // Whoever asks for the name gets the later one; the other goes on.
         cluster.nodes.put("old", first);
         second.controller.start();
-        long before = cluster.store.token();
+        long before = cluster.store.leaderFencingToken();
         cluster.submit(second, job("j-1", Shape.ARRAY, 4, 1));
         cluster.run(120);
         assertTrue(
-                cluster.store.token() - before <= 2,
-                "leaders: " + (cluster.store.token() - before));
+                cluster.store.leaderFencingToken() - before <= 2,
+                "leaders: " + (cluster.store.leaderFencingToken() - before));
         assertEquals("done", cluster.status(second, "j-1"));
         assertEquals(0, first.controller.fencingTokenIfLeading(), "the later one stays");
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -113,9 +113,9 @@
         second.controller.start();
         cluster.run(1);
         assertTrue(second.controller.fencingTokenIfLeading() > 0);
-        long token = cluster.store.token();
+        long token = cluster.store.leaderFencingToken();
         cluster.run(60);
-        assertEquals(token, cluster.store.token());
+        assertEquals(token, cluster.store.leaderFencingToken());
         assertEquals(0, first.controller.fencingTokenIfLeading());
     }
 
@@ -162,14 +162,14 @@
                         cluster.status(cluster.leader(), "j-" + i),
                         "life " + lifeS + ", job " + i);
             }
-            assertEquals(List.of(), cluster.broken);
+            assertEquals(List.of(), cluster.violations);
         }
     }
 
     @Test
     void allNodesThatEndTogetherEveryTwoSecondsLoseAndDoubleNothing() {
         SimulatedCluster cluster = settled(3, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 25);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 25);
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 12, 1));
         cluster.run(2);
         for (int i = 0; i < 15; i++) {
@@ -180,7 +180,7 @@
         }
         cluster.run(90);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
         assertEquals(
                 12,
                 cluster.workers.values().stream().mapToInt(worker -> worker.started).sum(),
@@ -204,7 +204,7 @@
                 cluster.run(0.1);
                 for (String name : List.of("k0", "k1")) {
                     SimulatedNode fresh = cluster.node(name);
-                    fresh.endAfter(
+                    fresh.crashAfterRequests(
                             n,
                             () -> {
                                 hit[0] = true;
@@ -214,7 +214,7 @@
                 cluster.run(12);
                 boolean all = hit[0];
                 points += all ? 1 : 0;
-                cluster.nodes.values().forEach(node -> node.endsAfter = Integer.MAX_VALUE);
+                cluster.nodes.values().forEach(node -> node.crashesAfterRequests = Integer.MAX_VALUE);
                 cluster.run(80);
                 assertEquals(
                         "done",
@@ -225,7 +225,7 @@
                         cluster.status(cluster.leader(), "j-2"),
                         "after request " + n + ", back after " + backS);
                 assertEquals(
-                        List.of(), cluster.broken, "after request " + n + ", back after " + backS);
+                        List.of(), cluster.violations, "after request " + n + ", back after " + backS);
                 if (!all) {
                     break;
                 }
@@ -244,7 +244,7 @@
         SimulatedCluster cluster = Worlds.settled(3, 2);
         SimulatedNode first = cluster.leader();
         SimulatedNode[] stopped = new SimulatedNode[1];
-        cluster.store.written =
+        cluster.store.onCommit =
                 (client, transaction) -> {
                     if (stopped[0] == null
                             && client instanceof SimulatedNode node
@@ -262,6 +262,6 @@
         assertTrue(stopped[0] != null && stopped[0] != first);
         assertEquals(0, stopped[0].controller.fencingTokenIfLeading());
         assertTrue(cluster.leader() != stopped[0] && cluster.leader().controller.holdsShard());
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -40,13 +40,13 @@
 
     ReportCopies(SimulatedCluster cluster) {
         this.cluster = cluster;
-        this.usual = cluster.reach;
-        cluster.reach = this;
+        this.usual = cluster.workerNetwork;
+        cluster.workerNetwork = this;
     }
 
     @Override
-    public List<String> up() {
-        return usual.up();
+    public List<String> aliveNodes() {
+        return usual.aliveNodes();
     }
 
     @Override
--- a/src/test/java/io/kitepath/core/SettledWritesTest.java
+++ b/src/test/java/io/kitepath/core/SettledWritesTest.java
@@ -24,11 +24,11 @@
     /** The nth write of parts or ends gets no answer; {@code tries}: of it. */
     private SimulatedCluster day(int nth, int tries, boolean cancel) {
         SimulatedCluster cluster = Worlds.settled(3, 4);
-        cluster.runsFor = id -> 6;
+        cluster.taskSeconds = id -> 6;
         SimulatedNode holder = cluster.leader();
         int[] seen = new int[1];
         int[] unheard = new int[1];
-        cluster.store.unheard =
+        cluster.store.losesResponseOf =
                 transaction -> {
                     boolean ours =
                             transaction.writes().stream()
@@ -36,13 +36,13 @@
                     if (ours && seen[0]++ >= nth && unheard[0] < tries) {
                         unheard[0]++;
                         if (cancel) {
-                            cluster.after(0.05, () -> cluster.users.cancel(holder, "j-2"));
+                            cluster.after(0.05, () -> cluster.loadGenerator.cancel(holder, "j-2"));
                         }
                         return true;
                     }
                     return false;
                 };
-        int pages = cluster.store.pages;
+        int pages = cluster.store.pagesRead;
         cluster.submit(holder, job("j-1", Shape.ARRAY, 6, 1));
         cluster.submit(holder, job("j-2", Shape.ARRAY, 5, 1));
         cluster.run(3);
@@ -50,8 +50,8 @@
         cluster.run(60);
         lost += unheard[0];
         String at = "write " + nth + ", " + tries + " unheard" + (cancel ? ", cancelled" : "");
-        read = cluster.store.pages - pages;
-        assertEquals(List.of(), cluster.broken, at);
+        read = cluster.store.pagesRead - pages;
+        assertEquals(List.of(), cluster.violations, at);
         for (String id : List.of("j-1", "j-2", "j-3")) {
             String status = cluster.status(cluster.leader(), id);
             assertTrue(
@@ -61,7 +61,7 @@
         }
         assertEquals(
                 0,
-                cluster.store.keys.keySet().stream()
+                cluster.store.entries.keySet().stream()
                         .filter(key -> key.startsWith(StoreKeys.JOB_PARTS))
                         .count(),
                 at);
--- a/src/test/java/io/kitepath/core/SharesTest.java
+++ b/src/test/java/io/kitepath/core/SharesTest.java
@@ -23,7 +23,7 @@
     private static MultiCellSimulation settled(long seed, double limit) {
         MultiCellSimulation simulation =
                 new MultiCellSimulation(seed, CELLS, List.of(), false, Map.of("red", limit));
-        simulation.watchS = 0.05;
+        simulation.checkIntervalSeconds = 0.05;
         CELLS.forEach(cell -> simulation.cell(cell, 2, 6));
         simulation.run(12);
         return simulation;
@@ -31,31 +31,31 @@
 
     @AfterEach
     void rules() {
-        assertEquals(List.of(), simulation.broken());
+        assertEquals(List.of(), simulation.violations());
     }
 
     private static String array(MultiCellSimulation simulation, String cell, int n, int tasks) {
         String id = simulation.id(cell, n);
-        simulation.submitSurely(cell, job(id, Shape.ARRAY, tasks, 1));
+        simulation.submitUntilAccepted(cell, job(id, Shape.ARRAY, tasks, 1));
         return id;
     }
 
     private static void allDone(MultiCellSimulation simulation, List<String> ids, double withinS) {
         for (String id : ids) {
-            simulation.until(
+            simulation.runUntil(
                     withinS,
                     () ->
                             simulation
                                     .status(
-                                            simulation.any(
+                                            simulation.anyAliveNode(
                                                     simulation
-                                                            .world("east")
+                                                            .cluster("east")
                                                             .cellDirectory
                                                             .homeCellOf(id)),
                                             id)
                                     .equals("done"));
         }
-        simulation.until(60, () -> simulation.sharesAstray().isEmpty());
+        simulation.runUntil(60, () -> simulation.unbalancedShares().isEmpty());
     }
 
     @Test
@@ -65,7 +65,7 @@
         double sum = 0;
         for (int i = 0; i < 100; i++) {
             simulation.run(0.5);
-            sum += ids.stream().mapToLong(simulation::onMachines).sum();
+            sum += ids.stream().mapToLong(simulation::tasksOnMachines).sum();
         }
         assertTrue(sum / 100 > 0.85 * 12, "used on average " + sum / 100);
         allDone(simulation, ids, 200);
@@ -75,11 +75,11 @@
     @Test
     void unusedRoomGoesToWhereItIsWanted() {
         String id = array(simulation, "east", 1, 24);
-        double took = simulation.until(8, () -> simulation.onMachines(id) == 12);
+        double took = simulation.runUntil(8, () -> simulation.tasksOnMachines(id) == 12);
         allDone(simulation, List.of(id), 120);
         // And from there to where it is wanted next.
         String next = array(simulation, "west", 2, 24);
-        simulation.until(8, () -> simulation.onMachines(next) == 12);
+        simulation.runUntil(8, () -> simulation.tasksOnMachines(next) == 12);
         allDone(simulation, List.of(next), 120);
         assertTrue(took > 0);
     }
@@ -87,16 +87,16 @@
     @Test
     void aGrantThatComesTwiceOrLateMovesNothingTwice() {
         boolean[] copy = {true};
-        simulation.keeps = message -> message instanceof QuotaGrant && copy[0];
+        simulation.holdsBack = message -> message instanceof QuotaGrant && copy[0];
         String id = array(simulation, "east", 1, 24);
-        simulation.until(20, () -> simulation.kept.size() >= 3);
+        simulation.runUntil(20, () -> simulation.heldBackDeliveries.size() >= 3);
         copy[0] = false;
-        simulation.until(20, () -> simulation.onMachines(id) == 12);
+        simulation.runUntil(20, () -> simulation.tasksOnMachines(id) == 12);
         for (int i = 0; i < 2; i++) {
-            simulation.kept.forEach(Runnable::run);
-            simulation.kept.forEach(Runnable::run);
+            simulation.heldBackDeliveries.forEach(Runnable::run);
+            simulation.heldBackDeliveries.forEach(Runnable::run);
             simulation.run(3);
-            List.copyOf(simulation.world("east").nodes.values())
+            List.copyOf(simulation.cluster("east").nodes.values())
                     .forEach(node -> simulation.restart(node, 3));
             simulation.run(15);
         }
@@ -108,13 +108,13 @@
         int[] n = new int[1];
         simulation.loses = message -> message instanceof QuotaGrantAccepted && n[0]++ < 4;
         String id = array(simulation, "east", 1, 24);
-        simulation.until(40, () -> simulation.onMachines(id) == 12);
+        simulation.runUntil(40, () -> simulation.tasksOnMachines(id) == 12);
         allDone(simulation, List.of(id), 120);
         assertTrue(n[0] >= 4);
     }
 
     private void loseShareWritesOf(String cell) {
-        simulation.world(cell).store.withheld =
+        simulation.cluster(cell).store.holdsBack =
                 transaction ->
                         transaction.writes().stream()
                                 .anyMatch(write -> write.key().startsWith("kitepath/share/"));
@@ -122,17 +122,17 @@
 
     private void endHolderOf(String cell) {
         simulation.restart(simulation.leader(cell), 4);
-        simulation.world(cell).store.withheld = transaction -> false;
+        simulation.cluster(cell).store.holdsBack = transaction -> false;
     }
 
     @Test
     void nothingIsSaidToHaveComeThatIsNotWritten() {
         loseShareWritesOf("east");
         String id = array(simulation, "east", 1, 24);
-        simulation.until(20, () -> !simulation.world("east").store.heldBack.isEmpty());
+        simulation.runUntil(20, () -> !simulation.cluster("east").store.heldBackTransactions.isEmpty());
         simulation.run(1);
         endHolderOf("east");
-        simulation.until(40, () -> simulation.onMachines(id) == 12);
+        simulation.runUntil(40, () -> simulation.tasksOnMachines(id) == 12);
         allDone(simulation, List.of(id), 200);
     }
 
@@ -141,11 +141,11 @@
         loseShareWritesOf("west");
         loseShareWritesOf("north");
         List<String> ids = new ArrayList<>(List.of(array(simulation, "east", 1, 24)));
-        simulation.until(
+        simulation.runUntil(
                 20,
                 () ->
-                        !simulation.world("west").store.heldBack.isEmpty()
-                                && !simulation.world("north").store.heldBack.isEmpty());
+                        !simulation.cluster("west").store.heldBackTransactions.isEmpty()
+                                && !simulation.cluster("north").store.heldBackTransactions.isEmpty());
         simulation.run(1);
         endHolderOf("west");
         endHolderOf("north");
@@ -157,10 +157,10 @@
     @Test
     void whoComesLaterGetsItsTurnWhileTheFirstStillHasWork() {
         String first = array(simulation, "east", 1, 72);
-        simulation.until(8, () -> simulation.onMachines(first) == 12);
+        simulation.runUntil(8, () -> simulation.tasksOnMachines(first) == 12);
         String later = array(simulation, "west", 2, 24);
         // One of its tasks has to end, be reported, and its share to move.
-        simulation.until(30, () -> simulation.onMachines(later) >= 3);
+        simulation.runUntil(30, () -> simulation.tasksOnMachines(later) >= 3);
         assertTrue(simulation.tasksDone(first) < 72);
         allDone(simulation, List.of(first, later), 300);
     }
@@ -171,7 +171,7 @@
         for (String cell : CELLS) {
             String id = simulation.id(cell, 1);
             ids.add(id);
-            simulation.submitSurely(cell, job(id, Shape.GANG, 7, 1));
+            simulation.submitUntilAccepted(cell, job(id, Shape.GANG, 7, 1));
         }
         allDone(simulation, ids, 150);
     }
@@ -179,23 +179,23 @@
     @Test
     void aCellThatIsCutOffKeepsItsShareAndTheOthersGoOn() {
         String id = array(simulation, "east", 1, 24);
-        simulation.until(8, () -> simulation.onMachines(id) == 12);
+        simulation.runUntil(8, () -> simulation.tasksOnMachines(id) == 12);
         simulation.cutBetween("east", "north");
         simulation.cutBetween("east", "west");
         // Nearly all of the limit is in the cell that nobody hears: the others have what is left,
         // and no more.
         String other = array(simulation, "west", 2, 12);
         simulation.run(40);
-        assertTrue(simulation.onMachines(other) <= 12);
+        assertTrue(simulation.tasksOnMachines(other) <= 12);
         simulation.run(260);
-        simulation.cut.clear();
+        simulation.cutConnections.clear();
         allDone(simulation, List.of(id, other), 200);
     }
 
     @Test
     void aFrozenHolderGoesOnAfterItsSuccessorBegan() {
         String id = array(simulation, "east", 1, 48);
-        simulation.until(8, () -> simulation.onMachines(id) == 12);
+        simulation.runUntil(8, () -> simulation.tasksOnMachines(id) == 12);
         for (String cell : CELLS) {
             simulation.leader(cell).frozenUntil = simulation.clock.now + 20;
         }
@@ -239,7 +239,7 @@
         simulation.run(5);
         String next = array(simulation, "west", 2, 24);
         allDone(simulation, List.of(id, next), 300);
-        assertEquals(List.of(), simulation.broken(), "after write " + at + " of " + who);
+        assertEquals(List.of(), simulation.violations(), "after write " + at + " of " + who);
         return n[0];
     }
 
@@ -247,9 +247,9 @@
     void aBadNetworkLosesAndMakesNoShare() {
         for (int seed = 1; seed <= 6; seed++) {
             MultiCellSimulation simulation = settled(seed, 9);
-            simulation.lost = 0.2;
-            simulation.doubled = 0.2;
-            simulation.late = 0.1;
+            simulation.lossProbability = 0.2;
+            simulation.duplicationProbability = 0.2;
+            simulation.delayProbability = 0.1;
             List<String> ids = new ArrayList<>();
             for (int i = 1; i <= 6; i++) {
                 ids.add(array(simulation, CELLS.get(i % 3), i, 10));
@@ -261,7 +261,7 @@
             }
             allDone(simulation, ids, 400);
             simulation.run(80);
-            assertEquals(List.of(), simulation.broken(), "seed " + seed);
+            assertEquals(List.of(), simulation.violations(), "seed " + seed);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/SoundMachinesTest.java
+++ b/src/test/java/io/kitepath/core/SoundMachinesTest.java
@@ -37,7 +37,7 @@
                         assertFalse(
                                 machine.isMissingAnswers(), "out after " + out + ": " + machine.id);
                         placedAndNotSeen |=
-                                cluster.store.out
+                                cluster.store.unavailable
                                         && machine.isTokenConfirmed()
                                         && machine.attempts().stream()
                                                 .anyMatch(attempt -> !attempt.isSeen());
@@ -46,7 +46,7 @@
             }
             adopted += placedAndNotSeen ? 1 : 0;
             cluster.run(60);
-            assertEquals(List.of(), cluster.broken, "out after " + out);
+            assertEquals(List.of(), cluster.violations, "out after " + out);
             assertEquals("done", cluster.status(cluster.leader(), "j-1"), "out after " + out);
         }
         assertTrue(adopted >= 10, "in the meeting: " + adopted);
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -33,7 +33,7 @@
 
     @AfterEach
     void neverTwice() {
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     private SimulatedNode settled(int nodes, int machines) {
@@ -85,7 +85,7 @@
     @Test
     void aSubmissionWhoseAnswerWasLostIsKnownWhenItIsRepeated() {
         SimulatedNode node = settled(1, 0);
-        cluster.store.swallow = 1;
+        cluster.store.responsesToLose = 1;
         cluster.submit(node, job("j-1", Shape.ARRAY, 1, 1));
         cluster.run(1);
         assertEquals(Verdict.KNOWN, cluster.submit(node, job("j-1", Shape.ARRAY, 1, 1)).verdict());
@@ -94,7 +94,7 @@
     @Test
     void duringAnOutageNothingIsAcceptedAndWorkGoesOn() {
         SimulatedNode node = settled(3, 1);
-        cluster.workers.get("i-000000").runsFor = 60;
+        cluster.workers.get("i-000000").taskSeconds = 60;
         cluster.submit(node, job("j-1", Shape.ARRAY, 2, 1));
         cluster.run(3);
         cluster.store.outage(25);
@@ -163,7 +163,7 @@
         SimulatedNode first = cluster.leader();
         cluster.submit(first, job("j-1", Shape.ARRAY, 1, 1));
         cluster.run(2);
-        cluster.workers.get("i-000000").cut = true;
+        cluster.workers.get("i-000000").isCutOff = true;
         first.crash();
         cluster.run(5);
         ShardState shard = cluster.leader().controller.shard;
@@ -196,15 +196,15 @@
     void aLateTransactionOfAFormerLeaderFails() {
         settled(2, 1);
         SimulatedNode first = cluster.leader();
-        cluster.store.hold = 1;
+        cluster.store.transactionsToHold = 1;
         // Accepted through the other node, so that only the leader's write is held back.
         JobSpec spec = job("j-1", Shape.ARRAY, 1, 1);
         cluster.store.execute(submission(spec));
         cluster.run(0.3);
-        assertEquals(1, cluster.store.heldBack.size());
+        assertEquals(1, cluster.store.heldBackTransactions.size());
         first.crash();
         cluster.run(20);
-        Store.CommitResult late = cluster.store.execute(cluster.store.heldBack.get(0));
+        Store.CommitResult late = cluster.store.execute(cluster.store.heldBackTransactions.get(0));
         assertEquals(Store.Outcome.REJECTED, late.outcome());
         cluster.run(30);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
@@ -222,7 +222,7 @@
     void aWriteWhoseAnswerWasLostIsSettledByTheStore() {
         SimulatedNode node = settled(1, 1);
         cluster.store.execute(submission(job("j-1", Shape.ARRAY, 3, 1)));
-        cluster.store.swallow = 1;
+        cluster.store.responsesToLose = 1;
         cluster.run(60);
         assertEquals("done", cluster.status(node, "j-1"));
         assertEquals(3, cluster.workers.get("i-000000").started);
@@ -265,7 +265,7 @@
         cluster.run(3);
         SimulatedWorker lost = cluster.workers.get("i-000001");
         assertEquals(1, lost.started);
-        lost.cut = true;
+        lost.isCutOff = true;
         cluster.run(6);
         assertEquals(3, cluster.workers.values().stream().mapToInt(worker -> worker.started).sum());
         cluster.run(60);
@@ -278,7 +278,7 @@
         settled(1, 4);
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 4));
         cluster.run(2);
-        cluster.workers.values().forEach(worker -> worker.cut = true);
+        cluster.workers.values().forEach(worker -> worker.isCutOff = true);
         cluster.run(15);
         assertEquals(List.of(), cluster.cloud.released);
     }
@@ -293,7 +293,7 @@
         assertEquals("cancelled", cluster.status(node, "j-1"));
         assertTrue(node.controller.shard.jobs().isEmpty());
         assertTrue(
-                cluster.store.keys.keySet().stream()
+                cluster.store.entries.keySet().stream()
                         .noneMatch(key -> key.startsWith(StoreKeys.JOB_PARTS)));
     }
 
@@ -309,7 +309,7 @@
     void whatACancelledJobLeftOnMachinesIsStoppedByTheNextLeader() {
         settled(2, 1);
         SimulatedNode first = cluster.leader();
-        cluster.workers.get("i-000000").runsFor = 500;
+        cluster.workers.get("i-000000").taskSeconds = 500;
         cluster.submit(first, job("j-1", Shape.SERVICE, 2, 1));
         cluster.run(3);
         first.crash();
@@ -393,7 +393,7 @@
         cluster.submit(first, with(job("j-1", Shape.ARRAY, 6, 1), "blue", Priority.NORMAL, false));
         cluster.run(3);
         assertEquals(4, cluster.onMachines("j-1"));
-        cluster.workers.values().forEach(worker -> worker.cut = true);
+        cluster.workers.values().forEach(worker -> worker.isCutOff = true);
         first.crash();
         cluster.run(5);
         cluster.worker("i-000008", "a");
@@ -404,7 +404,7 @@
     @Test
     void lesserWorkGivesWayToAGangOfHigherPriority() {
         SimulatedNode node = settled(1, 2);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 300);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 300);
         cluster.submit(node, with(job("j-1", Shape.ARRAY, 8, 1), "red", Priority.LOW, false));
         cluster.run(4);
         cluster.submit(node, with(job("j-2", Shape.GANG, 2, 3), "red", Priority.HIGH, false));
@@ -419,7 +419,7 @@
     @Test
     void whatGivesWayIsToldSoAtOnceAndNotOnlyWhenItsMachineReports() {
         SimulatedNode node = settled(1, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 300);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 300);
         cluster.submit(node, with(job("j-1", Shape.ARRAY, 16, 1), "red", Priority.LOW, false));
         cluster.run(4);
         cluster.submit(node, with(job("j-2", Shape.GANG, 4, 4), "red", Priority.HIGH, false));
@@ -432,8 +432,8 @@
     @Test
     void aDirectCommandThatRunsLateStopsNothingElse() {
         SimulatedNode node = settled(1, 1);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 8);
-        cluster.directDelayS = 15;
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 8);
+        cluster.directCommandDelaySeconds = 15;
         cluster.submit(node, with(job("j-1", Shape.ARRAY, 1, 4), "red", Priority.LOW, false));
         cluster.run(4);
         cluster.submit(node, with(job("j-2", Shape.ARRAY, 1, 4), "red", Priority.HIGH, false));
@@ -452,7 +452,7 @@
     void guaranteedWorkThatGivesWayToHigherPriorityDoesNotTakeTheRoomAgain() {
         cluster.teams.put("blue", new ClusterSettings.Team("blue", 16, 0, 0, 0));
         SimulatedNode node = settled(1, 2);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 60);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 60);
         cluster.submit(node, with(job("j-1", Shape.ARRAY, 16, 1), "blue", Priority.LOW, false));
         cluster.run(4);
         assertEquals(8, cluster.onMachines("j-1"));
@@ -466,7 +466,7 @@
     @Test
     void workThatGivesWayRunsOnMachinesKeptForAGangThatStillWaits() {
         SimulatedNode node = settled(1, 3);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 40);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 40);
         cluster.submit(node, with(job("j-1", Shape.GANG, 1, 4), "red", Priority.HIGH, false));
         cluster.run(4);
         cluster.submit(node, with(job("j-2", Shape.GANG, 3, 4), "red", Priority.HIGH, false));
@@ -483,7 +483,7 @@
     @Test
     void aMachineThatFailsEveryTaskIsSetAsideAndReturned() {
         SimulatedNode node = settled(1, 3);
-        cluster.workers.get("i-000000").fails = true;
+        cluster.workers.get("i-000000").failsTasks = true;
         cluster.submit(node, job("j-1", Shape.ARRAY, 12, 1));
         cluster.run(60);
         assertEquals("done", cluster.status(node, "j-1"));
@@ -494,12 +494,12 @@
     @Test
     void aJobThatFailsEverywhereDoesNotCostTheMachinesOrOthers() {
         SimulatedNode node = settled(1, 4);
-        cluster.workers.values().forEach(worker -> worker.fails = true);
+        cluster.workers.values().forEach(worker -> worker.failsTasks = true);
         cluster.submit(node, job("j-1", Shape.ARRAY, 1, 1));
         cluster.run(30);
         int tries = cluster.workers.values().stream().mapToInt(worker -> worker.started).sum();
         assertTrue(tries >= 4 && tries < 30, "tries: " + tries);
-        cluster.workers.values().forEach(worker -> worker.fails = false);
+        cluster.workers.values().forEach(worker -> worker.failsTasks = false);
         cluster.submit(node, job("j-2", Shape.ARRAY, 1, 1));
         cluster.run(30);
         assertEquals("done", cluster.status(node, "j-2"));
@@ -630,13 +630,13 @@
     @Test
     void severalMachinesSilentTogetherAreNotGivenBackAtOnce() {
         SimulatedNode node = settled(1, 8);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 100);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 100);
         cluster.submit(node, job("j-1", Shape.ARRAY, 8, 4));
         cluster.run(2);
-        List.of("i-000000", "i-000001", "i-000002").forEach(m -> cluster.workers.get(m).cut = true);
+        List.of("i-000000", "i-000001", "i-000002").forEach(m -> cluster.workers.get(m).isCutOff = true);
         cluster.run(13);
         assertEquals(List.of(), cluster.cloud.released);
-        cluster.workers.get("i-000003").cut = true;
+        cluster.workers.get("i-000003").isCutOff = true;
         cluster.run(25);
         assertTrue(
                 cluster.cloud.released.containsAll(
@@ -653,7 +653,7 @@
 
     @Test
     void aBlockOfHundredsOfMachinesIsWorkedWithBoundedEffort() {
-        cluster.writeRps = 50;
+        cluster.writesPerSecond = 50;
         SimulatedNode node = settled(1, 400);
         int tasks = 0;
         for (int i = 0; i < 10; i++) {
@@ -742,28 +742,28 @@
         for (int i = 0; i < 520; i++) {
             cluster.submit(first, job("j-" + i, Shape.ARRAY, 1, 4));
         }
-        cluster.store.pages = 0;
-        cluster.store.refusePage = n -> n % 2 == 1;
+        cluster.store.pagesRead = 0;
+        cluster.store.refusesPage = n -> n % 2 == 1;
         first.crash();
         cluster.run(8);
         assertTrue(cluster.leader().controller.shard.jobs().size() >= 510);
         // Two pages of open jobs; one each of parts, of where images are, and of what is asked of
         // the cloud; each refused once. What is read about duties comes to four at most.
         assertTrue(
-                cluster.store.pages >= 10 && cluster.store.pages <= 14,
-                "pages: " + cluster.store.pages);
+                cluster.store.pagesRead >= 10 && cluster.store.pagesRead <= 14,
+                "pages: " + cluster.store.pagesRead);
     }
 
     @Test
     void aHolderThatCanNotReadTheJobsLetsLeasesEndBeforeACancellationIsOverdue() {
         settled(3, 2);
         SimulatedNode first = cluster.leader();
-        cluster.workers.values().forEach(worker -> worker.runsFor = 500);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 500);
         cluster.submit(first, job("j-1", Shape.ARRAY, 2, 1));
         cluster.run(3);
         assertEquals(2, cluster.onMachines("j-1"));
         first.crash();
-        cluster.store.refusePage = n -> true;
+        cluster.store.refusesPage = n -> true;
         SimulatedNode other =
                 cluster.nodes.values().stream()
                         .filter(node -> node.alive)
@@ -778,7 +778,7 @@
     void aMistakenArrayOrGangCostsLittleAndIsCancelledAtOnce() {
         SimulatedNode node = settled(1, 6);
         cluster.cloud.capacity = 50;
-        cluster.mistaken.addAll(List.of("j-1", "j-2"));
+        cluster.jobsThatFailEverywhere.addAll(List.of("j-1", "j-2"));
         cluster.submit(node, job("j-3", Shape.ARRAY, 4, 1));
         cluster.submit(node, with(job("j-1", Shape.ARRAY, 300, 1), "red", Priority.HIGH, false));
         cluster.submit(node, with(job("j-2", Shape.GANG, 5, 4), "red", Priority.HIGH, false));
@@ -809,7 +809,7 @@
     void aGoodJobThatMetFaultyMachinesIsNotHeldBack() {
         SimulatedNode node = settled(1, 8);
         for (int i = 0; i < 4; i++) {
-            cluster.workers.get("i-00000" + i).fails = true;
+            cluster.workers.get("i-00000" + i).failsTasks = true;
         }
         cluster.submit(node, job("j-1", Shape.ARRAY, 40, 1));
         cluster.run(90);
@@ -824,7 +824,7 @@
         SimulatedNode node = settled(1, 0);
         cluster.cloud.capacity = 50;
         // Two of the first three never come, later ones as they should.
-        cluster.cloud.bootS = i -> i < 2 ? -1 : 40;
+        cluster.cloud.bootSeconds = i -> i < 2 ? -1 : 40;
         cluster.submit(node, job("j-1", Shape.ARRAY, 3, 4));
         cluster.run(170);
         assertEquals("done", cluster.status(node, "j-1"));
@@ -836,8 +836,8 @@
     void whenAllMachinesComeLateTheyAreNotRentedOverAndOver() {
         SimulatedNode node = settled(1, 0);
         cluster.cloud.capacity = 50;
-        cluster.cloud.bootS = i -> 120 + i;
-        cluster.workers.values().forEach(worker -> worker.runsFor = 60);
+        cluster.cloud.bootSeconds = i -> 120 + i;
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 60);
         cluster.submit(node, job("j-1", Shape.ARRAY, 6, 4));
         cluster.run(119);
         assertTrue(cluster.cloud.rentals.size() <= 6, cluster.cloud.rentals.toString());
@@ -871,7 +871,7 @@
     void aNewHolderKnowsWhereImagesAre() {
         settled(2, 2);
         SimulatedNode first = cluster.leader();
-        cluster.workers.values().forEach(worker -> worker.runsFor = 2);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 2);
         cluster.submit(first, job("j-1", Shape.ARRAY, 8, 1));
         cluster.run(30);
         assertEquals("done", cluster.status(first, "j-1"));
@@ -883,9 +883,9 @@
                         .allMatch(machine -> machine.hasImage("img")));
         // Nothing changed since, so nothing is written again.
         long revision =
-                cluster.store.keys.get(StoreKeys.IMAGES + 0) == null
+                cluster.store.entries.get(StoreKeys.IMAGES + 0) == null
                         ? 0
-                        : cluster.store.keys.get(StoreKeys.IMAGES + 0).revision();
+                        : cluster.store.entries.get(StoreKeys.IMAGES + 0).revision();
         cluster.run(30);
         assertTrue(
                 cluster.store.log.stream()
@@ -894,15 +894,15 @@
                         <= 4);
         assertEquals(
                 revision,
-                cluster.store.keys.get(StoreKeys.IMAGES + 0) == null
+                cluster.store.entries.get(StoreKeys.IMAGES + 0) == null
                         ? 0
-                        : cluster.store.keys.get(StoreKeys.IMAGES + 0).revision());
+                        : cluster.store.entries.get(StoreKeys.IMAGES + 0).revision());
     }
 
     @Test
     void aSwarmOfSmallJobsThatWaitsCostsBoundedEffortAndFewChanges() {
         SimulatedNode node = settled(1, 4);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 5);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 5);
         int before = cluster.store.log.size();
         for (int i = 0; i < 200; i++) {
             node.controller.jobApi().submit(job("j-" + i, Shape.ARRAY, 1, 1), response -> {});
@@ -924,7 +924,7 @@
                 cluster.store.log.size() - before
                         <= 5 * 200
                                 + 14
-                                + 2 * 172 / cluster.leaseS
+                                + 2 * 172 / cluster.leaseSeconds
                                 + 2 * cluster.cloud.rentals.size(),
                 cluster.store.log.size() - before + " changes");
     }
@@ -932,10 +932,10 @@
     @Test
     void aFewSmallTasksAreMovedOffAnOrdinaryMachineToASpotOneThatHasRoom() {
         SimulatedNode node = settled(1, 1);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 300);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 300);
         cluster.submit(node, SimulatedCluster.onSpot(job("j-1", Shape.ARRAY, 1, 1), 300));
         cluster.run(3);
-        cluster.spotWorker("i-000050", "a").runsFor = 300;
+        cluster.spotWorker("i-000050", "a").taskSeconds = 300;
         cluster.run(20);
         assertEquals(1, cluster.workers.get("i-000000").started);
         cluster.run(40);
@@ -946,9 +946,9 @@
 
     @Test
     void aGangsRecordsDoNotWaitForThoseOfASwarm() {
-        cluster.writeRps = 20;
+        cluster.writesPerSecond = 20;
         SimulatedNode node = settled(1, 30);
-        cluster.workers.values().forEach(worker -> worker.runsFor = 6);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 6);
         for (int i = 0; i < 100; i++) {
             node.controller
                     .jobApi()
@@ -958,19 +958,19 @@
         }
         cluster.run(1);
         for (int i = 0; i < 4; i++) {
-            cluster.workers.values().forEach(worker -> worker.runsFor = 100);
+            cluster.workers.values().forEach(worker -> worker.taskSeconds = 100);
             cluster.submit(
                     node, with(job("j-90" + i, Shape.GANG, 2, 1), "red", Priority.HIGH, false));
             cluster.run(2);
             assertEquals(2, cluster.onMachines("j-90" + i));
-            cluster.workers.values().forEach(worker -> worker.runsFor = 6);
+            cluster.workers.values().forEach(worker -> worker.taskSeconds = 6);
         }
     }
 
     @Test
     void aGangWhoseImageTakesLongerThanItsTasksWaitStartsOnceAllHaveIt() {
         SimulatedNode node = settled(1, 4);
-        cluster.fetchS =
+        cluster.imageFetchSeconds =
                 machine -> machine.equals("i-000000") ? 1 : machine.equals("i-000001") ? 45 : 80;
         cluster.submit(node, job("j-1", Shape.GANG, 4, 4));
         cluster.run(50);
@@ -986,7 +986,7 @@
     void aHugeArrayCostsFewChangesAndGoesOnAfterItsLeaderCrashed() {
         settled(2, 20);
         SimulatedNode first = cluster.leader();
-        cluster.workers.values().forEach(worker -> worker.runsFor = 2);
+        cluster.workers.values().forEach(worker -> worker.taskSeconds = 2);
         int before = cluster.store.log.size();
         cluster.submit(first, job("j-1", Shape.ARRAY, 4000, 0.25));
         cluster.run(20);
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -76,13 +76,13 @@
 
         Swarm(long seed, int machines) {
             random = new Random(seed);
-            cluster.reportS = 2;
-            cluster.leaseS = 10;
-            cluster.reportsChanges = true;
-            cluster.rps = 60;
-            cluster.writeRps = 24;
-            cluster.store.limited = true;
-            cluster.runsFor = id -> id.startsWith("s-") ? 2 + Math.floorMod(id.hashCode(), 4) : 6;
+            cluster.heartbeatIntervalSeconds = 2;
+            cluster.leaseSeconds = 10;
+            cluster.reportsChangesImmediately = true;
+            cluster.requestsPerSecond = 60;
+            cluster.writesPerSecond = 24;
+            cluster.store.enforcesRates = true;
+            cluster.taskSeconds = id -> id.startsWith("s-") ? 2 + Math.floorMod(id.hashCode(), 4) : 6;
             for (int i = 0; i < 3; i++) {
                 cluster.siblings.add("k" + i);
             }
@@ -90,9 +90,9 @@
             for (int i = 0; i < machines; i++) {
                 cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
             }
-            cluster.clock.starts = task -> begun.putIfAbsent(task.jobId, cluster.clock.now);
-            cluster.clock.ends = task -> ended(task.jobId);
-            cluster.store.written =
+            cluster.clock.onTaskStart = task -> begun.putIfAbsent(task.jobId, cluster.clock.now);
+            cluster.clock.onTaskEnd = task -> ended(task.jobId);
+            cluster.store.onCommit =
                     (client, transaction) ->
                             transaction.writes().stream()
                                     .filter(
@@ -148,7 +148,7 @@
                             response -> {
                                 if (response.verdict() != Verdict.LATER && !heard[0]) {
                                     heard[0] = true;
-                                    cluster.accepted.putIfAbsent(spec.id(), cluster.clock.now);
+                                    cluster.acceptedAt.putIfAbsent(spec.id(), cluster.clock.now);
                                     if (answered.putIfAbsent(spec.id(), cluster.clock.now) == null
                                             && spec.id().startsWith("s-")) {
                                         mayCallOff(spec.id());
@@ -190,7 +190,7 @@
                 callOff(id);
             }
             double at = cluster.clock.now;
-            if (cluster.completed.get(id).size() < cluster.specs.get(id).taskCount()
+            if (cluster.completedTasks.get(id).size() < cluster.specs.get(id).taskCount()
                     || !complete.add(id)) {
                 return;
             }
@@ -222,12 +222,12 @@
         private void callOff(String id) {
             if (calledOff.add(id)) {
                 stages.merge(stage(id), 1, Integer::sum);
-                cluster.users.cancel(any(), id);
+                cluster.loadGenerator.cancel(any(), id);
             }
         }
 
         private Stage stage(String id) {
-            if (cluster.completed.containsKey(id)) {
+            if (cluster.completedTasks.containsKey(id)) {
                 return Stage.ENDED;
             } else if (begun.containsKey(id)) {
                 return Stage.RUNNING;
@@ -237,7 +237,7 @@
             return job == null
                     ? Stage.NOT_HEARD_OF
                     : job.liveAttempts().values().stream().anyMatch(Attempt::isDurable)
-                                    || cluster.store.keys.containsKey(StoreKeys.partKey(id, 0))
+                                    || cluster.store.entries.containsKey(StoreKeys.partKey(id, 0))
                             ? Stage.PLACED
                             : Stage.WAITING;
         }
@@ -253,7 +253,7 @@
                     handIn(job("g-" + next, Shape.GANG, 3, 2));
                     handIn(job("a-" + next, Shape.ARRAY, 8, 1));
                 }
-                cluster.users.ask(any(), "s-" + (next - 1 - random.nextInt(40)));
+                cluster.loadGenerator.queryStatus(any(), "s-" + (next - 1 - random.nextInt(40)));
                 cluster.run(EVERY_S);
                 if (next % 4 == 0) {
                     look();
@@ -276,7 +276,7 @@
                     Math.max(
                             mostKeys,
                             (int)
-                                    cluster.store.keys.keySet().stream()
+                                    cluster.store.entries.keySet().stream()
                                             .filter(key -> !key.startsWith(StoreKeys.ENDED_JOBS))
                                             .count());
         }
@@ -299,23 +299,23 @@
 
         /** All that was handed in is over, as its users wanted, and nothing of it is left. */
         void over(String at) {
-            cluster.rules.calm();
+            cluster.invariants.troublesAreOver();
             cluster.run(100);
-            assertEquals(List.of(), cluster.broken, at);
+            assertEquals(List.of(), cluster.violations, at);
             assertEquals(List.of(), late, at);
             for (String id : handedIn.keySet()) {
                 assertTrue(answered.containsKey(id), at + ": " + id + " was never accepted");
                 var response = cluster.ask(cluster.leader(), id);
                 assertEquals(Verdict.KNOWN, response.verdict(), at + ": " + id);
                 assertEquals(
-                        cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                        cluster.reportedCancelledAt.containsKey(id) ? "cancelled" : "done",
                         response.jobStatus().status(),
                         at + ": " + id);
             }
             assertEquals(0, cluster.leader().controller.shard.jobs().size(), at);
             assertEquals(
                     0,
-                    cluster.store.keys.keySet().stream()
+                    cluster.store.entries.keySet().stream()
                             .filter(
                                     key ->
                                             key.startsWith(StoreKeys.JOB_PARTS)
@@ -382,7 +382,7 @@
                     + ", unanswered "
                     + unanswered
                     + ", over rate "
-                    + cluster.store.overRate;
+                    + cluster.store.requestsOverRate;
         }
     }
 
@@ -447,7 +447,7 @@
             System.out.println("swarm with troubles " + seed + ": " + s.summary());
             s.over(at);
             bounded(s, at);
-            assertTrue(s.cluster.store.token() > 1, at);
+            assertTrue(s.cluster.store.leaderFencingToken() > 1, at);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -23,8 +23,8 @@
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     private static void settle(SimulatedCluster cluster) {
-        cluster.leaseS = 5;
-        cluster.reportS = 1;
+        cluster.leaseSeconds = 5;
+        cluster.heartbeatIntervalSeconds = 1;
         List.of("k0", "k1", "k2").forEach(cluster.siblings::add);
         cluster.siblings.forEach(cluster::node);
         cluster.worker("i-000000", "a");
@@ -33,7 +33,7 @@
 
     @AfterEach
     void rules() {
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     private static void put(SimulatedCluster cluster, String key, Map<String, Object> value) {
@@ -81,7 +81,7 @@
     }
 
     private static boolean there(SimulatedCluster cluster, String key) {
-        return cluster.store.keys.containsKey(key);
+        return cluster.store.entries.containsKey(key);
     }
 
     private SimulatedNode sweeper(SimulatedCluster cluster) {
@@ -117,7 +117,7 @@
         put(cluster, StoreKeys.partKey("j-5", 0), part(Map.of()));
         // In the moment of the removal, the job is there.
         boolean[] once = {true};
-        cluster.store.withheld =
+        cluster.store.holdsBack =
                 transaction -> {
                     if (once[0]
                             && transaction.writes().stream()
@@ -157,7 +157,7 @@
             int[] ends = new int[1];
             if (n > 0) {
                 SimulatedNode node = sweeper(cluster);
-                node.endAfter(
+                node.crashAfterRequests(
                         n,
                         () -> {
                             ends[0]++;
@@ -169,19 +169,19 @@
             // way just now.
             for (int i = 0;
                     i < 10
-                            && cluster.store.keys.keySet().stream()
+                            && cluster.store.entries.keySet().stream()
                                     .anyMatch(key -> key.startsWith(StoreKeys.CLOUD_INTENTS + "rent/"));
                     i++) {
                 cluster.run(0.5);
             }
             points += ends[0];
-            TreeSet<String> left = new TreeSet<>(cluster.store.keys.keySet());
+            TreeSet<String> left = new TreeSet<>(cluster.store.entries.keySet());
             left.removeIf(key -> key.startsWith("kitepath/") && !key.startsWith(StoreKeys.CLOUD_INTENTS));
             if (n == 0) {
                 clean = left;
             }
             assertEquals(clean, left, "after request " + n);
-            assertEquals(List.of(), cluster.broken);
+            assertEquals(List.of(), cluster.violations);
         }
         System.out.println("cleanup: " + points + " nodes ended at one of their requests");
         assertTrue(points >= 15, "points: " + points);
@@ -199,7 +199,7 @@
         }
         put(cluster, StoreKeys.ENDED_JOBS + "j-6", Map.of("status", "done", "done", 1L));
         boolean[] once = {true};
-        cluster.store.withheld =
+        cluster.store.holdsBack =
                 transaction -> {
                     if (once[0]
                             && transaction.writes().isEmpty()
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -38,14 +38,14 @@
 
         void begins(SimulatedCluster cluster, SimulatedWorker worker, double lastsS) {
             set(worker, true);
-            worker.hangsUntil = this == HUNG ? cluster.clock.now + lastsS : 0;
+            worker.hangingUntil = this == HUNG ? cluster.clock.now + lastsS : 0;
             cluster.after(lastsS, () -> set(worker, false));
         }
 
         private void set(SimulatedWorker worker, boolean so) {
-            worker.cut = this == CUT && so;
-            worker.deaf = this == DEAF && so;
-            worker.mute = this == MUTE && so;
+            worker.isCutOff = this == CUT && so;
+            worker.receivesNothing = this == DEAF && so;
+            worker.sendsNothing = this == MUTE && so;
         }
     }
 
@@ -68,15 +68,15 @@
 
     static SimulatedCluster limited(int machines) {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.reportS = 2;
-        cluster.leaseS = 5 * cluster.reportS;
-        cluster.cancelS = 2 * cluster.leaseS + 1;
-        cluster.reportsChanges = true;
+        cluster.heartbeatIntervalSeconds = 2;
+        cluster.leaseSeconds = 5 * cluster.heartbeatIntervalSeconds;
+        cluster.cancelSeconds = 2 * cluster.leaseSeconds + 1;
+        cluster.reportsChangesImmediately = true;
         cluster.type = new MachineType("m4", 4, 2, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
         cluster.teams.put("red", new ClusterSettings.Team("red", 0, 8, 0, 0));
         cluster.teams.put("blue", new ClusterSettings.Team("blue", 0, 0, 0, 3));
         cluster.teams.put("green", new ClusterSettings.Team("green", 0, 5, 0, 4));
-        cluster.runsFor = id -> ALWAYS;
+        cluster.taskSeconds = id -> ALWAYS;
         cluster.siblings.addAll(List.of("k0", "k1", "k2"));
         cluster.siblings.forEach(cluster::node);
         for (int i = 0; i < machines; i++) {
@@ -123,7 +123,7 @@
     /** Whether the team uses its limit, and how much it is by the leader's count. */
     private void atItsLimit(String team, String when) {
         ClusterSettings.Team t = cluster.teams.get(team);
-        double[] used = cluster.rules.onMachines(team);
+        double[] used = cluster.invariants.usageOnMachines(team);
         assertTrue(
                 t.maxCpus() == 0 || used[0] == t.maxCpus(), team + " " + used[0] + " CPUs " + when);
         assertTrue(
@@ -159,7 +159,7 @@
 
     private List<SimulatedWorker> withTasks() {
         return cluster.workers.values().stream()
-                .filter(worker -> worker.tasks.values().stream().anyMatch(SimulatedTask::on))
+                .filter(worker -> worker.tasks.values().stream().anyMatch(SimulatedTask::isOnMachine))
                 .toList();
     }
 
@@ -181,7 +181,7 @@
 
     /** Looks each quarter second where it stands. */
     private void watch(double seconds) {
-        long before = cluster.store.token();
+        long before = cluster.store.leaderFencingToken();
         for (double until = cluster.clock.now + seconds; cluster.clock.now < until; ) {
             cluster.run(0.25);
             if (met == 0
@@ -192,8 +192,8 @@
                                 .flatMap(worker -> worker.tasks.values().stream())
                                 .filter(
                                         task ->
-                                                task.on()
-                                                        && cluster.toldCancelled.containsKey(
+                                                task.isOnMachine()
+                                                        && cluster.reportedCancelledAt.containsKey(
                                                                 task.jobId)
                                                         && task.worker.token <= before)
                                 .count();
@@ -211,7 +211,7 @@
     }
 
     private void cancelAll() {
-        TEAMS.forEach(t -> cluster.users.cancel(other(cluster, null), whole(t, 1).id()));
+        TEAMS.forEach(t -> cluster.loadGenerator.cancel(other(cluster, null), whole(t, 1).id()));
     }
 
     /**
@@ -219,8 +219,8 @@
      * it is counted right.
      */
     private void settledAgain(String when) {
-        assertEquals(List.of(), cluster.broken, when);
-        assertEquals(0, cluster.rules.startsAfterCancellation(), when);
+        assertEquals(List.of(), cluster.violations, when);
+        assertEquals(0, cluster.invariants.startsAfterCancellation(), when);
         assertEquals(0, first(), when);
         TEAMS.forEach(
                 t -> {
@@ -239,7 +239,7 @@
         cluster.after(leaderEnds, this::leaderEnds);
         cluster.after(cancelled, this::cancelAll);
         troublesEnd = cluster.clock.now + Math.max(lasts, Math.max(leaderEnds, cancelled));
-        watch(Math.max(lasts, leaderEnds) + 2.5 * cluster.leaseS);
+        watch(Math.max(lasts, leaderEnds) + 2.5 * cluster.leaseSeconds);
         settledAgain(when);
     }
 
@@ -267,7 +267,7 @@
                     meeting(how, lasts, ends, Math.max(0, ends + after), when);
                     tasks.merge(how, met, Integer::sum);
                     assertTrue(
-                            fullAt <= troublesEnd + cluster.leaseS,
+                            fullAt <= troublesEnd + cluster.leaseSeconds,
                             when + ": full " + (fullAt - troublesEnd) + " after");
                     latest = Math.max(latest, fullAt - troublesEnd);
                 }
@@ -304,7 +304,7 @@
                     if (twice) {
                         cluster.after(ends + 5, this::leaderEnds);
                     }
-                    watch(9 * cluster.leaseS);
+                    watch(9 * cluster.leaseSeconds);
                     String when = how + " for good, leader ends " + ends + (twice ? " twice" : "");
                     assertTrue(met > 0, when);
                     assertTrue(
@@ -319,7 +319,7 @@
 
     private double toldAt() {
         return TEAMS.stream()
-                .mapToDouble(t -> cluster.toldCancelled.get(whole(t, 1).id()))
+                .mapToDouble(t -> cluster.reportedCancelledAt.get(whole(t, 1).id()))
                 .min()
                 .orElseThrow();
     }
@@ -339,10 +339,10 @@
                 lost.forEach(worker -> Lost.HUNG.begins(cluster, worker, lasts));
                 cancelAll();
                 cluster.after(ends, this::leaderEnds);
-                watch(Math.max(lasts, ends) + 2.5 * cluster.leaseS);
+                watch(Math.max(lasts, ends) + 2.5 * cluster.leaseSeconds);
                 String when = "hung for " + lasts + ", leader ends " + ends;
                 assertTrue(met > 0 || lasts < ends + 4, when);
-                over += cluster.rules.hungWithCancelled();
+                over += cluster.invariants.cancelledTasksOnHungMachines();
                 settledAgain(when);
             }
         }
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -50,13 +50,13 @@
                     SimulatedCluster.with(
                             job("j-20", Shape.ARRAY, 18, 1), "blue", Priority.NORMAL, false));
             cluster.run(5);
-            assertEquals(18, cluster.rules.onMachines("blue")[0]);
+            assertEquals(18, cluster.invariants.usageOnMachines("blue")[0]);
             cluster.submit(cluster.leader(), gang);
             cluster.submit(cluster.leader(), whole("red", 2));
             SimulatedNode leader = cluster.leader();
-            cluster.users.cancel(leader, "j-20");
-            cluster.users.cancel(leader, "j-11");
-            leader.endAfter(
+            cluster.loadGenerator.cancel(leader, "j-20");
+            cluster.loadGenerator.cancel(leader, "j-11");
+            leader.crashAfterRequests(
                     more,
                     () -> {
                         for (SimulatedWorker worker : cut) {
@@ -67,18 +67,18 @@
             cluster.run(3);
             int parts =
                     (int)
-                            cluster.store.keys.keySet().stream()
+                            cluster.store.entries.keySet().stream()
                                     .filter(key -> key.startsWith(StoreKeys.JOB_PARTS + "j-21"))
                                     .count();
             half += parts > 0 && parts < 3 ? 1 : 0;
             // The gang that is on record by now is called off too, by half of the users.
             boolean off = more % 4 == 1;
             if (off) {
-                cluster.users.cancel(other(cluster, null), "j-21");
+                cluster.loadGenerator.cancel(other(cluster, null), "j-21");
             }
             cluster.run(70);
             String when = "leader ends after " + more + " more requests";
-            assertEquals(List.of(), cluster.broken, when);
+            assertEquals(List.of(), cluster.violations, when);
             assertEquals(off ? 0 : 18, cluster.onMachines("j-21"), when);
             assertEquals(4, cluster.onMachines("j-12"), when);
             assertEquals(
@@ -97,7 +97,7 @@
                         .filter(node -> node.alive && node.controller.fencingTokenIfLeading() > 0)
                         .findFirst()
                         .orElse(null);
-        double lasts = random.nextDouble() * 3 * cluster.leaseS;
+        double lasts = random.nextDouble() * 3 * cluster.leaseSeconds;
         switch (random.nextInt(6)) {
             case 0, 1 -> cluster.cancelNow(1 + random.nextInt(3), lasts, random);
             case 2 ->
@@ -110,19 +110,19 @@
             case 3 -> {
                 if (leader != null) {
                     double back = 0.1 + random.nextInt(3);
-                    leader.endAfter(
+                    leader.crashAfterRequests(
                             1 + random.nextInt(30),
                             () -> cluster.after(back, () -> cluster.node(leader.name)));
                 }
             }
             case 4 -> {
-                cluster.store.late =
+                cluster.store.executionDelaySeconds =
                         transaction -> random.nextInt(4) == 0 ? 2 + random.nextDouble() * 10 : 0;
-                cluster.after(lasts / 2, () -> cluster.store.late = transaction -> 0);
+                cluster.after(lasts / 2, () -> cluster.store.executionDelaySeconds = transaction -> 0);
             }
             default -> {
-                cluster.store.unheard = transaction -> random.nextInt(3) == 0;
-                cluster.after(lasts / 2, () -> cluster.store.unheard = transaction -> false);
+                cluster.store.losesResponseOf = transaction -> random.nextInt(3) == 0;
+                cluster.after(lasts / 2, () -> cluster.store.losesResponseOf = transaction -> false);
             }
         }
     }
@@ -136,8 +136,8 @@
             Random random = new Random(seed);
             cluster = limited(10);
             cluster.cloud.capacity = 30;
-            cluster.closeLooks = seed % 3 == 0;
-            cluster.runsFor = id -> 15 + Math.floorMod(id.hashCode(), 5) * 12;
+            cluster.pollsRightAfterAnswers = seed % 3 == 0;
+            cluster.taskSeconds = id -> 15 + Math.floorMod(id.hashCode(), 5) * 12;
             for (int i = 0; i < 14; i++) {
                 String team = TEAMS.get(i % 3);
                 Shape shape = Shape.values()[random.nextInt(3)];
@@ -157,34 +157,34 @@
                     trouble(cluster, random);
                 }
                 atLimit +=
-                        cluster.rules.onMachines("red")[0] == 8
-                                        || cluster.rules.onMachines("green")[0] == 5
+                        cluster.invariants.usageOnMachines("red")[0] == 8
+                                        || cluster.invariants.usageOnMachines("green")[0] == 5
                                 ? 1
                                 : 0;
             }
-            cluster.run(3 * cluster.leaseS);
-            cluster.nodes.values().forEach(node -> node.endsAfter = Integer.MAX_VALUE);
+            cluster.run(3 * cluster.leaseSeconds);
+            cluster.nodes.values().forEach(node -> node.crashesAfterRequests = Integer.MAX_VALUE);
             cluster.run(4);
-            cluster.rules.calm();
+            cluster.invariants.troublesAreOver();
             cluster.run(150);
             String when = "seed " + seed;
-            assertEquals(List.of(), cluster.broken, when);
-            cancelled += cluster.toldCancelled.size();
+            assertEquals(List.of(), cluster.violations, when);
+            cancelled += cluster.reportedCancelledAt.size();
             // Services go on; once they are called off as well, no team's limit has anything left
             // on it.
             cluster.specs.keySet().stream()
                     .sorted()
-                    .forEach(id -> cluster.users.cancel(other(cluster, null), id));
-            cluster.run(3 * cluster.leaseS);
+                    .forEach(id -> cluster.loadGenerator.cancel(other(cluster, null), id));
+            cluster.run(3 * cluster.leaseSeconds);
             for (String t : TEAMS) {
-                assertEquals(0, cluster.rules.onMachines(t)[0], when + " " + t);
+                assertEquals(0, cluster.invariants.usageOnMachines(t)[0], when + " " + t);
                 assertEquals(
                         0,
                         cluster.leader().controller.shard.quotaUsage().usedCpus(t),
                         1e-6,
                         when + " " + t);
             }
-            assertEquals(List.of(), cluster.broken, when);
+            assertEquals(List.of(), cluster.violations, when);
         }
         System.out.println("limits: " + cancelled + " cancelled, " + atLimit + " times at a limit");
         assertTrue(
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -30,7 +30,7 @@
     void workThatAMachineWithoutAnswersNeverStartsGoesElsewhere() {
         SimulatedCluster cluster = settled(1, 1);
         SimulatedNode node = cluster.nodes.get("k0");
-        first(cluster).deaf = true;
+        first(cluster).receivesNothing = true;
         cluster.run(1);
         cluster.submit(node, job("j-1", Shape.ARRAY, 3, 1));
         cluster.run(12);
@@ -40,7 +40,7 @@
         assertEquals(3, cluster.onMachines("j-1"));
         cluster.run(30);
         assertEquals("done", cluster.status(node, "j-1"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -50,10 +50,10 @@
         cluster.submit(node, job("j-1", Shape.ARRAY, 2, 3));
         cluster.run(4);
         assertEquals(2, cluster.onMachines("j-1"));
-        first(cluster).deaf = true;
+        first(cluster).receivesNothing = true;
         cluster.run(90);
         assertEquals("done", cluster.status(node, "j-1"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -62,20 +62,20 @@
         cluster.cloud.capacity = 10;
         SimulatedNode node = cluster.nodes.get("k0");
         List<SimulatedWorker> all = new ArrayList<>(cluster.workers.values());
-        all.forEach(worker -> worker.deaf = true);
+        all.forEach(worker -> worker.receivesNothing = true);
         cluster.submit(node, job("j-1", Shape.SERVICE, 8, 1));
         cluster.run(25);
         var machines = node.controller.shard.machines();
         assertTrue(machines.get(all.get(0).id).isMissingAnswers());
         assertFalse(machines.get(all.get(0).id).isSchedulable());
-        all.get(0).deaf = false;
+        all.get(0).receivesNothing = false;
         cluster.run(18);
         assertFalse(machines.get(all.get(0).id).isMissingAnswers());
         assertTrue(machines.get(all.get(0).id).isSchedulable());
         cluster.run(60);
         assertTrue(cluster.cloud.released.contains(all.get(1).id));
         assertEquals(8, cluster.onMachines("j-1"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -85,15 +85,15 @@
         cluster.run(4);
         cluster.workers.values().stream()
                 .filter(worker -> worker.zone.equals("b"))
-                .forEach(worker -> worker.deaf = true);
+                .forEach(worker -> worker.receivesNothing = true);
         SimulatedNode node = cluster.leader();
         node.crash();
         cluster.after(0.3, () -> cluster.node(node.name));
         cluster.run(50);
-        cluster.workers.values().forEach(worker -> worker.deaf = false);
+        cluster.workers.values().forEach(worker -> worker.receivesNothing = false);
         cluster.run(60);
         assertEquals("done", cluster.status(cluster.leader(), "j-1"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /**
@@ -107,7 +107,7 @@
         cluster.submit(node, job("j-1", Shape.ARRAY, 6, 1));
         cluster.run(5);
         SimulatedWorker worker = first(cluster);
-        Heartbeat old = worker.message();
+        Heartbeat old = worker.currentHeartbeat();
         assertFalse(old.tasks().isEmpty());
         worker.die();
         cluster.cloud.machines.remove(worker.id);
@@ -124,7 +124,7 @@
                         .noneMatch(attempt -> attempt.machine.id.equals(worker.id)));
         cluster.run(50);
         assertEquals("done", cluster.status(next, "j-2"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     @Test
@@ -132,10 +132,10 @@
         for (long seed = 0; seed < 12; seed++) {
             SimulatedCluster cluster = settled(3, 6);
             Random random = new Random(seed);
-            cluster.copyAfterS =
+            cluster.duplicateDelaySeconds =
                     () ->
                             random.nextInt(3) == 0
-                                    ? 0.5 + random.nextDouble() * 3 * cluster.leaseS
+                                    ? 0.5 + random.nextDouble() * 3 * cluster.leaseSeconds
                                     : 0;
             Set<String> jobs = new HashSet<>();
             for (int i = 0; i < 12; i++) {
@@ -165,7 +165,7 @@
             for (String id : jobs) {
                 assertEquals("done", cluster.status(cluster.leader(), id), "seed " + seed);
             }
-            assertEquals(List.of(), cluster.broken, "seed " + seed);
+            assertEquals(List.of(), cluster.violations, "seed " + seed);
         }
     }
 
@@ -203,7 +203,7 @@
         assertTrue(cut.controller.isHealthy());
         assertEquals(
                 1, cluster.nodes.values().stream().filter(node -> node.controller.holdsShard()).count());
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 
     /** Each accepted job by itself: how well the others fare does not count. */
@@ -239,7 +239,7 @@
             this.seed = seed;
             random = new Random(seed);
             cluster.cloud.capacity = 20;
-            cluster.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 200, 2, 13);
+            cluster.announcedStoreLimits = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 200, 2, 13);
             cluster.nodes.keySet().stream()
                     .toList()
                     .forEach(
@@ -293,8 +293,8 @@
                     cluster.ask(any(), old.get(random.nextInt(old.size())));
                 }
                 if (i == 15) {
-                    cluster.store.valueBytes = 2048;
-                    cluster.store.txnOps = 13;
+                    cluster.store.largestValueBytes = 2048;
+                    cluster.store.largestTransactionOperations = 13;
                 }
             }
             // All troubles are over.
@@ -313,10 +313,10 @@
                     .values()
                     .forEach(
                             worker -> {
-                                worker.deaf = false;
-                                worker.cut = false;
+                                worker.receivesNothing = false;
+                                worker.isCutOff = false;
                             });
-            cluster.copyAfterS = () -> 0;
+            cluster.duplicateDelaySeconds = () -> 0;
         }
 
         private void trouble() {
@@ -349,17 +349,17 @@
                 case 4 -> cluster.store.outage(random.nextDouble() * 8);
                 case 5, 6 -> {
                     if (worker != null) {
-                        worker.deaf = true;
-                        cluster.after(random.nextDouble() * 40, () -> worker.deaf = false);
+                        worker.receivesNothing = true;
+                        cluster.after(random.nextDouble() * 40, () -> worker.receivesNothing = false);
                     }
                 }
                 case 7 ->
-                        cluster.copyAfterS =
+                        cluster.duplicateDelaySeconds =
                                 () -> random.nextInt(4) == 0 ? 0.5 + random.nextDouble() * 25 : 0;
                 default -> {
                     if (worker != null) {
-                        worker.cut = true;
-                        cluster.after(random.nextDouble() * 15, () -> worker.cut = false);
+                        worker.isCutOff = true;
+                        cluster.after(random.nextDouble() * 15, () -> worker.isCutOff = false);
                     }
                 }
             }
@@ -387,13 +387,13 @@
                         response.jobStatus().status(),
                         at + ": " + response);
             }
-            assertEquals(List.of(), cluster.broken, at);
+            assertEquals(List.of(), cluster.violations, at);
         }
 
         private boolean behind(String id) {
             return cancelled.contains(id)
-                    || cluster.toldCancelled.containsKey(id)
-                    || cluster.needs.getOrDefault(id, List.of()).stream().anyMatch(this::behind);
+                    || cluster.reportedCancelledAt.containsKey(id)
+                    || cluster.dependencies.getOrDefault(id, List.of()).stream().anyMatch(this::behind);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -67,10 +67,10 @@
 
         Cut(SimulatedCluster cluster) {
             this.cluster = cluster;
-            this.usual = cluster.reach;
-            cluster.reach = this;
-            cluster.commands = (node, worker) -> !crosses(node.name, worker.zone);
-            cluster.cloud.withheld =
+            this.usual = cluster.workerNetwork;
+            cluster.workerNetwork = this;
+            cluster.directCommandReaches = (node, worker) -> !crosses(node.name, worker.zone);
+            cluster.cloud.holdsBackRequestsOf =
                     client ->
                             lasts
                                     && client instanceof SimulatedNode node
@@ -102,8 +102,8 @@
         }
 
         @Override
-        public List<String> up() {
-            return usual.up();
+        public List<String> aliveNodes() {
+            return usual.aliveNodes();
         }
 
         @Override
@@ -162,15 +162,15 @@
     private void begins(
             int machines, double cancelS, int controllers, boolean leads, double endsS) {
         cluster = settled(0, 0);
-        cluster.cancelS = cancelS;
-        cluster.closeLooks = true;
+        cluster.cancelSeconds = cancelS;
+        cluster.pollsRightAfterAnswers = true;
         List.of("k0", "k1", "k2").forEach(cluster.siblings::add);
         cluster.siblings.forEach(cluster::node);
         for (int i = 0; i < 8; i++) {
             cluster.worker(String.format("i-%06d", i), i < machines ? ZONE : "b");
         }
         cluster.run(12);
-        cluster.runsFor = id -> id.equals("j-ends") || id.equals("j-outside") ? 5 + endsS : 45;
+        cluster.taskSeconds = id -> id.equals("j-ends") || id.equals("j-outside") ? 5 + endsS : 45;
         cut = new Cut(cluster);
         SimulatedNode leader = cluster.leader();
         cluster.siblings.stream()
@@ -200,7 +200,7 @@
         return cluster.workers.values().stream()
                 .filter(worker -> worker.zone.equals(zone))
                 .flatMap(worker -> worker.tasks.values().stream())
-                .filter(SimulatedTask::on)
+                .filter(SimulatedTask::isOnMachine)
                 .toList();
     }
 
@@ -219,7 +219,7 @@
         var told = cluster.cancel(outside(), id);
         assertEquals(Verdict.KNOWN, told.verdict(), at);
         for (String key : cut.inside) {
-            cluster.accepted.keySet().forEach(j -> cluster.ask(cluster.nodes.get(key), j));
+            cluster.acceptedAt.keySet().forEach(j -> cluster.ask(cluster.nodes.get(key), j));
             var response = cluster.cancel(cluster.nodes.get(key), id);
             assertTrue(
                     response == null
@@ -233,27 +233,27 @@
     private void ends(String at) {
         List<SimulatedTask> gone =
                 held.stream()
-                        .filter(task -> task.state != Heartbeat.TaskState.ENDED && !task.on())
+                        .filter(task -> task.state != Heartbeat.TaskState.ENDED && !task.isOnMachine())
                         .toList();
         withMachine = (int) gone.stream().filter(task -> !task.worker.up).count();
         withLease = gone.size() - withMachine;
         boundOutside = (int) on("b").stream().filter(task -> task.jobId.equals("j-bound")).count();
         cut.end();
-        cluster.cloud.out = false;
+        cluster.cloud.unavailable = false;
         cluster.cloud.capacity = 16;
-        cluster.rules.calm();
+        cluster.invariants.troublesAreOver();
         cluster.run(35); // What was cancelled has had to go by then.
         for (int i = 0;
                 i < 30
-                        && cluster.toldCancelled.size() + cluster.toldDone.size()
-                                < cluster.accepted.size();
+                        && cluster.reportedCancelledAt.size() + cluster.reportedDone.size()
+                                < cluster.acceptedAt.size();
                 i++) {
             cluster.run(10);
         }
-        assertEquals(List.of(), cluster.broken, at);
-        for (String id : cluster.accepted.keySet()) {
+        assertEquals(List.of(), cluster.violations, at);
+        for (String id : cluster.acceptedAt.keySet()) {
             assertEquals(
-                    cluster.toldCancelled.containsKey(id) ? "cancelled" : "done",
+                    cluster.reportedCancelledAt.containsKey(id) ? "cancelled" : "done",
                     cluster.status(cluster.leader(), id),
                     at + ": " + id);
             assertEquals(0, cluster.onMachines(id), at + ": " + id);
@@ -284,10 +284,10 @@
                         + ", gone within "
                         + cancelS;
         begins(machines, cancelS, controllers, leads, 4);
-        long token = cluster.store.token();
+        long token = cluster.store.leaderFencingToken();
         double began = cluster.clock.now;
         cut.refusing = controllers == 2;
-        cluster.cloud.out = cloudOut;
+        cluster.cloud.unavailable = cloudOut;
         cut.begin();
         cluster.run(lengthS * cancelAfter);
         cancelled("j-off", at);
@@ -295,8 +295,8 @@
         // The meeting: another leads outside, and a leader inside kept work for as long as it
         // might, and no longer.
         double margin =
-                Math.min(cluster.leaseS, cancelS - cluster.leaseS - 2 * cluster.reportS - 1);
-        assertEquals(leads, cluster.store.token() > token, at);
+                Math.min(cluster.leaseSeconds, cancelS - cluster.leaseSeconds - 2 * cluster.heartbeatIntervalSeconds - 1);
+        assertEquals(leads, cluster.store.leaderFencingToken() > token, at);
         assertEquals(leads, cut.kept > 0, at);
         assertTrue(cut.lastKept - began <= margin, at + ": kept until " + (cut.lastKept - began));
         ends(at);
@@ -352,7 +352,7 @@
             for (int i = 0; i < 3; i++) {
                 cut.refusing = random.nextBoolean();
                 cut.begin();
-                cluster.cloud.out = random.nextInt(3) == 0;
+                cluster.cloud.unavailable = random.nextInt(3) == 0;
                 cluster.run(random.nextDouble() * 20);
                 cancelled(List.of("j-off", "j-gang", "j-bound").get(i), "seed " + seed);
                 cluster.run(random.nextDouble() * 20);
--- a/src/test/java/io/kitepath/core/cell/DivisionTest.java
+++ b/src/test/java/io/kitepath/core/cell/DivisionTest.java
@@ -75,7 +75,7 @@
             }
             Map<String, Long> t = QuotaDivision.targets(all);
             assertEquals(
-                    all.stream().mapToLong(QuotaClaim::holds).sum(),
+                    all.stream().mapToLong(QuotaClaim::share).sum(),
                     t.values().stream().mapToLong(x -> x).sum());
             all.forEach(claim -> assertTrue(t.get(claim.cell()) >= claim.used()));
             List<QuotaClaim> otherwise = new ArrayList<>(all);
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -115,7 +115,7 @@
                                                     })),
                             new Random(1));
             List<Store.Entry> all = List.copyOf(keys.values());
-            quotaShares.adopt(
+            quotaShares.restore(
                     new StateLoader.LoadedState(
                             0,
                             List.of(),
@@ -182,7 +182,7 @@
 
         Summary summary() {
             return new Summary(
-                    name, name, 1, true, List.of(), List.of(), List.of(), quotaShares.told(100, 0));
+                    name, name, 1, true, List.of(), List.of(), List.of(), quotaShares.summaryRows(100, 0));
         }
 
         /** The next rider's transaction, executed; whether its holder hears of it. */
@@ -336,7 +336,7 @@
             unanswered.add(m);
             cells.get(m.to)
                     .quotaShares
-                    .granted(
+                    .onGrant(
                             g,
                             message -> {
                                 if (unanswered.remove(m)) {
@@ -353,8 +353,8 @@
         List<Summary> others =
                 cells.values().stream().filter(x -> x != c).map(Cell::summary).toList();
         c.summary();
-        c.quotaShares.divide(others);
-        c.quotaShares.tend(now);
+        c.quotaShares.rebalance(others);
+        c.quotaShares.reconcile(now);
     }
 
     /** Never more than the limit in the stores and under way, and none of it lost. */
@@ -400,7 +400,7 @@
                             });
         }
         check(path + " and then quiet");
-        cells.values().forEach(cell -> assertEquals(0, cell.quotaShares.underWay(), path));
+        cells.values().forEach(cell -> assertEquals(0, cell.quotaShares.amountInTransit(), path));
         List<Cell> wanting = cells.values().stream().filter(cell -> cell.wants).toList();
         if (!wanting.isEmpty()) {
             assertEquals(
--- a/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
@@ -18,7 +18,7 @@
     private ClusterSettings facts(String node, String... others) {
         cluster.siblings.clear();
         cluster.siblings.addAll(List.of(others));
-        return cluster.facts(node);
+        return cluster.settings(node);
     }
 
     private CancellationDigest digest(String by, double sinceS, double untilS, String... jobs) {
--- a/src/test/java/io/kitepath/core/scheduling/LargestTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/LargestTest.java
@@ -20,7 +20,7 @@
     void theLargestGangBeginsWithinFourMinutesOfAFlood() {
         for (JobSpec.Priority flood : List.of(JobSpec.Priority.NORMAL, JobSpec.Priority.HIGH)) {
             SimulatedCluster cluster = new SimulatedCluster();
-            cluster.reportsChanges = true;
+            cluster.reportsChangesImmediately = true;
             cluster.cloud.capacity = 0;
             SimulatedNode node = cluster.node("k0");
             for (int i = 0; i < 8; i++) {
@@ -28,7 +28,7 @@
             }
             cluster.run(5);
             double[] began = {0};
-            cluster.clock.starts =
+            cluster.clock.onTaskStart =
                     task ->
                             began[0] =
                                     task.jobId.equals("j-99999") && began[0] == 0
@@ -59,7 +59,7 @@
             assertTrue(
                     began[0] > 0 && began[0] - since < 240,
                     "took " + (began[0] - since) + " among " + flood);
-            assertEquals(List.of(), cluster.broken);
+            assertEquals(List.of(), cluster.violations);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
@@ -14,7 +14,7 @@
 
 /** What a report proves. */
 class HeartbeatsTest {
-    private final ClusterSettings settings = new SimulatedCluster().facts("k1");
+    private final ClusterSettings settings = new SimulatedCluster().settings("k1");
     private final ShardState shard = new ShardState(settings, machine -> {});
     private final HeartbeatProcessor heartbeatProcessor = new HeartbeatProcessor(shard);
     private final Job job =
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -27,7 +27,7 @@
 class CancellationProofTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
     private final Timers timers = Worlds.timers(cluster);
-    private final ShardState shard = new ShardState(cluster.facts("k0"), machine -> {});
+    private final ShardState shard = new ShardState(cluster.settings("k0"), machine -> {});
 
     /** What it sent, and when. */
     private final List<Store.Transaction> sent = new ArrayList<>();
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -150,17 +150,17 @@
     @Test
     void aStoreThatProductionWroteIsGoneOnWith() {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.next = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 1000, 2, 13);
+        cluster.announcedStoreLimits = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 1000, 2, 13);
         for (String k : written.keySet()) {
             if (k.startsWith("record ")
                     && !k.contains("/duty/")
                     && !k.contains("/leader")
                     && !k.contains("/blocks/")) {
                 String key = k.substring("record ".length());
-                cluster.store.keys.put(key, record(key));
+                cluster.store.entries.put(key, record(key));
             }
         }
-        cluster.runsFor = id -> 30;
+        cluster.taskSeconds = id -> 30;
         for (int i = 0; i < 40; i++) {
             cluster.worker("i-" + String.format("%06d", i), i % 2 == 0 ? "a" : "b");
         }
@@ -191,8 +191,8 @@
         cluster.specs.put(
                 "j-6", JobRecord.fromRecord("j-6", record(StoreKeys.OPEN_JOBS + "j-6").value()).spec());
         cluster.specs.put("j-2", SimulatedCluster.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
-        cluster.completed.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
-        cluster.rules.asksToCancel("j-5"); // So was this.
+        cluster.completedTasks.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
+        cluster.invariants.cancellationRequested("j-5"); // So was this.
         cluster.run(20);
         assertEquals(running, cluster.onMachines("j-1"));
         assertEquals("done", cluster.status(node, "j-2"));
@@ -204,6 +204,6 @@
             assertEquals("done", cluster.status(node, id), id);
         }
         assertEquals("cancelled", cluster.status(node, "j-8"));
-        assertEquals(List.of(), cluster.broken);
+        assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/io/kitepath/simulation/CheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/CheckerTest.java
@@ -20,15 +20,15 @@
         simulation.cell("west", 1, 2);
         simulation.run(12);
         String id = simulation.id("east", 1);
-        simulation.submitSurely("east", SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
+        simulation.submitUntilAccepted("east", SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
         simulation.run(3);
-        assertEquals(List.of(), simulation.broken());
+        assertEquals(List.of(), simulation.violations());
         return id;
     }
 
     private void start(String cell, String jobId, int task) {
         simulation
-                .world(cell)
+                .cluster(cell)
                 .workers
                 .values()
                 .iterator()
@@ -38,8 +38,8 @@
 
     private void finds(String what) {
         assertTrue(
-                simulation.broken().stream().anyMatch(b -> b.contains(what)),
-                simulation.broken().toString());
+                simulation.violations().stream().anyMatch(b -> b.contains(what)),
+                simulation.violations().toString());
     }
 
     @Test
@@ -54,10 +54,10 @@
     @Test
     void aTaskThatRunsLongAfterItsUserWasToldThatItIsCancelled() {
         String id = job(2);
-        simulation.until(
-                20, () -> simulation.cancel(simulation.any("east"), id).equals("cancelled"));
+        simulation.runUntil(
+                20, () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
         simulation.run(27);
-        simulation.world("west").workers.values().forEach(worker -> worker.cut = true);
+        simulation.cluster("west").workers.values().forEach(worker -> worker.isCutOff = true);
         start("west", id, 0);
         simulation.run(5);
         finds("ran cancelled: " + id);
@@ -66,35 +66,35 @@
     @Test
     void aJobCalledDoneBeforeItsTasksAre() {
         String id = job(2);
-        SimulatedCluster east = simulation.world("east");
+        SimulatedCluster east = simulation.cluster("east");
         east.store.put(StoreKeys.OPEN_JOBS + id, null, 0, ++east.store.revision);
         east.store.put(
                 StoreKeys.ENDED_JOBS + id,
                 Map.of("status", "done", "done", 2L),
                 0,
                 ++east.store.revision);
-        simulation.status(simulation.any("west"), id);
+        simulation.status(simulation.anyAliveNode("west"), id);
         finds("not done: " + id);
     }
 
     @Test
     void aJobThatIsDoneAndThenCancelledOrForgotten() {
         String id = job(2);
-        simulation.until(60, () -> simulation.status(simulation.any("east"), id).equals("done"));
-        SimulatedCluster east = simulation.world("east");
+        simulation.runUntil(60, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
+        SimulatedCluster east = simulation.cluster("east");
         east.store.put(
                 StoreKeys.ENDED_JOBS + id,
                 Map.of("status", "cancelled", "done", 0L),
                 0,
                 ++east.store.revision);
-        simulation.restart(simulation.any("east"), 1);
+        simulation.restart(simulation.anyAliveNode("east"), 1);
         simulation.run(15);
-        simulation.status(simulation.any("east"), id);
+        simulation.status(simulation.anyAliveNode("east"), id);
         finds("went back: " + id);
         east.store.put(StoreKeys.ENDED_JOBS + id, null, 0, ++east.store.revision);
-        simulation.restart(simulation.any("east"), 1);
+        simulation.restart(simulation.anyAliveNode("east"), 1);
         simulation.run(15);
-        simulation.status(simulation.any("east"), id);
+        simulation.status(simulation.anyAliveNode("east"), id);
         finds("forgotten: " + id);
     }
 
@@ -114,11 +114,11 @@
                                 new Rehearsal.Fault("network", 0, 30, 20)));
         Rehearsal.Result one = new Rehearsal(plan, Rehearsal.Way.CELLS).play();
         Rehearsal.Result two = new Rehearsal(plan, Rehearsal.Way.CELLS).play();
-        assertEquals(List.of(), one.broken());
+        assertEquals(List.of(), one.violations());
         assertEquals(0, one.unfinished());
         assertTrue(one.handOvers() > 0);
         assertEquals(
-                List.of(one.starts(), one.messages(), one.changes(), one.handOvers(), one.tookS()),
-                List.of(two.starts(), two.messages(), two.changes(), two.handOvers(), two.tookS()));
+                List.of(one.starts(), one.messages(), one.changes(), one.handOvers(), one.simulatedSeconds()),
+                List.of(two.starts(), two.messages(), two.changes(), two.handOvers(), two.simulatedSeconds()));
     }
 }
--- a/src/test/java/io/kitepath/simulation/LoopbackTest.java
+++ b/src/test/java/io/kitepath/simulation/LoopbackTest.java
@@ -112,7 +112,7 @@
                                 store.commit(
                                         new Transaction().put("a/d", Map.of(), lease),
                                         result -> future.complete(result.isLeaseExpired()))));
-        cluster.store.out = true;
+        cluster.store.unavailable = true;
         assertEquals(
                 Outcome.NOT_EXECUTED,
                 on(future -> store.get("a/c", (outcome, entry) -> future.complete(outcome))));
--- a/src/test/java/io/kitepath/simulation/RulesTest.java
+++ b/src/test/java/io/kitepath/simulation/RulesTest.java
@@ -21,7 +21,7 @@
 
     private void finds(String what) {
         assertTrue(
-                cluster.broken.stream().anyMatch(b -> b.contains(what)), cluster.broken.toString());
+                cluster.violations.stream().anyMatch(b -> b.contains(what)), cluster.violations.toString());
     }
 
     private void start(String machine, String jobId, int task) {
@@ -75,11 +75,11 @@
     void aTaskTwiceAndATeamOverItsLimitWhereNobodyCanLook() {
         cluster.teams.put("red", new ClusterSettings.Team("red", 0, 2, 0, 0));
         cluster.specs.put("j-1", job("j-1"));
-        cluster.workers.values().forEach(worker -> worker.cut = true);
+        cluster.workers.values().forEach(worker -> worker.isCutOff = true);
         start("i-000000", "j-1", 0);
         start("i-000001", "j-1", 0);
         finds("ran twice: j-1/0");
-        assertTrue(cluster.broken.stream().noneMatch(b -> b.contains("quota")));
+        assertTrue(cluster.violations.stream().noneMatch(b -> b.contains("quota")));
         start("i-000002", "j-1", 1);
         finds("quota: team red has 3.0 CPUs");
     }
@@ -103,14 +103,14 @@
         placedAs(job("j-5"), null, null, false, true);
         start("i-000000", "j-5", 0);
         start("i-000002", "j-5", 1);
-        assertTrue(cluster.broken.stream().noneMatch(b -> b.contains("j-5")));
+        assertTrue(cluster.violations.stream().noneMatch(b -> b.contains("j-5")));
         start("i-000000", "j-5", 2);
         finds("wrong place: 3 tasks of j-5");
     }
 
     @Test
     void aCancelledTaskThatGoesOnAfterItsMachineHung() {
-        cluster.runsFor = id -> 500;
+        cluster.taskSeconds = id -> 500;
         cluster.submit(cluster.leader(), job("j-1"));
         cluster.run(6);
         SimulatedWorker x =
@@ -119,12 +119,12 @@
                         .findFirst()
                         .orElseThrow();
         SimulatedTask task = x.tasks.values().iterator().next();
-        cluster.cloud.out = true; // Else it would be given back as silent.
-        x.hangsUntil = cluster.clock.now + cluster.cancelS + 5;
+        cluster.cloud.unavailable = true; // Else it would be given back as silent.
+        x.hangingUntil = cluster.clock.now + cluster.cancelSeconds + 5;
         cluster.cancel(cluster.leader(), "j-1");
-        cluster.run(cluster.cancelS + 2);
-        assertEquals(List.of(), cluster.broken);
-        assertTrue(cluster.rules.hungWithCancelled() > 0);
+        cluster.run(cluster.cancelSeconds + 2);
+        assertEquals(List.of(), cluster.violations);
+        assertTrue(cluster.invariants.cancelledTasksOnHungMachines() > 0);
         // As if its lease were none.
         cluster.after(
                 2.904,
@@ -146,18 +146,18 @@
         cluster.submit(cluster.leader(), SimulatedCluster.job("j-1", Shape.ARRAY, 1, 4));
         cluster.cancel(cluster.leader(), "j-1");
         cluster.run(5);
-        int before = cluster.rules.startsAfterCancellation();
+        int before = cluster.invariants.startsAfterCancellation();
         start("i-000003", "j-1", 0);
-        assertEquals(before + 1, cluster.rules.startsAfterCancellation());
-        assertEquals(List.of(), cluster.broken);
-        cluster.run(cluster.cancelS);
+        assertEquals(before + 1, cluster.invariants.startsAfterCancellation());
+        assertEquals(List.of(), cluster.violations);
+        cluster.run(cluster.cancelSeconds);
         start("i-000002", "j-1", 0);
         finds("ran cancelled: j-1 starts");
     }
 
     @Test
     void anOlderAnswerAfterANewerOne() {
-        cluster.runsFor = id -> 500;
+        cluster.taskSeconds = id -> 500;
         cluster.submit(cluster.leader(), job("j-1"));
         cluster.cancel(cluster.leader(), "j-1");
         cluster.store.put(StoreKeys.ENDED_JOBS + "j-1", null, 0, ++cluster.store.revision);
@@ -172,7 +172,7 @@
 
     @Test
     void doneTooEarlyInventedAndCancelledByNobody() {
-        cluster.runsFor = id -> 500;
+        cluster.taskSeconds = id -> 500;
         cluster.submit(cluster.leader(), job("j-1"));
         cluster.submit(cluster.leader(), job("j-2"));
         over("j-1", "done");
@@ -186,7 +186,7 @@
         finds("not done: j-1");
         cluster.ask(other, "j-2");
         finds("j-2 is called cancelled and nobody asked");
-        cluster.rules.heard(
+        cluster.invariants.checkAnswer(
                 "j-777",
                 new JobSubmissionService.Answer(
                         JobSubmissionService.Verdict.KNOWN,
@@ -197,38 +197,38 @@
 
     @Test
     void aJobAboutWhichNobodyAnswersAndOneThatWaitsBesideRoom() {
-        cluster.runsFor = id -> 500;
+        cluster.taskSeconds = id -> 500;
         cluster.submit(cluster.leader(), job("j-1"));
         cluster.run(4);
-        cluster.rules.calm();
-        cluster.store.out = true;
+        cluster.invariants.troublesAreOver();
+        cluster.store.unavailable = true;
         cluster.run(74);
         assertTrue(
-                cluster.broken.stream().noneMatch(b -> b.contains("forgotten")),
-                cluster.broken.toString());
+                cluster.violations.stream().noneMatch(b -> b.contains("forgotten")),
+                cluster.violations.toString());
         cluster.run(20);
         finds("forgotten: no question about j-1");
     }
 
     @Test
     void aJobThatIsLeftWaitingBesideRoom() {
-        cluster.runsFor = id -> 500;
+        cluster.taskSeconds = id -> 500;
         cluster.nodes.values().forEach(SimulatedNode::crash);
         cluster.specs.put("j-1", job("j-1"));
-        cluster.rules.accepted("j-1");
+        cluster.invariants.accepted("j-1");
         cluster.teams.put("red", new ClusterSettings.Team("red", 0, 1, 0, 0));
         cluster.specs.put("j-2", job("j-2"));
         start("i-000000", "j-2", 0);
-        cluster.workers.get("i-000000").hangsUntil = cluster.clock.now + 200;
-        cluster.rules.calm();
+        cluster.workers.get("i-000000").hangingUntil = cluster.clock.now + 200;
+        cluster.invariants.troublesAreOver();
         cluster.run(95);
         assertEquals(
                 List.of("forgotten: no question about j-1 is answered"),
-                cluster.broken,
+                cluster.violations,
                 "its team is at its limit");
         cluster.teams.put("red", new ClusterSettings.Team("red", 0, 0, 0, 0));
         cluster.run(89);
-        assertEquals(1, cluster.broken.size());
+        assertEquals(1, cluster.violations.size());
         cluster.run(4);
         finds("left waiting: j-1");
     }
--- a/src/test/java/io/kitepath/simulation/Worlds.java
+++ b/src/test/java/io/kitepath/simulation/Worlds.java
@@ -12,9 +12,9 @@
      */
     public static SimulatedCluster settled(int nodes, int machines) {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.reportS = 2;
-        cluster.leaseS = 10;
-        cluster.reportsChanges = true;
+        cluster.heartbeatIntervalSeconds = 2;
+        cluster.leaseSeconds = 10;
+        cluster.reportsChangesImmediately = true;
         for (int i = 0; i < nodes; i++) {
             cluster.siblings.add("k" + i);
         }
@@ -30,21 +30,21 @@
      * All troubles end but those of nodes that are down, which are for the caller to bring back.
      */
     public static void endTroubles(SimulatedCluster cluster) {
-        cluster.store.out = false;
-        cluster.store.hangs = client -> false;
-        cluster.store.late = transaction -> 0;
-        cluster.store.unheard = transaction -> false;
-        cluster.directHeldS = () -> 0;
-        cluster.copyAfterS = () -> 0;
-        cluster.keeps = heartbeat -> false;
-        cluster.cancelsAtEnd = task -> false;
+        cluster.store.unavailable = false;
+        cluster.store.ignoresRequestsOf = client -> false;
+        cluster.store.executionDelaySeconds = transaction -> 0;
+        cluster.store.losesResponseOf = transaction -> false;
+        cluster.directCommandHoldSeconds = () -> 0;
+        cluster.duplicateDelaySeconds = () -> 0;
+        cluster.copiesHeartbeat = heartbeat -> false;
+        cluster.cancelsOnCompletion = task -> false;
         cluster.workers
                 .values()
                 .forEach(
                         worker -> {
-                            worker.cut = false;
-                            worker.deaf = false;
-                            worker.mute = false;
+                            worker.isCutOff = false;
+                            worker.receivesNothing = false;
+                            worker.sendsNothing = false;
                         });
         cluster.nodes
                 .values()
