--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -249,7 +249,9 @@
         @Override
         public Integer call() throws Exception {
             return target.call(
-                    "POST", "/submissions/" + jobId + "/withdraw", MessagePackCodec.encode(Map.of()));
+                    "POST",
+                    "/submissions/" + jobId + "/withdraw",
+                    MessagePackCodec.encode(Map.of()));
         }
     }
 }
--- a/src/main/java/io/kitepath/cli/LocalCommand.java
+++ b/src/main/java/io/kitepath/cli/LocalCommand.java
@@ -210,8 +210,12 @@
                 outside.run(
                         () -> {
                             outside.cluster.store.largestValueBytes =
-                                    (int) (1024 * outside.cluster.announcedStoreLimits.maxValueKibibytes());
-                            outside.cluster.store.largestTransactionOperations = outside.cluster.announcedStoreLimits.maxTransactionOperations();
+                                    (int)
+                                            (1024
+                                                    * outside.cluster.announcedStoreLimits
+                                                            .maxValueKibibytes());
+                            outside.cluster.store.largestTransactionOperations =
+                                    outside.cluster.announcedStoreLimits.maxTransactionOperations();
                         });
             }
             if (random.nextInt(3) == 0) {
@@ -405,7 +409,8 @@
                                                 "value_kb",
                                                 cluster.announcedStoreLimits.maxValueKibibytes(),
                                                 "txn_ops",
-                                                cluster.announcedStoreLimits.maxTransactionOperations())),
+                                                cluster.announcedStoreLimits
+                                                        .maxTransactionOperations())),
                         "cloud",
                         Map.of("rps", 10, "list_lag_s", 2),
                         "limits",
--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -61,7 +61,8 @@
         NioEventLoopGroup group = new NioEventLoopGroup(1);
         EventLoop loop = group.next();
         LoopTimers timers = new LoopTimers(loop);
-        long timeoutMs = Math.round(Math.min(1000, facts.workers().heartbeatIntervalSeconds() * 500));
+        long timeoutMs =
+                Math.round(Math.min(1000, facts.workers().heartbeatIntervalSeconds() * 500));
         HttpStore store =
                 new HttpStore(
                         new HttpClient(loop, settings.storeAddress(), 8, MAX_ANSWER),
@@ -95,7 +96,10 @@
                         60);
         // Guards the leader's lease against a second process started by mistake: one whose
         // addresses are taken must end before it says in the store that it is this node now.
-        loop.submit(() -> peers.start(controller, settings.internalAddress())).sync().getNow().sync();
+        loop.submit(() -> peers.start(controller, settings.internalAddress()))
+                .sync()
+                .getNow()
+                .sync();
         server.listen(group, settings.listenAddress()).sync();
         loop.submit(controller::start).sync();
         LOG.info("{} listens on {}", facts.node(), settings.listenAddress());
@@ -136,7 +140,7 @@
                         200,
                         MessagePackCodec.encode(
                                 controller.roles().stream()
-                                        .map(LeasedRoles.RoleHolder::describe)
+                                        .map(LeasedRoles.Role::describe)
                                         .toList()));
             } else {
                 if (metrics == null) {
--- a/src/main/java/io/kitepath/cli/RehearseCommand.java
+++ b/src/main/java/io/kitepath/cli/RehearseCommand.java
@@ -7,7 +7,7 @@
 import io.kitepath.simulation.Rehearsal.Fault;
 import io.kitepath.simulation.Rehearsal.Plan;
 import io.kitepath.simulation.Rehearsal.Result;
-import io.kitepath.simulation.Rehearsal.Way;
+import io.kitepath.simulation.Rehearsal.Topology;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -69,7 +69,7 @@
         boolean failed = false;
         try {
             for (long s = seed; s < seed + runs; s++) {
-                for (Way way : compare ? Way.values() : new Way[] {Way.CELLS}) {
+                for (Topology way : compare ? Topology.values() : new Topology[] {Topology.CELLS}) {
                     Plan plan = plan(s);
                     Result r = new Rehearsal(plan, way).play();
                     System.out.println(json ? json(plan, way, r) : text(plan, way, r));
@@ -77,7 +77,8 @@
                     // compared with.
                     failed |=
                             !r.violations().isEmpty()
-                                    || way == Way.CELLS && (r.unfinished() > 0 || r.leastServedShare() < HALF);
+                                    || way == Topology.CELLS
+                                            && (r.unfinished() > 0 || r.leastServedShare() < HALF);
                 }
             }
         } catch (InvalidInputException invalid) {
@@ -171,7 +172,7 @@
         return String.format(Locale.ROOT, "%.1f", h.getValueAtPercentile(percentile) / 1000.0);
     }
 
-    private static String text(Plan plan, Way way, Result r) {
+    private static String text(Plan plan, Topology way, Result r) {
         StringBuilder text = new StringBuilder();
         text.append(
                 String.format(
@@ -219,14 +220,16 @@
                         r.violations().size(),
                         r.violations().isEmpty()
                                 ? ""
-                                : " " + r.violations().subList(0, Math.min(3, r.violations().size())),
+                                : " "
+                                        + r.violations()
+                                                .subList(0, Math.min(3, r.violations().size())),
                         r.unfinished(),
                         r.realSeconds(),
                         1e6 * r.realSeconds() / Math.max(1, r.starts())));
         return text.toString();
     }
 
-    private static String json(Plan plan, Way way, Result r) {
+    private static String json(Plan plan, Topology way, Result r) {
         StringBuilder text = new StringBuilder();
         text.append(
                 String.format(
--- a/src/main/java/io/kitepath/cli/StateCommand.java
+++ b/src/main/java/io/kitepath/cli/StateCommand.java
@@ -118,7 +118,11 @@
         private void show(OrphanScan.Finding finding) {
             rubbish += finding.isRemovable() ? 1 : 0;
             strange += finding.isRemovable() ? 0 : 1;
-            System.out.println((finding.isRemovable() ? "remove  " : "strange ") + finding.key() + ": " + finding.reason());
+            System.out.println(
+                    (finding.isRemovable() ? "remove  " : "strange ")
+                            + finding.key()
+                            + ": "
+                            + finding.reason());
         }
     }
 }
--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -97,24 +97,29 @@
     }
 
     @Override
-    public void listMachines(BiConsumer<Outcome, List<Listed>> answer) {
+    public void listMachines(BiConsumer<Outcome, List<ListedMachine>> answer) {
         page("", new ArrayList<>(), answer);
     }
 
-    private void page(String from, List<Listed> read, BiConsumer<Outcome, List<Listed>> answer) {
+    private void page(
+            String from,
+            List<ListedMachine> read,
+            BiConsumer<Outcome, List<ListedMachine>> answer) {
         http.call(
                 "GET",
                 "/rentals?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE,
                 null,
                 timeoutMs,
                 (status, body) -> {
-                    List<Listed> page = status == 200 ? read(body, ProtocolCodec::decodeListedMachines) : null;
+                    List<ListedMachine> page =
+                            status == 200 ? read(body, ProtocolCodec::decodeListedMachines) : null;
                     if (page == null) {
                         answer.accept(status == 200 ? Outcome.UNKNOWN : failed(status), List.of());
                         return;
                     }
                     read.addAll(page);
-                    if (ProtocolCodec.isTruncated(MessagePackCodec.decode(body)) && !page.isEmpty()) {
+                    if (ProtocolCodec.isTruncated(MessagePackCodec.decode(body))
+                            && !page.isEmpty()) {
                         page(page.get(page.size() - 1).machineId(), read, answer);
                     } else {
                         answer.accept(Outcome.OK, read);
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -139,7 +139,8 @@
         this.failover = new FailoverTimings(shard);
         this.scheduler = new Scheduler(shard, random, loopTime);
         this.membership = new MembershipView(settings, timers);
-        Incarnation incarnation = new Incarnation(settings.node(), timers.wallClockMillis(), random);
+        Incarnation incarnation =
+                new Incarnation(settings.node(), timers.wallClockMillis(), random);
         this.leadership =
                 new Leadership(settings, store, timers, random, incarnation, new Leading());
         this.cancellationWatermark = new CancellationWatermark(settings, timers);
@@ -177,7 +178,8 @@
                         leadership::isLeading,
                         this::requestRound);
         this.intentExecutor =
-                new CloudIntentExecutor(settings, store, cloud, timers, random, leadership.leaseSeconds());
+                new CloudIntentExecutor(
+                        settings, store, cloud, timers, random, leadership.leaseSeconds());
         this.garbageCollector = new GarbageCollector(settings, store, timers);
         this.leasedRoles =
                 new LeasedRoles(
@@ -220,7 +222,8 @@
         this.retryAfter = new RetryAfter(settings, timers);
         submissions.onCancelled(
                 job -> {
-                    shard.jobDependencies().recordOutcome(job.jobId(), false, timers.wallClockMillis());
+                    shard.jobDependencies()
+                            .recordOutcome(job.jobId(), false, timers.wallClockMillis());
                     requestRound();
                     siblings.announceJobEnd(job);
                 });
@@ -244,7 +247,7 @@
     }
 
     /** The duties, and who has them as far as this node knows. */
-    public List<LeasedRoles.RoleHolder> roles() {
+    public List<LeasedRoles.Role> roles() {
         return leasedRoles.roles();
     }
 
@@ -282,7 +285,8 @@
     }
 
     /** A report that a sibling asks about; {@code passOn}: the leader may be asked in turn. */
-    public void onRelayedHeartbeat(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
+    public void onRelayedHeartbeat(
+            Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
         heartbeatService.answerForPeer(heartbeat, passOn, answer);
     }
 
@@ -348,7 +352,13 @@
                                 cancellationWatermark,
                                 heartbeatService)
                         .all(() -> totalRoundSeconds, directCancellations::sent);
-        new RoleMetrics(cloudIntents, intentExecutor, garbageCollector, leasedRoles, failover, loopTime)
+        new RoleMetrics(
+                        cloudIntents,
+                        intentExecutor,
+                        garbageCollector,
+                        leasedRoles,
+                        failover,
+                        loopTime)
                 .addTo(all);
         if (cellService != null) {
             cellService.addMetrics(all);
@@ -367,7 +377,8 @@
             gossip.broadcast();
             failover.onLeadershipWon(timers.nowSeconds());
             launchesBefore = heartbeatProcessor.launchCount();
-            stateWriter.start(StoreKeys.SHARDS + "all", blockRevision, Controller.this::requestRound);
+            stateWriter.start(
+                    StoreKeys.SHARDS + "all", blockRevision, Controller.this::requestRound);
             cancellationProof.start();
             if (!isTicking) {
                 isTicking = true;
@@ -501,7 +512,8 @@
             isRoundRequested = true;
             // Rounds take at most a fifth of the time: check-ins, users and the lease need the
             // rest.
-            double pause = Math.max(0.02, lastRoundEndedAt + 4 * lastRoundSeconds - timers.nowSeconds());
+            double pause =
+                    Math.max(0.02, lastRoundEndedAt + 4 * lastRoundSeconds - timers.nowSeconds());
             timers.schedule(
                     pause,
                     () -> {
@@ -559,7 +571,8 @@
         }
         schedulingRounds++;
         double began = timers.nowSeconds();
-        scheduler.placeWaitingTasks(began, timers.wallClockMillis(), 20 * settings.store().maxTransactionOperations());
+        scheduler.placeWaitingTasks(
+                began, timers.wallClockMillis(), 20 * settings.store().maxTransactionOperations());
         double placed = timers.nowSeconds();
         loopTime.record(Activity.PLACING, began);
         stateWriter.write(this::onWritten);
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -58,7 +58,10 @@
         int up = 0;
         int proven = 0;
         for (Machine machine : shard.machines().values()) {
-            boolean there = machine.isTokenConfirmed() || machine.hasReported() || !machine.attempts().isEmpty();
+            boolean there =
+                    machine.isTokenConfirmed()
+                            || machine.hasReported()
+                            || !machine.attempts().isEmpty();
             up += there ? 1 : 0;
             proven += machine.isTokenConfirmed() ? 1 : 0;
         }
@@ -72,7 +75,12 @@
                     String.format(
                             "takeover: jobs read after %.2f s, first launch %.2f, half of %d machines reported "
                                     + "%.2f, %.0f%% of them %.2f",
-                            secondsToJobsRead, secondsToFirstLaunch, up, secondsToHalfReported, 100 * COMPLETE_SHARE, secondsToMostReported));
+                            secondsToJobsRead,
+                            secondsToFirstLaunch,
+                            up,
+                            secondsToHalfReported,
+                            100 * COMPLETE_SHARE,
+                            secondsToMostReported));
         }
     }
 
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 
 /** What this node and its siblings tell each other, and what follows from it. */
-final class Gossip implements JobStatusQueries.Holder {
+final class Gossip implements JobStatusQueries.ProgressSource {
     private static final double INTERVAL_SECONDS = 1;
 
     private final ClusterSettings settings;
@@ -121,7 +121,8 @@
      * neither store nor siblings are to be reached, since then it is this node that is cut off.
      */
     boolean isHealthy() {
-        return isServedByStore() || !membership.isAnyPeerServedByStore() && !membership.isIsolated();
+        return isServedByStore()
+                || !membership.isAnyPeerServedByStore() && !membership.isIsolated();
     }
 
     /** What this node knows of the jobs as their holder; nothing if it does not hold them. */
@@ -137,7 +138,9 @@
         String leader = leadership.leader();
         if (leadership.isLeading()) {
             answer.accept(progress(jobs));
-        } else if (leader == null || leader.equals(settings.node()) || membership.isSilent(leader)) {
+        } else if (leader == null
+                || leader.equals(settings.node())
+                || membership.isSilent(leader)) {
             answer.accept(List.of());
         } else {
             peerNodes.requestProgress(leader, jobs, answer);
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -54,17 +54,24 @@
 
     Map<String, Metric> all(DoubleSupplier roundS, DoubleSupplier directCommands) {
         Map<String, Metric> f = new LinkedHashMap<>();
-        f.put("leading", Metric.gauge("1 while this node leads", () -> leadership.isLeading() ? 1 : 0));
+        f.put(
+                "leading",
+                Metric.gauge("1 while this node leads", () -> leadership.isLeading() ? 1 : 0));
         f.put("token", Metric.gauge("highest token known", leadership::highestFencingToken));
         f.put(
                 "store.unserved",
-                Metric.gauge("seconds since the state service answered", leadership::secondsSinceStoreAnswered));
+                Metric.gauge(
+                        "seconds since the state service answered",
+                        leadership::secondsSinceStoreAnswered));
         f.put(
                 "cancellations.known.age",
                 Metric.gauge(
                         "seconds ago until when the holder knows what was cancelled; NaN"
                                 + " while this node does not lead",
-                        () -> leadership.isLeading() ? cancellationWatermark.ageSeconds() : Double.NaN));
+                        () ->
+                                leadership.isLeading()
+                                        ? cancellationWatermark.ageSeconds()
+                                        : Double.NaN));
         f.put("jobs", Metric.gauge("jobs in the holder's memory", () -> shard.jobs().size()));
         f.put(
                 "tasks.waiting",
@@ -89,16 +96,27 @@
                 "machines.late",
                 Metric.gauge(
                         "of those, later than boots take these days",
-                        () -> countMachines(machine -> shard.bootTimes().isLate(machine, timers.nowSeconds()))));
+                        () ->
+                                countMachines(
+                                        machine ->
+                                                shard.bootTimes()
+                                                        .isLate(machine, timers.nowSeconds()))));
         f.put(
                 "jobs.mistaken",
                 Metric.gauge(
                         "jobs that fail on every machine",
                         () ->
                                 shard.jobs().values().stream()
-                                        .filter(job -> shard.failureDiagnosis().isJobAtFault(job, timers.nowSeconds()))
+                                        .filter(
+                                                job ->
+                                                        shard.failureDiagnosis()
+                                                                .isJobAtFault(
+                                                                        job, timers.nowSeconds()))
                                         .count()));
-        f.put("jobs.held", Metric.gauge("jobs that wait for others", () -> shard.jobDependencies().heldJobCount()));
+        f.put(
+                "jobs.held",
+                Metric.gauge(
+                        "jobs that wait for others", () -> shard.jobDependencies().heldJobCount()));
         f.put(
                 "jobs.cascade",
                 Metric.gauge(
@@ -120,19 +138,24 @@
         f.put(
                 "store.oversize",
                 Metric.counter(
-                        "times that a record was put off as too large", stateWriter::oversizeRecords));
+                        "times that a record was put off as too large",
+                        stateWriter::oversizeRecords));
         f.put(
                 "siblings.silent",
                 Metric.gauge("siblings from which nothing is heard", membership::silentCount));
         f.put(
                 "machines.set.aside",
-                Metric.gauge("machines set aside for failing", () -> countMachines(Machine::isQuarantined)));
+                Metric.gauge(
+                        "machines set aside for failing",
+                        () -> countMachines(Machine::isQuarantined)));
         f.put("checkins", Metric.counter("check-ins received", heartbeatService::receivedCount));
         f.put(
                 "checkins.relayed",
                 Metric.counter("check-ins relayed to the leader", heartbeatService::relayedCount));
         f.put("attempts.ended", Metric.counter("attempts proven over", shard::attemptsEnded));
-        f.put("attempts.lost", Metric.counter("attempts lost with machine or session", shard::attemptsLost));
+        f.put(
+                "attempts.lost",
+                Metric.counter("attempts lost with machine or session", shard::attemptsLost));
         f.put(
                 "attempts.evicted",
                 Metric.counter(
@@ -173,11 +196,16 @@
         f.put(
                 "direct.commands",
                 Metric.counter("machines told directly to stop tasks", directCommands));
-        f.put("probes", Metric.counter("machines probed", () -> scheduler.probePlacement().probeCount()));
+        f.put(
+                "probes",
+                Metric.counter("machines probed", () -> scheduler.probePlacement().probeCount()));
         f.put(
                 "probes.passed",
-                Metric.counter("probes that passed", () -> scheduler.probePlacement().passedProbeCount()));
-        f.put("scans", Metric.counter("scans of the block", () -> scheduler.probePlacement().scanCount()));
+                Metric.counter(
+                        "probes that passed", () -> scheduler.probePlacement().passedProbeCount()));
+        f.put(
+                "scans",
+                Metric.counter("scans of the block", () -> scheduler.probePlacement().scanCount()));
         f.put(
                 "attempts.launched",
                 Metric.counter("launch orders given", heartbeatProcessor::launchCount));
@@ -187,10 +215,13 @@
                         "seconds from placings to their launch orders, added up",
                         heartbeatProcessor::launchDelaySeconds));
         f.put("rounds.time", Metric.counter("seconds spent in placing and writing down", roundS));
-        f.put("store.records", Metric.counter("records written by the holder", stateWriter::recordsSent));
+        f.put(
+                "store.records",
+                Metric.counter("records written by the holder", stateWriter::recordsSent));
         f.put(
                 "store.rounds",
-                Metric.counter("transactions written by the holder", stateWriter::transactionsSent));
+                Metric.counter(
+                        "transactions written by the holder", stateWriter::transactionsSent));
         return f;
     }
 
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -21,21 +21,27 @@
     void addTo(Map<String, Metric> f) {
         f.put(
                 "intents.asked",
-                Metric.counter("rentals and returns put down by this node", cloudIntents::requestedCount));
+                Metric.counter(
+                        "rentals and returns put down by this node", cloudIntents::requestedCount));
         f.put(
                 "intents.taken.over",
                 Metric.counter(
-                        "and those that it took over from earlier holders", cloudIntents::adoptedCount));
+                        "and those that it took over from earlier holders",
+                        cloudIntents::adoptedCount));
         f.put(
                 "intents.backlog",
-                Metric.gauge("rentals and returns that the cloud has not settled", cloudIntents::backlog));
+                Metric.gauge(
+                        "rentals and returns that the cloud has not settled",
+                        cloudIntents::backlog));
         f.put(
                 "duty.cloud.calls",
                 Metric.counter(
-                        "rentals and returns asked of the cloud by this node", intentExecutor::callCount));
+                        "rentals and returns asked of the cloud by this node",
+                        intentExecutor::callCount));
         f.put(
                 "duty.cloud.failed",
-                Metric.counter("of those, refused or not answered", intentExecutor::failedCallCount));
+                Metric.counter(
+                        "of those, refused or not answered", intentExecutor::failedCallCount));
         f.put(
                 "duty.fenced",
                 Metric.counter(
@@ -44,15 +50,21 @@
         f.put(
                 "cleanup.looks",
                 Metric.counter(
-                        "times that this node looked through the state service", garbageCollector::completedScans));
-        f.put("cleanup.removed", Metric.counter("records that it removed there", garbageCollector::removedCount));
+                        "times that this node looked through the state service",
+                        garbageCollector::completedScans));
+        f.put(
+                "cleanup.removed",
+                Metric.counter("records that it removed there", garbageCollector::removedCount));
         f.put(
                 "cleanup.strange",
-                Metric.gauge("records that should not be, by its last look", garbageCollector::inconsistentCount));
-        for (LeasedRoles.RoleHolder role : roles.roles()) {
+                Metric.gauge(
+                        "records that should not be, by its last look",
+                        garbageCollector::inconsistentCount));
+        for (LeasedRoles.Role role : roles.roles()) {
             f.put(
                     "duty." + role.name() + ".here",
-                    Metric.gauge("whether this node has the duty", () -> role.isHeldHere() ? 1 : 0));
+                    Metric.gauge(
+                            "whether this node has the duty", () -> role.isHeldHere() ? 1 : 0));
             f.put(
                     "duty." + role.name() + ".token",
                     Metric.gauge("the token of whoever has it", role::fencingToken));
--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -351,10 +351,14 @@
             numbers.add(number);
             // Two of these in one transaction write the same record: the last one has it all.
             transaction.requireRevision(StoreKeys.VOIDED_NUMBERS + home, numbers.revision());
-            transaction.writes().removeIf(write -> write.key().equals(StoreKeys.VOIDED_NUMBERS + home));
+            transaction
+                    .writes()
+                    .removeIf(write -> write.key().equals(StoreKeys.VOIDED_NUMBERS + home));
             transaction.put(StoreKeys.VOIDED_NUMBERS + home, numbers.record());
             if (borrowed != null) {
-                transaction.requireRevision(borrowed.key(), borrowed.revision).remove(borrowed.key());
+                transaction
+                        .requireRevision(borrowed.key(), borrowed.revision)
+                        .remove(borrowed.key());
             }
         }
 
@@ -420,7 +424,8 @@
                     @Override
                     public void contributeTo(Store.Transaction transaction) {
                         borrowed.state = as;
-                        borrowed.done = borrowed.job.doneBitsOf(borrowed.firstTask, borrowed.endTask);
+                        borrowed.done =
+                                borrowed.job.doneBitsOf(borrowed.firstTask, borrowed.endTask);
                         borrowed.nextAttempt = borrowed.job.nextAttempt();
                         transaction
                                 .requireRevision(borrowed.key(), borrowed.revision)
@@ -478,7 +483,8 @@
         double mostS = shard.settings().workers().leaseSeconds();
         if (borrowed.reporting
                 || now - borrowed.reportedAt
-                        < RetryBackoff.delaySeconds(borrowed.unansweredReports, 0.5, mostS, random)) {
+                        < RetryBackoff.delaySeconds(
+                                borrowed.unansweredReports, 0.5, mostS, random)) {
             return;
         }
         borrowed.reporting = true;
--- a/src/main/java/io/kitepath/core/cell/CellMembership.java
+++ b/src/main/java/io/kitepath/core/cell/CellMembership.java
@@ -131,7 +131,8 @@
             return; // A cell that this node's file does not name yet.
         }
         remote.summary = summary;
-        remote.summariesInARow = now - remote.heardAt < SUMMARY_FRESH_SECONDS ? remote.summariesInARow + 1 : 1;
+        remote.summariesInARow =
+                now - remote.heardAt < SUMMARY_FRESH_SECONDS ? remote.summariesInARow + 1 : 1;
         remote.heardAt = now;
         remote.offeredCpus = 0;
         if (remote.state == State.UNKNOWN
@@ -152,8 +153,10 @@
                     && (silence > lease || silence > lease / 2 && !isHeardByOthers(remote, now))) {
                 // As long as some other cell hears it, it may be the way to it that is broken.
                 changeState(remote, State.SILENT, now);
-            } else if (remote.state == State.HEALTHY && remote.summariesInARow > 10 * remote.summariesNeeded) {
-                remote.summariesNeeded = Math.max(SUMMARIES_UNTIL_HEALTHY, remote.summariesNeeded / 2);
+            } else if (remote.state == State.HEALTHY
+                    && remote.summariesInARow > 10 * remote.summariesNeeded) {
+                remote.summariesNeeded =
+                        Math.max(SUMMARIES_UNTIL_HEALTHY, remote.summariesNeeded / 2);
                 remote.summariesInARow = 0;
             }
         }
@@ -177,7 +180,8 @@
             return;
         }
         if (to == State.SILENT) {
-            remote.summariesNeeded = Math.min(MAX_SUMMARIES_UNTIL_HEALTHY, remote.summariesNeeded * 2);
+            remote.summariesNeeded =
+                    Math.min(MAX_SUMMARIES_UNTIL_HEALTHY, remote.summariesNeeded * 2);
             remote.silentSince = remote.heardAt;
         }
         if (to == State.SILENT || remote.state == State.SILENT) {
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -102,7 +102,8 @@
         others.forEach(c -> zones.put(c, Math.max(1, cellDirectory.cells().get(c).zones().size())));
         this.cellMembership = new CellMembership(shard.settings(), others);
         this.localSummary = new LocalSummary(shard);
-        this.workOffloading = new WorkOffloading(shard.settings(), shard.machineTypes(), zones, random);
+        this.workOffloading =
+                new WorkOffloading(shard.settings(), shard.machineTypes(), zones, random);
         this.lentTasks =
                 new LentTasks(
                         cellDirectory.ownCellName(),
@@ -116,15 +117,29 @@
                         node::cancelled);
         this.borrowedTasks =
                 new BorrowedTasks(
-                        cellDirectory.ownCellName(), shard, riding, timers, this::askHolder, random);
+                        cellDirectory.ownCellName(),
+                        shard,
+                        riding,
+                        timers,
+                        this::askHolder,
+                        random);
         this.quotaShares =
                 new QuotaShares(
-                        cellDirectory.ownCellName(), shard, riding, timers, this::askHolder, random);
+                        cellDirectory.ownCellName(),
+                        shard,
+                        riding,
+                        timers,
+                        this::askHolder,
+                        random);
         shard.quotaUsage().setLimits(quotaShares);
         setDraining(cellDirectory.ownCell().isDraining());
         this.homeAssignment = new HomeAssignment(cellDirectory, store, timers);
         this.jobs = new HomeCellJobs(cellDirectory, submissions, cells, homeAssignment::agreed);
-        this.budget = new TokenBucket(Math.max(1, shard.settings().store().writesPerSecond() * OFFLOAD_RATE_SHARE));
+        this.budget =
+                new TokenBucket(
+                        Math.max(
+                                1,
+                                shard.settings().store().writesPerSecond() * OFFLOAD_RATE_SHARE));
     }
 
     public void start() {
@@ -178,7 +193,12 @@
     /** A message of another cell; every one gets one answer, null if there is none to give now. */
     public void onMessage(CellMessage message, Consumer<CellMessage> answer) {
         if (message instanceof UserRequest u) {
-            jobs.onUserRequest(u, response -> answer.accept(new UserResponse(response.verdict().name(), response.jobStatus())));
+            jobs.onUserRequest(
+                    u,
+                    response ->
+                            answer.accept(
+                                    new UserResponse(
+                                            response.verdict().name(), response.jobStatus())));
             return;
         }
         if (!node.holdsShard()) {
@@ -215,8 +235,11 @@
                                 + (int)
                                         Math.max(
                                                 0,
-                                                (capacity.cpus() - capacity.idleMachines() * type.cpus())
-                                                        / Math.max(1e-6, offer.spec().cpusPerTask()));
+                                                (capacity.cpus()
+                                                                - capacity.idleMachines()
+                                                                        * type.cpus())
+                                                        / Math.max(
+                                                                1e-6, offer.spec().cpusPerTask()));
             }
         }
         boolean whole = offer.spec().shape() != JobSpec.Shape.ARRAY;
@@ -259,7 +282,8 @@
             Summary mine = summary();
             for (RemoteCell remote : cellMembership.all().values()) {
                 // Of two cells the one of the lower name begins, as long as that works.
-                if (cellDirectory.ownCellName().compareTo(remote.name) < 0 || !remote.isHeard(now)) {
+                if (cellDirectory.ownCellName().compareTo(remote.name) < 0
+                        || !remote.isHeard(now)) {
                     askHolder(
                             remote.name,
                             mine,
@@ -336,11 +360,13 @@
     public void addMetrics(Map<String, Metric> f) {
         f.put(
                 "cells.silent",
-                Metric.gauge("other cells from which nothing is heard", cellMembership::silentCount));
+                Metric.gauge(
+                        "other cells from which nothing is heard", cellMembership::silentCount));
         f.put(
                 "cells.tasks.lent",
                 Metric.gauge(
-                        "tasks that other cells were offered or have taken", lentTasks::lentTaskCount));
+                        "tasks that other cells were offered or have taken",
+                        lentTasks::lentTaskCount));
         f.put(
                 "cells.tasks.taken",
                 Metric.gauge(
@@ -358,15 +384,18 @@
                 Metric.counter("hand-overs refused for lack of room", borrowedTasks::loansRefused));
         f.put(
                 "cells.shares.given",
-                Metric.counter("parts of teams' limits given to other cells", quotaShares::grantsSent));
+                Metric.counter(
+                        "parts of teams' limits given to other cells", quotaShares::grantsSent));
         f.put(
                 "cells.shares.came",
                 Metric.counter(
-                        "parts of teams' limits that came from other cells", quotaShares::grantsReceived));
+                        "parts of teams' limits that came from other cells",
+                        quotaShares::grantsReceived));
         f.put(
                 "cells.shares.under.way",
                 Metric.gauge(
-                        "parts given that are not known to have arrived", quotaShares::amountInTransit));
+                        "parts given that are not known to have arrived",
+                        quotaShares::amountInTransit));
         f.put(
                 "cells.messages",
                 Metric.counter("messages sent to other cells by the holder", () -> messages));
--- a/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -8,7 +8,7 @@
 import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.service.JobApi;
 import io.kitepath.core.service.JobSubmissionService;
-import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void submit(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
+    public void submit(JobSpec spec, List<String> needs, Consumer<JobResponse> answer) {
         if (needs.isEmpty()) {
             ask(new UserRequest(RequestKind.SUBMIT, spec.id(), spec), answer);
         } else if (homesAgreed.getAsBoolean()
@@ -55,7 +55,7 @@
                     response ->
                             answer.accept(
                                     response.verdict() == Verdict.NOT_FOUND
-                                            ? Answer.refused(
+                                            ? JobResponse.refused(
                                                     "a job waits only for jobs whose home is the cell that it is handed in to")
                                             : response));
         }
@@ -66,16 +66,16 @@
     }
 
     @Override
-    public void status(String id, Consumer<Answer> answer) {
+    public void status(String id, Consumer<JobResponse> answer) {
         ask(new UserRequest(RequestKind.STATUS, id, null), answer);
     }
 
     @Override
-    public void cancel(String id, Consumer<Answer> answer) {
+    public void cancel(String id, Consumer<JobResponse> answer) {
         ask(new UserRequest(RequestKind.CANCEL, id, null), answer);
     }
 
-    private void ask(UserRequest a, Consumer<Answer> answer) {
+    private void ask(UserRequest a, Consumer<JobResponse> answer) {
         String home = cellDirectory.homeCellOf(a.jobId());
         if (home.equals(cellDirectory.ownCellName())) {
             onUserRequest(a, answer);
@@ -88,16 +88,17 @@
                 got ->
                         answer.accept(
                                 got instanceof UserResponse u
-                                        ? new Answer(Verdict.valueOf(u.verdict()), u.status())
-                                        : Answer.LATER));
+                                        ? new JobResponse(Verdict.valueOf(u.verdict()), u.status())
+                                        : JobResponse.LATER));
     }
 
     /** A user's question that came here, or to another cell's node that sent it on. */
-    void onUserRequest(UserRequest a, Consumer<Answer> answer) {
+    void onUserRequest(UserRequest a, Consumer<JobResponse> answer) {
         // Guards against two nodes with different files that each hold another cell to be the job's
         // home.
-        if (!homesAgreed.getAsBoolean() || !cellDirectory.homeCellOf(a.jobId()).equals(cellDirectory.ownCellName())) {
-            answer.accept(Answer.LATER);
+        if (!homesAgreed.getAsBoolean()
+                || !cellDirectory.homeCellOf(a.jobId()).equals(cellDirectory.ownCellName())) {
+            answer.accept(JobResponse.LATER);
             return;
         }
         switch (a.kind()) {
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -138,7 +138,8 @@
         Job job = shard.jobs().get(id);
         if (job != null && !job.isFinished() && !job.isCancelRequested()) {
             job.requestCancel();
-            new ArrayList<>(job.liveAttempts().values()).forEach(attempt -> shard.stopAttempt(attempt, 0));
+            new ArrayList<>(job.liveAttempts().values())
+                    .forEach(attempt -> shard.stopAttempt(attempt, 0));
             shard.requestScheduling();
             LOG.info(
                     "job {} is to be cancelled; {} loans are called back first",
@@ -262,7 +263,9 @@
             if (job.loans().stream().anyMatch(loan -> loan.isClosed)) {
                 settle(job);
             }
-            if (job.isCancelRequested() && job.loans().isEmpty() && cancelling.containsKey(job.spec.id())) {
+            if (job.isCancelRequested()
+                    && job.loans().isEmpty()
+                    && cancelling.containsKey(job.spec.id())) {
                 cancel(job);
             }
         }
@@ -280,7 +283,9 @@
                 loan.isAccepted && !job.isCancelRequested()
                         ? 2 * mostS
                         : RetryBackoff.delaySeconds(loan.unansweredQueries, 1, mostS, random);
-        if (loan.isAwaitingAnswer || now - loan.lastQueriedAt < dueS && !(job.isCancelRequested() && loan.unansweredQueries == 0)) {
+        if (loan.isAwaitingAnswer
+                || now - loan.lastQueriedAt < dueS
+                        && !(job.isCancelRequested() && loan.unansweredQueries == 0)) {
             return;
         }
         loan.isAwaitingAnswer = true;
@@ -437,7 +442,9 @@
                     @Override
                     public boolean isStillWanted() {
                         boolean still =
-                                !job.isFinished() && job.loans().isEmpty() && cancelling.containsKey(id);
+                                !job.isFinished()
+                                        && job.loans().isEmpty()
+                                        && cancelling.containsKey(id);
                         if (!still) {
                             job.writingLoans(false);
                         }
@@ -482,7 +489,9 @@
 
                     @Override
                     public void contributeTo(Store.Transaction transaction) {
-                        transaction.requireRevision(StoreKeys.CANCELLATION_REQUESTS + id, asked).remove(StoreKeys.CANCELLATION_REQUESTS + id);
+                        transaction
+                                .requireRevision(StoreKeys.CANCELLATION_REQUESTS + id, asked)
+                                .remove(StoreKeys.CANCELLATION_REQUESTS + id);
                     }
 
                     @Override
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -46,7 +46,9 @@
         out.sort(
                 Comparator.comparingDouble((FreeCapacity capacity) -> -capacity.cpus())
                         .thenComparing(capacity -> capacity.kind().toString()));
-        return out.size() > MAX_MACHINE_KINDS ? new ArrayList<>(out.subList(0, MAX_MACHINE_KINDS)) : out;
+        return out.size() > MAX_MACHINE_KINDS
+                ? new ArrayList<>(out.subList(0, MAX_MACHINE_KINDS))
+                : out;
     }
 
     /** CPUs of all machines that may be used. */
--- a/src/main/java/io/kitepath/core/cell/QuotaDivision.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaDivision.java
@@ -27,7 +27,13 @@
      * @param waitingSince when that was submitted, in milliseconds since 1970
      */
     record QuotaClaim(
-            String cell, long share, long used, long wanted, long firstWaiting, long task, double waitingSince) {}
+            String cell,
+            long share,
+            long used,
+            long wanted,
+            long firstWaiting,
+            long task,
+            double waitingSince) {}
 
     private QuotaDivision() {}
 
@@ -101,7 +107,9 @@
     private static List<QuotaClaim> waiting(List<QuotaClaim> claims) {
         List<QuotaClaim> out =
                 new ArrayList<>(claims.stream().filter(claim -> claim.wanted > 0).toList());
-        out.sort(Comparator.comparingDouble(QuotaClaim::waitingSince).thenComparing(QuotaClaim::cell));
+        out.sort(
+                Comparator.comparingDouble(QuotaClaim::waitingSince)
+                        .thenComparing(QuotaClaim::cell));
         return out;
     }
 
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -225,7 +225,9 @@
 
     private long mayUse(ClusterSettings.Team team, int kind) {
         HeldShare h = held.get(team.name());
-        return h == null ? currentShare(team, kind) : Math.min(currentShare(team, kind), h.cap[kind]);
+        return h == null
+                ? currentShare(team, kind)
+                : Math.min(currentShare(team, kind), h.cap[kind]);
     }
 
     @Override
@@ -248,7 +250,10 @@
     // ---- what is wanted -------------------------------------------------------------------------
 
     private static long need(JobSpec spec, int kind, int tasks) {
-        return (long) Math.ceil((kind == 0 ? spec.cpusPerTask() : spec.gpusPerTask()) * 1000 * tasks - 1e-3);
+        return (long)
+                Math.ceil(
+                        (kind == 0 ? spec.cpusPerTask() : spec.gpusPerTask()) * 1000 * tasks
+                                - 1e-3);
     }
 
     /**
@@ -280,7 +285,10 @@
         out.sort(
                 Comparator.comparingLong((QuotaShare share) -> -share.wanted())
                         .thenComparing(QuotaShare::team));
-        summaryRows = out.size() > MAX_SHARES_IN_SUMMARY ? new ArrayList<>(out.subList(0, MAX_SHARES_IN_SUMMARY)) : out;
+        summaryRows =
+                out.size() > MAX_SHARES_IN_SUMMARY
+                        ? new ArrayList<>(out.subList(0, MAX_SHARES_IN_SUMMARY))
+                        : out;
         return summaryRows;
     }
 
@@ -299,7 +307,9 @@
             }
         }
         long head =
-                first == null ? 0 : need(first.spec, kind, first.spec.isGang() ? first.waitingTasks() : 1);
+                first == null
+                        ? 0
+                        : need(first.spec, kind, first.spec.isGang() ? first.waitingTasks() : 1);
         wants = room[kind] < head ? 0 : Math.min(wants, room[kind]);
         return new QuotaShare(
                 team.name(),
@@ -333,13 +343,17 @@
         Map<String, List<QuotaClaim>> claims = new HashMap<>();
         for (Summary summary : others) {
             for (QuotaShare share : summary.quotaShares()) {
-                claims.computeIfAbsent(share.team() + '\0' + share.resourceKind(), key -> new ArrayList<>())
+                claims.computeIfAbsent(
+                                share.team() + '\0' + share.resourceKind(),
+                                key -> new ArrayList<>())
                         .add(
                                 new QuotaClaim(
                                         summary.cell(),
                                         share.held()
                                                 + amountInTransit(
-                                                        share.team(), share.resourceKind(), summary.cell()),
+                                                        share.team(),
+                                                        share.resourceKind(),
+                                                        summary.cell()),
                                         share.used(),
                                         share.wanted(),
                                         share.nextJobNeed(),
@@ -377,7 +391,9 @@
         held.cap[share.resourceKind()] = Math.max(Math.min(targets.get(ownCell), share.held()), 0);
         if (claims.stream().anyMatch(c -> !c.cell().equals(ownCell) && c.wanted() > 0)) {
             held.cap[share.resourceKind()] =
-                    Math.min(held.cap[share.resourceKind()], QuotaDivision.maxMinFair(claims).get(ownCell));
+                    Math.min(
+                            held.cap[share.resourceKind()],
+                            QuotaDivision.maxMinFair(claims).get(ownCell));
         }
         long mine =
                 claims.stream()
@@ -405,7 +421,10 @@
         long amount = Math.min(over, usefulAmount(to, targets) - to.share());
         OutgoingGrant outgoing =
                 new OutgoingGrant(
-                        (shard.fencingToken() << SEQUENCE_BITS) + ++sequence, to.cell(), share.resourceKind(), amount);
+                        (shard.fencingToken() << SEQUENCE_BITS) + ++sequence,
+                        to.cell(),
+                        share.resourceKind(),
+                        amount);
         held.moved[share.resourceKind()] -= amount;
         held.outgoing.add(outgoing);
         grantsSent++;
@@ -452,10 +471,14 @@
 
                     @Override
                     public void contributeTo(Store.Transaction transaction) {
-                        transaction.requireRevision(key(h.team), h.revision).put(key(h.team), h.record());
+                        transaction
+                                .requireRevision(key(h.team), h.revision)
+                                .put(key(h.team), h.record());
                         if (giver != null) {
                             SequenceNumbers numbers = numbers(giver);
-                            transaction.requireRevision(StoreKeys.VOIDED_NUMBERS + "share/" + giver, numbers.revision());
+                            transaction.requireRevision(
+                                    StoreKeys.VOIDED_NUMBERS + "share/" + giver,
+                                    numbers.revision());
                             transaction
                                     .writes()
                                     .removeIf(
@@ -465,7 +488,8 @@
                                                                     StoreKeys.VOIDED_NUMBERS
                                                                             + "share/"
                                                                             + giver));
-                            transaction.put(StoreKeys.VOIDED_NUMBERS + "share/" + giver, numbers.record());
+                            transaction.put(
+                                    StoreKeys.VOIDED_NUMBERS + "share/" + giver, numbers.record());
                         }
                     }
 
@@ -512,7 +536,10 @@
         if (outgoing.asking
                 || now - outgoing.askedAt
                         < RetryBackoff.delaySeconds(
-                                outgoing.unanswered, 1, shard.settings().workers().leaseSeconds(), random)) {
+                                outgoing.unanswered,
+                                1,
+                                shard.settings().workers().leaseSeconds(),
+                                random)) {
             return;
         }
         outgoing.asking = true;
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -18,11 +18,11 @@
 
 /**
  * Which waiting work goes to which other cell: the paper's Threshold one floor up. Work that would
- * miss what is expected of it at home probes up to {@link ProbePlacement#MAX_PROBES} random cells that
- * say they can take it, and goes once to the first with fewer than {@link ProbePlacement#UNCONFIRMED_THRESHOLD}
- * hand-overs unconfirmed for each of its zones; after misses the summaries are scanned for the
- * roomiest; failing that it stays. A function of what it is given and of the random numbers:
- * nothing is asked and nothing written here.
+ * miss what is expected of it at home probes up to {@link ProbePlacement#MAX_PROBES} random cells
+ * that say they can take it, and goes once to the first with fewer than {@link
+ * ProbePlacement#UNCONFIRMED_THRESHOLD} hand-overs unconfirmed for each of its zones; after misses
+ * the summaries are scanned for the roomiest; failing that it stays. A function of what it is given
+ * and of the random numbers: nothing is asked and nothing written here.
  */
 final class WorkOffloading {
     /**
@@ -121,9 +121,13 @@
     }
 
     /** Null if the job stays. */
-    private String reasonToOffload(Job job, boolean fits, double cpus, double waitS, double wallMs) {
+    private String reasonToOffload(
+            Job job, boolean fits, double cpus, double waitS, double wallMs) {
         JobSpec spec = job.spec;
-        boolean whole = spec.shape() != JobSpec.Shape.ARRAY || spec.isSingleZone() || spec.isSpreadAcrossZones();
+        boolean whole =
+                spec.shape() != JobSpec.Shape.ARRAY
+                        || spec.isSingleZone()
+                        || spec.isSpreadAcrossZones();
         if (job.borrowed
                 || job.isFinished()
                 || job.isCancelRequested()
@@ -181,7 +185,9 @@
         }
         RemoteCell best = null;
         for (RemoteCell remote : able) {
-            if (remote.unconfirmed < ProbePlacement.UNCONFIRMED_THRESHOLD * zonesOf.getOrDefault(remote.name, 1)
+            if (remote.unconfirmed
+                            < ProbePlacement.UNCONFIRMED_THRESHOLD
+                                    * zonesOf.getOrDefault(remote.name, 1)
                     && (best == null || slots(job.spec, remote) > slots(job.spec, best))) {
                 best = remote;
             }
@@ -195,7 +201,9 @@
      */
     private static int smallestUnit(Job job) {
         JobSpec spec = job.spec;
-        return spec.shape() != JobSpec.Shape.ARRAY || spec.isSingleZone() || spec.isSpreadAcrossZones()
+        return spec.shape() != JobSpec.Shape.ARRAY
+                        || spec.isSingleZone()
+                        || spec.isSpreadAcrossZones()
                 ? spec.taskCount()
                 : 1;
     }
@@ -227,8 +235,14 @@
             all += fit;
             byZone.merge(capacity.kind().zone(), fit, Integer::sum);
         }
-        int taken = spec.cpusPerTask() > 0 ? (int) Math.ceil(remote.offeredCpus() / spec.cpusPerTask()) : 0;
-        int room = spec.isSingleZone() ? byZone.values().stream().mapToInt(x -> x).max().orElse(0) : all;
+        int taken =
+                spec.cpusPerTask() > 0
+                        ? (int) Math.ceil(remote.offeredCpus() / spec.cpusPerTask())
+                        : 0;
+        int room =
+                spec.isSingleZone()
+                        ? byZone.values().stream().mapToInt(x -> x).max().orElse(0)
+                        : all;
         if (spec.isSpreadAcrossZones()) {
             int most = spec.maxTasksPerZone();
             room = byZone.values().stream().mapToInt(x -> Math.min(x, most)).sum();
--- a/src/main/java/io/kitepath/core/leadership/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationLog.java
@@ -20,12 +20,12 @@
     /** A quarter of what a frame between nodes may hold. */
     private static final int MAX_CHARS = 64 * 1024;
 
-    private record Learned(String jobId, double atMillis) {}
+    private record LoggedCancellation(String jobId, double atMillis) {}
 
     private final String node;
     private final Timers timers;
     private final double retentionMillis;
-    private final Deque<Learned> entries = new ArrayDeque<>();
+    private final Deque<LoggedCancellation> entries = new ArrayDeque<>();
     private final Set<String> jobIds = new HashSet<>();
     private int totalChars;
     private double completeSinceMillis;
@@ -40,7 +40,7 @@
     /** The job is cancelled for good, as this node knows from now on. */
     public void add(String jobId) {
         if (jobIds.add(jobId)) {
-            entries.add(new Learned(jobId, timers.wallClockMillis()));
+            entries.add(new LoggedCancellation(jobId, timers.wallClockMillis()));
             totalChars += jobId.length();
         }
         trim();
@@ -49,14 +49,19 @@
     public CancellationDigest digest() {
         trim();
         return new CancellationDigest(
-                node, completeSinceMillis, timers.wallClockMillis(), entries.stream().map(Learned::jobId).toList());
+                node,
+                completeSinceMillis,
+                timers.wallClockMillis(),
+                entries.stream().map(LoggedCancellation::jobId).toList());
     }
 
     private void trim() {
         double oldest = timers.wallClockMillis() - retentionMillis;
         while (!entries.isEmpty()
-                && (entries.peek().atMillis < oldest || entries.size() > MAX_JOBS || totalChars > MAX_CHARS)) {
-            Learned gone = entries.poll();
+                && (entries.peek().atMillis < oldest
+                        || entries.size() > MAX_JOBS
+                        || totalChars > MAX_CHARS)) {
+            LoggedCancellation gone = entries.poll();
             jobIds.remove(gone.jobId);
             totalChars -= gone.jobId.length();
             completeSinceMillis = Math.max(completeSinceMillis, gone.atMillis);
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -82,11 +82,17 @@
 
     /** A sibling's word; what it names has been taken in already. */
     public void advanceByDigest(CancellationDigest d) {
-        double until = Math.max(storeWatermarkMillis, digestWatermarkMillis.getOrDefault(d.node(), Double.NEGATIVE_INFINITY));
+        double until =
+                Math.max(
+                        storeWatermarkMillis,
+                        digestWatermarkMillis.getOrDefault(d.node(), Double.NEGATIVE_INFINITY));
         if (siblings.contains(d.node())
                 && unprovenCancellations.size() < MAX_UNPROVEN
                 && d.sinceMillis() + maxClockSkewMillis <= until) {
-            digestWatermarkMillis.merge(d.node(), Math.min(timers.wallClockMillis(), d.untilMillis()) - maxClockSkewMillis, Math::max);
+            digestWatermarkMillis.merge(
+                    d.node(),
+                    Math.min(timers.wallClockMillis(), d.untilMillis()) - maxClockSkewMillis,
+                    Math::max);
         }
     }
 
@@ -96,15 +102,20 @@
      */
     public double ageSeconds() {
         double now = timers.wallClockMillis();
-        return (now - siblings.stream().mapToDouble(this::watermarkMillis).min().orElse(now)) / 1000;
+        return (now - siblings.stream().mapToDouble(this::watermarkMillis).min().orElse(now))
+                / 1000;
     }
 
     private double watermarkMillis(String sibling) {
-        return Math.max(storeWatermarkMillis, digestWatermarkMillis.getOrDefault(sibling, Double.NEGATIVE_INFINITY));
+        return Math.max(
+                storeWatermarkMillis,
+                digestWatermarkMillis.getOrDefault(sibling, Double.NEGATIVE_INFINITY));
     }
 
     /** The sibling of whose confirmations the least is known, null if there are none. */
     public String leastKnownPeer() {
-        return siblings.stream().min((a, b) -> Double.compare(watermarkMillis(a), watermarkMillis(b))).orElse(null);
+        return siblings.stream()
+                .min((a, b) -> Double.compare(watermarkMillis(a), watermarkMillis(b)))
+                .orElse(null);
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/Incarnation.java
+++ b/src/main/java/io/kitepath/core/leadership/Incarnation.java
@@ -64,7 +64,9 @@
         // Without a word on its start it is of an earlier version, so was there before this
         // process. Of two that started in the same millisecond, as far as their clocks can tell,
         // chance has the say.
-        boolean later = since > startedAtMillis || since == startedAtMillis && itsLife.compareTo(processId) > 0;
+        boolean later =
+                since > startedAtMillis
+                        || since == startedAtMillis && itsLife.compareTo(processId) > 0;
         return later ? Holder.LATER_PROCESS : Holder.ABANDONED;
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -76,7 +76,9 @@
     public void logSilenceChanges(String leader) {
         for (String s : siblings) {
             boolean silent = isSilent(s);
-            if (silent ? heardAt.containsKey(s) && reportedSilent.add(s) : reportedSilent.remove(s)) {
+            if (silent
+                    ? heardAt.containsKey(s) && reportedSilent.add(s)
+                    : reportedSilent.remove(s)) {
                 LOG.info(
                         silent ? "nothing is heard from {} any more{}" : "{} is heard again{}",
                         s,
--- a/src/main/java/io/kitepath/core/model/CellMessage.java
+++ b/src/main/java/io/kitepath/core/model/CellMessage.java
@@ -11,7 +11,8 @@
     record Redirect(String node) implements CellMessage {}
 
     /** Free room on machines of one kind. {@code idleMachines}: machines that nothing runs on. */
-    record FreeCapacity(MachineKind kind, double cpus, double gpus, double memoryGigabytes, int idleMachines) {}
+    record FreeCapacity(
+            MachineKind kind, double cpus, double gpus, double memoryGigabytes, int idleMachines) {}
 
     /**
      * A cell about itself; answered by the other's.
@@ -20,8 +21,8 @@
      * @param directoryVersion of its directory
      * @param acceptsLoans whether it takes work of others now
      * @param freeCapacity by kind, the most roomy ones first, a bounded number
-     * @param queueSecondsByRank by rank: seconds that the work waiting up to that rank would keep all its
-     *     machines busy
+     * @param queueSecondsByRank by rank: seconds that the work waiting up to that rank would keep
+     *     all its machines busy
      * @param reachableCells the cells that it has heard lately
      * @param quotaShares of the teams' limits, those that it wants most of first, a bounded number
      */
@@ -58,7 +59,13 @@
             double nextJobSubmittedMillis) {}
 
     /** A part of a team's limit goes over, under a number that can be taken once. */
-    record QuotaGrant(String fromCell, long grantNumber, long lowestOpenNumber, String team, int resourceKind, long amount)
+    record QuotaGrant(
+            String fromCell,
+            long grantNumber,
+            long lowestOpenNumber,
+            String team,
+            int resourceKind,
+            long amount)
             implements CellMessage {}
 
     /** The other cell's store has it. */
@@ -84,7 +91,8 @@
             implements CellMessage {}
 
     /** Give back what can be given back, or stop all of it for good. */
-    record LoanRecall(String homeCell, long loanNumber, long lowestOpenNumber, boolean kill) implements CellMessage {}
+    record LoanRecall(String homeCell, long loanNumber, long lowestOpenNumber, boolean kill)
+            implements CellMessage {}
 
     /**
      * How a loan stands. All but {@link LoanState#TAKEN} are final, written before they are said.
@@ -103,14 +111,16 @@
      * @param doneTasks the loan's tasks that are done, by number from the first of the loan
      * @param nextAttempt the number that the job's next attempt must have at least
      */
-    record LoanStatus(String cell, long loanNumber, LoanState state, byte[] doneTasks, long nextAttempt)
+    record LoanStatus(
+            String cell, long loanNumber, LoanState state, byte[] doneTasks, long nextAttempt)
             implements CellMessage {}
 
     /** The home has it that the loan is over: the other cell may forget it. */
     record LoanSettled(long loanNumber, long lowestOpenNumber) implements CellMessage {}
 
     /**
-     * What a user asks of a job whose home is the cell that gets this. {@code spec}: only to submit.
+     * What a user asks of a job whose home is the cell that gets this. {@code spec}: only to
+     * submit.
      */
     record UserRequest(RequestKind kind, String jobId, JobSpec spec) implements CellMessage {}
 
--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -15,21 +15,37 @@
         List<String> zones,
         Map<String, Team> teams,
         List<Objective> objectives,
-        Workers workers,
+        WorkerTimings workers,
         StoreLimits store,
         CloudLimits cloud,
-        Limits limits,
+        ProcessLimits limits,
         double clockErrorMillis) {
 
     /** Guarantees and limits; 0 means none. */
-    public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
+    public record Team(
+            String name,
+            double guaranteedCpus,
+            double maxCpus,
+            double guaranteedGpus,
+            double maxGpus) {}
 
-    /** {@code deadlineFactor}: of a job's own deadline; 1 unless that is what the objective is about. */
+    /**
+     * {@code deadlineFactor}: of a job's own deadline; 1 unless that is what the objective is
+     * about.
+     */
     public record Objective(
-            String kind, String jobClass, double withinSeconds, double deadlineFactor, double targetShare) {}
-
-    public record Workers(
-            double heartbeatIntervalSeconds, double leaseSeconds, double gangStartTimeoutSeconds, double gangPeerTimeoutSeconds, double cancelDeadlineSeconds) {
+            String kind,
+            String jobClass,
+            double withinSeconds,
+            double deadlineFactor,
+            double targetShare) {}
+
+    public record WorkerTimings(
+            double heartbeatIntervalSeconds,
+            double leaseSeconds,
+            double gangStartTimeoutSeconds,
+            double gangPeerTimeoutSeconds,
+            double cancelDeadlineSeconds) {
         /**
          * For how long workers may be answered without knowing what was cancelled, in seconds:
          * their lease has to run out after the last answer, in {@code cancelS} altogether. Two
@@ -41,7 +57,14 @@
         public double cancellationStalenessSeconds() {
             // Not longer than a lease of theirs: by then another node leads, which they would have
             // to reach as well.
-            return Math.max(heartbeatIntervalSeconds, Math.min(leaseSeconds, cancelDeadlineSeconds - leaseSeconds - 2 * heartbeatIntervalSeconds - 1));
+            return Math.max(
+                    heartbeatIntervalSeconds,
+                    Math.min(
+                            leaseSeconds,
+                            cancelDeadlineSeconds
+                                    - leaseSeconds
+                                    - 2 * heartbeatIntervalSeconds
+                                    - 1));
         }
     }
 
@@ -50,11 +73,15 @@
      * fallen: whoever writes keeps to the lower ones from the start, since nobody says when they
      * fall.
      *
-     * @param layoutValueKibibytes the size of values by which records are laid out that earlier versions wrote,
-     *     and may still read
+     * @param layoutValueKibibytes the size of values by which records are laid out that earlier
+     *     versions wrote, and may still read
      */
     public record StoreLimits(
-            double requestsPerSecond, double writesPerSecond, double maxValueKibibytes, int maxTransactionOperations, double layoutValueKibibytes) {
+            double requestsPerSecond,
+            double writesPerSecond,
+            double maxValueKibibytes,
+            int maxTransactionOperations,
+            double layoutValueKibibytes) {
         public StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {
             this(rps, writeRps, valueKb, txnOps, valueKb);
         }
@@ -77,7 +104,7 @@
 
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
-    public record Limits(double cpuCores, double ramMegabytes, int maxSockets) {}
+    public record ProcessLimits(double cpuCores, double ramMegabytes, int maxSockets) {}
 
     /** The same with other limits and guarantees. */
     public ClusterSettings withTeams(Map<String, Team> others) {
@@ -133,10 +160,13 @@
             }
             switch (objective.kind) {
                 case "wait" -> goals.add(readyAfterS + objective.withinSeconds);
-                case "finished" -> goals.add(readyAfterS + objective.withinSeconds - spec.estimatedSeconds());
+                case "finished" ->
+                        goals.add(readyAfterS + objective.withinSeconds - spec.estimatedSeconds());
                 case "deadline" -> {
                     if (spec.deadlineSeconds() != null) {
-                        goals.add(spec.deadlineSeconds() * objective.deadlineFactor - spec.estimatedSeconds());
+                        goals.add(
+                                spec.deadlineSeconds() * objective.deadlineFactor
+                                        - spec.estimatedSeconds());
                     }
                 }
                 default -> {} // Not about single jobs.
--- a/src/main/java/io/kitepath/core/model/DocumentReader.java
+++ b/src/main/java/io/kitepath/core/model/DocumentReader.java
@@ -76,7 +76,8 @@
             throw wrongType(name, "an integer");
         }
         if (n < least || n > most) {
-            throw new InvalidInputException(path + name + ": must be from " + least + " to " + most);
+            throw new InvalidInputException(
+                    path + name + ": must be from " + least + " to " + most);
         }
         return n;
     }
--- a/src/main/java/io/kitepath/core/model/Heartbeat.java
+++ b/src/main/java/io/kitepath/core/model/Heartbeat.java
@@ -19,11 +19,13 @@
         List<TaskStatus> tasks) {
 
     /** A task on the machine; {@code cause} is null unless it ended. */
-    public record TaskStatus(String jobId, int task, long attempt, TaskState state, EndCause cause) {}
+    public record TaskStatus(
+            String jobId, int task, long attempt, TaskState state, EndCause cause) {}
 
     /** Whether it was sent after the one of its machine that had these. */
     public boolean isNewerThan(long otherSession, long otherSequence) {
-        return agentIncarnation > otherSession || agentIncarnation == otherSession && sequence > otherSequence;
+        return agentIncarnation > otherSession
+                || agentIncarnation == otherSession && sequence > otherSequence;
     }
 
     public enum TaskState {
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -23,7 +23,11 @@
  * @param nextAttempt the number of its next attempt, at least; 0 if its parts say all
  */
 public record JobRecord(
-        JobSpec spec, double submittedMillis, List<String> dependencies, int tasksPerPart, long nextAttempt) {
+        JobSpec spec,
+        double submittedMillis,
+        List<String> dependencies,
+        int tasksPerPart,
+        long nextAttempt) {
     /** After a shape's name, where earlier versions must not read the record. */
     private static final String NEWER_SHAPE_SUFFIX = "/2";
 
@@ -60,7 +64,8 @@
      * @param extra what is said besides
      */
     public Map<String, Object> toFinishedRecord(Map<String, Object> extra, int bytes) {
-        Map<String, Object> m = new JobRecord(spec, submittedMillis, List.of(), tasksPerPart, 0).toRecord();
+        Map<String, Object> m =
+                new JobRecord(spec, submittedMillis, List.of(), tasksPerPart, 0).toRecord();
         m.putAll(extra);
         if (JsonSize.sizeInBytes(m) > bytes) {
             m.put("types", null);
@@ -101,6 +106,8 @@
 
     static JobSpec.Shape parseShape(String name) {
         return JobSpec.Shape.valueOf(
-                name.endsWith(NEWER_SHAPE_SUFFIX) ? name.substring(0, name.length() - NEWER_SHAPE_SUFFIX.length()) : name);
+                name.endsWith(NEWER_SHAPE_SUFFIX)
+                        ? name.substring(0, name.length() - NEWER_SHAPE_SUFFIX.length())
+                        : name);
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -128,7 +128,10 @@
             return "more than the limit of team " + team;
         }
         // An array runs by halves, but the others need all their tasks at the same time.
-        if (shape != Shape.ARRAY && isSpreadAcrossZones && taskCount > 1 && (isSingleZone || zones.size() == 1)) {
+        if (shape != Shape.ARRAY
+                && isSpreadAcrossZones
+                && taskCount > 1
+                && (isSingleZone || zones.size() == 1)) {
             return "only half of the tasks may be in one zone, and no other is allowed";
         }
         return null;
--- a/src/main/java/io/kitepath/core/model/JobStatus.java
+++ b/src/main/java/io/kitepath/core/model/JobStatus.java
@@ -9,7 +9,8 @@
  * @param runningTaskCount tasks that run
  * @param note what it waits for, in a sentence, or null if there is nothing to say
  */
-public record JobStatus(String jobId, String status, int doneTaskCount, int runningTaskCount, String note) {
+public record JobStatus(
+        String jobId, String status, int doneTaskCount, int runningTaskCount, String note) {
     public JobStatus(String id, String status, int done, int running) {
         this(id, status, done, running, null);
     }
--- a/src/main/java/io/kitepath/core/port/Cloud.java
+++ b/src/main/java/io/kitepath/core/port/Cloud.java
@@ -7,8 +7,13 @@
 
 /** Rents machines by the second. */
 public interface Cloud {
-    record Listed(
-            String machineId, String machineType, String zone, boolean spot, String status, double heldSeconds) {}
+    record ListedMachine(
+            String machineId,
+            String machineType,
+            String zone,
+            boolean spot,
+            String status,
+            double heldSeconds) {}
 
     void listMachineTypes(BiConsumer<Store.Outcome, List<MachineType>> answer);
 
@@ -25,5 +30,5 @@
     /** OK: the machines and everything on them are gone. */
     void release(List<String> machines, java.util.function.Consumer<Store.Outcome> answer);
 
-    void listMachines(BiConsumer<Store.Outcome, List<Listed>> answer);
+    void listMachines(BiConsumer<Store.Outcome, List<ListedMachine>> answer);
 }
--- a/src/main/java/io/kitepath/core/port/Store.java
+++ b/src/main/java/io/kitepath/core/port/Store.java
@@ -31,7 +31,8 @@
     record ListResult(Outcome outcome, List<Entry> entries, long revision, boolean hasMore) {}
 
     /** {@code failedKeys} names the keys whose conditions did not hold. */
-    record CommitResult(Outcome outcome, long revision, List<String> failedKeys, boolean isLeaseExpired) {}
+    record CommitResult(
+            Outcome outcome, long revision, List<String> failedKeys, boolean isLeaseExpired) {}
 
     record Condition(String key, long revision) {}
 
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -181,7 +181,9 @@
 
     @Override
     public boolean canPerform(double now) {
-        return Double.isNaN(failingSince) || now - failingSince < 2 * leaseSeconds || pending.isEmpty();
+        return Double.isNaN(failingSince)
+                || now - failingSince < 2 * leaseSeconds
+                || pending.isEmpty();
     }
 
     private void execute(PendingAction action) {
@@ -268,7 +270,8 @@
                         case OK -> pending.remove(action.intent.key, action);
                         default ->
                                 timers.schedule(
-                                        0.1 + 0.1 * random.nextDouble(), () -> recordOutcome(e, action));
+                                        0.1 + 0.1 * random.nextDouble(),
+                                        () -> recordOutcome(e, action));
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -129,7 +129,8 @@
 
     private void addToShard(RentalIntent rental) {
         double now = timers.nowSeconds();
-        double since = now - Math.max(0, timers.wallClockMillis() - rental.requestedAtMillis()) / 1000;
+        double since =
+                now - Math.max(0, timers.wallClockMillis() - rental.requestedAtMillis()) / 1000;
         rental.machines().forEach(m -> shard.addRentedMachine(m, rental.kind, now, since));
     }
 
@@ -227,14 +228,17 @@
         double left = settings.store().maxValueKibibytes() * 1024 * 0.8;
         for (String m : machines) {
             left -= m.length() + 4;
-            if (batch.size() < MAX_MACHINES_PER_RELEASE && left > 0 && !releasingMachines.contains(m)) {
+            if (batch.size() < MAX_MACHINES_PER_RELEASE
+                    && left > 0
+                    && !releasingMachines.contains(m)) {
                 batch.add(m);
             }
         }
         if (batch.isEmpty()) {
             return;
         }
-        ReleaseIntent release = new ReleaseIntent(namePrefix + ++lastNameNumber, batch, shard.fencingToken());
+        ReleaseIntent release =
+                new ReleaseIntent(namePrefix + ++lastNameNumber, batch, shard.fencingToken());
         releases.put(release.key, release);
         releasingMachines.addAll(batch);
         batch.forEach(shard::markForRelease);
@@ -295,7 +299,9 @@
 
                     @Override
                     public void contributeTo(Transaction transaction) {
-                        transaction.requireRevision(intent.key, intent.revision()).remove(intent.key);
+                        transaction
+                                .requireRevision(intent.key, intent.revision())
+                                .remove(intent.key);
                     }
 
                     @Override
--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -102,7 +102,11 @@
         }
         if (scan == null) {
             inconsistentInScan = 0;
-            scan = new OrphanScan(store, 4 * settings.store().maxTransactionOperations(), this::onFinding);
+            scan =
+                    new OrphanScan(
+                            store,
+                            4 * settings.store().maxTransactionOperations(),
+                            this::onFinding);
         }
         isRequestInFlight = true;
         long e = epoch;
@@ -121,7 +125,9 @@
                                 garbage.size(),
                                 inconsistentCount);
                         scan = null;
-                        nextStepAt = timers.nowSeconds() + PAUSE_IN_LEASES * settings.workers().leaseSeconds();
+                        nextStepAt =
+                                timers.nowSeconds()
+                                        + PAUSE_IN_LEASES * settings.workers().leaseSeconds();
                     }
                 });
     }
@@ -138,9 +144,12 @@
     private void remove(OrphanScan.Finding finding) {
         isRequestInFlight = true;
         long e = epoch;
-        Transaction transaction = new Transaction().requireRevision(roleLease.key(), roleLease.revision());
+        Transaction transaction =
+                new Transaction().requireRevision(roleLease.key(), roleLease.revision());
         finding.conditions()
-                .forEach(condition -> transaction.requireRevision(condition.key(), condition.revision()));
+                .forEach(
+                        condition ->
+                                transaction.requireRevision(condition.key(), condition.revision()));
         store.commit(
                 transaction.remove(finding.key()),
                 result -> {
@@ -153,8 +162,8 @@
                         LOG.info("removed {}: {}", finding.key(), finding.reason());
                     } else if (result.outcome() != Outcome.REJECTED) {
                         garbage.addFirst(
-                                finding); // The same removal once more: its conditions let only one of
-                        // the two through.
+                                finding); // The same removal once more: its conditions let only one
+                        // of the two through.
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -66,10 +66,11 @@
      * @param key on whose {@code revision} all that is written for the duty depends
      * @param isCertain whether it is held for certain, to be asked right before each act
      */
-    public record RoleLease(String key, long revision, long fencingToken, BooleanSupplier isCertain) {}
+    public record RoleLease(
+            String key, long revision, long fencingToken, BooleanSupplier isCertain) {}
 
     /** One duty, as this node sees it. */
-    public static final class RoleHolder {
+    public static final class Role {
         private final RoleWorker worker;
         private final String key;
         private String holderNode;
@@ -85,7 +86,7 @@
         private int handBacks;
         private long handOvers;
 
-        private RoleHolder(RoleWorker work) {
+        private Role(RoleWorker work) {
             this.worker = work;
             this.key = StoreKeys.ROLES + work.name();
         }
@@ -132,7 +133,7 @@
     private final Random random;
     private final Incarnation incarnation;
     private final double leaseSeconds;
-    private final Map<String, RoleHolder> roles = new LinkedHashMap<>();
+    private final Map<String, Role> roles = new LinkedHashMap<>();
     private final List<String> nodes = new ArrayList<>();
     private long leaseId;
     private boolean isGrantInFlight;
@@ -156,7 +157,7 @@
         this.random = random;
         this.incarnation = incarnation;
         this.leaseSeconds = lifeS;
-        works.forEach(worker -> roles.put(StoreKeys.ROLES + worker.name(), new RoleHolder(worker)));
+        works.forEach(worker -> roles.put(StoreKeys.ROLES + worker.name(), new Role(worker)));
         nodes.add(settings.node());
         settings.siblings().stream().filter(s -> !s.equals(settings.node())).forEach(nodes::add);
         nodes.sort(null);
@@ -177,7 +178,7 @@
         }
     }
 
-    public List<RoleHolder> roles() {
+    public List<Role> roles() {
         return List.copyOf(roles.values());
     }
 
@@ -188,8 +189,11 @@
 
     /** Whether the duty of that name is held here for certain. */
     public boolean holds(String name) {
-        RoleHolder role = roles.get(StoreKeys.ROLES + name);
-        boolean certain = role.isHeldHere && timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
+        Role role = roles.get(StoreKeys.ROLES + name);
+        boolean certain =
+                role.isHeldHere
+                        && timers.nowSeconds() - renewalRequestedAt
+                                < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
         fencedCount += role.isHeldHere && !certain ? 1 : 0;
         return certain;
     }
@@ -253,7 +257,7 @@
                         return;
                     }
                     for (Entry entry : changes.events()) {
-                        RoleHolder role = roles.get(entry.key());
+                        Role role = roles.get(entry.key());
                         if (role != null && entry.value() == null) {
                             onKeyAbsent(role, entry.revision());
                         } else if (role != null) {
@@ -271,7 +275,7 @@
     }
 
     /** The key was not there at that revision. */
-    private void onKeyAbsent(RoleHolder role, long at) {
+    private void onKeyAbsent(Role role, long at) {
         if (at < role.revision) {
             return; // It has been taken since.
         }
@@ -283,7 +287,7 @@
         scheduleClaim(role);
     }
 
-    private void onKeyRead(RoleHolder role, Entry entry) {
+    private void onKeyRead(Role role, Entry entry) {
         if (entry.revision() < role.revision) {
             return; // Older than what is known.
         }
@@ -316,7 +320,7 @@
         }
     }
 
-    private void recordHolder(RoleHolder role, String node, long token) {
+    private void recordHolder(Role role, String node, long token) {
         if (!node.equals(role.holderNode) || token != role.fencingToken) {
             role.handOvers++;
             role.heldSince = timers.nowSeconds();
@@ -328,12 +332,12 @@
     // ---- taking and losing ----------------------------------------------------------------------
 
     /** This node's place in the duty's order: each duty begins with another node. */
-    private int claimRank(RoleHolder role) {
+    private int claimRank(Role role) {
         int ordinal = new ArrayList<>(roles.keySet()).indexOf(role.key);
         return Math.floorMod(nodes.indexOf(settings.node()) - ordinal - 1, nodes.size());
     }
 
-    private void scheduleClaim(RoleHolder role) {
+    private void scheduleClaim(Role role) {
         if (role.isClaiming || isStopped) {
             return;
         }
@@ -377,7 +381,7 @@
                 });
     }
 
-    private void claim(RoleHolder role) {
+    private void claim(Role role) {
         String tokenKey = StoreKeys.ROLE_FENCING_TOKENS + role.name();
         store.get(
                 tokenKey,
@@ -407,7 +411,8 @@
                     store.commit(
                             new Transaction()
                                     .requireRevision(role.key, 0)
-                                    .requireRevision(tokenKey, got == Outcome.OK ? entry.revision() : 0)
+                                    .requireRevision(
+                                            tokenKey, got == Outcome.OK ? entry.revision() : 0)
                                     .put(role.key, key, on)
                                     .put(tokenKey, Map.of("token", next)),
                             result -> {
@@ -425,7 +430,7 @@
                 });
     }
 
-    private void onAcquired(RoleHolder role, long revision, long token) {
+    private void onAcquired(Role role, long revision, long token) {
         if (role.isHeldHere && role.revision == revision) {
             return;
         }
@@ -440,7 +445,7 @@
         roles.values().forEach(role -> lose(role, why));
     }
 
-    private void lose(RoleHolder role, String why) {
+    private void lose(Role role, String why) {
         if (role.isHeldHere) {
             role.isHeldHere = false;
             role.holderNode = null;
@@ -485,7 +490,7 @@
 
     private void tick() {
         double now = timers.nowSeconds();
-        for (RoleHolder role : roles.values()) {
+        for (Role role : roles.values()) {
             if (role.isHeldHere && holds(role.name())) {
                 if (role.worker.canPerform(now)) {
                     role.worker.tick(now);
@@ -504,10 +509,11 @@
      * not answer. Each time that it proves unfit it leaves the duty to others for longer, so that
      * it does not go round in an outage of all.
      */
-    private void handBack(RoleHolder role, double now) {
+    private void handBack(Role role, double now) {
         role.abstainsUntil = now + leaseSeconds * 5 * (1 << Math.min(5, role.handBacks++));
         long at = role.revision;
         lose(role, "it can't be done from here");
-        store.commit(new Transaction().requireRevision(role.key, at).remove(role.key), result -> {});
+        store.commit(
+                new Transaction().requireRevision(role.key, at).remove(role.key), result -> {});
     }
 }
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -32,17 +32,20 @@
     /**
      * What was found.
      *
-     * @param isRemovable whether it can be removed; if not, it should not be, and a person has to look
+     * @param isRemovable whether it can be removed; if not, it should not be, and a person has to
+     *     look
      * @param reason in words
      * @param conditions under which it is rubbish, its own revision among them
      */
-    public record Finding(boolean isRemovable, String key, String reason, List<Condition> conditions) {}
+    public record Finding(
+            boolean isRemovable, String key, String reason, List<Condition> conditions) {}
 
     private final Store store;
     private final int maxConditions;
     private final Consumer<Finding> findingListener;
     private final Deque<String> prefixes =
-            new ArrayDeque<>(List.of(StoreKeys.JOB_PARTS, StoreKeys.OPEN_JOBS, StoreKeys.CLOUD_INTENTS));
+            new ArrayDeque<>(
+                    List.of(StoreKeys.JOB_PARTS, StoreKeys.OPEN_JOBS, StoreKeys.CLOUD_INTENTS));
     private String prefix = prefixes.poll();
     private String from = "";
 
@@ -182,7 +185,9 @@
         Map<String, Long> read = new LinkedHashMap<>();
         entries.forEach(
                 entry ->
-                        read.put(entry.key().substring(StoreKeys.OPEN_JOBS.length()), entry.revision()));
+                        read.put(
+                                entry.key().substring(StoreKeys.OPEN_JOBS.length()),
+                                entry.revision()));
         // Guards against a job that is called open and over since it ended between two reads.
         compare(
                 read,
@@ -217,7 +222,7 @@
     // ---- comparing ------------------------------------------------------------------------------
 
     /** What one comparison, so one moment, says of a job. */
-    private interface Places {
+    private interface JobPlacesListener {
         /**
          * Told of each job once.
          *
@@ -232,7 +237,7 @@
      * Compares both places of each of these jobs, {@code opens}: with which revisions of their open
      * records.
      */
-    private void compare(Map<String, Long> opens, Places places) {
+    private void compare(Map<String, Long> opens, JobPlacesListener places) {
         List<String> ids = new ArrayList<>(opens.keySet());
         int most = Math.max(1, maxConditions / 2);
         for (int i = 0; i < ids.size(); i += most) {
@@ -242,7 +247,8 @@
     }
 
     /** Not told, and the step put back, if it can't be had now. */
-    private void compare(Map<String, Long> opens, List<String> ids, Places places, Runnable told) {
+    private void compare(
+            Map<String, Long> opens, List<String> ids, JobPlacesListener places, Runnable told) {
         Transaction transaction = new Transaction();
         ids.forEach(
                 id ->
@@ -253,7 +259,8 @@
                 transaction,
                 result -> {
                     if (result.outcome() == Outcome.OK
-                            || result.outcome() == Outcome.REJECTED && !result.failedKeys().isEmpty()) {
+                            || result.outcome() == Outcome.REJECTED
+                                    && !result.failedKeys().isEmpty()) {
                         Set<String> other = new HashSet<>(result.failedKeys());
                         ids.forEach(
                                 id ->
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -155,7 +155,9 @@
     /** What is due now; {@code mayPlan}: the jobs are known and the store answers. */
     public void reconcile(boolean mayPlan) {
         double now = timers.nowSeconds();
-        if (!isListing && now - listedAtSeconds > settings.cloud().listLagSeconds() / 2 && callBucket.tryTake(1, now)) {
+        if (!isListing
+                && now - listedAtSeconds > settings.cloud().listLagSeconds() / 2
+                && callBucket.tryTake(1, now)) {
             listMachines();
         }
         if (now - typesFetchedAtSeconds > 20 * settings.workers().heartbeatIntervalSeconds()) {
@@ -168,7 +170,8 @@
         if (shard.machineTypes().isEmpty() || listedAtSeconds < leadingSinceSeconds) {
             return;
         }
-        if (intentBucket.available(now) < 1 || now - plannedAtSeconds < settings.workers().heartbeatIntervalSeconds() / 8) {
+        if (intentBucket.available(now) < 1
+                || now - plannedAtSeconds < settings.workers().heartbeatIntervalSeconds() / 8) {
             return; // Nothing could be done about a plan now, or hardly anything has changed since
             // the last.
         }
@@ -178,8 +181,11 @@
 
     /** Has put down what the plan says and nothing says yet. */
     private void recordIntents(ScalingPlanner.Plan plan, double now) {
-        List<String> release = plan.machinesToRelease().stream().filter(m -> !intents.isReleasing(m)).toList();
-        if (!release.isEmpty() && intents.releases().size() < MAX_PENDING_REQUESTS && intentBucket.tryTake(1, now)) {
+        List<String> release =
+                plan.machinesToRelease().stream().filter(m -> !intents.isReleasing(m)).toList();
+        if (!release.isEmpty()
+                && intents.releases().size() < MAX_PENDING_REQUESTS
+                && intentBucket.tryTake(1, now)) {
             intents.requestRelease(release);
         }
         // One plan's rentals at a time: the next plan has to know what came of them.
--- a/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
+++ b/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
@@ -16,16 +16,16 @@
      * Of the machine's room, what is left by the time that the plan looks at, and what is left
      * until then.
      */
-    final Space afterBoot;
+    final FreeResources afterBoot;
 
-    final Space immediately;
+    final FreeResources immediately;
 
     FreeCapacity(MachineType type, MachineKind kind, Machine machine) {
         this.type = type;
         this.kind = kind;
         this.machine = machine;
-        this.afterBoot = new Space(type);
-        this.immediately = new Space(type);
+        this.afterBoot = new FreeResources(type);
+        this.immediately = new FreeResources(type);
     }
 
     /**
@@ -33,7 +33,8 @@
      * of jobs.
      */
     boolean hasCpusFor(JobSpec spec, boolean atOnce) {
-        return afterBoot.cpus + 1e-6 >= spec.cpusPerTask() && (!atOnce || immediately.cpus + 1e-6 >= spec.cpusPerTask());
+        return afterBoot.cpus + 1e-6 >= spec.cpusPerTask()
+                && (!atOnce || immediately.cpus + 1e-6 >= spec.cpusPerTask());
     }
 
     /** Takes in as many of the tasks as fit, at once or by then; returns how many. */
@@ -47,12 +48,12 @@
         return n;
     }
 
-    static final class Space {
+    static final class FreeResources {
         double cpus;
         double gpus;
         double memoryGb;
 
-        Space(MachineType type) {
+        FreeResources(MachineType type) {
             cpus = type.cpus();
             gpus = type.gpus();
             memoryGb = type.memoryGigabytes();
--- a/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -119,13 +119,17 @@
     private double pricePerUnit(
             MachineKind kind, MachineType type, double units, Map<MachineKind, Integer> rent) {
         int there = machineCounts.getOrDefault(kind, 0) + rent.getOrDefault(kind, 0);
-        return (kind.spot() ? type.spotPricePerHour() : type.pricePerHour()) / units * (1 + 1e-4 * there);
+        return (kind.spot() ? type.spotPricePerHour() : type.pricePerHour())
+                / units
+                * (1 + 1e-4 * there);
     }
 
     boolean isSpotAvailable(JobSpec spec, double now) {
         return shard.machineTypes().values().stream()
                 .anyMatch(
-                        type -> ProbePlacement.slots(spec, type) > 0 && isCheaperSpotAvailable(type, now));
+                        type ->
+                                ProbePlacement.slots(spec, type) > 0
+                                        && isCheaperSpotAvailable(type, now));
     }
 
     /**
--- a/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -40,7 +40,9 @@
      * work that they have room for.
      */
     boolean mayBeOverdue(Machine machine, double now) {
-        return !machine.hasReported() && machine.attempts().isEmpty() && now - silenceSince > silenceSeconds();
+        return !machine.hasReported()
+                && machine.attempts().isEmpty()
+                && now - silenceSince > silenceSeconds();
     }
 
     boolean isLate(Machine machine, double now) {
@@ -52,6 +54,8 @@
      * nodes.
      */
     double silenceSeconds() {
-        return Math.min(settings.workers().leaseSeconds(), 5 * settings.workers().heartbeatIntervalSeconds() + 4);
+        return Math.min(
+                settings.workers().leaseSeconds(),
+                5 * settings.workers().heartbeatIntervalSeconds() + 4);
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -50,7 +50,8 @@
                 up++;
                 double since =
                         machine.hasReported()
-                                ? Math.max(machine.lastHeartbeatAt(), machineLiveness.silenceSince())
+                                ? Math.max(
+                                        machine.lastHeartbeatAt(), machineLiveness.silenceSince())
                                 : machineLiveness.silenceSince();
                 if (now - since > silence) {
                     silent++;
@@ -68,7 +69,8 @@
         List<String> out = new ArrayList<>();
         double spare = spareCpus;
         for (Machine machine : shard.machines().values()) {
-            MachineType type = machine.type() == null ? null : shard.machineTypes().get(machine.type());
+            MachineType type =
+                    machine.type() == null ? null : shard.machineTypes().get(machine.type());
             boolean give = machine.isReleasing();
             boolean surplus =
                     type != null
@@ -77,7 +79,8 @@
                             && !kept.contains(machine)
                             && machine.reservedFor() == null;
             if (!machine.isSpot()
-                    && machine.attempts().stream().anyMatch(attempt -> !attempt.job.spec.allowsSpot())) {
+                    && machine.attempts().stream()
+                            .anyMatch(attempt -> !attempt.job.spec.allowsSpot())) {
                 machine.markNeeded(now);
             }
             machine.setDraining(
@@ -100,9 +103,12 @@
                     && shard.bootTimes().isHopeless(machine, now)) {
                 give = true;
                 if (!machine.isReleasing()) {
-                    instanceSelection.refused(machine.kind(), now); // Where boots fail, others come first.
+                    instanceSelection.refused(
+                            machine.kind(), now); // Where boots fail, others come first.
                 }
-            } else if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUnwrittenEnds()) {
+            } else if (machine.isTokenConfirmed()
+                    && !machine.isBusy()
+                    && !machine.hasUnwrittenEnds()) {
                 give |= machine.isQuarantined() || isDeafForLong(machine, now);
                 give |=
                         surplus
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -65,7 +65,9 @@
         measureCapacity(now);
         Map<MachineKind, Integer> rent = new LinkedHashMap<>();
         List<FreeCapacity> rooms = freeCapacities(now, null);
-        List<Job> queue = scheduler.orderedJobs(now, wallMs, settings.workers().heartbeatIntervalSeconds() / 8);
+        List<Job> queue =
+                scheduler.orderedJobs(
+                        now, wallMs, settings.workers().heartbeatIntervalSeconds() / 8);
         for (Job job : queue) {
             planForJob(job, rooms, rent, now, wallMs);
         }
@@ -80,7 +82,8 @@
         instanceSelection.countMachines();
         usableCpus = 0;
         for (Machine machine : shard.machines().values()) {
-            MachineType type = machine.type() == null ? null : shard.machineTypes().get(machine.type());
+            MachineType type =
+                    machine.type() == null ? null : shard.machineTypes().get(machine.type());
             if (type == null) {
                 continue;
             }
@@ -91,7 +94,8 @@
         spotBacklog = 0;
         for (Job job : shard.jobs().values()) {
             if (job.spec.allowsSpot() && !shard.failureDiagnosis().isJobAtFault(job, now)) {
-                spotBacklog += job.waitingTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
+                spotBacklog +=
+                        job.waitingTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
             }
         }
     }
@@ -103,8 +107,11 @@
     private List<FreeCapacity> freeCapacities(double now, JobSpec forNow) {
         List<FreeCapacity> rooms = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
-            MachineType type = machine.type() == null ? null : shard.machineTypes().get(machine.type());
-            if (type == null || !MachineLiveness.isUsable(machine) || machineLiveness.isLate(machine, now)) {
+            MachineType type =
+                    machine.type() == null ? null : shard.machineTypes().get(machine.type());
+            if (type == null
+                    || !MachineLiveness.isUsable(machine)
+                    || machineLiveness.isLate(machine, now)) {
                 continue;
             }
             FreeCapacity capacity = new FreeCapacity(type, machine.kind(), machine);
@@ -113,7 +120,9 @@
                         && (forNow == null
                                 ? attempt.remainingSeconds(now) > type.bootSeconds()
                                 : attempt.job.spec.isGang()
-                                        || attempt.job.effectivePriority().compareTo(forNow.priority())
+                                        || attempt.job
+                                                        .effectivePriority()
+                                                        .compareTo(forNow.priority())
                                                 <= 0)) {
                     capacity.afterBoot.subtract(attempt.job.spec, 1);
                 }
@@ -135,7 +144,10 @@
             List<Job> queue, Map<MachineKind, Integer> rent, double now, double wallMs) {
         Set<Machine> kept = new HashSet<>();
         double boot =
-                shard.machineTypes().values().stream().mapToDouble(MachineType::bootSeconds).min().orElse(0);
+                shard.machineTypes().values().stream()
+                        .mapToDouble(MachineType::bootSeconds)
+                        .min()
+                        .orElse(0);
         for (ClusterSettings.Objective objective : settings.objectives()) {
             boolean wait =
                     objective.kind().equals("wait")
@@ -149,7 +161,11 @@
             JobSpec typical =
                     wait || objective.kind().equals("deadline")
                             ? shard.recentArrivals()
-                                    .typicalSpec(objective.jobClass(), objective.targetShare(), wallMs, boot)
+                                    .typicalSpec(
+                                            objective.jobClass(),
+                                            objective.targetShare(),
+                                            wallMs,
+                                            boot)
                             : null;
             if (typical == null) {
                 continue;
@@ -157,7 +173,11 @@
             int atOnce = typical.taskCount();
             if (typical.shape() == JobSpec.Shape.ARRAY && typical.deadlineSeconds() != null) {
                 double rounds =
-                        Math.max(1, typical.deadlineSeconds() / 2 / Math.max(1, typical.estimatedSeconds()));
+                        Math.max(
+                                1,
+                                typical.deadlineSeconds()
+                                        / 2
+                                        / Math.max(1, typical.estimatedSeconds()));
                 // As many come within a boot time as usual, give or take the square root of it.
                 double spread =
                         Math.sqrt(
@@ -165,21 +185,26 @@
                                         1,
                                         boot
                                                 * shard.recentArrivals()
-                                                        .jobsPerSecond(objective.jobClass(), wallMs)));
+                                                        .jobsPerSecond(
+                                                                objective.jobClass(), wallMs)));
                 atOnce = (int) Math.ceil(spread * typical.taskCount() / rounds);
             }
             List<FreeCapacity> rooms = freeCapacities(now, typical);
             ZoneConstraints zones = ZoneConstraints.of(typical);
             chooseZone(zones, typical, atOnce, rooms, now);
             rooms.removeIf(
-                    capacity -> !InstanceSelection.isAllowed(capacity.kind, typical, zones.boundZone()));
+                    capacity ->
+                            !InstanceSelection.isAllowed(
+                                    capacity.kind, typical, zones.boundZone()));
             rooms.sort(
                     Comparator.comparingDouble(
                             capacity -> capacity.afterBoot.cpus - capacity.type.cpus()));
             for (FreeCapacity capacity : rooms) {
                 int n =
                         capacity.allocate(
-                                typical, Math.min(atOnce, zones.remainingTasks(capacity.kind.zone())), false);
+                                typical,
+                                Math.min(atOnce, zones.remainingTasks(capacity.kind.zone())),
+                                false);
                 zones.addTasks(capacity.kind.zone(), n);
                 atOnce -= n;
                 if (n > 0) {
@@ -205,12 +230,17 @@
         List<FreeCapacity> rented = new ArrayList<>();
         int left = tasks;
         while (left > 0) {
-            MachineKind kind = instanceSelection.cheapestKind(spec, z -> zones.remainingTasks(z) > 0, rent, now);
+            MachineKind kind =
+                    instanceSelection.cheapestKind(
+                            spec, z -> zones.remainingTasks(z) > 0, rent, now);
             if (kind == null || !worth.test(kind)) {
                 break;
             }
-            FreeCapacity capacity = new FreeCapacity(shard.machineTypes().get(kind.machineType()), kind, null);
-            int n = capacity.allocate(spec, Math.min(left, zones.remainingTasks(kind.zone())), false);
+            FreeCapacity capacity =
+                    new FreeCapacity(shard.machineTypes().get(kind.machineType()), kind, null);
+            int n =
+                    capacity.allocate(
+                            spec, Math.min(left, zones.remainingTasks(kind.zone())), false);
             if (n == 0) {
                 break;
             }
@@ -230,7 +260,9 @@
     private double guaranteedCpus() {
         return isIdle()
                 ? 0
-                : settings.teams().values().stream().mapToDouble(ClusterSettings.Team::guaranteedCpus).sum();
+                : settings.teams().values().stream()
+                        .mapToDouble(ClusterSettings.Team::guaranteedCpus)
+                        .sum();
     }
 
     /**
@@ -268,13 +300,18 @@
             // Not a place for every task at once: as many as finish the job in good time, one after
             // the other.
             double aim =
-                    settings.shortestFinishObjectiveSeconds(spec.jobClass(), 10 * settings.workers().leaseSeconds()) / 2.5;
+                    settings.shortestFinishObjectiveSeconds(
+                                    spec.jobClass(), 10 * settings.workers().leaseSeconds())
+                            / 2.5;
             if (job.hasDeadline()) {
                 aim = (job.dueMillis() - wallMs) / 1000;
             }
             double each = Math.max(1, spec.estimatedSeconds());
             double places =
-                    Math.ceil((job.waitingTasks() + job.liveAttempts().size()) * each / Math.max(each, aim));
+                    Math.ceil(
+                            (job.waitingTasks() + job.liveAttempts().size())
+                                    * each
+                                    / Math.max(each, aim));
             waiting = (int) Math.max(0, Math.min(waiting, places - job.liveAttempts().size()));
         }
         if (waiting == 0) {
@@ -311,7 +348,10 @@
                         zones,
                         rent,
                         now,
-                        kind -> !spec.allowsSpot() || kind.spot() || !mayFinishOnSpot(job, wallMs)));
+                        kind ->
+                                !spec.allowsSpot()
+                                        || kind.spot()
+                                        || !mayFinishOnSpot(job, wallMs)));
     }
 
     /**
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -41,7 +41,7 @@
      */
     private final Map<String, Integer> reservingJobsByZone = new HashMap<>();
 
-    private final Map<Claim, Giving> yieldingWorkByClaim = new HashMap<>();
+    private final Map<Claim, YieldingWork> yieldingWorkByClaim = new HashMap<>();
 
     /**
      * Whether this round looked for room for small tasks. Guards against rounds of which two thirds
@@ -76,7 +76,8 @@
      * A machine that a job might be given room on: tasks that fit now and with others stopped, and
      * what stopping them and fetching the image would lose, in CPU seconds.
      */
-    private record Offer(Machine machine, int slotsNow, int slotsAfterEviction, double lostCpuSeconds) {}
+    private record EvictionCandidate(
+            Machine machine, int slotsNow, int slotsAfterEviction, double lostCpuSeconds) {}
 
     /** What decides whose work gives way to a job; {@code nonPreemptible}: its own never does. */
     private record Claim(
@@ -88,13 +89,13 @@
      * attempt of a full fleet for each of the sizes in which gangs wait; what is placed meanwhile
      * is not counted, and machines where something is stopped are reserved.
      */
-    private static final class Giving {
+    private static final class YieldingWork {
         private final Set<Job> jobs = Collections.newSetFromMap(new IdentityHashMap<>());
         private final Map<Machine, double[]> resourcesByMachine = new IdentityHashMap<>();
     }
 
     /** Room for so many tasks of a job that comes free on a machine, after so many seconds. */
-    private record Gap(Machine machine, double inSeconds, int tasks) {}
+    private record ExpectedRoom(Machine machine, double inSeconds, int tasks) {}
 
     /**
      * For a job that found no room: stops lesser work where that is enough, and keeps machines for
@@ -108,14 +109,16 @@
             return false;
         }
         hasSearchedForSmallJobs |= small;
-        Giving giving = yieldingWork(job);
+        YieldingWork giving = yieldingWork(job);
         if (small && giving.jobs.isEmpty()) {
             return false;
         }
         int need =
-                spec.isGang() ? job.waitingTasks() : Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(spec));
+                spec.isGang()
+                        ? job.waitingTasks()
+                        : Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(spec));
         ZoneConstraints zones = ZoneConstraints.of(job);
-        Map<String, List<Offer>> byZone = new LinkedHashMap<>();
+        Map<String, List<EvictionCandidate>> byZone = new LinkedHashMap<>();
         for (Machine machine : open) {
             if ((machine.reservedFor() == null || machine.reservedFor() == job)
                     && probePlacement.isAllowed(machine, spec)
@@ -125,20 +128,24 @@
                         .add(evictionCandidate(job, machine, giving, now));
             }
         }
-        List<Offer> best = null;
+        List<EvictionCandidate> best = null;
         double bestLoss = Double.MAX_VALUE;
-        for (List<Offer> in : byZone.values()) {
-            List<Offer> take = chooseCheapest(in, need, ZoneConstraints.of(job));
-            double loss = take == null ? 0 : take.stream().mapToDouble(Offer::lostCpuSeconds).sum();
+        for (List<EvictionCandidate> in : byZone.values()) {
+            List<EvictionCandidate> take = chooseCheapest(in, need, ZoneConstraints.of(job));
+            double loss =
+                    take == null
+                            ? 0
+                            : take.stream().mapToDouble(EvictionCandidate::lostCpuSeconds).sum();
             if (take != null && loss < bestLoss) {
                 best = take;
                 bestLoss = loss;
             }
         }
         if (best != null) {
-            for (Offer candidate : best) {
+            for (EvictionCandidate candidate : best) {
                 if (!small || hasWorkServedBefore(job, candidate.machine)) {
-                    candidate.machine.reserve(job, now + 2 * shard.settings().workers().heartbeatIntervalSeconds());
+                    candidate.machine.reserve(
+                            job, now + 2 * shard.settings().workers().heartbeatIntervalSeconds());
                 }
                 need -= evict(job, candidate, need);
             }
@@ -156,16 +163,17 @@
      * a fifth of the fleet idles in gaps that would together hold several of them: in each zone
      * only the first one keeps room, the others take what is free.
      */
-    private boolean reserveSoonestRoom(Job job, int need, Set<String> zones, List<Machine> open, double now) {
+    private boolean reserveSoonestRoom(
+            Job job, int need, Set<String> zones, List<Machine> open, double now) {
         JobSpec spec = job.spec;
-        List<Gap> best = null;
+        List<ExpectedRoom> best = null;
         String where = null;
         for (String zone : zones) {
             if (reservingJobsByZone.getOrDefault(zone, 0)
                     >= (zone.isEmpty() ? shard.settings().zones().size() : 1)) {
                 continue;
             }
-            List<Gap> gaps = new ArrayList<>();
+            List<ExpectedRoom> gaps = new ArrayList<>();
             for (Machine machine : open) {
                 if ((machine.reservedFor() == null || machine.reservedFor() == job)
                         && probePlacement.isAllowed(machine, spec)
@@ -173,8 +181,9 @@
                     addExpectedRoom(job, machine, now, gaps);
                 }
             }
-            List<Gap> take = chooseSoonest(gaps, need, ZoneConstraints.of(job));
-            if (take != null && (best == null || lastOpeningSeconds(take) < lastOpeningSeconds(best))) {
+            List<ExpectedRoom> take = chooseSoonest(gaps, need, ZoneConstraints.of(job));
+            if (take != null
+                    && (best == null || lastOpeningSeconds(take) < lastOpeningSeconds(best))) {
                 best = take;
                 where = zone;
             }
@@ -188,15 +197,18 @@
         return true;
     }
 
-    private static double lastOpeningSeconds(List<Gap> gaps) {
+    private static double lastOpeningSeconds(List<ExpectedRoom> gaps) {
         return gaps.isEmpty() ? 0 : gaps.get(gaps.size() - 1).inSeconds;
     }
 
-    private static List<Gap> chooseSoonest(List<Gap> gaps, int need, ZoneConstraints zones) {
-        gaps.sort(Comparator.comparingDouble(Gap::inSeconds).thenComparing(g -> g.machine.id));
-        List<Gap> take = new ArrayList<>();
+    private static List<ExpectedRoom> chooseSoonest(
+            List<ExpectedRoom> gaps, int need, ZoneConstraints zones) {
+        gaps.sort(
+                Comparator.comparingDouble(ExpectedRoom::inSeconds)
+                        .thenComparing(g -> g.machine.id));
+        List<ExpectedRoom> take = new ArrayList<>();
         int left = need;
-        for (Gap g : gaps) {
+        for (ExpectedRoom g : gaps) {
             if (left <= 0) {
                 break;
             }
@@ -211,7 +223,7 @@
     }
 
     /** The gaps that open on the machine as its attempts end one after the other. */
-    private void addExpectedRoom(Job job, Machine machine, double now, List<Gap> into) {
+    private void addExpectedRoom(Job job, Machine machine, double now, List<ExpectedRoom> into) {
         List<Attempt> ends = new ArrayList<>(machine.attempts());
         ends.sort(
                 Comparator.comparingDouble(
@@ -219,14 +231,14 @@
         double[] less = new double[3];
         int before = probePlacement.freeSlots(machine, job.spec, 0, 0, 0);
         if (before > 0) {
-            into.add(new Gap(machine, 0, before));
+            into.add(new ExpectedRoom(machine, 0, before));
         }
         for (Attempt attempt : ends) {
             addResources(less, attempt);
             int after = probePlacement.freeSlots(machine, job.spec, less[0], less[1], less[2]);
             if (after > before) {
                 into.add(
-                        new Gap(
+                        new ExpectedRoom(
                                 machine,
                                 mayEvict(job, attempt) ? 0 : attempt.remainingSeconds(now),
                                 after - before));
@@ -254,7 +266,9 @@
                 job.effectivePriority() != job.spec.priority()
                         && wallMs
                                         + WAIT_REPORT_INTERVALS * reportMs
-                                        + 1000 * shard.startLatencies().upperEstimateSeconds(job.spec.jobClass())
+                                        + 1000
+                                                * shard.startLatencies()
+                                                        .upperEstimateSeconds(job.spec.jobClass())
                                 < job.startGoalMillis(0);
         return early || wallMs - job.eligibleSinceMillis() < WAIT_REPORT_INTERVALS * reportMs;
     }
@@ -269,28 +283,33 @@
     /**
      * Offers that together hold the tasks, those that lose least first; null if they don't suffice.
      */
-    private static List<Offer> chooseCheapest(List<Offer> in, int need, ZoneConstraints zones) {
-        List<Offer> sorted = new ArrayList<>(in);
+    private static List<EvictionCandidate> chooseCheapest(
+            List<EvictionCandidate> in, int need, ZoneConstraints zones) {
+        List<EvictionCandidate> sorted = new ArrayList<>(in);
         sorted.sort(
                 Comparator.comparingDouble(
-                                (Offer candidate) ->
-                                        candidate.lostCpuSeconds / Math.max(1, candidate.slotsAfterEviction))
+                                (EvictionCandidate candidate) ->
+                                        candidate.lostCpuSeconds
+                                                / Math.max(1, candidate.slotsAfterEviction))
                         .thenComparing(candidate -> -candidate.slotsNow)
                         .thenComparing(candidate -> candidate.machine.id));
-        List<Offer> take = new ArrayList<>();
+        List<EvictionCandidate> take = new ArrayList<>();
         int left = need;
-        for (Offer candidate : sorted) {
+        for (EvictionCandidate candidate : sorted) {
             if (left <= 0) {
                 break;
             }
-            int n = Math.min(candidate.slotsAfterEviction, zones.remainingTasks(candidate.machine.zone()));
+            int n =
+                    Math.min(
+                            candidate.slotsAfterEviction,
+                            zones.remainingTasks(candidate.machine.zone()));
             if (n > 0) {
                 left -= n;
                 zones.addTasks(candidate.machine.zone(), n);
                 take.add(
                         n == candidate.slotsAfterEviction
                                 ? candidate
-                                : new Offer(
+                                : new EvictionCandidate(
                                         candidate.machine,
                                         Math.min(n, candidate.slotsNow),
                                         n,
@@ -300,15 +319,21 @@
         return left <= 0 ? take : null;
     }
 
-    private Giving yieldingWork(Job job) {
-        Claim claim = new Claim(job.effectivePriority(), job.isWithinGuarantee(), job.spec.team(), isNonPreemptible(job));
-        Giving known = yieldingWorkByClaim.get(claim);
+    private YieldingWork yieldingWork(Job job) {
+        Claim claim =
+                new Claim(
+                        job.effectivePriority(),
+                        job.isWithinGuarantee(),
+                        job.spec.team(),
+                        isNonPreemptible(job));
+        YieldingWork known = yieldingWorkByClaim.get(claim);
         if (known != null) {
             return known;
         }
-        Giving g = new Giving();
+        YieldingWork g = new YieldingWork();
         for (Job j : shard.jobs().values()) {
-            if (!j.liveAttempts().isEmpty() && (j.isFinished() || j.hasStoppingAttempts() || mustYield(j, job))) {
+            if (!j.liveAttempts().isEmpty()
+                    && (j.isFinished() || j.hasStoppingAttempts() || mustYield(j, job))) {
                 g.jobs.add(j);
             }
         }
@@ -320,7 +345,7 @@
      * CPUs, GPUs and memory of what gives way to the job on the machine, and the CPU seconds that
      * stopping it loses.
      */
-    private double[] evictableResources(Job job, Machine machine, Giving giving, double now) {
+    private double[] evictableResources(Job job, Machine machine, YieldingWork giving, double now) {
         double[] sum = new double[4];
         for (Attempt attempt : machine.attempts()) {
             if (giving.jobs.contains(attempt.job) && mayEvict(job, attempt)) {
@@ -331,21 +356,31 @@
                                 ? 0
                                 : spec.cpusPerTask()
                                         * (attempt.unsavedSeconds(now)
-                                                + shard.settings().workers().heartbeatIntervalSeconds());
+                                                + shard.settings()
+                                                        .workers()
+                                                        .heartbeatIntervalSeconds());
             }
         }
         return sum;
     }
 
-    private Offer evictionCandidate(Job job, Machine machine, Giving giving, double now) {
-        double[] sum = giving.resourcesByMachine.computeIfAbsent(machine, k -> evictableResources(job, machine, giving, now));
+    private EvictionCandidate evictionCandidate(
+            Job job, Machine machine, YieldingWork giving, double now) {
+        double[] sum =
+                giving.resourcesByMachine.computeIfAbsent(
+                        machine, k -> evictableResources(job, machine, giving, now));
         double loss = sum[3];
         MachineType type = shard.machineTypes().get(machine.type());
         int stopping = probePlacement.freeSlots(machine, job.spec, sum[0], sum[1], sum[2]);
         if (!machine.hasImage(job.spec.image()) && type.fetchGigabytesPerSecond() > 0) {
-            loss += stopping * job.spec.cpusPerTask() * job.spec.imageGigabytes() / type.fetchGigabytesPerSecond();
+            loss +=
+                    stopping
+                            * job.spec.cpusPerTask()
+                            * job.spec.imageGigabytes()
+                            / type.fetchGigabytesPerSecond();
         }
-        return new Offer(machine, probePlacement.freeSlots(machine, job.spec, 0, 0, 0), stopping, loss);
+        return new EvictionCandidate(
+                machine, probePlacement.freeSlots(machine, job.spec, 0, 0, 0), stopping, loss);
     }
 
     private boolean mayEvict(Job job, Attempt victim) {
@@ -394,14 +429,17 @@
      */
     private boolean hasWorkServedBefore(Job job, Machine machine) {
         return machine.attempts().stream()
-                .anyMatch(attempt -> attempt.job.queueRank() < job.queueRank() && mustYield(attempt.job, job));
+                .anyMatch(
+                        attempt ->
+                                attempt.job.queueRank() < job.queueRank()
+                                        && mustYield(attempt.job, job));
     }
 
     /**
      * Stops just enough on the machine, the latest placed first; returns how many tasks of the job
      * it will hold.
      */
-    private int evict(Job job, Offer candidate, int need) {
+    private int evict(Job job, EvictionCandidate candidate, int need) {
         List<Attempt> victims = new ArrayList<>();
         double[] less = new double[3];
         for (Attempt attempt : candidate.machine.attempts()) {
@@ -426,7 +464,8 @@
             shard.stopAttempt(attempt, attempt.job.spec.stopGraceSeconds());
             evictions++;
             evictionsForGangs += isSmall(job.spec) ? 0 : 1;
-            evictionsForGuarantees += attempt.job.effectivePriority().compareTo(job.effectivePriority()) > 0 ? 0 : 1;
+            evictionsForGuarantees +=
+                    attempt.job.effectivePriority().compareTo(job.effectivePriority()) > 0 ? 0 : 1;
             if (written) {
                 addResources(less, attempt);
             }
@@ -441,6 +480,9 @@
     }
 
     private double smallestMachine() {
-        return shard.machineTypes().values().stream().mapToDouble(MachineType::cpus).min().orElse(0);
+        return shard.machineTypes().values().stream()
+                .mapToDouble(MachineType::cpus)
+                .min()
+                .orElse(0);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -14,8 +14,8 @@
 import java.util.function.Predicate;
 
 /**
- * Which machine a task goes to: the first of up to {@link #MAX_PROBES} random ones that passes, else
- * the best fit of a scan over the block. See docs/design.md.
+ * Which machine a task goes to: the first of up to {@link #MAX_PROBES} random ones that passes,
+ * else the best fit of a scan over the block. See docs/design.md.
  */
 public final class ProbePlacement {
     /** T of the paper: a machine passes a probe with fewer unconfirmed starts than this. */
@@ -116,7 +116,7 @@
          * Null before a stage begins. Room only shrinks while a search lasts, so a stage that found
          * none is over.
          */
-        private Walk stageSearch;
+        private StageSearch stageSearch;
 
         private MachineSearch(JobSpec spec, List<Machine> candidates) {
             this.spec = spec;
@@ -154,7 +154,8 @@
                 stages.add(
                         machine ->
                                 2 * machine.usedCpus() <= types.get(machine.type()).cpus()
-                                        && (machine.isFetching(spec.image()) || !machine.isFetching()));
+                                        && (machine.isFetching(spec.image())
+                                                || !machine.isFetching()));
             }
         }
 
@@ -224,7 +225,8 @@
          */
         Machine nextMachine() {
             if (machinesWithRoom == null) {
-                machinesWithRoom = candidates.stream().filter(machine -> hasRoom(machine, spec)).toList();
+                machinesWithRoom =
+                        candidates.stream().filter(machine -> hasRoom(machine, spec)).toList();
             }
             while (stageSearch != null || stage < stages.size() || stagesWithoutImagePending) {
                 if (stageSearch == null && stage == stages.size()) {
@@ -239,7 +241,7 @@
                     if (machinesWithRoom.stream().noneMatch(in)) {
                         continue;
                     }
-                    stageSearch = new Walk(spec, candidates.stream().filter(in).toList());
+                    stageSearch = new StageSearch(spec, candidates.stream().filter(in).toList());
                 }
                 Machine machine = stageSearch.nextMachine();
                 if (machine != null) {
@@ -251,7 +253,7 @@
         }
     }
 
-    private final class Walk {
+    private final class StageSearch {
         private final JobSpec spec;
         private final List<Machine> candidates;
 
@@ -264,7 +266,7 @@
         private List<Machine> scanOrder;
         private int nextInOrder;
 
-        Walk(JobSpec spec, List<Machine> from) {
+        StageSearch(JobSpec spec, List<Machine> from) {
             this.spec = spec;
             this.candidates = from;
             for (Machine machine : from) {
@@ -363,7 +365,8 @@
         zones.removeIf(z -> slots.get(z) < spec.taskCount());
         zones.sort(Comparator.comparing(slots::get));
         for (String z : zones) {
-            List<Machine> found = findWholeGang(spec, all.restrictedTo(machine -> machine.zone().equals(z)));
+            List<Machine> found =
+                    findWholeGang(spec, all.restrictedTo(machine -> machine.zone().equals(z)));
             if (found != null) {
                 return found;
             }
@@ -439,7 +442,8 @@
         return maxSlots(spec, Integer.MAX_VALUE, type.cpus(), type.gpus(), type.memoryGigabytes());
     }
 
-    private static int maxSlots(JobSpec spec, int tasks, double cpus, double gpus, double memoryGb) {
+    private static int maxSlots(
+            JobSpec spec, int tasks, double cpus, double gpus, double memoryGb) {
         double n = tasks;
         if (spec.cpusPerTask() > 0) {
             n = Math.min(n, Math.floor((cpus + 1e-6) / spec.cpusPerTask()));
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -89,7 +89,11 @@
         // Guards against a round of which most goes into sorting thousands of jobs that wait for
         // others.
         List<Job> all = shard.jobs().values().stream().filter(job -> !job.isHeld()).toList();
-        shard.serviceLevels().update(all, spec -> shard.startLatencies().upperEstimateSeconds(spec.jobClass()), wallMs);
+        shard.serviceLevels()
+                .update(
+                        all,
+                        spec -> shard.startLatencies().upperEstimateSeconds(spec.jobClass()),
+                        wallMs);
         markGuaranteed(all);
         Map<MachineKind, Integer> open = new HashMap<>();
         for (Machine machine : shard.machines().values()) {
@@ -106,7 +110,9 @@
         List<Job> order =
                 new SchedulingQueue(
                                 spec -> usableCpus(spec, open),
-                                spec -> shard.startLatencies().upperEstimateSeconds(spec.jobClass()),
+                                spec ->
+                                        shard.startLatencies()
+                                                .upperEstimateSeconds(spec.jobClass()),
                                 shard.serviceLevels()::catchUpShare,
                                 now,
                                 wallMs)
@@ -152,7 +158,8 @@
                 cpus +=
                         e.getValue()
                                 * spec.cpusPerTask()
-                                * ProbePlacement.maxSlots(spec, shard.machineTypes().get(e.getKey().machineType()));
+                                * ProbePlacement.maxSlots(
+                                        spec, shard.machineTypes().get(e.getKey().machineType()));
             }
         }
         return cpus;
@@ -182,7 +189,10 @@
         jobs.forEach(job -> standing.put(job, shard.serviceLevels().catchUpShare(job.spec)));
         jobs.sort(
                 Comparator.comparingInt(
-                                (Job job) -> job.hasMissedAllGoals() ? 2 : job.wasWithinGuaranteeOnArrival() ? 0 : 1)
+                                (Job job) ->
+                                        job.hasMissedAllGoals()
+                                                ? 2
+                                                : job.wasWithinGuaranteeOnArrival() ? 0 : 1)
                         .thenComparingDouble(
                                 job ->
                                         job.hasMissedAllGoals() || job.wasWithinGuaranteeOnArrival()
@@ -207,13 +217,16 @@
      */
     private boolean claimGuarantee(Job job, Map<String, double[]> claimed) {
         ClusterSettings.Team team = shard.settings().teams().get(job.spec.team());
-        if (job.isFinished() || team == null || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
+        if (job.isFinished()
+                || team == null
+                || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
             return false;
         }
         double[] c = claimed.computeIfAbsent(team.name(), key -> new double[2]);
         c[0] += job.unfinishedTasks() * job.spec.cpusPerTask();
         c[1] += job.unfinishedTasks() * job.spec.gpusPerTask();
-        return c[0] <= team.guaranteedCpus() + 1e-6 && (job.spec.gpusPerTask() == 0 || c[1] <= team.guaranteedGpus() + 1e-6);
+        return c[0] <= team.guaranteedCpus() + 1e-6
+                && (job.spec.gpusPerTask() == 0 || c[1] <= team.guaranteedGpus() + 1e-6);
     }
 
     /**
@@ -223,7 +236,8 @@
     public int placeWaitingTasks(double now, double wallMs, int most) {
         shard.beginSchedulingRound(now);
         preemption.beginRound();
-        List<Machine> open = shard.machines().values().stream().filter(Machine::isSchedulable).toList();
+        List<Machine> open =
+                shard.machines().values().stream().filter(Machine::isSchedulable).toList();
         warmReserve.chooseMachines(open, wallMs);
         withoutFreeRoom.clear();
         beyondPreemption.clear();
@@ -273,7 +287,8 @@
                 job.waitingTasks() > 0
                         && placed < most
                         && !shard.failureDiagnosis().isJobAtFault(job, now)
-                        && shard.quotaUsage().remainingTasks(job.spec) >= (gang ? job.spec.taskCount() : 1);
+                        && shard.quotaUsage().remainingTasks(job.spec)
+                                >= (gang ? job.spec.taskCount() : 1);
         // Guards against a job whose records are full for now, although machines are idle, which
         // speaks for all others that would fit there: hundreds of tasks waited behind it.
         if (!wants || recordsFull) {
@@ -315,7 +330,8 @@
             if ((heir == null
                             || heir == job
                             || machine.isBackfillAllowed()
-                                    && (preemption.mustYield(job, heir) || machine.mayBackfill(job, now)))
+                                    && (preemption.mustYield(job, heir)
+                                            || machine.mayBackfill(job, now)))
                     && probePlacement.isAllowed(machine, spec)
                     && zones.remainingTasks(machine.zone()) > 0
                     && !(machine.isDraining() && spec.allowsSpot())
@@ -339,7 +355,10 @@
         // room for a task: that is so for all of hundreds of jobs on a full fleet, whatever image
         // they need.
         if (open.stream()
-                .noneMatch(machine -> probePlacement.isAllowed(machine, spec) && probePlacement.hasRoom(machine, spec))) {
+                .noneMatch(
+                        machine ->
+                                probePlacement.isAllowed(machine, spec)
+                                        && probePlacement.hasRoom(machine, spec))) {
             return 0;
         }
         ZoneConstraints zones = ZoneConstraints.of(job);
@@ -347,7 +366,8 @@
         ProbePlacement.MachineSearch search = probePlacement.newSearch(spec, candidates);
         skippedForImage = search.isWaitingForImage();
         if (spec.isSingleZone() && !zones.isDecided()) {
-            String zone = probePlacement.chooseZone(spec, Math.min(n, job.waitingTasks()), candidates);
+            String zone =
+                    probePlacement.chooseZone(spec, Math.min(n, job.waitingTasks()), candidates);
             search = search.restrictedTo(machine -> machine.zone().equals(zone));
         }
         for (int t = job.nextWaitingTask(0); t >= 0 && placed < n; t = job.nextWaitingTask(t + 1)) {
@@ -393,7 +413,8 @@
             shard.requestMigration(job);
             return 0;
         }
-        List<Machine> found = probePlacement.chooseGang(job.spec, candidateMachines(job, open, now));
+        List<Machine> found =
+                probePlacement.chooseGang(job.spec, candidateMachines(job, open, now));
         if (found == null) {
             return 0;
         }
--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -26,7 +26,12 @@
  */
 public final class SchedulingQueue {
     /** A job, which of its goals is tried for, and its work in CPU seconds. */
-    private record Entry(Job job, int goal, double workCpuSeconds, double startLatencyMillis, double serviceShare) {
+    private record Entry(
+            Job job,
+            int goal,
+            double workCpuSeconds,
+            double startLatencyMillis,
+            double serviceShare) {
         /** By when it has to be placed, to run by the time that its goal says. */
         double latestStartMillis() {
             return job.startGoalMillis(goal) - startLatencyMillis;
@@ -107,7 +112,10 @@
         }
         if (!job.liveAttempts().isEmpty()) {
             running.add(
-                    new double[] {job.liveAttempts().size() * job.spec.cpusPerTask(), sum / job.liveAttempts().size()});
+                    new double[] {
+                        job.liveAttempts().size() * job.spec.cpusPerTask(),
+                        sum / job.liveAttempts().size()
+                    });
         }
     }
 
@@ -132,7 +140,10 @@
     private double availableCpuSeconds(JobSpec spec, double seconds) {
         int at = Arrays.binarySearch(runningEndSeconds, seconds);
         int over = at >= 0 ? at : -at - 1;
-        double running = cumulativeCpuSeconds[over] + (cumulativeCpus[runningEndSeconds.length] - cumulativeCpus[over]) * seconds;
+        double running =
+                cumulativeCpuSeconds[over]
+                        + (cumulativeCpus[runningEndSeconds.length] - cumulativeCpus[over])
+                                * seconds;
         return Math.max(1, usableCpus.applyAsDouble(spec)) * seconds - running;
     }
 
@@ -145,7 +156,9 @@
                         new Entry(
                                 job,
                                 -1,
-                                job.spec.cpusPerTask() * job.spec.estimatedSeconds() * job.waitingTasks(),
+                                job.spec.cpusPerTask()
+                                        * job.spec.estimatedSeconds()
+                                        * job.waitingTasks(),
                                 1000 * startLatencySeconds.applyAsDouble(job.spec),
                                 serviceShare.applyAsDouble(job.spec)),
                         tried,
@@ -166,7 +179,8 @@
             for (Entry queued : tried) {
                 largest.add(queued);
                 cpuSecondsAhead += queued.workCpuSeconds;
-                double doneMs = queued.latestStartMillis() + queued.job.spec.estimatedSeconds() * 1000;
+                double doneMs =
+                        queued.latestStartMillis() + queued.job.spec.estimatedSeconds() * 1000;
                 double room = availableCpuSeconds(queued.job.spec, (doneMs - wallMs) / 1000);
                 if (queued.serviceShare < 1 && queued.workCpuSeconds > room) {
                     // Nobody goes without for what can't be in time in any case.
@@ -177,7 +191,10 @@
                 }
                 // The largest makes room for this one; where smaller ones go because it is behind,
                 // it takes several.
-                for (double made = 0; cpuSecondsAhead > room && made < queued.workCpuSeconds && !largest.isEmpty(); ) {
+                for (double made = 0;
+                        cpuSecondsAhead > room
+                                && made < queued.workCpuSeconds
+                                && !largest.isEmpty(); ) {
                     Entry gone = largest.poll();
                     cpuSecondsAhead -= gone.workCpuSeconds;
                     made += gone.workCpuSeconds;
@@ -195,7 +212,9 @@
             tried.clear();
             again.forEach(queued -> addForNextGoal(queued, tried, last));
         }
-        last.sort(Comparator.comparingDouble(Job::eligibleSinceMillis).thenComparing(job -> job.spec.id()));
+        last.sort(
+                Comparator.comparingDouble(Job::eligibleSinceMillis)
+                        .thenComparing(job -> job.spec.id()));
         out.addAll(last);
     }
 
@@ -205,11 +224,18 @@
      */
     private void addForNextGoal(Entry queued, List<Entry> tried, List<Job> last) {
         int goal = queued.goal + 1;
-        while (goal < queued.job.startGoalCount() && queued.job.startGoalMillis(goal) - queued.startLatencyMillis < wallMs) {
+        while (goal < queued.job.startGoalCount()
+                && queued.job.startGoalMillis(goal) - queued.startLatencyMillis < wallMs) {
             goal++;
         }
         if (goal < queued.job.startGoalCount()) {
-            tried.add(new Entry(queued.job, goal, queued.workCpuSeconds, queued.startLatencyMillis, queued.serviceShare));
+            tried.add(
+                    new Entry(
+                            queued.job,
+                            goal,
+                            queued.workCpuSeconds,
+                            queued.startLatencyMillis,
+                            queued.serviceShare));
         } else {
             last.add(queued.job);
         }
--- a/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
+++ b/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
@@ -15,7 +15,7 @@
  */
 final class UnschedulableShapes {
     /** What decides where a job may go and what gives way to it. */
-    private record Rights(
+    private record PlacementRights(
             JobSpec.Shape shape,
             JobSpec.Priority priority,
             String team,
@@ -27,9 +27,9 @@
             boolean spot,
             String image) {
         /** {@code image}: null, or the one that the work holds out for. */
-        static Rights of(Job job, String image) {
+        static PlacementRights of(Job job, String image) {
             JobSpec spec = job.spec;
-            return new Rights(
+            return new PlacementRights(
                     spec.shape(),
                     job.effectivePriority(),
                     spec.team(),
@@ -48,7 +48,10 @@
         static ResourceRequest of(Job job) {
             JobSpec spec = job.spec;
             return new ResourceRequest(
-                    spec.cpusPerTask(), spec.gpusPerTask(), spec.memoryGigabytesPerTask(), spec.isGang() ? spec.taskCount() : 1);
+                    spec.cpusPerTask(),
+                    spec.gpusPerTask(),
+                    spec.memoryGigabytesPerTask(),
+                    spec.isGang() ? spec.taskCount() : 1);
         }
 
         boolean isAtLeast(ResourceRequest o) {
@@ -56,7 +59,7 @@
         }
     }
 
-    private final Map<Rights, List<ResourceRequest>> requestsByRights = new HashMap<>();
+    private final Map<PlacementRights, List<ResourceRequest>> requestsByRights = new HashMap<>();
 
     void clear() {
         requestsByRights.clear();
@@ -64,8 +67,11 @@
 
     boolean contains(Job job) {
         ResourceRequest ask = ResourceRequest.of(job);
-        return requestsByRights.getOrDefault(Rights.of(job, null), List.of()).stream().anyMatch(ask::isAtLeast)
-                || requestsByRights.getOrDefault(Rights.of(job, job.spec.image()), List.of()).stream()
+        return requestsByRights.getOrDefault(PlacementRights.of(job, null), List.of()).stream()
+                        .anyMatch(ask::isAtLeast)
+                || requestsByRights
+                        .getOrDefault(PlacementRights.of(job, job.spec.image()), List.of())
+                        .stream()
                         .anyMatch(ask::isAtLeast);
     }
 
@@ -78,7 +84,8 @@
         ResourceRequest ask = ResourceRequest.of(job);
         List<ResourceRequest> of =
                 requestsByRights.computeIfAbsent(
-                        Rights.of(job, holdsOut ? job.spec.image() : null), k -> new ArrayList<>());
+                        PlacementRights.of(job, holdsOut ? job.spec.image() : null),
+                        k -> new ArrayList<>());
         of.removeIf(o -> o.isAtLeast(ask));
         of.add(ask);
     }
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -46,13 +46,18 @@
                         .thenComparing(machine -> machine.id));
         for (RecentArrivals.ArrivalRate pace : shard.recentArrivals().gangArrivalRates(wallMs)) {
             // Room is made within about one report: what is stopped has to be reported as ended.
-            double tasks = pace.tasksPerSecond() * shard.settings().workers().heartbeatIntervalSeconds();
+            double tasks =
+                    pace.tasksPerSecond() * shard.settings().workers().heartbeatIntervalSeconds();
             for (Machine machine : idle) {
                 if (tasks <= 0) {
                     break;
                 }
-                if (!reservedPriorities.containsKey(machine) && probePlacement.isAllowed(machine, pace.sampleSpec())) {
-                    tasks -= Math.max(1, probePlacement.freeSlots(machine, pace.sampleSpec(), 0, 0, 0));
+                if (!reservedPriorities.containsKey(machine)
+                        && probePlacement.isAllowed(machine, pace.sampleSpec())) {
+                    tasks -=
+                            Math.max(
+                                    1,
+                                    probePlacement.freeSlots(machine, pace.sampleSpec(), 0, 0, 0));
                     reservedPriorities.put(machine, pace.sampleSpec().priority());
                 }
             }
--- a/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
@@ -85,11 +85,16 @@
 
     /** How many more tasks may go to that zone. */
     public int remainingTasks(String zone) {
-        if (boundZone != null && !boundZone.equals(zone) || boundZone == null && spec.isSingleZone() && tasksInUnknownZone > 0) {
+        if (boundZone != null && !boundZone.equals(zone)
+                || boundZone == null && spec.isSingleZone() && tasksInUnknownZone > 0) {
             return 0;
         }
         return spec.isSpreadAcrossZones()
-                ? Math.max(0, spec.maxTasksPerZone() - tasksByZone.getOrDefault(zone, 0) - tasksInUnknownZone)
+                ? Math.max(
+                        0,
+                        spec.maxTasksPerZone()
+                                - tasksByZone.getOrDefault(zone, 0)
+                                - tasksInUnknownZone)
                 : Integer.MAX_VALUE;
     }
 }
--- a/src/main/java/io/kitepath/core/service/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -28,7 +28,7 @@
      * What came of it: whether it could be found out; why not, if one was never accepted or can't
      * be waited for.
      */
-    interface Found {
+    interface Callback {
         void onResult(boolean known, String wrong);
     }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    void check(List<String> needs, Found answer) {
+    void check(List<String> needs, Callback answer) {
         List<String> open = needs.stream().filter(id -> accepted.getIfPresent(id) == null).toList();
         if (open.isEmpty()) {
             answer.onResult(true, null);
@@ -81,10 +81,10 @@
         }
     }
 
-    private void readEach(List<String> ids, Found answer) {
+    private void readEach(List<String> ids, Callback answer) {
         int[] left = {ids.size()};
-        Found once =
-                new Found() {
+        Callback once =
+                new Callback() {
                     private boolean said;
 
                     @Override
@@ -150,10 +150,14 @@
         }
     }
 
-    private void compare(List<String> ids, Found answer) {
+    private void compare(List<String> ids, Callback answer) {
         List<String> some = ids.subList(0, Math.min(maxIdsPerComparison, ids.size()));
         Transaction transaction = new Transaction();
-        some.forEach(id -> transaction.requireRevision(StoreKeys.OPEN_JOBS + id, 0).requireRevision(StoreKeys.ENDED_JOBS + id, 0));
+        some.forEach(
+                id ->
+                        transaction
+                                .requireRevision(StoreKeys.OPEN_JOBS + id, 0)
+                                .requireRevision(StoreKeys.ENDED_JOBS + id, 0));
         store.commit(
                 transaction,
                 result -> {
@@ -190,7 +194,9 @@
                         readEach(
                                 missing.subList(0, Math.min(MAX_READ_SINGLY, missing.size())),
                                 (known, wrong) -> {
-                                    if (known && wrong == null && missing.size() <= MAX_READ_SINGLY) {
+                                    if (known
+                                            && wrong == null
+                                            && missing.size() <= MAX_READ_SINGLY) {
                                         rest.run();
                                     } else {
                                         answer.onResult(known && wrong != null, wrong);
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -34,7 +34,9 @@
     }
 
     boolean mayAnswer(Heartbeat heartbeat) {
-        return leadership.isLeading() && heartbeat.fencingToken() <= shard.fencingToken() && knowsCancellations();
+        return leadership.isLeading()
+                && heartbeat.fencingToken() <= shard.fencingToken()
+                && knowsCancellations();
     }
 
     /** Guards against a holder that keeps tasks alive whose jobs were cancelled behind its back. */
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -51,20 +51,24 @@
                 }
             };
 
-    private final Map<String, Parked> parked = new LinkedHashMap<>();
-    private final Map<String, Held> heldAnswers = new LinkedHashMap<>();
+    private final Map<String, ParkedHeartbeat> parked = new LinkedHashMap<>();
+    private final Map<String, HeldAnswer> heldAnswers = new LinkedHashMap<>();
     private long receivedCount;
     private long relayedCount;
 
     /**
-     * A check-in that waits for a leader, or for this one to know which jobs may run ({@code askedLeader}
-     * null), or for the answer of the one asked. {@code fencingToken}: the highest that was known then.
+     * A check-in that waits for a leader, or for this one to know which jobs may run ({@code
+     * askedLeader} null), or for the answer of the one asked. {@code fencingToken}: the highest
+     * that was known then.
      */
-    private record Parked(
-            Heartbeat heartbeat, String askedLeader, long fencingToken, Consumer<HeartbeatResponse> answer) {}
+    private record ParkedHeartbeat(
+            Heartbeat heartbeat,
+            String askedLeader,
+            long fencingToken,
+            Consumer<HeartbeatResponse> answer) {}
 
     /** A check-in whose answer waits a moment, so that work placed meanwhile starts at once. */
-    private record Held(
+    private record HeldAnswer(
             Consumer<HeartbeatResponse> answer, List<WorkerCommand> orders, long fencingToken) {}
 
     /** {@code changed} runs when a report may let work be placed. */
@@ -148,7 +152,7 @@
         }
         redirectedAt.putIfAbsent(heartbeat.machineId(), now);
         relayedCount++;
-        Parked parked = park(heartbeat, leader, answer);
+        ParkedHeartbeat parked = park(heartbeat, leader, answer);
         if (parked != null && !relay(leader, parked) && heartbeat.tasks().isEmpty()) {
             // One without tasks has nothing to lose; the others wait for another leader, who may
             // come soon.
@@ -161,7 +165,8 @@
      * be asked.
      */
     private boolean isCutOff() {
-        return membership.isIsolated() && leadership.secondsSinceStoreAnswered() > leadership.leaseSeconds() + 1;
+        return membership.isIsolated()
+                && leadership.secondsSinceStoreAnswered() > leadership.leaseSeconds() + 1;
     }
 
     // ---- for siblings ---------------------------------------------------------------------------
@@ -171,7 +176,7 @@
      * that dies with its lease because two zones can't reach each other: its worker loses the
      * leader, and so does the node next to it.
      */
-    private boolean relay(String leader, Parked parked) {
+    private boolean relay(String leader, ParkedHeartbeat parked) {
         if (!membership.isSilent(leader)
                 && siblings.relayHeartbeat(
                         leader, parked.heartbeat, false, response -> settle(parked, response))) {
@@ -196,7 +201,8 @@
     }
 
     /** A check-in that a sibling asks about. */
-    public void answerForPeer(Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
+    public void answerForPeer(
+            Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
         String leader = leadership.leader();
         if (!passOn
                 || leadership.isLeading()
@@ -217,21 +223,24 @@
      * one with tasks for as long as it may, any other for as long as it would have waited before
      * its next try.
      */
-    private Parked park(Heartbeat heartbeat, String asked, Consumer<HeartbeatResponse> answer) {
+    private ParkedHeartbeat park(
+            Heartbeat heartbeat, String asked, Consumer<HeartbeatResponse> answer) {
         if (parked.size() >= settings.limits().maxSockets() / 2) {
             answer.accept(HeartbeatResponse.redirectTo(null));
             return null;
         }
-        Parked waits = parked.get(heartbeat.machineId());
+        ParkedHeartbeat waits = parked.get(heartbeat.machineId());
         if (waits != null
-                && !heartbeat.isNewerThan(waits.heartbeat.agentIncarnation(), waits.heartbeat.sequence())) {
+                && !heartbeat.isNewerThan(
+                        waits.heartbeat.agentIncarnation(), waits.heartbeat.sequence())) {
             // Guards against a copy of an older report that sends the worker away whose report
             // waits here.
             answer.accept(HeartbeatResponse.redirectTo(null));
             return null;
         }
-        Parked parkedHeartbeat = new Parked(heartbeat, asked, leadership.highestFencingToken(), answer);
-        Parked older = parked.put(heartbeat.machineId(), parkedHeartbeat);
+        ParkedHeartbeat parkedHeartbeat =
+                new ParkedHeartbeat(heartbeat, asked, leadership.highestFencingToken(), answer);
+        ParkedHeartbeat older = parked.put(heartbeat.machineId(), parkedHeartbeat);
         if (older != null) {
             older.answer.accept(HeartbeatResponse.redirectTo(null));
         }
@@ -242,7 +251,7 @@
     }
 
     /** Answers a check-in that waits; nothing happens if it has been answered already. */
-    private void settle(Parked parkedHeartbeat, HeartbeatResponse response) {
+    private void settle(ParkedHeartbeat parkedHeartbeat, HeartbeatResponse response) {
         if (parked.get(parkedHeartbeat.heartbeat.machineId()) == parkedHeartbeat) {
             parked.remove(parkedHeartbeat.heartbeat.machineId());
             parkedHeartbeat.answer.accept(response);
@@ -256,8 +265,10 @@
      */
     public void onLeaderKnown() {
         String leader = leadership.leader();
-        for (Parked parkedHeartbeat : new ArrayList<>(parked.values())) {
-            if (parkedHeartbeat.askedLeader == null || !parkedHeartbeat.askedLeader.equals(leader) || parkedHeartbeat.fencingToken < leadership.highestFencingToken()) {
+        for (ParkedHeartbeat parkedHeartbeat : new ArrayList<>(parked.values())) {
+            if (parkedHeartbeat.askedLeader == null
+                    || !parkedHeartbeat.askedLeader.equals(leader)
+                    || parkedHeartbeat.fencingToken < leadership.highestFencingToken()) {
                 parked.remove(parkedHeartbeat.heartbeat.machineId(), parkedHeartbeat);
                 receive(parkedHeartbeat.heartbeat, parkedHeartbeat.answer);
             }
@@ -273,7 +284,8 @@
     private HeartbeatResponse answer(Heartbeat heartbeat) {
         if (!stateWriter.knowsRunningJobs() || !authority.mayAnswer(heartbeat)) {
             heartbeatProcessor.recordUnanswered(heartbeat, timers.nowSeconds());
-            return HeartbeatResponse.redirectTo(leadership.isLeading() ? null : leadership.leader());
+            return HeartbeatResponse.redirectTo(
+                    leadership.isLeading() ? null : leadership.leader());
         }
         boolean news = heartbeatProcessor.isNewer(heartbeat);
         List<WorkerCommand> orders =
@@ -307,7 +319,8 @@
         boolean idle =
                 now.fencingToken() > 0
                         && now.commands().stream()
-                                .allMatch(command -> command.action() == WorkerCommand.Action.FORGET);
+                                .allMatch(
+                                        command -> command.action() == WorkerCommand.Action.FORGET);
         double patience =
                 idle && stateWriter.isLoaded() && leadership.mayLaunch()
                         ? heartbeatProcessor.answerHoldSeconds(machine)
@@ -316,7 +329,7 @@
             answer.accept(now);
             return;
         }
-        Held heldAnswer = new Held(answer, now.commands(), now.fencingToken());
+        HeldAnswer heldAnswer = new HeldAnswer(answer, now.commands(), now.fencingToken());
         heldAnswers.put(machine, heldAnswer);
         timers.schedule(
                 patience,
@@ -329,7 +342,7 @@
 
     /** Answers the machine's check-in now if its answer is held; returns whether it was. */
     public boolean release(String machine) {
-        Held heldAnswer = heldAnswers.remove(machine);
+        HeldAnswer heldAnswer = heldAnswers.remove(machine);
         if (heldAnswer == null) {
             return false;
         }
@@ -338,11 +351,13 @@
                 || shard.fencingToken() != heldAnswer.fencingToken
                 || !authority.knowsCancellations()) {
             heldAnswer.answer.accept(
-                    HeartbeatResponse.redirectTo(leadership.isLeading() ? null : leadership.leader()));
+                    HeartbeatResponse.redirectTo(
+                            leadership.isLeading() ? null : leadership.leader()));
             return true;
         }
         List<WorkerCommand> orders = new ArrayList<>(heldAnswer.orders);
-        orders.addAll(heartbeatProcessor.commands(machine, leadership.mayLaunch(), timers.nowSeconds()));
+        orders.addAll(
+                heartbeatProcessor.commands(machine, leadership.mayLaunch(), timers.nowSeconds()));
         heldAnswer.answer.accept(new HeartbeatResponse(heldAnswer.fencingToken, orders, null));
         return true;
     }
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -13,7 +13,7 @@
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.shard.Job;
 import io.kitepath.core.state.PagedScan;
@@ -49,7 +49,7 @@
     private static final int MAX_TRIES = 3;
 
     /** Who knows how far jobs are; answers an empty list if nobody can be asked. */
-    public interface Holder {
+    public interface ProgressSource {
         void progress(List<String> jobs, Consumer<List<JobProgress>> answer);
 
         /** Why nobody can be asked, as far as known. */
@@ -58,10 +58,10 @@
 
     private final Store store;
     private final Timers timers;
-    private final Holder progressSource;
+    private final ProgressSource progressSource;
 
     /** Reads how a job that is over ended, which happens once on each node. */
-    private final BiConsumer<String, Consumer<Answer>> finalStateReader;
+    private final BiConsumer<String, Consumer<JobResponse>> finalStateReader;
 
     private final TokenBucket requestBudget;
 
@@ -75,33 +75,38 @@
     private int maxJobsPerComparison;
 
     private final int maxWaiting;
-    private final Map<String, List<Consumer<Answer>>> waiting = new LinkedHashMap<>();
+    private final Map<String, List<Consumer<JobResponse>>> waiting = new LinkedHashMap<>();
     private int waitingCount;
     private boolean isGathering;
-    private final Cache<String, Heard> lastHeard = Caffeine.newBuilder().maximumSize(3000).build();
+    private final Cache<String, HeardProgress> lastHeard =
+            Caffeine.newBuilder().maximumSize(3000).build();
 
     /** Jobs that wait for no others, or not any more. */
-    private final Cache<String, Boolean> withoutDependencies = Caffeine.newBuilder().maximumSize(10_000).build();
+    private final Cache<String, Boolean> withoutDependencies =
+            Caffeine.newBuilder().maximumSize(10_000).build();
 
     /** For how long it may be said of one that may wait for others how far it was. */
     private final double freshSeconds;
 
     /** How far a job was, and when that was said. */
-    private record Heard(JobProgress progress, double heardAt) {}
+    private record HeardProgress(JobProgress progress, double heardAt) {}
 
     JobStatusQueries(
             ClusterSettings settings,
             Store store,
             Timers timers,
-            Holder holder,
-            BiConsumer<String, Consumer<Answer>> over) {
+            ProgressSource holder,
+            BiConsumer<String, Consumer<JobResponse>> over) {
         this.store = store;
         this.timers = timers;
         this.progressSource = holder;
         this.finalStateReader = over;
         int nodes = settings.siblings().size() + 1;
-        this.requestBudget = new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
-        this.readBudget = new TokenBucket(Math.max(1, settings.store().requestsPerSecond() * READ_SHARE / nodes));
+        this.requestBudget =
+                new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
+        this.readBudget =
+                new TokenBucket(
+                        Math.max(1, settings.store().requestsPerSecond() * READ_SHARE / nodes));
         // A transaction takes four conditions for each change that it may hold, and a job needs
         // two.
         this.maxJobsPerComparison = 2 * settings.store().maxTransactionOperations();
@@ -115,7 +120,7 @@
     }
 
     private void remember(JobProgress progress, boolean isFree) {
-        lastHeard.put(progress.jobId(), new Heard(progress, timers.nowSeconds()));
+        lastHeard.put(progress.jobId(), new HeardProgress(progress, timers.nowSeconds()));
         // What runs, or ran, waits for nothing any more, and can only be cancelled by its own user.
         if (isFree || progress.runningTaskCount() > 0 || progress.doneTaskCount() > 0) {
             withoutDependencies.put(progress.jobId(), true);
@@ -127,9 +132,9 @@
         return lastHeard.getIfPresent(id) != null;
     }
 
-    void query(String id, Consumer<Answer> answer) {
+    void query(String id, Consumer<JobResponse> answer) {
         if (waitingCount >= maxWaiting) {
-            answer.accept(Answer.LATER);
+            answer.accept(JobResponse.LATER);
             return;
         }
         waitingCount++;
@@ -154,33 +159,38 @@
     }
 
     private void send() {
-        Map<String, List<Consumer<Answer>>> batch = new LinkedHashMap<>();
+        Map<String, List<Consumer<JobResponse>>> batch = new LinkedHashMap<>();
         Transaction compare = new Transaction();
-        Iterator<Map.Entry<String, List<Consumer<Answer>>>> all = waiting.entrySet().iterator();
+        Iterator<Map.Entry<String, List<Consumer<JobResponse>>>> all =
+                waiting.entrySet().iterator();
         while (all.hasNext() && batch.size() < maxJobsPerComparison) {
-            Map.Entry<String, List<Consumer<Answer>>> e = all.next();
+            Map.Entry<String, List<Consumer<JobResponse>>> e = all.next();
             all.remove();
             waitingCount -= e.getValue().size();
             batch.put(e.getKey(), e.getValue());
-            compare.requireRevision(StoreKeys.OPEN_JOBS + e.getKey(), 0).requireRevision(StoreKeys.ENDED_JOBS + e.getKey(), 0);
+            compare.requireRevision(StoreKeys.OPEN_JOBS + e.getKey(), 0)
+                    .requireRevision(StoreKeys.ENDED_JOBS + e.getKey(), 0);
         }
         if (!batch.isEmpty()) {
             send(compare, batch, MAX_TRIES);
         }
     }
 
-    private void send(Transaction compare, Map<String, List<Consumer<Answer>>> batch, int tries) {
+    private void send(
+            Transaction compare, Map<String, List<Consumer<JobResponse>>> batch, int tries) {
         store.commit(
                 compare,
                 result -> {
                     switch (result.outcome()) {
                         // None of the keys exists.
-                        case OK -> batch.keySet().forEach(id -> answerAll(batch, id, Answer.NOT_FOUND));
+                        case OK ->
+                                batch.keySet()
+                                        .forEach(id -> answerAll(batch, id, JobResponse.NOT_FOUND));
                         case REJECTED -> dispatch(batch, new HashSet<>(result.failedKeys()));
                         case INVALID -> {
                             // The store takes fewer conditions by now than anybody said.
                             maxJobsPerComparison = Math.max(1, batch.size() / 2);
-                            batch.keySet().forEach(id -> answerAll(batch, id, Answer.LATER));
+                            batch.keySet().forEach(id -> answerAll(batch, id, JobResponse.LATER));
                         }
                         default -> {
                             if (tries > 1) {
@@ -188,19 +198,21 @@
                                         0.1 * (MAX_TRIES + 1 - tries),
                                         () -> send(compare, batch, tries - 1));
                             } else {
-                                batch.keySet().forEach(id -> answerAll(batch, id, Answer.LATER));
+                                batch.keySet()
+                                        .forEach(id -> answerAll(batch, id, JobResponse.LATER));
                             }
                         }
                     }
                 });
     }
 
-    private static void answerAll(Map<String, List<Consumer<Answer>>> batch, String id, Answer response) {
+    private static void answerAll(
+            Map<String, List<Consumer<JobResponse>>> batch, String id, JobResponse response) {
         batch.get(id).forEach(x -> x.accept(response));
     }
 
     /** {@code there}: the keys that exist. */
-    private void dispatch(Map<String, List<Consumer<Answer>>> batch, Set<String> there) {
+    private void dispatch(Map<String, List<Consumer<JobResponse>>> batch, Set<String> there) {
         List<String> open = new ArrayList<>();
         for (String id : batch.keySet()) {
             if (there.contains(StoreKeys.OPEN_JOBS + id)) {
@@ -218,7 +230,7 @@
      * A job that the comparison did not find; that it was never accepted is only said after one
      * more look.
      */
-    private void confirmAbsent(Map<String, List<Consumer<Answer>>> batch, String id) {
+    private void confirmAbsent(Map<String, List<Consumer<JobResponse>>> batch, String id) {
         store.get(
                 StoreKeys.OPEN_JOBS + id,
                 (outcome, entry) -> {
@@ -226,13 +238,15 @@
                         case OK -> askProgress(batch, List.of(id));
                         // A job moves from open to over and never back, so what is in neither was
                         // never accepted.
-                        case REJECTED -> finalStateReader.accept(id, response -> answerAll(batch, id, response));
-                        default -> answerAll(batch, id, Answer.LATER);
+                        case REJECTED ->
+                                finalStateReader.accept(
+                                        id, response -> answerAll(batch, id, response));
+                        default -> answerAll(batch, id, JobResponse.LATER);
                     }
                 });
     }
 
-    private void askProgress(Map<String, List<Consumer<Answer>>> batch, List<String> open) {
+    private void askProgress(Map<String, List<Consumer<JobResponse>>> batch, List<String> open) {
         if (open.isEmpty()) {
             return;
         }
@@ -246,7 +260,7 @@
                                 remember(progress, false);
                             });
                     for (String id : open) {
-                        Heard h = lastHeard.getIfPresent(id);
+                        HeardProgress h = lastHeard.getIfPresent(id);
                         if (h != null && told.contains(id)) {
                             answerAll(batch, id, unfinished(h.progress));
                         } else {
@@ -256,8 +270,8 @@
                 });
     }
 
-    private static Answer unfinished(JobProgress progress) {
-        return new Answer(Verdict.KNOWN, JobStatus.ofUnfinished(progress));
+    private static JobResponse unfinished(JobProgress progress) {
+        return new JobResponse(Verdict.KNOWN, JobStatus.ofUnfinished(progress));
     }
 
     /**
@@ -266,8 +280,13 @@
      * until it has been written. So nothing old is said of one that may still wait for others.
      */
     private void answerFromMemory(
-            Map<String, List<Consumer<Answer>>> batch, String id, Heard h, boolean silent) {
-        if (h != null && (withoutDependencies.getIfPresent(id) != null || timers.nowSeconds() - h.heardAt < freshSeconds)) {
+            Map<String, List<Consumer<JobResponse>>> batch,
+            String id,
+            HeardProgress h,
+            boolean silent) {
+        if (h != null
+                && (withoutDependencies.getIfPresent(id) != null
+                        || timers.nowSeconds() - h.heardAt < freshSeconds)) {
             JobProgress progress = h.progress;
             answerAll(
                     batch,
@@ -278,20 +297,22 @@
                                             id,
                                             progress.doneTaskCount(),
                                             progress.runningTaskCount(),
-                                            progressSource.whyUnavailable() + "; the figures are from before")
+                                            progressSource.whyUnavailable()
+                                                    + "; the figures are from before")
                                     : progress));
         } else if (withoutDependencies.getIfPresent(id) != null) {
             answerFromRecords(batch, id);
         } else if (!readBudget.tryTake(1, timers.nowSeconds())) {
-            answerAll(batch, id, Answer.LATER);
+            answerAll(batch, id, JobResponse.LATER);
         } else {
             store.get(
                     StoreKeys.OPEN_JOBS + id,
                     (outcome, entry) -> {
                         if (outcome == Outcome.REJECTED) {
                             finalStateReader.accept(id, response -> answerAll(batch, id, response));
-                        } else if (outcome != Outcome.OK || mayHaveDependencies(id, entry.value())) {
-                            answerAll(batch, id, Answer.LATER);
+                        } else if (outcome != Outcome.OK
+                                || mayHaveDependencies(id, entry.value())) {
+                            answerAll(batch, id, JobResponse.LATER);
                         } else {
                             withoutDependencies.put(id, true);
                             answerFromMemory(batch, id, h, silent);
@@ -311,9 +332,9 @@
     /**
      * The holder can't be asked or does not know the job, and nothing was heard of it here before.
      */
-    private void answerFromRecords(Map<String, List<Consumer<Answer>>> batch, String id) {
+    private void answerFromRecords(Map<String, List<Consumer<JobResponse>>> batch, String id) {
         if (!readBudget.tryTake(1, timers.nowSeconds())) {
-            answerAll(batch, id, Answer.LATER);
+            answerAll(batch, id, JobResponse.LATER);
             return;
         }
         PagedScan.read(
@@ -323,11 +344,12 @@
                 2,
                 parts -> {
                     if (parts.outcome() != Outcome.OK) {
-                        answerAll(batch, id, Answer.LATER);
+                        answerAll(batch, id, JobResponse.LATER);
                         return;
                     }
                     JobProgress progress =
-                            Job.hasPartRecords(id, parts.entries().stream().map(Entry::value).toList());
+                            Job.hasPartRecords(
+                                    id, parts.entries().stream().map(Entry::value).toList());
                     remember(progress, true);
                     answerAll(batch, id, unfinished(progress));
                 });
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -37,16 +37,16 @@
     }
 
     /** {@code reason}: of what is refused or invalid. */
-    public record Answer(Verdict verdict, JobStatus jobStatus, String reason) {
-        public static final Answer LATER = new Answer(Verdict.LATER, null);
-        static final Answer NOT_FOUND = new Answer(Verdict.NOT_FOUND, null);
+    public record JobResponse(Verdict verdict, JobStatus jobStatus, String reason) {
+        public static final JobResponse LATER = new JobResponse(Verdict.LATER, null);
+        static final JobResponse NOT_FOUND = new JobResponse(Verdict.NOT_FOUND, null);
 
-        public Answer(Verdict verdict, JobStatus state) {
+        public JobResponse(Verdict verdict, JobStatus state) {
             this(verdict, state, null);
         }
 
-        public static Answer refused(String why) {
-            return new Answer(Verdict.REFUSED, null, why);
+        public static JobResponse refused(String why) {
+            return new JobResponse(Verdict.REFUSED, null, why);
         }
     }
 
@@ -59,7 +59,8 @@
     private final Store store;
     private final Timers timers;
     private final DependencyCheck dependencies;
-    private final Cache<String, JobStatus> finalStates = Caffeine.newBuilder().maximumSize(5000).build();
+    private final Cache<String, JobStatus> finalStates =
+            Caffeine.newBuilder().maximumSize(5000).build();
     private final JobStatusQueries statusQueries;
 
     /** Whether tasks may be lent to other cells. */
@@ -81,7 +82,7 @@
             Store store,
             Timers timers,
             BooleanSupplier served,
-            JobStatusQueries.Holder holder,
+            JobStatusQueries.ProgressSource holder,
             boolean cells) {
         this.mayLendTasks = cells;
         this.settings = settings;
@@ -89,7 +90,8 @@
         this.store = store;
         this.timers = timers;
         this.isStoreReachable = served;
-        this.statusQueries = new JobStatusQueries(settings, store, timers, holder, this::readFinalState);
+        this.statusQueries =
+                new JobStatusQueries(settings, store, timers, holder, this::readFinalState);
     }
 
     public void onCancelled(Consumer<JobStatus> listener) {
@@ -105,12 +107,12 @@
      * Answers what needs no look into the store: a final state, or that the store can't be asked
      * now.
      */
-    private boolean answeredWithoutStore(String id, Consumer<Answer> answer) {
+    private boolean answeredWithoutStore(String id, Consumer<JobResponse> answer) {
         JobStatus known = finalStates.getIfPresent(id);
         if (known != null) {
-            answer.accept(new Answer(Verdict.KNOWN, known));
+            answer.accept(new JobResponse(Verdict.KNOWN, known));
         } else if (!isStoreReachable.getAsBoolean()) {
-            answer.accept(Answer.LATER);
+            answer.accept(JobResponse.LATER);
         } else {
             return false;
         }
@@ -130,13 +132,13 @@
     }
 
     @Override
-    public void submit(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
+    public void submit(JobSpec spec, List<String> needs, Consumer<JobResponse> answer) {
         String id = spec.id();
         if (answeredWithoutStore(id, answer)) {
             return;
         }
         if (needs.contains(id)) {
-            answerIfKnown(id, Answer.refused("a job can't wait for itself"), answer);
+            answerIfKnown(id, JobResponse.refused("a job can't wait for itself"), answer);
             return;
         }
         if (needs.isEmpty()) {
@@ -147,9 +149,9 @@
                 needs,
                 (sure, wrong) -> {
                     if (!sure) {
-                        answer.accept(Answer.LATER);
+                        answer.accept(JobResponse.LATER);
                     } else if (wrong != null) {
-                        answerIfKnown(id, Answer.refused(wrong), answer);
+                        answerIfKnown(id, JobResponse.refused(wrong), answer);
                     } else {
                         create(spec, needs, answer);
                     }
@@ -157,11 +159,15 @@
     }
 
     /** A job that is known gets its state whatever else is said of it now. */
-    private void answerIfKnown(String id, Answer otherwise, Consumer<Answer> answer) {
-        status(id, response -> answer.accept(response.verdict() == Verdict.NOT_FOUND ? otherwise : response));
+    private void answerIfKnown(String id, JobResponse otherwise, Consumer<JobResponse> answer) {
+        status(
+                id,
+                response ->
+                        answer.accept(
+                                response.verdict() == Verdict.NOT_FOUND ? otherwise : response));
     }
 
-    private void create(JobSpec spec, List<String> needs, Consumer<Answer> answer) {
+    private void create(JobSpec spec, List<String> needs, Consumer<JobResponse> answer) {
         String id = spec.id();
         boolean atOnce = spec.shape() != JobSpec.Shape.ARRAY;
         int bytes = settings.store().maxValueBytes();
@@ -169,11 +175,12 @@
                 atOnce && !Job.allTasksFitRecords(spec, settings.tasksPerPart(), bytes)
                         ? settings.tasksPerCompactPart()
                         : 0;
-        Map<String, Object> record = new JobRecord(spec, timers.wallClockMillis(), needs, narrow, 0).toRecord();
+        Map<String, Object> record =
+                new JobRecord(spec, timers.wallClockMillis(), needs, narrow, 0).toRecord();
         if (JsonSize.sizeInBytes(record) + FINAL_STATE_BYTES > bytes) {
             answerIfKnown(
                     id,
-                    new Answer(
+                    new JobResponse(
                             Verdict.INVALID,
                             null,
                             "names and lists that can't be kept: over "
@@ -187,7 +194,9 @@
         JobStatus doomed =
                 dependencies.anyCancelled(needs) ? new JobStatus(id, "cancelled", 0, 0) : null;
         Transaction transaction =
-                new Transaction().requireRevision(StoreKeys.OPEN_JOBS + id, 0).requireRevision(StoreKeys.ENDED_JOBS + id, 0);
+                new Transaction()
+                        .requireRevision(StoreKeys.OPEN_JOBS + id, 0)
+                        .requireRevision(StoreKeys.ENDED_JOBS + id, 0);
         if (doomed == null) {
             transaction.put(StoreKeys.OPEN_JOBS + id, record);
         } else {
@@ -200,7 +209,7 @@
                         case OK -> {
                             if (doomed != null) {
                                 onJobEnded(doomed);
-                                answer.accept(new Answer(Verdict.CREATED, doomed));
+                                answer.accept(new JobResponse(Verdict.CREATED, doomed));
                                 return;
                             }
                             statusQueries.onAccepted(id, needs.isEmpty());
@@ -208,7 +217,7 @@
                             answer.accept(
                                     latest(
                                             id,
-                                            new Answer(
+                                            new JobResponse(
                                                     Verdict.CREATED,
                                                     new JobStatus(id, "pending", 0, 0))));
                         }
@@ -216,15 +225,16 @@
                         case INVALID ->
                                 answerIfKnown(
                                         id,
-                                        new Answer(Verdict.INVALID, null, "can't be kept as it is"),
+                                        new JobResponse(
+                                                Verdict.INVALID, null, "can't be kept as it is"),
                                         answer);
-                        default -> answer.accept(Answer.LATER);
+                        default -> answer.accept(JobResponse.LATER);
                     }
                 });
     }
 
     @Override
-    public void status(String id, Consumer<Answer> answer) {
+    public void status(String id, Consumer<JobResponse> answer) {
         if (!answeredWithoutStore(id, answer)) {
             statusQueries.query(id, response -> answer.accept(latest(id, response)));
         }
@@ -235,18 +245,18 @@
      * that a job is over goes out to users at once, and that it was accepted when the store says
      * so.
      */
-    private Answer latest(String id, Answer response) {
+    private JobResponse latest(String id, JobResponse response) {
         JobStatus known = finalStates.getIfPresent(id);
         if (known != null) {
-            return new Answer(
+            return new JobResponse(
                     response.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN, known);
         }
         return response.verdict() == Verdict.NOT_FOUND && statusQueries.hasHeardOf(id)
-                ? Answer.LATER
+                ? JobResponse.LATER
                 : response;
     }
 
-    private void readFinalState(String id, Consumer<Answer> answer) {
+    private void readFinalState(String id, Consumer<JobResponse> answer) {
         store.get(
                 StoreKeys.ENDED_JOBS + id,
                 (outcome, entry) -> {
@@ -259,24 +269,27 @@
                                         (int) document.count("done"),
                                         0);
                         onJobEnded(status);
-                        answer.accept(new Answer(Verdict.KNOWN, status));
+                        answer.accept(new JobResponse(Verdict.KNOWN, status));
                     } else {
-                        answer.accept(outcome == Outcome.REJECTED ? Answer.NOT_FOUND : Answer.LATER);
+                        answer.accept(
+                                outcome == Outcome.REJECTED
+                                        ? JobResponse.NOT_FOUND
+                                        : JobResponse.LATER);
                     }
                 });
     }
 
     @Override
-    public void cancel(String id, Consumer<Answer> answer) {
+    public void cancel(String id, Consumer<JobResponse> answer) {
         cancel(id, MAX_TRIES, answer);
     }
 
-    private void cancel(String id, int tries, Consumer<Answer> answer) {
+    private void cancel(String id, int tries, Consumer<JobResponse> answer) {
         if (answeredWithoutStore(id, answer)) {
             return;
         }
         if (tries == 0) {
-            answer.accept(Answer.LATER);
+            answer.accept(JobResponse.LATER);
             return;
         }
         store.get(
@@ -287,7 +300,7 @@
                         return;
                     }
                     if (outcome != Outcome.OK) {
-                        answer.accept(Answer.LATER);
+                        answer.accept(JobResponse.LATER);
                         return;
                     }
                     Map<String, Object> record = cancelledRecord(id, open.value());
@@ -307,14 +320,15 @@
                                     JobStatus status = new JobStatus(id, "cancelled", 0, 0);
                                     onJobEnded(status);
                                     onCancelled.accept(status);
-                                    answer.accept(new Answer(Verdict.KNOWN, status));
+                                    answer.accept(new JobResponse(Verdict.KNOWN, status));
                                 } else if (result.outcome() == Outcome.REJECTED
-                                        && result.failedKeys().contains(StoreKeys.LENT_TASKS + id)) {
+                                        && result.failedKeys()
+                                                .contains(StoreKeys.LENT_TASKS + id)) {
                                     recallLoans(id, open.revision(), answer);
                                 } else if (result.outcome() == Outcome.REJECTED) {
                                     cancel(id, tries - 1, answer);
                                 } else {
-                                    answer.accept(Answer.LATER);
+                                    answer.accept(JobResponse.LATER);
                                 }
                             });
                 });
@@ -324,7 +338,8 @@
         Map<String, Object> end =
                 Map.of("status", "cancelled", "done", 0L, "endedMs", timers.wallClockMillis());
         try {
-            return JobRecord.fromRecord(id, open).toFinishedRecord(end, settings.store().maxValueBytes());
+            return JobRecord.fromRecord(id, open)
+                    .toFinishedRecord(end, settings.store().maxValueBytes());
         } catch (InvalidInputException | IllegalArgumentException e) {
             // Of a later version, or not what it should be: kept as it is, and cancelled all the
             // same.
@@ -341,12 +356,12 @@
      * and the user told to come again, until its holder has it from that cell's own records that no
      * more of it will start.
      */
-    private void recallLoans(String id, long openRevision, Consumer<Answer> answer) {
+    private void recallLoans(String id, long openRevision, Consumer<JobResponse> answer) {
         store.commit(
                 new Transaction()
                         .requireRevision(StoreKeys.OPEN_JOBS + id, openRevision)
                         .requireRevision(StoreKeys.CANCELLATION_REQUESTS + id, 0)
                         .put(StoreKeys.CANCELLATION_REQUESTS + id, Map.of()),
-                result -> answer.accept(Answer.LATER));
+                result -> answer.accept(JobResponse.LATER));
     }
 }
--- a/src/main/java/io/kitepath/core/service/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -23,7 +23,8 @@
 
     public RetryAfter(ClusterSettings settings, Timers timers) {
         this.timers = timers;
-        this.requestsPerSecond = settings.store().requestsPerSecond() / (settings.siblings().size() + 1);
+        this.requestsPerSecond =
+                settings.store().requestsPerSecond() / (settings.siblings().size() + 1);
     }
 
     /** One more is told to come back; returns in how many seconds. */
@@ -35,6 +36,13 @@
             windowStart = now;
         }
         refusedInWindow++;
-        return (int) Math.max(1, Math.min(MAX_SECONDS, Math.ceil(Math.max(refusedInLastWindow, refusedInWindow) / requestsPerSecond)));
+        return (int)
+                Math.max(
+                        1,
+                        Math.min(
+                                MAX_SECONDS,
+                                Math.ceil(
+                                        Math.max(refusedInLastWindow, refusedInWindow)
+                                                / requestsPerSecond)));
     }
 }
--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -107,7 +107,9 @@
      */
     public double unsavedSeconds(double now) {
         double every = job.spec.checkpointIntervalSeconds();
-        return every > 0 ? Math.min(ranSeconds(now), Math.min(every, job.spec.checkpointSaveSeconds())) : ranSeconds(now);
+        return every > 0
+                ? Math.min(ranSeconds(now), Math.min(every, job.spec.checkpointSaveSeconds()))
+                : ranSeconds(now);
     }
 
     boolean matches(Heartbeat.TaskStatus status) {
--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -88,6 +88,7 @@
     }
 
     private boolean isOverdue(Machine machine, double now, double times) {
-        return !machine.hasReported() && now - machine.knownSince > times * expectedSeconds(machine.kind());
+        return !machine.hasReported()
+                && now - machine.knownSince > times * expectedSeconds(machine.kind());
     }
 }
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -69,7 +69,8 @@
         job.failureCount++;
         job.failedMachines.add(machine.id);
         if (!Double.isNaN(attempt.runningSince)) {
-            job.longestFailedRunSeconds = Math.max(job.longestFailedRunSeconds, now - attempt.runningSince);
+            job.longestFailedRunSeconds =
+                    Math.max(job.longestFailedRunSeconds, now - attempt.runningSince);
         }
         machine.failuresByJob.merge(job, 1, Integer::sum);
         if (!isJobAtFault(job, now)) {
@@ -83,7 +84,8 @@
             job.failedRetries++;
             double pause =
                     Math.min(
-                            settings.workers().heartbeatIntervalSeconds() * (1 << Math.min(8, job.failedRetries)),
+                            settings.workers().heartbeatIntervalSeconds()
+                                    * (1 << Math.min(8, job.failedRetries)),
                             6 * settings.workers().leaseSeconds());
             job.notBefore = now + pause;
             LOG.info(
@@ -102,7 +104,8 @@
         if (job.successCount > 0 || job.failedMachines.size() < MIN_FAILED_MACHINES) {
             return false;
         }
-        double proof = 2 * (job.longestFailedRunSeconds + settings.workers().heartbeatIntervalSeconds());
+        double proof =
+                2 * (job.longestFailedRunSeconds + settings.workers().heartbeatIntervalSeconds());
         return job.liveAttempts.values().stream()
                 .noneMatch(
                         attempt ->
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -118,7 +118,8 @@
      */
     public boolean isNewer(Heartbeat heartbeat) {
         Machine machine = shard.machines().get(heartbeat.machineId());
-        return machine == null || heartbeat.isNewerThan(machine.agentIncarnation, machine.lastSequence);
+        return machine == null
+                || heartbeat.isNewerThan(machine.agentIncarnation, machine.lastSequence);
     }
 
     /**
@@ -128,7 +129,8 @@
      */
     public void recordUnanswered(Heartbeat heartbeat, double now) {
         Machine machine = shard.machines().get(heartbeat.machineId());
-        if (machine != null && heartbeat.isNewerThan(machine.agentIncarnation, machine.lastSequence)) {
+        if (machine != null
+                && heartbeat.isNewerThan(machine.agentIncarnation, machine.lastSequence)) {
             machine.recordUnansweredHeartbeat(now);
         }
     }
@@ -197,7 +199,8 @@
                 attempt.runningSince = now;
                 attempt.job.startTimes.add(now);
                 if (attempt.placedVersion > 0) {
-                    shard.startLatencies().recordStart(attempt.job.spec.jobClass(), now - attempt.placedAt);
+                    shard.startLatencies()
+                            .recordStart(attempt.job.spec.jobClass(), now - attempt.placedAt);
                 }
                 LOG.debug(
                         "attempt {} runs, {} s after it was placed",
@@ -222,7 +225,9 @@
                 && a.job.spec.isGang()
                 && a.job.liveAttempts.values().stream()
                         .anyMatch(
-                                x -> x.state == TaskState.RUNNING || x.state == TaskState.SAVING_CHECKPOINT)) {
+                                x ->
+                                        x.state == TaskState.RUNNING
+                                                || x.state == TaskState.SAVING_CHECKPOINT)) {
             // A gang that ran without this task has lost it; starting it again would not bring the
             // others back.
             shard.endAttempt(a, EndCause.GANG_PEER_LOST, now);
@@ -242,7 +247,8 @@
     }
 
     /** The worker has a task that we have not placed there. */
-    private void handleUnexpectedTask(Machine machine, TaskStatus status, List<WorkerCommand> orders, double now) {
+    private void handleUnexpectedTask(
+            Machine machine, TaskStatus status, List<WorkerCommand> orders, double now) {
         if (status.state() == TaskState.ENDED) {
             orders.add(
                     new WorkerCommand(
@@ -262,7 +268,8 @@
                 && job.isPlaceable(status.task())) {
             // Should not be: counted in and written down before it is stopped, so the task can't
             // run elsewhere.
-            shard.addUnexpectedAttempt(job, status.task(), status.attempt(), status.state(), machine, now);
+            shard.addUnexpectedAttempt(
+                    job, status.task(), status.attempt(), status.state(), machine, now);
             return;
         }
         machine.unknownTasks++;
@@ -331,7 +338,8 @@
                         && !machine.setCommandInFlight
                         && !machine.isReleasing
                         && !machine.address.isEmpty()
-                        && now - machine.lastHeartbeatAt < 2 * shard.settings().workers().heartbeatIntervalSeconds()
+                        && now - machine.lastHeartbeatAt
+                                < 2 * shard.settings().workers().heartbeatIntervalSeconds()
                         && (out.size() < most || out.containsKey(machine))) {
                     attempt.isStopSent = true;
                     out.computeIfAbsent(machine, k -> new ArrayList<>()).add(stopCommand(attempt));
@@ -386,7 +394,10 @@
     }
 
     private static boolean mayStart(Attempt attempt) {
-        return !attempt.isUnwanted() && attempt.isDurable && !attempt.isSeen && isStartable(attempt);
+        return !attempt.isUnwanted()
+                && attempt.isDurable
+                && !attempt.isSeen
+                && isStartable(attempt);
     }
 
     /**
@@ -397,7 +408,8 @@
             return true;
         }
         return a.job.liveAttempts.size() == a.job.spec.taskCount()
-                && a.job.liveAttempts.values().stream().allMatch(x -> x.isDurable && x.number == a.number);
+                && a.job.liveAttempts.values().stream()
+                        .allMatch(x -> x.isDurable && x.number == a.number);
     }
 
     /**
