--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -32,12 +32,14 @@
     /** An attempt on a machine of its own. */
     private static final int MAX_ATTEMPT_BYTES = 32;
 
-    private static final double[] NO_DEPENDENTS_DUE = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
+    private static final double[] NO_DEPENDENTS_DUE = {
+        Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY
+    };
 
     /**
      * A slice of the job's tasks, which is one record in the store; revision 0: not written yet.
      */
-    public static final class Part {
+    public static final class JobPart {
         public final Job job;
         public final int index;
         private long revision;
@@ -55,7 +57,7 @@
 
         private final Map<String, Integer> attemptsPerMachine = new HashMap<>();
 
-        Part(Job job, int index) {
+        JobPart(Job job, int index) {
             this.job = job;
             this.index = index;
         }
@@ -119,7 +121,7 @@
     /** Whether another cell is its home, which lent some of its tasks to this one. */
     public final boolean borrowed;
 
-    private Part[] partCount;
+    private JobPart[] partCount;
     private int tasksPerPart;
 
     /** What its record says; null of a guest, whose record is its loan's. */
@@ -166,7 +168,8 @@
     private boolean isCancelRequested;
 
     final TreeMap<Integer, Attempt> liveAttempts = new TreeMap<>();
-    private final SortedMap<Integer, Attempt> liveView = Collections.unmodifiableSortedMap(liveAttempts);
+    private final SortedMap<Integer, Attempt> liveView =
+            Collections.unmodifiableSortedMap(liveAttempts);
 
     /** Proven over, but not written yet. */
     final List<Attempt> unwrittenEnds = new ArrayList<>();
@@ -214,12 +217,12 @@
      * Of this holder's placings and of the starts it saw: how many, when on average, and when the
      * last one was.
      */
-    final Times placementTimes = new Times();
+    final EventTimes placementTimes = new EventTimes();
 
-    final Times startTimes = new Times();
+    final EventTimes startTimes = new EventTimes();
 
     /** Moments on the steady clock, in seconds. */
-    static final class Times {
+    static final class EventTimes {
         private int count;
         private double sum;
         private double last;
@@ -269,16 +272,17 @@
         this.submittedMillis = submittedMs;
         this.eligibleSinceMillis = submittedMs;
         this.effectivePriority = spec.priority();
-        this.startGoalsMillis = Arrays.stream(startWithinS).map(g -> submittedMs + g * 1000).toArray();
+        this.startGoalsMillis =
+                Arrays.stream(startWithinS).map(g -> submittedMs + g * 1000).toArray();
         this.revision = revision;
         createParts(partSize);
     }
 
     private void createParts(int tasks) {
         tasksPerPart = tasks;
-        partCount = new Part[(spec.taskCount() + tasksPerPart - 1) / tasksPerPart];
+        partCount = new JobPart[(spec.taskCount() + tasksPerPart - 1) / tasksPerPart];
         for (int i = 0; i < partCount.length; i++) {
-            partCount[i] = new Part(this, i);
+            partCount[i] = new JobPart(this, i);
         }
     }
 
@@ -416,7 +420,9 @@
 
     /** Its tasks that are this cell's and not done, or lent. */
     public int unfinishedTasks() {
-        return spec.taskCount() - doneTasks.cardinality() - (borrowed ? tasksElsewhere.cardinality() : 0);
+        return spec.taskCount()
+                - doneTasks.cardinality()
+                - (borrowed ? tasksElsewhere.cardinality() : 0);
     }
 
     public boolean isDone(int task) {
@@ -469,7 +475,8 @@
 
     /** The lower, the sooner served: work within its team's guarantee first, then by priority. */
     public int queueRank() {
-        return (isWithinGuarantee ? 0 : JobSpec.Priority.values().length) + effectivePriority.ordinal();
+        return (isWithinGuarantee ? 0 : JobSpec.Priority.values().length)
+                + effectivePriority.ordinal();
     }
 
     // ---- jobs before it, and behind it ----------------------------------------------------------
@@ -537,12 +544,14 @@
     }
 
     /** What the jobs that need it ask of it; returns whether that is news. */
-    boolean applyDependentsDemand(JobSpec.Priority highest, double[] endByMs, ClusterSettings settings) {
+    boolean applyDependentsDemand(
+            JobSpec.Priority highest, double[] endByMs, ClusterSettings settings) {
         if (highest == effectivePriority && Arrays.equals(endByMs, dependentsDueMillis)) {
             return false;
         }
         effectivePriority = highest;
-        dependentsDueMillis = Arrays.equals(endByMs, NO_DEPENDENTS_DUE) ? NO_DEPENDENTS_DUE : endByMs;
+        dependentsDueMillis =
+                Arrays.equals(endByMs, NO_DEPENDENTS_DUE) ? NO_DEPENDENTS_DUE : endByMs;
         recomputeStartGoals(settings);
         return true;
     }
@@ -634,7 +643,9 @@
         record = anew;
         revision = atRevision;
         createParts(anew.tasksPerPart());
-        liveAttempts.values().forEach(attempt -> partCount[partOf(attempt.task)].countAttempt(attempt, 1));
+        liveAttempts
+                .values()
+                .forEach(attempt -> partCount[partOf(attempt.task)].countAttempt(attempt, 1));
     }
 
     /** Seconds on the steady clock before which nothing of it is placed. */
@@ -665,7 +676,7 @@
         return version;
     }
 
-    public Part part(int index) {
+    public JobPart part(int index) {
         return partCount[index];
     }
 
@@ -674,7 +685,7 @@
         return partCount.length;
     }
 
-    List<Part> allParts() {
+    List<JobPart> allParts() {
         return List.of(partCount);
     }
 
@@ -683,28 +694,28 @@
     }
 
     /** The part that the task is in differs from its record now. */
-    Part markDirty(int task) {
+    JobPart markDirty(int task) {
         version++;
-        Part part = partCount[partOf(task)];
+        JobPart part = partCount[partOf(task)];
         part.markDirty();
         return part;
     }
 
-    Part markPartDirty(int index) {
+    JobPart markPartDirty(int index) {
         return markDirty(index * tasksPerPart);
     }
 
     /** The same for all its parts. */
     void markAllDirty() {
         version++;
-        for (Part part : partCount) {
+        for (JobPart part : partCount) {
             part.markDirty();
         }
     }
 
     /** The part that the task is in has a placing which its record lacks. */
-    Part markPlacementDirty(int task) {
-        Part part = markDirty(task);
+    JobPart markPlacementDirty(int task) {
+        JobPart part = markDirty(task);
         part.placedVersion = version;
         return part;
     }
@@ -724,7 +735,9 @@
                             liveAttempts.values().stream()
                                     .filter(attempt -> attempt.state == Heartbeat.TaskState.RUNNING)
                                     .count();
-            progress = new JobProgress(spec.id(), doneTasks.cardinality(), running, notes.describe(this, now));
+            progress =
+                    new JobProgress(
+                            spec.id(), doneTasks.cardinality(), running, notes.describe(this, now));
             progressCountedAt = now;
         }
         return progress;
@@ -736,7 +749,9 @@
      */
     public String describeTimings(double now, double wallMs) {
         String deadline =
-                spec.deadlineSeconds() == null ? "" : String.format(" of %.1f", spec.deadlineSeconds());
+                spec.deadlineSeconds() == null
+                        ? ""
+                        : String.format(" of %.1f", spec.deadlineSeconds());
         return String.format(
                 "%s, %d tasks of %.0f s, after %.1f s%s; placed %s, begun %s before",
                 spec.jobClass(),
@@ -757,7 +772,7 @@
 
     /** Whether the store still has anything about its tasks. */
     public boolean hasPartRecords() {
-        for (Part part : partCount) {
+        for (JobPart part : partCount) {
             if (part.revision > 0) {
                 return true;
             }
@@ -768,12 +783,17 @@
     public int waitingTasks() {
         return isFinished || isCancelRequested || isHeld() || areAllTasksDone()
                 ? 0
-                : spec.taskCount() - doneTasks.cardinality() - tasksElsewhere.cardinality() - liveAttempts.size();
+                : spec.taskCount()
+                        - doneTasks.cardinality()
+                        - tasksElsewhere.cardinality()
+                        - liveAttempts.size();
     }
 
     /** The first task from {@code from} on that is neither done nor placed, or -1. */
     public int nextWaitingTask(int from) {
-        for (int t = doneTasks.nextClearBit(from); t < spec.taskCount(); t = doneTasks.nextClearBit(t + 1)) {
+        for (int t = doneTasks.nextClearBit(from);
+                t < spec.taskCount();
+                t = doneTasks.nextClearBit(t + 1)) {
             if (!liveAttempts.containsKey(t) && !tasksElsewhere.get(t)) {
                 return t;
             }
@@ -782,7 +802,8 @@
     }
 
     public List<Attempt> liveAttemptsInPart(int part) {
-        return new ArrayList<>(liveAttempts.subMap(part * tasksPerPart, (part + 1) * tasksPerPart).values());
+        return new ArrayList<>(
+                liveAttempts.subMap(part * tasksPerPart, (part + 1) * tasksPerPart).values());
     }
 
     public Map<String, Object> partRecord(int part) {
--- a/src/main/java/io/kitepath/core/shard/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -35,7 +35,7 @@
     private static final int MAX_COMPARED = 256;
 
     /** How a job ended, and when as far as its record says. */
-    private record End(boolean isDone, double atMillis) {}
+    private record JobOutcome(boolean isDone, double atMillis) {}
 
     private final ClusterSettings settings;
     private final Map<String, Job> jobs;
@@ -45,10 +45,10 @@
     /** Open jobs by each that they need, as long as it is not known to be over. */
     private final Map<String, Set<Job>> dependentsByDependency = new LinkedHashMap<>();
 
-    private final Map<String, End> outcomes =
+    private final Map<String, JobOutcome> outcomes =
             new LinkedHashMap<>() {
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<String, End> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<String, JobOutcome> eldest) {
                     return size() > MAX_OUTCOMES;
                 }
             };
@@ -90,7 +90,7 @@
         String id = job.spec.id();
         unknownOutcomes.remove(id);
         for (String need : job.dependencies()) {
-            End e = outcomes.get(need);
+            JobOutcome e = outcomes.get(need);
             if (e == null) {
                 job.unmetDependencies.add(need);
                 dependentsByDependency.computeIfAbsent(need, key -> new LinkedHashSet<>()).add(job);
@@ -114,7 +114,10 @@
 
     /** Open jobs that it waits for. */
     private List<Job> openDependencies(Job job) {
-        return job.unmetDependencies.stream().map(jobs::get).filter(j -> j != null && !j.isFinished).toList();
+        return job.unmetDependencies.stream()
+                .map(jobs::get)
+                .filter(j -> j != null && !j.isFinished)
+                .toList();
     }
 
     /** Some of its tasks were placed, by its records: all that it needs is done. */
@@ -138,7 +141,7 @@
      * The store has it that the job is done, or cancelled; {@code atMs}: when, by the time of day.
      */
     public void recordOutcome(String id, boolean done, double atMs) {
-        outcomes.put(id, new End(done, atMs));
+        outcomes.put(id, new JobOutcome(done, atMs));
         unknownOutcomes.remove(id);
         Set<Job> who = dependentsByDependency.remove(id);
         if (who == null) {
@@ -197,7 +200,9 @@
                 .filter(id -> !but.contains(id))
                 .sorted(
                         Comparator.comparingInt(
-                                (String id) -> mostUrgentRank(dependentsByDependency.getOrDefault(id, Set.of()))))
+                                (String id) ->
+                                        mostUrgentRank(
+                                                dependentsByDependency.getOrDefault(id, Set.of()))))
                 .limit(most)
                 .toList();
     }
@@ -233,7 +238,10 @@
             JobSpec.Priority highest = job.spec.priority();
             double[] endByMs = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
             for (Job behind : dependentsByDependency.getOrDefault(job.spec.id(), Set.of())) {
-                highest = behind.effectivePriority().compareTo(highest) < 0 ? behind.effectivePriority() : highest;
+                highest =
+                        behind.effectivePriority().compareTo(highest) < 0
+                                ? behind.effectivePriority()
+                                : highest;
                 double[] start = startByMillis(behind);
                 endByMs[0] = Math.min(endByMs[0], start[0]);
                 endByMs[1] = Math.min(endByMs[1], start[1]);
@@ -259,7 +267,9 @@
         // Between the end before it and its start: the end is reported and written, its placing
         // written and fetched.
         double gapS =
-                Math.max(startLatencySeconds.applyAsDouble(job.spec), settings.workers().heartbeatIntervalSeconds())
+                Math.max(
+                                startLatencySeconds.applyAsDouble(job.spec),
+                                settings.workers().heartbeatIntervalSeconds())
                         + settings.workers().heartbeatIntervalSeconds();
         double ms = 1000 * (job.spec.estimatedSeconds() + gapS);
         return new double[] {first - ms, last - ms};
--- a/src/main/java/io/kitepath/core/shard/JobSizes.java
+++ b/src/main/java/io/kitepath/core/shard/JobSizes.java
@@ -45,7 +45,8 @@
         if (c.recentSizes.size() < MIN_SIZES) {
             return;
         }
-        double[] sorted = c.recentSizes.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+        double[] sorted =
+                c.recentSizes.stream().mapToDouble(Double::doubleValue).sorted().toArray();
         double at = sorted[(int) (LARGE_QUANTILE * sorted.length)];
         // Where most are of that size, only what is larger than those is large.
         c.largeFrom = sorted[sorted.length / 2] < at ? at : Math.nextUp(at);
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -281,7 +281,10 @@
         reservedUntil = until;
     }
 
-    /** Keeps the room for the job, which other work will have left by then; see {@link #isBackfillAllowed()}. */
+    /**
+     * Keeps the room for the job, which other work will have left by then; see {@link
+     * #isBackfillAllowed()}.
+     */
     public void reserveAllowingBackfill(Job job, double from) {
         reservedFor = job;
         isBackfillAllowed = true;
@@ -293,7 +296,8 @@
      * kept for.
      */
     public boolean mayBackfill(Job job, double now) {
-        return job.spec.shape() != JobSpec.Shape.SERVICE && now + job.spec.estimatedSeconds() <= reservationStartsAt;
+        return job.spec.shape() != JobSpec.Shape.SERVICE
+                && now + job.spec.estimatedSeconds() <= reservationStartsAt;
     }
 
     /**
@@ -301,7 +305,9 @@
      * needs or may.
      */
     public void refreshReservation(double now) {
-        if (isBackfillAllowed || now >= reservedUntil || reservedFor != null && reservedFor.waitingTasks() == 0) {
+        if (isBackfillAllowed
+                || now >= reservedUntil
+                || reservedFor != null && reservedFor.waitingTasks() == 0) {
             unreserve();
         }
     }
@@ -343,7 +349,8 @@
      */
     void recordHeartbeat(long itsSession, boolean ours, double now, double leaseS) {
         if (itsSession > agentIncarnation) {
-            boolean answered = now - tokenConfirmedAt > leaseS / 2 && now - lastHeartbeatAt < leaseS / 2;
+            boolean answered =
+                    now - tokenConfirmedAt > leaseS / 2 && now - lastHeartbeatAt < leaseS / 2;
             answeredIncarnationsLost = answered ? answeredIncarnationsLost + 1 : 0;
             if (answeredIncarnationsLost >= MAX_LOST_INCARNATIONS) {
                 markMissingAnswers(now);
@@ -358,7 +365,8 @@
             tokenConfirmedAt = now;
         }
         if (ours) {
-            missingAnswersSince = missingAnswersSince == tokenUnconfirmedSince ? Double.NaN : missingAnswersSince;
+            missingAnswersSince =
+                    missingAnswersSince == tokenUnconfirmedSince ? Double.NaN : missingAnswersSince;
             tokenUnconfirmedSince = Double.NaN;
         } else if (Double.isNaN(tokenUnconfirmedSince)) {
             tokenUnconfirmedSince = now;
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -78,8 +78,11 @@
 
     private static String describeDependencies(Job job) {
         int n = job.unmetDependencies.size();
-        return String.join(", ", job.unmetDependencies.stream().limit(MAX_NAMED_DEPENDENCIES).toList())
-                + (n > MAX_NAMED_DEPENDENCIES ? " and " + (n - MAX_NAMED_DEPENDENCIES) + " more" : "")
+        return String.join(
+                        ", ", job.unmetDependencies.stream().limit(MAX_NAMED_DEPENDENCIES).toList())
+                + (n > MAX_NAMED_DEPENDENCIES
+                        ? " and " + (n - MAX_NAMED_DEPENDENCIES) + " more"
+                        : "")
                 + " to be done";
     }
 
--- a/src/main/java/io/kitepath/core/shard/QuotaUsage.java
+++ b/src/main/java/io/kitepath/core/shard/QuotaUsage.java
@@ -16,7 +16,7 @@
     }
 
     /** As the settings say. */
-    private static final class Whole implements QuotaLimits {
+    private static final class ConfiguredLimits implements QuotaLimits {
         @Override
         public double maxCpus(ClusterSettings.Team team) {
             return team.maxCpus() > 0 ? team.maxCpus() : Double.POSITIVE_INFINITY;
@@ -29,7 +29,7 @@
     }
 
     private final ClusterSettings settings;
-    private QuotaLimits setLimits = new Whole();
+    private QuotaLimits setLimits = new ConfiguredLimits();
 
     /** CPUs and GPUs by team. */
     private final Map<String, double[]> used = new HashMap<>();
@@ -70,7 +70,7 @@
         ClusterSettings.Team t = settings.teams().get(team);
         boolean part =
                 t != null
-                        && !(setLimits instanceof Whole)
+                        && !(setLimits instanceof ConfiguredLimits)
                         && setLimits.maxCpus(t) < Double.POSITIVE_INFINITY;
         return part
                 ? String.format(
--- a/src/main/java/io/kitepath/core/shard/RecentArrivals.java
+++ b/src/main/java/io/kitepath/core/shard/RecentArrivals.java
@@ -93,7 +93,8 @@
     private static double ratePerSecond(List<Job> of, double wallMs, ToDoubleFunction<Job> what) {
         double first = of.stream().mapToDouble(Job::eligibleSinceMillis).min().orElse(wallMs);
         double half = (first + wallMs) / 2;
-        double sum = of.stream().filter(job -> job.eligibleSinceMillis() > half).mapToDouble(what).sum();
+        double sum =
+                of.stream().filter(job -> job.eligibleSinceMillis() > half).mapToDouble(what).sum();
         return sum == 0 ? 0 : sum * 1000 / (wallMs - half);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -125,7 +125,8 @@
         }
 
         private void updateBehind() {
-            boolean now = weight() >= MIN_WEIGHT && share() < (isBehind ? CAUGHT_UP_FROM : BEHIND_BELOW);
+            boolean now =
+                    weight() >= MIN_WEIGHT && share() < (isBehind ? CAUGHT_UP_FROM : BEHIND_BELOW);
             if (now != isBehind) {
                 isBehind = now;
                 LOG.warn(
@@ -188,7 +189,8 @@
         if (t != null) {
             then.accept(t);
         }
-        ServiceGroup l = sizes.isAmongLargest(spec) ? group(largest, "largest of", spec.jobClass()) : null;
+        ServiceGroup l =
+                sizes.isAmongLargest(spec) ? group(largest, "largest of", spec.jobClass()) : null;
         if (l != null) {
             then.accept(l);
         }
@@ -211,7 +213,8 @@
      * @param leadS how long jobs of a kind take from placing to running
      */
     public void update(Collection<Job> jobs, ToDoubleFunction<JobSpec> leadS, double wallMs) {
-        allGroups().forEach(
+        allGroups()
+                .forEach(
                         group -> {
                             group.undecided = 0;
                             group.endangered = 0;
@@ -231,7 +234,11 @@
                                 - job.spec.estimatedSeconds()
                                 - leadS.applyAsDouble(job.spec);
                 boolean waits = job.waitingTasks() > 0;
-                boolean endangered = waits && wallMs > job.eligibleSinceMillis() + 1000 * ENDANGERED_FRACTION * mayWaitS;
+                boolean endangered =
+                        waits
+                                && wallMs
+                                        > job.eligibleSinceMillis()
+                                                + 1000 * ENDANGERED_FRACTION * mayWaitS;
                 forEachGroup(
                         job.spec,
                         group -> {
@@ -263,7 +270,8 @@
 
     /** The store has it that the job is done. */
     public void recordDone(Job job, double wallMs) {
-        recordIfMissed(job, settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()), wallMs);
+        recordIfMissed(
+                job, settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()), wallMs);
         forEachGroup(job.spec, group -> group.done++);
         if (!job.hasMissedAllGoals) {
             forEachGroup(job.spec, group -> group.recordDecision(true));
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -34,7 +34,8 @@
 
     private final ClusterSettings settings;
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
-    private final Map<String, MachineType> machineTypesView = Collections.unmodifiableMap(machineTypes);
+    private final Map<String, MachineType> machineTypesView =
+            Collections.unmodifiableMap(machineTypes);
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
     private final TreeMap<String, Machine> machines = new TreeMap<>();
@@ -90,7 +91,10 @@
         this.bootTimes = new BootTimes(machineTypes);
         this.jobDependencies =
                 new JobDependencies(
-                        settings, jobs, spec -> startLatencies.upperEstimateSeconds(spec.jobClass()), this::requestScheduling);
+                        settings,
+                        jobs,
+                        spec -> startLatencies.upperEstimateSeconds(spec.jobClass()),
+                        this::requestScheduling);
         this.tasksPerPart = settings.tasksPerPart();
         this.maxRecordBytes = settings.store().maxValueBytes();
     }
@@ -306,7 +310,7 @@
             }
         }
         job.markAllDirty();
-        for (Job.Part part : job.allParts()) {
+        for (Job.JobPart part : job.allParts()) {
             if (part.revision() > 0) {
                 dirtyParts.addChange(
                         part); // To be removed, or kept for as long as something is on machines.
@@ -325,7 +329,11 @@
         for (String id : ids) {
             Job job = jobs.get(id);
             if (job != null && !job.hasCancelledDependency) {
-                out.add(job.progress(now, settings.workers().heartbeatIntervalSeconds(), pendingReasons));
+                out.add(
+                        job.progress(
+                                now,
+                                settings.workers().heartbeatIntervalSeconds(),
+                                pendingReasons));
             }
         }
         return out;
@@ -406,7 +414,9 @@
             case ERROR -> failureDiagnosis.recordFailure(attempt, now);
             case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_TASK -> {
                 LOG.info("attempt {} refused: {}", attempt, cause);
-                job.notBefore = Math.max(job.notBefore, now + settings.workers().heartbeatIntervalSeconds());
+                job.notBefore =
+                        Math.max(
+                                job.notBefore, now + settings.workers().heartbeatIntervalSeconds());
             }
             default -> LOG.debug("attempt {} ended: {}", attempt, cause);
         }
@@ -417,7 +427,11 @@
             if (cause == EndCause.GANG_START_TIMEOUT
                     && isFetchingImages(job)
                     && (machine.reservedFor == null || machine.isBackfillAllowed)) {
-                machine.reserve(job, now + 3 * imageFetchSeconds(job.spec) + settings.workers().gangStartTimeoutSeconds());
+                machine.reserve(
+                        job,
+                        now
+                                + 3 * imageFetchSeconds(job.spec)
+                                + settings.workers().gangStartTimeoutSeconds());
             }
             restartGangOnceImagesFetched(job);
         }
@@ -431,7 +445,9 @@
      * gave up is held, and all restart where the image is.
      */
     public void restartGangOnceImagesFetched(Job job) {
-        if (!job.liveAttempts.isEmpty() && job.liveAttempts.size() < job.spec.taskCount() && !isFetchingImages(job)) {
+        if (!job.liveAttempts.isEmpty()
+                && job.liveAttempts.size() < job.spec.taskCount()
+                && !isFetchingImages(job)) {
             for (Attempt other : new ArrayList<>(job.liveAttempts.values())) {
                 stopAttempt(other, 0);
             }
@@ -494,7 +510,8 @@
 
     /** Whether the records of its parts can take all its tasks at once, or can't be made to. */
     public boolean fitsRecord(Job job) {
-        return job.hasPartsOfAtMost(settings.tasksPerCompactPart()) || job.allTasksFitRecords(maxRecordBytes);
+        return job.hasPartsOfAtMost(settings.tasksPerCompactPart())
+                || job.allTasksFitRecords(maxRecordBytes);
     }
 
     /**
@@ -520,7 +537,7 @@
      * #placedTogether}.
      */
     public void place(Job job, int task, Machine machine, double now) {
-        Job.Part part = job.markPlacementDirty(task);
+        Job.JobPart part = job.markPlacementDirty(task);
         dirtyParts.addPlacement(part);
         addAttempt(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
         job.placementTimes.add(now);
@@ -539,7 +556,8 @@
      * A worker has an attempt that nothing placed there: it counts until it is proven over, and is
      * stopped.
      */
-    void addUnexpectedAttempt(Job job, int task, long number, TaskState state, Machine machine, double now) {
+    void addUnexpectedAttempt(
+            Job job, int task, long number, TaskState state, Machine machine, double now) {
         LOG.error(
                 "machine {} has {}/{} which was not placed there", machine.id, job.spec.id(), task);
         dirtyParts.addChange(job.markDirty(task));
@@ -601,8 +619,8 @@
     }
 
     /** What the cloud says exists. A list can be old, so it never proves a machine gone. */
-    public void applyCloudList(Collection<Cloud.Listed> list, double now) {
-        for (Cloud.Listed listed : list) {
+    public void applyCloudList(Collection<Cloud.ListedMachine> list, double now) {
+        for (Cloud.ListedMachine listed : list) {
             if (isKnownGone(listed.machineId())) {
                 continue;
             }
@@ -652,7 +670,7 @@
     // ---- what was written -----------------------------------------------------------------------
 
     /** Everything about this part up to {@code version} is in the store now. */
-    public void markPartWritten(Job.Part part, int version, long revision) {
+    public void markPartWritten(Job.JobPart part, int version, long revision) {
         Job job = part.job;
         part.markWritten(version, revision);
         dirtyParts.enqueueIfDirty(part);
@@ -674,10 +692,11 @@
     }
 
     /** The job's records are laid out anew, as of that version of it, with these parts. */
-    public void applyMigration(Job job, JobRecord record, long revision, int version, Set<Integer> parts) {
+    public void applyMigration(
+            Job job, JobRecord record, long revision, int version, Set<Integer> parts) {
         job.allParts().forEach(dirtyParts::remove); // Those that were are no more.
         job.applyMigration(record, revision);
-        for (Job.Part part : job.allParts()) {
+        for (Job.JobPart part : job.allParts()) {
             markPartWritten(part, version, parts.contains(part.index) ? revision : 0);
         }
         migrationDone(job);
--- a/src/main/java/io/kitepath/core/shard/StartLatencies.java
+++ b/src/main/java/io/kitepath/core/shard/StartLatencies.java
@@ -16,7 +16,8 @@
     private static final int MAX_CLASSES = 1000;
 
     /** Seconds by class: the average, and how far from it they are on average. */
-    private final Cache<String, double[]> classes = Caffeine.newBuilder().maximumSize(MAX_CLASSES).build();
+    private final Cache<String, double[]> classes =
+            Caffeine.newBuilder().maximumSize(MAX_CLASSES).build();
 
     void recordStart(String jobClass, double seconds) {
         double[] l = classes.get(jobClass, key -> new double[] {seconds, 0});
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -48,7 +48,12 @@
     public static Map<String, Object> toRecord(List<TaskLoan> loans) {
         List<Object> list = new ArrayList<>();
         for (TaskLoan loan : loans) {
-            list.add(List.of(loan.number, loan.borrowerCell, (long) loan.firstTask, (long) loan.endTask));
+            list.add(
+                    List.of(
+                            loan.number,
+                            loan.borrowerCell,
+                            (long) loan.firstTask,
+                            (long) loan.endTask));
         }
         Map<String, Object> m = new LinkedHashMap<>();
         m.put("loans", list);
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -84,7 +84,7 @@
             return;
         }
         if (holding.getAsBoolean()) {
-            new Look(e).send();
+            new ComparisonRound(e).send();
         } else {
             startRoundAfter(e, RETRY_SECONDS);
         }
@@ -104,7 +104,7 @@
      * the rest is not. It counts from when the first was sent, so one that takes too long to be
      * worth anything begins anew.
      */
-    private final class Look {
+    private final class ComparisonRound {
         private final long of;
         private final double sentMs = timers.wallClockMillis();
         private final Deque<Transaction> left = new ArrayDeque<>();
@@ -116,7 +116,7 @@
         /** Another look is taken instead. */
         private boolean given;
 
-        Look(long of) {
+        ComparisonRound(long of) {
             this.of = of;
             for (Job job : shard.jobs().values()) {
                 // Guests are cancelled by their home cell, which waits for this cell's word before
@@ -154,7 +154,12 @@
                     if (result.outcome() == Outcome.INVALID) {
                         // The store takes fewer conditions by now than anybody said: those of the
                         // next look.
-                        maxConditions = Math.max(1, Math.min(maxConditions, transaction.conditions().size() / 2));
+                        maxConditions =
+                                Math.max(
+                                        1,
+                                        Math.min(
+                                                maxConditions,
+                                                transaction.conditions().size() / 2));
                         tooLong = true;
                     }
                     retry(transaction);
@@ -163,7 +168,9 @@
         }
 
         private void retry(Transaction transaction) {
-            tooLong |= timers.wallClockMillis() - sentMs > 1000 * settings.workers().cancellationStalenessSeconds();
+            tooLong |=
+                    timers.wallClockMillis() - sentMs
+                            > 1000 * settings.workers().cancellationStalenessSeconds();
             if (!tooLong && holding.getAsBoolean()) {
                 timers.schedule(jittered(RETRY_SECONDS), () -> send(transaction));
             } else if (!given) {
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -124,7 +124,8 @@
                     document.numberOr("endedMs", 0, timers.wallClockMillis()));
             return true;
         } catch (InvalidInputException invalid) {
-            LOG.error("record {} is unreadable: {}", StoreKeys.ENDED_JOBS + id, invalid.getMessage());
+            LOG.error(
+                    "record {} is unreadable: {}", StoreKeys.ENDED_JOBS + id, invalid.getMessage());
             return false;
         }
     }
--- a/src/main/java/io/kitepath/core/state/PagedScan.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -52,7 +52,8 @@
                 page -> {
                     if (page.outcome() != Outcome.OK) {
                         if (attempt < maxAttempts) {
-                            timers.schedule(Math.min(1, 0.1 * attempt), () -> readPage(attempt + 1));
+                            timers.schedule(
+                                    Math.min(1, 0.1 * attempt), () -> readPage(attempt + 1));
                         } else {
                             answer.accept(new ListResult(page.outcome(), List.of(), 0, false));
                         }
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -25,7 +25,11 @@
         JobRecord was = job.record();
         this.record =
                 new JobRecord(
-                        was.spec(), was.submittedMillis(), was.dependencies(), partTasks, job.nextAttempt());
+                        was.spec(),
+                        was.submittedMillis(),
+                        was.dependencies(),
+                        partTasks,
+                        job.nextAttempt());
         for (int i = 0; i * partTasks < job.spec.taskCount(); i++) {
             Map<String, Object> part = job.partRecordOf(i, partTasks);
             if (part != null) {
@@ -45,7 +49,9 @@
 
     void contributeTo(Transaction transaction) {
         String id = job.spec.id();
-        transaction.requireRevision(job.recordKey, job.revision()).put(job.recordKey, record.toRecord());
+        transaction
+                .requireRevision(job.recordKey, job.revision())
+                .put(job.recordKey, record.toRecord());
         for (int i = 0; i < job.partCount(); i++) {
             transaction.requireRevision(StoreKeys.partKey(id, i), job.part(i).revision());
             if (job.part(i).revision() > 0 && !parts.containsKey(i)) {
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -32,8 +32,8 @@
      *
      * @param revision from before the first record was read: from there on changes have to be
      *     followed
-     * @param endedJobs by id: jobs that are over and have parts left, so that something of them may be
-     *     on machines
+     * @param endedJobs by id: jobs that are over and have parts left, so that something of them may
+     *     be on machines
      * @param lentTasks what of open jobs is lent to other cells
      * @param borrowedTasks what other cells lent to this one
      * @param quotaShares of the teams' limits, what came to this cell and what went
@@ -155,7 +155,8 @@
 
     private static Set<String> ids(ListResult open) {
         Set<String> ids = new HashSet<>();
-        open.entries().forEach(entry -> ids.add(entry.key().substring(StoreKeys.OPEN_JOBS.length())));
+        open.entries()
+                .forEach(entry -> ids.add(entry.key().substring(StoreKeys.OPEN_JOBS.length())));
         return ids;
     }
 
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -344,7 +344,10 @@
             try {
                 shard.serviceLevels().restore(previousServiceRecord);
             } catch (InvalidInputException invalid) {
-                LOG.error("record {} is unreadable: {}", StoreKeys.SERVICE_LEVELS, invalid.getMessage());
+                LOG.error(
+                        "record {} is unreadable: {}",
+                        StoreKeys.SERVICE_LEVELS,
+                        invalid.getMessage());
             }
         }
         // Before the jobs' parts: a machine that goes is one from the first time that it is heard
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -12,10 +12,10 @@
 
 /** One transaction of the holder's, and what in memory follows from it once the store has it. */
 final class WriteBatch {
-    record Written(Job.Part part, int version, boolean removed) {}
+    record WrittenPart(Job.JobPart part, int version, boolean removed) {}
 
     /** What a record says about whether its round was carried out. */
-    private enum Sign {
+    private enum Evidence {
         CHANGED,
         SAYS_DONE,
         GONE
@@ -27,7 +27,7 @@
      *
      * @param revisionBefore its revision before, 0 if there was none
      */
-    record Witness(String key, long revisionBefore, Sign sign) {
+    record Witness(String key, long revisionBefore, Evidence sign) {
         /** Whether the round was carried out; {@code now}: null if there is no such record. */
         boolean showsCommitted(Entry now) {
             return switch (sign) {
@@ -41,10 +41,10 @@
     }
 
     final Transaction transaction = new Transaction();
-    final List<Written> parts = new ArrayList<>();
+    final List<WrittenPart> parts = new ArrayList<>();
     final List<Job> finishing = new ArrayList<>();
     final List<Job> cancelling = new ArrayList<>();
-    final Set<Job.Part> taken = new HashSet<>();
+    final Set<Job.JobPart> taken = new HashSet<>();
     final Set<Job> conditioned = new HashSet<>();
     final List<BatchContributor> contributors = new ArrayList<>();
     RecordMigration migration;
@@ -53,21 +53,22 @@
 
     /** Null if all that it writes may have been written by others. */
     Witness witness() {
-        for (Written written : parts) {
+        for (WrittenPart written : parts) {
             if (!written.removed) {
-                return new Witness(key(written), written.part.revision(), Sign.CHANGED);
+                return new Witness(key(written), written.part.revision(), Evidence.CHANGED);
             }
         }
         if (!finishing.isEmpty()) {
-            return new Witness(StoreKeys.ENDED_JOBS + finishing.get(0).spec.id(), 0, Sign.SAYS_DONE);
+            return new Witness(
+                    StoreKeys.ENDED_JOBS + finishing.get(0).spec.id(), 0, Evidence.SAYS_DONE);
         }
         // What is gone has no revision, which riders have to be told.
         return parts.isEmpty() || !contributors.isEmpty()
                 ? null
-                : new Witness(key(parts.get(0)), parts.get(0).part.revision(), Sign.GONE);
+                : new Witness(key(parts.get(0)), parts.get(0).part.revision(), Evidence.GONE);
     }
 
-    private static String key(Written written) {
+    private static String key(WrittenPart written) {
         return StoreKeys.partKey(written.part.job.spec.id(), written.part.index);
     }
 }
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -159,7 +159,7 @@
                 Math.min(budget, batch.transaction.writes().size() + 1));
         // Guards against a gang that waits for the records of hundreds of small jobs that were
         // placed before it.
-        List<Job.Part> placings = new ArrayList<>(shard.dirtyParts().withPlacements());
+        List<Job.JobPart> placings = new ArrayList<>(shard.dirtyParts().withPlacements());
         placings.sort(Comparator.comparingInt(part -> part.job.queueRank()));
         take(batch, placings, budget);
         if (!endsFirst) {
@@ -175,7 +175,11 @@
             Store.Write due = images.nextDueRecord(shard.machines().values(), now);
             if (due == null && now - servedAt > settings.workers().leaseSeconds() / 2) {
                 servedAt = now;
-                due = new Store.Write(StoreKeys.SERVICE_LEVELS, shard.serviceLevels().toRecord(timers.wallClockMillis()), 0);
+                due =
+                        new Store.Write(
+                                StoreKeys.SERVICE_LEVELS,
+                                shard.serviceLevels().toRecord(timers.wallClockMillis()),
+                                0);
             }
             if (due != null && JsonSize.sizeInBytes(due.value()) <= shard.maxRecordBytes()) {
                 batch.transaction.put(due.key(), due.value());
@@ -257,11 +261,14 @@
 
     /** All its tasks are done, and it is for us to say so. */
     private static boolean ending(Job job) {
-        return !job.isFinished() && job.areAllTasksDone() && !job.borrowed && !job.isCancelRequested();
+        return !job.isFinished()
+                && job.areAllTasksDone()
+                && !job.borrowed
+                && !job.isCancelRequested();
     }
 
-    private void take(WriteBatch batch, List<Job.Part> from, int budget) {
-        for (Job.Part part : from) {
+    private void take(WriteBatch batch, List<Job.JobPart> from, int budget) {
+        for (Job.JobPart part : from) {
             if (batch.transaction.writes().size() >= budget || batch.bytes >= MAX_BYTES) {
                 return;
             }
@@ -324,7 +331,7 @@
                 .put(StoreKeys.ENDED_JOBS + job.spec.id(), record);
     }
 
-    private void putPart(WriteBatch batch, Job.Part part) {
+    private void putPart(WriteBatch batch, Job.JobPart part) {
         Job job = part.job;
         String key = StoreKeys.partKey(job.spec.id(), part.index);
         List<Attempt> live = job.liveAttemptsInPart(part.index);
@@ -348,7 +355,7 @@
             batch.bytes += JsonSize.sizeInBytes(record) + RECORD_BYTES;
             batch.transaction.put(key, record);
         }
-        batch.parts.add(new WriteBatch.Written(part, job.version(), remove));
+        batch.parts.add(new WriteBatch.WrittenPart(part, job.version(), remove));
     }
 
     private void send(long e, Runnable done) {
@@ -384,13 +391,19 @@
     private void committed(WriteBatch batch, long revision, Runnable done) {
         round = null;
         mostWrites =
-                Math.min(Math.min(settings.store().maxTransactionOperations(), refusedWrites - 1), mostWrites + 1);
+                Math.min(
+                        Math.min(settings.store().maxTransactionOperations(), refusedWrites - 1),
+                        mostWrites + 1);
         batch.contributors.forEach(x -> x.onCommitted(revision));
-        for (WriteBatch.Written written : batch.parts) {
-            shard.markPartWritten(written.part(), written.version(), written.removed() ? 0 : revision);
+        for (WriteBatch.WrittenPart written : batch.parts) {
+            shard.markPartWritten(
+                    written.part(), written.version(), written.removed() ? 0 : revision);
         }
         for (Job job : batch.finishing) {
-            LOG.info("job {} done: {}", job.spec.id(), job.describeTimings(timers.nowSeconds(), timers.wallClockMillis()));
+            LOG.info(
+                    "job {} done: {}",
+                    job.spec.id(),
+                    job.describeTimings(timers.nowSeconds(), timers.wallClockMillis()));
             shard.serviceLevels().recordDone(job, timers.wallClockMillis());
             shard.jobDependencies().recordOutcome(job.spec.id(), true, timers.wallClockMillis());
             shard.finishJob(job.spec.id());
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -184,7 +184,8 @@
      */
     @Override
     public void sendCancellationDigest(CancellationDigest d) {
-        Object message = new Messages.Digest(d.node(), d.sinceMillis(), d.untilMillis(), d.jobIds());
+        Object message =
+                new Messages.Digest(d.node(), d.sinceMillis(), d.untilMillis(), d.jobIds());
         toAll(
                 channels.values(),
                 channel -> {
@@ -241,7 +242,8 @@
     }
 
     @Override
-    public void requestProgress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
+    public void requestProgress(
+            String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
         Channel channel = channels.get(leader);
         if (channel == null || !channel.isActive() || progressAsks.size() >= MAX_ASKS) {
             answer.accept(List.of());
@@ -287,7 +289,8 @@
                         ctx.channel(),
                         new Messages.AnswerProgress(a.number(), controller.jobProgress(a.jobs())));
             } else if (message instanceof Messages.Digest d) {
-                controller.onPeerState(new CancellationDigest(d.by(), d.sinceMs(), d.untilMs(), d.jobs()));
+                controller.onPeerState(
+                        new CancellationDigest(d.by(), d.sinceMs(), d.untilMs(), d.jobs()));
             } else if (message instanceof Messages.AnswerProgress a
                     && a.number() == Messages.READS_DIGESTS) {
                 ctx.channel().attr(READS).set(true);
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -119,8 +119,7 @@
         if (c.has("teams")) {
             for (DocumentReader x : c.children("teams")) {
                 if (!settings.teams().containsKey(x.text("name"))) {
-                    throw x.invalid(
-                            "name", "the settings have no team \"" + x.text("name") + "\"");
+                    throw x.invalid("name", "the settings have no team \"" + x.text("name") + "\"");
                 }
                 named.put(x.text("name"), x);
             }
@@ -169,7 +168,11 @@
             if (!directory.ownCell().zones().contains(z)) {
                 throw document.invalid(
                         "cells",
-                        "cell \"" + directory.ownCellName() + "\" lacks the settings' zone \"" + z + "\"");
+                        "cell \""
+                                + directory.ownCellName()
+                                + "\" lacks the settings' zone \""
+                                + z
+                                + "\"");
             }
         }
     }
@@ -186,7 +189,9 @@
                 sum[2] += part.guaranteedGpus();
                 sum[3] += part.maxGpus();
             }
-            double[] of = {whole.guaranteedCpus(), whole.maxCpus(), whole.guaranteedGpus(), whole.maxGpus()};
+            double[] of = {
+                whole.guaranteedCpus(), whole.maxCpus(), whole.guaranteedGpus(), whole.maxGpus()
+            };
             String[] names = {"cpus", "cpus_max", "gpus", "gpus_max"};
             for (int i = 0; i < sum.length; i++) {
                 if (sum[i] > of[i] + SUM_TOLERANCE) {
--- a/src/main/java/io/kitepath/settings/SettingsFile.java
+++ b/src/main/java/io/kitepath/settings/SettingsFile.java
@@ -97,7 +97,7 @@
                         f.texts("zones"),
                         teams,
                         objectives,
-                        new ClusterSettings.Workers(
+                        new ClusterSettings.WorkerTimings(
                                 w.number("report_s", 0.001),
                                 w.number("lease_s", 0.001),
                                 w.number("gang_wait_s", 0),
@@ -106,7 +106,7 @@
                         storeLimits(s),
                         new ClusterSettings.CloudLimits(
                                 c.number("rps", 0.001), c.number("list_lag_s", 0)),
-                        new ClusterSettings.Limits(
+                        new ClusterSettings.ProcessLimits(
                                 l.number("cpu", 0.001),
                                 l.number("ram_mb", 1),
                                 (int) l.integer("sockets", 16, Integer.MAX_VALUE)),
--- a/src/main/java/io/kitepath/simulation/MemoryCloud.java
+++ b/src/main/java/io/kitepath/simulation/InMemoryCloud.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /** What the cloud has rented out, and how it behaves. */
-public final class MemoryCloud {
-    public final TreeMap<String, Cloud.Listed> machines = new TreeMap<>();
+public final class InMemoryCloud {
+    public final TreeMap<String, Cloud.ListedMachine> machines = new TreeMap<>();
 
     /** The names of all requests to rent that it executed, whatever came of them. */
     public final List<String> rentals = new ArrayList<>();
--- a/src/main/java/io/kitepath/simulation/MemoryStore.java
+++ b/src/main/java/io/kitepath/simulation/InMemoryStore.java
@@ -17,8 +17,8 @@
 import java.util.function.ToDoubleFunction;
 
 /** The state service: keys, leases, follows; can refuse, or lose an answer, or execute late. */
-public final class MemoryStore {
-    public MemoryStore(SimulatedCluster cluster) {
+public final class InMemoryStore {
+    public InMemoryStore(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
@@ -47,7 +47,7 @@
     private final SimulatedCluster cluster;
 
     /** Watches that wait for changes. */
-    private final List<Watch> watches = new ArrayList<>();
+    private final List<PendingWatch> watches = new ArrayList<>();
 
     /** Pages asked for, and which of them are refused. */
     public int pagesRead;
@@ -164,20 +164,24 @@
             }
         }
         log.add(entry);
-        for (Watch x : watches) {
+        for (PendingWatch x : watches) {
             x.matched |= key.startsWith(x.prefix);
         }
     }
 
     /** One that waits for changes under a prefix. */
-    private final class Watch {
+    private final class PendingWatch {
         private final EmulatorClient node;
         private final String prefix;
         private final long afterRevision;
         private final Consumer<Store.WatchResult> answer;
         private boolean matched;
 
-        Watch(EmulatorClient node, String prefix, long after, Consumer<Store.WatchResult> answer) {
+        PendingWatch(
+                EmulatorClient node,
+                String prefix,
+                long after,
+                Consumer<Store.WatchResult> answer) {
             this.node = node;
             this.prefix = prefix;
             this.afterRevision = after;
@@ -228,7 +232,7 @@
             long after,
             double holdS,
             Consumer<Store.WatchResult> answer) {
-        Watch x = new Watch(node, prefix, after, answer);
+        PendingWatch x = new PendingWatch(node, prefix, after, answer);
         x.matched = true;
         watches.add(x);
         cluster.after(
@@ -260,7 +264,10 @@
                 || transaction.conditions().size() > 4L * largestTransactionOperations
                 || transaction.writes().stream()
                         .anyMatch(
-                                x -> x.value() != null && JsonSize.sizeInBytes(x.value()) > largestValueBytes)) {
+                                x ->
+                                        x.value() != null
+                                                && JsonSize.sizeInBytes(x.value())
+                                                        > largestValueBytes)) {
             transactionsOverLimits++;
             return new Store.CommitResult(Store.Outcome.INVALID, 0, List.of(), false);
         }
--- a/src/main/java/io/kitepath/simulation/InvariantChecker.java
+++ b/src/main/java/io/kitepath/simulation/InvariantChecker.java
@@ -102,7 +102,8 @@
      * another was given before it was asked for; of two questions at the same time either may be
      * answered first.
      */
-    JobSubmissionService.Answer checkAnswer(String id, JobSubmissionService.Answer response, double asked) {
+    JobSubmissionService.JobResponse checkAnswer(
+            String id, JobSubmissionService.JobResponse response, double asked) {
         if (response == null) {
             return null;
         }
@@ -141,7 +142,9 @@
             cluster.reportedDone.add(id);
             doneAt.putIfAbsent(id, cluster.clock.now);
         } else if (status.equals("cancelled")) {
-            if (!cancellationRequestedFor.contains(id) && transitiveDependencies(id).stream().noneMatch(cancellationRequestedFor::contains)) {
+            if (!cancellationRequestedFor.contains(id)
+                    && transitiveDependencies(id).stream()
+                            .noneMatch(cancellationRequestedFor::contains)) {
                 violationOnce("went back: " + id + " is called cancelled and nobody asked for it");
             }
             if (cluster.reportedCancelledAt.putIfAbsent(id, cluster.clock.now) == null) {
@@ -154,7 +157,8 @@
                                 cluster.clock.now
                                         > Math.max(
                                                         cluster.acceptedAt.getOrDefault(id, 0.0),
-                                                        cluster.reportedCancelledAt.getOrDefault(n, 1e18))
+                                                        cluster.reportedCancelledAt.getOrDefault(
+                                                                n, 1e18))
                                                 + cluster.cancelSeconds)) {
             violation("orphaned: " + id + " is called " + status);
         }
@@ -172,7 +176,11 @@
                                 if (worker.isHanging()) {
                                     // It does nothing while it hangs; it must not go on with it.
                                     cancelledTasksOnHungMachines++;
-                                    worker.onResume(() -> cluster.after(0.01, () -> checkCancelledTasksEnded(id)));
+                                    worker.onResume(
+                                            () ->
+                                                    cluster.after(
+                                                            0.01,
+                                                            () -> checkCancelledTasksEnded(id)));
                                 } else {
                                     violationOnce(
                                             "ran cancelled: "
@@ -211,7 +219,8 @@
         }
         if (after > 0) {
             startsAfterCancellation++;
-            latestStartAfterCancellationSeconds = Math.max(latestStartAfterCancellationSeconds, after);
+            latestStartAfterCancellationSeconds =
+                    Math.max(latestStartAfterCancellationSeconds, after);
         }
         for (String n : transitiveDependencies(id)) {
             JobSpec spec = cluster.specs.get(n);
@@ -240,10 +249,14 @@
         }
         int here = 0;
         for (SimulatedWorker y : cluster.workers.values()) {
-            long on = y.tasks.values().stream().filter(o -> o.jobId.equals(t.jobId) && o.isOnMachine()).count();
+            long on =
+                    y.tasks.values().stream()
+                            .filter(o -> o.jobId.equals(t.jobId) && o.isOnMachine())
+                            .count();
             here += y.zone.equals(x.zone) ? on : 0;
             if (spec.isSingleZone() && on > 0 && !y.zone.equals(x.zone)) {
-                violation("wrong place: " + t.key() + " in " + x.zone + " beside tasks in " + y.zone);
+                violation(
+                        "wrong place: " + t.key() + " in " + x.zone + " beside tasks in " + y.zone);
             }
         }
         if (spec.isSpreadAcrossZones() && here > spec.maxTasksPerZone()) {
@@ -304,7 +317,10 @@
 
     private List<String> unfinished() {
         return cluster.acceptedAt.keySet().stream()
-                .filter(id -> !cluster.reportedCancelledAt.containsKey(id) && !doneAt.containsKey(id))
+                .filter(
+                        id ->
+                                !cluster.reportedCancelledAt.containsKey(id)
+                                        && !doneAt.containsKey(id))
                 .sorted()
                 .toList();
     }
@@ -321,12 +337,14 @@
                 }
             }
             double now = cluster.clock.now;
-            if (now - Math.max(troublesOverAt, answeredAt.getOrDefault(id, 0.0)) > FORGOTTEN_AFTER_SECONDS) {
+            if (now - Math.max(troublesOverAt, answeredAt.getOrDefault(id, 0.0))
+                    > FORGOTTEN_AFTER_SECONDS) {
                 violationOnce("forgotten: no question about " + id + " is answered");
             }
             if (!waitsBesideFreeCapacity(id)) {
                 waitingBesideCapacitySince.remove(id);
-            } else if (now - waitingBesideCapacitySince.computeIfAbsent(id, key -> now) > STARVED_AFTER_SECONDS) {
+            } else if (now - waitingBesideCapacitySince.computeIfAbsent(id, key -> now)
+                    > STARVED_AFTER_SECONDS) {
                 violationOnce("left waiting: " + id);
             }
         }
@@ -351,7 +369,8 @@
                         .map(task -> task.number)
                         .distinct()
                         .count();
-        long missing = spec.taskCount() - cluster.completedTasks.getOrDefault(id, Set.of()).size() - on;
+        long missing =
+                spec.taskCount() - cluster.completedTasks.getOrDefault(id, Set.of()).size() - on;
         if (missing <= 0
                 || spec.isGang() && on > 0
                 || spec.isGang() && cluster.completedTasks.containsKey(id)) {
@@ -361,8 +380,10 @@
         ClusterSettings.Team limit = cluster.teams.get(spec.team());
         double[] used = usageOnMachines(spec.team());
         if (limit == null
-                || limit.maxCpus() > 0 && used[0] + atOnce * spec.cpusPerTask() > limit.maxCpus() + 1e-6
-                || limit.maxGpus() > 0 && used[1] + atOnce * spec.gpusPerTask() > limit.maxGpus() + 1e-6) {
+                || limit.maxCpus() > 0
+                        && used[0] + atOnce * spec.cpusPerTask() > limit.maxCpus() + 1e-6
+                || limit.maxGpus() > 0
+                        && used[1] + atOnce * spec.gpusPerTask() > limit.maxGpus() + 1e-6) {
             return false;
         }
         Map<String, Long> rooms = new HashMap<>();
@@ -414,6 +435,8 @@
                         0,
                         Math.min(
                                 s.cpusPerTask() > 0 ? (cpus + 1e-9) / s.cpusPerTask() : 1e6,
-                                s.memoryGigabytesPerTask() > 0 ? (memory + 1e-9) / s.memoryGigabytesPerTask() : 1e6));
+                                s.memoryGigabytesPerTask() > 0
+                                        ? (memory + 1e-9) / s.memoryGigabytesPerTask()
+                                        : 1e6));
     }
 }
--- a/src/main/java/io/kitepath/simulation/LoadGenerator.java
+++ b/src/main/java/io/kitepath/simulation/LoadGenerator.java
@@ -1,7 +1,7 @@
 package io.kitepath.simulation;
 
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -59,7 +59,14 @@
                 () ->
                         node.controller
                                 .jobApi()
-                                .status(id, response -> onAnswer(id, response, at, RESPONSE_TIMEOUT_SECONDS)));
+                                .status(
+                                        id,
+                                        response ->
+                                                onAnswer(
+                                                        id,
+                                                        response,
+                                                        at,
+                                                        RESPONSE_TIMEOUT_SECONDS)));
     }
 
     /** Hands it in there once more. */
@@ -81,7 +88,8 @@
                                         response -> {
                                             if (cluster.clock.now - at <= RETRY_FOR_SECONDS
                                                     && (response.verdict() == Verdict.CREATED
-                                                            || response.verdict() == Verdict.KNOWN)) {
+                                                            || response.verdict()
+                                                                    == Verdict.KNOWN)) {
                                                 cluster.invariants.accepted(id);
                                             }
                                             onAnswer(id, response, at, RETRY_FOR_SECONDS);
@@ -118,7 +126,7 @@
                 });
     }
 
-    private void onAnswer(String id, Answer response, double at, double waits) {
+    private void onAnswer(String id, JobResponse response, double at, double waits) {
         if (cluster.clock.now - at <= waits) {
             cluster.heard(id, response, at);
         }
@@ -130,8 +138,9 @@
      * A user was told that: others look at once, everywhere, at the first of each kind of answer
      * about a job.
      */
-    void onFinalAnswer(String id, Answer response) {
-        boolean accepted = response.verdict() == Verdict.CREATED || response.verdict() == Verdict.KNOWN;
+    void onFinalAnswer(String id, JobResponse response) {
+        boolean accepted =
+                response.verdict() == Verdict.CREATED || response.verdict() == Verdict.KNOWN;
         if (!cluster.pollsRightAfterAnswers || !accepted || cluster.specs.get(id) == null) {
             return;
         }
--- a/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
+++ b/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
@@ -41,8 +41,8 @@
     /** Whoever is behind a socket. */
     private final EmulatorClient clientIdentity;
 
-    private final StoreLink store;
-    private final CloudLink cloud;
+    private final SimulatedStoreClient store;
+    private final SimulatedCloudClient cloud;
     private final Map<String, HttpClient> nodes = new HashMap<>();
     private final double offset;
 
@@ -54,12 +54,12 @@
         this.cluster = cluster;
         this.offset = cluster.clock.now - System.nanoTime() / 1e9;
         this.clientIdentity = cluster::after;
-        this.store = new StoreLink(cluster, clientIdentity);
-        this.cloud = new CloudLink(cluster, clientIdentity);
+        this.store = new SimulatedStoreClient(cluster, clientIdentity);
+        this.cloud = new SimulatedCloudClient(cluster, clientIdentity);
         nodes.forEach((label, at) -> this.nodes.put(label, new HttpClient(loop, at, 64, MAX_BODY)));
         List<String> labels = List.copyOf(nodes.keySet());
         cluster.workerNetwork =
-                new SimulatedCluster.Reach() {
+                new SimulatedCluster.WorkerNetwork() {
                     @Override
                     public List<String> aliveNodes() {
                         return labels; // Which of them are up, a worker finds out by trying.
@@ -78,7 +78,8 @@
                                         TIMEOUT_MS,
                                         (status, body) -> {
                                             HeartbeatResponse response =
-                                                    EmulatorCodec.decodeHeartbeatResponse(status, body);
+                                                    EmulatorCodec.decodeHeartbeatResponse(
+                                                            status, body);
                                             answer.accept(
                                                     response == null
                                                             ? HeartbeatResponse.redirectTo(null)
@@ -150,12 +151,17 @@
 
     private void direct(SimulatedWorker worker, Request request, Responder out) {
         try {
-            EmulatorCodec.Direct d = EmulatorCodec.decodeDirectCommands(MessagePackCodec.decode(request.body()));
+            EmulatorCodec.DirectCommandsRequest d =
+                    EmulatorCodec.decodeDirectCommands(MessagePackCodec.decode(request.body()));
             Heartbeat heartbeat =
-                    worker.up ? worker.executeDirectCommands(d.fencingToken(), d.agentIncarnation(), d.commands()) : null;
+                    worker.up
+                            ? worker.executeDirectCommands(
+                                    d.fencingToken(), d.agentIncarnation(), d.commands())
+                            : null;
             out.reply(
                     heartbeat == null ? 409 : 200,
-                    EmulatorCodec.encodeHeartbeat(heartbeat == null ? worker.currentHeartbeat() : heartbeat));
+                    EmulatorCodec.encodeHeartbeat(
+                            heartbeat == null ? worker.currentHeartbeat() : heartbeat));
         } catch (InvalidInputException invalid) {
             out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
         }
@@ -267,24 +273,27 @@
 
     private void cloud(Request request, Responder out) {
         if (request.path().equals("/machine_types")) {
-            cloud.listMachineTypes((outcome, types) -> out.reply(200, EmulatorCodec.encodeMachineTypes(types)));
+            cloud.listMachineTypes(
+                    (outcome, types) -> out.reply(200, EmulatorCodec.encodeMachineTypes(types)));
         } else if (request.path().equals("/rentals/release")) {
             cloud.release(
                     ProtocolCodec.decodeMachineIds(MessagePackCodec.decode(request.body())),
                     outcome -> answer(outcome, MessagePackCodec.encode(Map.of()), out));
         } else if (request.path().equals("/rentals") && request.method().equals("POST")) {
-            EmulatorCodec.Rent q = EmulatorCodec.decodeRental(MessagePackCodec.decode(request.body()));
+            EmulatorCodec.RentalRequest q =
+                    EmulatorCodec.decodeRental(MessagePackCodec.decode(request.body()));
             cloud.rent(
                     q.name(),
                     new MachineKind(q.machineType(), q.zone(), q.spot()),
                     q.count(),
-                    (outcome, names) -> answer(outcome, ProtocolCodec.encodeMachineIds(names), out));
+                    (outcome, names) ->
+                            answer(outcome, ProtocolCodec.encodeMachineIds(names), out));
         } else if (request.path().equals("/rentals")) {
             String from = query(request, "from", "");
             int limit = (int) number(request, "limit", 500);
             cloud.listMachines(
                     (outcome, all) -> {
-                        List<Cloud.Listed> rest =
+                        List<Cloud.ListedMachine> rest =
                                 all.stream()
                                         .filter(listed -> listed.machineId().compareTo(from) > 0)
                                         .toList();
--- a/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
+++ b/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
@@ -276,7 +276,7 @@
 
     public Verdict submit(SimulatedNode node, JobSpec spec) {
         specs.put(spec.id(), spec);
-        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
+        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
         node.controller.jobApi().submit(spec, response -> got[0] = response);
         run(0.2);
         if (got[0] == null) {
@@ -297,7 +297,7 @@
     }
 
     public String status(SimulatedNode node, String id) {
-        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
+        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
         node.controller.jobApi().status(id, response -> got[0] = response);
         run(0.2);
         if (got[0] == null) {
@@ -310,7 +310,7 @@
     }
 
     public String cancel(SimulatedNode node, String id) {
-        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
+        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
         node.controller.jobApi().cancel(id, response -> got[0] = response);
         run(0.2);
         if (got[0] == null) {
@@ -324,7 +324,7 @@
 
     // ---- the rules ------------------------------------------------------------------------------
 
-    private void checkAnswer(String id, JobSubmissionService.Answer response) {
+    private void checkAnswer(String id, JobSubmissionService.JobResponse response) {
         if (response.verdict() == Verdict.NOT_FOUND && accepted.contains(id)) {
             violations.add("forgotten: " + id);
         }
@@ -463,7 +463,7 @@
      * Sees every transaction that changes something about loans, with the cell and the node that
      * wrote it.
      */
-    public void onLoanWrites(LoanWrites seen) {
+    public void onLoanWrites(LoanWriteListener seen) {
         clusters.forEach(
                 (c, cluster) ->
                         cluster.store.onCommit =
@@ -487,7 +487,7 @@
                                 });
     }
 
-    public interface LoanWrites {
+    public interface LoanWriteListener {
         void written(String cell, SimulatedNode node, Store.Transaction transaction);
     }
 }
--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -22,7 +22,7 @@
     /**
      * Cells apart, cells that hand work to each other, or one cell with all the machines of all.
      */
-    public enum Way {
+    public enum Topology {
         APART,
         CELLS,
         WHOLE
@@ -48,7 +48,8 @@
      * @param load what each cell is asked for, of what its machines can do
      * @param hotCellShare how many times as much the first cell is asked for
      * @param durationSeconds for how long jobs come, in seconds
-     * @param networkFaultProbability shares of messages between cells that are lost, doubled and late
+     * @param networkFaultProbability shares of messages between cells that are lost, doubled and
+     *     late
      */
     public record Plan(
             int cells,
@@ -101,10 +102,10 @@
     private static final double MAX_DRAIN_SECONDS = 1800;
 
     private final Plan plan;
-    private final Way topology;
+    private final Topology topology;
     private final MultiCellSimulation cells;
     private final Random random;
-    private final Map<String, Coming> plannedJobs = new HashMap<>();
+    private final Map<String, PlannedJob> plannedJobs = new HashMap<>();
     private final Histogram hot = new Histogram(3);
     private final Histogram others = new Histogram(3);
     private final Map<String, int[]> served = new TreeMap<>();
@@ -114,7 +115,7 @@
     private int open;
 
     /** A job that comes, or has come. */
-    private static final class Coming {
+    private static final class PlannedJob {
         private final JobSpec spec;
         private final int cell;
         private final double runS;
@@ -122,22 +123,22 @@
         private final BitSet started = new BitSet();
         private final BitSet done = new BitSet();
 
-        Coming(JobSpec spec, int cell, double runS) {
+        PlannedJob(JobSpec spec, int cell, double runS) {
             this.spec = spec;
             this.cell = cell;
             this.runS = runS;
         }
     }
 
-    public Rehearsal(Plan plan, Way way) {
+    public Rehearsal(Plan plan, Topology way) {
         this.plan = plan;
         this.topology = way;
         this.random = new Random(plan.seed);
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < (way == Way.WHOLE ? 1 : plan.cells); i++) {
+        for (int i = 0; i < (way == Topology.WHOLE ? 1 : plan.cells); i++) {
             names.add("c" + i);
         }
-        this.cells = new MultiCellSimulation(plan.seed, names, List.of(), way != Way.CELLS);
+        this.cells = new MultiCellSimulation(plan.seed, names, List.of(), way != Topology.CELLS);
         cells.checkIntervalSeconds = 2;
         cells.lossProbability = plan.networkFaultProbability;
         cells.duplicationProbability = plan.networkFaultProbability;
@@ -147,14 +148,16 @@
             cluster.heartbeatIntervalSeconds = 4;
             cluster.leaseSeconds = 20;
             cluster.reportsChangesImmediately = true;
-            cluster.writesPerSecond = 250 * (way == Way.WHOLE ? plan.cells : 1);
+            cluster.writesPerSecond = 250 * (way == Topology.WHOLE ? plan.cells : 1);
             cluster.type = new MachineType("m16", CPUS, 0, 64, 50, 1, 1.0, 0.4, 1e6, cluster.zones);
             cluster.objectives.add(
-                    new ClusterSettings.Objective("finished", "tiles", WAIT_OBJECTIVE_SECONDS, 1, 0.9));
+                    new ClusterSettings.Objective(
+                            "finished", "tiles", WAIT_OBJECTIVE_SECONDS, 1, 0.9));
             cluster.objectives.add(
-                    new ClusterSettings.Objective("finished", "plates", WAIT_OBJECTIVE_SECONDS, 1, 0.9));
+                    new ClusterSettings.Objective(
+                            "finished", "plates", WAIT_OBJECTIVE_SECONDS, 1, 0.9));
             cluster.taskSeconds = id -> plannedJobs.get(id).runS;
-            cells.cell(c, 2, plan.machines * (way == Way.WHOLE ? plan.cells : 1));
+            cells.cell(c, 2, plan.machines * (way == Topology.WHOLE ? plan.cells : 1));
         }
         cells.clock.onTaskStart = this::started;
         cells.clock.onTaskEnd = this::ended;
@@ -173,11 +176,15 @@
             // Two thirds of the work are arrays, a third gangs; by their mean work.
             double tilesPerS = cpus * 2 / 3 / (66 * 20);
             double platesPerS = cpus / 3 / (3.75 * 8 * 40);
-            for (double t = exponential(tilesPerS); t < plan.durationSeconds; t += exponential(tilesPerS)) {
+            for (double t = exponential(tilesPerS);
+                    t < plan.durationSeconds;
+                    t += exponential(tilesPerS)) {
                 int size = (int) Math.max(1, Math.min(1000, 40 * Math.exp(random.nextGaussian())));
                 planJob(t, cell, ++n, "tiles", JobSpec.Shape.ARRAY, size, 1, 20);
             }
-            for (double t = exponential(platesPerS); t < plan.durationSeconds; t += exponential(platesPerS)) {
+            for (double t = exponential(platesPerS);
+                    t < plan.durationSeconds;
+                    t += exponential(platesPerS)) {
                 planJob(t, cell, ++n, "plates", JobSpec.Shape.GANG, 1 << random.nextInt(4), 8, 40);
             }
         }
@@ -192,7 +199,7 @@
             int size,
             double cpus,
             double estimateS) {
-        String home = "c" + (topology == Way.WHOLE ? 0 : cell);
+        String home = "c" + (topology == Topology.WHOLE ? 0 : cell);
         JobSpec spec =
                 new JobSpec(
                         cells.id(home, n),
@@ -217,7 +224,8 @@
                         0,
                         0,
                         null);
-        Coming arrival = new Coming(spec, cell, estimateS * (0.8 + 0.4 * random.nextDouble()));
+        PlannedJob arrival =
+                new PlannedJob(spec, cell, estimateS * (0.8 + 0.4 * random.nextDouble()));
         plannedJobs.put(spec.id(), arrival);
         open++;
         tasks += size;
@@ -230,7 +238,7 @@
                 });
     }
 
-    private void submit(Coming arrival, String home) {
+    private void submit(PlannedJob arrival, String home) {
         List<SimulatedNode> up =
                 cells.cluster(home).nodes.values().stream().filter(node -> node.alive).toList();
         boolean[] heard = new boolean[1];
@@ -263,7 +271,7 @@
 
     private void started(SimulatedTask task) {
         starts++;
-        Coming arrival = plannedJobs.get(task.jobId);
+        PlannedJob arrival = plannedJobs.get(task.jobId);
         if (!arrival.started.get(task.number)) {
             arrival.started.set(task.number);
             (arrival.cell == 0 ? hot : others)
@@ -272,7 +280,7 @@
     }
 
     private void ended(SimulatedTask task) {
-        Coming arrival = plannedJobs.get(task.jobId);
+        PlannedJob arrival = plannedJobs.get(task.jobId);
         if (arrival.done.cardinality() == arrival.spec.taskCount()) {
             return;
         }
@@ -344,7 +352,8 @@
                                             .toList();
                             of.forEach(worker -> worker.isCutOff = true);
                             cells.clock.after(
-                                    f.durationSeconds, () -> of.forEach(worker -> worker.isCutOff = false));
+                                    f.durationSeconds,
+                                    () -> of.forEach(worker -> worker.isCutOff = false));
                         }
                         default -> throw new IllegalArgumentException("no such fault: " + f.kind);
                     }
@@ -365,7 +374,7 @@
             cells.run(1);
         }
         double tookS = cells.clock.now - from;
-        for (Coming arrival : plannedJobs.values()) {
+        for (PlannedJob arrival : plannedJobs.values()) {
             if (arrival.done.cardinality() < arrival.spec.taskCount()) {
                 countServed("class " + arrival.spec.jobClass(), false);
                 countServed("team " + arrival.spec.team(), false);
@@ -374,8 +383,10 @@
         // What is lent, lost in a message or late has its time to do harm.
         cells.run(90);
         List<String> broken = new ArrayList<>(cells.violations());
-        if (topology == Way.CELLS && open == 0) {
-            cells.leftoverRecords().stream().limit(3).forEach(key -> broken.add("left over: " + key));
+        if (topology == Topology.CELLS && open == 0) {
+            cells.leftoverRecords().stream()
+                    .limit(3)
+                    .forEach(key -> broken.add("left over: " + key));
         }
         Collection<SimulatedCluster> all = cells.clusters.values();
         long handOvers = 0;
--- a/src/main/java/io/kitepath/simulation/SimulatedClock.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedClock.java
@@ -13,10 +13,12 @@
  * other.
  */
 public final class SimulatedClock {
-    private record Due(double at, long order, Runnable run) {}
+    private record ScheduledAction(double at, long order, Runnable run) {}
 
-    private final PriorityQueue<Due> scheduledActions =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledAction> scheduledActions =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble(ScheduledAction::at)
+                            .thenComparingLong(ScheduledAction::order));
     private long scheduledCount;
     public double now = 100;
     public final List<SimulatedCluster> clusters = new ArrayList<>();
@@ -39,13 +41,13 @@
     }
 
     public void after(double s, Runnable r) {
-        scheduledActions.add(new Due(now + s, scheduledCount++, r));
+        scheduledActions.add(new ScheduledAction(now + s, scheduledCount++, r));
     }
 
     public void run(double seconds) {
         double until = now + seconds;
         while (!scheduledActions.isEmpty() && scheduledActions.peek().at <= until) {
-            Due d = scheduledActions.poll();
+            ScheduledAction d = scheduledActions.poll();
             now = Math.max(now, d.at);
             d.run.run();
         }
--- a/src/main/java/io/kitepath/simulation/CloudLink.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCloudClient.java
@@ -9,11 +9,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-final class CloudLink implements Cloud {
+final class SimulatedCloudClient implements Cloud {
     private final SimulatedCluster cluster;
     private final EmulatorClient node;
 
-    CloudLink(SimulatedCluster cluster, EmulatorClient node) {
+    SimulatedCloudClient(SimulatedCluster cluster, EmulatorClient node) {
         this.cluster = cluster;
         this.node = node;
     }
@@ -30,7 +30,7 @@
 
     private void exchange(Act act, Consumer<Store.Outcome> failed) {
         node.onRequestSent();
-        MemoryCloud c = cluster.cloud;
+        InMemoryCloud c = cluster.cloud;
         if (c.holdsBackRequestsOf.test(node)) {
             c.heldBackRequests.add(act::run);
             node.schedule(0.5, () -> failed.accept(Store.Outcome.UNKNOWN));
@@ -40,7 +40,9 @@
                 cluster.messageLatencySeconds(0.05),
                 () -> {
                     if (c.unavailable) {
-                        node.schedule(cluster.messageLatencySeconds(0.05), () -> failed.accept(Store.Outcome.NOT_EXECUTED));
+                        node.schedule(
+                                cluster.messageLatencySeconds(0.05),
+                                () -> failed.accept(Store.Outcome.NOT_EXECUTED));
                         return;
                     }
                     Runnable answer = act.run();
@@ -93,7 +95,7 @@
             return;
         }
         cluster.cloud.machines.put(
-                id, new Cloud.Listed(id, cluster.type.name(), zone, false, "starting", 0));
+                id, new Cloud.ListedMachine(id, cluster.type.name(), zone, false, "starting", 0));
         cluster.after(
                 s < 0 ? 1e9 : s,
                 () -> {
@@ -121,12 +123,12 @@
     }
 
     @Override
-    public void listMachines(BiConsumer<Store.Outcome, List<Listed>> answer) {
+    public void listMachines(BiConsumer<Store.Outcome, List<ListedMachine>> answer) {
         if (cluster.cloud.unavailable) {
             node.schedule(0.05, () -> answer.accept(Store.Outcome.NOT_EXECUTED, List.of()));
             return;
         }
-        List<Listed> all =
+        List<ListedMachine> all =
                 cluster.cloud.machines.values().stream()
                         .filter(
                                 listed ->
--- a/src/main/java/io/kitepath/simulation/SimulatedCluster.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCluster.java
@@ -63,8 +63,8 @@
     public final List<String> siblings = new ArrayList<>();
 
     public final List<ClusterSettings.Objective> objectives = new ArrayList<>();
-    public final MemoryStore store = new MemoryStore(this);
-    public final MemoryCloud cloud = new MemoryCloud();
+    public final InMemoryStore store = new InMemoryStore(this);
+    public final InMemoryCloud cloud = new InMemoryCloud();
     public final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
 
     /** How many processes have been started under each node's name. */
@@ -88,7 +88,7 @@
     public BooleanSupplier losesNextResponse = () -> false;
 
     /** How workers reach nodes. */
-    public interface Reach {
+    public interface WorkerNetwork {
         /** The names of nodes that a worker may try. */
         List<String> aliveNodes();
 
@@ -118,8 +118,8 @@
     public DoubleSupplier duplicateDelaySeconds = () -> 0;
 
     /** To the nodes in memory, unless it is set to something else. */
-    public Reach workerNetwork =
-            new Reach() {
+    public WorkerNetwork workerNetwork =
+            new WorkerNetwork() {
                 @Override
                 public List<String> aliveNodes() {
                     return nodes.values().stream().filter(n -> n.alive).map(n -> n.name).toList();
@@ -174,7 +174,8 @@
     public boolean refusesDirectCommands;
 
     /** Which worker a node's direct commands reach, and its answer that node. */
-    public BiPredicate<SimulatedNode, SimulatedWorker> directCommandReaches = (node, worker) -> true;
+    public BiPredicate<SimulatedNode, SimulatedWorker> directCommandReaches =
+            (node, worker) -> true;
 
     /** How late they come. */
     public double directCommandDelaySeconds = 0.002;
@@ -274,15 +275,19 @@
                 zones,
                 teams,
                 objectives,
-                new ClusterSettings.Workers(heartbeatIntervalSeconds, leaseSeconds, 30, 5, cancelSeconds),
-                announcedStoreLimits == null ? limits() : limits().tightenedBy(announcedStoreLimits),
+                new ClusterSettings.WorkerTimings(
+                        heartbeatIntervalSeconds, leaseSeconds, 30, 5, cancelSeconds),
+                announcedStoreLimits == null
+                        ? limits()
+                        : limits().tightenedBy(announcedStoreLimits),
                 new ClusterSettings.CloudLimits(10, Math.max(2, cloud.listLagSeconds)),
-                new ClusterSettings.Limits(1, 200, 1000),
+                new ClusterSettings.ProcessLimits(1, 200, 1000),
                 5);
     }
 
     private ClusterSettings.StoreLimits limits() {
-        return new ClusterSettings.StoreLimits(requestsPerSecond, writesPerSecond, valueKilobytes, 40);
+        return new ClusterSettings.StoreLimits(
+                requestsPerSecond, writesPerSecond, valueKilobytes, 40);
     }
 
     public SimulatedNode node(String name) {
@@ -294,7 +299,11 @@
 
     public SimulatedNode leader() {
         return nodes.values().stream()
-                .filter(node -> node.alive && node.controller.fencingTokenIfLeading() == store.leaderFencingToken())
+                .filter(
+                        node ->
+                                node.alive
+                                        && node.controller.fencingTokenIfLeading()
+                                                == store.leaderFencingToken())
                 .findFirst()
                 .orElseThrow();
     }
@@ -303,7 +312,8 @@
         SimulatedWorker worker = new SimulatedWorker(this, id, zone);
         workers.put(id, worker);
         onWorkerCreated.accept(worker);
-        cloud.machines.put(id, new Cloud.Listed(id, type.name(), zone, false, "running", 60));
+        cloud.machines.put(
+                id, new Cloud.ListedMachine(id, type.name(), zone, false, "running", 60));
         after(0, worker::report);
         return worker;
     }
@@ -311,7 +321,7 @@
     public SimulatedWorker spotWorker(String id, String zone) {
         SimulatedWorker worker = worker(id, zone);
         worker.spot = true;
-        cloud.machines.put(id, new Cloud.Listed(id, type.name(), zone, true, "running", 60));
+        cloud.machines.put(id, new Cloud.ListedMachine(id, type.name(), zone, true, "running", 60));
         return worker;
     }
 
@@ -388,9 +398,9 @@
                 spec.deadlineSeconds());
     }
 
-    public JobSubmissionService.Answer submit(
+    public JobSubmissionService.JobResponse submit(
             SimulatedNode node, JobSpec spec, String... itsNeeds) {
-        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
+        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
         double asked = clock.now;
         specs.put(spec.id(), spec);
         dependencies.putIfAbsent(spec.id(), List.of(itsNeeds));
@@ -410,7 +420,7 @@
         return got[0];
     }
 
-    public JobSubmissionService.Answer cancel(SimulatedNode node, String id) {
+    public JobSubmissionService.JobResponse cancel(SimulatedNode node, String id) {
         invariants.cancellationRequested(id);
         return told(id, answer -> node.controller.jobApi().cancel(id, answer));
     }
@@ -423,7 +433,7 @@
         return loadGenerator.cancelSome(count, hangS, random);
     }
 
-    public JobSubmissionService.Answer ask(SimulatedNode node, String id) {
+    public JobSubmissionService.JobResponse ask(SimulatedNode node, String id) {
         return told(id, answer -> node.controller.jobApi().status(id, answer));
     }
 
@@ -431,9 +441,9 @@
      * What a user hears counts from the moment in which it does, also if that is later than the
      * caller waits here.
      */
-    private JobSubmissionService.Answer told(
-            String id, Consumer<Consumer<JobSubmissionService.Answer>> question) {
-        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
+    private JobSubmissionService.JobResponse told(
+            String id, Consumer<Consumer<JobSubmissionService.JobResponse>> question) {
+        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
         double asked = clock.now;
         question.accept(
                 response -> {
@@ -446,7 +456,8 @@
     }
 
     /** A user hears that; {@code asked}: when it asked. */
-    JobSubmissionService.Answer heard(String id, JobSubmissionService.Answer response, double asked) {
+    JobSubmissionService.JobResponse heard(
+            String id, JobSubmissionService.JobResponse response, double asked) {
         invariants.checkAnswer(id, response, asked);
         if (response != null) {
             loadGenerator.onFinalAnswer(id, response);
@@ -500,7 +511,7 @@
     }
 
     public String status(SimulatedNode node, String id) {
-        JobSubmissionService.Answer response = ask(node, id);
+        JobSubmissionService.JobResponse response = ask(node, id);
         return response.verdict() == JobSubmissionService.Verdict.KNOWN
                 ? response.jobStatus().status()
                 : response.verdict().toString();
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -56,15 +56,18 @@
         this.controller =
                 new Controller(
                         cluster.settings(name),
-                        new StoreLink(cluster, this),
-                        new CloudLink(cluster, this),
+                        new SimulatedStoreClient(cluster, this),
+                        new SimulatedCloudClient(cluster, this),
                         this::direct,
                         this,
                         this,
                         new Random(
                                 7
                                         + name.hashCode()
-                                        + 31L * (cluster.processStarts.merge(name, 1, Integer::sum) - 1)),
+                                        + 31L
+                                                * (cluster.processStarts.merge(
+                                                                name, 1, Integer::sum)
+                                                        - 1)),
                         cluster.cellDirectory,
                         cluster.multiCell == null ? null : this::askCell);
     }
@@ -97,7 +100,11 @@
         }
         double held = cluster.directCommandHoldSeconds.getAsDouble();
         if (held > 0) {
-            cluster.after(held, () -> worker.onResume(() -> worker.executeDirectCommands(token, session, orders)));
+            cluster.after(
+                    held,
+                    () ->
+                            worker.onResume(
+                                    () -> worker.executeDirectCommands(token, session, orders)));
             schedule(0.5, () -> answer.accept(null));
             return;
         }
@@ -203,8 +210,16 @@
     public void sendCancellationDigest(CancellationDigest digest) {
         if (!isProductionVersion) {
             cluster.nodes.values().stream()
-                    .filter(node -> node != this && node.alive && !node.isProductionVersion && reaches(node))
-                    .forEach(node -> node.schedule(0.001, () -> node.controller.onPeerState(digest)));
+                    .filter(
+                            node ->
+                                    node != this
+                                            && node.alive
+                                            && !node.isProductionVersion
+                                            && reaches(node))
+                    .forEach(
+                            node ->
+                                    node.schedule(
+                                            0.001, () -> node.controller.onPeerState(digest)));
         }
     }
 
@@ -219,7 +234,8 @@
     }
 
     @Override
-    public void requestProgress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
+    public void requestProgress(
+            String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
         SimulatedNode node = cluster.nodes.get(leader);
         boolean[] heard = new boolean[1];
         Consumer<List<JobProgress>> once =
--- a/src/main/java/io/kitepath/simulation/StoreLink.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedStoreClient.java
@@ -6,12 +6,12 @@
 import java.util.function.Consumer;
 
 /** One node's connection to the store. */
-final class StoreLink implements Store {
+final class SimulatedStoreClient implements Store {
     private final SimulatedCluster cluster;
-    private final MemoryStore store;
+    private final InMemoryStore store;
     private final EmulatorClient node;
 
-    StoreLink(SimulatedCluster cluster, EmulatorClient node) {
+    SimulatedStoreClient(SimulatedCluster cluster, EmulatorClient node) {
         this.cluster = cluster;
         this.store = cluster.store;
         this.node = node;
@@ -43,7 +43,10 @@
         exchange(
                 () -> {
                     Entry entry = store.entries.get(key);
-                    deliverResponse(() -> answer.accept(entry == null ? Outcome.REJECTED : Outcome.OK, entry));
+                    deliverResponse(
+                            () ->
+                                    answer.accept(
+                                            entry == null ? Outcome.REJECTED : Outcome.OK, entry));
                 },
                 () -> deliverResponse(() -> answer.accept(Outcome.NOT_EXECUTED, null)));
     }
@@ -53,12 +56,16 @@
         exchange(
                 () -> {
                     store.pagesRead++;
-                    if (store.refusesPage.test(store.pagesRead) || store.refusesPrefix.test(prefix)) {
+                    if (store.refusesPage.test(store.pagesRead)
+                            || store.refusesPrefix.test(prefix)) {
                         deliverResponse(
                                 () ->
                                         answer.accept(
                                                 new ListResult(
-                                                        Outcome.NOT_EXECUTED, List.of(), 0, false)));
+                                                        Outcome.NOT_EXECUTED,
+                                                        List.of(),
+                                                        0,
+                                                        false)));
                         return;
                     }
                     List<Entry> all =
@@ -84,7 +91,10 @@
                                 () ->
                                         answer.accept(
                                                 new ListResult(
-                                                        Outcome.NOT_EXECUTED, List.of(), 0, false))));
+                                                        Outcome.NOT_EXECUTED,
+                                                        List.of(),
+                                                        0,
+                                                        false))));
     }
 
     @Override
@@ -146,7 +156,10 @@
                                 () ->
                                         answer.accept(
                                                 new CommitResult(
-                                                        Outcome.NOT_EXECUTED, 0, List.of(), false))));
+                                                        Outcome.NOT_EXECUTED,
+                                                        0,
+                                                        List.of(),
+                                                        false))));
     }
 
     private CommitResult execute(Transaction transaction) {
@@ -176,7 +189,8 @@
                 () -> {
                     boolean there = store.leaseExpiries.containsKey(lease);
                     if (there) {
-                        store.leaseExpiries.put(lease, cluster.clock.now + store.leaseDurations.get(lease));
+                        store.leaseExpiries.put(
+                                lease, cluster.clock.now + store.leaseDurations.get(lease));
                     }
                     deliverResponse(() -> answer.accept(there ? Outcome.OK : Outcome.REJECTED));
                 },
@@ -191,7 +205,8 @@
     @Override
     public void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
         if (store.exceedsRate(0)) {
-            deliverResponse(() -> answer.accept(new WatchResult(Outcome.NOT_EXECUTED, 0, List.of())));
+            deliverResponse(
+                    () -> answer.accept(new WatchResult(Outcome.NOT_EXECUTED, 0, List.of())));
             return;
         }
         store.watch(node, prefix, after, holdMs / 1000.0, answer);
--- a/src/main/java/io/kitepath/simulation/SimulatedWorker.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedWorker.java
@@ -106,7 +106,8 @@
     }
 
     /** Commands straight to it: its report after them, or null if they are not for it. */
-    public Heartbeat executeDirectCommands(long itsToken, long itsSession, List<WorkerCommand> orders) {
+    public Heartbeat executeDirectCommands(
+            long itsToken, long itsSession, List<WorkerCommand> orders) {
         if (itsToken < token || itsSession != session) {
             return null;
         }
@@ -191,7 +192,11 @@
                     to,
                     currentHeartbeat(),
                     response -> {
-                        if (!heard[0] && up && session == mySession && !isCutOff && !receivesNothing) {
+                        if (!heard[0]
+                                && up
+                                && session == mySession
+                                && !isCutOff
+                                && !receivesNothing) {
                             heard[0] = true;
                             receiveResponse(response, sent);
                         }
@@ -250,7 +255,9 @@
             cluster.acts(node, response.fencingToken());
             token = response.fencingToken();
             lastAnsweredAt = Math.max(lastAnsweredAt, sent);
-            cluster.after(lastAnsweredAt + cluster.leaseSeconds - cluster.clock.now + 0.001, this::checkLease);
+            cluster.after(
+                    lastAnsweredAt + cluster.leaseSeconds - cluster.clock.now + 0.001,
+                    this::checkLease);
             response.commands().forEach(this::execute);
         }
         if (response.fencingToken() < token) {
@@ -305,7 +312,9 @@
             gang.forEach(x -> x.state = TaskState.RUNNING);
             // They complete together, and each machine reports that as any other change.
             cluster.after(
-                    cluster.taskSeconds == null ? taskSeconds : cluster.taskSeconds.applyAsDouble(t.jobId),
+                    cluster.taskSeconds == null
+                            ? taskSeconds
+                            : cluster.taskSeconds.applyAsDouble(t.jobId),
                     () ->
                             gang.stream()
                                     .filter(x -> x.isOnMachine() && x.state == TaskState.RUNNING)
@@ -339,7 +348,12 @@
             cluster.violations.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
         }
         // The range of all keys under that prefix.
-        if (cluster.store.entries.subMap(StoreKeys.RELEASE_INTENTS, StoreKeys.RELEASE_INTENTS + "~").values().stream()
+        if (cluster
+                .store
+                .entries
+                .subMap(StoreKeys.RELEASE_INTENTS, StoreKeys.RELEASE_INTENTS + "~")
+                .values()
+                .stream()
                 .anyMatch(
                         entry ->
                                 ((Map<?, ?>) entry.value()).get("machines") instanceof List<?> l
@@ -349,7 +363,11 @@
         started++;
         SimulatedTask task =
                 new SimulatedTask(
-                        this, command.jobId(), command.task(), command.attempt(), TaskState.RUNNING);
+                        this,
+                        command.jobId(),
+                        command.task(),
+                        command.attempt(),
+                        TaskState.RUNNING);
         tasks.put(key, task);
         cluster.clock.lastStarts.put(command.jobId() + "/" + command.task(), task);
         cluster.clock.started(task);
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -133,7 +133,10 @@
                         List<String> failed = read(status, body, ProtocolCodec::decodeFailedKeys);
                         answer.accept(
                                 new CommitResult(
-                                        Outcome.REJECTED, 0, failed == null ? List.of() : failed, false));
+                                        Outcome.REJECTED,
+                                        0,
+                                        failed == null ? List.of() : failed,
+                                        false));
                     } else if (status == 400) {
                         String why = read(status, body, ProtocolCodec::decodeErrorReason);
                         LOG.warn(
@@ -145,7 +148,10 @@
                         boolean lease = ProtocolCodec.NO_SUCH_LEASE.equals(why);
                         answer.accept(
                                 new CommitResult(
-                                        lease ? Outcome.REJECTED : Outcome.INVALID, 0, List.of(), lease));
+                                        lease ? Outcome.REJECTED : Outcome.INVALID,
+                                        0,
+                                        List.of(),
+                                        lease));
                     } else {
                         answer.accept(new CommitResult(other(status), 0, List.of(), false));
                     }
@@ -160,7 +166,8 @@
                 ProtocolCodec.encodeLeaseDuration(lifeMs),
                 timeoutMs,
                 (status, body) -> {
-                    Long id = status == 200 ? read(status, body, ProtocolCodec::decodeLeaseId) : null;
+                    Long id =
+                            status == 200 ? read(status, body, ProtocolCodec::decodeLeaseId) : null;
                     answer.accept(
                             id != null
                                     ? Outcome.OK
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -4,7 +4,7 @@
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.service.JobSubmissionService;
-import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.wire.MessagePackCodec;
@@ -110,10 +110,12 @@
                         });
     }
 
-    private void answer(Answer response, boolean brief, Responder out) {
+    private void answer(JobResponse response, boolean brief, Responder out) {
         switch (response.verdict()) {
-            case CREATED -> out.reply(201, ProtocolCodec.encodeJobStatus(response.jobStatus(), true));
-            case KNOWN -> out.reply(200, ProtocolCodec.encodeJobStatus(response.jobStatus(), brief));
+            case CREATED ->
+                    out.reply(201, ProtocolCodec.encodeJobStatus(response.jobStatus(), true));
+            case KNOWN ->
+                    out.reply(200, ProtocolCodec.encodeJobStatus(response.jobStatus(), brief));
             case REFUSED -> out.reply(422, ProtocolCodec.encodeError(response.reason()));
             case INVALID -> out.reply(400, ProtocolCodec.encodeError(response.reason()));
             case NOT_FOUND -> out.reply(404, ProtocolCodec.encodeError("no such job"));
--- a/src/main/java/io/kitepath/wire/EmulatorCodec.java
+++ b/src/main/java/io/kitepath/wire/EmulatorCodec.java
@@ -19,10 +19,12 @@
  */
 public final class EmulatorCodec {
     /** What a node asks the cloud to rent. */
-    public record Rent(String name, String machineType, String zone, boolean spot, int count) {}
+    public record RentalRequest(
+            String name, String machineType, String zone, boolean spot, int count) {}
 
     /** Commands for a worker's session. */
-    public record Direct(long fencingToken, long agentIncarnation, List<WorkerCommand> commands) {}
+    public record DirectCommandsRequest(
+            long fencingToken, long agentIncarnation, List<WorkerCommand> commands) {}
 
     private EmulatorCodec() {}
 
@@ -122,9 +124,9 @@
         return MessagePackCodec.encode(Map.of("frames", list));
     }
 
-    public static Rent decodeRental(Object body) {
+    public static RentalRequest decodeRental(Object body) {
         DocumentReader document = DocumentReader.of(body);
-        return new Rent(
+        return new RentalRequest(
                 document.text("hire"),
                 document.text("frame"),
                 document.text("field"),
@@ -132,9 +134,9 @@
                 (int) document.integer("count", 1, 50));
     }
 
-    public static byte[] encodeMachines(List<Cloud.Listed> list, boolean more) {
+    public static byte[] encodeMachines(List<Cloud.ListedMachine> list, boolean more) {
         List<Object> out = new ArrayList<>();
-        for (Cloud.Listed listed : list) {
+        for (Cloud.ListedMachine listed : list) {
             Map<String, Object> m = new LinkedHashMap<>();
             m.put("nameId", listed.machineId());
             m.put("addr", "");
@@ -200,7 +202,8 @@
         try {
             if (status == 200) {
                 DocumentReader document = DocumentReader.of(MessagePackCodec.decode(body));
-                return new HeartbeatResponse(document.count("baton"), decodeCommands(document), null);
+                return new HeartbeatResponse(
+                        document.count("baton"), decodeCommands(document), null);
             }
             if (status == 421) {
                 return HeartbeatResponse.redirectTo(
@@ -212,9 +215,10 @@
         return null;
     }
 
-    public static Direct decodeDirectCommands(Object body) {
+    public static DirectCommandsRequest decodeDirectCommands(Object body) {
         DocumentReader document = DocumentReader.of(body);
-        return new Direct(document.count("baton"), document.count("tenure"), decodeCommands(document));
+        return new DirectCommandsRequest(
+                document.count("baton"), document.count("tenure"), decodeCommands(document));
     }
 
     private static List<WorkerCommand> decodeCommands(DocumentReader t) {
--- a/src/main/java/io/kitepath/wire/ProtocolCodec.java
+++ b/src/main/java/io/kitepath/wire/ProtocolCodec.java
@@ -211,7 +211,8 @@
     }
 
     /** Commands straight to a worker, for one session of it. */
-    public static byte[] encodeDirectCommands(long token, long session, List<WorkerCommand> orders) {
+    public static byte[] encodeDirectCommands(
+            long token, long session, List<WorkerCommand> orders) {
         Map<String, Object> m = commandFields(token, orders);
         m.put("tenure", session);
         return MessagePackCodec.encode(m);
@@ -284,11 +285,11 @@
         return DocumentReader.of(body).texts("hosts");
     }
 
-    public static List<Cloud.Listed> decodeListedMachines(Object body) {
-        List<Cloud.Listed> out = new ArrayList<>();
+    public static List<Cloud.ListedMachine> decodeListedMachines(Object body) {
+        List<Cloud.ListedMachine> out = new ArrayList<>();
         for (DocumentReader document : DocumentReader.of(body).children("hosts")) {
             out.add(
-                    new Cloud.Listed(
+                    new Cloud.ListedMachine(
                             document.text("nameId"),
                             document.text("frame"),
                             document.text("field"),
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -38,7 +38,10 @@
                 heartbeat,
                 response -> {
                     if (response.fencingToken() > 0) {
-                        out.reply(200, ProtocolCodec.encodeCommands(response.fencingToken(), response.commands()));
+                        out.reply(
+                                200,
+                                ProtocolCodec.encodeCommands(
+                                        response.fencingToken(), response.commands()));
                     } else {
                         out.reply(421, ProtocolCodec.encodeRedirect(response.redirectNode()));
                     }
--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -125,15 +125,19 @@
                                 cluster.clock.now + upTo(2 * cluster.leaseSeconds);
                 case 8 -> {
                     cluster.store.ignoresRequestsOf = client -> client == h;
-                    cluster.after(upTo(40), () -> cluster.store.ignoresRequestsOf = client -> false);
+                    cluster.after(
+                            upTo(40), () -> cluster.store.ignoresRequestsOf = client -> false);
                 }
                 case 9 -> {
-                    cluster.store.executionDelaySeconds = transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
-                    cluster.after(upTo(20), () -> cluster.store.executionDelaySeconds = transaction -> 0);
+                    cluster.store.executionDelaySeconds =
+                            transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
+                    cluster.after(
+                            upTo(20), () -> cluster.store.executionDelaySeconds = transaction -> 0);
                 }
                 case 10, 11 -> {
                     cluster.store.losesResponseOf = transaction -> random.nextInt(3) == 0;
-                    cluster.after(upTo(20), () -> cluster.store.losesResponseOf = transaction -> false);
+                    cluster.after(
+                            upTo(20), () -> cluster.store.losesResponseOf = transaction -> false);
                 }
                 case 12 -> {
                     h.cutFromStore = true;
@@ -152,7 +156,8 @@
                                                         cluster.clock.now
                                                                 + upTo(1.5 * cluster.leaseSeconds));
                 case 14 -> {
-                    cluster.directCommandHoldSeconds = () -> random.nextBoolean() ? 0.6 + upTo(8) : 0;
+                    cluster.directCommandHoldSeconds =
+                            () -> random.nextBoolean() ? 0.6 + upTo(8) : 0;
                     cluster.duplicateDelaySeconds =
                             () -> random.nextInt(4) == 0 ? 2 + upTo(1.5 * cluster.leaseSeconds) : 0;
                     cluster.after(
@@ -190,7 +195,9 @@
                                         });
                 case 18 ->
                         cluster.cancelNow(
-                                3, random.nextBoolean() ? upTo(1.5 * cluster.leaseSeconds) : 0, random);
+                                3,
+                                random.nextBoolean() ? upTo(1.5 * cluster.leaseSeconds) : 0,
+                                random);
                 case 19 -> {
                     cluster.nodes.values().forEach(SimulatedNode::kill);
                     double away = upTo(2 * cluster.leaseSeconds);
@@ -319,7 +326,8 @@
             for (String id : r.cluster.acceptedAt.keySet()) {
                 long of = seed;
                 assertTrue(
-                        r.cluster.reportedDone.contains(id) || r.cluster.reportedCancelledAt.containsKey(id),
+                        r.cluster.reportedDone.contains(id)
+                                || r.cluster.reportedCancelledAt.containsKey(id),
                         () ->
                                 "seed "
                                         + of
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -346,7 +346,11 @@
                 transaction ->
                         transaction.writes().stream()
                                         .anyMatch(
-                                                write -> write.key().equals(StoreKeys.ENDED_JOBS + "j-1"))
+                                                write ->
+                                                        write.key()
+                                                                .equals(
+                                                                        StoreKeys.ENDED_JOBS
+                                                                                + "j-1"))
                                 ? 1
                                 : 0;
         assertEquals(null, cluster.cancel(sibling, "j-1"));
@@ -369,7 +373,11 @@
                 transaction ->
                         transaction.writes().stream()
                                         .anyMatch(
-                                                write -> write.key().equals(StoreKeys.ENDED_JOBS + "j-1"))
+                                                write ->
+                                                        write.key()
+                                                                .equals(
+                                                                        StoreKeys.ENDED_JOBS
+                                                                                + "j-1"))
                                 ? 0.7
                                 : 0;
         cluster.cancel(holder, "j-1");
@@ -407,7 +415,9 @@
         cluster.store.outage(60);
         for (int i = 0; i < 40; i++) {
             cluster.run(1);
-            cluster.nodes.values().forEach(node -> node.controller.onHeartbeat(old, response -> {}));
+            cluster.nodes
+                    .values()
+                    .forEach(node -> node.controller.onHeartbeat(old, response -> {}));
         }
         kept(before);
     }
@@ -503,7 +513,10 @@
                 cluster.run(0.01);
                 next =
                         cluster.nodes.values().stream()
-                                .filter(node -> node.alive && node.controller.leadership.isLeading())
+                                .filter(
+                                        node ->
+                                                node.alive
+                                                        && node.controller.leadership.isLeading())
                                 .findFirst()
                                 .orElse(null);
             }
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationSeedsTest.java
@@ -103,11 +103,14 @@
                 case 7 -> (random.nextBoolean() ? h : o).frozenUntil = cluster.clock.now + upTo(25);
                 case 8 -> {
                     cluster.store.ignoresRequestsOf = client -> client == h;
-                    cluster.after(upTo(40), () -> cluster.store.ignoresRequestsOf = client -> false);
+                    cluster.after(
+                            upTo(40), () -> cluster.store.ignoresRequestsOf = client -> false);
                 }
                 case 9 -> {
-                    cluster.store.executionDelaySeconds = transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
-                    cluster.after(upTo(20), () -> cluster.store.executionDelaySeconds = transaction -> 0);
+                    cluster.store.executionDelaySeconds =
+                            transaction -> random.nextInt(4) == 0 ? 2 + upTo(10) : 0;
+                    cluster.after(
+                            upTo(20), () -> cluster.store.executionDelaySeconds = transaction -> 0);
                 }
                 case 10, 11 -> {
                     h.cutFromStore = true;
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
@@ -148,7 +148,8 @@
         for (String id : CANCELLED) {
             if (cluster.acceptedAt.containsKey(id)) {
                 assertTrue(
-                        cluster.reportedCancelledAt.containsKey(id), at + ": nobody was told of " + id);
+                        cluster.reportedCancelledAt.containsKey(id),
+                        at + ": nobody was told of " + id);
                 assertEquals(0, cluster.onMachines(id), at);
                 cluster.nodes.values().stream()
                         .filter(node -> node.alive)
@@ -191,7 +192,9 @@
                     cluster.run(8);
                     cluster.invariants.troublesAreOver();
                     cluster.run(40);
-                    assertTrue(cluster.store.leaderFencingToken() > token, at + ": nothing changed hands");
+                    assertTrue(
+                            cluster.store.leaderFencingToken() > token,
+                            at + ": nothing changed hands");
                     kept(at);
                 }
             }
@@ -223,7 +226,8 @@
                                         node ->
                                                 node.alive
                                                         && node.controller.fencingTokenIfLeading()
-                                                                == cluster.store.leaderFencingToken())
+                                                                == cluster.store
+                                                                        .leaderFencingToken())
                                 .findFirst()
                                 .orElse(old);
                 String id = "j-1" + i;
@@ -261,9 +265,9 @@
     }
 
     private void launchesTake(double seconds, int[] on) {
-        SimulatedCluster.Reach usual = cluster.workerNetwork;
+        SimulatedCluster.WorkerNetwork usual = cluster.workerNetwork;
         cluster.workerNetwork =
-                new SimulatedCluster.Reach() {
+                new SimulatedCluster.WorkerNetwork() {
                     @Override
                     public List<String> aliveNodes() {
                         return usual.aliveNodes();
@@ -359,8 +363,11 @@
                                     transaction.writes().stream()
                                             .anyMatch(
                                                     write ->
-                                                            write.key().startsWith(StoreKeys.ENDED_JOBS));
-                    cluster.store.losesResponseOf = transaction -> fate == 1 && ends.test(transaction);
+                                                            write.key()
+                                                                    .startsWith(
+                                                                            StoreKeys.ENDED_JOBS));
+                    cluster.store.losesResponseOf =
+                            transaction -> fate == 1 && ends.test(transaction);
                     cluster.store.executionDelaySeconds =
                             transaction -> fate == 2 && ends.test(transaction) ? 0.6 : 0;
                     cluster.after(0.002, () -> cancels(first));
@@ -374,8 +381,10 @@
                                                     node ->
                                                             CANCELLED.forEach(
                                                                     id ->
-                                                                            cluster.loadGenerator.queryStatus(
-                                                                                    node, id))));
+                                                                            cluster.loadGenerator
+                                                                                    .queryStatus(
+                                                                                            node,
+                                                                                            id))));
                     cluster.after(0.002 + ms / 1000.0, () -> old.cutFromStore = true);
                     cluster.after(1.002 + ms / 1000.0, () -> cluster.store.outage(50));
                     cluster.run(1.1);
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -48,7 +48,8 @@
     private void allDone(String... ids) {
         for (String id : ids) {
             simulation.runUntil(
-                    200, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
+                    200,
+                    () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
         }
         simulation.runUntil(60, () -> simulation.leftoverRecords().isEmpty());
     }
@@ -78,7 +79,8 @@
         settled(2, 2);
         for (int i = 1; i <= 4; i++) {
             array(i, 40);
-            simulation.submitUntilAccepted("west", job(simulation.id("west", i), Shape.ARRAY, 40, 1));
+            simulation.submitUntilAccepted(
+                    "west", job(simulation.id("west", i), Shape.ARRAY, 40, 1));
         }
         simulation.run(60);
         long lent = lent("east") + lent("west");
@@ -109,12 +111,15 @@
         assertEquals(
                 Verdict.KNOWN,
                 simulation.submit(simulation.anyAliveNode("west"), job(id, Shape.ARRAY, 2, 1)));
-        simulation.runUntil(60, () -> simulation.status(simulation.anyAliveNode("west"), id).equals("done"));
+        simulation.runUntil(
+                60, () -> simulation.status(simulation.anyAliveNode("west"), id).equals("done"));
         assertEquals(
-                "NOT_FOUND", simulation.status(simulation.anyAliveNode("west"), simulation.id("east", 9)));
+                "NOT_FOUND",
+                simulation.status(simulation.anyAliveNode("west"), simulation.id("east", 9)));
         simulation.cutBetween("east", "west");
         assertEquals(
-                "no answer", simulation.status(simulation.anyAliveNode("west"), simulation.id("east", 9)));
+                "no answer",
+                simulation.status(simulation.anyAliveNode("west"), simulation.id("east", 9)));
         assertEquals("done", simulation.status(simulation.anyAliveNode("east"), id));
     }
 
@@ -158,7 +163,8 @@
         String id = array(3, 40);
         simulation.runUntil(20, () -> simulation.heldBackDeliveries.size() >= 2);
         copy[0] = false;
-        simulation.runUntil(200, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
+        simulation.runUntil(
+                200, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
         simulation.run(20);
         for (int i = 0; i < 2; i++) {
             simulation.heldBackDeliveries.forEach(Runnable::run);
@@ -171,7 +177,11 @@
             simulation.run(15);
         }
         simulation.runUntil(
-                60, () -> simulation.cancel(simulation.anyAliveNode("east"), service).equals("cancelled"));
+                60,
+                () ->
+                        simulation
+                                .cancel(simulation.anyAliveNode("east"), service)
+                                .equals("cancelled"));
     }
 
     @Test
@@ -212,7 +222,8 @@
         simulation.restart(simulation.leader("west"), 5);
         simulation.cluster("west").store.holdsBack = transaction -> false;
         simulation.runUntil(
-                60, () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
+                60,
+                () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
         simulation.run(31);
         assertEquals(0, simulation.tasksOnMachines(id));
         simulation.runUntil(60, () -> simulation.leftoverRecords().isEmpty());
@@ -265,7 +276,9 @@
                             .cluster("west")
                             .store
                             .entries
-                            .containsKey(StoreKeys.borrowedTasksKey("east", ((LoanOffer) message).loanNumber())));
+                            .containsKey(
+                                    StoreKeys.borrowedTasksKey(
+                                            "east", ((LoanOffer) message).loanNumber())));
         }
         allDone(id);
     }
@@ -335,7 +348,8 @@
         assertEquals(0, simulation.cluster("east").onMachines(id));
         simulation.cutConnections.clear();
         simulation.runUntil(
-                30, () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
+                30,
+                () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
         simulation.run(31);
         assertEquals(0, simulation.tasksOnMachines(id));
         simulation.runUntil(60, () -> simulation.leftoverRecords().isEmpty());
@@ -359,7 +373,11 @@
                 simulation.run(0.002);
             }
             simulation.runUntil(
-                    60, () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
+                    60,
+                    () ->
+                            simulation
+                                    .cancel(simulation.anyAliveNode("east"), id)
+                                    .equals("cancelled"));
             simulation.run(31);
             assertEquals(0, simulation.tasksOnMachines(id));
             simulation.runUntil(60, () -> simulation.leftoverRecords().isEmpty());
@@ -373,7 +391,8 @@
         simulation.cluster("west").nodes.values().forEach(SimulatedNode::crash);
         simulation.run(30);
         String id = array(1, 8);
-        simulation.runUntil(40, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
+        simulation.runUntil(
+                40, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
         assertEquals(
                 1,
                 simulation
@@ -428,10 +447,12 @@
         simulation.submitUntilAccepted("east", job(id, Shape.SERVICE, 6, 4));
         simulation.runUntil(200, () -> inWest(id) == 6);
         simulation.runUntil(
-                60, () -> simulation.cancel(simulation.anyAliveNode("west"), id).equals("cancelled"));
+                60,
+                () -> simulation.cancel(simulation.anyAliveNode("west"), id).equals("cancelled"));
         simulation.run(31);
         assertEquals(0, simulation.tasksOnMachines(id));
-        simulation.runUntil(60, () -> simulation.status(simulation.anyAliveNode("east"), full).equals("done"));
+        simulation.runUntil(
+                60, () -> simulation.status(simulation.anyAliveNode("east"), full).equals("done"));
     }
 
     @Test
@@ -498,7 +519,8 @@
                 });
         String id = simulation.id("east", 1);
         simulation.submitUntilAccepted("east", job(id, Shape.ARRAY, 40, 1));
-        simulation.runUntil(300, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
+        simulation.runUntil(
+                300, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
         simulation.runUntil(90, () -> simulation.leftoverRecords().isEmpty());
         assertEquals(List.of(), simulation.violations(), "after write " + at + " of " + who);
         return n[0];
@@ -532,14 +554,18 @@
                     120,
                     () ->
                             List.of("cancelled", "done")
-                                    .contains(simulation.cancel(simulation.anyAliveNode("east"), gone)));
+                                    .contains(
+                                            simulation.cancel(
+                                                    simulation.anyAliveNode("east"), gone)));
             for (String id : ids) {
                 String home = simulation.cluster("east").cellDirectory.homeCellOf(id);
                 simulation.runUntil(
                         400,
                         () ->
                                 List.of("done", "cancelled")
-                                        .contains(simulation.status(simulation.anyAliveNode(home), id)));
+                                        .contains(
+                                                simulation.status(
+                                                        simulation.anyAliveNode(home), id)));
             }
             simulation.run(100);
             assertEquals(List.of(), simulation.violations(), "seed " + seed);
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/CloseLooksTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
@@ -44,10 +44,13 @@
                                 .filter(
                                         write ->
                                                 write.value() != null
-                                                        && (write.key().startsWith(StoreKeys.OPEN_JOBS)
+                                                        && (write.key()
+                                                                        .startsWith(
+                                                                                StoreKeys.OPEN_JOBS)
                                                                 || write.key()
                                                                         .startsWith(
-                                                                                StoreKeys.ENDED_JOBS)))
+                                                                                StoreKeys
+                                                                                        .ENDED_JOBS)))
                                 .forEach(
                                         write -> {
                                             String id =
@@ -236,7 +239,7 @@
                 for (int i = 0; i < 80; i++) {
                     SimulatedNode node = cluster.nodes.get("k" + i % 3);
                     List<String> needs = wrong.get(i / 3 % wrong.size());
-                    Answer[] got = new Answer[1];
+                    JobResponse[] got = new JobResponse[1];
                     if (node.alive) {
                         node.controller
                                 .jobApi()
@@ -253,7 +256,7 @@
                         known += got[0].verdict() == Verdict.KNOWN ? 1 : 0;
                     }
                 }
-                Answer[] other = new Answer[1];
+                JobResponse[] other = new JobResponse[1];
                 cluster.leader()
                         .controller
                         .jobApi()
@@ -273,11 +276,11 @@
     // ---------------------------------------------------------------------
 
     /** Asks there, and leaves what it hears, and when, to the story. */
-    private static void ask(SimulatedNode node, String id, Consumer<Answer> hears) {
+    private static void ask(SimulatedNode node, String id, Consumer<JobResponse> hears) {
         node.deliver(() -> node.controller.jobApi().status(id, hears));
     }
 
-    private static boolean says(Answer response, String status) {
+    private static boolean says(JobResponse response, String status) {
         return response.verdict() == Verdict.KNOWN && response.jobStatus().status().equals(status);
     }
 
@@ -353,7 +356,7 @@
             cluster.latencySeconds = () -> 0.001 + random.nextDouble() * 0.06;
             SimulatedNode node = cluster.nodes.get("k" + seed % 3);
             boolean[] accepted = new boolean[1];
-            List<Answer> onTheWay = new ArrayList<>();
+            List<JobResponse> onTheWay = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 cluster.after(
                         i * 0.003,
@@ -383,7 +386,8 @@
             cluster.run(1);
             assertTrue(accepted[0]);
             assertTrue(
-                    onTheWay.stream().noneMatch(response -> response.verdict() == Verdict.NOT_FOUND),
+                    onTheWay.stream()
+                            .noneMatch(response -> response.verdict() == Verdict.NOT_FOUND),
                     "seed " + seed + " " + onTheWay);
             met += onTheWay.size();
         }
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/DutiesTest.java
@@ -40,7 +40,11 @@
 
     private long token(String duty) {
         return (Long)
-                ((Map<?, ?>) cluster.store.entries.get(StoreKeys.ROLE_FENCING_TOKENS + duty).value())
+                ((Map<?, ?>)
+                                cluster.store
+                                        .entries
+                                        .get(StoreKeys.ROLE_FENCING_TOKENS + duty)
+                                        .value())
                         .get("token");
     }
 
@@ -69,7 +73,7 @@
     void eachDutyHasOneHolderAndTheyAreSpread() {
         nodes(3);
         Set<String> holders = new HashSet<>();
-        for (LeasedRoles.RoleHolder role : cluster.nodes.get("k0").controller.roles()) {
+        for (LeasedRoles.Role role : cluster.nodes.get("k0").controller.roles()) {
             assertEquals(1, entitled(role.name()), role.name());
             holders.add(role.holderNode());
         }
@@ -192,7 +196,10 @@
                         transaction.writes().stream()
                                         .anyMatch(
                                                 write ->
-                                                        write.key().equals(StoreKeys.ROLES + "cloud")
+                                                        write.key()
+                                                                        .equals(
+                                                                                StoreKeys.ROLES
+                                                                                        + "cloud")
                                                                 && write.value() != null)
                                 && once[0]
                                 && !(once[0] = false);
--- a/src/test/java/io/kitepath/core/DutySeedsTest.java
+++ b/src/test/java/io/kitepath/core/DutySeedsTest.java
@@ -47,7 +47,8 @@
                                             : 0.002 + random.nextDouble() * 0.05
                             : null;
             cluster.losesNextResponse = so ? () -> random.nextInt(25) == 0 : () -> false;
-            cluster.cloud.holdsBackRequestsOf = so ? client -> random.nextInt(6) == 0 : client -> false;
+            cluster.cloud.holdsBackRequestsOf =
+                    so ? client -> random.nextInt(6) == 0 : client -> false;
         }
 
         void late() {
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastBootsTest.java
@@ -69,7 +69,12 @@
     /** Rentals on record that are not known to be settled, while a machine of theirs is up. */
     private static boolean upBeforeKnown(SimulatedCluster cluster) {
         return !cluster.workers.isEmpty()
-                && cluster.store.entries.subMap(StoreKeys.RENTAL_INTENTS, StoreKeys.RENTAL_INTENTS + "~").values().stream()
+                && cluster
+                        .store
+                        .entries
+                        .subMap(StoreKeys.RENTAL_INTENTS, StoreKeys.RENTAL_INTENTS + "~")
+                        .values()
+                        .stream()
                         .anyMatch(entry -> !((Map<?, ?>) entry.value()).containsKey("machines"));
     }
 
@@ -176,13 +181,18 @@
                                         1,
                                         Integer::sum);
                                 if (cut) {
-                                    cluster.workers.values().forEach(worker -> worker.isCutOff = true);
+                                    cluster.workers
+                                            .values()
+                                            .forEach(worker -> worker.isCutOff = true);
                                     cluster.after(
                                             4,
                                             () ->
                                                     cluster.workers
                                                             .values()
-                                                            .forEach(worker -> worker.isCutOff = false));
+                                                            .forEach(
+                                                                    worker ->
+                                                                            worker.isCutOff =
+                                                                                    false));
                                 }
                                 ends(cluster, holder(cluster));
                             });
@@ -191,7 +201,10 @@
                 transaction -> {
                     boolean rents =
                             transaction.writes().stream()
-                                    .anyMatch(write -> write.key().startsWith(StoreKeys.RENTAL_INTENTS));
+                                    .anyMatch(
+                                            write ->
+                                                    write.key()
+                                                            .startsWith(StoreKeys.RENTAL_INTENTS));
                     if (lag == Lag.UNHEARD
                             && (count[0] > 0 && !transaction.writes().isEmpty() || rents)
                             && count[0]++ == n) {
@@ -204,7 +217,10 @@
                 transaction -> {
                     boolean rents =
                             transaction.writes().stream()
-                                    .anyMatch(write -> write.key().startsWith(StoreKeys.RENTAL_INTENTS));
+                                    .anyMatch(
+                                            write ->
+                                                    write.key()
+                                                            .startsWith(StoreKeys.RENTAL_INTENTS));
                     if (lag != Lag.UNHEARD && (count[0] > 0 || rents) && count[0]++ == n) {
                         meets.accept(transaction);
                         return lag == Lag.LATE ? 3.5 : 1e6;
@@ -266,7 +282,10 @@
                                 transaction.writes().stream()
                                         .anyMatch(
                                                 write ->
-                                                        write.key().startsWith(StoreKeys.RENTAL_INTENTS)
+                                                        write.key()
+                                                                        .startsWith(
+                                                                                StoreKeys
+                                                                                        .RENTAL_INTENTS)
                                                                 && write.value()
                                                                         instanceof Map<?, ?> m
                                                                 && m.containsKey("machines"));
@@ -315,9 +334,9 @@
             Map<String, String> last = new TreeMap<>();
             int[] moved = new int[1];
             boolean[] calm = new boolean[1];
-            SimulatedCluster.Reach plain = cluster.workerNetwork;
+            SimulatedCluster.WorkerNetwork plain = cluster.workerNetwork;
             cluster.workerNetwork =
-                    new SimulatedCluster.Reach() {
+                    new SimulatedCluster.WorkerNetwork() {
                         @Override
                         public List<String> aliveNodes() {
                             return plain.aliveNodes();
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/FleetStoriesTest.java
@@ -334,7 +334,10 @@
         cluster.run(20);
         ShardState shard = node.controller.shard;
         assertEquals(0, shard.jobs().size());
-        assertEquals(0, shard.dirtyParts().withOtherChanges().size() + shard.dirtyParts().withPlacements().size());
+        assertEquals(
+                0,
+                shard.dirtyParts().withOtherChanges().size()
+                        + shard.dirtyParts().withPlacements().size());
         assertTrue(shard.machines().size() <= 11);
         // 50 GB of images of 1 GB.
         assertTrue(
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
@@ -40,7 +40,8 @@
         cluster.taskSeconds = id -> 5 + Math.floorMod(id.hashCode(), 9) * 4;
         copies.keeps = heartbeat -> random.nextInt(3) == 0;
         copies.answerHeldS = () -> random.nextInt(6) == 0 ? random.nextDouble() * 5 : 0;
-        cluster.directCommandHoldSeconds = () -> random.nextInt(3) == 0 ? 0.6 + random.nextDouble() * 9 : 0;
+        cluster.directCommandHoldSeconds =
+                () -> random.nextInt(3) == 0 ? 0.6 + random.nextDouble() * 9 : 0;
         List<String> jobs = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
             String id = "j-" + (10 + i);
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/IntentsTest.java
@@ -70,7 +70,9 @@
     }
 
     private static long records(SimulatedCluster cluster, String prefix) {
-        return cluster.store.entries.keySet().stream().filter(key -> key.startsWith(prefix)).count();
+        return cluster.store.entries.keySet().stream()
+                .filter(key -> key.startsWith(prefix))
+                .count();
     }
 
     private static void restart(SimulatedCluster cluster, SimulatedNode node, double afterS) {
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskTest.java
@@ -7,7 +7,7 @@
 
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.core.service.JobSubmissionService.Answer;
+import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
@@ -47,7 +47,7 @@
         }
     }
 
-    private void hear(SimulatedNode node, double asked, Answer response) {
+    private void hear(SimulatedNode node, double asked, JobResponse response) {
         assertTrue(
                 response.verdict() == Verdict.KNOWN || response.verdict() == Verdict.LATER,
                 node.name + " says " + response);
@@ -102,7 +102,8 @@
                         worker ->
                                 worker.taskSeconds =
                                         shape == Shape.GANG ? forS : forS - 1.3 * (i[0]++ % 3));
-        cluster.clock.onTaskEnd = task -> lastEnd = task.jobId.equals(ID) ? cluster.clock.now : lastEnd;
+        cluster.clock.onTaskEnd =
+                task -> lastEnd = task.jobId.equals(ID) ? cluster.clock.now : lastEnd;
         cluster.store.onCommit =
                 (client, transaction) -> {
                     if (transaction.writes().stream()
@@ -254,7 +255,7 @@
                 int before = MeetingsTest.starts(cluster);
                 String what =
                         NEXT + " cancelled at k" + which + " " + (t - at) + " s from the write";
-                Answer response = cluster.cancel(cluster.nodes.get("k" + which), NEXT);
+                JobResponse response = cluster.cancel(cluster.nodes.get("k" + which), NEXT);
                 assertEquals(Verdict.KNOWN, response.verdict(), what);
                 assertEquals("cancelled", response.jobStatus().status(), what);
                 cluster.run(5);
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/LimitsTest.java
@@ -96,7 +96,9 @@
         cluster.submit(old, SimulatedCluster.job("j-1", Shape.ARRAY, 250, 3));
         cluster.submit(old, SimulatedCluster.job("j-3", Shape.SERVICE, 250, 0.5));
         cluster.run(5);
-        assertTrue(JsonSize.sizeInBytes(cluster.store.entries.get(StoreKeys.partKey("j-1", 0)).value()) > 2048);
+        assertTrue(
+                JsonSize.sizeInBytes(cluster.store.entries.get(StoreKeys.partKey("j-1", 0)).value())
+                        > 2048);
         old.crash();
         cluster.announcedStoreLimits = LOW;
         fall();
@@ -188,7 +190,9 @@
             assertEquals("done", cluster.status(node, "j-" + (100 + i)));
         }
         assertTrue(cluster.store.transactionsOverLimits > 0);
-        assertTrue(cluster.store.transactionsOverLimits < 60, cluster.store.transactionsOverLimits + " refused");
+        assertTrue(
+                cluster.store.transactionsOverLimits < 60,
+                cluster.store.transactionsOverLimits + " refused");
         assertEquals(List.of(), cluster.violations);
     }
 
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
@@ -98,7 +98,9 @@
                                     .filter(
                                             node ->
                                                     node != cluster.leader()
-                                                            && node.controller.fencingTokenIfLeading() > 0)
+                                                            && node.controller
+                                                                            .fencingTokenIfLeading()
+                                                                    > 0)
                                     .count(),
                             at);
                     for (String duty : List.of("cloud", "cleanup")) {
@@ -207,7 +209,10 @@
                     transaction ->
                             transaction.writes().stream()
                                             .anyMatch(
-                                                    write -> write.key().startsWith(StoreKeys.ENDED_JOBS))
+                                                    write ->
+                                                            write.key()
+                                                                    .startsWith(
+                                                                            StoreKeys.ENDED_JOBS))
                                     && lost[0]++ < 8;
             for (int j = 0; j < 4; j++) {
                 handIn(cluster, j, job("j-1" + j, j % 2 == 0 ? Shape.ARRAY : Shape.GANG, 1 + j, 1));
@@ -272,7 +277,9 @@
                 cluster.run(0.5);
                 cluster.loadGenerator.cancel(MeetingsTest.other(cluster, holder), "j-1");
                 for (double t = 0; t < lasts; t += 0.5) {
-                    cluster.nodes.values().forEach(node -> cluster.loadGenerator.queryStatus(node, "j-2"));
+                    cluster.nodes
+                            .values()
+                            .forEach(node -> cluster.loadGenerator.queryStatus(node, "j-2"));
                     cluster.run(0.5);
                 }
                 cluster.store.losesResponseOf = transaction -> false;
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostAnswersTest.java
@@ -103,10 +103,11 @@
     /** A user repeats it, at one node after the other, until it is answered. */
     static void handIn(SimulatedCluster cluster, int at, JobSpec spec, String... needs) {
         for (int i = 0; i < 12; i++) {
-            JobSubmissionService.Answer response =
+            JobSubmissionService.JobResponse response =
                     cluster.submit(cluster.nodes.get("k" + (at + i) % 3), spec, needs);
             if (response != null
-                    && (response.verdict() == Verdict.CREATED || response.verdict() == Verdict.KNOWN)) {
+                    && (response.verdict() == Verdict.CREATED
+                            || response.verdict() == Verdict.KNOWN)) {
                 return;
             }
             cluster.run(1.2);
@@ -165,7 +166,8 @@
                     at + ": " + id + " is " + said);
         }
         assertEquals("done", cluster.status(leader, "j-5"), at);
-        for (String prefix : List.of(StoreKeys.OPEN_JOBS, StoreKeys.JOB_PARTS, StoreKeys.CLOUD_INTENTS)) {
+        for (String prefix :
+                List.of(StoreKeys.OPEN_JOBS, StoreKeys.JOB_PARTS, StoreKeys.CLOUD_INTENTS)) {
             assertEquals(
                     List.of(),
                     cluster.store.entries.keySet().stream()
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsLateTest.java
@@ -134,7 +134,8 @@
                                 response.jobStatus().status(),
                                 at);
                         assertTrue(
-                                List.of("done", "cancelled").contains(response.jobStatus().status()),
+                                List.of("done", "cancelled")
+                                        .contains(response.jobStatus().status()),
                                 at + " " + response);
                     }
                 }
@@ -301,7 +302,8 @@
                 var response = cluster.ask(cluster.leader(), id);
                 assertTrue(
                         response.verdict() == Verdict.KNOWN
-                                && List.of("done", "cancelled").contains(response.jobStatus().status()),
+                                && List.of("done", "cancelled")
+                                        .contains(response.jobStatus().status()),
                         "seed " + seed + ": " + id + " " + response);
             }
             assertEquals(List.of(), cluster.violations, "seed " + seed);
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/MeetingsTest.java
@@ -351,7 +351,9 @@
         cluster.run(30);
         assertNotNull(old);
         for (int i = 0; i < 20; i++) {
-            cluster.nodes.values().forEach(node -> node.controller.onHeartbeat(old, response -> {}));
+            cluster.nodes
+                    .values()
+                    .forEach(node -> node.controller.onHeartbeat(old, response -> {}));
             cluster.run(1);
         }
         cluster.run(60);
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/MuteAndAwayTest.java
@@ -107,7 +107,9 @@
                         cluster.after(0.3, () -> cluster.node(n.name));
                     });
         }
-        cluster.after(lasts, () -> cluster.workers.values().forEach(worker -> worker.sendsNothing = false));
+        cluster.after(
+                lasts,
+                () -> cluster.workers.values().forEach(worker -> worker.sendsNothing = false));
         cluster.run(cancelledAfter);
         cluster.loadGenerator.cancel(other(cluster, cluster.nodes.get("k0")), "j-2");
         cluster.submit(cluster.nodes.get("k1"), of(job("j-3", Shape.ARRAY, 6, 4), Priority.HIGH));
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/OneZoneTest.java
@@ -157,7 +157,9 @@
                         cluster.workers.values().stream()
                                 .filter(
                                         worker ->
-                                                worker.up && !worker.isCutOff && !worker.tasks.isEmpty())
+                                                worker.up
+                                                        && !worker.isCutOff
+                                                        && !worker.tasks.isEmpty())
                                 .toList();
                 if (!busy.isEmpty()) {
                     SimulatedWorker worker = busy.get(random.nextInt(busy.size()));
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/PipelinesTest.java
@@ -87,7 +87,9 @@
         cluster.run(40);
         // A report that is due at once, one write for the end, one for the placing, the next
         // report.
-        assertTrue(began[0] - ended[0] < 1.5 * cluster.heartbeatIntervalSeconds, "took " + (began[0] - ended[0]));
+        assertTrue(
+                began[0] - ended[0] < 1.5 * cluster.heartbeatIntervalSeconds,
+                "took " + (began[0] - ended[0]));
         holds();
     }
 
--- a/src/test/java/io/kitepath/core/QuickEndsTest.java
+++ b/src/test/java/io/kitepath/core/QuickEndsTest.java
@@ -56,7 +56,9 @@
             first.crash();
             cluster.run(0.1);
             cluster.node(first.name);
-            assertTrue(untilHeld(cluster, 10) < 0.25 * cluster.heartbeatIntervalSeconds, "with " + nodes + " nodes");
+            assertTrue(
+                    untilHeld(cluster, 10) < 0.25 * cluster.heartbeatIntervalSeconds,
+                    "with " + nodes + " nodes");
             cluster.run(60);
             assertEquals("done", cluster.status(cluster.leader(), "j-1"));
             assertEquals(List.of(), cluster.violations);
@@ -214,7 +216,9 @@
                 cluster.run(12);
                 boolean all = hit[0];
                 points += all ? 1 : 0;
-                cluster.nodes.values().forEach(node -> node.crashesAfterRequests = Integer.MAX_VALUE);
+                cluster.nodes
+                        .values()
+                        .forEach(node -> node.crashesAfterRequests = Integer.MAX_VALUE);
                 cluster.run(80);
                 assertEquals(
                         "done",
@@ -225,7 +229,9 @@
                         cluster.status(cluster.leader(), "j-2"),
                         "after request " + n + ", back after " + backS);
                 assertEquals(
-                        List.of(), cluster.violations, "after request " + n + ", back after " + backS);
+                        List.of(),
+                        cluster.violations,
+                        "after request " + n + ", back after " + backS);
                 if (!all) {
                     break;
                 }
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/ReportCopies.java
@@ -12,9 +12,9 @@
 import java.util.function.Predicate;
 
 /** Sees all reports on their way, keeps copies of some, and holds up answers. */
-final class ReportCopies implements SimulatedCluster.Reach {
+final class ReportCopies implements SimulatedCluster.WorkerNetwork {
     final SimulatedCluster cluster;
-    final SimulatedCluster.Reach usual;
+    final SimulatedCluster.WorkerNetwork usual;
     final List<Heartbeat> kept = new ArrayList<>();
     Predicate<Heartbeat> keeps = heartbeat -> false;
 
@@ -79,7 +79,10 @@
         node.deliver(
                 () -> {
                     brought++;
-                    ofItsToken += heartbeat.fencingToken() == node.controller.fencingTokenIfLeading() ? 1 : 0;
+                    ofItsToken +=
+                            heartbeat.fencingToken() == node.controller.fencingTokenIfLeading()
+                                    ? 1
+                                    : 0;
 
                     node.controller.onHeartbeat(
                             heartbeat,
--- a/src/test/java/io/kitepath/core/SharesTest.java
+++ b/src/test/java/io/kitepath/core/SharesTest.java
@@ -129,7 +129,8 @@
     void nothingIsSaidToHaveComeThatIsNotWritten() {
         loseShareWritesOf("east");
         String id = array(simulation, "east", 1, 24);
-        simulation.runUntil(20, () -> !simulation.cluster("east").store.heldBackTransactions.isEmpty());
+        simulation.runUntil(
+                20, () -> !simulation.cluster("east").store.heldBackTransactions.isEmpty());
         simulation.run(1);
         endHolderOf("east");
         simulation.runUntil(40, () -> simulation.tasksOnMachines(id) == 12);
@@ -145,7 +146,11 @@
                 20,
                 () ->
                         !simulation.cluster("west").store.heldBackTransactions.isEmpty()
-                                && !simulation.cluster("north").store.heldBackTransactions.isEmpty());
+                                && !simulation
+                                        .cluster("north")
+                                        .store
+                                        .heldBackTransactions
+                                        .isEmpty());
         simulation.run(1);
         endHolderOf("west");
         endHolderOf("north");
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -71,7 +71,7 @@
         SimulatedNode node = settled(2, 1);
         cluster.submit(node, job("j-1", Shape.ARRAY, 1, 1));
         cluster.run(30);
-        JobSubmissionService.Answer again =
+        JobSubmissionService.JobResponse again =
                 cluster.submit(cluster.nodes.get("k1"), job("j-1", Shape.ARRAY, 1, 1));
         assertEquals(Verdict.KNOWN, again.verdict());
         assertEquals("done", again.jobStatus().status());
@@ -115,11 +115,13 @@
         assertEquals("done", cluster.status(node, "j-1"));
         cluster.store.outage(20);
         cluster.run(10);
-        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[3];
-        node.controller.jobApi().submit(job("j-2", Shape.ARRAY, 1, 1), response -> got[0] = response);
+        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[3];
+        node.controller
+                .jobApi()
+                .submit(job("j-2", Shape.ARRAY, 1, 1), response -> got[0] = response);
         node.controller.jobApi().status("j-2", response -> got[1] = response);
         node.controller.jobApi().cancel("j-2", response -> got[2] = response);
-        for (JobSubmissionService.Answer response : got) {
+        for (JobSubmissionService.JobResponse response : got) {
             assertEquals(Verdict.LATER, response.verdict());
         }
         assertEquals("done", cluster.status(node, "j-1"));
@@ -287,7 +289,8 @@
     void aCancellationRacingTheLaunchWins() {
         SimulatedNode node = settled(2, 2);
         cluster.submit(node, job("j-1", Shape.ARRAY, 8, 1));
-        assertEquals("cancelled", cluster.cancel(cluster.nodes.get("k1"), "j-1").jobStatus().status());
+        assertEquals(
+                "cancelled", cluster.cancel(cluster.nodes.get("k1"), "j-1").jobStatus().status());
         cluster.run(5);
         assertEquals(0, cluster.onMachines("j-1"));
         assertEquals("cancelled", cluster.status(node, "j-1"));
@@ -633,7 +636,8 @@
         cluster.workers.values().forEach(worker -> worker.taskSeconds = 100);
         cluster.submit(node, job("j-1", Shape.ARRAY, 8, 4));
         cluster.run(2);
-        List.of("i-000000", "i-000001", "i-000002").forEach(m -> cluster.workers.get(m).isCutOff = true);
+        List.of("i-000000", "i-000001", "i-000002")
+                .forEach(m -> cluster.workers.get(m).isCutOff = true);
         cluster.run(13);
         assertEquals(List.of(), cluster.cloud.released);
         cluster.workers.get("i-000003").isCutOff = true;
@@ -676,7 +680,9 @@
                 shard.jobs().isEmpty(),
                 () ->
                         NodeMetrics.summary(
-                                shard, node.controller.heartbeatProcessor, node.controller.scheduler));
+                                shard,
+                                node.controller.heartbeatProcessor,
+                                node.controller.scheduler));
         assertTrue(
                 node.controller.stateWriter.recordsSent() < tasks / 4,
                 "records written: " + node.controller.stateWriter.recordsSent());
@@ -697,7 +703,8 @@
                         .jobApi()
                         .status(
                                 "j-" + i,
-                                response -> known[0] += response.verdict() == Verdict.KNOWN ? 1 : 0);
+                                response ->
+                                        known[0] += response.verdict() == Verdict.KNOWN ? 1 : 0);
             }
             cluster.run(1);
         }
@@ -855,9 +862,10 @@
         cluster.submit(other, job("j-1", Shape.ARRAY, 6, 1));
         cluster.run(5);
         assertEquals(
-                "2 tasks wait for room of 1.0 CPUs each", cluster.ask(other, "j-1").jobStatus().note());
+                "2 tasks wait for room of 1.0 CPUs each",
+                cluster.ask(other, "j-1").jobStatus().note());
         leader.crash();
-        JobSubmissionService.Answer[] got = new JobSubmissionService.Answer[1];
+        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
         other.controller.jobApi().status("j-1", response -> got[0] = response);
         cluster.run(0.6);
         String note = got[0].jobStatus().note();
@@ -912,7 +920,9 @@
         cluster.run(1);
         assertTrue(
                 node.controller.scheduler.probePlacement().inspectedMachineCount() - looks < 200,
-                "looks: " + (node.controller.scheduler.probePlacement().inspectedMachineCount() - looks));
+                "looks: "
+                        + (node.controller.scheduler.probePlacement().inspectedMachineCount()
+                                - looks));
         cluster.run(150);
         for (int i = 0; i < 200; i++) {
             assertEquals("done", cluster.status(node, "j-" + i));
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/SwarmTest.java
@@ -82,7 +82,8 @@
             cluster.requestsPerSecond = 60;
             cluster.writesPerSecond = 24;
             cluster.store.enforcesRates = true;
-            cluster.taskSeconds = id -> id.startsWith("s-") ? 2 + Math.floorMod(id.hashCode(), 4) : 6;
+            cluster.taskSeconds =
+                    id -> id.startsWith("s-") ? 2 + Math.floorMod(id.hashCode(), 4) : 6;
             for (int i = 0; i < 3; i++) {
                 cluster.siblings.add("k" + i);
             }
@@ -99,13 +100,15 @@
                                             write ->
                                                     write.value() != null
                                                             && write.key()
-                                                                    .startsWith(StoreKeys.JOB_PARTS))
+                                                                    .startsWith(
+                                                                            StoreKeys.JOB_PARTS))
                                     .forEach(
                                             write ->
                                                     placed(
                                                             write.key()
                                                                     .substring(
-                                                                            StoreKeys.JOB_PARTS.length(),
+                                                                            StoreKeys.JOB_PARTS
+                                                                                    .length(),
                                                                             write.key()
                                                                                     .lastIndexOf(
                                                                                             '/'))));
@@ -211,7 +214,11 @@
                                                 } else if (!response.jobStatus()
                                                         .status()
                                                         .equals("done")) {
-                                                    late.add(id + " is " + response.jobStatus().status());
+                                                    late.add(
+                                                            id
+                                                                    + " is "
+                                                                    + response.jobStatus()
+                                                                            .status());
                                                 }
                                             });
                             cluster.after(2, () -> unanswered += done[0] ? 0 : 1);
@@ -271,7 +278,8 @@
             mostUnwritten =
                     Math.max(
                             mostUnwritten,
-                            shard.dirtyParts().withPlacements().size() + shard.dirtyParts().withOtherChanges().size());
+                            shard.dirtyParts().withPlacements().size()
+                                    + shard.dirtyParts().withOtherChanges().size());
             mostKeys =
                     Math.max(
                             mostKeys,
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/SweepTest.java
@@ -170,13 +170,17 @@
             for (int i = 0;
                     i < 10
                             && cluster.store.entries.keySet().stream()
-                                    .anyMatch(key -> key.startsWith(StoreKeys.CLOUD_INTENTS + "rent/"));
+                                    .anyMatch(
+                                            key ->
+                                                    key.startsWith(
+                                                            StoreKeys.CLOUD_INTENTS + "rent/"));
                     i++) {
                 cluster.run(0.5);
             }
             points += ends[0];
             TreeSet<String> left = new TreeSet<>(cluster.store.entries.keySet());
-            left.removeIf(key -> key.startsWith("kitepath/") && !key.startsWith(StoreKeys.CLOUD_INTENTS));
+            left.removeIf(
+                    key -> key.startsWith("kitepath/") && !key.startsWith(StoreKeys.CLOUD_INTENTS));
             if (n == 0) {
                 clean = left;
             }
@@ -208,11 +212,16 @@
                                             condition ->
                                                     condition
                                                             .key()
-                                                            .equals(StoreKeys.ENDED_JOBS + "j-5"))) {
+                                                            .equals(
+                                                                    StoreKeys.ENDED_JOBS
+                                                                            + "j-5"))) {
                         once[0] = false;
                         cluster.store.put(
                                 StoreKeys.OPEN_JOBS + "j-5", null, 0, ++cluster.store.revision);
-                        put(cluster, StoreKeys.ENDED_JOBS + "j-5", Map.of("status", "done", "done", 1L));
+                        put(
+                                cluster,
+                                StoreKeys.ENDED_JOBS + "j-5",
+                                Map.of("status", "done", "done", 1L));
                     }
                     return false;
                 };
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
@@ -159,7 +159,9 @@
 
     private List<SimulatedWorker> withTasks() {
         return cluster.workers.values().stream()
-                .filter(worker -> worker.tasks.values().stream().anyMatch(SimulatedTask::isOnMachine))
+                .filter(
+                        worker ->
+                                worker.tasks.values().stream().anyMatch(SimulatedTask::isOnMachine))
                 .toList();
     }
 
@@ -186,7 +188,11 @@
             cluster.run(0.25);
             if (met == 0
                     && cluster.nodes.values().stream()
-                            .anyMatch(node -> node.alive && node.controller.fencingTokenIfLeading() > before)) {
+                            .anyMatch(
+                                    node ->
+                                            node.alive
+                                                    && node.controller.fencingTokenIfLeading()
+                                                            > before)) {
                 met +=
                         lost.stream()
                                 .flatMap(worker -> worker.tasks.values().stream())
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
@@ -118,11 +118,13 @@
             case 4 -> {
                 cluster.store.executionDelaySeconds =
                         transaction -> random.nextInt(4) == 0 ? 2 + random.nextDouble() * 10 : 0;
-                cluster.after(lasts / 2, () -> cluster.store.executionDelaySeconds = transaction -> 0);
+                cluster.after(
+                        lasts / 2, () -> cluster.store.executionDelaySeconds = transaction -> 0);
             }
             default -> {
                 cluster.store.losesResponseOf = transaction -> random.nextInt(3) == 0;
-                cluster.after(lasts / 2, () -> cluster.store.losesResponseOf = transaction -> false);
+                cluster.after(
+                        lasts / 2, () -> cluster.store.losesResponseOf = transaction -> false);
             }
         }
     }
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/TroublesTest.java
@@ -202,7 +202,10 @@
         cluster.run(10);
         assertTrue(cut.controller.isHealthy());
         assertEquals(
-                1, cluster.nodes.values().stream().filter(node -> node.controller.holdsShard()).count());
+                1,
+                cluster.nodes.values().stream()
+                        .filter(node -> node.controller.holdsShard())
+                        .count());
         assertEquals(List.of(), cluster.violations);
     }
 
@@ -239,7 +242,8 @@
             this.seed = seed;
             random = new Random(seed);
             cluster.cloud.capacity = 20;
-            cluster.announcedStoreLimits = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 200, 2, 13);
+            cluster.announcedStoreLimits =
+                    new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 200, 2, 13);
             cluster.nodes.keySet().stream()
                     .toList()
                     .forEach(
@@ -350,7 +354,8 @@
                 case 5, 6 -> {
                     if (worker != null) {
                         worker.receivesNothing = true;
-                        cluster.after(random.nextDouble() * 40, () -> worker.receivesNothing = false);
+                        cluster.after(
+                                random.nextDouble() * 40, () -> worker.receivesNothing = false);
                     }
                 }
                 case 7 ->
@@ -393,7 +398,8 @@
         private boolean behind(String id) {
             return cancelled.contains(id)
                     || cluster.reportedCancelledAt.containsKey(id)
-                    || cluster.dependencies.getOrDefault(id, List.of()).stream().anyMatch(this::behind);
+                    || cluster.dependencies.getOrDefault(id, List.of()).stream()
+                            .anyMatch(this::behind);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZoneCutTest.java
@@ -50,9 +50,9 @@
      * What crosses the zone's border gets lost, or is refused, while the cut lasts; also answers on
      * their way.
      */
-    private static final class Cut implements SimulatedCluster.Reach {
+    private static final class Cut implements SimulatedCluster.WorkerNetwork {
         private final SimulatedCluster cluster;
-        private final SimulatedCluster.Reach usual;
+        private final SimulatedCluster.WorkerNetwork usual;
         final Set<String> inside = new HashSet<>();
         boolean refusing;
         boolean lasts;
@@ -121,7 +121,9 @@
                     response -> {
                         if (!crosses(node, heartbeat.zone())) {
                             boolean keeps =
-                                    lasts && heartbeat.zone().equals(ZONE) && response.fencingToken() > 0;
+                                    lasts
+                                            && heartbeat.zone().equals(ZONE)
+                                            && response.fencingToken() > 0;
                             kept += keeps ? 1 : 0;
                             lastKept = keeps ? cluster.clock.now : lastKept;
                             answer.accept(response);
@@ -233,7 +235,10 @@
     private void ends(String at) {
         List<SimulatedTask> gone =
                 held.stream()
-                        .filter(task -> task.state != Heartbeat.TaskState.ENDED && !task.isOnMachine())
+                        .filter(
+                                task ->
+                                        task.state != Heartbeat.TaskState.ENDED
+                                                && !task.isOnMachine())
                         .toList();
         withMachine = (int) gone.stream().filter(task -> !task.worker.up).count();
         withLease = gone.size() - withMachine;
@@ -295,7 +300,9 @@
         // The meeting: another leads outside, and a leader inside kept work for as long as it
         // might, and no longer.
         double margin =
-                Math.min(cluster.leaseSeconds, cancelS - cluster.leaseSeconds - 2 * cluster.heartbeatIntervalSeconds - 1);
+                Math.min(
+                        cluster.leaseSeconds,
+                        cancelS - cluster.leaseSeconds - 2 * cluster.heartbeatIntervalSeconds - 1);
         assertEquals(leads, cluster.store.leaderFencingToken() > token, at);
         assertEquals(leads, cut.kept > 0, at);
         assertTrue(cut.lastKept - began <= margin, at + ": kept until " + (cut.lastKept - began));
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -73,10 +73,10 @@
                                     "t",
                                     new ClusterSettings.Team("t", 0, LIMIT / 1000.0 / count, 0, 0)),
                             List.of(),
-                            new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                            new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
                             new ClusterSettings.StoreLimits(1000, 100, 8, 40),
                             new ClusterSettings.CloudLimits(10, 2),
-                            new ClusterSettings.Limits(1, 200, 1000),
+                            new ClusterSettings.ProcessLimits(1, 200, 1000),
                             5);
             shard = new ShardState(settings, machine -> {});
             shard.takeLeadership(token);
@@ -125,7 +125,10 @@
                             List.of(),
                             List.of(),
                             all.stream()
-                                    .filter(entry -> entry.key().startsWith(StoreKeys.VOIDED_NUMBERS))
+                                    .filter(
+                                            entry ->
+                                                    entry.key()
+                                                            .startsWith(StoreKeys.VOIDED_NUMBERS))
                                     .toList(),
                             all.stream()
                                     .filter(entry -> entry.key().startsWith(StoreKeys.QUOTA_SHARES))
@@ -182,7 +185,14 @@
 
         Summary summary() {
             return new Summary(
-                    name, name, 1, true, List.of(), List.of(), List.of(), quotaShares.summaryRows(100, 0));
+                    name,
+                    name,
+                    1,
+                    true,
+                    List.of(),
+                    List.of(),
+                    List.of(),
+                    quotaShares.summaryRows(100, 0));
         }
 
         /** The next rider's transaction, executed; whether its holder hears of it. */
--- a/src/test/java/io/kitepath/core/leadership/KnownCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class KnownCancellationsTest {
+class CancellationWatermarkTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
     private final Timers timers = Worlds.timers(cluster);
 
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/MarginTest.java
@@ -15,7 +15,7 @@
     private static final double CLOCK_ERROR_S = 0.005;
 
     /** When a task of a cancelled job is gone at the latest, in seconds after a user was told. */
-    private static double worst(ClusterSettings.Workers workers) {
+    private static double worst(ClusterSettings.WorkerTimings workers) {
         // An attempt that was found by report is named by the next proof only.
         double proof = workers.cancellationStalenessSeconds() / 8 * 1.25;
         return proof
@@ -24,8 +24,8 @@
                 + workers.leaseSeconds() * (1 + DRIFT);
     }
 
-    private static ClusterSettings.Workers of(double reportS, double leaseS, double cancelS) {
-        return new ClusterSettings.Workers(reportS, leaseS, 30, 5, cancelS);
+    private static ClusterSettings.WorkerTimings of(double reportS, double leaseS, double cancelS) {
+        return new ClusterSettings.WorkerTimings(reportS, leaseS, 30, 5, cancelS);
     }
 
     @Test
@@ -41,11 +41,12 @@
                     {10, 30, 90},
                     {0.5, 3, 6}
                 }) {
-            ClusterSettings.Workers workers = of(f[0], f[1], f[2]);
+            ClusterSettings.WorkerTimings workers = of(f[0], f[1], f[2]);
             assertTrue(
                     worst(workers) < workers.cancelDeadlineSeconds(),
                     f[0] + " " + f[1] + " " + f[2] + ": " + worst(workers));
-            assertTrue(workers.cancellationStalenessSeconds() >= workers.heartbeatIntervalSeconds());
+            assertTrue(
+                    workers.cancellationStalenessSeconds() >= workers.heartbeatIntervalSeconds());
         }
     }
 
@@ -54,9 +55,11 @@
         for (double report = 0.5; report <= 10; report += 0.5) {
             for (double lease = 2 * report; lease <= 120; lease += 1.5) {
                 // Drift of leases of minutes takes its part of the second that is left.
-                ClusterSettings.Workers workers =
+                ClusterSettings.WorkerTimings workers =
                         of(report, lease, lease + 3 * report + 1 + lease * DRIFT);
-                assertTrue(worst(workers) < workers.cancelDeadlineSeconds(), workers + ": " + worst(workers));
+                assertTrue(
+                        worst(workers) < workers.cancelDeadlineSeconds(),
+                        workers + ": " + worst(workers));
             }
         }
     }
--- a/src/test/java/io/kitepath/core/scheduling/GuaranteeTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/GuaranteedJobsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which of a team's jobs its guarantee is for, when they are more than it. */
-class GuaranteeTest {
+class GuaranteedJobsTest {
     private final ClusterSettings settings =
             new ClusterSettings(
                     "n",
@@ -25,10 +25,10 @@
                     List.of(
                             new ClusterSettings.Objective("finished", "small", 100, 1, 0.9),
                             new ClusterSettings.Objective("finished", "large", 100, 1, 0.9)),
-                    new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                    new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
                     new ClusterSettings.StoreLimits(1000, 100, 8, 40),
                     new ClusterSettings.CloudLimits(10, 2),
-                    new ClusterSettings.Limits(1, 200, 1000),
+                    new ClusterSettings.ProcessLimits(1, 200, 1000),
                     5);
     private final ShardState shard = new ShardState(settings, machine -> {});
     private final Scheduler scheduler =
@@ -57,7 +57,8 @@
                         0,
                         0,
                         null);
-        Job job = new Job(spec, 1000 * submittedS, settings.startDeadlinesSeconds(spec), "k", 1, 256);
+        Job job =
+                new Job(spec, 1000 * submittedS, settings.startDeadlinesSeconds(spec), "k", 1, 256);
         shard.addJob(job);
         return job;
     }
--- a/src/test/java/io/kitepath/core/scheduling/ServiceOrderTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/SchedulingQueueTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who is served first when there is room for all, and when there is not. */
-class ServiceOrderTest {
+class SchedulingQueueTest {
     private final List<Job> jobs = new ArrayList<>();
 
     /** Seconds from placing to running. */
@@ -143,7 +143,8 @@
         // The fleet has a thousand CPUs, but of these jobs it can run only sixty tasks at once.
         assertEquals(
                 List.of("j-2", "j-3", "j-1"),
-                new SchedulingQueue(spec -> spec.allowsSpot() ? 60 : 1000, spec -> 0, spec -> 1, 0, 0)
+                new SchedulingQueue(
+                                spec -> spec.allowsSpot() ? 60 : 1000, spec -> 0, spec -> 1, 0, 0)
                         .sortJobs(jobs).stream().map(job -> job.spec.id()).toList());
     }
 }
--- a/src/test/java/io/kitepath/core/scheduling/HopelessTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/UnschedulableShapesTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** For whom a job that found no room speaks, and for whom not. */
-class HopelessTest {
+class UnschedulableShapesTest {
     private final UnschedulableShapes hopeless = new UnschedulableShapes();
 
     private static Job job(Shape shape, int tasks, double cpus, String team, boolean spot) {
--- a/src/test/java/io/kitepath/core/service/RetryPaceTest.java
+++ b/src/test/java/io/kitepath/core/service/RetryPaceTest.java
@@ -22,10 +22,10 @@
                     List.of("a"),
                     Map.of(),
                     List.of(),
-                    new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                    new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
                     new ClusterSettings.StoreLimits(300, 50, 8, 40),
                     new ClusterSettings.CloudLimits(10, 2),
-                    new ClusterSettings.Limits(1, 200, 1000),
+                    new ClusterSettings.ProcessLimits(1, 200, 1000),
                     5);
 
     private final RetryAfter pace =
--- a/src/test/java/io/kitepath/core/shard/HeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatProcessorTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a report proves. */
-class HeartbeatsTest {
+class HeartbeatProcessorTest {
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
     private final ShardState shard = new ShardState(settings, machine -> {});
     private final HeartbeatProcessor heartbeatProcessor = new HeartbeatProcessor(shard);
--- a/src/test/java/io/kitepath/core/shard/ServedTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which classes and teams count as served too little, and when they have caught up. */
-class ServedTest {
+class ServiceLevelsTest {
     private final ClusterSettings settings =
             new ClusterSettings(
                     "n",
@@ -20,10 +20,10 @@
                     List.of(
                             new ClusterSettings.Objective("finished", "tiles", 50, 1, 0.9),
                             new ClusterSettings.Objective("finished", "tiles", 100, 1, 0.9)),
-                    new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                    new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
                     new ClusterSettings.StoreLimits(1000, 100, 8, 40),
                     new ClusterSettings.CloudLimits(10, 2),
-                    new ClusterSettings.Limits(1, 200, 1000),
+                    new ClusterSettings.ProcessLimits(1, 200, 1000),
                     5);
     private final ServiceLevels serviceLevels = new ServiceLevels(settings);
     private int named;
@@ -62,8 +62,13 @@
         for (int i = 0; i < 5; i++) {
             look(101, job("tiles", "red", null));
         }
-        assertEquals(0.5, serviceLevels.catchUpShare(job("tiles", "blue", null).spec), 0.01, "its class");
-        assertEquals(0.5, serviceLevels.catchUpShare(job("other", "red", null).spec), 0.01, "its team");
+        assertEquals(
+                0.5,
+                serviceLevels.catchUpShare(job("tiles", "blue", null).spec),
+                0.01,
+                "its class");
+        assertEquals(
+                0.5, serviceLevels.catchUpShare(job("other", "red", null).spec), 0.01, "its team");
         assertEquals(1, serviceLevels.catchUpShare(job("other", "blue", null).spec));
         assertEquals(0.5, serviceLevels.leastShare(), 0.01);
         for (int i = 0; i < 15; i++) {
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -57,7 +57,8 @@
                             answerTakesS,
                             () ->
                                     answer.accept(
-                                            gone.contains(key) ? Outcome.REJECTED : Outcome.OK, null));
+                                            gone.contains(key) ? Outcome.REJECTED : Outcome.OK,
+                                            null));
                 }
 
                 @Override
--- a/src/test/java/io/kitepath/peers/CellLinksTest.java
+++ b/src/test/java/io/kitepath/peers/CellLinksTest.java
@@ -68,10 +68,10 @@
                         List.of("a"),
                         none,
                         List.of(),
-                        new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                        new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
                         new ClusterSettings.StoreLimits(100, 100, 8, 40),
                         new ClusterSettings.CloudLimits(1, 1),
-                        new ClusterSettings.Limits(1, 200, 1000),
+                        new ClusterSettings.ProcessLimits(1, 200, 1000),
                         5);
         Peers peers = new Peers(group, "w0", Map.of(), true);
         loop.submit(
--- a/src/test/java/io/kitepath/peers/FrameBytesTest.java
+++ b/src/test/java/io/kitepath/peers/FrameBytesTest.java
@@ -127,7 +127,8 @@
     private static void putAnswers(Map<String, Object> messages) {
         List<WorkerCommand> ofEveryVerb = new ArrayList<>();
         for (WorkerCommand.Action action : WorkerCommand.Action.values()) {
-            ofEveryVerb.add(new WorkerCommand(action, "j-000412", 4 + action.ordinal(), 200, 10.25));
+            ofEveryVerb.add(
+                    new WorkerCommand(action, "j-000412", 4 + action.ordinal(), 200, 10.25));
         }
         messages.put(
                 "answer.verbs",
@@ -373,8 +374,10 @@
             return List.of("answer", answer.number(), comparable(answer.message()));
         }
         if (message instanceof CellMessage.LoanStatus word) {
-            String done = word.doneTasks() == null ? null : HexFormat.of().formatHex(word.doneTasks());
-            return Arrays.asList(word.cell(), word.loanNumber(), word.state(), done, word.nextAttempt());
+            String done =
+                    word.doneTasks() == null ? null : HexFormat.of().formatHex(word.doneTasks());
+            return Arrays.asList(
+                    word.cell(), word.loanNumber(), word.state(), done, word.nextAttempt());
         }
         return message == null ? "nothing" : message;
     }
--- a/src/test/java/io/kitepath/peers/PeersTest.java
+++ b/src/test/java/io/kitepath/peers/PeersTest.java
@@ -111,10 +111,10 @@
                             List.of("a"),
                             Map.of(),
                             List.of(),
-                            new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                            new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
                             new ClusterSettings.StoreLimits(100, 100, 8, 40),
                             new ClusterSettings.CloudLimits(1, 1),
-                            new ClusterSettings.Limits(1, 200, 1000),
+                            new ClusterSettings.ProcessLimits(1, 200, 1000),
                             5);
             loop.submit(
                             () ->
@@ -147,7 +147,8 @@
                 while (!(heard instanceof Messages.Digest)) {
                     heard = f.hears();
                 }
-                assertEquals(new Messages.Digest("k0", 1, 2, new ArrayList<>(said.jobIds())), heard);
+                assertEquals(
+                        new Messages.Digest("k0", 1, 2, new ArrayList<>(said.jobIds())), heard);
                 for (int i = 0; i < 20; i++) {
                     assertInstanceOf(Messages.View.class, o.hears());
                 }
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -140,7 +140,9 @@
             Object theirs = record(StoreKeys.OPEN_JOBS + id).value();
             JobRecord record = JobRecord.fromRecord(id, theirs);
             assertArrayEquals(
-                    MessagePackCodec.encode(theirs), MessagePackCodec.encode(record.toRecord()), id);
+                    MessagePackCodec.encode(theirs),
+                    MessagePackCodec.encode(record.toRecord()),
+                    id);
             assertEquals(List.of(), record.dependencies());
             assertEquals(0, record.tasksPerPart());
         }
@@ -150,7 +152,8 @@
     @Test
     void aStoreThatProductionWroteIsGoneOnWith() {
         SimulatedCluster cluster = new SimulatedCluster();
-        cluster.announcedStoreLimits = new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 1000, 2, 13);
+        cluster.announcedStoreLimits =
+                new io.kitepath.core.model.ClusterSettings.StoreLimits(1000, 1000, 2, 13);
         for (String k : written.keySet()) {
             if (k.startsWith("record ")
                     && !k.contains("/duty/")
@@ -167,9 +170,13 @@
         // What runs when production ends.
         for (String part : List.of("j-1/0", "j-1/1", "j-3/0", "j-4/0")) {
             String jobId = part.substring(0, part.indexOf('/'));
-            cluster.specs.put(jobId, JobRecord.fromRecord(jobId, record(StoreKeys.OPEN_JOBS + jobId).value()).spec());
+            cluster.specs.put(
+                    jobId,
+                    JobRecord.fromRecord(jobId, record(StoreKeys.OPEN_JOBS + jobId).value())
+                            .spec());
             Map<?, ?> live =
-                    (Map<?, ?>) ((Map<?, ?>) record(StoreKeys.JOB_PARTS + part).value()).get("live");
+                    (Map<?, ?>)
+                            ((Map<?, ?>) record(StoreKeys.JOB_PARTS + part).value()).get("live");
             live.forEach(
                     (machine, l) -> {
                         for (int i = 0; i + 1 < ((List<?>) l).size(); i += 2) {
@@ -189,7 +196,8 @@
         assertTrue(running > 250, "only " + running);
         SimulatedNode node = cluster.node("k1");
         cluster.specs.put(
-                "j-6", JobRecord.fromRecord("j-6", record(StoreKeys.OPEN_JOBS + "j-6").value()).spec());
+                "j-6",
+                JobRecord.fromRecord("j-6", record(StoreKeys.OPEN_JOBS + "j-6").value()).spec());
         cluster.specs.put("j-2", SimulatedCluster.job("j-2", JobSpec.Shape.ARRAY, 3, 1));
         cluster.completedTasks.put("j-2", java.util.Set.of(0, 1, 2)); // Under production.
         cluster.invariants.cancellationRequested("j-5"); // So was this.
--- a/src/test/java/io/kitepath/settings/CellsFileTest.java
+++ b/src/test/java/io/kitepath/settings/CellsFileTest.java
@@ -35,10 +35,10 @@
                             "free",
                             new ClusterSettings.Team("free", 0, 0, 0, 0)),
                     List.of(),
-                    new ClusterSettings.Workers(1, 10, 30, 5, 30),
+                    new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
                     new ClusterSettings.StoreLimits(1000, 100, 8, 40),
                     new ClusterSettings.CloudLimits(10, 2),
-                    new ClusterSettings.Limits(1, 200, 1000),
+                    new ClusterSettings.ProcessLimits(1, 200, 1000),
                     5);
 
     private CellsFile read(String text) {
@@ -57,7 +57,8 @@
         assertEquals("east", f.directory().ownCellName());
         assertEquals("east west", f.directory().homeCellNames());
         assertEquals(30, f.directory().ownCell().teams().get("t").maxCpus());
-        assertEquals(0, f.directory().ownCell().teams().get("free").maxCpus(), "no limit stays none");
+        assertEquals(
+                0, f.directory().ownCell().teams().get("free").maxCpus(), "no limit stays none");
         // A cell without a part of a limit may run nothing of that team, which 0 would not say.
         assertTrue(f.directory().cells().get("spare").teams().get("t").maxCpus() > 0);
         assertEquals(8081, f.addresses().get("west").get("w0").getPort());
--- a/src/test/java/io/kitepath/simulation/CheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/CheckerTest.java
@@ -20,7 +20,8 @@
         simulation.cell("west", 1, 2);
         simulation.run(12);
         String id = simulation.id("east", 1);
-        simulation.submitUntilAccepted("east", SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
+        simulation.submitUntilAccepted(
+                "east", SimulatedCluster.job(id, JobSpec.Shape.ARRAY, tasks, 1));
         simulation.run(3);
         assertEquals(List.of(), simulation.violations());
         return id;
@@ -55,7 +56,8 @@
     void aTaskThatRunsLongAfterItsUserWasToldThatItIsCancelled() {
         String id = job(2);
         simulation.runUntil(
-                20, () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
+                20,
+                () -> simulation.cancel(simulation.anyAliveNode("east"), id).equals("cancelled"));
         simulation.run(27);
         simulation.cluster("west").workers.values().forEach(worker -> worker.isCutOff = true);
         start("west", id, 0);
@@ -80,7 +82,8 @@
     @Test
     void aJobThatIsDoneAndThenCancelledOrForgotten() {
         String id = job(2);
-        simulation.runUntil(60, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
+        simulation.runUntil(
+                60, () -> simulation.status(simulation.anyAliveNode("east"), id).equals("done"));
         SimulatedCluster east = simulation.cluster("east");
         east.store.put(
                 StoreKeys.ENDED_JOBS + id,
@@ -112,13 +115,23 @@
                         List.of(
                                 new Rehearsal.Fault("nodes", 1, 20, 15),
                                 new Rehearsal.Fault("network", 0, 30, 20)));
-        Rehearsal.Result one = new Rehearsal(plan, Rehearsal.Way.CELLS).play();
-        Rehearsal.Result two = new Rehearsal(plan, Rehearsal.Way.CELLS).play();
+        Rehearsal.Result one = new Rehearsal(plan, Rehearsal.Topology.CELLS).play();
+        Rehearsal.Result two = new Rehearsal(plan, Rehearsal.Topology.CELLS).play();
         assertEquals(List.of(), one.violations());
         assertEquals(0, one.unfinished());
         assertTrue(one.handOvers() > 0);
         assertEquals(
-                List.of(one.starts(), one.messages(), one.changes(), one.handOvers(), one.simulatedSeconds()),
-                List.of(two.starts(), two.messages(), two.changes(), two.handOvers(), two.simulatedSeconds()));
+                List.of(
+                        one.starts(),
+                        one.messages(),
+                        one.changes(),
+                        one.handOvers(),
+                        one.simulatedSeconds()),
+                List.of(
+                        two.starts(),
+                        two.messages(),
+                        two.changes(),
+                        two.handOvers(),
+                        two.simulatedSeconds()));
     }
 }
