--- a/src/test/java/io/kitepath/simulation/LoopbackTest.java
+++ b/src/test/java/io/kitepath/simulation/LoopbackTest.java
@@ -57,7 +57,8 @@
     @Test
     void theStateServiceKeepsItsProtocol() throws Exception {
         long lease =
-                this.<Long>on(future -> store.grantLease(5000, (outcome, id) -> future.complete(id)));
+                this.<Long>on(
+                        future -> store.grantLease(5000, (outcome, id) -> future.complete(id)));
         assertEquals(
                 Outcome.OK,
                 on(
@@ -153,10 +154,12 @@
                                         (outcome, all) ->
                                                 future.complete(
                                                         all.stream()
-                                                                .map(Cloud.Listed::machineId)
+                                                                .map(Cloud.ListedMachine::machineId)
                                                                 .toList()))));
         assertEquals(Outcome.OK, on(future -> cloud.release(first, future::complete)));
-        assertEquals(List.of(), on(future -> cloud.listMachines((outcome, all) -> future.complete(all))));
+        assertEquals(
+                List.of(),
+                on(future -> cloud.listMachines((outcome, all) -> future.complete(all))));
         cluster.cloud.capacity = 0;
         assertEquals(
                 Outcome.REJECTED,
@@ -193,6 +196,7 @@
                                         Heartbeat.EndCause.INSUFFICIENT_RESOURCES)));
         assertEquals(
                 heartbeat,
-                ProtocolCodec.decodeHeartbeat(MessagePackCodec.decode(EmulatorCodec.encodeHeartbeat(heartbeat))));
+                ProtocolCodec.decodeHeartbeat(
+                        MessagePackCodec.decode(EmulatorCodec.encodeHeartbeat(heartbeat))));
     }
 }
--- a/src/test/java/io/kitepath/simulation/RulesTest.java
+++ b/src/test/java/io/kitepath/simulation/RulesTest.java
@@ -21,7 +21,8 @@
 
     private void finds(String what) {
         assertTrue(
-                cluster.violations.stream().anyMatch(b -> b.contains(what)), cluster.violations.toString());
+                cluster.violations.stream().anyMatch(b -> b.contains(what)),
+                cluster.violations.toString());
     }
 
     private void start(String machine, String jobId, int task) {
@@ -188,7 +189,7 @@
         finds("j-2 is called cancelled and nobody asked");
         cluster.invariants.checkAnswer(
                 "j-777",
-                new JobSubmissionService.Answer(
+                new JobSubmissionService.JobResponse(
                         JobSubmissionService.Verdict.KNOWN,
                         new JobStatus("j-777", "pending", 0, 0)),
                 cluster.clock.now);
--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -83,7 +83,8 @@
         Map<String, Object> m = submission();
         List.of("frames", "field", "dueS").forEach(m::remove);
         m.put("somethingNew", 5L);
-        JobSpec spec = ProtocolCodec.decodeSubmission(MessagePackCodec.decode(MessagePackCodec.encode(m)));
+        JobSpec spec =
+                ProtocolCodec.decodeSubmission(MessagePackCodec.decode(MessagePackCodec.encode(m)));
         assertNull(spec.machineTypes());
         assertNull(spec.deadlineSeconds());
     }
