--- /dev/null
+++ b/src/test/java/io/kitepath/core/shard/JobDependenciesTest.java
@@ -0,0 +1,101 @@
+package io.kitepath.core.shard;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.JobRecord;
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.model.JobSpec.Shape;
+import io.kitepath.simulation.SimulatedCluster;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** What jobs that wait for others ask of those, and what becomes of them. */
+class JobDependenciesTest {
+    private static final int TASKS_PER_PART = 4;
+
+    private final ClusterSettings settings = new SimulatedCluster().settings("k1");
+    private final ShardState shard = new ShardState(settings, machine -> {});
+
+    private Job job(String id, String... dependencies) {
+        return job(id, JobSpec.Priority.NORMAL, dependencies);
+    }
+
+    private Job job(String id, JobSpec.Priority priority, String... dependencies) {
+        JobSpec spec = SimulatedCluster.job(id, Shape.ARRAY, 1, 1);
+        return job(SimulatedCluster.with(spec, "red", priority, false), dependencies);
+    }
+
+    private Job job(JobSpec spec, String... dependencies) {
+        JobRecord record = new JobRecord(spec, 5000, List.of(dependencies), 0, 0);
+        Job job = Job.of(record, settings, "jobs/open/" + spec.id(), 1, TASKS_PER_PART);
+        shard.addJob(job);
+        return job;
+    }
+
+    @Test
+    void demandOfDependentsRaisesPriorityAndIsTakenBackWhenTheyClose() {
+        Job first = job("j-1", JobSpec.Priority.LOW);
+        double goal = first.startGoalMillis(0);
+        Job second = job("j-2", JobSpec.Priority.HIGH, "j-1");
+        assertEquals(JobSpec.Priority.HIGH, first.effectivePriority());
+        assertEquals(JobSpec.Priority.LOW, first.spec.priority());
+        assertFalse(first.hasDeadline());
+        assertEquals(Double.POSITIVE_INFINITY, first.dueMillis());
+        assertEquals(goal, first.startGoalMillis(0));
+        assertEquals(1, shard.jobDependencies().heldJobCount());
+
+        shard.finishJob("j-2");
+        assertTrue(second.isFinished());
+        assertEquals(JobSpec.Priority.LOW, first.effectivePriority());
+        assertEquals(0, shard.jobDependencies().heldJobCount());
+    }
+
+    @Test
+    void deadlineOfADependentBecomesAStartGoalOfItsDependency() {
+        Job first = job("j-1");
+        JobSpec last =
+                new JobSpec(
+                        "j-2",
+                        "work",
+                        "red",
+                        Shape.ARRAY,
+                        JobSpec.Priority.NORMAL,
+                        1,
+                        1,
+                        0,
+                        1,
+                        null,
+                        null,
+                        false,
+                        false,
+                        false,
+                        "img",
+                        1,
+                        20,
+                        0,
+                        0,
+                        300.0);
+        Job second = job(last, "j-1");
+        assertTrue(first.hasDeadline());
+        assertTrue(first.dueMillis() < 305_000 - 20_000);
+        assertEquals(first.dueMillis() - 20_000, first.startGoalMillis(0));
+
+        shard.jobDependencies().recordOutcome("j-1", true, 9000);
+        assertFalse(second.isHeld());
+        assertEquals(9000, second.eligibleSinceMillis());
+    }
+
+    @Test
+    void cancelledDependencyIsPassedOnToAllDependents() {
+        job("j-1");
+        Job second = job("j-2", "j-1");
+        Job third = job("j-3", "j-2");
+        shard.jobDependencies().recordOutcome("j-1", false, 9000);
+        assertEquals(List.of(second, third), shard.jobDependencies().jobsToCancel());
+        assertTrue(third.hasCancelledDependency() && third.isHeld());
+        assertEquals(0, third.waitingTasks());
+    }
+}
