--- a/src/main/java/io/kitepath/core/shard/JobSizes.java
+++ b/src/main/java/io/kitepath/core/shard/JobSizes.java
@@ -7,26 +7,46 @@
 import java.util.Deque;
 
 /**
- * How large the jobs of each class are that came lately, in CPUs: which of them are its largest.
+ * The sizes, in CPUs over all tasks, of the jobs of each class that came lately, to tell which jobs
+ * are among the largest of their class.
  */
 final class JobSizes {
-    /** Jobs that are remembered of a class. */
+    /** How many jobs of a class are remembered. */
     private static final int MAX_SIZES = 64;
 
-    /** Jobs from which on that says something. */
+    /** With fewer jobs than that, none counts as one of the largest. */
     private static final int MIN_SIZES = 8;
 
-    /** Of the jobs of a class, the part that is smaller than its largest ones. */
+    /** The share of a class's jobs that is smaller than its largest ones. */
     private static final double LARGE_QUANTILE = 0.75;
 
     /** Users name the classes, so there may be any number of them. */
     private static final int MAX_CLASSES = 1000;
 
     private static final class SizeClass {
-        final Deque<Double> recentSizes = new ArrayDeque<>();
+        private final Deque<Double> recentSizes = new ArrayDeque<>();
 
         /** From that size on a job is one of the largest. */
-        double largeFrom = Double.POSITIVE_INFINITY;
+        private double largeFrom = Double.POSITIVE_INFINITY;
+
+        void add(double size) {
+            recentSizes.addLast(size);
+            if (recentSizes.size() > MAX_SIZES) {
+                recentSizes.removeFirst();
+            }
+            if (recentSizes.size() >= MIN_SIZES) {
+                largeFrom = largeFrom();
+            }
+        }
+
+        private double largeFrom() {
+            double[] sorted =
+                    recentSizes.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+            double median = sorted[sorted.length / 2];
+            double quantile = sorted[(int) (LARGE_QUANTILE * sorted.length)];
+            // Where most are of the quantile's size, only what is larger is large.
+            return median < quantile ? quantile : Math.nextUp(quantile);
+        }
     }
 
     private final Cache<String, SizeClass> classes =
@@ -37,23 +57,11 @@
     }
 
     void add(JobSpec spec) {
-        SizeClass c = classes.get(spec.jobClass(), key -> new SizeClass());
-        c.recentSizes.addLast(totalCpus(spec));
-        if (c.recentSizes.size() > MAX_SIZES) {
-            c.recentSizes.removeFirst();
-        }
-        if (c.recentSizes.size() < MIN_SIZES) {
-            return;
-        }
-        double[] sorted =
-                c.recentSizes.stream().mapToDouble(Double::doubleValue).sorted().toArray();
-        double at = sorted[(int) (LARGE_QUANTILE * sorted.length)];
-        // Where most are of that size, only what is larger than those is large.
-        c.largeFrom = sorted[sorted.length / 2] < at ? at : Math.nextUp(at);
+        classes.get(spec.jobClass(), name -> new SizeClass()).add(totalCpus(spec));
     }
 
     boolean isAmongLargest(JobSpec spec) {
-        SizeClass c = classes.getIfPresent(spec.jobClass());
-        return c != null && totalCpus(spec) >= c.largeFrom;
+        SizeClass sizeClass = classes.getIfPresent(spec.jobClass());
+        return sizeClass != null && totalCpus(spec) >= sizeClass.largeFrom;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/RecentArrivals.java
+++ b/src/main/java/io/kitepath/core/shard/RecentArrivals.java
@@ -9,11 +9,13 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 
-/** The jobs that came last: what the next ones may be like. */
+/** The jobs that came last, from which it is estimated what comes next and how often. */
 public final class RecentArrivals {
-    /** How many are remembered. */
     private static final int MAX_JOBS = 200;
 
+    /** A class whose next job is late by that many of its usual gaps is not expected any more. */
+    private static final int MAX_GAPS_LATE = 10;
+
     /** Newest last. */
     private final ArrayDeque<Job> jobs = new ArrayDeque<>();
 
@@ -25,76 +27,96 @@
     }
 
     /**
-     * Of the class's jobs that came lately, the one than which that share of them are not larger.
-     * Null if there is none, or if by their usual pace the next one is long overdue: room kept for
-     * it would be kept for nobody.
+     * The job of a class that stands at a quantile of the sizes of its recent jobs, in CPUs over
+     * all tasks. Null if there is none, or if by its usual pace the class's next job is long
+     * overdue: machines kept for it would stay idle.
+     *
+     * @param quantile from 0 to 1
+     * @param wallMillis in milliseconds since 1970
+     * @param patienceSeconds how late the next job may be in any case
      */
-    public JobSpec typicalSpec(String jobClass, double share, double wallMs, double patienceS) {
-        List<Job> of =
+    public JobSpec typicalSpec(
+            String jobClass, double quantile, double wallMillis, double patienceSeconds) {
+        List<Job> ofClass =
                 jobs.stream()
                         .filter(job -> job.spec.jobClass().equals(jobClass))
                         .sorted(Comparator.comparingDouble(Job::eligibleSinceMillis))
                         .toList();
-        if (of.isEmpty()) {
+        if (ofClass.isEmpty()) {
             return null;
         }
-        double last = of.get(of.size() - 1).eligibleSinceMillis();
-        double gap = (last - of.get(0).eligibleSinceMillis()) / Math.max(1, of.size() - 1);
-        if (wallMs - last > Math.max(patienceS * 1000, 10 * gap)) {
+        double first = ofClass.get(0).eligibleSinceMillis();
+        double last = ofClass.get(ofClass.size() - 1).eligibleSinceMillis();
+        double gap = (last - first) / Math.max(1, ofClass.size() - 1);
+        if (wallMillis - last > Math.max(patienceSeconds * 1000, MAX_GAPS_LATE * gap)) {
             return null;
         }
-        return of.stream()
+        return ofClass.stream()
                 .map(job -> job.spec)
                 .sorted(Comparator.comparingDouble(spec -> spec.taskCount() * spec.cpusPerTask()))
-                .skip((long) Math.min(of.size() - 1, Math.floor(share * of.size())))
+                .skip((long) Math.min(ofClass.size() - 1, Math.floor(quantile * ofClass.size())))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** How many tasks of a class of gangs came a second, as of late, and one of its jobs. */
+    /**
+     * How often tasks of a class of gangs came lately.
+     *
+     * @param sampleSpec one of the class's jobs
+     */
     public record ArrivalRate(JobSpec sampleSpec, double tasksPerSecond) {}
 
     /**
      * The classes of gangs that still come by their usual pace, those of the highest priority
      * first.
+     *
+     * @param wallMillis in milliseconds since 1970
      */
-    public List<ArrivalRate> gangArrivalRates(double wallMs) {
-        Map<String, List<Job>> classes = new TreeMap<>();
+    public List<ArrivalRate> gangArrivalRates(double wallMillis) {
+        Map<String, List<Job>> byClass = new TreeMap<>();
         for (Job job : jobs) {
             if (job.spec.isGang() && !job.isHeld()) {
-                classes.computeIfAbsent(job.spec.jobClass(), key -> new ArrayList<>()).add(job);
+                byClass.computeIfAbsent(job.spec.jobClass(), name -> new ArrayList<>()).add(job);
             }
         }
-        List<ArrivalRate> out = new ArrayList<>();
-        for (List<Job> of : classes.values()) {
-            double tasks = ratePerSecond(of, wallMs, job -> job.spec.taskCount());
+        List<ArrivalRate> rates = new ArrayList<>();
+        for (List<Job> ofClass : byClass.values()) {
+            double tasks = ratePerSecond(ofClass, wallMillis, job -> job.spec.taskCount());
             if (tasks > 0) {
-                out.add(new ArrivalRate(of.get(0).spec, tasks));
+                rates.add(new ArrivalRate(ofClass.get(0).spec, tasks));
             }
         }
-        out.sort(Comparator.comparing(p -> p.sampleSpec.priority()));
-        return out;
+        rates.sort(Comparator.comparing(rate -> rate.sampleSpec.priority()));
+        return rates;
     }
 
-    /** How many jobs of the class came a second, as of late. */
-    public double jobsPerSecond(String jobClass, double wallMs) {
+    /**
+     * How many jobs of the class came a second, as of late.
+     *
+     * @param wallMillis in milliseconds since 1970
+     */
+    public double jobsPerSecond(String jobClass, double wallMillis) {
         return ratePerSecond(
                 jobs.stream()
                         .filter(job -> job.spec.jobClass().equals(jobClass) && !job.isHeld())
                         .toList(),
-                wallMs,
+                wallMillis,
                 job -> 1);
     }
 
     /**
-     * By the later half of their time: it says more of what comes next than a backlog that came all
-     * at once.
+     * By the later half of the time since the first job came: it says more of what comes next than
+     * a backlog that came all at once.
      */
-    private static double ratePerSecond(List<Job> of, double wallMs, ToDoubleFunction<Job> what) {
-        double first = of.stream().mapToDouble(Job::eligibleSinceMillis).min().orElse(wallMs);
-        double half = (first + wallMs) / 2;
+    private static double ratePerSecond(
+            List<Job> jobs, double wallMillis, ToDoubleFunction<Job> amount) {
+        double first = jobs.stream().mapToDouble(Job::eligibleSinceMillis).min().orElse(wallMillis);
+        double middle = (first + wallMillis) / 2;
         double sum =
-                of.stream().filter(job -> job.eligibleSinceMillis() > half).mapToDouble(what).sum();
-        return sum == 0 ? 0 : sum * 1000 / (wallMs - half);
+                jobs.stream()
+                        .filter(job -> job.eligibleSinceMillis() > middle)
+                        .mapToDouble(amount)
+                        .sum();
+        return sum == 0 ? 0 : sum * 1000 / (wallMillis - middle);
     }
 }
