--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -4,49 +4,65 @@
 import io.kitepath.core.model.JobSpec;
 
 /**
- * One placing of one task on one machine. It stays unproven, and counts against every limit, until
- * something proves that it is over; the mere passing of time never does.
+ * One placement of one task on one machine. It counts against every limit until something proves
+ * that it is over; the passing of time alone never does.
+ *
+ * <p>Not thread safe: it belongs to the event loop of the shard.
  */
 public final class Attempt {
     public final Job job;
+
+    /** The task's index in its job, from 0. */
     public final int task;
+
+    /** Later attempts of a task have higher numbers; tasks that are placed together share one. */
     public final long number;
+
     public final Machine machine;
 
-    /** Seconds on the steady clock. */
+    /** In seconds on the steady clock. */
     public final double placedAt;
 
     /**
-     * The job's version when this was placed; a write that covers that version makes it durable.
+     * The job's version when this was placed, 0 if it was read from a record; a write that covers
+     * that version makes it durable.
      */
     final int placedVersion;
 
+    /** Whether the store has it; see {@link #isDurable()}. */
     boolean isDurable;
 
-    /** Launched by us, or perhaps by a holder before us. */
+    /** Launched by this leader, or perhaps by one before. */
     boolean mayBeLaunched;
 
-    /** The last answer to its machine told it to start. */
+    /** The last heartbeat response to its machine told it to start. */
     boolean isStartSent;
 
-    /** Reports after such an answer that did not show it. */
+    /** How many heartbeats after such a response did not show it. */
     int missedReports;
 
-    /** Whether a report of the current holder's time has shown it. */
+    /** Whether a heartbeat since this leader's term began has shown it. */
     boolean isSeen;
 
+    /** Null until a heartbeat has shown it. */
     Heartbeat.TaskState state;
+
+    /** When a heartbeat first showed it running, in seconds on the steady clock; NaN before. */
     double runningSince = Double.NaN;
+
+    /** Proven over. */
     boolean isEnded;
+
+    /** The job's version that has its end; a write that covers that version records it. */
     int endedVersion;
 
-    /** Wanted stopped; NaN while it is not. */
+    /** What its task has to save its work once it is to be stopped; NaN while it is not. */
     double stopGraceSeconds = Double.NaN;
 
-    /** It was told to stop by a direct command. */
+    /** Whether it was told to stop by a direct command. */
     boolean isStopSent;
 
-    /** The reading of its machine's reports that showed it last. */
+    /** The number of the last of its machine's full reports that showed it. */
     int lastSeenReading;
 
     Attempt(Job job, int task, long number, Machine machine, double now, int version) {
@@ -58,42 +74,47 @@
         this.placedVersion = version;
     }
 
-    /** Whether the store has it. Only then it may be launched. */
+    /** Whether the store has it; it must not be launched before. */
     public boolean isDurable() {
         return isDurable;
     }
 
-    /** Whether a report of the current holder's time has shown it. */
+    /** Whether a heartbeat since this leader's term began has shown it. */
     public boolean isSeen() {
         return isSeen;
     }
 
-    /** Null until a report has shown it. */
+    /** Null until a heartbeat has shown it. */
     public Heartbeat.TaskState state() {
         return state;
     }
 
-    /** Whether it waits for its image, or will if the machine does not have it. */
+    /** Whether it fetches its image, or will if its machine lacks it. */
     boolean isFetching() {
         return !isUnwanted() && (state == null || state == Heartbeat.TaskState.FETCHING_IMAGE);
     }
 
-    /** Whether it was wanted stopped, so that its end is under way. */
+    /** Whether it is to be stopped by itself, while its job goes on or not. */
     public boolean isStopping() {
         return !Double.isNaN(stopGraceSeconds);
     }
 
-    /** It has to go, or goes already. */
+    /** Whether it is to be stopped, by itself or because its job is finished. */
     public boolean isUnwanted() {
         return job.isFinished || isStopping();
     }
 
-    /** How long it will probably still run, by its owner's estimate. */
+    /**
+     * How many seconds it will probably still run, by its owner's estimate: at least a fifth of
+     * that, as estimates are exceeded; without end for a service.
+     *
+     * @param now in seconds on the steady clock
+     */
     public double remainingSeconds(double now) {
-        double estimate = job.spec.estimatedSeconds();
         if (job.spec.shape() == JobSpec.Shape.SERVICE) {
             return Double.MAX_VALUE;
         }
+        double estimate = job.spec.estimatedSeconds();
         return Math.max(estimate - ranSeconds(now), estimate / 5);
     }
 
@@ -102,22 +123,26 @@
     }
 
     /**
-     * The time that is lost if it is stopped now: what it did since it began or saved last, or what
-     * saving takes.
+     * How many seconds of work are lost if it is stopped now: what it did since it began or since
+     * its last checkpoint, or what saving a checkpoint takes.
+     *
+     * @param now in seconds on the steady clock
      */
     public double unsavedSeconds(double now) {
-        double every = job.spec.checkpointIntervalSeconds();
-        return every > 0
-                ? Math.min(ranSeconds(now), Math.min(every, job.spec.checkpointSaveSeconds()))
+        double interval = job.spec.checkpointIntervalSeconds();
+        return interval > 0
+                ? Math.min(ranSeconds(now), Math.min(interval, job.spec.checkpointSaveSeconds()))
                 : ranSeconds(now);
     }
 
+    /** Whether a worker's status is about this very attempt, whatever machine it came from. */
     boolean matches(Heartbeat.TaskStatus status) {
         return task == status.task()
                 && number == status.attempt()
                 && job.spec.id().equals(status.jobId());
     }
 
+    /** {@code job/task#number@machine}, as log lines have it. */
     @Override
     public String toString() {
         return job.spec.id() + "/" + task + "#" + number + "@" + machine.id;
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -7,80 +7,94 @@
 import java.util.Map;
 
 /**
- * Tasks of a job that another cell has been offered, and may have taken: they are out, and nothing
- * of them is placed here, until that cell's store says otherwise. Time and silence say nothing.
+ * A range of a job's tasks that was offered to another cell, which may have accepted it. Nothing of
+ * it is placed here until that cell's store says that the loan is over; neither a time-out nor an
+ * unreachable cell ends it.
  */
 public final class TaskLoan {
+    private static final String LOANS = "loans";
+
+    /** Unique among the loans of this cell. */
     public final long number;
+
     public final String borrowerCell;
     public final int firstTask;
+
+    /** The task after the last one of the loan. */
     public final int endTask;
 
-    /** The other cell says that it has taken it. */
+    /** In seconds on the steady clock; of a loan that was read from the store, when that was. */
+    public final double offeredAt;
+
+    /** The other cell has said that it has accepted the loan. */
     public boolean isAccepted;
 
-    /** Its word that it is over, which is being written down. */
+    /** The other cell has said that the loan is over, and that is being recorded here. */
     public boolean isClosed;
 
-    /** Our store has the loan. Nothing is offered before. */
+    /** Whether this cell's store has the loan; it must not be offered before. */
     public boolean isRecorded;
 
-    /** For how it is told of: seconds on the steady clock, and whether an answer is awaited. */
+    /** When the other cell was last asked about the loan, in seconds on the steady clock. */
     public double lastQueriedAt = Double.NEGATIVE_INFINITY;
 
     public boolean isAwaitingAnswer;
+
+    /** How many queries in a row had no answer, for the back-off between them. */
     public int unansweredQueries;
-    public final double offeredAt;
 
-    public TaskLoan(long number, String to, int from, int until, double since) {
+    public TaskLoan(
+            long number, String borrowerCell, int firstTask, int endTask, double offeredAt) {
         this.number = number;
-        this.borrowerCell = to;
-        this.firstTask = from;
-        this.endTask = until;
-        this.offeredAt = since;
+        this.borrowerCell = borrowerCell;
+        this.firstTask = firstTask;
+        this.endTask = endTask;
+        this.offeredAt = offeredAt;
     }
 
     public int taskCount() {
         return endTask - firstTask;
     }
 
-    /** The record of all loans of a job. */
+    /** The one record that all loans of a job have: number, cell, first and end task of each. */
     public static Map<String, Object> toRecord(List<TaskLoan> loans) {
-        List<Object> list = new ArrayList<>();
+        List<Object> entries = new ArrayList<>();
         for (TaskLoan loan : loans) {
-            list.add(
+            entries.add(
                     List.of(
                             loan.number,
                             loan.borrowerCell,
                             (long) loan.firstTask,
                             (long) loan.endTask));
         }
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("loans", list);
-        return m;
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put(LOANS, entries);
+        return record;
     }
 
     /**
-     * What {@link #toRecord} wrote.
+     * Reads what {@link #toRecord} wrote.
      *
-     * @throws io.kitepath.core.model.InvalidInputException if it did not
+     * @param now in seconds on the steady clock
+     * @throws io.kitepath.core.model.InvalidInputException if it is not such a record
      */
     public static List<TaskLoan> fromRecord(Object record, double now) {
         DocumentReader document = DocumentReader.of(record);
-        List<TaskLoan> out = new ArrayList<>();
-        for (Object o : document.list("loans")) {
-            if (!(o instanceof List<?> l)
-                    || l.size() != 4
-                    || !(l.get(0) instanceof Number n)
-                    || !(l.get(1) instanceof String to)
-                    || !(l.get(2) instanceof Number from)
-                    || !(l.get(3) instanceof Number until)) {
-                throw document.invalid("loans", "must be lists of number, cell, first and last");
+        List<TaskLoan> loans = new ArrayList<>();
+        for (Object entry : document.list(LOANS)) {
+            if (!(entry instanceof List<?> fields)
+                    || fields.size() != 4
+                    || !(fields.get(0) instanceof Number number)
+                    || !(fields.get(1) instanceof String cell)
+                    || !(fields.get(2) instanceof Number first)
+                    || !(fields.get(3) instanceof Number end)) {
+                throw document.invalid(LOANS, "must be lists of number, cell, first and last");
             }
-            TaskLoan loan = new TaskLoan(n.longValue(), to, from.intValue(), until.intValue(), now);
+            TaskLoan loan =
+                    new TaskLoan(number.longValue(), cell, first.intValue(), end.intValue(), now);
             loan.isRecorded = true;
-            out.add(loan);
+            loans.add(loan);
         }
-        return out;
+        return loans;
     }
 }
