--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -15,7 +15,7 @@
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
-import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.PartRecord;
 import io.kitepath.core.state.PagedScan;
 import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
@@ -348,7 +348,7 @@
                         return;
                     }
                     JobProgress progress =
-                            Job.hasPartRecords(
+                            PartRecord.progress(
                                     id, parts.entries().stream().map(Entry::value).toList());
                     remember(progress, true);
                     answerAll(batch, id, unfinished(progress));
--- a/src/main/java/io/kitepath/core/shard/DirtyParts.java
+++ b/src/main/java/io/kitepath/core/shard/DirtyParts.java
@@ -4,46 +4,49 @@
 import java.util.List;
 import java.util.Set;
 
-/** Parts of jobs that differ from their records, the longest waiting first. */
+/**
+ * Parts of jobs that differ from their records and are not being written, the longest waiting
+ * first. Parts with placements are kept apart, as their tasks can't be launched before the write.
+ */
 public final class DirtyParts {
-    private final Set<Job.JobPart> withPlacements = new LinkedHashSet<>();
-    private final Set<Job.JobPart> withOtherChanges = new LinkedHashSet<>();
+    private final Set<JobPart> withPlacements = new LinkedHashSet<>();
+    private final Set<JobPart> withOtherChanges = new LinkedHashSet<>();
 
     void clear() {
         withPlacements.clear();
         withOtherChanges.clear();
     }
 
-    void addPlacement(Job.JobPart part) {
+    void addPlacement(JobPart part) {
         withPlacements.add(part);
     }
 
-    void addChange(Job.JobPart part) {
+    void addChange(JobPart part) {
         withOtherChanges.add(part);
     }
 
-    /** Parts with placings that their records lack; nothing of those may start before. */
-    public List<Job.JobPart> withPlacements() {
+    /** A copy of the parts with placements that their records lack. */
+    public List<JobPart> withPlacements() {
         return List.copyOf(withPlacements);
     }
 
-    /** Parts that differ otherwise. */
-    public List<Job.JobPart> withOtherChanges() {
+    /** A copy of the parts that differ otherwise; some may have placements too. */
+    public List<JobPart> withOtherChanges() {
         return List.copyOf(withOtherChanges);
     }
 
-    /** The part is being written. */
-    public void remove(Job.JobPart part) {
+    /** Removes a part that is being written, or is no more. */
+    public void remove(JobPart part) {
         withPlacements.remove(part);
         withOtherChanges.remove(part);
     }
 
-    /** Has the part written if it differs from its record. */
-    public void enqueueIfDirty(Job.JobPart part) {
+    /** Adds the part where it belongs, after a write of it has succeeded or failed. */
+    public void enqueueIfDirty(JobPart part) {
         if (part.hasUnwrittenPlacement()) {
-            withPlacements.add(part);
+            addPlacement(part);
         } else if (part.isDirty()) {
-            withOtherChanges.add(part);
+            addChange(part);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -264,7 +264,7 @@
                 && status.task() >= 0
                 && status.task() < job.spec.taskCount()
                 && !job.liveAttempts.containsKey(status.task())
-                && !job.doneTasks.get(status.task())
+                && !job.isDone(status.task())
                 && job.isPlaceable(status.task())) {
             // Should not be: counted in and written down before it is stopped, so the task can't
             // run elsewhere.
@@ -327,7 +327,7 @@
     public Map<Machine, List<WorkerCommand>> stopCommands(int most, double now) {
         Map<Machine, List<WorkerCommand>> out = new LinkedHashMap<>();
         for (Job job : shard.jobs().values()) {
-            if (!job.isFinished && job.hasStoppingAttempts == 0) {
+            if (!job.isFinished && job.stoppingAttemptCount == 0) {
                 continue;
             }
             for (Attempt attempt : job.liveAttempts.values()) {
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -1,882 +1,706 @@
 package io.kitepath.core.shard;
 
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.DocumentReader;
-import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.model.JsonSize;
 import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Base64;
 import java.util.BitSet;
 import java.util.Collections;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.SortedMap;
-import java.util.TreeMap;
-import java.util.stream.DoubleStream;
 
-/** A job in the holder's memory: its tasks' progress, and what of that the store knows already. */
+/**
+ * A job in the memory of the shard's leader: what was submitted, how far its tasks are, and what of
+ * that the store has not been told yet.
+ *
+ * <p>This class is the one that others use. The concerns behind it are in classes of their own:
+ * {@link JobTasks} (the state of each task), {@link JobAttempts} (what is on machines), {@link
+ * JobParts} and {@link PartRecord} (what differs from the records, and their form), {@link
+ * JobLoans} (tasks lent to other cells) and {@link JobDemand} (priority, deadlines and start
+ * goals).
+ *
+ * <p>Not thread safe: it belongs to the event loop of the shard.
+ */
 public final class Job {
-    /** What it needs of a record for all but attempts: its names, two numbers. */
-    private static final int PART_BYTES = 110;
-
-    /** An attempt on a machine of its own. */
-    private static final int MAX_ATTEMPT_BYTES = 32;
-
-    private static final double[] NO_DEPENDENTS_DUE = {
-        Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY
-    };
-
-    /**
-     * A slice of the job's tasks, which is one record in the store; revision 0: not written yet.
-     */
-    public static final class JobPart {
-        public final Job job;
-        public final int index;
-        private long revision;
-        private int changedVersion;
-
-        /** The version of the last placing in it. */
-        private int placedVersion;
-
-        private int writtenVersion;
-
-        /**
-         * What its attempts take of its record, in bytes, and how many of them are on each machine.
-         */
-        private int liveBytes;
-
-        private final Map<String, Integer> attemptsPerMachine = new HashMap<>();
-
-        JobPart(Job job, int index) {
-            this.job = job;
-            this.index = index;
-        }
-
-        /** The revision of its record, 0 if there is none. */
-        public long revision() {
-            return revision;
-        }
-
-        /** Whether it differs from its record. */
-        public boolean isDirty() {
-            return changedVersion > writtenVersion;
-        }
-
-        /** Whether a placing in it is not in its record, which nothing may start before. */
-        boolean hasUnwrittenPlacement() {
-            return placedVersion > writtenVersion;
-        }
-
-        /** Nothing about it is in the store, and nothing needs to be. */
-        public void markRecordUnneeded() {
-            writtenVersion = job.version;
-        }
-
-        void markDirty() {
-            changedVersion = job.version;
-        }
-
-        /** An attempt of it is live (1), or no more (-1). */
-        private void countAttempt(Attempt attempt, int sign) {
-            int machines = attemptsPerMachine.merge(attempt.machine.id, sign, Integer::sum);
-            boolean first = sign > 0 ? machines == 1 : machines == 0;
-            if (machines == 0) {
-                attemptsPerMachine.remove(attempt.machine.id);
-            }
-            liveBytes +=
-                    sign
-                            * (JsonSize.digits(attempt.task)
-                                    + JsonSize.digits(attempt.number)
-                                    + 4
-                                    + (first ? attempt.machine.id.length() + 8 : 0));
-        }
-
-        /** Its record holds everything up to that version of the job. */
-        void markWritten(int version, long atRevision) {
-            revision = atRevision;
-            writtenVersion = version;
-        }
-    }
-
     public final JobSpec spec;
 
-    /** Milliseconds since 1970, by the clock of the node that accepted it. */
+    /** Milliseconds since 1970, by the clock of the node that accepted the job. */
     public final double submittedMillis;
 
-    /** The record on which every write about the job depends, and its revision. */
+    /** The key of the record on which every write about the job depends. */
     public final String recordKey;
 
     private long revision;
 
-    /** Whether another cell is its home, which lent some of its tasks to this one. */
+    /** Whether another cell is the job's home, which lent some of its tasks to this one. */
     public final boolean borrowed;
 
-    private JobPart[] partCount;
-    private int tasksPerPart;
-
-    /** What its record says; null of a guest, whose record is its loan's. */
     private JobRecord record;
 
-    /** Jobs that it needs and that are not known to be done. */
-    final Set<String> unmetDependencies = new LinkedHashSet<>();
+    // ---- tasks and attempts ---------------------------------------------------------------------
 
-    /** A job before it is cancelled, so it will be. */
-    boolean hasCancelledDependency;
+    private final JobAttempts attempts = new JobAttempts();
+    private final JobTasks tasks;
 
-    /**
-     * From when on it could start, by the time of day: its submission, or the end of the last job
-     * that it needed.
-     */
-    private double eligibleSinceMillis;
-
-    /** The highest of its own and of all jobs that need it. */
-    private JobSpec.Priority effectivePriority;
+    /** Live attempts by task; read only, changed by {@link #addLive} and {@link #removeLive}. */
+    final SortedMap<Integer, Attempt> liveAttempts = attempts.live();
 
-    /**
-     * By when it has to be done for the jobs that need it, the soonest and the latest that is still
-     * worth it.
-     */
-    private double[] dependentsDueMillis = NO_DEPENDENTS_DUE;
-
-    final BitSet doneTasks = new BitSet();
-
-    /**
-     * Tasks that are not this cell's to place: lent to another, or of a guest those that were not
-     * lent to us.
-     */
-    private final BitSet tasksElsewhere = new BitSet();
+    /** Attempts that are proven over while their part's record does not say so yet. */
+    final List<Attempt> unwrittenEnds = new ArrayList<>();
 
-    /** What of it is lent to other cells; see {@link TaskLoan}. */
-    private final List<TaskLoan> loans = new ArrayList<>();
+    /** How many live attempts are to be stopped. */
+    int stoppingAttemptCount;
 
-    /** The revision of the record of its loans, 0 if there is none. */
-    private long loansRevision;
+    long nextAttempt = 1;
 
-    private boolean writingLoans;
+    /** Done or cancelled; the job is kept only until all its attempts are proven over. */
+    boolean isFinished;
 
-    /** Its user asked to cancel it; it is over once no other cell may run anything of it. */
+    /** The user asked to cancel; done once no other cell can run anything of the job. */
     private boolean isCancelRequested;
 
-    final TreeMap<Integer, Attempt> liveAttempts = new TreeMap<>();
-    private final SortedMap<Integer, Attempt> liveView =
-            Collections.unmodifiableSortedMap(liveAttempts);
+    private final JobParts parts;
+    private final JobLoans loans = new JobLoans();
 
-    /** Proven over, but not written yet. */
-    final List<Attempt> unwrittenEnds = new ArrayList<>();
+    // ---- dependencies and demand ---------------------------------------------------------------
 
-    /** Attempts that are wanted stopped. */
-    int hasStoppingAttempts;
+    /** Dependencies that are not known to be done. */
+    final Set<String> unmetDependencies = new LinkedHashSet<>();
 
-    /** When its tasks have to start to meet what is expected of it, the soonest first. */
-    private double[] startGoalsMillis;
+    /** A dependency was cancelled, so this job has to be cancelled too. */
+    boolean hasCancelledDependency;
 
-    long nextAttempt = 1;
-    private int version = 1;
+    final JobDemand demand;
 
-    /** Done or cancelled; kept only until all attempts are proven over. */
-    boolean isFinished;
+    /** Past all its objectives; set once, when that is counted. */
+    boolean hasMissedAllGoals;
 
-    private boolean isWithinGuarantee;
+    /** Whether a job fitted into its team's guarantee when this leader saw it first. */
+    private enum GuaranteeClaim {
+        UNKNOWN,
+        WITHIN,
+        BEYOND
+    }
 
-    /** Whether it fitted into its team's guarantee when this holder saw it first; null before. */
-    private Boolean fittedOnArrival;
+    private GuaranteeClaim claimOnArrival = GuaranteeClaim.UNKNOWN;
+    private boolean isWithinGuarantee;
 
-    /** Past all that is expected of it, which is counted once. */
-    boolean hasMissedAllGoals;
+    // ---- failures; see FailureDiagnosis ---------------------------------------------------------
 
+    /** In seconds on the steady clock; nothing of the job is placed before. */
     double notBefore;
 
-    /** Machines on which this job's tasks failed, and how often in all. */
+    /** Ids of the machines on which a task of the job failed. */
     final Set<String> failedMachines = new HashSet<>();
 
     int failureCount;
     int successCount;
 
-    /**
-     * Tries that failed in a row since it is held to be mistaken, and the last one's attempt
-     * number.
-     */
+    /** Retries that failed in a row since the job itself is held to be at fault. */
     int failedRetries;
 
+    /** The attempt number of the last of {@link #failedRetries}. */
     long lastFailedRetryNumber;
 
-    /** The longest that a task of it ran before it failed. */
+    /** The longest time that a task of the job ran before it failed. */
     double longestFailedRunSeconds;
 
-    /**
-     * Of this holder's placings and of the starts it saw: how many, when on average, and when the
-     * last one was.
-     */
+    // ---- for display and the log ----------------------------------------------------------------
+
+    /** When this leader placed tasks of the job. */
     final EventTimes placementTimes = new EventTimes();
 
+    /** When this leader saw tasks of the job start to run. */
     final EventTimes startTimes = new EventTimes();
 
-    /** Moments on the steady clock, in seconds. */
-    static final class EventTimes {
-        private int count;
-        private double sum;
-        private double last;
-
-        void add(double at) {
-            count++;
-            sum += at;
-            last = Math.max(last, at);
-        }
-
-        /** How long before {@code now} they were, on average and the last of them. */
-        String describeBefore(double now) {
-            return count == 0
-                    ? "unknown"
-                    : String.format("%.1f (the last %.1f)", now - sum / count, now - last);
-        }
-    }
+    private JobProgress progress;
+    private double progressCountedAt;
 
     /**
-     * @param startWithinS within what time after its submission it has to start to meet each of its
-     *     goals, in seconds
-     * @param key of its open record
+     * @param submittedMillis in milliseconds since 1970
+     * @param startWithinSeconds within what time after its submission it has to start to meet each
+     *     of its objectives
+     * @param recordKey of its open record
      * @param revision of its open record
-     * @param partSize tasks in one part
      */
     public Job(
             JobSpec spec,
-            double submittedMs,
-            double[] startWithinS,
-            String key,
+            double submittedMillis,
+            double[] startWithinSeconds,
+            String recordKey,
             long revision,
-            int partSize) {
-        this(spec, submittedMs, startWithinS, key, revision, partSize, false);
+            int tasksPerPart) {
+        this(
+                new JobRecord(spec, submittedMillis, List.of(), 0, 0),
+                startWithinSeconds,
+                recordKey,
+                revision,
+                tasksPerPart,
+                false);
     }
 
     private Job(
-            JobSpec spec,
-            double submittedMs,
-            double[] startWithinS,
-            String key,
+            JobRecord record,
+            double[] startWithinSeconds,
+            String recordKey,
             long revision,
-            int partSize,
-            boolean guest) {
-        this.spec = spec;
-        this.recordKey = key;
-        this.borrowed = guest;
-        this.submittedMillis = submittedMs;
-        this.eligibleSinceMillis = submittedMs;
-        this.effectivePriority = spec.priority();
-        this.startGoalsMillis =
-                Arrays.stream(startWithinS).map(g -> submittedMs + g * 1000).toArray();
+            int tasksPerPart,
+            boolean borrowed) {
+        this.record = record;
+        this.spec = record.spec();
+        this.submittedMillis = record.submittedMillis();
+        this.recordKey = recordKey;
         this.revision = revision;
-        createParts(partSize);
-    }
-
-    private void createParts(int tasks) {
-        tasksPerPart = tasks;
-        partCount = new JobPart[(spec.taskCount() + tasksPerPart - 1) / tasksPerPart];
-        for (int i = 0; i < partCount.length; i++) {
-            partCount[i] = new JobPart(this, i);
-        }
+        this.borrowed = borrowed;
+        this.tasks = new JobTasks(spec.taskCount(), liveAttempts);
+        this.demand = new JobDemand(spec, submittedMillis, startWithinSeconds);
+        this.parts = new JobParts(this, tasksPerPart);
     }
 
     /**
-     * A job of this cell.
+     * A job whose home is this cell.
      *
-     * @param partTasks how many tasks are in one part where the record does not say
+     * @param key of its open record
+     * @param revision of its open record
+     * @param defaultTasksPerPart the size of a part where the record does not say
      */
     public static Job of(
-            JobRecord record, ClusterSettings settings, String key, long revision, int partTasks) {
+            JobRecord record,
+            ClusterSettings settings,
+            String key,
+            long revision,
+            int defaultTasksPerPart) {
         Job job =
                 new Job(
-                        record.spec(),
-                        record.submittedMillis(),
+                        record,
                         settings.startDeadlinesSeconds(record.spec()),
                         key,
                         revision,
-                        record.tasksPerPart() > 0 ? record.tasksPerPart() : partTasks,
+                        record.tasksPerPart() > 0 ? record.tasksPerPart() : defaultTasksPerPart,
                         false);
-        job.record = record;
         job.raiseNextAttempt(record.nextAttempt());
         return job;
     }
 
-    /** What its record says, as of its acceptance or its last lay-out. */
-    public JobRecord record() {
-        return record != null ? record : new JobRecord(spec, submittedMillis, List.of(), 0, 0);
-    }
-
-    /** The revision of the record on which every write about the job depends. */
-    public long revision() {
-        return revision;
-    }
-
     /**
-     * Tasks {@code from} to before {@code until} of a job whose home is another cell; {@code key}:
-     * of that loan.
+     * The tasks from {@code firstTask} to before {@code endTask} of a job whose home is another
+     * cell.
+     *
+     * @param key of the record of the loan
+     * @param revision of the record of the loan
      */
     public static Job borrowed(
             JobSpec spec,
-            double submittedMs,
-            double[] startWithinS,
+            double submittedMillis,
+            double[] startWithinSeconds,
             String key,
             long revision,
-            int partSize,
-            int from,
-            int until) {
-        Job job = new Job(spec, submittedMs, startWithinS, key, revision, partSize, true);
-        job.tasksElsewhere.set(0, from);
-        job.tasksElsewhere.set(until, spec.taskCount());
+            int tasksPerPart,
+            int firstTask,
+            int endTask) {
+        Job job =
+                new Job(
+                        new JobRecord(spec, submittedMillis, List.of(), 0, 0),
+                        startWithinSeconds,
+                        key,
+                        revision,
+                        tasksPerPart,
+                        true);
+        job.tasks.markElsewhere(0, firstTask);
+        job.tasks.markElsewhere(endTask, spec.taskCount());
         return job;
     }
 
-    public boolean isFinished() {
-        return isFinished;
+    /**
+     * What the job's record says, as of its acceptance or its last migration; of a borrowed job,
+     * which has no such record, what it would say.
+     */
+    public JobRecord record() {
+        return record;
     }
 
-    /** Its loans, in the order of their numbers. */
-    public List<TaskLoan> loans() {
-        return Collections.unmodifiableList(loans);
+    /** The store revision of the record at {@link #recordKey}. */
+    public long revision() {
+        return revision;
     }
 
-    public long loansRevision() {
-        return loansRevision;
+    /** Whether the job is done or cancelled in the store. */
+    public boolean isFinished() {
+        return isFinished;
     }
 
-    public void setLoansRevision(long atRevision) {
-        loansRevision = atRevision;
+    /** Whether the user asked to cancel the job, so that nothing more of it is placed. */
+    public boolean isCancelRequested() {
+        return isCancelRequested;
     }
 
-    /** From now on these tasks are not placed here. None of them may be done or on a machine. */
-    public void lend(TaskLoan loan) {
-        version++;
-        loans.add(loan);
-        tasksElsewhere.set(loan.firstTask, loan.endTask);
+    public void requestCancel() {
+        isCancelRequested = true;
     }
 
-    /**
-     * What the other cell's store says is over: its tasks are done, or ours to place again. It
-     * stays on the record until {@link #forgetLoan}.
-     */
-    public void closeLoan(TaskLoan loan, BitSet doneOfIt) {
-        loan.isClosed = true;
-        tasksElsewhere.clear(loan.firstTask, loan.endTask);
-        version++;
-        for (int i = doneOfIt.nextSetBit(0);
-                i >= 0 && i < loan.taskCount();
-                i = doneOfIt.nextSetBit(i + 1)) {
-            doneTasks.set(loan.firstTask + i);
-            partCount[partOf(loan.firstTask + i)].markDirty();
-        }
+    // ---- tasks ----------------------------------------------------------------------------------
+
+    public boolean isDone(int task) {
+        return tasks.isDone(task);
     }
 
-    /** The store has no record of it any more. */
-    public void forgetLoan(TaskLoan loan) {
-        loans.remove(loan);
+    void markDone(int task) {
+        tasks.markDone(task);
     }
 
-    /** Its record of loans is being written by whoever keeps them. */
-    public boolean writingLoans() {
-        return writingLoans;
+    void markAllDone() {
+        tasks.markAllDone();
     }
 
-    public void writingLoans(boolean so) {
-        writingLoans = so;
+    public int doneTaskCount() {
+        return tasks.doneCount();
     }
 
     /**
-     * The next attempt's number is at least that one, which another cell's attempts have not
-     * reached.
+     * A bit per task from {@code firstTask} to before {@code endTask}, counted from the first one,
+     * as {@link BitSet#toByteArray} has them: set if the task is done.
      */
-    public void raiseNextAttempt(long number) {
-        nextAttempt = Math.max(nextAttempt, number);
+    public byte[] doneBitsOf(int firstTask, int endTask) {
+        return tasks.doneBetween(firstTask, endTask).toByteArray();
     }
 
-    public long nextAttempt() {
-        return nextAttempt;
+    /** How many tasks are not done; of a borrowed job only those that were lent to this cell. */
+    public int unfinishedTasks() {
+        return spec.taskCount() - tasks.doneCount() - (borrowed ? tasks.elsewhereCount() : 0);
     }
 
-    /**
-     * Of the tasks from that one to before the other, those that are done, counted from the first.
-     */
-    public byte[] doneBitsOf(int from, int until) {
-        return doneTasks.get(from, until).toByteArray();
+    /** Whether no task is left; never of a service, whose tasks have no end. */
+    public boolean areAllTasksDone() {
+        return spec.shape() != JobSpec.Shape.SERVICE && unfinishedTasks() == 0;
     }
 
-    public boolean isCancelRequested() {
-        return isCancelRequested;
+    /** Whether the task is this cell's to place, and neither done nor on a machine. */
+    public boolean isPlaceable(int task) {
+        return tasks.isWaiting(task);
     }
 
-    /** Its user wants it cancelled: nothing more of it is placed. */
-    public void requestCancel() {
-        isCancelRequested = true;
+    /** How many tasks wait to be placed; none while the job as a whole may not start. */
+    public int waitingTasks() {
+        return isFinished || isCancelRequested || isHeld() || areAllTasksDone()
+                ? 0
+                : tasks.waitingCount();
     }
 
-    /** Its tasks that are this cell's and not done, or lent. */
-    public int unfinishedTasks() {
-        return spec.taskCount()
-                - doneTasks.cardinality()
-                - (borrowed ? tasksElsewhere.cardinality() : 0);
+    /** The first {@link #isPlaceable placeable} task from {@code firstTask} on, or -1. */
+    public int nextWaitingTask(int firstTask) {
+        return tasks.nextWaiting(firstTask);
     }
 
-    public boolean isDone(int task) {
-        return doneTasks.get(task);
+    /** Whether any task has run, or was seen on a machine, as far as this leader knows. */
+    public boolean hasStarted() {
+        return !startTimes.isEmpty() || tasks.doneCount() > 0 || attempts.isAnySeen();
     }
 
-    /** Whether the task is this cell's to place. */
-    public boolean isPlaceable(int task) {
-        return !doneTasks.get(task) && !tasksElsewhere.get(task) && !liveAttempts.containsKey(task);
-    }
+    // ---- attempts -------------------------------------------------------------------------------
 
-    /** How many goals there are for its start, the soonest first. */
-    public int startGoalCount() {
-        return startGoalsMillis.length;
+    /** The number that the job's next attempts get; higher than all before, in any cell. */
+    public long nextAttempt() {
+        return nextAttempt;
     }
 
-    /** By when its tasks have to start to meet that goal, in milliseconds since 1970. */
-    public double startGoalMillis(int goal) {
-        return startGoalsMillis[goal];
+    /** Makes the next attempt's number at least this one. */
+    public void raiseNextAttempt(long number) {
+        nextAttempt = Math.max(nextAttempt, number);
     }
 
-    /** Whether it is past all that is expected of it. */
-    public boolean hasMissedAllGoals() {
-        return hasMissedAllGoals;
+    /** The attempts that are not proven over, by task; read only. */
+    public SortedMap<Integer, Attempt> liveAttempts() {
+        return liveAttempts;
     }
 
-    /** Whether it is known if it fitted into its team's guarantee when it came. */
-    public boolean isGuaranteeClaimKnown() {
-        return fittedOnArrival != null;
+    /** A copy of the part's live attempts, by task. */
+    public List<Attempt> liveAttemptsInPart(int part) {
+        return new ArrayList<>(attempts.liveBetween(parts.firstTask(part), parts.endTask(part)));
     }
 
-    public void setGuaranteeClaim(boolean fits) {
-        fittedOnArrival = fits;
+    /** Whether some live attempts are to be stopped. */
+    public boolean hasStoppingAttempts() {
+        return stoppingAttemptCount > 0;
     }
 
-    public boolean wasWithinGuaranteeOnArrival() {
-        return Boolean.TRUE.equals(fittedOnArrival);
+    void addLive(Attempt attempt) {
+        attempts.add(attempt);
+        parts.countLive(attempt);
     }
 
-    /**
-     * Whether it fits into its team's guarantee together with the team's earlier unfinished jobs.
-     */
-    public boolean isWithinGuarantee() {
-        return isWithinGuarantee;
+    void removeLive(Attempt attempt) {
+        if (attempts.remove(attempt)) {
+            parts.uncountLive(attempt);
+        }
     }
 
-    public void setWithinGuarantee(boolean within) {
-        isWithinGuarantee = within;
+    /** Ids of the machines on which a task of the job failed; read only. */
+    public Set<String> failedMachines() {
+        return Collections.unmodifiableSet(failedMachines);
     }
 
-    /** The lower, the sooner served: work within its team's guarantee first, then by priority. */
-    public int queueRank() {
-        return (isWithinGuarantee ? 0 : JobSpec.Priority.values().length)
-                + effectivePriority.ordinal();
+    /** Seconds on the steady clock before which nothing of the job is placed. */
+    public double notBefore() {
+        return notBefore;
     }
 
-    // ---- jobs before it, and behind it ----------------------------------------------------------
+    // ---- dependencies ---------------------------------------------------------------------------
 
-    /** Jobs that have to be done before any of its tasks starts. */
+    /** Ids of the jobs that have to be done before any task of this one starts. */
     public List<String> dependencies() {
-        return record == null ? List.of() : record.dependencies();
+        return record.dependencies();
     }
 
-    /** Those of them that are not known to be done. */
+    /** Those of them that are not known to be done; read only. */
     public Set<String> unmetDependencies() {
         return Collections.unmodifiableSet(unmetDependencies);
     }
 
-    /** Whether it can't start yet, or ever, for the jobs that it needs. */
+    /** Whether the job can't start yet, or ever, because of its dependencies. */
     public boolean isHeld() {
         return hasCancelledDependency || !unmetDependencies.isEmpty();
     }
 
-    /** Whether a job before it is cancelled, so that it has to be cancelled too. */
+    /** Whether a dependency was cancelled, so that this job has to be cancelled too. */
     public boolean hasCancelledDependency() {
         return hasCancelledDependency;
     }
 
-    /** From when on it could start, in milliseconds since 1970. */
+    // ---- priority, deadlines and start goals ----------------------------------------------------
+
+    /**
+     * Since when the job could start, in milliseconds since 1970: its submission, or the end of the
+     * last of its dependencies.
+     */
     public double eligibleSinceMillis() {
-        return eligibleSinceMillis;
+        return demand.eligibleSinceMillis();
     }
 
-    /** For how many seconds after its submission it waited for others. */
+    /** For how many seconds after its submission the job was held by its dependencies. */
     public double heldSeconds() {
-        return (eligibleSinceMillis - submittedMillis) / 1000;
+        return demand.heldSeconds();
     }
 
-    /** The highest of its own and of all jobs that need it: the one that counts. */
+    /** The highest priority of the job itself and of all jobs that depend on it. */
     public JobSpec.Priority effectivePriority() {
-        return effectivePriority;
+        return demand.effectivePriority();
     }
 
-    /** Whether a deadline counts for it: its own, or one of a job that needs it. */
+    /** Whether a deadline counts for the job: its own, or one of a job that depends on it. */
     public boolean hasDeadline() {
-        return spec.deadlineSeconds() != null || dependentsDueMillis != NO_DEPENDENTS_DUE;
+        return demand.hasDeadline();
     }
 
     /**
-     * By when it should be done for the sake of a deadline, in milliseconds since 1970; infinite
-     * without one.
+     * By when the job should be done for the sake of a deadline, in milliseconds since 1970;
+     * infinite without one.
      */
     public double dueMillis() {
-        double own =
-                spec.deadlineSeconds() == null
-                        ? Double.POSITIVE_INFINITY
-                        : submittedMillis + 1000 * spec.deadlineSeconds();
-        return Math.min(own, dependentsDueMillis[0]);
+        return demand.dueMillis();
     }
 
-    double[] dependentsDueMillis() {
-        return dependentsDueMillis;
+    /** How many goals there are for the start of its tasks. */
+    public int startGoalCount() {
+        return demand.startGoalCount();
     }
 
-    /** The last job that it needed was done then. */
-    void becomeEligible(double atMs, ClusterSettings settings) {
-        eligibleSinceMillis = Math.max(submittedMillis, atMs);
-        recomputeStartGoals(settings);
+    /**
+     * By when its tasks have to start to meet a goal, in milliseconds since 1970.
+     *
+     * @param goal from 0, the soonest first
+     */
+    public double startGoalMillis(int goal) {
+        return demand.startGoalMillis(goal);
     }
 
-    /** What the jobs that need it ask of it; returns whether that is news. */
-    boolean applyDependentsDemand(
-            JobSpec.Priority highest, double[] endByMs, ClusterSettings settings) {
-        if (highest == effectivePriority && Arrays.equals(endByMs, dependentsDueMillis)) {
-            return false;
-        }
-        effectivePriority = highest;
-        dependentsDueMillis =
-                Arrays.equals(endByMs, NO_DEPENDENTS_DUE) ? NO_DEPENDENTS_DUE : endByMs;
-        recomputeStartGoals(settings);
-        return true;
-    }
-
-    private void recomputeStartGoals(ClusterSettings settings) {
-        double[] own =
-                Arrays.stream(settings.startDeadlinesSeconds(spec, heldSeconds()))
-                        .map(g -> submittedMillis + g * 1000)
-                        .toArray();
-        if (dependentsDueMillis == NO_DEPENDENTS_DUE) {
-            startGoalsMillis = own;
-            return;
-        }
-        // What its own class is expected to do, and what those behind it need; what is only a habit
-        // goes.
-        boolean expected =
-                spec.deadlineSeconds() != null
-                        || settings.objectives().stream()
-                                .anyMatch(
-                                        objective -> objective.jobClass().equals(spec.jobClass()));
-        double[] behind =
-                Arrays.stream(dependentsDueMillis)
-                        .map(ms -> ms - spec.estimatedSeconds() * 1000)
-                        .distinct()
-                        .toArray();
-        startGoalsMillis =
-                DoubleStream.concat(
-                                Arrays.stream(behind),
-                                expected ? Arrays.stream(own) : DoubleStream.empty())
-                        .sorted()
-                        .toArray();
-    }
-
-    // ---- records --------------------------------------------------------------------------------
+    /** Whether the job is past all its objectives. */
+    public boolean hasMissedAllGoals() {
+        return hasMissedAllGoals;
+    }
 
-    /**
-     * Whether one more attempt of the task can be on record: its part's record would hold that many
-     * bytes at most.
-     */
-    public boolean fitsRecord(int task, int bytes) {
-        return partBytes(partOf(task)) + MAX_ATTEMPT_BYTES <= bytes;
+    // ---- its team's guarantee -------------------------------------------------------------------
+
+    /** Whether it is known if the job fitted into its team's guarantee when it came. */
+    public boolean isGuaranteeClaimKnown() {
+        return claimOnArrival != GuaranteeClaim.UNKNOWN;
     }
 
-    /** The last task in the part that this task is in. */
-    public int lastOfPart(int task) {
-        return (partOf(task) + 1) * tasksPerPart - 1;
+    public void setGuaranteeClaim(boolean fits) {
+        claimOnArrival = fits ? GuaranteeClaim.WITHIN : GuaranteeClaim.BEYOND;
     }
 
-    /** At least the bytes of the part's record as it is now. */
-    public int partBytes(int part) {
-        return PART_BYTES + (tasksPerPart + 7) / 8 * 4 / 3 + 4 + partCount[part].liveBytes;
+    /** Whether the job is known to have fitted into its team's guarantee when it came. */
+    public boolean wasWithinGuaranteeOnArrival() {
+        return claimOnArrival == GuaranteeClaim.WITHIN;
     }
 
     /**
-     * Whether all tasks of each part may be on machines of their own and its record still has that
-     * many bytes at most.
+     * Whether the job fits into its team's guarantee together with the team's earlier unfinished
+     * jobs.
      */
-    boolean allTasksFitRecords(int bytes) {
-        return allTasksFitRecords(spec, tasksPerPart, bytes);
+    public boolean isWithinGuarantee() {
+        return isWithinGuarantee;
     }
 
-    /** The same for a job that is not there yet. */
-    public static boolean allTasksFitRecords(JobSpec spec, int partTasks, int bytes) {
-        int at = Math.min(spec.taskCount(), partTasks);
-        return PART_BYTES + (partTasks + 7) / 8 * 4 / 3 + 4 + at * MAX_ATTEMPT_BYTES <= bytes;
+    public void setWithinGuarantee(boolean within) {
+        isWithinGuarantee = within;
     }
 
-    /** Whether its parts hold no more than so many tasks. */
-    boolean hasPartsOfAtMost(int tasks) {
-        return tasksPerPart <= tasks;
+    /**
+     * The job's rank in the scheduling queue, the lowest first: work within its team's guarantee
+     * before all other, then by priority.
+     */
+    public int queueRank() {
+        return (isWithinGuarantee ? 0 : JobSpec.Priority.values().length)
+                + effectivePriority().ordinal();
     }
 
-    void addLive(Attempt attempt) {
-        liveAttempts.put(attempt.task, attempt);
-        partCount[partOf(attempt.task)].countAttempt(attempt, 1);
+    // ---- loans to other cells -------------------------------------------------------------------
+
+    /** The job's loans in the order of their numbers; read only. */
+    public List<TaskLoan> loans() {
+        return loans.all();
     }
 
-    void removeLive(Attempt attempt) {
-        if (liveAttempts.remove(attempt.task, attempt)) {
-            partCount[partOf(attempt.task)].countAttempt(attempt, -1);
-        }
+    /** The store revision of the record of its loans, 0 if there is none. */
+    public long loansRevision() {
+        return loans.revision();
     }
 
-    /**
-     * Its record was written anew at that revision; nothing is known of its parts' records until
-     * they are told.
-     */
-    public void applyMigration(JobRecord anew, long atRevision) {
-        record = anew;
-        revision = atRevision;
-        createParts(anew.tasksPerPart());
-        liveAttempts
-                .values()
-                .forEach(attempt -> partCount[partOf(attempt.task)].countAttempt(attempt, 1));
+    public void setLoansRevision(long atRevision) {
+        loans.setRevision(atRevision);
     }
 
-    /** Seconds on the steady clock before which nothing of it is placed. */
-    public double notBefore() {
-        return notBefore;
+    /** Whether the record of its loans is being written. */
+    public boolean writingLoans() {
+        return loans.isBeingWritten();
     }
 
-    /** Its attempts that are not proven over, by task. */
-    public SortedMap<Integer, Attempt> liveAttempts() {
-        return liveView;
+    public void writingLoans(boolean isBeingWritten) {
+        loans.setBeingWritten(isBeingWritten);
     }
 
-    /** Whether some of its attempts are wanted stopped. */
-    public boolean hasStoppingAttempts() {
-        return hasStoppingAttempts > 0;
+    /** Stops placing these tasks here. None of them may be done or on a machine. */
+    public void lend(TaskLoan loan) {
+        parts.advanceVersion();
+        loans.add(loan);
+        tasks.markElsewhere(loan.firstTask, loan.endTask);
     }
 
-    /** Machines on which its tasks failed. */
-    public Set<String> failedMachines() {
-        return Collections.unmodifiableSet(failedMachines);
+    /**
+     * Takes back a loan that the other cell's store says is over: its tasks are done, or this
+     * cell's to place again. The loan stays on the record until {@link #forgetLoan}.
+     *
+     * @param doneInLoan a bit per task that is done, counted from the loan's first task
+     */
+    public void closeLoan(TaskLoan loan, BitSet doneInLoan) {
+        loan.isClosed = true;
+        tasks.markHere(loan.firstTask, loan.endTask);
+        parts.advanceVersion();
+        for (int i = doneInLoan.nextSetBit(0);
+                i >= 0 && i < loan.taskCount();
+                i = doneInLoan.nextSetBit(i + 1)) {
+            tasks.markDone(loan.firstTask + i);
+            parts.markDirtyInVersion(loan.firstTask + i);
+        }
     }
 
-    public int doneTaskCount() {
-        return doneTasks.cardinality();
+    /** Drops a loan that the store has no record of any more. */
+    public void forgetLoan(TaskLoan loan) {
+        loans.remove(loan);
     }
 
+    // ---- parts and what differs from their records ----------------------------------------------
+
+    /** Rises with every change that the records have to follow. */
     public int version() {
-        return version;
+        return parts.version();
     }
 
-    public JobPart part(int index) {
-        return partCount[index];
+    public int partCount() {
+        return parts.count();
     }
 
-    /** How many parts it has. */
-    public int partCount() {
-        return partCount.length;
+    public JobPart part(int index) {
+        return parts.get(index);
     }
 
     List<JobPart> allParts() {
-        return List.of(partCount);
+        return parts.all();
     }
 
+    /** The index of the part that the task is in. */
     public int partOf(int task) {
-        return task / tasksPerPart;
+        return parts.indexOf(task);
     }
 
-    /** The part that the task is in differs from its record now. */
+    /** The last task of the part that the task is in; may be beyond the job's last task. */
+    public int lastOfPart(int task) {
+        return parts.endTask(parts.indexOf(task)) - 1;
+    }
+
+    boolean hasPartsOfAtMost(int taskCount) {
+        return parts.tasksPerPart() <= taskCount;
+    }
+
+    /** Marks the part that the task is in as differing from its record, and returns it. */
     JobPart markDirty(int task) {
-        version++;
-        JobPart part = partCount[partOf(task)];
-        part.markDirty();
-        return part;
+        return parts.markDirty(task);
     }
 
     JobPart markPartDirty(int index) {
-        return markDirty(index * tasksPerPart);
+        return parts.markDirty(parts.firstTask(index));
     }
 
-    /** The same for all its parts. */
     void markAllDirty() {
-        version++;
-        for (JobPart part : partCount) {
-            part.markDirty();
-        }
+        parts.markAllDirty();
     }
 
-    /** The part that the task is in has a placing which its record lacks. */
+    /** Marks the part that the task is in as having a placement that its record lacks. */
     JobPart markPlacementDirty(int task) {
-        JobPart part = markDirty(task);
-        part.placedVersion = version;
-        return part;
+        return parts.markPlacementDirty(task);
     }
 
-    public boolean areAllTasksDone() {
-        return spec.shape() != JobSpec.Shape.SERVICE && unfinishedTasks() == 0;
+    /** Whether the store has any record about the job's tasks. */
+    public boolean hasPartRecords() {
+        return parts.hasRecords();
     }
 
-    private JobProgress progress;
-    private double progressCountedAt;
-
-    /** Counted at most once in {@code everyS}: guards against a large job that many ask about. */
-    JobProgress progress(double now, double everyS, PendingReasons notes) {
-        if (progress == null || now - progressCountedAt > everyS) {
-            int running =
-                    (int)
-                            liveAttempts.values().stream()
-                                    .filter(attempt -> attempt.state == Heartbeat.TaskState.RUNNING)
-                                    .count();
-            progress =
-                    new JobProgress(
-                            spec.id(), doneTasks.cardinality(), running, notes.describe(this, now));
-            progressCountedAt = now;
-        }
-        return progress;
+    /**
+     * The job's record was written anew with another size of its parts. The revisions of the parts'
+     * records are unknown until {@link JobPart#markWritten}.
+     */
+    public void applyMigration(JobRecord migrated, long atRevision) {
+        record = migrated;
+        revision = atRevision;
+        parts.recreate(migrated.tasksPerPart(), liveAttempts.values());
     }
 
+    // ---- the records of its parts ---------------------------------------------------------------
+
     /**
-     * For the log, in seconds: how long it took, and how long before its end its tasks were placed
-     * and began.
+     * Whether one more attempt of the task can be on record, with its part's record at most {@code
+     * maxRecordBytes} long.
      */
-    public String describeTimings(double now, double wallMs) {
-        String deadline =
-                spec.deadlineSeconds() == null
-                        ? ""
-                        : String.format(" of %.1f", spec.deadlineSeconds());
-        return String.format(
-                "%s, %d tasks of %.0f s, after %.1f s%s; placed %s, begun %s before",
-                spec.jobClass(),
-                spec.taskCount(),
-                spec.estimatedSeconds(),
-                (wallMs - submittedMillis) / 1000,
-                deadline,
-                placementTimes.describeBefore(now),
-                startTimes.describeBefore(now));
+    public boolean fitsRecord(int task, int maxRecordBytes) {
+        return parts.fitsRecord(task, maxRecordBytes);
     }
 
-    /** Whether any of its tasks has run, or was seen on a machine, as far as this holder knows. */
-    public boolean hasStarted() {
-        return startTimes.count > 0
-                || doneTasks.cardinality() > 0
-                || liveAttempts.values().stream().anyMatch(attempt -> attempt.isSeen);
+    /** An upper bound of the bytes of the part's record as it is now. */
+    public int partBytes(int part) {
+        return parts.recordBytes(part);
     }
 
-    /** Whether the store still has anything about its tasks. */
-    public boolean hasPartRecords() {
-        for (JobPart part : partCount) {
-            if (part.revision > 0) {
-                return true;
-            }
-        }
-        return false;
+    /**
+     * Whether all tasks may be on machines of their own at once, with each part's record at most
+     * {@code maxRecordBytes} long.
+     */
+    boolean allTasksFitRecords(int maxRecordBytes) {
+        return allTasksFitRecords(spec, parts.tasksPerPart(), maxRecordBytes);
     }
 
-    public int waitingTasks() {
-        return isFinished || isCancelRequested || isHeld() || areAllTasksDone()
-                ? 0
-                : spec.taskCount()
-                        - doneTasks.cardinality()
-                        - tasksElsewhere.cardinality()
-                        - liveAttempts.size();
-    }
-
-    /** The first task from {@code from} on that is neither done nor placed, or -1. */
-    public int nextWaitingTask(int from) {
-        for (int t = doneTasks.nextClearBit(from);
-                t < spec.taskCount();
-                t = doneTasks.nextClearBit(t + 1)) {
-            if (!liveAttempts.containsKey(t) && !tasksElsewhere.get(t)) {
-                return t;
-            }
-        }
-        return -1;
+    /** The same for a job that does not exist yet. */
+    public static boolean allTasksFitRecords(JobSpec spec, int tasksPerPart, int maxRecordBytes) {
+        return JobParts.allTasksFitRecords(spec, tasksPerPart, maxRecordBytes);
     }
 
-    public List<Attempt> liveAttemptsInPart(int part) {
-        return new ArrayList<>(
-                liveAttempts.subMap(part * tasksPerPart, (part + 1) * tasksPerPart).values());
+    /** The record of the part as it is now; see {@link PartRecord}. */
+    public Map<String, Object> partRecord(int part) {
+        return partRecord(part, parts.tasksPerPart());
     }
 
-    public Map<String, Object> partRecord(int part) {
-        return partRecord(part, tasksPerPart);
-    }
-
-    /** The same of a part that holds so many tasks; null if there is nothing to say in it. */
-    public Map<String, Object> partRecordOf(int part, int tasks) {
-        boolean said =
-                !liveAttempts.subMap(part * tasks, (part + 1) * tasks).isEmpty()
-                        || doneTasks.nextSetBit(part * tasks) >= 0
-                                && doneTasks.nextSetBit(part * tasks) < (part + 1) * tasks;
-        return said ? partRecord(part, tasks) : null;
-    }
-
-    private Map<String, Object> partRecord(int part, int tasks) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("next", nextAttempt);
-        int from = part * tasks;
-        BitSet bits = doneTasks.get(from, Math.min(spec.taskCount(), from + tasks));
-        m.put("done", Base64.getEncoder().encodeToString(bits.toByteArray()));
-        Map<String, List<Object>> on = new HashMap<>();
-        for (Attempt attempt : liveAttempts.subMap(from, from + tasks).values()) {
-            List<Object> l = on.computeIfAbsent(attempt.machine.id, key -> new ArrayList<>());
-            l.add((long) attempt.task);
-            l.add(attempt.number);
-        }
-        Map<String, Object> live = new LinkedHashMap<>();
-        on.keySet().stream()
-                .sorted(Comparator.naturalOrder())
-                .forEach(key -> live.put(key, on.get(key)));
-        m.put("live", live);
-        if (!dependencies().isEmpty()) {
-            m.put("ready", eligibleSinceMillis);
-        }
-        return m;
+    /**
+     * The record of a part if parts had {@code tasksPerPart} tasks, or null if the part has neither
+     * done tasks nor attempts and needs no record.
+     */
+    public Map<String, Object> partRecordOf(int part, int tasksPerPart) {
+        int firstTask = part * tasksPerPart;
+        int endTask = (part + 1) * tasksPerPart;
+        boolean isEmpty =
+                attempts.liveBetween(firstTask, endTask).isEmpty()
+                        && !tasks.isAnyDoneBetween(firstTask, endTask);
+        return isEmpty ? null : partRecord(part, tasksPerPart);
+    }
+
+    private Map<String, Object> partRecord(int part, int tasksPerPart) {
+        int firstTask = part * tasksPerPart;
+        int endTask = firstTask + tasksPerPart;
+        return PartRecord.toRecord(
+                nextAttempt,
+                tasks.doneBetween(firstTask, Math.min(spec.taskCount(), endTask)),
+                attempts.liveBetween(firstTask, endTask),
+                dependencies().isEmpty()
+                        ? OptionalDouble.empty()
+                        : OptionalDouble.of(eligibleSinceMillis()));
     }
 
     /**
-     * How far the records of a job's parts say that it is: tasks done, and placed, running or not.
+     * Takes over a part's done tasks and the attempt counter from its record. The attempts are for
+     * the caller, which knows the machines: task and attempt number in turn, by machine id.
+     *
+     * @throws io.kitepath.core.model.InvalidInputException if it is not a part's record
      */
-    public static JobProgress hasPartRecords(String id, List<Object> records) {
-        int done = 0;
-        int placed = 0;
-        for (Object record : records) {
-            DocumentReader document = DocumentReader.of(record);
-            done += decodeDoneBits(document).cardinality();
-            for (Object on : ((Map<?, ?>) document.raw("live")).values()) {
-                placed += ((List<?>) on).size() / 2;
-            }
+    Map<?, ?> readPart(int part, Object value, long partRevision) {
+        PartRecord partRecord = PartRecord.of(value);
+        parts.get(part).markFound(partRevision);
+        raiseNextAttempt(partRecord.nextAttempt());
+        BitSet done = partRecord.doneTasks();
+        for (int i = done.nextSetBit(0); i >= 0; i = done.nextSetBit(i + 1)) {
+            tasks.markDone(parts.firstTask(part) + i);
         }
-        return new JobProgress(id, done, placed, null);
+        // A part has a record only once some task was placed, so all dependencies are done.
+        unmetDependencies.clear();
+        demand.restoreEligibleSince(partRecord.eligibleSinceMillis());
+        return partRecord.liveByMachine();
     }
 
-    private static BitSet decodeDoneBits(DocumentReader part) {
-        return BitSet.valueOf(Base64.getDecoder().decode(part.text("done")));
-    }
+    // ---- for display and the log ----------------------------------------------------------------
 
     /**
-     * Reads a part's done bits and attempt counter; the attempts are for the caller, which knows
-     * the machines.
+     * The job's progress, counted anew at most once in {@code everySeconds}, as a job may have many
+     * tasks and many who ask.
+     *
+     * @param now in seconds on the steady clock
      */
-    Map<?, ?> readPart(int part, Object record, long partRevision) {
-        DocumentReader document = DocumentReader.of(record);
-        partCount[part].revision = partRevision;
-        nextAttempt = Math.max(nextAttempt, document.count("next"));
-        BitSet bits = decodeDoneBits(document);
-        for (int i = bits.nextSetBit(0); i >= 0; i = bits.nextSetBit(i + 1)) {
-            doneTasks.set(part * tasksPerPart + i);
+    JobProgress progress(double now, double everySeconds, PendingReasons pendingReasons) {
+        if (progress == null || now - progressCountedAt > everySeconds) {
+            progress =
+                    new JobProgress(
+                            spec.id(),
+                            tasks.doneCount(),
+                            attempts.runningCount(),
+                            pendingReasons.describe(this, now).orElse(null));
+            progressCountedAt = now;
         }
-        // It was placed, so all that it needs is done.
-        unmetDependencies.clear();
-        eligibleSinceMillis = Math.max(eligibleSinceMillis, document.numberOr("ready", 0, 0));
-        return document.raw("live") instanceof Map<?, ?> m ? m : Map.of();
+        return progress;
+    }
+
+    /**
+     * For the log, in seconds: how long the job took, and how long before its end its tasks were
+     * placed and began.
+     *
+     * @param now in seconds on the steady clock
+     * @param wallMillis in milliseconds since 1970
+     */
+    public String describeTimings(double now, double wallMillis) {
+        String deadline =
+                spec.deadlineSeconds() == null
+                        ? ""
+                        : String.format(" of %.1f", spec.deadlineSeconds());
+        return String.format(
+                "%s, %d tasks of %.0f s, after %.1f s%s; placed %s, begun %s before",
+                spec.jobClass(),
+                spec.taskCount(),
+                spec.estimatedSeconds(),
+                (wallMillis - submittedMillis) / 1000,
+                deadline,
+                placementTimes.describeBefore(now),
+                startTimes.describeBefore(now));
     }
 }
--- a/src/main/java/io/kitepath/core/shard/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -15,26 +15,28 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Which open jobs wait for which. A job starts only when the store has it that each job that it
- * needs is done; it is cancelled when the store has it that one of them is cancelled. Neither
- * progress nor anybody's word counts, and nothing is remembered from before: a new holder finds out
- * anew how the needed jobs ended that are not open any more.
+ * The dependency graph of the open jobs.
  *
- * <p>It also keeps what the jobs that wait ask of those before them: the highest priority, and by
- * when they have to be done. Both are worked out as jobs come and end, along what changes by it,
- * not anew for each round.
+ * <p>A job starts only when the store says that each of its dependencies is done; it is cancelled
+ * when the store says that one of them is cancelled. Nothing else counts, neither progress nor a
+ * message, and no leader hands its knowledge on: a new one reads anew how those dependencies ended
+ * that are not open any more.
+ *
+ * <p>Dependents pass their demand on to their dependencies: the highest priority, and by when they
+ * have to be done. Both are propagated as jobs come and end, along the edges where they change, and
+ * not computed anew in each scheduling round.
  */
 public final class JobDependencies {
-    /** Ends that are remembered; what was forgotten is read again. */
+    /** Outcomes that are remembered; one that was dropped is read from the store again. */
     private static final int MAX_OUTCOMES = 10_000;
 
     /**
-     * Of those to be found out, how many are compared to find the most urgent: it is done anew
-     * after each answer.
+     * How many unknown outcomes are compared to find the most urgent: that is done after each
+     * answer.
      */
     private static final int MAX_COMPARED = 256;
 
-    /** How a job ended, and when as far as its record says. */
+    /** How a job ended, and when according to its record, in milliseconds since 1970. */
     private record JobOutcome(boolean isDone, double atMillis) {}
 
     private final ClusterSettings settings;
@@ -42,7 +44,7 @@
     private final ToDoubleFunction<JobSpec> startLatencySeconds;
     private final Runnable onEligible;
 
-    /** Open jobs by each that they need, as long as it is not known to be over. */
+    /** Open jobs by the id of each dependency whose outcome is not known. */
     private final Map<String, Set<Job>> dependentsByDependency = new LinkedHashMap<>();
 
     private final Map<String, JobOutcome> outcomes =
@@ -53,27 +55,27 @@
                 }
             };
 
-    /** Needed, not open here, and it is not known how they ended. */
+    /** Ids of dependencies that are not open here and whose outcome is not known. */
     private final Set<String> unknownOutcomes = new LinkedHashSet<>();
 
-    /** To be cancelled, those nearest to what was cancelled first. */
+    /** In the order in which the cancellation spread: nearest to the cancelled job first. */
     private final Set<Job> jobsToCancel = new LinkedHashSet<>();
 
     /**
-     * @param jobs those that are open, or over with something of them left
-     * @param leadS how long jobs of a kind take from placing to running, in seconds; 0 if that is
-     *     not known
-     * @param changed runs when a job may start
+     * @param jobs by id, those that are open, or finished with something of them left
+     * @param startLatencySeconds how long jobs of a kind take from placement to running; 0 if that
+     *     is not known
+     * @param onEligible runs when a job may start
      */
     JobDependencies(
             ClusterSettings settings,
             Map<String, Job> jobs,
-            ToDoubleFunction<JobSpec> leadS,
-            Runnable changed) {
+            ToDoubleFunction<JobSpec> startLatencySeconds,
+            Runnable onEligible) {
         this.settings = settings;
         this.jobs = jobs;
-        this.startLatencySeconds = leadS;
-        this.onEligible = changed;
+        this.startLatencySeconds = startLatencySeconds;
+        this.onEligible = onEligible;
     }
 
     void clear() {
@@ -85,73 +87,83 @@
 
     // ---- jobs come and go -----------------------------------------------------------------------
 
-    /** An open job is known from now on. */
+    /** Adds an open job. */
     void jobOpened(Job job) {
         String id = job.spec.id();
         unknownOutcomes.remove(id);
-        for (String need : job.dependencies()) {
-            JobOutcome e = outcomes.get(need);
-            if (e == null) {
-                job.unmetDependencies.add(need);
-                dependentsByDependency.computeIfAbsent(need, key -> new LinkedHashSet<>()).add(job);
-                if (!isOpen(need)) {
-                    unknownOutcomes.add(need);
-                }
-            } else if (e.isDone) {
-                job.becomeEligible(Math.max(job.eligibleSinceMillis(), e.atMillis), settings);
-            } else {
-                markForCancellation(job);
-            }
-        }
-        // Those that need it may have become known before it.
-        Deque<Job> from = new ArrayDeque<>();
+        job.dependencies().forEach(dependency -> addDependency(job, dependency));
+        Deque<Job> changed = new ArrayDeque<>();
+        // Jobs that depend on this one may have become known before it.
         if (dependentsByDependency.containsKey(id)) {
-            from.add(job);
+            changed.add(job);
         }
-        from.addAll(openDependencies(job));
-        propagateDemand(from);
+        changed.addAll(openDependencies(job));
+        propagateDemand(changed);
+    }
+
+    private void addDependency(Job job, String dependency) {
+        JobOutcome outcome = outcomes.get(dependency);
+        if (outcome == null) {
+            job.unmetDependencies.add(dependency);
+            dependentsByDependency
+                    .computeIfAbsent(dependency, id -> new LinkedHashSet<>())
+                    .add(job);
+            if (!isOpen(dependency)) {
+                unknownOutcomes.add(dependency);
+            }
+        } else if (outcome.isDone) {
+            becomeEligible(job, outcome.atMillis);
+        } else {
+            markForCancellation(job);
+        }
+    }
+
+    private void becomeEligible(Job job, double atMillis) {
+        job.demand.becomeEligible(Math.max(job.eligibleSinceMillis(), atMillis), settings);
     }
 
-    /** Open jobs that it waits for. */
     private List<Job> openDependencies(Job job) {
         return job.unmetDependencies.stream()
                 .map(jobs::get)
-                .filter(j -> j != null && !j.isFinished)
+                .filter(dependency -> dependency != null && !dependency.isFinished)
                 .toList();
     }
 
-    /** Some of its tasks were placed, by its records: all that it needs is done. */
+    /** Some of the job's tasks were placed, by its records, so all its dependencies are done. */
     void jobStarted(Job job) {
-        job.dependencies().forEach(n -> removeDependent(n, job));
+        removeFromDependents(job);
     }
 
-    /** A job is not open any more; how it ended is for its record to say, unless that is known. */
+    /** Removes a job that is not open any more; its record says how it ended. */
     void jobClosed(Job job) {
         String id = job.spec.id();
         jobsToCancel.remove(job);
-        Deque<Job> before = new ArrayDeque<>(openDependencies(job));
-        job.dependencies().forEach(n -> removeDependent(n, job));
+        Deque<Job> changed = new ArrayDeque<>(openDependencies(job));
+        removeFromDependents(job);
         if (dependentsByDependency.containsKey(id) && !outcomes.containsKey(id)) {
             unknownOutcomes.add(id);
         }
-        propagateDemand(before);
+        propagateDemand(changed);
     }
 
     /**
-     * The store has it that the job is done, or cancelled; {@code atMs}: when, by the time of day.
+     * Takes over how a job ended, as the store has it.
+     *
+     * @param isDone whether the job is done, otherwise it is cancelled
+     * @param atMillis when it ended, in milliseconds since 1970
      */
-    public void recordOutcome(String id, boolean done, double atMs) {
-        outcomes.put(id, new JobOutcome(done, atMs));
+    public void recordOutcome(String id, boolean isDone, double atMillis) {
+        outcomes.put(id, new JobOutcome(isDone, atMillis));
         unknownOutcomes.remove(id);
-        Set<Job> who = dependentsByDependency.remove(id);
-        if (who == null) {
+        Set<Job> dependents = dependentsByDependency.remove(id);
+        if (dependents == null) {
             return;
         }
-        for (Job job : who) {
-            if (!done) {
+        for (Job job : dependents) {
+            if (!isDone) {
                 markForCancellation(job);
             } else if (job.unmetDependencies.remove(id)) {
-                job.becomeEligible(Math.max(job.eligibleSinceMillis(), atMs), settings);
+                becomeEligible(job, atMillis);
                 if (job.unmetDependencies.isEmpty() && !job.hasCancelledDependency) {
                     onEligible.run();
                 }
@@ -164,17 +176,23 @@
         return job != null && !job.isFinished;
     }
 
-    private void removeDependent(String need, Job job) {
-        Set<Job> who = dependentsByDependency.get(need);
-        if (who != null && who.remove(job) && who.isEmpty()) {
-            dependentsByDependency.remove(need);
-            unknownOutcomes.remove(need);
+    private void removeFromDependents(Job job) {
+        for (String dependency : job.dependencies()) {
+            Set<Job> dependents = dependentsByDependency.get(dependency);
+            if (dependents != null && dependents.remove(job) && dependents.isEmpty()) {
+                dependentsByDependency.remove(dependency);
+                unknownOutcomes.remove(dependency);
+            }
         }
     }
 
+    private Set<Job> dependentsOf(String id) {
+        return dependentsByDependency.getOrDefault(id, Set.of());
+    }
+
     /**
-     * It, and all that need it directly or through others, nearest first; a chain may be long, so
-     * without recursion.
+     * Marks the job and all its direct and indirect dependents, breadth first. Without recursion,
+     * as a chain of jobs may be long.
      */
     private void markForCancellation(Job first) {
         Deque<Job> next = new ArrayDeque<>(List.of(first));
@@ -183,95 +201,96 @@
             if (!job.isFinished && !job.hasCancelledDependency) {
                 job.hasCancelledDependency = true;
                 jobsToCancel.add(job);
-                next.addAll(dependentsByDependency.getOrDefault(job.spec.id(), Set.of()));
+                next.addAll(dependentsOf(job.spec.id()));
             }
         }
     }
 
-    // ---- what is to be found out, and written ---------------------------------------------------
+    // ---- what is to be read and written ---------------------------------------------------------
 
     /**
-     * Jobs whose records have to say how they ended, so many at most; those that block the most
+     * Ids of jobs whose records have to be read for their outcomes; those that block the most
      * urgent work first.
+     *
+     * @param most how many at most
+     * @param excluded ids to leave out, as they are being read
      */
-    public List<String> unknownOutcomes(int most, Set<String> but) {
+    public List<String> unknownOutcomes(int most, Set<String> excluded) {
         return unknownOutcomes.stream()
                 .limit(MAX_COMPARED)
-                .filter(id -> !but.contains(id))
-                .sorted(
-                        Comparator.comparingInt(
-                                (String id) ->
-                                        mostUrgentRank(
-                                                dependentsByDependency.getOrDefault(id, Set.of()))))
+                .filter(id -> !excluded.contains(id))
+                .sorted(Comparator.comparingInt((String id) -> mostUrgentRank(dependentsOf(id))))
                 .limit(most)
                 .toList();
     }
 
-    private static int mostUrgentRank(Collection<Job> who) {
-        return who.stream().mapToInt(job -> job.effectivePriority().ordinal()).min().orElse(0);
+    private static int mostUrgentRank(Collection<Job> dependents) {
+        return dependents.stream()
+                .mapToInt(job -> job.effectivePriority().ordinal())
+                .min()
+                .orElse(0);
     }
 
-    /** Jobs to be cancelled because one before them is. */
+    /** Open jobs that have to be cancelled because a dependency is. */
     public List<Job> jobsToCancel() {
         return List.copyOf(jobsToCancel);
     }
 
-    /** How many that are. */
+    /** The size of {@link #jobsToCancel}. */
     public int jobsToCancelCount() {
         return jobsToCancel.size();
     }
 
-    /** How many jobs wait for others. */
+    /** How many open jobs are held by their dependencies. */
     public long heldJobCount() {
         return jobs.values().stream().filter(job -> !job.isFinished && job.isHeld()).count();
     }
 
-    // ---- what those behind ask of those before --------------------------------------------------
+    // ---- demand ---------------------------------------------------------------------------------
 
     /**
-     * Works out anew what is asked of these jobs, and of those before them as far as that changes
+     * Computes anew what is asked of these jobs, and of their dependencies as far as that changes
      * anything.
      */
-    private void propagateDemand(Deque<Job> from) {
-        while (!from.isEmpty()) {
-            Job job = from.poll();
+    private void propagateDemand(Deque<Job> changed) {
+        while (!changed.isEmpty()) {
+            Job job = changed.poll();
             JobSpec.Priority highest = job.spec.priority();
-            double[] endByMs = {Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY};
-            for (Job behind : dependentsByDependency.getOrDefault(job.spec.id(), Set.of())) {
-                highest =
-                        behind.effectivePriority().compareTo(highest) < 0
-                                ? behind.effectivePriority()
-                                : highest;
-                double[] start = startByMillis(behind);
-                endByMs[0] = Math.min(endByMs[0], start[0]);
-                endByMs[1] = Math.min(endByMs[1], start[1]);
+            DueTimes due = DueTimes.NONE;
+            for (Job dependent : dependentsOf(job.spec.id())) {
+                highest = higherOf(highest, dependent.effectivePriority());
+                due = due.min(mustStartBy(dependent));
             }
-            if (job.applyDependentsDemand(highest, endByMs, settings)) {
-                from.addAll(openDependencies(job));
+            if (job.demand.applyDependentsDemand(highest, due, settings)) {
+                changed.addAll(openDependencies(job));
             }
         }
     }
 
-    /**
-     * By when the job has to start for its deadline and those behind it: the soonest, and the last
-     * that is worth it.
-     */
-    private double[] startByMillis(Job job) {
-        double[] own =
+    private static JobSpec.Priority higherOf(JobSpec.Priority one, JobSpec.Priority other) {
+        return other.compareTo(one) < 0 ? other : one;
+    }
+
+    /** By when the job has to start for its own deadlines and those of its dependents. */
+    private DueTimes mustStartBy(Job job) {
+        DueTimes due = ownDeadlines(job).min(job.demand.dependentsDue());
+        // Between a dependency's end and the dependent's start, the end is reported and written,
+        // the
+        // placement is written, and the worker asks for it.
+        double heartbeatSeconds = settings.workers().heartbeatIntervalSeconds();
+        double gapSeconds =
+                Math.max(startLatencySeconds.applyAsDouble(job.spec), heartbeatSeconds)
+                        + heartbeatSeconds;
+        return due.minusMillis(1000 * (job.spec.estimatedSeconds() + gapSeconds));
+    }
+
+    private DueTimes ownDeadlines(Job job) {
+        double[] deadlinesMillis =
                 Arrays.stream(settings.ownDeadlinesSeconds(job.spec))
-                        .map(s -> job.submittedMillis + 1000 * s)
+                        .map(seconds -> job.submittedMillis + 1000 * seconds)
                         .toArray();
-        double[] behind = job.dependentsDueMillis();
-        double first = own.length == 0 ? behind[0] : Math.min(own[0], behind[0]);
-        double last = own.length == 0 ? behind[1] : Math.min(own[own.length - 1], behind[1]);
-        // Between the end before it and its start: the end is reported and written, its placing
-        // written and fetched.
-        double gapS =
-                Math.max(
-                                startLatencySeconds.applyAsDouble(job.spec),
-                                settings.workers().heartbeatIntervalSeconds())
-                        + settings.workers().heartbeatIntervalSeconds();
-        double ms = 1000 * (job.spec.estimatedSeconds() + gapS);
-        return new double[] {first - ms, last - ms};
+        return deadlinesMillis.length == 0
+                ? DueTimes.NONE
+                : new DueTimes(deadlinesMillis[0], deadlinesMillis[deadlinesMillis.length - 1]);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -2,13 +2,15 @@
 
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.JobSpec;
+import java.util.Optional;
+import java.util.StringJoiner;
 
 /**
- * A sentence on what an unfinished job waits for, out of what the holder knows; null if there is
- * nothing to say.
+ * Explains to a user, in one sentence, what an unfinished job waits for, as far as the shard's
+ * leader knows.
  */
 final class PendingReasons {
-    /** Of the jobs that one waits for, those that are named. */
+    /** How many of the jobs that one waits for are named. */
     private static final int MAX_NAMED_DEPENDENCIES = 5;
 
     private final ShardState shard;
@@ -17,32 +19,47 @@
         this.shard = shard;
     }
 
-    String describe(Job job, double now) {
+    /**
+     * What the job waits for, or empty if there is nothing to say.
+     *
+     * @param now in seconds on the steady clock
+     */
+    Optional<String> describe(Job job, double now) {
         if (job.isFinished) {
-            return null;
+            return Optional.empty();
         }
         if (shard.failureDiagnosis().isJobAtFault(job, now)) {
-            return "fails on every machine it was tried on, "
-                    + job.failureCount
-                    + " times so far"
-                    + (job.notBefore > now
-                            ? "; tried again in " + formatSeconds(job.notBefore - now)
-                            : "");
+            return Optional.of(describeFailures(job, now));
         }
-        String lent = describeLoans(job, now);
+        Optional<String> loans = describeLoans(job, now);
         if (job.isCancelRequested()) {
-            return "is to be cancelled" + (lent == null ? "" : " once it is called back: " + lent);
+            return Optional.of(
+                    "is to be cancelled"
+                            + loans.map(text -> " once it is called back: " + text).orElse(""));
         }
         if (job.hasCancelledDependency()) {
-            return "is to be cancelled, as a job that it needs is";
+            return Optional.of("is to be cancelled, as a job that it needs is");
         }
         if (job.isHeld()) {
-            return "waits for " + describeDependencies(job);
+            return Optional.of("waits for " + describeDependencies(job));
         }
         int waiting = job.waitingTasks();
         if (waiting == 0) {
-            return lent != null ? lent : describeImageFetch(job);
+            return loans.or(() -> describeImageFetch(job));
         }
+        return Optional.of(describeWaitingTasks(job, waiting));
+    }
+
+    private static String describeFailures(Job job, double now) {
+        return "fails on every machine it was tried on, "
+                + job.failureCount
+                + " times so far"
+                + (job.notBefore > now
+                        ? "; tried again in " + formatSeconds(job.notBefore - now)
+                        : "");
+    }
+
+    private String describeWaitingTasks(Job job, int waiting) {
         JobSpec spec = job.spec;
         String tasks = waiting == 1 ? "1 task waits" : waiting + " tasks wait";
         if (shard.quotaUsage().remainingTasks(spec) < (spec.isGang() ? spec.taskCount() : 1)) {
@@ -55,66 +72,66 @@
         if (spec.isGang() && !job.liveAttempts.isEmpty()) {
             return tasks + " for the rest of the last attempt to end";
         }
+        return tasks
+                + " for room of "
+                + spec.cpusPerTask()
+                + " CPUs"
+                + (spec.isGang() ? " each, all at once" : " each")
+                + describeComingMachines();
+    }
+
+    private String describeComingMachines() {
         int starting = 0;
-        int unheard = 0;
+        int unconfirmed = 0;
         for (Machine machine : shard.machines().values()) {
             starting += machine.hasReported() || !machine.attempts.isEmpty() ? 0 : 1;
-            unheard += machine.hasReported() && !machine.isTokenConfirmed ? 1 : 0;
-        }
-        String note =
-                tasks
-                        + " for room of "
-                        + spec.cpusPerTask()
-                        + " CPUs"
-                        + (spec.isGang() ? " each, all at once" : " each");
-        if (starting > 0) {
-            note += "; machines starting: " + starting;
+            unconfirmed += machine.hasReported() && !machine.isTokenConfirmed ? 1 : 0;
         }
-        if (unheard > 0) {
-            note += "; machines yet to report to the new leader: " + unheard;
-        }
-        return note;
+        return (starting > 0 ? "; machines starting: " + starting : "")
+                + (unconfirmed > 0
+                        ? "; machines yet to report to the new leader: " + unconfirmed
+                        : "");
     }
 
     private static String describeDependencies(Job job) {
-        int n = job.unmetDependencies.size();
+        int count = job.unmetDependencies.size();
         return String.join(
                         ", ", job.unmetDependencies.stream().limit(MAX_NAMED_DEPENDENCIES).toList())
-                + (n > MAX_NAMED_DEPENDENCIES
-                        ? " and " + (n - MAX_NAMED_DEPENDENCIES) + " more"
+                + (count > MAX_NAMED_DEPENDENCIES
+                        ? " and " + (count - MAX_NAMED_DEPENDENCIES) + " more"
                         : "")
                 + " to be done";
     }
 
-    private static String describeLoans(Job job, double now) {
-        StringBuilder text = new StringBuilder();
+    private static Optional<String> describeLoans(Job job, double now) {
+        StringJoiner text = new StringJoiner("; ");
         for (TaskLoan loan : job.loans()) {
             if (!loan.isClosed) {
-                text.append(text.isEmpty() ? "" : "; ")
-                        .append(loan.taskCount() == 1 ? "1 task" : loan.taskCount() + " tasks")
-                        .append(loan.isAccepted ? " handed to cell " : " offered to cell ")
-                        .append(loan.borrowerCell)
-                        .append(' ')
-                        .append(formatSeconds(now - loan.offeredAt))
-                        .append(" ago");
+                text.add(
+                        (loan.taskCount() == 1 ? "1 task" : loan.taskCount() + " tasks")
+                                + (loan.isAccepted ? " handed to cell " : " offered to cell ")
+                                + loan.borrowerCell
+                                + ' '
+                                + formatSeconds(now - loan.offeredAt)
+                                + " ago");
             }
         }
-        return text.isEmpty() ? null : text.toString();
+        return text.length() == 0 ? Optional.empty() : Optional.of(text.toString());
     }
 
-    private static String describeImageFetch(Job job) {
-        long n =
+    private static Optional<String> describeImageFetch(Job job) {
+        long fetching =
                 job.liveAttempts.values().stream()
                         .filter(attempt -> attempt.state == TaskState.FETCHING_IMAGE)
                         .count();
-        return n == 0
-                ? null
-                : (n == 1 ? "1 task fetches" : n + " tasks fetch")
-                        + " the image "
-                        + job.spec.image();
+        if (fetching == 0) {
+            return Optional.empty();
+        }
+        String tasks = fetching == 1 ? "1 task fetches" : fetching + " tasks fetch";
+        return Optional.of(tasks + " the image " + job.spec.image());
     }
 
-    private static String formatSeconds(double s) {
-        return Math.max(1, Math.round(s)) + " s";
+    private static String formatSeconds(double seconds) {
+        return Math.max(1, Math.round(seconds)) + " s";
     }
 }
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -310,7 +310,7 @@
             }
         }
         job.markAllDirty();
-        for (Job.JobPart part : job.allParts()) {
+        for (JobPart part : job.allParts()) {
             if (part.revision() > 0) {
                 dirtyParts.addChange(
                         part); // To be removed, or kept for as long as something is on machines.
@@ -345,7 +345,7 @@
         attempt.job.addLive(attempt);
         attempt.machine.addAttempt(attempt);
         quotaUsage.countAttempt(attempt.job.spec, 1);
-        attempt.job.hasStoppingAttempts += attempt.isStopping() ? 1 : 0;
+        attempt.job.stoppingAttemptCount += attempt.isStopping() ? 1 : 0;
     }
 
     /**
@@ -356,7 +356,7 @@
         quotaUsage.countAttempt(attempt.job.spec, -1);
         attempt.job.removeLive(attempt);
         dirtyParts.addChange(attempt.job.markDirty(attempt.task));
-        attempt.job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
+        attempt.job.stoppingAttemptCount -= attempt.isStopping() ? 1 : 0;
         attempt.machine.removeAttempt(attempt);
         isSchedulingNeeded = true;
     }
@@ -374,7 +374,7 @@
         attempt.isEnded = true;
         attempt.state = TaskState.ENDED;
         job.removeLive(attempt);
-        job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
+        job.stoppingAttemptCount -= attempt.isStopping() ? 1 : 0;
         attemptsEnded++;
         isSchedulingNeeded = true;
         Machine machine = attempt.machine;
@@ -404,11 +404,11 @@
                 }
                 if (job.spec.isGang()) {
                     // The tasks of a gang complete together.
-                    job.doneTasks.set(0, job.spec.taskCount());
+                    job.markAllDone();
                     job.markAllDirty();
                     job.allParts().forEach(dirtyParts::addChange);
                 } else {
-                    job.doneTasks.set(attempt.task);
+                    job.markDone(attempt.task);
                 }
             }
             case ERROR -> failureDiagnosis.recordFailure(attempt, now);
@@ -482,7 +482,7 @@
             return;
         }
         if (!attempt.isStopping()) {
-            attempt.job.hasStoppingAttempts++;
+            attempt.job.stoppingAttemptCount++;
             attempt.stopGraceSeconds = graceS;
         }
         attempt.stopGraceSeconds = Math.min(attempt.stopGraceSeconds, graceS);
@@ -537,7 +537,7 @@
      * #placedTogether}.
      */
     public void place(Job job, int task, Machine machine, double now) {
-        Job.JobPart part = job.markPlacementDirty(task);
+        JobPart part = job.markPlacementDirty(task);
         dirtyParts.addPlacement(part);
         addAttempt(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
         job.placementTimes.add(now);
@@ -670,7 +670,7 @@
     // ---- what was written -----------------------------------------------------------------------
 
     /** Everything about this part up to {@code version} is in the store now. */
-    public void markPartWritten(Job.JobPart part, int version, long revision) {
+    public void markPartWritten(JobPart part, int version, long revision) {
         Job job = part.job;
         part.markWritten(version, revision);
         dirtyParts.enqueueIfDirty(part);
@@ -696,7 +696,7 @@
             Job job, JobRecord record, long revision, int version, Set<Integer> parts) {
         job.allParts().forEach(dirtyParts::remove); // Those that were are no more.
         job.applyMigration(record, revision);
-        for (Job.JobPart part : job.allParts()) {
+        for (JobPart part : job.allParts()) {
             markPartWritten(part, version, parts.contains(part.index) ? revision : 0);
         }
         migrationDone(job);
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -4,6 +4,7 @@
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.JobPart;
 import io.kitepath.core.state.StateWriter.BatchContributor;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -12,7 +13,7 @@
 
 /** One transaction of the holder's, and what in memory follows from it once the store has it. */
 final class WriteBatch {
-    record WrittenPart(Job.JobPart part, int version, boolean removed) {}
+    record WrittenPart(JobPart part, int version, boolean removed) {}
 
     /** What a record says about whether its round was carried out. */
     private enum Evidence {
@@ -44,7 +45,7 @@
     final List<WrittenPart> parts = new ArrayList<>();
     final List<Job> finishing = new ArrayList<>();
     final List<Job> cancelling = new ArrayList<>();
-    final Set<Job.JobPart> taken = new HashSet<>();
+    final Set<JobPart> taken = new HashSet<>();
     final Set<Job> conditioned = new HashSet<>();
     final List<BatchContributor> contributors = new ArrayList<>();
     RecordMigration migration;
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -10,6 +10,7 @@
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.shard.Attempt;
 import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.JobPart;
 import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StateWriter.BatchContributor;
 import java.util.ArrayDeque;
@@ -159,7 +160,7 @@
                 Math.min(budget, batch.transaction.writes().size() + 1));
         // Guards against a gang that waits for the records of hundreds of small jobs that were
         // placed before it.
-        List<Job.JobPart> placings = new ArrayList<>(shard.dirtyParts().withPlacements());
+        List<JobPart> placings = new ArrayList<>(shard.dirtyParts().withPlacements());
         placings.sort(Comparator.comparingInt(part -> part.job.queueRank()));
         take(batch, placings, budget);
         if (!endsFirst) {
@@ -267,8 +268,8 @@
                 && !job.isCancelRequested();
     }
 
-    private void take(WriteBatch batch, List<Job.JobPart> from, int budget) {
-        for (Job.JobPart part : from) {
+    private void take(WriteBatch batch, List<JobPart> from, int budget) {
+        for (JobPart part : from) {
             if (batch.transaction.writes().size() >= budget || batch.bytes >= MAX_BYTES) {
                 return;
             }
@@ -331,7 +332,7 @@
                 .put(StoreKeys.ENDED_JOBS + job.spec.id(), record);
     }
 
-    private void putPart(WriteBatch batch, Job.JobPart part) {
+    private void putPart(WriteBatch batch, JobPart part) {
         Job job = part.job;
         String key = StoreKeys.partKey(job.spec.id(), part.index);
         List<Attempt> live = job.liveAttemptsInPart(part.index);
--- a/src/test/java/io/kitepath/core/shard/JobTest.java
+++ b/src/test/java/io/kitepath/core/shard/JobTest.java
@@ -123,7 +123,7 @@
     void placementIsDirtyUntilItsVersionIsWritten() {
         Job job = arrayJob("j-1", 10);
         shard.place(job, 5, shard.getOrAddMachine("i-1", 0), 1);
-        Job.JobPart part = job.part(1);
+        JobPart part = job.part(1);
         assertEquals(List.of(part), shard.dirtyParts().withPlacements());
         assertTrue(part.isDirty() && part.hasUnwrittenPlacement());
         assertFalse(job.part(0).isDirty());
@@ -146,7 +146,7 @@
     void progressOfRecordsCountsDoneAndPlacedTasks() {
         assertEquals(
                 new JobProgress("j-1", 3, 2, null),
-                Job.hasPartRecords(
+                PartRecord.progress(
                         "j-1",
                         List.of(
                                 partRecord(6, "AQ==", Map.of("i-1", List.of(2L, 4L, 3L, 5L))),
