--- a/src/test/java/io/kitepath/core/shard/JobDependenciesTest.java
+++ b/src/test/java/io/kitepath/core/shard/JobDependenciesTest.java
@@ -9,7 +9,9 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.simulation.SimulatedCluster;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** What jobs that wait for others ask of those, and what becomes of them. */
@@ -19,13 +21,22 @@
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
     private final ShardState shard = new ShardState(settings, machine -> {});
 
+    private static JobSpec spec(String id) {
+        return SimulatedCluster.job(id, Shape.ARRAY, 1, 1);
+    }
+
+    private static JobSpec withDeadline(JobSpec spec, double seconds) {
+        Map<String, Object> record = new HashMap<>(spec.toRecord());
+        record.put("deadline", seconds);
+        return JobSpec.fromRecord(spec.id(), record);
+    }
+
     private Job job(String id, String... dependencies) {
         return job(id, JobSpec.Priority.NORMAL, dependencies);
     }
 
     private Job job(String id, JobSpec.Priority priority, String... dependencies) {
-        JobSpec spec = SimulatedCluster.job(id, Shape.ARRAY, 1, 1);
-        return job(SimulatedCluster.with(spec, "red", priority, false), dependencies);
+        return job(SimulatedCluster.with(spec(id), "red", priority, false), dependencies);
     }
 
     private Job job(JobSpec spec, String... dependencies) {
@@ -56,29 +67,7 @@
     @Test
     void deadlineOfADependentBecomesAStartGoalOfItsDependency() {
         Job first = job("j-1");
-        JobSpec last =
-                new JobSpec(
-                        "j-2",
-                        "work",
-                        "red",
-                        Shape.ARRAY,
-                        JobSpec.Priority.NORMAL,
-                        1,
-                        1,
-                        0,
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        false,
-                        "img",
-                        1,
-                        20,
-                        0,
-                        0,
-                        300.0);
-        Job second = job(last, "j-1");
+        Job second = job(withDeadline(spec("j-2"), 300), "j-1");
         assertTrue(first.hasDeadline());
         assertTrue(first.dueMillis() < 305_000 - 20_000);
         assertEquals(first.dueMillis() - 20_000, first.startGoalMillis(0));
