--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -592,11 +592,6 @@
         return parts.fitsRecord(task, maxRecordBytes);
     }
 
-    /** An upper bound of the bytes of the part's record as it is now. */
-    public int partBytes(int part) {
-        return parts.recordBytes(part);
-    }
-
     /**
      * Whether all tasks may be on machines of their own at once, with each part's record at most
      * {@code maxRecordBytes} long.
--- a/src/test/java/io/kitepath/core/shard/JobTest.java
+++ b/src/test/java/io/kitepath/core/shard/JobTest.java
@@ -23,6 +23,12 @@
 class JobTest {
     private static final int TASKS_PER_PART = 4;
 
+    /** What a part of {@link #TASKS_PER_PART} tasks takes of a record without attempts. */
+    private static final int EMPTY_PART_BYTES = 115;
+
+    /** What is held free for one more attempt. */
+    private static final int MAX_ATTEMPT_BYTES = 32;
+
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
     private final ShardState shard = new ShardState(settings, machine -> {});
 
@@ -91,32 +97,36 @@
         assertEquals(9, job.nextAttempt());
     }
 
+    private static void assertRecordBytes(int expected, Job job, int task) {
+        assertTrue(job.fitsRecord(task, expected + MAX_ATTEMPT_BYTES));
+        assertFalse(job.fitsRecord(task, expected + MAX_ATTEMPT_BYTES - 1));
+    }
+
     @Test
-    void partBytesCountEachMachineOnceAndFallWithTheAttempts() {
+    void recordBytesCountEachMachineOnceAndFallWithTheAttempts() {
         Job job = arrayJob("j-1", 10);
-        int empty = job.partBytes(0);
-        assertEquals(115, empty);
+        assertRecordBytes(EMPTY_PART_BYTES, job, 0);
         Machine machine = shard.getOrAddMachine("i-1", 0);
         shard.place(job, 0, machine, 1);
-        assertEquals(empty + 17, job.partBytes(0));
+        assertRecordBytes(EMPTY_PART_BYTES + 17, job, 0);
         shard.place(job, 1, machine, 1);
-        assertEquals(empty + 23, job.partBytes(0));
-        assertEquals(empty, job.partBytes(1));
-        assertTrue(job.fitsRecord(0, empty + 23 + 32));
-        assertFalse(job.fitsRecord(0, empty + 23 + 31));
+        assertRecordBytes(EMPTY_PART_BYTES + 23, job, 0);
+        assertRecordBytes(EMPTY_PART_BYTES, job, TASKS_PER_PART);
         new ArrayList<>(job.liveAttempts().values())
                 .forEach(attempt -> shard.stopAttempt(attempt, 0));
-        assertEquals(empty, job.partBytes(0));
+        assertRecordBytes(EMPTY_PART_BYTES, job, 0);
         assertTrue(job.liveAttempts().isEmpty());
     }
 
     @Test
     void allTasksOfAPartFitARecordOfTheirBytesAndNotOfOneLess() {
         JobSpec spec = SimulatedCluster.job("j-1", Shape.GANG, 10, 1);
-        assertTrue(Job.allTasksFitRecords(spec, 4, 115 + 4 * 32));
-        assertFalse(Job.allTasksFitRecords(spec, 4, 115 + 4 * 32 - 1));
-        assertTrue(Job.allTasksFitRecords(spec, 16, 116 + 10 * 32));
-        assertFalse(Job.allTasksFitRecords(spec, 16, 116 + 10 * 32 - 1));
+        assertTrue(Job.allTasksFitRecords(spec, 4, EMPTY_PART_BYTES + 4 * MAX_ATTEMPT_BYTES));
+        assertFalse(Job.allTasksFitRecords(spec, 4, EMPTY_PART_BYTES + 4 * MAX_ATTEMPT_BYTES - 1));
+        assertTrue(Job.allTasksFitRecords(spec, 16, EMPTY_PART_BYTES + 1 + 10 * MAX_ATTEMPT_BYTES));
+        assertFalse(
+                Job.allTasksFitRecords(
+                        spec, 16, EMPTY_PART_BYTES + 1 + 10 * MAX_ATTEMPT_BYTES - 1));
     }
 
     @Test
