--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -8,9 +8,9 @@
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedWorker;
-import io.kitepath.simulation.Worlds;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -304,7 +304,7 @@
         }
 
         private void calm() {
-            Worlds.endTroubles(cluster);
+            SimulatedClusters.endTroubles(cluster);
             cluster.siblings.forEach(key -> back(cluster.nodes.get(key), 0.1));
         }
     }
@@ -340,7 +340,7 @@
             }
             accepted += r.cluster.acceptedAt.size();
             cancelled += r.cluster.reportedCancelledAt.size();
-            starts += MeetingsTest.starts(r.cluster);
+            starts += ConcurrentFaultsTest.starts(r.cluster);
             afterCancellation += r.cluster.invariants.startsAfterCancellation();
             latest = Math.max(latest, r.cluster.invariants.latestStartAfterCancellationSeconds());
         }
--- a/src/test/java/io/kitepath/core/CloseLooksTest.java
+++ b/src/test/java/io/kitepath/core/AnswerConsistencyTest.java
@@ -1,8 +1,8 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.other;
+import static io.kitepath.core.ConcurrentFaultsTest.other;
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,7 +24,7 @@
  * after a job was accepted, ended or confirmed as cancelled; some cancel at once. No node may then
  * answer something older, whatever else meets.
  */
-class CloseLooksTest {
+class AnswerConsistencyTest {
     /** Between two questions at the same node, and how many there are. */
     private static final double EVERY_S = 0.005;
 
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -6,7 +6,7 @@
 import static io.kitepath.core.Submissions.named;
 import static io.kitepath.core.Submissions.odd;
 import static io.kitepath.core.Submissions.with;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -344,7 +344,7 @@
                 assertEquals("NOT_FOUND", cluster.status(node, "j-" + i));
             }
         }
-        assertEquals(0, MeetingsTest.starts(cluster));
+        assertEquals(0, ConcurrentFaultsTest.starts(cluster));
         assertEquals(List.of(), cluster.violations);
     }
 }
--- a/src/test/java/io/kitepath/core/CancelledAtHandOverTest.java
+++ b/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
@@ -11,8 +11,8 @@
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
-import io.kitepath.simulation.Worlds;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -27,7 +27,7 @@
  * and what was placed and not launched yet. What starts although its user was told before is
  * counted: nobody can call back an answer that is under way.
  */
-class CancelledAtHandOverTest {
+class CancellationDuringFailoverTest {
     /** How a controller's work comes to change hands. */
     private enum Change {
         STOPPED,
@@ -88,7 +88,7 @@
 
     /** Work that runs, and, placed a moment ago, work that was not launched everywhere yet. */
     private void busy() {
-        cluster = Worlds.settled(3, 6);
+        cluster = SimulatedClusters.settled(3, 6);
         cluster.taskSeconds = id -> 400;
         cluster.nodes.get("k0").clockOffsetMillis = 5;
         cluster.nodes.get("k2").clockOffsetMillis = -5;
--- a/src/test/java/io/kitepath/core/CancellationGapTest.java
+++ b/src/test/java/io/kitepath/core/CancellationGapTest.java
@@ -11,9 +11,9 @@
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedWorker;
-import io.kitepath.simulation.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -26,7 +26,7 @@
     private SimulatedCluster cluster;
 
     private SimulatedNode settled(int nodes) {
-        cluster = Worlds.settled(nodes, 4);
+        cluster = SimulatedClusters.settled(nodes, 4);
         cluster.taskSeconds = id -> 400;
         // The clocks of the nodes are apart as far as they may be.
         cluster.nodes.get("k0").clockOffsetMillis = 5;
--- a/src/test/java/io/kitepath/core/CancellationSeedsTest.java
+++ b/src/test/java/io/kitepath/core/CancellationRandomizedTest.java
@@ -8,9 +8,9 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedWorker;
-import io.kitepath.simulation.Worlds;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -26,7 +26,7 @@
  * cancel_s after any user was told that it is cancelled, nothing runs twice or goes back, and each
  * accepted job is answered within 75 s once all is over.
  */
-class CancellationSeedsTest {
+class CancellationRandomizedTest {
     private static final int IN_CI = 60;
 
     private final class Run {
@@ -212,7 +212,7 @@
                     users();
                 }
             }
-            Worlds.endTroubles(cluster);
+            SimulatedClusters.endTroubles(cluster);
             cluster.siblings.forEach(key -> back(cluster.nodes.get(key)));
             calm = cluster.clock.now;
             Set<String> open = new HashSet<>(cluster.acceptedAt.keySet());
--- a/src/test/java/io/kitepath/core/DutySeedsTest.java
+++ b/src/test/java/io/kitepath/core/CloudIntentsRandomizedTest.java
@@ -17,7 +17,7 @@
  * so that they pass each other, answers are lost, requests to the cloud run a minute late, while
  * nodes end, stand still and lose the store.
  */
-class DutySeedsTest {
+class CloudIntentsRandomizedTest {
     private final class Run {
         final SimulatedCluster cluster = new SimulatedCluster();
         final Random random;
--- a/src/test/java/io/kitepath/core/IntentsTest.java
+++ b/src/test/java/io/kitepath/core/CloudIntentsTest.java
@@ -19,7 +19,7 @@
 /**
  * Machines rented and given back while their holder ends, stands still, or is heard minutes late.
  */
-class IntentsTest {
+class CloudIntentsTest {
     private SimulatedCluster cluster = world();
 
     /** Three nodes, no machine, and room for many at a cloud whose lists lag. */
--- a/src/test/java/io/kitepath/core/MeetingsLateTest.java
+++ b/src/test/java/io/kitepath/core/ConcurrentDelaysTest.java
@@ -1,10 +1,10 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.core.MeetingsTest.sessions;
-import static io.kitepath.core.MeetingsTest.starts;
+import static io.kitepath.core.ConcurrentFaultsTest.other;
+import static io.kitepath.core.ConcurrentFaultsTest.sessions;
+import static io.kitepath.core.ConcurrentFaultsTest.starts;
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,7 +26,7 @@
 /**
  * The last four meetings of docs/meetings.md: what comes late, is slow, or does not come at all.
  */
-class MeetingsLateTest {
+class ConcurrentDelaysTest {
     // ---- 5. a command or its answer is held up for seconds, and the machine goes on
     // --------------
 
--- a/src/test/java/io/kitepath/core/MeetingsTest.java
+++ b/src/test/java/io/kitepath/core/ConcurrentFaultsTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -20,9 +20,9 @@
 
 /**
  * The first four meetings of docs/meetings.md, each swept through its timing; {@link
- * MeetingsLateTest} has the others.
+ * ConcurrentDelaysTest} has the others.
  */
-class MeetingsTest {
+class ConcurrentFaultsTest {
     private SimulatedCluster cluster;
 
     static SimulatedNode other(SimulatedCluster cluster, SimulatedNode than) {
--- a/src/test/java/io/kitepath/core/HeldReportsSeedsTest.java
+++ b/src/test/java/io/kitepath/core/DuplicateHeartbeatsRandomizedTest.java
@@ -1,9 +1,9 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.HeldReportsTest.leading;
-import static io.kitepath.core.HeldReportsTest.untilNextLeader;
+import static io.kitepath.core.DuplicateHeartbeatsTest.leading;
+import static io.kitepath.core.DuplicateHeartbeatsTest.untilNextLeader;
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Reports that come once more among other troubles, in days drawn by seed; {@link HeldReportsTest}
- * has each by itself.
+ * Reports that come once more among other troubles, in days drawn by seed; {@link
+ * DuplicateHeartbeatsTest} has each by itself.
  */
-class HeldReportsSeedsTest {
+class DuplicateHeartbeatsRandomizedTest {
     private static final int IN_CI = 8;
 
     private int heldUp;
@@ -35,7 +35,7 @@
     private int seeded(long seed) {
         Random random = new Random(seed);
         SimulatedCluster cluster = settled(3, 5);
-        ReportCopies copies = new ReportCopies(cluster);
+        HeartbeatRecorder copies = new HeartbeatRecorder(cluster);
         cluster.cloud.capacity = 10;
         cluster.taskSeconds = id -> 5 + Math.floorMod(id.hashCode(), 9) * 4;
         copies.keeps = heartbeat -> random.nextInt(3) == 0;
--- a/src/test/java/io/kitepath/core/HeldReportsTest.java
+++ b/src/test/java/io/kitepath/core/DuplicateHeartbeatsTest.java
@@ -1,10 +1,10 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.core.MeetingsTest.sessions;
-import static io.kitepath.core.MeetingsTest.starts;
+import static io.kitepath.core.ConcurrentFaultsTest.other;
+import static io.kitepath.core.ConcurrentFaultsTest.sessions;
+import static io.kitepath.core.ConcurrentFaultsTest.starts;
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -27,13 +27,13 @@
  * that are there, were lost or were given back. They start, end and prove nothing, and cost the
  * worker that sent the report neither its answer nor its lease.
  */
-class HeldReportsTest {
+class DuplicateHeartbeatsTest {
     private SimulatedCluster cluster;
-    private ReportCopies copies;
+    private HeartbeatRecorder copies;
 
     private void world(int nodes, int machines) {
         cluster = settled(nodes, machines);
-        copies = new ReportCopies(cluster);
+        copies = new HeartbeatRecorder(cluster);
     }
 
     /** After so many seconds, the last report that each machine sent in them. */
--- a/src/test/java/io/kitepath/core/FastBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastMachineBootsTest.java
@@ -1,8 +1,8 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.starts;
-import static io.kitepath.core.OneZoneTest.bound;
-import static io.kitepath.core.OneZoneTest.spread;
+import static io.kitepath.core.ConcurrentFaultsTest.starts;
+import static io.kitepath.core.ZoneConstraintsTest.bound;
+import static io.kitepath.core.ZoneConstraintsTest.spread;
 import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -27,7 +27,7 @@
  * while writes lag or are not answered, and the leader ends: what was asked of the cloud is rented
  * once, what was launched runs once, and nothing stays rented for nothing.
  */
-class FastBootsTest {
+class FastMachineBootsTest {
     private static final int TASKS = 9;
     private int runs;
 
--- a/src/test/java/io/kitepath/core/SweepTest.java
+++ b/src/test/java/io/kitepath/core/GarbageCollectionTest.java
@@ -19,7 +19,7 @@
  * What nothing refers to any more is removed, whatever ends meanwhile; what should not be is said
  * and left.
  */
-class SweepTest {
+class GarbageCollectionTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     private static void settle(SimulatedCluster cluster) {
--- a/src/test/java/io/kitepath/core/SoundMachinesTest.java
+++ b/src/test/java/io/kitepath/core/HealthyMachinesTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A machine that was told nothing is not one that hears nothing. */
-class SoundMachinesTest {
+class HealthyMachinesTest {
     /**
      * A holder adopts what was placed and never launched, and may launch nothing, since the store
      * is out.
--- a/src/test/java/io/kitepath/core/ReportCopies.java
+++ b/src/test/java/io/kitepath/core/HeartbeatRecorder.java
@@ -12,7 +12,7 @@
 import java.util.function.Predicate;
 
 /** Sees all reports on their way, keeps copies of some, and holds up answers. */
-final class ReportCopies implements SimulatedCluster.WorkerNetwork {
+final class HeartbeatRecorder implements SimulatedCluster.WorkerNetwork {
     final SimulatedCluster cluster;
     final SimulatedCluster.WorkerNetwork usual;
     final List<Heartbeat> kept = new ArrayList<>();
@@ -38,7 +38,7 @@
     /** Reports of workers with tasks that were answered neither with a token nor with a node. */
     int sentOn;
 
-    ReportCopies(SimulatedCluster cluster) {
+    HeartbeatRecorder(SimulatedCluster cluster) {
         this.cluster = cluster;
         this.usual = cluster.workerNetwork;
         cluster.workerNetwork = this;
--- a/src/test/java/io/kitepath/core/PipelinesTest.java
+++ b/src/test/java/io/kitepath/core/JobDependenciesTest.java
@@ -22,7 +22,7 @@
 /**
  * Jobs that wait for others: when they start, what is cancelled with what, and what users are told.
  */
-class PipelinesTest {
+class JobDependenciesTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     private SimulatedNode cluster(int workers) {
@@ -205,7 +205,7 @@
     @Test
     void aCascadeIsFinishedWhereverItsHolderEnds() {
         for (int at = 1; at <= 12; at++) {
-            PipelinesTest t = new PipelinesTest();
+            JobDependenciesTest t = new JobDependenciesTest();
             SimulatedNode node = t.cluster(1);
             SimulatedNode other = t.cluster.node("k1");
             t.cluster.submit(node, array("j-1", 1));
@@ -250,7 +250,7 @@
     @Test
     void aThousandBehindOneAreCancelledWithinMinutesAndNobodyIsCalledPendingMeanwhile() {
         for (boolean chain : new boolean[] {true, false}) {
-            PipelinesTest t = new PipelinesTest();
+            JobDependenciesTest t = new JobDependenciesTest();
             t.cluster.writesPerSecond = 35;
             t.cluster.announcedStoreLimits = new ClusterSettings.StoreLimits(150, 35, 2, 13);
             t.cluster.store.largestTransactionOperations = 13;
--- a/src/test/java/io/kitepath/core/FleetStoriesTest.java
+++ b/src/test/java/io/kitepath/core/LargeFleetTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Failures at the size of a large fleet, and the effort that a holder spends there, counted. */
-class FleetStoriesTest {
+class LargeFleetTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
--- a/src/test/java/io/kitepath/core/LastTaskTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskCompletionTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,7 +24,7 @@
  * other trouble. The moment is that of the end itself, of its report, and of each step of the write
  * that makes the job done: whoever is first has it, for ever and at every node.
  */
-class LastTaskTest {
+class LastTaskCompletionTest {
     private static final String ID = "j-1";
 
     /** What needs it. */
@@ -252,7 +252,7 @@
             for (int which = 0; which < 3; which++) {
                 begins(Shape.ARRAY, 1, 6, true);
                 cluster.run(t - cluster.clock.now);
-                int before = MeetingsTest.starts(cluster);
+                int before = ConcurrentFaultsTest.starts(cluster);
                 String what =
                         NEXT + " cancelled at k" + which + " " + (t - at) + " s from the write";
                 JobResponse response = cluster.cancel(cluster.nodes.get("k" + which), NEXT);
--- a/src/test/java/io/kitepath/core/DutiesTest.java
+++ b/src/test/java/io/kitepath/core/LeasedRolesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Duties that only one controller may do, while their holders end, stand still, or are cut off. */
-class DutiesTest {
+class LeasedRolesTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     private void nodes(int n) {
--- a/src/test/java/io/kitepath/core/LostAnswersTest.java
+++ b/src/test/java/io/kitepath/core/LostResponsesTest.java
@@ -1,8 +1,8 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.sessions;
+import static io.kitepath.core.ConcurrentFaultsTest.sessions;
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -28,7 +28,7 @@
  * own write and does not take it for another's, nobody stands back for it, and nothing that a user
  * has been told is undone.
  */
-class LostAnswersTest {
+class LostResponsesTest {
     /**
      * How long after the lost answer a leader ends, and from when on the store is out, in seconds.
      */
--- a/src/test/java/io/kitepath/core/LostAnswersMeetTest.java
+++ b/src/test/java/io/kitepath/core/LostResponsesWithOtherFaultsTest.java
@@ -1,10 +1,10 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.LostAnswersTest.ends;
-import static io.kitepath.core.LostAnswersTest.handIn;
-import static io.kitepath.core.MeetingsTest.sessions;
+import static io.kitepath.core.ConcurrentFaultsTest.sessions;
+import static io.kitepath.core.LostResponsesTest.ends;
+import static io.kitepath.core.LostResponsesTest.handIn;
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -23,9 +23,9 @@
 /**
  * Lost answers where they meet something else: claims that are won unawares, cancellations and ends
  * that only others know of, comparisons, records that are laid out anew. The days are in {@link
- * LostAnswersTest}.
+ * LostResponsesTest}.
  */
-class LostAnswersMeetTest {
+class LostResponsesWithOtherFaultsTest {
     // ---- claims ---------------------------------------------------------------------------------
 
     /**
@@ -143,7 +143,7 @@
                 handIn(cluster, 0, job("j-1", how % 2 == 0 ? Shape.ARRAY : Shape.GANG, 4, 2));
                 cluster.run(at);
                 SimulatedNode holder = cluster.leader();
-                SimulatedNode by = how < 2 ? holder : MeetingsTest.other(cluster, holder);
+                SimulatedNode by = how < 2 ? holder : ConcurrentFaultsTest.other(cluster, holder);
                 int[] lost = {0};
                 cluster.store.losesResponseOf =
                         transaction ->
@@ -275,7 +275,7 @@
                     cluster.store.ignoresRequestsOf = client -> client == holder;
                 }
                 cluster.run(0.5);
-                cluster.loadGenerator.cancel(MeetingsTest.other(cluster, holder), "j-1");
+                cluster.loadGenerator.cancel(ConcurrentFaultsTest.other(cluster, holder), "j-1");
                 for (double t = 0; t < lasts; t += 0.5) {
                     cluster.nodes
                             .values()
@@ -365,7 +365,7 @@
                 String at = "laid out anew unheard " + times + " times, holder ends after " + ends;
                 assertTrue(lost[0] > 0, at);
                 assertEquals("done", cluster.status(cluster.nodes.get("k2"), "j-1"), at);
-                assertEquals(200, MeetingsTest.starts(cluster), at);
+                assertEquals(200, ConcurrentFaultsTest.starts(cluster), at);
                 assertEquals(List.of(), cluster.violations, at);
             }
         }
--- a/src/test/java/io/kitepath/core/SwarmTest.java
+++ b/src/test/java/io/kitepath/core/ManySmallJobsTest.java
@@ -30,7 +30,7 @@
  * in memory and on record stays in proportion to what is unfinished, other work begins beside them,
  * submissions are quick, no end is late, and what is over costs nothing.
  */
-class SwarmTest {
+class ManySmallJobsTest {
     private static final double EVERY_S = 0.25;
 
     /** By the protocol: from then on after a job's last task its user expects it to be done. */
--- a/src/test/java/io/kitepath/core/GiveAndTakeTest.java
+++ b/src/test/java/io/kitepath/core/MutualPreemptionTest.java
@@ -8,7 +8,7 @@
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.simulation.SimulatedCluster;
-import io.kitepath.simulation.Worlds;
+import io.kitepath.simulation.SimulatedClusters;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -16,14 +16,14 @@
  * Urgent work of one team and guaranteed work of another want the same machine: neither stops the
  * other without end.
  */
-class GiveAndTakeTest {
+class MutualPreemptionTest {
     @Test
     void urgentWorkAndAGuaranteeDontStopEachOtherForEver() {
         int met = 0;
         for (boolean oneZone : new boolean[] {true, false}) {
             for (boolean urgentFirst : new boolean[] {true, false}) {
                 for (int cpus = 1; cpus <= 4; cpus *= 2) {
-                    SimulatedCluster cluster = Worlds.settled(3, 1);
+                    SimulatedCluster cluster = SimulatedClusters.settled(3, 1);
                     cluster.teams.put("blue", new ClusterSettings.Team("blue", 4, 8, 0, 0));
                     cluster.nodes.values().forEach(node -> node.crash());
                     cluster.siblings.forEach(cluster::node);
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/NodeBehaviourTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Whole controllers against a world in memory. */
-class StoriesTest {
+class NodeBehaviourTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
--- a/src/test/java/io/kitepath/core/TroublesTest.java
+++ b/src/test/java/io/kitepath/core/OneWayMachinesTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Machines that hear nothing, late copies of reports, and a node that only workers reach. */
-class TroublesTest {
+class OneWayMachinesTest {
     private static SimulatedWorker first(SimulatedCluster cluster) {
         return cluster.workers.values().iterator().next();
     }
--- a/src/test/java/io/kitepath/core/TeamLimitSeedsTest.java
+++ b/src/test/java/io/kitepath/core/QuotaRandomizedTest.java
@@ -1,14 +1,14 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.core.TeamLimitMeetingsTest.TEAMS;
-import static io.kitepath.core.TeamLimitMeetingsTest.limited;
-import static io.kitepath.core.TeamLimitMeetingsTest.whole;
+import static io.kitepath.core.ConcurrentFaultsTest.other;
+import static io.kitepath.core.QuotaUnderFaultsTest.TEAMS;
+import static io.kitepath.core.QuotaUnderFaultsTest.limited;
+import static io.kitepath.core.QuotaUnderFaultsTest.whole;
 import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.TeamLimitMeetingsTest.Lost;
+import io.kitepath.core.QuotaUnderFaultsTest.Lost;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
@@ -23,9 +23,9 @@
 
 /**
  * Limits across leaders that end between any two writes, and with all troubles of {@link
- * TeamLimitMeetingsTest} at once.
+ * QuotaUnderFaultsTest} at once.
  */
-class TeamLimitSeedsTest {
+class QuotaRandomizedTest {
     private SimulatedCluster cluster;
 
     /**
--- a/src/test/java/io/kitepath/core/SharesTest.java
+++ b/src/test/java/io/kitepath/core/QuotaSharesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A team's limit over several cells that all decide at once. */
-class SharesTest {
+class QuotaSharesTest {
     private static final List<String> CELLS = List.of("east", "north", "west");
     private final MultiCellSimulation simulation = settled(11, 12);
 
--- a/src/test/java/io/kitepath/core/TeamLimitMeetingsTest.java
+++ b/src/test/java/io/kitepath/core/QuotaUnderFaultsTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.other;
+import static io.kitepath.core.ConcurrentFaultsTest.other;
 import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,7 +23,7 @@
  * is used once and at once, and nothing stays taken for good. {@code cancel_s} is hardly twice the
  * lease, the lease five reports.
  */
-class TeamLimitMeetingsTest {
+class QuotaUnderFaultsTest {
     static final List<String> TEAMS = List.of("red", "blue", "green");
 
     /** Longer than any story. */
--- a/src/test/java/io/kitepath/core/QuickEndsTest.java
+++ b/src/test/java/io/kitepath/core/RapidRestartsTest.java
@@ -7,8 +7,8 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
-import io.kitepath.simulation.Worlds;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -17,7 +17,7 @@
  * Processes that end and are back within a fraction of a second, before anybody has seen them
  * silent.
  */
-class QuickEndsTest {
+class RapidRestartsTest {
     private static SimulatedCluster settled(int nodes, int machines) {
         SimulatedCluster cluster = new SimulatedCluster();
         cluster.heartbeatIntervalSeconds = 4;
@@ -247,7 +247,7 @@
      */
     @Test
     void aNodeThatIsStoppedWhileItsClaimIsUnderWayDoesNotBeginToLead() {
-        SimulatedCluster cluster = Worlds.settled(3, 2);
+        SimulatedCluster cluster = SimulatedClusters.settled(3, 2);
         SimulatedNode first = cluster.leader();
         SimulatedNode[] stopped = new SimulatedNode[1];
         cluster.store.onCommit =
--- a/src/test/java/io/kitepath/core/QuestionRateTest.java
+++ b/src/test/java/io/kitepath/core/StatusQueryRateTest.java
@@ -1,6 +1,6 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.other;
+import static io.kitepath.core.ConcurrentFaultsTest.other;
 import static io.kitepath.simulation.SimulatedCluster.job;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -16,7 +16,7 @@
 /**
  * More questions than a node's part of the store's rate allows, while the holder can't be asked.
  */
-class QuestionRateTest {
+class StatusQueryRateTest {
     /**
      * A node that reaches the store but not the holder is asked about many jobs that it never heard
      * of, more often than its part of the store's rate allows: each of them gets its answer before
--- a/src/test/java/io/kitepath/core/LimitsTest.java
+++ b/src/test/java/io/kitepath/core/StoreLimitChangesTest.java
@@ -23,7 +23,7 @@
  * The state service's limits fall: before, while it happens, and for what was written when they
  * were higher.
  */
-class LimitsTest {
+class StoreLimitChangesTest {
     private static final ClusterSettings.StoreLimits LOW =
             new ClusterSettings.StoreLimits(1000, 1000, 2, 13);
     private final SimulatedCluster cluster = new SimulatedCluster();
@@ -144,7 +144,7 @@
     @Test
     void aGangTooWideForItsPartsStartsWholeWhereverTheHolderEnds() {
         for (int at = 0; at < 8; at++) {
-            LimitsTest t = new LimitsTest();
+            StoreLimitChangesTest t = new StoreLimitChangesTest();
             SimulatedNode old = t.cluster.node("k0");
             t.cluster.run(3);
             t.cluster.submit(old, SimulatedCluster.job("j-1", Shape.GANG, 200, 2));
--- a/src/test/java/io/kitepath/core/SettledWritesTest.java
+++ b/src/test/java/io/kitepath/core/UnknownWriteOutcomesTest.java
@@ -7,15 +7,15 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
-import io.kitepath.simulation.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /**
  * A round whose answer is lost is settled by what the store has, and not by reading all jobs again.
  */
-class SettledWritesTest {
+class UnknownWriteOutcomesTest {
     private int lost;
 
     /** Pages read in the last day; the clean-up and the cloud's duty read some. */
@@ -23,7 +23,7 @@
 
     /** The nth write of parts or ends gets no answer; {@code tries}: of it. */
     private SimulatedCluster day(int nth, int tries, boolean cancel) {
-        SimulatedCluster cluster = Worlds.settled(3, 4);
+        SimulatedCluster cluster = SimulatedClusters.settled(3, 4);
         cluster.taskSeconds = id -> 6;
         SimulatedNode holder = cluster.leader();
         int[] seen = new int[1];
--- a/src/test/java/io/kitepath/core/MuteAndAwayTest.java
+++ b/src/test/java/io/kitepath/core/UnreachableControllersTest.java
@@ -1,10 +1,10 @@
 package io.kitepath.core;
 
-import static io.kitepath.core.MeetingsTest.other;
-import static io.kitepath.core.MeetingsTest.sessions;
-import static io.kitepath.core.MeetingsTest.starts;
+import static io.kitepath.core.ConcurrentFaultsTest.other;
+import static io.kitepath.core.ConcurrentFaultsTest.sessions;
+import static io.kitepath.core.ConcurrentFaultsTest.starts;
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -32,7 +32,7 @@
  * longer than a lease, back in any order; more work than room, urgent and not, over slow links.
  * Nothing runs twice or is left waiting, and what is stopped goes at once where it can be told.
  */
-class MuteAndAwayTest {
+class UnreachableControllersTest {
     /** All that was accepted is over, as its users wanted. */
     private static void over(SimulatedCluster cluster, double within, String at) {
         cluster.invariants.troublesAreOver();
--- a/src/test/java/io/kitepath/core/OneZoneTest.java
+++ b/src/test/java/io/kitepath/core/ZoneConstraintsTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -23,7 +23,7 @@
  * Jobs bound to one zone, or spread over zones, lose machines, and the next leader knows less than
  * the last one did.
  */
-class OneZoneTest {
+class ZoneConstraintsTest {
     /** So many nodes and machines, the first ones in zone a, the others in zone b. */
     private static SimulatedCluster zones(int nodes, int inA, int inB) {
         SimulatedCluster cluster = settled(nodes, 0);
--- a/src/test/java/io/kitepath/core/ZoneCutTest.java
+++ b/src/test/java/io/kitepath/core/ZonePartitionTest.java
@@ -1,7 +1,7 @@
 package io.kitepath.core;
 
 import static io.kitepath.simulation.SimulatedCluster.job;
-import static io.kitepath.simulation.Worlds.settled;
+import static io.kitepath.simulation.SimulatedClusters.settled;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -26,7 +26,7 @@
  * only what is inside, and neither store nor cloud. Jobs of it end, are cancelled outside and asked
  * about inside meanwhile.
  */
-class ZoneCutTest {
+class ZonePartitionTest {
     private static final String ZONE = "a";
     private SimulatedCluster cluster;
     private Cut cut;
--- a/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
@@ -7,13 +7,13 @@
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
 import io.kitepath.simulation.SimulatedCluster;
-import io.kitepath.simulation.Worlds;
+import io.kitepath.simulation.SimulatedClusters;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class CancellationWatermarkTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
-    private final Timers timers = Worlds.timers(cluster);
+    private final Timers timers = SimulatedClusters.timers(cluster);
 
     private ClusterSettings facts(String node, String... others) {
         cluster.siblings.clear();
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -14,7 +14,7 @@
 import io.kitepath.core.shard.Job;
 import io.kitepath.core.shard.ShardState;
 import io.kitepath.simulation.SimulatedCluster;
-import io.kitepath.simulation.Worlds;
+import io.kitepath.simulation.SimulatedClusters;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -26,7 +26,7 @@
 
 class CancellationProofTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
-    private final Timers timers = Worlds.timers(cluster);
+    private final Timers timers = SimulatedClusters.timers(cluster);
     private final ShardState shard = new ShardState(cluster.settings("k0"), machine -> {});
 
     /** What it sent, and when. */
--- a/src/test/java/io/kitepath/simulation/RulesTest.java
+++ b/src/test/java/io/kitepath/simulation/InvariantCheckerTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What watches the rules in one world finds each of them broken, when it is broken on purpose. */
-class RulesTest {
-    private final SimulatedCluster cluster = Worlds.settled(2, 4);
+class InvariantCheckerTest {
+    private final SimulatedCluster cluster = SimulatedClusters.settled(2, 4);
 
     private void finds(String what) {
         assertTrue(
--- a/src/test/java/io/kitepath/simulation/LoopbackTest.java
+++ b/src/test/java/io/kitepath/simulation/LoopbackEmulatorTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The stand-ins behind sockets, asked through the very adapters that nodes use. */
-class LoopbackTest {
+class LoopbackEmulatorTest {
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final SimulatedCluster cluster = new SimulatedCluster();
--- a/src/test/java/io/kitepath/simulation/CheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/MultiCellInvariantsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What watches the rules finds each of them broken, when it is broken on purpose. */
-class CheckerTest {
+class MultiCellInvariantsTest {
     private final MultiCellSimulation simulation =
             new MultiCellSimulation(1, List.of("east", "west"), List.of());
 
--- a/src/test/java/io/kitepath/simulation/Worlds.java
+++ b/src/test/java/io/kitepath/simulation/SimulatedClusters.java
@@ -3,8 +3,8 @@
 import io.kitepath.core.port.Timers;
 
 /** Worlds in which stories begin. */
-public final class Worlds {
-    private Worlds() {}
+public final class SimulatedClusters {
+    private SimulatedClusters() {}
 
     /**
      * So many nodes and machines, of which one leads and all have reported; the lease is five
