--- a/src/test/java/io/kitepath/core/shard/JobDependenciesTest.java
+++ b/src/test/java/io/kitepath/core/shard/DependencyDemandTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What jobs that wait for others ask of those, and what becomes of them. */
-class JobDependenciesTest {
+class DependencyDemandTest {
     private static final int TASKS_PER_PART = 4;
 
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
