--- a/src/main/java/io/kitepath/peers/CellLinks.java
+++ b/src/main/java/io/kitepath/peers/CellLinks.java
@@ -1,29 +1,18 @@
 package io.kitepath.peers;
 
 import io.kitepath.core.model.CellMessage;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.RemoteCells;
 import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
-import io.netty.handler.codec.LengthFieldPrepender;
-import io.netty.handler.timeout.IdleStateHandler;
 import java.net.InetSocketAddress;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
@@ -32,121 +21,114 @@
 
 /**
  * Connections to nodes of other cells, made when something is asked of them and closed when they
- * have been quiet for a while. All of it on the event loop.
+ * have been idle for a while. All of it runs on the event loop.
  */
 public final class CellLinks implements RemoteCells {
     private static final Logger LOG = LoggerFactory.getLogger(CellLinks.class);
-    private static final int CONNECT_MS = 500;
-    private static final int ANSWER_MS = 1000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
+    private static final int REPLY_TIMEOUT_MILLIS = 1000;
 
-    /** Summaries are a second apart: a link quiet for so long is broken, or not needed any more. */
-    private static final int QUIET_S = 10;
+    /**
+     * Summaries are a second apart: a connection idle for so long is broken, or not needed any
+     * more.
+     */
+    private static final int IDLE_SECONDS = 10;
 
-    private static final int MAX_ASKS = 512;
+    private static final int MAX_PENDING_REQUESTS = 512;
 
-    private final EventLoopGroup loop;
-    private final Messages messages = new Messages(true);
-    private final Map<String, Map<String, InetSocketAddress>> addresses;
-    private final Map<InetSocketAddress, ChannelFuture> links = new HashMap<>();
-    private final Map<Long, Consumer<CellMessage>> asks = new HashMap<>();
+    private final EventLoopGroup eventLoop;
+    private final PeerMessageCodec codec = PeerMessageCodec.betweenCells();
+    private final Map<String, Map<String, InetSocketAddress>> addressesByCell;
+    private final Map<InetSocketAddress, ChannelFuture> connections = new HashMap<>();
+    private final Map<Long, Consumer<CellMessage>> callbacksByRequest = new HashMap<>();
     private final Random random;
-    private long asked;
+    private long lastRequestId;
 
-    /** {@code addresses}: by cell and node. */
+    /**
+     * @param eventLoop a group of one event loop
+     * @param addressesByCell the addresses of the nodes, by cell and node
+     * @param random chooses among the nodes of a cell
+     */
     public CellLinks(
-            EventLoopGroup loop,
-            Map<String, Map<String, InetSocketAddress>> addresses,
+            EventLoopGroup eventLoop,
+            Map<String, Map<String, InetSocketAddress>> addressesByCell,
             Random random) {
-        this.loop = loop;
-        this.addresses = addresses;
+        this.eventLoop = eventLoop;
+        this.addressesByCell = addressesByCell;
         this.random = random;
     }
 
     @Override
-    public void ask(String cell, String node, CellMessage message, Consumer<CellMessage> answer) {
-        Map<String, InetSocketAddress> nodes = addresses.getOrDefault(cell, Map.of());
-        List<InetSocketAddress> any = new ArrayList<>(nodes.values());
-        InetSocketAddress to =
-                node != null && nodes.containsKey(node)
-                        ? nodes.get(node)
-                        : any.isEmpty() ? null : any.get(random.nextInt(any.size()));
-        if (to == null || asks.size() >= MAX_ASKS) {
-            answer.accept(null);
+    public void ask(String cell, String node, CellMessage message, Consumer<CellMessage> callback) {
+        Optional<InetSocketAddress> address = chooseAddress(cell, node);
+        if (address.isEmpty() || callbacksByRequest.size() >= MAX_PENDING_REQUESTS) {
+            callback.accept(null);
             return;
         }
-        long number = ++asked;
-        asks.put(number, answer);
-        loop.schedule(() -> settle(number, null), ANSWER_MS, TimeUnit.MILLISECONDS);
-        ChannelFuture link = links.computeIfAbsent(to, this::connect);
-        link.addListener(
-                f -> {
-                    Channel channel = link.channel();
-                    if (!f.isSuccess()) {
-                        settle(number, null);
-                    } else if (channel.isActive() && channel.isWritable()) {
-                        // A node that does not read must not fill our memory: what it has no room
-                        // for is not said.
-                        channel.writeAndFlush(
-                                Unpooled.wrappedBuffer(
-                                        messages.bytes(new Messages.AskCell(number, message))));
+        long requestId = ++lastRequestId;
+        callbacksByRequest.put(requestId, callback);
+        eventLoop.schedule(
+                () -> complete(requestId, null), REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        ChannelFuture connecting = connections.computeIfAbsent(address.get(), this::connect);
+        connecting.addListener(
+                result -> {
+                    if (result.isSuccess()) {
+                        PeerMessage request = new PeerMessage.CellRequest(requestId, message);
+                        MessageConnection.sendIfWritable(connecting.channel(), codec, request);
+                    } else {
+                        complete(requestId, null);
                     }
                 });
     }
 
-    private ChannelFuture connect(InetSocketAddress to) {
-        ChannelFuture link =
+    /** The address of the node, or of a random one of the cell if it is null or unknown. */
+    private Optional<InetSocketAddress> chooseAddress(String cell, String node) {
+        Map<String, InetSocketAddress> addresses = addressesByCell.getOrDefault(cell, Map.of());
+        if (node != null && addresses.containsKey(node)) {
+            return Optional.of(addresses.get(node));
+        }
+        if (addresses.isEmpty()) {
+            return Optional.empty();
+        }
+        List<InetSocketAddress> candidates = List.copyOf(addresses.values());
+        return Optional.of(candidates.get(random.nextInt(candidates.size())));
+    }
+
+    private ChannelFuture connect(InetSocketAddress address) {
+        ChannelFuture connecting =
                 new Bootstrap()
-                        .group(loop)
+                        .group(eventLoop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                        .handler(
-                                new ChannelInitializer<SocketChannel>() {
-                                    @Override
-                                    protected void initChannel(SocketChannel channel) {
-                                        channel.pipeline()
-                                                .addLast(
-                                                        new LengthFieldBasedFrameDecoder(
-                                                                Messages.MAX_FRAME, 0, 4, 0, 4),
-                                                        new LengthFieldPrepender(4),
-                                                        new IdleStateHandler(QUIET_S, 0, 0),
-                                                        new Answers());
-                                    }
-                                })
-                        .connect(to);
-        link.channel().closeFuture().addListener(f -> links.remove(to, link));
-        return link;
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+                        .handler(new MessageChannelInitializer(IDLE_SECONDS, CellConnection::new))
+                        .connect(address);
+        connecting
+                .channel()
+                .closeFuture()
+                .addListener(closed -> connections.remove(address, connecting));
+        return connecting;
     }
 
-    private void settle(long number, CellMessage with) {
-        Consumer<CellMessage> answer = asks.remove(number);
-        if (answer != null) {
-            answer.accept(with);
+    /** Answers the request, unless it has been answered or given up already. */
+    private void complete(long requestId, CellMessage answer) {
+        Consumer<CellMessage> callback = callbacksByRequest.remove(requestId);
+        if (callback != null) {
+            callback.accept(answer);
         }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<ByteBuf> {
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            try {
-                if (messages.value(ByteBufUtil.getBytes(frame)) instanceof Messages.AnswerCell a) {
-                    settle(a.number(), a.message());
-                }
-            } catch (InvalidInputException invalid) {
-                LOG.warn("another cell's answer can't be read: {}", invalid.getMessage());
-                ctx.close();
-            }
-        }
-
-        @Override
-        public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            ctx.close();
+    /** A connection to a node of another cell, on which only replies are expected. */
+    private final class CellConnection extends MessageConnection {
+        CellConnection() {
+            super(codec, LOG, "connection to another cell", "another cell's answer");
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.debug("connection to another cell failed: {}", cause.toString());
-            ctx.close();
+        void onMessage(Channel channel, PeerMessage message) {
+            if (message instanceof PeerMessage.CellReply reply) {
+                complete(reply.requestId(), reply.message());
+            }
         }
     }
 }
--- a/src/main/java/io/kitepath/peers/CellMessageSerializers.java
+++ b/src/main/java/io/kitepath/peers/CellMessageSerializers.java
@@ -20,94 +20,96 @@
 
     /** Registers the classes, under ids which are part of the protocol. */
     static void register(Kryo kryo) {
-        kryo.register(Messages.AskCell.class, new AskCellSerializer(), 36);
-        kryo.register(Messages.AnswerCell.class, new AnswerCellSerializer(), 37);
-        kryo.register(CellMessage.Redirect.class, new ElsewhereSerializer(), 38);
-        kryo.register(CellMessage.FreeCapacity.class, new RoomSerializer(), 39);
+        kryo.register(PeerMessage.CellRequest.class, new CellRequestSerializer(), 36);
+        kryo.register(PeerMessage.CellReply.class, new CellReplySerializer(), 37);
+        kryo.register(CellMessage.Redirect.class, new RedirectSerializer(), 38);
+        kryo.register(CellMessage.FreeCapacity.class, new FreeCapacitySerializer(), 39);
         kryo.register(CellMessage.Summary.class, new SummarySerializer(), 40);
-        kryo.register(CellMessage.LoanOffer.class, new OfferSerializer(), 41);
-        kryo.register(CellMessage.LoanRecall.class, new RecallSerializer(), 42);
+        kryo.register(CellMessage.LoanOffer.class, new LoanOfferSerializer(), 41);
+        kryo.register(CellMessage.LoanRecall.class, new LoanRecallSerializer(), 42);
         kryo.register(CellMessage.LoanState.class, 43);
-        kryo.register(CellMessage.LoanStatus.class, new WordSerializer(), 44);
-        kryo.register(CellMessage.LoanSettled.class, new SettledSerializer(), 45);
-        kryo.register(CellMessage.UserRequest.class, new UserAskSerializer(), 46);
+        kryo.register(CellMessage.LoanStatus.class, new LoanStatusSerializer(), 44);
+        kryo.register(CellMessage.LoanSettled.class, new LoanSettledSerializer(), 45);
+        kryo.register(CellMessage.UserRequest.class, new UserRequestSerializer(), 46);
         kryo.register(CellMessage.RequestKind.class, 47);
-        kryo.register(CellMessage.UserResponse.class, new UserAnswerSerializer(), 48);
+        kryo.register(CellMessage.UserResponse.class, new UserResponseSerializer(), 48);
         kryo.register(JobSpec.class, new JobSpecSerializer(), 49);
         kryo.register(JobSpec.Shape.class, 50);
         kryo.register(JobSpec.Priority.class, 51);
         kryo.register(MachineKind.class, new MachineKindSerializer(), 52);
-        kryo.register(byte[].class, new BoundedSerializers.OfBytes(), 53);
-        kryo.register(CellMessage.QuotaShare.class, new ShareSerializer(), 54);
-        kryo.register(CellMessage.QuotaGrant.class, new GrantSerializer(), 55);
-        kryo.register(CellMessage.QuotaGrantAccepted.class, new GrantedSerializer(), 56);
+        kryo.register(byte[].class, new BoundedBytesSerializer(), 53);
+        kryo.register(CellMessage.QuotaShare.class, new QuotaShareSerializer(), 54);
+        kryo.register(CellMessage.QuotaGrant.class, new QuotaGrantSerializer(), 55);
+        kryo.register(CellMessage.QuotaGrantAccepted.class, new QuotaGrantAcceptedSerializer(), 56);
     }
 
-    private static final class AskCellSerializer extends FieldSerializer<Messages.AskCell> {
+    private static final class CellRequestSerializer
+            extends FieldSerializer<PeerMessage.CellRequest> {
         @Override
-        public void write(Kryo kryo, Output output, Messages.AskCell ask) {
-            kryo.writeClassAndObject(output, ask.message());
-            writeLong(output, ask.number());
+        public void write(Kryo kryo, Output output, PeerMessage.CellRequest request) {
+            kryo.writeClassAndObject(output, request.message());
+            writeLong(output, request.requestId());
         }
 
         @Override
-        public Messages.AskCell read(
-                Kryo kryo, Input input, Class<? extends Messages.AskCell> type) {
+        public PeerMessage.CellRequest read(
+                Kryo kryo, Input input, Class<? extends PeerMessage.CellRequest> recordClass) {
             CellMessage message = (CellMessage) kryo.readClassAndObject(input);
-            long number = readLong(input);
-            return new Messages.AskCell(number, message);
+            long requestId = readLong(input);
+            return new PeerMessage.CellRequest(requestId, message);
         }
     }
 
-    private static final class AnswerCellSerializer extends FieldSerializer<Messages.AnswerCell> {
+    private static final class CellReplySerializer extends FieldSerializer<PeerMessage.CellReply> {
         @Override
-        public void write(Kryo kryo, Output output, Messages.AnswerCell answer) {
-            kryo.writeClassAndObject(output, answer.message());
-            writeLong(output, answer.number());
+        public void write(Kryo kryo, Output output, PeerMessage.CellReply reply) {
+            kryo.writeClassAndObject(output, reply.message());
+            writeLong(output, reply.requestId());
         }
 
         @Override
-        public Messages.AnswerCell read(
-                Kryo kryo, Input input, Class<? extends Messages.AnswerCell> type) {
+        public PeerMessage.CellReply read(
+                Kryo kryo, Input input, Class<? extends PeerMessage.CellReply> recordClass) {
             CellMessage message = (CellMessage) kryo.readClassAndObject(input);
-            long number = readLong(input);
-            return new Messages.AnswerCell(number, message);
+            long requestId = readLong(input);
+            return new PeerMessage.CellReply(requestId, message);
         }
     }
 
-    private static final class ElsewhereSerializer extends FieldSerializer<CellMessage.Redirect> {
+    private static final class RedirectSerializer extends FieldSerializer<CellMessage.Redirect> {
         @Override
-        public void write(Kryo kryo, Output output, CellMessage.Redirect elsewhere) {
-            output.writeString(elsewhere.node());
+        public void write(Kryo kryo, Output output, CellMessage.Redirect redirect) {
+            output.writeString(redirect.node());
         }
 
         @Override
         public CellMessage.Redirect read(
-                Kryo kryo, Input input, Class<? extends CellMessage.Redirect> type) {
+                Kryo kryo, Input input, Class<? extends CellMessage.Redirect> recordClass) {
             String node = input.readString();
             return new CellMessage.Redirect(node);
         }
     }
 
-    private static final class RoomSerializer extends FieldSerializer<CellMessage.FreeCapacity> {
+    private static final class FreeCapacitySerializer
+            extends FieldSerializer<CellMessage.FreeCapacity> {
         @Override
-        public void write(Kryo kryo, Output output, CellMessage.FreeCapacity room) {
-            output.writeDouble(room.cpus());
-            output.writeDouble(room.gpus());
-            writeInt(output, room.idleMachines());
-            kryo.writeObjectOrNull(output, room.kind(), MachineKind.class);
-            output.writeDouble(room.memoryGigabytes());
+        public void write(Kryo kryo, Output output, CellMessage.FreeCapacity capacity) {
+            output.writeDouble(capacity.cpus());
+            output.writeDouble(capacity.gpus());
+            writeInt(output, capacity.idleMachines());
+            kryo.writeObjectOrNull(output, capacity.kind(), MachineKind.class);
+            output.writeDouble(capacity.memoryGigabytes());
         }
 
         @Override
         public CellMessage.FreeCapacity read(
-                Kryo kryo, Input input, Class<? extends CellMessage.FreeCapacity> type) {
+                Kryo kryo, Input input, Class<? extends CellMessage.FreeCapacity> recordClass) {
             double cpus = input.readDouble();
             double gpus = input.readDouble();
-            int idle = readInt(input);
+            int idleMachines = readInt(input);
             MachineKind kind = kryo.readObjectOrNull(input, MachineKind.class);
-            double memoryGb = input.readDouble();
-            return new CellMessage.FreeCapacity(kind, cpus, gpus, memoryGb, idle);
+            double memoryGigabytes = input.readDouble();
+            return new CellMessage.FreeCapacity(kind, cpus, gpus, memoryGigabytes, idleMachines);
         }
     }
 
@@ -126,23 +128,30 @@
 
         @Override
         public CellMessage.Summary read(
-                Kryo kryo, Input input, Class<? extends CellMessage.Summary> type) {
+                Kryo kryo, Input input, Class<? extends CellMessage.Summary> recordClass) {
             String cell = input.readString();
-            List<String> hears = readList(kryo, input, String.class);
+            List<String> reachableCells = readList(kryo, input, String.class);
             String leader = input.readString();
-            List<CellMessage.FreeCapacity> room =
+            List<CellMessage.FreeCapacity> freeCapacity =
                     readList(kryo, input, CellMessage.FreeCapacity.class);
-            List<CellMessage.QuotaShare> shares =
+            List<CellMessage.QuotaShare> quotaShares =
                     readList(kryo, input, CellMessage.QuotaShare.class);
-            boolean takes = input.readBoolean();
-            long version = readLong(input);
-            List<Double> waitS = readList(kryo, input, Double.class);
+            boolean acceptsLoans = input.readBoolean();
+            long directoryVersion = readLong(input);
+            List<Double> queueSecondsByRank = readList(kryo, input, Double.class);
             return new CellMessage.Summary(
-                    cell, leader, version, takes, room, waitS, hears, shares);
+                    cell,
+                    leader,
+                    directoryVersion,
+                    acceptsLoans,
+                    freeCapacity,
+                    queueSecondsByRank,
+                    reachableCells,
+                    quotaShares);
         }
     }
 
-    private static final class OfferSerializer extends FieldSerializer<CellMessage.LoanOffer> {
+    private static final class LoanOfferSerializer extends FieldSerializer<CellMessage.LoanOffer> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.LoanOffer offer) {
             writeLong(output, offer.lowestOpenNumber());
@@ -157,21 +166,29 @@
 
         @Override
         public CellMessage.LoanOffer read(
-                Kryo kryo, Input input, Class<? extends CellMessage.LoanOffer> type) {
-            long floor = readLong(input);
-            int from = readInt(input);
-            String home = input.readString();
-            JobSpec job = kryo.readObjectOrNull(input, JobSpec.class);
-            long next = readLong(input);
-            long number = readLong(input);
-            double submittedMs = input.readDouble();
-            int until = readInt(input);
+                Kryo kryo, Input input, Class<? extends CellMessage.LoanOffer> recordClass) {
+            long lowestOpenNumber = readLong(input);
+            int firstTask = readInt(input);
+            String homeCell = input.readString();
+            JobSpec spec = kryo.readObjectOrNull(input, JobSpec.class);
+            long nextAttempt = readLong(input);
+            long loanNumber = readLong(input);
+            double submittedMillis = input.readDouble();
+            int endTask = readInt(input);
             return new CellMessage.LoanOffer(
-                    home, number, floor, job, submittedMs, from, until, next);
+                    homeCell,
+                    loanNumber,
+                    lowestOpenNumber,
+                    spec,
+                    submittedMillis,
+                    firstTask,
+                    endTask,
+                    nextAttempt);
         }
     }
 
-    private static final class RecallSerializer extends FieldSerializer<CellMessage.LoanRecall> {
+    private static final class LoanRecallSerializer
+            extends FieldSerializer<CellMessage.LoanRecall> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.LoanRecall recall) {
             writeLong(output, recall.lowestOpenNumber());
@@ -182,39 +199,40 @@
 
         @Override
         public CellMessage.LoanRecall read(
-                Kryo kryo, Input input, Class<? extends CellMessage.LoanRecall> type) {
-            long floor = readLong(input);
-            String home = input.readString();
+                Kryo kryo, Input input, Class<? extends CellMessage.LoanRecall> recordClass) {
+            long lowestOpenNumber = readLong(input);
+            String homeCell = input.readString();
             boolean kill = input.readBoolean();
-            long number = readLong(input);
-            return new CellMessage.LoanRecall(home, number, floor, kill);
+            long loanNumber = readLong(input);
+            return new CellMessage.LoanRecall(homeCell, loanNumber, lowestOpenNumber, kill);
         }
     }
 
-    private static final class WordSerializer extends FieldSerializer<CellMessage.LoanStatus> {
+    private static final class LoanStatusSerializer
+            extends FieldSerializer<CellMessage.LoanStatus> {
         @Override
-        public void write(Kryo kryo, Output output, CellMessage.LoanStatus word) {
-            output.writeString(word.cell());
-            kryo.writeObjectOrNull(output, word.doneTasks(), byte[].class);
-            writeLong(output, word.nextAttempt());
-            writeLong(output, word.loanNumber());
-            kryo.writeObjectOrNull(output, word.state(), CellMessage.LoanState.class);
+        public void write(Kryo kryo, Output output, CellMessage.LoanStatus status) {
+            output.writeString(status.cell());
+            kryo.writeObjectOrNull(output, status.doneTasks(), byte[].class);
+            writeLong(output, status.nextAttempt());
+            writeLong(output, status.loanNumber());
+            kryo.writeObjectOrNull(output, status.state(), CellMessage.LoanState.class);
         }
 
         @Override
         public CellMessage.LoanStatus read(
-                Kryo kryo, Input input, Class<? extends CellMessage.LoanStatus> type) {
+                Kryo kryo, Input input, Class<? extends CellMessage.LoanStatus> recordClass) {
             String cell = input.readString();
-            byte[] done = kryo.readObjectOrNull(input, byte[].class);
-            long next = readLong(input);
-            long number = readLong(input);
-            CellMessage.LoanState standing =
-                    kryo.readObjectOrNull(input, CellMessage.LoanState.class);
-            return new CellMessage.LoanStatus(cell, number, standing, done, next);
+            byte[] doneTasks = kryo.readObjectOrNull(input, byte[].class);
+            long nextAttempt = readLong(input);
+            long loanNumber = readLong(input);
+            CellMessage.LoanState state = kryo.readObjectOrNull(input, CellMessage.LoanState.class);
+            return new CellMessage.LoanStatus(cell, loanNumber, state, doneTasks, nextAttempt);
         }
     }
 
-    private static final class SettledSerializer extends FieldSerializer<CellMessage.LoanSettled> {
+    private static final class LoanSettledSerializer
+            extends FieldSerializer<CellMessage.LoanSettled> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.LoanSettled settled) {
             writeLong(output, settled.lowestOpenNumber());
@@ -223,95 +241,96 @@
 
         @Override
         public CellMessage.LoanSettled read(
-                Kryo kryo, Input input, Class<? extends CellMessage.LoanSettled> type) {
-            long floor = readLong(input);
-            long number = readLong(input);
-            return new CellMessage.LoanSettled(number, floor);
+                Kryo kryo, Input input, Class<? extends CellMessage.LoanSettled> recordClass) {
+            long lowestOpenNumber = readLong(input);
+            long loanNumber = readLong(input);
+            return new CellMessage.LoanSettled(loanNumber, lowestOpenNumber);
         }
     }
 
-    private static final class UserAskSerializer extends FieldSerializer<CellMessage.UserRequest> {
+    private static final class UserRequestSerializer
+            extends FieldSerializer<CellMessage.UserRequest> {
         @Override
-        public void write(Kryo kryo, Output output, CellMessage.UserRequest ask) {
-            output.writeString(ask.jobId());
-            kryo.writeObjectOrNull(output, ask.spec(), JobSpec.class);
-            kryo.writeObjectOrNull(output, ask.kind(), CellMessage.RequestKind.class);
+        public void write(Kryo kryo, Output output, CellMessage.UserRequest request) {
+            output.writeString(request.jobId());
+            kryo.writeObjectOrNull(output, request.spec(), JobSpec.class);
+            kryo.writeObjectOrNull(output, request.kind(), CellMessage.RequestKind.class);
         }
 
         @Override
         public CellMessage.UserRequest read(
-                Kryo kryo, Input input, Class<? extends CellMessage.UserRequest> type) {
-            String id = input.readString();
-            JobSpec job = kryo.readObjectOrNull(input, JobSpec.class);
+                Kryo kryo, Input input, Class<? extends CellMessage.UserRequest> recordClass) {
+            String jobId = input.readString();
+            JobSpec spec = kryo.readObjectOrNull(input, JobSpec.class);
             CellMessage.RequestKind kind =
                     kryo.readObjectOrNull(input, CellMessage.RequestKind.class);
-            return new CellMessage.UserRequest(kind, id, job);
+            return new CellMessage.UserRequest(kind, jobId, spec);
         }
     }
 
-    private static final class UserAnswerSerializer
+    private static final class UserResponseSerializer
             extends FieldSerializer<CellMessage.UserResponse> {
         @Override
-        public void write(Kryo kryo, Output output, CellMessage.UserResponse answer) {
-            kryo.writeObjectOrNull(output, answer.status(), JobStatus.class);
-            output.writeString(answer.verdict());
+        public void write(Kryo kryo, Output output, CellMessage.UserResponse response) {
+            kryo.writeObjectOrNull(output, response.status(), JobStatus.class);
+            output.writeString(response.verdict());
         }
 
         @Override
         public CellMessage.UserResponse read(
-                Kryo kryo, Input input, Class<? extends CellMessage.UserResponse> type) {
-            JobStatus state = kryo.readObjectOrNull(input, JobStatus.class);
+                Kryo kryo, Input input, Class<? extends CellMessage.UserResponse> recordClass) {
+            JobStatus status = kryo.readObjectOrNull(input, JobStatus.class);
             String verdict = input.readString();
-            return new CellMessage.UserResponse(verdict, state);
+            return new CellMessage.UserResponse(verdict, status);
         }
     }
 
     private static final class JobSpecSerializer extends FieldSerializer<JobSpec> {
         @Override
-        public void write(Kryo kryo, Output output, JobSpec job) {
-            output.writeDouble(job.checkpointIntervalSeconds());
-            output.writeDouble(job.cpusPerTask());
-            kryo.writeObjectOrNull(output, job.deadlineSeconds(), Double.class);
-            output.writeDouble(job.estimatedSeconds());
-            output.writeDouble(job.gpusPerTask());
-            output.writeString(job.id());
-            output.writeString(job.image());
-            output.writeDouble(job.imageGigabytes());
-            output.writeString(job.jobClass());
-            output.writeDouble(job.memoryGigabytesPerTask());
-            output.writeBoolean(job.isSingleZone());
-            kryo.writeObjectOrNull(output, job.priority(), JobSpec.Priority.class);
-            output.writeDouble(job.checkpointSaveSeconds());
-            kryo.writeObjectOrNull(output, job.shape(), JobSpec.Shape.class);
-            output.writeBoolean(job.allowsSpot());
-            output.writeBoolean(job.isSpreadAcrossZones());
-            writeInt(output, job.taskCount());
-            output.writeString(job.team());
-            writeListOrNull(kryo, output, job.machineTypes());
-            output.writeString(job.zone());
-        }
-
-        @Override
-        public JobSpec read(Kryo kryo, Input input, Class<? extends JobSpec> type) {
-            double checkpointS = input.readDouble();
-            double cpus = input.readDouble();
-            Double deadlineS = kryo.readObjectOrNull(input, Double.class);
-            double estimateS = input.readDouble();
-            double gpus = input.readDouble();
+        public void write(Kryo kryo, Output output, JobSpec spec) {
+            output.writeDouble(spec.checkpointIntervalSeconds());
+            output.writeDouble(spec.cpusPerTask());
+            kryo.writeObjectOrNull(output, spec.deadlineSeconds(), Double.class);
+            output.writeDouble(spec.estimatedSeconds());
+            output.writeDouble(spec.gpusPerTask());
+            output.writeString(spec.id());
+            output.writeString(spec.image());
+            output.writeDouble(spec.imageGigabytes());
+            output.writeString(spec.jobClass());
+            output.writeDouble(spec.memoryGigabytesPerTask());
+            output.writeBoolean(spec.isSingleZone());
+            kryo.writeObjectOrNull(output, spec.priority(), JobSpec.Priority.class);
+            output.writeDouble(spec.checkpointSaveSeconds());
+            kryo.writeObjectOrNull(output, spec.shape(), JobSpec.Shape.class);
+            output.writeBoolean(spec.allowsSpot());
+            output.writeBoolean(spec.isSpreadAcrossZones());
+            writeInt(output, spec.taskCount());
+            output.writeString(spec.team());
+            writeListOrNull(kryo, output, spec.machineTypes());
+            output.writeString(spec.zone());
+        }
+
+        @Override
+        public JobSpec read(Kryo kryo, Input input, Class<? extends JobSpec> recordClass) {
+            double checkpointIntervalSeconds = input.readDouble();
+            double cpusPerTask = input.readDouble();
+            Double deadlineSeconds = kryo.readObjectOrNull(input, Double.class);
+            double estimatedSeconds = input.readDouble();
+            double gpusPerTask = input.readDouble();
             String id = input.readString();
             String image = input.readString();
-            double imageGb = input.readDouble();
+            double imageGigabytes = input.readDouble();
             String jobClass = input.readString();
-            double memoryGb = input.readDouble();
-            boolean oneZone = input.readBoolean();
+            double memoryGigabytesPerTask = input.readDouble();
+            boolean isSingleZone = input.readBoolean();
             JobSpec.Priority priority = kryo.readObjectOrNull(input, JobSpec.Priority.class);
-            double saveS = input.readDouble();
+            double checkpointSaveSeconds = input.readDouble();
             JobSpec.Shape shape = kryo.readObjectOrNull(input, JobSpec.Shape.class);
-            boolean spot = input.readBoolean();
-            boolean spread = input.readBoolean();
-            int tasks = readInt(input);
+            boolean allowsSpot = input.readBoolean();
+            boolean isSpreadAcrossZones = input.readBoolean();
+            int taskCount = readInt(input);
             String team = input.readString();
-            List<String> types = readListOrNull(kryo, input, String.class);
+            List<String> machineTypes = readListOrNull(kryo, input, String.class);
             String zone = input.readString();
             return new JobSpec(
                     id,
@@ -319,21 +338,21 @@
                     team,
                     shape,
                     priority,
-                    tasks,
-                    cpus,
-                    gpus,
-                    memoryGb,
-                    types,
+                    taskCount,
+                    cpusPerTask,
+                    gpusPerTask,
+                    memoryGigabytesPerTask,
+                    machineTypes,
                     zone,
-                    oneZone,
-                    spread,
-                    spot,
+                    isSingleZone,
+                    isSpreadAcrossZones,
+                    allowsSpot,
                     image,
-                    imageGb,
-                    estimateS,
-                    checkpointS,
-                    saveS,
-                    deadlineS);
+                    imageGigabytes,
+                    estimatedSeconds,
+                    checkpointIntervalSeconds,
+                    checkpointSaveSeconds,
+                    deadlineSeconds);
         }
     }
 
@@ -348,13 +367,14 @@
         @Override
         public MachineKind read(Kryo kryo, Input input, Class<? extends MachineKind> recordClass) {
             boolean spot = input.readBoolean();
-            String type = input.readString();
+            String machineType = input.readString();
             String zone = input.readString();
-            return new MachineKind(type, zone, spot);
+            return new MachineKind(machineType, zone, spot);
         }
     }
 
-    private static final class ShareSerializer extends FieldSerializer<CellMessage.QuotaShare> {
+    private static final class QuotaShareSerializer
+            extends FieldSerializer<CellMessage.QuotaShare> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.QuotaShare share) {
             writeLong(output, share.nextJobNeed());
@@ -369,20 +389,29 @@
 
         @Override
         public CellMessage.QuotaShare read(
-                Kryo kryo, Input input, Class<? extends CellMessage.QuotaShare> type) {
-            long head = readLong(input);
-            long holds = readLong(input);
-            int kind = readInt(input);
-            double since = input.readDouble();
-            long task = readLong(input);
+                Kryo kryo, Input input, Class<? extends CellMessage.QuotaShare> recordClass) {
+            long nextJobNeed = readLong(input);
+            long held = readLong(input);
+            int resourceKind = readInt(input);
+            double nextJobSubmittedMillis = input.readDouble();
+            long nextTaskNeed = readLong(input);
             String team = input.readString();
             long used = readLong(input);
-            long wants = readLong(input);
-            return new CellMessage.QuotaShare(team, kind, holds, used, wants, head, task, since);
+            long wanted = readLong(input);
+            return new CellMessage.QuotaShare(
+                    team,
+                    resourceKind,
+                    held,
+                    used,
+                    wanted,
+                    nextJobNeed,
+                    nextTaskNeed,
+                    nextJobSubmittedMillis);
         }
     }
 
-    private static final class GrantSerializer extends FieldSerializer<CellMessage.QuotaGrant> {
+    private static final class QuotaGrantSerializer
+            extends FieldSerializer<CellMessage.QuotaGrant> {
         @Override
         public void write(Kryo kryo, Output output, CellMessage.QuotaGrant grant) {
             writeLong(output, grant.amount());
@@ -395,29 +424,32 @@
 
         @Override
         public CellMessage.QuotaGrant read(
-                Kryo kryo, Input input, Class<? extends CellMessage.QuotaGrant> type) {
+                Kryo kryo, Input input, Class<? extends CellMessage.QuotaGrant> recordClass) {
             long amount = readLong(input);
-            long floor = readLong(input);
-            String from = input.readString();
-            int kind = readInt(input);
-            long number = readLong(input);
+            long lowestOpenNumber = readLong(input);
+            String fromCell = input.readString();
+            int resourceKind = readInt(input);
+            long grantNumber = readLong(input);
             String team = input.readString();
-            return new CellMessage.QuotaGrant(from, number, floor, team, kind, amount);
+            return new CellMessage.QuotaGrant(
+                    fromCell, grantNumber, lowestOpenNumber, team, resourceKind, amount);
         }
     }
 
-    private static final class GrantedSerializer
+    private static final class QuotaGrantAcceptedSerializer
             extends FieldSerializer<CellMessage.QuotaGrantAccepted> {
         @Override
-        public void write(Kryo kryo, Output output, CellMessage.QuotaGrantAccepted granted) {
-            writeLong(output, granted.grantNumber());
+        public void write(Kryo kryo, Output output, CellMessage.QuotaGrantAccepted accepted) {
+            writeLong(output, accepted.grantNumber());
         }
 
         @Override
         public CellMessage.QuotaGrantAccepted read(
-                Kryo kryo, Input input, Class<? extends CellMessage.QuotaGrantAccepted> type) {
-            long number = readLong(input);
-            return new CellMessage.QuotaGrantAccepted(number);
+                Kryo kryo,
+                Input input,
+                Class<? extends CellMessage.QuotaGrantAccepted> recordClass) {
+            long grantNumber = readLong(input);
+            return new CellMessage.QuotaGrantAccepted(grantNumber);
         }
     }
 }
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -4,320 +4,329 @@
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobProgress;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.port.PeerNodes;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
-import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
-import io.netty.handler.codec.LengthFieldPrepender;
-import io.netty.handler.timeout.IdleStateHandler;
 import io.netty.util.AttributeKey;
 import java.net.InetSocketAddress;
 import java.util.Collection;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The nodes' own channel: one kept connection to each sibling, length-prefixed frames. */
+/**
+ * The messages between the controller nodes of a cell, over one kept connection to each peer, and
+ * those that nodes of other cells send to this one. All of it runs on the event loop.
+ */
 public final class Peers implements PeerNodes {
     private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
 
     /** A worker drops answers after 4 s; a relayed one has to be back well before. */
-    private static final long RELAY_MS = 3000;
+    private static final long RELAY_TIMEOUT_MILLIS = 3000;
 
-    /** Views come every second; a connection that stays mute this long is dead. */
-    private static final int MUTE_S = 4;
+    /** A user waits 2 s for an answer; what the leader knows is worth a part of that. */
+    private static final long PROGRESS_TIMEOUT_MILLIS = 500;
 
-    private static final int MAX_ASKS = 256;
+    /** Announcements come every second; a connection that stays silent this long is dead. */
+    private static final int IDLE_SECONDS = 4;
 
-    /** A user waits 2 s for an answer; what the holder knows is worth a part of that. */
-    private static final long PROGRESS_MS = 500;
+    private static final int MAX_PENDING_REQUESTS = 256;
 
-    /** Set on connections whose other side reads digests. */
-    private static final AttributeKey<Boolean> READS = AttributeKey.valueOf("reads.digests");
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
 
-    private final EventLoopGroup loop;
-    private final Messages messages;
+    /** The first delay before a reconnect; it doubles with each failure, up to the largest one. */
+    private static final long RECONNECT_MILLIS = 250;
+
+    private static final long MAX_RECONNECT_MILLIS = 3000;
+    private static final int MAX_RECONNECT_DOUBLINGS = 4;
+
+    /** Up to that much is added, so that nodes do not reconnect to each other in step. */
+    private static final int RECONNECT_JITTER_MILLIS = 200;
+
+    /** Set on connections whose other side reads {@link PeerMessage.CancelledJobs}. */
+    private static final AttributeKey<Boolean> READS_CANCELLED_JOBS =
+            AttributeKey.valueOf("reads.digests");
+
+    private final EventLoopGroup eventLoop;
+    private final PeerMessageCodec codec;
     private final String node;
     private final Map<String, InetSocketAddress> addresses;
-    private final Map<String, Channel> channels = new HashMap<>();
-    private final Map<Long, Asked<HeartbeatResponse>> asks = new LinkedHashMap<>();
-    private final Map<Long, Asked<List<JobProgress>>> progressAsks = new LinkedHashMap<>();
+    private final Map<String, Channel> channelsByPeer = new HashMap<>();
+    private final PendingRequests<HeartbeatResponse> relays =
+            new PendingRequests<>(MAX_PENDING_REQUESTS, new HeartbeatResponse(0, List.of(), null));
+    private final PendingRequests<List<JobProgress>> progressRequests =
+            new PendingRequests<>(MAX_PENDING_REQUESTS, List.of());
+    private Optional<PeerMessage.NodeState> lastAnnounced = Optional.empty();
     private Controller controller;
-    private long asked;
+    private long lastRequestId;
 
     /**
-     * A question that was sent on that connection, and what it is answered with when there is no
-     * answer.
+     * @param eventLoop a group of one event loop
+     * @param node the name of this node
+     * @param addresses of the peers, by node
+     * @param cells whether there are other cells, whose nodes may send requests
      */
-    private record Asked<T>(Channel channel, Consumer<T> answer, T none) {}
-
-    /** {@code cells}: whether nodes of other cells may ask something. */
     public Peers(
-            EventLoopGroup loop,
+            EventLoopGroup eventLoop,
             String node,
             Map<String, InetSocketAddress> addresses,
             boolean cells) {
-        this.messages = new Messages(cells);
-        this.loop = loop;
+        this.codec = cells ? PeerMessageCodec.betweenCells() : PeerMessageCodec.withinCell();
+        this.eventLoop = eventLoop;
         this.node = node;
         this.addresses = addresses;
     }
 
-    public ChannelFuture start(Controller c, InetSocketAddress listen) {
-        controller = c;
-        addresses.keySet().forEach(s -> connect(s, 0));
+    /** Connects to the peers and accepts connections of theirs. */
+    public ChannelFuture start(Controller controllerOfNode, InetSocketAddress listenAddress) {
+        controller = controllerOfNode;
+        addresses.keySet().forEach(peer -> connect(peer, 0));
         return new ServerBootstrap()
-                .group(loop, loop)
+                .group(eventLoop, eventLoop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(new Setup())
-                .bind(listen);
-    }
-
-    private final class Setup extends ChannelInitializer<SocketChannel> {
-        @Override
-        protected void initChannel(SocketChannel channel) {
-            channel.pipeline()
-                    .addLast(
-                            new LengthFieldBasedFrameDecoder(Messages.MAX_FRAME, 0, 4, 0, 4),
-                            new LengthFieldPrepender(4),
-                            new IdleStateHandler(MUTE_S, 0, 0),
-                            new Connection());
-        }
+                .childHandler(new MessageChannelInitializer(IDLE_SECONDS, PeerConnection::new))
+                .bind(listenAddress);
     }
 
-    private void connect(String sibling, int failures) {
-        Bootstrap b =
+    private void connect(String peer, int failures) {
+        ChannelFuture connecting =
                 new Bootstrap()
-                        .group(loop)
+                        .group(eventLoop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
-                        .handler(new Setup());
-        ChannelFuture connecting = b.connect(addresses.get(sibling));
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+                        .handler(new MessageChannelInitializer(IDLE_SECONDS, PeerConnection::new))
+                        .connect(addresses.get(peer));
         connecting.addListener(
-                f -> {
-                    if (f.isSuccess()) {
-                        channels.put(sibling, connecting.channel());
-                        connecting
-                                .channel()
-                                .closeFuture()
-                                .addListener(
-                                        x -> {
-                                            channels.remove(sibling);
-                                            lost(connecting.channel(), asks);
-                                            lost(connecting.channel(), progressAsks);
-                                            reconnect(sibling, 0);
-                                        });
+                result -> {
+                    if (result.isSuccess()) {
+                        onConnected(peer, connecting.channel());
                     } else {
-                        reconnect(sibling, failures + 1);
+                        reconnect(peer, failures + 1);
                     }
                 });
     }
 
-    /**
-     * Guards against questions that wait their whole time for a process that is gone, while the one
-     * that took its place a fraction of a second later, under its name, has never heard of them.
-     */
-    private static <T> void lost(Channel channel, Map<Long, Asked<T>> asked) {
-        asked.entrySet().stream()
-                .filter(e -> e.getValue().channel == channel)
-                .map(Map.Entry::getKey)
-                .toList()
-                .forEach(
-                        n -> {
-                            Asked<T> a = asked.get(n);
-                            if (a != null) {
-                                settle(asked, n, a.none);
-                            }
+    private void onConnected(String peer, Channel channel) {
+        channelsByPeer.put(peer, channel);
+        channel.closeFuture()
+                .addListener(
+                        closed -> {
+                            channelsByPeer.remove(peer);
+                            relays.giveUpAllOn(channel);
+                            progressRequests.giveUpAllOn(channel);
+                            reconnect(peer, 0);
                         });
     }
 
-    private void reconnect(String sibling, int failures) {
-        long ms =
-                Math.min(3000, 250L << Math.min(4, failures))
-                        + Math.floorMod(System.nanoTime() / 1000, 200);
-        loop.schedule(() -> connect(sibling, failures), ms, TimeUnit.MILLISECONDS);
-    }
-
-    private void send(Channel channel, Object message) {
-        // A sibling that does not read must not fill our memory.
-        if (channel != null && channel.isActive() && channel.isWritable()) {
-            channel.writeAndFlush(Unpooled.wrappedBuffer(messages.bytes(message)));
-        }
+    private void reconnect(String peer, int failures) {
+        long backoffMillis = RECONNECT_MILLIS << Math.min(MAX_RECONNECT_DOUBLINGS, failures);
+        long jitterMillis = Math.floorMod(System.nanoTime() / 1000, RECONNECT_JITTER_MILLIS);
+        eventLoop.schedule(
+                () -> connect(peer, failures),
+                Math.min(MAX_RECONNECT_MILLIS, backoffMillis) + jitterMillis,
+                TimeUnit.MILLISECONDS);
     }
 
-    @Override
-    public void announceState(long token, String leader, boolean served) {
-        view = new Messages.View(node, token, leader != null, served);
-        toAll(channels.values(), channel -> send(channel, view));
+    private void send(Channel channel, PeerMessage message) {
+        MessageConnection.sendIfWritable(channel, codec, message);
     }
 
-    private Messages.View view;
-
     /**
-     * Not to all: production would end the connection at a message that it does not know. Whoever
-     * reads it says so on each connection, so that one that went back to that version is not sent
-     * any more.
+     * Runs the action for each channel. The collection may change meanwhile: a connection that
+     * turns out to be reset as something is written to it closes there and then, and is removed
+     * while the others are still gone through.
      */
-    @Override
-    public void sendCancellationDigest(CancellationDigest d) {
-        Object message =
-                new Messages.Digest(d.node(), d.sinceMillis(), d.untilMillis(), d.jobIds());
-        toAll(
-                channels.values(),
-                channel -> {
-                    if (channel.hasAttr(READS)) {
-                        send(channel, message);
-                    }
-                });
+    static void forEachChannel(Collection<Channel> channels, Consumer<Channel> action) {
+        List.copyOf(channels).forEach(action);
     }
 
-    private void sayWhatWeRead(Channel channel) {
-        send(channel, new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()));
+    @Override
+    public void announceState(long token, String leader, boolean served) {
+        PeerMessage.NodeState state =
+                new PeerMessage.NodeState(node, token, leader != null, served);
+        lastAnnounced = Optional.of(state);
+        forEachChannel(channelsByPeer.values(), channel -> send(channel, state));
     }
 
     @Override
     public void announceJobEnd(JobStatus job) {
-        toAll(channels.values(), channel -> send(channel, new Messages.Over(job)));
+        forEachChannel(
+                channelsByPeer.values(), channel -> send(channel, new PeerMessage.JobEnded(job)));
     }
 
     /**
-     * Guards against a sibling's connection that turns out to be reset as something is written to
-     * it: it closes there and then, and is struck off while the others are still gone through. That
-     * ended nodes as they started, and those that ran never told their view again.
+     * Sends the digest to those that read it only: an older version would close the connection at a
+     * message that it does not know. A peer says that it reads it on each new connection, so one
+     * that was rolled back to an older version gets none any more.
      */
-    static void toAll(Collection<Channel> channels, Consumer<Channel> then) {
-        List.copyOf(channels).forEach(then);
+    @Override
+    public void sendCancellationDigest(CancellationDigest digest) {
+        PeerMessage message =
+                new PeerMessage.CancelledJobs(
+                        digest.node(), digest.sinceMillis(), digest.untilMillis(), digest.jobIds());
+        forEachChannel(
+                channelsByPeer.values(),
+                channel -> {
+                    if (channel.hasAttr(READS_CANCELLED_JOBS)) {
+                        send(channel, message);
+                    }
+                });
     }
 
     @Override
     public boolean relayHeartbeat(
-            String sibling,
+            String peer,
             Heartbeat heartbeat,
-            boolean passOn,
-            Consumer<HeartbeatResponse> answer) {
-        Channel channel = channels.get(sibling);
-        if (channel == null || !channel.isActive() || asks.size() >= MAX_ASKS) {
+            boolean mayForward,
+            Consumer<HeartbeatResponse> callback) {
+        Channel channel = channelsByPeer.get(peer);
+        if (channel == null || !channel.isActive() || relays.isFull()) {
             return false;
         }
-        long number = ++asked;
-        asks.put(number, new Asked<>(channel, answer, new HeartbeatResponse(0, List.of(), null)));
-        send(channel, new Messages.Ask(number, heartbeat, passOn));
-        loop.schedule(
-                () -> settle(asks, number, new HeartbeatResponse(0, List.of(), null)),
-                RELAY_MS,
-                TimeUnit.MILLISECONDS);
+        long requestId = ++lastRequestId;
+        relays.add(requestId, channel, callback);
+        send(channel, new PeerMessage.HeartbeatRelay(requestId, heartbeat, mayForward));
+        eventLoop.schedule(
+                () -> relays.giveUp(requestId), RELAY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         return true;
     }
 
-    /** Answers what waits under that number, unless it has been answered or given up already. */
-    private static <T> void settle(Map<Long, Asked<T>> asked, long number, T with) {
-        Asked<T> a = asked.remove(number);
-        if (a != null) {
-            a.answer.accept(with);
-        }
-    }
-
     @Override
     public void requestProgress(
-            String leader, List<String> jobs, Consumer<List<JobProgress>> answer) {
-        Channel channel = channels.get(leader);
-        if (channel == null || !channel.isActive() || progressAsks.size() >= MAX_ASKS) {
-            answer.accept(List.of());
+            String leader, List<String> jobIds, Consumer<List<JobProgress>> callback) {
+        Channel channel = channelsByPeer.get(leader);
+        if (channel == null || !channel.isActive() || progressRequests.isFull()) {
+            callback.accept(List.of());
             return;
         }
-        long number = ++asked;
-        progressAsks.put(number, new Asked<>(channel, answer, List.of()));
-        send(channel, new Messages.AskProgress(number, jobs));
-        loop.schedule(
-                () -> settle(progressAsks, number, List.of()), PROGRESS_MS, TimeUnit.MILLISECONDS);
+        long requestId = ++lastRequestId;
+        progressRequests.add(requestId, channel, callback);
+        send(channel, new PeerMessage.ProgressRequest(requestId, jobIds));
+        eventLoop.schedule(
+                () -> progressRequests.giveUp(requestId),
+                PROGRESS_TIMEOUT_MILLIS,
+                TimeUnit.MILLISECONDS);
+    }
+
+    /** A connection from or to a node of this cell, or from one of another cell. */
+    private final class PeerConnection extends MessageConnection {
+        PeerConnection() {
+            super(codec, LOG, "sibling connection", "a sibling's message");
+        }
+
+        @Override
+        void onMessage(Channel channel, PeerMessage message) {
+            message.deliverTo(new IncomingMessages(channel));
+        }
     }
 
-    private final class Connection extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Acts on the messages that are received on one channel. */
+    private final class IncomingMessages implements PeerMessage.Handler {
+        private final Channel channel;
+
+        IncomingMessages(Channel channel) {
+            this.channel = channel;
+        }
+
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            Object message;
-            try {
-                message = messages.value(ByteBufUtil.getBytes(frame));
-            } catch (InvalidInputException invalid) {
-                LOG.warn("a sibling's message can't be read: {}", invalid.getMessage());
-                ctx.close();
+        public void onNodeState(PeerMessage.NodeState state) {
+            controller.onPeerState(
+                    state.node(), state.fencingToken(), state.isLeader(), state.isStoreServing());
+            if (channelsByPeer.containsValue(channel)) {
                 return;
             }
-            if (message instanceof Messages.View v) {
-                controller.onPeerState(v.by(), v.token(), v.leads(), v.served());
-                if (!channels.containsValue(ctx.channel()) && view != null) {
-                    // Answer on the connection it came by, so that the other side sees that it
-                    // lives.
-                    send(ctx.channel(), view);
-                    sayWhatWeRead(ctx.channel());
-                }
-            } else if (message instanceof Messages.Over o) {
-                controller.onJobEndedAtPeer(o.job());
-            } else if (message instanceof Messages.Ask a) {
-                controller.onRelayedHeartbeat(
-                        a.report(),
-                        a.passOn(),
-                        response -> send(ctx.channel(), new Messages.Answer(a.number(), response)));
-            } else if (message instanceof Messages.Answer a) {
-                settle(asks, a.number(), a.heartbeat());
-            } else if (message instanceof Messages.AskProgress a) {
-                send(
-                        ctx.channel(),
-                        new Messages.AnswerProgress(a.number(), controller.jobProgress(a.jobs())));
-            } else if (message instanceof Messages.Digest d) {
-                controller.onPeerState(
-                        new CancellationDigest(d.by(), d.sinceMs(), d.untilMs(), d.jobs()));
-            } else if (message instanceof Messages.AnswerProgress a
-                    && a.number() == Messages.READS_DIGESTS) {
-                ctx.channel().attr(READS).set(true);
-            } else if (message instanceof Messages.AnswerProgress a) {
-                settle(progressAsks, a.number(), a.progress());
-            } else if (message instanceof Messages.AskCell a && controller.otherCells() != null) {
-                controller
-                        .otherCells()
-                        .onMessage(
-                                a.message(),
-                                m -> {
-                                    if (m != null) {
-                                        send(ctx.channel(), new Messages.AnswerCell(a.number(), m));
-                                    }
-                                });
+            // The other side made this connection: it has to receive something on it to see that
+            // this node is alive.
+            lastAnnounced.ifPresent(
+                    own -> {
+                        send(channel, own);
+                        send(channel, PeerMessage.ProgressReply.readsCancelledJobs());
+                    });
+        }
+
+        @Override
+        public void onJobEnded(PeerMessage.JobEnded ended) {
+            controller.onJobEndedAtPeer(ended.job());
+        }
+
+        @Override
+        public void onHeartbeatRelay(PeerMessage.HeartbeatRelay relay) {
+            controller.onRelayedHeartbeat(
+                    relay.heartbeat(),
+                    relay.mayForward(),
+                    response ->
+                            send(
+                                    channel,
+                                    new PeerMessage.HeartbeatRelayReply(
+                                            relay.requestId(), response)));
+        }
+
+        @Override
+        public void onHeartbeatRelayReply(PeerMessage.HeartbeatRelayReply reply) {
+            relays.complete(reply.requestId(), reply.response());
+        }
+
+        @Override
+        public void onProgressRequest(PeerMessage.ProgressRequest request) {
+            List<JobProgress> progress = controller.jobProgress(request.jobIds());
+            send(channel, new PeerMessage.ProgressReply(request.requestId(), progress));
+        }
+
+        @Override
+        public void onProgressReply(PeerMessage.ProgressReply reply) {
+            if (reply.tellsThatSenderReadsCancelledJobs()) {
+                channel.attr(READS_CANCELLED_JOBS).set(true);
+            } else {
+                progressRequests.complete(reply.requestId(), reply.progress());
             }
         }
 
         @Override
-        public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
-            ctx.close();
+        public void onCancelledJobs(PeerMessage.CancelledJobs cancelled) {
+            controller.onPeerState(
+                    new CancellationDigest(
+                            cancelled.node(),
+                            cancelled.sinceMillis(),
+                            cancelled.untilMillis(),
+                            cancelled.jobIds()));
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.debug("sibling connection failed: {}", cause.toString());
-            ctx.close();
+        public void onCellRequest(PeerMessage.CellRequest request) {
+            if (controller.otherCells() == null) {
+                return;
+            }
+            controller
+                    .otherCells()
+                    .onMessage(
+                            request.message(),
+                            answer -> {
+                                if (answer != null) {
+                                    send(
+                                            channel,
+                                            new PeerMessage.CellReply(request.requestId(), answer));
+                                }
+                            });
         }
+
+        /** Ignored: requests to other cells are sent on connections of {@link CellLinks}. */
+        @Override
+        public void onCellReply(PeerMessage.CellReply reply) {}
     }
 }
--- a/src/test/java/io/kitepath/peers/FrameBytesTest.java
+++ b/src/test/java/io/kitepath/peers/FrameBytesTest.java
@@ -54,56 +54,64 @@
     }
 
     /** Every message of the golden file, by its name there. */
-    static Map<String, Object> messages() {
-        Map<String, Object> messages = new LinkedHashMap<>(betweenNodes());
+    static Map<String, PeerMessage> messages() {
+        Map<String, PeerMessage> messages = new LinkedHashMap<>(betweenNodes());
         cellMessages()
                 .forEach(
                         (name, message) -> {
-                            messages.put("askCell." + name, new Messages.AskCell(9, message));
-                            messages.put("answerCell." + name, new Messages.AnswerCell(9, message));
+                            messages.put(
+                                    "askCell." + name, new PeerMessage.CellRequest(9, message));
+                            messages.put(
+                                    "answerCell." + name, new PeerMessage.CellReply(9, message));
                         });
         return messages;
     }
 
-    private static Map<String, Object> betweenNodes() {
-        Map<String, Object> messages = new LinkedHashMap<>();
-        messages.put("view.follower", new Messages.View("kite-1", 41, false, true));
-        messages.put("view.leader", new Messages.View("kite-2", 1L << 40, true, false));
-        messages.put("view.absent", new Messages.View(null, -1, false, false));
+    private static Map<String, PeerMessage> betweenNodes() {
+        Map<String, PeerMessage> messages = new LinkedHashMap<>();
+        messages.put("view.follower", new PeerMessage.NodeState("kite-1", 41, false, true));
+        messages.put("view.leader", new PeerMessage.NodeState("kite-2", 1L << 40, true, false));
+        messages.put("view.absent", new PeerMessage.NodeState(null, -1, false, false));
         messages.put(
                 "over.note",
-                new Messages.Over(new JobStatus("j-1", "cancelled", 3, 17, LONG_TEXT)));
-        messages.put("over.plain", new Messages.Over(new JobStatus("j-1", "done", 300, 0)));
-        messages.put("over.nothing", new Messages.Over(null));
-        messages.put("over.absent", new Messages.Over(new JobStatus(null, null, -1, -300, null)));
+                new PeerMessage.JobEnded(new JobStatus("j-1", "cancelled", 3, 17, LONG_TEXT)));
+        messages.put("over.plain", new PeerMessage.JobEnded(new JobStatus("j-1", "done", 300, 0)));
+        messages.put("over.nothing", new PeerMessage.JobEnded(null));
+        messages.put(
+                "over.absent", new PeerMessage.JobEnded(new JobStatus(null, null, -1, -300, null)));
         putReports(messages);
         putAnswers(messages);
         putProgress(messages);
         messages.put(
                 "digest.jobs",
-                new Messages.Digest("kite-1", 1000.5, 1.7e12, List.of("j-1", "j-000412")));
-        messages.put("digest.empty", new Messages.Digest(null, 0, -1, List.of()));
+                new PeerMessage.CancelledJobs(
+                        "kite-1", 1000.5, 1.7e12, List.of("j-1", "j-000412")));
+        messages.put("digest.empty", new PeerMessage.CancelledJobs(null, 0, -1, List.of()));
         return messages;
     }
 
-    private static void putReports(Map<String, Object> messages) {
+    private static void putReports(Map<String, PeerMessage> messages) {
         List<Heartbeat.TaskStatus> inEveryState = new ArrayList<>();
         for (Heartbeat.TaskState state : Heartbeat.TaskState.values()) {
             inEveryState.add(
                     new Heartbeat.TaskStatus("j-1", state.ordinal(), 1L << 35, state, null));
         }
-        messages.put("ask.states", new Messages.Ask(5, report(12.5, inEveryState), true));
+        messages.put(
+                "ask.states", new PeerMessage.HeartbeatRelay(5, report(12.5, inEveryState), true));
         List<Heartbeat.TaskStatus> ofEveryCause = new ArrayList<>();
         for (Heartbeat.EndCause cause : Heartbeat.EndCause.values()) {
             ofEveryCause.add(
                     new Heartbeat.TaskStatus("j-2", 1000, 2, Heartbeat.TaskState.ENDED, cause));
         }
-        messages.put("ask.causes", new Messages.Ask(1L << 50, report(null, ofEveryCause), false));
-        messages.put("ask.noTasks", new Messages.Ask(6, report(0.0, List.of()), false));
+        messages.put(
+                "ask.causes",
+                new PeerMessage.HeartbeatRelay(1L << 50, report(null, ofEveryCause), false));
+        messages.put(
+                "ask.noTasks", new PeerMessage.HeartbeatRelay(6, report(0.0, List.of()), false));
         Heartbeat.TaskStatus absentTask = new Heartbeat.TaskStatus(null, -1, -2, null, null);
         messages.put(
                 "ask.absent",
-                new Messages.Ask(
+                new PeerMessage.HeartbeatRelay(
                         -3,
                         new Heartbeat(
                                 null,
@@ -124,7 +132,7 @@
                 "i-000231", "10.1.0.232:9000", "g8", "a", true, 3, 88, 41, noticeS, tasks);
     }
 
-    private static void putAnswers(Map<String, Object> messages) {
+    private static void putAnswers(Map<String, PeerMessage> messages) {
         List<WorkerCommand> ofEveryVerb = new ArrayList<>();
         for (WorkerCommand.Action action : WorkerCommand.Action.values()) {
             ofEveryVerb.add(
@@ -132,13 +140,15 @@
         }
         messages.put(
                 "answer.verbs",
-                new Messages.Answer(5, new HeartbeatResponse(41, ofEveryVerb, null)));
+                new PeerMessage.HeartbeatRelayReply(
+                        5, new HeartbeatResponse(41, ofEveryVerb, null)));
         messages.put(
                 "answer.elsewhere",
-                new Messages.Answer(6, new HeartbeatResponse(0, List.of(), "kite-2")));
+                new PeerMessage.HeartbeatRelayReply(
+                        6, new HeartbeatResponse(0, List.of(), "kite-2")));
         messages.put(
                 "answer.absent",
-                new Messages.Answer(
+                new PeerMessage.HeartbeatRelayReply(
                         8,
                         new HeartbeatResponse(
                                 -1,
@@ -146,27 +156,26 @@
                                 null)));
     }
 
-    private static void putProgress(Map<String, Object> messages) {
-        messages.put("askProgress.jobs", new Messages.AskProgress(6, List.of("j-1", "j-000398")));
+    private static void putProgress(Map<String, PeerMessage> messages) {
+        messages.put(
+                "askProgress.jobs", new PeerMessage.ProgressRequest(6, List.of("j-1", "j-000398")));
         messages.put(
                 "askProgress.texts",
-                new Messages.AskProgress(
+                new PeerMessage.ProgressRequest(
                         7, Arrays.asList("", "a", null, LONG_TEXT, UNICODE_TEXT, "abc")));
-        messages.put("askProgress.empty", new Messages.AskProgress(8, List.of()));
+        messages.put("askProgress.empty", new PeerMessage.ProgressRequest(8, List.of()));
         messages.put(
                 "answerProgress.jobs",
-                new Messages.AnswerProgress(
+                new PeerMessage.ProgressReply(
                         6,
                         List.of(
                                 new JobProgress("j-1", 3, 13, "waits"),
                                 new JobProgress("j-2", 0, 100_000, null))));
         messages.put(
                 "answerProgress.absent",
-                new Messages.AnswerProgress(
+                new PeerMessage.ProgressReply(
                         7, Arrays.asList(new JobProgress(null, -1, -2, null), null)));
-        messages.put(
-                "answerProgress.readsDigests",
-                new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()));
+        messages.put("answerProgress.readsDigests", PeerMessage.ProgressReply.readsCancelledJobs());
     }
 
     private static Map<String, CellMessage> cellMessages() {
@@ -322,56 +331,56 @@
 
     @Test
     void everyMessageIsEncodedAsTheGoldenBytes() {
-        Messages sender = new Messages(true);
+        PeerMessageCodec sender = PeerMessageCodec.betweenCells();
         messages()
                 .forEach(
                         (name, message) ->
-                                assertArrayEquals(golden.get(name), sender.bytes(message), name));
+                                assertArrayEquals(golden.get(name), sender.encode(message), name));
     }
 
     @Test
     void theGoldenBytesAreDecodedAsTheMessage() {
-        Messages receiver = new Messages(true);
+        PeerMessageCodec receiver = PeerMessageCodec.betweenCells();
         messages()
                 .forEach(
                         (name, message) -> {
-                            Object decoded = receiver.value(golden.get(name));
+                            PeerMessage decoded = receiver.decode(golden.get(name));
                             assertEquals(comparable(message), comparable(decoded), name);
-                            assertArrayEquals(golden.get(name), receiver.bytes(decoded), name);
+                            assertArrayEquals(golden.get(name), receiver.encode(decoded), name);
                         });
     }
 
     @Test
     void messagesBetweenNodesHaveTheSameBytesWithoutCells() {
-        Messages sender = new Messages(false);
-        Messages receiver = new Messages(false);
+        PeerMessageCodec sender = PeerMessageCodec.withinCell();
+        PeerMessageCodec receiver = PeerMessageCodec.withinCell();
         betweenNodes()
                 .forEach(
                         (name, message) -> {
-                            assertArrayEquals(golden.get(name), sender.bytes(message), name);
-                            assertEquals(message, receiver.value(golden.get(name)), name);
+                            assertArrayEquals(golden.get(name), sender.encode(message), name);
+                            assertEquals(message, receiver.decode(golden.get(name)), name);
                         });
     }
 
     @Test
     void cutFramesAreRefused() {
-        Messages receiver = new Messages(true);
+        PeerMessageCodec receiver = PeerMessageCodec.betweenCells();
         golden.forEach(
                 (name, bytes) -> {
                     for (int length = 0; length < bytes.length; length++) {
                         byte[] cut = Arrays.copyOf(bytes, length);
-                        assertThrows(InvalidInputException.class, () -> receiver.value(cut), name);
+                        assertThrows(InvalidInputException.class, () -> receiver.decode(cut), name);
                     }
                 });
     }
 
     /** Lists compare by content; the byte array of a {@link CellMessage.LoanStatus} would not. */
     private static Object comparable(Object message) {
-        if (message instanceof Messages.AskCell ask) {
-            return List.of("ask", ask.number(), comparable(ask.message()));
+        if (message instanceof PeerMessage.CellRequest ask) {
+            return List.of("ask", ask.requestId(), comparable(ask.message()));
         }
-        if (message instanceof Messages.AnswerCell answer) {
-            return List.of("answer", answer.number(), comparable(answer.message()));
+        if (message instanceof PeerMessage.CellReply answer) {
+            return List.of("answer", answer.requestId(), comparable(answer.message()));
         }
         if (message instanceof CellMessage.LoanStatus word) {
             String done =
--- a/src/test/java/io/kitepath/peers/FrameLimitsTest.java
+++ b/src/test/java/io/kitepath/peers/FrameLimitsTest.java
@@ -21,7 +21,7 @@
     private static final int ANSWER_CELL = 39;
     private static final int WORD = 46;
 
-    private final Messages messages = new Messages(true);
+    private final PeerMessageCodec messages = PeerMessageCodec.betweenCells();
 
     private static Output frame(int... classes) {
         Output frame = new Output(64, 1024);
@@ -32,7 +32,7 @@
     }
 
     private void refuses(Output frame) {
-        assertThrows(InvalidInputException.class, () -> messages.value(frame.toBytes()));
+        assertThrows(InvalidInputException.class, () -> messages.decode(frame.toBytes()));
     }
 
     @Test
@@ -83,14 +83,16 @@
 
     @Test
     void aMessageOverTheCapIsNotEncodedAndTheNextOneIs() {
-        String half = "x".repeat(Messages.MAX_FRAME / 2);
-        Messages.AskProgress large = new Messages.AskProgress(1, List.of(half, half));
-        assertThrows(KryoException.class, () -> messages.bytes(large));
-        Messages.AnswerCell next = new Messages.AnswerCell(5, null);
-        Messages.AnswerCell decoded = (Messages.AnswerCell) messages.value(messages.bytes(next));
-        assertEquals(5, decoded.number());
+        String half = "x".repeat(PeerMessageCodec.MAX_FRAME_BYTES / 2);
+        PeerMessage.ProgressRequest large = new PeerMessage.ProgressRequest(1, List.of(half, half));
+        assertThrows(KryoException.class, () -> messages.encode(large));
+        PeerMessage.CellReply next = new PeerMessage.CellReply(5, null);
+        PeerMessage.CellReply decoded =
+                (PeerMessage.CellReply) messages.decode(messages.encode(next));
+        assertEquals(5, decoded.requestId());
         assertNull(decoded.message());
-        Messages.AskCell last = new Messages.AskCell(6, new CellMessage.QuotaGrantAccepted(8));
-        assertEquals(last, messages.value(messages.bytes(last)));
+        PeerMessage.CellRequest last =
+                new PeerMessage.CellRequest(6, new CellMessage.QuotaGrantAccepted(8));
+        assertEquals(last, messages.decode(messages.encode(last)));
     }
 }
--- a/src/test/java/io/kitepath/peers/MessagesTest.java
+++ b/src/test/java/io/kitepath/peers/MessagesTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 
 class MessagesTest {
-    private final Messages here = new Messages();
-    private final Messages there = new Messages();
+    private final PeerMessageCodec here = PeerMessageCodec.withinCell();
+    private final PeerMessageCodec there = PeerMessageCodec.withinCell();
 
-    private Object sent(Object message) {
-        return there.value(here.bytes(message));
+    private PeerMessage sent(PeerMessage message) {
+        return there.decode(here.encode(message));
     }
 
     @Test
@@ -48,15 +48,18 @@
                                         Heartbeat.TaskState.ENDED,
                                         Heartbeat.EndCause.DONE)));
         assertEquals(
-                new Messages.Ask(7, heartbeat, true), sent(new Messages.Ask(7, heartbeat, true)));
+                new PeerMessage.HeartbeatRelay(7, heartbeat, true),
+                sent(new PeerMessage.HeartbeatRelay(7, heartbeat, true)));
         Heartbeat notice = new Heartbeat("i-1", "", "m", "a", true, 2, 89, 41, 12.5, List.of());
-        assertEquals(new Messages.Ask(8, notice, false), sent(new Messages.Ask(8, notice, false)));
+        assertEquals(
+                new PeerMessage.HeartbeatRelay(8, notice, false),
+                sent(new PeerMessage.HeartbeatRelay(8, notice, false)));
     }
 
     @Test
     void itsAnswerToo() {
-        Messages.Answer a =
-                new Messages.Answer(
+        PeerMessage.HeartbeatRelayReply a =
+                new PeerMessage.HeartbeatRelayReply(
                         7,
                         new HeartbeatResponse(
                                 41,
@@ -67,20 +70,23 @@
                                                 WorkerCommand.Action.STOP, "j-1", 4, 2, 6)),
                                 null));
         assertEquals(a, sent(a));
-        Messages.Answer no = new Messages.Answer(8, new HeartbeatResponse(0, List.of(), "kite-2"));
+        PeerMessage.HeartbeatRelayReply no =
+                new PeerMessage.HeartbeatRelayReply(
+                        8, new HeartbeatResponse(0, List.of(), "kite-2"));
         assertEquals(no, sent(no));
     }
 
     @Test
     void viewsEndsAndProgressToo() {
-        Messages.View v = new Messages.View("kite-1", 41, true, false);
+        PeerMessage.NodeState v = new PeerMessage.NodeState("kite-1", 41, true, false);
         assertEquals(v, sent(v));
-        Messages.Over over = new Messages.Over(new JobStatus("j-1", "cancelled", 0, 0, null));
+        PeerMessage.JobEnded over =
+                new PeerMessage.JobEnded(new JobStatus("j-1", "cancelled", 0, 0, null));
         assertEquals(over, sent(over));
-        Messages.AskProgress ask = new Messages.AskProgress(9, List.of("j-1", "j-2"));
+        PeerMessage.ProgressRequest ask = new PeerMessage.ProgressRequest(9, List.of("j-1", "j-2"));
         assertEquals(ask, sent(ask));
-        Messages.AnswerProgress answer =
-                new Messages.AnswerProgress(9, List.of(new JobProgress("j-1", 4, 2, "waits")));
+        PeerMessage.ProgressReply answer =
+                new PeerMessage.ProgressReply(9, List.of(new JobProgress("j-1", 4, 2, "waits")));
         assertEquals(answer, sent(answer));
     }
 
@@ -134,30 +140,31 @@
                         new CellMessage.UserRequest(CellMessage.RequestKind.STATUS, "j-1", null),
                         new CellMessage.UserResponse(
                                 "KNOWN", new JobStatus("j-1", "running", 1, 2, "waits")));
-        Messages one = new Messages(true);
-        Messages other = new Messages(true);
+        PeerMessageCodec one = PeerMessageCodec.betweenCells();
+        PeerMessageCodec other = PeerMessageCodec.betweenCells();
         for (CellMessage message : all) {
             assertEquals(
-                    new Messages.AskCell(5, message),
-                    other.value(one.bytes(new Messages.AskCell(5, message))));
+                    new PeerMessage.CellRequest(5, message),
+                    other.decode(one.encode(new PeerMessage.CellRequest(5, message))));
             assertEquals(
-                    new Messages.AnswerCell(5, message),
-                    other.value(one.bytes(new Messages.AnswerCell(5, message))));
+                    new PeerMessage.CellReply(5, message),
+                    other.decode(one.encode(new PeerMessage.CellReply(5, message))));
         }
         CellMessage.LoanStatus status =
                 new CellMessage.LoanStatus(
                         "west", 8, CellMessage.LoanState.BACK, new byte[] {3, 1}, 4);
         CellMessage.LoanStatus got =
                 (CellMessage.LoanStatus)
-                        ((Messages.AnswerCell)
-                                        other.value(one.bytes(new Messages.AnswerCell(6, status))))
+                        ((PeerMessage.CellReply)
+                                        other.decode(
+                                                one.encode(new PeerMessage.CellReply(6, status))))
                                 .message();
         assertEquals(
                 List.of(status.cell(), status.loanNumber(), status.state(), status.nextAttempt()),
                 List.of(got.cell(), got.loanNumber(), got.state(), got.nextAttempt()));
         assertArrayEquals(status.doneTasks(), got.doneTasks());
-        byte[] bytes = one.bytes(new Messages.AskCell(5, all.get(0)));
-        assertThrows(InvalidInputException.class, () -> there.value(bytes));
+        byte[] bytes = one.encode(new PeerMessage.CellRequest(5, all.get(0)));
+        assertThrows(InvalidInputException.class, () -> there.decode(bytes));
     }
 
     @Test
@@ -167,12 +174,12 @@
             byte[] bytes = new byte[random.nextInt(40)];
             random.nextBytes(bytes);
             try {
-                there.value(bytes);
+                there.decode(bytes);
             } catch (InvalidInputException expected) {
                 // Refused, as it should be.
             }
         }
-        assertThrows(InvalidInputException.class, () -> there.value(new byte[] {99, 1, 2}));
+        assertThrows(InvalidInputException.class, () -> there.decode(new byte[] {99, 1, 2}));
         viewsEndsAndProgressToo();
     }
 }
--- a/src/test/java/io/kitepath/peers/PeersTest.java
+++ b/src/test/java/io/kitepath/peers/PeersTest.java
@@ -37,7 +37,7 @@
             ch.closeFuture().addListener(f -> channels.remove(s));
         }
         List<Channel> told = new ArrayList<>();
-        Peers.toAll(
+        Peers.forEachChannel(
                 channels.values(),
                 channel -> {
                     told.add(channel);
@@ -52,25 +52,25 @@
     /** A sibling that is played here, on a connection to it or from it. */
     private static final class Played implements AutoCloseable {
         private final Socket socket;
-        private final Messages messages = new Messages();
+        private final PeerMessageCodec messages = PeerMessageCodec.withinCell();
 
         Played(Socket socket) throws IOException {
             this.socket = socket;
             socket.setSoTimeout(5000);
         }
 
-        void says(Object message) throws IOException {
-            byte[] frame = messages.bytes(message);
+        void says(PeerMessage message) throws IOException {
+            byte[] frame = messages.encode(message);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(frame.length);
             out.write(frame);
         }
 
-        Object hears() throws IOException {
+        PeerMessage hears() throws IOException {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             byte[] frame = new byte[in.readInt()];
             in.readFully(frame);
-            return messages.value(frame);
+            return messages.decode(frame);
         }
 
         @Override
@@ -142,23 +142,22 @@
             try (Played o = new Played(old.accept());
                     Played f = new Played(fresh.accept());
                     Played from = new Played(new Socket(here, at.getPort()))) {
-                f.says(new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()));
-                Object heard = f.hears();
-                while (!(heard instanceof Messages.Digest)) {
+                f.says(PeerMessage.ProgressReply.readsCancelledJobs());
+                PeerMessage heard = f.hears();
+                while (!(heard instanceof PeerMessage.CancelledJobs)) {
                     heard = f.hears();
                 }
                 assertEquals(
-                        new Messages.Digest("k0", 1, 2, new ArrayList<>(said.jobIds())), heard);
+                        new PeerMessage.CancelledJobs("k0", 1, 2, new ArrayList<>(said.jobIds())),
+                        heard);
                 for (int i = 0; i < 20; i++) {
-                    assertInstanceOf(Messages.View.class, o.hears());
+                    assertInstanceOf(PeerMessage.NodeState.class, o.hears());
                 }
                 // Whoever tells its view hears what is read here, in the form of an answer that
                 // production drops.
-                from.says(new Messages.View("old", 7, false, true));
-                assertInstanceOf(Messages.View.class, from.hears());
-                assertEquals(
-                        new Messages.AnswerProgress(Messages.READS_DIGESTS, List.of()),
-                        from.hears());
+                from.says(new PeerMessage.NodeState("old", 7, false, true));
+                assertInstanceOf(PeerMessage.NodeState.class, from.hears());
+                assertEquals(PeerMessage.ProgressReply.readsCancelledJobs(), from.hears());
             }
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/src/test/java/io/kitepath/peers/VersionsTest.java
+++ b/src/test/java/io/kitepath/peers/VersionsTest.java
@@ -50,7 +50,7 @@
      */
     @Test
     void framesAreTheSameToTheByte() {
-        Messages m = new Messages(true);
+        PeerMessageCodec m = PeerMessageCodec.betweenCells();
         Heartbeat heartbeat =
                 new Heartbeat(
                         "i-000231",
@@ -88,13 +88,13 @@
                         4,
                         900.0);
         JobStatus over = new JobStatus("j-000412", "done", 16, 0);
-        Map<String, Object> frames = new LinkedHashMap<>();
-        frames.put("view", new Messages.View("kite-1", 7, true, false));
-        frames.put("over", new Messages.Over(over));
-        frames.put("ask", new Messages.Ask(5, heartbeat, true));
+        Map<String, PeerMessage> frames = new LinkedHashMap<>();
+        frames.put("view", new PeerMessage.NodeState("kite-1", 7, true, false));
+        frames.put("over", new PeerMessage.JobEnded(over));
+        frames.put("ask", new PeerMessage.HeartbeatRelay(5, heartbeat, true));
         frames.put(
                 "answer",
-                new Messages.Answer(
+                new PeerMessage.HeartbeatRelayReply(
                         5,
                         new HeartbeatResponse(
                                 41,
@@ -104,29 +104,32 @@
                                         new WorkerCommand(
                                                 WorkerCommand.Action.STOP, "j-000377", 1, 1, 10)),
                                 null)));
-        frames.put("askProgress", new Messages.AskProgress(6, List.of("j-000412", "j-000398")));
+        frames.put(
+                "askProgress", new PeerMessage.ProgressRequest(6, List.of("j-000412", "j-000398")));
         frames.put(
                 "answerProgress",
-                new Messages.AnswerProgress(
+                new PeerMessage.ProgressReply(
                         6, List.of(new JobProgress("j-000412", 3, 13, "waits"))));
         frames.put(
                 "askCell",
-                new Messages.AskCell(
+                new PeerMessage.CellRequest(
                         9, new CellMessage.LoanOffer("north", 4, 2, spec, 1000.5, 0, 16, 3)));
         frames.put(
                 "answerCell",
-                new Messages.AnswerCell(9, new CellMessage.UserResponse("KNOWN", over)));
+                new PeerMessage.CellReply(9, new CellMessage.UserResponse("KNOWN", over)));
         frames.forEach(
                 (name, message) -> {
                     byte[] theirs = written.get("frame." + name);
-                    assertArrayEquals(theirs, m.bytes(message), name);
-                    assertEquals(message.getClass(), m.value(theirs).getClass(), name);
+                    assertArrayEquals(theirs, m.encode(message), name);
+                    assertEquals(message.getClass(), m.decode(theirs).getClass(), name);
                 });
         assertEquals(
                 frames.size(),
                 written.keySet().stream().filter(key -> key.startsWith("frame.")).count());
         // Without cells, the classes that come first keep their numbers.
-        assertArrayEquals(written.get("frame.view"), new Messages(false).bytes(frames.get("view")));
+        assertArrayEquals(
+                written.get("frame.view"),
+                PeerMessageCodec.withinCell().encode(frames.get("view")));
     }
 
     private Store.Entry record(String key) {
