--- a/src/main/java/io/kitepath/cli/ArchiveTraining.java
+++ b/src/main/java/io/kitepath/cli/ArchiveTraining.java
@@ -16,6 +16,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
@@ -136,7 +137,10 @@
             EventLoop loop, HttpClient client, String method, String path, byte[] body)
             throws Exception {
         CompletableFuture<Integer> status = new CompletableFuture<>();
-        loop.execute(() -> client.call(method, path, body, 5000, (s, b) -> status.complete(s)));
+        HttpClient.Request request =
+                new HttpClient.Request(method, path, Optional.ofNullable(body));
+        loop.execute(
+                () -> client.call(request, 5000, response -> status.complete(response.status())));
         return status.get(6, TimeUnit.SECONDS);
     }
 
--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -6,124 +6,139 @@
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.net.HttpClient;
+import io.kitepath.net.HttpClient.Request;
+import io.kitepath.net.HttpResponse;
+import io.kitepath.net.HttpStatus;
 import io.kitepath.wire.MessagePackCodec;
 import io.kitepath.wire.ProtocolCodec;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The cloud over its published protocol. */
+/** A client of the cloud, by its published HTTP protocol. All of it runs on the event loop. */
 public final class HttpCloud implements Cloud {
     private static final Logger LOG = LoggerFactory.getLogger(HttpCloud.class);
-    private static final int PAGE = 500;
+    private static final int MACHINES_PER_PAGE = 500;
 
-    private final HttpClient http;
-    private final long timeoutMs;
+    /** Why a rental is refused with a status that an overloaded cloud has, too. */
+    private static final String NO_CAPACITY = "no capacity";
 
-    public HttpCloud(HttpClient http, long timeoutMs) {
-        this.http = http;
-        this.timeoutMs = timeoutMs;
-    }
+    private final HttpClient client;
+    private final long timeoutMillis;
 
-    private static <T> T read(byte[] body, Function<Object, T> reading) {
-        try {
-            return reading.apply(MessagePackCodec.decode(body));
-        } catch (InvalidInputException invalid) {
-            LOG.warn("cloud answered with a body that can't be read: {}", invalid.getMessage());
-            return null;
-        }
-    }
-
-    private static Outcome failed(int status) {
-        return status == 429 || status == 503 ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
+    /**
+     * @param client with the address of the cloud
+     * @param timeoutMillis how long a call may take
+     */
+    public HttpCloud(HttpClient client, long timeoutMillis) {
+        this.client = client;
+        this.timeoutMillis = timeoutMillis;
     }
 
     @Override
     public void listMachineTypes(BiConsumer<Outcome, List<MachineType>> answer) {
-        http.call(
-                "GET",
-                "/machine_types",
-                null,
-                timeoutMs,
-                (status, body) -> {
-                    List<MachineType> types =
-                            status == 200 ? read(body, ProtocolCodec::decodeMachineTypes) : null;
-                    answer.accept(
-                            types != null ? Outcome.OK : failed(status),
-                            types == null ? List.of() : types);
-                });
+        client.call(
+                Request.get("/machine_types"),
+                timeoutMillis,
+                response -> answerList(response, ProtocolCodec::decodeMachineTypes, answer));
     }
 
     @Override
     public void rent(
             String name, MachineKind kind, int count, BiConsumer<Outcome, List<String>> answer) {
-        http.call(
-                "POST",
-                "/rentals",
-                ProtocolCodec.encodeRental(name, kind, count),
-                timeoutMs,
-                (status, body) -> {
-                    if (status == 200) {
-                        List<String> names = read(body, ProtocolCodec::decodeMachineIds);
-                        answer.accept(
-                                names != null ? Outcome.OK : Outcome.UNKNOWN,
-                                names == null ? List.of() : names);
-                    } else if (status == 503 && !outage(body) || status == 400) {
+        client.call(
+                Request.post("/rentals", ProtocolCodec.encodeRental(name, kind, count)),
+                timeoutMillis,
+                response -> {
+                    if (isRentalRejected(response)) {
                         answer.accept(Outcome.REJECTED, List.of());
                     } else {
-                        answer.accept(failed(status), List.of());
+                        answerList(response, ProtocolCodec::decodeMachineIds, answer);
                     }
                 });
     }
 
-    private static boolean outage(byte[] body) {
-        String why =
-                read(body, b -> io.kitepath.core.model.DocumentReader.of(b).textOr("error", ""));
-        return why == null || !why.equals("no capacity");
+    private static boolean isRentalRejected(HttpResponse response) {
+        return response.status() == HttpStatus.BAD_REQUEST
+                || response.status() == HttpStatus.SERVICE_UNAVAILABLE
+                        && decode(response, ProtocolCodec::decodeErrorReason)
+                                .filter(NO_CAPACITY::equals)
+                                .isPresent();
     }
 
     @Override
     public void release(List<String> machines, Consumer<Outcome> answer) {
-        http.call(
-                "POST",
-                "/rentals/release",
-                ProtocolCodec.encodeMachineIds(machines),
-                timeoutMs,
-                (status, body) -> answer.accept(status == 200 ? Outcome.OK : failed(status)));
+        client.call(
+                Request.post("/rentals/release", ProtocolCodec.encodeMachineIds(machines)),
+                timeoutMillis,
+                response -> answer.accept(response.isOk() ? Outcome.OK : failure(response)));
     }
 
     @Override
     public void listMachines(BiConsumer<Outcome, List<ListedMachine>> answer) {
-        page("", new ArrayList<>(), answer);
+        listPage("", new ArrayList<>(), answer);
     }
 
-    private void page(
-            String from,
-            List<ListedMachine> read,
+    /** Reads a page after that machine, and those that follow it. */
+    private void listPage(
+            String afterMachine,
+            List<ListedMachine> machines,
             BiConsumer<Outcome, List<ListedMachine>> answer) {
-        http.call(
-                "GET",
-                "/rentals?" + (from.isEmpty() ? "" : "from=" + from + "&") + "limit=" + PAGE,
-                null,
-                timeoutMs,
-                (status, body) -> {
-                    List<ListedMachine> page =
-                            status == 200 ? read(body, ProtocolCodec::decodeListedMachines) : null;
-                    if (page == null) {
-                        answer.accept(status == 200 ? Outcome.UNKNOWN : failed(status), List.of());
+        String fromParameter = afterMachine.isEmpty() ? "" : "from=" + afterMachine + "&";
+        client.call(
+                Request.get("/rentals?" + fromParameter + "limit=" + MACHINES_PER_PAGE),
+                timeoutMillis,
+                response -> {
+                    Optional<List<ListedMachine>> page =
+                            decodeIfOk(response, ProtocolCodec::decodeListedMachines);
+                    if (page.isEmpty()) {
+                        answer.accept(failure(response), List.of());
                         return;
                     }
-                    read.addAll(page);
-                    if (ProtocolCodec.isTruncated(MessagePackCodec.decode(body))
-                            && !page.isEmpty()) {
-                        page(page.get(page.size() - 1).machineId(), read, answer);
+                    machines.addAll(page.get());
+                    if (hasNextPage(response) && !page.get().isEmpty()) {
+                        ListedMachine last = machines.get(machines.size() - 1);
+                        listPage(last.machineId(), machines, answer);
                     } else {
-                        answer.accept(Outcome.OK, read);
+                        answer.accept(Outcome.OK, machines);
                     }
                 });
     }
+
+    private static boolean hasNextPage(HttpResponse response) {
+        return ProtocolCodec.isTruncated(MessagePackCodec.decode(response.body()));
+    }
+
+    /** Answers with the list in the body, or with an empty one if there is none. */
+    private static <E> void answerList(
+            HttpResponse response,
+            Function<Object, List<E>> decoder,
+            BiConsumer<Outcome, List<E>> answer) {
+        Optional<List<E>> list = decodeIfOk(response, decoder);
+        answer.accept(list.isPresent() ? Outcome.OK : failure(response), list.orElse(List.of()));
+    }
+
+    /** What is known after a response which is not that the call was executed. */
+    private static Outcome failure(HttpResponse response) {
+        return response.isRefusedByLoad() ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
+    }
+
+    private static <T> Optional<T> decodeIfOk(HttpResponse response, Function<Object, T> decoder) {
+        return response.isOk() ? decode(response, decoder) : Optional.empty();
+    }
+
+    /** Decodes the body; one that can't be decoded counts as no answer. */
+    private static <T> Optional<T> decode(HttpResponse response, Function<Object, T> decoder) {
+        try {
+            return Optional.of(decoder.apply(MessagePackCodec.decode(response.body())));
+        } catch (InvalidInputException invalid) {
+            LOG.warn("cloud answered with a body that can't be read: {}", invalid.getMessage());
+            return Optional.empty();
+        }
+    }
 }
--- a/src/main/java/io/kitepath/net/HttpClient.java
+++ b/src/main/java/io/kitepath/net/HttpClient.java
@@ -13,6 +13,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -24,229 +25,284 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Requests to one address over a few kept connections. A request that fails or times out yields
- * status 0: the other side may or may not have acted on it, and may still do so later.
+ * Sends requests to one address over a bounded number of kept connections, one request at a time on
+ * each. Requests beyond that wait in a bounded queue. All of it runs on the event loop.
  */
 public final class HttpClient {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
 
-    /** Called once with the status and body, or with 0 and null. */
-    public interface Callback {
-        void done(int status, byte[] body);
+    private static final int MAX_INITIAL_LINE_BYTES = 4096;
+    private static final int MAX_HEADER_BYTES = 8192;
+    private static final int MAX_CHUNK_BYTES = 16384;
+    private static final long MAX_CONNECT_MILLIS = 1000;
+    private static final int QUEUED_REQUESTS_PER_CONNECTION = 4;
+
+    /** A request, whose body is absent with methods that have none. */
+    public record Request(String method, String path, Optional<byte[]> body) {
+        /** A GET request; the path has the query in it. */
+        public static Request get(String path) {
+            return new Request("GET", path, Optional.empty());
+        }
+
+        /** A POST request, maybe with an empty body. */
+        public static Request post(String path, byte[] body) {
+            return new Request("POST", path, Optional.of(body));
+        }
+
+        /** A DELETE request. */
+        public static Request delete(String path) {
+            return new Request("DELETE", path, Optional.empty());
+        }
+    }
+
+    /** Takes in what became of a request. */
+    @FunctionalInterface
+    public interface ResponseHandler {
+        /** Called once, on the event loop. */
+        void onResponse(HttpResponse response);
     }
 
-    private record Pending(
-            String method, String path, byte[] body, long timeoutMs, Callback callback) {}
+    private record PendingRequest(Request request, long timeoutMillis, ResponseHandler handler) {}
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final String host;
+    private final String hostHeader;
     private final int maxConnections;
-    private final int maxBody;
+    private final boolean keepAlive;
     private final Bootstrap bootstrap;
-    private final Deque<Connection> idle = new ArrayDeque<>();
-    private final Deque<Pending> queue = new ArrayDeque<>();
-    private int open;
-    private boolean keep = true;
+    private final Deque<Connection> idleConnections = new ArrayDeque<>();
+    private final Deque<PendingRequest> queue = new ArrayDeque<>();
+    private int openConnections;
+
+    /**
+     * @param maxConnections how many connections may be open at a time
+     * @param maxBodyBytes the largest response body that is accepted
+     */
+    public HttpClient(
+            EventLoop loop, InetSocketAddress address, int maxConnections, int maxBodyBytes) {
+        this(loop, address, maxConnections, maxBodyBytes, true);
+    }
 
-    public HttpClient(EventLoop loop, InetSocketAddress address, int maxConnections, int maxBody) {
+    private HttpClient(
+            EventLoop loop,
+            InetSocketAddress address,
+            int maxConnections,
+            int maxBodyBytes,
+            boolean keepAlive) {
         this.loop = loop;
         this.address = address;
-        this.host = address.getHostString() + ":" + address.getPort();
+        this.hostHeader = address.getHostString() + ":" + address.getPort();
         this.maxConnections = maxConnections;
-        this.maxBody = maxBody;
+        this.keepAlive = keepAlive;
         this.bootstrap =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .handler(
-                                new ChannelInitializer<SocketChannel>() {
-                                    @Override
-                                    protected void initChannel(SocketChannel channel) {
-                                        channel.pipeline()
-                                                .addLast(
-                                                        new HttpClientCodec(4096, 8192, 16384),
-                                                        new HttpObjectAggregator(
-                                                                HttpClient.this.maxBody, true),
-                                                        new Connection());
-                                    }
-                                });
+                        .handler(new ConnectionInitializer(maxBodyBytes));
     }
 
-    /** One request on a connection that is closed after it. */
-    public static void once(
+    /** Sends one request on a connection that is closed after it; on the event loop. */
+    public static void callOnce(
             EventLoop loop,
             InetSocketAddress address,
-            int maxBody,
-            String method,
-            String path,
-            byte[] body,
-            long timeoutMs,
-            Callback callback) {
-        HttpClient c = new HttpClient(loop, address, 1, maxBody);
-        c.keep = false;
-        c.call(method, path, body, timeoutMs, callback);
+            int maxBodyBytes,
+            Request request,
+            long timeoutMillis,
+            ResponseHandler handler) {
+        new HttpClient(loop, address, 1, maxBodyBytes, false).call(request, timeoutMillis, handler);
     }
 
-    /** Must be called on the event loop; {@code body} may be null. */
-    public void call(String method, String path, byte[] body, long timeoutMs, Callback callback) {
-        Pending pending = new Pending(method, path, body, timeoutMs, callback);
-        Connection c = idle.pollLast();
-        if (c != null) {
-            c.send(pending);
-        } else if (open < maxConnections) {
+    /**
+     * Sends a request; on the event loop. The handler gets {@link HttpResponse#NONE} if it fails,
+     * waits for a connection for too long or is not answered in time.
+     *
+     * @param timeoutMillis how long the request may wait for a connection, and then, once it is
+     *     sent, for its response
+     */
+    public void call(Request request, long timeoutMillis, ResponseHandler handler) {
+        PendingRequest pending = new PendingRequest(request, timeoutMillis, handler);
+        Connection idle = idleConnections.pollLast();
+        if (idle != null) {
+            idle.send(pending);
+        } else if (openConnections < maxConnections) {
             connect(pending);
-        } else if (queue.size() < maxConnections * 4) {
-            queue.add(pending);
-            // Waiting for a connection counts: what has had its time is given up on, not sent late.
-            loop.schedule(
-                    () -> {
-                        if (queue.remove(pending)) {
-                            callback.done(0, null);
-                        }
-                    },
-                    timeoutMs,
-                    TimeUnit.MILLISECONDS);
+        } else if (queue.size() < maxConnections * QUEUED_REQUESTS_PER_CONNECTION) {
+            enqueue(pending);
         } else {
             // Bounded: a queue that grows while the other side hangs would only fill memory with
-            // lost causes.
-            loop.execute(() -> callback.done(0, null));
+            // requests that time out.
+            loop.execute(() -> handler.onResponse(HttpResponse.NONE));
         }
     }
 
-    private void connect(Pending pending) {
-        open++;
+    /** A request that waited its whole time for a connection is given up, rather than sent late. */
+    private void enqueue(PendingRequest pending) {
+        queue.add(pending);
+        loop.schedule(
+                () -> {
+                    if (queue.remove(pending)) {
+                        pending.handler.onResponse(HttpResponse.NONE);
+                    }
+                },
+                pending.timeoutMillis,
+                TimeUnit.MILLISECONDS);
+    }
+
+    private void connect(PendingRequest pending) {
+        openConnections++;
+        int connectMillis = (int) Math.min(pending.timeoutMillis, MAX_CONNECT_MILLIS);
         ChannelFuture connecting =
                 bootstrap
                         .clone()
-                        .option(
-                                ChannelOption.CONNECT_TIMEOUT_MILLIS,
-                                (int) Math.min(pending.timeoutMs, 1000))
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectMillis)
                         .connect(address);
         connecting.addListener(
-                f -> {
-                    if (f.isSuccess()) {
-                        Channel channel = connecting.channel();
-                        channel.closeFuture()
-                                .addListener(
-                                        x -> {
-                                            open--;
-                                            next();
-                                        });
-                        channel.pipeline().get(Connection.class).send(pending);
+                result -> {
+                    if (result.isSuccess()) {
+                        onConnected(connecting.channel(), pending);
                     } else {
-                        open--;
-                        pending.callback.done(0, null);
-                        next();
+                        openConnections--;
+                        pending.handler.onResponse(HttpResponse.NONE);
+                        sendQueued();
                     }
                 });
     }
 
-    private void next() {
-        Pending pending;
-        while (open - idle.size() < maxConnections && (pending = queue.poll()) != null) {
-            Connection c = idle.pollLast();
-            if (c != null) {
-                c.send(pending);
+    private void onConnected(Channel channel, PendingRequest pending) {
+        channel.closeFuture()
+                .addListener(
+                        closed -> {
+                            openConnections--;
+                            sendQueued();
+                        });
+        channel.pipeline().get(Connection.class).send(pending);
+    }
+
+    /** Sends what waits in the queue, as far as there are connections for it. */
+    private void sendQueued() {
+        while (openConnections - idleConnections.size() < maxConnections && !queue.isEmpty()) {
+            PendingRequest pending = queue.poll();
+            Connection idle = idleConnections.pollLast();
+            if (idle != null) {
+                idle.send(pending);
             } else {
                 connect(pending);
             }
         }
     }
 
+    private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
+        private final int maxBodyBytes;
+
+        ConnectionInitializer(int maxBodyBytes) {
+            this.maxBodyBytes = maxBodyBytes;
+        }
+
+        @Override
+        protected void initChannel(SocketChannel channel) {
+            channel.pipeline()
+                    .addLast(
+                            new HttpClientCodec(
+                                    MAX_INITIAL_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
+                            new HttpObjectAggregator(maxBodyBytes, true),
+                            new Connection());
+        }
+    }
+
+    /** One connection, with the request that it waits for the response of, if any. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private Pending current;
-        private ScheduledFuture<?> timeout;
+        private Optional<PendingRequest> current = Optional.empty();
+        private Optional<ScheduledFuture<?>> timeout = Optional.empty();
 
         @Override
-        public void handlerAdded(ChannelHandlerContext ctx) {
-            channel = ctx.channel();
+        public void handlerAdded(ChannelHandlerContext context) {
+            channel = context.channel();
+        }
+
+        void send(PendingRequest pending) {
+            current = Optional.of(pending);
+            timeout =
+                    Optional.of(
+                            loop.schedule(
+                                    () -> channel.close(),
+                                    pending.timeoutMillis,
+                                    TimeUnit.MILLISECONDS));
+            channel.writeAndFlush(toNetty(pending.request));
         }
 
-        void send(Pending pending) {
-            current = pending;
-            DefaultFullHttpRequest r =
+        private FullHttpRequest toNetty(Request request) {
+            FullHttpRequest message =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
-                            HttpMethod.valueOf(pending.method),
-                            pending.path,
-                            pending.body == null
-                                    ? Unpooled.EMPTY_BUFFER
-                                    : Unpooled.wrappedBuffer(pending.body));
-            r.headers().set(HttpHeaderNames.HOST, host);
-            if (pending.body != null) {
-                r.headers().set(HttpHeaderNames.CONTENT_LENGTH, pending.body.length);
-                r.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
-            }
-            timeout =
-                    loop.schedule(() -> channel.close(), pending.timeoutMs, TimeUnit.MILLISECONDS);
-            channel.writeAndFlush(r);
+                            HttpMethod.valueOf(request.method),
+                            request.path,
+                            request.body
+                                    .map(Unpooled::wrappedBuffer)
+                                    .orElse(Unpooled.EMPTY_BUFFER));
+            message.headers().set(HttpHeaderNames.HOST, hostHeader);
+            request.body.ifPresent(
+                    body -> {
+                        message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
+                        message.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/msgpack");
+                    });
+            return message;
         }
 
-        private void finish(int status, byte[] body) {
-            Pending pending = current;
-            current = null;
-            if (timeout != null) {
-                timeout.cancel(false);
-            }
-            if (pending != null) {
-                tell(pending, status, body);
+        @Override
+        protected void channelRead0(ChannelHandlerContext context, FullHttpResponse message) {
+            boolean isParsed = message.decoderResult().isSuccess();
+            byte[] body = ByteBufUtil.getBytes(message.content());
+            HttpResponse response = new HttpResponse(isParsed ? message.status().code() : 0, body);
+            Optional<PendingRequest> answered = takeCurrent();
+            if (keepAlive && isParsed && HttpUtil.isKeepAlive(message)) {
+                idleConnections.addLast(this);
+                sendQueued();
+                answered.ifPresent(pending -> answer(pending, response));
+            } else {
+                answered.ifPresent(pending -> answer(pending, response));
+                context.close();
             }
         }
 
-        /**
-         * An odd answer may trip its reader, but must not take the connection's bookkeeping with
-         * it.
-         */
-        private void tell(Pending pending, int status, byte[] body) {
+        /** Ends the wait for the response; empty if there was none. */
+        private Optional<PendingRequest> takeCurrent() {
+            Optional<PendingRequest> taken = current;
+            current = Optional.empty();
+            timeout.ifPresent(running -> running.cancel(false));
+            return taken;
+        }
+
+        /** A handler that fails at an odd response must not disturb the connection's accounts. */
+        private void answer(PendingRequest pending, HttpResponse response) {
             try {
-                pending.callback.done(status, body);
+                pending.handler.onResponse(response);
             } catch (RuntimeException e) {
                 LOG.error(
                         "the answer {} to {} {} can't be used",
-                        status,
-                        pending.method,
-                        pending.path,
+                        response.status(),
+                        pending.request.method,
+                        pending.request.path,
                         e);
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse r) {
-            boolean reuse = keep && HttpUtil.isKeepAlive(r) && r.decoderResult().isSuccess();
-            int status = r.decoderResult().isSuccess() ? r.status().code() : 0;
-            byte[] body = ByteBufUtil.getBytes(r.content());
-            if (reuse) {
-                Pending answered = current;
-                current = null;
-                timeout.cancel(false);
-                idle.addLast(this);
-                next();
-                if (answered != null) {
-                    tell(answered, status, body);
-                }
-            } else {
-                finish(status, body);
-                ctx.close();
-            }
-        }
-
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            idle.remove(this);
-            finish(0, null);
+        public void channelInactive(ChannelHandlerContext context) {
+            idleConnections.remove(this);
+            takeCurrent().ifPresent(pending -> answer(pending, HttpResponse.NONE));
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
         }
     }
 }
--- a/src/main/java/io/kitepath/net/LoopTimers.java
+++ b/src/main/java/io/kitepath/net/LoopTimers.java
@@ -6,12 +6,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Time as the machine's clocks tell it, and timers of the event loop. */
+/** The clocks of the machine, and timers of an event loop. */
 public final class LoopTimers implements Timers {
     private static final Logger LOG = LoggerFactory.getLogger(LoopTimers.class);
 
     private final EventLoop loop;
 
+    /** Timers whose tasks run on that event loop. */
     public LoopTimers(EventLoop loop) {
         this.loop = loop;
     }
--- a/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
+++ b/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
@@ -72,14 +72,14 @@
                                 .nodes
                                 .get(node)
                                 .call(
-                                        "POST",
-                                        "/checkin",
-                                        EmulatorCodec.encodeHeartbeat(heartbeat),
+                                        HttpClient.Request.post(
+                                                "/checkin",
+                                                EmulatorCodec.encodeHeartbeat(heartbeat)),
                                         TIMEOUT_MS,
-                                        (status, body) -> {
+                                        reply -> {
                                             HeartbeatResponse response =
                                                     EmulatorCodec.decodeHeartbeatResponse(
-                                                            status, body);
+                                                            reply.status(), reply.body());
                                             answer.accept(
                                                     response == null
                                                             ? HeartbeatResponse.redirectTo(null)
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -3,228 +3,220 @@
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store;
 import io.kitepath.net.HttpClient;
+import io.kitepath.net.HttpClient.Request;
+import io.kitepath.net.HttpResponse;
+import io.kitepath.net.HttpStatus;
 import io.kitepath.wire.MessagePackCodec;
 import io.kitepath.wire.ProtocolCodec;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
+import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state service over its published protocol. */
+/**
+ * A client of the state service, by its published HTTP protocol. All of it runs on the event loop.
+ */
 public final class HttpStore implements Store {
     private static final Logger LOG = LoggerFactory.getLogger(HttpStore.class);
 
-    private final HttpClient calls;
+    /** Lists are long, so they get more time than other calls. */
+    private static final int LIST_TIMEOUT_FACTOR = 2;
+
+    private static final byte[] EMPTY_BODY = new byte[0];
+
+    private final HttpClient callClient;
+    private final HttpClient leaseClient;
+    private final HttpClient watchClient;
+    private final long timeoutMillis;
 
     /**
-     * Renewals have a connection of their own, so that a queue of other calls can't cost us the
-     * lease.
+     * @param callClient for reads and transactions
+     * @param leaseClient for leases: with connections of its own, so that a queue of other calls
+     *     can't delay a renewal until the lease expires
+     * @param watchClient for watches, which occupy their connections
+     * @param timeoutMillis how long a call may take
      */
-    private final HttpClient renewals;
-
-    private final HttpClient follows;
-    private final long timeoutMs;
+    public HttpStore(
+            HttpClient callClient,
+            HttpClient leaseClient,
+            HttpClient watchClient,
+            long timeoutMillis) {
+        this.callClient = callClient;
+        this.leaseClient = leaseClient;
+        this.watchClient = watchClient;
+        this.timeoutMillis = timeoutMillis;
+    }
 
-    public HttpStore(HttpClient calls, HttpClient renewals, HttpClient follows, long timeoutMs) {
-        this.calls = calls;
-        this.renewals = renewals;
-        this.follows = follows;
-        this.timeoutMs = timeoutMs;
+    @Override
+    public void get(String key, BiConsumer<Outcome, Entry> answer) {
+        callClient.call(
+                Request.get("/keys/" + key),
+                timeoutMillis,
+                response -> {
+                    Optional<Entry> entry = decodeIfOk(response, ProtocolCodec::decodeEntry);
+                    answer.accept(
+                            entry.isPresent()
+                                    ? Outcome.OK
+                                    : failure(response, HttpStatus.NOT_FOUND),
+                            entry.orElse(null));
+                });
     }
 
-    @FunctionalInterface
-    private interface Reading<T> {
-        T of(Object body);
+    @Override
+    public void list(String prefix, String from, int limit, Consumer<ListResult> answer) {
+        String fromParameter = from.isEmpty() ? "" : "&from=" + urlEncode(from);
+        String path = "/keys?prefix=" + urlEncode(prefix) + fromParameter + "&limit=" + limit;
+        callClient.call(
+                Request.get(path),
+                LIST_TIMEOUT_FACTOR * timeoutMillis,
+                response ->
+                        answer.accept(
+                                decodeIfOk(response, HttpStore::toListResult)
+                                        .orElseGet(() -> failedList(response))));
     }
 
-    /** Reads an answer's body; bytes that are not what they should be count as no answer. */
-    private static <T> T read(int status, byte[] body, Reading<T> reading) {
-        try {
-            return reading.of(MessagePackCodec.decode(body));
-        } catch (InvalidInputException invalid) {
-            LOG.warn(
-                    "state service answered {} with a body that can't be read: {}",
-                    status,
-                    invalid.getMessage());
-            return null;
-        }
+    private static ListResult toListResult(Object body) {
+        return new ListResult(
+                Outcome.OK,
+                ProtocolCodec.decodeEntries(body),
+                ProtocolCodec.decodeRevision(body),
+                ProtocolCodec.isTruncated(body));
     }
 
-    private static Outcome other(int status) {
-        return status == 429 || status == 503 ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
+    private static ListResult failedList(HttpResponse response) {
+        return new ListResult(failure(response), List.of(), 0, false);
     }
 
     @Override
-    public void get(String key, BiConsumer<Outcome, Entry> answer) {
-        calls.call(
-                "GET",
-                "/keys/" + key,
-                null,
-                timeoutMs,
-                (status, body) -> {
-                    if (status == 200) {
-                        Entry entry = read(status, body, ProtocolCodec::decodeEntry);
-                        answer.accept(entry == null ? Outcome.UNKNOWN : Outcome.OK, entry);
-                    } else {
-                        answer.accept(status == 404 ? Outcome.REJECTED : other(status), null);
-                    }
-                });
+    public void commit(Transaction transaction, Consumer<CommitResult> answer) {
+        callClient.call(
+                Request.post("/multi", ProtocolCodec.encodeTransaction(transaction)),
+                timeoutMillis,
+                response -> answer.accept(toCommitResult(transaction, response)));
     }
 
-    @Override
-    public void list(String prefix, String from, int limit, Consumer<ListResult> answer) {
-        String path =
-                "/keys?prefix="
-                        + text(prefix)
-                        + (from.isEmpty() ? "" : "&from=" + text(from))
-                        + "&limit="
-                        + limit;
-        calls.call(
-                "GET",
-                path,
-                null,
-                2 * timeoutMs,
-                (status, body) -> {
-                    ListResult page =
-                            status == 200
-                                    ? read(
-                                            status,
-                                            body,
-                                            b ->
-                                                    new ListResult(
-                                                            Outcome.OK,
-                                                            ProtocolCodec.decodeEntries(b),
-                                                            ProtocolCodec.decodeRevision(b),
-                                                            ProtocolCodec.isTruncated(b)))
-                                    : null;
-                    answer.accept(
-                            page != null
-                                    ? page
-                                    : new ListResult(
-                                            status == 200 ? Outcome.UNKNOWN : other(status),
-                                            List.of(),
-                                            0,
-                                            false));
-                });
+    private static CommitResult toCommitResult(Transaction transaction, HttpResponse response) {
+        return switch (response.status()) {
+            case HttpStatus.OK ->
+                    decode(response, ProtocolCodec::decodeRevision)
+                            .map(
+                                    revision ->
+                                            new CommitResult(
+                                                    Outcome.OK, revision, List.of(), false))
+                            .orElseGet(() -> failedCommit(Outcome.UNKNOWN));
+            case HttpStatus.CONFLICT -> {
+                Optional<List<String>> failedKeys =
+                        decode(response, ProtocolCodec::decodeFailedKeys);
+                yield new CommitResult(Outcome.REJECTED, 0, failedKeys.orElse(List.of()), false);
+            }
+            case HttpStatus.BAD_REQUEST -> refusedCommit(transaction, response);
+            default -> failedCommit(failure(response));
+        };
     }
 
-    private static String text(String s) {
-        return URLEncoder.encode(s, StandardCharsets.UTF_8);
+    private static CommitResult refusedCommit(Transaction transaction, HttpResponse response) {
+        String reason = decode(response, ProtocolCodec::decodeErrorReason).orElse(null);
+        LOG.warn(
+                "state service refused a transaction of {} writes: {}",
+                transaction.writes().size(),
+                reason);
+        // Only this reason tells something about the state; with any other one the request was
+        // wrong in itself.
+        if (ProtocolCodec.NO_SUCH_LEASE.equals(reason)) {
+            return new CommitResult(Outcome.REJECTED, 0, List.of(), true);
+        }
+        return failedCommit(Outcome.INVALID);
     }
 
-    @Override
-    public void commit(Transaction transaction, Consumer<CommitResult> answer) {
-        calls.call(
-                "POST",
-                "/multi",
-                ProtocolCodec.encodeTransaction(transaction),
-                timeoutMs,
-                (status, body) -> {
-                    if (status == 200) {
-                        Long revision = read(status, body, ProtocolCodec::decodeRevision);
-                        answer.accept(
-                                revision == null
-                                        ? new CommitResult(Outcome.UNKNOWN, 0, List.of(), false)
-                                        : new CommitResult(Outcome.OK, revision, List.of(), false));
-                    } else if (status == 409) {
-                        List<String> failed = read(status, body, ProtocolCodec::decodeFailedKeys);
-                        answer.accept(
-                                new CommitResult(
-                                        Outcome.REJECTED,
-                                        0,
-                                        failed == null ? List.of() : failed,
-                                        false));
-                    } else if (status == 400) {
-                        String why = read(status, body, ProtocolCodec::decodeErrorReason);
-                        LOG.warn(
-                                "state service refused a transaction of {} writes: {}",
-                                transaction.writes().size(),
-                                why);
-                        // Only this one says something about the world; anything else is wrong with
-                        // what was sent.
-                        boolean lease = ProtocolCodec.NO_SUCH_LEASE.equals(why);
-                        answer.accept(
-                                new CommitResult(
-                                        lease ? Outcome.REJECTED : Outcome.INVALID,
-                                        0,
-                                        List.of(),
-                                        lease));
-                    } else {
-                        answer.accept(new CommitResult(other(status), 0, List.of(), false));
-                    }
-                });
+    private static CommitResult failedCommit(Outcome outcome) {
+        return new CommitResult(outcome, 0, List.of(), false);
     }
 
     @Override
     public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {
-        renewals.call(
-                "POST",
-                "/holds",
-                ProtocolCodec.encodeLeaseDuration(lifeMs),
-                timeoutMs,
-                (status, body) -> {
-                    Long id =
-                            status == 200 ? read(status, body, ProtocolCodec::decodeLeaseId) : null;
+        leaseClient.call(
+                Request.post("/holds", ProtocolCodec.encodeLeaseDuration(lifeMs)),
+                timeoutMillis,
+                response -> {
+                    Optional<Long> leaseId = decodeIfOk(response, ProtocolCodec::decodeLeaseId);
                     answer.accept(
-                            id != null
-                                    ? Outcome.OK
-                                    : status == 200 ? Outcome.UNKNOWN : other(status),
-                            id);
+                            leaseId.isPresent() ? Outcome.OK : failure(response),
+                            leaseId.orElse(null));
                 });
     }
 
     @Override
     public void renewLease(long lease, Consumer<Outcome> answer) {
-        renewals.call(
-                "POST",
-                "/holds/" + lease + "/renew",
-                new byte[0],
-                timeoutMs,
-                (status, body) ->
+        leaseClient.call(
+                Request.post("/holds/" + lease + "/renew", EMPTY_BODY),
+                timeoutMillis,
+                response ->
                         answer.accept(
-                                status == 200
+                                response.isOk()
                                         ? Outcome.OK
-                                        : status == 404 ? Outcome.REJECTED : other(status)));
+                                        : failure(response, HttpStatus.NOT_FOUND)));
     }
 
     @Override
     public void revokeLease(long lease) {
-        renewals.call("DELETE", "/holds/" + lease, null, timeoutMs, (status, body) -> {});
+        leaseClient.call(Request.delete("/holds/" + lease), timeoutMillis, response -> {});
     }
 
     @Override
     public void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
-        String path = "/follow?prefix=" + text(prefix) + "&from=" + after + "&holdMs=" + holdMs;
-        follows.call(
-                "GET",
-                path,
-                null,
-                holdMs + timeoutMs,
-                (status, body) -> {
-                    WatchResult changes =
-                            status == 200
-                                    ? read(
-                                            status,
-                                            body,
-                                            b ->
-                                                    new WatchResult(
-                                                            Outcome.OK,
-                                                            ProtocolCodec.decodeRevision(b),
-                                                            ProtocolCodec.decodeEvents(b)))
-                                    : null;
-                    if (changes == null) {
-                        changes =
-                                new WatchResult(
-                                        status == 410
-                                                ? Outcome.REJECTED
-                                                : status == 200 ? Outcome.UNKNOWN : other(status),
-                                        0,
-                                        List.of());
-                    }
-                    answer.accept(changes);
-                });
+        String path =
+                "/follow?prefix=" + urlEncode(prefix) + "&from=" + after + "&holdMs=" + holdMs;
+        watchClient.call(
+                Request.get(path),
+                holdMs + timeoutMillis,
+                response ->
+                        answer.accept(
+                                decodeIfOk(response, HttpStore::toWatchResult)
+                                        .orElseGet(() -> failedWatch(response))));
+    }
+
+    private static WatchResult toWatchResult(Object body) {
+        return new WatchResult(
+                Outcome.OK, ProtocolCodec.decodeRevision(body), ProtocolCodec.decodeEvents(body));
+    }
+
+    private static WatchResult failedWatch(HttpResponse response) {
+        return new WatchResult(failure(response, HttpStatus.GONE), 0, List.of());
+    }
+
+    private static String urlEncode(String text) {
+        return URLEncoder.encode(text, StandardCharsets.UTF_8);
+    }
+
+    /** What is known after a response which is not that the call was executed. */
+    private static Outcome failure(HttpResponse response) {
+        return response.isRefusedByLoad() ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
+    }
+
+    /** The same, where one status is a definite answer. */
+    private static Outcome failure(HttpResponse response, int rejectedStatus) {
+        return response.status() == rejectedStatus ? Outcome.REJECTED : failure(response);
+    }
+
+    private static <T> Optional<T> decodeIfOk(HttpResponse response, Function<Object, T> decoder) {
+        return response.isOk() ? decode(response, decoder) : Optional.empty();
+    }
+
+    /** Decodes the body; one that can't be decoded counts as no answer. */
+    private static <T> Optional<T> decode(HttpResponse response, Function<Object, T> decoder) {
+        try {
+            return Optional.of(decoder.apply(MessagePackCodec.decode(response.body())));
+        } catch (InvalidInputException invalid) {
+            LOG.warn(
+                    "state service answered {} with a body that can't be read: {}",
+                    response.status(),
+                    invalid.getMessage());
+            return Optional.empty();
+        }
     }
 }
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -3,127 +3,154 @@
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.JobSpec;
-import io.kitepath.core.service.JobSubmissionService;
 import io.kitepath.core.service.JobSubmissionService.JobResponse;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
+import io.kitepath.net.HttpStatus;
 import io.kitepath.wire.MessagePackCodec;
 import io.kitepath.wire.ProtocolCodec;
 import java.util.List;
+import java.util.Optional;
 
-/** What users may ask over HTTP. */
+/** The HTTP interface to users: they submit jobs, ask for their status and cancel them. */
 public final class UsersApi {
+    /** The path of submissions; those of single jobs begin with it. */
     public static final String JOBS = "/submissions";
-    private static final String CANCEL = "/withdraw";
+
+    private static final String CANCEL_SUFFIX = "/withdraw";
+
+    /** Why a submission is refused, unless its id is known. */
+    private record Refusal(int status, String reason) {}
+
     private final Controller controller;
 
+    /** An interface to that controller, to be used on its event loop. */
     public UsersApi(Controller controller) {
         this.controller = controller;
     }
 
+    /** Answers a request for {@link #JOBS} or for a path below it, now or later. */
     public void handle(Request request, Responder out) {
-        String path = request.path();
-        if (path.equals(JOBS)) {
-            if (!request.method().equals("POST")) {
-                out.reply(405, null);
-                return;
-            }
+        if (!request.path().equals(JOBS)) {
+            handleJobRequest(request, out);
+        } else if (request.method().equals("POST")) {
             submit(request.body(), out);
-            return;
+        } else {
+            out.reply(HttpStatus.METHOD_NOT_ALLOWED);
         }
-        String rest = path.substring(JOBS.length() + 1);
-        boolean cancel = rest.endsWith(CANCEL);
-        String id = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
-        if (id.indexOf('/') >= 0) {
-            out.reply(404, null);
-        } else if (!request.method().equals(cancel ? "POST" : "GET")) {
-            out.reply(405, null);
-        } else if (!ProtocolCodec.isJobId(id)) {
-            out.reply(404, null);
-        } else if (cancel) {
-            controller.jobApi().cancel(id, response -> answer(response, true, out));
+    }
+
+    private void handleJobRequest(Request request, Responder out) {
+        String path = request.path().substring(JOBS.length() + 1);
+        boolean isCancel = path.endsWith(CANCEL_SUFFIX);
+        String jobId = isCancel ? path.substring(0, path.length() - CANCEL_SUFFIX.length()) : path;
+        if (jobId.indexOf('/') >= 0) {
+            out.reply(HttpStatus.NOT_FOUND);
+        } else if (!request.method().equals(isCancel ? "POST" : "GET")) {
+            out.reply(HttpStatus.METHOD_NOT_ALLOWED);
+        } else if (!ProtocolCodec.isJobId(jobId)) {
+            out.reply(HttpStatus.NOT_FOUND);
+        } else if (isCancel) {
+            controller.jobApi().cancel(jobId, response -> reply(response, true, out));
         } else {
-            controller.jobApi().status(id, response -> answer(response, false, out));
+            controller.jobApi().status(jobId, response -> reply(response, false, out));
         }
     }
 
     private void submit(byte[] bytes, Responder out) {
         Object body;
-        String id;
+        String jobId;
         try {
             body = MessagePackCodec.decode(bytes);
-            id = ProtocolCodec.decodeSubmittedId(body);
+            jobId = ProtocolCodec.decodeSubmittedId(body);
         } catch (InvalidInputException invalid) {
-            out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
+            out.reply(HttpStatus.BAD_REQUEST, ProtocolCodec.encodeError(invalid.getMessage()));
             return;
         }
-        String wrong;
-        int status;
+        submit(body, out).ifPresent(refusal -> refuseUnlessKnown(jobId, refusal, out));
+    }
+
+    /** Submits the job that the body describes; otherwise says why it is refused. */
+    private Optional<Refusal> submit(Object body, Responder out) {
         try {
             JobSpec spec = ProtocolCodec.decodeSubmission(body);
-            List<String> needs = ProtocolCodec.decodeDependencies(body);
+            List<String> dependencies = ProtocolCodec.decodeDependencies(body);
             if (controller.machineTypes().isEmpty()) {
-                known(id, 503, "the machine types are not known yet", out);
-                return;
+                return Optional.of(
+                        new Refusal(
+                                HttpStatus.SERVICE_UNAVAILABLE,
+                                "the machine types are not known yet"));
             }
-            wrong = controller.reasonImpossible(spec);
-            if (wrong == null) {
-                controller
-                        .jobApi()
-                        .submit(
-                                spec,
-                                needs,
-                                response ->
-                                        answer(
-                                                response,
-                                                response.verdict()
-                                                        == JobSubmissionService.Verdict.CREATED,
-                                                out));
-                return;
+            String reasonImpossible = controller.reasonImpossible(spec);
+            if (reasonImpossible != null) {
+                return Optional.of(new Refusal(HttpStatus.UNPROCESSABLE, reasonImpossible));
             }
-            status = 422;
+            controller
+                    .jobApi()
+                    .submit(
+                            spec,
+                            dependencies,
+                            response ->
+                                    reply(response, response.verdict() == Verdict.CREATED, out));
+            return Optional.empty();
         } catch (InvalidInputException invalid) {
-            wrong = invalid.getMessage();
-            status = 400;
+            return Optional.of(new Refusal(HttpStatus.BAD_REQUEST, invalid.getMessage()));
         }
-        known(id, status, wrong, out);
     }
 
     /**
-     * A known id gets its state whatever else the body says, so the store is asked before anything
-     * is refused.
+     * Refuses a submission if the id is new. A known id gets its state whatever else the body says,
+     * so the store is asked first.
      */
-    private void known(String id, int status, String why, Responder out) {
+    private void refuseUnlessKnown(String jobId, Refusal refusal, Responder out) {
         controller
                 .jobApi()
                 .status(
-                        id,
+                        jobId,
                         response -> {
-                            if (response.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
-                                out.reply(
-                                        status,
-                                        ProtocolCodec.encodeError(why),
-                                        status == 503 ? controller.retryAfterSeconds() : 0);
+                            if (response.verdict() == Verdict.NOT_FOUND) {
+                                reply(refusal, out);
                             } else {
-                                answer(response, false, out);
+                                reply(response, false, out);
                             }
                         });
     }
 
-    private void answer(JobResponse response, boolean brief, Responder out) {
+    private void reply(Refusal refusal, Responder out) {
+        if (refusal.status == HttpStatus.SERVICE_UNAVAILABLE) {
+            replyUnavailable(refusal.reason, out);
+        } else {
+            out.reply(refusal.status, ProtocolCodec.encodeError(refusal.reason));
+        }
+    }
+
+    /** Replies with what was answered; {@code brief}: without the progress of the job. */
+    private void reply(JobResponse response, boolean brief, Responder out) {
         switch (response.verdict()) {
             case CREATED ->
-                    out.reply(201, ProtocolCodec.encodeJobStatus(response.jobStatus(), true));
+                    out.reply(
+                            HttpStatus.CREATED,
+                            ProtocolCodec.encodeJobStatus(response.jobStatus(), true));
             case KNOWN ->
-                    out.reply(200, ProtocolCodec.encodeJobStatus(response.jobStatus(), brief));
-            case REFUSED -> out.reply(422, ProtocolCodec.encodeError(response.reason()));
-            case INVALID -> out.reply(400, ProtocolCodec.encodeError(response.reason()));
-            case NOT_FOUND -> out.reply(404, ProtocolCodec.encodeError("no such job"));
-            default ->
                     out.reply(
-                            503,
-                            ProtocolCodec.encodeError("the state service can't be asked now"),
-                            controller.retryAfterSeconds());
+                            HttpStatus.OK,
+                            ProtocolCodec.encodeJobStatus(response.jobStatus(), brief));
+            case REFUSED ->
+                    out.reply(
+                            HttpStatus.UNPROCESSABLE, ProtocolCodec.encodeError(response.reason()));
+            case INVALID ->
+                    out.reply(HttpStatus.BAD_REQUEST, ProtocolCodec.encodeError(response.reason()));
+            case NOT_FOUND ->
+                    out.reply(HttpStatus.NOT_FOUND, ProtocolCodec.encodeError("no such job"));
+            case LATER -> replyUnavailable("the state service can't be asked now", out);
         }
     }
+
+    private void replyUnavailable(String reason, Responder out) {
+        out.reply(
+                HttpStatus.SERVICE_UNAVAILABLE,
+                ProtocolCodec.encodeError(reason),
+                controller.retryAfterSeconds());
+    }
 }
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -2,28 +2,34 @@
 
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.HeartbeatResponse;
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
+import io.kitepath.net.HttpStatus;
 import io.kitepath.wire.MessagePackCodec;
 import io.kitepath.wire.ProtocolCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Check-ins of workers over HTTP. */
+/** The HTTP interface to workers: they send heartbeats and get commands. */
 public final class WorkersApi {
+    /** The path of heartbeats. */
     public static final String CHECK_IN = "/checkin";
+
     private static final Logger LOG = LoggerFactory.getLogger(WorkersApi.class);
 
     private final Controller controller;
 
+    /** An interface to that controller, to be used on its event loop. */
     public WorkersApi(Controller controller) {
         this.controller = controller;
     }
 
+    /** Answers a request for the path {@link #CHECK_IN}, now or later. */
     public void handle(Request request, Responder out) {
         if (!request.method().equals("POST")) {
-            out.reply(405, null);
+            out.reply(HttpStatus.METHOD_NOT_ALLOWED);
             return;
         }
         Heartbeat heartbeat;
@@ -31,20 +37,21 @@
             heartbeat = ProtocolCodec.decodeHeartbeat(MessagePackCodec.decode(request.body()));
         } catch (InvalidInputException invalid) {
             LOG.debug("a report can't be read: {}", invalid.getMessage());
-            out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
+            out.reply(HttpStatus.BAD_REQUEST, ProtocolCodec.encodeError(invalid.getMessage()));
             return;
         }
-        controller.onHeartbeat(
-                heartbeat,
-                response -> {
-                    if (response.fencingToken() > 0) {
-                        out.reply(
-                                200,
-                                ProtocolCodec.encodeCommands(
-                                        response.fencingToken(), response.commands()));
-                    } else {
-                        out.reply(421, ProtocolCodec.encodeRedirect(response.redirectNode()));
-                    }
-                });
+        controller.onHeartbeat(heartbeat, response -> reply(response, out));
+    }
+
+    /** Without a fencing token the worker has to send its heartbeats to another node. */
+    private static void reply(HeartbeatResponse response, Responder out) {
+        if (response.fencingToken() > 0) {
+            byte[] commands =
+                    ProtocolCodec.encodeCommands(response.fencingToken(), response.commands());
+            out.reply(HttpStatus.OK, commands);
+        } else {
+            byte[] redirect = ProtocolCodec.encodeRedirect(response.redirectNode());
+            out.reply(HttpStatus.MISDIRECTED_REQUEST, redirect);
+        }
     }
 }
--- a/src/test/java/io/kitepath/net/HttpClientTest.java
+++ b/src/test/java/io/kitepath/net/HttpClientTest.java
@@ -32,13 +32,13 @@
         loop.execute(
                 () -> {
                     client.call(
-                            "GET",
-                            "/first",
-                            null,
+                            HttpClient.Request.get("/first"),
                             60_000,
-                            (status, body) -> first.complete(status));
+                            response -> first.complete(response.status()));
                     client.call(
-                            "GET", "/second", null, 50, (status, body) -> second.complete(status));
+                            HttpClient.Request.get("/second"),
+                            50,
+                            response -> second.complete(response.status()));
                 });
         assertEquals(0, second.get(30, TimeUnit.SECONDS));
         assertFalse(first.isDone());
