--- /dev/null
+++ b/src/main/java/io/kitepath/net/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * An HTTP client and an HTTP server on the event loop, and its timers. Nothing here knows what the
+ * requests are about.
+ */
+package io.kitepath.net;
--- /dev/null
+++ b/src/main/java/io/kitepath/store/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * The client of the state service: an implementation of {@link io.kitepath.core.port.Store} over
+ * HTTP.
+ */
+package io.kitepath.store;
--- a/src/test/java/io/kitepath/peers/CellLinksTest.java
+++ b/src/test/java/io/kitepath/peers/CellLinksTest.java
@@ -10,11 +10,9 @@
 import io.kitepath.core.model.CellMessage.RequestKind;
 import io.kitepath.core.model.CellMessage.UserRequest;
 import io.kitepath.core.model.CellMessage.UserResponse;
-import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.net.LoopTimers;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.util.List;
@@ -31,79 +29,56 @@
     private final EventLoop loop = group.next();
 
     @AfterEach
-    void end() {
+    void stopLoop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private static InetSocketAddress free() throws Exception {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return new InetSocketAddress(InetAddress.getLoopbackAddress(), s.getLocalPort());
-        }
+    private static CellDirectory directory() {
+        return new CellDirectory(
+                1,
+                "west",
+                Map.of("west", cell("west", "a", "w0"), "east", cell("east", "b", "e0")));
+    }
+
+    private static CellDirectory.Cell cell(String name, String zone, String node) {
+        return new CellDirectory.Cell(
+                name, true, false, List.of(zone), Map.of(node, "unused"), Map.of());
     }
 
-    /** A node of the cell west that listens, and whose store refuses everything. */
-    private void west(InetSocketAddress at) throws Exception {
-        Map<String, ClusterSettings.Team> none = Map.of();
-        CellDirectory directory =
-                new CellDirectory(
-                        1,
-                        "west",
-                        Map.of(
-                                "west",
-                                new CellDirectory.Cell(
-                                        "west", true, false, List.of("a"), Map.of("w0", "x"), none),
-                                "east",
-                                new CellDirectory.Cell(
-                                        "east",
-                                        true,
-                                        false,
-                                        List.of("b"),
-                                        Map.of("e0", "y"),
-                                        none)));
-        ClusterSettings settings =
-                new ClusterSettings(
-                        "w0",
-                        "a",
-                        List.of(),
-                        List.of("a"),
-                        none,
-                        List.of(),
-                        new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
-                        new ClusterSettings.StoreLimits(100, 100, 8, 40),
-                        new ClusterSettings.CloudLimits(1, 1),
-                        new ClusterSettings.ProcessLimits(1, 200, 1000),
-                        5);
+    /** Starts a node of the cell west, whose store refuses everything. */
+    private void startWest(InetSocketAddress address) throws Exception {
         Peers peers = new Peers(group, "w0", Map.of(), true);
-        loop.submit(
-                        () -> {
-                            Controller c =
-                                    new Controller(
-                                            settings,
-                                            new RefusingStore(),
-                                            null,
-                                            null,
-                                            new LoopTimers(loop),
-                                            peers,
-                                            new Random(1),
-                                            directory,
-                                            (cell, node, message, answer) -> answer.accept(null));
-                            return peers.start(c, at);
-                        })
-                .get()
-                .sync();
+        loop.submit(() -> peers.start(controllerOfWest(peers), address)).get().sync();
+    }
+
+    private Controller controllerOfWest(Peers peers) {
+        return new Controller(
+                TestNodes.settings("w0", List.of()),
+                new RefusingStore(),
+                null,
+                null,
+                new LoopTimers(loop),
+                peers,
+                new Random(1),
+                directory(),
+                (cell, node, message, answer) -> answer.accept(null));
+    }
+
+    private CellLinks linksToWest(InetSocketAddress address) {
+        return new CellLinks(group, Map.of("west", Map.of("w0", address)), new Random(1));
     }
 
     private CellMessage ask(CellLinks links, String node, CellMessage message) throws Exception {
-        CompletableFuture<CellMessage> got = new CompletableFuture<>();
-        loop.execute(() -> links.ask("west", node, message, got::complete));
-        return got.get(5, TimeUnit.SECONDS);
+        CompletableFuture<CellMessage> answer = new CompletableFuture<>();
+        loop.execute(() -> links.ask("west", node, message, answer::complete));
+        return answer.get(5, TimeUnit.SECONDS);
     }
 
     @Test
     void aNodeAnswersWhatItCanAndSendsTheRestToItsHolder() throws Exception {
-        InetSocketAddress at = free();
-        west(at);
-        CellLinks links = new CellLinks(group, Map.of("west", Map.of("w0", at)), new Random(1));
+        InetSocketAddress address = TestNodes.freeAddress();
+        startWest(address);
+        CellLinks links = linksToWest(address);
         // Nobody leads there; its store has not said by which homes it goes.
         assertEquals(
                 new Redirect(null),
@@ -116,28 +91,23 @@
 
     @Test
     void whoIsNotThereAnswersNothingInTime() throws Exception {
-        CellLinks links = new CellLinks(group, Map.of("west", Map.of("w0", free())), new Random(1));
+        CellLinks links = linksToWest(TestNodes.freeAddress());
         assertNull(ask(links, "w0", new CellMessage.LoanSettled(7, 7)));
-        CompletableFuture<CellMessage> got = new CompletableFuture<>();
+        CompletableFuture<CellMessage> answer = new CompletableFuture<>();
         loop.execute(
-                () -> links.ask("nowhere", null, new CellMessage.LoanSettled(7, 7), got::complete));
-        assertNull(got.get(5, TimeUnit.SECONDS));
+                () ->
+                        links.ask(
+                                "nowhere",
+                                null,
+                                new CellMessage.LoanSettled(7, 7),
+                                answer::complete));
+        assertNull(answer.get(5, TimeUnit.SECONDS));
     }
 
     @Test
     void oneThatListensAndNeverAnswersIsGivenUp() throws Exception {
-        try (ServerSocket mute = new ServerSocket(0, 4, InetAddress.getLoopbackAddress())) {
-            CellLinks links =
-                    new CellLinks(
-                            group,
-                            Map.of(
-                                    "west",
-                                    Map.of(
-                                            "w0",
-                                            new InetSocketAddress(
-                                                    InetAddress.getLoopbackAddress(),
-                                                    mute.getLocalPort()))),
-                            new Random(1));
+        try (ServerSocket silent = TestNodes.listen()) {
+            CellLinks links = linksToWest(TestNodes.addressOf(silent));
             assertNull(ask(links, "w0", new CellMessage.LoanSettled(7, 7)));
         }
     }
--- a/src/test/java/io/kitepath/peers/PeersTest.java
+++ b/src/test/java/io/kitepath/peers/PeersTest.java
@@ -5,7 +5,6 @@
 
 import io.kitepath.core.Controller;
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.net.LoopTimers;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -14,7 +13,6 @@
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -24,17 +22,29 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** The nodes' own channel, where connections break. */
 class PeersTest {
+    private static final CancellationDigest DIGEST =
+            new CancellationDigest("k0", 1, 2, List.of("j-1", "j-2"));
+
+    private final NioEventLoopGroup group = new NioEventLoopGroup(1);
+    private final EventLoop loop = group.next();
+
+    @AfterEach
+    void stopLoop() {
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+
     @Test
     void oneConnectionThatClosesAsItIsWrittenToDoesNotKeepTheOthersFromBeingTold() {
         Map<String, Channel> channels = new HashMap<>();
-        for (String s : List.of("k1", "k2", "k3")) {
-            EmbeddedChannel ch = new EmbeddedChannel();
-            channels.put(s, ch);
-            ch.closeFuture().addListener(f -> channels.remove(s));
+        for (String peer : List.of("k1", "k2", "k3")) {
+            EmbeddedChannel channel = new EmbeddedChannel();
+            channels.put(peer, channel);
+            channel.closeFuture().addListener(closed -> channels.remove(peer));
         }
         List<Channel> told = new ArrayList<>();
         Peers.forEachChannel(
@@ -49,28 +59,30 @@
         assertEquals(2, channels.size());
     }
 
-    /** A sibling that is played here, on a connection to it or from it. */
-    private static final class Played implements AutoCloseable {
+    /** The other end of a connection to or from the node under test. */
+    private static final class FakePeer implements AutoCloseable {
+        private static final int READ_TIMEOUT_MILLIS = 5000;
+
         private final Socket socket;
-        private final PeerMessageCodec messages = PeerMessageCodec.withinCell();
+        private final PeerMessageCodec codec = PeerMessageCodec.withinCell();
 
-        Played(Socket socket) throws IOException {
+        FakePeer(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout(5000);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         }
 
-        void says(PeerMessage message) throws IOException {
-            byte[] frame = messages.encode(message);
+        void send(PeerMessage message) throws IOException {
+            byte[] frame = codec.encode(message);
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(frame.length);
             out.write(frame);
         }
 
-        PeerMessage hears() throws IOException {
+        PeerMessage receive() throws IOException {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             byte[] frame = new byte[in.readInt()];
             in.readFully(frame);
-            return messages.decode(frame);
+            return codec.decode(frame);
         }
 
         @Override
@@ -79,88 +91,71 @@
         }
     }
 
+    /** Starts a node that announces its state and its digest every 20 ms. */
+    private void startNode(InetSocketAddress address, ServerSocket oldPeer, ServerSocket newPeer)
+            throws Exception {
+        Map<String, InetSocketAddress> peerAddresses =
+                Map.of(
+                        "old", TestNodes.addressOf(oldPeer),
+                        "new", TestNodes.addressOf(newPeer));
+        Peers peers = new Peers(group, "k0", peerAddresses, false);
+        loop.submit(() -> peers.start(controller(peers), address)).get().sync();
+        loop.scheduleAtFixedRate(
+                () -> {
+                    peers.announceState(7, null, true);
+                    peers.sendCancellationDigest(DIGEST);
+                },
+                0,
+                20,
+                TimeUnit.MILLISECONDS);
+    }
+
+    private Controller controller(Peers peers) {
+        return new Controller(
+                TestNodes.settings("k0", List.of("old", "new")),
+                new RefusingStore(),
+                null,
+                null,
+                new LoopTimers(loop),
+                peers,
+                new Random(1));
+    }
+
     /**
-     * Production ends a connection at a message that it does not know, so that nothing would be
-     * said any more at all.
+     * An older version closes a connection at a message that it does not know, so that nothing
+     * would be said any more at all.
      */
     @Test
     void digestsGoOnlyToThoseThatSaidThatTheyReadThem() throws Exception {
-        InetAddress here = InetAddress.getLoopbackAddress();
-        NioEventLoopGroup group = new NioEventLoopGroup(1);
-        try (ServerSocket old = new ServerSocket(0, 4, here);
-                ServerSocket fresh = new ServerSocket(0, 4, here);
-                ServerSocket free = new ServerSocket(0, 1, here)) {
-            InetSocketAddress at = new InetSocketAddress(here, free.getLocalPort());
-            free.close();
-            EventLoop loop = group.next();
-            Peers peers =
-                    new Peers(
-                            group,
-                            "k0",
-                            Map.of(
-                                    "old",
-                                    new InetSocketAddress(here, old.getLocalPort()),
-                                    "fresh",
-                                    new InetSocketAddress(here, fresh.getLocalPort())),
-                            false);
-            ClusterSettings settings =
-                    new ClusterSettings(
-                            "k0",
-                            "a",
-                            List.of("old", "fresh"),
-                            List.of("a"),
-                            Map.of(),
-                            List.of(),
-                            new ClusterSettings.WorkerTimings(1, 10, 30, 5, 30),
-                            new ClusterSettings.StoreLimits(100, 100, 8, 40),
-                            new ClusterSettings.CloudLimits(1, 1),
-                            new ClusterSettings.ProcessLimits(1, 200, 1000),
-                            5);
-            loop.submit(
-                            () ->
-                                    peers.start(
-                                            new Controller(
-                                                    settings,
-                                                    new RefusingStore(),
-                                                    null,
-                                                    null,
-                                                    new LoopTimers(loop),
-                                                    peers,
-                                                    new Random(1)),
-                                            at))
-                    .get()
-                    .sync();
-            CancellationDigest said = new CancellationDigest("k0", 1, 2, List.of("j-1", "j-2"));
-            loop.scheduleAtFixedRate(
-                    () -> {
-                        peers.announceState(7, null, true);
-                        peers.sendCancellationDigest(said);
-                    },
-                    0,
-                    20,
-                    TimeUnit.MILLISECONDS);
-            try (Played o = new Played(old.accept());
-                    Played f = new Played(fresh.accept());
-                    Played from = new Played(new Socket(here, at.getPort()))) {
-                f.says(PeerMessage.ProgressReply.readsCancelledJobs());
-                PeerMessage heard = f.hears();
-                while (!(heard instanceof PeerMessage.CancelledJobs)) {
-                    heard = f.hears();
-                }
+        InetSocketAddress address = TestNodes.freeAddress();
+        try (ServerSocket oldSocket = TestNodes.listen();
+                ServerSocket newSocket = TestNodes.listen()) {
+            startNode(address, oldSocket, newSocket);
+            try (FakePeer oldPeer = new FakePeer(oldSocket.accept());
+                    FakePeer newPeer = new FakePeer(newSocket.accept());
+                    FakePeer connecting =
+                            new FakePeer(new Socket(address.getAddress(), address.getPort()))) {
+                newPeer.send(PeerMessage.ProgressReply.readsCancelledJobs());
                 assertEquals(
-                        new PeerMessage.CancelledJobs("k0", 1, 2, new ArrayList<>(said.jobIds())),
-                        heard);
+                        new PeerMessage.CancelledJobs("k0", 1, 2, DIGEST.jobIds()),
+                        firstDigest(newPeer));
                 for (int i = 0; i < 20; i++) {
-                    assertInstanceOf(PeerMessage.NodeState.class, o.hears());
+                    assertInstanceOf(PeerMessage.NodeState.class, oldPeer.receive());
                 }
-                // Whoever tells its view hears what is read here, in the form of an answer that
-                // production drops.
-                from.says(new PeerMessage.NodeState("old", 7, false, true));
-                assertInstanceOf(PeerMessage.NodeState.class, from.hears());
-                assertEquals(PeerMessage.ProgressReply.readsCancelledJobs(), from.hears());
+                // Whoever announces its state is told what is read here, in the form of a reply
+                // which an older version drops.
+                connecting.send(new PeerMessage.NodeState("old", 7, false, true));
+                assertInstanceOf(PeerMessage.NodeState.class, connecting.receive());
+                assertEquals(PeerMessage.ProgressReply.readsCancelledJobs(), connecting.receive());
             }
-        } finally {
-            group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
     }
+
+    private static PeerMessage firstDigest(FakePeer peer) throws IOException {
+        PeerMessage message = peer.receive();
+        while (!(message instanceof PeerMessage.CancelledJobs)) {
+            message = peer.receive();
+        }
+        return message;
+    }
 }
