--- /dev/null
+++ b/src/main/java/io/kitepath/core/role/RoleClaims.java
@@ -0,0 +1,126 @@
+package io.kitepath.core.role;
+
+import io.kitepath.core.port.Store;
+import io.kitepath.core.port.Store.CommitResult;
+import io.kitepath.core.port.Store.Entry;
+import io.kitepath.core.port.Store.Outcome;
+import io.kitepath.core.port.Store.Transaction;
+import io.kitepath.core.port.Timers;
+import io.kitepath.core.role.LeasedRoles.Role;
+import io.kitepath.core.state.StoreKeys;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+
+/**
+ * Claims roles that nobody holds, each after a delay that depends on this node's rank in the role's
+ * order of preference. A claim writes the role's key under the node's lease and raises the role's
+ * stored fencing token, both or neither.
+ */
+final class RoleClaims {
+    /** Each rank waits longer than the one before by the lease time divided by this. */
+    private static final double RANKS_PER_LEASE = 16;
+
+    /** Spreads claims of the same rank, in seconds. */
+    private static final double JITTER_SECONDS = 0.05;
+
+    /** Told of every claim that succeeded. */
+    interface Listener {
+        void onRoleClaimed(Role role, long revision, long fencingToken);
+    }
+
+    private final RoleContext context;
+    private final Store store;
+    private final Timers timers;
+    private final Random random;
+    private final NodeLease lease;
+    private final RoleKeyWatcher keyWatcher;
+    private final Listener listener;
+
+    RoleClaims(RoleContext context, NodeLease lease, RoleKeyWatcher keyWatcher, Listener listener) {
+        this.context = context;
+        this.store = context.store();
+        this.timers = context.timers();
+        this.random = context.random();
+        this.lease = lease;
+        this.keyWatcher = keyWatcher;
+        this.listener = listener;
+    }
+
+    /** Claims the role in a while if it is still free by then. */
+    void schedule(Role role) {
+        if (role.isClaiming || keyWatcher.isStopped()) {
+            return;
+        }
+        role.isClaiming = true;
+        double abstainSeconds = Math.max(0, role.abstainsUntil - timers.nowSeconds());
+        timers.schedule(
+                role.claimRank * context.leaseSeconds() / RANKS_PER_LEASE
+                        + abstainSeconds
+                        + random.nextDouble() * JITTER_SECONDS,
+                () -> claimIfFree(role));
+    }
+
+    private void claimIfFree(Role role) {
+        if (role.holderNode != null || role.isHeldHere || keyWatcher.isStopped()) {
+            role.isClaiming = false;
+            return;
+        }
+        lease.whenGranted(() -> readFencingToken(role), () -> retryLater(role));
+    }
+
+    private void retryLater(Role role) {
+        role.isClaiming = false;
+        keyWatcher.readLater();
+    }
+
+    private void readFencingToken(Role role) {
+        store.get(
+                fencingTokenKey(role),
+                (outcome, entry) -> {
+                    boolean isRead = outcome == Outcome.OK || outcome == Outcome.REJECTED;
+                    if (!isRead || role.holderNode != null || !lease.isGranted()) {
+                        retryLater(role);
+                    } else {
+                        claim(role, outcome == Outcome.OK ? Optional.of(entry) : Optional.empty());
+                    }
+                });
+    }
+
+    /** {@code highestToken}: the record of it; empty if none was ever given out. */
+    private void claim(Role role, Optional<Entry> highestToken) {
+        long leaseId = lease.id();
+        long highest =
+                highestToken
+                        .map(entry -> RoleRecord.fromRecord(entry.value()).fencingToken())
+                        .orElse(0L);
+        long fencingToken = Math.max(role.fencingToken, highest) + 1;
+        Map<String, Object> record =
+                RoleRecord.toRecord(
+                        context.settings().node(), fencingToken, leaseId, context.incarnation());
+        store.commit(
+                new Transaction()
+                        .requireRevision(role.key, 0)
+                        .requireRevision(
+                                fencingTokenKey(role), highestToken.map(Entry::revision).orElse(0L))
+                        .put(role.key, record, leaseId)
+                        .put(fencingTokenKey(role), RoleRecord.toFencingTokenRecord(fencingToken)),
+                result -> onClaimAnswered(role, leaseId, fencingToken, result));
+    }
+
+    private void onClaimAnswered(Role role, long leaseId, long fencingToken, CommitResult result) {
+        role.isClaiming = false;
+        if (result.outcome() == Outcome.OK
+                && lease.id() == leaseId
+                && result.revision() >= role.revision) {
+            listener.onRoleClaimed(role, result.revision(), fencingToken);
+        } else {
+            // The keys tell who holds it: another node, or this one if the answer was lost.
+            keyWatcher.readSoon();
+        }
+    }
+
+    private static String fencingTokenKey(Role role) {
+        return StoreKeys.ROLE_FENCING_TOKENS + role.name();
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/role/RoleKeyWatcher.java
@@ -0,0 +1,146 @@
+package io.kitepath.core.role;
+
+import io.kitepath.core.port.Store;
+import io.kitepath.core.port.Store.Entry;
+import io.kitepath.core.port.Store.ListResult;
+import io.kitepath.core.port.Store.Outcome;
+import io.kitepath.core.port.Store.WatchResult;
+import io.kitepath.core.port.Timers;
+import io.kitepath.core.state.PagedScan;
+import io.kitepath.core.state.StoreKeys;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+
+/**
+ * Reads the keys of all roles and watches them from that revision on.
+ *
+ * <p>Only the latest reading counts: one that was requested earlier and is answered later tells
+ * what was, and each would start a watch of its own, until no connection is left for others.
+ */
+final class RoleKeyWatcher {
+    /** Attempts for each page of keys. */
+    private static final int MAX_PAGE_ATTEMPTS = 3;
+
+    /** Spreads the nodes' readings after a failure, in seconds. */
+    private static final double RETRY_JITTER_SECONDS = 0.3;
+
+    /** The same after a claim that came to nothing. */
+    private static final double SOON_JITTER_SECONDS = 0.1;
+
+    /** What the store says of a role's key. May be told the same twice, and of old revisions. */
+    interface Listener {
+        /** There was no such key at that revision. */
+        void onKeyAbsent(String key, long revision);
+
+        void onKeyPresent(Entry entry);
+    }
+
+    private final Store store;
+    private final Timers timers;
+    private final Random random;
+    private final double leaseSeconds;
+    private final Set<String> keys;
+    private final Listener listener;
+    private boolean isStopped;
+    private long currentReading;
+
+    /** {@code keys} of the roles, in the order in which the listener is told of them. */
+    RoleKeyWatcher(RoleContext context, Set<String> keys, Listener listener) {
+        this.store = context.store();
+        this.timers = context.timers();
+        this.random = context.random();
+        this.leaseSeconds = context.leaseSeconds();
+        this.keys = new LinkedHashSet<>(keys);
+        this.listener = listener;
+    }
+
+    /** Starts no further reading and ignores what the watch still answers. */
+    void stop() {
+        isStopped = true;
+    }
+
+    boolean isStopped() {
+        return isStopped;
+    }
+
+    /** Reads all keys, and watches them afterwards. */
+    void read() {
+        long reading = ++currentReading;
+        if (isStopped) {
+            return;
+        }
+        PagedScan.read(
+                store,
+                timers,
+                StoreKeys.ROLES,
+                MAX_PAGE_ATTEMPTS,
+                listing -> onKeysListed(reading, listing));
+    }
+
+    /** Reads all keys once the store may have recovered. */
+    void readLater() {
+        timers.schedule(leaseSeconds / 4 + random.nextDouble() * RETRY_JITTER_SECONDS, this::read);
+    }
+
+    /** Reads all keys in a moment, since they have just changed. */
+    void readSoon() {
+        timers.schedule(random.nextDouble() * SOON_JITTER_SECONDS, this::read);
+    }
+
+    private void onKeysListed(long reading, ListResult listing) {
+        if (reading != currentReading) {
+            return;
+        }
+        if (listing.outcome() != Outcome.OK) {
+            readLater();
+            return;
+        }
+        Map<String, Entry> entries = new LinkedHashMap<>();
+        listing.entries().forEach(entry -> entries.put(entry.key(), entry));
+        for (String key : keys) {
+            Entry entry = entries.get(key);
+            if (entry == null) {
+                listener.onKeyAbsent(key, listing.revision());
+            } else {
+                listener.onKeyPresent(entry);
+            }
+        }
+        watch(reading, listing.revision());
+    }
+
+    private void watch(long reading, long afterRevision) {
+        store.watch(
+                StoreKeys.ROLES,
+                afterRevision,
+                (long) (leaseSeconds * 2000),
+                changes -> onKeysChanged(reading, afterRevision, changes));
+    }
+
+    private void onKeysChanged(long reading, long afterRevision, WatchResult changes) {
+        if (reading != currentReading || isStopped) {
+            return;
+        }
+        if (changes.outcome() != Outcome.OK) {
+            readLater();
+            return;
+        }
+        for (Entry entry : changes.events()) {
+            if (keys.contains(entry.key())) {
+                if (entry.value() == null) {
+                    listener.onKeyAbsent(entry.key(), entry.revision());
+                } else {
+                    listener.onKeyPresent(entry);
+                }
+            }
+        }
+        if (changes.events().isEmpty()) {
+            // Two lease times without a change: one may have been missed in an outage.
+            read();
+        } else {
+            watch(reading, Math.max(afterRevision, changes.revision()));
+        }
+    }
+}
