--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -34,6 +34,7 @@
 import io.kitepath.core.service.HeartbeatService;
 import io.kitepath.core.service.JobApi;
 import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.LeaderComponents;
 import io.kitepath.core.service.RetryAfter;
 import io.kitepath.core.shard.HeartbeatProcessor;
 import io.kitepath.core.shard.Job;
@@ -200,12 +201,13 @@
                         new Proof());
         this.heartbeatService =
                 new HeartbeatService(
-                        shard,
-                        heartbeatProcessor,
-                        leadership,
-                        stateWriter,
+                        new LeaderComponents(
+                                shard,
+                                heartbeatProcessor,
+                                leadership,
+                                stateWriter,
+                                cancellationWatermark),
                         membership,
-                        cancellationWatermark,
                         siblings,
                         timers,
                         loopTime,
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -9,12 +9,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this node may answer workers with its token, and so keep their tasks alive.
+ * Whether this node may answer workers under its fencing token, and so keep their tasks alive.
  *
- * <p>An answer sent at time a keeps tasks until a + {@code lease_s} at most. Every cancellation
- * confirmed before k = {@link CancellationWatermark} is known, and each answer says what to stop
- * for it. One that is not known was confirmed after k, so that its tasks are gone {@code a - k +
- * lease_s} after it at the latest: that has to stay under {@code cancel_s}.
+ * <p>An answer that is sent at time a keeps tasks alive until a + {@code lease_s} at most. Every
+ * cancellation that was confirmed before k, the {@link CancellationWatermark}, is known here, and
+ * each answer says what to stop for it. One that is not known was confirmed after k, so its tasks
+ * are gone {@code a - k + lease_s} after it at the latest: that has to stay under {@code cancel_s}.
  */
 final class HeartbeatAuthority {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatAuthority.class);
@@ -33,25 +33,34 @@
         this.cancellationWatermark = cancellationWatermark;
     }
 
+    /** Whether this node may answer that heartbeat. */
     boolean mayAnswer(Heartbeat heartbeat) {
         return leadership.isLeading()
                 && heartbeat.fencingToken() <= shard.fencingToken()
                 && knowsCancellations();
     }
 
-    /** Guards against a holder that keeps tasks alive whose jobs were cancelled behind its back. */
-    boolean knowsCancellations() {
-        double age = cancellationWatermark.ageSeconds();
-        boolean knows = age < settings.workers().cancellationStalenessSeconds();
+    /** Whether an answer that was held may still go out under the token that it was given. */
+    boolean mayStillAnswer(long fencingToken) {
+        return leadership.isLeading()
+                && fencingToken == shard.fencingToken()
+                && knowsCancellations();
+    }
+
+    /** Guards against a leader that keeps tasks of jobs alive whose cancellation it missed. */
+    private boolean knowsCancellations() {
+        double ageSeconds = cancellationWatermark.ageSeconds();
+        boolean knows = ageSeconds < settings.workers().cancellationStalenessSeconds();
         if (isRefusing == knows) {
             isRefusing = !knows;
             if (knows) {
-                LOG.info("all cancellations are known again: workers are answered");
+                LOG.info("cancellations known again: heartbeats are answered");
             } else {
                 LOG.warn(
-                        "workers are not answered any more: which jobs were cancelled is known until {} s ago; last"
-                                + " answer of the state service {} s ago, least is known of {}",
-                        Math.round(age),
+                        "heartbeats not answered, cancellations may be missing:"
+                                + " watermarkAgeSeconds={} secondsSinceStoreAnswered={}"
+                                + " leastKnownPeer={}",
+                        Math.round(ageSeconds),
                         Math.round(leadership.secondsSinceStoreAnswered()),
                         cancellationWatermark.leastKnownPeer());
             }
