--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -14,184 +14,206 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Proves by the store, again and again, that the holder knows every cancellation: transactions that
- * only compare name the open key of each job of which something may be on a machine, at the
- * revision that the holder knows. What all of them find unchanged was open when the first was sent.
- * Guards against a watch that hangs while renewals go through, and against one whose empty answer
- * proves nothing, since the store refuses this node.
+ * Proves by the store, again and again, that the shard leader knows every cancellation:
+ * transactions that only compare name the open key of each job of which something may be on a
+ * machine, at the revision that the leader knows. What all of them find unchanged was open when the
+ * first was sent. Guards against a watch that hangs while renewals go through, and against one
+ * whose empty answer proves nothing, since the store refuses this node.
  *
- * <p>Jobs whose tasks are placed later need no proof: their placing is written under the condition
- * that they are open.
+ * <p>Jobs whose tasks are placed later need no proof: their placement is written under the
+ * condition that they are open. Runs on the event loop.
  */
 public final class CancellationProof {
+    /** Is told what the comparisons show. */
     public interface Listener {
         /** The job is not open any more, though no watch said so. */
-        void jobClosed(String jobId);
+        void jobClosed(String id);
 
         /**
-         * All that was cancelled before that moment, in milliseconds by our time of day, is known.
+         * All cancellations are known that were made before a moment.
+         *
+         * @param asOfMillis that moment, by this node's wall clock
          */
-        void cancellationsKnownAsOf(double atMs);
+        void cancellationsKnownAsOf(double asOfMillis);
     }
 
+    /** Before something is asked again that was not answered. */
     private static final double RETRY_SECONDS = 0.4;
+
+    /** Transactions of one round that are sent at the same time. */
     private static final int MAX_IN_FLIGHT = 4;
 
+    /** A transaction that only compares may hold that many times the operations of a write. */
+    private static final int CONDITIONS_PER_OPERATION = 4;
+
+    /** Rounds within the margin that a lease is kept beyond what is proven. */
+    private static final int ROUNDS_PER_MARGIN = 8;
+
     private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
     private final Random random;
     private final ShardState shard;
-
-    /** Whether the jobs are known and this node holds them. */
-    private final BooleanSupplier holding;
-
+    private final BooleanSupplier holdsLoadedShard;
     private final Listener listener;
+    private final Epoch epoch = new Epoch();
 
     /** Conditions in one transaction. */
     private int maxConditions;
 
-    private long epoch;
-
+    /**
+     * Creates a proof that asks nothing before it is started.
+     *
+     * @param random spreads the questions of several nodes
+     * @param holdsLoadedShard whether this node leads the shard and has its jobs in memory
+     */
     public CancellationProof(
             Store store,
             Timers timers,
             Random random,
             ShardState shard,
-            BooleanSupplier holding,
+            BooleanSupplier holdsLoadedShard,
             Listener listener) {
         this.settings = shard.settings();
         this.store = store;
         this.timers = timers;
         this.random = random;
         this.shard = shard;
-        this.holding = holding;
+        this.holdsLoadedShard = holdsLoadedShard;
         this.listener = listener;
-        this.maxConditions = 4 * settings.store().maxTransactionOperations();
+        this.maxConditions = CONDITIONS_PER_OPERATION * settings.store().maxTransactionOperations();
     }
 
-    /** A new holder begins. */
+    /** Begins for a new leader; rounds follow one another until {@link #stop}. */
     public void start() {
-        startRound(++epoch);
+        startRound(epoch.advance());
     }
 
+    /** Ends the rounds; nothing is told any more. */
     public void stop() {
-        epoch++;
+        epoch.advance();
     }
 
-    private void startRound(long e) {
-        if (e != epoch) {
+    private void startRound(Epoch.Token token) {
+        if (token.isStale()) {
             return;
         }
-        if (holding.getAsBoolean()) {
-            new ComparisonRound(e).send();
+        if (holdsLoadedShard.getAsBoolean()) {
+            new ComparisonRound(token).begin();
         } else {
-            startRoundAfter(e, RETRY_SECONDS);
+            startRoundAfter(RETRY_SECONDS, token);
         }
     }
 
-    private void startRoundAfter(long e, double seconds) {
-        timers.schedule(jittered(seconds), () -> startRound(e));
+    private void startRoundAfter(double seconds, Epoch.Token token) {
+        timers.schedule(jittered(seconds), () -> startRound(token));
     }
 
+    /** Between three and five quarters of the time. */
     private double jittered(double seconds) {
         return seconds * (0.75 + random.nextDouble() / 2);
     }
 
     /**
-     * One comparison of all, in as many transactions as it takes, some at once. Guards against a
-     * store over its rate that refuses one of several each time: what was refused is sent again,
-     * the rest is not. It counts from when the first was sent, so one that takes too long to be
-     * worth anything begins anew.
+     * One comparison of all jobs, in as many transactions as it takes, some at the same time.
+     * Guards against a store over its rate that refuses one of several each time: what was refused
+     * is sent again, the rest is not. It counts from when the first was sent, so one that takes too
+     * long to be worth anything begins anew.
      */
     private final class ComparisonRound {
-        private final long of;
-        private final double sentMs = timers.wallClockMillis();
-        private final Deque<Transaction> left = new ArrayDeque<>();
-        private int missing;
+        private final Epoch.Token token;
+        private final double startedMillis = timers.wallClockMillis();
+        private final Deque<Transaction> unsent = new ArrayDeque<>();
 
-        /** It can't be completed any more. */
-        private boolean tooLong;
+        /** Transactions of which the answer is missing. */
+        private int unanswered;
 
-        /** Another look is taken instead. */
-        private boolean given;
+        /** Whether it can't be completed any more. */
+        private boolean expired;
 
-        ComparisonRound(long of) {
-            this.of = of;
+        /** Whether another round takes its place. */
+        private boolean replaced;
+
+        ComparisonRound(Epoch.Token token) {
+            this.token = token;
             for (Job job : shard.jobs().values()) {
-                // Guests are cancelled by their home cell, which waits for this cell's word before
-                // it tells anybody.
-                if (!job.isFinished() && !job.borrowed && !job.liveAttempts().isEmpty()) {
-                    if (left.isEmpty() || left.getLast().conditions().size() >= maxConditions) {
-                        left.add(new Transaction());
+                if (needsProof(job)) {
+                    if (unsent.isEmpty() || unsent.getLast().conditions().size() >= maxConditions) {
+                        unsent.add(new Transaction());
                     }
-                    left.getLast().requireRevision(job.recordKey, job.revision());
+                    unsent.getLast().requireRevision(job.recordKey, job.revision());
                 }
             }
-            missing = left.size();
+            unanswered = unsent.size();
+        }
+
+        /**
+         * Jobs of other cells are cancelled by their home cell, which waits for this cell's answer
+         * before it tells anybody.
+         */
+        private boolean needsProof(Job job) {
+            return !job.isFinished() && !job.borrowed && !job.liveAttempts().isEmpty();
         }
 
-        void send() {
-            if (missing == 0) {
-                settled();
+        void begin() {
+            if (unanswered == 0) {
+                onComplete();
             }
-            for (int i = 0; i < MAX_IN_FLIGHT && !left.isEmpty(); i++) {
-                send(left.poll());
+            for (int i = 0; i < MAX_IN_FLIGHT && !unsent.isEmpty(); i++) {
+                send(unsent.poll());
             }
         }
 
         private void send(Transaction transaction) {
-            if (of == epoch) {
-                store.commit(transaction, result -> answered(transaction, result));
+            if (!token.isStale()) {
+                store.commit(transaction, result -> onResult(transaction, result));
             }
         }
 
-        private void answered(Transaction transaction, CommitResult result) {
+        private void onResult(Transaction transaction, CommitResult result) {
             switch (result.outcome()) {
-                case OK -> next();
-                case REJECTED -> closed(transaction, new ArrayDeque<>(result.failedKeys()));
-                default -> {
-                    if (result.outcome() == Outcome.INVALID) {
-                        // The store takes fewer conditions by now than anybody said: those of the
-                        // next look.
-                        maxConditions =
-                                Math.max(
-                                        1,
-                                        Math.min(
-                                                maxConditions,
-                                                transaction.conditions().size() / 2));
-                        tooLong = true;
-                    }
+                case OK -> onCompared();
+                case REJECTED -> reportClosed(transaction, new ArrayDeque<>(result.failedKeys()));
+                case INVALID -> {
+                    // The store takes fewer conditions than the settings say: those of the next
+                    // round.
+                    int tooMany = transaction.conditions().size();
+                    maxConditions = Math.max(1, Math.min(maxConditions, tooMany / 2));
+                    expired = true;
                     retry(transaction);
                 }
+                default -> retry(transaction);
             }
         }
 
         private void retry(Transaction transaction) {
-            tooLong |=
-                    timers.wallClockMillis() - sentMs
+            expired |=
+                    timers.wallClockMillis() - startedMillis
                             > 1000 * settings.workers().cancellationStalenessSeconds();
-            if (!tooLong && holding.getAsBoolean()) {
+            if (!expired && holdsLoadedShard.getAsBoolean()) {
                 timers.schedule(jittered(RETRY_SECONDS), () -> send(transaction));
-            } else if (!given) {
-                given = true;
-                startRoundAfter(of, RETRY_SECONDS);
+            } else if (!replaced) {
+                replaced = true;
+                startRoundAfter(RETRY_SECONDS, token);
             }
         }
 
-        private void next() {
-            missing--;
-            if (missing == 0) {
-                settled();
-            } else if (!left.isEmpty()) {
-                send(left.poll());
+        private void onCompared() {
+            unanswered--;
+            if (unanswered == 0) {
+                onComplete();
+            } else if (!unsent.isEmpty()) {
+                send(unsent.poll());
             }
         }
 
-        /** Gone, or written anew, as when its parts were laid out in another way. */
-        private void closed(Transaction transaction, Deque<String> keys) {
+        /**
+         * Looks up, one after the other, the keys that differ: they are gone, or were written anew,
+         * as when the job's parts were laid out in another way.
+         */
+        private void reportClosed(Transaction transaction, Deque<String> keys) {
             if (keys.isEmpty()) {
-                next();
+                onCompared();
                 return;
             }
             String key = keys.removeFirst();
@@ -202,19 +224,21 @@
                             retry(transaction);
                             return;
                         }
-                        if (of == epoch && outcome == Outcome.REJECTED) {
+                        if (!token.isStale() && outcome == Outcome.REJECTED) {
                             listener.jobClosed(key.substring(StoreKeys.OPEN_JOBS.length()));
                         }
-                        closed(transaction, keys);
+                        reportClosed(transaction, keys);
                     });
         }
 
-        private void settled() {
-            if (of == epoch && !given) {
-                if (holding.getAsBoolean()) {
-                    listener.cancellationsKnownAsOf(sentMs);
+        private void onComplete() {
+            if (!token.isStale() && !replaced) {
+                if (holdsLoadedShard.getAsBoolean()) {
+                    listener.cancellationsKnownAsOf(startedMillis);
                 }
-                startRoundAfter(of, settings.workers().cancellationStalenessSeconds() / 8);
+                startRoundAfter(
+                        settings.workers().cancellationStalenessSeconds() / ROUNDS_PER_MARGIN,
+                        token);
             }
         }
     }
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -5,6 +5,7 @@
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.port.Store;
+import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.shard.JobDependencies;
@@ -14,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds out from the records how jobs ended that others wait for. Paced, and those first that block
- * the most urgent work: a new holder may have to ask about all that was ever done for the pipelines
- * that are open.
+ * Finds out from the records how jobs ended that others depend on. Within a share of the request
+ * rate, and those first that block the most urgent work: a new leader may have to ask about every
+ * job that was ever done for the open pipelines. Runs on the event loop.
  */
 final class DependencyOutcomes {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyOutcomes.class);
@@ -26,90 +27,105 @@
 
     private static final int MAX_IN_FLIGHT = 8;
 
-    /** Between two looks for a job that is neither open nor over as yet. */
-    private static final double RETRY_SECONDS = 0.5;
+    /** Between two questions about a job that is neither open nor ended as yet. */
+    private static final double NOT_ENDED_RETRY_SECONDS = 0.5;
+
+    /** Between two questions where the store could not answer the first. */
+    private static final double UNANSWERED_RETRY_SECONDS = NOT_ENDED_RETRY_SECONDS / 2;
 
     private final Store store;
     private final Timers timers;
     private final JobDependencies dependencies;
     private final TokenBucket requests;
+
+    /** Ids of jobs that are asked about or wait to be asked about again. */
     private final Set<String> inFlight = new HashSet<>();
-    private Runnable ready = () -> {};
-    private long epoch;
+
+    private final Epoch epoch = new Epoch();
+    private Runnable onOutcomeKnown = () -> {};
     private boolean waitingForRate;
 
     DependencyOutcomes(
-            ClusterSettings settings, Store store, Timers timers, JobDependencies pipelines) {
+            ClusterSettings settings, Store store, Timers timers, JobDependencies dependencies) {
         this.store = store;
         this.timers = timers;
-        this.dependencies = pipelines;
+        this.dependencies = dependencies;
         this.requests = new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE);
     }
 
     /**
-     * {@code whenKnown} runs when a job may start, or has to be cancelled, that could not or had
-     * not to before.
+     * Begins anew; nothing is asked before {@link #askForUnknown}.
+     *
+     * @param onOutcomeKnown runs when a job may start, or has to be cancelled, that could not or
+     *     had not to before
      */
-    void start(Runnable whenKnown) {
+    void start(Runnable onOutcomeKnown) {
         stop();
-        ready = whenKnown;
+        this.onOutcomeKnown = onOutcomeKnown;
     }
 
     void stop() {
-        epoch++;
+        epoch.advance();
         inFlight.clear();
         waitingForRate = false;
     }
 
-    /** Asks what is to be asked. */
+    /** Asks for the outcomes that are not known, as far as the rate allows. */
     void askForUnknown() {
         if (waitingForRate) {
             return;
         }
         for (String id : dependencies.unknownOutcomes(MAX_IN_FLIGHT - inFlight.size(), inFlight)) {
             if (!requests.tryTake(1, timers.nowSeconds())) {
-                waitingForRate = true;
-                long e = epoch;
-                timers.schedule(
-                        requests.secondsUntil(1, timers.nowSeconds()),
-                        () -> {
-                            if (e == epoch) {
-                                waitingForRate = false;
-                                askForUnknown();
-                            }
-                        });
+                waitForRate();
                 return;
             }
             ask(id);
         }
     }
 
+    private void waitForRate() {
+        waitingForRate = true;
+        Epoch.Token token = epoch.current();
+        timers.schedule(
+                requests.secondsUntil(1, timers.nowSeconds()),
+                () -> {
+                    if (!token.isStale()) {
+                        waitingForRate = false;
+                        askForUnknown();
+                    }
+                });
+    }
+
     private void ask(String id) {
         inFlight.add(id);
-        long e = epoch;
+        Epoch.Token token = epoch.current();
         store.get(
                 StoreKeys.ENDED_JOBS + id,
                 (outcome, entry) -> {
-                    if (e != epoch) {
-                        return;
+                    if (!token.isStale()) {
+                        onAnswer(token, id, outcome, entry);
                     }
-                    if (outcome == Outcome.OK) {
+                });
+    }
+
+    private void onAnswer(Epoch.Token token, String id, Outcome outcome, Entry entry) {
+        if (outcome == Outcome.OK) {
+            inFlight.remove(id);
+            if (recordOutcome(id, entry.value())) {
+                onOutcomeKnown.run();
+            }
+            askForUnknown();
+            return;
+        }
+        // Not ended: it is open, and this leader has not heard of it yet; or the store can't be
+        // asked now.
+        timers.schedule(
+                outcome == Outcome.REJECTED ? NOT_ENDED_RETRY_SECONDS : UNANSWERED_RETRY_SECONDS,
+                () -> {
+                    if (!token.isStale()) {
                         inFlight.remove(id);
-                        if (recordOutcome(id, entry.value())) {
-                            ready.run();
-                        }
                         askForUnknown();
-                    } else {
-                        // Not over: it is open, and this holder has not heard of it yet; or it
-                        // can't be asked now.
-                        timers.schedule(
-                                outcome == Outcome.REJECTED ? RETRY_SECONDS : RETRY_SECONDS / 2,
-                                () -> {
-                                    if (e == epoch) {
-                                        inFlight.remove(id);
-                                        askForUnknown();
-                                    }
-                                });
                     }
                 });
     }
@@ -117,11 +133,10 @@
     private boolean recordOutcome(String id, Object record) {
         try {
             DocumentReader document = DocumentReader.of(record);
-            // Earlier versions did not put down when.
-            dependencies.recordOutcome(
-                    id,
-                    document.text("status").equals("done"),
-                    document.numberOr("endedMs", 0, timers.wallClockMillis()));
+            boolean done = document.text("status").equals(EndStatus.DONE.storedName());
+            // Earlier versions did not write when a job ended.
+            double endedMillis = document.numberOr("endedMs", 0, timers.wallClockMillis());
+            dependencies.recordOutcome(id, done, endedMillis);
             return true;
         } catch (InvalidInputException invalid) {
             LOG.error(
--- a/src/main/java/io/kitepath/core/state/PagedScan.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -10,64 +10,85 @@
 import java.util.function.Consumer;
 
 /**
- * Reads everything under a prefix, page by page. Guards against a reading that begins anew for
- * every page that is refused: while many ask the state service, a new holder would never get to the
- * end of its jobs.
+ * Reads everything under a prefix, page by page, and asks again for a page that is refused. Guards
+ * against a reading that begins anew for every such page: while many ask the state service, a new
+ * leader would never get to the end of its jobs. Runs on the event loop.
  */
 public final class PagedScan {
     private static final int PAGE_SIZE = 500;
 
+    /** Before a page is asked for again; longer with each attempt, up to the maximum. */
+    private static final double RETRY_STEP_SECONDS = 0.1;
+
+    private static final double MAX_RETRY_SECONDS = 1;
+
     private final Store store;
     private final Timers timers;
     private final String prefix;
     private final int maxAttempts;
     private final Consumer<ListResult> answer;
     private final List<Entry> entries = new ArrayList<>();
+
+    /** Of the first page; negative before that was read. */
     private long revision = -1;
 
     private PagedScan(
-            Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
+            Store store,
+            Timers timers,
+            String prefix,
+            int maxAttempts,
+            Consumer<ListResult> answer) {
         this.store = store;
         this.timers = timers;
         this.prefix = prefix;
-        this.maxAttempts = tries;
+        this.maxAttempts = maxAttempts;
         this.answer = answer;
     }
 
     /**
-     * {@code tries}: how often a page is asked for. The revision is from before the first page was
-     * read.
+     * Reads all records under the prefix.
+     *
+     * @param maxAttempts how often each page is asked for before the scan fails
+     * @param answer gets all entries in the keys' order, at a revision from before the first page
+     *     was read, or the outcome of the page that could not be had
      */
     public static void read(
-            Store store, Timers timers, String prefix, int tries, Consumer<ListResult> answer) {
-        new PagedScan(store, timers, prefix, tries, answer).readPage(1);
+            Store store,
+            Timers timers,
+            String prefix,
+            int maxAttempts,
+            Consumer<ListResult> answer) {
+        new PagedScan(store, timers, prefix, maxAttempts, answer).readPage(1);
     }
 
     private void readPage(int attempt) {
-        String from = entries.isEmpty() ? "" : entries.get(entries.size() - 1).key();
-        store.list(
-                prefix,
-                from,
-                PAGE_SIZE,
-                page -> {
-                    if (page.outcome() != Outcome.OK) {
-                        if (attempt < maxAttempts) {
-                            timers.schedule(
-                                    Math.min(1, 0.1 * attempt), () -> readPage(attempt + 1));
-                        } else {
-                            answer.accept(new ListResult(page.outcome(), List.of(), 0, false));
-                        }
-                        return;
-                    }
-                    if (revision < 0) {
-                        revision = page.revision();
-                    }
-                    entries.addAll(page.entries());
-                    if (page.hasMore() && !page.entries().isEmpty()) {
-                        readPage(1);
-                    } else {
-                        answer.accept(new ListResult(Outcome.OK, entries, revision, false));
-                    }
-                });
+        String after = entries.isEmpty() ? "" : entries.get(entries.size() - 1).key();
+        store.list(prefix, after, PAGE_SIZE, page -> onPage(page, attempt));
+    }
+
+    private void onPage(ListResult page, int attempt) {
+        if (page.outcome() != Outcome.OK) {
+            onFailure(page.outcome(), attempt);
+            return;
+        }
+        if (revision < 0) {
+            revision = page.revision();
+        }
+        entries.addAll(page.entries());
+        if (page.hasMore() && !page.entries().isEmpty()) {
+            readPage(1);
+        } else {
+            answer.accept(new ListResult(Outcome.OK, entries, revision, false));
+        }
+    }
+
+    private void onFailure(Outcome outcome, int attempt) {
+        if (attempt < maxAttempts) {
+            timers.schedule(
+                    Math.min(MAX_RETRY_SECONDS, RETRY_STEP_SECONDS * attempt),
+                    () -> readPage(attempt + 1));
+        } else {
+            answer.accept(new ListResult(outcome, List.of(), 0, false));
+        }
     }
 }
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -8,41 +8,61 @@
 import java.util.Map;
 
 /**
- * One job's records laid out anew, in narrower parts, in one transaction: a gang, or a service, all
- * of whose tasks have to be on record at the same time, which its parts are too wide for under the
- * state service's limits.
+ * Moves one job's records to narrower parts, in one transaction: those of a gang or a service, all
+ * of whose tasks have to be on record at the same time, where its parts are too wide for the state
+ * service's limits.
  */
 final class RecordMigration {
     final Job job;
+
+    /** The job's record as it will be. */
     private final JobRecord record;
+
+    /** The job's version that the new records show. */
     private final int version;
+
+    /** The new records of its parts, by index; parts of which there is nothing to say have none. */
     private final Map<Integer, Map<String, Object>> parts = new LinkedHashMap<>();
+
+    /** Records of parts that go. */
     private final int removedParts;
 
-    RecordMigration(Job job, int partTasks) {
+    /**
+     * Works out the new records.
+     *
+     * @param tasksPerPart how many tasks each of the new parts holds
+     */
+    RecordMigration(Job job, int tasksPerPart) {
         this.job = job;
         this.version = job.version();
-        JobRecord was = job.record();
+        JobRecord current = job.record();
         this.record =
                 new JobRecord(
-                        was.spec(),
-                        was.submittedMillis(),
-                        was.dependencies(),
-                        partTasks,
+                        current.spec(),
+                        current.submittedMillis(),
+                        current.dependencies(),
+                        tasksPerPart,
                         job.nextAttempt());
-        for (int i = 0; i * partTasks < job.spec.taskCount(); i++) {
-            Map<String, Object> part = job.partRecordOf(i, partTasks);
+        for (int i = 0; i * tasksPerPart < job.spec.taskCount(); i++) {
+            Map<String, Object> part = job.partRecordOf(i, tasksPerPart);
             if (part != null) {
                 parts.put(i, part);
             }
         }
-        int gone = 0;
+        int removed = 0;
         for (int i = 0; i < job.partCount(); i++) {
-            gone += job.part(i).revision() > 0 && !parts.containsKey(i) ? 1 : 0;
+            if (isRemoved(i)) {
+                removed++;
+            }
         }
-        this.removedParts = gone;
+        this.removedParts = removed;
+    }
+
+    private boolean isRemoved(int part) {
+        return job.part(part).revision() > 0 && !parts.containsKey(part);
     }
 
+    /** Writes that the migration takes: the job's record, and each part's that comes or goes. */
     int writeCount() {
         return 1 + parts.size() + removedParts;
     }
@@ -54,18 +74,18 @@
                 .put(job.recordKey, record.toRecord());
         for (int i = 0; i < job.partCount(); i++) {
             transaction.requireRevision(StoreKeys.partKey(id, i), job.part(i).revision());
-            if (job.part(i).revision() > 0 && !parts.containsKey(i)) {
+            if (isRemoved(i)) {
                 transaction.remove(StoreKeys.partKey(id, i));
             }
         }
-        parts.forEach((i, p) -> transaction.put(StoreKeys.partKey(id, i), p));
+        parts.forEach((i, part) -> transaction.put(StoreKeys.partKey(id, i), part));
     }
 
-    /** The store has it at that revision. */
+    /** The store has the new records, at that revision. */
     void onCommitted(ShardState shard, long revision) {
-        boolean same = job.version() == version;
+        boolean changedMeanwhile = job.version() != version;
         shard.applyMigration(job, record, revision, version, parts.keySet());
-        if (!same) {
+        if (changedMeanwhile) {
             shard.markAllPartsDirty(job);
         }
     }
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -29,35 +29,40 @@
     private final Timers timers = Worlds.timers(cluster);
     private final ShardState shard = new ShardState(cluster.settings("k0"), machine -> {});
 
-    /** What it sent, and when. */
+    /** Transactions that the proof sent, and when, in seconds on the steady clock. */
     private final List<Store.Transaction> sent = new ArrayList<>();
 
     private final List<Double> sentAt = new ArrayList<>();
-    private final List<Double> proven = new ArrayList<>();
-    private final List<String> closed = new ArrayList<>();
 
-    /** Keys that are gone. */
-    private final List<String> gone = new ArrayList<>();
+    /** What the listener was told: moments in milliseconds, and ids of jobs. */
+    private final List<Double> knownAsOfMillis = new ArrayList<>();
 
-    private Outcome otherwise = Outcome.OK;
-    private double answerTakesS = 0.01;
-    private int mostConditions = 1000;
+    private final List<String> closedJobs = new ArrayList<>();
 
-    /** By the number of the request. */
-    private IntPredicate refuses = n -> false;
+    /** Keys that the store does not have any more. */
+    private final List<String> goneKeys = new ArrayList<>();
+
+    /** What the store answers where nothing below says otherwise. */
+    private Outcome defaultOutcome = Outcome.OK;
+
+    private double answerSeconds = 0.01;
+    private int maxConditions = 1000;
+
+    /** By the number of the request, from 1. */
+    private IntPredicate refuses = number -> false;
 
     private boolean holding = true;
 
-    /** Answers comparisons a while after they arrived. */
+    /** Answers comparisons and questions a while after they arrived, and nothing else. */
     private final Store store =
             new Store() {
                 @Override
                 public void get(String key, BiConsumer<Outcome, Entry> answer) {
                     cluster.after(
-                            answerTakesS,
+                            answerSeconds,
                             () ->
                                     answer.accept(
-                                            gone.contains(key) ? Outcome.REJECTED : Outcome.OK,
+                                            goneKeys.contains(key) ? Outcome.REJECTED : Outcome.OK,
                                             null));
                 }
 
@@ -70,19 +75,24 @@
                     List<String> failed =
                             transaction.conditions().stream()
                                     .map(Condition::key)
-                                    .filter(gone::contains)
+                                    .filter(goneKeys::contains)
                                     .toList();
-                    Outcome outcome =
-                            transaction.conditions().size() > mostConditions
-                                    ? Outcome.INVALID
-                                    : refuses.test(sent.size())
-                                            ? Outcome.NOT_EXECUTED
-                                            : failed.isEmpty() ? otherwise : Outcome.REJECTED;
+                    Outcome outcome = outcomeOf(transaction, failed);
                     cluster.after(
-                            answerTakesS,
+                            answerSeconds,
                             () -> answer.accept(new CommitResult(outcome, 0, failed, false)));
                 }
 
+                private Outcome outcomeOf(Transaction transaction, List<String> failed) {
+                    if (transaction.conditions().size() > maxConditions) {
+                        return Outcome.INVALID;
+                    }
+                    if (refuses.test(sent.size())) {
+                        return Outcome.NOT_EXECUTED;
+                    }
+                    return failed.isEmpty() ? defaultOutcome : Outcome.REJECTED;
+                }
+
                 @Override
                 public void list(
                         String prefix, String from, int limit, Consumer<ListResult> answer) {}
@@ -110,20 +120,20 @@
                     () -> holding,
                     new CancellationProof.Listener() {
                         @Override
-                        public void jobClosed(String jobId) {
-                            closed.add(jobId);
-                            shard.finishJob(jobId);
+                        public void jobClosed(String id) {
+                            closedJobs.add(id);
+                            shard.finishJob(id);
                         }
 
                         @Override
-                        public void cancellationsKnownAsOf(double atMs) {
-                            proven.add(atMs);
+                        public void cancellationsKnownAsOf(double asOfMillis) {
+                            knownAsOfMillis.add(asOfMillis);
                         }
                     });
 
-    /** Each has a task on a machine, by its record. */
-    private void jobs(int n) {
-        for (int i = 0; i < n; i++) {
+    /** Adds that many open jobs, each with a task on a machine by its record. */
+    private void addJobsWithLiveTasks(int count) {
+        for (int i = 0; i < count; i++) {
             JobSpec spec = job("j-" + i, Shape.ARRAY, 1, 1);
             Job job =
                     Job.of(
@@ -142,57 +152,65 @@
         }
     }
 
+    private double firstSentMillis() {
+        return 1000 * sentAt.get(0);
+    }
+
+    private Store.Transaction lastSent() {
+        return sent.get(sent.size() - 1);
+    }
+
     @Test
-    void allJobsOfWhichSomethingMayRunAreCompared() {
-        jobs(400);
+    void roundOverManyJobsComparesEachOnceInFewTransactions() {
+        addJobsWithLiveTasks(400);
         proof.start();
         cluster.run(1);
         assertEquals(
                 400, sent.stream().mapToInt(transaction -> transaction.conditions().size()).sum());
         assertEquals(3, sent.size());
-        assertEquals(List.of(1000 * sentAt.get(0)), proven);
+        assertEquals(List.of(firstSentMillis()), knownAsOfMillis);
     }
 
     /** Nothing is proven of the time while the answer was under way. */
     @Test
-    void whatIsProvenCountsFromWhenItWasAsked() {
-        jobs(3);
-        answerTakesS = 6;
+    void roundWithSlowAnswerProvesAsOfWhenItWasAsked() {
+        addJobsWithLiveTasks(3);
+        answerSeconds = 6;
         proof.start();
         cluster.run(7);
-        assertEquals(1, proven.size());
-        assertEquals(1000 * sentAt.get(0), proven.get(0));
+        assertEquals(1, knownAsOfMillis.size());
+        assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
     }
 
     @Test
-    void whatIsGoneIsSaidBeforeAnythingIsProven() {
-        jobs(3);
-        gone.add(StoreKeys.OPEN_JOBS + "j-1");
+    void jobWhoseOpenKeyIsGoneIsReportedBeforeAnythingIsProven() {
+        addJobsWithLiveTasks(3);
+        goneKeys.add(StoreKeys.OPEN_JOBS + "j-1");
         proof.start();
         cluster.run(0.015);
-        assertEquals(List.of(), proven);
+        assertEquals(List.of(), knownAsOfMillis);
         cluster.run(0.02);
-        assertEquals(List.of("j-1"), closed);
-        assertEquals(1, proven.size());
+        assertEquals(List.of("j-1"), closedJobs);
+        assertEquals(1, knownAsOfMillis.size());
         cluster.run(3);
         assertTrue(
-                sent.get(sent.size() - 1).conditions().stream()
+                lastSent().conditions().stream()
                         .noneMatch(condition -> condition.key().endsWith("j-1")));
     }
 
     @Test
-    void refusalsAndUnknownAnswersProveNothingAndAreTriedAgain() {
-        jobs(1);
+    void roundWithoutDefiniteAnswerProvesNothingAndIsRetriedWhileTheShardIsHeld() {
+        addJobsWithLiveTasks(1);
         for (Outcome outcome : List.of(Outcome.NOT_EXECUTED, Outcome.UNKNOWN, Outcome.INVALID)) {
-            otherwise = outcome;
+            defaultOutcome = outcome;
             proof.start();
             cluster.run(5);
-            assertEquals(List.of(), proven, outcome.toString());
+            assertEquals(List.of(), knownAsOfMillis, outcome.toString());
         }
         assertTrue(sent.size() > 20);
-        otherwise = Outcome.OK;
+        defaultOutcome = Outcome.OK;
         cluster.run(1);
-        assertEquals(1, proven.size());
+        assertEquals(1, knownAsOfMillis.size());
         holding = false;
         int before = sent.size();
         cluster.run(10);
@@ -200,17 +218,15 @@
         proof.stop();
     }
 
-    /**
-     * A store over its rate refuses one request of two: what has been answered is not asked again.
-     */
+    /** A store over its rate refuses one request of two. */
     @Test
-    void oneOfSeveralThatIsRefusedIsSentAgainByItself() {
-        jobs(800);
-        refuses = n -> n % 2 == 0;
+    void transactionThatIsRefusedIsSentAgainWithoutTheAnsweredOnes() {
+        addJobsWithLiveTasks(800);
+        refuses = number -> number % 2 == 0;
         proof.start();
         cluster.run(3);
-        assertTrue(proven.size() >= 1);
-        assertEquals(1000 * sentAt.get(0), proven.get(0));
+        assertTrue(knownAsOfMillis.size() >= 1);
+        assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
         assertTrue(
                 sent.stream()
                                 .map(transaction -> transaction.conditions().get(0).key())
@@ -219,28 +235,25 @@
                         == 5);
     }
 
-    /**
-     * A store that takes fewer conditions than its settings say is asked with fewer, rather than
-     * never heard again.
-     */
+    /** The store takes fewer conditions than its settings say. */
     @Test
-    void aStoreThatTakesFewerConditionsIsAskedWithFewer() {
-        jobs(100);
-        mostConditions = 30;
+    void transactionThatIsInvalidAsTooLargeIsFollowedBySmallerOnes() {
+        addJobsWithLiveTasks(100);
+        maxConditions = 30;
         proof.start();
         cluster.run(5);
-        assertTrue(proven.size() >= 1);
-        assertTrue(sent.get(sent.size() - 1).conditions().size() <= 30);
+        assertTrue(knownAsOfMillis.size() >= 1);
+        assertTrue(lastSent().conditions().size() <= 30);
     }
 
-    /** Slower than a quarter of the margin, and in several pieces: it still gets there. */
+    /** Slower than a quarter of the margin, and in several transactions. */
     @Test
-    void aSlowStoreProvesLater() {
-        jobs(800);
-        answerTakesS = 3;
+    void roundOverManyJobsWithSlowAnswersIsCompleted() {
+        addJobsWithLiveTasks(800);
+        answerSeconds = 3;
         proof.start();
         cluster.run(7);
-        assertEquals(1, proven.size());
-        assertEquals(1000 * sentAt.get(0), proven.get(0));
+        assertEquals(1, knownAsOfMillis.size());
+        assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
     }
 }
