--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -90,7 +90,7 @@
 
     /** Digests repeat themselves each second: only news is worth a round. */
     private void markCancelled(String jobId) {
-        cancellationWatermark.unprovenCancellations(jobId);
+        cancellationWatermark.addUnproven(jobId);
         if (shard.finishJob(jobId)) {
             requestRound.run();
         }
--- /dev/null
+++ b/src/main/java/io/kitepath/core/leadership/Campaign.java
@@ -0,0 +1,133 @@
+package io.kitepath.core.leadership;
+
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.DocumentReader;
+import io.kitepath.core.port.Store;
+import io.kitepath.core.port.Store.Outcome;
+import io.kitepath.core.port.Store.Transaction;
+import io.kitepath.core.port.Timers;
+import io.kitepath.core.state.StoreKeys;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * An attempt to become leader: asks the store for a lease, reads the last fencing token, and claims
+ * the leader's record and the shard's with the next token in one transaction, which goes through
+ * only if nobody leads and nobody has raised the token meanwhile. One attempt at a time.
+ */
+final class Campaign {
+    /**
+     * A term of leadership that was won.
+     *
+     * @param leaseId the lease that the leader's and the shard's records hang on
+     * @param fencingToken its token
+     * @param revision at which the records were written
+     * @param leaseRequestedAt when the lease was asked for, in seconds on the steady clock
+     */
+    record Term(long leaseId, long fencingToken, long revision, double leaseRequestedAt) {}
+
+    /** Is told how an attempt ends. */
+    interface Listener {
+        /** The highest fencing token that this node has heard of. */
+        long highestFencingToken();
+
+        void onWon(Term term);
+
+        /** Another node was faster, or the store did not answer. */
+        void onFailed();
+    }
+
+    private final String node;
+    private final Store store;
+    private final Timers timers;
+    private final Incarnation incarnation;
+    private final double leaseSeconds;
+    private final Listener listener;
+    private boolean isRunning;
+
+    Campaign(
+            ClusterSettings settings,
+            Store store,
+            Timers timers,
+            Incarnation incarnation,
+            double leaseSeconds,
+            Listener listener) {
+        this.node = settings.node();
+        this.store = store;
+        this.timers = timers;
+        this.incarnation = incarnation;
+        this.leaseSeconds = leaseSeconds;
+        this.listener = listener;
+    }
+
+    /** Begins an attempt unless one is under way. */
+    void start() {
+        if (isRunning) {
+            return;
+        }
+        isRunning = true;
+        double requestedAt = timers.nowSeconds();
+        store.grantLease(
+                (long) (leaseSeconds * 1000),
+                (outcome, leaseId) -> {
+                    if (outcome == Outcome.OK) {
+                        readFencingToken(leaseId, requestedAt);
+                    } else {
+                        fail();
+                    }
+                });
+    }
+
+    private void readFencingToken(long leaseId, double requestedAt) {
+        store.get(
+                StoreKeys.FENCING_TOKEN,
+                (outcome, entry) -> {
+                    if (outcome == Outcome.OK) {
+                        long lastToken = DocumentReader.of(entry.value()).count("token");
+                        claim(leaseId, lastToken, entry.revision(), requestedAt);
+                    } else if (outcome == Outcome.REJECTED) {
+                        claim(leaseId, 0, 0, requestedAt); // Nobody has ever led.
+                    } else {
+                        fail();
+                    }
+                });
+    }
+
+    private void claim(long leaseId, long lastToken, long tokenRevision, double requestedAt) {
+        long nextToken = Math.max(lastToken, listener.highestFencingToken()) + 1;
+        store.commit(
+                claimTransaction(leaseId, nextToken, tokenRevision),
+                result -> {
+                    isRunning = false;
+                    if (result.outcome() == Outcome.OK) {
+                        listener.onWon(
+                                new Term(leaseId, nextToken, result.revision(), requestedAt));
+                    } else {
+                        // After an unknown outcome the record may be ours with nobody behind it;
+                        // ending the lease removes it.
+                        store.revokeLease(leaseId);
+                        listener.onFailed();
+                    }
+                });
+    }
+
+    private Transaction claimTransaction(long leaseId, long nextToken, long tokenRevision) {
+        Map<String, Object> leaderRecord =
+                LeaderRecord.document(node, nextToken, leaseId, incarnation);
+        Map<String, Object> shardRecord = new LinkedHashMap<>();
+        shardRecord.put("machines", "all");
+        shardRecord.put("holder", node);
+        shardRecord.put("token", nextToken);
+        return new Transaction()
+                .requireRevision(StoreKeys.LEADER, 0)
+                .requireRevision(StoreKeys.FENCING_TOKEN, tokenRevision)
+                .put(StoreKeys.LEADER, leaderRecord, leaseId)
+                .put(Leadership.SHARD_KEY, shardRecord, leaseId)
+                .put(StoreKeys.FENCING_TOKEN, Map.of("token", nextToken));
+    }
+
+    private void fail() {
+        isRunning = false;
+        listener.onFailed();
+    }
+}
--- a/src/main/java/io/kitepath/core/leadership/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationLog.java
@@ -9,10 +9,11 @@
 import java.util.Set;
 
 /**
- * The cancellations that this process learned of lately, from whomever, so all that it may have
- * told a user. Guards against a word between nodes that is lost: each digest repeats everything of
- * the last {@code cancel_s}, after which a holder that has not heard of it has stopped answering
- * workers anyway. Bounded: what does not fit shortens the time that it vouches for.
+ * The cancellations that this process learned of lately, from any source, so all that it may have
+ * confirmed to a user. Guards against a lost message between nodes: each digest repeats everything
+ * of the last {@code cancel_s}, after which a leader that has not heard of it has stopped answering
+ * workers anyway. The log is bounded: an entry that has to go early shortens the time that digests
+ * vouch for.
  */
 public final class CancellationLog {
     private static final int MAX_JOBS = 1000;
@@ -25,11 +26,17 @@
     private final String node;
     private final Timers timers;
     private final double retentionMillis;
+
+    /** Oldest first. */
     private final Deque<LoggedCancellation> entries = new ArrayDeque<>();
+
     private final Set<String> jobIds = new HashSet<>();
     private int totalChars;
+
+    /** Every cancellation that this process learned of since then is in {@link #entries}. */
     private double completeSinceMillis;
 
+    /** Starts empty, complete since now. */
     public CancellationLog(ClusterSettings settings, Timers timers) {
         this.node = settings.node();
         this.timers = timers;
@@ -46,6 +53,7 @@
         trim();
     }
 
+    /** All entries, and the time that they vouch for. */
     public CancellationDigest digest() {
         trim();
         return new CancellationDigest(
@@ -56,16 +64,16 @@
     }
 
     private void trim() {
-        double oldest = timers.wallClockMillis() - retentionMillis;
+        double oldestKept = timers.wallClockMillis() - retentionMillis;
         while (!entries.isEmpty()
-                && (entries.peek().atMillis < oldest
+                && (entries.peek().atMillis < oldestKept
                         || entries.size() > MAX_JOBS
                         || totalChars > MAX_CHARS)) {
-            LoggedCancellation gone = entries.poll();
-            jobIds.remove(gone.jobId);
-            totalChars -= gone.jobId.length();
-            completeSinceMillis = Math.max(completeSinceMillis, gone.atMillis);
+            LoggedCancellation removed = entries.poll();
+            jobIds.remove(removed.jobId);
+            totalChars -= removed.jobId.length();
+            completeSinceMillis = Math.max(completeSinceMillis, removed.atMillis);
         }
-        completeSinceMillis = Math.max(completeSinceMillis, oldest);
+        completeSinceMillis = Math.max(completeSinceMillis, oldestKept);
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -3,6 +3,7 @@
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -10,112 +11,106 @@
 import java.util.Set;
 
 /**
- * Until when the holder knows every cancellation that anybody may have confirmed to a user.
- * Whatever keeps a worker's lease, or starts a task, asks it. Two sources only:
+ * Up to which moment the leader knows every cancellation that any node may have confirmed to a
+ * user. It has to be recent for a worker's lease to be extended or a task to be launched. There are
+ * two sources only:
  *
  * <ul>
- *   <li>the store: all that was confirmed before a request was <em>sent</em> whose answer shows
- *       that the jobs of all attempts are open ({@code core.state.CancellationProof}), or from
- *       which the open jobs were read;
- *   <li>every sibling's own word, as only controllers confirm: a digest that begins before the
- *       moment until which that sibling's confirmations are known, and so carries that moment on to
- *       when it was said. A sibling that is silent, whose version has no such word, or that was
- *       started after that moment (it knows nothing of what the process before it confirmed) leaves
- *       it where it is.
+ *   <li>the store: everything that was confirmed before a request was <em>sent</em> whose answer
+ *       shows that the jobs of all attempts are open ({@code core.state.CancellationProof}), or
+ *       from which the open jobs were read;
+ *   <li>each peer's own digests, as only controllers confirm cancellations: a digest that begins
+ *       before the moment up to which that peer's confirmations are known carries that moment on to
+ *       when the digest was made. A peer that is silent, whose version sends no digests, or that
+ *       was started after that moment (it knows nothing of what the process before it confirmed)
+ *       leaves it where it is.
  * </ul>
  *
- * <p>That the store is out for a sibling now is no source: it says nothing of what that one
- * confirmed before. Moments are times of day, which on all nodes are right to within the settings'
- * clock error.
+ * <p>That the store does not answer a peer now is no source: it says nothing about what that peer
+ * confirmed before. Moments are wall-clock times, which on all nodes are right to within the
+ * settings' clock error.
  */
 public final class CancellationWatermark {
-    /**
-     * Told of by others and not seen in the store yet; with more than that, digests count for
-     * nothing.
-     */
+    /** While that many cancellations are not seen in the store yet, digests count for nothing. */
     private static final int MAX_UNPROVEN = 5000;
 
-    private final List<String> siblings;
+    private final List<String> peers;
     private final Timers timers;
 
-    /** Two clocks may be apart by that. */
+    /** By how much the clocks of two nodes may differ. */
     private final double maxClockSkewMillis;
 
+    /** By the store, everything before that is known, for all peers. */
     private double storeWatermarkMillis = Double.NEGATIVE_INFINITY;
+
+    /** By its digests, everything that the peer confirmed before that is known. */
     private final Map<String, Double> digestWatermarkMillis = new HashMap<>();
 
     /** Jobs that others said are cancelled, and when they said so, by our clock. */
     private final Map<String, Double> unprovenCancellations = new LinkedHashMap<>();
 
+    /** Knows nothing yet of the peers that the settings name. */
     public CancellationWatermark(ClusterSettings settings, Timers timers) {
-        this.siblings = settings.siblings();
+        this.peers = settings.siblings();
         this.timers = timers;
         this.maxClockSkewMillis = 2 * settings.clockErrorMillis();
     }
 
-    /** A new holder knows nothing before it has read what is open. */
+    /** A new leader knows nothing before it has read which jobs are open. */
     public void reset() {
         storeWatermarkMillis = Double.NEGATIVE_INFINITY;
         digestWatermarkMillis.clear();
     }
 
     /**
-     * By the store the holder knows all that was confirmed before that moment, in milliseconds of
-     * our time of day.
+     * By the store, the leader knows everything that was confirmed before that moment, in
+     * milliseconds since 1970 by our clock.
      */
-    public void advanceByStore(double atMs) {
-        storeWatermarkMillis = Math.max(storeWatermarkMillis, atMs);
-        unprovenCancellations.values().removeIf(t -> t < storeWatermarkMillis);
+    public void advanceByStore(double atMillis) {
+        storeWatermarkMillis = Math.max(storeWatermarkMillis, atMillis);
+        unprovenCancellations.values().removeIf(toldAt -> toldAt < storeWatermarkMillis);
     }
 
-    /** Somebody, or the store, said just now that the job is cancelled, which stays so. */
-    public void unprovenCancellations(String jobId) {
+    /** A peer, a user's request or the store said just now that the job is cancelled for good. */
+    public void addUnproven(String jobId) {
         if (unprovenCancellations.size() < MAX_UNPROVEN) {
             unprovenCancellations.putIfAbsent(jobId, timers.wallClockMillis());
         }
     }
 
-    /** Cancelled, but what was read from the store may still show them open. */
+    /** Jobs that are cancelled, though what was read from the store may still show them open. */
     public Set<String> unprovenCancellations() {
         return unprovenCancellations.keySet();
     }
 
-    /** A sibling's word; what it names has been taken in already. */
-    public void advanceByDigest(CancellationDigest d) {
-        double until =
-                Math.max(
-                        storeWatermarkMillis,
-                        digestWatermarkMillis.getOrDefault(d.node(), Double.NEGATIVE_INFINITY));
-        if (siblings.contains(d.node())
+    /** A peer's digest; the jobs that it names have been marked as cancelled already. */
+    public void advanceByDigest(CancellationDigest digest) {
+        String peer = digest.node();
+        if (peers.contains(peer)
                 && unprovenCancellations.size() < MAX_UNPROVEN
-                && d.sinceMillis() + maxClockSkewMillis <= until) {
-            digestWatermarkMillis.merge(
-                    d.node(),
-                    Math.min(timers.wallClockMillis(), d.untilMillis()) - maxClockSkewMillis,
-                    Math::max);
+                && digest.sinceMillis() + maxClockSkewMillis <= watermarkMillis(peer)) {
+            double madeAt = Math.min(timers.wallClockMillis(), digest.untilMillis());
+            digestWatermarkMillis.merge(peer, madeAt - maxClockSkewMillis, Math::max);
         }
     }
 
     /**
      * For how long it has not been known what may have been confirmed, in seconds; infinite at
-     * first.
+     * first, 0 without peers.
      */
     public double ageSeconds() {
         double now = timers.wallClockMillis();
-        return (now - siblings.stream().mapToDouble(this::watermarkMillis).min().orElse(now))
-                / 1000;
+        return (now - peers.stream().mapToDouble(this::watermarkMillis).min().orElse(now)) / 1000;
     }
 
-    private double watermarkMillis(String sibling) {
+    private double watermarkMillis(String peer) {
         return Math.max(
                 storeWatermarkMillis,
-                digestWatermarkMillis.getOrDefault(sibling, Double.NEGATIVE_INFINITY));
+                digestWatermarkMillis.getOrDefault(peer, Double.NEGATIVE_INFINITY));
     }
 
-    /** The sibling of whose confirmations the least is known, null if there are none. */
+    /** The peer of whose confirmations the least is known, null without peers; for the log. */
     public String leastKnownPeer() {
-        return siblings.stream()
-                .min((a, b) -> Double.compare(watermarkMillis(a), watermarkMillis(b)))
-                .orElse(null);
+        return peers.stream().min(Comparator.comparingDouble(this::watermarkMillis)).orElse(null);
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/Incarnation.java
+++ b/src/main/java/io/kitepath/core/leadership/Incarnation.java
@@ -3,24 +3,29 @@
 import java.util.Random;
 
 /**
- * Which of the processes that ran, or run, under a node's name this one is. A node may be back a
- * fraction of a second after it ended, before anybody has seen it silent; it has forgotten
- * everything, and what it held is still held in its name. Whoever finds a record of an earlier
- * process of its own name knows that nobody stands behind it: what that one sent may still arrive,
- * and falls on its token and revisions.
+ * Tells this process from all others that ran, or run, under the node's name. A node may be back a
+ * fraction of a second after it ended, before any peer has seen it silent. It has lost its memory,
+ * and leases that its earlier process held are still held in its name. A process that finds a
+ * record of an earlier one of its own name knows that nobody uses it any more: requests which that
+ * one sent may still arrive, but are fenced off by token and revisions.
  *
- * <p>Two processes under one name (an operator's mistake, or one that stood still, was replaced and
- * goes on) are in a total order by their start. Only the later ever ends what the earlier holds, so
- * they can't end each other's leases in turns for ever; the earlier one stands back.
+ * <p>Two processes under one name (an operator's mistake, or one that was suspended, replaced and
+ * resumed) are in a total order by their start. Only the later ever ends a lease of the earlier, so
+ * that they can't end each other's leases in turns forever; the earlier one stands back.
  */
 public final class Incarnation {
-    /** What a record that names a holder says about us. */
-    public enum Holder {
-        /** Another node, or this very process. */
+    /** What a record that names a holder says about this process. */
+    public enum RecordOwner {
+        /** Another node. */
         OTHER_NODE,
-        /** An earlier process of this node, which is gone, or to be replaced. */
+
+        /**
+         * This node, and nobody uses it: it is of an earlier process, which is gone or to be
+         * replaced, or a claim of this very process that it gave up.
+         */
         ABANDONED,
-        /** A later process under our name. */
+
+        /** A later process under this node's name. */
         LATER_PROCESS
     }
 
@@ -28,19 +33,24 @@
     private final double startedAtMillis;
     private final String processId;
 
-    /** {@code sinceMs}: the time of day at which the process started, in milliseconds. */
-    public Incarnation(String node, double sinceMs, Random random) {
+    /**
+     * Draws one number from {@code random}.
+     *
+     * @param node the node's name
+     * @param startedAtMillis when this process started, in milliseconds since 1970
+     */
+    public Incarnation(String node, double startedAtMillis, Random random) {
         this.node = node;
-        this.startedAtMillis = sinceMs;
+        this.startedAtMillis = startedAtMillis;
         this.processId = Long.toHexString(random.nextLong());
     }
 
-    /** When the process started, in milliseconds by its time of day. */
+    /** When this process started, in milliseconds since 1970 by its own clock. */
     public double startedAtMillis() {
         return startedAtMillis;
     }
 
-    /** Tells it from every other process, also of its own name. */
+    /** Random; tells this process from every other one, also of its own name. */
     public String processId() {
         return processId;
     }
@@ -48,25 +58,26 @@
     /**
      * Whose a record is.
      *
-     * @param holder the node that it names
-     * @param since when that process started; 0 if the record does not say, as those of earlier
-     *     versions
-     * @param itsLife as of {@link #processId}; empty if the record does not say
+     * @param recordNode the node that it names
+     * @param recordStartedAtMillis when that process started; 0 if the record does not say, as
+     *     those of earlier versions
+     * @param recordProcessId that process's {@link #processId}; empty if the record does not say
      */
-    public Holder ownerOf(String holder, double since, String itsLife) {
-        if (!holder.equals(node)) {
-            return Holder.OTHER_NODE;
+    public RecordOwner ownerOf(
+            String recordNode, double recordStartedAtMillis, String recordProcessId) {
+        if (!recordNode.equals(node)) {
+            return RecordOwner.OTHER_NODE;
         }
-        if (itsLife.equals(processId)) {
+        if (recordProcessId.equals(processId)) {
             // Our own claim, whose answer we did not get and which we gave up.
-            return Holder.ABANDONED;
+            return RecordOwner.ABANDONED;
         }
-        // Without a word on its start it is of an earlier version, so was there before this
-        // process. Of two that started in the same millisecond, as far as their clocks can tell,
-        // chance has the say.
-        boolean later =
-                since > startedAtMillis
-                        || since == startedAtMillis && itsLife.compareTo(processId) > 0;
-        return later ? Holder.LATER_PROCESS : Holder.ABANDONED;
+        // Without a start it was written by an earlier version, so before this process. Between two
+        // that started in the same millisecond, as far as their clocks can tell, chance decides.
+        boolean isLater =
+                recordStartedAtMillis > startedAtMillis
+                        || recordStartedAtMillis == startedAtMillis
+                                && recordProcessId.compareTo(processId) > 0;
+        return isLater ? RecordOwner.LATER_PROCESS : RecordOwner.ABANDONED;
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -1,39 +1,55 @@
 package io.kitepath.core.leadership;
 
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
-import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.state.StoreKeys;
-import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.Random;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads, and with which token. The leader's key and its block hang on a lease; taking them
- * raises the stored token in the same transaction, so two nodes never hold the same one. What a
- * former leader may still send to the store fails, because its writes depend on the revision of a
- * key that is gone.
+ * Leader election by a lease in the store. The leader's record and its shard's record hang on the
+ * lease; the transaction that creates them raises the stored fencing token, so two nodes never hold
+ * the same one. What a former leader may still send to the store fails, because its writes depend
+ * on the revision of a record that is gone.
  *
- * <p>A process that ended while it led and is back before its lease ran out knows that nobody
- * renews it any more, and ends it; see {@link Incarnation}.
+ * <p>A process that ended while it led and is back before its lease expired knows that nobody
+ * renews that lease any more, and ends it; see {@link Incarnation}.
+ *
+ * <p>Event loop only; listeners are called on it too.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-    /** Steady clocks of two machines drift apart by up to half of that. */
+    /** The record of the only shard, which holds all machines. */
+    public static final String SHARD_KEY = StoreKeys.SHARDS + "all";
+
+    /** The steady clocks of two machines drift apart by up to half of that share. */
     private static final double MAX_CLOCK_DRIFT = 0.001;
 
-    public interface Listener {
-        void onLeadershipWon(long token, long lease, long blockRevision);
+    private static final double MIN_LEASE_SECONDS = 2;
+    private static final int RENEWALS_PER_LEASE = 5;
+    private static final double MIN_RETRY_SECONDS = 0.2;
+    private static final double RETRY_JITTER_SECONDS = 0.3;
+    private static final double CAMPAIGN_JITTER_SECONDS = 0.1;
 
+    /** Is told of changes of leadership. */
+    public interface Listener {
+        /**
+         * This node leads from now on.
+         *
+         * @param fencingToken higher than any before
+         * @param leaseId the lease that its records hang on
+         * @param shardRevision at which it wrote the shard's record
+         */
+        void onLeadershipWon(long fencingToken, long leaseId, long shardRevision);
+
+        /** This node has stopped leading; {@code why} is for the log. */
         void onLeadershipLost(String why);
 
-        /** Another node leads, for all we know. */
+        /** Another node leads, for all this node knows, or the same one anew. */
         void onLeaderChanged(String leader);
     }
 
@@ -41,23 +57,14 @@
     private final Store store;
     private final Timers timers;
     private final Random random;
+    private final Incarnation incarnation;
     private final Listener listener;
     private final double leaseSeconds;
-    private boolean isLeading;
-    private long fencingToken;
-    private long leaseId;
-    private long leaderRevision;
-    private double renewalRequestedAt;
-
-    /** The last renewal was refused or got no answer. */
-    private boolean isRenewalInDoubt;
 
     /** Who leads by the last that we heard, or null. */
     private String leader;
 
     private long highestFencingToken;
-    private boolean isCampaigning;
-    private final Incarnation incarnation;
 
     /** When the store last answered us. */
     private double storeAnsweredAt;
@@ -65,8 +72,21 @@
     /** A process that was started later leads under our name. */
     private boolean hasLaterProcess;
 
+    private final Campaign campaign;
     private boolean isStopped;
 
+    // While this node leads: its term.
+    private boolean isLeading;
+    private long fencingToken;
+    private long leaseId;
+
+    /** When we asked for the lease, or its last renewal that went through. */
+    private double renewalRequestedAt;
+
+    /** The last renewal was refused or got no answer. */
+    private boolean isRenewalInDoubt;
+
+    /** Does nothing until {@link #start}. */
     public Leadership(
             ClusterSettings settings,
             Store store,
@@ -81,69 +101,90 @@
         this.listener = listener;
         // Short against the workers' lease, so that a new leader is there well before their work is
         // given up.
-        this.leaseSeconds = Math.max(2, settings.workers().heartbeatIntervalSeconds());
+        this.leaseSeconds =
+                Math.max(MIN_LEASE_SECONDS, settings.workers().heartbeatIntervalSeconds());
         this.storeAnsweredAt = timers.nowSeconds();
         this.incarnation = incarnation;
+        this.campaign =
+                new Campaign(
+                        settings, store, timers, incarnation, leaseSeconds, new CampaignResult());
     }
 
+    /** Looks for a leader, and campaigns whenever there is none. */
     public void start() {
         readLeaderRecord();
     }
 
     /**
      * Leads no more, and never again: the node is being stopped. Its successor need not wait for a
-     * lease to run out.
+     * lease to expire.
      */
     public void stop() {
         isStopped = true;
         stepDown("the node is being stopped");
     }
 
+    /** Whether this node leads. Its lease may have expired; see {@link #isLeaseValid}. */
     public boolean isLeading() {
         return isLeading;
     }
 
+    /** The node that leads as far as known, this one included; null if none is known. */
     public String leader() {
         return leader;
     }
 
+    /** How long a leader's lease lasts without renewal. */
     public double leaseSeconds() {
         return leaseSeconds;
     }
 
+    /** The fencing token of this node's last term. */
+    public long fencingToken() {
+        return fencingToken;
+    }
+
+    /** The highest fencing token of any leader that this node has heard of. */
     public long highestFencingToken() {
         return highestFencingToken;
     }
 
-    /** Seconds since the store last answered us. */
+    /** Seconds since the store last answered this node. */
     public double secondsSinceStoreAnswered() {
         return timers.nowSeconds() - storeAnsweredAt;
     }
 
     /**
-     * Whether our lease holds for certain, by our own clock and by the moment at which we asked for
-     * its last renewal. A leader for whom it may be over starts nothing and asks for nothing.
+     * Whether our lease is certain not to have expired, by our own clock and counted from when we
+     * asked for its last renewal. A leader whose lease may have expired starts nothing and asks for
+     * nothing.
      */
     public boolean isLeaseValid() {
         return timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
     }
 
     /**
-     * Whether launches may go: our lease holds, and the store served its last renewal. Guards
-     * against launches of what others have just confirmed as cancelled, by a leader that the store
-     * refuses alone and that may not hear the others either: it knows so a fifth of its lease
-     * after, not at the end of it. What waits is launched by the answer to a later report.
+     * Whether tasks may be launched: our lease is valid, and the store granted its last renewal.
+     * Guards against launches of what others have just confirmed as cancelled, by a leader that the
+     * store refuses alone and that may not hear its peers either: it knows so a fifth of its lease
+     * after, not at the end of it. What waits is launched by the answer to a later heartbeat.
      */
     public boolean mayLaunch() {
         return isLeaseValid() && !isRenewalInDoubt;
     }
 
-    /** A worker or sibling has seen a higher token than ours: somebody else leads. */
-    public void onFencingTokenSeen(long seen, String by) {
+    /**
+     * A worker or peer has seen that fencing token. One higher than ours means that another node
+     * leads.
+     *
+     * @param seen the token
+     * @param seenLeader the node that leads with it, null if that is not known
+     */
+    public void onFencingTokenSeen(long seen, String seenLeader) {
         if (seen > highestFencingToken) {
             highestFencingToken = seen;
-            if (by != null && !isLeading) {
-                setLeader(by, true);
+            if (seenLeader != null && !isLeading) {
+                setLeader(seenLeader, true);
             }
         }
         if (isLeading && seen > fencingToken) {
@@ -151,22 +192,19 @@
         }
     }
 
-    public long fencingToken() {
-        return fencingToken;
-    }
-
+    /** Gives up leadership if this node has it; {@code why} is for the log. */
     public void stepDown(String why) {
         if (!isLeading) {
             return;
         }
         isLeading = false;
         leader = null;
-        store.revokeLease(leaseId); // Nobody need wait for it to run out.
-        LOG.info("no longer leader with token {}: {}", fencingToken, why);
+        store.revokeLease(leaseId); // Nobody need wait for it to expire.
+        LOG.info("leadership lost: fencing_token={} reason=\"{}\"", fencingToken, why);
         listener.onLeadershipLost(why);
     }
 
-    // ---- following the leader's key -------------------------------------------------------------
+    // ---- following the leader's record ----------------------------------------------------------
 
     private void readLeaderRecord() {
         store.get(
@@ -174,85 +212,96 @@
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         onStoreAnswered();
-                        onLeaderRecord(entry.value());
+                        onLeaderRecord(LeaderRecord.of(entry.value()));
                         watchLeaderRecord(entry.revision());
                     } else if (outcome == Outcome.REJECTED) {
                         onStoreAnswered();
                         onLeaderRecordAbsent();
                     } else {
-                        timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
+                        readLeaderRecordLater();
                     }
                 });
     }
 
-    private void watchLeaderRecord(long from) {
-        long holdMs = (long) (leaseSeconds * 500);
+    private void readLeaderRecordLater() {
+        double delay = MIN_RETRY_SECONDS + random.nextDouble() * RETRY_JITTER_SECONDS;
+        timers.schedule(delay, this::readLeaderRecord);
+    }
+
+    private void watchLeaderRecord(long fromRevision) {
+        long holdMillis = (long) (leaseSeconds * 500); // Half of the lease.
         store.watch(
                 StoreKeys.LEADER,
-                from,
-                holdMs,
+                fromRevision,
+                holdMillis,
                 changes -> {
                     // An empty answer proves nothing: a node that the store refuses waits on its
-                    // watches all the same. A plain read tells whether we are served.
+                    // watches all the same. A plain read tells whether the store answers us.
                     if (changes.outcome() == Outcome.OK) {
                         readLeaderRecord();
                     } else {
-                        timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
+                        readLeaderRecordLater();
                     }
                 });
     }
 
-    private void onLeaderRecord(Object value) {
-        DocumentReader document = DocumentReader.of(value);
-        long held = document.count("token");
-        String node = document.text("node");
-        boolean higher = held > highestFencingToken;
-        highestFencingToken = Math.max(highestFencingToken, held);
-        if (isLeading && held == fencingToken) {
+    private void onLeaderRecord(LeaderRecord leaderRecord) {
+        long recordToken = leaderRecord.fencingToken();
+        String recordNode = leaderRecord.node();
+        boolean isHigher = recordToken > highestFencingToken;
+        highestFencingToken = Math.max(highestFencingToken, recordToken);
+        if (isLeading && recordToken == fencingToken) {
             leader = settings.node();
             return;
         }
-        if (isLeading) {
-            if (held > fencingToken) {
-                stepDown(node + " leads with token " + held);
-            }
+        if (isLeading && recordToken > fencingToken) {
+            stepDown(recordNode + " leads with token " + recordToken);
         }
-        switch (incarnation.ownerOf(
-                node, document.numberOr("since", 0, 0), document.textOr("life", ""))) {
-            case OTHER_NODE -> setLeader(node, higher);
-            case ABANDONED -> {
-                // Guards against a node that names itself as leader while it leads nothing:
-                // siblings send workers to it, and nobody places anything until a lease that no
-                // process holds has run out.
-                leader = null;
-                if (document.has("lease")) {
-                    LOG.info(
-                            "an earlier process of this node led with token {}: its lease is ended",
-                            held);
-                    store.revokeLease(document.count("lease"));
-                }
-            }
-            case LATER_PROCESS -> {
-                leader = null;
-                if (!hasLaterProcess) {
-                    LOG.error(
-                            "another process that was started later leads as {}: this one stands back",
-                            node);
-                }
-                hasLaterProcess = true;
-            }
+        switch (leaderRecord.owner(recordNode, incarnation)) {
+            case OTHER_NODE -> setLeader(recordNode, isHigher);
+            case ABANDONED -> endAbandonedLease(leaderRecord, recordToken);
+            case LATER_PROCESS -> standBack(recordNode);
         }
     }
 
     /**
-     * {@code anew}: its token is higher than all that we knew, so it may have ended and be back
-     * since.
+     * Guards against a node that names itself as leader while it leads nothing: peers send workers
+     * to it, and nobody places anything until a lease that no process holds has expired.
      */
-    private void setLeader(String node, boolean anew) {
-        boolean news = anew || !node.equals(leader);
+    private void endAbandonedLease(LeaderRecord leaderRecord, long recordToken) {
+        leader = null;
+        leaderRecord
+                .leaseId()
+                .ifPresent(
+                        abandonedLeaseId -> {
+                            LOG.info(
+                                    "ending the leader lease of an earlier process of this node:"
+                                            + " fencing_token={}",
+                                    recordToken);
+                            store.revokeLease(abandonedLeaseId);
+                        });
+    }
+
+    private void standBack(String node) {
+        leader = null;
+        if (!hasLaterProcess) {
+            LOG.error(
+                    "another process that was started later leads under this node's name, this one"
+                            + " stands back: node={}",
+                    node);
+        }
+        hasLaterProcess = true;
+    }
+
+    /**
+     * {@code isNewTerm}: its fencing token is higher than all that we knew, so it may have ended
+     * and be back since.
+     */
+    private void setLeader(String node, boolean isNewTerm) {
+        boolean isChanged = isNewTerm || !node.equals(leader);
         leader = node;
-        if (news) {
-            LOG.debug("{} leads with token {}", node, highestFencingToken);
+        if (isChanged) {
+            LOG.debug("leader changed: leader={} fencing_token={}", node, highestFencingToken);
             listener.onLeaderChanged(node);
         }
     }
@@ -262,15 +311,11 @@
             stepDown("our key is gone");
         }
         leader = null;
-        // One that has a twin leaves the others the time to come first, each time: the two never
-        // end each other's lease in turns, since only the later one ever ends one, and this one
-        // does not race with it.
-        double patience = hasLaterProcess ? leaseSeconds : 0;
-        timers.schedule(patience + random.nextDouble() * 0.1, this::campaign);
-    }
-
-    private double retryDelaySeconds() {
-        return 0.2 + random.nextDouble() * 0.3;
+        // While a later process runs under our name, this one gives all others the time to come
+        // first, each time: it does not race with the later one, which alone ends leases of the
+        // other, so that they never end each other's in turns.
+        double headStart = hasLaterProcess ? leaseSeconds : 0;
+        timers.schedule(headStart + random.nextDouble() * CAMPAIGN_JITTER_SECONDS, this::campaign);
     }
 
     private void onStoreAnswered() {
@@ -280,111 +325,73 @@
     // ---- taking and keeping the lease -----------------------------------------------------------
 
     private void campaign() {
-        if (isLeading || isCampaigning || isStopped) {
-            return;
+        if (!isLeading && !isStopped) {
+            campaign.start();
         }
-        isCampaigning = true;
-        double asked = timers.nowSeconds();
-        store.grantLease(
-                (long) (leaseSeconds * 1000),
-                (outcome, id) -> {
-                    if (outcome != Outcome.OK) {
-                        isCampaigning = false;
-                        timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
-                        return;
-                    }
-                    store.get(
-                            StoreKeys.FENCING_TOKEN,
-                            (got, entry) -> {
-                                if (got != Outcome.OK && got != Outcome.REJECTED) {
-                                    isCampaigning = false;
-                                    timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
-                                    return;
-                                }
-                                long last =
-                                        got == Outcome.OK
-                                                ? DocumentReader.of(entry.value()).count("token")
-                                                : 0;
-                                claim(
-                                        id,
-                                        Math.max(last, highestFencingToken) + 1,
-                                        got == Outcome.OK ? entry.revision() : 0,
-                                        asked);
-                            });
-                });
     }
 
-    private void claim(long id, long next, long tokenRevision, double asked) {
-        Map<String, Object> key = new LinkedHashMap<>();
-        key.put("node", settings.node());
-        key.put("token", next);
-        key.put("lease", id);
-        key.put("since", incarnation.startedAtMillis());
-        key.put("life", incarnation.processId());
-        Map<String, Object> block = new LinkedHashMap<>();
-        block.put("machines", "all");
-        block.put("holder", settings.node());
-        block.put("token", next);
-        store.commit(
-                new Transaction()
-                        .requireRevision(StoreKeys.LEADER, 0)
-                        .requireRevision(StoreKeys.FENCING_TOKEN, tokenRevision)
-                        .put(StoreKeys.LEADER, key, id)
-                        .put(StoreKeys.SHARDS + "all", block, id)
-                        .put(StoreKeys.FENCING_TOKEN, Map.of("token", next)),
-                result -> {
-                    isCampaigning = false;
-                    if (result.outcome() == Outcome.OK && isStopped) {
-                        // Guards against a node that is being stopped and begins to lead, as its
-                        // claim was under way.
-                        store.revokeLease(id);
-                    } else if (result.outcome() == Outcome.OK) {
-                        onStoreAnswered();
-                        isLeading = true;
-                        leaseId = id;
-                        fencingToken = next;
-                        highestFencingToken = Math.max(highestFencingToken, next);
-                        leaderRevision = result.revision();
-                        renewalRequestedAt = asked;
-                        isRenewalInDoubt = false;
-                        leader = settings.node();
-                        LOG.info("leader with token {} on lease {}", next, id);
-                        listener.onLeadershipWon(next, id, leaderRevision);
-                        scheduleRenewal(id);
-                        watchLeaderRecord(leaderRevision);
-                    } else {
-                        // After an unknown outcome the key may be ours with nobody behind it;
-                        // ending the lease removes it.
-                        store.revokeLease(id);
-                        timers.schedule(retryDelaySeconds(), this::readLeaderRecord);
-                    }
-                });
+    private final class CampaignResult implements Campaign.Listener {
+        @Override
+        public long highestFencingToken() {
+            return highestFencingToken;
+        }
+
+        @Override
+        public void onWon(Campaign.Term term) {
+            if (isStopped) {
+                // Guards against a node that is being stopped and begins to lead, as its claim was
+                // under way.
+                store.revokeLease(term.leaseId());
+            } else {
+                lead(term);
+            }
+        }
+
+        @Override
+        public void onFailed() {
+            readLeaderRecordLater();
+        }
     }
 
-    private void scheduleRenewal(long id) {
-        timers.schedule(
-                leaseSeconds / 5,
-                () -> {
-                    if (!isLeading || leaseId != id) {
-                        return;
-                    }
-                    double asked = timers.nowSeconds();
-                    store.renewLease(
-                            id,
-                            outcome -> {
-                                if (!isLeading || leaseId != id) {
-                                    return;
-                                }
-                                isRenewalInDoubt = outcome != Outcome.OK;
-                                if (outcome == Outcome.OK) {
-                                    onStoreAnswered();
-                                    renewalRequestedAt = asked;
-                                } else if (outcome == Outcome.REJECTED) {
-                                    stepDown("our lease ended");
-                                    return;
-                                }
-                                scheduleRenewal(id);
-                            });
-                });
+    private void lead(Campaign.Term term) {
+        onStoreAnswered();
+        isLeading = true;
+        leaseId = term.leaseId();
+        fencingToken = term.fencingToken();
+        highestFencingToken = Math.max(highestFencingToken, fencingToken);
+        renewalRequestedAt = term.leaseRequestedAt();
+        isRenewalInDoubt = false;
+        leader = settings.node();
+        LOG.info("leadership won: fencing_token={} lease_id={}", fencingToken, leaseId);
+        listener.onLeadershipWon(term.fencingToken(), term.leaseId(), term.revision());
+        renewLater(term.leaseId());
+        watchLeaderRecord(term.revision());
+    }
+
+    private void renewLater(long renewedLeaseId) {
+        timers.schedule(leaseSeconds / RENEWALS_PER_LEASE, () -> renew(renewedLeaseId));
+    }
+
+    private void renew(long renewedLeaseId) {
+        if (!isLeading || leaseId != renewedLeaseId) {
+            return;
+        }
+        double askedAt = timers.nowSeconds();
+        store.renewLease(renewedLeaseId, outcome -> onRenewed(renewedLeaseId, outcome, askedAt));
+    }
+
+    private void onRenewed(long renewedLeaseId, Outcome outcome, double askedAt) {
+        if (!isLeading || leaseId != renewedLeaseId) {
+            return;
+        }
+        isRenewalInDoubt = outcome != Outcome.OK;
+        if (outcome == Outcome.OK) {
+            onStoreAnswered();
+            renewalRequestedAt = askedAt;
+        } else if (outcome == Outcome.REJECTED) {
+            stepDown("our lease ended");
+            return;
+        }
+        renewLater(renewedLeaseId);
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -10,79 +10,89 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the siblings say of themselves, and since when one of them says nothing. */
+/** What the peers announce of themselves each second, and which of them are silent. */
 public final class MembershipView {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipView.class);
 
-    /** Views come every second; what is older than three of them says nothing of now. */
+    /** An announcement older than three of its intervals says nothing about now. */
     private static final double FRESH_SECONDS = 3;
 
-    private final List<String> siblings;
+    /** A peer that was not heard for longer is silent: two announcements in a row are missing. */
+    private static final double SILENT_AFTER_SECONDS = 2.5;
+
+    /** Stands for a peer that was never heard, so that it counts as silent. */
+    private static final double NEVER = -1e9;
+
+    private final List<String> peers;
     private final Timers timers;
 
-    /** When a sibling was last heard from. */
+    /** When a peer was last heard, on the steady clock. */
     private final Map<String, Double> heardAt = new HashMap<>();
 
     /**
-     * When a sibling last said that the store serves it, unless it has said that it does not since.
+     * When a peer last said that the store answers it, unless it has said since that it doesn't.
      */
     private final Map<String, Double> servedByStoreAt = new HashMap<>();
 
     private final Set<String> reportedSilent = new HashSet<>();
 
+    /** Knows the peers that the settings name, and has heard none of them. */
     public MembershipView(ClusterSettings settings, Timers timers) {
-        this.siblings = settings.siblings();
+        this.peers = settings.siblings();
         this.timers = timers;
     }
 
-    public void onPeerState(String by, boolean isServed) {
-        heardAt.put(by, timers.nowSeconds());
-        if (isServed) {
-            servedByStoreAt.put(by, timers.nowSeconds());
+    /** A peer announced its state; {@code isServedByStore}: whether the store answers it. */
+    public void onPeerState(String peer, boolean isServedByStore) {
+        heardAt.put(peer, timers.nowSeconds());
+        if (isServedByStore) {
+            servedByStoreAt.put(peer, timers.nowSeconds());
         } else {
-            servedByStoreAt.remove(by);
+            servedByStoreAt.remove(peer);
         }
     }
 
     /**
-     * Guards against waiting for a silent sibling's answer again and again: views come every
-     * second.
+     * Whether the peer was not heard lately. Guards against waiting for a silent peer's answer
+     * again and again.
      */
-    public boolean isSilent(String sibling) {
-        return timers.nowSeconds() - heardAt.getOrDefault(sibling, -1e9) > 2.5;
+    public boolean isSilent(String peer) {
+        return timers.nowSeconds() - heardAt.getOrDefault(peer, NEVER) > SILENT_AFTER_SECONDS;
     }
 
-    /** Seconds since the sibling was heard; NaN if it never was. */
-    public double silentSeconds(String sibling) {
-        return timers.nowSeconds() - heardAt.getOrDefault(sibling, Double.NaN);
+    /** Seconds since the peer was heard; NaN if it never was. */
+    public double silentSeconds(String peer) {
+        return timers.nowSeconds() - heardAt.getOrDefault(peer, Double.NaN);
     }
 
+    /** How many peers are silent. */
     public long silentCount() {
-        return siblings.stream().filter(this::isSilent).count();
+        return peers.stream().filter(this::isSilent).count();
     }
 
-    /** Whether there are siblings and none of them is heard. */
+    /** Whether there are peers and all of them are silent. */
     public boolean isIsolated() {
-        return !siblings.isEmpty() && siblings.stream().allMatch(this::isSilent);
+        return !peers.isEmpty() && peers.stream().allMatch(this::isSilent);
     }
 
-    /** Whether some sibling says that the store serves it. */
+    /** Whether some peer said lately that the store answers it. */
     public boolean isAnyPeerServedByStore() {
         double now = timers.nowSeconds();
-        return servedByStoreAt.values().stream().anyMatch(t -> now - t < FRESH_SECONDS);
+        return servedByStoreAt.values().stream()
+                .anyMatch(servedAt -> now - servedAt < FRESH_SECONDS);
     }
 
-    /** Logs who fell silent and who is heard again; {@code leader}: who leads, or null. */
+    /** Logs which peers fell silent or are heard again; {@code leader}: who leads, or null. */
     public void logSilenceChanges(String leader) {
-        for (String s : siblings) {
-            boolean silent = isSilent(s);
-            if (silent
-                    ? heardAt.containsKey(s) && reportedSilent.add(s)
-                    : reportedSilent.remove(s)) {
-                LOG.info(
-                        silent ? "nothing is heard from {} any more{}" : "{} is heard again{}",
-                        s,
-                        s.equals(leader) ? ", which leads" : "");
+        for (String peer : peers) {
+            boolean isLeader = peer.equals(leader);
+            if (isSilent(peer)) {
+                // A peer that was never heard has not fallen silent.
+                if (heardAt.containsKey(peer) && reportedSilent.add(peer)) {
+                    LOG.info("peer is silent: peer={} is_leader={}", peer, isLeader);
+                }
+            } else if (reportedSilent.remove(peer)) {
+                LOG.info("peer is heard again: peer={} is_leader={}", peer, isLeader);
             }
         }
     }
--- a/src/main/java/io/kitepath/core/leadership/package-info.java
+++ b/src/main/java/io/kitepath/core/leadership/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Who leads, with which token, and what siblings say of themselves. It knows the store's keys and
- * nothing of jobs or machines. It promises that no two nodes ever hold the same token, and takes
- * silence for a reason to look, never for a proof.
+ * Leader election with fencing tokens, and what a node knows of its peers: which of them are heard,
+ * and up to which moment all confirmed cancellations are known. The package knows the store's keys
+ * and nothing of jobs or machines. No two nodes ever hold the same fencing token; silence of a peer
+ * is a reason to look, never a proof.
  */
 package io.kitepath.core.leadership;
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -310,7 +310,7 @@
             }
             if (incarnation.ownerOf(
                             node, document.numberOr("since", 0, 0), document.textOr("life", ""))
-                    == Incarnation.Holder.ABANDONED) {
+                    == Incarnation.RecordOwner.ABANDONED) {
                 store.revokeLease(document.count("lease"));
             }
             recordHolder(role, node, token);
--- /dev/null
+++ b/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
@@ -0,0 +1,39 @@
+package io.kitepath.core.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.kitepath.core.port.Timers;
+import io.kitepath.simulation.SimulatedCluster;
+import io.kitepath.simulation.Worlds;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The log keeps 1000 jobs for 30 s. */
+class CancellationLogTest {
+    private final SimulatedCluster cluster = new SimulatedCluster();
+    private final Timers timers = Worlds.timers(cluster);
+
+    @Test
+    void digestVouchesOnlyForTheTimeOfWhatIsStillKept() {
+        cluster.siblings.clear();
+        cluster.siblings.add("k0");
+        CancellationLog log = new CancellationLog(cluster.settings("k1"), timers);
+        double startedAt = timers.wallClockMillis();
+        assertEquals(startedAt, log.digest().sinceMillis());
+        log.add("j-0");
+        cluster.run(1);
+        for (int i = 1; i <= 1000; i++) {
+            log.add("j-" + i);
+            log.add("j-1");
+        }
+        assertEquals(1000, log.digest().jobIds().size());
+        assertEquals(
+                startedAt, log.digest().sinceMillis(), "the one that had to go was learned then");
+        cluster.run(1);
+        log.add("j-2000");
+        assertEquals(startedAt + 1000, log.digest().sinceMillis());
+        cluster.run(31);
+        assertEquals(List.of(), log.digest().jobIds());
+        assertEquals(timers.wallClockMillis() - 30_000, log.digest().sinceMillis());
+    }
+}
--- a/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
@@ -4,113 +4,105 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Timers;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.Worlds;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The simulated clock starts at 100 s, and clocks may differ by 10 ms. */
 class CancellationWatermarkTest {
+    private static final double TOLERANCE_SECONDS = 1e-6;
+
+    /** Longer than any real age: nothing is known. */
+    private static final double NOTHING_KNOWN_SECONDS = 1e9;
+
     private final SimulatedCluster cluster = new SimulatedCluster();
     private final Timers timers = Worlds.timers(cluster);
 
-    private ClusterSettings facts(String node, String... others) {
+    private CancellationWatermark watermarkWithPeers(String... peers) {
         cluster.siblings.clear();
-        cluster.siblings.addAll(List.of(others));
-        return cluster.settings(node);
+        cluster.siblings.addAll(List.of(peers));
+        return new CancellationWatermark(cluster.settings("k0"), timers);
+    }
+
+    private static CancellationDigest digest(
+            String peer, double sinceSeconds, double untilSeconds) {
+        return new CancellationDigest(peer, 1000 * sinceSeconds, 1000 * untilSeconds, List.of());
+    }
+
+    private static void assertAge(double seconds, CancellationWatermark watermark) {
+        assertEquals(seconds, watermark.ageSeconds(), TOLERANCE_SECONDS);
     }
 
-    private CancellationDigest digest(String by, double sinceS, double untilS, String... jobs) {
-        return new CancellationDigest(by, 1000 * sinceS, 1000 * untilS, List.of(jobs));
+    private static void assertAge(double seconds, CancellationWatermark watermark, String why) {
+        assertEquals(seconds, watermark.ageSeconds(), TOLERANCE_SECONDS, why);
     }
 
     @Test
-    void nothingIsKnownBeforeTheStoreWasRead() {
-        CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
+    void digestBeforeTheStoreWasReadAdvancesNothing() {
+        CancellationWatermark watermark = watermarkWithPeers("k1");
         watermark.advanceByDigest(digest("k1", 0, 100));
-        assertTrue(watermark.ageSeconds() > 1e9);
+        assertTrue(watermark.ageSeconds() > NOTHING_KNOWN_SECONDS);
         watermark.advanceByStore(95_000);
-        assertEquals(5, watermark.ageSeconds(), 1e-6);
+        assertAge(5, watermark);
     }
 
     @Test
-    void wordsCarryOnOnlyFromWhereTheyBegin() {
-        CancellationWatermark watermark =
-                new CancellationWatermark(facts("k0", "k1", "k2"), timers);
+    void digestAdvancesOnlyFromWhereItsPeerIsKnown() {
+        CancellationWatermark watermark = watermarkWithPeers("k1", "k2");
         watermark.advanceByStore(95_000);
         watermark.advanceByDigest(digest("k1", 94, 99));
-        assertEquals(5, watermark.ageSeconds(), 1e-6, "k2 has not spoken");
+        assertAge(5, watermark, "k2 has not spoken");
         watermark.advanceByDigest(digest("k2", 96, 99));
-        assertEquals(5, watermark.ageSeconds(), 1e-6, "k2 was started after what is known of it");
+        assertAge(5, watermark, "k2 was started after what is known of it");
         watermark.advanceByDigest(digest("k2", 90, 99));
-        assertEquals(1.01, watermark.ageSeconds(), 1e-6);
-        // Each goes on from its own last word.
+        assertAge(1.01, watermark);
+        // Each peer goes on from its own last digest.
         watermark.advanceByDigest(digest("k1", 98.9, 100));
         watermark.advanceByDigest(digest("k2", 99.5, 100));
-        assertEquals(1.01, watermark.ageSeconds(), 1e-6);
+        assertAge(1.01, watermark);
         // A late copy takes nothing back.
         watermark.advanceByDigest(digest("k1", 90, 96));
-        assertEquals(1.01, watermark.ageSeconds(), 1e-6);
-        // Nor does one of nobody known count.
+        assertAge(1.01, watermark);
+        // Nor does a digest of an unknown node count.
         watermark.advanceByDigest(digest("k9", 0, 100));
         watermark.reset();
-        assertTrue(watermark.ageSeconds() > 1e9);
+        assertTrue(watermark.ageSeconds() > NOTHING_KNOWN_SECONDS);
     }
 
     /**
-     * Clocks may be apart by twice the settings' error; a word that begins less than that before is
-     * not proven to.
+     * Clocks may differ by twice the settings' error: of a digest that begins less than that before
+     * the watermark it is not certain that it does.
      */
     @Test
-    void clocksThatAreApartCount() {
-        CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
+    void digestWithinTheClocksSkewOfTheWatermarkAdvancesNothing() {
+        CancellationWatermark watermark = watermarkWithPeers("k1");
         watermark.advanceByStore(95_000);
         watermark.advanceByDigest(digest("k1", 94.995, 100));
-        assertEquals(5, watermark.ageSeconds(), 1e-6);
+        assertAge(5, watermark);
         watermark.advanceByDigest(digest("k1", 94.98, 100));
-        assertEquals(0.01, watermark.ageSeconds(), 1e-6);
-    }
-
-    @Test
-    void aLogVouchesForWhatItStillHas() {
-        CancellationLog log = new CancellationLog(facts("k1", "k0"), timers);
-        double began = timers.wallClockMillis();
-        assertEquals(began, log.digest().sinceMillis());
-        log.add("j-0");
-        cluster.run(1);
-        for (int i = 1; i <= 1000; i++) {
-            log.add("j-" + i);
-            log.add("j-1");
-        }
-        assertEquals(1000, log.digest().jobIds().size());
-        assertEquals(began, log.digest().sinceMillis(), "the one that had to go was learned then");
-        cluster.run(1);
-        log.add("j-2000");
-        assertEquals(began + 1000, log.digest().sinceMillis());
-        cluster.run(31);
-        assertEquals(List.of(), log.digest().jobIds());
-        assertEquals(timers.wallClockMillis() - 30_000, log.digest().sinceMillis());
+        assertAge(0.01, watermark);
     }
 
     /**
-     * More than can be kept until the store shows it: no word counts any more, rather than one be
-     * forgotten.
+     * More than can be kept until the store shows it: digests count for nothing from then on,
+     * rather than that a cancellation be forgotten.
      */
     @Test
-    void withTooManyToldNoWordCounts() {
-        CancellationWatermark watermark = new CancellationWatermark(facts("k0", "k1"), timers);
+    void digestWithTooManyUnprovenCancellationsAdvancesNothing() {
+        CancellationWatermark watermark = watermarkWithPeers("k1");
         watermark.advanceByStore(95_000);
         for (int i = 0; i < 6000; i++) {
-            watermark.unprovenCancellations("j-" + i);
+            watermark.addUnproven("j-" + i);
         }
         assertEquals(5000, watermark.unprovenCancellations().size());
         watermark.advanceByDigest(digest("k1", 90, 100));
-        assertEquals(5, watermark.ageSeconds(), 1e-6);
+        assertAge(5, watermark);
         cluster.run(1);
         watermark.advanceByStore(100_500);
         assertEquals(0, watermark.unprovenCancellations().size());
         watermark.advanceByDigest(digest("k1", 90, 101));
-        assertEquals(0.01, watermark.ageSeconds(), 1e-6);
+        assertAge(0.01, watermark);
     }
 }
