--- /dev/null
+++ b/src/main/java/io/kitepath/core/ConnectedCells.java
@@ -0,0 +1,110 @@
+package io.kitepath.core;
+
+import io.kitepath.core.cell.CellService;
+import io.kitepath.core.model.CellMessage;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.Metric;
+import io.kitepath.core.port.Store;
+import io.kitepath.core.service.JobApi;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.state.StateLoader.LoanRecords;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * A cluster of several cells. The only class here that names {@code core.cell}, so that those
+ * classes are loaded only where there are other cells.
+ */
+final class ConnectedCells implements OtherCells {
+    private final CellNetwork network;
+    private final CellService cellService;
+
+    /** Draws from {@code random} while it is built. */
+    ConnectedCells(NodeComponents node, CellNetwork network, Store store, Random random) {
+        this.network = network;
+        this.cellService =
+                new CellService(
+                        network.directory(),
+                        node.shard,
+                        node::contributeToNextWrite,
+                        store,
+                        node.timers,
+                        node.submissions,
+                        network.remoteCells(),
+                        random,
+                        new NodeOfCell(node));
+    }
+
+    @Override
+    public JobApi jobApi() {
+        return cellService.jobs();
+    }
+
+    @Override
+    public Set<String> zonesOfOtherCells() {
+        return network.directory().zonesOfOtherCells();
+    }
+
+    @Override
+    public Optional<LoanRecords> loanRecords() {
+        return Optional.of(cellService);
+    }
+
+    @Override
+    public void start() {
+        cellService.start();
+    }
+
+    @Override
+    public void reconcile() {
+        cellService.reconcile();
+    }
+
+    @Override
+    public void onJobEnded(JobStatus job) {
+        cellService.jobDone(job.jobId());
+    }
+
+    @Override
+    public void onMessage(CellMessage message, Consumer<CellMessage> answer) {
+        cellService.onMessage(message, answer);
+    }
+
+    @Override
+    public void setDraining(boolean isDraining) {
+        cellService.setDraining(isDraining);
+    }
+
+    @Override
+    public void addMetrics(Map<String, Metric> metrics) {
+        cellService.addMetrics(metrics);
+    }
+
+    /** What the cell service asks of its node. */
+    private record NodeOfCell(NodeComponents node) implements CellService.Node {
+        @Override
+        public boolean holdsShard() {
+            return node.mayActOnShard();
+        }
+
+        @Override
+        public String leader() {
+            return node.leadership.leader();
+        }
+
+        @Override
+        public List<Job> queue() {
+            return node.scheduler.orderedJobs(
+                    node.timers.nowSeconds(), node.timers.wallClockMillis());
+        }
+
+        @Override
+        public void cancelled(JobStatus job) {
+            node.announceJobEnded(job);
+        }
+    }
+}
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -6,18 +6,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long a new holder takes until everything is as before, part by part, in seconds from when it
- * won the lease. Work waits for the first three of them: jobs are read, the first placing is
- * launched, workers report with the new token.
+ * How long a new leader takes until the shard is served as before, step by step, in seconds since
+ * it won the lease: the jobs are read, the first task is launched, half of the workers, then nearly
+ * all of them, have reported with the new fencing token. Tasks wait for the first three of them.
  */
 final class FailoverTimings {
     private static final Logger LOG = LoggerFactory.getLogger(FailoverTimings.class);
 
-    /** Of the machines that were up, how many have to have reported for the takeover to be over. */
+    /** The share of the machines that were up whose workers' reports end the failover. */
     private static final double COMPLETE_SHARE = 0.95;
 
     private final ShardState shard;
     private double wonAt;
+    private long launchesBefore;
     private double secondsToJobsRead = Double.NaN;
     private double secondsToFirstLaunch = Double.NaN;
     private double secondsToHalfReported = Double.NaN;
@@ -28,8 +29,10 @@
         this.shard = shard;
     }
 
-    void onLeadershipWon(double now) {
-        wonAt = now;
+    /** This node begins to lead, having launched so many attempts in earlier terms. */
+    void onLeadershipWon(double nowSeconds, long launchesBefore) {
+        this.wonAt = nowSeconds;
+        this.launchesBefore = launchesBefore;
         secondsToJobsRead = Double.NaN;
         secondsToFirstLaunch = Double.NaN;
         secondsToHalfReported = Double.NaN;
@@ -37,59 +40,61 @@
         isComplete = false;
     }
 
-    /** The jobs are known. */
-    void onJobsRead(double now) {
+    /** The jobs are known; only the first call in a term counts. */
+    void onJobsRead(double nowSeconds) {
         if (Double.isNaN(secondsToJobsRead)) {
-            secondsToJobsRead = now - wonAt;
+            secondsToJobsRead = nowSeconds - wonAt;
         }
     }
 
-    /**
-     * Looks where it stands; {@code launches}: orders to start that this node has given since it
-     * leads.
-     */
-    void update(double now, long launches) {
+    /** Notes the steps that are done by now; {@code launches}: in all terms of this process. */
+    void update(double nowSeconds, long launches) {
         if (isComplete || Double.isNaN(secondsToJobsRead)) {
             return;
         }
-        if (Double.isNaN(secondsToFirstLaunch) && launches > 0) {
-            secondsToFirstLaunch = now - wonAt;
+        if (Double.isNaN(secondsToFirstLaunch) && launches > launchesBefore) {
+            secondsToFirstLaunch = nowSeconds - wonAt;
         }
         int up = 0;
-        int proven = 0;
+        int confirmed = 0;
         for (Machine machine : shard.machines().values()) {
-            boolean there =
-                    machine.isTokenConfirmed()
-                            || machine.hasReported()
-                            || !machine.attempts().isEmpty();
-            up += there ? 1 : 0;
-            proven += machine.isTokenConfirmed() ? 1 : 0;
+            up += isUp(machine) ? 1 : 0;
+            confirmed += machine.isTokenConfirmed() ? 1 : 0;
         }
-        if (Double.isNaN(secondsToHalfReported) && up > 0 && 2 * proven >= up) {
-            secondsToHalfReported = now - wonAt;
+        if (Double.isNaN(secondsToHalfReported) && up > 0 && 2 * confirmed >= up) {
+            secondsToHalfReported = nowSeconds - wonAt;
         }
-        if (up > 0 && proven >= COMPLETE_SHARE * up) {
-            secondsToMostReported = now - wonAt;
+        if (up > 0 && confirmed >= COMPLETE_SHARE * up) {
+            secondsToMostReported = nowSeconds - wonAt;
             isComplete = true;
-            LOG.info(
-                    String.format(
-                            "takeover: jobs read after %.2f s, first launch %.2f, half of %d machines reported "
-                                    + "%.2f, %.0f%% of them %.2f",
-                            secondsToJobsRead,
-                            secondsToFirstLaunch,
-                            up,
-                            secondsToHalfReported,
-                            100 * COMPLETE_SHARE,
-                            secondsToMostReported));
+            logCompletion(up);
         }
     }
 
-    /** Seconds from winning until the jobs were read; NaN if this node never led. */
+    private static boolean isUp(Machine machine) {
+        return machine.isTokenConfirmed() || machine.hasReported() || !machine.attempts().isEmpty();
+    }
+
+    private void logCompletion(int machinesUp) {
+        LOG.info(
+                String.format(
+                        "failover complete: jobs_read_seconds=%.2f first_launch_seconds=%.2f"
+                                + " half_reported_seconds=%.2f reported_seconds=%.2f"
+                                + " reported_share=%.2f machines=%d",
+                        secondsToJobsRead,
+                        secondsToFirstLaunch,
+                        secondsToHalfReported,
+                        secondsToMostReported,
+                        COMPLETE_SHARE,
+                        machinesUp));
+    }
+
+    /** Seconds from winning the lease until the jobs were read; NaN if this node never led. */
     double secondsToJobsRead() {
         return secondsToJobsRead;
     }
 
-    /** Seconds from winning until nearly all machines had reported; NaN until they have. */
+    /** Seconds from winning the lease until nearly all workers had reported; NaN until then. */
     double secondsToMostReported() {
         return secondsToMostReported;
     }
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -13,13 +13,30 @@
 import io.kitepath.core.service.JobStatusQueries;
 import io.kitepath.core.shard.ShardState;
 import java.util.List;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** What this node and its siblings tell each other, and what follows from it. */
+/**
+ * What this node and its peers tell each other, and what follows from it: each second every node
+ * announces its own state and the cancellations it learned of.
+ */
 final class Gossip implements JobStatusQueries.ProgressSource {
     private static final double INTERVAL_SECONDS = 1;
 
+    /** The store counts as gone once it has not answered for a leader's lease and that long. */
+    private static final double STORE_GRACE_SECONDS = 1;
+
+    /** What gossip asks of, and tells, the rest of the node. */
+    interface Node {
+        /** Whether this node leads and has loaded the shard's jobs. */
+        boolean holdsShard();
+
+        /** The store has the job's final state. */
+        void onJobEnded(JobStatus job);
+
+        /** Something may be placed or stopped. */
+        void requestRound();
+    }
+
     private final ClusterSettings settings;
     private final Timers timers;
     private final PeerNodes peerNodes;
@@ -28,41 +45,28 @@
     private final ShardState shard;
     private final CancellationWatermark cancellationWatermark;
     private final CancellationLog cancellationLog;
+    private final Node node;
 
-    /** Whether this node holds the block and knows the jobs. */
-    private final BooleanSupplier holdsShard;
-
-    private final Consumer<JobStatus> onJobEnded;
-    private final Runnable requestRound;
-
-    /**
-     * @param holds whether this node holds the block and knows the jobs
-     * @param ended takes a job's end, which never changes
-     * @param changed runs when something may be placed or stopped
-     */
     Gossip(
             Timers timers,
-            PeerNodes siblings,
+            PeerNodes peerNodes,
             Leadership leadership,
             MembershipView membership,
             ShardState shard,
             CancellationWatermark cancellationWatermark,
-            BooleanSupplier holds,
-            Consumer<JobStatus> ended,
-            Runnable changed) {
+            Node node) {
         this.settings = shard.settings();
         this.timers = timers;
-        this.peerNodes = siblings;
+        this.peerNodes = peerNodes;
         this.leadership = leadership;
         this.membership = membership;
         this.shard = shard;
         this.cancellationWatermark = cancellationWatermark;
         this.cancellationLog = new CancellationLog(settings, timers);
-        this.holdsShard = holds;
-        this.onJobEnded = ended;
-        this.requestRound = changed;
+        this.node = node;
     }
 
+    /** Announces this node's state now and then once a second. */
     void start() {
         broadcast();
         membership.logSilenceChanges(leadership.leader());
@@ -71,13 +75,16 @@
 
     /** Whether the store answers this node. */
     boolean isServedByStore() {
-        return leadership.secondsSinceStoreAnswered() < leadership.leaseSeconds() + 1;
+        return leadership.secondsSinceStoreAnswered()
+                < leadership.leaseSeconds() + STORE_GRACE_SECONDS;
     }
 
+    /** Announces this node's state and cancellations to all peers. */
     void broadcast() {
+        boolean isLeading = leadership.isLeading();
         peerNodes.announceState(
-                leadership.isLeading() ? shard.fencingToken() : leadership.highestFencingToken(),
-                leadership.isLeading() ? settings.node() : null,
+                isLeading ? shard.fencingToken() : leadership.highestFencingToken(),
+                isLeading ? settings.node() : null,
                 isServedByStore());
         peerNodes.sendCancellationDigest(cancellationLog.digest());
     }
@@ -92,58 +99,58 @@
     private void markCancelled(String jobId) {
         cancellationWatermark.addUnproven(jobId);
         if (shard.finishJob(jobId)) {
-            requestRound.run();
+            node.requestRound();
         }
     }
 
-    /** A sibling's word on cancellations. */
-    void onPeerState(CancellationDigest digest) {
+    /** A peer's digest of the cancellations it learned of. */
+    void onCancellationDigest(CancellationDigest digest) {
         digest.jobIds().forEach(this::markCancelled);
         cancellationWatermark.advanceByDigest(digest);
     }
 
-    /** A sibling's view of itself. */
-    void onPeerState(String by, long token, boolean leads, boolean isServed) {
-        membership.onPeerState(by, isServed);
-        leadership.onFencingTokenSeen(token, leads ? by : null);
+    /** A peer's announcement of its own state; see {@link Controller#onPeerState}. */
+    void onPeerState(String peer, long fencingToken, boolean isLeading, boolean isServedByStore) {
+        membership.onPeerState(peer, isServedByStore);
+        leadership.onFencingTokenSeen(fencingToken, isLeading ? peer : null);
     }
 
-    /** A sibling's word that the store has the job's end, which never changes. */
+    /** A peer's announcement that the store has the job's final state, which never changes. */
     void onJobEndedAtPeer(JobStatus job) {
-        onJobEnded.accept(job);
+        node.onJobEnded(job);
         if (shard.finishJob(job.jobId())) {
-            requestRound.run();
+            node.requestRound();
         }
     }
 
     /**
-     * Whether users are better off here: not if the store serves a sibling and not us, nor if
-     * neither store nor siblings are to be reached, since then it is this node that is cut off.
+     * Whether users are served as well here as at a peer. They are not if the store answers a peer
+     * and not this node, nor if neither store nor peers can be reached, since then it is this node
+     * that is cut off.
      */
     boolean isHealthy() {
         return isServedByStore()
                 || !membership.isAnyPeerServedByStore() && !membership.isIsolated();
     }
 
-    /** What this node knows of the jobs as their holder; nothing if it does not hold them. */
-    List<JobProgress> progress(List<String> jobs) {
-        return holdsShard.getAsBoolean() ? shard.progress(jobs, timers.nowSeconds()) : List.of();
+    /** The progress of the jobs as their leader knows it; empty if this node is not the leader. */
+    List<JobProgress> progress(List<String> jobIds) {
+        return node.holdsShard() ? shard.progress(jobIds, timers.nowSeconds()) : List.of();
     }
 
-    // ---- for users' questions: who places tasks now
-    // ----------------------------------------------
+    // ---- for users' status queries: the leader's view -------------------------------------------
 
     @Override
-    public void progress(List<String> jobs, Consumer<List<JobProgress>> answer) {
+    public void progress(List<String> jobIds, Consumer<List<JobProgress>> answer) {
         String leader = leadership.leader();
         if (leadership.isLeading()) {
-            answer.accept(progress(jobs));
+            answer.accept(progress(jobIds));
         } else if (leader == null
                 || leader.equals(settings.node())
                 || membership.isSilent(leader)) {
             answer.accept(List.of());
         } else {
-            peerNodes.requestProgress(leader, jobs, answer);
+            peerNodes.requestProgress(leader, jobIds, answer);
         }
     }
 
@@ -156,12 +163,12 @@
         if (leadership.isLeading()) {
             return "this node has just begun to lead and reads the jobs";
         }
-        double silentS = membership.silentSeconds(leader);
+        double silentSeconds = membership.silentSeconds(leader);
         return "node "
                 + leader
                 + ", which places tasks, does not answer"
-                + (membership.isSilent(leader) && !Double.isNaN(silentS)
-                        ? " and was last heard " + Math.round(silentS) + " s ago"
+                + (membership.isSilent(leader) && !Double.isNaN(silentSeconds)
+                        ? " and was last heard " + Math.round(silentSeconds) + " s ago"
                         : "");
     }
 }
--- /dev/null
+++ b/src/main/java/io/kitepath/core/LeaderLoop.java
@@ -0,0 +1,76 @@
+package io.kitepath.core;
+
+import io.kitepath.core.model.LoopTimeAccounting.Activity;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The leader's periodic work, four times a second for as long as the node leads: a scheduling round
+ * if one is due, the other cells, the machines, and a summary for the log once a minute.
+ */
+final class LeaderLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderLoop.class);
+
+    private static final double TICK_SECONDS = 0.25;
+
+    /** A minute. */
+    private static final int SUMMARY_TICKS = 240;
+
+    /** Five seconds. */
+    private static final int DEBUG_SUMMARY_TICKS = 20;
+
+    private final NodeComponents node;
+    private boolean isRunning;
+    private long ticks;
+
+    LeaderLoop(NodeComponents node) {
+        this.node = node;
+    }
+
+    /** Called when the node begins to lead; the loop of an earlier term may still be running. */
+    void start() {
+        if (!isRunning) {
+            isRunning = true;
+            tick();
+        }
+    }
+
+    private void tick() {
+        if (!node.leadership.isLeading()) {
+            isRunning = false;
+            return;
+        }
+        node.roundRunner.runIfDue();
+        if (node.stateWriter.isLoaded()) {
+            node.failoverTimings.onJobsRead(node.timers.nowSeconds());
+            node.failoverTimings.update(
+                    node.timers.nowSeconds(), node.heartbeatProcessor.launchCount());
+        }
+        if (node.mayActOnShard()) {
+            node.otherCells.reconcile();
+        }
+        double began = node.timers.nowSeconds();
+        node.cloudReconciler.reconcile(node.mayActOnShard());
+        node.loopTime.record(Activity.PLANNING, began);
+        ticks++;
+        logSummaries();
+        node.timers.schedule(TICK_SECONDS, this::tick);
+    }
+
+    private void logSummaries() {
+        if (ticks % SUMMARY_TICKS == 0) {
+            LOG.info(node.shard.serviceLevels().summary());
+        }
+        if (ticks % SUMMARY_TICKS == 0
+                || LOG.isDebugEnabled() && ticks % DEBUG_SUMMARY_TICKS == 0) {
+            LOG.info(
+                    "{} rounds={} writes={} heartbeats={} busy_seconds={}{}",
+                    ShardSummary.of(node.shard, node.heartbeatProcessor, node.scheduler),
+                    node.stateWriter.transactionsSent(),
+                    node.stateWriter.recordsSent(),
+                    node.heartbeatService.receivedCount(),
+                    String.format("%.1f", node.roundRunner.totalSeconds()),
+                    node.loopTime);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/LeadershipTransitions.java
@@ -0,0 +1,47 @@
+package io.kitepath.core;
+
+import io.kitepath.core.leadership.Leadership;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** What a node does when it begins to lead, stops leading, or learns of another leader. */
+final class LeadershipTransitions implements Leadership.Listener {
+    private static final Logger LOG = LoggerFactory.getLogger(LeadershipTransitions.class);
+
+    private final NodeComponents node;
+
+    /** {@code node} may still be under construction. */
+    LeadershipTransitions(NodeComponents node) {
+        this.node = node;
+    }
+
+    @Override
+    public void onLeadershipWon(long fencingToken, long leaseId, long shardRevision) {
+        node.shard.takeLeadership(fencingToken);
+        node.cancellationWatermark.reset();
+        node.cloudReconciler.startLeading(leaseId);
+        node.gossip.broadcast();
+        node.failoverTimings.onLeadershipWon(
+                node.timers.nowSeconds(), node.heartbeatProcessor.launchCount());
+        node.stateWriter.start(Leadership.SHARD_KEY, shardRevision, node::requestRound);
+        node.cancellationProof.start();
+        node.leaderLoop.start();
+        node.heartbeatService.onLeaderKnown();
+    }
+
+    @Override
+    public void onLeaderChanged(String leader) {
+        node.heartbeatService.onLeaderKnown();
+    }
+
+    @Override
+    public void onLeadershipLost(String why) {
+        LOG.info(node.shard.serviceLevels().summary());
+        node.stateWriter.stop();
+        node.cancellationProof.stop();
+        node.scheduler.forgetOrder();
+        node.shard.giveUpLeadership();
+        node.heartbeatService.releaseAll();
+        node.gossip.broadcast();
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -0,0 +1,287 @@
+package io.kitepath.core;
+
+import io.kitepath.core.leadership.CancellationWatermark;
+import io.kitepath.core.leadership.Incarnation;
+import io.kitepath.core.leadership.Leadership;
+import io.kitepath.core.leadership.MembershipView;
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.model.LoopTimeAccounting;
+import io.kitepath.core.port.PeerNodes;
+import io.kitepath.core.port.Store;
+import io.kitepath.core.port.Timers;
+import io.kitepath.core.role.CloudIntentExecutor;
+import io.kitepath.core.role.CloudIntents;
+import io.kitepath.core.role.GarbageCollector;
+import io.kitepath.core.role.LeasedRoles;
+import io.kitepath.core.scaling.CloudReconciler;
+import io.kitepath.core.scaling.ScalingPlanner;
+import io.kitepath.core.scheduling.Scheduler;
+import io.kitepath.core.service.HeartbeatService;
+import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.RetryAfter;
+import io.kitepath.core.shard.HeartbeatProcessor;
+import io.kitepath.core.shard.ShardState;
+import io.kitepath.core.state.CancellationProof;
+import io.kitepath.core.state.ImageRecords;
+import io.kitepath.core.state.StateWriter;
+import java.util.List;
+import java.util.Optional;
+import java.util.Random;
+
+/**
+ * The parts of one node, and how they are connected. Nothing runs until {@link #start}.
+ *
+ * <p>The parts refer to each other in circles, so some are given callbacks into this class, which
+ * are not called before all of it is built. The order of construction is part of the behaviour:
+ * several constructors draw from the same source of random numbers.
+ */
+final class NodeComponents {
+    private final NodeEnvironment environment;
+    final ClusterSettings settings;
+    final Timers timers;
+    private final PeerNodes peerNodes;
+
+    // The shard, and the placing of its tasks.
+    final LoopTimeAccounting loopTime;
+    final ShardState shard;
+    final HeartbeatProcessor heartbeatProcessor;
+    final FailoverTimings failoverTimings;
+    final Scheduler scheduler;
+
+    // Leadership, and what nodes know of each other.
+    final MembershipView membership;
+    final Leadership leadership;
+    final CancellationWatermark cancellationWatermark;
+    final Gossip gossip;
+
+    // Users' jobs and the shard's records.
+    final JobSubmissionService submissions;
+    final OtherCells otherCells;
+    final StateWriter stateWriter;
+
+    // Machines of the cloud, and the roles that nodes hold apart from leadership.
+    final CloudIntents cloudIntents;
+    final CloudReconciler cloudReconciler;
+    final CloudIntentExecutor intentExecutor;
+    final GarbageCollector garbageCollector;
+    final LeasedRoles leasedRoles;
+
+    // Workers.
+    final CancellationProof cancellationProof;
+    final HeartbeatService heartbeatService;
+    final DirectCancellations directCancellations;
+    final RetryAfter retryAfter;
+
+    // Loops of the leader.
+    final RoundRunner roundRunner;
+    final LeaderLoop leaderLoop;
+
+    /**
+     * @param settings this cell's part of the settings
+     * @param cellNetwork the other cells, empty if there are none
+     */
+    NodeComponents(
+            ClusterSettings settings,
+            NodeEnvironment environment,
+            Optional<CellNetwork> cellNetwork) {
+        this.environment = environment;
+        this.settings = settings;
+        this.timers = environment.timers();
+        this.peerNodes = environment.peerNodes();
+        Store store = environment.store();
+        Random random = environment.random();
+
+        this.loopTime = new LoopTimeAccounting(timers::nowSeconds);
+        ImageRecords images = new ImageRecords(settings);
+        this.shard = new ShardState(settings, images::restoreImages);
+        this.heartbeatProcessor = new HeartbeatProcessor(shard);
+        this.failoverTimings = new FailoverTimings(shard);
+        this.scheduler = new Scheduler(shard, random, loopTime);
+
+        this.membership = new MembershipView(settings, timers);
+        Incarnation incarnation =
+                new Incarnation(settings.node(), timers.wallClockMillis(), random);
+        LeadershipTransitions transitions = new LeadershipTransitions(this);
+        this.leadership = new Leadership(settings, store, timers, random, incarnation, transitions);
+        this.cancellationWatermark = new CancellationWatermark(settings, timers);
+        this.gossip = newGossip();
+
+        this.submissions = newSubmissions(cellNetwork.isPresent());
+        this.otherCells =
+                cellNetwork.isPresent()
+                        ? new ConnectedCells(this, cellNetwork.get(), store, random)
+                        : new NoOtherCells(submissions);
+        ShardEvents shardEvents = new ShardEvents(this);
+        this.stateWriter =
+                new StateWriter(
+                        store,
+                        timers,
+                        shard,
+                        images,
+                        shardEvents,
+                        otherCells.loanRecords().orElse(null));
+
+        this.cloudIntents = new CloudIntents(shard, timers, this::contributeToNextWrite);
+        this.cloudReconciler = newCloudReconciler();
+        this.intentExecutor =
+                new CloudIntentExecutor(
+                        settings,
+                        store,
+                        environment.cloud(),
+                        timers,
+                        random,
+                        leadership.leaseSeconds());
+        this.garbageCollector = new GarbageCollector(settings, store, timers);
+        this.leasedRoles = newLeasedRoles(incarnation);
+
+        this.cancellationProof = newCancellationProof(shardEvents);
+        this.heartbeatService = newHeartbeatService();
+        this.directCancellations = newDirectCancellations();
+        this.retryAfter = new RetryAfter(settings, timers);
+
+        this.roundRunner = new RoundRunner(this);
+        this.leaderLoop = new LeaderLoop(this);
+        submissions.onCancelled(this::onCancelledByUser);
+        submissions.onKnownCancelled(gossip::onCancellationConfirmed);
+    }
+
+    private Gossip newGossip() {
+        return new Gossip(
+                timers,
+                peerNodes,
+                leadership,
+                membership,
+                shard,
+                cancellationWatermark,
+                new Gossip.Node() {
+                    @Override
+                    public boolean holdsShard() {
+                        return NodeComponents.this.holdsShard();
+                    }
+
+                    @Override
+                    public void onJobEnded(JobStatus job) {
+                        submissions.onJobEnded(job);
+                    }
+
+                    @Override
+                    public void requestRound() {
+                        NodeComponents.this.requestRound();
+                    }
+                });
+    }
+
+    private JobSubmissionService newSubmissions(boolean mayLendTasks) {
+        return new JobSubmissionService(
+                settings,
+                environment.store(),
+                timers,
+                gossip::isServedByStore,
+                gossip,
+                mayLendTasks);
+    }
+
+    private CloudReconciler newCloudReconciler() {
+        return new CloudReconciler(
+                shard,
+                new ScalingPlanner(shard, scheduler),
+                cloudIntents,
+                environment.store(),
+                environment.cloud(),
+                timers,
+                leadership::isLeading,
+                this::requestRound);
+    }
+
+    private LeasedRoles newLeasedRoles(Incarnation incarnation) {
+        return new LeasedRoles(
+                settings,
+                environment.store(),
+                timers,
+                environment.random(),
+                incarnation,
+                leadership.leaseSeconds(),
+                List.of(intentExecutor, garbageCollector));
+    }
+
+    private CancellationProof newCancellationProof(CancellationProof.Listener listener) {
+        // Its own source of random numbers: its loop must not shift the draws of the others.
+        Random random = new Random(settings.node().hashCode());
+        return new CancellationProof(
+                environment.store(), timers, random, shard, this::holdsShard, listener);
+    }
+
+    private HeartbeatService newHeartbeatService() {
+        return new HeartbeatService(
+                shard,
+                heartbeatProcessor,
+                leadership,
+                stateWriter,
+                membership,
+                cancellationWatermark,
+                peerNodes,
+                timers,
+                loopTime,
+                this::requestRound);
+    }
+
+    private DirectCancellations newDirectCancellations() {
+        return new DirectCancellations(
+                shard,
+                heartbeatProcessor,
+                heartbeatService,
+                leadership,
+                environment.directCommands(),
+                timers,
+                this::requestRound);
+    }
+
+    /** Starts the loops of every node; those of the leader start once it leads. */
+    void start() {
+        leadership.start();
+        cloudReconciler.loadMachineTypes();
+        leasedRoles.start();
+        otherCells.start();
+        gossip.start();
+    }
+
+    /** Gives up leadership and roles for good, as the node is being stopped. */
+    void stop() {
+        leadership.stop();
+        leasedRoles.stop();
+    }
+
+    /** Whether this node leads and has loaded the shard's jobs. */
+    boolean holdsShard() {
+        return leadership.isLeading() && stateWriter.isLoaded();
+    }
+
+    /** Whether it {@link #holdsShard} and its lease is certain not to have expired. */
+    boolean mayActOnShard() {
+        return holdsShard() && leadership.isLeaseValid();
+    }
+
+    /** Something changed that may let tasks be placed or records be written. */
+    void requestRound() {
+        roundRunner.request();
+    }
+
+    /** Writes that along with one of the next rounds. */
+    void contributeToNextWrite(StateWriter.BatchContributor contributor) {
+        stateWriter.enqueue(contributor);
+        requestRound();
+    }
+
+    /** The store has it that the job is over: keeps its final state and tells the peers. */
+    void announceJobEnded(JobStatus job) {
+        submissions.onJobEnded(job);
+        peerNodes.announceJobEnd(job);
+    }
+
+    private void onCancelledByUser(JobStatus job) {
+        shard.jobDependencies().recordOutcome(job.jobId(), false, timers.wallClockMillis());
+        requestRound();
+        peerNodes.announceJobEnd(job);
+    }
+}
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -1,92 +1,97 @@
 package io.kitepath.core;
 
-import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
-import io.kitepath.core.model.Metric;
-import io.kitepath.core.role.CloudIntentExecutor;
-import io.kitepath.core.role.CloudIntents;
-import io.kitepath.core.role.GarbageCollector;
 import io.kitepath.core.role.LeasedRoles;
 import java.util.Locale;
-import java.util.Map;
 
-/** What a node counts about duties, takeovers and its own time, for operators. */
-record RoleMetrics(
-        CloudIntents cloudIntents,
-        CloudIntentExecutor intentExecutor,
-        GarbageCollector garbageCollector,
-        LeasedRoles roles,
-        FailoverTimings failoverTimings,
-        LoopTimeAccounting loopTime) {
-    void addTo(Map<String, Metric> f) {
-        f.put(
+/** The metrics of a node's roles, of its last failover, and of its event loop's time. */
+final class RoleMetrics {
+    private final NodeComponents node;
+
+    RoleMetrics(NodeComponents node) {
+        this.node = node;
+    }
+
+    void addTo(MetricCollector metrics) {
+        addCloudIntents(metrics);
+        addGarbageCollection(metrics);
+        for (LeasedRoles.Role role : node.leasedRoles.roles()) {
+            addRole(metrics, role);
+        }
+        addFailover(metrics);
+        addLoopTime(metrics);
+    }
+
+    private void addCloudIntents(MetricCollector metrics) {
+        metrics.counter(
                 "intents.asked",
-                Metric.counter(
-                        "rentals and returns put down by this node", cloudIntents::requestedCount));
-        f.put(
+                "rentals and returns put down by this node",
+                node.cloudIntents::requestedCount);
+        metrics.counter(
                 "intents.taken.over",
-                Metric.counter(
-                        "and those that it took over from earlier holders",
-                        cloudIntents::adoptedCount));
-        f.put(
+                "and those that it took over from earlier holders",
+                node.cloudIntents::adoptedCount);
+        metrics.gauge(
                 "intents.backlog",
-                Metric.gauge(
-                        "rentals and returns that the cloud has not settled",
-                        cloudIntents::backlog));
-        f.put(
+                "rentals and returns that the cloud has not settled",
+                node.cloudIntents::backlog);
+        metrics.counter(
                 "duty.cloud.calls",
-                Metric.counter(
-                        "rentals and returns asked of the cloud by this node",
-                        intentExecutor::callCount));
-        f.put(
+                "rentals and returns asked of the cloud by this node",
+                node.intentExecutor::callCount);
+        metrics.counter(
                 "duty.cloud.failed",
-                Metric.counter(
-                        "of those, refused or not answered", intentExecutor::failedCallCount));
-        f.put(
+                "of those, refused or not answered",
+                node.intentExecutor::failedCallCount);
+        metrics.counter(
                 "duty.fenced",
-                Metric.counter(
-                        "times that nothing was done since the lease of duties was not certain",
-                        roles::fencedCount));
-        f.put(
+                "times that nothing was done since the lease of duties was not certain",
+                node.leasedRoles::fencedCount);
+    }
+
+    private void addGarbageCollection(MetricCollector metrics) {
+        metrics.counter(
                 "cleanup.looks",
-                Metric.counter(
-                        "times that this node looked through the state service",
-                        garbageCollector::completedScans));
-        f.put(
+                "times that this node looked through the state service",
+                node.garbageCollector::completedScans);
+        metrics.counter(
                 "cleanup.removed",
-                Metric.counter("records that it removed there", garbageCollector::removedCount));
-        f.put(
+                "records that it removed there",
+                node.garbageCollector::removedCount);
+        metrics.gauge(
                 "cleanup.strange",
-                Metric.gauge(
-                        "records that should not be, by its last look",
-                        garbageCollector::inconsistentCount));
-        for (LeasedRoles.Role role : roles.roles()) {
-            f.put(
-                    "duty." + role.name() + ".here",
-                    Metric.gauge(
-                            "whether this node has the duty", () -> role.isHeldHere() ? 1 : 0));
-            f.put(
-                    "duty." + role.name() + ".token",
-                    Metric.gauge("the token of whoever has it", role::fencingToken));
-            f.put(
-                    "duty." + role.name() + ".hand.overs",
-                    Metric.counter("times that it was seen to change hands", role::handOvers));
-        }
-        f.put(
+                "records that should not be, by its last look",
+                node.garbageCollector::inconsistentCount);
+    }
+
+    private static void addRole(MetricCollector metrics, LeasedRoles.Role role) {
+        String prefix = "duty." + role.name();
+        metrics.gauge(
+                prefix + ".here",
+                "whether this node has the duty",
+                () -> role.isHeldHere() ? 1 : 0);
+        metrics.gauge(prefix + ".token", "the token of whoever has it", role::fencingToken);
+        metrics.counter(
+                prefix + ".hand.overs", "times that it was seen to change hands", role::handOvers);
+    }
+
+    private void addFailover(MetricCollector metrics) {
+        metrics.gauge(
                 "takeover.read",
-                Metric.gauge(
-                        "seconds from winning the lease until the jobs were read",
-                        failoverTimings::secondsToJobsRead));
-        f.put(
+                "seconds from winning the lease until the jobs were read",
+                node.failoverTimings::secondsToJobsRead);
+        metrics.gauge(
                 "takeover.reported",
-                Metric.gauge(
-                        "seconds from winning the lease until nearly all machines had reported",
-                        failoverTimings::secondsToMostReported));
-        for (Activity on : Activity.values()) {
-            f.put(
-                    "time." + on.name().toLowerCase(Locale.ROOT).replace('_', '.'),
-                    Metric.counter(
-                            "seconds of the event loop, by activity", () -> loopTime.seconds(on)));
+                "seconds from winning the lease until nearly all machines had reported",
+                node.failoverTimings::secondsToMostReported);
+    }
+
+    private void addLoopTime(MetricCollector metrics) {
+        for (Activity activity : Activity.values()) {
+            metrics.counter(
+                    "time." + activity.name().toLowerCase(Locale.ROOT).replace('_', '.'),
+                    "seconds of the event loop, by activity",
+                    () -> node.loopTime.seconds(activity));
         }
     }
 }
--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -289,14 +289,14 @@
                         ctx.channel(),
                         new Messages.AnswerProgress(a.number(), controller.jobProgress(a.jobs())));
             } else if (message instanceof Messages.Digest d) {
-                controller.onPeerState(
+                controller.onCancellationDigest(
                         new CancellationDigest(d.by(), d.sinceMs(), d.untilMs(), d.jobs()));
             } else if (message instanceof Messages.AnswerProgress a
                     && a.number() == Messages.READS_DIGESTS) {
                 ctx.channel().attr(READS).set(true);
             } else if (message instanceof Messages.AnswerProgress a) {
                 settle(progressAsks, a.number(), a.progress());
-            } else if (message instanceof Messages.AskCell a && controller.otherCells() != null) {
+            } else if (message instanceof Messages.AskCell a) {
                 controller
                         .otherCells()
                         .onMessage(
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -219,7 +219,8 @@
                     .forEach(
                             node ->
                                     node.schedule(
-                                            0.001, () -> node.controller.onPeerState(digest)));
+                                            0.001,
+                                            () -> node.controller.onCancellationDigest(digest)));
         }
     }
 
--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/StoriesTest.java
@@ -679,7 +679,7 @@
         assertTrue(
                 shard.jobs().isEmpty(),
                 () ->
-                        NodeMetrics.summary(
+                        ShardSummary.of(
                                 shard,
                                 node.controller.heartbeatProcessor,
                                 node.controller.scheduler));
