--- a/src/main/java/io/kitepath/peers/Peers.java
+++ b/src/main/java/io/kitepath/peers/Peers.java
@@ -299,7 +299,7 @@
 
         @Override
         public void onCancelledJobs(PeerMessage.CancelledJobs cancelled) {
-            controller.onPeerState(
+            controller.onCancellationDigest(
                     new CancellationDigest(
                             cancelled.node(),
                             cancelled.sinceMillis(),
@@ -309,9 +309,6 @@
 
         @Override
         public void onCellRequest(PeerMessage.CellRequest request) {
-            if (controller.otherCells() == null) {
-                return;
-            }
             controller
                     .otherCells()
                     .onMessage(
