--- a/src/main/java/io/kitepath/core/model/CellDirectory.java
+++ b/src/main/java/io/kitepath/core/model/CellDirectory.java
@@ -9,10 +9,10 @@
 import java.util.stream.Collectors;
 
 /**
- * The cells there are, as the cells file says.
+ * The cells that there are, from the cells file.
  *
  * @param version rises with every change of the file
- * @param ownCellName the cell that this node is of
+ * @param ownCellName the cell that this node is part of
  * @param cells by name, this one among them
  */
 public record CellDirectory(long version, String ownCellName, Map<String, Cell> cells) {
@@ -21,11 +21,12 @@
     /**
      * One cell.
      *
-     * @param isHome whether jobs are at home here; one that is not only lends its room
-     * @param isDraining whether it is being emptied: it takes nothing of others and hands over what
-     *     waits
+     * @param isHome whether it can be the home of jobs; one that can't only lends its capacity
+     * @param isDraining whether it is being emptied: it accepts no tasks of others and hands over
+     *     those that wait
+     * @param zones where it rents machines; each zone is one cell's
      * @param nodes addresses of its nodes by name
-     * @param teams the part of each team's limits and guarantees that is this cell's
+     * @param teams the part of each team's quota and guarantee that is this cell's, by team
      */
     public record Cell(
             String name,
@@ -36,19 +37,19 @@
             Map<String, ClusterSettings.Team> teams) {}
 
     /**
-     * The cell that accepts, answers and cancels the job and keeps its end: the one of the homes
-     * whose hash with the id is highest (rendezvous hashing, D. G. Thaler and C. V. Ravishankar,
-     * 1998). Guards against a submission that two cells accept because its user came to both: where
-     * a job is at home is a fact that every node works out alike and that needs no message.
+     * The cell that accepts, answers and cancels the job and keeps its outcome: the one of the
+     * homes whose hash with the id is highest (rendezvous hashing, D. G. Thaler and C. V.
+     * Ravishankar, 1998). Guards against a submission that two cells accept because its user came
+     * to both: every node works out a job's home alike, without a message.
      */
     public String homeCellOf(String jobId) {
         String best = null;
-        long most = 0;
+        long highest = 0;
         for (Cell cell : cells.values()) {
-            long h = HASH.hashCharsToLong(cell.name() + ' ' + jobId);
-            if (cell.isHome() && (best == null || Long.compareUnsigned(h, most) > 0)) {
+            long hash = HASH.hashCharsToLong(cell.name() + ' ' + jobId);
+            if (cell.isHome() && (best == null || Long.compareUnsigned(hash, highest) > 0)) {
                 best = cell.name();
-                most = h;
+                highest = hash;
             }
         }
         return best;
@@ -61,6 +62,7 @@
         return String.join(" ", names);
     }
 
+    /** The cell that this node is part of. */
     public Cell ownCell() {
         return cells.get(ownCellName);
     }
--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -3,10 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 
 /**
- * What the settings say about the world; every waiting time and bound in the core is a ratio to
- * these.
+ * What the settings say about the world; every timeout and bound in the core is a ratio to these.
+ *
+ * @param node this node's name
+ * @param zone the zone that this node is in
+ * @param siblings names of the other controller nodes of this cell
+ * @param zones where machines can be rented
+ * @param teams by name
+ * @param objectives the service-level objectives
+ * @param workers the workers' timings
+ * @param store the state service's limits
+ * @param cloud the cloud's limits
+ * @param limits what this process may use
+ * @param clockErrorMillis how far two nodes' times of day may be apart
  */
 public record ClusterSettings(
         String node,
@@ -20,8 +32,24 @@
         CloudLimits cloud,
         ProcessLimits limits,
         double clockErrorMillis) {
+    /** A job that nothing is expected of has to start within this many leases. */
+    private static final int DEFAULT_START_LEASES = 10;
 
-    /** Guarantees and limits; 0 means none. */
+    private static final int BYTES_PER_KIBIBYTE = 1024;
+
+    /** At most this many bytes of a part's record are about one task. */
+    private static final int MAX_BYTES_PER_TASK = 32;
+
+    private static final int MIN_TASKS_PER_PART = 8;
+
+    /**
+     * A team's guarantee and quota; 0 means none.
+     *
+     * @param guaranteedCpus what its jobs get before those beyond their teams' guarantees
+     * @param maxCpus what its jobs may have at once; 0: as much as they like
+     * @param guaranteedGpus as {@code guaranteedCpus}
+     * @param maxGpus as {@code maxCpus}
+     */
     public record Team(
             String name,
             double guaranteedCpus,
@@ -30,16 +58,72 @@
             double maxGpus) {}
 
     /**
-     * {@code deadlineFactor}: of a job's own deadline; 1 unless that is what the objective is
-     * about.
+     * A service-level objective. Kinds other than the three named here are not about single jobs,
+     * or only later versions know them; they are kept and ignored.
+     *
+     * @param kind {@link #WAIT}, {@link #FINISHED}, {@link #DEADLINE} or another
+     * @param jobClass the jobs it is about; empty if it is about none in particular
+     * @param withinSeconds the time that the objective gives a job
+     * @param deadlineFactor for {@link #DEADLINE}: within how many times the job's own deadline; 1
+     *     otherwise
+     * @param targetShare of the jobs that are to meet it, from 0 to 1
      */
     public record Objective(
             String kind,
             String jobClass,
             double withinSeconds,
             double deadlineFactor,
-            double targetShare) {}
+            double targetShare) {
+        /** Tasks have to start in time. */
+        public static final String WAIT = "wait";
+
+        /** Jobs have to be done in time. */
+        public static final String FINISHED = "finished";
+
+        /** Jobs have to be done by their own deadlines. */
+        public static final String DEADLINE = "deadline";
+
+        /** Whether it is about jobs of that class. */
+        public boolean isAbout(String jobClassName) {
+            return jobClass.equals(jobClassName);
+        }
+
+        private boolean isOfKind(String otherKind) {
+            return kind.equals(otherKind);
+        }
+
+        /** In seconds after its submission; empty if the objective does not say. */
+        private OptionalDouble completionDeadline(JobSpec spec, double readyAfterSeconds) {
+            if (isOfKind(FINISHED)) {
+                return OptionalDouble.of(readyAfterSeconds + withinSeconds);
+            }
+            return isOfKind(DEADLINE) && spec.deadlineSeconds() != null
+                    ? OptionalDouble.of(spec.deadlineSeconds() * deadlineFactor)
+                    : OptionalDouble.empty();
+        }
+
+        /** In seconds after its submission; empty if the objective does not say. */
+        private OptionalDouble startDeadline(JobSpec spec, double readyAfterSeconds) {
+            if (isOfKind(WAIT)) {
+                return OptionalDouble.of(readyAfterSeconds + withinSeconds);
+            }
+            OptionalDouble completion = completionDeadline(spec, readyAfterSeconds);
+            return completion.isPresent()
+                    ? OptionalDouble.of(completion.getAsDouble() - spec.estimatedSeconds())
+                    : completion;
+        }
+    }
 
+    /**
+     * The workers' timings, all in seconds.
+     *
+     * @param heartbeatIntervalSeconds how often a worker reports
+     * @param leaseSeconds for how long a worker keeps its tasks after it sent a report that was
+     *     answered
+     * @param gangStartTimeoutSeconds for how long a task waits for the rest of its gang
+     * @param gangPeerTimeoutSeconds how long a gang takes to notice that a task of it is gone
+     * @param cancelDeadlineSeconds within which a cancelled job's tasks have to be gone
+     */
     public record WorkerTimings(
             double heartbeatIntervalSeconds,
             double leaseSeconds,
@@ -48,11 +132,12 @@
             double cancelDeadlineSeconds) {
         /**
          * For how long workers may be answered without knowing what was cancelled, in seconds:
-         * their lease has to run out after the last answer, in {@code cancelS} altogether. Two
-         * report intervals and a second are left for what comes on top: clocks apart and drifting,
-         * an attempt found by report that no proof has covered yet. Not under one report interval,
-         * which only matters where {@code cancelS} is hardly longer than the lease, so that no way
-         * of answering keeps the rule for a machine that falls silent.
+         * their lease has to expire after the last answer, both within {@code
+         * cancelDeadlineSeconds}. Two heartbeat intervals and a second are left for what comes on
+         * top: clock skew and drift, and an attempt found by a heartbeat that no proof has covered
+         * yet. Never under one heartbeat interval, which only matters where {@code
+         * cancelDeadlineSeconds} is hardly longer than the lease, so that no way of answering keeps
+         * the rule for a machine that falls silent.
          */
         public double cancellationStalenessSeconds() {
             // Not longer than a lease of theirs: by then another node leads, which they would have
@@ -69,10 +154,14 @@
     }
 
     /**
-     * What the state service takes, and will take after limits of its that are announced have
-     * fallen: whoever writes keeps to the lower ones from the start, since nobody says when they
-     * fall.
+     * What the state service accepts, and will accept after announced limits of its have come into
+     * force: writers keep to the lower ones from the start, since nobody says when that will be.
      *
+     * @param requestsPerSecond of all kinds
+     * @param writesPerSecond puts and deletes, those of transactions that fail too
+     * @param maxValueKibibytes the size of a value, as JSON
+     * @param maxTransactionOperations puts and deletes of one transaction; it may have four times
+     *     as many conditions
      * @param layoutValueKibibytes the size of values by which records are laid out that earlier
      *     versions wrote, and may still read
      */
@@ -82,38 +171,60 @@
             double maxValueKibibytes,
             int maxTransactionOperations,
             double layoutValueKibibytes) {
-        public StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {
-            this(rps, writeRps, valueKb, txnOps, valueKb);
+        /** Limits by which records are laid out as well. */
+        public StoreLimits(
+                double requestsPerSecond,
+                double writesPerSecond,
+                double maxValueKibibytes,
+                int maxTransactionOperations) {
+            this(
+                    requestsPerSecond,
+                    writesPerSecond,
+                    maxValueKibibytes,
+                    maxTransactionOperations,
+                    maxValueKibibytes);
         }
 
         /** The lower of each; records stay laid out as they are. */
-        public StoreLimits tightenedBy(StoreLimits next) {
+        public StoreLimits tightenedBy(StoreLimits announced) {
             return new StoreLimits(
-                    Math.min(requestsPerSecond, next.requestsPerSecond),
-                    Math.min(writesPerSecond, next.writesPerSecond),
-                    Math.min(maxValueKibibytes, next.maxValueKibibytes),
-                    Math.min(maxTransactionOperations, next.maxTransactionOperations),
+                    Math.min(requestsPerSecond, announced.requestsPerSecond),
+                    Math.min(writesPerSecond, announced.writesPerSecond),
+                    Math.min(maxValueKibibytes, announced.maxValueKibibytes),
+                    Math.min(maxTransactionOperations, announced.maxTransactionOperations),
                     layoutValueKibibytes);
         }
 
         /** The bytes, in the JSON form that the state service counts, that a value may have. */
         public int maxValueBytes() {
-            return (int) (maxValueKibibytes * 1024);
+            return (int) (maxValueKibibytes * BYTES_PER_KIBIBYTE);
         }
     }
 
+    /**
+     * What the cloud accepts.
+     *
+     * @param listLagSeconds how old the cloud's list of machines may be
+     */
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
+    /**
+     * What the platform grants this process.
+     *
+     * @param cpuCores the share of one core
+     * @param ramMegabytes above which the process is killed
+     * @param maxSockets open at once
+     */
     public record ProcessLimits(double cpuCores, double ramMegabytes, int maxSockets) {}
 
-    /** The same with other limits and guarantees. */
-    public ClusterSettings withTeams(Map<String, Team> others) {
+    /** The same with other quotas and guarantees. */
+    public ClusterSettings withTeams(Map<String, Team> otherTeams) {
         return new ClusterSettings(
                 node,
                 zone,
                 siblings,
                 zones,
-                others,
+                otherTeams,
                 objectives,
                 workers,
                 store,
@@ -123,9 +234,9 @@
     }
 
     /**
-     * How many tasks one part record holds unless the job's own record says something else: at most
-     * 32 bytes each, so that a part stays under the value limit as it was. Never changes for a
-     * deployment: a part's key means these tasks, to nodes of every version.
+     * How many tasks one part record holds unless the job's own record says something else: few
+     * enough that a part stays under the value limit as it was. Never changes for a deployment: a
+     * part's key means these tasks, to nodes of every version.
      */
     public int tasksPerPart() {
         return tasksPerPart(store.layoutValueKibibytes);
@@ -136,13 +247,16 @@
         return tasksPerPart(store.maxValueKibibytes);
     }
 
-    private static int tasksPerPart(double valueKb) {
-        return Math.max(8, (int) (valueKb * 1024 / 32));
+    private static int tasksPerPart(double valueKibibytes) {
+        return Math.max(
+                MIN_TASKS_PER_PART,
+                (int) (valueKibibytes * BYTES_PER_KIBIBYTE / MAX_BYTES_PER_TASK));
     }
 
     /**
-     * By when after its submission a job has to start to meet what is expected of it, the soonest
-     * first: the objectives of its class, its own deadline; ten leases if nothing is said.
+     * By when a job has to start to meet what is expected of it, in seconds after its submission,
+     * the soonest first: by the objectives of its class, or else by its own deadline; ten leases if
+     * nothing is said.
      */
     public double[] startDeadlinesSeconds(JobSpec spec) {
         return startDeadlinesSeconds(spec, 0);
@@ -152,88 +266,72 @@
      * The same for a job that could not start for that many seconds, since it waited for others:
      * its deadline counts from its submission, everything else from then.
      */
-    public double[] startDeadlinesSeconds(JobSpec spec, double readyAfterS) {
-        List<Double> goals = new ArrayList<>();
+    public double[] startDeadlinesSeconds(JobSpec spec, double readyAfterSeconds) {
+        List<Double> deadlines = new ArrayList<>();
         for (Objective objective : objectives) {
-            if (!objective.jobClass.equals(spec.jobClass())) {
-                continue;
-            }
-            switch (objective.kind) {
-                case "wait" -> goals.add(readyAfterS + objective.withinSeconds);
-                case "finished" ->
-                        goals.add(readyAfterS + objective.withinSeconds - spec.estimatedSeconds());
-                case "deadline" -> {
-                    if (spec.deadlineSeconds() != null) {
-                        goals.add(
-                                spec.deadlineSeconds() * objective.deadlineFactor
-                                        - spec.estimatedSeconds());
-                    }
-                }
-                default -> {} // Not about single jobs.
+            if (objective.isAbout(spec.jobClass())) {
+                objective.startDeadline(spec, readyAfterSeconds).ifPresent(deadlines::add);
             }
         }
-        if (goals.isEmpty()) {
-            goals.add(
+        if (deadlines.isEmpty()) {
+            deadlines.add(
                     spec.deadlineSeconds() != null
                             ? spec.deadlineSeconds() - spec.estimatedSeconds()
-                            : readyAfterS + 10 * workers.leaseSeconds());
+                            : readyAfterSeconds + DEFAULT_START_LEASES * workers.leaseSeconds());
         }
-        return goals.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+        return deadlines.stream().mapToDouble(Double::doubleValue).sorted().toArray();
     }
 
     /**
-     * Within what times after its submission a job has to be done for its own deadline, as its
-     * class's objectives count it; the soonest first, none if it has no deadline.
+     * By when a job has to be done for its own deadline, as its class's objectives count it, in
+     * seconds after its submission; the soonest first, none if it has no deadline.
      */
     public double[] ownDeadlinesSeconds(JobSpec spec) {
         if (spec.deadlineSeconds() == null) {
             return new double[0];
         }
-        double[] of =
+        double[] counted =
                 objectives.stream()
-                        .filter(
-                                objective ->
-                                        objective.kind.equals("deadline")
-                                                && objective.jobClass.equals(spec.jobClass()))
+                        .filter(objective -> objective.isOfKind(Objective.DEADLINE))
+                        .filter(objective -> objective.isAbout(spec.jobClass()))
                         .mapToDouble(objective -> spec.deadlineSeconds() * objective.deadlineFactor)
                         .sorted()
                         .toArray();
-        return of.length > 0 ? of : new double[] {spec.deadlineSeconds()};
+        return counted.length > 0 ? counted : new double[] {spec.deadlineSeconds()};
     }
 
     /**
-     * Within what time after its submission a job has to be done to count as served at all: the
+     * By when a job has to be done to count as served at all, in seconds after its submission: the
      * most generous of its class's objectives and of its own deadline; NaN if nothing is said.
      *
-     * @param readyAfterS for how long it waited for other jobs
+     * @param readyAfterSeconds for how long it waited for other jobs
      */
-    public double latestUsefulCompletionSeconds(JobSpec spec, double readyAfterS) {
-        double most = Double.NaN;
+    public double latestUsefulCompletionSeconds(JobSpec spec, double readyAfterSeconds) {
+        double latest = Double.NaN;
         for (Objective objective : objectives) {
-            if (!objective.jobClass.equals(spec.jobClass())) {
-                continue;
+            if (objective.isAbout(spec.jobClass())) {
+                OptionalDouble deadline = objective.completionDeadline(spec, readyAfterSeconds);
+                if (deadline.isPresent()) {
+                    latest =
+                            Double.isNaN(latest)
+                                    ? deadline.getAsDouble()
+                                    : Math.max(latest, deadline.getAsDouble());
+                }
             }
-            double within =
-                    objective.kind.equals("finished")
-                            ? readyAfterS + objective.withinSeconds
-                            : objective.kind.equals("deadline") && spec.deadlineSeconds() != null
-                                    ? spec.deadlineSeconds() * objective.deadlineFactor
-                                    : Double.NaN;
-            most = Double.isNaN(most) || within > most ? within : most;
         }
-        return Double.isNaN(most) && spec.deadlineSeconds() != null ? spec.deadlineSeconds() : most;
+        return Double.isNaN(latest) && spec.deadlineSeconds() != null
+                ? spec.deadlineSeconds()
+                : latest;
     }
 
     /**
-     * The shortest time within which the class's jobs are expected to finish; {@code absent} if
-     * nothing is said.
+     * The shortest time in seconds within which the class's jobs are expected to finish; {@code
+     * absent} if nothing is said.
      */
     public double shortestFinishObjectiveSeconds(String jobClass, double absent) {
         return objectives.stream()
-                .filter(
-                        objective ->
-                                objective.kind.equals("finished")
-                                        && objective.jobClass.equals(jobClass))
+                .filter(objective -> objective.isOfKind(Objective.FINISHED))
+                .filter(objective -> objective.isAbout(jobClass))
                 .mapToDouble(Objective::withinSeconds)
                 .min()
                 .orElse(absent);
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -3,24 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeSet;
 
 /**
  * A job as it is kept in the state service.
  *
- * <p>Earlier versions read these records too, and take no notice of fields that they do not know. A
- * record that would mean something else without those (the job waits for others; its parts are laid
- * out another way) has a shape that they can't read: they say so in their log and place nothing of
- * it, but accept, show and cancel it as any other job. Guards against a node of an earlier version
- * that comes back and starts a job before those that it needs, or reads a part's key as other tasks
+ * <p>Earlier versions read these records too, and ignore fields that they do not know. A record
+ * that would mean something else without those (the job waits for others; its parts are laid out
+ * another way) has a shape that they can't read: they log an error and place nothing of it, but
+ * accept, show and cancel it as any other job. Guards against a node of an earlier version that
+ * comes back and starts a job before those that it depends on, or reads a part's key as other tasks
  * and starts them twice.
  *
- * @param submittedMillis by the time of day of the node that accepted it
- * @param dependencies jobs that have to be done before any task of this one starts
+ * @param submittedMillis milliseconds since 1970, by the clock of the node that accepted it
+ * @param dependencies ids of the jobs that have to be done before any task of this one starts
  * @param tasksPerPart how many tasks one of its parts holds; 0: as {@link
  *     ClusterSettings#tasksPerPart} says
- * @param nextAttempt the number of its next attempt, at least; 0 if its parts say all
+ * @param nextAttempt its next attempt gets at least this number; 0 if its parts say all
  */
 public record JobRecord(
         JobSpec spec,
@@ -28,62 +27,63 @@
         List<String> dependencies,
         int tasksPerPart,
         long nextAttempt) {
-    /** After a shape's name, where earlier versions must not read the record. */
+    /** Follows the name of a shape where earlier versions must not read the record. */
     private static final String NEWER_SHAPE_SUFFIX = "/2";
 
+    /** Names of a job that is over are cut to this many characters if its record is too large. */
+    private static final int TRIMMED_NAME_LENGTH = 40;
+
     public JobRecord {
         dependencies = List.copyOf(dependencies);
     }
 
+    /** The stored form; see {@link #fromRecord}. */
     public Map<String, Object> toRecord() {
-        Map<String, Object> m = spec.toRecord();
+        Map<String, Object> fields = spec.toRecord();
         if (!dependencies.isEmpty() || tasksPerPart > 0) {
-            m.put("shape", spec.shape().name() + NEWER_SHAPE_SUFFIX);
+            fields.put("shape", spec.shape().name() + NEWER_SHAPE_SUFFIX);
         }
         if (!dependencies.isEmpty()) {
-            m.put("needs", dependencies);
+            fields.put("needs", dependencies);
         }
         if (tasksPerPart > 0) {
-            m.put("partTasks", (long) tasksPerPart);
+            fields.put("partTasks", (long) tasksPerPart);
         }
         if (nextAttempt > 0) {
-            m.put("next", nextAttempt);
+            fields.put("next", nextAttempt);
         }
-        m.put("submittedMs", submittedMillis);
-        return m;
+        fields.put("submittedMs", submittedMillis);
+        return fields;
     }
 
-    /** Of a name that may be cut. */
-    private static final int TRIMMED_NAME_LENGTH = 40;
-
     /**
-     * What is kept of a job that is over: what it waited for does not matter any more, and where
-     * its record was accepted when records could be larger, what only says where it might have run
-     * is left out.
+     * The stored form of a job that is over: without what it waited for, which does not matter any
+     * more. A record that was accepted when values could be larger is cut: it loses what only says
+     * where the job might have run.
      *
-     * @param extra what is said besides
+     * @param outcome how the job ended, added to its fields
+     * @param maxBytes how large the record may be
      */
-    public Map<String, Object> toFinishedRecord(Map<String, Object> extra, int bytes) {
-        Map<String, Object> m =
+    public Map<String, Object> toFinishedRecord(Map<String, Object> outcome, int maxBytes) {
+        Map<String, Object> fields =
                 new JobRecord(spec, submittedMillis, List.of(), tasksPerPart, 0).toRecord();
-        m.putAll(extra);
-        if (JsonSize.sizeInBytes(m) > bytes) {
-            m.put("types", null);
-            for (String name : List.of("class", "image")) {
-                String s = (String) m.get(name);
-                m.put(name, s.substring(0, Math.min(TRIMMED_NAME_LENGTH, s.length())));
+        fields.putAll(outcome);
+        if (JsonSize.sizeInBytes(fields) > maxBytes) {
+            fields.put("types", null);
+            for (String field : List.of("class", "image")) {
+                String name = (String) fields.get(field);
+                fields.put(field, name.substring(0, Math.min(TRIMMED_NAME_LENGTH, name.length())));
             }
         }
-        return m;
+        return fields;
     }
 
     /**
-     * A submission's needs: each once, in their order by name, so that two records of one
+     * A submission's dependencies: each once, in the order of their ids, so that two records of one
      * submission are equal.
      */
-    public static List<String> distinctSorted(List<String> needs) {
-        Set<String> once = new TreeSet<>(needs);
-        return new ArrayList<>(once);
+    public static List<String> distinctSorted(List<String> dependencies) {
+        return new ArrayList<>(new TreeSet<>(dependencies));
     }
 
     /**
@@ -104,10 +104,11 @@
                 document.has("next") ? document.count("next") : 0);
     }
 
-    static JobSpec.Shape parseShape(String name) {
+    /** The shape that a record names, whichever versions may read it. */
+    static JobSpec.Shape parseShape(String text) {
         return JobSpec.Shape.valueOf(
-                name.endsWith(NEWER_SHAPE_SUFFIX)
-                        ? name.substring(0, name.length() - NEWER_SHAPE_SUFFIX.length())
-                        : name);
+                text.endsWith(NEWER_SHAPE_SUFFIX)
+                        ? text.substring(0, text.length() - NEWER_SHAPE_SUFFIX.length())
+                        : text);
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -6,7 +6,28 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A job as its user described it. */
+/**
+ * A job as its user described it. Amounts are those of one task.
+ *
+ * @param id the user's name for the job, such as {@code j-000412}; unique for ever
+ * @param jobClass what service-level objectives and statistics go by
+ * @param team whose quota and guarantee it runs under
+ * @param shape which of its tasks run together
+ * @param taskCount its tasks are numbered from 0
+ * @param memoryGigabytesPerTask main memory
+ * @param machineTypes names of the machine types that are allowed, or null for all
+ * @param zone the only zone that is allowed, or null for all
+ * @param isSingleZone whether all its tasks have to be in one zone at a time
+ * @param isSpreadAcrossZones whether at most half of its tasks, rounded up, may be in one zone
+ * @param allowsSpot whether it may run on spot instances
+ * @param image name of the container image that a machine has to fetch first
+ * @param imageGigabytes its size
+ * @param estimatedSeconds the user's estimate of a task's run time without fetching the image; 0
+ *     for services
+ * @param checkpointIntervalSeconds how often a task saves its progress; 0 if it never does
+ * @param checkpointSaveSeconds how long it takes a stopped task to save its progress
+ * @param deadlineSeconds by when after its submission the job is to be done, or null
+ */
 public record JobSpec(
         String id,
         String jobClass,
@@ -29,13 +50,20 @@
         double checkpointSaveSeconds,
         Double deadlineSeconds) {
 
+    /** How far sums of decimal numbers may be apart from the exact ones. */
+    private static final double ROUNDING = 1e-9;
+
+    /** Which of a job's tasks run together. The names are part of stored records. */
     public enum Shape {
+        /** Independent tasks; each runs once, in any order. */
         ARRAY,
+        /** All tasks run at the same time, and stop together. */
         GANG,
+        /** Replicas that run until the job is cancelled. */
         SERVICE
     }
 
-    /** Highest first. */
+    /** Highest first. The names are part of stored records. */
     public enum Priority {
         PRODUCTION,
         HIGH,
@@ -43,6 +71,12 @@
         LOW
     }
 
+    /** Starts the description of a job; see {@link JobSpecBuilder}. */
+    public static JobSpecBuilder builder(String id) {
+        return new JobSpecBuilder(id);
+    }
+
+    /** Whether all tasks have to run at the same time. */
     public boolean isGang() {
         return shape == Shape.GANG;
     }
@@ -59,75 +93,85 @@
 
     /** The form that is kept in the state service, as a part of {@link JobRecord}. */
     public Map<String, Object> toRecord() {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("class", jobClass);
-        m.put("team", team);
-        m.put("shape", shape.name());
-        m.put("priority", priority.name());
-        m.put("tasks", (long) taskCount);
-        m.put("cpus", cpusPerTask);
-        m.put("gpus", gpusPerTask);
-        m.put("memory", memoryGigabytesPerTask);
-        m.put("types", machineTypes);
-        m.put("zone", zone);
-        m.put("oneZone", isSingleZone);
-        m.put("spread", isSpreadAcrossZones);
-        m.put("spot", allowsSpot);
-        m.put("image", image);
-        m.put("imageGb", imageGigabytes);
-        m.put("estimate", estimatedSeconds);
-        m.put("checkpoint", checkpointIntervalSeconds);
-        m.put("save", checkpointSaveSeconds);
-        m.put("deadline", deadlineSeconds);
-        return m;
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("class", jobClass);
+        fields.put("team", team);
+        fields.put("shape", shape.name());
+        fields.put("priority", priority.name());
+        fields.put("tasks", (long) taskCount);
+        fields.put("cpus", cpusPerTask);
+        fields.put("gpus", gpusPerTask);
+        fields.put("memory", memoryGigabytesPerTask);
+        fields.put("types", machineTypes);
+        fields.put("zone", zone);
+        fields.put("oneZone", isSingleZone);
+        fields.put("spread", isSpreadAcrossZones);
+        fields.put("spot", allowsSpot);
+        fields.put("image", image);
+        fields.put("imageGb", imageGigabytes);
+        fields.put("estimate", estimatedSeconds);
+        fields.put("checkpoint", checkpointIntervalSeconds);
+        fields.put("save", checkpointSaveSeconds);
+        fields.put("deadline", deadlineSeconds);
+        return fields;
     }
 
+    /**
+     * Reads what {@link #toRecord} made, in any version.
+     *
+     * @throws InvalidInputException if a field is missing or of the wrong kind
+     * @throws IllegalArgumentException if shape or priority have names that this version does not
+     *     know
+     */
     public static JobSpec fromRecord(String id, Object record) {
         DocumentReader document = DocumentReader.of(record);
-        return new JobSpec(
-                id,
-                document.text("class"),
-                document.text("team"),
-                JobRecord.parseShape(document.text("shape")),
-                Priority.valueOf(document.text("priority")),
-                (int) document.integer("tasks", 1, Integer.MAX_VALUE),
-                document.number("cpus", 0),
-                document.number("gpus", 0),
-                document.number("memory", 0),
-                document.has("types") ? document.texts("types") : null,
-                document.textOr("zone", null),
-                document.flag("oneZone"),
-                document.flag("spread"),
-                document.flag("spot"),
-                document.text("image"),
-                document.number("imageGb", 0),
-                document.number("estimate", 0),
-                document.number("checkpoint", 0),
-                document.number("save", 0),
-                document.has("deadline") ? document.number("deadline", 0) : null);
+        return builder(id)
+                .jobClass(document.text("class"))
+                .team(document.text("team"))
+                .shape(JobRecord.parseShape(document.text("shape")))
+                .priority(Priority.valueOf(document.text("priority")))
+                .taskCount((int) document.integer("tasks", 1, Integer.MAX_VALUE))
+                .cpusPerTask(document.number("cpus", 0))
+                .gpusPerTask(document.number("gpus", 0))
+                .memoryGigabytesPerTask(document.number("memory", 0))
+                .machineTypes(document.has("types") ? document.texts("types") : null)
+                .zone(document.textOr("zone", null))
+                .singleZone(document.flag("oneZone"))
+                .spreadAcrossZones(document.flag("spread"))
+                .allowSpot(document.flag("spot"))
+                .image(document.text("image"))
+                .imageGigabytes(document.number("imageGb", 0))
+                .estimatedSeconds(document.number("estimate", 0))
+                .checkpointIntervalSeconds(document.number("checkpoint", 0))
+                .checkpointSaveSeconds(document.number("save", 0))
+                .deadlineSeconds(document.has("deadline") ? document.number("deadline", 0) : null)
+                .build();
     }
 
     /**
      * Why the job can never run with these machine types and limits, or null if it can.
      *
-     * @param elsewhere zones of other cells, where all types may be had
+     * @param knownTypes machine types by name
+     * @param otherCellsZones zones of other cells, where all types may be had
      */
     public String reasonImpossible(
-            Map<String, MachineType> known, ClusterSettings settings, Set<String> elsewhere) {
-        ClusterSettings.Team t = settings.teams().get(team);
-        if (t == null) {
+            Map<String, MachineType> knownTypes,
+            ClusterSettings settings,
+            Set<String> otherCellsZones) {
+        ClusterSettings.Team quota = settings.teams().get(team);
+        if (quota == null) {
             return "unknown team " + team;
         }
-        Set<String> zones = feasibleZones(known, elsewhere);
+        Set<String> zones = feasibleZones(knownTypes, otherCellsZones);
         if (zones.isEmpty()) {
             return "a task fits no allowed machine type";
         }
-        int atOnce = shape == Shape.ARRAY ? 1 : taskCount;
-        if (t.maxCpus() > 0 && atOnce * cpusPerTask > t.maxCpus() + 1e-9
-                || t.maxGpus() > 0 && atOnce * gpusPerTask > t.maxGpus() + 1e-9) {
+        int tasksAtOnce = shape == Shape.ARRAY ? 1 : taskCount;
+        if (isAbove(tasksAtOnce * cpusPerTask, quota.maxCpus())
+                || isAbove(tasksAtOnce * gpusPerTask, quota.maxGpus())) {
             return "more than the limit of team " + team;
         }
-        // An array runs by halves, but the others need all their tasks at the same time.
+        // An array may run half by half, but the others need all their tasks at the same time.
         if (shape != Shape.ARRAY
                 && isSpreadAcrossZones
                 && taskCount > 1
@@ -137,18 +181,23 @@
         return null;
     }
 
+    private static boolean isAbove(double amount, double limit) {
+        return limit > 0 && amount > limit + ROUNDING;
+    }
+
     /** Allowed zones in which there may be machines that hold a task. */
-    private Set<String> feasibleZones(Map<String, MachineType> known, Set<String> elsewhere) {
-        Set<String> out = new HashSet<>();
-        known.values().stream()
+    private Set<String> feasibleZones(
+            Map<String, MachineType> knownTypes, Set<String> otherCellsZones) {
+        Set<String> zones = new HashSet<>();
+        knownTypes.values().stream()
                 .filter(this::fitsOn)
                 .forEach(
                         type -> {
-                            out.addAll(type.zones());
-                            out.addAll(elsewhere);
+                            zones.addAll(type.zones());
+                            zones.addAll(otherCellsZones);
                         });
-        out.removeIf(z -> zone != null && !zone.equals(z));
-        return out;
+        zones.removeIf(candidate -> zone != null && !zone.equals(candidate));
+        return zones;
     }
 
     private boolean fitsOn(MachineType type) {
--- /dev/null
+++ b/src/main/java/io/kitepath/core/model/JobSpecBuilder.java
@@ -0,0 +1,158 @@
+package io.kitepath.core.model;
+
+import java.util.List;
+
+/**
+ * Describes a {@link JobSpec} by name, where twenty arguments in a row would be mistaken for each
+ * other. What is not said is 0, false or null, which for most of it is not a job that runs: whoever
+ * uses this says all that its source has. The methods are named after the record's components.
+ */
+public final class JobSpecBuilder {
+    private final String id;
+    private String jobClass;
+    private String team;
+    private JobSpec.Shape shape;
+    private JobSpec.Priority priority;
+    private int taskCount;
+    private double cpusPerTask;
+    private double gpusPerTask;
+    private double memoryGigabytesPerTask;
+    private List<String> machineTypes;
+    private String zone;
+    private boolean singleZone;
+    private boolean spreadAcrossZones;
+    private boolean allowsSpot;
+    private String image;
+    private double imageGigabytes;
+    private double estimatedSeconds;
+    private double checkpointIntervalSeconds;
+    private double checkpointSaveSeconds;
+    private Double deadlineSeconds;
+
+    JobSpecBuilder(String id) {
+        this.id = id;
+    }
+
+    public JobSpecBuilder jobClass(String jobClass) {
+        this.jobClass = jobClass;
+        return this;
+    }
+
+    public JobSpecBuilder team(String team) {
+        this.team = team;
+        return this;
+    }
+
+    public JobSpecBuilder shape(JobSpec.Shape shape) {
+        this.shape = shape;
+        return this;
+    }
+
+    public JobSpecBuilder priority(JobSpec.Priority priority) {
+        this.priority = priority;
+        return this;
+    }
+
+    public JobSpecBuilder taskCount(int taskCount) {
+        this.taskCount = taskCount;
+        return this;
+    }
+
+    public JobSpecBuilder cpusPerTask(double cpusPerTask) {
+        this.cpusPerTask = cpusPerTask;
+        return this;
+    }
+
+    public JobSpecBuilder gpusPerTask(double gpusPerTask) {
+        this.gpusPerTask = gpusPerTask;
+        return this;
+    }
+
+    public JobSpecBuilder memoryGigabytesPerTask(double memoryGigabytesPerTask) {
+        this.memoryGigabytesPerTask = memoryGigabytesPerTask;
+        return this;
+    }
+
+    /** The machine types that are allowed; null, as at first, for all. */
+    public JobSpecBuilder machineTypes(List<String> machineTypes) {
+        this.machineTypes = machineTypes;
+        return this;
+    }
+
+    /** The only zone that is allowed; null, as at first, for all. */
+    public JobSpecBuilder zone(String zone) {
+        this.zone = zone;
+        return this;
+    }
+
+    public JobSpecBuilder singleZone(boolean singleZone) {
+        this.singleZone = singleZone;
+        return this;
+    }
+
+    public JobSpecBuilder spreadAcrossZones(boolean spreadAcrossZones) {
+        this.spreadAcrossZones = spreadAcrossZones;
+        return this;
+    }
+
+    public JobSpecBuilder allowSpot(boolean allowsSpot) {
+        this.allowsSpot = allowsSpot;
+        return this;
+    }
+
+    public JobSpecBuilder image(String image) {
+        this.image = image;
+        return this;
+    }
+
+    public JobSpecBuilder imageGigabytes(double imageGigabytes) {
+        this.imageGigabytes = imageGigabytes;
+        return this;
+    }
+
+    public JobSpecBuilder estimatedSeconds(double estimatedSeconds) {
+        this.estimatedSeconds = estimatedSeconds;
+        return this;
+    }
+
+    public JobSpecBuilder checkpointIntervalSeconds(double checkpointIntervalSeconds) {
+        this.checkpointIntervalSeconds = checkpointIntervalSeconds;
+        return this;
+    }
+
+    public JobSpecBuilder checkpointSaveSeconds(double checkpointSaveSeconds) {
+        this.checkpointSaveSeconds = checkpointSaveSeconds;
+        return this;
+    }
+
+    /** By when it is to be done after its submission; null, as at first, for no deadline. */
+    public JobSpecBuilder deadlineSeconds(Double deadlineSeconds) {
+        this.deadlineSeconds = deadlineSeconds;
+        return this;
+    }
+
+    /** The job as described so far. */
+    public JobSpec build() {
+        return new JobSpec(
+                id,
+                jobClass,
+                team,
+                shape,
+                priority,
+                taskCount,
+                cpusPerTask,
+                gpusPerTask,
+                memoryGigabytesPerTask,
+                machineTypes,
+                zone,
+                singleZone,
+                spreadAcrossZones,
+                allowsSpot,
+                image,
+                imageGigabytes,
+                estimatedSeconds,
+                checkpointIntervalSeconds,
+                checkpointSaveSeconds,
+                deadlineSeconds);
+    }
+}
--- a/src/main/java/io/kitepath/core/model/JsonSize.java
+++ b/src/main/java/io/kitepath/core/model/JsonSize.java
@@ -14,47 +14,54 @@
     /** A character outside ASCII as an escape. */
     private static final int ESCAPE_BYTES = 6;
 
+    /** Brackets, braces or quotes. */
+    private static final int DELIMITER_BYTES = 2;
+
+    /** A comma or colon and a space. */
+    private static final int SEPARATOR_BYTES = 2;
+
     private JsonSize() {}
 
     /** In bytes, of plain maps, lists, text, numbers, booleans and null. */
     public static int sizeInBytes(Object value) {
-        if (value instanceof String s) {
-            return sizeInBytes(s);
+        if (value instanceof String text) {
+            return textSize(text);
         }
         if (value instanceof Map<?, ?> map) {
-            int n = 2;
-            for (Map.Entry<?, ?> e : map.entrySet()) {
-                n += sizeInBytes((String) e.getKey()) + 4 + sizeInBytes(e.getValue());
+            int bytes = DELIMITER_BYTES;
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                bytes += textSize((String) entry.getKey()) + SEPARATOR_BYTES;
+                bytes += sizeInBytes(entry.getValue()) + SEPARATOR_BYTES;
             }
-            return n;
+            return bytes;
         }
         if (value instanceof List<?> list) {
-            int n = 2;
-            for (Object o : list) {
-                n += sizeInBytes(o) + 2;
+            int bytes = DELIMITER_BYTES;
+            for (Object item : list) {
+                bytes += sizeInBytes(item) + SEPARATOR_BYTES;
             }
-            return n;
+            return bytes;
         }
         return value instanceof Double || value instanceof Float
                 ? MAX_DOUBLE_BYTES
                 : String.valueOf(value).length();
     }
 
-    private static int sizeInBytes(String s) {
-        int n = 2;
-        for (int i = 0; i < s.length(); i++) {
-            char c = s.charAt(i);
-            n += c == '"' || c == '\\' ? 2 : c < 0x20 || c > 0x7e ? ESCAPE_BYTES : 1;
+    private static int textSize(String text) {
+        int bytes = DELIMITER_BYTES;
+        for (int i = 0; i < text.length(); i++) {
+            char c = text.charAt(i);
+            bytes += c == '"' || c == '\\' ? 2 : c < 0x20 || c > 0x7e ? ESCAPE_BYTES : 1;
         }
-        return n;
+        return bytes;
     }
 
-    /** Of a number of zero or more without a fraction. */
-    public static int digits(long n) {
-        int d = 1;
-        for (long left = n; left >= 10; left /= 10) {
-            d++;
+    /** How many digits a number without a fraction has; it must not be negative. */
+    public static int digits(long number) {
+        int digits = 1;
+        for (long rest = number; rest >= 10; rest /= 10) {
+            digits++;
         }
-        return d;
+        return digits;
     }
 }
--- a/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
+++ b/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
@@ -6,10 +6,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Seconds that the event loop spent, by what it did. On a sliver of a core that is what runs out
- * first, and nobody can tell from outside what took it.
+ * Seconds that the event loop spent, by activity. On a small share of a core this time runs out
+ * first, and nobody can tell from outside what took it. For use on the event loop only.
  */
 public final class LoopTimeAccounting {
+    /** What the event loop does. The names are part of metrics' names. */
     public enum Activity {
         PLACING,
         GIVING_WAY,
@@ -29,27 +30,32 @@
         this.clock = clock;
     }
 
+    /** Seconds on the steady clock. */
     public double now() {
         return clock.getAsDouble();
     }
 
-    /** What was begun then has ended now. */
-    public void record(Activity what, double begun) {
-        seconds.merge(what, now() - begun, Double::sum);
+    /** Adds the time from {@code startedAt}, on the steady clock, until now to the activity. */
+    public void record(Activity activity, double startedAt) {
+        seconds.merge(activity, now() - startedAt, Double::sum);
     }
 
-    public double seconds(Activity what) {
-        return seconds.getOrDefault(what, 0.0);
+    /** Seconds spent on the activity since this process was started. */
+    public double seconds(Activity activity) {
+        return seconds.getOrDefault(activity, 0.0);
     }
 
+    /**
+     * All activities with their seconds, for the log: {@code " placing=1.2 giving_way=0.0 ..."}.
+     */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        for (Activity o : Activity.values()) {
+        for (Activity activity : Activity.values()) {
             text.append(' ')
-                    .append(o.name().toLowerCase(Locale.ROOT))
+                    .append(activity.name().toLowerCase(Locale.ROOT))
                     .append('=')
-                    .append(String.format("%.1f", seconds(o)));
+                    .append(String.format("%.1f", seconds(activity)));
         }
         return text.toString();
     }
--- a/src/main/java/io/kitepath/core/model/MachineType.java
+++ b/src/main/java/io/kitepath/core/model/MachineType.java
@@ -4,6 +4,17 @@
 import java.util.List;
 import java.util.Map;
 
+/**
+ * A type of machine that the cloud rents out.
+ *
+ * @param memoryGigabytes main memory
+ * @param cacheGigabytes local space for container images
+ * @param fetchGigabytesPerSecond how fast it fetches images, more or less
+ * @param pricePerHour on demand
+ * @param spotPricePerHour now, as a spot instance
+ * @param bootSeconds from the rental until the worker reports, more or less
+ * @param zones where it is offered
+ */
 public record MachineType(
         String name,
         double cpus,
@@ -16,21 +27,27 @@
         double bootSeconds,
         List<String> zones) {
 
+    /** The form that is kept in the state service; see {@link #fromRecord}. */
     public Map<String, Object> toRecord() {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("name", name);
-        m.put("cpus", cpus);
-        m.put("gpus", gpus);
-        m.put("memory", memoryGigabytes);
-        m.put("cache", cacheGigabytes);
-        m.put("fetch", fetchGigabytesPerSecond);
-        m.put("price", pricePerHour);
-        m.put("spotPrice", spotPricePerHour);
-        m.put("boot", bootSeconds);
-        m.put("zones", zones);
-        return m;
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("name", name);
+        fields.put("cpus", cpus);
+        fields.put("gpus", gpus);
+        fields.put("memory", memoryGigabytes);
+        fields.put("cache", cacheGigabytes);
+        fields.put("fetch", fetchGigabytesPerSecond);
+        fields.put("price", pricePerHour);
+        fields.put("spotPrice", spotPricePerHour);
+        fields.put("boot", bootSeconds);
+        fields.put("zones", zones);
+        return fields;
     }
 
+    /**
+     * Reads what {@link #toRecord} made.
+     *
+     * @throws InvalidInputException if a field is missing or of the wrong kind
+     */
     public static MachineType fromRecord(DocumentReader document) {
         return new MachineType(
                 document.text("name"),
--- a/src/main/java/io/kitepath/core/model/Metric.java
+++ b/src/main/java/io/kitepath/core/model/Metric.java
@@ -3,18 +3,20 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One of a node's figures for operators.
+ * One of a node's metrics for operators.
  *
- * @param counter whether it only ever grows
- * @param description what it counts, in its unit
+ * @param counter whether it only ever grows; otherwise it is a gauge
+ * @param description what it measures, in its unit
  * @param value read when asked for, on the event loop
  */
 public record Metric(boolean counter, String description, DoubleSupplier value) {
-    public static Metric counter(String meaning, DoubleSupplier value) {
-        return new Metric(true, meaning, value);
+    /** A metric that only ever grows while the process runs. */
+    public static Metric counter(String description, DoubleSupplier value) {
+        return new Metric(true, description, value);
     }
 
-    public static Metric gauge(String meaning, DoubleSupplier value) {
-        return new Metric(false, meaning, value);
+    /** A metric that may rise and fall. */
+    public static Metric gauge(String description, DoubleSupplier value) {
+        return new Metric(false, description, value);
     }
 }
--- a/src/main/java/io/kitepath/core/model/TokenBucket.java
+++ b/src/main/java/io/kitepath/core/model/TokenBucket.java
@@ -1,16 +1,21 @@
 package io.kitepath.core.model;
 
-/** A token bucket with one second's burst, as the outside services count. */
+/**
+ * A token bucket that holds one second's tokens, as the rate limits of state service and cloud
+ * count. Times are seconds on the steady clock. Not safe for use by several threads.
+ */
 public final class TokenBucket {
     private final double ratePerSecond;
     private double tokens;
     private double updatedAtSeconds = Double.NaN;
 
-    public TokenBucket(double perSecond) {
-        this.ratePerSecond = perSecond;
-        this.tokens = perSecond;
+    /** A full bucket that is filled at that rate. */
+    public TokenBucket(double ratePerSecond) {
+        this.ratePerSecond = ratePerSecond;
+        this.tokens = ratePerSecond;
     }
 
+    /** The tokens in the bucket at that time. */
     public double available(double now) {
         if (!Double.isNaN(updatedAtSeconds)) {
             tokens = Math.min(ratePerSecond, tokens + (now - updatedAtSeconds) * ratePerSecond);
@@ -19,16 +24,17 @@
         return tokens;
     }
 
-    public boolean tryTake(double n, double now) {
-        if (available(now) < n) {
+    /** Takes that many tokens if they are there; none and false otherwise. */
+    public boolean tryTake(double wanted, double now) {
+        if (available(now) < wanted) {
             return false;
         }
-        tokens -= n;
+        tokens -= wanted;
         return true;
     }
 
-    /** In how many seconds that many will be there, if nobody else takes any. */
-    public double secondsUntil(double n, double now) {
-        return Math.max(0, (n - available(now)) / ratePerSecond);
+    /** In how many seconds that many tokens will be there, if nobody else takes any. */
+    public double secondsUntil(double wanted, double now) {
+        return Math.max(0, (wanted - available(now)) / ratePerSecond);
     }
 }
--- a/src/main/java/io/kitepath/core/port/Cloud.java
+++ b/src/main/java/io/kitepath/core/port/Cloud.java
@@ -4,9 +4,16 @@
 import io.kitepath.core.model.MachineType;
 import java.util.List;
 import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 
-/** Rents machines by the second. */
+/** The cloud, which rents out machines by the second. Answers come later, on the event loop. */
 public interface Cloud {
+    /**
+     * A machine in the cloud's list.
+     *
+     * @param status as the cloud names it: {@code starting}, {@code running} ...
+     * @param heldSeconds its age since the rental was requested
+     */
     record ListedMachine(
             String machineId,
             String machineType,
@@ -15,11 +22,14 @@
             String status,
             double heldSeconds) {}
 
+    /** Asks for the types that are offered, with their prices of now. */
     void listMachineTypes(BiConsumer<Store.Outcome, List<MachineType>> answer);
 
     /**
-     * NO: no capacity. The same name must be used again after an unknown outcome, and never for
-     * anything else.
+     * Rents machines; answers with their ids. REJECTED: no capacity.
+     *
+     * @param name makes the request idempotent: it must be used again after an unknown outcome, and
+     *     never for anything else
      */
     void rent(
             String name,
@@ -27,8 +37,9 @@
             int count,
             BiConsumer<Store.Outcome, List<String>> answer);
 
-    /** OK: the machines and everything on them are gone. */
-    void release(List<String> machines, java.util.function.Consumer<Store.Outcome> answer);
+    /** Ends rentals. OK: the machines and everything on them are gone. */
+    void release(List<String> machines, Consumer<Store.Outcome> answer);
 
+    /** Asks for all machines that are rented. The list may be old; see the settings. */
     void listMachines(BiConsumer<Store.Outcome, List<ListedMachine>> answer);
 }
--- a/src/main/java/io/kitepath/core/port/DirectCommands.java
+++ b/src/main/java/io/kitepath/core/port/DirectCommands.java
@@ -6,19 +6,22 @@
 import java.util.function.Consumer;
 
 /**
- * Commands sent straight to a worker, without waiting for its next report. They may run late, so
- * only such go this way as are right whenever they run: to stop an attempt that is to end in any
- * case.
+ * Commands sent straight to a worker, without waiting for its next heartbeat. They may be executed
+ * late, so only commands that are right at any time go this way: to stop an attempt that has to end
+ * in any case.
  */
 public interface DirectCommands {
     /**
-     * The answer is the worker's report after the commands, or null if none came or nothing was
-     * executed.
+     * Sends commands to one incarnation of a worker's agent.
+     *
+     * @param address the worker's, from its heartbeat
+     * @param answer gets the worker's report after the commands, or null if none came or nothing
+     *     was executed; on the event loop
      */
     void send(
             String address,
-            long token,
-            long session,
-            List<WorkerCommand> orders,
+            long fencingToken,
+            long agentIncarnation,
+            List<WorkerCommand> commands,
             Consumer<Heartbeat> answer);
 }
--- a/src/main/java/io/kitepath/core/port/PeerNodes.java
+++ b/src/main/java/io/kitepath/core/port/PeerNodes.java
@@ -8,33 +8,38 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What nodes tell and ask each other. */
+/**
+ * The other controller nodes of the cell. What is sent to all of them may be lost; answers come on
+ * the event loop.
+ */
 public interface PeerNodes {
     /**
-     * To all: this node's view.
+     * Tells all peers this node's view of the cell.
      *
-     * @param token the highest token it knows
+     * @param fencingToken the highest that it knows
      * @param leader itself if it leads, else null
-     * @param served whether the store answers it
+     * @param servedByStore whether the store answers it
      */
-    void announceState(long token, String leader, boolean served);
+    void announceState(long fencingToken, String leader, boolean servedByStore);
 
-    /** To all: the store has it that this job is over. */
+    /** Tells all peers that the store has recorded a job's end. */
     void announceJobEnd(JobStatus job);
 
-    /** To all that can read it: what this node knows to be cancelled. */
+    /** Tells the cancellations that this node knows to all peers whose version can read that. */
     void sendCancellationDigest(CancellationDigest digest);
 
-    /** Asks the leader how far jobs are; answers an empty list if that can't be had soon. */
-    void requestProgress(String leader, List<String> jobs, Consumer<List<JobProgress>> answer);
+    /** Asks the leader how far jobs are; answers an empty list if it does not answer in time. */
+    void requestProgress(String leader, List<String> jobIds, Consumer<List<JobProgress>> answer);
 
     /**
-     * Has a sibling answer a check-in, or pass it on to the leader if it may; false if it can't be
-     * asked now.
+     * Has a peer answer a heartbeat.
+     *
+     * @param mayPassOn whether the peer may pass it on to the leader
+     * @return false if the peer can't be asked now; there is no answer then
      */
     boolean relayHeartbeat(
-            String sibling,
+            String peer,
             Heartbeat heartbeat,
-            boolean passOn,
+            boolean mayPassOn,
             Consumer<HeartbeatResponse> answer);
 }
--- a/src/main/java/io/kitepath/core/port/package-info.java
+++ b/src/main/java/io/kitepath/core/port/package-info.java
@@ -1,7 +1,9 @@
 /**
- * What the core asks of the world outside: a store, a cloud, workers, siblings, time. It knows the
- * words of {@code model} only. Whoever implements it answers every question at most once, later, on
- * the event loop, and never says more than it knows: an outcome that may have happened is {@code
- * UNKNOWN}.
+ * The ports of the core: what it asks of the world outside (state service, cloud, workers, peer
+ * nodes, other cells, time). They use the types of {@code core.model} only.
+ *
+ * <p>An implementation answers every request at most once, later and on the event loop, and never
+ * claims more than it knows: what may have happened is {@code UNKNOWN}. The core calls from the
+ * event loop only.
  */
 package io.kitepath.core.port;
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/MarginTest.java
@@ -3,63 +3,65 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /**
- * The sum that keeps the rule on cancellations: one that the holder does not know of was confirmed
- * after the moment until which it knows all; the last answer goes a margin after that moment at
- * most, and keeps tasks for a lease.
+ * The sum that keeps the rule on cancellations: one that the leader does not know of was confirmed
+ * after the moment until which it knows all; the last answer is given within the allowed staleness
+ * after that moment, and keeps tasks for a lease.
  */
 class MarginTest {
     private static final double DRIFT = 0.0005;
-    private static final double CLOCK_ERROR_S = 0.005;
+    private static final double CLOCK_ERROR_SECONDS = 0.005;
 
     /** When a task of a cancelled job is gone at the latest, in seconds after a user was told. */
-    private static double worst(ClusterSettings.WorkerTimings workers) {
-        // An attempt that was found by report is named by the next proof only.
-        double proof = workers.cancellationStalenessSeconds() / 8 * 1.25;
-        return proof
-                + workers.cancellationStalenessSeconds() * (1 + DRIFT)
-                + 4 * CLOCK_ERROR_S
+    private static double latestTaskEndSeconds(ClusterSettings.WorkerTimings workers) {
+        double staleness = workers.cancellationStalenessSeconds();
+        // An attempt that was found by a heartbeat is named by the next proof only.
+        double nextProof = staleness / 8 * 1.25;
+        return nextProof
+                + staleness * (1 + DRIFT)
+                + 4 * CLOCK_ERROR_SECONDS
                 + workers.leaseSeconds() * (1 + DRIFT);
     }
 
-    private static ClusterSettings.WorkerTimings of(double reportS, double leaseS, double cancelS) {
-        return new ClusterSettings.WorkerTimings(reportS, leaseS, 30, 5, cancelS);
+    private static ClusterSettings.WorkerTimings timings(
+            double heartbeatIntervalSeconds, double leaseSeconds, double cancelDeadlineSeconds) {
+        return new ClusterSettings.WorkerTimings(
+                heartbeatIntervalSeconds, leaseSeconds, 30, 5, cancelDeadlineSeconds);
     }
 
     @Test
-    void tasksAreGoneInTimeWithTheFiguresOfAllKindsOfDeployments() {
-        for (double[] f :
-                new double[][] {
-                    {1.5, 10, 30},
-                    {3, 30, 60},
-                    {4, 30, 60},
-                    {4, 22, 42},
-                    {1, 5, 10},
-                    {2, 8, 60},
-                    {10, 30, 90},
-                    {0.5, 3, 6}
-                }) {
-            ClusterSettings.WorkerTimings workers = of(f[0], f[1], f[2]);
+    void tasksAreGoneInTimeWithTheTimingsOfAllKindsOfDeployments() {
+        for (ClusterSettings.WorkerTimings workers :
+                List.of(
+                        timings(1.5, 10, 30),
+                        timings(3, 30, 60),
+                        timings(4, 30, 60),
+                        timings(4, 22, 42),
+                        timings(1, 5, 10),
+                        timings(2, 8, 60),
+                        timings(10, 30, 90),
+                        timings(0.5, 3, 6))) {
             assertTrue(
-                    worst(workers) < workers.cancelDeadlineSeconds(),
-                    f[0] + " " + f[1] + " " + f[2] + ": " + worst(workers));
+                    latestTaskEndSeconds(workers) < workers.cancelDeadlineSeconds(),
+                    workers + ": " + latestTaskEndSeconds(workers));
             assertTrue(
                     workers.cancellationStalenessSeconds() >= workers.heartbeatIntervalSeconds());
         }
     }
 
     @Test
-    void theRuleHoldsWhereverALeaseAndThreeReportsFitIntoIt() {
-        for (double report = 0.5; report <= 10; report += 0.5) {
-            for (double lease = 2 * report; lease <= 120; lease += 1.5) {
+    void tasksAreGoneInTimeWhereverALeaseAndThreeHeartbeatsFitIntoTheDeadline() {
+        for (double interval = 0.5; interval <= 10; interval += 0.5) {
+            for (double lease = 2 * interval; lease <= 120; lease += 1.5) {
                 // Drift of leases of minutes takes its part of the second that is left.
                 ClusterSettings.WorkerTimings workers =
-                        of(report, lease, lease + 3 * report + 1 + lease * DRIFT);
+                        timings(interval, lease, lease + 3 * interval + 1 + lease * DRIFT);
                 assertTrue(
-                        worst(workers) < workers.cancelDeadlineSeconds(),
-                        workers + ": " + worst(workers));
+                        latestTaskEndSeconds(workers) < workers.cancelDeadlineSeconds(),
+                        workers + ": " + latestTaskEndSeconds(workers));
             }
         }
     }
@@ -69,8 +71,8 @@
      * is not given up for it.
      */
     @Test
-    void whereCancelSIsShorterThanTheLeaseOnlyAReportIntervalIsLeft() {
-        assertEquals(2, of(2, 30, 20).cancellationStalenessSeconds());
-        assertEquals(2, of(2, 30, 32).cancellationStalenessSeconds());
+    void stalenessIsOneHeartbeatIntervalWhereTheDeadlineIsHardlyLongerThanTheLease() {
+        assertEquals(2, timings(2, 30, 20).cancellationStalenessSeconds());
+        assertEquals(2, timings(2, 30, 32).cancellationStalenessSeconds());
     }
 }
