--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -3,6 +3,7 @@
 import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.settings.CellsFile;
+import io.kitepath.settings.JsonCodec;
 import io.kitepath.settings.SettingsFile;
 import io.kitepath.wire.MessagePackCodec;
 import java.net.URI;
@@ -204,7 +205,7 @@
         public Integer call() throws Exception {
             Object job;
             try {
-                job = SettingsFile.parseJson(Files.readAllBytes(file));
+                job = JsonCodec.parseJson(Files.readAllBytes(file));
             } catch (java.io.IOException | InvalidInputException e) {
                 System.err.println("kitepath: " + file + ": " + e.getMessage());
                 return 2;
--- a/src/main/java/io/kitepath/cli/LocalCommand.java
+++ b/src/main/java/io/kitepath/cli/LocalCommand.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.settings.SettingsFile;
+import io.kitepath.settings.JsonCodec;
 import io.kitepath.simulation.LoopbackEmulator;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.wire.MessagePackCodec;
@@ -121,7 +121,7 @@
             List<InetSocketAddress> services = outside.start();
             for (int i = 0; i < count; i++) {
                 Path file = dir.resolve("node-" + i + ".json");
-                Files.write(file, SettingsFile.toJson(settings(i, internal, services, cluster)));
+                Files.write(file, JsonCodec.toJson(settings(i, internal, services, cluster)));
                 settings.put("node-" + i, file);
                 start("node-" + i);
             }
@@ -137,7 +137,7 @@
                     text(services.get(0)),
                     dir);
             Path job = dir.resolve("first-job.json");
-            Files.write(job, SettingsFile.toJson(job("j-000001", 4)));
+            Files.write(job, JsonCodec.toJson(job("j-000001", 4)));
             System.out.println("a first job, and how to hand it in and look at it:");
             System.out.println("  kitepath submit --node " + text(listens.get(0)) + " " + job);
             System.out.println("  kitepath status --node " + text(listens.get(0)) + " j-000001");
--- a/src/main/java/io/kitepath/cli/RehearseCommand.java
+++ b/src/main/java/io/kitepath/cli/RehearseCommand.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.settings.SettingsFile;
+import io.kitepath.settings.JsonCodec;
 import io.kitepath.simulation.Rehearsal;
 import io.kitepath.simulation.Rehearsal.Fault;
 import io.kitepath.simulation.Rehearsal.Plan;
@@ -137,7 +137,7 @@
             throw new InvalidInputException(f + ": can't be read, and is no builtin plan");
         }
         try {
-            DocumentReader t = DocumentReader.of(SettingsFile.parseJson(bytes));
+            DocumentReader t = DocumentReader.of(JsonCodec.parseJson(bytes));
             List<Fault> faults = new ArrayList<>();
             int n = (int) t.integer("cells", 1, 100);
             for (DocumentReader x : t.children("faults")) {
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -15,89 +15,98 @@
 /**
  * The file that names the cells, checked on its own and against a node's settings.
  *
- * @param addresses by cell and node, of all cells but this one
+ * @param directory the cells, the node's own among them
+ * @param addresses by cell and node, of all cells but the node's own
  */
 public record CellsFile(
         CellDirectory directory, Map<String, Map<String, InetSocketAddress>> addresses) {
-    /**
-     * Less than any task takes: the part of a limit of a cell that has none of it, where 0 would
-     * mean no limit.
-     */
-    private static final double SMALLEST_LIMIT = 1e-9;
-
-    /** How far parts of a whole may add up to more because they are decimal numbers. */
-    private static final double SUM_TOLERANCE = 1e-6;
-
-    /** Complains with a {@link InvalidInputException} that names file, field and reason. */
+    /** Reads a file; an {@link InvalidInputException} names file, field and reason. */
     public static CellsFile read(Path file, ClusterSettings settings) {
-        byte[] bytes = SettingsFile.readBytes(file);
-        try {
-            return parse(bytes, settings);
-        } catch (InvalidInputException invalid) {
-            throw new InvalidInputException(file + ": " + invalid.getMessage());
-        }
+        return InputFile.read(file, json -> parse(json, settings));
     }
 
-    /** Complains with a {@link InvalidInputException} that names field and reason. */
+    /** Reads a file's content; an {@link InvalidInputException} names field and reason. */
     static CellsFile parse(byte[] json, ClusterSettings settings) {
-        DocumentReader t = DocumentReader.of(SettingsFile.parseJson(json));
-        long version = t.integer("version", 1, Long.MAX_VALUE);
-        Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
-        Map<String, Map<String, InetSocketAddress>> addresses = new HashMap<>();
-        Map<String, String> zoneOf = new HashMap<>();
-        Set<String> nodes = new HashSet<>();
-        String own = null;
-        for (DocumentReader c : t.children("cells")) {
-            String name = cellName(c);
-            if (cells.containsKey(name)) {
-                throw c.invalid("name", "there are two cells \"" + name + "\"");
+        return new Parser(settings).parse(DocumentReader.of(JsonCodec.parseJson(json)));
+    }
+
+    /** Gathers the cells of one file, and checks each against those before it. */
+    private static final class Parser {
+        private final ClusterSettings settings;
+        private final Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
+        private final Map<String, Map<String, InetSocketAddress>> otherCellsAddresses =
+                new HashMap<>();
+        private final Map<String, String> cellByZone = new HashMap<>();
+        private final Set<String> nodes = new HashSet<>();
+        private String ownCellName;
+
+        Parser(ClusterSettings settings) {
+            this.settings = settings;
+        }
+
+        CellsFile parse(DocumentReader document) {
+            long version = document.integer("version", 1, Long.MAX_VALUE);
+            for (DocumentReader cell : document.children("cells")) {
+                addCell(cell);
             }
-            for (String z : c.texts("zones")) {
-                String other = zoneOf.put(z, name);
-                if (other != null) {
-                    throw c.invalid(
-                            "zones", "\"" + z + "\" is a zone of cell \"" + other + "\" too");
-                }
+            if (ownCellName == null) {
+                throw document.invalid(
+                        "cells", "no cell has this node, \"" + settings.node() + "\"");
+            }
+            if (cells.values().stream().noneMatch(CellDirectory.Cell::isHome)) {
+                throw document.invalid("cells", "none is a home");
+            }
+            CellDirectory directory = new CellDirectory(version, ownCellName, cells);
+            checkOwnCell(document, directory, settings);
+            CellQuotas.checkSums(document, directory, settings);
+            return new CellsFile(directory, otherCellsAddresses);
+        }
+
+        private void addCell(DocumentReader document) {
+            String name = cellName(document);
+            if (cells.containsKey(name)) {
+                throw document.invalid("name", "there are two cells \"" + name + "\"");
             }
-            Map<String, String> of = new LinkedHashMap<>();
-            Map<String, InetSocketAddress> at = new LinkedHashMap<>();
-            for (DocumentReader n : c.children("nodes")) {
-                String label = n.text("label");
+            addZones(document, name);
+            Map<String, String> addressTexts = new LinkedHashMap<>();
+            Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
+            for (DocumentReader node : document.children("nodes")) {
+                String label = node.text("label");
                 if (!nodes.add(label)) {
-                    throw n.invalid("label", "there are two nodes \"" + label + "\"");
+                    throw node.invalid("label", "there are two nodes \"" + label + "\"");
                 }
-                at.put(label, SettingsFile.parseAddress(n, "addr"));
-                of.put(label, n.text("addr"));
+                addresses.put(label, InputFile.address(node, "addr"));
+                addressTexts.put(label, node.text("addr"));
             }
-            if (of.isEmpty()) {
-                throw c.invalid("nodes", "must name at least one node");
+            if (addresses.isEmpty()) {
+                throw document.invalid("nodes", "must name at least one node");
             }
-            if (of.containsKey(settings.node())) {
-                own = name;
+            if (addresses.containsKey(settings.node())) {
+                ownCellName = name;
             } else {
-                addresses.put(name, at);
+                otherCellsAddresses.put(name, addresses);
             }
-            boolean home = !c.has("home") || c.flag("home");
+            boolean isHome = !document.has("home") || document.flag("home");
             cells.put(
                     name,
                     new CellDirectory.Cell(
                             name,
-                            home,
-                            c.has("drained") && c.flag("drained"),
-                            c.texts("zones"),
-                            of,
-                            cellTeams(c, settings)));
-        }
-        if (own == null) {
-            throw t.invalid("cells", "no cell has this node, \"" + settings.node() + "\"");
+                            isHome,
+                            document.has("drained") && document.flag("drained"),
+                            document.texts("zones"),
+                            addressTexts,
+                            CellQuotas.parse(document, settings)));
         }
-        if (cells.values().stream().noneMatch(CellDirectory.Cell::isHome)) {
-            throw t.invalid("cells", "none is a home");
+
+        private void addZones(DocumentReader document, String cellName) {
+            for (String zone : document.texts("zones")) {
+                String other = cellByZone.put(zone, cellName);
+                if (other != null) {
+                    throw document.invalid(
+                            "zones", "\"" + zone + "\" is a zone of cell \"" + other + "\" too");
+                }
+            }
         }
-        CellDirectory directory = new CellDirectory(version, own, cells);
-        checkOwnCell(t, directory, settings);
-        checkTeamSums(t, directory, settings);
-        return new CellsFile(directory, addresses);
     }
 
     /** A cell's name is a part of keys and messages. */
@@ -110,103 +119,31 @@
         return name;
     }
 
-    /**
-     * The cell's part of each team's limits; a team that is not named has an equal part of none.
-     */
-    private static Map<String, ClusterSettings.Team> cellTeams(
-            DocumentReader c, ClusterSettings settings) {
-        Map<String, DocumentReader> named = new HashMap<>();
-        if (c.has("teams")) {
-            for (DocumentReader x : c.children("teams")) {
-                if (!settings.teams().containsKey(x.text("name"))) {
-                    throw x.invalid("name", "the settings have no team \"" + x.text("name") + "\"");
-                }
-                named.put(x.text("name"), x);
-            }
-        }
-        Map<String, ClusterSettings.Team> out = new LinkedHashMap<>();
-        for (ClusterSettings.Team whole : settings.teams().values()) {
-            DocumentReader x = named.get(whole.name());
-            out.put(
-                    whole.name(),
-                    new ClusterSettings.Team(
-                            whole.name(),
-                            x == null ? 0 : x.numberOr("cpus", 0, 0),
-                            cellLimit(x, "cpus_max", whole.maxCpus()),
-                            x == null ? 0 : x.numberOr("gpus", 0, 0),
-                            cellLimit(x, "gpus_max", whole.maxGpus())));
-        }
-        return out;
-    }
-
-    private static double cellLimit(DocumentReader document, String field, double whole) {
-        double part = document == null ? 0 : document.numberOr(field, 0, 0);
-        if (whole == 0) {
-            if (part > 0) {
-                throw document.invalid(field, "the settings limit this team to nothing there");
-            }
-            return 0;
-        }
-        return part > 0 ? part : SMALLEST_LIMIT;
-    }
-
     private static void checkOwnCell(
             DocumentReader document, CellDirectory directory, ClusterSettings settings) {
-        Set<String> mine = new HashSet<>(settings.siblings());
-        mine.add(settings.node());
-        if (!directory.ownCell().nodes().keySet().equals(mine)) {
+        CellDirectory.Cell ownCell = directory.ownCell();
+        Set<String> settingsNodes = new HashSet<>(settings.siblings());
+        settingsNodes.add(settings.node());
+        if (!ownCell.nodes().keySet().equals(settingsNodes)) {
             throw document.invalid(
                     "cells",
                     "cell \""
                             + directory.ownCellName()
                             + "\" has the nodes "
-                            + directory.ownCell().nodes().keySet()
+                            + ownCell.nodes().keySet()
                             + ", the settings have "
-                            + mine);
+                            + settingsNodes);
         }
-        for (String z : settings.zones()) {
-            if (!directory.ownCell().zones().contains(z)) {
+        for (String zone : settings.zones()) {
+            if (!ownCell.zones().contains(zone)) {
                 throw document.invalid(
                         "cells",
                         "cell \""
                                 + directory.ownCellName()
                                 + "\" lacks the settings' zone \""
-                                + z
+                                + zone
                                 + "\"");
             }
         }
     }
-
-    /** Parts that add up to more than the whole would be a limit that nobody keeps. */
-    private static void checkTeamSums(
-            DocumentReader document, CellDirectory directory, ClusterSettings settings) {
-        for (ClusterSettings.Team whole : settings.teams().values()) {
-            double[] sum = new double[4];
-            for (CellDirectory.Cell cell : directory.cells().values()) {
-                ClusterSettings.Team part = cell.teams().get(whole.name());
-                sum[0] += part.guaranteedCpus();
-                sum[1] += part.maxCpus();
-                sum[2] += part.guaranteedGpus();
-                sum[3] += part.maxGpus();
-            }
-            double[] of = {
-                whole.guaranteedCpus(), whole.maxCpus(), whole.guaranteedGpus(), whole.maxGpus()
-            };
-            String[] names = {"cpus", "cpus_max", "gpus", "gpus_max"};
-            for (int i = 0; i < sum.length; i++) {
-                if (sum[i] > of[i] + SUM_TOLERANCE) {
-                    throw document.invalid(
-                            "cells",
-                            "the parts of \""
-                                    + names[i]
-                                    + "\" of team \""
-                                    + whole.name()
-                                    + "\" add up to "
-                                    + Math.round(sum[i] * 1000) / 1000.0
-                                    + ", the settings have "
-                                    + of[i]);
-                }
-            }
-        }
-    }
 }
--- /dev/null
+++ b/src/main/java/io/kitepath/settings/JsonCodec.java
@@ -0,0 +1,129 @@
+package io.kitepath.settings;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.core.JsonToken;
+import io.kitepath.core.model.InvalidInputException;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** JSON documents to and from plain maps, lists, text, numbers, booleans and null. */
+public final class JsonCodec {
+    private static final JsonFactory FACTORY = new JsonFactory();
+
+    private JsonCodec() {}
+
+    /** The value as an indented JSON document; what is none of the plain types becomes text. */
+    public static byte[] toJson(Object value) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        try (JsonGenerator generator = FACTORY.createGenerator(bytes)) {
+            generator.useDefaultPrettyPrinter();
+            write(generator, value);
+        } catch (IOException e) {
+            // A buffer in memory never fails.
+            throw new IllegalStateException(e);
+        }
+        return bytes.toByteArray();
+    }
+
+    private static void write(JsonGenerator generator, Object value) throws IOException {
+        if (value instanceof Map<?, ?> map) {
+            generator.writeStartObject();
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                generator.writeFieldName((String) entry.getKey());
+                write(generator, entry.getValue());
+            }
+            generator.writeEndObject();
+        } else if (value instanceof List<?> list) {
+            generator.writeStartArray();
+            for (Object item : list) {
+                write(generator, item);
+            }
+            generator.writeEndArray();
+        } else if (value instanceof Integer number) {
+            generator.writeNumber(number);
+        } else if (value instanceof Long number) {
+            generator.writeNumber(number);
+        } else if (value instanceof Double number) {
+            generator.writeNumber(number);
+        } else if (value instanceof Boolean flag) {
+            generator.writeBoolean(flag);
+        } else if (value == null) {
+            generator.writeNull();
+        } else {
+            generator.writeString(value.toString());
+        }
+    }
+
+    /**
+     * The value of a JSON document; integers as {@link Long}, or as {@link Double} beyond 63 bits,
+     * and maps in the order of the document.
+     *
+     * @throws InvalidInputException if it is not exactly one JSON value
+     */
+    public static Object parseJson(byte[] json) {
+        try (JsonParser parser = FACTORY.createParser(json)) {
+            if (parser.nextToken() == null) {
+                throw new InvalidInputException("is empty");
+            }
+            Object value = read(parser);
+            if (parser.nextToken() != null) {
+                throw new InvalidInputException("has more than one value");
+            }
+            return value;
+        } catch (JsonProcessingException e) {
+            throw new InvalidInputException(
+                    "not JSON: "
+                            + e.getOriginalMessage()
+                            + ", line "
+                            + (e.getLocation() == null ? "?" : e.getLocation().getLineNr()));
+        } catch (IOException e) {
+            throw new InvalidInputException("not JSON: " + e.getMessage());
+        }
+    }
+
+    private static Object read(JsonParser parser) throws IOException {
+        return switch (parser.currentToken()) {
+            case START_OBJECT -> readMap(parser);
+            case START_ARRAY -> readList(parser);
+            case VALUE_NUMBER_INT -> readInteger(parser);
+            case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
+            case VALUE_NULL -> null;
+            default -> parser.getText();
+        };
+    }
+
+    private static Map<String, Object> readMap(JsonParser parser) throws IOException {
+        Map<String, Object> map = new LinkedHashMap<>();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            map.put(name, read(parser));
+        }
+        return map;
+    }
+
+    private static List<Object> readList(JsonParser parser) throws IOException {
+        List<Object> list = new ArrayList<>();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            list.add(read(parser));
+        }
+        return list;
+    }
+
+    private static Object readInteger(JsonParser parser) throws IOException {
+        try {
+            return parser.getLongValue();
+        } catch (JsonProcessingException tooLarge) {
+            return parser.getDoubleValue();
+        }
+    }
+}
--- a/src/test/java/io/kitepath/settings/CellsFileTest.java
+++ b/src/test/java/io/kitepath/settings/CellsFileTest.java
@@ -41,32 +41,33 @@
                     new ClusterSettings.ProcessLimits(1, 200, 1000),
                     5);
 
-    private CellsFile read(String text) {
+    private CellsFile parse(String text) {
         return CellsFile.parse(text.getBytes(StandardCharsets.UTF_8), settings);
     }
 
+    /** What is said of the good file with one text replaced. */
     private String complaint(String from, String to) {
         assertTrue(GOOD.contains(from), from);
-        return assertThrows(InvalidInputException.class, () -> read(GOOD.replace(from, to)))
+        return assertThrows(InvalidInputException.class, () -> parse(GOOD.replace(from, to)))
                 .getMessage();
     }
 
     @Test
-    void aGoodFileNamesTheCellOfItsNodeAndItsPart() {
-        CellsFile f = read(GOOD);
-        assertEquals("east", f.directory().ownCellName());
-        assertEquals("east west", f.directory().homeCellNames());
-        assertEquals(30, f.directory().ownCell().teams().get("t").maxCpus());
-        assertEquals(
-                0, f.directory().ownCell().teams().get("free").maxCpus(), "no limit stays none");
-        // A cell without a part of a limit may run nothing of that team, which 0 would not say.
-        assertTrue(f.directory().cells().get("spare").teams().get("t").maxCpus() > 0);
-        assertEquals(8081, f.addresses().get("west").get("w0").getPort());
-        assertEquals(2, f.addresses().size());
+    void goodFileNamesTheNodesOwnCellAndItsPartOfTheQuotas() {
+        CellsFile file = parse(GOOD);
+        CellDirectory directory = file.directory();
+        assertEquals("east", directory.ownCellName());
+        assertEquals("east west", directory.homeCellNames());
+        assertEquals(30, directory.ownCell().teams().get("t").maxCpus());
+        assertEquals(0, directory.ownCell().teams().get("free").maxCpus(), "no limit stays none");
+        // A cell without a part of a quota may run nothing of that team, which 0 would not say.
+        assertTrue(directory.cells().get("spare").teams().get("t").maxCpus() > 0);
+        assertEquals(8081, file.addresses().get("west").get("w0").getPort());
+        assertEquals(2, file.addresses().size());
     }
 
     @Test
-    void whatIsWrongIsNamed() {
+    void wrongFieldOfACellIsNamed() {
         assertTrue(complaint("\"version\":3,", "").contains("version: is missing"));
         assertTrue(
                 complaint("\"west\"", "\"east\"").contains("cells[1].name: there are two cells"));
@@ -76,6 +77,10 @@
         assertTrue(
                 complaint("127.0.0.3:8081", "west:8081")
                         .contains("cells[1].nodes[0].addr: must be an address"));
+    }
+
+    @Test
+    void contradictionToTheSettingsIsNamed() {
         assertTrue(complaint("\"e1\"", "\"e2\"").contains("no cell has this node"));
         assertTrue(complaint("\"e0\"", "\"e9\"").contains("the settings have"));
         assertTrue(
@@ -89,22 +94,25 @@
     }
 
     @Test
-    void homesAreSpreadEvenlyAndStayWhenRoomIsAdded() {
-        CellDirectory directory = read(GOOD).directory();
-        Map<String, Integer> at = new TreeMap<>();
+    void homesAreSpreadEvenlyAndStayWhenACellWithoutHomesIsAdded() {
+        CellDirectory directory = parse(GOOD).directory();
+        Map<String, Integer> jobsByHome = new TreeMap<>();
         for (int i = 0; i < 2000; i++) {
-            at.merge(directory.homeCellOf(String.format("j-%06d", i)), 1, Integer::sum);
+            jobsByHome.merge(directory.homeCellOf(String.format("j-%06d", i)), 1, Integer::sum);
         }
-        assertEquals(2, at.size());
-        assertTrue(at.get("east") > 900 && at.get("west") > 900, at.toString());
-        CellDirectory more =
-                read(GOOD.replace(
-                                "{\"name\":\"spare\"",
-                                "{\"name\":\"more\",\"home\":false,\"zones\":[\"e\"],\"nodes\":[{\"label\":\"m0\","
-                                        + "\"addr\":\"127.0.0.5:8081\"}]},{\"name\":\"spare\""))
+        assertEquals(2, jobsByHome.size());
+        assertTrue(
+                jobsByHome.get("east") > 900 && jobsByHome.get("west") > 900,
+                jobsByHome.toString());
+        CellDirectory larger =
+                parse(
+                                GOOD.replace(
+                                        "{\"name\":\"spare\"",
+                                        "{\"name\":\"more\",\"home\":false,\"zones\":[\"e\"],\"nodes\":[{\"label\":\"m0\","
+                                                + "\"addr\":\"127.0.0.5:8081\"}]},{\"name\":\"spare\""))
                         .directory();
         for (int i = 0; i < 100; i++) {
-            assertEquals(directory.homeCellOf("j-" + i), more.homeCellOf("j-" + i));
+            assertEquals(directory.homeCellOf("j-" + i), larger.homeCellOf("j-" + i));
         }
     }
 }
--- a/src/test/java/io/kitepath/settings/SettingsTest.java
+++ b/src/test/java/io/kitepath/settings/SettingsFileTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class SettingsTest {
+class SettingsFileTest {
     private static final String GOOD =
             """
             {"label":"kite-0","domain":"a","listen":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081","new_field":1,
@@ -24,30 +24,31 @@
               "limits":{"cpu":0.255,"ram_mb":205.0,"sockets":1000},"clock_error_ms":5.0}}
             """;
 
-    @TempDir Path dir;
+    @TempDir Path directory;
 
     private SettingsFile read(String text) throws IOException {
-        Path f = dir.resolve("settings.json");
-        Files.writeString(f, text);
-        return SettingsFile.read(f);
+        Path file = directory.resolve("settings.json");
+        Files.writeString(file, text);
+        return SettingsFile.read(file);
     }
 
+    /** What is said of a file with that content. */
     private String complaint(String text) {
         return assertThrows(InvalidInputException.class, () -> read(text)).getMessage();
     }
 
     @Test
-    void aGoodFileIsReadAndUnknownFieldsAreIgnored() throws IOException {
-        SettingsFile s = read(GOOD);
-        assertEquals("kite-0", s.settings().node());
-        assertEquals(8, s.settings().teams().get("t").maxCpus());
-        assertEquals(150, s.settings().shortestFinishObjectiveSeconds("c", 1));
-        assertEquals(256, s.settings().tasksPerPart());
-        assertEquals(8081, s.siblingAddresses().get("kite-1").getPort());
+    void goodFileIsReadAndUnknownFieldsAreIgnored() throws IOException {
+        SettingsFile file = read(GOOD);
+        assertEquals("kite-0", file.settings().node());
+        assertEquals(8, file.settings().teams().get("t").maxCpus());
+        assertEquals(150, file.settings().shortestFinishObjectiveSeconds("c", 1));
+        assertEquals(256, file.settings().tasksPerPart());
+        assertEquals(8081, file.siblingAddresses().get("kite-1").getPort());
     }
 
     @Test
-    void whatIsWrongIsNamedWithItsFile() {
+    void wrongFieldIsNamedWithItsFile() {
         assertTrue(
                 complaint(GOOD.replace("\"lease_s\":10.0,", ""))
                         .endsWith("settings.json: facts.workers.lease_s: is missing"));
@@ -60,12 +61,20 @@
         assertTrue(
                 complaint(GOOD.replace("\"zones\":[\"a\",\"b\"]", "\"zones\":\"a\""))
                         .contains("facts.zones: must be a list"));
+    }
+
+    @Test
+    void fileThatIsNotJsonIsRefused() {
         assertTrue(complaint("{\"label\":").contains("not JSON"));
         assertTrue(complaint("").contains("is empty"));
+    }
+
+    @Test
+    void missingFileIsNamed() {
         assertTrue(
                 assertThrows(
                                 InvalidInputException.class,
-                                () -> SettingsFile.read(dir.resolve("none")))
+                                () -> SettingsFile.read(directory.resolve("none")))
                         .getMessage()
                         .endsWith("none: no such file"));
     }
--- a/src/test/java/io/kitepath/wire/WireTest.java
+++ b/src/test/java/io/kitepath/wire/WireTest.java
@@ -11,7 +11,7 @@
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.core.port.Store;
-import io.kitepath.settings.SettingsFile;
+import io.kitepath.settings.JsonCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -31,7 +31,7 @@
              "expectS":240.0,"markEveryS":30.0,"markCostS":4.0,"dueS":900.0}""";
 
     private static Object json(String text) {
-        return SettingsFile.parseJson(text.getBytes(StandardCharsets.UTF_8));
+        return JsonCodec.parseJson(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** As it would arrive. */
