--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -6,8 +6,9 @@
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.net.HttpClient;
+import io.kitepath.wire.CloudCodec;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -51,7 +52,7 @@
                 timeoutMs,
                 (status, body) -> {
                     List<MachineType> types =
-                            status == 200 ? read(body, ProtocolCodec::decodeMachineTypes) : null;
+                            status == 200 ? read(body, CloudCodec::decodeMachineTypes) : null;
                     answer.accept(
                             types != null ? Outcome.OK : failed(status),
                             types == null ? List.of() : types);
@@ -64,11 +65,11 @@
         http.call(
                 "POST",
                 "/rentals",
-                ProtocolCodec.encodeRental(name, kind, count),
+                CloudCodec.encodeRental(name, kind, count),
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        List<String> names = read(body, ProtocolCodec::decodeMachineIds);
+                        List<String> names = read(body, CloudCodec::decodeMachineIds);
                         answer.accept(
                                 names != null ? Outcome.OK : Outcome.UNKNOWN,
                                 names == null ? List.of() : names);
@@ -91,7 +92,7 @@
         http.call(
                 "POST",
                 "/rentals/release",
-                ProtocolCodec.encodeMachineIds(machines),
+                CloudCodec.encodeMachineIds(machines),
                 timeoutMs,
                 (status, body) -> answer.accept(status == 200 ? Outcome.OK : failed(status)));
     }
@@ -112,14 +113,13 @@
                 timeoutMs,
                 (status, body) -> {
                     List<ListedMachine> page =
-                            status == 200 ? read(body, ProtocolCodec::decodeListedMachines) : null;
+                            status == 200 ? read(body, CloudCodec::decodeListedMachines) : null;
                     if (page == null) {
                         answer.accept(status == 200 ? Outcome.UNKNOWN : failed(status), List.of());
                         return;
                     }
                     read.addAll(page);
-                    if (ProtocolCodec.isTruncated(MessagePackCodec.decode(body))
-                            && !page.isEmpty()) {
+                    if (SharedCodec.isTruncated(MessagePackCodec.decode(body)) && !page.isEmpty()) {
                         page(page.get(page.size() - 1).machineId(), read, answer);
                     } else {
                         answer.accept(Outcome.OK, read);
--- a/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
+++ b/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
@@ -11,9 +11,11 @@
 import io.kitepath.net.HttpServer;
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
+import io.kitepath.wire.CloudCodec;
 import io.kitepath.wire.EmulatorCodec;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
+import io.kitepath.wire.StoreCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.socket.ServerSocketChannel;
@@ -115,7 +117,7 @@
                             try {
                                 handler.handle(request, out);
                             } catch (InvalidInputException invalid) {
-                                out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
+                                out.reply(400, SharedCodec.encodeError(invalid.getMessage()));
                             }
                         },
                         MAX_BODY,
@@ -163,7 +165,7 @@
                     EmulatorCodec.encodeHeartbeat(
                             heartbeat == null ? worker.currentHeartbeat() : heartbeat));
         } catch (InvalidInputException invalid) {
-            out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
+            out.reply(400, SharedCodec.encodeError(invalid.getMessage()));
         }
     }
 
@@ -238,7 +240,7 @@
             store.revokeLease(Long.parseLong(path.split("/")[2]));
             out.reply(200, null);
         } else {
-            out.reply(400, ProtocolCodec.encodeError("no such call"));
+            out.reply(400, SharedCodec.encodeError("no such call"));
         }
     }
 
@@ -249,9 +251,9 @@
                     out.reply(
                             result.isLeaseExpired() ? 400 : 409,
                             result.isLeaseExpired()
-                                    ? ProtocolCodec.encodeError(ProtocolCodec.NO_SUCH_LEASE)
+                                    ? SharedCodec.encodeError(StoreCodec.NO_SUCH_LEASE)
                                     : EmulatorCodec.encodeCommitResult(result));
-            case INVALID -> out.reply(400, ProtocolCodec.encodeError("over the limits"));
+            case INVALID -> out.reply(400, SharedCodec.encodeError("over the limits"));
             default -> replyFailure(result.outcome(), out);
         }
     }
@@ -277,7 +279,7 @@
                     (outcome, types) -> out.reply(200, EmulatorCodec.encodeMachineTypes(types)));
         } else if (request.path().equals("/rentals/release")) {
             cloud.release(
-                    ProtocolCodec.decodeMachineIds(MessagePackCodec.decode(request.body())),
+                    CloudCodec.decodeMachineIds(MessagePackCodec.decode(request.body())),
                     outcome -> answer(outcome, MessagePackCodec.encode(Map.of()), out));
         } else if (request.path().equals("/rentals") && request.method().equals("POST")) {
             EmulatorCodec.RentalRequest q =
@@ -286,8 +288,7 @@
                     q.name(),
                     new MachineKind(q.machineType(), q.zone(), q.spot()),
                     q.count(),
-                    (outcome, names) ->
-                            answer(outcome, ProtocolCodec.encodeMachineIds(names), out));
+                    (outcome, names) -> answer(outcome, CloudCodec.encodeMachineIds(names), out));
         } else if (request.path().equals("/rentals")) {
             String from = query(request, "from", "");
             int limit = (int) number(request, "limit", 500);
@@ -305,15 +306,15 @@
                                 out);
                     });
         } else {
-            out.reply(400, ProtocolCodec.encodeError("no such call"));
+            out.reply(400, SharedCodec.encodeError("no such call"));
         }
     }
 
     private static void answer(Outcome outcome, byte[] body, Responder out) {
         switch (outcome) {
             case OK -> out.reply(200, body);
-            case REJECTED -> out.reply(503, ProtocolCodec.encodeError("no capacity"));
-            default -> out.reply(503, ProtocolCodec.encodeError("trouble"));
+            case REJECTED -> out.reply(503, SharedCodec.encodeError("no capacity"));
+            default -> out.reply(503, SharedCodec.encodeError("trouble"));
         }
     }
 }
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -4,7 +4,8 @@
 import io.kitepath.core.port.Store;
 import io.kitepath.net.HttpClient;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
+import io.kitepath.wire.StoreCodec;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -66,7 +67,7 @@
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        Entry entry = read(status, body, ProtocolCodec::decodeEntry);
+                        Entry entry = read(status, body, StoreCodec::decodeEntry);
                         answer.accept(entry == null ? Outcome.UNKNOWN : Outcome.OK, entry);
                     } else {
                         answer.accept(status == 404 ? Outcome.REJECTED : other(status), null);
@@ -96,9 +97,9 @@
                                             b ->
                                                     new ListResult(
                                                             Outcome.OK,
-                                                            ProtocolCodec.decodeEntries(b),
-                                                            ProtocolCodec.decodeRevision(b),
-                                                            ProtocolCodec.isTruncated(b)))
+                                                            StoreCodec.decodeEntries(b),
+                                                            StoreCodec.decodeRevision(b),
+                                                            SharedCodec.isTruncated(b)))
                                     : null;
                     answer.accept(
                             page != null
@@ -120,17 +121,17 @@
         calls.call(
                 "POST",
                 "/multi",
-                ProtocolCodec.encodeTransaction(transaction),
+                StoreCodec.encodeTransaction(transaction),
                 timeoutMs,
                 (status, body) -> {
                     if (status == 200) {
-                        Long revision = read(status, body, ProtocolCodec::decodeRevision);
+                        Long revision = read(status, body, StoreCodec::decodeRevision);
                         answer.accept(
                                 revision == null
                                         ? new CommitResult(Outcome.UNKNOWN, 0, List.of(), false)
                                         : new CommitResult(Outcome.OK, revision, List.of(), false));
                     } else if (status == 409) {
-                        List<String> failed = read(status, body, ProtocolCodec::decodeFailedKeys);
+                        List<String> failed = read(status, body, StoreCodec::decodeFailedKeys);
                         answer.accept(
                                 new CommitResult(
                                         Outcome.REJECTED,
@@ -138,14 +139,14 @@
                                         failed == null ? List.of() : failed,
                                         false));
                     } else if (status == 400) {
-                        String why = read(status, body, ProtocolCodec::decodeErrorReason);
+                        String why = read(status, body, SharedCodec::decodeErrorReason);
                         LOG.warn(
                                 "state service refused a transaction of {} writes: {}",
                                 transaction.writes().size(),
                                 why);
                         // Only this one says something about the world; anything else is wrong with
                         // what was sent.
-                        boolean lease = ProtocolCodec.NO_SUCH_LEASE.equals(why);
+                        boolean lease = StoreCodec.NO_SUCH_LEASE.equals(why);
                         answer.accept(
                                 new CommitResult(
                                         lease ? Outcome.REJECTED : Outcome.INVALID,
@@ -163,11 +164,10 @@
         renewals.call(
                 "POST",
                 "/holds",
-                ProtocolCodec.encodeLeaseDuration(lifeMs),
+                StoreCodec.encodeLeaseDuration(lifeMs),
                 timeoutMs,
                 (status, body) -> {
-                    Long id =
-                            status == 200 ? read(status, body, ProtocolCodec::decodeLeaseId) : null;
+                    Long id = status == 200 ? read(status, body, StoreCodec::decodeLeaseId) : null;
                     answer.accept(
                             id != null
                                     ? Outcome.OK
@@ -212,8 +212,8 @@
                                             b ->
                                                     new WatchResult(
                                                             Outcome.OK,
-                                                            ProtocolCodec.decodeRevision(b),
-                                                            ProtocolCodec.decodeEvents(b)))
+                                                            StoreCodec.decodeRevision(b),
+                                                            StoreCodec.decodeEvents(b)))
                                     : null;
                     if (changes == null) {
                         changes =
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -8,7 +8,8 @@
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
+import io.kitepath.wire.UserCodec;
 import java.util.List;
 
 /** What users may ask over HTTP. */
@@ -38,7 +39,7 @@
             out.reply(404, null);
         } else if (!request.method().equals(cancel ? "POST" : "GET")) {
             out.reply(405, null);
-        } else if (!ProtocolCodec.isJobId(id)) {
+        } else if (!UserCodec.isJobId(id)) {
             out.reply(404, null);
         } else if (cancel) {
             controller.jobApi().cancel(id, response -> answer(response, true, out));
@@ -52,16 +53,16 @@
         String id;
         try {
             body = MessagePackCodec.decode(bytes);
-            id = ProtocolCodec.decodeSubmittedId(body);
+            id = UserCodec.decodeSubmittedId(body);
         } catch (InvalidInputException invalid) {
-            out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
+            out.reply(400, SharedCodec.encodeError(invalid.getMessage()));
             return;
         }
         String wrong;
         int status;
         try {
-            JobSpec spec = ProtocolCodec.decodeSubmission(body);
-            List<String> needs = ProtocolCodec.decodeDependencies(body);
+            JobSpec spec = UserCodec.decodeSubmission(body);
+            List<String> needs = UserCodec.decodeDependencies(body);
             if (controller.machineTypes().isEmpty()) {
                 known(id, 503, "the machine types are not known yet", out);
                 return;
@@ -102,7 +103,7 @@
                             if (response.verdict() == JobSubmissionService.Verdict.NOT_FOUND) {
                                 out.reply(
                                         status,
-                                        ProtocolCodec.encodeError(why),
+                                        SharedCodec.encodeError(why),
                                         status == 503 ? controller.retryAfterSeconds() : 0);
                             } else {
                                 answer(response, false, out);
@@ -112,17 +113,15 @@
 
     private void answer(JobResponse response, boolean brief, Responder out) {
         switch (response.verdict()) {
-            case CREATED ->
-                    out.reply(201, ProtocolCodec.encodeJobStatus(response.jobStatus(), true));
-            case KNOWN ->
-                    out.reply(200, ProtocolCodec.encodeJobStatus(response.jobStatus(), brief));
-            case REFUSED -> out.reply(422, ProtocolCodec.encodeError(response.reason()));
-            case INVALID -> out.reply(400, ProtocolCodec.encodeError(response.reason()));
-            case NOT_FOUND -> out.reply(404, ProtocolCodec.encodeError("no such job"));
+            case CREATED -> out.reply(201, UserCodec.encodeJobStatus(response.jobStatus(), true));
+            case KNOWN -> out.reply(200, UserCodec.encodeJobStatus(response.jobStatus(), brief));
+            case REFUSED -> out.reply(422, SharedCodec.encodeError(response.reason()));
+            case INVALID -> out.reply(400, SharedCodec.encodeError(response.reason()));
+            case NOT_FOUND -> out.reply(404, SharedCodec.encodeError("no such job"));
             default ->
                     out.reply(
                             503,
-                            ProtocolCodec.encodeError("the state service can't be asked now"),
+                            SharedCodec.encodeError("the state service can't be asked now"),
                             controller.retryAfterSeconds());
         }
     }
--- a/src/main/java/io/kitepath/wire/EmulatorCodec.java
+++ b/src/main/java/io/kitepath/wire/EmulatorCodec.java
@@ -15,14 +15,25 @@
 
 /**
  * The protocol as the other side speaks it: what state service, cloud and workers read and answer.
- * For stand-ins.
+ * For emulators of them. Bodies that do not keep to the protocol are refused by an {@link
+ * InvalidInputException}.
  */
 public final class EmulatorCodec {
-    /** What a node asks the cloud to rent. */
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_MISDIRECTED_REQUEST = 421;
+    private static final int MIN_LEASE_MILLIS = 100;
+    private static final int MAX_LEASE_MILLIS = 600_000;
+    private static final int MAX_MACHINES_PER_RENTAL = 50;
+
+    /**
+     * A node's request for machines.
+     *
+     * @param name makes a repetition of the request idempotent
+     */
     public record RentalRequest(
             String name, String machineType, String zone, boolean spot, int count) {}
 
-    /** Commands for a worker's session. */
+    /** Commands for one incarnation of a worker's agent. */
     public record DirectCommandsRequest(
             long fencingToken, long agentIncarnation, List<WorkerCommand> commands) {}
 
@@ -30,43 +41,51 @@
 
     // ---- state service --------------------------------------------------------------------------
 
+    /** The transaction that a node asks for. */
     public static Store.Transaction decodeTransaction(Object body) {
-        DocumentReader t = DocumentReader.of(body);
-        Store.Transaction out = new Store.Transaction();
-        for (DocumentReader c : t.children("when")) {
-            out.requireRevision(c.text("path"), c.count("stamp"));
+        DocumentReader document = DocumentReader.of(body);
+        Store.Transaction transaction = new Store.Transaction();
+        for (DocumentReader condition : document.children("when")) {
+            transaction.requireRevision(condition.text("path"), condition.count("stamp"));
         }
-        if (t.has("then")) {
-            for (DocumentReader w : t.children("then")) {
-                if (w.has("remove")) {
-                    out.remove(w.text("remove"));
-                } else {
-                    out.put(
-                            w.text("write"),
-                            w.raw("value"),
-                            w.has("tether") ? w.count("tether") : 0);
-                }
+        if (document.has("then")) {
+            for (DocumentReader write : document.children("then")) {
+                decodeWrite(write, transaction);
             }
         }
-        return out;
+        return transaction;
     }
 
+    private static void decodeWrite(DocumentReader document, Store.Transaction transaction) {
+        if (document.has("remove")) {
+            transaction.remove(document.text("remove"));
+        } else {
+            transaction.put(
+                    document.text("write"),
+                    document.raw("value"),
+                    document.has("tether") ? document.count("tether") : 0);
+        }
+    }
+
+    /** The duration of a lease that a node asks for, in milliseconds. */
     public static long decodeLeaseMillis(Object body) {
-        return DocumentReader.of(body).integer("lifeMs", 100, 600_000);
+        return DocumentReader.of(body).integer("lifeMs", MIN_LEASE_MILLIS, MAX_LEASE_MILLIS);
     }
 
+    /** The answer to reading one key. */
     public static byte[] encodeEntry(Store.Entry entry) {
         return MessagePackCodec.encode(entryFields(entry));
     }
 
     private static Map<String, Object> entryFields(Store.Entry entry) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("path", entry.key());
-        m.put("value", entry.value());
-        m.put("stamp", entry.revision());
-        return m;
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("path", entry.key());
+        fields.put("value", entry.value());
+        fields.put("stamp", entry.revision());
+        return fields;
     }
 
+    /** A page of a listing. */
     public static byte[] encodeListing(Store.ListResult listing) {
         return MessagePackCodec.encode(
                 Map.of(
@@ -78,6 +97,7 @@
                         listing.revision()));
     }
 
+    /** The answer to a transaction: executed, or which conditions did not hold. */
     public static byte[] encodeCommitResult(Store.CommitResult result) {
         return MessagePackCodec.encode(
                 result.outcome() == Store.Outcome.OK
@@ -85,45 +105,49 @@
                         : Map.of("failed", result.failedKeys(), "epoch", result.revision()));
     }
 
+    /** The answer to a watch. */
     public static byte[] encodeWatchResult(Store.WatchResult changes) {
         List<Object> events = new ArrayList<>();
         for (Store.Entry entry : changes.events()) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put(entry.value() == null ? "remove" : "write", entry.key());
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put(entry.value() == null ? "remove" : "write", entry.key());
             if (entry.value() != null) {
-                m.put("value", entry.value());
+                fields.put("value", entry.value());
             }
-            m.put("stamp", entry.revision());
-            events.add(m);
+            fields.put("stamp", entry.revision());
+            events.add(fields);
         }
         return MessagePackCodec.encode(Map.of("epoch", changes.revision(), "events", events));
     }
 
-    public static byte[] encodeLease(long id) {
-        return MessagePackCodec.encode(Map.of("tether", id));
+    /** The answer to a request for a lease. */
+    public static byte[] encodeLease(long leaseId) {
+        return MessagePackCodec.encode(Map.of("tether", leaseId));
     }
 
     // ---- cloud ----------------------------------------------------------------------------------
 
+    /** The list of machine types with their prices. */
     public static byte[] encodeMachineTypes(List<MachineType> types) {
-        List<Object> list = new ArrayList<>();
+        List<Object> encoded = new ArrayList<>();
         for (MachineType type : types) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("name", type.name());
-            m.put("vcpus", type.cpus());
-            m.put("cards", type.gpus());
-            m.put("ramGb", type.memoryGigabytes());
-            m.put("localGb", type.cacheGigabytes());
-            m.put("pullGbPerS", type.fetchGigabytesPerSecond());
-            m.put("rate", type.pricePerHour());
-            m.put("spotPrice", type.spotPricePerHour());
-            m.put("readyS", type.bootSeconds());
-            m.put("fields", type.zones());
-            list.add(m);
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("name", type.name());
+            fields.put("vcpus", type.cpus());
+            fields.put("cards", type.gpus());
+            fields.put("ramGb", type.memoryGigabytes());
+            fields.put("localGb", type.cacheGigabytes());
+            fields.put("pullGbPerS", type.fetchGigabytesPerSecond());
+            fields.put("rate", type.pricePerHour());
+            fields.put("spotPrice", type.spotPricePerHour());
+            fields.put("readyS", type.bootSeconds());
+            fields.put("fields", type.zones());
+            encoded.add(fields);
         }
-        return MessagePackCodec.encode(Map.of("frames", list));
+        return MessagePackCodec.encode(Map.of("frames", encoded));
     }
 
+    /** A node's request for machines. */
     public static RentalRequest decodeRental(Object body) {
         DocumentReader document = DocumentReader.of(body);
         return new RentalRequest(
@@ -131,115 +155,98 @@
                 document.text("frame"),
                 document.text("field"),
                 document.flag("loaners"),
-                (int) document.integer("count", 1, 50));
-    }
-
-    public static byte[] encodeMachines(List<Cloud.ListedMachine> list, boolean more) {
-        List<Object> out = new ArrayList<>();
-        for (Cloud.ListedMachine listed : list) {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("nameId", listed.machineId());
-            m.put("addr", "");
-            m.put("frame", listed.machineType());
-            m.put("field", listed.zone());
-            m.put("loaners", listed.spot());
-            m.put("status", listed.status());
-            m.put("heldS", listed.heldSeconds());
-            out.add(m);
+                (int) document.integer("count", 1, MAX_MACHINES_PER_RENTAL));
+    }
+
+    /** A page of the list of rented machines. */
+    public static byte[] encodeMachines(List<Cloud.ListedMachine> machines, boolean hasMore) {
+        List<Object> encoded = new ArrayList<>();
+        for (Cloud.ListedMachine machine : machines) {
+            Map<String, Object> fields = new LinkedHashMap<>();
+            fields.put("nameId", machine.machineId());
+            fields.put("addr", "");
+            fields.put("frame", machine.machineType());
+            fields.put("field", machine.zone());
+            fields.put("loaners", machine.spot());
+            fields.put("status", machine.status());
+            fields.put("heldS", machine.heldSeconds());
+            encoded.add(fields);
         }
-        return MessagePackCodec.encode(Map.of("hosts", out, "truncated", more));
+        return MessagePackCodec.encode(Map.of("hosts", encoded, "truncated", hasMore));
     }
 
     // ---- workers --------------------------------------------------------------------------------
 
+    /** A worker's report of its machine and tasks. */
     public static byte[] encodeHeartbeat(Heartbeat heartbeat) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("host", heartbeat.machineId());
-        m.put("addr", heartbeat.address());
-        m.put("frame", heartbeat.machineType());
-        m.put("field", heartbeat.zone());
-        m.put("loaners", heartbeat.spot());
-        m.put("tenure", heartbeat.agentIncarnation());
-        m.put("tick", heartbeat.sequence());
-        m.put("baton", heartbeat.fencingToken());
-        m.put("recallS", heartbeat.noticeSeconds());
-        List<Object> tasks = new ArrayList<>();
-        for (Heartbeat.TaskStatus status : heartbeat.tasks()) {
-            Map<String, Object> x = new LinkedHashMap<>();
-            x.put("sheet", status.jobId() + "/" + status.task());
-            x.put("try", status.attempt());
-            x.put(
-                    "status",
-                    switch (status.state()) {
-                        case FETCHING_IMAGE -> "pulling";
-                        case WAITING_FOR_GANG -> "waiting";
-                        case SAVING_CHECKPOINT -> "saving";
-                        case ENDED -> "ended";
-                        default -> "running";
-                    });
-            if (status.cause() != null) {
-                x.put(
-                        "cause",
-                        switch (status.cause()) {
-                            case DONE -> "done";
-                            case STOPPED -> "halted";
-                            case GANG_PEER_LOST -> "peers";
-                            case GANG_START_TIMEOUT -> "alone";
-                            case INSUFFICIENT_RESOURCES -> "full";
-                            case OTHER_ATTEMPT_PRESENT -> "in_use";
-                            case UNKNOWN_TASK -> "unknown";
-                            case ERROR -> "error";
-                        });
-            }
-            tasks.add(x);
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("host", heartbeat.machineId());
+        fields.put("addr", heartbeat.address());
+        fields.put("frame", heartbeat.machineType());
+        fields.put("field", heartbeat.zone());
+        fields.put("loaners", heartbeat.spot());
+        fields.put("tenure", heartbeat.agentIncarnation());
+        fields.put("tick", heartbeat.sequence());
+        fields.put("baton", heartbeat.fencingToken());
+        fields.put("recallS", heartbeat.noticeSeconds());
+        fields.put(
+                "sheets", heartbeat.tasks().stream().map(EmulatorCodec::taskStatusFields).toList());
+        return MessagePackCodec.encode(fields);
+    }
+
+    private static Map<String, Object> taskStatusFields(Heartbeat.TaskStatus status) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("sheet", new TaskReference(status.jobId(), status.task()).toString());
+        fields.put("try", status.attempt());
+        fields.put("status", WorkerTerms.of(status.state()));
+        if (status.cause() != null) {
+            fields.put("cause", WorkerTerms.of(status.cause()));
         }
-        m.put("sheets", tasks);
-        return MessagePackCodec.encode(m);
+        return fields;
     }
 
-    /** An answer to a check-in, by its HTTP status; null for one that says nothing. */
+    /**
+     * The answer to a heartbeat, by its HTTP status; null for one that tells the worker nothing.
+     */
     public static HeartbeatResponse decodeHeartbeatResponse(int status, byte[] body) {
         try {
-            if (status == 200) {
-                DocumentReader document = DocumentReader.of(MessagePackCodec.decode(body));
-                return new HeartbeatResponse(
-                        document.count("baton"), decodeCommands(document), null);
-            }
-            if (status == 421) {
-                return HeartbeatResponse.redirectTo(
-                        DocumentReader.of(MessagePackCodec.decode(body)).textOr("anchor", null));
-            }
+            return switch (status) {
+                case HTTP_OK -> {
+                    DocumentReader document = DocumentReader.of(MessagePackCodec.decode(body));
+                    yield new HeartbeatResponse(
+                            document.count("baton"), decodeCommands(document), null);
+                }
+                case HTTP_MISDIRECTED_REQUEST -> {
+                    DocumentReader document = DocumentReader.of(MessagePackCodec.decode(body));
+                    yield HeartbeatResponse.redirectTo(document.textOr("anchor", null));
+                }
+                default -> null;
+            };
         } catch (InvalidInputException invalid) {
+            // A worker can't use what it can't read; it reports again later.
             return null;
         }
-        return null;
     }
 
+    /** Commands that a node sends straight to a worker. */
     public static DirectCommandsRequest decodeDirectCommands(Object body) {
         DocumentReader document = DocumentReader.of(body);
         return new DirectCommandsRequest(
                 document.count("baton"), document.count("tenure"), decodeCommands(document));
     }
 
-    private static List<WorkerCommand> decodeCommands(DocumentReader t) {
-        List<WorkerCommand> out = new ArrayList<>();
-        for (DocumentReader o : t.children("orders")) {
-            String sheet = o.text("sheet");
-            int slash = sheet.lastIndexOf('/');
-            WorkerCommand.Action action =
-                    switch (o.text("verb")) {
-                        case "launch" -> WorkerCommand.Action.START;
-                        case "halt" -> WorkerCommand.Action.STOP;
-                        default -> WorkerCommand.Action.FORGET;
-                    };
-            out.add(
+    private static List<WorkerCommand> decodeCommands(DocumentReader document) {
+        List<WorkerCommand> commands = new ArrayList<>();
+        for (DocumentReader command : document.children("orders")) {
+            TaskReference reference = TaskReference.parse(command.text("sheet"));
+            commands.add(
                     new WorkerCommand(
-                            action,
-                            sheet.substring(0, slash),
-                            Integer.parseInt(sheet.substring(slash + 1)),
-                            o.count("try"),
-                            o.numberOr("windDownS", 0, 0)));
+                            WorkerTerms.parseAction(command.text("verb")),
+                            reference.jobId(),
+                            reference.task(),
+                            command.count("try"),
+                            command.numberOr("windDownS", 0, 0)));
         }
-        return out;
+        return commands;
     }
 }
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -6,7 +6,7 @@
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.net.HttpClient;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.WorkerCodec;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -56,14 +56,14 @@
                 maxBody,
                 "POST",
                 "/do",
-                ProtocolCodec.encodeDirectCommands(token, session, orders),
+                WorkerCodec.encodeDirectCommands(token, session, orders),
                 timeoutMs,
                 (status, body) -> answer.accept(status == 200 ? report(body) : null));
     }
 
     private static Heartbeat report(byte[] body) {
         try {
-            return ProtocolCodec.decodeHeartbeat(MessagePackCodec.decode(body));
+            return WorkerCodec.decodeHeartbeat(MessagePackCodec.decode(body));
         } catch (InvalidInputException invalid) {
             LOG.debug("a worker's answer can't be read: {}", invalid.getMessage());
             return null;
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -6,7 +6,8 @@
 import io.kitepath.net.HttpServer.Request;
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
+import io.kitepath.wire.WorkerCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,10 +29,10 @@
         }
         Heartbeat heartbeat;
         try {
-            heartbeat = ProtocolCodec.decodeHeartbeat(MessagePackCodec.decode(request.body()));
+            heartbeat = WorkerCodec.decodeHeartbeat(MessagePackCodec.decode(request.body()));
         } catch (InvalidInputException invalid) {
             LOG.debug("a report can't be read: {}", invalid.getMessage());
-            out.reply(400, ProtocolCodec.encodeError(invalid.getMessage()));
+            out.reply(400, SharedCodec.encodeError(invalid.getMessage()));
             return;
         }
         controller.onHeartbeat(
@@ -40,10 +41,10 @@
                     if (response.fencingToken() > 0) {
                         out.reply(
                                 200,
-                                ProtocolCodec.encodeCommands(
+                                WorkerCodec.encodeCommands(
                                         response.fencingToken(), response.commands()));
                     } else {
-                        out.reply(421, ProtocolCodec.encodeRedirect(response.redirectNode()));
+                        out.reply(421, WorkerCodec.encodeRedirect(response.redirectNode()));
                     }
                 });
     }
--- a/src/test/java/io/kitepath/core/BadInputTest.java
+++ b/src/test/java/io/kitepath/core/BadInputTest.java
@@ -17,7 +17,7 @@
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.users.UsersApi;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.UserCodec;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -222,7 +222,7 @@
     /** As a user does who hands it in there. */
     private int accept(SimulatedNode node, Map<String, Object> body) {
         String id = (String) body.get("nameId");
-        cluster.specs.put(id, ProtocolCodec.decodeSubmission(body));
+        cluster.specs.put(id, UserCodec.decodeSubmission(body));
         int[] got = send(cluster, node, MessagePackCodec.encode(body));
         cluster.run(0.1);
         if (got[0] == 201) {
@@ -331,7 +331,7 @@
         more[body.length + 1] = 'x';
         more[body.length + 2] = (byte) 0xcf;
         Arrays.fill(more, body.length + 3, more.length, (byte) 0xff);
-        cluster.specs.put("j-1", ProtocolCodec.decodeSubmission(good("j-1")));
+        cluster.specs.put("j-1", UserCodec.decodeSubmission(good("j-1")));
         int[] got = send(cluster, cluster.nodes.get("k0"), more);
         cluster.run(1);
         assertEquals(201, got[0]);
--- a/src/test/java/io/kitepath/simulation/LoopbackTest.java
+++ b/src/test/java/io/kitepath/simulation/LoopbackTest.java
@@ -14,7 +14,7 @@
 import io.kitepath.store.HttpStore;
 import io.kitepath.wire.EmulatorCodec;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.WorkerCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
@@ -196,7 +196,7 @@
                                         Heartbeat.EndCause.INSUFFICIENT_RESOURCES)));
         assertEquals(
                 heartbeat,
-                ProtocolCodec.decodeHeartbeat(
+                WorkerCodec.decodeHeartbeat(
                         MessagePackCodec.decode(EmulatorCodec.encodeHeartbeat(heartbeat))));
     }
 }
