--- a/src/main/java/io/kitepath/core/model/JobSpecBuilder.java
+++ b/src/main/java/io/kitepath/core/model/JobSpecBuilder.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Describes a {@link JobSpec} by name, where twenty arguments in a row would be mistaken for each
- * other. What is not said is 0, false or null, which for most of it is not a job that runs: whoever
- * uses this says all that its source has. The methods are named after the record's components.
+ * Makes a {@link JobSpec} with its values by name, where twenty arguments in a row would be
+ * mistaken for each other. Values that are not set are 0, false or null; nothing checks here that a
+ * job can run with them.
  */
 public final class JobSpecBuilder {
     private final String id;
@@ -33,41 +33,49 @@
         this.id = id;
     }
 
+    /** Sets {@link JobSpec#jobClass}. */
     public JobSpecBuilder jobClass(String jobClass) {
         this.jobClass = jobClass;
         return this;
     }
 
+    /** Sets {@link JobSpec#team}. */
     public JobSpecBuilder team(String team) {
         this.team = team;
         return this;
     }
 
+    /** Sets {@link JobSpec#shape}. */
     public JobSpecBuilder shape(JobSpec.Shape shape) {
         this.shape = shape;
         return this;
     }
 
+    /** Sets {@link JobSpec#priority}. */
     public JobSpecBuilder priority(JobSpec.Priority priority) {
         this.priority = priority;
         return this;
     }
 
+    /** Sets {@link JobSpec#taskCount}. */
     public JobSpecBuilder taskCount(int taskCount) {
         this.taskCount = taskCount;
         return this;
     }
 
+    /** Sets {@link JobSpec#cpusPerTask}. */
     public JobSpecBuilder cpusPerTask(double cpusPerTask) {
         this.cpusPerTask = cpusPerTask;
         return this;
     }
 
+    /** Sets {@link JobSpec#gpusPerTask}. */
     public JobSpecBuilder gpusPerTask(double gpusPerTask) {
         this.gpusPerTask = gpusPerTask;
         return this;
     }
 
+    /** Sets {@link JobSpec#memoryGigabytesPerTask}. */
     public JobSpecBuilder memoryGigabytesPerTask(double memoryGigabytesPerTask) {
         this.memoryGigabytesPerTask = memoryGigabytesPerTask;
         return this;
@@ -85,41 +93,49 @@
         return this;
     }
 
+    /** Sets {@link JobSpec#isSingleZone}. */
     public JobSpecBuilder singleZone(boolean singleZone) {
         this.singleZone = singleZone;
         return this;
     }
 
+    /** Sets {@link JobSpec#isSpreadAcrossZones}. */
     public JobSpecBuilder spreadAcrossZones(boolean spreadAcrossZones) {
         this.spreadAcrossZones = spreadAcrossZones;
         return this;
     }
 
+    /** Sets {@link JobSpec#allowsSpot}. */
     public JobSpecBuilder allowSpot(boolean allowsSpot) {
         this.allowsSpot = allowsSpot;
         return this;
     }
 
+    /** Sets {@link JobSpec#image}. */
     public JobSpecBuilder image(String image) {
         this.image = image;
         return this;
     }
 
+    /** Sets {@link JobSpec#imageGigabytes}. */
     public JobSpecBuilder imageGigabytes(double imageGigabytes) {
         this.imageGigabytes = imageGigabytes;
         return this;
     }
 
+    /** Sets {@link JobSpec#estimatedSeconds}. */
     public JobSpecBuilder estimatedSeconds(double estimatedSeconds) {
         this.estimatedSeconds = estimatedSeconds;
         return this;
     }
 
+    /** Sets {@link JobSpec#checkpointIntervalSeconds}. */
     public JobSpecBuilder checkpointIntervalSeconds(double checkpointIntervalSeconds) {
         this.checkpointIntervalSeconds = checkpointIntervalSeconds;
         return this;
     }
 
+    /** Sets {@link JobSpec#checkpointSaveSeconds}. */
     public JobSpecBuilder checkpointSaveSeconds(double checkpointSaveSeconds) {
         this.checkpointSaveSeconds = checkpointSaveSeconds;
         return this;
