--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -9,8 +9,9 @@
 import io.kitepath.net.HttpClient.Request;
 import io.kitepath.net.HttpResponse;
 import io.kitepath.net.HttpStatus;
+import io.kitepath.wire.CloudCodec;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -45,20 +46,20 @@
         client.call(
                 Request.get("/machine_types"),
                 timeoutMillis,
-                response -> answerList(response, ProtocolCodec::decodeMachineTypes, answer));
+                response -> answerList(response, CloudCodec::decodeMachineTypes, answer));
     }
 
     @Override
     public void rent(
             String name, MachineKind kind, int count, BiConsumer<Outcome, List<String>> answer) {
         client.call(
-                Request.post("/rentals", ProtocolCodec.encodeRental(name, kind, count)),
+                Request.post("/rentals", CloudCodec.encodeRental(name, kind, count)),
                 timeoutMillis,
                 response -> {
                     if (isRentalRejected(response)) {
                         answer.accept(Outcome.REJECTED, List.of());
                     } else {
-                        answerList(response, ProtocolCodec::decodeMachineIds, answer);
+                        answerList(response, CloudCodec::decodeMachineIds, answer);
                     }
                 });
     }
@@ -66,7 +67,7 @@
     private static boolean isRentalRejected(HttpResponse response) {
         return response.status() == HttpStatus.BAD_REQUEST
                 || response.status() == HttpStatus.SERVICE_UNAVAILABLE
-                        && decode(response, ProtocolCodec::decodeErrorReason)
+                        && decode(response, SharedCodec::decodeErrorReason)
                                 .filter(NO_CAPACITY::equals)
                                 .isPresent();
     }
@@ -74,7 +75,7 @@
     @Override
     public void release(List<String> machines, Consumer<Outcome> answer) {
         client.call(
-                Request.post("/rentals/release", ProtocolCodec.encodeMachineIds(machines)),
+                Request.post("/rentals/release", CloudCodec.encodeMachineIds(machines)),
                 timeoutMillis,
                 response -> answer.accept(response.isOk() ? Outcome.OK : failure(response)));
     }
@@ -95,7 +96,7 @@
                 timeoutMillis,
                 response -> {
                     Optional<List<ListedMachine>> page =
-                            decodeIfOk(response, ProtocolCodec::decodeListedMachines);
+                            decodeIfOk(response, CloudCodec::decodeListedMachines);
                     if (page.isEmpty()) {
                         answer.accept(failure(response), List.of());
                         return;
@@ -111,7 +112,7 @@
     }
 
     private static boolean hasNextPage(HttpResponse response) {
-        return ProtocolCodec.isTruncated(MessagePackCodec.decode(response.body()));
+        return SharedCodec.isTruncated(MessagePackCodec.decode(response.body()));
     }
 
     /** Answers with the list in the body, or with an empty one if there is none. */
