--- a/src/main/java/io/kitepath/core/shard/QuotaUsage.java
+++ b/src/main/java/io/kitepath/core/shard/QuotaUsage.java
@@ -6,16 +6,24 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What each team's attempts take that are not proven over, against its limit. */
+/**
+ * What each team's attempts that are not proven over use of its quota. Not thread-safe; belongs to
+ * the shard's thread.
+ */
 public final class QuotaUsage {
-    /** What this decider may use of a team's limits; infinite where there is none. */
+    /** Tolerance for sums of CPUs and GPUs that were added and subtracted many times. */
+    private static final double ROUNDING = 1e-6;
+
+    /** What this shard may use of a team's quota; infinite where there is no limit. */
     public interface QuotaLimits {
+        /** CPUs that this shard may use of the team's quota. */
         double maxCpus(ClusterSettings.Team team);
 
+        /** GPUs that this shard may use of the team's quota. */
         double maxGpus(ClusterSettings.Team team);
     }
 
-    /** As the settings say. */
+    /** The whole quota, as the settings say. */
     private static final class ConfiguredLimits implements QuotaLimits {
         @Override
         public double maxCpus(ClusterSettings.Team team) {
@@ -28,73 +36,87 @@
         }
     }
 
-    private final ClusterSettings settings;
-    private QuotaLimits setLimits = new ConfiguredLimits();
+    /** What one team uses now. */
+    private static final class TeamUsage {
+        private static final TeamUsage NONE = new TeamUsage();
 
-    /** CPUs and GPUs by team. */
-    private final Map<String, double[]> used = new HashMap<>();
+        private double cpus;
+        private double gpus;
+    }
+
+    private final ClusterSettings settings;
+    private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
+    private QuotaLimits limits = new ConfiguredLimits();
 
     QuotaUsage(ClusterSettings settings) {
         this.settings = settings;
     }
 
-    public void setLimits(QuotaLimits others) {
-        setLimits = others;
+    /** Replaces the limits of the settings, by this shard's share of them. */
+    public void setLimits(QuotaLimits newLimits) {
+        limits = newLimits;
     }
 
     void clear() {
-        used.clear();
+        usageByTeam.clear();
     }
 
     /** An attempt of this kind was placed (1), or is proven over (-1). */
     void countAttempt(JobSpec spec, int sign) {
-        double[] u = used.computeIfAbsent(spec.team(), key -> new double[2]);
-        u[0] += sign * spec.cpusPerTask();
-        u[1] += sign * spec.gpusPerTask();
+        TeamUsage usage = usageByTeam.computeIfAbsent(spec.team(), key -> new TeamUsage());
+        usage.cpus += sign * spec.cpusPerTask();
+        usage.gpus += sign * spec.gpusPerTask();
+    }
+
+    private TeamUsage usage(String team) {
+        return usageByTeam.getOrDefault(team, TeamUsage.NONE);
     }
 
     /** CPUs of the team's attempts that are not proven over. */
     public double usedCpus(String team) {
-        double[] u = used.get(team);
-        return u == null ? 0 : u[0];
+        return usage(team).cpus;
     }
 
-    /** And their GPUs. */
+    /** GPUs of the team's attempts that are not proven over. */
     public double usedGpus(String team) {
-        double[] u = used.get(team);
-        return u == null ? 0 : u[1];
+        return usage(team).gpus;
     }
 
-    /** For notes: what of the limit this decider may use, if that is less than the settings say. */
+    /**
+     * For the reason why a job waits: what this cell may use of the team's quota, if that is less
+     * than the settings say; empty otherwise.
+     */
     String describeShare(String team) {
-        ClusterSettings.Team t = settings.teams().get(team);
-        boolean part =
-                t != null
-                        && !(setLimits instanceof ConfiguredLimits)
-                        && setLimits.maxCpus(t) < Double.POSITIVE_INFINITY;
-        return part
+        ClusterSettings.Team quota = settings.teams().get(team);
+        boolean isShared =
+                quota != null
+                        && !(limits instanceof ConfiguredLimits)
+                        && limits.maxCpus(quota) < Double.POSITIVE_INFINITY;
+        return isShared
                 ? String.format(
                         Locale.ROOT,
                         "; this cell may use %.1f CPUs of it now and uses %.1f",
-                        setLimits.maxCpus(t),
+                        limits.maxCpus(quota),
                         usedCpus(team))
                 : "";
     }
 
-    /** How many more tasks of this kind the team's limit allows. */
+    /** How many more tasks of this kind the team's quota allows; 0 for an unknown team. */
     public int remainingTasks(JobSpec spec) {
         ClusterSettings.Team team = settings.teams().get(spec.team());
         if (team == null) {
             return 0;
         }
-        double[] u = used.getOrDefault(spec.team(), new double[2]);
-        double n = Integer.MAX_VALUE;
+        TeamUsage usage = usage(spec.team());
+        double tasks = Integer.MAX_VALUE;
         if (spec.cpusPerTask() > 0) {
-            n = Math.min(n, (setLimits.maxCpus(team) - u[0] + 1e-6) / spec.cpusPerTask());
+            double free = limits.maxCpus(team) - usage.cpus + ROUNDING;
+            tasks = Math.min(tasks, free / spec.cpusPerTask());
         }
         if (spec.gpusPerTask() > 0) {
-            n = Math.min(n, (setLimits.maxGpus(team) - u[1] + 1e-6) / spec.gpusPerTask());
+            double free = limits.maxGpus(team) - usage.gpus + ROUNDING;
+            tasks = Math.min(tasks, free / spec.gpusPerTask());
         }
-        return (int) Math.max(0, n);
+        return (int) Math.max(0, tasks);
     }
 }
