--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -141,7 +141,7 @@
                                 (job.spec.isGang() || job.spec.isSingleZone())
                                         && job.eligibleSinceMillis() < since
                                         && !job.hasStarted()
-                                        && shard.serviceLevels().largest(job.spec))
+                                        && shard.serviceLevels().isLargest(job.spec))
                 .min(Comparator.comparingDouble(Job::eligibleSinceMillis))
                 .ifPresent(
                         job -> {
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -5,27 +5,28 @@
 import io.kitepath.core.model.JobSpec;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * How much of what each class, its largest jobs, and each team asked for was served: done within
- * the most generous time that is expected of it. Guards against an overload in which the number of
- * jobs in time is as large as can be, and all that go without are of one class or one team: a class
- * of which less than half is served counts as an outage to its users, however well the others do.
+ * How much of what each class, its largest jobs, and each team asked for was served in time: done
+ * within the most generous time that its service-level objectives, or its deadline, expect. Guards
+ * against an overload in which the number of jobs in time is as large as can be, and all that go
+ * without are of one class or one team: a class of which less than half is served counts as an
+ * outage to its users, however well the others do.
  *
- * <p>What is decided already says too little, too late: of a class whose jobs have minutes, the
- * first misses are counted when hundreds of jobs can't be in time any more. So jobs that have used
- * most of the time in which they may wait, and still do, count as if they had been missed; see
- * {@link ServiceGroup#share}.
+ * <p>Decided jobs alone show that too late: of a class whose jobs have minutes, the first misses
+ * are counted when hundreds of jobs can't be in time any more. So jobs that have used most of the
+ * time in which they may wait, and still do, count as if they had been missed; see {@link
+ * ServiceGroup#share}.
+ *
+ * <p>Not thread-safe; belongs to the shard's thread. Times of day are milliseconds since 1970.
  */
 public final class ServiceLevels {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceLevels.class);
@@ -36,7 +37,7 @@
      */
     public static final double BEHIND_BELOW = 0.55;
 
-    /** Above which it is not any more. */
+    /** The share from which on a class or team that was behind has caught up. */
     private static final double CAUGHT_UP_FROM = 0.6;
 
     /**
@@ -45,23 +46,28 @@
      */
     private static final double DECAY = 1 - 1.0 / 256;
 
-    /** Decided jobs from which on a share says something. */
+    /** Jobs from which on a share says something. */
     private static final double MIN_WEIGHT = 8;
 
-    /** Users name the classes, so there may be any number of them. */
-    private static final int MAX_GROUPS = 1000;
-
     /**
      * Of the time that a job may wait and still be in time, the part after which it counts as
      * endangered.
      */
     private static final double ENDANGERED_FRACTION = 0.6;
 
-    /** What one group takes in the record, in bytes of its JSON form, besides its name. */
-    private static final int GROUP_BYTES = 64;
+    /** Of the bytes of a stored value, the part that each kind of groups may take. */
+    private static final double RECORD_FRACTION = 0.3;
+
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    /** One class or team. Counts are of jobs. */
+    /** One class, the largest jobs of one class, or one team. Counts are of jobs. */
     public static final class ServiceGroup {
+        /** Numbers in a record: those in time, done and missed, and two decayed sums. */
+        private static final int RECORD_NUMBERS = 5;
+
+        /** Decayed sums are stored as whole numbers of that fraction. */
+        private static final int RECORD_SCALE = 1000;
+
         private final String name;
         private long undecided;
         private long endangered;
@@ -72,17 +78,25 @@
         private long inTime;
         private long done;
         private long missed;
-        private double decayedInTime;
+
+        /** Jobs decided, the older ones counting less, and of those the ones that were in time. */
         private double decayedDecided;
-        private boolean isBehind;
 
-        private ServiceGroup(String name) {
+        private double decayedInTime;
+        private boolean behind;
+
+        ServiceGroup(String name) {
             this.name = name;
         }
 
         /** Decided, or open now. */
         public long submitted() {
-            return inTime + missed + undecided;
+            return decided() + undecided;
+        }
+
+        /** In time or missed. */
+        long decided() {
+            return inTime + missed;
         }
 
         /** Open, and not likely to be in time any more unless others go without for them. */
@@ -117,47 +131,101 @@
             return decayedDecided + fullyPlaced + endangered;
         }
 
-        private void recordDecision(boolean intoTime) {
-            decayedInTime = decayedInTime * DECAY + (intoTime ? 1 : 0);
+        /** 1, or the share of a group that is behind. */
+        double catchUpShare() {
+            return behind ? share() : 1;
+        }
+
+        private void resetOpen() {
+            undecided = 0;
+            endangered = 0;
+            fullyPlaced = 0;
+        }
+
+        private void countOpen(boolean isWaiting, boolean isEndangered) {
+            undecided++;
+            endangered += isEndangered ? 1 : 0;
+            fullyPlaced += isWaiting ? 0 : 1;
+        }
+
+        private void recordDone() {
+            done++;
+        }
+
+        private void recordDecision(boolean wasInTime) {
+            decayedInTime = decayedInTime * DECAY + (wasInTime ? 1 : 0);
             decayedDecided = decayedDecided * DECAY + 1;
-            inTime += intoTime ? 1 : 0;
-            missed += intoTime ? 0 : 1;
+            inTime += wasInTime ? 1 : 0;
+            missed += wasInTime ? 0 : 1;
         }
 
         private void updateBehind() {
-            boolean now =
-                    weight() >= MIN_WEIGHT && share() < (isBehind ? CAUGHT_UP_FROM : BEHIND_BELOW);
-            if (now != isBehind) {
-                isBehind = now;
+            boolean isBehind =
+                    weight() >= MIN_WEIGHT && share() < (behind ? CAUGHT_UP_FROM : BEHIND_BELOW);
+            if (isBehind != behind) {
+                behind = isBehind;
                 LOG.warn(
                         "{} {}: {} of {} jobs decided were served in time, {} endangered of {} open",
                         name,
-                        now ? "is behind" : "has caught up",
+                        isBehind ? "is behind" : "has caught up",
                         inTime,
-                        inTime + missed,
+                        decided(),
                         endangered,
                         undecided);
             }
         }
 
-        private double catchUpShare() {
-            return isBehind ? share() : 1;
+        /** Those in time, done and missed, and the decayed sums in thousandths. */
+        List<Long> toRecord() {
+            return List.of(
+                    inTime,
+                    done,
+                    missed,
+                    Math.round(RECORD_SCALE * decayedInTime),
+                    Math.round(RECORD_SCALE * decayedDecided));
+        }
+
+        /** Whether {@link #toRecord} may have written that. */
+        static boolean isRecord(Object value) {
+            return value instanceof List<?> numbers
+                    && numbers.size() == RECORD_NUMBERS
+                    && numbers.stream().allMatch(Number.class::isInstance);
+        }
+
+        /** Takes over what {@link #toRecord} wrote. */
+        void restore(List<?> numbers) {
+            inTime = ((Number) numbers.get(0)).longValue();
+            done = ((Number) numbers.get(1)).longValue();
+            missed = ((Number) numbers.get(2)).longValue();
+            decayedInTime = ((Number) numbers.get(3)).doubleValue() / RECORD_SCALE;
+            decayedDecided = ((Number) numbers.get(4)).doubleValue() / RECORD_SCALE;
+        }
+
+        private String summary() {
+            return String.format(
+                    Locale.ROOT,
+                    " %s %d of %d, %d open, %d endangered;",
+                    name,
+                    inTime,
+                    decided(),
+                    undecided,
+                    endangered);
         }
     }
 
     private final ClusterSettings settings;
-    private final Map<String, ServiceGroup> classes = new LinkedHashMap<>();
-    private final Map<String, ServiceGroup> teams = new LinkedHashMap<>();
+    private final ServiceGroups classes = new ServiceGroups("class");
+    private final ServiceGroups teams = new ServiceGroups("team");
 
     /**
      * By class, its largest jobs alone: of a class that is served well, they may be the ones that
      * go without.
      */
-    private final Map<String, ServiceGroup> largest = new LinkedHashMap<>();
+    private final ServiceGroups largest = new ServiceGroups("largest of");
 
     private final JobSizes sizes = new JobSizes();
 
-    /** What was missed up to then, by the time of day, has been counted by an earlier holder. */
+    /** What was missed up to then, by the time of day, has been counted by an earlier leader. */
     private double countedUntilMillis;
 
     ServiceLevels(ClusterSettings settings) {
@@ -171,29 +239,21 @@
         countedUntilMillis = 0;
     }
 
-    private static ServiceGroup group(Map<String, ServiceGroup> in, String kind, String name) {
-        ServiceGroup group = in.get(name);
-        if (group == null && in.size() < MAX_GROUPS) {
-            group = new ServiceGroup(kind + " " + name);
-            in.put(name, group);
+    // ---- counting -----------------------------------------------------------------------------
+
+    private void forEachGroup(JobSpec spec, Consumer<ServiceGroup> action) {
+        classes.getOrAdd(spec.jobClass()).ifPresent(action);
+        teams.getOrAdd(spec.team()).ifPresent(action);
+        if (isLargest(spec)) {
+            largest.getOrAdd(spec.jobClass()).ifPresent(action);
         }
-        return group;
     }
 
-    private void forEachGroup(JobSpec spec, Consumer<ServiceGroup> then) {
-        ServiceGroup c = group(classes, "class", spec.jobClass());
-        ServiceGroup t = group(teams, "team", spec.team());
-        if (c != null) {
-            then.accept(c);
-        }
-        if (t != null) {
-            then.accept(t);
-        }
-        ServiceGroup l =
-                sizes.isAmongLargest(spec) ? group(largest, "largest of", spec.jobClass()) : null;
-        if (l != null) {
-            then.accept(l);
-        }
+    private List<ServiceGroup> allGroups() {
+        List<ServiceGroup> all = new ArrayList<>(classes.all());
+        all.addAll(teams.all());
+        all.addAll(largest.all());
+        return all;
     }
 
     /** A job has become known. */
@@ -202,7 +262,7 @@
     }
 
     /** Whether the job is one of the largest of its class, by those that came lately. */
-    public boolean largest(JobSpec spec) {
+    public boolean isLargest(JobSpec spec) {
         return sizes.isAmongLargest(spec);
     }
 
@@ -210,166 +270,91 @@
      * Looks at all jobs there are. Those that are past all that was expected of them are decided
      * now, whenever they will be done.
      *
-     * @param leadS how long jobs of a kind take from placing to running
+     * @param startLatencySeconds how long jobs of a kind take from placement to running
      */
-    public void update(Collection<Job> jobs, ToDoubleFunction<JobSpec> leadS, double wallMs) {
-        allGroups()
-                .forEach(
-                        group -> {
-                            group.undecided = 0;
-                            group.endangered = 0;
-                            group.fullyPlaced = 0;
-                        });
+    public void update(
+            Collection<Job> jobs, ToDoubleFunction<JobSpec> startLatencySeconds, double wallMillis) {
+        allGroups().forEach(ServiceGroup::resetOpen);
         for (Job job : jobs) {
             // One that waits for others asks for nothing yet.
-            if (job.isFinished || job.borrowed || job.isHeld()) {
-                continue;
-            }
-            double withinS = settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds());
-            recordIfMissed(job, withinS, wallMs);
-            if (!job.hasMissedAllGoals) {
-                double mayWaitS =
-                        withinS
-                                - job.heldSeconds()
-                                - job.spec.estimatedSeconds()
-                                - leadS.applyAsDouble(job.spec);
-                boolean waits = job.waitingTasks() > 0;
-                boolean endangered =
-                        waits
-                                && wallMs
-                                        > job.eligibleSinceMillis()
-                                                + 1000 * ENDANGERED_FRACTION * mayWaitS;
-                forEachGroup(
-                        job.spec,
-                        group -> {
-                            group.undecided++;
-                            group.endangered += endangered ? 1 : 0;
-                            group.fullyPlaced += waits ? 0 : 1;
-                        });
+            if (!job.isFinished && !job.borrowed && !job.isHeld()) {
+                updateOpen(job, startLatencySeconds, wallMillis);
             }
         }
         allGroups().forEach(ServiceGroup::updateBehind);
     }
 
-    private void recordIfMissed(Job job, double withinS, double wallMs) {
-        double until = job.submittedMillis + 1000 * withinS;
-        if (!job.hasMissedAllGoals && wallMs > until) {
+    private void updateOpen(Job job, ToDoubleFunction<JobSpec> startLatencySeconds, double wallMillis) {
+        double withinSeconds = settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds());
+        recordIfMissed(job, withinSeconds, wallMillis);
+        if (job.hasMissedAllGoals) {
+            return;
+        }
+        double mayWaitSeconds =
+                withinSeconds
+                        - job.heldSeconds()
+                        - job.spec.estimatedSeconds()
+                        - startLatencySeconds.applyAsDouble(job.spec);
+        boolean isWaiting = job.waitingTasks() > 0;
+        boolean isEndangered =
+                isWaiting
+                        && wallMillis
+                                > job.eligibleSinceMillis()
+                                        + MILLIS_PER_SECOND * ENDANGERED_FRACTION * mayWaitSeconds;
+        forEachGroup(job.spec, group -> group.countOpen(isWaiting, isEndangered));
+    }
+
+    private void recordIfMissed(Job job, double withinSeconds, double wallMillis) {
+        double untilMillis = job.submittedMillis + MILLIS_PER_SECOND * withinSeconds;
+        if (!job.hasMissedAllGoals && wallMillis > untilMillis) {
             job.hasMissedAllGoals = true;
-            if (until > countedUntilMillis) {
+            if (untilMillis > countedUntilMillis) {
                 forEachGroup(job.spec, group -> group.recordDecision(false));
             }
         }
     }
 
-    private List<ServiceGroup> allGroups() {
-        List<ServiceGroup> all = new ArrayList<>(classes.values());
-        all.addAll(teams.values());
-        all.addAll(largest.values());
-        return all;
-    }
-
     /** The store has it that the job is done. */
-    public void recordDone(Job job, double wallMs) {
+    public void recordDone(Job job, double wallMillis) {
         recordIfMissed(
-                job, settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()), wallMs);
-        forEachGroup(job.spec, group -> group.done++);
+                job, settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()), wallMillis);
+        forEachGroup(job.spec, ServiceGroup::recordDone);
         if (!job.hasMissedAllGoals) {
             forEachGroup(job.spec, group -> group.recordDecision(true));
         }
     }
 
+    // ---- shares -------------------------------------------------------------------------------
+
     /**
-     * 1, or the share that the job's class, its largest jobs, or its team get, the lowest one, if
-     * that is so little that others of its rank go without before it.
+     * 1, or the lowest share of the job's class, its largest jobs, and its team, if that is so low
+     * that others of its rank go without before it.
      */
     public double catchUpShare(JobSpec spec) {
-        ServiceGroup c = classes.get(spec.jobClass());
-        ServiceGroup t = teams.get(spec.team());
-        ServiceGroup l = sizes.isAmongLargest(spec) ? largest.get(spec.jobClass()) : null;
-        return Math.min(
-                l == null ? 1 : l.catchUpShare(),
-                Math.min(c == null ? 1 : c.catchUpShare(), t == null ? 1 : t.catchUpShare()));
+        double ofLargest = isLargest(spec) ? largest.catchUpShare(spec.jobClass()) : 1;
+        double ofClassAndTeam =
+                Math.min(classes.catchUpShare(spec.jobClass()), teams.catchUpShare(spec.team()));
+        return Math.min(ofLargest, ofClassAndTeam);
     }
 
-    // ---- for the next holder
-    // ---------------------------------------------------------------------
-
-    /**
-     * What the next holder has to know. Guards against counts that begin anew with each holder: on
-     * a day with many ends nobody would ever be behind. Those with the most jobs decided, as many
-     * as a value may hold.
-     */
-    public Map<String, Object> toRecord(double wallMs) {
-        Map<String, Object> out = new LinkedHashMap<>();
-        out.put("untilMs", wallMs);
-        double left = settings.store().maxValueBytes() * 0.3;
-        out.put("classes", records(classes, left));
-        out.put("teams", records(teams, left));
-        out.put("largest", records(largest, left));
-        return out;
+    /** The lowest share of all classes, their largest jobs, and teams. */
+    public double leastShare() {
+        return Math.min(largest.leastShare(), Math.min(classes.leastShare(), teams.leastShare()));
     }
 
-    private static Map<String, Object> records(Map<String, ServiceGroup> of, double bytes) {
-        Map<String, Object> out = new LinkedHashMap<>();
-        double left = bytes;
-        for (Map.Entry<String, ServiceGroup> e :
-                of.entrySet().stream()
-                        .sorted(
-                                Comparator.comparingLong(
-                                        (Map.Entry<String, ServiceGroup> e) ->
-                                                -e.getValue().inTime - e.getValue().missed))
-                        .toList()) {
-            ServiceGroup group = e.getValue();
-            left -= GROUP_BYTES + e.getKey().length();
-            if (left < 0 || group.inTime + group.missed == 0) {
-                break;
-            }
-            out.put(
-                    e.getKey(),
-                    List.of(
-                            group.inTime,
-                            group.done,
-                            group.missed,
-                            Math.round(1000 * group.decayedInTime),
-                            Math.round(1000 * group.decayedDecided)));
-        }
-        return out;
+    /** A copy by name, for operators. */
+    public Map<String, ServiceGroup> classes() {
+        return classes.byName();
     }
 
-    /**
-     * Goes on from what an earlier holder counted.
-     *
-     * @throws io.kitepath.core.model.InvalidInputException if that is not a record of it
-     */
-    public void restore(Object record) {
-        DocumentReader document = DocumentReader.of(record);
-        countedUntilMillis = document.number("untilMs", 0);
-        restore(document, "classes", "class", classes);
-        restore(document, "teams", "team", teams);
-        restore(document, "largest", "largest of", largest);
+    /** A copy by name, for operators. */
+    public Map<String, ServiceGroup> teams() {
+        return teams.byName();
     }
 
-    private static void restore(
-            DocumentReader record, String field, String kind, Map<String, ServiceGroup> into) {
-        if (!(record.raw(field) instanceof Map<?, ?> groups)) {
-            return;
-        }
-        groups.forEach(
-                (name, counts) -> {
-                    if (name instanceof String n
-                            && counts instanceof List<?> l
-                            && l.size() == 5
-                            && l.stream().allMatch(Number.class::isInstance)) {
-                        ServiceGroup group = group(into, kind, n);
-                        if (group != null) {
-                            group.inTime = ((Number) l.get(0)).longValue();
-                            group.done = ((Number) l.get(1)).longValue();
-                            group.missed = ((Number) l.get(2)).longValue();
-                            group.decayedInTime = ((Number) l.get(3)).doubleValue() / 1000;
-                            group.decayedDecided = ((Number) l.get(4)).doubleValue() / 1000;
-                        }
-                    }
-                });
+    /** Of each class its largest jobs alone: a copy by the class's name, for operators. */
+    public Map<String, ServiceGroup> largest() {
+        return largest.byName();
     }
 
     /**
@@ -381,43 +366,42 @@
                 new StringBuilder(
                         String.format(
                                 Locale.ROOT,
-                                "served least: class %.2f, team %.2f, largest jobs of a class %.2f; served in time:",
-                                least(classes),
-                                least(teams),
-                                least(largest)));
-        for (ServiceGroup group : allGroups()) {
-            text.append(
-                    String.format(
-                            Locale.ROOT,
-                            " %s %d of %d, %d open, %d endangered;",
-                            group.name,
-                            group.inTime,
-                            group.inTime + group.missed,
-                            group.undecided,
-                            group.endangered));
-        }
+                                "served least: class %.2f, team %.2f, largest jobs of a class %.2f;"
+                                        + " served in time:",
+                                classes.leastShare(),
+                                teams.leastShare(),
+                                largest.leastShare()));
+        allGroups().forEach(group -> text.append(group.summary()));
         return text.toString();
     }
 
-    /** By name, for operators. */
-    public Map<String, ServiceGroup> classes() {
-        return new TreeMap<>(classes);
-    }
-
-    public Map<String, ServiceGroup> teams() {
-        return new TreeMap<>(teams);
-    }
-
-    public Map<String, ServiceGroup> largest() {
-        return new TreeMap<>(largest);
-    }
+    // ---- for the next leader ------------------------------------------------------------------
 
-    /** The lowest share of all classes, their largest jobs, and teams. */
-    public double leastShare() {
-        return Math.min(least(largest), Math.min(least(classes), least(teams)));
+    /**
+     * What the next leader has to know, as a document for the store. Guards against counts that
+     * begin anew with each leader: on a day with many failovers nobody would ever be behind. Holds
+     * the groups with the most jobs decided, as many as a value may hold.
+     */
+    public Map<String, Object> toRecord(double wallMillis) {
+        double maxBytes = settings.store().maxValueBytes() * RECORD_FRACTION;
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put("untilMs", wallMillis);
+        record.put("classes", classes.toRecord(maxBytes));
+        record.put("teams", teams.toRecord(maxBytes));
+        record.put("largest", largest.toRecord(maxBytes));
+        return record;
     }
 
-    private static double least(Map<String, ServiceGroup> of) {
-        return of.values().stream().mapToDouble(ServiceGroup::share).min().orElse(1);
+    /**
+     * Goes on from what an earlier leader counted.
+     *
+     * @throws io.kitepath.core.model.InvalidInputException if that is not a record of it
+     */
+    public void restore(Object record) {
+        DocumentReader document = DocumentReader.of(record);
+        countedUntilMillis = document.number("untilMs", 0);
+        classes.restore(document.raw("classes"));
+        teams.restore(document.raw("teams"));
+        largest.restore(document.raw("largest"));
     }
 }
--- a/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
@@ -8,8 +8,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which classes and teams count as served too little, and when they have caught up. */
+/** Which classes and teams are behind, and when they have caught up. */
 class ServiceLevelsTest {
+    private static final int LARGE_TASKS = 50;
+
+    /** Jobs of the class {@code tiles} are served if they are done within 100 s. */
     private final ClusterSettings settings =
             new ClusterSettings(
                     "n",
@@ -25,120 +28,111 @@
                     new ClusterSettings.CloudLimits(10, 2),
                     new ClusterSettings.ProcessLimits(1, 200, 1000),
                     5);
+
     private final ServiceLevels serviceLevels = new ServiceLevels(settings);
     private int named;
 
-    private Job job(String of, String team, Double deadlineS) {
-        JobSpec spec =
-                new JobSpec(
-                        "j-" + ++named,
-                        of,
-                        team,
-                        JobSpec.Shape.ARRAY,
-                        JobSpec.Priority.LOW,
-                        1,
-                        1,
-                        0,
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        false,
-                        "img",
-                        1,
-                        10,
-                        0,
-                        0,
-                        deadlineS);
+    private JobSpec spec(String jobClass, String team, int tasks, Double deadlineSeconds) {
+        return new JobSpec(
+                "j-" + ++named,
+                jobClass,
+                team,
+                JobSpec.Shape.ARRAY,
+                JobSpec.Priority.LOW,
+                tasks,
+                1,
+                0,
+                1,
+                null,
+                null,
+                false,
+                false,
+                false,
+                "img",
+                1,
+                10,
+                0,
+                0,
+                deadlineSeconds);
+    }
+
+    private Job job(JobSpec spec) {
         return new Job(spec, 0, settings.startDeadlinesSeconds(spec), "k", 1, 256);
     }
 
-    @Test
-    void aClassFallsBehindAndCatchesUp() {
-        for (int i = 0; i < 5; i++) {
-            serviceLevels.recordDone(job("tiles", "red", null), 99_000);
+    private Job job(String jobClass, String team, Double deadlineSeconds) {
+        return job(spec(jobClass, team, 1, deadlineSeconds));
+    }
+
+    private Job tilesJob() {
+        return job("tiles", "red", null);
+    }
+
+    private void recordDone(int jobs, double wallMillis) {
+        for (int i = 0; i < jobs; i++) {
+            serviceLevels.recordDone(tilesJob(), wallMillis);
         }
+    }
+
+    private void update(double wallSeconds, Job... jobs) {
+        serviceLevels.update(List.of(jobs), spec -> 10, wallSeconds * 1000);
+    }
+
+    private double catchUpShare(String jobClass, String team) {
+        return serviceLevels.catchUpShare(job(jobClass, team, null).spec);
+    }
+
+    @Test
+    void classFallsBehindWhenHalfIsMissedAndCatchesUpWhenServed() {
+        recordDone(5, 99_000);
         for (int i = 0; i < 5; i++) {
-            look(101, job("tiles", "red", null));
+            update(101, tilesJob());
         }
-        assertEquals(
-                0.5,
-                serviceLevels.catchUpShare(job("tiles", "blue", null).spec),
-                0.01,
-                "its class");
-        assertEquals(
-                0.5, serviceLevels.catchUpShare(job("other", "red", null).spec), 0.01, "its team");
-        assertEquals(1, serviceLevels.catchUpShare(job("other", "blue", null).spec));
+        assertEquals(0.5, catchUpShare("tiles", "blue"), 0.01, "its class");
+        assertEquals(0.5, catchUpShare("other", "red"), 0.01, "its team");
+        assertEquals(1, catchUpShare("other", "blue"));
         assertEquals(0.5, serviceLevels.leastShare(), 0.01);
-        for (int i = 0; i < 15; i++) {
-            serviceLevels.recordDone(job("tiles", "red", null), 99_000);
-        }
-        look(99);
-        assertEquals(1, serviceLevels.catchUpShare(job("tiles", "red", null).spec));
+        recordDone(15, 99_000);
+        update(99);
+        assertEquals(1, catchUpShare("tiles", "red"));
     }
 
     @Test
     void jobsThatWaitTooLongCountBeforeTheyAreMissed() {
-        for (int i = 0; i < 10; i++) {
-            serviceLevels.recordDone(job("tiles", "red", null), 50_000);
-        }
+        recordDone(10, 50_000);
         Job[] waiting = new Job[10];
         for (int i = 0; i < 10; i++) {
-            waiting[i] = job("tiles", "red", null);
+            waiting[i] = tilesJob();
         }
-        // Each may wait for 90 s, less the 10 s that such jobs take from placing to running, and
+        // Each may wait for 90 s, less the 10 s that such jobs take from placement to running, and
         // has used most of it.
-        look(47, waiting);
+        update(47, waiting);
         assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
-        look(49, waiting);
+        update(49, waiting);
         assertEquals(0.5, serviceLevels.catchUpShare(waiting[0].spec), 0.02);
         assertEquals(
                 List.of(10L, 20L),
                 List.of(
                         serviceLevels.classes().get("tiles").endangered(),
                         serviceLevels.classes().get("tiles").submitted()));
-        look(49);
+        update(49);
         assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
     }
 
     /** The class as a whole does well, its largest jobs do not. */
     @Test
-    void theLargestJobsOfAClassAreCountedByThemselves() {
-        JobSpec[] s = new JobSpec[40];
+    void largestJobsOfClassAreCountedByThemselves() {
+        JobSpec[] specs = new JobSpec[40];
         for (int i = 0; i < 40; i++) {
-            s[i] =
-                    new JobSpec(
-                            "j-" + ++named,
-                            "tiles",
-                            "red",
-                            JobSpec.Shape.ARRAY,
-                            JobSpec.Priority.LOW,
-                            i % 4 == 0 ? 50 : 2,
-                            1,
-                            0,
-                            1,
-                            null,
-                            null,
-                            false,
-                            false,
-                            false,
-                            "img",
-                            1,
-                            10,
-                            0,
-                            0,
-                            null);
-            serviceLevels.recordArrival(s[i]);
+            specs[i] = spec("tiles", "red", i % 4 == 0 ? LARGE_TASKS : 2, null);
+            serviceLevels.recordArrival(specs[i]);
         }
-        for (JobSpec spec : s) {
-            serviceLevels.recordDone(
-                    new Job(spec, 0, settings.startDeadlinesSeconds(spec), "k", 1, 256),
-                    spec.taskCount() == 50 ? 101_000 : 50_000);
+        for (JobSpec spec : specs) {
+            serviceLevels.recordDone(job(spec), spec.taskCount() == LARGE_TASKS ? 101_000 : 50_000);
         }
-        look(102);
-        assertEquals(1, serviceLevels.catchUpShare(s[1]));
-        assertEquals(0, serviceLevels.catchUpShare(s[0]), 0.01);
+        update(102);
+        assertEquals(1, serviceLevels.catchUpShare(specs[1]));
+        assertEquals(0, serviceLevels.catchUpShare(specs[0]), 0.01);
         assertEquals(0, serviceLevels.largest().get("tiles").share(), 0.01);
         ServiceLevels next = new ServiceLevels(settings);
         next.restore(serviceLevels.toRecord(103_000));
@@ -146,16 +140,12 @@
     }
 
     @Test
-    void theNextHolderGoesOnCountingWhereTheLastOneWas() {
-        for (int i = 0; i < 4; i++) {
-            serviceLevels.recordDone(job("tiles", "red", null), 50_000);
-        }
-        Job late = job("tiles", "red", null);
-        look(101, late);
+    void nextLeaderGoesOnCountingWhereTheLastOneWas() {
+        recordDone(4, 50_000);
+        update(101, tilesJob());
         ServiceLevels next = new ServiceLevels(settings);
         next.restore(serviceLevels.toRecord(102_000));
-        Job same = job("tiles", "red", null);
-        next.update(List.of(same), spec -> 10, 103_000);
+        next.update(List.of(tilesJob()), spec -> 10, 103_000);
         ServiceLevels.ServiceGroup group = next.classes().get("tiles");
         assertEquals(
                 List.of(4L, 1L),
@@ -164,15 +154,11 @@
         assertEquals(0.8, group.share(), 0.01);
     }
 
-    private void look(double s, Job... jobs) {
-        serviceLevels.update(List.of(jobs), spec -> 10, s * 1000);
-    }
-
     @Test
-    void whatIsLateCountsOnceHoweverOftenItIsLookedAt() {
-        Job late = job("tiles", "red", null);
-        look(101, late);
-        look(102, late);
+    void missedJobCountsOnceHoweverOftenItIsLookedAt() {
+        Job late = tilesJob();
+        update(101, late);
+        update(102, late);
         serviceLevels.recordDone(late, 150_000);
         ServiceLevels.ServiceGroup group = serviceLevels.classes().get("tiles");
         assertEquals(
@@ -181,8 +167,8 @@
     }
 
     @Test
-    void ownDeadlinesCountWhereNothingElseIsSaid() {
-        look(25, job("other", "red", 20.0), job("quiet", "red", null));
+    void ownDeadlineCountsWhereClassHasNoObjective() {
+        update(25, job("other", "red", 20.0), job("quiet", "red", null));
         assertEquals(1, serviceLevels.classes().get("other").missed());
         assertEquals(0, serviceLevels.classes().get("quiet").missed());
     }
