--- /dev/null
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -0,0 +1,212 @@
+package io.kitepath.core.shard;
+
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.JobSpec;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Keeps account of attempts, from their placement until they are proven over. An attempt counts
+ * against its team's quota and its machine's capacity for as long as it is not proven over,
+ * whatever is probable.
+ */
+final class AttemptLedger {
+    private static final Logger LOG = LoggerFactory.getLogger(AttemptLedger.class);
+
+    private final ClusterSettings settings;
+    private final QuotaUsage quotaUsage;
+    private final FailureDiagnosis failureDiagnosis;
+    private final PendingWrites writes;
+    private final SchedulingSignal signal;
+    private final GangRestarts gangRestarts;
+    private long ended;
+    private long lost;
+
+    AttemptLedger(
+            ClusterSettings settings,
+            MachineRegistry machines,
+            QuotaUsage quotaUsage,
+            FailureDiagnosis failureDiagnosis,
+            PendingWrites writes,
+            SchedulingSignal signal) {
+        this.settings = settings;
+        this.quotaUsage = quotaUsage;
+        this.failureDiagnosis = failureDiagnosis;
+        this.writes = writes;
+        this.signal = signal;
+        this.gangRestarts = new GangRestarts(settings, machines, attempt -> stop(attempt, 0));
+    }
+
+    /** Attempts proven over. */
+    long ended() {
+        return ended;
+    }
+
+    /** Of those, the ones that were lost with their machine or its agent's incarnation. */
+    long lost() {
+        return lost;
+    }
+
+    // ---- beginning ----------------------------------------------------------------------------
+
+    /** The attempt counts from now on. */
+    void add(Attempt attempt) {
+        attempt.job.addLive(attempt);
+        attempt.machine.addAttempt(attempt);
+        quotaUsage.countAttempt(attempt.job.spec, 1);
+        attempt.job.hasStoppingAttempts += attempt.isStopping() ? 1 : 0;
+    }
+
+    /** The scheduler's decision: this waiting task goes to that machine, once that is written. */
+    void place(Job job, int task, Machine machine, double now) {
+        Job.JobPart part = job.markPlacementDirty(task);
+        writes.dirtyParts().addPlacement(part);
+        add(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
+        job.placementTimes.add(now);
+        LOG.debug("placed {}/{}#{} on {}", job.spec.id(), task, job.nextAttempt, machine.id);
+    }
+
+    /** A job's record says that this attempt is, or may be, on the machine. */
+    void restore(Job job, int task, long number, Machine machine, double now) {
+        Attempt attempt = new Attempt(job, task, number, machine, now, 0);
+        attempt.isDurable = true;
+        attempt.mayBeLaunched = true;
+        add(attempt);
+        job.nextAttempt = Math.max(job.nextAttempt, number + 1);
+    }
+
+    /**
+     * An agent reports an attempt that nothing placed there: it counts until it is proven over, and
+     * is stopped.
+     */
+    void addUnexpected(
+            Job job, int task, long number, TaskState state, Machine machine, double now) {
+        LOG.error(
+                "machine {} has {}/{} which was not placed there", machine.id, job.spec.id(), task);
+        writes.dirtyParts().addChange(job.markDirty(task));
+        Attempt attempt = new Attempt(job, task, number, machine, now, job.version());
+        attempt.isDurable = true;
+        attempt.mayBeLaunched = true;
+        attempt.isSeen = true;
+        attempt.state = state;
+        attempt.stopGraceSeconds = 0;
+        job.nextAttempt = Math.max(job.nextAttempt, number + 1);
+        add(attempt);
+    }
+
+    // ---- stopping -----------------------------------------------------------------------------
+
+    /**
+     * The attempt is to be stopped, with the shortest grace that was asked for. One that is not
+     * known to be written was never launched, and is withdrawn.
+     */
+    void stop(Attempt attempt, double graceSeconds) {
+        if (attempt.isEnded) {
+            return;
+        }
+        if (!attempt.isDurable) {
+            withdraw(attempt);
+            return;
+        }
+        if (!attempt.isStopping()) {
+            attempt.job.hasStoppingAttempts++;
+            attempt.stopGraceSeconds = graceSeconds;
+        }
+        attempt.stopGraceSeconds = Math.min(attempt.stopGraceSeconds, graceSeconds);
+    }
+
+    /**
+     * Takes back a placement that is not known to be written, so was never launched. Its write may
+     * be under way all the same, hence the part counts as changed.
+     */
+    void withdraw(Attempt attempt) {
+        quotaUsage.countAttempt(attempt.job.spec, -1);
+        attempt.job.removeLive(attempt);
+        writes.dirtyParts().addChange(attempt.job.markDirty(attempt.task));
+        attempt.job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
+        attempt.machine.removeAttempt(attempt);
+        signal.request();
+    }
+
+    // ---- proven over --------------------------------------------------------------------------
+
+    /** The attempt went with its machine or its agent's incarnation. */
+    void lose(Attempt attempt, double now) {
+        lost++;
+        end(attempt, EndCause.STOPPED, now);
+    }
+
+    /**
+     * The attempt is proven over. It stays among its machine's unwritten ends until that is
+     * written.
+     *
+     * @param cause as the agent reported it; null counts as stopped
+     */
+    void end(Attempt attempt, EndCause cause, double now) {
+        if (attempt.isEnded) {
+            return;
+        }
+        Job job = attempt.job;
+        quotaUsage.countAttempt(job.spec, -1);
+        attempt.isEnded = true;
+        attempt.state = TaskState.ENDED;
+        job.removeLive(attempt);
+        job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
+        ended++;
+        signal.request();
+        Machine machine = attempt.machine;
+        machine.removeAttempt(attempt);
+        if (attempt.isDurable) {
+            machine.placedWork().addUnwrittenEnd(attempt);
+            job.unwrittenEnds.add(attempt);
+        }
+        if (!machine.isBusy()) {
+            machine.setIdleSince(now);
+        }
+        if (!job.isFinished) {
+            applyEndCause(attempt, cause == null ? EndCause.STOPPED : cause, now);
+        }
+        writes.dirtyParts().addChange(job.markDirty(attempt.task));
+        attempt.endedVersion = job.version();
+    }
+
+    private void applyEndCause(Attempt attempt, EndCause cause, double now) {
+        Job job = attempt.job;
+        switch (cause) {
+            case DONE -> complete(attempt);
+            case ERROR -> failureDiagnosis.recordFailure(attempt, now);
+            case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_TASK -> {
+                LOG.info("attempt refused: attempt={} cause={}", attempt, cause);
+                job.notBefore =
+                        Math.max(
+                                job.notBefore, now + settings.workers().heartbeatIntervalSeconds());
+            }
+            default -> LOG.debug("attempt ended: attempt={} cause={}", attempt, cause);
+        }
+        if (job.spec.isGang() && cause != EndCause.DONE) {
+            gangRestarts.onTaskLost(attempt, cause, now);
+        }
+    }
+
+    private void complete(Attempt attempt) {
+        Job job = attempt.job;
+        failureDiagnosis.recordSuccess(attempt);
+        if (job.spec.shape() == JobSpec.Shape.SERVICE) {
+            return;
+        }
+        if (job.spec.isGang()) {
+            // The tasks of a gang complete together.
+            job.doneTasks.set(0, job.spec.taskCount());
+            writes.markAllPartsDirty(job);
+        } else {
+            job.doneTasks.set(attempt.task);
+        }
+    }
+
+    /** See {@link GangRestarts#restartOnceImagesFetched}. */
+    void restartGangOnceImagesFetched(Job job) {
+        gangRestarts.restartOnceImagesFetched(job);
+    }
+}
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -8,10 +8,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells machines that fail what they start from jobs that were submitted with a mistake, by who
- * else fails where. A mistaken job may cost little: one task, or one gang, is tried at a time and
- * ever more rarely, in room that is free anyway. A job that succeeded once, or runs on longer than
- * it took to fail, is none.
+ * Tells machines that fail what they start, which are quarantined, from jobs that were submitted
+ * with a mistake, by who else fails where. A job at fault may cost little: one task, or one gang,
+ * is tried at a time and ever more rarely, in room that is free anyway. A job that succeeded once,
+ * or runs on longer than it took to fail, is not at fault. Not thread-safe; belongs to the shard's
+ * thread.
  */
 public final class FailureDiagnosis {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDiagnosis.class);
@@ -19,20 +20,31 @@
     /** Machines on which a job has to fail before it is held to be at fault itself. */
     private static final int MIN_FAILED_MACHINES = 3;
 
-    /** After that many failed starts since its last success a machine is set aside. */
+    /** After that many failed starts since its last success a machine is quarantined. */
     private static final int QUARANTINE_FAILURES = 2;
 
+    /** The pause between tries of a job at fault doubles that many times at most. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 8;
+
+    /** The longest pause between tries of a job at fault, in leases. */
+    private static final int MAX_BACKOFF_LEASES = 6;
+
+    /** A task that runs for that many times what others took to fail shows that the job is good. */
+    private static final int PROOF_FACTOR = 2;
+
     private final ClusterSettings settings;
     private final Map<String, Machine> machines;
 
+    /** Reads the machines by id from a map that is kept up to date by others. */
     FailureDiagnosis(ClusterSettings settings, Map<String, Machine> machines) {
         this.settings = settings;
         this.machines = machines;
     }
 
+    /** The attempt has completed its task. */
     void recordSuccess(Attempt attempt) {
         Job job = attempt.job;
-        attempt.machine.failuresByJob.clear();
+        attempt.machine.failuresByJob().clear();
         job.failedRetries = 0;
         if (job.successCount++ == 0) {
             job.notBefore = 0;
@@ -40,39 +52,40 @@
         }
     }
 
-    private void forEachFailedMachine(Job job, Consumer<Machine> then) {
+    private void forEachFailedMachine(Job job, Consumer<Machine> action) {
         for (String id : job.failedMachines) {
             Machine machine = machines.get(id);
             if (machine != null) {
-                then.accept(machine);
+                action.accept(machine);
             }
         }
     }
 
     /**
-     * What the job failed on is not to blame for it: the fault was its own, or can't be told any
-     * more.
+     * The machines on which the job failed are not to blame for that: the fault was its own, or
+     * can't be told any more.
      */
     void clearBlame(Job job) {
         forEachFailedMachine(
                 job,
                 machine -> {
-                    machine.failuresByJob.remove(job);
+                    machine.failuresByJob().remove(job);
                     updateQuarantine(machine);
                 });
     }
 
+    /** The attempt's task has ended with an error. */
     void recordFailure(Attempt attempt, double now) {
         Job job = attempt.job;
         Machine machine = attempt.machine;
-        LOG.info("attempt {} failed", attempt);
+        LOG.info("attempt failed: attempt={}", attempt);
         job.failureCount++;
         job.failedMachines.add(machine.id);
         if (!Double.isNaN(attempt.runningSince)) {
             job.longestFailedRunSeconds =
                     Math.max(job.longestFailedRunSeconds, now - attempt.runningSince);
         }
-        machine.failuresByJob.merge(job, 1, Integer::sum);
+        machine.failuresByJob().merge(job, 1, Integer::sum);
         if (!isJobAtFault(job, now)) {
             updateQuarantine(machine);
             return;
@@ -82,51 +95,59 @@
         if (job.failedRetries == 0 || attempt.number > job.lastFailedRetryNumber) {
             job.lastFailedRetryNumber = Math.max(job.lastFailedRetryNumber, attempt.number);
             job.failedRetries++;
-            double pause =
-                    Math.min(
-                            settings.workers().heartbeatIntervalSeconds()
-                                    * (1 << Math.min(8, job.failedRetries)),
-                            6 * settings.workers().leaseSeconds());
-            job.notBefore = now + pause;
-            LOG.info(
-                    "job {} fails everywhere, {} times so far: tried again in {} s",
-                    job.spec.id(),
-                    job.failureCount,
-                    Math.round(pause));
+            holdBack(job, now);
         }
     }
 
+    private void holdBack(Job job, double now) {
+        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, job.failedRetries);
+        double pauseSeconds =
+                Math.min(
+                        settings.workers().heartbeatIntervalSeconds() * (1 << doublings),
+                        MAX_BACKOFF_LEASES * settings.workers().leaseSeconds());
+        job.notBefore = now + pauseSeconds;
+        LOG.info(
+                "job {} fails everywhere, {} times so far: tried again in {} s",
+                job.spec.id(),
+                job.failureCount,
+                Math.round(pauseSeconds));
+    }
+
     /**
-     * Failed on several machines, never succeeded, and nothing of it has run for much longer than
-     * it took to fail: a good job that met several faulty machines is not held back.
+     * Whether the job itself is held to be at fault: it failed on several machines, never
+     * succeeded, and nothing of it has run for much longer than it took to fail. A good job that
+     * met several faulty machines is not held back.
      */
     public boolean isJobAtFault(Job job, double now) {
         if (job.successCount > 0 || job.failedMachines.size() < MIN_FAILED_MACHINES) {
             return false;
         }
-        double proof =
-                2 * (job.longestFailedRunSeconds + settings.workers().heartbeatIntervalSeconds());
+        double proofSeconds =
+                PROOF_FACTOR
+                        * (job.longestFailedRunSeconds
+                                + settings.workers().heartbeatIntervalSeconds());
         return job.liveAttempts.values().stream()
                 .noneMatch(
                         attempt ->
                                 attempt.state == Heartbeat.TaskState.RUNNING
-                                        && now - attempt.runningSince > proof);
+                                        && now - attempt.runningSince > proofSeconds);
     }
 
     /**
-     * Set aside after two failures since its last success; of a job that has not succeeded anywhere
-     * only one counts. Guards against a mistaken job, all of whose tasks fail on the first machines
-     * it comes to, costing those machines.
+     * Quarantines the machine after {@value #QUARANTINE_FAILURES} failures since its last success;
+     * of a job that has not succeeded anywhere only one counts. Guards against a job at fault, all
+     * of whose tasks fail on the first machines it comes to, costing those machines. A machine that
+     * is being given back stays in quarantine.
      */
     private void updateQuarantine(Machine machine) {
         int blame = 0;
-        for (Map.Entry<Job, Integer> e : machine.failuresByJob.entrySet()) {
-            blame += e.getKey().successCount > 0 ? e.getValue() : 1;
+        for (Map.Entry<Job, Integer> failures : machine.failuresByJob().entrySet()) {
+            blame += failures.getKey().successCount > 0 ? failures.getValue() : 1;
         }
-        boolean bad = blame >= QUARANTINE_FAILURES;
-        if (bad && !machine.isQuarantined) {
+        boolean isBlamed = blame >= QUARANTINE_FAILURES;
+        if (isBlamed && !machine.isQuarantined()) {
             LOG.info("machine {} set aside: starts fail on it", machine.id);
         }
-        machine.isQuarantined = bad || machine.isQuarantined && machine.isReleasing;
+        machine.setQuarantined(isBlamed || machine.isQuarantined() && machine.isReleasing());
     }
 }
--- /dev/null
+++ b/src/main/java/io/kitepath/core/shard/JobRegistry.java
@@ -0,0 +1,177 @@
+package io.kitepath.core.shard;
+
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.JobProgress;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The shard's jobs: those that are open, and those that are over with something of them left. */
+final class JobRegistry {
+    private static final Logger LOG = LoggerFactory.getLogger(JobRegistry.class);
+
+    private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
+    private final MachineRegistry machines;
+    private final AttemptLedger attempts;
+    private final PendingWrites writes;
+    private final SchedulingSignal signal;
+    private final RecentArrivals recentArrivals = new RecentArrivals();
+    private final StartLatencies startLatencies = new StartLatencies();
+    private final ServiceLevels serviceLevels;
+    private final JobDependencies jobDependencies;
+
+    JobRegistry(
+            ClusterSettings settings,
+            MachineRegistry machines,
+            AttemptLedger attempts,
+            PendingWrites writes,
+            SchedulingSignal signal) {
+        this.machines = machines;
+        this.attempts = attempts;
+        this.writes = writes;
+        this.signal = signal;
+        this.serviceLevels = new ServiceLevels(settings);
+        this.jobDependencies =
+                new JobDependencies(
+                        settings,
+                        jobs,
+                        spec -> startLatencies.upperEstimateSeconds(spec.jobClass()),
+                        signal::request);
+    }
+
+    /** Unmodifiable view by id, in the order in which they became known. */
+    Map<String, Job> jobs() {
+        return jobsView;
+    }
+
+    RecentArrivals recentArrivals() {
+        return recentArrivals;
+    }
+
+    StartLatencies startLatencies() {
+        return startLatencies;
+    }
+
+    ServiceLevels serviceLevels() {
+        return serviceLevels;
+    }
+
+    JobDependencies jobDependencies() {
+        return jobDependencies;
+    }
+
+    void clear() {
+        jobs.clear();
+        serviceLevels.clear();
+        jobDependencies.clear();
+    }
+
+    void add(Job job) {
+        jobs.put(job.spec.id(), job);
+        LOG.debug(
+                "job known: job={} class={} tasks={} cpus={} image={}",
+                job.spec.id(),
+                job.spec.jobClass(),
+                job.spec.taskCount(),
+                job.spec.cpusPerTask(),
+                job.spec.image());
+        signal.request();
+        recentArrivals.add(job);
+        serviceLevels.recordArrival(job.spec);
+        if (!job.isFinished) {
+            jobDependencies.jobOpened(job);
+        }
+    }
+
+    /** A job that is over, some of whose attempts may still be on machines. */
+    void addFinished(Job job) {
+        job.isFinished = true;
+        add(job);
+    }
+
+    /**
+     * Takes over what a part's record says is done and what is, or may be, on machines: lists of
+     * task and attempt number in turn, by machine.
+     *
+     * @throws io.kitepath.core.model.InvalidInputException if the record is not one of a part
+     */
+    void restorePart(Job job, int part, Object record, long revision, double now) {
+        for (Map.Entry<?, ?> onMachine : job.readPart(part, record, revision).entrySet()) {
+            Machine machine = machines.getOrAdd((String) onMachine.getKey(), now);
+            List<?> numbers = (List<?>) onMachine.getValue();
+            for (int i = 0; i + 1 < numbers.size(); i += 2) {
+                int task = ((Number) numbers.get(i)).intValue();
+                long attempt = ((Number) numbers.get(i + 1)).longValue();
+                attempts.restore(job, task, attempt, machine, now);
+            }
+        }
+        jobDependencies.jobStarted(job);
+        if (job.isFinished) {
+            writes.dirtyParts().enqueueIfDirty(job.markPartDirty(part));
+        }
+    }
+
+    /**
+     * The job is done or cancelled in the store; whatever of it is still on machines has to be
+     * stopped. Returns whether that is news here.
+     */
+    boolean finish(String id) {
+        Job job = jobs.get(id);
+        if (job == null || job.isFinished) {
+            return false;
+        }
+        job.isFinished = true;
+        signal.request();
+        jobDependencies.jobClosed(job);
+        for (Attempt attempt : new ArrayList<>(job.liveAttempts.values())) {
+            if (!attempt.isDurable) {
+                attempts.withdraw(attempt);
+            }
+        }
+        job.markAllDirty();
+        for (Job.JobPart part : job.allParts()) {
+            if (part.revision() > 0) {
+                // To be removed, or kept for as long as something of it is on machines.
+                writes.dirtyParts().addChange(part);
+            }
+        }
+        LOG.info("job over: job={} attemptsToEnd={}", id, job.liveAttempts.size());
+        return true;
+    }
+
+    /**
+     * Removes a job that is over, with nothing of it left anywhere. If it never succeeded, its
+     * failures say nothing of machines any more.
+     */
+    void remove(Job job, FailureDiagnosis failureDiagnosis) {
+        jobs.remove(job.spec.id());
+        if (job.successCount == 0) {
+            failureDiagnosis.clearBlame(job);
+        }
+        job.unwrittenEnds.forEach(
+                attempt -> attempt.machine.placedWork().removeUnwrittenEnd(attempt));
+    }
+
+    /**
+     * Progress of those of the jobs that are known here and not about to be cancelled for a job
+     * that they depend on.
+     *
+     * @param maxAgeSeconds how old a count may be
+     */
+    List<JobProgress> progress(
+            List<String> ids, double now, double maxAgeSeconds, PendingReasons pendingReasons) {
+        List<JobProgress> found = new ArrayList<>();
+        for (String id : ids) {
+            Job job = jobs.get(id);
+            if (job != null && !job.hasCancelledDependency) {
+                found.add(job.progress(now, maxAgeSeconds, pendingReasons));
+            }
+        }
+        return found;
+    }
+}
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -1,154 +1,64 @@
 package io.kitepath.core.shard;
 
+import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
-import java.util.ArrayList;
-import java.util.Collections;
+import io.kitepath.core.port.Cloud;
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
- * A rented machine as the holder knows it: from the cloud's list, its worker's reports and the
- * jobs' records.
+ * A rented machine as the shard's leader knows it: from the cloud's list, its agent's heartbeats
+ * and the jobs' records. Its concerns are kept apart: liveness in {@link HeartbeatHistory}, what is
+ * placed on it in {@link PlacedWork}, images in {@link MachineImages}, for whom its room is
+ * reserved in {@link RoomReservation}. Times are seconds on the steady clock. Not thread-safe;
+ * belongs to the shard's thread.
  */
 public final class Machine {
-    /** In leases. */
-    private static final double ANSWERS_ARRIVE_LEASES = 1.5;
+    private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
 
-    private static final int MAX_LOST_INCARNATIONS = 2;
+    /** Tolerance for sums of CPUs, GPUs and memory that were added and subtracted many times. */
+    private static final double ROUNDING = 1e-6;
 
+    /** The cloud's name of the machine. */
     public final String id;
-    String type;
-    String zone;
 
-    /** Where its worker takes direct commands; empty until it reported. */
-    String address = "";
+    private final HeartbeatHistory heartbeats = new HeartbeatHistory();
+    private final PlacedWork placedWork = new PlacedWork();
+    private final MachineImages images = new MachineImages(placedWork.attempts());
+    private final RoomReservation reservation = new RoomReservation();
 
-    /** Direct commands are under way to it. */
-    boolean setCommandInFlight;
+    private String type;
+    private String zone;
+    private String address = "";
+    private boolean spot;
 
-    boolean isSpot;
+    private double knownSince;
+    private boolean listed;
+    private boolean bootStartKnown;
 
-    /** Times are seconds on the steady clock. */
-    double knownSince;
+    /** When the cloud takes the machine away; NaN without an interruption notice. */
+    private double interruptionAt = Double.NaN;
 
-    /** A list of the cloud has shown it. */
-    boolean isListed;
+    private boolean releasing;
+    private boolean gone;
+    private boolean quarantined;
+    private boolean draining;
 
-    /**
-     * Rented by this holder, or by one that put it on record, so that it is known when its boot
-     * began.
-     */
-    boolean isBootStartKnown;
-
-    /** NaN until the first report. */
-    double lastHeartbeatAt = Double.NaN;
-
-    long agentIncarnation;
-    long lastSequence;
-
-    /**
-     * A report with our own token has come: nothing that an earlier holder sent can start here any
-     * more.
-     */
-    boolean isTokenConfirmed;
-
-    /**
-     * When the first report of its session came, and the first one in it with our own token; NaN
-     * before.
-     */
-    private double agentIncarnationSince = Double.NaN;
-
-    private double tokenConfirmedAt = Double.NaN;
-
-    /** Sessions in a row that ended although their reports were answered. */
-    private int answeredIncarnationsLost;
-
-    /**
-     * Since when it is known to report without hearing what it is answered; NaN while it is not.
-     */
-    private double missingAnswersSince = Double.NaN;
-
-    /**
-     * Since when it has been answered with our token and has not shown it; NaN once it has, or
-     * before.
-     */
-    private double tokenUnconfirmedSince = Double.NaN;
-
-    /** NaN, or when the cloud takes the machine away. */
-    double interruptionAt = Double.NaN;
-
-    boolean isReleasing;
-    boolean isGone;
-
-    /** Set aside because what it starts fails while the same work runs elsewhere. */
-    boolean isQuarantined;
-
-    /** Jobs that failed here since something succeeded, and how often. */
-    final Map<Job, Integer> failuresByJob = new HashMap<>();
-
-    /** Attempts not proven over. */
-    final List<Attempt> attempts = new ArrayList<>();
-
-    private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
-
-    /** Attempts proven over, which the store does not know yet; they are cleared once it does. */
-    final List<Attempt> unwrittenEnds = new ArrayList<>();
+    /** Failed starts by job, since something last succeeded here. */
+    private final Map<Job, Integer> failuresByJob = new HashMap<>();
 
-    /**
-     * Tasks on the machine that belong to no job we know; until they are gone, the machine takes
-     * nothing.
-     */
-    int unknownTasks;
-
-    double idleSince;
-
-    /** When it last had work that could not have run on a spot machine. */
-    double lastNeededAt;
-
-    /** To be given back once empty: takes no work that a cheaper machine could do. */
-    boolean isDraining;
-
-    /** Images that it probably has, with their size, the least recently used first. */
-    private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
-
-    /** Images that it probably fetches now; null if that is to be worked out anew. */
-    private Set<String> fetchingImages;
-
-    double usedCpus;
-    double usedGpus;
-    double usedMemory;
-
-    /** Of the used CPUs, what work takes that may not use spot machines. */
-    double nonSpotCpus;
-
-    int unconfirmedStarts;
-
-    /** The job that is to have the room here, and until when other work has been stopped for it. */
-    Job reservedFor;
-
-    double reservedUntil;
-
-    /**
-     * Only kept until other work ends, nothing is being stopped: work that would give way to the
-     * job may run meanwhile. Guards against machines that idle for minutes because a gang waits for
-     * the last of those that it needs.
-     */
-    boolean isBackfillAllowed;
-
-    private double reservationStartsAt;
-
-    /** Whether the last report ended something. */
-    boolean didLastReportEndTask;
+    private double idleSince;
+    private double lastNeededAt;
+    private boolean commandInFlight;
+    private boolean lastReportEndedTask;
 
-    /** Counts reports that were read in full, to tell what one of them did not show. */
-    int fullReportsRead;
+    /** Numbers the reports that were read in full, to tell what one of them did not show. */
+    private int fullReportsRead;
 
     Machine(String id, double now) {
         this.id = id;
@@ -157,404 +67,426 @@
         this.lastNeededAt = now;
     }
 
-    /** Its type's name; null until something has said it. */
+    // ---- identity and capacity ----------------------------------------------------------------
+
+    /** Its type's name; null until the cloud's list, a rental or a heartbeat has said it. */
     public String type() {
         return type;
     }
 
+    /** Its zone; null until its type is known. */
     public String zone() {
         return zone;
     }
 
+    /** Whether it is a spot instance. */
     public boolean isSpot() {
-        return isSpot;
+        return spot;
     }
 
+    /** Type, zone and whether it is a spot instance: what its price and its boot time depend on. */
     public MachineKind kind() {
-        return new MachineKind(type, zone, isSpot);
+        return new MachineKind(type, zone, spot);
     }
 
+    /** Where its agent accepts direct commands; empty until it reported. */
     public String address() {
         return address;
     }
 
-    public long agentIncarnation() {
-        return agentIncarnation;
+    private void setKind(String newType, String newZone, boolean isSpot) {
+        type = newType;
+        zone = newZone;
+        spot = isSpot;
     }
 
-    /** Seconds on the steady clock; NaN until the first report. */
-    public double lastHeartbeatAt() {
-        return lastHeartbeatAt;
+    /** Whether one more task of this kind fits beside what is placed here. */
+    public boolean fits(JobSpec spec, MachineType type) {
+        return usedCpus() + spec.cpusPerTask() <= type.cpus() + ROUNDING
+                && usedGpus() + spec.gpusPerTask() <= type.gpus() + ROUNDING
+                && usedMemory() + spec.memoryGigabytesPerTask()
+                        <= type.memoryGigabytes() + ROUNDING;
+    }
+
+    // ---- what the cloud says ------------------------------------------------------------------
+
+    /** Takes in an entry of the cloud's list of machines. */
+    void applyCloudEntry(Cloud.ListedMachine entry) {
+        listed = true;
+        setKind(entry.machineType(), entry.zone(), entry.spot());
+        if (entry.status().equals("failed")) {
+            releasing = true;
+        }
     }
 
     /**
-     * Whether a report with the holder's own token has come: nothing that an earlier one sent can
-     * start here.
+     * The cloud has rented this machine to us; its boot began at {@code since}. A machine that has
+     * reported before keeps the time since when it is known.
      */
-    public boolean isTokenConfirmed() {
-        return isTokenConfirmed;
+    void recordRental(MachineKind kind, double since) {
+        if (!hasReported()) {
+            bootStartKnown = true;
+            knownSince = since;
+        }
+        setKind(kind.machineType(), kind.zone(), kind.spot());
     }
 
-    public boolean isReleasing() {
-        return isReleasing;
+    void setKnownSince(double since) {
+        knownSince = since;
     }
 
-    public boolean isGone() {
-        return isGone;
+    /** When it was first heard of, or its boot began if that is known. */
+    double knownSince() {
+        return knownSince;
     }
 
     /** Whether a list of the cloud has shown it. */
     public boolean isListed() {
-        return isListed;
+        return listed;
     }
 
-    public boolean isQuarantined() {
-        return isQuarantined;
+    /**
+     * Whether it was rented by this leader, or by one that put the rental on record, so that it is
+     * known when its boot began.
+     */
+    boolean isBootStartKnown() {
+        return bootStartKnown;
     }
 
-    /** Whether the cloud has said that it takes the machine away. */
+    /** Whether the cloud has given notice that it takes the machine away. */
     public boolean hasInterruptionNotice() {
         return !Double.isNaN(interruptionAt);
     }
 
-    /** Attempts not proven over. */
-    public List<Attempt> attempts() {
-        return attemptsView;
+    // ---- liveness -----------------------------------------------------------------------------
+
+    /**
+     * Takes in what a heartbeat says of the machine itself; its tasks are for {@link
+     * HeartbeatProcessor}.
+     *
+     * @param carriesOurToken whether it carries the leader's fencing token and the jobs are loaded
+     */
+    void recordHeartbeat(
+            Heartbeat heartbeat, boolean carriesOurToken, double now, double leaseSeconds) {
+        heartbeats.record(
+                heartbeat.agentIncarnation(),
+                heartbeat.sequence(),
+                carriesOurToken,
+                now,
+                leaseSeconds);
+        setKind(heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
+        address = heartbeat.address();
+        if (heartbeat.noticeSeconds() == null) {
+            interruptionAt = Double.NaN;
+            return;
+        }
+        if (!hasInterruptionNotice()) {
+            LOG.info(
+                    "interruption notice: machine={} takenInSeconds={}",
+                    id,
+                    heartbeat.noticeSeconds());
+        }
+        interruptionAt = now + heartbeat.noticeSeconds();
     }
 
-    /** Whether its worker still has ended attempts that the store does not know. */
-    public boolean hasUnwrittenEnds() {
-        return !unwrittenEnds.isEmpty();
+    /** Whether the heartbeat is newer than all that were read of this machine. */
+    boolean isNewer(Heartbeat heartbeat) {
+        return heartbeat.isNewerThan(heartbeats.agentIncarnation(), heartbeats.lastSequence());
     }
 
-    public double idleSince() {
-        return idleSince;
+    /** Liveness as the heartbeats show it. */
+    HeartbeatHistory heartbeats() {
+        return heartbeats;
     }
 
-    public double lastNeededAt() {
-        return lastNeededAt;
+    /** Whether any heartbeat of it has come. */
+    public boolean hasReported() {
+        return heartbeats.hasReported();
     }
 
-    public boolean isDraining() {
-        return isDraining;
+    /** Seconds on the steady clock; NaN until the first heartbeat. */
+    public double lastHeartbeatAt() {
+        return heartbeats.lastHeartbeatAt();
     }
 
-    public double usedCpus() {
-        return usedCpus;
+    /** The agent's session: it begins a new one when its lease has expired or it restarted. */
+    public long agentIncarnation() {
+        return heartbeats.agentIncarnation();
     }
 
-    /** Of the used CPUs, what work takes that may not use spot machines. */
-    public double nonSpotCpus() {
-        return nonSpotCpus;
+    /**
+     * Whether a report with the leader's own fencing token has come: nothing that an earlier leader
+     * sent can start here any more.
+     */
+    public boolean isTokenConfirmed() {
+        return heartbeats.isTokenConfirmed();
     }
 
-    public double usedGpus() {
-        return usedGpus;
+    /** Whether its heartbeats arrive, but answers don't reach it. */
+    public boolean isMissingAnswers() {
+        return heartbeats.isMissingAnswers();
     }
 
-    public double usedMemory() {
-        return usedMemory;
+    /** Seconds since that is known; 0 while answers are held to arrive. */
+    public double missingAnswersSeconds(double now) {
+        return heartbeats.missingAnswersSeconds(now);
     }
 
-    /** Starts that no report has shown. */
-    public int unconfirmedStarts() {
-        return unconfirmedStarts;
+    // ---- what the leader decides about it -----------------------------------------------------
+
+    /** Whether new tasks may be placed here. */
+    public boolean isSchedulable() {
+        return isTokenConfirmed()
+                && !isMissingAnswers()
+                && !releasing
+                && !gone
+                && !quarantined
+                && !hasInterruptionNotice()
+                && placedWork.unknownTasks() == 0;
     }
 
-    public Job reservedFor() {
-        return reservedFor;
+    /** From now on it is to be given back and takes no work any more. */
+    public void release() {
+        releasing = true;
     }
 
-    /**
-     * Whether work that would give way to the job that it is reserved for may run here meanwhile.
-     */
-    public boolean isBackfillAllowed() {
-        return isBackfillAllowed;
+    /** Whether it is to be given back. */
+    public boolean isReleasing() {
+        return releasing;
     }
 
-    // ---- what others decide about it ----------------------------------------------------------
+    /** It does not exist any more: released, taken, or unknown to the cloud. */
+    void markGone() {
+        gone = true;
+    }
 
-    /** Holds the room here for the job, for which other work is being stopped. */
-    public void reserve(Job job, double until) {
-        reservedFor = job;
-        isBackfillAllowed = false;
-        reservedUntil = until;
+    /** Whether it is known not to exist any more. */
+    public boolean isGone() {
+        return gone;
     }
 
-    /**
-     * Keeps the room for the job, which other work will have left by then; see {@link
-     * #isBackfillAllowed()}.
-     */
-    public void reserveAllowingBackfill(Job job, double from) {
-        reservedFor = job;
-        isBackfillAllowed = true;
-        reservationStartsAt = from;
+    void setQuarantined(boolean isQuarantined) {
+        quarantined = isQuarantined;
+    }
+
+    /** Whether it takes no work because what it starts fails while the same work runs elsewhere. */
+    public boolean isQuarantined() {
+        return quarantined;
     }
 
     /**
-     * Whether the job would by its estimate be over here before the one starts that the room is
-     * kept for.
+     * Failed starts by job since something last succeeded here; {@link FailureDiagnosis} keeps it.
      */
-    public boolean mayBackfill(Job job, double now) {
-        return job.spec.shape() != JobSpec.Shape.SERVICE
-                && now + job.spec.estimatedSeconds() <= reservationStartsAt;
+    Map<Job, Integer> failuresByJob() {
+        return failuresByJob;
     }
 
     /**
-     * A new round: what was only kept is decided anew, and room is not held longer than its job
-     * needs or may.
+     * Draining machines are given back once empty, and take no work that a cheaper one could do.
      */
-    public void refreshReservation(double now) {
-        if (isBackfillAllowed
-                || now >= reservedUntil
-                || reservedFor != null && reservedFor.waitingTasks() == 0) {
-            unreserve();
-        }
+    public void setDraining(boolean isDraining) {
+        draining = isDraining;
     }
 
-    private void unreserve() {
-        reservedFor = null;
-        isBackfillAllowed = false;
+    /** Whether it is to be given back once empty. */
+    public boolean isDraining() {
+        return draining;
     }
 
-    /** It has work that could not run on a cheaper machine. */
+    /** It has work now that could not run on a cheaper machine. */
     public void markNeeded(double now) {
         lastNeededAt = now;
     }
 
-    public void setDraining(boolean so) {
-        isDraining = so;
-    }
-
-    /** It is to be given back and takes no work any more. */
-    public void release() {
-        isReleasing = true;
+    /** When it last had work that could not have run on a spot instance. */
+    public double lastNeededAt() {
+        return lastNeededAt;
     }
 
     /** Direct commands are under way to it, or have been answered. */
-    public void setCommandInFlight(boolean underWay) {
-        setCommandInFlight = underWay;
+    public void setCommandInFlight(boolean isInFlight) {
+        commandInFlight = isInFlight;
     }
 
-    public boolean hasReported() {
-        return !Double.isNaN(lastHeartbeatAt);
+    boolean isCommandInFlight() {
+        return commandInFlight;
     }
 
-    /**
-     * A report came, of that session. Guards against a machine whose reports arrive while no answer
-     * reaches it: it looks as well as any, but its lease runs out again and again. One that was
-     * answered for a whole lease and is in another session all the same, twice in a row, hears
-     * nothing (once may be a network that was slow for a while); one that stays in a session for
-     * longer than a lease hears again.
-     */
-    void recordHeartbeat(long itsSession, boolean ours, double now, double leaseS) {
-        if (itsSession > agentIncarnation) {
-            boolean answered =
-                    now - tokenConfirmedAt > leaseS / 2 && now - lastHeartbeatAt < leaseS / 2;
-            answeredIncarnationsLost = answered ? answeredIncarnationsLost + 1 : 0;
-            if (answeredIncarnationsLost >= MAX_LOST_INCARNATIONS) {
-                markMissingAnswers(now);
-            }
-            agentIncarnationSince = now;
-            tokenConfirmedAt = Double.NaN;
-        } else if (now - agentIncarnationSince > ANSWERS_ARRIVE_LEASES * leaseS) {
-            missingAnswersSince = Double.NaN;
-            answeredIncarnationsLost = 0;
-        }
-        if (ours && Double.isNaN(tokenConfirmedAt)) {
-            tokenConfirmedAt = now;
-        }
-        if (ours) {
-            missingAnswersSince =
-                    missingAnswersSince == tokenUnconfirmedSince ? Double.NaN : missingAnswersSince;
-            tokenUnconfirmedSince = Double.NaN;
-        } else if (Double.isNaN(tokenUnconfirmedSince)) {
-            tokenUnconfirmedSince = now;
-        } else if (now - tokenUnconfirmedSince > ANSWERS_ARRIVE_LEASES * leaseS) {
-            // Guards against a limit that stays taken for as long as no answer gets through: deaf
-            // since before this holder began, it never shows the token that would prove what is on
-            // it.
-            markMissingAnswers(tokenUnconfirmedSince);
-        }
+    // ---- reservations -------------------------------------------------------------------------
+
+    /** Holds the room here for the job, for which other work is being stopped. */
+    public void reserve(Job job, double until) {
+        reservation.reserve(job, until);
     }
 
     /**
-     * A report came that was not answered: it is there, and may lose its session for want of
-     * answers.
+     * Holds the room here for the job from the time on at which other work will have left; see
+     * {@link #isBackfillAllowed()}.
      */
-    void recordUnansweredHeartbeat(double now) {
-        if (hasReported()) {
-            lastHeartbeatAt = now;
-            tokenConfirmedAt = Double.NaN;
-            tokenUnconfirmedSince = Double.NaN;
-        }
-    }
-
-    /** Another token is ours: nothing is proven until a report shows it. */
-    void resetTokenConfirmation() {
-        isTokenConfirmed = false;
-        tokenUnconfirmedSince = Double.NaN;
-    }
-
-    /** What it was told does not reach it. */
-    void markMissingAnswers(double now) {
-        if (!isMissingAnswers()) {
-            missingAnswersSince = now;
-        }
-    }
-
-    /** Whether its reports arrive, but answers don't reach it. */
-    public boolean isMissingAnswers() {
-        return !Double.isNaN(missingAnswersSince);
+    public void reserveAllowingBackfill(Job job, double from) {
+        reservation.reserveAllowingBackfill(job, from);
     }
 
-    /** Seconds since that is known. */
-    public double missingAnswersSeconds(double now) {
-        return isMissingAnswers() ? now - missingAnswersSince : 0;
+    /** The job that is to have the room here; null if there is none. */
+    public Job reservedFor() {
+        return reservation.reservedFor();
     }
 
-    /** A task that it was told to start is there. */
-    void recordDeliveredStart() {
-        missingAnswersSince = Double.NaN;
-        answeredIncarnationsLost = 0;
+    /**
+     * Whether work that would give way to the job that the room is reserved for may run here
+     * meanwhile.
+     */
+    public boolean isBackfillAllowed() {
+        return reservation.isBackfillAllowed();
     }
 
-    /** Whether new tasks may be placed here. */
-    public boolean isSchedulable() {
-        return isTokenConfirmed
-                && !isMissingAnswers()
-                && !isReleasing
-                && !isGone
-                && !isQuarantined
-                && !hasInterruptionNotice()
-                && unknownTasks == 0;
+    /** Whether the job would by its estimate end before the reservation starts. */
+    public boolean mayBackfill(Job job, double now) {
+        return reservation.mayBackfill(job, now);
     }
 
-    public boolean fits(JobSpec spec, MachineType type) {
-        return usedCpus + spec.cpusPerTask() <= type.cpus() + 1e-6
-                && usedGpus + spec.gpusPerTask() <= type.gpus() + 1e-6
-                && usedMemory + spec.memoryGigabytesPerTask() <= type.memoryGigabytes() + 1e-6;
+    /** A scheduling round begins; ends reservations that are over or have to be decided anew. */
+    public void refreshReservation(double now) {
+        reservation.refresh(now);
     }
 
-    /**
-     * CPUs by which the machine counts as in use: on an ordinary machine only work that may not use
-     * spot ones. Guards against work that could run cheaper elsewhere keeping ordinary machines
-     * rented, each with a little of the rest.
-     */
-    public double cpusJustifyingRental() {
-        return isSpot ? usedCpus : nonSpotCpus;
-    }
+    // ---- images -------------------------------------------------------------------------------
 
+    /** Whether the image is probably in its cache. */
     public boolean hasImage(String image) {
-        return images.containsKey(image);
+        return images.has(image);
     }
 
     /** Whether it probably fetches that image now, for an attempt that was placed here. */
     public boolean isFetching(String image) {
-        return fetchingImages().contains(image);
+        return images.isFetching(image);
     }
 
     /** Whether it probably fetches any image now. */
     public boolean isFetching() {
-        return !fetchingImages().isEmpty();
-    }
-
-    private Set<String> fetchingImages() {
-        if (fetchingImages == null) {
-            fetchingImages = new HashSet<>();
-            for (Attempt attempt : attempts) {
-                if (attempt.isFetching() && !hasImage(attempt.job.spec.image())) {
-                    fetchingImages.add(attempt.job.spec.image());
-                }
-            }
-        }
-        return fetchingImages;
+        return images.isFetchingAny();
     }
 
-    /** An attempt here has gone on. */
+    /** An attempt here has changed its state. */
     void invalidateFetchingImages() {
-        fetchingImages = null;
+        images.invalidateFetching();
     }
 
-    /** What an earlier holder knew to be here; nothing that this one saw is displaced by it. */
-    public void restoreImage(String image, double gb) {
-        images.putIfAbsent(image, gb);
+    /** Adds an image that an earlier leader knew to be here; displaces nothing that was seen. */
+    public void restoreImage(String image, double sizeGb) {
+        images.restore(image, sizeGb);
     }
 
+    /** Images that it probably has, with their size in GB, the least recently used first. */
     public Map<String, Double> images() {
-        return Collections.unmodifiableMap(images);
+        return images.cachedGb();
     }
 
     /** A task with this image runs here; the machine keeps the most recently used ones. */
-    void recordImageUse(String image, double gb, double cacheGb) {
-        fetchingImages = null;
-        images.put(image, gb);
-        double sum = 0;
-        for (double size : images.values()) {
-            sum += size;
-        }
-        Iterator<Double> oldest = images.values().iterator();
-        while (sum > cacheGb && images.size() > 1) {
-            sum -= oldest.next();
-            oldest.remove();
-        }
+    void recordImageUse(String image, double sizeGb, double cacheGb) {
+        images.recordUse(image, sizeGb, cacheGb);
     }
 
+    // ---- what is placed on it -----------------------------------------------------------------
+
     void addAttempt(Attempt attempt) {
-        attempts.add(attempt);
-        fetchingImages = null;
-        countUsage(attempt.job.spec, 1);
-        unconfirmedStarts += attempt.isSeen ? 0 : 1;
+        placedWork.add(attempt);
+        images.invalidateFetching();
     }
 
     void removeAttempt(Attempt attempt) {
-        if (!attempts.remove(attempt)) {
-            return;
-        }
-        fetchingImages = null;
-        countUsage(attempt.job.spec, -1);
-        unconfirmedStarts -= attempt.isSeen ? 0 : 1;
-        if (attempts.isEmpty()) {
-            resetUsage();
+        if (placedWork.remove(attempt)) {
+            images.invalidateFetching();
         }
     }
 
-    /**
-     * Sums are kept, not made anew; an empty machine starts from zero, so that errors of rounding
-     * don't add up.
-     */
-    private void resetUsage() {
-        usedCpus = 0;
-        usedGpus = 0;
-        usedMemory = 0;
-        nonSpotCpus = 0;
-        unconfirmedStarts = 0;
-    }
-
     void forgetAttempts() {
-        fetchingImages = null;
-        attempts.clear();
-        unwrittenEnds.clear();
+        images.invalidateFetching();
+        placedWork.forgetAttempts();
         failuresByJob.clear();
-        resetUsage();
     }
 
-    private void countUsage(JobSpec spec, int sign) {
-        usedCpus += sign * spec.cpusPerTask();
-        usedGpus += sign * spec.gpusPerTask();
-        usedMemory += sign * spec.memoryGigabytesPerTask();
-        if (!spec.allowsSpot()) {
-            nonSpotCpus += sign * spec.cpusPerTask();
-        }
+    /** What is placed here, with the resources that it uses. */
+    PlacedWork placedWork() {
+        return placedWork;
     }
 
     /** Counts a task that is about to be placed here (1), or is not after all (-1). */
     public void countTentatively(JobSpec spec, int sign) {
-        countUsage(spec, sign);
-        unconfirmedStarts += sign;
+        placedWork.countTentatively(spec, sign);
+    }
+
+    /** Attempts not proven over. */
+    public List<Attempt> attempts() {
+        return placedWork.attempts();
+    }
+
+    /** Whether its agent still has ended attempts that the store does not know. */
+    public boolean hasUnwrittenEnds() {
+        return !placedWork.unwrittenEnds().isEmpty();
     }
 
+    /** Whether anything is on it, or may be. */
     public boolean isBusy() {
-        return unknownTasks > 0 || !attempts.isEmpty();
+        return placedWork.isBusy();
+    }
+
+    /** Since when it has had nothing to do; meaningful only while it is not busy. */
+    public double idleSince() {
+        return idleSince;
+    }
+
+    void setIdleSince(double since) {
+        idleSince = since;
+    }
+
+    /** CPUs of the attempts that are not proven over. */
+    public double usedCpus() {
+        return placedWork.usedCpus();
+    }
+
+    /** Of the used CPUs, those of work that may not use spot instances. */
+    public double nonSpotCpus() {
+        return placedWork.nonSpotCpus();
+    }
+
+    /** GPUs of the attempts that are not proven over. */
+    public double usedGpus() {
+        return placedWork.usedGpus();
+    }
+
+    /** Memory of the attempts that are not proven over, in GB. */
+    public double usedMemory() {
+        return placedWork.usedMemory();
+    }
+
+    /**
+     * CPUs by which the machine counts as in use: on an on-demand machine only work that may not
+     * use spot instances. Guards against work that could run cheaper elsewhere keeping on-demand
+     * machines rented, each with a little of the rest.
+     */
+    public double cpusJustifyingRental() {
+        return spot ? usedCpus() : nonSpotCpus();
+    }
+
+    /** Starts that no report has shown. */
+    public int unconfirmedStarts() {
+        return placedWork.unconfirmedStarts();
+    }
+
+    // ---- reading of its reports ---------------------------------------------------------------
+
+    /** Begins to read a report in full; returns the number of this reading. */
+    int beginFullReport() {
+        return ++fullReportsRead;
+    }
+
+    void setLastReportEndedTask(boolean hasEndedTask) {
+        lastReportEndedTask = hasEndedTask;
+    }
+
+    /** Whether the last report that was read in full ended a task. */
+    boolean hasLastReportEndedTask() {
+        return lastReportEndedTask;
     }
 }
--- /dev/null
+++ b/src/main/java/io/kitepath/core/shard/MachineImages.java
@@ -0,0 +1,87 @@
+package io.kitepath.core.shard;
+
+import java.util.Collections;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Which container images a machine probably has, and which it probably fetches now. An estimate:
+ * the agent does not report its cache.
+ */
+final class MachineImages {
+    /** Sizes in GB by image, the least recently used first. */
+    private final Map<String, Double> cachedGb = new LinkedHashMap<>(16, 0.75f, true);
+
+    /** The machine's attempts, owned by {@link PlacedWork}. */
+    private final List<Attempt> attempts;
+
+    /** Valid only while {@link #isFetchingKnown}. */
+    private final Set<String> fetching = new HashSet<>();
+
+    private boolean isFetchingKnown;
+
+    MachineImages(List<Attempt> attempts) {
+        this.attempts = attempts;
+    }
+
+    boolean has(String image) {
+        return cachedGb.containsKey(image);
+    }
+
+    /** Whether the machine probably fetches that image, for an attempt that was placed on it. */
+    boolean isFetching(String image) {
+        return fetching().contains(image);
+    }
+
+    /** Whether the machine probably fetches any image. */
+    boolean isFetchingAny() {
+        return !fetching().isEmpty();
+    }
+
+    private Set<String> fetching() {
+        if (!isFetchingKnown) {
+            fetching.clear();
+            for (Attempt attempt : attempts) {
+                if (attempt.isFetching() && !has(attempt.job.spec.image())) {
+                    fetching.add(attempt.job.spec.image());
+                }
+            }
+            isFetchingKnown = true;
+        }
+        return fetching;
+    }
+
+    /** An attempt on the machine came, went or changed its state. */
+    void invalidateFetching() {
+        isFetchingKnown = false;
+    }
+
+    /** Adds what an earlier leader recorded; nothing that this one saw is displaced by it. */
+    void restore(String image, double sizeGb) {
+        cachedGb.putIfAbsent(image, sizeGb);
+    }
+
+    /** Unmodifiable view: sizes in GB by image, the least recently used first. */
+    Map<String, Double> cachedGb() {
+        return Collections.unmodifiableMap(cachedGb);
+    }
+
+    /** A task with this image runs on the machine, which keeps the most recently used ones. */
+    void recordUse(String image, double sizeGb, double cacheGb) {
+        invalidateFetching();
+        cachedGb.put(image, sizeGb);
+        double sumGb = 0;
+        for (double size : cachedGb.values()) {
+            sumGb += size;
+        }
+        Iterator<Double> oldest = cachedGb.values().iterator();
+        while (sumGb > cacheGb && cachedGb.size() > 1) {
+            sumGb -= oldest.next();
+            oldest.remove();
+        }
+    }
+}
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -58,8 +58,8 @@
         int starting = 0;
         int unheard = 0;
         for (Machine machine : shard.machines().values()) {
-            starting += machine.hasReported() || !machine.attempts.isEmpty() ? 0 : 1;
-            unheard += machine.hasReported() && !machine.isTokenConfirmed ? 1 : 0;
+            starting += machine.hasReported() || !machine.attempts().isEmpty() ? 0 : 1;
+            unheard += machine.hasReported() && !machine.isTokenConfirmed() ? 1 : 0;
         }
         String note =
                 tasks
--- a/src/test/java/io/kitepath/core/shard/HeartbeatProcessorTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatProcessorTest.java
@@ -5,6 +5,9 @@
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.Heartbeat;
+import io.kitepath.core.model.Heartbeat.EndCause;
+import io.kitepath.core.model.Heartbeat.TaskState;
+import io.kitepath.core.model.Heartbeat.TaskStatus;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.simulation.SimulatedCluster;
@@ -12,8 +15,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a report proves. */
+/** What a heartbeat proves, and what it doesn't. */
 class HeartbeatProcessorTest {
+    private static final String MACHINE = "i-1";
+    private static final long OTHER_TOKEN = 4;
+    private static final long OUR_TOKEN = 5;
+
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
     private final ShardState shard = new ShardState(settings, machine -> {});
     private final HeartbeatProcessor heartbeatProcessor = new HeartbeatProcessor(shard);
@@ -26,89 +33,74 @@
                     1,
                     256);
 
-    private static Heartbeat report(long sequence, long token) {
-        return new Heartbeat("i-1", "a", "m4", "a", false, 1, sequence, token, null, List.of());
+    private static Heartbeat heartbeat(long sequence, long token, TaskStatus... tasks) {
+        return new Heartbeat(
+                MACHINE, "a", "m4", "a", false, 1, sequence, token, null, List.of(tasks));
+    }
+
+    private List<WorkerCommand> process(Heartbeat heartbeat, double now) {
+        return heartbeatProcessor.process(heartbeat, true, id -> true, now);
+    }
+
+    /** An earlier leader has written that the job's task may be on the machine. */
+    private void restoreAttempt() {
+        Map<String, Object> record =
+                Map.of("next", 2L, "done", "", "live", Map.of(MACHINE, List.of(0L, 1L)));
+        shard.restorePart(job, 0, record, 7, 0);
     }
 
     /**
-     * An earlier holder wrote the placing and launched it in an answer that is still on its way;
-     * then the job is cancelled. The worker's report from before it knew us does not show the task,
-     * and proves nothing.
+     * An earlier leader wrote the placement and launched it in an answer that is still on its way;
+     * then the job is cancelled. The agent's heartbeat from before it knew us does not show the
+     * task, and proves nothing.
      */
     @Test
-    void onlyAReportThatCarriesOurTokenProvesWhatIsNotThere() {
-        shard.takeLeadership(5);
+    void absentTaskIsProvenOverOnlyByHeartbeatWithOurToken() {
+        shard.takeLeadership(OUR_TOKEN);
         shard.addJob(job);
-        shard.restorePart(
-                job,
-                0,
-                Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
-                7,
-                0);
+        restoreAttempt();
         shard.finishJob("j-1");
         for (int i = 1; i <= 5; i++) {
-            heartbeatProcessor.process(report(i, 4), true, id -> true, i);
+            process(heartbeat(i, OTHER_TOKEN), i);
         }
         assertEquals(1, job.liveAttempts().size());
-        assertFalse(shard.machines().get("i-1").isTokenConfirmed());
-        heartbeatProcessor.process(report(6, 5), true, id -> true, 6);
+        assertFalse(shard.machines().get(MACHINE).isTokenConfirmed());
+        process(heartbeat(6, OUR_TOKEN), 6);
         assertEquals(0, job.liveAttempts().size());
     }
 
     /**
-     * A copy of a report that was read already, or of an older one, neither ends nor proves
+     * A copy of a heartbeat that was read already, or an older one, neither ends nor proves
      * anything.
      */
     @Test
-    void anOlderReportIsNotRead() {
-        shard.takeLeadership(5);
+    void heartbeatThatIsNotNewerIsIgnored() {
+        shard.takeLeadership(OUR_TOKEN);
         shard.addJob(job);
-        heartbeatProcessor.process(report(9, 4), true, id -> true, 1);
-        shard.restorePart(
-                job,
-                0,
-                Map.of("next", 2L, "done", "", "live", Map.of("i-1", List.of(0L, 1L))),
-                7,
-                0);
+        process(heartbeat(9, OTHER_TOKEN), 1);
+        restoreAttempt();
         shard.finishJob("j-1");
-        heartbeatProcessor.process(report(8, 5), true, id -> true, 2);
-        heartbeatProcessor.process(report(9, 5), true, id -> true, 3);
+        process(heartbeat(8, OUR_TOKEN), 2);
+        process(heartbeat(9, OUR_TOKEN), 3);
         assertEquals(1, job.liveAttempts().size());
-        assertEquals(1, shard.machines().get("i-1").lastHeartbeatAt());
+        assertEquals(1, shard.machines().get(MACHINE).lastHeartbeatAt());
     }
 
     /**
-     * Whatever this holder knows of the machine: no answer keeps a task alive whose job is over.
+     * Whatever this leader knows of the machine: no answer keeps a task alive whose job is over.
      */
     @Test
-    void aMachineThatHasNotShownOurTokenIsToldToStopWhatIsOver() {
-        Heartbeat heartbeat =
-                new Heartbeat(
-                        "i-1",
-                        "i-1",
-                        "m4",
-                        "a",
-                        false,
-                        1,
-                        7,
-                        4,
-                        null,
-                        List.of(
-                                new Heartbeat.TaskStatus(
-                                        "j-1", 0, 3, Heartbeat.TaskState.RUNNING, null),
-                                new Heartbeat.TaskStatus(
-                                        "j-2", 1, 4, Heartbeat.TaskState.RUNNING, null),
-                                new Heartbeat.TaskStatus(
-                                        "j-2",
-                                        2,
-                                        4,
-                                        Heartbeat.TaskState.ENDED,
-                                        Heartbeat.EndCause.DONE)));
+    void taskOfFinishedJobIsStoppedBeforeMachineConfirmsOurToken() {
+        TaskStatus[] tasks = {
+            new TaskStatus("j-1", 0, 3, TaskState.RUNNING, null),
+            new TaskStatus("j-2", 1, 4, TaskState.RUNNING, null),
+            new TaskStatus("j-2", 2, 4, TaskState.ENDED, EndCause.DONE)
+        };
         List<WorkerCommand> stop =
                 List.of(new WorkerCommand(WorkerCommand.Action.STOP, "j-2", 1, 4, 0));
-        assertEquals(stop, heartbeatProcessor.process(heartbeat, false, "j-1"::equals, 1));
-        Heartbeat next =
-                new Heartbeat("i-1", "i-1", "m4", "a", false, 1, 8, 4, null, heartbeat.tasks());
-        assertEquals(stop, heartbeatProcessor.process(next, true, "j-1"::equals, 2));
+        Heartbeat beforeLoading = heartbeat(7, OTHER_TOKEN, tasks);
+        assertEquals(stop, heartbeatProcessor.process(beforeLoading, false, "j-1"::equals, 1));
+        Heartbeat afterLoading = heartbeat(8, OTHER_TOKEN, tasks);
+        assertEquals(stop, heartbeatProcessor.process(afterLoading, true, "j-1"::equals, 2));
     }
 }
