--- a/src/main/java/io/kitepath/core/shard/AttemptLedger.java
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -179,9 +179,10 @@
             case ERROR -> failureDiagnosis.recordFailure(attempt, now);
             case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_TASK -> {
                 LOG.info("attempt refused: attempt={} cause={}", attempt, cause);
-                job.notBefore =
+                job.failureHistory.setNotBefore(
                         Math.max(
-                                job.notBefore, now + settings.workers().heartbeatIntervalSeconds());
+                                job.failureHistory.notBefore(),
+                                now + settings.workers().heartbeatIntervalSeconds()));
             }
             default -> LOG.debug("attempt ended: attempt={} cause={}", attempt, cause);
         }
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -45,15 +45,14 @@
     void recordSuccess(Attempt attempt) {
         Job job = attempt.job;
         attempt.machine.failuresByJob().clear();
-        job.failedRetries = 0;
-        if (job.successCount++ == 0) {
-            job.notBefore = 0;
+        if (job.failureHistory.recordSuccess()) {
+            job.failureHistory.setNotBefore(0);
             forEachFailedMachine(job, this::updateQuarantine); // They are to blame after all.
         }
     }
 
     private void forEachFailedMachine(Job job, Consumer<Machine> action) {
-        for (String id : job.failedMachines) {
+        for (String id : job.failureHistory.failedMachines()) {
             Machine machine = machines.get(id);
             if (machine != null) {
                 action.accept(machine);
@@ -79,37 +78,29 @@
         Job job = attempt.job;
         Machine machine = attempt.machine;
         LOG.info("attempt failed: attempt={}", attempt);
-        job.failureCount++;
-        job.failedMachines.add(machine.id);
-        if (!Double.isNaN(attempt.runningSince)) {
-            job.longestFailedRunSeconds =
-                    Math.max(job.longestFailedRunSeconds, now - attempt.runningSince);
-        }
+        job.failureHistory.recordFailure(attempt, now);
         machine.failuresByJob().merge(job, 1, Integer::sum);
         if (!isJobAtFault(job, now)) {
             updateQuarantine(machine);
             return;
         }
         clearBlame(job);
-        // The tasks of an array that were placed together count as one try.
-        if (job.failedRetries == 0 || attempt.number > job.lastFailedRetryNumber) {
-            job.lastFailedRetryNumber = Math.max(job.lastFailedRetryNumber, attempt.number);
-            job.failedRetries++;
+        if (job.failureHistory.recordFailedRetry(attempt.number)) {
             holdBack(job, now);
         }
     }
 
     private void holdBack(Job job, double now) {
-        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, job.failedRetries);
+        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, job.failureHistory.failedRetries());
         double pauseSeconds =
                 Math.min(
                         settings.workers().heartbeatIntervalSeconds() * (1 << doublings),
                         MAX_BACKOFF_LEASES * settings.workers().leaseSeconds());
-        job.notBefore = now + pauseSeconds;
+        job.failureHistory.setNotBefore(now + pauseSeconds);
         LOG.info(
                 "job {} fails everywhere, {} times so far: tried again in {} s",
                 job.spec.id(),
-                job.failureCount,
+                job.failureHistory.failureCount(),
                 Math.round(pauseSeconds));
     }
 
@@ -119,12 +110,13 @@
      * met several faulty machines is not held back.
      */
     public boolean isJobAtFault(Job job, double now) {
-        if (job.successCount > 0 || job.failedMachines.size() < MIN_FAILED_MACHINES) {
+        FailureHistory history = job.failureHistory;
+        if (history.hasSucceeded() || history.failedMachines().size() < MIN_FAILED_MACHINES) {
             return false;
         }
         double proofSeconds =
                 PROOF_FACTOR
-                        * (job.longestFailedRunSeconds
+                        * (history.longestFailedRunSeconds()
                                 + settings.workers().heartbeatIntervalSeconds());
         return job.liveAttempts.values().stream()
                 .noneMatch(
@@ -142,7 +134,7 @@
     private void updateQuarantine(Machine machine) {
         int blame = 0;
         for (Map.Entry<Job, Integer> failures : machine.failuresByJob().entrySet()) {
-            blame += failures.getKey().successCount > 0 ? failures.getValue() : 1;
+            blame += failures.getKey().failureHistory.hasSucceeded() ? failures.getValue() : 1;
         }
         boolean isBlamed = blame >= QUARANTINE_FAILURES;
         if (isBlamed && !machine.isQuarantined()) {
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -7,7 +7,6 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collections;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -91,25 +90,8 @@
     private GuaranteeClaim claimOnArrival = GuaranteeClaim.UNKNOWN;
     private boolean isWithinGuarantee;
 
-    // ---- failures; see FailureDiagnosis ---------------------------------------------------------
-
-    /** In seconds on the steady clock; nothing of the job is placed before. */
-    double notBefore;
-
-    /** Ids of the machines on which a task of the job failed. */
-    final Set<String> failedMachines = new HashSet<>();
-
-    int failureCount;
-    int successCount;
-
-    /** Retries that failed in a row since the job itself is held to be at fault. */
-    int failedRetries;
-
-    /** The attempt number of the last of {@link #failedRetries}. */
-    long lastFailedRetryNumber;
-
-    /** The longest time that a task of the job ran before it failed. */
-    double longestFailedRunSeconds;
+    /** For {@link FailureDiagnosis}. */
+    final FailureHistory failureHistory = new FailureHistory();
 
     // ---- for display and the log ----------------------------------------------------------------
 
@@ -342,12 +324,12 @@
 
     /** Ids of the machines on which a task of the job failed; read only. */
     public Set<String> failedMachines() {
-        return Collections.unmodifiableSet(failedMachines);
+        return failureHistory.failedMachines();
     }
 
     /** Seconds on the steady clock before which nothing of the job is placed. */
     public double notBefore() {
-        return notBefore;
+        return failureHistory.notBefore();
     }
 
     // ---- dependencies ---------------------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/shard/JobRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/JobRegistry.java
@@ -150,7 +150,7 @@
      */
     void remove(Job job, FailureDiagnosis failureDiagnosis) {
         jobs.remove(job.spec.id());
-        if (job.successCount == 0) {
+        if (!job.failureHistory.hasSucceeded()) {
             failureDiagnosis.clearBlame(job);
         }
         job.unwrittenEnds.forEach(
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -52,10 +52,10 @@
 
     private static String describeFailures(Job job, double now) {
         return "fails on every machine it was tried on, "
-                + job.failureCount
+                + job.failureHistory.failureCount()
                 + " times so far"
-                + (job.notBefore > now
-                        ? "; tried again in " + formatSeconds(job.notBefore - now)
+                + (job.notBefore() > now
+                        ? "; tried again in " + formatSeconds(job.notBefore() - now)
                         : "");
     }
 
