--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -56,7 +56,7 @@
     /** The job's version that has its end; a write that covers that version records it. */
     int endedVersion;
 
-    /** What its task has to save its work once it is to be stopped; NaN while it is not. */
+    /** How long its task has to save its work before it is killed; NaN while it may run on. */
     double stopGraceSeconds = Double.NaN;
 
     /** Whether it was told to stop by a direct command. */
@@ -94,7 +94,7 @@
         return !isUnwanted() && (state == null || state == Heartbeat.TaskState.FETCHING_IMAGE);
     }
 
-    /** Whether it is to be stopped by itself, while its job goes on or not. */
+    /** Whether this attempt itself is to be stopped, whatever becomes of its job. */
     public boolean isStopping() {
         return !Double.isNaN(stopGraceSeconds);
     }
