--- a/src/test/java/io/kitepath/net/ScriptedServer.java
+++ b/src/test/java/io/kitepath/net/ScriptedServer.java
@@ -57,7 +57,12 @@
 
     /** A client of this server. */
     public HttpClient client() {
-        return new HttpClient(loop, address, 2, MAX_BODY_BYTES);
+        return clientOf(address);
+    }
+
+    /** A client of another server, on the same event loop. */
+    public HttpClient clientOf(InetSocketAddress otherAddress) {
+        return new HttpClient(loop, otherAddress, 2, MAX_BODY_BYTES);
     }
 
     /** Replies that document to the next request that has no reply yet. */
--- a/src/test/java/io/kitepath/store/HttpStoreTest.java
+++ b/src/test/java/io/kitepath/store/HttpStoreTest.java
@@ -11,9 +11,18 @@
 import io.kitepath.core.port.Store.WatchResult;
 import io.kitepath.net.HttpClient;
 import io.kitepath.net.ScriptedServer;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -201,4 +210,59 @@
         }
         assertEquals(new WatchResult(Outcome.UNKNOWN, 0, List.of()), watch());
     }
+
+    /** Reads a request without a body, or with an empty one, and responds to it. */
+    private static String serve(Socket connection) throws IOException {
+        StringBuilder request = new StringBuilder();
+        while (request.indexOf("\r\n\r\n") < 0) {
+            request.append((char) connection.getInputStream().read());
+        }
+        String response = "HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n";
+        connection.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
+        return request.toString();
+    }
+
+    @Test
+    void requestsHaveTheseBytesOnAKeptConnection() throws Exception {
+        try (ServerSocket listening = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            listening.setSoTimeout(5000);
+            String host = "127.0.0.1:" + listening.getLocalPort();
+            InetSocketAddress address =
+                    new InetSocketAddress("127.0.0.1", listening.getLocalPort());
+            HttpClient client = server.clientOf(address);
+            HttpStore raw = new HttpStore(client, client, client, 5000);
+            CompletableFuture<List<String>> requests =
+                    CompletableFuture.supplyAsync(() -> serveThree(listening));
+            assertEquals(
+                    Outcome.REJECTED,
+                    server.<Outcome>call(
+                            answer -> raw.get("k", (outcome, entry) -> answer.accept(outcome))));
+            assertEquals(
+                    Outcome.REJECTED, server.<Outcome>call(answer -> raw.renewLease(3, answer)));
+            server.call(
+                    answer -> {
+                        raw.revokeLease(3);
+                        answer.accept(null);
+                    });
+            String hostLine = "host: " + host + "\r\n";
+            assertEquals(
+                    List.of(
+                            "GET /keys/k HTTP/1.1\r\n" + hostLine + "\r\n",
+                            "POST /holds/3/renew HTTP/1.1\r\n"
+                                    + hostLine
+                                    + "content-length: 0\r\n"
+                                    + "content-type: application/msgpack\r\n\r\n",
+                            "DELETE /holds/3 HTTP/1.1\r\n" + hostLine + "\r\n"),
+                    requests.get(10, TimeUnit.SECONDS));
+        }
+    }
+
+    private static List<String> serveThree(ServerSocket listening) {
+        try (Socket connection = listening.accept()) {
+            connection.setSoTimeout(5000);
+            return List.of(serve(connection), serve(connection), serve(connection));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
 }
