--- a/src/main/java/io/kitepath/core/role/RoleRecord.java
+++ b/src/main/java/io/kitepath/core/role/RoleRecord.java
@@ -71,6 +71,6 @@
                         node(),
                         document.numberOr(STARTED_AT_MILLIS, 0, 0),
                         document.textOr(PROCESS_ID, ""))
-                == Incarnation.Holder.ABANDONED;
+                == Incarnation.RecordOwner.ABANDONED;
     }
 }
