--- /dev/null
+++ b/src/main/java/io/kitepath/core/service/JobCancellation.java
@@ -0,0 +1,156 @@
+package io.kitepath.core.service;
+
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.model.JobRecord;
+import io.kitepath.core.model.JobStatus;
+import io.kitepath.core.port.Store;
+import io.kitepath.core.port.Store.CommitResult;
+import io.kitepath.core.port.Store.Entry;
+import io.kitepath.core.port.Store.Transaction;
+import io.kitepath.core.port.Timers;
+import io.kitepath.core.service.JobSubmissionService.JobResponse;
+import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.core.state.StoreKeys;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/**
+ * Cancels jobs: one transaction moves the job's record from the open jobs to the ended ones. Any
+ * node does that for any job; the leader learns of it and stops the job's tasks.
+ */
+final class JobCancellation {
+    /** Attempts while the job's record changes between reading and writing it. */
+    private static final int MAX_TRIES = 4;
+
+    private final ClusterSettings settings;
+    private final Store store;
+    private final Timers timers;
+    private final FinalStates finalStates;
+
+    /** Whether tasks may be lent to other cells. */
+    private final boolean mayLendTasks;
+
+    private Consumer<JobStatus> onCancelled = job -> {};
+
+    JobCancellation(
+            ClusterSettings settings,
+            Store store,
+            Timers timers,
+            FinalStates finalStates,
+            boolean mayLendTasks) {
+        this.settings = settings;
+        this.store = store;
+        this.timers = timers;
+        this.finalStates = finalStates;
+        this.mayLendTasks = mayLendTasks;
+    }
+
+    /** The listener is told of every job that was cancelled here, before its user is. */
+    void onCancelled(Consumer<JobStatus> listener) {
+        onCancelled = listener;
+    }
+
+    /** What is told of a cancelled job. */
+    static JobStatus cancelledStatus(String jobId) {
+        return new JobStatus(jobId, FinalStates.CANCELLED, 0, 0);
+    }
+
+    void cancel(String jobId, Consumer<JobResponse> answer) {
+        cancel(jobId, MAX_TRIES, answer);
+    }
+
+    private void cancel(String jobId, int triesLeft, Consumer<JobResponse> answer) {
+        if (finalStates.answerWithoutStore(jobId, answer)) {
+            return;
+        }
+        if (triesLeft == 0) {
+            answer.accept(JobResponse.LATER);
+            return;
+        }
+        store.get(
+                StoreKeys.OPEN_JOBS + jobId,
+                (outcome, open) -> {
+                    switch (outcome) {
+                        case OK -> moveToEnded(jobId, open, triesLeft, answer);
+                        case REJECTED -> finalStates.read(jobId, answer);
+                        default -> answer.accept(JobResponse.LATER);
+                    }
+                });
+    }
+
+    private void moveToEnded(
+            String jobId, Entry open, int triesLeft, Consumer<JobResponse> answer) {
+        Transaction move =
+                new Transaction()
+                        .requireRevision(StoreKeys.OPEN_JOBS + jobId, open.revision())
+                        .requireRevision(StoreKeys.ENDED_JOBS + jobId, 0)
+                        .remove(StoreKeys.OPEN_JOBS + jobId)
+                        .put(StoreKeys.ENDED_JOBS + jobId, cancelledRecord(jobId, open.value()));
+        if (mayLendTasks) {
+            move.requireRevision(StoreKeys.LENT_TASKS + jobId, 0);
+        }
+        store.commit(
+                move,
+                result -> {
+                    switch (result.outcome()) {
+                        case OK -> {
+                            JobStatus status = cancelledStatus(jobId);
+                            finalStates.remember(status);
+                            onCancelled.accept(status);
+                            answer.accept(new JobResponse(Verdict.KNOWN, status));
+                        }
+                        case REJECTED -> {
+                            if (hasLentTasks(jobId, result)) {
+                                recallLoans(jobId, open.revision(), answer);
+                            } else {
+                                cancel(jobId, triesLeft - 1, answer);
+                            }
+                        }
+                        default -> answer.accept(JobResponse.LATER);
+                    }
+                });
+    }
+
+    private static boolean hasLentTasks(String jobId, CommitResult result) {
+        return result.failedKeys().contains(StoreKeys.LENT_TASKS + jobId);
+    }
+
+    /**
+     * Guards against a user who is told that the job is cancelled while a cell that nobody can
+     * reach starts one of its lent tasks: the tasks are recalled first, and the user is told to
+     * come again, until the leader has it from that cell's own records that none of them will start
+     * any more.
+     */
+    private void recallLoans(String jobId, long openRevision, Consumer<JobResponse> answer) {
+        store.commit(
+                new Transaction()
+                        .requireRevision(StoreKeys.OPEN_JOBS + jobId, openRevision)
+                        .requireRevision(StoreKeys.CANCELLATION_REQUESTS + jobId, 0)
+                        .put(StoreKeys.CANCELLATION_REQUESTS + jobId, Map.of()),
+                result -> answer.accept(JobResponse.LATER));
+    }
+
+    /** The record of a cancelled job, from its record as an open one. */
+    Map<String, Object> cancelledRecord(String jobId, Object openRecord) {
+        Map<String, Object> end =
+                Map.of(
+                        "status",
+                        FinalStates.CANCELLED,
+                        "done",
+                        0L,
+                        "endedMs",
+                        timers.wallClockMillis());
+        try {
+            return JobRecord.fromRecord(jobId, openRecord)
+                    .toFinishedRecord(end, settings.store().maxValueBytes());
+        } catch (InvalidInputException | IllegalArgumentException e) {
+            // Written by a later version, or damaged: kept as it is, and cancelled all the same.
+            Map<String, Object> record = new LinkedHashMap<>();
+            ((Map<?, ?>) openRecord).forEach((name, value) -> record.put((String) name, value));
+            record.putAll(end);
+            return record;
+        }
+    }
+}
