--- a/src/main/java/io/kitepath/core/role/CloudIntent.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntent.java
@@ -1,15 +1,19 @@
 package io.kitepath.core.role;
 
 import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Entry;
+import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.state.StoreKeys;
 import java.util.Map;
+import java.util.function.BiConsumer;
 
 /**
- * An act outside the store that is on record before it is done, and until whoever wanted it knows
- * what came of it.
+ * A request to the cloud that is on record in the store before it is sent, and until the leader
+ * knows what came of it.
  */
-public abstract class CloudIntent {
+public abstract sealed class CloudIntent permits RentalIntent, ReleaseIntent {
+    /** Of its record in the store. */
     final String key;
 
     /** Of its record; 0 while there is none. */
@@ -19,7 +23,11 @@
         this.key = key;
     }
 
-    /** Reads a record; throws {@link InvalidInputException} if it is none. */
+    /**
+     * Reads a record.
+     *
+     * @throws InvalidInputException if it is none, or of a kind that this version does not know
+     */
     static CloudIntent read(Entry entry) {
         if (entry.key().startsWith(StoreKeys.RENTAL_INTENTS)) {
             return RentalIntent.read(entry);
@@ -30,12 +38,24 @@
         throw new InvalidInputException("is not an act that this version knows");
     }
 
+    /** The stored form. */
     abstract Map<String, Object> toMap();
 
     /** Whether the cloud has said what came of it. */
     public abstract boolean isSettled();
 
-    boolean recorded() {
+    /** Whether it is settled and nothing came of it, so that no record need be kept. */
+    abstract boolean isWithoutResult();
+
+    /**
+     * Sends it to the cloud, under the same name each time.
+     *
+     * @param answer gets OK or REJECTED if that settles it, any other outcome if it has to be sent
+     *     again; the second argument then puts down in this object what came of it
+     */
+    abstract void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer);
+
+    boolean isRecorded() {
         return revision > 0;
     }
 
@@ -43,7 +63,8 @@
         return revision;
     }
 
-    void recorded(long at) {
-        revision = at;
+    /** Its record is of that revision, or there is none if that is 0. */
+    void setRevision(long revision) {
+        this.revision = revision;
     }
 }
--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -2,46 +2,60 @@
 
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.port.Store;
+import io.kitepath.core.port.Store.Condition;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
 import io.kitepath.core.port.Timers;
 import java.util.ArrayDeque;
 import java.util.Deque;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The duty to clean up the state: looks through the records now and then, removes what nothing
- * refers to any more, and says what should not be. Each removal depends on the duty, on the
- * record's revision and on what made it rubbish, so that a job which is just being accepted keeps
- * its parts, and a sweep that ends anywhere has done no harm.
+ * The role {@code cleanup}: looks through the records now and then, removes those that nothing
+ * refers to any more, and reports those that contradict each other. Each removal depends on the
+ * role, on the record's revision and on what made it garbage, so that a job which is just being
+ * accepted keeps its parts, and a collection that ends anywhere has done no harm.
  */
 public final class GarbageCollector implements LeasedRoles.RoleWorker {
     private static final Logger LOG = LoggerFactory.getLogger(GarbageCollector.class);
 
-    /** Between two looks, in workers' leases. */
+    /** Between two scans, in workers' leases. */
     private static final double PAUSE_IN_LEASES = 10;
 
-    /** Of the store's request and change rates. */
+    /** Of the store's request rate. */
     private static final double RATE_SHARE = 0.01;
 
-    /** What waits to be removed; what is found beyond that is found again by the next look. */
+    /** Records that wait to be removed; what is found beyond that is found by the next scan. */
     private static final int MAX_QUEUED = 1000;
 
     private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
+
+    /** Findings that wait to be removed, the first of them next. */
     private final Deque<OrphanScan.Finding> garbage = new ArrayDeque<>();
-    private OrphanScan scan;
+
+    /** The scan that is under way. */
+    private Optional<OrphanScan> scan = Optional.empty();
+
     private LeasedRoles.RoleLease roleLease;
+
+    /** Rises when the role is lost: answers to what was asked before are ignored. */
     private long epoch;
+
     private boolean isRequestInFlight;
+
+    /** In seconds on the steady clock. */
     private double nextStepAt;
+
     private long completedScans;
     private long removedCount;
     private long inconsistentCount;
     private long inconsistentInScan;
 
+    /** Starts nothing before the role is acquired. */
     public GarbageCollector(ClusterSettings settings, Store store, Timers timers) {
         this.settings = settings;
         this.store = store;
@@ -56,7 +70,7 @@
     @Override
     public void onAcquired(LeasedRoles.RoleLease lease) {
         roleLease = lease;
-        // Not at once: whoever ends again and again would do nothing but look.
+        // Not at once: a node that is restarted again and again would do nothing but scan.
         nextStepAt = timers.nowSeconds() + settings.workers().leaseSeconds();
     }
 
@@ -64,27 +78,26 @@
     public void onLost() {
         epoch++;
         isRequestInFlight = false;
-        scan = null;
+        scan = Optional.empty();
         garbage.clear();
     }
 
     @Override
     public boolean canPerform(double now) {
-        return true; // Whoever holds a lease of the store reaches all that it takes.
+        return true; // It takes the store only, which has just granted or renewed the lease.
     }
 
-    /**
-     * Looks that were finished; records removed; findings of the last look that a person has to
-     * look at.
-     */
+    /** Scans that were completed by this node. */
     public long completedScans() {
         return completedScans;
     }
 
+    /** Records that this node removed. */
     public long removedCount() {
         return removedCount;
     }
 
+    /** Records that the last scan found inconsistent, which a person has to look at. */
     public long inconsistentCount() {
         return inconsistentCount;
     }
@@ -94,44 +107,52 @@
         if (isRequestInFlight || now < nextStepAt || !roleLease.isCertain().getAsBoolean()) {
             return;
         }
-        // One request a step, paced so that the sweep is not felt.
+        // One request a step, paced so that the collection is not felt.
         nextStepAt = now + 1 / (settings.store().requestsPerSecond() * RATE_SHARE);
-        if (!garbage.isEmpty()) {
+        if (garbage.isEmpty()) {
+            stepScan();
+        } else {
             remove(garbage.poll());
-            return;
-        }
-        if (scan == null) {
-            inconsistentInScan = 0;
-            scan =
-                    new OrphanScan(
-                            store,
-                            4 * settings.store().maxTransactionOperations(),
-                            this::onFinding);
         }
+    }
+
+    private void stepScan() {
+        OrphanScan current = scan.orElseGet(this::startScan);
         isRequestInFlight = true;
-        long e = epoch;
-        scan.step(
+        long stepEpoch = epoch;
+        current.step(
                 () -> {
-                    if (e != epoch) {
+                    if (stepEpoch != epoch) {
                         return;
                     }
                     isRequestInFlight = false;
-                    if (scan.isComplete()) {
-                        inconsistentCount = inconsistentInScan;
-                        completedScans++;
-                        LOG.debug(
-                                "cleanup: looked at {} records, {} are rubbish, {} should not be",
-                                scan.recordsSeen(),
-                                garbage.size(),
-                                inconsistentCount);
-                        scan = null;
-                        nextStepAt =
-                                timers.nowSeconds()
-                                        + PAUSE_IN_LEASES * settings.workers().leaseSeconds();
+                    if (current.isComplete()) {
+                        completeScan(current);
                     }
                 });
     }
 
+    private OrphanScan startScan() {
+        inconsistentInScan = 0;
+        OrphanScan started =
+                new OrphanScan(
+                        store, 4 * settings.store().maxTransactionOperations(), this::onFinding);
+        scan = Optional.of(started);
+        return started;
+    }
+
+    private void completeScan(OrphanScan completed) {
+        inconsistentCount = inconsistentInScan;
+        completedScans++;
+        LOG.debug(
+                "cleanup: records={} removable={} inconsistent={}",
+                completed.recordsSeen(),
+                garbage.size(),
+                inconsistentCount);
+        scan = Optional.empty();
+        nextStepAt = timers.nowSeconds() + PAUSE_IN_LEASES * settings.workers().leaseSeconds();
+    }
+
     private void onFinding(OrphanScan.Finding finding) {
         if (!finding.isRemovable()) {
             inconsistentInScan++;
@@ -143,28 +164,29 @@
 
     private void remove(OrphanScan.Finding finding) {
         isRequestInFlight = true;
-        long e = epoch;
+        long removalEpoch = epoch;
         Transaction transaction =
                 new Transaction().requireRevision(roleLease.key(), roleLease.revision());
-        finding.conditions()
-                .forEach(
-                        condition ->
-                                transaction.requireRevision(condition.key(), condition.revision()));
+        for (Condition condition : finding.conditions()) {
+            transaction.requireRevision(condition.key(), condition.revision());
+        }
         store.commit(
                 transaction.remove(finding.key()),
                 result -> {
-                    if (e != epoch) {
-                        return;
-                    }
-                    isRequestInFlight = false;
-                    if (result.outcome() == Outcome.OK) {
-                        removedCount++;
-                        LOG.info("removed {}: {}", finding.key(), finding.reason());
-                    } else if (result.outcome() != Outcome.REJECTED) {
-                        garbage.addFirst(
-                                finding); // The same removal once more: its conditions let only one
-                        // of the two through.
+                    if (removalEpoch == epoch) {
+                        onRemovalAnswered(finding, result.outcome());
                     }
                 });
     }
+
+    private void onRemovalAnswered(OrphanScan.Finding finding, Outcome outcome) {
+        isRequestInFlight = false;
+        if (outcome == Outcome.OK) {
+            removedCount++;
+            LOG.info("removed {}: {}", finding.key(), finding.reason());
+        } else if (outcome != Outcome.REJECTED) {
+            // The same removal once more: its conditions let only one of the two through.
+            garbage.addFirst(finding);
+        }
+    }
 }
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -3,6 +3,7 @@
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store;
+import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Condition;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.ListResult;
@@ -20,22 +21,21 @@
 import java.util.function.Consumer;
 
 /**
- * One look through the records, a step at a time: what nothing refers to any more, and what should
- * not be. Whether jobs are open or over is asked by comparisons that write nothing, for many at
- * once, so that a look costs one request for each page of records and one or two for each hundred
- * jobs, however much history there is.
+ * One scan of the store's records, a step at a time, for records that nothing refers to any more
+ * and for records that contradict each other. Whether jobs are open or ended is found out by
+ * comparisons that write nothing, for many jobs at once, so that a scan costs one request for each
+ * page of records and one or two for each hundred jobs, however many jobs have ended.
  */
 public final class OrphanScan {
     /** Records in one page. */
     private static final int PAGE_SIZE = 200;
 
     /**
-     * What was found.
+     * A record that should not be there.
      *
-     * @param isRemovable whether it can be removed; if not, it should not be, and a person has to
-     *     look
+     * @param isRemovable whether it may be removed; if not, a person has to look at it
      * @param reason in words
-     * @param conditions under which it is rubbish, its own revision among them
+     * @param conditions under which it may be removed, its own revision among them
      */
     public record Finding(
             boolean isRemovable, String key, String reason, List<Condition> conditions) {}
@@ -46,10 +46,14 @@
     private final Deque<String> prefixes =
             new ArrayDeque<>(
                     List.of(StoreKeys.JOB_PARTS, StoreKeys.OPEN_JOBS, StoreKeys.CLOUD_INTENTS));
+
+    /** Of the next page; null when there is none. */
     private String prefix = prefixes.poll();
-    private String from = "";
 
-    /** What has to be compared before the next page is read. */
+    /** The key after which the next page begins; empty for the first page of a prefix. */
+    private String lastKey = "";
+
+    /** Comparisons that have to be made before the next page is read. */
     private final Deque<Runnable> pendingComparisons = new ArrayDeque<>();
 
     private Runnable whenStepDone = () -> {};
@@ -57,33 +61,35 @@
     private boolean hasLastStepFailed;
 
     /**
-     * A look that begins at the start.
+     * Starts a scan.
      *
-     * @param conditions how many one transaction may have
-     * @param found is told of each finding
+     * @param maxConditions that one transaction may have
+     * @param findingListener told of each finding
      */
-    public OrphanScan(Store store, int conditions, Consumer<Finding> found) {
+    public OrphanScan(Store store, int maxConditions, Consumer<Finding> findingListener) {
         this.store = store;
-        this.maxConditions = conditions;
-        this.findingListener = found;
+        this.maxConditions = maxConditions;
+        this.findingListener = findingListener;
     }
 
-    /** Whether all has been looked at. */
+    /** Whether all records have been checked. */
     public boolean isComplete() {
         return prefix == null && pendingComparisons.isEmpty();
     }
 
-    /** Records looked at so far. */
+    /** Records read so far. */
     public long recordsSeen() {
         return recordsSeen;
     }
 
     /**
-     * Takes the next step, one request; {@code then} runs when it has been answered. Refused steps
-     * are tried again.
+     * Takes the next step, which is one request, or more if the store takes smaller ones only. A
+     * step that failed is taken again by the next call.
+     *
+     * @param whenDone runs when the step has been answered
      */
-    public void step(Runnable afterwards) {
-        whenStepDone = afterwards;
+    public void step(Runnable whenDone) {
+        whenStepDone = whenDone;
         hasLastStepFailed = false;
         Runnable next = pendingComparisons.poll();
         if (next != null) {
@@ -103,16 +109,16 @@
     private void readPage() {
         store.list(
                 prefix,
-                from,
+                lastKey,
                 PAGE_SIZE,
                 listing -> {
                     if (listing.outcome() == Outcome.OK) {
                         checkPage(listing);
                         if (listing.hasMore() && !listing.entries().isEmpty()) {
-                            from = listing.entries().get(listing.entries().size() - 1).key();
+                            lastKey = listing.entries().get(listing.entries().size() - 1).key();
                         } else {
                             prefix = prefixes.poll();
-                            from = "";
+                            lastKey = "";
                         }
                     }
                     hasLastStepFailed = listing.outcome() != Outcome.OK;
@@ -142,57 +148,54 @@
                 byJob.computeIfAbsent(id, key -> new ArrayList<>()).add(entry);
             }
         }
-        // A job moves from open to over in one write, and its two places are looked at in one
-        // comparison.
+        // A job moves from open to ended in one write, and both places are compared at once.
         Map<String, Long> anywhere = new LinkedHashMap<>();
         byJob.keySet().forEach(id -> anywhere.put(id, 0L));
         compare(
                 anywhere,
-                (id, open, over) -> {
-                    if (!open && !over) {
+                (id, isOpen, isEnded) -> {
+                    if (!isOpen && !isEnded) {
                         byJob.get(id).forEach(entry -> reportOrphan(id, entry));
                     }
                 });
     }
 
     private void reportOrphan(String id, Entry entry) {
-        boolean idle;
-        try {
-            idle =
-                    DocumentReader.of(entry.value()).raw("live") instanceof Map<?, ?> live
-                            && live.isEmpty();
-        } catch (InvalidInputException invalid) {
-            idle = false;
-        }
+        boolean isIdle = hasNoLiveTasks(entry);
+        String what = isIdle ? "a part of job " : "tasks on machines of job ";
         findingListener.accept(
                 new Finding(
-                        idle,
+                        isIdle,
                         entry.key(),
-                        idle
-                                ? "a part of job " + id + ", which is neither open nor over"
-                                : "tasks on machines of job "
-                                        + id
-                                        + ", which is neither open nor over",
+                        what + id + ", which is neither open nor over",
                         List.of(
                                 new Condition(entry.key(), entry.revision()),
                                 new Condition(StoreKeys.OPEN_JOBS + id, 0),
                                 new Condition(StoreKeys.ENDED_JOBS + id, 0))));
     }
 
+    private static boolean hasNoLiveTasks(Entry part) {
+        try {
+            return DocumentReader.of(part.value()).raw("live") instanceof Map<?, ?> live
+                    && live.isEmpty();
+        } catch (InvalidInputException invalid) {
+            return false;
+        }
+    }
+
     // ---- jobs in two places ---------------------------------------------------------------------
 
     private void checkOpenJobs(List<Entry> entries) {
-        Map<String, Long> read = new LinkedHashMap<>();
-        entries.forEach(
-                entry ->
-                        read.put(
-                                entry.key().substring(StoreKeys.OPEN_JOBS.length()),
-                                entry.revision()));
-        // Guards against a job that is called open and over since it ended between two reads.
+        Map<String, Long> revisions = new LinkedHashMap<>();
+        for (Entry entry : entries) {
+            String id = entry.key().substring(StoreKeys.OPEN_JOBS.length());
+            revisions.put(id, entry.revision());
+        }
+        // Guards against a job that is reported as open and ended since it ended between two reads.
         compare(
-                read,
-                (id, changed, over) -> {
-                    if (over && !changed) {
+                revisions,
+                (id, hasChanged, isEnded) -> {
+                    if (isEnded && !hasChanged) {
                         findingListener.accept(
                                 new Finding(
                                         false,
@@ -203,12 +206,9 @@
                 });
     }
 
-    // ---- acts -----------------------------------------------------------------------------------
+    // ---- cloud intents --------------------------------------------------------------------------
 
-    /**
-     * Those that can be read are the holder's: it takes in whatever has come of them, also of
-     * earlier ones' acts.
-     */
+    /** Readable intents are the leader's business, also those of earlier leaders. */
     private void checkIntent(Entry entry) {
         try {
             CloudIntent.read(entry);
@@ -221,67 +221,81 @@
 
     // ---- comparing ------------------------------------------------------------------------------
 
-    /** What one comparison, so one moment, says of a job. */
+    /** What one comparison, and so one moment, says of a job. */
     private interface JobPlacesListener {
         /**
          * Told of each job once.
          *
-         * @param open whether its open record has another revision than the one compared with, 0
-         *     for none
-         * @param over whether it has a record as over
+         * @param isOpenChanged whether the record of the open job has another revision than the one
+         *     that it was compared with, 0 for none
+         * @param isEnded whether there is a record of the ended job
          */
-        void accept(String id, boolean open, boolean over);
+        void accept(String id, boolean isOpenChanged, boolean isEnded);
     }
 
     /**
-     * Compares both places of each of these jobs, {@code opens}: with which revisions of their open
-     * records.
+     * Compares both places of each job, in later steps.
+     *
+     * @param openRevisions with which the records of the open jobs are compared, by job
      */
-    private void compare(Map<String, Long> opens, JobPlacesListener places) {
-        List<String> ids = new ArrayList<>(opens.keySet());
-        int most = Math.max(1, maxConditions / 2);
-        for (int i = 0; i < ids.size(); i += most) {
-            List<String> some = ids.subList(i, Math.min(ids.size(), i + most));
-            pendingComparisons.add(() -> compare(opens, some, places, () -> whenStepDone.run()));
+    private void compare(Map<String, Long> openRevisions, JobPlacesListener listener) {
+        List<String> ids = new ArrayList<>(openRevisions.keySet());
+        int maxIds = Math.max(1, maxConditions / 2);
+        for (int start = 0; start < ids.size(); start += maxIds) {
+            List<String> compared = ids.subList(start, Math.min(ids.size(), start + maxIds));
+            pendingComparisons.add(
+                    () -> compare(openRevisions, compared, listener, () -> whenStepDone.run()));
         }
     }
 
-    /** Not told, and the step put back, if it can't be had now. */
+    /** Runs {@code whenTold} afterwards; if the store does not answer, the step is put back. */
     private void compare(
-            Map<String, Long> opens, List<String> ids, JobPlacesListener places, Runnable told) {
+            Map<String, Long> openRevisions,
+            List<String> ids,
+            JobPlacesListener listener,
+            Runnable whenTold) {
         Transaction transaction = new Transaction();
-        ids.forEach(
-                id ->
-                        transaction
-                                .requireRevision(StoreKeys.OPEN_JOBS + id, opens.get(id))
-                                .requireRevision(StoreKeys.ENDED_JOBS + id, 0));
+        for (String id : ids) {
+            transaction
+                    .requireRevision(StoreKeys.OPEN_JOBS + id, openRevisions.get(id))
+                    .requireRevision(StoreKeys.ENDED_JOBS + id, 0);
+        }
         store.commit(
                 transaction,
                 result -> {
-                    if (result.outcome() == Outcome.OK
-                            || result.outcome() == Outcome.REJECTED
-                                    && !result.failedKeys().isEmpty()) {
-                        Set<String> other = new HashSet<>(result.failedKeys());
-                        ids.forEach(
-                                id ->
-                                        places.accept(
-                                                id,
-                                                other.contains(StoreKeys.OPEN_JOBS + id),
-                                                other.contains(StoreKeys.ENDED_JOBS + id)));
-                        told.run();
+                    if (isDefinite(result)) {
+                        tell(ids, new HashSet<>(result.failedKeys()), listener);
+                        whenTold.run();
                     } else if (result.outcome() == Outcome.INVALID && ids.size() > 1) {
-                        // The store takes fewer conditions by now than anybody said.
+                        // The store takes fewer conditions by now than the settings say.
                         int half = ids.size() / 2;
+                        List<String> rest = ids.subList(half, ids.size());
                         compare(
-                                opens,
+                                openRevisions,
                                 ids.subList(0, half),
-                                places,
-                                () -> compare(opens, ids.subList(half, ids.size()), places, told));
+                                listener,
+                                () -> compare(openRevisions, rest, listener, whenTold));
                     } else {
-                        pendingComparisons.addFirst(() -> compare(opens, ids, places, told));
+                        pendingComparisons.addFirst(
+                                () -> compare(openRevisions, ids, listener, whenTold));
                         hasLastStepFailed = true;
                         whenStepDone.run();
                     }
                 });
     }
+
+    private static boolean isDefinite(CommitResult result) {
+        return result.outcome() == Outcome.OK
+                || result.outcome() == Outcome.REJECTED && !result.failedKeys().isEmpty();
+    }
+
+    private static void tell(
+            List<String> ids, Set<String> differingKeys, JobPlacesListener listener) {
+        for (String id : ids) {
+            listener.accept(
+                    id,
+                    differingKeys.contains(StoreKeys.OPEN_JOBS + id),
+                    differingKeys.contains(StoreKeys.ENDED_JOBS + id));
+        }
+    }
 }
--- a/src/main/java/io/kitepath/core/role/ReleaseIntent.java
+++ b/src/main/java/io/kitepath/core/role/ReleaseIntent.java
@@ -2,16 +2,19 @@
 
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.model.InvalidInputException;
+import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Entry;
+import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.state.StoreKeys;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.BiConsumer;
 
 /**
- * Machines that are given back in one request. From the moment that it is on record nobody places
- * anything on them, neither its holder nor any that follows: the request may have been sent, and
- * may run minutes late.
+ * Machines to be given back to the cloud in one request. From the moment at which it is on record
+ * no leader, this one or a later one, places anything on them: the request may have been sent, and
+ * may be executed minutes later.
  */
 public final class ReleaseIntent extends CloudIntent {
     public final List<String> machines;
@@ -20,38 +23,42 @@
     /** The cloud has confirmed that they are gone. */
     private boolean isConfirmedGone;
 
-    ReleaseIntent(String name, List<String> machines, long token) {
+    ReleaseIntent(String name, List<String> machines, long fencingToken) {
         super(StoreKeys.RELEASE_INTENTS + name);
         this.machines = List.copyOf(machines);
-        this.fencingToken = token;
+        this.fencingToken = fencingToken;
     }
 
-    /** Reads a record; throws {@link InvalidInputException} if it is none. */
+    /**
+     * Reads a record.
+     *
+     * @throws InvalidInputException if it is none
+     */
     static ReleaseIntent read(Entry entry) {
         DocumentReader document = DocumentReader.of(entry.value());
-        if (!(document.raw("machines") instanceof List<?> l)
-                || !l.stream().allMatch(String.class::isInstance)) {
+        if (!(document.raw("machines") instanceof List<?> names)
+                || !names.stream().allMatch(String.class::isInstance)) {
             throw new InvalidInputException("machines: must be a list of names");
         }
         ReleaseIntent release =
                 new ReleaseIntent(
                         entry.key().substring(StoreKeys.RELEASE_INTENTS.length()),
-                        l.stream().map(String.class::cast).toList(),
+                        names.stream().map(String.class::cast).toList(),
                         document.count("token"));
         release.isConfirmedGone = document.has("gone");
-        release.recorded(entry.revision());
+        release.setRevision(entry.revision());
         return release;
     }
 
     @Override
     Map<String, Object> toMap() {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("machines", machines);
-        m.put("token", fencingToken);
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put("machines", machines);
+        record.put("token", fencingToken);
         if (isConfirmedGone) {
-            m.put("gone", true);
+            record.put("gone", true);
         }
-        return m;
+        return record;
     }
 
     @Override
@@ -59,7 +66,19 @@
         return isConfirmedGone;
     }
 
-    void settle() {
-        isConfirmedGone = true;
+    @Override
+    boolean isWithoutResult() {
+        return false;
+    }
+
+    @Override
+    void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer) {
+        // Nothing but the cloud's OK proves that they are gone.
+        cloud.release(
+                machines,
+                outcome ->
+                        answer.accept(
+                                outcome == Outcome.OK ? outcome : Outcome.NOT_EXECUTED,
+                                () -> isConfirmedGone = true));
     }
 }
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -2,16 +2,22 @@
 
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.model.MachineKind;
+import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store.Entry;
+import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.state.StoreKeys;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
+import java.util.function.BiConsumer;
 
-/** Machines that are to be rented, or were and may not be on the cloud's list yet. */
+/**
+ * Machines to be rented in one request, or that were rented and may be missing on the cloud's list
+ * of machines, which lags.
+ */
 public final class RentalIntent extends CloudIntent {
-    /** The name of the request, which is never used for anything else. */
+    /** The request's name at the cloud, which is never used for anything else. */
     public final String name;
 
     public final MachineKind kind;
@@ -19,20 +25,23 @@
     private final long fencingToken;
     private final double requestedAtMillis;
 
-    /** The machines that came of it; null until that is known. */
-    private List<String> machines;
+    /** The machines that were rented; empty until that is known. */
+    private Optional<List<String>> machines = Optional.empty();
 
-    RentalIntent(String name, MachineKind kind, int count, long token, double askedMs) {
+    RentalIntent(
+            String name, MachineKind kind, int count, long fencingToken, double requestedAtMillis) {
         super(StoreKeys.RENTAL_INTENTS + name);
         this.name = name;
         this.kind = kind;
         this.count = count;
-        this.fencingToken = token;
-        this.requestedAtMillis = askedMs;
+        this.fencingToken = fencingToken;
+        this.requestedAtMillis = requestedAtMillis;
     }
 
     /**
-     * Reads a record; throws {@link io.kitepath.core.model.InvalidInputException} if it is none.
+     * Reads a record.
+     *
+     * @throws io.kitepath.core.model.InvalidInputException if it is none
      */
     static RentalIntent read(Entry entry) {
         DocumentReader document = DocumentReader.of(entry.value());
@@ -46,43 +55,57 @@
                         (int) document.integer("count", 1, 1000),
                         document.count("token"),
                         document.number("askedMs", 0));
-        if (document.raw("machines") instanceof List<?> l) {
-            rental.machines = new ArrayList<>(l.stream().map(String.class::cast).toList());
+        if (document.raw("machines") instanceof List<?> names) {
+            rental.machines = Optional.of(names.stream().map(String.class::cast).toList());
         }
-        rental.recorded(entry.revision());
+        rental.setRevision(entry.revision());
         return rental;
     }
 
     @Override
     Map<String, Object> toMap() {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("type", kind.machineType());
-        m.put("zone", kind.zone());
-        m.put("spot", kind.spot());
-        m.put("count", (long) count);
-        m.put("token", fencingToken);
-        m.put("askedMs", requestedAtMillis);
-        if (machines != null) {
-            m.put("machines", machines);
-        }
-        return m;
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put("type", kind.machineType());
+        record.put("zone", kind.zone());
+        record.put("spot", kind.spot());
+        record.put("count", (long) count);
+        record.put("token", fencingToken);
+        record.put("askedMs", requestedAtMillis);
+        machines.ifPresent(rented -> record.put("machines", rented));
+        return record;
     }
 
     @Override
     public boolean isSettled() {
-        return machines != null;
+        return machines.isPresent();
+    }
+
+    @Override
+    boolean isWithoutResult() {
+        return machines.isPresent() && machines.get().isEmpty();
     }
 
-    /** The machines that came of it; empty if that is none, or not known yet. */
+    /** The machines that were rented; empty if there are none, or none is known yet. */
     public List<String> machines() {
-        return machines == null ? List.of() : machines;
+        return machines.orElse(List.of());
     }
 
-    void settle(List<String> came) {
-        machines = List.copyOf(came);
+    void settle(List<String> rented) {
+        machines = Optional.of(List.copyOf(rented));
+    }
+
+    @Override
+    void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer) {
+        cloud.rent(
+                name,
+                kind,
+                count,
+                (outcome, rented) ->
+                        answer.accept(
+                                outcome, () -> settle(outcome == Outcome.OK ? rented : List.of())));
     }
 
-    /** Milliseconds since 1970 at which it was put down. */
+    /** When it was put on record, in milliseconds since 1970. */
     double requestedAtMillis() {
         return requestedAtMillis;
     }
--- a/src/main/java/io/kitepath/core/role/package-info.java
+++ b/src/main/java/io/kitepath/core/role/package-info.java
@@ -1,9 +1,16 @@
 /**
- * Duties: what only one controller may do, each held under a lease with a token that only rises,
- * and what is asked of the cloud, where nobody checks tokens: on record before it is asked for,
- * until its outcome is known to whoever wanted it. It knows the block and the store's keys, and
- * nothing of plans. It promises that no name of a rental is ever used for two things, that a
- * machine that was put down as going takes no work from anybody any more, and that nothing is begun
- * by a node that can't prove by its own clock that the duty is its own.
+ * Roles, which are work that only one controller may do at a time, and the requests to the cloud.
+ *
+ * <p>Each role is held under the holder's lease, with a fencing token that only rises ({@link
+ * io.kitepath.core.role.LeasedRoles}). The cloud knows no fencing tokens, so each rental and
+ * release is on record before it is sent, until the leader that wanted it, or its successor, knows
+ * what came of it ({@link io.kitepath.core.role.CloudIntents}). One role sends these requests
+ * ({@link io.kitepath.core.role.CloudIntentExecutor}), another removes records that nothing refers
+ * to any more ({@link io.kitepath.core.role.GarbageCollector}).
+ *
+ * <p>The package may use the shard and the store's keys, and knows nothing of scaling plans. It
+ * guarantees that no name of a rental is ever used for two requests, that a machine which is
+ * recorded as released gets no work any more, and that a node begins nothing for a role which it
+ * does not provably hold by its own clock.
  */
 package io.kitepath.core.role;
