--- a/src/test/java/io/kitepath/core/service/RetryAfterTest.java
+++ b/src/test/java/io/kitepath/core/service/RetryAfterTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** When users are told to come back. */
-class RetryPaceTest {
+/** The pause after which refused users are told to come back. */
+class RetryAfterTest {
     private double now = 10;
 
-    /** Three nodes, and 300 requests a second for all of them. */
+    /** Three nodes, and 300 requests a second for all of them: 100 a second for this one. */
     private final ClusterSettings settings =
             new ClusterSettings(
                     "k0",
@@ -28,7 +28,7 @@
                     new ClusterSettings.ProcessLimits(1, 200, 1000),
                     5);
 
-    private final RetryAfter pace =
+    private final RetryAfter retryAfter =
             new RetryAfter(
                     settings,
                     new Timers() {
@@ -49,30 +49,30 @@
                     });
 
     @Test
-    void aFewComeBackAfterASecond() {
-        for (int i = 0; i < 100; i++) {
-            assertEquals(1, pace.nextRetryAfterSeconds());
+    void refusalsWithinOneSecondsRateAreToldOneSecond() {
+        for (int user = 0; user < 100; user++) {
+            assertEquals(1, retryAfter.nextRetryAfterSeconds());
         }
     }
 
     @Test
-    void aCrowdIsGivenTheTimeThatItsAnswersTake() {
-        for (int i = 0; i < 799; i++) {
-            pace.nextRetryAfterSeconds();
+    void refusalsBeyondTheRateAreToldTheTimeThatTheStoreTakes() {
+        for (int user = 0; user < 799; user++) {
+            retryAfter.nextRetryAfterSeconds();
         }
-        assertEquals(8, pace.nextRetryAfterSeconds());
+        assertEquals(8, retryAfter.nextRetryAfterSeconds());
         now += 1.1;
-        assertEquals(8, pace.nextRetryAfterSeconds());
+        assertEquals(8, retryAfter.nextRetryAfterSeconds());
         now += 5;
-        assertEquals(1, pace.nextRetryAfterSeconds());
+        assertEquals(1, retryAfter.nextRetryAfterSeconds());
     }
 
     @Test
-    void nobodyIsToldMoreThanHalfAMinute() {
-        int last = 0;
-        for (int i = 0; i < 100_000; i++) {
-            last = pace.nextRetryAfterSeconds();
+    void anyNumberOfRefusalsIsToldThirtySecondsAtMost() {
+        int lastSeconds = 0;
+        for (int user = 0; user < 100_000; user++) {
+            lastSeconds = retryAfter.nextRetryAfterSeconds();
         }
-        assertTrue(last == 30, "told " + last);
+        assertTrue(lastSeconds == 30, "told " + lastSeconds);
     }
 }
