--- a/src/main/java/io/kitepath/core/role/CloudIntent.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntent.java
@@ -51,7 +51,7 @@
      * Sends it to the cloud, under the same name each time.
      *
      * @param answer gets OK or REJECTED if that settles it, any other outcome if it has to be sent
-     *     again; the second argument then puts down in this object what came of it
+     *     again; the second argument then records in this object what came of it
      */
     abstract void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer);
 
--- a/src/main/java/io/kitepath/core/service/ParkedHeartbeats.java
+++ b/src/main/java/io/kitepath/core/service/ParkedHeartbeats.java
@@ -120,7 +120,7 @@
         return new ArrayList<>(parked.values());
     }
 
-    /** Lets it wait no longer; whoever calls this sees to its answer. */
+    /** Lets it wait no longer; the caller answers it. */
     void remove(ParkedHeartbeat waiting) {
         parked.remove(waiting.machineId(), waiting);
     }
