--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -172,9 +172,7 @@
                         shard,
                         new ScalingPlanner(shard, scheduler),
                         cloudIntents,
-                        store,
-                        cloud,
-                        timers,
+                        new CloudReconciler.Ports(store, cloud, timers),
                         leadership::isLeading,
                         this::requestRound);
         this.intentExecutor =
--- /dev/null
+++ b/src/main/java/io/kitepath/core/scaling/CapacitySurvey.java
@@ -0,0 +1,132 @@
+package io.kitepath.core.scaling;
+
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.model.MachineType;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Predicate;
+
+/** What the shard has and needs at the time of a plan. */
+final class CapacitySurvey {
+    private final ClusterSettings settings;
+    private final ShardState shard;
+    private final MachineLiveness machineLiveness;
+    private final double now;
+    private final double usableCpus;
+    private final double spotBacklogCpuSeconds;
+
+    CapacitySurvey(ShardState shard, MachineLiveness machineLiveness, double now) {
+        this.settings = shard.settings();
+        this.shard = shard;
+        this.machineLiveness = machineLiveness;
+        this.now = now;
+        this.usableCpus = sumUsableCpus();
+        this.spotBacklogCpuSeconds = sumSpotBacklog();
+    }
+
+    private double sumUsableCpus() {
+        double cpus = 0;
+        for (Machine machine : shard.machines().values()) {
+            Optional<MachineType> type = machineLiveness.typeOf(machine);
+            if (type.isPresent() && machineLiveness.isCapacity(machine, now)) {
+                cpus += type.get().cpus();
+            }
+        }
+        return cpus;
+    }
+
+    private double sumSpotBacklog() {
+        double cpuSeconds = 0;
+        for (Job job : shard.jobs().values()) {
+            if (job.spec.allowsSpot() && !shard.failureDiagnosis().isJobAtFault(job, now)) {
+                cpuSeconds +=
+                        job.waitingTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
+            }
+        }
+        return cpuSeconds;
+    }
+
+    /** CPUs of the machines that are up or coming. */
+    double usableCpus() {
+        return usableCpus;
+    }
+
+    /** Seconds until the waiting work that may use spot machines is done on all those CPUs. */
+    double spotBacklogSeconds() {
+        return spotBacklogCpuSeconds / Math.max(1, usableCpus);
+    }
+
+    /** Whether there is no unfinished job. */
+    boolean isIdle() {
+        return shard.jobs().values().stream().allMatch(Job::isFinished);
+    }
+
+    /**
+     * The CPUs guaranteed to all teams together; none while there is no work. Guards against a
+     * fleet kept rented for work that may come when none has come for long.
+     */
+    double guaranteedCpus() {
+        return isIdle()
+                ? 0
+                : settings.teams().values().stream()
+                        .mapToDouble(ClusterSettings.Team::guaranteedCpus)
+                        .sum();
+    }
+
+    /** The shortest boot time of all machine types, in seconds. */
+    double shortestBootSeconds() {
+        return shard.machineTypes().values().stream()
+                .mapToDouble(MachineType::bootSeconds)
+                .min()
+                .orElse(0);
+    }
+
+    /** The room of all machines up or coming, as it will be when a new machine could be up. */
+    List<FreeCapacity> capacitiesAfterBoot() {
+        return capacities(
+                attempt -> attempt.remainingSeconds(now) > typeOf(attempt.machine).bootSeconds());
+    }
+
+    /**
+     * The room of all machines up or coming for a job that may come at any moment: as it is now
+     * with lesser work stopped.
+     */
+    List<FreeCapacity> capacitiesFor(JobSpec spec) {
+        return capacities(
+                attempt ->
+                        attempt.job.spec.isGang()
+                                || attempt.job.effectivePriority().compareTo(spec.priority()) <= 0);
+    }
+
+    private List<FreeCapacity> capacities(Predicate<Attempt> staysAfterBoot) {
+        List<FreeCapacity> capacities = new ArrayList<>();
+        for (Machine machine : shard.machines().values()) {
+            Optional<MachineType> type = machineLiveness.typeOf(machine);
+            if (type.isEmpty() || !machineLiveness.isCapacity(machine, now)) {
+                continue;
+            }
+            FreeCapacity capacity = FreeCapacity.of(machine, type.get());
+            for (Attempt attempt : machine.attempts()) {
+                if (attempt.isUnwanted()) {
+                    continue;
+                }
+                if (staysAfterBoot.test(attempt)) {
+                    capacity.afterBoot.subtract(attempt.job.spec, 1);
+                }
+                capacity.immediately.subtract(attempt.job.spec, 1);
+            }
+            capacities.add(capacity);
+        }
+        return capacities;
+    }
+
+    private MachineType typeOf(Machine machine) {
+        return shard.machineTypes().get(machine.type());
+    }
+}
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -1,8 +1,6 @@
 package io.kitepath.core.scaling;
 
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.DocumentReader;
-import io.kitepath.core.model.MachineType;
 import io.kitepath.core.model.TokenBucket;
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.Store;
@@ -11,178 +9,130 @@
 import io.kitepath.core.role.CloudIntents;
 import io.kitepath.core.role.RentalIntent;
 import io.kitepath.core.shard.ShardState;
-import io.kitepath.core.state.StoreKeys;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * What is asked of the cloud: machine types by every node; the list by the one that holds the
- * machines, which also puts down what is to be rented and given back ({@link CloudIntents}), at the
- * pace at which the cloud can be asked for it. Only the cloud's word that a machine was released
- * proves it gone.
+ * Reconciles the shard's machines with the cloud. Every node learns the machine types. The node
+ * that leads lists the machines and records what is to be rented and released ({@link
+ * CloudIntents}), no faster than the cloud can be asked for it. Only the cloud's confirmation that
+ * a machine was released proves it gone. Not thread-safe: used on the event loop only.
  */
 public final class CloudReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
-    /** Of the cloud's call rate; the rest is for the other nodes. */
+    /** The share of the cloud's call rate that this node uses; the rest is for the other nodes. */
     private static final double CALL_RATE_SHARE = 0.6;
 
     /** Requests that may wait for their record or their answer at the same time. */
     private static final int MAX_PENDING_REQUESTS = 3;
 
+    /** Plans per report interval: more often hardly anything has changed. */
+    private static final double PLANS_PER_REPORT = 8;
+
+    /** The ports through which the reconciler acts. */
+    public record Ports(Store store, Cloud cloud, Timers timers) {}
+
     private final ClusterSettings settings;
     private final ShardState shard;
     private final ScalingPlanner scalingPlanner;
-    private final Store store;
     private final Cloud cloud;
     private final Timers timers;
     private final BooleanSupplier leadsMachines;
     private final Runnable onMachinesGone;
     private final TokenBucket callBucket;
 
-    /** What is put down; no more than can be asked for. */
+    /** Limits what is recorded to what the cloud can be asked for. */
     private final TokenBucket intentBucket;
 
     private final CloudIntents intents;
-    private double leadingSinceSeconds;
-    private boolean areTypesStored;
-    private boolean isListing;
-    private double listedAtSeconds = Double.NEGATIVE_INFINITY;
-    private double typesFetchedAtSeconds = Double.NEGATIVE_INFINITY;
-    private double plannedAtSeconds = Double.NEGATIVE_INFINITY;
+    private final MachineTypeLoader machineTypes;
+    private double leadingSince;
+    private boolean listing;
+    private double listedAt = Double.NEGATIVE_INFINITY;
+    private double plannedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param intents what is on record before it is asked for
-     * @param leading whether this node holds the machines now
-     * @param changed runs when a machine is gone, so that its work may be placed
+     * @param intents the record of what is wanted from the cloud, written before it is asked
+     * @param leadsMachines whether this node leads the machines now
+     * @param onMachinesGone runs when machines are gone, so that their work may be placed again
      */
     public CloudReconciler(
             ShardState shard,
             ScalingPlanner scalingPlanner,
             CloudIntents intents,
-            Store store,
-            Cloud cloud,
-            Timers timers,
-            BooleanSupplier leading,
-            Runnable changed) {
+            Ports ports,
+            BooleanSupplier leadsMachines,
+            Runnable onMachinesGone) {
         this.settings = shard.settings();
         this.shard = shard;
         this.scalingPlanner = scalingPlanner;
         this.intents = intents;
-        this.store = store;
-        this.cloud = cloud;
-        this.timers = timers;
-        this.leadsMachines = leading;
-        this.onMachinesGone = changed;
+        this.cloud = ports.cloud;
+        this.timers = ports.timers;
+        this.leadsMachines = leadsMachines;
+        this.onMachinesGone = onMachinesGone;
         this.callBucket = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
         this.intentBucket = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
+        this.machineTypes = new MachineTypeLoader(shard, ports, callBucket);
         intents.setListeners(this::onRented, this::onReleased);
     }
 
-    /** This node holds the machines now, on a lease whose id the store never gives out again. */
+    /**
+     * This node leads the machines now.
+     *
+     * @param lease the id of its lease, which the store never gives out again
+     */
     public void startLeading(long lease) {
         intents.startTerm(lease);
-        leadingSinceSeconds = timers.nowSeconds();
+        leadingSince = timers.nowSeconds();
     }
 
-    // ---- machine types --------------------------------------------------------------------------
-
     /**
-     * Until the machine types are known: from the record of a node that knew them, or from the
-     * cloud.
+     * Learns the machine types, from the record of a node that knew them or from the cloud; tries
+     * again until they are known.
      */
     public void loadMachineTypes() {
-        if (!shard.machineTypes().isEmpty()) {
-            return;
-        }
-        store.get(
-                StoreKeys.INSTANCE_TYPES,
-                (outcome, entry) -> {
-                    if (outcome == Outcome.OK) {
-                        List<MachineType> known = new ArrayList<>();
-                        for (DocumentReader document :
-                                DocumentReader.of(entry.value()).children("types")) {
-                            known.add(MachineType.fromRecord(document));
-                        }
-                        if (shard.machineTypes().isEmpty()) {
-                            shard.setMachineTypes(known);
-                        }
-                        areTypesStored = true;
-                    } else {
-                        fetchMachineTypes();
-                        timers.schedule(1, this::loadMachineTypes);
-                    }
-                });
-    }
-
-    private void fetchMachineTypes() {
-        if (!callBucket.tryTake(1, timers.nowSeconds())) {
-            return;
-        }
-        cloud.listMachineTypes(
-                (outcome, list) -> {
-                    if (outcome == Outcome.OK && !list.isEmpty()) {
-                        shard.setMachineTypes(list);
-                        typesFetchedAtSeconds = timers.nowSeconds();
-                        storeMachineTypes(list);
-                    }
-                });
+        machineTypes.load();
     }
 
-    private void storeMachineTypes(List<MachineType> list) {
-        if (areTypesStored) {
-            return;
-        }
-        areTypesStored = true;
-        store.commit(
-                new Store.Transaction()
-                        .put(
-                                StoreKeys.INSTANCE_TYPES,
-                                Map.of("types", list.stream().map(MachineType::toRecord).toList())),
-                result -> {
-                    if (result.outcome() != Outcome.OK) {
-                        areTypesStored = false;
-                    }
-                });
-    }
-
-    // ---- machines -------------------------------------------------------------------------------
-
-    /** What is due now; {@code mayPlan}: the jobs are known and the store answers. */
+    /**
+     * Does what is due now: lists machines, refreshes types, plans and records what to rent and
+     * release.
+     *
+     * @param mayPlan whether the jobs are known and the store answers
+     */
     public void reconcile(boolean mayPlan) {
         double now = timers.nowSeconds();
-        if (!isListing
-                && now - listedAtSeconds > settings.cloud().listLagSeconds() / 2
+        if (!listing
+                && now - listedAt > settings.cloud().listLagSeconds() / 2
                 && callBucket.tryTake(1, now)) {
             listMachines();
         }
-        if (now - typesFetchedAtSeconds > 20 * settings.workers().heartbeatIntervalSeconds()) {
-            typesFetchedAtSeconds = now;
-            fetchMachineTypes();
-        }
-        if (!mayPlan) {
-            return;
-        }
-        if (shard.machineTypes().isEmpty() || listedAtSeconds < leadingSinceSeconds) {
-            return;
+        machineTypes.refresh(now);
+        if (mayPlan && isPlanDue(now)) {
+            plannedAt = now;
+            recordIntents(scalingPlanner.plan(now, timers.wallClockMillis(), leadingSince), now);
         }
-        if (intentBucket.available(now) < 1
-                || now - plannedAtSeconds < settings.workers().heartbeatIntervalSeconds() / 8) {
-            return; // Nothing could be done about a plan now, or hardly anything has changed since
-            // the last.
-        }
-        plannedAtSeconds = now;
-        recordIntents(scalingPlanner.plan(now, timers.wallClockMillis(), leadingSinceSeconds), now);
     }
 
-    /** Has put down what the plan says and nothing says yet. */
+    private boolean isPlanDue(double now) {
+        boolean machinesKnown = !shard.machineTypes().isEmpty() && listedAt >= leadingSince;
+        // Without a token nothing could be done about a plan now.
+        return machinesKnown
+                && intentBucket.available(now) >= 1
+                && now - plannedAt
+                        >= settings.workers().heartbeatIntervalSeconds() / PLANS_PER_REPORT;
+    }
+
+    /** Records what the plan wants and what is not on record yet. */
     private void recordIntents(ScalingPlanner.Plan plan, double now) {
         List<String> release =
-                plan.machinesToRelease().stream().filter(m -> !intents.isReleasing(m)).toList();
+                plan.machinesToRelease().stream()
+                        .filter(machine -> !intents.isReleasing(machine))
+                        .toList();
         if (!release.isEmpty()
                 && intents.releases().size() < MAX_PENDING_REQUESTS
                 && intentBucket.tryTake(1, now)) {
@@ -192,21 +142,21 @@
         if (intents.unsettledRentals().isEmpty()) {
             plan.countsToRent().entrySet().stream()
                     .limit(MAX_PENDING_REQUESTS)
-                    .filter(e -> intentBucket.tryTake(1, now))
-                    .forEach(e -> intents.requestRental(e.getKey(), e.getValue()));
+                    .filter(rental -> intentBucket.tryTake(1, now))
+                    .forEach(rental -> intents.requestRental(rental.getKey(), rental.getValue()));
         }
     }
 
     private void onRented(RentalIntent rental) {
-        int n = rental.machines().size();
+        int rented = rental.machines().size();
         LOG.info(
-                "rented {} of {} {} in {}{}",
-                n,
+                "cloud answered rental: rented={} requested={} type={} zone={} spot={}",
+                rented,
                 rental.count,
                 rental.kind.machineType(),
                 rental.kind.zone(),
-                rental.kind.spot() ? ", spot" : "");
-        if (n < rental.count) {
+                rental.kind.spot());
+        if (rented < rental.count) {
             scalingPlanner.recordRefusal(rental.kind, timers.nowSeconds());
         } else {
             scalingPlanner.recordGrant(rental.kind);
@@ -214,7 +164,7 @@
     }
 
     private void onReleased(List<String> machines) {
-        machines.forEach(m -> shard.removeMachine(m, timers.nowSeconds()));
+        machines.forEach(machine -> shard.removeMachine(machine, timers.nowSeconds()));
         onMachinesGone.run();
     }
 
@@ -223,14 +173,14 @@
     }
 
     private void listMachines() {
-        isListing = true;
-        long mine = shard.fencingToken();
+        listing = true;
+        long fencingToken = shard.fencingToken();
         cloud.listMachines(
-                (outcome, list) -> {
-                    isListing = false;
-                    listedAtSeconds = timers.nowSeconds();
-                    if (outcome == Outcome.OK && isStillLeading(mine)) {
-                        shard.applyCloudList(list, timers.nowSeconds());
+                (outcome, machines) -> {
+                    listing = false;
+                    listedAt = timers.nowSeconds();
+                    if (outcome == Outcome.OK && isStillLeading(fencingToken)) {
+                        shard.applyCloudList(machines, timers.nowSeconds());
                         intents.dropListedRentals();
                     }
                 });
--- a/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
+++ b/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
@@ -5,22 +5,26 @@
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.scheduling.ProbePlacement;
 import io.kitepath.core.shard.Machine;
+import java.util.Optional;
 
-/** The room that a machine has, or will have once it is up. */
+/** The room on a machine, or on one that is to be rented, that a plan fills with waiting work. */
 final class FreeCapacity {
+    /** Absorbs rounding errors when resources are summed up. */
+    private static final double ROUNDING_SLACK = 1e-6;
+
     final MachineType type;
     final MachineKind kind;
-    final Machine machine;
 
-    /**
-     * Of the machine's room, what is left by the time that the plan looks at, and what is left
-     * until then.
-     */
+    /** Empty for a machine that is only to be rented. */
+    final Optional<Machine> machine;
+
+    /** What is free by the time that a new machine could be up. */
     final FreeResources afterBoot;
 
+    /** What is free until then. */
     final FreeResources immediately;
 
-    FreeCapacity(MachineType type, MachineKind kind, Machine machine) {
+    private FreeCapacity(MachineType type, MachineKind kind, Optional<Machine> machine) {
         this.type = type;
         this.kind = kind;
         this.machine = machine;
@@ -28,38 +32,57 @@
         this.immediately = new FreeResources(type);
     }
 
+    /** All of a machine that is up or coming, before its work is subtracted. */
+    static FreeCapacity of(Machine machine, MachineType type) {
+        return new FreeCapacity(type, machine.kind(), Optional.of(machine));
+    }
+
+    /** All of a machine that is to be rented. */
+    static FreeCapacity ofRental(MachineKind kind, MachineType type) {
+        return new FreeCapacity(type, kind, Optional.empty());
+    }
+
     /**
-     * Whether it has CPUs for one task; cheap, for a look at hundreds of rooms for each of hundreds
-     * of jobs.
+     * Whether it has CPUs for one task. Cheap: it is asked of hundreds of machines for each of
+     * hundreds of jobs.
      */
     boolean hasCpusFor(JobSpec spec, boolean atOnce) {
-        return afterBoot.cpus + 1e-6 >= spec.cpusPerTask()
-                && (!atOnce || immediately.cpus + 1e-6 >= spec.cpusPerTask());
+        return afterBoot.cpus + ROUNDING_SLACK >= spec.cpusPerTask()
+                && (!atOnce || immediately.cpus + ROUNDING_SLACK >= spec.cpusPerTask());
     }
 
-    /** Takes in as many of the tasks as fit, at once or by then; returns how many. */
+    /**
+     * Fills it with as many of the tasks as fit, returning how many.
+     *
+     * @param atOnce whether the tasks have to fit into what is free immediately as well
+     */
     int allocate(JobSpec spec, int tasks, boolean atOnce) {
-        int n = Math.min(tasks, afterBoot.slots(spec));
+        int fitting = Math.min(tasks, afterBoot.slots(spec));
         if (atOnce) {
-            n = Math.min(n, immediately.slots(spec));
+            fitting = Math.min(fitting, immediately.slots(spec));
         }
-        afterBoot.subtract(spec, n);
-        immediately.subtract(spec, n);
-        return n;
+        afterBoot.subtract(spec, fitting);
+        immediately.subtract(spec, fitting);
+        return fitting;
     }
 
+    /** Resources that are still free. */
     static final class FreeResources {
-        double cpus;
-        double gpus;
-        double memoryGb;
+        private double cpus;
+        private double gpus;
+        private double memoryGb;
 
-        FreeResources(MachineType type) {
+        private FreeResources(MachineType type) {
             cpus = type.cpus();
             gpus = type.gpus();
             memoryGb = type.memoryGigabytes();
         }
 
-        int slots(JobSpec spec) {
+        double cpus() {
+            return cpus;
+        }
+
+        private int slots(JobSpec spec) {
             return ProbePlacement.slots(spec, cpus, gpus, memoryGb);
         }
 
--- a/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -8,23 +8,34 @@
 import io.kitepath.core.shard.Machine;
 import io.kitepath.core.shard.ShardState;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Predicate;
+import java.util.function.ToDoubleFunction;
 
 /**
- * Which kinds of machine can be had, by what the cloud refused lately, and which of them costs
+ * Which kinds of machine the cloud has, judged by what it refused lately, and which of them costs
  * least for a job.
  */
 final class InstanceSelection {
+    /** After so many refusals in a row the time to the next request grows no further. */
+    private static final int MAX_COUNTED_REFUSALS = 4;
+
+    /** What each machine of a kind adds to the kind's price, so that zones share the load. */
+    private static final double SPREAD_PRICE_FACTOR = 1e-4;
+
+    /** Spot machines first: of kinds at the same price the first one is taken. */
+    private static final List<Boolean> SPOT_FIRST = List.of(true, false);
+
+    /** A kind refused for want of capacity: how often in a row, and until when not to ask again. */
+    private record Refusal(int inARow, double retryAt) {}
+
     private final ClusterSettings settings;
     private final ShardState shard;
+    private final Map<MachineKind, Refusal> refusals = new HashMap<>();
 
-    /**
-     * Kinds that were refused for want of capacity, until when not to ask, and how often in a row.
-     */
-    private final Map<MachineKind, double[]> refused = new HashMap<>();
-
-    /** Machines by kind, worked out once a plan. */
+    /** Machines by kind, counted once per plan. */
     private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
 
     InstanceSelection(ShardState shard) {
@@ -32,7 +43,7 @@
         this.shard = shard;
     }
 
-    /** Counts anew what is there. */
+    /** Counts anew which machines there are. */
     void countMachines() {
         machineCounts.clear();
         for (Machine machine : shard.machines().values()) {
@@ -42,45 +53,58 @@
         }
     }
 
-    void refused(MachineKind k, double now) {
-        double[] r = refused.computeIfAbsent(k, x -> new double[2]);
-        r[1] = Math.min(4, r[1] + 1);
-        r[0] = now + settings.cloud().listLagSeconds() * (1 << (int) r[1]) / 2;
+    /** The cloud has no capacity of that kind: it is asked again after a growing delay. */
+    void recordRefusal(MachineKind kind, double now) {
+        Refusal last = refusals.get(kind);
+        int inARow = Math.min(MAX_COUNTED_REFUSALS, last == null ? 1 : last.inARow + 1);
+        double retryAt = now + settings.cloud().listLagSeconds() * (1 << inARow) / 2;
+        refusals.put(kind, new Refusal(inARow, retryAt));
     }
 
-    boolean isAvailable(MachineKind kind, double now) {
-        double[] r = refused.get(kind);
-        return r == null || now >= r[0];
+    /** The cloud has capacity of that kind. */
+    void recordGrant(MachineKind kind) {
+        refusals.remove(kind);
     }
 
-    void recordGrant(MachineKind kind) {
-        refused.remove(kind);
+    private boolean isAvailable(MachineKind kind, double now) {
+        Refusal refusal = refusals.get(kind);
+        return refusal == null || now >= refusal.retryAt;
+    }
+
+    /** The cheapest kind per task of the job in these zones; empty if none is available. */
+    Optional<MachineKind> cheapestKind(
+            JobSpec spec, Predicate<String> zones, Map<MachineKind, Integer> toRent, double now) {
+        return cheapest(
+                type -> ProbePlacement.slots(spec, type),
+                kind -> zones.test(kind.zone()) && ProbePlacement.isAllowed(kind, spec),
+                toRent,
+                now);
     }
 
-    static boolean isAllowed(MachineKind kind, JobSpec spec, String zone) {
-        return (spec.machineTypes() == null || spec.machineTypes().contains(kind.machineType()))
-                && (zone == null || zone.equals(kind.zone()))
-                && (spec.allowsSpot() || !kind.spot());
+    /** The cheapest kind per CPU; empty if none is available. */
+    Optional<MachineKind> cheapestKindByCpu(Map<MachineKind, Integer> toRent, double now) {
+        return cheapest(MachineType::cpus, kind -> true, toRent, now);
     }
 
-    /** Null if none can be had in these zones. */
-    MachineKind cheapestKind(
-            JobSpec spec, Predicate<String> zones, Map<MachineKind, Integer> rent, double now) {
+    private Optional<MachineKind> cheapest(
+            ToDoubleFunction<MachineType> unitsOf,
+            Predicate<MachineKind> suitable,
+            Map<MachineKind, Integer> toRent,
+            double now) {
         MachineKind best = null;
         double bestPrice = 0;
         for (MachineType type : shard.machineTypes().values()) {
-            if (ProbePlacement.slots(spec, type) < 1) {
+            double units = unitsOf.applyAsDouble(type);
+            if (units <= 0) {
                 continue;
             }
-            for (String z : type.zones()) {
-                for (int spot = spec.allowsSpot() ? 1 : 0; spot >= 0; spot--) {
-                    MachineKind kind = new MachineKind(type.name(), z, spot == 1);
-                    if (!zones.test(z)
-                            || !isAllowed(kind, spec, spec.zone())
-                            || !isAvailable(kind, now)) {
+            for (String zone : type.zones()) {
+                for (boolean spot : SPOT_FIRST) {
+                    MachineKind kind = new MachineKind(type.name(), zone, spot);
+                    if (!suitable.test(kind) || !isAvailable(kind, now)) {
                         continue;
                     }
-                    double price = pricePerUnit(kind, type, ProbePlacement.slots(spec, type), rent);
+                    double price = pricePerUnit(kind, type, units, toRent);
                     if (best == null || price < bestPrice) {
                         best = kind;
                         bestPrice = price;
@@ -88,42 +112,22 @@
                 }
             }
         }
-        return best;
-    }
-
-    /** The cheapest kind by the CPU; null if none can be had. */
-    MachineKind cheapestKindByCpu(Map<MachineKind, Integer> rent, double now) {
-        MachineKind best = null;
-        double bestPrice = 0;
-        for (MachineType type : shard.machineTypes().values()) {
-            for (String z : type.zones()) {
-                for (boolean spot : new boolean[] {true, false}) {
-                    MachineKind kind = new MachineKind(type.name(), z, spot);
-                    double price = pricePerUnit(kind, type, type.cpus(), rent);
-                    if (isAvailable(kind, now)
-                            && type.cpus() > 0
-                            && (best == null || price < bestPrice)) {
-                        best = kind;
-                        bestPrice = price;
-                    }
-                }
-            }
-        }
-        return best;
+        return Optional.ofNullable(best);
     }
 
     /**
-     * Per unit of what a machine offers. Zones share: of equal ones, the one with the least of this
-     * kind.
+     * The price per unit of what a machine offers. Zones share the load: at equal prices the kind
+     * with the fewest machines is cheaper.
      */
     private double pricePerUnit(
-            MachineKind kind, MachineType type, double units, Map<MachineKind, Integer> rent) {
-        int there = machineCounts.getOrDefault(kind, 0) + rent.getOrDefault(kind, 0);
+            MachineKind kind, MachineType type, double units, Map<MachineKind, Integer> toRent) {
+        int machines = machineCounts.getOrDefault(kind, 0) + toRent.getOrDefault(kind, 0);
         return (kind.spot() ? type.spotPricePerHour() : type.pricePerHour())
                 / units
-                * (1 + 1e-4 * there);
+                * (1 + SPREAD_PRICE_FACTOR * machines);
     }
 
+    /** Whether a spot machine that holds the job's tasks is available below the regular price. */
     boolean isSpotAvailable(JobSpec spec, double now) {
         return shard.machineTypes().values().stream()
                 .anyMatch(
@@ -133,12 +137,14 @@
     }
 
     /**
-     * Guards against work that could run on spot machines keeping ordinary ones rented: it fills
-     * them up again and again, so they never idle.
+     * Whether spot machines of the type are available below its regular price. Guards against work
+     * that could run on spot machines keeping regular ones rented: it fills them again and again,
+     * so that they never idle.
      */
     boolean isCheaperSpotAvailable(MachineType type, double now) {
         return type.spotPricePerHour() < type.pricePerHour()
                 && type.zones().stream()
-                        .anyMatch(z -> isAvailable(new MachineKind(type.name(), z, true), now));
+                        .anyMatch(
+                                zone -> isAvailable(new MachineKind(type.name(), zone, true), now));
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -7,198 +7,212 @@
 import io.kitepath.core.shard.Machine;
 import io.kitepath.core.shard.ShardState;
 import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Which machines are given back, and which are emptied to be given back. */
+/** Which machines are released, and which are drained to be released. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-    /** For how long a machine may report without hearing answers before it is given back. */
+    /** For how many leases a machine may report without hearing answers before it is released. */
     private static final double DEAF_LEASES = 3;
 
+    /** Tasks are moved only if they would run for more than this many report intervals. */
+    private static final double MOVE_REPORT_INTERVALS = 2;
+
+    /** By how much the machine has to cost more than repeating the work that moving loses. */
+    private static final double MOVE_COST_FACTOR = 2;
+
     private final ClusterSettings settings;
     private final ShardState shard;
     private final InstanceSelection instanceSelection;
     private final MachineLiveness machineLiveness;
 
-    ScaleIn(ShardState shard, InstanceSelection market, MachineLiveness presence) {
+    ScaleIn(
+            ShardState shard,
+            InstanceSelection instanceSelection,
+            MachineLiveness machineLiveness) {
         this.settings = shard.settings();
         this.shard = shard;
-        this.instanceSelection = market;
-        this.machineLiveness = presence;
+        this.instanceSelection = instanceSelection;
+        this.machineLiveness = machineLiveness;
     }
 
     /**
-     * The machines to give back, by name.
+     * Decides which machines to release, by id, and marks them; marks those to drain as well.
      *
-     * @param spareCpus of the CPUs that are up or coming, those that no guarantee needs
-     * @param kept machines in reserve
+     * @param reserved machines kept for work that may come
+     * @param spareCpus those of the CPUs that are up or booting that no guarantee needs
      */
-    List<String> machinesToRelease(double now, Set<Machine> kept, double spareCpus) {
-        double lease = settings.workers().leaseSeconds();
-        double silence = machineLiveness.silenceSeconds();
-        int up = 0;
-        int silent = 0;
-        int unheard = 0;
-        Set<Machine> mute = new HashSet<>();
-        for (Machine machine : shard.machines().values()) {
-            if (machine.hasReported() || !machine.attempts().isEmpty()) {
-                up++;
-                double since =
-                        machine.hasReported()
-                                ? Math.max(
-                                        machine.lastHeartbeatAt(), machineLiveness.silenceSince())
-                                : machineLiveness.silenceSince();
-                if (now - since > silence) {
-                    silent++;
-                    mute.add(machine);
-                }
-                unheard += isDeafForLong(machine, now) && !machine.isTokenConfirmed() ? 1 : 0;
-            }
-        }
-        // Guards against a holder that is cut off from workers itself: if several fall silent
-        // together, the fault is hardly theirs, and they may be on their way to another node. Once
-        // their leases have run out for certain, nothing is lost by giving them back, unless it is
-        // nearly all of them.
-        boolean few = silent <= Math.max(1, up / 8);
-        boolean some = silent * 2 <= up;
-        List<String> out = new ArrayList<>();
+    List<String> machinesToRelease(double now, Set<Machine> reserved, double spareCpus) {
+        SilenceSurvey survey =
+                SilenceSurvey.of(
+                        shard, machineLiveness, machine -> isDeafForLong(machine, now), now);
+        List<String> released = new ArrayList<>();
         double spare = spareCpus;
         for (Machine machine : shard.machines().values()) {
-            MachineType type =
-                    machine.type() == null ? null : shard.machineTypes().get(machine.type());
-            boolean give = machine.isReleasing();
-            boolean surplus =
-                    type != null
-                            && !machineLiveness.isLate(machine, now)
-                            && spare >= type.cpus()
-                            && !kept.contains(machine)
-                            && machine.reservedFor() == null;
-            if (!machine.isSpot()
-                    && machine.attempts().stream()
-                            .anyMatch(attempt -> !attempt.job.spec.allowsSpot())) {
-                machine.markNeeded(now);
+            // A machine is surplus only if its type is known.
+            Optional<MachineType> surplus =
+                    reserved.contains(machine) ? Optional.empty() : surplus(machine, spare, now);
+            markNeededOrDraining(machine, surplus, now);
+            boolean release = machine.isReleasing() || shouldRelease(machine, surplus, survey, now);
+            if (surplus.isPresent() && (release || machine.isDraining())) {
+                spare -= surplus.get().cpus();
             }
-            machine.setDraining(
-                    surplus
-                            && machine.isTokenConfirmed()
-                            && !machine.isSpot()
-                            && machine.lastNeededAt() < now
-                            && instanceSelection.isCheaperSpotAvailable(type, now));
-            if (mute.contains(machine)) {
-                double quiet =
-                        now
-                                - Math.max(
-                                        machineLiveness.silenceSince(),
-                                        machine.hasReported()
-                                                ? machine.lastHeartbeatAt()
-                                                : machineLiveness.silenceSince());
-                give |= few || some && quiet > 1.5 * lease || quiet > 3 * lease;
-            } else if (type != null
-                    && machineLiveness.mayBeOverdue(machine, now)
-                    && shard.bootTimes().isHopeless(machine, now)) {
-                give = true;
-                if (!machine.isReleasing()) {
-                    instanceSelection.refused(
-                            machine.kind(), now); // Where boots fail, others come first.
-                }
-            } else if (machine.isTokenConfirmed()
-                    && !machine.isBusy()
-                    && !machine.hasUnwrittenEnds()) {
-                give |= machine.isQuarantined() || isDeafForLong(machine, now);
-                give |=
-                        surplus
-                                && now - machine.lastNeededAt() > type.bootSeconds()
-                                && (machine.isDraining() || isIdleTooLong(machine, type, now));
-            } else if (!machine.isTokenConfirmed() && isDeafForLong(machine, now)) {
-                // What an earlier holder left on it can't be proven over by a report. Not if it is
-                // most of them: then it is hardly they who hear nothing.
-                give |= unheard * 2 <= up;
-            }
-            if (surplus && (give || machine.isDraining())) {
-                spare -= type.cpus();
-            }
-            if (give) {
+            if (release) {
                 if (!machine.isReleasing()) {
                     LOG.info(
-                            "giving back {}: {}",
+                            "releasing machine={} reason={}",
                             machine.id,
-                            mute.contains(machine)
-                                    ? "silent"
-                                    : machine.isQuarantined()
-                                            ? "set aside"
-                                            : machine.isMissingAnswers()
-                                                    ? "no answer reaches it"
-                                                    : machine.hasReported()
-                                                            ? "idle"
-                                                            : "never came up");
+                            releaseReason(machine, survey));
                 }
                 machine.release();
-                out.add(machine.id);
+                released.add(machine.id);
             }
         }
-        return out;
+        return released;
+    }
+
+    /** The machine's type if its CPUs are spare. */
+    private Optional<MachineType> surplus(Machine machine, double spareCpus, double now) {
+        return machineLiveness
+                .typeOf(machine)
+                .filter(
+                        type ->
+                                !machineLiveness.isLate(machine, now)
+                                        && spareCpus >= type.cpus()
+                                        && machine.reservedFor() == null);
+    }
+
+    /**
+     * Notes whether the machine has work that may not use spot machines, and drains surplus regular
+     * machines that only have work which cheaper spot machines could do.
+     */
+    private void markNeededOrDraining(Machine machine, Optional<MachineType> surplus, double now) {
+        if (!machine.isSpot()
+                && machine.attempts().stream()
+                        .anyMatch(attempt -> !attempt.job.spec.allowsSpot())) {
+            machine.markNeeded(now);
+        }
+        machine.setDraining(
+                machine.isTokenConfirmed()
+                        && !machine.isSpot()
+                        && machine.lastNeededAt() < now
+                        && surplus.filter(
+                                        type -> instanceSelection.isCheaperSpotAvailable(type, now))
+                                .isPresent());
+    }
+
+    private boolean shouldRelease(
+            Machine machine, Optional<MachineType> surplus, SilenceSurvey survey, double now) {
+        if (survey.isSilent(machine)) {
+            return survey.mayReleaseSilent(
+                    machineLiveness.silentSeconds(machine, now), settings.workers().leaseSeconds());
+        }
+        if (hasFailedToBoot(machine, now)) {
+            instanceSelection.recordRefusal(machine.kind(), now); // Others are tried first.
+            return true;
+        }
+        if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUnwrittenEnds()) {
+            return machine.isQuarantined()
+                    || isDeafForLong(machine, now)
+                    || surplus.filter(type -> isIdleForLong(machine, type, now)).isPresent();
+        }
+        // What an earlier leader left on such a machine can't be proven over by a report.
+        return !machine.isTokenConfirmed()
+                && isDeafForLong(machine, now)
+                && survey.mayReleaseDeaf();
+    }
+
+    private boolean hasFailedToBoot(Machine machine, double now) {
+        return machineLiveness.typeOf(machine).isPresent()
+                && machineLiveness.mayBeOverdue(machine, now)
+                && shard.bootTimes().isHopeless(machine, now);
     }
 
     private boolean isDeafForLong(Machine machine, double now) {
         return machine.missingAnswersSeconds(now) > DEAF_LEASES * settings.workers().leaseSeconds();
     }
 
+    /** An idle machine is worth keeping about as long as a new one would take to boot. */
+    private static boolean isIdleForLong(Machine machine, MachineType type, double now) {
+        return now - machine.lastNeededAt() > type.bootSeconds()
+                && (machine.isDraining() || now - machine.idleSince() > type.bootSeconds());
+    }
+
+    private static String releaseReason(Machine machine, SilenceSurvey survey) {
+        if (survey.isSilent(machine)) {
+            return "silent";
+        }
+        if (machine.isQuarantined()) {
+            return "quarantined";
+        }
+        if (machine.isMissingAnswers()) {
+            return "answers-not-received";
+        }
+        return machine.hasReported() ? "idle" : "boot-failed";
+    }
+
     /**
-     * Guards against ordinary machines kept rented for minutes by a few small tasks that could run
-     * on spot ones: where those have room, the tasks are moved there, if what they lose costs less
-     * than the machine until they end, and they can begin anew and still be in time for all that is
-     * expected.
+     * Stops the tasks on draining machines that may go on elsewhere. Guards against regular
+     * machines kept rented for minutes by a few small tasks that could run on spot machines: where
+     * those have room, the tasks are moved there, if what they lose costs less than the machine
+     * until they end, and they can start anew and still meet all their goals.
      */
-    void moveTasksToSpot(double now, double wallMs) {
-        double room = 0;
-        for (Machine machine : shard.machines().values()) {
-            MachineType type = shard.machineTypes().get(machine.type());
-            if (machine.isSpot() && machine.isSchedulable() && type != null) {
-                room += type.cpus() - machine.usedCpus();
-            }
-        }
+    void moveTasksToSpot(double now, double wallMillis) {
+        double freeSpotCpus = freeSpotCpus();
         for (Machine machine : shard.machines().values()) {
             MachineType type = shard.machineTypes().get(machine.type());
             if (!machine.isDraining()
                     || machine.isReleasing()
                     || machine.attempts().isEmpty()
                     || now - machine.lastNeededAt() <= type.bootSeconds()
-                    || machine.usedCpus() > room
-                    || !isWorthMoving(machine, type, now, wallMs)) {
+                    || machine.usedCpus() > freeSpotCpus
+                    || !isWorthMoving(machine, type, now, wallMillis)) {
                 continue;
             }
-            room -= machine.usedCpus();
-            LOG.debug("clearing {} of {} tasks", machine.id, machine.attempts().size());
+            freeSpotCpus -= machine.usedCpus();
+            LOG.debug(
+                    "moving tasks to spot machines: machine={} tasks={}",
+                    machine.id,
+                    machine.attempts().size());
             for (Attempt attempt : new ArrayList<>(machine.attempts())) {
                 shard.stopAttempt(attempt, attempt.job.spec.stopGraceSeconds());
             }
         }
     }
 
-    private boolean isWorthMoving(Machine machine, MachineType type, double now, double wallMs) {
-        double rest = 0;
-        double lost = 0;
+    private double freeSpotCpus() {
+        double cpus = 0;
+        for (Machine machine : shard.machines().values()) {
+            MachineType type = shard.machineTypes().get(machine.type());
+            if (machine.isSpot() && machine.isSchedulable() && type != null) {
+                cpus += type.cpus() - machine.usedCpus();
+            }
+        }
+        return cpus;
+    }
+
+    private boolean isWorthMoving(
+            Machine machine, MachineType type, double now, double wallMillis) {
+        double remainingSeconds = 0;
+        double lostCpuSeconds = 0;
         for (Attempt attempt : machine.attempts()) {
             if (attempt.isUnwanted()
                     || !attempt.isSeen()
                     || attempt.job.spec.shape() != JobSpec.Shape.ARRAY
-                    || attempt.job.startGoalMillis(0) < wallMs) {
+                    || attempt.job.startGoalMillis(0) < wallMillis) {
                 return false;
             }
-            rest = Math.max(rest, attempt.remainingSeconds(now));
-            lost += attempt.job.spec.cpusPerTask() * attempt.unsavedSeconds(now);
+            remainingSeconds = Math.max(remainingSeconds, attempt.remainingSeconds(now));
+            lostCpuSeconds += attempt.job.spec.cpusPerTask() * attempt.unsavedSeconds(now);
         }
-        return rest > 2 * settings.workers().heartbeatIntervalSeconds()
-                && rest * type.pricePerHour() > 2 * lost * type.spotPricePerHour() / type.cpus();
-    }
-
-    private boolean isIdleTooLong(Machine machine, MachineType type, double now) {
-        // Worth keeping about as long as a new one would take to come.
-        return now - machine.idleSince() > type.bootSeconds();
+        return remainingSeconds
+                        > MOVE_REPORT_INTERVALS * settings.workers().heartbeatIntervalSeconds()
+                && remainingSeconds * type.pricePerHour()
+                        > MOVE_COST_FACTOR * lostCpuSeconds * type.spotPricePerHour() / type.cpus();
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/package-info.java
+++ b/src/main/java/io/kitepath/core/scaling/package-info.java
@@ -1,7 +1,10 @@
 /**
- * How many machines are wanted, of which kinds, and which are given back; and the calls to the
- * cloud that see to it. It may know the block, the order of service and the store's keys. It
- * promises never to call a machine gone before the cloud has confirmed its release, and never to
- * use a rental's name for two things.
+ * Scaling out and in: how many machines of which kinds are wanted and which are released ({@link
+ * io.kitepath.core.scaling.ScalingPlanner}), and the reconciliation with the cloud that sees to it
+ * ({@link io.kitepath.core.scaling.CloudReconciler}).
+ *
+ * <p>The package may use the shard's state, the scheduling order and the store's keys. It never
+ * calls a machine gone before the cloud has confirmed its release, and never uses a rental's name
+ * for two things. Everything runs on the event loop.
  */
 package io.kitepath.core.scaling;
--- a/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
@@ -5,18 +5,21 @@
 import io.kitepath.core.shard.Job;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * How many more tasks of a job each zone may have, given where its other tasks are that are not
- * proven over. Guards against work placed, room kept or emptied, and machines rented in a zone that
- * the job can't use for its other tasks' sake. Where a machine is of which only a record has said
- * the name is not known: what is on it may be in any zone.
+ * How many more tasks of a job each zone may have, given where those of its other tasks are that
+ * are not proven over. Guards against work placed, room reserved or emptied, and machines rented in
+ * a zone that the job can't use because of its other tasks.
+ *
+ * <p>The zone of a machine is null while only a record has named the machine: what runs there may
+ * be in any zone.
  */
 public final class ZoneConstraints {
     private final JobSpec spec;
 
-    /** The only zone that the job may use; null if that is not decided. */
-    private String boundZone;
+    /** The only zone that the job may use; empty if that is not decided. */
+    private Optional<String> boundZone;
 
     /** Tasks by zone, counted only if that matters. */
     private final Map<String, Integer> tasksByZone = new HashMap<>();
@@ -25,21 +28,21 @@
 
     private ZoneConstraints(JobSpec spec) {
         this.spec = spec;
-        this.boundZone = spec.zone();
+        this.boundZone = Optional.ofNullable(spec.zone());
     }
 
-    /** A gang starts anew as a whole, once all that is left of it is over. */
+    /** Of a job with its running tasks; not of a gang, which starts anew as a whole. */
     public static ZoneConstraints of(Job job) {
-        ZoneConstraints b = new ZoneConstraints(job.spec);
+        ZoneConstraints zones = new ZoneConstraints(job.spec);
         if (!job.spec.isGang() && (job.spec.isSingleZone() || job.spec.isSpreadAcrossZones())) {
             for (Attempt attempt : job.liveAttempts().values()) {
-                b.countTasks(attempt.machine.zone(), 1);
-                if (b.boundZone != null && !job.spec.isSpreadAcrossZones()) {
+                zones.countTasks(attempt.machine.zone(), 1);
+                if (zones.boundZone.isPresent() && !job.spec.isSpreadAcrossZones()) {
                     break; // All the others are in the same zone.
                 }
             }
         }
-        return b;
+        return zones;
     }
 
     /** Of a job none of whose tasks is on a machine. */
@@ -53,40 +56,36 @@
             return;
         }
         if (spec.isSingleZone()) {
-            boundZone = zone;
+            boundZone = Optional.of(zone);
         }
         tasksByZone.merge(zone, tasks, Integer::sum);
     }
 
-    /** So many tasks more go to that zone. */
+    /** Counts so many more tasks in the zone; binds a job that has to stay in one zone to it. */
     public void addTasks(String zone, int tasks) {
         if (tasks > 0) {
             countTasks(zone, tasks);
         }
     }
 
-    /** Its zone is decided. */
+    /** Binds the job to the zone. */
     public void bindTo(String zone) {
-        boundZone = zone;
+        boundZone = Optional.of(zone);
     }
 
-    /** Whether the zone that the job is bound to is decided, or can't be yet. */
+    /** Whether the zone of the job is decided, or can't be until its tasks' zone is known. */
     public boolean isDecided() {
-        return boundZone != null || spec.isSingleZone() && tasksInUnknownZone > 0;
+        return boundZone.isPresent() || isBoundToUnknownZone();
     }
 
-    /**
-     * The zone that the job is bound to; null if it is bound to none, or to one that is not known
-     * yet.
-     */
-    public String boundZone() {
-        return boundZone;
+    /** Whether the job is bound to no zone, or to this one. */
+    public boolean allows(String zone) {
+        return boundZone.isEmpty() || boundZone.get().equals(zone);
     }
 
-    /** How many more tasks may go to that zone. */
+    /** How many more tasks may go to that zone; {@code Integer.MAX_VALUE} without a limit. */
     public int remainingTasks(String zone) {
-        if (boundZone != null && !boundZone.equals(zone)
-                || boundZone == null && spec.isSingleZone() && tasksInUnknownZone > 0) {
+        if (!allows(zone) || boundZone.isEmpty() && isBoundToUnknownZone()) {
             return 0;
         }
         return spec.isSpreadAcrossZones()
@@ -97,4 +96,8 @@
                                 - tasksInUnknownZone)
                 : Integer.MAX_VALUE;
     }
+
+    private boolean isBoundToUnknownZone() {
+        return spec.isSingleZone() && tasksInUnknownZone > 0;
+    }
 }
