--- /dev/null
+++ b/src/main/java/io/kitepath/core/scheduling/EvictionCandidates.java
@@ -0,0 +1,203 @@
+package io.kitepath.core.scheduling;
+
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.model.MachineType;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.IdentityHashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/**
+ * Finds the machines on which evicting work for a job loses least. What gives way is worked out
+ * once per round for all jobs with the same claim.
+ */
+final class EvictionCandidates {
+    /**
+     * What decides which work gives way to a job.
+     *
+     * @param nonPreemptible whether the job's own work never gives way
+     */
+    private record Claim(
+            JobSpec.Priority priority, boolean guaranteed, String team, boolean nonPreemptible) {
+        static Claim of(Job job) {
+            return new Claim(
+                    job.effectivePriority(),
+                    job.isWithinGuarantee(),
+                    job.spec.team(),
+                    PreemptionRules.isNonPreemptible(job));
+        }
+    }
+
+    /**
+     * What gives way to the jobs of one claim: the jobs, and what evicting them would free on each
+     * machine. Guards against a leader that inspects every attempt of a full fleet for each of the
+     * sizes in which gangs wait. What is placed later in the round is not counted; machines where
+     * something is stopped are reserved.
+     */
+    private static final class YieldingWork {
+        private final Set<Job> jobs = Collections.newSetFromMap(new IdentityHashMap<>());
+        private final Map<Machine, Evictable> evictableByMachine = new IdentityHashMap<>();
+    }
+
+    /** What evicting all that gives way on one machine would free, and the work it would lose. */
+    private record Evictable(FreedResources freed, double lostCpuSeconds) {}
+
+    private final ShardState shard;
+    private final ProbePlacement placement;
+    private final PreemptionRules rules;
+    private final Map<Claim, YieldingWork> yieldingWorkByClaim = new HashMap<>();
+
+    EvictionCandidates(ShardState shard, ProbePlacement placement, PreemptionRules rules) {
+        this.shard = shard;
+        this.placement = placement;
+        this.rules = rules;
+    }
+
+    /** Forgets what was worked out in the last round. */
+    void beginRound() {
+        yieldingWorkByClaim.clear();
+    }
+
+    /** Whether any running work gives way to the job. */
+    boolean hasYieldingWork(Job job) {
+        return !yieldingWork(job).jobs.isEmpty();
+    }
+
+    /**
+     * The machines that the job may use, by zone if it has to stay in one, otherwise all under
+     * {@link RoomReservations#ANY_ZONE}.
+     */
+    Map<String, List<EvictionCandidate>> byZone(Job job, List<Machine> open, double now) {
+        JobSpec spec = job.spec;
+        YieldingWork yielding = yieldingWork(job);
+        ZoneConstraints zones = ZoneConstraints.of(job);
+        Map<String, List<EvictionCandidate>> byZone = new LinkedHashMap<>();
+        for (Machine machine : open) {
+            if (RoomReservations.isFreeFor(job, machine)
+                    && placement.isAllowed(machine, spec)
+                    && zones.remainingTasks(machine.zone()) > 0) {
+                String zone = spec.isSingleZone() ? machine.zone() : RoomReservations.ANY_ZONE;
+                byZone.computeIfAbsent(zone, key -> new ArrayList<>())
+                        .add(candidate(job, machine, yielding, now));
+            }
+        }
+        return byZone;
+    }
+
+    /** Of the groups that can hold that many tasks the cheapest choice; empty if none can. */
+    static Optional<List<EvictionCandidate>> cheapest(
+            Job job, int tasks, Collection<List<EvictionCandidate>> groups) {
+        Optional<List<EvictionCandidate>> best = Optional.empty();
+        double bestLoss = Double.MAX_VALUE;
+        for (List<EvictionCandidate> group : groups) {
+            Optional<List<EvictionCandidate>> chosen =
+                    chooseCheapest(group, tasks, ZoneConstraints.of(job));
+            double loss =
+                    chosen.stream()
+                            .flatMap(List::stream)
+                            .mapToDouble(EvictionCandidate::lostCpuSeconds)
+                            .sum();
+            if (chosen.isPresent() && loss < bestLoss) {
+                best = chosen;
+                bestLoss = loss;
+            }
+        }
+        return best;
+    }
+
+    /** Candidates that together hold the tasks, least loss per task first; empty if too few. */
+    private static Optional<List<EvictionCandidate>> chooseCheapest(
+            List<EvictionCandidate> candidates, int tasks, ZoneConstraints zones) {
+        List<EvictionCandidate> sorted = new ArrayList<>(candidates);
+        sorted.sort(
+                Comparator.comparingDouble(
+                                (EvictionCandidate candidate) ->
+                                        candidate.lostCpuSeconds()
+                                                / Math.max(1, candidate.slotsAfterEviction()))
+                        .thenComparing(candidate -> -candidate.slotsNow())
+                        .thenComparing(candidate -> candidate.machine().id));
+        List<EvictionCandidate> chosen = new ArrayList<>();
+        int missing = tasks;
+        for (EvictionCandidate candidate : sorted) {
+            if (missing <= 0) {
+                break;
+            }
+            String zone = candidate.machine().zone();
+            int slots = Math.min(candidate.slotsAfterEviction(), zones.remainingTasks(zone));
+            if (slots > 0) {
+                missing -= slots;
+                zones.addTasks(zone, slots);
+                chosen.add(candidate.limitedTo(slots));
+            }
+        }
+        return missing <= 0 ? Optional.of(chosen) : Optional.empty();
+    }
+
+    private YieldingWork yieldingWork(Job job) {
+        Claim claim = Claim.of(job);
+        YieldingWork known = yieldingWorkByClaim.get(claim);
+        if (known != null) {
+            return known;
+        }
+        YieldingWork yielding = new YieldingWork();
+        for (Job other : shard.jobs().values()) {
+            if (!other.liveAttempts().isEmpty()
+                    && (other.isFinished()
+                            || other.hasStoppingAttempts()
+                            || rules.mustYield(other, job))) {
+                yielding.jobs.add(other);
+            }
+        }
+        yieldingWorkByClaim.put(claim, yielding);
+        return yielding;
+    }
+
+    private EvictionCandidate candidate(
+            Job job, Machine machine, YieldingWork yielding, double now) {
+        Evictable evictable =
+                yielding.evictableByMachine.computeIfAbsent(
+                        machine, key -> evictable(job, machine, yielding, now));
+        double loss = evictable.lostCpuSeconds;
+        MachineType type = shard.machineTypes().get(machine.type());
+        int slotsAfterEviction = placement.freeSlots(machine, job.spec, evictable.freed);
+        if (!machine.hasImage(job.spec.image()) && type.fetchGigabytesPerSecond() > 0) {
+            loss +=
+                    slotsAfterEviction
+                            * job.spec.cpusPerTask()
+                            * job.spec.imageGigabytes()
+                            / type.fetchGigabytesPerSecond();
+        }
+        return new EvictionCandidate(
+                machine, placement.freeSlots(machine, job.spec), slotsAfterEviction, loss);
+    }
+
+    private Evictable evictable(Job job, Machine machine, YieldingWork yielding, double now) {
+        FreedResources freed = new FreedResources();
+        double lostCpuSeconds = 0;
+        for (Attempt attempt : machine.attempts()) {
+            if (yielding.jobs.contains(attempt.job) && rules.mayEvict(job, attempt)) {
+                freed.add(attempt);
+                lostCpuSeconds += attempt.isStopping() ? 0 : lostCpuSeconds(attempt, now);
+            }
+        }
+        return new Evictable(freed, lostCpuSeconds);
+    }
+
+    /** What stopping the attempt loses: its unsaved work, and about one report until it ends. */
+    private double lostCpuSeconds(Attempt attempt, double now) {
+        return attempt.job.spec.cpusPerTask()
+                * (attempt.unsavedSeconds(now)
+                        + shard.settings().workers().heartbeatIntervalSeconds());
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
@@ -0,0 +1,95 @@
+package io.kitepath.core.scheduling;
+
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.shard.Machine;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+
+/** Chooses machines for whole gangs, and the zone for jobs that have to stay in one zone. */
+final class GangPlacement {
+    private final ProbePlacement placement;
+
+    GangPlacement(ProbePlacement placement) {
+        this.placement = placement;
+    }
+
+    /** Machines for all tasks of a gang, or empty if the gang does not fit as a whole. */
+    Optional<List<Machine>> chooseGang(JobSpec spec, List<Machine> candidates) {
+        placement.counters().inspectedMachines += candidates.size();
+        Map<String, Integer> slotsByZone = slotsByZone(spec, candidates);
+        if (slotsByZone.values().stream().mapToInt(Integer::intValue).sum() < spec.taskCount()) {
+            return Optional.empty();
+        }
+        MachineSearch search = placement.newSearch(spec, candidates);
+        if (!spec.isSingleZone()) {
+            return findWholeGang(spec, search);
+        }
+        // The zone with the least room that still suffices, so that larger gangs find theirs.
+        List<String> zones = new ArrayList<>(slotsByZone.keySet());
+        zones.removeIf(zone -> slotsByZone.get(zone) < spec.taskCount());
+        zones.sort(Comparator.comparing(slotsByZone::get));
+        for (String zone : zones) {
+            Optional<List<Machine>> found =
+                    findWholeGang(
+                            spec, search.restrictedTo(machine -> machine.zone().equals(zone)));
+            if (found.isPresent()) {
+                return found;
+            }
+        }
+        return Optional.empty();
+    }
+
+    /**
+     * The zone for the first tasks of a job that has to stay in one zone: the one with the least
+     * room that suffices for that many tasks, or else the one with the most; empty without
+     * candidates. Guards against a job whose first task binds it to a zone that holds few of its
+     * tasks while another zone would hold all of them.
+     */
+    Optional<String> chooseZone(JobSpec spec, int tasks, List<Machine> candidates) {
+        Comparator<Map.Entry<String, Integer>> leastSufficient =
+                Comparator.comparingInt(
+                        zone -> zone.getValue() >= tasks ? zone.getValue() : Integer.MAX_VALUE);
+        return slotsByZone(spec, candidates).entrySet().stream()
+                .min(leastSufficient.thenComparingInt(zone -> -zone.getValue()))
+                .map(Map.Entry::getKey);
+    }
+
+    private Map<String, Integer> slotsByZone(JobSpec spec, List<Machine> candidates) {
+        Map<String, Integer> slots = new TreeMap<>();
+        for (Machine machine : candidates) {
+            slots.merge(machine.zone(), placement.freeSlots(machine, spec), Integer::sum);
+        }
+        return slots;
+    }
+
+    /**
+     * A machine for each task, or empty if one finds none. The machines count the tasks as placed
+     * only while the search lasts.
+     */
+    private Optional<List<Machine>> findWholeGang(JobSpec spec, MachineSearch among) {
+        MachineSearch search = among;
+        List<Machine> found = new ArrayList<>();
+        Map<String, Integer> tasksByZone = new HashMap<>();
+        for (int task = 0; task < spec.taskCount(); task++) {
+            Optional<Machine> next = search.nextMachine();
+            if (next.isEmpty()) {
+                break;
+            }
+            Machine machine = next.get();
+            machine.countTentatively(spec, 1);
+            found.add(machine);
+            if (tasksByZone.merge(machine.zone(), 1, Integer::sum) >= spec.maxTasksPerZone()) {
+                search = search.restrictedTo(other -> !other.zone().equals(machine.zone()));
+            }
+        }
+        for (Machine machine : found) {
+            machine.countTentatively(spec, -1);
+        }
+        return found.size() == spec.taskCount() ? Optional.of(found) : Optional.empty();
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
@@ -0,0 +1,104 @@
+package io.kitepath.core.scheduling;
+
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.ShardState;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.IdentityHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Decides which jobs are within their team's guarantee: those that fit into it together with the
+ * jobs that claim it before them. See docs/design.md, "Who claims a guarantee".
+ */
+final class GuaranteeAllocation {
+    /** Absorbs rounding errors when claims are summed up. */
+    private static final double ROUNDING_SLACK = 1e-6;
+
+    /** What the jobs of one team have claimed so far. */
+    private static final class Claimed {
+        private double cpus;
+        private double gpus;
+    }
+
+    private final ShardState shard;
+
+    GuaranteeAllocation(ShardState shard) {
+        this.shard = shard;
+    }
+
+    /** Marks every job as within or beyond its team's guarantee. */
+    void mark(List<Job> jobs) {
+        List<Job> sorted = new ArrayList<>(jobs);
+        sorted.sort(Comparator.comparingDouble(Job::eligibleSinceMillis));
+        Map<String, Claimed> claimed = new HashMap<>();
+        for (Job job : sorted) {
+            boolean fits = claim(job, claimed);
+            if (!job.isGuaranteeClaimKnown()) {
+                job.setGuaranteeClaim(fits);
+            }
+        }
+        sorted.sort(claimOrder(sorted));
+        claimed.clear();
+        for (Job job : sorted) {
+            job.setWithinGuarantee(claim(job, claimed));
+        }
+    }
+
+    /**
+     * The order in which jobs claim guarantees. Jobs that fitted into the guarantee on arrival keep
+     * it, the oldest first. Then come those with the least work left, as most of them can be in
+     * time; where a class or team gets too little, its jobs come before the others, the least
+     * served first, or else the class with the largest jobs would never have its turn. Jobs that
+     * have missed all their goals come last. Guards against an overload in which a team's guarantee
+     * goes to its oldest jobs, all of which become late one behind the other.
+     */
+    private Comparator<Job> claimOrder(List<Job> jobs) {
+        Map<Job, Double> serviceShares = new IdentityHashMap<>();
+        jobs.forEach(job -> serviceShares.put(job, shard.serviceLevels().catchUpShare(job.spec)));
+        return Comparator.comparingInt(GuaranteeAllocation::claimRank)
+                .thenComparingDouble(job -> claimsByAge(job) ? 0 : serviceShares.get(job))
+                .thenComparingDouble(
+                        job ->
+                                claimsByAge(job)
+                                        ? job.eligibleSinceMillis()
+                                        : remainingCpuSeconds(job));
+    }
+
+    private static int claimRank(Job job) {
+        if (job.hasMissedAllGoals()) {
+            return 2;
+        }
+        return job.wasWithinGuaranteeOnArrival() ? 0 : 1;
+    }
+
+    private static boolean claimsByAge(Job job) {
+        return job.hasMissedAllGoals() || job.wasWithinGuaranteeOnArrival();
+    }
+
+    private static double remainingCpuSeconds(Job job) {
+        return job.unfinishedTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
+    }
+
+    /**
+     * Adds what is left of the job to what its team has claimed; returns whether the sum is within
+     * the guarantee.
+     */
+    private boolean claim(Job job, Map<String, Claimed> claimed) {
+        ClusterSettings.Team team = shard.settings().teams().get(job.spec.team());
+        if (job.isFinished()
+                || team == null
+                || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
+            return false;
+        }
+        Claimed ofTeam = claimed.computeIfAbsent(team.name(), key -> new Claimed());
+        ofTeam.cpus += job.unfinishedTasks() * job.spec.cpusPerTask();
+        ofTeam.gpus += job.unfinishedTasks() * job.spec.gpusPerTask();
+        return ofTeam.cpus <= team.guaranteedCpus() + ROUNDING_SLACK
+                && (job.spec.gpusPerTask() == 0
+                        || ofTeam.gpus <= team.guaranteedGpus() + ROUNDING_SLACK);
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
@@ -0,0 +1,184 @@
+package io.kitepath.core.scheduling;
+
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
+/** Places the waiting tasks of one job on machines that have room for them. */
+final class JobPlacer {
+    /**
+     * What came of an attempt to place a job.
+     *
+     * @param placed tasks that got a machine
+     * @param waitingForImage whether machines were left out only because others have the image
+     * @param recordsFull whether tasks were left out because their parts' records are full
+     */
+    record Result(int placed, boolean waitingForImage, boolean recordsFull) {
+        static final Result NONE = new Result(0, false, false);
+    }
+
+    private final ShardState shard;
+    private final ProbePlacement placement;
+    private final GangPlacement gangPlacement;
+    private final PreemptionRules rules;
+    private final WarmReserve warmReserve;
+
+    JobPlacer(
+            ShardState shard,
+            ProbePlacement placement,
+            PreemptionRules rules,
+            WarmReserve warmReserve) {
+        this.shard = shard;
+        this.placement = placement;
+        this.gangPlacement = new GangPlacement(placement);
+        this.rules = rules;
+        this.warmReserve = warmReserve;
+    }
+
+    /** Places the gang as a whole, or at most {@code limit} tasks of another job. */
+    Result place(Job job, List<Machine> open, double now, int limit) {
+        return job.spec.isGang()
+                ? new Result(placeGang(job, open, now), false, false)
+                : placeTasks(job, open, now, limit);
+    }
+
+    /** Places at most {@code limit} tasks of a job that is no gang. */
+    Result placeTasks(Job job, List<Machine> open, double now, int limit) {
+        JobSpec spec = job.spec;
+        // Guards against a leader that spends seconds on where images are when no machine has room
+        // for a task: on a full fleet that is so for hundreds of jobs, whatever image they need.
+        if (open.stream()
+                .noneMatch(
+                        machine ->
+                                placement.isAllowed(machine, spec)
+                                        && placement.hasRoom(machine, spec))) {
+            return Result.NONE;
+        }
+        int tasks = taskLimit(job, now, limit);
+        List<Machine> candidates = candidateMachines(job, open, now);
+        MachineSearch search = placement.newSearch(spec, candidates);
+        boolean waitingForImage = search.isWaitingForImage();
+        ZoneConstraints zones = ZoneConstraints.of(job);
+        if (spec.isSingleZone() && !zones.isDecided()) {
+            Optional<String> zone =
+                    gangPlacement.chooseZone(spec, Math.min(tasks, job.waitingTasks()), candidates);
+            search = search.restrictedTo(machine -> machine.zone().equals(zone.orElse(null)));
+        }
+        return placeFound(job, search, zones, waitingForImage, tasks, now);
+    }
+
+    private Result placeFound(
+            Job job,
+            MachineSearch firstSearch,
+            ZoneConstraints zones,
+            boolean waitingForImage,
+            int limit,
+            double now) {
+        MachineSearch search = firstSearch;
+        int placed = 0;
+        boolean recordsFull = false;
+        for (int task = job.nextWaitingTask(0);
+                task >= 0 && placed < limit;
+                task = job.nextWaitingTask(task + 1)) {
+            if (!shard.fitsRecord(job, task)) {
+                recordsFull = true;
+                if (job.spec.shape() == JobSpec.Shape.SERVICE) {
+                    shard.requestMigration(job); // Nothing of it ends by itself.
+                    break;
+                }
+                // The next part may have room on record; this one has when some of it ends.
+                task = job.lastOfPart(task);
+                continue;
+            }
+            Optional<Machine> found = search.nextMachine();
+            if (found.isEmpty()) {
+                break;
+            }
+            Machine machine = found.get();
+            shard.place(job, task, machine, now);
+            placed++;
+            zones.addTasks(machine.zone(), 1);
+            if (zones.remainingTasks(machine.zone()) == 0) {
+                search = search.restrictedTo(other -> !other.zone().equals(machine.zone()));
+            }
+        }
+        if (placed > 0) {
+            shard.advanceAttemptNumber(job);
+        }
+        return new Result(placed, waitingForImage, recordsFull);
+    }
+
+    /** How many tasks the team's quota allows; one at a time of a job that fails everywhere. */
+    private int taskLimit(Job job, double now, int limit) {
+        int tasks = Math.min(limit, shard.quotaUsage().remainingTasks(job.spec));
+        if (shard.failureDiagnosis().isJobAtFault(job, now)) {
+            return Math.min(tasks, job.liveAttempts().isEmpty() ? 1 : 0);
+        }
+        return tasks;
+    }
+
+    private int placeGang(Job job, List<Machine> open, double now) {
+        // Until every task of the old attempt is proven over, the gang can't start anew.
+        if (!job.liveAttempts().isEmpty()) {
+            shard.restartGangOnceImagesFetched(job);
+            return 0;
+        }
+        if (shard.quotaUsage().remainingTasks(job.spec) < job.spec.taskCount()) {
+            return 0;
+        }
+        if (!shard.fitsRecord(job)) {
+            shard.requestMigration(job);
+            return 0;
+        }
+        Optional<List<Machine>> found =
+                gangPlacement.chooseGang(job.spec, candidateMachines(job, open, now));
+        if (found.isEmpty()) {
+            return 0;
+        }
+        List<Machine> machines = found.get();
+        for (int task = 0; task < machines.size(); task++) {
+            shard.place(job, task, machines.get(task), now);
+        }
+        shard.advanceAttemptNumber(job);
+        return machines.size();
+    }
+
+    /**
+     * The open machines that the job may use now. Guards against retries that land where they
+     * failed: machines on which the job failed are returned only when there is no other.
+     */
+    private List<Machine> candidateMachines(Job job, List<Machine> open, double now) {
+        List<Machine> candidates = new ArrayList<>();
+        List<Machine> failed = new ArrayList<>();
+        ZoneConstraints zones = ZoneConstraints.of(job);
+        for (Machine machine : open) {
+            if (isCandidate(job, machine, zones, now)) {
+                (job.failedMachines().contains(machine.id) ? failed : candidates).add(machine);
+            }
+        }
+        return candidates.isEmpty() ? failed : candidates;
+    }
+
+    private boolean isCandidate(Job job, Machine machine, ZoneConstraints zones, double now) {
+        return mayUseReserved(job, machine, now)
+                && placement.isAllowed(machine, job.spec)
+                && zones.remainingTasks(machine.zone()) > 0
+                && !(machine.isDraining() && job.spec.allowsSpot())
+                && !warmReserve.isReservedAgainst(machine, job);
+    }
+
+    /**
+     * Whether the machine is not reserved for another job, or only until other work ends and this
+     * job gives way to that one or is over before it starts.
+     */
+    private boolean mayUseReserved(Job job, Machine machine, double now) {
+        return RoomReservations.isFreeFor(job, machine)
+                || machine.isBackfillAllowed()
+                        && (rules.mustYield(job, machine.reservedFor())
+                                || machine.mayBackfill(job, now));
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
@@ -0,0 +1,117 @@
+package io.kitepath.core.scheduling;
+
+import io.kitepath.core.model.ClusterSettings;
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.model.MachineType;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
+
+/** Which work has to give way to which, by priority and by the teams' guarantees. */
+final class PreemptionRules {
+    /**
+     * Report intervals for which small tasks wait for room that comes free by itself, before others
+     * are stopped for them. Guards against work that is stopped by the ten thousand on a full
+     * fleet, half done, for tasks that would have had the room of one that ended a second later.
+     */
+    private static final double WAIT_REPORT_INTERVALS = 2;
+
+    private final ShardState shard;
+
+    PreemptionRules(ShardState shard) {
+        this.shard = shard;
+    }
+
+    /** Whether the attempt may be stopped to make room for the job. */
+    boolean mayEvict(Job job, Attempt victim) {
+        return victim.isUnwanted() || mustYield(victim.job, job); // Unwanted work goes anyway.
+    }
+
+    /**
+     * Whether the running job gives way to the other one. Work gives way to work of higher
+     * priority, and what a team borrows gives way to the guarantee of another team.
+     *
+     * <p>Guards against two jobs that stop each other without end, so that neither is ever done:
+     * work within a guarantee does not give way to more urgent work that would have to return the
+     * room.
+     */
+    boolean mustYield(Job running, Job job) {
+        if (isNonPreemptible(running)) {
+            return false;
+        }
+        if (running.effectivePriority().compareTo(job.effectivePriority()) > 0) {
+            return isNonPreemptible(job) || !isBorrowingAgainst(job, running, 0);
+        }
+        return isBorrowingAgainst(running, job, running.spec.cpusPerTask());
+    }
+
+    /** Whether the job's own attempts are never stopped for others: gangs and services. */
+    static boolean isNonPreemptible(Job job) {
+        return job.spec.isGang() || job.spec.shape() == JobSpec.Shape.SERVICE;
+    }
+
+    /**
+     * Whether the job is beyond its team's guarantee, not counting {@code ownCpus} of its own, and
+     * the other job, of another team, is within that team's.
+     */
+    private boolean isBorrowingAgainst(Job job, Job other, double ownCpus) {
+        ClusterSettings.Team team = shard.settings().teams().get(job.spec.team());
+        return other.isWithinGuarantee()
+                && !job.isWithinGuarantee()
+                && !job.spec.team().equals(other.spec.team())
+                && team != null
+                && shard.quotaUsage().usedCpus(job.spec.team()) - ownCpus >= team.guaranteedCpus();
+    }
+
+    /**
+     * Whether work on the machine is served before the job although it gives way to it: a guarantee
+     * is served first, yet a higher priority may stop it. Guards against such work taking the room
+     * again in the next round, and being stopped again, without end: the machine is reserved until
+     * the stopped tasks can have been reported. For small tasks only then: reserving a machine of
+     * which they take a thirtieth would leave the rest of it idle.
+     */
+    boolean hasWorkServedBefore(Job job, Machine machine) {
+        return machine.attempts().stream()
+                .anyMatch(
+                        attempt ->
+                                attempt.job.queueRank() < job.queueRank()
+                                        && mustYield(attempt.job, job));
+    }
+
+    /** Whether the job still waits for room that comes free by itself, and evicts nothing yet. */
+    boolean isWaitingForFreeRoom(Job job, double wallMillis) {
+        if (!isSmall(job.spec)) {
+            return false;
+        }
+        double waitMillis =
+                WAIT_REPORT_INTERVALS
+                        * (1000 * shard.settings().workers().heartbeatIntervalSeconds());
+        // Guards against work stopped half done for a stage of a pipeline that is only as urgent as
+        // the stage behind it, and has time.
+        boolean hasTime =
+                job.effectivePriority() != job.spec.priority()
+                        && wallMillis
+                                        + waitMillis
+                                        + 1000
+                                                * shard.startLatencies()
+                                                        .upperEstimateSeconds(job.spec.jobClass())
+                                < job.startGoalMillis(0);
+        return hasTime || wallMillis - job.eligibleSinceMillis() < waitMillis;
+    }
+
+    /** Whether the job's tasks are independent and at most half of the smallest machine type. */
+    boolean isSmall(JobSpec spec) {
+        return !spec.isGang()
+                && !spec.isSingleZone()
+                && !spec.isSpreadAcrossZones()
+                && spec.cpusPerTask() * 2 <= smallestMachineCpus();
+    }
+
+    private double smallestMachineCpus() {
+        return shard.machineTypes().values().stream()
+                .mapToDouble(MachineType::cpus)
+                .min()
+                .orElse(0);
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/scheduling/RoomReservations.java
@@ -0,0 +1,150 @@
+package io.kitepath.core.scheduling;
+
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.shard.Attempt;
+import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.Machine;
+import io.kitepath.core.shard.ShardState;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+
+/**
+ * Reserves the machines on which a large job can start soonest, as what runs there ends, so that
+ * smaller work behind it does not take every gap. Other work may use those machines meanwhile if it
+ * is over before the job starts (backfilling; docs/design.md, "Room kept for a gang").
+ */
+final class RoomReservations {
+    /** Stands for the zone of jobs that may run in any zone. */
+    static final String ANY_ZONE = "";
+
+    /** Room for so many tasks of a job that comes free on a machine after so many seconds. */
+    private record ExpectedRoom(Machine machine, double inSeconds, int tasks) {}
+
+    private final ShardState shard;
+    private final ProbePlacement placement;
+    private final PreemptionRules rules;
+
+    /** For how many jobs machines are reserved in this round, by zone. */
+    private final Map<String, Integer> jobsByZone = new HashMap<>();
+
+    RoomReservations(ShardState shard, ProbePlacement placement, PreemptionRules rules) {
+        this.shard = shard;
+        this.placement = placement;
+        this.rules = rules;
+    }
+
+    /** Forgets the last round's reservations, which are decided anew. */
+    void beginRound() {
+        jobsByZone.clear();
+    }
+
+    /** Whether the machine is reserved for no job, or for this one. */
+    static boolean isFreeFor(Job job, Machine machine) {
+        return machine.reservedFor() == null || machine.reservedFor() == job;
+    }
+
+    /**
+     * Reserves room for that many tasks in the one of the zones where all of it comes free soonest;
+     * returns whether there is such a zone. Guards against a burst of gangs each of which reserves
+     * machines, so that a fifth of the fleet idles in gaps that would together hold several of
+     * them: in each zone only the first one reserves room, the others take what is free.
+     */
+    boolean reserveSoonest(Job job, int tasks, Set<String> zones, List<Machine> open, double now) {
+        List<ExpectedRoom> best = List.of();
+        Optional<String> bestZone = Optional.empty();
+        for (String zone : zones) {
+            if (jobsByZone.getOrDefault(zone, 0) >= maxJobs(zone)) {
+                continue;
+            }
+            List<ExpectedRoom> expected = expectedRoom(job, zone, open, now);
+            Optional<List<ExpectedRoom>> chosen =
+                    chooseSoonest(expected, tasks, ZoneConstraints.of(job));
+            if (chosen.isPresent()
+                    && (bestZone.isEmpty()
+                            || lastOpeningSeconds(chosen.get()) < lastOpeningSeconds(best))) {
+                best = chosen.get();
+                bestZone = Optional.of(zone);
+            }
+        }
+        if (bestZone.isEmpty()) {
+            return false;
+        }
+        double from = now + lastOpeningSeconds(best);
+        best.forEach(room -> room.machine.reserveAllowingBackfill(job, from));
+        jobsByZone.merge(bestZone.get(), 1, Integer::sum);
+        return true;
+    }
+
+    private int maxJobs(String zone) {
+        return zone.equals(ANY_ZONE) ? shard.settings().zones().size() : 1;
+    }
+
+    private List<ExpectedRoom> expectedRoom(Job job, String zone, List<Machine> open, double now) {
+        JobSpec spec = job.spec;
+        List<ExpectedRoom> expected = new ArrayList<>();
+        for (Machine machine : open) {
+            if (isFreeFor(job, machine)
+                    && placement.isAllowed(machine, spec)
+                    && (zone.equals(ANY_ZONE) || zone.equals(machine.zone()))) {
+                addExpectedRoom(job, machine, now, expected);
+            }
+        }
+        return expected;
+    }
+
+    /** Adds the room that opens on the machine as its attempts end one after the other. */
+    private void addExpectedRoom(
+            Job job, Machine machine, double now, List<ExpectedRoom> expected) {
+        List<Attempt> attempts = new ArrayList<>(machine.attempts());
+        attempts.sort(Comparator.comparingDouble(attempt -> endsInSeconds(job, attempt, now)));
+        int slots = placement.freeSlots(machine, job.spec);
+        if (slots > 0) {
+            expected.add(new ExpectedRoom(machine, 0, slots));
+        }
+        FreedResources freed = new FreedResources();
+        for (Attempt attempt : attempts) {
+            freed.add(attempt);
+            int slotsThen = placement.freeSlots(machine, job.spec, freed);
+            if (slotsThen > slots) {
+                double inSeconds = endsInSeconds(job, attempt, now);
+                expected.add(new ExpectedRoom(machine, inSeconds, slotsThen - slots));
+                slots = slotsThen;
+            }
+        }
+    }
+
+    private double endsInSeconds(Job job, Attempt attempt, double now) {
+        return rules.mayEvict(job, attempt) ? 0 : attempt.remainingSeconds(now);
+    }
+
+    private static Optional<List<ExpectedRoom>> chooseSoonest(
+            List<ExpectedRoom> expected, int tasks, ZoneConstraints zones) {
+        expected.sort(
+                Comparator.comparingDouble(ExpectedRoom::inSeconds)
+                        .thenComparing(room -> room.machine.id));
+        List<ExpectedRoom> chosen = new ArrayList<>();
+        int missing = tasks;
+        for (ExpectedRoom room : expected) {
+            if (missing <= 0) {
+                break;
+            }
+            String zone = room.machine.zone();
+            int slots = Math.min(room.tasks, zones.remainingTasks(zone));
+            if (slots > 0) {
+                chosen.add(room);
+                missing -= slots;
+                zones.addTasks(zone, slots);
+            }
+        }
+        return missing <= 0 ? Optional.of(chosen) : Optional.empty();
+    }
+
+    private static double lastOpeningSeconds(List<ExpectedRoom> rooms) {
+        return rooms.isEmpty() ? 0 : rooms.get(rooms.size() - 1).inSeconds;
+    }
+}
--- /dev/null
+++ b/src/main/java/io/kitepath/core/scheduling/StageSearch.java
@@ -0,0 +1,126 @@
+package io.kitepath.core.scheduling;
+
+import static io.kitepath.core.scheduling.ProbePlacement.MAX_PROBES;
+import static io.kitepath.core.scheduling.ProbePlacement.UNCONFIRMED_THRESHOLD;
+
+import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.shard.Machine;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+
+/**
+ * One stage of a {@link MachineSearch}: probes a few random machines in use for each task, and
+ * scans all machines of the stage where no probe passes.
+ */
+final class StageSearch {
+    private final ProbePlacement placement;
+    private final PlacementCounters counters;
+    private final JobSpec spec;
+    private final List<Machine> candidates;
+
+    /**
+     * The candidates that are probed: machines in use, so that idle ones stay whole for gangs and
+     * large tasks, or empty to be released.
+     */
+    private final List<Machine> machinesInUse = new ArrayList<>();
+
+    /** Whether a scan has fixed the scan order. */
+    private boolean scanned;
+
+    /** The candidates that had room at the first scan, best fit first. */
+    private final List<Machine> scanOrder = new ArrayList<>();
+
+    private int nextInOrder;
+
+    StageSearch(ProbePlacement placement, JobSpec spec, List<Machine> candidates) {
+        this.placement = placement;
+        this.counters = placement.counters();
+        this.spec = spec;
+        this.candidates = candidates;
+        for (Machine machine : candidates) {
+            if (machine.cpusJustifyingRental() > 0) {
+                machinesInUse.add(machine);
+            }
+        }
+    }
+
+    /** The machine for the next task; empty once a scan has found the candidates full. */
+    Optional<Machine> nextMachine() {
+        if (scanned && nextInOrder >= scanOrder.size()) {
+            return Optional.empty();
+        }
+        Optional<Machine> probed = probe();
+        return probed.isPresent() ? probed : scan();
+    }
+
+    /** The first of a few random machines in use that is below the threshold and has room. */
+    private Optional<Machine> probe() {
+        Random random = placement.random();
+        int machines = machinesInUse.size();
+        for (int i = 0; i < MAX_PROBES && i < machines; i++) {
+            // A partial shuffle: the probed machines are distinct, as in the paper.
+            int drawn = i + random.nextInt(machines - i);
+            Machine machine = machinesInUse.get(drawn);
+            machinesInUse.set(drawn, machinesInUse.get(i));
+            machinesInUse.set(i, machine);
+            counters.probes++;
+            if (machine.unconfirmedStarts() < UNCONFIRMED_THRESHOLD
+                    && placement.hasRoom(machine, spec)) {
+                counters.passedProbes++;
+                return Optional.of(machine);
+            }
+        }
+        return Optional.empty();
+    }
+
+    /** The fullest machine that has room, those that have the image first. */
+    private Optional<Machine> scan() {
+        counters.scans++;
+        if (!scanned) {
+            scanned = true;
+            sortCandidates();
+        }
+        for (; nextInOrder < scanOrder.size(); nextInOrder++) {
+            counters.inspectedMachines++;
+            if (placement.hasRoom(scanOrder.get(nextInOrder), spec)) {
+                return Optional.of(scanOrder.get(nextInOrder));
+            }
+        }
+        return Optional.empty();
+    }
+
+    private void sortCandidates() {
+        Map<Machine, Double> scores = new HashMap<>();
+        for (Machine machine : candidates) {
+            counters.inspectedMachines++;
+            if (placement.hasRoom(machine, spec)) {
+                scanOrder.add(machine);
+                scores.put(machine, score(machine));
+            }
+        }
+        scanOrder.sort(Comparator.comparing(scores::get, Comparator.reverseOrder()));
+    }
+
+    /** How well a task fits on the machine: its fill level, plus one if it has the image. */
+    private double score(Machine machine) {
+        return (machine.cpusJustifyingRental() + machine.usedCpus() / 4)
+                        / placement.typeOf(machine).cpus()
+                + (machine.hasImage(spec.image()) ? 1 : 0)
+                - (spec.allowsSpot() && !machine.isSpot() ? imageCountPenalty(machine) : 0);
+    }
+
+    /**
+     * What the images on a non-spot machine take off its score, below the weight of a full machine.
+     * Guards against work that may run anywhere filling just those non-spot machines that have most
+     * images, on which large work could start at once: it takes those with few images first.
+     */
+    private static double imageCountPenalty(Machine machine) {
+        int images = machine.images().size();
+        return 0.25 * images / (images + 4);
+    }
+}
--- a/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
+++ b/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
@@ -6,15 +6,20 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * Of one round: what found no room, and for what none can be made. Within a round room only
- * shrinks, so that work with the same rights that asks for no less won't find any either. Guards
- * against a look at the whole block for each of hundreds of jobs that wait behind one that does not
+ * What was found to have no room in a scheduling round. Within a round room only shrinks, so that a
+ * job with the same rights that asks for at least as much won't find any either. Guards against an
+ * inspection of the whole shard for each of hundreds of jobs that wait behind one that does not
  * fit.
  */
 final class UnschedulableShapes {
-    /** What decides where a job may go and what gives way to it. */
+    /**
+     * What decides where a job may go and what gives way to it.
+     *
+     * @param image the image that the job waits for, if machines without it were left out
+     */
     private record PlacementRights(
             JobSpec.Shape shape,
             JobSpec.Priority priority,
@@ -25,9 +30,8 @@
             boolean oneZone,
             boolean spread,
             boolean spot,
-            String image) {
-        /** {@code image}: null, or the one that the work holds out for. */
-        static PlacementRights of(Job job, String image) {
+            Optional<String> image) {
+        static PlacementRights of(Job job, Optional<String> image) {
             JobSpec spec = job.spec;
             return new PlacementRights(
                     spec.shape(),
@@ -43,7 +47,11 @@
         }
     }
 
-    /** {@code tasks}: of a gang, which fits as a whole or not at all; else one. */
+    /**
+     * What a job needs at least to place anything.
+     *
+     * @param tasks all of a gang, which fits as a whole or not at all; else one
+     */
     private record ResourceRequest(double cpus, double gpus, double memoryGb, int tasks) {
         static ResourceRequest of(Job job) {
             JobSpec spec = job.spec;
@@ -54,39 +62,48 @@
                     spec.isGang() ? spec.taskCount() : 1);
         }
 
-        boolean isAtLeast(ResourceRequest o) {
-            return cpus >= o.cpus && gpus >= o.gpus && memoryGb >= o.memoryGb && tasks >= o.tasks;
+        boolean isAtLeast(ResourceRequest other) {
+            return cpus >= other.cpus
+                    && gpus >= other.gpus
+                    && memoryGb >= other.memoryGb
+                    && tasks >= other.tasks;
         }
     }
 
     private final Map<PlacementRights, List<ResourceRequest>> requestsByRights = new HashMap<>();
 
+    /** Forgets everything, for a new round. */
     void clear() {
         requestsByRights.clear();
     }
 
+    /** Whether the job can't find room, judged by those that did not. */
     boolean contains(Job job) {
-        ResourceRequest ask = ResourceRequest.of(job);
-        return requestsByRights.getOrDefault(PlacementRights.of(job, null), List.of()).stream()
-                        .anyMatch(ask::isAtLeast)
-                || requestsByRights
-                        .getOrDefault(PlacementRights.of(job, job.spec.image()), List.of())
-                        .stream()
-                        .anyMatch(ask::isAtLeast);
+        return contains(job, Optional.empty())
+                || contains(job, Optional.ofNullable(job.spec.image()));
+    }
+
+    private boolean contains(Job job, Optional<String> image) {
+        ResourceRequest request = ResourceRequest.of(job);
+        return requestsByRights.getOrDefault(PlacementRights.of(job, image), List.of()).stream()
+                .anyMatch(request::isAtLeast);
     }
 
     /**
-     * {@code holdsOut}: it found no room where its image is, and was not looked for elsewhere, so
-     * that it speaks only for work with that image. Guards against one job that waits for its image
-     * shutting all others out of machines that are idle.
+     * Records that the job found no room.
+     *
+     * @param waitingForImage whether machines without its image were left out, so that it stands
+     *     only for work with that image. Guards against one job that waits for its image shutting
+     *     all others out of idle machines
      */
-    void add(Job job, boolean holdsOut) {
-        ResourceRequest ask = ResourceRequest.of(job);
-        List<ResourceRequest> of =
+    void add(Job job, boolean waitingForImage) {
+        Optional<String> image =
+                waitingForImage ? Optional.ofNullable(job.spec.image()) : Optional.empty();
+        ResourceRequest request = ResourceRequest.of(job);
+        List<ResourceRequest> requests =
                 requestsByRights.computeIfAbsent(
-                        PlacementRights.of(job, holdsOut ? job.spec.image() : null),
-                        k -> new ArrayList<>());
-        of.removeIf(o -> o.isAtLeast(ask));
-        of.add(ask);
+                        PlacementRights.of(job, image), key -> new ArrayList<>());
+        requests.removeIf(other -> other.isAtLeast(request));
+        requests.add(request);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -12,16 +12,17 @@
 import java.util.Map;
 
 /**
- * Idle machines that lesser work leaves alone for a moment, because by their usual pace gangs of
- * higher priority will come before room could be made for them. Guards against work that fills
- * every machine as soon as a gang has left it, only to be stopped for the next one: on a full fleet
- * one start in six was lost that way, and with it the end of the array that it belonged to.
+ * Idle machines that work of lower priority leaves alone for a moment because, by their usual rate,
+ * gangs of higher priority will arrive before room could be made for them. Guards against work that
+ * fills every machine as soon as a gang has left it, only to be stopped for the next gang: on a
+ * full fleet one start in six was lost that way, and with it the end of the array that it belonged
+ * to.
  */
 final class WarmReserve {
     private final ShardState shard;
     private final ProbePlacement probePlacement;
 
-    /** The priority of the gangs that a machine waits for. */
+    /** The priority of the gangs for which a machine is reserved. */
     private final Map<Machine, JobSpec.Priority> reservedPriorities = new HashMap<>();
 
     WarmReserve(ShardState shard, ProbePlacement probePlacement) {
@@ -29,8 +30,8 @@
         this.probePlacement = probePlacement;
     }
 
-    /** Chooses anew among the machines that may be used. */
-    void chooseMachines(List<Machine> open, double wallMs) {
+    /** Chooses the reserved machines anew among those that are open for placing. */
+    void chooseMachines(List<Machine> open, double wallMillis) {
         reservedPriorities.clear();
         List<Machine> idle = new ArrayList<>();
         for (Machine machine : open) {
@@ -44,29 +45,33 @@
         idle.sort(
                 Comparator.comparingInt((Machine machine) -> -machine.images().size())
                         .thenComparing(machine -> machine.id));
-        for (RecentArrivals.ArrivalRate pace : shard.recentArrivals().gangArrivalRates(wallMs)) {
-            // Room is made within about one report: what is stopped has to be reported as ended.
-            double tasks =
-                    pace.tasksPerSecond() * shard.settings().workers().heartbeatIntervalSeconds();
-            for (Machine machine : idle) {
-                if (tasks <= 0) {
-                    break;
-                }
-                if (!reservedPriorities.containsKey(machine)
-                        && probePlacement.isAllowed(machine, pace.sampleSpec())) {
-                    tasks -=
-                            Math.max(
-                                    1,
-                                    probePlacement.freeSlots(machine, pace.sampleSpec(), 0, 0, 0));
-                    reservedPriorities.put(machine, pace.sampleSpec().priority());
-                }
+        for (RecentArrivals.ArrivalRate rate :
+                shard.recentArrivals().gangArrivalRates(wallMillis)) {
+            reserve(rate, idle);
+        }
+    }
+
+    private void reserve(RecentArrivals.ArrivalRate rate, List<Machine> idle) {
+        // Room is made within about one report: what is stopped has to be reported as ended.
+        double tasks =
+                rate.tasksPerSecond() * shard.settings().workers().heartbeatIntervalSeconds();
+        for (Machine machine : idle) {
+            if (tasks <= 0) {
+                return;
+            }
+            if (!reservedPriorities.containsKey(machine)
+                    && probePlacement.isAllowed(machine, rate.sampleSpec())) {
+                tasks -= Math.max(1, probePlacement.freeSlots(machine, rate.sampleSpec()));
+                reservedPriorities.put(machine, rate.sampleSpec().priority());
             }
         }
     }
 
-    /** Whether the job would have to give way here soon. */
+    /** Whether the job leaves the machine alone, since it would soon have to give way there. */
     boolean isReservedAgainst(Machine machine, Job job) {
-        JobSpec.Priority of = reservedPriorities.get(machine);
-        return of != null && !job.spec.isGang() && job.effectivePriority().compareTo(of) > 0;
+        JobSpec.Priority reserved = reservedPriorities.get(machine);
+        return reserved != null
+                && !job.spec.isGang()
+                && job.effectivePriority().compareTo(reserved) > 0;
     }
 }
