--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -188,9 +188,7 @@
                 shard,
                 new ScalingPlanner(shard, scheduler),
                 cloudIntents,
-                environment.store(),
-                environment.cloud(),
-                timers,
+                new CloudReconciler.Ports(environment.store(), environment.cloud(), timers),
                 leadership::isLeading,
                 this::requestRound);
     }
