--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -166,12 +166,12 @@
         loans.clear();
         numbers.clear();
         pendingReplies.clear();
-        for (Entry entry : found.voidedNumbers()) {
+        for (Entry entry : found.cellRecords().voidedNumbers()) {
             numbers.put(
                     entry.key().substring(StoreKeys.VOIDED_NUMBERS.length()),
                     SequenceNumbers.read(entry.value(), entry.revision()));
         }
-        for (Entry entry : found.borrowedTasks()) {
+        for (Entry entry : found.cellRecords().borrowedTasks()) {
             try {
                 restore(entry, now);
             } catch (InvalidInputException | IllegalArgumentException bad) {
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -109,7 +109,7 @@
     void restore(StateLoader.LoadedState found, double now) {
         waiting.clear();
         cancelling.clear();
-        for (Entry entry : found.lentTasks()) {
+        for (Entry entry : found.cellRecords().lentTasks()) {
             Job job = shard.jobs().get(entry.key().substring(StoreKeys.LENT_TASKS.length()));
             if (job == null) {
                 continue; // Came after the list of open jobs was read; everything is read once
@@ -124,7 +124,7 @@
                 LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
             }
         }
-        found.cancellationRequests().forEach(this::cancelling);
+        found.cellRecords().cancellationRequests().forEach(this::cancelling);
     }
 
     /** A record of {@link StoreKeys#CANCELLATION_REQUESTS} came or went. */
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -177,7 +177,7 @@
         held.clear();
         numbers.clear();
         pendingReplies.clear();
-        for (Entry entry : found.voidedNumbers()) {
+        for (Entry entry : found.cellRecords().voidedNumbers()) {
             String of = entry.key().substring(StoreKeys.VOIDED_NUMBERS.length());
             if (of.startsWith("share/")) {
                 numbers.put(
@@ -185,7 +185,7 @@
                         SequenceNumbers.read(entry.value(), entry.revision()));
             }
         }
-        for (Entry entry : found.quotaShares()) {
+        for (Entry entry : found.cellRecords().quotaShares()) {
             try {
                 DocumentReader document = DocumentReader.of(entry.value());
                 HeldShare h = heldShare(document.text("team"));
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -13,278 +13,344 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
 /**
- * Reads the records of all jobs that are open or still have something of them left, once, for a new
- * holder.
+ * Reads the records of all jobs that are open or have parts left, once, for a new leader. Runs on
+ * the event loop.
  */
 public final class StateLoader {
-    private static final int PAGE_TRIES = 20;
+    /** How often a page is asked for before the whole reading fails. */
+    private static final int MAX_PAGE_ATTEMPTS = 20;
 
-    /** Records read at the same time, of jobs that are over. */
-    private static final int READS_AT_ONCE = 8;
+    /** Records of ended jobs that are read at the same time. */
+    private static final int MAX_IN_FLIGHT = 8;
+
+    /** Before a record is read again; longer with each attempt, up to the maximum. */
+    private static final double RETRY_STEP_SECONDS = 0.1;
+
+    private static final double MAX_RETRY_SECONDS = 1;
 
     /**
-     * What was read.
+     * Everything that was read.
      *
-     * @param revision from before the first record was read: from there on changes have to be
-     *     followed
-     * @param endedJobs by id: jobs that are over and have parts left, so that something of them may
-     *     be on machines
-     * @param lentTasks what of open jobs is lent to other cells
-     * @param borrowedTasks what other cells lent to this one
-     * @param quotaShares of the teams' limits, what came to this cell and what went
-     * @param voidedNumbers which of their numbers can't be taken any more
-     * @param cancellationRequests open jobs whose users asked to cancel them
+     * @param revision from before the first record was read: changes have to be followed from there
+     * @param openJobs jobs that are neither done nor cancelled
+     * @param parts what is done and what is on machines, of open and of ended jobs
+     * @param endedJobs by id: jobs that ended and have parts left, so that something of them may
+     *     still be on machines
+     * @param cellRecords what concerns other cells
      * @param cloudIntents what was asked of the cloud, read at its own revision
-     * @param layout how records are laid out, null if nobody has put it down yet
+     * @param layout how records are laid out, empty if nobody has written it yet
      */
     public record LoadedState(
             long revision,
             List<Entry> openJobs,
             List<Entry> parts,
             Map<String, Entry> endedJobs,
+            CellRecords cellRecords,
+            ListResult cloudIntents,
+            Optional<Entry> layout) {}
+
+    /**
+     * Records about other cells, all empty where there are none.
+     *
+     * @param lentTasks which tasks of open jobs are lent to other cells
+     * @param borrowedTasks what other cells lent to this one
+     * @param cancellationRequests open jobs whose users asked to cancel them
+     * @param voidedNumbers which of the other cells' loans can't be taken any more
+     * @param quotaShares what came to this cell of each team's quota, and what of it went
+     */
+    public record CellRecords(
             List<Entry> lentTasks,
             List<Entry> borrowedTasks,
             List<Entry> cancellationRequests,
             List<Entry> voidedNumbers,
-            List<Entry> quotaShares,
-            ListResult cloudIntents,
-            Entry layout) {}
+            List<Entry> quotaShares) {}
 
     /** Takes what the records say about other cells. */
     public interface LoanRecords {
-        /** All of it, after the open jobs and before their parts. */
+        /** For a cell that is by itself: no such records are read or followed. */
+        LoanRecords NONE =
+                new LoanRecords() {
+                    @Override
+                    public void adoptLoaded(LoadedState found) {}
+
+                    @Override
+                    public void cancellationRequestChanged(Entry entry) {}
+                };
+
+        /** Takes over everything, after the open jobs and before their parts. */
         void adoptLoaded(LoadedState found);
 
         /**
-         * A job's user asks to cancel it while some of it may be lent, or no more if there is no
-         * value.
+         * A job's user asks to cancel it while some of it may be lent; the request is withdrawn if
+         * the entry has no value.
          */
         void cancellationRequestChanged(Entry entry);
     }
 
     private final Store store;
     private final Timers timers;
+    private final boolean withCellRecords;
+    private final Epoch.Token epoch;
+    private final Consumer<Set<String>> onRunningKnown;
 
-    /** Whether nobody waits for what is read any more. */
-    private final BooleanSupplier stale;
+    private Consumer<Optional<LoadedState>> answer;
 
-    /** Whether there are other cells. */
-    private final boolean cells;
+    private ListResult openJobs;
+    private ListResult parts;
+    private List<Entry> lentTasks = List.of();
+    private List<Entry> borrowedTasks = List.of();
+    private List<Entry> cancellationRequests = List.of();
+    private List<Entry> voidedNumbers = List.of();
+    private List<Entry> quotaShares = List.of();
+    private Optional<ListResult> cloudIntents = Optional.empty();
+    private Optional<Entry> layout = Optional.empty();
+    private final Map<String, Entry> endedJobs = new HashMap<>();
 
-    /**
-     * Is told of the ids of all jobs of which something may run, before anything else of them is
-     * read.
-     */
-    private final Consumer<Set<String>> running;
+    /** Jobs that are not open, of which the records of their ends are still to be read. */
+    private final Deque<String> unreadEnds = new ArrayDeque<>();
 
-    private Consumer<LoadedState> answer;
-    private List<Entry> lent = List.of();
-    private List<Entry> guests = List.of();
-    private List<Entry> leaving = List.of();
-    private List<Entry> voids = List.of();
-    private List<Entry> shares = List.of();
-    private ListResult acts;
-    private Entry layout;
-
-    /** What is called once all is there, except for what else is still being read. */
-    private Runnable jobsRead;
-
-    private final Deque<String> closed = new ArrayDeque<>();
-    private final Map<String, Entry> over = new HashMap<>();
-    private int missing;
+    private int missingEnds;
+    private boolean jobsRead;
 
+    /**
+     * Prepares one reading.
+     *
+     * @param withCellRecords whether there are other cells
+     * @param epoch once it is over nobody waits for what is read any more
+     * @param onRunningKnown is told of the ids of all jobs of which something may run, before
+     *     anything else of them is read
+     */
     StateLoader(
             Store store,
             Timers timers,
-            boolean cells,
-            BooleanSupplier stale,
-            Consumer<Set<String>> running) {
-        this.running = running;
-        this.cells = cells;
+            boolean withCellRecords,
+            Epoch.Token epoch,
+            Consumer<Set<String>> onRunningKnown) {
         this.store = store;
         this.timers = timers;
-        this.stale = stale;
+        this.withCellRecords = withCellRecords;
+        this.epoch = epoch;
+        this.onRunningKnown = onRunningKnown;
     }
 
-    /** Answers null if it can't be had now; not at all once it is stale. */
-    void read(Consumer<LoadedState> then) {
+    /**
+     * Reads everything. The answer is empty if it can't be had now; there is none once the epoch is
+     * over.
+     */
+    void load(Consumer<Optional<LoadedState>> then) {
         answer =
                 found -> {
-                    answer = loaded -> {}; // The first of the readings that fails speaks for all.
+                    answer = ignored -> {}; // The first of the readings that fails speaks for all.
                     then.accept(found);
                 };
-        // Beside the jobs, so that a takeover does not take longer for it.
-        pages(
+        // Beside the jobs, so that a failover does not take longer for it.
+        readAll(
                 StoreKeys.CLOUD_INTENTS,
                 listing -> {
-                    acts = listing;
-                    joined();
+                    cloudIntents = Optional.of(listing);
+                    answerIfComplete();
                 });
+        readLayout();
+    }
+
+    private void answerIfComplete() {
+        if (jobsRead && cloudIntents.isPresent()) {
+            answer.accept(
+                    Optional.of(
+                            new LoadedState(
+                                    openJobs.revision(),
+                                    openJobs.entries(),
+                                    parts.entries(),
+                                    endedJobs,
+                                    new CellRecords(
+                                            lentTasks,
+                                            borrowedTasks,
+                                            cancellationRequests,
+                                            voidedNumbers,
+                                            quotaShares),
+                                    cloudIntents.get(),
+                                    layout)));
+        }
+    }
+
+    private void readAll(String prefix, Consumer<ListResult> then) {
+        PagedScan.read(
+                store,
+                timers,
+                prefix,
+                MAX_PAGE_ATTEMPTS,
+                listing -> {
+                    if (epoch.isStale()) {
+                        return;
+                    }
+                    if (listing.outcome() == Outcome.OK) {
+                        then.accept(listing);
+                    } else {
+                        answer.accept(Optional.empty());
+                    }
+                });
+    }
+
+    // ---- one step after the other ---------------------------------------------------------------
+
+    private void readLayout() {
         store.get(
                 StoreKeys.LAYOUT,
                 (outcome, entry) -> {
-                    if (stale.getAsBoolean()) {
+                    if (epoch.isStale()) {
                         return;
                     }
                     if (outcome == Outcome.OK || outcome == Outcome.REJECTED) {
-                        layout = entry;
-                        readJobs();
+                        layout = Optional.ofNullable(entry);
+                        readOpenJobs();
                     } else {
-                        answer.accept(null);
+                        answer.accept(Optional.empty());
                     }
                 });
     }
 
-    private void readJobs() {
-        pages(
+    private void readOpenJobs() {
+        readAll(
                 StoreKeys.OPEN_JOBS,
-                open -> {
-                    if (cells) {
-                        readElsewhere(open);
+                listing -> {
+                    openJobs = listing;
+                    if (withCellRecords) {
+                        readLentTasks();
                     } else {
-                        running.accept(ids(open));
-                        pages(StoreKeys.JOB_PARTS, parts -> readClosed(open, parts));
+                        onRunningKnown.accept(openJobIds());
+                        readParts();
                     }
                 });
     }
 
-    private static Set<String> ids(ListResult open) {
-        Set<String> ids = new HashSet<>();
-        open.entries()
-                .forEach(entry -> ids.add(entry.key().substring(StoreKeys.OPEN_JOBS.length())));
-        return ids;
+    private void readLentTasks() {
+        readAll(
+                StoreKeys.LENT_TASKS,
+                listing -> {
+                    lentTasks = listing.entries();
+                    readBorrowedTasks();
+                });
     }
 
-    private void joined() {
-        if (jobsRead != null && acts != null) {
-            jobsRead.run();
-        }
+    private void readBorrowedTasks() {
+        readAll(
+                StoreKeys.BORROWED_TASKS,
+                listing -> {
+                    borrowedTasks = listing.entries();
+                    Set<String> mayRun = openJobIds();
+                    borrowedTasks.forEach(entry -> mayRun.add(jobOfLoan(entry)));
+                    onRunningKnown.accept(mayRun);
+                    readCancellationRequests();
+                });
     }
 
-    private void readElsewhere(ListResult open) {
-        pages(
-                StoreKeys.LENT_TASKS,
-                l -> {
-                    lent = l.entries();
-                    pages(
-                            StoreKeys.BORROWED_TASKS,
-                            g -> {
-                                guests = g.entries();
-                                Set<String> all = ids(open);
-                                guests.forEach(
-                                        entry ->
-                                                all.add(
-                                                        DocumentReader.of(entry.value())
-                                                                .textOr("job", "")));
-                                running.accept(all);
-                                pages(
-                                        StoreKeys.CANCELLATION_REQUESTS,
-                                        x -> {
-                                            leaving = x.entries();
-                                            pages(
-                                                    StoreKeys.VOIDED_NUMBERS,
-                                                    v -> {
-                                                        voids = v.entries();
-                                                        pages(
-                                                                StoreKeys.QUOTA_SHARES,
-                                                                s -> {
-                                                                    shares = s.entries();
-                                                                    pages(
-                                                                            StoreKeys.JOB_PARTS,
-                                                                            parts ->
-                                                                                    readClosed(
-                                                                                            open,
-                                                                                            parts));
-                                                                });
-                                                    });
-                                        });
-                            });
+    private void readCancellationRequests() {
+        readAll(
+                StoreKeys.CANCELLATION_REQUESTS,
+                listing -> {
+                    cancellationRequests = listing.entries();
+                    readVoidedNumbers();
                 });
     }
 
-    private void pages(String prefix, Consumer<ListResult> then) {
-        PagedScan.read(
-                store,
-                timers,
-                prefix,
-                PAGE_TRIES,
+    private void readVoidedNumbers() {
+        readAll(
+                StoreKeys.VOIDED_NUMBERS,
                 listing -> {
-                    if (stale.getAsBoolean()) {
-                        return;
-                    }
-                    if (listing.outcome() == Outcome.OK) {
-                        then.accept(listing);
-                    } else {
-                        answer.accept(null);
-                    }
+                    voidedNumbers = listing.entries();
+                    readQuotaShares();
                 });
     }
 
-    private void readClosed(ListResult open, ListResult parts) {
-        Set<String> ids = new LinkedHashSet<>();
-        parts.entries().forEach(x -> ids.add(StoreKeys.jobOfPart(x.key())));
-        ids.removeAll(ids(open));
-        // Of what other cells lent to us, nothing is over here that is not over in the loan's own
-        // record.
-        guests.forEach(g -> ids.remove(DocumentReader.of(g.value()).textOr("job", "")));
-        closed.addAll(ids);
-        missing = closed.size();
-        Runnable done =
-                () -> {
-                    jobsRead =
-                            () ->
-                                    answer.accept(
-                                            new LoadedState(
-                                                    open.revision(),
-                                                    open.entries(),
-                                                    parts.entries(),
-                                                    over,
-                                                    lent,
-                                                    guests,
-                                                    leaving,
-                                                    voids,
-                                                    shares,
-                                                    acts,
-                                                    layout));
-                    joined();
-                };
-        if (missing == 0) {
-            done.run();
+    private void readQuotaShares() {
+        readAll(
+                StoreKeys.QUOTA_SHARES,
+                listing -> {
+                    quotaShares = listing.entries();
+                    readParts();
+                });
+    }
+
+    private void readParts() {
+        readAll(
+                StoreKeys.JOB_PARTS,
+                listing -> {
+                    parts = listing;
+                    readEndedJobs();
+                });
+    }
+
+    private void readEndedJobs() {
+        Set<String> notOpen = new LinkedHashSet<>();
+        parts.entries().forEach(entry -> notOpen.add(StoreKeys.jobOfPart(entry.key())));
+        notOpen.removeAll(openJobIds());
+        // Of what other cells lent to us, nothing has ended here that has not ended in the loan's
+        // own record.
+        borrowedTasks.forEach(entry -> notOpen.remove(jobOfLoan(entry)));
+        unreadEnds.addAll(notOpen);
+        missingEnds = unreadEnds.size();
+        if (missingEnds == 0) {
+            onJobsRead();
             return;
         }
-        for (int i = 0; i < READS_AT_ONCE; i++) {
-            readOver(closed.poll(), 1, done);
+        for (int i = 0; i < MAX_IN_FLIGHT; i++) {
+            readNextEndedJob();
         }
     }
 
-    private void readOver(String id, int attempt, Runnable done) {
-        if (id == null || stale.getAsBoolean()) {
+    private void readNextEndedJob() {
+        String id = unreadEnds.poll();
+        if (id != null) {
+            readEndedJob(id, 1);
+        }
+    }
+
+    private void readEndedJob(String id, int attempt) {
+        if (epoch.isStale()) {
             return;
         }
         store.get(
                 StoreKeys.ENDED_JOBS + id,
                 (outcome, entry) -> {
-                    if (stale.getAsBoolean()) {
+                    if (epoch.isStale()) {
                         return;
                     }
                     if (outcome != Outcome.OK && outcome != Outcome.REJECTED) {
                         timers.schedule(
-                                Math.min(1, 0.1 * attempt), () -> readOver(id, attempt + 1, done));
+                                Math.min(MAX_RETRY_SECONDS, RETRY_STEP_SECONDS * attempt),
+                                () -> readEndedJob(id, attempt + 1));
                         return;
                     }
                     if (outcome == Outcome.OK) {
-                        over.put(id, entry);
+                        endedJobs.put(id, entry);
                     }
-                    if (--missing == 0) {
-                        done.run();
+                    if (--missingEnds == 0) {
+                        onJobsRead();
                     } else {
-                        readOver(closed.poll(), 1, done);
+                        readNextEndedJob();
                     }
                 });
     }
+
+    private void onJobsRead() {
+        jobsRead = true;
+        answerIfComplete();
+    }
+
+    private Set<String> openJobIds() {
+        Set<String> ids = new HashSet<>();
+        for (Entry entry : openJobs.entries()) {
+            ids.add(entry.key().substring(StoreKeys.OPEN_JOBS.length()));
+        }
+        return ids;
+    }
+
+    private static String jobOfLoan(Entry borrowed) {
+        return DocumentReader.of(borrowed.value()).textOr("job", "");
+    }
 }
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -1,9 +1,6 @@
 package io.kitepath.core.state;
 
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.DocumentReader;
-import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.model.JobRecord;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
@@ -14,22 +11,25 @@
 import io.kitepath.core.shard.ShardState;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the jobs' records equal to what the holder has decided, one transaction at a time, and
- * loads them when a holder begins. Every write depends on the block's revision, the job's and the
- * part's: none can land late.
+ * Keeps the jobs' records equal to what the shard leader has decided, and loads them when a leader
+ * begins. Every write depends on the revision of the shard's record, the job's and the part's: none
+ * can land late. Runs on the event loop.
  */
 public final class StateWriter {
     private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
-    /** How often everything is read again before a part of no job is passed over. */
-    private static final int MAX_RELOADS_FOR_ORPHAN_PARTS = 5;
+    /** Before everything is read again after a reading that failed or did not fit together. */
+    private static final double RELOAD_DELAY_SECONDS = 0.3;
+
+    /** How often a page of the image records is asked for. */
+    private static final int MAX_IMAGE_PAGE_ATTEMPTS = 3;
 
     private final ClusterSettings settings;
     private final Store store;
@@ -37,101 +37,111 @@
     private final ShardState shard;
     private final ImageRecords images;
     private final Listener listener;
+    private final StateLoader.LoanRecords loanRecords;
     private final WriteBatcher batcher;
     private final DependencyOutcomes dependencyOutcomes;
+    private final StateRestorer restorer;
+    private final Epoch epoch = new Epoch();
 
-    /** Null without other cells. */
-    private final StateLoader.LoanRecords loanRecords;
-
-    private long epoch;
     private long shardRevision;
-    private boolean isLoaded;
+    private boolean loaded;
 
     /**
-     * While the jobs are not known: ids of those of which something may run; null before that is
+     * While the jobs are not loaded: ids of those of which something may run, empty before that is
      * known.
      */
-    private Set<String> runningJobIds;
-
-    /** How often in a row what was read did not fit together. */
-    private int inconsistentReads;
+    private Optional<Set<String>> runningJobIds = Optional.empty();
 
-    /** What an earlier holder counted as served, if that was read in time. */
-    private Object previousServiceRecord;
+    /** What an earlier leader counted, if that was read in time. */
+    private Optional<Object> previousServiceLevels = Optional.empty();
 
+    /** What the rest of the node has to know of the store. */
     public interface Listener {
-        /** Somebody else holds the block, or nobody. */
+        /** Another node leads the shard, or none. */
         void shardLost();
 
-        /** The store has it that this job is done, or cancelled for one that it needs. */
+        /**
+         * The store has it that this job is done, or cancelled because of a cancelled dependency.
+         */
         void jobEnded(JobStatus job);
 
-        /** What earlier holders, or this one, put down to ask of the cloud. */
-        void cloudIntentsLoaded(List<Entry> acts);
+        /** The cloud intents that earlier leaders, or this one, have written. */
+        void cloudIntentsLoaded(List<Entry> cloudIntents);
 
-        /** One of these records has changed. */
-        void cloudIntentChanged(Entry act);
+        /** The record of a cloud intent has changed, or is gone if it has no value. */
+        void cloudIntentChanged(Entry cloudIntent);
 
         /**
-         * It is known which jobs may run, by what was read from that moment on, in milliseconds of
-         * our time of day.
+         * It is known which jobs may run.
+         *
+         * @param sinceMillis when that was asked, by this node's wall clock: what was cancelled
+         *     before is taken into account
          */
-        void runningJobsKnown(double sinceMs);
+        void runningJobsKnown(double sinceMillis);
 
         /**
-         * Jobs that others say are cancelled, which what is read from the store may not show yet.
+         * Jobs that other nodes say are cancelled, which what is read from the store may not show
+         * yet.
          */
         Set<String> cancelledMeanwhile();
 
-        /** The memory and the store may differ. */
-        void reloadRequired(String why);
+        /** The memory and the store may differ: everything has to be loaded again. */
+        void reloadRequired(String reason);
     }
 
     /**
-     * Something else that is written by the holder, in one of its rounds, so under the block's
-     * revision and never beside another write of its. Whoever hands one in again after {@link
-     * Listener#outOfStep} works it out anew.
+     * A writer of other records that takes part in one of the leader's batches, so under the
+     * revision of the shard's record and never beside another write of the leader. After {@link
+     * Listener#reloadRequired} it is forgotten, and whoever enqueues one again works it out anew.
      */
     public interface BatchContributor {
         /**
-         * Whether something waits for it. What can wait itself goes along when the rate has some to
+         * Whether something waits for it. The others go along when the write rate has some to
          * spare.
          */
         default boolean isUrgent() {
             return true;
         }
 
-        /** False if it is not wanted any more, as when its job is over by now. */
+        /** Whether it is still to be written; false for instance if its job has ended by now. */
         boolean isStillWanted();
 
-        /** What it writes and on what that depends. */
+        /** Adds its writes, a handful at most, and the conditions that they depend on. */
         void contributeTo(Transaction transaction);
 
-        /** The store has it, at that revision. */
+        /** The store has its writes, at that revision. */
         void onCommitted(long revision);
     }
 
-    /** {@code elsewhere} takes the records about other cells, first of all; null without such. */
+    /**
+     * Creates a writer that neither reads nor writes before it is started.
+     *
+     * @param loanRecords takes the records about other cells; {@link StateLoader.LoanRecords#NONE},
+     *     for which null is taken too, where there are none
+     */
     public StateWriter(
             Store store,
             Timers timers,
             ShardState shard,
             ImageRecords images,
             Listener listener,
-            StateLoader.LoanRecords elsewhere) {
-        this.loanRecords = elsewhere;
+            StateLoader.LoanRecords loanRecords) {
         this.settings = shard.settings();
         this.store = store;
         this.timers = timers;
         this.shard = shard;
         this.images = images;
         this.listener = listener;
+        this.loanRecords = Objects.requireNonNullElse(loanRecords, StateLoader.LoanRecords.NONE);
         this.batcher = new WriteBatcher(store, timers, shard, images, listener);
         this.dependencyOutcomes =
                 new DependencyOutcomes(settings, store, timers, shard.jobDependencies());
+        this.restorer = new StateRestorer(timers, shard, listener, this.loanRecords);
     }
 
-    /** Transactions that the store refused for good, as over its limits. */
+    // ---- state and figures ----------------------------------------------------------------------
+
+    /** Transactions that the store will never take, as over its limits. */
     public long rejectedTransactions() {
         return batcher.rejectedTransactions();
     }
@@ -144,325 +154,229 @@
         return batcher.oversizeRecords();
     }
 
-    /** Transactions, and records, that this holder has written. */
+    /** Transactions that this node has sent as a leader, each counted once. */
     public long transactionsSent() {
         return batcher.transactionsSent();
     }
 
+    /** Records in those transactions. */
     public long recordsSent() {
         return batcher.recordsSent();
     }
 
+    /** Whether the memory has all jobs of the store. */
     public boolean isLoaded() {
-        return isLoaded;
+        return loaded;
     }
 
     /** Whether it is known of which jobs something may run, if not yet all about them. */
     public boolean knowsRunningJobs() {
-        return isLoaded || runningJobIds != null;
+        return loaded || runningJobIds.isPresent();
     }
 
     /**
      * Whether a task of that job may be on a machine. Guards against an answer that keeps the lease
-     * of a cancelled job's task since the jobs are still being read, or the machine has not shown
-     * our token yet.
+     * of a cancelled job's task while the jobs are still being read, or while the machine has not
+     * shown our fencing token yet.
      */
     public boolean mayRun(String id) {
-        if (isLoaded) {
+        if (loaded) {
             Job job = shard.jobs().get(id);
             return job != null && !job.isFinished();
         }
-        return runningJobIds != null
-                && runningJobIds.contains(id)
+        return runningJobIds.isPresent()
+                && runningJobIds.get().contains(id)
                 && !listener.cancelledMeanwhile().contains(id);
     }
 
+    /** The revision of the shard's record that all writes depend on. */
     public long shardRevision() {
         return shardRevision;
     }
 
+    /** Whether a transaction was sent whose outcome is not known yet. */
     public boolean isWriting() {
         return batcher.isWriting();
     }
 
-    public void stop() {
-        epoch++;
-        isLoaded = false;
-        runningJobIds = null;
-        batcher.stop();
-        images.clear();
-        dependencyOutcomes.stop();
-    }
-
-    /** Writes that along in one of the next rounds. */
-    public void enqueue(BatchContributor contributor) {
-        batcher.enqueue(contributor);
-    }
-
     // ---- loading --------------------------------------------------------------------------------
 
-    public void start(String key, long revision, Runnable ready) {
+    /**
+     * Loads all jobs, for a new leader or once more for the same one, and follows their changes
+     * from then on.
+     *
+     * @param key the key of the shard's record
+     * @param revision that record's revision, on which all writes depend
+     * @param onChange runs when the jobs are loaded and whenever something about them has changed
+     */
+    public void start(String key, long revision, Runnable onChange) {
         shardRevision = revision;
         batcher.useShardRecord(key, revision);
-        if (isLoaded) {
+        if (loaded) {
             // What is known of them stays known while they are read once more.
-            runningJobIds = new HashSet<>();
-            shard.jobs().values().stream()
-                    .filter(job -> !job.isFinished())
-                    .forEach(job -> runningJobIds.add(job.spec.id()));
+            runningJobIds = Optional.of(openJobIds());
         }
-        load(++epoch, ready);
+        load(epoch.advance(), onChange);
+    }
+
+    /** Stops writing, loading and following; this node does not lead any more. */
+    public void stop() {
+        epoch.advance();
+        loaded = false;
+        runningJobIds = Optional.empty();
+        batcher.stop();
+        images.clear();
+        dependencyOutcomes.stop();
     }
 
-    private void again(long e, Runnable ready) {
-        timers.schedule(0.3, () -> load(e, ready));
+    private Set<String> openJobIds() {
+        Set<String> ids = new HashSet<>();
+        for (Job job : shard.jobs().values()) {
+            if (!job.isFinished()) {
+                ids.add(job.spec.id());
+            }
+        }
+        return ids;
     }
 
-    private void load(long e, Runnable ready) {
-        if (e != epoch) {
+    private void load(Epoch.Token token, Runnable onChange) {
+        if (token.isStale()) {
             return;
         }
-        isLoaded = false;
+        loaded = false;
         batcher.stop();
-        previousServiceRecord = null;
-        store.get(
-                StoreKeys.SERVICE_LEVELS,
-                (outcome, entry) -> {
-                    if (e == epoch && outcome == Outcome.OK) {
-                        previousServiceRecord = entry.value();
-                    }
-                });
-        double readingMs = timers.wallClockMillis();
-        new StateLoader(
+        readServiceLevels(token);
+        double startedMillis = timers.wallClockMillis();
+        StateLoader loader =
+                new StateLoader(
                         store,
                         timers,
-                        loanRecords != null,
-                        () -> e != epoch,
+                        hasOtherCells(),
+                        token,
                         ids -> {
-                            runningJobIds = ids;
-                            listener.runningJobsKnown(readingMs);
-                        })
-                .read(
-                        found -> {
-                            if (found != null && adopt(found)) {
-                                layOut(found.layout());
-                                readImages(e);
-                                dependencyOutcomes.start(ready);
-                                dependencyOutcomes.askForUnknown();
-                                follow(
-                                        e,
-                                        StoreKeys.OPEN_JOBS,
-                                        found.revision(),
-                                        ready,
-                                        this::jobChanged);
-                                follow(
-                                        e,
-                                        StoreKeys.CLOUD_INTENTS,
-                                        found.cloudIntents().revision(),
-                                        ready,
-                                        listener::cloudIntentChanged);
-                                if (loanRecords != null) {
-                                    follow(
-                                            e,
-                                            StoreKeys.CANCELLATION_REQUESTS,
-                                            found.revision(),
-                                            ready,
-                                            loanRecords::cancellationRequestChanged);
-                                }
-                                ready.run();
-                            } else {
-                                again(e, ready);
-                            }
+                            runningJobIds = Optional.of(ids);
+                            listener.runningJobsKnown(startedMillis);
                         });
+        loader.load(
+                found -> {
+                    if (found.isPresent() && restore(found.get())) {
+                        onLoaded(token, found.get(), onChange);
+                    } else {
+                        timers.schedule(RELOAD_DELAY_SECONDS, () -> load(token, onChange));
+                    }
+                });
     }
 
-    /**
-     * Puts down by what the parts of jobs are laid out whose records do not say. Guards against
-     * settings that change: a part's key would mean other tasks, and those on machines would be
-     * started once more.
-     */
-    private void layOut(Entry known) {
-        if (known != null) {
-            return;
-        }
-        enqueue(
-                new BatchContributor() {
-                    @Override
-                    public boolean isUrgent() {
-                        return false;
-                    }
+    private boolean hasOtherCells() {
+        return loanRecords != StateLoader.LoanRecords.NONE;
+    }
 
-                    @Override
-                    public boolean isStillWanted() {
-                        return true;
+    /** Beside the jobs, which do not wait for it. */
+    private void readServiceLevels(Epoch.Token token) {
+        previousServiceLevels = Optional.empty();
+        store.get(
+                StoreKeys.SERVICE_LEVELS,
+                (outcome, entry) -> {
+                    if (!token.isStale() && outcome == Outcome.OK) {
+                        previousServiceLevels = Optional.ofNullable(entry.value());
                     }
+                });
+    }
 
-                    @Override
-                    public void contributeTo(Transaction transaction) {
-                        transaction
-                                .requireRevision(StoreKeys.LAYOUT, 0)
-                                .put(
-                                        StoreKeys.LAYOUT,
-                                        Map.of("partTasks", (long) shard.tasksPerPart()));
-                    }
+    private boolean restore(StateLoader.LoadedState found) {
+        if (!restorer.restore(found, previousServiceLevels)) {
+            return false;
+        }
+        loaded = true;
+        // Guards against what was read before a cancellation that others told us of meanwhile.
+        List.copyOf(listener.cancelledMeanwhile()).forEach(shard::finishJob);
+        LOG.info("state loaded: jobs={} parts={}", shard.jobs().size(), found.parts().size());
+        return true;
+    }
 
-                    @Override
-                    public void onCommitted(long revision) {
-                        LOG.info(
-                                "parts of jobs hold {} tasks where their records do not say",
-                                shard.tasksPerPart());
-                    }
-                });
+    private void onLoaded(Epoch.Token token, StateLoader.LoadedState found, Runnable onChange) {
+        if (found.layout().isEmpty()) {
+            enqueue(new LayoutRecord(shard));
+        }
+        readImages(token);
+        dependencyOutcomes.start(onChange);
+        dependencyOutcomes.askForUnknown();
+        followChanges(token, found, onChange);
+        onChange.run();
     }
 
-    /** After all that work waits for, and without a word if it can't be had. */
-    private void readImages(long e) {
+    /** Beside the work, none of which waits for it; nothing happens if it can't be had. */
+    private void readImages(Epoch.Token token) {
         PagedScan.read(
                 store,
                 timers,
                 StoreKeys.IMAGES,
-                3,
+                MAX_IMAGE_PAGE_ATTEMPTS,
                 records -> {
-                    if (e == epoch && records.outcome() == Outcome.OK) {
+                    if (!token.isStale() && records.outcome() == Outcome.OK) {
                         images.load(records.entries());
                         shard.machines().values().forEach(images::restoreImages);
                     }
                 });
     }
 
-    /** False if what was read does not fit together: jobs came or ended while it was read. */
-    private boolean adopt(StateLoader.LoadedState found) {
-        double now = timers.nowSeconds();
-        shard.clearJobs();
-        if (found.layout() != null) {
-            shard.setTasksPerPart(
-                    (int)
-                            DocumentReader.of(found.layout().value())
-                                    .integer("partTasks", 1, Integer.MAX_VALUE));
-        }
-        if (previousServiceRecord != null) {
-            try {
-                shard.serviceLevels().restore(previousServiceRecord);
-            } catch (InvalidInputException invalid) {
-                LOG.error(
-                        "record {} is unreadable: {}",
-                        StoreKeys.SERVICE_LEVELS,
-                        invalid.getMessage());
-            }
+    private void followChanges(
+            Epoch.Token token, StateLoader.LoadedState found, Runnable onChange) {
+        long holdMillis = (long) (settings.workers().leaseSeconds() * 500);
+        RecordWatch watch =
+                new RecordWatch(store, timers, holdMillis, token, new ChangeListener(onChange));
+        watch.follow(StoreKeys.OPEN_JOBS, found.revision(), restorer::onOpenJobChanged);
+        watch.follow(
+                StoreKeys.CLOUD_INTENTS,
+                found.cloudIntents().revision(),
+                listener::cloudIntentChanged);
+        if (hasOtherCells()) {
+            watch.follow(
+                    StoreKeys.CANCELLATION_REQUESTS,
+                    found.revision(),
+                    loanRecords::cancellationRequestChanged);
         }
-        // Before the jobs' parts: a machine that goes is one from the first time that it is heard
-        // of.
-        listener.cloudIntentsLoaded(found.cloudIntents().entries());
-        found.openJobs().forEach(this::opened);
-        if (loanRecords != null) {
-            loanRecords.adoptLoaded(found);
-        }
-        found.endedJobs()
-                .forEach(
-                        (id, entry) -> {
-                            try {
-                                shard.addFinishedJob(job(id, entry));
-                            } catch (InvalidInputException | IllegalArgumentException bad) {
-                                LOG.error(
-                                        "record {} is unreadable: {}",
-                                        entry.key(),
-                                        bad.getMessage());
-                            }
-                        });
-        for (Entry entry : found.parts()) {
-            Job job = shard.jobs().get(StoreKeys.jobOfPart(entry.key()));
-            if (job == null) {
-                if (inconsistentReads++ < MAX_RELOADS_FOR_ORPHAN_PARTS) {
-                    // Created after the list of open jobs was read, or just moved: read everything
-                    // once more.
-                    return false;
-                }
-                // Guards against a holder that reads for ever because of a record that nothing
-                // refers to. A job that is neither open nor over was never accepted, so nothing of
-                // it is ever placed; the cleanup says so.
-                LOG.error("record {} is of no job", entry.key());
-                continue;
-            }
-            int part = StoreKeys.indexOfPart(entry.key());
-            if (part < job.partCount()) {
-                shard.restorePart(job, part, entry.value(), entry.revision(), now);
-            }
-        }
-        inconsistentReads = 0;
-        isLoaded = true;
-        // Guards against what was read before a cancellation that others told us of meanwhile.
-        List.copyOf(listener.cancelledMeanwhile()).forEach(shard::finishJob);
-        LOG.info("loaded {} jobs, {} parts", shard.jobs().size(), found.parts().size());
-        return true;
     }
 
-    private Job job(String id, Entry entry) {
-        return Job.of(
-                JobRecord.fromRecord(id, entry.value()),
-                settings,
-                entry.key(),
-                entry.revision(),
-                shard.tasksPerPart());
-    }
+    private final class ChangeListener implements RecordWatch.Listener {
+        private final Runnable onChange;
 
-    private void opened(Entry entry) {
-        String id = entry.key().substring(StoreKeys.OPEN_JOBS.length());
-        if (shard.jobs().containsKey(id)) {
-            return;
+        ChangeListener(Runnable onChange) {
+            this.onChange = onChange;
         }
-        try {
-            shard.addJob(job(id, entry));
-        } catch (InvalidInputException | IllegalArgumentException bad) {
-            LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
+
+        @Override
+        public void onAnswer() {
+            dependencyOutcomes.askForUnknown();
         }
-    }
 
-    private void jobChanged(Entry entry) {
-        if (entry.value() != null) {
-            opened(entry);
-        } else {
-            shard.finishJob(entry.key().substring(StoreKeys.OPEN_JOBS.length()));
+        @Override
+        public void onChanges() {
+            onChange.run();
         }
-    }
 
-    private void follow(
-            long e, String prefix, long after, Runnable ready, Consumer<Entry> changed) {
-        if (e != epoch) {
-            return;
+        @Override
+        public void onChangesMissed() {
+            listener.reloadRequired("changes of the jobs were missed");
         }
-        long holdMs = (long) (settings.workers().leaseSeconds() * 500);
-        store.watch(
-                prefix,
-                after,
-                holdMs,
-                changes -> {
-                    if (e != epoch) {
-                        return;
-                    }
-                    if (changes.outcome() == Outcome.OK) {
-                        changes.events().forEach(changed);
-                        dependencyOutcomes.askForUnknown();
-                        follow(e, prefix, Math.max(after, changes.revision()), ready, changed);
-                        if (!changes.events().isEmpty()) {
-                            ready.run();
-                        }
-                    } else if (changes.outcome() == Outcome.REJECTED) {
-                        listener.reloadRequired("changes of the jobs were missed");
-                    } else {
-                        timers.schedule(0.3, () -> follow(e, prefix, after, ready, changed));
-                    }
-                });
     }
 
     // ---- writing --------------------------------------------------------------------------------
 
+    /** Has the contributor take part in one of the next batches. */
+    public void enqueue(BatchContributor contributor) {
+        batcher.enqueue(contributor);
+    }
+
     /**
-     * Writes what differs, if anything does and the rate allows; {@code done} runs when it is in
-     * the store.
+     * Writes what differs from the store, if anything does, the write rate allows it and the jobs
+     * are loaded.
+     *
+     * @param onCommitted runs when the store has it
      */
-    public void write(Runnable done) {
-        if (isLoaded) {
-            batcher.write(done);
+    public void write(Runnable onCommitted) {
+        if (loaded) {
+            batcher.write(onCommitted);
         }
     }
 }
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -22,6 +22,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
@@ -121,20 +122,27 @@
                             List.of(),
                             List.of(),
                             Map.of(),
-                            List.of(),
-                            List.of(),
-                            List.of(),
-                            all.stream()
-                                    .filter(
-                                            entry ->
-                                                    entry.key()
-                                                            .startsWith(StoreKeys.VOIDED_NUMBERS))
-                                    .toList(),
-                            all.stream()
-                                    .filter(entry -> entry.key().startsWith(StoreKeys.QUOTA_SHARES))
-                                    .toList(),
+                            new StateLoader.CellRecords(
+                                    List.of(),
+                                    List.of(),
+                                    List.of(),
+                                    all.stream()
+                                            .filter(
+                                                    entry ->
+                                                            entry.key()
+                                                                    .startsWith(
+                                                                            StoreKeys
+                                                                                    .VOIDED_NUMBERS))
+                                            .toList(),
+                                    all.stream()
+                                            .filter(
+                                                    entry ->
+                                                            entry.key()
+                                                                    .startsWith(
+                                                                            StoreKeys.QUOTA_SHARES))
+                                            .toList()),
                             null,
-                            null));
+                            Optional.empty()));
             job = null;
             if (wants) {
                 want();
