--- /dev/null
+++ b/src/main/java/io/kitepath/core/state/ContributorQueue.java
@@ -0,0 +1,44 @@
+package io.kitepath.core.state;
+
+import io.kitepath.core.state.StateWriter.BatchContributor;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+
+/**
+ * Contributors that wait for a batch, in order of arrival: the urgent ones apart from those that
+ * can wait until the write rate has some to spare.
+ */
+final class ContributorQueue {
+    private final Deque<BatchContributor> urgent = new ArrayDeque<>();
+    private final Deque<BatchContributor> deferrable = new ArrayDeque<>();
+
+    Deque<BatchContributor> urgent() {
+        return urgent;
+    }
+
+    Deque<BatchContributor> deferrable() {
+        return deferrable;
+    }
+
+    void add(BatchContributor contributor) {
+        queueOf(contributor).add(contributor);
+    }
+
+    /** Returns the contributors of a batch that was not committed to the front, in their order. */
+    void putBack(List<BatchContributor> contributors) {
+        for (int i = contributors.size() - 1; i >= 0; i--) {
+            BatchContributor contributor = contributors.get(i);
+            queueOf(contributor).addFirst(contributor);
+        }
+    }
+
+    void clear() {
+        urgent.clear();
+        deferrable.clear();
+    }
+
+    private Deque<BatchContributor> queueOf(BatchContributor contributor) {
+        return contributor.isUrgent() ? urgent : deferrable;
+    }
+}
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -10,97 +10,150 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
- * Which machines have which images, kept in the store for whoever holds the block next. Guards
- * against a new holder that knows only the images of what runs, and has tasks fetch on one machine
- * what lies on another. A hint, on which nothing depends but time: written now and then, one of a
- * few records after the other, if it changed.
+ * Which machines have which images, kept in the store for the next leader. Guards against a new
+ * leader that knows only the images of what runs, and has tasks fetch on one machine what another
+ * has. A hint, on which nothing depends but time: the machines are spread over a few records, which
+ * are written in turn, now and then and only if they changed.
  */
 public final class ImageRecords {
     private static final int RECORD_COUNT = 16;
 
+    /** Of the bytes that a value may have, by an estimate. */
+    private static final double MAX_FILL = 0.9;
+
+    /** What a machine takes in a record besides its name. */
+    private static final int MACHINE_OVERHEAD_BYTES = 4;
+
+    /** What an image takes in a record besides its name and its machines. */
+    private static final int IMAGE_OVERHEAD_BYTES = 32;
+
+    /**
+     * One image in a record. In the store it is a list: the size, then the machines.
+     *
+     * @param gigabytes the image's size
+     * @param machineIds the machines that have it
+     */
+    private record ImageCopies(double gigabytes, List<String> machineIds) {
+        List<Object> toStored() {
+            List<Object> stored = new ArrayList<>();
+            stored.add(gigabytes);
+            stored.addAll(machineIds);
+            return stored;
+        }
+
+        /** Empty if the value is not one of an image; what is no machine's id is left out. */
+        static Optional<ImageCopies> fromStored(Object value) {
+            if (!(value instanceof List<?> stored)
+                    || stored.isEmpty()
+                    || !(stored.get(0) instanceof Number gigabytes)) {
+                return Optional.empty();
+            }
+            List<String> machineIds = new ArrayList<>();
+            for (Object element : stored.subList(1, stored.size())) {
+                if (element instanceof String id) {
+                    machineIds.add(id);
+                }
+            }
+            return Optional.of(new ImageCopies(gigabytes.doubleValue(), machineIds));
+        }
+    }
+
     private final ClusterSettings settings;
-    private final List<Map<String, Object>> written = new ArrayList<>();
+
+    /** By index: the records as this leader wrote them last. */
+    private final Map<Integer, Map<String, Object>> lastWritten = new HashMap<>();
+
+    /** By machine that has not reported yet: its images' sizes in gigabytes, by name. */
     private final Map<String, Map<String, Double>> remembered = new HashMap<>();
+
     private int next;
+
+    /** When the next record is due, in seconds on the steady clock. */
     private double nextAt;
 
+    /** Creates records of which none is known to be in the store. */
     public ImageRecords(ClusterSettings settings) {
         this.settings = settings;
-        for (int i = 0; i < RECORD_COUNT; i++) {
-            written.add(null);
-        }
     }
 
-    /** The next record that is to be written, or null if none is due. */
-    Store.Write nextDueRecord(Collection<Machine> machines, double now) {
+    /** The next record, if it is due and differs from what was written last. */
+    Optional<Store.Write> nextDueRecord(Collection<Machine> machines, double now) {
         if (now < nextAt) {
-            return null;
+            return Optional.empty();
         }
         nextAt = now + settings.workers().heartbeatIntervalSeconds() / 2;
         int index = next++ % RECORD_COUNT;
-        Map<String, Object> record = record(machines, index);
-        if (Objects.equals(record, written.get(index))
-                || written.get(index) == null && record.isEmpty()) {
-            return null;
+        Map<String, Object> record = composeRecord(machines, index);
+        Map<String, Object> last = lastWritten.get(index);
+        if (record.equals(last) || last == null && record.isEmpty()) {
+            return Optional.empty();
         }
-        written.set(index, record);
-        return new Store.Write(StoreKeys.IMAGES + index, record, 0);
+        lastWritten.put(index, record);
+        return Optional.of(new Store.Write(StoreKeys.IMAGES + index, record, 0));
     }
 
-    private static int indexOf(String machine) {
-        return Math.floorMod(machine.hashCode(), RECORD_COUNT);
+    private static int recordIndexOf(String machineId) {
+        return Math.floorMod(machineId.hashCode(), RECORD_COUNT);
     }
 
-    /** By image: its size, and the machines that have it. */
-    private Map<String, Object> record(Collection<Machine> machines, int index) {
-        Map<String, List<Object>> by = new TreeMap<>();
+    private Map<String, Object> composeRecord(Collection<Machine> machines, int index) {
+        Map<String, ImageCopies> copiesByImage = new TreeMap<>();
+        double maxBytes = settings.store().maxValueKibibytes() * 1024 * MAX_FILL;
         int bytes = 0;
         for (Machine machine : machines) {
-            if (indexOf(machine.id) != index || machine.isGone() || machine.isReleasing()) {
+            if (recordIndexOf(machine.id) != index || machine.isGone() || machine.isReleasing()) {
                 continue;
             }
-            for (Map.Entry<String, Double> e : machine.images().entrySet()) {
-                bytes +=
-                        machine.id.length()
-                                + 4
-                                + (by.containsKey(e.getKey()) ? 0 : e.getKey().length() + 32);
-                if (bytes < settings.store().maxValueKibibytes() * 1024 * 0.9) {
-                    by.computeIfAbsent(e.getKey(), key -> new ArrayList<>(List.of(e.getValue())))
+            for (Map.Entry<String, Double> image : machine.images().entrySet()) {
+                String name = image.getKey();
+                bytes += machine.id.length() + MACHINE_OVERHEAD_BYTES;
+                if (!copiesByImage.containsKey(name)) {
+                    bytes += name.length() + IMAGE_OVERHEAD_BYTES;
+                }
+                if (bytes < maxBytes) {
+                    copiesByImage
+                            .computeIfAbsent(
+                                    name,
+                                    key -> new ImageCopies(image.getValue(), new ArrayList<>()))
+                            .machineIds()
                             .add(machine.id);
                 }
             }
         }
-        return new LinkedHashMap<>(by);
+        Map<String, Object> record = new LinkedHashMap<>();
+        copiesByImage.forEach((name, copies) -> record.put(name, copies.toStored()));
+        return record;
     }
 
-    /** What the last holder knew, for machines as they become known here. */
-    void load(List<Entry> entries) {
-        for (Entry entry : entries) {
-            if (!(entry.value() instanceof Map<?, ?> by)) {
-                continue;
+    /** Takes what the last leader knew, for machines as they become known here. */
+    void load(List<Entry> records) {
+        for (Entry entry : records) {
+            if (entry.value() instanceof Map<?, ?> images) {
+                images.forEach(this::remember);
             }
-            by.forEach(
-                    (image, l) -> {
-                        if (image instanceof String name
-                                && l instanceof List<?> list
-                                && !list.isEmpty()
-                                && list.get(0) instanceof Number gb) {
-                            for (Object m : list.subList(1, list.size())) {
-                                if (m instanceof String id) {
-                                    remembered
-                                            .computeIfAbsent(id, key -> new TreeMap<>())
-                                            .put(name, gb.doubleValue());
-                                }
-                            }
-                        }
-                    });
         }
     }
 
+    private void remember(Object image, Object storedCopies) {
+        if (!(image instanceof String name)) {
+            return;
+        }
+        ImageCopies.fromStored(storedCopies)
+                .ifPresent(
+                        copies -> {
+                            for (String id : copies.machineIds()) {
+                                remembered
+                                        .computeIfAbsent(id, key -> new TreeMap<>())
+                                        .put(name, copies.gigabytes());
+                            }
+                        });
+    }
+
+    /** Tells a machine that has become known which images the last leader saw on it, once. */
     public void restoreImages(Machine machine) {
         Map<String, Double> images = remembered.remove(machine.id);
         if (images != null) {
@@ -108,8 +161,9 @@
         }
     }
 
+    /** Forgets everything, as this node does not lead any more. */
     void clear() {
         remembered.clear();
-        written.replaceAll(r -> null);
+        lastWritten.clear();
     }
 }
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -143,7 +143,7 @@
 
     /** Transactions that the store will never take, as over its limits. */
     public long rejectedTransactions() {
-        return batcher.rejectedTransactions();
+        return batcher.invalidTransactions();
     }
 
     /**
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -3,72 +3,229 @@
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store.Entry;
 import io.kitepath.core.port.Store.Transaction;
+import io.kitepath.core.port.Store.Write;
 import io.kitepath.core.shard.Job;
 import io.kitepath.core.state.StateWriter.BatchContributor;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
-/** One transaction of the holder's, and what in memory follows from it once the store has it. */
+/**
+ * One transaction of the shard leader, conditional on the revision of the shard's record, together
+ * with what has to change in memory once the store has committed it.
+ */
 final class WriteBatch {
-    record WrittenPart(Job.JobPart part, int version, boolean removed) {}
+    /** Of the 64 KiB that a transaction may hold, by an estimate of its JSON form. */
+    private static final int MAX_BYTES = 48 * 1024;
 
-    /** What a record says about whether its round was carried out. */
+    /** What a record's key and conditions add to its value. */
+    private static final int RECORD_OVERHEAD_BYTES = 128;
+
+    /** A part of a job as it was written: up to {@code version} of the job, or removed. */
+    record WrittenPart(Job.JobPart part, int version, boolean removed) {
+        private String key() {
+            return StoreKeys.partKey(part.job.spec.id(), part.index);
+        }
+    }
+
+    /** What a record shows if its batch was committed. */
     private enum Evidence {
-        CHANGED,
-        SAYS_DONE,
-        GONE
+        REVISION_CHANGED,
+        JOB_DONE,
+        RECORD_GONE
     }
 
     /**
-     * A record that this round writes and that nobody else does under the same revision of the
-     * block.
+     * A record that this batch writes and that nobody else writes under the same revision of the
+     * shard's record, so that it shows whether the batch was committed.
      *
-     * @param revisionBefore its revision before, 0 if there was none
+     * @param revisionBefore its revision before the batch, 0 if there was no record
      */
-    record Witness(String key, long revisionBefore, Evidence sign) {
-        /** Whether the round was carried out; {@code now}: null if there is no such record. */
-        boolean showsCommitted(Entry now) {
-            return switch (sign) {
-                case CHANGED -> now != null && now.revision() != revisionBefore;
+    record Witness(String key, long revisionBefore, Evidence evidence) {
+        /**
+         * Whether the batch was committed.
+         *
+         * @param current the record as it is now, null if there is none
+         */
+        boolean showsCommitted(Entry current) {
+            return switch (evidence) {
+                case REVISION_CHANGED -> current != null && current.revision() != revisionBefore;
                 // A user's cancellation may have been written in its place.
-                case SAYS_DONE ->
-                        now != null && DocumentReader.of(now.value()).text("status").equals("done");
-                case GONE -> now == null;
+                case JOB_DONE ->
+                        current != null
+                                && DocumentReader.of(current.value())
+                                        .text("status")
+                                        .equals(EndStatus.DONE.storedName());
+                case RECORD_GONE -> current == null;
             };
         }
     }
 
-    final Transaction transaction = new Transaction();
-    final List<WrittenPart> parts = new ArrayList<>();
-    final List<Job> finishing = new ArrayList<>();
-    final List<Job> cancelling = new ArrayList<>();
-    final Set<Job.JobPart> taken = new HashSet<>();
-    final Set<Job> conditioned = new HashSet<>();
-    final List<BatchContributor> contributors = new ArrayList<>();
-    RecordMigration migration;
-    boolean mayHaveExecuted;
-    int bytes;
+    private final Transaction transaction = new Transaction();
+    private final List<WrittenPart> parts = new ArrayList<>();
+    private final List<Job> completedJobs = new ArrayList<>();
+    private final List<Job> cancelledJobs = new ArrayList<>();
+    private final Set<Job.JobPart> visitedParts = new HashSet<>();
+    private final Set<Job> conditionedJobs = new HashSet<>();
+    private final List<BatchContributor> contributors = new ArrayList<>();
+    private Optional<RecordMigration> migration = Optional.empty();
+    private boolean mayHaveExecuted;
+    private int estimatedBytes;
+
+    /** An empty batch under that revision of the shard's record. */
+    WriteBatch(String shardKey, long shardRevision) {
+        transaction.requireRevision(shardKey, shardRevision);
+    }
+
+    // ---- composing ------------------------------------------------------------------------------
+
+    int writeCount() {
+        return transaction.writes().size();
+    }
+
+    boolean isFull() {
+        return estimatedBytes >= MAX_BYTES;
+    }
+
+    /** At half its size a batch takes only what the shard's own state still has to add. */
+    boolean isHalfFull() {
+        return estimatedBytes >= MAX_BYTES / 2;
+    }
+
+    /** Returns false if the batch has considered that part before. */
+    boolean visit(Job.JobPart part) {
+        return visitedParts.add(part);
+    }
+
+    /** Makes the batch depend on the open job's record, once. */
+    void requireOpen(Job job) {
+        if (conditionedJobs.add(job)) {
+            transaction.requireRevision(job.recordKey, job.revision());
+        }
+    }
+
+    void putPart(Job.JobPart part, Map<String, Object> record, int recordBytes) {
+        WrittenPart written = new WrittenPart(part, part.job.version(), false);
+        transaction.requireRevision(written.key(), part.revision()).put(written.key(), record);
+        parts.add(written);
+        addRecordBytes(recordBytes);
+    }
+
+    void removePart(Job.JobPart part) {
+        WrittenPart written = new WrittenPart(part, part.job.version(), true);
+        transaction.requireRevision(written.key(), part.revision()).remove(written.key());
+        parts.add(written);
+    }
 
-    /** Null if all that it writes may have been written by others. */
-    Witness witness() {
+    /** Moves the job from the open jobs to the ended ones, and removes its record of lent tasks. */
+    void complete(Job job, Map<String, Object> record, int recordBytes) {
+        moveToEnded(job, record, recordBytes);
+        if (job.loansRevision() > 0) {
+            String lentKey = StoreKeys.LENT_TASKS + job.spec.id();
+            transaction.requireRevision(lentKey, job.loansRevision()).remove(lentKey);
+        }
+        completedJobs.add(job);
+    }
+
+    /** Moves a job that never started from the open jobs to the ended ones. */
+    void cancel(Job job, Map<String, Object> record, int recordBytes) {
+        moveToEnded(job, record, recordBytes);
+        cancelledJobs.add(job);
+    }
+
+    private void moveToEnded(Job job, Map<String, Object> record, int recordBytes) {
+        addRecordBytes(recordBytes);
+        transaction
+                .requireRevision(job.recordKey, job.revision())
+                .remove(job.recordKey)
+                .put(StoreKeys.ENDED_JOBS + job.spec.id(), record);
+    }
+
+    void contribute(BatchContributor contributor, int expectedBytes) {
+        contributor.contributeTo(transaction);
+        contributors.add(contributor);
+        estimatedBytes += expectedBytes;
+    }
+
+    void migrate(RecordMigration recordMigration) {
+        recordMigration.contributeTo(transaction);
+        migration = Optional.of(recordMigration);
+    }
+
+    /** Adds a record that nothing in memory depends on. */
+    void putHint(Write write) {
+        transaction.put(write.key(), write.value());
+    }
+
+    private void addRecordBytes(int recordBytes) {
+        estimatedBytes += recordBytes + RECORD_OVERHEAD_BYTES;
+    }
+
+    // ---- once it is sent ------------------------------------------------------------------------
+
+    Transaction transaction() {
+        return transaction;
+    }
+
+    List<WrittenPart> parts() {
+        return Collections.unmodifiableList(parts);
+    }
+
+    /** Jobs that the batch ends because all their tasks are done. */
+    List<Job> completedJobs() {
+        return Collections.unmodifiableList(completedJobs);
+    }
+
+    /** Jobs that the batch cancels because a dependency was cancelled. */
+    List<Job> cancelledJobs() {
+        return Collections.unmodifiableList(cancelledJobs);
+    }
+
+    List<BatchContributor> contributors() {
+        return Collections.unmodifiableList(contributors);
+    }
+
+    Optional<RecordMigration> migration() {
+        return migration;
+    }
+
+    /** Changes in the batch, each of which may take several writes. */
+    int changeCount() {
+        return parts.size() + contributors.size() + completedJobs.size() + cancelledJobs.size();
+    }
+
+    /** Whether an earlier try may have been executed, or still will be. */
+    boolean mayHaveExecuted() {
+        return mayHaveExecuted;
+    }
+
+    void markMayHaveExecuted() {
+        mayHaveExecuted = true;
+    }
+
+    /** Empty if others may have written all that the batch writes. */
+    Optional<Witness> witness() {
         for (WrittenPart written : parts) {
             if (!written.removed) {
-                return new Witness(key(written), written.part.revision(), Evidence.CHANGED);
+                return Optional.of(
+                        new Witness(
+                                written.key(), written.part.revision(), Evidence.REVISION_CHANGED));
             }
         }
-        if (!finishing.isEmpty()) {
-            return new Witness(
-                    StoreKeys.ENDED_JOBS + finishing.get(0).spec.id(), 0, Evidence.SAYS_DONE);
+        if (!completedJobs.isEmpty()) {
+            String key = StoreKeys.ENDED_JOBS + completedJobs.get(0).spec.id();
+            return Optional.of(new Witness(key, 0, Evidence.JOB_DONE));
         }
-        // What is gone has no revision, which riders have to be told.
-        return parts.isEmpty() || !contributors.isEmpty()
-                ? null
-                : new Witness(key(parts.get(0)), parts.get(0).part.revision(), Evidence.GONE);
-    }
-
-    private static String key(WrittenPart written) {
-        return StoreKeys.partKey(written.part.job.spec.id(), written.part.index);
+        // A record that is gone has no revision, which contributors have to be told.
+        if (parts.isEmpty() || !contributors.isEmpty()) {
+            return Optional.empty();
+        }
+        WrittenPart removed = parts.get(0);
+        return Optional.of(
+                new Witness(removed.key(), removed.part.revision(), Evidence.RECORD_GONE));
     }
 }
