--- a/src/main/java/io/kitepath/core/state/BatchComposer.java
+++ b/src/main/java/io/kitepath/core/state/BatchComposer.java
@@ -213,7 +213,7 @@
         batch.complete(job, record, JsonSize.sizeInBytes(record));
     }
 
-    /** Whether all the job's tasks are done and it is for this cell's leader to say so. */
+    /** Whether all the job's tasks are done and this cell decides on its end. */
     private static boolean isReadyToComplete(Job job) {
         return !job.isFinished()
                 && job.areAllTasksDone()
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -24,7 +24,7 @@
  * condition that they are open. Runs on the event loop.
  */
 public final class CancellationProof {
-    /** Is told what the comparisons show. */
+    /** Receives what the comparisons show. */
     public interface Listener {
         /** The job is not open any more, though no watch said so. */
         void jobClosed(String id);
@@ -89,7 +89,7 @@
         startRound(epoch.advance());
     }
 
-    /** Ends the rounds; nothing is told any more. */
+    /** Ends the rounds; the listener is not called any more. */
     public void stop() {
         epoch.advance();
     }
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -122,7 +122,7 @@
      *
      * @param withCellRecords whether there are other cells
      * @param epoch once it is over nobody waits for what is read any more
-     * @param onRunningKnown is told of the ids of all jobs of which something may run, before
+     * @param onRunningKnown receives the ids of all jobs of which something may run, before
      *     anything else of them is read
      */
     StateLoader(
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -92,7 +92,8 @@
     /**
      * A writer of other records that takes part in one of the leader's batches, so under the
      * revision of the shard's record and never beside another write of the leader. After {@link
-     * Listener#reloadRequired} it is forgotten, and whoever enqueues one again works it out anew.
+     * Listener#reloadRequired} it is forgotten, and has to be composed anew before it is enqueued
+     * again.
      */
     public interface BatchContributor {
         /**
@@ -288,7 +289,7 @@
             return false;
         }
         loaded = true;
-        // Guards against what was read before a cancellation that others told us of meanwhile.
+        // Guards against what was read before a cancellation that other nodes reported meanwhile.
         List.copyOf(listener.cancelledMeanwhile()).forEach(shard::finishJob);
         LOG.info("state loaded: jobs={} parts={}", shard.jobs().size(), found.parts().size());
         return true;
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -220,7 +220,7 @@
             String key = StoreKeys.ENDED_JOBS + completedJobs.get(0).spec.id();
             return Optional.of(new Witness(key, 0, Evidence.JOB_DONE));
         }
-        // A record that is gone has no revision, which contributors have to be told.
+        // A record that is gone has no revision, which contributors need.
         if (parts.isEmpty() || !contributors.isEmpty()) {
             return Optional.empty();
         }
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -34,7 +34,7 @@
 
     private final List<Double> sentAt = new ArrayList<>();
 
-    /** What the listener was told: moments in milliseconds, and ids of jobs. */
+    /** What the listener received: moments in milliseconds, and ids of jobs. */
     private final List<Double> knownAsOfMillis = new ArrayList<>();
 
     private final List<String> closedJobs = new ArrayList<>();
