--- a/src/main/java/io/kitepath/core/ConnectedCells.java
+++ b/src/main/java/io/kitepath/core/ConnectedCells.java
@@ -10,7 +10,6 @@
 import io.kitepath.core.state.StateLoader.LoanRecords;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -50,8 +49,8 @@
     }
 
     @Override
-    public Optional<LoanRecords> loanRecords() {
-        return Optional.of(cellService);
+    public LoanRecords loanRecords() {
+        return cellService;
     }
 
     @Override
--- a/src/main/java/io/kitepath/core/NoOtherCells.java
+++ b/src/main/java/io/kitepath/core/NoOtherCells.java
@@ -6,7 +6,6 @@
 import io.kitepath.core.service.JobApi;
 import io.kitepath.core.state.StateLoader.LoanRecords;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
@@ -20,8 +19,8 @@
     }
 
     @Override
-    public Optional<LoanRecords> loanRecords() {
-        return Optional.empty();
+    public LoanRecords loanRecords() {
+        return LoanRecords.NONE;
     }
 
     @Override
--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -116,12 +116,7 @@
         ShardEvents shardEvents = new ShardEvents(this);
         this.stateWriter =
                 new StateWriter(
-                        store,
-                        timers,
-                        shard,
-                        images,
-                        shardEvents,
-                        otherCells.loanRecords().orElse(null));
+                        store, timers, shard, images, shardEvents, otherCells.loanRecords());
 
         this.cloudIntents = new CloudIntents(shard, timers, this::contributeToNextWrite);
         this.cloudReconciler = newCloudReconciler();
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -97,7 +97,7 @@
         metrics.counter(
                 "store.invalid",
                 "transactions that the state service refused for good",
-                node.stateWriter::rejectedTransactions);
+                node.stateWriter::invalidTransactions);
         metrics.counter(
                 "store.oversize",
                 "times that a record was put off as too large",
--- a/src/main/java/io/kitepath/core/OtherCells.java
+++ b/src/main/java/io/kitepath/core/OtherCells.java
@@ -6,7 +6,6 @@
 import io.kitepath.core.service.JobApi;
 import io.kitepath.core.state.StateLoader.LoanRecords;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
@@ -21,8 +20,8 @@
     /** Zones that only other cells have machines in. */
     Set<String> zonesOfOtherCells();
 
-    /** Takes what the stored records say about loans; empty if none are kept. */
-    Optional<LoanRecords> loanRecords();
+    /** Takes what the stored records say about loans; {@link LoanRecords#NONE} if none are kept. */
+    LoanRecords loanRecords();
 
     /** Starts what every node does, leader or not. */
     void start();
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -17,6 +17,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 
@@ -140,12 +141,12 @@
     private void checkParts(List<Entry> entries) {
         Map<String, List<Entry>> byJob = new LinkedHashMap<>();
         for (Entry entry : entries) {
-            String id = StoreKeys.findJobOfPart(entry.key());
-            if (id == null) {
+            Optional<String> id = StoreKeys.findJobOfPart(entry.key());
+            if (id.isEmpty()) {
                 findingListener.accept(
                         new Finding(false, entry.key(), "is not the key of a part", List.of()));
             } else {
-                byJob.computeIfAbsent(id, key -> new ArrayList<>()).add(entry);
+                byJob.computeIfAbsent(id.get(), key -> new ArrayList<>()).add(entry);
             }
         }
         // A job moves from open to ended in one write, and both places are compared at once.
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -11,7 +11,6 @@
 import io.kitepath.core.shard.ShardState;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Objects;
 import java.util.Optional;
 import java.util.Set;
 import org.slf4j.Logger;
@@ -117,8 +116,8 @@
     /**
      * Creates a writer that neither reads nor writes before it is started.
      *
-     * @param loanRecords takes the records about other cells; {@link StateLoader.LoanRecords#NONE},
-     *     for which null is taken too, where there are none
+     * @param loanRecords takes the records about other cells; {@link StateLoader.LoanRecords#NONE}
+     *     where there are none
      */
     public StateWriter(
             Store store,
@@ -133,17 +132,17 @@
         this.shard = shard;
         this.images = images;
         this.listener = listener;
-        this.loanRecords = Objects.requireNonNullElse(loanRecords, StateLoader.LoanRecords.NONE);
+        this.loanRecords = loanRecords;
         this.batcher = new WriteBatcher(store, timers, shard, images, listener);
         this.dependencyOutcomes =
                 new DependencyOutcomes(settings, store, timers, shard.jobDependencies());
-        this.restorer = new StateRestorer(timers, shard, listener, this.loanRecords);
+        this.restorer = new StateRestorer(timers, shard, listener, loanRecords);
     }
 
     // ---- state and figures ----------------------------------------------------------------------
 
     /** Transactions that the store will never take, as over its limits. */
-    public long rejectedTransactions() {
+    public long invalidTransactions() {
         return batcher.invalidTransactions();
     }
 
--- a/src/main/java/io/kitepath/core/state/StoreKeys.java
+++ b/src/main/java/io/kitepath/core/state/StoreKeys.java
@@ -1,5 +1,7 @@
 package io.kitepath.core.state;
 
+import java.util.Optional;
+
 /** Keys and prefixes of the records in the state service. What they say is part of the format. */
 public final class StoreKeys {
     /** The highest fencing token ever given out; never removed. */
@@ -86,9 +88,11 @@
         return JOB_PARTS + jobId + "/" + part;
     }
 
-    /** The job that the key is of a part of, or null if it is of something else. */
-    public static String findJobOfPart(String key) {
-        return key.matches(JOB_PARTS + "[^/]+/[0-9]{1,9}") ? jobOfPart(key) : null;
+    /** The job that the key is of a part of; empty if it is of something else. */
+    public static Optional<String> findJobOfPart(String key) {
+        return key.matches(JOB_PARTS + "[^/]+/[0-9]{1,9}")
+                ? Optional.of(jobOfPart(key))
+                : Optional.empty();
     }
 
     /** The job of a key that is known to be of a part. */
