--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -27,6 +27,7 @@
  * <p>Not thread safe: it belongs to the event loop of the shard.
  */
 public final class Job {
+    /** What the user submitted. */
     public final JobSpec spec;
 
     /** Milliseconds since 1970, by the clock of the node that accepted the job. */
@@ -222,12 +223,14 @@
         return isCancelRequested;
     }
 
+    /** The user asked to cancel the job: nothing more of it is placed. */
     public void requestCancel() {
         isCancelRequested = true;
     }
 
     // ---- tasks ----------------------------------------------------------------------------------
 
+    /** Whether the task is done; never undone. */
     public boolean isDone(int task) {
         return tasks.isDone(task);
     }
@@ -240,6 +243,7 @@
         tasks.markAllDone();
     }
 
+    /** How many tasks are done, in whatever cell. */
     public int doneTaskCount() {
         return tasks.doneCount();
     }
@@ -413,6 +417,7 @@
         return claimOnArrival != GuaranteeClaim.UNKNOWN;
     }
 
+    /** Sets, once, whether the job fits into its team's guarantee as it comes. */
     public void setGuaranteeClaim(boolean fits) {
         claimOnArrival = fits ? GuaranteeClaim.WITHIN : GuaranteeClaim.BEYOND;
     }
@@ -430,6 +435,7 @@
         return isWithinGuarantee;
     }
 
+    /** Set anew in each round of scheduling; see {@link #isWithinGuarantee}. */
     public void setWithinGuarantee(boolean within) {
         isWithinGuarantee = within;
     }
@@ -455,6 +461,7 @@
         return loans.revision();
     }
 
+    /** The record of its loans was written, or removed, at that revision. */
     public void setLoansRevision(long atRevision) {
         loans.setRevision(atRevision);
     }
@@ -464,6 +471,7 @@
         return loans.isBeingWritten();
     }
 
+    /** Keeps others from writing the record of its loans meanwhile. */
     public void writingLoans(boolean isBeingWritten) {
         loans.setBeingWritten(isBeingWritten);
     }
@@ -505,10 +513,12 @@
         return parts.version();
     }
 
+    /** How many parts the job has. */
     public int partCount() {
         return parts.count();
     }
 
+    /** The part with that index, from 0. */
     public JobPart part(int index) {
         return parts.get(index);
     }
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -17,7 +17,9 @@
     /** Unique among the loans of this cell. */
     public final long number;
 
+    /** The cell that the loan was offered to. */
     public final String borrowerCell;
+
     public final int firstTask;
 
     /** The task after the last one of the loan. */
@@ -38,6 +40,7 @@
     /** When the other cell was last asked about the loan, in seconds on the steady clock. */
     public double lastQueriedAt = Double.NEGATIVE_INFINITY;
 
+    /** Whether a query about the loan is under way. */
     public boolean isAwaitingAnswer;
 
     /** How many queries in a row had no answer, for the back-off between them. */
@@ -52,6 +55,7 @@
         this.offeredAt = offeredAt;
     }
 
+    /** How many tasks the loan has. */
     public int taskCount() {
         return endTask - firstTask;
     }
