--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -10,6 +10,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.SortedMap;
@@ -603,16 +604,16 @@
     }
 
     /**
-     * The record of a part if parts had {@code tasksPerPart} tasks, or null if the part has neither
-     * done tasks nor attempts and needs no record.
+     * The record of a part if parts had {@code tasksPerPart} tasks, or empty if the part has
+     * neither done tasks nor attempts and needs no record.
      */
-    public Map<String, Object> partRecordOf(int part, int tasksPerPart) {
+    public Optional<Map<String, Object>> partRecordOf(int part, int tasksPerPart) {
         int firstTask = part * tasksPerPart;
         int endTask = (part + 1) * tasksPerPart;
         boolean isEmpty =
                 attempts.liveBetween(firstTask, endTask).isEmpty()
                         && !tasks.isAnyDoneBetween(firstTask, endTask);
-        return isEmpty ? null : partRecord(part, tasksPerPart);
+        return isEmpty ? Optional.empty() : Optional.of(partRecord(part, tasksPerPart));
     }
 
     private Map<String, Object> partRecord(int part, int tasksPerPart) {
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -44,10 +44,8 @@
                         tasksPerPart,
                         job.nextAttempt());
         for (int i = 0; i * tasksPerPart < job.spec.taskCount(); i++) {
-            Map<String, Object> part = job.partRecordOf(i, tasksPerPart);
-            if (part != null) {
-                parts.put(i, part);
-            }
+            int index = i;
+            job.partRecordOf(i, tasksPerPart).ifPresent(part -> parts.put(index, part));
         }
         int removed = 0;
         for (int i = 0; i < job.partCount(); i++) {
--- a/src/test/java/io/kitepath/core/shard/JobTest.java
+++ b/src/test/java/io/kitepath/core/shard/JobTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,6 +16,7 @@
 import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /** A job's tasks, its parts and their stored form. */
@@ -76,15 +76,18 @@
     }
 
     @Test
-    void partRecordForAnotherPartSizeIsNullWhereThereIsNothingToSay() {
+    void partRecordForAnotherPartSizeIsEmptyWhereThereIsNothingToSay() {
         Job job = arrayJob("j-1", 10);
         shard.restorePart(job, 1, partRecord(6, "AQ==", Map.of("i-1", List.of(6L, 5L))), 7, 0);
 
-        assertNull(job.partRecordOf(0, 2));
-        assertNull(job.partRecordOf(1, 2));
-        assertEquals("{next=6, done=AQ==, live={}}", job.partRecordOf(2, 2).toString());
-        assertEquals("{next=6, done=, live={i-1=[6, 5]}}", job.partRecordOf(3, 2).toString());
-        assertNull(job.partRecordOf(4, 2));
+        assertEquals(Optional.empty(), job.partRecordOf(0, 2));
+        assertEquals(Optional.empty(), job.partRecordOf(1, 2));
+        assertEquals(
+                "{next=6, done=AQ==, live={}}", job.partRecordOf(2, 2).orElseThrow().toString());
+        assertEquals(
+                "{next=6, done=, live={i-1=[6, 5]}}",
+                job.partRecordOf(3, 2).orElseThrow().toString());
+        assertEquals(Optional.empty(), job.partRecordOf(4, 2));
     }
 
     @Test
