--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -44,7 +44,7 @@
 
     /** The machine's first heartbeat has come, and it is known when its boot began. */
     void recordBoot(Machine machine, double now) {
-        double seconds = now - machine.knownSince();
+        double seconds = now - machine.rental().knownSince();
         add(recentByKind.computeIfAbsent(machine.kind(), key -> new ArrayDeque<>()), seconds);
         add(recentByType.computeIfAbsent(machine.type(), key -> new ArrayDeque<>()), seconds);
         MachineType type = types.get(machine.type());
@@ -100,6 +100,6 @@
 
     private boolean isOverdue(Machine machine, double now, double factor) {
         return !machine.hasReported()
-                && now - machine.knownSince() > factor * expectedSeconds(machine.kind());
+                && now - machine.rental().knownSince() > factor * expectedSeconds(machine.kind());
     }
 }
--- a/src/main/java/io/kitepath/core/shard/CommandPlanner.java
+++ b/src/main/java/io/kitepath/core/shard/CommandPlanner.java
@@ -163,7 +163,7 @@
         if (!machine.isBusy()) {
             return Math.min(intervalSeconds, MAX_HOLD_SECONDS);
         }
-        return machine.hasLastReportEndedTask() && shard.hasBacklog()
+        return machine.heartbeats().hasLastReportEndedTask() && shard.hasBacklog()
                 ? intervalSeconds / PLACEMENTS_PER_INTERVAL
                 : 0;
     }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatHistory.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatHistory.java
@@ -44,6 +44,11 @@
      */
     private double tokenUnconfirmedSince = Double.NaN;
 
+    /** Numbers the reports that were read in full, to tell what one of them did not show. */
+    private int fullReportsRead;
+
+    private boolean lastReportEndedTask;
+
     /**
      * Takes in a heartbeat.
      *
@@ -181,4 +186,18 @@
     long lastSequence() {
         return lastSequence;
     }
+
+    /** Begins to read a report in full; returns the number of this reading. */
+    int beginFullReport() {
+        return ++fullReportsRead;
+    }
+
+    void setLastReportEndedTask(boolean hasEndedTask) {
+        lastReportEndedTask = hasEndedTask;
+    }
+
+    /** Whether the last report that was read in full ended a task. */
+    boolean hasLastReportEndedTask() {
+        return lastReportEndedTask;
+    }
 }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -68,7 +68,7 @@
                 heartbeat, carriesOurToken, now, shard.settings().workers().leaseSeconds());
         if (isFirst) {
             machine.setIdleSince(now);
-            if (machine.isBootStartKnown()) {
+            if (machine.rental().isBootStartKnown()) {
                 shard.bootTimes().recordBoot(machine, now);
             }
         }
@@ -153,7 +153,7 @@
     private List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, double now) {
         List<TaskStatus> unexpected = new ArrayList<>();
         int attemptsBefore = machine.attempts().size();
-        int reading = machine.beginFullReport();
+        int reading = machine.heartbeats().beginFullReport();
         for (TaskStatus status : heartbeat.tasks()) {
             Attempt attempt = attemptOn(machine, status);
             if (attempt != null) {
@@ -169,7 +169,7 @@
                 applyAbsence(attempt, now);
             }
         }
-        machine.setLastReportEndedTask(attemptsBefore > machine.attempts().size());
+        machine.heartbeats().setLastReportEndedTask(attemptsBefore > machine.attempts().size());
         return handleUnexpectedTasks(machine, unexpected, now);
     }
 
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -13,10 +13,10 @@
 
 /**
  * A rented machine as the shard's leader knows it: from the cloud's list, its agent's heartbeats
- * and the jobs' records. Its concerns are kept apart: liveness in {@link HeartbeatHistory}, what is
- * placed on it in {@link PlacedWork}, images in {@link MachineImages}, for whom its room is
- * reserved in {@link RoomReservation}. Times are seconds on the steady clock. Not thread-safe;
- * belongs to the shard's thread.
+ * and the jobs' records. Its concerns are kept apart: liveness in {@link HeartbeatHistory}, what
+ * the cloud says in {@link MachineRental}, what is placed on it in {@link PlacedWork}, images in
+ * {@link MachineImages}, for whom its room is reserved in {@link RoomReservation}. Times are
+ * seconds on the steady clock. Not thread-safe; belongs to the shard's thread.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
@@ -27,6 +27,7 @@
     /** The cloud's name of the machine. */
     public final String id;
 
+    private final MachineRental rental;
     private final HeartbeatHistory heartbeats = new HeartbeatHistory();
     private final PlacedWork placedWork = new PlacedWork();
     private final MachineImages images = new MachineImages(placedWork.attempts());
@@ -37,13 +38,6 @@
     private String address = "";
     private boolean spot;
 
-    private double knownSince;
-    private boolean listed;
-    private boolean bootStartKnown;
-
-    /** When the cloud takes the machine away; NaN without an interruption notice. */
-    private double interruptionAt = Double.NaN;
-
     private boolean releasing;
     private boolean gone;
     private boolean quarantined;
@@ -55,14 +49,10 @@
     private double idleSince;
     private double lastNeededAt;
     private boolean commandInFlight;
-    private boolean lastReportEndedTask;
-
-    /** Numbers the reports that were read in full, to tell what one of them did not show. */
-    private int fullReportsRead;
 
     Machine(String id, double now) {
         this.id = id;
-        this.knownSince = now;
+        this.rental = new MachineRental(now);
         this.idleSince = now;
         this.lastNeededAt = now;
     }
@@ -112,7 +102,7 @@
 
     /** Takes in an entry of the cloud's list of machines. */
     void applyCloudEntry(Cloud.ListedMachine entry) {
-        listed = true;
+        rental.markListed();
         setKind(entry.machineType(), entry.zone(), entry.spot());
         if (entry.status().equals("failed")) {
             releasing = true;
@@ -125,37 +115,24 @@
      */
     void recordRental(MachineKind kind, double since) {
         if (!hasReported()) {
-            bootStartKnown = true;
-            knownSince = since;
+            rental.recordBootStart(since);
         }
         setKind(kind.machineType(), kind.zone(), kind.spot());
     }
 
-    void setKnownSince(double since) {
-        knownSince = since;
-    }
-
-    /** When it was first heard of, or its boot began if that is known. */
-    double knownSince() {
-        return knownSince;
+    /** What is known from its rental and the cloud. */
+    MachineRental rental() {
+        return rental;
     }
 
     /** Whether a list of the cloud has shown it. */
     public boolean isListed() {
-        return listed;
-    }
-
-    /**
-     * Whether it was rented by this leader, or by one that put the rental on record, so that it is
-     * known when its boot began.
-     */
-    boolean isBootStartKnown() {
-        return bootStartKnown;
+        return rental.isListed();
     }
 
     /** Whether the cloud has given notice that it takes the machine away. */
     public boolean hasInterruptionNotice() {
-        return !Double.isNaN(interruptionAt);
+        return rental.hasInterruptionNotice();
     }
 
     // ---- liveness -----------------------------------------------------------------------------
@@ -177,7 +154,7 @@
         setKind(heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
         address = heartbeat.address();
         if (heartbeat.noticeSeconds() == null) {
-            interruptionAt = Double.NaN;
+            rental.clearInterruption();
             return;
         }
         if (!hasInterruptionNotice()) {
@@ -186,7 +163,7 @@
                     id,
                     heartbeat.noticeSeconds());
         }
-        interruptionAt = now + heartbeat.noticeSeconds();
+        rental.setInterruption(now + heartbeat.noticeSeconds());
     }
 
     /** Whether the heartbeat is newer than all that were read of this machine. */
@@ -373,18 +350,18 @@
     }
 
     /** Adds an image that an earlier leader knew to be here; displaces nothing that was seen. */
-    public void restoreImage(String image, double sizeGb) {
-        images.restore(image, sizeGb);
+    public void restoreImage(String image, double sizeGigabytes) {
+        images.restore(image, sizeGigabytes);
     }
 
     /** Images that it probably has, with their size in GB, the least recently used first. */
     public Map<String, Double> images() {
-        return images.cachedGb();
+        return images.cachedGigabytes();
     }
 
     /** A task with this image runs here; the machine keeps the most recently used ones. */
-    void recordImageUse(String image, double sizeGb, double cacheGb) {
-        images.recordUse(image, sizeGb, cacheGb);
+    void recordImageUse(String image, double sizeGigabytes, double cacheGigabytes) {
+        images.recordUse(image, sizeGigabytes, cacheGigabytes);
     }
 
     // ---- what is placed on it -----------------------------------------------------------------
@@ -473,20 +450,4 @@
     public int unconfirmedStarts() {
         return placedWork.unconfirmedStarts();
     }
-
-    // ---- reading of its reports ---------------------------------------------------------------
-
-    /** Begins to read a report in full; returns the number of this reading. */
-    int beginFullReport() {
-        return ++fullReportsRead;
-    }
-
-    void setLastReportEndedTask(boolean hasEndedTask) {
-        lastReportEndedTask = hasEndedTask;
-    }
-
-    /** Whether the last report that was read in full ended a task. */
-    boolean hasLastReportEndedTask() {
-        return lastReportEndedTask;
-    }
 }
--- a/src/main/java/io/kitepath/core/shard/MachineImages.java
+++ b/src/main/java/io/kitepath/core/shard/MachineImages.java
@@ -14,7 +14,7 @@
  */
 final class MachineImages {
     /** Sizes in GB by image, the least recently used first. */
-    private final Map<String, Double> cachedGb = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<String, Double> cachedGigabytes = new LinkedHashMap<>(16, 0.75f, true);
 
     /** The machine's attempts, owned by {@link PlacedWork}. */
     private final List<Attempt> attempts;
@@ -29,7 +29,7 @@
     }
 
     boolean has(String image) {
-        return cachedGb.containsKey(image);
+        return cachedGigabytes.containsKey(image);
     }
 
     /** Whether the machine probably fetches that image, for an attempt that was placed on it. */
@@ -61,26 +61,26 @@
     }
 
     /** Adds what an earlier leader recorded; nothing that this one saw is displaced by it. */
-    void restore(String image, double sizeGb) {
-        cachedGb.putIfAbsent(image, sizeGb);
+    void restore(String image, double sizeGigabytes) {
+        cachedGigabytes.putIfAbsent(image, sizeGigabytes);
     }
 
     /** Unmodifiable view: sizes in GB by image, the least recently used first. */
-    Map<String, Double> cachedGb() {
-        return Collections.unmodifiableMap(cachedGb);
+    Map<String, Double> cachedGigabytes() {
+        return Collections.unmodifiableMap(cachedGigabytes);
     }
 
     /** A task with this image runs on the machine, which keeps the most recently used ones. */
-    void recordUse(String image, double sizeGb, double cacheGb) {
+    void recordUse(String image, double sizeGigabytes, double cacheGigabytes) {
         invalidateFetching();
-        cachedGb.put(image, sizeGb);
-        double sumGb = 0;
-        for (double size : cachedGb.values()) {
-            sumGb += size;
+        cachedGigabytes.put(image, sizeGigabytes);
+        double sumGigabytes = 0;
+        for (double size : cachedGigabytes.values()) {
+            sumGigabytes += size;
         }
-        Iterator<Double> oldest = cachedGb.values().iterator();
-        while (sumGb > cacheGb && cachedGb.size() > 1) {
-            sumGb -= oldest.next();
+        Iterator<Double> oldest = cachedGigabytes.values().iterator();
+        while (sumGigabytes > cacheGigabytes && cachedGigabytes.size() > 1) {
+            sumGigabytes -= oldest.next();
             oldest.remove();
         }
     }
--- a/src/main/java/io/kitepath/core/shard/MachineRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/MachineRegistry.java
@@ -23,7 +23,7 @@
     private static final int MAX_TOMBSTONES = 5000;
 
     /** GB/s taken for image fetches while no machine type says a rate. */
-    private static final double DEFAULT_FETCH_GB_PER_SECOND = 1;
+    private static final double DEFAULT_FETCH_GIGABYTES_PER_SECOND = 1;
 
     private final Map<String, MachineType> types = new LinkedHashMap<>();
     private final Map<String, MachineType> typesView = Collections.unmodifiableMap(types);
@@ -64,13 +64,13 @@
 
     /** How long the job's image takes to fetch on the slowest type of machine. */
     double imageFetchSeconds(JobSpec spec) {
-        double slowestGbPerSecond =
+        double slowestGigabytesPerSecond =
                 types.values().stream()
                         .mapToDouble(MachineType::fetchGigabytesPerSecond)
                         .filter(rate -> rate > 0)
                         .min()
-                        .orElse(DEFAULT_FETCH_GB_PER_SECOND);
-        return spec.imageGigabytes() / slowestGbPerSecond;
+                        .orElse(DEFAULT_FETCH_GIGABYTES_PER_SECOND);
+        return spec.imageGigabytes() / slowestGigabytesPerSecond;
     }
 
     /** The attempt's image is on its machine now. */
@@ -139,7 +139,7 @@
             boolean isNew = !machines.containsKey(entry.machineId());
             Machine machine = getOrAdd(entry.machineId(), now);
             if (isNew) {
-                machine.setKnownSince(now - entry.heldSeconds());
+                machine.rental().setKnownSince(now - entry.heldSeconds());
             }
             machine.applyCloudEntry(entry);
         }
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -273,7 +273,9 @@
      * @param startLatencySeconds how long jobs of a kind take from placement to running
      */
     public void update(
-            Collection<Job> jobs, ToDoubleFunction<JobSpec> startLatencySeconds, double wallMillis) {
+            Collection<Job> jobs,
+            ToDoubleFunction<JobSpec> startLatencySeconds,
+            double wallMillis) {
         allGroups().forEach(ServiceGroup::resetOpen);
         for (Job job : jobs) {
             // One that waits for others asks for nothing yet.
@@ -284,7 +286,8 @@
         allGroups().forEach(ServiceGroup::updateBehind);
     }
 
-    private void updateOpen(Job job, ToDoubleFunction<JobSpec> startLatencySeconds, double wallMillis) {
+    private void updateOpen(
+            Job job, ToDoubleFunction<JobSpec> startLatencySeconds, double wallMillis) {
         double withinSeconds = settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds());
         recordIfMissed(job, withinSeconds, wallMillis);
         if (job.hasMissedAllGoals) {
@@ -317,7 +320,9 @@
     /** The store has it that the job is done. */
     public void recordDone(Job job, double wallMillis) {
         recordIfMissed(
-                job, settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()), wallMillis);
+                job,
+                settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds()),
+                wallMillis);
         forEachGroup(job.spec, ServiceGroup::recordDone);
         if (!job.hasMissedAllGoals) {
             forEachGroup(job.spec, group -> group.recordDecision(true));
--- /dev/null
+++ b/src/test/java/io/kitepath/core/shard/BootTimesTest.java
@@ -0,0 +1,62 @@
+package io.kitepath.core.shard;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.kitepath.core.model.MachineKind;
+import io.kitepath.core.model.MachineType;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** How long boots are expected to take, and which machines are late. */
+class BootTimesTest {
+    private static final MachineKind KIND = new MachineKind("m4", "a", false);
+    private static final MachineKind OTHER_ZONE = new MachineKind("m4", "b", false);
+
+    private final BootTimes bootTimes =
+            new BootTimes(
+                    Map.of("m4", new MachineType("m4", 4, 0, 16, 50, 1, 1, 0.5, 40, List.of("a"))));
+
+    private static Machine machine(MachineKind kind) {
+        Machine machine = new Machine("i-1", 0);
+        machine.recordRental(kind, 0);
+        return machine;
+    }
+
+    private void recordBoots(double... seconds) {
+        for (double took : seconds) {
+            bootTimes.recordBoot(machine(KIND), took);
+        }
+    }
+
+    @Test
+    void nominalTimeIsExpectedUntilEnoughBootsAreKnown() {
+        recordBoots(100, 100, 100);
+        assertEquals(40, bootTimes.expectedSeconds(KIND));
+        recordBoots(100);
+        assertEquals(100, bootTimes.expectedSeconds(KIND));
+        assertEquals(100, bootTimes.expectedSeconds(OTHER_ZONE), "by the type alone");
+        assertEquals(0, bootTimes.expectedSeconds(new MachineKind("unknown", "a", false)));
+    }
+
+    @Test
+    void expectedTimeIsMedianOfLastBootsAndAtLeastNominal() {
+        recordBoots(500, 60, 70, 80, 90);
+        assertEquals(80, bootTimes.expectedSeconds(KIND));
+        recordBoots(1, 1, 1, 1, 1, 1, 1, 1);
+        assertEquals(40, bootTimes.expectedSeconds(KIND));
+    }
+
+    @Test
+    void machineIsLateAndThenHopelessUntilItReports() {
+        Machine machine = machine(KIND);
+        assertFalse(bootTimes.isLate(machine, 60));
+        assertTrue(bootTimes.isLate(machine, 61));
+        assertFalse(bootTimes.isHopeless(machine, 160));
+        assertTrue(bootTimes.isHopeless(machine, 161));
+        machine.heartbeats().record(1, 1, false, 161, 10);
+        assertFalse(bootTimes.isLate(machine, 161));
+    }
+}
--- /dev/null
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
@@ -0,0 +1,77 @@
+package io.kitepath.core.shard;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** When a machine counts as one that the leader's answers don't reach. */
+class HeartbeatHistoryTest {
+    private static final double LEASE_SECONDS = 10;
+
+    private final HeartbeatHistory history = new HeartbeatHistory();
+    private long sequence;
+
+    /** A heartbeat every second of one incarnation, all with our token or all without. */
+    private void heartbeats(long incarnation, boolean carryOurToken, int from, int until) {
+        for (int now = from; now <= until; now++) {
+            history.record(incarnation, ++sequence, carryOurToken, now, LEASE_SECONDS);
+        }
+    }
+
+    @Test
+    void twoAnsweredIncarnationsLostInARowMeanThatAnswersDoNotArrive() {
+        heartbeats(1, true, 0, 9);
+        heartbeats(2, true, 10, 19);
+        assertFalse(history.isMissingAnswers(), "once may be a slow network");
+        heartbeats(3, true, 20, 21);
+        assertTrue(history.isMissingAnswers());
+        assertEquals(1, history.missingAnswersSeconds(21));
+    }
+
+    @Test
+    void incarnationLostWithoutAnswersDoesNotCount() {
+        heartbeats(1, true, 0, 9);
+        history.recordUnanswered(10);
+        heartbeats(2, true, 11, 20);
+        heartbeats(3, true, 21, 22);
+        assertFalse(history.isMissingAnswers());
+    }
+
+    @Test
+    void incarnationThatOutlivesItsLeaseReceivesAnswers() {
+        history.markMissingAnswers(0);
+        heartbeats(1, true, 0, 15);
+        assertTrue(history.isMissingAnswers());
+        heartbeats(1, true, 16, 16);
+        assertFalse(history.isMissingAnswers());
+    }
+
+    @Test
+    void tokenThatIsNeverShownMeansThatAnswersDoNotArrive() {
+        heartbeats(1, false, 0, 15);
+        assertFalse(history.isMissingAnswers());
+        heartbeats(2, false, 16, 16);
+        assertTrue(history.isMissingAnswers());
+        assertEquals(16, history.missingAnswersSeconds(16), "since the first one without it");
+        heartbeats(2, true, 17, 17);
+        assertFalse(history.isMissingAnswers());
+    }
+
+    @Test
+    void deliveredStartShowsThatAnswersArrive() {
+        history.markMissingAnswers(0);
+        history.recordDeliveredStart();
+        assertFalse(history.isMissingAnswers());
+        assertEquals(0, history.missingAnswersSeconds(5));
+    }
+
+    @Test
+    void newLeadershipResetsTokenConfirmation() {
+        history.confirmToken();
+        assertTrue(history.isTokenConfirmed());
+        history.resetTokenConfirmation();
+        assertFalse(history.isTokenConfirmed());
+    }
+}
