--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -24,6 +24,9 @@
     /** Tolerance for sums of CPUs, GPUs and memory that were added and subtracted many times. */
     private static final double ROUNDING = 1e-6;
 
+    /** The cloud's status of a machine that stopped by itself. */
+    private static final String FAILED_STATUS = "failed";
+
     /** The cloud's name of the machine. */
     public final String id;
 
@@ -104,7 +107,7 @@
     void applyCloudEntry(Cloud.ListedMachine entry) {
         rental.markListed();
         setKind(entry.machineType(), entry.zone(), entry.spot());
-        if (entry.status().equals("failed")) {
+        if (entry.status().equals(FAILED_STATUS)) {
             releasing = true;
         }
     }
