--- a/src/main/java/io/kitepath/core/shard/AttemptLedger.java
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -56,12 +56,12 @@
         attempt.job.addLive(attempt);
         attempt.machine.addAttempt(attempt);
         quotaUsage.countAttempt(attempt.job.spec, 1);
-        attempt.job.hasStoppingAttempts += attempt.isStopping() ? 1 : 0;
+        attempt.job.stoppingAttemptCount += attempt.isStopping() ? 1 : 0;
     }
 
     /** The scheduler's decision: this waiting task goes to that machine, once that is written. */
     void place(Job job, int task, Machine machine, double now) {
-        Job.JobPart part = job.markPlacementDirty(task);
+        JobPart part = job.markPlacementDirty(task);
         writes.dirtyParts().addPlacement(part);
         add(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
         job.placementTimes.add(now);
@@ -111,7 +111,7 @@
             return;
         }
         if (!attempt.isStopping()) {
-            attempt.job.hasStoppingAttempts++;
+            attempt.job.stoppingAttemptCount++;
             attempt.stopGraceSeconds = graceSeconds;
         }
         attempt.stopGraceSeconds = Math.min(attempt.stopGraceSeconds, graceSeconds);
@@ -125,7 +125,7 @@
         quotaUsage.countAttempt(attempt.job.spec, -1);
         attempt.job.removeLive(attempt);
         writes.dirtyParts().addChange(attempt.job.markDirty(attempt.task));
-        attempt.job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
+        attempt.job.stoppingAttemptCount -= attempt.isStopping() ? 1 : 0;
         attempt.machine.removeAttempt(attempt);
         signal.request();
     }
@@ -153,7 +153,7 @@
         attempt.isEnded = true;
         attempt.state = TaskState.ENDED;
         job.removeLive(attempt);
-        job.hasStoppingAttempts -= attempt.isStopping() ? 1 : 0;
+        job.stoppingAttemptCount -= attempt.isStopping() ? 1 : 0;
         ended++;
         signal.request();
         Machine machine = attempt.machine;
@@ -179,9 +179,10 @@
             case ERROR -> failureDiagnosis.recordFailure(attempt, now);
             case INSUFFICIENT_RESOURCES, OTHER_ATTEMPT_PRESENT, UNKNOWN_TASK -> {
                 LOG.info("attempt refused: attempt={} cause={}", attempt, cause);
-                job.notBefore =
+                job.failureHistory.setNotBefore(
                         Math.max(
-                                job.notBefore, now + settings.workers().heartbeatIntervalSeconds());
+                                job.failureHistory.notBefore(),
+                                now + settings.workers().heartbeatIntervalSeconds()));
             }
             default -> LOG.debug("attempt ended: attempt={} cause={}", attempt, cause);
         }
@@ -198,10 +199,10 @@
         }
         if (job.spec.isGang()) {
             // The tasks of a gang complete together.
-            job.doneTasks.set(0, job.spec.taskCount());
+            job.markAllDone();
             writes.markAllPartsDirty(job);
         } else {
-            job.doneTasks.set(attempt.task);
+            job.markDone(attempt.task);
         }
     }
 
--- a/src/main/java/io/kitepath/core/shard/CommandPlanner.java
+++ b/src/main/java/io/kitepath/core/shard/CommandPlanner.java
@@ -85,7 +85,7 @@
     Map<Machine, List<WorkerCommand>> directStops(int maxMachines, double now) {
         Map<Machine, List<WorkerCommand>> stops = new LinkedHashMap<>();
         for (Job job : shard.jobs().values()) {
-            if (!job.isFinished && job.hasStoppingAttempts == 0) {
+            if (!job.isFinished && job.stoppingAttemptCount == 0) {
                 continue;
             }
             for (Attempt attempt : job.liveAttempts.values()) {
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -276,7 +276,7 @@
         return status.task() >= 0
                 && status.task() < job.spec.taskCount()
                 && !job.liveAttempts.containsKey(status.task())
-                && !job.doneTasks.get(status.task())
+                && !job.isDone(status.task())
                 && job.isPlaceable(status.task());
     }
 
--- a/src/main/java/io/kitepath/core/shard/JobRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/JobRegistry.java
@@ -134,7 +134,7 @@
             }
         }
         job.markAllDirty();
-        for (Job.JobPart part : job.allParts()) {
+        for (JobPart part : job.allParts()) {
             if (part.revision() > 0) {
                 // To be removed, or kept for as long as something of it is on machines.
                 writes.dirtyParts().addChange(part);
@@ -150,7 +150,7 @@
      */
     void remove(Job job, FailureDiagnosis failureDiagnosis) {
         jobs.remove(job.spec.id());
-        if (job.successCount == 0) {
+        if (!job.failureHistory.hasSucceeded()) {
             failureDiagnosis.clearBlame(job);
         }
         job.unwrittenEnds.forEach(
--- a/src/main/java/io/kitepath/core/shard/PendingWrites.java
+++ b/src/main/java/io/kitepath/core/shard/PendingWrites.java
@@ -96,7 +96,7 @@
             Job job, JobRecord record, long revision, int version, Set<Integer> writtenParts) {
         job.allParts().forEach(dirtyParts::remove); // The parts of the old layout are no more.
         job.applyMigration(record, revision);
-        for (Job.JobPart part : job.allParts()) {
+        for (JobPart part : job.allParts()) {
             markPartWritten(part, version, writtenParts.contains(part.index) ? revision : 0);
         }
         migrationDone(job);
@@ -108,7 +108,7 @@
      * Everything about this part up to {@code version} of its job is in the store: placements are
      * durable, and ends that it covers need not be remembered any more.
      */
-    void markPartWritten(Job.JobPart part, int version, long revision) {
+    void markPartWritten(JobPart part, int version, long revision) {
         Job job = part.job;
         part.markWritten(version, revision);
         dirtyParts.enqueueIfDirty(part);
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -400,7 +400,7 @@
     }
 
     /** Everything about this part up to {@code version} of its job is in the store now. */
-    public void markPartWritten(Job.JobPart part, int version, long revision) {
+    public void markPartWritten(JobPart part, int version, long revision) {
         writes.markPartWritten(part, version, revision);
     }
 
--- a/src/test/java/io/kitepath/simulation/SimulatedClusters.java
+++ b/src/test/java/io/kitepath/simulation/SimulatedClusters.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.port.Timers;
 
-/** Worlds in which stories begin. */
+/** SimulatedClusters in which stories begin. */
 public final class SimulatedClusters {
     private SimulatedClusters() {}
 
