--- a/src/main/java/io/kitepath/core/service/OpenJobAnswers.java
+++ b/src/main/java/io/kitepath/core/service/OpenJobAnswers.java
@@ -15,7 +15,7 @@
 import io.kitepath.core.service.JobStatusQueries.ProgressSource;
 import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
-import io.kitepath.core.shard.Job;
+import io.kitepath.core.shard.PartRecord;
 import io.kitepath.core.state.PagedScan;
 import io.kitepath.core.state.StoreKeys;
 import java.util.HashSet;
@@ -201,7 +201,7 @@
                         return;
                     }
                     List<Object> records = parts.entries().stream().map(Entry::value).toList();
-                    JobProgress progress = Job.hasPartRecords(jobId, records);
+                    JobProgress progress = PartRecord.progress(jobId, records);
                     remember(progress, true);
                     batch.answer(jobId, unfinished(progress));
                 });
