--- a/src/test/java/io/kitepath/core/scheduling/GuaranteedJobsTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/GuaranteedJobsTest.java
@@ -13,7 +13,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Which of a team's jobs its guarantee is for, when they are more than it. */
+/** Which of a team's jobs its guarantee is for when they need more than it. */
 class GuaranteedJobsTest {
     private final ClusterSettings settings =
             new ClusterSettings(
@@ -34,37 +34,19 @@
     private final Scheduler scheduler =
             new Scheduler(shard, new Random(1), new LoopTimeAccounting(() -> 0));
 
-    private Job job(String id, String of, int tasks, double submittedS) {
-        JobSpec spec =
-                new JobSpec(
-                        id,
-                        of,
-                        "red",
-                        JobSpec.Shape.ARRAY,
-                        JobSpec.Priority.LOW,
-                        tasks,
-                        1,
-                        0,
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        false,
-                        "img",
-                        1,
-                        10,
-                        0,
-                        0,
-                        null);
-        Job job =
-                new Job(spec, 1000 * submittedS, settings.startDeadlinesSeconds(spec), "k", 1, 256);
-        shard.addJob(job);
-        return job;
+    private void addJob(String id, String jobClass, int tasks, double submittedSeconds) {
+        JobBuilder builder =
+                JobBuilder.job(id)
+                        .jobClass(jobClass)
+                        .priority(JobSpec.Priority.LOW)
+                        .tasks(tasks)
+                        .submittedSeconds(submittedSeconds);
+        shard.addJob(
+                builder.startWithinSeconds(settings.startDeadlinesSeconds(builder.spec())).build());
     }
 
-    private List<String> guaranteed(double nowS) {
-        scheduler.orderedJobs(nowS, 1000 * nowS);
+    private List<String> guaranteedJobs(double nowSeconds) {
+        scheduler.orderedJobs(nowSeconds, 1000 * nowSeconds);
         return new ArrayList<>(
                 shard.jobs().values().stream()
                         .filter(Job::isWithinGuarantee)
@@ -73,21 +55,21 @@
     }
 
     @Test
-    void whatFittedWhenItCameKeepsItsWordAndThenTheLeastWorkComes() {
-        job("j-1", "large", 6, 0);
-        assertEquals(List.of("j-1"), guaranteed(1));
-        job("j-2", "large", 7, 1);
-        job("j-3", "small", 3, 2);
-        job("j-4", "small", 2, 3);
+    void guaranteeTooSmallForAllGoesToWhatFittedOnArrivalThenToTheLeastWork() {
+        addJob("j-1", "large", 6, 0);
+        assertEquals(List.of("j-1"), guaranteedJobs(1));
+        addJob("j-2", "large", 7, 1);
+        addJob("j-3", "small", 3, 2);
+        addJob("j-4", "small", 2, 3);
         // Ten CPUs: six are promised; of the others the smallest, which came last.
-        assertEquals(List.of("j-1", "j-4"), guaranteed(4));
+        assertEquals(List.of("j-1", "j-4"), guaranteedJobs(4));
     }
 
     @Test
-    void whatIsLateWhateverItGetsComesLast() {
-        job("j-1", "large", 9, 0);
-        job("j-2", "large", 9, 50);
-        assertEquals(List.of("j-1"), guaranteed(60));
-        assertEquals(List.of("j-2"), guaranteed(101));
+    void guaranteeGoesLastToAJobThatMissedAllItsGoals() {
+        addJob("j-1", "large", 9, 0);
+        addJob("j-2", "large", 9, 50);
+        assertEquals(List.of("j-1"), guaranteedJobs(60));
+        assertEquals(List.of("j-2"), guaranteedJobs(101));
     }
 }
--- a/src/test/java/io/kitepath/core/scheduling/LargestTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/LargestTest.java
@@ -4,57 +4,58 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.kitepath.core.model.JobSpec;
+import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A class's largest jobs under floods of others. */
+/** The start of a class's largest jobs during floods of other jobs. */
 class LargestTest {
+    private static final String LARGEST = "j-99999";
+    private static final int MACHINES = 8;
+    private static final int SMALL_GANGS = 400;
+    private static final int SMALL_GANGS_BEFORE_LARGEST = 100;
+
+    /** Two gangs of a machine each a second, of 20 s: more than there is room for. */
+    private static final double SECONDS_BETWEEN_GANGS = 0.7;
+
+    private static JobSpec gang(String id, int tasks, Priority priority, boolean oneZone) {
+        return SimulatedCluster.with(
+                SimulatedCluster.job(id, Shape.GANG, tasks, 4), "red", priority, oneZone);
+    }
+
     /**
      * A gang over the whole of a zone, while small jobs of its class and of one above come without
      * an end.
      */
     @Test
-    void theLargestGangBeginsWithinFourMinutesOfAFlood() {
-        for (JobSpec.Priority flood : List.of(JobSpec.Priority.NORMAL, JobSpec.Priority.HIGH)) {
+    void schedulerDuringAFloodOfSmallGangsStartsTheLargestWithinFourMinutes() {
+        for (Priority flood : List.of(Priority.NORMAL, Priority.HIGH)) {
             SimulatedCluster cluster = new SimulatedCluster();
             cluster.reportsChangesImmediately = true;
             cluster.cloud.capacity = 0;
             SimulatedNode node = cluster.node("k0");
-            for (int i = 0; i < 8; i++) {
+            for (int i = 0; i < MACHINES; i++) {
                 cluster.worker("i-" + i, i % 2 == 0 ? "a" : "b");
             }
             cluster.run(5);
             double[] began = {0};
             cluster.clock.onTaskStart =
-                    task ->
-                            began[0] =
-                                    task.jobId.equals("j-99999") && began[0] == 0
-                                            ? cluster.clock.now
-                                            : began[0];
+                    task -> {
+                        if (task.jobId.equals(LARGEST) && began[0] == 0) {
+                            began[0] = cluster.clock.now;
+                        }
+                    };
             double since = 0;
-            for (int i = 0; i < 400; i++) {
-                // Two gangs of a machine each a second, of 20 s: more than there is room for.
-                cluster.submit(
-                        node,
-                        SimulatedCluster.with(
-                                SimulatedCluster.job("j-" + (1000 + i), Shape.GANG, 1, 4),
-                                "red",
-                                flood,
-                                false));
-                if (i == 100) {
+            for (int i = 0; i < SMALL_GANGS; i++) {
+                cluster.submit(node, gang("j-" + (1000 + i), 1, flood, false));
+                if (i == SMALL_GANGS_BEFORE_LARGEST) {
                     since = cluster.clock.now;
-                    cluster.submit(
-                            node,
-                            SimulatedCluster.with(
-                                    SimulatedCluster.job("j-99999", Shape.GANG, 4, 4),
-                                    "red",
-                                    JobSpec.Priority.NORMAL,
-                                    true));
+                    cluster.submit(node, gang(LARGEST, 4, Priority.NORMAL, true));
                 }
-                cluster.run(0.7);
+                cluster.run(SECONDS_BETWEEN_GANGS);
             }
             assertTrue(
                     began[0] > 0 && began[0] - since < 240,
--- a/src/test/java/io/kitepath/core/scheduling/SchedulingQueueTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/SchedulingQueueTest.java
@@ -8,89 +8,79 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.ToDoubleFunction;
 import org.junit.jupiter.api.Test;
 
-/** Who is served first when there is room for all, and when there is not. */
+/** The order of service, when there is room for all jobs and when there is not. */
 class SchedulingQueueTest {
     private final List<Job> jobs = new ArrayList<>();
 
     /** Seconds from placing to running. */
-    private double lead;
+    private double startLatencySeconds;
 
-    /** Classes that get too little, and how much. */
-    private final Map<String, Double> behind = new HashMap<>();
+    /** The service shares of the classes that get too little. */
+    private final Map<String, Double> serviceShares = new HashMap<>();
 
     /**
-     * An array whose tasks take 10 s of a CPU each, submitted now, to start within the given times.
+     * Adds an array whose tasks take 10 s of a CPU each, submitted now, to start within the given
+     * times.
      */
-    private Job job(String id, int tasks, double... startWithinS) {
-        return job(id, "work", tasks, startWithinS);
+    private Job addJob(String id, int tasks, double... startWithinSeconds) {
+        return addJob(id, "work", tasks, startWithinSeconds);
     }
 
-    private Job job(String id, String of, int tasks, double... startWithinS) {
-        JobSpec spec =
-                new JobSpec(
-                        id,
-                        of,
-                        "red",
-                        JobSpec.Shape.ARRAY,
-                        JobSpec.Priority.NORMAL,
-                        tasks,
-                        1,
-                        0,
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        "img",
-                        1,
-                        10,
-                        0,
-                        0,
-                        null);
-        Job job = new Job(spec, 0, startWithinS, "k", 1, 256);
+    private Job addJob(String id, String jobClass, int tasks, double... startWithinSeconds) {
+        Job job =
+                JobBuilder.job(id)
+                        .jobClass(jobClass)
+                        .tasks(tasks)
+                        .spot(true)
+                        .startWithinSeconds(startWithinSeconds)
+                        .build();
         jobs.add(job);
         return job;
     }
 
     private List<String> order(double cpus, double now) {
+        return order(spec -> cpus, now);
+    }
+
+    private List<String> order(ToDoubleFunction<JobSpec> usableCpus, double now) {
         return new SchedulingQueue(
-                        spec -> cpus,
-                        spec -> lead,
-                        spec -> behind.getOrDefault(spec.jobClass(), 1.0),
+                        usableCpus,
+                        spec -> startLatencySeconds,
+                        spec -> serviceShares.getOrDefault(spec.jobClass(), 1.0),
                         now,
                         now * 1000)
                 .sortJobs(jobs).stream().map(job -> job.spec.id()).toList();
     }
 
     @Test
-    void whatHasToStartSoonestComesFirst() {
-        job("j-1", 10, 90);
-        job("j-2", 10, 20);
+    void queueWithRoomForAllServesTheSoonestStartFirst() {
+        addJob("j-1", 10, 90);
+        addJob("j-2", 10, 20);
         assertEquals(List.of("j-2", "j-1"), order(10, 0));
     }
 
     @Test
-    void inAnOverloadTheLargestJobGoesWithout() {
-        job("j-1", 300, 10);
-        job("j-2", 80, 15);
-        job("j-3", 80, 20);
+    void queueInAnOverloadServesTheLargestJobLast() {
+        addJob("j-1", 300, 10);
+        addJob("j-2", 80, 15);
+        addJob("j-3", 80, 20);
         // 460 tasks of 10 s on 10 CPUs take 460 s; without the largest, two can still be in time on
         // 60.
         assertEquals(List.of("j-2", "j-3", "j-1"), order(60, 0));
     }
 
     @Test
-    void aClassThatIsBehindGoesWithoutLast() {
-        job("j-1", "large", 300, 60);
-        job("j-2", 80, 15);
-        job("j-3", 80, 20);
+    void queueInAnOverloadServesAClassThatIsBehindBeforeOthers() {
+        addJob("j-1", "large", 300, 60);
+        addJob("j-2", 80, 15);
+        addJob("j-3", 80, 20);
         assertEquals(List.of("j-2", "j-3", "j-1"), order(60, 0));
         // The large class has got too little lately: now another one goes without, as many as it
         // takes.
-        behind.put("large", 0.5);
+        serviceShares.put("large", 0.5);
         assertEquals(List.of("j-3", "j-1", "j-2"), order(60, 0));
         assertEquals(List.of("j-1", "j-2", "j-3"), order(45, 0));
         // What can't be in time whoever goes without does not take the others along.
@@ -98,53 +88,49 @@
     }
 
     @Test
-    void whereAllAreBehindThoseThatGetTheMostGoWithoutFirst() {
-        job("j-1", "large", 300, 60);
-        job("j-2", 80, 15);
-        job("j-3", 80, 20);
-        behind.put("large", 0.3);
-        behind.put("work", 0.6);
+    void queueWhereAllClassesAreBehindServesTheOneThatGetsMostLast() {
+        addJob("j-1", "large", 300, 60);
+        addJob("j-2", 80, 15);
+        addJob("j-3", 80, 20);
+        serviceShares.put("large", 0.3);
+        serviceShares.put("work", 0.6);
         assertEquals(List.of("j-3", "j-1", "j-2"), order(60, 0));
-        behind.put("work", 0.2);
+        serviceShares.put("work", 0.2);
         assertEquals(List.of("j-2", "j-3", "j-1"), order(60, 0));
     }
 
     @Test
-    void aJobThatMissedOneGoalTriesForItsNext() {
-        job("j-1", 10, 10, 100);
-        job("j-2", 10, 10);
-        job("j-3", 10, 120);
+    void queueTriesAJobThatMissedAGoalForItsNextGoal() {
+        addJob("j-1", 10, 10, 100);
+        addJob("j-2", 10, 10);
+        addJob("j-3", 10, 120);
         assertEquals(List.of("j-1", "j-3", "j-2"), order(100, 50));
     }
 
     @Test
-    void theGuaranteedComeFirstWhateverTheirPriority() {
-        job("j-1", 10, 10);
-        job("j-2", 10, 90).setWithinGuarantee(true);
+    void queueServesGuaranteedJobsFirstWhateverTheirStart() {
+        addJob("j-1", 10, 10);
+        addJob("j-2", 10, 90).setWithinGuarantee(true);
         assertEquals(List.of("j-2", "j-1"), order(100, 0));
     }
 
     @Test
-    void aGoalThatFetchingWouldMissIsPassedOverForTheNext() {
-        job("j-1", 10, 15, 150);
-        job("j-2", 10, 100);
+    void queueSkipsAGoalThatTheStartLatencyWouldMiss() {
+        addJob("j-1", 10, 15, 150);
+        addJob("j-2", 10, 100);
         assertEquals(List.of("j-1", "j-2"), order(1000, 10));
         // Placed at second 10 it would run at 18: it waits for its next goal, and what can be in
         // time goes first.
-        lead = 8;
+        startLatencySeconds = 8;
         assertEquals(List.of("j-2", "j-1"), order(1000, 10));
     }
 
     @Test
-    void anOverloadIsCountedInWhatTheJobsMayUse() {
-        job("j-1", 300, 10);
-        job("j-2", 80, 15);
-        job("j-3", 80, 20);
+    void queueCountsAnOverloadInTheCpusThatTheJobsMayUse() {
+        addJob("j-1", 300, 10);
+        addJob("j-2", 80, 15);
+        addJob("j-3", 80, 20);
         // The fleet has a thousand CPUs, but of these jobs it can run only sixty tasks at once.
-        assertEquals(
-                List.of("j-2", "j-3", "j-1"),
-                new SchedulingQueue(
-                                spec -> spec.allowsSpot() ? 60 : 1000, spec -> 0, spec -> 1, 0, 0)
-                        .sortJobs(jobs).stream().map(job -> job.spec.id()).toList());
+        assertEquals(List.of("j-2", "j-3", "j-1"), order(spec -> spec.allowsSpot() ? 60 : 1000, 0));
     }
 }
--- a/src/test/java/io/kitepath/core/scheduling/UnschedulableShapesTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/UnschedulableShapesTest.java
@@ -1,105 +1,60 @@
 package io.kitepath.core.scheduling;
 
+import static io.kitepath.core.scheduling.JobBuilder.job;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.shard.Job;
 import org.junit.jupiter.api.Test;
 
-/** For whom a job that found no room speaks, and for whom not. */
+/** For which other jobs a job that found no room stands, and for which not. */
 class UnschedulableShapesTest {
-    private final UnschedulableShapes hopeless = new UnschedulableShapes();
+    private final UnschedulableShapes shapes = new UnschedulableShapes();
 
-    private static Job job(Shape shape, int tasks, double cpus, String team, boolean spot) {
-        JobSpec spec =
-                new JobSpec(
-                        "j-1",
-                        "work",
-                        team,
-                        shape,
-                        JobSpec.Priority.NORMAL,
-                        tasks,
-                        cpus,
-                        0,
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        spot,
-                        "img",
-                        1,
-                        10,
-                        0,
-                        0,
-                        null);
-        return new Job(spec, 0, new double[] {10}, "k", 1, 256);
+    private static JobBuilder array(int tasks, double cpus) {
+        return job("j-1").shape(Shape.ARRAY).tasks(tasks).cpus(cpus);
+    }
+
+    private static JobBuilder gang(int tasks, double cpus) {
+        return array(tasks, cpus).shape(Shape.GANG);
     }
 
     @Test
-    void whatAsksForNoLessFindsNoneEither() {
-        hopeless.add(job(Shape.ARRAY, 50, 2, "red", false), false);
-        assertTrue(hopeless.contains(job(Shape.ARRAY, 1, 2, "red", false)));
-        assertTrue(hopeless.contains(job(Shape.ARRAY, 1, 3, "red", false)));
-        assertFalse(hopeless.contains(job(Shape.ARRAY, 1, 1, "red", false)));
-        hopeless.add(job(Shape.ARRAY, 50, 1, "red", false), false);
-        assertTrue(hopeless.contains(job(Shape.ARRAY, 1, 1, "red", false)));
+    void shapesContainArraysWhoseTasksAskForNoLess() {
+        shapes.add(array(50, 2).build(), false);
+        assertTrue(shapes.contains(array(1, 2).build()));
+        assertTrue(shapes.contains(array(1, 3).build()));
+        assertFalse(shapes.contains(array(1, 1).build()));
+        shapes.add(array(50, 1).build(), false);
+        assertTrue(shapes.contains(array(1, 1).build()));
     }
 
     @Test
-    void aGangSpeaksForGangsOfItsSizeAndLargerOnes() {
-        hopeless.add(job(Shape.GANG, 16, 7, "red", false), false);
-        assertTrue(hopeless.contains(job(Shape.GANG, 24, 7, "red", false)));
-        assertFalse(hopeless.contains(job(Shape.GANG, 8, 7, "red", false)));
-        assertFalse(hopeless.contains(job(Shape.ARRAY, 16, 7, "red", false)));
+    void shapesWithAGangContainOnlyGangsOfItsSizeAndLargerOnes() {
+        shapes.add(gang(16, 7).build(), false);
+        assertTrue(shapes.contains(gang(24, 7).build()));
+        assertFalse(shapes.contains(gang(8, 7).build()));
+        assertFalse(shapes.contains(array(16, 7).build()));
     }
 
     @Test
-    void whoHoldsOutForAnImageSpeaksOnlyForThatImage() {
-        Job other =
-                new Job(
-                        new JobSpec(
-                                "j-2",
-                                "work",
-                                "red",
-                                Shape.ARRAY,
-                                JobSpec.Priority.NORMAL,
-                                5,
-                                2,
-                                0,
-                                1,
-                                null,
-                                null,
-                                false,
-                                false,
-                                true,
-                                "other",
-                                1,
-                                10,
-                                0,
-                                0,
-                                null),
-                        0,
-                        new double[] {10},
-                        "k",
-                        1,
-                        256);
-        hopeless.add(job(Shape.ARRAY, 50, 2, "red", true), true);
-        assertTrue(hopeless.contains(job(Shape.ARRAY, 1, 2, "red", true)));
-        assertFalse(hopeless.contains(other));
-        hopeless.add(job(Shape.ARRAY, 50, 2, "red", true), false);
-        assertTrue(hopeless.contains(other));
+    void shapesWithAJobWaitingForItsImageContainOnlyJobsWithThatImage() {
+        Job otherImage = job("j-2").tasks(5).cpus(2).spot(true).image("other").build();
+        shapes.add(array(50, 2).spot(true).build(), true);
+        assertTrue(shapes.contains(array(1, 2).spot(true).build()));
+        assertFalse(shapes.contains(otherImage));
+        shapes.add(array(50, 2).spot(true).build(), false);
+        assertTrue(shapes.contains(otherImage));
     }
 
     @Test
-    void otherRightsAreAnotherMatter() {
-        hopeless.add(job(Shape.ARRAY, 1, 2, "red", false), false);
-        assertFalse(hopeless.contains(job(Shape.ARRAY, 1, 2, "blue", false)));
-        assertFalse(hopeless.contains(job(Shape.ARRAY, 1, 2, "red", true)));
-        Job guaranteed = job(Shape.ARRAY, 1, 2, "red", false);
+    void shapesDoNotContainJobsWithOtherRights() {
+        shapes.add(array(1, 2).build(), false);
+        assertFalse(shapes.contains(array(1, 2).team("blue").build()));
+        assertFalse(shapes.contains(array(1, 2).spot(true).build()));
+        Job guaranteed = array(1, 2).build();
         guaranteed.setWithinGuarantee(true);
-        assertFalse(hopeless.contains(guaranteed));
+        assertFalse(shapes.contains(guaranteed));
     }
 }
