--- a/src/test/java/io/kitepath/core/StoriesTest.java
+++ b/src/test/java/io/kitepath/core/NodeBehaviourTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Whole controllers against a world in memory. */
-class StoriesTest {
+class NodeBehaviourTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
 
     @AfterEach
@@ -679,7 +679,7 @@
         assertTrue(
                 shard.jobs().isEmpty(),
                 () ->
-                        NodeMetrics.summary(
+                        ShardSummary.of(
                                 shard,
                                 node.controller.heartbeatProcessor,
                                 node.controller.scheduler));
--- a/src/test/java/io/kitepath/simulation/LoopbackTest.java
+++ b/src/test/java/io/kitepath/simulation/LoopbackEmulatorTest.java
@@ -14,7 +14,7 @@
 import io.kitepath.store.HttpStore;
 import io.kitepath.wire.EmulatorCodec;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.WorkerCodec;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.net.InetSocketAddress;
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The stand-ins behind sockets, asked through the very adapters that nodes use. */
-class LoopbackTest {
+class LoopbackEmulatorTest {
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final EventLoop loop = group.next();
     private final SimulatedCluster cluster = new SimulatedCluster();
@@ -196,7 +196,7 @@
                                         Heartbeat.EndCause.INSUFFICIENT_RESOURCES)));
         assertEquals(
                 heartbeat,
-                ProtocolCodec.decodeHeartbeat(
+                WorkerCodec.decodeHeartbeat(
                         MessagePackCodec.decode(EmulatorCodec.encodeHeartbeat(heartbeat))));
     }
 }
--- a/src/test/java/io/kitepath/simulation/Worlds.java
+++ b/src/test/java/io/kitepath/simulation/SimulatedClusters.java
@@ -2,9 +2,9 @@
 
 import io.kitepath.core.port.Timers;
 
-/** Worlds in which stories begin. */
-public final class Worlds {
-    private Worlds() {}
+/** SimulatedClusters in which stories begin. */
+public final class SimulatedClusters {
+    private SimulatedClusters() {}
 
     /**
      * So many nodes and machines, of which one leads and all have reported; the lease is five
