--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -91,8 +91,8 @@
         this.leadership = node.leadership;
         this.stateWriter = node.stateWriter;
         this.cancellationWatermark = node.cancellationWatermark;
-        this.cloudIntents = node.cloudIntents;
-        this.garbageCollector = node.garbageCollector;
+        this.cloudIntents = node.cloud.intents;
+        this.garbageCollector = node.cloud.garbageCollector;
     }
 
     /**
@@ -208,7 +208,7 @@
 
     /** The roles, and which node holds each as far as this node knows. */
     public List<LeasedRoles.Role> roles() {
-        return node.leasedRoles.roles();
+        return node.cloud.leasedRoles.roles();
     }
 
     /** This node's metrics by name, in a fixed order; their values are read when asked for. */
@@ -235,7 +235,7 @@
 
     /** Whether this node may act in that role now, by its own clock. */
     boolean holdsRole(String role) {
-        return node.leasedRoles.holds(role);
+        return node.cloud.leasedRoles.holds(role);
     }
 
     /** Scheduling rounds so far. */
--- a/src/main/java/io/kitepath/core/LeaderLoop.java
+++ b/src/main/java/io/kitepath/core/LeaderLoop.java
@@ -50,7 +50,7 @@
             node.otherCells.reconcile();
         }
         double began = node.timers.nowSeconds();
-        node.cloudReconciler.reconcile(node.mayActOnShard());
+        node.cloud.reconciler.reconcile(node.mayActOnShard());
         node.loopTime.record(Activity.PLANNING, began);
         ticks++;
         logSummaries();
--- a/src/main/java/io/kitepath/core/LeadershipTransitions.java
+++ b/src/main/java/io/kitepath/core/LeadershipTransitions.java
@@ -19,7 +19,7 @@
     public void onLeadershipWon(long fencingToken, long leaseId, long shardRevision) {
         node.shard.takeLeadership(fencingToken);
         node.cancellationWatermark.reset();
-        node.cloudReconciler.startLeading(leaseId);
+        node.cloud.reconciler.startLeading(leaseId);
         node.gossip.broadcast();
         node.failoverTimings.onLeadershipWon(
                 node.timers.nowSeconds(), node.heartbeatProcessor.launchCount());
--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -8,14 +8,7 @@
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.model.LoopTimeAccounting;
 import io.kitepath.core.port.PeerNodes;
-import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Timers;
-import io.kitepath.core.role.CloudIntentExecutor;
-import io.kitepath.core.role.CloudIntents;
-import io.kitepath.core.role.GarbageCollector;
-import io.kitepath.core.role.LeasedRoles;
-import io.kitepath.core.scaling.CloudReconciler;
-import io.kitepath.core.scaling.ScalingPlanner;
 import io.kitepath.core.scheduling.Scheduler;
 import io.kitepath.core.service.HeartbeatService;
 import io.kitepath.core.service.JobSubmissionService;
@@ -25,7 +18,6 @@
 import io.kitepath.core.state.CancellationProof;
 import io.kitepath.core.state.ImageRecords;
 import io.kitepath.core.state.StateWriter;
-import java.util.List;
 import java.util.Optional;
 import java.util.Random;
 
@@ -61,11 +53,7 @@
     final StateWriter stateWriter;
 
     // Machines of the cloud, and the roles that nodes hold apart from leadership.
-    final CloudIntents cloudIntents;
-    final CloudReconciler cloudReconciler;
-    final CloudIntentExecutor intentExecutor;
-    final GarbageCollector garbageCollector;
-    final LeasedRoles leasedRoles;
+    final CloudComponents cloud;
 
     // Workers.
     final CancellationProof cancellationProof;
@@ -89,51 +77,27 @@
         this.settings = settings;
         this.timers = environment.timers();
         this.peerNodes = environment.peerNodes();
-        Store store = environment.store();
-        Random random = environment.random();
 
         this.loopTime = new LoopTimeAccounting(timers::nowSeconds);
         ImageRecords images = new ImageRecords(settings);
         this.shard = new ShardState(settings, images::restoreImages);
         this.heartbeatProcessor = new HeartbeatProcessor(shard);
         this.failoverTimings = new FailoverTimings(shard);
-        this.scheduler = new Scheduler(shard, random, loopTime);
+        this.scheduler = new Scheduler(shard, environment.random(), loopTime);
 
         this.membership = new MembershipView(settings, timers);
         Incarnation incarnation =
-                new Incarnation(settings.node(), timers.wallClockMillis(), random);
-        LeadershipTransitions transitions = new LeadershipTransitions(this);
-        this.leadership = new Leadership(settings, store, timers, random, incarnation, transitions);
+                new Incarnation(settings.node(), timers.wallClockMillis(), environment.random());
+        this.leadership = newLeadership(incarnation);
         this.cancellationWatermark = new CancellationWatermark(settings, timers);
         this.gossip = newGossip();
 
         this.submissions = newSubmissions(cellNetwork.isPresent());
-        this.otherCells =
-                cellNetwork.isPresent()
-                        ? new ConnectedCells(this, cellNetwork.get(), store, random)
-                        : new NoOtherCells(submissions);
+        this.otherCells = newOtherCells(cellNetwork);
         ShardEvents shardEvents = new ShardEvents(this);
-        this.stateWriter =
-                new StateWriter(
-                        store,
-                        timers,
-                        shard,
-                        images,
-                        shardEvents,
-                        otherCells.loanRecords().orElse(null));
-
-        this.cloudIntents = new CloudIntents(shard, timers, this::contributeToNextWrite);
-        this.cloudReconciler = newCloudReconciler();
-        this.intentExecutor =
-                new CloudIntentExecutor(
-                        settings,
-                        store,
-                        environment.cloud(),
-                        timers,
-                        random,
-                        leadership.leaseSeconds());
-        this.garbageCollector = new GarbageCollector(settings, store, timers);
-        this.leasedRoles = newLeasedRoles(incarnation);
+        this.stateWriter = newStateWriter(images, shardEvents);
+
+        this.cloud = new CloudComponents(this, environment, incarnation);
 
         this.cancellationProof = newCancellationProof(shardEvents);
         this.heartbeatService = newHeartbeatService();
@@ -146,6 +110,16 @@
         submissions.onKnownCancelled(gossip::onCancellationConfirmed);
     }
 
+    private Leadership newLeadership(Incarnation incarnation) {
+        return new Leadership(
+                settings,
+                environment.store(),
+                timers,
+                environment.random(),
+                incarnation,
+                new LeadershipTransitions(this));
+    }
+
     private Gossip newGossip() {
         return new Gossip(
                 timers,
@@ -182,27 +156,21 @@
                 mayLendTasks);
     }
 
-    private CloudReconciler newCloudReconciler() {
-        return new CloudReconciler(
-                shard,
-                new ScalingPlanner(shard, scheduler),
-                cloudIntents,
-                environment.store(),
-                environment.cloud(),
-                timers,
-                leadership::isLeading,
-                this::requestRound);
+    private OtherCells newOtherCells(Optional<CellNetwork> cellNetwork) {
+        return cellNetwork.isPresent()
+                ? new ConnectedCells(
+                        this, cellNetwork.get(), environment.store(), environment.random())
+                : new NoOtherCells(submissions);
     }
 
-    private LeasedRoles newLeasedRoles(Incarnation incarnation) {
-        return new LeasedRoles(
-                settings,
+    private StateWriter newStateWriter(ImageRecords images, StateWriter.Listener listener) {
+        return new StateWriter(
                 environment.store(),
                 timers,
-                environment.random(),
-                incarnation,
-                leadership.leaseSeconds(),
-                List.of(intentExecutor, garbageCollector));
+                shard,
+                images,
+                listener,
+                otherCells.loanRecords().orElse(null));
     }
 
     private CancellationProof newCancellationProof(CancellationProof.Listener listener) {
@@ -240,8 +208,8 @@
     /** Starts the loops of every node; those of the leader start once it leads. */
     void start() {
         leadership.start();
-        cloudReconciler.loadMachineTypes();
-        leasedRoles.start();
+        cloud.reconciler.loadMachineTypes();
+        cloud.leasedRoles.start();
         otherCells.start();
         gossip.start();
     }
@@ -249,7 +217,7 @@
     /** Gives up leadership and roles for good, as the node is being stopped. */
     void stop() {
         leadership.stop();
-        leasedRoles.stop();
+        cloud.leasedRoles.stop();
     }
 
     /** Whether this node leads and has loaded the shard's jobs. */
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -15,7 +15,7 @@
     void addTo(MetricCollector metrics) {
         addCloudIntents(metrics);
         addGarbageCollection(metrics);
-        for (LeasedRoles.Role role : node.leasedRoles.roles()) {
+        for (LeasedRoles.Role role : node.cloud.leasedRoles.roles()) {
             addRole(metrics, role);
         }
         addFailover(metrics);
@@ -26,42 +26,42 @@
         metrics.counter(
                 "intents.asked",
                 "rentals and returns put down by this node",
-                node.cloudIntents::requestedCount);
+                node.cloud.intents::requestedCount);
         metrics.counter(
                 "intents.taken.over",
                 "and those that it took over from earlier holders",
-                node.cloudIntents::adoptedCount);
+                node.cloud.intents::adoptedCount);
         metrics.gauge(
                 "intents.backlog",
                 "rentals and returns that the cloud has not settled",
-                node.cloudIntents::backlog);
+                node.cloud.intents::backlog);
         metrics.counter(
                 "duty.cloud.calls",
                 "rentals and returns asked of the cloud by this node",
-                node.intentExecutor::callCount);
+                node.cloud.intentExecutor::callCount);
         metrics.counter(
                 "duty.cloud.failed",
                 "of those, refused or not answered",
-                node.intentExecutor::failedCallCount);
+                node.cloud.intentExecutor::failedCallCount);
         metrics.counter(
                 "duty.fenced",
                 "times that nothing was done since the lease of duties was not certain",
-                node.leasedRoles::fencedCount);
+                node.cloud.leasedRoles::fencedCount);
     }
 
     private void addGarbageCollection(MetricCollector metrics) {
         metrics.counter(
                 "cleanup.looks",
                 "times that this node looked through the state service",
-                node.garbageCollector::completedScans);
+                node.cloud.garbageCollector::completedScans);
         metrics.counter(
                 "cleanup.removed",
                 "records that it removed there",
-                node.garbageCollector::removedCount);
+                node.cloud.garbageCollector::removedCount);
         metrics.gauge(
                 "cleanup.strange",
                 "records that should not be, by its last look",
-                node.garbageCollector::inconsistentCount);
+                node.cloud.garbageCollector::inconsistentCount);
     }
 
     private static void addRole(MetricCollector metrics, LeasedRoles.Role role) {
--- a/src/main/java/io/kitepath/core/ShardEvents.java
+++ b/src/main/java/io/kitepath/core/ShardEvents.java
@@ -34,12 +34,12 @@
 
     @Override
     public void cloudIntentsLoaded(List<Entry> intents) {
-        node.cloudIntents.adopt(intents);
+        node.cloud.intents.adopt(intents);
     }
 
     @Override
     public void cloudIntentChanged(Entry intent) {
-        node.cloudIntents.onRecordChanged(intent);
+        node.cloud.intents.onRecordChanged(intent);
     }
 
     @Override
