--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -12,6 +12,7 @@
 import io.kitepath.core.scheduling.Scheduler;
 import io.kitepath.core.service.HeartbeatService;
 import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.LeaderComponents;
 import io.kitepath.core.service.RetryAfter;
 import io.kitepath.core.shard.HeartbeatProcessor;
 import io.kitepath.core.shard.ShardState;
@@ -182,12 +183,9 @@
 
     private HeartbeatService newHeartbeatService() {
         return new HeartbeatService(
-                shard,
-                heartbeatProcessor,
-                leadership,
-                stateWriter,
+                new LeaderComponents(
+                        shard, heartbeatProcessor, leadership, stateWriter, cancellationWatermark),
                 membership,
-                cancellationWatermark,
                 peerNodes,
                 timers,
                 loopTime,
--- a/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
@@ -4,14 +4,14 @@
 
 import io.kitepath.core.port.Timers;
 import io.kitepath.simulation.SimulatedCluster;
-import io.kitepath.simulation.Worlds;
+import io.kitepath.simulation.SimulatedClusters;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The log keeps 1000 jobs for 30 s. */
 class CancellationLogTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
-    private final Timers timers = Worlds.timers(cluster);
+    private final Timers timers = SimulatedClusters.timers(cluster);
 
     @Test
     void digestVouchesOnlyForTheTimeOfWhatIsStillKept() {
--- a/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
@@ -6,7 +6,7 @@
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.port.Timers;
 import io.kitepath.simulation.SimulatedCluster;
-import io.kitepath.simulation.Worlds;
+import io.kitepath.simulation.SimulatedClusters;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -18,7 +18,7 @@
     private static final double NOTHING_KNOWN_SECONDS = 1e9;
 
     private final SimulatedCluster cluster = new SimulatedCluster();
-    private final Timers timers = Worlds.timers(cluster);
+    private final Timers timers = SimulatedClusters.timers(cluster);
 
     private CancellationWatermark watermarkWithPeers(String... peers) {
         cluster.siblings.clear();
