--- a/src/main/java/io/kitepath/cli/Node.java
+++ b/src/main/java/io/kitepath/cli/Node.java
@@ -1,7 +1,9 @@
 package io.kitepath.cli;
 
 import io.kitepath.cloud.HttpCloud;
+import io.kitepath.core.CellNetwork;
 import io.kitepath.core.Controller;
+import io.kitepath.core.NodeEnvironment;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.role.LeasedRoles;
 import io.kitepath.net.HttpClient;
@@ -20,6 +22,7 @@
 import io.kitepath.workers.WorkersApi;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
+import java.util.Optional;
 import java.util.Random;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -78,14 +81,8 @@
         Controller controller =
                 new Controller(
                         facts,
-                        store,
-                        cloud,
-                        direct,
-                        timers,
-                        peers,
-                        random,
-                        cells == null ? null : cells.directory(),
-                        cells == null ? null : new CellLinks(loop, cells.addresses(), random));
+                        new NodeEnvironment(store, cloud, direct, timers, peers, random),
+                        Optional.ofNullable(cells).map(file -> cellNetwork(file, loop, random)));
         UsersApi users = new UsersApi(controller);
         WorkersApi workers = new WorkersApi(controller);
         HttpServer server =
@@ -106,6 +103,10 @@
         Runtime.getRuntime().addShutdownHook(new Thread(() -> handOver(loop, controller)));
     }
 
+    private static CellNetwork cellNetwork(CellsFile file, EventLoop loop, Random random) {
+        return new CellNetwork(file.directory(), new CellLinks(loop, file.addresses(), random));
+    }
+
     /**
      * Stopped on purpose: the others need not wait for leases to run out. A little time for it to
      * go out.
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -3,7 +3,6 @@
 import io.kitepath.core.leadership.CancellationWatermark;
 import io.kitepath.core.leadership.Leadership;
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
@@ -15,7 +14,6 @@
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.core.port.PeerNodes;
-import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.role.CloudIntents;
@@ -95,27 +93,6 @@
         this.garbageCollector = node.cloud.garbageCollector;
     }
 
-    /**
-     * As {@link #Controller(ClusterSettings, NodeEnvironment, Optional)}, without a directory if
-     * null.
-     */
-    public Controller(
-            ClusterSettings clusterWideSettings,
-            Store store,
-            Cloud cloud,
-            DirectCommands directCommands,
-            Timers timers,
-            PeerNodes peerNodes,
-            Random random,
-            CellDirectory cellDirectory,
-            RemoteCells remoteCells) {
-        this(
-                clusterWideSettings,
-                new NodeEnvironment(store, cloud, directCommands, timers, peerNodes, random),
-                Optional.ofNullable(cellDirectory)
-                        .map(directory -> new CellNetwork(directory, remoteCells)));
-    }
-
     /**
      * Starts to take part: looks for a leader, campaigns if there is none, tells peers its state.
      */
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -78,9 +78,9 @@
     private void logCompletion(int machinesUp) {
         LOG.info(
                 String.format(
-                        "failover complete: jobs_read_seconds=%.2f first_launch_seconds=%.2f"
-                                + " half_reported_seconds=%.2f reported_seconds=%.2f"
-                                + " reported_share=%.2f machines=%d",
+                        "failover complete: jobsReadSeconds=%.2f firstLaunchSeconds=%.2f"
+                                + " halfReportedSeconds=%.2f reportedSeconds=%.2f"
+                                + " reportedShare=%.2f machines=%d",
                         secondsToJobsRead,
                         secondsToFirstLaunch,
                         secondsToHalfReported,
--- a/src/main/java/io/kitepath/core/LeaderLoop.java
+++ b/src/main/java/io/kitepath/core/LeaderLoop.java
@@ -64,7 +64,7 @@
         if (ticks % SUMMARY_TICKS == 0
                 || LOG.isDebugEnabled() && ticks % DEBUG_SUMMARY_TICKS == 0) {
             LOG.info(
-                    "{} rounds={} writes={} heartbeats={} busy_seconds={}{}",
+                    "{} rounds={} writes={} heartbeats={} busySeconds={}{}",
                     ShardSummary.of(node.shard, node.heartbeatProcessor, node.scheduler),
                     node.stateWriter.transactionsSent(),
                     node.stateWriter.recordsSent(),
--- a/src/main/java/io/kitepath/core/ShardSummary.java
+++ b/src/main/java/io/kitepath/core/ShardSummary.java
@@ -36,7 +36,7 @@
                 .append(shard.attemptsLost())
                 .append(" launched=")
                 .append(launches)
-                .append(" launch_delay_seconds=")
+                .append(" launchDelaySeconds=")
                 .append(
                         String.format(
                                 "%.2f",
@@ -105,7 +105,7 @@
                 .append(shard.machines().size() - spot)
                 .append(" spot=")
                 .append(spot)
-                .append(" token_unconfirmed=")
+                .append(" tokenUnconfirmed=")
                 .append(unconfirmed)
                 .append(" quarantined=")
                 .append(quarantined)
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -200,7 +200,7 @@
         isLeading = false;
         leader = null;
         store.revokeLease(leaseId); // Nobody need wait for it to expire.
-        LOG.info("leadership lost: fencing_token={} reason=\"{}\"", fencingToken, why);
+        LOG.info("leadership lost: fencingToken={} reason=\"{}\"", fencingToken, why);
         listener.onLeadershipLost(why);
     }
 
@@ -276,7 +276,7 @@
                         abandonedLeaseId -> {
                             LOG.info(
                                     "ending the leader lease of an earlier process of this node:"
-                                            + " fencing_token={}",
+                                            + " fencingToken={}",
                                     recordToken);
                             store.revokeLease(abandonedLeaseId);
                         });
@@ -301,7 +301,7 @@
         boolean isChanged = isNewTerm || !node.equals(leader);
         leader = node;
         if (isChanged) {
-            LOG.debug("leader changed: leader={} fencing_token={}", node, highestFencingToken);
+            LOG.debug("leader changed: leader={} fencingToken={}", node, highestFencingToken);
             listener.onLeaderChanged(node);
         }
     }
@@ -362,7 +362,7 @@
         renewalRequestedAt = term.leaseRequestedAt();
         isRenewalInDoubt = false;
         leader = settings.node();
-        LOG.info("leadership won: fencing_token={} lease_id={}", fencingToken, leaseId);
+        LOG.info("leadership won: fencingToken={} leaseId={}", fencingToken, leaseId);
         listener.onLeadershipWon(term.fencingToken(), term.leaseId(), term.revision());
         renewLater(term.leaseId());
         watchLeaderRecord(term.revision());
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -89,10 +89,10 @@
             if (isSilent(peer)) {
                 // A peer that was never heard has not fallen silent.
                 if (heardAt.containsKey(peer) && reportedSilent.add(peer)) {
-                    LOG.info("peer is silent: peer={} is_leader={}", peer, isLeader);
+                    LOG.info("peer is silent: peer={} isLeader={}", peer, isLeader);
                 }
             } else if (reportedSilent.remove(peer)) {
-                LOG.info("peer is heard again: peer={} is_leader={}", peer, isLeader);
+                LOG.info("peer is heard again: peer={} isLeader={}", peer, isLeader);
             }
         }
     }
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -1,6 +1,8 @@
 package io.kitepath.simulation;
 
+import io.kitepath.core.CellNetwork;
 import io.kitepath.core.Controller;
+import io.kitepath.core.NodeEnvironment;
 import io.kitepath.core.model.CancellationDigest;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.Heartbeat;
@@ -12,6 +14,7 @@
 import io.kitepath.core.port.Timers;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -56,20 +59,21 @@
         this.controller =
                 new Controller(
                         cluster.settings(name),
-                        new SimulatedStoreClient(cluster, this),
-                        new SimulatedCloudClient(cluster, this),
-                        this::direct,
-                        this,
-                        this,
-                        new Random(
-                                7
-                                        + name.hashCode()
-                                        + 31L
-                                                * (cluster.processStarts.merge(
-                                                                name, 1, Integer::sum)
-                                                        - 1)),
-                        cluster.cellDirectory,
-                        cluster.multiCell == null ? null : this::askCell);
+                        new NodeEnvironment(
+                                new SimulatedStoreClient(cluster, this),
+                                new SimulatedCloudClient(cluster, this),
+                                this::direct,
+                                this,
+                                this,
+                                new Random(seedOfNextProcess())),
+                        Optional.ofNullable(cluster.cellDirectory)
+                                .map(directory -> new CellNetwork(directory, this::askCell)));
+    }
+
+    /** Each process under a name draws other random numbers. */
+    private long seedOfNextProcess() {
+        int earlierProcesses = cluster.processStarts.merge(name, 1, Integer::sum) - 1;
+        return 7 + name.hashCode() + 31L * earlierProcesses;
     }
 
     private void direct(
--- a/src/test/java/io/kitepath/peers/CellLinksTest.java
+++ b/src/test/java/io/kitepath/peers/CellLinksTest.java
@@ -3,7 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import io.kitepath.core.CellNetwork;
 import io.kitepath.core.Controller;
+import io.kitepath.core.NodeEnvironment;
 import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.Redirect;
@@ -17,6 +19,7 @@
 import java.net.ServerSocket;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -54,14 +57,17 @@
     private Controller controllerOfWest(Peers peers) {
         return new Controller(
                 TestNodes.settings("w0", List.of()),
-                new RefusingStore(),
-                null,
-                null,
-                new LoopTimers(loop),
-                peers,
-                new Random(1),
-                directory(),
-                (cell, node, message, answer) -> answer.accept(null));
+                new NodeEnvironment(
+                        new RefusingStore(),
+                        null,
+                        null,
+                        new LoopTimers(loop),
+                        peers,
+                        new Random(1)),
+                Optional.of(
+                        new CellNetwork(
+                                directory(),
+                                (cell, node, message, answer) -> answer.accept(null))));
     }
 
     private CellLinks linksToWest(InetSocketAddress address) {
