--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -52,10 +52,10 @@
 
     private static String describeFailures(Job job, double now) {
         return "fails on every machine it was tried on, "
-                + job.failureCount
+                + job.failureHistory.failureCount()
                 + " times so far"
-                + (job.notBefore > now
-                        ? "; tried again in " + formatSeconds(job.notBefore - now)
+                + (job.notBefore() > now
+                        ? "; tried again in " + formatSeconds(job.notBefore() - now)
                         : "");
     }
 
@@ -84,8 +84,8 @@
         int starting = 0;
         int unconfirmed = 0;
         for (Machine machine : shard.machines().values()) {
-            starting += machine.hasReported() || !machine.attempts.isEmpty() ? 0 : 1;
-            unconfirmed += machine.hasReported() && !machine.isTokenConfirmed ? 1 : 0;
+            starting += machine.hasReported() || !machine.attempts().isEmpty() ? 0 : 1;
+            unconfirmed += machine.hasReported() && !machine.isTokenConfirmed() ? 1 : 0;
         }
         return (starting > 0 ? "; machines starting: " + starting : "")
                 + (unconfirmed > 0
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -7,7 +7,8 @@
 import io.kitepath.net.HttpResponse;
 import io.kitepath.net.HttpStatus;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
+import io.kitepath.wire.StoreCodec;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -58,7 +59,7 @@
                 Request.get("/keys/" + key),
                 timeoutMillis,
                 response -> {
-                    Optional<Entry> entry = decodeIfOk(response, ProtocolCodec::decodeEntry);
+                    Optional<Entry> entry = decodeIfOk(response, StoreCodec::decodeEntry);
                     answer.accept(
                             entry.isPresent()
                                     ? Outcome.OK
@@ -83,9 +84,9 @@
     private static ListResult toListResult(Object body) {
         return new ListResult(
                 Outcome.OK,
-                ProtocolCodec.decodeEntries(body),
-                ProtocolCodec.decodeRevision(body),
-                ProtocolCodec.isTruncated(body));
+                StoreCodec.decodeEntries(body),
+                StoreCodec.decodeRevision(body),
+                SharedCodec.isTruncated(body));
     }
 
     private static ListResult failedList(HttpResponse response) {
@@ -95,7 +96,7 @@
     @Override
     public void commit(Transaction transaction, Consumer<CommitResult> answer) {
         callClient.call(
-                Request.post("/multi", ProtocolCodec.encodeTransaction(transaction)),
+                Request.post("/multi", StoreCodec.encodeTransaction(transaction)),
                 timeoutMillis,
                 response -> answer.accept(toCommitResult(transaction, response)));
     }
@@ -103,15 +104,14 @@
     private static CommitResult toCommitResult(Transaction transaction, HttpResponse response) {
         return switch (response.status()) {
             case HttpStatus.OK ->
-                    decode(response, ProtocolCodec::decodeRevision)
+                    decode(response, StoreCodec::decodeRevision)
                             .map(
                                     revision ->
                                             new CommitResult(
                                                     Outcome.OK, revision, List.of(), false))
                             .orElseGet(() -> failedCommit(Outcome.UNKNOWN));
             case HttpStatus.CONFLICT -> {
-                Optional<List<String>> failedKeys =
-                        decode(response, ProtocolCodec::decodeFailedKeys);
+                Optional<List<String>> failedKeys = decode(response, StoreCodec::decodeFailedKeys);
                 yield new CommitResult(Outcome.REJECTED, 0, failedKeys.orElse(List.of()), false);
             }
             case HttpStatus.BAD_REQUEST -> refusedCommit(transaction, response);
@@ -120,14 +120,14 @@
     }
 
     private static CommitResult refusedCommit(Transaction transaction, HttpResponse response) {
-        String reason = decode(response, ProtocolCodec::decodeErrorReason).orElse(null);
+        String reason = decode(response, SharedCodec::decodeErrorReason).orElse(null);
         LOG.warn(
                 "state service refused a transaction of {} writes: {}",
                 transaction.writes().size(),
                 reason);
         // Only this reason tells something about the state; with any other one the request was
         // wrong in itself.
-        if (ProtocolCodec.NO_SUCH_LEASE.equals(reason)) {
+        if (StoreCodec.NO_SUCH_LEASE.equals(reason)) {
             return new CommitResult(Outcome.REJECTED, 0, List.of(), true);
         }
         return failedCommit(Outcome.INVALID);
@@ -140,10 +140,10 @@
     @Override
     public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {
         leaseClient.call(
-                Request.post("/holds", ProtocolCodec.encodeLeaseDuration(lifeMs)),
+                Request.post("/holds", StoreCodec.encodeLeaseDuration(lifeMs)),
                 timeoutMillis,
                 response -> {
-                    Optional<Long> leaseId = decodeIfOk(response, ProtocolCodec::decodeLeaseId);
+                    Optional<Long> leaseId = decodeIfOk(response, StoreCodec::decodeLeaseId);
                     answer.accept(
                             leaseId.isPresent() ? Outcome.OK : failure(response),
                             leaseId.orElse(null));
@@ -182,7 +182,7 @@
 
     private static WatchResult toWatchResult(Object body) {
         return new WatchResult(
-                Outcome.OK, ProtocolCodec.decodeRevision(body), ProtocolCodec.decodeEvents(body));
+                Outcome.OK, StoreCodec.decodeRevision(body), StoreCodec.decodeEvents(body));
     }
 
     private static WatchResult failedWatch(HttpResponse response) {
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -9,7 +9,8 @@
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.net.HttpStatus;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
+import io.kitepath.wire.UserCodec;
 import java.util.List;
 import java.util.Optional;
 
@@ -49,7 +50,7 @@
             out.reply(HttpStatus.NOT_FOUND);
         } else if (!request.method().equals(isCancel ? "POST" : "GET")) {
             out.reply(HttpStatus.METHOD_NOT_ALLOWED);
-        } else if (!ProtocolCodec.isJobId(jobId)) {
+        } else if (!UserCodec.isJobId(jobId)) {
             out.reply(HttpStatus.NOT_FOUND);
         } else if (isCancel) {
             controller.jobApi().cancel(jobId, response -> reply(response, true, out));
@@ -63,9 +64,9 @@
         String jobId;
         try {
             body = MessagePackCodec.decode(bytes);
-            jobId = ProtocolCodec.decodeSubmittedId(body);
+            jobId = UserCodec.decodeSubmittedId(body);
         } catch (InvalidInputException invalid) {
-            out.reply(HttpStatus.BAD_REQUEST, ProtocolCodec.encodeError(invalid.getMessage()));
+            out.reply(HttpStatus.BAD_REQUEST, SharedCodec.encodeError(invalid.getMessage()));
             return;
         }
         submit(body, out).ifPresent(refusal -> refuseUnlessKnown(jobId, refusal, out));
@@ -74,8 +75,8 @@
     /** Submits the job that the body describes; otherwise says why it is refused. */
     private Optional<Refusal> submit(Object body, Responder out) {
         try {
-            JobSpec spec = ProtocolCodec.decodeSubmission(body);
-            List<String> dependencies = ProtocolCodec.decodeDependencies(body);
+            JobSpec spec = UserCodec.decodeSubmission(body);
+            List<String> dependencies = UserCodec.decodeDependencies(body);
             if (controller.machineTypes().isEmpty()) {
                 return Optional.of(
                         new Refusal(
@@ -121,7 +122,7 @@
         if (refusal.status == HttpStatus.SERVICE_UNAVAILABLE) {
             replyUnavailable(refusal.reason, out);
         } else {
-            out.reply(refusal.status, ProtocolCodec.encodeError(refusal.reason));
+            out.reply(refusal.status, SharedCodec.encodeError(refusal.reason));
         }
     }
 
@@ -131,18 +132,16 @@
             case CREATED ->
                     out.reply(
                             HttpStatus.CREATED,
-                            ProtocolCodec.encodeJobStatus(response.jobStatus(), true));
+                            UserCodec.encodeJobStatus(response.jobStatus(), true));
             case KNOWN ->
                     out.reply(
-                            HttpStatus.OK,
-                            ProtocolCodec.encodeJobStatus(response.jobStatus(), brief));
+                            HttpStatus.OK, UserCodec.encodeJobStatus(response.jobStatus(), brief));
             case REFUSED ->
-                    out.reply(
-                            HttpStatus.UNPROCESSABLE, ProtocolCodec.encodeError(response.reason()));
+                    out.reply(HttpStatus.UNPROCESSABLE, SharedCodec.encodeError(response.reason()));
             case INVALID ->
-                    out.reply(HttpStatus.BAD_REQUEST, ProtocolCodec.encodeError(response.reason()));
+                    out.reply(HttpStatus.BAD_REQUEST, SharedCodec.encodeError(response.reason()));
             case NOT_FOUND ->
-                    out.reply(HttpStatus.NOT_FOUND, ProtocolCodec.encodeError("no such job"));
+                    out.reply(HttpStatus.NOT_FOUND, SharedCodec.encodeError("no such job"));
             case LATER -> replyUnavailable("the state service can't be asked now", out);
         }
     }
@@ -150,7 +149,7 @@
     private void replyUnavailable(String reason, Responder out) {
         out.reply(
                 HttpStatus.SERVICE_UNAVAILABLE,
-                ProtocolCodec.encodeError(reason),
+                SharedCodec.encodeError(reason),
                 controller.retryAfterSeconds());
     }
 }
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -8,7 +8,7 @@
 import io.kitepath.net.HttpClient.Request;
 import io.kitepath.net.HttpResponse;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.WorkerCodec;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -51,7 +51,7 @@
             answer.accept(null);
             return;
         }
-        byte[] body = ProtocolCodec.encodeDirectCommands(token, session, commands);
+        byte[] body = WorkerCodec.encodeDirectCommands(token, session, commands);
         HttpClient.callOnce(
                 loop,
                 workerAddress.get(),
@@ -79,7 +79,7 @@
         }
         try {
             Object body = MessagePackCodec.decode(response.body());
-            return Optional.of(ProtocolCodec.decodeHeartbeat(body));
+            return Optional.of(WorkerCodec.decodeHeartbeat(body));
         } catch (InvalidInputException invalid) {
             LOG.debug("a worker's answer can't be read: {}", invalid.getMessage());
             return Optional.empty();
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -8,7 +8,8 @@
 import io.kitepath.net.HttpServer.Responder;
 import io.kitepath.net.HttpStatus;
 import io.kitepath.wire.MessagePackCodec;
-import io.kitepath.wire.ProtocolCodec;
+import io.kitepath.wire.SharedCodec;
+import io.kitepath.wire.WorkerCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,10 +35,10 @@
         }
         Heartbeat heartbeat;
         try {
-            heartbeat = ProtocolCodec.decodeHeartbeat(MessagePackCodec.decode(request.body()));
+            heartbeat = WorkerCodec.decodeHeartbeat(MessagePackCodec.decode(request.body()));
         } catch (InvalidInputException invalid) {
             LOG.debug("a report can't be read: {}", invalid.getMessage());
-            out.reply(HttpStatus.BAD_REQUEST, ProtocolCodec.encodeError(invalid.getMessage()));
+            out.reply(HttpStatus.BAD_REQUEST, SharedCodec.encodeError(invalid.getMessage()));
             return;
         }
         controller.onHeartbeat(heartbeat, response -> reply(response, out));
@@ -47,10 +48,10 @@
     private static void reply(HeartbeatResponse response, Responder out) {
         if (response.fencingToken() > 0) {
             byte[] commands =
-                    ProtocolCodec.encodeCommands(response.fencingToken(), response.commands());
+                    WorkerCodec.encodeCommands(response.fencingToken(), response.commands());
             out.reply(HttpStatus.OK, commands);
         } else {
-            byte[] redirect = ProtocolCodec.encodeRedirect(response.redirectNode());
+            byte[] redirect = WorkerCodec.encodeRedirect(response.redirectNode());
             out.reply(HttpStatus.MISDIRECTED_REQUEST, redirect);
         }
     }
