--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -3,7 +3,6 @@
 import io.kitepath.core.leadership.CancellationWatermark;
 import io.kitepath.core.leadership.Leadership;
 import io.kitepath.core.model.CancellationDigest;
-import io.kitepath.core.model.CellDirectory;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.HeartbeatResponse;
@@ -15,7 +14,6 @@
 import io.kitepath.core.port.Cloud;
 import io.kitepath.core.port.DirectCommands;
 import io.kitepath.core.port.PeerNodes;
-import io.kitepath.core.port.RemoteCells;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Timers;
 import io.kitepath.core.role.CloudIntents;
@@ -91,29 +89,8 @@
         this.leadership = node.leadership;
         this.stateWriter = node.stateWriter;
         this.cancellationWatermark = node.cancellationWatermark;
-        this.cloudIntents = node.cloudIntents;
-        this.garbageCollector = node.garbageCollector;
-    }
-
-    /**
-     * As {@link #Controller(ClusterSettings, NodeEnvironment, Optional)}, without a directory if
-     * null.
-     */
-    public Controller(
-            ClusterSettings clusterWideSettings,
-            Store store,
-            Cloud cloud,
-            DirectCommands directCommands,
-            Timers timers,
-            PeerNodes peerNodes,
-            Random random,
-            CellDirectory cellDirectory,
-            RemoteCells remoteCells) {
-        this(
-                clusterWideSettings,
-                new NodeEnvironment(store, cloud, directCommands, timers, peerNodes, random),
-                Optional.ofNullable(cellDirectory)
-                        .map(directory -> new CellNetwork(directory, remoteCells)));
+        this.cloudIntents = node.cloud.intents;
+        this.garbageCollector = node.cloud.garbageCollector;
     }
 
     /**
@@ -208,7 +185,7 @@
 
     /** The roles, and which node holds each as far as this node knows. */
     public List<LeasedRoles.Role> roles() {
-        return node.leasedRoles.roles();
+        return node.cloud.leasedRoles.roles();
     }
 
     /** This node's metrics by name, in a fixed order; their values are read when asked for. */
@@ -235,7 +212,7 @@
 
     /** Whether this node may act in that role now, by its own clock. */
     boolean holdsRole(String role) {
-        return node.leasedRoles.holds(role);
+        return node.cloud.leasedRoles.holds(role);
     }
 
     /** Scheduling rounds so far. */
--- a/src/main/java/io/kitepath/core/LeaderLoop.java
+++ b/src/main/java/io/kitepath/core/LeaderLoop.java
@@ -50,7 +50,7 @@
             node.otherCells.reconcile();
         }
         double began = node.timers.nowSeconds();
-        node.cloudReconciler.reconcile(node.mayActOnShard());
+        node.cloud.reconciler.reconcile(node.mayActOnShard());
         node.loopTime.record(Activity.PLANNING, began);
         ticks++;
         logSummaries();
@@ -64,7 +64,7 @@
         if (ticks % SUMMARY_TICKS == 0
                 || LOG.isDebugEnabled() && ticks % DEBUG_SUMMARY_TICKS == 0) {
             LOG.info(
-                    "{} rounds={} writes={} heartbeats={} busy_seconds={}{}",
+                    "{} rounds={} writes={} heartbeats={} busySeconds={}{}",
                     ShardSummary.of(node.shard, node.heartbeatProcessor, node.scheduler),
                     node.stateWriter.transactionsSent(),
                     node.stateWriter.recordsSent(),
