--- a/src/main/java/io/kitepath/core/leadership/Campaign.java
+++ b/src/main/java/io/kitepath/core/leadership/Campaign.java
@@ -1,7 +1,6 @@
 package io.kitepath.core.leadership;
 
 import io.kitepath.core.model.ClusterSettings;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Outcome;
 import io.kitepath.core.port.Store.Transaction;
@@ -83,7 +82,7 @@
                 StoreKeys.FENCING_TOKEN,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
-                        long lastToken = DocumentReader.of(entry.value()).count("token");
+                        long lastToken = HolderRecord.fromRecord(entry.value()).fencingToken();
                         claim(leaseId, lastToken, entry.revision(), requestedAt);
                     } else if (outcome == Outcome.REJECTED) {
                         claim(leaseId, 0, 0, requestedAt); // Nobody has ever led.
@@ -113,7 +112,7 @@
 
     private Transaction claimTransaction(long leaseId, long nextToken, long tokenRevision) {
         Map<String, Object> leaderRecord =
-                LeaderRecord.document(node, nextToken, leaseId, incarnation);
+                HolderRecord.toRecord(node, nextToken, leaseId, incarnation);
         Map<String, Object> shardRecord = new LinkedHashMap<>();
         shardRecord.put("machines", "all");
         shardRecord.put("holder", node);
@@ -123,7 +122,7 @@
                 .requireRevision(StoreKeys.FENCING_TOKEN, tokenRevision)
                 .put(StoreKeys.LEADER, leaderRecord, leaseId)
                 .put(Leadership.SHARD_KEY, shardRecord, leaseId)
-                .put(StoreKeys.FENCING_TOKEN, Map.of("token", nextToken));
+                .put(StoreKeys.FENCING_TOKEN, HolderRecord.toFencingTokenRecord(nextToken));
     }
 
     private void fail() {
--- a/src/main/java/io/kitepath/core/role/RoleRecord.java
+++ b/src/main/java/io/kitepath/core/leadership/HolderRecord.java
@@ -1,18 +1,18 @@
-package io.kitepath.core.role;
+package io.kitepath.core.leadership;
 
-import io.kitepath.core.leadership.Incarnation;
 import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.model.InvalidInputException;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
- * The stored record of a role's holder, or of the highest fencing token that was given out for a
- * role, which has that field only. Fields are checked only when they are asked for, so that a
- * record without those that this version does not need still counts; each accessor throws {@link
- * InvalidInputException} if its field is missing or of the wrong type.
+ * The stored record of a holder: of leadership, or of a role. Also the record of the highest
+ * fencing token that was ever given out for one of them, which has that field only. Fields are
+ * checked only when they are asked for, so that a record without those that this version does not
+ * need still counts; each accessor throws {@link InvalidInputException} if its field is missing or
+ * of the wrong type.
  */
-final class RoleRecord {
+public final class HolderRecord {
     private static final String NODE = "node";
     private static final String FENCING_TOKEN = "token";
     private static final String LEASE_ID = "lease";
@@ -21,17 +21,17 @@
 
     private final DocumentReader document;
 
-    private RoleRecord(DocumentReader document) {
+    private HolderRecord(DocumentReader document) {
         this.document = document;
     }
 
     /** Reads a record; throws {@link InvalidInputException} if it is no document at all. */
-    static RoleRecord fromRecord(Object value) {
-        return new RoleRecord(DocumentReader.of(value));
+    public static HolderRecord fromRecord(Object value) {
+        return new HolderRecord(DocumentReader.of(value));
     }
 
-    /** The record with which {@code node}, the process of that incarnation, claims a role. */
-    static Map<String, Object> toRecord(
+    /** The record with which {@code node}, the process of that incarnation, claims to hold. */
+    public static Map<String, Object> toRecord(
             String node, long fencingToken, long leaseId, Incarnation incarnation) {
         Map<String, Object> record = new LinkedHashMap<>();
         record.put(NODE, node);
@@ -42,35 +42,42 @@
         return record;
     }
 
-    /** The record of the highest fencing token that was ever given out for a role. */
-    static Map<String, Object> toFencingTokenRecord(long fencingToken) {
+    /** The record of the highest fencing token that was ever given out. */
+    public static Map<String, Object> toFencingTokenRecord(long fencingToken) {
         return Map.of(FENCING_TOKEN, fencingToken);
     }
 
-    String node() {
+    /** The node that holds. */
+    public String node() {
         return document.text(NODE);
     }
 
-    long fencingToken() {
+    /** The token it holds with, or the highest that was given out. */
+    public long fencingToken() {
         return document.count(FENCING_TOKEN);
     }
 
-    long leaseId() {
+    /** Whether the record names its lease; those of earlier versions don't. */
+    public boolean hasLeaseId() {
+        return document.has(LEASE_ID);
+    }
+
+    /** The lease that the record hangs on. */
+    public long leaseId() {
         return document.count(LEASE_ID);
     }
 
     /** Whether this very process wrote it, under that lease. */
-    boolean isWrittenBy(Incarnation incarnation, long leaseId) {
+    public boolean isWrittenBy(Incarnation incarnation, long leaseId) {
         return document.textOr(PROCESS_ID, "").equals(incarnation.processId())
                 && leaseId() == leaseId;
     }
 
-    /** Whether an earlier process of this node wrote it, which will not renew its lease. */
-    boolean isAbandoned(Incarnation incarnation) {
+    /** Whose record it is, as the process of that incarnation sees it. */
+    public Incarnation.RecordOwner owner(Incarnation incarnation) {
         return incarnation.ownerOf(
-                        node(),
-                        document.numberOr(STARTED_AT_MILLIS, 0, 0),
-                        document.textOr(PROCESS_ID, ""))
-                == Incarnation.RecordOwner.ABANDONED;
+                node(),
+                document.numberOr(STARTED_AT_MILLIS, 0, 0),
+                document.textOr(PROCESS_ID, ""));
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -212,7 +212,7 @@
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         onStoreAnswered();
-                        onLeaderRecord(LeaderRecord.of(entry.value()));
+                        onLeaderRecord(HolderRecord.fromRecord(entry.value()));
                         watchLeaderRecord(entry.revision());
                     } else if (outcome == Outcome.REJECTED) {
                         onStoreAnswered();
@@ -245,7 +245,7 @@
                 });
     }
 
-    private void onLeaderRecord(LeaderRecord leaderRecord) {
+    private void onLeaderRecord(HolderRecord leaderRecord) {
         long recordToken = leaderRecord.fencingToken();
         String recordNode = leaderRecord.node();
         boolean isHigher = recordToken > highestFencingToken;
@@ -257,7 +257,7 @@
         if (isLeading && recordToken > fencingToken) {
             stepDown(recordNode + " leads with token " + recordToken);
         }
-        switch (leaderRecord.owner(recordNode, incarnation)) {
+        switch (leaderRecord.owner(incarnation)) {
             case OTHER_NODE -> setLeader(recordNode, isHigher);
             case ABANDONED -> endAbandonedLease(leaderRecord, recordToken);
             case LATER_PROCESS -> standBack(recordNode);
@@ -268,18 +268,14 @@
      * Guards against a node that names itself as leader while it leads nothing: peers send workers
      * to it, and nobody places anything until a lease that no process holds has expired.
      */
-    private void endAbandonedLease(LeaderRecord leaderRecord, long recordToken) {
+    private void endAbandonedLease(HolderRecord leaderRecord, long recordToken) {
         leader = null;
-        leaderRecord
-                .leaseId()
-                .ifPresent(
-                        abandonedLeaseId -> {
-                            LOG.info(
-                                    "ending the leader lease of an earlier process of this node:"
-                                            + " fencingToken={}",
-                                    recordToken);
-                            store.revokeLease(abandonedLeaseId);
-                        });
+        if (leaderRecord.hasLeaseId()) {
+            LOG.info(
+                    "ending the leader lease of an earlier process of this node: fencingToken={}",
+                    recordToken);
+            store.revokeLease(leaderRecord.leaseId());
+        }
     }
 
     private void standBack(String node) {
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -1,6 +1,8 @@
 package io.kitepath.core.role;
 
+import io.kitepath.core.leadership.HolderRecord;
 import io.kitepath.core.leadership.Incarnation;
+import io.kitepath.core.leadership.Incarnation.RecordOwner;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.InvalidInputException;
 import io.kitepath.core.port.Store;
@@ -274,14 +276,14 @@
                 return; // Older than what is known.
             }
             try {
-                onHolderRead(role, RoleRecord.fromRecord(entry.value()), entry.revision());
+                onHolderRead(role, HolderRecord.fromRecord(entry.value()), entry.revision());
             } catch (InvalidInputException invalid) {
                 LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
             }
         }
     }
 
-    private void onHolderRead(Role role, RoleRecord record, long revision) {
+    private void onHolderRead(Role role, HolderRecord record, long revision) {
         String node = record.node();
         long fencingToken = record.fencingToken();
         if (lease.isGranted() && record.isWrittenBy(incarnation, lease.id())) {
@@ -295,7 +297,7 @@
         if (role.isHeldHere) {
             lose(role, node + " has it with token " + fencingToken);
         }
-        if (record.isAbandoned(incarnation)) {
+        if (record.owner(incarnation) == RecordOwner.ABANDONED) {
             store.revokeLease(record.leaseId());
         }
         role.recordHolder(node, fencingToken, timers.nowSeconds());
--- a/src/main/java/io/kitepath/core/role/RoleClaims.java
+++ b/src/main/java/io/kitepath/core/role/RoleClaims.java
@@ -1,5 +1,6 @@
 package io.kitepath.core.role;
 
+import io.kitepath.core.leadership.HolderRecord;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.CommitResult;
 import io.kitepath.core.port.Store.Entry;
@@ -92,11 +93,11 @@
         long leaseId = lease.id();
         long highest =
                 highestToken
-                        .map(entry -> RoleRecord.fromRecord(entry.value()).fencingToken())
+                        .map(entry -> HolderRecord.fromRecord(entry.value()).fencingToken())
                         .orElse(0L);
         long fencingToken = Math.max(role.fencingToken, highest) + 1;
         Map<String, Object> record =
-                RoleRecord.toRecord(
+                HolderRecord.toRecord(
                         context.settings().node(), fencingToken, leaseId, context.incarnation());
         store.commit(
                 new Transaction()
@@ -104,7 +105,9 @@
                         .requireRevision(
                                 fencingTokenKey(role), highestToken.map(Entry::revision).orElse(0L))
                         .put(role.key, record, leaseId)
-                        .put(fencingTokenKey(role), RoleRecord.toFencingTokenRecord(fencingToken)),
+                        .put(
+                                fencingTokenKey(role),
+                                HolderRecord.toFencingTokenRecord(fencingToken)),
                 result -> onClaimAnswered(role, leaseId, fencingToken, result));
     }
 
