--- a/src/main/java/io/kitepath/core/CloudComponents.java
+++ b/src/main/java/io/kitepath/core/CloudComponents.java
@@ -36,9 +36,7 @@
                         node.shard,
                         new ScalingPlanner(node.shard, node.scheduler),
                         intents,
-                        store,
-                        environment.cloud(),
-                        node.timers,
+                        new CloudReconciler.Ports(store, environment.cloud(), node.timers),
                         node.leadership::isLeading,
                         node::requestRound);
         this.intentExecutor =
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -10,6 +10,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.SortedMap;
@@ -27,6 +28,7 @@
  * <p>Not thread safe: it belongs to the event loop of the shard.
  */
 public final class Job {
+    /** What the user submitted. */
     public final JobSpec spec;
 
     /** Milliseconds since 1970, by the clock of the node that accepted the job. */
@@ -222,12 +224,14 @@
         return isCancelRequested;
     }
 
+    /** The user asked to cancel the job: nothing more of it is placed. */
     public void requestCancel() {
         isCancelRequested = true;
     }
 
     // ---- tasks ----------------------------------------------------------------------------------
 
+    /** Whether the task is done; never undone. */
     public boolean isDone(int task) {
         return tasks.isDone(task);
     }
@@ -240,6 +244,7 @@
         tasks.markAllDone();
     }
 
+    /** How many tasks are done, in whatever cell. */
     public int doneTaskCount() {
         return tasks.doneCount();
     }
@@ -413,6 +418,7 @@
         return claimOnArrival != GuaranteeClaim.UNKNOWN;
     }
 
+    /** Sets, once, whether the job fits into its team's guarantee as it comes. */
     public void setGuaranteeClaim(boolean fits) {
         claimOnArrival = fits ? GuaranteeClaim.WITHIN : GuaranteeClaim.BEYOND;
     }
@@ -430,6 +436,7 @@
         return isWithinGuarantee;
     }
 
+    /** Set anew in each round of scheduling; see {@link #isWithinGuarantee}. */
     public void setWithinGuarantee(boolean within) {
         isWithinGuarantee = within;
     }
@@ -455,6 +462,7 @@
         return loans.revision();
     }
 
+    /** The record of its loans was written, or removed, at that revision. */
     public void setLoansRevision(long atRevision) {
         loans.setRevision(atRevision);
     }
@@ -464,6 +472,7 @@
         return loans.isBeingWritten();
     }
 
+    /** Keeps others from writing the record of its loans meanwhile. */
     public void writingLoans(boolean isBeingWritten) {
         loans.setBeingWritten(isBeingWritten);
     }
@@ -505,10 +514,12 @@
         return parts.version();
     }
 
+    /** How many parts the job has. */
     public int partCount() {
         return parts.count();
     }
 
+    /** The part with that index, from 0. */
     public JobPart part(int index) {
         return parts.get(index);
     }
@@ -593,16 +604,16 @@
     }
 
     /**
-     * The record of a part if parts had {@code tasksPerPart} tasks, or null if the part has neither
-     * done tasks nor attempts and needs no record.
+     * The record of a part if parts had {@code tasksPerPart} tasks, or empty if the part has
+     * neither done tasks nor attempts and needs no record.
      */
-    public Map<String, Object> partRecordOf(int part, int tasksPerPart) {
+    public Optional<Map<String, Object>> partRecordOf(int part, int tasksPerPart) {
         int firstTask = part * tasksPerPart;
         int endTask = (part + 1) * tasksPerPart;
         boolean isEmpty =
                 attempts.liveBetween(firstTask, endTask).isEmpty()
                         && !tasks.isAnyDoneBetween(firstTask, endTask);
-        return isEmpty ? null : partRecord(part, tasksPerPart);
+        return isEmpty ? Optional.empty() : Optional.of(partRecord(part, tasksPerPart));
     }
 
     private Map<String, Object> partRecord(int part, int tasksPerPart) {
