--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -141,7 +141,8 @@
     private void addServiceLevels(MetricCollector metrics) {
         metrics.gauge(
                 "served.least",
-                "the lowest share of jobs in time, of all classes, their largest jobs, and teams as of late",
+                "the lowest share of jobs in time, of all classes, their largest jobs, and teams"
+                        + " as of late",
                 () -> shard.serviceLevels().leastShare());
         metrics.gauge(
                 "served.least.largest",
--- a/src/main/java/io/kitepath/core/ShardEvents.java
+++ b/src/main/java/io/kitepath/core/ShardEvents.java
@@ -29,7 +29,7 @@
 
     @Override
     public void shardLost() {
-        node.leadership.stepDown("the block is no longer ours");
+        node.leadership.stepDown("the shard record is no longer ours");
     }
 
     @Override
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -188,7 +188,7 @@
             }
         }
         if (isLeading && seen > fencingToken) {
-            stepDown("a higher token " + seen + " was seen");
+            stepDown("a higher fencing token " + seen + " was seen");
         }
     }
 
@@ -255,7 +255,7 @@
             return;
         }
         if (isLeading && recordToken > fencingToken) {
-            stepDown(recordNode + " leads with token " + recordToken);
+            stepDown(recordNode + " leads with fencing token " + recordToken);
         }
         switch (leaderRecord.owner(incarnation)) {
             case OTHER_NODE -> setLeader(recordNode, isHigher);
@@ -304,7 +304,7 @@
 
     private void onLeaderRecordAbsent() {
         if (isLeading) {
-            stepDown("our key is gone");
+            stepDown("the leader record is gone");
         }
         leader = null;
         // While a later process runs under our name, this one gives all others the time to come
@@ -385,7 +385,7 @@
             onStoreAnswered();
             renewalRequestedAt = askedAt;
         } else if (outcome == Outcome.REJECTED) {
-            stepDown("our lease ended");
+            stepDown("the lease expired");
             return;
         }
         renewLater(renewedLeaseId);
