--- a/src/main/java/io/kitepath/core/scaling/JobDemand.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleOutPlanner.java
@@ -12,7 +12,7 @@
  * Packs waiting jobs onto the room that will be free by the time a new machine could be up, and
  * rents machines for what does not fit.
  */
-final class JobDemand {
+final class ScaleOutPlanner {
     /** Leases in which an array whose class has no objective should be done. */
     private static final double DEFAULT_FINISH_LEASES = 10;
 
@@ -30,7 +30,7 @@
     /** The room that is left; what is rented for a job has room for those after it. */
     private final List<FreeCapacity> capacities;
 
-    JobDemand(
+    ScaleOutPlanner(
             ShardState shard,
             InstanceSelection instanceSelection,
             CapacitySurvey survey,
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -68,8 +68,8 @@
         instanceSelection.countMachines();
         CapacitySurvey survey = new CapacitySurvey(shard, machineLiveness, now);
         RentalPlan rentals = new RentalPlan(shard, instanceSelection, now);
-        JobDemand demand =
-                new JobDemand(shard, instanceSelection, survey, rentals, now, wallMillis);
+        ScaleOutPlanner demand =
+                new ScaleOutPlanner(shard, instanceSelection, survey, rentals, now, wallMillis);
         double maxOrderAge = settings.workers().heartbeatIntervalSeconds() / ORDER_AGE_DIVISOR;
         List<Job> queue = scheduler.orderedJobs(now, wallMillis, maxOrderAge);
         queue.forEach(demand::planForJob);
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -22,7 +22,7 @@
  * <p>This class is the one that others use. The concerns behind it are in classes of their own:
  * {@link JobTasks} (the state of each task), {@link JobAttempts} (what is on machines), {@link
  * JobParts} and {@link PartRecord} (what differs from the records, and their form), {@link
- * JobLoans} (tasks lent to other cells) and {@link JobDemand} (priority, deadlines and start
+ * JobLoans} (tasks lent to other cells) and {@link ScaleOutPlanner} (priority, deadlines and start
  * goals).
  *
  * <p>Not thread safe: it belongs to the event loop of the shard.
@@ -77,7 +77,7 @@
     /** A dependency was cancelled, so this job has to be cancelled too. */
     boolean hasCancelledDependency;
 
-    final JobDemand demand;
+    final JobStartGoals demand;
 
     /** Past all its objectives; set once, when that is counted. */
     boolean hasMissedAllGoals;
@@ -143,7 +143,7 @@
         this.revision = revision;
         this.borrowed = borrowed;
         this.tasks = new JobTasks(spec.taskCount(), liveAttempts);
-        this.demand = new JobDemand(spec, submittedMillis, startWithinSeconds);
+        this.demand = new JobStartGoals(spec, submittedMillis, startWithinSeconds);
         this.parts = new JobParts(this, tasksPerPart);
     }
 
--- a/src/main/java/io/kitepath/core/shard/JobDemand.java
+++ b/src/main/java/io/kitepath/core/shard/JobStartGoals.java
@@ -9,7 +9,7 @@
  * Since when a job may start, by when it should, and its priority, as it is by itself and as the
  * jobs that depend on it ask.
  */
-final class JobDemand {
+final class JobStartGoals {
     private final JobSpec spec;
     private final double submittedMillis;
     private double eligibleSinceMillis;
@@ -23,7 +23,7 @@
      * @param startWithinSeconds within what time after its submission the job has to start to meet
      *     each of its objectives
      */
-    JobDemand(JobSpec spec, double submittedMillis, double[] startWithinSeconds) {
+    JobStartGoals(JobSpec spec, double submittedMillis, double[] startWithinSeconds) {
         this.spec = spec;
         this.submittedMillis = submittedMillis;
         this.eligibleSinceMillis = submittedMillis;
