--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -6,139 +6,61 @@
 import io.kitepath.core.model.CellMessage.LoanSettled;
 import io.kitepath.core.model.CellMessage.LoanState;
 import io.kitepath.core.model.CellMessage.LoanStatus;
-import io.kitepath.core.model.DocumentReader;
 import io.kitepath.core.model.InvalidInputException;
-import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.port.Timers;
 import io.kitepath.core.shard.Job;
 import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StateLoader;
 import io.kitepath.core.state.StateWriter;
 import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
-import java.util.Base64;
 import java.util.BitSet;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
-import java.util.Random;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The other side of loans: what this cell has taken from others. A loan is written before anything
- * of it is placed, its end is written before it is said, and it is forgotten once its home has
- * written that too. An offer that comes twice finds the record of the first; one that comes after
- * the end finds its number void.
+ * The borrower's side of loans: tasks of other cells' jobs that this cell has accepted. A loan is
+ * recorded before any of its tasks is placed, its end is recorded before its home is told, and its
+ * record is removed once the home has recorded the end too. A repeated offer finds the record of
+ * the first; one that arrives after the end finds its number void. {@link LentTasks} is the home's
+ * side; docs/cells.md describes the protocol.
  */
 final class BorrowedTasks {
     private static final Logger LOG = LoggerFactory.getLogger(BorrowedTasks.class);
 
-    /** One loan, as its record says and beyond. */
-    private static final class BorrowedLoan {
-        final String home;
-        final long number;
-        final JobSpec spec;
-        final double submittedMs;
-        final int firstTask;
-        final int endTask;
-        final double borrowedAt;
-        LoanState state = LoanState.TAKEN;
-        byte[] done = new byte[0];
-        long nextAttempt;
-        long revision;
-        Job job;
-
-        /** Its end is being written. */
-        boolean ending;
-
-        boolean settled;
-        boolean forgetting;
-        boolean reporting;
-        int unansweredReports;
-        double reportedAt = Double.NEGATIVE_INFINITY;
-
-        BorrowedLoan(
-                String home,
-                long number,
-                JobSpec spec,
-                double submittedMs,
-                int from,
-                int until,
-                long next,
-                double since) {
-            this.home = home;
-            this.number = number;
-            this.spec = spec;
-            this.submittedMs = submittedMs;
-            this.firstTask = from;
-            this.endTask = until;
-            this.nextAttempt = next;
-            this.borrowedAt = since;
-        }
-
-        String key() {
-            return StoreKeys.borrowedTasksKey(home, number);
-        }
-
-        Map<String, Object> record() {
-            Map<String, Object> m = new LinkedHashMap<>();
-            m.put("job", spec.id());
-            m.put("home", home);
-            m.put("number", number);
-            m.put("spec", spec.toRecord());
-            m.put("submittedMs", submittedMs);
-            m.put("from", (long) firstTask);
-            m.put("until", (long) endTask);
-            m.put("next", nextAttempt);
-            m.put("standing", state.name());
-            m.put("done", Base64.getEncoder().encodeToString(done));
-            return m;
-        }
-    }
+    /** Delay after the first report of an end that has no answer. */
+    private static final double FIRST_REPORT_DELAY_SECONDS = 0.5;
 
-    private final String ownCell;
+    private final CellContext context;
     private final ShardState shard;
-    private final Consumer<StateWriter.BatchContributor> batchQueue;
-    private final Timers timers;
-    private final CellQuery cellQuery;
-    private final Random random;
 
-    /** By key. */
+    /** By the key of its record. */
     private final Map<String, BorrowedLoan> loans = new LinkedHashMap<>();
 
-    private final Map<String, SequenceNumbers> numbers = new HashMap<>();
+    private final VoidedNumbers voidedNumbers = new VoidedNumbers("");
 
-    /** Offers and recalls whose answer is being written, by key. */
-    private final Map<String, List<Consumer<CellMessage>>> pendingReplies = new HashMap<>();
+    /** Offers and recalls, by the key of the loan's record. */
+    private final PendingReplies<String> pendingReplies = new PendingReplies<>();
 
     private boolean isDraining;
     private long loansTaken;
     private long loansRefused;
 
-    BorrowedTasks(
-            String own,
-            ShardState shard,
-            Consumer<StateWriter.BatchContributor> riding,
-            Timers timers,
-            CellQuery asking,
-            Random random) {
-        this.ownCell = own;
-        this.shard = shard;
-        this.batchQueue = riding;
-        this.timers = timers;
-        this.cellQuery = asking;
-        this.random = random;
+    BorrowedTasks(CellContext context) {
+        this.context = context;
+        this.shard = context.shard();
     }
 
+    /** Loans accepted since this node started. */
     long loansTaken() {
         return loansTaken;
     }
 
+    /** Offers refused since this node started. */
     long loansRefused() {
         return loansRefused;
     }
@@ -146,198 +68,238 @@
     /** Tasks of other cells that are this one's to run. */
     long borrowedTaskCount() {
         return loans.values().stream()
-                .filter(borrowed -> borrowed.state == LoanState.TAKEN)
-                .mapToLong(borrowed -> borrowed.endTask - borrowed.firstTask)
+                .filter(loan -> loan.state == LoanState.TAKEN)
+                .mapToLong(BorrowedLoan::taskCount)
                 .sum();
     }
 
-    /** Whether the cell takes nothing more, and gives back what has not begun. */
-    void setDraining(boolean so) {
-        isDraining = so;
+    /** Whether the cell accepts no more loans, and gives back those of which nothing has begun. */
+    void setDraining(boolean draining) {
+        isDraining = draining;
     }
 
     boolean isDraining() {
         return isDraining;
     }
 
-    // ---- what a new holder reads ----------------------------------------------------------------
+    // ---- recovery after a change of leader ------------------------------------------------------
 
+    /**
+     * Replaces everything by what the store contains.
+     *
+     * @param now in seconds on the steady clock
+     */
     void restore(StateLoader.LoadedState found, double now) {
         loans.clear();
-        numbers.clear();
         pendingReplies.clear();
-        for (Entry entry : found.voidedNumbers()) {
-            numbers.put(
-                    entry.key().substring(StoreKeys.VOIDED_NUMBERS.length()),
-                    SequenceNumbers.read(entry.value(), entry.revision()));
-        }
+        voidedNumbers.restore(found.voidedNumbers());
         for (Entry entry : found.borrowedTasks()) {
             try {
                 restore(entry, now);
-            } catch (InvalidInputException | IllegalArgumentException bad) {
-                LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
+            } catch (InvalidInputException | IllegalArgumentException invalid) {
+                LOG.error("record unreadable key={}: {}", entry.key(), invalid.getMessage());
             }
         }
     }
 
     private void restore(Entry entry, double now) {
-        DocumentReader document = DocumentReader.of(entry.value());
-        JobSpec spec = JobSpec.fromRecord(document.text("job"), document.raw("spec"));
-        BorrowedLoan borrowed =
-                new BorrowedLoan(
-                        document.text("home"),
-                        document.count("number"),
-                        spec,
-                        document.number("submittedMs", 0),
-                        (int) document.integer("from", 0, spec.taskCount()),
-                        (int) document.integer("until", 0, spec.taskCount()),
-                        document.count("next"),
-                        now);
-        borrowed.state = LoanState.valueOf(document.text("standing"));
-        borrowed.done = Base64.getDecoder().decode(document.text("done"));
-        borrowed.revision = entry.revision();
-        loans.put(borrowed.key(), borrowed);
-        Job job = job(borrowed);
-        borrowed.job = job;
-        if (borrowed.state == LoanState.TAKEN) {
-            shard.addJob(job);
+        BorrowedLoan loan = BorrowedLoan.fromEntry(entry, now);
+        loans.put(loan.key(), loan);
+        loan.job = newJob(loan);
+        if (loan.state == LoanState.TAKEN) {
+            shard.addJob(loan.job);
         } else {
-            shard.addFinishedJob(job);
+            shard.addFinishedJob(loan.job);
         }
     }
 
-    private Job job(BorrowedLoan borrowed) {
+    private Job newJob(BorrowedLoan loan) {
+        LoanOffer offer = loan.offer;
         Job job =
                 Job.borrowed(
-                        borrowed.spec,
-                        borrowed.submittedMs,
-                        shard.settings().startDeadlinesSeconds(borrowed.spec),
-                        borrowed.key(),
-                        borrowed.revision,
+                        offer.spec(),
+                        offer.submittedMillis(),
+                        shard.settings().startDeadlinesSeconds(offer.spec()),
+                        loan.key(),
+                        loan.revision,
                         shard.tasksPerPart(),
-                        borrowed.firstTask,
-                        borrowed.endTask);
-        job.raiseNextAttempt(borrowed.nextAttempt);
+                        offer.firstTask(),
+                        offer.endTask());
+        job.raiseNextAttempt(loan.nextAttempt);
         return job;
     }
 
-    private SequenceNumbers numbers(String home, long floor) {
-        SequenceNumbers n = numbers.computeIfAbsent(home, key -> new SequenceNumbers());
-        n.raiseFloor(floor);
-        return n;
+    private SequenceNumbers raiseFloor(String home, long lowestOpenNumber) {
+        SequenceNumbers numbers = voidedNumbers.of(home);
+        numbers.raiseFloor(lowestOpenNumber);
+        return numbers;
     }
 
-    private LoanStatus statusOf(BorrowedLoan borrowed) {
-        return new LoanStatus(
-                ownCell, borrowed.number, borrowed.state, borrowed.done, borrowed.nextAttempt);
+    private LoanStatus statusOf(BorrowedLoan loan) {
+        return loan.statusFrom(context.ownCell());
     }
 
     private LoanStatus voidStatus(long number) {
-        return new LoanStatus(ownCell, number, LoanState.VOID, new byte[0], 0);
+        return new LoanStatus(context.ownCell(), number, LoanState.VOID, new byte[0], 0);
     }
 
-    // ---- what homes say -------------------------------------------------------------------------
+    // ---- messages of homes ----------------------------------------------------------------------
 
-    /** {@code roomFor}: whether such work is welcome. */
-    void onOffer(LoanOffer offer, boolean roomFor, Consumer<CellMessage> answer) {
+    /**
+     * Answers an offer, as a rule once the answer is recorded.
+     *
+     * @param hasRoom whether the cell has machines free for such tasks
+     * @param reply gets the loan's status, or null if the offer should be repeated later
+     */
+    void onOffer(LoanOffer offer, boolean hasRoom, Consumer<CellMessage> reply) {
         String key = StoreKeys.borrowedTasksKey(offer.homeCell(), offer.loanNumber());
         BorrowedLoan known = loans.get(key);
-        SequenceNumbers numbers = numbers(offer.homeCell(), offer.lowestOpenNumber());
+        SequenceNumbers numbers = raiseFloor(offer.homeCell(), offer.lowestOpenNumber());
         if (known != null) {
-            answer.accept(known.ending ? null : statusOf(known));
+            reply.accept(known.isEnding ? null : statusOf(known));
         } else if (numbers.isVoid(offer.loanNumber())) {
-            answer.accept(voidStatus(offer.loanNumber()));
-        } else if (pendingReplies.containsKey(key)) {
-            pendingReplies.get(key).add(answer);
+            reply.accept(voidStatus(offer.loanNumber()));
+        } else if (pendingReplies.contains(key)) {
+            pendingReplies.add(key, reply);
         } else if (numbers.isFull() || shard.jobs().containsKey(offer.spec().id())) {
-            // Something of it is still being cleared away here; asked again, there will be an
-            // answer.
-            answer.accept(null);
-        } else if (!roomFor || isDraining) {
+            // Records of an earlier loan are still being removed here; a repeated offer will get
+            // an answer.
+            reply.accept(null);
+        } else if (!hasRoom || isDraining) {
             loansRefused++;
-            recordVoid(offer.homeCell(), offer.loanNumber(), answer);
+            recordVoid(offer.homeCell(), offer.loanNumber(), reply);
         } else {
-            accept(offer, key, answer);
+            pendingReplies.add(key, reply);
+            BorrowedLoan loan = new BorrowedLoan(offer, context.timers().nowSeconds());
+            context.batchQueue().accept(new AcceptLoan(loan));
         }
     }
 
-    private void accept(LoanOffer offer, String key, Consumer<CellMessage> answer) {
-        BorrowedLoan borrowed =
-                new BorrowedLoan(
-                        offer.homeCell(),
-                        offer.loanNumber(),
-                        offer.spec(),
-                        offer.submittedMillis(),
-                        offer.firstTask(),
-                        offer.endTask(),
-                        offer.nextAttempt(),
-                        timers.nowSeconds());
-        pendingReplies.put(key, new ArrayList<>(List.of(answer)));
-        batchQueue.accept(
-                new StateWriter.BatchContributor() {
-                    @Override
-                    public boolean isStillWanted() {
-                        return true;
-                    }
-
-                    @Override
-                    public void contributeTo(Store.Transaction transaction) {
-                        transaction
-                                .requireRevision(key, 0)
-                                .requireRevision(
-                                        StoreKeys.VOIDED_NUMBERS + borrowed.home,
-                                        numbers(borrowed.home, 0).revision())
-                                .put(key, borrowed.record());
-                    }
-
-                    @Override
-                    public void onCommitted(long revision) {
-                        borrowed.revision = revision;
-                        loansTaken++;
-                        loans.put(key, borrowed);
-                        borrowed.job = job(borrowed);
-                        shard.addJob(borrowed.job);
-                        LOG.info(
-                                "takes {} tasks of {} from {} on, of cell {} as {}",
-                                borrowed.endTask - borrowed.firstTask,
-                                borrowed.spec.id(),
-                                borrowed.firstTask,
-                                borrowed.home,
-                                borrowed.number);
-                        reply(key, statusOf(borrowed));
-                    }
-                });
+    /** Answers a recall: with the loan's status once it is over, with null as long as it is not. */
+    void onRecall(LoanRecall recall, Consumer<CellMessage> reply) {
+        String key = StoreKeys.borrowedTasksKey(recall.homeCell(), recall.loanNumber());
+        BorrowedLoan loan = loans.get(key);
+        SequenceNumbers numbers = raiseFloor(recall.homeCell(), recall.lowestOpenNumber());
+        if (loan != null) {
+            recall(loan, recall.kill(), reply);
+        } else if (numbers.isVoid(recall.loanNumber())) {
+            reply.accept(voidStatus(recall.loanNumber()));
+        } else if (pendingReplies.contains(key) || numbers.isFull()) {
+            reply.accept(null); // An offer is just being accepted.
+        } else {
+            recordVoid(recall.homeCell(), recall.loanNumber(), reply);
+        }
     }
 
-    private void reply(String key, CellMessage with) {
-        List<Consumer<CellMessage>> who = pendingReplies.remove(key);
-        if (who != null) {
-            who.forEach(x -> x.accept(with));
+    private void recall(BorrowedLoan loan, boolean kill, Consumer<CellMessage> reply) {
+        if (loan.isEnding) {
+            // Its end is not committed yet, and a crash would take the answer back.
+            reply.accept(null);
+        } else if (loan.state != LoanState.TAKEN) {
+            reply.accept(statusOf(loan));
+        } else if (kill || loan.job.liveAttempts().isEmpty()) {
+            pendingReplies.add(loan.key(), reply);
+            LoanState unfinished = kill ? LoanState.KILLED : LoanState.BACK;
+            beginEnd(loan, loan.job.areAllTasksDone() ? LoanState.DONE : unfinished);
+        } else {
+            reply.accept(null);
         }
     }
 
+    private void reply(String key, LoanStatus status) {
+        pendingReplies.complete(key, () -> status);
+    }
+
     /**
-     * Nothing was taken under that number, and from now on nothing can be: only then the home is
-     * told so.
+     * Records that the number is void. Nothing was accepted under it, and the home may be told so
+     * only when nothing can be any more.
      */
-    private void recordVoid(String home, long number, Consumer<CellMessage> answer) {
+    private void recordVoid(String home, long number, Consumer<CellMessage> reply) {
         String key = StoreKeys.borrowedTasksKey(home, number);
-        pendingReplies.put(key, new ArrayList<>(List.of(answer)));
-        batchQueue.accept(new VoidNumber(home, number, null, () -> reply(key, voidStatus(number))));
+        pendingReplies.add(key, reply);
+        context.batchQueue()
+                .accept(new VoidNumber(home, number, () -> reply(key, voidStatus(number))));
     }
 
-    /** Writes that a number is void, and forgets the loan that was taken under it, if one was. */
-    private final class VoidNumber implements StateWriter.BatchContributor {
-        private final String home;
-        private final long number;
-        private final BorrowedLoan borrowed;
-        private final Runnable then;
+    // ---- ends -----------------------------------------------------------------------------------
 
-        VoidNumber(String home, long number, BorrowedLoan borrowed, Runnable then) {
-            this.home = home;
-            this.number = number;
-            this.borrowed = borrowed;
-            this.then = then;
+    /** From now on none of its tasks is placed; those that run are stopped only if it is killed. */
+    private void beginEnd(BorrowedLoan loan, LoanState finalState) {
+        loan.isEnding = true;
+        loan.job.requestCancel();
+        if (finalState == LoanState.KILLED) {
+            new ArrayList<>(loan.job.liveAttempts().values())
+                    .forEach(attempt -> shard.stopAttempt(attempt, 0));
+        }
+        context.batchQueue().accept(new EndLoan(loan, finalState));
+    }
+
+    /**
+     * Ends, reports and forgets loans as far as that is due.
+     *
+     * @param now in seconds on the steady clock
+     */
+    void reconcile(double now) {
+        for (BorrowedLoan loan : new ArrayList<>(loans.values())) {
+            if (loan.isEnding) {
+                continue;
+            }
+            if (loan.state == LoanState.TAKEN) {
+                endIfDue(loan, now);
+            } else if (!loan.isSettled) {
+                reportEnd(loan, now);
+            } else {
+                forgetIfUnused(loan);
+            }
+        }
+    }
+
+    private void endIfDue(BorrowedLoan loan, double now) {
+        if (loan.job.areAllTasksDone()) {
+            beginEnd(loan, LoanState.DONE);
+            return;
+        }
+        // After a lease in which none of its tasks was placed, its home had better try elsewhere.
+        boolean isOverdue = isDraining || now - loan.borrowedAt > context.leaseSeconds();
+        if (loan.job.liveAttempts().isEmpty() && isOverdue) {
+            beginEnd(loan, LoanState.BACK);
+        }
+    }
+
+    private void reportEnd(BorrowedLoan loan, double now) {
+        if (!loan.report.tryBegin(now, FIRST_REPORT_DELAY_SECONDS, context)) {
+            return;
+        }
+        context.cellQuery()
+                .ask(
+                        loan.home(),
+                        statusOf(loan),
+                        answer -> {
+                            loan.report.onAnswer();
+                            if (answer instanceof LoanSettled settled
+                                    && settled.loanNumber() == loan.number()) {
+                                loan.isSettled = true;
+                                raiseFloor(loan.home(), settled.lowestOpenNumber());
+                            }
+                        });
+    }
+
+    /** Removes the loan's record when nothing of its job is left in the records of job parts. */
+    private void forgetIfUnused(BorrowedLoan loan) {
+        if (!loan.isBeingForgotten && shard.jobs().get(loan.jobId()) != loan.job) {
+            loan.isBeingForgotten = true;
+            context.batchQueue().accept(new ForgetLoan(loan));
+        }
+    }
+
+    // ---- writes ---------------------------------------------------------------------------------
+
+    /** Records an accepted loan; after that its tasks may be placed. */
+    private final class AcceptLoan implements StateWriter.BatchContributor {
+        private final BorrowedLoan loan;
+
+        AcceptLoan(BorrowedLoan loan) {
+            this.loan = loan;
         }
 
         @Override
@@ -347,158 +309,113 @@
 
         @Override
         public void contributeTo(Store.Transaction transaction) {
-            SequenceNumbers numbers = numbers(home, 0);
-            numbers.add(number);
-            // Two of these in one transaction write the same record: the last one has it all.
-            transaction.requireRevision(StoreKeys.VOIDED_NUMBERS + home, numbers.revision());
-            transaction
-                    .writes()
-                    .removeIf(write -> write.key().equals(StoreKeys.VOIDED_NUMBERS + home));
-            transaction.put(StoreKeys.VOIDED_NUMBERS + home, numbers.record());
-            if (borrowed != null) {
-                transaction
-                        .requireRevision(borrowed.key(), borrowed.revision)
-                        .remove(borrowed.key());
-            }
+            transaction.requireRevision(loan.key(), 0);
+            voidedNumbers.requireUnchanged(transaction, loan.home());
+            transaction.put(loan.key(), loan.toRecord());
         }
 
         @Override
         public void onCommitted(long revision) {
-            numbers(home, 0).recorded(revision);
-            if (borrowed != null) {
-                loans.remove(borrowed.key());
-            }
-            then.run();
+            loan.revision = revision;
+            loansTaken++;
+            loans.put(loan.key(), loan);
+            loan.job = newJob(loan);
+            shard.addJob(loan.job);
+            LOG.info(
+                    "loan accepted loan={} home={} job={} firstTask={} tasks={}",
+                    loan.number(),
+                    loan.home(),
+                    loan.jobId(),
+                    loan.offer.firstTask(),
+                    loan.taskCount());
+            reply(loan.key(), statusOf(loan));
         }
     }
 
-    void onRecall(LoanRecall r, Consumer<CellMessage> answer) {
-        String key = StoreKeys.borrowedTasksKey(r.homeCell(), r.loanNumber());
-        BorrowedLoan borrowed = loans.get(key);
-        SequenceNumbers numbers = numbers(r.homeCell(), r.lowestOpenNumber());
-        if (borrowed != null && borrowed.ending) {
-            // Its end is not written yet. Guards against a word that a crash would take back.
-            answer.accept(null);
-        } else if (borrowed != null && borrowed.state != LoanState.TAKEN) {
-            answer.accept(statusOf(borrowed));
-        } else if (borrowed != null) {
-            if (r.kill() || borrowed.job.liveAttempts().isEmpty()) {
-                pendingReplies.computeIfAbsent(key, k -> new ArrayList<>()).add(answer);
-                beginEnd(
-                        borrowed,
-                        borrowed.job.areAllTasksDone()
-                                ? LoanState.DONE
-                                : r.kill() ? LoanState.KILLED : LoanState.BACK);
-            } else {
-                answer.accept(null);
-            }
-        } else if (numbers.isVoid(r.loanNumber())) {
-            answer.accept(voidStatus(r.loanNumber()));
-        } else if (pendingReplies.containsKey(key) || numbers.isFull()) {
-            answer.accept(null); // An offer is just being taken.
-        } else {
-            recordVoid(r.homeCell(), r.loanNumber(), answer);
+    /** Records a loan's final state; after that its home may be told. */
+    private final class EndLoan implements StateWriter.BatchContributor {
+        private final BorrowedLoan loan;
+        private final LoanState finalState;
+
+        EndLoan(BorrowedLoan loan, LoanState finalState) {
+            this.loan = loan;
+            this.finalState = finalState;
         }
-    }
 
-    // ---- ends -----------------------------------------------------------------------------------
+        @Override
+        public boolean isStillWanted() {
+            return loans.get(loan.key()) == loan;
+        }
 
-    /**
-     * From now on nothing more of it is placed here; what is on machines ends if the loan was
-     * stopped for good.
-     */
-    private void beginEnd(BorrowedLoan borrowed, LoanState as) {
-        borrowed.ending = true;
-        borrowed.job.requestCancel();
-        if (as == LoanState.KILLED) {
-            new ArrayList<>(borrowed.job.liveAttempts().values())
-                    .forEach(attempt -> shard.stopAttempt(attempt, 0));
+        @Override
+        public void contributeTo(Store.Transaction transaction) {
+            loan.state = finalState;
+            loan.doneTasks = loan.job.doneBitsOf(loan.offer.firstTask(), loan.offer.endTask());
+            loan.nextAttempt = loan.job.nextAttempt();
+            transaction.requireRevision(loan.key(), loan.revision).put(loan.key(), loan.toRecord());
+        }
+
+        @Override
+        public void onCommitted(long revision) {
+            loan.isEnding = false;
+            loan.revision = revision;
+            shard.finishJob(loan.jobId());
+            LOG.info(
+                    "loan ended loan={} home={} job={} state={} doneTasks={} tasks={}",
+                    loan.number(),
+                    loan.home(),
+                    loan.jobId(),
+                    finalState,
+                    BitSet.valueOf(loan.doneTasks).cardinality(),
+                    loan.taskCount());
+            reply(loan.key(), statusOf(loan));
+            reportEnd(loan, context.timers().nowSeconds());
         }
-        batchQueue.accept(
-                new StateWriter.BatchContributor() {
-                    @Override
-                    public boolean isStillWanted() {
-                        return loans.get(borrowed.key()) == borrowed;
-                    }
-
-                    @Override
-                    public void contributeTo(Store.Transaction transaction) {
-                        borrowed.state = as;
-                        borrowed.done =
-                                borrowed.job.doneBitsOf(borrowed.firstTask, borrowed.endTask);
-                        borrowed.nextAttempt = borrowed.job.nextAttempt();
-                        transaction
-                                .requireRevision(borrowed.key(), borrowed.revision)
-                                .put(borrowed.key(), borrowed.record());
-                    }
-
-                    @Override
-                    public void onCommitted(long revision) {
-                        borrowed.ending = false;
-                        borrowed.revision = revision;
-                        shard.finishJob(borrowed.spec.id());
-                        LOG.info(
-                                "loan {} of cell {} is over: {}, {} of {} tasks of {} done",
-                                borrowed.number,
-                                borrowed.home,
-                                as,
-                                BitSet.valueOf(borrowed.done).cardinality(),
-                                borrowed.endTask - borrowed.firstTask,
-                                borrowed.spec.id());
-                        reply(borrowed.key(), statusOf(borrowed));
-                        reportStatus(borrowed, timers.nowSeconds());
-                    }
-                });
     }
 
-    /** Everything that has to be said, written or given back now. */
-    void reconcile(double now) {
-        double lease = shard.settings().workers().leaseSeconds();
-        for (BorrowedLoan borrowed : new ArrayList<>(loans.values())) {
-            if (borrowed.ending) {
-                continue;
-            }
-            if (borrowed.state != LoanState.TAKEN) {
-                if (!borrowed.settled) {
-                    reportStatus(borrowed, now);
-                } else if (!borrowed.forgetting
-                        && shard.jobs().get(borrowed.spec.id()) != borrowed.job) {
-                    borrowed.forgetting = true; // Nothing of it is left in the records of parts.
-                    batchQueue.accept(
-                            new VoidNumber(borrowed.home, borrowed.number, borrowed, () -> {}));
-                }
-            } else if (borrowed.job.areAllTasksDone()) {
-                beginEnd(borrowed, LoanState.DONE);
-            } else if (borrowed.job.liveAttempts().isEmpty()
-                    && (isDraining || now - borrowed.borrowedAt > lease)) {
-                beginEnd(
-                        borrowed,
-                        LoanState.BACK); // Nothing of it was placed for so long that its home had
-                // better try elsewhere.
-            }
+    /** Records that nothing can be accepted under a number any more. */
+    private class VoidNumber implements StateWriter.BatchContributor {
+        private final String home;
+        private final long number;
+        private final Runnable afterCommit;
+
+        VoidNumber(String home, long number, Runnable afterCommit) {
+            this.home = home;
+            this.number = number;
+            this.afterCommit = afterCommit;
+        }
+
+        @Override
+        public boolean isStillWanted() {
+            return true;
+        }
+
+        @Override
+        public void contributeTo(Store.Transaction transaction) {
+            voidedNumbers.of(home).add(number);
+            voidedNumbers.contributeTo(transaction, home);
+        }
+
+        @Override
+        public void onCommitted(long revision) {
+            voidedNumbers.onCommitted(home, revision);
+            afterCommit.run();
         }
     }
 
-    private void reportStatus(BorrowedLoan borrowed, double now) {
-        double mostS = shard.settings().workers().leaseSeconds();
-        if (borrowed.reporting
-                || now - borrowed.reportedAt
-                        < RetryBackoff.delaySeconds(
-                                borrowed.unansweredReports, 0.5, mostS, random)) {
-            return;
+    /** Makes the number of a loan void and removes the loan's record, in one transaction. */
+    private final class ForgetLoan extends VoidNumber {
+        private final BorrowedLoan loan;
+
+        ForgetLoan(BorrowedLoan loan) {
+            super(loan.home(), loan.number(), () -> loans.remove(loan.key()));
+            this.loan = loan;
+        }
+
+        @Override
+        public void contributeTo(Store.Transaction transaction) {
+            super.contributeTo(transaction);
+            transaction.requireRevision(loan.key(), loan.revision).remove(loan.key());
         }
-        borrowed.reporting = true;
-        borrowed.reportedAt = now;
-        borrowed.unansweredReports++;
-        cellQuery.ask(
-                borrowed.home,
-                statusOf(borrowed),
-                answer -> {
-                    borrowed.reporting = false;
-                    if (answer instanceof LoanSettled s && s.loanNumber() == borrowed.number) {
-                        borrowed.settled = true;
-                        numbers(borrowed.home, s.lowestOpenNumber());
-                    }
-                });
     }
 }
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -104,33 +104,17 @@
         this.localSummary = new LocalSummary(shard);
         this.workOffloading =
                 new WorkOffloading(shard.settings(), shard.machineTypes(), zones, random);
-        this.lentTasks =
-                new LentTasks(
-                        cellDirectory.ownCellName(),
-                        shard,
-                        riding,
-                        timers,
-                        cellMembership,
-                        workOffloading,
-                        this::askHolder,
-                        random,
-                        node::cancelled);
-        this.borrowedTasks =
-                new BorrowedTasks(
-                        cellDirectory.ownCellName(),
-                        shard,
-                        riding,
-                        timers,
-                        this::askHolder,
-                        random);
-        this.quotaShares =
-                new QuotaShares(
+        CellContext context =
+                new CellContext(
                         cellDirectory.ownCellName(),
                         shard,
                         riding,
                         timers,
                         this::askHolder,
                         random);
+        this.lentTasks = new LentTasks(context, cellMembership, workOffloading, node::cancelled);
+        this.borrowedTasks = new BorrowedTasks(context);
+        this.quotaShares = new QuotaShares(context);
         shard.quotaUsage().setLimits(quotaShares);
         setDraining(cellDirectory.ownCell().isDraining());
         this.homeAssignment = new HomeAssignment(cellDirectory, store, timers);
@@ -346,14 +330,14 @@
 
     @Override
     public void cancellationRequestChanged(Entry entry) {
-        lentTasks.cancelling(entry);
+        lentTasks.onCancellationRequestChanged(entry);
     }
 
     /** The store has it that the job is done. */
     public void jobDone(String id) {
         Job job = shard.jobs().get(id);
         if (job != null) {
-            lentTasks.over(job);
+            lentTasks.onJobDone(job);
         }
     }
 
@@ -395,7 +379,7 @@
                 "cells.shares.under.way",
                 Metric.gauge(
                         "parts given that are not known to have arrived",
-                        quotaShares::amountInTransit));
+                        quotaShares::grantsInTransit));
         f.put(
                 "cells.messages",
                 Metric.counter("messages sent to other cells by the holder", () -> messages));
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -11,7 +11,6 @@
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.port.Store;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.port.Timers;
 import io.kitepath.core.shard.Job;
 import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.shard.TaskLoan;
@@ -20,77 +19,62 @@
 import io.kitepath.core.state.StoreKeys;
 import java.util.ArrayList;
 import java.util.BitSet;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Random;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The home's side of loans. A loan is written before it is offered, offered until the other cell's
- * store has an answer, and its tasks are ours again, or done, only by that answer. Its number is
- * never given twice: it holds the holder's token, and counts up under it. docs/cells.md has the
- * states and every crash between two writes.
+ * The home's side of loans. A loan is recorded before it is offered, and offered until the other
+ * cell's store has an answer; only by that answer are its tasks the home's to place again, or done.
+ * Its number is never given twice ({@link FencedSequence}). {@link BorrowedTasks} is the borrower's
+ * side; docs/cells.md has the states and every crash between two writes.
  */
 final class LentTasks {
     private static final Logger LOG = LoggerFactory.getLogger(LentTasks.class);
 
-    /** Loans under one token. */
-    private static final int SEQUENCE_BITS = 20;
+    /** Delay after the first offer or recall that has no answer. */
+    private static final double FIRST_QUERY_DELAY_SECONDS = 1;
 
-    /** What of this the rest of the cell has to know. */
-    interface Listener {
-        /** Our store has it that the job, part of which was lent, is cancelled. */
-        void cancelled(JobStatus job);
-    }
+    /** Leases between two queries about a loan that the other cell has accepted. */
+    private static final double ACCEPTED_QUERY_LEASES = 2;
 
-    private final String ownCell;
+    private final CellContext context;
     private final ShardState shard;
-    private final Consumer<StateWriter.BatchContributor> batchQueue;
-    private final Timers timers;
     private final CellMembership cellMembership;
     private final WorkOffloading workOffloading;
-    private final CellQuery cellQuery;
-    private final Random random;
-    private final Listener listener;
-    private long sequence;
-    private long loansMade;
-    private long loansReturned;
+    private final JobCancellations cancellations;
+    private final FencedSequence loanNumbers;
 
-    /** By number: who waits to hear that its end is written. */
-    private final Map<Long, List<Consumer<CellMessage>>> waiting = new HashMap<>();
+    /** Final statuses, by the loan's number. */
+    private final PendingReplies<Long> pendingReplies = new PendingReplies<>();
 
-    /** Jobs whose cancellation is under way, and the revision of the record that says so. */
-    private final Map<String, Long> cancelling = new HashMap<>();
+    private long loansMade;
+    private long loansReturned;
 
+    /**
+     * {@code onCancelled} is called when the store has it that a job of which a part was lent is
+     * cancelled.
+     */
     LentTasks(
-            String own,
-            ShardState shard,
-            Consumer<StateWriter.BatchContributor> riding,
-            Timers timers,
+            CellContext context,
             CellMembership cellMembership,
             WorkOffloading workOffloading,
-            CellQuery asking,
-            Random random,
-            Listener listener) {
-        this.ownCell = own;
-        this.shard = shard;
-        this.batchQueue = riding;
-        this.timers = timers;
+            Consumer<JobStatus> onCancelled) {
+        this.context = context;
+        this.shard = context.shard();
         this.cellMembership = cellMembership;
         this.workOffloading = workOffloading;
-        this.cellQuery = asking;
-        this.random = random;
-        this.listener = listener;
+        this.cancellations = new JobCancellations(context, onCancelled);
+        this.loanNumbers = new FencedSequence(shard);
     }
 
-    /** Loans made and loans that came to an end, since this node started. */
+    /** Loans made since this node started. */
     long loansMade() {
         return loansMade;
     }
 
+    /** Loans that came to an end since this node started. */
     long loansReturned() {
         return loansReturned;
     }
@@ -104,67 +88,55 @@
                 .sum();
     }
 
-    // ---- what a new holder reads ----------------------------------------------------------------
+    // ---- recovery after a change of leader ------------------------------------------------------
 
+    /**
+     * Replaces everything by what the store contains.
+     *
+     * @param now in seconds on the steady clock
+     */
     void restore(StateLoader.LoadedState found, double now) {
-        waiting.clear();
-        cancelling.clear();
+        pendingReplies.clear();
         for (Entry entry : found.lentTasks()) {
             Job job = shard.jobs().get(entry.key().substring(StoreKeys.LENT_TASKS.length()));
-            if (job == null) {
-                continue; // Came after the list of open jobs was read; everything is read once
-                // more.
-            }
-            try {
-                TaskLoan.fromRecord(entry.value(), now).forEach(job::lend);
-                job.setLoansRevision(entry.revision());
-            } catch (InvalidInputException invalid) {
-                // Nothing of a job whose loans can't be told may be placed.
-                job.requestCancel();
-                LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
+            if (job != null) {
+                restore(job, entry, now);
             }
+            // Otherwise the record was written after the list of open jobs was read: everything is
+            // read once more.
         }
-        found.cancellationRequests().forEach(this::cancelling);
+        cancellations.restore(found);
     }
 
-    /** A record of {@link StoreKeys#CANCELLATION_REQUESTS} came or went. */
-    void cancelling(Entry entry) {
-        String id = entry.key().substring(StoreKeys.CANCELLATION_REQUESTS.length());
-        if (entry.value() == null) {
-            cancelling.remove(id);
-            return;
-        }
-        cancelling.put(id, entry.revision());
-        Job job = shard.jobs().get(id);
-        if (job != null && !job.isFinished() && !job.isCancelRequested()) {
+    private static void restore(Job job, Entry entry, double now) {
+        try {
+            TaskLoan.fromRecord(entry.value(), now).forEach(job::lend);
+            job.setLoansRevision(entry.revision());
+        } catch (InvalidInputException invalid) {
+            // None of the tasks of a job whose loans are unknown may be placed.
             job.requestCancel();
-            new ArrayList<>(job.liveAttempts().values())
-                    .forEach(attempt -> shard.stopAttempt(attempt, 0));
-            shard.requestScheduling();
-            LOG.info(
-                    "job {} is to be cancelled; {} loans are called back first",
-                    id,
-                    job.loans().size());
+            LOG.error("record unreadable key={}: {}", entry.key(), invalid.getMessage());
         }
     }
 
-    // ---- lending --------------------------------------------------------------------------------
-
-    private long nextNumber() {
-        return (shard.fencingToken() << SEQUENCE_BITS) + sequence + 1;
+    /** A record of {@link StoreKeys#CANCELLATION_REQUESTS} was written or removed. */
+    void onCancellationRequestChanged(Entry entry) {
+        cancellations.onRequestChanged(entry);
     }
 
-    /** No number below this one is out to the cell any more, nor will be. */
-    private long floor(String cell) {
-        long least = nextNumber();
+    // ---- lending --------------------------------------------------------------------------------
+
+    /** No loan with a number below this one is open to the cell any more, nor will be. */
+    private long lowestOpenNumber(String cell) {
+        long lowest = loanNumbers.peekNext();
         for (Job job : shard.jobs().values()) {
             for (TaskLoan loan : job.loans()) {
                 if (loan.borrowerCell.equals(cell)) {
-                    least = Math.min(least, loan.number);
+                    lowest = Math.min(lowest, loan.number);
                 }
             }
         }
-        return least;
+        return lowest;
     }
 
     /** How many loans to the cell are not settled. */
@@ -175,327 +147,295 @@
                 .count();
     }
 
-    /** Writes the loan down; it is offered once that is in the store. */
-    void lend(WorkOffloading.Plan p) {
-        Job job = p.job();
+    /** Records a loan and offers it once the record is committed. */
+    void lend(WorkOffloading.Plan plan) {
+        Job job = plan.job();
         if (job.writingLoans()
-                || openLoans(p.targetCell()) >= SequenceNumbers.MAX_LISTED / 2
-                || sequence + 2 >= 1L << SEQUENCE_BITS) {
+                || openLoans(plan.targetCell()) >= SequenceNumbers.MAX_LISTED / 2
+                || loanNumbers.isExhausted()) {
             return;
         }
         TaskLoan loan =
                 new TaskLoan(
-                        (shard.fencingToken() << SEQUENCE_BITS) + ++sequence,
-                        p.targetCell(),
-                        p.firstTask(),
-                        p.endTask(),
-                        timers.nowSeconds());
+                        loanNumbers.next(),
+                        plan.targetCell(),
+                        plan.firstTask(),
+                        plan.endTask(),
+                        context.timers().nowSeconds());
         job.lend(loan);
         loansMade++;
         LOG.info(
-                "lends {} tasks of {} from {} on to cell {} as {}: {}",
-                loan.taskCount(),
+                "loan made loan={} borrower={} job={} firstTask={} tasks={}: {}",
+                loan.number,
+                loan.borrowerCell,
                 job.spec.id(),
                 loan.firstTask,
-                loan.borrowerCell,
-                loan.number,
-                p.reason());
+                loan.taskCount(),
+                plan.reason());
         write(
                 job,
                 () -> {
                     loan.isRecorded = true;
-                    offerOrRecall(job, loan, timers.nowSeconds());
+                    offerOrRecall(job, loan, context.timers().nowSeconds());
                 });
     }
 
-    /** Writes what is lent of the job now; loans that are closed are left out of it. */
-    private void write(Job job, Runnable then) {
-        String id = job.spec.id();
+    private void write(Job job, Runnable afterCommit) {
         job.writingLoans(true);
-        batchQueue.accept(
-                new StateWriter.BatchContributor() {
-                    private List<TaskLoan> left;
-
-                    @Override
-                    public boolean isStillWanted() {
-                        if (job.isFinished() || shard.jobs().get(id) != job) {
-                            job.writingLoans(false);
-                            return false;
-                        }
-                        return true;
-                    }
-
-                    @Override
-                    public void contributeTo(Store.Transaction transaction) {
-                        left = job.loans().stream().filter(loan -> !loan.isClosed).toList();
-                        transaction
-                                .requireRevision(job.recordKey, job.revision())
-                                .requireRevision(StoreKeys.LENT_TASKS + id, job.loansRevision());
-                        if (left.isEmpty()) {
-                            transaction.remove(StoreKeys.LENT_TASKS + id);
-                        } else {
-                            transaction.put(StoreKeys.LENT_TASKS + id, TaskLoan.toRecord(left));
-                        }
-                    }
-
-                    @Override
-                    public void onCommitted(long revision) {
-                        job.writingLoans(false);
-                        job.setLoansRevision(left.isEmpty() ? 0 : revision);
-                        then.run();
-                    }
-                });
+        context.batchQueue().accept(new WriteLoans(job, afterCommit));
     }
 
-    // ---- telling the others ---------------------------------------------------------------------
+    // ---- offers and recalls ---------------------------------------------------------------------
 
-    /** Everything that has to be said, written or given up now. */
+    /**
+     * Offers, recalls and settles loans, and finishes cancellations, as far as that is due.
+     *
+     * @param now in seconds on the steady clock
+     */
     void reconcile(double now) {
         for (Job job : new ArrayList<>(shard.jobs().values())) {
-            if (job.isFinished()) {
-                continue;
-            }
-            for (TaskLoan loan : new ArrayList<>(job.loans())) {
-                if (loan.isRecorded && !loan.isClosed) {
-                    offerOrRecall(job, loan, now);
-                }
-            }
-            if (job.loans().stream().anyMatch(loan -> loan.isClosed)) {
-                settle(job);
-            }
-            if (job.isCancelRequested()
-                    && job.loans().isEmpty()
-                    && cancelling.containsKey(job.spec.id())) {
-                cancel(job);
+            if (!job.isFinished()) {
+                reconcile(job, now);
             }
         }
-        for (String id : new ArrayList<>(cancelling.keySet())) {
-            if (!shard.jobs().containsKey(id)) {
-                removeStaleCancellation(id);
+        cancellations.removeStale();
+    }
+
+    private void reconcile(Job job, double now) {
+        for (TaskLoan loan : new ArrayList<>(job.loans())) {
+            if (loan.isRecorded && !loan.isClosed) {
+                offerOrRecall(job, loan, now);
             }
         }
+        if (job.loans().stream().anyMatch(loan -> loan.isClosed)) {
+            settle(job);
+        }
+        cancellations.finishIfReturned(job);
     }
 
     private void offerOrRecall(Job job, TaskLoan loan, double now) {
-        double mostS = shard.settings().workers().leaseSeconds();
-        // What is taken is only looked after; what is called back or not taken yet is asked for.
-        double dueS =
-                loan.isAccepted && !job.isCancelRequested()
-                        ? 2 * mostS
-                        : RetryBackoff.delaySeconds(loan.unansweredQueries, 1, mostS, random);
-        if (loan.isAwaitingAnswer
-                || now - loan.lastQueriedAt < dueS
-                        && !(job.isCancelRequested() && loan.unansweredQueries == 0)) {
+        if (!isQueryDue(job, loan, now)) {
             return;
         }
         loan.isAwaitingAnswer = true;
         loan.lastQueriedAt = now;
         loan.unansweredQueries++;
-        CellMessage m =
-                job.isCancelRequested()
-                        ? new LoanRecall(ownCell, loan.number, floor(loan.borrowerCell), true)
-                        : new LoanOffer(
-                                ownCell,
-                                loan.number,
-                                floor(loan.borrowerCell),
-                                job.spec,
-                                job.submittedMillis,
-                                loan.firstTask,
-                                loan.endTask,
-                                job.nextAttempt());
-        boolean first = !loan.isAccepted && loan.unansweredQueries == 1;
-        cellQuery.ask(
-                loan.borrowerCell,
-                m,
-                answer -> {
-                    loan.isAwaitingAnswer = false;
-                    RemoteCell remote = cellMembership.get(loan.borrowerCell);
-                    if (first && remote != null) {
-                        remote.unconfirmed = Math.max(0, remote.unconfirmed - 1);
-                    }
-                    if (answer instanceof LoanStatus status && status.loanNumber() == loan.number) {
-                        onStatus(status, x -> {});
-                    }
-                });
+        boolean isFirstOffer = !loan.isAccepted && loan.unansweredQueries == 1;
+        context.cellQuery()
+                .ask(
+                        loan.borrowerCell,
+                        job.isCancelRequested() ? recallOf(loan) : offerOf(job, loan),
+                        answer -> onQueryAnswer(loan, isFirstOffer, answer));
+    }
+
+    private boolean isQueryDue(Job job, TaskLoan loan, double now) {
+        double leaseSeconds = context.leaseSeconds();
+        // An accepted loan is only checked on now and then; an offer or a recall needs its answer.
+        // The random number is drawn even if an answer is awaited: repeatable runs depend on it.
+        double delaySeconds =
+                loan.isAccepted && !job.isCancelRequested()
+                        ? ACCEPTED_QUERY_LEASES * leaseSeconds
+                        : RetryBackoff.delaySeconds(
+                                loan.unansweredQueries,
+                                FIRST_QUERY_DELAY_SECONDS,
+                                leaseSeconds,
+                                context.random());
+        if (loan.isAwaitingAnswer) {
+            return false;
+        }
+        boolean isFirstRecall = job.isCancelRequested() && loan.unansweredQueries == 0;
+        return isFirstRecall || !(now - loan.lastQueriedAt < delaySeconds);
     }
 
+    private LoanRecall recallOf(TaskLoan loan) {
+        return new LoanRecall(
+                context.ownCell(), loan.number, lowestOpenNumber(loan.borrowerCell), true);
+    }
+
+    private LoanOffer offerOf(Job job, TaskLoan loan) {
+        return new LoanOffer(
+                context.ownCell(),
+                loan.number,
+                lowestOpenNumber(loan.borrowerCell),
+                job.spec,
+                job.submittedMillis,
+                loan.firstTask,
+                loan.endTask,
+                job.nextAttempt());
+    }
+
+    private void onQueryAnswer(TaskLoan loan, boolean isFirstOffer, CellMessage answer) {
+        loan.isAwaitingAnswer = false;
+        RemoteCell remote = cellMembership.get(loan.borrowerCell);
+        if (isFirstOffer && remote != null) {
+            remote.unconfirmed = Math.max(0, remote.unconfirmed - 1);
+        }
+        if (answer instanceof LoanStatus status && status.loanNumber() == loan.number) {
+            onStatus(status, reply -> {});
+        }
+    }
+
+    // ---- statuses from borrowers ----------------------------------------------------------------
+
     /**
-     * The other cell's word on a loan. {@code answer}: gets {@link LoanSettled} once what follows
-     * from it is written.
+     * Handles the borrower's status of a loan.
+     *
+     * @param reply gets {@link LoanSettled} once the end of the loan is recorded here, or null if
+     *     the status is not final
      */
-    void onStatus(LoanStatus status, Consumer<CellMessage> answer) {
+    void onStatus(LoanStatus status, Consumer<CellMessage> reply) {
         for (Job job : shard.jobs().values()) {
             for (TaskLoan loan : job.loans()) {
                 if (loan.number == status.loanNumber() && loan.borrowerCell.equals(status.cell())) {
-                    onStatus(job, loan, status, answer);
+                    onStatus(job, loan, status, reply);
                     return;
                 }
             }
         }
-        // Guards against a former holder that calls a loan of its successor settled, which it can't
-        // know of.
-        if (status.state() != LoanState.TAKEN && status.loanNumber() < nextNumber()) {
-            answer.accept(new LoanSettled(status.loanNumber(), floor(status.cell())));
+        // A former leader must not call a loan of its successor settled, which it can't know of.
+        boolean isOwnNumber = status.loanNumber() < loanNumbers.peekNext();
+        if (status.state() != LoanState.TAKEN && isOwnNumber) {
+            reply.accept(new LoanSettled(status.loanNumber(), lowestOpenNumber(status.cell())));
         } else {
-            answer.accept(null);
+            reply.accept(null);
         }
     }
 
-    private void onStatus(Job job, TaskLoan loan, LoanStatus status, Consumer<CellMessage> answer) {
-        double now = timers.nowSeconds();
-        RemoteCell remote = cellMembership.get(loan.borrowerCell);
+    private void onStatus(Job job, TaskLoan loan, LoanStatus status, Consumer<CellMessage> reply) {
         if (!loan.isRecorded) {
-            answer.accept(null);
-            return;
-        }
-        if (status.state() == LoanState.TAKEN) {
-            loan.isAccepted = true;
-            loan.unansweredQueries = job.isCancelRequested() ? loan.unansweredQueries : 0;
-            if (remote != null) {
-                remote.onAccepted();
+            reply.accept(null);
+        } else if (status.state() == LoanState.TAKEN) {
+            onAccepted(job, loan);
+            reply.accept(null);
+        } else {
+            pendingReplies.add(loan.number, reply);
+            if (!loan.isClosed) {
+                close(job, loan, status);
+                settle(job);
             }
-            answer.accept(null);
-            return;
         }
-        waiting.computeIfAbsent(loan.number, k -> new ArrayList<>()).add(answer);
-        if (loan.isClosed) {
-            return;
+    }
+
+    private void onAccepted(Job job, TaskLoan loan) {
+        loan.isAccepted = true;
+        if (!job.isCancelRequested()) {
+            loan.unansweredQueries = 0;
         }
+        RemoteCell remote = cellMembership.get(loan.borrowerCell);
+        if (remote != null) {
+            remote.onAccepted();
+        }
+    }
+
+    /** Takes the result of the loan over into the job. */
+    private void close(Job job, TaskLoan loan, LoanStatus status) {
+        double now = context.timers().nowSeconds();
         BitSet done = BitSet.valueOf(status.doneTasks());
         job.closeLoan(loan, done);
-        for (int i = loan.firstTask; i < loan.endTask; i++) {
-            if (job.isDone(i)) {
-                shard.dirtyParts().enqueueIfDirty(job.part(job.partOf(i)));
+        for (int task = loan.firstTask; task < loan.endTask; task++) {
+            if (job.isDone(task)) {
+                shard.dirtyParts().enqueueIfDirty(job.part(job.partOf(task)));
             }
         }
         job.raiseNextAttempt(status.nextAttempt());
         shard.requestScheduling();
+        RemoteCell remote = cellMembership.get(loan.borrowerCell);
         if (remote != null && status.state() == LoanState.VOID) {
-            remote.onRefused(now, random);
+            remote.onRefused(now, context.random());
         }
         if (status.state() == LoanState.VOID || status.state() == LoanState.BACK) {
             workOffloading.onReturned(job.spec.id(), loan.borrowerCell, now);
         }
         LOG.info(
-                "loan {} of {} to cell {} is over after {} s: {}, {} of {} tasks done",
+                "loan closed loan={} borrower={} job={} state={} doneTasks={} tasks={} seconds={}",
                 loan.number,
-                job.spec.id(),
                 loan.borrowerCell,
-                Math.round(now - loan.offeredAt),
+                job.spec.id(),
                 status.state(),
                 done.cardinality(),
-                loan.taskCount());
-        settle(job);
+                loan.taskCount(),
+                Math.round(now - loan.offeredAt));
     }
 
+    // ---- settling -------------------------------------------------------------------------------
+
     /**
-     * Takes loans that are over out of the record, once what is done of them is in the records of
-     * the job's parts. Guards against a crash in between after which done tasks would be run again.
+     * Removes closed loans from the record once their done tasks are in the records of the job's
+     * parts. In the other order, a crash in between would make done tasks run again.
      */
     private void settle(Job job) {
         if (job.writingLoans() || job.areAllTasksDone() && !job.isCancelRequested()) {
-            return; // What is complete is written as done, its record of loans along with it.
+            return; // A complete job is recorded as done, its record of loans along with it.
         }
-        for (TaskLoan loan : job.loans()) {
-            if (loan.isClosed) {
-                for (int p = job.partOf(loan.firstTask); p <= job.partOf(loan.endTask - 1); p++) {
-                    if (job.part(p).isDirty()) {
-                        return;
-                    }
-                }
+        List<TaskLoan> closed = job.loans().stream().filter(loan -> loan.isClosed).toList();
+        if (closed.stream().noneMatch(loan -> hasDirtyPart(job, loan))) {
+            write(job, () -> closed.forEach(loan -> onSettled(job, loan)));
+        }
+    }
+
+    private static boolean hasDirtyPart(Job job, TaskLoan loan) {
+        int lastPart = job.partOf(loan.endTask - 1);
+        for (int part = job.partOf(loan.firstTask); part <= lastPart; part++) {
+            if (job.part(part).isDirty()) {
+                return true;
             }
         }
-        List<TaskLoan> over = job.loans().stream().filter(loan -> loan.isClosed).toList();
-        write(job, () -> over.forEach(loan -> settled(job, loan)));
+        return false;
     }
 
-    private void settled(Job job, TaskLoan loan) {
+    private void onSettled(Job job, TaskLoan loan) {
         job.forgetLoan(loan);
         loansReturned++;
-        String cell = loan.borrowerCell;
-        List<Consumer<CellMessage>> who = waiting.remove(loan.number);
-        if (who != null) {
-            who.forEach(x -> x.accept(new LoanSettled(loan.number, floor(cell))));
-        }
+        pendingReplies.complete(
+                loan.number,
+                () -> new LoanSettled(loan.number, lowestOpenNumber(loan.borrowerCell)));
     }
 
-    /** The job is done in the store, and its loans with it. */
-    void over(Job job) {
-        new ArrayList<>(job.loans()).forEach(loan -> settled(job, loan));
+    /** The job is recorded as done, and with that the end of its loans. */
+    void onJobDone(Job job) {
+        new ArrayList<>(job.loans()).forEach(loan -> onSettled(job, loan));
     }
 
-    // ---- cancelling -----------------------------------------------------------------------------
+    /** Writes the one record of a job's loans, without those that are closed. */
+    private final class WriteLoans implements StateWriter.BatchContributor {
+        private final Job job;
+        private final String key;
+        private final Runnable afterCommit;
+        private List<TaskLoan> openLoans = List.of();
+
+        WriteLoans(Job job, Runnable afterCommit) {
+            this.job = job;
+            this.key = StoreKeys.LENT_TASKS + job.spec.id();
+            this.afterCommit = afterCommit;
+        }
 
-    /**
-     * Nothing of the job is out any more: it is written as cancelled, and its user is told so at
-     * the next try.
-     */
-    private void cancel(Job job) {
-        String id = job.spec.id();
-        if (job.writingLoans()) {
-            return;
+        @Override
+        public boolean isStillWanted() {
+            if (job.isFinished() || shard.jobs().get(job.spec.id()) != job) {
+                job.writingLoans(false);
+                return false;
+            }
+            return true;
         }
-        job.writingLoans(true);
-        long asked = cancelling.get(id);
-        batchQueue.accept(
-                new StateWriter.BatchContributor() {
-                    @Override
-                    public boolean isStillWanted() {
-                        boolean still =
-                                !job.isFinished()
-                                        && job.loans().isEmpty()
-                                        && cancelling.containsKey(id);
-                        if (!still) {
-                            job.writingLoans(false);
-                        }
-                        return still;
-                    }
-
-                    @Override
-                    public void contributeTo(Store.Transaction transaction) {
-                        Map<String, Object> record =
-                                job.record()
-                                        .toFinishedRecord(
-                                                Map.of("status", "cancelled", "done", 0L),
-                                                shard.settings().store().maxValueBytes());
-                        transaction
-                                .requireRevision(job.recordKey, job.revision())
-                                .requireRevision(StoreKeys.LENT_TASKS + id, 0)
-                                .requireRevision(StoreKeys.CANCELLATION_REQUESTS + id, asked)
-                                .remove(job.recordKey)
-                                .remove(StoreKeys.CANCELLATION_REQUESTS + id)
-                                .put(StoreKeys.ENDED_JOBS + id, record);
-                    }
-
-                    @Override
-                    public void onCommitted(long revision) {
-                        job.writingLoans(false);
-                        cancelling.remove(id);
-                        shard.finishJob(id);
-                        listener.cancelled(new JobStatus(id, "cancelled", 0, 0));
-                    }
-                });
-    }
 
-    /** A wish to cancel a job that was over already. */
-    private void removeStaleCancellation(String id) {
-        long asked = cancelling.remove(id);
-        batchQueue.accept(
-                new StateWriter.BatchContributor() {
-                    @Override
-                    public boolean isStillWanted() {
-                        return true;
-                    }
-
-                    @Override
-                    public void contributeTo(Store.Transaction transaction) {
-                        transaction
-                                .requireRevision(StoreKeys.CANCELLATION_REQUESTS + id, asked)
-                                .remove(StoreKeys.CANCELLATION_REQUESTS + id);
-                    }
-
-                    @Override
-                    public void onCommitted(long revision) {}
-                });
+        @Override
+        public void contributeTo(Store.Transaction transaction) {
+            openLoans = job.loans().stream().filter(loan -> !loan.isClosed).toList();
+            transaction
+                    .requireRevision(job.recordKey, job.revision())
+                    .requireRevision(key, job.loansRevision());
+            if (openLoans.isEmpty()) {
+                transaction.remove(key);
+            } else {
+                transaction.put(key, TaskLoan.toRecord(openLoans));
+            }
+        }
+
+        @Override
+        public void onCommitted(long revision) {
+            job.writingLoans(false);
+            job.setLoansRevision(openLoans.isEmpty() ? 0 : revision);
+            afterCommit.run();
+        }
     }
 }
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -84,36 +84,37 @@
             int mine = incarnation;
             quotaShares =
                     new QuotaShares(
-                            name,
-                            shard,
-                            riders::add,
-                            new Timers() {
-                                @Override
-                                public double nowSeconds() {
-                                    return now;
-                                }
-
-                                @Override
-                                public double wallClockMillis() {
-                                    return now * 1000;
-                                }
-
-                                @Override
-                                public void schedule(double seconds, Runnable run) {
-                                    throw new UnsupportedOperationException();
-                                }
-                            },
-                            (to, m, answer) ->
-                                    messages.add(
-                                            new Sent(
-                                                    to,
-                                                    m,
-                                                    a -> {
-                                                        if (incarnation == mine) {
-                                                            answer.accept(a);
-                                                        }
-                                                    })),
-                            new Random(1));
+                            new CellContext(
+                                    name,
+                                    shard,
+                                    riders::add,
+                                    new Timers() {
+                                        @Override
+                                        public double nowSeconds() {
+                                            return now;
+                                        }
+
+                                        @Override
+                                        public double wallClockMillis() {
+                                            return now * 1000;
+                                        }
+
+                                        @Override
+                                        public void schedule(double seconds, Runnable run) {
+                                            throw new UnsupportedOperationException();
+                                        }
+                                    },
+                                    (to, m, answer) ->
+                                            messages.add(
+                                                    new Sent(
+                                                            to,
+                                                            m,
+                                                            a -> {
+                                                                if (incarnation == mine) {
+                                                                    answer.accept(a);
+                                                                }
+                                                            })),
+                                    new Random(1)));
             List<Store.Entry> all = List.copyOf(keys.values());
             quotaShares.restore(
                     new StateLoader.LoadedState(
@@ -410,7 +411,7 @@
                             });
         }
         check(path + " and then quiet");
-        cells.values().forEach(cell -> assertEquals(0, cell.quotaShares.amountInTransit(), path));
+        cells.values().forEach(cell -> assertEquals(0, cell.quotaShares.grantsInTransit(), path));
         List<Cell> wanting = cells.values().stream().filter(cell -> cell.wants).toList();
         if (!wanting.isEmpty()) {
             assertEquals(
