--- a/src/main/java/io/kitepath/core/ConnectedCells.java
+++ b/src/main/java/io/kitepath/core/ConnectedCells.java
@@ -30,12 +30,13 @@
                 new CellService(
                         network.directory(),
                         node.shard,
-                        node::contributeToNextWrite,
-                        store,
-                        node.timers,
+                        new CellService.Environment(
+                                node::contributeToNextWrite,
+                                store,
+                                node.timers,
+                                network.remoteCells(),
+                                random),
                         node.submissions,
-                        network.remoteCells(),
-                        random,
                         new NodeOfCell(node));
     }
 
--- a/src/main/java/io/kitepath/core/cell/CellService.java
+++ b/src/main/java/io/kitepath/core/cell/CellService.java
@@ -36,31 +36,47 @@
 import java.util.function.Consumer;
 
 /**
- * Where a cell and the others meet: their messages come in here, and its own loops (summaries,
- * hand-overs, what was taken) go out from here. Every node has one; only the holder's lends and
- * takes.
+ * A node's part in a cluster of several cells: receives the messages of other cells, and runs the
+ * loops that send summaries, offer work and reconcile loans and quota shares. Every node has one;
+ * only the leader's lends, borrows and exchanges summaries. Used on the event loop only.
  */
 public final class CellService implements StateLoader.LoanRecords {
     private static final double EXCHANGE_INTERVAL_SECONDS = 1;
 
     /**
-     * Of the changes a second that the store allows, the hand-overs a second, each of which costs
-     * about four here.
+     * Loans made per second, as a fraction of the writes per second that the store allows. A loan
+     * costs this cell about four writes.
      */
     private static final double OFFLOAD_RATE_SHARE = 0.05;
 
-    /** What the desk has to know of its node. */
+    /**
+     * What the service uses to reach the world outside its process.
+     *
+     * @param batchQueue takes what is to be written along with the leader's next batch
+     * @param store this cell's
+     * @param timers clocks and timers of the event loop
+     * @param cells the nodes of other cells
+     * @param random for probes and retries
+     */
+    public record Environment(
+            Consumer<StateWriter.BatchContributor> batchQueue,
+            Store store,
+            Timers timers,
+            RemoteCells cells,
+            Random random) {}
+
+    /** What the service has to know of its node. */
     public interface Node {
-        /** Whether it holds the block, knows its jobs and is in touch with the store. */
+        /** Whether it leads the shard, has loaded its state and is in touch with the store. */
         boolean holdsShard();
 
-        /** Who leads, as far as known. */
+        /** The node that leads as far as known, or null. */
         String leader();
 
-        /** Unfinished jobs in the order of service. */
+        /** Unfinished jobs in scheduling order. */
         List<Job> queue();
 
-        /** A job that was lent in part is cancelled in the store. */
+        /** The store has it that a job of which a part was lent is cancelled. */
         void cancelled(JobStatus job);
     }
 
@@ -68,8 +84,8 @@
     private final ShardState shard;
     private final Timers timers;
     private final Node node;
-    private final RemoteCells cells;
     private final CellMembership cellMembership;
+    private final LeaderQuery leaderQuery;
     private final LocalSummary localSummary;
     private final WorkOffloading workOffloading;
     private final LentTasks lentTasks;
@@ -77,159 +93,113 @@
     private final QuotaShares quotaShares;
     private final HomeAssignment homeAssignment;
     private final HomeCellJobs jobs;
-    private final TokenBucket budget;
+    private final TokenBucket offloadBudget;
     private double exchangedAt = Double.NEGATIVE_INFINITY;
-    private long messages;
 
+    /**
+     * @param cellDirectory all cells, by this node's cells file
+     * @param shard this cell's jobs and machines
+     * @param submissions answers users whose jobs have their home here
+     */
     public CellService(
             CellDirectory cellDirectory,
             ShardState shard,
-            Consumer<StateWriter.BatchContributor> riding,
-            Store store,
-            Timers timers,
+            Environment environment,
             JobSubmissionService submissions,
-            RemoteCells cells,
-            Random random,
             Node node) {
         this.cellDirectory = cellDirectory;
         this.shard = shard;
-        this.timers = timers;
+        this.timers = environment.timers();
         this.node = node;
-        this.cells = cells;
-        TreeSet<String> others = new TreeSet<>(cellDirectory.cells().keySet());
-        others.remove(cellDirectory.ownCellName());
-        Map<String, Integer> zones = new HashMap<>();
-        others.forEach(c -> zones.put(c, Math.max(1, cellDirectory.cells().get(c).zones().size())));
-        this.cellMembership = new CellMembership(shard.settings(), others);
+        Map<String, Integer> otherCells = zoneCountsOfOtherCells(cellDirectory);
+        this.cellMembership =
+                new CellMembership(shard.settings(), new TreeSet<>(otherCells.keySet()));
+        this.leaderQuery = new LeaderQuery(environment.cells(), cellMembership);
         this.localSummary = new LocalSummary(shard);
         this.workOffloading =
-                new WorkOffloading(shard.settings(), shard.machineTypes(), zones, random);
+                new WorkOffloading(
+                        shard.settings(), shard.machineTypes(), otherCells, environment.random());
         CellContext context =
                 new CellContext(
                         cellDirectory.ownCellName(),
                         shard,
-                        riding,
+                        environment.batchQueue(),
                         timers,
-                        this::askHolder,
-                        random);
+                        leaderQuery,
+                        environment.random());
         this.lentTasks = new LentTasks(context, cellMembership, workOffloading, node::cancelled);
         this.borrowedTasks = new BorrowedTasks(context);
         this.quotaShares = new QuotaShares(context);
         shard.quotaUsage().setLimits(quotaShares);
         setDraining(cellDirectory.ownCell().isDraining());
-        this.homeAssignment = new HomeAssignment(cellDirectory, store, timers);
-        this.jobs = new HomeCellJobs(cellDirectory, submissions, cells, homeAssignment::agreed);
-        this.budget =
+        this.homeAssignment = new HomeAssignment(cellDirectory, environment.store(), timers);
+        this.jobs =
+                new HomeCellJobs(
+                        cellDirectory, submissions, environment.cells(), homeAssignment::isAgreed);
+        this.offloadBudget =
                 new TokenBucket(
                         Math.max(
                                 1,
                                 shard.settings().store().writesPerSecond() * OFFLOAD_RATE_SHARE));
     }
 
+    private static Map<String, Integer> zoneCountsOfOtherCells(CellDirectory cellDirectory) {
+        Map<String, Integer> zoneCounts = new HashMap<>();
+        cellDirectory
+                .cells()
+                .forEach((name, cell) -> zoneCounts.put(name, Math.max(1, cell.zones().size())));
+        zoneCounts.remove(cellDirectory.ownCellName());
+        return zoneCounts;
+    }
+
+    /** Begins to check that this node's cells file names the homes that the cell goes by. */
     public void start() {
         homeAssignment.check();
     }
 
-    /** What users ask of this node, whichever cell the job is at home in. */
+    /** What users ask of this node, whichever cell is the home of the job. */
     public JobApi jobs() {
         return jobs;
     }
 
-    /** Takes nothing more, and gives back what has not begun; or takes work again. */
-    public void setDraining(boolean so) {
-        borrowedTasks.setDraining(so);
-        workOffloading.setDraining(so);
+    /**
+     * A draining cell accepts no loans, gives back those of which nothing has begun, and offers its
+     * own waiting work to others.
+     */
+    public void setDraining(boolean isDraining) {
+        borrowedTasks.setDraining(isDraining);
+        workOffloading.setDraining(isDraining);
     }
 
-    // ---- asking ---------------------------------------------------------------------------------
-
-    private void askHolder(String cell, CellMessage message, Consumer<CellMessage> answer) {
-        RemoteCell remote = cellMembership.get(cell);
-        if (remote == null) {
-            answer.accept(null); // This node's file does not name it: older than another node's.
-            return;
-        }
-        messages++;
-        cells.ask(
-                cell,
-                remote.leader(),
-                message,
-                first -> {
-                    if (first instanceof Redirect e
-                            && e.node() != null
-                            && !e.node().equals(remote.leader())) {
-                        messages++;
-                        cells.ask(cell, e.node(), message, answer);
-                    } else if (first == null && remote.leader() != null) {
-                        messages++;
-                        cells.ask(
-                                cell,
-                                null,
-                                message,
-                                second ->
-                                        answer.accept(second instanceof Redirect ? null : second));
-                    } else {
-                        answer.accept(first instanceof Redirect ? null : first);
-                    }
-                });
-    }
+    // ---- messages of other cells ----------------------------------------------------------------
 
-    /** A message of another cell; every one gets one answer, null if there is none to give now. */
-    public void onMessage(CellMessage message, Consumer<CellMessage> answer) {
-        if (message instanceof UserRequest u) {
+    /** Handles a message of another cell; {@code reply} is called once, with null for no answer. */
+    public void onMessage(CellMessage message, Consumer<CellMessage> reply) {
+        if (message instanceof UserRequest request) {
             jobs.onUserRequest(
-                    u,
+                    request,
                     response ->
-                            answer.accept(
+                            reply.accept(
                                     new UserResponse(
                                             response.verdict().name(), response.jobStatus())));
-            return;
-        }
-        if (!node.holdsShard()) {
-            String leader = node.leader();
-            answer.accept(new Redirect(leader));
-            return;
-        }
-        if (message instanceof Summary summary) {
+        } else if (!node.holdsShard()) {
+            reply.accept(new Redirect(node.leader()));
+        } else if (message instanceof Summary summary) {
             cellMembership.onSummary(summary, timers.nowSeconds());
-            answer.accept(summary());
+            reply.accept(summary());
         } else if (message instanceof LoanOffer offer) {
-            borrowedTasks.onOffer(offer, acceptsOffer(offer), answer);
-        } else if (message instanceof LoanRecall r) {
-            borrowedTasks.onRecall(r, answer);
-        } else if (message instanceof QuotaGrant g) {
-            quotaShares.onGrant(g, answer);
+            borrowedTasks.onOffer(offer, localSummary.hasRoomFor(offer), reply);
+        } else if (message instanceof LoanRecall recall) {
+            borrowedTasks.onRecall(recall, reply);
+        } else if (message instanceof QuotaGrant grant) {
+            quotaShares.onGrant(grant, reply);
         } else if (message instanceof LoanStatus status) {
-            lentTasks.onStatus(status, answer);
+            lentTasks.onStatus(status, reply);
         } else {
-            answer.accept(null);
+            reply.accept(null);
         }
     }
 
-    /** Whether there is room for what is offered, by what is free now. */
-    private boolean acceptsOffer(LoanOffer offer) {
-        int most = 0;
-        boolean may = false;
-        for (CellMessage.FreeCapacity capacity : localSummary.freeCapacity()) {
-            MachineType type = shard.machineTypes().get(capacity.kind().machineType());
-            if (type != null && ProbePlacement.isAllowed(capacity.kind(), offer.spec())) {
-                may = true;
-                most +=
-                        capacity.idleMachines() * ProbePlacement.slots(offer.spec(), type)
-                                + (int)
-                                        Math.max(
-                                                0,
-                                                (capacity.cpus()
-                                                                - capacity.idleMachines()
-                                                                        * type.cpus())
-                                                        / Math.max(
-                                                                1e-6, offer.spec().cpusPerTask()));
-            }
-        }
-        boolean whole = offer.spec().shape() != JobSpec.Shape.ARRAY;
-        return may && most >= (whole ? offer.endTask() - offer.firstTask() : 1);
-    }
-
     private Summary summary() {
         return new Summary(
                 cellDirectory.ownCellName(),
@@ -239,10 +209,10 @@
                 localSummary.freeCapacity(),
                 localSummary.waitSecondsByRank(),
                 cellMembership.heardCells(timers.nowSeconds()),
-                shares());
+                quotaShareRows());
     }
 
-    private List<CellMessage.QuotaShare> shares() {
+    private List<CellMessage.QuotaShare> quotaShareRows() {
         double cpus = 0;
         double gpus = 0;
         for (CellMessage.FreeCapacity capacity : localSummary.freeCapacity()) {
@@ -252,9 +222,9 @@
         return quotaShares.summaryRows(cpus, gpus);
     }
 
-    // ---- the holder's loops ---------------------------------------------------------------------
+    // ---- the leader's loops ---------------------------------------------------------------------
 
-    /** Called a few times a second while this node holds the block. */
+    /** Called a few times a second while this node leads the shard. */
     public void reconcile() {
         double now = timers.nowSeconds();
         cellMembership.updateStates(now);
@@ -263,63 +233,71 @@
         quotaShares.reconcile(now);
         if (now - exchangedAt >= EXCHANGE_INTERVAL_SECONDS) {
             exchangedAt = now;
-            Summary mine = summary();
-            for (RemoteCell remote : cellMembership.all().values()) {
-                // Of two cells the one of the lower name begins, as long as that works.
-                if (cellDirectory.ownCellName().compareTo(remote.name) < 0
-                        || !remote.isHeard(now)) {
-                    askHolder(
-                            remote.name,
-                            mine,
-                            message -> {
-                                if (message instanceof Summary summary) {
-                                    cellMembership.onSummary(summary, timers.nowSeconds());
-                                }
-                            });
-                }
-            }
+            exchangeSummaries(now);
             quotaShares.rebalance(cellMembership.freshSummaries(now));
             offloadWork(now);
         }
     }
 
+    private void exchangeSummaries(double now) {
+        Summary ownSummary = summary();
+        for (RemoteCell remote : cellMembership.all().values()) {
+            // Of two cells the one with the lower name begins, as long as that works.
+            boolean isOwnTurn = cellDirectory.ownCellName().compareTo(remote.name) < 0;
+            if (isOwnTurn || !remote.isHeard(now)) {
+                leaderQuery.ask(remote.name, ownSummary, this::onSummaryAnswer);
+            }
+        }
+    }
+
+    private void onSummaryAnswer(CellMessage answer) {
+        if (answer instanceof Summary summary) {
+            cellMembership.onSummary(summary, timers.nowSeconds());
+        }
+    }
+
     private void offloadWork(double now) {
-        int most = (int) budget.available(now);
-        List<Job> queue = most == 0 ? List.of() : node.queue();
+        int maxLoans = (int) offloadBudget.available(now);
+        List<Job> queue = maxLoans == 0 ? List.of() : node.queue();
         if (queue.isEmpty()) {
             return;
         }
-        workOffloading.forget(shard.jobs().keySet());
-        for (WorkOffloading.Plan p :
-                workOffloading.plan(
+        workOffloading.forgetOtherJobs(shard.jobs().keySet());
+        WorkOffloading.LocalCell localCell =
+                new WorkOffloading.LocalCell(
                         queue,
                         this::fitsHere,
                         shard.quotaUsage()::remainingTasks,
-                        localSummary.cpus(),
+                        localSummary.cpus());
+        for (WorkOffloading.Plan plan :
+                workOffloading.plan(
+                        localCell,
                         cellMembership.all().values(),
-                        most,
+                        maxLoans,
                         now,
                         timers.wallClockMillis())) {
-            budget.tryTake(1, now);
-            lentTasks.lend(p);
+            offloadBudget.tryTake(1, now);
+            lentTasks.lend(plan);
         }
     }
 
     /** Whether some kind of machine in this cell's zones may run the job. */
     private boolean fitsHere(JobSpec spec) {
         for (MachineType type : shard.machineTypes().values()) {
-            if (ProbePlacement.slots(spec, type) > 0) {
-                for (String zone : cellDirectory.ownCell().zones()) {
-                    if (ProbePlacement.isAllowed(new MachineKind(type.name(), zone, false), spec)) {
-                        return true;
-                    }
-                }
+            if (ProbePlacement.slots(spec, type) > 0 && isAllowedInOwnZone(spec, type)) {
+                return true;
             }
         }
         return shard.machineTypes().isEmpty();
     }
 
-    // ---- what a new holder reads ----------------------------------------------------------------
+    private boolean isAllowedInOwnZone(JobSpec spec, MachineType type) {
+        return cellDirectory.ownCell().zones().stream()
+                .map(zone -> new MachineKind(type.name(), zone, false))
+                .anyMatch(kind -> ProbePlacement.isAllowed(kind, spec));
+    }
+
+    // ---- the leader's state ---------------------------------------------------------------------
 
     @Override
     public void adoptLoaded(StateLoader.LoadedState found) {
@@ -334,54 +312,67 @@
     }
 
     /** The store has it that the job is done. */
-    public void jobDone(String id) {
-        Job job = shard.jobs().get(id);
+    public void jobDone(String jobId) {
+        Job job = shard.jobs().get(jobId);
         if (job != null) {
             lentTasks.onJobDone(job);
         }
     }
 
-    public void addMetrics(Map<String, Metric> f) {
-        f.put(
+    // ---- metrics --------------------------------------------------------------------------------
+
+    /** Adds the metrics of this package, by name. */
+    public void addMetrics(Map<String, Metric> metrics) {
+        metrics.put(
                 "cells.silent",
                 Metric.gauge(
                         "other cells from which nothing is heard", cellMembership::silentCount));
-        f.put(
+        addLoanMetrics(metrics);
+        addQuotaMetrics(metrics);
+        metrics.put(
+                "cells.messages",
+                Metric.counter(
+                        "messages sent to other cells by the holder", leaderQuery::messagesSent));
+    }
+
+    private void addLoanMetrics(Map<String, Metric> metrics) {
+        metrics.put(
                 "cells.tasks.lent",
                 Metric.gauge(
                         "tasks that other cells were offered or have taken",
                         lentTasks::lentTaskCount));
-        f.put(
+        metrics.put(
                 "cells.tasks.taken",
                 Metric.gauge(
                         "tasks of other cells that are this one's to run",
                         borrowedTasks::borrowedTaskCount));
-        f.put("cells.lent", Metric.counter("hand-overs to other cells", lentTasks::loansMade));
-        f.put(
+        metrics.put(
+                "cells.lent", Metric.counter("hand-overs to other cells", lentTasks::loansMade));
+        metrics.put(
                 "cells.returned",
                 Metric.counter("hand-overs that came to an end", lentTasks::loansReturned));
-        f.put(
+        metrics.put(
                 "cells.taken",
                 Metric.counter("hand-overs taken from other cells", borrowedTasks::loansTaken));
-        f.put(
+        metrics.put(
                 "cells.refused",
                 Metric.counter("hand-overs refused for lack of room", borrowedTasks::loansRefused));
-        f.put(
+    }
+
+    private void addQuotaMetrics(Map<String, Metric> metrics) {
+        metrics.put(
                 "cells.shares.given",
                 Metric.counter(
                         "parts of teams' limits given to other cells", quotaShares::grantsSent));
-        f.put(
+        metrics.put(
                 "cells.shares.came",
                 Metric.counter(
                         "parts of teams' limits that came from other cells",
                         quotaShares::grantsReceived));
-        f.put(
+        metrics.put(
                 "cells.shares.under.way",
                 Metric.gauge(
                         "parts given that are not known to have arrived",
                         quotaShares::grantsInTransit));
-        f.put(
-                "cells.messages",
-                Metric.counter("messages sent to other cells by the holder", () -> messages));
     }
 }
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -1,9 +1,11 @@
 package io.kitepath.core.cell;
 
 import io.kitepath.core.model.CellMessage.FreeCapacity;
+import io.kitepath.core.model.CellMessage.LoanOffer;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineKind;
 import io.kitepath.core.model.MachineType;
+import io.kitepath.core.scheduling.ProbePlacement;
 import io.kitepath.core.shard.Job;
 import io.kitepath.core.shard.Machine;
 import io.kitepath.core.shard.ShardState;
@@ -14,41 +16,89 @@
 import java.util.Map;
 
 /**
- * This cell as others see it, in a few lines whatever its size: free room by kind of machine, and
- * how long what waits would keep its machines busy.
+ * This cell as other cells see it, in a few lines whatever its size: free capacity by kind of
+ * machine, and for how long the waiting work would keep its machines busy.
  */
 final class LocalSummary {
-    /** Kinds told of at most, so that a summary stays small. */
+    /** Kinds of machine in a summary, which has to stay small: those with most free CPUs. */
     private static final int MAX_MACHINE_KINDS = 64;
 
     private static final int RANKS = 2 * JobSpec.Priority.values().length;
 
+    /** Of a job that asks for no CPUs, so that dividing by it is defined. */
+    private static final double MIN_CPUS_PER_TASK = 1e-6;
+
+    /** The free capacity of one kind of machine while it is added up. */
+    private static final class Sum {
+        private double cpus;
+        private double gpus;
+        private double memoryGigabytes;
+        private int idleMachines;
+
+        private void add(Machine machine, MachineType type) {
+            cpus += type.cpus() - machine.usedCpus();
+            gpus += type.gpus() - machine.usedGpus();
+            memoryGigabytes += type.memoryGigabytes() - machine.usedMemory();
+            idleMachines += machine.isBusy() ? 0 : 1;
+        }
+
+        private FreeCapacity toFreeCapacity(MachineKind kind) {
+            return new FreeCapacity(kind, cpus, gpus, memoryGigabytes, idleMachines);
+        }
+    }
+
     private final ShardState shard;
 
     LocalSummary(ShardState shard) {
         this.shard = shard;
     }
 
+    /** Free capacity of the machines that may be used and are not reserved, most CPUs first. */
     List<FreeCapacity> freeCapacity() {
-        Map<MachineKind, double[]> free = new HashMap<>();
+        Map<MachineKind, Sum> sums = new HashMap<>();
         for (Machine machine : shard.machines().values()) {
             MachineType type = shard.machineTypes().get(machine.type());
             if (machine.isSchedulable() && type != null && machine.reservedFor() == null) {
-                double[] f = free.computeIfAbsent(machine.kind(), kind -> new double[4]);
-                f[0] += type.cpus() - machine.usedCpus();
-                f[1] += type.gpus() - machine.usedGpus();
-                f[2] += type.memoryGigabytes() - machine.usedMemory();
-                f[3] += machine.isBusy() ? 0 : 1;
+                sums.computeIfAbsent(machine.kind(), kind -> new Sum()).add(machine, type);
             }
         }
-        List<FreeCapacity> out = new ArrayList<>();
-        free.forEach((kind, f) -> out.add(new FreeCapacity(kind, f[0], f[1], f[2], (int) f[3])));
-        out.sort(
+        List<FreeCapacity> sorted = new ArrayList<>();
+        sums.forEach((kind, sum) -> sorted.add(sum.toFreeCapacity(kind)));
+        sorted.sort(
                 Comparator.comparingDouble((FreeCapacity capacity) -> -capacity.cpus())
                         .thenComparing(capacity -> capacity.kind().toString()));
-        return out.size() > MAX_MACHINE_KINDS
-                ? new ArrayList<>(out.subList(0, MAX_MACHINE_KINDS))
-                : out;
+        return sorted.size() > MAX_MACHINE_KINDS
+                ? new ArrayList<>(sorted.subList(0, MAX_MACHINE_KINDS))
+                : sorted;
+    }
+
+    /**
+     * Whether there is room now for what is offered: for all of it if it has to be together, else
+     * for one task.
+     */
+    boolean hasRoomFor(LoanOffer offer) {
+        JobSpec spec = offer.spec();
+        int slots = 0;
+        boolean isAllowedSomewhere = false;
+        for (FreeCapacity capacity : freeCapacity()) {
+            MachineType type = shard.machineTypes().get(capacity.kind().machineType());
+            if (type != null && ProbePlacement.isAllowed(capacity.kind(), spec)) {
+                isAllowedSomewhere = true;
+                slots += slots(capacity, spec, type);
+            }
+        }
+        boolean isIndivisible = spec.shape() != JobSpec.Shape.ARRAY;
+        int needed = isIndivisible ? offer.endTask() - offer.firstTask() : 1;
+        return isAllowedSomewhere && slots >= needed;
+    }
+
+    /** Of machines in use, the free CPUs count. */
+    private static int slots(FreeCapacity capacity, JobSpec spec, MachineType type) {
+        double cpusOfBusyMachines = capacity.cpus() - capacity.idleMachines() * type.cpus();
+        double slotsOfBusyMachines =
+                cpusOfBusyMachines / Math.max(MIN_CPUS_PER_TASK, spec.cpusPerTask());
+        return capacity.idleMachines() * ProbePlacement.slots(spec, type)
+                + (int) Math.max(0, slotsOfBusyMachines);
     }
 
     /** CPUs of all machines that may be used. */
@@ -61,24 +111,24 @@
         return cpus;
     }
 
-    /** By rank: how long waiting work up to that rank would take all machines, in seconds. */
+    /** By rank: for how long all machines would work on the waiting work up to that rank. */
     List<Double> waitSecondsByRank() {
-        double[] work = new double[RANKS];
+        double[] cpuSecondsByRank = new double[RANKS];
         for (Job job : shard.jobs().values()) {
-            work[job.queueRank()] += workSeconds(job);
+            cpuSecondsByRank[job.queueRank()] += waitingCpuSeconds(job);
         }
         double cpus = Math.max(1, cpus());
-        List<Double> out = new ArrayList<>();
+        List<Double> waitSeconds = new ArrayList<>();
         double sum = 0;
-        for (double w : work) {
-            sum += w;
-            out.add(sum / cpus);
+        for (double cpuSeconds : cpuSecondsByRank) {
+            sum += cpuSeconds;
+            waitSeconds.add(sum / cpus);
         }
-        return out;
+        return waitSeconds;
     }
 
     /** CPU seconds of the job's waiting tasks. */
-    static double workSeconds(Job job) {
+    static double waitingCpuSeconds(Job job) {
         return job.waitingTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
     }
 }
