--- a/src/main/java/io/kitepath/core/cell/CellMembership.java
+++ b/src/main/java/io/kitepath/core/cell/CellMembership.java
@@ -11,31 +11,40 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What is known of the other cells, from their own words and from who else hears them. Nothing is
- * safe because of it: a silent cell keeps what was lent to it.
+ * Failure detector for the other cells: by their summaries, and by which cells those of others say
+ * they hear. It only decides where work is offered; no correctness depends on it, and a silent cell
+ * keeps what was lent to it.
  */
 final class CellMembership {
     private static final Logger LOG = LoggerFactory.getLogger(CellMembership.class);
 
-    /** Exchanges are a second apart: a summary older than three of them says nothing of now. */
+    /** Summaries are exchanged every second; one older than three of these is out of date. */
     static final double SUMMARY_FRESH_SECONDS = 3;
 
-    /**
-     * How many summaries in a row a cell that was silent has to send before it is trusted with work
-     * again.
-     */
+    /** Consecutive summaries after which a cell that was silent is offered work again. */
     private static final int SUMMARIES_UNTIL_HEALTHY = 3;
 
     private static final int MAX_SUMMARIES_UNTIL_HEALTHY = 48;
 
-    enum State {
+    /**
+     * A healthy cell has to be heard for this many times the summaries that it needed, before it
+     * needs half as many the next time.
+     */
+    private static final int SUMMARIES_PER_FORGIVENESS = 10;
+
+    /** What is thought of another cell. */
+    private enum State {
+        /** Not heard yet by this leader. */
         UNKNOWN,
+        /** Heard, and heard often enough since it was silent. */
         HEALTHY,
+        /** Not heard of late; one summary makes it healthy again. */
         SUSPECTED,
+        /** Not heard for long; has to be heard several times in a row to be healthy. */
         SILENT
     }
 
-    /** Another cell. */
+    /** Another cell, as this one knows it. Times are in seconds on the steady clock. */
     final class RemoteCell {
         final String name;
         private Summary summary;
@@ -45,13 +54,13 @@
         private int summariesNeeded = SUMMARIES_UNTIL_HEALTHY;
         private double silentSince;
 
-        /** Handed over since its last summary, which cannot show it yet. */
+        /** Offered since its last summary, which cannot show it yet. */
         private double offeredCpus;
 
-        /** Offers that it has not answered. */
-        int unconfirmed;
+        /** Loans whose first offer it has not answered. */
+        private int unconfirmedOffers;
 
-        /** It said that it has no room, or takes nothing: left alone until then. */
+        /** It has refused an offer: no more are made until then. */
         private double pausedUntil = Double.NEGATIVE_INFINITY;
 
         private int refusals;
@@ -60,44 +69,58 @@
             this.name = name;
         }
 
+        /** Its last one, or null. */
         Summary summary() {
             return summary;
         }
 
-        State state() {
-            return state;
-        }
-
+        /** Whether its last summary is fresh. */
         boolean isHeard(double now) {
             return now - heardAt < SUMMARY_FRESH_SECONDS;
         }
 
+        /** CPUs of the tasks that it was offered since its last summary. */
         double offeredCpus() {
             return offeredCpus;
         }
 
-        /** Its own word on who leads there, or null. */
+        /** Loans whose first offer it has not answered. */
+        int unconfirmedOffers() {
+            return unconfirmedOffers;
+        }
+
+        /** The node that leads it by its last summary, or null. */
         String leader() {
             return summary == null ? null : summary.leader();
         }
 
+        /** Whether it may be offered work now. */
         boolean acceptsWork(double now) {
             return state == State.HEALTHY
-                    && now - heardAt < SUMMARY_FRESH_SECONDS
+                    && isHeard(now)
                     && summary.acceptsLoans()
                     && now >= pausedUntil;
         }
 
+        /** It is to be offered a loan of tasks with so many CPUs. */
         void reserveOffered(double cpus) {
             offeredCpus += cpus;
-            unconfirmed++;
+            unconfirmedOffers++;
+        }
+
+        /** The first offer of a loan was answered, or given up. */
+        void onFirstOfferEnded() {
+            unconfirmedOffers = Math.max(0, unconfirmedOffers - 1);
         }
 
+        /** It has accepted a loan. */
         void onAccepted() {
             refusals = 0;
         }
 
-        /** Guards against a full cell that is asked again and again by all the others. */
+        /**
+         * It has refused a loan: pauses offers, so that a full cell is not flooded by all others.
+         */
         void onRefused(double now, Random random) {
             pausedUntil =
                     now
@@ -114,25 +137,27 @@
 
     CellMembership(ClusterSettings settings, Iterable<String> others) {
         this.settings = settings;
-        others.forEach(n -> all.put(n, new RemoteCell(n)));
+        others.forEach(name -> all.put(name, new RemoteCell(name)));
     }
 
+    /** By name. */
     Map<String, RemoteCell> all() {
         return all;
     }
 
+    /** Null if this node's cells file does not name it. */
     RemoteCell get(String cell) {
         return all.get(cell);
     }
 
+    /** Takes note of a summary that another cell has sent. */
     void onSummary(Summary summary, double now) {
         RemoteCell remote = all.get(summary.cell());
         if (remote == null) {
-            return; // A cell that this node's file does not name yet.
+            return; // This node's cells file does not name it yet.
         }
         remote.summary = summary;
-        remote.summariesInARow =
-                now - remote.heardAt < SUMMARY_FRESH_SECONDS ? remote.summariesInARow + 1 : 1;
+        remote.summariesInARow = remote.isHeard(now) ? remote.summariesInARow + 1 : 1;
         remote.heardAt = now;
         remote.offeredCpus = 0;
         if (remote.state == State.UNKNOWN
@@ -142,7 +167,7 @@
         }
     }
 
-    /** Looks who has fallen silent. */
+    /** Finds the cells that are not heard any more. */
     void updateStates(double now) {
         double lease = settings.workers().leaseSeconds();
         for (RemoteCell remote : all.values()) {
@@ -151,10 +176,11 @@
                 changeState(remote, State.SUSPECTED, now);
             } else if (remote.state == State.SUSPECTED
                     && (silence > lease || silence > lease / 2 && !isHeardByOthers(remote, now))) {
-                // As long as some other cell hears it, it may be the way to it that is broken.
+                // While another cell hears it, perhaps only the network between the two is broken.
                 changeState(remote, State.SILENT, now);
             } else if (remote.state == State.HEALTHY
-                    && remote.summariesInARow > 10 * remote.summariesNeeded) {
+                    && remote.summariesInARow
+                            > SUMMARIES_PER_FORGIVENESS * remote.summariesNeeded) {
                 remote.summariesNeeded =
                         Math.max(SUMMARIES_UNTIL_HEALTHY, remote.summariesNeeded / 2);
                 remote.summariesInARow = 0;
@@ -162,19 +188,13 @@
         }
     }
 
-    private boolean isHeardByOthers(RemoteCell of, double now) {
+    private boolean isHeardByOthers(RemoteCell silent, double now) {
         return all.values().stream()
-                .anyMatch(
-                        n ->
-                                n != of
-                                        && now - n.heardAt < SUMMARY_FRESH_SECONDS
-                                        && n.summary.reachableCells().contains(of.name));
+                .filter(other -> other != silent && other.isHeard(now))
+                .anyMatch(other -> other.summary.reachableCells().contains(silent.name));
     }
 
-    /**
-     * Guards against a cell that comes and goes, and is handed work each time: it gets less trust
-     * each time.
-     */
+    /** A cell that falls silent again and again has to be heard longer each time. */
     private void changeState(RemoteCell remote, State to, double now) {
         if (to == remote.state) {
             return;
@@ -196,7 +216,7 @@
         remote.state = to;
     }
 
-    /** What those said of themselves that are heard now. */
+    /** The summaries of the cells that are heard now. */
     List<Summary> freshSummaries(double now) {
         return all.values().stream()
                 .filter(remote -> remote.isHeard(now))
@@ -204,19 +224,18 @@
                 .toList();
     }
 
-    /** The cells heard lately. */
+    /** The names of the cells that are heard now. */
     List<String> heardCells(double now) {
-        List<String> out = new ArrayList<>();
-        all.values()
-                .forEach(
-                        remote -> {
-                            if (now - remote.heardAt < SUMMARY_FRESH_SECONDS) {
-                                out.add(remote.name);
-                            }
-                        });
-        return out;
+        List<String> names = new ArrayList<>();
+        for (RemoteCell remote : all.values()) {
+            if (remote.isHeard(now)) {
+                names.add(remote.name);
+            }
+        }
+        return names;
     }
 
+    /** How many cells are silent. */
     long silentCount() {
         return all.values().stream().filter(remote -> remote.state == State.SILENT).count();
     }
--- a/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
+++ b/src/main/java/io/kitepath/core/cell/HomeCellJobs.java
@@ -1,6 +1,7 @@
 package io.kitepath.core.cell;
 
 import io.kitepath.core.model.CellDirectory;
+import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.CellMessage.RequestKind;
 import io.kitepath.core.model.CellMessage.UserRequest;
 import io.kitepath.core.model.CellMessage.UserResponse;
@@ -15,27 +16,27 @@
 import java.util.function.Consumer;
 
 /**
- * What users ask, answered by the job's home whichever cell they ask: here, or by any node of the
- * cell that is. Who gets no answer there is told to come back at once; a home that can't be reached
- * is the only one that may accept.
+ * Answers users' requests about jobs through the job's home, whichever cell the user asks: in this
+ * cell, or by any node of the home. Only the home may accept a job, so while it can't be reached,
+ * the user is told to try again later.
  */
 final class HomeCellJobs implements JobApi {
     private final CellDirectory cellDirectory;
     private final JobSubmissionService submissions;
     private final RemoteCells cells;
 
-    /** Whether this cell goes by the same homes as this node. */
+    /** Whether this node's cells file names the homes that the cell has recorded. */
     private final BooleanSupplier homesAgreed;
 
     HomeCellJobs(
             CellDirectory cellDirectory,
-            JobSubmissionService here,
+            JobSubmissionService submissions,
             RemoteCells cells,
-            BooleanSupplier agreed) {
+            BooleanSupplier homesAgreed) {
         this.cellDirectory = cellDirectory;
-        this.submissions = here;
+        this.submissions = submissions;
         this.cells = cells;
-        this.homesAgreed = agreed;
+        this.homesAgreed = homesAgreed;
     }
 
     @Override
@@ -47,20 +48,19 @@
                 && needs.stream().allMatch(this::isHere)) {
             submissions.submit(spec, needs, answer);
         } else {
-            // Whether a job of another cell is done only that cell's records say, and they may be
-            // out of reach when it matters. One that is known all the same is answered as any
-            // other.
-            status(
-                    spec.id(),
-                    response ->
-                            answer.accept(
-                                    response.verdict() == Verdict.NOT_FOUND
-                                            ? JobResponse.refused(
-                                                    "a job waits only for jobs whose home is the cell that it is handed in to")
-                                            : response));
+            // Only the records of another cell say whether a job of it is done, and they may be
+            // out of reach when it matters. A job that was accepted before is answered as usual.
+            status(spec.id(), known -> answer.accept(orRefusedDependency(known)));
         }
     }
 
+    private static JobResponse orRefusedDependency(JobResponse known) {
+        return known.verdict() == Verdict.NOT_FOUND
+                ? JobResponse.refused(
+                        "a job waits only for jobs whose home is the cell that it is handed in to")
+                : known;
+    }
+
     private boolean isHere(String id) {
         return cellDirectory.homeCellOf(id).equals(cellDirectory.ownCellName());
     }
@@ -75,36 +75,32 @@
         ask(new UserRequest(RequestKind.CANCEL, id, null), answer);
     }
 
-    private void ask(UserRequest a, Consumer<JobResponse> answer) {
-        String home = cellDirectory.homeCellOf(a.jobId());
-        if (home.equals(cellDirectory.ownCellName())) {
-            onUserRequest(a, answer);
-            return;
+    private void ask(UserRequest request, Consumer<JobResponse> answer) {
+        if (isHere(request.jobId())) {
+            onUserRequest(request, answer);
+        } else {
+            String home = cellDirectory.homeCellOf(request.jobId());
+            cells.ask(home, null, request, reply -> answer.accept(toJobResponse(reply)));
         }
-        cells.ask(
-                home,
-                null,
-                a,
-                got ->
-                        answer.accept(
-                                got instanceof UserResponse u
-                                        ? new JobResponse(Verdict.valueOf(u.verdict()), u.status())
-                                        : JobResponse.LATER));
     }
 
-    /** A user's question that came here, or to another cell's node that sent it on. */
-    void onUserRequest(UserRequest a, Consumer<JobResponse> answer) {
-        // Guards against two nodes with different files that each hold another cell to be the job's
-        // home.
-        if (!homesAgreed.getAsBoolean()
-                || !cellDirectory.homeCellOf(a.jobId()).equals(cellDirectory.ownCellName())) {
+    private static JobResponse toJobResponse(CellMessage reply) {
+        return reply instanceof UserResponse response
+                ? new JobResponse(Verdict.valueOf(response.verdict()), response.status())
+                : JobResponse.LATER;
+    }
+
+    /** Answers a request that a user sent to this node, or that another cell's node sent on. */
+    void onUserRequest(UserRequest request, Consumer<JobResponse> answer) {
+        // Nodes with different cells files may take different cells to be the job's home.
+        if (!homesAgreed.getAsBoolean() || !isHere(request.jobId())) {
             answer.accept(JobResponse.LATER);
             return;
         }
-        switch (a.kind()) {
-            case SUBMIT -> submissions.submit(a.spec(), answer);
-            case STATUS -> submissions.status(a.jobId(), answer);
-            case CANCEL -> submissions.cancel(a.jobId(), answer);
+        switch (request.kind()) {
+            case SUBMIT -> submissions.submit(request.spec(), answer);
+            case STATUS -> submissions.status(request.jobId(), answer);
+            case CANCEL -> submissions.cancel(request.jobId(), answer);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -268,7 +268,7 @@
         loan.isAwaitingAnswer = false;
         RemoteCell remote = cellMembership.get(loan.borrowerCell);
         if (isFirstOffer && remote != null) {
-            remote.unconfirmed = Math.max(0, remote.unconfirmed - 1);
+            remote.onFirstOfferEnded();
         }
         if (answer instanceof LoanStatus status && status.loanNumber() == loan.number) {
             onStatus(status, reply -> {});
--- a/src/main/java/io/kitepath/core/cell/QuotaDivision.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaDivision.java
@@ -8,131 +8,144 @@
 import java.util.TreeMap;
 
 /**
- * How a team's limit is divided between the cells that want some of it; a function of what they
- * say, so that cells that have heard the same divide it alike. What is in use stays where it is.
- * Then whoever has waited longest gets what its first task or gang needs, all of it, before the
- * next one gets anything: two gangs that each hold half of what they need would wait for each other
- * for ever. The rest is divided so that the least is as large as can be (max-min fairness), and
- * what nobody wants stays where it is.
+ * Divides a team's quota between the cells that want some of it. A pure function of their claims,
+ * so that cells with the same information divide it alike. What is in use stays where it is. Then
+ * the cell that has waited longest gets what its first task or gang needs, all of it, before the
+ * next cell gets anything: two gangs that each held half of what they need would be in deadlock.
+ * The rest is divided so that the least share is as large as possible (max-min fairness), and what
+ * no cell wants stays where it is.
  */
 final class QuotaDivision {
     /**
      * One cell's claim; amounts in thousandths.
      *
+     * @param cell its name
      * @param share its share, used or not
-     * @param used what its attempts that are not proven over take
+     * @param used by its attempts that are not proven over
      * @param wanted what its waiting work could use at once beyond that
-     * @param firstWaiting what the first of that needs at once
-     * @param task what one task of that needs: less is of no use to it
-     * @param waitingSince when that was submitted, in milliseconds since 1970
+     * @param firstJobNeed what the oldest waiting job needs at once: one task, or all of a gang
+     * @param firstTaskNeed what one task of that job needs: less is of no use to it
+     * @param waitingSinceMillis when that job was submitted, in milliseconds since 1970
      */
     record QuotaClaim(
             String cell,
             long share,
             long used,
             long wanted,
-            long firstWaiting,
-            long task,
-            double waitingSince) {}
+            long firstJobNeed,
+            long firstTaskNeed,
+            double waitingSinceMillis) {}
 
     private QuotaDivision() {}
 
     /**
-     * By cell: what it is to have now. In all exactly what they hold, and none less than it uses.
+     * What each cell is to have now: in all exactly what they hold, and for none less than it uses.
      */
     static Map<String, Long> targets(List<QuotaClaim> claims) {
         Map<String, Long> fair = maxMinFair(claims);
-        Map<String, Long> out = new HashMap<>();
+        Map<String, Long> targets = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
         long free = 0;
         for (QuotaClaim claim : claims) {
-            out.put(claim.cell, claim.used);
-            free += Math.max(0, claim.share - claim.used);
+            targets.put(claim.cell, claim.used);
             wanted.put(claim.cell, claim.wanted);
+            free += Math.max(0, claim.share - claim.used);
         }
-        // Guards against a cell that is full of work and has the oldest of it: it would take all
-        // that comes free.
-        List<QuotaClaim> due = waiting(claims);
-        due.removeIf(claim -> claim.used >= fair.get(claim.cell));
-        for (QuotaClaim claim : due) {
-            long first = Math.min(free, Math.min(claim.firstWaiting, claim.wanted));
-            out.merge(claim.cell, first, Long::sum);
-            wanted.merge(claim.cell, -first, Long::sum);
-            free -= first;
-        }
-        Map<String, Long> upToFair = new HashMap<>();
-        due.forEach(
-                claim ->
-                        upToFair.put(
-                                claim.cell,
-                                Math.min(
-                                        wanted.get(claim.cell),
-                                        fair.get(claim.cell) - out.get(claim.cell))));
-        free = equalShares(free, upToFair, out);
-        upToFair.forEach((cell, n) -> wanted.merge(cell, -Math.max(0, n), Long::sum));
-        free = equalShares(free, wanted, out);
-        // What nobody wants stays with those that have it.
-        for (QuotaClaim claim :
-                claims.stream().sorted(Comparator.comparing(QuotaClaim::cell)).toList()) {
-            long over = Math.min(free, Math.max(0, claim.share - out.get(claim.cell)));
-            out.merge(claim.cell, over, Long::sum);
-            free -= over;
+        // A cell that uses its fair share comes last, even if it has the oldest waiting work:
+        // otherwise it would take all that becomes free.
+        List<QuotaClaim> belowFair = waitingLongestFirst(claims);
+        belowFair.removeIf(claim -> claim.used >= fair.get(claim.cell));
+        free -= grantFirstNeeds(belowFair, free, wanted, targets);
+        Map<String, Long> wantedUpToFair = new HashMap<>();
+        for (QuotaClaim claim : belowFair) {
+            long belowFairBy = fair.get(claim.cell) - targets.get(claim.cell);
+            wantedUpToFair.put(claim.cell, Math.min(wanted.get(claim.cell), belowFairBy));
         }
-        return out;
+        free = divideEqually(free, wantedUpToFair, targets);
+        wantedUpToFair.forEach(
+                (cell, amount) -> wanted.merge(cell, -Math.max(0, amount), Long::sum));
+        free = divideEqually(free, wanted, targets);
+        leaveWithHolders(claims, free, targets);
+        return targets;
     }
 
     /**
-     * By cell: how much it had best use, if nothing of it were in use now. A cell that uses more
-     * puts nothing new in the place of what ends, while others want it.
+     * What each cell would have if nothing were in use. A cell that uses more starts nothing new in
+     * place of what ends, while others want it.
      */
     static Map<String, Long> maxMinFair(List<QuotaClaim> claims) {
-        long all = claims.stream().mapToLong(QuotaClaim::share).sum();
-        Map<String, Long> out = new HashMap<>();
+        Map<String, Long> fair = new HashMap<>();
         Map<String, Long> wanted = new HashMap<>();
-        claims.forEach(
-                claim -> {
-                    out.put(claim.cell, 0L);
-                    wanted.put(claim.cell, claim.used + claim.wanted);
-                });
-        for (QuotaClaim claim : waiting(claims)) {
-            long first = Math.min(all, Math.min(claim.firstWaiting, claim.wanted));
-            out.merge(claim.cell, first, Long::sum);
-            wanted.merge(claim.cell, -first, Long::sum);
-            all -= first;
+        long free = 0;
+        for (QuotaClaim claim : claims) {
+            fair.put(claim.cell, 0L);
+            wanted.put(claim.cell, claim.used + claim.wanted);
+            free += claim.share;
         }
-        equalShares(all, wanted, out);
-        return out;
+        free -= grantFirstNeeds(waitingLongestFirst(claims), free, wanted, fair);
+        divideEqually(free, wanted, fair);
+        return fair;
     }
 
-    private static List<QuotaClaim> waiting(List<QuotaClaim> claims) {
-        List<QuotaClaim> out =
+    private static List<QuotaClaim> waitingLongestFirst(List<QuotaClaim> claims) {
+        List<QuotaClaim> waiting =
                 new ArrayList<>(claims.stream().filter(claim -> claim.wanted > 0).toList());
-        out.sort(
-                Comparator.comparingDouble(QuotaClaim::waitingSince)
+        waiting.sort(
+                Comparator.comparingDouble(QuotaClaim::waitingSinceMillis)
                         .thenComparing(QuotaClaim::cell));
-        return out;
+        return waiting;
+    }
+
+    /** Gives each in turn what its first job needs; returns how much that was in all. */
+    private static long grantFirstNeeds(
+            List<QuotaClaim> claims,
+            long free,
+            Map<String, Long> wanted,
+            Map<String, Long> amounts) {
+        long granted = 0;
+        for (QuotaClaim claim : claims) {
+            long amount = Math.min(free - granted, Math.min(claim.firstJobNeed, claim.wanted));
+            amounts.merge(claim.cell, amount, Long::sum);
+            wanted.merge(claim.cell, -amount, Long::sum);
+            granted += amount;
+        }
+        return granted;
     }
 
     /**
-     * Equal parts of what is free, again and again as some have all they want; returns what nobody
-     * wants.
+     * Gives all that want some equal parts of what is free, again and again as some have all they
+     * want; returns what no cell wants.
      */
-    private static long equalShares(long free, Map<String, Long> wanted, Map<String, Long> out) {
-        Map<String, Long> left = new TreeMap<>(wanted);
+    private static long divideEqually(
+            long free, Map<String, Long> wanted, Map<String, Long> amounts) {
+        Map<String, Long> unmet = new TreeMap<>(wanted);
         long rest = free;
         while (rest > 0) {
-            left.values().removeIf(n -> n <= 0);
-            if (left.isEmpty()) {
+            unmet.values().removeIf(amount -> amount <= 0);
+            if (unmet.isEmpty()) {
                 break;
             }
-            long part = Math.max(1, rest / left.size());
-            for (Map.Entry<String, Long> e : left.entrySet()) {
-                long more = Math.min(rest, Math.min(part, e.getValue()));
-                out.merge(e.getKey(), more, Long::sum);
-                e.setValue(e.getValue() - more);
-                rest -= more;
+            long part = Math.max(1, rest / unmet.size());
+            for (Map.Entry<String, Long> entry : unmet.entrySet()) {
+                long amount = Math.min(rest, Math.min(part, entry.getValue()));
+                amounts.merge(entry.getKey(), amount, Long::sum);
+                entry.setValue(entry.getValue() - amount);
+                rest -= amount;
             }
         }
         return rest;
     }
+
+    /** What no cell wants stays with those that hold it. */
+    private static void leaveWithHolders(
+            List<QuotaClaim> claims, long free, Map<String, Long> amounts) {
+        long rest = free;
+        for (QuotaClaim claim :
+                claims.stream().sorted(Comparator.comparing(QuotaClaim::cell)).toList()) {
+            long unused = Math.max(0, claim.share - amounts.get(claim.cell));
+            long amount = Math.min(rest, unused);
+            amounts.merge(claim.cell, amount, Long::sum);
+            rest -= amount;
+        }
+    }
 }
--- a/src/main/java/io/kitepath/core/cell/QuotaShares.java
+++ b/src/main/java/io/kitepath/core/cell/QuotaShares.java
@@ -220,11 +220,11 @@
      */
     private static long usefulAmount(QuotaClaim claim, Map<String, Long> targets) {
         long target = targets.get(claim.cell());
-        if (claim.wanted() == 0 || claim.task() == 0) {
+        if (claim.wanted() == 0 || claim.firstTaskNeed() == 0) {
             return target;
         }
         long beyondUse = Math.max(0, target - claim.used());
-        return claim.used() + beyondUse / claim.task() * claim.task();
+        return claim.used() + beyondUse / claim.firstTaskNeed() * claim.firstTaskNeed();
     }
 
     private void grant(
--- a/src/main/java/io/kitepath/core/cell/SequenceNumbers.java
+++ b/src/main/java/io/kitepath/core/cell/SequenceNumbers.java
@@ -8,31 +8,37 @@
 import java.util.TreeSet;
 
 /**
- * Which numbers of one home can never be taken here any more. Guards against an offer that comes
- * late, or once more, after what was lent under it has been given back, and starts it a second
- * time. Below the floor, which the home raises, all are void; above it those that are listed, of
- * which there are never more than the home keeps out.
+ * The numbers of one other cell under which nothing can be accepted here any more. Without them, an
+ * offer that is late or repeated could be accepted a second time after the loan had been given
+ * back. All numbers below the floor are void, which the other cell raises; above it those that are
+ * listed, never more than the other cell leaves open.
  */
 final class SequenceNumbers {
-    /**
-     * Numbers of one home that may be void above its floor; a home that leaves more of them
-     * unsettled is refused.
-     */
+    /** Void numbers above the floor; a cell that leaves more of them open is refused. */
     static final int MAX_LISTED = 200;
 
+    /** The names are part of stored records. */
+    private static final String FLOOR = "floor";
+
+    private static final String LISTED = "void";
+
     private long floor;
     private final TreeSet<Long> listed = new TreeSet<>();
 
     /** Of its record, 0 while there is none. */
     private long revision;
 
-    /** What {@link #record} wrote. */
-    static SequenceNumbers read(Object record, long revision) {
+    /**
+     * Reads what {@link #toRecord} wrote.
+     *
+     * @throws io.kitepath.core.model.InvalidInputException if a field is missing or malformed
+     */
+    static SequenceNumbers fromRecord(Object record, long revision) {
         SequenceNumbers numbers = new SequenceNumbers();
         DocumentReader document = DocumentReader.of(record);
-        numbers.floor = document.count("floor");
-        for (Object o : document.list("void")) {
-            numbers.listed.add(((Number) o).longValue());
+        numbers.floor = document.count(FLOOR);
+        for (Object number : document.list(LISTED)) {
+            numbers.listed.add(((Number) number).longValue());
         }
         numbers.revision = revision;
         return numbers;
@@ -42,40 +48,44 @@
         return number < floor || listed.contains(number);
     }
 
+    /** Whether no more numbers can be made void until the other cell raises the floor. */
     boolean isFull() {
         return listed.size() >= MAX_LISTED;
     }
 
-    /** The home has nothing out any more below that number. */
-    void raiseFloor(long to) {
-        floor = Math.max(floor, to);
+    /** The other cell has nothing open any more below that number. */
+    void raiseFloor(long lowestOpenNumber) {
+        floor = Math.max(floor, lowestOpenNumber);
         listed.headSet(floor).clear();
     }
 
+    /** Makes the number void. */
     void add(long number) {
         if (number >= floor) {
             listed.add(number);
         }
     }
 
-    Map<String, Object> record() {
-        List<Object> list = new ArrayList<>(listed);
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("floor", floor);
-        m.put("void", list);
-        return m;
+    /** The stored form. */
+    Map<String, Object> toRecord() {
+        List<Object> numbers = new ArrayList<>(listed);
+        Map<String, Object> record = new LinkedHashMap<>();
+        record.put(FLOOR, floor);
+        record.put(LISTED, numbers);
+        return record;
     }
 
     long revision() {
         return revision;
     }
 
-    void recorded(long atRevision) {
-        revision = atRevision;
+    /** The store has the record at this revision. */
+    void onCommitted(long committedRevision) {
+        revision = committedRevision;
     }
 
     @Override
     public String toString() {
-        return record().toString();
+        return toRecord().toString();
     }
 }
--- a/src/main/java/io/kitepath/core/cell/VoidedNumbers.java
+++ b/src/main/java/io/kitepath/core/cell/VoidedNumbers.java
@@ -28,7 +28,7 @@
             if (entry.key().startsWith(keyPrefix)) {
                 byCell.put(
                         entry.key().substring(keyPrefix.length()),
-                        SequenceNumbers.read(entry.value(), entry.revision()));
+                        SequenceNumbers.fromRecord(entry.value(), entry.revision()));
             }
         }
     }
@@ -51,12 +51,12 @@
         String key = keyPrefix + cell;
         requireUnchanged(transaction, cell);
         transaction.writes().removeIf(write -> write.key().equals(key));
-        transaction.put(key, of(cell).record());
+        transaction.put(key, of(cell).toRecord());
     }
 
     /** The store has that cell's record at this revision. */
     void onCommitted(String cell, long revision) {
-        of(cell).recorded(revision);
+        of(cell).onCommitted(revision);
     }
 
     @Override
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -243,7 +243,7 @@
             int chosen = i + random.nextInt(candidates.size() - i);
             Collections.swap(candidates, i, chosen);
             RemoteCell remote = candidates.get(i);
-            if (remote.unconfirmed < ProbePlacement.UNCONFIRMED_THRESHOLD) {
+            if (remote.unconfirmedOffers() < ProbePlacement.UNCONFIRMED_THRESHOLD) {
                 return remote;
             }
         }
@@ -255,7 +255,7 @@
         for (RemoteCell remote : candidates) {
             int maxUnconfirmed =
                     ProbePlacement.UNCONFIRMED_THRESHOLD * zoneCounts.getOrDefault(remote.name, 1);
-            if (remote.unconfirmed < maxUnconfirmed
+            if (remote.unconfirmedOffers() < maxUnconfirmed
                     && (best == null || slots(spec, remote) > slots(spec, best))) {
                 best = remote;
             }
--- a/src/test/java/io/kitepath/core/cell/SharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/SharesModelTest.java
@@ -239,7 +239,7 @@
 
         boolean took(String giver, long number) {
             Store.Entry entry = keys.get(StoreKeys.VOIDED_NUMBERS + "share/" + giver);
-            return entry != null && SequenceNumbers.read(entry.value(), 0).isVoid(number);
+            return entry != null && SequenceNumbers.fromRecord(entry.value(), 0).isVoid(number);
         }
 
         @Override
