--- a/src/test/java/io/kitepath/core/cell/QuotaSharesModelTest.java
+++ b/src/test/java/io/kitepath/core/cell/QuotaSharesModelTest.java
@@ -290,45 +290,49 @@
     /** Everything that may happen next, in an order that depends on the state alone. */
     private List<Runnable> actions() {
         List<Runnable> actions = new ArrayList<>();
-        for (Cell cell : cells.values()) {
-            actions.add(() -> step(cell));
-            if (togglesLeft > 0) {
-                actions.add(
-                        () -> {
-                            togglesLeft--;
-                            cell.toggleWork();
-                        });
-            }
-            if (!cell.pendingWrites.isEmpty()) {
-                actions.add(() -> cell.commit(true));
-                actions.add(cell::startLeader);
-                actions.add(
-                        () -> {
-                            cell.commit(false);
-                            cell.startLeader();
-                        });
-            }
+        cells.values().forEach(cell -> addActionsOf(cell, actions));
+        List.copyOf(messages).forEach(sent -> addActionsOf(sent, actions));
+        return actions;
+    }
+
+    private void addActionsOf(Cell cell, List<Runnable> actions) {
+        actions.add(() -> step(cell));
+        if (togglesLeft > 0) {
+            actions.add(
+                    () -> {
+                        togglesLeft--;
+                        cell.toggleWork();
+                    });
         }
-        for (Sent sent : List.copyOf(messages)) {
+        if (!cell.pendingWrites.isEmpty()) {
+            actions.add(() -> cell.commit(true));
+            actions.add(cell::startLeader);
             actions.add(
                     () -> {
-                        messages.remove(sent);
-                        arrive(sent);
+                        cell.commit(false);
+                        cell.startLeader();
                     });
+        }
+    }
+
+    private void addActionsOf(Sent sent, List<Runnable> actions) {
+        actions.add(
+                () -> {
+                    messages.remove(sent);
+                    arrive(sent);
+                });
+        actions.add(
+                () -> {
+                    messages.remove(sent);
+                    sent.answer.accept(null);
+                });
+        if (!sent.isDuplicated && sent.message instanceof QuotaGrant) {
             actions.add(
                     () -> {
-                        messages.remove(sent);
-                        sent.answer.accept(null);
+                        sent.isDuplicated = true;
+                        arrive(new Sent(sent.toCell, sent.message, message -> {}));
                     });
-            if (!sent.isDuplicated && sent.message instanceof QuotaGrant) {
-                actions.add(
-                        () -> {
-                            sent.isDuplicated = true;
-                            arrive(new Sent(sent.toCell, sent.message, message -> {}));
-                        });
-            }
         }
-        return actions;
     }
 
     private void arrive(Sent sent) {
