--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -76,6 +76,11 @@
         return new JobSpecBuilder(id);
     }
 
+    /** Starts the description of a job that is like this one but for what is set afterwards. */
+    public JobSpecBuilder toBuilder() {
+        return JobSpecBuilder.copyOf(this);
+    }
+
     /** Whether all tasks have to run at the same time. */
     public boolean isGang() {
         return shape == Shape.GANG;
--- a/src/main/java/io/kitepath/core/model/JobSpecBuilder.java
+++ b/src/main/java/io/kitepath/core/model/JobSpecBuilder.java
@@ -33,6 +33,29 @@
         this.id = id;
     }
 
+    static JobSpecBuilder copyOf(JobSpec spec) {
+        return new JobSpecBuilder(spec.id())
+                .jobClass(spec.jobClass())
+                .team(spec.team())
+                .shape(spec.shape())
+                .priority(spec.priority())
+                .taskCount(spec.taskCount())
+                .cpusPerTask(spec.cpusPerTask())
+                .gpusPerTask(spec.gpusPerTask())
+                .memoryGigabytesPerTask(spec.memoryGigabytesPerTask())
+                .machineTypes(spec.machineTypes())
+                .zone(spec.zone())
+                .singleZone(spec.isSingleZone())
+                .spreadAcrossZones(spec.isSpreadAcrossZones())
+                .allowSpot(spec.allowsSpot())
+                .image(spec.image())
+                .imageGigabytes(spec.imageGigabytes())
+                .estimatedSeconds(spec.estimatedSeconds())
+                .checkpointIntervalSeconds(spec.checkpointIntervalSeconds())
+                .checkpointSaveSeconds(spec.checkpointSaveSeconds())
+                .deadlineSeconds(spec.deadlineSeconds());
+    }
+
     /** Sets {@link JobSpec#jobClass}. */
     public JobSpecBuilder jobClass(String jobClass) {
         this.jobClass = jobClass;
--- a/src/main/java/io/kitepath/simulation/SimulatedCluster.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCluster.java
@@ -26,247 +26,220 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * A small world in memory for stories: a clock, a store, a cloud, workers and up to three
- * controllers. Nothing here waits for real time, and nothing is random without a seed.
+ * A cluster in memory: a clock, a state service, a cloud, workers and up to three controllers. Its
+ * public fields are the settings and the faults of a test; they may change while it runs. Nothing
+ * here waits for real time, and nothing is random without a seed. All of it runs on the thread that
+ * calls {@link #run}.
  */
 public final class SimulatedCluster {
-    /** Users wait so long for an answer about a job; what comes later is told to nobody. */
+    /** A user gives up a request about a job after that time; a later answer is dropped. */
     private static final double USER_TIMEOUT_SECONDS = 2;
 
-    /**
-     * Seconds between a worker's reports, those of its lease, and those that tasks of a cancelled
-     * job may take to go.
-     */
+    // ---- workers' timings -----------------------------------------------------------------------
+
+    /** Time between two heartbeats of a worker. */
     public double heartbeatIntervalSeconds = 1;
 
+    /** How long a worker's lease lasts after the last answered heartbeat was sent. */
     public double leaseSeconds = 10;
+
+    /** How long the tasks of a cancelled job may still run. */
     public double cancelSeconds = 30;
 
     public final SimulatedClock clock;
 
-    /** The cells that this world is one of, or null. */
+    /** The simulation that this cluster is a cell of, or null. */
     public final MultiCellSimulation multiCell;
 
     public final CellDirectory cellDirectory;
 
-    /** Requests and changes a second that the settings allow. */
+    // ---- limits of the store and other settings -------------------------------------------------
+
+    /** Requests per second that the settings allow. */
     public double requestsPerSecond = 1000;
 
+    /** Writes per second that the settings allow. */
     public double writesPerSecond = 1000;
 
-    /** And the size of values. */
+    /** The largest value that the settings allow. */
     public double valueKilobytes = 8;
 
     public final Map<String, ClusterSettings.Team> teams = new LinkedHashMap<>();
 
-    /** What the settings name as siblings, whether or not they run. */
+    /** Names of nodes that the settings list as siblings, whether or not they run. */
     public final List<String> siblings = new ArrayList<>();
 
     public final List<ClusterSettings.Objective> objectives = new ArrayList<>();
+
+    // ---- what the cluster consists of -----------------------------------------------------------
+
     public final InMemoryStore store = new InMemoryStore(this);
     public final InMemoryCloud cloud = new InMemoryCloud();
     public final Map<String, SimulatedNode> nodes = new LinkedHashMap<>();
 
-    /** How many processes have been started under each node's name. */
+    /** How many processes have been started under each node's name; part of their seed. */
     final Map<String, Integer> processStarts = new HashMap<>();
 
     public final Map<String, SimulatedWorker> workers = new TreeMap<>();
 
-    /** Jobs that fail on every machine. */
+    /** Ids of jobs whose tasks fail on every machine. */
     public final Set<String> jobsThatFailEverywhere = new HashSet<>();
 
+    // ---- network --------------------------------------------------------------------------------
+
     /**
-     * How long a request to the store or the cloud takes to get there, and its answer back; fixed
-     * unless it is set.
+     * One-way latency of each request to the store or the cloud and of each response; null for
+     * fixed latencies.
      */
     public DoubleSupplier latencySeconds;
 
     /**
-     * Whether the next answer of store or cloud is lost, which its node takes for an unknown
+     * Whether the next response of store or cloud is lost, so that its node sees an unknown
      * outcome.
      */
     public BooleanSupplier losesNextResponse = () -> false;
 
     /** How workers reach nodes. */
     public interface WorkerNetwork {
-        /** The names of nodes that a worker may try. */
+        /** Names of the nodes that a worker may try. */
         List<String> aliveNodes();
 
-        /** Reports to a node; there may be no answer. */
+        /** Sends a heartbeat to a node; the answer may never come. */
         void heartbeat(String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer);
     }
 
-    /** Reports of which a copy is kept until another node leads. */
+    /** Heartbeats of which a copy is kept until another node becomes leader. */
     public Predicate<Heartbeat> copiesHeartbeat = heartbeat -> false;
 
     /**
-     * Whether the copies come to every node as soon as it leads, else to itself once it has acted;
-     * and how long after.
+     * True: the copies are delivered to all nodes when a new leader is announced. False: to the new
+     * leader alone, when a worker has accepted its first response.
      */
     public boolean deliversCopiesToAllNodes;
 
+    /** How long after that the copies are delivered. */
     public double copyDeliveryDelaySeconds = 0.001;
-    private final List<Heartbeat> copiedHeartbeats = new ArrayList<>();
 
-    /** Copies that came that way. */
+    /** Copies delivered so far. */
     public int copiesDelivered;
 
-    private long leads;
-    private long acts;
-
-    /** How late a copy of the next report comes to some node; 0: there is none. */
+    /** Delay of a duplicate of the next heartbeat, delivered to some node; 0 for no duplicate. */
     public DoubleSupplier duplicateDelaySeconds = () -> 0;
 
-    /** To the nodes in memory, unless it is set to something else. */
-    public WorkerNetwork workerNetwork =
-            new WorkerNetwork() {
-                @Override
-                public List<String> aliveNodes() {
-                    return nodes.values().stream().filter(n -> n.alive).map(n -> n.name).toList();
-                }
-
-                @Override
-                public void heartbeat(
-                        String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-                    SimulatedNode n = nodes.get(node);
-                    if (copiesHeartbeat.test(heartbeat)) {
-                        copiedHeartbeats.add(heartbeat);
-                    }
-                    double late = duplicateDelaySeconds.getAsDouble();
-                    if (late > 0) {
-                        // Whoever answers a copy is not heard.
-                        after(
-                                late,
-                                () ->
-                                        nodes.values().stream()
-                                                .filter(x -> x.alive)
-                                                .skip((long) (late * 7) % nodes.size())
-                                                .findFirst()
-                                                .ifPresent(
-                                                        x ->
-                                                                x.deliver(
-                                                                        () ->
-                                                                                x.controller
-                                                                                        .onHeartbeat(
-                                                                                                heartbeat,
-                                                                                                response -> {}))));
-                    }
-                    after(
-                            0.002,
-                            () ->
-                                    n.deliver(
-                                            () ->
-                                                    n.controller.onHeartbeat(
-                                                            heartbeat,
-                                                            response ->
-                                                                    after(
-                                                                            0.002,
-                                                                            () ->
-                                                                                    answer.accept(
-                                                                                            response)))));
-                }
-            };
-
-    /** Is told of every worker that there is from now on. */
+    private final InMemoryWorkerNetwork inMemoryNetwork = new InMemoryWorkerNetwork(this);
+
+    /** How workers reach nodes; those in memory unless a test or an emulator replaces it. */
+    public WorkerNetwork workerNetwork = inMemoryNetwork;
+
+    /** Called with every worker that is created. */
     public Consumer<SimulatedWorker> onWorkerCreated = worker -> {};
 
-    /** Workers get no direct commands. */
+    /** Whether no worker receives direct commands. */
     public boolean refusesDirectCommands;
 
-    /** Which worker a node's direct commands reach, and its answer that node. */
+    /** Whether direct commands of a node reach a worker, and the worker's response that node. */
     public BiPredicate<SimulatedNode, SimulatedWorker> directCommandReaches =
             (node, worker) -> true;
 
-    /** How late they come. */
+    /** One-way latency of direct commands. */
     public double directCommandDelaySeconds = 0.002;
 
     /**
-     * How late the next one comes on a connection that its sender has given up by then; 0: it is
-     * not held up.
+     * How long the next direct command is held back, on a connection that its sender has given up
+     * by then; 0 for not at all.
      */
     public DoubleSupplier directCommandHoldSeconds = () -> 0;
 
-    /** Answers that workers had to drop, as their token was lower than one that they had seen. */
+    /** Responses that workers dropped because of a stale fencing token. */
     public int responsesDropped;
 
+    // ---- jobs and users -------------------------------------------------------------------------
+
     /**
-     * How long a machine fetches an image that it does not have, by its name; with this set, the
-     * tasks of a gang wait for each other, and give up after the settings' time.
+     * How long a machine, given by its id, fetches an image that it does not have. If this is set,
+     * the tasks of a gang wait for each other and time out; if null, they start at once.
      */
     public ToDoubleFunction<String> imageFetchSeconds;
 
+    /** Every job that was submitted here, by id. */
     public Map<String, JobSpec> specs = new HashMap<>();
 
     /**
-     * After an answer that a job is accepted, done or cancelled, users ask at all nodes, and
-     * repeat, within milliseconds.
+     * Whether users, once told that a job is accepted, done or cancelled, query all nodes and
+     * submit again within milliseconds.
      */
     public boolean pollsRightAfterAnswers;
 
-    /** Whether users call off the job whose last task completes, in that moment. */
+    /** Whether users cancel a job at the moment in which that task, its last, completes. */
     public Predicate<SimulatedTask> cancelsOnCompletion = task -> false;
 
     public final InvariantChecker invariants = new InvariantChecker(this);
     public final LoadGenerator loadGenerator = new LoadGenerator(this);
 
-    /** How long a job's tasks run, by its id; null: as long as the machine's tasks do. */
+    /** How long a job's tasks run, by its id; null for the worker's own setting. */
     public ToDoubleFunction<String> taskSeconds;
 
-    /** Whether workers report as soon as a task ends, as they do outside. */
+    /** Whether workers send a heartbeat as soon as a task ends, as real ones do. */
     public boolean reportsChangesImmediately;
 
-    /** Tasks that completed, by job. */
+    /** Numbers of the tasks that completed, by job id. */
     public final Map<String, Set<Integer>> completedTasks = new HashMap<>();
 
-    /** What broke: a task that starts while it is on another machine. */
+    /** Every violation of a rule so far, in the order in which they were found. */
     public final List<String> violations = new ArrayList<>();
 
+    /** The only machine type of this cluster. */
     public MachineType type =
             new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 40, List.of("a", "b"));
+
     public List<String> zones = List.of("a", "b");
 
+    /** A cluster of its own, with its own clock. */
     public SimulatedCluster() {
         this(new SimulatedClock(), null, null);
     }
 
-    /** One cell among others, which share a clock. */
+    /** One cell among others that share a clock; see {@link MultiCellSimulation}. */
     public SimulatedCluster(
-            SimulatedClock clock, MultiCellSimulation around, CellDirectory cellDirectory) {
+            SimulatedClock clock, MultiCellSimulation multiCell, CellDirectory cellDirectory) {
         this.clock = clock;
-        this.multiCell = around;
+        this.multiCell = multiCell;
         this.cellDirectory = cellDirectory;
         clock.clusters.add(this);
         teams.put("red", new ClusterSettings.Team("red", 0, 0, 0, 0));
     }
 
-    public void after(double s, Runnable r) {
-        clock.after(s, r);
+    /** Schedules an action on this cluster's clock. */
+    public void after(double seconds, Runnable action) {
+        clock.after(seconds, action);
     }
 
-    /** What a message takes that usually takes so long. */
-    double messageLatencySeconds(double usualS) {
-        return latencySeconds == null ? usualS : latencySeconds.getAsDouble();
+    /** One-way latency of the next message to store or cloud, unless its usual one is replaced. */
+    double messageLatencySeconds(double usualSeconds) {
+        return latencySeconds == null ? usualSeconds : latencySeconds.getAsDouble();
     }
 
+    /** Lets simulated time pass and runs what falls due. */
     public void run(double seconds) {
         clock.run(seconds);
     }
 
-    /** Limits of the store that the settings announce, or null. */
+    /** Lower limits of the store that the settings announce, or null. */
     public ClusterSettings.StoreLimits announcedStoreLimits;
 
-    /** What jobs need that were handed in here, by id. */
+    /** Ids of the jobs that each submitted job depends on, by its id. */
     public final Map<String, List<String>> dependencies = new HashMap<>();
 
-    /** When they were accepted. */
+    /** When each job was accepted, in simulated seconds, by id. */
     public final Map<String, Double> acceptedAt = new HashMap<>();
 
-    /** When users were told that a job is cancelled, by id. */
+    /** When a user was first told that a job is cancelled, in simulated seconds, by id. */
     public final Map<String, Double> reportedCancelledAt = new HashMap<>();
 
-    /** And that it is done. */
+    /** Ids of the jobs that a user was told are done. */
     public final Set<String> reportedDone = new HashSet<>();
 
+    /** The settings that a node of that name starts with now. */
     public ClusterSettings settings(String node) {
         return new ClusterSettings(
                 node,
@@ -290,6 +263,7 @@
                 requestsPerSecond, writesPerSecond, valueKilobytes, 40);
     }
 
+    /** Starts a node; one that had the name before is no longer found under it. */
     public SimulatedNode node(String name) {
         SimulatedNode node = new SimulatedNode(this, name);
         nodes.put(name, node);
@@ -297,6 +271,11 @@
         return node;
     }
 
+    /**
+     * The node that leads with the store's fencing token.
+     *
+     * @throws java.util.NoSuchElementException if there is none at the moment
+     */
     public SimulatedNode leader() {
         return nodes.values().stream()
                 .filter(
@@ -308,6 +287,7 @@
                 .orElseThrow();
     }
 
+    /** Adds an on-demand machine whose worker sends its first heartbeat at once. */
     public SimulatedWorker worker(String id, String zone) {
         SimulatedWorker worker = new SimulatedWorker(this, id, zone);
         workers.put(id, worker);
@@ -318,6 +298,7 @@
         return worker;
     }
 
+    /** Adds a spot instance; see {@link #worker}. */
     public SimulatedWorker spotWorker(String id, String zone) {
         SimulatedWorker worker = worker(id, zone);
         worker.spot = true;
@@ -325,191 +306,118 @@
         return worker;
     }
 
-    public static JobSpec onSpot(JobSpec spec, double estimateS) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.shape(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.cpusPerTask(),
-                spec.gpusPerTask(),
-                spec.memoryGigabytesPerTask(),
-                spec.machineTypes(),
-                spec.zone(),
-                spec.isSingleZone(),
-                spec.isSpreadAcrossZones(),
-                true,
-                spec.image(),
-                spec.imageGigabytes(),
-                estimateS,
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointSaveSeconds(),
-                spec.deadlineSeconds());
+    /** The same job, allowed on spot instances, with that estimate of a task's run time. */
+    public static JobSpec onSpot(JobSpec spec, double estimatedSeconds) {
+        return spec.toBuilder().allowSpot(true).estimatedSeconds(estimatedSeconds).build();
     }
 
-    public static JobSpec job(String id, JobSpec.Shape shape, int tasks, double cpus) {
-        return new JobSpec(
-                id,
-                "work",
-                "red",
-                shape,
-                JobSpec.Priority.NORMAL,
-                tasks,
-                cpus,
-                0,
-                1,
-                null,
-                null,
-                false,
-                false,
-                false,
-                "img",
-                1,
-                20,
-                0,
-                0,
-                null);
+    /** A job of team red at normal priority whose tasks need 1 GB of memory each. */
+    public static JobSpec job(String id, JobSpec.Shape shape, int taskCount, double cpusPerTask) {
+        return JobSpec.builder(id)
+                .jobClass("work")
+                .team("red")
+                .shape(shape)
+                .priority(JobSpec.Priority.NORMAL)
+                .taskCount(taskCount)
+                .cpusPerTask(cpusPerTask)
+                .memoryGigabytesPerTask(1)
+                .image("img")
+                .imageGigabytes(1)
+                .estimatedSeconds(20)
+                .build();
     }
 
+    /** The same job for another team, at another priority, in a single zone or not. */
     public static JobSpec with(
-            JobSpec spec, String team, JobSpec.Priority priority, boolean oneZone) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                team,
-                spec.shape(),
-                priority,
-                spec.taskCount(),
-                spec.cpusPerTask(),
-                spec.gpusPerTask(),
-                spec.memoryGigabytesPerTask(),
-                spec.machineTypes(),
-                spec.zone(),
-                oneZone,
-                spec.isSpreadAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageGigabytes(),
-                spec.estimatedSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointSaveSeconds(),
-                spec.deadlineSeconds());
+            JobSpec spec, String team, JobSpec.Priority priority, boolean singleZone) {
+        return spec.toBuilder().team(team).priority(priority).singleZone(singleZone).build();
     }
 
+    /** Submits a job and waits 0.1 simulated seconds; null if there is no answer by then. */
     public JobSubmissionService.JobResponse submit(
-            SimulatedNode node, JobSpec spec, String... itsNeeds) {
-        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
-        double asked = clock.now;
+            SimulatedNode node, JobSpec spec, String... dependencyIds) {
+        JobSubmissionService.JobResponse[] received = new JobSubmissionService.JobResponse[1];
+        double askedAt = clock.now;
         specs.put(spec.id(), spec);
-        dependencies.putIfAbsent(spec.id(), List.of(itsNeeds));
+        dependencies.putIfAbsent(spec.id(), List.of(dependencyIds));
         node.controller
                 .jobApi()
                 .submit(
                         spec,
-                        List.of(itsNeeds),
+                        List.of(dependencyIds),
                         response -> {
                             if (response.verdict() == JobSubmissionService.Verdict.CREATED
                                     || response.verdict() == JobSubmissionService.Verdict.KNOWN) {
                                 invariants.accepted(spec.id());
                             }
-                            got[0] = heard(spec.id(), response, asked);
+                            received[0] = heard(spec.id(), response, askedAt);
                         });
         run(0.1);
-        return got[0];
+        return received[0];
     }
 
+    /** Cancels a job and waits 0.1 simulated seconds; null if there is no answer by then. */
     public JobSubmissionService.JobResponse cancel(SimulatedNode node, String id) {
         invariants.cancellationRequested(id);
-        return told(id, answer -> node.controller.jobApi().cancel(id, answer));
+        return request(id, answer -> node.controller.jobApi().cancel(id, answer));
     }
 
     /**
-     * So many jobs that run are called off within a fifth of a second; up to eight of their
-     * machines hang so long.
+     * Cancels that many running jobs within a fifth of a second, while up to eight of their
+     * machines hang for that time.
+     *
+     * @return the ids of the jobs
      */
-    public List<String> cancelNow(int count, double hangS, Random random) {
-        return loadGenerator.cancelSome(count, hangS, random);
+    public List<String> cancelNow(int count, double hangSeconds, Random random) {
+        return loadGenerator.cancelSome(count, hangSeconds, random);
     }
 
+    /**
+     * Queries a job's status and waits 0.1 simulated seconds; null if there is no answer by then.
+     */
     public JobSubmissionService.JobResponse ask(SimulatedNode node, String id) {
-        return told(id, answer -> node.controller.jobApi().status(id, answer));
+        return request(id, answer -> node.controller.jobApi().status(id, answer));
     }
 
     /**
-     * What a user hears counts from the moment in which it does, also if that is later than the
-     * caller waits here.
+     * Makes a request as a user. An answer within the user's timeout is checked when it arrives,
+     * also if that is after this method has returned.
      */
-    private JobSubmissionService.JobResponse told(
-            String id, Consumer<Consumer<JobSubmissionService.JobResponse>> question) {
-        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
-        double asked = clock.now;
-        question.accept(
+    private JobSubmissionService.JobResponse request(
+            String id, Consumer<Consumer<JobSubmissionService.JobResponse>> call) {
+        JobSubmissionService.JobResponse[] received = new JobSubmissionService.JobResponse[1];
+        double askedAt = clock.now;
+        call.accept(
                 response -> {
-                    if (clock.now - asked <= USER_TIMEOUT_SECONDS) {
-                        got[0] = heard(id, response, asked);
+                    if (clock.now - askedAt <= USER_TIMEOUT_SECONDS) {
+                        received[0] = heard(id, response, askedAt);
                     }
                 });
         run(0.1);
-        return got[0];
+        return received[0];
     }
 
-    /** A user hears that; {@code asked}: when it asked. */
+    /** Checks an answer that reaches a user who had sent the request at {@code askedAt}. */
     JobSubmissionService.JobResponse heard(
-            String id, JobSubmissionService.JobResponse response, double asked) {
-        invariants.checkAnswer(id, response, asked);
+            String id, JobSubmissionService.JobResponse response, double askedAt) {
+        invariants.checkAnswer(id, response, askedAt);
         if (response != null) {
             loadGenerator.onFinalAnswer(id, response);
         }
         return response;
     }
 
-    // ---- reports that are kept for another leader
-    // -------------------------------------------------
-
-    /** The node says that it leads with that token. */
-    void leads(long token) {
-        if (token > leads) {
-            leads = token;
-            if (deliversCopiesToAllNodes) {
-                bringKept(List.copyOf(nodes.values()));
-            }
-        }
-    }
-
-    /** A worker was answered with that token. */
-    void acts(String node, long token) {
-        if (token > acts) {
-            acts = token;
-            if (!deliversCopiesToAllNodes && nodes.get(node) != null) {
-                bringKept(List.of(nodes.get(node)));
-            }
-        }
+    /** A node has announced that it leads with that fencing token. */
+    void onLeaderAnnounced(long fencingToken) {
+        inMemoryNetwork.onLeaderAnnounced(fencingToken);
     }
 
-    private void bringKept(List<SimulatedNode> to) {
-        List<Heartbeat> copies = List.copyOf(copiedHeartbeats);
-        copiedHeartbeats.clear();
-        after(
-                copyDeliveryDelaySeconds,
-                () ->
-                        copies.forEach(
-                                heartbeat ->
-                                        to.stream()
-                                                .filter(node -> node.alive)
-                                                .forEach(
-                                                        node -> {
-                                                            copiesDelivered++;
-                                                            node.deliver(
-                                                                    () ->
-                                                                            node.controller
-                                                                                    .onHeartbeat(
-                                                                                            heartbeat,
-                                                                                            response -> {}));
-                                                        })));
+    /** A worker has accepted a node's heartbeat response with that fencing token. */
+    void onHeartbeatAnswered(String node, long fencingToken) {
+        inMemoryNetwork.onHeartbeatAnswered(node, fencingToken);
     }
 
+    /** The job's status as users read it, or the verdict if the job is not known. */
     public String status(SimulatedNode node, String id) {
         JobSubmissionService.JobResponse response = ask(node, id);
         return response.verdict() == JobSubmissionService.Verdict.KNOWN
@@ -517,7 +425,7 @@
                 : response.verdict().toString();
     }
 
-    /** How many tasks of the job are on machines. */
+    /** How many tasks of the job are on machines and have not ended. */
     public long onMachines(String jobId) {
         return workers.values().stream()
                 .filter(worker -> worker.up)
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -193,7 +193,7 @@
     @Override
     public void announceState(long token, String leader, boolean served) {
         if (leader != null) {
-            cluster.leads(token);
+            cluster.onLeaderAnnounced(token);
         }
         cluster.nodes.values().stream()
                 .filter(node -> node != this && node.alive && reaches(node))
--- a/src/main/java/io/kitepath/simulation/SimulatedWorker.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedWorker.java
@@ -252,7 +252,7 @@
             return;
         }
         if (response.fencingToken() >= token) {
-            cluster.acts(node, response.fencingToken());
+            cluster.onHeartbeatAnswered(node, response.fencingToken());
             token = response.fencingToken();
             lastAnsweredAt = Math.max(lastAnsweredAt, sent);
             cluster.after(
