--- a/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
+++ b/src/main/java/io/kitepath/simulation/MultiCellSimulation.java
@@ -4,11 +4,10 @@
 import io.kitepath.core.model.CellMessage;
 import io.kitepath.core.model.ClusterSettings;
 import io.kitepath.core.model.DocumentReader;
-import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.port.Store;
-import io.kitepath.core.service.JobSubmissionService;
+import io.kitepath.core.service.JobSubmissionService.JobResponse;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,6 +15,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
@@ -23,16 +23,11 @@
 import java.util.function.Predicate;
 
 /**
- * Several cells, each a {@link SimulatedCluster} of its own, on one clock, with a network between
- * them that loses, doubles, delays and cuts. It watches the rules over all of them, knowing nothing
- * of how they are kept.
+ * Several cells, each a {@link SimulatedCluster} of its own, on one clock, with a {@link
+ * CellNetwork} between them whose faults are set here. {@link MultiCellInvariants} checks the rules
+ * over all of them, without knowing how they are kept. All of it runs on one thread.
  */
 public final class MultiCellSimulation {
-    /**
-     * Seconds that a task may still be on a machine once its user was told that it is cancelled.
-     */
-    private static final double CANCEL_SECONDS = 30;
-
     private static final Map<String, ClusterSettings.Team> TEAMS =
             Map.of(
                     "red",
@@ -40,85 +35,95 @@
                     "blue",
                     new ClusterSettings.Team("blue", 0, 0, 0, 0));
 
+    private static final List<String> LOAN_PREFIXES =
+            List.of(
+                    "jobs/lent/",
+                    "jobs/guest/",
+                    "kitepath/share/",
+                    "jobs/leave/",
+                    "kitepath/void/");
+
+    /** The clock that all cells share. */
     public final SimulatedClock clock = new SimulatedClock();
 
-    /** Seconds between looks at every task on every machine. */
+    /** How often every task on every machine is checked against the rules. */
     public double checkIntervalSeconds = 0.25;
 
+    /** The cells, by name. */
     public final Map<String, SimulatedCluster> clusters = new LinkedHashMap<>();
 
-    /** "a>b": nothing gets from a to b. */
+    /** Cut directions of the network: with {@code "a>b"} nothing gets from cell a to cell b. */
     public final Set<String> cutConnections = new HashSet<>();
 
-    /** Shares of messages, with a seed. */
+    /** How likely a message or an answer is lost. */
     public double lossProbability;
 
+    /** How likely a message is delivered a second time within seconds. */
     public double duplicationProbability;
+
+    /** How likely a message is delivered once more within a minute. */
     public double delayProbability;
+
+    /** Messages and answers that are lost in any case. */
     public Predicate<CellMessage> loses = message -> false;
 
-    /** Messages that the network keeps, to be delivered at some other time. */
+    /** Messages that the network holds back until a test delivers them. */
     public Predicate<CellMessage> holdsBack = message -> false;
 
+    /** Delivers a held back message, one entry for each, to all nodes of its cell. */
     public final List<Runnable> heldBackDeliveries = new ArrayList<>();
+
     public final List<CellMessage> heldBackMessages = new ArrayList<>();
-    private final Random random;
-    private final Map<String, Double> limits;
+    private final CellNetwork network;
+    private final MultiCellInvariants invariants;
 
-    /** The most CPUs that a team had on machines at once. */
+    /** The most CPUs that each team had on machines at once, over all cells. */
     public final Map<String, Double> mostUsed = new HashMap<>();
 
+    /** Every job that was submitted, by id; shared by all cells. */
     public final Map<String, JobSpec> specs = new HashMap<>();
+
+    /** Violations of the rules over all cells; {@link #violations()} has those of each cell too. */
     public final List<String> violations = new ArrayList<>();
-    private final Map<String, String> reportedStatus = new HashMap<>();
-    private final Map<String, Double> cancelledAt = new HashMap<>();
-    private final Set<String> accepted = new HashSet<>();
+
+    /** Messages that cells have sent to each other. */
     public long messages;
 
     /**
-     * Cells that are homes, by name, and after them in the second list cells that only lend their
-     * room.
+     * Cells without limits for teams.
+     *
+     * @param homes names of cells that jobs belong to
+     * @param rooms names of cells that only run tasks of others
      */
     public MultiCellSimulation(long seed, List<String> homes, List<String> rooms) {
         this(seed, homes, rooms, false);
     }
 
-    /** {@code apart}: the cells know nothing of each other. */
+    /** The same; with {@code apart} the cells know nothing of each other. */
     public MultiCellSimulation(long seed, List<String> homes, List<String> rooms, boolean apart) {
         this(seed, homes, rooms, apart, Map.of());
     }
 
-    /** {@code limits}: CPUs of each team, of which every cell has an equal part at first. */
+    /** The same, with a limit of CPUs for each team, of which cells have equal parts at first. */
     public MultiCellSimulation(
             long seed,
             List<String> homes,
             List<String> rooms,
             boolean apart,
             Map<String, Double> limits) {
-        this.limits = limits;
-        this.random = new Random(seed);
+        this.network = new CellNetwork(this, new Random(seed));
+        this.invariants = new MultiCellInvariants(this, limits);
         List<String> names = new ArrayList<>(homes);
         names.addAll(rooms);
         Map<String, ClusterSettings.Team> wholes = new LinkedHashMap<>(TEAMS);
         Map<String, ClusterSettings.Team> parts = new LinkedHashMap<>(TEAMS);
         limits.forEach(
-                (t, cpus) -> {
-                    wholes.put(t, new ClusterSettings.Team(t, 0, cpus, 0, 0));
-                    parts.put(t, new ClusterSettings.Team(t, 0, cpus / names.size(), 0, 0));
+                (team, cpus) -> {
+                    wholes.put(team, new ClusterSettings.Team(team, 0, cpus, 0, 0));
+                    parts.put(team, new ClusterSettings.Team(team, 0, cpus / names.size(), 0, 0));
                 });
         for (String own : names) {
-            Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
-            for (String n : names) {
-                cells.put(
-                        n,
-                        new CellDirectory.Cell(
-                                n,
-                                homes.contains(n),
-                                false,
-                                List.of(n + "1", n + "2"),
-                                Map.of(),
-                                parts));
-            }
+            Map<String, CellDirectory.Cell> cells = directoryCells(names, homes, parts);
             SimulatedCluster cluster =
                     new SimulatedCluster(
                             clock, this, apart ? null : new CellDirectory(1, own, cells));
@@ -128,14 +133,28 @@
             cluster.type = new MachineType("m4", 4, 0, 16, 50, 1, 1.0, 0.4, 1000, cluster.zones);
             clusters.put(own, cluster);
         }
-        checkInvariants();
+        invariants.checkPeriodically();
+    }
+
+    private static Map<String, CellDirectory.Cell> directoryCells(
+            List<String> names, List<String> homes, Map<String, ClusterSettings.Team> parts) {
+        Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
+        for (String name : names) {
+            List<String> zones = List.of(name + "1", name + "2");
+            cells.put(
+                    name,
+                    new CellDirectory.Cell(
+                            name, homes.contains(name), false, zones, Map.of(), parts));
+        }
+        return cells;
     }
 
+    /** The cell of that name, or null. */
     public SimulatedCluster cluster(String cell) {
         return clusters.get(cell);
     }
 
-    /** Nodes and machines of a cell. */
+    /** Starts that many nodes and machines in a cell. */
     public void cell(String cell, int nodes, int machines) {
         SimulatedCluster cluster = clusters.get(cell);
         for (int i = 0; i < nodes; i++) {
@@ -149,6 +168,11 @@
         }
     }
 
+    /**
+     * The first node of a cell that is alive.
+     *
+     * @throws java.util.NoSuchElementException if there is none
+     */
     public SimulatedNode anyAliveNode(String cell) {
         return clusters.get(cell).nodes.values().stream()
                 .filter(node -> node.alive)
@@ -156,115 +180,66 @@
                 .orElseThrow();
     }
 
+    /** The leader of a cell; see {@link SimulatedCluster#leader}. */
     public SimulatedNode leader(String cell) {
         return clusters.get(cell).leader();
     }
 
-    /** The process ends, and starts again after some seconds. */
-    public void restart(SimulatedNode node, double afterS) {
-        SimulatedCluster w =
+    /** Crashes a node and starts it again after some seconds. */
+    public void restart(SimulatedNode node, double delaySeconds) {
+        SimulatedCluster cluster =
                 clusters.values().stream()
-                        .filter(x -> x.nodes.get(node.name) == node)
+                        .filter(candidate -> candidate.nodes.get(node.name) == node)
                         .findFirst()
                         .orElseThrow();
         node.crash();
-        clock.after(afterS, () -> w.node(node.name));
+        clock.after(delaySeconds, () -> cluster.node(node.name));
     }
 
-    public void run(double s) {
-        clock.run(s);
+    /** Lets simulated time pass and runs what falls due. */
+    public void run(double seconds) {
+        clock.run(seconds);
     }
 
-    /** Runs until that holds, at most so long; returns the seconds, or fails. */
-    public double runUntil(double mostS, BooleanSupplier holds) {
-        double from = clock.now;
-        while (!holds.getAsBoolean()) {
-            if (clock.now - from > mostS) {
-                throw new AssertionError("not within " + mostS + " s");
+    /**
+     * Lets simulated time pass until a condition holds.
+     *
+     * @return how many seconds that took
+     * @throws AssertionError if it does not hold in time
+     */
+    public double runUntil(double maxSeconds, BooleanSupplier condition) {
+        double start = clock.now;
+        while (!condition.getAsBoolean()) {
+            if (clock.now - start > maxSeconds) {
+                throw new AssertionError("not within " + maxSeconds + " s");
             }
             run(0.25);
         }
-        return clock.now - from;
+        return clock.now - start;
     }
 
     // ---- the network ----------------------------------------------------------------------------
 
+    /** Cuts the network between two cells in both directions. */
     public void cutBetween(String a, String b) {
         cutConnections.add(a + ">" + b);
         cutConnections.add(b + ">" + a);
     }
 
+    /** Sends a message of a cell's node to another cell; see {@link CellNetwork#ask}. */
     public void ask(
             SimulatedCluster from,
-            SimulatedNode by,
+            SimulatedNode sender,
             String cell,
             String node,
-            CellMessage m,
+            CellMessage message,
             Consumer<CellMessage> answer) {
-        messages++;
-        SimulatedCluster cluster = clusters.get(cell);
-        boolean[] heard = new boolean[1];
-        Consumer<CellMessage> once =
-                a ->
-                        by.deliver(
-                                () -> {
-                                    if (!heard[0]) {
-                                        heard[0] = true;
-                                        answer.accept(a);
-                                    }
-                                });
-        clock.after(1, () -> once.accept(null));
-        String out = from.cellDirectory.ownCellName() + ">" + cell;
-        String back = cell + ">" + from.cellDirectory.ownCellName();
-        List<SimulatedNode> up = cluster.nodes.values().stream().filter(n -> n.alive).toList();
-        SimulatedNode asked =
-                node != null
-                        ? cluster.nodes.get(node)
-                        : up.isEmpty() ? null : up.get(random.nextInt(up.size()));
-        if (asked == null || cutConnections.contains(out)) {
-            return;
-        }
-        Consumer<SimulatedNode> deliver =
-                n ->
-                        n.deliver(
-                                () ->
-                                        n.controller
-                                                .otherCells()
-                                                .onMessage(
-                                                        m,
-                                                        a -> {
-                                                            if (!cutConnections.contains(back)
-                                                                    && !(a != null && loses.test(a))
-                                                                    && random.nextDouble()
-                                                                            >= lossProbability) {
-                                                                clock.after(
-                                                                        0.002,
-                                                                        () -> once.accept(a));
-                                                            }
-                                                        }));
-        if (holdsBack.test(m)) {
-            // Late, it may reach whoever listens by then, the holder among them.
-            heldBackDeliveries.add(() -> List.copyOf(cluster.nodes.values()).forEach(deliver));
-            heldBackMessages.add(m);
-            return;
-        }
-        // Whoever listens under that name by then gets it.
-        Runnable delivery = () -> deliver.accept(cluster.nodes.get(asked.name));
-        if (loses.test(m) || random.nextDouble() < lossProbability) {
-            return;
-        }
-        clock.after(0.002, delivery);
-        if (random.nextDouble() < duplicationProbability) {
-            clock.after(0.002 + 5 * random.nextDouble(), delivery);
-        }
-        if (random.nextDouble() < delayProbability) {
-            clock.after(60 * random.nextDouble(), delivery);
-        }
+        network.ask(from, sender, cell, node, message, answer);
     }
 
     // ---- users ----------------------------------------------------------------------------------
 
-    /** An id whose home is that cell. */
+    /** The n-th job id whose home is that cell. */
     public String id(String home, int n) {
         CellDirectory directory = clusters.get(home).cellDirectory;
         for (int i = 1000 * n; ; i++) {
@@ -274,81 +249,60 @@
         }
     }
 
+    /** Submits a job; {@link Verdict#LATER} also if there is no answer in time. */
     public Verdict submit(SimulatedNode node, JobSpec spec) {
         specs.put(spec.id(), spec);
-        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
-        node.controller.jobApi().submit(spec, response -> got[0] = response);
-        run(0.2);
-        if (got[0] == null) {
-            return Verdict.LATER;
-        }
-        checkAnswer(spec.id(), got[0]);
-        return got[0].verdict();
+        return request(spec.id(), answer -> node.controller.jobApi().submit(spec, answer))
+                .map(JobResponse::verdict)
+                .orElse(Verdict.LATER);
     }
 
-    /** As users do: again until there is an answer. */
+    /**
+     * Submits a job, again and again as users do, until it is accepted.
+     *
+     * @throws AssertionError if it is not within a minute
+     */
     public void submitUntilAccepted(String cell, JobSpec spec) {
         runUntil(
                 60,
                 () -> {
-                    Verdict v = submit(anyAliveNode(cell), spec);
-                    return v == Verdict.CREATED || v == Verdict.KNOWN;
+                    Verdict verdict = submit(anyAliveNode(cell), spec);
+                    return verdict == Verdict.CREATED || verdict == Verdict.KNOWN;
                 });
     }
 
+    /** The job's status as users read it, or the verdict if it is not known, or "no answer". */
     public String status(SimulatedNode node, String id) {
-        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
-        node.controller.jobApi().status(id, response -> got[0] = response);
-        run(0.2);
-        if (got[0] == null) {
-            return "no answer";
-        }
-        checkAnswer(id, got[0]);
-        return got[0].verdict() == Verdict.KNOWN
-                ? got[0].jobStatus().status()
-                : got[0].verdict().toString();
+        return statusText(request(id, answer -> node.controller.jobApi().status(id, answer)));
     }
 
+    /** Cancels a job; what the answer says is as for {@link #status}. */
     public String cancel(SimulatedNode node, String id) {
-        JobSubmissionService.JobResponse[] got = new JobSubmissionService.JobResponse[1];
-        node.controller.jobApi().cancel(id, response -> got[0] = response);
-        run(0.2);
-        if (got[0] == null) {
-            return "no answer";
-        }
-        checkAnswer(id, got[0]);
-        return got[0].verdict() == Verdict.KNOWN
-                ? got[0].jobStatus().status()
-                : got[0].verdict().toString();
+        return statusText(request(id, answer -> node.controller.jobApi().cancel(id, answer)));
     }
 
-    // ---- the rules ------------------------------------------------------------------------------
+    /** Makes a request as a user and checks the answer, if it comes within a fifth of a second. */
+    private Optional<JobResponse> request(String id, Consumer<Consumer<JobResponse>> call) {
+        JobResponse[] received = new JobResponse[1];
+        call.accept(response -> received[0] = response);
+        run(0.2);
+        Optional<JobResponse> response = Optional.ofNullable(received[0]);
+        response.ifPresent(present -> invariants.checkAnswer(id, present));
+        return response;
+    }
 
-    private void checkAnswer(String id, JobSubmissionService.JobResponse response) {
-        if (response.verdict() == Verdict.NOT_FOUND && accepted.contains(id)) {
-            violations.add("forgotten: " + id);
-        }
-        if (response.jobStatus() == null || response.verdict() == Verdict.LATER) {
-            return;
-        }
-        accepted.add(id);
-        String now = response.jobStatus().status();
-        String before = reportedStatus.get(id);
-        if (before != null && !before.equals(now)) {
-            violations.add("went back: " + id + " was " + before + ", is " + now);
-        }
-        if (now.equals("done") || now.equals("cancelled")) {
-            reportedStatus.put(id, now);
-        }
-        if (now.equals("cancelled")) {
-            cancelledAt.putIfAbsent(id, clock.now);
-        }
-        if (now.equals("done") && tasksDone(id) < specs.get(id).taskCount()) {
-            violations.add("not done: " + id);
-        }
+    private static String statusText(Optional<JobResponse> response) {
+        return response.map(
+                        present ->
+                                present.verdict() == Verdict.KNOWN
+                                        ? present.jobStatus().status()
+                                        : present.verdict().toString())
+                .orElse("no answer");
     }
 
-    /** Tasks that have completed on some machine at some time. */
+    // ---- the rules ------------------------------------------------------------------------------
+
+    /** How many tasks of the job have completed, in any cell. */
     public int tasksDone(String id) {
         Set<Integer> done = new HashSet<>();
         clusters.values()
@@ -356,64 +310,19 @@
         return done.size();
     }
 
+    /** How many tasks of the job are on machines and have not ended, in all cells. */
     public long tasksOnMachines(String id) {
         return clusters.values().stream().mapToLong(cluster -> cluster.onMachines(id)).sum();
     }
 
-    private void checkInvariants() {
-        Map<String, String> where = new HashMap<>();
-        Map<String, Double> used = new HashMap<>();
-        for (SimulatedCluster cluster : clusters.values()) {
-            for (SimulatedWorker worker : cluster.workers.values()) {
-                for (SimulatedTask task : worker.tasks.values()) {
-                    if (!worker.up || task.state == TaskState.ENDED) {
-                        continue;
-                    }
-                    String other = where.put(task.jobId + "/" + task.number, worker.id);
-                    if (other != null) {
-                        violations.add(
-                                "twice: "
-                                        + task.jobId
-                                        + "/"
-                                        + task.number
-                                        + " on "
-                                        + other
-                                        + " and "
-                                        + worker.id);
-                    }
-                    JobSpec spec = specs.get(task.jobId);
-                    used.merge(spec.team(), spec.cpusPerTask(), Double::sum);
-                    Double at = cancelledAt.get(task.jobId);
-                    if (at != null && clock.now > at + CANCEL_SECONDS) {
-                        violations.add(
-                                "ran cancelled: "
-                                        + task.jobId
-                                        + "/"
-                                        + task.number
-                                        + " on "
-                                        + worker.id);
-                    }
-                }
-            }
-        }
-        used.forEach(
-                (team, cpus) -> {
-                    mostUsed.merge(team, cpus, Math::max);
-                    if (cpus > limits.getOrDefault(team, Double.MAX_VALUE) + 1e-6) {
-                        violations.add("quota: team " + team + " has " + cpus + " CPUs");
-                    }
-                });
-        clock.after(checkIntervalSeconds, this::checkInvariants);
-    }
-
-    /** All that broke, in any cell. */
+    /** All violations: those over all cells, then those of each cell. */
     public List<String> violations() {
         List<String> all = new ArrayList<>(violations);
         clusters.values().forEach(cluster -> all.addAll(cluster.violations));
         return all;
     }
 
-    /** Records of jobs that are left in the stores, those of jobs that are over apart. */
+    /** Keys of records about jobs in the cells' stores, except those of jobs that have ended. */
     public List<String> leftoverRecords() {
         List<String> out = new ArrayList<>();
         clusters.forEach(
@@ -428,8 +337,8 @@
     }
 
     /**
-     * What the stores say has come to cells and gone from them of all limits: nothing in all, once
-     * all has arrived.
+     * What does not balance in the records of quota shares that cells have lent each other: shares
+     * under way, and a sum other than zero.
      */
     public List<String> unbalancedShares() {
         List<String> out = new ArrayList<>();
@@ -460,34 +369,30 @@
     }
 
     /**
-     * Sees every transaction that changes something about loans, with the cell and the node that
-     * wrote it.
+     * Calls the listener for every transaction that changes a record about loans, with the cell and
+     * the node that wrote it.
      */
-    public void onLoanWrites(LoanWriteListener seen) {
+    public void onLoanWrites(LoanWriteListener listener) {
         clusters.forEach(
-                (c, cluster) ->
+                (cell, cluster) ->
                         cluster.store.onCommit =
                                 (client, transaction) -> {
                                     if (client instanceof SimulatedNode node
-                                            && transaction.writes().stream()
-                                                    .map(Store.Write::key)
-                                                    .anyMatch(
-                                                            key ->
-                                                                    key.startsWith("jobs/lent/")
-                                                                            || key.startsWith(
-                                                                                    "jobs/guest/")
-                                                                            || key.startsWith(
-                                                                                    "kitepath/share/")
-                                                                            || key.startsWith(
-                                                                                    "jobs/leave/")
-                                                                            || key.startsWith(
-                                                                                    "kitepath/void/"))) {
-                                        seen.written(c, node, transaction);
+                                            && writesLoans(transaction)) {
+                                        listener.written(cell, node, transaction);
                                     }
                                 });
     }
 
+    private static boolean writesLoans(Store.Transaction transaction) {
+        return transaction.writes().stream()
+                .map(Store.Write::key)
+                .anyMatch(key -> LOAN_PREFIXES.stream().anyMatch(key::startsWith));
+    }
+
+    /** Sees writes of records about loans. */
     public interface LoanWriteListener {
+        /** A node of that cell has committed that transaction. */
         void written(String cell, SimulatedNode node, Store.Transaction transaction);
     }
 }
