--- a/src/main/java/io/kitepath/simulation/SimulatedWorker.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedWorker.java
@@ -5,83 +5,118 @@
 import io.kitepath.core.model.Heartbeat.TaskState;
 import io.kitepath.core.model.Heartbeat.TaskStatus;
 import io.kitepath.core.model.HeartbeatResponse;
-import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.WorkerCommand;
-import io.kitepath.core.state.StoreKeys;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** A machine with its worker, by the protocol: one report in flight, sessions, tokens, leases. */
+/**
+ * A machine with its worker, which follows the worker protocol: one heartbeat in flight, agent
+ * incarnations, fencing tokens and a lease. Public fields are its state and its faults.
+ */
 public final class SimulatedWorker {
+    /** After that time without an answer a heartbeat is given up. */
+    private static final double HEARTBEAT_TIMEOUT_SECONDS = 4;
+
+    /** The same where nothing listens, which shows at once. */
+    private static final double UNREACHABLE_TIMEOUT_SECONDS = 0.8;
+
+    private static final double RETRY_SECONDS = 0.2;
+    private static final double MIN_HEARTBEAT_INTERVAL_SECONDS = 0.5;
+    private static final double MIN_DELAY_SECONDS = 0.001;
+
     private final SimulatedCluster cluster;
+    private final SimulatedTaskRunner taskRunner;
     public final String id;
     public final String zone;
 
-    /** Where it takes direct commands. */
+    /** Where nodes send it direct commands; its id unless it has real sockets. */
     public String address;
 
+    /** Tasks that it still reports, by {@link SimulatedTask#key}, in the order of their starts. */
     public final Map<String, SimulatedTask> tasks = new LinkedHashMap<>();
+
+    /** Images that are on the machine. */
     public final Set<String> images = new HashSet<>();
+
+    /** The incarnation of the agent; a new one begins when its lease has expired. */
     public long session = 1;
+
+    /** The number of the last heartbeat. */
     public long sequence;
+
+    /** The highest fencing token that it has accepted. */
     public long token;
+
+    /** Whether the machine is running. */
     public boolean up = true;
 
-    /** What is sent to it gets lost: answers to its reports, and commands. */
+    /** Whether all that is sent to it is lost: heartbeat responses and direct commands. */
     public boolean receivesNothing;
 
-    /** It reaches no controller; direct commands reach it. */
+    /** Whether it reaches no controller, while direct commands reach it. */
     public boolean sendsNothing;
 
-    /** It stands still until then; what is sent to it waits, and its lease runs. */
+    /** It hangs until that time; what is sent to it waits, and its lease runs. */
     public double hangingUntil;
 
-    /** Its packets get lost. */
+    /** Whether it is cut off from the network in both directions. */
     public boolean isCutOff;
 
+    /** Whether all tasks that it starts fail. */
     public boolean failsTasks;
+
+    /** Whether it is a spot instance. */
     public boolean spot;
+
+    /** How long tasks run here, unless the cluster says how long a job's tasks run. */
     public double taskSeconds = 20;
+
     private double lastAnsweredAt;
 
-    /** The next report that is due; those scheduled before it are not made. */
+    /** The next heartbeat that is due; those scheduled before it are not sent. */
     private long nextHeartbeatId;
 
     private double sentAt = Double.NEGATIVE_INFINITY;
     private boolean inFlight;
 
     /**
-     * Something changed since the report in flight was sent: the next one does not wait for its
-     * turn.
+     * Whether something changed since the heartbeat in flight was sent, so that the next one does
+     * not wait for its turn.
      */
     private boolean changedSince;
 
+    /** The node that it sends heartbeats to, or null. */
     private String node;
 
-    /** Gives up the report that waits for its answer. */
+    /** Gives up the heartbeat in flight. */
     private Runnable onGiveUp = () -> {};
 
-    /** Nodes that it has tried one after the other. */
+    /** How often it had to choose a node; the choices go round. */
     private int attemptsToReport;
 
+    /** How many tasks it has started. */
     public int started;
 
+    /** A machine that is running; it sends no heartbeat before {@link #report}. */
     public SimulatedWorker(SimulatedCluster cluster, String id, String zone) {
         this.cluster = cluster;
+        this.taskRunner = new SimulatedTaskRunner(cluster, this);
         this.lastAnsweredAt = cluster.clock.now;
         this.id = id;
         this.address = id;
         this.zone = zone;
     }
 
+    /** The machine is gone, and its tasks with it. */
     public void die() {
         up = false;
         tasks.clear();
     }
 
+    /** The next heartbeat, with a sequence number of its own. */
     public Heartbeat currentHeartbeat() {
         return new Heartbeat(
                 id,
@@ -105,52 +140,60 @@
                         .toList());
     }
 
-    /** Commands straight to it: its report after them, or null if they are not for it. */
+    /**
+     * Executes direct commands.
+     *
+     * @return its heartbeat after them; null if the fencing token is stale or they are for another
+     *     incarnation
+     */
     public Heartbeat executeDirectCommands(
-            long itsToken, long itsSession, List<WorkerCommand> orders) {
-        if (itsToken < token || itsSession != session) {
+            long fencingToken, long incarnation, List<WorkerCommand> commands) {
+        if (fencingToken < token || incarnation != session) {
             return null;
         }
-        token = itsToken;
-        orders.forEach(this::execute);
+        token = fencingToken;
+        commands.forEach(this::execute);
         return currentHeartbeat();
     }
 
     private String nextNode() {
-        List<String> up = cluster.workerNetwork.aliveNodes();
-        if (up.isEmpty()) {
+        List<String> alive = cluster.workerNetwork.aliveNodes();
+        if (alive.isEmpty()) {
             node = null;
         } else if (node == null) {
             attemptsToReport++;
-            node = up.get(attemptsToReport % up.size());
-        } else if (!up.contains(node)) {
-            node = up.get(attemptsToReport % up.size());
+            node = alive.get(attemptsToReport % alive.size());
+        } else if (!alive.contains(node)) {
+            node = alive.get(attemptsToReport % alive.size());
         }
         return node;
     }
 
     private void reportIn(double seconds) {
-        long mine = ++nextHeartbeatId;
+        long heartbeatId = ++nextHeartbeatId;
         cluster.after(
                 seconds,
                 () -> {
-                    if (mine == nextHeartbeatId) {
+                    if (heartbeatId == nextHeartbeatId) {
                         report();
                     }
                 });
     }
 
-    /** A task ended: said at once, but at most every half second. */
-    private void changed() {
+    /** A task ended: reported at once, but at most every half second. */
+    void changed() {
         changedSince |= inFlight;
         if (cluster.reportsChangesImmediately && !inFlight) {
-            reportIn(Math.max(0.001, sentAt + 0.5 - cluster.clock.now));
+            reportIn(
+                    Math.max(
+                            MIN_DELAY_SECONDS,
+                            sentAt + MIN_HEARTBEAT_INTERVAL_SECONDS - cluster.clock.now));
         }
     }
 
-    /** The connection to that node is reset. */
-    void resetBy(String itsNode) {
-        if (inFlight && itsNode.equals(node)) {
+    /** A node resets its connections: a heartbeat in flight to it is given up. */
+    void resetBy(String resettingNode) {
+        if (inFlight && resettingNode.equals(node)) {
             cluster.after(0.002, onGiveUp);
         }
     }
@@ -159,18 +202,19 @@
         return cluster.clock.now < hangingUntil;
     }
 
-    /** Runs that as soon as the machine goes on. */
-    void onResume(Runnable then) {
+    /** Runs an action as soon as the machine does not hang; never if the machine is gone. */
+    void onResume(Runnable action) {
         if (!up) {
             return;
         }
         if (isHanging()) {
-            cluster.after(hangingUntil - cluster.clock.now, () -> onResume(then));
+            cluster.after(hangingUntil - cluster.clock.now, () -> onResume(action));
         } else {
-            then.run();
+            action.run();
         }
     }
 
+    /** Sends a heartbeat, after the machine has resumed if it hangs. */
     public void report() {
         if (!up) {
             return;
@@ -184,40 +228,45 @@
         sentAt = cluster.clock.now;
         checkLease();
         String to = nextNode();
-        long mySession = session;
+        long incarnation = session;
         double sent = cluster.clock.now;
-        boolean[] heard = new boolean[1];
+        boolean[] isOver = new boolean[1];
         if (to != null && !isCutOff && !sendsNothing) {
             cluster.workerNetwork.heartbeat(
                     to,
                     currentHeartbeat(),
                     response -> {
-                        if (!heard[0]
-                                && up
-                                && session == mySession
-                                && !isCutOff
-                                && !receivesNothing) {
-                            heard[0] = true;
+                        if (!isOver[0] && mayReceive(incarnation)) {
+                            isOver[0] = true;
                             receiveResponse(response, sent);
                         }
                     });
         }
         onGiveUp =
                 () -> {
-                    if (!heard[0] && up) {
-                        heard[0] = true;
+                    if (!isOver[0] && up) {
+                        isOver[0] = true;
                         inFlight = false;
                         node = null;
-                        reportIn(0.2);
+                        reportIn(RETRY_SECONDS);
                     }
                 };
         // Where nothing listens, that is known at once, and the next node is tried a second later.
-        cluster.after(to == null || sendsNothing ? 0.8 : 4, onGiveUp);
+        cluster.after(
+                to == null || sendsNothing
+                        ? UNREACHABLE_TIMEOUT_SECONDS
+                        : HEARTBEAT_TIMEOUT_SECONDS,
+                onGiveUp);
+    }
+
+    /** Whether a response to a heartbeat of that incarnation reaches it. */
+    private boolean mayReceive(long incarnation) {
+        return up && session == incarnation && !isCutOff && !receivesNothing;
     }
 
     /**
-     * Its lease is over once the last answered report was sent too long ago; what it had on it is
-     * gone then.
+     * The lease expires once the last answered heartbeat was sent too long ago; its tasks are gone
+     * then, and a new incarnation begins.
      */
     private void checkLease() {
         if (isHanging()) {
@@ -232,17 +281,7 @@
 
     private void receiveResponse(HeartbeatResponse response, double sent) {
         if (isHanging()) {
-            onResume(
-                    () -> {
-                        // Answers are dropped after 4 s, and those to an earlier session.
-                        if (cluster.clock.now - sent < 4
-                                && cluster.clock.now - lastAnsweredAt <= cluster.leaseSeconds) {
-                            receiveResponse(response, sent);
-                        } else {
-                            inFlight = false;
-                            reportIn(0.2);
-                        }
-                    });
+            onResume(() -> receiveAfterHanging(response, sent));
             return;
         }
         inFlight = false;
@@ -266,17 +305,30 @@
         if (changedSince && cluster.reportsChangesImmediately) {
             changed();
         } else {
-            reportIn(Math.max(0.5, cluster.heartbeatIntervalSeconds - (cluster.clock.now - sent)));
+            double interval = cluster.heartbeatIntervalSeconds - (cluster.clock.now - sent);
+            reportIn(Math.max(MIN_HEARTBEAT_INTERVAL_SECONDS, interval));
+        }
+    }
+
+    /** Drops a response that came too late, or after the lease had expired. */
+    private void receiveAfterHanging(HeartbeatResponse response, double sent) {
+        if (cluster.clock.now - sent < HEARTBEAT_TIMEOUT_SECONDS
+                && cluster.clock.now - lastAnsweredAt <= cluster.leaseSeconds) {
+            receiveResponse(response, sent);
+        } else {
+            inFlight = false;
+            reportIn(RETRY_SECONDS);
         }
     }
 
+    /** Executes a command; one that does not fit the task's state has no effect. */
     public void execute(WorkerCommand command) {
         String key = command.jobId() + "/" + command.task() + "#" + command.attempt();
         SimulatedTask task = tasks.get(key);
         switch (command.action()) {
             case START -> {
                 if (task == null) {
-                    start(command, key);
+                    taskRunner.start(command, key);
                 }
             }
             case STOP -> {
@@ -292,116 +344,4 @@
             }
         }
     }
-
-    private void imageFetched(SimulatedTask t, String key, JobSpec spec) {
-        if (tasks.get(key) != t || t.state != TaskState.FETCHING_IMAGE) {
-            return; // Given up, and what was fetched with it.
-        }
-        images.add(spec.image());
-        t.state = TaskState.WAITING_FOR_GANG;
-        List<SimulatedTask> gang =
-                cluster.workers.values().stream()
-                        .flatMap(worker -> worker.tasks.values().stream())
-                        .filter(
-                                x ->
-                                        x.jobId.equals(t.jobId)
-                                                && x.attempt == t.attempt
-                                                && x.state == TaskState.WAITING_FOR_GANG)
-                        .toList();
-        if (gang.size() == spec.taskCount()) {
-            gang.forEach(x -> x.state = TaskState.RUNNING);
-            // They complete together, and each machine reports that as any other change.
-            cluster.after(
-                    cluster.taskSeconds == null
-                            ? taskSeconds
-                            : cluster.taskSeconds.applyAsDouble(t.jobId),
-                    () ->
-                            gang.stream()
-                                    .filter(x -> x.isOnMachine() && x.state == TaskState.RUNNING)
-                                    .forEach(
-                                            x -> {
-                                                x.state = TaskState.ENDED;
-                                                x.cause = EndCause.DONE;
-                                                cluster.completedTasks
-                                                        .computeIfAbsent(
-                                                                x.jobId, k -> new HashSet<>())
-                                                        .add(x.number);
-                                                cluster.clock.ended(x);
-                                                x.worker.changed();
-                                                cluster.loadGenerator.onTaskCompleted(x);
-                                            }));
-            return;
-        }
-        cluster.after(
-                30,
-                () -> {
-                    if (t.state == TaskState.WAITING_FOR_GANG) {
-                        t.state = TaskState.ENDED;
-                        t.cause = EndCause.GANG_START_TIMEOUT;
-                    }
-                });
-    }
-
-    private void start(WorkerCommand command, String key) {
-        SimulatedTask other = cluster.clock.lastStarts.get(command.jobId() + "/" + command.task());
-        if (other != null && other.isOnMachine()) {
-            cluster.violations.add("ran twice: " + key + " on " + id + " and " + other.worker.id);
-        }
-        // The range of all keys under that prefix.
-        if (cluster
-                .store
-                .entries
-                .subMap(StoreKeys.RELEASE_INTENTS, StoreKeys.RELEASE_INTENTS + "~")
-                .values()
-                .stream()
-                .anyMatch(
-                        entry ->
-                                ((Map<?, ?>) entry.value()).get("machines") instanceof List<?> l
-                                        && l.contains(id))) {
-            cluster.violations.add("started on a machine that goes: " + key + " on " + id);
-        }
-        started++;
-        SimulatedTask task =
-                new SimulatedTask(
-                        this,
-                        command.jobId(),
-                        command.task(),
-                        command.attempt(),
-                        TaskState.RUNNING);
-        tasks.put(key, task);
-        cluster.clock.lastStarts.put(command.jobId() + "/" + command.task(), task);
-        cluster.clock.started(task);
-        cluster.invariants.checkStart(task);
-        JobSpec spec = cluster.specs.get(command.jobId());
-        if (cluster.imageFetchSeconds != null && spec.isGang()) {
-            task.state = TaskState.FETCHING_IMAGE;
-            cluster.after(
-                    images.contains(spec.image()) ? 0 : cluster.imageFetchSeconds.applyAsDouble(id),
-                    () -> imageFetched(task, key, spec));
-            return;
-        }
-        boolean error = failsTasks || cluster.jobsThatFailEverywhere.contains(command.jobId());
-        cluster.after(
-                error
-                        ? 0.1
-                        : cluster.taskSeconds == null
-                                ? taskSeconds
-                                : cluster.taskSeconds.applyAsDouble(command.jobId()),
-                () -> {
-                    if (up && tasks.get(key) == task && task.state != TaskState.ENDED) {
-                        task.state = TaskState.ENDED;
-                        task.cause = error ? EndCause.ERROR : EndCause.DONE;
-                        if (!error) {
-                            cluster.completedTasks
-                                    .computeIfAbsent(task.jobId, k -> new HashSet<>())
-                                    .add(task.number);
-                        }
-                        cluster.clock.ended(task);
-                        changed();
-                        if (!error) {
-                            cluster.loadGenerator.onTaskCompleted(task);
-                        }
-                    }
-                });
-    }
 }
