--- a/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
+++ b/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
@@ -13,6 +13,7 @@
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.WorkerNetworkWrapper;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -265,18 +266,12 @@
     }
 
     private void launchesTake(double seconds, int[] on) {
-        SimulatedCluster.WorkerNetwork usual = cluster.workerNetwork;
         cluster.workerNetwork =
-                new SimulatedCluster.WorkerNetwork() {
-                    @Override
-                    public List<String> aliveNodes() {
-                        return usual.aliveNodes();
-                    }
-
+                new WorkerNetworkWrapper(cluster.workerNetwork) {
                     @Override
                     public void heartbeat(
                             String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-                        usual.heartbeat(
+                        delegate.heartbeat(
                                 node,
                                 heartbeat,
                                 response -> {
--- a/src/test/java/io/kitepath/core/FastMachineBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastMachineBootsTest.java
@@ -15,6 +15,7 @@
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.WorkerNetworkWrapper;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -334,14 +335,8 @@
             Map<String, String> last = new TreeMap<>();
             int[] moved = new int[1];
             boolean[] calm = new boolean[1];
-            SimulatedCluster.WorkerNetwork plain = cluster.workerNetwork;
             cluster.workerNetwork =
-                    new SimulatedCluster.WorkerNetwork() {
-                        @Override
-                        public List<String> aliveNodes() {
-                            return plain.aliveNodes();
-                        }
-
+                    new WorkerNetworkWrapper(cluster.workerNetwork) {
                         @Override
                         public void heartbeat(
                                 String node,
@@ -349,7 +344,7 @@
                                 Consumer<HeartbeatResponse> answer) {
                             moved[0] += node.equals(last.put(heartbeat.machineId(), node)) ? 0 : 1;
                             boolean lost = !calm[0] && random.nextInt(4) == 0;
-                            plain.heartbeat(node, heartbeat, lost ? response -> {} : answer);
+                            delegate.heartbeat(node, heartbeat, lost ? response -> {} : answer);
                         }
                     };
             cluster.store.executionDelaySeconds =
--- a/src/test/java/io/kitepath/core/HeartbeatRecorder.java
+++ b/src/test/java/io/kitepath/core/HeartbeatRecorder.java
@@ -5,6 +5,7 @@
 import io.kitepath.core.model.WorkerCommand;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.WorkerNetworkWrapper;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -12,9 +13,8 @@
 import java.util.function.Predicate;
 
 /** Sees all reports on their way, keeps copies of some, and holds up answers. */
-final class HeartbeatRecorder implements SimulatedCluster.WorkerNetwork {
+final class HeartbeatRecorder extends WorkerNetworkWrapper {
     final SimulatedCluster cluster;
-    final SimulatedCluster.WorkerNetwork usual;
     final List<Heartbeat> kept = new ArrayList<>();
     Predicate<Heartbeat> keeps = heartbeat -> false;
 
@@ -39,16 +39,11 @@
     int sentOn;
 
     HeartbeatRecorder(SimulatedCluster cluster) {
+        super(cluster.workerNetwork);
         this.cluster = cluster;
-        this.usual = cluster.workerNetwork;
         cluster.workerNetwork = this;
     }
 
-    @Override
-    public List<String> aliveNodes() {
-        return usual.aliveNodes();
-    }
-
     @Override
     public void heartbeat(String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         if (keeps.test(heartbeat)) {
@@ -56,7 +51,7 @@
         }
         double held = answerHeldS.getAsDouble();
         late += held > 0 ? 1 : 0;
-        usual.heartbeat(
+        delegate.heartbeat(
                 node,
                 heartbeat,
                 response -> {
--- a/src/test/java/io/kitepath/core/LargeFleetTest.java
+++ b/src/test/java/io/kitepath/core/LargeFleetTest.java
@@ -11,6 +11,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.shard.ShardState;
+import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedWorker;
@@ -173,29 +174,7 @@
         SimulatedNode node = fleet(1, 20, 4);
         cluster.workers.values().forEach(worker -> worker.taskSeconds = 200);
         JobSpec spec = job("j-100", Shape.ARRAY, 30, 1);
-        cluster.submit(
-                node,
-                new JobSpec(
-                        spec.id(),
-                        spec.jobClass(),
-                        spec.team(),
-                        spec.shape(),
-                        spec.priority(),
-                        spec.taskCount(),
-                        spec.cpusPerTask(),
-                        0,
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        false,
-                        "img",
-                        1,
-                        200,
-                        0,
-                        0,
-                        null));
+        cluster.submit(node, JobSpecs.copyOf(spec).estimatedSeconds(200).build());
         cluster.run(2);
         // Needs all machines, in 200 s at the soonest; another one of 20 s fits in before, one of
         // 500 s does not.
@@ -203,27 +182,12 @@
         cluster.submit(node, job("j-300", Shape.GANG, 12, 1));
         cluster.submit(
                 node,
-                new JobSpec(
-                        "j-400",
-                        spec.jobClass(),
-                        spec.team(),
-                        Shape.GANG,
-                        spec.priority(),
-                        12,
-                        1,
-                        0,
-                        1,
-                        null,
-                        null,
-                        false,
-                        false,
-                        false,
-                        "img",
-                        1,
-                        500,
-                        0,
-                        0,
-                        null));
+                JobSpecs.copyOf(spec, "j-400")
+                        .shape(Shape.GANG)
+                        .taskCount(12)
+                        .cpusPerTask(1)
+                        .estimatedSeconds(500)
+                        .build());
         cluster.run(5);
         assertEquals(12, running("j-300"));
         assertEquals(0, running("j-200", "j-400"));
@@ -267,29 +231,7 @@
         cluster.run(30);
         assertEquals("done", cluster.status(node, "j-1"));
         JobSpec spec = SimulatedCluster.onSpot(job("j-2", Shape.ARRAY, 2, 1), 20);
-        cluster.submit(
-                node,
-                new JobSpec(
-                        spec.id(),
-                        spec.jobClass(),
-                        spec.team(),
-                        spec.shape(),
-                        spec.priority(),
-                        spec.taskCount(),
-                        spec.cpusPerTask(),
-                        spec.gpusPerTask(),
-                        spec.memoryGigabytesPerTask(),
-                        null,
-                        null,
-                        false,
-                        false,
-                        true,
-                        spec.image(),
-                        spec.imageGigabytes(),
-                        20,
-                        0,
-                        0,
-                        50.0));
+        cluster.submit(node, JobSpecs.copyOf(spec).deadlineSeconds(50.0).build());
         cluster.run(2);
         assertEquals(
                 2,
@@ -308,27 +250,18 @@
             // Users name the classes: any number of them.
             cluster.submit(
                     node,
-                    new JobSpec(
-                            "j-" + (10000 + i),
-                            "class-" + i,
-                            "red",
-                            Shape.ARRAY,
-                            JobSpec.Priority.NORMAL,
-                            4,
-                            1,
-                            0,
-                            1,
-                            null,
-                            null,
-                            false,
-                            false,
-                            false,
-                            "img-" + i,
-                            1,
-                            2,
-                            0,
-                            0,
-                            null));
+                    JobSpec.builder("j-" + (10000 + i))
+                            .jobClass("class-" + i)
+                            .team("red")
+                            .shape(Shape.ARRAY)
+                            .priority(JobSpec.Priority.NORMAL)
+                            .taskCount(4)
+                            .cpusPerTask(1)
+                            .memoryGigabytesPerTask(1)
+                            .image("img-" + i)
+                            .imageGigabytes(1)
+                            .estimatedSeconds(2)
+                            .build());
             cluster.run(0.9);
         }
         cluster.run(20);
--- a/src/test/java/io/kitepath/core/QuotaUnderFaultsTest.java
+++ b/src/test/java/io/kitepath/core/QuotaUnderFaultsTest.java
@@ -9,6 +9,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
+import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedTask;
 import io.kitepath.simulation.SimulatedWorker;
@@ -97,27 +98,14 @@
                         shape,
                         tasks,
                         shape == Shape.SERVICE ? 1 : 2);
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                team,
-                shape,
-                spec.priority(),
-                tasks,
-                spec.cpusPerTask(),
-                gang ? 1 : 0,
-                1,
-                null,
-                null,
-                gang,
-                false,
-                false,
-                spec.image(),
-                spec.imageGigabytes(),
-                ALWAYS,
-                0,
-                0,
-                null);
+        return JobSpecs.copyOf(spec)
+                .team(team)
+                .shape(shape)
+                .taskCount(tasks)
+                .gpusPerTask(gang ? 1 : 0)
+                .singleZone(gang)
+                .estimatedSeconds(ALWAYS)
+                .build();
     }
 
     /** Whether the team uses its limit, and how much it is by the leader's count. */
--- a/src/test/java/io/kitepath/core/StoreLimitChangesTest.java
+++ b/src/test/java/io/kitepath/core/StoreLimitChangesTest.java
@@ -11,6 +11,7 @@
 import io.kitepath.core.model.JsonSize;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
+import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
@@ -206,28 +207,7 @@
         for (int i = 0; i < 300; i++) {
             types.add("type-" + i);
         }
-        JobSpec large =
-                new JobSpec(
-                        spec.id(),
-                        spec.jobClass(),
-                        spec.team(),
-                        spec.shape(),
-                        spec.priority(),
-                        1,
-                        1,
-                        0,
-                        1,
-                        types,
-                        null,
-                        false,
-                        false,
-                        false,
-                        "img",
-                        1,
-                        20,
-                        0,
-                        0,
-                        null);
+        JobSpec large = JobSpecs.copyOf(spec).machineTypes(types).build();
         assertEquals(Verdict.INVALID, cluster.submit(node, large).verdict());
         cluster.store.largestValueBytes = 100;
         assertEquals(Verdict.INVALID, cluster.submit(node, spec).verdict());
@@ -243,29 +223,7 @@
         }
         for (String id : List.of("j-1", "j-2")) {
             JobSpec spec = SimulatedCluster.job(id, Shape.ARRAY, 1, 1);
-            cluster.submit(
-                    old,
-                    new JobSpec(
-                            spec.id(),
-                            spec.jobClass(),
-                            spec.team(),
-                            spec.shape(),
-                            spec.priority(),
-                            1,
-                            1,
-                            0,
-                            1,
-                            types,
-                            null,
-                            false,
-                            false,
-                            false,
-                            "img",
-                            1,
-                            20,
-                            0,
-                            0,
-                            null));
+            cluster.submit(old, JobSpecs.copyOf(spec).machineTypes(types).build());
         }
         cluster.announcedStoreLimits = LOW;
         fall();
--- a/src/test/java/io/kitepath/core/ZoneConstraintsTest.java
+++ b/src/test/java/io/kitepath/core/ZoneConstraintsTest.java
@@ -9,6 +9,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
+import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedTask;
@@ -35,27 +36,11 @@
     }
 
     private static JobSpec placed(JobSpec spec, String zone, boolean oneZone, boolean spread) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.shape(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.cpusPerTask(),
-                spec.gpusPerTask(),
-                spec.memoryGigabytesPerTask(),
-                spec.machineTypes(),
-                zone,
-                oneZone,
-                spread,
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageGigabytes(),
-                spec.estimatedSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointSaveSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecs.copyOf(spec)
+                .zone(zone)
+                .singleZone(oneZone)
+                .spreadAcrossZones(spread)
+                .build();
     }
 
     private static JobSpec in(String zone, JobSpec spec) {
--- a/src/test/java/io/kitepath/core/ZonePartitionTest.java
+++ b/src/test/java/io/kitepath/core/ZonePartitionTest.java
@@ -10,9 +10,11 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
+import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedTask;
+import io.kitepath.simulation.WorkerNetworkWrapper;
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
@@ -50,9 +52,8 @@
      * What crosses the zone's border gets lost, or is refused, while the cut lasts; also answers on
      * their way.
      */
-    private static final class Cut implements SimulatedCluster.WorkerNetwork {
+    private static final class Cut extends WorkerNetworkWrapper {
         private final SimulatedCluster cluster;
-        private final SimulatedCluster.WorkerNetwork usual;
         final Set<String> inside = new HashSet<>();
         boolean refusing;
         boolean lasts;
@@ -66,8 +67,8 @@
         double lastKept;
 
         Cut(SimulatedCluster cluster) {
+            super(cluster.workerNetwork);
             this.cluster = cluster;
-            this.usual = cluster.workerNetwork;
             cluster.workerNetwork = this;
             cluster.directCommandReaches = (node, worker) -> !crosses(node.name, worker.zone);
             cluster.cloud.holdsBackRequestsOf =
@@ -101,11 +102,6 @@
             cluster.nodes.values().forEach(node -> node.cutFrom.clear());
         }
 
-        @Override
-        public List<String> aliveNodes() {
-            return usual.aliveNodes();
-        }
-
         @Override
         public void heartbeat(
                 String node, Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
@@ -115,7 +111,7 @@
                 }
                 return;
             }
-            usual.heartbeat(
+            delegate.heartbeat(
                     node,
                     heartbeat,
                     response -> {
@@ -133,27 +129,7 @@
     }
 
     private static JobSpec in(String zone, boolean oneZone, JobSpec spec) {
-        return new JobSpec(
-                spec.id(),
-                spec.jobClass(),
-                spec.team(),
-                spec.shape(),
-                spec.priority(),
-                spec.taskCount(),
-                spec.cpusPerTask(),
-                spec.gpusPerTask(),
-                spec.memoryGigabytesPerTask(),
-                spec.machineTypes(),
-                zone,
-                oneZone,
-                spec.isSpreadAcrossZones(),
-                spec.allowsSpot(),
-                spec.image(),
-                spec.imageGigabytes(),
-                spec.estimatedSeconds(),
-                spec.checkpointIntervalSeconds(),
-                spec.checkpointSaveSeconds(),
-                spec.deadlineSeconds());
+        return JobSpecs.copyOf(spec).zone(zone).singleZone(oneZone).build();
     }
 
     /**
--- a/src/test/java/io/kitepath/simulation/InvariantCheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/InvariantCheckerTest.java
@@ -34,27 +34,12 @@
     private JobSpec placedAs(
             JobSpec s, List<String> types, String zone, boolean oneZone, boolean spread) {
         JobSpec x =
-                new JobSpec(
-                        s.id(),
-                        s.jobClass(),
-                        s.team(),
-                        s.shape(),
-                        s.priority(),
-                        s.taskCount(),
-                        s.cpusPerTask(),
-                        s.gpusPerTask(),
-                        s.memoryGigabytesPerTask(),
-                        types,
-                        zone,
-                        oneZone,
-                        spread,
-                        s.allowsSpot(),
-                        s.image(),
-                        s.imageGigabytes(),
-                        s.estimatedSeconds(),
-                        0,
-                        0,
-                        null);
+                JobSpecs.copyOf(s)
+                        .machineTypes(types)
+                        .zone(zone)
+                        .singleZone(oneZone)
+                        .spreadAcrossZones(spread)
+                        .build();
         cluster.specs.put(x.id(), x);
         return x;
     }
