--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -33,6 +33,7 @@
     /** Names of a job that is over are cut to this many characters if its record is too large. */
     private static final int TRIMMED_NAME_LENGTH = 40;
 
+    /** Copies the list of dependencies. */
     public JobRecord {
         dependencies = List.copyOf(dependencies);
     }
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -115,6 +115,7 @@
             return StoreKeys.ROLES + name;
         }
 
+        /** The role's name, which is the last part of its keys in the store. */
         public String name() {
             return worker.name();
         }
--- a/src/main/java/io/kitepath/core/service/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -31,6 +31,7 @@
      * @param reason why a job can't be depended on; null unless REJECTED
      */
     record Result(Kind kind, String reason) {
+        /** Whether a job may depend on the jobs that were checked. */
         enum Kind {
             /** All were accepted. */
             ACCEPTED,
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -44,9 +44,12 @@
      * @param reason why it is refused or invalid, null otherwise
      */
     public record JobResponse(Verdict verdict, JobStatus jobStatus, String reason) {
+        /** The node can't tell now; the user is asked to come back. */
         public static final JobResponse LATER = new JobResponse(Verdict.LATER, null);
+
         static final JobResponse NOT_FOUND = new JobResponse(Verdict.NOT_FOUND, null);
 
+        /** A response without a reason. */
         public JobResponse(Verdict verdict, JobStatus jobStatus) {
             this(verdict, jobStatus, null);
         }
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -46,6 +46,13 @@
     /** How many queries in a row had no answer, for the back-off between them. */
     public int unansweredQueries;
 
+    /**
+     * A loan that is not on record yet.
+     *
+     * @param firstTask the first task of the job that is lent
+     * @param endTask the first task after those that are lent
+     * @param offeredAt in seconds on the steady clock
+     */
     public TaskLoan(
             long number, String borrowerCell, int firstTask, int endTask, double offeredAt) {
         this.number = number;
