--- a/src/main/java/io/kitepath/simulation/InMemoryStore.java
+++ b/src/main/java/io/kitepath/simulation/InMemoryStore.java
@@ -16,32 +16,53 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 
-/** The state service: keys, leases, follows; can refuse, or lose an answer, or execute late. */
+/**
+ * The state service of a {@link SimulatedCluster}: entries with revisions, leases, watches and
+ * transactions. Its public fields are its content and its faults; {@link SimulatedStoreClient}
+ * applies the faults of the network.
+ */
 public final class InMemoryStore {
+    private static final double ONE_WAY_SECONDS = 0.002;
+    private static final double WATCH_INTERVAL_SECONDS = 0.01;
+    private static final long MAX_CONDITIONS_PER_OPERATION = 4;
+
+    /** An empty store on the cluster's clock. */
     public InMemoryStore(SimulatedCluster cluster) {
         this.cluster = cluster;
     }
 
     public final TreeMap<String, Store.Entry> entries = new TreeMap<>();
+
+    /** The lease that a key ends with, for keys that have one. */
     public final Map<String, Long> leaseOfKey = new HashMap<>();
+
+    /** When each lease expires, in simulated seconds. */
     public final Map<Long, Double> leaseExpiries = new HashMap<>();
+
+    /** For how many seconds a renewal extends each lease. */
     public final Map<Long, Double> leaseDurations = new HashMap<>();
+
+    /** All changes in their order; a deletion has a null value. */
     public final List<Store.Entry> log = new ArrayList<>();
+
     public long revision = 1;
     public long nextLease = 1;
+
+    /** Whether it refuses all requests; leases do not expire meanwhile. */
     public boolean unavailable;
 
     /**
-     * Whether it refuses what comes above the settings' rates; it allows bursts of one second's
-     * worth.
+     * Whether it enforces the rates of the cluster's settings, with bursts of one second's worth.
      */
     public boolean enforcesRates;
 
+    /** Requests that were refused for that. */
     public int requestsOverRate;
+
     private TokenBucket requests;
     private TokenBucket writes;
 
-    /** What every request takes longer to get there than usual. */
+    /** Additional one-way latency of every request. */
     public double extraLatencySeconds;
 
     private final SimulatedCluster cluster;
@@ -49,50 +70,47 @@
     /** Watches that wait for changes. */
     private final List<PendingWatch> watches = new ArrayList<>();
 
-    /** Pages asked for, and which of them are refused. */
+    /** How many pages of lists were requested. */
     public int pagesRead;
 
+    /** Pages that are refused, by their number in {@link #pagesRead}. */
     public IntPredicate refusesPage = n -> false;
 
-    /** Prefixes under which no page is to be had. */
+    /** Prefixes whose pages are all refused. */
     public Predicate<String> refusesPrefix = p -> false;
 
-    /** The next transactions are executed, but nobody hears of it. */
+    /** How many of the next transactions on jobs are executed while their responses are lost. */
     public int responsesToLose;
 
-    /** The next transactions get no answer, and are kept to be executed late. */
+    /** How many of the next transactions on jobs are held back, without a response. */
     public int transactionsToHold;
 
+    /** What was held back; a test executes it when it likes. */
     public final List<Store.Transaction> heldBackTransactions = new ArrayList<>();
 
-    /**
-     * Transactions that get no answer and are kept, as by a network that delivers them some other
-     * time.
-     */
+    /** Further transactions that are held back, without a response. */
     public Predicate<Store.Transaction> holdsBack = transaction -> false;
 
-    /** Transactions that are executed, but nobody hears of it. */
+    /** Further transactions that are executed while their responses are lost. */
     public Predicate<Store.Transaction> losesResponseOf = transaction -> false;
 
     /**
-     * How late a transaction that gets no answer is carried out, after newer ones of the same node;
-     * 0: it is not late.
+     * How late a transaction is executed, without a response, and so perhaps after newer ones of
+     * the same node; 0 for at once.
      */
     public ToDoubleFunction<Store.Transaction> executionDelaySeconds = transaction -> 0;
 
-    /**
-     * Nodes whose watches hang: they see nothing, and end without having seen anything, while all
-     * else is served.
-     */
+    /** Clients whose watches hang and end without events, while their other requests are served. */
     public Predicate<EmulatorClient> ignoresRequestsOf = client -> false;
 
-    /** Sees every transaction that was executed and changed something, and by whom. */
+    /** Called after every transaction with writes that was executed, with its client. */
     public BiConsumer<EmulatorClient, Store.Transaction> onCommit = (client, transaction) -> {};
 
+    /** How many keys transactions have written. */
     public long writeCount;
 
-    /** Whether a request with so many changes is over the rates; counts it if not. */
-    boolean exceedsRate(int itsWrites) {
+    /** Whether a request with that many writes exceeds a rate; if not, it takes its tokens. */
+    boolean exceedsRate(int requestedWrites) {
         if (!enforcesRates) {
             return false;
         }
@@ -100,16 +118,16 @@
             requests = new TokenBucket(cluster.requestsPerSecond);
             writes = new TokenBucket(cluster.writesPerSecond);
         }
-        if (writes.available(cluster.clock.now) < itsWrites
+        if (writes.available(cluster.clock.now) < requestedWrites
                 || !requests.tryTake(1, cluster.clock.now)) {
             requestsOverRate++;
             return true;
         }
-        writes.tryTake(itsWrites, cluster.clock.now);
+        writes.tryTake(requestedWrites, cluster.clock.now);
         return false;
     }
 
-    /** Whether there ever was a record of a job with that id, open or over. */
+    /** Whether there ever was a record of a job with that id, open or ended. */
     boolean hasEverHeld(String id) {
         return entries.containsKey(StoreKeys.OPEN_JOBS + id)
                 || entries.containsKey(StoreKeys.ENDED_JOBS + id)
@@ -120,11 +138,13 @@
                                                 || entry.key().equals(StoreKeys.ENDED_JOBS + id));
     }
 
+    /** The fencing token of the newest leader; 0 before the first. */
     public long leaderFencingToken() {
         Store.Entry entry = entries.get(StoreKeys.FENCING_TOKEN);
         return entry == null ? 0 : DocumentReader.of(entry.value()).count("token");
     }
 
+    /** Ends the leases that have expired, unless the store is unavailable. */
     public void expire() {
         for (Long id : new ArrayList<>(leaseExpiries.keySet())) {
             if (!unavailable && leaseExpiries.get(id) < cluster.clock.now) {
@@ -133,6 +153,7 @@
         }
     }
 
+    /** Ends a lease and deletes its keys. */
     public void endLease(long id) {
         leaseExpiries.remove(id);
         for (String key : new ArrayList<>(leaseOfKey.keySet())) {
@@ -142,6 +163,7 @@
         }
     }
 
+    /** Makes the store unavailable for that time; leases get their full duration afterwards. */
     public void outage(double seconds) {
         unavailable = true;
         cluster.after(
@@ -152,129 +174,160 @@
                 });
     }
 
-    public void put(String key, Object v, long l, long r) {
-        Store.Entry entry = new Store.Entry(key, v, r);
+    /** Writes a key, or deletes it if the value is null; a lease of 0 is none. */
+    public void put(String key, Object value, long lease, long newRevision) {
+        Store.Entry entry = new Store.Entry(key, value, newRevision);
         leaseOfKey.remove(key);
-        if (v == null) {
+        if (value == null) {
             entries.remove(key);
         } else {
             entries.put(key, entry);
-            if (l != 0) {
-                leaseOfKey.put(key, l);
+            if (lease != 0) {
+                leaseOfKey.put(key, lease);
             }
         }
         log.add(entry);
-        for (PendingWatch x : watches) {
-            x.matched |= key.startsWith(x.prefix);
+        for (PendingWatch watch : watches) {
+            watch.matched |= key.startsWith(watch.prefix);
         }
     }
 
-    /** One that waits for changes under a prefix. */
+    /** A watch that waits for changes under a prefix. */
     private final class PendingWatch {
-        private final EmulatorClient node;
+        private final EmulatorClient client;
         private final String prefix;
         private final long afterRevision;
         private final Consumer<Store.WatchResult> answer;
         private boolean matched;
 
         PendingWatch(
-                EmulatorClient node,
+                EmulatorClient client,
                 String prefix,
                 long after,
                 Consumer<Store.WatchResult> answer) {
-            this.node = node;
+            this.client = client;
             this.prefix = prefix;
             this.afterRevision = after;
             this.answer = answer;
         }
 
-        /** Looks after some changes; while the store does not serve the node, nothing is seen. */
-        private boolean served(boolean last) {
-            boolean no = unavailable || node.isRefused() || ignoresRequestsOf.test(node);
+        /**
+         * Answers if there are events, or if its time is over; a client that is not served sees no
+         * events.
+         *
+         * @return whether the watch is over
+         */
+        private boolean answer(boolean isTimeOver) {
+            boolean isServed =
+                    !unavailable && !client.isRefused() && !ignoresRequestsOf.test(client);
             List<Store.Entry> events = new ArrayList<>();
-            if (!no && (matched || last)) {
+            if (isServed && (matched || isTimeOver)) {
                 for (int i = log.size() - 1; i >= 0 && log.get(i).revision() > afterRevision; i--) {
                     if (log.get(i).key().startsWith(prefix)) {
                         events.add(0, log.get(i));
                     }
                 }
             }
-            matched &= no;
-            if (events.isEmpty() && !last) {
-                return !node.isAlive();
+            matched &= !isServed;
+            if (events.isEmpty() && !isTimeOver) {
+                return !client.isAlive();
             }
-            long r = no ? afterRevision : revision;
-            node.schedule(
-                    0.002, () -> answer.accept(new Store.WatchResult(Store.Outcome.OK, r, events)));
+            long seenRevision = isServed ? revision : afterRevision;
+            Store.WatchResult result =
+                    new Store.WatchResult(Store.Outcome.OK, seenRevision, events);
+            client.schedule(ONE_WAY_SECONDS, () -> answer.accept(result));
             return true;
         }
     }
 
-    private boolean expiryCheckScheduled;
+    private boolean isServingWatches;
 
-    /** Watches are looked through every few milliseconds, as long as there are any. */
-    private void expireDueLeases() {
-        expiryCheckScheduled = !watches.isEmpty();
-        if (expiryCheckScheduled) {
+    /** Ends due leases and answers watches every few milliseconds while there are watches. */
+    private void serveWatches() {
+        isServingWatches = !watches.isEmpty();
+        if (isServingWatches) {
             cluster.after(
-                    0.01,
+                    WATCH_INTERVAL_SECONDS,
                     () -> {
                         expire();
-                        watches.removeIf(x -> x.matched && x.served(false));
-                        expireDueLeases();
+                        watches.removeIf(watch -> watch.matched && watch.answer(false));
+                        serveWatches();
                     });
         }
     }
 
+    /**
+     * Answers as soon as there are changes under a prefix after a revision, or without events once
+     * the time is over.
+     */
     public void watch(
-            EmulatorClient node,
+            EmulatorClient client,
             String prefix,
-            long after,
-            double holdS,
+            long afterRevision,
+            double holdSeconds,
             Consumer<Store.WatchResult> answer) {
-        PendingWatch x = new PendingWatch(node, prefix, after, answer);
-        x.matched = true;
-        watches.add(x);
+        PendingWatch watch = new PendingWatch(client, prefix, afterRevision, answer);
+        watch.matched = true;
+        watches.add(watch);
         cluster.after(
-                holdS,
+                holdSeconds,
                 () -> {
-                    if (watches.remove(x)) {
-                        x.served(true);
+                    if (watches.remove(watch)) {
+                        watch.answer(true);
                     }
                 });
-        if (!expiryCheckScheduled) {
-            expireDueLeases();
+        if (!isServingWatches) {
+            serveWatches();
         }
     }
 
-    /**
-     * The limits that it has from now on: bytes of a value, changes of a transaction; none at
-     * first.
-     */
+    /** The largest size of a value that it accepts. */
     public int largestValueBytes = Integer.MAX_VALUE;
 
+    /** The largest number of writes in a transaction that it accepts. */
     public int largestTransactionOperations = Integer.MAX_VALUE;
 
-    /** Transactions that were over them. */
+    /** Transactions that were refused for these limits. */
     public int transactionsOverLimits;
 
+    /** Executes a transaction at once, also one that was held back. */
     public Store.CommitResult execute(Store.Transaction transaction) {
         expire();
-        if (transaction.writes().size() > largestTransactionOperations
-                || transaction.conditions().size() > 4L * largestTransactionOperations
-                || transaction.writes().stream()
-                        .anyMatch(
-                                x ->
-                                        x.value() != null
-                                                && JsonSize.sizeInBytes(x.value())
-                                                        > largestValueBytes)) {
+        if (exceedsLimits(transaction)) {
             transactionsOverLimits++;
             return new Store.CommitResult(Store.Outcome.INVALID, 0, List.of(), false);
         }
-        if (transaction.writes().stream()
-                .anyMatch(x -> x.leaseId() != 0 && !leaseExpiries.containsKey(x.leaseId()))) {
+        if (transaction.writes().stream().anyMatch(this::hasExpiredLease)) {
             return new Store.CommitResult(Store.Outcome.REJECTED, 0, List.of(), true);
         }
+        List<String> failed = failedConditions(transaction);
+        if (!failed.isEmpty()) {
+            return new Store.CommitResult(Store.Outcome.REJECTED, 0, failed, false);
+        }
+        long newRevision = transaction.writes().isEmpty() ? revision : ++revision;
+        transaction
+                .writes()
+                .forEach(write -> put(write.key(), write.value(), write.leaseId(), newRevision));
+        return new Store.CommitResult(Store.Outcome.OK, newRevision, List.of(), false);
+    }
+
+    private boolean exceedsLimits(Store.Transaction transaction) {
+        return transaction.writes().size() > largestTransactionOperations
+                || transaction.conditions().size()
+                        > MAX_CONDITIONS_PER_OPERATION * largestTransactionOperations
+                || transaction.writes().stream()
+                        .anyMatch(
+                                write ->
+                                        write.value() != null
+                                                && JsonSize.sizeInBytes(write.value())
+                                                        > largestValueBytes);
+    }
+
+    private boolean hasExpiredLease(Store.Write write) {
+        return write.leaseId() != 0 && !leaseExpiries.containsKey(write.leaseId());
+    }
+
+    private List<String> failedConditions(Store.Transaction transaction) {
         List<String> failed = new ArrayList<>();
         for (Store.Condition condition : transaction.conditions()) {
             Store.Entry entry = entries.get(condition.key());
@@ -282,11 +335,6 @@
                 failed.add(condition.key());
             }
         }
-        if (!failed.isEmpty()) {
-            return new Store.CommitResult(Store.Outcome.REJECTED, 0, failed, false);
-        }
-        long r = transaction.writes().isEmpty() ? revision : ++revision;
-        transaction.writes().forEach(w -> put(w.key(), w.value(), w.leaseId(), r));
-        return new Store.CommitResult(Store.Outcome.OK, r, List.of(), false);
+        return failed;
     }
 }
--- a/src/main/java/io/kitepath/simulation/SimulatedStoreClient.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedStoreClient.java
@@ -5,37 +5,53 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** One node's connection to the store. */
+/**
+ * One client's connection to the {@link InMemoryStore}, with its latency, and with the faults that
+ * the store's and the cluster's fields ask for. A commit whose response is lost is answered with an
+ * unknown outcome after the client's timeout.
+ */
 final class SimulatedStoreClient implements Store {
+    private static final double ONE_WAY_SECONDS = 0.002;
+    private static final double COMMIT_TIMEOUT_SECONDS = 0.5;
+    private static final double MILLIS_PER_SECOND = 1000.0;
+
+    private static final ListResult LIST_REFUSED =
+            new ListResult(Outcome.NOT_EXECUTED, List.of(), 0, false);
+    private static final CommitResult COMMIT_REFUSED =
+            new CommitResult(Outcome.NOT_EXECUTED, 0, List.of(), false);
+    private static final CommitResult COMMIT_UNKNOWN =
+            new CommitResult(Outcome.UNKNOWN, 0, List.of(), false);
+
     private final SimulatedCluster cluster;
     private final InMemoryStore store;
-    private final EmulatorClient node;
+    private final EmulatorClient client;
 
-    SimulatedStoreClient(SimulatedCluster cluster, EmulatorClient node) {
+    SimulatedStoreClient(SimulatedCluster cluster, EmulatorClient client) {
         this.cluster = cluster;
         this.store = cluster.store;
-        this.node = node;
+        this.client = client;
     }
 
-    /** Runs on the store a moment later, and the answer on the node a moment after that. */
-    private void exchange(Runnable served, Runnable refused) {
-        exchange(0, served, refused);
+    /** Sends a request; on arrival the store executes it, or refuses it. */
+    private void exchange(Runnable execute, Runnable refuse) {
+        exchange(0, execute, refuse);
     }
 
-    private void exchange(int writes, Runnable served, Runnable refused) {
-        node.onRequest();
-        node.onRequestSent();
+    private void exchange(int writes, Runnable execute, Runnable refuse) {
+        client.onRequest();
+        client.onRequestSent();
         cluster.after(
-                cluster.messageLatencySeconds(0.002) + store.extraLatencySeconds,
+                cluster.messageLatencySeconds(ONE_WAY_SECONDS) + store.extraLatencySeconds,
                 () -> {
                     store.expire();
-                    boolean no = store.unavailable || node.isRefused() || store.exceedsRate(writes);
-                    (no ? refused : served).run();
+                    boolean isRefused =
+                            store.unavailable || client.isRefused() || store.exceedsRate(writes);
+                    (isRefused ? refuse : execute).run();
                 });
     }
 
-    private void deliverResponse(Runnable r) {
-        node.schedule(cluster.messageLatencySeconds(0.002), r);
+    private void deliverResponse(Runnable response) {
+        client.schedule(cluster.messageLatencySeconds(ONE_WAY_SECONDS), response);
     }
 
     @Override
@@ -55,129 +71,93 @@
     public void list(String prefix, String from, int limit, Consumer<ListResult> answer) {
         exchange(
                 () -> {
-                    store.pagesRead++;
-                    if (store.refusesPage.test(store.pagesRead)
-                            || store.refusesPrefix.test(prefix)) {
-                        deliverResponse(
-                                () ->
-                                        answer.accept(
-                                                new ListResult(
-                                                        Outcome.NOT_EXECUTED,
-                                                        List.of(),
-                                                        0,
-                                                        false)));
-                        return;
-                    }
-                    List<Entry> all =
-                            store
-                                    .entries
-                                    .tailMap(from.isEmpty() ? prefix : from, from.isEmpty())
-                                    .values()
-                                    .stream()
-                                    .filter(entry -> entry.key().startsWith(prefix))
-                                    .toList();
-                    long r = store.revision;
-                    deliverResponse(
-                            () ->
-                                    answer.accept(
-                                            new ListResult(
-                                                    Outcome.OK,
-                                                    all.subList(0, Math.min(limit, all.size())),
-                                                    r,
-                                                    all.size() > limit)));
+                    ListResult page = page(prefix, from, limit);
+                    deliverResponse(() -> answer.accept(page));
                 },
-                () ->
-                        deliverResponse(
-                                () ->
-                                        answer.accept(
-                                                new ListResult(
-                                                        Outcome.NOT_EXECUTED,
-                                                        List.of(),
-                                                        0,
-                                                        false))));
+                () -> deliverResponse(() -> answer.accept(LIST_REFUSED)));
+    }
+
+    private ListResult page(String prefix, String from, int limit) {
+        store.pagesRead++;
+        if (store.refusesPage.test(store.pagesRead) || store.refusesPrefix.test(prefix)) {
+            return LIST_REFUSED;
+        }
+        boolean isFirstPage = from.isEmpty();
+        List<Entry> all =
+                store.entries.tailMap(isFirstPage ? prefix : from, isFirstPage).values().stream()
+                        .filter(entry -> entry.key().startsWith(prefix))
+                        .toList();
+        return new ListResult(
+                Outcome.OK,
+                all.subList(0, Math.min(limit, all.size())),
+                store.revision,
+                all.size() > limit);
     }
 
     @Override
     public void commit(Transaction transaction, Consumer<CommitResult> answer) {
         exchange(
                 transaction.writes().size(),
-                () -> {
-                    boolean job =
-                            transaction.writes().stream()
-                                    .anyMatch(write -> write.key().startsWith("jobs/"));
-                    if (job && store.transactionsToHold > 0 || store.holdsBack.test(transaction)) {
-                        store.transactionsToHold -= store.transactionsToHold > 0 ? 1 : 0;
-                        store.heldBackTransactions.add(transaction);
-                        node.schedule(
-                                0.5,
-                                () ->
-                                        answer.accept(
-                                                new CommitResult(
-                                                        Outcome.UNKNOWN, 0, List.of(), false)));
-                        return;
-                    }
-                    double late =
-                            transaction.writes().isEmpty()
-                                    ? 0
-                                    : store.executionDelaySeconds.applyAsDouble(transaction);
-                    if (late > 0) {
-                        cluster.after(
-                                late,
-                                () -> {
-                                    if (!store.unavailable) {
-                                        execute(transaction);
-                                    }
-                                });
-                        node.schedule(
-                                0.5,
-                                () ->
-                                        answer.accept(
-                                                new CommitResult(
-                                                        Outcome.UNKNOWN, 0, List.of(), false)));
-                        return;
-                    }
-                    CommitResult result = execute(transaction);
-                    if (job && store.responsesToLose > 0
-                            || store.losesResponseOf.test(transaction)
-                            || cluster.losesNextResponse.getAsBoolean()) {
-                        store.responsesToLose -= job && store.responsesToLose > 0 ? 1 : 0;
-                        node.schedule(
-                                0.5,
-                                () ->
-                                        answer.accept(
-                                                new CommitResult(
-                                                        Outcome.UNKNOWN, 0, List.of(), false)));
-                        return;
-                    }
-                    deliverResponse(() -> answer.accept(result));
-                },
-                () ->
-                        deliverResponse(
-                                () ->
-                                        answer.accept(
-                                                new CommitResult(
-                                                        Outcome.NOT_EXECUTED,
-                                                        0,
-                                                        List.of(),
-                                                        false))));
+                () -> receive(transaction, answer),
+                () -> deliverResponse(() -> answer.accept(COMMIT_REFUSED)));
+    }
+
+    /** A transaction has reached the store: it is held back, executed late, or executed now. */
+    private void receive(Transaction transaction, Consumer<CommitResult> answer) {
+        boolean writesJobs =
+                transaction.writes().stream().anyMatch(write -> write.key().startsWith("jobs/"));
+        if (writesJobs && store.transactionsToHold > 0 || store.holdsBack.test(transaction)) {
+            store.transactionsToHold -= store.transactionsToHold > 0 ? 1 : 0;
+            store.heldBackTransactions.add(transaction);
+            timeOut(answer);
+            return;
+        }
+        double delay =
+                transaction.writes().isEmpty()
+                        ? 0
+                        : store.executionDelaySeconds.applyAsDouble(transaction);
+        if (delay > 0) {
+            cluster.after(delay, () -> executeIfAvailable(transaction));
+            timeOut(answer);
+            return;
+        }
+        CommitResult result = execute(transaction);
+        if (writesJobs && store.responsesToLose > 0
+                || store.losesResponseOf.test(transaction)
+                || cluster.losesNextResponse.getAsBoolean()) {
+            store.responsesToLose -= writesJobs && store.responsesToLose > 0 ? 1 : 0;
+            timeOut(answer);
+            return;
+        }
+        deliverResponse(() -> answer.accept(result));
+    }
+
+    private void timeOut(Consumer<CommitResult> answer) {
+        client.schedule(COMMIT_TIMEOUT_SECONDS, () -> answer.accept(COMMIT_UNKNOWN));
+    }
+
+    private void executeIfAvailable(Transaction transaction) {
+        if (!store.unavailable) {
+            execute(transaction);
+        }
     }
 
     private CommitResult execute(Transaction transaction) {
         CommitResult result = store.execute(transaction);
         if (result.outcome() == Outcome.OK && !transaction.writes().isEmpty()) {
             store.writeCount += transaction.writes().size();
-            store.onCommit.accept(node, transaction);
+            store.onCommit.accept(client, transaction);
         }
         return result;
     }
 
     @Override
-    public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {
+    public void grantLease(long lifeMillis, BiConsumer<Outcome, Long> answer) {
         exchange(
                 () -> {
                     long id = store.nextLease++;
-                    store.leaseExpiries.put(id, cluster.clock.now + lifeMs / 1000.0);
-                    store.leaseDurations.put(id, lifeMs / 1000.0);
+                    store.leaseExpiries.put(id, cluster.clock.now + lifeMillis / MILLIS_PER_SECOND);
+                    store.leaseDurations.put(id, lifeMillis / MILLIS_PER_SECOND);
                     deliverResponse(() -> answer.accept(Outcome.OK, id));
                 },
                 () -> deliverResponse(() -> answer.accept(Outcome.NOT_EXECUTED, null)));
@@ -187,12 +167,12 @@
     public void renewLease(long lease, Consumer<Outcome> answer) {
         exchange(
                 () -> {
-                    boolean there = store.leaseExpiries.containsKey(lease);
-                    if (there) {
+                    boolean exists = store.leaseExpiries.containsKey(lease);
+                    if (exists) {
                         store.leaseExpiries.put(
                                 lease, cluster.clock.now + store.leaseDurations.get(lease));
                     }
-                    deliverResponse(() -> answer.accept(there ? Outcome.OK : Outcome.REJECTED));
+                    deliverResponse(() -> answer.accept(exists ? Outcome.OK : Outcome.REJECTED));
                 },
                 () -> deliverResponse(() -> answer.accept(Outcome.NOT_EXECUTED)));
     }
@@ -203,12 +183,12 @@
     }
 
     @Override
-    public void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
+    public void watch(String prefix, long after, long holdMillis, Consumer<WatchResult> answer) {
         if (store.exceedsRate(0)) {
             deliverResponse(
                     () -> answer.accept(new WatchResult(Outcome.NOT_EXECUTED, 0, List.of())));
             return;
         }
-        store.watch(node, prefix, after, holdMs / 1000.0, answer);
+        store.watch(client, prefix, after, holdMillis / MILLIS_PER_SECOND, answer);
     }
 }
