--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -10,6 +10,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
@@ -201,29 +202,21 @@
             double estimateS) {
         String home = "c" + (topology == Topology.WHOLE ? 0 : cell);
         JobSpec spec =
-                new JobSpec(
-                        cells.id(home, n),
-                        jobClass,
-                        random.nextBoolean() ? "red" : "blue",
-                        shape,
-                        shape == JobSpec.Shape.GANG
-                                ? JobSpec.Priority.HIGH
-                                : JobSpec.Priority.NORMAL,
-                        size,
-                        cpus,
-                        0,
-                        2,
-                        null,
-                        null,
-                        false,
-                        false,
-                        false,
-                        "img",
-                        1,
-                        estimateS,
-                        0,
-                        0,
-                        null);
+                JobSpec.builder(cells.id(home, n))
+                        .jobClass(jobClass)
+                        .team(random.nextBoolean() ? "red" : "blue")
+                        .shape(shape)
+                        .priority(
+                                shape == JobSpec.Shape.GANG
+                                        ? JobSpec.Priority.HIGH
+                                        : JobSpec.Priority.NORMAL)
+                        .taskCount(size)
+                        .cpusPerTask(cpus)
+                        .memoryGigabytesPerTask(2)
+                        .image("img")
+                        .imageGigabytes(1)
+                        .estimatedSeconds(estimateS)
+                        .build();
         PlannedJob arrival =
                 new PlannedJob(spec, cell, estimateS * (0.8 + 0.4 * random.nextDouble()));
         plannedJobs.put(spec.id(), arrival);
@@ -304,60 +297,51 @@
 
     // ---- failures -------------------------------------------------------------------------------
 
-    private void injectFault(Fault f) {
-        String cell = "c" + f.cell;
+    private void scheduleFault(Fault fault) {
+        String cell = "c" + fault.cell;
         SimulatedCluster cluster = cells.cluster(cell);
-        if (cluster == null) {
-            return;
+        if (cluster != null) {
+            cells.clock.after(fault.atSeconds, () -> injectFault(fault, cell, cluster));
+        }
+    }
+
+    private void injectFault(Fault fault, String cell, SimulatedCluster cluster) {
+        double seconds = fault.durationSeconds;
+        List<SimulatedNode> alive =
+                cluster.nodes.values().stream().filter(node -> node.alive).toList();
+        Optional<SimulatedNode> leader =
+                alive.stream()
+                        .filter(node -> node.controller.fencingTokenIfLeading() > 0)
+                        .findFirst();
+        switch (fault.kind) {
+            case "nodes" -> alive.forEach(node -> cells.restart(node, seconds));
+            case "store" -> cluster.store.outage(seconds);
+            case "network" -> cutNetwork(cell, seconds);
+            case "holder" -> leader.ifPresent(node -> cells.restart(node, seconds));
+            case "freeze" -> leader.ifPresent(node -> node.frozenUntil = cells.clock.now + seconds);
+            case "zone" -> cutFirstZone(cell, cluster, seconds);
+            default -> throw new IllegalArgumentException("no such fault: " + fault.kind);
+        }
+    }
+
+    private void cutNetwork(String cell, double seconds) {
+        for (String other : cells.clusters.keySet()) {
+            cells.cutBetween(cell, other);
         }
         cells.clock.after(
-                f.atSeconds,
-                () -> {
-                    List<SimulatedNode> up =
-                            cluster.nodes.values().stream().filter(node -> node.alive).toList();
-                    SimulatedNode holder =
-                            up.stream()
-                                    .filter(node -> node.controller.fencingTokenIfLeading() > 0)
-                                    .findFirst()
-                                    .orElse(null);
-                    switch (f.kind) {
-                        case "nodes" -> up.forEach(node -> cells.restart(node, f.durationSeconds));
-                        case "store" -> cluster.store.outage(f.durationSeconds);
-                        case "network" -> {
-                            for (String other : cells.clusters.keySet()) {
-                                cells.cutBetween(cell, other);
-                            }
-                            cells.clock.after(
-                                    f.durationSeconds,
-                                    () ->
-                                            cells.cutConnections.removeIf(
-                                                    x ->
-                                                            x.startsWith(cell + ">")
-                                                                    || x.endsWith(">" + cell)));
-                        }
-                        case "holder" -> {
-                            if (holder != null) {
-                                cells.restart(holder, f.durationSeconds);
-                            }
-                        }
-                        case "freeze" -> {
-                            if (holder != null) {
-                                holder.frozenUntil = cells.clock.now + f.durationSeconds;
-                            }
-                        }
-                        case "zone" -> {
-                            List<SimulatedWorker> of =
-                                    cluster.workers.values().stream()
-                                            .filter(worker -> worker.zone.equals(cell + "1"))
-                                            .toList();
-                            of.forEach(worker -> worker.isCutOff = true);
-                            cells.clock.after(
-                                    f.durationSeconds,
-                                    () -> of.forEach(worker -> worker.isCutOff = false));
-                        }
-                        default -> throw new IllegalArgumentException("no such fault: " + f.kind);
-                    }
-                });
+                seconds,
+                () ->
+                        cells.cutConnections.removeIf(
+                                cut -> cut.startsWith(cell + ">") || cut.endsWith(">" + cell)));
+    }
+
+    private void cutFirstZone(String cell, SimulatedCluster cluster, double seconds) {
+        List<SimulatedWorker> workers =
+                cluster.workers.values().stream()
+                        .filter(worker -> worker.zone.equals(cell + "1"))
+                        .toList();
+        workers.forEach(worker -> worker.isCutOff = true);
+        cells.clock.after(seconds, () -> workers.forEach(worker -> worker.isCutOff = false));
     }
 
     // ---- the whole ------------------------------------------------------------------------------
@@ -367,7 +351,7 @@
         long began = System.nanoTime();
         cells.run(15);
         planJobs();
-        plan.faults.forEach(this::injectFault);
+        plan.faults.forEach(this::scheduleFault);
         cells.run(plan.durationSeconds);
         double from = cells.clock.now;
         while (open > 0 && cells.clock.now - from < MAX_DRAIN_SECONDS) {
