--- a/src/main/java/io/kitepath/cli/ArchiveTraining.java
+++ b/src/main/java/io/kitepath/cli/ArchiveTraining.java
@@ -30,6 +30,7 @@
     private long revision = 1;
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
 
+    /** Runs the node once and exits, with status 0 if it started and answered. */
     public static void main(String[] args) throws Exception {
         Main.properties();
         ArchiveTraining t = new ArchiveTraining();
@@ -194,27 +195,7 @@
                     200,
                     TimeUnit.MILLISECONDS);
         } else if (path.equals("/machine_types")) {
-            out.reply(
-                    200,
-                    MessagePackCodec.encode(
-                            Map.of(
-                                    "frames",
-                                    List.of(
-                                            Map.of(
-                                                    "name",
-                                                    "m",
-                                                    "vcpus",
-                                                    4.0,
-                                                    "ramGb",
-                                                    16.0,
-                                                    "rate",
-                                                    1.0,
-                                                    "spotPrice",
-                                                    0.5,
-                                                    "readyS",
-                                                    5.0,
-                                                    "fields",
-                                                    List.of("a"))))));
+            out.reply(200, machineTypes());
         } else if (path.equals("/rentals") && request.method().equals("GET")) {
             out.reply(200, MessagePackCodec.encode(Map.of("hosts", List.of(), "truncated", false)));
         } else {
@@ -222,6 +203,27 @@
         }
     }
 
+    /** A single small machine type in one zone. */
+    private static byte[] machineTypes() {
+        Map<String, Object> type =
+                Map.of(
+                        "name",
+                        "m",
+                        "vcpus",
+                        4.0,
+                        "ramGb",
+                        16.0,
+                        "rate",
+                        1.0,
+                        "spotPrice",
+                        0.5,
+                        "readyS",
+                        5.0,
+                        "fields",
+                        List.of("a"));
+        return MessagePackCodec.encode(Map.of("frames", List.of(type)));
+    }
+
     private void multi(Object body, HttpServer.Responder out) {
         Map<?, ?> m = (Map<?, ?>) body;
         List<String> failed = new ArrayList<>();
--- a/src/main/java/io/kitepath/cli/CommandLineEntry.java
+++ b/src/main/java/io/kitepath/cli/CommandLineEntry.java
@@ -77,6 +77,7 @@
         return status;
     }
 
+    /** The version as the jar's manifest has it. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -85,6 +86,7 @@
         }
     }
 
+    /** Runs a controller node until it is stopped. */
     @Command(
             name = "serve",
             mixinStandardHelpOptions = true,
@@ -109,6 +111,7 @@
         }
     }
 
+    /** Checks a settings file, and a cells file if there is one, without starting a node. */
     @Command(
             name = "check",
             mixinStandardHelpOptions = true,
@@ -191,6 +194,7 @@
         }
     }
 
+    /** Submits a job that a JSON file describes. */
     @Command(
             name = "submit",
             mixinStandardHelpOptions = true,
@@ -214,6 +218,7 @@
         }
     }
 
+    /** Asks a node for a job's state. */
     @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows a job's state.")
     static final class Status implements Callable<Integer> {
         @Mixin Target target;
@@ -227,6 +232,7 @@
         }
     }
 
+    /** Asks a node which node holds which leased role. */
     @Command(
             name = "duties",
             mixinStandardHelpOptions = true,
@@ -240,6 +246,7 @@
         }
     }
 
+    /** Cancels a job. */
     @Command(name = "cancel", mixinStandardHelpOptions = true, description = "Cancels a job.")
     static final class Cancel implements Callable<Integer> {
         @Mixin Target target;
--- a/src/main/java/io/kitepath/cli/Main.java
+++ b/src/main/java/io/kitepath/cli/Main.java
@@ -9,6 +9,10 @@
 public final class Main {
     private Main() {}
 
+    /**
+     * Starts a node at once for {@code --config FILE}; anything else goes through the command
+     * line's parser.
+     */
     public static void main(String[] args) {
         properties();
         // The platform starts every node as "--config FILE", on a sliver of a core: that way must
--- a/src/main/java/io/kitepath/cli/StateCommand.java
+++ b/src/main/java/io/kitepath/cli/StateCommand.java
@@ -30,6 +30,7 @@
         return 2;
     }
 
+    /** Looks for records that nothing refers to, and removes them unless it is a dry run. */
     @Command(
             name = "sweep",
             mixinStandardHelpOptions = true,
--- a/src/main/java/io/kitepath/simulation/InvariantChecker.java
+++ b/src/main/java/io/kitepath/simulation/InvariantChecker.java
@@ -54,14 +54,17 @@
         this.cluster = cluster;
     }
 
+    /** How many tasks started after their user had been told that the job is cancelled. */
     public int startsAfterCancellation() {
         return startsAfterCancellation;
     }
 
+    /** How long after that the latest of them started, in seconds; 0 if none did. */
     public double latestStartAfterCancellationSeconds() {
         return latestStartAfterCancellationSeconds;
     }
 
+    /** How many tasks of cancelled jobs were on machines that hang, when they had to be gone. */
     public int cancelledTasksOnHungMachines() {
         return cancelledTasksOnHungMachines;
     }
--- a/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
+++ b/src/main/java/io/kitepath/simulation/LoopbackEmulator.java
@@ -216,7 +216,15 @@
                     number(request, "from", 0),
                     number(request, "holdMs", 0),
                     changes -> out.reply(200, EmulatorCodec.encodeWatchResult(changes)));
-        } else if (path.equals("/holds")) {
+        } else {
+            lease(request, out);
+        }
+    }
+
+    /** Grants, renews and revokes leases. */
+    private void lease(Request request, Responder out) {
+        String path = request.path();
+        if (path.equals("/holds")) {
             store.grantLease(
                     EmulatorCodec.decodeLeaseMillis(MessagePackCodec.decode(request.body())),
                     (outcome, id) -> {
--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -131,6 +131,7 @@
         }
     }
 
+    /** Prepares the plan; nothing runs until {@link #play}. */
     public Rehearsal(Plan plan, Topology way) {
         this.plan = plan;
         this.topology = way;
--- a/src/main/java/io/kitepath/simulation/SimulatedClock.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedClock.java
@@ -32,18 +32,25 @@
     /** Sees every task that completed, or failed. */
     public Consumer<SimulatedTask> onTaskEnd = task -> {};
 
+    /** Tells the listener that a task ended. */
     public void ended(SimulatedTask task) {
         onTaskEnd.accept(task);
     }
 
+    /** Tells the listener that a task started on its machine. */
     public void started(SimulatedTask task) {
         onTaskStart.accept(task);
     }
 
+    /**
+     * Schedules an action, in seconds from now; those of the same moment run in the order in which
+     * they were scheduled.
+     */
     public void after(double s, Runnable r) {
         scheduledActions.add(new ScheduledAction(now + s, scheduledCount++, r));
     }
 
+    /** Advances the time by so many seconds and runs what is due. */
     public void run(double seconds) {
         double until = now + seconds;
         while (!scheduledActions.isEmpty() && scheduledActions.peek().at <= until) {
--- a/src/main/java/io/kitepath/simulation/SimulatedCloudClient.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedCloudClient.java
@@ -9,6 +9,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
+/** One node's connection to the simulated cloud, with its latency, faults and lost responses. */
 final class SimulatedCloudClient implements Cloud {
     private final SimulatedCluster cluster;
     private final EmulatorClient node;
--- a/src/main/java/io/kitepath/simulation/SimulatedNode.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedNode.java
@@ -19,6 +19,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
+/**
+ * A controller node in memory: the real core, with a clock, peers and connections that can fail.
+ */
 public final class SimulatedNode implements Timers, PeerNodes, EmulatorClient {
     private final SimulatedCluster cluster;
     public final String name;
@@ -53,6 +56,7 @@
     /** Told when it ends that way. */
     public Runnable onCrash = () -> {};
 
+    /** A node that is not started yet; the first one of that name or a restart of it. */
     public SimulatedNode(SimulatedCluster cluster, String name) {
         this.cluster = cluster;
         this.name = name;
@@ -131,6 +135,10 @@
         cluster.multiCell.ask(cluster, this, cell, node, message, answer);
     }
 
+    /**
+     * Ends the process at once: nothing that it sent is undone, and nothing more is delivered to
+     * it.
+     */
     public void crash() {
         alive = false;
     }
--- a/src/main/java/io/kitepath/simulation/SimulatedTask.java
+++ b/src/main/java/io/kitepath/simulation/SimulatedTask.java
@@ -12,6 +12,7 @@
     public TaskState state;
     public EndCause cause;
 
+    /** An attempt that a worker was told to start. */
     public SimulatedTask(
             SimulatedWorker worker, String jobId, int number, long attempt, TaskState state) {
         this.worker = worker;
@@ -26,6 +27,7 @@
         return worker.up && state != TaskState.ENDED && worker.tasks.get(key()) == this;
     }
 
+    /** The attempt as reports of violations name it: job, task and number of the attempt. */
     public String key() {
         return jobId + "/" + number + "#" + attempt;
     }
