--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -310,7 +310,7 @@
     }
 
     @Test
-    void noRuleBreaksWhateverMeets() {
+    void noInvariantIsViolatedUnderRandomFaults() {
         int runs = Math.max(IN_CI, Integer.getInteger("kitepath.seeds", 0));
         int from = Integer.getInteger("kitepath.from", 0);
         Map<Integer, Integer> met = new TreeMap<>();
--- a/src/test/java/io/kitepath/core/AnswerConsistencyTest.java
+++ b/src/test/java/io/kitepath/core/AnswerConsistencyTest.java
@@ -114,7 +114,7 @@
      * still.
      */
     @Test
-    void noNodeAnswersSomethingOlderWhateverElseMeets() {
+    void noNodeAnswersWithAnOlderStateUnderRandomFaults() {
         int accepted = 0;
         int cancelled = 0;
         for (long seed = 0; seed < 40; seed++) {
@@ -182,7 +182,7 @@
      * after 0.3 s.
      */
     @Test
-    void whatANodeAcceptedAsItEndedIsForgottenByNone() {
+    void aJobAcceptedByANodeAsItCrashedIsKnownToAllNodes() {
         int told = 0;
         for (int holds = 0; holds < 2; holds++) {
             for (int ms = 0; ms <= 40; ms += 2) {
@@ -289,7 +289,7 @@
      * answer goes out later.
      */
     @Test
-    void anAnswerOnItsWayIsNotOlderThanTheEndThatWasHeardOfMeanwhile() {
+    void anAnswerInFlightIsNotOlderThanTheEndReceivedMeanwhile() {
         int met = 0;
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
@@ -348,7 +348,7 @@
      * more.
      */
     @Test
-    void anAnswerOnItsWayIsNotOlderThanTheAcceptance() {
+    void anAnswerInFlightIsNotOlderThanTheAcceptance() {
         int met = 0;
         for (long seed = 0; seed < 60; seed++) {
             Random random = new Random(seed);
--- a/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
+++ b/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
@@ -168,7 +168,7 @@
      * the others.
      */
     @Test
-    void whatIsCancelledAtAnyStepOfAChangeIsGoneInTime() {
+    void aCancellationAtAnyStepOfAFailoverStopsItsTasksInTime() {
         int early = 0;
         for (Change change : Change.values()) {
             for (Step step : Step.values()) {
@@ -210,7 +210,7 @@
      * cancellations at each.
      */
     @Test
-    void tenChangesInTwoMinutes() {
+    void cancellationsDuringTenFailoversInTwoMinutesStopTheirTasksInTime() {
         long changes = 0;
         int all = 0;
         for (int seed = 0; seed < 8; seed++) {
@@ -326,7 +326,7 @@
      * answer.
      */
     @Test
-    void whatIsCancelledAtTheMomentOfTheRefusalIsGoneThoughTheStoreIsOutThen() {
+    void aCancellationAtTheRefusalBeforeAnOutageStopsItsTasksInTime() {
         int early = 0;
         for (int f = 0; f < 3; f++) {
             int fate = f;
--- a/src/test/java/io/kitepath/core/CancellationRandomizedTest.java
+++ b/src/test/java/io/kitepath/core/CancellationRandomizedTest.java
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void nothingOfACancelledJobRunsOnWhateverMeets() {
+    void noTaskOfACancelledJobRunsOnUnderRandomFaults() {
         int told = 0;
         int runs = Math.max(IN_CI, Integer.getInteger("kitepath.seeds", 0));
         for (long seed = 0; seed < runs; seed++) {
--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void nothingIsOfferedThatIsNotWritten() {
+    void aLoanIsOfferedOnlyOnceItIsStored() {
         settled(1, 10);
         // The write of the loan gets lost with the holder that made it; its successor knows nothing
         // of it.
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void nothingIsSaidToHaveStoppedThatIsNotWritten() {
+    void aCancellationOfLentTasksIsConfirmedOnlyOnceItIsStored() {
         settled(1, 10);
         String id = array(1, 40);
         simulation.runUntil(20, () -> inWest(id) > 0);
@@ -284,7 +284,7 @@
     }
 
     @Test
-    void aLostYesIsAskedForAgainThroughAnotherNode() {
+    void aLostLoanAcceptanceIsRequestedAgainThroughAnotherNode() {
         settled(1, 10);
         int[] n = new int[1];
         simulation.loses =
@@ -297,7 +297,7 @@
     }
 
     @Test
-    void aLostEndIsSaidAgainAndSettledOnce() {
+    void aLostLoanCompletionIsResentAndSettledOnce() {
         settled(1, 10);
         int[] n = new int[1];
         simulation.loses =
@@ -324,7 +324,7 @@
     }
 
     @Test
-    void aCutOneWayIsAsGoodAsBoth() {
+    void aConnectionCutInOneDirectionLosesNoTasks() {
         settled(1, 10);
         simulation.cutConnections.add("west>east");
         String id = array(1, 40);
@@ -337,7 +337,7 @@
     }
 
     @Test
-    void aCancellationWaitsForTheOtherCellsWord() {
+    void aCancellationIsConfirmedOnlyAfterTheOtherCellConfirmsIt() {
         settled(1, 10);
         String id = array(1, 40);
         simulation.runUntil(20, () -> inWest(id) > 0);
@@ -406,7 +406,7 @@
     }
 
     @Test
-    void aCellThatEndsWholeKeepsWhatItWasLentAndGoesOnWithIt() {
+    void aCellThatRestartsCompletelyResumesTheTasksLentToIt() {
         settled(1, 10);
         String id = array(1, 40);
         simulation.runUntil(20, () -> inWest(id) > 0);
@@ -428,7 +428,7 @@
     }
 
     @Test
-    void aFrozenHolderGoesOnAfterItsSuccessorBeganAndChangesNothing() {
+    void aFrozenLeaderThatResumesAfterAFailoverChangesNothing() {
         settled(1, 10);
         String id = array(1, 40);
         simulation.runUntil(20, () -> inWest(id) > 0);
@@ -456,7 +456,7 @@
     }
 
     @Test
-    void aDrainedCellGivesBackWhatHasNotBegun() {
+    void aDrainedCellReturnsTasksThatHaveNotStarted() {
         settled(1, 10);
         String id = array(1, 40);
         simulation.runUntil(20, () -> inWest(id) > 0);
@@ -466,7 +466,7 @@
     }
 
     @Test
-    void aDrainedHomeHandsOverWhatWaits() {
+    void aDrainedHomeCellHandsOverWaitingTasks() {
         settled(1, 10);
         String id = array(1, 12);
         simulation.run(4);
--- a/src/test/java/io/kitepath/core/CloudIntentsTest.java
+++ b/src/test/java/io/kitepath/core/CloudIntentsTest.java
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void whatWasRentedAndIsNotListedYetIsNotRentedAgainByTheNextHolder() {
+    void aRentedMachineNotListedYetIsNotRentedAgainByTheNextLeader() {
         theHolderEndsOnceSixAreRented(0.5);
     }
 
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aRentalThatRunsMinutesLateIsUnderTheNameThatTheNextHolderSettled() {
+    void aRentalExecutedMinutesLateUsesTheNameThatTheNextLeaderSettled() {
         SimulatedNode first = carrier(cluster);
         cluster.cloud.holdsBackRequestsOf = client -> client == first;
         want(cluster);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void aReturnThatRunsMinutesLateHitsNobodysWork() {
+    void aReleaseExecutedMinutesLateStopsNoTasks() {
         for (int i = 0; i < 4; i++) {
             cluster.worker("i-00000" + i, "a");
         }
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void whoeverStandsStillBetweenDecisionAndRequestDoesNoHarm() {
+    void aNodeFrozenBetweenDecisionAndCloudRequestDoesNoHarm() {
         for (boolean holder : new boolean[] {true, false}) {
             SimulatedCluster cluster = world();
             SimulatedNode first = holder ? cluster.leader() : carrier(cluster);
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void withTheStoreAwayNothingIsRentedOrGivenBack() {
+    void duringAStoreOutageNoMachineIsRentedOrReleased() {
         cluster.store.outage(30);
         cluster.run(3);
         int asked = cluster.cloud.rentals.size();
--- a/src/test/java/io/kitepath/core/ConcurrentFaultsTest.java
+++ b/src/test/java/io/kitepath/core/ConcurrentFaultsTest.java
@@ -57,7 +57,7 @@
      * it.
      */
     @Test
-    void aHolderAloneWithItsWorkersKeepsNothingThatOthersCancel() {
+    void anIsolatedLeaderKeepsNoTasksThatOtherNodesCancelled() {
         for (double cut = 0.5; cut <= 2 * 10; cut += 0.5) {
             for (double cancelAfter : new double[] {0.1, 0.4, 0.9}) {
                 cluster = settled(3, 4);
@@ -94,7 +94,7 @@
 
     /** On and off again, around the end of each lease. */
     @Test
-    void aHolderThatIsAloneAgainAndAgainChangesNothingForWorkAndUsers() {
+    void aRepeatedlyIsolatedLeaderDisturbsNeitherTasksNorUsers() {
         for (double period = 1.5; period <= 12; period += 0.75) {
             cluster = settled(3, 4);
             cluster.taskSeconds = id -> 500;
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void tasksThatEndFarApartCountOnceAcrossAChangeOfLeader() {
+    void tasksThatEndFarApartCountOnceAcrossAFailover() {
         for (double crashAt = 0.5; crashAt < 30; crashAt += 0.25) {
             endsFarApart(Shape.ARRAY, crashAt, -1, false);
             endsFarApart(Shape.ARRAY, crashAt, 0.3, false);
--- a/src/test/java/io/kitepath/core/DuplicateHeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/DuplicateHeartbeatsTest.java
@@ -110,7 +110,7 @@
      * neither takes nor ends it.
      */
     @Test
-    void aCopyIsNotToldWhatIsMeantForTheWorker() {
+    void aCopiedHeartbeatDoesNotReceiveTheWorkersResponse() {
         for (double offset = 0.05; offset < 2.5; offset += 0.2) {
             double calm = latestStart(offset, false);
             double late = latestStart(offset, true);
@@ -177,7 +177,7 @@
      * hears nothing.
      */
     @Test
-    void copiesInAnOutageDoNotMakeAMachineDeaf() {
+    void copiedHeartbeatsInAnOutageDoNotMarkAMachineAsMissingAnswers() {
         int during = 0;
         for (double moment = 1.5; moment < 2.8; moment += 0.05) {
             world(3, 3);
@@ -226,7 +226,7 @@
      * machine's own next report, to each of three holders.
      */
     @Test
-    void noHolderTakesWhatWasForWhatIs() {
+    void noLeaderTakesACopiedHeartbeatForTheCurrentState() {
         int ofItsToken = 0;
         for (double changes : new double[] {2.3, 4.6}) {
             for (double arrives = 0; arrives < 5; arrives += 0.9) {
@@ -372,7 +372,7 @@
      * waits gets others.
      */
     @Test
-    void aMachineThatIsGoneDoesNotComeBackByWhatItSaid() {
+    void aCopiedHeartbeatDoesNotReviveALostMachine() {
         for (double dies : new double[] {0.2, 25}) {
             for (double every : new double[] {0.5, 7}) {
                 gone(false, dies, every);
--- a/src/test/java/io/kitepath/core/FastMachineBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastMachineBootsTest.java
@@ -326,7 +326,7 @@
      * leaders end.
      */
     @Test
-    void aMachineThatReportsToOneNodeAfterTheOtherRunsNothingTwice() {
+    void aMachineThatReportsToAlternatingNodesRunsNothingTwice() {
         int turns = 0;
         int ended = 0;
         for (long seed = 0; seed < 40; seed++) {
--- a/src/test/java/io/kitepath/core/GarbageCollectionTest.java
+++ b/src/test/java/io/kitepath/core/GarbageCollectionTest.java
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void rubbishIsRemovedAndTheRestIsLeft() {
+    void orphanedRecordsAreRemovedAndOthersAreLeft() {
         settle(cluster);
         litter(cluster);
         cluster.run(200);
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void aHolderBeginsThoughAPartHasNoJob() {
+    void aLeaderLoadsDespiteAPartWithoutAJob() {
         settle(cluster);
         put(cluster, StoreKeys.partKey("j-9", 0), part(Map.of()));
         cluster.nodes.values().forEach(SimulatedNode::crash);
@@ -196,7 +196,7 @@
      * to be.
      */
     @Test
-    void aJobThatEndsWhileItIsLookedAtIsNotCalledStrange() {
+    void aJobThatEndsDuringASweepIsNotReportedAsInconsistent() {
         settle(cluster);
         for (String id : List.of("j-5", "j-6")) {
             put(cluster, StoreKeys.OPEN_JOBS + id, Map.of("unreadable", true));
--- a/src/test/java/io/kitepath/core/HealthyMachinesTest.java
+++ b/src/test/java/io/kitepath/core/HealthyMachinesTest.java
@@ -20,7 +20,7 @@
      * is out.
      */
     @Test
-    void anOutageAfterATakeoverMakesNoMachineDeaf() {
+    void anOutageAfterAFailoverMarksNoMachineAsMissingAnswers() {
         int adopted = 0;
         for (double out = 0.2; out < 6; out += 0.2) {
             SimulatedCluster cluster = settled(3, 4);
--- a/src/test/java/io/kitepath/core/JobDependenciesTest.java
+++ b/src/test/java/io/kitepath/core/JobDependenciesTest.java
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void theNextStageStartsWithinOneReportOfTheLastEnd() {
+    void aDependentJobStartsWithinOneHeartbeatOfItsDependencysEnd() {
         SimulatedNode node = cluster(2);
         cluster.submit(node, array("j-1", 1));
         cluster.submit(node, array("j-2", 1), "j-1");
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void theNextHolderFindsOutHowNeededJobsEnded() {
+    void aNewLeaderFindsOutHowDependenciesEnded() {
         SimulatedNode node = cluster(2);
         SimulatedNode other = cluster.node("k1");
         cluster.submit(node, array("j-1", 1));
@@ -204,7 +204,7 @@
 
     /** Wherever the holder ends while it cancels, the next one goes on with it. */
     @Test
-    void aCascadeIsFinishedWhereverItsHolderEnds() {
+    void aCancellationCascadeIsCompletedWhereverItsLeaderCrashes() {
         for (int at = 1; at <= 12; at++) {
             JobDependenciesTest t = new JobDependenciesTest();
             SimulatedNode node = t.cluster(1);
@@ -224,7 +224,7 @@
     }
 
     @Test
-    void nobodyIsToldThatAJobIsPendingLongAfterOneBeforeItWasCancelled() {
+    void aJobIsNotReportedPendingLongAfterItsDependencyWasCancelled() {
         cluster.writesPerSecond = 6; // So that the cascade takes its time.
         cluster.taskSeconds = id -> 1000;
         SimulatedNode node = cluster(1);
@@ -336,7 +336,7 @@
      * cancelled job.
      */
     @Test
-    void aNodeThatCantAskTheHolderSaysNothingOldOfAJobThatWaits() {
+    void aNodeThatCanNotReachTheLeaderReportsNoStaleStatusOfAWaitingJob() {
         SimulatedNode node = cluster(1);
         SimulatedNode other = cluster.node("k1");
         cluster.submit(node, array("j-1", 1));
@@ -398,7 +398,7 @@
      * placed as ever.
      */
     @Test
-    void aJobThatHasBegunGoesOnUnderTheNextHolder() {
+    void aStartedDependentJobContinuesUnderTheNextLeader() {
         SimulatedNode node = cluster(1);
         SimulatedNode other = cluster.node("k1");
         cluster.submit(node, array("j-1", 1));
@@ -412,7 +412,7 @@
     }
 
     @Test
-    void whatAnUrgentJobNeedsIsAsUrgent() {
+    void dependenciesInheritThePriorityAndDeadlineOfTheDependentJob() {
         SimulatedNode node = cluster(0);
         JobSpec last = SimulatedCluster.with(array("j-3", 1), "red", JobSpec.Priority.HIGH, false);
         last = JobSpecs.copyOf(last).deadlineSeconds(300.0).build();
--- a/src/test/java/io/kitepath/core/LargeFleetTest.java
+++ b/src/test/java/io/kitepath/core/LargeFleetTest.java
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aTakeoverOfNineHundredMachinesPlacesAsSoonAsTheirWorkersHaveReported() {
+    void aNewLeaderOfNineHundredMachinesPlacesOnceTheirWorkersHaveReported() {
         SimulatedNode first = fleet(3, 900, 4);
         cluster.workers.values().forEach(worker -> worker.taskSeconds = 60);
         arrays(first, 10, 300);
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void tenThousandTasksThatWaitOnAFullFleetCostAHolderABoundedRound() {
+    void tenThousandWaitingTasksOnAFullClusterCostALeaderABoundedRound() {
         SimulatedNode node = fleet(1, 1000, 4);
         cluster.workers.values().forEach(worker -> worker.taskSeconds = 1000);
         arrays(node, 10, 400);
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void lesserWorkLeavesAnIdleMachineToTheGangThatIsAboutToCome() {
+    void tasksOfLowerPriorityLeaveAnIdleMachineToTheNextGang() {
         cluster.teams.put("red", new ClusterSettings.Team("red", 16, 0, 0, 0));
         SimulatedNode node = fleet(1, 4, 4);
         cluster.workers.values().forEach(worker -> worker.taskSeconds = 1);
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void workWithADeadlineStartsWhereItsImageIsAndNotWhereItHasToBeFetched() {
+    void aJobWithADeadlineStartsWhereItsImageIsPresent() {
         // Guaranteed, so that idle ordinary machines are kept.
         cluster.teams.put("red", new ClusterSettings.Team("red", 100, 0, 0, 0));
         SimulatedNode node = fleet(1, 0, 4);
@@ -243,7 +243,7 @@
     }
 
     @Test
-    void afterHundredsOfJobsTheHolderRemembersOnlyWhatIsOpen() {
+    void afterHundredsOfJobsTheLeaderHoldsOnlyOpenOnesInMemory() {
         SimulatedNode node = fleet(1, 10, 4);
         cluster.workers.values().forEach(worker -> worker.taskSeconds = 1);
         for (int i = 0; i < 400; i++) {
--- a/src/test/java/io/kitepath/core/LeasedRolesTest.java
+++ b/src/test/java/io/kitepath/core/LeasedRolesTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void eachDutyHasOneHolderAndTheyAreSpread() {
+    void eachRoleHasOneHolderAndRolesAreSpreadOverNodes() {
         nodes(3);
         Set<String> holders = new HashSet<>();
         for (LeasedRoles.Role role : cluster.nodes.get("k0").controller.roles()) {
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aNodeAloneDoesAll() {
+    void aSingleNodeHoldsAllRoles() {
         nodes(1);
         cluster.nodes
                 .get("k0")
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void anEndMovesTheDutyUnderOneLeaseAndABackAtOnceKeepsNobodyWaiting() {
+    void aRoleMovesWithinOneLeaseOfACrashAndAtOnceAfterARestart() {
         nodes(3);
         String first = holder("cloud");
         long before = token("cloud");
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void oneThatStoodStillFindsOutBeforeItActs() {
+    void aNodeThatWasFrozenNoticesItsLostRoleBeforeItActs() {
         nodes(3);
         SimulatedNode first = cluster.nodes.get(holder("cloud"));
         first.frozenUntil = cluster.clock.now + 10;
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void theStoresRefusalOfOneNodeTakesTheDutyFromIt() {
+    void aNodeRefusedByTheStoreLosesItsRole() {
         nodes(3);
         SimulatedNode first = cluster.nodes.get(holder("cloud"));
         first.cutFromStore = true;
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void throughAnOutageOfTheStoreItStaysWhereItIs() {
+    void aRoleStaysWithItsNodeThroughAStoreOutage() {
         nodes(3);
         String first = holder("cloud");
         long before = token("cloud");
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void oneThatTheCloudDoesNotAnswerGivesTheDutyAway() {
+    void aNodeWithoutCloudResponsesYieldsTheCloudRole() {
         nodes(3);
         SimulatedNode first = cluster.nodes.get(holder("cloud"));
         cluster.cloud.holdsBackRequestsOf = client -> client == first;
@@ -228,7 +228,7 @@
     }
 
     @Test
-    void whenTheCloudAnswersNobodyTheDutyDoesNotGoRound() {
+    void duringACloudOutageTheCloudRoleChangesNodesRarely() {
         nodes(3);
         cluster.cloud.unavailable = true;
         cluster.submit(cluster.nodes.get("k0"), job("j-1", Shape.GANG, 3, 4));
--- a/src/test/java/io/kitepath/core/OneWayMachinesTest.java
+++ b/src/test/java/io/kitepath/core/OneWayMachinesTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void whatRanOnAMachineThatHearsNothingAnyMoreIsStartedAnewOnceItsSessionIsOver() {
+    void tasksOfAMachineThatReceivesNothingRestartOnceItsIncarnationIsOver() {
         SimulatedCluster cluster = settled(2, 2);
         SimulatedNode node = cluster.leader();
         cluster.submit(node, job("j-1", Shape.ARRAY, 2, 3));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aMachineThatHearsAgainTakesWorkAgainAndOneThatDoesNotIsGivenBack() {
+    void aMachineThatReceivesAgainGetsTasksAndOneThatDoesNotIsReleased() {
         SimulatedCluster cluster = settled(1, 2);
         cluster.cloud.capacity = 10;
         SimulatedNode node = cluster.nodes.get("k0");
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aZoneThatHearsNothingDuringATakeoverLosesNothingForGood() {
+    void aZoneThatReceivesNothingDuringAFailoverLosesNoTasksForGood() {
         SimulatedCluster cluster = settled(3, 8);
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 20, 1));
         cluster.run(4);
@@ -171,7 +171,7 @@
 
     /** What only workers reach sends them on while their leases last, and users away. */
     @Test
-    void aHolderWithoutStoreAndSiblingsLetsItsWorkersGoInTime() {
+    void aLeaderWithoutStoreAndPeersRedirectsItsWorkersInTime() {
         SimulatedCluster cluster = settled(3, 4);
         SimulatedNode cut = cluster.leader();
         cluster.submit(cut, job("j-1", Shape.SERVICE, 8, 1));
@@ -224,7 +224,7 @@
      * is put down.
      */
     @Test
-    void aMachineThatIsHeardAgainAsItIsGivenBackStartsNothing() {
+    void aMachineWhoseHeartbeatsReturnDuringItsReleaseStartsNoTasks() {
         Mixed m = new Mixed(46);
         m.play();
         m.check();
--- a/src/test/java/io/kitepath/core/QuotaSharesTest.java
+++ b/src/test/java/io/kitepath/core/QuotaSharesTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aLostYesIsAskedForAgain() {
+    void aLostQuotaGrantAcceptanceIsRequestedAgain() {
         int[] n = new int[1];
         simulation.loses = message -> message instanceof QuotaGrantAccepted && n[0]++ < 4;
         String id = array(simulation, "east", 1, 24);
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void nothingIsSaidToHaveComeThatIsNotWritten() {
+    void aQuotaGrantIsAcceptedOnlyOnceItIsStored() {
         loseShareWritesOf("east");
         String id = array(simulation, "east", 1, 24);
         simulation.runUntil(
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void nothingIsGivenThatIsNotWrittenAsGone() {
+    void quotaIsGrantedOnlyOnceItsDeductionIsStored() {
         loseShareWritesOf("west");
         loseShareWritesOf("north");
         List<String> ids = new ArrayList<>(List.of(array(simulation, "east", 1, 24)));
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void aFrozenHolderGoesOnAfterItsSuccessorBegan() {
+    void frozenLeadersThatResumeAfterAFailoverLetAllJobsFinish() {
         String id = array(simulation, "east", 1, 48);
         simulation.runUntil(8, () -> simulation.tasksOnMachines(id) == 12);
         for (String cell : CELLS) {
@@ -249,7 +249,7 @@
     }
 
     @Test
-    void aBadNetworkLosesAndMakesNoShare() {
+    void messageLossAndDuplicationNeitherLoseNorCreateQuota() {
         for (int seed = 1; seed <= 6; seed++) {
             MultiCellSimulation simulation = settled(seed, 9);
             simulation.lossProbability = 0.2;
--- a/src/test/java/io/kitepath/core/RapidRestartsTest.java
+++ b/src/test/java/io/kitepath/core/RapidRestartsTest.java
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void twoProcessesUnderOneNameDoNotEndEachOthersLeasesInTurns() {
+    void twoProcessesUnderOneNameDoNotAlternatelyEndEachOthersLeases() {
         SimulatedCluster cluster = settled(2, 2);
         SimulatedNode first = cluster.leader();
         // Nobody ended it: a second one is started under its name.
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aProcessThatStoodStillWhileAnotherTookItsNameStandsBack() {
+    void aFrozenProcessWhoseNameWasTakenOverDoesNotLeadAgain() {
         SimulatedCluster cluster = settled(1, 2);
         SimulatedNode first = cluster.leader();
         first.frozenUntil = cluster.clock.now + 20;
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aNodeThatEndsAgainAndAgainCostsTheOthersLittle() {
+    void aNodeThatCrashesRepeatedlyCostsTheOthersLittle() {
         for (double lifeS : new double[] {0.2, 1, 5}) {
             SimulatedCluster cluster = settled(3, 4);
             String bad = cluster.leader().name;
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void allNodesThatEndTogetherEveryTwoSecondsLoseAndDoubleNothing() {
+    void allNodesCrashingTogetherEveryTwoSecondsLoseAndDuplicateNothing() {
         SimulatedCluster cluster = settled(3, 4);
         cluster.workers.values().forEach(worker -> worker.taskSeconds = 25);
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 12, 1));
--- a/src/test/java/io/kitepath/core/StoreLimitChangesTest.java
+++ b/src/test/java/io/kitepath/core/StoreLimitChangesTest.java
@@ -143,7 +143,7 @@
      * end.
      */
     @Test
-    void aGangTooWideForItsPartsStartsWholeWhereverTheHolderEnds() {
+    void aGangTooLargeForItsPartsStartsWholeWhereverTheLeaderCrashes() {
         for (int at = 0; at < 8; at++) {
             StoreLimitChangesTest t = new StoreLimitChangesTest();
             SimulatedNode old = t.cluster.node("k0");
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void whatCantBeKeptIsRefusedAtOnceAndNotForEver() {
+    void aJobThatCanNotBeStoredIsRefusedAtOnce() {
         cluster.announcedStoreLimits = LOW;
         SimulatedNode node = cluster.node("k0");
         cluster.run(3);
--- a/src/test/java/io/kitepath/core/UnreachableControllersTest.java
+++ b/src/test/java/io/kitepath/core/UnreachableControllersTest.java
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void whatIsCancelledOrGivesWayOnMuteMachinesIsStoppedDirectly() {
+    void cancelledOrPreemptedTasksOnMachinesThatSendNothingAreStoppedDirectly() {
         int days = 0;
         int stopped = 0;
         for (int mute : new int[] {1, 3, 8}) {
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aLeaderEndsWhileMachinesAreMute() {
+    void aLeaderCrashWhileMachinesSendNothingLosesNoTasks() {
         for (int mute : new int[] {1, 4, 8}) {
             for (double lasts : new double[] {5, 14}) {
                 for (double ends = 0; ends < 10; ends += 2.5) {
@@ -160,7 +160,7 @@
      * What waits begins elsewhere, also while machines that were placed on say nothing any more.
      */
     @Test
-    void workThatWasPlacedOnMuteMachinesBeginsElsewhere() {
+    void tasksPlacedOnMachinesThatSendNothingStartElsewhere() {
         for (double after = 0.1; after < 4; after += 0.3) {
             SimulatedCluster cluster = settled(3, 4);
             cluster.cloud.capacity = 4;
--- a/src/test/java/io/kitepath/core/ZoneConstraintsTest.java
+++ b/src/test/java/io/kitepath/core/ZoneConstraintsTest.java
@@ -120,7 +120,7 @@
      * gangs.
      */
     @Test
-    void whatIsNotProvenOverKeepsTheJobInItsZone() {
+    void attemptsNotProvenOverKeepASingleZoneJobInItsZone() {
         int lost = 0;
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void roomInAZoneThatTheJobCantUseIsNotKeptForIt() {
+    void roomInAZoneThatTheJobCanNotUseIsNotReservedForIt() {
         for (boolean takeover : new boolean[] {false, true}) {
             leavesTheOtherZoneAlone(bound(job("j-1", Shape.ARRAY, 5, 4)), 1, 4, takeover);
             leavesTheOtherZoneAlone(bound(job("j-1", Shape.SERVICE, 5, 4)), 1, 4, takeover);
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void nothingGivesWayInAZoneThatTheJobCantUse() {
+    void noTasksArePreemptedInAZoneThatTheJobCanNotUse() {
         for (boolean takeover : new boolean[] {false, true}) {
             SimulatedCluster cluster = zones(2, 1, 4);
             cluster.taskSeconds = id -> 1e6;
@@ -293,7 +293,7 @@
     // -----------------------------------------------------------------------------
 
     @Test
-    void aJobWhoseZoneIsGoneGoesOnInAnotherOnceThatIsProven() {
+    void aSingleZoneJobMovesToAnotherZoneOnceItsTasksAreProvenOver() {
         for (Shape shape : Shape.values()) {
             for (double ends = -1; ends < 12; ends += 1.5) {
                 SimulatedCluster cluster = zones(2, 3, 3);
