--- a/src/test/java/io/kitepath/core/CellsTest.java
+++ b/src/test/java/io/kitepath/core/CellsTest.java
@@ -481,7 +481,7 @@
      * node made.
      */
     @Test
-    void everyWriteOfAHandOverMayBeTheLastOfItsNode() {
+    void aCrashAfterAnyWriteOfAHandOverDoesNoHarm() {
         int writes = handOver(0, "none");
         assertTrue(writes >= 5, "only " + writes + " writes");
         int tried = 0;
--- a/src/test/java/io/kitepath/core/CloudIntentsTest.java
+++ b/src/test/java/io/kitepath/core/CloudIntentsTest.java
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aRentalWhoseAnswerNobodyHeardIsAskedForAgainUnderItsName() {
+    void aRentalWhoseResponseWasLostIsRequestedAgainUnderItsName() {
         cluster.cloud.responsesToLose = 1;
         theHolderEndsOnceSixAreRented(0);
     }
@@ -234,7 +234,7 @@
      * before all is done and returned.
      */
     @Test
-    void everyRequestOfRentingAndReturningMayBeTheLastOfItsNode() {
+    void aCrashAfterAnyRequestOfRentingOrReleasingDoesNoHarm() {
         int points = 0;
         for (double backS : new double[] {0, 0.3, 6}) {
             for (int who = 0; who < 3; who++) {
--- a/src/test/java/io/kitepath/core/ConcurrentDelaysTest.java
+++ b/src/test/java/io/kitepath/core/ConcurrentDelaysTest.java
@@ -24,7 +24,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The last four meetings of docs/meetings.md: what comes late, is slow, or does not come at all.
+ * The last four combinations of docs/concurrent-faults.md: what comes late, is slow, or does not
+ * come at all.
  */
 class ConcurrentDelaysTest {
     // ---- 5. a command or its answer is held up for seconds, and the machine goes on
@@ -62,7 +63,7 @@
      * lease, and goes on.
      */
     @Test
-    void aMachineThatStoodStillDoesNothingThatIsNotWantedAnyMore() {
+    void aMachineThatWasFrozenStartsNothingThatIsObsolete() {
         for (double stands = 1; stands < 26; stands += 1) {
             for (double at = 0.1; at < 2.5; at += 0.4) {
                 SimulatedCluster cluster = settled(2, 3);
--- a/src/test/java/io/kitepath/core/ConcurrentFaultsTest.java
+++ b/src/test/java/io/kitepath/core/ConcurrentFaultsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The first four meetings of docs/meetings.md, each swept through its timing; {@link
+ * The first four combinations of docs/concurrent-faults.md, each swept through its timing; {@link
  * ConcurrentDelaysTest} has the others.
  */
 class ConcurrentFaultsTest {
@@ -122,7 +122,7 @@
      * keep it.
      */
     @Test
-    void aNodeThatHearsNobodySendsWorkersOnAtOnce() {
+    void anIsolatedNodeRedirectsWorkersAtOnce() {
         cluster = settled(3, 2);
         SimulatedNode cut = other(cluster, cluster.leader());
         alone(cluster, cut);
--- a/src/test/java/io/kitepath/core/FailoverTest.java
+++ b/src/test/java/io/kitepath/core/FailoverTest.java
@@ -23,7 +23,7 @@
  */
 class FailoverTest extends ClusterFixture {
     @Test
-    void aTakeoverWhileLaunchesAreInFlightStartsNothingTwice() {
+    void aFailoverWhileLaunchesAreInFlightStartsNothingTwice() {
         settled(2, 3);
         SimulatedNode first = cluster.leader();
         cluster.submit(first, job("j-1", Shape.ARRAY, 9, 1));
--- a/src/test/java/io/kitepath/core/GarbageCollectionTest.java
+++ b/src/test/java/io/kitepath/core/GarbageCollectionTest.java
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void everyRequestOfASweepMayBeTheLastOfItsNode() {
+    void aCrashAfterAnyRequestOfASweepDoesNoHarm() {
         int points = 0;
         TreeSet<String> clean = new TreeSet<>();
         for (int n = 0; n < 45; n += n < 10 ? 1 : 5) {
--- a/src/test/java/io/kitepath/core/LargeFleetTest.java
+++ b/src/test/java/io/kitepath/core/LargeFleetTest.java
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void aMachineThatStandsStillAndGoesOnWithinItsLeaseKeepsItsTasks() {
+    void aMachineFrozenForLessThanItsLeaseKeepsItsTasks() {
         SimulatedNode node = fleet(2, 3, 4);
         arrays(node, 1, 6);
         cluster.run(2);
--- a/src/test/java/io/kitepath/core/LostResponsesTest.java
+++ b/src/test/java/io/kitepath/core/LostResponsesTest.java
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void eachWriteOfADayMayGoUnheardOnceAndAgain() {
+    void anyWriteMayLoseItsResponseOnceOrTwice() {
         Map<String, Integer> kinds = new TreeMap<>();
         int days = 0;
         int repeated = 0;
@@ -245,7 +245,7 @@
      * Claims are among them.
      */
     @Test
-    void aLeaderEndsAfterAWriteThatItHeardNothingOf() {
+    void aLeaderMayCrashAfterAnyWriteWhoseResponseWasLost() {
         Map<String, Integer> kinds = new TreeMap<>();
         int all = writesOfADay(true);
         for (int i = 0; i < all; i++) {
@@ -283,7 +283,7 @@
      * its repeat.
      */
     @Test
-    void theStoreIsOutAfterAWriteThatNobodyHeardOf() {
+    void aStoreOutageMayFollowAnyWriteWhoseResponseWasLost() {
         int all = writesOfADay(false);
         int outages = 0;
         for (int i = 0; i < all; i++) {
--- a/src/test/java/io/kitepath/core/LostResponsesWithOtherFaultsTest.java
+++ b/src/test/java/io/kitepath/core/LostResponsesWithOtherFaultsTest.java
@@ -33,7 +33,7 @@
      * what would undo it.
      */
     @Test
-    void claimsThatWereWonUnawaresEndAndOneIsHeard() {
+    void leaseClaimsWhoseResponsesWereLostExpireAndALaterOneIsConfirmed() {
         for (String key :
                 List.of(StoreKeys.LEADER, StoreKeys.ROLES + "cloud", StoreKeys.ROLES + "cleanup")) {
             for (int times = 1; times <= 4; times++) {
@@ -193,7 +193,7 @@
      * Users call jobs off as they end, and whoever moves the job first, nobody hears that it did.
      */
     @Test
-    void endsAndCancellationsMeetAndBothGoUnheard() {
+    void completionsRacingCancellationsMayBothLoseTheirResponses() {
         int done = 0;
         int cancelled = 0;
         for (int i = 0; i < 40; i++) {
@@ -311,7 +311,7 @@
      * A gang's records are laid out anew, and its holder hears nothing of it; some end over that.
      */
     @Test
-    void aJobThatIsLaidOutAnewUnheardStartsWholeAndOnce() {
+    void aGangWhoseRecordsAreLaidOutAnewWithLostResponsesStartsWholeAndOnce() {
         for (int times = 1; times <= 3; times++) {
             for (double ends : new double[] {0, 0.1, 0.5, 2}) {
                 SimulatedCluster cluster = new SimulatedCluster();
--- a/src/test/java/io/kitepath/core/ManySmallJobsTest.java
+++ b/src/test/java/io/kitepath/core/ManySmallJobsTest.java
@@ -395,7 +395,7 @@
     }
 
     @Test
-    void minutesOfASwarmCostNoMoreThanItsFirst() {
+    void laterMinutesOfManySmallJobsCostNoMoreThanTheFirst() {
         for (long seed = 0; seed < 1; seed++) {
             Swarm s = new Swarm(seed, 5);
             s.play(60);
--- a/src/test/java/io/kitepath/core/QuotaSharesTest.java
+++ b/src/test/java/io/kitepath/core/QuotaSharesTest.java
@@ -213,7 +213,7 @@
      * the taker.
      */
     @Test
-    void everyWriteOfAShareMayBeTheLastOfItsNode() {
+    void aCrashAfterAnyWriteOfAQuotaTransferDoesNoHarm() {
         int writes = moved(0, "none");
         assertTrue(writes >= 6, "only " + writes);
         int tried = 0;
--- a/src/test/java/io/kitepath/core/QuotaUnderFaultsTest.java
+++ b/src/test/java/io/kitepath/core/QuotaUnderFaultsTest.java
@@ -27,15 +27,15 @@
 class QuotaUnderFaultsTest {
     static final List<String> TEAMS = List.of("red", "blue", "green");
 
-    /** Longer than any story. */
+    /** Longer than any test runs, in seconds. */
     private static final double ALWAYS = 1000;
 
     /** How machines can't be asked. */
     enum Lost {
         HUNG,
         CUT,
-        DEAF,
-        MUTE;
+        RECEIVES_NOTHING,
+        SENDS_NOTHING;
 
         void begins(SimulatedCluster cluster, SimulatedWorker worker, double lastsS) {
             set(worker, true);
@@ -45,8 +45,8 @@
 
         private void set(SimulatedWorker worker, boolean so) {
             worker.isCutOff = this == CUT && so;
-            worker.receivesNothing = this == DEAF && so;
-            worker.sendsNothing = this == MUTE && so;
+            worker.receivesNothing = this == RECEIVES_NOTHING && so;
+            worker.sendsNothing = this == SENDS_NOTHING && so;
         }
     }
 
@@ -226,7 +226,8 @@
                 });
     }
 
-    private void meeting(Lost how, double lasts, double leaderEnds, double cancelled, String when) {
+    private void cancelAroundFailover(
+            Lost how, double lasts, double leaderEnds, double cancelled, String when) {
         full(12);
         lost = withTasks().stream().limit(3).toList();
         lost.forEach(worker -> how.begins(cluster, worker, lasts));
@@ -258,7 +259,7 @@
                                     + ends
                                     + ", cancelled "
                                     + (ends + after);
-                    meeting(how, lasts, ends, Math.max(0, ends + after), when);
+                    cancelAroundFailover(how, lasts, ends, Math.max(0, ends + after), when);
                     tasks.merge(how, met, Integer::sum);
                     assertTrue(
                             fullAt <= troublesEnd + cluster.leaseSeconds,
--- a/src/test/java/io/kitepath/core/RapidRestartsTest.java
+++ b/src/test/java/io/kitepath/core/RapidRestartsTest.java
@@ -194,7 +194,7 @@
      * request, until no takeover has that many, and is back.
      */
     @Test
-    void everyRequestOfATakeoverMayBeTheLastOfItsNode() {
+    void aCrashAfterAnyRequestOfAFailoverDoesNoHarm() {
         int points = 0;
         for (double backS : new double[] {0, 0.1, 0.5}) {
             for (int n = 1; n < 60; n++) {
--- a/src/test/java/io/kitepath/core/ZonePartitionTest.java
+++ b/src/test/java/io/kitepath/core/ZonePartitionTest.java
@@ -241,7 +241,7 @@
         }
     }
 
-    private void story(
+    private void partition(
             double lengthS,
             int machines,
             int controllers,
@@ -300,7 +300,7 @@
                 int kind = (half + i / 2) % 3;
                 // What is cancelled early in a long cut has to be gone while it lasts.
                 double after = moments[half < 7 ? (half + i) % 4 : 0];
-                story(
+                partition(
                         5 * half,
                         kind == 1 ? 6 : 4,
                         1 + half % 2,
--- a/src/test/java/io/kitepath/simulation/SimulatedClusters.java
+++ b/src/test/java/io/kitepath/simulation/SimulatedClusters.java
@@ -2,7 +2,7 @@
 
 import io.kitepath.core.port.Timers;
 
-/** SimulatedClusters in which stories begin. */
+/** Simulated clusters in the state in which tests begin. */
 public final class SimulatedClusters {
     private SimulatedClusters() {}
 
