--- a/src/test/java/io/kitepath/core/CloudIntentsTest.java
+++ b/src/test/java/io/kitepath/core/CloudIntentsTest.java
@@ -91,18 +91,18 @@
     }
 
     @Test
-    void whatWasRentedAndIsNotListedYetIsNotRentedAgainByTheNextHolder() {
+    void aRentedMachineNotListedYetIsNotRentedAgainByTheNextLeader() {
         theHolderEndsOnceSixAreRented(0.5);
     }
 
     @Test
-    void aRentalWhoseAnswerNobodyHeardIsAskedForAgainUnderItsName() {
+    void aRentalWhoseResponseWasLostIsRequestedAgainUnderItsName() {
         cluster.cloud.responsesToLose = 1;
         theHolderEndsOnceSixAreRented(0);
     }
 
     @Test
-    void aRentalThatRunsMinutesLateIsUnderTheNameThatTheNextHolderSettled() {
+    void aRentalExecutedMinutesLateUsesTheNameThatTheNextLeaderSettled() {
         SimulatedNode first = carrier(cluster);
         cluster.cloud.holdsBackRequestsOf = client -> client == first;
         want(cluster);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void aReturnThatRunsMinutesLateHitsNobodysWork() {
+    void aReleaseExecutedMinutesLateStopsNoTasks() {
         for (int i = 0; i < 4; i++) {
             cluster.worker("i-00000" + i, "a");
         }
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void whoeverStandsStillBetweenDecisionAndRequestDoesNoHarm() {
+    void aNodeFrozenBetweenDecisionAndCloudRequestDoesNoHarm() {
         for (boolean holder : new boolean[] {true, false}) {
             SimulatedCluster cluster = world();
             SimulatedNode first = holder ? cluster.leader() : carrier(cluster);
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void withTheStoreAwayNothingIsRentedOrGivenBack() {
+    void duringAStoreOutageNoMachineIsRentedOrReleased() {
         cluster.store.outage(30);
         cluster.run(3);
         int asked = cluster.cloud.rentals.size();
@@ -234,7 +234,7 @@
      * before all is done and returned.
      */
     @Test
-    void everyRequestOfRentingAndReturningMayBeTheLastOfItsNode() {
+    void aCrashAfterAnyRequestOfRentingOrReleasingDoesNoHarm() {
         int points = 0;
         for (double backS : new double[] {0, 0.3, 6}) {
             for (int who = 0; who < 3; who++) {
