--- a/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
+++ b/src/test/java/io/kitepath/core/AllTroublesSeedsTest.java
@@ -29,7 +29,7 @@
     private static final int IN_CI = 60;
     private static final int KINDS = 22;
 
-    private static final class Run {
+    static final class Run {
         final SimulatedCluster cluster = new SimulatedCluster();
         final Random random;
         final List<String> jobs = new ArrayList<>();
