--- a/src/main/java/io/kitepath/core/leadership/Incarnation.java
+++ b/src/main/java/io/kitepath/core/leadership/Incarnation.java
@@ -11,7 +11,7 @@
  *
  * <p>Two processes under one name (an operator's mistake, or one that was suspended, replaced and
  * resumed) are in a total order by their start. Only the later ever ends a lease of the earlier, so
- * that they can't end each other's leases in turns forever; the earlier one stands back.
+ * that they can't end each other's leases in turns forever; the earlier one steps down.
  */
 public final class Incarnation {
     /** What a record that names a holder says about this process. */
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -282,8 +282,8 @@
         leader = null;
         if (!hasLaterProcess) {
             LOG.error(
-                    "another process that was started later leads under this node's name, this one"
-                            + " stands back: node={}",
+                    "another process that was started later leads under this node's name, this"
+                            + " process steps down: node={}",
                     node);
         }
         hasLaterProcess = true;
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -138,7 +138,7 @@
         }
         boolean isBlamed = blame >= QUARANTINE_FAILURES;
         if (isBlamed && !machine.isQuarantined()) {
-            LOG.info("machine {} set aside: starts fail on it", machine.id);
+            LOG.info("machine quarantined, starts fail on it: machine={}", machine.id);
         }
         machine.setQuarantined(isBlamed || machine.isQuarantined() && machine.isReleasing());
     }
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -22,7 +22,7 @@
  * <p>This class is the one that others use. The concerns behind it are in classes of their own:
  * {@link JobTasks} (the state of each task), {@link JobAttempts} (what is on machines), {@link
  * JobParts} and {@link PartRecord} (what differs from the records, and their form), {@link
- * JobLoans} (tasks lent to other cells) and {@link ScaleOutPlanner} (priority, deadlines and start
+ * JobLoans} (tasks lent to other cells) and {@link JobStartGoals} (priority, deadlines and start
  * goals).
  *
  * <p>Not thread safe: it belongs to the event loop of the shard.
@@ -77,7 +77,7 @@
     /** A dependency was cancelled, so this job has to be cancelled too. */
     boolean hasCancelledDependency;
 
-    final JobStartGoals demand;
+    final JobStartGoals startGoals;
 
     /** Past all its objectives; set once, when that is counted. */
     boolean hasMissedAllGoals;
@@ -143,7 +143,7 @@
         this.revision = revision;
         this.borrowed = borrowed;
         this.tasks = new JobTasks(spec.taskCount(), liveAttempts);
-        this.demand = new JobStartGoals(spec, submittedMillis, startWithinSeconds);
+        this.startGoals = new JobStartGoals(spec, submittedMillis, startWithinSeconds);
         this.parts = new JobParts(this, tasksPerPart);
     }
 
@@ -366,22 +366,22 @@
      * last of its dependencies.
      */
     public double eligibleSinceMillis() {
-        return demand.eligibleSinceMillis();
+        return startGoals.eligibleSinceMillis();
     }
 
     /** For how many seconds after its submission the job was held by its dependencies. */
     public double heldSeconds() {
-        return demand.heldSeconds();
+        return startGoals.heldSeconds();
     }
 
     /** The highest priority of the job itself and of all jobs that depend on it. */
     public JobSpec.Priority effectivePriority() {
-        return demand.effectivePriority();
+        return startGoals.effectivePriority();
     }
 
     /** Whether a deadline counts for the job: its own, or one of a job that depends on it. */
     public boolean hasDeadline() {
-        return demand.hasDeadline();
+        return startGoals.hasDeadline();
     }
 
     /**
@@ -389,12 +389,12 @@
      * infinite without one.
      */
     public double dueMillis() {
-        return demand.dueMillis();
+        return startGoals.dueMillis();
     }
 
     /** How many goals there are for the start of its tasks. */
     public int startGoalCount() {
-        return demand.startGoalCount();
+        return startGoals.startGoalCount();
     }
 
     /**
@@ -403,7 +403,7 @@
      * @param goal from 0, the soonest first
      */
     public double startGoalMillis(int goal) {
-        return demand.startGoalMillis(goal);
+        return startGoals.startGoalMillis(goal);
     }
 
     /** Whether the job is past all its objectives. */
@@ -644,7 +644,7 @@
         }
         // A part has a record only once some task was placed, so all dependencies are done.
         unmetDependencies.clear();
-        demand.restoreEligibleSince(partRecord.eligibleSinceMillis());
+        startGoals.restoreEligibleSince(partRecord.eligibleSinceMillis());
         return partRecord.liveByMachine();
     }
 
--- a/src/main/java/io/kitepath/core/shard/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -119,7 +119,7 @@
     }
 
     private void becomeEligible(Job job, double atMillis) {
-        job.demand.becomeEligible(Math.max(job.eligibleSinceMillis(), atMillis), settings);
+        job.startGoals.becomeEligible(Math.max(job.eligibleSinceMillis(), atMillis), settings);
     }
 
     private List<Job> openDependencies(Job job) {
@@ -261,7 +261,7 @@
                 highest = higherOf(highest, dependent.effectivePriority());
                 due = due.min(mustStartBy(dependent));
             }
-            if (job.demand.applyDependentsDemand(highest, due, settings)) {
+            if (job.startGoals.applyDependentsDemand(highest, due, settings)) {
                 changed.addAll(openDependencies(job));
             }
         }
@@ -273,7 +273,7 @@
 
     /** By when the job has to start for its own deadlines and those of its dependents. */
     private DueTimes mustStartBy(Job job) {
-        DueTimes due = ownDeadlines(job).min(job.demand.dependentsDue());
+        DueTimes due = ownDeadlines(job).min(job.startGoals.dependentsDue());
         // Between a dependency's end and the dependent's start, the end is reported and written,
         // the
         // placement is written, and the worker asks for it.
--- a/src/main/java/io/kitepath/simulation/Rehearsal.java
+++ b/src/main/java/io/kitepath/simulation/Rehearsal.java
@@ -65,8 +65,8 @@
     /**
      * What came of it.
      *
-     * @param waits seconds from submission to the first start of each task: of the first cell's, of
-     *     the others'; in ms
+     * @param hot milliseconds from submission to the first start of each task, of the first cell
+     * @param others the same of the other cells
      * @param served by class and team: jobs that were done in time, and all
      * @param handOvers loans, {@code messages} between cells, {@code changes} of the stores
      * @param refusals tries to submit that were not accepted at once
