--- a/src/test/java/io/kitepath/core/JobDependenciesTest.java
+++ b/src/test/java/io/kitepath/core/JobDependenciesTest.java
@@ -13,7 +13,6 @@
 import io.kitepath.core.shard.Job;
 import io.kitepath.core.shard.ShardState;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import java.util.List;
@@ -415,7 +414,7 @@
     void dependenciesInheritThePriorityAndDeadlineOfTheDependentJob() {
         SimulatedNode node = cluster(0);
         JobSpec last = SimulatedCluster.with(array("j-3", 1), "red", JobSpec.Priority.HIGH, false);
-        last = JobSpecs.copyOf(last).deadlineSeconds(300.0).build();
+        last = last.toBuilder().deadlineSeconds(300.0).build();
         cluster.submit(node, array("j-1", 1));
         cluster.submit(node, array("j-2", 1), "j-1");
         var jobs = node.controller.shard.jobs();
--- a/src/test/java/io/kitepath/core/LargeFleetTest.java
+++ b/src/test/java/io/kitepath/core/LargeFleetTest.java
@@ -11,7 +11,6 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
 import io.kitepath.core.shard.ShardState;
-import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedWorker;
@@ -174,20 +173,14 @@
         SimulatedNode node = fleet(1, 20, 4);
         cluster.workers.values().forEach(worker -> worker.taskSeconds = 200);
         JobSpec spec = job("j-100", Shape.ARRAY, 30, 1);
-        cluster.submit(node, JobSpecs.copyOf(spec).estimatedSeconds(200).build());
+        cluster.submit(node, spec.toBuilder().estimatedSeconds(200).build());
         cluster.run(2);
         // Needs all machines, in 200 s at the soonest; another one of 20 s fits in before, one of
         // 500 s does not.
         cluster.submit(node, job("j-200", Shape.GANG, 80, 1));
         cluster.submit(node, job("j-300", Shape.GANG, 12, 1));
         cluster.submit(
-                node,
-                JobSpecs.copyOf(spec, "j-400")
-                        .shape(Shape.GANG)
-                        .taskCount(12)
-                        .cpusPerTask(1)
-                        .estimatedSeconds(500)
-                        .build());
+                node, job("j-400", Shape.GANG, 12, 1).toBuilder().estimatedSeconds(500).build());
         cluster.run(5);
         assertEquals(12, running("j-300"));
         assertEquals(0, running("j-200", "j-400"));
@@ -231,7 +224,7 @@
         cluster.run(30);
         assertEquals("done", cluster.status(node, "j-1"));
         JobSpec spec = SimulatedCluster.onSpot(job("j-2", Shape.ARRAY, 2, 1), 20);
-        cluster.submit(node, JobSpecs.copyOf(spec).deadlineSeconds(50.0).build());
+        cluster.submit(node, spec.toBuilder().deadlineSeconds(50.0).build());
         cluster.run(2);
         assertEquals(
                 2,
--- a/src/test/java/io/kitepath/core/QuotaUnderFaultsTest.java
+++ b/src/test/java/io/kitepath/core/QuotaUnderFaultsTest.java
@@ -9,7 +9,6 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.model.MachineType;
-import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedTask;
 import io.kitepath.simulation.SimulatedWorker;
@@ -98,7 +97,7 @@
                         shape,
                         tasks,
                         shape == Shape.SERVICE ? 1 : 2);
-        return JobSpecs.copyOf(spec)
+        return spec.toBuilder()
                 .team(team)
                 .shape(shape)
                 .taskCount(tasks)
--- a/src/test/java/io/kitepath/core/StoreLimitChangesTest.java
+++ b/src/test/java/io/kitepath/core/StoreLimitChangesTest.java
@@ -11,7 +11,6 @@
 import io.kitepath.core.model.JsonSize;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
 import io.kitepath.core.state.StoreKeys;
-import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
@@ -207,7 +206,7 @@
         for (int i = 0; i < 300; i++) {
             types.add("type-" + i);
         }
-        JobSpec large = JobSpecs.copyOf(spec).machineTypes(types).build();
+        JobSpec large = spec.toBuilder().machineTypes(types).build();
         assertEquals(Verdict.INVALID, cluster.submit(node, large).verdict());
         cluster.store.largestValueBytes = 100;
         assertEquals(Verdict.INVALID, cluster.submit(node, spec).verdict());
@@ -223,7 +222,7 @@
         }
         for (String id : List.of("j-1", "j-2")) {
             JobSpec spec = SimulatedCluster.job(id, Shape.ARRAY, 1, 1);
-            cluster.submit(old, JobSpecs.copyOf(spec).machineTypes(types).build());
+            cluster.submit(old, spec.toBuilder().machineTypes(types).build());
         }
         cluster.announcedStoreLimits = LOW;
         fall();
--- a/src/test/java/io/kitepath/core/ZoneConstraintsTest.java
+++ b/src/test/java/io/kitepath/core/ZoneConstraintsTest.java
@@ -9,7 +9,6 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
-import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedTask;
@@ -36,11 +35,7 @@
     }
 
     private static JobSpec placed(JobSpec spec, String zone, boolean oneZone, boolean spread) {
-        return JobSpecs.copyOf(spec)
-                .zone(zone)
-                .singleZone(oneZone)
-                .spreadAcrossZones(spread)
-                .build();
+        return spec.toBuilder().zone(zone).singleZone(oneZone).spreadAcrossZones(spread).build();
     }
 
     private static JobSpec in(String zone, JobSpec spec) {
--- a/src/test/java/io/kitepath/core/ZonePartitionTest.java
+++ b/src/test/java/io/kitepath/core/ZonePartitionTest.java
@@ -10,7 +10,6 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.core.service.JobSubmissionService.Verdict;
-import io.kitepath.simulation.JobSpecs;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedTask;
@@ -129,7 +128,7 @@
     }
 
     private static JobSpec in(String zone, boolean oneZone, JobSpec spec) {
-        return JobSpecs.copyOf(spec).zone(zone).singleZone(oneZone).build();
+        return spec.toBuilder().zone(zone).singleZone(oneZone).build();
     }
 
     /**
--- a/src/test/java/io/kitepath/simulation/InvariantCheckerTest.java
+++ b/src/test/java/io/kitepath/simulation/InvariantCheckerTest.java
@@ -34,7 +34,7 @@
     private JobSpec placedAs(
             JobSpec s, List<String> types, String zone, boolean oneZone, boolean spread) {
         JobSpec x =
-                JobSpecs.copyOf(s)
+                s.toBuilder()
                         .machineTypes(types)
                         .zone(zone)
                         .singleZone(oneZone)
