--- a/src/test/java/io/kitepath/core/DuplicateHeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/DuplicateHeartbeatsTest.java
@@ -11,6 +11,7 @@
 
 import io.kitepath.core.model.Heartbeat;
 import io.kitepath.core.model.JobSpec.Shape;
+import io.kitepath.core.shard.Machine;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
 import java.util.ArrayList;
@@ -31,13 +32,13 @@
     private SimulatedCluster cluster;
     private HeartbeatRecorder copies;
 
-    private void world(int nodes, int machines) {
+    private void startCluster(int nodes, int machines) {
         cluster = settled(nodes, machines);
         copies = new HeartbeatRecorder(cluster);
     }
 
     /** After so many seconds, the last report that each machine sent in them. */
-    private List<Heartbeat> lastOf(double seconds) {
+    private List<Heartbeat> lastHeartbeatsDuring(double seconds) {
         Map<String, Heartbeat> last = new TreeMap<>();
         copies.keeps = heartbeat -> last.put(heartbeat.machineId(), heartbeat) == heartbeat;
         cluster.run(seconds);
@@ -52,7 +53,7 @@
                 .orElse(null);
     }
 
-    private void ends(SimulatedNode node, double backAfter) {
+    private void crashAndRestart(SimulatedNode node, double backAfter) {
         node.kill();
         cluster.after(backAfter, () -> cluster.node(node.name));
     }
@@ -66,9 +67,9 @@
         assertTrue(cluster.store.leaderFencingToken() > before);
     }
 
-    private void repeat(double every, double forS, Runnable r) {
-        for (double t = every; t < forS; t += every) {
-            cluster.after(t, r);
+    private void repeat(double every, double forSeconds, Runnable action) {
+        for (double after = every; after < forSeconds; after += every) {
+            cluster.after(after, action);
         }
     }
 
@@ -80,9 +81,9 @@
      * coming or without.
      */
     private double latestStart(double offset, boolean withCopies) {
-        world(3, 4);
+        startCluster(3, 4);
         cluster.taskSeconds = id -> 3;
-        List<Heartbeat> old = lastOf(3);
+        List<Heartbeat> old = lastHeartbeatsDuring(3);
         if (withCopies) {
             repeat(0.2, 40, () -> copies.bringAll(old));
         }
@@ -124,19 +125,19 @@
      * How often workers with tasks were sent on without a word while a leader ended and the next
      * one read the jobs.
      */
-    private int sentOn(double slow, double takenBefore, boolean withCopies) {
-        world(3, 6);
+    private int countEmptyAnswersInFailover(double slow, double takenBefore, boolean withCopies) {
+        startCluster(3, 6);
         cluster.taskSeconds = id -> 200;
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 6, 4));
         cluster.run(8);
-        List<Heartbeat> old = lastOf(takenBefore + 2);
+        List<Heartbeat> old = lastHeartbeatsDuring(takenBefore + 2);
         long sessions = sessions(cluster);
         copies.sentOn = 0;
         cluster.store.extraLatencySeconds = slow;
         if (withCopies) {
             repeat(0.25, 12, () -> copies.bringAll(old));
         }
-        ends(cluster.leader(), 0.3);
+        crashAndRestart(cluster.leader(), 0.3);
         cluster.run(14);
         cluster.store.extraLatencySeconds = 0;
         cluster.run(20);
@@ -156,8 +157,8 @@
     void aCopyDoesNotTakeThePlaceOfAReportThatWaits() {
         for (double slow : new double[] {0, 0.2, 0.3, 0.4}) {
             for (double takenBefore = 0.1; takenBefore < 2.2; takenBefore += 0.4) {
-                int calm = sentOn(slow, takenBefore, false);
-                int late = sentOn(slow, takenBefore, true);
+                int calm = countEmptyAnswersInFailover(slow, takenBefore, false);
+                int late = countEmptyAnswersInFailover(slow, takenBefore, true);
                 assertTrue(
                         late <= calm,
                         "slow "
@@ -180,43 +181,31 @@
     void copiedHeartbeatsInAnOutageDoNotMarkAMachineAsMissingAnswers() {
         int during = 0;
         for (double moment = 1.5; moment < 2.8; moment += 0.05) {
-            world(3, 3);
+            startCluster(3, 3);
             cluster.taskSeconds = id -> 20;
-            List<Heartbeat> old = lastOf(3);
+            List<Heartbeat> old = lastHeartbeatsDuring(3);
             repeat(0.1, 20, () -> copies.bringAll(old));
             cluster.run(moment);
             cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 3, 4));
             cluster.store.outage(14);
-            boolean[] deaf = new boolean[1];
-            repeat(
-                    0.25,
-                    60,
-                    () ->
-                            cluster.nodes
-                                    .values()
-                                    .forEach(
-                                            node ->
-                                                    deaf[0] |=
-                                                            node
-                                                                    .controller
-                                                                    .shard
-                                                                    .machines()
-                                                                    .values()
-                                                                    .stream()
-                                                                    .anyMatch(
-                                                                            machine ->
-                                                                                    machine
-                                                                                            .isMissingAnswers())));
+            boolean[] anyMissesAnswers = new boolean[1];
+            repeat(0.25, 60, () -> anyMissesAnswers[0] |= anyMachineMissesAnswers());
             cluster.run(12);
             during += starts(cluster) < 3 ? 1 : 0;
             cluster.run(70);
             assertEquals(List.of(), cluster.violations, "out at " + moment);
-            assertFalse(deaf[0], "out at " + moment);
+            assertFalse(anyMissesAnswers[0], "out at " + moment);
             assertEquals(3, starts(cluster), "out at " + moment);
         }
         assertTrue(during > 0, "no task was placed and not launched before the outage");
     }
 
+    private boolean anyMachineMissesAnswers() {
+        return cluster.nodes.values().stream()
+                .flatMap(node -> node.controller.shard.machines().values().stream())
+                .anyMatch(machine -> machine.isMissingAnswers());
+    }
+
     // ---- the newest that anybody had seen
     // ------------------------------------------------------------
 
@@ -231,7 +220,7 @@
         for (double changes : new double[] {2.3, 4.6}) {
             for (double arrives = 0; arrives < 5; arrives += 0.9) {
                 for (boolean all : new boolean[] {true, false}) {
-                    world(3, 4);
+                    startCluster(3, 4);
                     cluster.taskSeconds = id -> id.equals("j-1") ? 4 : 9;
                     cluster.jobsThatFailEverywhere.add("j-1");
                     copies.keeps = heartbeat -> true;
@@ -241,9 +230,9 @@
                     for (int i = 0; i < 3; i++) {
                         cluster.run(changes);
                         cluster.jobsThatFailEverywhere.clear();
-                        SimulatedNode ends = leading(cluster);
-                        if (ends != null) {
-                            ends(ends, 0.3);
+                        SimulatedNode leader = leading(cluster);
+                        if (leader != null) {
+                            crashAndRestart(leader, 0.3);
                             untilNextLeader(cluster);
                         }
                         cluster.run(arrives);
@@ -288,14 +277,14 @@
      * Rented ones come up late; {@code every}: seconds between copies, each of a newer report than
      * the one before.
      */
-    private void gone(boolean returned, double dies, double every) {
-        world(3, 4);
+    private void copiesOfALostMachineGiveItNoTasks(boolean returned, double dies, double every) {
+        startCluster(3, 4);
         cluster.cloud.capacity = 20;
         cluster.cloud.bootSeconds = n -> 20;
         cluster.taskSeconds = id -> 15;
         cluster.submit(cluster.leader(), job("j-1", Shape.ARRAY, 4, 4));
         cluster.run(6 + dies);
-        List<Heartbeat> old = lastOf(2).subList(0, 3);
+        List<Heartbeat> old = lastHeartbeatsDuring(2).subList(0, 3);
         Set<String> dead = new HashSet<>();
         for (Heartbeat heartbeat : old) {
             dead.add(heartbeat.machineId());
@@ -310,41 +299,18 @@
                             .noneMatch(dead::contains),
                     at);
         }
-        ends(cluster.leader(), 0.3);
+        crashAndRestart(cluster.leader(), 0.3);
         untilNextLeader(cluster);
         cluster.submit(other(cluster, cluster.leader()), job("j-2", Shape.ARRAY, 8, 4));
         double began = cluster.clock.now;
         for (int i = 1; cluster.clock.now - began < 2 * cluster.leaseSeconds; i++) {
             long more = i;
-            copies.bringAll(
-                    old.stream()
-                            .map(
-                                    heartbeat ->
-                                            new Heartbeat(
-                                                    heartbeat.machineId(),
-                                                    heartbeat.address(),
-                                                    heartbeat.machineType(),
-                                                    heartbeat.zone(),
-                                                    heartbeat.spot(),
-                                                    heartbeat.agentIncarnation(),
-                                                    heartbeat.sequence() + more,
-                                                    heartbeat.fencingToken(),
-                                                    null,
-                                                    heartbeat.tasks()))
-                            .toList());
+            copies.bringAll(old.stream().map(heartbeat -> laterCopy(heartbeat, more)).toList());
             cluster.run(every);
             assertTrue(
                     cluster.leader().controller.shard.machines().values().stream()
                             .filter(machine -> dead.contains(machine.id))
-                            .allMatch(
-                                    machine ->
-                                            machine.attempts().stream()
-                                                    .allMatch(
-                                                            attempt ->
-                                                                    attempt.job
-                                                                            .spec
-                                                                            .id()
-                                                                            .equals("j-1"))),
+                            .allMatch(DuplicateHeartbeatsTest::runsOnlyTheFirstJob),
                     at);
         }
         double calm = cluster.clock.now;
@@ -367,16 +333,34 @@
                 at);
     }
 
+    private static Heartbeat laterCopy(Heartbeat heartbeat, long later) {
+        return new Heartbeat(
+                heartbeat.machineId(),
+                heartbeat.address(),
+                heartbeat.machineType(),
+                heartbeat.zone(),
+                heartbeat.spot(),
+                heartbeat.agentIncarnation(),
+                heartbeat.sequence() + later,
+                heartbeat.fencingToken(),
+                null,
+                heartbeat.tasks());
+    }
+
+    private static boolean runsOnlyTheFirstJob(Machine machine) {
+        return machine.attempts().stream().allMatch(attempt -> attempt.job.spec.id().equals("j-1"));
+    }
+
     /**
-     * The next holder has no word of them but copies of what they said. None gets work, and what
-     * waits gets others.
+     * The next leader knows the lost machines by copies of their heartbeats alone. None of them is
+     * given tasks, and waiting tasks are placed on other machines.
      */
     @Test
     void aCopiedHeartbeatDoesNotReviveALostMachine() {
         for (double dies : new double[] {0.2, 25}) {
             for (double every : new double[] {0.5, 7}) {
-                gone(false, dies, every);
-                gone(true, dies, every);
+                copiesOfALostMachineGiveItNoTasks(false, dies, every);
+                copiesOfALostMachineGiveItNoTasks(true, dies, every);
             }
         }
     }
--- a/src/test/java/io/kitepath/core/LostResponsesWithOtherFaultsTest.java
+++ b/src/test/java/io/kitepath/core/LostResponsesWithOtherFaultsTest.java
@@ -29,8 +29,8 @@
     // ---- claims ---------------------------------------------------------------------------------
 
     /**
-     * A claim is won without its node's knowing: a few times in a row, also while the store refuses
-     * what would undo it.
+     * A claim is written and its response lost, a few times in a row, also while the store refuses
+     * the requests that would release it.
      */
     @Test
     void leaseClaimsWhoseResponsesWereLostExpireAndALaterOneIsConfirmed() {
@@ -38,91 +38,105 @@
                 List.of(StoreKeys.LEADER, StoreKeys.ROLES + "cloud", StoreKeys.ROLES + "cleanup")) {
             for (int times = 1; times <= 4; times++) {
                 for (double refused : new double[] {0, 0.7, 1.6, 3}) {
-                    SimulatedCluster cluster = settled(3, 4);
-                    cluster.pollsRightAfterAnswers = true;
-                    cluster.cloud.capacity = 4;
-                    cluster.taskSeconds = id -> 25;
-                    handIn(cluster, 0, job("j-1", Shape.ARRAY, 8, 2));
-                    cluster.run(3);
-                    int[] left = {times};
-                    cluster.store.losesResponseOf =
-                            transaction -> {
-                                var claim =
-                                        transaction.writes().stream()
-                                                .filter(
-                                                        write ->
-                                                                write.key().equals(key)
-                                                                        && write.value() != null)
-                                                .findFirst();
-                                if (claim.isEmpty() || left[0] == 0) {
-                                    return false;
-                                }
-                                left[0]--;
-                                SimulatedNode node =
-                                        cluster.nodes.get(
-                                                (String)
-                                                        ((Map<?, ?>) claim.get().value())
-                                                                .get("node"));
-                                node.cutFromStore = refused > 0;
-                                cluster.after(refused, () -> node.cutFromStore = false);
-                                return true;
-                            };
-                    long before = cluster.store.leaderFencingToken();
-                    SimulatedNode old = cluster.leader();
-                    cluster.nodes.values().stream()
-                            .filter(
-                                    node ->
-                                            node.controller.roles().stream()
-                                                    .anyMatch(role -> role.isHeldHere()))
-                            .forEach(SimulatedNode::kill);
-                    old.kill();
-                    cluster.after(
-                            0.4,
-                            () ->
-                                    List.copyOf(cluster.nodes.values()).stream()
-                                            .filter(node -> !node.alive)
-                                            .forEach(node -> cluster.node(node.name)));
-                    handIn(cluster, 1, job("j-2", Shape.GANG, 2, 1));
-                    cluster.run(1);
-                    cluster.loadGenerator.cancel(cluster.nodes.get("k1"), "j-2");
-                    handIn(cluster, 2, job("j-3", Shape.ARRAY, 30, 4));
-                    cluster.run(20);
-                    String at = key + " won unawares " + times + " times, refused for " + refused;
-                    cluster.invariants.troublesAreOver();
-                    cluster.run(160);
-                    assertTrue(left[0] < times, at);
-                    assertTrue(cluster.store.leaderFencingToken() > before, at);
-                    assertEquals(
-                            0,
-                            cluster.nodes.values().stream()
+                    loseResponsesOfClaims(key, times, refused);
+                }
+            }
+        }
+    }
+
+    private static void loseResponsesOfClaims(String key, int times, double refused) {
+        SimulatedCluster cluster = settled(3, 4);
+        cluster.pollsRightAfterAnswers = true;
+        cluster.cloud.capacity = 4;
+        cluster.taskSeconds = id -> 25;
+        handIn(cluster, 0, job("j-1", Shape.ARRAY, 8, 2));
+        cluster.run(3);
+        int[] claimsToLose = {times};
+        loseClaims(cluster, key, claimsToLose, refused);
+        long before = cluster.store.leaderFencingToken();
+        restartLeaderAndRoleHolders(cluster);
+        handIn(cluster, 1, job("j-2", Shape.GANG, 2, 1));
+        cluster.run(1);
+        cluster.loadGenerator.cancel(cluster.nodes.get("k1"), "j-2");
+        handIn(cluster, 2, job("j-3", Shape.ARRAY, 30, 4));
+        cluster.run(20);
+        String at = key + " won unawares " + times + " times, refused for " + refused;
+        cluster.invariants.troublesAreOver();
+        cluster.run(160);
+        assertTrue(claimsToLose[0] < times, at);
+        assertTrue(cluster.store.leaderFencingToken() > before, at);
+        checkOneLeaderAndAllJobsOver(cluster, at);
+    }
+
+    /** The node whose claim is lost is refused by the store for so many seconds as well. */
+    private static void loseClaims(
+            SimulatedCluster cluster, String key, int[] claimsToLose, double refused) {
+        cluster.store.losesResponseOf =
+                transaction -> {
+                    var claim =
+                            transaction.writes().stream()
                                     .filter(
-                                            node ->
-                                                    node != cluster.leader()
-                                                            && node.controller
-                                                                            .fencingTokenIfLeading()
-                                                                    > 0)
-                                    .count(),
-                            at);
-                    for (String duty : List.of("cloud", "cleanup")) {
-                        assertEquals(
-                                1,
-                                cluster.nodes.values().stream()
-                                        .filter(node -> node.controller.holdsRole(duty))
-                                        .count(),
-                                at);
+                                            write ->
+                                                    write.key().equals(key)
+                                                            && write.value() != null)
+                                    .findFirst();
+                    if (claim.isEmpty() || claimsToLose[0] == 0) {
+                        return false;
                     }
-                    for (String id : List.of("j-1", "j-2", "j-3")) {
-                        for (SimulatedNode node : cluster.nodes.values()) {
-                            assertEquals(
-                                    id.equals("j-2") ? "cancelled" : "done",
-                                    cluster.status(node, id),
-                                    at + ": " + id);
-                        }
-                    }
-                    assertEquals(List.of(), cluster.violations, at);
-                }
+                    claimsToLose[0]--;
+                    SimulatedNode node =
+                            cluster.nodes.get(
+                                    (String) ((Map<?, ?>) claim.get().value()).get("node"));
+                    node.cutFromStore = refused > 0;
+                    cluster.after(refused, () -> node.cutFromStore = false);
+                    return true;
+                };
+    }
+
+    private static void restartLeaderAndRoleHolders(SimulatedCluster cluster) {
+        SimulatedNode old = cluster.leader();
+        cluster.nodes.values().stream()
+                .filter(
+                        node ->
+                                node.controller.roles().stream()
+                                        .anyMatch(role -> role.isHeldHere()))
+                .forEach(SimulatedNode::kill);
+        old.kill();
+        cluster.after(
+                0.4,
+                () ->
+                        List.copyOf(cluster.nodes.values()).stream()
+                                .filter(node -> !node.alive)
+                                .forEach(node -> cluster.node(node.name)));
+    }
+
+    private static void checkOneLeaderAndAllJobsOver(SimulatedCluster cluster, String at) {
+        assertEquals(
+                0,
+                cluster.nodes.values().stream()
+                        .filter(
+                                node ->
+                                        node != cluster.leader()
+                                                && node.controller.fencingTokenIfLeading() > 0)
+                        .count(),
+                at);
+        for (String role : List.of("cloud", "cleanup")) {
+            assertEquals(
+                    1,
+                    cluster.nodes.values().stream()
+                            .filter(node -> node.controller.holdsRole(role))
+                            .count(),
+                    at);
+        }
+        for (String id : List.of("j-1", "j-2", "j-3")) {
+            for (SimulatedNode node : cluster.nodes.values()) {
+                assertEquals(
+                        id.equals("j-2") ? "cancelled" : "done",
+                        cluster.status(node, id),
+                        at + ": " + id);
             }
         }
+        assertEquals(List.of(), cluster.violations, at);
     }
 
     // ---- cancellations and ends
@@ -157,7 +171,7 @@
                                         && lost[0]++ < 1;
                 if (how >= 2) {
                     cluster.store.ignoresRequestsOf = client -> client == holder;
-                    cluster.nodes.values().forEach(n -> n.losesPeerMessages = true);
+                    cluster.nodes.values().forEach(node -> node.losesPeerMessages = true);
                 }
                 cluster.loadGenerator.cancel(by, "j-1");
                 cluster.run(0.02);
@@ -165,8 +179,8 @@
                     by.kill();
                     cluster.after(3, () -> cluster.node(by.name));
                 }
-                for (SimulatedNode n : cluster.nodes.values()) {
-                    cluster.loadGenerator.queryStatus(n, "j-1");
+                for (SimulatedNode node : cluster.nodes.values()) {
+                    cluster.loadGenerator.queryStatus(node, "j-1");
                 }
                 cluster.run(1.5);
                 if (how == 3 || how == 5) {
@@ -180,7 +194,10 @@
                 assertEquals(0, cluster.onMachines("j-1"), when);
                 cluster.nodes
                         .values()
-                        .forEach(n -> assertEquals("cancelled", cluster.status(n, "j-1"), when));
+                        .forEach(
+                                node ->
+                                        assertEquals(
+                                                "cancelled", cluster.status(node, "j-1"), when));
                 assertEquals(List.of(), cluster.violations, when);
                 assertEquals(0, cluster.invariants.startsAfterCancellation(), when);
                 runs++;
@@ -276,7 +293,7 @@
                 }
                 cluster.run(0.5);
                 cluster.loadGenerator.cancel(ConcurrentFaultsTest.other(cluster, holder), "j-1");
-                for (double t = 0; t < lasts; t += 0.5) {
+                for (double passed = 0; passed < lasts; passed += 0.5) {
                     cluster.nodes
                             .values()
                             .forEach(node -> cluster.loadGenerator.queryStatus(node, "j-2"));
--- a/src/test/java/io/kitepath/core/Submissions.java
+++ b/src/test/java/io/kitepath/core/Submissions.java
@@ -18,90 +18,118 @@
     private Submissions() {}
 
     static Map<String, Object> good(String id) {
-        Map<String, Object> m = new LinkedHashMap<>();
-        m.put("nameId", id);
-        m.put("lane", "work");
-        m.put("crew", "red");
-        m.put("shape", "array");
-        m.put("urgency", "standard");
-        m.put("sheets", 1L);
-        m.put("vcpus", 1.0);
-        m.put("cards", 0.0);
-        m.put("ramGb", 1.0);
-        m.put("kit", "img");
-        m.put("sizeGb", 1.0);
-        m.put("frames", null);
-        m.put("field", null);
-        m.put("oneZone", false);
-        m.put("spread", false);
-        m.put("loaners", false);
-        m.put("expectS", 20.0);
-        m.put("markEveryS", 0.0);
-        m.put("markCostS", 0.0);
-        m.put("dueS", null);
-        return m;
+        Map<String, Object> body = new LinkedHashMap<>();
+        body.put("nameId", id);
+        body.put("lane", "work");
+        body.put("crew", "red");
+        body.put("shape", "array");
+        body.put("urgency", "standard");
+        body.put("sheets", 1L);
+        body.put("vcpus", 1.0);
+        body.put("cards", 0.0);
+        body.put("ramGb", 1.0);
+        body.put("kit", "img");
+        body.put("sizeGb", 1.0);
+        body.put("frames", null);
+        body.put("field", null);
+        body.put("oneZone", false);
+        body.put("spread", false);
+        body.put("loaners", false);
+        body.put("expectS", 20.0);
+        body.put("markEveryS", 0.0);
+        body.put("markCostS", 0.0);
+        body.put("dueS", null);
+        return body;
     }
 
     /** A good one with some fields, by name and value, that are otherwise. */
     static Map<String, Object> with(Object... fields) {
-        Map<String, Object> m = good("j-0");
+        Map<String, Object> body = good("j-0");
         for (int i = 0; i < fields.length; i += 2) {
-            m.put((String) fields[i], fields[i + 1]);
+            body.put((String) fields[i], fields[i + 1]);
         }
-        return m;
+        return body;
     }
 
     static Map<String, Object> without(String field) {
-        Map<String, Object> m = good("j-0");
-        m.remove(field);
-        return m;
+        Map<String, Object> body = good("j-0");
+        body.remove(field);
+        return body;
     }
 
     static Map<String, Object> named(Map<String, Object> body, String id) {
-        Map<String, Object> m = new LinkedHashMap<>(body);
-        m.put("nameId", id);
-        return m;
+        Map<String, Object> renamed = new LinkedHashMap<>(body);
+        renamed.put("nameId", id);
+        return renamed;
     }
 
     /** What lacks a field or has one that can't be. */
     static List<Map<String, Object>> malformed() {
-        List<Map<String, Object>> out = new ArrayList<>();
-        for (String f : good("j-0").keySet()) {
-            if (!List.of("nameId", "frames", "field", "dueS").contains(f)) {
-                out.add(without(f));
-                out.add(with(f, null));
+        List<Map<String, Object>> bodies = new ArrayList<>();
+        bodies.addAll(withMissingOrMistypedFields());
+        bodies.addAll(withMalformedTexts());
+        bodies.addAll(withMalformedAmounts());
+        bodies.addAll(withMalformedTaskCounts());
+        bodies.addAll(withMalformedFlags());
+        bodies.addAll(withMalformedListsAndOptions());
+        return bodies;
+    }
+
+    /** Each field absent, null, an object or a flag in turn, where it may not be. */
+    private static List<Map<String, Object>> withMissingOrMistypedFields() {
+        List<Map<String, Object>> bodies = new ArrayList<>();
+        for (String field : good("j-0").keySet()) {
+            if (!List.of("nameId", "frames", "field", "dueS").contains(field)) {
+                bodies.add(without(field));
+                bodies.add(with(field, null));
             }
-            out.add(with(f, Map.of("x", 1L)));
-            if (!FLAGS.contains(f)) {
-                out.add(with(f, true));
+            bodies.add(with(field, Map.of("x", 1L)));
+            if (!FLAGS.contains(field)) {
+                bodies.add(with(field, true));
             }
         }
-        out.removeIf(b -> !b.get("nameId").equals("j-0"));
-        for (String f : TEXTS) {
-            for (Object x : List.of(5L, 1.5, List.of("img"), "")) {
-                out.add(with(f, x));
+        bodies.removeIf(body -> !body.get("nameId").equals("j-0"));
+        return bodies;
+    }
+
+    private static List<Map<String, Object>> withMalformedTexts() {
+        List<Map<String, Object>> bodies = new ArrayList<>();
+        for (String field : TEXTS) {
+            for (Object value : List.of(5L, 1.5, List.of("img"), "")) {
+                bodies.add(with(field, value));
             }
         }
-        out.add(with("shape", "gang"));
-        out.add(with("shape", "Array"));
-        out.add(with("urgency", "normal"));
-        out.add(with("lane", "x".repeat(300)));
-        List<String> numbers = new ArrayList<>(AMOUNTS);
-        numbers.add("dueS");
-        for (String f : numbers) {
-            for (Object x :
-                    List.of(
-                            "1.0",
-                            List.of(1.0),
-                            -1e-9,
-                            -1L,
-                            Double.NaN,
-                            Double.POSITIVE_INFINITY,
-                            Double.NEGATIVE_INFINITY)) {
-                out.add(with(f, x));
+        bodies.add(with("shape", "gang"));
+        bodies.add(with("shape", "Array"));
+        bodies.add(with("urgency", "normal"));
+        bodies.add(with("lane", "x".repeat(300)));
+        return bodies;
+    }
+
+    private static List<Map<String, Object>> withMalformedAmounts() {
+        List<Map<String, Object>> bodies = new ArrayList<>();
+        List<String> amounts = new ArrayList<>(AMOUNTS);
+        amounts.add("dueS");
+        List<Object> values =
+                List.of(
+                        "1.0",
+                        List.of(1.0),
+                        -1e-9,
+                        -1L,
+                        Double.NaN,
+                        Double.POSITIVE_INFINITY,
+                        Double.NEGATIVE_INFINITY);
+        for (String field : amounts) {
+            for (Object value : values) {
+                bodies.add(with(field, value));
             }
         }
-        for (Object x :
+        return bodies;
+    }
+
+    private static List<Map<String, Object>> withMalformedTaskCounts() {
+        List<Map<String, Object>> bodies = new ArrayList<>();
+        List<Object> values =
                 List.of(
                         0L,
                         -1L,
@@ -111,30 +139,42 @@
                         Long.MAX_VALUE,
                         "1",
                         Double.NaN,
-                        List.of(1L))) {
-            out.add(with("sheets", x));
+                        List.of(1L));
+        for (Object value : values) {
+            bodies.add(with("sheets", value));
         }
-        for (String f : FLAGS) {
-            for (Object x : List.of(0L, 1L, "true", List.of())) {
-                out.add(with(f, x));
+        return bodies;
+    }
+
+    private static List<Map<String, Object>> withMalformedFlags() {
+        List<Map<String, Object>> bodies = new ArrayList<>();
+        for (String field : FLAGS) {
+            for (Object value : List.of(0L, 1L, "true", List.of())) {
+                bodies.add(with(field, value));
             }
         }
-        for (Object x :
+        return bodies;
+    }
+
+    /** Machine types, zone and dependencies. */
+    private static List<Map<String, Object>> withMalformedListsAndOptions() {
+        List<Map<String, Object>> bodies = new ArrayList<>();
+        for (Object value :
                 List.of("m4", 5L, List.of(5L), Arrays.asList("m4", null), List.of(List.of("m4")))) {
-            out.add(with("frames", x));
+            bodies.add(with("frames", value));
         }
-        for (Object x : List.of(5L, List.of("a"), 1.5)) {
-            out.add(with("field", x));
+        for (Object value : List.of(5L, List.of("a"), 1.5)) {
+            bodies.add(with("field", value));
         }
-        for (Object x : List.of("j-1", List.of(5L), List.of("x"), List.of(""))) {
-            out.add(with("awaits", x));
+        for (Object value : List.of("j-1", List.of(5L), List.of("x"), List.of(""))) {
+            bodies.add(with("awaits", value));
         }
-        return out;
+        return bodies;
     }
 
     /** Well formed, and no machine or limit will ever do. */
     static List<Map<String, Object>> impossible() {
-        List<Map<String, Object>> out =
+        List<Map<String, Object>> bodies =
                 new ArrayList<>(
                         List.of(
                                 with("crew", "nobody"),
@@ -158,16 +198,16 @@
         for (String shape : List.of("group", "service")) {
             // Half of its tasks, rounded up, is less than all of them, and there is one zone for
             // them.
-            out.add(with("shape", shape, "sheets", 2L, "spread", true, "oneZone", true));
-            out.add(with("shape", shape, "sheets", 2L, "spread", true, "field", "a"));
-            out.add(with("shape", shape, "sheets", 3L, "spread", true, "field", "b"));
+            bodies.add(with("shape", shape, "sheets", 2L, "spread", true, "oneZone", true));
+            bodies.add(with("shape", shape, "sheets", 2L, "spread", true, "field", "a"));
+            bodies.add(with("shape", shape, "sheets", 3L, "spread", true, "field", "b"));
         }
-        return out;
+        return bodies;
     }
 
     /** What is odd, but can run. */
     static List<Map<String, Object>> odd() {
-        List<Map<String, Object>> out =
+        List<Map<String, Object>> bodies =
                 new ArrayList<>(
                         List.of(
                                 with("vcpus", 4.0, "ramGb", 16.0),
@@ -193,14 +233,14 @@
                                         Map.of("a", List.of(1L, Map.of("b", -7L))),
                                         "more",
                                         Arrays.asList(null, true))));
-        for (String f : List.of("sizeGb", "expectS", "markEveryS", "markCostS", "dueS")) {
-            for (Object x : List.of(1e-300, 1e15, 1e300, Double.MAX_VALUE, Long.MAX_VALUE)) {
-                out.add(with(f, x, "loaners", out.size() % 2 == 0));
+        for (String field : List.of("sizeGb", "expectS", "markEveryS", "markCostS", "dueS")) {
+            for (Object value : List.of(1e-300, 1e15, 1e300, Double.MAX_VALUE, Long.MAX_VALUE)) {
+                bodies.add(with(field, value, "loaners", bodies.size() % 2 == 0));
             }
         }
-        for (String f : List.of("frames", "field", "dueS")) {
-            out.add(without(f));
+        for (String field : List.of("frames", "field", "dueS")) {
+            bodies.add(without(field));
         }
-        return out;
+        return bodies;
     }
 }
