--- a/src/test/java/io/kitepath/core/DuplicateHeartbeatsRandomizedTest.java
+++ b/src/test/java/io/kitepath/core/DuplicateHeartbeatsRandomizedTest.java
@@ -24,15 +24,15 @@
  * DuplicateHeartbeatsTest} has each by itself.
  */
 class DuplicateHeartbeatsRandomizedTest {
-    private static final int IN_CI = 8;
+    private static final int SEEDS_IN_CI = 8;
 
     private int heldUp;
 
     /**
-     * Copies, held answers and commands, machines that hang, are cut off or hear nothing, and
-     * leaders that change.
+     * Copied heartbeats, held answers and commands, machines that hang, are cut off or receive
+     * nothing, and leaders that change. Returns how many copies had their leader's fencing token.
      */
-    private int seeded(long seed) {
+    private int runSeed(long seed) {
         Random random = new Random(seed);
         SimulatedCluster cluster = settled(3, 5);
         HeartbeatRecorder copies = new HeartbeatRecorder(cluster);
@@ -62,35 +62,8 @@
                         cluster.nodes.get("k" + random.nextInt(3)),
                         jobs.get(random.nextInt(jobs.size())));
             }
-            List<SimulatedWorker> up =
-                    cluster.workers.values().stream().filter(worker -> worker.up).toList();
-            SimulatedWorker worker = up.get(random.nextInt(up.size()));
-            double lasts = random.nextDouble() * 15;
-            switch (random.nextInt(8)) {
-                case 0 -> worker.hangingUntil = cluster.clock.now + lasts;
-                case 1 -> {
-                    worker.isCutOff = true;
-                    cluster.after(lasts, () -> worker.isCutOff = false);
-                }
-                case 2 -> {
-                    worker.receivesNothing = true;
-                    cluster.after(lasts, () -> worker.receivesNothing = false);
-                }
-                case 3 -> {
-                    worker.die();
-                    cluster.cloud.machines.remove(worker.id);
-                }
-                default -> {}
-            }
-            SimulatedNode node = leading(cluster);
-            if (node != null && random.nextInt(3) == 0) {
-                node.kill();
-                cluster.after(0.3, () -> cluster.node(node.name));
-                untilNextLeader(cluster);
-                if (random.nextBoolean()) {
-                    cluster.run(random.nextDouble() * 4);
-                }
-            }
+            disturbOneMachine(cluster, random);
+            mayChangeLeader(cluster, random);
             if (random.nextBoolean()) {
                 List<Heartbeat> some =
                         copies.kept.stream().filter(heartbeat -> random.nextInt(3) == 0).toList();
@@ -104,6 +77,54 @@
         cluster.invariants.troublesAreOver();
         copies.bringAll(copies.kept);
         cluster.run(200);
+        checkEndOf(jobs, cluster, seed);
+        assertEquals(List.of(), cluster.violations, "seed " + seed);
+        assertTrue(copies.brought > 50, "seed " + seed + ": " + copies.brought);
+        heldUp += copies.late;
+        assertFalse(
+                cluster.leader().controller.shard.machines().values().stream()
+                        .anyMatch(machine -> machine.isMissingAnswers()),
+                "seed " + seed);
+        return copies.ofItsToken;
+    }
+
+    /** Hangs, cuts off, deafens or ends one machine, or leaves all as they are. */
+    private static void disturbOneMachine(SimulatedCluster cluster, Random random) {
+        List<SimulatedWorker> up =
+                cluster.workers.values().stream().filter(worker -> worker.up).toList();
+        SimulatedWorker worker = up.get(random.nextInt(up.size()));
+        double lasts = random.nextDouble() * 15;
+        switch (random.nextInt(8)) {
+            case 0 -> worker.hangingUntil = cluster.clock.now + lasts;
+            case 1 -> {
+                worker.isCutOff = true;
+                cluster.after(lasts, () -> worker.isCutOff = false);
+            }
+            case 2 -> {
+                worker.receivesNothing = true;
+                cluster.after(lasts, () -> worker.receivesNothing = false);
+            }
+            case 3 -> {
+                worker.die();
+                cluster.cloud.machines.remove(worker.id);
+            }
+            default -> {}
+        }
+    }
+
+    private static void mayChangeLeader(SimulatedCluster cluster, Random random) {
+        SimulatedNode node = leading(cluster);
+        if (node != null && random.nextInt(3) == 0) {
+            node.kill();
+            cluster.after(0.3, () -> cluster.node(node.name));
+            untilNextLeader(cluster);
+            if (random.nextBoolean()) {
+                cluster.run(random.nextDouble() * 4);
+            }
+        }
+    }
+
+    private static void checkEndOf(List<String> jobs, SimulatedCluster cluster, long seed) {
         for (String id : jobs) {
             var response = cluster.ask(cluster.leader(), id);
             assertTrue(
@@ -114,22 +135,14 @@
                     response.jobStatus().status(),
                     "seed " + seed + ": " + id);
         }
-        assertEquals(List.of(), cluster.violations, "seed " + seed);
-        assertTrue(copies.brought > 50, "seed " + seed + ": " + copies.brought);
-        heldUp += copies.late;
-        assertFalse(
-                cluster.leader().controller.shard.machines().values().stream()
-                        .anyMatch(machine -> machine.isMissingAnswers()),
-                "seed " + seed);
-        return copies.ofItsToken;
     }
 
     @Test
     void whateverIsHeldUpNothingRunsTwiceOrIsLost() {
-        int runs = Math.max(IN_CI, Integer.getInteger("kitepath.seeds", 0));
+        int runs = Math.max(SEEDS_IN_CI, Integer.getInteger("kitepath.seeds", 0));
         int ofItsToken = 0;
         for (long seed = 0; seed < runs; seed++) {
-            ofItsToken += seeded(seed);
+            ofItsToken += runSeed(seed);
         }
         assertTrue(ofItsToken > 5 * runs && heldUp > 8 * runs, ofItsToken + ", " + heldUp);
     }
--- a/src/test/java/io/kitepath/core/FastMachineBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastMachineBootsTest.java
@@ -33,14 +33,14 @@
     private int runs;
 
     /** Nodes without machines, and a cloud whose machines are up at once and listed late. */
-    private static SimulatedCluster world() {
+    private static SimulatedCluster startCluster() {
         SimulatedCluster cluster = new SimulatedCluster();
         cluster.heartbeatIntervalSeconds = 2;
         cluster.leaseSeconds = 10;
         cluster.reportsChangesImmediately = true;
         cluster.cloud.listLagSeconds = 8;
         cluster.cloud.capacity = 30;
-        cluster.cloud.bootSeconds = n -> 0.2 + n * 0.7 % 1.8;
+        cluster.cloud.bootSeconds = number -> 0.2 + number * 0.7 % 1.8;
         cluster.taskSeconds = id -> id.equals("j-2") ? 1e6 : 22;
         for (int i = 0; i < 3; i++) {
             cluster.siblings.add("k" + i);
@@ -50,7 +50,7 @@
         return cluster;
     }
 
-    private static void handIn(SimulatedCluster cluster) {
+    private static void submitAll(SimulatedCluster cluster) {
         for (JobSpec spec :
                 List.of(
                         bound(job("j-1", Shape.GANG, 4, 2)),
@@ -84,14 +84,14 @@
     }
 
     /** One that leads, or would, ends and is back a second later. */
-    private static void ends(SimulatedCluster cluster, SimulatedNode node) {
+    private static void crashAndRestart(SimulatedCluster cluster, SimulatedNode node) {
         if (node.alive) {
             node.kill();
             cluster.after(1, () -> cluster.node(node.name));
         }
     }
 
-    private static SimulatedNode holder(SimulatedCluster cluster) {
+    private static SimulatedNode leaderOrFirst(SimulatedCluster cluster) {
         return cluster.nodes.values().stream()
                 .filter(node -> node.alive && node.controller.leadership.isLeading())
                 .findFirst()
@@ -99,7 +99,8 @@
     }
 
     /** All done, started {@code starts} times, on {@code most} machines, and none is left. */
-    private void rests(SimulatedCluster cluster, int starts, int most, String at) {
+    private void checkAllDoneAndNothingRented(
+            SimulatedCluster cluster, int starts, int most, String at) {
         cluster.run(30);
         cluster.cancel(cluster.leader(), "j-2");
         cluster.run(90);
@@ -124,14 +125,14 @@
      * A day on which nothing goes wrong: how many machines it takes, which the other days are
      * measured by.
      */
-    private int usual() {
-        SimulatedCluster cluster = world();
-        handIn(cluster);
+    private int machinesWithoutFaults() {
+        SimulatedCluster cluster = startCluster();
+        submitAll(cluster);
         cluster.run(10);
         assertEquals(
                 TASKS,
                 cluster.onMachines("j-1") + cluster.onMachines("j-2") + cluster.onMachines("j-3"));
-        rests(cluster, TASKS, 12, "nothing goes wrong");
+        checkAllDoneAndNothingRented(cluster, TASKS, 12, "nothing goes wrong");
         return cluster.cloud.nameCount;
     }
 
@@ -145,111 +146,109 @@
     }
 
     /**
-     * The n-th write from the first rental on is late, or carried out without an answer, or lost,
-     * and whoever leads ends at that moment or a little later. Answers false if there are fewer
-     * writes.
+     * The write of that number from the first rental on is late, or carried out without an answer,
+     * or lost, and whoever leads ends at that moment or a little later. Answers false if there are
+     * fewer writes.
      */
-    private boolean writeLags(
-            int n, Lag lag, double endsAfter, boolean cut, int usual, Map<String, Integer> met) {
-        SimulatedCluster cluster = world();
-        int[] count = new int[1];
-        Consumer<Transaction> meets =
+    private boolean runWithLaggingWrite(
+            int writeNumber,
+            Lag lag,
+            double endsAfter,
+            boolean cut,
+            int usualMachines,
+            Map<String, Integer> met) {
+        SimulatedCluster cluster = startCluster();
+        int[] writes = new int[1];
+        Consumer<Transaction> onLaggingWrite =
                 transaction -> {
-                    transaction
-                            .writes()
-                            .forEach(
-                                    write ->
-                                            met.merge(
-                                                    write.key().replaceAll("[0-9].*", "")
-                                                            + (write.value() instanceof Map<?, ?> m
-                                                                            && m.containsKey(
-                                                                                    "machines")
-                                                                    ? "with machines"
-                                                                    : ""),
-                                                    1,
-                                                    Integer::sum));
+                    countWrittenKeys(transaction, met);
                     cluster.after(
                             endsAfter,
                             () -> {
-                                met.merge(
-                                        upBeforeKnown(cluster) ? "up before known" : "-",
-                                        1,
-                                        Integer::sum);
-                                met.merge(
-                                        launchedBeforeListed(cluster)
-                                                ? "launched before listed"
-                                                : "-",
-                                        1,
-                                        Integer::sum);
+                                countMachineStates(cluster, met);
                                 if (cut) {
-                                    cluster.workers
-                                            .values()
-                                            .forEach(worker -> worker.isCutOff = true);
-                                    cluster.after(
-                                            4,
-                                            () ->
-                                                    cluster.workers
-                                                            .values()
-                                                            .forEach(
-                                                                    worker ->
-                                                                            worker.isCutOff =
-                                                                                    false));
+                                    cutMachinesOffForFourSeconds(cluster);
                                 }
-                                ends(cluster, holder(cluster));
+                                crashAndRestart(cluster, leaderOrFirst(cluster));
                             });
                 };
         cluster.store.losesResponseOf =
                 transaction -> {
-                    boolean rents =
-                            transaction.writes().stream()
-                                    .anyMatch(
-                                            write ->
-                                                    write.key()
-                                                            .startsWith(StoreKeys.RENTAL_INTENTS));
+                    boolean rents = writesRentalIntent(transaction);
                     if (lag == Lag.UNHEARD
-                            && (count[0] > 0 && !transaction.writes().isEmpty() || rents)
-                            && count[0]++ == n) {
-                        meets.accept(transaction);
+                            && (writes[0] > 0 && !transaction.writes().isEmpty() || rents)
+                            && writes[0]++ == writeNumber) {
+                        onLaggingWrite.accept(transaction);
                         return true;
                     }
                     return false;
                 };
         cluster.store.executionDelaySeconds =
                 transaction -> {
-                    boolean rents =
-                            transaction.writes().stream()
-                                    .anyMatch(
-                                            write ->
-                                                    write.key()
-                                                            .startsWith(StoreKeys.RENTAL_INTENTS));
-                    if (lag != Lag.UNHEARD && (count[0] > 0 || rents) && count[0]++ == n) {
-                        meets.accept(transaction);
+                    boolean rents = writesRentalIntent(transaction);
+                    if (lag != Lag.UNHEARD
+                            && (writes[0] > 0 || rents)
+                            && writes[0]++ == writeNumber) {
+                        onLaggingWrite.accept(transaction);
                         return lag == Lag.LATE ? 3.5 : 1e6;
                     }
                     return 0;
                 };
-        handIn(cluster);
+        submitAll(cluster);
         cluster.run(14);
         String at =
                 lag
                         + " write "
-                        + n
+                        + writeNumber
                         + ", the leader ends "
                         + endsAfter
                         + " s later"
                         + (cut ? ", machines cut" : "");
-        rests(cluster, TASKS, 2 * usual, at);
-        return count[0] > n && cluster.cloud.nameCount > 0;
+        checkAllDoneAndNothingRented(cluster, TASKS, 2 * usualMachines, at);
+        return writes[0] > writeNumber && cluster.cloud.nameCount > 0;
+    }
+
+    private static boolean writesRentalIntent(Transaction transaction) {
+        return transaction.writes().stream()
+                .anyMatch(write -> write.key().startsWith(StoreKeys.RENTAL_INTENTS));
+    }
+
+    /** By kind of key; rentals whose machines are known apart from the others. */
+    private static void countWrittenKeys(Transaction transaction, Map<String, Integer> met) {
+        transaction
+                .writes()
+                .forEach(
+                        write ->
+                                met.merge(
+                                        write.key().replaceAll("[0-9].*", "")
+                                                + (write.value() instanceof Map<?, ?> value
+                                                                && value.containsKey("machines")
+                                                        ? "with machines"
+                                                        : ""),
+                                        1,
+                                        Integer::sum));
+    }
+
+    private static void countMachineStates(SimulatedCluster cluster, Map<String, Integer> met) {
+        met.merge(upBeforeKnown(cluster) ? "up before known" : "-", 1, Integer::sum);
+        met.merge(launchedBeforeListed(cluster) ? "launched before listed" : "-", 1, Integer::sum);
+    }
+
+    private static void cutMachinesOffForFourSeconds(SimulatedCluster cluster) {
+        cluster.workers.values().forEach(worker -> worker.isCutOff = true);
+        cluster.after(4, () -> cluster.workers.values().forEach(worker -> worker.isCutOff = false));
     }
 
     @Test
     void eachWriteLagsAsTheLeaderEnds() {
-        int usual = usual();
+        int usualMachines = machinesWithoutFaults();
         Map<String, Integer> met = new TreeMap<>();
         for (Lag lag : Lag.values()) {
             for (int n = 0; n < 12; n++) {
                 for (double ends : new double[] {0.001, 0.7, 1.6}) {
-                    assertTrue(writeLags(n, lag, ends, (n + runs) % 2 == 0, usual, met));
+                    assertTrue(
+                            runWithLaggingWrite(
+                                    n, lag, ends, (n + runs) % 2 == 0, usualMachines, met));
                 }
             }
         }
@@ -272,11 +271,11 @@
      */
     @Test
     void aRentalWhoseAnswerIsLostIsOfOneNameWhoeverEnds() {
-        int usual = usual();
+        int usualMachines = machinesWithoutFaults();
         int unsettled = 0;
         for (int who = 0; who < 3; who++) {
             for (double ends = 0.02; ends < 4; ends += 0.4) {
-                SimulatedCluster cluster = world();
+                SimulatedCluster cluster = startCluster();
                 cluster.cloud.responsesToLose = 3;
                 cluster.store.holdsBack =
                         transaction ->
@@ -290,9 +289,9 @@
                                                                 && write.value()
                                                                         instanceof Map<?, ?> m
                                                                 && m.containsKey("machines"));
-                handIn(cluster);
+                submitAll(cluster);
                 cluster.run(ends);
-                SimulatedNode leader = holder(cluster);
+                SimulatedNode leader = leaderOrFirst(cluster);
                 SimulatedNode carrier =
                         cluster.nodes.values().stream()
                                 .filter(node -> node.controller.holdsRole("cloud"))
@@ -300,10 +299,10 @@
                                 .orElseThrow();
                 unsettled += upBeforeKnown(cluster) ? 1 : 0;
                 if (who != 1) {
-                    ends(cluster, leader);
+                    crashAndRestart(cluster, leader);
                 }
                 if (who != 0) {
-                    ends(cluster, carrier);
+                    crashAndRestart(cluster, carrier);
                 }
                 cluster.run(4);
                 // What came of it can be put down from now on; what was withheld is carried out
@@ -312,7 +311,8 @@
                 cluster.run(2);
                 cluster.store.heldBackTransactions.forEach(cluster.store::execute);
                 cluster.run(10);
-                rests(cluster, TASKS, 2 * usual, "end " + who + " after " + ends);
+                checkAllDoneAndNothingRented(
+                        cluster, TASKS, 2 * usualMachines, "end " + who + " after " + ends);
             }
         }
         assertTrue(unsettled > 10, "up before it was known: " + unsettled);
@@ -331,7 +331,7 @@
         int ended = 0;
         for (long seed = 0; seed < 40; seed++) {
             Random random = new Random(seed);
-            SimulatedCluster cluster = world();
+            SimulatedCluster cluster = startCluster();
             Map<String, String> last = new TreeMap<>();
             int[] moved = new int[1];
             boolean[] calm = new boolean[1];
@@ -351,17 +351,17 @@
                     transaction ->
                             !calm[0] && random.nextInt(4) == 0 ? 1 + random.nextDouble() * 5 : 0;
             cluster.store.losesResponseOf = transaction -> !calm[0] && random.nextInt(6) == 0;
-            handIn(cluster);
+            submitAll(cluster);
             for (int i = 0; i < 3; i++) {
                 cluster.run(0.5 + random.nextDouble() * 5);
                 ended += launchedBeforeListed(cluster) ? 1 : 0;
-                ends(cluster, holder(cluster));
+                crashAndRestart(cluster, leaderOrFirst(cluster));
             }
             cluster.run(4);
             calm[0] = true;
             turns += moved[0] - cluster.workers.size();
             cluster.run(45);
-            rests(cluster, 0, 30, "seed " + seed);
+            checkAllDoneAndNothingRented(cluster, 0, 30, "seed " + seed);
         }
         assertTrue(turns > 100 && ended > 50, "turns " + turns + ", ends with work " + ended);
     }
--- a/src/test/java/io/kitepath/core/OneWayMachinesTest.java
+++ b/src/test/java/io/kitepath/core/OneWayMachinesTest.java
@@ -284,16 +284,16 @@
                 }
                 if (random.nextInt(8) == 0 && !old.isEmpty()) {
                     String which = old.get(random.nextInt(old.size()));
-                    var c = cluster.cancel(any(), which);
-                    if (c != null
-                            && c.verdict() == Verdict.KNOWN
-                            && c.jobStatus().status().equals("cancelled")) {
+                    var answer = cluster.cancel(any(), which);
+                    if (answer != null
+                            && answer.verdict() == Verdict.KNOWN
+                            && answer.jobStatus().status().equals("cancelled")) {
                         cancelled.add(which);
                     }
                 }
                 trouble();
                 cluster.run(random.nextDouble() * 4);
-                for (int q = 0; q < 3 && !old.isEmpty(); q++) {
+                for (int query = 0; query < 3 && !old.isEmpty(); query++) {
                     cluster.ask(any(), old.get(random.nextInt(old.size())));
                 }
                 if (i == 15) {
@@ -301,7 +301,11 @@
                     cluster.store.largestTransactionOperations = 13;
                 }
             }
-            // All troubles are over.
+            endTroubles();
+        }
+
+        /** Heals every connection and brings crashed nodes back. */
+        private void endTroubles() {
             cluster.nodes.keySet().stream()
                     .toList()
                     .forEach(
