--- a/src/test/java/io/kitepath/core/AnswerConsistencyTest.java
+++ b/src/test/java/io/kitepath/core/AnswerConsistencyTest.java
@@ -126,9 +126,9 @@
                     () -> 0.001 + random.nextDouble() * (random.nextInt(12) == 0 ? 0.6 : 0.01);
             cluster.store.losesResponseOf =
                     transaction -> {
-                        boolean no = !transaction.writes().isEmpty() && random.nextInt(12) == 0;
-                        lost += no ? 1 : 0;
-                        return no;
+                        boolean loses = !transaction.writes().isEmpty() && random.nextInt(12) == 0;
+                        lost += loses ? 1 : 0;
+                        return loses;
                     };
             cluster.cancelsOnCompletion = task -> Math.floorMod(task.jobId.hashCode(), 3) == 0;
             storm(cluster, random);
@@ -144,20 +144,7 @@
                             random.nextDouble() * 0.05,
                             () -> cluster.loadGenerator.cancel(cluster.nodes.get(node.name), id));
                 }
-                SimulatedNode node = cluster.nodes.get("k" + random.nextInt(3));
-                switch (random.nextInt(6)) {
-                    case 0 ->
-                            cluster.after(
-                                    random.nextDouble() * 0.1,
-                                    () -> kill(cluster, cluster.nodes.get(node.name), 0.3));
-                    case 1 ->
-                            cluster.after(
-                                    random.nextDouble() * 0.1,
-                                    () ->
-                                            node.frozenUntil =
-                                                    cluster.clock.now + random.nextDouble());
-                    default -> {}
-                }
+                mayCrashOrFreezeOneNode(cluster, random);
                 cluster.run(0.4 + random.nextDouble());
             }
             ends(cluster, 30, "seed " + seed);
@@ -177,6 +164,21 @@
         assertTrue(accepted > 300 && cancelled > 60 && questions > 30_000 && lost > 40);
     }
 
+    private void mayCrashOrFreezeOneNode(SimulatedCluster cluster, Random random) {
+        SimulatedNode node = cluster.nodes.get("k" + random.nextInt(3));
+        switch (random.nextInt(6)) {
+            case 0 ->
+                    cluster.after(
+                            random.nextDouble() * 0.1,
+                            () -> kill(cluster, cluster.nodes.get(node.name), 0.3));
+            case 1 ->
+                    cluster.after(
+                            random.nextDouble() * 0.1,
+                            () -> node.frozenUntil = cluster.clock.now + random.nextDouble());
+            default -> {}
+        }
+    }
+
     /**
      * The node that took the submission ends at each millisecond around its answer, and is back
      * after 0.3 s.
--- a/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
+++ b/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
@@ -328,70 +328,10 @@
     @Test
     void aCancellationAtTheRefusalBeforeAnOutageStopsItsTasksInTime() {
         int early = 0;
-        for (int f = 0; f < 3; f++) {
-            int fate = f;
+        for (int fate = 0; fate < 3; fate++) {
             for (int through = 0; through < 3; through++) {
                 for (int ms = -2; ms <= 10; ms += 2) {
-                    String at =
-                            "fate "
-                                    + fate
-                                    + " through "
-                                    + through
-                                    + ", refused after "
-                                    + ms
-                                    + " ms";
-                    busy();
-                    SimulatedNode first = fresh(through);
-                    // Of some, or all, of the others the old holder hears nothing any more.
-                    List<SimulatedNode> silent =
-                            cluster.nodes.values().stream()
-                                    .filter(
-                                            node ->
-                                                    node != old
-                                                            && (runs % 3 == 2
-                                                                    || runs % 3 == 1
-                                                                            && node == first))
-                                    .toList();
-                    silent.forEach(node -> node.cutFrom.add(old.name));
-                    Predicate<Transaction> ends =
-                            transaction ->
-                                    transaction.writes().stream()
-                                            .anyMatch(
-                                                    write ->
-                                                            write.key()
-                                                                    .startsWith(
-                                                                            StoreKeys.ENDED_JOBS));
-                    cluster.store.losesResponseOf =
-                            transaction -> fate == 1 && ends.test(transaction);
-                    cluster.store.executionDelaySeconds =
-                            transaction -> fate == 2 && ends.test(transaction) ? 0.6 : 0;
-                    cluster.after(0.002, () -> cancels(first));
-                    // Carried out and not answered: users are told by whom they ask.
-                    cluster.after(
-                            0.95,
-                            () ->
-                                    cluster.nodes.values().stream()
-                                            .filter(node -> node != old && node != first)
-                                            .forEach(
-                                                    node ->
-                                                            CANCELLED.forEach(
-                                                                    id ->
-                                                                            cluster.loadGenerator
-                                                                                    .queryStatus(
-                                                                                            node,
-                                                                                            id))));
-                    cluster.after(0.002 + ms / 1000.0, () -> old.cutFromStore = true);
-                    cluster.after(1.002 + ms / 1000.0, () -> cluster.store.outage(50));
-                    cluster.run(1.1);
-                    early += cluster.reportedCancelledAt.size();
-                    assertTrue(cluster.store.unavailable && old.cutFromStore, at);
-                    cluster.after(8, () -> old.cutFromStore = false);
-                    cluster.run(49);
-                    silent.forEach(node -> node.cutFrom.clear());
-                    cluster.run(2);
-                    cluster.invariants.troublesAreOver();
-                    cluster.run(60);
-                    kept(at);
+                    early += cancelAtRefusalBeforeOutage(fate, through, ms);
                 }
             }
         }
@@ -400,6 +340,61 @@
         few(early);
     }
 
+    /** Returns how many cancellations users were told of before the outage. */
+    private int cancelAtRefusalBeforeOutage(int fate, int through, int ms) {
+        String at = "fate " + fate + " through " + through + ", refused after " + ms + " ms";
+        busy();
+        SimulatedNode first = fresh(through);
+        // Of some, or all, of the others the old holder hears nothing any more.
+        List<SimulatedNode> silent =
+                cluster.nodes.values().stream()
+                        .filter(
+                                node ->
+                                        node != old
+                                                && (runs % 3 == 2
+                                                        || runs % 3 == 1 && node == first))
+                        .toList();
+        silent.forEach(node -> node.cutFrom.add(old.name));
+        loseOrDelayWritesOfEndedJobs(fate);
+        cluster.after(0.002, () -> cancels(first));
+        // Carried out and not answered: users are told by whom they ask.
+        cluster.after(
+                0.95,
+                () ->
+                        cluster.nodes.values().stream()
+                                .filter(node -> node != old && node != first)
+                                .forEach(
+                                        node ->
+                                                CANCELLED.forEach(
+                                                        id ->
+                                                                cluster.loadGenerator.queryStatus(
+                                                                        node, id))));
+        cluster.after(0.002 + ms / 1000.0, () -> old.cutFromStore = true);
+        cluster.after(1.002 + ms / 1000.0, () -> cluster.store.outage(50));
+        cluster.run(1.1);
+        int toldBeforeOutage = cluster.reportedCancelledAt.size();
+        assertTrue(cluster.store.unavailable && old.cutFromStore, at);
+        cluster.after(8, () -> old.cutFromStore = false);
+        cluster.run(49);
+        silent.forEach(node -> node.cutFrom.clear());
+        cluster.run(2);
+        cluster.invariants.troublesAreOver();
+        cluster.run(60);
+        kept(at);
+        return toldBeforeOutage;
+    }
+
+    /** Fate 1: written, and the response is lost; fate 2: written late; otherwise as usual. */
+    private void loseOrDelayWritesOfEndedJobs(int fate) {
+        Predicate<Transaction> ends =
+                transaction ->
+                        transaction.writes().stream()
+                                .anyMatch(write -> write.key().startsWith(StoreKeys.ENDED_JOBS));
+        cluster.store.losesResponseOf = transaction -> fate == 1 && ends.test(transaction);
+        cluster.store.executionDelaySeconds =
+                transaction -> fate == 2 && ends.test(transaction) ? 0.6 : 0;
+    }
+
     /**
      * Nobody calls back an answer that is under way, and a leader that the store refuses learns of
      * it by the next renewal, a fifth of its lease later: after that nothing starts any more of
--- a/src/test/java/io/kitepath/core/UnreachableControllersTest.java
+++ b/src/test/java/io/kitepath/core/UnreachableControllersTest.java
@@ -273,20 +273,9 @@
             int tasks = 0;
             for (int i = 0; i < 30; i++) {
                 String id = "j-" + (100 + i);
-                Priority p = Priority.values()[random.nextInt(Priority.values().length)];
-                boolean gang = random.nextInt(4) == 0;
-                JobSpec spec =
-                        SimulatedCluster.with(
-                                job(
-                                        id,
-                                        gang ? Shape.GANG : Shape.ARRAY,
-                                        1 + random.nextInt(gang ? 4 : 8),
-                                        1 + random.nextInt(2)),
-                                random.nextBoolean() ? "red" : "blue",
-                                p,
-                                gang && random.nextBoolean());
+                JobSpec spec = randomJob(id, random);
                 handedIn.put(id, cluster.clock.now);
-                if (p.ordinal() < 2) {
+                if (spec.priority().ordinal() < 2) {
                     urgent.add(id);
                 }
                 tasks += spec.taskCount();
@@ -305,9 +294,9 @@
                     "seed " + seed + ": " + starts(cluster) + " starts of " + tasks + ", " + most);
             assertTrue(most <= 2 * tasks, "seed " + seed + ": " + most + " gave way for " + tasks);
             for (String id : handedIn.keySet()) {
-                int k = urgent.contains(id) ? 0 : 1;
-                waits[k] += begun.get(id) - handedIn.get(id);
-                counts[k]++;
+                int urgencyClass = urgent.contains(id) ? 0 : 1;
+                waits[urgencyClass] += begun.get(id) - handedIn.get(id);
+                counts[urgencyClass]++;
             }
         }
         System.out.println(
@@ -323,6 +312,21 @@
         assertTrue(evictions > 10, "gave way: " + evictions);
     }
 
+    /** Draws in this order: priority, shape, tasks, CPUs, team; for a gang, whether in one zone. */
+    private static JobSpec randomJob(String id, Random random) {
+        Priority priority = Priority.values()[random.nextInt(Priority.values().length)];
+        boolean gang = random.nextInt(4) == 0;
+        return SimulatedCluster.with(
+                job(
+                        id,
+                        gang ? Shape.GANG : Shape.ARRAY,
+                        1 + random.nextInt(gang ? 4 : 8),
+                        1 + random.nextInt(2)),
+                random.nextBoolean() ? "red" : "blue",
+                priority,
+                gang && random.nextBoolean());
+    }
+
     private static SimulatedCluster slow(Random random) {
         SimulatedCluster cluster = new SimulatedCluster();
         cluster.teams.put("red", new ClusterSettings.Team("red", 8, 20, 0, 0));
