--- a/src/test/java/io/kitepath/core/CancellationRandomizedTest.java
+++ b/src/test/java/io/kitepath/core/CancellationRandomizedTest.java
@@ -80,29 +80,41 @@
         }
 
         void trouble() {
-            SimulatedNode h = holder();
-            SimulatedNode o = other(h);
-            switch (random.nextInt(15)) {
+            SimulatedNode leader = holder();
+            SimulatedNode other = other(leader);
+            int kind = random.nextInt(15);
+            if (kind < 12) {
+                disturbNodesOrStore(kind, leader, other);
+            } else {
+                disturbWorkers(kind);
+            }
+        }
+
+        private void disturbNodesOrStore(int kind, SimulatedNode leader, SimulatedNode other) {
+            switch (kind) {
                 case 0, 1 -> {
-                    h.cutFromStore = true;
-                    cluster.after(upTo(20), () -> h.cutFromStore = false);
+                    leader.cutFromStore = true;
+                    cluster.after(upTo(20), () -> leader.cutFromStore = false);
                 }
                 case 2, 3 -> cluster.store.outage(upTo(60));
                 case 4 -> {
-                    o.cutFrom.add(h.name);
-                    cluster.after(upTo(60), () -> o.cutFrom.remove(h.name));
+                    other.cutFrom.add(leader.name);
+                    cluster.after(upTo(60), () -> other.cutFrom.remove(leader.name));
                 }
                 case 5 -> {
-                    o.crash();
-                    cluster.after(new double[] {0.1, 0.3, 5}[random.nextInt(3)], () -> back(o));
+                    other.crash();
+                    cluster.after(new double[] {0.1, 0.3, 5}[random.nextInt(3)], () -> back(other));
                 }
                 case 6 -> {
-                    h.crash();
-                    cluster.after(new double[] {0.1, 0.3, 5}[random.nextInt(3)], () -> back(h));
+                    leader.crash();
+                    cluster.after(
+                            new double[] {0.1, 0.3, 5}[random.nextInt(3)], () -> back(leader));
                 }
-                case 7 -> (random.nextBoolean() ? h : o).frozenUntil = cluster.clock.now + upTo(25);
+                case 7 ->
+                        (random.nextBoolean() ? leader : other).frozenUntil =
+                                cluster.clock.now + upTo(25);
                 case 8 -> {
-                    cluster.store.ignoresRequestsOf = client -> client == h;
+                    cluster.store.ignoresRequestsOf = client -> client == leader;
                     cluster.after(
                             upTo(40), () -> cluster.store.ignoresRequestsOf = client -> false);
                 }
@@ -113,21 +125,29 @@
                             upTo(20), () -> cluster.store.executionDelaySeconds = transaction -> 0);
                 }
                 case 10, 11 -> {
-                    h.cutFromStore = true;
-                    cluster.siblings.forEach(h.cutFrom::add);
+                    leader.cutFromStore = true;
+                    cluster.siblings.forEach(leader.cutFrom::add);
                     cluster.after(
                             upTo(25),
                             () -> {
-                                h.cutFromStore = false;
-                                h.cutFrom.clear();
+                                leader.cutFromStore = false;
+                                leader.cutFrom.clear();
                             });
                 }
+                default -> throw new IllegalArgumentException("kind " + kind);
+            }
+        }
+
+        private void disturbWorkers(int kind) {
+            switch (kind) {
                 case 12 ->
                         cluster.workers.values().stream()
-                                .filter(y -> y.up)
+                                .filter(worker -> worker.up)
                                 .skip(random.nextInt(3))
                                 .findFirst()
-                                .ifPresent(y -> y.hangingUntil = cluster.clock.now + upTo(20));
+                                .ifPresent(
+                                        worker ->
+                                                worker.hangingUntil = cluster.clock.now + upTo(20));
                 case 13 -> {
                     double late = 0.6 + upTo(8);
                     cluster.directCommandHoldSeconds = () -> random.nextBoolean() ? late : 0;
@@ -140,20 +160,20 @@
                             });
                 }
                 default -> {
-                    SimulatedWorker x =
+                    SimulatedWorker worker =
                             cluster.workers.values().stream()
-                                    .filter(y -> y.up)
+                                    .filter(candidate -> candidate.up)
                                     .skip(random.nextInt(3))
                                     .findFirst()
                                     .orElse(null);
-                    if (x != null) {
-                        x.receivesNothing = random.nextBoolean();
-                        x.isCutOff = !x.receivesNothing;
-                        Heartbeat old = x.currentHeartbeat();
+                    if (worker != null) {
+                        worker.receivesNothing = random.nextBoolean();
+                        worker.isCutOff = !worker.receivesNothing;
+                        Heartbeat old = worker.currentHeartbeat();
                         cluster.after(
                                 upTo(30), () -> any().controller.onHeartbeat(old, response -> {}));
-                        cluster.after(upTo(12), () -> x.receivesNothing = false);
-                        cluster.after(upTo(12), () -> x.isCutOff = false);
+                        cluster.after(upTo(12), () -> worker.receivesNothing = false);
+                        cluster.after(upTo(12), () -> worker.isCutOff = false);
                     }
                 }
             }
