--- a/src/test/java/io/kitepath/core/ManySmallJobsScenario.java
+++ b/src/test/java/io/kitepath/core/ManySmallJobsScenario.java
@@ -46,10 +46,10 @@
 
     final SimulatedCluster cluster = new SimulatedCluster();
     final Random random;
-    final Map<String, Double> handedIn = new HashMap<>();
-    final Map<String, Double> answered = new HashMap<>();
-    final Map<String, Double> begun = new HashMap<>();
-    final Set<String> calledOff = new HashSet<>();
+    final Map<String, Double> submittedAt = new HashMap<>();
+    final Map<String, Double> answeredAt = new HashMap<>();
+    final Map<String, Double> startedAt = new HashMap<>();
+    final Set<String> cancelledIds = new HashSet<>();
 
     /** Whose last task has completed. */
     final Set<String> complete = new HashSet<>();
@@ -83,7 +83,7 @@
         for (int i = 0; i < machines; i++) {
             cluster.worker(String.format("i-%06d", i), i % 2 == 0 ? "a" : "b");
         }
-        cluster.clock.onTaskStart = task -> begun.putIfAbsent(task.jobId, cluster.clock.now);
+        cluster.clock.onTaskStart = task -> startedAt.putIfAbsent(task.jobId, cluster.clock.now);
         cluster.clock.onTaskEnd = task -> ended(task.jobId);
         cluster.store.onCommit =
                 (client, transaction) ->
@@ -106,36 +106,39 @@
         cluster.run(12);
     }
 
-    SimulatedNode any() {
+    SimulatedNode anyAliveNode() {
         List<SimulatedNode> up =
                 cluster.nodes.values().stream().filter(node -> node.alive).toList();
         return up.get(random.nextInt(up.size()));
     }
 
     /** The node that holds the jobs, or null. */
-    SimulatedNode holder() {
+    SimulatedNode shardHolder() {
         return cluster.nodes.values().stream()
                 .filter(node -> node.alive && node.controller.holdsShard())
                 .findFirst()
                 .orElse(null);
     }
 
-    boolean calm(double from, double until) {
-        return troubles.stream().noneMatch(t -> from < t[1] && until > t[0]);
+    boolean isUndisturbed(double from, double until) {
+        return troubles.stream().noneMatch(trouble -> from < trouble[1] && until > trouble[0]);
     }
 
-    void trouble(double lastsS) {
+    void trouble(double lastsSeconds) {
         troubles.add(
-                new double[] {cluster.clock.now, cluster.clock.now + lastsS + RECOVERY_SECONDS});
+                new double[] {
+                    cluster.clock.now, cluster.clock.now + lastsSeconds + RECOVERY_SECONDS
+                });
     }
 
     // ---- users ------------------------------------------------------------------------------
 
-    void handIn(JobSpec spec) {
+    void submit(JobSpec spec) {
         cluster.specs.put(spec.id(), spec);
-        handedIn.putIfAbsent(spec.id(), cluster.clock.now);
+        submittedAt.putIfAbsent(spec.id(), cluster.clock.now);
         boolean[] heard = new boolean[1];
-        any().controller
+        anyAliveNode()
+                .controller
                 .jobApi()
                 .submit(
                         spec,
@@ -144,9 +147,9 @@
                             if (response.verdict() != Verdict.LATER && !heard[0]) {
                                 heard[0] = true;
                                 cluster.acceptedAt.putIfAbsent(spec.id(), cluster.clock.now);
-                                if (answered.putIfAbsent(spec.id(), cluster.clock.now) == null
+                                if (answeredAt.putIfAbsent(spec.id(), cluster.clock.now) == null
                                         && spec.id().startsWith("s-")) {
-                                    mayCallOff(spec.id());
+                                    mayCancel(spec.id());
                                 }
                             }
                         });
@@ -154,9 +157,9 @@
         cluster.after(
                 1,
                 () -> {
-                    if (!answered.containsKey(spec.id())
-                            && cluster.clock.now - handedIn.get(spec.id()) < 60) {
-                        handIn(spec);
+                    if (!answeredAt.containsKey(spec.id())
+                            && cluster.clock.now - submittedAt.get(spec.id()) < 60) {
+                        submit(spec);
                     }
                 });
     }
@@ -165,24 +168,24 @@
      * A quarter, at once or some seconds later; others when they are placed, see {@link #placed},
      * or end.
      */
-    private void mayCallOff(String id) {
+    private void mayCancel(String id) {
         switch (random.nextInt(20)) {
-            case 0 -> callOff(id);
-            case 1 -> cluster.after(0.02 + random.nextDouble() * 0.3, () -> callOff(id));
-            case 2, 3 -> cluster.after(random.nextDouble() * 6, () -> callOff(id));
+            case 0 -> cancel(id);
+            case 1 -> cluster.after(0.02 + random.nextDouble() * 0.3, () -> cancel(id));
+            case 2, 3 -> cluster.after(random.nextDouble() * 6, () -> cancel(id));
             default -> {}
         }
     }
 
     private void placed(String id) {
-        if (id.startsWith("s-") && !begun.containsKey(id) && random.nextInt(20) == 0) {
-            callOff(id);
+        if (id.startsWith("s-") && !startedAt.containsKey(id) && random.nextInt(20) == 0) {
+            cancel(id);
         }
     }
 
     private void ended(String id) {
         if (id.startsWith("s-") && random.nextInt(25) == 0) {
-            callOff(id);
+            cancel(id);
         }
         double at = cluster.clock.now;
         if (cluster.completedTasks.get(id).size() < cluster.specs.get(id).taskCount()
@@ -192,10 +195,11 @@
         cluster.after(
                 DONE_WITHIN_SECONDS,
                 () -> {
-                    if (!calledOff.contains(id) && calm(at, cluster.clock.now)) {
+                    if (!cancelledIds.contains(id) && isUndisturbed(at, cluster.clock.now)) {
                         looked++;
                         boolean[] done = new boolean[1];
-                        any().controller
+                        anyAliveNode()
+                                .controller
                                 .jobApi()
                                 .status(
                                         id,
@@ -217,20 +221,20 @@
                 });
     }
 
-    private void callOff(String id) {
-        if (calledOff.add(id)) {
+    private void cancel(String id) {
+        if (cancelledIds.add(id)) {
             stages.merge(stage(id), 1, Integer::sum);
-            cluster.loadGenerator.cancel(any(), id);
+            cluster.loadGenerator.cancel(anyAliveNode(), id);
         }
     }
 
     private Stage stage(String id) {
         if (cluster.completedTasks.containsKey(id)) {
             return Stage.ENDED;
-        } else if (begun.containsKey(id)) {
+        } else if (startedAt.containsKey(id)) {
             return Stage.RUNNING;
         }
-        SimulatedNode node = holder();
+        SimulatedNode node = shardHolder();
         Job job = node == null ? null : node.controller.shard.jobs().get(id);
         return job == null
                 ? Stage.NOT_HEARD_OF
@@ -243,25 +247,26 @@
     // ---- the day ----------------------------------------------------------------------------
 
     /** So long; with gangs and arrays beside the swarm, and questions about some of it. */
-    void play(double seconds) {
+    void submitFor(double seconds) {
         for (double until = cluster.clock.now + seconds; cluster.clock.now < until; ) {
             String id = "s-" + next++;
-            handIn(job(id, Shape.ARRAY, 1, 1));
+            submit(job(id, Shape.ARRAY, 1, 1));
             if (next % 80 == 0) {
-                handIn(job("g-" + next, Shape.GANG, 3, 2));
-                handIn(job("a-" + next, Shape.ARRAY, 8, 1));
+                submit(job("g-" + next, Shape.GANG, 3, 2));
+                submit(job("a-" + next, Shape.ARRAY, 8, 1));
             }
-            cluster.loadGenerator.queryStatus(any(), "s-" + (next - 1 - random.nextInt(40)));
+            cluster.loadGenerator.queryStatus(
+                    anyAliveNode(), "s-" + (next - 1 - random.nextInt(40)));
             cluster.run(SUBMISSION_INTERVAL_SECONDS);
             if (next % 4 == 0) {
-                look();
+                recordMaxima();
             }
         }
     }
 
-    private void look() {
-        SimulatedNode node = holder();
-        if (node == null || !calm(cluster.clock.now, cluster.clock.now)) {
+    private void recordMaxima() {
+        SimulatedNode node = shardHolder();
+        if (node == null || !isUndisturbed(cluster.clock.now, cluster.clock.now)) {
             return;
         }
         ShardState shard = node.controller.shard;
@@ -280,16 +285,16 @@
                                         .count());
     }
 
-    void endOfLeader(double backAfterS) {
-        SimulatedNode node = holder();
+    void crashLeader(double backAfterSeconds) {
+        SimulatedNode node = shardHolder();
         node.kill();
-        cluster.after(backAfterS, () -> cluster.node(node.name));
-        trouble(backAfterS);
+        cluster.after(backAfterSeconds, () -> cluster.node(node.name));
+        trouble(backAfterSeconds);
     }
 
-    void outage(double lastsS) {
-        cluster.store.outage(lastsS);
-        trouble(lastsS);
+    void outage(double lastsSeconds) {
+        cluster.store.outage(lastsSeconds);
+        trouble(lastsSeconds);
     }
 
     int requests() {
@@ -297,13 +302,13 @@
     }
 
     /** All that was handed in is over, as its users wanted, and nothing of it is left. */
-    void over(String at) {
+    void checkAllOver(String at) {
         cluster.invariants.troublesAreOver();
         cluster.run(100);
         assertEquals(List.of(), cluster.violations, at);
         assertEquals(List.of(), late, at);
-        for (String id : handedIn.keySet()) {
-            assertTrue(answered.containsKey(id), at + ": " + id + " was never accepted");
+        for (String id : submittedAt.keySet()) {
+            assertTrue(answeredAt.containsKey(id), at + ": " + id + " was never accepted");
             var response = cluster.ask(cluster.leader(), id);
             assertEquals(Verdict.KNOWN, response.verdict(), at + ": " + id);
             assertEquals(
@@ -323,20 +328,23 @@
                 at);
         // A quarter, give or take.
         assertTrue(
-                calledOff.size() > 0.18 * next(),
-                at + ": " + calledOff.size() + " called off of " + next());
-        assertTrue(looked > 0.1 * next(), at + ": " + looked + " ends looked at");
+                cancelledIds.size() > 0.18 * submittedCount(),
+                at + ": " + cancelledIds.size() + " called off of " + submittedCount());
+        assertTrue(looked > 0.1 * submittedCount(), at + ": " + looked + " ends looked at");
         assertTrue(unanswered <= 0.01 * looked, at + ": " + unanswered + " unanswered");
     }
 
-    int next() {
+    int submittedCount() {
         return next - 1000;
     }
 
     private DoubleStream answers() {
-        return handedIn.keySet().stream()
-                .filter(id -> answered.containsKey(id) && calm(handedIn.get(id), answered.get(id)))
-                .mapToDouble(id -> answered.get(id) - handedIn.get(id));
+        return submittedAt.keySet().stream()
+                .filter(
+                        id ->
+                                answeredAt.containsKey(id)
+                                        && isUndisturbed(submittedAt.get(id), answeredAt.get(id)))
+                .mapToDouble(id -> answeredAt.get(id) - submittedAt.get(id));
     }
 
     double slowestAnswer() {
@@ -345,20 +353,20 @@
 
     /** Submissions that had to be repeated, troubles apart. */
     long repeated() {
-        return answers().filter(x -> x >= 1).count();
+        return answers().filter(seconds -> seconds >= 1).count();
     }
 
     /** Longest that work beside the swarm waited for its first task. */
     double slowestStart() {
-        return handedIn.keySet().stream()
-                .filter(id -> !id.startsWith("s-") && begun.containsKey(id))
-                .mapToDouble(id -> begun.get(id) - handedIn.get(id))
+        return submittedAt.keySet().stream()
+                .filter(id -> !id.startsWith("s-") && startedAt.containsKey(id))
+                .mapToDouble(id -> startedAt.get(id) - submittedAt.get(id))
                 .max()
                 .orElse(0);
     }
 
     String summary() {
-        return next()
+        return submittedCount()
                 + " jobs, called off "
                 + stages
                 + ", most jobs "
--- a/src/test/java/io/kitepath/core/ManySmallJobsTest.java
+++ b/src/test/java/io/kitepath/core/ManySmallJobsTest.java
@@ -19,13 +19,13 @@
     void laterMinutesOfManySmallJobsCostNoMoreThanTheFirst() {
         for (long seed = 0; seed < 1; seed++) {
             ManySmallJobsScenario swarm = new ManySmallJobsScenario(seed, 5);
-            swarm.play(60);
+            swarm.submitFor(60);
             int from = swarm.requests();
-            swarm.play(60);
+            swarm.submitFor(60);
             int second = swarm.requests() - from;
-            swarm.play(120);
+            swarm.submitFor(120);
             from = swarm.requests();
-            swarm.play(60);
+            swarm.submitFor(60);
             int last = swarm.requests() - from;
             System.out.println(
                     "swarm "
@@ -36,20 +36,20 @@
                             + second
                             + " then "
                             + last);
-            swarm.over("seed " + seed);
+            swarm.checkAllOver("seed " + seed);
             assertTrue(last < 1.1 * second, "requests a minute: " + second + ", then " + last);
-            bounded(swarm, "seed " + seed);
+            checkBounds(swarm, "seed " + seed);
             assertTrue(
                     swarm.stages.keySet().containsAll(Set.of(ManySmallJobsScenario.Stage.values())),
                     "seed " + seed + ": called off " + swarm.stages);
             assertTrue(
-                    swarm.looked > 0.5 * swarm.next(),
+                    swarm.looked > 0.5 * swarm.submittedCount(),
                     "seed " + seed + ": " + swarm.looked + " ends looked at");
         }
     }
 
     /** In proportion to what comes in ten seconds, about as long as such a job is unfinished. */
-    private static void bounded(ManySmallJobsScenario swarm, String at) {
+    private static void checkBounds(ManySmallJobsScenario swarm, String at) {
         double lively = 10 / ManySmallJobsScenario.SUBMISSION_INTERVAL_SECONDS;
         assertTrue(swarm.mostJobs < 2 * lively, at + ": jobs in memory " + swarm.mostJobs);
         assertTrue(swarm.mostUnwritten < lively, at + ": unwritten " + swarm.mostUnwritten);
@@ -58,7 +58,7 @@
         // it once.
         assertTrue(swarm.slowestAnswer() < 2, at + ": submission took " + swarm.slowestAnswer());
         assertTrue(
-                swarm.repeated() <= 0.01 * swarm.next(),
+                swarm.repeated() <= 0.01 * swarm.submittedCount(),
                 at + ": submissions repeated " + swarm.repeated());
         assertTrue(
                 swarm.slowestStart() < BEGINS_WITHIN_SECONDS,
@@ -69,15 +69,15 @@
     void aLeaderEndsAndTheStoreIsOutMeanwhile() {
         for (long seed = 10; seed < 14; seed++) {
             ManySmallJobsScenario swarm = new ManySmallJobsScenario(seed, 5);
-            swarm.play(20);
-            swarm.endOfLeader(seed % 2 == 0 ? 0.3 : 5);
-            swarm.play(seed % 3 == 0 ? 0.5 : 20);
+            swarm.submitFor(20);
+            swarm.crashLeader(seed % 2 == 0 ? 0.3 : 5);
+            swarm.submitFor(seed % 3 == 0 ? 0.5 : 20);
             swarm.outage(4);
-            swarm.play(30);
+            swarm.submitFor(30);
             String at = "seed " + seed;
             System.out.println("swarm with troubles " + seed + ": " + swarm.summary());
-            swarm.over(at);
-            bounded(swarm, at);
+            swarm.checkAllOver(at);
+            checkBounds(swarm, at);
             assertTrue(swarm.cluster.store.leaderFencingToken() > 1, at);
         }
     }
