--- a/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
+++ b/src/test/java/io/kitepath/core/CancellationDuringFailoverTest.java
@@ -13,6 +13,7 @@
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.TransactionKeys;
 import io.kitepath.simulation.WorkerNetworkWrapper;
 import java.util.ArrayList;
 import java.util.List;
@@ -387,9 +388,7 @@
     /** Fate 1: written, and the response is lost; fate 2: written late; otherwise as usual. */
     private void loseOrDelayWritesOfEndedJobs(int fate) {
         Predicate<Transaction> ends =
-                transaction ->
-                        transaction.writes().stream()
-                                .anyMatch(write -> write.key().startsWith(StoreKeys.ENDED_JOBS));
+                transaction -> TransactionKeys.writesUnder(transaction, StoreKeys.ENDED_JOBS);
         cluster.store.losesResponseOf = transaction -> fate == 1 && ends.test(transaction);
         cluster.store.executionDelaySeconds =
                 transaction -> fate == 2 && ends.test(transaction) ? 0.6 : 0;
--- a/src/test/java/io/kitepath/core/CancellationWithStaleWatchTest.java
+++ b/src/test/java/io/kitepath/core/CancellationWithStaleWatchTest.java
@@ -7,6 +7,7 @@
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedNode;
 import io.kitepath.simulation.SimulatedWorker;
+import io.kitepath.simulation.TransactionKeys;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -71,15 +72,7 @@
         cutFromStore(leader, 9);
         cluster.store.executionDelaySeconds =
                 transaction ->
-                        transaction.writes().stream()
-                                        .anyMatch(
-                                                write ->
-                                                        write.key()
-                                                                .equals(
-                                                                        StoreKeys.ENDED_JOBS
-                                                                                + "j-1"))
-                                ? 1
-                                : 0;
+                        TransactionKeys.writes(transaction, StoreKeys.ENDED_JOBS + "j-1") ? 1 : 0;
         assertEquals(null, cluster.cancel(peer, "j-1"));
         peer.crash();
         cluster.run(1.2);
@@ -101,15 +94,7 @@
         cluster.store.ignoresRequestsOf = client -> true;
         cluster.store.executionDelaySeconds =
                 transaction ->
-                        transaction.writes().stream()
-                                        .anyMatch(
-                                                write ->
-                                                        write.key()
-                                                                .equals(
-                                                                        StoreKeys.ENDED_JOBS
-                                                                                + "j-1"))
-                                ? 0.7
-                                : 0;
+                        TransactionKeys.writes(transaction, StoreKeys.ENDED_JOBS + "j-1") ? 0.7 : 0;
         cluster.cancel(leader, "j-1");
         // Just after it was executed, and before the next comparison would find it.
         cluster.run(0.605);
--- a/src/test/java/io/kitepath/core/CellCancellationsTest.java
+++ b/src/test/java/io/kitepath/core/CellCancellationsTest.java
@@ -5,6 +5,7 @@
 
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.simulation.MultiCellSimulation;
+import io.kitepath.simulation.TransactionKeys;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -16,9 +17,7 @@
         String id = submitArray(1, 40);
         simulation.runUntil(20, () -> tasksInWest(id) > 0);
         simulation.cluster("west").store.holdsBack =
-                transaction ->
-                        transaction.writes().stream()
-                                .anyMatch(write -> write.key().startsWith("jobs/guest/"));
+                transaction -> TransactionKeys.writesUnder(transaction, "jobs/guest/");
         simulation.cancel(simulation.anyAliveNode("east"), id);
         simulation.run(5);
         assertEquals("LATER", simulation.cancel(simulation.anyAliveNode("east"), id));
--- a/src/test/java/io/kitepath/core/CellLoanFaultsTest.java
+++ b/src/test/java/io/kitepath/core/CellLoanFaultsTest.java
@@ -13,6 +13,7 @@
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.MultiCellSimulation;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.TransactionKeys;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -88,9 +89,7 @@
         // The write of the loan gets lost with the leader that made it; its successor knows nothing
         // of it.
         simulation.cluster("east").store.holdsBack =
-                transaction ->
-                        transaction.writes().stream()
-                                .anyMatch(write -> write.key().startsWith("jobs/lent/"));
+                transaction -> TransactionKeys.writesUnder(transaction, "jobs/lent/");
         String id = submitArray(1, 40);
         simulation.run(6);
         assertTrue(simulation.cluster("east").store.heldBackTransactions.size() > 0);
--- a/src/test/java/io/kitepath/core/FastMachineBootsTest.java
+++ b/src/test/java/io/kitepath/core/FastMachineBootsTest.java
@@ -15,6 +15,7 @@
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.TransactionKeys;
 import io.kitepath.simulation.WorkerNetworkWrapper;
 import java.util.List;
 import java.util.Map;
@@ -209,8 +210,7 @@
     }
 
     private static boolean writesRentalIntent(Transaction transaction) {
-        return transaction.writes().stream()
-                .anyMatch(write -> write.key().startsWith(StoreKeys.RENTAL_INTENTS));
+        return TransactionKeys.writesUnder(transaction, StoreKeys.RENTAL_INTENTS);
     }
 
     /** By kind of key; rentals whose machines are known apart from the others. */
--- a/src/test/java/io/kitepath/core/LastTaskCompletionTest.java
+++ b/src/test/java/io/kitepath/core/LastTaskCompletionTest.java
@@ -12,6 +12,7 @@
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.TransactionKeys;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -106,8 +107,7 @@
                 task -> lastEnd = task.jobId.equals(ID) ? cluster.clock.now : lastEnd;
         cluster.store.onCommit =
                 (client, transaction) -> {
-                    if (transaction.writes().stream()
-                            .anyMatch(write -> write.key().equals(StoreKeys.ENDED_JOBS + ID))) {
+                    if (TransactionKeys.writes(transaction, StoreKeys.ENDED_JOBS + ID)) {
                         written = cluster.clock.now;
                     }
                 };
--- a/src/test/java/io/kitepath/core/LostResponsesWithOtherFaultsTest.java
+++ b/src/test/java/io/kitepath/core/LostResponsesWithOtherFaultsTest.java
@@ -13,6 +13,7 @@
 import io.kitepath.core.state.StoreKeys;
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.TransactionKeys;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -161,13 +162,7 @@
                 int[] lost = {0};
                 cluster.store.losesResponseOf =
                         transaction ->
-                                transaction.writes().stream()
-                                                .anyMatch(
-                                                        write ->
-                                                                write.key()
-                                                                        .equals(
-                                                                                StoreKeys.ENDED_JOBS
-                                                                                        + "j-1"))
+                                TransactionKeys.writes(transaction, StoreKeys.ENDED_JOBS + "j-1")
                                         && lost[0]++ < 1;
                 if (how >= 2) {
                     cluster.store.ignoresRequestsOf = client -> client == holder;
@@ -224,12 +219,7 @@
             int[] lost = {0};
             cluster.store.losesResponseOf =
                     transaction ->
-                            transaction.writes().stream()
-                                            .anyMatch(
-                                                    write ->
-                                                            write.key()
-                                                                    .startsWith(
-                                                                            StoreKeys.ENDED_JOBS))
+                            TransactionKeys.writesUnder(transaction, StoreKeys.ENDED_JOBS)
                                     && lost[0]++ < 8;
             for (int j = 0; j < 4; j++) {
                 handIn(cluster, j, job("j-1" + j, j % 2 == 0 ? Shape.ARRAY : Shape.GANG, 1 + j, 1));
--- a/src/test/java/io/kitepath/core/QuotaSharesTest.java
+++ b/src/test/java/io/kitepath/core/QuotaSharesTest.java
@@ -9,6 +9,7 @@
 import io.kitepath.core.model.JobSpec.Shape;
 import io.kitepath.simulation.MultiCellSimulation;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.TransactionKeys;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -115,9 +116,7 @@
 
     private void loseShareWritesOf(String cell) {
         simulation.cluster(cell).store.holdsBack =
-                transaction ->
-                        transaction.writes().stream()
-                                .anyMatch(write -> write.key().startsWith("kitepath/share/"));
+                transaction -> TransactionKeys.writesUnder(transaction, "kitepath/share/");
     }
 
     private void endHolderOf(String cell) {
--- a/src/test/java/io/kitepath/core/UnknownWriteOutcomesTest.java
+++ b/src/test/java/io/kitepath/core/UnknownWriteOutcomesTest.java
@@ -9,6 +9,7 @@
 import io.kitepath.simulation.SimulatedCluster;
 import io.kitepath.simulation.SimulatedClusters;
 import io.kitepath.simulation.SimulatedNode;
+import io.kitepath.simulation.TransactionKeys;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -30,9 +31,7 @@
         int[] unheard = new int[1];
         cluster.store.losesResponseOf =
                 transaction -> {
-                    boolean ours =
-                            transaction.writes().stream()
-                                    .anyMatch(write -> write.key().startsWith(StoreKeys.JOB_PARTS));
+                    boolean ours = TransactionKeys.writesUnder(transaction, StoreKeys.JOB_PARTS);
                     if (ours && seen[0]++ >= nth && unheard[0] < tries) {
                         unheard[0]++;
                         if (cancel) {
--- a/src/test/java/io/kitepath/core/scheduling/JobBuilder.java
+++ b/src/test/java/io/kitepath/core/scheduling/JobBuilder.java
@@ -3,6 +3,7 @@
 import io.kitepath.core.model.JobSpec;
 import io.kitepath.core.model.JobSpec.Priority;
 import io.kitepath.core.model.JobSpec.Shape;
+import io.kitepath.core.model.JobSpecBuilder;
 import io.kitepath.core.shard.Job;
 
 /**
@@ -10,20 +11,23 @@
  * CPU and 10 s, submitted at 0 and to be started within 10 s.
  */
 final class JobBuilder {
-    private final String id;
-    private String jobClass = "work";
-    private String team = "red";
-    private Shape shape = Shape.ARRAY;
-    private Priority priority = Priority.NORMAL;
-    private int tasks = 1;
-    private double cpus = 1;
-    private boolean spot;
-    private String image = "img";
+    private final JobSpecBuilder spec;
     private double submittedMillis;
     private double[] startWithinSeconds = {10};
 
     private JobBuilder(String id) {
-        this.id = id;
+        spec =
+                JobSpec.builder(id)
+                        .jobClass("work")
+                        .team("red")
+                        .shape(Shape.ARRAY)
+                        .priority(Priority.NORMAL)
+                        .taskCount(1)
+                        .cpusPerTask(1)
+                        .memoryGigabytesPerTask(1)
+                        .image("img")
+                        .imageGigabytes(1)
+                        .estimatedSeconds(10);
     }
 
     static JobBuilder job(String id) {
@@ -31,42 +35,42 @@
     }
 
     JobBuilder jobClass(String name) {
-        jobClass = name;
+        spec.jobClass(name);
         return this;
     }
 
     JobBuilder team(String name) {
-        team = name;
+        spec.team(name);
         return this;
     }
 
     JobBuilder shape(Shape itsShape) {
-        shape = itsShape;
+        spec.shape(itsShape);
         return this;
     }
 
     JobBuilder priority(Priority itsPriority) {
-        priority = itsPriority;
+        spec.priority(itsPriority);
         return this;
     }
 
     JobBuilder tasks(int count) {
-        tasks = count;
+        spec.taskCount(count);
         return this;
     }
 
     JobBuilder cpus(double perTask) {
-        cpus = perTask;
+        spec.cpusPerTask(perTask);
         return this;
     }
 
     JobBuilder spot(boolean mayUseSpot) {
-        spot = mayUseSpot;
+        spec.allowSpot(mayUseSpot);
         return this;
     }
 
     JobBuilder image(String name) {
-        image = name;
+        spec.image(name);
         return this;
     }
 
@@ -81,9 +85,7 @@
     }
 
     JobSpec spec() {
-        return new JobSpec(
-                id, jobClass, team, shape, priority, tasks, cpus, 0, 1, null, null, false, false,
-                spot, image, 1, 10, 0, 0, null);
+        return spec.build();
     }
 
     Job build() {
