--- a/src/main/java/io/kitepath/core/state/BatchComposer.java
+++ b/src/main/java/io/kitepath/core/state/BatchComposer.java
@@ -18,14 +18,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides what goes into the next batch. What users wait for goes first: jobs that end, then
- * placements, which no task may start before. Other changes take what is left of the rate: until
- * the end of a task is written, its worker just goes on reporting it.
+ * Composes the next write batch. Changes that users wait for go first: ended jobs, then placements,
+ * which have to be committed before their tasks start. Other changes use the rest of the write
+ * rate: until the end of a task is committed, its worker keeps reporting it.
  */
 final class BatchComposer {
     private static final Logger LOG = LoggerFactory.getLogger(BatchComposer.class);
 
-    /** Writes that end a job: its open record goes, its ended record comes. */
+    /** Writes that end a job: removing its open record and putting its ended record. */
     private static final int WRITES_PER_ENDED_JOB = 2;
 
     private final ClusterSettings settings;
@@ -34,10 +34,10 @@
     private final ImageRecords images;
     private final ContributorQueue contributors;
 
-    /** Writes a second that batches may take altogether. */
+    /** Write rate available to all batches together. */
     private final double writesPerSecond;
 
-    /** When the service levels were written last, in seconds on the steady clock. */
+    /** When the service levels were last written, in seconds on the steady clock. */
     private double serviceLevelsWrittenAt;
 
     private long oversizeRecords;
@@ -56,20 +56,20 @@
         this.writesPerSecond = writesPerSecond;
     }
 
-    /** Times that a record was left out since it was too large. */
+    /** Returns how often a record was left out because it was too large. */
     long oversizeRecords() {
         return oversizeRecords;
     }
 
     /**
-     * Fills a batch with what differs from the store.
+     * Fills a batch with the changes that are not in the store yet.
      *
      * @param batch an empty batch
-     * @param maxWrites what one transaction may carry
-     * @param availableWrites what the write rate allows at the moment
-     * @param endsFirst whether ended jobs go before placements. They take turns: the ends of a
-     *     swarm of jobs, two writes each, would leave nothing to what is to start, and the other
-     *     way round.
+     * @param maxWrites the maximum number of writes in one transaction
+     * @param availableWrites the number of writes that the write rate currently allows
+     * @param endsFirst whether ended jobs go before placements. The order alternates: the ends of
+     *     many small jobs, two writes each, would otherwise leave no writes for placements, and
+     *     placements none for ended jobs.
      */
     void fill(
             WriteBatch batch,
@@ -86,8 +86,8 @@
         if (endsFirst) {
             budget = addCompletedJobs(batch, budget);
         }
-        // The longest waiting change goes along in any case, so that a stream of placements does
-        // not put it off for ever.
+        // The change that has waited longest is always included, so that a steady flow of
+        // placements does not starve it.
         addParts(
                 batch,
                 shard.dirtyParts().withOtherChanges(),
@@ -105,8 +105,8 @@
     // ---- parts of jobs --------------------------------------------------------------------------
 
     /**
-     * By rank, so that a gang does not wait for the records of small jobs that were placed before
-     * it.
+     * Returns the parts with new placements in queue order, so that a gang does not wait for the
+     * records of small jobs that were placed before it.
      */
     private List<JobPart> placementsByRank() {
         List<JobPart> placements = new ArrayList<>(shard.dirtyParts().withPlacements());
@@ -120,7 +120,7 @@
                 return;
             }
             if (isReadyToComplete(part.job)) {
-                continue; // Its parts are removed once the job is written as done.
+                continue; // Its parts are removed once the job's end is committed.
             }
             shard.dirtyParts().remove(part);
             if (!part.isDirty() || !batch.visit(part)) {
@@ -146,8 +146,9 @@
         Map<String, Object> record = job.partRecord(part.index);
         int bytes = JsonSize.sizeInBytes(record);
         if (bytes > shard.maxRecordBytes()) {
-            // Placed when records could be larger. Until enough of it has ended, its workers go on
-            // reporting what has, and no more of it is placed.
+            // These tasks were placed when records could be larger. Until enough of them have
+            // ended, their workers keep reporting ended ones and no more tasks of the part are
+            // placed.
             oversizeRecords++;
         } else {
             batch.putPart(part, record, bytes);
@@ -155,9 +156,10 @@
     }
 
     /**
-     * Adds a job whose records have to be laid out anew. Such a migration is a batch by itself.
+     * Adds the migration of a job whose records need another layout. A migration takes up a whole
+     * batch.
      *
-     * @return whether the batch is one
+     * @return whether the batch is a migration
      */
     private boolean addMigration(WriteBatch batch, int budget) {
         for (Job job : shard.jobsToMigrate()) {
@@ -180,14 +182,15 @@
         return false;
     }
 
-    // ---- ends of jobs ---------------------------------------------------------------------------
+    // ---- ended jobs -----------------------------------------------------------------------------
 
     /**
-     * Moves jobs whose tasks are all done to the ended jobs, and forgets ended jobs of which
-     * nothing is left.
+     * Moves jobs whose tasks are all done to the ended jobs, and removes ended jobs without live
+     * attempts and part records from memory.
      *
-     * @return the budget for what comes after, 0 if it did not suffice. Guards against placements
-     *     that leave no job's end its two writes, batch after batch.
+     * @return the budget for later additions, 0 if it was too small for an ended job. Guards
+     *     against placements that, batch after batch, leave less than the two writes of an ended
+     *     job.
      */
     private int addCompletedJobs(WriteBatch batch, int budget) {
         List<Job> settled = new ArrayList<>();
@@ -214,7 +217,7 @@
         batch.complete(job, record, JsonSize.sizeInBytes(record));
     }
 
-    /** Whether all the job's tasks are done and this cell decides on its end. */
+    /** Returns whether all tasks of the job are done and this cell decides on its end. */
     private static boolean isReadyToComplete(Job job) {
         return !job.isFinished()
                 && job.areAllTasksDone()
@@ -223,9 +226,9 @@
     }
 
     /**
-     * Cancels jobs with a dependency that is cancelled. All that it takes is on record, so the next
-     * leader goes on with it wherever this one stops. None of these jobs could start, so they have
-     * no tasks to stop; but their users wait for the answer.
+     * Cancels jobs with a cancelled dependency. Everything needed for this is stored, so the next
+     * leader can continue at any point. None of these jobs could start, so they have no tasks to
+     * stop, but their users wait for the result.
      */
     private void addCascadingCancellations(WriteBatch batch, int budget) {
         for (Job job : shard.jobDependencies().jobsToCancel()) {
@@ -246,11 +249,12 @@
         return job.record().toFinishedRecord(end, shard.maxRecordBytes());
     }
 
-    // ---- what others contribute -----------------------------------------------------------------
+    // ---- contributors and hints -----------------------------------------------------------------
 
     /**
-     * Guards against placements of a burst that wait for records which are only to be struck off; a
-     * backlog of those that would grow for ever goes along all the same.
+     * Adds contributors that are not urgent if the write rate has capacity to spare. Guards against
+     * a burst of placements that waits for mere removals of records. A backlog larger than the
+     * budget, which would grow without bound, is added nonetheless.
      */
     private void addDeferrableContributors(WriteBatch batch, int budget, double spare) {
         Deque<BatchContributor> deferrable = contributors.deferrable();
@@ -258,7 +262,7 @@
         addContributors(batch, deferrable, (int) Math.min(budget, backlogGrows ? budget : spare));
     }
 
-    /** Each takes a handful of writes at most; a quarter is left to everything else. */
+    /** Adds contributors, a few writes each; a quarter of the budget is left for other writes. */
     private void addContributors(WriteBatch batch, Deque<BatchContributor> waiting, int budget) {
         while (!waiting.isEmpty() && batch.writeCount() < budget * 3 / 4 && !batch.isHalfFull()) {
             BatchContributor contributor = waiting.poll();
@@ -269,7 +273,9 @@
         }
     }
 
-    /** Adds one record that only helps the next leader, if there is room and one is due. */
+    /**
+     * Adds one record that only helps the next leader, if the batch has capacity and one is due.
+     */
     private void addHint(WriteBatch batch, int budget, double now) {
         if (batch.writeCount() >= budget || batch.isHalfFull()) {
             return;
--- a/src/main/java/io/kitepath/core/state/BatchSizeLimit.java
+++ b/src/main/java/io/kitepath/core/state/BatchSizeLimit.java
@@ -1,12 +1,12 @@
 package io.kitepath.core.state;
 
 /**
- * How many writes one transaction may carry. Starts at the configured limit, is halved when the
- * store answers that a transaction is invalid, and grows by one write with each committed
- * transaction, up to just below the smallest invalid transaction.
+ * Limits the number of writes in one transaction. Starts at the configured limit, drops to half the
+ * size of a transaction that the store rejects as invalid, and grows by one write with each
+ * committed transaction, up to one write less than the smallest invalid transaction.
  */
 final class BatchSizeLimit {
-    /** An ended job takes two writes, which can't be divided. */
+    /** An ended job takes two writes, which have to be in one transaction. */
     private static final int MIN_WRITES = 2;
 
     private static final int NONE_INVALID = Integer.MAX_VALUE;
@@ -14,7 +14,7 @@
     private final int configuredWrites;
     private int maxWrites;
 
-    /** Writes in the smallest transaction that was invalid. */
+    /** Number of writes in the smallest transaction that was invalid. */
     private int smallestInvalid = NONE_INVALID;
 
     BatchSizeLimit(int configuredWrites) {
@@ -30,13 +30,16 @@
         maxWrites = Math.min(Math.min(configuredWrites, smallestInvalid - 1), maxWrites + 1);
     }
 
-    /** A transaction of several writes was invalid. */
+    /** Handles the rejection of a transaction of several writes as invalid. */
     void onInvalid(int writes) {
         smallestInvalid = Math.min(smallestInvalid, writes);
         maxWrites = Math.max(MIN_WRITES, writes / 2);
     }
 
-    /** A single record was invalid, which may have been the cause of the earlier answers too. */
+    /**
+     * Handles the rejection of a single record as invalid. That record may also have caused the
+     * earlier rejections, so the size that they suggested is discarded.
+     */
     void onSingleRecordInvalid() {
         smallestInvalid = NONE_INVALID;
     }
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -14,39 +14,40 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Proves by the store, again and again, that the shard leader knows every cancellation:
- * transactions that only compare name the open key of each job of which something may be on a
- * machine, at the revision that the leader knows. What all of them find unchanged was open when the
- * first was sent. Guards against a watch that hangs while renewals go through, and against one
- * whose empty answer proves nothing, since the store refuses this node.
+ * Confirms periodically, by reading the store, that the shard leader knows every cancellation.
+ * Compare-only transactions require the open record of each job that may have a task on a machine
+ * to have the revision that the leader knows. Jobs whose records are all unchanged were open when
+ * the first transaction was sent. Guards against a watch that hangs while lease renewals succeed,
+ * and against a watch whose empty response confirms nothing because the store rejects this node's
+ * requests.
  *
- * <p>Jobs whose tasks are placed later need no proof: their placement is written under the
+ * <p>Jobs whose tasks are placed later need no confirmation: their placement is written on the
  * condition that they are open. Runs on the event loop.
  */
 public final class CancellationProof {
-    /** Receives what the comparisons show. */
+    /** Receives the results of the comparisons. */
     public interface Listener {
-        /** The job is not open any more, though no watch said so. */
+        /** Called when a job is no longer open although no watch reported it. */
         void jobClosed(String id);
 
         /**
-         * All cancellations are known that were made before a moment.
+         * Called when all cancellations made before a point in time are known.
          *
-         * @param asOfMillis that moment, by this node's wall clock
+         * @param asOfMillis that point in time, by this node's wall clock
          */
         void cancellationsKnownAsOf(double asOfMillis);
     }
 
-    /** Before something is asked again that was not answered. */
+    /** Delay before a request that got no definite response is sent again. */
     private static final double RETRY_SECONDS = 0.4;
 
-    /** Transactions of one round that are sent at the same time. */
+    /** Number of transactions of one round that are in flight at the same time. */
     private static final int MAX_IN_FLIGHT = 4;
 
-    /** A transaction that only compares may hold that many times the operations of a write. */
+    /** Number of conditions in a compare-only transaction per operation allowed in a write. */
     private static final int CONDITIONS_PER_OPERATION = 4;
 
-    /** Rounds within the margin that a lease is kept beyond what is proven. */
+    /** Number of rounds within the margin by which a lease may outlast the last confirmation. */
     private static final int ROUNDS_PER_MARGIN = 8;
 
     private final ClusterSettings settings;
@@ -58,14 +59,14 @@
     private final Listener listener;
     private final Epoch epoch = new Epoch();
 
-    /** Conditions in one transaction. */
+    /** Maximum number of conditions in one transaction. */
     private int maxConditions;
 
     /**
-     * Creates a proof that asks nothing before it is started.
+     * Creates an instance that sends no requests before it is started.
      *
-     * @param random spreads the questions of several nodes
-     * @param holdsLoadedShard whether this node leads the shard and has its jobs in memory
+     * @param random adds jitter so that the requests of several nodes spread out
+     * @param holdsLoadedShard whether this node leads the shard and has its jobs loaded
      */
     public CancellationProof(
             Store store,
@@ -84,12 +85,12 @@
         this.maxConditions = CONDITIONS_PER_OPERATION * settings.store().maxTransactionOperations();
     }
 
-    /** Begins for a new leader; rounds follow one another until {@link #stop}. */
+    /** Starts the rounds for a new leader; they follow one another until {@link #stop}. */
     public void start() {
         startRound(epoch.advance());
     }
 
-    /** Ends the rounds; the listener is not called any more. */
+    /** Stops the rounds; the listener is no longer called. */
     public void stop() {
         epoch.advance();
     }
@@ -109,29 +110,30 @@
         timers.schedule(jittered(seconds), () -> startRound(token));
     }
 
-    /** Between three and five quarters of the time. */
+    /** Returns a random duration between 75% and 125% of the given one. */
     private double jittered(double seconds) {
         return seconds * (0.75 + random.nextDouble() / 2);
     }
 
     /**
-     * One comparison of all jobs, in as many transactions as it takes, some at the same time.
-     * Guards against a store over its rate that refuses one of several each time: what was refused
-     * is sent again, the rest is not. It counts from when the first was sent, so one that takes too
-     * long to be worth anything begins anew.
+     * One comparison of all jobs, in as many transactions as necessary, several of them in flight
+     * at the same time. Only the transactions that failed are sent again, which guards against a
+     * store over its request rate that rejects one of several each time. The result holds as of the
+     * time when the first transaction was sent, so a round that takes too long to be useful is
+     * replaced by a new one.
      */
     private final class ComparisonRound {
         private final Epoch.Token token;
         private final double startedMillis = timers.wallClockMillis();
         private final Deque<Transaction> unsent = new ArrayDeque<>();
 
-        /** Transactions of which the answer is missing. */
+        /** Number of transactions without a definite response. */
         private int unanswered;
 
-        /** Whether it can't be completed any more. */
+        /** Whether this round can no longer be completed. */
         private boolean expired;
 
-        /** Whether another round takes its place. */
+        /** Whether another round replaces this one. */
         private boolean replaced;
 
         ComparisonRound(Epoch.Token token) {
@@ -148,8 +150,8 @@
         }
 
         /**
-         * Jobs of other cells are cancelled by their home cell, which waits for this cell's answer
-         * before it tells anybody.
+         * Returns whether the job has to be compared. Jobs of other cells are excluded: their home
+         * cell cancels them and waits for this cell's response before it reports the cancellation.
          */
         private boolean needsProof(Job job) {
             return !job.isFinished() && !job.borrowed && !job.liveAttempts().isEmpty();
@@ -175,8 +177,8 @@
                 case OK -> onCompared();
                 case REJECTED -> reportClosed(transaction, new ArrayDeque<>(result.failedKeys()));
                 case INVALID -> {
-                    // The store takes fewer conditions than the settings say: those of the next
-                    // round.
+                    // The store accepts fewer conditions than configured; the next round uses
+                    // fewer.
                     int tooMany = transaction.conditions().size();
                     maxConditions = Math.max(1, Math.min(maxConditions, tooMany / 2));
                     expired = true;
@@ -208,8 +210,9 @@
         }
 
         /**
-         * Looks up, one after the other, the keys that differ: they are gone, or were written anew,
-         * as when the job's parts were laid out in another way.
+         * Looks up, one after the other, the keys whose revision differs. Their records were either
+         * removed or written again, for example by a migration of the job's parts to another
+         * layout.
          */
         private void reportClosed(Transaction transaction, Deque<String> keys) {
             if (keys.isEmpty()) {
--- a/src/main/java/io/kitepath/core/state/CommittedBatchApplier.java
+++ b/src/main/java/io/kitepath/core/state/CommittedBatchApplier.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Makes the memory agree with the store once a batch is committed. */
+/** Applies a committed batch to the shard's state in memory. */
 final class CommittedBatchApplier {
     private static final Logger LOG = LoggerFactory.getLogger(CommittedBatchApplier.class);
 
@@ -21,7 +21,11 @@
         this.listener = listener;
     }
 
-    /** The store has all of the batch, at that revision. */
+    /**
+     * Applies a batch.
+     *
+     * @param revision the store's revision at which the batch was committed
+     */
     void apply(WriteBatch batch, long revision) {
         batch.contributors().forEach(contributor -> contributor.onCommitted(revision));
         for (WriteBatch.WrittenPart written : batch.parts()) {
@@ -35,7 +39,7 @@
 
     private void applyCompleted(Job job) {
         LOG.info(
-                "job {} done: {}",
+                "job done: job={} timings=\"{}\"",
                 job.spec.id(),
                 job.describeTimings(timers.nowSeconds(), timers.wallClockMillis()));
         shard.serviceLevels().recordDone(job, timers.wallClockMillis());
@@ -43,7 +47,7 @@
     }
 
     private void applyCancelled(Job job) {
-        LOG.info("job {} cancelled, as one that it depends on was", job.spec.id());
+        LOG.info("job cancelled because a dependency was cancelled: job={}", job.spec.id());
         applyEnd(job, EndStatus.CANCELLED, 0);
     }
 
--- a/src/main/java/io/kitepath/core/state/ContributorQueue.java
+++ b/src/main/java/io/kitepath/core/state/ContributorQueue.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Contributors that wait for a batch, in order of arrival: the urgent ones apart from those that
- * can wait until the write rate has some to spare.
+ * Contributors that wait for a batch, in order of arrival. Urgent contributors are kept apart from
+ * those that can wait until the write rate has capacity to spare.
  */
 final class ContributorQueue {
     private final Deque<BatchContributor> urgent = new ArrayDeque<>();
@@ -25,7 +25,7 @@
         queueOf(contributor).add(contributor);
     }
 
-    /** Returns the contributors of a batch that was not committed to the front, in their order. */
+    /** Puts the contributors of a batch that was not committed back at the front, in order. */
     void putBack(List<BatchContributor> contributors) {
         for (int i = contributors.size() - 1; i >= 0; i--) {
             BatchContributor contributor = contributors.get(i);
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -15,22 +15,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds out from the records how jobs ended that others depend on. Within a share of the request
- * rate, and those first that block the most urgent work: a new leader may have to ask about every
- * job that was ever done for the open pipelines. Runs on the event loop.
+ * Reads from the records how the jobs ended that other jobs depend on. Requests are limited to a
+ * share of the request rate, and outcomes that block the most urgent work are read first: a new
+ * leader may have to read the outcome of every job that ever ended in the open pipelines. Runs on
+ * the event loop.
  */
 final class DependencyOutcomes {
     private static final Logger LOG = LoggerFactory.getLogger(DependencyOutcomes.class);
 
-    /** Of the state service's requests. */
+    /** Share of the state service's request rate. */
     private static final double RATE_SHARE = 0.3;
 
     private static final int MAX_IN_FLIGHT = 8;
 
-    /** Between two questions about a job that is neither open nor ended as yet. */
+    /** Delay between two reads for a job that is neither open nor ended yet. */
     private static final double NOT_ENDED_RETRY_SECONDS = 0.5;
 
-    /** Between two questions where the store could not answer the first. */
+    /** Delay between two reads if the store could not execute the first. */
     private static final double UNANSWERED_RETRY_SECONDS = NOT_ENDED_RETRY_SECONDS / 2;
 
     private final Store store;
@@ -38,7 +39,7 @@
     private final JobDependencies dependencies;
     private final TokenBucket requests;
 
-    /** Ids of jobs that are asked about or wait to be asked about again. */
+    /** Ids of jobs whose outcome is being read or whose next read is scheduled. */
     private final Set<String> inFlight = new HashSet<>();
 
     private final Epoch epoch = new Epoch();
@@ -54,10 +55,10 @@
     }
 
     /**
-     * Begins anew; nothing is asked before {@link #askForUnknown}.
+     * Starts anew; no request is sent before {@link #askForUnknown}.
      *
-     * @param onOutcomeKnown runs when a job may start, or has to be cancelled, that could not or
-     *     had not to before
+     * @param onOutcomeKnown runs when an outcome has become known, after which other jobs may start
+     *     or have to be cancelled
      */
     void start(Runnable onOutcomeKnown) {
         stop();
@@ -70,7 +71,7 @@
         waitingForRate = false;
     }
 
-    /** Asks for the outcomes that are not known, as far as the rate allows. */
+    /** Reads the outcomes that are not known, as far as the request rate allows. */
     void askForUnknown() {
         if (waitingForRate) {
             return;
@@ -118,8 +119,8 @@
             askForUnknown();
             return;
         }
-        // Not ended: it is open, and this leader has not heard of it yet; or the store can't be
-        // asked now.
+        // Either the job has not ended, so it is open and this leader has not received it yet, or
+        // the store could not execute the read.
         timers.schedule(
                 outcome == Outcome.REJECTED ? NOT_ENDED_RETRY_SECONDS : UNANSWERED_RETRY_SECONDS,
                 () -> {
@@ -134,13 +135,15 @@
         try {
             DocumentReader document = DocumentReader.of(record);
             boolean done = EndStatus.fromRecord(document) == EndStatus.DONE;
-            // Earlier versions did not write when a job ended.
+            // Earlier versions did not write the time when a job ended.
             double endedMillis = document.numberOr("endedMs", 0, timers.wallClockMillis());
             dependencies.recordOutcome(id, done, endedMillis);
             return true;
         } catch (InvalidInputException invalid) {
             LOG.error(
-                    "record {} is unreadable: {}", StoreKeys.ENDED_JOBS + id, invalid.getMessage());
+                    "record unreadable: key={} reason={}",
+                    StoreKeys.ENDED_JOBS + id,
+                    invalid.getMessage());
             return false;
         }
     }
--- a/src/main/java/io/kitepath/core/state/EndStatus.java
+++ b/src/main/java/io/kitepath/core/state/EndStatus.java
@@ -4,12 +4,12 @@
 import io.kitepath.core.model.InvalidInputException;
 import java.util.Arrays;
 
-/** How a job ended, by the name that its stored record and its {@code JobStatus} have for it. */
+/** How a job ended, with the name used in its stored record and in its {@code JobStatus}. */
 public enum EndStatus {
     DONE("done"),
     CANCELLED("cancelled");
 
-    /** The field of the record. */
+    /** The record's field that holds the status. */
     private static final String FIELD = "status";
 
     private final String storedName;
@@ -18,21 +18,22 @@
         this.storedName = storedName;
     }
 
-    /** The name in records and in what users are told. */
+    /** Returns the name used in records and in responses to users. */
     public String storedName() {
         return storedName;
     }
 
     /**
-     * Reads it from the record of a job's end.
+     * Reads the status from the record of an ended job.
      *
-     * @throws InvalidInputException if the record does not say how the job ended
+     * @throws InvalidInputException if the record has no known status
      */
     public static EndStatus fromRecord(DocumentReader record) {
         String name = record.text(FIELD);
         return Arrays.stream(values())
                 .filter(status -> status.storedName.equals(name))
                 .findFirst()
-                .orElseThrow(() -> record.invalid(FIELD, "is not how a job ends: " + name));
+                .orElseThrow(
+                        () -> record.invalid(FIELD, "is not the status of an ended job: " + name));
     }
 }
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -14,28 +14,28 @@
 import java.util.TreeMap;
 
 /**
- * Which machines have which images, kept in the store for the next leader. Guards against a new
- * leader that knows only the images of what runs, and has tasks fetch on one machine what another
- * has. A hint, on which nothing depends but time: the machines are spread over a few records, which
- * are written in turn, now and then and only if they changed.
+ * Stores the images on each machine for the next leader. Guards against a new leader that knows
+ * only the images of running tasks and makes tasks pull an image on one machine although another
+ * already has it. The records are hints that affect only start times: the machines are distributed
+ * over a few records, which are written in turn, at intervals and only if they changed.
  */
 public final class ImageRecords {
     private static final int RECORD_COUNT = 16;
 
-    /** Of the bytes that a value may have, by an estimate. */
+    /** Share of the maximum value size that a record may use, by an estimate. */
     private static final double MAX_FILL = 0.9;
 
-    /** What a machine takes in a record besides its name. */
+    /** Size of a machine in a record without its name. */
     private static final int MACHINE_OVERHEAD_BYTES = 4;
 
-    /** What an image takes in a record besides its name and its machines. */
+    /** Size of an image in a record without its name and its machines. */
     private static final int IMAGE_OVERHEAD_BYTES = 32;
 
     /**
-     * One image in a record. In the store it is a list: the size, then the machines.
+     * One image in a record. It is stored as a list: the size, then the machine ids.
      *
      * @param gigabytes the image's size
-     * @param machineIds the machines that have it
+     * @param machineIds the machines that have the image
      */
     private record ImageCopies(double gigabytes, List<String> machineIds) {
         List<Object> toStored() {
@@ -45,7 +45,10 @@
             return stored;
         }
 
-        /** Empty if the value is not one of an image; what is no machine's id is left out. */
+        /**
+         * Parses a stored value; empty if it is not an image. Elements that are not ids are
+         * skipped.
+         */
         static Optional<ImageCopies> fromStored(Object value) {
             if (!(value instanceof List<?> stored)
                     || stored.isEmpty()
@@ -64,10 +67,10 @@
 
     private final ClusterSettings settings;
 
-    /** By index: the records as this leader wrote them last. */
+    /** By index: the records as last written by this leader. */
     private final Map<Integer, Map<String, Object>> lastWritten = new HashMap<>();
 
-    /** By machine that has not reported yet: its images' sizes in gigabytes, by name. */
+    /** By id of a machine that is not known yet: the size of its images in gigabytes, by name. */
     private final Map<String, Map<String, Double>> remembered = new HashMap<>();
 
     private int next;
@@ -75,12 +78,12 @@
     /** When the next record is due, in seconds on the steady clock. */
     private double nextAt;
 
-    /** Creates records of which none is known to be in the store. */
+    /** Creates an instance that assumes no records in the store. */
     public ImageRecords(ClusterSettings settings) {
         this.settings = settings;
     }
 
-    /** The next record, if it is due and differs from what was written last. */
+    /** Returns the next record if it is due and differs from the one last written. */
     Optional<Store.Write> nextDueRecord(Collection<Machine> machines, double now) {
         if (now < nextAt) {
             return Optional.empty();
@@ -129,7 +132,7 @@
         return record;
     }
 
-    /** Takes what the last leader knew, for machines as they become known here. */
+    /** Loads the previous leader's records, to be applied as machines become known here. */
     void load(List<Entry> records) {
         for (Entry entry : records) {
             if (entry.value() instanceof Map<?, ?> images) {
@@ -153,7 +156,7 @@
                         });
     }
 
-    /** Tells a machine that has become known which images the last leader saw on it, once. */
+    /** Restores, once, the images that the previous leader recorded for a machine now known. */
     public void restoreImages(Machine machine) {
         Map<String, Double> images = remembered.remove(machine.id);
         if (images != null) {
@@ -161,7 +164,7 @@
         }
     }
 
-    /** Forgets everything, as this node does not lead any more. */
+    /** Clears all state, because this node is no longer the leader. */
     void clear() {
         remembered.clear();
         lastWritten.clear();
--- a/src/main/java/io/kitepath/core/state/LayoutRecord.java
+++ b/src/main/java/io/kitepath/core/state/LayoutRecord.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes down, once in a deployment, how many tasks a part of a job holds whose record does not say
- * so. Guards against settings that change: a part's key would mean other tasks, and those on
- * machines would be started once more.
+ * Writes the record layout once per deployment: the number of tasks per part for jobs whose record
+ * does not state it. Guards against a change of the settings, after which a part's key would refer
+ * to other tasks and tasks that are already running would be started again.
  */
 final class LayoutRecord implements BatchContributor {
     private static final Logger LOG = LoggerFactory.getLogger(LayoutRecord.class);
--- a/src/main/java/io/kitepath/core/state/PagedScan.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -10,14 +10,14 @@
 import java.util.function.Consumer;
 
 /**
- * Reads everything under a prefix, page by page, and asks again for a page that is refused. Guards
- * against a reading that begins anew for every such page: while many ask the state service, a new
- * leader would never get to the end of its jobs. Runs on the event loop.
+ * Reads all records under a prefix, page by page, and retries each page that could not be read.
+ * Guards against restarting the whole scan for each such page: under a high request load on the
+ * state service, a new leader would never finish reading its jobs. Runs on the event loop.
  */
 public final class PagedScan {
     private static final int PAGE_SIZE = 500;
 
-    /** Before a page is asked for again; longer with each attempt, up to the maximum. */
+    /** Delay before a page is read again, multiplied by the attempt up to the maximum. */
     private static final double RETRY_STEP_SECONDS = 0.1;
 
     private static final double MAX_RETRY_SECONDS = 1;
@@ -29,7 +29,7 @@
     private final Consumer<ListResult> answer;
     private final List<Entry> entries = new ArrayList<>();
 
-    /** Of the first page; negative before that was read. */
+    /** The revision of the first page; negative until that page is read. */
     private long revision = -1;
 
     private PagedScan(
@@ -48,9 +48,9 @@
     /**
      * Reads all records under the prefix.
      *
-     * @param maxAttempts how often each page is asked for before the scan fails
-     * @param answer gets all entries in the keys' order, at a revision from before the first page
-     *     was read, or the outcome of the page that could not be had
+     * @param maxAttempts number of attempts to read each page before the scan fails
+     * @param answer receives all entries in key order and the revision of the first page, or the
+     *     outcome of the page that could not be read
      */
     public static void read(
             Store store,
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -8,29 +8,29 @@
 import java.util.Map;
 
 /**
- * Moves one job's records to narrower parts, in one transaction: those of a gang or a service, all
- * of whose tasks have to be on record at the same time, where its parts are too wide for the state
- * service's limits.
+ * Migrates the records of one job to smaller parts, in one transaction. Used for a gang or a
+ * service, all of whose tasks have to be on record at the same time, if its parts are too large for
+ * the state service's limits.
  */
 final class RecordMigration {
     final Job job;
 
-    /** The job's record as it will be. */
+    /** The job's new record. */
     private final JobRecord record;
 
-    /** The job's version that the new records show. */
+    /** The job's version that the new records contain. */
     private final int version;
 
-    /** The new records of its parts, by index; parts of which there is nothing to say have none. */
+    /** The new records of the job's parts, by index; parts without content have no record. */
     private final Map<Integer, Map<String, Object>> parts = new LinkedHashMap<>();
 
-    /** Records of parts that go. */
+    /** Number of part records that are removed. */
     private final int removedParts;
 
     /**
-     * Works out the new records.
+     * Computes the new records.
      *
-     * @param tasksPerPart how many tasks each of the new parts holds
+     * @param tasksPerPart number of tasks in each new part
      */
     RecordMigration(Job job, int tasksPerPart) {
         this.job = job;
@@ -60,7 +60,7 @@
         return job.part(part).revision() > 0 && !parts.containsKey(part);
     }
 
-    /** Writes that the migration takes: the job's record, and each part's that comes or goes. */
+    /** Returns the number of writes: the job's record and each part record written or removed. */
     int writeCount() {
         return 1 + parts.size() + removedParts;
     }
@@ -79,7 +79,7 @@
         parts.forEach((i, part) -> transaction.put(StoreKeys.partKey(id, i), part));
     }
 
-    /** The store has the new records, at that revision. */
+    /** Applies the migration once the store has committed it at the given revision. */
     void onCommitted(ShardState shard, long revision) {
         boolean changedMeanwhile = job.version() != version;
         shard.applyMigration(job, record, revision, version, parts.keySet());
--- a/src/main/java/io/kitepath/core/state/RecordWatch.java
+++ b/src/main/java/io/kitepath/core/state/RecordWatch.java
@@ -8,21 +8,21 @@
 import java.util.function.Consumer;
 
 /**
- * Follows the changes of records under a prefix by long polling, until its epoch is over or the
- * store has forgotten the revision to go on from. Runs on the event loop.
+ * Watches the records under a prefix for changes by long polling, until its epoch ends or the store
+ * no longer has the revision to continue from. Runs on the event loop.
  */
 final class RecordWatch {
     private static final double RETRY_SECONDS = 0.3;
 
-    /** What happens beside the handling of each changed record. */
+    /** Receives events in addition to each changed record. */
     interface Listener {
-        /** The store answered, with or without changes, and all of them are handled. */
+        /** Called after the store responded and all changes, if any, were handled. */
         void onAnswer();
 
-        /** Some record has changed, and the watch goes on. */
+        /** Called after at least one record has changed and the watch was continued. */
         void onChanges();
 
-        /** Changes were missed, and the watch ends. */
+        /** Called when changes were missed; the watch ends. */
         void onChangesMissed();
     }
 
@@ -33,9 +33,9 @@
     private final Listener listener;
 
     /**
-     * Prepares watches of one epoch.
+     * Creates an instance for the watches of one epoch.
      *
-     * @param holdMillis how long the store may hold a question that there is no answer to
+     * @param holdMillis how long the store may hold a request while there are no changes
      */
     RecordWatch(Store store, Timers timers, long holdMillis, Epoch.Token epoch, Listener listener) {
         this.store = store;
@@ -45,7 +45,7 @@
         this.listener = listener;
     }
 
-    /** Hands each record under the prefix that changes after the revision to the handler. */
+    /** Passes each record under the prefix that changes after the revision to the handler. */
     void follow(String prefix, long afterRevision, Consumer<Entry> handler) {
         if (epoch.isStale()) {
             return;
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -18,32 +18,33 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the records of all jobs that are open or have parts left, once, for a new leader. Runs on
+ * Reads the records of all jobs that are open or still have parts, once, for a new leader. Runs on
  * the event loop.
  */
 public final class StateLoader {
-    /** How often a page is asked for before the whole reading fails. */
+    /** Number of attempts to read a page before the whole load fails. */
     private static final int MAX_PAGE_ATTEMPTS = 20;
 
-    /** Records of ended jobs that are read at the same time. */
+    /** Number of records of ended jobs that are read at the same time. */
     private static final int MAX_IN_FLIGHT = 8;
 
-    /** Before a record is read again; longer with each attempt, up to the maximum. */
+    /** Delay before a record is read again, multiplied by the attempt up to the maximum. */
     private static final double RETRY_STEP_SECONDS = 0.1;
 
     private static final double MAX_RETRY_SECONDS = 1;
 
     /**
-     * Everything that was read.
+     * All records that were read.
      *
-     * @param revision from before the first record was read: changes have to be followed from there
+     * @param revision a revision from before the first record was read; changes have to be watched
+     *     from there
      * @param openJobs jobs that are neither done nor cancelled
-     * @param parts what is done and what is on machines, of open and of ended jobs
-     * @param endedJobs by id: jobs that ended and have parts left, so that something of them may
-     *     still be on machines
-     * @param cellRecords what concerns other cells
-     * @param cloudIntents what was asked of the cloud, read at its own revision
-     * @param layout how records are laid out, empty if nobody has written it yet
+     * @param parts tasks that are done and attempts on machines, of open and of ended jobs
+     * @param endedJobs by id: ended jobs that still have parts, so that their tasks may still be on
+     *     machines
+     * @param cellRecords records about other cells
+     * @param cloudIntents requests to the cloud, read at their own revision
+     * @param layout the record layout, empty if it has not been written yet
      */
     public record LoadedState(
             long revision,
@@ -55,13 +56,13 @@
             Optional<Entry> layout) {}
 
     /**
-     * Records about other cells, all empty where there are none.
+     * Records about other cells, all empty if there are no other cells.
      *
-     * @param lentTasks which tasks of open jobs are lent to other cells
-     * @param borrowedTasks what other cells lent to this one
-     * @param cancellationRequests open jobs whose users asked to cancel them
-     * @param voidedNumbers which of the other cells' loans can't be taken any more
-     * @param quotaShares what came to this cell of each team's quota, and what of it went
+     * @param lentTasks tasks of open jobs that are lent to other cells
+     * @param borrowedTasks tasks that other cells lent to this one
+     * @param cancellationRequests open jobs whose users requested their cancellation
+     * @param voidedNumbers numbers of other cells' loans that can no longer be accepted
+     * @param quotaShares shares of each team's quota that this cell received and gave away
      */
     public record CellRecords(
             List<Entry> lentTasks,
@@ -70,9 +71,9 @@
             List<Entry> voidedNumbers,
             List<Entry> quotaShares) {}
 
-    /** Takes what the records say about other cells. */
+    /** Receives the records about other cells. */
     public interface LoanRecords {
-        /** For a cell that is by itself: no such records are read or followed. */
+        /** For a deployment without other cells: no such records are read or watched. */
         LoanRecords NONE =
                 new LoanRecords() {
                     @Override
@@ -82,12 +83,12 @@
                     public void cancellationRequestChanged(Entry entry) {}
                 };
 
-        /** Takes over everything, after the open jobs and before their parts. */
+        /** Adopts the loaded records, after the open jobs and before their parts. */
         void adoptLoaded(LoadedState found);
 
         /**
-         * A job's user asks to cancel it while some of it may be lent; the request is withdrawn if
-         * the entry has no value.
+         * Called when a user has requested the cancellation of a job that may have lent tasks; an
+         * entry without a value withdraws the request.
          */
         void cancellationRequestChanged(Entry entry);
     }
@@ -111,19 +112,19 @@
     private Optional<Entry> layout = Optional.empty();
     private final Map<String, Entry> endedJobs = new HashMap<>();
 
-    /** Jobs that are not open, of which the records of their ends are still to be read. */
+    /** Ids of jobs that are not open and whose ended record has not been requested yet. */
     private final Deque<String> unreadEnds = new ArrayDeque<>();
 
     private int missingEnds;
     private boolean jobsRead;
 
     /**
-     * Prepares one reading.
+     * Prepares one load.
      *
      * @param withCellRecords whether there are other cells
-     * @param epoch once it is over nobody waits for what is read any more
-     * @param onRunningKnown receives the ids of all jobs of which something may run, before
-     *     anything else of them is read
+     * @param epoch the load is abandoned once this epoch ends
+     * @param onRunningKnown receives the ids of all jobs that may have running tasks, before any
+     *     other records of these jobs are read
      */
     StateLoader(
             Store store,
@@ -139,16 +140,16 @@
     }
 
     /**
-     * Reads everything. The answer is empty if it can't be had now; there is none once the epoch is
-     * over.
+     * Reads all records. The result is empty if a read fails; no result is passed on once the epoch
+     * has ended.
      */
     void load(Consumer<Optional<LoadedState>> then) {
         answer =
                 found -> {
-                    answer = ignored -> {}; // The first of the readings that fails speaks for all.
+                    answer = ignored -> {}; // Ignores later failures.
                     then.accept(found);
                 };
-        // Beside the jobs, so that a failover does not take longer for it.
+        // Read in parallel to the jobs so that a failover does not take longer.
         readAll(
                 StoreKeys.CLOUD_INTENTS,
                 listing -> {
@@ -196,7 +197,7 @@
                 });
     }
 
-    // ---- one step after the other ---------------------------------------------------------------
+    // ---- sequential reads -----------------------------------------------------------------------
 
     private void readLayout() {
         store.get(
@@ -289,8 +290,7 @@
         Set<String> notOpen = new LinkedHashSet<>();
         parts.entries().forEach(entry -> notOpen.add(StoreKeys.jobOfPart(entry.key())));
         notOpen.removeAll(openJobIds());
-        // Of what other cells lent to us, nothing has ended here that has not ended in the loan's
-        // own record.
+        // Borrowed tasks have no ended records here: their end is stored in the record of the loan.
         borrowedTasks.forEach(entry -> notOpen.remove(jobOfLoan(entry)));
         unreadEnds.addAll(notOpen);
         missingEnds = unreadEnds.size();
--- a/src/main/java/io/kitepath/core/state/StateRestorer.java
+++ b/src/main/java/io/kitepath/core/state/StateRestorer.java
@@ -11,11 +11,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Turns records of the store into the shard's state in memory, and keeps its list of open jobs. */
+/** Restores the shard's state in memory from stored records and keeps its open jobs up to date. */
 final class StateRestorer {
     private static final Logger LOG = LoggerFactory.getLogger(StateRestorer.class);
 
-    /** How often everything is read again before a part without a job is passed over. */
+    /** Number of reloads before a part without a job is skipped. */
     private static final int MAX_RELOADS_FOR_ORPHAN_PARTS = 5;
 
     private final Timers timers;
@@ -23,7 +23,7 @@
     private final StateWriter.Listener listener;
     private final StateLoader.LoanRecords loanRecords;
 
-    /** How often in a row what was read did not fit together. */
+    /** Number of consecutive reads that were inconsistent. */
     private int inconsistentReads;
 
     StateRestorer(
@@ -38,11 +38,12 @@
     }
 
     /**
-     * Replaces all jobs in memory by those that were read.
+     * Replaces all jobs in memory by the loaded ones.
      *
-     * @param serviceLevels what an earlier leader counted, if that was read in time
-     * @return false if what was read does not fit together, as when jobs came or ended meanwhile:
-     *     everything has to be read once more
+     * @param serviceLevels the service levels that an earlier leader recorded, if they were read in
+     *     time
+     * @return false if the loaded records are inconsistent, for example because jobs were accepted
+     *     or ended during the load; everything has to be read again
      */
     boolean restore(StateLoader.LoadedState found, Optional<Object> serviceLevels) {
         double now = timers.nowSeconds();
@@ -51,8 +52,8 @@
             return false;
         }
         serviceLevels.ifPresent(this::restoreServiceLevels);
-        // Before the jobs' parts: a machine that is released is one from the first time that it is
-        // heard of.
+        // Before the jobs' parts, so that a machine to be released counts as releasing as soon as
+        // it becomes known.
         listener.cloudIntentsLoaded(found.cloudIntents().entries());
         found.openJobs().forEach(this::addOpenJob);
         loanRecords.adoptLoaded(found);
@@ -67,9 +68,9 @@
     }
 
     /**
-     * Returns false if the layout can't be read. Guards against a leader that reads parts by a
-     * layout which it guesses, and so starts tasks that run already: it reads everything again
-     * until the record can be read.
+     * Returns false if the layout can't be read; everything is then read again until it can. Guards
+     * against a leader that reads parts by an assumed layout and therefore starts tasks that are
+     * already running.
      */
     private boolean restoreLayout(Entry layout) {
         try {
@@ -98,18 +99,18 @@
         }
     }
 
-    /** Returns false if the part's job is not known and all has to be read again. */
+    /** Returns false if the part's job is not known and everything has to be read again. */
     private boolean restorePart(Entry entry, double now) {
         Job job = shard.jobs().get(StoreKeys.jobOfPart(entry.key()));
         if (job == null) {
             if (inconsistentReads++ < MAX_RELOADS_FOR_ORPHAN_PARTS) {
-                // Created after the list of open jobs was read, or just ended.
+                // The job was created after the open jobs were read, or has just ended.
                 return false;
             }
-            // Guards against a leader that reads for ever because of a record that nothing refers
-            // to. A job that is neither open nor ended was never accepted, so nothing of it is ever
-            // placed; the garbage collector reports it.
-            LOG.error("record {} belongs to no job", entry.key());
+            // Guards against a leader that never stops reloading because of an orphaned record. A
+            // job that is neither open nor ended was never accepted, so none of its tasks is ever
+            // placed; the garbage collection reports the record.
+            LOG.error("record without a job skipped: key={}", entry.key());
             return true;
         }
         int part = StoreKeys.indexOfPart(entry.key());
@@ -120,8 +121,8 @@
     }
 
     /**
-     * Guards against a new leader that never gets to know any job since the record of a part of one
-     * can't be read.
+     * Restores a part, or holds it if its record is unreadable. Guards against a single unreadable
+     * record that keeps a new leader from loading any job.
      */
     private void restoreOrHold(Job job, int part, Entry entry, double now) {
         try {
@@ -132,7 +133,7 @@
         }
     }
 
-    /** An open job's record has changed. */
+    /** Handles a change of an open job's record. */
     void onOpenJobChanged(Entry entry) {
         if (entry.value() != null) {
             addOpenJob(entry);
@@ -167,6 +168,6 @@
     }
 
     private static void logUnreadable(String key, RuntimeException cause) {
-        LOG.error("record {} is unreadable: {}", key, cause.getMessage());
+        LOG.error("record unreadable: key={} reason={}", key, cause.getMessage());
     }
 }
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -17,17 +17,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the jobs' records equal to what the shard leader has decided, and loads them when a leader
- * begins. Every write depends on the revision of the shard's record, the job's and the part's: none
- * can land late. Runs on the event loop.
+ * Writes the shard leader's decisions to the jobs' records, and loads the records when a leader
+ * starts. Every write is conditional on the revisions of the shard's record, the job's record and
+ * the part's record, so that a delayed write can't take effect. Runs on the event loop.
  */
 public final class StateWriter {
     private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
-    /** Before everything is read again after a reading that failed or did not fit together. */
+    /** Delay before everything is read again after a read that failed or was inconsistent. */
     private static final double RELOAD_DELAY_SECONDS = 0.3;
 
-    /** How often a page of the image records is asked for. */
+    /** Number of attempts to read a page of the image records. */
     private static final int MAX_IMAGE_PAGE_ATTEMPTS = 3;
 
     private final ClusterSettings settings;
@@ -46,78 +46,83 @@
     private boolean loaded;
 
     /**
-     * While the jobs are not loaded: ids of those of which something may run, empty before that is
-     * known.
+     * While the jobs are not loaded: ids of the jobs that may have running tasks. Empty until they
+     * are known.
      */
     private Optional<Set<String>> runningJobIds = Optional.empty();
 
-    /** What an earlier leader counted, if that was read in time. */
+    /** The service levels that an earlier leader recorded, if they were read in time. */
     private Optional<Object> previousServiceLevels = Optional.empty();
 
-    /** What the rest of the node has to know of the store. */
+    /** Receives events about the store that other components of the node depend on. */
     public interface Listener {
-        /** Another node leads the shard, or none. */
+        /** Called when another node leads the shard or there is no leader. */
         void shardLost();
 
         /**
-         * The store has it that this job is done, or cancelled because of a cancelled dependency.
+         * Called when the store has committed that this job is done, or cancelled because of a
+         * cancelled dependency.
          */
         void jobEnded(JobStatus job);
 
-        /** The cloud intents that earlier leaders, or this one, have written. */
+        /** Called with the cloud intents that earlier leaders or this one have written. */
         void cloudIntentsLoaded(List<Entry> cloudIntents);
 
-        /** The record of a cloud intent has changed, or is gone if it has no value. */
+        /**
+         * Called when the record of a cloud intent has changed; without a value, it was removed.
+         */
         void cloudIntentChanged(Entry cloudIntent);
 
         /**
-         * It is known which jobs may run.
+         * Called when it is known which jobs may have running tasks.
          *
-         * @param sinceMillis when that was asked, by this node's wall clock: what was cancelled
-         *     before is taken into account
+         * @param sinceMillis when the read started, by this node's wall clock; all cancellations
+         *     before that time are taken into account
          */
         void runningJobsKnown(double sinceMillis);
 
         /**
-         * Jobs that other nodes say are cancelled, which what is read from the store may not show
-         * yet.
+         * Returns the ids of jobs that other nodes report as cancelled. Records read from the store
+         * may not show these cancellations yet.
          */
         Set<String> cancelledMeanwhile();
 
-        /** The memory and the store may differ: everything has to be loaded again. */
+        /** Called when memory and store may differ, so that everything has to be loaded again. */
         void reloadRequired(String reason);
     }
 
     /**
-     * A writer of other records that takes part in one of the leader's batches, so under the
-     * revision of the shard's record and never beside another write of the leader. After {@link
-     * Listener#reloadRequired} it is forgotten, and has to be composed anew before it is enqueued
-     * again.
+     * Adds writes of other records to one of the leader's batches, so that they are conditional on
+     * the revision of the shard's record and never concurrent with another write of the leader.
+     * After {@link Listener#reloadRequired} a queued contributor is discarded; it has to be created
+     * anew before it is enqueued again.
      */
     public interface BatchContributor {
         /**
-         * Whether something waits for it. The others go along when the write rate has some to
-         * spare.
+         * Returns whether other work waits for these writes. Contributors that are not urgent are
+         * added when the write rate has capacity to spare.
          */
         default boolean isUrgent() {
             return true;
         }
 
-        /** Whether it is still to be written; false for instance if its job has ended by now. */
+        /**
+         * Returns whether the writes are still needed; false, for example, if the job has ended.
+         */
         boolean isStillWanted();
 
-        /** Adds its writes, a handful at most, and the conditions that they depend on. */
+        /** Adds the writes, a few at most, and the conditions that they depend on. */
         void contributeTo(Transaction transaction);
 
-        /** The store has its writes, at that revision. */
+        /** Called when the store has committed the writes at the given revision. */
         void onCommitted(long revision);
     }
 
     /**
      * Creates a writer that neither reads nor writes before it is started.
      *
-     * @param loanRecords takes the records about other cells; {@link StateLoader.LoanRecords#NONE}
-     *     where there are none
+     * @param loanRecords receives the records about other cells; {@link
+     *     StateLoader.LoanRecords#NONE} if there are no other cells
      */
     public StateWriter(
             Store store,
@@ -139,45 +144,45 @@
         this.restorer = new StateRestorer(timers, shard, listener, loanRecords);
     }
 
-    // ---- state and figures ----------------------------------------------------------------------
+    // ---- state and counters ---------------------------------------------------------------------
 
-    /** Transactions that the store will never take, as over its limits. */
+    /** Returns the number of transactions that the store rejected as exceeding its limits. */
     public long invalidTransactions() {
         return batcher.invalidTransactions();
     }
 
     /**
-     * Times that a record was not written since it would be too large; it is once there is less to
-     * say in it.
+     * Returns how often a record was not written because it was too large. It is written once its
+     * content has shrunk.
      */
     public long oversizeRecords() {
         return batcher.oversizeRecords();
     }
 
-    /** Transactions that this node has sent as a leader, each counted once. */
+    /** Returns the number of transactions that this node has sent as leader, without retries. */
     public long transactionsSent() {
         return batcher.transactionsSent();
     }
 
-    /** Records in those transactions. */
+    /** Returns the number of records in the transactions sent. */
     public long recordsSent() {
         return batcher.recordsSent();
     }
 
-    /** Whether the memory has all jobs of the store. */
+    /** Returns whether all jobs of the store are loaded into memory. */
     public boolean isLoaded() {
         return loaded;
     }
 
-    /** Whether it is known of which jobs something may run, if not yet all about them. */
+    /** Returns whether it is known which jobs may have running tasks, even if not all is loaded. */
     public boolean knowsRunningJobs() {
         return loaded || runningJobIds.isPresent();
     }
 
     /**
-     * Whether a task of that job may be on a machine. Guards against an answer that keeps the lease
-     * of a cancelled job's task while the jobs are still being read, or while the machine has not
-     * shown our fencing token yet.
+     * Returns whether a task of the job may be on a machine. Guards against a heartbeat response
+     * that renews the lease of a cancelled job's task while the jobs are still being read, or while
+     * the machine has not confirmed this leader's fencing token yet.
      */
     public boolean mayRun(String id) {
         if (loaded) {
@@ -189,12 +194,12 @@
                 && !listener.cancelledMeanwhile().contains(id);
     }
 
-    /** The revision of the shard's record that all writes depend on. */
+    /** Returns the revision of the shard's record that all writes are conditional on. */
     public long shardRevision() {
         return shardRevision;
     }
 
-    /** Whether a transaction was sent whose outcome is not known yet. */
+    /** Returns whether a transaction was sent whose outcome is not known yet. */
     public boolean isWriting() {
         return batcher.isWriting();
     }
@@ -202,24 +207,24 @@
     // ---- loading --------------------------------------------------------------------------------
 
     /**
-     * Loads all jobs, for a new leader or once more for the same one, and follows their changes
-     * from then on.
+     * Loads all jobs, for a new leader or again for the same one, and watches them for changes from
+     * then on.
      *
      * @param key the key of the shard's record
-     * @param revision that record's revision, on which all writes depend
-     * @param onChange runs when the jobs are loaded and whenever something about them has changed
+     * @param revision that record's revision, which all writes are conditional on
+     * @param onChange runs when the jobs are loaded and after every change of them
      */
     public void start(String key, long revision, Runnable onChange) {
         shardRevision = revision;
         batcher.useShardRecord(key, revision);
         if (loaded) {
-            // What is known of them stays known while they are read once more.
+            // The jobs that may have running tasks stay known during the reload.
             runningJobIds = Optional.of(openJobIds());
         }
         load(epoch.advance(), onChange);
     }
 
-    /** Stops writing, loading and following; this node does not lead any more. */
+    /** Stops writing, loading and watching, because this node is no longer the leader. */
     public void stop() {
         epoch.advance();
         loaded = false;
@@ -271,7 +276,7 @@
         return loanRecords != StateLoader.LoanRecords.NONE;
     }
 
-    /** Beside the jobs, which do not wait for it. */
+    /** Reads the service levels in parallel; loading the jobs does not wait for them. */
     private void readServiceLevels(Epoch.Token token) {
         previousServiceLevels = Optional.empty();
         store.get(
@@ -288,7 +293,8 @@
             return false;
         }
         loaded = true;
-        // Guards against what was read before a cancellation that other nodes reported meanwhile.
+        // Guards against records that were read before a cancellation which other nodes reported
+        // during the load.
         List.copyOf(listener.cancelledMeanwhile()).forEach(shard::finishJob);
         LOG.info("state loaded: jobs={} parts={}", shard.jobs().size(), found.parts().size());
         return true;
@@ -305,7 +311,7 @@
         onChange.run();
     }
 
-    /** Beside the work, none of which waits for it; nothing happens if it can't be had. */
+    /** Reads the image records in the background; a failed read is ignored. */
     private void readImages(Epoch.Token token) {
         PagedScan.read(
                 store,
@@ -357,22 +363,22 @@
 
         @Override
         public void onChangesMissed() {
-            listener.reloadRequired("changes of the jobs were missed");
+            listener.reloadRequired("changes of job records were missed");
         }
     }
 
     // ---- writing --------------------------------------------------------------------------------
 
-    /** Has the contributor take part in one of the next batches. */
+    /** Adds the contributor to one of the next batches. */
     public void enqueue(BatchContributor contributor) {
         batcher.enqueue(contributor);
     }
 
     /**
-     * Writes what differs from the store, if anything does, the write rate allows it and the jobs
-     * are loaded.
+     * Writes the changes that are not in the store yet, if there are any, the write rate allows it
+     * and the jobs are loaded.
      *
-     * @param onCommitted runs when the store has it
+     * @param onCommitted runs when the store has committed the batch
      */
     public void write(Runnable onCommitted) {
         if (loaded) {
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -17,23 +17,23 @@
 
 /**
  * One transaction of the shard leader, conditional on the revision of the shard's record, together
- * with what has to change in memory once the store has committed it.
+ * with the changes to apply in memory once the store has committed it.
  */
 final class WriteBatch {
-    /** Of the 64 KiB that a transaction may hold, by an estimate of its JSON form. */
+    /** Maximum estimated size of the JSON form; a transaction may hold 64 KiB. */
     private static final int MAX_BYTES = 48 * 1024;
 
-    /** What a record's key and conditions add to its value. */
+    /** Estimated size of a record's key and conditions, without its value. */
     private static final int RECORD_OVERHEAD_BYTES = 128;
 
-    /** A part of a job as it was written: up to {@code version} of the job, or removed. */
+    /** A part of a job as written: up to {@code version} of the job, or removed. */
     record WrittenPart(JobPart part, int version, boolean removed) {
         private String key() {
             return StoreKeys.partKey(part.job.spec.id(), part.index);
         }
     }
 
-    /** What a record shows if its batch was committed. */
+    /** The state of a record that shows that its batch was committed. */
     private enum Evidence {
         REVISION_CHANGED,
         JOB_DONE,
@@ -41,21 +41,21 @@
     }
 
     /**
-     * A record that this batch writes and that nobody else writes under the same revision of the
-     * shard's record, so that it shows whether the batch was committed.
+     * A record that shows whether the batch was committed: this batch writes it, and no other
+     * writer writes it under the same revision of the shard's record.
      *
-     * @param revisionBefore its revision before the batch, 0 if there was no record
+     * @param revisionBefore the record's revision before the batch, 0 if it did not exist
      */
     record Witness(String key, long revisionBefore, Evidence evidence) {
         /**
-         * Whether the batch was committed.
+         * Returns whether the batch was committed.
          *
-         * @param current the record as it is now, null if there is none
+         * @param current the current record, null if it does not exist
          */
         boolean showsCommitted(Entry current) {
             return switch (evidence) {
                 case REVISION_CHANGED -> current != null && current.revision() != revisionBefore;
-                // A user's cancellation may have been written in its place.
+                // A user's cancellation may have been written instead.
                 case JOB_DONE ->
                         current != null
                                 && DocumentReader.of(current.value())
@@ -77,7 +77,7 @@
     private boolean mayHaveExecuted;
     private int estimatedBytes;
 
-    /** An empty batch under that revision of the shard's record. */
+    /** Creates an empty batch that is conditional on the revision of the shard's record. */
     WriteBatch(String shardKey, long shardRevision) {
         transaction.requireRevision(shardKey, shardRevision);
     }
@@ -92,17 +92,20 @@
         return estimatedBytes >= MAX_BYTES;
     }
 
-    /** At half its size a batch takes only what the shard's own state still has to add. */
+    /**
+     * Returns whether the batch has reached half its size. From then on only records of the shard's
+     * own state are added.
+     */
     boolean isHalfFull() {
         return estimatedBytes >= MAX_BYTES / 2;
     }
 
-    /** Returns false if the batch has considered that part before. */
+    /** Marks the part as visited; returns false if it was visited before. */
     boolean visit(JobPart part) {
         return visitedParts.add(part);
     }
 
-    /** Makes the batch depend on the open job's record, once. */
+    /** Makes the batch conditional on the open job's record; repeated calls have no effect. */
     void requireOpen(Job job) {
         if (conditionedJobs.add(job)) {
             transaction.requireRevision(job.recordKey, job.revision());
@@ -122,7 +125,7 @@
         parts.add(written);
     }
 
-    /** Moves the job from the open jobs to the ended ones, and removes its record of lent tasks. */
+    /** Moves the job from the open jobs to the ended jobs and removes its record of lent tasks. */
     void complete(Job job, Map<String, Object> record, int recordBytes) {
         moveToEnded(job, record, recordBytes);
         if (job.loansRevision() > 0) {
@@ -132,7 +135,7 @@
         completedJobs.add(job);
     }
 
-    /** Moves a job that never started from the open jobs to the ended ones. */
+    /** Moves a job that never started from the open jobs to the ended jobs. */
     void cancel(Job job, Map<String, Object> record, int recordBytes) {
         moveToEnded(job, record, recordBytes);
         cancelledJobs.add(job);
@@ -157,7 +160,7 @@
         migration = Optional.of(recordMigration);
     }
 
-    /** Adds a record that nothing in memory depends on. */
+    /** Adds a hint: a record without a condition that no state in memory depends on. */
     void putHint(Write write) {
         transaction.put(write.key(), write.value());
     }
@@ -166,7 +169,7 @@
         estimatedBytes += recordBytes + RECORD_OVERHEAD_BYTES;
     }
 
-    // ---- once it is sent ------------------------------------------------------------------------
+    // ---- after sending --------------------------------------------------------------------------
 
     Transaction transaction() {
         return transaction;
@@ -176,12 +179,12 @@
         return Collections.unmodifiableList(parts);
     }
 
-    /** Jobs that the batch ends because all their tasks are done. */
+    /** Returns the jobs that the batch ends because all their tasks are done. */
     List<Job> completedJobs() {
         return Collections.unmodifiableList(completedJobs);
     }
 
-    /** Jobs that the batch cancels because a dependency was cancelled. */
+    /** Returns the jobs that the batch cancels because a dependency was cancelled. */
     List<Job> cancelledJobs() {
         return Collections.unmodifiableList(cancelledJobs);
     }
@@ -194,12 +197,14 @@
         return migration;
     }
 
-    /** Changes in the batch, each of which may take several writes. */
+    /** Returns the number of changes in the batch, each of which may take several writes. */
     int changeCount() {
         return parts.size() + contributors.size() + completedJobs.size() + cancelledJobs.size();
     }
 
-    /** Whether an earlier try may have been executed, or still will be. */
+    /**
+     * Returns whether an earlier attempt to send the batch may have been or may yet be executed.
+     */
     boolean mayHaveExecuted() {
         return mayHaveExecuted;
     }
@@ -208,7 +213,10 @@
         mayHaveExecuted = true;
     }
 
-    /** Empty if others may have written all that the batch writes. */
+    /**
+     * Returns a record that shows whether the batch was committed; empty if other writers may have
+     * written all records of the batch.
+     */
     Optional<Witness> witness() {
         for (WrittenPart written : parts) {
             if (!written.removed) {
@@ -221,7 +229,7 @@
             String key = StoreKeys.ENDED_JOBS + completedJobs.get(0).spec.id();
             return Optional.of(new Witness(key, 0, Evidence.JOB_DONE));
         }
-        // A record that is gone has no revision, which contributors need.
+        // A removed record has no revision, but contributors need the one of the commit.
         if (parts.isEmpty() || !contributors.isEmpty()) {
             return Optional.empty();
         }
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -14,24 +14,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Commits batches, one at a time and within the write rate, and settles those whose outcome is not
- * known. Every write depends on the revision of the shard's record, the job's and the part's, so a
- * transaction is idempotent: sent again unchanged, it is executed at most once.
+ * Commits batches, one at a time and within the write rate, and resolves unknown outcomes. Every
+ * write is conditional on the revisions of the shard's record, the job's record and the part's
+ * record, so a transaction is idempotent: sent again unchanged, it is executed at most once.
  */
 final class WriteBatcher {
     private static final Logger LOG = LoggerFactory.getLogger(WriteBatcher.class);
 
-    /** Of the store's write rate; the rest is for submissions, cancellations and leases. */
+    /** Share of the store's write rate; the rest is for submissions, cancellations and leases. */
     private static final double WRITE_SHARE = 0.7;
 
-    /** Before a transaction is sent again that the store did not execute. */
+    /** Delay before a transaction that the store did not execute is sent again. */
     private static final double NOT_EXECUTED_RETRY_SECONDS = 0.2;
 
-    /** Before a transaction is sent again that the store may have executed. */
+    /** Delay before a transaction that the store may have executed is sent again. */
     private static final double UNKNOWN_RETRY_SECONDS = 0.1;
 
     private static final String MAY_HAVE_EXECUTED =
-            "an earlier try of this write may have been executed";
+            "an earlier attempt of this write may have been executed";
 
     private final Store store;
     private final Timers timers;
@@ -47,8 +47,8 @@
     private long shardRevision;
 
     /**
-     * The batch that was sent and is not settled; null if there is none. Answers to any other batch
-     * are stale.
+     * The batch that was sent and whose outcome is unresolved; null if there is none. Responses to
+     * any other batch are stale.
      */
     private WriteBatch inFlight;
 
@@ -73,19 +73,19 @@
         this.applier = new CommittedBatchApplier(timers, shard, listener);
     }
 
-    /** From now on everything is written under that revision of the shard's record. */
+    /** Makes all subsequent writes conditional on this revision of the shard's record. */
     void useShardRecord(String key, long revision) {
         shardKey = key;
         shardRevision = revision;
     }
 
-    /** Forgets the batch in flight and all contributors. */
+    /** Discards the batch in flight and all contributors. */
     void stop() {
         inFlight = null;
         contributors.clear();
     }
 
-    /** Has the contributor take part in one of the next batches. */
+    /** Adds the contributor to one of the next batches. */
     void enqueue(BatchContributor contributor) {
         contributors.add(contributor);
     }
@@ -111,10 +111,10 @@
     }
 
     /**
-     * Sends what differs from the store, if anything does, the rate allows it and no batch is in
-     * flight.
+     * Sends the changes that are not in the store yet, if there are any, the write rate allows it
+     * and no batch is in flight.
      *
-     * @param onCommitted runs when the store has it
+     * @param onCommitted runs when the store has committed the batch
      */
     void write(Runnable onCommitted) {
         if (inFlight != null) {
@@ -151,8 +151,9 @@
             case INVALID -> onInvalid(batch);
             case NOT_EXECUTED -> resendAfter(NOT_EXECUTED_RETRY_SECONDS, batch, onCommitted);
             default -> {
-                // It may have been executed, or still be: the very same transaction again settles
-                // it, since its conditions let only one of the two through.
+                // The transaction may have been or may yet be executed. Sending the identical
+                // transaction again resolves this, since the conditions let only one of the two
+                // succeed.
                 batch.markMayHaveExecuted();
                 resendAfter(UNKNOWN_RETRY_SECONDS, batch, onCommitted);
             }
@@ -176,20 +177,20 @@
         onCommitted.run();
     }
 
-    /** Nothing of the batch was written; all of it waits again. */
+    /** Puts all changes of a batch that was not committed back into the queues. */
     private void putBack(WriteBatch batch) {
         inFlight = null;
         batch.parts().forEach(written -> shard.dirtyParts().enqueueIfDirty(written.part()));
         contributors.putBack(batch.contributors());
     }
 
-    // ---- transactions that the store will never take -------------------------------------------
+    // ---- transactions that the store rejects as invalid -----------------------------------------
 
     /**
-     * The store will never take the batch: its limits are lower than the settings say. Guards
-     * against the same transaction composed again and again while everything else waits: the next
-     * ones are smaller, down to a single record, and one that is invalid by itself waits until it
-     * has changed.
+     * Handles a batch that the store will never accept because its limits are lower than
+     * configured. Guards against composing the same transaction repeatedly while all other changes
+     * wait: the next batches are smaller, down to a single record, and a record that is invalid by
+     * itself waits until it has changed.
      */
     private void onInvalid(WriteBatch batch) {
         invalidTransactions++;
@@ -237,9 +238,9 @@
     }
 
     /**
-     * An earlier try may have been executed: a record that nobody else writes shows whether it was.
-     * Guards against a leader that reads all jobs again for each answer that gets lost, and does
-     * nothing else meanwhile.
+     * Resolves the outcome of a batch that an earlier attempt may have committed, by reading a
+     * record that no other writer writes. Guards against a leader that reloads all jobs for each
+     * lost response and is unavailable in the meantime.
      */
     private void settle(WriteBatch batch, CommitResult result, Runnable onCommitted) {
         Optional<WriteBatch.Witness> witness = batch.witness();
@@ -261,7 +262,8 @@
                     } else if (witness.get().showsCommitted(entry)) {
                         onCommitted(batch, entry == null ? 0 : entry.revision(), onCommitted);
                     } else {
-                        // Nor can it be any more: a revision that was passed never comes back.
+                        // The batch can't be committed later either: its required revision is
+                        // outdated and never recurs.
                         onNotCommitted(batch, result);
                     }
                 });
@@ -274,11 +276,11 @@
                 listener.reloadRequired("unexpected revision of " + key);
                 return;
             }
-            // Cancelled just now; the next batch goes without it.
+            // The job was just cancelled; the next batch does not include it.
             shard.finishJob(key.substring(StoreKeys.OPEN_JOBS.length()));
         }
         if (result.failedKeys().isEmpty()) {
-            listener.reloadRequired("a write was refused without a reason");
+            listener.reloadRequired("a write was rejected without failed conditions");
         }
     }
 }
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -29,31 +29,33 @@
     private final Timers timers = SimulatedClusters.timers(cluster);
     private final ShardState shard = new ShardState(cluster.settings("k0"), machine -> {});
 
-    /** Transactions that the proof sent, and when, in seconds on the steady clock. */
+    /** Transactions that were sent. */
     private final List<Store.Transaction> sent = new ArrayList<>();
 
+    /** When each of them was sent, in seconds on the steady clock. */
     private final List<Double> sentAt = new ArrayList<>();
 
-    /** What the listener received: moments in milliseconds, and ids of jobs. */
+    /** Times that the listener received, in milliseconds. */
     private final List<Double> knownAsOfMillis = new ArrayList<>();
 
+    /** Ids of closed jobs that the listener received. */
     private final List<String> closedJobs = new ArrayList<>();
 
-    /** Keys that the store does not have any more. */
+    /** Keys that no longer exist in the store. */
     private final List<String> goneKeys = new ArrayList<>();
 
-    /** What the store answers where nothing below says otherwise. */
+    /** The store's outcome unless one of the following fields causes another one. */
     private Outcome defaultOutcome = Outcome.OK;
 
     private double answerSeconds = 0.01;
     private int maxConditions = 1000;
 
-    /** By the number of the request, from 1. */
+    /** Whether the store refuses a transaction, by its number from 1. */
     private IntPredicate refuses = number -> false;
 
     private boolean holding = true;
 
-    /** Answers comparisons and questions a while after they arrived, and nothing else. */
+    /** Responds to compare-only transactions and reads after a delay, and to nothing else. */
     private final Store store =
             new Store() {
                 @Override
@@ -131,7 +133,7 @@
                         }
                     });
 
-    /** Adds that many open jobs, each with a task on a machine by its record. */
+    /** Adds {@code count} open jobs, each with a task on a machine by its record. */
     private void addJobsWithLiveTasks(int count) {
         for (int i = 0; i < count; i++) {
             JobSpec spec = job("j-" + i, Shape.ARRAY, 1, 1);
@@ -171,7 +173,7 @@
         assertEquals(List.of(firstSentMillis()), knownAsOfMillis);
     }
 
-    /** Nothing is proven of the time while the answer was under way. */
+    /** The time during which the response was in flight is not confirmed. */
     @Test
     void roundWithSlowAnswerProvesAsOfWhenItWasAsked() {
         addJobsWithLiveTasks(3);
@@ -218,7 +220,7 @@
         proof.stop();
     }
 
-    /** A store over its rate refuses one request of two. */
+    /** A store over its request rate refuses every second request. */
     @Test
     void transactionThatIsRefusedIsSentAgainWithoutTheAnsweredOnes() {
         addJobsWithLiveTasks(800);
@@ -235,7 +237,7 @@
                         == 5);
     }
 
-    /** The store takes fewer conditions than its settings say. */
+    /** The store accepts fewer conditions than configured. */
     @Test
     void transactionThatIsInvalidAsTooLargeIsFollowedBySmallerOnes() {
         addJobsWithLiveTasks(100);
@@ -246,7 +248,9 @@
         assertTrue(lastSent().conditions().size() <= 30);
     }
 
-    /** Slower than a quarter of the margin, and in several transactions. */
+    /**
+     * Responses take longer than a quarter of the margin, and the round needs several transactions.
+     */
     @Test
     void roundOverManyJobsWithSlowAnswersIsCompleted() {
         addJobsWithLiveTasks(800);
