--- a/src/main/java/io/kitepath/core/state/BatchComposer.java
+++ b/src/main/java/io/kitepath/core/state/BatchComposer.java
@@ -38,7 +38,7 @@
     private final double writesPerSecond;
 
     /** When the service levels were last written, in seconds on the steady clock. */
-    private double serviceLevelsWrittenAt;
+    private double serviceLevelsWrittenAtSeconds;
 
     private long oversizeRecords;
 
@@ -67,23 +67,23 @@
      * @param batch an empty batch
      * @param maxWrites the maximum number of writes in one transaction
      * @param availableWrites the number of writes that the write rate currently allows
-     * @param endsFirst whether ended jobs go before placements. The order alternates: the ends of
-     *     many small jobs, two writes each, would otherwise leave no writes for placements, and
+     * @param endedJobsFirst whether ended jobs go before placements. The order alternates: the ends
+     *     of many small jobs, two writes each, would otherwise leave no writes for placements, and
      *     placements none for ended jobs.
      */
     void fill(
             WriteBatch batch,
             int maxWrites,
             double availableWrites,
-            boolean endsFirst,
-            double now) {
+            boolean endedJobsFirst,
+            double nowSeconds) {
         int budget = (int) Math.min(maxWrites, availableWrites);
         if (addMigration(batch, budget)) {
             return;
         }
         addContributors(batch, contributors.urgent(), budget);
         addCascadingCancellations(batch, budget * 3 / 4);
-        if (endsFirst) {
+        if (endedJobsFirst) {
             budget = addCompletedJobs(batch, budget);
         }
         // The change that has waited longest is always included, so that a steady flow of
@@ -93,13 +93,13 @@
                 shard.dirtyParts().withOtherChanges(),
                 Math.min(budget, batch.writeCount() + 1));
         addParts(batch, placementsByRank(), budget);
-        if (!endsFirst) {
+        if (!endedJobsFirst) {
             addCompletedJobs(batch, budget);
         }
-        double spare = availableWrites - writesPerSecond / 2;
-        addParts(batch, shard.dirtyParts().withOtherChanges(), (int) Math.min(budget, spare));
-        addDeferrableContributors(batch, budget, spare);
-        addHint(batch, budget, now);
+        double spareWrites = availableWrites - writesPerSecond / 2;
+        addParts(batch, shard.dirtyParts().withOtherChanges(), (int) Math.min(budget, spareWrites));
+        addDeferrableContributors(batch, budget, spareWrites);
+        addHint(batch, budget, nowSeconds);
     }
 
     // ---- parts of jobs --------------------------------------------------------------------------
@@ -123,11 +123,11 @@
                 continue; // Its parts are removed once the job's end is committed.
             }
             shard.dirtyParts().remove(part);
-            if (!part.isDirty() || !batch.visit(part)) {
+            if (!part.isDirty() || !batch.markVisited(part)) {
                 continue;
             }
             if (!part.job.isFinished()) {
-                batch.requireOpen(part.job);
+                batch.requireOpenJob(part.job);
             }
             addPart(batch, part);
         }
@@ -175,7 +175,7 @@
                         migration.writeCount());
                 shard.migrationDone(job);
             } else if (migration.writeCount() <= budget) {
-                batch.migrate(migration);
+                batch.addMigration(migration);
                 return true;
             }
         }
@@ -193,12 +193,12 @@
      *     job.
      */
     private int addCompletedJobs(WriteBatch batch, int budget) {
-        List<Job> settled = new ArrayList<>();
+        List<Job> removableJobs = new ArrayList<>();
         int budgetLeft = budget;
         for (Job job : shard.jobs().values()) {
             if (job.isFinished()) {
                 if (job.liveAttempts().isEmpty() && !job.hasPartRecords()) {
-                    settled.add(job);
+                    removableJobs.add(job);
                 }
             } else if (isReadyToComplete(job) && !job.writingLoans()) {
                 if (batch.writeCount() + WRITES_PER_ENDED_JOB > budgetLeft) {
@@ -208,7 +208,7 @@
                 }
             }
         }
-        settled.forEach(shard::removeJob);
+        removableJobs.forEach(shard::removeJob);
         return budgetLeft;
     }
 
@@ -241,12 +241,12 @@
     }
 
     private Map<String, Object> endedRecord(Job job, EndStatus status, int doneTasks) {
-        Map<String, Object> end =
+        Map<String, Object> endRecord =
                 Map.of(
                         "status", status.storedName(),
                         "done", (long) doneTasks,
                         "endedMs", timers.wallClockMillis());
-        return job.record().toFinishedRecord(end, shard.maxRecordBytes());
+        return job.record().toFinishedRecord(endRecord, shard.maxRecordBytes());
     }
 
     // ---- contributors and hints -----------------------------------------------------------------
@@ -256,10 +256,11 @@
      * a burst of placements that waits for mere removals of records. A backlog larger than the
      * budget, which would grow without bound, is added nonetheless.
      */
-    private void addDeferrableContributors(WriteBatch batch, int budget, double spare) {
+    private void addDeferrableContributors(WriteBatch batch, int budget, double spareWrites) {
         Deque<BatchContributor> deferrable = contributors.deferrable();
         boolean backlogGrows = deferrable.size() > budget;
-        addContributors(batch, deferrable, (int) Math.min(budget, backlogGrows ? budget : spare));
+        addContributors(
+                batch, deferrable, (int) Math.min(budget, backlogGrows ? budget : spareWrites));
     }
 
     /** Adds contributors, a few writes each; a quarter of the budget is left for other writes. */
@@ -267,7 +268,7 @@
         while (!waiting.isEmpty() && batch.writeCount() < budget * 3 / 4 && !batch.isHalfFull()) {
             BatchContributor contributor = waiting.poll();
             if (contributor.isStillWanted()) {
-                batch.contribute(
+                batch.addContributor(
                         contributor, (int) (settings.store().maxValueKibibytes() * 1024 / 4));
             }
         }
@@ -276,21 +277,21 @@
     /**
      * Adds one record that only helps the next leader, if the batch has capacity and one is due.
      */
-    private void addHint(WriteBatch batch, int budget, double now) {
+    private void addHint(WriteBatch batch, int budget, double nowSeconds) {
         if (batch.writeCount() >= budget || batch.isHalfFull()) {
             return;
         }
-        images.nextDueRecord(shard.machines().values(), now)
-                .or(() -> dueServiceLevels(now))
+        images.nextDueRecord(shard.machines().values(), nowSeconds)
+                .or(() -> dueServiceLevels(nowSeconds))
                 .filter(hint -> JsonSize.sizeInBytes(hint.value()) <= shard.maxRecordBytes())
                 .ifPresent(batch::putHint);
     }
 
-    private Optional<Store.Write> dueServiceLevels(double now) {
-        if (now - serviceLevelsWrittenAt <= settings.workers().leaseSeconds() / 2) {
+    private Optional<Store.Write> dueServiceLevels(double nowSeconds) {
+        if (nowSeconds - serviceLevelsWrittenAtSeconds <= settings.workers().leaseSeconds() / 2) {
             return Optional.empty();
         }
-        serviceLevelsWrittenAt = now;
+        serviceLevelsWrittenAtSeconds = nowSeconds;
         Object record = shard.serviceLevels().toRecord(timers.wallClockMillis());
         return Optional.of(new Store.Write(StoreKeys.SERVICE_LEVELS, record, 0));
     }
--- a/src/main/java/io/kitepath/core/state/BatchSizeLimit.java
+++ b/src/main/java/io/kitepath/core/state/BatchSizeLimit.java
@@ -9,17 +9,17 @@
     /** An ended job takes two writes, which have to be in one transaction. */
     private static final int MIN_WRITES = 2;
 
-    private static final int NONE_INVALID = Integer.MAX_VALUE;
+    private static final int NO_INVALID_TRANSACTION = Integer.MAX_VALUE;
 
-    private final int configuredWrites;
+    private final int configuredMaxWrites;
     private int maxWrites;
 
     /** Number of writes in the smallest transaction that was invalid. */
-    private int smallestInvalid = NONE_INVALID;
+    private int smallestInvalidWrites = NO_INVALID_TRANSACTION;
 
-    BatchSizeLimit(int configuredWrites) {
-        this.configuredWrites = configuredWrites;
-        this.maxWrites = configuredWrites;
+    BatchSizeLimit(int configuredMaxWrites) {
+        this.configuredMaxWrites = configuredMaxWrites;
+        this.maxWrites = configuredMaxWrites;
     }
 
     int maxWrites() {
@@ -27,12 +27,13 @@
     }
 
     void onCommitted() {
-        maxWrites = Math.min(Math.min(configuredWrites, smallestInvalid - 1), maxWrites + 1);
+        maxWrites =
+                Math.min(Math.min(configuredMaxWrites, smallestInvalidWrites - 1), maxWrites + 1);
     }
 
     /** Handles the rejection of a transaction of several writes as invalid. */
     void onInvalid(int writes) {
-        smallestInvalid = Math.min(smallestInvalid, writes);
+        smallestInvalidWrites = Math.min(smallestInvalidWrites, writes);
         maxWrites = Math.max(MIN_WRITES, writes / 2);
     }
 
@@ -41,6 +42,6 @@
      * earlier rejections, so the size that they suggested is discarded.
      */
     void onSingleRecordInvalid() {
-        smallestInvalid = NONE_INVALID;
+        smallestInvalidWrites = NO_INVALID_TRANSACTION;
     }
 }
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -55,7 +55,7 @@
     private final Timers timers;
     private final Random random;
     private final ShardState shard;
-    private final BooleanSupplier holdsLoadedShard;
+    private final BooleanSupplier isLoadedLeader;
     private final Listener listener;
     private final Epoch epoch = new Epoch();
 
@@ -66,21 +66,21 @@
      * Creates an instance that sends no requests before it is started.
      *
      * @param random adds jitter so that the requests of several nodes spread out
-     * @param holdsLoadedShard whether this node leads the shard and has its jobs loaded
+     * @param isLoadedLeader whether this node leads the shard and has its jobs loaded
      */
     public CancellationProof(
             Store store,
             Timers timers,
             Random random,
             ShardState shard,
-            BooleanSupplier holdsLoadedShard,
+            BooleanSupplier isLoadedLeader,
             Listener listener) {
         this.settings = shard.settings();
         this.store = store;
         this.timers = timers;
         this.random = random;
         this.shard = shard;
-        this.holdsLoadedShard = holdsLoadedShard;
+        this.isLoadedLeader = isLoadedLeader;
         this.listener = listener;
         this.maxConditions = CONDITIONS_PER_OPERATION * settings.store().maxTransactionOperations();
     }
@@ -99,7 +99,7 @@
         if (token.isStale()) {
             return;
         }
-        if (holdsLoadedShard.getAsBoolean()) {
+        if (isLoadedLeader.getAsBoolean()) {
             new ComparisonRound(token).begin();
         } else {
             startRoundAfter(RETRY_SECONDS, token);
@@ -107,11 +107,11 @@
     }
 
     private void startRoundAfter(double seconds, Epoch.Token token) {
-        timers.schedule(jittered(seconds), () -> startRound(token));
+        timers.schedule(addJitter(seconds), () -> startRound(token));
     }
 
     /** Returns a random duration between 75% and 125% of the given one. */
-    private double jittered(double seconds) {
+    private double addJitter(double seconds) {
         return seconds * (0.75 + random.nextDouble() / 2);
     }
 
@@ -128,7 +128,7 @@
         private final Deque<Transaction> unsent = new ArrayDeque<>();
 
         /** Number of transactions without a definite response. */
-        private int unanswered;
+        private int unconfirmedTransactions;
 
         /** Whether this round can no longer be completed. */
         private boolean expired;
@@ -139,26 +139,26 @@
         ComparisonRound(Epoch.Token token) {
             this.token = token;
             for (Job job : shard.jobs().values()) {
-                if (needsProof(job)) {
+                if (needsConfirmation(job)) {
                     if (unsent.isEmpty() || unsent.getLast().conditions().size() >= maxConditions) {
                         unsent.add(new Transaction());
                     }
                     unsent.getLast().requireRevision(job.recordKey, job.revision());
                 }
             }
-            unanswered = unsent.size();
+            unconfirmedTransactions = unsent.size();
         }
 
         /**
          * Returns whether the job has to be compared. Jobs of other cells are excluded: their home
          * cell cancels them and waits for this cell's response before it reports the cancellation.
          */
-        private boolean needsProof(Job job) {
+        private boolean needsConfirmation(Job job) {
             return !job.isFinished() && !job.borrowed && !job.liveAttempts().isEmpty();
         }
 
         void begin() {
-            if (unanswered == 0) {
+            if (unconfirmedTransactions == 0) {
                 onComplete();
             }
             for (int i = 0; i < MAX_IN_FLIGHT && !unsent.isEmpty(); i++) {
@@ -174,13 +174,14 @@
 
         private void onResult(Transaction transaction, CommitResult result) {
             switch (result.outcome()) {
-                case OK -> onCompared();
-                case REJECTED -> reportClosed(transaction, new ArrayDeque<>(result.failedKeys()));
+                case OK -> onConfirmed();
+                case REJECTED ->
+                        reportClosedJobs(transaction, new ArrayDeque<>(result.failedKeys()));
                 case INVALID -> {
                     // The store accepts fewer conditions than configured; the next round uses
                     // fewer.
-                    int tooMany = transaction.conditions().size();
-                    maxConditions = Math.max(1, Math.min(maxConditions, tooMany / 2));
+                    int rejectedConditions = transaction.conditions().size();
+                    maxConditions = Math.max(1, Math.min(maxConditions, rejectedConditions / 2));
                     expired = true;
                     retry(transaction);
                 }
@@ -192,17 +193,17 @@
             expired |=
                     timers.wallClockMillis() - startedMillis
                             > 1000 * settings.workers().cancellationStalenessSeconds();
-            if (!expired && holdsLoadedShard.getAsBoolean()) {
-                timers.schedule(jittered(RETRY_SECONDS), () -> send(transaction));
+            if (!expired && isLoadedLeader.getAsBoolean()) {
+                timers.schedule(addJitter(RETRY_SECONDS), () -> send(transaction));
             } else if (!replaced) {
                 replaced = true;
                 startRoundAfter(RETRY_SECONDS, token);
             }
         }
 
-        private void onCompared() {
-            unanswered--;
-            if (unanswered == 0) {
+        private void onConfirmed() {
+            unconfirmedTransactions--;
+            if (unconfirmedTransactions == 0) {
                 onComplete();
             } else if (!unsent.isEmpty()) {
                 send(unsent.poll());
@@ -214,12 +215,12 @@
          * removed or written again, for example by a migration of the job's parts to another
          * layout.
          */
-        private void reportClosed(Transaction transaction, Deque<String> keys) {
-            if (keys.isEmpty()) {
-                onCompared();
+        private void reportClosedJobs(Transaction transaction, Deque<String> differingKeys) {
+            if (differingKeys.isEmpty()) {
+                onConfirmed();
                 return;
             }
-            String key = keys.removeFirst();
+            String key = differingKeys.removeFirst();
             store.get(
                     key,
                     (outcome, entry) -> {
@@ -230,13 +231,13 @@
                         if (!token.isStale() && outcome == Outcome.REJECTED) {
                             listener.jobClosed(key.substring(StoreKeys.OPEN_JOBS.length()));
                         }
-                        reportClosed(transaction, keys);
+                        reportClosedJobs(transaction, differingKeys);
                     });
         }
 
         private void onComplete() {
             if (!token.isStale() && !replaced) {
-                if (holdsLoadedShard.getAsBoolean()) {
+                if (isLoadedLeader.getAsBoolean()) {
                     listener.cancellationsKnownAsOf(startedMillis);
                 }
                 startRoundAfter(
--- a/src/main/java/io/kitepath/core/state/ContributorQueue.java
+++ b/src/main/java/io/kitepath/core/state/ContributorQueue.java
@@ -21,7 +21,7 @@
         return deferrable;
     }
 
-    void add(BatchContributor contributor) {
+    void enqueue(BatchContributor contributor) {
         queueOf(contributor).add(contributor);
     }
 
--- a/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
+++ b/src/main/java/io/kitepath/core/state/DependencyOutcomes.java
@@ -24,7 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(DependencyOutcomes.class);
 
     /** Share of the state service's request rate. */
-    private static final double RATE_SHARE = 0.3;
+    private static final double REQUEST_RATE_SHARE = 0.3;
 
     private static final int MAX_IN_FLIGHT = 8;
 
@@ -32,12 +32,12 @@
     private static final double NOT_ENDED_RETRY_SECONDS = 0.5;
 
     /** Delay between two reads if the store could not execute the first. */
-    private static final double UNANSWERED_RETRY_SECONDS = NOT_ENDED_RETRY_SECONDS / 2;
+    private static final double FAILED_READ_RETRY_SECONDS = NOT_ENDED_RETRY_SECONDS / 2;
 
     private final Store store;
     private final Timers timers;
     private final JobDependencies dependencies;
-    private final TokenBucket requests;
+    private final TokenBucket requestRate;
 
     /** Ids of jobs whose outcome is being read or whose next read is scheduled. */
     private final Set<String> inFlight = new HashSet<>();
@@ -51,11 +51,12 @@
         this.store = store;
         this.timers = timers;
         this.dependencies = dependencies;
-        this.requests = new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE);
+        this.requestRate =
+                new TokenBucket(settings.store().requestsPerSecond() * REQUEST_RATE_SHARE);
     }
 
     /**
-     * Starts anew; no request is sent before {@link #askForUnknown}.
+     * Starts anew; no request is sent before {@link #readUnknownOutcomes}.
      *
      * @param onOutcomeKnown runs when an outcome has become known, after which other jobs may start
      *     or have to be cancelled
@@ -72,16 +73,17 @@
     }
 
     /** Reads the outcomes that are not known, as far as the request rate allows. */
-    void askForUnknown() {
+    void readUnknownOutcomes() {
         if (waitingForRate) {
             return;
         }
-        for (String id : dependencies.unknownOutcomes(MAX_IN_FLIGHT - inFlight.size(), inFlight)) {
-            if (!requests.tryTake(1, timers.nowSeconds())) {
+        for (String jobId :
+                dependencies.unknownOutcomes(MAX_IN_FLIGHT - inFlight.size(), inFlight)) {
+            if (!requestRate.tryTake(1, timers.nowSeconds())) {
                 waitForRate();
                 return;
             }
-            ask(id);
+            readOutcome(jobId);
         }
     }
 
@@ -89,60 +91,60 @@
         waitingForRate = true;
         Epoch.Token token = epoch.current();
         timers.schedule(
-                requests.secondsUntil(1, timers.nowSeconds()),
+                requestRate.secondsUntil(1, timers.nowSeconds()),
                 () -> {
                     if (!token.isStale()) {
                         waitingForRate = false;
-                        askForUnknown();
+                        readUnknownOutcomes();
                     }
                 });
     }
 
-    private void ask(String id) {
-        inFlight.add(id);
+    private void readOutcome(String jobId) {
+        inFlight.add(jobId);
         Epoch.Token token = epoch.current();
         store.get(
-                StoreKeys.ENDED_JOBS + id,
+                StoreKeys.ENDED_JOBS + jobId,
                 (outcome, entry) -> {
                     if (!token.isStale()) {
-                        onAnswer(token, id, outcome, entry);
+                        onResponse(token, jobId, outcome, entry);
                     }
                 });
     }
 
-    private void onAnswer(Epoch.Token token, String id, Outcome outcome, Entry entry) {
+    private void onResponse(Epoch.Token token, String jobId, Outcome outcome, Entry entry) {
         if (outcome == Outcome.OK) {
-            inFlight.remove(id);
-            if (recordOutcome(id, entry.value())) {
+            inFlight.remove(jobId);
+            if (recordOutcome(jobId, entry.value())) {
                 onOutcomeKnown.run();
             }
-            askForUnknown();
+            readUnknownOutcomes();
             return;
         }
         // Either the job has not ended, so it is open and this leader has not received it yet, or
         // the store could not execute the read.
         timers.schedule(
-                outcome == Outcome.REJECTED ? NOT_ENDED_RETRY_SECONDS : UNANSWERED_RETRY_SECONDS,
+                outcome == Outcome.REJECTED ? NOT_ENDED_RETRY_SECONDS : FAILED_READ_RETRY_SECONDS,
                 () -> {
                     if (!token.isStale()) {
-                        inFlight.remove(id);
-                        askForUnknown();
+                        inFlight.remove(jobId);
+                        readUnknownOutcomes();
                     }
                 });
     }
 
-    private boolean recordOutcome(String id, Object record) {
+    private boolean recordOutcome(String jobId, Object record) {
         try {
             DocumentReader document = DocumentReader.of(record);
-            boolean done = EndStatus.fromRecord(document) == EndStatus.DONE;
+            boolean isDone = EndStatus.fromRecord(document) == EndStatus.DONE;
             // Earlier versions did not write the time when a job ended.
             double endedMillis = document.numberOr("endedMs", 0, timers.wallClockMillis());
-            dependencies.recordOutcome(id, done, endedMillis);
+            dependencies.recordOutcome(jobId, isDone, endedMillis);
             return true;
         } catch (InvalidInputException invalid) {
             LOG.error(
                     "record unreadable: key={} reason={}",
-                    StoreKeys.ENDED_JOBS + id,
+                    StoreKeys.ENDED_JOBS + jobId,
                     invalid.getMessage());
             return false;
         }
--- a/src/main/java/io/kitepath/core/state/ImageRecords.java
+++ b/src/main/java/io/kitepath/core/state/ImageRecords.java
@@ -23,7 +23,7 @@
     private static final int RECORD_COUNT = 16;
 
     /** Share of the maximum value size that a record may use, by an estimate. */
-    private static final double MAX_FILL = 0.9;
+    private static final double MAX_VALUE_FILL = 0.9;
 
     /** Size of a machine in a record without its name. */
     private static final int MACHINE_OVERHEAD_BYTES = 4;
@@ -68,15 +68,15 @@
     private final ClusterSettings settings;
 
     /** By index: the records as last written by this leader. */
-    private final Map<Integer, Map<String, Object>> lastWritten = new HashMap<>();
+    private final Map<Integer, Map<String, Object>> lastWrittenRecords = new HashMap<>();
 
     /** By id of a machine that is not known yet: the size of its images in gigabytes, by name. */
-    private final Map<String, Map<String, Double>> remembered = new HashMap<>();
+    private final Map<String, Map<String, Double>> imagesByUnknownMachine = new HashMap<>();
 
-    private int next;
+    private int nextIndex;
 
     /** When the next record is due, in seconds on the steady clock. */
-    private double nextAt;
+    private double nextDueAtSeconds;
 
     /** Creates an instance that assumes no records in the store. */
     public ImageRecords(ClusterSettings settings) {
@@ -84,18 +84,18 @@
     }
 
     /** Returns the next record if it is due and differs from the one last written. */
-    Optional<Store.Write> nextDueRecord(Collection<Machine> machines, double now) {
-        if (now < nextAt) {
+    Optional<Store.Write> nextDueRecord(Collection<Machine> machines, double nowSeconds) {
+        if (nowSeconds < nextDueAtSeconds) {
             return Optional.empty();
         }
-        nextAt = now + settings.workers().heartbeatIntervalSeconds() / 2;
-        int index = next++ % RECORD_COUNT;
+        nextDueAtSeconds = nowSeconds + settings.workers().heartbeatIntervalSeconds() / 2;
+        int index = nextIndex++ % RECORD_COUNT;
         Map<String, Object> record = composeRecord(machines, index);
-        Map<String, Object> last = lastWritten.get(index);
+        Map<String, Object> last = lastWrittenRecords.get(index);
         if (record.equals(last) || last == null && record.isEmpty()) {
             return Optional.empty();
         }
-        lastWritten.put(index, record);
+        lastWrittenRecords.put(index, record);
         return Optional.of(new Store.Write(StoreKeys.IMAGES + index, record, 0));
     }
 
@@ -105,7 +105,7 @@
 
     private Map<String, Object> composeRecord(Collection<Machine> machines, int index) {
         Map<String, ImageCopies> copiesByImage = new TreeMap<>();
-        double maxBytes = settings.store().maxValueKibibytes() * 1024 * MAX_FILL;
+        double maxBytes = settings.store().maxValueKibibytes() * 1024 * MAX_VALUE_FILL;
         int bytes = 0;
         for (Machine machine : machines) {
             if (recordIndexOf(machine.id) != index || machine.isGone() || machine.isReleasing()) {
@@ -136,12 +136,12 @@
     void load(List<Entry> records) {
         for (Entry entry : records) {
             if (entry.value() instanceof Map<?, ?> images) {
-                images.forEach(this::remember);
+                images.forEach(this::addUnknownMachines);
             }
         }
     }
 
-    private void remember(Object image, Object storedCopies) {
+    private void addUnknownMachines(Object image, Object storedCopies) {
         if (!(image instanceof String name)) {
             return;
         }
@@ -149,7 +149,7 @@
                 .ifPresent(
                         copies -> {
                             for (String id : copies.machineIds()) {
-                                remembered
+                                imagesByUnknownMachine
                                         .computeIfAbsent(id, key -> new TreeMap<>())
                                         .put(name, copies.gigabytes());
                             }
@@ -158,7 +158,7 @@
 
     /** Restores, once, the images that the previous leader recorded for a machine now known. */
     public void restoreImages(Machine machine) {
-        Map<String, Double> images = remembered.remove(machine.id);
+        Map<String, Double> images = imagesByUnknownMachine.remove(machine.id);
         if (images != null) {
             images.forEach(machine::restoreImage);
         }
@@ -166,7 +166,7 @@
 
     /** Clears all state, because this node is no longer the leader. */
     void clear() {
-        remembered.clear();
-        lastWritten.clear();
+        imagesByUnknownMachine.clear();
+        lastWrittenRecords.clear();
     }
 }
--- a/src/main/java/io/kitepath/core/state/PagedScan.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -26,7 +26,7 @@
     private final Timers timers;
     private final String prefix;
     private final int maxAttempts;
-    private final Consumer<ListResult> answer;
+    private final Consumer<ListResult> onResult;
     private final List<Entry> entries = new ArrayList<>();
 
     /** The revision of the first page; negative until that page is read. */
@@ -37,19 +37,19 @@
             Timers timers,
             String prefix,
             int maxAttempts,
-            Consumer<ListResult> answer) {
+            Consumer<ListResult> onResult) {
         this.store = store;
         this.timers = timers;
         this.prefix = prefix;
         this.maxAttempts = maxAttempts;
-        this.answer = answer;
+        this.onResult = onResult;
     }
 
     /**
      * Reads all records under the prefix.
      *
      * @param maxAttempts number of attempts to read each page before the scan fails
-     * @param answer receives all entries in key order and the revision of the first page, or the
+     * @param onResult receives all entries in key order and the revision of the first page, or the
      *     outcome of the page that could not be read
      */
     public static void read(
@@ -57,8 +57,8 @@
             Timers timers,
             String prefix,
             int maxAttempts,
-            Consumer<ListResult> answer) {
-        new PagedScan(store, timers, prefix, maxAttempts, answer).readPage(1);
+            Consumer<ListResult> onResult) {
+        new PagedScan(store, timers, prefix, maxAttempts, onResult).readPage(1);
     }
 
     private void readPage(int attempt) {
@@ -78,7 +78,7 @@
         if (page.hasMore() && !page.entries().isEmpty()) {
             readPage(1);
         } else {
-            answer.accept(new ListResult(Outcome.OK, entries, revision, false));
+            onResult.accept(new ListResult(Outcome.OK, entries, revision, false));
         }
     }
 
@@ -88,7 +88,7 @@
                     Math.min(MAX_RETRY_SECONDS, RETRY_STEP_SECONDS * attempt),
                     () -> readPage(attempt + 1));
         } else {
-            answer.accept(new ListResult(outcome, List.of(), 0, false));
+            onResult.accept(new ListResult(outcome, List.of(), 0, false));
         }
     }
 }
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -16,16 +16,16 @@
     final Job job;
 
     /** The job's new record. */
-    private final JobRecord record;
+    private final JobRecord newRecord;
 
     /** The job's version that the new records contain. */
-    private final int version;
+    private final int jobVersion;
 
     /** The new records of the job's parts, by index; parts without content have no record. */
-    private final Map<Integer, Map<String, Object>> parts = new LinkedHashMap<>();
+    private final Map<Integer, Map<String, Object>> partRecords = new LinkedHashMap<>();
 
     /** Number of part records that are removed. */
-    private final int removedParts;
+    private final int removedPartCount;
 
     /**
      * Computes the new records.
@@ -34,9 +34,9 @@
      */
     RecordMigration(Job job, int tasksPerPart) {
         this.job = job;
-        this.version = job.version();
+        this.jobVersion = job.version();
         JobRecord current = job.record();
-        this.record =
+        this.newRecord =
                 new JobRecord(
                         current.spec(),
                         current.submittedMillis(),
@@ -45,7 +45,7 @@
                         job.nextAttempt());
         for (int i = 0; i * tasksPerPart < job.spec.taskCount(); i++) {
             int index = i;
-            job.partRecordOf(i, tasksPerPart).ifPresent(part -> parts.put(index, part));
+            job.partRecordOf(i, tasksPerPart).ifPresent(part -> partRecords.put(index, part));
         }
         int removed = 0;
         for (int i = 0; i < job.partCount(); i++) {
@@ -53,36 +53,36 @@
                 removed++;
             }
         }
-        this.removedParts = removed;
+        this.removedPartCount = removed;
     }
 
     private boolean isRemoved(int part) {
-        return job.part(part).revision() > 0 && !parts.containsKey(part);
+        return job.part(part).revision() > 0 && !partRecords.containsKey(part);
     }
 
     /** Returns the number of writes: the job's record and each part record written or removed. */
     int writeCount() {
-        return 1 + parts.size() + removedParts;
+        return 1 + partRecords.size() + removedPartCount;
     }
 
     void contributeTo(Transaction transaction) {
         String id = job.spec.id();
         transaction
                 .requireRevision(job.recordKey, job.revision())
-                .put(job.recordKey, record.toRecord());
+                .put(job.recordKey, newRecord.toRecord());
         for (int i = 0; i < job.partCount(); i++) {
             transaction.requireRevision(StoreKeys.partKey(id, i), job.part(i).revision());
             if (isRemoved(i)) {
                 transaction.remove(StoreKeys.partKey(id, i));
             }
         }
-        parts.forEach((i, part) -> transaction.put(StoreKeys.partKey(id, i), part));
+        partRecords.forEach((i, part) -> transaction.put(StoreKeys.partKey(id, i), part));
     }
 
     /** Applies the migration once the store has committed it at the given revision. */
     void onCommitted(ShardState shard, long revision) {
-        boolean changedMeanwhile = job.version() != version;
-        shard.applyMigration(job, record, revision, version, parts.keySet());
+        boolean changedMeanwhile = job.version() != jobVersion;
+        shard.applyMigration(job, newRecord, revision, jobVersion, partRecords.keySet());
         if (changedMeanwhile) {
             shard.markAllPartsDirty(job);
         }
--- a/src/main/java/io/kitepath/core/state/RecordWatch.java
+++ b/src/main/java/io/kitepath/core/state/RecordWatch.java
@@ -17,7 +17,7 @@
     /** Receives events in addition to each changed record. */
     interface Listener {
         /** Called after the store responded and all changes, if any, were handled. */
-        void onAnswer();
+        void onResponse();
 
         /** Called after at least one record has changed and the watch was continued. */
         void onChanges();
@@ -54,23 +54,23 @@
                 prefix,
                 afterRevision,
                 holdMillis,
-                changes -> {
+                result -> {
                     if (!epoch.isStale()) {
-                        onResult(prefix, afterRevision, handler, changes);
+                        onResult(prefix, afterRevision, handler, result);
                     }
                 });
     }
 
     private void onResult(
-            String prefix, long afterRevision, Consumer<Entry> handler, WatchResult changes) {
-        if (changes.outcome() == Outcome.OK) {
-            changes.events().forEach(handler);
-            listener.onAnswer();
-            follow(prefix, Math.max(afterRevision, changes.revision()), handler);
-            if (!changes.events().isEmpty()) {
+            String prefix, long afterRevision, Consumer<Entry> handler, WatchResult result) {
+        if (result.outcome() == Outcome.OK) {
+            result.events().forEach(handler);
+            listener.onResponse();
+            follow(prefix, Math.max(afterRevision, result.revision()), handler);
+            if (!result.events().isEmpty()) {
                 listener.onChanges();
             }
-        } else if (changes.outcome() == Outcome.REJECTED) {
+        } else if (result.outcome() == Outcome.REJECTED) {
             listener.onChangesMissed();
         } else {
             timers.schedule(RETRY_SECONDS, () -> follow(prefix, afterRevision, handler));
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -77,14 +77,14 @@
         LoanRecords NONE =
                 new LoanRecords() {
                     @Override
-                    public void adoptLoaded(LoadedState found) {}
+                    public void adoptLoaded(LoadedState loadedState) {}
 
                     @Override
                     public void cancellationRequestChanged(Entry entry) {}
                 };
 
         /** Adopts the loaded records, after the open jobs and before their parts. */
-        void adoptLoaded(LoadedState found);
+        void adoptLoaded(LoadedState loadedState);
 
         /**
          * Called when a user has requested the cancellation of a job that may have lent tasks; an
@@ -97,9 +97,9 @@
     private final Timers timers;
     private final boolean withCellRecords;
     private final Epoch.Token epoch;
-    private final Consumer<Set<String>> onRunningKnown;
+    private final Consumer<Set<String>> onRunningJobIdsKnown;
 
-    private Consumer<Optional<LoadedState>> answer;
+    private Consumer<Optional<LoadedState>> onResult;
 
     private ListResult openJobs;
     private ListResult parts;
@@ -113,9 +113,9 @@
     private final Map<String, Entry> endedJobs = new HashMap<>();
 
     /** Ids of jobs that are not open and whose ended record has not been requested yet. */
-    private final Deque<String> unreadEnds = new ArrayDeque<>();
+    private final Deque<String> unreadEndedJobIds = new ArrayDeque<>();
 
-    private int missingEnds;
+    private int pendingEndedJobReads;
     private boolean jobsRead;
 
     /**
@@ -123,45 +123,45 @@
      *
      * @param withCellRecords whether there are other cells
      * @param epoch the load is abandoned once this epoch ends
-     * @param onRunningKnown receives the ids of all jobs that may have running tasks, before any
-     *     other records of these jobs are read
+     * @param onRunningJobIdsKnown receives the ids of all jobs that may have running tasks, before
+     *     any other records of these jobs are read
      */
     StateLoader(
             Store store,
             Timers timers,
             boolean withCellRecords,
             Epoch.Token epoch,
-            Consumer<Set<String>> onRunningKnown) {
+            Consumer<Set<String>> onRunningJobIdsKnown) {
         this.store = store;
         this.timers = timers;
         this.withCellRecords = withCellRecords;
         this.epoch = epoch;
-        this.onRunningKnown = onRunningKnown;
+        this.onRunningJobIdsKnown = onRunningJobIdsKnown;
     }
 
     /**
      * Reads all records. The result is empty if a read fails; no result is passed on once the epoch
      * has ended.
      */
-    void load(Consumer<Optional<LoadedState>> then) {
-        answer =
-                found -> {
-                    answer = ignored -> {}; // Ignores later failures.
-                    then.accept(found);
+    void load(Consumer<Optional<LoadedState>> onLoaded) {
+        onResult =
+                loadedState -> {
+                    onResult = ignored -> {}; // Ignores later failures.
+                    onLoaded.accept(loadedState);
                 };
         // Read in parallel to the jobs so that a failover does not take longer.
         readAll(
                 StoreKeys.CLOUD_INTENTS,
                 listing -> {
                     cloudIntents = Optional.of(listing);
-                    answerIfComplete();
+                    completeIfAllRead();
                 });
         readLayout();
     }
 
-    private void answerIfComplete() {
+    private void completeIfAllRead() {
         if (jobsRead && cloudIntents.isPresent()) {
-            answer.accept(
+            onResult.accept(
                     Optional.of(
                             new LoadedState(
                                     openJobs.revision(),
@@ -179,7 +179,7 @@
         }
     }
 
-    private void readAll(String prefix, Consumer<ListResult> then) {
+    private void readAll(String prefix, Consumer<ListResult> onRead) {
         PagedScan.read(
                 store,
                 timers,
@@ -190,9 +190,9 @@
                         return;
                     }
                     if (listing.outcome() == Outcome.OK) {
-                        then.accept(listing);
+                        onRead.accept(listing);
                     } else {
-                        answer.accept(Optional.empty());
+                        onResult.accept(Optional.empty());
                     }
                 });
     }
@@ -210,7 +210,7 @@
                         layout = Optional.ofNullable(entry);
                         readOpenJobs();
                     } else {
-                        answer.accept(Optional.empty());
+                        onResult.accept(Optional.empty());
                     }
                 });
     }
@@ -223,7 +223,7 @@
                     if (withCellRecords) {
                         readLentTasks();
                     } else {
-                        onRunningKnown.accept(openJobIds());
+                        onRunningJobIdsKnown.accept(openJobIds());
                         readParts();
                     }
                 });
@@ -243,9 +243,9 @@
                 StoreKeys.BORROWED_TASKS,
                 listing -> {
                     borrowedTasks = listing.entries();
-                    Set<String> mayRun = openJobIds();
-                    borrowedTasks.forEach(entry -> mayRun.add(jobOfLoan(entry)));
-                    onRunningKnown.accept(mayRun);
+                    Set<String> runningJobIds = openJobIds();
+                    borrowedTasks.forEach(entry -> runningJobIds.add(jobIdOfLoan(entry)));
+                    onRunningJobIdsKnown.accept(runningJobIds);
                     readCancellationRequests();
                 });
     }
@@ -287,14 +287,14 @@
     }
 
     private void readEndedJobs() {
-        Set<String> notOpen = new LinkedHashSet<>();
-        parts.entries().forEach(entry -> notOpen.add(StoreKeys.jobOfPart(entry.key())));
-        notOpen.removeAll(openJobIds());
+        Set<String> notOpenJobIds = new LinkedHashSet<>();
+        parts.entries().forEach(entry -> notOpenJobIds.add(StoreKeys.jobIdOfPart(entry.key())));
+        notOpenJobIds.removeAll(openJobIds());
         // Borrowed tasks have no ended records here: their end is stored in the record of the loan.
-        borrowedTasks.forEach(entry -> notOpen.remove(jobOfLoan(entry)));
-        unreadEnds.addAll(notOpen);
-        missingEnds = unreadEnds.size();
-        if (missingEnds == 0) {
+        borrowedTasks.forEach(entry -> notOpenJobIds.remove(jobIdOfLoan(entry)));
+        unreadEndedJobIds.addAll(notOpenJobIds);
+        pendingEndedJobReads = unreadEndedJobIds.size();
+        if (pendingEndedJobReads == 0) {
             onJobsRead();
             return;
         }
@@ -304,7 +304,7 @@
     }
 
     private void readNextEndedJob() {
-        String id = unreadEnds.poll();
+        String id = unreadEndedJobIds.poll();
         if (id != null) {
             readEndedJob(id, 1);
         }
@@ -329,7 +329,7 @@
                     if (outcome == Outcome.OK) {
                         endedJobs.put(id, entry);
                     }
-                    if (--missingEnds == 0) {
+                    if (--pendingEndedJobReads == 0) {
                         onJobsRead();
                     } else {
                         readNextEndedJob();
@@ -339,7 +339,7 @@
 
     private void onJobsRead() {
         jobsRead = true;
-        answerIfComplete();
+        completeIfAllRead();
     }
 
     private Set<String> openJobIds() {
@@ -350,7 +350,7 @@
         return ids;
     }
 
-    private static String jobOfLoan(Entry borrowed) {
+    private static String jobIdOfLoan(Entry borrowed) {
         return DocumentReader.of(borrowed.value()).textOr("job", "");
     }
 }
--- a/src/main/java/io/kitepath/core/state/StateRestorer.java
+++ b/src/main/java/io/kitepath/core/state/StateRestorer.java
@@ -24,7 +24,7 @@
     private final StateLoader.LoanRecords loanRecords;
 
     /** Number of consecutive reads that were inconsistent. */
-    private int inconsistentReads;
+    private int consecutiveInconsistentReads;
 
     StateRestorer(
             Timers timers,
@@ -45,25 +45,25 @@
      * @return false if the loaded records are inconsistent, for example because jobs were accepted
      *     or ended during the load; everything has to be read again
      */
-    boolean restore(StateLoader.LoadedState found, Optional<Object> serviceLevels) {
-        double now = timers.nowSeconds();
+    boolean restore(StateLoader.LoadedState loadedState, Optional<Object> serviceLevels) {
+        double nowSeconds = timers.nowSeconds();
         shard.clearJobs();
-        if (found.layout().isPresent() && !restoreLayout(found.layout().get())) {
+        if (loadedState.layout().isPresent() && !restoreLayout(loadedState.layout().get())) {
             return false;
         }
         serviceLevels.ifPresent(this::restoreServiceLevels);
         // Before the jobs' parts, so that a machine to be released counts as releasing as soon as
         // it becomes known.
-        listener.cloudIntentsLoaded(found.cloudIntents().entries());
-        found.openJobs().forEach(this::addOpenJob);
-        loanRecords.adoptLoaded(found);
-        found.endedJobs().forEach(this::addEndedJob);
-        for (Entry entry : found.parts()) {
-            if (!restorePart(entry, now)) {
+        listener.cloudIntentsLoaded(loadedState.cloudIntents().entries());
+        loadedState.openJobs().forEach(this::addOpenJob);
+        loanRecords.adoptLoaded(loadedState);
+        loadedState.endedJobs().forEach(this::addEndedJob);
+        for (Entry entry : loadedState.parts()) {
+            if (!restorePart(entry, nowSeconds)) {
                 return false;
             }
         }
-        inconsistentReads = 0;
+        consecutiveInconsistentReads = 0;
         return true;
     }
 
@@ -100,10 +100,10 @@
     }
 
     /** Returns false if the part's job is not known and everything has to be read again. */
-    private boolean restorePart(Entry entry, double now) {
-        Job job = shard.jobs().get(StoreKeys.jobOfPart(entry.key()));
+    private boolean restorePart(Entry entry, double nowSeconds) {
+        Job job = shard.jobs().get(StoreKeys.jobIdOfPart(entry.key()));
         if (job == null) {
-            if (inconsistentReads++ < MAX_RELOADS_FOR_ORPHAN_PARTS) {
+            if (consecutiveInconsistentReads++ < MAX_RELOADS_FOR_ORPHAN_PARTS) {
                 // The job was created after the open jobs were read, or has just ended.
                 return false;
             }
@@ -115,7 +115,7 @@
         }
         int part = StoreKeys.indexOfPart(entry.key());
         if (part < job.partCount()) {
-            restoreOrHold(job, part, entry, now);
+            restoreOrHold(job, part, entry, nowSeconds);
         }
         return true;
     }
@@ -124,9 +124,9 @@
      * Restores a part, or holds it if its record is unreadable. Guards against a single unreadable
      * record that keeps a new leader from loading any job.
      */
-    private void restoreOrHold(Job job, int part, Entry entry, double now) {
+    private void restoreOrHold(Job job, int part, Entry entry, double nowSeconds) {
         try {
-            shard.restorePart(job, part, entry.value(), entry.revision(), now);
+            shard.restorePart(job, part, entry.value(), entry.revision(), nowSeconds);
         } catch (InvalidInputException unreadable) {
             logUnreadable(entry.key(), unreadable);
             shard.holdUnreadable(job, part);
@@ -138,12 +138,12 @@
         if (entry.value() != null) {
             addOpenJob(entry);
         } else {
-            shard.finishJob(idOfOpenJob(entry));
+            shard.finishJob(openJobId(entry));
         }
     }
 
     private void addOpenJob(Entry entry) {
-        String id = idOfOpenJob(entry);
+        String id = openJobId(entry);
         if (shard.jobs().containsKey(id)) {
             return;
         }
@@ -154,7 +154,7 @@
         }
     }
 
-    private static String idOfOpenJob(Entry entry) {
+    private static String openJobId(Entry entry) {
         return entry.key().substring(StoreKeys.OPEN_JOBS.length());
     }
 
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -235,13 +235,13 @@
     }
 
     private Set<String> openJobIds() {
-        Set<String> ids = new HashSet<>();
+        Set<String> jobIds = new HashSet<>();
         for (Job job : shard.jobs().values()) {
             if (!job.isFinished()) {
-                ids.add(job.spec.id());
+                jobIds.add(job.spec.id());
             }
         }
-        return ids;
+        return jobIds;
     }
 
     private void load(Epoch.Token token, Runnable onChange) {
@@ -251,21 +251,21 @@
         loaded = false;
         batcher.stop();
         readServiceLevels(token);
-        double startedMillis = timers.wallClockMillis();
+        double readStartedMillis = timers.wallClockMillis();
         StateLoader loader =
                 new StateLoader(
                         store,
                         timers,
                         hasOtherCells(),
                         token,
-                        ids -> {
-                            runningJobIds = Optional.of(ids);
-                            listener.runningJobsKnown(startedMillis);
+                        jobIds -> {
+                            runningJobIds = Optional.of(jobIds);
+                            listener.runningJobsKnown(readStartedMillis);
                         });
         loader.load(
-                found -> {
-                    if (found.isPresent() && restore(found.get())) {
-                        onLoaded(token, found.get(), onChange);
+                loadedState -> {
+                    if (loadedState.isPresent() && restore(loadedState.get())) {
+                        onLoaded(token, loadedState.get(), onChange);
                     } else {
                         timers.schedule(RELOAD_DELAY_SECONDS, () -> load(token, onChange));
                     }
@@ -288,26 +288,27 @@
                 });
     }
 
-    private boolean restore(StateLoader.LoadedState found) {
-        if (!restorer.restore(found, previousServiceLevels)) {
+    private boolean restore(StateLoader.LoadedState loadedState) {
+        if (!restorer.restore(loadedState, previousServiceLevels)) {
             return false;
         }
         loaded = true;
         // Guards against records that were read before a cancellation which other nodes reported
         // during the load.
         List.copyOf(listener.cancelledMeanwhile()).forEach(shard::finishJob);
-        LOG.info("state loaded: jobs={} parts={}", shard.jobs().size(), found.parts().size());
+        LOG.info("state loaded: jobs={} parts={}", shard.jobs().size(), loadedState.parts().size());
         return true;
     }
 
-    private void onLoaded(Epoch.Token token, StateLoader.LoadedState found, Runnable onChange) {
-        if (found.layout().isEmpty()) {
+    private void onLoaded(
+            Epoch.Token token, StateLoader.LoadedState loadedState, Runnable onChange) {
+        if (loadedState.layout().isEmpty()) {
             enqueue(new LayoutRecord(shard));
         }
         readImages(token);
         dependencyOutcomes.start(onChange);
-        dependencyOutcomes.askForUnknown();
-        followChanges(token, found, onChange);
+        dependencyOutcomes.readUnknownOutcomes();
+        followChanges(token, loadedState, onChange);
         onChange.run();
     }
 
@@ -327,19 +328,19 @@
     }
 
     private void followChanges(
-            Epoch.Token token, StateLoader.LoadedState found, Runnable onChange) {
+            Epoch.Token token, StateLoader.LoadedState loadedState, Runnable onChange) {
         long holdMillis = (long) (settings.workers().leaseSeconds() * 500);
         RecordWatch watch =
                 new RecordWatch(store, timers, holdMillis, token, new ChangeListener(onChange));
-        watch.follow(StoreKeys.OPEN_JOBS, found.revision(), restorer::onOpenJobChanged);
+        watch.follow(StoreKeys.OPEN_JOBS, loadedState.revision(), restorer::onOpenJobChanged);
         watch.follow(
                 StoreKeys.CLOUD_INTENTS,
-                found.cloudIntents().revision(),
+                loadedState.cloudIntents().revision(),
                 listener::cloudIntentChanged);
         if (hasOtherCells()) {
             watch.follow(
                     StoreKeys.CANCELLATION_REQUESTS,
-                    found.revision(),
+                    loadedState.revision(),
                     loanRecords::cancellationRequestChanged);
         }
     }
@@ -352,8 +353,8 @@
         }
 
         @Override
-        public void onAnswer() {
-            dependencyOutcomes.askForUnknown();
+        public void onResponse() {
+            dependencyOutcomes.readUnknownOutcomes();
         }
 
         @Override
--- a/src/main/java/io/kitepath/core/state/StoreKeys.java
+++ b/src/main/java/io/kitepath/core/state/StoreKeys.java
@@ -79,8 +79,8 @@
     private StoreKeys() {}
 
     /** Returns the key of the tasks that a home cell lent to this one under a loan number. */
-    public static String borrowedTasksKey(String home, long number) {
-        return BORROWED_TASKS + home + "/" + String.format("%020d", number);
+    public static String borrowedTasksKey(String homeCell, long loanNumber) {
+        return BORROWED_TASKS + homeCell + "/" + String.format("%020d", loanNumber);
     }
 
     /** Returns the key of a part of a job. */
@@ -91,12 +91,12 @@
     /** Returns the id of the job whose part has the key; empty if it is not the key of a part. */
     public static Optional<String> findJobOfPart(String key) {
         return key.matches(JOB_PARTS + "[^/]+/[0-9]{1,9}")
-                ? Optional.of(jobOfPart(key))
+                ? Optional.of(jobIdOfPart(key))
                 : Optional.empty();
     }
 
     /** Returns the id of the job whose part has the key, which must be the key of a part. */
-    static String jobOfPart(String partKey) {
+    static String jobIdOfPart(String partKey) {
         return partKey.substring(JOB_PARTS.length(), partKey.lastIndexOf('/'));
     }
 
--- a/src/main/java/io/kitepath/core/state/WriteBatch.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatch.java
@@ -21,7 +21,7 @@
  */
 final class WriteBatch {
     /** Maximum estimated size of the JSON form; a transaction may hold 64 KiB. */
-    private static final int MAX_BYTES = 48 * 1024;
+    private static final int MAX_ESTIMATED_BYTES = 48 * 1024;
 
     /** Estimated size of a record's key and conditions, without its value. */
     private static final int RECORD_OVERHEAD_BYTES = 128;
@@ -34,7 +34,7 @@
     }
 
     /** The state of a record that shows that its batch was committed. */
-    private enum Evidence {
+    private enum CommittedIf {
         REVISION_CHANGED,
         JOB_DONE,
         RECORD_GONE
@@ -46,14 +46,14 @@
      *
      * @param revisionBefore the record's revision before the batch, 0 if it did not exist
      */
-    record Witness(String key, long revisionBefore, Evidence evidence) {
+    record CommitCheck(String key, long revisionBefore, CommittedIf committedIf) {
         /**
          * Returns whether the batch was committed.
          *
          * @param current the current record, null if it does not exist
          */
-        boolean showsCommitted(Entry current) {
-            return switch (evidence) {
+        boolean isCommitted(Entry current) {
+            return switch (committedIf) {
                 case REVISION_CHANGED -> current != null && current.revision() != revisionBefore;
                 // A user's cancellation may have been written instead.
                 case JOB_DONE ->
@@ -89,7 +89,7 @@
     }
 
     boolean isFull() {
-        return estimatedBytes >= MAX_BYTES;
+        return estimatedBytes >= MAX_ESTIMATED_BYTES;
     }
 
     /**
@@ -97,16 +97,16 @@
      * own state are added.
      */
     boolean isHalfFull() {
-        return estimatedBytes >= MAX_BYTES / 2;
+        return estimatedBytes >= MAX_ESTIMATED_BYTES / 2;
     }
 
     /** Marks the part as visited; returns false if it was visited before. */
-    boolean visit(JobPart part) {
+    boolean markVisited(JobPart part) {
         return visitedParts.add(part);
     }
 
     /** Makes the batch conditional on the open job's record; repeated calls have no effect. */
-    void requireOpen(Job job) {
+    void requireOpenJob(Job job) {
         if (conditionedJobs.add(job)) {
             transaction.requireRevision(job.recordKey, job.revision());
         }
@@ -149,13 +149,13 @@
                 .put(StoreKeys.ENDED_JOBS + job.spec.id(), record);
     }
 
-    void contribute(BatchContributor contributor, int expectedBytes) {
+    void addContributor(BatchContributor contributor, int expectedBytes) {
         contributor.contributeTo(transaction);
         contributors.add(contributor);
         estimatedBytes += expectedBytes;
     }
 
-    void migrate(RecordMigration recordMigration) {
+    void addMigration(RecordMigration recordMigration) {
         recordMigration.contributeTo(transaction);
         migration = Optional.of(recordMigration);
     }
@@ -217,17 +217,19 @@
      * Returns a record that shows whether the batch was committed; empty if other writers may have
      * written all records of the batch.
      */
-    Optional<Witness> witness() {
+    Optional<CommitCheck> commitCheck() {
         for (WrittenPart written : parts) {
             if (!written.removed) {
                 return Optional.of(
-                        new Witness(
-                                written.key(), written.part.revision(), Evidence.REVISION_CHANGED));
+                        new CommitCheck(
+                                written.key(),
+                                written.part.revision(),
+                                CommittedIf.REVISION_CHANGED));
             }
         }
         if (!completedJobs.isEmpty()) {
             String key = StoreKeys.ENDED_JOBS + completedJobs.get(0).spec.id();
-            return Optional.of(new Witness(key, 0, Evidence.JOB_DONE));
+            return Optional.of(new CommitCheck(key, 0, CommittedIf.JOB_DONE));
         }
         // A removed record has no revision, but contributors need the one of the commit.
         if (parts.isEmpty() || !contributors.isEmpty()) {
@@ -235,6 +237,6 @@
         }
         WrittenPart removed = parts.get(0);
         return Optional.of(
-                new Witness(removed.key(), removed.part.revision(), Evidence.RECORD_GONE));
+                new CommitCheck(removed.key(), removed.part.revision(), CommittedIf.RECORD_GONE));
     }
 }
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -22,7 +22,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(WriteBatcher.class);
 
     /** Share of the store's write rate; the rest is for submissions, cancellations and leases. */
-    private static final double WRITE_SHARE = 0.7;
+    private static final double WRITE_RATE_SHARE = 0.7;
 
     /** Delay before a transaction that the store did not execute is sent again. */
     private static final double NOT_EXECUTED_RETRY_SECONDS = 0.2;
@@ -66,7 +66,7 @@
         this.timers = timers;
         this.shard = shard;
         this.listener = listener;
-        double writesPerSecond = shard.settings().store().writesPerSecond() * WRITE_SHARE;
+        double writesPerSecond = shard.settings().store().writesPerSecond() * WRITE_RATE_SHARE;
         this.writeRate = new TokenBucket(writesPerSecond);
         this.sizeLimit = new BatchSizeLimit(shard.settings().store().maxTransactionOperations());
         this.composer = new BatchComposer(timers, shard, images, contributors, writesPerSecond);
@@ -87,7 +87,7 @@
 
     /** Adds the contributor to one of the next batches. */
     void enqueue(BatchContributor contributor) {
-        contributors.add(contributor);
+        contributors.enqueue(contributor);
     }
 
     boolean isWriting() {
@@ -120,14 +120,19 @@
         if (inFlight != null) {
             return;
         }
-        double now = timers.nowSeconds();
+        double nowSeconds = timers.nowSeconds();
         WriteBatch batch = new WriteBatch(shardKey, shardRevision);
-        boolean endsFirst = transactionsSent % 2 == 0;
-        composer.fill(batch, sizeLimit.maxWrites(), writeRate.available(now), endsFirst, now);
+        boolean endedJobsFirst = transactionsSent % 2 == 0;
+        composer.fill(
+                batch,
+                sizeLimit.maxWrites(),
+                writeRate.available(nowSeconds),
+                endedJobsFirst,
+                nowSeconds);
         if (batch.writeCount() == 0) {
             return;
         }
-        writeRate.tryTake(batch.writeCount(), now);
+        writeRate.tryTake(batch.writeCount(), nowSeconds);
         inFlight = batch;
         transactionsSent++;
         recordsSent += batch.writeCount();
@@ -231,7 +236,7 @@
             putBack(batch);
             listener.shardLost();
         } else if (batch.mayHaveExecuted()) {
-            settle(batch, result, onCommitted);
+            resolveOutcome(batch, result, onCommitted);
         } else {
             onNotCommitted(batch, result);
         }
@@ -242,15 +247,15 @@
      * record that no other writer writes. Guards against a leader that reloads all jobs for each
      * lost response and is unavailable in the meantime.
      */
-    private void settle(WriteBatch batch, CommitResult result, Runnable onCommitted) {
-        Optional<WriteBatch.Witness> witness = batch.witness();
-        if (witness.isEmpty()) {
+    private void resolveOutcome(WriteBatch batch, CommitResult result, Runnable onCommitted) {
+        Optional<WriteBatch.CommitCheck> commitCheck = batch.commitCheck();
+        if (commitCheck.isEmpty()) {
             putBack(batch);
             listener.reloadRequired(MAY_HAVE_EXECUTED);
             return;
         }
         store.get(
-                witness.get().key(),
+                commitCheck.get().key(),
                 (outcome, entry) -> {
                     if (inFlight != batch) {
                         return;
@@ -258,8 +263,8 @@
                     if (outcome != Outcome.OK && outcome != Outcome.REJECTED) {
                         timers.schedule(
                                 NOT_EXECUTED_RETRY_SECONDS,
-                                () -> settle(batch, result, onCommitted));
-                    } else if (witness.get().showsCommitted(entry)) {
+                                () -> resolveOutcome(batch, result, onCommitted));
+                    } else if (commitCheck.get().isCommitted(entry)) {
                         onCommitted(batch, entry == null ? 0 : entry.revision(), onCommitted);
                     } else {
                         // The batch can't be committed later either: its required revision is
