--- a/src/test/java/io/kitepath/core/state/BatchSizeLimitTest.java
+++ b/src/test/java/io/kitepath/core/state/BatchSizeLimitTest.java
@@ -14,13 +14,13 @@
     }
 
     @Test
-    void limitWithoutInvalidTransactionsStaysAsConfigured() {
+    void keepsConfiguredLimitWithoutInvalidTransactions() {
         commit(3);
         assertEquals(40, limit.maxWrites());
     }
 
     @Test
-    void limitAfterInvalidTransactionIsHalvedAndGrowsToBelowItsSize() {
+    void halvesLimitAfterInvalidTransactionAndGrowsToOneWriteBelowItsSize() {
         limit.onInvalid(30);
         assertEquals(15, limit.maxWrites());
         commit(1);
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void limitAfterInvalidTransactionOfFewWritesLeavesRoomForAnEndedJob() {
+    void keepsTwoWritesForAnEndedJobAfterInvalidTransactionOfThreeWrites() {
         limit.onInvalid(3);
         assertEquals(2, limit.maxWrites());
     }
 
     @Test
-    void limitAfterInvalidSingleRecordGrowsToTheConfiguredSize() {
+    void growsToConfiguredLimitAfterInvalidSingleRecord() {
         limit.onInvalid(30);
         limit.onSingleRecordInvalid();
         commit(100);
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationProofTest.java
@@ -30,10 +30,10 @@
     private final ShardState shard = new ShardState(cluster.settings("k0"), machine -> {});
 
     /** Transactions that were sent. */
-    private final List<Store.Transaction> sent = new ArrayList<>();
+    private final List<Store.Transaction> sentTransactions = new ArrayList<>();
 
     /** When each of them was sent, in seconds on the steady clock. */
-    private final List<Double> sentAt = new ArrayList<>();
+    private final List<Double> sentAtSeconds = new ArrayList<>();
 
     /** Times that the listener received, in milliseconds. */
     private final List<Double> knownAsOfMillis = new ArrayList<>();
@@ -42,75 +42,77 @@
     private final List<String> closedJobs = new ArrayList<>();
 
     /** Keys that no longer exist in the store. */
-    private final List<String> goneKeys = new ArrayList<>();
+    private final List<String> removedKeys = new ArrayList<>();
 
     /** The store's outcome unless one of the following fields causes another one. */
     private Outcome defaultOutcome = Outcome.OK;
 
-    private double answerSeconds = 0.01;
+    private double responseDelaySeconds = 0.01;
     private int maxConditions = 1000;
 
     /** Whether the store refuses a transaction, by its number from 1. */
-    private IntPredicate refuses = number -> false;
+    private IntPredicate isRefused = number -> false;
 
-    private boolean holding = true;
+    private boolean isLoadedLeader = true;
 
     /** Responds to compare-only transactions and reads after a delay, and to nothing else. */
     private final Store store =
             new Store() {
                 @Override
-                public void get(String key, BiConsumer<Outcome, Entry> answer) {
+                public void get(String key, BiConsumer<Outcome, Entry> callback) {
                     cluster.after(
-                            answerSeconds,
+                            responseDelaySeconds,
                             () ->
-                                    answer.accept(
-                                            goneKeys.contains(key) ? Outcome.REJECTED : Outcome.OK,
+                                    callback.accept(
+                                            removedKeys.contains(key)
+                                                    ? Outcome.REJECTED
+                                                    : Outcome.OK,
                                             null));
                 }
 
                 @Override
-                public void commit(Transaction transaction, Consumer<CommitResult> answer) {
+                public void commit(Transaction transaction, Consumer<CommitResult> callback) {
                     assertTrue(transaction.writes().isEmpty());
                     assertTrue(transaction.conditions().size() <= 160);
-                    sent.add(transaction);
-                    sentAt.add(cluster.clock.now);
-                    List<String> failed =
+                    sentTransactions.add(transaction);
+                    sentAtSeconds.add(cluster.clock.now);
+                    List<String> failedKeys =
                             transaction.conditions().stream()
                                     .map(Condition::key)
-                                    .filter(goneKeys::contains)
+                                    .filter(removedKeys::contains)
                                     .toList();
-                    Outcome outcome = outcomeOf(transaction, failed);
+                    Outcome outcome = outcomeOf(transaction, failedKeys);
                     cluster.after(
-                            answerSeconds,
-                            () -> answer.accept(new CommitResult(outcome, 0, failed, false)));
+                            responseDelaySeconds,
+                            () -> callback.accept(new CommitResult(outcome, 0, failedKeys, false)));
                 }
 
-                private Outcome outcomeOf(Transaction transaction, List<String> failed) {
+                private Outcome outcomeOf(Transaction transaction, List<String> failedKeys) {
                     if (transaction.conditions().size() > maxConditions) {
                         return Outcome.INVALID;
                     }
-                    if (refuses.test(sent.size())) {
+                    if (isRefused.test(sentTransactions.size())) {
                         return Outcome.NOT_EXECUTED;
                     }
-                    return failed.isEmpty() ? defaultOutcome : Outcome.REJECTED;
+                    return failedKeys.isEmpty() ? defaultOutcome : Outcome.REJECTED;
                 }
 
                 @Override
                 public void list(
-                        String prefix, String from, int limit, Consumer<ListResult> answer) {}
+                        String prefix, String from, int limit, Consumer<ListResult> callback) {}
 
                 @Override
-                public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {}
+                public void grantLease(long lifeMs, BiConsumer<Outcome, Long> callback) {}
 
                 @Override
-                public void renewLease(long lease, Consumer<Outcome> answer) {}
+                public void renewLease(long lease, Consumer<Outcome> callback) {}
 
                 @Override
                 public void revokeLease(long lease) {}
 
                 @Override
                 public void watch(
-                        String prefix, long after, long holdMs, Consumer<WatchResult> answer) {}
+                        String prefix, long after, long holdMs, Consumer<WatchResult> callback) {}
             };
 
     private final CancellationProof proof =
@@ -119,7 +121,7 @@
                     timers,
                     new Random(1),
                     shard,
-                    () -> holding,
+                    () -> isLoadedLeader,
                     new CancellationProof.Listener() {
                         @Override
                         public void jobClosed(String id) {
@@ -155,29 +157,32 @@
     }
 
     private double firstSentMillis() {
-        return 1000 * sentAt.get(0);
+        return 1000 * sentAtSeconds.get(0);
     }
 
     private Store.Transaction lastSent() {
-        return sent.get(sent.size() - 1);
+        return sentTransactions.get(sentTransactions.size() - 1);
     }
 
     @Test
-    void roundOverManyJobsComparesEachOnceInFewTransactions() {
+    void comparesEachJobOnceInThreeTransactionsWhenThereAreManyJobs() {
         addJobsWithLiveTasks(400);
         proof.start();
         cluster.run(1);
         assertEquals(
-                400, sent.stream().mapToInt(transaction -> transaction.conditions().size()).sum());
-        assertEquals(3, sent.size());
+                400,
+                sentTransactions.stream()
+                        .mapToInt(transaction -> transaction.conditions().size())
+                        .sum());
+        assertEquals(3, sentTransactions.size());
         assertEquals(List.of(firstSentMillis()), knownAsOfMillis);
     }
 
     /** The time during which the response was in flight is not confirmed. */
     @Test
-    void roundWithSlowAnswerProvesAsOfWhenItWasAsked() {
+    void confirmsCancellationsAsOfRequestTimeWhenResponseIsSlow() {
         addJobsWithLiveTasks(3);
-        answerSeconds = 6;
+        responseDelaySeconds = 6;
         proof.start();
         cluster.run(7);
         assertEquals(1, knownAsOfMillis.size());
@@ -185,9 +190,9 @@
     }
 
     @Test
-    void jobWhoseOpenKeyIsGoneIsReportedBeforeAnythingIsProven() {
+    void reportsJobAsClosedBeforeConfirmationWhenItsOpenKeyIsRemoved() {
         addJobsWithLiveTasks(3);
-        goneKeys.add(StoreKeys.OPEN_JOBS + "j-1");
+        removedKeys.add(StoreKeys.OPEN_JOBS + "j-1");
         proof.start();
         cluster.run(0.015);
         assertEquals(List.of(), knownAsOfMillis);
@@ -201,7 +206,7 @@
     }
 
     @Test
-    void roundWithoutDefiniteAnswerProvesNothingAndIsRetriedWhileTheShardIsHeld() {
+    void retriesWithoutConfirmationOnIndefiniteResponseWhileLeadingTheShard() {
         addJobsWithLiveTasks(1);
         for (Outcome outcome : List.of(Outcome.NOT_EXECUTED, Outcome.UNKNOWN, Outcome.INVALID)) {
             defaultOutcome = outcome;
@@ -209,28 +214,28 @@
             cluster.run(5);
             assertEquals(List.of(), knownAsOfMillis, outcome.toString());
         }
-        assertTrue(sent.size() > 20);
+        assertTrue(sentTransactions.size() > 20);
         defaultOutcome = Outcome.OK;
         cluster.run(1);
         assertEquals(1, knownAsOfMillis.size());
-        holding = false;
-        int before = sent.size();
+        isLoadedLeader = false;
+        int sentBefore = sentTransactions.size();
         cluster.run(10);
-        assertEquals(before, sent.size());
+        assertEquals(sentBefore, sentTransactions.size());
         proof.stop();
     }
 
     /** A store over its request rate refuses every second request. */
     @Test
-    void transactionThatIsRefusedIsSentAgainWithoutTheAnsweredOnes() {
+    void resendsOnlyRefusedTransactions() {
         addJobsWithLiveTasks(800);
-        refuses = number -> number % 2 == 0;
+        isRefused = number -> number % 2 == 0;
         proof.start();
         cluster.run(3);
         assertTrue(knownAsOfMillis.size() >= 1);
         assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
         assertTrue(
-                sent.stream()
+                sentTransactions.stream()
                                 .map(transaction -> transaction.conditions().get(0).key())
                                 .distinct()
                                 .count()
@@ -239,7 +244,7 @@
 
     /** The store accepts fewer conditions than configured. */
     @Test
-    void transactionThatIsInvalidAsTooLargeIsFollowedBySmallerOnes() {
+    void sendsSmallerTransactionsWhenTransactionIsInvalid() {
         addJobsWithLiveTasks(100);
         maxConditions = 30;
         proof.start();
@@ -252,9 +257,9 @@
      * Responses take longer than a quarter of the margin, and the round needs several transactions.
      */
     @Test
-    void roundOverManyJobsWithSlowAnswersIsCompleted() {
+    void completesRoundOverManyJobsWhenResponsesAreSlow() {
         addJobsWithLiveTasks(800);
-        answerSeconds = 3;
+        responseDelaySeconds = 3;
         proof.start();
         cluster.run(7);
         assertEquals(1, knownAsOfMillis.size());
