--- a/src/main/java/io/kitepath/core/LeadershipTransitions.java
+++ b/src/main/java/io/kitepath/core/LeadershipTransitions.java
@@ -24,7 +24,7 @@
         node.failoverTimings.onLeadershipWon(
                 node.timers.nowSeconds(), node.heartbeatProcessor.launchCount());
         node.stateWriter.start(Leadership.SHARD_KEY, shardRevision, node::requestRound);
-        node.cancellationProof.start();
+        node.cancellationVerifier.start();
         node.leaderLoop.start();
         node.heartbeatService.onLeaderKnown();
     }
@@ -38,7 +38,7 @@
     public void onLeadershipLost(String why) {
         LOG.info(node.shard.serviceLevels().summary());
         node.stateWriter.stop();
-        node.cancellationProof.stop();
+        node.cancellationVerifier.stop();
         node.shard.giveUpLeadership();
         node.heartbeatService.releaseAll();
         node.gossip.broadcast();
--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -16,7 +16,7 @@
 import io.kitepath.core.service.RetryAfter;
 import io.kitepath.core.shard.HeartbeatProcessor;
 import io.kitepath.core.shard.ShardState;
-import io.kitepath.core.state.CancellationProof;
+import io.kitepath.core.state.CancellationVerifier;
 import io.kitepath.core.state.ImageRecords;
 import io.kitepath.core.state.StateWriter;
 import java.util.Optional;
@@ -57,7 +57,7 @@
     final CloudComponents cloud;
 
     // Workers.
-    final CancellationProof cancellationProof;
+    final CancellationVerifier cancellationVerifier;
     final HeartbeatService heartbeatService;
     final DirectCancellations directCancellations;
     final RetryAfter retryAfter;
@@ -100,7 +100,7 @@
 
         this.cloud = new CloudComponents(this, environment, incarnation);
 
-        this.cancellationProof = newCancellationProof(shardEvents);
+        this.cancellationVerifier = newCancellationVerifier(shardEvents);
         this.heartbeatService = newHeartbeatService();
         this.directCancellations = newDirectCancellations();
         this.retryAfter = new RetryAfter(settings, timers);
@@ -169,10 +169,10 @@
                 environment.store(), timers, shard, images, listener, otherCells.loanRecords());
     }
 
-    private CancellationProof newCancellationProof(CancellationProof.Listener listener) {
+    private CancellationVerifier newCancellationVerifier(CancellationVerifier.Listener listener) {
         // Its own source of random numbers: its loop must not shift the draws of the others.
         Random random = new Random(settings.node().hashCode());
-        return new CancellationProof(
+        return new CancellationVerifier(
                 environment.store(), timers, random, shard, this::holdsShard, listener);
     }
 
--- a/src/main/java/io/kitepath/core/ShardEvents.java
+++ b/src/main/java/io/kitepath/core/ShardEvents.java
@@ -3,7 +3,7 @@
 import io.kitepath.core.leadership.Leadership;
 import io.kitepath.core.model.JobStatus;
 import io.kitepath.core.port.Store.Entry;
-import io.kitepath.core.state.CancellationProof;
+import io.kitepath.core.state.CancellationVerifier;
 import io.kitepath.core.state.StateWriter;
 import java.util.List;
 import java.util.Set;
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /** What the leader does about news that it reads in the shard's records, or is told on writing. */
-final class ShardEvents implements StateWriter.Listener, CancellationProof.Listener {
+final class ShardEvents implements StateWriter.Listener, CancellationVerifier.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(ShardEvents.class);
 
     private final NodeComponents node;
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -17,7 +17,7 @@
  *
  * <ul>
  *   <li>the store: everything that was confirmed before a request was <em>sent</em> whose answer
- *       shows that the jobs of all attempts are open ({@code core.state.CancellationProof}), or
+ *       shows that the jobs of all attempts are open ({@code core.state.CancellationVerifier}), or
  *       from which the open jobs were read;
  *   <li>each peer's own digests, as only controllers confirm cancellations: a digest that begins
  *       before the moment up to which that peer's confirmations are known carries that moment on to
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationVerifier.java
@@ -24,7 +24,7 @@
  * <p>Jobs whose tasks are placed later need no confirmation: their placement is written on the
  * condition that they are open. Runs on the event loop.
  */
-public final class CancellationProof {
+public final class CancellationVerifier {
     /** Receives the results of the comparisons. */
     public interface Listener {
         /** Called when a job is no longer open although no watch reported it. */
@@ -68,7 +68,7 @@
      * @param random adds jitter so that the requests of several nodes spread out
      * @param isLoadedLeader whether this node leads the shard and has its jobs loaded
      */
-    public CancellationProof(
+    public CancellationVerifier(
             Store store,
             Timers timers,
             Random random,
--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationVerifierTest.java
@@ -24,7 +24,7 @@
 import java.util.function.IntPredicate;
 import org.junit.jupiter.api.Test;
 
-class CancellationProofTest {
+class CancellationVerifierTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
     private final Timers timers = SimulatedClusters.timers(cluster);
     private final ShardState shard = new ShardState(cluster.settings("k0"), machine -> {});
@@ -115,14 +115,14 @@
                         String prefix, long after, long holdMs, Consumer<WatchResult> callback) {}
             };
 
-    private final CancellationProof proof =
-            new CancellationProof(
+    private final CancellationVerifier verifier =
+            new CancellationVerifier(
                     store,
                     timers,
                     new Random(1),
                     shard,
                     () -> isLoadedLeader,
-                    new CancellationProof.Listener() {
+                    new CancellationVerifier.Listener() {
                         @Override
                         public void jobClosed(String id) {
                             closedJobs.add(id);
@@ -167,7 +167,7 @@
     @Test
     void comparesEachJobOnceInThreeTransactionsWhenThereAreManyJobs() {
         addJobsWithLiveTasks(400);
-        proof.start();
+        verifier.start();
         cluster.run(1);
         assertEquals(
                 400,
@@ -183,7 +183,7 @@
     void confirmsCancellationsAsOfRequestTimeWhenResponseIsSlow() {
         addJobsWithLiveTasks(3);
         responseDelaySeconds = 6;
-        proof.start();
+        verifier.start();
         cluster.run(7);
         assertEquals(1, knownAsOfMillis.size());
         assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
@@ -193,7 +193,7 @@
     void reportsJobAsClosedBeforeConfirmationWhenItsOpenKeyIsRemoved() {
         addJobsWithLiveTasks(3);
         removedKeys.add(StoreKeys.OPEN_JOBS + "j-1");
-        proof.start();
+        verifier.start();
         cluster.run(0.015);
         assertEquals(List.of(), knownAsOfMillis);
         cluster.run(0.02);
@@ -210,7 +210,7 @@
         addJobsWithLiveTasks(1);
         for (Outcome outcome : List.of(Outcome.NOT_EXECUTED, Outcome.UNKNOWN, Outcome.INVALID)) {
             defaultOutcome = outcome;
-            proof.start();
+            verifier.start();
             cluster.run(5);
             assertEquals(List.of(), knownAsOfMillis, outcome.toString());
         }
@@ -222,7 +222,7 @@
         int sentBefore = sentTransactions.size();
         cluster.run(10);
         assertEquals(sentBefore, sentTransactions.size());
-        proof.stop();
+        verifier.stop();
     }
 
     /** A store over its request rate refuses every second request. */
@@ -230,7 +230,7 @@
     void resendsOnlyRefusedTransactions() {
         addJobsWithLiveTasks(800);
         isRefused = number -> number % 2 == 0;
-        proof.start();
+        verifier.start();
         cluster.run(3);
         assertTrue(knownAsOfMillis.size() >= 1);
         assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
@@ -247,7 +247,7 @@
     void sendsSmallerTransactionsWhenTransactionIsInvalid() {
         addJobsWithLiveTasks(100);
         maxConditions = 30;
-        proof.start();
+        verifier.start();
         cluster.run(5);
         assertTrue(knownAsOfMillis.size() >= 1);
         assertTrue(lastSent().conditions().size() <= 30);
@@ -260,7 +260,7 @@
     void completesRoundOverManyJobsWhenResponsesAreSlow() {
         addJobsWithLiveTasks(800);
         responseDelaySeconds = 3;
-        proof.start();
+        verifier.start();
         cluster.run(7);
         assertEquals(1, knownAsOfMillis.size());
         assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
