--- a/src/main/java/io/kitepath/core/ShardEvents.java
+++ b/src/main/java/io/kitepath/core/ShardEvents.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public Set<String> cancelledMeanwhile() {
+    public Set<String> reportedCancelledJobIds() {
         return node.cancellationWatermark.unprovenCancellations();
     }
 
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -141,7 +141,7 @@
     private void checkParts(List<Entry> entries) {
         Map<String, List<Entry>> byJob = new LinkedHashMap<>();
         for (Entry entry : entries) {
-            Optional<String> id = StoreKeys.findJobOfPart(entry.key());
+            Optional<String> id = StoreKeys.findJobIdOfPart(entry.key());
             if (id.isEmpty()) {
                 findingListener.accept(
                         new Finding(false, entry.key(), "is not the key of a part", List.of()));
--- a/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
@@ -119,7 +119,7 @@
                         heartbeatProcessor.process(
                                 heartbeat,
                                 stateWriter.isLoaded(),
-                                stateWriter::mayRun,
+                                stateWriter::mayHaveRunningTasks,
                                 timers.nowSeconds()));
         if (isNewest) {
             // Nothing is launched by the answer to a late copy, which nobody hears.
--- a/src/main/java/io/kitepath/core/state/CancellationVerifier.java
+++ b/src/main/java/io/kitepath/core/state/CancellationVerifier.java
@@ -28,7 +28,7 @@
     /** Receives the results of the comparisons. */
     public interface Listener {
         /** Called when a job is no longer open although no watch reported it. */
-        void jobClosed(String id);
+        void jobClosed(String jobId);
 
         /**
          * Called when all cancellations made before a point in time are known.
--- a/src/main/java/io/kitepath/core/state/StateWriter.java
+++ b/src/main/java/io/kitepath/core/state/StateWriter.java
@@ -76,16 +76,16 @@
         /**
          * Called when it is known which jobs may have running tasks.
          *
-         * @param sinceMillis when the read started, by this node's wall clock; all cancellations
-         *     before that time are taken into account
+         * @param readStartedMillis when the read started, by this node's wall clock; all
+         *     cancellations before that time are taken into account
          */
-        void runningJobsKnown(double sinceMillis);
+        void runningJobsKnown(double readStartedMillis);
 
         /**
          * Returns the ids of jobs that other nodes report as cancelled. Records read from the store
          * may not show these cancellations yet.
          */
-        Set<String> cancelledMeanwhile();
+        Set<String> reportedCancelledJobIds();
 
         /** Called when memory and store may differ, so that everything has to be loaded again. */
         void reloadRequired(String reason);
@@ -184,14 +184,14 @@
      * that renews the lease of a cancelled job's task while the jobs are still being read, or while
      * the machine has not confirmed this leader's fencing token yet.
      */
-    public boolean mayRun(String id) {
+    public boolean mayHaveRunningTasks(String jobId) {
         if (loaded) {
-            Job job = shard.jobs().get(id);
+            Job job = shard.jobs().get(jobId);
             return job != null && !job.isFinished();
         }
         return runningJobIds.isPresent()
-                && runningJobIds.get().contains(id)
-                && !listener.cancelledMeanwhile().contains(id);
+                && runningJobIds.get().contains(jobId)
+                && !listener.reportedCancelledJobIds().contains(jobId);
     }
 
     /** Returns the revision of the shard's record that all writes are conditional on. */
@@ -295,7 +295,7 @@
         loaded = true;
         // Guards against records that were read before a cancellation which other nodes reported
         // during the load.
-        List.copyOf(listener.cancelledMeanwhile()).forEach(shard::finishJob);
+        List.copyOf(listener.reportedCancelledJobIds()).forEach(shard::finishJob);
         LOG.info("state loaded: jobs={} parts={}", shard.jobs().size(), loadedState.parts().size());
         return true;
     }
--- a/src/main/java/io/kitepath/core/state/StoreKeys.java
+++ b/src/main/java/io/kitepath/core/state/StoreKeys.java
@@ -89,7 +89,7 @@
     }
 
     /** Returns the id of the job whose part has the key; empty if it is not the key of a part. */
-    public static Optional<String> findJobOfPart(String key) {
+    public static Optional<String> findJobIdOfPart(String key) {
         return key.matches(JOB_PARTS + "[^/]+/[0-9]{1,9}")
                 ? Optional.of(jobIdOfPart(key))
                 : Optional.empty();
