--- a/src/main/java/io/kitepath/core/state/PagedScan.java
+++ b/src/main/java/io/kitepath/core/state/PagedScan.java
@@ -49,8 +49,8 @@
      * Reads all records under the prefix.
      *
      * @param maxAttempts number of attempts to read each page before the scan fails
-     * @param onResult receives all entries in key order and the revision of the first page, or the
-     *     outcome of the page that could not be read
+     * @param onResult receives all entries in key order and the revision of the first page, before
+     *     which no entry was read, or the outcome of the page that could not be read
      */
     public static void read(
             Store store,
