--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -10,39 +10,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long machines have taken to boot lately, by kind (type, zone, spot or not), with the nominal
- * time as what is expected until more is known. Guards against work that waits for minutes for
- * machines that come late or never, which counted as capacity on its way; and, the other way round,
- * against renting everything twice when all machines come late after all. Not thread-safe; belongs
- * to the shard's thread.
+ * Estimates how long machines take to boot, by kind (type, zone, spot or not), from their recent
+ * boots. The nominal boot time of the type is used until enough boots are known. Guards against
+ * work that waits minutes for machines that boot late or never but are counted as incoming
+ * capacity, and against renting every machine twice when all of them boot late. Not thread-safe;
+ * belongs to the shard's thread.
  */
 public final class BootTimes {
     private static final Logger LOG = LoggerFactory.getLogger(BootTimes.class);
 
-    /** Of a kind's last boots, how many count. */
+    /** Number of most recent boots kept for each kind and each type. */
     private static final int WINDOW = 8;
 
-    /** Boots known of a kind, or of a type, from which on its median is used. */
+    /** Minimum number of recorded boots of a kind, or of a type, before its median is used. */
     private static final int MIN_KNOWN = WINDOW / 2;
 
-    /** Normal boots take up to one and a half times the nominal time. */
+    /**
+     * Factor of the expected boot time above which a boot is late; normal boots take up to 1.5
+     * times the nominal time.
+     */
     private static final double LATE_FACTOR = 1.5;
 
-    /** Some boots take several times as long as others; from here on waiting is not worth it. */
+    /**
+     * Factor of the expected boot time above which a boot is given up; slow boots may take several
+     * times as long as others.
+     */
     private static final double HOPELESS_FACTOR = 4;
 
     private final Map<String, MachineType> types;
     private final Map<MachineKind, Deque<Double>> recentByKind = new HashMap<>();
 
-    /** The same by type alone, for kinds of which too few have come. */
+    /** Recent boot times by type alone, for kinds with too few recorded boots. */
     private final Map<String, Deque<Double>> recentByType = new HashMap<>();
 
-    /** Reads the types by name from a map that is kept up to date by others. */
+    /**
+     * Creates an estimator without recorded boots.
+     *
+     * @param types the machine types by name; a live view that the caller keeps up to date
+     */
     BootTimes(Map<String, MachineType> types) {
         this.types = types;
     }
 
-    /** The machine's first heartbeat has come, and it is known when its boot began. */
+    /**
+     * Records the boot time of a machine whose first heartbeat has arrived and whose boot start is
+     * known.
+     */
     void recordBoot(Machine machine, double now) {
         double seconds = now - machine.rental().knownSince();
         add(recentByKind.computeIfAbsent(machine.kind(), key -> new ArrayDeque<>()), seconds);
@@ -50,7 +63,7 @@
         MachineType type = types.get(machine.type());
         if (type != null && seconds > LATE_FACTOR * type.bootSeconds()) {
             LOG.info(
-                    "machine {} came up late, after {} s instead of {} s",
+                    "machine booted late: machine={} bootSeconds={} nominalBootSeconds={}",
                     machine.id,
                     Math.round(seconds),
                     type.bootSeconds());
@@ -65,9 +78,9 @@
     }
 
     /**
-     * Seconds that a boot is expected to take: the median of the last ones, but at least the
-     * nominal time, as a machine that was up at once promises nothing for the next. 0 for an
-     * unknown type.
+     * Returns the expected boot time in seconds: the median of the recent boots, but at least the
+     * nominal time, because a machine that booted faster does not mean that the next one will.
+     * Returns 0 for an unknown type.
      */
     public double expectedSeconds(MachineKind kind) {
         MachineType type = types.get(kind.machineType());
@@ -88,12 +101,15 @@
         return recent == null || recent.size() < MIN_KNOWN;
     }
 
-    /** Whether it has been booting for longer than is normal: no capacity to count on. */
+    /**
+     * Whether the machine has been booting for longer than normal, so that it must not be counted
+     * as incoming capacity.
+     */
     public boolean isLate(Machine machine, double now) {
         return isOverdue(machine, now, LATE_FACTOR);
     }
 
-    /** Whether it has been booting for so long that it is not worth its price any more. */
+    /** Whether the machine has been booting for so long that it is no longer worth its price. */
     public boolean isHopeless(Machine machine, double now) {
         return isOverdue(machine, now, HOPELESS_FACTOR);
     }
--- a/src/main/java/io/kitepath/core/shard/CommandPlanner.java
+++ b/src/main/java/io/kitepath/core/shard/CommandPlanner.java
@@ -9,23 +9,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What agents are told to start and stop. Only here an attempt is launched: after it is written,
- * and only in the answer to a heartbeat, so that a later heartbeat that does not show it proves
- * that it never started.
+ * Plans the start and stop commands for agents. An attempt is launched only here: after it is
+ * committed, and only in the response to a heartbeat, so that a later heartbeat that does not list
+ * the attempt proves that it never started.
  */
 final class CommandPlanner {
     private static final Logger LOG = LoggerFactory.getLogger(CommandPlanner.class);
 
-    /** Commands in one answer; keeps it far below the 64 KiB limit. */
+    /** Maximum number of commands in one response; keeps it far below the limit of 64 KiB. */
     static final int MAX_COMMANDS = 300;
 
-    /** Half of what an agent waits for an answer. */
+    /**
+     * Maximum time for which a response is held back, in seconds: half of the agent's response
+     * timeout.
+     */
     private static final double MAX_HOLD_SECONDS = 2;
 
-    /** Heartbeat intervals after which a silent machine is sent no direct commands. */
+    /**
+     * Number of heartbeat intervals without a heartbeat after which no direct commands are sent to
+     * a machine.
+     */
     private static final int MAX_SILENT_INTERVALS = 2;
 
-    /** An answer is held back for a placement for that part of a heartbeat interval. */
+    /**
+     * Divisor of the heartbeat interval: a response is held back for a placement for a tenth of the
+     * interval.
+     */
     private static final int PLACEMENTS_PER_INTERVAL = 10;
 
     private final ShardState shard;
@@ -36,18 +45,18 @@
         this.shard = shard;
     }
 
-    /** Attempts that were launched. */
+    /** Number of attempts launched. */
     long launchCount() {
         return launchCount;
     }
 
-    /** Seconds that passed between their placement and their launch, added up. */
+    /** Total time between placement and launch of the launched attempts, in seconds. */
     double launchDelaySeconds() {
         return launchDelaySeconds;
     }
 
     /**
-     * What the machine's agent shall start and stop, to be sent only as the answer to its latest
+     * Returns the commands for the machine's agent, to be sent only as the response to its latest
      * heartbeat.
      */
     List<WorkerCommand> commands(Machine machine, boolean mayStart, double now) {
@@ -62,8 +71,8 @@
             if (mustStop(attempt)) {
                 commands.add(stopCommand(attempt));
             } else if (mayStart && !machine.isReleasing() && isLaunchDue(attempt)) {
-                // Not on a machine that is being given back: one that was silent may be heard again
-                // just then.
+                // A machine that is being released starts nothing: one that was silent may resume
+                // its heartbeats at that moment.
                 commands.add(launch(attempt, now));
             }
         }
@@ -89,9 +98,10 @@
     }
 
     /**
-     * What is to stop at once, by machine, and was not sent directly yet: a busy machine sends a
-     * heartbeat only once in an interval, and the work that the room is for waits as long. The next
-     * answer to its heartbeat repeats it in any case.
+     * Returns, by machine, the stop commands that are due and have not been sent directly yet.
+     * Without direct commands, the work that waits for the freed capacity would wait for up to one
+     * heartbeat interval, because a busy machine sends only one heartbeat in an interval. The next
+     * response to the machine's heartbeat repeats the commands in any case.
      */
     Map<Machine, List<WorkerCommand>> directStops(int maxMachines, double now) {
         Map<Machine, List<WorkerCommand>> stops = new LinkedHashMap<>();
@@ -133,7 +143,7 @@
                 attempt.job.isFinished ? 0 : attempt.stopGraceSeconds);
     }
 
-    /** Whether something is to be started or stopped on the machine. */
+    /** Whether an attempt on the machine is due to be started or stopped. */
     boolean hasCommands(Machine machine) {
         return machine.attempts().stream()
                 .anyMatch(attempt -> mustStop(attempt) || isLaunchDue(attempt));
@@ -148,7 +158,8 @@
     }
 
     /**
-     * A gang is launched only when every one of its tasks has a machine, and that is written down.
+     * Whether the attempt may be launched: a gang is launched only when each of its tasks is placed
+     * and each placement is committed.
      */
     private static boolean isComplete(Attempt attempt) {
         Job job = attempt.job;
@@ -161,10 +172,10 @@
     }
 
     /**
-     * For how many seconds the answer to the machine's heartbeat is worth holding back for work
-     * that may come: on an idle machine, which has nothing to report meanwhile, until its next
-     * heartbeat is due; on one where something just ended while other work waits, for the moment
-     * that placing and writing takes.
+     * Returns for how many seconds to hold back the response to the machine's heartbeat so that it
+     * can carry commands for new work. On an idle machine, which has nothing to report in the
+     * meantime, that is until its next heartbeat is due; on a machine where a task has just ended
+     * while other work waits, it is the time that placing and committing takes.
      */
     double answerHoldSeconds(Machine machine) {
         if (!machine.isSchedulable()) {
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -8,46 +8,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells machines that fail what they start, which are quarantined, from jobs that were submitted
- * with a mistake, by who else fails where. A job at fault may cost little: one task, or one gang,
- * is tried at a time and ever more rarely, in room that is free anyway. A job that succeeded once,
- * or runs on longer than it took to fail, is not at fault. Not thread-safe; belongs to the shard's
- * thread.
+ * Distinguishes machines on which tasks fail, which are quarantined, from jobs that fail because of
+ * a fault of their own, by comparing which jobs fail on which machines. A job at fault may use few
+ * resources: one task, or one gang, is retried at a time, with increasing back-off, and only in
+ * capacity that is free anyway. A job that succeeded once, or that has run for longer than it took
+ * to fail, is not at fault. Not thread-safe; belongs to the shard's thread.
  */
 public final class FailureDiagnosis {
     private static final Logger LOG = LoggerFactory.getLogger(FailureDiagnosis.class);
 
-    /** Machines on which a job has to fail before it is held to be at fault itself. */
+    /** Number of machines on which a job must fail before it is considered at fault. */
     private static final int MIN_FAILED_MACHINES = 3;
 
-    /** After that many failed starts since its last success a machine is quarantined. */
+    /** Number of failures since its last success after which a machine is quarantined. */
     private static final int QUARANTINE_FAILURES = 2;
 
-    /** The pause between tries of a job at fault doubles that many times at most. */
+    /** Maximum number of times that the back-off between retries of a job at fault is doubled. */
     private static final int MAX_BACKOFF_DOUBLINGS = 8;
 
-    /** The longest pause between tries of a job at fault, in leases. */
+    /** Maximum back-off between retries of a job at fault, in lease durations. */
     private static final int MAX_BACKOFF_LEASES = 6;
 
-    /** A task that runs for that many times what others took to fail shows that the job is good. */
+    /**
+     * A running task shows that its job is not at fault once it has run for this many times the
+     * time that other tasks of the job took to fail.
+     */
     private static final int PROOF_FACTOR = 2;
 
     private final ClusterSettings settings;
     private final Map<String, Machine> machines;
 
-    /** Reads the machines by id from a map that is kept up to date by others. */
+    /**
+     * Creates a diagnosis without recorded failures.
+     *
+     * @param machines the machines by id; a live view that the caller keeps up to date
+     */
     FailureDiagnosis(ClusterSettings settings, Map<String, Machine> machines) {
         this.settings = settings;
         this.machines = machines;
     }
 
-    /** The attempt has completed its task. */
+    /** Records that the attempt completed its task. */
     void recordSuccess(Attempt attempt) {
         Job job = attempt.job;
         attempt.machine.failuresByJob().clear();
         if (job.failureHistory.recordSuccess()) {
             job.failureHistory.setNotBefore(0);
-            forEachFailedMachine(job, this::updateQuarantine); // They are to blame after all.
+            // As the job is not at fault, the machines on which it failed may be.
+            forEachFailedMachine(job, this::updateQuarantine);
         }
     }
 
@@ -61,8 +69,8 @@
     }
 
     /**
-     * The machines on which the job failed are not to blame for that: the fault was its own, or
-     * can't be told any more.
+     * Removes the job's failures from the machines on which it failed: the job itself is at fault,
+     * or the cause can no longer be determined.
      */
     void clearBlame(Job job) {
         forEachFailedMachine(
@@ -73,7 +81,7 @@
                 });
     }
 
-    /** The attempt's task has ended with an error. */
+    /** Records that the attempt's task ended with an error. */
     void recordFailure(Attempt attempt, double now) {
         Job job = attempt.job;
         Machine machine = attempt.machine;
@@ -98,16 +106,17 @@
                         MAX_BACKOFF_LEASES * settings.workers().leaseSeconds());
         job.failureHistory.setNotBefore(now + pauseSeconds);
         LOG.info(
-                "job {} fails everywhere, {} times so far: tried again in {} s",
+                "job backed off after failures on several machines: job={} failures={}"
+                        + " retryInSeconds={}",
                 job.spec.id(),
                 job.failureHistory.failureCount(),
                 Math.round(pauseSeconds));
     }
 
     /**
-     * Whether the job itself is held to be at fault: it failed on several machines, never
-     * succeeded, and nothing of it has run for much longer than it took to fail. A good job that
-     * met several faulty machines is not held back.
+     * Whether the job itself is considered at fault: it failed on several machines, never
+     * succeeded, and no task of it has run for much longer than it took to fail. A healthy job that
+     * was placed on several faulty machines is not backed off.
      */
     public boolean isJobAtFault(Job job, double now) {
         FailureHistory history = job.failureHistory;
@@ -127,9 +136,9 @@
 
     /**
      * Quarantines the machine after {@value #QUARANTINE_FAILURES} failures since its last success;
-     * of a job that has not succeeded anywhere only one counts. Guards against a job at fault, all
-     * of whose tasks fail on the first machines it comes to, costing those machines. A machine that
-     * is being given back stays in quarantine.
+     * of a job that has not succeeded on any machine, only one failure counts. Guards against a job
+     * at fault causing the quarantine of the first machines on which all of its tasks fail. A
+     * machine that is being released stays in quarantine.
      */
     private void updateQuarantine(Machine machine) {
         int blame = 0;
@@ -138,7 +147,7 @@
         }
         boolean isBlamed = blame >= QUARANTINE_FAILURES;
         if (isBlamed && !machine.isQuarantined()) {
-            LOG.info("machine quarantined, starts fail on it: machine={}", machine.id);
+            LOG.info("machine quarantined after failed starts: machine={}", machine.id);
         }
         machine.setQuarantined(isBlamed || machine.isQuarantined() && machine.isReleasing());
     }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatHistory.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatHistory.java
@@ -1,21 +1,21 @@
 package io.kitepath.core.shard;
 
 /**
- * Liveness of one machine's agent, as its heartbeats show it: when the last one came, of which
- * agent incarnation, whether it carried the leader's own fencing token, and whether the leader's
- * answers seem to arrive. Times are seconds on the steady clock. Not thread-safe; belongs to the
- * shard's thread.
+ * Tracks the liveness of one machine's agent from its heartbeats: when the last one arrived, of
+ * which agent incarnation, whether it carried the leader's own fencing token, and whether the
+ * leader's responses appear to arrive. Times are seconds on the steady clock. Not thread-safe;
+ * belongs to the shard's thread.
  */
 final class HeartbeatHistory {
     /**
-     * An agent whose incarnation lasts for that many leases receives answers: without them its
-     * lease would have expired.
+     * Number of lease durations after which an agent in the same incarnation is known to receive
+     * responses: without them its lease would have expired.
      */
     private static final double ANSWERS_ARRIVE_LEASES = 1.5;
 
     /**
-     * Answered incarnations lost in a row after which answers are held not to arrive; one may be
-     * lost to a network that is slow for a while.
+     * Number of consecutive answered incarnations that must be lost before responses are considered
+     * lost; a single one may be due to a temporarily slow network.
      */
     private static final int MAX_LOST_INCARNATIONS = 2;
 
@@ -26,36 +26,43 @@
     private long lastSequence;
     private boolean tokenConfirmed;
 
-    /** When the first heartbeat of this incarnation came; NaN before. */
+    /** When the first heartbeat of this incarnation arrived; NaN before that. */
     private double agentIncarnationSince = Double.NaN;
 
-    /** When the first heartbeat of this incarnation with our own token came; NaN before. */
+    /**
+     * When the first heartbeat of this incarnation with this leader's token arrived; NaN before
+     * that.
+     */
     private double tokenConfirmedAt = Double.NaN;
 
-    /** Incarnations in a row that ended although their heartbeats were answered. */
+    /** Number of consecutive incarnations that ended although their heartbeats were answered. */
     private int answeredIncarnationsLost;
 
-    /** Since when answers are known not to arrive; NaN while they are held to arrive. */
+    /** Since when responses are known not to arrive; NaN while they are considered to arrive. */
     private double missingAnswersSince = Double.NaN;
 
     /**
-     * Since when the agent has been answered with our token without showing it; NaN once it has
-     * shown it, or before the first answer.
+     * Since when the agent has been sent responses with this leader's token without showing it; NaN
+     * once it has shown the token, and before the first response.
      */
     private double tokenUnconfirmedSince = Double.NaN;
 
-    /** Numbers the reports that were read in full, to tell what one of them did not show. */
+    /**
+     * Number of heartbeats processed in full; identifies the latest one, so that attempts that it
+     * did not list can be found.
+     */
     private int fullReportsRead;
 
     private boolean lastReportEndedTask;
 
     /**
-     * Takes in a heartbeat.
+     * Records a heartbeat.
      *
-     * <p>Guards against a machine whose heartbeats arrive while no answer reaches it: it looks
-     * healthy, but its lease expires again and again. An agent that was answered for a whole lease
-     * and is in another incarnation all the same, {@value #MAX_LOST_INCARNATIONS} times in a row,
-     * does not receive answers; one that stays in an incarnation for longer than a lease does.
+     * <p>Guards against a machine whose heartbeats arrive while no response reaches it: it looks
+     * healthy, but its lease expires repeatedly. An agent that was answered for a whole lease and
+     * nonetheless starts another incarnation, {@value #MAX_LOST_INCARNATIONS} times in a row, does
+     * not receive responses. An agent that stays in one incarnation for longer than a lease does
+     * receive them.
      *
      * @param carriesOurToken whether the heartbeat carries this leader's fencing token
      */
@@ -107,16 +114,16 @@
         if (Double.isNaN(tokenUnconfirmedSince)) {
             tokenUnconfirmedSince = now;
         } else if (now - tokenUnconfirmedSince > ANSWERS_ARRIVE_LEASES * leaseSeconds) {
-            // Guards against a limit that stays used up for as long as no answer gets through: if
-            // answers have not arrived since before this leader began, the machine never shows the
-            // token that would prove what is on it.
+            // Guards against attempts that count against a limit for as long as no response
+            // arrives: if responses have been lost since before this leader's term, the machine
+            // never shows the token that would prove which tasks are on it.
             markMissingAnswers(tokenUnconfirmedSince);
         }
     }
 
     /**
-     * Takes in a heartbeat that this leader could not answer: the machine is alive, and may lose
-     * its agent incarnation for want of answers.
+     * Records a heartbeat that this leader could not answer: the machine is alive, and may lose its
+     * agent incarnation because no response arrives.
      */
     void recordUnanswered(double now) {
         if (hasReported()) {
@@ -126,46 +133,49 @@
         }
     }
 
-    /** The leader has a new fencing token: nothing is proven until a heartbeat shows it. */
+    /**
+     * Resets the token confirmation when the leader has a new fencing token: heartbeats prove
+     * nothing until one carries it.
+     */
     void resetTokenConfirmation() {
         tokenConfirmed = false;
         tokenUnconfirmedSince = Double.NaN;
     }
 
-    /** A complete report with our own token has been read. */
+    /** Records that a heartbeat with this leader's token was processed in full. */
     void confirmToken() {
         tokenConfirmed = true;
     }
 
-    /** Whether a report with the leader's own token has been read. */
+    /** Whether a heartbeat with this leader's token was processed. */
     boolean isTokenConfirmed() {
         return tokenConfirmed;
     }
 
-    /** The leader's answers don't reach the machine, since then. */
+    /** Marks the leader's responses as not reaching the machine since that time. */
     void markMissingAnswers(double since) {
         if (!isMissingAnswers()) {
             missingAnswersSince = since;
         }
     }
 
-    /** Whether heartbeats arrive, but answers don't reach the machine. */
+    /** Whether heartbeats arrive, but responses do not reach the machine. */
     boolean isMissingAnswers() {
         return !Double.isNaN(missingAnswersSince);
     }
 
-    /** Seconds since answers are known not to arrive; 0 while they are held to arrive. */
+    /** Seconds since responses are known not to arrive; 0 while they are considered to arrive. */
     double missingAnswersSeconds(double now) {
         return isMissingAnswers() ? now - missingAnswersSince : 0;
     }
 
-    /** A task that an answer told the machine to start has been seen there. */
+    /** Records that a task whose start was commanded in a response was reported by the machine. */
     void recordDeliveredStart() {
         missingAnswersSince = Double.NaN;
         answeredIncarnationsLost = 0;
     }
 
-    /** The agent answered direct commands with a report of that sequence number. */
+    /** Records the sequence number of the agent's response to direct commands. */
     void advanceSequence(long sequence) {
         lastSequence = sequence;
     }
@@ -187,7 +197,7 @@
         return lastSequence;
     }
 
-    /** Begins to read a report in full; returns the number of this reading. */
+    /** Begins to process a heartbeat in full; returns its number among those processed in full. */
     int beginFullReport() {
         return ++fullReportsRead;
     }
@@ -196,7 +206,7 @@
         lastReportEndedTask = hasEndedTask;
     }
 
-    /** Whether the last report that was read in full ended a task. */
+    /** Whether the last heartbeat that was processed in full ended an attempt. */
     boolean hasLastReportEndedTask() {
         return lastReportEndedTask;
     }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -13,32 +13,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes agents' heartbeats into the {@link ShardState} and says what to answer. Only here an
- * attempt is proven over by a heartbeat; what agents are told to start and stop is worked out in
- * {@link CommandPlanner}. Not thread-safe; belongs to the shard's thread. Times are seconds on the
- * steady clock.
+ * Applies agents' heartbeats to the {@link ShardState} and determines the commands in the
+ * responses. Only here an attempt is confirmed ended by a heartbeat; the start and stop commands
+ * are planned by {@link CommandPlanner}. Not thread-safe; belongs to the shard's thread. Times are
+ * seconds on the steady clock.
  */
 public final class HeartbeatProcessor {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
-    /** Reports in a row that don't show a task which the answers before them launched. */
+    /**
+     * Number of consecutive heartbeats that do not list a task, although the preceding responses
+     * commanded its start, after which its launch is abandoned.
+     */
     private static final int MAX_MISSED_REPORTS = 3;
 
     private final ShardState shard;
     private final CommandPlanner commandPlanner;
 
-    /** Creates a processor that keeps that state up to date. */
+    /** Creates a processor that updates the given state. */
     public HeartbeatProcessor(ShardState shard) {
         this.shard = shard;
         this.commandPlanner = new CommandPlanner(shard);
     }
 
-    /** How many attempts were launched. */
+    /** Number of attempts launched. */
     public long launchCount() {
         return commandPlanner.launchCount();
     }
 
-    /** Seconds that passed between their placement and their launch, added up. */
+    /** Total time between placement and launch of the launched attempts, in seconds. */
     public double launchDelaySeconds() {
         return commandPlanner.launchDelaySeconds();
     }
@@ -46,12 +49,12 @@
     // ---- heartbeats ---------------------------------------------------------------------------
 
     /**
-     * Takes in a heartbeat. Returns what to do about tasks that are not ours, or no longer; {@link
-     * #commands} has the rest of the answer.
+     * Processes a heartbeat. Returns the commands for tasks that do not belong on the machine, or
+     * no longer do; {@link #commands} returns the rest of the response.
      *
-     * @param isLoaded false until the jobs are known
-     * @param mayRun for a job's id, whether something of it may be on machines; known even before
-     *     the jobs are
+     * @param isLoaded false until the jobs are loaded
+     * @param mayRun for a job's id, whether any of its tasks may be on machines; known even before
+     *     the jobs are loaded
      */
     public List<WorkerCommand> process(
             Heartbeat heartbeat, boolean isLoaded, Predicate<String> mayRun, double now) {
@@ -60,7 +63,7 @@
         }
         Machine machine = shard.getOrAddMachine(heartbeat.machineId(), now);
         if (!machine.isNewer(heartbeat)) {
-            return List.of(); // Late: a newer one has been read already.
+            return List.of(); // Out of order: a newer heartbeat was processed already.
         }
         boolean isFirst = !machine.hasReported();
         boolean carriesOurToken = isLoaded && heartbeat.fencingToken() == shard.fencingToken();
@@ -72,9 +75,9 @@
                 shard.bootTimes().recordBoot(machine, now);
             }
         }
-        // Guards against a heartbeat that was sent before the agent knew us: an earlier leader's
-        // launch might still have been on its way to it then. Only one that carries our token
-        // proves what is not on the machine.
+        // Guards against a heartbeat that was sent before the agent received this leader's token:
+        // an earlier leader's launch may still have been on its way to the agent. Only a heartbeat
+        // that carries this leader's token proves what is not on the machine.
         return carriesOurToken
                 ? readInFull(machine, heartbeat, now)
                 : stopsOfFinishedJobs(heartbeat, mayRun);
@@ -98,8 +101,8 @@
     }
 
     /**
-     * Whether the heartbeat is newer than all that was read of its machine, so that the agent may
-     * wait for its answer.
+     * Whether the heartbeat is newer than all that were processed for its machine, so that the
+     * agent may wait for the response.
      */
     public boolean isNewer(Heartbeat heartbeat) {
         Machine machine = shard.machines().get(heartbeat.machineId());
@@ -107,9 +110,9 @@
     }
 
     /**
-     * Takes in a heartbeat that this leader may not answer: the machine is there, and that is all
-     * that is taken from it. Guards against a leader that gives back all its machines as silent,
-     * once the store is back, since it answered nobody.
+     * Records a heartbeat that this leader may not answer: it only shows that the machine is alive.
+     * Guards against a leader that releases all its machines as silent after an outage of the
+     * store, during which it answered none of them.
      */
     public void recordUnanswered(Heartbeat heartbeat, double now) {
         Machine machine = shard.machines().get(heartbeat.machineId());
@@ -119,8 +122,9 @@
     }
 
     /**
-     * Takes in an agent's report in answer to direct commands. It proves what ended, but not what
-     * is absent: a launch in the answer to a heartbeat may still be on its way to the agent.
+     * Processes an agent's response to direct commands. It proves which attempts ended, but not
+     * which are absent: a launch in the response to a heartbeat may still be on its way to the
+     * agent.
      */
     public void processCommandAnswer(Machine machine, Heartbeat heartbeat, double now) {
         if (machine.isGone()
@@ -139,7 +143,10 @@
         }
     }
 
-    /** The attempt that the status is of, if it is placed on that machine; null otherwise. */
+    /**
+     * Returns the attempt that the status refers to if it is placed on that machine; null
+     * otherwise.
+     */
     private Attempt attemptOn(Machine machine, TaskStatus status) {
         Job job = shard.jobs().get(status.jobId());
         Attempt attempt = job == null ? null : job.liveAttempts.get(status.task());
@@ -148,7 +155,7 @@
         return isSame ? attempt : null;
     }
 
-    // ---- reconciling what is on the machine with what was placed there ------------------------
+    // ---- reconciliation of reported tasks with placed attempts --------------------------------
 
     private List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, double now) {
         List<TaskStatus> unexpected = new ArrayList<>();
@@ -198,29 +205,30 @@
     private void recordRunning(Attempt attempt, double now) {
         attempt.runningSince = now;
         attempt.job.timeline.recordStart(now);
-        if (attempt.placedVersion > 0) { // Placed by this leader, which knows when.
+        if (attempt.placedVersion > 0) { // Placed by this leader, so the placement time is known.
             shard.startLatencies().recordStart(attempt.job.spec.jobClass(), now - attempt.placedAt);
         }
         LOG.debug(
-                "attempt runs: attempt={} secondsSincePlacement={}",
+                "attempt running: attempt={} secondsSincePlacement={}",
                 attempt,
                 Math.round(now - attempt.placedAt));
         shard.recordImageUse(attempt);
     }
 
-    /** A report newer than any launch of this attempt does not show it. */
+    /** Handles an attempt that is not listed in a heartbeat newer than any launch of it. */
     private void applyAbsence(Attempt attempt, double now) {
         if (attempt.isSeen) {
-            LOG.info("attempt lost with its agent's incarnation: attempt={}", attempt);
+            LOG.info("attempt lost with agent incarnation: attempt={}", attempt);
             shard.loseAttempt(attempt, now);
         } else if (attempt.isDurable && (attempt.isUnwanted() || attempt.machine.isReleasing())) {
             shard.endAttempt(attempt, EndCause.STOPPED, now);
         } else if (attempt.mayBeLaunched && attempt.job.spec.isGang() && hasBegun(attempt.job)) {
-            // A gang that ran without this task has lost it; starting it again would not bring the
-            // others back.
+            // A gang that ran without this task has lost it; starting the task again would not
+            // restore the gang.
             shard.endAttempt(attempt, EndCause.GANG_PEER_LOST, now);
         }
-        // Otherwise it was never executed, and this very answer launches it (again).
+        // Otherwise the start was never executed, and the response to this heartbeat launches the
+        // attempt again.
         boolean wasOrdered = attempt.isStartSent;
         attempt.isStartSent = false;
         if (!attempt.isEnded && wasOrdered && ++attempt.missedReports >= MAX_MISSED_REPORTS) {
@@ -228,7 +236,7 @@
         }
         if (attempt.isEnded) {
             LOG.debug(
-                    "attempt over, as a newer report does not show it: attempt={} fencingToken={}"
+                    "attempt ended, not in newer heartbeat: attempt={} fencingToken={}"
                             + " incarnation={} sequence={} wasSeen={} startAnsweredSequence={}",
                     attempt,
                     shard.fencingToken(),
@@ -248,19 +256,20 @@
     }
 
     /**
-     * Nothing sent before this report can start the attempt any more. Guards against tasks that
-     * stay placed for good on a machine whose reports arrive, but which no answer reaches. Only
-     * answers with the command in them count, so that a machine that was told nothing, as in an
-     * outage, does not pass for one that receives nothing.
+     * Abandons the launch: nothing sent before this heartbeat can start the attempt any more.
+     * Guards against tasks that stay placed permanently on a machine whose heartbeats arrive but
+     * which no response reaches. Only responses that contain the start command count, so that a
+     * machine that was sent no commands, as in an outage, is not mistaken for one that receives no
+     * responses.
      */
     private void giveUpLaunch(Attempt attempt, double now) {
         Machine machine = attempt.machine;
-        LOG.warn("machine {} reports and does not start what it is told to", machine.id);
+        LOG.warn("machine does not execute start commands: machine={}", machine.id);
         machine.heartbeats().markMissingAnswers(now);
         shard.endAttempt(attempt, EndCause.STOPPED, now);
     }
 
-    /** The agent has tasks that we have not placed there. */
+    /** Handles tasks of the agent that this leader has not placed there. */
     private List<WorkerCommand> handleUnexpectedTasks(
             Machine machine, List<TaskStatus> unexpected, double now) {
         List<WorkerCommand> commands = new ArrayList<>();
@@ -270,8 +279,8 @@
             if (status.state() == TaskState.ENDED) {
                 commands.add(command(WorkerCommand.Action.FORGET, status));
             } else if (job != null && mayBeAttemptOf(job, status)) {
-                // Should not be: counted in and written down before it is stopped, so the task
-                // can't run elsewhere.
+                // Inconsistent state: the attempt is counted and committed before it is stopped, so
+                // that the task cannot run elsewhere.
                 shard.addUnexpectedAttempt(
                         job, status.task(), status.attempt(), status.state(), machine, now);
             } else {
@@ -292,9 +301,9 @@
     }
 
     /**
-     * Of jobs that are over nothing has to go on, whatever else is known. Guards against an answer
-     * that keeps the lease of a cancelled job's task because the machine has not shown our token
-     * yet.
+     * Returns stop commands for the tasks of finished jobs, which must end regardless of the state
+     * of the machine. Guards against a response that renews the lease of a cancelled job's task
+     * because the machine has not confirmed this leader's token yet.
      */
     private static List<WorkerCommand> stopsOfFinishedJobs(
             Heartbeat heartbeat, Predicate<String> mayRun) {
@@ -309,10 +318,10 @@
         return new WorkerCommand(action, status.jobId(), status.task(), status.attempt(), 0);
     }
 
-    // ---- what agents are told -----------------------------------------------------------------
+    // ---- commands for agents ------------------------------------------------------------------
 
     /**
-     * What the machine's agent shall start and stop, to be sent only as the answer to its latest
+     * Returns the commands for the machine's agent, to be sent only as the response to its latest
      * heartbeat.
      */
     public List<WorkerCommand> commands(String machineId, boolean mayStart, double now) {
@@ -323,22 +332,22 @@
     }
 
     /**
-     * What is to stop at once, by machine, and was not sent directly yet; the next answer to the
-     * machine's heartbeat repeats it in any case.
+     * Returns, by machine, the stop commands that are due and have not been sent directly yet; the
+     * next response to the machine's heartbeat repeats them in any case.
      */
     public Map<Machine, List<WorkerCommand>> stopCommands(int maxMachines, double now) {
         return commandPlanner.directStops(maxMachines, now);
     }
 
-    /** Whether something is to be started or stopped on the machine. */
+    /** Whether an attempt on the machine is due to be started or stopped. */
     public boolean hasCommands(String machineId) {
         Machine machine = shard.machines().get(machineId);
         return machine != null && commandPlanner.hasCommands(machine);
     }
 
     /**
-     * For how many seconds the answer to the machine's heartbeat is worth holding back for work
-     * that may come; 0 if it is to be sent at once.
+     * Returns for how many seconds to hold back the response to the machine's heartbeat so that it
+     * can carry commands for new work; 0 if it is to be sent at once.
      */
     public double answerHoldSeconds(String machineId) {
         Machine machine = shard.machines().get(machineId);
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -13,19 +13,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A rented machine as the shard's leader knows it: from the cloud's list, its agent's heartbeats
- * and the jobs' records. Its concerns are kept apart: liveness in {@link HeartbeatHistory}, what
- * the cloud says in {@link MachineRental}, what is placed on it in {@link PlacedWork}, images in
- * {@link MachineImages}, for whom its room is reserved in {@link RoomReservation}. Times are
- * seconds on the steady clock. Not thread-safe; belongs to the shard's thread.
+ * A rented machine as known to the shard's leader from the cloud's list, its agent's heartbeats and
+ * the jobs' records. Its concerns are separated: liveness is in {@link HeartbeatHistory}, what the
+ * cloud says in {@link MachineRental}, the attempts placed on it in {@link PlacedWork}, its images
+ * in {@link MachineImages}, and the reservation of its capacity in {@link RoomReservation}. Times
+ * are seconds on the steady clock. Not thread-safe; belongs to the shard's thread.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
 
-    /** Tolerance for sums of CPUs, GPUs and memory that were added and subtracted many times. */
+    /**
+     * Tolerance for rounding errors in sums of CPUs, GPUs and memory after many additions and
+     * subtractions.
+     */
     private static final double ROUNDING = 1e-6;
 
-    /** The cloud's status of a machine that stopped by itself. */
+    /** The cloud's status of a machine that stopped on its own. */
     private static final String FAILED_STATUS = "failed";
 
     /** The cloud's name of the machine. */
@@ -39,7 +42,7 @@
 
     private String type;
 
-    /** The machine type of that name, once it was looked up; null before. */
+    /** The machine type with that name; null until it is looked up. */
     private MachineType knownType;
 
     private String zone;
@@ -51,7 +54,7 @@
     private boolean quarantined;
     private boolean draining;
 
-    /** Failed starts by job, since something last succeeded here. */
+    /** Number of failed starts by job since a task last succeeded on this machine. */
     private final Map<Job, Integer> failuresByJob = new HashMap<>();
 
     private double idleSince;
@@ -67,14 +70,16 @@
 
     // ---- identity and capacity ----------------------------------------------------------------
 
-    /** Its type's name; null until the cloud's list, a rental or a heartbeat has said it. */
+    /**
+     * The name of its type; null until a list of the cloud, a rental or a heartbeat has given it.
+     */
     public String type() {
         return type;
     }
 
     /**
-     * Its type, as it is on offer now; null if that is not known. Cheap, as it is asked of every
-     * machine for every job.
+     * Returns its type as currently offered by the cloud; null if that is not known. The type is
+     * cached because it is requested of every machine for every job.
      *
      * @param types the shard's machine types by name
      */
@@ -85,7 +90,7 @@
         return knownType;
     }
 
-    /** The machine types on offer have changed: its own is to be looked up again. */
+    /** Discards the cached type after the machine types on offer have changed. */
     void forgetKnownType() {
         knownType = null;
     }
@@ -100,12 +105,14 @@
         return spot;
     }
 
-    /** Type, zone and whether it is a spot instance: what its price and its boot time depend on. */
+    /**
+     * Type, zone and whether it is a spot instance, which determine its price and its boot time.
+     */
     public MachineKind kind() {
         return new MachineKind(type, zone, spot);
     }
 
-    /** Where its agent accepts direct commands; empty until it reported. */
+    /** The address at which its agent accepts direct commands; empty until the first heartbeat. */
     public String address() {
         return address;
     }
@@ -119,7 +126,7 @@
         spot = isSpot;
     }
 
-    /** Whether one more task of this kind fits beside what is placed here. */
+    /** Whether one more task of the job fits beside the attempts placed here. */
     public boolean fits(JobSpec spec, MachineType type) {
         return usedCpus() + spec.cpusPerTask() <= type.cpus() + ROUNDING
                 && usedGpus() + spec.gpusPerTask() <= type.gpus() + ROUNDING
@@ -127,9 +134,9 @@
                         <= type.memoryGigabytes() + ROUNDING;
     }
 
-    // ---- what the cloud says ------------------------------------------------------------------
+    // ---- rental state -------------------------------------------------------------------------
 
-    /** Takes in an entry of the cloud's list of machines. */
+    /** Applies an entry of the cloud's list of machines. */
     void applyCloudEntry(Cloud.ListedMachine entry) {
         rental.markListed();
         setKind(entry.machineType(), entry.zone(), entry.spot());
@@ -139,8 +146,8 @@
     }
 
     /**
-     * The cloud has rented this machine to us; its boot began at {@code since}. A machine that has
-     * reported before keeps the time since when it is known.
+     * Records that the cloud has rented out this machine, whose boot began at {@code since}. A
+     * machine that has already sent a heartbeat keeps the time since which it is known.
      */
     void recordRental(MachineKind kind, double since) {
         if (!hasReported()) {
@@ -149,17 +156,17 @@
         setKind(kind.machineType(), kind.zone(), kind.spot());
     }
 
-    /** What is known from its rental and the cloud. */
+    /** The rental state, as known from the rental and the cloud. */
     MachineRental rental() {
         return rental;
     }
 
-    /** Whether a list of the cloud has shown it. */
+    /** Whether a list of the cloud has contained it. */
     public boolean isListed() {
         return rental.isListed();
     }
 
-    /** Whether the cloud has given notice that it takes the machine away. */
+    /** Whether the cloud has announced that it will interrupt the machine. */
     public boolean hasInterruptionNotice() {
         return rental.hasInterruptionNotice();
     }
@@ -167,8 +174,8 @@
     // ---- liveness -----------------------------------------------------------------------------
 
     /**
-     * Takes in what a heartbeat says of the machine itself; its tasks are for {@link
-     * HeartbeatProcessor}.
+     * Records what a heartbeat says about the machine itself; {@link HeartbeatProcessor} processes
+     * its tasks.
      *
      * @param carriesOurToken whether it carries the leader's fencing token and the jobs are loaded
      */
@@ -188,57 +195,63 @@
         }
         if (!hasInterruptionNotice()) {
             LOG.info(
-                    "interruption notice: machine={} takenInSeconds={}",
+                    "interruption notice received: machine={} interruptionInSeconds={}",
                     id,
                     heartbeat.noticeSeconds());
         }
         rental.setInterruption(now + heartbeat.noticeSeconds());
     }
 
-    /** Whether the heartbeat is newer than all that were read of this machine. */
+    /** Whether the heartbeat is newer than all that were processed for this machine. */
     boolean isNewer(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(heartbeats.agentIncarnation(), heartbeats.lastSequence());
     }
 
-    /** Liveness as the heartbeats show it. */
+    /** The liveness derived from its heartbeats. */
     HeartbeatHistory heartbeats() {
         return heartbeats;
     }
 
-    /** Whether any heartbeat of it has come. */
+    /** Whether any heartbeat of it has arrived. */
     public boolean hasReported() {
         return heartbeats.hasReported();
     }
 
-    /** Seconds on the steady clock; NaN until the first heartbeat. */
+    /**
+     * When its last heartbeat arrived, in seconds on the steady clock; NaN until the first
+     * heartbeat.
+     */
     public double lastHeartbeatAt() {
         return heartbeats.lastHeartbeatAt();
     }
 
-    /** The agent's session: it begins a new one when its lease has expired or it restarted. */
+    /**
+     * The agent's incarnation: the agent begins a new one when its lease has expired or it has
+     * restarted.
+     */
     public long agentIncarnation() {
         return heartbeats.agentIncarnation();
     }
 
     /**
-     * Whether a report with the leader's own fencing token has come: nothing that an earlier leader
-     * sent can start here any more.
+     * Whether a heartbeat with the leader's own fencing token has arrived, so that nothing sent by
+     * an earlier leader can start here any more.
      */
     public boolean isTokenConfirmed() {
         return heartbeats.isTokenConfirmed();
     }
 
-    /** Whether its heartbeats arrive, but answers don't reach it. */
+    /** Whether its heartbeats arrive, but responses do not reach it. */
     public boolean isMissingAnswers() {
         return heartbeats.isMissingAnswers();
     }
 
-    /** Seconds since that is known; 0 while answers are held to arrive. */
+    /** Seconds since responses are known not to arrive; 0 while they are considered to arrive. */
     public double missingAnswersSeconds(double now) {
         return heartbeats.missingAnswersSeconds(now);
     }
 
-    // ---- what the leader decides about it -----------------------------------------------------
+    // ---- decisions of the leader --------------------------------------------------------------
 
     /** Whether new tasks may be placed here. */
     public boolean isSchedulable() {
@@ -251,22 +264,22 @@
                 && placedWork.unknownTasks() == 0;
     }
 
-    /** From now on it is to be given back and takes no work any more. */
+    /** Marks the machine for release: from now on it accepts no work. */
     public void release() {
         releasing = true;
     }
 
-    /** Whether it is to be given back. */
+    /** Whether it is marked for release. */
     public boolean isReleasing() {
         return releasing;
     }
 
-    /** It does not exist any more: released, taken, or unknown to the cloud. */
+    /** Marks the machine as no longer existing: released, interrupted, or unknown to the cloud. */
     void markGone() {
         gone = true;
     }
 
-    /** Whether it is known not to exist any more. */
+    /** Whether it is known to no longer exist. */
     public boolean isGone() {
         return gone;
     }
@@ -275,31 +288,36 @@
         quarantined = isQuarantined;
     }
 
-    /** Whether it takes no work because what it starts fails while the same work runs elsewhere. */
+    /**
+     * Whether it accepts no work because tasks fail on it while the same work runs on other
+     * machines.
+     */
     public boolean isQuarantined() {
         return quarantined;
     }
 
     /**
-     * Failed starts by job since something last succeeded here; {@link FailureDiagnosis} keeps it.
+     * Number of failed starts by job since a task last succeeded here; maintained by {@link
+     * FailureDiagnosis}.
      */
     Map<Job, Integer> failuresByJob() {
         return failuresByJob;
     }
 
     /**
-     * Draining machines are given back once empty, and take no work that a cheaper one could do.
+     * Sets whether the machine is draining: it is released once empty, and accepts no work that a
+     * cheaper machine could run.
      */
     public void setDraining(boolean isDraining) {
         draining = isDraining;
     }
 
-    /** Whether it is to be given back once empty. */
+    /** Whether it is to be released once empty. */
     public boolean isDraining() {
         return draining;
     }
 
-    /** It has work now that could not run on a cheaper machine. */
+    /** Records that it currently has work that could not run on a cheaper machine. */
     public void markNeeded(double now) {
         lastNeededAt = now;
     }
@@ -309,7 +327,7 @@
         return lastNeededAt;
     }
 
-    /** Direct commands are under way to it, or have been answered. */
+    /** Sets whether direct commands to it are in flight, that is, not yet answered. */
     public void setCommandInFlight(boolean isInFlight) {
         commandInFlight = isInFlight;
     }
@@ -320,38 +338,42 @@
 
     // ---- reservations -------------------------------------------------------------------------
 
-    /** Holds the room here for the job, for which other work is being stopped. */
+    /**
+     * Reserves the capacity of the machine for the job while other work is being stopped for it.
+     *
+     * @param until when the reservation ends
+     */
     public void reserve(Job job, double until) {
         reservation.reserve(job, until);
     }
 
     /**
-     * Holds the room here for the job from the time on at which other work will have left; see
-     * {@link #isBackfillAllowed()}.
+     * Reserves the capacity of the machine for the job from the time at which other work will have
+     * ended; see {@link #isBackfillAllowed()}.
      */
     public void reserveAllowingBackfill(Job job, double from) {
         reservation.reserveAllowingBackfill(job, from);
     }
 
-    /** The job that is to have the room here; null if there is none. */
+    /** The job for which the capacity is reserved; null if there is none. */
     public Job reservedFor() {
         return reservation.reservedFor();
     }
 
-    /**
-     * Whether work that would give way to the job that the room is reserved for may run here
-     * meanwhile.
-     */
+    /** Whether work that the job of the reservation could preempt may run here in the meantime. */
     public boolean isBackfillAllowed() {
         return reservation.isBackfillAllowed();
     }
 
-    /** Whether the job would by its estimate end before the reservation starts. */
+    /** Whether, by its estimate, the job would end before the reservation starts. */
     public boolean mayBackfill(Job job, double now) {
         return reservation.mayBackfill(job, now);
     }
 
-    /** A scheduling round begins; ends reservations that are over or have to be decided anew. */
+    /**
+     * Ends reservations that have expired or must be decided again, at the start of a scheduling
+     * round.
+     */
     public void refreshReservation(double now) {
         reservation.refresh(now);
     }
@@ -363,37 +385,46 @@
         return images.has(image);
     }
 
-    /** Whether it probably fetches that image now, for an attempt that was placed here. */
+    /** Whether it is probably fetching that image, for an attempt that was placed here. */
     public boolean isFetching(String image) {
         return images.isFetching(image);
     }
 
-    /** Whether it probably fetches any image now. */
+    /** Whether it is probably fetching any image. */
     public boolean isFetching() {
         return images.isFetchingAny();
     }
 
-    /** An attempt here has changed its state. */
+    /**
+     * Discards the derived set of images being fetched, after an attempt here has changed its
+     * state.
+     */
     void invalidateFetchingImages() {
         images.invalidateFetching();
     }
 
-    /** Adds an image that an earlier leader knew to be here; displaces nothing that was seen. */
+    /**
+     * Adds an image that an earlier leader recorded for this machine; does not replace an observed
+     * one.
+     */
     public void restoreImage(String image, double sizeGigabytes) {
         images.restore(image, sizeGigabytes);
     }
 
-    /** Images that it probably has, with their size in GB, the least recently used first. */
+    /** The images that it probably has, with their sizes in GB, the least recently used first. */
     public Map<String, Double> images() {
         return images.cachedGigabytes();
     }
 
-    /** A task with this image runs here; the machine keeps the most recently used ones. */
+    /**
+     * Records that a task with this image runs here; the machine caches the most recently used
+     * images.
+     */
     void recordImageUse(String image, double sizeGigabytes, double cacheGigabytes) {
         images.recordUse(image, sizeGigabytes, cacheGigabytes);
     }
 
-    // ---- what is placed on it -----------------------------------------------------------------
+    // ---- placed work --------------------------------------------------------------------------
 
     void addAttempt(Attempt attempt) {
         placedWork.add(attempt);
@@ -406,7 +437,7 @@
         }
     }
 
-    /** The jobs are loaded anew: nothing refers to their former objects any more. */
+    /** Clears all references to job objects before the jobs are loaded again. */
     void forgetJobs() {
         reservation.clear();
         images.invalidateFetching();
@@ -414,32 +445,32 @@
         failuresByJob.clear();
     }
 
-    /** What is placed here, with the resources that it uses. */
+    /** The attempts placed here, with the resources that they use. */
     PlacedWork placedWork() {
         return placedWork;
     }
 
-    /** Counts a task that is about to be placed here (1), or is not after all (-1). */
+    /** Counts a task that is about to be placed here (1), or that is not placed after all (-1). */
     public void countTentatively(JobSpec spec, int sign) {
         placedWork.countTentatively(spec, sign);
     }
 
-    /** Attempts not proven over. */
+    /** Attempts that are not confirmed ended. */
     public List<Attempt> attempts() {
         return placedWork.attempts();
     }
 
-    /** Whether its agent still has ended attempts that the store does not know. */
+    /** Whether its agent still holds ended attempts whose end is not committed to the store. */
     public boolean hasUnwrittenEnds() {
         return !placedWork.unwrittenEnds().isEmpty();
     }
 
-    /** Whether anything is on it, or may be. */
+    /** Whether any task is, or may be, on it. */
     public boolean isBusy() {
         return placedWork.isBusy();
     }
 
-    /** Since when it has had nothing to do; meaningful only while it is not busy. */
+    /** Since when it has been idle; meaningful only while it is not busy. */
     public double idleSince() {
         return idleSince;
     }
@@ -448,36 +479,36 @@
         idleSince = since;
     }
 
-    /** CPUs of the attempts that are not proven over. */
+    /** CPUs of the attempts that are not confirmed ended. */
     public double usedCpus() {
         return placedWork.usedCpus();
     }
 
-    /** Of the used CPUs, those of work that may not use spot instances. */
+    /** The part of the used CPUs that belongs to work that may not use spot instances. */
     public double nonSpotCpus() {
         return placedWork.nonSpotCpus();
     }
 
-    /** GPUs of the attempts that are not proven over. */
+    /** GPUs of the attempts that are not confirmed ended. */
     public double usedGpus() {
         return placedWork.usedGpus();
     }
 
-    /** Memory of the attempts that are not proven over, in GB. */
+    /** Memory of the attempts that are not confirmed ended, in GB. */
     public double usedMemory() {
         return placedWork.usedMemory();
     }
 
     /**
-     * CPUs by which the machine counts as in use: on an on-demand machine only work that may not
-     * use spot instances. Guards against work that could run cheaper elsewhere keeping on-demand
-     * machines rented, each with a little of the rest.
+     * CPUs by which the machine counts as in use: on an on-demand machine, only those of work that
+     * may not use spot instances. Guards against on-demand machines that stay rented, each with a
+     * little of the other work, although that work could run cheaper elsewhere.
      */
     public double cpusJustifyingRental() {
         return spot ? usedCpus() : nonSpotCpus();
     }
 
-    /** Starts that no report has shown. */
+    /** Number of placed attempts that no heartbeat has listed yet. */
     public int unconfirmedStarts() {
         return placedWork.unconfirmedStarts();
     }
--- a/src/main/java/io/kitepath/core/shard/MachineImages.java
+++ b/src/main/java/io/kitepath/core/shard/MachineImages.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 
 /**
- * Which container images a machine probably has, and which it probably fetches now. An estimate:
- * the agent does not report its cache.
+ * Estimates which container images a machine has cached, and which it is fetching. This is only an
+ * estimate, because the agent does not report its cache.
  */
 final class MachineImages {
     /** Sizes in GB by image, the least recently used first. */
@@ -32,12 +32,14 @@
         return cachedGigabytes.containsKey(image);
     }
 
-    /** Whether the machine probably fetches that image, for an attempt that was placed on it. */
+    /**
+     * Whether the machine is probably fetching that image, for an attempt that was placed on it.
+     */
     boolean isFetching(String image) {
         return fetching().contains(image);
     }
 
-    /** Whether the machine probably fetches any image. */
+    /** Whether the machine is probably fetching any image. */
     boolean isFetchingAny() {
         return !fetching().isEmpty();
     }
@@ -55,12 +57,18 @@
         return fetching;
     }
 
-    /** An attempt on the machine came, went or changed its state. */
+    /**
+     * Discards the derived set of images being fetched, after an attempt on the machine was added,
+     * removed or changed its state.
+     */
     void invalidateFetching() {
         isFetchingKnown = false;
     }
 
-    /** Adds what an earlier leader recorded; nothing that this one saw is displaced by it. */
+    /**
+     * Adds an image that an earlier leader recorded; does not replace one that this leader
+     * observed.
+     */
     void restore(String image, double sizeGigabytes) {
         cachedGigabytes.putIfAbsent(image, sizeGigabytes);
     }
@@ -70,7 +78,10 @@
         return Collections.unmodifiableMap(cachedGigabytes);
     }
 
-    /** A task with this image runs on the machine, which keeps the most recently used ones. */
+    /**
+     * Records that a task with this image runs on the machine, which caches the most recently used
+     * images. Evicts the least recently used ones while the cache is over its size.
+     */
     void recordUse(String image, double sizeGigabytes, double cacheGigabytes) {
         invalidateFetching();
         cachedGigabytes.put(image, sizeGigabytes);
--- a/src/main/java/io/kitepath/core/shard/MachineRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/MachineRegistry.java
@@ -15,14 +15,18 @@
 import java.util.function.Consumer;
 
 /**
- * The shard's machines and the machine types on offer. A machine is known from the cloud's list, a
- * rental, a heartbeat or a job's record, whichever comes first, until it is gone for certain.
+ * The shard's machines and the machine types on offer. A machine becomes known from the cloud's
+ * list, a rental, a heartbeat or a job's record, whichever comes first, and stays known until it is
+ * confirmed to no longer exist.
  */
 final class MachineRegistry {
-    /** Lists and late heartbeats show a machine that is gone for minutes at most. */
+    /**
+     * Maximum number of removed machines that are remembered; lists of the cloud and late
+     * heartbeats may show a removed machine for some minutes at most.
+     */
     private static final int MAX_TOMBSTONES = 5000;
 
-    /** GB/s taken for image fetches while no machine type says a rate. */
+    /** Assumed rate of image fetches, in GB/s, while no machine type specifies one. */
     private static final double DEFAULT_FETCH_GIGABYTES_PER_SECOND = 1;
 
     private final Map<String, MachineType> types = new LinkedHashMap<>();
@@ -30,13 +34,16 @@
     private final TreeMap<String, Machine> machines = new TreeMap<>();
     private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
 
-    /** Is called with every machine that becomes known. */
+    /** Called with every machine that becomes known. */
     private final Consumer<Machine> machineAddedListener;
 
-    /** Machines on record as being given back, whether or not they have been heard of. */
+    /** Ids of machines that are recorded as being released, whether or not they are known yet. */
     private final Set<String> markedForRelease = new HashSet<>();
 
-    /** Names of machines that are gone for certain; lists may show them a while longer. */
+    /**
+     * Ids of machines confirmed to no longer exist; lists of the cloud may still show them for a
+     * while.
+     */
     private final Set<String> tombstones =
             Collections.newSetFromMap(
                     new LinkedHashMap<>() {
@@ -63,7 +70,7 @@
         machines.values().forEach(Machine::forgetKnownType);
     }
 
-    /** How long the job's image takes to fetch on the slowest type of machine. */
+    /** Returns how long the slowest machine type takes to fetch the job's image, in seconds. */
     double imageFetchSeconds(JobSpec spec) {
         double slowestGigabytesPerSecond =
                 types.values().stream()
@@ -74,7 +81,7 @@
         return spec.imageGigabytes() / slowestGigabytesPerSecond;
     }
 
-    /** The attempt's image is on its machine now. */
+    /** Records that the attempt's image is now on its machine. */
     void recordImageUse(Attempt attempt) {
         MachineType type = types.get(attempt.machine.type());
         attempt.machine.recordImageUse(
@@ -104,8 +111,8 @@
     }
 
     /**
-     * The machine is on record as one to be given back: whenever it is heard of, it takes no work
-     * any more.
+     * Marks the machine for release, also if it becomes known only later: it accepts no work any
+     * more.
      */
     void markForRelease(String id) {
         markedForRelease.add(id);
@@ -115,7 +122,7 @@
         }
     }
 
-    /** The machine is gone for certain; returns it if it was known. */
+    /** Removes a machine that is confirmed to no longer exist; returns it if it was known. */
     Optional<Machine> remove(String id) {
         tombstones.add(id);
         markedForRelease.remove(id);
@@ -126,12 +133,15 @@
         return Optional.ofNullable(machine);
     }
 
-    /** Whether the machine is gone for certain, whatever late messages say. */
+    /** Whether the machine is confirmed to no longer exist, regardless of late messages. */
     boolean isKnownGone(String id) {
         return tombstones.contains(id);
     }
 
-    /** What the cloud says exists. A list can be old, so it never proves a machine gone. */
+    /**
+     * Applies a list of the machines that exist in the cloud. A list may be stale, so it never
+     * proves that a machine no longer exists.
+     */
     void applyCloudList(Collection<Cloud.ListedMachine> entries, double now) {
         for (Cloud.ListedMachine entry : entries) {
             if (isKnownGone(entry.machineId())) {
@@ -146,14 +156,14 @@
         }
     }
 
-    /** The cloud has rented this machine to us; its boot began at {@code since}. */
+    /** Adds a machine that the cloud has rented out, whose boot began at {@code since}. */
     void addRented(String id, MachineKind kind, double now, double since) {
         if (!isKnownGone(id)) {
             getOrAdd(id, now).recordRental(kind, since);
         }
     }
 
-    /** Forgets all machines; those that are gone stay known as such. */
+    /** Removes all machines; those confirmed to no longer exist stay remembered. */
     void clear() {
         machines.clear();
         markedForRelease.clear();
--- a/src/main/java/io/kitepath/core/shard/MachineRental.java
+++ b/src/main/java/io/kitepath/core/shard/MachineRental.java
@@ -1,8 +1,9 @@
 package io.kitepath.core.shard;
 
 /**
- * What is known of a machine from its rental and the cloud: since when it exists, whether the cloud
- * lists it, and when the cloud takes it away. Times are seconds on the steady clock.
+ * The rental state of a machine as known from its rental and the cloud: since when it exists,
+ * whether the cloud lists it, and when the cloud interrupts it. Times are seconds on the steady
+ * clock.
  */
 final class MachineRental {
     private double knownSince;
@@ -16,7 +17,7 @@
         knownSince = now;
     }
 
-    /** When it was first heard of, or its boot began if that is known. */
+    /** When its boot began if that is known, otherwise when it became known. */
     double knownSince() {
         return knownSince;
     }
@@ -25,7 +26,10 @@
         knownSince = since;
     }
 
-    /** This leader rented it, or one that put the rental on record; its boot began then. */
+    /**
+     * Records the start of its boot, known because this leader rented it or an earlier one recorded
+     * the rental.
+     */
     void recordBootStart(double at) {
         bootStartKnown = true;
         knownSince = at;
@@ -39,17 +43,17 @@
         listed = true;
     }
 
-    /** Whether a list of the cloud has shown it. */
+    /** Whether a list of the cloud has contained it. */
     boolean isListed() {
         return listed;
     }
 
-    /** The cloud takes the machine away at that time. */
+    /** Records that the cloud will interrupt the machine at that time. */
     void setInterruption(double at) {
         interruptionAt = at;
     }
 
-    /** The agent reports no notice, or no more. */
+    /** Clears the interruption notice, as the agent reports none, or none any more. */
     void clearInterruption() {
         interruptionAt = Double.NaN;
     }
--- a/src/main/java/io/kitepath/core/shard/PlacedWork.java
+++ b/src/main/java/io/kitepath/core/shard/PlacedWork.java
@@ -6,11 +6,12 @@
 import java.util.List;
 
 /**
- * What is placed on one machine: its attempts that are not proven over, the resources that they
- * use, ended attempts that the store does not know yet, and tasks that belong to no known job.
+ * The work placed on one machine: its attempts that are not confirmed ended, the resources that
+ * they use, ended attempts whose end is not committed to the store yet, and tasks that belong to no
+ * known job.
  */
 final class PlacedWork {
-    /** Attempts not proven over. */
+    /** Attempts that are not confirmed ended. */
     private final List<Attempt> attempts = new ArrayList<>();
 
     private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
@@ -28,7 +29,7 @@
         unconfirmedStarts += attempt.isSeen ? 0 : 1;
     }
 
-    /** Returns whether the attempt was there. */
+    /** Removes the attempt; returns whether it was placed here. */
     boolean remove(Attempt attempt) {
         if (!attempts.remove(attempt)) {
             return false;
@@ -41,7 +42,10 @@
         return true;
     }
 
-    /** Forgets all attempts, ended ones too; unknown tasks stay as the last report showed them. */
+    /**
+     * Removes all attempts, including ended ones; the number of unknown tasks stays as the last
+     * heartbeat showed it.
+     */
     void forgetAttempts() {
         attempts.clear();
         unwrittenEnds.clear();
@@ -49,8 +53,8 @@
     }
 
     /**
-     * Sums are maintained, not recomputed; an empty machine starts from zero, so that rounding
-     * errors don't add up.
+     * Resets the sums to zero. The sums are updated incrementally, so an empty machine starts from
+     * zero to keep rounding errors from accumulating.
      */
     private void resetUsage() {
         usedCpus = 0;
@@ -69,18 +73,18 @@
         }
     }
 
-    /** Counts a task that is about to be placed here (1), or is not after all (-1). */
+    /** Counts a task that is about to be placed here (1), or that is not placed after all (-1). */
     void countTentatively(JobSpec spec, int sign) {
         countUsage(spec, sign);
         unconfirmedStarts += sign;
     }
 
-    /** A report has shown an attempt for the first time. */
+    /** Records that a heartbeat has listed an attempt for the first time. */
     void confirmStart() {
         unconfirmedStarts--;
     }
 
-    /** An attempt is proven over, which the store does not know yet. */
+    /** Adds an attempt that is confirmed ended, but whose end is not committed to the store yet. */
     void addUnwrittenEnd(Attempt attempt) {
         unwrittenEnds.add(attempt);
     }
@@ -89,19 +93,19 @@
         unwrittenEnds.remove(attempt);
     }
 
-    /** Attempts proven over, which the store does not know yet; they are cleared once it does. */
+    /** Attempts that are confirmed ended, but whose end is not committed to the store yet. */
     List<Attempt> unwrittenEnds() {
         return Collections.unmodifiableList(unwrittenEnds);
     }
 
-    /** Unmodifiable view of the attempts not proven over. */
+    /** Unmodifiable view of the attempts that are not confirmed ended. */
     List<Attempt> attempts() {
         return attemptsView;
     }
 
     /**
-     * Tasks on the machine that belong to no job we know; until they are gone, the machine takes
-     * nothing.
+     * Number of tasks on the machine that belong to no known job; until they have ended, the
+     * machine accepts no work.
      */
     int unknownTasks() {
         return unknownTasks;
@@ -123,17 +127,17 @@
         return usedGpus;
     }
 
-    /** In GB. */
+    /** Memory of the attempts that are not confirmed ended, in GB. */
     double usedMemory() {
         return usedMemory;
     }
 
-    /** Of the used CPUs, those of work that may not use spot instances. */
+    /** The part of the used CPUs that belongs to work that may not use spot instances. */
     double nonSpotCpus() {
         return nonSpotCpus;
     }
 
-    /** Starts that no report has shown. */
+    /** Number of placed attempts that no heartbeat has listed yet. */
     int unconfirmedStarts() {
         return unconfirmedStarts;
     }
--- a/src/main/java/io/kitepath/core/shard/QuotaUsage.java
+++ b/src/main/java/io/kitepath/core/shard/QuotaUsage.java
@@ -7,23 +7,25 @@
 import java.util.Map;
 
 /**
- * What each team's attempts that are not proven over use of its quota. Not thread-safe; belongs to
- * the shard's thread.
+ * Tracks how much of each team's quota its attempts that are not confirmed ended use. Not
+ * thread-safe; belongs to the shard's thread.
  */
 public final class QuotaUsage {
-    /** Tolerance for sums of CPUs and GPUs that were added and subtracted many times. */
+    /**
+     * Tolerance for rounding errors in sums of CPUs and GPUs after many additions and subtractions.
+     */
     private static final double ROUNDING = 1e-6;
 
-    /** What this shard may use of a team's quota; infinite where there is no limit. */
+    /** The part of a team's quota that this shard may use; infinite where there is no limit. */
     public interface QuotaLimits {
-        /** CPUs that this shard may use of the team's quota. */
+        /** Returns the CPUs that this shard may use of the team's quota. */
         double maxCpus(ClusterSettings.Team team);
 
-        /** GPUs that this shard may use of the team's quota. */
+        /** Returns the GPUs that this shard may use of the team's quota. */
         double maxGpus(ClusterSettings.Team team);
     }
 
-    /** The whole quota, as the settings say. */
+    /** The whole quota as configured in the settings. */
     private static final class ConfiguredLimits implements QuotaLimits {
         @Override
         public double maxCpus(ClusterSettings.Team team) {
@@ -36,7 +38,7 @@
         }
     }
 
-    /** What one team uses now. */
+    /** The current usage of one team. */
     private static final class TeamUsage {
         private static final TeamUsage NONE = new TeamUsage();
 
@@ -52,7 +54,7 @@
         this.settings = settings;
     }
 
-    /** Replaces the limits of the settings, by this shard's share of them. */
+    /** Replaces the limits of the settings by this shard's share of them. */
     public void setLimits(QuotaLimits newLimits) {
         limits = newLimits;
     }
@@ -62,8 +64,10 @@
     }
 
     /**
-     * So many attempts of this kind were placed, or may be on machines for all that is known; less
-     * than 0: are proven over.
+     * Adjusts the usage by a number of attempts of the job.
+     *
+     * @param change the number of attempts that were placed or that may be on machines; negative
+     *     for attempts that are confirmed ended
      */
     void countAttempts(JobSpec spec, int change) {
         TeamUsage usage = usageByTeam.computeIfAbsent(spec.team(), key -> new TeamUsage());
@@ -75,19 +79,19 @@
         return usageByTeam.getOrDefault(team, TeamUsage.NONE);
     }
 
-    /** CPUs of the team's attempts that are not proven over. */
+    /** CPUs of the team's attempts that are not confirmed ended. */
     public double usedCpus(String team) {
         return usage(team).cpus;
     }
 
-    /** GPUs of the team's attempts that are not proven over. */
+    /** GPUs of the team's attempts that are not confirmed ended. */
     public double usedGpus(String team) {
         return usage(team).gpus;
     }
 
     /**
-     * For the reason why a job waits: what this cell may use of the team's quota, if that is less
-     * than the settings say; empty otherwise.
+     * Describes, for a job's pending reason, the part of the team's quota that this cell may use if
+     * it is less than the settings say; empty otherwise.
      */
     String describeShare(String team) {
         ClusterSettings.Team quota = settings.teams().get(team);
@@ -104,7 +108,7 @@
                 : "";
     }
 
-    /** How many more tasks of this kind the team's quota allows; 0 for an unknown team. */
+    /** Returns how many more tasks of the job the team's quota allows; 0 for an unknown team. */
     public int remainingTasks(JobSpec spec) {
         ClusterSettings.Team team = settings.teams().get(spec.team());
         if (team == null) {
--- a/src/main/java/io/kitepath/core/shard/RecentArrivals.java
+++ b/src/main/java/io/kitepath/core/shard/RecentArrivals.java
@@ -10,19 +10,24 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 
-/** The jobs that came last, from which it is estimated what comes next and how often. */
+/**
+ * The most recently submitted jobs, from which the size and rate of the next ones are estimated.
+ */
 public final class RecentArrivals {
     private static final int MAX_JOBS = 200;
 
-    /** A class whose next job is late by that many of its usual gaps is not expected any more. */
+    /**
+     * Number of average intervals between arrivals after which the next job of a class is no longer
+     * expected.
+     */
     private static final int MAX_GAPS_LATE = 10;
 
-    /** By id, newest last. */
+    /** Jobs by id, the newest last. */
     private final Map<String, Job> jobsById = new LinkedHashMap<>();
 
     /**
-     * Adds a job, in place of what was known under its id. Guards against jobs that count as one
-     * more arrival each time that a leader loads them all again.
+     * Adds a job, replacing an earlier one with the same id. Guards against jobs that count as
+     * another arrival each time a leader loads all jobs again.
      */
     void add(Job job) {
         jobsById.remove(job.spec.id());
@@ -35,9 +40,9 @@
     }
 
     /**
-     * The job of a class that stands at a quantile of the sizes of its recent jobs, in CPUs over
-     * all tasks. Null if there is none, or if by its usual pace the class's next job is long
-     * overdue: machines kept for it would stay idle.
+     * Returns the job of a class at a quantile of the sizes of its recent jobs, in CPUs over all
+     * tasks. Returns null if there is none, or if the class's next job is long overdue by its usual
+     * arrival interval, as machines kept for it would stay idle.
      *
      * @param quantile from 0 to 1
      * @param wallMillis in milliseconds since 1970
@@ -68,15 +73,15 @@
     }
 
     /**
-     * How often tasks of a class of gangs came lately.
+     * The recent arrival rate of the tasks of a class of gangs.
      *
      * @param sampleSpec one of the class's jobs
      */
     public record ArrivalRate(JobSpec sampleSpec, double tasksPerSecond) {}
 
     /**
-     * The classes of gangs that still come by their usual pace, those of the highest priority
-     * first.
+     * Returns the arrival rates of the classes of gangs whose jobs have arrived recently, those of
+     * the highest priority first.
      *
      * @param wallMillis in milliseconds since 1970
      */
@@ -99,7 +104,7 @@
     }
 
     /**
-     * How many jobs of the class came a second, as of late.
+     * Returns the recent arrival rate of the class, in jobs per second.
      *
      * @param wallMillis in milliseconds since 1970
      */
@@ -113,8 +118,8 @@
     }
 
     /**
-     * By the later half of the time since the first job came: it says more of what comes next than
-     * a backlog that came all at once.
+     * Returns the rate over the later half of the time since the first job arrived, which predicts
+     * the next arrivals better than a backlog that arrived all at once.
      */
     private static double ratePerSecond(
             List<Job> jobs, double wallMillis, ToDoubleFunction<Job> amount) {
--- a/src/main/java/io/kitepath/core/shard/RoomReservation.java
+++ b/src/main/java/io/kitepath/core/shard/RoomReservation.java
@@ -3,11 +3,11 @@
 import io.kitepath.core.model.JobSpec;
 
 /**
- * For which job a machine's room is reserved, and how strictly. A strict reservation holds room for
- * which other work is being stopped. One that allows backfill waits for other work to end by
- * itself: preemptible work, or work that ends before the reservation starts, may run meanwhile.
- * Guards against machines that idle for minutes because a gang waits for the last of those that it
- * needs. Times are seconds on the steady clock.
+ * The job for which a machine's capacity is reserved, and how strictly. A strict reservation holds
+ * capacity for which other work is being stopped. A reservation that allows backfill waits for
+ * other work to end by itself: preemptible work, or work that ends before the reservation starts,
+ * may run in the meantime. Guards against machines that are idle for minutes because a gang waits
+ * for the last of the machines that it needs. Times are seconds on the steady clock.
  */
 final class RoomReservation {
     /** Null while nothing is reserved. */
@@ -33,7 +33,7 @@
         startsAt = from;
     }
 
-    /** Ends the reservation, as the jobs are loaded anew. */
+    /** Ends the reservation. */
     void clear() {
         reservedFor = null;
         backfillAllowed = false;
@@ -48,15 +48,16 @@
         return backfillAllowed;
     }
 
-    /** Whether the job would by its estimate end before the reservation starts. */
+    /** Whether, by its estimate, the job would end before the reservation starts. */
     boolean mayBackfill(Job job, double now) {
         return job.spec.shape() != JobSpec.Shape.SERVICE
                 && now + job.spec.estimatedSeconds() <= startsAt;
     }
 
     /**
-     * At the start of a scheduling round: reservations that allow backfill are decided anew, and
-     * strict ones end when their time is over or their job has nothing to place any more.
+     * Refreshes the reservation at the start of a scheduling round: one that allows backfill ends
+     * and is decided again; a strict one ends when its time has passed or its job has no tasks to
+     * place any more.
      */
     void refresh(double now) {
         if (backfillAllowed
--- a/src/main/java/io/kitepath/core/shard/SchedulingSignal.java
+++ b/src/main/java/io/kitepath/core/shard/SchedulingSignal.java
@@ -1,14 +1,14 @@
 package io.kitepath.core.shard;
 
 /**
- * Whether a scheduling round is worth running: set by whatever may let work be placed, reset when a
- * round begins. Not thread-safe; belongs to the shard's thread.
+ * Signals whether a scheduling round is worth running: set by any change that may allow work to be
+ * placed, reset when a round begins. Not thread-safe; belongs to the shard's thread.
  */
 final class SchedulingSignal {
     private boolean needed;
     private boolean backlog;
 
-    /** Something changed that may let work be placed. */
+    /** Requests a scheduling round after a change that may allow work to be placed. */
     void request() {
         needed = true;
     }
@@ -17,18 +17,21 @@
         return needed;
     }
 
-    /** A round begins, which looks at all that changed until now. */
+    /**
+     * Resets the signal at the beginning of a scheduling round, which takes all changes until now
+     * into account.
+     */
     void beginRound() {
         needed = false;
         backlog = false;
     }
 
-    /** Work is left waiting in this round. */
+    /** Records that work is left waiting in this scheduling round. */
     void markBacklog() {
         backlog = true;
     }
 
-    /** Whether work was left waiting in the last round. */
+    /** Whether work was left waiting in the last scheduling round. */
     boolean hasBacklog() {
         return backlog;
     }
--- a/src/main/java/io/kitepath/core/shard/ServiceGroups.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceGroups.java
@@ -10,15 +10,17 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The {@link ServiceGroup}s of one kind by name: all classes, say, or all teams. */
+/** The {@link ServiceGroup}s of one kind by name, for example all classes or all teams. */
 final class ServiceGroups {
-    /** Users name the classes, so there may be any number of them. */
+    /**
+     * Maximum number of groups; users choose the names of classes, so their number is unlimited.
+     */
     private static final int MAX_GROUPS = 1000;
 
-    /** What one group takes in the record, in bytes of its JSON form, besides its name. */
+    /** Estimated size of one group in the record, in bytes of its JSON form, without its name. */
     private static final int GROUP_BYTES = 64;
 
-    /** What the log calls a group of this kind, before its name. */
+    /** The kind of the groups, which precedes a group's name in the log. */
     private final String kind;
 
     private final Map<String, ServiceGroup> groups = new LinkedHashMap<>();
@@ -31,7 +33,10 @@
         groups.clear();
     }
 
-    /** Empty if the group is new and there are too many already. */
+    /**
+     * Returns the group, which is added if it is new; empty if it is new and the maximum number of
+     * groups is reached.
+     */
     Optional<ServiceGroup> getOrAdd(String name) {
         ServiceGroup group = groups.get(name);
         if (group == null && groups.size() < MAX_GROUPS) {
@@ -41,30 +46,30 @@
         return Optional.ofNullable(group);
     }
 
-    /** In the order in which they became known. */
+    /** All groups, in the order in which they were added. */
     Collection<ServiceGroup> all() {
         return Collections.unmodifiableCollection(groups.values());
     }
 
-    /** A copy, sorted by name. */
+    /** A copy of the groups, sorted by name. */
     Map<String, ServiceGroup> byName() {
         return new TreeMap<>(groups);
     }
 
-    /** The lowest share of all; 1 while there are none. */
+    /** Returns the lowest share of all groups; 1 while there are none. */
     double leastShare() {
         return groups.values().stream().mapToDouble(ServiceGroup::share).min().orElse(1);
     }
 
-    /** The group's share if it is behind; 1 otherwise, and for an unknown group. */
+    /** Returns the group's share if it is lagging; 1 otherwise, and for an unknown group. */
     double catchUpShare(String name) {
         ServiceGroup group = groups.get(name);
         return group == null ? 1 : group.catchUpShare();
     }
 
     /**
-     * The counts of the groups with the most jobs decided, as many as fit into that many bytes: by
-     * name, lists as of {@link ServiceGroup#toRecord}.
+     * Returns the counts of the groups with the most decided jobs, as many as fit into {@code
+     * maxBytes}: by name, lists as written by {@link ServiceGroup#toRecord}.
      */
     Map<String, Object> toRecord(double maxBytes) {
         List<Map.Entry<String, ServiceGroup>> mostDecidedFirst =
@@ -83,7 +88,7 @@
         return record;
     }
 
-    /** Goes on from what {@link #toRecord} wrote; what is not of that form is left out. */
+    /** Restores the counts that {@link #toRecord} wrote; entries of another form are skipped. */
     void restore(Object record) {
         if (!(record instanceof Map<?, ?> countsByName)) {
             return;
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -15,16 +15,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How much of what each class, its largest jobs, and each team asked for was served in time: done
- * within the most generous time that its service-level objectives, or its deadline, expect. Guards
- * against an overload in which the number of jobs in time is as large as can be, and all that go
- * without are of one class or one team: a class of which less than half is served counts as an
- * outage to its users, however well the others do.
+ * Tracks which share of the jobs of each class, of its largest jobs, and of each team met their
+ * goal: completed within the longest time that their service-level objectives, or their deadline,
+ * allow. Guards against an overload in which as many jobs as possible meet their goals, but all
+ * jobs that miss them belong to one class or one team: to its users, a class of which less than
+ * half is served has an outage, however well the other classes do.
  *
- * <p>Decided jobs alone show that too late: of a class whose jobs have minutes, the first misses
- * are counted when many others can't be in time any more. So jobs that have used most of the time
- * in which they may wait, and still do, count as if they had been missed; see {@link
- * ServiceGroup#share}.
+ * <p>Decided jobs alone show this too late: for a class whose jobs have minutes, the first misses
+ * are counted only when many other jobs can no longer meet their goals. Therefore jobs that have
+ * used most of the time for which they may wait, and still wait, count as if they had missed their
+ * goal; see {@link ServiceGroup#share}.
  *
  * <p>Not thread-safe; belongs to the shard's thread. Times of day are milliseconds since 1970.
  */
@@ -32,54 +32,64 @@
     private static final Logger LOG = LoggerFactory.getLogger(ServiceLevels.class);
 
     /**
-     * The share below which a class or team is behind, above the half that it must never fall
-     * under. What is endangered may still be served, so the share that comes of it is higher.
+     * The share below which a class or team is lagging; it lies above one half, below which the
+     * share must never fall. Jobs at risk may still meet their goal, so the final share is higher
+     * than this one.
      */
     public static final double BEHIND_BELOW = 0.55;
 
-    /** The share from which on a class or team that was behind has caught up. */
+    /** The share from which a lagging class or team is no longer lagging. */
     private static final double CAUGHT_UP_FROM = 0.6;
 
     /**
-     * How much an older job counts for each one decided after it: what counts is about the last
-     * 256.
+     * Factor by which the weight of earlier jobs decreases with each decided job; about the last
+     * 256 jobs count.
      */
     private static final double DECAY = 1 - 1.0 / 256;
 
-    /** Jobs from which on a share says something. */
+    /** Minimum weight, in jobs, for a share to be meaningful. */
     private static final double MIN_WEIGHT = 8;
 
     /**
-     * Of the time that a job may wait and still be in time, the part after which it counts as
-     * endangered.
+     * Fraction of the time that a job may wait while still meeting its goal after which a waiting
+     * job counts as at risk.
      */
     private static final double ENDANGERED_FRACTION = 0.6;
 
-    /** Of the bytes of a stored value, the part that each kind of groups may take. */
+    /** Fraction of the maximum size of a stored value that each kind of groups may take. */
     private static final double RECORD_FRACTION = 0.3;
 
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** One class, the largest jobs of one class, or one team. Counts are of jobs. */
+    /**
+     * The counts of one class, of the largest jobs of one class, or of one team. Counts are of
+     * jobs.
+     */
     public static final class ServiceGroup {
-        /** Numbers in a record: those in time, done and missed, and two decayed sums. */
+        /**
+         * Number of values in a record: the counts of goals met, of completed jobs and of goals
+         * missed, and two decayed sums.
+         */
         private static final int RECORD_NUMBERS = 5;
 
-        /** Decayed sums are stored as whole numbers of that fraction. */
+        /** Decayed sums are stored as integers, multiplied by this factor. */
         private static final int RECORD_SCALE = 1000;
 
         private final String name;
         private long undecided;
         private long endangered;
 
-        /** Open, in time so far, and all placed. */
+        /** Number of open jobs that have not missed their goal and whose tasks are all placed. */
         private long fullyPlaced;
 
         private long inTime;
         private long done;
         private long missed;
 
-        /** Jobs decided, the older ones counting less, and of those the ones that were in time. */
+        /**
+         * Number of decided jobs, with the older ones weighted less; {@code decayedInTime} counts
+         * those that met their goal.
+         */
         private double decayedDecided;
 
         private double decayedInTime;
@@ -89,39 +99,43 @@
             this.name = name;
         }
 
-        /** Decided, or open now. */
+        /** Number of jobs that are decided or open. */
         public long submitted() {
             return decided() + undecided;
         }
 
-        /** In time or missed. */
+        /** Number of jobs that met or missed their goal. */
         long decided() {
             return inTime + missed;
         }
 
-        /** Open, and not likely to be in time any more unless others go without for them. */
+        /**
+         * Number of open jobs at risk: unlikely to meet their goal unless other jobs are deferred
+         * for them.
+         */
         public long endangered() {
             return endangered;
         }
 
-        /** Done within what is expected. */
+        /** Number of jobs that met their goal. */
         public long inTime() {
             return inTime;
         }
 
-        /** Done at all. */
+        /** Number of completed jobs, whether or not they met their goal. */
         public long done() {
             return done;
         }
 
-        /** Past all that was expected, whether or not they were done later. */
+        /** Number of jobs that missed their goal, whether or not they were completed later. */
         public long missed() {
             return missed;
         }
 
         /**
-         * Of the jobs decided lately, those that are all placed and those endangered now, what was
-         * served or probably will be; 1 while there are none.
+         * The share of jobs that met, or will probably meet, their goal among the recently decided
+         * jobs, the open jobs whose tasks are all placed, and the jobs at risk; 1 while there are
+         * none.
          */
         public double share() {
             return weight() == 0 ? 1 : (decayedInTime + fullyPlaced) / weight();
@@ -131,7 +145,7 @@
             return decayedDecided + fullyPlaced + endangered;
         }
 
-        /** 1, or the share of a group that is behind. */
+        /** The share if the group is lagging, otherwise 1. */
         double catchUpShare() {
             return behind ? share() : 1;
         }
@@ -165,9 +179,10 @@
             if (isBehind != behind) {
                 behind = isBehind;
                 LOG.warn(
-                        "{} {}: {} of {} jobs decided were served in time, {} endangered of {} open",
+                        "service level changed: group=\"{}\" status={} goalsMet={} decided={}"
+                                + " atRisk={} open={}",
                         name,
-                        isBehind ? "is behind" : "has caught up",
+                        isBehind ? "lagging" : "recovered",
                         inTime,
                         decided(),
                         endangered,
@@ -175,7 +190,10 @@
             }
         }
 
-        /** Those in time, done and missed, and the decayed sums in thousandths. */
+        /**
+         * Returns the counts of goals met, of completed jobs and of goals missed, and the decayed
+         * sums in thousandths.
+         */
         List<Long> toRecord() {
             return List.of(
                     inTime,
@@ -185,14 +203,14 @@
                     Math.round(RECORD_SCALE * decayedDecided));
         }
 
-        /** Whether {@link #toRecord} may have written that. */
+        /** Whether the value has the form that {@link #toRecord} writes. */
         static boolean isRecord(Object value) {
             return value instanceof List<?> numbers
                     && numbers.size() == RECORD_NUMBERS
                     && numbers.stream().allMatch(Number.class::isInstance);
         }
 
-        /** Takes over what {@link #toRecord} wrote. */
+        /** Restores the counts that {@link #toRecord} wrote. */
         void restore(List<?> numbers) {
             inTime = ((Number) numbers.get(0)).longValue();
             done = ((Number) numbers.get(1)).longValue();
@@ -204,7 +222,7 @@
         private String summary() {
             return String.format(
                     Locale.ROOT,
-                    " %s %d of %d, %d open, %d endangered;",
+                    " group=\"%s\" goalsMet=%d decided=%d open=%d atRisk=%d;",
                     name,
                     inTime,
                     decided(),
@@ -218,14 +236,14 @@
     private final ServiceGroups teams = new ServiceGroups("team");
 
     /**
-     * By class, its largest jobs alone: of a class that is served well, they may be the ones that
-     * go without.
+     * The largest jobs of each class. They are counted separately because they may miss their goals
+     * while the class as a whole does well.
      */
     private final ServiceGroups largest = new ServiceGroups("largest of");
 
     private final JobSizes sizes = new JobSizes();
 
-    /** What was missed up to then, by the time of day, has been counted by an earlier leader. */
+    /** Time of day up to which missed goals were already counted by an earlier leader. */
     private double countedUntilMillis;
 
     ServiceLevels(ClusterSettings settings) {
@@ -256,21 +274,25 @@
         return all;
     }
 
-    /** A job has become known. */
+    /** Records the arrival of a job. */
     void recordArrival(JobSpec spec) {
         sizes.add(spec);
     }
 
-    /** Whether the job is one of the largest of its class, by those that came lately. */
+    /**
+     * Whether the job is one of the largest of its class, compared with the jobs that arrived
+     * recently.
+     */
     public boolean isLargest(JobSpec spec) {
         return sizes.isAmongLargest(spec);
     }
 
     /**
-     * Looks at all jobs there are. Those that are past all that was expected of them are decided
-     * now, whenever they will be done.
+     * Updates the counts of open jobs from all jobs. Jobs that have passed the longest time allowed
+     * for them are counted as missed now, regardless of when they complete.
      *
-     * @param startLatencySeconds how long jobs of a kind take from placement to running
+     * @param startLatencySeconds how long jobs like the given one take from placement to running,
+     *     in seconds
      */
     public void update(
             Collection<Job> jobs,
@@ -278,7 +300,7 @@
             double wallMillis) {
         allGroups().forEach(ServiceGroup::resetOpen);
         for (Job job : jobs) {
-            // One that waits for others asks for nothing yet.
+            // A job that waits for its dependencies has no demand yet.
             if (!job.isFinished && !job.borrowed && !job.isHeld()) {
                 updateOpen(job, startLatencySeconds, wallMillis);
             }
@@ -317,7 +339,7 @@
         }
     }
 
-    /** The store has it that the job is done. */
+    /** Records that the completion of the job is committed to the store. */
     public void recordDone(Job job, double wallMillis) {
         recordIfMissed(
                 job,
@@ -332,8 +354,9 @@
     // ---- shares -------------------------------------------------------------------------------
 
     /**
-     * 1, or the lowest share of the job's class, its largest jobs, and its team, if that is so low
-     * that others of its rank go without before it.
+     * Returns the lowest share of those groups of the job that are lagging: its class, the largest
+     * jobs of its class, and its team. Other jobs of the same priority are deferred in favor of a
+     * job with a low share. Returns 1 if none of the groups is lagging.
      */
     public double catchUpShare(JobSpec spec) {
         double ofLargest = isLargest(spec) ? largest.catchUpShare(spec.jobClass()) : 1;
@@ -342,37 +365,37 @@
         return Math.min(ofLargest, ofClassAndTeam);
     }
 
-    /** The lowest share of all classes, their largest jobs, and teams. */
+    /** Returns the lowest share of all classes, their largest jobs, and teams. */
     public double leastShare() {
         return Math.min(largest.leastShare(), Math.min(classes.leastShare(), teams.leastShare()));
     }
 
-    /** A copy by name, for operators. */
+    /** The classes: a copy by name, for operators. */
     public Map<String, ServiceGroup> classes() {
         return classes.byName();
     }
 
-    /** A copy by name, for operators. */
+    /** The teams: a copy by name, for operators. */
     public Map<String, ServiceGroup> teams() {
         return teams.byName();
     }
 
-    /** Of each class its largest jobs alone: a copy by the class's name, for operators. */
+    /** The largest jobs of each class: a copy by the class's name, for operators. */
     public Map<String, ServiceGroup> largest() {
         return largest.byName();
     }
 
     /**
-     * For the log: by class and team, what was in time of what was decided, and what is open and
-     * endangered.
+     * Returns a summary for the log: for each group, how many of the decided jobs met their goal,
+     * and how many are open and at risk.
      */
     public String summary() {
         StringBuilder text =
                 new StringBuilder(
                         String.format(
                                 Locale.ROOT,
-                                "served least: class %.2f, team %.2f, largest jobs of a class %.2f;"
-                                        + " served in time:",
+                                "service levels: lowestClassShare=%.2f lowestTeamShare=%.2f"
+                                        + " lowestLargestJobsShare=%.2f;",
                                 classes.leastShare(),
                                 teams.leastShare(),
                                 largest.leastShare()));
@@ -380,12 +403,12 @@
         return text.toString();
     }
 
-    // ---- for the next leader ------------------------------------------------------------------
+    // ---- record for the next leader -----------------------------------------------------------
 
     /**
-     * What the next leader has to know, as a document for the store. Guards against counts that
-     * begin anew with each leader: on a day with many failovers nobody would ever be behind. Holds
-     * the groups with the most jobs decided, as many as a value may hold.
+     * Returns the counts that the next leader needs, as a document for the store. Guards against
+     * counts that start from zero with each leader: with many failovers, no group would ever be
+     * lagging. Contains the groups with the most decided jobs, as many as a value may hold.
      */
     public Map<String, Object> toRecord(double wallMillis) {
         double maxBytes = settings.store().maxValueBytes() * RECORD_FRACTION;
@@ -398,9 +421,9 @@
     }
 
     /**
-     * Goes on from what an earlier leader counted.
+     * Restores the counts of an earlier leader.
      *
-     * @throws io.kitepath.core.model.InvalidInputException if that is not a record of it
+     * @throws io.kitepath.core.model.InvalidInputException if the document is not such a record
      */
     public void restore(Object record) {
         DocumentReader document = DocumentReader.of(record);
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -19,14 +19,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the shard's leader knows: its machines, its jobs, which attempts are not proven over, and
- * what of all that the store has not been told. It decides nothing about where work goes; it keeps
- * account of what was decided, so that whatever is unproven counts against every limit.
+ * State of the shard as known to its leader: its machines, its jobs, the attempts that are not
+ * confirmed ended, and the changes that are not committed to the store yet. It makes no placement
+ * decisions; it accounts for the decisions made, so that every unconfirmed attempt counts against
+ * every limit.
  *
- * <p>This class is what other packages use; each concern has a class of its own: {@link
- * MachineRegistry}, {@link JobRegistry}, {@link QuotaUsage}, {@link AttemptLedger}, {@link
- * PendingWrites} and {@link SchedulingSignal}. Not thread-safe: all of it belongs to the thread of
- * the shard's controller. Times are seconds on the steady clock unless a name says otherwise.
+ * <p>Other packages use this class; each concern has a class of its own: {@link MachineRegistry},
+ * {@link JobRegistry}, {@link QuotaUsage}, {@link AttemptLedger}, {@link PendingWrites} and {@link
+ * SchedulingSignal}. Not thread-safe: all of it belongs to the thread of the shard's controller.
+ * Times are seconds on the steady clock unless a name says otherwise.
  */
 public final class ShardState {
     private static final Logger LOG = LoggerFactory.getLogger(ShardState.class);
@@ -47,7 +48,7 @@
     /**
      * Creates an empty state.
      *
-     * @param machineAddedListener is called with every machine that becomes known
+     * @param machineAddedListener called with every machine that becomes known
      */
     public ShardState(ClusterSettings settings, Consumer<Machine> machineAddedListener) {
         this.settings = settings;
@@ -73,7 +74,10 @@
         return fencingToken;
     }
 
-    /** From now on this token is ours; every machine has to report with it before it gets work. */
+    /**
+     * Starts a term of leadership with this fencing token; every machine must send a heartbeat with
+     * the token before it is given work.
+     */
     public void takeLeadership(long newToken) {
         fencingToken = newToken;
         machines.machines()
@@ -81,7 +85,10 @@
                 .forEach(machine -> machine.heartbeats().resetTokenConfirmation());
     }
 
-    /** Another node leads the shard: what this one knew may be wrong from now on. */
+    /**
+     * Clears jobs and machines because another node leads the shard: the state known to this one
+     * may be wrong from now on.
+     */
     public void giveUpLeadership() {
         clearJobs();
         machines.clear();
@@ -89,28 +96,28 @@
 
     // ---- scheduling rounds --------------------------------------------------------------------
 
-    /** Whether something changed that may let work be placed. */
+    /** Whether something changed that may allow work to be placed. */
     public boolean isSchedulingNeeded() {
         return signal.isNeeded();
     }
 
-    /** Something changed that may let work be placed. */
+    /** Requests a scheduling round after a change that may allow work to be placed. */
     public void requestScheduling() {
         signal.request();
     }
 
-    /** A scheduling round begins, which looks at all that changed until now. */
+    /** Begins a scheduling round, which takes all changes until now into account. */
     public void beginSchedulingRound(double now) {
         signal.beginRound();
         machines.machines().values().forEach(machine -> machine.refreshReservation(now));
     }
 
-    /** Work is left waiting in this round. */
+    /** Records that work is left waiting in this scheduling round. */
     public void markBacklog() {
         signal.markBacklog();
     }
 
-    /** Whether work was left waiting in the last round. */
+    /** Whether work was left waiting in the last scheduling round. */
     public boolean hasBacklog() {
         return signal.hasBacklog();
     }
@@ -122,7 +129,7 @@
         return machines.types();
     }
 
-    /** Replaces the machine types by those that the cloud offers now. */
+    /** Replaces the machine types with those that the cloud offers now. */
     public void setMachineTypes(Collection<MachineType> all) {
         machines.setTypes(all);
     }
@@ -132,12 +139,12 @@
         return machines.machines();
     }
 
-    /** Which machines are at fault for failing tasks, and which jobs. */
+    /** Determines whether machines or jobs are at fault for failing tasks. */
     public FailureDiagnosis failureDiagnosis() {
         return failureDiagnosis;
     }
 
-    /** How long machines take to boot. */
+    /** Estimates how long machines take to boot. */
     public BootTimes bootTimes() {
         return bootTimes;
     }
@@ -147,14 +154,17 @@
     }
 
     /**
-     * The machine is on record as one to be given back: whenever it is heard of, it takes no work
-     * any more.
+     * Marks the machine for release, also if it becomes known only later: it accepts no work any
+     * more.
      */
     public void markForRelease(String id) {
         machines.markForRelease(id);
     }
 
-    /** The machine and all on it are gone for certain: released, taken, or unknown to the cloud. */
+    /**
+     * Removes the machine and all attempts on it: it is confirmed to no longer exist, because it
+     * was released, interrupted, or is unknown to the cloud.
+     */
     public void removeMachine(String id, double now) {
         machines.remove(id)
                 .ifPresent(
@@ -162,66 +172,72 @@
                             new ArrayList<>(machine.attempts())
                                     .forEach(attempt -> attempts.lose(attempt, now));
                             signal.request();
-                            LOG.info("machine gone: machine={}", id);
+                            LOG.info("machine removed: machine={}", id);
                         });
     }
 
-    /** Whether the machine is gone for certain, whatever late messages say. */
+    /** Whether the machine is confirmed to no longer exist, regardless of late messages. */
     boolean isKnownGone(String id) {
         return machines.isKnownGone(id);
     }
 
-    /** What the cloud says exists. A list can be old, so it never proves a machine gone. */
+    /**
+     * Applies a list of the machines that exist in the cloud. A list may be stale, so it never
+     * proves that a machine no longer exists.
+     */
     public void applyCloudList(Collection<Cloud.ListedMachine> entries, double now) {
         machines.applyCloudList(entries, now);
     }
 
-    /** The cloud has rented this machine to us; its boot began at {@code since}. */
+    /** Adds a machine that the cloud has rented out, whose boot began at {@code since}. */
     public void addRentedMachine(String id, MachineKind kind, double now, double since) {
         machines.addRented(id, kind, now, since);
     }
 
-    /** The attempt's image is on its machine now. */
+    /** Records that the attempt's image is now on its machine. */
     void recordImageUse(Attempt attempt) {
         machines.recordImageUse(attempt);
     }
 
     // ---- jobs ---------------------------------------------------------------------------------
 
-    /** Unmodifiable view by id: jobs that are open, or over with something of them left. */
+    /**
+     * Unmodifiable view of the jobs by id: open jobs, and finished ones that still have attempts or
+     * records.
+     */
     public Map<String, Job> jobs() {
         return jobs.jobs();
     }
 
-    /** What came lately, for forecasts. */
+    /** The recent arrivals, for forecasts. */
     public RecentArrivals recentArrivals() {
         return jobs.recentArrivals();
     }
 
-    /** How long tasks take from their placement until they run. */
+    /** Estimates how long tasks take from their placement until they run. */
     public StartLatencies startLatencies() {
         return jobs.startLatencies();
     }
 
-    /** How much of what classes and teams asked for was served in time. */
+    /** Tracks which share of the jobs of classes and teams met their goals. */
     public ServiceLevels serviceLevels() {
         return jobs.serviceLevels();
     }
 
-    /** Which jobs wait for which. */
+    /** The dependencies between jobs. */
     public JobDependencies jobDependencies() {
         return jobs.jobDependencies();
     }
 
     /**
-     * Rises whenever all jobs are forgotten: {@link Job} objects of an earlier generation stand for
-     * nothing any more.
+     * Number of times that all jobs have been cleared; {@link Job} objects of an earlier generation
+     * are stale.
      */
     public long jobGeneration() {
         return jobGeneration;
     }
 
-    /** Forgets all jobs and attempts, before they are loaded anew. */
+    /** Clears all jobs and attempts, before they are loaded again. */
     public void clearJobs() {
         jobGeneration++;
         jobs.clear();
@@ -230,18 +246,19 @@
         machines.machines().values().forEach(Machine::forgetJobs);
     }
 
-    /** A job has become known, by its submission or from the store. */
+    /** Adds a job that was submitted or loaded from the store. */
     public void addJob(Job job) {
         jobs.add(job);
     }
 
-    /** Adds a job that is over, some of whose attempts may still be on machines. */
+    /** Adds a finished job, some of whose attempts may still be on machines. */
     public void addFinishedJob(Job job) {
         jobs.addFinished(job);
     }
 
     /**
-     * Takes over what a part's record says is done and what is, or may be, on machines.
+     * Restores from a part's record which tasks are done and which attempts are, or may be, on
+     * machines.
      *
      * @throws io.kitepath.core.model.InvalidInputException if the record is not one of a part
      */
@@ -250,9 +267,9 @@
     }
 
     /**
-     * A part's record can't be read. Guards against a task that runs twice, as the record may have
-     * it on a machine: nothing of the job is placed, and all tasks of the part count against the
-     * team's quota until all jobs are loaded again.
+     * Marks a part whose record cannot be read. Guards against a task that runs twice because the
+     * record may list it on a machine: nothing of the job is placed, and all tasks of the part
+     * count against the team's quota until all jobs are loaded again.
      */
     public void holdUnreadable(Job job, int part) {
         job.markUnreadable(part);
@@ -260,21 +277,22 @@
     }
 
     /**
-     * The job is done or cancelled in the store; whatever of it is still on machines has to be
-     * stopped. Returns whether that is news here.
+     * Marks the job as finished, as it is completed or cancelled in the store; its attempts that
+     * are still on machines must be stopped. Returns whether the job was not known to be finished
+     * before.
      */
     public boolean finishJob(String id) {
         return jobs.finish(id);
     }
 
-    /** Removes a job that is over, with nothing of it left anywhere. */
+    /** Removes a finished job that has no attempts or records left. */
     public void removeJob(Job job) {
         jobs.remove(job, failureDiagnosis);
     }
 
     /**
-     * Progress of those of the jobs that are known here and not about to be cancelled for a job
-     * that they depend on.
+     * Returns the progress of those jobs that are known here and are not about to be cancelled
+     * because of a job that they depend on.
      */
     public List<JobProgress> progress(List<String> ids, double now) {
         return jobs.progress(
@@ -283,73 +301,78 @@
 
     // ---- attempts -----------------------------------------------------------------------------
 
-    /** What each team's attempts use of its quota. */
+    /** The use of the teams' quotas by their attempts. */
     public QuotaUsage quotaUsage() {
         return quotaUsage;
     }
 
-    /** How many attempts were proven over. */
+    /** Number of attempts that were confirmed ended. */
     public long attemptsEnded() {
         return attempts.ended();
     }
 
-    /** Of those, the ones that were lost with their machine or its agent's incarnation. */
+    /**
+     * The number of ended attempts that were lost with their machine or its agent's incarnation.
+     */
     public long attemptsLost() {
         return attempts.lost();
     }
 
     /**
-     * A decision: this waiting task goes to that machine, once that is written. See {@link
-     * #advanceAttemptNumber}.
+     * Places the waiting task on the machine; the placement takes effect once it is committed. See
+     * {@link #advanceAttemptNumber}.
      */
     public void place(Job job, int task, Machine machine, double now) {
         attempts.place(job, task, machine, now);
     }
 
     /**
-     * What was placed of the job since the last call shares an attempt number; the next placements
-     * get another.
+     * Advances the attempt number of the job: the placements since the last call share one number,
+     * the next ones get another.
      */
     public void advanceAttemptNumber(Job job) {
         job.nextAttempt++;
     }
 
     /**
-     * The attempt is to be stopped. One that is not known to be written was never launched, and is
-     * withdrawn.
+     * Stops the attempt. An attempt whose placement is not known to be committed was never
+     * launched, and is withdrawn.
      *
-     * @param graceSeconds time it gets to save its work; the shortest that was asked for counts
+     * @param graceSeconds time that it gets to save its work; the shortest one requested applies
      */
     public void stopAttempt(Attempt attempt, double graceSeconds) {
         attempts.stop(attempt, graceSeconds);
     }
 
-    /** Stops an attempt, as {@link #stopAttempt} does, so that the other job gets its room. */
+    /** Stops an attempt, as {@link #stopAttempt} does, to free capacity for the other job. */
     public void evictAttempt(Attempt attempt, Job other) {
         attempt.evictedFor = Optional.of(other);
         attempts.stop(attempt, attempt.job.spec.stopGraceSeconds());
     }
 
     /**
-     * Stops the rest of an incomplete gang once none of it fetches its image any more, so that all
-     * of it restarts together.
+     * Stops the rest of an incomplete gang once none of its attempts is fetching its image any
+     * more, so that the whole gang restarts together.
      */
     public void restartGangOnceImagesFetched(Job job) {
         attempts.restartGangOnceImagesFetched(job);
     }
 
-    /** An agent reports an attempt that nothing placed there; it counts, and is stopped. */
+    /**
+     * Adds an attempt that an agent reports but that was not placed there; it counts as running,
+     * and is stopped.
+     */
     void addUnexpectedAttempt(
             Job job, int task, long number, TaskState state, Machine machine, double now) {
         attempts.addUnexpected(job, task, number, state, machine, now);
     }
 
-    /** The attempt is proven over. */
+    /** Ends the attempt, which is confirmed ended. */
     void endAttempt(Attempt attempt, EndCause cause, double now) {
         attempts.end(attempt, cause, now);
     }
 
-    /** The attempt went with its machine or its agent's incarnation. */
+    /** Ends the attempt as lost with its machine or its agent's incarnation. */
     void loseAttempt(Attempt attempt, double now) {
         attempts.lose(attempt, now);
     }
@@ -361,64 +384,73 @@
         return writes.dirtyParts();
     }
 
-    /** How many tasks one part of a job holds whose record does not say. */
+    /** Number of tasks in a part of a job whose record does not specify it. */
     public int tasksPerPart() {
         return writes.tasksPerPart();
     }
 
-    /** What the deployment's records are laid out by, whatever the settings say by now. */
+    /**
+     * Sets the number of tasks per part with which the deployment's records are laid out,
+     * regardless of the current settings.
+     */
     public void setTasksPerPart(int tasks) {
         writes.setTasksPerPart(tasks);
     }
 
     /**
-     * The bytes that a record may have: as the settings say, or fewer if the store has refused one
-     * of that size.
+     * Maximum size of a record in bytes: as configured, or smaller if the store has refused a
+     * record of that size.
      */
     public int maxRecordBytes() {
         return writes.maxRecordBytes();
     }
 
-    /** The store has refused a record of that size. */
+    /** Lowers the maximum record size after the store has refused a record of that size. */
     public void lowerMaxRecordBytes(int refusedBytes) {
         writes.lowerMaxRecordBytes(refusedBytes);
     }
 
     /**
-     * Whether the record of the task's part can take one more attempt; nothing may start that is
-     * not on record.
+     * Whether the record of the task's part has space for one more attempt; no attempt may start
+     * that is not on record.
      */
     public boolean fitsRecord(Job job, int task) {
         return writes.fitsRecord(job, task);
     }
 
-    /** Whether the records of its parts can take all its tasks at once, or can't be made to. */
+    /**
+     * Whether the records of the job's parts have space for all its tasks at once, or its parts
+     * cannot be made smaller.
+     */
     public boolean fitsRecord(Job job) {
         return writes.fitsRecord(job);
     }
 
     /**
-     * The job's parts can't be on record as they are laid out; nothing more of it is placed until
-     * they are laid out anew.
+     * Requests a new layout of the job's parts, as their records do not fit; nothing more of the
+     * job is placed until they are laid out again.
      */
     public void requestMigration(Job job) {
         writes.requestMigration(job);
     }
 
-    /** Jobs whose parts are to be laid out anew, in the order in which that was requested. */
+    /** Jobs whose parts must be laid out again, in the order of the requests. */
     public List<Job> jobsToMigrate() {
         return writes.jobsToMigrate();
     }
 
-    /** The job's parts need not, or can't, be laid out anew any more. */
+    /**
+     * Withdraws the request for a new layout of the job's parts, which is no longer needed or not
+     * possible.
+     */
     public void migrationDone(Job job) {
         writes.migrationDone(job);
     }
 
     /**
-     * The store has the job's records in their new layout.
+     * Applies the new layout of the job's records, which is committed to the store.
      *
-     * @param version of the job, as of which they were written
+     * @param version version of the job that the records contain
      * @param writtenParts the parts that have a record; the others need none
      */
     public void applyMigration(
@@ -426,12 +458,12 @@
         writes.applyMigration(job, record, revision, version, writtenParts);
     }
 
-    /** Everything about this part up to {@code version} of its job is in the store now. */
+    /** Records that the part's state up to {@code version} of its job is committed to the store. */
     public void markPartWritten(JobPart part, int version, long revision) {
         writes.markPartWritten(part, version, revision);
     }
 
-    /** All the job's parts may differ from their records. */
+    /** Marks all parts of the job as possibly different from their records. */
     public void markAllPartsDirty(Job job) {
         writes.markAllPartsDirty(job);
     }
--- a/src/main/java/io/kitepath/core/shard/StartLatencies.java
+++ b/src/main/java/io/kitepath/core/shard/StartLatencies.java
@@ -4,22 +4,24 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * How long it takes, as of late, from the placement of a class's tasks until they run: the write of
- * the placement, the agent's next heartbeat, the image, a gang's slowest task. Guards against a
- * scheduling order that places jobs at the last moment, after which all of them fetch their images
- * past their goal.
+ * Estimates the recent latency from the placement of a class's tasks until they run: the commit of
+ * the placement, the agent's next heartbeat, the image fetch and, for a gang, its slowest task.
+ * Guards against a scheduling order that places jobs at the last moment, so that they are all still
+ * fetching their images when their goal has passed.
  *
- * <p>Estimated as a round-trip time is for TCP (Jacobson and Karels; RFC 6298): a smoothed average
+ * <p>Estimated like the round-trip time in TCP (Jacobson and Karels; RFC 6298): a smoothed average
  * and a smoothed mean deviation.
  */
 public final class StartLatencies {
-    /** Weight of one more start in the average. */
+    /** Weight of a new measurement in the average and the deviation. */
     private static final double WEIGHT = 1.0 / 64;
 
-    /** Users name the classes, so there may be any number of them. */
+    /**
+     * Maximum number of classes; users choose the names of classes, so their number is unlimited.
+     */
     private static final int MAX_CLASSES = 1000;
 
-    /** In seconds. */
+    /** A smoothed average and mean deviation, in seconds. */
     private static final class Estimate {
         private double average;
         private double deviation;
@@ -37,14 +39,14 @@
     private final Cache<String, Estimate> estimateByClass =
             Caffeine.newBuilder().maximumSize(MAX_CLASSES).build();
 
-    /** A task of the class runs, so long after its placement. */
+    /** Records that a task of the class began to run that many seconds after its placement. */
     void recordStart(String jobClass, double seconds) {
         estimateByClass.get(jobClass, key -> new Estimate(seconds)).add(seconds);
     }
 
     /**
-     * What most of the class's tasks take at most, in seconds: the average and one mean deviation.
-     * 0 while nothing is known.
+     * Returns an upper estimate of the start latency of most of the class's tasks, in seconds: the
+     * average plus one mean deviation; 0 while there are no measurements.
      */
     public double upperEstimateSeconds(String jobClass) {
         Estimate estimate = estimateByClass.getIfPresent(jobClass);
--- a/src/test/java/io/kitepath/core/shard/BootTimesTest.java
+++ b/src/test/java/io/kitepath/core/shard/BootTimesTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How long boots are expected to take, and which machines are late. */
+/** Tests the estimate of boot times, and which machines count as late. */
 class BootTimesTest {
     private static final MachineKind KIND = new MachineKind("m4", "a", false);
     private static final MachineKind OTHER_ZONE = new MachineKind("m4", "b", false);
--- a/src/test/java/io/kitepath/core/shard/DependencyDemandTest.java
+++ b/src/test/java/io/kitepath/core/shard/DependencyDemandTest.java
@@ -14,7 +14,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What jobs that wait for others ask of those, and what becomes of them. */
+/**
+ * Tests the demands that dependent jobs make on their dependencies, and how their outcomes are
+ * passed on.
+ */
 class DependencyDemandTest {
     private static final int TASKS_PER_PART = 4;
 
--- a/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
@@ -6,14 +6,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a machine counts as one that the leader's answers don't reach. */
+/** Tests when a machine counts as one that the leader's responses do not reach. */
 class HeartbeatHistoryTest {
     private static final double LEASE_SECONDS = 10;
 
     private final HeartbeatHistory history = new HeartbeatHistory();
     private long sequence;
 
-    /** A heartbeat every second of one incarnation, all with our token or all without. */
+    /**
+     * Records a heartbeat of the incarnation every second, either all with this leader's token or
+     * all without it.
+     */
     private void heartbeats(long incarnation, boolean carryOurToken, int from, int until) {
         for (int now = from; now <= until; now++) {
             history.record(incarnation, ++sequence, carryOurToken, now, LEASE_SECONDS);
@@ -24,7 +27,7 @@
     void twoAnsweredIncarnationsLostInARowMeanThatAnswersDoNotArrive() {
         heartbeats(1, true, 0, 9);
         heartbeats(2, true, 10, 19);
-        assertFalse(history.isMissingAnswers(), "once may be a slow network");
+        assertFalse(history.isMissingAnswers(), "a single loss may be due to a slow network");
         heartbeats(3, true, 20, 21);
         assertTrue(history.isMissingAnswers());
         assertEquals(1, history.missingAnswersSeconds(21));
@@ -54,7 +57,10 @@
         assertFalse(history.isMissingAnswers());
         heartbeats(2, false, 16, 16);
         assertTrue(history.isMissingAnswers());
-        assertEquals(16, history.missingAnswersSeconds(16), "since the first one without it");
+        assertEquals(
+                16,
+                history.missingAnswersSeconds(16),
+                "since the first heartbeat without the token");
         heartbeats(2, true, 17, 17);
         assertFalse(history.isMissingAnswers());
     }
--- a/src/test/java/io/kitepath/core/shard/HeartbeatProcessorTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatProcessorTest.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a heartbeat proves, and what it doesn't. */
+/** Tests what a heartbeat proves and what it does not. */
 class HeartbeatProcessorTest {
     private static final String MACHINE = "i-1";
     private static final long OTHER_TOKEN = 4;
@@ -42,7 +42,10 @@
         return heartbeatProcessor.process(heartbeat, true, id -> true, now);
     }
 
-    /** An earlier leader has written that the job's task may be on the machine. */
+    /**
+     * Restores a record of an earlier leader, according to which the job's task may be on the
+     * machine.
+     */
     private void restoreAttempt() {
         Map<String, Object> record =
                 Map.of("next", 2L, "done", "", "live", Map.of(MACHINE, List.of(0L, 1L)));
@@ -50,9 +53,9 @@
     }
 
     /**
-     * An earlier leader wrote the placement and launched it in an answer that is still on its way;
-     * then the job is cancelled. The agent's heartbeat from before it knew us does not show the
-     * task, and proves nothing.
+     * An earlier leader committed the placement and launched it in a response that is still in
+     * transit; then the job is cancelled. The agent's heartbeat from before it received this
+     * leader's token does not list the task, and proves nothing.
      */
     @Test
     void absentTaskIsProvenOverOnlyByHeartbeatWithOurToken() {
@@ -69,10 +72,7 @@
         assertEquals(0, job.liveAttempts().size());
     }
 
-    /**
-     * A copy of a heartbeat that was read already, or an older one, neither ends nor proves
-     * anything.
-     */
+    /** A duplicate of a processed heartbeat, or an older one, neither ends nor proves anything. */
     @Test
     void heartbeatThatIsNotNewerIsIgnored() {
         shard.takeLeadership(OUR_TOKEN);
@@ -86,9 +86,7 @@
         assertEquals(1, shard.machines().get(MACHINE).lastHeartbeatAt());
     }
 
-    /**
-     * Whatever this leader knows of the machine: no answer keeps a task alive whose job is over.
-     */
+    /** Regardless of the state of the machine, no response keeps a task of a finished job alive. */
     @Test
     void taskOfFinishedJobIsStoppedBeforeMachineConfirmsOurToken() {
         TaskStatus[] tasks = {
--- a/src/test/java/io/kitepath/core/shard/KnownMachineTypeTest.java
+++ b/src/test/java/io/kitepath/core/shard/KnownMachineTypeTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A machine's type is looked up once, and again when it may have changed. */
+/** A machine caches its type, and looks it up again when it may have changed. */
 class KnownMachineTypeTest {
     private static final double FIRST_PRICE = 1;
     private static final double LATER_PRICE = 2;
@@ -26,7 +26,8 @@
         return machine.typeAmong(shard.machineTypes());
     }
 
-    // Guards against machines without a type, or of an old price, as the type was remembered.
+    // Guards against machines that have no type, or a type with an old price, because the type was
+    // cached.
     @Test
     void aRememberedTypeIsReplacedWithTheTypesOnOfferAndWithTheMachinesOwn() {
         assertNull(typeOfMachine());
--- a/src/test/java/io/kitepath/core/shard/MachineImagesTest.java
+++ b/src/test/java/io/kitepath/core/shard/MachineImagesTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which images a machine is taken to have, and to fetch. */
+/** Tests which images a machine is estimated to have and to be fetching. */
 class MachineImagesTest {
     private final List<Attempt> attempts = new ArrayList<>();
     private final MachineImages images = new MachineImages(attempts);
--- a/src/test/java/io/kitepath/core/shard/QuotaUsageTest.java
+++ b/src/test/java/io/kitepath/core/shard/QuotaUsageTest.java
@@ -7,7 +7,7 @@
 import io.kitepath.simulation.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** How many more tasks a team's quota allows. */
+/** Tests how many more tasks a team's quota allows. */
 class QuotaUsageTest {
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
     private final QuotaUsage quotaUsage = new QuotaUsage(settings);
--- a/src/test/java/io/kitepath/core/shard/RecentArrivalsTest.java
+++ b/src/test/java/io/kitepath/core/shard/RecentArrivalsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the jobs that came last say of the next ones, and of what is large. */
+/** Tests the forecasts from recent jobs, and which jobs count as large. */
 class RecentArrivalsTest {
     private final RecentArrivals arrivals = new RecentArrivals();
     private final JobSizes sizes = new JobSizes();
--- a/src/test/java/io/kitepath/core/shard/ReloadedJobsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ReloadedJobsTest.java
@@ -8,13 +8,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs that are loaded from the store once more leave nothing of their former objects behind.
+ * Loading the jobs from the store again leaves no references to their former objects.
  *
- * <p>What happens: a leader loads all jobs again, for instance after an answer of the store was
- * lost. Each open job then counts as one more arrival, so that twice as many machines are kept
- * ready for what comes next; and a machine stays reserved for an object of the job that nothing
- * will ever be placed for. Why: only jobs, quotas and attempts were cleared. What shows it: the
- * figures asserted here.
+ * <p>Guards against a leader that loads all jobs again, for example after a response of the store
+ * was lost, and clears only jobs, quotas and attempts. Each open job then counted as another
+ * arrival, so that twice as many machines were kept ready for the next jobs, and a machine stayed
+ * reserved for a stale job object for which nothing is ever placed.
  */
 class ReloadedJobsTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
@@ -49,7 +48,7 @@
         assertEquals(
                 before,
                 shard.recentArrivals().jobsPerSecond("work", 100_000),
-                "one that has ended meanwhile still tells what comes next");
+                "a job that has ended in the meantime still counts as an arrival");
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/shard/RoomReservationTest.java
+++ b/src/test/java/io/kitepath/core/shard/RoomReservationTest.java
@@ -9,7 +9,7 @@
 import io.kitepath.simulation.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** How long a machine's room is reserved, and what may run there meanwhile. */
+/** Tests how long a machine's capacity is reserved, and what may run there in the meantime. */
 class RoomReservationTest {
     private final RoomReservation reservation = new RoomReservation();
     private final Job job = job(Shape.ARRAY);
--- a/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which classes and teams are behind, and when they have caught up. */
+/** Tests which classes and teams are lagging, and when they have recovered. */
 class ServiceLevelsTest {
     private static final int LARGE_TASKS = 50;
 
-    /** Jobs of the class {@code tiles} are served if they are done within 100 s. */
+    /** Jobs of the class {@code tiles} meet their goal if they are completed within 100 s. */
     private final ClusterSettings settings =
             new ClusterSettings(
                     "n",
@@ -104,8 +104,8 @@
         for (int i = 0; i < 10; i++) {
             waiting[i] = tilesJob();
         }
-        // Each may wait for 90 s, less the 10 s that such jobs take from placement to running, and
-        // has used most of it.
+        // Each job may wait for 90 s, less the 10 s that such jobs take from placement to running,
+        // and has used most of that time.
         update(47, waiting);
         assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
         update(49, waiting);
@@ -119,7 +119,7 @@
         assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
     }
 
-    /** The class as a whole does well, its largest jobs do not. */
+    /** The class as a whole meets its goals, its largest jobs do not. */
     @Test
     void largestJobsOfClassAreCountedByThemselves() {
         JobSpec[] specs = new JobSpec[40];
@@ -150,7 +150,7 @@
         assertEquals(
                 List.of(4L, 1L),
                 List.of(group.inTime(), group.missed()),
-                "what the last one counted is not counted again");
+                "jobs counted by the last leader are not counted again");
         assertEquals(0.8, group.share(), 0.01);
     }
 
