--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -20,10 +20,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(BootTimes.class);
 
     /** Number of most recent boots kept for each kind and each type. */
-    private static final int WINDOW = 8;
+    private static final int MAX_RECENT_BOOTS = 8;
 
     /** Minimum number of recorded boots of a kind, or of a type, before its median is used. */
-    private static final int MIN_KNOWN = WINDOW / 2;
+    private static final int MIN_RECORDED_BOOTS = MAX_RECENT_BOOTS / 2;
 
     /**
      * Factor of the expected boot time above which a boot is late; normal boots take up to 1.5
@@ -35,7 +35,7 @@
      * Factor of the expected boot time above which a boot is given up; slow boots may take several
      * times as long as others.
      */
-    private static final double HOPELESS_FACTOR = 4;
+    private static final double BOOT_TIMEOUT_FACTOR = 4;
 
     private final Map<String, MachineType> types;
     private final Map<MachineKind, Deque<Double>> recentByKind = new HashMap<>();
@@ -58,8 +58,10 @@
      */
     void recordBoot(Machine machine, double now) {
         double seconds = now - machine.rental().knownSince();
-        add(recentByKind.computeIfAbsent(machine.kind(), key -> new ArrayDeque<>()), seconds);
-        add(recentByType.computeIfAbsent(machine.type(), key -> new ArrayDeque<>()), seconds);
+        addToWindow(
+                recentByKind.computeIfAbsent(machine.kind(), key -> new ArrayDeque<>()), seconds);
+        addToWindow(
+                recentByType.computeIfAbsent(machine.type(), key -> new ArrayDeque<>()), seconds);
         MachineType type = types.get(machine.type());
         if (type != null && seconds > LATE_FACTOR * type.bootSeconds()) {
             LOG.info(
@@ -70,10 +72,10 @@
         }
     }
 
-    private static void add(Deque<Double> recent, double seconds) {
-        recent.addLast(seconds);
-        if (recent.size() > WINDOW) {
-            recent.removeFirst();
+    private static void addToWindow(Deque<Double> recentSeconds, double seconds) {
+        recentSeconds.addLast(seconds);
+        if (recentSeconds.size() > MAX_RECENT_BOOTS) {
+            recentSeconds.removeFirst();
         }
     }
 
@@ -85,20 +87,24 @@
     public double expectedSeconds(MachineKind kind) {
         MachineType type = types.get(kind.machineType());
         double nominal = type == null ? 0 : type.bootSeconds();
-        Deque<Double> recent = recentByKind.get(kind);
-        if (isTooFew(recent)) {
-            recent = recentByType.get(kind.machineType());
+        Deque<Double> recentSeconds = recentByKind.get(kind);
+        if (hasTooFewBoots(recentSeconds)) {
+            recentSeconds = recentByType.get(kind.machineType());
         }
-        if (isTooFew(recent)) {
+        if (hasTooFewBoots(recentSeconds)) {
             return nominal;
         }
         double median =
-                recent.stream().sorted().skip(recent.size() / 2).findFirst().orElse(nominal);
+                recentSeconds.stream()
+                        .sorted()
+                        .skip(recentSeconds.size() / 2)
+                        .findFirst()
+                        .orElse(nominal);
         return Math.max(nominal, median);
     }
 
-    private static boolean isTooFew(Deque<Double> recent) {
-        return recent == null || recent.size() < MIN_KNOWN;
+    private static boolean hasTooFewBoots(Deque<Double> recentSeconds) {
+        return recentSeconds == null || recentSeconds.size() < MIN_RECORDED_BOOTS;
     }
 
     /**
@@ -111,7 +117,7 @@
 
     /** Whether the machine has been booting for so long that it is no longer worth its price. */
     public boolean isHopeless(Machine machine, double now) {
-        return isOverdue(machine, now, HOPELESS_FACTOR);
+        return isOverdue(machine, now, BOOT_TIMEOUT_FACTOR);
     }
 
     private boolean isOverdue(Machine machine, double now, double factor) {
--- a/src/main/java/io/kitepath/core/shard/CommandPlanner.java
+++ b/src/main/java/io/kitepath/core/shard/CommandPlanner.java
@@ -35,7 +35,7 @@
      * Divisor of the heartbeat interval: a response is held back for a placement for a tenth of the
      * interval.
      */
-    private static final int PLACEMENTS_PER_INTERVAL = 10;
+    private static final int HOLDS_PER_HEARTBEAT_INTERVAL = 10;
 
     private final ShardState shard;
     private long launchCount;
@@ -103,7 +103,7 @@
      * heartbeat interval, because a busy machine sends only one heartbeat in an interval. The next
      * response to the machine's heartbeat repeats the commands in any case.
      */
-    Map<Machine, List<WorkerCommand>> directStops(int maxMachines, double now) {
+    Map<Machine, List<WorkerCommand>> directStopCommands(int maxMachines, double now) {
         Map<Machine, List<WorkerCommand>> stops = new LinkedHashMap<>();
         for (Job job : shard.jobs().values()) {
             if (!job.isFinished && job.stoppingAttemptCount == 0) {
@@ -154,14 +154,17 @@
     }
 
     private static boolean isLaunchDue(Attempt attempt) {
-        return !attempt.isUnwanted() && attempt.isDurable && !attempt.isSeen && isComplete(attempt);
+        return !attempt.isUnwanted()
+                && attempt.isDurable
+                && !attempt.isSeen
+                && isCompletelyPlaced(attempt);
     }
 
     /**
      * Whether the attempt may be launched: a gang is launched only when each of its tasks is placed
      * and each placement is committed.
      */
-    private static boolean isComplete(Attempt attempt) {
+    private static boolean isCompletelyPlaced(Attempt attempt) {
         Job job = attempt.job;
         if (!job.spec.isGang()) {
             return true;
@@ -185,8 +188,8 @@
         if (!machine.isBusy()) {
             return Math.min(intervalSeconds, MAX_HOLD_SECONDS);
         }
-        return machine.heartbeats().hasLastReportEndedTask() && shard.hasBacklog()
-                ? intervalSeconds / PLACEMENTS_PER_INTERVAL
+        return machine.heartbeats().hasLastHeartbeatEndedAttempt() && shard.hasBacklog()
+                ? intervalSeconds / HOLDS_PER_HEARTBEAT_INTERVAL
                 : 0;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -33,7 +33,7 @@
      * A running task shows that its job is not at fault once it has run for this many times the
      * time that other tasks of the job took to fail.
      */
-    private static final int PROOF_FACTOR = 2;
+    private static final int HEALTHY_RUN_FACTOR = 2;
 
     private final ClusterSettings settings;
     private final Map<String, Machine> machines;
@@ -94,23 +94,23 @@
         }
         clearBlame(job);
         if (job.failureHistory.recordFailedRetry(attempt.number)) {
-            holdBack(job, now);
+            backOff(job, now);
         }
     }
 
-    private void holdBack(Job job, double now) {
+    private void backOff(Job job, double now) {
         int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, job.failureHistory.failedRetries());
-        double pauseSeconds =
+        double backOffSeconds =
                 Math.min(
                         settings.workers().heartbeatIntervalSeconds() * (1 << doublings),
                         MAX_BACKOFF_LEASES * settings.workers().leaseSeconds());
-        job.failureHistory.setNotBefore(now + pauseSeconds);
+        job.failureHistory.setNotBefore(now + backOffSeconds);
         LOG.info(
                 "job backed off after failures on several machines: job={} failures={}"
                         + " retryInSeconds={}",
                 job.spec.id(),
                 job.failureHistory.failureCount(),
-                Math.round(pauseSeconds));
+                Math.round(backOffSeconds));
     }
 
     /**
@@ -123,15 +123,15 @@
         if (history.hasSucceeded() || history.failedMachines().size() < MIN_FAILED_MACHINES) {
             return false;
         }
-        double proofSeconds =
-                PROOF_FACTOR
+        double healthyRunSeconds =
+                HEALTHY_RUN_FACTOR
                         * (history.longestFailedRunSeconds()
                                 + settings.workers().heartbeatIntervalSeconds());
         return job.liveAttempts.values().stream()
                 .noneMatch(
                         attempt ->
                                 attempt.state == Heartbeat.TaskState.RUNNING
-                                        && now - attempt.runningSince > proofSeconds);
+                                        && now - attempt.runningSince > healthyRunSeconds);
     }
 
     /**
@@ -141,14 +141,15 @@
      * machine that is being released stays in quarantine.
      */
     private void updateQuarantine(Machine machine) {
-        int blame = 0;
+        int failureCount = 0;
         for (Map.Entry<Job, Integer> failures : machine.failuresByJob().entrySet()) {
-            blame += failures.getKey().failureHistory.hasSucceeded() ? failures.getValue() : 1;
+            failureCount +=
+                    failures.getKey().failureHistory.hasSucceeded() ? failures.getValue() : 1;
         }
-        boolean isBlamed = blame >= QUARANTINE_FAILURES;
-        if (isBlamed && !machine.isQuarantined()) {
+        boolean isFaulty = failureCount >= QUARANTINE_FAILURES;
+        if (isFaulty && !machine.isQuarantined()) {
             LOG.info("machine quarantined after failed starts: machine={}", machine.id);
         }
-        machine.setQuarantined(isBlamed || machine.isQuarantined() && machine.isReleasing());
+        machine.setQuarantined(isFaulty || machine.isQuarantined() && machine.isReleasing());
     }
 }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatHistory.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatHistory.java
@@ -11,7 +11,7 @@
      * Number of lease durations after which an agent in the same incarnation is known to receive
      * responses: without them its lease would have expired.
      */
-    private static final double ANSWERS_ARRIVE_LEASES = 1.5;
+    private static final double RESPONSES_ARRIVE_LEASES = 1.5;
 
     /**
      * Number of consecutive answered incarnations that must be lost before responses are considered
@@ -39,7 +39,7 @@
     private int answeredIncarnationsLost;
 
     /** Since when responses are known not to arrive; NaN while they are considered to arrive. */
-    private double missingAnswersSince = Double.NaN;
+    private double missingResponsesSince = Double.NaN;
 
     /**
      * Since when the agent has been sent responses with this leader's token without showing it; NaN
@@ -51,9 +51,9 @@
      * Number of heartbeats processed in full; identifies the latest one, so that attempts that it
      * did not list can be found.
      */
-    private int fullReportsRead;
+    private int fullHeartbeatCount;
 
-    private boolean lastReportEndedTask;
+    private boolean lastHeartbeatEndedAttempt;
 
     /**
      * Records a heartbeat.
@@ -74,8 +74,8 @@
             double leaseSeconds) {
         if (incarnation > agentIncarnation) {
             startIncarnation(now, leaseSeconds);
-        } else if (now - agentIncarnationSince > ANSWERS_ARRIVE_LEASES * leaseSeconds) {
-            missingAnswersSince = Double.NaN;
+        } else if (now - agentIncarnationSince > RESPONSES_ARRIVE_LEASES * leaseSeconds) {
+            missingResponsesSince = Double.NaN;
             answeredIncarnationsLost = 0;
         }
         if (carriesOurToken) {
@@ -94,7 +94,7 @@
                         && now - lastHeartbeatAt < leaseSeconds / 2;
         answeredIncarnationsLost = wasAnswered ? answeredIncarnationsLost + 1 : 0;
         if (answeredIncarnationsLost >= MAX_LOST_INCARNATIONS) {
-            markMissingAnswers(now);
+            markMissingResponses(now);
         }
         agentIncarnationSince = now;
         tokenConfirmedAt = Double.NaN;
@@ -104,8 +104,8 @@
         if (Double.isNaN(tokenConfirmedAt)) {
             tokenConfirmedAt = now;
         }
-        if (missingAnswersSince == tokenUnconfirmedSince) {
-            missingAnswersSince = Double.NaN;
+        if (missingResponsesSince == tokenUnconfirmedSince) {
+            missingResponsesSince = Double.NaN;
         }
         tokenUnconfirmedSince = Double.NaN;
     }
@@ -113,11 +113,11 @@
     private void recordOtherToken(double now, double leaseSeconds) {
         if (Double.isNaN(tokenUnconfirmedSince)) {
             tokenUnconfirmedSince = now;
-        } else if (now - tokenUnconfirmedSince > ANSWERS_ARRIVE_LEASES * leaseSeconds) {
+        } else if (now - tokenUnconfirmedSince > RESPONSES_ARRIVE_LEASES * leaseSeconds) {
             // Guards against attempts that count against a limit for as long as no response
             // arrives: if responses have been lost since before this leader's term, the machine
             // never shows the token that would prove which tasks are on it.
-            markMissingAnswers(tokenUnconfirmedSince);
+            markMissingResponses(tokenUnconfirmedSince);
         }
     }
 
@@ -153,25 +153,25 @@
     }
 
     /** Marks the leader's responses as not reaching the machine since that time. */
-    void markMissingAnswers(double since) {
+    void markMissingResponses(double since) {
         if (!isMissingAnswers()) {
-            missingAnswersSince = since;
+            missingResponsesSince = since;
         }
     }
 
     /** Whether heartbeats arrive, but responses do not reach the machine. */
     boolean isMissingAnswers() {
-        return !Double.isNaN(missingAnswersSince);
+        return !Double.isNaN(missingResponsesSince);
     }
 
     /** Seconds since responses are known not to arrive; 0 while they are considered to arrive. */
     double missingAnswersSeconds(double now) {
-        return isMissingAnswers() ? now - missingAnswersSince : 0;
+        return isMissingAnswers() ? now - missingResponsesSince : 0;
     }
 
     /** Records that a task whose start was commanded in a response was reported by the machine. */
     void recordDeliveredStart() {
-        missingAnswersSince = Double.NaN;
+        missingResponsesSince = Double.NaN;
         answeredIncarnationsLost = 0;
     }
 
@@ -198,16 +198,16 @@
     }
 
     /** Begins to process a heartbeat in full; returns its number among those processed in full. */
-    int beginFullReport() {
-        return ++fullReportsRead;
+    int beginFullHeartbeat() {
+        return ++fullHeartbeatCount;
     }
 
-    void setLastReportEndedTask(boolean hasEndedTask) {
-        lastReportEndedTask = hasEndedTask;
+    void setLastHeartbeatEndedAttempt(boolean hasEndedAttempt) {
+        lastHeartbeatEndedAttempt = hasEndedAttempt;
     }
 
     /** Whether the last heartbeat that was processed in full ended an attempt. */
-    boolean hasLastReportEndedTask() {
-        return lastReportEndedTask;
+    boolean hasLastHeartbeatEndedAttempt() {
+        return lastHeartbeatEndedAttempt;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -25,7 +25,7 @@
      * Number of consecutive heartbeats that do not list a task, although the preceding responses
      * commanded its start, after which its launch is abandoned.
      */
-    private static final int MAX_MISSED_REPORTS = 3;
+    private static final int MAX_MISSED_HEARTBEATS = 3;
 
     private final ShardState shard;
     private final CommandPlanner commandPlanner;
@@ -65,11 +65,11 @@
         if (!machine.isNewer(heartbeat)) {
             return List.of(); // Out of order: a newer heartbeat was processed already.
         }
-        boolean isFirst = !machine.hasReported();
+        boolean isFirstHeartbeat = !machine.hasReported();
         boolean carriesOurToken = isLoaded && heartbeat.fencingToken() == shard.fencingToken();
         machine.recordHeartbeat(
                 heartbeat, carriesOurToken, now, shard.settings().workers().leaseSeconds());
-        if (isFirst) {
+        if (isFirstHeartbeat) {
             machine.setIdleSince(now);
             if (machine.rental().isBootStartKnown()) {
                 shard.bootTimes().recordBoot(machine, now);
@@ -79,11 +79,11 @@
         // an earlier leader's launch may still have been on its way to the agent. Only a heartbeat
         // that carries this leader's token proves what is not on the machine.
         return carriesOurToken
-                ? readInFull(machine, heartbeat, now)
-                : stopsOfFinishedJobs(heartbeat, mayRun);
+                ? processFull(machine, heartbeat, now)
+                : stopCommandsForFinishedJobs(heartbeat, mayRun);
     }
 
-    private List<WorkerCommand> readInFull(Machine machine, Heartbeat heartbeat, double now) {
+    private List<WorkerCommand> processFull(Machine machine, Heartbeat heartbeat, double now) {
         boolean wasSchedulable = machine.isSchedulable();
         if (!machine.isTokenConfirmed()) {
             LOG.debug(
@@ -136,7 +136,7 @@
         }
         machine.heartbeats().advanceSequence(heartbeat.sequence());
         for (TaskStatus status : heartbeat.tasks()) {
-            Attempt attempt = attemptOn(machine, status);
+            Attempt attempt = findAttempt(machine, status);
             if (attempt != null) {
                 applyStatus(attempt, status, now);
             }
@@ -147,37 +147,38 @@
      * Returns the attempt that the status refers to if it is placed on that machine; null
      * otherwise.
      */
-    private Attempt attemptOn(Machine machine, TaskStatus status) {
+    private Attempt findAttempt(Machine machine, TaskStatus status) {
         Job job = shard.jobs().get(status.jobId());
         Attempt attempt = job == null ? null : job.liveAttempts.get(status.task());
-        boolean isSame =
+        boolean isCurrentAttempt =
                 attempt != null && attempt.machine == machine && attempt.number == status.attempt();
-        return isSame ? attempt : null;
+        return isCurrentAttempt ? attempt : null;
     }
 
     // ---- reconciliation of reported tasks with placed attempts --------------------------------
 
     private List<WorkerCommand> reconcile(Machine machine, Heartbeat heartbeat, double now) {
-        List<TaskStatus> unexpected = new ArrayList<>();
-        int attemptsBefore = machine.attempts().size();
-        int reading = machine.heartbeats().beginFullReport();
+        List<TaskStatus> unexpectedTasks = new ArrayList<>();
+        int attemptCountBefore = machine.attempts().size();
+        int heartbeatNumber = machine.heartbeats().beginFullHeartbeat();
         for (TaskStatus status : heartbeat.tasks()) {
-            Attempt attempt = attemptOn(machine, status);
+            Attempt attempt = findAttempt(machine, status);
             if (attempt != null) {
-                attempt.lastSeenReading = reading;
+                attempt.lastSeenReading = heartbeatNumber;
                 applyStatus(attempt, status, now);
             } else if (machine.placedWork().unwrittenEnds().stream()
                     .noneMatch(ended -> ended.matches(status))) {
-                unexpected.add(status);
+                unexpectedTasks.add(status);
             }
         }
         for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-            if (attempt.lastSeenReading != reading && !attempt.isEnded) {
+            if (attempt.lastSeenReading != heartbeatNumber && !attempt.isEnded) {
                 applyAbsence(attempt, now);
             }
         }
-        machine.heartbeats().setLastReportEndedTask(attemptsBefore > machine.attempts().size());
-        return handleUnexpectedTasks(machine, unexpected, now);
+        machine.heartbeats()
+                .setLastHeartbeatEndedAttempt(attemptCountBefore > machine.attempts().size());
+        return handleUnexpectedTasks(machine, unexpectedTasks, now);
     }
 
     private void applyStatus(Attempt attempt, TaskStatus status, double now) {
@@ -229,10 +230,10 @@
         }
         // Otherwise the start was never executed, and the response to this heartbeat launches the
         // attempt again.
-        boolean wasOrdered = attempt.isStartSent;
+        boolean wasStartSent = attempt.isStartSent;
         attempt.isStartSent = false;
-        if (!attempt.isEnded && wasOrdered && ++attempt.missedReports >= MAX_MISSED_REPORTS) {
-            giveUpLaunch(attempt, now);
+        if (!attempt.isEnded && wasStartSent && ++attempt.missedReports >= MAX_MISSED_HEARTBEATS) {
+            abandonLaunch(attempt, now);
         }
         if (attempt.isEnded) {
             LOG.debug(
@@ -262,33 +263,33 @@
      * machine that was sent no commands, as in an outage, is not mistaken for one that receives no
      * responses.
      */
-    private void giveUpLaunch(Attempt attempt, double now) {
+    private void abandonLaunch(Attempt attempt, double now) {
         Machine machine = attempt.machine;
         LOG.warn("machine does not execute start commands: machine={}", machine.id);
-        machine.heartbeats().markMissingAnswers(now);
+        machine.heartbeats().markMissingResponses(now);
         shard.endAttempt(attempt, EndCause.STOPPED, now);
     }
 
     /** Handles tasks of the agent that this leader has not placed there. */
     private List<WorkerCommand> handleUnexpectedTasks(
-            Machine machine, List<TaskStatus> unexpected, double now) {
+            Machine machine, List<TaskStatus> unexpectedTasks, double now) {
         List<WorkerCommand> commands = new ArrayList<>();
-        int unknownTasks = 0;
-        for (TaskStatus status : unexpected) {
+        int unknownTaskCount = 0;
+        for (TaskStatus status : unexpectedTasks) {
             Job job = shard.jobs().get(status.jobId());
             if (status.state() == TaskState.ENDED) {
-                commands.add(command(WorkerCommand.Action.FORGET, status));
+                commands.add(commandFor(WorkerCommand.Action.FORGET, status));
             } else if (job != null && mayBeAttemptOf(job, status)) {
                 // Inconsistent state: the attempt is counted and committed before it is stopped, so
                 // that the task cannot run elsewhere.
                 shard.addUnexpectedAttempt(
                         job, status.task(), status.attempt(), status.state(), machine, now);
             } else {
-                unknownTasks++;
-                commands.add(command(WorkerCommand.Action.STOP, status));
+                unknownTaskCount++;
+                commands.add(commandFor(WorkerCommand.Action.STOP, status));
             }
         }
-        machine.placedWork().setUnknownTasks(unknownTasks);
+        machine.placedWork().setUnknownTasks(unknownTaskCount);
         return commands;
     }
 
@@ -305,16 +306,16 @@
      * of the machine. Guards against a response that renews the lease of a cancelled job's task
      * because the machine has not confirmed this leader's token yet.
      */
-    private static List<WorkerCommand> stopsOfFinishedJobs(
+    private static List<WorkerCommand> stopCommandsForFinishedJobs(
             Heartbeat heartbeat, Predicate<String> mayRun) {
         return heartbeat.tasks().stream()
                 .filter(status -> status.state() != TaskState.ENDED && !mayRun.test(status.jobId()))
                 .limit(CommandPlanner.MAX_COMMANDS)
-                .map(status -> command(WorkerCommand.Action.STOP, status))
+                .map(status -> commandFor(WorkerCommand.Action.STOP, status))
                 .toList();
     }
 
-    private static WorkerCommand command(WorkerCommand.Action action, TaskStatus status) {
+    private static WorkerCommand commandFor(WorkerCommand.Action action, TaskStatus status) {
         return new WorkerCommand(action, status.jobId(), status.task(), status.attempt(), 0);
     }
 
@@ -336,7 +337,7 @@
      * next response to the machine's heartbeat repeats them in any case.
      */
     public Map<Machine, List<WorkerCommand>> stopCommands(int maxMachines, double now) {
-        return commandPlanner.directStops(maxMachines, now);
+        return commandPlanner.directStopCommands(maxMachines, now);
     }
 
     /** Whether an attempt on the machine is due to be started or stopped. */
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -26,7 +26,7 @@
      * Tolerance for rounding errors in sums of CPUs, GPUs and memory after many additions and
      * subtractions.
      */
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     /** The cloud's status of a machine that stopped on its own. */
     private static final String FAILED_STATUS = "failed";
@@ -43,7 +43,7 @@
     private String type;
 
     /** The machine type with that name; null until it is looked up. */
-    private MachineType knownType;
+    private MachineType cachedType;
 
     private String zone;
     private String address = "";
@@ -84,15 +84,15 @@
      * @param types the shard's machine types by name
      */
     public MachineType typeAmong(Map<String, MachineType> types) {
-        if (knownType == null && type != null) {
-            knownType = types.get(type);
+        if (cachedType == null && type != null) {
+            cachedType = types.get(type);
         }
-        return knownType;
+        return cachedType;
     }
 
     /** Discards the cached type after the machine types on offer have changed. */
-    void forgetKnownType() {
-        knownType = null;
+    void clearCachedType() {
+        cachedType = null;
     }
 
     /** Its zone; null until its type is known. */
@@ -120,7 +120,7 @@
     private void setKind(String newType, String newZone, boolean isSpot) {
         if (!Objects.equals(type, newType)) {
             type = newType;
-            forgetKnownType();
+            clearCachedType();
         }
         zone = newZone;
         spot = isSpot;
@@ -128,10 +128,10 @@
 
     /** Whether one more task of the job fits beside the attempts placed here. */
     public boolean fits(JobSpec spec, MachineType type) {
-        return usedCpus() + spec.cpusPerTask() <= type.cpus() + ROUNDING
-                && usedGpus() + spec.gpusPerTask() <= type.gpus() + ROUNDING
+        return usedCpus() + spec.cpusPerTask() <= type.cpus() + ROUNDING_TOLERANCE
+                && usedGpus() + spec.gpusPerTask() <= type.gpus() + ROUNDING_TOLERANCE
                 && usedMemory() + spec.memoryGigabytesPerTask()
-                        <= type.memoryGigabytes() + ROUNDING;
+                        <= type.memoryGigabytes() + ROUNDING_TOLERANCE;
     }
 
     // ---- rental state -------------------------------------------------------------------------
@@ -427,21 +427,21 @@
     // ---- placed work --------------------------------------------------------------------------
 
     void addAttempt(Attempt attempt) {
-        placedWork.add(attempt);
+        placedWork.addAttempt(attempt);
         images.invalidateFetching();
     }
 
     void removeAttempt(Attempt attempt) {
-        if (placedWork.remove(attempt)) {
+        if (placedWork.removeAttempt(attempt)) {
             images.invalidateFetching();
         }
     }
 
     /** Clears all references to job objects before the jobs are loaded again. */
-    void forgetJobs() {
+    void clearJobReferences() {
         reservation.clear();
         images.invalidateFetching();
-        placedWork.forgetAttempts();
+        placedWork.clearAttempts();
         failuresByJob.clear();
     }
 
--- a/src/main/java/io/kitepath/core/shard/MachineRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/MachineRegistry.java
@@ -64,10 +64,10 @@
         return typesView;
     }
 
-    void setTypes(Collection<MachineType> all) {
+    void setTypes(Collection<MachineType> offeredTypes) {
         types.clear();
-        all.forEach(type -> types.put(type.name(), type));
-        machines.values().forEach(Machine::forgetKnownType);
+        offeredTypes.forEach(type -> types.put(type.name(), type));
+        machines.values().forEach(Machine::clearCachedType);
     }
 
     /** Returns how long the slowest machine type takes to fetch the job's image, in seconds. */
--- a/src/main/java/io/kitepath/core/shard/MachineRental.java
+++ b/src/main/java/io/kitepath/core/shard/MachineRental.java
@@ -30,9 +30,9 @@
      * Records the start of its boot, known because this leader rented it or an earlier one recorded
      * the rental.
      */
-    void recordBootStart(double at) {
+    void recordBootStart(double startedAt) {
         bootStartKnown = true;
-        knownSince = at;
+        knownSince = startedAt;
     }
 
     boolean isBootStartKnown() {
--- a/src/main/java/io/kitepath/core/shard/PlacedWork.java
+++ b/src/main/java/io/kitepath/core/shard/PlacedWork.java
@@ -23,18 +23,18 @@
     private double nonSpotCpus;
     private int unconfirmedStarts;
 
-    void add(Attempt attempt) {
+    void addAttempt(Attempt attempt) {
         attempts.add(attempt);
-        countUsage(attempt.job.spec, 1);
+        adjustUsage(attempt.job.spec, 1);
         unconfirmedStarts += attempt.isSeen ? 0 : 1;
     }
 
     /** Removes the attempt; returns whether it was placed here. */
-    boolean remove(Attempt attempt) {
+    boolean removeAttempt(Attempt attempt) {
         if (!attempts.remove(attempt)) {
             return false;
         }
-        countUsage(attempt.job.spec, -1);
+        adjustUsage(attempt.job.spec, -1);
         unconfirmedStarts -= attempt.isSeen ? 0 : 1;
         if (attempts.isEmpty()) {
             resetUsage();
@@ -46,7 +46,7 @@
      * Removes all attempts, including ended ones; the number of unknown tasks stays as the last
      * heartbeat showed it.
      */
-    void forgetAttempts() {
+    void clearAttempts() {
         attempts.clear();
         unwrittenEnds.clear();
         resetUsage();
@@ -64,7 +64,7 @@
         unconfirmedStarts = 0;
     }
 
-    private void countUsage(JobSpec spec, int sign) {
+    private void adjustUsage(JobSpec spec, int sign) {
         usedCpus += sign * spec.cpusPerTask();
         usedGpus += sign * spec.gpusPerTask();
         usedMemory += sign * spec.memoryGigabytesPerTask();
@@ -75,7 +75,7 @@
 
     /** Counts a task that is about to be placed here (1), or that is not placed after all (-1). */
     void countTentatively(JobSpec spec, int sign) {
-        countUsage(spec, sign);
+        adjustUsage(spec, sign);
         unconfirmedStarts += sign;
     }
 
--- a/src/main/java/io/kitepath/core/shard/QuotaUsage.java
+++ b/src/main/java/io/kitepath/core/shard/QuotaUsage.java
@@ -14,7 +14,7 @@
     /**
      * Tolerance for rounding errors in sums of CPUs and GPUs after many additions and subtractions.
      */
-    private static final double ROUNDING = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     /** The part of a team's quota that this shard may use; infinite where there is no limit. */
     public interface QuotaLimits {
@@ -66,13 +66,13 @@
     /**
      * Adjusts the usage by a number of attempts of the job.
      *
-     * @param change the number of attempts that were placed or that may be on machines; negative
-     *     for attempts that are confirmed ended
+     * @param attemptDelta the number of attempts that were placed or that may be on machines;
+     *     negative for attempts that are confirmed ended
      */
-    void countAttempts(JobSpec spec, int change) {
+    void countAttempts(JobSpec spec, int attemptDelta) {
         TeamUsage usage = usageByTeam.computeIfAbsent(spec.team(), key -> new TeamUsage());
-        usage.cpus += change * spec.cpusPerTask();
-        usage.gpus += change * spec.gpusPerTask();
+        usage.cpus += attemptDelta * spec.cpusPerTask();
+        usage.gpus += attemptDelta * spec.gpusPerTask();
     }
 
     private TeamUsage usage(String team) {
@@ -117,12 +117,12 @@
         TeamUsage usage = usage(spec.team());
         double tasks = Integer.MAX_VALUE;
         if (spec.cpusPerTask() > 0) {
-            double free = limits.maxCpus(team) - usage.cpus + ROUNDING;
-            tasks = Math.min(tasks, free / spec.cpusPerTask());
+            double freeCpus = limits.maxCpus(team) - usage.cpus + ROUNDING_TOLERANCE;
+            tasks = Math.min(tasks, freeCpus / spec.cpusPerTask());
         }
         if (spec.gpusPerTask() > 0) {
-            double free = limits.maxGpus(team) - usage.gpus + ROUNDING;
-            tasks = Math.min(tasks, free / spec.gpusPerTask());
+            double freeGpus = limits.maxGpus(team) - usage.gpus + ROUNDING_TOLERANCE;
+            tasks = Math.min(tasks, freeGpus / spec.gpusPerTask());
         }
         return (int) Math.max(0, tasks);
     }
--- a/src/main/java/io/kitepath/core/shard/RecentArrivals.java
+++ b/src/main/java/io/kitepath/core/shard/RecentArrivals.java
@@ -20,7 +20,7 @@
      * Number of average intervals between arrivals after which the next job of a class is no longer
      * expected.
      */
-    private static final int MAX_GAPS_LATE = 10;
+    private static final int MAX_OVERDUE_INTERVALS = 10;
 
     /** Jobs by id, the newest last. */
     private final Map<String, Job> jobsById = new LinkedHashMap<>();
@@ -46,28 +46,35 @@
      *
      * @param quantile from 0 to 1
      * @param wallMillis in milliseconds since 1970
-     * @param patienceSeconds how late the next job may be in any case
+     * @param minOverdueSeconds how late the next job may be in any case
      */
     public JobSpec typicalSpec(
-            String jobClass, double quantile, double wallMillis, double patienceSeconds) {
-        List<Job> ofClass =
+            String jobClass, double quantile, double wallMillis, double minOverdueSeconds) {
+        List<Job> classJobs =
                 jobsById.values().stream()
                         .filter(job -> job.spec.jobClass().equals(jobClass))
                         .sorted(Comparator.comparingDouble(Job::eligibleSinceMillis))
                         .toList();
-        if (ofClass.isEmpty()) {
+        if (classJobs.isEmpty()) {
             return null;
         }
-        double first = ofClass.get(0).eligibleSinceMillis();
-        double last = ofClass.get(ofClass.size() - 1).eligibleSinceMillis();
-        double gap = (last - first) / Math.max(1, ofClass.size() - 1);
-        if (wallMillis - last > Math.max(patienceSeconds * 1000, MAX_GAPS_LATE * gap)) {
+        double firstMillis = classJobs.get(0).eligibleSinceMillis();
+        double lastMillis = classJobs.get(classJobs.size() - 1).eligibleSinceMillis();
+        double averageIntervalMillis =
+                (lastMillis - firstMillis) / Math.max(1, classJobs.size() - 1);
+        if (wallMillis - lastMillis
+                > Math.max(
+                        minOverdueSeconds * 1000, MAX_OVERDUE_INTERVALS * averageIntervalMillis)) {
             return null;
         }
-        return ofClass.stream()
+        return classJobs.stream()
                 .map(job -> job.spec)
                 .sorted(Comparator.comparingDouble(spec -> spec.taskCount() * spec.cpusPerTask()))
-                .skip((long) Math.min(ofClass.size() - 1, Math.floor(quantile * ofClass.size())))
+                .skip(
+                        (long)
+                                Math.min(
+                                        classJobs.size() - 1,
+                                        Math.floor(quantile * classJobs.size())))
                 .findFirst()
                 .orElseThrow();
     }
@@ -93,10 +100,11 @@
             }
         }
         List<ArrivalRate> rates = new ArrayList<>();
-        for (List<Job> ofClass : byClass.values()) {
-            double tasks = ratePerSecond(ofClass, wallMillis, job -> job.spec.taskCount());
-            if (tasks > 0) {
-                rates.add(new ArrivalRate(ofClass.get(0).spec, tasks));
+        for (List<Job> classJobs : byClass.values()) {
+            double tasksPerSecond =
+                    ratePerSecond(classJobs, wallMillis, job -> job.spec.taskCount());
+            if (tasksPerSecond > 0) {
+                rates.add(new ArrivalRate(classJobs.get(0).spec, tasksPerSecond));
             }
         }
         rates.sort(Comparator.comparing(rate -> rate.sampleSpec.priority()));
@@ -123,13 +131,14 @@
      */
     private static double ratePerSecond(
             List<Job> jobs, double wallMillis, ToDoubleFunction<Job> amount) {
-        double first = jobs.stream().mapToDouble(Job::eligibleSinceMillis).min().orElse(wallMillis);
-        double middle = (first + wallMillis) / 2;
+        double firstMillis =
+                jobs.stream().mapToDouble(Job::eligibleSinceMillis).min().orElse(wallMillis);
+        double middleMillis = (firstMillis + wallMillis) / 2;
         double sum =
                 jobs.stream()
-                        .filter(job -> job.eligibleSinceMillis() > middle)
+                        .filter(job -> job.eligibleSinceMillis() > middleMillis)
                         .mapToDouble(amount)
                         .sum();
-        return sum == 0 ? 0 : sum * 1000 / (wallMillis - middle);
+        return sum == 0 ? 0 : sum * 1000 / (wallMillis - middleMillis);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -36,10 +36,10 @@
      * share must never fall. Jobs at risk may still meet their goal, so the final share is higher
      * than this one.
      */
-    public static final double BEHIND_BELOW = 0.55;
+    public static final double LAGGING_BELOW = 0.55;
 
     /** The share from which a lagging class or team is no longer lagging. */
-    private static final double CAUGHT_UP_FROM = 0.6;
+    private static final double RECOVERED_FROM = 0.6;
 
     /**
      * Factor by which the weight of earlier jobs decreases with each decided job; about the last
@@ -54,7 +54,7 @@
      * Fraction of the time that a job may wait while still meeting its goal after which a waiting
      * job counts as at risk.
      */
-    private static final double ENDANGERED_FRACTION = 0.6;
+    private static final double AT_RISK_FRACTION = 0.6;
 
     /** Fraction of the maximum size of a stored value that each kind of groups may take. */
     private static final double RECORD_FRACTION = 0.3;
@@ -87,13 +87,13 @@
         private long missed;
 
         /**
-         * Number of decided jobs, with the older ones weighted less; {@code decayedInTime} counts
+         * Number of decided jobs, with the older ones weighted less; {@code decayedGoalsMet} counts
          * those that met their goal.
          */
         private double decayedDecided;
 
-        private double decayedInTime;
-        private boolean behind;
+        private double decayedGoalsMet;
+        private boolean lagging;
 
         ServiceGroup(String name) {
             this.name = name;
@@ -138,7 +138,7 @@
          * none.
          */
         public double share() {
-            return weight() == 0 ? 1 : (decayedInTime + fullyPlaced) / weight();
+            return weight() == 0 ? 1 : (decayedGoalsMet + fullyPlaced) / weight();
         }
 
         private double weight() {
@@ -147,7 +147,7 @@
 
         /** The share if the group is lagging, otherwise 1. */
         double catchUpShare() {
-            return behind ? share() : 1;
+            return lagging ? share() : 1;
         }
 
         private void resetOpen() {
@@ -156,9 +156,9 @@
             fullyPlaced = 0;
         }
 
-        private void countOpen(boolean isWaiting, boolean isEndangered) {
+        private void countOpen(boolean isWaiting, boolean isAtRisk) {
             undecided++;
-            endangered += isEndangered ? 1 : 0;
+            endangered += isAtRisk ? 1 : 0;
             fullyPlaced += isWaiting ? 0 : 1;
         }
 
@@ -166,23 +166,23 @@
             done++;
         }
 
-        private void recordDecision(boolean wasInTime) {
-            decayedInTime = decayedInTime * DECAY + (wasInTime ? 1 : 0);
+        private void recordDecision(boolean hasMetGoal) {
+            decayedGoalsMet = decayedGoalsMet * DECAY + (hasMetGoal ? 1 : 0);
             decayedDecided = decayedDecided * DECAY + 1;
-            inTime += wasInTime ? 1 : 0;
-            missed += wasInTime ? 0 : 1;
+            inTime += hasMetGoal ? 1 : 0;
+            missed += hasMetGoal ? 0 : 1;
         }
 
-        private void updateBehind() {
-            boolean isBehind =
-                    weight() >= MIN_WEIGHT && share() < (behind ? CAUGHT_UP_FROM : BEHIND_BELOW);
-            if (isBehind != behind) {
-                behind = isBehind;
+        private void updateLagging() {
+            boolean isLagging =
+                    weight() >= MIN_WEIGHT && share() < (lagging ? RECOVERED_FROM : LAGGING_BELOW);
+            if (isLagging != lagging) {
+                lagging = isLagging;
                 LOG.warn(
                         "service level changed: group=\"{}\" status={} goalsMet={} decided={}"
                                 + " atRisk={} open={}",
                         name,
-                        isBehind ? "lagging" : "recovered",
+                        isLagging ? "lagging" : "recovered",
                         inTime,
                         decided(),
                         endangered,
@@ -199,7 +199,7 @@
                     inTime,
                     done,
                     missed,
-                    Math.round(RECORD_SCALE * decayedInTime),
+                    Math.round(RECORD_SCALE * decayedGoalsMet),
                     Math.round(RECORD_SCALE * decayedDecided));
         }
 
@@ -215,7 +215,7 @@
             inTime = ((Number) numbers.get(0)).longValue();
             done = ((Number) numbers.get(1)).longValue();
             missed = ((Number) numbers.get(2)).longValue();
-            decayedInTime = ((Number) numbers.get(3)).doubleValue() / RECORD_SCALE;
+            decayedGoalsMet = ((Number) numbers.get(3)).doubleValue() / RECORD_SCALE;
             decayedDecided = ((Number) numbers.get(4)).doubleValue() / RECORD_SCALE;
         }
 
@@ -241,7 +241,7 @@
      */
     private final ServiceGroups largest = new ServiceGroups("largest of");
 
-    private final JobSizes sizes = new JobSizes();
+    private final JobSizes jobSizes = new JobSizes();
 
     /** Time of day up to which missed goals were already counted by an earlier leader. */
     private double countedUntilMillis;
@@ -276,7 +276,7 @@
 
     /** Records the arrival of a job. */
     void recordArrival(JobSpec spec) {
-        sizes.add(spec);
+        jobSizes.add(spec);
     }
 
     /**
@@ -284,7 +284,7 @@
      * recently.
      */
     public boolean isLargest(JobSpec spec) {
-        return sizes.isAmongLargest(spec);
+        return jobSizes.isAmongLargest(spec);
     }
 
     /**
@@ -302,38 +302,38 @@
         for (Job job : jobs) {
             // A job that waits for its dependencies has no demand yet.
             if (!job.isFinished && !job.borrowed && !job.isHeld()) {
-                updateOpen(job, startLatencySeconds, wallMillis);
+                countOpenJob(job, startLatencySeconds, wallMillis);
             }
         }
-        allGroups().forEach(ServiceGroup::updateBehind);
+        allGroups().forEach(ServiceGroup::updateLagging);
     }
 
-    private void updateOpen(
+    private void countOpenJob(
             Job job, ToDoubleFunction<JobSpec> startLatencySeconds, double wallMillis) {
-        double withinSeconds = settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds());
-        recordIfMissed(job, withinSeconds, wallMillis);
+        double goalSeconds = settings.latestUsefulCompletionSeconds(job.spec, job.heldSeconds());
+        recordIfMissed(job, goalSeconds, wallMillis);
         if (job.hasMissedAllGoals) {
             return;
         }
-        double mayWaitSeconds =
-                withinSeconds
+        double maxWaitSeconds =
+                goalSeconds
                         - job.heldSeconds()
                         - job.spec.estimatedSeconds()
                         - startLatencySeconds.applyAsDouble(job.spec);
         boolean isWaiting = job.waitingTasks() > 0;
-        boolean isEndangered =
+        boolean isAtRisk =
                 isWaiting
                         && wallMillis
                                 > job.eligibleSinceMillis()
-                                        + MILLIS_PER_SECOND * ENDANGERED_FRACTION * mayWaitSeconds;
-        forEachGroup(job.spec, group -> group.countOpen(isWaiting, isEndangered));
+                                        + MILLIS_PER_SECOND * AT_RISK_FRACTION * maxWaitSeconds;
+        forEachGroup(job.spec, group -> group.countOpen(isWaiting, isAtRisk));
     }
 
-    private void recordIfMissed(Job job, double withinSeconds, double wallMillis) {
-        double untilMillis = job.submittedMillis + MILLIS_PER_SECOND * withinSeconds;
-        if (!job.hasMissedAllGoals && wallMillis > untilMillis) {
+    private void recordIfMissed(Job job, double goalSeconds, double wallMillis) {
+        double goalMillis = job.submittedMillis + MILLIS_PER_SECOND * goalSeconds;
+        if (!job.hasMissedAllGoals && wallMillis > goalMillis) {
             job.hasMissedAllGoals = true;
-            if (untilMillis > countedUntilMillis) {
+            if (goalMillis > countedUntilMillis) {
                 forEachGroup(job.spec, group -> group.recordDecision(false));
             }
         }
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -130,8 +130,8 @@
     }
 
     /** Replaces the machine types with those that the cloud offers now. */
-    public void setMachineTypes(Collection<MachineType> all) {
-        machines.setTypes(all);
+    public void setMachineTypes(Collection<MachineType> offeredTypes) {
+        machines.setTypes(offeredTypes);
     }
 
     /** Unmodifiable view of the machines by id, in the order of their ids. */
@@ -243,7 +243,7 @@
         jobs.clear();
         quotaUsage.clear();
         writes.clear();
-        machines.machines().values().forEach(Machine::forgetJobs);
+        machines.machines().values().forEach(Machine::clearJobReferences);
     }
 
     /** Adds a job that was submitted or loaded from the store. */
--- a/src/main/java/io/kitepath/core/shard/StartLatencies.java
+++ b/src/main/java/io/kitepath/core/shard/StartLatencies.java
@@ -26,8 +26,8 @@
         private double average;
         private double deviation;
 
-        private Estimate(double first) {
-            average = first;
+        private Estimate(double firstSeconds) {
+            average = firstSeconds;
         }
 
         private void add(double seconds) {
--- a/src/test/java/io/kitepath/core/shard/BootTimesTest.java
+++ b/src/test/java/io/kitepath/core/shard/BootTimesTest.java
@@ -26,8 +26,8 @@
     }
 
     private void recordBoots(double... seconds) {
-        for (double took : seconds) {
-            bootTimes.recordBoot(machine(KIND), took);
+        for (double bootSeconds : seconds) {
+            bootTimes.recordBoot(machine(KIND), bootSeconds);
         }
     }
 
--- a/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
@@ -44,7 +44,7 @@
 
     @Test
     void incarnationThatOutlivesItsLeaseReceivesAnswers() {
-        history.markMissingAnswers(0);
+        history.markMissingResponses(0);
         heartbeats(1, true, 0, 15);
         assertTrue(history.isMissingAnswers());
         heartbeats(1, true, 16, 16);
@@ -67,7 +67,7 @@
 
     @Test
     void deliveredStartShowsThatAnswersArrive() {
-        history.markMissingAnswers(0);
+        history.markMissingResponses(0);
         history.recordDeliveredStart();
         assertFalse(history.isMissingAnswers());
         assertEquals(0, history.missingAnswersSeconds(5));
--- a/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
@@ -30,11 +30,11 @@
                     5);
 
     private final ServiceLevels serviceLevels = new ServiceLevels(settings);
-    private int named;
+    private int lastJobNumber;
 
     private JobSpec spec(String jobClass, String team, int tasks, Double deadlineSeconds) {
         return new JobSpec(
-                "j-" + ++named,
+                "j-" + ++lastJobNumber,
                 jobClass,
                 team,
                 JobSpec.Shape.ARRAY,
