--- a/src/test/java/io/kitepath/core/shard/BootTimesTest.java
+++ b/src/test/java/io/kitepath/core/shard/BootTimesTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void machineIsLateAndThenHopelessUntilItReports() {
+    void bootIsLateThenTimedOutUntilFirstHeartbeat() {
         Machine machine = machine(KIND);
         assertFalse(bootTimes.isLate(machine, 60));
         assertTrue(bootTimes.isLate(machine, 61));
--- a/src/test/java/io/kitepath/core/shard/KnownMachineTypeTest.java
+++ b/src/test/java/io/kitepath/core/shard/CachedMachineTypeTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A machine caches its type, and looks it up again when it may have changed. */
-class KnownMachineTypeTest {
+class CachedMachineTypeTest {
     private static final double FIRST_PRICE = 1;
     private static final double LATER_PRICE = 2;
 
@@ -29,7 +29,7 @@
     // Guards against machines that have no type, or a type with an old price, because the type was
     // cached.
     @Test
-    void aRememberedTypeIsReplacedWithTheTypesOnOfferAndWithTheMachinesOwn() {
+    void cachedTypeIsReplacedWhenOfferedTypesOrMachineTypeChange() {
         assertNull(typeOfMachine());
         machine.recordRental(new MachineKind("m4", "a", false), 0);
         assertNull(typeOfMachine());
--- a/src/test/java/io/kitepath/core/shard/DependencyDemandTest.java
+++ b/src/test/java/io/kitepath/core/shard/DependencyDemandTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void demandOfDependentsRaisesPriorityAndIsTakenBackWhenTheyClose() {
+    void dependentRaisesPriorityOfDependencyUntilItFinishes() {
         Job first = job("j-1", JobSpec.Priority.LOW);
         double goal = first.startGoalMillis(0);
         Job second = job("j-2", JobSpec.Priority.HIGH, "j-1");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void deadlineOfADependentBecomesAStartGoalOfItsDependency() {
+    void deadlineOfDependentBecomesStartGoalOfDependency() {
         Job first = job("j-1");
         Job second = job(withDeadline(spec("j-2"), 300), "j-1");
         assertTrue(first.hasDeadline());
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void cancelledDependencyIsPassedOnToAllDependents() {
+    void cancellationOfDependencyPropagatesToAllDependents() {
         job("j-1");
         Job second = job("j-2", "j-1");
         Job third = job("j-3", "j-2");
--- a/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void twoAnsweredIncarnationsLostInARowMeanThatAnswersDoNotArrive() {
+    void responsesCountAsMissingAfterTwoAnsweredIncarnationsAreLost() {
         heartbeats(1, true, 0, 9);
         heartbeats(2, true, 10, 19);
         assertFalse(history.isMissingAnswers(), "a single loss may be due to a slow network");
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void incarnationLostWithoutAnswersDoesNotCount() {
+    void lossOfUnansweredIncarnationIsNotCounted() {
         heartbeats(1, true, 0, 9);
         history.recordUnanswered(10);
         heartbeats(2, true, 11, 20);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void incarnationThatOutlivesItsLeaseReceivesAnswers() {
+    void responsesCountAsArrivingWhenIncarnationOutlivesItsLease() {
         history.markMissingResponses(0);
         heartbeats(1, true, 0, 15);
         assertTrue(history.isMissingAnswers());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void tokenThatIsNeverShownMeansThatAnswersDoNotArrive() {
+    void responsesCountAsMissingWhenTokenIsNeverConfirmed() {
         heartbeats(1, false, 0, 15);
         assertFalse(history.isMissingAnswers());
         heartbeats(2, false, 16, 16);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void deliveredStartShowsThatAnswersArrive() {
+    void responsesCountAsArrivingAfterDeliveredStart() {
         history.markMissingResponses(0);
         history.recordDeliveredStart();
         assertFalse(history.isMissingAnswers());
--- a/src/test/java/io/kitepath/core/shard/HeartbeatProcessorTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatProcessorTest.java
@@ -58,7 +58,7 @@
      * leader's token does not list the task, and proves nothing.
      */
     @Test
-    void absentTaskIsProvenOverOnlyByHeartbeatWithOurToken() {
+    void absentTaskIsConfirmedEndedOnlyByHeartbeatWithOurToken() {
         shard.takeLeadership(OUR_TOKEN);
         shard.addJob(job);
         restoreAttempt();
--- a/src/test/java/io/kitepath/core/shard/QuotaUsageTest.java
+++ b/src/test/java/io/kitepath/core/shard/QuotaUsageTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void attemptsCountUntilTheyAreProvenOver() {
+    void attemptsCountUntilTheyAreConfirmedEnded() {
         limitCpusTo(6);
         assertEquals(3, quotaUsage.remainingTasks(spec));
         quotaUsage.countAttempts(spec, 1);
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void nothingRemainsWhenMoreThanTheQuotaIsUsed() {
+    void noTasksRemainWhenUsageExceedsQuota() {
         quotaUsage.countAttempts(spec, 1);
         limitCpusTo(1);
         assertEquals(0, quotaUsage.remainingTasks(spec));
     }
 
     @Test
-    void shareIsDescribedOnlyIfItIsLimited() {
+    void shareIsDescribedOnlyIfQuotaIsLimited() {
         assertEquals("", quotaUsage.describeShare(spec.team()));
         quotaUsage.countAttempts(spec, 1);
         limitCpusTo(6);
--- a/src/test/java/io/kitepath/core/shard/RecentArrivalsTest.java
+++ b/src/test/java/io/kitepath/core/shard/RecentArrivalsTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void typicalSpecIsTheJobAtTheQuantileOfItsClassesSizes() {
+    void typicalSpecIsJobAtQuantileOfClassSizes() {
         for (int tasks : List.of(40, 10, 30, 20)) {
             add(Shape.ARRAY, tasks, 1000 * tasks);
         }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void typicalSpecIsNullOnceTheNextJobIsLateByTenGapsAndThePatience() {
+    void typicalSpecIsNullOnceNextJobIsOverdueByTenIntervalsAndMinimumSeconds() {
         for (int i = 1; i <= 4; i++) {
             add(Shape.ARRAY, 10, 10_000 * i);
         }
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void ratesCountWhatCameInTheLaterHalf() {
+    void ratesCountOnlyArrivalsInLaterHalf() {
         add(Shape.GANG, 4, 0);
         add(Shape.GANG, 6, 60_000);
         add(Shape.GANG, 8, 90_000);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void largestAreThoseFromTheUpperQuartileOnceThereAreEightJobs() {
+    void largestJobsAreInUpperQuartileOnceEightJobsAreKnown() {
         for (int tasks = 1; tasks <= 7; tasks++) {
             sizes.add(spec(Shape.ARRAY, tasks));
         }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void largestAreOnlyThoseAboveASizeThatMostJobsHave() {
+    void largestJobsExceedSizeThatMostJobsHave() {
         for (int i = 0; i < 8; i++) {
             sizes.add(spec(Shape.ARRAY, 5));
         }
--- a/src/test/java/io/kitepath/core/shard/ReloadedJobsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ReloadedJobsTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aJobThatIsLoadedAgainIsNoFurtherArrival() {
+    void reloadedJobIsNotCountedAsAnotherArrival() {
         load("j-1", 0);
         load("j-2", 80_000);
         double before = shard.recentArrivals().jobsPerSecond("work", 100_000);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void noMachineStaysReservedForAnObjectThatIsNoMore() {
+    void reloadingJobsClearsReservationsForFormerJobObjects() {
         Machine machine = shard.getOrAddMachine("i-1", 0);
         machine.reserve(load("j-1", 0), 1000);
         shard.clearJobs();
--- a/src/test/java/io/kitepath/core/shard/RoomReservationTest.java
+++ b/src/test/java/io/kitepath/core/shard/RoomReservationTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void strictReservationLastsUntilItsTimeIsOver() {
+    void strictReservationEndsWhenItsTimeHasPassed() {
         reservation.reserve(job, 10);
         reservation.refresh(9);
         assertEquals(job, reservation.reservedFor());
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void strictReservationEndsWhenItsJobHasNothingToPlace() {
+    void strictReservationEndsWhenItsJobHasNoTasksToPlace() {
         job.requestCancel();
         reservation.reserve(job, 10);
         reservation.refresh(1);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void reservationAllowingBackfillIsDecidedAnewInEachRound() {
+    void reservationAllowingBackfillEndsInEachSchedulingRound() {
         reservation.reserveAllowingBackfill(job, 100);
         assertTrue(reservation.isBackfillAllowed());
         reservation.refresh(0);
--- a/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void classFallsBehindWhenHalfIsMissedAndCatchesUpWhenServed() {
+    void classLagsWhenHalfOfItsGoalsAreMissedAndRecoversWhenGoalsAreMet() {
         recordDone(5, 99_000);
         for (int i = 0; i < 5; i++) {
             update(101, tilesJob());
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void jobsThatWaitTooLongCountBeforeTheyAreMissed() {
+    void jobsAtRiskCountBeforeTheyMissTheirGoal() {
         recordDone(10, 50_000);
         Job[] waiting = new Job[10];
         for (int i = 0; i < 10; i++) {
@@ -121,7 +121,7 @@
 
     /** The class as a whole meets its goals, its largest jobs do not. */
     @Test
-    void largestJobsOfClassAreCountedByThemselves() {
+    void largestJobsOfClassAreCountedSeparately() {
         JobSpec[] specs = new JobSpec[40];
         for (int i = 0; i < 40; i++) {
             specs[i] = spec("tiles", "red", i % 4 == 0 ? LARGE_TASKS : 2, null);
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void nextLeaderGoesOnCountingWhereTheLastOneWas() {
+    void nextLeaderContinuesCountsOfLastLeader() {
         recordDone(4, 50_000);
         update(101, tilesJob());
         ServiceLevels next = new ServiceLevels(settings);
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void missedJobCountsOnceHoweverOftenItIsLookedAt() {
+    void missedGoalCountsOnceInRepeatedUpdates() {
         Job late = tilesJob();
         update(101, late);
         update(102, late);
