--- a/src/main/java/io/kitepath/core/shard/RoomReservation.java
+++ b/src/main/java/io/kitepath/core/shard/CapacityReservation.java
@@ -9,7 +9,7 @@
  * may run in the meantime. Guards against machines that are idle for minutes because a gang waits
  * for the last of the machines that it needs. Times are seconds on the steady clock.
  */
-final class RoomReservation {
+final class CapacityReservation {
     /** Null while nothing is reserved. */
     private Job reservedFor;
 
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -16,8 +16,8 @@
  * A rented machine as known to the shard's leader from the cloud's list, its agent's heartbeats and
  * the jobs' records. Its concerns are separated: liveness is in {@link HeartbeatHistory}, what the
  * cloud says in {@link MachineRental}, the attempts placed on it in {@link PlacedWork}, its images
- * in {@link MachineImages}, and the reservation of its capacity in {@link RoomReservation}. Times
- * are seconds on the steady clock. Not thread-safe; belongs to the shard's thread.
+ * in {@link MachineImages}, and the reservation of its capacity in {@link CapacityReservation}.
+ * Times are seconds on the steady clock. Not thread-safe; belongs to the shard's thread.
  */
 public final class Machine {
     private static final Logger LOG = LoggerFactory.getLogger(Machine.class);
@@ -38,7 +38,7 @@
     private final HeartbeatHistory heartbeats = new HeartbeatHistory();
     private final PlacedWork placedWork = new PlacedWork();
     private final MachineImages images = new MachineImages(placedWork.attempts());
-    private final RoomReservation reservation = new RoomReservation();
+    private final CapacityReservation reservation = new CapacityReservation();
 
     private String type;
 
--- a/src/test/java/io/kitepath/core/shard/RoomReservationTest.java
+++ b/src/test/java/io/kitepath/core/shard/CapacityReservationTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests how long a machine's capacity is reserved, and what may run there in the meantime. */
-class RoomReservationTest {
-    private final RoomReservation reservation = new RoomReservation();
+class CapacityReservationTest {
+    private final CapacityReservation reservation = new CapacityReservation();
     private final Job job = job(Shape.ARRAY);
 
     private static Job job(Shape shape) {
