--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -21,10 +21,10 @@
  * jobs that miss them belong to one class or one team: to its users, a class of which less than
  * half is served has an outage, however well the other classes do.
  *
- * <p>Decided jobs alone show this too late: for a class whose jobs have minutes, the first misses
- * are counted only when many other jobs can no longer meet their goals. Therefore jobs that have
- * used most of the time for which they may wait, and still wait, count as if they had missed their
- * goal; see {@link ServiceGroup#share}.
+ * <p>Decided jobs alone show this too late: for a class whose jobs have only minutes, the first
+ * misses are counted only when many other jobs can no longer meet their goals. Therefore jobs that
+ * have used most of the time for which they may wait, and still wait, count as if they had missed
+ * their goal; see {@link ServiceGroup#share}.
  *
  * <p>Not thread-safe; belongs to the shard's thread. Times of day are milliseconds since 1970.
  */
