--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -56,7 +56,7 @@
     void send() {
         int most = shard.settings().limits().maxSockets() / SOCKETS_PER_COMMAND - inFlight;
         heartbeatProcessor
-                .stopCommands(most, timers.nowSeconds())
+                .directStopCommands(most, timers.nowSeconds())
                 .forEach(
                         (machine, commands) -> {
                             // Its worker gets them with the heartbeat's answer that was held.
@@ -87,7 +87,7 @@
         machine.setCommandInFlight(false);
         inFlight--;
         if (heartbeat != null && leadership.isLeading() && shard.fencingToken() == fencingToken) {
-            heartbeatProcessor.processCommandAnswer(machine, heartbeat, timers.nowSeconds());
+            heartbeatProcessor.processCommandResponse(machine, heartbeat, timers.nowSeconds());
             requestRound.run();
         }
     }
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -71,7 +71,7 @@
                         countMachines(
                                 machine ->
                                         shard.bootTimes()
-                                                .isLate(machine, node.timers.nowSeconds())));
+                                                .isBootLate(machine, node.timers.nowSeconds())));
     }
 
     private void addWaitingJobs(MetricCollector metrics) {
--- a/src/main/java/io/kitepath/core/cell/LocalSummary.java
+++ b/src/main/java/io/kitepath/core/cell/LocalSummary.java
@@ -38,7 +38,7 @@
         private void add(Machine machine, MachineType type) {
             cpus += type.cpus() - machine.usedCpus();
             gpus += type.gpus() - machine.usedGpus();
-            memoryGigabytes += type.memoryGigabytes() - machine.usedMemory();
+            memoryGigabytes += type.memoryGigabytes() - machine.usedMemoryGigabytes();
             idleMachines += machine.isBusy() ? 0 : 1;
         }
 
--- a/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -34,7 +34,7 @@
 
     /** The machine's type, if it is known. */
     Optional<MachineType> typeOf(Machine machine) {
-        return Optional.ofNullable(machine.typeAmong(shard.machineTypes()));
+        return Optional.ofNullable(machine.resolveType(shard.machineTypes()));
     }
 
     /** Whether the machine counts as capacity: up or booting in time, and not to be released. */
@@ -42,7 +42,7 @@
         return !machine.isReleasing()
                 && !machine.isGone()
                 && !machine.isQuarantined()
-                && !machine.isMissingAnswers()
+                && !machine.isMissingResponses()
                 && !machine.hasInterruptionNotice()
                 && !isLate(machine, now);
     }
@@ -61,7 +61,7 @@
 
     /** Whether the machine takes much longer to boot than machines like it do. */
     boolean isLate(Machine machine, double now) {
-        return mayBeOverdue(machine, now) && shard.bootTimes().isLate(machine, now);
+        return mayBeOverdue(machine, now) && shard.bootTimes().isBootLate(machine, now);
     }
 
     /** Seconds since its last report, or since this node leads if that is later. */
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -126,7 +126,7 @@
             instanceSelection.recordRefusal(machine.kind(), now); // Others are tried first.
             return true;
         }
-        if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUnwrittenEnds()) {
+        if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUncommittedEnds()) {
             return machine.isQuarantined()
                     || isDeafForLong(machine, now)
                     || surplus.filter(type -> isIdleForLong(machine, type, now)).isPresent();
@@ -140,11 +140,12 @@
     private boolean hasFailedToBoot(Machine machine, double now) {
         return machineLiveness.typeOf(machine).isPresent()
                 && machineLiveness.mayBeOverdue(machine, now)
-                && shard.bootTimes().isHopeless(machine, now);
+                && shard.bootTimes().isBootTimedOut(machine, now);
     }
 
     private boolean isDeafForLong(Machine machine, double now) {
-        return machine.missingAnswersSeconds(now) > DEAF_LEASES * settings.workers().leaseSeconds();
+        return machine.missingResponsesSeconds(now)
+                > DEAF_LEASES * settings.workers().leaseSeconds();
     }
 
     /** An idle machine is worth keeping about as long as a new one would take to boot. */
@@ -160,7 +161,7 @@
         if (machine.isQuarantined()) {
             return "quarantined";
         }
-        if (machine.isMissingAnswers()) {
+        if (machine.isMissingResponses()) {
             return "answers-not-received";
         }
         return machine.hasReported() ? "idle" : "boot-failed";
--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -75,7 +75,7 @@
 
     /** The machine's type; only for machines whose type is known. */
     MachineType typeOf(Machine machine) {
-        return machine.typeAmong(types);
+        return machine.resolveType(types);
     }
 
     /** Whether the machine may run the job's tasks, apart from its present load. */
@@ -121,7 +121,7 @@
                 spec,
                 type.cpus() - machine.usedCpus() + freed.cpus(),
                 type.gpus() - machine.usedGpus() + freed.gpus(),
-                type.memoryGigabytes() - machine.usedMemory() + freed.memoryGb());
+                type.memoryGigabytes() - machine.usedMemoryGigabytes() + freed.memoryGb());
     }
 
     /** How many of the job's tasks an empty machine of the type holds. */
--- a/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
@@ -104,7 +104,7 @@
 
     private double holdSeconds(String machineId) {
         return stateWriter.isLoaded() && leadership.mayLaunch()
-                ? heartbeatProcessor.answerHoldSeconds(machineId)
+                ? heartbeatProcessor.responseHoldSeconds(machineId)
                 : 0;
     }
 
--- a/src/main/java/io/kitepath/core/shard/AttemptLedger.java
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -160,7 +160,7 @@
         Machine machine = attempt.machine;
         machine.removeAttempt(attempt);
         if (attempt.isDurable) {
-            machine.placedWork().addUnwrittenEnd(attempt);
+            machine.placedWork().addUncommittedEnd(attempt);
             job.unwrittenEnds.add(attempt);
         }
         if (!machine.isBusy()) {
--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -111,12 +111,12 @@
      * Whether the machine has been booting for longer than normal, so that it must not be counted
      * as incoming capacity.
      */
-    public boolean isLate(Machine machine, double now) {
+    public boolean isBootLate(Machine machine, double now) {
         return isOverdue(machine, now, LATE_FACTOR);
     }
 
     /** Whether the machine has been booting for so long that it is no longer worth its price. */
-    public boolean isHopeless(Machine machine, double now) {
+    public boolean isBootTimedOut(Machine machine, double now) {
         return isOverdue(machine, now, BOOT_TIMEOUT_FACTOR);
     }
 
--- a/src/main/java/io/kitepath/core/shard/CommandPlanner.java
+++ b/src/main/java/io/kitepath/core/shard/CommandPlanner.java
@@ -180,7 +180,7 @@
      * meantime, that is until its next heartbeat is due; on a machine where a task has just ended
      * while other work waits, it is the time that placing and committing takes.
      */
-    double answerHoldSeconds(Machine machine) {
+    double responseHoldSeconds(Machine machine) {
         if (!machine.isSchedulable()) {
             return 0;
         }
--- a/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
+++ b/src/main/java/io/kitepath/core/shard/FailureDiagnosis.java
@@ -72,7 +72,7 @@
      * Removes the job's failures from the machines on which it failed: the job itself is at fault,
      * or the cause can no longer be determined.
      */
-    void clearBlame(Job job) {
+    void clearMachineFailures(Job job) {
         forEachFailedMachine(
                 job,
                 machine -> {
@@ -92,7 +92,7 @@
             updateQuarantine(machine);
             return;
         }
-        clearBlame(job);
+        clearMachineFailures(job);
         if (job.failureHistory.recordFailedRetry(attempt.number)) {
             backOff(job, now);
         }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatHistory.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatHistory.java
@@ -154,19 +154,19 @@
 
     /** Marks the leader's responses as not reaching the machine since that time. */
     void markMissingResponses(double since) {
-        if (!isMissingAnswers()) {
+        if (!isMissingResponses()) {
             missingResponsesSince = since;
         }
     }
 
     /** Whether heartbeats arrive, but responses do not reach the machine. */
-    boolean isMissingAnswers() {
+    boolean isMissingResponses() {
         return !Double.isNaN(missingResponsesSince);
     }
 
     /** Seconds since responses are known not to arrive; 0 while they are considered to arrive. */
-    double missingAnswersSeconds(double now) {
-        return isMissingAnswers() ? now - missingResponsesSince : 0;
+    double missingResponsesSeconds(double now) {
+        return isMissingResponses() ? now - missingResponsesSince : 0;
     }
 
     /** Records that a task whose start was commanded in a response was reported by the machine. */
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -126,7 +126,7 @@
      * which are absent: a launch in the response to a heartbeat may still be on its way to the
      * agent.
      */
-    public void processCommandAnswer(Machine machine, Heartbeat heartbeat, double now) {
+    public void processCommandResponse(Machine machine, Heartbeat heartbeat, double now) {
         if (machine.isGone()
                 || !machine.isTokenConfirmed()
                 || heartbeat.agentIncarnation() != machine.agentIncarnation()
@@ -166,7 +166,7 @@
             if (attempt != null) {
                 attempt.lastSeenReading = heartbeatNumber;
                 applyStatus(attempt, status, now);
-            } else if (machine.placedWork().unwrittenEnds().stream()
+            } else if (machine.placedWork().uncommittedEnds().stream()
                     .noneMatch(ended -> ended.matches(status))) {
                 unexpectedTasks.add(status);
             }
@@ -336,7 +336,7 @@
      * Returns, by machine, the stop commands that are due and have not been sent directly yet; the
      * next response to the machine's heartbeat repeats them in any case.
      */
-    public Map<Machine, List<WorkerCommand>> stopCommands(int maxMachines, double now) {
+    public Map<Machine, List<WorkerCommand>> directStopCommands(int maxMachines, double now) {
         return commandPlanner.directStopCommands(maxMachines, now);
     }
 
@@ -350,8 +350,8 @@
      * Returns for how many seconds to hold back the response to the machine's heartbeat so that it
      * can carry commands for new work; 0 if it is to be sent at once.
      */
-    public double answerHoldSeconds(String machineId) {
+    public double responseHoldSeconds(String machineId) {
         Machine machine = shard.machines().get(machineId);
-        return machine == null ? 0 : commandPlanner.answerHoldSeconds(machine);
+        return machine == null ? 0 : commandPlanner.responseHoldSeconds(machine);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/JobRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/JobRegistry.java
@@ -145,10 +145,10 @@
     void remove(Job job, FailureDiagnosis failureDiagnosis) {
         jobs.remove(job.spec.id());
         if (!job.failureHistory.hasSucceeded()) {
-            failureDiagnosis.clearBlame(job);
+            failureDiagnosis.clearMachineFailures(job);
         }
         job.unwrittenEnds.forEach(
-                attempt -> attempt.machine.placedWork().removeUnwrittenEnd(attempt));
+                attempt -> attempt.machine.placedWork().removeUncommittedEnd(attempt));
     }
 
     /**
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -83,7 +83,7 @@
      *
      * @param types the shard's machine types by name
      */
-    public MachineType typeAmong(Map<String, MachineType> types) {
+    public MachineType resolveType(Map<String, MachineType> types) {
         if (cachedType == null && type != null) {
             cachedType = types.get(type);
         }
@@ -130,7 +130,7 @@
     public boolean fits(JobSpec spec, MachineType type) {
         return usedCpus() + spec.cpusPerTask() <= type.cpus() + ROUNDING_TOLERANCE
                 && usedGpus() + spec.gpusPerTask() <= type.gpus() + ROUNDING_TOLERANCE
-                && usedMemory() + spec.memoryGigabytesPerTask()
+                && usedMemoryGigabytes() + spec.memoryGigabytesPerTask()
                         <= type.memoryGigabytes() + ROUNDING_TOLERANCE;
     }
 
@@ -242,13 +242,13 @@
     }
 
     /** Whether its heartbeats arrive, but responses do not reach it. */
-    public boolean isMissingAnswers() {
-        return heartbeats.isMissingAnswers();
+    public boolean isMissingResponses() {
+        return heartbeats.isMissingResponses();
     }
 
     /** Seconds since responses are known not to arrive; 0 while they are considered to arrive. */
-    public double missingAnswersSeconds(double now) {
-        return heartbeats.missingAnswersSeconds(now);
+    public double missingResponsesSeconds(double now) {
+        return heartbeats.missingResponsesSeconds(now);
     }
 
     // ---- decisions of the leader --------------------------------------------------------------
@@ -256,7 +256,7 @@
     /** Whether new tasks may be placed here. */
     public boolean isSchedulable() {
         return isTokenConfirmed()
-                && !isMissingAnswers()
+                && !isMissingResponses()
                 && !releasing
                 && !gone
                 && !quarantined
@@ -461,8 +461,8 @@
     }
 
     /** Whether its agent still holds ended attempts whose end is not committed to the store. */
-    public boolean hasUnwrittenEnds() {
-        return !placedWork.unwrittenEnds().isEmpty();
+    public boolean hasUncommittedEnds() {
+        return !placedWork.uncommittedEnds().isEmpty();
     }
 
     /** Whether any task is, or may be, on it. */
@@ -495,8 +495,8 @@
     }
 
     /** Memory of the attempts that are not confirmed ended, in GB. */
-    public double usedMemory() {
-        return placedWork.usedMemory();
+    public double usedMemoryGigabytes() {
+        return placedWork.usedMemoryGigabytes();
     }
 
     /**
--- a/src/main/java/io/kitepath/core/shard/PendingWrites.java
+++ b/src/main/java/io/kitepath/core/shard/PendingWrites.java
@@ -85,7 +85,7 @@
         return List.copyOf(jobsToMigrate);
     }
 
-    void migrationDone(Job job) {
+    void clearMigrationRequest(Job job) {
         jobsToMigrate.remove(job);
         signal.request();
     }
@@ -103,7 +103,7 @@
         for (JobPart part : job.allParts()) {
             markPartWritten(part, version, writtenParts.contains(part.index) ? revision : 0);
         }
-        migrationDone(job);
+        clearMigrationRequest(job);
     }
 
     // ---- writes -------------------------------------------------------------------------------
@@ -128,7 +128,7 @@
                             job.partOf(attempt.task) == part.index
                                     && attempt.endedVersion <= version;
                     if (isWritten) {
-                        attempt.machine.placedWork().removeUnwrittenEnd(attempt);
+                        attempt.machine.placedWork().removeUncommittedEnd(attempt);
                     }
                     return isWritten;
                 });
--- a/src/main/java/io/kitepath/core/shard/PlacedWork.java
+++ b/src/main/java/io/kitepath/core/shard/PlacedWork.java
@@ -15,11 +15,11 @@
     private final List<Attempt> attempts = new ArrayList<>();
 
     private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
-    private final List<Attempt> unwrittenEnds = new ArrayList<>();
+    private final List<Attempt> uncommittedEnds = new ArrayList<>();
     private int unknownTasks;
     private double usedCpus;
     private double usedGpus;
-    private double usedMemory;
+    private double usedMemoryGigabytes;
     private double nonSpotCpus;
     private int unconfirmedStarts;
 
@@ -48,7 +48,7 @@
      */
     void clearAttempts() {
         attempts.clear();
-        unwrittenEnds.clear();
+        uncommittedEnds.clear();
         resetUsage();
     }
 
@@ -59,7 +59,7 @@
     private void resetUsage() {
         usedCpus = 0;
         usedGpus = 0;
-        usedMemory = 0;
+        usedMemoryGigabytes = 0;
         nonSpotCpus = 0;
         unconfirmedStarts = 0;
     }
@@ -67,7 +67,7 @@
     private void adjustUsage(JobSpec spec, int sign) {
         usedCpus += sign * spec.cpusPerTask();
         usedGpus += sign * spec.gpusPerTask();
-        usedMemory += sign * spec.memoryGigabytesPerTask();
+        usedMemoryGigabytes += sign * spec.memoryGigabytesPerTask();
         if (!spec.allowsSpot()) {
             nonSpotCpus += sign * spec.cpusPerTask();
         }
@@ -85,17 +85,17 @@
     }
 
     /** Adds an attempt that is confirmed ended, but whose end is not committed to the store yet. */
-    void addUnwrittenEnd(Attempt attempt) {
-        unwrittenEnds.add(attempt);
+    void addUncommittedEnd(Attempt attempt) {
+        uncommittedEnds.add(attempt);
     }
 
-    void removeUnwrittenEnd(Attempt attempt) {
-        unwrittenEnds.remove(attempt);
+    void removeUncommittedEnd(Attempt attempt) {
+        uncommittedEnds.remove(attempt);
     }
 
     /** Attempts that are confirmed ended, but whose end is not committed to the store yet. */
-    List<Attempt> unwrittenEnds() {
-        return Collections.unmodifiableList(unwrittenEnds);
+    List<Attempt> uncommittedEnds() {
+        return Collections.unmodifiableList(uncommittedEnds);
     }
 
     /** Unmodifiable view of the attempts that are not confirmed ended. */
@@ -128,8 +128,8 @@
     }
 
     /** Memory of the attempts that are not confirmed ended, in GB. */
-    double usedMemory() {
-        return usedMemory;
+    double usedMemoryGigabytes() {
+        return usedMemoryGigabytes;
     }
 
     /** The part of the used CPUs that belongs to work that may not use spot instances. */
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -271,7 +271,7 @@
      * record may list it on a machine: nothing of the job is placed, and all tasks of the part
      * count against the team's quota until all jobs are loaded again.
      */
-    public void holdUnreadable(Job job, int part) {
+    public void markPartUnreadable(Job job, int part) {
         job.markUnreadable(part);
         quotaUsage.countAttempts(job.spec, job.taskCountOfPart(part));
     }
@@ -443,8 +443,8 @@
      * Withdraws the request for a new layout of the job's parts, which is no longer needed or not
      * possible.
      */
-    public void migrationDone(Job job) {
-        writes.migrationDone(job);
+    public void clearMigrationRequest(Job job) {
+        writes.clearMigrationRequest(job);
     }
 
     /**
--- a/src/main/java/io/kitepath/core/state/BatchComposer.java
+++ b/src/main/java/io/kitepath/core/state/BatchComposer.java
@@ -162,7 +162,7 @@
     private boolean addMigration(WriteBatch batch, int budget) {
         for (Job job : shard.jobsToMigrate()) {
             if (job.isFinished()) {
-                shard.migrationDone(job);
+                shard.clearMigrationRequest(job);
                 continue;
             }
             RecordMigration migration = new RecordMigration(job, settings.tasksPerCompactPart());
@@ -171,7 +171,7 @@
                         "record layout can't be migrated within one transaction: job={} writes={}",
                         job.spec.id(),
                         migration.writeCount());
-                shard.migrationDone(job);
+                shard.clearMigrationRequest(job);
             } else if (migration.writeCount() <= budget) {
                 batch.migrate(migration);
                 return true;
--- a/src/main/java/io/kitepath/core/state/StateRestorer.java
+++ b/src/main/java/io/kitepath/core/state/StateRestorer.java
@@ -128,7 +128,7 @@
             shard.restorePart(job, part, entry.value(), entry.revision(), now);
         } catch (InvalidInputException unreadable) {
             logUnreadable(entry.key(), unreadable);
-            shard.holdUnreadable(job, part);
+            shard.markPartUnreadable(job, part);
         }
     }
 
--- a/src/main/java/io/kitepath/core/state/WriteBatcher.java
+++ b/src/main/java/io/kitepath/core/state/WriteBatcher.java
@@ -215,7 +215,7 @@
             putBack(batch);
         } else {
             inFlight = null;
-            batch.migration().ifPresent(migration -> shard.migrationDone(migration.job));
+            batch.migration().ifPresent(migration -> shard.clearMigrationRequest(migration.job));
         }
     }
 
--- a/src/test/java/io/kitepath/core/DuplicateHeartbeatsRandomizedTest.java
+++ b/src/test/java/io/kitepath/core/DuplicateHeartbeatsRandomizedTest.java
@@ -83,7 +83,7 @@
         heldUp += copies.late;
         assertFalse(
                 cluster.leader().controller.shard.machines().values().stream()
-                        .anyMatch(machine -> machine.isMissingAnswers()),
+                        .anyMatch(machine -> machine.isMissingResponses()),
                 "seed " + seed);
         return copies.ofItsToken;
     }
--- a/src/test/java/io/kitepath/core/DuplicateHeartbeatsTest.java
+++ b/src/test/java/io/kitepath/core/DuplicateHeartbeatsTest.java
@@ -203,7 +203,7 @@
     private boolean anyMachineMissesAnswers() {
         return cluster.nodes.values().stream()
                 .flatMap(node -> node.controller.shard.machines().values().stream())
-                .anyMatch(machine -> machine.isMissingAnswers());
+                .anyMatch(machine -> machine.isMissingResponses());
     }
 
     // ---- the newest that anybody had seen
@@ -262,7 +262,7 @@
                                     .allMatch(
                                             machine ->
                                                     machine.attempts().isEmpty()
-                                                            && !machine.isMissingAnswers()),
+                                                            && !machine.isMissingResponses()),
                             at);
                 }
             }
--- a/src/test/java/io/kitepath/core/HealthyMachinesTest.java
+++ b/src/test/java/io/kitepath/core/HealthyMachinesTest.java
@@ -35,7 +35,8 @@
                 for (SimulatedNode x : cluster.nodes.values()) {
                     for (Machine machine : x.controller.shard.machines().values()) {
                         assertFalse(
-                                machine.isMissingAnswers(), "out after " + out + ": " + machine.id);
+                                machine.isMissingResponses(),
+                                "out after " + out + ": " + machine.id);
                         placedAndNotSeen |=
                                 cluster.store.unavailable
                                         && machine.isTokenConfirmed()
--- a/src/test/java/io/kitepath/core/LargeFleetTest.java
+++ b/src/test/java/io/kitepath/core/LargeFleetTest.java
@@ -271,7 +271,7 @@
                         .allMatch(
                                 machine ->
                                         machine.attempts().isEmpty()
-                                                && !machine.hasUnwrittenEnds()
+                                                && !machine.hasUncommittedEnds()
                                                 && machine.images().size() <= 50));
     }
 }
--- a/src/test/java/io/kitepath/core/LostResponsesTest.java
+++ b/src/test/java/io/kitepath/core/LostResponsesTest.java
@@ -184,7 +184,7 @@
                 at);
         assertTrue(
                 leader.controller.shard.machines().values().stream()
-                        .noneMatch(machine -> machine.isMissingAnswers()),
+                        .noneMatch(machine -> machine.isMissingResponses()),
                 at);
         assertEquals(List.of(), cluster.violations, at);
     }
--- a/src/test/java/io/kitepath/core/OneWayMachinesTest.java
+++ b/src/test/java/io/kitepath/core/OneWayMachinesTest.java
@@ -66,11 +66,11 @@
         cluster.submit(node, job("j-1", Shape.SERVICE, 8, 1));
         cluster.run(25);
         var machines = node.controller.shard.machines();
-        assertTrue(machines.get(all.get(0).id).isMissingAnswers());
+        assertTrue(machines.get(all.get(0).id).isMissingResponses());
         assertFalse(machines.get(all.get(0).id).isSchedulable());
         all.get(0).receivesNothing = false;
         cluster.run(18);
-        assertFalse(machines.get(all.get(0).id).isMissingAnswers());
+        assertFalse(machines.get(all.get(0).id).isMissingResponses());
         assertTrue(machines.get(all.get(0).id).isSchedulable());
         cluster.run(60);
         assertTrue(cluster.cloud.released.contains(all.get(1).id));
--- a/src/test/java/io/kitepath/core/shard/BootTimesTest.java
+++ b/src/test/java/io/kitepath/core/shard/BootTimesTest.java
@@ -52,11 +52,11 @@
     @Test
     void bootIsLateThenTimedOutUntilFirstHeartbeat() {
         Machine machine = machine(KIND);
-        assertFalse(bootTimes.isLate(machine, 60));
-        assertTrue(bootTimes.isLate(machine, 61));
-        assertFalse(bootTimes.isHopeless(machine, 160));
-        assertTrue(bootTimes.isHopeless(machine, 161));
+        assertFalse(bootTimes.isBootLate(machine, 60));
+        assertTrue(bootTimes.isBootLate(machine, 61));
+        assertFalse(bootTimes.isBootTimedOut(machine, 160));
+        assertTrue(bootTimes.isBootTimedOut(machine, 161));
         machine.heartbeats().record(1, 1, false, 161, 10);
-        assertFalse(bootTimes.isLate(machine, 161));
+        assertFalse(bootTimes.isBootLate(machine, 161));
     }
 }
--- a/src/test/java/io/kitepath/core/shard/CachedMachineTypeTest.java
+++ b/src/test/java/io/kitepath/core/shard/CachedMachineTypeTest.java
@@ -23,7 +23,7 @@
     private final Machine machine = shard.getOrAddMachine("i-000000", 0);
 
     private MachineType typeOfMachine() {
-        return machine.typeAmong(shard.machineTypes());
+        return machine.resolveType(shard.machineTypes());
     }
 
     // Guards against machines that have no type, or a type with an old price, because the type was
--- a/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
+++ b/src/test/java/io/kitepath/core/shard/HeartbeatHistoryTest.java
@@ -27,10 +27,10 @@
     void responsesCountAsMissingAfterTwoAnsweredIncarnationsAreLost() {
         heartbeats(1, true, 0, 9);
         heartbeats(2, true, 10, 19);
-        assertFalse(history.isMissingAnswers(), "a single loss may be due to a slow network");
+        assertFalse(history.isMissingResponses(), "a single loss may be due to a slow network");
         heartbeats(3, true, 20, 21);
-        assertTrue(history.isMissingAnswers());
-        assertEquals(1, history.missingAnswersSeconds(21));
+        assertTrue(history.isMissingResponses());
+        assertEquals(1, history.missingResponsesSeconds(21));
     }
 
     @Test
@@ -39,38 +39,38 @@
         history.recordUnanswered(10);
         heartbeats(2, true, 11, 20);
         heartbeats(3, true, 21, 22);
-        assertFalse(history.isMissingAnswers());
+        assertFalse(history.isMissingResponses());
     }
 
     @Test
     void responsesCountAsArrivingWhenIncarnationOutlivesItsLease() {
         history.markMissingResponses(0);
         heartbeats(1, true, 0, 15);
-        assertTrue(history.isMissingAnswers());
+        assertTrue(history.isMissingResponses());
         heartbeats(1, true, 16, 16);
-        assertFalse(history.isMissingAnswers());
+        assertFalse(history.isMissingResponses());
     }
 
     @Test
     void responsesCountAsMissingWhenTokenIsNeverConfirmed() {
         heartbeats(1, false, 0, 15);
-        assertFalse(history.isMissingAnswers());
+        assertFalse(history.isMissingResponses());
         heartbeats(2, false, 16, 16);
-        assertTrue(history.isMissingAnswers());
+        assertTrue(history.isMissingResponses());
         assertEquals(
                 16,
-                history.missingAnswersSeconds(16),
+                history.missingResponsesSeconds(16),
                 "since the first heartbeat without the token");
         heartbeats(2, true, 17, 17);
-        assertFalse(history.isMissingAnswers());
+        assertFalse(history.isMissingResponses());
     }
 
     @Test
     void responsesCountAsArrivingAfterDeliveredStart() {
         history.markMissingResponses(0);
         history.recordDeliveredStart();
-        assertFalse(history.isMissingAnswers());
-        assertEquals(0, history.missingAnswersSeconds(5));
+        assertFalse(history.isMissingResponses());
+        assertEquals(0, history.missingResponsesSeconds(5));
     }
 
     @Test
