--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -143,13 +143,13 @@
                 "served.least",
                 "the lowest share of jobs in time, of all classes, their largest jobs, and teams"
                         + " as of late",
-                () -> shard.serviceLevels().leastShare());
+                () -> shard.serviceLevels().lowestShare());
         metrics.gauge(
                 "served.least.largest",
                 "the lowest share of a class's largest jobs",
                 () ->
-                        shard.serviceLevels().largest().values().stream()
-                                .mapToDouble(ServiceLevels.ServiceGroup::share)
+                        shard.serviceLevels().largestJobs().values().stream()
+                                .mapToDouble(ServiceLevels.ServiceGroup::goalsMetShare)
                                 .min()
                                 .orElse(1));
         metrics.counter(
@@ -157,7 +157,7 @@
                 "jobs that were not done by the last time expected of them",
                 () ->
                         shard.serviceLevels().classes().values().stream()
-                                .mapToLong(ServiceLevels.ServiceGroup::missed)
+                                .mapToLong(ServiceLevels.ServiceGroup::goalsMissed)
                                 .sum());
     }
 
--- a/src/main/java/io/kitepath/core/ShardSummary.java
+++ b/src/main/java/io/kitepath/core/ShardSummary.java
@@ -79,9 +79,9 @@
                         text.append(" served ")
                                 .append(name)
                                 .append('=')
-                                .append(group.inTime())
+                                .append(group.goalsMet())
                                 .append('/')
-                                .append(group.inTime() + group.missed())
+                                .append(group.goalsMet() + group.goalsMissed())
                                 .append('/')
                                 .append(group.submitted()));
     }
--- a/src/main/java/io/kitepath/core/shard/ServiceGroups.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceGroups.java
@@ -57,8 +57,8 @@
     }
 
     /** Returns the lowest share of all groups; 1 while there are none. */
-    double leastShare() {
-        return groups.values().stream().mapToDouble(ServiceGroup::share).min().orElse(1);
+    double lowestShare() {
+        return groups.values().stream().mapToDouble(ServiceGroup::goalsMetShare).min().orElse(1);
     }
 
     /** Returns the group's share if it is lagging; 1 otherwise, and for an unknown group. */
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -24,7 +24,7 @@
  * <p>Decided jobs alone show this too late: for a class whose jobs have only minutes, the first
  * misses are counted only when many other jobs can no longer meet their goals. Therefore jobs that
  * have used most of the time for which they may wait, and still wait, count as if they had missed
- * their goal; see {@link ServiceGroup#share}.
+ * their goal; see {@link ServiceGroup#goalsMetShare}.
  *
  * <p>Not thread-safe; belongs to the shard's thread. Times of day are milliseconds since 1970.
  */
@@ -77,14 +77,14 @@
 
         private final String name;
         private long undecided;
-        private long endangered;
+        private long atRisk;
 
         /** Number of open jobs that have not missed their goal and whose tasks are all placed. */
         private long fullyPlaced;
 
-        private long inTime;
-        private long done;
-        private long missed;
+        private long goalsMet;
+        private long completed;
+        private long goalsMissed;
 
         /**
          * Number of decided jobs, with the older ones weighted less; {@code decayedGoalsMet} counts
@@ -106,30 +106,30 @@
 
         /** Number of jobs that met or missed their goal. */
         long decided() {
-            return inTime + missed;
+            return goalsMet + goalsMissed;
         }
 
         /**
          * Number of open jobs at risk: unlikely to meet their goal unless other jobs are deferred
          * for them.
          */
-        public long endangered() {
-            return endangered;
+        public long atRisk() {
+            return atRisk;
         }
 
         /** Number of jobs that met their goal. */
-        public long inTime() {
-            return inTime;
+        public long goalsMet() {
+            return goalsMet;
         }
 
         /** Number of completed jobs, whether or not they met their goal. */
-        public long done() {
-            return done;
+        public long completed() {
+            return completed;
         }
 
         /** Number of jobs that missed their goal, whether or not they were completed later. */
-        public long missed() {
-            return missed;
+        public long goalsMissed() {
+            return goalsMissed;
         }
 
         /**
@@ -137,45 +137,46 @@
          * jobs, the open jobs whose tasks are all placed, and the jobs at risk; 1 while there are
          * none.
          */
-        public double share() {
+        public double goalsMetShare() {
             return weight() == 0 ? 1 : (decayedGoalsMet + fullyPlaced) / weight();
         }
 
         private double weight() {
-            return decayedDecided + fullyPlaced + endangered;
+            return decayedDecided + fullyPlaced + atRisk;
         }
 
         /** The share if the group is lagging, otherwise 1. */
         double catchUpShare() {
-            return lagging ? share() : 1;
+            return lagging ? goalsMetShare() : 1;
         }
 
         private void resetOpen() {
             undecided = 0;
-            endangered = 0;
+            atRisk = 0;
             fullyPlaced = 0;
         }
 
         private void countOpen(boolean isWaiting, boolean isAtRisk) {
             undecided++;
-            endangered += isAtRisk ? 1 : 0;
+            atRisk += isAtRisk ? 1 : 0;
             fullyPlaced += isWaiting ? 0 : 1;
         }
 
         private void recordDone() {
-            done++;
+            completed++;
         }
 
         private void recordDecision(boolean hasMetGoal) {
             decayedGoalsMet = decayedGoalsMet * DECAY + (hasMetGoal ? 1 : 0);
             decayedDecided = decayedDecided * DECAY + 1;
-            inTime += hasMetGoal ? 1 : 0;
-            missed += hasMetGoal ? 0 : 1;
+            goalsMet += hasMetGoal ? 1 : 0;
+            goalsMissed += hasMetGoal ? 0 : 1;
         }
 
         private void updateLagging() {
             boolean isLagging =
-                    weight() >= MIN_WEIGHT && share() < (lagging ? RECOVERED_FROM : LAGGING_BELOW);
+                    weight() >= MIN_WEIGHT
+                            && goalsMetShare() < (lagging ? RECOVERED_FROM : LAGGING_BELOW);
             if (isLagging != lagging) {
                 lagging = isLagging;
                 LOG.warn(
@@ -183,9 +184,9 @@
                                 + " atRisk={} open={}",
                         name,
                         isLagging ? "lagging" : "recovered",
-                        inTime,
+                        goalsMet,
                         decided(),
-                        endangered,
+                        atRisk,
                         undecided);
             }
         }
@@ -196,9 +197,9 @@
          */
         List<Long> toRecord() {
             return List.of(
-                    inTime,
-                    done,
-                    missed,
+                    goalsMet,
+                    completed,
+                    goalsMissed,
                     Math.round(RECORD_SCALE * decayedGoalsMet),
                     Math.round(RECORD_SCALE * decayedDecided));
         }
@@ -212,9 +213,9 @@
 
         /** Restores the counts that {@link #toRecord} wrote. */
         void restore(List<?> numbers) {
-            inTime = ((Number) numbers.get(0)).longValue();
-            done = ((Number) numbers.get(1)).longValue();
-            missed = ((Number) numbers.get(2)).longValue();
+            goalsMet = ((Number) numbers.get(0)).longValue();
+            completed = ((Number) numbers.get(1)).longValue();
+            goalsMissed = ((Number) numbers.get(2)).longValue();
             decayedGoalsMet = ((Number) numbers.get(3)).doubleValue() / RECORD_SCALE;
             decayedDecided = ((Number) numbers.get(4)).doubleValue() / RECORD_SCALE;
         }
@@ -224,10 +225,10 @@
                     Locale.ROOT,
                     " group=\"%s\" goalsMet=%d decided=%d open=%d atRisk=%d;",
                     name,
-                    inTime,
+                    goalsMet,
                     decided(),
                     undecided,
-                    endangered);
+                    atRisk);
         }
     }
 
@@ -239,7 +240,7 @@
      * The largest jobs of each class. They are counted separately because they may miss their goals
      * while the class as a whole does well.
      */
-    private final ServiceGroups largest = new ServiceGroups("largest of");
+    private final ServiceGroups largestJobs = new ServiceGroups("largest of");
 
     private final JobSizes jobSizes = new JobSizes();
 
@@ -253,7 +254,7 @@
     void clear() {
         classes.clear();
         teams.clear();
-        largest.clear();
+        largestJobs.clear();
         countedUntilMillis = 0;
     }
 
@@ -263,14 +264,14 @@
         classes.getOrAdd(spec.jobClass()).ifPresent(action);
         teams.getOrAdd(spec.team()).ifPresent(action);
         if (isLargest(spec)) {
-            largest.getOrAdd(spec.jobClass()).ifPresent(action);
+            largestJobs.getOrAdd(spec.jobClass()).ifPresent(action);
         }
     }
 
     private List<ServiceGroup> allGroups() {
         List<ServiceGroup> all = new ArrayList<>(classes.all());
         all.addAll(teams.all());
-        all.addAll(largest.all());
+        all.addAll(largestJobs.all());
         return all;
     }
 
@@ -359,15 +360,16 @@
      * job with a low share. Returns 1 if none of the groups is lagging.
      */
     public double catchUpShare(JobSpec spec) {
-        double ofLargest = isLargest(spec) ? largest.catchUpShare(spec.jobClass()) : 1;
+        double ofLargest = isLargest(spec) ? largestJobs.catchUpShare(spec.jobClass()) : 1;
         double ofClassAndTeam =
                 Math.min(classes.catchUpShare(spec.jobClass()), teams.catchUpShare(spec.team()));
         return Math.min(ofLargest, ofClassAndTeam);
     }
 
     /** Returns the lowest share of all classes, their largest jobs, and teams. */
-    public double leastShare() {
-        return Math.min(largest.leastShare(), Math.min(classes.leastShare(), teams.leastShare()));
+    public double lowestShare() {
+        return Math.min(
+                largestJobs.lowestShare(), Math.min(classes.lowestShare(), teams.lowestShare()));
     }
 
     /** The classes: a copy by name, for operators. */
@@ -381,8 +383,8 @@
     }
 
     /** The largest jobs of each class: a copy by the class's name, for operators. */
-    public Map<String, ServiceGroup> largest() {
-        return largest.byName();
+    public Map<String, ServiceGroup> largestJobs() {
+        return largestJobs.byName();
     }
 
     /**
@@ -396,9 +398,9 @@
                                 Locale.ROOT,
                                 "service levels: lowestClassShare=%.2f lowestTeamShare=%.2f"
                                         + " lowestLargestJobsShare=%.2f;",
-                                classes.leastShare(),
-                                teams.leastShare(),
-                                largest.leastShare()));
+                                classes.lowestShare(),
+                                teams.lowestShare(),
+                                largestJobs.lowestShare()));
         allGroups().forEach(group -> text.append(group.summary()));
         return text.toString();
     }
@@ -416,7 +418,7 @@
         record.put("untilMs", wallMillis);
         record.put("classes", classes.toRecord(maxBytes));
         record.put("teams", teams.toRecord(maxBytes));
-        record.put("largest", largest.toRecord(maxBytes));
+        record.put("largest", largestJobs.toRecord(maxBytes));
         return record;
     }
 
@@ -430,6 +432,6 @@
         countedUntilMillis = document.number("untilMs", 0);
         classes.restore(document.raw("classes"));
         teams.restore(document.raw("teams"));
-        largest.restore(document.raw("largest"));
+        largestJobs.restore(document.raw("largest"));
     }
 }
--- a/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
@@ -91,7 +91,7 @@
         assertEquals(0.5, catchUpShare("tiles", "blue"), 0.01, "its class");
         assertEquals(0.5, catchUpShare("other", "red"), 0.01, "its team");
         assertEquals(1, catchUpShare("other", "blue"));
-        assertEquals(0.5, serviceLevels.leastShare(), 0.01);
+        assertEquals(0.5, serviceLevels.lowestShare(), 0.01);
         recordDone(15, 99_000);
         update(99);
         assertEquals(1, catchUpShare("tiles", "red"));
@@ -113,7 +113,7 @@
         assertEquals(
                 List.of(10L, 20L),
                 List.of(
-                        serviceLevels.classes().get("tiles").endangered(),
+                        serviceLevels.classes().get("tiles").atRisk(),
                         serviceLevels.classes().get("tiles").submitted()));
         update(49);
         assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
@@ -133,10 +133,10 @@
         update(102);
         assertEquals(1, serviceLevels.catchUpShare(specs[1]));
         assertEquals(0, serviceLevels.catchUpShare(specs[0]), 0.01);
-        assertEquals(0, serviceLevels.largest().get("tiles").share(), 0.01);
+        assertEquals(0, serviceLevels.largestJobs().get("tiles").goalsMetShare(), 0.01);
         ServiceLevels next = new ServiceLevels(settings);
         next.restore(serviceLevels.toRecord(103_000));
-        assertEquals(10, next.largest().get("tiles").missed());
+        assertEquals(10, next.largestJobs().get("tiles").goalsMissed());
     }
 
     @Test
@@ -149,9 +149,9 @@
         ServiceLevels.ServiceGroup group = next.classes().get("tiles");
         assertEquals(
                 List.of(4L, 1L),
-                List.of(group.inTime(), group.missed()),
+                List.of(group.goalsMet(), group.goalsMissed()),
                 "jobs counted by the last leader are not counted again");
-        assertEquals(0.8, group.share(), 0.01);
+        assertEquals(0.8, group.goalsMetShare(), 0.01);
     }
 
     @Test
@@ -163,13 +163,17 @@
         ServiceLevels.ServiceGroup group = serviceLevels.classes().get("tiles");
         assertEquals(
                 List.of(1L, 1L, 0L, 1L),
-                List.of(group.submitted(), group.missed(), group.inTime(), group.done()));
+                List.of(
+                        group.submitted(),
+                        group.goalsMissed(),
+                        group.goalsMet(),
+                        group.completed()));
     }
 
     @Test
     void ownDeadlineCountsWhereClassHasNoObjective() {
         update(25, job("other", "red", 20.0), job("quiet", "red", null));
-        assertEquals(1, serviceLevels.classes().get("other").missed());
-        assertEquals(0, serviceLevels.classes().get("quiet").missed());
+        assertEquals(1, serviceLevels.classes().get("other").goalsMissed());
+        assertEquals(0, serviceLevels.classes().get("quiet").goalsMissed());
     }
 }
