--- a/src/main/java/io/kitepath/core/shard/BootTimes.java
+++ b/src/main/java/io/kitepath/core/shard/BootTimes.java
@@ -81,8 +81,8 @@
 
     /**
      * Returns the expected boot time in seconds: the median of the recent boots, but at least the
-     * nominal time, because a machine that booted faster does not mean that the next one will.
-     * Returns 0 for an unknown type.
+     * nominal time, because one fast boot does not mean that the next one is fast, too. Returns 0
+     * for an unknown type.
      */
     public double expectedSeconds(MachineKind kind) {
         MachineType type = types.get(kind.machineType());
--- a/src/main/java/io/kitepath/core/shard/Machine.java
+++ b/src/main/java/io/kitepath/core/shard/Machine.java
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Records that the cloud has rented out this machine, whose boot began at {@code since}. A
-     * machine that has already sent a heartbeat keeps the time since which it is known.
+     * Records the rental of this machine, whose boot began at {@code since}. A machine that has
+     * already sent a heartbeat keeps the time since which it is known.
      */
     void recordRental(MachineKind kind, double since) {
         if (!hasReported()) {
--- a/src/main/java/io/kitepath/core/shard/MachineRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/MachineRegistry.java
@@ -156,7 +156,7 @@
         }
     }
 
-    /** Adds a machine that the cloud has rented out, whose boot began at {@code since}. */
+    /** Adds a newly rented machine, whose boot began at {@code since}. */
     void addRented(String id, MachineKind kind, double now, double since) {
         if (!isKnownGone(id)) {
             getOrAdd(id, now).recordRental(kind, since);
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -189,7 +189,7 @@
         machines.applyCloudList(entries, now);
     }
 
-    /** Adds a machine that the cloud has rented out, whose boot began at {@code since}. */
+    /** Adds a newly rented machine, whose boot began at {@code since}. */
     public void addRentedMachine(String id, MachineKind kind, double now, double since) {
         machines.addRented(id, kind, now, since);
     }
