--- a/src/main/java/io/kitepath/core/shard/PlacedWork.java
+++ b/src/main/java/io/kitepath/core/shard/PlacedWork.java
@@ -6,34 +6,35 @@
 import java.util.List;
 
 /**
- * What is placed on one machine: its attempts that are not proven over, the resources that they
- * use, ended attempts that the store does not know yet, and tasks that belong to no known job.
+ * The work placed on one machine: its attempts that are not confirmed ended, the resources that
+ * they use, ended attempts whose end is not committed to the store yet, and tasks that belong to no
+ * known job.
  */
 final class PlacedWork {
-    /** Attempts not proven over. */
+    /** Attempts that are not confirmed ended. */
     private final List<Attempt> attempts = new ArrayList<>();
 
     private final List<Attempt> attemptsView = Collections.unmodifiableList(attempts);
-    private final List<Attempt> unwrittenEnds = new ArrayList<>();
+    private final List<Attempt> uncommittedEnds = new ArrayList<>();
     private int unknownTasks;
     private double usedCpus;
     private double usedGpus;
-    private double usedMemory;
+    private double usedMemoryGigabytes;
     private double nonSpotCpus;
     private int unconfirmedStarts;
 
-    void add(Attempt attempt) {
+    void addAttempt(Attempt attempt) {
         attempts.add(attempt);
-        countUsage(attempt.job.spec, 1);
+        adjustUsage(attempt.job.spec, 1);
         unconfirmedStarts += attempt.isSeen ? 0 : 1;
     }
 
-    /** Returns whether the attempt was there. */
-    boolean remove(Attempt attempt) {
+    /** Removes the attempt; returns whether it was placed here. */
+    boolean removeAttempt(Attempt attempt) {
         if (!attempts.remove(attempt)) {
             return false;
         }
-        countUsage(attempt.job.spec, -1);
+        adjustUsage(attempt.job.spec, -1);
         unconfirmedStarts -= attempt.isSeen ? 0 : 1;
         if (attempts.isEmpty()) {
             resetUsage();
@@ -41,67 +42,70 @@
         return true;
     }
 
-    /** Forgets all attempts, ended ones too; unknown tasks stay as the last report showed them. */
-    void forgetAttempts() {
+    /**
+     * Removes all attempts, including ended ones; the number of unknown tasks stays as the last
+     * heartbeat showed it.
+     */
+    void clearAttempts() {
         attempts.clear();
-        unwrittenEnds.clear();
+        uncommittedEnds.clear();
         resetUsage();
     }
 
     /**
-     * Sums are maintained, not recomputed; an empty machine starts from zero, so that rounding
-     * errors don't add up.
+     * Resets the sums to zero. The sums are updated incrementally, so an empty machine starts from
+     * zero to keep rounding errors from accumulating.
      */
     private void resetUsage() {
         usedCpus = 0;
         usedGpus = 0;
-        usedMemory = 0;
+        usedMemoryGigabytes = 0;
         nonSpotCpus = 0;
         unconfirmedStarts = 0;
     }
 
-    private void countUsage(JobSpec spec, int sign) {
+    private void adjustUsage(JobSpec spec, int sign) {
         usedCpus += sign * spec.cpusPerTask();
         usedGpus += sign * spec.gpusPerTask();
-        usedMemory += sign * spec.memoryGigabytesPerTask();
+        usedMemoryGigabytes += sign * spec.memoryGigabytesPerTask();
         if (!spec.allowsSpot()) {
             nonSpotCpus += sign * spec.cpusPerTask();
         }
     }
 
-    /** Counts a task that is about to be placed here (1), or is not after all (-1). */
+    /** Counts a task that is about to be placed here (1), or that is not placed after all (-1). */
     void countTentatively(JobSpec spec, int sign) {
-        countUsage(spec, sign);
+        adjustUsage(spec, sign);
         unconfirmedStarts += sign;
     }
 
-    /** A report has shown an attempt for the first time. */
+    /** Records that a heartbeat has listed an attempt for the first time. */
     void confirmStart() {
         unconfirmedStarts--;
     }
 
-    /** An attempt is proven over, which the store does not know yet. */
-    void addUnwrittenEnd(Attempt attempt) {
-        unwrittenEnds.add(attempt);
+    /** Adds an attempt that is confirmed ended, but whose end is not committed to the store yet. */
+    void addUncommittedEnd(Attempt attempt) {
+        uncommittedEnds.add(attempt);
     }
 
-    void removeUnwrittenEnd(Attempt attempt) {
-        unwrittenEnds.remove(attempt);
+    void removeUncommittedEnd(Attempt attempt) {
+        uncommittedEnds.remove(attempt);
     }
 
-    /** Attempts proven over, which the store does not know yet; they are cleared once it does. */
-    List<Attempt> unwrittenEnds() {
-        return Collections.unmodifiableList(unwrittenEnds);
+    /** Attempts that are confirmed ended, but whose end is not committed to the store yet. */
+    List<Attempt> uncommittedEnds() {
+        return Collections.unmodifiableList(uncommittedEnds);
     }
 
-    /** Unmodifiable view of the attempts not proven over. */
+    /** Unmodifiable view of the attempts that are not confirmed ended. */
     List<Attempt> attempts() {
         return attemptsView;
     }
 
     /**
-     * Tasks on the machine that belong to no job we know; until they are gone, the machine takes
-     * nothing.
+     * Number of tasks on the machine that belong to no known job; until they have ended, the
+     * machine accepts no work.
      */
     int unknownTasks() {
         return unknownTasks;
@@ -123,17 +127,17 @@
         return usedGpus;
     }
 
-    /** In GB. */
-    double usedMemory() {
-        return usedMemory;
+    /** Memory of the attempts that are not confirmed ended, in GB. */
+    double usedMemoryGigabytes() {
+        return usedMemoryGigabytes;
     }
 
-    /** Of the used CPUs, those of work that may not use spot instances. */
+    /** The part of the used CPUs that belongs to work that may not use spot instances. */
     double nonSpotCpus() {
         return nonSpotCpus;
     }
 
-    /** Starts that no report has shown. */
+    /** Number of placed attempts that no heartbeat has listed yet. */
     int unconfirmedStarts() {
         return unconfirmedStarts;
     }
--- a/src/main/java/io/kitepath/core/state/StateRestorer.java
+++ b/src/main/java/io/kitepath/core/state/StateRestorer.java
@@ -129,7 +129,7 @@
             shard.restorePart(job, part, entry.value(), entry.revision(), nowSeconds);
         } catch (InvalidInputException unreadable) {
             logUnreadable(entry.key(), unreadable);
-            shard.holdUnreadable(job, part);
+            shard.markPartUnreadable(job, part);
         }
     }
 
--- a/src/test/java/io/kitepath/core/shard/BootTimesTest.java
+++ b/src/test/java/io/kitepath/core/shard/BootTimesTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How long boots are expected to take, and which machines are late. */
+/** Tests the estimate of boot times, and which machines count as late. */
 class BootTimesTest {
     private static final MachineKind KIND = new MachineKind("m4", "a", false);
     private static final MachineKind OTHER_ZONE = new MachineKind("m4", "b", false);
@@ -26,8 +26,8 @@
     }
 
     private void recordBoots(double... seconds) {
-        for (double took : seconds) {
-            bootTimes.recordBoot(machine(KIND), took);
+        for (double bootSeconds : seconds) {
+            bootTimes.recordBoot(machine(KIND), bootSeconds);
         }
     }
 
@@ -50,13 +50,13 @@
     }
 
     @Test
-    void machineIsLateAndThenHopelessUntilItReports() {
+    void bootIsLateThenTimedOutUntilFirstHeartbeat() {
         Machine machine = machine(KIND);
-        assertFalse(bootTimes.isLate(machine, 60));
-        assertTrue(bootTimes.isLate(machine, 61));
-        assertFalse(bootTimes.isHopeless(machine, 160));
-        assertTrue(bootTimes.isHopeless(machine, 161));
+        assertFalse(bootTimes.isBootLate(machine, 60));
+        assertTrue(bootTimes.isBootLate(machine, 61));
+        assertFalse(bootTimes.isBootTimedOut(machine, 160));
+        assertTrue(bootTimes.isBootTimedOut(machine, 161));
         machine.heartbeats().record(1, 1, false, 161, 10);
-        assertFalse(bootTimes.isLate(machine, 161));
+        assertFalse(bootTimes.isBootLate(machine, 161));
     }
 }
--- a/src/test/java/io/kitepath/core/shard/KnownMachineTypeTest.java
+++ b/src/test/java/io/kitepath/core/shard/CachedMachineTypeTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A machine's type is looked up once, and again when it may have changed. */
-class KnownMachineTypeTest {
+/** A machine caches its type, and looks it up again when it may have changed. */
+class CachedMachineTypeTest {
     private static final double FIRST_PRICE = 1;
     private static final double LATER_PRICE = 2;
 
@@ -23,12 +23,13 @@
     private final Machine machine = shard.getOrAddMachine("i-000000", 0);
 
     private MachineType typeOfMachine() {
-        return machine.typeAmong(shard.machineTypes());
+        return machine.resolveType(shard.machineTypes());
     }
 
-    // Guards against machines without a type, or of an old price, as the type was remembered.
+    // Guards against machines that have no type, or a type with an old price, because the type was
+    // cached.
     @Test
-    void aRememberedTypeIsReplacedWithTheTypesOnOfferAndWithTheMachinesOwn() {
+    void cachedTypeIsReplacedWhenOfferedTypesOrMachineTypeChange() {
         assertNull(typeOfMachine());
         machine.recordRental(new MachineKind("m4", "a", false), 0);
         assertNull(typeOfMachine());
--- a/src/test/java/io/kitepath/core/shard/DependencyDemandTest.java
+++ b/src/test/java/io/kitepath/core/shard/DependencyDemandTest.java
@@ -14,7 +14,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What jobs that wait for others ask of those, and what becomes of them. */
+/**
+ * Tests the demands that dependent jobs make on their dependencies, and how their outcomes are
+ * passed on.
+ */
 class DependencyDemandTest {
     private static final int TASKS_PER_PART = 4;
 
@@ -47,7 +50,7 @@
     }
 
     @Test
-    void demandOfDependentsRaisesPriorityAndIsTakenBackWhenTheyClose() {
+    void dependentRaisesPriorityOfDependencyUntilItFinishes() {
         Job first = job("j-1", JobSpec.Priority.LOW);
         double goal = first.startGoalMillis(0);
         Job second = job("j-2", JobSpec.Priority.HIGH, "j-1");
@@ -65,7 +68,7 @@
     }
 
     @Test
-    void deadlineOfADependentBecomesAStartGoalOfItsDependency() {
+    void deadlineOfDependentBecomesStartGoalOfDependency() {
         Job first = job("j-1");
         Job second = job(withDeadline(spec("j-2"), 300), "j-1");
         assertTrue(first.hasDeadline());
@@ -78,7 +81,7 @@
     }
 
     @Test
-    void cancelledDependencyIsPassedOnToAllDependents() {
+    void cancellationOfDependencyPropagatesToAllDependents() {
         job("j-1");
         Job second = job("j-2", "j-1");
         Job third = job("j-3", "j-2");
