--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * One placement of one task on one machine. It counts against every limit until something proves
- * that it is over; the passing of time alone never does.
+ * One placement of one task on one machine. It counts against all limits until it is confirmed
+ * ended; elapsed time alone never confirms that.
  *
- * <p>Not thread safe: it belongs to the event loop of the shard.
+ * <p>Not thread-safe; accessed only from the event loop of the shard.
  */
 public final class Attempt {
     public final Job job;
@@ -16,62 +16,66 @@
     /** The task's index in its job, from 0. */
     public final int task;
 
-    /** Later attempts of a task have higher numbers; tasks that are placed together share one. */
+    /** Increases with each attempt of a task; tasks that are placed together share a number. */
     public final long number;
 
     public final Machine machine;
 
-    /** In seconds on the steady clock. */
+    /** The time of the placement, in seconds on the steady clock. */
     public final double placedAt;
 
     /**
-     * The job's version when this was placed, 0 if it was read from a record; a write that covers
-     * that version makes it durable.
+     * The job's version at the placement, 0 if the attempt was read from a record. A committed
+     * write that covers this version makes the attempt durable.
      */
     final int placedVersion;
 
-    /** Whether the store has it; see {@link #isDurable()}. */
+    /** Whether the placement is stored; see {@link #isDurable()}. */
     boolean isDurable;
 
-    /** Launched by this leader, or perhaps by one before. */
+    /** Whether this leader launched the attempt, or an earlier leader may have done so. */
     boolean mayBeLaunched;
 
-    /** The last heartbeat response to its machine told it to start. */
+    /** Whether the last heartbeat response to the machine contained the start command. */
     boolean isStartSent;
 
-    /** The heartbeat that such a response last answered; 0 if this leader has not launched it. */
+    /**
+     * The sequence number of the last heartbeat whose response contained the start command; 0 if
+     * this leader has not launched the attempt.
+     */
     long startAnsweredSequence;
 
-    /** How many heartbeats after such a response did not show it. */
+    /** The number of heartbeats after such a response that did not list the attempt. */
     int missedReports;
 
-    /** Whether a heartbeat since this leader's term began has shown it. */
+    /** Whether a heartbeat in this leader's term has listed the attempt. */
     boolean isSeen;
 
-    /** Null until a heartbeat has shown it. */
+    /** The reported state; null until a heartbeat has listed the attempt. */
     Heartbeat.TaskState state;
 
-    /** When a heartbeat first showed it running, in seconds on the steady clock; NaN before. */
+    /** When a heartbeat first reported it running, in seconds on the steady clock; NaN before. */
     double runningSince = Double.NaN;
 
-    /** Proven over. */
+    /** Whether the attempt is confirmed ended. */
     boolean isEnded;
 
-    /** The job's version that has its end; a write that covers that version records it. */
+    /** The job's version at its end; a committed write that covers this version stores the end. */
     int endedVersion;
 
-    /** How long its task has to save its work before it is killed; NaN while it may run on. */
+    /** The time its task has to save its work before it is killed; NaN unless it is to stop. */
     double stopGraceSeconds = Double.NaN;
 
     /**
-     * The job that it was evicted for; empty while it was not, or was before this leader's term.
+     * The job that it was evicted for; empty if it was not evicted, or evicted before this leader's
+     * term.
      */
     Optional<Job> evictedFor = Optional.empty();
 
-    /** Whether it was told to stop by a direct command. */
+    /** Whether a direct command to stop the attempt was sent. */
     boolean isStopSent;
 
-    /** The number of the last of its machine's full reports that showed it. */
+    /** The number of its machine's last full heartbeat that listed the attempt. */
     int lastSeenReading;
 
     Attempt(Job job, int task, long number, Machine machine, double now, int version) {
@@ -83,47 +87,47 @@
         this.placedVersion = version;
     }
 
-    /** Whether the store has it; it must not be launched before. */
+    /** Whether the placement is stored; the attempt must not be launched before that. */
     public boolean isDurable() {
         return isDurable;
     }
 
-    /** Whether a heartbeat since this leader's term began has shown it. */
+    /** Whether a heartbeat in this leader's term has listed the attempt. */
     public boolean isSeen() {
         return isSeen;
     }
 
-    /** Null until a heartbeat has shown it. */
+    /** The reported state; null until a heartbeat has listed the attempt. */
     public Heartbeat.TaskState state() {
         return state;
     }
 
-    /** Whether it fetches its image, or will if its machine lacks it. */
+    /** Whether the attempt fetches its image, or will do so if its machine does not have it. */
     boolean isFetching() {
         return !isUnwanted() && (state == null || state == Heartbeat.TaskState.FETCHING_IMAGE);
     }
 
-    /** Whether this attempt itself is to be stopped, whatever becomes of its job. */
+    /** Whether this attempt itself is to be stopped, independent of its job. */
     public boolean isStopping() {
         return !Double.isNaN(stopGraceSeconds);
     }
 
-    /** Whether it is to be stopped, by itself or because its job is finished. */
+    /** Whether the attempt is to be stopped, by itself or because its job is finished. */
     public boolean isUnwanted() {
         return job.isFinished || isStopping();
     }
 
     /**
-     * The job that is to have the room of this attempt, since it was evicted for it; empty if there
-     * is none, or if that job has nothing to place any more.
+     * The job that the capacity of this attempt is promised to, as the attempt was evicted for it;
+     * empty if there is none, or if that job has no more tasks to place.
      */
     public Optional<Job> roomPromisedTo() {
         return evictedFor.filter(other -> !other.isFinished && other.waitingTasks() > 0);
     }
 
     /**
-     * How many seconds it will probably still run, by its owner's estimate: at least a fifth of
-     * that, as estimates are exceeded; without end for a service.
+     * The expected remaining run time in seconds, from the user's estimate: at least a fifth of the
+     * estimate, as estimates are exceeded; {@link Double#MAX_VALUE} for a service.
      *
      * @param now in seconds on the steady clock
      */
@@ -140,8 +144,8 @@
     }
 
     /**
-     * How many seconds of work are lost if it is stopped now: what it did since it began or since
-     * its last checkpoint, or what saving a checkpoint takes.
+     * The seconds of work that are lost if the attempt is stopped now: the work since its start or
+     * its last checkpoint, or the time to save a checkpoint if that is less.
      *
      * @param now in seconds on the steady clock
      */
@@ -152,14 +156,14 @@
                 : ranSeconds(now);
     }
 
-    /** Whether a worker's status is about this very attempt, whatever machine it came from. */
+    /** Whether a worker's status refers to this attempt, regardless of the reporting machine. */
     boolean matches(Heartbeat.TaskStatus status) {
         return task == status.task()
                 && number == status.attempt()
                 && job.spec.id().equals(status.jobId());
     }
 
-    /** {@code job/task#number@machine}, as log lines have it. */
+    /** The log format of an attempt: {@code job/task#number@machine}. */
     @Override
     public String toString() {
         return job.spec.id() + "/" + task + "#" + number + "@" + machine.id;
--- a/src/main/java/io/kitepath/core/shard/AttemptLedger.java
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps account of attempts, from their placement until they are proven over. An attempt counts
- * against its team's quota and its machine's capacity for as long as it is not proven over,
- * whatever is probable.
+ * Accounts for attempts from their placement until they are confirmed ended. An attempt counts
+ * against its team's quota and its machine's capacity until its end is confirmed, even if it has
+ * probably ended earlier.
  */
 final class AttemptLedger {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptLedger.class);
@@ -39,19 +39,19 @@
         this.gangRestarts = new GangRestarts(settings, machines, attempt -> stop(attempt, 0));
     }
 
-    /** Attempts proven over. */
+    /** The number of attempts that are confirmed ended. */
     long ended() {
         return ended;
     }
 
-    /** Of those, the ones that were lost with their machine or its agent's incarnation. */
+    /** The number of these that were lost with their machine or its agent's incarnation. */
     long lost() {
         return lost;
     }
 
-    // ---- beginning ----------------------------------------------------------------------------
+    // ---- placing ------------------------------------------------------------------------------
 
-    /** The attempt counts from now on. */
+    /** Adds the attempt to the accounts of its job, its machine and its team. */
     void add(Attempt attempt) {
         attempt.job.addLive(attempt);
         attempt.machine.addAttempt(attempt);
@@ -59,16 +59,21 @@
         attempt.job.stoppingAttemptCount += attempt.isStopping() ? 1 : 0;
     }
 
-    /** The scheduler's decision: this waiting task goes to that machine, once that is written. */
+    /** Places a waiting task on a machine, where it starts once the placement is stored. */
     void place(Job job, int task, Machine machine, double now) {
         JobPart part = job.markPlacementDirty(task);
         writes.dirtyParts().addPlacement(part);
         add(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
         job.timeline.recordPlacement(now);
-        LOG.debug("placed {}/{}#{} on {}", job.spec.id(), task, job.nextAttempt, machine.id);
+        LOG.debug(
+                "attempt placed: job={} task={} attempt={} machine={}",
+                job.spec.id(),
+                task,
+                job.nextAttempt,
+                machine.id);
     }
 
-    /** A job's record says that this attempt is, or may be, on the machine. */
+    /** Restores an attempt that is or may be on the machine according to the job's record. */
     void restore(Job job, int task, long number, Machine machine, double now) {
         Attempt attempt = new Attempt(job, task, number, machine, now, 0);
         attempt.isDurable = true;
@@ -78,13 +83,16 @@
     }
 
     /**
-     * An agent reports an attempt that nothing placed there: it counts until it is proven over, and
-     * is stopped.
+     * Adds an attempt that an agent reports although it was not placed there. It is stopped, and
+     * counts until it is confirmed ended.
      */
     void addUnexpected(
             Job job, int task, long number, TaskState state, Machine machine, double now) {
         LOG.error(
-                "machine {} has {}/{} which was not placed there", machine.id, job.spec.id(), task);
+                "unexpected attempt reported: machine={} job={} task={}",
+                machine.id,
+                job.spec.id(),
+                task);
         writes.dirtyParts().addChange(job.markDirty(task));
         Attempt attempt = new Attempt(job, task, number, machine, now, job.version());
         attempt.isDurable = true;
@@ -99,8 +107,8 @@
     // ---- stopping -----------------------------------------------------------------------------
 
     /**
-     * The attempt is to be stopped, with the shortest grace that was asked for. One that is not
-     * known to be written was never launched, and is withdrawn.
+     * Requests that the attempt is stopped, with the shortest grace period requested so far. An
+     * attempt whose placement is not known to be stored was never launched and is withdrawn.
      */
     void stop(Attempt attempt, double graceSeconds) {
         if (attempt.isEnded) {
@@ -118,11 +126,11 @@
     }
 
     /**
-     * Takes back a placement that is not known to be written, so was never launched. Its write may
-     * be under way all the same, hence the part counts as changed.
+     * Withdraws a placement that is not known to be stored, so it was never launched. Its write may
+     * nonetheless be in progress, so the part is marked as changed.
      */
     void withdraw(Attempt attempt) {
-        LOG.debug("placement withdrawn, not known to be written: attempt={}", attempt);
+        LOG.debug("placement withdrawn, commit not confirmed: attempt={}", attempt);
         quotaUsage.countAttempts(attempt.job.spec, -1);
         attempt.job.removeLive(attempt);
         writes.dirtyParts().addChange(attempt.job.markDirty(attempt.task));
@@ -131,19 +139,19 @@
         signal.request();
     }
 
-    // ---- proven over --------------------------------------------------------------------------
+    // ---- ending -------------------------------------------------------------------------------
 
-    /** The attempt went with its machine or its agent's incarnation. */
+    /** Ends an attempt that was lost with its machine or its agent's incarnation. */
     void lose(Attempt attempt, double now) {
         lost++;
         end(attempt, EndCause.STOPPED, now);
     }
 
     /**
-     * The attempt is proven over. It stays among its machine's unwritten ends until that is
-     * written.
+     * Marks the attempt as confirmed ended. It remains among its machine's unwritten ends until the
+     * end is stored.
      *
-     * @param cause as the agent reported it; null counts as stopped
+     * @param cause the cause reported by the agent; null counts as stopped
      */
     void end(Attempt attempt, EndCause cause, double now) {
         if (attempt.isEnded) {
--- a/src/main/java/io/kitepath/core/shard/DirtyParts.java
+++ b/src/main/java/io/kitepath/core/shard/DirtyParts.java
@@ -5,8 +5,9 @@
 import java.util.Set;
 
 /**
- * Parts of jobs that differ from their records and are not being written, the longest waiting
- * first. Parts with placements are kept apart, as their tasks can't be launched before the write.
+ * Queue of job parts that differ from their records and are not being written, in the order of
+ * their addition. Parts with placements are queued separately, as their tasks must not be launched
+ * before the write is committed.
  */
 public final class DirtyParts {
     private final Set<JobPart> withPlacements = new LinkedHashSet<>();
@@ -25,23 +26,23 @@
         withOtherChanges.add(part);
     }
 
-    /** A copy of the parts with placements that their records lack. */
+    /** A copy of the parts with placements that are not stored yet. */
     public List<JobPart> withPlacements() {
         return List.copyOf(withPlacements);
     }
 
-    /** A copy of the parts that differ otherwise; some may have placements too. */
+    /** A copy of the parts with other changes; some of them may also have placements. */
     public List<JobPart> withOtherChanges() {
         return List.copyOf(withOtherChanges);
     }
 
-    /** Removes a part that is being written, or is no more. */
+    /** Removes a part that is being written or no longer exists. */
     public void remove(JobPart part) {
         withPlacements.remove(part);
         withOtherChanges.remove(part);
     }
 
-    /** Adds the part where it belongs, after a write of it has succeeded or failed. */
+    /** Adds the part if it still has changes to store, after a write of it ended. */
     public void enqueueIfDirty(JobPart part) {
         if (part.hasUnwrittenPlacement()) {
             addPlacement(part);
--- a/src/main/java/io/kitepath/core/shard/DueTimes.java
+++ b/src/main/java/io/kitepath/core/shard/DueTimes.java
@@ -1,16 +1,16 @@
 package io.kitepath.core.shard;
 
 /**
- * By when something has to be done for the sake of deadlines, in milliseconds since 1970; infinite
- * without one.
+ * The times by which a job has to be done for deadlines, in milliseconds since 1970; infinite if
+ * there is no deadline.
  *
- * @param earliestMillis to meet all of what is asked
- * @param latestMillis the last moment that is still worth it
+ * @param earliestMillis the time that meets all deadlines
+ * @param latestMillis the last time at which completion is still useful
  */
 record DueTimes(double earliestMillis, double latestMillis) {
     static final DueTimes NONE = new DueTimes(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY);
 
-    /** The stricter one of both, field by field. */
+    /** The earlier of both times for each field. */
     DueTimes min(DueTimes other) {
         return new DueTimes(
                 Math.min(earliestMillis, other.earliestMillis),
--- a/src/main/java/io/kitepath/core/shard/EventTimes.java
+++ b/src/main/java/io/kitepath/core/shard/EventTimes.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.shard;
 
-/** Count, average and last of a series of moments, in seconds on the steady clock. */
+/** The count, average and latest of a series of event times, in seconds on the steady clock. */
 final class EventTimes {
     private int count;
     private double sum;
@@ -12,7 +12,7 @@
         last = Math.max(last, at);
     }
 
-    /** The latest of them; negative infinity if there is none. */
+    /** The latest event time; negative infinity if there is none. */
     double last() {
         return isEmpty() ? Double.NEGATIVE_INFINITY : last;
     }
@@ -21,10 +21,12 @@
         return count == 0;
     }
 
-    /** How many seconds before {@code now} the moments were, on average and the last of them. */
+    /**
+     * Formats the seconds from the events to {@code now}: on average, and from the latest event.
+     */
     String describeBefore(double now) {
         return count == 0
                 ? "unknown"
-                : String.format("%.1f (the last %.1f)", now - sum / count, now - last);
+                : String.format("%.1f(last=%.1f)", now - sum / count, now - last);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/FailureHistory.java
+++ b/src/main/java/io/kitepath/core/shard/FailureHistory.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * How the tasks of one job fared: what {@link FailureDiagnosis} judges by, and until when it holds
- * the job back.
+ * The successes and failures of one job's tasks, which {@link FailureDiagnosis} uses to find the
+ * cause, and the time until which the job is backed off.
  */
 final class FailureHistory {
     private final Set<String> failedMachines = new HashSet<>();
@@ -18,7 +18,7 @@
     private double longestFailedRunSeconds;
     private double notBefore;
 
-    /** Ids of the machines on which a task of the job failed; read only. */
+    /** Ids of the machines on which a task of the job failed; a read-only view. */
     Set<String> failedMachines() {
         return failedMachinesView;
     }
@@ -32,17 +32,17 @@
         return hasSucceeded;
     }
 
-    /** How many retries failed in a row since the job itself is held to be at fault. */
+    /** The number of consecutive failed retries since the job itself is considered at fault. */
     int failedRetries() {
         return failedRetries;
     }
 
-    /** The longest time that a task of the job ran before it failed, as far as was seen. */
+    /** The longest observed run time of a task of the job before it failed. */
     double longestFailedRunSeconds() {
         return longestFailedRunSeconds;
     }
 
-    /** Nothing of the job is placed before that, in seconds on the steady clock. */
+    /** The time before which no task of the job is placed, in seconds on the steady clock. */
     double notBefore() {
         return notBefore;
     }
@@ -51,7 +51,7 @@
         notBefore = at;
     }
 
-    /** Counts a success; returns whether it is the job's first one. */
+    /** Records a success and returns whether it is the job's first one. */
     boolean recordSuccess() {
         failedRetries = 0;
         boolean isFirst = !hasSucceeded;
@@ -68,8 +68,9 @@
     }
 
     /**
-     * Counts a failed retry of a job that is held to be at fault; returns whether it is a new one:
-     * tasks of an array that were placed together share an attempt number and count as one retry.
+     * Records a failed retry of a job that is considered at fault, and returns whether it counts as
+     * a new one: tasks of an array that were placed together share an attempt number and count as
+     * one retry.
      */
     boolean recordFailedRetry(long attemptNumber) {
         if (failedRetries > 0 && attemptNumber <= lastFailedRetryNumber) {
--- a/src/main/java/io/kitepath/core/shard/GangRestarts.java
+++ b/src/main/java/io/kitepath/core/shard/GangRestarts.java
@@ -7,14 +7,17 @@
 import java.util.function.Consumer;
 
 /**
- * Restarts gangs that have lost a task: the rest can't finish, so all tasks restart together once
- * they are proven over. Guards against a gang that never starts because its image takes longer to
- * fetch than its tasks wait for each other: tasks that have the image give up, and if the others
- * were stopped then, what they had fetched was lost, and the gang began anew. So they fetch on, the
- * room of those that gave up is reserved, and all restart where the image is.
+ * Restarts gangs that have lost a task. The remaining tasks can't finish, so all tasks restart
+ * together once the attempts are confirmed ended.
+ *
+ * <p>Guards against a gang that never starts because its image takes longer to fetch than its tasks
+ * wait for each other: tasks that already have the image time out, and if the others were stopped
+ * then, their partial fetches would be lost and the gang would start over. Therefore the others
+ * continue to fetch, the capacity of the timed-out tasks is reserved, and all tasks restart where
+ * the image is present.
  */
 final class GangRestarts {
-    /** Fetches of the image for which the room of a task that gave up is reserved. */
+    /** How long the capacity of a timed-out task is reserved, in image fetch times. */
     private static final int RESERVED_FETCHES = 3;
 
     private final ClusterSettings settings;
@@ -29,7 +32,7 @@
         this.stopAtOnce = stopAtOnce;
     }
 
-    /** A task of a gang has ended without completing. */
+    /** Handles the end of a gang task that did not complete. */
     void onTaskLost(Attempt attempt, EndCause cause, double now) {
         Job job = attempt.job;
         Machine machine = attempt.machine;
@@ -47,7 +50,7 @@
         restartOnceImagesFetched(job);
     }
 
-    /** Stops the rest of an incomplete gang, unless some of it still fetches the image. */
+    /** Stops the remaining tasks of an incomplete gang, unless one still fetches the image. */
     void restartOnceImagesFetched(Job job) {
         if (!job.liveAttempts.isEmpty()
                 && job.liveAttempts.size() < job.spec.taskCount()
--- a/src/main/java/io/kitepath/core/shard/GuaranteeStanding.java
+++ b/src/main/java/io/kitepath/core/shard/GuaranteeStanding.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.shard;
 
-/** How a job stands to its team's guarantee: when this leader saw it first, and now. */
+/** Whether a job is within its team's guarantee: when this leader first saw it, and now. */
 final class GuaranteeStanding {
     private enum Claim {
         UNKNOWN,
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -16,30 +16,29 @@
 import java.util.SortedMap;
 
 /**
- * A job in the memory of the shard's leader: what was submitted, how far its tasks are, and what of
- * that the store has not been told yet.
+ * The in-memory state of a job on the shard's leader: its specification, the progress of its tasks,
+ * and the changes that are not stored yet.
  *
- * <p>This class is the one that others use. The concerns behind it are in classes of their own:
- * {@link JobTasks} (the state of each task), {@link JobAttempts} (what is on machines), {@link
- * JobParts} and {@link PartRecord} (what differs from the records, and their form), {@link
- * JobLoans} (tasks lent to other cells) and {@link JobStartGoals} (priority, deadlines and start
- * goals).
+ * <p>This class is the facade for other packages. It delegates to {@link JobTasks} (the state of
+ * each task), {@link JobAttempts} (live attempts), {@link JobParts} and {@link PartRecord} (changes
+ * that are not stored yet, and the stored form), {@link JobLoans} (tasks lent to other cells) and
+ * {@link JobStartGoals} (priority, deadlines and start goals).
  *
- * <p>Not thread safe: it belongs to the event loop of the shard.
+ * <p>Not thread-safe; accessed only from the event loop of the shard.
  */
 public final class Job {
-    /** What the user submitted. */
+    /** The specification that the user submitted. */
     public final JobSpec spec;
 
-    /** Milliseconds since 1970, by the clock of the node that accepted the job. */
+    /** Submission time in milliseconds since 1970, by the clock of the node that accepted it. */
     public final double submittedMillis;
 
-    /** The key of the record on which every write about the job depends. */
+    /** The key of the record whose revision is a precondition of every write about the job. */
     public final String recordKey;
 
     private long revision;
 
-    /** Whether another cell is the job's home, which lent some of its tasks to this one. */
+    /** Whether the home cell is another cell, which lent some of the job's tasks to this one. */
     public final boolean borrowed;
 
     private JobRecord record;
@@ -49,21 +48,21 @@
     private final JobAttempts attempts = new JobAttempts();
     private final JobTasks tasks;
 
-    /** Live attempts by task; read only, changed by {@link #addLive} and {@link #removeLive}. */
+    /** Live attempts by task; read-only view, see {@link #addLive} and {@link #removeLive}. */
     final SortedMap<Integer, Attempt> liveAttempts = attempts.live();
 
-    /** Attempts that are proven over while their part's record does not say so yet. */
+    /** Attempts that are confirmed ended, but whose end is not stored in their part's record. */
     final List<Attempt> unwrittenEnds = new ArrayList<>();
 
-    /** How many live attempts are to be stopped. */
+    /** The number of live attempts that are to be stopped. */
     int stoppingAttemptCount;
 
     long nextAttempt = 1;
 
-    /** Done or cancelled; the job is kept only until all its attempts are proven over. */
+    /** Whether the job is done or cancelled; kept until all its attempts are confirmed ended. */
     boolean isFinished;
 
-    /** The user asked to cancel; done once no other cell can run anything of the job. */
+    /** Whether cancellation was requested; done once no other cell can run the job's tasks. */
     private boolean isCancelRequested;
 
     /** See {@link #markUnreadable}. */
@@ -74,23 +73,23 @@
 
     // ---- dependencies and demand ---------------------------------------------------------------
 
-    /** Dependencies that are not known to be done. */
+    /** Ids of the dependencies that are not known to be done. */
     final Set<String> unmetDependencies = new LinkedHashSet<>();
 
-    /** A dependency was cancelled, so this job has to be cancelled too. */
+    /** Whether a dependency was cancelled, so that this job has to be cancelled too. */
     boolean hasCancelledDependency;
 
     final JobStartGoals startGoals;
 
-    /** Past all its objectives; set once, when that is counted. */
+    /** Whether the job has missed all its objectives; set once, when the miss is counted. */
     boolean hasMissedAllGoals;
 
     private final GuaranteeStanding guarantee = new GuaranteeStanding();
 
-    /** For {@link FailureDiagnosis}. */
+    /** Input of {@link FailureDiagnosis}. */
     final FailureHistory failureHistory = new FailureHistory();
 
-    // ---- for display and the log ----------------------------------------------------------------
+    // ---- display and logging --------------------------------------------------------------------
 
     final JobTimeline timeline = new JobTimeline();
 
@@ -98,10 +97,10 @@
 
     /**
      * @param submittedMillis in milliseconds since 1970
-     * @param startWithinSeconds within what time after its submission it has to start to meet each
-     *     of its objectives
-     * @param recordKey of its open record
-     * @param revision of its open record
+     * @param startWithinSeconds for each objective, the time after submission within which the job
+     *     has to start to meet it
+     * @param recordKey the key of its open record
+     * @param revision the store revision of its open record
      */
     public Job(
             JobSpec spec,
@@ -138,11 +137,11 @@
     }
 
     /**
-     * A job whose home is this cell.
+     * Creates a job whose home cell is this cell from its record.
      *
-     * @param key of its open record
-     * @param revision of its open record
-     * @param defaultTasksPerPart the size of a part where the record does not say
+     * @param key the key of its open record
+     * @param revision the store revision of its open record
+     * @param defaultTasksPerPart the size of a part if the record does not contain one
      */
     public static Job of(
             JobRecord record,
@@ -163,11 +162,11 @@
     }
 
     /**
-     * The tasks from {@code firstTask} to before {@code endTask} of a job whose home is another
-     * cell.
+     * Creates a borrowed job, which has the tasks from {@code firstTask} (inclusive) to {@code
+     * endTask} (exclusive) of a job whose home cell is another cell.
      *
-     * @param key of the record of the loan
-     * @param revision of the record of the loan
+     * @param key the key of the loan's record
+     * @param revision the store revision of the loan's record
      */
     public static Job borrowed(
             JobSpec spec,
@@ -192,8 +191,8 @@
     }
 
     /**
-     * What the job's record says, as of its acceptance or its last migration; of a borrowed job,
-     * which has no such record, what it would say.
+     * The job's record as of its acceptance or its last migration. A borrowed job has no such
+     * record; for it, an equivalent one is returned.
      */
     public JobRecord record() {
         return record;
@@ -204,24 +203,24 @@
         return revision;
     }
 
-    /** Whether the job is done or cancelled in the store. */
+    /** Whether the job is stored as done or cancelled. */
     public boolean isFinished() {
         return isFinished;
     }
 
-    /** Whether the user asked to cancel the job, so that nothing more of it is placed. */
+    /** Whether the user requested cancellation, so that no more tasks of the job are placed. */
     public boolean isCancelRequested() {
         return isCancelRequested;
     }
 
-    /** The user asked to cancel the job: nothing more of it is placed. */
+    /** Records a cancellation request: no more tasks of the job are placed. */
     public void requestCancel() {
         isCancelRequested = true;
     }
 
     // ---- tasks ----------------------------------------------------------------------------------
 
-    /** Whether the task is done; never undone. */
+    /** Whether the task is done; a done task stays done. */
     public boolean isDone(int task) {
         return tasks.isDone(task);
     }
@@ -234,69 +233,69 @@
         tasks.markAllDone();
     }
 
-    /** How many tasks are done, in whatever cell. */
+    /** The number of tasks that are done, in any cell. */
     public int doneTaskCount() {
         return tasks.doneCount();
     }
 
     /**
-     * A bit per task from {@code firstTask} to before {@code endTask}, counted from the first one,
-     * as {@link BitSet#toByteArray} has them: set if the task is done.
+     * One bit per task from {@code firstTask} (inclusive) to {@code endTask} (exclusive), set if
+     * the task is done; in the format of {@link BitSet#toByteArray}, where bit 0 is the first task.
      */
     public byte[] doneBitsOf(int firstTask, int endTask) {
         return tasks.doneBetween(firstTask, endTask).toByteArray();
     }
 
-    /** How many tasks are not done; of a borrowed job only those that were lent to this cell. */
+    /** The number of tasks not done; for a borrowed job, only those that were lent to this cell. */
     public int unfinishedTasks() {
         return spec.taskCount() - tasks.doneCount() - (borrowed ? tasks.elsewhereCount() : 0);
     }
 
-    /** Whether no task is left; never of a service, whose tasks have no end. */
+    /** Whether all tasks are done; always false for a service, whose tasks do not complete. */
     public boolean areAllTasksDone() {
         return spec.shape() != JobSpec.Shape.SERVICE && unfinishedTasks() == 0;
     }
 
-    /** Whether the task is this cell's to place, and known to be neither done nor on a machine. */
+    /** Whether this cell places the task, and it is known to be neither done nor on a machine. */
     public boolean isPlaceable(int task) {
         return !isUnreadable && tasks.isWaiting(task);
     }
 
-    /** How many tasks wait to be placed; none while the job as a whole may not start. */
+    /** The number of tasks that wait to be placed; 0 while the job as a whole may not start. */
     public int waitingTasks() {
         return isFinished || isCancelRequested || isHeld() || areAllTasksDone()
                 ? 0
                 : tasks.waitingCount();
     }
 
-    /** The first {@link #isPlaceable placeable} task from {@code firstTask} on, or -1. */
+    /** The first {@link #isPlaceable placeable} task at or after {@code firstTask}, or -1. */
     public int nextWaitingTask(int firstTask) {
         return tasks.nextWaiting(firstTask);
     }
 
-    /** Whether any task has run, or was seen on a machine, as far as this leader knows. */
+    /** Whether this leader knows of any task that has run or was reported on a machine. */
     public boolean hasStarted() {
         return timeline.hasAnyStarted() || tasks.doneCount() > 0 || attempts.isAnySeen();
     }
 
     // ---- attempts -------------------------------------------------------------------------------
 
-    /** When a task of it was last placed by this leader; negative infinity if none was. */
+    /** When this leader last placed a task, in steady-clock seconds; negative infinity if never. */
     public double lastPlacedAt() {
         return timeline.lastPlacedAt();
     }
 
-    /** The number that the job's next attempts get; higher than all before, in any cell. */
+    /** The number of the job's next attempts; higher than all earlier ones in any cell. */
     public long nextAttempt() {
         return nextAttempt;
     }
 
-    /** Makes the next attempt's number at least this one. */
+    /** Raises the next attempt's number to at least {@code number}. */
     public void raiseNextAttempt(long number) {
         nextAttempt = Math.max(nextAttempt, number);
     }
 
-    /** The attempts that are not proven over, by task; read only. */
+    /** The attempts that are not confirmed ended, by task; a read-only view. */
     public SortedMap<Integer, Attempt> liveAttempts() {
         return liveAttempts;
     }
@@ -306,7 +305,7 @@
         return new ArrayList<>(attempts.liveBetween(parts.firstTask(part), parts.endTask(part)));
     }
 
-    /** Whether some live attempts are to be stopped. */
+    /** Whether any live attempt is to be stopped. */
     public boolean hasStoppingAttempts() {
         return stoppingAttemptCount > 0;
     }
@@ -322,29 +321,29 @@
         }
     }
 
-    /** Ids of the machines on which a task of the job failed; read only. */
+    /** Ids of the machines on which a task of the job failed; a read-only view. */
     public Set<String> failedMachines() {
         return failureHistory.failedMachines();
     }
 
-    /** Seconds on the steady clock before which nothing of the job is placed. */
+    /** The time before which no task of the job is placed, in seconds on the steady clock. */
     public double notBefore() {
         return failureHistory.notBefore();
     }
 
     // ---- dependencies ---------------------------------------------------------------------------
 
-    /** Ids of the jobs that have to be done before any task of this one starts. */
+    /** Ids of the jobs that have to be done before any task of this job starts. */
     public List<String> dependencies() {
         return record.dependencies();
     }
 
-    /** Those of them that are not known to be done; read only. */
+    /** Ids of the dependencies that are not known to be done; a read-only view. */
     public Set<String> unmetDependencies() {
         return Collections.unmodifiableSet(unmetDependencies);
     }
 
-    /** Whether the job can't start yet, or ever, because of its dependencies or its records. */
+    /** Whether the job's dependencies or an unreadable record keep it from starting. */
     public boolean isHeld() {
         return isUnreadable || hasCancelledDependency || !unmetDependencies.isEmpty();
     }
@@ -357,68 +356,68 @@
     // ---- priority, deadlines and start goals ----------------------------------------------------
 
     /**
-     * Since when the job could start, in milliseconds since 1970: its submission, or the end of the
-     * last of its dependencies.
+     * The time since which the job may start: its submission, or the end of its last dependency, in
+     * milliseconds since 1970.
      */
     public double eligibleSinceMillis() {
         return startGoals.eligibleSinceMillis();
     }
 
-    /** For how many seconds after its submission the job was held by its dependencies. */
+    /** The number of seconds after submission for which dependencies kept the job from starting. */
     public double heldSeconds() {
         return startGoals.heldSeconds();
     }
 
-    /** The highest priority of the job itself and of all jobs that depend on it. */
+    /** The highest priority among the job itself and all jobs that depend on it. */
     public JobSpec.Priority effectivePriority() {
         return startGoals.effectivePriority();
     }
 
-    /** Whether a deadline counts for the job: its own, or one of a job that depends on it. */
+    /** Whether the job, or a job that depends on it, has a deadline. */
     public boolean hasDeadline() {
         return startGoals.hasDeadline();
     }
 
     /**
-     * By when the job should be done for the sake of a deadline, in milliseconds since 1970;
-     * infinite without one.
+     * The time by which the job should be done to meet its own deadline and those of its
+     * dependents, in milliseconds since 1970; infinite if there is no deadline.
      */
     public double dueMillis() {
         return startGoals.dueMillis();
     }
 
-    /** How many goals there are for the start of its tasks. */
+    /** The number of start goals of the job. */
     public int startGoalCount() {
         return startGoals.startGoalCount();
     }
 
     /**
-     * By when its tasks have to start to meet a goal, in milliseconds since 1970.
+     * The time by which the job's tasks have to start to meet a goal, in milliseconds since 1970.
      *
-     * @param goal from 0, the soonest first
+     * @param goal the index of the goal, from 0, earliest first
      */
     public double startGoalMillis(int goal) {
         return startGoals.startGoalMillis(goal);
     }
 
-    /** Whether the job is past all its objectives. */
+    /** Whether the job has missed all its objectives. */
     public boolean hasMissedAllGoals() {
         return hasMissedAllGoals;
     }
 
-    // ---- its team's guarantee -------------------------------------------------------------------
+    // ---- the team's guarantee -------------------------------------------------------------------
 
-    /** Whether it is known if the job fitted into its team's guarantee when it came. */
+    /** Whether it has been decided if the job fitted into its team's guarantee on arrival. */
     public boolean isGuaranteeClaimKnown() {
         return guarantee.isClaimKnown();
     }
 
-    /** Sets, once, whether the job fits into its team's guarantee as it comes. */
+    /** Sets, once, whether the job fits into its team's guarantee on arrival. */
     public void setGuaranteeClaim(boolean fits) {
         guarantee.setClaim(fits);
     }
 
-    /** Whether the job is known to have fitted into its team's guarantee when it came. */
+    /** Whether the job is known to have fitted into its team's guarantee on arrival. */
     public boolean wasWithinGuaranteeOnArrival() {
         return guarantee.wasWithinOnArrival();
     }
@@ -431,14 +430,14 @@
         return guarantee.isWithin();
     }
 
-    /** Set anew in each round of scheduling; see {@link #isWithinGuarantee}. */
+    /** Sets the value of {@link #isWithinGuarantee}; called in each scheduling round. */
     public void setWithinGuarantee(boolean within) {
         guarantee.setWithin(within);
     }
 
     /**
-     * The job's rank in the scheduling queue, the lowest first: work within its team's guarantee
-     * before all other, then by priority.
+     * The job's rank in the scheduling queue, lowest first: jobs within their team's guarantee
+     * precede all others, then jobs are ordered by priority.
      */
     public int queueRank() {
         return (guarantee.isWithin() ? 0 : JobSpec.Priority.values().length)
@@ -447,32 +446,32 @@
 
     // ---- loans to other cells -------------------------------------------------------------------
 
-    /** The job's loans in the order of their numbers; read only. */
+    /** The job's loans, ordered by number; a read-only view. */
     public List<TaskLoan> loans() {
         return loans.all();
     }
 
-    /** The store revision of the record of its loans, 0 if there is none. */
+    /** The store revision of the job's loan record, 0 if there is none. */
     public long loansRevision() {
         return loans.revision();
     }
 
-    /** The record of its loans was written, or removed, at that revision. */
+    /** Sets the store revision at which the job's loan record was written or removed. */
     public void setLoansRevision(long atRevision) {
         loans.setRevision(atRevision);
     }
 
-    /** Whether the record of its loans is being written. */
+    /** Whether a write of the job's loan record is in progress. */
     public boolean writingLoans() {
         return loans.isBeingWritten();
     }
 
-    /** Keeps others from writing the record of its loans meanwhile. */
+    /** Marks a write of the job's loan record as in progress, which prevents concurrent writes. */
     public void writingLoans(boolean isBeingWritten) {
         loans.setBeingWritten(isBeingWritten);
     }
 
-    /** Stops placing these tasks here. None of them may be done or on a machine. */
+    /** Stops the placement of the loan's tasks here. None of them may be done or on a machine. */
     public void lend(TaskLoan loan) {
         parts.advanceVersion();
         loans.add(loan);
@@ -480,10 +479,10 @@
     }
 
     /**
-     * Takes back a loan that the other cell's store says is over: its tasks are done, or this
-     * cell's to place again. The loan stays on the record until {@link #forgetLoan}.
+     * Takes back a loan that has ended in the remote cell's store: each of its tasks is either done
+     * or placed by this cell again. The loan remains in the record until {@link #forgetLoan}.
      *
-     * @param doneInLoan a bit per task that is done, counted from the loan's first task
+     * @param doneInLoan one bit per task, set if the task is done; bit 0 is the loan's first task
      */
     public void closeLoan(TaskLoan loan, BitSet doneInLoan) {
         loan.isClosed = true;
@@ -497,24 +496,24 @@
         }
     }
 
-    /** Drops a loan that the store has no record of any more. */
+    /** Removes a loan that is no longer in the stored loan record. */
     public void forgetLoan(TaskLoan loan) {
         loans.remove(loan);
     }
 
-    // ---- parts and what differs from their records ----------------------------------------------
+    // ---- parts and changes that are not stored yet ----------------------------------------------
 
-    /** Rises with every change that the records have to follow. */
+    /** The version of the job; increases with every change that has to be stored. */
     public int version() {
         return parts.version();
     }
 
-    /** How many parts the job has. */
+    /** The number of parts of the job. */
     public int partCount() {
         return parts.count();
     }
 
-    /** The part with that index, from 0. */
+    /** The part at the index, counted from 0. */
     public JobPart part(int index) {
         return parts.get(index);
     }
@@ -523,12 +522,12 @@
         return parts.all();
     }
 
-    /** The index of the part that the task is in. */
+    /** The index of the part that contains the task. */
     public int partOf(int task) {
         return parts.indexOf(task);
     }
 
-    /** The last task of the part that the task is in; may be beyond the job's last task. */
+    /** The last task of the part that contains the task; may exceed the job's last task. */
     public int lastOfPart(int task) {
         return parts.endTask(parts.indexOf(task)) - 1;
     }
@@ -537,7 +536,7 @@
         return parts.tasksPerPart() <= taskCount;
     }
 
-    /** Marks the part that the task is in as differing from its record, and returns it. */
+    /** Marks the part that contains the task as changed since its last write, and returns it. */
     JobPart markDirty(int task) {
         return parts.markDirty(task);
     }
@@ -550,19 +549,19 @@
         parts.markAllDirty();
     }
 
-    /** Marks the part that the task is in as having a placement that its record lacks. */
+    /** Marks the part that contains the task as having a placement that is not stored yet. */
     JobPart markPlacementDirty(int task) {
         return parts.markPlacementDirty(task);
     }
 
-    /** Whether the store has any record about the job's tasks. */
+    /** Whether any part of the job has a record in the store. */
     public boolean hasPartRecords() {
         return parts.hasRecords();
     }
 
     /**
-     * The job's record was written anew with another size of its parts. The revisions of the parts'
-     * records are unknown until {@link JobPart#markWritten}.
+     * Applies a committed migration, which rewrote the job's record with another part size. The
+     * revisions of the new parts' records are unknown until {@link JobPart#markWritten}.
      */
     public void applyMigration(JobRecord migrated, long atRevision) {
         record = migrated;
@@ -570,37 +569,37 @@
         parts.recreate(migrated.tasksPerPart(), liveAttempts.values());
     }
 
-    // ---- the records of its parts ---------------------------------------------------------------
+    // ---- the records of the parts ---------------------------------------------------------------
 
     /**
-     * Whether one more attempt of the task can be on record, with its part's record at most {@code
-     * maxRecordBytes} long.
+     * Whether one more attempt of the task can be added without making its part's record longer
+     * than {@code maxRecordBytes}.
      */
     public boolean fitsRecord(int task, int maxRecordBytes) {
         return parts.fitsRecord(task, maxRecordBytes);
     }
 
     /**
-     * Whether all tasks may be on machines of their own at once, with each part's record at most
-     * {@code maxRecordBytes} long.
+     * Whether all tasks can be on machines at once, each on a different one, without making any
+     * part's record longer than {@code maxRecordBytes}.
      */
     boolean allTasksFitRecords(int maxRecordBytes) {
         return allTasksFitRecords(spec, parts.tasksPerPart(), maxRecordBytes);
     }
 
-    /** The same for a job that does not exist yet. */
+    /** Like {@link #allTasksFitRecords(int)}, for a job that does not exist yet. */
     public static boolean allTasksFitRecords(JobSpec spec, int tasksPerPart, int maxRecordBytes) {
         return JobParts.allTasksFitRecords(spec, tasksPerPart, maxRecordBytes);
     }
 
-    /** The record of the part as it is now; see {@link PartRecord}. */
+    /** The record of the part in its current state; see {@link PartRecord}. */
     public Map<String, Object> partRecord(int part) {
         return partRecord(part, parts.tasksPerPart());
     }
 
     /**
-     * The record of a part if parts had {@code tasksPerPart} tasks, or empty if the part has
-     * neither done tasks nor attempts and needs no record.
+     * The record that a part would have with {@code tasksPerPart} tasks per part, or empty if the
+     * part has neither done tasks nor attempts and needs no record.
      */
     public Optional<Map<String, Object>> partRecordOf(int part, int tasksPerPart) {
         int firstTask = part * tasksPerPart;
@@ -624,8 +623,8 @@
     }
 
     /**
-     * Takes over a part's done tasks and the attempt counter from its record. The attempts are for
-     * the caller, which knows the machines.
+     * Restores a part's done tasks and the attempt counter from its record. The caller restores the
+     * returned attempts, as it knows the machines.
      *
      * @throws io.kitepath.core.model.InvalidInputException if it is not this part's record
      */
@@ -640,36 +639,36 @@
         for (int i = done.nextSetBit(0); i >= 0; i = done.nextSetBit(i + 1)) {
             tasks.markDone(firstTask + i);
         }
-        // A part has a record only once some task was placed, so all dependencies are done.
+        // A part gets a record only after a task was placed, so all dependencies are done.
         unmetDependencies.clear();
         startGoals.restoreEligibleSince(partRecord.eligibleSinceMillis());
         return placed;
     }
 
-    /** How many tasks the part has. */
+    /** The number of tasks in the part. */
     int taskCountOfPart(int part) {
         return Math.min(spec.taskCount(), parts.endTask(part)) - parts.firstTask(part);
     }
 
     /**
-     * The part's record can't be read, so it is not known what of it is done or on machines:
-     * nothing of the job may be placed, and the record stays as it is.
+     * Marks the part's record as unreadable. It is unknown which of its tasks are done or on
+     * machines, so no task of the job may be placed, and the record is left unchanged.
      */
     void markUnreadable(int part) {
         isUnreadable = true;
         parts.get(part).markUnreadable();
     }
 
-    /** Whether a record of it can't be read, so that nothing of it may be placed. */
+    /** Whether a record of the job is unreadable, so that none of its tasks may be placed. */
     boolean isUnreadable() {
         return isUnreadable;
     }
 
-    // ---- for display and the log ----------------------------------------------------------------
+    // ---- display and logging --------------------------------------------------------------------
 
     /**
-     * The job's progress, counted anew at most once in {@code everySeconds}, as a job may have many
-     * tasks and many who ask.
+     * The job's progress, recounted at most once in {@code everySeconds}, as a job may have many
+     * tasks and many status queries.
      *
      * @param now in seconds on the steady clock
      */
@@ -686,8 +685,8 @@
     }
 
     /**
-     * For the log, in seconds: how long the job took, and how long before its end its tasks were
-     * placed and began.
+     * Formats the job's timings for the log, in seconds: its age, and how long ago its tasks were
+     * placed and started.
      *
      * @param now in seconds on the steady clock
      * @param wallMillis in milliseconds since 1970
--- a/src/main/java/io/kitepath/core/shard/JobAttempts.java
+++ b/src/main/java/io/kitepath/core/shard/JobAttempts.java
@@ -6,17 +6,20 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** A job's live attempts, at most one of each task: those that nothing has proven over. */
+/** A job's live attempts, which are not confirmed ended; at most one per task. */
 final class JobAttempts {
     private final TreeMap<Integer, Attempt> live = new TreeMap<>();
     private final SortedMap<Integer, Attempt> liveView = Collections.unmodifiableSortedMap(live);
 
-    /** By task, as they are now; read only. */
+    /** The live attempts by task; a read-only view. */
     SortedMap<Integer, Attempt> live() {
         return liveView;
     }
 
-    /** Of the tasks from {@code firstTask} to before {@code endTask}; read only. */
+    /**
+     * The live attempts of the tasks from {@code firstTask} (inclusive) to {@code endTask}
+     * (exclusive); a read-only view.
+     */
     Collection<Attempt> liveBetween(int firstTask, int endTask) {
         return liveView.subMap(firstTask, endTask).values();
     }
@@ -25,12 +28,12 @@
         live.put(attempt.task, attempt);
     }
 
-    /** Returns whether it was the live attempt of its task. */
+    /** Removes the attempt and returns whether it was the live attempt of its task. */
     boolean remove(Attempt attempt) {
         return live.remove(attempt.task, attempt);
     }
 
-    /** How many run, as far as reports have shown. */
+    /** The number of attempts that are running according to heartbeats. */
     int runningCount() {
         return (int)
                 live.values().stream()
--- a/src/main/java/io/kitepath/core/shard/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -17,26 +17,26 @@
 /**
  * The dependency graph of the open jobs.
  *
- * <p>A job starts only when the store says that each of its dependencies is done; it is cancelled
- * when the store says that one of them is cancelled. Nothing else counts, neither progress nor a
- * message, and no leader hands its knowledge on: a new one reads anew how those dependencies ended
- * that are not open any more.
+ * <p>A job starts only when all its dependencies are stored as done; it is cancelled when one of
+ * them is stored as cancelled. Only the store is authoritative, not progress or messages. Outcomes
+ * are not passed on between leaders: a new leader reads the outcomes of closed dependencies from
+ * the store again.
  *
- * <p>Dependents pass their demand on to their dependencies: the highest priority, and by when they
- * have to be done. Both are propagated as jobs come and end, along the edges where they change, and
- * not computed anew in each scheduling round.
+ * <p>Dependencies inherit the demand of their dependents: the highest priority and the earliest due
+ * times. Both are propagated incrementally as jobs open and close, along the edges where they
+ * change, instead of being recomputed in each scheduling round.
  */
 public final class JobDependencies {
-    /** Outcomes that are remembered; one that was dropped is read from the store again. */
+    /** The number of cached outcomes; an evicted one is read from the store again. */
     private static final int MAX_OUTCOMES = 10_000;
 
     /**
-     * How many unknown outcomes are compared to find the most urgent: that is done after each
-     * answer.
+     * The number of unknown outcomes that are compared to find the most urgent ones; limited
+     * because the comparison is repeated after each response.
      */
     private static final int MAX_COMPARED = 256;
 
-    /** How a job ended, and when according to its record, in milliseconds since 1970. */
+    /** How a job ended, and the time of its end in its record, in milliseconds since 1970. */
     private record JobOutcome(boolean isDone, double atMillis) {}
 
     private final ClusterSettings settings;
@@ -44,7 +44,7 @@
     private final ToDoubleFunction<JobSpec> startLatencySeconds;
     private final Runnable onEligible;
 
-    /** Open jobs by the id of each dependency whose outcome is not known. */
+    /** Open jobs by the id of each dependency whose outcome is unknown. */
     private final Map<String, Set<Job>> dependentsByDependency = new LinkedHashMap<>();
 
     private final Map<String, JobOutcome> outcomes =
@@ -55,17 +55,17 @@
                 }
             };
 
-    /** Ids of dependencies that are not open here and whose outcome is not known. */
+    /** Ids of dependencies that are not open here and whose outcome is unknown. */
     private final Set<String> unknownOutcomes = new LinkedHashSet<>();
 
-    /** In the order in which the cancellation spread: nearest to the cancelled job first. */
+    /** Jobs to cancel in the order of propagation: nearest to the cancelled job first. */
     private final Set<Job> jobsToCancel = new LinkedHashSet<>();
 
     /**
-     * @param jobs by id, those that are open, or finished with something of them left
-     * @param startLatencySeconds how long jobs of a kind take from placement to running; 0 if that
-     *     is not known
-     * @param onEligible runs when a job may start
+     * @param jobs by id, all jobs that are open, or finished but not cleaned up yet
+     * @param startLatencySeconds the time from placement to running for jobs like the given one; 0
+     *     if unknown
+     * @param onEligible called when a job may start
      */
     JobDependencies(
             ClusterSettings settings,
@@ -85,7 +85,7 @@
         jobsToCancel.clear();
     }
 
-    // ---- jobs come and go -----------------------------------------------------------------------
+    // ---- opening and closing of jobs ------------------------------------------------------------
 
     /** Adds an open job. */
     void jobOpened(Job job) {
@@ -129,12 +129,12 @@
                 .toList();
     }
 
-    /** Some of the job's tasks were placed, by its records, so all its dependencies are done. */
+    /** Handles a job with placed tasks in its records, so that all its dependencies are done. */
     void jobStarted(Job job) {
         removeFromDependents(job);
     }
 
-    /** Removes a job that is not open any more; its record says how it ended. */
+    /** Removes a job that is no longer open; its outcome is in its record. */
     void jobClosed(Job job) {
         String id = job.spec.id();
         jobsToCancel.remove(job);
@@ -147,10 +147,10 @@
     }
 
     /**
-     * Takes over how a job ended, as the store has it.
+     * Records the stored outcome of a job and updates its dependents.
      *
-     * @param isDone whether the job is done, otherwise it is cancelled
-     * @param atMillis when it ended, in milliseconds since 1970
+     * @param isDone true if the job is done, false if it is cancelled
+     * @param atMillis the time of its end, in milliseconds since 1970
      */
     public void recordOutcome(String id, boolean isDone, double atMillis) {
         outcomes.put(id, new JobOutcome(isDone, atMillis));
@@ -191,8 +191,8 @@
     }
 
     /**
-     * Marks the job and all its direct and indirect dependents, breadth first. Without recursion,
-     * as a chain of jobs may be long.
+     * Marks the job and all its direct and indirect dependents for cancellation, breadth first.
+     * Avoids recursion, as a chain of dependent jobs may be long.
      */
     private void markForCancellation(Job first) {
         Deque<Job> next = new ArrayDeque<>(List.of(first));
@@ -206,14 +206,14 @@
         }
     }
 
-    // ---- what is to be read and written ---------------------------------------------------------
+    // ---- pending reads and cancellations --------------------------------------------------------
 
     /**
-     * Ids of jobs whose records have to be read for their outcomes; those that block the most
-     * urgent work first.
+     * Ids of jobs whose outcomes have to be read from the store; those that block the most urgent
+     * jobs come first.
      *
-     * @param most how many at most
-     * @param excluded ids to leave out, as they are being read
+     * @param most the maximum number of ids
+     * @param excluded ids to exclude because their reads are in progress
      */
     public List<String> unknownOutcomes(int most, Set<String> excluded) {
         return unknownOutcomes.stream()
@@ -231,7 +231,7 @@
                 .orElse(0);
     }
 
-    /** Open jobs that have to be cancelled because a dependency is. */
+    /** Open jobs that have to be cancelled because a dependency was cancelled. */
     public List<Job> jobsToCancel() {
         return List.copyOf(jobsToCancel);
     }
@@ -241,7 +241,7 @@
         return jobsToCancel.size();
     }
 
-    /** How many open jobs are held by their dependencies. */
+    /** The number of open jobs for which {@link Job#isHeld} is true. */
     public long heldJobCount() {
         return jobs.values().stream().filter(job -> !job.isFinished && job.isHeld()).count();
     }
@@ -249,8 +249,8 @@
     // ---- demand ---------------------------------------------------------------------------------
 
     /**
-     * Computes anew what is asked of these jobs, and of their dependencies as far as that changes
-     * anything.
+     * Recomputes the demand of dependents on these jobs, and transitively on their dependencies for
+     * as long as that changes anything.
      */
     private void propagateDemand(Deque<Job> changed) {
         while (!changed.isEmpty()) {
@@ -271,12 +271,14 @@
         return other.compareTo(one) < 0 ? other : one;
     }
 
-    /** By when the job has to start for its own deadlines and those of its dependents. */
+    /**
+     * The time by which the job's dependencies have to be done to meet its own deadlines and those
+     * of its dependents.
+     */
     private DueTimes mustStartBy(Job job) {
         DueTimes due = ownDeadlines(job).min(job.startGoals.dependentsDue());
-        // Between a dependency's end and the dependent's start, the end is reported and written,
-        // the
-        // placement is written, and the worker asks for it.
+        // Between the end of a dependency and the start of its dependent, the end is reported and
+        // stored, the placement is stored, and the worker fetches it with a heartbeat.
         double heartbeatSeconds = settings.workers().heartbeatIntervalSeconds();
         double gapSeconds =
                 Math.max(startLatencySeconds.applyAsDouble(job.spec), heartbeatSeconds)
--- a/src/main/java/io/kitepath/core/shard/JobLoans.java
+++ b/src/main/java/io/kitepath/core/shard/JobLoans.java
@@ -4,14 +4,14 @@
 import java.util.Collections;
 import java.util.List;
 
-/** What of a job is lent to other cells, and the state of the record that says so. */
+/** The loans of a job's tasks to other cells, and the state of the loan record. */
 final class JobLoans {
     private final List<TaskLoan> loans = new ArrayList<>();
     private final List<TaskLoan> loansView = Collections.unmodifiableList(loans);
     private long revision;
     private boolean isBeingWritten;
 
-    /** In the order of their numbers; read only. */
+    /** All loans, ordered by number; a read-only view. */
     List<TaskLoan> all() {
         return loansView;
     }
@@ -24,7 +24,7 @@
         loans.remove(loan);
     }
 
-    /** The store revision of the record of the loans, 0 if there is none. */
+    /** The store revision of the loan record, 0 if there is none. */
     long revision() {
         return revision;
     }
--- a/src/main/java/io/kitepath/core/shard/JobPart.java
+++ b/src/main/java/io/kitepath/core/shard/JobPart.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * A slice of a job's tasks that is stored as one record, and how far that record is behind.
+ * A range of a job's tasks that is stored as one record, together with the versions that tell
+ * whether that record is up to date.
  *
- * <p>Changes are numbered by the job's {@link Job#version() version}: a part is dirty while the
- * version of its last change is above the version that its record holds.
+ * <p>Changes are numbered by the job's {@link Job#version() version}. A part is dirty while the
+ * version of its last change is higher than the version of its record.
  */
 public final class JobPart {
     public final Job job;
 
-    /** The position of the part in its job, from 0; part of the record's key. */
+    /** The index of the part in its job, from 0; contained in the record's key. */
     public final int index;
 
     private long revision;
@@ -21,10 +22,10 @@
     private int placedVersion;
     private int writtenVersion;
 
-    /** Bytes that the part's live attempts take in its record. */
+    /** The size of the part's live attempts in its record, in bytes. */
     private int liveBytes;
 
-    /** Live attempts of this part by machine id; the record names each machine once. */
+    /** The number of live attempts by machine id; the record contains each machine id once. */
     private final Map<String, Integer> attemptsPerMachine = new HashMap<>();
 
     JobPart(Job job, int index) {
@@ -37,17 +38,17 @@
         return revision;
     }
 
-    /** Whether the part differs from its record, and may be written. */
+    /** Whether the part differs from its record and may be written. */
     public boolean isDirty() {
         return !unreadable && changedVersion > writtenVersion;
     }
 
-    /** Whether the part has a placement that its record lacks; such a task must not be launched. */
+    /** Whether the part has a placement not stored yet, whose task must not be launched. */
     boolean hasUnwrittenPlacement() {
         return placedVersion > writtenVersion;
     }
 
-    /** Marks the part as clean without a record: the store has none and needs none. */
+    /** Marks the part as clean without a record: there is none in the store and none is needed. */
     public void markRecordUnneeded() {
         writtenVersion = job.version();
     }
@@ -61,18 +62,18 @@
         placedVersion = job.version();
     }
 
-    /** The part's record was found in the store at {@code atRevision}. */
+    /** Records that the part's record was found in the store at {@code atRevision}. */
     void markFound(long atRevision) {
         revision = atRevision;
     }
 
-    /** The part's record can't be read; it is neither written nor removed. */
+    /** Marks the part's record as unreadable, so that it is neither written nor removed. */
     void markUnreadable() {
         unreadable = true;
         revision = 0;
     }
 
-    /** The part's record holds everything up to that version of the job. */
+    /** Marks the changes up to {@code version} of the job as stored in the part's record. */
     void markWritten(int version, long atRevision) {
         revision = atRevision;
         writtenVersion = version;
--- a/src/main/java/io/kitepath/core/shard/JobParts.java
+++ b/src/main/java/io/kitepath/core/shard/JobParts.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * How a job's tasks are divided into {@link JobPart parts}, which of them differ from their
- * records, and whether those records fit into the store's limit.
+ * The division of a job's tasks into {@link JobPart parts}. Tracks which parts differ from their
+ * records, and whether the records fit the size limit of the store.
  *
- * <p>The version counts the changes that some record has to follow. It only ever rises, also across
- * a migration to other parts.
+ * <p>The version counts the changes that have to be stored. It never decreases, not even when a
+ * migration replaces the parts.
  */
 final class JobParts {
     private final Job job;
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Replaces all parts by new ones of another size, whose records are not known yet. */
+    /** Replaces all parts by parts of another size, whose records are not known yet. */
     void recreate(int tasks, Collection<Attempt> live) {
         create(tasks);
         live.forEach(this::countLive);
@@ -60,7 +60,7 @@
         return index * tasksPerPart;
     }
 
-    /** The task after the part's last one; may be beyond the job's last task. */
+    /** The end (exclusive) of the part's tasks; may exceed the number of the job's tasks. */
     int endTask(int index) {
         return (index + 1) * tasksPerPart;
     }
@@ -75,12 +75,12 @@
         return version;
     }
 
-    /** Starts a new version, which the parts that are marked from now on differ by. */
+    /** Starts a new version, to which subsequent changes belong. */
     void advanceVersion() {
         version++;
     }
 
-    /** Marks the task's part as changed in the present version. */
+    /** Marks the task's part as changed in the current version. */
     void markDirtyInVersion(int task) {
         partOf(task).markDirty();
     }
@@ -118,7 +118,7 @@
         return false;
     }
 
-    // ---- size of the records --------------------------------------------------------------------
+    // ---- record size ----------------------------------------------------------------------------
 
     void countLive(Attempt attempt) {
         partOf(attempt.task).countLive(attempt);
@@ -128,17 +128,17 @@
         partOf(attempt.task).uncountLive(attempt);
     }
 
-    /** An upper bound of the bytes of the part's record as it is now. */
+    /** An upper bound of the current size of the part's record, in bytes. */
     int recordBytes(int index) {
         return PartRecord.bytesWithoutAttempts(tasksPerPart) + parts[index].liveBytes();
     }
 
-    /** Whether the record of the task's part can take one more attempt. */
+    /** Whether one more attempt fits into the record of the task's part. */
     boolean fitsRecord(int task, int maxRecordBytes) {
         return PartRecord.hasRoomFor(1, recordBytes(indexOf(task)), maxRecordBytes);
     }
 
-    /** Whether the records hold all tasks at once, each on a machine of its own. */
+    /** Whether the records can hold attempts of all tasks at once, each on a different machine. */
     static boolean allTasksFitRecords(JobSpec spec, int tasksPerPart, int maxRecordBytes) {
         int tasksInPart = Math.min(spec.taskCount(), tasksPerPart);
         return PartRecord.hasRoomFor(
--- a/src/main/java/io/kitepath/core/shard/JobRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/JobRegistry.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The shard's jobs: those that are open, and those that are over with something of them left. */
+/** The shard's jobs: all open ones, and finished ones that are not cleaned up yet. */
 final class JobRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(JobRegistry.class);
 
@@ -44,7 +44,7 @@
                         signal::request);
     }
 
-    /** Unmodifiable view by id, in the order in which they became known. */
+    /** Unmodifiable view of the jobs by id, in the order in which they were added. */
     Map<String, Job> jobs() {
         return jobsView;
     }
@@ -74,7 +74,7 @@
     void add(Job job) {
         jobs.put(job.spec.id(), job);
         LOG.debug(
-                "job known: job={} class={} tasks={} cpus={} image={}",
+                "job added: job={} class={} tasks={} cpus={} image={}",
                 job.spec.id(),
                 job.spec.jobClass(),
                 job.spec.taskCount(),
@@ -88,14 +88,15 @@
         }
     }
 
-    /** A job that is over, some of whose attempts may still be on machines. */
+    /** Adds a finished job, some of whose attempts may still be on machines. */
     void addFinished(Job job) {
         job.isFinished = true;
         add(job);
     }
 
     /**
-     * Takes over what a part's record says is done and what is, or may be, on machines.
+     * Restores a part's done tasks, and its attempts that are or may be on machines, from its
+     * record.
      *
      * @throws io.kitepath.core.model.InvalidInputException if the record is not one of a part
      */
@@ -111,8 +112,10 @@
     }
 
     /**
-     * The job is done or cancelled in the store; whatever of it is still on machines has to be
-     * stopped. Returns whether that is news here.
+     * Marks a job as finished after it was stored as done or cancelled. Attempts that are still on
+     * machines have to be stopped.
+     *
+     * @return whether the job was open here until now
      */
     boolean finish(String id) {
         Job job = jobs.get(id);
@@ -130,17 +133,17 @@
         job.markAllDirty();
         for (JobPart part : job.allParts()) {
             if (part.revision() > 0) {
-                // To be removed, or kept for as long as something of it is on machines.
+                // The record is removed, or kept while attempts of the part are on machines.
                 writes.dirtyParts().addChange(part);
             }
         }
-        LOG.info("job over: job={} attemptsToEnd={}", id, job.liveAttempts.size());
+        LOG.info("job finished: job={} liveAttempts={}", id, job.liveAttempts.size());
         return true;
     }
 
     /**
-     * Removes a job that is over, with nothing of it left anywhere. If it never succeeded, its
-     * failures say nothing of machines any more.
+     * Removes a finished job that has no attempts or records left. If no task of it ever succeeded,
+     * its failures are no longer held against machines.
      */
     void remove(Job job, FailureDiagnosis failureDiagnosis) {
         jobs.remove(job.spec.id());
@@ -152,10 +155,10 @@
     }
 
     /**
-     * Progress of those of the jobs that are known here and not about to be cancelled for a job
-     * that they depend on.
+     * The progress of the given jobs, without those that are unknown here and those that are to be
+     * cancelled because a dependency was cancelled.
      *
-     * @param maxAgeSeconds how old a count may be
+     * @param maxAgeSeconds the maximum age of a cached count
      */
     List<JobProgress> progress(
             List<String> ids, double now, double maxAgeSeconds, PendingReasons pendingReasons) {
--- a/src/main/java/io/kitepath/core/shard/JobSizes.java
+++ b/src/main/java/io/kitepath/core/shard/JobSizes.java
@@ -7,26 +7,26 @@
 import java.util.Deque;
 
 /**
- * The sizes, in CPUs over all tasks, of the jobs of each class that came lately, to tell which jobs
+ * The sizes of the most recent jobs of each class, in CPUs over all tasks. Used to tell which jobs
  * are among the largest of their class.
  */
 final class JobSizes {
-    /** How many jobs of a class are remembered. */
+    /** The number of recent jobs per class whose sizes are kept. */
     private static final int MAX_SIZES = 64;
 
-    /** With fewer jobs than that, none counts as one of the largest. */
+    /** With fewer jobs in a class, none counts as one of the largest. */
     private static final int MIN_SIZES = 8;
 
-    /** The share of a class's jobs that is smaller than its largest ones. */
+    /** The share of a class's jobs that are smaller than its largest ones. */
     private static final double LARGE_QUANTILE = 0.75;
 
-    /** Users name the classes, so there may be any number of them. */
+    /** Limits memory use, as users may define any number of classes. */
     private static final int MAX_CLASSES = 1000;
 
     private static final class SizeClass {
         private final Deque<Double> recentSizes = new ArrayDeque<>();
 
-        /** From that size on a job is one of the largest. */
+        /** The minimum size of the largest jobs, in CPUs. */
         private double largeFrom = Double.POSITIVE_INFINITY;
 
         void add(double size) {
@@ -44,7 +44,7 @@
                     recentSizes.stream().mapToDouble(Double::doubleValue).sorted().toArray();
             double median = sorted[sorted.length / 2];
             double quantile = sorted[(int) (LARGE_QUANTILE * sorted.length)];
-            // Where most are of the quantile's size, only what is larger is large.
+            // If most jobs have the size of the quantile, only larger ones count as large.
             return median < quantile ? quantile : Math.nextUp(quantile);
         }
     }
--- a/src/main/java/io/kitepath/core/shard/JobStartGoals.java
+++ b/src/main/java/io/kitepath/core/shard/JobStartGoals.java
@@ -6,8 +6,8 @@
 import java.util.stream.DoubleStream;
 
 /**
- * Since when a job may start, by when it should, and its priority, as it is by itself and as the
- * jobs that depend on it ask.
+ * The time since which a job may start, its start goals and deadlines, and its effective priority,
+ * from its own specification and the demand of its dependents.
  */
 final class JobStartGoals {
     private final JobSpec spec;
@@ -16,12 +16,15 @@
     private JobSpec.Priority effectivePriority;
     private DueTimes dependentsDue = DueTimes.NONE;
 
-    /** By when its tasks have to start to meet its objectives, the soonest first. */
+    /**
+     * The times by which the job's tasks have to start to meet its objectives, in milliseconds
+     * since 1970, earliest first.
+     */
     private double[] startGoalsMillis;
 
     /**
-     * @param startWithinSeconds within what time after its submission the job has to start to meet
-     *     each of its objectives
+     * @param startWithinSeconds for each objective, the time after submission within which the job
+     *     has to start to meet it
      */
     JobStartGoals(JobSpec spec, double submittedMillis, double[] startWithinSeconds) {
         this.spec = spec;
@@ -35,7 +38,7 @@
         return Arrays.stream(seconds).map(s -> submittedMillis + s * 1000).toArray();
     }
 
-    /** Its submission, or the end of the last of its dependencies, in milliseconds since 1970. */
+    /** The job's submission, or the end of its last dependency, in milliseconds since 1970. */
     double eligibleSinceMillis() {
         return eligibleSinceMillis;
     }
@@ -44,7 +47,7 @@
         return (eligibleSinceMillis - submittedMillis) / 1000;
     }
 
-    /** The highest of its own and of all jobs that depend on it. */
+    /** The highest priority among the job itself and all jobs that depend on it. */
     JobSpec.Priority effectivePriority() {
         return effectivePriority;
     }
@@ -57,7 +60,7 @@
         return !dependentsDue.equals(DueTimes.NONE);
     }
 
-    /** The soonest deadline, its own or a dependent's, in milliseconds since 1970, or infinite. */
+    /** The earliest deadline, its own or a dependent's, in milliseconds since 1970, or infinite. */
     double dueMillis() {
         double own =
                 spec.deadlineSeconds() == null
@@ -66,7 +69,7 @@
         return Math.min(own, dependentsDue.earliestMillis());
     }
 
-    /** By when it has to be done for the jobs that depend on it. */
+    /** The times by which the job has to be done for the jobs that depend on it. */
     DueTimes dependentsDue() {
         return dependentsDue;
     }
@@ -79,18 +82,18 @@
         return startGoalsMillis[goal];
     }
 
-    /** The last of its dependencies was done at that time. */
+    /** Makes the job eligible since the time when its last dependency was done. */
     void becomeEligible(double atMillis, ClusterSettings settings) {
         eligibleSinceMillis = Math.max(submittedMillis, atMillis);
         recomputeStartGoals(settings);
     }
 
-    /** A record says that it was eligible from then on; its start goals stay as they are. */
+    /** Restores the eligibility time from a record; the start goals are left unchanged. */
     void restoreEligibleSince(double atMillis) {
         eligibleSinceMillis = Math.max(eligibleSinceMillis, atMillis);
     }
 
-    /** Takes over what the jobs that depend on it ask; returns whether that changes anything. */
+    /** Applies the demand of the job's dependents and returns whether it changed anything. */
     boolean applyDependentsDemand(
             JobSpec.Priority highest, DueTimes due, ClusterSettings settings) {
         if (highest == effectivePriority && due.equals(dependentsDue)) {
@@ -108,8 +111,8 @@
             startGoalsMillis = own;
             return;
         }
-        // Beside what the dependents need, the job's own goals count only where somebody expects
-        // them: by a deadline, or by an objective of its class.
+        // If dependents have due times, the job's own start goals count only if it has a deadline
+        // of its own or its class has an objective.
         startGoalsMillis =
                 DoubleStream.concat(
                                 startGoalsOfDependents(),
--- a/src/main/java/io/kitepath/core/shard/JobTasks.java
+++ b/src/main/java/io/kitepath/core/shard/JobTasks.java
@@ -4,10 +4,10 @@
 import java.util.SortedMap;
 
 /**
- * The state of each task of a job: done, live, elsewhere, or else waiting.
+ * The state of each task of a job: done, live, elsewhere or waiting.
  *
- * <p>A task is elsewhere if it is not this cell's to place: lent to another cell, or of a borrowed
- * job one that was not lent to this cell.
+ * <p>A task is elsewhere if it is not placed by this cell: it is lent to another cell, or it
+ * belongs to a borrowed job and was not lent to this cell.
  */
 final class JobTasks {
     private final int count;
@@ -16,7 +16,7 @@
     private final SortedMap<Integer, Attempt> live;
 
     /**
-     * @param live the job's live attempts by task, as they are at any time
+     * @param live a view of the job's live attempts by task
      */
     JobTasks(int count, SortedMap<Integer, Attempt> live) {
         this.count = count;
@@ -42,7 +42,8 @@
     }
 
     /**
-     * A bit per task from {@code firstTask} to before {@code endTask}, counted from the first one.
+     * One bit per task from {@code firstTask} (inclusive) to {@code endTask} (exclusive), set if
+     * the task is done; bit 0 is the first task.
      */
     BitSet doneBetween(int firstTask, int endTask) {
         return done.get(firstTask, endTask);
@@ -69,7 +70,7 @@
 
     // ---- waiting --------------------------------------------------------------------------------
 
-    /** Whether the task is this cell's to place, and neither done nor live. */
+    /** Whether the task is placed by this cell and neither done nor live. */
     boolean isWaiting(int task) {
         return !done.get(task) && !elsewhere.get(task) && !live.containsKey(task);
     }
@@ -78,7 +79,7 @@
         return count - done.cardinality() - elsewhere.cardinality() - live.size();
     }
 
-    /** The first waiting task from {@code firstTask} on, or -1. */
+    /** The first waiting task at or after {@code firstTask}, or -1. */
     int nextWaiting(int firstTask) {
         for (int task = done.nextClearBit(firstTask);
                 task < count;
--- a/src/main/java/io/kitepath/core/shard/JobTimeline.java
+++ b/src/main/java/io/kitepath/core/shard/JobTimeline.java
@@ -3,7 +3,8 @@
 import io.kitepath.core.model.JobSpec;
 
 /**
- * When this leader placed a job's tasks and saw them start to run, in seconds on the steady clock.
+ * The times when this leader placed a job's tasks and first saw them running, in seconds on the
+ * steady clock.
  */
 final class JobTimeline {
     private final EventTimes placements = new EventTimes();
@@ -17,7 +18,7 @@
         starts.add(now);
     }
 
-    /** Negative infinity if this leader placed none. */
+    /** The time of the last placement; negative infinity if this leader placed no task. */
     double lastPlacedAt() {
         return placements.last();
     }
@@ -27,18 +28,19 @@
     }
 
     /**
-     * For the log: how long the job took, and how long before its end its tasks were placed and
-     * began.
+     * Formats the job's timings for the log: its age, and how long ago its tasks were placed and
+     * started.
      *
-     * @param ageSeconds since its submission
+     * @param ageSeconds the time since its submission
      */
     String describe(JobSpec spec, double ageSeconds, double now) {
         String deadline =
                 spec.deadlineSeconds() == null
                         ? ""
-                        : String.format(" of %.1f", spec.deadlineSeconds());
+                        : String.format(" deadlineSeconds=%.1f", spec.deadlineSeconds());
         return String.format(
-                "%s, %d tasks of %.0f s, after %.1f s%s; placed %s, begun %s before",
+                "class=%s tasks=%d estimatedSeconds=%.0f ageSeconds=%.1f%s"
+                        + " placedSecondsAgo=%s startedSecondsAgo=%s",
                 spec.jobClass(),
                 spec.taskCount(),
                 spec.estimatedSeconds(),
--- a/src/main/java/io/kitepath/core/shard/PartRecord.java
+++ b/src/main/java/io/kitepath/core/shard/PartRecord.java
@@ -15,10 +15,11 @@
 import java.util.TreeMap;
 
 /**
- * The stored form of a {@link JobPart}: the number of the job's next attempt, a bit per task that
- * is done, the live attempts by machine, and for a job with dependencies since when it is eligible.
+ * The stored form of a {@link JobPart}: the number of the job's next attempt, one bit per task that
+ * is set if the task is done, the live attempts by machine, and, for a job with dependencies, the
+ * time since which it is eligible.
  *
- * <p>An instance reads one record; the fields are checked as they are asked for.
+ * <p>An instance reads one record; each field is validated when it is read.
  */
 public final class PartRecord {
     private static final String NEXT_ATTEMPT = "next";
@@ -26,19 +27,19 @@
     private static final String LIVE = "live";
     private static final String ELIGIBLE_SINCE = "ready";
 
-    /** Bytes of a record without done bits and attempts: names, punctuation and two numbers. */
+    /** Size of a record without done bits and attempts: names, punctuation and two numbers. */
     private static final int FIXED_BYTES = 110;
 
-    /** Bytes of one attempt on a machine that has no other attempt of the part, at most. */
+    /** Maximum size of an attempt on a machine that has no other attempt of the part. */
     private static final int MAX_ATTEMPT_BYTES = 32;
 
-    /** Around an attempt's two numbers: two commas and spaces. */
+    /** Size of the separators of an attempt's two numbers: two commas and spaces. */
     private static final int ATTEMPT_SEPARATOR_BYTES = 4;
 
-    /** Around a machine's id: quotes, colon, brackets and separators. */
+    /** Size of the punctuation of a machine's id: quotes, colon, brackets and separators. */
     private static final int MACHINE_SEPARATOR_BYTES = 8;
 
-    /** An attempt that is, or may be, on a machine. */
+    /** An attempt that is or may be on a machine. */
     record PlacedAttempt(String machineId, int task, long number) {}
 
     private final DocumentReader document;
@@ -49,14 +50,19 @@
 
     // ---- size -----------------------------------------------------------------------------------
 
-    /** An upper bound, in bytes, of the record of a part of so many tasks without attempts. */
+    /**
+     * An upper bound, in bytes, of the record of a part of {@code tasksPerPart} tasks without
+     * attempts.
+     */
     static int bytesWithoutAttempts(int tasksPerPart) {
         int doneBytes = (tasksPerPart + 7) / 8;
         int base64Bytes = doneBytes * 4 / 3 + 4;
         return FIXED_BYTES + base64Bytes;
     }
 
-    /** The bytes that the attempt takes, with its machine's id where no other attempt names it. */
+    /**
+     * The size of the attempt in bytes, including its machine's id if no other attempt names it.
+     */
     static int attemptBytes(Attempt attempt, boolean isOnlyOneOnMachine) {
         return JsonSize.digits(attempt.task)
                 + JsonSize.digits(attempt.number)
@@ -64,7 +70,7 @@
                 + (isOnlyOneOnMachine ? attempt.machine.id.length() + MACHINE_SEPARATOR_BYTES : 0);
     }
 
-    /** Whether a record of {@code bytes} can take {@code attempts} more attempts. */
+    /** Whether {@code attempts} more attempts fit into a record of {@code bytes}. */
     static boolean hasRoomFor(int attempts, int bytes, int maxRecordBytes) {
         return bytes + attempts * MAX_ATTEMPT_BYTES <= maxRecordBytes;
     }
@@ -72,9 +78,11 @@
     // ---- writing --------------------------------------------------------------------------------
 
     /**
-     * @param done a bit per task of the part, counted from the part's first task
+     * Builds the record of a part.
+     *
+     * @param done one bit per task of the part, set if the task is done; bit 0 is the first task
      * @param live the part's live attempts, by task
-     * @param eligibleSinceMillis of a job with dependencies, in milliseconds since 1970
+     * @param eligibleSinceMillis present for a job with dependencies, in milliseconds since 1970
      */
     static Map<String, Object> toRecord(
             long nextAttempt,
@@ -91,7 +99,7 @@
         return record;
     }
 
-    /** Machines by name, each with task and attempt number of its attempts in turn. */
+    /** Alternating tasks and attempt numbers by machine id, sorted by machine id. */
     private static Map<String, List<Object>> tasksAndNumbersByMachine(Collection<Attempt> live) {
         Map<String, List<Object>> byMachine = new TreeMap<>();
         for (Attempt attempt : live) {
@@ -106,6 +114,8 @@
     // ---- reading --------------------------------------------------------------------------------
 
     /**
+     * Creates a reader of the record.
+     *
      * @throws InvalidInputException if the value is not a map
      */
     static PartRecord of(Object record) {
@@ -113,6 +123,8 @@
     }
 
     /**
+     * The number of the job's next attempt.
+     *
      * @throws InvalidInputException if the field is missing or not a count
      */
     long nextAttempt() {
@@ -120,7 +132,7 @@
     }
 
     /**
-     * A bit per task of the part, counted from the part's first task.
+     * One bit per task of the part, set if the task is done; bit 0 is the first task.
      *
      * @throws InvalidInputException if the field is missing or not text in Base64
      */
@@ -133,7 +145,8 @@
     }
 
     /**
-     * In milliseconds since 1970, 0 where the record does not say.
+     * The time since which the job is eligible, in milliseconds since 1970; 0 if the field is
+     * missing.
      *
      * @throws InvalidInputException if it is not a number of 0 or more
      */
@@ -142,9 +155,9 @@
     }
 
     /**
-     * What is, or may be, on machines.
+     * The attempts that are or may be on machines.
      *
-     * @throws InvalidInputException if the field is missing or not of the form that is written
+     * @throws InvalidInputException if the field is missing or not in the stored format
      */
     List<PlacedAttempt> placedAttempts() {
         if (!(document.raw(LIVE) instanceof Map<?, ?> byMachine)) {
@@ -177,10 +190,10 @@
     }
 
     /**
-     * Checks what a record names against the job that it is of.
+     * Checks that the job has all tasks that a record of it names.
      *
-     * @param endTask the task after the last one that is done
-     * @throws InvalidInputException if the job does not have these tasks
+     * @param endTask the task after the last done task
+     * @throws InvalidInputException if the job does not have all these tasks
      */
     static void requireTasksBelow(int taskCount, int endTask, List<PlacedAttempt> placed) {
         if (endTask > taskCount
@@ -190,10 +203,10 @@
     }
 
     /**
-     * A job's progress as its parts' records have it, for a node that does not hold the job in
-     * memory. Placed tasks count as running, as a record does not tell them apart.
+     * Computes a job's progress from its parts' records, for a node that does not have the job in
+     * memory. Placed tasks count as running, as a record does not distinguish them.
      *
-     * @throws InvalidInputException if a record is not one of a part
+     * @throws InvalidInputException if one of the values is not the record of a part
      */
     public static JobProgress progress(String jobId, List<Object> records) {
         int done = 0;
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -6,11 +6,11 @@
 import java.util.StringJoiner;
 
 /**
- * Explains to a user, in one sentence, what an unfinished job waits for, as far as the shard's
+ * Describes to users, in one sentence, what an unfinished job waits for, as far as the shard's
  * leader knows.
  */
 final class PendingReasons {
-    /** How many of the jobs that one waits for are named. */
+    /** The maximum number of dependencies that are named. */
     private static final int MAX_NAMED_DEPENDENCIES = 5;
 
     private final ShardState shard;
@@ -20,7 +20,7 @@
     }
 
     /**
-     * What the job waits for, or empty if there is nothing to say.
+     * Describes what the job waits for; empty if there is nothing to report.
      *
      * @param now in seconds on the steady clock
      */
--- a/src/main/java/io/kitepath/core/shard/PendingWrites.java
+++ b/src/main/java/io/kitepath/core/shard/PendingWrites.java
@@ -9,9 +9,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What of the shard's jobs the store has not been told, and how their records are laid out: a job's
- * tasks are divided into parts, each of which is one record of limited size. A job whose parts have
- * become too large for their records is migrated to smaller ones.
+ * The changes to the shard's jobs that are not stored yet, and the layout of the jobs' records: a
+ * job's tasks are divided into parts, each of which is one record of limited size. A job whose
+ * parts have become too large for their records is migrated to smaller parts.
  */
 final class PendingWrites {
     private static final Logger LOG = LoggerFactory.getLogger(PendingWrites.class);
@@ -20,7 +20,7 @@
     private final SchedulingSignal signal;
     private final DirtyParts dirtyParts = new DirtyParts();
 
-    /** Jobs whose parts are to be laid out anew. */
+    /** Jobs that are to be migrated to smaller parts. */
     private final Set<Job> jobsToMigrate = new LinkedHashSet<>();
 
     private int tasksPerPart;
@@ -44,7 +44,7 @@
 
     // ---- layout -------------------------------------------------------------------------------
 
-    /** How many tasks one part of a job holds whose record does not say. */
+    /** The number of tasks per part for a job whose record does not contain it. */
     int tasksPerPart() {
         return tasksPerPart;
     }
@@ -53,22 +53,25 @@
         tasksPerPart = tasks;
     }
 
-    /** As the settings say, or fewer if the store has refused a record of that size. */
+    /** The limit from the settings, lowered if the store has refused a record of that size. */
     int maxRecordBytes() {
         return maxRecordBytes;
     }
 
-    /** The store has refused a record of that size. */
+    /** Lowers the limit below the size of a record that the store has refused. */
     void lowerMaxRecordBytes(int refusedBytes) {
         maxRecordBytes = Math.min(maxRecordBytes, refusedBytes - 1);
     }
 
-    /** Whether the record of the task's part can take one more attempt. */
+    /** Whether one more attempt fits into the record of the task's part. */
     boolean fitsRecord(Job job, int task) {
         return job.fitsRecord(task, maxRecordBytes);
     }
 
-    /** Whether the records of its parts can take all its tasks at once, or can't be made to. */
+    /**
+     * Whether attempts of all tasks fit into the records of the job's parts at once, or the parts
+     * cannot be made smaller.
+     */
     boolean fitsRecord(Job job) {
         return job.hasPartsOfAtMost(settings.tasksPerCompactPart())
                 || job.allTasksFitRecords(maxRecordBytes);
@@ -91,14 +94,14 @@
     }
 
     /**
-     * The store has the job's records in their new layout.
+     * Applies a committed migration of the job's records to a new layout.
      *
-     * @param version of the job, as of which they were written
-     * @param writtenParts the parts that have a record; the others need none
+     * @param version the version of the job that the records contain
+     * @param writtenParts the indices of the parts that have a record; the others need none
      */
     void applyMigration(
             Job job, JobRecord record, long revision, int version, Set<Integer> writtenParts) {
-        job.allParts().forEach(dirtyParts::remove); // The parts of the old layout are no more.
+        job.allParts().forEach(dirtyParts::remove); // Parts of the old layout
         job.applyMigration(record, revision);
         for (JobPart part : job.allParts()) {
             markPartWritten(part, version, writtenParts.contains(part.index) ? revision : 0);
@@ -109,8 +112,8 @@
     // ---- writes -------------------------------------------------------------------------------
 
     /**
-     * Everything about this part up to {@code version} of its job is in the store: placements are
-     * durable, and ends that it covers need not be remembered any more.
+     * Marks all changes of the part up to {@code version} of its job as stored. Placements up to
+     * that version become durable, and attempts whose ends it covers are dropped.
      */
     void markPartWritten(JobPart part, int version, long revision) {
         Job job = part.job;
@@ -119,7 +122,7 @@
         for (Attempt attempt : job.liveAttemptsInPart(part.index)) {
             if (attempt.placedVersion <= version && !attempt.isDurable) {
                 attempt.isDurable = true;
-                LOG.debug("placement written: attempt={} revision={}", attempt, revision);
+                LOG.debug("placement committed: attempt={} revision={}", attempt, revision);
             }
         }
         job.unwrittenEnds.removeIf(
@@ -134,7 +137,7 @@
                 });
     }
 
-    /** All the job's parts may differ from their records. */
+    /** Marks all parts of the job as changed since their last write. */
     void markAllPartsDirty(Job job) {
         job.markAllDirty();
         job.allParts().forEach(dirtyParts::addChange);
--- a/src/main/java/io/kitepath/core/shard/ProgressCache.java
+++ b/src/main/java/io/kitepath/core/shard/ProgressCache.java
@@ -3,13 +3,13 @@
 import io.kitepath.core.model.JobProgress;
 import java.util.function.Supplier;
 
-/** A job's progress as it was counted last, as a job may have many tasks and many who ask. */
+/** Caches the last counted progress of a job, as it may have many tasks and status queries. */
 final class ProgressCache {
     private JobProgress progress;
     private double countedAt;
 
     /**
-     * The progress, counted anew if that was longer ago.
+     * The progress, recounted if the last count is older than {@code maxAgeSeconds}.
      *
      * @param now in seconds on the steady clock
      */
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * A range of a job's tasks that was offered to another cell, which may have accepted it. Nothing of
- * it is placed here until that cell's store says that the loan is over; neither a time-out nor an
- * unreachable cell ends it.
+ * A range of a job's tasks that was offered to another cell, which may have accepted it. None of
+ * these tasks is placed here until the loan has ended according to the store of that cell; neither
+ * a time-out nor an unreachable cell ends a loan.
  */
 public final class TaskLoan {
     private static final String LOANS = "loans";
@@ -25,32 +25,35 @@
     /** The task after the last one of the loan. */
     public final int endTask;
 
-    /** In seconds on the steady clock; of a loan that was read from the store, when that was. */
+    /**
+     * The time of the offer, or of the read for a loan that was read from the store; in seconds on
+     * the steady clock.
+     */
     public final double offeredAt;
 
-    /** The other cell has said that it has accepted the loan. */
+    /** Whether the other cell has confirmed that it accepted the loan. */
     public boolean isAccepted;
 
-    /** The other cell has said that the loan is over, and that is being recorded here. */
+    /** Whether the other cell has confirmed the end of the loan, which is being stored here. */
     public boolean isClosed;
 
-    /** Whether this cell's store has the loan; it must not be offered before. */
+    /** Whether the loan is stored in this cell; it must not be offered before that. */
     public boolean isRecorded;
 
-    /** When the other cell was last asked about the loan, in seconds on the steady clock. */
+    /** When the other cell was last queried about the loan, in seconds on the steady clock. */
     public double lastQueriedAt = Double.NEGATIVE_INFINITY;
 
-    /** Whether a query about the loan is under way. */
+    /** Whether a query about the loan is in progress. */
     public boolean isAwaitingAnswer;
 
-    /** How many queries in a row had no answer, for the back-off between them. */
+    /** The number of consecutive queries without a response; determines the back-off. */
     public int unansweredQueries;
 
     /**
-     * A loan that is not on record yet.
+     * Creates a loan that is not stored yet.
      *
      * @param firstTask the first task of the job that is lent
-     * @param endTask the first task after those that are lent
+     * @param endTask the task after the last one that is lent
      * @param offeredAt in seconds on the steady clock
      */
     public TaskLoan(
@@ -62,12 +65,12 @@
         this.offeredAt = offeredAt;
     }
 
-    /** How many tasks the loan has. */
+    /** The number of tasks in the loan. */
     public int taskCount() {
         return endTask - firstTask;
     }
 
-    /** The one record that all loans of a job have: number, cell, first and end task of each. */
+    /** Builds the record of a job's loans: number, cell, first and end task of each. */
     public static Map<String, Object> toRecord(List<TaskLoan> loans) {
         List<Object> entries = new ArrayList<>();
         for (TaskLoan loan : loans) {
@@ -84,10 +87,10 @@
     }
 
     /**
-     * Reads what {@link #toRecord} wrote.
+     * Reads the loans from a record built by {@link #toRecord}.
      *
      * @param now in seconds on the steady clock
-     * @throws io.kitepath.core.model.InvalidInputException if it is not such a record
+     * @throws io.kitepath.core.model.InvalidInputException if the value is not a loan record
      */
     public static List<TaskLoan> fromRecord(Object record, double now) {
         DocumentReader document = DocumentReader.of(record);
--- a/src/test/java/io/kitepath/core/shard/JobTest.java
+++ b/src/test/java/io/kitepath/core/shard/JobTest.java
@@ -19,14 +19,14 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** A job's tasks, its parts and their stored form. */
+/** Tests a job's tasks, its parts and their stored form. */
 class JobTest {
     private static final int TASKS_PER_PART = 4;
 
-    /** What a part of {@link #TASKS_PER_PART} tasks takes of a record without attempts. */
+    /** Size of the record of a part of {@link #TASKS_PER_PART} tasks without attempts. */
     private static final int EMPTY_PART_BYTES = 115;
 
-    /** What is held free for one more attempt. */
+    /** Size that is reserved in a record for one more attempt. */
     private static final int MAX_ATTEMPT_BYTES = 32;
 
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
--- a/src/test/java/io/kitepath/core/shard/TaskLoanTest.java
+++ b/src/test/java/io/kitepath/core/shard/TaskLoanTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of a job's loans. */
+/** Tests the stored form of a job's loans. */
 class TaskLoanTest {
     @Test
     void loansKeepTheirStoredForm() {
