--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -135,11 +135,11 @@
         if (job.spec.shape() == JobSpec.Shape.SERVICE) {
             return Double.MAX_VALUE;
         }
-        double estimate = job.spec.estimatedSeconds();
-        return Math.max(estimate - ranSeconds(now), estimate / 5);
+        double estimatedSeconds = job.spec.estimatedSeconds();
+        return Math.max(estimatedSeconds - elapsedRunSeconds(now), estimatedSeconds / 5);
     }
 
-    private double ranSeconds(double now) {
+    private double elapsedRunSeconds(double now) {
         return Double.isNaN(runningSince) ? 0 : now - runningSince;
     }
 
@@ -150,10 +150,12 @@
      * @param now in seconds on the steady clock
      */
     public double unsavedSeconds(double now) {
-        double interval = job.spec.checkpointIntervalSeconds();
-        return interval > 0
-                ? Math.min(ranSeconds(now), Math.min(interval, job.spec.checkpointSaveSeconds()))
-                : ranSeconds(now);
+        double intervalSeconds = job.spec.checkpointIntervalSeconds();
+        return intervalSeconds > 0
+                ? Math.min(
+                        elapsedRunSeconds(now),
+                        Math.min(intervalSeconds, job.spec.checkpointSaveSeconds()))
+                : elapsedRunSeconds(now);
     }
 
     /** Whether a worker's status refers to this attempt, regardless of the reporting machine. */
--- a/src/main/java/io/kitepath/core/shard/AttemptLedger.java
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -21,8 +21,8 @@
     private final PendingWrites writes;
     private final SchedulingSignal signal;
     private final GangRestarts gangRestarts;
-    private long ended;
-    private long lost;
+    private long endedCount;
+    private long lostCount;
 
     AttemptLedger(
             ClusterSettings settings,
@@ -41,19 +41,19 @@
 
     /** The number of attempts that are confirmed ended. */
     long ended() {
-        return ended;
+        return endedCount;
     }
 
     /** The number of these that were lost with their machine or its agent's incarnation. */
     long lost() {
-        return lost;
+        return lostCount;
     }
 
     // ---- placing ------------------------------------------------------------------------------
 
     /** Adds the attempt to the accounts of its job, its machine and its team. */
     void add(Attempt attempt) {
-        attempt.job.addLive(attempt);
+        attempt.job.addLiveAttempt(attempt);
         attempt.machine.addAttempt(attempt);
         quotaUsage.countAttempts(attempt.job.spec, 1);
         attempt.job.stoppingAttemptCount += attempt.isStopping() ? 1 : 0;
@@ -132,7 +132,7 @@
     void withdraw(Attempt attempt) {
         LOG.debug("placement withdrawn, commit not confirmed: attempt={}", attempt);
         quotaUsage.countAttempts(attempt.job.spec, -1);
-        attempt.job.removeLive(attempt);
+        attempt.job.removeLiveAttempt(attempt);
         writes.dirtyParts().addChange(attempt.job.markDirty(attempt.task));
         attempt.job.stoppingAttemptCount -= attempt.isStopping() ? 1 : 0;
         attempt.machine.removeAttempt(attempt);
@@ -143,7 +143,7 @@
 
     /** Ends an attempt that was lost with its machine or its agent's incarnation. */
     void lose(Attempt attempt, double now) {
-        lost++;
+        lostCount++;
         end(attempt, EndCause.STOPPED, now);
     }
 
@@ -161,9 +161,9 @@
         quotaUsage.countAttempts(job.spec, -1);
         attempt.isEnded = true;
         attempt.state = TaskState.ENDED;
-        job.removeLive(attempt);
+        job.removeLiveAttempt(attempt);
         job.stoppingAttemptCount -= attempt.isStopping() ? 1 : 0;
-        ended++;
+        endedCount++;
         signal.request();
         Machine machine = attempt.machine;
         machine.removeAttempt(attempt);
--- a/src/main/java/io/kitepath/core/shard/EventTimes.java
+++ b/src/main/java/io/kitepath/core/shard/EventTimes.java
@@ -3,18 +3,18 @@
 /** The count, average and latest of a series of event times, in seconds on the steady clock. */
 final class EventTimes {
     private int count;
-    private double sum;
-    private double last;
+    private double sumSeconds;
+    private double latestSeconds;
 
-    void add(double at) {
+    void add(double atSeconds) {
         count++;
-        sum += at;
-        last = Math.max(last, at);
+        sumSeconds += atSeconds;
+        latestSeconds = Math.max(latestSeconds, atSeconds);
     }
 
     /** The latest event time; negative infinity if there is none. */
-    double last() {
-        return isEmpty() ? Double.NEGATIVE_INFINITY : last;
+    double latest() {
+        return isEmpty() ? Double.NEGATIVE_INFINITY : latestSeconds;
     }
 
     boolean isEmpty() {
@@ -27,6 +27,6 @@
     String describeBefore(double now) {
         return count == 0
                 ? "unknown"
-                : String.format("%.1f(last=%.1f)", now - sum / count, now - last);
+                : String.format("%.1f(last=%.1f)", now - sumSeconds / count, now - latestSeconds);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/FailureHistory.java
+++ b/src/main/java/io/kitepath/core/shard/FailureHistory.java
@@ -47,8 +47,8 @@
         return notBefore;
     }
 
-    void setNotBefore(double at) {
-        notBefore = at;
+    void setNotBefore(double notBeforeSeconds) {
+        notBefore = notBeforeSeconds;
     }
 
     /** Records a success and returns whether it is the job's first one. */
--- a/src/main/java/io/kitepath/core/shard/GangRestarts.java
+++ b/src/main/java/io/kitepath/core/shard/GangRestarts.java
@@ -18,18 +18,21 @@
  */
 final class GangRestarts {
     /** How long the capacity of a timed-out task is reserved, in image fetch times. */
-    private static final int RESERVED_FETCHES = 3;
+    private static final int RESERVED_FETCH_TIMES = 3;
 
     private final ClusterSettings settings;
     private final MachineRegistry machines;
 
     /** Stops an attempt without grace. */
-    private final Consumer<Attempt> stopAtOnce;
+    private final Consumer<Attempt> stopWithoutGrace;
 
-    GangRestarts(ClusterSettings settings, MachineRegistry machines, Consumer<Attempt> stopAtOnce) {
+    GangRestarts(
+            ClusterSettings settings,
+            MachineRegistry machines,
+            Consumer<Attempt> stopWithoutGrace) {
         this.settings = settings;
         this.machines = machines;
-        this.stopAtOnce = stopAtOnce;
+        this.stopWithoutGrace = stopWithoutGrace;
     }
 
     /** Handles the end of a gang task that did not complete. */
@@ -38,12 +41,12 @@
         Machine machine = attempt.machine;
         if (cause == EndCause.GANG_START_TIMEOUT) {
             machines.recordImageUse(attempt);
-            boolean isRoomFree = machine.reservedFor() == null || machine.isBackfillAllowed();
-            if (isFetchingImages(job) && isRoomFree) {
+            boolean isReservable = machine.reservedFor() == null || machine.isBackfillAllowed();
+            if (isFetchingImages(job) && isReservable) {
                 machine.reserve(
                         job,
                         now
-                                + RESERVED_FETCHES * machines.imageFetchSeconds(job.spec)
+                                + RESERVED_FETCH_TIMES * machines.imageFetchSeconds(job.spec)
                                 + settings.workers().gangStartTimeoutSeconds());
             }
         }
@@ -55,7 +58,7 @@
         if (!job.liveAttempts.isEmpty()
                 && job.liveAttempts.size() < job.spec.taskCount()
                 && !isFetchingImages(job)) {
-            new ArrayList<>(job.liveAttempts.values()).forEach(stopAtOnce);
+            new ArrayList<>(job.liveAttempts.values()).forEach(stopWithoutGrace);
         }
     }
 
--- a/src/main/java/io/kitepath/core/shard/GuaranteeStanding.java
+++ b/src/main/java/io/kitepath/core/shard/GuaranteeStanding.java
@@ -8,26 +8,26 @@
         BEYOND
     }
 
-    private Claim onArrival = Claim.UNKNOWN;
-    private boolean within;
+    private Claim claimOnArrival = Claim.UNKNOWN;
+    private boolean isWithinNow;
 
     boolean isClaimKnown() {
-        return onArrival != Claim.UNKNOWN;
+        return claimOnArrival != Claim.UNKNOWN;
     }
 
     void setClaim(boolean fits) {
-        onArrival = fits ? Claim.WITHIN : Claim.BEYOND;
+        claimOnArrival = fits ? Claim.WITHIN : Claim.BEYOND;
     }
 
     boolean wasWithinOnArrival() {
-        return onArrival == Claim.WITHIN;
+        return claimOnArrival == Claim.WITHIN;
     }
 
     boolean isWithin() {
-        return within;
+        return isWithinNow;
     }
 
     void setWithin(boolean isWithin) {
-        within = isWithin;
+        isWithinNow = isWithin;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -48,7 +48,7 @@
     private final JobAttempts attempts = new JobAttempts();
     private final JobTasks tasks;
 
-    /** Live attempts by task; read-only view, see {@link #addLive} and {@link #removeLive}. */
+    /** Live attempts by task; read-only, changed by e.g. {@link #addLiveAttempt}. */
     final SortedMap<Integer, Attempt> liveAttempts = attempts.live();
 
     /** Attempts that are confirmed ended, but whose end is not stored in their part's record. */
@@ -310,14 +310,14 @@
         return stoppingAttemptCount > 0;
     }
 
-    void addLive(Attempt attempt) {
+    void addLiveAttempt(Attempt attempt) {
         attempts.add(attempt);
-        parts.countLive(attempt);
+        parts.addLiveAttempt(attempt);
     }
 
-    void removeLive(Attempt attempt) {
+    void removeLiveAttempt(Attempt attempt) {
         if (attempts.remove(attempt)) {
-            parts.uncountLive(attempt);
+            parts.removeLiveAttempt(attempt);
         }
     }
 
@@ -630,13 +630,13 @@
      */
     List<PartRecord.PlacedAttempt> readPart(int part, Object value, long partRevision) {
         PartRecord partRecord = PartRecord.of(value);
-        parts.get(part).markFound(partRevision);
+        parts.get(part).markRecordFound(partRevision);
         raiseNextAttempt(partRecord.nextAttempt());
         int firstTask = parts.firstTask(part);
-        BitSet done = partRecord.doneTasks();
+        BitSet doneInPart = partRecord.doneTasks();
         List<PartRecord.PlacedAttempt> placed = partRecord.placedAttempts();
-        PartRecord.requireTasksBelow(spec.taskCount(), firstTask + done.length(), placed);
-        for (int i = done.nextSetBit(0); i >= 0; i = done.nextSetBit(i + 1)) {
+        PartRecord.requireTasksBelow(spec.taskCount(), firstTask + doneInPart.length(), placed);
+        for (int i = doneInPart.nextSetBit(0); i >= 0; i = doneInPart.nextSetBit(i + 1)) {
             tasks.markDone(firstTask + i);
         }
         // A part gets a record only after a task was placed, so all dependencies are done.
--- a/src/main/java/io/kitepath/core/shard/JobDependencies.java
+++ b/src/main/java/io/kitepath/core/shard/JobDependencies.java
@@ -28,16 +28,16 @@
  */
 public final class JobDependencies {
     /** The number of cached outcomes; an evicted one is read from the store again. */
-    private static final int MAX_OUTCOMES = 10_000;
+    private static final int MAX_CACHED_OUTCOMES = 10_000;
 
     /**
      * The number of unknown outcomes that are compared to find the most urgent ones; limited
      * because the comparison is repeated after each response.
      */
-    private static final int MAX_COMPARED = 256;
+    private static final int MAX_COMPARED_OUTCOMES = 256;
 
     /** How a job ended, and the time of its end in its record, in milliseconds since 1970. */
-    private record JobOutcome(boolean isDone, double atMillis) {}
+    private record JobOutcome(boolean isDone, double endedMillis) {}
 
     private final ClusterSettings settings;
     private final Map<String, Job> jobs;
@@ -51,7 +51,7 @@
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, JobOutcome> eldest) {
-                    return size() > MAX_OUTCOMES;
+                    return size() > MAX_CACHED_OUTCOMES;
                 }
             };
 
@@ -88,7 +88,7 @@
     // ---- opening and closing of jobs ------------------------------------------------------------
 
     /** Adds an open job. */
-    void jobOpened(Job job) {
+    void onJobOpened(Job job) {
         String id = job.spec.id();
         unknownOutcomes.remove(id);
         job.dependencies().forEach(dependency -> addDependency(job, dependency));
@@ -112,14 +112,14 @@
                 unknownOutcomes.add(dependency);
             }
         } else if (outcome.isDone) {
-            becomeEligible(job, outcome.atMillis);
+            becomeEligible(job, outcome.endedMillis);
         } else {
             markForCancellation(job);
         }
     }
 
-    private void becomeEligible(Job job, double atMillis) {
-        job.startGoals.becomeEligible(Math.max(job.eligibleSinceMillis(), atMillis), settings);
+    private void becomeEligible(Job job, double endedMillis) {
+        job.startGoals.becomeEligible(Math.max(job.eligibleSinceMillis(), endedMillis), settings);
     }
 
     private List<Job> openDependencies(Job job) {
@@ -130,12 +130,12 @@
     }
 
     /** Handles a job with placed tasks in its records, so that all its dependencies are done. */
-    void jobStarted(Job job) {
+    void onJobStarted(Job job) {
         removeFromDependents(job);
     }
 
     /** Removes a job that is no longer open; its outcome is in its record. */
-    void jobClosed(Job job) {
+    void onJobClosed(Job job) {
         String id = job.spec.id();
         jobsToCancel.remove(job);
         Deque<Job> changed = new ArrayDeque<>(openDependencies(job));
@@ -150,10 +150,10 @@
      * Records the stored outcome of a job and updates its dependents.
      *
      * @param isDone true if the job is done, false if it is cancelled
-     * @param atMillis the time of its end, in milliseconds since 1970
+     * @param endedMillis the time of its end, in milliseconds since 1970
      */
-    public void recordOutcome(String id, boolean isDone, double atMillis) {
-        outcomes.put(id, new JobOutcome(isDone, atMillis));
+    public void recordOutcome(String id, boolean isDone, double endedMillis) {
+        outcomes.put(id, new JobOutcome(isDone, endedMillis));
         unknownOutcomes.remove(id);
         Set<Job> dependents = dependentsByDependency.remove(id);
         if (dependents == null) {
@@ -163,7 +163,7 @@
             if (!isDone) {
                 markForCancellation(job);
             } else if (job.unmetDependencies.remove(id)) {
-                becomeEligible(job, atMillis);
+                becomeEligible(job, endedMillis);
                 if (job.unmetDependencies.isEmpty() && !job.hasCancelledDependency) {
                     onEligible.run();
                 }
@@ -194,14 +194,14 @@
      * Marks the job and all its direct and indirect dependents for cancellation, breadth first.
      * Avoids recursion, as a chain of dependent jobs may be long.
      */
-    private void markForCancellation(Job first) {
-        Deque<Job> next = new ArrayDeque<>(List.of(first));
-        while (!next.isEmpty()) {
-            Job job = next.poll();
+    private void markForCancellation(Job firstJob) {
+        Deque<Job> jobsToMark = new ArrayDeque<>(List.of(firstJob));
+        while (!jobsToMark.isEmpty()) {
+            Job job = jobsToMark.poll();
             if (!job.isFinished && !job.hasCancelledDependency) {
                 job.hasCancelledDependency = true;
                 jobsToCancel.add(job);
-                next.addAll(dependentsOf(job.spec.id()));
+                jobsToMark.addAll(dependentsOf(job.spec.id()));
             }
         }
     }
@@ -212,15 +212,15 @@
      * Ids of jobs whose outcomes have to be read from the store; those that block the most urgent
      * jobs come first.
      *
-     * @param most the maximum number of ids
+     * @param maxCount the maximum number of ids
      * @param excluded ids to exclude because their reads are in progress
      */
-    public List<String> unknownOutcomes(int most, Set<String> excluded) {
+    public List<String> unknownOutcomes(int maxCount, Set<String> excluded) {
         return unknownOutcomes.stream()
-                .limit(MAX_COMPARED)
+                .limit(MAX_COMPARED_OUTCOMES)
                 .filter(id -> !excluded.contains(id))
                 .sorted(Comparator.comparingInt((String id) -> mostUrgentRank(dependentsOf(id))))
-                .limit(most)
+                .limit(maxCount)
                 .toList();
     }
 
@@ -255,13 +255,13 @@
     private void propagateDemand(Deque<Job> changed) {
         while (!changed.isEmpty()) {
             Job job = changed.poll();
-            JobSpec.Priority highest = job.spec.priority();
+            JobSpec.Priority highestPriority = job.spec.priority();
             DueTimes due = DueTimes.NONE;
             for (Job dependent : dependentsOf(job.spec.id())) {
-                highest = higherOf(highest, dependent.effectivePriority());
-                due = due.min(mustStartBy(dependent));
+                highestPriority = higherOf(highestPriority, dependent.effectivePriority());
+                due = due.min(dependenciesDue(dependent));
             }
-            if (job.startGoals.applyDependentsDemand(highest, due, settings)) {
+            if (job.startGoals.applyDependentsDemand(highestPriority, due, settings)) {
                 changed.addAll(openDependencies(job));
             }
         }
@@ -275,7 +275,7 @@
      * The time by which the job's dependencies have to be done to meet its own deadlines and those
      * of its dependents.
      */
-    private DueTimes mustStartBy(Job job) {
+    private DueTimes dependenciesDue(Job job) {
         DueTimes due = ownDeadlines(job).min(job.startGoals.dependentsDue());
         // Between the end of a dependency and the start of its dependent, the end is reported and
         // stored, the placement is stored, and the worker fetches it with a heartbeat.
--- a/src/main/java/io/kitepath/core/shard/JobPart.java
+++ b/src/main/java/io/kitepath/core/shard/JobPart.java
@@ -17,13 +17,13 @@
     public final int index;
 
     private long revision;
-    private boolean unreadable;
+    private boolean isUnreadable;
     private int changedVersion;
     private int placedVersion;
     private int writtenVersion;
 
     /** The size of the part's live attempts in its record, in bytes. */
-    private int liveBytes;
+    private int liveAttemptBytes;
 
     /** The number of live attempts by machine id; the record contains each machine id once. */
     private final Map<String, Integer> attemptsPerMachine = new HashMap<>();
@@ -40,7 +40,7 @@
 
     /** Whether the part differs from its record and may be written. */
     public boolean isDirty() {
-        return !unreadable && changedVersion > writtenVersion;
+        return !isUnreadable && changedVersion > writtenVersion;
     }
 
     /** Whether the part has a placement not stored yet, whose task must not be launched. */
@@ -63,13 +63,13 @@
     }
 
     /** Records that the part's record was found in the store at {@code atRevision}. */
-    void markFound(long atRevision) {
+    void markRecordFound(long atRevision) {
         revision = atRevision;
     }
 
     /** Marks the part's record as unreadable, so that it is neither written nor removed. */
     void markUnreadable() {
-        unreadable = true;
+        isUnreadable = true;
         revision = 0;
     }
 
@@ -79,22 +79,22 @@
         writtenVersion = version;
     }
 
-    int liveBytes() {
-        return liveBytes;
+    int liveAttemptBytes() {
+        return liveAttemptBytes;
     }
 
-    void countLive(Attempt attempt) {
+    void addLiveAttempt(Attempt attempt) {
         boolean isFirstOnMachine =
                 attemptsPerMachine.merge(attempt.machine.id, 1, Integer::sum) == 1;
-        liveBytes += PartRecord.attemptBytes(attempt, isFirstOnMachine);
+        liveAttemptBytes += PartRecord.attemptBytes(attempt, isFirstOnMachine);
     }
 
-    void uncountLive(Attempt attempt) {
+    void removeLiveAttempt(Attempt attempt) {
         boolean wasLastOnMachine =
                 attemptsPerMachine.merge(attempt.machine.id, -1, Integer::sum) == 0;
         if (wasLastOnMachine) {
             attemptsPerMachine.remove(attempt.machine.id);
         }
-        liveBytes -= PartRecord.attemptBytes(attempt, wasLastOnMachine);
+        liveAttemptBytes -= PartRecord.attemptBytes(attempt, wasLastOnMachine);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/JobParts.java
+++ b/src/main/java/io/kitepath/core/shard/JobParts.java
@@ -19,11 +19,11 @@
 
     JobParts(Job job, int tasksPerPart) {
         this.job = job;
-        create(tasksPerPart);
+        createParts(tasksPerPart);
     }
 
-    private void create(int tasks) {
-        tasksPerPart = tasks;
+    private void createParts(int newTasksPerPart) {
+        tasksPerPart = newTasksPerPart;
         parts = new JobPart[(job.spec.taskCount() + tasksPerPart - 1) / tasksPerPart];
         for (int i = 0; i < parts.length; i++) {
             parts[i] = new JobPart(job, i);
@@ -31,9 +31,9 @@
     }
 
     /** Replaces all parts by parts of another size, whose records are not known yet. */
-    void recreate(int tasks, Collection<Attempt> live) {
-        create(tasks);
-        live.forEach(this::countLive);
+    void recreate(int newTasksPerPart, Collection<Attempt> liveAttempts) {
+        createParts(newTasksPerPart);
+        liveAttempts.forEach(this::addLiveAttempt);
     }
 
     int tasksPerPart() {
@@ -65,7 +65,7 @@
         return (index + 1) * tasksPerPart;
     }
 
-    private JobPart partOf(int task) {
+    private JobPart partContaining(int task) {
         return parts[indexOf(task)];
     }
 
@@ -82,13 +82,13 @@
 
     /** Marks the task's part as changed in the current version. */
     void markDirtyInVersion(int task) {
-        partOf(task).markDirty();
+        partContaining(task).markDirty();
     }
 
     /** Marks the task's part as changed in a new version. */
     JobPart markDirty(int task) {
         advanceVersion();
-        JobPart part = partOf(task);
+        JobPart part = partContaining(task);
         part.markDirty();
         return part;
     }
@@ -96,7 +96,7 @@
     /** Marks the task's part as having a new placement, in a new version. */
     JobPart markPlacementDirty(int task) {
         advanceVersion();
-        JobPart part = partOf(task);
+        JobPart part = partContaining(task);
         part.markPlacementDirty();
         return part;
     }
@@ -120,28 +120,28 @@
 
     // ---- record size ----------------------------------------------------------------------------
 
-    void countLive(Attempt attempt) {
-        partOf(attempt.task).countLive(attempt);
+    void addLiveAttempt(Attempt attempt) {
+        partContaining(attempt.task).addLiveAttempt(attempt);
     }
 
-    void uncountLive(Attempt attempt) {
-        partOf(attempt.task).uncountLive(attempt);
+    void removeLiveAttempt(Attempt attempt) {
+        partContaining(attempt.task).removeLiveAttempt(attempt);
     }
 
     /** An upper bound of the current size of the part's record, in bytes. */
     int recordBytes(int index) {
-        return PartRecord.bytesWithoutAttempts(tasksPerPart) + parts[index].liveBytes();
+        return PartRecord.bytesWithoutAttempts(tasksPerPart) + parts[index].liveAttemptBytes();
     }
 
     /** Whether one more attempt fits into the record of the task's part. */
     boolean fitsRecord(int task, int maxRecordBytes) {
-        return PartRecord.hasRoomFor(1, recordBytes(indexOf(task)), maxRecordBytes);
+        return PartRecord.fitsAttempts(1, recordBytes(indexOf(task)), maxRecordBytes);
     }
 
     /** Whether the records can hold attempts of all tasks at once, each on a different machine. */
     static boolean allTasksFitRecords(JobSpec spec, int tasksPerPart, int maxRecordBytes) {
         int tasksInPart = Math.min(spec.taskCount(), tasksPerPart);
-        return PartRecord.hasRoomFor(
+        return PartRecord.fitsAttempts(
                 tasksInPart, PartRecord.bytesWithoutAttempts(tasksPerPart), maxRecordBytes);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/JobRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/JobRegistry.java
@@ -84,7 +84,7 @@
         recentArrivals.add(job);
         serviceLevels.recordArrival(job.spec);
         if (!job.isFinished) {
-            jobDependencies.jobOpened(job);
+            jobDependencies.onJobOpened(job);
         }
     }
 
@@ -105,7 +105,7 @@
             Machine machine = machines.getOrAdd(placed.machineId(), now);
             attempts.restore(job, placed.task(), placed.number(), machine, now);
         }
-        jobDependencies.jobStarted(job);
+        jobDependencies.onJobStarted(job);
         if (job.isFinished) {
             writes.dirtyParts().enqueueIfDirty(job.markPartDirty(part));
         }
@@ -124,7 +124,7 @@
         }
         job.isFinished = true;
         signal.request();
-        jobDependencies.jobClosed(job);
+        jobDependencies.onJobClosed(job);
         for (Attempt attempt : new ArrayList<>(job.liveAttempts.values())) {
             if (!attempt.isDurable) {
                 attempts.withdraw(attempt);
--- a/src/main/java/io/kitepath/core/shard/JobSizes.java
+++ b/src/main/java/io/kitepath/core/shard/JobSizes.java
@@ -12,10 +12,10 @@
  */
 final class JobSizes {
     /** The number of recent jobs per class whose sizes are kept. */
-    private static final int MAX_SIZES = 64;
+    private static final int MAX_RECENT_JOBS = 64;
 
     /** With fewer jobs in a class, none counts as one of the largest. */
-    private static final int MIN_SIZES = 8;
+    private static final int MIN_RECENT_JOBS = 8;
 
     /** The share of a class's jobs that are smaller than its largest ones. */
     private static final double LARGE_QUANTILE = 0.75;
@@ -24,24 +24,24 @@
     private static final int MAX_CLASSES = 1000;
 
     private static final class SizeClass {
-        private final Deque<Double> recentSizes = new ArrayDeque<>();
+        private final Deque<Double> recentCpus = new ArrayDeque<>();
 
         /** The minimum size of the largest jobs, in CPUs. */
-        private double largeFrom = Double.POSITIVE_INFINITY;
+        private double largestMinCpus = Double.POSITIVE_INFINITY;
 
-        void add(double size) {
-            recentSizes.addLast(size);
-            if (recentSizes.size() > MAX_SIZES) {
-                recentSizes.removeFirst();
+        void add(double cpus) {
+            recentCpus.addLast(cpus);
+            if (recentCpus.size() > MAX_RECENT_JOBS) {
+                recentCpus.removeFirst();
             }
-            if (recentSizes.size() >= MIN_SIZES) {
-                largeFrom = largeFrom();
+            if (recentCpus.size() >= MIN_RECENT_JOBS) {
+                largestMinCpus = computeLargestMinCpus();
             }
         }
 
-        private double largeFrom() {
+        private double computeLargestMinCpus() {
             double[] sorted =
-                    recentSizes.stream().mapToDouble(Double::doubleValue).sorted().toArray();
+                    recentCpus.stream().mapToDouble(Double::doubleValue).sorted().toArray();
             double median = sorted[sorted.length / 2];
             double quantile = sorted[(int) (LARGE_QUANTILE * sorted.length)];
             // If most jobs have the size of the quantile, only larger ones count as large.
@@ -62,6 +62,6 @@
 
     boolean isAmongLargest(JobSpec spec) {
         SizeClass sizeClass = classes.getIfPresent(spec.jobClass());
-        return sizeClass != null && totalCpus(spec) >= sizeClass.largeFrom;
+        return sizeClass != null && totalCpus(spec) >= sizeClass.largestMinCpus;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/JobStartGoals.java
+++ b/src/main/java/io/kitepath/core/shard/JobStartGoals.java
@@ -31,11 +31,13 @@
         this.submittedMillis = submittedMillis;
         this.eligibleSinceMillis = submittedMillis;
         this.effectivePriority = spec.priority();
-        this.startGoalsMillis = afterSubmission(startWithinSeconds);
+        this.startGoalsMillis = toStartGoalsMillis(startWithinSeconds);
     }
 
-    private double[] afterSubmission(double[] seconds) {
-        return Arrays.stream(seconds).map(s -> submittedMillis + s * 1000).toArray();
+    private double[] toStartGoalsMillis(double[] startWithinSeconds) {
+        return Arrays.stream(startWithinSeconds)
+                .map(seconds -> submittedMillis + seconds * 1000)
+                .toArray();
     }
 
     /** The job's submission, or the end of its last dependency, in milliseconds since 1970. */
@@ -62,11 +64,11 @@
 
     /** The earliest deadline, its own or a dependent's, in milliseconds since 1970, or infinite. */
     double dueMillis() {
-        double own =
+        double ownDueMillis =
                 spec.deadlineSeconds() == null
                         ? Double.POSITIVE_INFINITY
                         : submittedMillis + 1000 * spec.deadlineSeconds();
-        return Math.min(own, dependentsDue.earliestMillis());
+        return Math.min(ownDueMillis, dependentsDue.earliestMillis());
     }
 
     /** The times by which the job has to be done for the jobs that depend on it. */
@@ -95,20 +97,21 @@
 
     /** Applies the demand of the job's dependents and returns whether it changed anything. */
     boolean applyDependentsDemand(
-            JobSpec.Priority highest, DueTimes due, ClusterSettings settings) {
-        if (highest == effectivePriority && due.equals(dependentsDue)) {
+            JobSpec.Priority highestPriority, DueTimes due, ClusterSettings settings) {
+        if (highestPriority == effectivePriority && due.equals(dependentsDue)) {
             return false;
         }
-        effectivePriority = highest;
+        effectivePriority = highestPriority;
         dependentsDue = due;
         recomputeStartGoals(settings);
         return true;
     }
 
     private void recomputeStartGoals(ClusterSettings settings) {
-        double[] own = afterSubmission(settings.startDeadlinesSeconds(spec, heldSeconds()));
+        double[] ownStartGoalsMillis =
+                toStartGoalsMillis(settings.startDeadlinesSeconds(spec, heldSeconds()));
         if (!hasDueDependents()) {
-            startGoalsMillis = own;
+            startGoalsMillis = ownStartGoalsMillis;
             return;
         }
         // If dependents have due times, the job's own start goals count only if it has a deadline
@@ -116,8 +119,8 @@
         startGoalsMillis =
                 DoubleStream.concat(
                                 startGoalsOfDependents(),
-                                hasOwnExpectations(settings)
-                                        ? Arrays.stream(own)
+                                hasOwnDeadlineOrObjective(settings)
+                                        ? Arrays.stream(ownStartGoalsMillis)
                                         : DoubleStream.empty())
                         .sorted()
                         .toArray();
@@ -129,7 +132,7 @@
                 .distinct();
     }
 
-    private boolean hasOwnExpectations(ClusterSettings settings) {
+    private boolean hasOwnDeadlineOrObjective(ClusterSettings settings) {
         return spec.deadlineSeconds() != null
                 || settings.objectives().stream()
                         .anyMatch(objective -> objective.jobClass().equals(spec.jobClass()));
--- a/src/main/java/io/kitepath/core/shard/JobTasks.java
+++ b/src/main/java/io/kitepath/core/shard/JobTasks.java
@@ -10,35 +10,35 @@
  * belongs to a borrowed job and was not lent to this cell.
  */
 final class JobTasks {
-    private final int count;
-    private final BitSet done = new BitSet();
-    private final BitSet elsewhere = new BitSet();
-    private final SortedMap<Integer, Attempt> live;
+    private final int taskCount;
+    private final BitSet doneTasks = new BitSet();
+    private final BitSet elsewhereTasks = new BitSet();
+    private final SortedMap<Integer, Attempt> liveAttempts;
 
     /**
-     * @param live a view of the job's live attempts by task
+     * @param liveAttempts a view of the job's live attempts by task
      */
-    JobTasks(int count, SortedMap<Integer, Attempt> live) {
-        this.count = count;
-        this.live = live;
+    JobTasks(int taskCount, SortedMap<Integer, Attempt> liveAttempts) {
+        this.taskCount = taskCount;
+        this.liveAttempts = liveAttempts;
     }
 
     // ---- done -----------------------------------------------------------------------------------
 
     void markDone(int task) {
-        done.set(task);
+        doneTasks.set(task);
     }
 
     void markAllDone() {
-        done.set(0, count);
+        doneTasks.set(0, taskCount);
     }
 
     boolean isDone(int task) {
-        return done.get(task);
+        return doneTasks.get(task);
     }
 
     int doneCount() {
-        return done.cardinality();
+        return doneTasks.cardinality();
     }
 
     /**
@@ -46,45 +46,48 @@
      * the task is done; bit 0 is the first task.
      */
     BitSet doneBetween(int firstTask, int endTask) {
-        return done.get(firstTask, endTask);
+        return doneTasks.get(firstTask, endTask);
     }
 
     boolean isAnyDoneBetween(int firstTask, int endTask) {
-        int next = done.nextSetBit(firstTask);
-        return next >= 0 && next < endTask;
+        int nextDoneTask = doneTasks.nextSetBit(firstTask);
+        return nextDoneTask >= 0 && nextDoneTask < endTask;
     }
 
     // ---- elsewhere ------------------------------------------------------------------------------
 
     void markElsewhere(int firstTask, int endTask) {
-        elsewhere.set(firstTask, endTask);
+        elsewhereTasks.set(firstTask, endTask);
     }
 
     void markHere(int firstTask, int endTask) {
-        elsewhere.clear(firstTask, endTask);
+        elsewhereTasks.clear(firstTask, endTask);
     }
 
     int elsewhereCount() {
-        return elsewhere.cardinality();
+        return elsewhereTasks.cardinality();
     }
 
     // ---- waiting --------------------------------------------------------------------------------
 
     /** Whether the task is placed by this cell and neither done nor live. */
     boolean isWaiting(int task) {
-        return !done.get(task) && !elsewhere.get(task) && !live.containsKey(task);
+        return !doneTasks.get(task) && !elsewhereTasks.get(task) && !liveAttempts.containsKey(task);
     }
 
     int waitingCount() {
-        return count - done.cardinality() - elsewhere.cardinality() - live.size();
+        return taskCount
+                - doneTasks.cardinality()
+                - elsewhereTasks.cardinality()
+                - liveAttempts.size();
     }
 
     /** The first waiting task at or after {@code firstTask}, or -1. */
     int nextWaiting(int firstTask) {
-        for (int task = done.nextClearBit(firstTask);
-                task < count;
-                task = done.nextClearBit(task + 1)) {
-            if (!live.containsKey(task) && !elsewhere.get(task)) {
+        for (int task = doneTasks.nextClearBit(firstTask);
+                task < taskCount;
+                task = doneTasks.nextClearBit(task + 1)) {
+            if (!liveAttempts.containsKey(task) && !elsewhereTasks.get(task)) {
                 return task;
             }
         }
--- a/src/main/java/io/kitepath/core/shard/JobTimeline.java
+++ b/src/main/java/io/kitepath/core/shard/JobTimeline.java
@@ -20,7 +20,7 @@
 
     /** The time of the last placement; negative infinity if this leader placed no task. */
     double lastPlacedAt() {
-        return placements.last();
+        return placements.latest();
     }
 
     boolean hasAnyStarted() {
--- a/src/main/java/io/kitepath/core/shard/PartRecord.java
+++ b/src/main/java/io/kitepath/core/shard/PartRecord.java
@@ -63,16 +63,18 @@
     /**
      * The size of the attempt in bytes, including its machine's id if no other attempt names it.
      */
-    static int attemptBytes(Attempt attempt, boolean isOnlyOneOnMachine) {
+    static int attemptBytes(Attempt attempt, boolean isOnlyAttemptOnMachine) {
         return JsonSize.digits(attempt.task)
                 + JsonSize.digits(attempt.number)
                 + ATTEMPT_SEPARATOR_BYTES
-                + (isOnlyOneOnMachine ? attempt.machine.id.length() + MACHINE_SEPARATOR_BYTES : 0);
+                + (isOnlyAttemptOnMachine
+                        ? attempt.machine.id.length() + MACHINE_SEPARATOR_BYTES
+                        : 0);
     }
 
-    /** Whether {@code attempts} more attempts fit into a record of {@code bytes}. */
-    static boolean hasRoomFor(int attempts, int bytes, int maxRecordBytes) {
-        return bytes + attempts * MAX_ATTEMPT_BYTES <= maxRecordBytes;
+    /** Whether {@code attemptCount} more attempts fit into a record of {@code recordBytes}. */
+    static boolean fitsAttempts(int attemptCount, int recordBytes, int maxRecordBytes) {
+        return recordBytes + attemptCount * MAX_ATTEMPT_BYTES <= maxRecordBytes;
     }
 
     // ---- writing --------------------------------------------------------------------------------
@@ -80,19 +82,20 @@
     /**
      * Builds the record of a part.
      *
-     * @param done one bit per task of the part, set if the task is done; bit 0 is the first task
-     * @param live the part's live attempts, by task
+     * @param doneTasks one bit per task of the part, set if the task is done; bit 0 is the first
+     *     task
+     * @param liveAttempts the part's live attempts, by task
      * @param eligibleSinceMillis present for a job with dependencies, in milliseconds since 1970
      */
     static Map<String, Object> toRecord(
             long nextAttempt,
-            BitSet done,
-            Collection<Attempt> live,
+            BitSet doneTasks,
+            Collection<Attempt> liveAttempts,
             OptionalDouble eligibleSinceMillis) {
         Map<String, Object> record = new LinkedHashMap<>();
         record.put(NEXT_ATTEMPT, nextAttempt);
-        record.put(DONE, Base64.getEncoder().encodeToString(done.toByteArray()));
-        record.put(LIVE, tasksAndNumbersByMachine(live));
+        record.put(DONE, Base64.getEncoder().encodeToString(doneTasks.toByteArray()));
+        record.put(LIVE, tasksAndNumbersByMachine(liveAttempts));
         if (eligibleSinceMillis.isPresent()) {
             record.put(ELIGIBLE_SINCE, eligibleSinceMillis.getAsDouble());
         }
@@ -100,9 +103,10 @@
     }
 
     /** Alternating tasks and attempt numbers by machine id, sorted by machine id. */
-    private static Map<String, List<Object>> tasksAndNumbersByMachine(Collection<Attempt> live) {
+    private static Map<String, List<Object>> tasksAndNumbersByMachine(
+            Collection<Attempt> liveAttempts) {
         Map<String, List<Object>> byMachine = new TreeMap<>();
-        for (Attempt attempt : live) {
+        for (Attempt attempt : liveAttempts) {
             List<Object> tasksAndNumbers =
                     byMachine.computeIfAbsent(attempt.machine.id, id -> new ArrayList<>());
             tasksAndNumbers.add((long) attempt.task);
@@ -209,13 +213,13 @@
      * @throws InvalidInputException if one of the values is not the record of a part
      */
     public static JobProgress progress(String jobId, List<Object> records) {
-        int done = 0;
-        int placed = 0;
+        int doneTaskCount = 0;
+        int placedTaskCount = 0;
         for (Object value : records) {
             PartRecord record = of(value);
-            done += record.doneTasks().cardinality();
-            placed += record.placedAttempts().size();
+            doneTaskCount += record.doneTasks().cardinality();
+            placedTaskCount += record.placedAttempts().size();
         }
-        return new JobProgress(jobId, done, placed, null);
+        return new JobProgress(jobId, doneTaskCount, placedTaskCount, null);
     }
 }
--- a/src/main/java/io/kitepath/core/shard/PendingReasons.java
+++ b/src/main/java/io/kitepath/core/shard/PendingReasons.java
@@ -31,11 +31,11 @@
         if (shard.failureDiagnosis().isJobAtFault(job, now)) {
             return Optional.of(describeFailures(job, now));
         }
-        Optional<String> loans = describeLoans(job, now);
+        Optional<String> loansText = describeLoans(job, now);
         if (job.isCancelRequested()) {
             return Optional.of(
                     "is to be cancelled"
-                            + loans.map(text -> " once it is called back: " + text).orElse(""));
+                            + loansText.map(text -> " once it is called back: " + text).orElse(""));
         }
         if (job.hasCancelledDependency()) {
             return Optional.of("is to be cancelled, as a job that it needs is");
@@ -46,11 +46,11 @@
         if (job.isHeld()) {
             return Optional.of("waits for " + describeDependencies(job));
         }
-        int waiting = job.waitingTasks();
-        if (waiting == 0) {
-            return loans.or(() -> describeImageFetch(job));
+        int waitingTaskCount = job.waitingTasks();
+        if (waitingTaskCount == 0) {
+            return loansText.or(() -> describeImageFetch(job));
         }
-        return Optional.of(describeWaitingTasks(job, waiting));
+        return Optional.of(describeWaitingTasks(job, waitingTaskCount));
     }
 
     private static String describeFailures(Job job, double now) {
@@ -62,46 +62,47 @@
                         : "");
     }
 
-    private String describeWaitingTasks(Job job, int waiting) {
+    private String describeWaitingTasks(Job job, int waitingTaskCount) {
         JobSpec spec = job.spec;
-        String tasks = waiting == 1 ? "1 task waits" : waiting + " tasks wait";
+        String tasksText =
+                waitingTaskCount == 1 ? "1 task waits" : waitingTaskCount + " tasks wait";
         if (shard.quotaUsage().remainingTasks(spec) < (spec.isGang() ? spec.taskCount() : 1)) {
-            return tasks
+            return tasksText
                     + ": team "
                     + spec.team()
                     + " is at its limit"
                     + shard.quotaUsage().describeShare(spec.team());
         }
         if (spec.isGang() && !job.liveAttempts.isEmpty()) {
-            return tasks + " for the rest of the last attempt to end";
+            return tasksText + " for the rest of the last attempt to end";
         }
-        return tasks
+        return tasksText
                 + " for room of "
                 + spec.cpusPerTask()
                 + " CPUs"
                 + (spec.isGang() ? " each, all at once" : " each")
-                + describeComingMachines();
+                + describeUnavailableMachines();
     }
 
-    private String describeComingMachines() {
-        int starting = 0;
-        int unconfirmed = 0;
+    private String describeUnavailableMachines() {
+        int startingCount = 0;
+        int unconfirmedCount = 0;
         for (Machine machine : shard.machines().values()) {
-            starting += machine.hasReported() || !machine.attempts().isEmpty() ? 0 : 1;
-            unconfirmed += machine.hasReported() && !machine.isTokenConfirmed() ? 1 : 0;
+            startingCount += machine.hasReported() || !machine.attempts().isEmpty() ? 0 : 1;
+            unconfirmedCount += machine.hasReported() && !machine.isTokenConfirmed() ? 1 : 0;
         }
-        return (starting > 0 ? "; machines starting: " + starting : "")
-                + (unconfirmed > 0
-                        ? "; machines yet to report to the new leader: " + unconfirmed
+        return (startingCount > 0 ? "; machines starting: " + startingCount : "")
+                + (unconfirmedCount > 0
+                        ? "; machines yet to report to the new leader: " + unconfirmedCount
                         : "");
     }
 
     private static String describeDependencies(Job job) {
-        int count = job.unmetDependencies.size();
+        int unmetCount = job.unmetDependencies.size();
         return String.join(
                         ", ", job.unmetDependencies.stream().limit(MAX_NAMED_DEPENDENCIES).toList())
-                + (count > MAX_NAMED_DEPENDENCIES
-                        ? " and " + (count - MAX_NAMED_DEPENDENCIES) + " more"
+                + (unmetCount > MAX_NAMED_DEPENDENCIES
+                        ? " and " + (unmetCount - MAX_NAMED_DEPENDENCIES) + " more"
                         : "")
                 + " to be done";
     }
@@ -123,15 +124,15 @@
     }
 
     private static Optional<String> describeImageFetch(Job job) {
-        long fetching =
+        long fetchingCount =
                 job.liveAttempts.values().stream()
                         .filter(attempt -> attempt.state == TaskState.FETCHING_IMAGE)
                         .count();
-        if (fetching == 0) {
+        if (fetchingCount == 0) {
             return Optional.empty();
         }
-        String tasks = fetching == 1 ? "1 task fetches" : fetching + " tasks fetch";
-        return Optional.of(tasks + " the image " + job.spec.image());
+        String tasksText = fetchingCount == 1 ? "1 task fetches" : fetchingCount + " tasks fetch";
+        return Optional.of(tasksText + " the image " + job.spec.image());
     }
 
     private static String formatSeconds(double seconds) {
--- a/src/main/java/io/kitepath/core/shard/PendingWrites.java
+++ b/src/main/java/io/kitepath/core/shard/PendingWrites.java
@@ -49,8 +49,8 @@
         return tasksPerPart;
     }
 
-    void setTasksPerPart(int tasks) {
-        tasksPerPart = tasks;
+    void setTasksPerPart(int newTasksPerPart) {
+        tasksPerPart = newTasksPerPart;
     }
 
     /** The limit from the settings, lowered if the store has refused a record of that size. */
@@ -88,7 +88,7 @@
         return List.copyOf(jobsToMigrate);
     }
 
-    void migrationDone(Job job) {
+    void endMigration(Job job) {
         jobsToMigrate.remove(job);
         signal.request();
     }
@@ -106,7 +106,7 @@
         for (JobPart part : job.allParts()) {
             markPartWritten(part, version, writtenParts.contains(part.index) ? revision : 0);
         }
-        migrationDone(job);
+        endMigration(job);
     }
 
     // ---- writes -------------------------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/shard/ProgressCache.java
+++ b/src/main/java/io/kitepath/core/shard/ProgressCache.java
@@ -6,17 +6,17 @@
 /** Caches the last counted progress of a job, as it may have many tasks and status queries. */
 final class ProgressCache {
     private JobProgress progress;
-    private double countedAt;
+    private double countedAtSeconds;
 
     /**
      * The progress, recounted if the last count is older than {@code maxAgeSeconds}.
      *
      * @param now in seconds on the steady clock
      */
-    JobProgress get(double now, double maxAgeSeconds, Supplier<JobProgress> count) {
-        if (progress == null || now - countedAt > maxAgeSeconds) {
-            progress = count.get();
-            countedAt = now;
+    JobProgress get(double now, double maxAgeSeconds, Supplier<JobProgress> counter) {
+        if (progress == null || now - countedAtSeconds > maxAgeSeconds) {
+            progress = counter.get();
+            countedAtSeconds = now;
         }
         return progress;
     }
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -412,7 +412,7 @@
 
     /** The job's parts need not, or can't, be laid out anew any more. */
     public void migrationDone(Job job) {
-        writes.migrationDone(job);
+        writes.endMigration(job);
     }
 
     /**
--- a/src/test/java/io/kitepath/core/shard/JobTest.java
+++ b/src/test/java/io/kitepath/core/shard/JobTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void partRecordOfAStartedJobWithDependenciesSaysSinceWhenItWasReady() {
+    void partRecordOfStartedJobWithDependenciesContainsEligibleTime() {
         Job job = arrayJob("j-2", 4, "j-1");
         assertTrue(job.isHeld());
         Map<String, Object> record =
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void partRecordForAnotherPartSizeIsEmptyWhereThereIsNothingToSay() {
+    void partRecordForAnotherPartSizeIsEmptyWithoutDoneTasksOrAttempts() {
         Job job = arrayJob("j-1", 10);
         shard.restorePart(job, 1, partRecord(6, "AQ==", Map.of("i-1", List.of(6L, 5L))), 7, 0);
 
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void partRecordWithoutDoneBitsIsRefusedAfterItsRevisionAndCounterAreTaken() {
+    void rejectsPartRecordWithoutDoneBitsAfterRestoringRevisionAndCounter() {
         Job job = arrayJob("j-1", 10);
         assertThrows(
                 InvalidInputException.class,
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void recordBytesCountEachMachineOnceAndFallWithTheAttempts() {
+    void recordBytesCountEachMachineOnceAndShrinkWhenAttemptsAreRemoved() {
         Job job = arrayJob("j-1", 10);
         assertRecordBytes(EMPTY_PART_BYTES, job, 0);
         Machine machine = shard.getOrAddMachine("i-1", 0);
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void allTasksOfAPartFitARecordOfTheirBytesAndNotOfOneLess() {
+    void allTasksFitRecordAtExactByteLimitAndNotOneByteBelow() {
         JobSpec spec = SimulatedCluster.job("j-1", Shape.GANG, 10, 1);
         assertTrue(Job.allTasksFitRecords(spec, 4, EMPTY_PART_BYTES + 4 * MAX_ATTEMPT_BYTES));
         assertFalse(Job.allTasksFitRecords(spec, 4, EMPTY_PART_BYTES + 4 * MAX_ATTEMPT_BYTES - 1));
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void placementIsDirtyUntilItsVersionIsWritten() {
+    void placementIsDirtyUntilItsVersionIsStored() {
         Job job = arrayJob("j-1", 10);
         shard.place(job, 5, shard.getOrAddMachine("i-1", 0), 1);
         JobPart part = job.part(1);
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void borrowedJobHasOnlyTheTasksThatWereLent() {
+    void borrowedJobHasOnlyLentTasks() {
         JobSpec spec = SimulatedCluster.job("j-1", Shape.ARRAY, 10, 1);
         Job job = Job.borrowed(spec, 5000, new double[] {60}, "guests/j-1", 1, 4, 2, 5);
         assertTrue(job.borrowed);
--- a/src/test/java/io/kitepath/core/shard/TaskLoanTest.java
+++ b/src/test/java/io/kitepath/core/shard/TaskLoanTest.java
@@ -12,7 +12,7 @@
 /** Tests the stored form of a job's loans. */
 class TaskLoanTest {
     @Test
-    void loansKeepTheirStoredForm() {
+    void loanRecordKeepsStoredFormAndRejectsIncompleteEntries() {
         List<TaskLoan> loans =
                 List.of(new TaskLoan(1, "west", 2, 6, 0), new TaskLoan(2, "east", 6, 8, 0));
         assertEquals(
