--- a/src/main/java/io/kitepath/core/shard/AttemptLedger.java
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -66,7 +66,7 @@
         add(new Attempt(job, task, job.nextAttempt, machine, now, job.version()));
         job.timeline.recordPlacement(now);
         LOG.debug(
-                "attempt placed: job={} task={} attempt={} machine={}",
+                "attempt placed: job={} task={} number={} machine={}",
                 job.spec.id(),
                 task,
                 job.nextAttempt,
--- a/src/main/java/io/kitepath/core/shard/PendingWrites.java
+++ b/src/main/java/io/kitepath/core/shard/PendingWrites.java
@@ -20,7 +20,7 @@
     private final SchedulingSignal signal;
     private final DirtyParts dirtyParts = new DirtyParts();
 
-    /** Jobs that are to be migrated to smaller parts. */
+    /** Jobs whose records are to be migrated to another part size. */
     private final Set<Job> jobsToMigrate = new LinkedHashSet<>();
 
     private int tasksPerPart;
@@ -101,7 +101,7 @@
      */
     void applyMigration(
             Job job, JobRecord record, long revision, int version, Set<Integer> writtenParts) {
-        job.allParts().forEach(dirtyParts::remove); // Parts of the old layout
+        job.allParts().forEach(dirtyParts::remove); // The old layout's parts no longer exist.
         job.applyMigration(record, revision);
         for (JobPart part : job.allParts()) {
             markPartWritten(part, version, writtenParts.contains(part.index) ? revision : 0);
