--- a/src/main/java/io/kitepath/core/cell/JobCancellations.java
+++ b/src/main/java/io/kitepath/core/cell/JobCancellations.java
@@ -69,10 +69,10 @@
         if (!job.isCancelRequested()
                 || !job.loans().isEmpty()
                 || !requests.containsKey(job.spec.id())
-                || job.writingLoans()) {
+                || job.isWritingLoans()) {
             return;
         }
-        job.writingLoans(true);
+        job.setWritingLoans(true);
         context.batchQueue().accept(new FinishCancelled(job, requests.get(job.spec.id())));
     }
 
@@ -103,7 +103,7 @@
             boolean isWanted =
                     !job.isFinished() && job.loans().isEmpty() && requests.containsKey(jobId);
             if (!isWanted) {
-                job.writingLoans(false);
+                job.setWritingLoans(false);
             }
             return isWanted;
         }
@@ -126,7 +126,7 @@
 
         @Override
         public void onCommitted(long revision) {
-            job.writingLoans(false);
+            job.setWritingLoans(false);
             requests.remove(jobId);
             shard.finishJob(jobId);
             onCancelled.accept(new JobStatus(jobId, "cancelled", 0, 0));
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -150,7 +150,7 @@
     /** Records a loan and offers it once the record is committed. */
     void lend(WorkOffloading.Plan plan) {
         Job job = plan.job();
-        if (job.writingLoans()
+        if (job.isWritingLoans()
                 || openLoans(plan.targetCell()) >= SequenceNumbers.MAX_LISTED / 2
                 || loanNumbers.isExhausted()) {
             return;
@@ -181,7 +181,7 @@
     }
 
     private void write(Job job, Runnable afterCommit) {
-        job.writingLoans(true);
+        job.setWritingLoans(true);
         context.batchQueue().accept(new WriteLoans(job, afterCommit));
     }
 
@@ -334,7 +334,7 @@
         job.closeLoan(loan, done);
         for (int task = loan.firstTask; task < loan.endTask; task++) {
             if (job.isDone(task)) {
-                shard.dirtyParts().enqueueIfDirty(job.part(job.partOf(task)));
+                shard.dirtyParts().enqueueIfDirty(job.part(job.partIndexOf(task)));
             }
         }
         job.raiseNextAttempt(status.nextAttempt());
@@ -364,7 +364,7 @@
      * parts. In the other order, a crash in between would make done tasks run again.
      */
     private void settle(Job job) {
-        if (job.writingLoans() || job.areAllTasksDone() && !job.isCancelRequested()) {
+        if (job.isWritingLoans() || job.areAllTasksDone() && !job.isCancelRequested()) {
             return; // A complete job is recorded as done, its record of loans along with it.
         }
         List<TaskLoan> closed = job.loans().stream().filter(loan -> loan.isClosed).toList();
@@ -374,8 +374,8 @@
     }
 
     private static boolean hasDirtyPart(Job job, TaskLoan loan) {
-        int lastPart = job.partOf(loan.endTask - 1);
-        for (int part = job.partOf(loan.firstTask); part <= lastPart; part++) {
+        int lastPart = job.partIndexOf(loan.endTask - 1);
+        for (int part = job.partIndexOf(loan.firstTask); part <= lastPart; part++) {
             if (job.part(part).isDirty()) {
                 return true;
             }
@@ -384,7 +384,7 @@
     }
 
     private void onSettled(Job job, TaskLoan loan) {
-        job.forgetLoan(loan);
+        job.removeLoan(loan);
         loansReturned++;
         pendingReplies.complete(
                 loan.number,
@@ -412,7 +412,7 @@
         @Override
         public boolean isStillWanted() {
             if (job.isFinished() || shard.jobs().get(job.spec.id()) != job) {
-                job.writingLoans(false);
+                job.setWritingLoans(false);
                 return false;
             }
             return true;
@@ -433,7 +433,7 @@
 
         @Override
         public void onCommitted(long revision) {
-            job.writingLoans(false);
+            job.setWritingLoans(false);
             job.setLoansRevision(openLoans.isEmpty() ? 0 : revision);
             afterCommit.run();
         }
--- a/src/main/java/io/kitepath/core/cell/WorkOffloading.java
+++ b/src/main/java/io/kitepath/core/cell/WorkOffloading.java
@@ -175,7 +175,7 @@
     }
 
     private static boolean mayLeave(Job job) {
-        if (job.borrowed
+        if (job.isBorrowed
                 || job.isFinished()
                 || job.isCancelRequested()
                 || job.waitingTasks() == 0) {
--- a/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
+++ b/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
@@ -80,7 +80,7 @@
     }
 
     private static double remainingCpuSeconds(Job job) {
-        return job.unfinishedTasks() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
+        return job.unfinishedTaskCount() * job.spec.cpusPerTask() * job.spec.estimatedSeconds();
     }
 
     /**
@@ -95,8 +95,8 @@
             return false;
         }
         Claimed ofTeam = claimed.computeIfAbsent(team.name(), key -> new Claimed());
-        ofTeam.cpus += job.unfinishedTasks() * job.spec.cpusPerTask();
-        ofTeam.gpus += job.unfinishedTasks() * job.spec.gpusPerTask();
+        ofTeam.cpus += job.unfinishedTaskCount() * job.spec.cpusPerTask();
+        ofTeam.gpus += job.unfinishedTaskCount() * job.spec.gpusPerTask();
         return ofTeam.cpus <= team.guaranteedCpus() + ROUNDING_SLACK
                 && (job.spec.gpusPerTask() == 0
                         || ofTeam.gpus <= team.guaranteedGpus() + ROUNDING_SLACK);
--- a/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
+++ b/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
@@ -82,7 +82,7 @@
                     break;
                 }
                 // The next part may have room on record; this one has when some of it ends.
-                task = job.lastOfPart(task);
+                task = job.lastTaskOfPart(task);
                 continue;
             }
             Optional<Machine> found = search.nextMachine();
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -39,7 +39,7 @@
     private long revision;
 
     /** Whether the home cell is another cell, which lent some of the job's tasks to this one. */
-    public final boolean borrowed;
+    public final boolean isBorrowed;
 
     private JobRecord record;
 
@@ -124,13 +124,13 @@
             String recordKey,
             long revision,
             int tasksPerPart,
-            boolean borrowed) {
+            boolean isBorrowed) {
         this.record = record;
         this.spec = record.spec();
         this.submittedMillis = record.submittedMillis();
         this.recordKey = recordKey;
         this.revision = revision;
-        this.borrowed = borrowed;
+        this.isBorrowed = isBorrowed;
         this.tasks = new JobTasks(spec.taskCount(), liveAttempts);
         this.startGoals = new JobStartGoals(spec, submittedMillis, startWithinSeconds);
         this.parts = new JobParts(this, tasksPerPart);
@@ -247,13 +247,13 @@
     }
 
     /** The number of tasks not done; for a borrowed job, only those that were lent to this cell. */
-    public int unfinishedTasks() {
-        return spec.taskCount() - tasks.doneCount() - (borrowed ? tasks.elsewhereCount() : 0);
+    public int unfinishedTaskCount() {
+        return spec.taskCount() - tasks.doneCount() - (isBorrowed ? tasks.elsewhereCount() : 0);
     }
 
     /** Whether all tasks are done; always false for a service, whose tasks do not complete. */
     public boolean areAllTasksDone() {
-        return spec.shape() != JobSpec.Shape.SERVICE && unfinishedTasks() == 0;
+        return spec.shape() != JobSpec.Shape.SERVICE && unfinishedTaskCount() == 0;
     }
 
     /** Whether this cell places the task, and it is known to be neither done nor on a machine. */
@@ -462,12 +462,12 @@
     }
 
     /** Whether a write of the job's loan record is in progress. */
-    public boolean writingLoans() {
+    public boolean isWritingLoans() {
         return loans.isBeingWritten();
     }
 
     /** Marks a write of the job's loan record as in progress, which prevents concurrent writes. */
-    public void writingLoans(boolean isBeingWritten) {
+    public void setWritingLoans(boolean isBeingWritten) {
         loans.setBeingWritten(isBeingWritten);
     }
 
@@ -480,7 +480,7 @@
 
     /**
      * Takes back a loan that has ended in the remote cell's store: each of its tasks is either done
-     * or placed by this cell again. The loan remains in the record until {@link #forgetLoan}.
+     * or placed by this cell again. The loan remains in the record until {@link #removeLoan}.
      *
      * @param doneInLoan one bit per task, set if the task is done; bit 0 is the loan's first task
      */
@@ -497,7 +497,7 @@
     }
 
     /** Removes a loan that is no longer in the stored loan record. */
-    public void forgetLoan(TaskLoan loan) {
+    public void removeLoan(TaskLoan loan) {
         loans.remove(loan);
     }
 
@@ -523,12 +523,12 @@
     }
 
     /** The index of the part that contains the task. */
-    public int partOf(int task) {
+    public int partIndexOf(int task) {
         return parts.indexOf(task);
     }
 
     /** The last task of the part that contains the task; may exceed the job's last task. */
-    public int lastOfPart(int task) {
+    public int lastTaskOfPart(int task) {
         return parts.endTask(parts.indexOf(task)) - 1;
     }
 
--- a/src/main/java/io/kitepath/core/shard/PendingWrites.java
+++ b/src/main/java/io/kitepath/core/shard/PendingWrites.java
@@ -128,7 +128,7 @@
         job.unwrittenEnds.removeIf(
                 attempt -> {
                     boolean isWritten =
-                            job.partOf(attempt.task) == part.index
+                            job.partIndexOf(attempt.task) == part.index
                                     && attempt.endedVersion <= version;
                     if (isWritten) {
                         attempt.machine.placedWork().removeUnwrittenEnd(attempt);
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -279,7 +279,7 @@
         allGroups().forEach(ServiceGroup::resetOpen);
         for (Job job : jobs) {
             // One that waits for others asks for nothing yet.
-            if (!job.isFinished && !job.borrowed && !job.isHeld()) {
+            if (!job.isFinished && !job.isBorrowed && !job.isHeld()) {
                 updateOpen(job, startLatencySeconds, wallMillis);
             }
         }
--- a/src/main/java/io/kitepath/core/state/BatchComposer.java
+++ b/src/main/java/io/kitepath/core/state/BatchComposer.java
@@ -197,7 +197,7 @@
                 if (job.liveAttempts().isEmpty() && !job.hasPartRecords()) {
                     settled.add(job);
                 }
-            } else if (isReadyToComplete(job) && !job.writingLoans()) {
+            } else if (isReadyToComplete(job) && !job.isWritingLoans()) {
                 if (batch.writeCount() + WRITES_PER_ENDED_JOB > budgetLeft) {
                     budgetLeft = 0;
                 } else {
@@ -218,7 +218,7 @@
     private static boolean isReadyToComplete(Job job) {
         return !job.isFinished()
                 && job.areAllTasksDone()
-                && !job.borrowed
+                && !job.isBorrowed
                 && !job.isCancelRequested();
     }
 
--- a/src/main/java/io/kitepath/core/state/CancellationProof.java
+++ b/src/main/java/io/kitepath/core/state/CancellationProof.java
@@ -152,7 +152,7 @@
          * before it tells anybody.
          */
         private boolean needsProof(Job job) {
-            return !job.isFinished() && !job.borrowed && !job.liveAttempts().isEmpty();
+            return !job.isFinished() && !job.isBorrowed && !job.liveAttempts().isEmpty();
         }
 
         void begin() {
--- a/src/test/java/io/kitepath/core/shard/JobTest.java
+++ b/src/test/java/io/kitepath/core/shard/JobTest.java
@@ -174,7 +174,7 @@
         job.lend(loan);
         assertEquals(version + 1, job.version());
         assertEquals(6, job.waitingTasks());
-        assertEquals(10, job.unfinishedTasks());
+        assertEquals(10, job.unfinishedTaskCount());
         assertEquals(6, job.nextWaitingTask(2));
         assertFalse(job.isPlaceable(5));
 
@@ -191,7 +191,7 @@
         assertTrue(job.part(0).isDirty());
         assertFalse(job.part(1).isDirty());
         assertEquals(List.of(loan), job.loans());
-        job.forgetLoan(loan);
+        job.removeLoan(loan);
         assertEquals(List.of(), job.loans());
     }
 
@@ -199,8 +199,8 @@
     void borrowedJobHasOnlyLentTasks() {
         JobSpec spec = SimulatedCluster.job("j-1", Shape.ARRAY, 10, 1);
         Job job = Job.borrowed(spec, 5000, new double[] {60}, "guests/j-1", 1, 4, 2, 5);
-        assertTrue(job.borrowed);
-        assertEquals(3, job.unfinishedTasks());
+        assertTrue(job.isBorrowed);
+        assertEquals(3, job.unfinishedTaskCount());
         assertEquals(3, job.waitingTasks());
         assertEquals(2, job.nextWaitingTask(0));
         assertEquals(-1, job.nextWaitingTask(5));
