--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -217,10 +217,10 @@
         if (!isQueryDue(job, loan, now)) {
             return;
         }
-        loan.isAwaitingAnswer = true;
+        loan.isAwaitingResponse = true;
         loan.lastQueriedAt = now;
-        loan.unansweredQueries++;
-        boolean isFirstOffer = !loan.isAccepted && loan.unansweredQueries == 1;
+        loan.queriesWithoutResponse++;
+        boolean isFirstOffer = !loan.isAccepted && loan.queriesWithoutResponse == 1;
         context.cellQuery()
                 .ask(
                         loan.borrowerCell,
@@ -236,14 +236,14 @@
                 loan.isAccepted && !job.isCancelRequested()
                         ? ACCEPTED_QUERY_LEASES * leaseSeconds
                         : RetryBackoff.delaySeconds(
-                                loan.unansweredQueries,
+                                loan.queriesWithoutResponse,
                                 FIRST_QUERY_DELAY_SECONDS,
                                 leaseSeconds,
                                 context.random());
-        if (loan.isAwaitingAnswer) {
+        if (loan.isAwaitingResponse) {
             return false;
         }
-        boolean isFirstRecall = job.isCancelRequested() && loan.unansweredQueries == 0;
+        boolean isFirstRecall = job.isCancelRequested() && loan.queriesWithoutResponse == 0;
         return isFirstRecall || !(now - loan.lastQueriedAt < delaySeconds);
     }
 
@@ -265,7 +265,7 @@
     }
 
     private void onQueryAnswer(TaskLoan loan, boolean isFirstOffer, CellMessage answer) {
-        loan.isAwaitingAnswer = false;
+        loan.isAwaitingResponse = false;
         RemoteCell remote = cellMembership.get(loan.borrowerCell);
         if (isFirstOffer && remote != null) {
             remote.onFirstOfferEnded();
@@ -319,7 +319,7 @@
     private void onAccepted(Job job, TaskLoan loan) {
         loan.isAccepted = true;
         if (!job.isCancelRequested()) {
-            loan.unansweredQueries = 0;
+            loan.queriesWithoutResponse = 0;
         }
         RemoteCell remote = cellMembership.get(loan.borrowerCell);
         if (remote != null) {
--- a/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
+++ b/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
@@ -33,7 +33,7 @@
      */
     boolean mayEvict(Job job, Attempt victim) {
         return victim.isUnwanted()
-                ? victim.roomPromisedTo().filter(other -> goesBefore(other, job)).isEmpty()
+                ? victim.capacityPromisedTo().filter(other -> goesBefore(other, job)).isEmpty()
                 : mustYield(victim.job, job);
     }
 
--- a/src/main/java/io/kitepath/core/shard/Attempt.java
+++ b/src/main/java/io/kitepath/core/shard/Attempt.java
@@ -46,7 +46,7 @@
     long startAnsweredSequence;
 
     /** The number of heartbeats after such a response that did not list the attempt. */
-    int missedReports;
+    int missedHeartbeats;
 
     /** Whether a heartbeat in this leader's term has listed the attempt. */
     boolean isSeen;
@@ -76,7 +76,7 @@
     boolean isStopSent;
 
     /** The number of its machine's last full heartbeat that listed the attempt. */
-    int lastSeenReading;
+    int lastFullHeartbeatNumber;
 
     Attempt(Job job, int task, long number, Machine machine, double now, int version) {
         this.job = job;
@@ -121,7 +121,7 @@
      * The job that the capacity of this attempt is promised to, as the attempt was evicted for it;
      * empty if there is none, or if that job has no more tasks to place.
      */
-    public Optional<Job> roomPromisedTo() {
+    public Optional<Job> capacityPromisedTo() {
         return evictedFor.filter(other -> !other.isFinished && other.waitingTasks() > 0);
     }
 
--- a/src/main/java/io/kitepath/core/shard/AttemptLedger.java
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -40,12 +40,12 @@
     }
 
     /** The number of attempts that are confirmed ended. */
-    long ended() {
+    long endedCount() {
         return endedCount;
     }
 
     /** The number of these that were lost with their machine or its agent's incarnation. */
-    long lost() {
+    long lostCount() {
         return lostCount;
     }
 
@@ -142,7 +142,7 @@
     // ---- ending -------------------------------------------------------------------------------
 
     /** Ends an attempt that was lost with its machine or its agent's incarnation. */
-    void lose(Attempt attempt, double now) {
+    void markLost(Attempt attempt, double now) {
         lostCount++;
         end(attempt, EndCause.STOPPED, now);
     }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -157,7 +157,7 @@
         for (TaskStatus status : heartbeat.tasks()) {
             Attempt attempt = attemptOn(machine, status);
             if (attempt != null) {
-                attempt.lastSeenReading = reading;
+                attempt.lastFullHeartbeatNumber = reading;
                 applyStatus(attempt, status, now);
             } else if (machine.placedWork().unwrittenEnds().stream()
                     .noneMatch(ended -> ended.matches(status))) {
@@ -165,7 +165,7 @@
             }
         }
         for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-            if (attempt.lastSeenReading != reading && !attempt.isEnded) {
+            if (attempt.lastFullHeartbeatNumber != reading && !attempt.isEnded) {
                 applyAbsence(attempt, now);
             }
         }
@@ -223,7 +223,7 @@
         // Otherwise it was never executed, and this very answer launches it (again).
         boolean wasOrdered = attempt.isStartSent;
         attempt.isStartSent = false;
-        if (!attempt.isEnded && wasOrdered && ++attempt.missedReports >= MAX_MISSED_REPORTS) {
+        if (!attempt.isEnded && wasOrdered && ++attempt.missedHeartbeats >= MAX_MISSED_REPORTS) {
             giveUpLaunch(attempt, now);
         }
         if (attempt.isEnded) {
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -160,7 +160,7 @@
                 .ifPresent(
                         machine -> {
                             new ArrayList<>(machine.attempts())
-                                    .forEach(attempt -> attempts.lose(attempt, now));
+                                    .forEach(attempt -> attempts.markLost(attempt, now));
                             signal.request();
                             LOG.info("machine gone: machine={}", id);
                         });
@@ -290,12 +290,12 @@
 
     /** How many attempts were proven over. */
     public long attemptsEnded() {
-        return attempts.ended();
+        return attempts.endedCount();
     }
 
     /** Of those, the ones that were lost with their machine or its agent's incarnation. */
     public long attemptsLost() {
-        return attempts.lost();
+        return attempts.lostCount();
     }
 
     /**
@@ -351,7 +351,7 @@
 
     /** The attempt went with its machine or its agent's incarnation. */
     void loseAttempt(Attempt attempt, double now) {
-        attempts.lose(attempt, now);
+        attempts.markLost(attempt, now);
     }
 
     // ---- records and writes -------------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/shard/TaskLoan.java
+++ b/src/main/java/io/kitepath/core/shard/TaskLoan.java
@@ -44,10 +44,10 @@
     public double lastQueriedAt = Double.NEGATIVE_INFINITY;
 
     /** Whether a query about the loan is in progress. */
-    public boolean isAwaitingAnswer;
+    public boolean isAwaitingResponse;
 
     /** The number of consecutive queries without a response; determines the back-off. */
-    public int unansweredQueries;
+    public int queriesWithoutResponse;
 
     /**
      * Creates a loan that is not stored yet.
