--- a/src/main/java/io/kitepath/core/shard/GuaranteeStanding.java
+++ b/src/main/java/io/kitepath/core/shard/GuaranteeStanding.java
@@ -1,6 +1,6 @@
 package io.kitepath.core.shard;
 
-/** How a job stands to its team's guarantee: when this leader saw it first, and now. */
+/** Whether a job is within its team's guarantee: when this leader first saw it, and now. */
 final class GuaranteeStanding {
     private enum Claim {
         UNKNOWN,
@@ -8,26 +8,26 @@
         BEYOND
     }
 
-    private Claim onArrival = Claim.UNKNOWN;
-    private boolean within;
+    private Claim claimOnArrival = Claim.UNKNOWN;
+    private boolean isWithinNow;
 
     boolean isClaimKnown() {
-        return onArrival != Claim.UNKNOWN;
+        return claimOnArrival != Claim.UNKNOWN;
     }
 
     void setClaim(boolean fits) {
-        onArrival = fits ? Claim.WITHIN : Claim.BEYOND;
+        claimOnArrival = fits ? Claim.WITHIN : Claim.BEYOND;
     }
 
     boolean wasWithinOnArrival() {
-        return onArrival == Claim.WITHIN;
+        return claimOnArrival == Claim.WITHIN;
     }
 
     boolean isWithin() {
-        return within;
+        return isWithinNow;
     }
 
     void setWithin(boolean isWithin) {
-        within = isWithin;
+        isWithinNow = isWithin;
     }
 }
--- a/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
+++ b/src/main/java/io/kitepath/core/shard/HeartbeatProcessor.java
@@ -164,7 +164,7 @@
         for (TaskStatus status : heartbeat.tasks()) {
             Attempt attempt = findAttempt(machine, status);
             if (attempt != null) {
-                attempt.lastSeenReading = heartbeatNumber;
+                attempt.lastFullHeartbeatNumber = heartbeatNumber;
                 applyStatus(attempt, status, now);
             } else if (machine.placedWork().uncommittedEnds().stream()
                     .noneMatch(ended -> ended.matches(status))) {
@@ -172,7 +172,7 @@
             }
         }
         for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-            if (attempt.lastSeenReading != heartbeatNumber && !attempt.isEnded) {
+            if (attempt.lastFullHeartbeatNumber != heartbeatNumber && !attempt.isEnded) {
                 applyAbsence(attempt, now);
             }
         }
@@ -232,7 +232,9 @@
         // attempt again.
         boolean wasStartSent = attempt.isStartSent;
         attempt.isStartSent = false;
-        if (!attempt.isEnded && wasStartSent && ++attempt.missedReports >= MAX_MISSED_HEARTBEATS) {
+        if (!attempt.isEnded
+                && wasStartSent
+                && ++attempt.missedHeartbeats >= MAX_MISSED_HEARTBEATS) {
             abandonLaunch(attempt, now);
         }
         if (attempt.isEnded) {
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -302,7 +302,7 @@
         allGroups().forEach(ServiceGroup::resetOpen);
         for (Job job : jobs) {
             // A job that waits for its dependencies has no demand yet.
-            if (!job.isFinished && !job.borrowed && !job.isHeld()) {
+            if (!job.isFinished && !job.isBorrowed && !job.isHeld()) {
                 countOpenJob(job, startLatencySeconds, wallMillis);
             }
         }
--- a/src/main/java/io/kitepath/core/shard/ShardState.java
+++ b/src/main/java/io/kitepath/core/shard/ShardState.java
@@ -170,7 +170,7 @@
                 .ifPresent(
                         machine -> {
                             new ArrayList<>(machine.attempts())
-                                    .forEach(attempt -> attempts.lose(attempt, now));
+                                    .forEach(attempt -> attempts.markLost(attempt, now));
                             signal.request();
                             LOG.info("machine removed: machine={}", id);
                         });
@@ -308,14 +308,14 @@
 
     /** Number of attempts that were confirmed ended. */
     public long attemptsEnded() {
-        return attempts.ended();
+        return attempts.endedCount();
     }
 
     /**
      * The number of ended attempts that were lost with their machine or its agent's incarnation.
      */
     public long attemptsLost() {
-        return attempts.lost();
+        return attempts.lostCount();
     }
 
     /**
@@ -374,7 +374,7 @@
 
     /** Ends the attempt as lost with its machine or its agent's incarnation. */
     void loseAttempt(Attempt attempt, double now) {
-        attempts.lose(attempt, now);
+        attempts.markLost(attempt, now);
     }
 
     // ---- records and writes -------------------------------------------------------------------
