--- a/src/main/java/io/kitepath/core/leadership/Campaign.java
+++ b/src/main/java/io/kitepath/core/leadership/Campaign.java
@@ -10,29 +10,30 @@
 import java.util.Map;
 
 /**
- * An attempt to become leader: asks the store for a lease, reads the last fencing token, and claims
- * the leader's record and the shard's with the next token in one transaction, which goes through
- * only if nobody leads and nobody has raised the token meanwhile. One attempt at a time.
+ * Runs attempts to become leader: requests a lease from the store, reads the last fencing token,
+ * and writes the leader record and the shard record with the next token in one transaction, which
+ * is committed only if there is no leader and the token has not been raised meanwhile. Runs one
+ * attempt at a time.
  */
 final class Campaign {
     /**
      * A term of leadership that was won.
      *
-     * @param leaseId the lease that the leader's and the shard's records hang on
-     * @param fencingToken its token
-     * @param revision at which the records were written
-     * @param leaseRequestedAt when the lease was asked for, in seconds on the steady clock
+     * @param leaseId the lease to which the leader record and the shard record are attached
+     * @param fencingToken the term's fencing token
+     * @param revision the store revision at which the records were written
+     * @param leaseRequestedAt when the lease was requested, in seconds on the steady clock
      */
     record Term(long leaseId, long fencingToken, long revision, double leaseRequestedAt) {}
 
-    /** Is told how an attempt ends. */
+    /** Receives the result of an attempt. */
     interface Listener {
-        /** The highest fencing token that this node has heard of. */
+        /** Returns the highest fencing token that is known to this node. */
         long highestFencingToken();
 
         void onWon(Term term);
 
-        /** Another node was faster, or the store did not answer. */
+        /** Called when another node was faster or the store did not respond. */
         void onFailed();
     }
 
@@ -59,7 +60,7 @@
         this.listener = listener;
     }
 
-    /** Begins an attempt unless one is under way. */
+    /** Starts an attempt unless one is in progress. */
     void start() {
         if (isRunning) {
             return;
@@ -85,7 +86,7 @@
                         long lastToken = HolderRecord.highestFencingToken(entry);
                         claim(leaseId, lastToken, entry.revision(), requestedAt);
                     } else if (outcome == Outcome.REJECTED) {
-                        claim(leaseId, 0, 0, requestedAt); // Nobody has ever led.
+                        claim(leaseId, 0, 0, requestedAt); // There has never been a leader.
                     } else {
                         fail();
                     }
@@ -102,8 +103,8 @@
                         listener.onWon(
                                 new Term(leaseId, nextToken, result.revision(), requestedAt));
                     } else {
-                        // After an unknown outcome the record may be ours with nobody behind it;
-                        // ending the lease removes it.
+                        // After an unknown outcome, the store may hold a leader record of this node
+                        // although it does not lead; revoking the lease removes that record.
                         store.revokeLease(leaseId);
                         listener.onFailed();
                     }
--- a/src/main/java/io/kitepath/core/leadership/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationLog.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 
 /**
- * The cancellations that this process learned of lately, from any source, so all that it may have
- * confirmed to a user. Guards against a lost message between nodes: each digest repeats everything
- * of the last {@code cancel_s}, after which a leader that has not heard of it has stopped answering
- * workers anyway. The log is bounded: an entry that has to go early shortens the time that digests
- * vouch for.
+ * Logs the recent cancellations that are known to this process, from any source; they include all
+ * those that it may have confirmed to a user. Guards against lost messages between nodes: each
+ * digest repeats all cancellations of the last {@code cancel_s} seconds, after which a leader that
+ * has not received them has stopped responding to workers anyway. The log is bounded: an entry that
+ * is removed early shortens the time that digests cover.
  */
 public final class CancellationLog {
     private static final int MAX_JOBS = 1000;
 
-    /** A quarter of what a frame between nodes may hold. */
+    /** A quarter of the size limit of a frame between nodes. */
     private static final int MAX_CHARS = 64 * 1024;
 
     private record LoggedCancellation(String jobId, double atMillis) {}
@@ -33,10 +33,12 @@
     private final Set<String> jobIds = new HashSet<>();
     private int totalChars;
 
-    /** Every cancellation that this process learned of since then is in {@link #entries}. */
+    /**
+     * All cancellations that became known to this process since this time are in {@link #entries}.
+     */
     private double completeSinceMillis;
 
-    /** Starts empty, complete since now. */
+    /** Creates an empty log that is complete from now on. */
     public CancellationLog(ClusterSettings settings, Timers timers) {
         this.node = settings.node();
         this.timers = timers;
@@ -44,7 +46,9 @@
         this.completeSinceMillis = timers.wallClockMillis();
     }
 
-    /** The job is cancelled for good, as this node knows from now on. */
+    /**
+     * Adds a job that is cancelled permanently, as of now; does nothing if the job is in the log.
+     */
     public void add(String jobId) {
         if (jobIds.add(jobId)) {
             entries.add(new LoggedCancellation(jobId, timers.wallClockMillis()));
@@ -53,7 +57,7 @@
         trim();
     }
 
-    /** All entries, and the time that they vouch for. */
+    /** Returns all entries and the time that they cover. */
     public CancellationDigest digest() {
         trim();
         return new CancellationDigest(
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -11,79 +11,94 @@
 import java.util.Set;
 
 /**
- * Up to which moment the leader knows every cancellation that any node may have confirmed to a
- * user. It has to be recent for a worker's lease to be extended or a task to be launched. There are
- * two sources only:
+ * Tracks the time up to which the leader knows every cancellation that any node may have confirmed
+ * to a user. It has to be recent for a worker's lease to be extended or a task to be launched.
+ * There are only two sources:
  *
  * <ul>
- *   <li>the store: everything that was confirmed before a request was <em>sent</em> whose answer
- *       shows that the jobs of all attempts are open ({@code core.state.CancellationProof}), or
- *       from which the open jobs were read;
+ *   <li>the store: everything that was confirmed before the <em>sending</em> of a request whose
+ *       response shows that the jobs of all attempts are open ({@code
+ *       core.state.CancellationProof}), or from whose response the open jobs were read;
  *   <li>each peer's own digests, as only controllers confirm cancellations: a digest that begins
- *       before the moment up to which that peer's confirmations are known carries that moment on to
- *       when the digest was made. A peer that is silent, whose version sends no digests, or that
- *       was started after that moment (it knows nothing of what the process before it confirmed)
- *       leaves it where it is.
+ *       before the peer's watermark advances that watermark to the time at which the digest was
+ *       created. The watermark does not advance for a peer that is silent, whose version sends no
+ *       digests, or that was started after the watermark (it does not know what its earlier process
+ *       confirmed).
  * </ul>
  *
- * <p>That the store does not answer a peer now is no source: it says nothing about what that peer
- * confirmed before. Moments are wall-clock times, which on all nodes are right to within the
- * settings' clock error.
+ * <p>A peer's loss of contact with the store is not a source: it says nothing about what that peer
+ * confirmed before. Times are wall-clock times, which are correct on all nodes to within the
+ * configured clock error.
  */
 public final class CancellationWatermark {
-    /** While that many cancellations are not seen in the store yet, digests count for nothing. */
+    /** Digests are ignored while this many cancellations have not been seen in the store yet. */
     private static final int MAX_UNPROVEN = 5000;
 
     private final List<String> peers;
     private final Timers timers;
 
-    /** By how much the clocks of two nodes may differ. */
+    /** Maximum difference between the clocks of two nodes. */
     private final double maxClockSkewMillis;
 
-    /** By the store, everything before that is known, for all peers. */
+    /** According to the store, all confirmations of all peers before this time are known. */
     private double storeWatermarkMillis = Double.NEGATIVE_INFINITY;
 
-    /** By its digests, everything that the peer confirmed before that is known. */
+    /** By peer: according to its digests, all its confirmations before this time are known. */
     private final Map<String, Double> digestWatermarkMillis = new HashMap<>();
 
-    /** Jobs that others said are cancelled, and when they said so, by our clock. */
+    /**
+     * Jobs whose cancellation was reported but not yet seen in the store, with the time of the
+     * report in milliseconds by this node's wall clock.
+     */
     private final Map<String, Double> unprovenCancellations = new LinkedHashMap<>();
 
-    /** Knows nothing yet of the peers that the settings name. */
+    /** Creates a watermark for the configured peers; no confirmations are known yet. */
     public CancellationWatermark(ClusterSettings settings, Timers timers) {
         this.peers = settings.siblings();
         this.timers = timers;
         this.maxClockSkewMillis = 2 * settings.clockErrorMillis();
     }
 
-    /** A new leader knows nothing before it has read which jobs are open. */
+    /**
+     * Resets the watermark: a new leader knows no confirmations before it has read which jobs are
+     * open.
+     */
     public void reset() {
         storeWatermarkMillis = Double.NEGATIVE_INFINITY;
         digestWatermarkMillis.clear();
     }
 
     /**
-     * By the store, the leader knows everything that was confirmed before that moment, in
-     * milliseconds since 1970 by our clock.
+     * Advances the watermark of all peers: the store has shown everything that was confirmed before
+     * this time, in milliseconds since 1970 by this node's clock.
      */
     public void advanceByStore(double atMillis) {
         storeWatermarkMillis = Math.max(storeWatermarkMillis, atMillis);
         unprovenCancellations.values().removeIf(toldAt -> toldAt < storeWatermarkMillis);
     }
 
-    /** A peer, a user's request or the store said just now that the job is cancelled for good. */
+    /**
+     * Adds a job whose permanent cancellation was just reported by a peer, a user's request or the
+     * store.
+     */
     public void addUnproven(String jobId) {
         if (unprovenCancellations.size() < MAX_UNPROVEN) {
             unprovenCancellations.putIfAbsent(jobId, timers.wallClockMillis());
         }
     }
 
-    /** Jobs that are cancelled, though what was read from the store may still show them open. */
+    /**
+     * Returns the jobs that are cancelled although the data read from the store may still show them
+     * as open.
+     */
     public Set<String> unprovenCancellations() {
         return unprovenCancellations.keySet();
     }
 
-    /** A peer's digest; the jobs that it names have been marked as cancelled already. */
+    /**
+     * Advances a peer's watermark by its digest. The jobs of the digest must have been marked as
+     * cancelled before.
+     */
     public void advanceByDigest(CancellationDigest digest) {
         String peer = digest.node();
         if (peers.contains(peer)
@@ -95,8 +110,8 @@
     }
 
     /**
-     * For how long it has not been known what may have been confirmed, in seconds; infinite at
-     * first, 0 without peers.
+     * Returns the age of the oldest watermark of all peers, in seconds; infinite at first, 0
+     * without peers.
      */
     public double ageSeconds() {
         double now = timers.wallClockMillis();
@@ -109,7 +124,7 @@
                 digestWatermarkMillis.getOrDefault(peer, Double.NEGATIVE_INFINITY));
     }
 
-    /** The peer of whose confirmations the least is known, null without peers; for the log. */
+    /** Returns the peer with the oldest watermark, null without peers; for the log. */
     public String leastKnownPeer() {
         return peers.stream().min(Comparator.comparingDouble(this::watermarkMillis)).orElse(null);
     }
--- a/src/main/java/io/kitepath/core/leadership/HolderRecord.java
+++ b/src/main/java/io/kitepath/core/leadership/HolderRecord.java
@@ -9,11 +9,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The stored record of a holder: of leadership, or of a role. Also the record of the highest
- * fencing token that was ever given out for one of them, which has that field only. Fields are
- * checked only when they are asked for, so that a record without those that this version does not
- * need still counts; each accessor throws {@link InvalidInputException} if its field is missing or
- * of the wrong type.
+ * The stored record of the leader or of a role holder. Also the record of the highest fencing token
+ * that was ever issued for leadership or a role, which has only that field. Fields are validated
+ * only on access, so that a record without fields that this version does not need is still valid;
+ * each accessor throws {@link InvalidInputException} if its field is missing or of the wrong type.
  */
 public final class HolderRecord {
     private static final Logger LOG = LoggerFactory.getLogger(HolderRecord.class);
@@ -30,12 +29,19 @@
         this.document = document;
     }
 
-    /** Reads a record; throws {@link InvalidInputException} if it is no document at all. */
+    /**
+     * Reads a record.
+     *
+     * @throws InvalidInputException if the value is not a document
+     */
     public static HolderRecord fromRecord(Object value) {
         return new HolderRecord(DocumentReader.of(value));
     }
 
-    /** The record with which {@code node}, the process of that incarnation, claims to hold. */
+    /**
+     * Returns the record with which the process of {@code incarnation} on {@code node} claims
+     * leadership or a role.
+     */
     public static Map<String, Object> toRecord(
             String node, long fencingToken, long leaseId, Incarnation incarnation) {
         Map<String, Object> record = new LinkedHashMap<>();
@@ -47,26 +53,26 @@
         return record;
     }
 
-    /** The record of the highest fencing token that was ever given out. */
+    /** Returns the record of the highest fencing token that was ever issued. */
     public static Map<String, Object> toFencingTokenRecord(long fencingToken) {
         return Map.of(FENCING_TOKEN, fencingToken);
     }
 
     /**
-     * The highest fencing token that was given out, from the record of it.
+     * Returns the highest fencing token that was issued, from its record.
      *
-     * <p>Guards against a role, or leadership, that nobody can claim any more as that record can't
-     * be read. The revision takes its place then: each claim is a change of the store and raises
-     * the token by one, or to one above a revision that was passed, so no token that the store gave
-     * out is above the record's revision. Who claims also goes above every token that it has heard
-     * of.
+     * <p>Guards against leadership or a role that can no longer be claimed because this record is
+     * unreadable. The record's revision is used instead: each claim changes the store and raises
+     * the token by one, or to one above an earlier revision, so no issued token is above the
+     * record's revision. A claimant also uses a token above all that are known to it.
      */
     public static long highestFencingToken(Store.Entry entry) {
         try {
             return fromRecord(entry.value()).fencingToken();
         } catch (InvalidInputException invalid) {
             LOG.error(
-                    "record {} is unreadable, its revision {} counts as the highest token: {}",
+                    "fencing token record is unreadable, using its revision as highest token:"
+                            + " key={} revision={} cause={}",
                     entry.key(),
                     entry.revision(),
                     invalid.getMessage());
@@ -74,33 +80,33 @@
         }
     }
 
-    /** The node that holds. */
+    /** Returns the node that is the leader or role holder. */
     public String node() {
         return document.text(NODE);
     }
 
-    /** The token it holds with, or the highest that was given out. */
+    /** Returns the holder's fencing token, or the highest that was issued. */
     public long fencingToken() {
         return document.count(FENCING_TOKEN);
     }
 
-    /** Whether the record names its lease; those of earlier versions don't. */
+    /** Whether the record contains its lease; records of earlier versions do not. */
     public boolean hasLeaseId() {
         return document.has(LEASE_ID);
     }
 
-    /** The lease that the record hangs on. */
+    /** Returns the lease to which the record is attached. */
     public long leaseId() {
         return document.count(LEASE_ID);
     }
 
-    /** Whether this very process wrote it, under that lease. */
+    /** Whether the process of that incarnation wrote the record, under that lease. */
     public boolean isWrittenBy(Incarnation incarnation, long leaseId) {
         return document.textOr(PROCESS_ID, "").equals(incarnation.processId())
                 && leaseId() == leaseId;
     }
 
-    /** Whose record it is, as the process of that incarnation sees it. */
+    /** Returns whose record it is, from the point of view of the process of that incarnation. */
     public Incarnation.RecordOwner owner(Incarnation incarnation) {
         return incarnation.ownerOf(
                 node(),
--- a/src/main/java/io/kitepath/core/leadership/Incarnation.java
+++ b/src/main/java/io/kitepath/core/leadership/Incarnation.java
@@ -3,29 +3,30 @@
 import java.util.Random;
 
 /**
- * Tells this process from all others that ran, or run, under the node's name. A node may be back a
- * fraction of a second after it ended, before any peer has seen it silent. It has lost its memory,
- * and leases that its earlier process held are still held in its name. A process that finds a
- * record of an earlier one of its own name knows that nobody uses it any more: requests which that
- * one sent may still arrive, but are fenced off by token and revisions.
+ * Distinguishes this process from all others that ran, or run, under the node's name. A node may
+ * restart within a fraction of a second, before any peer has detected its silence. It has lost its
+ * in-memory state, and the leases of its earlier process are still held under its name. A process
+ * that finds a record of an earlier process of its own name knows that the record is no longer in
+ * use: requests which the earlier process sent may still arrive, but are fenced off by token and
+ * revisions.
  *
- * <p>Two processes under one name (an operator's mistake, or one that was suspended, replaced and
- * resumed) are in a total order by their start. Only the later ever ends a lease of the earlier, so
- * that they can't end each other's leases in turns forever; the earlier one steps down.
+ * <p>Two processes under one name (an operator's mistake, or a process that was suspended, replaced
+ * and resumed) are totally ordered by their start. Only the later process revokes leases of the
+ * earlier one, so that they cannot revoke each other's leases forever; the earlier one steps down.
  */
 public final class Incarnation {
-    /** What a record that names a holder says about this process. */
+    /** Relation of a leader's or role holder's record to this process. */
     public enum RecordOwner {
-        /** Another node. */
+        /** The record belongs to another node. */
         OTHER_NODE,
 
         /**
-         * This node, and nobody uses it: it is of an earlier process, which is gone or to be
-         * replaced, or a claim of this very process that it gave up.
+         * The record belongs to this node and is not in use: it was written by an earlier process,
+         * which is gone or to be replaced, or by this process for a claim that it gave up.
          */
         ABANDONED,
 
-        /** A later process under this node's name. */
+        /** The record belongs to a later process under this node's name. */
         LATER_PROCESS
     }
 
@@ -34,7 +35,7 @@
     private final String processId;
 
     /**
-     * Draws one number from {@code random}.
+     * Creates the incarnation of this process; draws one number from {@code random}.
      *
      * @param node the node's name
      * @param startedAtMillis when this process started, in milliseconds since 1970
@@ -45,23 +46,27 @@
         this.processId = Long.toHexString(random.nextLong());
     }
 
-    /** When this process started, in milliseconds since 1970 by its own clock. */
+    /** Returns when this process started, in milliseconds since 1970 by its own clock. */
     public double startedAtMillis() {
         return startedAtMillis;
     }
 
-    /** Random; tells this process from every other one, also of its own name. */
+    /**
+     * Returns a random id that distinguishes this process from every other one, including those of
+     * the same node name.
+     */
     public String processId() {
         return processId;
     }
 
     /**
-     * Whose a record is.
+     * Returns whose record it is.
      *
-     * @param recordNode the node that it names
-     * @param recordStartedAtMillis when that process started; 0 if the record does not say, as
-     *     those of earlier versions
-     * @param recordProcessId that process's {@link #processId}; empty if the record does not say
+     * @param recordNode the node in the record
+     * @param recordStartedAtMillis when the process that wrote it started, in milliseconds since
+     *     1970; 0 if the record does not contain it, as in earlier versions
+     * @param recordProcessId the {@link #processId} of that process; empty if the record does not
+     *     contain it
      */
     public RecordOwner ownerOf(
             String recordNode, double recordStartedAtMillis, String recordProcessId) {
@@ -69,11 +74,11 @@
             return RecordOwner.OTHER_NODE;
         }
         if (recordProcessId.equals(processId)) {
-            // Our own claim, whose answer we did not get and which we gave up.
+            // A claim of this process that got no response and was given up.
             return RecordOwner.ABANDONED;
         }
-        // Without a start it was written by an earlier version, so before this process. Between two
-        // that started in the same millisecond, as far as their clocks can tell, chance decides.
+        // A record without a start time was written by an earlier version, so before this process
+        // started. If both started in the same millisecond by their clocks, the random ids decide.
         boolean isLater =
                 recordStartedAtMillis > startedAtMillis
                         || recordStartedAtMillis == startedAtMillis
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -11,23 +11,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leader election by a lease in the store. The leader's record and its shard's record hang on the
- * lease; the transaction that creates them raises the stored fencing token, so two nodes never hold
- * the same one. What a former leader may still send to the store fails, because its writes depend
- * on the revision of a record that is gone.
+ * Elects a leader by a lease in the store. The leader record and the shard record are attached to
+ * the lease; the transaction that creates them raises the stored fencing token, so two nodes never
+ * hold the same token. Late writes of a former leader fail, because they require the revision of a
+ * record that no longer exists.
  *
- * <p>A process that ended while it led and is back before its lease expired knows that nobody
- * renews that lease any more, and ends it; see {@link Incarnation}.
+ * <p>A node that restarts as leader before its lease has expired knows that the lease is no longer
+ * renewed, and revokes it; see {@link Incarnation}.
  *
- * <p>Event loop only; listeners are called on it too.
+ * <p>Not thread-safe: used on the event loop only, on which listeners are called too.
  */
 public final class Leadership {
     private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-    /** The record of the only shard, which holds all machines. */
+    /** Key of the record of the only shard, which contains all machines. */
     public static final String SHARD_KEY = StoreKeys.SHARDS + "all";
 
-    /** The steady clocks of two machines drift apart by up to half of that share. */
+    /**
+     * Relative drift that is allowed for; the steady clocks of two machines drift apart by up to
+     * half of it.
+     */
     private static final double MAX_CLOCK_DRIFT = 0.001;
 
     private static final double MIN_LEASE_SECONDS = 2;
@@ -36,21 +39,24 @@
     private static final double RETRY_JITTER_SECONDS = 0.3;
     private static final double CAMPAIGN_JITTER_SECONDS = 0.1;
 
-    /** Is told of changes of leadership. */
+    /** Receives changes of leadership. */
     public interface Listener {
         /**
-         * This node leads from now on.
+         * Called when this node becomes leader.
          *
-         * @param fencingToken higher than any before
-         * @param leaseId the lease that its records hang on
-         * @param shardRevision at which it wrote the shard's record
+         * @param fencingToken higher than any earlier one
+         * @param leaseId the lease to which its records are attached
+         * @param shardRevision the store revision at which it wrote the shard record
          */
         void onLeadershipWon(long fencingToken, long leaseId, long shardRevision);
 
-        /** This node has stopped leading; {@code why} is for the log. */
+        /** Called when this node has lost leadership; {@code why} is for the log. */
         void onLeadershipLost(String why);
 
-        /** Another node leads, for all this node knows, or the same one anew. */
+        /**
+         * Called when, as far as known, another node has become leader, or the same one has begun a
+         * new term.
+         */
         void onLeaderChanged(String leader);
     }
 
@@ -62,32 +68,35 @@
     private final Listener listener;
     private final double leaseSeconds;
 
-    /** Who leads by the last that we heard, or null. */
+    /** Last known leader, or null. */
     private String leader;
 
     private long highestFencingToken;
 
-    /** When the store last answered us. */
+    /** When the store last responded to this node, in seconds on the steady clock. */
     private double storeAnsweredAt;
 
-    /** A process that was started later leads under our name. */
+    /** Whether a process that was started later leads, or has led, under this node's name. */
     private boolean hasLaterProcess;
 
     private final Campaign campaign;
     private boolean isStopped;
 
-    // While this node leads: its term.
+    // This node's current or last term.
     private boolean isLeading;
     private long fencingToken;
     private long leaseId;
 
-    /** When we asked for the lease, or its last renewal that went through. */
+    /**
+     * When the lease, or its last successful renewal, was requested, in seconds on the steady
+     * clock.
+     */
     private double renewalRequestedAt;
 
-    /** The last renewal was refused or got no answer. */
+    /** Whether the last renewal was refused or got no response. */
     private boolean isRenewalInDoubt;
 
-    /** Does nothing until {@link #start}. */
+    /** Creates an election that does nothing until {@link #start}. */
     public Leadership(
             ClusterSettings settings,
             Store store,
@@ -100,8 +109,8 @@
         this.timers = timers;
         this.random = random;
         this.listener = listener;
-        // Short against the workers' lease, so that a new leader is there well before their work is
-        // given up.
+        // Short compared with the workers' lease, so that there is a new leader well before the
+        // workers' tasks are given up.
         this.leaseSeconds =
                 Math.max(MIN_LEASE_SECONDS, settings.workers().heartbeatIntervalSeconds());
         this.storeAnsweredAt = timers.nowSeconds();
@@ -111,75 +120,76 @@
                         settings, store, timers, incarnation, leaseSeconds, new CampaignResult());
     }
 
-    /** Looks for a leader, and campaigns whenever there is none. */
+    /** Starts to follow the leader record, and campaigns whenever there is no leader. */
     public void start() {
         readLeaderRecord();
     }
 
     /**
-     * Leads no more, and never again: the node is being stopped. Its successor need not wait for a
-     * lease to expire.
+     * Gives up leadership permanently because the node is being stopped. Revokes the lease, so that
+     * its successor need not wait until it expires.
      */
     public void stop() {
         isStopped = true;
         stepDown("the node is being stopped");
     }
 
-    /** Whether this node leads. Its lease may have expired; see {@link #isLeaseValid}. */
+    /** Whether this node is the leader. Its lease may have expired; see {@link #isLeaseValid}. */
     public boolean isLeading() {
         return isLeading;
     }
 
-    /** The node that leads as far as known, this one included; null if none is known. */
+    /** Returns the last known leader, which may be this node; null if none is known. */
     public String leader() {
         return leader;
     }
 
-    /** How long a leader's lease lasts without renewal. */
+    /** Returns how long a leader's lease lasts without renewal. */
     public double leaseSeconds() {
         return leaseSeconds;
     }
 
-    /** The fencing token of this node's last term. */
+    /** Returns the fencing token of this node's last term. */
     public long fencingToken() {
         return fencingToken;
     }
 
-    /** The highest fencing token of any leader that this node has heard of. */
+    /** Returns the highest fencing token of any leader that is known to this node. */
     public long highestFencingToken() {
         return highestFencingToken;
     }
 
-    /** Seconds since the store last answered this node. */
+    /** Returns the seconds since the store last responded to this node. */
     public double secondsSinceStoreAnswered() {
         return timers.nowSeconds() - storeAnsweredAt;
     }
 
     /**
-     * Whether our lease is certain not to have expired, by our own clock and counted from when we
-     * asked for its last renewal. A leader whose lease may have expired starts nothing and asks for
-     * nothing.
+     * Whether the lease has certainly not expired, by this node's own clock and counted from the
+     * request of its last renewal. A leader whose lease may have expired launches no tasks and
+     * sends no requests.
      */
     public boolean isLeaseValid() {
         return timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
     }
 
     /**
-     * Whether tasks may be launched: our lease is valid, and the store granted its last renewal.
-     * Guards against launches of what others have just confirmed as cancelled, by a leader that the
-     * store refuses alone and that may not hear its peers either: it knows so a fifth of its lease
-     * after, not at the end of it. What waits is launched by the answer to a later heartbeat.
+     * Whether tasks may be launched: the lease is valid, and the store granted its last renewal.
+     * Guards against launches of tasks whose cancellation peers have just confirmed, by a leader
+     * that is the only node refused by the store and that may not receive its peers' messages
+     * either: it detects this after a fifth of its lease, not at the end of it. Waiting tasks are
+     * launched with the response to a later heartbeat.
      */
     public boolean mayLaunch() {
         return isLeaseValid() && !isRenewalInDoubt;
     }
 
     /**
-     * A worker or peer has seen that fencing token. One higher than ours means that another node
-     * leads.
+     * Handles a fencing token that a worker or peer has seen. A token higher than this node's means
+     * that another node is the leader.
      *
      * @param seen the token
-     * @param seenLeader the node that leads with it, null if that is not known
+     * @param seenLeader the leader with that token, null if it is not known
      */
     public void onFencingTokenSeen(long seen, String seenLeader) {
         if (seen > highestFencingToken) {
@@ -193,19 +203,19 @@
         }
     }
 
-    /** Gives up leadership if this node has it; {@code why} is for the log. */
+    /** Gives up leadership if this node is the leader; {@code why} is for the log. */
     public void stepDown(String why) {
         if (!isLeading) {
             return;
         }
         isLeading = false;
         leader = null;
-        store.revokeLease(leaseId); // Nobody need wait for it to expire.
+        store.revokeLease(leaseId); // Other nodes need not wait until it expires.
         LOG.info("leadership lost: fencingToken={} reason=\"{}\"", fencingToken, why);
         listener.onLeadershipLost(why);
     }
 
-    // ---- following the leader's record ----------------------------------------------------------
+    // ---- Following the leader record ----
 
     private void readLeaderRecord() {
         store.get(
@@ -224,14 +234,14 @@
     }
 
     /**
-     * Guards against a node that does not hear of any leader any more since the record could not be
-     * read once: it is read again until it can be, or is gone.
+     * Handles the leader record. Guards against a node that no longer follows the leader because
+     * the record was unreadable once: it is read again until it is readable or gone.
      */
     private void onLeaderRecordRead(Store.Entry entry) {
         try {
             onLeaderRecord(HolderRecord.fromRecord(entry.value()));
         } catch (InvalidInputException invalid) {
-            LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
+            LOG.error("record is unreadable: key={} cause={}", entry.key(), invalid.getMessage());
             readLeaderRecordLater();
             return;
         }
@@ -250,8 +260,9 @@
                 fromRevision,
                 holdMillis,
                 changes -> {
-                    // An empty answer proves nothing: a node that the store refuses waits on its
-                    // watches all the same. A plain read tells whether the store answers us.
+                    // An empty response proves nothing: the watches of a node that the store
+                    // refuses time out in the same way. A plain read shows whether the store
+                    // responds to this node.
                     if (changes.outcome() == Outcome.OK) {
                         readLeaderRecord();
                     } else {
@@ -280,15 +291,14 @@
     }
 
     /**
-     * Guards against a node that names itself as leader while it leads nothing: peers send workers
-     * to it, and nobody places anything until a lease that no process holds has expired.
+     * Revokes the lease of a record that an earlier process of this node left, or that a failed
+     * claim left. Guards against a node that is listed as leader without leading: peers would send
+     * workers to it, and no tasks would be placed until a lease that no process holds has expired.
      */
     private void endAbandonedLease(HolderRecord leaderRecord, long recordToken) {
         leader = null;
         if (leaderRecord.hasLeaseId()) {
-            LOG.info(
-                    "ending the leader lease of an earlier process of this node: fencingToken={}",
-                    recordToken);
+            LOG.info("revoking abandoned leader lease of this node: fencingToken={}", recordToken);
             store.revokeLease(leaderRecord.leaseId());
         }
     }
@@ -297,16 +307,18 @@
         leader = null;
         if (!hasLaterProcess) {
             LOG.error(
-                    "another process that was started later leads under this node's name, this"
-                            + " process steps down: node={}",
+                    "a later process is leader under this node's name, this process steps down:"
+                            + " node={}",
                     node);
         }
         hasLaterProcess = true;
     }
 
     /**
-     * {@code isNewTerm}: its fencing token is higher than all that we knew, so it may have ended
-     * and be back since.
+     * Sets the known leader and notifies the listener of a change.
+     *
+     * @param isNewTerm whether its fencing token is higher than all known ones, so that it may have
+     *     lost leadership and won it again
      */
     private void setLeader(String node, boolean isNewTerm) {
         boolean isChanged = isNewTerm || !node.equals(leader);
@@ -322,9 +334,10 @@
             stepDown("the leader record is gone");
         }
         leader = null;
-        // While a later process runs under our name, this one gives all others the time to come
-        // first, each time: it does not race with the later one, which alone ends leases of the
-        // other, so that they never end each other's in turns.
+        // While a later process runs under this node's name, this process delays each campaign by a
+        // lease so that all other processes can win first. It does not compete with the later
+        // process, which alone revokes the other's leases, so that they never revoke each other's
+        // leases in turns.
         double headStart = hasLaterProcess ? leaseSeconds : 0;
         timers.schedule(headStart + random.nextDouble() * CAMPAIGN_JITTER_SECONDS, this::campaign);
     }
@@ -333,7 +346,7 @@
         storeAnsweredAt = timers.nowSeconds();
     }
 
-    // ---- taking and keeping the lease -----------------------------------------------------------
+    // ---- Acquiring and renewing the lease ----
 
     private void campaign() {
         if (!isLeading && !isStopped) {
@@ -350,8 +363,8 @@
         @Override
         public void onWon(Campaign.Term term) {
             if (isStopped) {
-                // Guards against a node that is being stopped and begins to lead, as its claim was
-                // under way.
+                // Guards against a node that becomes leader while it is being stopped, because its
+                // claim was in progress.
                 store.revokeLease(term.leaseId());
             } else {
                 lead(term);
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -10,39 +10,50 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the peers announce of themselves each second, and which of them are silent. */
+/** Tracks the state that the peers announce each second, and which peers are silent. */
 public final class MembershipView {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipView.class);
 
-    /** An announcement older than three of its intervals says nothing about now. */
+    /**
+     * Maximum age of an announcement, three of its intervals; an older one is not taken as the
+     * current state.
+     */
     private static final double FRESH_SECONDS = 3;
 
-    /** A peer that was not heard for longer is silent: two announcements in a row are missing. */
+    /**
+     * A peer from which no message was received for longer is silent: two consecutive announcements
+     * are missing.
+     */
     private static final double SILENT_AFTER_SECONDS = 2.5;
 
-    /** Stands for a peer that was never heard, so that it counts as silent. */
+    /** Default time for a peer from which no message was received, so that it counts as silent. */
     private static final double NEVER = -1e9;
 
     private final List<String> peers;
     private final Timers timers;
 
-    /** When a peer was last heard, on the steady clock. */
+    /** When the last message was received, by peer, in seconds on the steady clock. */
     private final Map<String, Double> heardAt = new HashMap<>();
 
     /**
-     * When a peer last said that the store answers it, unless it has said since that it doesn't.
+     * When the peer last announced that the store responds to it, by peer, in seconds on the steady
+     * clock; removed when it announces that the store does not.
      */
     private final Map<String, Double> servedByStoreAt = new HashMap<>();
 
     private final Set<String> reportedSilent = new HashSet<>();
 
-    /** Knows the peers that the settings name, and has heard none of them. */
+    /** Creates a view of the configured peers; all are silent until a message is received. */
     public MembershipView(ClusterSettings settings, Timers timers) {
         this.peers = settings.siblings();
         this.timers = timers;
     }
 
-    /** A peer announced its state; {@code isServedByStore}: whether the store answers it. */
+    /**
+     * Handles a state announcement.
+     *
+     * @param isServedByStore whether the store responds to the peer
+     */
     public void onPeerState(String peer, boolean isServedByStore) {
         heardAt.put(peer, timers.nowSeconds());
         if (isServedByStore) {
@@ -53,19 +64,19 @@
     }
 
     /**
-     * Whether the peer was not heard lately. Guards against waiting for a silent peer's answer
-     * again and again.
+     * Whether no message was received from the peer recently. Guards against repeated waits for
+     * responses of a silent peer.
      */
     public boolean isSilent(String peer) {
         return timers.nowSeconds() - heardAt.getOrDefault(peer, NEVER) > SILENT_AFTER_SECONDS;
     }
 
-    /** Seconds since the peer was heard; NaN if it never was. */
+    /** Returns the seconds since the last message from the peer; NaN if none was received. */
     public double silentSeconds(String peer) {
         return timers.nowSeconds() - heardAt.getOrDefault(peer, Double.NaN);
     }
 
-    /** How many peers are silent. */
+    /** Returns the number of silent peers. */
     public long silentCount() {
         return peers.stream().filter(this::isSilent).count();
     }
@@ -75,24 +86,28 @@
         return !peers.isEmpty() && peers.stream().allMatch(this::isSilent);
     }
 
-    /** Whether some peer said lately that the store answers it. */
+    /** Whether any peer announced recently that the store responds to it. */
     public boolean isAnyPeerServedByStore() {
         double now = timers.nowSeconds();
         return servedByStoreAt.values().stream()
                 .anyMatch(servedAt -> now - servedAt < FRESH_SECONDS);
     }
 
-    /** Logs which peers fell silent or are heard again; {@code leader}: who leads, or null. */
+    /**
+     * Logs which peers have become silent or are no longer silent.
+     *
+     * @param leader the last known leader, or null
+     */
     public void logSilenceChanges(String leader) {
         for (String peer : peers) {
             boolean isLeader = peer.equals(leader);
             if (isSilent(peer)) {
-                // A peer that was never heard has not fallen silent.
+                // A peer from which no message was received has not become silent.
                 if (heardAt.containsKey(peer) && reportedSilent.add(peer)) {
                     LOG.info("peer is silent: peer={} isLeader={}", peer, isLeader);
                 }
             } else if (reportedSilent.remove(peer)) {
-                LOG.info("peer is heard again: peer={} isLeader={}", peer, isLeader);
+                LOG.info("peer is no longer silent: peer={} isLeader={}", peer, isLeader);
             }
         }
     }
--- a/src/main/java/io/kitepath/core/scaling/CapacitySurvey.java
+++ b/src/main/java/io/kitepath/core/scaling/CapacitySurvey.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** What the shard has and needs at the time of a plan. */
+/** Summarizes the shard's capacity and demand at the time of a plan. */
 final class CapacitySurvey {
     private final ClusterSettings settings;
     private final ShardState shard;
@@ -52,12 +52,15 @@
         return cpuSeconds;
     }
 
-    /** CPUs of the machines that are up or coming. */
+    /** Returns the CPUs of the machines that are up or booting. */
     double usableCpus() {
         return usableCpus;
     }
 
-    /** Seconds until the waiting work that may use spot machines is done on all those CPUs. */
+    /**
+     * Returns how many seconds all usable CPUs need for the waiting work that may use spot
+     * machines.
+     */
     double spotBacklogSeconds() {
         return spotBacklogCpuSeconds / Math.max(1, usableCpus);
     }
@@ -68,8 +71,8 @@
     }
 
     /**
-     * The CPUs guaranteed to all teams together; none while there is no work. Guards against a
-     * fleet kept rented for work that may come when none has come for long.
+     * Returns the sum of the CPUs guaranteed to all teams, or 0 while there is no unfinished job.
+     * Guards against machines that stay rented although no job has been submitted for a long time.
      */
     double guaranteedCpus() {
         return isIdle()
@@ -79,7 +82,7 @@
                         .sum();
     }
 
-    /** The shortest boot time of all machine types, in seconds. */
+    /** Returns the shortest boot time of all machine types, in seconds. */
     double shortestBootSeconds() {
         return shard.machineTypes().values().stream()
                 .mapToDouble(MachineType::bootSeconds)
@@ -87,15 +90,18 @@
                 .orElse(0);
     }
 
-    /** The room of all machines up or coming, as it will be when a new machine could be up. */
+    /**
+     * Returns the free capacity of all machines that are up or booting, as of the time when a newly
+     * rented machine could be up.
+     */
     List<FreeCapacity> capacitiesAfterBoot() {
         return capacities(
                 attempt -> attempt.remainingSeconds(now) > typeOf(attempt.machine).bootSeconds());
     }
 
     /**
-     * The room of all machines up or coming for a job that may come at any moment: as it is now
-     * with lesser work stopped.
+     * Returns the free capacity of all machines that are up or booting for a job that may be
+     * submitted at any time: the current one, with work of lower priority evicted, except gangs.
      */
     List<FreeCapacity> capacitiesFor(JobSpec spec) {
         return capacities(
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -15,21 +15,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the shard's machines with the cloud. Every node learns the machine types. The node
- * that leads lists the machines and records what is to be rented and released ({@link
- * CloudIntents}), no faster than the cloud can be asked for it. Only the cloud's confirmation that
- * a machine was released proves it gone. Not thread-safe: used on the event loop only.
+ * Reconciles the shard's machines with the cloud. Every node loads the machine types. The leader
+ * lists the machines and records which are to be rented and released ({@link CloudIntents}), at no
+ * higher rate than the cloud accepts requests. A machine counts as gone only when the cloud has
+ * confirmed its release. Not thread-safe: used on the event loop only.
  */
 public final class CloudReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
-    /** The share of the cloud's call rate that this node uses; the rest is for the other nodes. */
+    /**
+     * Share of the cloud's request rate that this node uses; the rest is left to the other nodes.
+     */
     private static final double CALL_RATE_SHARE = 0.6;
 
-    /** Requests that may wait for their record or their answer at the same time. */
+    /**
+     * Maximum number of requests that wait for their record to be committed or for the cloud's
+     * response.
+     */
     private static final int MAX_PENDING_REQUESTS = 3;
 
-    /** Plans per report interval: more often hardly anything has changed. */
+    /** Plans per heartbeat interval; hardly anything changes between more frequent plans. */
     private static final double PLANS_PER_REPORT = 8;
 
     /** The ports through which the reconciler acts. */
@@ -44,7 +49,7 @@
     private final Runnable onMachinesGone;
     private final TokenBucket callBucket;
 
-    /** Limits what is recorded to what the cloud can be asked for. */
+    /** Limits the rate of recorded intents to the rate at which the cloud accepts requests. */
     private final TokenBucket intentBucket;
 
     private final CloudIntents intents;
@@ -55,9 +60,9 @@
     private double plannedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param intents the record of what is wanted from the cloud, written before it is asked
-     * @param leadsMachines whether this node leads the machines now
-     * @param onMachinesGone runs when machines are gone, so that their work may be placed again
+     * @param intents the recorded cloud intents, written before the cloud receives a request
+     * @param leadsMachines whether this node is the leader now
+     * @param onMachinesGone runs when machines are gone, so that their tasks may be placed again
      */
     public CloudReconciler(
             ShardState shard,
@@ -81,9 +86,9 @@
     }
 
     /**
-     * This node leads the machines now.
+     * Starts this node's term as leader.
      *
-     * @param lease the id of its lease, which the store never gives out again
+     * @param lease the id of its lease, which the store never assigns again
      */
     public void startLeading(long lease) {
         intents.startTerm(lease);
@@ -91,18 +96,18 @@
     }
 
     /**
-     * Learns the machine types, from the record of a node that knew them or from the cloud; tries
-     * again until they are known.
+     * Loads the machine types from the record that another node stored, or from the cloud; retries
+     * until they are known.
      */
     public void loadMachineTypes() {
         machineTypes.load();
     }
 
     /**
-     * Does what is due now: lists machines, refreshes types, plans and records what to rent and
-     * release.
+     * Runs the steps that are due: lists the machines, refreshes the machine types, makes a plan
+     * and records which machines to rent and release.
      *
-     * @param mayPlan whether the jobs are known and the store answers
+     * @param mayPlan whether the jobs are known and the store responds
      */
     public void reconcile(boolean mayPlan) {
         double now = timers.nowSeconds();
@@ -120,14 +125,14 @@
 
     private boolean isPlanDue(double now) {
         boolean machinesKnown = !shard.machineTypes().isEmpty() && listedAt >= leadingSince;
-        // Without a token nothing could be done about a plan now.
+        // Without a rate-limit token, no intent of the plan could be recorded.
         return machinesKnown
                 && intentBucket.available(now) >= 1
                 && now - plannedAt
                         >= settings.workers().heartbeatIntervalSeconds() / PLANS_PER_REPORT;
     }
 
-    /** Records what the plan wants and what is not on record yet. */
+    /** Records those intents of the plan that are not recorded yet. */
     private void recordIntents(ScalingPlanner.Plan plan, double now) {
         List<String> release =
                 plan.machinesToRelease().stream()
@@ -144,7 +149,7 @@
                     plan.countsToRent(),
                     intents.unsettledRentals().size());
         }
-        // One plan's rentals at a time: the next plan has to know what came of them.
+        // Only one plan's rentals are open at a time: the next plan needs their results.
         if (intents.unsettledRentals().isEmpty()) {
             plan.countsToRent().entrySet().stream()
                     .limit(MAX_PENDING_REQUESTS)
@@ -156,7 +161,7 @@
     private void onRented(RentalIntent rental) {
         int rented = rental.machines().size();
         LOG.info(
-                "cloud answered rental: rented={} requested={} type={} zone={} spot={}",
+                "cloud responded to rental request: rented={} requested={} type={} zone={} spot={}",
                 rented,
                 rental.count,
                 rental.kind.machineType(),
--- a/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
+++ b/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
@@ -7,21 +7,24 @@
 import io.kitepath.core.shard.Machine;
 import java.util.Optional;
 
-/** The room on a machine, or on one that is to be rented, that a plan fills with waiting work. */
+/**
+ * Free capacity of a machine that exists or is to be rented, to which a plan allocates waiting
+ * tasks.
+ */
 final class FreeCapacity {
-    /** Absorbs rounding errors when resources are summed up. */
+    /** Absorbs rounding errors in sums of resources. */
     private static final double ROUNDING_SLACK = 1e-6;
 
     final MachineType type;
     final MachineKind kind;
 
-    /** Empty for a machine that is only to be rented. */
+    /** Empty for a machine that is yet to be rented. */
     final Optional<Machine> machine;
 
-    /** What is free by the time that a new machine could be up. */
+    /** Resources that are free when a newly rented machine could be up. */
     final FreeResources afterBoot;
 
-    /** What is free until then. */
+    /** Resources that are free until then. */
     final FreeResources immediately;
 
     private FreeCapacity(MachineType type, MachineKind kind, Optional<Machine> machine) {
@@ -32,26 +35,34 @@
         this.immediately = new FreeResources(type);
     }
 
-    /** All of a machine that is up or coming, before its work is subtracted. */
+    /**
+     * Returns the whole capacity of a machine that is up or booting, before its attempts are
+     * subtracted.
+     */
     static FreeCapacity of(Machine machine, MachineType type) {
         return new FreeCapacity(type, machine.kind(), Optional.of(machine));
     }
 
-    /** All of a machine that is to be rented. */
+    /** Returns the whole capacity of a machine that is to be rented. */
     static FreeCapacity ofRental(MachineKind kind, MachineType type) {
         return new FreeCapacity(type, kind, Optional.empty());
     }
 
-    /** Whether it has CPUs for one task. Cheap, as it is asked of every machine for every job. */
+    /**
+     * Whether there are enough free CPUs for one task. Kept cheap, as it runs for every machine and
+     * job.
+     *
+     * @param atOnce whether the CPUs have to be free immediately as well
+     */
     boolean hasCpusFor(JobSpec spec, boolean atOnce) {
         return afterBoot.cpus + ROUNDING_SLACK >= spec.cpusPerTask()
                 && (!atOnce || immediately.cpus + ROUNDING_SLACK >= spec.cpusPerTask());
     }
 
     /**
-     * Fills it with as many of the tasks as fit, returning how many.
+     * Allocates as many of the tasks as fit and returns their number.
      *
-     * @param atOnce whether the tasks have to fit into what is free immediately as well
+     * @param atOnce whether the tasks have to fit into the immediately free resources as well
      */
     int allocate(JobSpec spec, int tasks, boolean atOnce) {
         int fitting = Math.min(tasks, afterBoot.slots(spec));
@@ -63,7 +74,7 @@
         return fitting;
     }
 
-    /** Resources that are still free. */
+    /** Free resources of one machine. */
     static final class FreeResources {
         private double cpus;
         private double gpus;
--- a/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -15,27 +15,30 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Which kinds of machine the cloud has, judged by what it refused lately, and which of them costs
- * least for a job.
+ * Tracks which kinds of machine are available, based on the cloud's recent refusals, and selects
+ * the cheapest of them for a job.
  */
 final class InstanceSelection {
-    /** After so many refusals in a row the time to the next request grows no further. */
+    /** Number of consecutive refusals after which the back-off grows no further. */
     private static final int MAX_COUNTED_REFUSALS = 4;
 
-    /** What each machine of a kind adds to the kind's price, so that zones share the load. */
+    /** Relative price surcharge per machine of a kind, which spreads machines over the zones. */
     private static final double SPREAD_PRICE_FACTOR = 1e-4;
 
-    /** Spot machines first: of kinds at the same price the first one is taken. */
+    /** Spot machines come first: of kinds at the same price, the first one is selected. */
     private static final List<Boolean> SPOT_FIRST = List.of(true, false);
 
-    /** A kind refused for want of capacity: how often in a row, and until when not to ask again. */
+    /**
+     * The refusals of a kind for lack of capacity: how many in a row, and when to request it again,
+     * in seconds on the steady clock.
+     */
     private record Refusal(int inARow, double retryAt) {}
 
     private final ClusterSettings settings;
     private final ShardState shard;
     private final Map<MachineKind, Refusal> refusals = new HashMap<>();
 
-    /** Machines by kind, counted once per plan. */
+    /** Number of machines by kind, counted once per plan. */
     private final Map<MachineKind, Integer> machineCounts = new HashMap<>();
 
     InstanceSelection(ShardState shard) {
@@ -43,7 +46,7 @@
         this.shard = shard;
     }
 
-    /** Counts anew which machines there are. */
+    /** Recounts the shard's machines by kind. */
     void countMachines() {
         machineCounts.clear();
         for (Machine machine : shard.machines().values()) {
@@ -53,7 +56,10 @@
         }
     }
 
-    /** The cloud has no capacity of that kind: it is asked again after a growing delay. */
+    /**
+     * Records that the cloud has no capacity of that kind; it is requested again after an
+     * exponential back-off.
+     */
     void recordRefusal(MachineKind kind, double now) {
         Refusal last = refusals.get(kind);
         int inARow = Math.min(MAX_COUNTED_REFUSALS, last == null ? 1 : last.inARow + 1);
@@ -61,7 +67,7 @@
         refusals.put(kind, new Refusal(inARow, retryAt));
     }
 
-    /** The cloud has capacity of that kind. */
+    /** Records that the cloud has capacity of that kind; ends its back-off. */
     void recordGrant(MachineKind kind) {
         refusals.remove(kind);
     }
@@ -71,7 +77,7 @@
         return refusal == null || now >= refusal.retryAt;
     }
 
-    /** The cheapest kind per task of the job in these zones; empty if none is available. */
+    /** Returns the cheapest kind per task of the job in these zones; empty if none is available. */
     Optional<MachineKind> cheapestKind(
             JobSpec spec, Predicate<String> zones, Map<MachineKind, Integer> toRent, double now) {
         return cheapest(
@@ -81,7 +87,7 @@
                 now);
     }
 
-    /** The cheapest kind per CPU; empty if none is available. */
+    /** Returns the cheapest kind per CPU; empty if none is available. */
     Optional<MachineKind> cheapestKindByCpu(Map<MachineKind, Integer> toRent, double now) {
         return cheapest(MachineType::cpus, kind -> true, toRent, now);
     }
@@ -116,8 +122,9 @@
     }
 
     /**
-     * The price per unit of what a machine offers. Zones share the load: at equal prices the kind
-     * with the fewest machines is cheaper.
+     * Returns the hourly price per unit (task or CPU) that a machine offers. A small surcharge per
+     * machine spreads the machines over the zones: at equal prices the kind with the fewest
+     * machines is selected.
      */
     private double pricePerUnit(
             MachineKind kind, MachineType type, double units, Map<MachineKind, Integer> toRent) {
@@ -127,7 +134,7 @@
                 * (1 + SPREAD_PRICE_FACTOR * machines);
     }
 
-    /** Whether a spot machine that holds the job's tasks is available below the regular price. */
+    /** Whether a spot machine that fits a task of the job is available below the regular price. */
     boolean isSpotAvailable(JobSpec spec, double now) {
         return shard.machineTypes().values().stream()
                 .anyMatch(
@@ -137,9 +144,9 @@
     }
 
     /**
-     * Whether spot machines of the type are available below its regular price. Guards against work
-     * that could run on spot machines keeping regular ones rented: it fills them again and again,
-     * so that they never idle.
+     * Whether spot machines of the type are available below its regular price. Guards against
+     * regular machines that stay rented because tasks that could run on spot machines are placed on
+     * them again and again, so that they are never idle.
      */
     boolean isCheaperSpotAvailable(MachineType type, double now) {
         return type.spotPricePerHour() < type.pricePerHour()
--- a/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * Which machines are up, or booting and not overdue, as far as the leader can tell. Times are
- * seconds on the steady clock.
+ * Determines which machines are up, or booting and not overdue, as far as the leader knows. Times
+ * are seconds on the steady clock.
  */
 final class MachineLiveness {
-    /** Report intervals that a worker which is up may miss. */
+    /** Number of heartbeats that a worker which is up may miss. */
     private static final double MISSED_REPORTS = 5;
 
-    /** How long its reports may go missing in addition while the leader changes. */
+    /** Additional time in which heartbeats may be missing while the leader changes. */
     private static final double LEADER_CHANGE_SECONDS = 4;
 
     private final ClusterSettings settings;
@@ -27,17 +27,22 @@
         this.shard = shard;
     }
 
-    /** Silence is counted from then at the earliest: since when this node leads. */
+    /**
+     * Sets since when this node is the leader; a machine's silence is counted from then at the
+     * earliest.
+     */
     void countSilenceSince(double leadingSince) {
         silenceSince = leadingSince;
     }
 
-    /** The machine's type, if it is known. */
+    /** Returns the machine's type, if it is known. */
     Optional<MachineType> typeOf(Machine machine) {
         return Optional.ofNullable(machine.typeAmong(shard.machineTypes()));
     }
 
-    /** Whether the machine counts as capacity: up or booting in time, and not to be released. */
+    /**
+     * Whether the machine counts as capacity: it is up or booting in time, and not to be released.
+     */
     boolean isCapacity(Machine machine, double now) {
         return !machine.isReleasing()
                 && !machine.isGone()
@@ -48,10 +53,10 @@
     }
 
     /**
-     * Whether the worker should have reported by now if the machine were up. Guards against a new
-     * leader that knows a machine's age from the cloud's list but has not given its worker the time
-     * to report yet: it would release machines full of running tasks, or rent for work that they
-     * have room for.
+     * Whether the worker should have sent a heartbeat by now if the machine were up. Guards against
+     * a new leader that knows a machine's age from the cloud's list but has not given its worker
+     * time for a heartbeat yet: it would release machines with running tasks, or rent machines for
+     * tasks for which those have free capacity.
      */
     boolean mayBeOverdue(Machine machine, double now) {
         return !machine.hasReported()
@@ -59,12 +64,15 @@
                 && now - silenceSince > silenceSeconds();
     }
 
-    /** Whether the machine takes much longer to boot than machines like it do. */
+    /** Whether the machine takes much longer to boot than similar machines. */
     boolean isLate(Machine machine, double now) {
         return mayBeOverdue(machine, now) && shard.bootTimes().isLate(machine, now);
     }
 
-    /** Seconds since its last report, or since this node leads if that is later. */
+    /**
+     * Returns the seconds since the machine's last heartbeat, or since this node became leader if
+     * that is later.
+     */
     double silentSeconds(Machine machine, double now) {
         return now
                 - (machine.hasReported()
@@ -72,14 +80,14 @@
                         : silenceSince);
     }
 
-    /** Whether a machine that was up has not reported for too long. */
+    /** Whether the machine's last heartbeat is longer ago than a worker that is up may take. */
     boolean isSilent(Machine machine, double now) {
         return silentSeconds(machine, now) > silenceSeconds();
     }
 
     /**
-     * How long a worker that is up may take to report: its lease, or a few reports and a change of
-     * the leader.
+     * Returns how long a worker that is up may send no heartbeat: its lease, or a few heartbeat
+     * intervals and a leader change if that is shorter.
      */
     private double silenceSeconds() {
         return Math.min(
--- a/src/main/java/io/kitepath/core/scaling/MachineTypeLoader.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineTypeLoader.java
@@ -13,13 +13,13 @@
 import java.util.Map;
 
 /**
- * Gets the machine types from the record of a node that knew them, or from the cloud, and refreshes
- * them from time to time.
+ * Loads the machine types from the record that another node stored, or from the cloud, and
+ * refreshes them periodically.
  */
 final class MachineTypeLoader {
     private static final double RETRY_SECONDS = 1;
 
-    /** Report intervals after which the types are fetched again. */
+    /** Heartbeat intervals after which the types are fetched again. */
     private static final double REFRESH_REPORT_INTERVALS = 20;
 
     private final ShardState shard;
@@ -31,7 +31,9 @@
     private boolean stored;
     private double fetchedAt = Double.NEGATIVE_INFINITY;
 
-    /** {@code callBucket}: limits the calls to the cloud. */
+    /**
+     * @param callBucket limits the rate of calls to the cloud
+     */
     MachineTypeLoader(ShardState shard, CloudReconciler.Ports ports, TokenBucket callBucket) {
         this.shard = shard;
         this.store = ports.store();
@@ -42,7 +44,7 @@
                 REFRESH_REPORT_INTERVALS * shard.settings().workers().heartbeatIntervalSeconds();
     }
 
-    /** Tries every second until the types are known. */
+    /** Loads the types; retries every second until they are known. */
     void load() {
         if (!shard.machineTypes().isEmpty()) {
             return;
@@ -70,7 +72,7 @@
         stored = true;
     }
 
-    /** Fetches the types from the cloud if the last time is long ago. */
+    /** Fetches the types from the cloud if the refresh interval has passed. */
     void refresh(double now) {
         if (now - fetchedAt > refreshSeconds) {
             fetchedAt = now;
--- a/src/main/java/io/kitepath/core/scaling/ObjectiveReserve.java
+++ b/src/main/java/io/kitepath/core/scaling/ObjectiveReserve.java
@@ -14,9 +14,9 @@
 import java.util.Set;
 
 /**
- * Keeps room for job classes that are expected to start sooner than a machine boots: enough for all
- * but the largest of the jobs that came lately, by the share that the class's service-level
- * objective names.
+ * Reserves capacity for job classes whose objective is shorter than a machine's boot time: enough
+ * for the target share of recently submitted jobs that the class's service-level objective sets,
+ * that is, for all but the largest ones.
  */
 final class ObjectiveReserve {
     private final ShardState shard;
@@ -31,10 +31,11 @@
     }
 
     /**
-     * Reserves machines for each objective, and rents those that are missing.
+     * Reserves machines for each objective, and adds those that are missing to the rentals.
      *
-     * @param queue the jobs that wait: a class that waits already needs no reserve for short waits
-     * @return the machines that are up and have to be kept
+     * @param queue the waiting jobs; a class with waiting jobs needs no reserve for its wait
+     *     objective
+     * @return the existing machines that have to be kept
      */
     Set<Machine> reserve(List<Job> queue, double wallMillis) {
         for (ClusterSettings.Objective objective : shard.settings().objectives()) {
@@ -71,7 +72,7 @@
                 capacity ->
                         !ProbePlacement.isAllowed(capacity.kind, typical)
                                 || !zones.allows(capacity.kind.zone()));
-        // The fullest machines first.
+        // Allocates on the fullest machines first.
         capacities.sort(
                 Comparator.comparingDouble(
                         capacity -> capacity.afterBoot.cpus() - capacity.type.cpus()));
@@ -89,7 +90,7 @@
         rentals.addMachinesFor(typical, missing, zones, kind -> true);
     }
 
-    /** How many tasks of such jobs need a slot at the same time. */
+    /** Returns how many tasks of such jobs need a slot at the same time. */
     private int tasksAtOnce(
             ClusterSettings.Objective objective, JobSpec typical, double wallMillis) {
         if (typical.shape() != JobSpec.Shape.ARRAY || typical.deadlineSeconds() == null) {
@@ -98,7 +99,7 @@
         double rounds =
                 Math.max(
                         1, typical.deadlineSeconds() / 2 / Math.max(1, typical.estimatedSeconds()));
-        // As many jobs come within a boot time as usual, give or take the square root of that.
+        // The number of jobs that are submitted within a boot time varies by about its square root.
         double jobsPerBoot =
                 survey.shortestBootSeconds()
                         * shard.recentArrivals().jobsPerSecond(objective.jobClass(), wallMillis);
--- a/src/main/java/io/kitepath/core/scaling/RegularMachineDemand.java
+++ b/src/main/java/io/kitepath/core/scaling/RegularMachineDemand.java
@@ -11,9 +11,10 @@
 import java.util.Set;
 
 /**
- * The kinds of regular machines that waiting work depends on, although it could run on spot
- * machines: none that it may use is up or booting. Guards against regular machines returned because
- * the cloud might have spot machines, while work waits for which it has none.
+ * Finds the kinds of regular machines that waiting jobs depend on, although these could run on spot
+ * machines, because no spot machine that they may use is up or booting. Guards against the release
+ * of regular machines, in the expectation of spot machines, while jobs wait for which the cloud has
+ * no spot machines.
  */
 final class RegularMachineDemand {
     private final Set<MachineKind> neededKinds = new HashSet<>();
@@ -49,7 +50,10 @@
         return kinds.stream().anyMatch(kind -> ProbePlacement.isAllowed(kind, spec));
     }
 
-    /** Whether work waits that can run on such machines only, for now. */
+    /**
+     * Whether there are waiting jobs that can currently run only on machines of this machine's
+     * kind, or other regular ones.
+     */
     boolean needs(Machine machine) {
         return neededKinds.contains(machine.kind());
     }
--- a/src/main/java/io/kitepath/core/scaling/RentalPlan.java
+++ b/src/main/java/io/kitepath/core/scaling/RentalPlan.java
@@ -16,9 +16,12 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What one plan rents: machines by kind, those wanted soonest first. */
+/** Collects the machines that one plan rents, by kind, in the order in which they are needed. */
 final class RentalPlan {
-    /** What a zone counts for that has no room yet but may have machines: less than one slot. */
+    /**
+     * Score of a zone without free capacity in which machines can be rented: less than that of one
+     * slot.
+     */
     private static final double RENTABLE_ZONE_SCORE = 0.1;
 
     private final ClusterSettings settings;
@@ -39,10 +42,10 @@
     }
 
     /**
-     * Adds machines of the cheapest kinds for that many tasks; stops at a kind that is not worth
-     * it.
+     * Adds machines of the cheapest kinds for that many tasks; stops when the cheapest available
+     * kind does not pass {@code worth}.
      *
-     * @return the added machines' capacities, with the tasks in them
+     * @return the capacities of the added machines, with the tasks allocated
      */
     List<FreeCapacity> addMachinesFor(
             JobSpec spec, int tasks, ZoneConstraints zones, Predicate<MachineKind> worth) {
@@ -73,7 +76,7 @@
         return added;
     }
 
-    /** Adds the machines cheapest per CPU until the plan rents that many CPUs. */
+    /** Adds machines of the cheapest kinds per CPU until the plan rents that many CPUs. */
     void addMachinesUpTo(double cpus) {
         double missing = cpus;
         for (Map.Entry<MachineKind, Integer> count : countsToRent.entrySet()) {
@@ -92,9 +95,9 @@
     }
 
     /**
-     * Chooses the zone for a job that must stay in one and is in none yet: the one where it could
-     * use most of what is up or coming. A gang needs a zone that holds all of it, or where machines
-     * for the rest are available.
+     * Chooses the zone for a job that must run in a single zone and is not bound to one yet: the
+     * zone with the most free slots for it on machines that are up or booting. A gang needs a zone
+     * that fits all of its tasks, or in which machines for the rest are available.
      */
     void chooseZone(ZoneConstraints zones, JobSpec spec, int tasks, List<FreeCapacity> capacities) {
         if (!spec.isSingleZone() || zones.isDecided()) {
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -13,17 +13,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Which machines are released, and which are drained to be released. */
+/** Decides which machines are released, and which are drained before their release. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-    /** For how many leases a machine may report without hearing answers before it is released. */
+    /**
+     * Worker leases for which a machine may send heartbeats without receiving responses before it
+     * is released.
+     */
     private static final double DEAF_LEASES = 3;
 
-    /** Tasks are moved only if they would run for more than this many report intervals. */
+    /** Tasks are moved only if they would run for more than this many heartbeat intervals. */
     private static final double MOVE_REPORT_INTERVALS = 2;
 
-    /** By how much the machine has to cost more than repeating the work that moving loses. */
+    /**
+     * Minimum ratio of the machine's cost to the cost of repeating the work that is lost by the
+     * move.
+     */
     private static final double MOVE_COST_FACTOR = 2;
 
     private final ClusterSettings settings;
@@ -42,11 +48,12 @@
     }
 
     /**
-     * Decides which machines to release, by id, and marks them; marks those to drain as well.
+     * Decides which machines to release and marks them; also marks those to drain.
      *
-     * @param reserved machines kept for work that may come
-     * @param regularDemand the regular machines that waiting work depends on
-     * @param spareCpus those of the CPUs that are up or booting that no guarantee needs
+     * @param reserved machines that are kept for expected jobs
+     * @param regularDemand the regular machines that waiting jobs depend on
+     * @param spareCpus CPUs that are up or booting beyond those guaranteed to teams
+     * @return the ids of the machines to release
      */
     List<String> machinesToRelease(
             double now,
@@ -59,7 +66,7 @@
         List<String> released = new ArrayList<>();
         double spare = spareCpus;
         for (Machine machine : shard.machines().values()) {
-            // A machine is surplus only if its type is known.
+            // A machine can be surplus only if its type is known.
             Optional<MachineType> surplus =
                     reserved.contains(machine) ? Optional.empty() : surplus(machine, spare, now);
             markNeededOrDraining(machine, surplus, regularDemand, now);
@@ -70,7 +77,7 @@
             if (release) {
                 if (!machine.isReleasing()) {
                     LOG.info(
-                            "releasing machine={} reason={}",
+                            "releasing machine: machine={} reason={}",
                             machine.id,
                             releaseReason(machine, survey));
                 }
@@ -81,7 +88,7 @@
         return released;
     }
 
-    /** The machine's type if its CPUs are spare. */
+    /** Returns the machine's type if its CPUs are spare. */
     private Optional<MachineType> surplus(Machine machine, double spareCpus, double now) {
         return machineLiveness
                 .typeOf(machine)
@@ -93,8 +100,8 @@
     }
 
     /**
-     * Notes whether the machine has work that may not use spot machines, and drains surplus regular
-     * machines that only have work which cheaper spot machines could do.
+     * Marks a regular machine as needed if it has tasks that may not use spot machines, and drains
+     * a surplus regular machine all of whose tasks could run on cheaper spot machines.
      */
     private void markNeededOrDraining(
             Machine machine,
@@ -123,7 +130,7 @@
                     machineLiveness.silentSeconds(machine, now), settings.workers().leaseSeconds());
         }
         if (hasFailedToBoot(machine, now)) {
-            instanceSelection.recordRefusal(machine.kind(), now); // Others are tried first.
+            instanceSelection.recordRefusal(machine.kind(), now); // Prefers other kinds next.
             return true;
         }
         if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUnwrittenEnds()) {
@@ -131,7 +138,7 @@
                     || isDeafForLong(machine, now)
                     || surplus.filter(type -> isIdleForLong(machine, type, now)).isPresent();
         }
-        // What an earlier leader left on such a machine can't be proven over by a report.
+        // Heartbeats from such a machine cannot confirm that attempts of an earlier leader ended.
         return !machine.isTokenConfirmed()
                 && isDeafForLong(machine, now)
                 && survey.mayReleaseDeaf();
@@ -147,7 +154,10 @@
         return machine.missingAnswersSeconds(now) > DEAF_LEASES * settings.workers().leaseSeconds();
     }
 
-    /** An idle machine is worth keeping about as long as a new one would take to boot. */
+    /**
+     * Whether the machine has been unused for longer than a new one would take to boot; up to then
+     * an idle machine is worth keeping.
+     */
     private static boolean isIdleForLong(Machine machine, MachineType type, double now) {
         return now - machine.lastNeededAt() > type.bootSeconds()
                 && (machine.isDraining() || now - machine.idleSince() > type.bootSeconds());
@@ -167,10 +177,11 @@
     }
 
     /**
-     * Stops the tasks on draining machines that may go on elsewhere. Guards against regular
-     * machines kept rented for minutes by a few small tasks that could run on spot machines: where
-     * those have room, the tasks are moved there, if what they lose costs less than the machine
-     * until they end, and they can start anew and still meet all their goals.
+     * Stops tasks on draining machines so that they continue on spot machines. Guards against
+     * regular machines that stay rented for minutes because of a few small tasks that could run on
+     * spot machines. Tasks are moved only if spot machines have enough free CPUs, if repeating the
+     * lost work costs less than the machine until the tasks end, and if the tasks can restart and
+     * still meet all their start goals.
      */
     void moveTasksToSpot(double now, double wallMillis) {
         double freeSpotCpus = freeSpotCpus();
--- a/src/main/java/io/kitepath/core/scaling/ScaleOutPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleOutPlanner.java
@@ -11,16 +11,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Packs waiting jobs onto the room that will be free by the time a new machine could be up, and
- * rents machines for what does not fit.
+ * Packs waiting jobs onto the capacity that will be free by the time a new machine could be up, and
+ * rents machines for the tasks that do not fit.
  */
 final class ScaleOutPlanner {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutPlanner.class);
 
-    /** Leases in which an array whose class has no objective should be done. */
+    /** Worker leases within which an array should finish if its class has no objective. */
     private static final double DEFAULT_FINISH_LEASES = 10;
 
-    /** An array is planned to be done in its objective's time divided by this. */
+    /** An array is planned to finish within its objective's time divided by this. */
     private static final double FINISH_TIME_DIVISOR = 2.5;
 
     private final ClusterSettings settings;
@@ -31,7 +31,7 @@
     private final double now;
     private final double wallMillis;
 
-    /** The room that is left; what is rented for a job has room for those after it. */
+    /** Capacity that is still free; includes machines rented for earlier jobs of the plan. */
     private final List<FreeCapacity> capacities;
 
     ScaleOutPlanner(
@@ -51,10 +51,10 @@
         this.capacities = survey.capacitiesAfterBoot();
     }
 
-    /** Plans capacity for the job's waiting tasks, after those planned for before it. */
+    /** Plans capacity for the job's waiting tasks, in addition to the jobs planned before. */
     void planForJob(Job job) {
         if (shard.failureDiagnosis().isJobAtFault(job, now)) {
-            return; // A job that fails everywhere is tried on what is free anyway.
+            return; // A job that fails everywhere is retried only on free capacity.
         }
         int tasks = tasksToPlace(job);
         if (tasks == 0) {
@@ -77,7 +77,7 @@
                         kind -> !spec.allowsSpot() || kind.spot() || !mayFinishOnSpot(job));
         capacities.addAll(rented);
         LOG.debug(
-                "capacity planned: job={} waitingTasks={} slotsWanted={} withoutRoom={}"
+                "capacity planned: job={} waitingTasks={} slotsRequired={} withoutFreeCapacity={}"
                         + " machinesToRent={}",
                 spec.id(),
                 job.waitingTasks(),
@@ -86,7 +86,7 @@
                 rented.size());
     }
 
-    /** How many of the job's waiting tasks need a slot of their own. */
+    /** Returns how many of the job's waiting tasks need their own slot. */
     private int tasksToPlace(Job job) {
         JobSpec spec = job.spec;
         int waiting = Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(spec));
@@ -97,8 +97,8 @@
     }
 
     /**
-     * Slots for an array: not one for every task, but as many as finish the job in good time, one
-     * task after the other.
+     * Returns the number of additional slots for an array: not one per task, but as many as are
+     * needed to finish the job in time if each slot runs tasks one after the other.
      */
     private int arraySlots(Job job, int waiting) {
         double finishSeconds =
@@ -114,16 +114,16 @@
         return (int) Math.max(0, Math.min(waiting, slots - job.liveAttempts().size()));
     }
 
-    /** Fills the room that is left with the job's tasks; returns how many found room. */
+    /** Allocates the job's tasks to the remaining free capacity; returns how many fit. */
     private int fillCapacities(Job job, int tasks, ZoneConstraints zones) {
         JobSpec spec = job.spec;
-        // Guards against work that could run on spot machines filling regular ones for good, at
-        // several times the price: it may use what is free there, but spot machines are rented for
-        // it as if it could not.
+        // Guards against tasks that could run on spot machines occupying regular ones permanently,
+        // at several times the price: the tasks may use free capacity of regular machines, but spot
+        // machines are rented for them as if they could not.
         boolean spotOnly = spec.allowsSpot() && instanceSelection.isSpotAvailable(spec, now);
-        // Room that comes free within a boot time is as good as a new machine, but not for a job
-        // that has to start sooner to meet its deadline: such work needs the room that is free now,
-        // or more of it.
+        // Capacity that becomes free within a boot time is as good as a new machine, except for a
+        // job that has to start sooner to meet its deadline: such a job needs capacity that is free
+        // now, or more of it.
         boolean atOnce = job.hasDeadline();
         int missing = tasks;
         for (FreeCapacity capacity : capacities) {
@@ -145,15 +145,15 @@
     }
 
     /**
-     * Whether the job will be done in time even if it only gets its turn on what is rented. Guards
-     * against regular machines rented at several times the price because spot machines have run out
-     * for the moment.
+     * Whether the job meets its start goal even if it only starts after the backlog of jobs that
+     * may use spot machines. Guards against renting regular machines at several times the price
+     * because spot machines are temporarily unavailable.
      */
     private boolean mayFinishOnSpot(Job job) {
         int goal = job.startGoalCount() - 1;
         if (job.hasDeadline()) {
-            // A deadline is missed long before a machine is up, by this job and by those like it
-            // that come meanwhile.
+            // By the time a new machine is up, the deadline would long be missed by this job and by
+            // similar ones submitted meanwhile. The first start goal that is still ahead counts.
             goal = 0;
             while (goal < job.startGoalCount() - 1 && job.startGoalMillis(goal) < wallMillis) {
                 goal++;
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -11,17 +11,17 @@
 import java.util.Set;
 
 /**
- * Plans how many machines of which kinds to rent for the waiting work, and which to release. See
- * docs/design.md, "The fleet". Not thread-safe: used on the event loop only.
+ * Plans how many machines of which kinds to rent for the waiting jobs, and which machines to
+ * release. See docs/design.md, "The fleet". Not thread-safe: used on the event loop only.
  */
 public final class ScalingPlanner {
-    /** How old the order of the waiting jobs may be, in parts of a report interval. */
+    /** The order of the waiting jobs may be as old as the heartbeat interval divided by this. */
     private static final double ORDER_AGE_DIVISOR = 8;
 
     /**
-     * What to do about the machines.
+     * A scaling plan.
      *
-     * @param countsToRent machines to rent by kind, those wanted soonest first
+     * @param countsToRent number of machines to rent by kind, in the order in which they are needed
      * @param machinesToRelease ids of the machines to release
      */
     public record Plan(Map<MachineKind, Integer> countsToRent, List<String> machinesToRelease) {}
@@ -34,7 +34,7 @@
     private final ScaleIn scaleIn;
 
     /**
-     * @param scheduler says in which order the waiting jobs are served
+     * @param scheduler provides the order in which the waiting jobs are scheduled
      */
     public ScalingPlanner(ShardState shard, Scheduler scheduler) {
         this.settings = shard.settings();
@@ -45,12 +45,15 @@
         this.scaleIn = new ScaleIn(shard, instanceSelection, machineLiveness);
     }
 
-    /** The cloud refused machines of this kind, all or some: it is left alone for a while. */
+    /**
+     * Records that the cloud refused some or all requested machines of this kind; starts a back-off
+     * for the kind.
+     */
     public void recordRefusal(MachineKind kind, double now) {
         instanceSelection.recordRefusal(kind, now);
     }
 
-    /** The cloud granted all machines of this kind that were asked for. */
+    /** Records that the cloud granted all requested machines of this kind. */
     public void recordGrant(MachineKind kind) {
         instanceSelection.recordGrant(kind);
     }
@@ -60,8 +63,8 @@
      *
      * @param now seconds on the steady clock
      * @param wallMillis milliseconds since 1970
-     * @param leadingSince since when this node leads, on the steady clock: machines' silence is
-     *     counted from then at the earliest
+     * @param leadingSince when this node became leader, in seconds on the steady clock; machines'
+     *     silence is counted from then at the earliest
      */
     public Plan plan(double now, double wallMillis, double leadingSince) {
         machineLiveness.countSilenceSince(leadingSince);
@@ -77,7 +80,8 @@
                 survey.isIdle()
                         ? Set.of()
                         : new ObjectiveReserve(shard, survey, rentals).reserve(queue, wallMillis);
-        // What teams are guaranteed must not wait for a boot: all guarantees together stay rented.
+        // Guaranteed CPUs must be available without a boot time, so the sum of all guarantees stays
+        // rented.
         double guaranteedCpus = survey.guaranteedCpus();
         rentals.addMachinesUpTo(guaranteedCpus - survey.usableCpus());
         List<String> released =
--- a/src/main/java/io/kitepath/core/scaling/SilenceSurvey.java
+++ b/src/main/java/io/kitepath/core/scaling/SilenceSurvey.java
@@ -7,18 +7,24 @@
 import java.util.function.Predicate;
 
 /**
- * How many machines have fallen silent or hear no answers, compared with those that are up. Guards
- * against a leader that is cut off from the workers itself: if many machines look unreachable at
- * once, the fault is hardly theirs, and their workers may be on their way to another node.
+ * Counts the machines that are silent or receive no responses, compared with all known machines.
+ * Guards against a leader that is itself disconnected from the workers: if many machines look
+ * unreachable at once, the fault is probably not theirs, and their workers may be connecting to
+ * another node.
  */
 final class SilenceSurvey {
-    /** Up to this fraction of silent machines, silence is the machines' own fault. */
+    /**
+     * Up to one machine in this many may be silent for the fault to be attributed to the machines.
+     */
     private static final int FEW_DIVISOR = 8;
 
-    /** Leases after which silent machines are released if at least half of all still report. */
+    /**
+     * Worker leases after which silent machines are released if at least half of all machines still
+     * send heartbeats.
+     */
     private static final double SOME_SILENT_LEASES = 1.5;
 
-    /** Leases after which silent machines are released in any case. */
+    /** Worker leases after which silent machines are released in any case. */
     private static final double MOST_SILENT_LEASES = 3;
 
     private final Set<Machine> silent = new HashSet<>();
@@ -26,7 +32,9 @@
     private int deafAndUnproven;
 
     /**
-     * @param isDeafForLong whether answers have not reached the machine for long
+     * Surveys the machines that have sent a heartbeat or have attempts.
+     *
+     * @param isDeafForLong whether the machine has received no responses for a long time
      */
     static SilenceSurvey of(
             ShardState shard,
@@ -54,8 +62,9 @@
     }
 
     /**
-     * Whether a machine that has been silent for so long is released: at once if few are silent,
-     * otherwise when its lease has run out for certain, so that nothing is lost by it.
+     * Whether a machine may be released after this time of silence: immediately if few machines are
+     * silent, otherwise when its lease has certainly expired, so that the release loses no running
+     * work.
      */
     boolean mayReleaseSilent(double silentSeconds, double leaseSeconds) {
         boolean few = silent.size() <= Math.max(1, up / FEW_DIVISOR);
@@ -66,8 +75,8 @@
     }
 
     /**
-     * Whether machines that hear no answers and have unproven work are released; not if they are
-     * most of all, as then it is hardly they that hear nothing.
+     * Whether machines may be released that receive no responses and whose work is unconfirmed; not
+     * if they are the majority, as the fault is then probably not theirs.
      */
     boolean mayReleaseDeaf() {
         return deafAndUnproven * 2 <= up;
--- a/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The log keeps 1000 jobs for 30 s. */
+/** Tests the log's limits: 1000 jobs, kept for 30 s. */
 class CancellationLogTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
     private final Timers timers = SimulatedClusters.timers(cluster);
@@ -27,8 +27,7 @@
             log.add("j-1");
         }
         assertEquals(1000, log.digest().jobIds().size());
-        assertEquals(
-                startedAt, log.digest().sinceMillis(), "the one that had to go was learned then");
+        assertEquals(startedAt, log.digest().sinceMillis(), "the removed entry was added then");
         cluster.run(1);
         log.add("j-2000");
         assertEquals(startedAt + 1000, log.digest().sinceMillis());
--- a/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The simulated clock starts at 100 s, and clocks may differ by 10 ms. */
+/** Tests the watermark; the simulated clock starts at 100 s, and clocks may differ by 10 ms. */
 class CancellationWatermarkTest {
     private static final double TOLERANCE_SECONDS = 1e-6;
 
-    /** Longer than any real age: nothing is known. */
+    /** Longer than any finite age: no confirmations are known. */
     private static final double NOTHING_KNOWN_SECONDS = 1e9;
 
     private final SimulatedCluster cluster = new SimulatedCluster();
@@ -53,27 +53,27 @@
         CancellationWatermark watermark = watermarkWithPeers("k1", "k2");
         watermark.advanceByStore(95_000);
         watermark.advanceByDigest(digest("k1", 94, 99));
-        assertAge(5, watermark, "k2 has not spoken");
+        assertAge(5, watermark, "k2 has sent no digest");
         watermark.advanceByDigest(digest("k2", 96, 99));
-        assertAge(5, watermark, "k2 was started after what is known of it");
+        assertAge(5, watermark, "k2 was started after its watermark");
         watermark.advanceByDigest(digest("k2", 90, 99));
         assertAge(1.01, watermark);
-        // Each peer goes on from its own last digest.
+        // Each peer's watermark advances from its own last digest only.
         watermark.advanceByDigest(digest("k1", 98.9, 100));
         watermark.advanceByDigest(digest("k2", 99.5, 100));
         assertAge(1.01, watermark);
-        // A late copy takes nothing back.
+        // An older digest that arrives late does not move the watermark back.
         watermark.advanceByDigest(digest("k1", 90, 96));
         assertAge(1.01, watermark);
-        // Nor does a digest of an unknown node count.
+        // A digest of an unknown node is ignored.
         watermark.advanceByDigest(digest("k9", 0, 100));
         watermark.reset();
         assertTrue(watermark.ageSeconds() > NOTHING_KNOWN_SECONDS);
     }
 
     /**
-     * Clocks may differ by twice the settings' error: of a digest that begins less than that before
-     * the watermark it is not certain that it does.
+     * Clocks may differ by twice the configured clock error, so a digest that begins less than that
+     * before the watermark may actually begin after it.
      */
     @Test
     void digestWithinTheClocksSkewOfTheWatermarkAdvancesNothing() {
@@ -86,8 +86,8 @@
     }
 
     /**
-     * More than can be kept until the store shows it: digests count for nothing from then on,
-     * rather than that a cancellation be forgotten.
+     * Guards against a forgotten cancellation: when more cancellations are reported than can be
+     * kept until the store shows them, digests are ignored.
      */
     @Test
     void digestWithTooManyUnprovenCancellationsAdvancesNothing() {
