--- a/src/main/java/io/kitepath/core/leadership/Campaign.java
+++ b/src/main/java/io/kitepath/core/leadership/Campaign.java
@@ -22,9 +22,9 @@
      * @param leaseId the lease to which the leader record and the shard record are attached
      * @param fencingToken the term's fencing token
      * @param revision the store revision at which the records were written
-     * @param leaseRequestedAt when the lease was requested, in seconds on the steady clock
+     * @param leaseRequestedAtSeconds when the lease was requested, in seconds on the steady clock
      */
-    record Term(long leaseId, long fencingToken, long revision, double leaseRequestedAt) {}
+    record Term(long leaseId, long fencingToken, long revision, double leaseRequestedAtSeconds) {}
 
     /** Receives the result of an attempt. */
     interface Listener {
@@ -43,7 +43,7 @@
     private final Incarnation incarnation;
     private final double leaseSeconds;
     private final Listener listener;
-    private boolean isRunning;
+    private boolean isInProgress;
 
     Campaign(
             ClusterSettings settings,
@@ -62,46 +62,48 @@
 
     /** Starts an attempt unless one is in progress. */
     void start() {
-        if (isRunning) {
+        if (isInProgress) {
             return;
         }
-        isRunning = true;
-        double requestedAt = timers.nowSeconds();
+        isInProgress = true;
+        double requestedAtSeconds = timers.nowSeconds();
         store.grantLease(
                 (long) (leaseSeconds * 1000),
                 (outcome, leaseId) -> {
                     if (outcome == Outcome.OK) {
-                        readFencingToken(leaseId, requestedAt);
+                        readFencingToken(leaseId, requestedAtSeconds);
                     } else {
-                        fail();
+                        endUnsuccessfully();
                     }
                 });
     }
 
-    private void readFencingToken(long leaseId, double requestedAt) {
+    private void readFencingToken(long leaseId, double requestedAtSeconds) {
         store.get(
                 StoreKeys.FENCING_TOKEN,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         long lastToken = HolderRecord.highestFencingToken(entry);
-                        claim(leaseId, lastToken, entry.revision(), requestedAt);
+                        claim(leaseId, lastToken, entry.revision(), requestedAtSeconds);
                     } else if (outcome == Outcome.REJECTED) {
-                        claim(leaseId, 0, 0, requestedAt); // There has never been a leader.
+                        claim(leaseId, 0, 0, requestedAtSeconds); // There has never been a leader.
                     } else {
-                        fail();
+                        endUnsuccessfully();
                     }
                 });
     }
 
-    private void claim(long leaseId, long lastToken, long tokenRevision, double requestedAt) {
+    private void claim(
+            long leaseId, long lastToken, long tokenRevision, double requestedAtSeconds) {
         long nextToken = Math.max(lastToken, listener.highestFencingToken()) + 1;
         store.commit(
                 claimTransaction(leaseId, nextToken, tokenRevision),
                 result -> {
-                    isRunning = false;
+                    isInProgress = false;
                     if (result.outcome() == Outcome.OK) {
                         listener.onWon(
-                                new Term(leaseId, nextToken, result.revision(), requestedAt));
+                                new Term(
+                                        leaseId, nextToken, result.revision(), requestedAtSeconds));
                     } else {
                         // After an unknown outcome, the store may hold a leader record of this node
                         // although it does not lead; revoking the lease removes that record.
@@ -126,8 +128,8 @@
                 .put(StoreKeys.FENCING_TOKEN, HolderRecord.toFencingTokenRecord(nextToken));
     }
 
-    private void fail() {
-        isRunning = false;
+    private void endUnsuccessfully() {
+        isInProgress = false;
         listener.onFailed();
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationLog.java
@@ -21,7 +21,7 @@
     /** A quarter of the size limit of a frame between nodes. */
     private static final int MAX_CHARS = 64 * 1024;
 
-    private record LoggedCancellation(String jobId, double atMillis) {}
+    private record LoggedCancellation(String jobId, double addedAtMillis) {}
 
     private final String node;
     private final Timers timers;
@@ -68,16 +68,16 @@
     }
 
     private void trim() {
-        double oldestKept = timers.wallClockMillis() - retentionMillis;
+        double oldestKeptMillis = timers.wallClockMillis() - retentionMillis;
         while (!entries.isEmpty()
-                && (entries.peek().atMillis < oldestKept
+                && (entries.peek().addedAtMillis < oldestKeptMillis
                         || entries.size() > MAX_JOBS
                         || totalChars > MAX_CHARS)) {
-            LoggedCancellation removed = entries.poll();
-            jobIds.remove(removed.jobId);
-            totalChars -= removed.jobId.length();
-            completeSinceMillis = Math.max(completeSinceMillis, removed.atMillis);
+            LoggedCancellation removedCancellation = entries.poll();
+            jobIds.remove(removedCancellation.jobId);
+            totalChars -= removedCancellation.jobId.length();
+            completeSinceMillis = Math.max(completeSinceMillis, removedCancellation.addedAtMillis);
         }
-        completeSinceMillis = Math.max(completeSinceMillis, oldestKept);
+        completeSinceMillis = Math.max(completeSinceMillis, oldestKeptMillis);
     }
 }
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -32,7 +32,7 @@
  */
 public final class CancellationWatermark {
     /** Digests are ignored while this many cancellations have not been seen in the store yet. */
-    private static final int MAX_UNPROVEN = 5000;
+    private static final int MAX_UNVERIFIED_CANCELLATIONS = 5000;
 
     private final List<String> peers;
     private final Timers timers;
@@ -74,7 +74,9 @@
      */
     public void advanceByStore(double atMillis) {
         storeWatermarkMillis = Math.max(storeWatermarkMillis, atMillis);
-        unprovenCancellations.values().removeIf(toldAt -> toldAt < storeWatermarkMillis);
+        unprovenCancellations
+                .values()
+                .removeIf(reportedAtMillis -> reportedAtMillis < storeWatermarkMillis);
     }
 
     /**
@@ -82,7 +84,7 @@
      * store.
      */
     public void addUnproven(String jobId) {
-        if (unprovenCancellations.size() < MAX_UNPROVEN) {
+        if (unprovenCancellations.size() < MAX_UNVERIFIED_CANCELLATIONS) {
             unprovenCancellations.putIfAbsent(jobId, timers.wallClockMillis());
         }
     }
@@ -102,10 +104,10 @@
     public void advanceByDigest(CancellationDigest digest) {
         String peer = digest.node();
         if (peers.contains(peer)
-                && unprovenCancellations.size() < MAX_UNPROVEN
+                && unprovenCancellations.size() < MAX_UNVERIFIED_CANCELLATIONS
                 && digest.sinceMillis() + maxClockSkewMillis <= watermarkMillis(peer)) {
-            double madeAt = Math.min(timers.wallClockMillis(), digest.untilMillis());
-            digestWatermarkMillis.merge(peer, madeAt - maxClockSkewMillis, Math::max);
+            double createdAtMillis = Math.min(timers.wallClockMillis(), digest.untilMillis());
+            digestWatermarkMillis.merge(peer, createdAtMillis - maxClockSkewMillis, Math::max);
         }
     }
 
@@ -114,8 +116,10 @@
      * without peers.
      */
     public double ageSeconds() {
-        double now = timers.wallClockMillis();
-        return (now - peers.stream().mapToDouble(this::watermarkMillis).min().orElse(now)) / 1000;
+        double nowMillis = timers.wallClockMillis();
+        return (nowMillis
+                        - peers.stream().mapToDouble(this::watermarkMillis).min().orElse(nowMillis))
+                / 1000;
     }
 
     private double watermarkMillis(String peer) {
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -74,7 +74,7 @@
     private long highestFencingToken;
 
     /** When the store last responded to this node, in seconds on the steady clock. */
-    private double storeAnsweredAt;
+    private double storeRespondedAtSeconds;
 
     /** Whether a process that was started later leads, or has led, under this node's name. */
     private boolean hasLaterProcess;
@@ -91,7 +91,7 @@
      * When the lease, or its last successful renewal, was requested, in seconds on the steady
      * clock.
      */
-    private double renewalRequestedAt;
+    private double renewalRequestedAtSeconds;
 
     /** Whether the last renewal was refused or got no response. */
     private boolean isRenewalInDoubt;
@@ -113,7 +113,7 @@
         // workers' tasks are given up.
         this.leaseSeconds =
                 Math.max(MIN_LEASE_SECONDS, settings.workers().heartbeatIntervalSeconds());
-        this.storeAnsweredAt = timers.nowSeconds();
+        this.storeRespondedAtSeconds = timers.nowSeconds();
         this.incarnation = incarnation;
         this.campaign =
                 new Campaign(
@@ -161,7 +161,7 @@
 
     /** Returns the seconds since the store last responded to this node. */
     public double secondsSinceStoreAnswered() {
-        return timers.nowSeconds() - storeAnsweredAt;
+        return timers.nowSeconds() - storeRespondedAtSeconds;
     }
 
     /**
@@ -170,7 +170,8 @@
      * sends no requests.
      */
     public boolean isLeaseValid() {
-        return timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
+        return timers.nowSeconds() - renewalRequestedAtSeconds
+                < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
     }
 
     /**
@@ -188,18 +189,18 @@
      * Handles a fencing token that a worker or peer has seen. A token higher than this node's means
      * that another node is the leader.
      *
-     * @param seen the token
+     * @param seenToken the token
      * @param seenLeader the leader with that token, null if it is not known
      */
-    public void onFencingTokenSeen(long seen, String seenLeader) {
-        if (seen > highestFencingToken) {
-            highestFencingToken = seen;
+    public void onFencingTokenSeen(long seenToken, String seenLeader) {
+        if (seenToken > highestFencingToken) {
+            highestFencingToken = seenToken;
             if (seenLeader != null && !isLeading) {
                 setLeader(seenLeader, true);
             }
         }
-        if (isLeading && seen > fencingToken) {
-            stepDown("a higher fencing token " + seen + " was seen");
+        if (isLeading && seenToken > fencingToken) {
+            stepDown("a higher fencing token " + seenToken + " was seen");
         }
     }
 
@@ -222,10 +223,10 @@
                 StoreKeys.LEADER,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
-                        onStoreAnswered();
+                        onStoreResponse();
                         onLeaderRecordRead(entry);
                     } else if (outcome == Outcome.REJECTED) {
-                        onStoreAnswered();
+                        onStoreResponse();
                         onLeaderRecordAbsent();
                     } else {
                         readLeaderRecordLater();
@@ -239,7 +240,7 @@
      */
     private void onLeaderRecordRead(Store.Entry entry) {
         try {
-            onLeaderRecord(HolderRecord.fromRecord(entry.value()));
+            applyLeaderRecord(HolderRecord.fromRecord(entry.value()));
         } catch (InvalidInputException invalid) {
             LOG.error("record is unreadable: key={} cause={}", entry.key(), invalid.getMessage());
             readLeaderRecordLater();
@@ -249,16 +250,16 @@
     }
 
     private void readLeaderRecordLater() {
-        double delay = MIN_RETRY_SECONDS + random.nextDouble() * RETRY_JITTER_SECONDS;
-        timers.schedule(delay, this::readLeaderRecord);
+        double delaySeconds = MIN_RETRY_SECONDS + random.nextDouble() * RETRY_JITTER_SECONDS;
+        timers.schedule(delaySeconds, this::readLeaderRecord);
     }
 
     private void watchLeaderRecord(long fromRevision) {
-        long holdMillis = (long) (leaseSeconds * 500); // Half of the lease.
+        long watchTimeoutMillis = (long) (leaseSeconds * 500); // Half of the lease.
         store.watch(
                 StoreKeys.LEADER,
                 fromRevision,
-                holdMillis,
+                watchTimeoutMillis,
                 changes -> {
                     // An empty response proves nothing: the watches of a node that the store
                     // refuses time out in the same way. A plain read shows whether the store
@@ -271,10 +272,10 @@
                 });
     }
 
-    private void onLeaderRecord(HolderRecord leaderRecord) {
+    private void applyLeaderRecord(HolderRecord leaderRecord) {
         long recordToken = leaderRecord.fencingToken();
         String recordNode = leaderRecord.node();
-        boolean isHigher = recordToken > highestFencingToken;
+        boolean isHigherToken = recordToken > highestFencingToken;
         highestFencingToken = Math.max(highestFencingToken, recordToken);
         if (isLeading && recordToken == fencingToken) {
             leader = settings.node();
@@ -284,9 +285,9 @@
             stepDown(recordNode + " leads with fencing token " + recordToken);
         }
         switch (leaderRecord.owner(incarnation)) {
-            case OTHER_NODE -> setLeader(recordNode, isHigher);
+            case OTHER_NODE -> setLeader(recordNode, isHigherToken);
             case ABANDONED -> endAbandonedLease(leaderRecord, recordToken);
-            case LATER_PROCESS -> standBack(recordNode);
+            case LATER_PROCESS -> deferToLaterProcess(recordNode);
         }
     }
 
@@ -303,7 +304,7 @@
         }
     }
 
-    private void standBack(String node) {
+    private void deferToLaterProcess(String node) {
         leader = null;
         if (!hasLaterProcess) {
             LOG.error(
@@ -338,17 +339,19 @@
         // lease so that all other processes can win first. It does not compete with the later
         // process, which alone revokes the other's leases, so that they never revoke each other's
         // leases in turns.
-        double headStart = hasLaterProcess ? leaseSeconds : 0;
-        timers.schedule(headStart + random.nextDouble() * CAMPAIGN_JITTER_SECONDS, this::campaign);
+        double campaignDelaySeconds = hasLaterProcess ? leaseSeconds : 0;
+        timers.schedule(
+                campaignDelaySeconds + random.nextDouble() * CAMPAIGN_JITTER_SECONDS,
+                this::startCampaign);
     }
 
-    private void onStoreAnswered() {
-        storeAnsweredAt = timers.nowSeconds();
+    private void onStoreResponse() {
+        storeRespondedAtSeconds = timers.nowSeconds();
     }
 
     // ---- Acquiring and renewing the lease ----
 
-    private void campaign() {
+    private void startCampaign() {
         if (!isLeading && !isStopped) {
             campaign.start();
         }
@@ -367,7 +370,7 @@
                 // claim was in progress.
                 store.revokeLease(term.leaseId());
             } else {
-                lead(term);
+                startTerm(term);
             }
         }
 
@@ -377,13 +380,13 @@
         }
     }
 
-    private void lead(Campaign.Term term) {
-        onStoreAnswered();
+    private void startTerm(Campaign.Term term) {
+        onStoreResponse();
         isLeading = true;
         leaseId = term.leaseId();
         fencingToken = term.fencingToken();
         highestFencingToken = Math.max(highestFencingToken, fencingToken);
-        renewalRequestedAt = term.leaseRequestedAt();
+        renewalRequestedAtSeconds = term.leaseRequestedAtSeconds();
         isRenewalInDoubt = false;
         leader = settings.node();
         LOG.info("leadership won: fencingToken={} leaseId={}", fencingToken, leaseId);
@@ -400,18 +403,19 @@
         if (!isLeading || leaseId != renewedLeaseId) {
             return;
         }
-        double askedAt = timers.nowSeconds();
-        store.renewLease(renewedLeaseId, outcome -> onRenewed(renewedLeaseId, outcome, askedAt));
+        double requestedAtSeconds = timers.nowSeconds();
+        store.renewLease(
+                renewedLeaseId, outcome -> onRenewed(renewedLeaseId, outcome, requestedAtSeconds));
     }
 
-    private void onRenewed(long renewedLeaseId, Outcome outcome, double askedAt) {
+    private void onRenewed(long renewedLeaseId, Outcome outcome, double requestedAtSeconds) {
         if (!isLeading || leaseId != renewedLeaseId) {
             return;
         }
         isRenewalInDoubt = outcome != Outcome.OK;
         if (outcome == Outcome.OK) {
-            onStoreAnswered();
-            renewalRequestedAt = askedAt;
+            onStoreResponse();
+            renewalRequestedAtSeconds = requestedAtSeconds;
         } else if (outcome == Outcome.REJECTED) {
             stepDown("the lease expired");
             return;
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -18,7 +18,7 @@
      * Maximum age of an announcement, three of its intervals; an older one is not taken as the
      * current state.
      */
-    private static final double FRESH_SECONDS = 3;
+    private static final double MAX_STATE_AGE_SECONDS = 3;
 
     /**
      * A peer from which no message was received for longer is silent: two consecutive announcements
@@ -27,21 +27,21 @@
     private static final double SILENT_AFTER_SECONDS = 2.5;
 
     /** Default time for a peer from which no message was received, so that it counts as silent. */
-    private static final double NEVER = -1e9;
+    private static final double NO_MESSAGE_AT_SECONDS = -1e9;
 
     private final List<String> peers;
     private final Timers timers;
 
     /** When the last message was received, by peer, in seconds on the steady clock. */
-    private final Map<String, Double> heardAt = new HashMap<>();
+    private final Map<String, Double> lastMessageAtSeconds = new HashMap<>();
 
     /**
      * When the peer last announced that the store responds to it, by peer, in seconds on the steady
      * clock; removed when it announces that the store does not.
      */
-    private final Map<String, Double> servedByStoreAt = new HashMap<>();
+    private final Map<String, Double> servedByStoreAtSeconds = new HashMap<>();
 
-    private final Set<String> reportedSilent = new HashSet<>();
+    private final Set<String> peersLoggedAsSilent = new HashSet<>();
 
     /** Creates a view of the configured peers; all are silent until a message is received. */
     public MembershipView(ClusterSettings settings, Timers timers) {
@@ -55,11 +55,11 @@
      * @param isServedByStore whether the store responds to the peer
      */
     public void onPeerState(String peer, boolean isServedByStore) {
-        heardAt.put(peer, timers.nowSeconds());
+        lastMessageAtSeconds.put(peer, timers.nowSeconds());
         if (isServedByStore) {
-            servedByStoreAt.put(peer, timers.nowSeconds());
+            servedByStoreAtSeconds.put(peer, timers.nowSeconds());
         } else {
-            servedByStoreAt.remove(peer);
+            servedByStoreAtSeconds.remove(peer);
         }
     }
 
@@ -68,12 +68,13 @@
      * responses of a silent peer.
      */
     public boolean isSilent(String peer) {
-        return timers.nowSeconds() - heardAt.getOrDefault(peer, NEVER) > SILENT_AFTER_SECONDS;
+        return timers.nowSeconds() - lastMessageAtSeconds.getOrDefault(peer, NO_MESSAGE_AT_SECONDS)
+                > SILENT_AFTER_SECONDS;
     }
 
     /** Returns the seconds since the last message from the peer; NaN if none was received. */
     public double silentSeconds(String peer) {
-        return timers.nowSeconds() - heardAt.getOrDefault(peer, Double.NaN);
+        return timers.nowSeconds() - lastMessageAtSeconds.getOrDefault(peer, Double.NaN);
     }
 
     /** Returns the number of silent peers. */
@@ -89,8 +90,8 @@
     /** Whether any peer announced recently that the store responds to it. */
     public boolean isAnyPeerServedByStore() {
         double now = timers.nowSeconds();
-        return servedByStoreAt.values().stream()
-                .anyMatch(servedAt -> now - servedAt < FRESH_SECONDS);
+        return servedByStoreAtSeconds.values().stream()
+                .anyMatch(servedAtSeconds -> now - servedAtSeconds < MAX_STATE_AGE_SECONDS);
     }
 
     /**
@@ -103,10 +104,10 @@
             boolean isLeader = peer.equals(leader);
             if (isSilent(peer)) {
                 // A peer from which no message was received has not become silent.
-                if (heardAt.containsKey(peer) && reportedSilent.add(peer)) {
+                if (lastMessageAtSeconds.containsKey(peer) && peersLoggedAsSilent.add(peer)) {
                     LOG.info("peer is silent: peer={} isLeader={}", peer, isLeader);
                 }
-            } else if (reportedSilent.remove(peer)) {
+            } else if (peersLoggedAsSilent.remove(peer)) {
                 LOG.info("peer is no longer silent: peer={} isLeader={}", peer, isLeader);
             }
         }
--- a/src/main/java/io/kitepath/core/scaling/CapacitySurvey.java
+++ b/src/main/java/io/kitepath/core/scaling/CapacitySurvey.java
@@ -27,21 +27,21 @@
         this.machineLiveness = machineLiveness;
         this.now = now;
         this.usableCpus = sumUsableCpus();
-        this.spotBacklogCpuSeconds = sumSpotBacklog();
+        this.spotBacklogCpuSeconds = sumSpotBacklogCpuSeconds();
     }
 
     private double sumUsableCpus() {
         double cpus = 0;
         for (Machine machine : shard.machines().values()) {
             Optional<MachineType> type = machineLiveness.typeOf(machine);
-            if (type.isPresent() && machineLiveness.isCapacity(machine, now)) {
+            if (type.isPresent() && machineLiveness.countsAsCapacity(machine, now)) {
                 cpus += type.get().cpus();
             }
         }
         return cpus;
     }
 
-    private double sumSpotBacklog() {
+    private double sumSpotBacklogCpuSeconds() {
         double cpuSeconds = 0;
         for (Job job : shard.jobs().values()) {
             if (job.spec.allowsSpot() && !shard.failureDiagnosis().isJobAtFault(job, now)) {
@@ -110,11 +110,11 @@
                                 || attempt.job.effectivePriority().compareTo(spec.priority()) <= 0);
     }
 
-    private List<FreeCapacity> capacities(Predicate<Attempt> staysAfterBoot) {
+    private List<FreeCapacity> capacities(Predicate<Attempt> occupiesCapacityAfterBoot) {
         List<FreeCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             Optional<MachineType> type = machineLiveness.typeOf(machine);
-            if (type.isEmpty() || !machineLiveness.isCapacity(machine, now)) {
+            if (type.isEmpty() || !machineLiveness.countsAsCapacity(machine, now)) {
                 continue;
             }
             FreeCapacity capacity = FreeCapacity.of(machine, type.get());
@@ -122,7 +122,7 @@
                 if (attempt.isUnwanted()) {
                     continue;
                 }
-                if (staysAfterBoot.test(attempt)) {
+                if (occupiesCapacityAfterBoot.test(attempt)) {
                     capacity.afterBoot.subtract(attempt.job.spec, 1);
                 }
                 capacity.immediately.subtract(attempt.job.spec, 1);
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -35,7 +35,7 @@
     private static final int MAX_PENDING_REQUESTS = 3;
 
     /** Plans per heartbeat interval; hardly anything changes between more frequent plans. */
-    private static final double PLANS_PER_REPORT = 8;
+    private static final double PLANS_PER_HEARTBEAT = 8;
 
     /** The ports through which the reconciler acts. */
     public record Ports(Store store, Cloud cloud, Timers timers) {}
@@ -45,43 +45,43 @@
     private final ScalingPlanner scalingPlanner;
     private final Cloud cloud;
     private final Timers timers;
-    private final BooleanSupplier leadsMachines;
-    private final Runnable onMachinesGone;
+    private final BooleanSupplier isLeader;
+    private final Runnable onMachinesRemoved;
     private final TokenBucket callBucket;
 
     /** Limits the rate of recorded intents to the rate at which the cloud accepts requests. */
     private final TokenBucket intentBucket;
 
     private final CloudIntents intents;
-    private final MachineTypeLoader machineTypes;
-    private double leadingSince;
-    private boolean listing;
-    private double listedAt = Double.NEGATIVE_INFINITY;
-    private double plannedAt = Double.NEGATIVE_INFINITY;
+    private final MachineTypeLoader machineTypeLoader;
+    private double leadingSinceSeconds;
+    private boolean isListing;
+    private double lastListedAtSeconds = Double.NEGATIVE_INFINITY;
+    private double lastPlannedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /**
      * @param intents the recorded cloud intents, written before the cloud receives a request
-     * @param leadsMachines whether this node is the leader now
-     * @param onMachinesGone runs when machines are gone, so that their tasks may be placed again
+     * @param isLeader whether this node is the leader now
+     * @param onMachinesRemoved runs when machines are gone, so that their tasks may be placed again
      */
     public CloudReconciler(
             ShardState shard,
             ScalingPlanner scalingPlanner,
             CloudIntents intents,
             Ports ports,
-            BooleanSupplier leadsMachines,
-            Runnable onMachinesGone) {
+            BooleanSupplier isLeader,
+            Runnable onMachinesRemoved) {
         this.settings = shard.settings();
         this.shard = shard;
         this.scalingPlanner = scalingPlanner;
         this.intents = intents;
         this.cloud = ports.cloud;
         this.timers = ports.timers;
-        this.leadsMachines = leadsMachines;
-        this.onMachinesGone = onMachinesGone;
+        this.isLeader = isLeader;
+        this.onMachinesRemoved = onMachinesRemoved;
         this.callBucket = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
         this.intentBucket = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
-        this.machineTypes = new MachineTypeLoader(shard, ports, callBucket);
+        this.machineTypeLoader = new MachineTypeLoader(shard, ports, callBucket);
         intents.setListeners(this::onRented, this::onReleased);
     }
 
@@ -92,7 +92,7 @@
      */
     public void startLeading(long lease) {
         intents.startTerm(lease);
-        leadingSince = timers.nowSeconds();
+        leadingSinceSeconds = timers.nowSeconds();
     }
 
     /**
@@ -100,7 +100,7 @@
      * until they are known.
      */
     public void loadMachineTypes() {
-        machineTypes.load();
+        machineTypeLoader.load();
     }
 
     /**
@@ -111,37 +111,39 @@
      */
     public void reconcile(boolean mayPlan) {
         double now = timers.nowSeconds();
-        if (!listing
-                && now - listedAt > settings.cloud().listLagSeconds() / 2
+        if (!isListing
+                && now - lastListedAtSeconds > settings.cloud().listLagSeconds() / 2
                 && callBucket.tryTake(1, now)) {
             listMachines();
         }
-        machineTypes.refresh(now);
+        machineTypeLoader.refresh(now);
         if (mayPlan && isPlanDue(now)) {
-            plannedAt = now;
-            recordIntents(scalingPlanner.plan(now, timers.wallClockMillis(), leadingSince), now);
+            lastPlannedAtSeconds = now;
+            recordIntents(
+                    scalingPlanner.plan(now, timers.wallClockMillis(), leadingSinceSeconds), now);
         }
     }
 
     private boolean isPlanDue(double now) {
-        boolean machinesKnown = !shard.machineTypes().isEmpty() && listedAt >= leadingSince;
+        boolean areMachinesKnown =
+                !shard.machineTypes().isEmpty() && lastListedAtSeconds >= leadingSinceSeconds;
         // Without a rate-limit token, no intent of the plan could be recorded.
-        return machinesKnown
+        return areMachinesKnown
                 && intentBucket.available(now) >= 1
-                && now - plannedAt
-                        >= settings.workers().heartbeatIntervalSeconds() / PLANS_PER_REPORT;
+                && now - lastPlannedAtSeconds
+                        >= settings.workers().heartbeatIntervalSeconds() / PLANS_PER_HEARTBEAT;
     }
 
     /** Records those intents of the plan that are not recorded yet. */
     private void recordIntents(ScalingPlanner.Plan plan, double now) {
-        List<String> release =
+        List<String> unrecordedReleases =
                 plan.machinesToRelease().stream()
                         .filter(machine -> !intents.isReleasing(machine))
                         .toList();
-        if (!release.isEmpty()
+        if (!unrecordedReleases.isEmpty()
                 && intents.releases().size() < MAX_PENDING_REQUESTS
                 && intentBucket.tryTake(1, now)) {
-            intents.requestRelease(release);
+            intents.requestRelease(unrecordedReleases);
         }
         if (!plan.countsToRent().isEmpty()) {
             LOG.debug(
@@ -159,15 +161,15 @@
     }
 
     private void onRented(RentalIntent rental) {
-        int rented = rental.machines().size();
+        int rentedCount = rental.machines().size();
         LOG.info(
                 "cloud responded to rental request: rented={} requested={} type={} zone={} spot={}",
-                rented,
+                rentedCount,
                 rental.count,
                 rental.kind.machineType(),
                 rental.kind.zone(),
                 rental.kind.spot());
-        if (rented < rental.count) {
+        if (rentedCount < rental.count) {
             scalingPlanner.recordRefusal(rental.kind, timers.nowSeconds());
         } else {
             scalingPlanner.recordGrant(rental.kind);
@@ -176,20 +178,20 @@
 
     private void onReleased(List<String> machines) {
         machines.forEach(machine -> shard.removeMachine(machine, timers.nowSeconds()));
-        onMachinesGone.run();
+        onMachinesRemoved.run();
     }
 
     private boolean isStillLeading(long token) {
-        return leadsMachines.getAsBoolean() && shard.fencingToken() == token;
+        return isLeader.getAsBoolean() && shard.fencingToken() == token;
     }
 
     private void listMachines() {
-        listing = true;
+        isListing = true;
         long fencingToken = shard.fencingToken();
         cloud.listMachines(
                 (outcome, machines) -> {
-                    listing = false;
-                    listedAt = timers.nowSeconds();
+                    isListing = false;
+                    lastListedAtSeconds = timers.nowSeconds();
                     if (outcome == Outcome.OK && isStillLeading(fencingToken)) {
                         shard.applyCloudList(machines, timers.nowSeconds());
                         intents.dropListedRentals();
--- a/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
+++ b/src/main/java/io/kitepath/core/scaling/FreeCapacity.java
@@ -52,26 +52,27 @@
      * Whether there are enough free CPUs for one task. Kept cheap, as it runs for every machine and
      * job.
      *
-     * @param atOnce whether the CPUs have to be free immediately as well
+     * @param mustFitImmediately whether the CPUs have to be free immediately as well
      */
-    boolean hasCpusFor(JobSpec spec, boolean atOnce) {
+    boolean hasCpusFor(JobSpec spec, boolean mustFitImmediately) {
         return afterBoot.cpus + ROUNDING_SLACK >= spec.cpusPerTask()
-                && (!atOnce || immediately.cpus + ROUNDING_SLACK >= spec.cpusPerTask());
+                && (!mustFitImmediately || immediately.cpus + ROUNDING_SLACK >= spec.cpusPerTask());
     }
 
     /**
      * Allocates as many of the tasks as fit and returns their number.
      *
-     * @param atOnce whether the tasks have to fit into the immediately free resources as well
+     * @param mustFitImmediately whether the tasks have to fit into the immediately free resources
+     *     as well
      */
-    int allocate(JobSpec spec, int tasks, boolean atOnce) {
-        int fitting = Math.min(tasks, afterBoot.slots(spec));
-        if (atOnce) {
-            fitting = Math.min(fitting, immediately.slots(spec));
+    int allocate(JobSpec spec, int tasks, boolean mustFitImmediately) {
+        int fittingTasks = Math.min(tasks, afterBoot.slotsFor(spec));
+        if (mustFitImmediately) {
+            fittingTasks = Math.min(fittingTasks, immediately.slotsFor(spec));
         }
-        afterBoot.subtract(spec, fitting);
-        immediately.subtract(spec, fitting);
-        return fitting;
+        afterBoot.subtract(spec, fittingTasks);
+        immediately.subtract(spec, fittingTasks);
+        return fittingTasks;
     }
 
     /** Free resources of one machine. */
@@ -90,7 +91,7 @@
             return cpus;
         }
 
-        private int slots(JobSpec spec) {
+        private int slotsFor(JobSpec spec) {
             return ProbePlacement.slots(spec, cpus, gpus, memoryGb);
         }
 
--- a/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
+++ b/src/main/java/io/kitepath/core/scaling/InstanceSelection.java
@@ -32,7 +32,7 @@
      * The refusals of a kind for lack of capacity: how many in a row, and when to request it again,
      * in seconds on the steady clock.
      */
-    private record Refusal(int inARow, double retryAt) {}
+    private record Refusal(int consecutiveCount, double retryAtSeconds) {}
 
     private final ClusterSettings settings;
     private final ShardState shard;
@@ -62,9 +62,11 @@
      */
     void recordRefusal(MachineKind kind, double now) {
         Refusal last = refusals.get(kind);
-        int inARow = Math.min(MAX_COUNTED_REFUSALS, last == null ? 1 : last.inARow + 1);
-        double retryAt = now + settings.cloud().listLagSeconds() * (1 << inARow) / 2;
-        refusals.put(kind, new Refusal(inARow, retryAt));
+        int consecutiveCount =
+                Math.min(MAX_COUNTED_REFUSALS, last == null ? 1 : last.consecutiveCount + 1);
+        double retryAtSeconds =
+                now + settings.cloud().listLagSeconds() * (1 << consecutiveCount) / 2;
+        refusals.put(kind, new Refusal(consecutiveCount, retryAtSeconds));
     }
 
     /** Records that the cloud has capacity of that kind; ends its back-off. */
@@ -74,15 +76,18 @@
 
     private boolean isAvailable(MachineKind kind, double now) {
         Refusal refusal = refusals.get(kind);
-        return refusal == null || now >= refusal.retryAt;
+        return refusal == null || now >= refusal.retryAtSeconds;
     }
 
     /** Returns the cheapest kind per task of the job in these zones; empty if none is available. */
     Optional<MachineKind> cheapestKind(
-            JobSpec spec, Predicate<String> zones, Map<MachineKind, Integer> toRent, double now) {
+            JobSpec spec,
+            Predicate<String> isZoneAllowed,
+            Map<MachineKind, Integer> toRent,
+            double now) {
         return cheapest(
                 type -> ProbePlacement.slots(spec, type),
-                kind -> zones.test(kind.zone()) && ProbePlacement.isAllowed(kind, spec),
+                kind -> isZoneAllowed.test(kind.zone()) && ProbePlacement.isAllowed(kind, spec),
                 toRent,
                 now);
     }
@@ -94,7 +99,7 @@
 
     private Optional<MachineKind> cheapest(
             ToDoubleFunction<MachineType> unitsOf,
-            Predicate<MachineKind> suitable,
+            Predicate<MachineKind> isSuitable,
             Map<MachineKind, Integer> toRent,
             double now) {
         MachineKind best = null;
@@ -107,7 +112,7 @@
             for (String zone : type.zones()) {
                 for (boolean spot : SPOT_FIRST) {
                     MachineKind kind = new MachineKind(type.name(), zone, spot);
-                    if (!suitable.test(kind) || !isAvailable(kind, now)) {
+                    if (!isSuitable.test(kind) || !isAvailable(kind, now)) {
                         continue;
                     }
                     double price = pricePerUnit(kind, type, units, toRent);
@@ -128,10 +133,10 @@
      */
     private double pricePerUnit(
             MachineKind kind, MachineType type, double units, Map<MachineKind, Integer> toRent) {
-        int machines = machineCounts.getOrDefault(kind, 0) + toRent.getOrDefault(kind, 0);
+        int machineCount = machineCounts.getOrDefault(kind, 0) + toRent.getOrDefault(kind, 0);
         return (kind.spot() ? type.spotPricePerHour() : type.pricePerHour())
                 / units
-                * (1 + SPREAD_PRICE_FACTOR * machines);
+                * (1 + SPREAD_PRICE_FACTOR * machineCount);
     }
 
     /** Whether a spot machine that fits a task of the job is available below the regular price. */
--- a/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineLiveness.java
@@ -12,15 +12,15 @@
  */
 final class MachineLiveness {
     /** Number of heartbeats that a worker which is up may miss. */
-    private static final double MISSED_REPORTS = 5;
+    private static final double MAX_MISSED_HEARTBEATS = 5;
 
     /** Additional time in which heartbeats may be missing while the leader changes. */
-    private static final double LEADER_CHANGE_SECONDS = 4;
+    private static final double MAX_LEADER_CHANGE_SECONDS = 4;
 
     private final ClusterSettings settings;
     private final ShardState shard;
 
-    private double silenceSince;
+    private double leadingSinceSeconds;
 
     MachineLiveness(ShardState shard) {
         this.settings = shard.settings();
@@ -31,8 +31,8 @@
      * Sets since when this node is the leader; a machine's silence is counted from then at the
      * earliest.
      */
-    void countSilenceSince(double leadingSince) {
-        silenceSince = leadingSince;
+    void setLeadingSince(double leadingSinceSeconds) {
+        this.leadingSinceSeconds = leadingSinceSeconds;
     }
 
     /** Returns the machine's type, if it is known. */
@@ -43,13 +43,13 @@
     /**
      * Whether the machine counts as capacity: it is up or booting in time, and not to be released.
      */
-    boolean isCapacity(Machine machine, double now) {
+    boolean countsAsCapacity(Machine machine, double now) {
         return !machine.isReleasing()
                 && !machine.isGone()
                 && !machine.isQuarantined()
                 && !machine.isMissingAnswers()
                 && !machine.hasInterruptionNotice()
-                && !isLate(machine, now);
+                && !isBootOverdue(machine, now);
     }
 
     /**
@@ -58,15 +58,15 @@
      * time for a heartbeat yet: it would release machines with running tasks, or rent machines for
      * tasks for which those have free capacity.
      */
-    boolean mayBeOverdue(Machine machine, double now) {
+    boolean isFirstHeartbeatOverdue(Machine machine, double now) {
         return !machine.hasReported()
                 && machine.attempts().isEmpty()
-                && now - silenceSince > silenceSeconds();
+                && now - leadingSinceSeconds > maxSilenceSeconds();
     }
 
     /** Whether the machine takes much longer to boot than similar machines. */
-    boolean isLate(Machine machine, double now) {
-        return mayBeOverdue(machine, now) && shard.bootTimes().isLate(machine, now);
+    boolean isBootOverdue(Machine machine, double now) {
+        return isFirstHeartbeatOverdue(machine, now) && shard.bootTimes().isLate(machine, now);
     }
 
     /**
@@ -76,23 +76,23 @@
     double silentSeconds(Machine machine, double now) {
         return now
                 - (machine.hasReported()
-                        ? Math.max(machine.lastHeartbeatAt(), silenceSince)
-                        : silenceSince);
+                        ? Math.max(machine.lastHeartbeatAt(), leadingSinceSeconds)
+                        : leadingSinceSeconds);
     }
 
     /** Whether the machine's last heartbeat is longer ago than a worker that is up may take. */
     boolean isSilent(Machine machine, double now) {
-        return silentSeconds(machine, now) > silenceSeconds();
+        return silentSeconds(machine, now) > maxSilenceSeconds();
     }
 
     /**
      * Returns how long a worker that is up may send no heartbeat: its lease, or a few heartbeat
      * intervals and a leader change if that is shorter.
      */
-    private double silenceSeconds() {
+    private double maxSilenceSeconds() {
         return Math.min(
                 settings.workers().leaseSeconds(),
-                MISSED_REPORTS * settings.workers().heartbeatIntervalSeconds()
-                        + LEADER_CHANGE_SECONDS);
+                MAX_MISSED_HEARTBEATS * settings.workers().heartbeatIntervalSeconds()
+                        + MAX_LEADER_CHANGE_SECONDS);
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/MachineTypeLoader.java
+++ b/src/main/java/io/kitepath/core/scaling/MachineTypeLoader.java
@@ -20,7 +20,7 @@
     private static final double RETRY_SECONDS = 1;
 
     /** Heartbeat intervals after which the types are fetched again. */
-    private static final double REFRESH_REPORT_INTERVALS = 20;
+    private static final double REFRESH_HEARTBEAT_INTERVALS = 20;
 
     private final ShardState shard;
     private final Store store;
@@ -28,8 +28,8 @@
     private final Timers timers;
     private final TokenBucket callBucket;
     private final double refreshSeconds;
-    private boolean stored;
-    private double fetchedAt = Double.NEGATIVE_INFINITY;
+    private boolean isStored;
+    private double lastFetchedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /**
      * @param callBucket limits the rate of calls to the cloud
@@ -41,7 +41,7 @@
         this.timers = ports.timers();
         this.callBucket = callBucket;
         this.refreshSeconds =
-                REFRESH_REPORT_INTERVALS * shard.settings().workers().heartbeatIntervalSeconds();
+                REFRESH_HEARTBEAT_INTERVALS * shard.settings().workers().heartbeatIntervalSeconds();
     }
 
     /** Loads the types; retries every second until they are known. */
@@ -53,7 +53,7 @@
                 StoreKeys.INSTANCE_TYPES,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
-                        learnRecorded(entry);
+                        applyStoredTypes(entry);
                     } else {
                         fetch();
                         timers.schedule(RETRY_SECONDS, this::load);
@@ -61,7 +61,7 @@
                 });
     }
 
-    private void learnRecorded(Store.Entry entry) {
+    private void applyStoredTypes(Store.Entry entry) {
         List<MachineType> types =
                 DocumentReader.of(entry.value()).children("types").stream()
                         .map(MachineType::fromRecord)
@@ -69,13 +69,13 @@
         if (shard.machineTypes().isEmpty()) {
             shard.setMachineTypes(types);
         }
-        stored = true;
+        isStored = true;
     }
 
     /** Fetches the types from the cloud if the refresh interval has passed. */
     void refresh(double now) {
-        if (now - fetchedAt > refreshSeconds) {
-            fetchedAt = now;
+        if (now - lastFetchedAtSeconds > refreshSeconds) {
+            lastFetchedAtSeconds = now;
             fetch();
         }
     }
@@ -88,23 +88,23 @@
                 (outcome, types) -> {
                     if (outcome == Outcome.OK && !types.isEmpty()) {
                         shard.setMachineTypes(types);
-                        fetchedAt = timers.nowSeconds();
+                        lastFetchedAtSeconds = timers.nowSeconds();
                         storeOnce(types);
                     }
                 });
     }
 
     private void storeOnce(List<MachineType> types) {
-        if (stored) {
+        if (isStored) {
             return;
         }
-        stored = true;
+        isStored = true;
         List<Map<String, Object>> records = types.stream().map(MachineType::toRecord).toList();
         store.commit(
                 new Store.Transaction().put(StoreKeys.INSTANCE_TYPES, Map.of("types", records)),
                 result -> {
                     if (result.outcome() != Outcome.OK) {
-                        stored = false;
+                        isStored = false;
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/scaling/ObjectiveReserve.java
+++ b/src/main/java/io/kitepath/core/scaling/ObjectiveReserve.java
@@ -33,25 +33,25 @@
     /**
      * Reserves machines for each objective, and adds those that are missing to the rentals.
      *
-     * @param queue the waiting jobs; a class with waiting jobs needs no reserve for its wait
+     * @param waitingJobs the waiting jobs; a class with waiting jobs needs no reserve for its wait
      *     objective
      * @return the existing machines that have to be kept
      */
-    Set<Machine> reserve(List<Job> queue, double wallMillis) {
+    Set<Machine> reserve(List<Job> waitingJobs, double wallMillis) {
         for (ClusterSettings.Objective objective : shard.settings().objectives()) {
-            typicalJob(objective, queue, wallMillis)
-                    .ifPresent(typical -> reserveFor(objective, typical, wallMillis));
+            typicalJobSpec(objective, waitingJobs, wallMillis)
+                    .ifPresent(typicalSpec -> reserveFor(objective, typicalSpec, wallMillis));
         }
         return reserved;
     }
 
-    private Optional<JobSpec> typicalJob(
-            ClusterSettings.Objective objective, List<Job> queue, double wallMillis) {
-        double boot = survey.shortestBootSeconds();
+    private Optional<JobSpec> typicalJobSpec(
+            ClusterSettings.Objective objective, List<Job> waitingJobs, double wallMillis) {
+        double bootSeconds = survey.shortestBootSeconds();
         boolean startsSoonerThanBoot =
                 objective.kind().equals("wait")
-                        && objective.withinSeconds() < boot
-                        && queue.stream()
+                        && objective.withinSeconds() < bootSeconds
+                        && waitingJobs.stream()
                                 .noneMatch(job -> job.spec.jobClass().equals(objective.jobClass()));
         if (!startsSoonerThanBoot && !objective.kind().equals("deadline")) {
             return Optional.empty();
@@ -59,18 +59,21 @@
         return Optional.ofNullable(
                 shard.recentArrivals()
                         .typicalSpec(
-                                objective.jobClass(), objective.targetShare(), wallMillis, boot));
+                                objective.jobClass(),
+                                objective.targetShare(),
+                                wallMillis,
+                                bootSeconds));
     }
 
     private void reserveFor(
-            ClusterSettings.Objective objective, JobSpec typical, double wallMillis) {
-        int missing = tasksAtOnce(objective, typical, wallMillis);
-        List<FreeCapacity> capacities = survey.capacitiesFor(typical);
-        ZoneConstraints zones = ZoneConstraints.of(typical);
-        rentals.chooseZone(zones, typical, missing, capacities);
+            ClusterSettings.Objective objective, JobSpec typicalSpec, double wallMillis) {
+        int missingTasks = concurrentTasks(objective, typicalSpec, wallMillis);
+        List<FreeCapacity> capacities = survey.capacitiesFor(typicalSpec);
+        ZoneConstraints zones = ZoneConstraints.of(typicalSpec);
+        rentals.chooseZone(zones, typicalSpec, missingTasks, capacities);
         capacities.removeIf(
                 capacity ->
-                        !ProbePlacement.isAllowed(capacity.kind, typical)
+                        !ProbePlacement.isAllowed(capacity.kind, typicalSpec)
                                 || !zones.allows(capacity.kind.zone()));
         // Allocates on the fullest machines first.
         capacities.sort(
@@ -78,31 +81,38 @@
                         capacity -> capacity.afterBoot.cpus() - capacity.type.cpus()));
         for (FreeCapacity capacity : capacities) {
             String zone = capacity.kind.zone();
-            int fitting =
+            int fittingTasks =
                     capacity.allocate(
-                            typical, Math.min(missing, zones.remainingTasks(zone)), false);
-            zones.addTasks(zone, fitting);
-            missing -= fitting;
-            if (fitting > 0) {
+                            typicalSpec, Math.min(missingTasks, zones.remainingTasks(zone)), false);
+            zones.addTasks(zone, fittingTasks);
+            missingTasks -= fittingTasks;
+            if (fittingTasks > 0) {
                 capacity.machine.ifPresent(reserved::add);
             }
         }
-        rentals.addMachinesFor(typical, missing, zones, kind -> true);
+        rentals.addMachinesFor(typicalSpec, missingTasks, zones, kind -> true);
     }
 
     /** Returns how many tasks of such jobs need a slot at the same time. */
-    private int tasksAtOnce(
-            ClusterSettings.Objective objective, JobSpec typical, double wallMillis) {
-        if (typical.shape() != JobSpec.Shape.ARRAY || typical.deadlineSeconds() == null) {
-            return typical.taskCount();
+    private int concurrentTasks(
+            ClusterSettings.Objective objective, JobSpec typicalSpec, double wallMillis) {
+        if (typicalSpec.shape() != JobSpec.Shape.ARRAY || typicalSpec.deadlineSeconds() == null) {
+            return typicalSpec.taskCount();
         }
-        double rounds =
+        double tasksPerSlot =
                 Math.max(
-                        1, typical.deadlineSeconds() / 2 / Math.max(1, typical.estimatedSeconds()));
+                        1,
+                        typicalSpec.deadlineSeconds()
+                                / 2
+                                / Math.max(1, typicalSpec.estimatedSeconds()));
         // The number of jobs that are submitted within a boot time varies by about its square root.
         double jobsPerBoot =
                 survey.shortestBootSeconds()
                         * shard.recentArrivals().jobsPerSecond(objective.jobClass(), wallMillis);
-        return (int) Math.ceil(Math.sqrt(Math.max(1, jobsPerBoot)) * typical.taskCount() / rounds);
+        return (int)
+                Math.ceil(
+                        Math.sqrt(Math.max(1, jobsPerBoot))
+                                * typicalSpec.taskCount()
+                                / tasksPerSlot);
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/RegularMachineDemand.java
+++ b/src/main/java/io/kitepath/core/scaling/RegularMachineDemand.java
@@ -20,22 +20,22 @@
     private final Set<MachineKind> neededKinds = new HashSet<>();
 
     /**
-     * @param waiting the jobs with tasks to place
+     * @param waitingJobs the jobs with tasks to place
      */
     RegularMachineDemand(
             ShardState shard,
             MachineLiveness machineLiveness,
-            Collection<Job> waiting,
+            Collection<Job> waitingJobs,
             double now) {
         Set<MachineKind> spotKinds = new HashSet<>();
         Set<MachineKind> regularKinds = new HashSet<>();
         for (Machine machine : shard.machines().values()) {
             if (machineLiveness.typeOf(machine).isPresent()
-                    && machineLiveness.isCapacity(machine, now)) {
+                    && machineLiveness.countsAsCapacity(machine, now)) {
                 (machine.isSpot() ? spotKinds : regularKinds).add(machine.kind());
             }
         }
-        for (Job job : waiting) {
+        for (Job job : waitingJobs) {
             if (job.spec.allowsSpot()
                     && !shard.failureDiagnosis().isJobAtFault(job, now)
                     && !isAnyAllowed(spotKinds, job.spec)) {
@@ -54,7 +54,7 @@
      * Whether there are waiting jobs that can currently run only on machines of this machine's
      * kind, or other regular ones.
      */
-    boolean needs(Machine machine) {
+    boolean isNeeded(Machine machine) {
         return neededKinds.contains(machine.kind());
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/RentalPlan.java
+++ b/src/main/java/io/kitepath/core/scaling/RentalPlan.java
@@ -43,54 +43,54 @@
 
     /**
      * Adds machines of the cheapest kinds for that many tasks; stops when the cheapest available
-     * kind does not pass {@code worth}.
+     * kind does not pass {@code isWorthRenting}.
      *
      * @return the capacities of the added machines, with the tasks allocated
      */
     List<FreeCapacity> addMachinesFor(
-            JobSpec spec, int tasks, ZoneConstraints zones, Predicate<MachineKind> worth) {
-        List<FreeCapacity> added = new ArrayList<>();
-        int missing = tasks;
-        while (missing > 0) {
+            JobSpec spec, int tasks, ZoneConstraints zones, Predicate<MachineKind> isWorthRenting) {
+        List<FreeCapacity> addedCapacities = new ArrayList<>();
+        int missingTasks = tasks;
+        while (missingTasks > 0) {
             Optional<MachineKind> cheapest =
                     instanceSelection
                             .cheapestKind(
                                     spec, zone -> zones.remainingTasks(zone) > 0, countsToRent, now)
-                            .filter(worth);
+                            .filter(isWorthRenting);
             if (cheapest.isEmpty()) {
                 break;
             }
             MachineKind kind = cheapest.get();
             FreeCapacity capacity =
                     FreeCapacity.ofRental(kind, shard.machineTypes().get(kind.machineType()));
-            int wanted = Math.min(missing, zones.remainingTasks(kind.zone()));
-            int fitting = capacity.allocate(spec, wanted, false);
-            if (fitting == 0) {
+            int tasksToAllocate = Math.min(missingTasks, zones.remainingTasks(kind.zone()));
+            int fittingTasks = capacity.allocate(spec, tasksToAllocate, false);
+            if (fittingTasks == 0) {
                 break;
             }
-            zones.addTasks(kind.zone(), fitting);
-            missing -= fitting;
+            zones.addTasks(kind.zone(), fittingTasks);
+            missingTasks -= fittingTasks;
             countsToRent.merge(kind, 1, Integer::sum);
-            added.add(capacity);
+            addedCapacities.add(capacity);
         }
-        return added;
+        return addedCapacities;
     }
 
     /** Adds machines of the cheapest kinds per CPU until the plan rents that many CPUs. */
-    void addMachinesUpTo(double cpus) {
-        double missing = cpus;
+    void addMachinesForCpus(double cpus) {
+        double missingCpus = cpus;
         for (Map.Entry<MachineKind, Integer> count : countsToRent.entrySet()) {
-            missing -=
+            missingCpus -=
                     count.getValue()
                             * shard.machineTypes().get(count.getKey().machineType()).cpus();
         }
-        while (missing > 0) {
+        while (missingCpus > 0) {
             Optional<MachineKind> cheapest = instanceSelection.cheapestKindByCpu(countsToRent, now);
             if (cheapest.isEmpty()) {
                 return;
             }
             countsToRent.merge(cheapest.get(), 1, Integer::sum);
-            missing -= shard.machineTypes().get(cheapest.get().machineType()).cpus();
+            missingCpus -= shard.machineTypes().get(cheapest.get().machineType()).cpus();
         }
     }
 
@@ -103,13 +103,13 @@
         if (!spec.isSingleZone() || zones.isDecided()) {
             return;
         }
-        Set<String> rentable = new HashSet<>();
+        Set<String> rentableZones = new HashSet<>();
         Map<String, Double> scores = new LinkedHashMap<>();
         for (String zone : settings.zones()) {
             if (instanceSelection.cheapestKind(spec, zone::equals, Map.of(), now).isPresent()) {
-                rentable.add(zone);
+                rentableZones.add(zone);
             }
-            scores.put(zone, rentable.contains(zone) ? RENTABLE_ZONE_SCORE : 0);
+            scores.put(zone, rentableZones.contains(zone) ? RENTABLE_ZONE_SCORE : 0);
         }
         for (FreeCapacity capacity : capacities) {
             if (ProbePlacement.isAllowed(capacity.kind, spec) && spec.cpusPerTask() > 0) {
@@ -117,14 +117,14 @@
                 scores.merge(capacity.kind.zone(), slots, Double::sum);
             }
         }
-        Comparator<Map.Entry<String, Double>> holdsGang =
+        Comparator<Map.Entry<String, Double>> fitsGang =
                 Comparator.comparing(
                         score ->
                                 spec.isGang()
-                                        && (rentable.contains(score.getKey())
+                                        && (rentableZones.contains(score.getKey())
                                                 || score.getValue() >= tasks));
         scores.entrySet().stream()
-                .max(holdsGang.thenComparing(Map.Entry.comparingByValue()))
+                .max(fitsGang.thenComparing(Map.Entry.comparingByValue()))
                 .ifPresent(score -> zones.bindTo(score.getKey()));
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -21,16 +21,16 @@
      * Worker leases for which a machine may send heartbeats without receiving responses before it
      * is released.
      */
-    private static final double DEAF_LEASES = 3;
+    private static final double MAX_LEASES_WITHOUT_RESPONSES = 3;
 
     /** Tasks are moved only if they would run for more than this many heartbeat intervals. */
-    private static final double MOVE_REPORT_INTERVALS = 2;
+    private static final double MIN_MOVE_HEARTBEAT_INTERVALS = 2;
 
     /**
      * Minimum ratio of the machine's cost to the cost of repeating the work that is lost by the
      * move.
      */
-    private static final double MOVE_COST_FACTOR = 2;
+    private static final double MIN_MOVE_COST_RATIO = 2;
 
     private final ClusterSettings settings;
     private final ShardState shard;
@@ -62,19 +62,25 @@
             double spareCpus) {
         SilenceSurvey survey =
                 SilenceSurvey.of(
-                        shard, machineLiveness, machine -> isDeafForLong(machine, now), now);
-        List<String> released = new ArrayList<>();
-        double spare = spareCpus;
+                        shard,
+                        machineLiveness,
+                        machine -> isWithoutResponsesForLong(machine, now),
+                        now);
+        List<String> idsToRelease = new ArrayList<>();
+        double remainingSpareCpus = spareCpus;
         for (Machine machine : shard.machines().values()) {
             // A machine can be surplus only if its type is known.
-            Optional<MachineType> surplus =
-                    reserved.contains(machine) ? Optional.empty() : surplus(machine, spare, now);
-            markNeededOrDraining(machine, surplus, regularDemand, now);
-            boolean release = machine.isReleasing() || shouldRelease(machine, surplus, survey, now);
-            if (surplus.isPresent() && (release || machine.isDraining())) {
-                spare -= surplus.get().cpus();
+            Optional<MachineType> surplusType =
+                    reserved.contains(machine)
+                            ? Optional.empty()
+                            : surplusType(machine, remainingSpareCpus, now);
+            markNeededOrDraining(machine, surplusType, regularDemand, now);
+            boolean mustRelease =
+                    machine.isReleasing() || shouldRelease(machine, surplusType, survey, now);
+            if (surplusType.isPresent() && (mustRelease || machine.isDraining())) {
+                remainingSpareCpus -= surplusType.get().cpus();
             }
-            if (release) {
+            if (mustRelease) {
                 if (!machine.isReleasing()) {
                     LOG.info(
                             "releasing machine: machine={} reason={}",
@@ -82,19 +88,19 @@
                             releaseReason(machine, survey));
                 }
                 machine.release();
-                released.add(machine.id);
+                idsToRelease.add(machine.id);
             }
         }
-        return released;
+        return idsToRelease;
     }
 
     /** Returns the machine's type if its CPUs are spare. */
-    private Optional<MachineType> surplus(Machine machine, double spareCpus, double now) {
+    private Optional<MachineType> surplusType(Machine machine, double spareCpus, double now) {
         return machineLiveness
                 .typeOf(machine)
                 .filter(
                         type ->
-                                !machineLiveness.isLate(machine, now)
+                                !machineLiveness.isBootOverdue(machine, now)
                                         && spareCpus >= type.cpus()
                                         && machine.reservedFor() == null);
     }
@@ -105,7 +111,7 @@
      */
     private void markNeededOrDraining(
             Machine machine,
-            Optional<MachineType> surplus,
+            Optional<MachineType> surplusType,
             RegularMachineDemand regularDemand,
             double now) {
         if (!machine.isSpot()
@@ -117,14 +123,14 @@
                 machine.isTokenConfirmed()
                         && !machine.isSpot()
                         && machine.lastNeededAt() < now
-                        && !regularDemand.needs(machine)
-                        && surplus.filter(
-                                        type -> instanceSelection.isCheaperSpotAvailable(type, now))
+                        && !regularDemand.isNeeded(machine)
+                        && surplusType
+                                .filter(type -> instanceSelection.isCheaperSpotAvailable(type, now))
                                 .isPresent());
     }
 
     private boolean shouldRelease(
-            Machine machine, Optional<MachineType> surplus, SilenceSurvey survey, double now) {
+            Machine machine, Optional<MachineType> surplusType, SilenceSurvey survey, double now) {
         if (survey.isSilent(machine)) {
             return survey.mayReleaseSilent(
                     machineLiveness.silentSeconds(machine, now), settings.workers().leaseSeconds());
@@ -135,30 +141,31 @@
         }
         if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUnwrittenEnds()) {
             return machine.isQuarantined()
-                    || isDeafForLong(machine, now)
-                    || surplus.filter(type -> isIdleForLong(machine, type, now)).isPresent();
+                    || isWithoutResponsesForLong(machine, now)
+                    || surplusType.filter(type -> isUnusedForLong(machine, type, now)).isPresent();
         }
         // Heartbeats from such a machine cannot confirm that attempts of an earlier leader ended.
         return !machine.isTokenConfirmed()
-                && isDeafForLong(machine, now)
-                && survey.mayReleaseDeaf();
+                && isWithoutResponsesForLong(machine, now)
+                && survey.mayReleaseMachinesWithoutResponses();
     }
 
     private boolean hasFailedToBoot(Machine machine, double now) {
         return machineLiveness.typeOf(machine).isPresent()
-                && machineLiveness.mayBeOverdue(machine, now)
+                && machineLiveness.isFirstHeartbeatOverdue(machine, now)
                 && shard.bootTimes().isHopeless(machine, now);
     }
 
-    private boolean isDeafForLong(Machine machine, double now) {
-        return machine.missingAnswersSeconds(now) > DEAF_LEASES * settings.workers().leaseSeconds();
+    private boolean isWithoutResponsesForLong(Machine machine, double now) {
+        return machine.missingAnswersSeconds(now)
+                > MAX_LEASES_WITHOUT_RESPONSES * settings.workers().leaseSeconds();
     }
 
     /**
      * Whether the machine has been unused for longer than a new one would take to boot; up to then
      * an idle machine is worth keeping.
      */
-    private static boolean isIdleForLong(Machine machine, MachineType type, double now) {
+    private static boolean isUnusedForLong(Machine machine, MachineType type, double now) {
         return now - machine.lastNeededAt() > type.bootSeconds()
                 && (machine.isDraining() || now - machine.idleSince() > type.bootSeconds());
     }
@@ -232,8 +239,12 @@
             lostCpuSeconds += attempt.job.spec.cpusPerTask() * attempt.unsavedSeconds(now);
         }
         return remainingSeconds
-                        > MOVE_REPORT_INTERVALS * settings.workers().heartbeatIntervalSeconds()
+                        > MIN_MOVE_HEARTBEAT_INTERVALS
+                                * settings.workers().heartbeatIntervalSeconds()
                 && remainingSeconds * type.pricePerHour()
-                        > MOVE_COST_FACTOR * lostCpuSeconds * type.spotPricePerHour() / type.cpus();
+                        > MIN_MOVE_COST_RATIO
+                                * lostCpuSeconds
+                                * type.spotPricePerHour()
+                                / type.cpus();
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScaleOutPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleOutPlanner.java
@@ -68,39 +68,39 @@
         JobSpec spec = job.spec;
         ZoneConstraints zones = ZoneConstraints.of(job);
         rentals.chooseZone(zones, spec, tasks, capacities);
-        int missing = tasks - fillCapacities(job, tasks, zones);
-        List<FreeCapacity> rented =
+        int missingTasks = tasks - fillCapacities(job, tasks, zones);
+        List<FreeCapacity> rentedCapacities =
                 rentals.addMachinesFor(
                         spec,
-                        missing,
+                        missingTasks,
                         zones,
-                        kind -> !spec.allowsSpot() || kind.spot() || !mayFinishOnSpot(job));
-        capacities.addAll(rented);
+                        kind -> !spec.allowsSpot() || kind.spot() || !meetsStartGoalOnSpot(job));
+        capacities.addAll(rentedCapacities);
         LOG.debug(
                 "capacity planned: job={} waitingTasks={} slotsRequired={} withoutFreeCapacity={}"
                         + " machinesToRent={}",
                 spec.id(),
                 job.waitingTasks(),
                 tasks,
-                missing,
-                rented.size());
+                missingTasks,
+                rentedCapacities.size());
     }
 
     /** Returns how many of the job's waiting tasks need their own slot. */
     private int tasksToPlace(Job job) {
         JobSpec spec = job.spec;
-        int waiting = Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(spec));
+        int waitingTasks = Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(spec));
         if (spec.isGang()) {
-            return waiting == spec.taskCount() ? waiting : 0;
+            return waitingTasks == spec.taskCount() ? waitingTasks : 0;
         }
-        return spec.shape() == JobSpec.Shape.ARRAY ? arraySlots(job, waiting) : waiting;
+        return spec.shape() == JobSpec.Shape.ARRAY ? arraySlots(job, waitingTasks) : waitingTasks;
     }
 
     /**
      * Returns the number of additional slots for an array: not one per task, but as many as are
      * needed to finish the job in time if each slot runs tasks one after the other.
      */
-    private int arraySlots(Job job, int waiting) {
+    private int arraySlots(Job job, int waitingTasks) {
         double finishSeconds =
                 job.hasDeadline()
                         ? (job.dueMillis() - wallMillis) / 1000
@@ -109,9 +109,10 @@
                                         DEFAULT_FINISH_LEASES * settings.workers().leaseSeconds())
                                 / FINISH_TIME_DIVISOR;
         double taskSeconds = Math.max(1, job.spec.estimatedSeconds());
-        int unfinished = job.waitingTasks() + job.liveAttempts().size();
-        double slots = Math.ceil(unfinished * taskSeconds / Math.max(taskSeconds, finishSeconds));
-        return (int) Math.max(0, Math.min(waiting, slots - job.liveAttempts().size()));
+        int unfinishedTasks = job.waitingTasks() + job.liveAttempts().size();
+        double totalSlots =
+                Math.ceil(unfinishedTasks * taskSeconds / Math.max(taskSeconds, finishSeconds));
+        return (int) Math.max(0, Math.min(waitingTasks, totalSlots - job.liveAttempts().size()));
     }
 
     /** Allocates the job's tasks to the remaining free capacity; returns how many fit. */
@@ -124,24 +125,26 @@
         // Capacity that becomes free within a boot time is as good as a new machine, except for a
         // job that has to start sooner to meet its deadline: such a job needs capacity that is free
         // now, or more of it.
-        boolean atOnce = job.hasDeadline();
-        int missing = tasks;
+        boolean mustFitImmediately = job.hasDeadline();
+        int missingTasks = tasks;
         for (FreeCapacity capacity : capacities) {
-            if (missing == 0) {
+            if (missingTasks == 0) {
                 break;
             }
             String zone = capacity.kind.zone();
             int zoneLimit = zones.remainingTasks(zone);
             if (zoneLimit > 0
-                    && capacity.hasCpusFor(spec, atOnce)
+                    && capacity.hasCpusFor(spec, mustFitImmediately)
                     && ProbePlacement.isAllowed(capacity.kind, spec)
                     && (capacity.kind.spot() || !spotOnly)) {
-                int fitting = capacity.allocate(spec, Math.min(missing, zoneLimit), atOnce);
-                zones.addTasks(zone, fitting);
-                missing -= fitting;
+                int fittingTasks =
+                        capacity.allocate(
+                                spec, Math.min(missingTasks, zoneLimit), mustFitImmediately);
+                zones.addTasks(zone, fittingTasks);
+                missingTasks -= fittingTasks;
             }
         }
-        return tasks - missing;
+        return tasks - missingTasks;
     }
 
     /**
@@ -149,16 +152,17 @@
      * may use spot machines. Guards against renting regular machines at several times the price
      * because spot machines are temporarily unavailable.
      */
-    private boolean mayFinishOnSpot(Job job) {
-        int goal = job.startGoalCount() - 1;
+    private boolean meetsStartGoalOnSpot(Job job) {
+        int goalIndex = job.startGoalCount() - 1;
         if (job.hasDeadline()) {
             // By the time a new machine is up, the deadline would long be missed by this job and by
             // similar ones submitted meanwhile. The first start goal that is still ahead counts.
-            goal = 0;
-            while (goal < job.startGoalCount() - 1 && job.startGoalMillis(goal) < wallMillis) {
-                goal++;
+            goalIndex = 0;
+            while (goalIndex < job.startGoalCount() - 1
+                    && job.startGoalMillis(goalIndex) < wallMillis) {
+                goalIndex++;
             }
         }
-        return survey.spotBacklogSeconds() < (job.startGoalMillis(goal) - wallMillis) / 1000;
+        return survey.spotBacklogSeconds() < (job.startGoalMillis(goalIndex) - wallMillis) / 1000;
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
+++ b/src/main/java/io/kitepath/core/scaling/ScalingPlanner.java
@@ -16,7 +16,7 @@
  */
 public final class ScalingPlanner {
     /** The order of the waiting jobs may be as old as the heartbeat interval divided by this. */
-    private static final double ORDER_AGE_DIVISOR = 8;
+    private static final double JOB_ORDER_AGE_DIVISOR = 8;
 
     /**
      * A scaling plan.
@@ -63,34 +63,36 @@
      *
      * @param now seconds on the steady clock
      * @param wallMillis milliseconds since 1970
-     * @param leadingSince when this node became leader, in seconds on the steady clock; machines'
-     *     silence is counted from then at the earliest
+     * @param leadingSinceSeconds when this node became leader, in seconds on the steady clock;
+     *     machines' silence is counted from then at the earliest
      */
-    public Plan plan(double now, double wallMillis, double leadingSince) {
-        machineLiveness.countSilenceSince(leadingSince);
+    public Plan plan(double now, double wallMillis, double leadingSinceSeconds) {
+        machineLiveness.setLeadingSince(leadingSinceSeconds);
         instanceSelection.countMachines();
         CapacitySurvey survey = new CapacitySurvey(shard, machineLiveness, now);
         RentalPlan rentals = new RentalPlan(shard, instanceSelection, now);
-        ScaleOutPlanner demand =
+        ScaleOutPlanner scaleOutPlanner =
                 new ScaleOutPlanner(shard, instanceSelection, survey, rentals, now, wallMillis);
-        double maxOrderAge = settings.workers().heartbeatIntervalSeconds() / ORDER_AGE_DIVISOR;
-        List<Job> queue = scheduler.orderedJobs(now, wallMillis, maxOrderAge);
-        queue.forEach(demand::planForJob);
+        double maxOrderAgeSeconds =
+                settings.workers().heartbeatIntervalSeconds() / JOB_ORDER_AGE_DIVISOR;
+        List<Job> waitingJobs = scheduler.orderedJobs(now, wallMillis, maxOrderAgeSeconds);
+        waitingJobs.forEach(scaleOutPlanner::planForJob);
         Set<Machine> reserved =
                 survey.isIdle()
                         ? Set.of()
-                        : new ObjectiveReserve(shard, survey, rentals).reserve(queue, wallMillis);
+                        : new ObjectiveReserve(shard, survey, rentals)
+                                .reserve(waitingJobs, wallMillis);
         // Guaranteed CPUs must be available without a boot time, so the sum of all guarantees stays
         // rented.
         double guaranteedCpus = survey.guaranteedCpus();
-        rentals.addMachinesUpTo(guaranteedCpus - survey.usableCpus());
-        List<String> released =
+        rentals.addMachinesForCpus(guaranteedCpus - survey.usableCpus());
+        List<String> idsToRelease =
                 scaleIn.machinesToRelease(
                         now,
                         reserved,
-                        new RegularMachineDemand(shard, machineLiveness, queue, now),
+                        new RegularMachineDemand(shard, machineLiveness, waitingJobs, now),
                         survey.usableCpus() - guaranteedCpus);
         scaleIn.moveTasksToSpot(now, wallMillis);
-        return new Plan(rentals.countsToRent(), released);
+        return new Plan(rentals.countsToRent(), idsToRelease);
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/SilenceSurvey.java
+++ b/src/main/java/io/kitepath/core/scaling/SilenceSurvey.java
@@ -16,49 +16,50 @@
     /**
      * Up to one machine in this many may be silent for the fault to be attributed to the machines.
      */
-    private static final int FEW_DIVISOR = 8;
+    private static final int FEW_SILENT_DIVISOR = 8;
 
     /**
      * Worker leases after which silent machines are released if at least half of all machines still
      * send heartbeats.
      */
-    private static final double SOME_SILENT_LEASES = 1.5;
+    private static final double HALF_SILENT_LEASES = 1.5;
 
     /** Worker leases after which silent machines are released in any case. */
     private static final double MOST_SILENT_LEASES = 3;
 
-    private final Set<Machine> silent = new HashSet<>();
-    private int up;
-    private int deafAndUnproven;
+    private final Set<Machine> silentMachines = new HashSet<>();
+    private int surveyedCount;
+    private int unconfirmedWithoutResponsesCount;
 
     /**
      * Surveys the machines that have sent a heartbeat or have attempts.
      *
-     * @param isDeafForLong whether the machine has received no responses for a long time
+     * @param isWithoutResponsesForLong whether the machine has received no responses for a long
+     *     time
      */
     static SilenceSurvey of(
             ShardState shard,
             MachineLiveness liveness,
-            Predicate<Machine> isDeafForLong,
+            Predicate<Machine> isWithoutResponsesForLong,
             double now) {
         SilenceSurvey survey = new SilenceSurvey();
         for (Machine machine : shard.machines().values()) {
             if (!machine.hasReported() && machine.attempts().isEmpty()) {
                 continue;
             }
-            survey.up++;
+            survey.surveyedCount++;
             if (liveness.isSilent(machine, now)) {
-                survey.silent.add(machine);
+                survey.silentMachines.add(machine);
             }
-            if (isDeafForLong.test(machine) && !machine.isTokenConfirmed()) {
-                survey.deafAndUnproven++;
+            if (isWithoutResponsesForLong.test(machine) && !machine.isTokenConfirmed()) {
+                survey.unconfirmedWithoutResponsesCount++;
             }
         }
         return survey;
     }
 
     boolean isSilent(Machine machine) {
-        return silent.contains(machine);
+        return silentMachines.contains(machine);
     }
 
     /**
@@ -67,10 +68,11 @@
      * work.
      */
     boolean mayReleaseSilent(double silentSeconds, double leaseSeconds) {
-        boolean few = silent.size() <= Math.max(1, up / FEW_DIVISOR);
-        boolean some = silent.size() * 2 <= up;
-        return few
-                || some && silentSeconds > SOME_SILENT_LEASES * leaseSeconds
+        boolean areFewSilent =
+                silentMachines.size() <= Math.max(1, surveyedCount / FEW_SILENT_DIVISOR);
+        boolean isAtMostHalfSilent = silentMachines.size() * 2 <= surveyedCount;
+        return areFewSilent
+                || isAtMostHalfSilent && silentSeconds > HALF_SILENT_LEASES * leaseSeconds
                 || silentSeconds > MOST_SILENT_LEASES * leaseSeconds;
     }
 
@@ -78,7 +80,7 @@
      * Whether machines may be released that receive no responses and whose work is unconfirmed; not
      * if they are the majority, as the fault is then probably not theirs.
      */
-    boolean mayReleaseDeaf() {
-        return deafAndUnproven * 2 <= up;
+    boolean mayReleaseMachinesWithoutResponses() {
+        return unconfirmedWithoutResponsesCount * 2 <= surveyedCount;
     }
 }
