--- a/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
@@ -14,7 +14,7 @@
     private final Timers timers = SimulatedClusters.timers(cluster);
 
     @Test
-    void digestVouchesOnlyForTheTimeOfWhatIsStillKept() {
+    void digestCoversOnlyTimeOfRetainedEntries() {
         cluster.siblings.clear();
         cluster.siblings.add("k0");
         CancellationLog log = new CancellationLog(cluster.settings("k1"), timers);
--- a/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void digestBeforeTheStoreWasReadAdvancesNothing() {
+    void digestBeforeStoreReadDoesNotAdvanceWatermark() {
         CancellationWatermark watermark = watermarkWithPeers("k1");
         watermark.advanceByDigest(digest("k1", 0, 100));
         assertTrue(watermark.ageSeconds() > NOTHING_KNOWN_SECONDS);
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void digestAdvancesOnlyFromWhereItsPeerIsKnown() {
+    void digestAdvancesOnlyIfItBeginsBeforeWatermarkOfItsPeer() {
         CancellationWatermark watermark = watermarkWithPeers("k1", "k2");
         watermark.advanceByStore(95_000);
         watermark.advanceByDigest(digest("k1", 94, 99));
@@ -76,7 +76,7 @@
      * before the watermark may actually begin after it.
      */
     @Test
-    void digestWithinTheClocksSkewOfTheWatermarkAdvancesNothing() {
+    void digestWithinClockSkewOfWatermarkDoesNotAdvanceIt() {
         CancellationWatermark watermark = watermarkWithPeers("k1");
         watermark.advanceByStore(95_000);
         watermark.advanceByDigest(digest("k1", 94.995, 100));
@@ -90,7 +90,7 @@
      * kept until the store shows them, digests are ignored.
      */
     @Test
-    void digestWithTooManyUnprovenCancellationsAdvancesNothing() {
+    void digestIsIgnoredWhenTooManyCancellationsAreUnverified() {
         CancellationWatermark watermark = watermarkWithPeers("k1");
         watermark.advanceByStore(95_000);
         for (int i = 0; i < 6000; i++) {
