--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -50,8 +50,8 @@
          */
         void onLeadershipWon(long fencingToken, long leaseId, long shardRevision);
 
-        /** Called when this node has lost leadership; {@code why} is for the log. */
-        void onLeadershipLost(String why);
+        /** Called when this node has lost leadership; {@code reason} is for the log. */
+        void onLeadershipLost(String reason);
 
         /**
          * Called when, as far as known, another node has become leader, or the same one has begun a
@@ -204,16 +204,16 @@
         }
     }
 
-    /** Gives up leadership if this node is the leader; {@code why} is for the log. */
-    public void stepDown(String why) {
+    /** Gives up leadership if this node is the leader; {@code reason} is for the log. */
+    public void stepDown(String reason) {
         if (!isLeading) {
             return;
         }
         isLeading = false;
         leader = null;
         store.revokeLease(leaseId); // Other nodes need not wait until it expires.
-        LOG.info("leadership lost: fencingToken={} reason=\"{}\"", fencingToken, why);
-        listener.onLeadershipLost(why);
+        LOG.info("leadership lost: fencingToken={} reason=\"{}\"", fencingToken, reason);
+        listener.onLeadershipLost(reason);
     }
 
     // ---- Following the leader record ----
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -88,10 +88,10 @@
     /**
      * Starts this node's term as leader.
      *
-     * @param lease the id of its lease, which the store never assigns again
+     * @param leaseId the id of its lease, which the store never assigns again
      */
-    public void startLeading(long lease) {
-        intents.startTerm(lease);
+    public void startLeading(long leaseId) {
+        intents.startTerm(leaseId);
         leadingSinceSeconds = timers.nowSeconds();
     }
 
