--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -91,7 +91,7 @@
 
     /** This node knows that the job is cancelled, and may tell users so from now on. */
     void onCancellationConfirmed(String jobId) {
-        cancellationLog.add(jobId);
+        cancellationLog.recordCancellation(jobId);
         markCancelled(jobId);
     }
 
--- a/src/main/java/io/kitepath/core/leadership/CancellationLog.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationLog.java
@@ -47,9 +47,10 @@
     }
 
     /**
-     * Adds a job that is cancelled permanently, as of now; does nothing if the job is in the log.
+     * Records that the job is permanently cancelled, as of now; does nothing if the job is in the
+     * log.
      */
-    public void add(String jobId) {
+    public void recordCancellation(String jobId) {
         if (jobIds.add(jobId)) {
             entries.add(new LoggedCancellation(jobId, timers.wallClockMillis()));
             totalChars += jobId.length();
--- a/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationLogTest.java
@@ -20,16 +20,16 @@
         CancellationLog log = new CancellationLog(cluster.settings("k1"), timers);
         double startedAt = timers.wallClockMillis();
         assertEquals(startedAt, log.digest().sinceMillis());
-        log.add("j-0");
+        log.recordCancellation("j-0");
         cluster.run(1);
         for (int i = 1; i <= 1000; i++) {
-            log.add("j-" + i);
-            log.add("j-1");
+            log.recordCancellation("j-" + i);
+            log.recordCancellation("j-1");
         }
         assertEquals(1000, log.digest().jobIds().size());
         assertEquals(startedAt, log.digest().sinceMillis(), "the removed entry was added then");
         cluster.run(1);
-        log.add("j-2000");
+        log.recordCancellation("j-2000");
         assertEquals(startedAt + 1000, log.digest().sinceMillis());
         cluster.run(31);
         assertEquals(List.of(), log.digest().jobIds());
