--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -97,7 +97,7 @@
 
     /** Digests repeat themselves each second: only news is worth a round. */
     private void markCancelled(String jobId) {
-        cancellationWatermark.addUnproven(jobId);
+        cancellationWatermark.addUnverified(jobId);
         if (shard.finishJob(jobId)) {
             node.requestRound();
         }
--- a/src/main/java/io/kitepath/core/ShardEvents.java
+++ b/src/main/java/io/kitepath/core/ShardEvents.java
@@ -50,7 +50,7 @@
 
     @Override
     public Set<String> cancelledMeanwhile() {
-        return node.cancellationWatermark.unprovenCancellations();
+        return node.cancellationWatermark.unverifiedCancellations();
     }
 
     /** Reads everything again, under the same fencing token. */
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -50,7 +50,7 @@
      * Jobs whose cancellation was reported but not yet seen in the store, with the time of the
      * report in milliseconds by this node's wall clock.
      */
-    private final Map<String, Double> unprovenCancellations = new LinkedHashMap<>();
+    private final Map<String, Double> unverifiedCancellations = new LinkedHashMap<>();
 
     /** Creates a watermark for the configured peers; no confirmations are known yet. */
     public CancellationWatermark(ClusterSettings settings, Timers timers) {
@@ -74,7 +74,7 @@
      */
     public void advanceByStore(double atMillis) {
         storeWatermarkMillis = Math.max(storeWatermarkMillis, atMillis);
-        unprovenCancellations
+        unverifiedCancellations
                 .values()
                 .removeIf(reportedAtMillis -> reportedAtMillis < storeWatermarkMillis);
     }
@@ -83,9 +83,9 @@
      * Adds a job whose permanent cancellation was just reported by a peer, a user's request or the
      * store.
      */
-    public void addUnproven(String jobId) {
-        if (unprovenCancellations.size() < MAX_UNVERIFIED_CANCELLATIONS) {
-            unprovenCancellations.putIfAbsent(jobId, timers.wallClockMillis());
+    public void addUnverified(String jobId) {
+        if (unverifiedCancellations.size() < MAX_UNVERIFIED_CANCELLATIONS) {
+            unverifiedCancellations.putIfAbsent(jobId, timers.wallClockMillis());
         }
     }
 
@@ -93,8 +93,8 @@
      * Returns the jobs that are cancelled although the data read from the store may still show them
      * as open.
      */
-    public Set<String> unprovenCancellations() {
-        return unprovenCancellations.keySet();
+    public Set<String> unverifiedCancellations() {
+        return unverifiedCancellations.keySet();
     }
 
     /**
@@ -104,7 +104,7 @@
     public void advanceByDigest(CancellationDigest digest) {
         String peer = digest.node();
         if (peers.contains(peer)
-                && unprovenCancellations.size() < MAX_UNVERIFIED_CANCELLATIONS
+                && unverifiedCancellations.size() < MAX_UNVERIFIED_CANCELLATIONS
                 && digest.sinceMillis() + maxClockSkewMillis <= watermarkMillis(peer)) {
             double createdAtMillis = Math.min(timers.wallClockMillis(), digest.untilMillis());
             digestWatermarkMillis.merge(peer, createdAtMillis - maxClockSkewMillis, Math::max);
@@ -129,7 +129,7 @@
     }
 
     /** Returns the peer with the oldest watermark, null without peers; for the log. */
-    public String leastKnownPeer() {
+    public String mostLaggingPeer() {
         return peers.stream().min(Comparator.comparingDouble(this::watermarkMillis)).orElse(null);
     }
 }
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -62,7 +62,7 @@
                                 + " leastKnownPeer={}",
                         Math.round(ageSeconds),
                         Math.round(leadership.secondsSinceStoreAnswered()),
-                        cancellationWatermark.leastKnownPeer());
+                        cancellationWatermark.mostLaggingPeer());
             }
         }
         return knows;
--- a/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
+++ b/src/test/java/io/kitepath/core/leadership/CancellationWatermarkTest.java
@@ -94,14 +94,14 @@
         CancellationWatermark watermark = watermarkWithPeers("k1");
         watermark.advanceByStore(95_000);
         for (int i = 0; i < 6000; i++) {
-            watermark.addUnproven("j-" + i);
+            watermark.addUnverified("j-" + i);
         }
-        assertEquals(5000, watermark.unprovenCancellations().size());
+        assertEquals(5000, watermark.unverifiedCancellations().size());
         watermark.advanceByDigest(digest("k1", 90, 100));
         assertAge(5, watermark);
         cluster.run(1);
         watermark.advanceByStore(100_500);
-        assertEquals(0, watermark.unprovenCancellations().size());
+        assertEquals(0, watermark.unverifiedCancellations().size());
         watermark.advanceByDigest(digest("k1", 90, 101));
         assertAge(0.01, watermark);
     }
