--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -75,7 +75,7 @@
 
     /** Whether the store answers this node. */
     boolean isServedByStore() {
-        return leadership.secondsSinceStoreAnswered()
+        return leadership.secondsSinceStoreResponse()
                 < leadership.leaseSeconds() + STORE_GRACE_SECONDS;
     }
 
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -35,7 +35,7 @@
         metrics.gauge(
                 "store.unserved",
                 "seconds since the state service answered",
-                node.leadership::secondsSinceStoreAnswered);
+                node.leadership::secondsSinceStoreResponse);
         metrics.gauge(
                 "cancellations.known.age",
                 "seconds ago until when the holder knows what was cancelled; NaN"
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -160,7 +160,7 @@
     }
 
     /** Returns the seconds since the store last responded to this node. */
-    public double secondsSinceStoreAnswered() {
+    public double secondsSinceStoreResponse() {
         return timers.nowSeconds() - storeRespondedAtSeconds;
     }
 
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -61,7 +61,7 @@
                                 + " watermarkAgeSeconds={} secondsSinceStoreAnswered={}"
                                 + " leastKnownPeer={}",
                         Math.round(ageSeconds),
-                        Math.round(leadership.secondsSinceStoreAnswered()),
+                        Math.round(leadership.secondsSinceStoreResponse()),
                         cancellationWatermark.mostLaggingPeer());
             }
         }
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -149,7 +149,7 @@
     /** Whether neither the store nor any peer is heard, so that no leader can be found out. */
     private boolean isCutOff() {
         return membership.isIsolated()
-                && leadership.secondsSinceStoreAnswered() > leadership.leaseSeconds() + 1;
+                && leadership.secondsSinceStoreResponse() > leadership.leaseSeconds() + 1;
     }
 
     private Optional<ParkedHeartbeat> park(
