--- a/src/main/java/io/kitepath/core/ShardEvents.java
+++ b/src/main/java/io/kitepath/core/ShardEvents.java
@@ -50,7 +50,7 @@
 
     @Override
     public Set<String> reportedCancelledJobIds() {
-        return node.cancellationWatermark.unprovenCancellations();
+        return node.cancellationWatermark.unverifiedCancellations();
     }
 
     /** Reads everything again, under the same fencing token. */
--- a/src/main/java/io/kitepath/core/leadership/Campaign.java
+++ b/src/main/java/io/kitepath/core/leadership/Campaign.java
@@ -10,29 +10,30 @@
 import java.util.Map;
 
 /**
- * An attempt to become leader: asks the store for a lease, reads the last fencing token, and claims
- * the leader's record and the shard's with the next token in one transaction, which goes through
- * only if nobody leads and nobody has raised the token meanwhile. One attempt at a time.
+ * Runs attempts to become leader: requests a lease from the store, reads the last fencing token,
+ * and writes the leader record and the shard record with the next token in one transaction, which
+ * is committed only if there is no leader and the token has not been raised meanwhile. Runs one
+ * attempt at a time.
  */
 final class Campaign {
     /**
      * A term of leadership that was won.
      *
-     * @param leaseId the lease that the leader's and the shard's records hang on
-     * @param fencingToken its token
-     * @param revision at which the records were written
-     * @param leaseRequestedAt when the lease was asked for, in seconds on the steady clock
+     * @param leaseId the lease to which the leader record and the shard record are attached
+     * @param fencingToken the term's fencing token
+     * @param revision the store revision at which the records were written
+     * @param leaseRequestedAtSeconds when the lease was requested, in seconds on the steady clock
      */
-    record Term(long leaseId, long fencingToken, long revision, double leaseRequestedAt) {}
+    record Term(long leaseId, long fencingToken, long revision, double leaseRequestedAtSeconds) {}
 
-    /** Is told how an attempt ends. */
+    /** Receives the result of an attempt. */
     interface Listener {
-        /** The highest fencing token that this node has heard of. */
+        /** Returns the highest fencing token that is known to this node. */
         long highestFencingToken();
 
         void onWon(Term term);
 
-        /** Another node was faster, or the store did not answer. */
+        /** Called when another node was faster or the store did not respond. */
         void onFailed();
     }
 
@@ -42,7 +43,7 @@
     private final Incarnation incarnation;
     private final double leaseSeconds;
     private final Listener listener;
-    private boolean isRunning;
+    private boolean isInProgress;
 
     Campaign(
             ClusterSettings settings,
@@ -59,51 +60,53 @@
         this.listener = listener;
     }
 
-    /** Begins an attempt unless one is under way. */
+    /** Starts an attempt unless one is in progress. */
     void start() {
-        if (isRunning) {
+        if (isInProgress) {
             return;
         }
-        isRunning = true;
-        double requestedAt = timers.nowSeconds();
+        isInProgress = true;
+        double requestedAtSeconds = timers.nowSeconds();
         store.grantLease(
                 (long) (leaseSeconds * 1000),
                 (outcome, leaseId) -> {
                     if (outcome == Outcome.OK) {
-                        readFencingToken(leaseId, requestedAt);
+                        readFencingToken(leaseId, requestedAtSeconds);
                     } else {
-                        fail();
+                        endUnsuccessfully();
                     }
                 });
     }
 
-    private void readFencingToken(long leaseId, double requestedAt) {
+    private void readFencingToken(long leaseId, double requestedAtSeconds) {
         store.get(
                 StoreKeys.FENCING_TOKEN,
                 (outcome, entry) -> {
                     if (outcome == Outcome.OK) {
                         long lastToken = HolderRecord.highestFencingToken(entry);
-                        claim(leaseId, lastToken, entry.revision(), requestedAt);
+                        claim(leaseId, lastToken, entry.revision(), requestedAtSeconds);
                     } else if (outcome == Outcome.REJECTED) {
-                        claim(leaseId, 0, 0, requestedAt); // Nobody has ever led.
+                        claim(leaseId, 0, 0, requestedAtSeconds); // There has never been a leader.
                     } else {
-                        fail();
+                        endUnsuccessfully();
                     }
                 });
     }
 
-    private void claim(long leaseId, long lastToken, long tokenRevision, double requestedAt) {
+    private void claim(
+            long leaseId, long lastToken, long tokenRevision, double requestedAtSeconds) {
         long nextToken = Math.max(lastToken, listener.highestFencingToken()) + 1;
         store.commit(
                 claimTransaction(leaseId, nextToken, tokenRevision),
                 result -> {
-                    isRunning = false;
+                    isInProgress = false;
                     if (result.outcome() == Outcome.OK) {
                         listener.onWon(
-                                new Term(leaseId, nextToken, result.revision(), requestedAt));
+                                new Term(
+                                        leaseId, nextToken, result.revision(), requestedAtSeconds));
                     } else {
-                        // After an unknown outcome the record may be ours with nobody behind it;
-                        // ending the lease removes it.
+                        // After an unknown outcome, the store may hold a leader record of this node
+                        // although it does not lead; revoking the lease removes that record.
                         store.revokeLease(leaseId);
                         listener.onFailed();
                     }
@@ -125,8 +128,8 @@
                 .put(StoreKeys.FENCING_TOKEN, HolderRecord.toFencingTokenRecord(nextToken));
     }
 
-    private void fail() {
-        isRunning = false;
+    private void endUnsuccessfully() {
+        isInProgress = false;
         listener.onFailed();
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -15,22 +15,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the shard's machines with the cloud. Every node learns the machine types. The node
- * that leads lists the machines and records what is to be rented and released ({@link
- * CloudIntents}), no faster than the cloud can be asked for it. Only the cloud's confirmation that
- * a machine was released proves it gone. Not thread-safe: used on the event loop only.
+ * Reconciles the shard's machines with the cloud. Every node loads the machine types. The leader
+ * lists the machines and records which are to be rented and released ({@link CloudIntents}), at no
+ * higher rate than the cloud accepts requests. A machine counts as gone only when the cloud has
+ * confirmed its release. Not thread-safe: used on the event loop only.
  */
 public final class CloudReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(CloudReconciler.class);
 
-    /** The share of the cloud's call rate that this node uses; the rest is for the other nodes. */
+    /**
+     * Share of the cloud's request rate that this node uses; the rest is left to the other nodes.
+     */
     private static final double CALL_RATE_SHARE = 0.6;
 
-    /** Requests that may wait for their record or their answer at the same time. */
+    /**
+     * Maximum number of requests that wait for their record to be committed or for the cloud's
+     * response.
+     */
     private static final int MAX_PENDING_REQUESTS = 3;
 
-    /** Plans per report interval: more often hardly anything has changed. */
-    private static final double PLANS_PER_REPORT = 8;
+    /** Plans per heartbeat interval; hardly anything changes between more frequent plans. */
+    private static final double PLANS_PER_HEARTBEAT = 8;
 
     /** The ports through which the reconciler acts. */
     public record Ports(Store store, Cloud cloud, Timers timers) {}
@@ -40,103 +45,105 @@
     private final ScalingPlanner scalingPlanner;
     private final Cloud cloud;
     private final Timers timers;
-    private final BooleanSupplier leadsMachines;
-    private final Runnable onMachinesGone;
+    private final BooleanSupplier isLeader;
+    private final Runnable onMachinesRemoved;
     private final TokenBucket callBucket;
 
-    /** Limits what is recorded to what the cloud can be asked for. */
+    /** Limits the rate of recorded intents to the rate at which the cloud accepts requests. */
     private final TokenBucket intentBucket;
 
     private final CloudIntents intents;
-    private final MachineTypeLoader machineTypes;
-    private double leadingSince;
-    private boolean listing;
-    private double listedAt = Double.NEGATIVE_INFINITY;
-    private double plannedAt = Double.NEGATIVE_INFINITY;
+    private final MachineTypeLoader machineTypeLoader;
+    private double leadingSinceSeconds;
+    private boolean isListing;
+    private double lastListedAtSeconds = Double.NEGATIVE_INFINITY;
+    private double lastPlannedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param intents the record of what is wanted from the cloud, written before it is asked
-     * @param leadsMachines whether this node leads the machines now
-     * @param onMachinesGone runs when machines are gone, so that their work may be placed again
+     * @param intents the recorded cloud intents, written before the cloud receives a request
+     * @param isLeader whether this node is the leader now
+     * @param onMachinesRemoved runs when machines are gone, so that their tasks may be placed again
      */
     public CloudReconciler(
             ShardState shard,
             ScalingPlanner scalingPlanner,
             CloudIntents intents,
             Ports ports,
-            BooleanSupplier leadsMachines,
-            Runnable onMachinesGone) {
+            BooleanSupplier isLeader,
+            Runnable onMachinesRemoved) {
         this.settings = shard.settings();
         this.shard = shard;
         this.scalingPlanner = scalingPlanner;
         this.intents = intents;
         this.cloud = ports.cloud;
         this.timers = ports.timers;
-        this.leadsMachines = leadsMachines;
-        this.onMachinesGone = onMachinesGone;
+        this.isLeader = isLeader;
+        this.onMachinesRemoved = onMachinesRemoved;
         this.callBucket = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
         this.intentBucket = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
-        this.machineTypes = new MachineTypeLoader(shard, ports, callBucket);
+        this.machineTypeLoader = new MachineTypeLoader(shard, ports, callBucket);
         intents.setListeners(this::onRented, this::onReleased);
     }
 
     /**
-     * This node leads the machines now.
+     * Starts this node's term as leader.
      *
-     * @param lease the id of its lease, which the store never gives out again
+     * @param leaseId the id of its lease, which the store never assigns again
      */
-    public void startLeading(long lease) {
-        intents.startTerm(lease);
-        leadingSince = timers.nowSeconds();
+    public void startLeading(long leaseId) {
+        intents.startTerm(leaseId);
+        leadingSinceSeconds = timers.nowSeconds();
     }
 
     /**
-     * Learns the machine types, from the record of a node that knew them or from the cloud; tries
-     * again until they are known.
+     * Loads the machine types from the record that another node stored, or from the cloud; retries
+     * until they are known.
      */
     public void loadMachineTypes() {
-        machineTypes.load();
+        machineTypeLoader.load();
     }
 
     /**
-     * Does what is due now: lists machines, refreshes types, plans and records what to rent and
-     * release.
+     * Runs the steps that are due: lists the machines, refreshes the machine types, makes a plan
+     * and records which machines to rent and release.
      *
-     * @param mayPlan whether the jobs are known and the store answers
+     * @param mayPlan whether the jobs are known and the store responds
      */
     public void reconcile(boolean mayPlan) {
         double now = timers.nowSeconds();
-        if (!listing
-                && now - listedAt > settings.cloud().listLagSeconds() / 2
+        if (!isListing
+                && now - lastListedAtSeconds > settings.cloud().listLagSeconds() / 2
                 && callBucket.tryTake(1, now)) {
             listMachines();
         }
-        machineTypes.refresh(now);
+        machineTypeLoader.refresh(now);
         if (mayPlan && isPlanDue(now)) {
-            plannedAt = now;
-            recordIntents(scalingPlanner.plan(now, timers.wallClockMillis(), leadingSince), now);
+            lastPlannedAtSeconds = now;
+            recordIntents(
+                    scalingPlanner.plan(now, timers.wallClockMillis(), leadingSinceSeconds), now);
         }
     }
 
     private boolean isPlanDue(double now) {
-        boolean machinesKnown = !shard.machineTypes().isEmpty() && listedAt >= leadingSince;
-        // Without a token nothing could be done about a plan now.
-        return machinesKnown
+        boolean areMachinesKnown =
+                !shard.machineTypes().isEmpty() && lastListedAtSeconds >= leadingSinceSeconds;
+        // Without a rate-limit token, no intent of the plan could be recorded.
+        return areMachinesKnown
                 && intentBucket.available(now) >= 1
-                && now - plannedAt
-                        >= settings.workers().heartbeatIntervalSeconds() / PLANS_PER_REPORT;
+                && now - lastPlannedAtSeconds
+                        >= settings.workers().heartbeatIntervalSeconds() / PLANS_PER_HEARTBEAT;
     }
 
-    /** Records what the plan wants and what is not on record yet. */
+    /** Records those intents of the plan that are not recorded yet. */
     private void recordIntents(ScalingPlanner.Plan plan, double now) {
-        List<String> release =
+        List<String> unrecordedReleases =
                 plan.machinesToRelease().stream()
                         .filter(machine -> !intents.isReleasing(machine))
                         .toList();
-        if (!release.isEmpty()
+        if (!unrecordedReleases.isEmpty()
                 && intents.releases().size() < MAX_PENDING_REQUESTS
                 && intentBucket.tryTake(1, now)) {
-            intents.requestRelease(release);
+            intents.requestRelease(unrecordedReleases);
         }
         if (!plan.countsToRent().isEmpty()) {
             LOG.debug(
@@ -144,7 +151,7 @@
                     plan.countsToRent(),
                     intents.unsettledRentals().size());
         }
-        // One plan's rentals at a time: the next plan has to know what came of them.
+        // Only one plan's rentals are open at a time: the next plan needs their results.
         if (intents.unsettledRentals().isEmpty()) {
             plan.countsToRent().entrySet().stream()
                     .limit(MAX_PENDING_REQUESTS)
@@ -154,15 +161,15 @@
     }
 
     private void onRented(RentalIntent rental) {
-        int rented = rental.machines().size();
+        int rentedCount = rental.machines().size();
         LOG.info(
-                "cloud answered rental: rented={} requested={} type={} zone={} spot={}",
-                rented,
+                "cloud responded to rental request: rented={} requested={} type={} zone={} spot={}",
+                rentedCount,
                 rental.count,
                 rental.kind.machineType(),
                 rental.kind.zone(),
                 rental.kind.spot());
-        if (rented < rental.count) {
+        if (rentedCount < rental.count) {
             scalingPlanner.recordRefusal(rental.kind, timers.nowSeconds());
         } else {
             scalingPlanner.recordGrant(rental.kind);
@@ -171,20 +178,20 @@
 
     private void onReleased(List<String> machines) {
         machines.forEach(machine -> shard.removeMachine(machine, timers.nowSeconds()));
-        onMachinesGone.run();
+        onMachinesRemoved.run();
     }
 
     private boolean isStillLeading(long token) {
-        return leadsMachines.getAsBoolean() && shard.fencingToken() == token;
+        return isLeader.getAsBoolean() && shard.fencingToken() == token;
     }
 
     private void listMachines() {
-        listing = true;
+        isListing = true;
         long fencingToken = shard.fencingToken();
         cloud.listMachines(
                 (outcome, machines) -> {
-                    listing = false;
-                    listedAt = timers.nowSeconds();
+                    isListing = false;
+                    lastListedAtSeconds = timers.nowSeconds();
                     if (outcome == Outcome.OK && isStillLeading(fencingToken)) {
                         shard.applyCloudList(machines, timers.nowSeconds());
                         intents.dropListedRentals();
