--- a/src/main/java/io/kitepath/core/scheduling/CandidateMachines.java
+++ b/src/main/java/io/kitepath/core/scheduling/CandidateMachines.java
@@ -21,17 +21,17 @@
     private final ProbePlacement placement;
     private final PreemptionRules rules;
     private final WarmReserve warmReserve;
-    private final PromisedRoom promisedRoom;
+    private final CapacityPromises capacityPromises;
 
     CandidateMachines(
             ProbePlacement placement,
             PreemptionRules rules,
             WarmReserve warmReserve,
-            PromisedRoom promisedRoom) {
+            CapacityPromises capacityPromises) {
         this.placement = placement;
         this.rules = rules;
         this.warmReserve = warmReserve;
-        this.promisedRoom = promisedRoom;
+        this.capacityPromises = capacityPromises;
     }
 
     /** Returns the open machines on which the job's tasks may be placed now. */
@@ -45,9 +45,10 @@
      * @param mayWaitForImage whether machines without the image may be left out because enough
      *     others have it
      */
-    List<Machine> forMakingRoom(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
+    List<Machine> forFreeingCapacity(
+            Job job, List<Machine> open, boolean mayWaitForImage, double now) {
         List<Machine> machines =
-                usable(job, open, machine -> RoomReservations.isFreeFor(job, machine), now);
+                usable(job, open, machine -> CapacityReservations.isFreeFor(job, machine), now);
         if (!job.spec.allowsSpot() || !mayWaitForImage) {
             return machines;
         }
@@ -65,7 +66,7 @@
                     && placement.isAllowed(machine, job.spec)
                     && zones.remainingTasks(machine.zone()) > 0
                     && !(machine.isDraining() && job.spec.allowsSpot())
-                    && !promisedRoom.isKeptFrom(job, machine)
+                    && !capacityPromises.isWithheldFrom(job, machine)
                     && !warmReserve.isReservedAgainst(machine, job)) {
                 usable.add(machine);
             }
@@ -79,7 +80,7 @@
      * job starts.
      */
     private boolean mayUseReserved(Job job, Machine machine, double now) {
-        return RoomReservations.isFreeFor(job, machine)
+        return CapacityReservations.isFreeFor(job, machine)
                 || machine.isBackfillAllowed()
                         && (rules.mustYield(job, machine.reservedFor())
                                 || machine.mayBackfill(job, now));
--- a/src/main/java/io/kitepath/core/scheduling/PromisedRoom.java
+++ b/src/main/java/io/kitepath/core/scheduling/CapacityPromises.java
@@ -11,15 +11,15 @@
  * them: jobs served after the small tasks may use the remaining capacity. Only a promoted job is
  * served before the small tasks, and it must not take the promised capacity.
  */
-final class PromisedRoom {
+final class CapacityPromises {
     /**
      * A promise of freed capacity.
      *
      * @param job the job for which work was evicted
-     * @param until the time until which the job can be expected to take the capacity, in seconds on
-     *     the steady clock
+     * @param untilSeconds the time until which the job can be expected to take the capacity, in
+     *     seconds on the steady clock
      */
-    private record Promise(Job job, double until) {}
+    private record Promise(Job job, double untilSeconds) {}
 
     private final Map<Machine, Promise> promises = new IdentityHashMap<>();
 
@@ -33,16 +33,17 @@
      */
     void beginRound(Optional<Job> promoted, double now) {
         promotedJob = promoted;
-        promises.values().removeIf(promise -> now >= promise.until || !waits(promise.job));
+        promises.values()
+                .removeIf(promise -> now >= promise.untilSeconds || !hasWaitingTasks(promise.job));
     }
 
-    private static boolean waits(Job job) {
+    private static boolean hasWaitingTasks(Job job) {
         return !job.isFinished() && job.waitingTasks() > 0;
     }
 
     /** Records that work on the machine was evicted for the job. */
-    void promise(Machine machine, Job job, double until) {
-        promises.put(machine, new Promise(job, until));
+    void promise(Machine machine, Job job, double untilSeconds) {
+        promises.put(machine, new Promise(job, untilSeconds));
     }
 
     /**
@@ -50,7 +51,7 @@
      * one. Guards against an endless cycle: a promoted job takes the capacity, the evicted work
      * preempts it in turn, and is evicted again.
      */
-    boolean isKeptFrom(Job job, Machine machine) {
+    boolean isWithheldFrom(Job job, Machine machine) {
         if (promotedJob.isEmpty() || promotedJob.get() != job) {
             return false;
         }
@@ -58,6 +59,6 @@
         return promise != null
                 && promise.job != job
                 && promise.job.queueRank() < job.queueRank()
-                && waits(promise.job);
+                && hasWaitingTasks(promise.job);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/RoomReservations.java
+++ b/src/main/java/io/kitepath/core/scheduling/CapacityReservations.java
@@ -17,24 +17,24 @@
  * smaller work behind it does not take every gap. Other work may use those machines meanwhile if it
  * ends before the job starts (backfilling; docs/design.md, "Room kept for a gang").
  */
-final class RoomReservations {
+final class CapacityReservations {
     /** Zone key of jobs that may run in any zone. */
     static final String ANY_ZONE = "";
 
     /**
      * Capacity for {@code tasks} tasks of a job that is expected to be free on a machine after
-     * {@code inSeconds} seconds.
+     * {@code availableInSeconds} seconds.
      */
-    private record ExpectedRoom(Machine machine, double inSeconds, int tasks) {}
+    private record ExpectedCapacity(Machine machine, double availableInSeconds, int tasks) {}
 
     private final ShardState shard;
     private final ProbePlacement placement;
     private final PreemptionRules rules;
 
     /** Number of jobs for which machines are reserved in this scheduling round, by zone. */
-    private final Map<String, Integer> jobsByZone = new HashMap<>();
+    private final Map<String, Integer> reservingJobsByZone = new HashMap<>();
 
-    RoomReservations(ShardState shard, ProbePlacement placement, PreemptionRules rules) {
+    CapacityReservations(ShardState shard, ProbePlacement placement, PreemptionRules rules) {
         this.shard = shard;
         this.placement = placement;
         this.rules = rules;
@@ -42,7 +42,7 @@
 
     /** Clears the reservations of the previous scheduling round, which are decided anew. */
     void beginRound() {
-        jobsByZone.clear();
+        reservingJobsByZone.clear();
     }
 
     /** Whether the machine is not reserved, or is reserved for this job. */
@@ -58,62 +58,63 @@
      */
     boolean reserveSoonest(
             Job job, int tasks, Set<String> zones, List<Machine> machines, double now) {
-        List<ExpectedRoom> best = List.of();
-        Optional<String> bestZone = Optional.empty();
+        List<ExpectedCapacity> soonest = List.of();
+        Optional<String> soonestZone = Optional.empty();
         for (String zone : zones) {
-            if (jobsByZone.getOrDefault(zone, 0) >= maxJobs(zone)) {
+            if (reservingJobsByZone.getOrDefault(zone, 0) >= maxReservingJobs(zone)) {
                 continue;
             }
-            List<ExpectedRoom> expected = expectedRoom(job, zone, machines, now);
-            Optional<List<ExpectedRoom>> chosen =
+            List<ExpectedCapacity> expected = expectedCapacity(job, zone, machines, now);
+            Optional<List<ExpectedCapacity>> chosen =
                     chooseSoonest(expected, tasks, ZoneConstraints.of(job));
             if (chosen.isPresent()
-                    && (bestZone.isEmpty()
-                            || lastOpeningSeconds(chosen.get()) < lastOpeningSeconds(best))) {
-                best = chosen.get();
-                bestZone = Optional.of(zone);
+                    && (soonestZone.isEmpty()
+                            || secondsUntilAllAvailable(chosen.get())
+                                    < secondsUntilAllAvailable(soonest))) {
+                soonest = chosen.get();
+                soonestZone = Optional.of(zone);
             }
         }
-        if (bestZone.isEmpty()) {
+        if (soonestZone.isEmpty()) {
             return false;
         }
-        double from = now + lastOpeningSeconds(best);
-        best.forEach(room -> room.machine.reserveAllowingBackfill(job, from));
-        jobsByZone.merge(bestZone.get(), 1, Integer::sum);
+        double expectedStart = now + secondsUntilAllAvailable(soonest);
+        soonest.forEach(capacity -> capacity.machine.reserveAllowingBackfill(job, expectedStart));
+        reservingJobsByZone.merge(soonestZone.get(), 1, Integer::sum);
         return true;
     }
 
-    private int maxJobs(String zone) {
+    private int maxReservingJobs(String zone) {
         return zone.equals(ANY_ZONE) ? shard.settings().zones().size() : 1;
     }
 
-    private List<ExpectedRoom> expectedRoom(
+    private List<ExpectedCapacity> expectedCapacity(
             Job job, String zone, List<Machine> machines, double now) {
-        List<ExpectedRoom> expected = new ArrayList<>();
+        List<ExpectedCapacity> expected = new ArrayList<>();
         for (Machine machine : machines) {
             if (zone.equals(ANY_ZONE) || zone.equals(machine.zone())) {
-                addExpectedRoom(job, machine, now, expected);
+                addExpectedCapacity(job, machine, now, expected);
             }
         }
         return expected;
     }
 
     /** Adds the capacity that is freed on the machine as its attempts end one after the other. */
-    private void addExpectedRoom(
-            Job job, Machine machine, double now, List<ExpectedRoom> expected) {
+    private void addExpectedCapacity(
+            Job job, Machine machine, double now, List<ExpectedCapacity> expected) {
         List<Attempt> attempts = new ArrayList<>(machine.attempts());
         attempts.sort(Comparator.comparingDouble(attempt -> endsInSeconds(job, attempt, now)));
         int slots = placement.freeSlots(machine, job.spec);
         if (slots > 0) {
-            expected.add(new ExpectedRoom(machine, 0, slots));
+            expected.add(new ExpectedCapacity(machine, 0, slots));
         }
         FreedResources freed = new FreedResources();
         for (Attempt attempt : attempts) {
             freed.add(attempt);
             int slotsThen = placement.freeSlots(machine, job.spec, freed);
             if (slotsThen > slots) {
-                double inSeconds = endsInSeconds(job, attempt, now);
-                expected.add(new ExpectedRoom(machine, inSeconds, slotsThen - slots));
+                double availableInSeconds = endsInSeconds(job, attempt, now);
+                expected.add(new ExpectedCapacity(machine, availableInSeconds, slotsThen - slots));
                 slots = slotsThen;
             }
         }
@@ -123,21 +124,21 @@
         return rules.mayEvict(job, attempt) ? 0 : attempt.remainingSeconds(now);
     }
 
-    private static Optional<List<ExpectedRoom>> chooseSoonest(
-            List<ExpectedRoom> expected, int tasks, ZoneConstraints zones) {
+    private static Optional<List<ExpectedCapacity>> chooseSoonest(
+            List<ExpectedCapacity> expected, int tasks, ZoneConstraints zones) {
         expected.sort(
-                Comparator.comparingDouble(ExpectedRoom::inSeconds)
-                        .thenComparing(room -> room.machine.id));
-        List<ExpectedRoom> chosen = new ArrayList<>();
+                Comparator.comparingDouble(ExpectedCapacity::availableInSeconds)
+                        .thenComparing(capacity -> capacity.machine.id));
+        List<ExpectedCapacity> chosen = new ArrayList<>();
         int missing = tasks;
-        for (ExpectedRoom room : expected) {
+        for (ExpectedCapacity capacity : expected) {
             if (missing <= 0) {
                 break;
             }
-            String zone = room.machine.zone();
-            int slots = Math.min(room.tasks, zones.remainingTasks(zone));
+            String zone = capacity.machine.zone();
+            int slots = Math.min(capacity.tasks, zones.remainingTasks(zone));
             if (slots > 0) {
-                chosen.add(room);
+                chosen.add(capacity);
                 missing -= slots;
                 zones.addTasks(zone, slots);
             }
@@ -145,7 +146,7 @@
         return missing <= 0 ? Optional.of(chosen) : Optional.empty();
     }
 
-    private static double lastOpeningSeconds(List<ExpectedRoom> rooms) {
-        return rooms.isEmpty() ? 0 : rooms.get(rooms.size() - 1).inSeconds;
+    private static double secondsUntilAllAvailable(List<ExpectedCapacity> capacities) {
+        return capacities.isEmpty() ? 0 : capacities.get(capacities.size() - 1).availableInSeconds;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/EvictionCandidates.java
+++ b/src/main/java/io/kitepath/core/scheduling/EvictionCandidates.java
@@ -79,13 +79,13 @@
 
     /**
      * Evaluates eviction on each of the machines. The candidates are grouped by zone if the job has
-     * to stay in one zone, otherwise they are all under {@link RoomReservations#ANY_ZONE}.
+     * to stay in one zone, otherwise they are all under {@link CapacityReservations#ANY_ZONE}.
      */
     Map<String, List<EvictionCandidate>> byZone(Job job, List<Machine> machines, double now) {
         YieldingWork yielding = yieldingWork(job);
         Map<String, List<EvictionCandidate>> byZone = new LinkedHashMap<>();
         for (Machine machine : machines) {
-            String zone = job.spec.isSingleZone() ? machine.zone() : RoomReservations.ANY_ZONE;
+            String zone = job.spec.isSingleZone() ? machine.zone() : CapacityReservations.ANY_ZONE;
             byZone.computeIfAbsent(zone, key -> new ArrayList<>())
                     .add(candidate(job, machine, yielding, now));
         }
--- a/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
@@ -25,7 +25,7 @@
      * @param waitingForImage whether machines were left out only because others have the image
      */
     record Choice(List<Machine> machines, boolean waitingForImage) {
-        static final Choice NO_ROOM = new Choice(List.of(), false);
+        static final Choice NO_CAPACITY = new Choice(List.of(), false);
 
         boolean isFound() {
             return !machines.isEmpty();
@@ -37,7 +37,7 @@
         placement.counters().inspectedMachines += candidates.size();
         Map<String, Integer> slotsByZone = slotsByZone(spec, candidates);
         if (slotsByZone.values().stream().mapToInt(Integer::intValue).sum() < spec.taskCount()) {
-            return Choice.NO_ROOM;
+            return Choice.NO_CAPACITY;
         }
         MachineSearch search = placement.newSearch(spec, candidates, mayWaitForImage);
         if (!spec.isSingleZone()) {
--- a/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
+++ b/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
@@ -54,7 +54,7 @@
                 .noneMatch(
                         machine ->
                                 placement.isAllowed(machine, spec)
-                                        && placement.hasRoom(machine, spec))) {
+                                        && placement.hasCapacity(machine, spec))) {
             return Result.NONE;
         }
         int tasks = taskLimit(job, now, limit);
--- a/src/main/java/io/kitepath/core/scheduling/MachineSearch.java
+++ b/src/main/java/io/kitepath/core/scheduling/MachineSearch.java
@@ -46,7 +46,7 @@
      * The candidates that had capacity for a task when the search began; capacity only shrinks
      * during a search. Empty until the first call of {@link #nextMachine}.
      */
-    private Optional<List<Machine>> machinesWithRoom = Optional.empty();
+    private Optional<List<Machine>> machinesWithCapacity = Optional.empty();
 
     /**
      * The search in the current stage; empty between stages. Capacity only shrinks during a search,
@@ -85,11 +85,11 @@
      * the task before it requests the next machine.
      */
     Optional<Machine> nextMachine() {
-        if (machinesWithRoom.isEmpty()) {
-            machinesWithRoom =
+        if (machinesWithCapacity.isEmpty()) {
+            machinesWithCapacity =
                     Optional.of(
                             candidates.stream()
-                                    .filter(machine -> placement.hasRoom(machine, spec))
+                                    .filter(machine -> placement.hasCapacity(machine, spec))
                                     .toList());
         }
         while (stageSearch.isPresent() || beginNextStage()) {
@@ -113,7 +113,7 @@
             }
             Predicate<Machine> stage = stages.get(nextStage++);
             // Without free capacity, probes would fail and a scan would find nothing.
-            if (machinesWithRoom.orElseThrow().stream().anyMatch(stage)) {
+            if (machinesWithCapacity.orElseThrow().stream().anyMatch(stage)) {
                 List<Machine> ofStage = candidates.stream().filter(stage).toList();
                 stageSearch = Optional.of(new StageSearch(placement, spec, ofStage));
                 return true;
@@ -210,8 +210,8 @@
      */
     boolean isWaitingForImage() {
         return enoughSlotsWithImage
-                && machinesWithRoom.orElse(List.of()).stream()
-                        .anyMatch(machine -> placement.hasRoom(machine, spec));
+                && machinesWithCapacity.orElse(List.of()).stream()
+                        .anyMatch(machine -> placement.hasCapacity(machine, spec));
     }
 
     /**
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -29,9 +29,9 @@
     private final ProbePlacement placement;
     private final PreemptionRules rules;
     private final EvictionCandidates candidates;
-    private final RoomReservations reservations;
+    private final CapacityReservations reservations;
     private final CandidateMachines candidateMachines;
-    private final PromisedRoom promisedRoom;
+    private final CapacityPromises capacityPromises;
     private long evictions;
     private long evictionsForGuarantees;
     private long evictionsForGangs;
@@ -47,14 +47,14 @@
             ProbePlacement placement,
             PreemptionRules rules,
             CandidateMachines candidateMachines,
-            PromisedRoom promisedRoom) {
+            CapacityPromises capacityPromises) {
         this.shard = shard;
         this.placement = placement;
         this.rules = rules;
         this.candidates = new EvictionCandidates(shard, placement, rules);
         this.candidateMachines = candidateMachines;
-        this.promisedRoom = promisedRoom;
-        this.reservations = new RoomReservations(shard, placement, rules);
+        this.capacityPromises = capacityPromises;
+        this.reservations = new CapacityReservations(shard, placement, rules);
     }
 
     /** Returns the number of attempts evicted for other work since this node started. */
@@ -91,7 +91,7 @@
      *     others have it
      * @return whether an attempt was stopped or a machine reserved
      */
-    boolean makeRoom(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
+    boolean freeCapacity(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
         boolean small = rules.isSmall(job.spec);
         if (small) {
             if (hasSearchedForSmallJobs) {
@@ -106,7 +106,8 @@
                 job.spec.isGang()
                         ? job.waitingTasks()
                         : Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(job.spec));
-        List<Machine> machines = candidateMachines.forMakingRoom(job, open, mayWaitForImage, now);
+        List<Machine> machines =
+                candidateMachines.forFreeingCapacity(job, open, mayWaitForImage, now);
         var byZone = candidates.byZone(job, machines, now);
         Optional<List<EvictionCandidate>> cheapest =
                 EvictionCandidates.cheapest(job, tasks, byZone.values());
@@ -131,7 +132,7 @@
             if (!small || rules.hasWorkServedBefore(job, candidate.machine())) {
                 candidate.machine().reserve(job, reservedUntil);
             } else {
-                promisedRoom.promise(candidate.machine(), job, reservedUntil);
+                capacityPromises.promise(candidate.machine(), job, reservedUntil);
             }
             missing -= evict(job, candidate, missing);
         }
--- a/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
+++ b/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
@@ -140,7 +140,7 @@
      * Whether the job still waits for capacity that is freed without eviction, and evicts nothing
      * yet.
      */
-    boolean isWaitingForFreeRoom(Job job, double wallMillis) {
+    boolean isWaitingForFreeCapacity(Job job, double wallMillis) {
         if (!isSmall(job.spec)) {
             return false;
         }
--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -96,7 +96,7 @@
     }
 
     /** Whether one more task of the job fits on the machine now. */
-    boolean hasRoom(Machine machine, JobSpec spec) {
+    boolean hasCapacity(Machine machine, JobSpec spec) {
         return machine.fits(spec, typeOf(machine));
     }
 
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -53,20 +53,20 @@
     private final ProbePlacement probePlacement;
     private final PreemptionRules preemptionRules;
     private final Preemption preemption;
-    private final PromisedRoom promisedRoom;
+    private final CapacityPromises capacityPromises;
     private final GuaranteeAllocation guarantees;
     private final JobPlacer placer;
     private final LoopTimeAccounting loopTime;
     private final WarmReserve warmReserve;
 
     /** Shapes that found no free capacity in this scheduling round. */
-    private final UnschedulableShapes withoutFreeRoom = new UnschedulableShapes();
+    private final UnschedulableShapes shapesWithoutFreeCapacity = new UnschedulableShapes();
 
     /**
      * Shapes that found no free capacity in this scheduling round and for which eviction cannot
      * free any.
      */
-    private final UnschedulableShapes beyondPreemption = new UnschedulableShapes();
+    private final UnschedulableShapes shapesBeyondPreemption = new UnschedulableShapes();
 
     /** The last computed order; empty before the first computation. */
     private Optional<List<Job>> lastOrder = Optional.empty();
@@ -88,14 +88,19 @@
         this.loopTime = loopTime;
         this.probePlacement = new ProbePlacement(random, shard.machineTypes());
         this.preemptionRules = new PreemptionRules(shard);
-        this.promisedRoom = new PromisedRoom();
+        this.capacityPromises = new CapacityPromises();
         this.guarantees = new GuaranteeAllocation(shard);
         this.warmReserve = new WarmReserve(shard, probePlacement);
         CandidateMachines candidateMachines =
-                new CandidateMachines(probePlacement, preemptionRules, warmReserve, promisedRoom);
+                new CandidateMachines(
+                        probePlacement, preemptionRules, warmReserve, capacityPromises);
         this.preemption =
                 new Preemption(
-                        shard, probePlacement, preemptionRules, candidateMachines, promisedRoom);
+                        shard,
+                        probePlacement,
+                        preemptionRules,
+                        candidateMachines,
+                        capacityPromises);
         this.placer = new JobPlacer(shard, probePlacement, candidateMachines);
     }
 
@@ -227,12 +232,12 @@
         List<Job> order = orderedJobs(now, wallMillis);
         preemptionRules.beginRound();
         preemption.beginRound();
-        promisedRoom.beginRound(promotedJob, now);
+        capacityPromises.beginRound(promotedJob, now);
         List<Machine> open =
                 shard.machines().values().stream().filter(Machine::isSchedulable).toList();
         warmReserve.chooseMachines(open, wallMillis);
-        withoutFreeRoom.clear();
-        beyondPreemption.clear();
+        shapesWithoutFreeCapacity.clear();
+        shapesBeyondPreemption.clear();
         Set<Job> withReservation = new HashSet<>();
         open.forEach(machine -> withReservation.add(machine.reservedFor()));
         int placed = 0;
@@ -247,7 +252,7 @@
                         new Turn(
                                 job,
                                 isComparable(job) && !withReservation.contains(job),
-                                preemptionRules.isWaitingForFreeRoom(job, wallMillis),
+                                preemptionRules.isWaitingForFreeCapacity(job, wallMillis),
                                 mayWaitForImage(job, now, wallMillis));
                 placed += placeJob(turn, open, limit - placed, now);
             }
@@ -282,12 +287,12 @@
     /** Places as many tasks of the job as possible, and frees capacity for the rest. */
     private int placeJob(Turn turn, List<Machine> open, int limit, double now) {
         Job job = turn.job;
-        boolean knownWithoutRoom = turn.isKnown(withoutFreeRoom);
-        if (turn.waits && knownWithoutRoom || turn.isKnown(beyondPreemption)) {
+        boolean knownWithoutCapacity = turn.isKnown(shapesWithoutFreeCapacity);
+        if (turn.waits && knownWithoutCapacity || turn.isKnown(shapesBeyondPreemption)) {
             return 0;
         }
         JobPlacer.Result result =
-                knownWithoutRoom
+                knownWithoutCapacity
                         ? JobPlacer.Result.NONE
                         : placer.place(job, open, turn.mayWaitForImage, limit, now);
         int placed = result.placed();
@@ -296,15 +301,15 @@
             return placed;
         }
         if (turn.comparable) {
-            withoutFreeRoom.add(job, result.waitingForImage());
+            shapesWithoutFreeCapacity.add(job, result.waitingForImage());
         }
         if (turn.waits) {
             return placed;
         }
-        if (!makeRoom(job, open, turn.mayWaitForImage, now)) {
+        if (!freeCapacity(job, open, turn.mayWaitForImage, now)) {
             if (turn.comparable) {
                 // Freeing capacity may have left out machines that lack this job's image.
-                beyondPreemption.add(job, turn.mayWaitForImage && job.spec.allowsSpot());
+                shapesBeyondPreemption.add(job, turn.mayWaitForImage && job.spec.allowsSpot());
             }
         } else if (!job.spec.isGang()) {
             // Evicted placements that are not committed yet free their capacity at once. Guards
@@ -327,10 +332,10 @@
                         >= (job.spec.isGang() ? job.spec.taskCount() : 1);
     }
 
-    private boolean makeRoom(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
+    private boolean freeCapacity(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
         double began = loopTime.now();
-        boolean made = preemption.makeRoom(job, open, mayWaitForImage, now);
+        boolean freed = preemption.freeCapacity(job, open, mayWaitForImage, now);
         loopTime.record(Activity.GIVING_WAY, began);
-        return made;
+        return freed;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/StageSearch.java
+++ b/src/main/java/io/kitepath/core/scheduling/StageSearch.java
@@ -73,7 +73,7 @@
             machinesInUse.set(i, machine);
             counters.probes++;
             if (machine.unconfirmedStarts() < UNCONFIRMED_THRESHOLD
-                    && placement.hasRoom(machine, spec)) {
+                    && placement.hasCapacity(machine, spec)) {
                 counters.passedProbes++;
                 return Optional.of(machine);
             }
@@ -92,7 +92,7 @@
         }
         for (; nextInOrder < scanOrder.size(); nextInOrder++) {
             counters.inspectedMachines++;
-            if (placement.hasRoom(scanOrder.get(nextInOrder), spec)) {
+            if (placement.hasCapacity(scanOrder.get(nextInOrder), spec)) {
                 return Optional.of(scanOrder.get(nextInOrder));
             }
         }
@@ -103,7 +103,7 @@
         Map<Machine, Double> scores = new HashMap<>();
         for (Machine machine : candidates) {
             counters.inspectedMachines++;
-            if (placement.hasRoom(machine, spec)) {
+            if (placement.hasCapacity(machine, spec)) {
                 scanOrder.add(machine);
                 scores.put(machine, score(machine));
             }
