--- a/src/main/java/io/kitepath/core/scheduling/CandidateMachines.java
+++ b/src/main/java/io/kitepath/core/scheduling/CandidateMachines.java
@@ -82,7 +82,7 @@
     private boolean mayUseReserved(Job job, Machine machine, double now) {
         return CapacityReservations.isFreeFor(job, machine)
                 || machine.isBackfillAllowed()
-                        && (rules.mustYield(job, machine.reservedFor())
+                        && (rules.isPreemptibleBy(job, machine.reservedFor())
                                 || machine.mayBackfill(job, now));
     }
 
--- a/src/main/java/io/kitepath/core/scheduling/EvictionCandidates.java
+++ b/src/main/java/io/kitepath/core/scheduling/EvictionCandidates.java
@@ -28,10 +28,10 @@
      *
      * @param nonPreemptible whether the job's own work is never preempted
      */
-    private record Claim(
+    private record PreemptionRights(
             JobSpec.Priority priority, boolean guaranteed, String team, boolean nonPreemptible) {
-        static Claim of(Job job) {
-            return new Claim(
+        static PreemptionRights of(Job job) {
+            return new PreemptionRights(
                     job.effectivePriority(),
                     job.isWithinGuarantee(),
                     job.spec.team(),
@@ -45,7 +45,7 @@
      * attempt of a full fleet for each of the sizes of waiting gangs. Work placed later in the
      * scheduling round is not counted; machines on which attempts are stopped are reserved.
      */
-    private static final class YieldingWork {
+    private static final class PreemptibleWork {
         private final Set<Job> jobs = Collections.newSetFromMap(new IdentityHashMap<>());
         private final Map<Machine, Evictable> evictableByMachine = new IdentityHashMap<>();
     }
@@ -59,7 +59,7 @@
     private final ShardState shard;
     private final ProbePlacement placement;
     private final PreemptionRules rules;
-    private final Map<Claim, YieldingWork> yieldingWorkByClaim = new HashMap<>();
+    private final Map<PreemptionRights, PreemptibleWork> preemptibleWorkByRights = new HashMap<>();
 
     EvictionCandidates(ShardState shard, ProbePlacement placement, PreemptionRules rules) {
         this.shard = shard;
@@ -69,12 +69,12 @@
 
     /** Clears the preemptible work computed in the previous scheduling round. */
     void beginRound() {
-        yieldingWorkByClaim.clear();
+        preemptibleWorkByRights.clear();
     }
 
     /** Whether the job may preempt any running work. */
-    boolean hasYieldingWork(Job job) {
-        return !yieldingWork(job).jobs.isEmpty();
+    boolean hasPreemptibleWork(Job job) {
+        return !preemptibleWork(job).jobs.isEmpty();
     }
 
     /**
@@ -82,12 +82,12 @@
      * to stay in one zone, otherwise they are all under {@link CapacityReservations#ANY_ZONE}.
      */
     Map<String, List<EvictionCandidate>> byZone(Job job, List<Machine> machines, double now) {
-        YieldingWork yielding = yieldingWork(job);
+        PreemptibleWork preemptible = preemptibleWork(job);
         Map<String, List<EvictionCandidate>> byZone = new LinkedHashMap<>();
         for (Machine machine : machines) {
             String zone = job.spec.isSingleZone() ? machine.zone() : CapacityReservations.ANY_ZONE;
             byZone.computeIfAbsent(zone, key -> new ArrayList<>())
-                    .add(candidate(job, machine, yielding, now));
+                    .add(candidate(job, machine, preemptible, now));
         }
         return byZone;
     }
@@ -98,22 +98,22 @@
      */
     static Optional<List<EvictionCandidate>> cheapest(
             Job job, int tasks, Collection<List<EvictionCandidate>> groups) {
-        Optional<List<EvictionCandidate>> best = Optional.empty();
-        double bestLoss = Double.MAX_VALUE;
+        Optional<List<EvictionCandidate>> cheapest = Optional.empty();
+        double cheapestLossCpuSeconds = Double.MAX_VALUE;
         for (List<EvictionCandidate> group : groups) {
             Optional<List<EvictionCandidate>> chosen =
                     chooseCheapest(group, tasks, ZoneConstraints.of(job));
-            double loss =
+            double lossCpuSeconds =
                     chosen.stream()
                             .flatMap(List::stream)
                             .mapToDouble(EvictionCandidate::lostCpuSeconds)
                             .sum();
-            if (chosen.isPresent() && loss < bestLoss) {
-                best = chosen;
-                bestLoss = loss;
+            if (chosen.isPresent() && lossCpuSeconds < cheapestLossCpuSeconds) {
+                cheapest = chosen;
+                cheapestLossCpuSeconds = lossCpuSeconds;
             }
         }
-        return best;
+        return cheapest;
     }
 
     /**
@@ -131,65 +131,68 @@
                         .thenComparing(candidate -> -candidate.slotsNow())
                         .thenComparing(candidate -> candidate.machine().id));
         List<EvictionCandidate> chosen = new ArrayList<>();
-        int missing = tasks;
+        int missingTasks = tasks;
         for (EvictionCandidate candidate : sorted) {
-            if (missing <= 0) {
+            if (missingTasks <= 0) {
                 break;
             }
             String zone = candidate.machine().zone();
             int slots = Math.min(candidate.slotsAfterEviction(), zones.remainingTasks(zone));
             if (slots > 0) {
-                missing -= slots;
+                missingTasks -= slots;
                 zones.addTasks(zone, slots);
                 chosen.add(candidate.limitedTo(slots));
             }
         }
-        return missing <= 0 ? Optional.of(chosen) : Optional.empty();
+        return missingTasks <= 0 ? Optional.of(chosen) : Optional.empty();
     }
 
-    private YieldingWork yieldingWork(Job job) {
-        Claim claim = Claim.of(job);
-        YieldingWork known = yieldingWorkByClaim.get(claim);
-        if (known != null) {
-            return known;
+    private PreemptibleWork preemptibleWork(Job job) {
+        PreemptionRights rights = PreemptionRights.of(job);
+        PreemptibleWork cached = preemptibleWorkByRights.get(rights);
+        if (cached != null) {
+            return cached;
         }
-        YieldingWork yielding = new YieldingWork();
+        PreemptibleWork preemptible = new PreemptibleWork();
         for (Job other : shard.jobs().values()) {
             if (!other.liveAttempts().isEmpty()
                     && (other.isFinished()
                             || other.hasStoppingAttempts()
-                            || rules.mustYield(other, job))) {
-                yielding.jobs.add(other);
+                            || rules.isPreemptibleBy(other, job))) {
+                preemptible.jobs.add(other);
             }
         }
-        yieldingWorkByClaim.put(claim, yielding);
-        return yielding;
+        preemptibleWorkByRights.put(rights, preemptible);
+        return preemptible;
     }
 
     private EvictionCandidate candidate(
-            Job job, Machine machine, YieldingWork yielding, double now) {
+            Job job, Machine machine, PreemptibleWork preemptible, double now) {
         Evictable evictable =
-                yielding.evictableByMachine.computeIfAbsent(
-                        machine, key -> evictable(job, machine, yielding, now));
-        double loss = evictable.lostCpuSeconds;
+                preemptible.evictableByMachine.computeIfAbsent(
+                        machine, key -> evictable(job, machine, preemptible, now));
+        double lossCpuSeconds = evictable.lostCpuSeconds;
         MachineType type = shard.machineTypes().get(machine.type());
         int slotsAfterEviction = placement.freeSlots(machine, job.spec, evictable.freed);
         if (!machine.hasImage(job.spec.image()) && type.fetchGigabytesPerSecond() > 0) {
-            loss +=
+            lossCpuSeconds +=
                     slotsAfterEviction
                             * job.spec.cpusPerTask()
                             * job.spec.imageGigabytes()
                             / type.fetchGigabytesPerSecond();
         }
         return new EvictionCandidate(
-                machine, placement.freeSlots(machine, job.spec), slotsAfterEviction, loss);
+                machine,
+                placement.freeSlots(machine, job.spec),
+                slotsAfterEviction,
+                lossCpuSeconds);
     }
 
-    private Evictable evictable(Job job, Machine machine, YieldingWork yielding, double now) {
+    private Evictable evictable(Job job, Machine machine, PreemptibleWork preemptible, double now) {
         FreedResources freed = new FreedResources();
         double lostCpuSeconds = 0;
         for (Attempt attempt : machine.attempts()) {
-            if (yielding.jobs.contains(attempt.job) && rules.mayEvict(job, attempt)) {
+            if (preemptible.jobs.contains(attempt.job) && rules.mayEvict(job, attempt)) {
                 freed.add(attempt);
                 lostCpuSeconds += attempt.isStopping() ? 0 : lostCpuSeconds(attempt, now);
             }
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -23,7 +23,7 @@
      * Heartbeat intervals for which the capacity of evicted work is reserved for the job. The
      * stopped tasks can have been reported as ended by then.
      */
-    private static final double RESERVE_REPORT_INTERVALS = 2;
+    private static final double RESERVATION_HEARTBEAT_INTERVALS = 2;
 
     private final ShardState shard;
     private final ProbePlacement placement;
@@ -40,7 +40,7 @@
      * Whether this scheduling round has already searched for capacity for small tasks. One search
      * per round suffices, because it inspects every attempt and the next round follows shortly.
      */
-    private boolean hasSearchedForSmallJobs;
+    private boolean hasSearchedForSmallTasks;
 
     Preemption(
             ShardState shard,
@@ -79,7 +79,7 @@
     void beginRound() {
         reservations.beginRound();
         candidates.beginRound();
-        hasSearchedForSmallJobs = false;
+        hasSearchedForSmallTasks = false;
     }
 
     /**
@@ -92,13 +92,13 @@
      * @return whether an attempt was stopped or a machine reserved
      */
     boolean freeCapacity(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
-        boolean small = rules.isSmall(job.spec);
-        if (small) {
-            if (hasSearchedForSmallJobs) {
+        boolean isSmall = rules.isSmall(job.spec);
+        if (isSmall) {
+            if (hasSearchedForSmallTasks) {
                 return false;
             }
-            hasSearchedForSmallJobs = true;
-            if (!candidates.hasYieldingWork(job)) {
+            hasSearchedForSmallTasks = true;
+            if (!candidates.hasPreemptibleWork(job)) {
                 return false;
             }
         }
@@ -115,26 +115,26 @@
             evict(job, cheapest.get(), tasks, now);
             return true;
         }
-        if (small) {
+        if (isSmall) {
             return false; // Small tasks fit into gaps without a reservation.
         }
         return reservations.reserveSoonest(job, tasks, byZone.keySet(), machines, now);
     }
 
     private void evict(Job job, List<EvictionCandidate> chosen, int tasks, double now) {
-        boolean small = rules.isSmall(job.spec);
+        boolean isSmall = rules.isSmall(job.spec);
         double reservedUntil =
                 now
-                        + RESERVE_REPORT_INTERVALS
+                        + RESERVATION_HEARTBEAT_INTERVALS
                                 * shard.settings().workers().heartbeatIntervalSeconds();
-        int missing = tasks;
+        int missingTasks = tasks;
         for (EvictionCandidate candidate : chosen) {
-            if (!small || rules.hasWorkServedBefore(job, candidate.machine())) {
+            if (!isSmall || rules.hasWorkServedBefore(job, candidate.machine())) {
                 candidate.machine().reserve(job, reservedUntil);
             } else {
                 capacityPromises.promise(candidate.machine(), job, reservedUntil);
             }
-            missing -= evict(job, candidate, missing);
+            missingTasks -= evict(job, candidate, missingTasks);
         }
     }
 
@@ -157,22 +157,22 @@
         victims.sort(
                 Comparator.comparingDouble((Attempt attempt) -> -attempt.placedAt)
                         .thenComparing(attempt -> -attempt.task));
-        int wanted = Math.min(tasks, candidate.slotsAfterEviction());
+        int wantedSlots = Math.min(tasks, candidate.slotsAfterEviction());
         for (Attempt attempt : victims) {
-            if (placement.freeSlots(candidate.machine(), job.spec, freed) >= wanted) {
+            if (placement.freeSlots(candidate.machine(), job.spec, freed) >= wantedSlots) {
                 break;
             }
             // An attempt that is not committed yet is withdrawn at once, which already frees its
             // capacity.
-            boolean durable = attempt.isDurable();
+            boolean wasDurable = attempt.isDurable();
             logEviction(attempt, job, candidate.machine());
             shard.evictAttempt(attempt, job);
             countEviction(attempt.job, job);
-            if (durable) {
+            if (wasDurable) {
                 freed.add(attempt);
             }
         }
-        return wanted;
+        return wantedSlots;
     }
 
     private void logEviction(Attempt victim, Job job, Machine machine) {
--- a/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
+++ b/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
@@ -18,12 +18,12 @@
      * Heartbeat intervals for which small tasks wait for capacity that is freed by ending tasks,
      * before other work is evicted for them. On a full fleet some task ends soon.
      */
-    private static final double WAIT_REPORT_INTERVALS = 2;
+    private static final double FREE_CAPACITY_WAIT_HEARTBEAT_INTERVALS = 2;
 
     private final ShardState shard;
 
     /** The lowest priority of the work within each team's guarantee, by team. */
-    private final Map<String, JobSpec.Priority> lowestGuaranteed = new HashMap<>();
+    private final Map<String, JobSpec.Priority> lowestGuaranteedPriorities = new HashMap<>();
 
     PreemptionRules(ShardState shard) {
         this.shard = shard;
@@ -36,8 +36,8 @@
      */
     boolean mayEvict(Job job, Attempt victim) {
         return victim.isUnwanted()
-                ? victim.roomPromisedTo().filter(other -> goesBefore(other, job)).isEmpty()
-                : mustYield(victim.job, job);
+                ? victim.roomPromisedTo().filter(other -> takesPrecedence(other, job)).isEmpty()
+                : isPreemptibleBy(victim.job, job);
     }
 
     /**
@@ -46,24 +46,24 @@
      * reserves its own capacity, since that is about to be freed, and is then placed there and
      * evicted again without end.
      */
-    private boolean goesBefore(Job job, Job other) {
-        return job.queueRank() < other.queueRank() || mustYield(other, job);
+    private boolean takesPrecedence(Job job, Job other) {
+        return job.queueRank() < other.queueRank() || isPreemptibleBy(other, job);
     }
 
     /**
      * Begins a scheduling round; the jobs within their teams' guarantees must already be marked.
      */
     void beginRound() {
-        lowestGuaranteed.clear();
+        lowestGuaranteedPriorities.clear();
         for (Job job : shard.jobs().values()) {
             if (job.isWithinGuarantee() && !job.isFinished() && !job.isHeld()) {
-                lowestGuaranteed.merge(
-                        job.spec.team(), job.effectivePriority(), PreemptionRules::lower);
+                lowestGuaranteedPriorities.merge(
+                        job.spec.team(), job.effectivePriority(), PreemptionRules::lowerPriority);
             }
         }
     }
 
-    private static JobSpec.Priority lower(JobSpec.Priority one, JobSpec.Priority other) {
+    private static JobSpec.Priority lowerPriority(JobSpec.Priority one, JobSpec.Priority other) {
         return one.compareTo(other) >= 0 ? one : other;
     }
 
@@ -79,7 +79,7 @@
      * every such preemption the preempting job shares in a guarantee while the preempted job does
      * not, or it has a higher priority.
      */
-    boolean mustYield(Job running, Job job) {
+    boolean isPreemptibleBy(Job running, Job job) {
         if (isNonPreemptible(running)) {
             return false;
         }
@@ -94,7 +94,7 @@
      * team that is and whose capacity it could take.
      */
     private boolean sharesInGuarantee(Job job) {
-        JobSpec.Priority lowest = lowestGuaranteed.get(job.spec.team());
+        JobSpec.Priority lowest = lowestGuaranteedPriorities.get(job.spec.team());
         return job.isWithinGuarantee()
                 || lowest != null && job.effectivePriority().compareTo(lowest) < 0;
     }
@@ -133,7 +133,7 @@
                 .anyMatch(
                         attempt ->
                                 attempt.job.queueRank() < job.queueRank()
-                                        && mustYield(attempt.job, job));
+                                        && isPreemptibleBy(attempt.job, job));
     }
 
     /**
@@ -145,7 +145,7 @@
             return false;
         }
         double waitMillis =
-                WAIT_REPORT_INTERVALS
+                FREE_CAPACITY_WAIT_HEARTBEAT_INTERVALS
                         * (1000 * shard.settings().workers().heartbeatIntervalSeconds());
         // Guards against evicting half-finished work for a stage of a pipeline that has its
         // priority only from the stage behind it and still has time.
