--- a/src/main/java/io/kitepath/core/scheduling/CandidateMachines.java
+++ b/src/main/java/io/kitepath/core/scheduling/CandidateMachines.java
@@ -16,7 +16,7 @@
      * How long a job of which no task is placed leaves out the machines on which it failed: a third
      * of the 90 s within which it has to be placed if there is free capacity.
      */
-    private static final double MAX_AVOID_SECONDS = 30;
+    private static final double MAX_FAILED_MACHINE_AVOIDANCE_SECONDS = 30;
 
     private final ProbePlacement placement;
     private final PreemptionRules rules;
@@ -35,8 +35,8 @@
     }
 
     /** Returns the open machines on which the job's tasks may be placed now. */
-    List<Machine> forPlacing(Job job, List<Machine> open, double now) {
-        return usable(job, open, machine -> mayUseReserved(job, machine, now), now);
+    List<Machine> forPlacing(Job job, List<Machine> openMachines, double now) {
+        return usableMachines(job, openMachines, machine -> mayUseReserved(job, machine, now), now);
     }
 
     /**
@@ -46,32 +46,36 @@
      *     others have it
      */
     List<Machine> forFreeingCapacity(
-            Job job, List<Machine> open, boolean mayWaitForImage, double now) {
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
         List<Machine> machines =
-                usable(job, open, machine -> CapacityReservations.isFreeFor(job, machine), now);
+                usableMachines(
+                        job,
+                        openMachines,
+                        machine -> CapacityReservations.isFreeFor(job, machine),
+                        now);
         if (!job.spec.allowsSpot() || !mayWaitForImage) {
             return machines;
         }
         MachineSearch search =
-                placement.newSearch(job.spec, forPlacing(job, open, now), mayWaitForImage);
+                placement.newSearch(job.spec, forPlacing(job, openMachines, now), mayWaitForImage);
         return machines.stream().filter(machine -> !search.leavesOut(machine)).toList();
     }
 
-    private List<Machine> usable(
-            Job job, List<Machine> open, Predicate<Machine> isNotReserved, double now) {
+    private List<Machine> usableMachines(
+            Job job, List<Machine> openMachines, Predicate<Machine> isNotReserved, double now) {
         ZoneConstraints zones = ZoneConstraints.of(job);
-        List<Machine> usable = new ArrayList<>();
-        for (Machine machine : open) {
+        List<Machine> usableMachines = new ArrayList<>();
+        for (Machine machine : openMachines) {
             if (isNotReserved.test(machine)
                     && placement.isAllowed(machine, job.spec)
                     && zones.remainingTasks(machine.zone()) > 0
                     && !(machine.isDraining() && job.spec.allowsSpot())
                     && !capacityPromises.isWithheldFrom(job, machine)
                     && !warmReserve.isReservedAgainst(machine, job)) {
-                usable.add(machine);
+                usableMachines.add(machine);
             }
         }
-        return withoutFailed(job, usable, now);
+        return withoutFailedMachines(job, usableMachines, now);
     }
 
     /**
@@ -91,8 +95,9 @@
      * on machines where the job already failed, and against a job that keeps waiting although the
      * only machine with free capacity is one on which it failed.
      */
-    private List<Machine> withoutFailed(Job job, List<Machine> machines, double now) {
-        if (job.failedMachines().isEmpty() || now - job.lastPlacedAt() > MAX_AVOID_SECONDS) {
+    private List<Machine> withoutFailedMachines(Job job, List<Machine> machines, double now) {
+        if (job.failedMachines().isEmpty()
+                || now - job.lastPlacedAt() > MAX_FAILED_MACHINE_AVOIDANCE_SECONDS) {
             return machines;
         }
         List<Machine> others = new ArrayList<>(machines);
--- a/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
@@ -33,7 +33,7 @@
     }
 
     /** Selects machines for all tasks of a gang. */
-    Choice chooseGang(JobSpec spec, List<Machine> candidates, boolean mayWaitForImage) {
+    Choice chooseMachinesForGang(JobSpec spec, List<Machine> candidates, boolean mayWaitForImage) {
         placement.counters().inspectedMachines += candidates.size();
         Map<String, Integer> slotsByZone = slotsByZone(spec, candidates);
         if (slotsByZone.values().stream().mapToInt(Integer::intValue).sum() < spec.taskCount()) {
@@ -88,8 +88,8 @@
      * Finds a machine for each task, or none if a task finds no machine. The machines count the
      * tasks as placed only during the search.
      */
-    private Choice findWholeGang(JobSpec spec, MachineSearch among) {
-        MachineSearch search = among;
+    private Choice findWholeGang(JobSpec spec, MachineSearch initialSearch) {
+        MachineSearch search = initialSearch;
         List<Machine> found = new ArrayList<>();
         Map<String, Integer> tasksByZone = new HashMap<>();
         for (int task = 0; task < spec.taskCount(); task++) {
@@ -104,11 +104,11 @@
                 search = search.restrictedTo(other -> !other.zone().equals(machine.zone()));
             }
         }
-        boolean isWhole = found.size() == spec.taskCount();
-        boolean waitingForImage = !isWhole && search.isWaitingForImage();
+        boolean isComplete = found.size() == spec.taskCount();
+        boolean waitingForImage = !isComplete && search.isWaitingForImage();
         for (Machine machine : found) {
             machine.countTentatively(spec, -1);
         }
-        return new Choice(isWhole ? found : List.of(), waitingForImage);
+        return new Choice(isComplete ? found : List.of(), waitingForImage);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
+++ b/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
@@ -12,12 +12,12 @@
     /**
      * The result of placing a job.
      *
-     * @param placed number of placed tasks
+     * @param placedTasks number of placed tasks
      * @param waitingForImage whether machines were left out only because others have the image
      * @param recordsFull whether tasks were left out because they do not fit into their stored
      *     records now
      */
-    record Result(int placed, boolean waitingForImage, boolean recordsFull) {
+    record Result(int placedTasks, boolean waitingForImage, boolean recordsFull) {
         static final Result NONE = new Result(0, false, false);
     }
 
@@ -39,18 +39,20 @@
      * @param mayWaitForImage whether machines without the image may be left out because enough
      *     others have it
      */
-    Result place(Job job, List<Machine> open, boolean mayWaitForImage, int limit, double now) {
+    Result place(
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, int limit, double now) {
         return job.spec.isGang()
-                ? placeGang(job, open, mayWaitForImage, now)
-                : placeTasks(job, open, mayWaitForImage, limit, now);
+                ? placeGang(job, openMachines, mayWaitForImage, now)
+                : placeTasks(job, openMachines, mayWaitForImage, limit, now);
     }
 
     /** Places at most {@code limit} tasks of a job that is not a gang. */
-    Result placeTasks(Job job, List<Machine> open, boolean mayWaitForImage, int limit, double now) {
+    Result placeTasks(
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, int limit, double now) {
         JobSpec spec = job.spec;
         // Finding the machines that have the image is expensive, and useless if no machine has free
         // capacity.
-        if (open.stream()
+        if (openMachines.stream()
                 .noneMatch(
                         machine ->
                                 placement.isAllowed(machine, spec)
@@ -58,7 +60,7 @@
             return Result.NONE;
         }
         int tasks = taskLimit(job, now, limit);
-        List<Machine> candidates = candidateMachines.forPlacing(job, open, now);
+        List<Machine> candidates = candidateMachines.forPlacing(job, openMachines, now);
         MachineSearch search = placement.newSearch(spec, candidates, mayWaitForImage);
         ZoneConstraints zones = ZoneConstraints.of(job);
         if (spec.isSingleZone() && !zones.isDecided()) {
@@ -66,17 +68,17 @@
                     gangPlacement.chooseZone(spec, Math.min(tasks, job.waitingTasks()), candidates);
             search = search.restrictedTo(machine -> machine.zone().equals(zone.orElse(null)));
         }
-        return placeFound(job, search, zones, tasks, now);
+        return placeOnFoundMachines(job, search, zones, tasks, now);
     }
 
-    private Result placeFound(
-            Job job, MachineSearch firstSearch, ZoneConstraints zones, int limit, double now) {
-        MachineSearch search = firstSearch;
-        int placed = 0;
+    private Result placeOnFoundMachines(
+            Job job, MachineSearch initialSearch, ZoneConstraints zones, int limit, double now) {
+        MachineSearch search = initialSearch;
+        int placedTasks = 0;
         boolean waitingForImage = false;
         boolean recordsFull = false;
         for (int task = job.nextWaitingTask(0);
-                task >= 0 && placed < limit;
+                task >= 0 && placedTasks < limit;
                 task = job.nextWaitingTask(task + 1)) {
             if (!shard.fitsRecord(job, task)) {
                 recordsFull = true;
@@ -96,16 +98,16 @@
             }
             Machine machine = found.get();
             shard.place(job, task, machine, now);
-            placed++;
+            placedTasks++;
             zones.addTasks(machine.zone(), 1);
             if (zones.remainingTasks(machine.zone()) == 0) {
                 search = search.restrictedTo(other -> !other.zone().equals(machine.zone()));
             }
         }
-        if (placed > 0) {
+        if (placedTasks > 0) {
             shard.advanceAttemptNumber(job);
         }
-        return new Result(placed, waitingForImage, recordsFull);
+        return new Result(placedTasks, waitingForImage, recordsFull);
     }
 
     /**
@@ -120,7 +122,8 @@
         return tasks;
     }
 
-    private Result placeGang(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
+    private Result placeGang(
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
         // The gang restarts only after every task of its old attempt is confirmed ended.
         if (!job.liveAttempts().isEmpty()) {
             shard.restartGangOnceImagesFetched(job);
@@ -134,8 +137,10 @@
             return new Result(0, false, true);
         }
         GangPlacement.Choice choice =
-                gangPlacement.chooseGang(
-                        job.spec, candidateMachines.forPlacing(job, open, now), mayWaitForImage);
+                gangPlacement.chooseMachinesForGang(
+                        job.spec,
+                        candidateMachines.forPlacing(job, openMachines, now),
+                        mayWaitForImage);
         if (!choice.isFound()) {
             return new Result(0, choice.waitingForImage(), false);
         }
--- a/src/main/java/io/kitepath/core/scheduling/MachineSearch.java
+++ b/src/main/java/io/kitepath/core/scheduling/MachineSearch.java
@@ -22,7 +22,7 @@
      * The job waits for machines that have the image, instead of fetching it elsewhere, if those
      * machines have at least this many slots per task of the job.
      */
-    private static final double IMAGE_SLOTS_FACTOR = 4;
+    private static final double MIN_IMAGE_SLOTS_PER_TASK = 4;
 
     private final ProbePlacement placement;
     private final JobSpec spec;
@@ -114,8 +114,8 @@
             Predicate<Machine> stage = stages.get(nextStage++);
             // Without free capacity, probes would fail and a scan would find nothing.
             if (machinesWithCapacity.orElseThrow().stream().anyMatch(stage)) {
-                List<Machine> ofStage = candidates.stream().filter(stage).toList();
-                stageSearch = Optional.of(new StageSearch(placement, spec, ofStage));
+                List<Machine> stageCandidates = candidates.stream().filter(stage).toList();
+                stageSearch = Optional.of(new StageSearch(placement, spec, stageCandidates));
                 return true;
             }
         }
@@ -148,10 +148,10 @@
      * that fetch nothing, then the rest, because concurrent fetches may share a machine's
      * bandwidth.
      */
-    private void addFetchStages(Predicate<Machine> among) {
-        stages.add(machine -> among.test(machine) && machine.isFetching(spec.image()));
-        stages.add(machine -> among.test(machine) && !machine.isFetching());
-        stages.add(among);
+    private void addFetchStages(Predicate<Machine> condition) {
+        stages.add(machine -> condition.test(machine) && machine.isFetching(spec.image()));
+        stages.add(machine -> condition.test(machine) && !machine.isFetching());
+        stages.add(condition);
     }
 
     private boolean hasImage(Machine machine) {
@@ -169,7 +169,7 @@
             slotsWithImageCounted = true;
             enoughSlotsWithImage =
                     mayWaitForImage
-                            && countSlotsWithImage() >= IMAGE_SLOTS_FACTOR * spec.taskCount();
+                            && countSlotsWithImage() >= MIN_IMAGE_SLOTS_PER_TASK * spec.taskCount();
         }
         return enoughSlotsWithImage;
     }
@@ -189,7 +189,7 @@
                                 type.gpus(),
                                 type.memoryGigabytes());
             }
-            if (slots >= IMAGE_SLOTS_FACTOR * spec.taskCount()) {
+            if (slots >= MIN_IMAGE_SLOTS_PER_TASK * spec.taskCount()) {
                 break;
             }
         }
@@ -227,8 +227,8 @@
      * Returns a new search, starting at the first stage, among the candidates that match the
      * condition.
      */
-    MachineSearch restrictedTo(Predicate<Machine> among) {
+    MachineSearch restrictedTo(Predicate<Machine> condition) {
         return new MachineSearch(
-                placement, spec, candidates.stream().filter(among).toList(), mayWaitForImage);
+                placement, spec, candidates.stream().filter(condition).toList(), mayWaitForImage);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -91,7 +91,7 @@
      *     others have it
      * @return whether an attempt was stopped or a machine reserved
      */
-    boolean freeCapacity(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
+    boolean freeCapacity(Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
         boolean isSmall = rules.isSmall(job.spec);
         if (isSmall) {
             if (hasSearchedForSmallTasks) {
@@ -107,7 +107,7 @@
                         ? job.waitingTasks()
                         : Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(job.spec));
         List<Machine> machines =
-                candidateMachines.forFreeingCapacity(job, open, mayWaitForImage, now);
+                candidateMachines.forFreeingCapacity(job, openMachines, mayWaitForImage, now);
         var byZone = candidates.byZone(job, machines, now);
         Optional<List<EvictionCandidate>> cheapest =
                 EvictionCandidates.cheapest(job, tasks, byZone.values());
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -233,17 +233,17 @@
         preemptionRules.beginRound();
         preemption.beginRound();
         capacityPromises.beginRound(promotedJob, now);
-        List<Machine> open =
+        List<Machine> openMachines =
                 shard.machines().values().stream().filter(Machine::isSchedulable).toList();
-        warmReserve.chooseMachines(open, wallMillis);
+        warmReserve.chooseMachines(openMachines, wallMillis);
         shapesWithoutFreeCapacity.clear();
         shapesBeyondPreemption.clear();
         Set<Job> withReservation = new HashSet<>();
-        open.forEach(machine -> withReservation.add(machine.reservedFor()));
-        int placed = 0;
+        openMachines.forEach(machine -> withReservation.add(machine.reservedFor()));
+        int placedTasks = 0;
         for (Job job : order) {
             shard.markBacklog();
-            if (placed >= limit) {
+            if (placedTasks >= limit) {
                 shard.requestScheduling();
                 break;
             }
@@ -254,10 +254,10 @@
                                 isComparable(job) && !withReservation.contains(job),
                                 preemptionRules.isWaitingForFreeCapacity(job, wallMillis),
                                 mayWaitForImage(job, now, wallMillis));
-                placed += placeJob(turn, open, limit - placed, now);
+                placedTasks += placeJob(turn, openMachines, limit - placedTasks, now);
             }
         }
-        return placed;
+        return placedTasks;
     }
 
     /**
@@ -285,7 +285,7 @@
     }
 
     /** Places as many tasks of the job as possible, and frees capacity for the rest. */
-    private int placeJob(Turn turn, List<Machine> open, int limit, double now) {
+    private int placeJob(Turn turn, List<Machine> openMachines, int limit, double now) {
         Job job = turn.job;
         boolean knownWithoutCapacity = turn.isKnown(shapesWithoutFreeCapacity);
         if (turn.waits && knownWithoutCapacity || turn.isKnown(shapesBeyondPreemption)) {
@@ -294,19 +294,19 @@
         JobPlacer.Result result =
                 knownWithoutCapacity
                         ? JobPlacer.Result.NONE
-                        : placer.place(job, open, turn.mayWaitForImage, limit, now);
-        int placed = result.placed();
+                        : placer.place(job, openMachines, turn.mayWaitForImage, limit, now);
+        int placedTasks = result.placedTasks();
         // The result of a job whose records are full now does not apply to others, which may fit.
-        if (result.recordsFull() || placed >= limit || !mayPlaceMore(job, now)) {
-            return placed;
+        if (result.recordsFull() || placedTasks >= limit || !mayPlaceMore(job, now)) {
+            return placedTasks;
         }
         if (turn.comparable) {
             shapesWithoutFreeCapacity.add(job, result.waitingForImage());
         }
         if (turn.waits) {
-            return placed;
+            return placedTasks;
         }
-        if (!freeCapacity(job, open, turn.mayWaitForImage, now)) {
+        if (!freeCapacity(job, openMachines, turn.mayWaitForImage, now)) {
             if (turn.comparable) {
                 // Freeing capacity may have left out machines that lack this job's image.
                 shapesBeyondPreemption.add(job, turn.mayWaitForImage && job.spec.allowsSpot());
@@ -314,11 +314,16 @@
         } else if (!job.spec.isGang()) {
             // Evicted placements that are not committed yet free their capacity at once. Guards
             // against the evicted work taking it again in the same scheduling round, repeatedly.
-            placed +=
-                    placer.placeTasks(job, open, turn.mayWaitForImage, limit - placed, now)
-                            .placed();
+            placedTasks +=
+                    placer.placeTasks(
+                                    job,
+                                    openMachines,
+                                    turn.mayWaitForImage,
+                                    limit - placedTasks,
+                                    now)
+                            .placedTasks();
         }
-        return placed;
+        return placedTasks;
     }
 
     /**
@@ -332,9 +337,10 @@
                         >= (job.spec.isGang() ? job.spec.taskCount() : 1);
     }
 
-    private boolean freeCapacity(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
+    private boolean freeCapacity(
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
         double began = loopTime.now();
-        boolean freed = preemption.freeCapacity(job, open, mayWaitForImage, now);
+        boolean freed = preemption.freeCapacity(job, openMachines, mayWaitForImage, now);
         loopTime.record(Activity.GIVING_WAY, began);
         return freed;
     }
--- a/src/main/java/io/kitepath/core/scheduling/StageSearch.java
+++ b/src/main/java/io/kitepath/core/scheduling/StageSearch.java
@@ -30,12 +30,12 @@
     private final List<Machine> machinesInUse = new ArrayList<>();
 
     /** Whether a scan has determined the scan order. */
-    private boolean scanned;
+    private boolean hasScanned;
 
     /** The candidates that had capacity at the first scan, best fit first. */
     private final List<Machine> scanOrder = new ArrayList<>();
 
-    private int nextInOrder;
+    private int nextScanIndex;
 
     StageSearch(ProbePlacement placement, JobSpec spec, List<Machine> candidates) {
         this.placement = placement;
@@ -51,7 +51,7 @@
 
     /** Returns the machine for the next task; empty once a scan has found the candidates full. */
     Optional<Machine> nextMachine() {
-        if (scanned && nextInOrder >= scanOrder.size()) {
+        if (hasScanned && nextScanIndex >= scanOrder.size()) {
             return Optional.empty();
         }
         Optional<Machine> probed = probe();
@@ -64,12 +64,12 @@
      */
     private Optional<Machine> probe() {
         Random random = placement.random();
-        int machines = machinesInUse.size();
-        for (int i = 0; i < MAX_PROBES && i < machines; i++) {
+        int machineCount = machinesInUse.size();
+        for (int i = 0; i < MAX_PROBES && i < machineCount; i++) {
             // A partial shuffle: the probed machines are distinct, as in the paper.
-            int drawn = i + random.nextInt(machines - i);
-            Machine machine = machinesInUse.get(drawn);
-            machinesInUse.set(drawn, machinesInUse.get(i));
+            int drawnIndex = i + random.nextInt(machineCount - i);
+            Machine machine = machinesInUse.get(drawnIndex);
+            machinesInUse.set(drawnIndex, machinesInUse.get(i));
             machinesInUse.set(i, machine);
             counters.probes++;
             if (machine.unconfirmedStarts() < UNCONFIRMED_THRESHOLD
@@ -86,14 +86,14 @@
      */
     private Optional<Machine> scan() {
         counters.scans++;
-        if (!scanned) {
-            scanned = true;
+        if (!hasScanned) {
+            hasScanned = true;
             sortCandidates();
         }
-        for (; nextInOrder < scanOrder.size(); nextInOrder++) {
+        for (; nextScanIndex < scanOrder.size(); nextScanIndex++) {
             counters.inspectedMachines++;
-            if (placement.hasCapacity(scanOrder.get(nextInOrder), spec)) {
-                return Optional.of(scanOrder.get(nextInOrder));
+            if (placement.hasCapacity(scanOrder.get(nextScanIndex), spec)) {
+                return Optional.of(scanOrder.get(nextScanIndex));
             }
         }
         return Optional.empty();
--- a/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
+++ b/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
@@ -24,11 +24,11 @@
             JobSpec.Priority priority,
             String team,
             boolean guaranteed,
-            List<String> types,
+            List<String> machineTypes,
             String zone,
-            boolean oneZone,
-            boolean spread,
-            boolean spot,
+            boolean singleZone,
+            boolean spreadAcrossZones,
+            boolean allowsSpot,
             Optional<String> image) {
         static PlacementRights of(Job job, Optional<String> image) {
             JobSpec spec = job.spec;
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -21,7 +21,7 @@
     private final ProbePlacement probePlacement;
 
     /** The priority of the gangs for which each machine is reserved. */
-    private final Map<Machine, JobSpec.Priority> reservedPriorities = new HashMap<>();
+    private final Map<Machine, JobSpec.Priority> reservedPriorityByMachine = new HashMap<>();
 
     WarmReserve(ShardState shard, ProbePlacement probePlacement) {
         this.shard = shard;
@@ -29,49 +29,49 @@
     }
 
     /** Selects the reserved machines anew among those that are open for placement. */
-    void chooseMachines(List<Machine> open, double wallMillis) {
-        reservedPriorities.clear();
-        List<Machine> idle = new ArrayList<>();
-        for (Machine machine : open) {
+    void chooseMachines(List<Machine> openMachines, double wallMillis) {
+        reservedPriorityByMachine.clear();
+        List<Machine> idleMachines = new ArrayList<>();
+        for (Machine machine : openMachines) {
             if (!machine.isBusy() && machine.reservedFor() == null && !machine.isDraining()) {
-                idle.add(machine);
+                idleMachines.add(machine);
             }
         }
-        if (idle.isEmpty()) {
+        if (idleMachines.isEmpty()) {
             return;
         }
-        idle.sort(
+        idleMachines.sort(
                 Comparator.comparingInt((Machine machine) -> -machine.images().size())
                         .thenComparing(machine -> machine.id));
         for (RecentArrivals.ArrivalRate rate :
                 shard.recentArrivals().gangArrivalRates(wallMillis)) {
-            reserve(rate, idle);
+            reserve(rate, idleMachines);
         }
     }
 
-    private void reserve(RecentArrivals.ArrivalRate rate, List<Machine> idle) {
+    private void reserve(RecentArrivals.ArrivalRate rate, List<Machine> idleMachines) {
         // Capacity is freed within about one heartbeat interval: stopped work has to be reported as
         // ended.
-        double tasks =
+        double remainingTasks =
                 rate.tasksPerSecond() * shard.settings().workers().heartbeatIntervalSeconds();
-        for (Machine machine : idle) {
-            if (tasks <= 0) {
+        for (Machine machine : idleMachines) {
+            if (remainingTasks <= 0) {
                 return;
             }
-            if (!reservedPriorities.containsKey(machine)
+            if (!reservedPriorityByMachine.containsKey(machine)
                     && probePlacement.isAllowed(machine, rate.sampleSpec())) {
-                tasks -= Math.max(1, probePlacement.freeSlots(machine, rate.sampleSpec()));
-                reservedPriorities.put(machine, rate.sampleSpec().priority());
+                remainingTasks -= Math.max(1, probePlacement.freeSlots(machine, rate.sampleSpec()));
+                reservedPriorityByMachine.put(machine, rate.sampleSpec().priority());
             }
         }
     }
 
     /** Whether the job must not use the machine, because it would soon be evicted there. */
     boolean isReservedAgainst(Machine machine, Job job) {
-        if (reservedPriorities.isEmpty() || job.spec.isGang()) {
+        if (reservedPriorityByMachine.isEmpty() || job.spec.isGang()) {
             return false;
         }
-        JobSpec.Priority reserved = reservedPriorities.get(machine);
-        return reserved != null && job.effectivePriority().compareTo(reserved) > 0;
+        JobSpec.Priority reservedPriority = reservedPriorityByMachine.get(machine);
+        return reservedPriority != null && job.effectivePriority().compareTo(reservedPriority) > 0;
     }
 }
