--- a/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
+++ b/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
@@ -36,9 +36,9 @@
         sorted.sort(Comparator.comparingDouble(Job::eligibleSinceMillis));
         Map<String, Claimed> claimed = new HashMap<>();
         for (Job job : sorted) {
-            boolean fits = claim(job, claimed);
+            boolean isWithinGuarantee = claim(job, claimed);
             if (!job.isGuaranteeClaimKnown()) {
-                job.setGuaranteeClaim(fits);
+                job.setGuaranteeClaim(isWithinGuarantee);
             }
         }
         sorted.sort(claimOrder(sorted));
@@ -94,11 +94,11 @@
                 || team.guaranteedCpus() == 0 && team.guaranteedGpus() == 0) {
             return false;
         }
-        Claimed ofTeam = claimed.computeIfAbsent(team.name(), key -> new Claimed());
-        ofTeam.cpus += job.unfinishedTasks() * job.spec.cpusPerTask();
-        ofTeam.gpus += job.unfinishedTasks() * job.spec.gpusPerTask();
-        return ofTeam.cpus <= team.guaranteedCpus() + ROUNDING_SLACK
+        Claimed teamClaim = claimed.computeIfAbsent(team.name(), key -> new Claimed());
+        teamClaim.cpus += job.unfinishedTasks() * job.spec.cpusPerTask();
+        teamClaim.gpus += job.unfinishedTasks() * job.spec.gpusPerTask();
+        return teamClaim.cpus <= team.guaranteedCpus() + ROUNDING_SLACK
                 && (job.spec.gpusPerTask() == 0
-                        || ofTeam.gpus <= team.guaranteedGpus() + ROUNDING_SLACK);
+                        || teamClaim.gpus <= team.guaranteedGpus() + ROUNDING_SLACK);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/RunningLoad.java
+++ b/src/main/java/io/kitepath/core/scheduling/RunningLoad.java
@@ -16,13 +16,13 @@
     /**
      * CPUs held by a job's running tasks, and the average remaining time of these tasks in seconds.
      */
-    private record Running(double cpus, double remainingSeconds) {}
+    private record JobLoad(double cpus, double remainingSeconds) {}
 
     private final double now;
-    private final List<Running> running = new ArrayList<>();
+    private final List<JobLoad> jobLoads = new ArrayList<>();
 
     /** Remaining seconds of the running jobs, ascending. */
-    private double[] ends = new double[0];
+    private double[] sortedRemainingSeconds = new double[0];
 
     /** Element {@code i} holds the remaining CPU seconds of the first {@code i} of those jobs. */
     private double[] cumulativeCpuSeconds = new double[1];
@@ -35,44 +35,45 @@
     }
 
     /** Adds the running tasks of the jobs to the sums. */
-    void add(List<Job> jobs) {
-        jobs.forEach(this::add);
-        if (running.size() > ends.length) {
-            sumUp();
+    void addRunningTasks(List<Job> jobs) {
+        jobs.forEach(this::addRunningTasks);
+        if (jobLoads.size() > sortedRemainingSeconds.length) {
+            computeSums();
         }
     }
 
-    private void add(Job job) {
+    private void addRunningTasks(Job job) {
         double remainingSeconds = 0;
         for (Attempt attempt : job.liveAttempts().values()) {
             remainingSeconds += attempt.remainingSeconds(now);
         }
         int tasks = job.liveAttempts().size();
         if (tasks > 0) {
-            running.add(new Running(tasks * job.spec.cpusPerTask(), remainingSeconds / tasks));
+            jobLoads.add(new JobLoad(tasks * job.spec.cpusPerTask(), remainingSeconds / tasks));
         }
     }
 
-    private void sumUp() {
-        running.sort(Comparator.comparingDouble(Running::remainingSeconds));
-        int jobs = running.size();
-        ends = new double[jobs];
+    private void computeSums() {
+        jobLoads.sort(Comparator.comparingDouble(JobLoad::remainingSeconds));
+        int jobs = jobLoads.size();
+        sortedRemainingSeconds = new double[jobs];
         cumulativeCpuSeconds = new double[jobs + 1];
         cumulativeCpus = new double[jobs + 1];
         for (int i = 0; i < jobs; i++) {
-            Running ofJob = running.get(i);
-            ends[i] = ofJob.remainingSeconds;
+            JobLoad load = jobLoads.get(i);
+            sortedRemainingSeconds[i] = load.remainingSeconds;
             cumulativeCpuSeconds[i + 1] =
-                    cumulativeCpuSeconds[i] + ofJob.cpus * ofJob.remainingSeconds;
-            cumulativeCpus[i + 1] = cumulativeCpus[i] + ofJob.cpus;
+                    cumulativeCpuSeconds[i] + load.cpus * load.remainingSeconds;
+            cumulativeCpus[i + 1] = cumulativeCpus[i] + load.cpus;
         }
     }
 
     /** Returns the CPU seconds that the running work takes within the given time. */
     double cpuSecondsWithin(double seconds) {
-        int found = Arrays.binarySearch(ends, seconds);
-        int ended = found >= 0 ? found : -found - 1;
-        double cpusStillHeld = cumulativeCpus[ends.length] - cumulativeCpus[ended];
-        return cumulativeCpuSeconds[ended] + cpusStillHeld * seconds;
+        int searchResult = Arrays.binarySearch(sortedRemainingSeconds, seconds);
+        int endedJobs = searchResult >= 0 ? searchResult : -searchResult - 1;
+        double remainingCpus =
+                cumulativeCpus[sortedRemainingSeconds.length] - cumulativeCpus[endedJobs];
+        return cumulativeCpuSeconds[endedJobs] + remainingCpus * seconds;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -38,12 +38,14 @@
      * A job and the conditions under which it is served in a scheduling round.
      *
      * @param comparable whether its result applies to other jobs of its shape, and theirs to it
-     * @param waits whether it still waits for capacity that is freed without eviction
+     * @param waitsForFreeCapacity whether it still waits for capacity that is freed without
+     *     eviction
      * @param mayWaitForImage whether it leaves out machines because enough others have its image
      */
-    private record Turn(Job job, boolean comparable, boolean waits, boolean mayWaitForImage) {
-        /** Whether the results of other jobs show that this job finds no capacity. */
-        boolean isKnown(UnschedulableShapes shapes) {
+    private record JobContext(
+            Job job, boolean comparable, boolean waitsForFreeCapacity, boolean mayWaitForImage) {
+        /** Whether the recorded results of other jobs apply to this job. */
+        boolean isCoveredBy(UnschedulableShapes shapes) {
             return comparable
                     && (mayWaitForImage ? shapes.contains(job) : shapes.containsForAnyImage(job));
         }
@@ -71,7 +73,7 @@
     /** The last computed order; empty before the first computation. */
     private Optional<List<Job>> lastOrder = Optional.empty();
 
-    private double lastOrderAt;
+    private double lastOrderAtSeconds;
 
     /** The job that comes first in that order regardless of its rank, if there is one. */
     private Optional<Job> promotedJob = Optional.empty();
@@ -122,7 +124,7 @@
     public List<Job> orderedJobs(double now, double wallMillis, double maxAgeSeconds) {
         if (lastOrder.isEmpty()
                 || lastOrderGeneration != shard.jobGeneration()
-                || now - lastOrderAt > maxAgeSeconds) {
+                || now - lastOrderAtSeconds > maxAgeSeconds) {
             return orderedJobs(now, wallMillis);
         }
         return lastOrder.get().stream().filter(job -> job.waitingTasks() > 0).toList();
@@ -135,33 +137,33 @@
      * @param wallMillis milliseconds since 1970
      */
     public List<Job> orderedJobs(double now, double wallMillis) {
-        double began = loopTime.now();
+        double startedAt = loopTime.now();
         // Many jobs may be held until other jobs end; these need no order.
         List<Job> jobs = shard.jobs().values().stream().filter(job -> !job.isHeld()).toList();
         shard.serviceLevels().update(jobs, this::startLatencySeconds, wallMillis);
         guarantees.mark(jobs);
         // A job that fails everywhere is served last and delays no other job.
-        List<Job> sound = new ArrayList<>();
+        List<Job> healthy = new ArrayList<>();
         List<Job> failing = new ArrayList<>();
         for (Job job : jobs) {
-            (shard.failureDiagnosis().isJobAtFault(job, now) ? failing : sound).add(job);
+            (shard.failureDiagnosis().isJobAtFault(job, now) ? failing : healthy).add(job);
         }
-        Map<MachineKind, Integer> machines = countOpenMachines();
+        Map<MachineKind, Integer> machinesByKind = countOpenMachines();
         List<Job> order =
                 new SchedulingQueue(
-                                spec -> usableCpus(spec, machines),
+                                spec -> usableCpus(spec, machinesByKind),
                                 this::startLatencySeconds,
                                 shard.serviceLevels()::catchUpShare,
                                 now,
                                 wallMillis)
-                        .sortJobs(sound);
+                        .sortJobs(healthy);
         promoteLargestJob(order, wallMillis);
         failing.removeIf(job -> job.waitingTasks() == 0);
         order.addAll(failing);
         lastOrder = Optional.of(List.copyOf(order));
-        lastOrderAt = now;
+        lastOrderAtSeconds = now;
         lastOrderGeneration = shard.jobGeneration();
-        loopTime.record(Activity.ORDERING, began);
+        loopTime.record(Activity.ORDERING, startedAt);
         return order;
     }
 
@@ -187,13 +189,14 @@
      * Only one job is promoted at a time, because capacity is reserved for it meanwhile.
      */
     private void promoteLargestJob(List<Job> order, double wallMillis) {
-        double since = wallMillis - 1000 * LARGE_JOB_START_SECONDS * PROMOTE_AFTER_FRACTION;
+        double eligibleBeforeMillis =
+                wallMillis - 1000 * LARGE_JOB_START_SECONDS * PROMOTE_AFTER_FRACTION;
         promotedJob =
                 order.stream()
                         .filter(
                                 job ->
                                         (job.spec.isGang() || job.spec.isSingleZone())
-                                                && job.eligibleSinceMillis() < since
+                                                && job.eligibleSinceMillis() < eligibleBeforeMillis
                                                 && !job.hasStarted()
                                                 && shard.serviceLevels().isLargest(job.spec))
                         .min(Comparator.comparingDouble(Job::eligibleSinceMillis));
@@ -208,14 +211,14 @@
      * Returns how many CPUs such jobs could use at once if these machines, counted by kind, were
      * empty.
      */
-    private double usableCpus(JobSpec spec, Map<MachineKind, Integer> machines) {
+    private double usableCpus(JobSpec spec, Map<MachineKind, Integer> machinesByKind) {
         double cpus = 0;
-        for (Map.Entry<MachineKind, Integer> count : machines.entrySet()) {
-            MachineKind kind = count.getKey();
+        for (Map.Entry<MachineKind, Integer> kindCount : machinesByKind.entrySet()) {
+            MachineKind kind = kindCount.getKey();
             if (ProbePlacement.isAllowed(kind, spec)) {
                 int slots =
                         ProbePlacement.maxSlots(spec, shard.machineTypes().get(kind.machineType()));
-                cpus += count.getValue() * spec.cpusPerTask() * slots;
+                cpus += kindCount.getValue() * spec.cpusPerTask() * slots;
             }
         }
         return cpus;
@@ -238,8 +241,8 @@
         warmReserve.chooseMachines(openMachines, wallMillis);
         shapesWithoutFreeCapacity.clear();
         shapesBeyondPreemption.clear();
-        Set<Job> withReservation = new HashSet<>();
-        openMachines.forEach(machine -> withReservation.add(machine.reservedFor()));
+        Set<Job> jobsWithReservation = new HashSet<>();
+        openMachines.forEach(machine -> jobsWithReservation.add(machine.reservedFor()));
         int placedTasks = 0;
         for (Job job : order) {
             shard.markBacklog();
@@ -248,13 +251,13 @@
                 break;
             }
             if (now >= job.notBefore()) {
-                Turn turn =
-                        new Turn(
+                JobContext context =
+                        new JobContext(
                                 job,
-                                isComparable(job) && !withReservation.contains(job),
+                                isComparable(job) && !jobsWithReservation.contains(job),
                                 preemptionRules.isWaitingForFreeCapacity(job, wallMillis),
                                 mayWaitForImage(job, now, wallMillis));
-                placedTasks += placeJob(turn, openMachines, limit - placedTasks, now);
+                placedTasks += placeJob(context, openMachines, limit - placedTasks, now);
             }
         }
         return placedTasks;
@@ -285,31 +288,32 @@
     }
 
     /** Places as many tasks of the job as possible, and frees capacity for the rest. */
-    private int placeJob(Turn turn, List<Machine> openMachines, int limit, double now) {
-        Job job = turn.job;
-        boolean knownWithoutCapacity = turn.isKnown(shapesWithoutFreeCapacity);
-        if (turn.waits && knownWithoutCapacity || turn.isKnown(shapesBeyondPreemption)) {
+    private int placeJob(JobContext context, List<Machine> openMachines, int limit, double now) {
+        Job job = context.job;
+        boolean knownWithoutCapacity = context.isCoveredBy(shapesWithoutFreeCapacity);
+        if (context.waitsForFreeCapacity && knownWithoutCapacity
+                || context.isCoveredBy(shapesBeyondPreemption)) {
             return 0;
         }
         JobPlacer.Result result =
                 knownWithoutCapacity
                         ? JobPlacer.Result.NONE
-                        : placer.place(job, openMachines, turn.mayWaitForImage, limit, now);
+                        : placer.place(job, openMachines, context.mayWaitForImage, limit, now);
         int placedTasks = result.placedTasks();
         // The result of a job whose records are full now does not apply to others, which may fit.
         if (result.recordsFull() || placedTasks >= limit || !mayPlaceMore(job, now)) {
             return placedTasks;
         }
-        if (turn.comparable) {
+        if (context.comparable) {
             shapesWithoutFreeCapacity.add(job, result.waitingForImage());
         }
-        if (turn.waits) {
+        if (context.waitsForFreeCapacity) {
             return placedTasks;
         }
-        if (!freeCapacity(job, openMachines, turn.mayWaitForImage, now)) {
-            if (turn.comparable) {
+        if (!freeCapacity(job, openMachines, context.mayWaitForImage, now)) {
+            if (context.comparable) {
                 // Freeing capacity may have left out machines that lack this job's image.
-                shapesBeyondPreemption.add(job, turn.mayWaitForImage && job.spec.allowsSpot());
+                shapesBeyondPreemption.add(job, context.mayWaitForImage && job.spec.allowsSpot());
             }
         } else if (!job.spec.isGang()) {
             // Evicted placements that are not committed yet free their capacity at once. Guards
@@ -318,7 +322,7 @@
                     placer.placeTasks(
                                     job,
                                     openMachines,
-                                    turn.mayWaitForImage,
+                                    context.mayWaitForImage,
                                     limit - placedTasks,
                                     now)
                             .placedTasks();
@@ -339,9 +343,9 @@
 
     private boolean freeCapacity(
             Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
-        double began = loopTime.now();
+        double startedAt = loopTime.now();
         boolean freed = preemption.freeCapacity(job, openMachines, mayWaitForImage, now);
-        loopTime.record(Activity.GIVING_WAY, began);
+        loopTime.record(Activity.GIVING_WAY, startedAt);
         return freed;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -29,17 +29,17 @@
     /**
      * A waiting job and the goal for which it is scheduled.
      *
-     * @param goal the index of the goal
+     * @param goalIndex the index of the goal
      */
     private record Entry(
             Job job,
-            int goal,
+            int goalIndex,
             double workCpuSeconds,
             double startLatencyMillis,
             double serviceShare) {
         /** Returns the latest time at which the job has to be placed to run by its goal. */
         double latestStartMillis() {
-            return job.startGoalMillis(goal) - startLatencyMillis;
+            return job.startGoalMillis(goalIndex) - startLatencyMillis;
         }
 
         /** Returns the time at which the job ends if it is placed at its latest start. */
@@ -47,12 +47,12 @@
             return latestStartMillis() + job.spec.estimatedSeconds() * 1000;
         }
 
-        boolean isBehind() {
+        boolean isLagging() {
             return serviceShare < 1;
         }
 
-        Entry withGoal(int other) {
-            return new Entry(job, other, workCpuSeconds, startLatencyMillis, serviceShare);
+        Entry withGoal(int otherGoalIndex) {
+            return new Entry(job, otherGoalIndex, workCpuSeconds, startLatencyMillis, serviceShare);
         }
     }
 
@@ -62,7 +62,7 @@
                     .thenComparing(entry -> entry.job.spec.id());
 
     /** The order in which entries are deferred: highest service share first, then the largest. */
-    private static final Comparator<Entry> LARGEST_FIRST =
+    private static final Comparator<Entry> DEFERRAL_ORDER =
             Comparator.comparingDouble((Entry entry) -> -entry.serviceShare)
                     .thenComparingDouble(entry -> -entry.workCpuSeconds)
                     .thenComparing(entry -> entry.job.spec.id());
@@ -108,35 +108,35 @@
         List<Job> order = new ArrayList<>();
         int ranks = 2 * JobSpec.Priority.values().length;
         for (int rank = 0; rank < ranks; rank++) {
-            List<Job> ofRank = jobsByRank.getOrDefault(rank, List.of());
-            runningLoad.add(ofRank);
-            orderRank(ofRank, order);
+            List<Job> jobsOfRank = jobsByRank.getOrDefault(rank, List.of());
+            runningLoad.addRunningTasks(jobsOfRank);
+            appendJobsOfRank(jobsOfRank, order);
         }
         return order;
     }
 
     /** Appends the jobs of one rank: first those that meet their goals, last those that cannot. */
-    private void orderRank(List<Job> jobs, List<Job> order) {
-        List<Entry> tried = new ArrayList<>();
+    private void appendJobsOfRank(List<Job> jobs, List<Job> order) {
+        List<Entry> entries = new ArrayList<>();
         List<Job> withoutGoal = new ArrayList<>();
         for (Job job : jobs) {
             if (!job.isFinished() && job.waitingTasks() > 0) {
-                addForNextGoal(entryBeforeFirstGoal(job), tried, withoutGoal);
+                addForNextGoal(entryBeforeFirstGoal(job), entries, withoutGoal);
             }
         }
-        while (!tried.isEmpty()) {
-            tried.sort(BY_LATEST_START);
-            Set<Entry> late = chooseLate(tried);
-            List<Entry> again = new ArrayList<>();
-            for (Entry entry : tried) {
-                if (late.contains(entry)) {
-                    again.add(entry);
+        while (!entries.isEmpty()) {
+            entries.sort(BY_LATEST_START);
+            Set<Entry> deferred = chooseDeferred(entries);
+            List<Entry> retried = new ArrayList<>();
+            for (Entry entry : entries) {
+                if (deferred.contains(entry)) {
+                    retried.add(entry);
                 } else {
                     order.add(entry.job);
                 }
             }
-            tried.clear();
-            again.forEach(entry -> addForNextGoal(entry, tried, withoutGoal));
+            entries.clear();
+            retried.forEach(entry -> addForNextGoal(entry, entries, withoutGoal));
         }
         withoutGoal.sort(
                 Comparator.comparingDouble(Job::eligibleSinceMillis)
@@ -159,34 +159,34 @@
      *
      * @param sorted the entries, sorted by their latest start
      */
-    private Set<Entry> chooseLate(List<Entry> sorted) {
-        PriorityQueue<Entry> largest = new PriorityQueue<>(LARGEST_FIRST);
-        Set<Entry> late = Collections.newSetFromMap(new IdentityHashMap<>());
+    private Set<Entry> chooseDeferred(List<Entry> sorted) {
+        PriorityQueue<Entry> deferrable = new PriorityQueue<>(DEFERRAL_ORDER);
+        Set<Entry> deferred = Collections.newSetFromMap(new IdentityHashMap<>());
         for (Entry entry : sorted) {
-            double available =
+            double availableCpuSeconds =
                     availableCpuSeconds(
                             entry.job.spec, (entry.latestEndMillis() - wallMillis) / 1000);
             cpuSecondsAhead += entry.workCpuSeconds;
-            if (entry.isBehind() && entry.workCpuSeconds > available) {
+            if (entry.isLagging() && entry.workCpuSeconds > availableCpuSeconds) {
                 // No other job is deferred for a job that cannot meet its goal in any case.
                 cpuSecondsAhead -= entry.workCpuSeconds;
-                late.add(entry);
+                deferred.add(entry);
                 continue;
             }
-            largest.add(entry);
+            deferrable.add(entry);
             // The largest entry is deferred in favor of this one. If smaller ones are deferred
             // because this one is lagging, several are necessary.
-            double freed = 0;
-            while (cpuSecondsAhead > available
-                    && freed < entry.workCpuSeconds
-                    && !largest.isEmpty()) {
-                Entry dropped = largest.poll();
-                cpuSecondsAhead -= dropped.workCpuSeconds;
-                freed += dropped.workCpuSeconds;
-                late.add(dropped);
+            double freedCpuSeconds = 0;
+            while (cpuSecondsAhead > availableCpuSeconds
+                    && freedCpuSeconds < entry.workCpuSeconds
+                    && !deferrable.isEmpty()) {
+                Entry deferredEntry = deferrable.poll();
+                cpuSecondsAhead -= deferredEntry.workCpuSeconds;
+                freedCpuSeconds += deferredEntry.workCpuSeconds;
+                deferred.add(deferredEntry);
             }
         }
-        return late;
+        return deferred;
     }
 
     /**
@@ -202,15 +202,15 @@
      * Adds the entry for its next goal that is not past, or its job to {@code withoutGoal} if it
      * has none.
      */
-    private void addForNextGoal(Entry entry, List<Entry> tried, List<Job> withoutGoal) {
+    private void addForNextGoal(Entry entry, List<Entry> entries, List<Job> withoutGoal) {
         Job job = entry.job;
-        int goal = entry.goal + 1;
-        while (goal < job.startGoalCount()
-                && job.startGoalMillis(goal) - entry.startLatencyMillis < wallMillis) {
-            goal++;
+        int goalIndex = entry.goalIndex + 1;
+        while (goalIndex < job.startGoalCount()
+                && job.startGoalMillis(goalIndex) - entry.startLatencyMillis < wallMillis) {
+            goalIndex++;
         }
-        if (goal < job.startGoalCount()) {
-            tried.add(entry.withGoal(goal));
+        if (goalIndex < job.startGoalCount()) {
+            entries.add(entry.withGoal(goalIndex));
         } else {
             withoutGoal.add(job);
         }
