--- a/src/test/java/io/kitepath/core/scheduling/RememberedOrderTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/CachedJobOrderTest.java
@@ -16,8 +16,8 @@
  * loaded all jobs again, the machine planner still saw the former job objects, whose tasks waited
  * although they were already placed, because the order was cleared only when leadership was lost.
  */
-class RememberedOrderTest {
-    private static final double ANY_AGE = 1000;
+class CachedJobOrderTest {
+    private static final double MAX_AGE_SECONDS = 1000;
 
     private final ShardState shard =
             new ShardState(new SimulatedCluster().settings("k1"), machine -> {});
@@ -31,14 +31,14 @@
     }
 
     @Test
-    void itHasNoObjectsFromBeforeALoad() {
+    void returnsReloadedJobObjectsAfterJobsAreClearedAndLoaded() {
         Job former = load("j-1");
-        assertEquals(List.of(former), scheduler.orderedJobs(1, 1000, ANY_AGE));
+        assertEquals(List.of(former), scheduler.orderedJobs(1, 1000, MAX_AGE_SECONDS));
         load("j-2");
-        assertEquals(List.of(former), scheduler.orderedJobs(2, 2000, ANY_AGE), "cached");
+        assertEquals(List.of(former), scheduler.orderedJobs(2, 2000, MAX_AGE_SECONDS), "cached");
         shard.clearJobs();
         Job loaded = load("j-1");
-        List<Job> order = scheduler.orderedJobs(3, 3000, ANY_AGE);
+        List<Job> order = scheduler.orderedJobs(3, 3000, MAX_AGE_SECONDS);
         assertEquals(1, order.size());
         assertSame(loaded, order.get(0));
     }
--- a/src/test/java/io/kitepath/core/scheduling/GuaranteedJobsTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/GuaranteedJobsTest.java
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void guaranteeTooSmallForAllGoesToWhatFittedOnArrivalThenToTheLeastWork() {
+    void prefersJobsThatFittedOnArrivalThenLeastWorkWhenGuaranteeIsTooSmall() {
         addJob("j-1", "large", 6, 0);
         assertEquals(List.of("j-1"), guaranteedJobs(1));
         addJob("j-2", "large", 7, 1);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void guaranteeGoesLastToAJobThatMissedAllItsGoals() {
+    void allocatesGuaranteeLastToJobThatMissedAllGoals() {
         addJob("j-1", "large", 9, 0);
         addJob("j-2", "large", 9, 50);
         assertEquals(List.of("j-1"), guaranteedJobs(60));
--- a/src/test/java/io/kitepath/core/scheduling/JobBuilder.java
+++ b/src/test/java/io/kitepath/core/scheduling/JobBuilder.java
@@ -44,13 +44,13 @@
         return this;
     }
 
-    JobBuilder shape(Shape itsShape) {
-        spec.shape(itsShape);
+    JobBuilder shape(Shape jobShape) {
+        spec.shape(jobShape);
         return this;
     }
 
-    JobBuilder priority(Priority itsPriority) {
-        spec.priority(itsPriority);
+    JobBuilder priority(Priority jobPriority) {
+        spec.priority(jobPriority);
         return this;
     }
 
@@ -59,8 +59,8 @@
         return this;
     }
 
-    JobBuilder cpus(double perTask) {
-        spec.cpusPerTask(perTask);
+    JobBuilder cpus(double cpusPerTask) {
+        spec.cpusPerTask(cpusPerTask);
         return this;
     }
 
--- a/src/test/java/io/kitepath/core/scheduling/LargestTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/LargestJobStartTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against the largest jobs of a class not starting during floods of other jobs. */
-class LargestTest {
+class LargestJobStartTest {
     private static final String LARGEST = "j-99999";
-    private static final int MACHINES = 8;
-    private static final int SMALL_GANGS = 400;
+    private static final int MACHINE_COUNT = 8;
+    private static final int SMALL_GANG_COUNT = 400;
     private static final int SMALL_GANGS_BEFORE_LARGEST = 100;
 
     /**
@@ -33,35 +33,35 @@
      * higher one, arrive without end.
      */
     @Test
-    void schedulerDuringAFloodOfSmallGangsStartsTheLargestWithinFourMinutes() {
-        for (Priority flood : List.of(Priority.NORMAL, Priority.HIGH)) {
+    void startsLargestGangWithin240SecondsDuringFloodOfSmallGangs() {
+        for (Priority floodPriority : List.of(Priority.NORMAL, Priority.HIGH)) {
             SimulatedCluster cluster = new SimulatedCluster();
             cluster.reportsChangesImmediately = true;
             cluster.cloud.capacity = 0;
             SimulatedNode node = cluster.node("k0");
-            for (int i = 0; i < MACHINES; i++) {
+            for (int i = 0; i < MACHINE_COUNT; i++) {
                 cluster.worker("i-" + i, i % 2 == 0 ? "a" : "b");
             }
             cluster.run(5);
-            double[] began = {0};
+            double[] startedAt = {0};
             cluster.clock.onTaskStart =
                     task -> {
-                        if (task.jobId.equals(LARGEST) && began[0] == 0) {
-                            began[0] = cluster.clock.now;
+                        if (task.jobId.equals(LARGEST) && startedAt[0] == 0) {
+                            startedAt[0] = cluster.clock.now;
                         }
                     };
-            double since = 0;
-            for (int i = 0; i < SMALL_GANGS; i++) {
-                cluster.submit(node, gang("j-" + (1000 + i), 1, flood, false));
+            double submittedAt = 0;
+            for (int i = 0; i < SMALL_GANG_COUNT; i++) {
+                cluster.submit(node, gang("j-" + (1000 + i), 1, floodPriority, false));
                 if (i == SMALL_GANGS_BEFORE_LARGEST) {
-                    since = cluster.clock.now;
+                    submittedAt = cluster.clock.now;
                     cluster.submit(node, gang(LARGEST, 4, Priority.NORMAL, true));
                 }
                 cluster.run(SECONDS_BETWEEN_GANGS);
             }
             assertTrue(
-                    began[0] > 0 && began[0] - since < 240,
-                    "took " + (began[0] - since) + " among " + flood);
+                    startedAt[0] > 0 && startedAt[0] - submittedAt < 240,
+                    "took " + (startedAt[0] - submittedAt) + " among " + floodPriority);
             assertEquals(List.of(), cluster.violations);
         }
     }
--- a/src/test/java/io/kitepath/core/scheduling/SchedulingQueueTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/SchedulingQueueTest.java
@@ -56,14 +56,14 @@
     }
 
     @Test
-    void queueWithRoomForAllServesTheSoonestStartFirst() {
+    void servesEarliestStartGoalFirstWhenCapacitySuffices() {
         addJob("j-1", 10, 90);
         addJob("j-2", 10, 20);
         assertEquals(List.of("j-2", "j-1"), order(10, 0));
     }
 
     @Test
-    void queueInAnOverloadServesTheLargestJobLast() {
+    void servesLargestJobLastInOverload() {
         addJob("j-1", 300, 10);
         addJob("j-2", 80, 15);
         addJob("j-3", 80, 20);
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void queueInAnOverloadServesAClassThatIsBehindBeforeOthers() {
+    void servesLaggingClassBeforeOthersInOverload() {
         addJob("j-1", "large", 300, 60);
         addJob("j-2", 80, 15);
         addJob("j-3", 80, 20);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void queueWhereAllClassesAreBehindServesTheOneThatGetsMostLast() {
+    void servesClassWithHighestServiceShareLastWhenAllAreLagging() {
         addJob("j-1", "large", 300, 60);
         addJob("j-2", 80, 15);
         addJob("j-3", 80, 20);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void queueTriesAJobThatMissedAGoalForItsNextGoal() {
+    void schedulesJobThatMissedGoalForItsNextGoal() {
         addJob("j-1", 10, 10, 100);
         addJob("j-2", 10, 10);
         addJob("j-3", 10, 120);
@@ -107,14 +107,14 @@
     }
 
     @Test
-    void queueServesGuaranteedJobsFirstWhateverTheirStart() {
+    void servesGuaranteedJobsFirstRegardlessOfStartGoal() {
         addJob("j-1", 10, 10);
         addJob("j-2", 10, 90).setWithinGuarantee(true);
         assertEquals(List.of("j-2", "j-1"), order(100, 0));
     }
 
     @Test
-    void queueSkipsAGoalThatTheStartLatencyWouldMiss() {
+    void skipsGoalThatStartLatencyWouldMiss() {
         addJob("j-1", 10, 15, 150);
         addJob("j-2", 10, 100);
         assertEquals(List.of("j-1", "j-2"), order(1000, 10));
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void queueCountsAnOverloadInTheCpusThatTheJobsMayUse() {
+    void detectsOverloadFromCpusThatJobsMayUse() {
         addJob("j-1", 300, 10);
         addJob("j-2", 80, 15);
         addJob("j-3", 80, 20);
--- a/src/test/java/io/kitepath/core/scheduling/UnschedulableShapesTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/UnschedulableShapesTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void shapesContainArraysWhoseTasksAskForNoLess() {
+    void containsArraysWhoseTasksRequestAtLeastAsMuch() {
         shapes.add(array(50, 2).build(), false);
         assertTrue(shapes.contains(array(1, 2).build()));
         assertTrue(shapes.contains(array(1, 3).build()));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void shapesWithAGangContainOnlyGangsOfItsSizeAndLargerOnes() {
+    void containsOnlyGangsOfSameOrLargerSizeAfterGang() {
         shapes.add(gang(16, 7).build(), false);
         assertTrue(shapes.contains(gang(24, 7).build()));
         assertFalse(shapes.contains(gang(8, 7).build()));
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void shapesWithAJobWaitingForItsImageContainOnlyJobsWithThatImage() {
+    void containsOnlyJobsWithSameImageAfterJobWaitedForImage() {
         Job otherImage = job("j-2").tasks(5).cpus(2).spot(true).image("other").build();
         shapes.add(array(50, 2).spot(true).build(), true);
         assertTrue(shapes.contains(array(1, 2).spot(true).build()));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void shapesDoNotContainJobsWithOtherRights() {
+    void doesNotContainJobsWithOtherRights() {
         shapes.add(array(1, 2).build(), false);
         assertFalse(shapes.contains(array(1, 2).team("blue").build()));
         assertFalse(shapes.contains(array(1, 2).spot(true).build()));
