--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -266,8 +266,8 @@
     /**
      * Whether the job may still wait for machines that have its image. Guards against a job that
      * waits, although a machine has free capacity, for as long as long tasks occupy the machines
-     * with its image: once none of its tasks was placed for {@link #MAX_IMAGE_WAIT_SECONDS}, it
-     * uses any machine.
+     * with its image: if none of its tasks was placed for {@link #MAX_IMAGE_WAIT_SECONDS}, it uses
+     * any machine.
      */
     private static boolean mayWaitForImage(Job job, double now, double wallMillis) {
         return wallMillis - job.eligibleSinceMillis() < 1000 * MAX_IMAGE_WAIT_SECONDS
--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -174,8 +174,9 @@
                 continue;
             }
             deferrable.add(entry);
-            // The largest entry is deferred in favor of this one. If smaller ones are deferred
-            // because this one is lagging, several are necessary.
+            // Defers the largest entry so that this one can be in time. If smaller entries are
+            // deferred
+            // because this one is lagging, it takes several of them.
             double freedCpuSeconds = 0;
             while (cpuSecondsAhead > availableCpuSeconds
                     && freedCpuSeconds < entry.workCpuSeconds
