--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -175,8 +175,7 @@
             }
             deferrable.add(entry);
             // Defers the largest entry so that this one can be in time. If smaller entries are
-            // deferred
-            // because this one is lagging, it takes several of them.
+            // deferred because this one is lagging, it takes several of them.
             double freedCpuSeconds = 0;
             while (cpuSecondsAhead > availableCpuSeconds
                     && freedCpuSeconds < entry.workCpuSeconds
