--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -135,7 +135,7 @@
         metrics.counter(
                 "attempts.evicted.for.large",
                 "and the ones that made room for gangs and large tasks",
-                () -> node.scheduler.preemption().evictionsForGangs());
+                () -> node.scheduler.preemption().evictionsForLargeJobs());
     }
 
     private void addServiceLevels(MetricCollector metrics) {
--- a/src/main/java/io/kitepath/core/ShardSummary.java
+++ b/src/main/java/io/kitepath/core/ShardSummary.java
@@ -31,7 +31,7 @@
                 .append('/')
                 .append(preemption.evictionsForGuarantees())
                 .append('/')
-                .append(preemption.evictionsForGangs())
+                .append(preemption.evictionsForLargeJobs())
                 .append(" lost=")
                 .append(shard.attemptsLost())
                 .append(" launched=")
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -34,7 +34,7 @@
     private final CapacityPromises capacityPromises;
     private long evictions;
     private long evictionsForGuarantees;
-    private long evictionsForGangs;
+    private long evictionsForLargeJobs;
 
     /**
      * Whether this scheduling round has already searched for capacity for small tasks. One search
@@ -68,8 +68,8 @@
     }
 
     /** Returns the number of evictions that freed capacity for gangs and large tasks. */
-    public long evictionsForGangs() {
-        return evictionsForGangs;
+    public long evictionsForLargeJobs() {
+        return evictionsForLargeJobs;
     }
 
     /**
@@ -196,7 +196,7 @@
     private void countEviction(Job victim, Job job) {
         evictions++;
         if (!rules.isSmall(job.spec)) {
-            evictionsForGangs++;
+            evictionsForLargeJobs++;
         }
         if (!isForPriority(victim, job)) {
             evictionsForGuarantees++;
