--- a/src/main/java/io/kitepath/core/scheduling/RunningLoad.java
+++ b/src/main/java/io/kitepath/core/scheduling/RunningLoad.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * Estimates the CPU time that running work will take, provided that none of the waiting jobs under
- * consideration may preempt it. The estimate is requested for each waiting job, so the running work
- * is summed up beforehand.
+ * Estimates the CPU time that running work will take. Includes only work that is not preempted for
+ * the waiting jobs under consideration. The estimate is requested for each waiting job, so the
+ * running work is summed up beforehand.
  */
 final class RunningLoad {
     /**
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 
 /**
- * Reserves idle machines for gangs of higher priority which, at their usual rate, will arrive
- * before capacity could be freed for them. Guards against work of lower priority that fills every
- * machine as soon as a gang has left it and is then evicted for the next gang.
+ * Briefly reserves idle machines for gangs of higher priority which, at their usual rate, will
+ * arrive before capacity could be freed for them. Guards against work of lower priority that fills
+ * every machine as soon as a gang has left it and is then evicted for the next gang.
  */
 final class WarmReserve {
     private final ShardState shard;
--- a/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
@@ -22,8 +22,8 @@
     private Optional<String> boundZone;
 
     /**
-     * Number of tasks by zone; counted only for jobs that have to stay in one zone or are spread
-     * across zones.
+     * Number of tasks by zone. Running tasks are counted only as far as the zones of the job are
+     * restricted.
      */
     private final Map<String, Integer> tasksByZone = new HashMap<>();
 
