--- a/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Chooses machines for whole gangs, and the zone for jobs that have to stay in one zone. */
+/** Selects machines for whole gangs, and the zone for jobs that have to stay in one zone. */
 final class GangPlacement {
     private final ProbePlacement placement;
 
@@ -19,31 +19,32 @@
     }
 
     /**
-     * What a search for machines has found.
+     * The result of a search for machines.
      *
-     * @param machines one for each task, empty if the gang does not fit as a whole
+     * @param machines one machine for each task; empty if the gang does not fit as a whole
      * @param waitingForImage whether machines were left out only because others have the image
      */
     record Choice(List<Machine> machines, boolean waitingForImage) {
-        static final Choice NO_ROOM = new Choice(List.of(), false);
+        static final Choice NO_CAPACITY = new Choice(List.of(), false);
 
         boolean isFound() {
             return !machines.isEmpty();
         }
     }
 
-    /** Chooses machines for all tasks of a gang. */
-    Choice chooseGang(JobSpec spec, List<Machine> candidates, boolean mayWaitForImage) {
+    /** Selects machines for all tasks of a gang. */
+    Choice chooseMachinesForGang(JobSpec spec, List<Machine> candidates, boolean mayWaitForImage) {
         placement.counters().inspectedMachines += candidates.size();
         Map<String, Integer> slotsByZone = slotsByZone(spec, candidates);
         if (slotsByZone.values().stream().mapToInt(Integer::intValue).sum() < spec.taskCount()) {
-            return Choice.NO_ROOM;
+            return Choice.NO_CAPACITY;
         }
         MachineSearch search = placement.newSearch(spec, candidates, mayWaitForImage);
         if (!spec.isSingleZone()) {
             return findWholeGang(spec, search);
         }
-        // The zone with the least room that still suffices, so that larger gangs find theirs.
+        // Prefers the zone with the least free capacity that still suffices, which leaves the zones
+        // with more capacity to larger gangs.
         List<String> zones = new ArrayList<>(slotsByZone.keySet());
         zones.removeIf(zone -> slotsByZone.get(zone) < spec.taskCount());
         zones.sort(Comparator.comparing(slotsByZone::get));
@@ -61,10 +62,10 @@
     }
 
     /**
-     * The zone for the first tasks of a job that has to stay in one zone: the one with the least
-     * room that suffices for that many tasks, or else the one with the most; empty without
-     * candidates. Guards against a job whose first task binds it to a zone that holds few of its
-     * tasks while another zone would hold all of them.
+     * Selects the zone for the first tasks of a job that has to stay in one zone: the zone with the
+     * least free capacity that suffices for {@code tasks} tasks, otherwise the zone with the most
+     * free capacity; empty without candidates. Guards against a job whose first task binds it to a
+     * zone that holds few of its tasks while another zone would hold all of them.
      */
     Optional<String> chooseZone(JobSpec spec, int tasks, List<Machine> candidates) {
         Comparator<Map.Entry<String, Integer>> leastSufficient =
@@ -84,11 +85,11 @@
     }
 
     /**
-     * A machine for each task, or none if one finds none. The machines count the tasks as placed
-     * only while the search lasts.
+     * Finds a machine for each task, or none if a task finds no machine. The machines count the
+     * tasks as placed only during the search.
      */
-    private Choice findWholeGang(JobSpec spec, MachineSearch among) {
-        MachineSearch search = among;
+    private Choice findWholeGang(JobSpec spec, MachineSearch initialSearch) {
+        MachineSearch search = initialSearch;
         List<Machine> found = new ArrayList<>();
         Map<String, Integer> tasksByZone = new HashMap<>();
         for (int task = 0; task < spec.taskCount(); task++) {
@@ -103,11 +104,11 @@
                 search = search.restrictedTo(other -> !other.zone().equals(machine.zone()));
             }
         }
-        boolean isWhole = found.size() == spec.taskCount();
-        boolean waitingForImage = !isWhole && search.isWaitingForImage();
+        boolean isComplete = found.size() == spec.taskCount();
+        boolean waitingForImage = !isComplete && search.isWaitingForImage();
         for (Machine machine : found) {
             machine.countTentatively(spec, -1);
         }
-        return new Choice(isWhole ? found : List.of(), waitingForImage);
+        return new Choice(isComplete ? found : List.of(), waitingForImage);
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
+++ b/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
@@ -7,16 +7,17 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Places the waiting tasks of one job on machines that have room for them. */
+/** Places the waiting tasks of one job on machines with free capacity. */
 final class JobPlacer {
     /**
-     * What came of an attempt to place a job.
+     * The result of placing a job.
      *
-     * @param placed tasks that got a machine
+     * @param placedTasks number of placed tasks
      * @param waitingForImage whether machines were left out only because others have the image
-     * @param recordsFull whether tasks were left out because they don't fit their records now
+     * @param recordsFull whether tasks were left out because they do not fit into their stored
+     *     records now
      */
-    record Result(int placed, boolean waitingForImage, boolean recordsFull) {
+    record Result(int placedTasks, boolean waitingForImage, boolean recordsFull) {
         static final Result NONE = new Result(0, false, false);
     }
 
@@ -33,29 +34,33 @@
     }
 
     /**
-     * Places the gang as a whole, or at most {@code limit} tasks of another job.
+     * Places the gang as a whole, or at most {@code limit} tasks of any other job.
      *
-     * @param mayWaitForImage whether machines may be left out since enough others have the image
+     * @param mayWaitForImage whether machines without the image may be left out because enough
+     *     others have it
      */
-    Result place(Job job, List<Machine> open, boolean mayWaitForImage, int limit, double now) {
+    Result place(
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, int limit, double now) {
         return job.spec.isGang()
-                ? placeGang(job, open, mayWaitForImage, now)
-                : placeTasks(job, open, mayWaitForImage, limit, now);
+                ? placeGang(job, openMachines, mayWaitForImage, now)
+                : placeTasks(job, openMachines, mayWaitForImage, limit, now);
     }
 
-    /** Places at most {@code limit} tasks of a job that is no gang. */
-    Result placeTasks(Job job, List<Machine> open, boolean mayWaitForImage, int limit, double now) {
+    /** Places at most {@code limit} tasks of a job that is not a gang. */
+    Result placeTasks(
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, int limit, double now) {
         JobSpec spec = job.spec;
-        // Where images are takes long to find out, and says nothing if no machine has room.
-        if (open.stream()
+        // Finding the machines that have the image is expensive, and useless if no machine has free
+        // capacity.
+        if (openMachines.stream()
                 .noneMatch(
                         machine ->
                                 placement.isAllowed(machine, spec)
-                                        && placement.hasRoom(machine, spec))) {
+                                        && placement.hasCapacity(machine, spec))) {
             return Result.NONE;
         }
         int tasks = taskLimit(job, now, limit);
-        List<Machine> candidates = candidateMachines.forPlacing(job, open, now);
+        List<Machine> candidates = candidateMachines.forPlacing(job, openMachines, now);
         MachineSearch search = placement.newSearch(spec, candidates, mayWaitForImage);
         ZoneConstraints zones = ZoneConstraints.of(job);
         if (spec.isSingleZone() && !zones.isDecided()) {
@@ -63,25 +68,26 @@
                     gangPlacement.chooseZone(spec, Math.min(tasks, job.waitingTasks()), candidates);
             search = search.restrictedTo(machine -> machine.zone().equals(zone.orElse(null)));
         }
-        return placeFound(job, search, zones, tasks, now);
+        return placeOnFoundMachines(job, search, zones, tasks, now);
     }
 
-    private Result placeFound(
-            Job job, MachineSearch firstSearch, ZoneConstraints zones, int limit, double now) {
-        MachineSearch search = firstSearch;
-        int placed = 0;
+    private Result placeOnFoundMachines(
+            Job job, MachineSearch initialSearch, ZoneConstraints zones, int limit, double now) {
+        MachineSearch search = initialSearch;
+        int placedTasks = 0;
         boolean waitingForImage = false;
         boolean recordsFull = false;
         for (int task = job.nextWaitingTask(0);
-                task >= 0 && placed < limit;
+                task >= 0 && placedTasks < limit;
                 task = job.nextWaitingTask(task + 1)) {
             if (!shard.fitsRecord(job, task)) {
                 recordsFull = true;
                 if (job.spec.shape() == JobSpec.Shape.SERVICE) {
-                    shard.requestMigration(job); // Nothing of it ends by itself.
+                    shard.requestMigration(job); // A service's tasks do not end by themselves.
                     break;
                 }
-                // The next part may have room on record; this one has when some of it ends.
+                // The record of the next part may have free space; the record of this part has some
+                // again once some of its tasks end.
                 task = job.lastTaskOfPart(task);
                 continue;
             }
@@ -92,19 +98,22 @@
             }
             Machine machine = found.get();
             shard.place(job, task, machine, now);
-            placed++;
+            placedTasks++;
             zones.addTasks(machine.zone(), 1);
             if (zones.remainingTasks(machine.zone()) == 0) {
                 search = search.restrictedTo(other -> !other.zone().equals(machine.zone()));
             }
         }
-        if (placed > 0) {
+        if (placedTasks > 0) {
             shard.advanceAttemptNumber(job);
         }
-        return new Result(placed, waitingForImage, recordsFull);
+        return new Result(placedTasks, waitingForImage, recordsFull);
     }
 
-    /** How many tasks the team's quota allows; one at a time of a job that fails everywhere. */
+    /**
+     * Returns how many tasks the team's quota allows; a job that fails everywhere gets one task at
+     * a time.
+     */
     private int taskLimit(Job job, double now, int limit) {
         int tasks = Math.min(limit, shard.quotaUsage().remainingTasks(job.spec));
         if (shard.failureDiagnosis().isJobAtFault(job, now)) {
@@ -113,8 +122,9 @@
         return tasks;
     }
 
-    private Result placeGang(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
-        // Until every task of the old attempt is proven over, the gang can't start anew.
+    private Result placeGang(
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
+        // The gang restarts only after every task of its old attempt is confirmed ended.
         if (!job.liveAttempts().isEmpty()) {
             shard.restartGangOnceImagesFetched(job);
             return Result.NONE;
@@ -127,8 +137,10 @@
             return new Result(0, false, true);
         }
         GangPlacement.Choice choice =
-                gangPlacement.chooseGang(
-                        job.spec, candidateMachines.forPlacing(job, open, now), mayWaitForImage);
+                gangPlacement.chooseMachinesForGang(
+                        job.spec,
+                        candidateMachines.forPlacing(job, openMachines, now),
+                        mayWaitForImage);
         if (!choice.isFound()) {
             return new Result(0, choice.waitingForImage(), false);
         }
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -12,88 +12,93 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes room for jobs that find none: evicts work that has to give way where that loses least, or
- * reserves the machines that come free soonest. See docs/design.md, "Giving way". Not thread-safe:
- * used on the event loop only.
+ * Frees capacity for jobs that find none: evicts preemptible work where that loses the least CPU
+ * time, or reserves the machines that become free soonest. See docs/design.md, "Giving way". Not
+ * thread-safe: used only on the event loop.
  */
 public final class Preemption {
     private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
 
     /**
-     * Report intervals for which the room of evicted work is held for the job: by then the stopped
-     * tasks can have been reported as ended.
+     * Heartbeat intervals for which the capacity of evicted work is reserved for the job. The
+     * stopped tasks can have been reported as ended by then.
      */
-    private static final double RESERVE_REPORT_INTERVALS = 2;
+    private static final double RESERVATION_HEARTBEAT_INTERVALS = 2;
 
     private final ShardState shard;
     private final ProbePlacement placement;
     private final PreemptionRules rules;
     private final EvictionCandidates candidates;
-    private final RoomReservations reservations;
+    private final CapacityReservations reservations;
     private final CandidateMachines candidateMachines;
-    private final PromisedRoom promisedRoom;
+    private final CapacityPromises capacityPromises;
     private long evictions;
     private long evictionsForGuarantees;
-    private long evictionsForGangs;
+    private long evictionsForLargeJobs;
 
     /**
-     * Whether this round has searched for room for small tasks. One search a round is enough, as it
-     * inspects every attempt and the next round comes in a moment.
+     * Whether this scheduling round has already searched for capacity for small tasks. One search
+     * per round suffices, because it inspects every attempt and the next round follows shortly.
      */
-    private boolean hasSearchedForSmallJobs;
+    private boolean hasSearchedForSmallTasks;
 
     Preemption(
             ShardState shard,
             ProbePlacement placement,
             PreemptionRules rules,
             CandidateMachines candidateMachines,
-            PromisedRoom promisedRoom) {
+            CapacityPromises capacityPromises) {
         this.shard = shard;
         this.placement = placement;
         this.rules = rules;
         this.candidates = new EvictionCandidates(shard, placement, rules);
         this.candidateMachines = candidateMachines;
-        this.promisedRoom = promisedRoom;
-        this.reservations = new RoomReservations(shard, placement, rules);
+        this.capacityPromises = capacityPromises;
+        this.reservations = new CapacityReservations(shard, placement, rules);
     }
 
-    /** Attempts stopped for other work since this node started. */
+    /** Returns the number of attempts evicted for other work since this node started. */
     public long evictions() {
         return evictions;
     }
 
-    /** Those of the evictions that a team's guarantee was the reason for, not a priority. */
+    /** Returns the number of evictions made for a team's guarantee and not for a priority. */
     public long evictionsForGuarantees() {
         return evictionsForGuarantees;
     }
 
-    /** Those of the evictions that made room for gangs and large tasks. */
-    public long evictionsForGangs() {
-        return evictionsForGangs;
+    /** Returns the number of evictions that freed capacity for gangs and large tasks. */
+    public long evictionsForLargeJobs() {
+        return evictionsForLargeJobs;
     }
 
-    /** A new round: what gives way and which job reserves room are decided anew. */
+    /**
+     * Begins a scheduling round, in which the preemptible work and the jobs with reservations are
+     * determined anew.
+     */
     void beginRound() {
         reservations.beginRound();
         candidates.beginRound();
-        hasSearchedForSmallJobs = false;
+        hasSearchedForSmallTasks = false;
     }
 
     /**
-     * For a job that found no room: evicts lesser work where that is enough, or else reserves
-     * machines for the job, so that smaller work behind it does not take every gap.
+     * Frees capacity for a job that found none: evicts preemptible work where that suffices,
+     * otherwise reserves machines for the job, so that smaller work behind it does not take every
+     * gap.
      *
-     * @param mayWaitForImage whether machines may be left out since enough others have the image
-     * @return whether anything was stopped or reserved
+     * @param mayWaitForImage whether machines without the image may be left out because enough
+     *     others have it
+     * @return whether an attempt was stopped or a machine reserved
      */
-    boolean makeRoom(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
-        boolean small = rules.isSmall(job.spec);
-        if (small) {
-            if (hasSearchedForSmallJobs) {
+    boolean freeCapacity(Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
+        boolean isSmall = rules.isSmall(job.spec);
+        if (isSmall) {
+            if (hasSearchedForSmallTasks) {
                 return false;
             }
-            hasSearchedForSmallJobs = true;
-            if (!candidates.hasYieldingWork(job)) {
+            hasSearchedForSmallTasks = true;
+            if (!candidates.hasPreemptibleWork(job)) {
                 return false;
             }
         }
@@ -101,7 +106,8 @@
                 job.spec.isGang()
                         ? job.waitingTasks()
                         : Math.min(job.waitingTasks(), shard.quotaUsage().remainingTasks(job.spec));
-        List<Machine> machines = candidateMachines.forMakingRoom(job, open, mayWaitForImage, now);
+        List<Machine> machines =
+                candidateMachines.forFreeingCapacity(job, openMachines, mayWaitForImage, now);
         var byZone = candidates.byZone(job, machines, now);
         Optional<List<EvictionCandidate>> cheapest =
                 EvictionCandidates.cheapest(job, tasks, byZone.values());
@@ -109,32 +115,32 @@
             evict(job, cheapest.get(), tasks, now);
             return true;
         }
-        if (small) {
-            return false; // Small tasks find gaps by themselves.
+        if (isSmall) {
+            return false; // Small tasks fit into gaps without a reservation.
         }
         return reservations.reserveSoonest(job, tasks, byZone.keySet(), machines, now);
     }
 
     private void evict(Job job, List<EvictionCandidate> chosen, int tasks, double now) {
-        boolean small = rules.isSmall(job.spec);
+        boolean isSmall = rules.isSmall(job.spec);
         double reservedUntil =
                 now
-                        + RESERVE_REPORT_INTERVALS
+                        + RESERVATION_HEARTBEAT_INTERVALS
                                 * shard.settings().workers().heartbeatIntervalSeconds();
-        int missing = tasks;
+        int missingTasks = tasks;
         for (EvictionCandidate candidate : chosen) {
-            if (!small || rules.hasWorkServedBefore(job, candidate.machine())) {
+            if (!isSmall || rules.hasWorkServedBefore(job, candidate.machine())) {
                 candidate.machine().reserve(job, reservedUntil);
             } else {
-                promisedRoom.promise(candidate.machine(), job, reservedUntil);
+                capacityPromises.promise(candidate.machine(), job, reservedUntil);
             }
-            missing -= evict(job, candidate, missing);
+            missingTasks -= evict(job, candidate, missingTasks);
         }
     }
 
     /**
-     * Stops just enough on the machine, the latest placed first; returns how many tasks of the job
-     * it will hold.
+     * Stops just enough attempts on the machine, the latest placed first; returns how many tasks of
+     * the job it will hold.
      */
     private int evict(Job job, EvictionCandidate candidate, int tasks) {
         List<Attempt> victims = new ArrayList<>();
@@ -151,22 +157,22 @@
         victims.sort(
                 Comparator.comparingDouble((Attempt attempt) -> -attempt.placedAt)
                         .thenComparing(attempt -> -attempt.task));
-        int wanted = Math.min(tasks, candidate.slotsAfterEviction());
+        int wantedSlots = Math.min(tasks, candidate.slotsAfterEviction());
         for (Attempt attempt : victims) {
-            if (placement.freeSlots(candidate.machine(), job.spec, freed) >= wanted) {
+            if (placement.freeSlots(candidate.machine(), job.spec, freed) >= wantedSlots) {
                 break;
             }
-            // An attempt that is not on record yet is taken back at once, and frees its room
-            // itself.
-            boolean durable = attempt.isDurable();
+            // An attempt that is not committed yet is withdrawn at once, which already frees its
+            // capacity.
+            boolean wasDurable = attempt.isDurable();
             logEviction(attempt, job, candidate.machine());
             shard.evictAttempt(attempt, job);
             countEviction(attempt.job, job);
-            if (durable) {
+            if (wasDurable) {
                 freed.add(attempt);
             }
         }
-        return wanted;
+        return wantedSlots;
     }
 
     private void logEviction(Attempt victim, Job job, Machine machine) {
@@ -190,7 +196,7 @@
     private void countEviction(Job victim, Job job) {
         evictions++;
         if (!rules.isSmall(job.spec)) {
-            evictionsForGangs++;
+            evictionsForLargeJobs++;
         }
         if (!isForPriority(victim, job)) {
             evictionsForGuarantees++;
--- a/src/main/java/io/kitepath/core/scheduling/RunningLoad.java
+++ b/src/main/java/io/kitepath/core/scheduling/RunningLoad.java
@@ -8,68 +8,72 @@
 import java.util.List;
 
 /**
- * The CPU time that running work, which gives way to none of the waiting jobs looked at, will
- * probably take. It is asked for each waiting job, so the running work is summed up beforehand.
+ * Estimates the CPU time that running work will take. Includes only work that is not preempted for
+ * the waiting jobs under consideration. The estimate is requested for each waiting job, so the
+ * running work is summed up beforehand.
  */
 final class RunningLoad {
-    /** CPUs that a job's tasks hold, and for how many seconds on average. */
-    private record Running(double cpus, double remainingSeconds) {}
+    /**
+     * CPUs held by a job's running tasks, and the average remaining time of these tasks in seconds.
+     */
+    private record JobLoad(double cpus, double remainingSeconds) {}
 
     private final double now;
-    private final List<Running> running = new ArrayList<>();
+    private final List<JobLoad> jobLoads = new ArrayList<>();
 
-    /** The remaining seconds of what runs, ascending. */
-    private double[] ends = new double[0];
+    /** Remaining seconds of the running jobs, ascending. */
+    private double[] sortedRemainingSeconds = new double[0];
 
-    /** CPU seconds that the first of those still take, by their number. */
+    /** Element {@code i} holds the remaining CPU seconds of the first {@code i} of those jobs. */
     private double[] cumulativeCpuSeconds = new double[1];
 
-    /** CPUs that the first of those hold, by their number. */
+    /** Element {@code i} holds the CPUs held by the first {@code i} of those jobs. */
     private double[] cumulativeCpus = new double[1];
 
     RunningLoad(double now) {
         this.now = now;
     }
 
-    /** Adds the running tasks of those jobs to what is summed up. */
-    void add(List<Job> jobs) {
-        jobs.forEach(this::add);
-        if (running.size() > ends.length) {
-            sumUp();
+    /** Adds the running tasks of the jobs to the sums. */
+    void addRunningTasks(List<Job> jobs) {
+        jobs.forEach(this::addRunningTasks);
+        if (jobLoads.size() > sortedRemainingSeconds.length) {
+            computeSums();
         }
     }
 
-    private void add(Job job) {
+    private void addRunningTasks(Job job) {
         double remainingSeconds = 0;
         for (Attempt attempt : job.liveAttempts().values()) {
             remainingSeconds += attempt.remainingSeconds(now);
         }
         int tasks = job.liveAttempts().size();
         if (tasks > 0) {
-            running.add(new Running(tasks * job.spec.cpusPerTask(), remainingSeconds / tasks));
+            jobLoads.add(new JobLoad(tasks * job.spec.cpusPerTask(), remainingSeconds / tasks));
         }
     }
 
-    private void sumUp() {
-        running.sort(Comparator.comparingDouble(Running::remainingSeconds));
-        int jobs = running.size();
-        ends = new double[jobs];
+    private void computeSums() {
+        jobLoads.sort(Comparator.comparingDouble(JobLoad::remainingSeconds));
+        int jobs = jobLoads.size();
+        sortedRemainingSeconds = new double[jobs];
         cumulativeCpuSeconds = new double[jobs + 1];
         cumulativeCpus = new double[jobs + 1];
         for (int i = 0; i < jobs; i++) {
-            Running ofJob = running.get(i);
-            ends[i] = ofJob.remainingSeconds;
+            JobLoad load = jobLoads.get(i);
+            sortedRemainingSeconds[i] = load.remainingSeconds;
             cumulativeCpuSeconds[i + 1] =
-                    cumulativeCpuSeconds[i] + ofJob.cpus * ofJob.remainingSeconds;
-            cumulativeCpus[i + 1] = cumulativeCpus[i] + ofJob.cpus;
+                    cumulativeCpuSeconds[i] + load.cpus * load.remainingSeconds;
+            cumulativeCpus[i + 1] = cumulativeCpus[i] + load.cpus;
         }
     }
 
-    /** CPU seconds that the running work takes within that many seconds. */
+    /** Returns the CPU seconds that the running work takes within the given time. */
     double cpuSecondsWithin(double seconds) {
-        int found = Arrays.binarySearch(ends, seconds);
-        int ended = found >= 0 ? found : -found - 1;
-        double cpusStillHeld = cumulativeCpus[ends.length] - cumulativeCpus[ended];
-        return cumulativeCpuSeconds[ended] + cpusStillHeld * seconds;
+        int searchResult = Arrays.binarySearch(sortedRemainingSeconds, seconds);
+        int endedJobs = searchResult >= 0 ? searchResult : -searchResult - 1;
+        double remainingCpus =
+                cumulativeCpus[sortedRemainingSeconds.length] - cumulativeCpus[endedJobs];
+        return cumulativeCpuSeconds[endedJobs] + remainingCpus * seconds;
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -18,32 +18,34 @@
 import java.util.Set;
 
 /**
- * Scheduling rounds: which waiting work is placed where, in which order, and what is evicted for
- * it. Not thread-safe: used on the event loop only.
+ * Runs scheduling rounds: decides which waiting work is placed where, in which order, and which
+ * work is evicted for it. Not thread-safe: used only on the event loop.
  */
 public final class Scheduler {
-    /** Seconds within which every job has to start, however large it is. */
+    /** Seconds within which every job has to start, regardless of its size. */
     private static final double LARGE_JOB_START_SECONDS = 240;
 
-    /** The part of that time after which a large job is served first. */
+    /** Fraction of {@link #LARGE_JOB_START_SECONDS} after which a large job is served first. */
     private static final double PROMOTE_AFTER_FRACTION = 0.5;
 
     /**
-     * For how long a job of which nothing is placed may leave out machines without its image: half
-     * of the 90 s within which it has to be placed where there is room.
+     * How long a job of which no task is placed may leave out machines without its image: half of
+     * the 90 s within which it has to be placed if there is free capacity.
      */
     private static final double MAX_IMAGE_WAIT_SECONDS = 45;
 
     /**
-     * What holds for a job in a scheduling round.
+     * A job and the conditions under which it is served in a scheduling round.
      *
-     * @param comparable whether the outcome holds for other jobs of the shape, and theirs for it
-     * @param waits whether the job still waits for room that comes free by itself
-     * @param mayWaitForImage whether it leaves out machines since enough others have its image
+     * @param comparable whether its result applies to other jobs of its shape, and theirs to it
+     * @param waitsForFreeCapacity whether it still waits for capacity that is freed without
+     *     eviction
+     * @param mayWaitForImage whether it leaves out machines because enough others have its image
      */
-    private record Turn(Job job, boolean comparable, boolean waits, boolean mayWaitForImage) {
-        /** Whether the outcome for other jobs holds for this one. */
-        boolean isKnown(UnschedulableShapes shapes) {
+    private record JobContext(
+            Job job, boolean comparable, boolean waitsForFreeCapacity, boolean mayWaitForImage) {
+        /** Whether the recorded results of other jobs apply to this job. */
+        boolean isCoveredBy(UnschedulableShapes shapes) {
             return comparable
                     && (mayWaitForImage ? shapes.contains(job) : shapes.containsForAnyImage(job));
         }
@@ -53,107 +55,115 @@
     private final ProbePlacement probePlacement;
     private final PreemptionRules preemptionRules;
     private final Preemption preemption;
-    private final PromisedRoom promisedRoom;
+    private final CapacityPromises capacityPromises;
     private final GuaranteeAllocation guarantees;
     private final JobPlacer placer;
     private final LoopTimeAccounting loopTime;
     private final WarmReserve warmReserve;
 
-    /** What found no free room in this round. */
-    private final UnschedulableShapes withoutFreeRoom = new UnschedulableShapes();
+    /** Shapes that found no free capacity in this scheduling round. */
+    private final UnschedulableShapes shapesWithoutFreeCapacity = new UnschedulableShapes();
 
-    /** What found none in this round for which eviction can't make room either. */
-    private final UnschedulableShapes beyondPreemption = new UnschedulableShapes();
+    /**
+     * Shapes that found no free capacity in this scheduling round and for which eviction cannot
+     * free any.
+     */
+    private final UnschedulableShapes shapesBeyondPreemption = new UnschedulableShapes();
 
-    /** The order as last worked out; empty before. */
+    /** The last computed order; empty before the first computation. */
     private Optional<List<Job>> lastOrder = Optional.empty();
 
-    private double lastOrderAt;
+    private double lastOrderAtSeconds;
 
-    /** The job that comes first in that order whatever its rank, if there is one. */
+    /** The job that comes first in that order regardless of its rank, if there is one. */
     private Optional<Job> promotedJob = Optional.empty();
 
     /** The {@link ShardState#jobGeneration} of the jobs in that order. */
     private long lastOrderGeneration;
 
     /**
-     * @param random draws the machines that are probed
-     * @param loopTime is told how long ordering and evicting take
+     * @param random random source for the machines to probe
+     * @param loopTime records the time spent on ordering and evicting
      */
     public Scheduler(ShardState shard, Random random, LoopTimeAccounting loopTime) {
         this.shard = shard;
         this.loopTime = loopTime;
         this.probePlacement = new ProbePlacement(random, shard.machineTypes());
         this.preemptionRules = new PreemptionRules(shard);
-        this.promisedRoom = new PromisedRoom();
+        this.capacityPromises = new CapacityPromises();
         this.guarantees = new GuaranteeAllocation(shard);
         this.warmReserve = new WarmReserve(shard, probePlacement);
         CandidateMachines candidateMachines =
-                new CandidateMachines(probePlacement, preemptionRules, warmReserve, promisedRoom);
+                new CandidateMachines(
+                        probePlacement, preemptionRules, warmReserve, capacityPromises);
         this.preemption =
                 new Preemption(
-                        shard, probePlacement, preemptionRules, candidateMachines, promisedRoom);
+                        shard,
+                        probePlacement,
+                        preemptionRules,
+                        candidateMachines,
+                        capacityPromises);
         this.placer = new JobPlacer(shard, probePlacement, candidateMachines);
     }
 
-    /** The choice of machines, for its counters. */
+    /** Returns the component that selects machines, for its counters. */
     public ProbePlacement probePlacement() {
         return probePlacement;
     }
 
-    /** The eviction of work, for its counters. */
+    /** Returns the component that evicts work, for its counters. */
     public Preemption preemption() {
         return preemption;
     }
 
     /**
-     * The jobs with work to place, in an order not older than {@code maxAgeSeconds}. For callers
-     * that look at all waiting work and don't depend on its exact order: working the order out
-     * takes as long as a whole scheduling round.
+     * Returns the jobs with waiting tasks, in an order that is at most {@code maxAgeSeconds} old.
+     * For callers that need all waiting work but do not depend on its exact order: computing the
+     * order takes as long as a whole scheduling round.
      */
     public List<Job> orderedJobs(double now, double wallMillis, double maxAgeSeconds) {
         if (lastOrder.isEmpty()
                 || lastOrderGeneration != shard.jobGeneration()
-                || now - lastOrderAt > maxAgeSeconds) {
+                || now - lastOrderAtSeconds > maxAgeSeconds) {
             return orderedJobs(now, wallMillis);
         }
         return lastOrder.get().stream().filter(job -> job.waitingTasks() > 0).toList();
     }
 
     /**
-     * The unfinished jobs with work to place, in the order in which they are served.
+     * Returns the unfinished jobs with waiting tasks, in the order in which they are served.
      *
      * @param now seconds on the steady clock
      * @param wallMillis milliseconds since 1970
      */
     public List<Job> orderedJobs(double now, double wallMillis) {
-        double began = loopTime.now();
-        // There may be many jobs that wait for others, which need no order.
+        double startedAt = loopTime.now();
+        // Many jobs may be held until other jobs end; these need no order.
         List<Job> jobs = shard.jobs().values().stream().filter(job -> !job.isHeld()).toList();
         shard.serviceLevels().update(jobs, this::startLatencySeconds, wallMillis);
         guarantees.mark(jobs);
-        // A job that fails everywhere is served last and takes nobody's time.
-        List<Job> sound = new ArrayList<>();
+        // A job that fails everywhere is served last and delays no other job.
+        List<Job> healthy = new ArrayList<>();
         List<Job> failing = new ArrayList<>();
         for (Job job : jobs) {
-            (shard.failureDiagnosis().isJobAtFault(job, now) ? failing : sound).add(job);
+            (shard.failureDiagnosis().isJobAtFault(job, now) ? failing : healthy).add(job);
         }
-        Map<MachineKind, Integer> machines = countOpenMachines();
+        Map<MachineKind, Integer> machinesByKind = countOpenMachines();
         List<Job> order =
                 new SchedulingQueue(
-                                spec -> usableCpus(spec, machines),
+                                spec -> usableCpus(spec, machinesByKind),
                                 this::startLatencySeconds,
                                 shard.serviceLevels()::catchUpShare,
                                 now,
                                 wallMillis)
-                        .sortJobs(sound);
+                        .sortJobs(healthy);
         promoteLargestJob(order, wallMillis);
         failing.removeIf(job -> job.waitingTasks() == 0);
         order.addAll(failing);
         lastOrder = Optional.of(List.copyOf(order));
-        lastOrderAt = now;
+        lastOrderAtSeconds = now;
         lastOrderGeneration = shard.jobGeneration();
-        loopTime.record(Activity.ORDERING, began);
+        loopTime.record(Activity.ORDERING, startedAt);
         return order;
     }
 
@@ -172,19 +182,21 @@
     }
 
     /**
-     * Serves the longest waiting of a class's largest jobs first, once it has used most of the time
-     * within which it has to start; it evicts nothing that it might not evict anyway. Guards
-     * against such a job being overtaken for ever: what asks for much at once goes without whenever
-     * others go first by size or rank. One at a time, since room is kept for it meanwhile.
+     * Serves the longest waiting of a class's largest jobs first, once {@link
+     * #PROMOTE_AFTER_FRACTION} of the time within which it has to start has passed. The job evicts
+     * nothing that it might not evict anyway. Guards against such a job being overtaken forever: a
+     * job that requests much capacity at once gets none as long as others go first by size or rank.
+     * Only one job is promoted at a time, because capacity is reserved for it meanwhile.
      */
     private void promoteLargestJob(List<Job> order, double wallMillis) {
-        double since = wallMillis - 1000 * LARGE_JOB_START_SECONDS * PROMOTE_AFTER_FRACTION;
+        double eligibleBeforeMillis =
+                wallMillis - 1000 * LARGE_JOB_START_SECONDS * PROMOTE_AFTER_FRACTION;
         promotedJob =
                 order.stream()
                         .filter(
                                 job ->
                                         (job.spec.isGang() || job.spec.isSingleZone())
-                                                && job.eligibleSinceMillis() < since
+                                                && job.eligibleSinceMillis() < eligibleBeforeMillis
                                                 && !job.hasStarted()
                                                 && shard.serviceLevels().isLargest(job.spec))
                         .min(Comparator.comparingDouble(Job::eligibleSinceMillis));
@@ -195,23 +207,26 @@
                 });
     }
 
-    /** How many CPUs such jobs could use at once if these machines, counted by kind, were empty. */
-    private double usableCpus(JobSpec spec, Map<MachineKind, Integer> machines) {
+    /**
+     * Returns how many CPUs such jobs could use at once if these machines, counted by kind, were
+     * empty.
+     */
+    private double usableCpus(JobSpec spec, Map<MachineKind, Integer> machinesByKind) {
         double cpus = 0;
-        for (Map.Entry<MachineKind, Integer> count : machines.entrySet()) {
-            MachineKind kind = count.getKey();
+        for (Map.Entry<MachineKind, Integer> kindCount : machinesByKind.entrySet()) {
+            MachineKind kind = kindCount.getKey();
             if (ProbePlacement.isAllowed(kind, spec)) {
                 int slots =
                         ProbePlacement.maxSlots(spec, shard.machineTypes().get(kind.machineType()));
-                cpus += count.getValue() * spec.cpusPerTask() * slots;
+                cpus += kindCount.getValue() * spec.cpusPerTask() * slots;
             }
         }
         return cpus;
     }
 
     /**
-     * Runs a scheduling round: places as many waiting tasks as it can, at most {@code limit}. The
-     * placings take effect once they are written.
+     * Runs a scheduling round: places as many waiting tasks as possible, at most {@code limit}. The
+     * placements take effect once they are committed.
      *
      * @return how many tasks were placed
      */
@@ -220,38 +235,39 @@
         List<Job> order = orderedJobs(now, wallMillis);
         preemptionRules.beginRound();
         preemption.beginRound();
-        promisedRoom.beginRound(promotedJob, now);
-        List<Machine> open =
+        capacityPromises.beginRound(promotedJob, now);
+        List<Machine> openMachines =
                 shard.machines().values().stream().filter(Machine::isSchedulable).toList();
-        warmReserve.chooseMachines(open, wallMillis);
-        withoutFreeRoom.clear();
-        beyondPreemption.clear();
-        Set<Job> withReservation = new HashSet<>();
-        open.forEach(machine -> withReservation.add(machine.reservedFor()));
-        int placed = 0;
+        warmReserve.chooseMachines(openMachines, wallMillis);
+        shapesWithoutFreeCapacity.clear();
+        shapesBeyondPreemption.clear();
+        Set<Job> jobsWithReservation = new HashSet<>();
+        openMachines.forEach(machine -> jobsWithReservation.add(machine.reservedFor()));
+        int placedTasks = 0;
         for (Job job : order) {
             shard.markBacklog();
-            if (placed >= limit) {
+            if (placedTasks >= limit) {
                 shard.requestScheduling();
                 break;
             }
             if (now >= job.notBefore()) {
-                Turn turn =
-                        new Turn(
+                JobContext context =
+                        new JobContext(
                                 job,
-                                isComparable(job) && !withReservation.contains(job),
-                                preemptionRules.isWaitingForFreeRoom(job, wallMillis),
+                                isComparable(job) && !jobsWithReservation.contains(job),
+                                preemptionRules.isWaitingForFreeCapacity(job, wallMillis),
                                 mayWaitForImage(job, now, wallMillis));
-                placed += placeJob(turn, open, limit - placed, now);
+                placedTasks += placeJob(context, openMachines, limit - placedTasks, now);
             }
         }
-        return placed;
+        return placedTasks;
     }
 
     /**
      * Whether the job may still wait for machines that have its image. Guards against a job that
-     * waits beside a machine with room for as long as long tasks keep those with its image full:
-     * once none of it was placed for a while, it takes what there is.
+     * waits, although a machine has free capacity, for as long as long tasks occupy the machines
+     * with its image: if none of its tasks was placed for {@link #MAX_IMAGE_WAIT_SECONDS}, it uses
+     * any machine.
      */
     private static boolean mayWaitForImage(Job job, double now, double wallMillis) {
         return wallMillis - job.eligibleSinceMillis() < 1000 * MAX_IMAGE_WAIT_SECONDS
@@ -259,8 +275,8 @@
     }
 
     /**
-     * Whether what such a job finds holds for other jobs of its shape as well; not for a job that
-     * failed, or that has to look at where its other tasks are.
+     * Whether the result of the job applies to other jobs of its shape as well. It does not for a
+     * job that failed, or whose placement depends on where its other tasks are.
      */
     private static boolean isComparable(Job job) {
         if (!job.failedMachines().isEmpty()) {
@@ -271,46 +287,52 @@
                 : !job.spec.isSingleZone() && !job.spec.isSpreadAcrossZones();
     }
 
-    /** Places what it can of the job, and makes room for the rest. */
-    private int placeJob(Turn turn, List<Machine> open, int limit, double now) {
-        Job job = turn.job;
-        boolean knownWithoutRoom = turn.isKnown(withoutFreeRoom);
-        if (turn.waits && knownWithoutRoom || turn.isKnown(beyondPreemption)) {
+    /** Places as many tasks of the job as possible, and frees capacity for the rest. */
+    private int placeJob(JobContext context, List<Machine> openMachines, int limit, double now) {
+        Job job = context.job;
+        boolean knownWithoutCapacity = context.isCoveredBy(shapesWithoutFreeCapacity);
+        if (context.waitsForFreeCapacity && knownWithoutCapacity
+                || context.isCoveredBy(shapesBeyondPreemption)) {
             return 0;
         }
         JobPlacer.Result result =
-                knownWithoutRoom
+                knownWithoutCapacity
                         ? JobPlacer.Result.NONE
-                        : placer.place(job, open, turn.mayWaitForImage, limit, now);
-        int placed = result.placed();
-        // A job whose records are full for now does not stand for others, which may fit.
-        if (result.recordsFull() || placed >= limit || !mayPlaceMore(job, now)) {
-            return placed;
+                        : placer.place(job, openMachines, context.mayWaitForImage, limit, now);
+        int placedTasks = result.placedTasks();
+        // The result of a job whose records are full now does not apply to others, which may fit.
+        if (result.recordsFull() || placedTasks >= limit || !mayPlaceMore(job, now)) {
+            return placedTasks;
         }
-        if (turn.comparable) {
-            withoutFreeRoom.add(job, result.waitingForImage());
+        if (context.comparable) {
+            shapesWithoutFreeCapacity.add(job, result.waitingForImage());
         }
-        if (turn.waits) {
-            return placed;
+        if (context.waitsForFreeCapacity) {
+            return placedTasks;
         }
-        if (!makeRoom(job, open, turn.mayWaitForImage, now)) {
-            if (turn.comparable) {
-                // Making room may have left out machines that lack this job's image.
-                beyondPreemption.add(job, turn.mayWaitForImage && job.spec.allowsSpot());
+        if (!freeCapacity(job, openMachines, context.mayWaitForImage, now)) {
+            if (context.comparable) {
+                // Freeing capacity may have left out machines that lack this job's image.
+                shapesBeyondPreemption.add(job, context.mayWaitForImage && job.spec.allowsSpot());
             }
         } else if (!job.spec.isGang()) {
-            // Placings that were not written yet free their room at once. Guards against the work
-            // that gave way taking it again in the same round, over and over.
-            placed +=
-                    placer.placeTasks(job, open, turn.mayWaitForImage, limit - placed, now)
-                            .placed();
+            // Evicted placements that are not committed yet free their capacity at once. Guards
+            // against the evicted work taking it again in the same scheduling round, repeatedly.
+            placedTasks +=
+                    placer.placeTasks(
+                                    job,
+                                    openMachines,
+                                    context.mayWaitForImage,
+                                    limit - placedTasks,
+                                    now)
+                            .placedTasks();
         }
-        return placed;
+        return placedTasks;
     }
 
     /**
-     * Whether the job has waiting tasks that more room would help. A gang that still has tasks on
-     * machines waits for those, whatever room there is.
+     * Whether the job has waiting tasks that more free capacity would help. A gang that still has
+     * tasks on machines waits for those, regardless of free capacity.
      */
     private boolean mayPlaceMore(Job job, double now) {
         return job.waitingTasks() > 0
@@ -319,10 +341,11 @@
                         >= (job.spec.isGang() ? job.spec.taskCount() : 1);
     }
 
-    private boolean makeRoom(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
-        double began = loopTime.now();
-        boolean made = preemption.makeRoom(job, open, mayWaitForImage, now);
-        loopTime.record(Activity.GIVING_WAY, began);
-        return made;
+    private boolean freeCapacity(
+            Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
+        double startedAt = loopTime.now();
+        boolean freed = preemption.freeCapacity(job, openMachines, mayWaitForImage, now);
+        loopTime.record(Activity.GIVING_WAY, startedAt);
+        return freed;
     }
 }
--- a/src/test/java/io/kitepath/core/scheduling/JobBuilder.java
+++ b/src/test/java/io/kitepath/core/scheduling/JobBuilder.java
@@ -7,8 +7,8 @@
 import io.kitepath.core.shard.Job;
 
 /**
- * Builds jobs for the tests of this package: by default an array of one task of team red, of one
- * CPU and 10 s, submitted at 0 and to be started within 10 s.
+ * Builds jobs for the tests of this package. The default is an array of one task of team red, with
+ * one CPU and 10 s, submitted at 0 and to be started within 10 s.
  */
 final class JobBuilder {
     private final JobSpecBuilder spec;
@@ -44,13 +44,13 @@
         return this;
     }
 
-    JobBuilder shape(Shape itsShape) {
-        spec.shape(itsShape);
+    JobBuilder shape(Shape jobShape) {
+        spec.shape(jobShape);
         return this;
     }
 
-    JobBuilder priority(Priority itsPriority) {
-        spec.priority(itsPriority);
+    JobBuilder priority(Priority jobPriority) {
+        spec.priority(jobPriority);
         return this;
     }
 
@@ -59,8 +59,8 @@
         return this;
     }
 
-    JobBuilder cpus(double perTask) {
-        spec.cpusPerTask(perTask);
+    JobBuilder cpus(double cpusPerTask) {
+        spec.cpusPerTask(cpusPerTask);
         return this;
     }
 
