--- a/src/main/java/io/kitepath/core/service/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -19,25 +19,25 @@
 import java.util.function.Consumer;
 
 /**
- * Whether the jobs that a submission depends on were accepted, by any node of any version. Each is
- * looked for among the open jobs and then among the ended ones, so that one that is just being
- * moved is never taken for one that was never accepted. A job that was accepted stays accepted, so
- * what was found once is not looked for again.
+ * Checks whether the jobs that a submission depends on were accepted, by any node of any version.
+ * Each job is looked up among the open jobs first and then among the ended ones, so that a job that
+ * is being moved at that time is not reported as never accepted. A job that was accepted stays
+ * accepted, so a positive result is cached and not looked up again.
  */
 final class DependencyCheck {
     /**
-     * What the check found.
+     * The result of a dependency check.
      *
-     * @param reason why a job can't be depended on; null unless REJECTED
+     * @param reason why the submission may not depend on a job; null unless REJECTED
      */
     record Result(Kind kind, String reason) {
         /** Whether a job may depend on the jobs that were checked. */
         enum Kind {
-            /** All were accepted. */
+            /** All jobs were accepted. */
             ACCEPTED,
-            /** One was never accepted, or can't be waited for. */
+            /** A job was never accepted, or is a service and never ends. */
             REJECTED,
-            /** The store did not tell. */
+            /** The store returned no usable result. */
             UNDETERMINED
         }
 
@@ -53,17 +53,17 @@
     private static final int MAX_CANCELLED_REMEMBERED = 2000;
 
     /**
-     * Up to that many are read one by one, which also tells services; more are only compared, many
-     * in one request.
+     * Up to this many jobs are read individually, which also identifies services. More jobs are
+     * only compared, many in one request.
      */
     private static final int MAX_READ_SINGLY = 16;
 
     private final Store store;
 
-    /** Of a transaction's conditions a job takes two. */
+    /** A job takes two of a transaction's conditions. */
     private int maxIdsPerComparison;
 
-    /** Jobs that were accepted and are no services. */
+    /** Jobs that were accepted and are not services. */
     private final Cache<String, Boolean> accepted =
             Caffeine.newBuilder().maximumSize(MAX_ACCEPTED_REMEMBERED).build();
 
@@ -75,7 +75,7 @@
         this.maxIdsPerComparison = 2 * settings.store().maxTransactionOperations();
     }
 
-    /** Whether one of them is known to be cancelled. */
+    /** Returns whether at least one of the jobs is known to be cancelled. */
     boolean isAnyCancelled(List<String> ids) {
         return ids.stream().anyMatch(id -> cancelled.getIfPresent(id) != null);
     }
@@ -102,9 +102,9 @@
         }
     }
 
-    // ---- reading one by one ---------------------------------------------------------------------
+    // ---- reading individually -------------------------------------------------------------------
 
-    /** Answers once: when all were accepted, or as soon as one was not. */
+    /** Reports one result: when all jobs were accepted, or as soon as one was not. */
     private void readEach(List<String> ids, Consumer<Result> answer) {
         Consumer<Result> combined =
                 new Consumer<>() {
@@ -160,13 +160,13 @@
                     ? Result.rejected("job " + id + " is a service, which is never done")
                     : Result.ACCEPTED;
         } catch (InvalidInputException | IllegalArgumentException e) {
-            return Result.ACCEPTED; // Unreadable to this version, but accepted.
+            return Result.ACCEPTED; // This version can't read the record, but the job was accepted.
         }
     }
 
     // ---- comparing many -------------------------------------------------------------------------
 
-    /** Compares as many as one transaction may, and then the rest. */
+    /** Compares as many jobs as one transaction can hold, and then the rest. */
     private void compare(List<String> ids, Consumer<Result> answer) {
         List<String> compared = ids.subList(0, Math.min(maxIdsPerComparison, ids.size()));
         Transaction transaction = new Transaction();
@@ -181,7 +181,7 @@
     private void onCompared(
             List<String> ids, List<String> compared, CommitResult result, Consumer<Result> answer) {
         if (result.outcome() == Outcome.INVALID && compared.size() > 1) {
-            // The store takes fewer conditions by now than the settings say.
+            // The store now accepts fewer conditions than the settings say.
             maxIdsPerComparison = compared.size() / 2;
             compare(ids, answer);
             return;
@@ -216,7 +216,7 @@
         return missing;
     }
 
-    /** That a job was never accepted is only said after it has been read once more. */
+    /** Reads the missing jobs again before one is reported as never accepted. */
     private void readMissing(List<String> missing, Runnable compareRest, Consumer<Result> answer) {
         readEach(
                 missing.subList(0, Math.min(MAX_READ_SINGLY, missing.size())),
--- a/src/main/java/io/kitepath/core/service/FinalStates.java
+++ b/src/main/java/io/kitepath/core/service/FinalStates.java
@@ -18,15 +18,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How jobs ended, from memory where this node knows it and from the store otherwise. A final state
- * never changes, so it is the only one that may be answered from memory.
+ * Provides the final states of ended jobs, from memory where this node knows them and from the
+ * store otherwise. A final state never changes, so it is the only state that may be returned from
+ * memory.
  */
 final class FinalStates {
     private static final Logger LOG = LoggerFactory.getLogger(FinalStates.class);
 
     static final String CANCELLED = EndStatus.CANCELLED.storedName();
 
-    /** The field of a record of a job's end that says how many of its tasks are done. */
+    /** The field of an ended job's record that holds the number of its completed tasks. */
     private static final String DONE_TASKS = "done";
 
     private static final int MAX_REMEMBERED = 5000;
@@ -34,8 +35,8 @@
     private final Store store;
 
     /**
-     * Guards against requests that wait for their time-out, one behind the other, when it is known
-     * that they can't be answered: users are told at once when to come back.
+     * Guards against requests that queue up until they time out although it is known that they
+     * can't be served: users are notified immediately when to retry.
      */
     private final BooleanSupplier isStoreReachable;
 
@@ -44,8 +45,8 @@
             Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).build();
 
     /**
-     * @param isStoreReachable whether the store answers this node
-     * @param onCancelled told of every job that is found to be cancelled, before any user is
+     * @param isStoreReachable whether the store responds to this node
+     * @param onCancelled notified of every job that is found to be cancelled, before any user is
      */
     FinalStates(Store store, BooleanSupplier isStoreReachable, Consumer<String> onCancelled) {
         this.store = store;
@@ -53,12 +54,12 @@
         this.onCancelled = onCancelled;
     }
 
-    /** The job's final state, if this node knows it. */
+    /** Returns the job's final state, if this node knows it. */
     Optional<JobStatus> find(String jobId) {
         return Optional.ofNullable(byJob.getIfPresent(jobId));
     }
 
-    /** Remembers a final state that the store has. */
+    /** Caches a final state that is committed to the store. */
     void remember(JobStatus status) {
         byJob.put(status.jobId(), status);
         if (status.status().equals(CANCELLED)) {
@@ -67,8 +68,10 @@
     }
 
     /**
-     * Answers if that takes no request to the store: with the job's final state, or that the store
-     * can't be asked now. Returns whether it has answered.
+     * Responds if that takes no request to the store: with the job's final state, or with LATER if
+     * the store is unreachable.
+     *
+     * @return whether a response was given
      */
     boolean answerWithoutStore(String jobId, Consumer<JobResponse> answer) {
         Optional<JobStatus> known = find(jobId);
@@ -83,8 +86,8 @@
     }
 
     /**
-     * Reads how the job ended; NOT_FOUND if the store has no record of its end, LATER if the record
-     * does not say how.
+     * Reads the job's final state from the store. Responds with NOT_FOUND if there is no record of
+     * the ended job, and with LATER if the record can't be read.
      */
     void read(String jobId, Consumer<JobResponse> answer) {
         store.get(
@@ -99,7 +102,8 @@
     }
 
     /**
-     * Guards against a user who waits for an answer that never comes, as the record can't be read.
+     * Parses the record of an ended job. Guards against a user who waits for a response that never
+     * comes because the record is unreadable.
      */
     private JobResponse adopt(String jobId, Entry entry) {
         try {
@@ -107,7 +111,7 @@
             remember(status);
             return new JobResponse(Verdict.KNOWN, status);
         } catch (InvalidInputException invalid) {
-            LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
+            LOG.error("record unreadable: key={} error={}", entry.key(), invalid.getMessage());
             return JobResponse.LATER;
         }
     }
@@ -117,7 +121,10 @@
         return new JobStatus(jobId, status, doneTasks(document), 0);
     }
 
-    /** For display only, so a record that lacks it still tells how the job ended. */
+    /**
+     * Returns 0 if the field is absent: it is for display only, and the final state is valid
+     * without it.
+     */
     private static int doneTasks(DocumentReader document) {
         return document.raw(DONE_TASKS) instanceof Long count ? count.intValue() : 0;
     }
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -9,12 +9,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether this node may answer workers under its fencing token, and so keep their tasks alive.
+ * Decides whether this node may respond to workers under its fencing token, and so keep their tasks
+ * alive.
  *
- * <p>An answer that is sent at time a keeps tasks alive until a + {@code lease_s} at most. Every
- * cancellation that was confirmed before k, the {@link CancellationWatermark}, is known here, and
- * each answer says what to stop for it. One that is not known was confirmed after k, so its tasks
- * are gone {@code a - k + lease_s} after it at the latest: that has to stay under {@code cancel_s}.
+ * <p>A response that is sent at time {@code a} keeps tasks alive until {@code a + lease_s} at most.
+ * Every cancellation that was confirmed before {@code k}, the {@link CancellationWatermark}, is
+ * known to this node, and each response contains the commands to stop the cancelled tasks. A
+ * cancellation that is not known was confirmed after {@code k}, so its tasks end at most {@code a -
+ * k + lease_s} after it. This must stay below {@code cancel_s}.
  */
 final class HeartbeatAuthority {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatAuthority.class);
@@ -33,32 +35,34 @@
         this.cancellationWatermark = cancellationWatermark;
     }
 
-    /** Whether this node may answer that heartbeat. */
+    /** Returns whether this node may respond to the heartbeat. */
     boolean mayAnswer(Heartbeat heartbeat) {
         return leadership.isLeading()
                 && heartbeat.fencingToken() <= shard.fencingToken()
                 && knowsCancellations();
     }
 
-    /** Whether an answer that was held may still go out under the token that it was given. */
+    /**
+     * Returns whether a held response may still be sent under the fencing token that it was given.
+     */
     boolean mayStillAnswer(long fencingToken) {
         return leadership.isLeading()
                 && fencingToken == shard.fencingToken()
                 && knowsCancellations();
     }
 
-    /** Guards against a leader that keeps tasks of jobs alive whose cancellation it missed. */
+    /** Guards against a leader that keeps the tasks of jobs alive whose cancellation it missed. */
     private boolean knowsCancellations() {
         double ageSeconds = cancellationWatermark.ageSeconds();
         boolean knows = ageSeconds < settings.workers().cancellationStalenessSeconds();
         if (isRefusing == knows) {
             isRefusing = !knows;
             if (knows) {
-                LOG.info("cancellations known again: heartbeats are answered");
+                LOG.info("cancellation watermark recent again: responding to heartbeats");
             } else {
                 LOG.warn(
-                        "heartbeats not answered, cancellations may be missing:"
-                                + " watermarkAgeSeconds={} secondsSinceStoreAnswered={}"
+                        "not responding to heartbeats, cancellations may be missing:"
+                                + " watermarkAgeSeconds={} secondsSinceStoreResponse={}"
                                 + " leastKnownPeer={}",
                         Math.round(ageSeconds),
                         Math.round(leadership.secondsSinceStoreAnswered()),
--- a/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
@@ -17,14 +17,14 @@
 import java.util.function.Consumer;
 
 /**
- * The leader's own answers to heartbeats. The answer to a machine that has nothing to do is held
- * for a moment, so that work which is placed on it meanwhile starts at once.
+ * Responds to heartbeats as the leader. The response to an idle machine is held briefly, so that a
+ * task that is placed on it meanwhile starts without delay.
  */
 final class HeartbeatResponder {
     /**
-     * An answer that is held.
+     * A response that is held back.
      *
-     * @param fencingToken under which the heartbeat was processed
+     * @param fencingToken the fencing token under which the heartbeat was processed
      */
     private record HeldAnswer(
             Consumer<HeartbeatResponse> answer, List<WorkerCommand> commands, long fencingToken) {}
@@ -57,20 +57,25 @@
         this.onSchedulingNeeded = onSchedulingNeeded;
     }
 
-    /** Answers a worker that asked this node itself, at once or when there is work for it. */
+    /**
+     * Responds to a worker that contacted this node directly, immediately or when there is work for
+     * it.
+     */
     void respond(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         double startedAt = loopTime.now();
         if (heartbeatProcessor.isNewer(heartbeat)) {
             respondToNewest(heartbeat, answer);
         } else {
-            // Guards against a late copy that takes the place of the heartbeat whose answer is
-            // held.
+            // Guards against a late duplicate that replaces the heartbeat whose response is held.
             answer.accept(process(heartbeat, false));
         }
         loopTime.record(Activity.CHECK_INS, startedAt);
     }
 
-    /** Answers a heartbeat that a peer asks about: at once, for the worker's time is running. */
+    /**
+     * Returns the response to a heartbeat that a peer relayed. It is not held, as the worker's
+     * lease is running out.
+     */
     HeartbeatResponse respondAtOnce(Heartbeat heartbeat) {
         return process(heartbeat, heartbeatProcessor.isNewer(heartbeat));
     }
@@ -95,7 +100,7 @@
                 });
     }
 
-    /** Whether the worker is told to do nothing but forget tasks that have ended. */
+    /** Returns whether the response contains no commands but to forget tasks that have ended. */
     private static boolean isIdle(HeartbeatResponse response) {
         return response.fencingToken() > 0
                 && response.commands().stream()
@@ -108,7 +113,11 @@
                 : 0;
     }
 
-    /** {@code isNewest}: no newer heartbeat of its machine has been processed. */
+    /**
+     * Processes a heartbeat and returns the response to it.
+     *
+     * @param isNewest whether no newer heartbeat of its machine has been processed
+     */
     private HeartbeatResponse process(Heartbeat heartbeat, boolean isNewest) {
         if (!stateWriter.knowsRunningJobs() || !authority.mayAnswer(heartbeat)) {
             heartbeatProcessor.recordUnanswered(heartbeat, timers.nowSeconds());
@@ -122,7 +131,7 @@
                                 stateWriter::mayRun,
                                 timers.nowSeconds()));
         if (isNewest) {
-            // Nothing is launched by the answer to a late copy, which nobody hears.
+            // The response to a late duplicate launches nothing, as no worker receives it.
             commands.addAll(startAndStopCommands(heartbeat.machineId()));
         }
         if (shard.isSchedulingNeeded()) {
@@ -131,25 +140,35 @@
         return new HeartbeatResponse(shard.fencingToken(), commands, null);
     }
 
-    /** What the machine shall start and stop; it starts nothing unless launches may go now. */
+    /**
+     * Returns the machine's start and stop commands; no start commands unless launches are allowed
+     * now.
+     */
     private List<WorkerCommand> startAndStopCommands(String machineId) {
         return heartbeatProcessor.commands(machineId, leadership.mayLaunch(), timers.nowSeconds());
     }
 
-    /** Answers without a token: to the leader, or to any other node if this one leads itself. */
+    /**
+     * Returns a response without a fencing token, which redirects the worker to the leader, or to
+     * any other node if this node is the leader.
+     */
     private HeartbeatResponse redirect() {
         return leadership.isLeading()
                 ? ParkedHeartbeats.noLeaderKnown()
                 : HeartbeatResponse.redirectTo(leadership.leader());
     }
 
-    /** Answers the machine's heartbeat now if its answer is held; returns whether it was. */
+    /**
+     * Sends the held response to the machine's heartbeat now, if there is one.
+     *
+     * @return whether a response was held
+     */
     boolean release(String machineId) {
         HeldAnswer held = heldAnswers.remove(machineId);
         if (held == null) {
             return false;
         }
-        // What was true when the heartbeat came need not be when the answer goes.
+        // The node's authority may have changed since the heartbeat was received.
         if (!authority.mayStillAnswer(held.fencingToken)) {
             held.answer.accept(redirect());
             return true;
@@ -160,7 +179,9 @@
         return true;
     }
 
-    /** Releases the answers to all machines that something may be launched or stopped on now. */
+    /**
+     * Releases the held responses to all machines for which there are start or stop commands now.
+     */
     void releaseWithCommands() {
         double startedAt = loopTime.now();
         for (String machineId : new ArrayList<>(heldAnswers.keySet())) {
@@ -171,6 +192,7 @@
         loopTime.record(Activity.ANSWERS, startedAt);
     }
 
+    /** Releases all held responses. */
     void releaseAll() {
         new ArrayList<>(heldAnswers.keySet()).forEach(this::release);
     }
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -16,9 +16,9 @@
 import java.util.function.Consumer;
 
 /**
- * Receives workers' heartbeats at any node. The leader answers them; another node redirects the
- * worker to the leader, relays the heartbeat if the worker can't reach the leader, or lets it wait
- * a moment until a leader is known. Runs on the event loop.
+ * Receives workers' heartbeats at any node. The leader responds to them. Any other node redirects
+ * the worker to the leader, relays the heartbeat if the worker can't reach the leader, or parks it
+ * briefly until a leader is known. Runs on the event loop.
  */
 public final class HeartbeatService {
     private static final int MAX_REDIRECTS_REMEMBERED = 2000;
@@ -32,7 +32,10 @@
     private final HeartbeatResponder responder;
     private final ParkedHeartbeats parked;
 
-    /** When workers were redirected to the leader, by machine, in seconds on the steady clock. */
+    /**
+     * The time at which workers were redirected to the leader, by machine, in seconds on the steady
+     * clock.
+     */
     private final Map<String, Double> redirectedAt =
             new LinkedHashMap<>() {
                 @Override
@@ -44,7 +47,11 @@
     private long receivedCount;
     private long relayedCount;
 
-    /** {@code onSchedulingNeeded} runs when a heartbeat may let work be placed. */
+    /**
+     * Creates the service.
+     *
+     * @param onSchedulingNeeded runs when a heartbeat may allow tasks to be placed
+     */
     public HeartbeatService(
             LeaderComponents components,
             MembershipView membership,
@@ -62,20 +69,26 @@
         this.parked = new ParkedHeartbeats(timers, settings.limits().maxSockets() / 2);
     }
 
-    /** Heartbeats received since this node started, including those that had waited here. */
+    /**
+     * Returns the number of heartbeats received since this node started; a parked one that is
+     * received again counts again.
+     */
     public long receivedCount() {
         return receivedCount;
     }
 
-    /** Of those, the ones that were relayed on the worker's behalf. */
+    /**
+     * Returns the number of received heartbeats that were relayed to the leader on the worker's
+     * behalf.
+     */
     public long relayedCount() {
         return relayedCount;
     }
 
     /**
-     * Takes a worker's heartbeat.
+     * Receives a worker's heartbeat.
      *
-     * @param answer called once, now or while the worker still waits for it
+     * @param answer called once, immediately or while the worker still waits for the response
      */
     public void receive(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         receivedCount++;
@@ -85,8 +98,8 @@
         if (leadership.isLeading()) {
             receiveAsLeader(heartbeat, answer);
         } else if (isCutOff()) {
-            // Guards against a worker that waits here, its lease running, for a leader that others
-            // hear and this node does not.
+            // Guards against a worker whose lease runs out while it waits here for a leader that
+            // other nodes can reach and this node can't.
             answer.accept(ParkedHeartbeats.noLeaderKnown());
         } else {
             receiveAsFollower(heartbeat, answer);
@@ -97,7 +110,8 @@
         if (stateWriter.knowsRunningJobs()) {
             responder.respond(heartbeat, answer);
         } else {
-            // A new leader does not know yet what was cancelled, also shortly before its term.
+            // A new leader does not know yet which jobs were cancelled, including those shortly
+            // before its term.
             park(heartbeat, Optional.empty(), answer);
         }
     }
@@ -108,10 +122,10 @@
             park(heartbeat, Optional.empty(), answer);
             return;
         }
-        // A redirected worker that is back did not get through to the leader, and one that comes
-        // with tasks and a token has lost it, this one or the last: ask on its behalf. Redirecting
-        // it once more would cost it up to 5 s, of a lease that may be 10 s long. From time to time
-        // it is redirected to try again.
+        // A redirected worker that returns could not reach the leader. A worker that reports tasks
+        // and a fencing token has lost the current leader or the previous one. Its heartbeat is
+        // relayed on its behalf: another redirect would cost it up to 5 s of a lease that may be 10
+        // s long. The worker is redirected from time to time to try the leader again.
         double now = timers.nowSeconds();
         boolean isBack = wasRedirectedLately(heartbeat, now);
         if (!isBack && !hasLostLeader(heartbeat)) {
@@ -123,8 +137,8 @@
         relayedCount++;
         Optional<ParkedHeartbeat> waiting = park(heartbeat, Optional.of(leader), answer);
         if (waiting.isPresent() && !relay(leader, waiting.get()) && heartbeat.tasks().isEmpty()) {
-            // A worker without tasks has nothing to lose; the others wait for another leader, who
-            // may be elected soon.
+            // A worker without tasks has no lease at stake, so it is released now. The others stay
+            // parked for another leader, which may be elected soon.
             parked.settle(
                     waiting.get(),
                     isBack
@@ -138,7 +152,7 @@
         return at != null && now - at < 2 * settings.workers().leaseSeconds();
     }
 
-    /** Whether the worker comes from a leader, and was not redirected by this node. */
+    /** Returns whether the worker had contact with a leader and was not redirected by this node. */
     private boolean hasLostLeader(Heartbeat heartbeat) {
         return !redirectedAt.containsKey(heartbeat.machineId())
                 && heartbeat.fencingToken() > 0
@@ -146,7 +160,10 @@
                         || !heartbeat.tasks().isEmpty());
     }
 
-    /** Whether neither the store nor any peer is heard, so that no leader can be found out. */
+    /**
+     * Returns whether neither the store nor any peer responds, so that the leader can't be
+     * determined.
+     */
     private boolean isCutOff() {
         return membership.isIsolated()
                 && leadership.secondsSinceStoreAnswered() > leadership.leaseSeconds() + 1;
@@ -157,12 +174,14 @@
         return parked.park(heartbeat, askedLeader, leadership.highestFencingToken(), answer);
     }
 
-    // ---- between nodes --------------------------------------------------------------------------
+    // ---- relaying between nodes -----------------------------------------------------------------
 
     /**
-     * Asks the leader about a heartbeat, or a peer that may still reach it; returns whether any of
-     * them could be asked. Guards against work that dies with its lease because two zones can't
-     * reach each other: its worker loses the leader, and so does the node next to it.
+     * Relays a heartbeat to the leader, or to a peer that may still reach it. Guards against tasks
+     * that are lost with their lease because two zones can't reach each other: then both the worker
+     * and the node in its zone lose the leader.
+     *
+     * @return whether the heartbeat could be relayed to any node
      */
     private boolean relay(String leader, ParkedHeartbeat waiting) {
         if (!membership.isSilent(leader)
@@ -181,7 +200,7 @@
         return false;
     }
 
-    /** Has the peer ask the leader; only an answer of the leader counts. */
+    /** Lets the peer relay the heartbeat to the leader; only a response of the leader is used. */
     private boolean relayVia(String peer, ParkedHeartbeat waiting) {
         return peers.relayHeartbeat(
                 peer,
@@ -195,9 +214,9 @@
     }
 
     /**
-     * Answers a heartbeat that a peer asks about.
+     * Responds to a heartbeat that a peer relayed.
      *
-     * @param passOn whether the leader may be asked in turn
+     * @param passOn whether this node may relay the heartbeat to the leader in turn
      */
     public void answerForPeer(
             Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
@@ -212,11 +231,12 @@
         }
     }
 
-    // ---- changes that answers wait for ----------------------------------------------------------
+    // ---- events that release responses ----------------------------------------------------------
 
     /**
-     * A leader is known, or this one has found out which jobs may run: what waits for that, or for
-     * the answer of the last leader, is received anew.
+     * Called when a leader is known, or when this node as the leader knows which jobs may run.
+     * Heartbeats that are parked until then, or that wait for a response of the previous leader,
+     * are received again.
      */
     public void onLeaderKnown() {
         String leader = leadership.leader();
@@ -228,17 +248,21 @@
         }
     }
 
-    /** What was just written may be launched. */
+    /** Called when a write batch is committed, so that its launches may be sent. */
     public void onWritten() {
         responder.releaseWithCommands();
     }
 
-    /** Answers the machine's heartbeat now if its answer is held; returns whether it was. */
+    /**
+     * Sends the held response to the machine's heartbeat now, if there is one.
+     *
+     * @return whether a response was held
+     */
     public boolean release(String machineId) {
         return responder.release(machineId);
     }
 
-    /** Answers all heartbeats whose answers are held: this node does not lead any more. */
+    /** Sends all held responses. Called when this node is no longer the leader. */
     public void releaseAll() {
         responder.releaseAll();
     }
--- a/src/main/java/io/kitepath/core/service/JobApi.java
+++ b/src/main/java/io/kitepath/core/service/JobApi.java
@@ -6,21 +6,26 @@
 import java.util.function.Consumer;
 
 /**
- * What users ask of any node. All requests are idempotent: one whose answer was lost may be sent
- * again. Called, and answers, on the event loop.
+ * Requests that users can send to any node. All requests are idempotent: a request whose response
+ * was lost may be sent again. Methods are called, and respond, on the event loop.
  */
 public interface JobApi {
-    /** Accepts a job without dependencies; one that was accepted before is answered as it is. */
+    /**
+     * Accepts a job without dependencies. A job that was accepted before is not changed; the
+     * response is its current state.
+     */
     default void submit(JobSpec spec, Consumer<JobResponse> answer) {
         submit(spec, List.of(), answer);
     }
 
-    /** The same; none of its tasks starts before all jobs in {@code dependencies} are done. */
+    /**
+     * Accepts a job none of whose tasks starts before all jobs in {@code dependencies} are done.
+     */
     void submit(JobSpec spec, List<String> dependencies, Consumer<JobResponse> answer);
 
-    /** The job's state; never older than one that was answered before. */
+    /** Responds with the job's state, which is never older than one in an earlier response. */
     void status(String id, Consumer<JobResponse> answer);
 
-    /** Cancels the job unless it has ended; answers its state. */
+    /** Cancels the job unless it has ended, and responds with its state. */
     void cancel(String id, Consumer<JobResponse> answer);
 }
--- a/src/main/java/io/kitepath/core/service/JobCancellation.java
+++ b/src/main/java/io/kitepath/core/service/JobCancellation.java
@@ -18,10 +18,10 @@
 
 /**
  * Cancels jobs: one transaction moves the job's record from the open jobs to the ended ones. Any
- * node does that for any job; the leader learns of it and stops the job's tasks.
+ * node can do this for any job. The leader is notified and stops the job's tasks.
  */
 final class JobCancellation {
-    /** Attempts while the job's record changes between reading and writing it. */
+    /** The number of tries if the job's record changes between reading and writing it. */
     private static final int MAX_TRIES = 4;
 
     private final ClusterSettings settings;
@@ -47,12 +47,14 @@
         this.mayLendTasks = mayLendTasks;
     }
 
-    /** The listener is told of every job that was cancelled here, before its user is. */
+    /**
+     * Sets the listener that is notified of every job that this node cancelled, before the user is.
+     */
     void onCancelled(Consumer<JobStatus> listener) {
         onCancelled = listener;
     }
 
-    /** What is told of a cancelled job. */
+    /** Returns the status of a cancelled job. */
     static JobStatus cancelledStatus(String jobId) {
         return new JobStatus(jobId, FinalStates.CANCELLED, 0, 0);
     }
@@ -118,10 +120,10 @@
     }
 
     /**
-     * Guards against a user who is told that the job is cancelled while a cell that nobody can
-     * reach starts one of its lent tasks: the tasks are recalled first, and the user is told to
-     * come again, until the leader has it from that cell's own records that none of them will start
-     * any more.
+     * Commits a cancellation request, upon which the job's lent tasks are recalled. Guards against
+     * a user who is notified that the job is cancelled while an unreachable remote cell starts one
+     * of its lent tasks. Until that cell's own records show the leader that none of them can start
+     * any more, users are asked to retry.
      */
     private void recallLoans(String jobId, long openRevision, Consumer<JobResponse> answer) {
         store.commit(
@@ -132,7 +134,7 @@
                 result -> answer.accept(JobResponse.LATER));
     }
 
-    /** The record of a cancelled job, from its record as an open one. */
+    /** Returns the record of a cancelled job, made from its record as an open job. */
     Map<String, Object> cancelledRecord(String jobId, Object openRecord) {
         Map<String, Object> end =
                 Map.of(
@@ -146,7 +148,8 @@
             return JobRecord.fromRecord(jobId, openRecord)
                     .toFinishedRecord(end, settings.store().maxValueBytes());
         } catch (InvalidInputException | IllegalArgumentException e) {
-            // Written by a later version, or damaged: kept as it is, and cancelled all the same.
+            // The record was written by a later version or is damaged. It is kept unchanged, and
+            // the job is cancelled nonetheless.
             Map<String, Object> record = new LinkedHashMap<>();
             ((Map<?, ?>) openRecord).forEach((name, value) -> record.put((String) name, value));
             record.putAll(end);
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -18,30 +18,37 @@
 import java.util.function.Consumer;
 
 /**
- * Users' queries for jobs that this node does not know to have ended. Guards against queries that
- * use up the store's request rate and starve leases, submissions and a new leader's reading of the
- * state: all that come within a moment are settled by one request, which compares many keys and
- * writes nothing. The request is sent after the last of its queries came, so no answer is older
- * than one that a user got before.
+ * Serves users' status queries for jobs that this node does not know to have ended. Guards against
+ * queries that use up the store's request rate and starve leases, submissions and a new leader that
+ * loads the state: all queries that arrive within a short interval are resolved by one request,
+ * which compares many keys and writes nothing. The request is sent after the last of its queries
+ * has arrived, so no response is older than one that a user received before.
  */
 public final class JobStatusQueries {
     /** Share of the store's request rate that all nodes together spend on comparisons. */
     private static final double RATE_SHARE = 0.15;
 
-    /** How long the first query waits for others. */
+    /** How long the first query waits for others to join its batch. */
     private static final double GATHER_SECONDS = 0.01;
 
     private static final int MAX_TRIES = 3;
 
-    /** After the first failed try; each further pause is longer by as much. */
+    /**
+     * The back-off after the first failed try; each further back-off is longer by the same amount.
+     */
     private static final double RETRY_SECONDS = 0.1;
 
-    /** Knows the progress of open jobs, as the leader does. */
+    /** A source of the progress of open jobs, such as the leader. */
     public interface ProgressSource {
-        /** Answers the progress of those of the jobs that it knows; an empty list on failure. */
+        /**
+         * Responds with the progress of those jobs that are known to the source; with an empty list
+         * on failure.
+         */
         void progress(List<String> jobs, Consumer<List<JobProgress>> answer);
 
-        /** Why nobody can be asked, in words for users, as far as known. */
+        /**
+         * Returns why no progress is available, as a text for users, as far as the reason is known.
+         */
         String whyUnavailable();
     }
 
@@ -53,7 +60,7 @@
     private int maxJobsPerComparison;
     private final int maxWaiting;
 
-    /** Callers of the next comparisons, by job. */
+    /** Callers that wait for the next comparisons, by job. */
     private final Map<String, List<Consumer<JobResponse>>> waiting = new LinkedHashMap<>();
 
     private int waitingCount;
@@ -73,22 +80,29 @@
         int nodes = settings.siblings().size() + 1;
         this.requestBudget =
                 new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
-        // A transaction takes four conditions for each change that it may hold; a job needs two.
+        // A transaction may hold four conditions for each change that it may hold; a job needs two.
         this.maxJobsPerComparison = 2 * settings.store().maxTransactionOperations();
         this.maxWaiting = settings.limits().maxSockets();
     }
 
-    /** A job was accepted here just now; {@code isIndependent}: it waits for no others. */
+    /**
+     * Called when a job is accepted at this node.
+     *
+     * @param isIndependent whether the job has no dependencies
+     */
     void onAccepted(String jobId, boolean isIndependent) {
         openJobAnswers.onAccepted(jobId, isIndependent);
     }
 
-    /** Whether the job was accepted, as far as this node has heard. */
+    /** Returns whether this node knows that the job was accepted. */
     boolean hasHeardOf(String jobId) {
         return openJobAnswers.hasHeardOf(jobId);
     }
 
-    /** Answers the job's state; LATER if too many wait already or the store can't be asked. */
+    /**
+     * Responds with the job's state, or with LATER if too many callers wait already or the store is
+     * unavailable.
+     */
     void query(String jobId, Consumer<JobResponse> answer) {
         if (waitingCount >= maxWaiting) {
             answer.accept(JobResponse.LATER);
@@ -139,7 +153,7 @@
                         case OK -> batch.answerAll(JobResponse.NOT_FOUND);
                         case REJECTED -> dispatch(batch, new HashSet<>(result.failedKeys()));
                         case INVALID -> {
-                            // The store takes fewer conditions by now than the settings say.
+                            // The store now accepts fewer conditions than the settings say.
                             maxJobsPerComparison = Math.max(1, batch.size() / 2);
                             batch.answerAll(JobResponse.LATER);
                         }
@@ -176,8 +190,8 @@
     }
 
     /**
-     * The comparison did not find the job; that it was never accepted is only said after its two
-     * records have been read in turn.
+     * Handles a job that the comparison did not find: its two records are read in turn before it is
+     * reported as never accepted.
      */
     private void confirmAbsent(QueryBatch batch, String jobId) {
         store.get(
@@ -185,8 +199,8 @@
                 (outcome, entry) -> {
                     switch (outcome) {
                         case OK -> openJobAnswers.answer(batch, List.of(jobId));
-                        // A job moves from open to ended and never back, so what is in neither
-                        // place was never accepted.
+                        // A job moves from open to ended and never back, so a job without either
+                        // record was never accepted.
                         case REJECTED -> readFinalState(batch, jobId);
                         default -> batch.answer(jobId, JobResponse.LATER);
                     }
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -17,44 +17,44 @@
 import java.util.function.Consumer;
 
 /**
- * Accepts jobs, tells their state and cancels them, at any node. The store alone knows whether a
- * job is open or ended, so it is asked; only final states are answered from memory ({@link
- * FinalStates}), because they never change.
+ * Accepts jobs, reports their state and cancels them, at any node. Only the store knows whether a
+ * job is open or ended, so the state is read from it. Only final states are returned from memory
+ * ({@link FinalStates}), because they never change.
  */
 public final class JobSubmissionService implements JobApi {
-    /** What came of a request. The names go over the wire between cells. */
+    /** The outcome of a request. The names are sent over the wire between cells. */
     public enum Verdict {
         /** The job was accepted by this request. */
         CREATED,
         /** The job was accepted before. */
         KNOWN,
         NOT_FOUND,
-        /** Nothing is known for certain: the request shall be sent again. */
+        /** The outcome is uncertain: the request should be sent again. */
         LATER,
         /** The job can never be accepted. */
         REFUSED,
-        /** The job can't be stored as it is. */
+        /** The job can't be stored, for example because its record is too large. */
         INVALID
     }
 
     /**
-     * The answer to a request.
+     * The response to a request.
      *
-     * @param jobStatus null unless the job was or is accepted
-     * @param reason why it is refused or invalid, null otherwise
+     * @param jobStatus the job's status; null unless the job is accepted now or was before
+     * @param reason why the job is refused or invalid; null otherwise
      */
     public record JobResponse(Verdict verdict, JobStatus jobStatus, String reason) {
-        /** The node can't tell now; the user is asked to come back. */
+        /** The node can't determine the state now; the user is asked to retry. */
         public static final JobResponse LATER = new JobResponse(Verdict.LATER, null);
 
         static final JobResponse NOT_FOUND = new JobResponse(Verdict.NOT_FOUND, null);
 
-        /** A response without a reason. */
+        /** Creates a response without a reason. */
         public JobResponse(Verdict verdict, JobStatus jobStatus) {
             this(verdict, jobStatus, null);
         }
 
-        /** The job can never be accepted, for that reason. */
+        /** Returns the response for a job that can never be accepted, with the reason. */
         public static JobResponse refused(String reason) {
             return new JobResponse(Verdict.REFUSED, null, reason);
         }
@@ -64,7 +64,7 @@
         }
     }
 
-    /** What the record of an ended job has beyond that of an open one, in bytes. */
+    /** The size by which the record of an ended job exceeds that of an open one, in bytes. */
     private static final int FINAL_STATE_BYTES = 96;
 
     private final ClusterSettings settings;
@@ -77,8 +77,10 @@
     private Consumer<String> knownCancelledListener = id -> {};
 
     /**
-     * @param isStoreReachable whether the store answers this node
-     * @param progressSource knows the progress of open jobs
+     * Creates the service.
+     *
+     * @param isStoreReachable whether the store responds to this node
+     * @param progressSource the source of the progress of open jobs
      * @param mayLendTasks whether tasks may be lent to other cells
      */
     public JobSubmissionService(
@@ -98,12 +100,17 @@
                 new JobStatusQueries(settings, store, timers, progressSource, finalStates);
     }
 
-    /** The listener is told of every job that this node cancelled, before its user is. */
+    /**
+     * Sets the listener that is notified of every job that this node cancelled, before the user is.
+     */
     public void onCancelled(Consumer<JobStatus> listener) {
         cancellation.onCancelled(listener);
     }
 
-    /** The listener is told of every job that this node knows to be cancelled, before any user. */
+    /**
+     * Sets the listener that is notified of every job that this node knows to be cancelled, before
+     * any user is.
+     */
     public void onKnownCancelled(Consumer<String> listener) {
         knownCancelledListener = listener;
     }
@@ -113,7 +120,9 @@
         knownCancelledListener.accept(id);
     }
 
-    /** Takes a final state that the store has from the node that wrote it, which saves a read. */
+    /**
+     * Caches a final state that another node committed and sent to this one, which saves a read.
+     */
     public void onJobEnded(JobStatus status) {
         finalStates.remember(status);
     }
@@ -144,7 +153,10 @@
                 });
     }
 
-    /** A job that was accepted before is answered with its state, whatever is asked of it now. */
+    /**
+     * Responds with the job's state if it was accepted before, even if this request is not
+     * acceptable, and with {@code otherwise} if it was not.
+     */
     private void answerUnlessKnown(String id, JobResponse otherwise, Consumer<JobResponse> answer) {
         status(
                 id,
@@ -159,7 +171,7 @@
         int maxBytes = settings.store().maxValueBytes();
         if (JsonSize.sizeInBytes(record) + FINAL_STATE_BYTES > maxBytes) {
             String reason =
-                    "names and lists that can't be kept: over "
+                    "names and lists are too long to store: over "
                             + (maxBytes - FINAL_STATE_BYTES)
                             + " bytes together";
             answerUnlessKnown(id, JobResponse.invalid(reason), answer);
@@ -181,8 +193,8 @@
     }
 
     /**
-     * A job that depends on a cancelled one is accepted and cancelled in one write, so that no user
-     * is ever told another state.
+     * Accepts and cancels a job that depends on a cancelled one in a single write, so that no user
+     * ever receives another state.
      */
     private void createCancelled(
             String id, Map<String, Object> record, Consumer<JobResponse> answer) {
@@ -224,7 +236,7 @@
                 .requireRevision(StoreKeys.ENDED_JOBS + id, 0);
     }
 
-    /** Runs {@code onCreated} if the store took it, and answers otherwise. */
+    /** Runs {@code onCreated} if the transaction is committed, and responds otherwise. */
     private void commitNew(
             String id, Transaction transaction, Runnable onCreated, Consumer<JobResponse> answer) {
         store.commit(
@@ -235,7 +247,10 @@
                         case REJECTED -> status(id, answer);
                         case INVALID ->
                                 answerUnlessKnown(
-                                        id, JobResponse.invalid("can't be kept as it is"), answer);
+                                        id,
+                                        JobResponse.invalid(
+                                                "the store rejected the job's record as invalid"),
+                                        answer);
                         default -> answer.accept(JobResponse.LATER);
                     }
                 });
@@ -249,9 +264,9 @@
     }
 
     /**
-     * Guards against an answer that was on its way while this node told a user, or learned,
-     * something newer: that a job ended is told as soon as it is known, and that it was accepted as
-     * soon as the store says so.
+     * Replaces a response that is out of date. Guards against a response that was in flight while
+     * this node received or sent a newer state: the end of a job is reported as soon as it is
+     * known, and its acceptance as soon as it is committed.
      */
     private JobResponse latest(String id, JobResponse response) {
         Optional<JobStatus> finalState = finalStates.find(id);
--- a/src/main/java/io/kitepath/core/service/LeaderComponents.java
+++ b/src/main/java/io/kitepath/core/service/LeaderComponents.java
@@ -7,10 +7,10 @@
 import io.kitepath.core.state.StateWriter;
 
 /**
- * What a node needs to answer heartbeats itself, which it does while it leads.
+ * The components that a node needs to respond to heartbeats itself while it is the leader.
  *
- * @param stateWriter knows which jobs may run
- * @param cancellationWatermark until when this node knows all cancellations
+ * @param stateWriter provides which jobs may run
+ * @param cancellationWatermark the time up to which this node knows all cancellations
  */
 public record LeaderComponents(
         ShardState shard,
--- a/src/main/java/io/kitepath/core/service/OpenJobAnswers.java
+++ b/src/main/java/io/kitepath/core/service/OpenJobAnswers.java
@@ -25,8 +25,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers for jobs that are open: their progress comes from the leader's memory, which costs the
- * store nothing, else from what this node heard before, else from the store's records.
+ * Responds to status queries for open jobs. Their progress comes from the leader's memory, which
+ * takes no request to the store, else from the progress that this node received before, else from
+ * the store's records.
  */
 final class OpenJobAnswers {
     private static final Logger LOG = LoggerFactory.getLogger(OpenJobAnswers.class);
@@ -38,7 +39,7 @@
     private static final int MAX_INDEPENDENT_REMEMBERED = 10_000;
     private static final int MAX_PAGE_ATTEMPTS = 2;
 
-    /** A job's progress, and when it was heard, in seconds on the steady clock. */
+    /** A job's progress, and when it was received, in seconds on the steady clock. */
     private record HeardProgress(JobProgress progress, double heardAt) {}
 
     private final Store store;
@@ -47,19 +48,20 @@
     private final FinalStates finalStates;
 
     /**
-     * Guards against jobs that are never answered since reading their records waits for what
-     * comparisons leave: those take all there is as long as queries come faster than that.
+     * Separate from the budget of comparisons. Guards against jobs whose queries never get a
+     * response because reading their records has to wait for request rate that comparisons leave
+     * over: comparisons use all of it as long as queries arrive faster than it allows.
      */
     private final TokenBucket readBudget;
 
     private final Cache<String, HeardProgress> lastHeard =
             Caffeine.newBuilder().maximumSize(MAX_PROGRESS_REMEMBERED).build();
 
-    /** Jobs that wait for no others, or not any more. */
+    /** Jobs that have no dependencies, or whose dependencies are done. */
     private final Cache<String, Boolean> independent =
             Caffeine.newBuilder().maximumSize(MAX_INDEPENDENT_REMEMBERED).build();
 
-    /** How long the progress of a job that may wait for others may be repeated. */
+    /** How long the received progress of a job that may wait for others may be repeated. */
     private final double freshSeconds;
 
     OpenJobAnswers(
@@ -80,25 +82,26 @@
         this.freshSeconds = settings.workers().cancelDeadlineSeconds() / 2;
     }
 
-    /** A job was accepted just now. */
+    /** Called when a job is accepted at this node. */
     void onAccepted(String jobId, boolean isIndependent) {
         remember(new JobProgress(jobId, 0, 0, null), isIndependent);
     }
 
-    /** Whether the job was accepted, as far as this node has heard. */
+    /** Returns whether this node knows that the job was accepted. */
     boolean hasHeardOf(String jobId) {
         return lastHeard.getIfPresent(jobId) != null;
     }
 
     private void remember(JobProgress progress, boolean isIndependent) {
         lastHeard.put(progress.jobId(), new HeardProgress(progress, timers.nowSeconds()));
-        // What runs, or ran, waits for nothing any more, and can only be cancelled by its own user.
+        // A job that has running or completed tasks no longer waits for others, and can only be
+        // cancelled by its own user.
         if (isIndependent || progress.runningTaskCount() > 0 || progress.doneTaskCount() > 0) {
             independent.put(progress.jobId(), true);
         }
     }
 
-    /** Answers for those jobs of the batch. */
+    /** Responds to the callers of the given open jobs of the batch. */
     void answer(QueryBatch batch, List<String> openJobs) {
         if (openJobs.isEmpty()) {
             return;
@@ -129,13 +132,13 @@
     }
 
     /**
-     * The leader does not tell this job's progress. Guards against a user who is told for ever that
-     * a job is pending which was cancelled because of a job that it depends on: only the leader
-     * knows that until it has been written. So nothing old is told of a job that may still wait for
-     * others.
+     * Responds for a job whose progress the leader did not report. Guards against a user who
+     * permanently receives the state pending for a job that was cancelled because of a job that it
+     * depends on: only the leader knows that until it is committed. So no old progress is returned
+     * for a job that may still wait for others.
      *
-     * @param heard null if this node has not heard of the job's progress
-     * @param isLeaderSilent whether the leader told nothing at all
+     * @param heard the progress that this node received last; null if there is none
+     * @param isLeaderSilent whether the leader reported no progress of any job
      */
     private void answerUnreported(
             QueryBatch batch, String jobId, HeardProgress heard, boolean isLeaderSilent) {
@@ -184,11 +187,11 @@
         try {
             return !JobRecord.fromRecord(jobId, record).dependencies().isEmpty();
         } catch (InvalidInputException | IllegalArgumentException e) {
-            return true; // Not to be told from one that has.
+            return true; // An unreadable record may have dependencies.
         }
     }
 
-    /** Neither the leader nor this node's memory has the progress: the job's parts are read. */
+    /** Reads the job's parts, as neither the leader nor this node's memory has the progress. */
     private void answerFromParts(QueryBatch batch, String jobId) {
         if (!readBudget.tryTake(1, timers.nowSeconds())) {
             batch.answer(jobId, JobResponse.LATER);
@@ -215,7 +218,7 @@
             remember(progress, true);
             return unfinished(progress);
         } catch (InvalidInputException unreadable) {
-            LOG.error("a part of job {} is unreadable: {}", jobId, unreadable.getMessage());
+            LOG.error("job part unreadable: job={} error={}", jobId, unreadable.getMessage());
             return JobResponse.LATER;
         }
     }
--- a/src/main/java/io/kitepath/core/service/ParkedHeartbeats.java
+++ b/src/main/java/io/kitepath/core/service/ParkedHeartbeats.java
@@ -11,28 +11,28 @@
 import java.util.function.Consumer;
 
 /**
- * Heartbeats that wait at this node for a leader, or for the answer of the node that was asked, at
- * most one of each machine.
+ * Holds heartbeats that wait at this node for a leader, or for the response of the node to which
+ * they were relayed; at most one of each machine.
  *
- * <p>Guards against work that dies with its lease although a leader is about to be elected: a
- * worker that is told of no leader comes back a second later, to another node, where it may wait 4
- * s if that one is silent, while a failover takes less. So it waits here until a leader is known:
- * one with tasks for as long as it may, any other for as long as it would have waited before its
- * next try.
+ * <p>Guards against tasks that are lost with their lease although a leader is about to be elected:
+ * a worker that receives no leader retries a second later at another node, where it may wait 4 s if
+ * that node is unresponsive, while a failover takes less. So the heartbeat waits here until a
+ * leader is known: that of a worker with tasks as long as the worker waits for a response, any
+ * other as long as the worker would have waited before its next try.
  */
 final class ParkedHeartbeats {
-    /** Of the 4 s after which a worker drops an answer. */
+    /** Below the 4 s after which a worker discards a response. */
     private static final double MAX_PARK_SECONDS = 3;
 
-    /** After being told of no leader, a worker without tasks comes back after this long. */
+    /** The time after which a worker without tasks retries if its response names no leader. */
     private static final double MAX_PARK_SECONDS_WITHOUT_TASKS = 1;
 
     /**
      * A heartbeat that waits.
      *
-     * @param askedLeader the leader that was asked on the worker's behalf; empty if it waits for
-     *     any leader, or for this one to know which jobs may run
-     * @param highestFencingToken that was known when it began to wait
+     * @param askedLeader the leader to which the heartbeat was relayed; empty if it waits for any
+     *     leader, or for this node as the leader to know which jobs may run
+     * @param highestFencingToken the highest fencing token that was known when the wait began
      */
     record ParkedHeartbeat(
             Heartbeat heartbeat,
@@ -44,8 +44,9 @@
         }
 
         /**
-         * Whether there is somebody else to ask now. The new leader may have the same name as the
-         * one that was asked: a process that was restarted has forgotten what it was asked.
+         * Returns whether the heartbeat can be sent to another leader now. The new leader may have
+         * the same name as the previous one: a restarted process has lost the requests that it
+         * received before.
          */
         boolean isOutdated(String leader, long fencingToken) {
             return askedLeader.isEmpty()
@@ -60,20 +61,26 @@
     /** By machine. */
     private final Map<String, ParkedHeartbeat> parked = new LinkedHashMap<>();
 
-    /** {@code maxParked}: further heartbeats are told of no leader at once. */
+    /**
+     * Creates an empty set of parked heartbeats.
+     *
+     * @param maxParked beyond this number, the response to a heartbeat is immediately that no
+     *     leader is known
+     */
     ParkedHeartbeats(Timers timers, int maxParked) {
         this.timers = timers;
         this.maxParked = maxParked;
     }
 
-    /** The answer that names no leader: the worker shall try any other node. */
+    /** Returns the response that names no leader, upon which the worker tries any other node. */
     static HeartbeatResponse noLeaderKnown() {
         return HeartbeatResponse.redirectTo(null);
     }
 
     /**
-     * Lets a heartbeat wait, in place of an older one of the same machine; empty if it has been
-     * answered instead.
+     * Parks a heartbeat in place of an older one of the same machine.
+     *
+     * @return the parked heartbeat; empty if it received a response instead
      */
     Optional<ParkedHeartbeat> park(
             Heartbeat heartbeat,
@@ -97,8 +104,8 @@
     }
 
     /**
-     * Guards against a copy of an older heartbeat that sends the worker away whose heartbeat waits
-     * here.
+     * Guards against a duplicate of an older heartbeat that ends the wait of the worker's current
+     * one.
      */
     private boolean isLateCopy(Heartbeat heartbeat) {
         ParkedHeartbeat waiting = parked.get(heartbeat.machineId());
@@ -107,7 +114,7 @@
                         waiting.heartbeat.agentIncarnation(), waiting.heartbeat.sequence());
     }
 
-    /** Answers a heartbeat that waits; nothing happens if it has been answered already. */
+    /** Responds to a parked heartbeat; does nothing if it has received its response already. */
     void settle(ParkedHeartbeat waiting, HeartbeatResponse response) {
         if (parked.get(waiting.machineId()) == waiting) {
             parked.remove(waiting.machineId());
@@ -115,12 +122,12 @@
         }
     }
 
-    /** All that wait now, in the order in which their machines began to. */
+    /** Returns all parked heartbeats, in the order in which their machines began to wait. */
     List<ParkedHeartbeat> waiting() {
         return new ArrayList<>(parked.values());
     }
 
-    /** Lets it wait no longer; the caller answers it. */
+    /** Removes a parked heartbeat without a response; the caller has to respond to it. */
     void remove(ParkedHeartbeat waiting) {
         parked.remove(waiting.machineId(), waiting);
     }
--- a/src/main/java/io/kitepath/core/service/QueryBatch.java
+++ b/src/main/java/io/kitepath/core/service/QueryBatch.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Status queries that are settled by one comparison: the callers, by job. */
+/** A batch of status queries that are resolved by one comparison: the callers, by job. */
 final class QueryBatch {
     private final Map<String, List<Consumer<JobResponse>>> callersByJob = new LinkedHashMap<>();
 
@@ -17,7 +17,7 @@
         callersByJob.put(jobId, callers);
     }
 
-    /** The jobs, in the order in which they were first asked for. */
+    /** Returns the jobs, in the order in which they were first queried. */
     Set<String> jobIds() {
         return callersByJob.keySet();
     }
@@ -26,7 +26,10 @@
         return callersByJob.size();
     }
 
-    /** A transaction that writes nothing, and names the keys of these jobs that exist. */
+    /**
+     * Returns a transaction that writes nothing, and whose result names the existing keys of these
+     * jobs.
+     */
     Transaction comparison() {
         Transaction comparison = new Transaction();
         for (String jobId : jobIds()) {
@@ -37,12 +40,12 @@
         return comparison;
     }
 
-    /** Answers all who asked for that job. */
+    /** Sends the response to all callers that queried the job. */
     void answer(String jobId, JobResponse response) {
         callersByJob.get(jobId).forEach(caller -> caller.accept(response));
     }
 
-    /** Answers all with the same. */
+    /** Sends the same response to all callers. */
     void answerAll(JobResponse response) {
         jobIds().forEach(jobId -> answer(jobId, response));
     }
--- a/src/main/java/io/kitepath/core/service/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -4,12 +4,13 @@
 import io.kitepath.core.port.Timers;
 
 /**
- * The pause after which a user who can't be answered now shall ask again. Guards against hundreds
- * who are all told one second, come back together, and are more than the store can answer: they are
- * told the time that the store takes for all of them. Used on the event loop only.
+ * Computes the back-off after which a user whose request can't be served now should retry. Guards
+ * against hundreds of users who all receive a back-off of one second and retry at the same time,
+ * more than the store can serve: they receive the time that the store takes to serve all of them.
+ * Used on the event loop only.
  */
 public final class RetryAfter {
-    /** Nobody is told to wait for longer. */
+    /** The upper bound of the back-off. */
     private static final int MAX_SECONDS = 30;
 
     private static final double WINDOW_SECONDS = 1;
@@ -19,20 +20,20 @@
     /** This node's share of the store's request rate. */
     private final double requestsPerSecond;
 
-    /** In seconds on the steady clock. */
+    /** The start of the current window, in seconds on the steady clock. */
     private double windowStart = Double.NEGATIVE_INFINITY;
 
     private int refusedInWindow;
     private int refusedInLastWindow;
 
-    /** Knows the request rate and the number of nodes from the settings. */
+    /** Creates an instance with the request rate and the number of nodes from the settings. */
     public RetryAfter(ClusterSettings settings, Timers timers) {
         this.timers = timers;
         this.requestsPerSecond =
                 settings.store().requestsPerSecond() / (settings.siblings().size() + 1);
     }
 
-    /** Counts one more user who is told to come back; returns in how many seconds. */
+    /** Counts one more refused user and returns the back-off for that user, in seconds. */
     public int nextRetryAfterSeconds() {
         double now = timers.nowSeconds();
         if (now - windowStart >= WINDOW_SECONDS) {
--- a/src/test/java/io/kitepath/core/service/RetryAfterTest.java
+++ b/src/test/java/io/kitepath/core/service/RetryAfterTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The pause after which refused users are told to come back. */
+/** Tests the back-off that refused users receive. */
 class RetryAfterTest {
     private double now = 10;
 
-    /** Three nodes, and 300 requests a second for all of them: 100 a second for this one. */
+    /** Three nodes that share 300 requests per second: 100 per second for this node. */
     private final ClusterSettings settings =
             new ClusterSettings(
                     "k0",
@@ -73,6 +73,6 @@
         for (int user = 0; user < 100_000; user++) {
             lastSeconds = retryAfter.nextRetryAfterSeconds();
         }
-        assertTrue(lastSeconds == 30, "told " + lastSeconds);
+        assertTrue(lastSeconds == 30, "lastSeconds=" + lastSeconds);
     }
 }
