--- a/src/main/java/io/kitepath/core/service/DependencyCheck.java
+++ b/src/main/java/io/kitepath/core/service/DependencyCheck.java
@@ -56,7 +56,7 @@
      * Up to this many jobs are read individually, which also identifies services. More jobs are
      * only compared, many in one request.
      */
-    private static final int MAX_READ_SINGLY = 16;
+    private static final int MAX_INDIVIDUAL_READS = 16;
 
     private final Store store;
 
@@ -64,10 +64,10 @@
     private int maxIdsPerComparison;
 
     /** Jobs that were accepted and are not services. */
-    private final Cache<String, Boolean> accepted =
+    private final Cache<String, Boolean> acceptedIds =
             Caffeine.newBuilder().maximumSize(MAX_ACCEPTED_REMEMBERED).build();
 
-    private final Cache<String, Boolean> cancelled =
+    private final Cache<String, Boolean> cancelledIds =
             Caffeine.newBuilder().maximumSize(MAX_CANCELLED_REMEMBERED).build();
 
     DependencyCheck(ClusterSettings settings, Store store) {
@@ -77,79 +77,81 @@
 
     /** Returns whether at least one of the jobs is known to be cancelled. */
     boolean isAnyCancelled(List<String> ids) {
-        return ids.stream().anyMatch(id -> cancelled.getIfPresent(id) != null);
+        return ids.stream().anyMatch(id -> cancelledIds.getIfPresent(id) != null);
     }
 
     void onCancelled(String id) {
-        cancelled.put(id, true);
+        cancelledIds.put(id, true);
     }
 
     void onAccepted(String id, Shape shape) {
         if (shape != Shape.SERVICE) {
-            accepted.put(id, true);
+            acceptedIds.put(id, true);
         }
     }
 
-    void check(List<String> ids, Consumer<Result> answer) {
-        List<String> unknown =
-                ids.stream().filter(id -> accepted.getIfPresent(id) == null).toList();
-        if (unknown.isEmpty()) {
-            answer.accept(Result.ACCEPTED);
-        } else if (unknown.size() <= MAX_READ_SINGLY) {
-            readEach(unknown, answer);
+    void check(List<String> ids, Consumer<Result> onResult) {
+        List<String> uncachedIds =
+                ids.stream().filter(id -> acceptedIds.getIfPresent(id) == null).toList();
+        if (uncachedIds.isEmpty()) {
+            onResult.accept(Result.ACCEPTED);
+        } else if (uncachedIds.size() <= MAX_INDIVIDUAL_READS) {
+            readEach(uncachedIds, onResult);
         } else {
-            compare(unknown, answer);
+            compare(uncachedIds, onResult);
         }
     }
 
     // ---- reading individually -------------------------------------------------------------------
 
     /** Reports one result: when all jobs were accepted, or as soon as one was not. */
-    private void readEach(List<String> ids, Consumer<Result> answer) {
+    private void readEach(List<String> ids, Consumer<Result> onResult) {
         Consumer<Result> combined =
                 new Consumer<>() {
-                    private int left = ids.size();
-                    private boolean hasAnswered;
+                    private int remainingCount = ids.size();
+                    private boolean hasReported;
 
                     @Override
                     public void accept(Result result) {
-                        if (!hasAnswered
-                                && (result.kind() != Result.Kind.ACCEPTED || --left == 0)) {
-                            hasAnswered = true;
-                            answer.accept(result);
+                        if (!hasReported
+                                && (result.kind() != Result.Kind.ACCEPTED
+                                        || --remainingCount == 0)) {
+                            hasReported = true;
+                            onResult.accept(result);
                         }
                     }
                 };
-        ids.forEach(id -> read(id, combined));
+        ids.forEach(id -> readJob(id, combined));
     }
 
-    private void read(String id, Consumer<Result> answer) {
+    private void readJob(String id, Consumer<Result> onResult) {
         Result neverAccepted = Result.rejected("job " + id + " was never accepted");
         readRecord(
                 id,
                 StoreKeys.OPEN_JOBS,
-                answer,
+                onResult,
                 () ->
                         readRecord(
                                 id,
                                 StoreKeys.ENDED_JOBS,
-                                answer,
-                                () -> answer.accept(neverAccepted)));
+                                onResult,
+                                () -> onResult.accept(neverAccepted)));
     }
 
-    private void readRecord(String id, String prefix, Consumer<Result> answer, Runnable onAbsent) {
+    private void readRecord(
+            String id, String prefix, Consumer<Result> onResult, Runnable onAbsent) {
         store.get(
                 prefix + id,
                 (outcome, entry) -> {
                     switch (outcome) {
-                        case OK -> answer.accept(judge(id, entry.value()));
+                        case OK -> onResult.accept(evaluateRecord(id, entry.value()));
                         case REJECTED -> onAbsent.run();
-                        default -> answer.accept(Result.UNDETERMINED);
+                        default -> onResult.accept(Result.UNDETERMINED);
                     }
                 });
     }
 
-    private Result judge(String id, Object record) {
+    private Result evaluateRecord(String id, Object record) {
         try {
             Shape shape = JobRecord.fromRecord(id, record).spec().shape();
             if (DocumentReader.of(record).textOr("status", "").equals(FinalStates.CANCELLED)) {
@@ -167,66 +169,70 @@
     // ---- comparing many -------------------------------------------------------------------------
 
     /** Compares as many jobs as one transaction can hold, and then the rest. */
-    private void compare(List<String> ids, Consumer<Result> answer) {
-        List<String> compared = ids.subList(0, Math.min(maxIdsPerComparison, ids.size()));
+    private void compare(List<String> ids, Consumer<Result> onResult) {
+        List<String> comparedIds = ids.subList(0, Math.min(maxIdsPerComparison, ids.size()));
         Transaction transaction = new Transaction();
-        for (String id : compared) {
+        for (String id : comparedIds) {
             transaction
                     .requireRevision(StoreKeys.OPEN_JOBS + id, 0)
                     .requireRevision(StoreKeys.ENDED_JOBS + id, 0);
         }
-        store.commit(transaction, result -> onCompared(ids, compared, result, answer));
+        store.commit(transaction, result -> onCompared(ids, comparedIds, result, onResult));
     }
 
     private void onCompared(
-            List<String> ids, List<String> compared, CommitResult result, Consumer<Result> answer) {
-        if (result.outcome() == Outcome.INVALID && compared.size() > 1) {
+            List<String> ids,
+            List<String> comparedIds,
+            CommitResult result,
+            Consumer<Result> onResult) {
+        if (result.outcome() == Outcome.INVALID && comparedIds.size() > 1) {
             // The store now accepts fewer conditions than the settings say.
-            maxIdsPerComparison = compared.size() / 2;
-            compare(ids, answer);
+            maxIdsPerComparison = comparedIds.size() / 2;
+            compare(ids, onResult);
             return;
         }
         if (result.outcome() != Outcome.OK && result.outcome() != Outcome.REJECTED) {
-            answer.accept(Result.UNDETERMINED);
+            onResult.accept(Result.UNDETERMINED);
             return;
         }
         Runnable compareRest =
                 () -> {
-                    if (compared.size() == ids.size()) {
-                        answer.accept(Result.ACCEPTED);
+                    if (comparedIds.size() == ids.size()) {
+                        onResult.accept(Result.ACCEPTED);
                     } else {
-                        compare(ids.subList(compared.size(), ids.size()), answer);
+                        compare(ids.subList(comparedIds.size(), ids.size()), onResult);
                     }
                 };
-        List<String> missing = missing(compared, result);
-        if (missing.isEmpty()) {
+        List<String> missingIds = findMissing(comparedIds, result);
+        if (missingIds.isEmpty()) {
             compareRest.run();
         } else {
-            readMissing(missing, compareRest, answer);
+            confirmMissing(missingIds, compareRest, onResult);
         }
     }
 
-    private static List<String> missing(List<String> compared, CommitResult result) {
-        Set<String> present = new HashSet<>(result.failedKeys());
-        List<String> missing = new ArrayList<>(compared);
-        missing.removeIf(
+    private static List<String> findMissing(List<String> comparedIds, CommitResult result) {
+        Set<String> existingKeys = new HashSet<>(result.failedKeys());
+        List<String> missingIds = new ArrayList<>(comparedIds);
+        missingIds.removeIf(
                 id ->
-                        present.contains(StoreKeys.OPEN_JOBS + id)
-                                || present.contains(StoreKeys.ENDED_JOBS + id));
-        return missing;
+                        existingKeys.contains(StoreKeys.OPEN_JOBS + id)
+                                || existingKeys.contains(StoreKeys.ENDED_JOBS + id));
+        return missingIds;
     }
 
     /** Reads the missing jobs again before one is reported as never accepted. */
-    private void readMissing(List<String> missing, Runnable compareRest, Consumer<Result> answer) {
+    private void confirmMissing(
+            List<String> missingIds, Runnable compareRest, Consumer<Result> onResult) {
         readEach(
-                missing.subList(0, Math.min(MAX_READ_SINGLY, missing.size())),
+                missingIds.subList(0, Math.min(MAX_INDIVIDUAL_READS, missingIds.size())),
                 result -> {
                     if (result.kind() != Result.Kind.ACCEPTED) {
-                        answer.accept(result);
-                    } else if (missing.size() <= MAX_READ_SINGLY) {
+                        onResult.accept(result);
+                    } else if (missingIds.size() <= MAX_INDIVIDUAL_READS) {
                         compareRest.run();
                     } else {
-                        answer.accept(Result.UNDETERMINED);
+                        onResult.accept(Result.UNDETERMINED);
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/service/FinalStates.java
+++ b/src/main/java/io/kitepath/core/service/FinalStates.java
@@ -41,7 +41,7 @@
     private final BooleanSupplier isStoreReachable;
 
     private final Consumer<String> onCancelled;
-    private final Cache<String, JobStatus> byJob =
+    private final Cache<String, JobStatus> statusByJob =
             Caffeine.newBuilder().maximumSize(MAX_REMEMBERED).build();
 
     /**
@@ -56,12 +56,12 @@
 
     /** Returns the job's final state, if this node knows it. */
     Optional<JobStatus> find(String jobId) {
-        return Optional.ofNullable(byJob.getIfPresent(jobId));
+        return Optional.ofNullable(statusByJob.getIfPresent(jobId));
     }
 
     /** Caches a final state that is committed to the store. */
     void remember(JobStatus status) {
-        byJob.put(status.jobId(), status);
+        statusByJob.put(status.jobId(), status);
         if (status.status().equals(CANCELLED)) {
             onCancelled.accept(status.jobId());
         }
@@ -73,12 +73,12 @@
      *
      * @return whether a response was given
      */
-    boolean answerWithoutStore(String jobId, Consumer<JobResponse> answer) {
-        Optional<JobStatus> known = find(jobId);
-        if (known.isPresent()) {
-            answer.accept(new JobResponse(Verdict.KNOWN, known.get()));
+    boolean respondWithoutStore(String jobId, Consumer<JobResponse> onResponse) {
+        Optional<JobStatus> finalState = find(jobId);
+        if (finalState.isPresent()) {
+            onResponse.accept(new JobResponse(Verdict.KNOWN, finalState.get()));
         } else if (!isStoreReachable.getAsBoolean()) {
-            answer.accept(JobResponse.LATER);
+            onResponse.accept(JobResponse.LATER);
         } else {
             return false;
         }
@@ -89,14 +89,14 @@
      * Reads the job's final state from the store. Responds with NOT_FOUND if there is no record of
      * the ended job, and with LATER if the record can't be read.
      */
-    void read(String jobId, Consumer<JobResponse> answer) {
+    void read(String jobId, Consumer<JobResponse> onResponse) {
         store.get(
                 StoreKeys.ENDED_JOBS + jobId,
                 (outcome, entry) -> {
                     switch (outcome) {
-                        case OK -> answer.accept(adopt(jobId, entry));
-                        case REJECTED -> answer.accept(JobResponse.NOT_FOUND);
-                        default -> answer.accept(JobResponse.LATER);
+                        case OK -> onResponse.accept(parseAndRemember(jobId, entry));
+                        case REJECTED -> onResponse.accept(JobResponse.NOT_FOUND);
+                        default -> onResponse.accept(JobResponse.LATER);
                     }
                 });
     }
@@ -105,7 +105,7 @@
      * Parses the record of an ended job. Guards against a user who waits for a response that never
      * comes because the record is unreadable.
      */
-    private JobResponse adopt(String jobId, Entry entry) {
+    private JobResponse parseAndRemember(String jobId, Entry entry) {
         try {
             JobStatus status = fromRecord(jobId, DocumentReader.of(entry.value()));
             remember(status);
@@ -118,14 +118,14 @@
 
     private static JobStatus fromRecord(String jobId, DocumentReader document) {
         String status = EndStatus.fromRecord(document).storedName();
-        return new JobStatus(jobId, status, doneTasks(document), 0);
+        return new JobStatus(jobId, status, doneTaskCount(document), 0);
     }
 
     /**
      * Returns 0 if the field is absent: it is for display only, and the final state is valid
      * without it.
      */
-    private static int doneTasks(DocumentReader document) {
+    private static int doneTaskCount(DocumentReader document) {
         return document.raw(DONE_TASKS) instanceof Long count ? count.intValue() : 0;
     }
 }
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns whether this node may respond to the heartbeat. */
-    boolean mayAnswer(Heartbeat heartbeat) {
+    boolean mayRespond(Heartbeat heartbeat) {
         return leadership.isLeading()
                 && heartbeat.fencingToken() <= shard.fencingToken()
                 && knowsCancellations();
@@ -45,7 +45,7 @@
     /**
      * Returns whether a held response may still be sent under the fencing token that it was given.
      */
-    boolean mayStillAnswer(long fencingToken) {
+    boolean mayStillRespond(long fencingToken) {
         return leadership.isLeading()
                 && fencingToken == shard.fencingToken()
                 && knowsCancellations();
@@ -53,22 +53,22 @@
 
     /** Guards against a leader that keeps the tasks of jobs alive whose cancellation it missed. */
     private boolean knowsCancellations() {
-        double ageSeconds = cancellationWatermark.ageSeconds();
-        boolean knows = ageSeconds < settings.workers().cancellationStalenessSeconds();
-        if (isRefusing == knows) {
-            isRefusing = !knows;
-            if (knows) {
+        double watermarkAgeSeconds = cancellationWatermark.ageSeconds();
+        boolean isRecent = watermarkAgeSeconds < settings.workers().cancellationStalenessSeconds();
+        if (isRefusing == isRecent) {
+            isRefusing = !isRecent;
+            if (isRecent) {
                 LOG.info("cancellation watermark recent again: responding to heartbeats");
             } else {
                 LOG.warn(
                         "not responding to heartbeats, cancellations may be missing:"
                                 + " watermarkAgeSeconds={} secondsSinceStoreResponse={}"
                                 + " leastKnownPeer={}",
-                        Math.round(ageSeconds),
+                        Math.round(watermarkAgeSeconds),
                         Math.round(leadership.secondsSinceStoreAnswered()),
                         cancellationWatermark.leastKnownPeer());
             }
         }
-        return knows;
+        return isRecent;
     }
 }
--- a/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
@@ -26,8 +26,10 @@
      *
      * @param fencingToken the fencing token under which the heartbeat was processed
      */
-    private record HeldAnswer(
-            Consumer<HeartbeatResponse> answer, List<WorkerCommand> commands, long fencingToken) {}
+    private record HeldResponse(
+            Consumer<HeartbeatResponse> onResponse,
+            List<WorkerCommand> commands,
+            long fencingToken) {}
 
     private final ShardState shard;
     private final HeartbeatProcessor heartbeatProcessor;
@@ -39,7 +41,7 @@
     private final Runnable onSchedulingNeeded;
 
     /** By machine. */
-    private final Map<String, HeldAnswer> heldAnswers = new LinkedHashMap<>();
+    private final Map<String, HeldResponse> heldResponses = new LinkedHashMap<>();
 
     HeartbeatResponder(
             LeaderComponents components,
@@ -61,41 +63,42 @@
      * Responds to a worker that contacted this node directly, immediately or when there is work for
      * it.
      */
-    void respond(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-        double startedAt = loopTime.now();
+    void respond(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
+        double startedAtSeconds = loopTime.now();
         if (heartbeatProcessor.isNewer(heartbeat)) {
-            respondToNewest(heartbeat, answer);
+            respondToNewest(heartbeat, onResponse);
         } else {
             // Guards against a late duplicate that replaces the heartbeat whose response is held.
-            answer.accept(process(heartbeat, false));
+            onResponse.accept(process(heartbeat, false));
         }
-        loopTime.record(Activity.CHECK_INS, startedAt);
+        loopTime.record(Activity.CHECK_INS, startedAtSeconds);
     }
 
     /**
      * Returns the response to a heartbeat that a peer relayed. It is not held, as the worker's
      * lease is running out.
      */
-    HeartbeatResponse respondAtOnce(Heartbeat heartbeat) {
+    HeartbeatResponse respondImmediately(Heartbeat heartbeat) {
         return process(heartbeat, heartbeatProcessor.isNewer(heartbeat));
     }
 
-    private void respondToNewest(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+    private void respondToNewest(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
         String machineId = heartbeat.machineId();
-        release(machineId);
+        releaseHeldResponse(machineId);
         HeartbeatResponse response = process(heartbeat, true);
         double holdSeconds = isIdle(response) ? holdSeconds(machineId) : 0;
         if (holdSeconds == 0) {
-            answer.accept(response);
+            onResponse.accept(response);
             return;
         }
-        HeldAnswer held = new HeldAnswer(answer, response.commands(), response.fencingToken());
-        heldAnswers.put(machineId, held);
+        HeldResponse held =
+                new HeldResponse(onResponse, response.commands(), response.fencingToken());
+        heldResponses.put(machineId, held);
         timers.schedule(
                 holdSeconds,
                 () -> {
-                    if (heldAnswers.get(machineId) == held) {
-                        release(machineId);
+                    if (heldResponses.get(machineId) == held) {
+                        releaseHeldResponse(machineId);
                     }
                 });
     }
@@ -119,9 +122,9 @@
      * @param isNewest whether no newer heartbeat of its machine has been processed
      */
     private HeartbeatResponse process(Heartbeat heartbeat, boolean isNewest) {
-        if (!stateWriter.knowsRunningJobs() || !authority.mayAnswer(heartbeat)) {
+        if (!stateWriter.knowsRunningJobs() || !authority.mayRespond(heartbeat)) {
             heartbeatProcessor.recordUnanswered(heartbeat, timers.nowSeconds());
-            return redirect();
+            return createRedirect();
         }
         List<WorkerCommand> commands =
                 new ArrayList<>(
@@ -152,7 +155,7 @@
      * Returns a response without a fencing token, which redirects the worker to the leader, or to
      * any other node if this node is the leader.
      */
-    private HeartbeatResponse redirect() {
+    private HeartbeatResponse createRedirect() {
         return leadership.isLeading()
                 ? ParkedHeartbeats.noLeaderKnown()
                 : HeartbeatResponse.redirectTo(leadership.leader());
@@ -163,37 +166,37 @@
      *
      * @return whether a response was held
      */
-    boolean release(String machineId) {
-        HeldAnswer held = heldAnswers.remove(machineId);
+    boolean releaseHeldResponse(String machineId) {
+        HeldResponse held = heldResponses.remove(machineId);
         if (held == null) {
             return false;
         }
         // The node's authority may have changed since the heartbeat was received.
-        if (!authority.mayStillAnswer(held.fencingToken)) {
-            held.answer.accept(redirect());
+        if (!authority.mayStillRespond(held.fencingToken)) {
+            held.onResponse.accept(createRedirect());
             return true;
         }
         List<WorkerCommand> commands = new ArrayList<>(held.commands);
         commands.addAll(startAndStopCommands(machineId));
-        held.answer.accept(new HeartbeatResponse(held.fencingToken, commands, null));
+        held.onResponse.accept(new HeartbeatResponse(held.fencingToken, commands, null));
         return true;
     }
 
     /**
      * Releases the held responses to all machines for which there are start or stop commands now.
      */
-    void releaseWithCommands() {
-        double startedAt = loopTime.now();
-        for (String machineId : new ArrayList<>(heldAnswers.keySet())) {
+    void releaseResponsesWithCommands() {
+        double startedAtSeconds = loopTime.now();
+        for (String machineId : new ArrayList<>(heldResponses.keySet())) {
             if (heartbeatProcessor.hasCommands(machineId)) {
-                release(machineId);
+                releaseHeldResponse(machineId);
             }
         }
-        loopTime.record(Activity.ANSWERS, startedAt);
+        loopTime.record(Activity.ANSWERS, startedAtSeconds);
     }
 
     /** Releases all held responses. */
-    void releaseAll() {
-        new ArrayList<>(heldAnswers.keySet()).forEach(this::release);
+    void releaseAllHeldResponses() {
+        new ArrayList<>(heldResponses.keySet()).forEach(this::releaseHeldResponse);
     }
 }
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -30,13 +30,13 @@
     private final PeerNodes peers;
     private final Timers timers;
     private final HeartbeatResponder responder;
-    private final ParkedHeartbeats parked;
+    private final ParkedHeartbeats parkedHeartbeats;
 
     /**
      * The time at which workers were redirected to the leader, by machine, in seconds on the steady
      * clock.
      */
-    private final Map<String, Double> redirectedAt =
+    private final Map<String, Double> redirectedAtSecondsByMachine =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
@@ -66,7 +66,7 @@
         this.peers = peers;
         this.timers = timers;
         this.responder = new HeartbeatResponder(components, timers, loopTime, onSchedulingNeeded);
-        this.parked = new ParkedHeartbeats(timers, settings.limits().maxSockets() / 2);
+        this.parkedHeartbeats = new ParkedHeartbeats(timers, settings.limits().maxSockets() / 2);
     }
 
     /**
@@ -88,73 +88,77 @@
     /**
      * Receives a worker's heartbeat.
      *
-     * @param answer called once, immediately or while the worker still waits for the response
+     * @param onResponse called once, immediately or while the worker still waits for the response
      */
-    public void receive(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+    public void receive(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
         receivedCount++;
         if (heartbeat.fencingToken() > leadership.highestFencingToken()) {
             leadership.onFencingTokenSeen(heartbeat.fencingToken(), null);
         }
         if (leadership.isLeading()) {
-            receiveAsLeader(heartbeat, answer);
-        } else if (isCutOff()) {
+            receiveAsLeader(heartbeat, onResponse);
+        } else if (isIsolatedFromStoreAndPeers()) {
             // Guards against a worker whose lease runs out while it waits here for a leader that
             // other nodes can reach and this node can't.
-            answer.accept(ParkedHeartbeats.noLeaderKnown());
+            onResponse.accept(ParkedHeartbeats.noLeaderKnown());
         } else {
-            receiveAsFollower(heartbeat, answer);
+            receiveAsFollower(heartbeat, onResponse);
         }
     }
 
-    private void receiveAsLeader(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+    private void receiveAsLeader(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
         if (stateWriter.knowsRunningJobs()) {
-            responder.respond(heartbeat, answer);
+            responder.respond(heartbeat, onResponse);
         } else {
             // A new leader does not know yet which jobs were cancelled, including those shortly
             // before its term.
-            park(heartbeat, Optional.empty(), answer);
+            park(heartbeat, Optional.empty(), onResponse);
         }
     }
 
-    private void receiveAsFollower(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+    private void receiveAsFollower(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
         String leader = leadership.leader();
         if (leader == null || leader.equals(settings.node())) {
-            park(heartbeat, Optional.empty(), answer);
+            park(heartbeat, Optional.empty(), onResponse);
             return;
         }
         // A redirected worker that returns could not reach the leader. A worker that reports tasks
         // and a fencing token has lost the current leader or the previous one. Its heartbeat is
         // relayed on its behalf: another redirect would cost it up to 5 s of a lease that may be 10
         // s long. The worker is redirected from time to time to try the leader again.
-        double now = timers.nowSeconds();
-        boolean isBack = wasRedirectedLately(heartbeat, now);
-        if (!isBack && !hasLostLeader(heartbeat)) {
-            redirectedAt.put(heartbeat.machineId(), now);
-            answer.accept(HeartbeatResponse.redirectTo(leader));
+        double nowSeconds = timers.nowSeconds();
+        boolean isReturning = wasRecentlyRedirected(heartbeat, nowSeconds);
+        if (!isReturning && !hasLostLeader(heartbeat)) {
+            redirectedAtSecondsByMachine.put(heartbeat.machineId(), nowSeconds);
+            onResponse.accept(HeartbeatResponse.redirectTo(leader));
             return;
         }
-        redirectedAt.putIfAbsent(heartbeat.machineId(), now);
+        redirectedAtSecondsByMachine.putIfAbsent(heartbeat.machineId(), nowSeconds);
         relayedCount++;
-        Optional<ParkedHeartbeat> waiting = park(heartbeat, Optional.of(leader), answer);
-        if (waiting.isPresent() && !relay(leader, waiting.get()) && heartbeat.tasks().isEmpty()) {
+        Optional<ParkedHeartbeat> parkedHeartbeat =
+                park(heartbeat, Optional.of(leader), onResponse);
+        if (parkedHeartbeat.isPresent()
+                && !relay(leader, parkedHeartbeat.get())
+                && heartbeat.tasks().isEmpty()) {
             // A worker without tasks has no lease at stake, so it is released now. The others stay
             // parked for another leader, which may be elected soon.
-            parked.settle(
-                    waiting.get(),
-                    isBack
+            parkedHeartbeats.respond(
+                    parkedHeartbeat.get(),
+                    isReturning
                             ? ParkedHeartbeats.noLeaderKnown()
                             : HeartbeatResponse.redirectTo(leader));
         }
     }
 
-    private boolean wasRedirectedLately(Heartbeat heartbeat, double now) {
-        Double at = redirectedAt.get(heartbeat.machineId());
-        return at != null && now - at < 2 * settings.workers().leaseSeconds();
+    private boolean wasRecentlyRedirected(Heartbeat heartbeat, double nowSeconds) {
+        Double redirectedAtSeconds = redirectedAtSecondsByMachine.get(heartbeat.machineId());
+        return redirectedAtSeconds != null
+                && nowSeconds - redirectedAtSeconds < 2 * settings.workers().leaseSeconds();
     }
 
     /** Returns whether the worker had contact with a leader and was not redirected by this node. */
     private boolean hasLostLeader(Heartbeat heartbeat) {
-        return !redirectedAt.containsKey(heartbeat.machineId())
+        return !redirectedAtSecondsByMachine.containsKey(heartbeat.machineId())
                 && heartbeat.fencingToken() > 0
                 && (heartbeat.fencingToken() == leadership.highestFencingToken()
                         || !heartbeat.tasks().isEmpty());
@@ -164,14 +168,17 @@
      * Returns whether neither the store nor any peer responds, so that the leader can't be
      * determined.
      */
-    private boolean isCutOff() {
+    private boolean isIsolatedFromStoreAndPeers() {
         return membership.isIsolated()
                 && leadership.secondsSinceStoreAnswered() > leadership.leaseSeconds() + 1;
     }
 
     private Optional<ParkedHeartbeat> park(
-            Heartbeat heartbeat, Optional<String> askedLeader, Consumer<HeartbeatResponse> answer) {
-        return parked.park(heartbeat, askedLeader, leadership.highestFencingToken(), answer);
+            Heartbeat heartbeat,
+            Optional<String> relayLeader,
+            Consumer<HeartbeatResponse> onResponse) {
+        return parkedHeartbeats.park(
+                heartbeat, relayLeader, leadership.highestFencingToken(), onResponse);
     }
 
     // ---- relaying between nodes -----------------------------------------------------------------
@@ -183,17 +190,19 @@
      *
      * @return whether the heartbeat could be relayed to any node
      */
-    private boolean relay(String leader, ParkedHeartbeat waiting) {
+    private boolean relay(String leader, ParkedHeartbeat parkedHeartbeat) {
         if (!membership.isSilent(leader)
                 && peers.relayHeartbeat(
                         leader,
-                        waiting.heartbeat(),
+                        parkedHeartbeat.heartbeat(),
                         false,
-                        response -> parked.settle(waiting, response))) {
+                        response -> parkedHeartbeats.respond(parkedHeartbeat, response))) {
             return true;
         }
         for (String peer : settings.siblings()) {
-            if (!peer.equals(leader) && !membership.isSilent(peer) && relayVia(peer, waiting)) {
+            if (!peer.equals(leader)
+                    && !membership.isSilent(peer)
+                    && relayThroughPeer(peer, parkedHeartbeat)) {
                 return true;
             }
         }
@@ -201,14 +210,14 @@
     }
 
     /** Lets the peer relay the heartbeat to the leader; only a response of the leader is used. */
-    private boolean relayVia(String peer, ParkedHeartbeat waiting) {
+    private boolean relayThroughPeer(String peer, ParkedHeartbeat parkedHeartbeat) {
         return peers.relayHeartbeat(
                 peer,
-                waiting.heartbeat(),
+                parkedHeartbeat.heartbeat(),
                 true,
                 response -> {
                     if (response.fencingToken() > 0) {
-                        parked.settle(waiting, response);
+                        parkedHeartbeats.respond(parkedHeartbeat, response);
                     }
                 });
     }
@@ -216,18 +225,18 @@
     /**
      * Responds to a heartbeat that a peer relayed.
      *
-     * @param passOn whether this node may relay the heartbeat to the leader in turn
+     * @param mayRelay whether this node may relay the heartbeat to the leader in turn
      */
     public void answerForPeer(
-            Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
+            Heartbeat heartbeat, boolean mayRelay, Consumer<HeartbeatResponse> onResponse) {
         String leader = leadership.leader();
-        if (!passOn
+        if (!mayRelay
                 || leadership.isLeading()
                 || leader == null
                 || leader.equals(settings.node())
                 || membership.isSilent(leader)
-                || !peers.relayHeartbeat(leader, heartbeat, false, answer)) {
-            answer.accept(responder.respondAtOnce(heartbeat));
+                || !peers.relayHeartbeat(leader, heartbeat, false, onResponse)) {
+            onResponse.accept(responder.respondImmediately(heartbeat));
         }
     }
 
@@ -240,17 +249,17 @@
      */
     public void onLeaderKnown() {
         String leader = leadership.leader();
-        for (ParkedHeartbeat waiting : parked.waiting()) {
-            if (waiting.isOutdated(leader, leadership.highestFencingToken())) {
-                parked.remove(waiting);
-                receive(waiting.heartbeat(), waiting.answer());
+        for (ParkedHeartbeat parkedHeartbeat : parkedHeartbeats.snapshot()) {
+            if (parkedHeartbeat.isOutdated(leader, leadership.highestFencingToken())) {
+                parkedHeartbeats.remove(parkedHeartbeat);
+                receive(parkedHeartbeat.heartbeat(), parkedHeartbeat.onResponse());
             }
         }
     }
 
     /** Called when a write batch is committed, so that its launches may be sent. */
     public void onWritten() {
-        responder.releaseWithCommands();
+        responder.releaseResponsesWithCommands();
     }
 
     /**
@@ -259,11 +268,11 @@
      * @return whether a response was held
      */
     public boolean release(String machineId) {
-        return responder.release(machineId);
+        return responder.releaseHeldResponse(machineId);
     }
 
     /** Sends all held responses. Called when this node is no longer the leader. */
     public void releaseAll() {
-        responder.releaseAll();
+        responder.releaseAllHeldResponses();
     }
 }
--- a/src/main/java/io/kitepath/core/service/JobApi.java
+++ b/src/main/java/io/kitepath/core/service/JobApi.java
@@ -14,18 +14,18 @@
      * Accepts a job without dependencies. A job that was accepted before is not changed; the
      * response is its current state.
      */
-    default void submit(JobSpec spec, Consumer<JobResponse> answer) {
-        submit(spec, List.of(), answer);
+    default void submit(JobSpec spec, Consumer<JobResponse> onResponse) {
+        submit(spec, List.of(), onResponse);
     }
 
     /**
      * Accepts a job none of whose tasks starts before all jobs in {@code dependencies} are done.
      */
-    void submit(JobSpec spec, List<String> dependencies, Consumer<JobResponse> answer);
+    void submit(JobSpec spec, List<String> dependencies, Consumer<JobResponse> onResponse);
 
     /** Responds with the job's state, which is never older than one in an earlier response. */
-    void status(String id, Consumer<JobResponse> answer);
+    void status(String id, Consumer<JobResponse> onResponse);
 
     /** Cancels the job unless it has ended, and responds with its state. */
-    void cancel(String id, Consumer<JobResponse> answer);
+    void cancel(String id, Consumer<JobResponse> onResponse);
 }
--- a/src/main/java/io/kitepath/core/service/JobCancellation.java
+++ b/src/main/java/io/kitepath/core/service/JobCancellation.java
@@ -59,37 +59,39 @@
         return new JobStatus(jobId, FinalStates.CANCELLED, 0, 0);
     }
 
-    void cancel(String jobId, Consumer<JobResponse> answer) {
-        cancel(jobId, MAX_TRIES, answer);
+    void cancel(String jobId, Consumer<JobResponse> onResponse) {
+        cancel(jobId, MAX_TRIES, onResponse);
     }
 
-    private void cancel(String jobId, int triesLeft, Consumer<JobResponse> answer) {
-        if (finalStates.answerWithoutStore(jobId, answer)) {
+    private void cancel(String jobId, int triesLeft, Consumer<JobResponse> onResponse) {
+        if (finalStates.respondWithoutStore(jobId, onResponse)) {
             return;
         }
         if (triesLeft == 0) {
-            answer.accept(JobResponse.LATER);
+            onResponse.accept(JobResponse.LATER);
             return;
         }
         store.get(
                 StoreKeys.OPEN_JOBS + jobId,
-                (outcome, open) -> {
+                (outcome, openEntry) -> {
                     switch (outcome) {
-                        case OK -> moveToEnded(jobId, open, triesLeft, answer);
-                        case REJECTED -> finalStates.read(jobId, answer);
-                        default -> answer.accept(JobResponse.LATER);
+                        case OK -> moveToEnded(jobId, openEntry, triesLeft, onResponse);
+                        case REJECTED -> finalStates.read(jobId, onResponse);
+                        default -> onResponse.accept(JobResponse.LATER);
                     }
                 });
     }
 
     private void moveToEnded(
-            String jobId, Entry open, int triesLeft, Consumer<JobResponse> answer) {
+            String jobId, Entry openEntry, int triesLeft, Consumer<JobResponse> onResponse) {
         Transaction move =
                 new Transaction()
-                        .requireRevision(StoreKeys.OPEN_JOBS + jobId, open.revision())
+                        .requireRevision(StoreKeys.OPEN_JOBS + jobId, openEntry.revision())
                         .requireRevision(StoreKeys.ENDED_JOBS + jobId, 0)
                         .remove(StoreKeys.OPEN_JOBS + jobId)
-                        .put(StoreKeys.ENDED_JOBS + jobId, cancelledRecord(jobId, open.value()));
+                        .put(
+                                StoreKeys.ENDED_JOBS + jobId,
+                                cancelledRecord(jobId, openEntry.value()));
         if (mayLendTasks) {
             move.requireRevision(StoreKeys.LENT_TASKS + jobId, 0);
         }
@@ -101,16 +103,16 @@
                             JobStatus status = cancelledStatus(jobId);
                             finalStates.remember(status);
                             onCancelled.accept(status);
-                            answer.accept(new JobResponse(Verdict.KNOWN, status));
+                            onResponse.accept(new JobResponse(Verdict.KNOWN, status));
                         }
                         case REJECTED -> {
                             if (hasLentTasks(jobId, result)) {
-                                recallLoans(jobId, open.revision(), answer);
+                                requestCancellation(jobId, openEntry.revision(), onResponse);
                             } else {
-                                cancel(jobId, triesLeft - 1, answer);
+                                cancel(jobId, triesLeft - 1, onResponse);
                             }
                         }
-                        default -> answer.accept(JobResponse.LATER);
+                        default -> onResponse.accept(JobResponse.LATER);
                     }
                 });
     }
@@ -125,18 +127,19 @@
      * of its lent tasks. Until that cell's own records show the leader that none of them can start
      * any more, users are asked to retry.
      */
-    private void recallLoans(String jobId, long openRevision, Consumer<JobResponse> answer) {
+    private void requestCancellation(
+            String jobId, long openRevision, Consumer<JobResponse> onResponse) {
         store.commit(
                 new Transaction()
                         .requireRevision(StoreKeys.OPEN_JOBS + jobId, openRevision)
                         .requireRevision(StoreKeys.CANCELLATION_REQUESTS + jobId, 0)
                         .put(StoreKeys.CANCELLATION_REQUESTS + jobId, Map.of()),
-                result -> answer.accept(JobResponse.LATER));
+                result -> onResponse.accept(JobResponse.LATER));
     }
 
     /** Returns the record of a cancelled job, made from its record as an open job. */
     Map<String, Object> cancelledRecord(String jobId, Object openRecord) {
-        Map<String, Object> end =
+        Map<String, Object> endFields =
                 Map.of(
                         "status",
                         FinalStates.CANCELLED,
@@ -146,13 +149,13 @@
                         timers.wallClockMillis());
         try {
             return JobRecord.fromRecord(jobId, openRecord)
-                    .toFinishedRecord(end, settings.store().maxValueBytes());
+                    .toFinishedRecord(endFields, settings.store().maxValueBytes());
         } catch (InvalidInputException | IllegalArgumentException e) {
             // The record was written by a later version or is damaged. It is kept unchanged, and
             // the job is cancelled nonetheless.
             Map<String, Object> record = new LinkedHashMap<>();
             ((Map<?, ?>) openRecord).forEach((name, value) -> record.put((String) name, value));
-            record.putAll(end);
+            record.putAll(endFields);
             return record;
         }
     }
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -29,14 +29,14 @@
     private static final double RATE_SHARE = 0.15;
 
     /** How long the first query waits for others to join its batch. */
-    private static final double GATHER_SECONDS = 0.01;
+    private static final double BATCH_DELAY_SECONDS = 0.01;
 
     private static final int MAX_TRIES = 3;
 
     /**
      * The back-off after the first failed try; each further back-off is longer by the same amount.
      */
-    private static final double RETRY_SECONDS = 0.1;
+    private static final double RETRY_STEP_SECONDS = 0.1;
 
     /** A source of the progress of open jobs, such as the leader. */
     public interface ProgressSource {
@@ -44,7 +44,7 @@
          * Responds with the progress of those jobs that are known to the source; with an empty list
          * on failure.
          */
-        void progress(List<String> jobs, Consumer<List<JobProgress>> answer);
+        void progress(List<String> jobs, Consumer<List<JobProgress>> onResponse);
 
         /**
          * Returns why no progress is available, as a text for users, as far as the reason is known.
@@ -55,16 +55,17 @@
     private final Store store;
     private final Timers timers;
     private final FinalStates finalStates;
-    private final OpenJobAnswers openJobAnswers;
+    private final OpenJobResponder openJobResponder;
     private final TokenBucket requestBudget;
     private int maxJobsPerComparison;
-    private final int maxWaiting;
+    private final int maxWaitingCallers;
 
     /** Callers that wait for the next comparisons, by job. */
-    private final Map<String, List<Consumer<JobResponse>>> waiting = new LinkedHashMap<>();
+    private final Map<String, List<Consumer<JobResponse>>> waitingCallersByJob =
+            new LinkedHashMap<>();
 
-    private int waitingCount;
-    private boolean isGathering;
+    private int waitingCallerCount;
+    private boolean isBatchScheduled;
 
     JobStatusQueries(
             ClusterSettings settings,
@@ -75,14 +76,14 @@
         this.store = store;
         this.timers = timers;
         this.finalStates = finalStates;
-        this.openJobAnswers =
-                new OpenJobAnswers(settings, store, timers, progressSource, finalStates);
-        int nodes = settings.siblings().size() + 1;
+        this.openJobResponder =
+                new OpenJobResponder(settings, store, timers, progressSource, finalStates);
+        int nodeCount = settings.siblings().size() + 1;
         this.requestBudget =
-                new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
+                new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodeCount);
         // A transaction may hold four conditions for each change that it may hold; a job needs two.
         this.maxJobsPerComparison = 2 * settings.store().maxTransactionOperations();
-        this.maxWaiting = settings.limits().maxSockets();
+        this.maxWaitingCallers = settings.limits().maxSockets();
     }
 
     /**
@@ -91,53 +92,53 @@
      * @param isIndependent whether the job has no dependencies
      */
     void onAccepted(String jobId, boolean isIndependent) {
-        openJobAnswers.onAccepted(jobId, isIndependent);
+        openJobResponder.onAccepted(jobId, isIndependent);
     }
 
     /** Returns whether this node knows that the job was accepted. */
-    boolean hasHeardOf(String jobId) {
-        return openJobAnswers.hasHeardOf(jobId);
+    boolean isKnownAccepted(String jobId) {
+        return openJobResponder.isKnownAccepted(jobId);
     }
 
     /**
      * Responds with the job's state, or with LATER if too many callers wait already or the store is
      * unavailable.
      */
-    void query(String jobId, Consumer<JobResponse> answer) {
-        if (waitingCount >= maxWaiting) {
-            answer.accept(JobResponse.LATER);
+    void query(String jobId, Consumer<JobResponse> onResponse) {
+        if (waitingCallerCount >= maxWaitingCallers) {
+            onResponse.accept(JobResponse.LATER);
             return;
         }
-        waitingCount++;
-        waiting.computeIfAbsent(jobId, key -> new ArrayList<>()).add(answer);
-        gather();
+        waitingCallerCount++;
+        waitingCallersByJob.computeIfAbsent(jobId, key -> new ArrayList<>()).add(onResponse);
+        scheduleNextBatch();
     }
 
-    private void gather() {
-        if (isGathering || waiting.isEmpty()) {
+    private void scheduleNextBatch() {
+        if (isBatchScheduled || waitingCallersByJob.isEmpty()) {
             return;
         }
-        isGathering = true;
+        isBatchScheduled = true;
         timers.schedule(
-                Math.max(GATHER_SECONDS, requestBudget.secondsUntil(1, timers.nowSeconds())),
+                Math.max(BATCH_DELAY_SECONDS, requestBudget.secondsUntil(1, timers.nowSeconds())),
                 () -> {
-                    isGathering = false;
+                    isBatchScheduled = false;
                     if (requestBudget.tryTake(1, timers.nowSeconds())) {
                         sendNextBatch();
                     }
-                    gather();
+                    scheduleNextBatch();
                 });
     }
 
     private void sendNextBatch() {
         QueryBatch batch = new QueryBatch();
         Iterator<Map.Entry<String, List<Consumer<JobResponse>>>> remaining =
-                waiting.entrySet().iterator();
+                waitingCallersByJob.entrySet().iterator();
         while (remaining.hasNext() && batch.size() < maxJobsPerComparison) {
             Map.Entry<String, List<Consumer<JobResponse>>> callers = remaining.next();
             remaining.remove();
-            waitingCount -= callers.getValue().size();
-            batch.add(callers.getKey(), callers.getValue());
+            waitingCallerCount -= callers.getValue().size();
+            batch.addCallers(callers.getKey(), callers.getValue());
         }
         if (batch.size() > 0) {
             send(batch.comparison(), batch, MAX_TRIES);
@@ -150,12 +151,12 @@
                 result -> {
                     switch (result.outcome()) {
                         // None of the keys exists.
-                        case OK -> batch.answerAll(JobResponse.NOT_FOUND);
+                        case OK -> batch.respondToAll(JobResponse.NOT_FOUND);
                         case REJECTED -> dispatch(batch, new HashSet<>(result.failedKeys()));
                         case INVALID -> {
                             // The store now accepts fewer conditions than the settings say.
                             maxJobsPerComparison = Math.max(1, batch.size() / 2);
-                            batch.answerAll(JobResponse.LATER);
+                            batch.respondToAll(JobResponse.LATER);
                         }
                         default -> retry(comparison, batch, triesLeft - 1);
                     }
@@ -164,11 +165,12 @@
 
     private void retry(Transaction comparison, QueryBatch batch, int triesLeft) {
         if (triesLeft == 0) {
-            batch.answerAll(JobResponse.LATER);
+            batch.respondToAll(JobResponse.LATER);
             return;
         }
         timers.schedule(
-                RETRY_SECONDS * (MAX_TRIES - triesLeft), () -> send(comparison, batch, triesLeft));
+                RETRY_STEP_SECONDS * (MAX_TRIES - triesLeft),
+                () -> send(comparison, batch, triesLeft));
     }
 
     private void dispatch(QueryBatch batch, Set<String> existingKeys) {
@@ -182,11 +184,11 @@
                 confirmAbsent(batch, jobId);
             }
         }
-        openJobAnswers.answer(batch, openJobs);
+        openJobResponder.respond(batch, openJobs);
     }
 
     private void readFinalState(QueryBatch batch, String jobId) {
-        finalStates.read(jobId, response -> batch.answer(jobId, response));
+        finalStates.read(jobId, response -> batch.respond(jobId, response));
     }
 
     /**
@@ -198,11 +200,11 @@
                 StoreKeys.OPEN_JOBS + jobId,
                 (outcome, entry) -> {
                     switch (outcome) {
-                        case OK -> openJobAnswers.answer(batch, List.of(jobId));
+                        case OK -> openJobResponder.respond(batch, List.of(jobId));
                         // A job moves from open to ended and never back, so a job without either
                         // record was never accepted.
                         case REJECTED -> readFinalState(batch, jobId);
-                        default -> batch.answer(jobId, JobResponse.LATER);
+                        default -> batch.respond(jobId, JobResponse.LATER);
                     }
                 });
     }
--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -128,44 +128,46 @@
     }
 
     @Override
-    public void submit(JobSpec spec, List<String> dependencies, Consumer<JobResponse> answer) {
+    public void submit(JobSpec spec, List<String> dependencies, Consumer<JobResponse> onResponse) {
         String id = spec.id();
-        if (finalStates.answerWithoutStore(id, answer)) {
+        if (finalStates.respondWithoutStore(id, onResponse)) {
             return;
         }
         if (dependencies.contains(id)) {
-            answerUnlessKnown(id, JobResponse.refused("a job can't wait for itself"), answer);
+            respondUnlessKnown(id, JobResponse.refused("a job can't wait for itself"), onResponse);
             return;
         }
         if (dependencies.isEmpty()) {
-            create(spec, dependencies, answer);
+            create(spec, dependencies, onResponse);
             return;
         }
         dependencyCheck.check(
                 dependencies,
                 result -> {
                     switch (result.kind()) {
-                        case ACCEPTED -> create(spec, dependencies, answer);
+                        case ACCEPTED -> create(spec, dependencies, onResponse);
                         case REJECTED ->
-                                answerUnlessKnown(id, JobResponse.refused(result.reason()), answer);
-                        case UNDETERMINED -> answer.accept(JobResponse.LATER);
+                                respondUnlessKnown(
+                                        id, JobResponse.refused(result.reason()), onResponse);
+                        case UNDETERMINED -> onResponse.accept(JobResponse.LATER);
                     }
                 });
     }
 
     /**
      * Responds with the job's state if it was accepted before, even if this request is not
-     * acceptable, and with {@code otherwise} if it was not.
+     * acceptable, and with {@code fallback} if it was not.
      */
-    private void answerUnlessKnown(String id, JobResponse otherwise, Consumer<JobResponse> answer) {
+    private void respondUnlessKnown(
+            String id, JobResponse fallback, Consumer<JobResponse> onResponse) {
         status(
                 id,
                 response ->
-                        answer.accept(
-                                response.verdict() == Verdict.NOT_FOUND ? otherwise : response));
+                        onResponse.accept(
+                                response.verdict() == Verdict.NOT_FOUND ? fallback : response));
     }
 
-    private void create(JobSpec spec, List<String> dependencies, Consumer<JobResponse> answer) {
+    private void create(JobSpec spec, List<String> dependencies, Consumer<JobResponse> onResponse) {
         String id = spec.id();
         Map<String, Object> record = newRecord(spec, dependencies).toRecord();
         int maxBytes = settings.store().maxValueBytes();
@@ -174,18 +176,18 @@
                     "names and lists are too long to store: over "
                             + (maxBytes - FINAL_STATE_BYTES)
                             + " bytes together";
-            answerUnlessKnown(id, JobResponse.invalid(reason), answer);
+            respondUnlessKnown(id, JobResponse.invalid(reason), onResponse);
         } else if (dependencyCheck.isAnyCancelled(dependencies)) {
-            createCancelled(id, record, answer);
+            createCancelled(id, record, onResponse);
         } else {
-            createOpen(spec, !dependencies.isEmpty(), record, answer);
+            createOpen(spec, !dependencies.isEmpty(), record, onResponse);
         }
     }
 
     private JobRecord newRecord(JobSpec spec, List<String> dependencies) {
-        boolean startsAllAtOnce = spec.shape() != JobSpec.Shape.ARRAY;
+        boolean startsAllTasksTogether = spec.shape() != JobSpec.Shape.ARRAY;
         boolean needsCompactParts =
-                startsAllAtOnce
+                startsAllTasksTogether
                         && !Job.allTasksFitRecords(
                                 spec, settings.tasksPerPart(), settings.store().maxValueBytes());
         int tasksPerPart = needsCompactParts ? settings.tasksPerCompactPart() : 0;
@@ -197,9 +199,9 @@
      * ever receives another state.
      */
     private void createCancelled(
-            String id, Map<String, Object> record, Consumer<JobResponse> answer) {
+            String id, Map<String, Object> record, Consumer<JobResponse> onResponse) {
         Transaction transaction =
-                requireNew(id)
+                requireAbsent(id)
                         .put(StoreKeys.ENDED_JOBS + id, cancellation.cancelledRecord(id, record));
         commitNew(
                 id,
@@ -207,30 +209,31 @@
                 () -> {
                     JobStatus status = JobCancellation.cancelledStatus(id);
                     finalStates.remember(status);
-                    answer.accept(new JobResponse(Verdict.CREATED, status));
+                    onResponse.accept(new JobResponse(Verdict.CREATED, status));
                 },
-                answer);
+                onResponse);
     }
 
     private void createOpen(
             JobSpec spec,
             boolean hasDependencies,
             Map<String, Object> record,
-            Consumer<JobResponse> answer) {
+            Consumer<JobResponse> onResponse) {
         String id = spec.id();
         commitNew(
                 id,
-                requireNew(id).put(StoreKeys.OPEN_JOBS + id, record),
+                requireAbsent(id).put(StoreKeys.OPEN_JOBS + id, record),
                 () -> {
                     statusQueries.onAccepted(id, !hasDependencies);
                     dependencyCheck.onAccepted(id, spec.shape());
                     JobStatus pending = new JobStatus(id, "pending", 0, 0);
-                    answer.accept(latest(id, new JobResponse(Verdict.CREATED, pending)));
+                    onResponse.accept(
+                            latestResponse(id, new JobResponse(Verdict.CREATED, pending)));
                 },
-                answer);
+                onResponse);
     }
 
-    private static Transaction requireNew(String id) {
+    private static Transaction requireAbsent(String id) {
         return new Transaction()
                 .requireRevision(StoreKeys.OPEN_JOBS + id, 0)
                 .requireRevision(StoreKeys.ENDED_JOBS + id, 0);
@@ -238,28 +241,31 @@
 
     /** Runs {@code onCreated} if the transaction is committed, and responds otherwise. */
     private void commitNew(
-            String id, Transaction transaction, Runnable onCreated, Consumer<JobResponse> answer) {
+            String id,
+            Transaction transaction,
+            Runnable onCreated,
+            Consumer<JobResponse> onResponse) {
         store.commit(
                 transaction,
                 result -> {
                     switch (result.outcome()) {
                         case OK -> onCreated.run();
-                        case REJECTED -> status(id, answer);
+                        case REJECTED -> status(id, onResponse);
                         case INVALID ->
-                                answerUnlessKnown(
+                                respondUnlessKnown(
                                         id,
                                         JobResponse.invalid(
                                                 "the store rejected the job's record as invalid"),
-                                        answer);
-                        default -> answer.accept(JobResponse.LATER);
+                                        onResponse);
+                        default -> onResponse.accept(JobResponse.LATER);
                     }
                 });
     }
 
     @Override
-    public void status(String id, Consumer<JobResponse> answer) {
-        if (!finalStates.answerWithoutStore(id, answer)) {
-            statusQueries.query(id, response -> answer.accept(latest(id, response)));
+    public void status(String id, Consumer<JobResponse> onResponse) {
+        if (!finalStates.respondWithoutStore(id, onResponse)) {
+            statusQueries.query(id, response -> onResponse.accept(latestResponse(id, response)));
         }
     }
 
@@ -268,20 +274,20 @@
      * this node received or sent a newer state: the end of a job is reported as soon as it is
      * known, and its acceptance as soon as it is committed.
      */
-    private JobResponse latest(String id, JobResponse response) {
+    private JobResponse latestResponse(String id, JobResponse response) {
         Optional<JobStatus> finalState = finalStates.find(id);
         if (finalState.isPresent()) {
             return new JobResponse(
                     response.verdict() == Verdict.CREATED ? Verdict.CREATED : Verdict.KNOWN,
                     finalState.get());
         }
-        return response.verdict() == Verdict.NOT_FOUND && statusQueries.hasHeardOf(id)
+        return response.verdict() == Verdict.NOT_FOUND && statusQueries.isKnownAccepted(id)
                 ? JobResponse.LATER
                 : response;
     }
 
     @Override
-    public void cancel(String id, Consumer<JobResponse> answer) {
-        cancellation.cancel(id, answer);
+    public void cancel(String id, Consumer<JobResponse> onResponse) {
+        cancellation.cancel(id, onResponse);
     }
 }
--- a/src/main/java/io/kitepath/core/service/OpenJobAnswers.java
+++ b/src/main/java/io/kitepath/core/service/OpenJobResponder.java
@@ -29,8 +29,8 @@
  * takes no request to the store, else from the progress that this node received before, else from
  * the store's records.
  */
-final class OpenJobAnswers {
-    private static final Logger LOG = LoggerFactory.getLogger(OpenJobAnswers.class);
+final class OpenJobResponder {
+    private static final Logger LOG = LoggerFactory.getLogger(OpenJobResponder.class);
 
     /** Share of the store's request rate that all nodes together spend on reading records. */
     private static final double READ_RATE_SHARE = 0.05;
@@ -40,7 +40,7 @@
     private static final int MAX_PAGE_ATTEMPTS = 2;
 
     /** A job's progress, and when it was received, in seconds on the steady clock. */
-    private record HeardProgress(JobProgress progress, double heardAt) {}
+    private record ReceivedProgress(JobProgress progress, double receivedAtSeconds) {}
 
     private final Store store;
     private final Timers timers;
@@ -54,17 +54,17 @@
      */
     private final TokenBucket readBudget;
 
-    private final Cache<String, HeardProgress> lastHeard =
+    private final Cache<String, ReceivedProgress> lastReceived =
             Caffeine.newBuilder().maximumSize(MAX_PROGRESS_REMEMBERED).build();
 
     /** Jobs that have no dependencies, or whose dependencies are done. */
-    private final Cache<String, Boolean> independent =
+    private final Cache<String, Boolean> independentJobs =
             Caffeine.newBuilder().maximumSize(MAX_INDEPENDENT_REMEMBERED).build();
 
     /** How long the received progress of a job that may wait for others may be repeated. */
-    private final double freshSeconds;
+    private final double maxProgressAgeSeconds;
 
-    OpenJobAnswers(
+    OpenJobResponder(
             ClusterSettings settings,
             Store store,
             Timers timers,
@@ -74,12 +74,15 @@
         this.timers = timers;
         this.progressSource = progressSource;
         this.finalStates = finalStates;
-        int nodes = settings.siblings().size() + 1;
+        int nodeCount = settings.siblings().size() + 1;
         this.readBudget =
                 new TokenBucket(
                         Math.max(
-                                1, settings.store().requestsPerSecond() * READ_RATE_SHARE / nodes));
-        this.freshSeconds = settings.workers().cancelDeadlineSeconds() / 2;
+                                1,
+                                settings.store().requestsPerSecond()
+                                        * READ_RATE_SHARE
+                                        / nodeCount));
+        this.maxProgressAgeSeconds = settings.workers().cancelDeadlineSeconds() / 2;
     }
 
     /** Called when a job is accepted at this node. */
@@ -88,21 +91,21 @@
     }
 
     /** Returns whether this node knows that the job was accepted. */
-    boolean hasHeardOf(String jobId) {
-        return lastHeard.getIfPresent(jobId) != null;
+    boolean isKnownAccepted(String jobId) {
+        return lastReceived.getIfPresent(jobId) != null;
     }
 
     private void remember(JobProgress progress, boolean isIndependent) {
-        lastHeard.put(progress.jobId(), new HeardProgress(progress, timers.nowSeconds()));
+        lastReceived.put(progress.jobId(), new ReceivedProgress(progress, timers.nowSeconds()));
         // A job that has running or completed tasks no longer waits for others, and can only be
         // cancelled by its own user.
         if (isIndependent || progress.runningTaskCount() > 0 || progress.doneTaskCount() > 0) {
-            independent.put(progress.jobId(), true);
+            independentJobs.put(progress.jobId(), true);
         }
     }
 
     /** Responds to the callers of the given open jobs of the batch. */
-    void answer(QueryBatch batch, List<String> openJobs) {
+    void respond(QueryBatch batch, List<String> openJobs) {
         if (openJobs.isEmpty()) {
             return;
         }
@@ -118,16 +121,16 @@
             remember(progress, false);
         }
         for (String jobId : openJobs) {
-            HeardProgress heard = lastHeard.getIfPresent(jobId);
-            if (heard != null && reportedIds.contains(jobId)) {
-                batch.answer(jobId, unfinished(heard.progress));
+            ReceivedProgress received = lastReceived.getIfPresent(jobId);
+            if (received != null && reportedIds.contains(jobId)) {
+                batch.respond(jobId, unfinishedResponse(received.progress));
             } else {
-                answerUnreported(batch, jobId, heard, reported.isEmpty());
+                respondUnreported(batch, jobId, received, reported.isEmpty());
             }
         }
     }
 
-    private static JobResponse unfinished(JobProgress progress) {
+    private static JobResponse unfinishedResponse(JobProgress progress) {
         return new JobResponse(Verdict.KNOWN, JobStatus.ofUnfinished(progress));
     }
 
@@ -137,29 +140,34 @@
      * depends on: only the leader knows that until it is committed. So no old progress is returned
      * for a job that may still wait for others.
      *
-     * @param heard the progress that this node received last; null if there is none
-     * @param isLeaderSilent whether the leader reported no progress of any job
+     * @param received the progress that this node received last; null if there is none
+     * @param isLeaderReportEmpty whether the leader reported no progress of any job
      */
-    private void answerUnreported(
-            QueryBatch batch, String jobId, HeardProgress heard, boolean isLeaderSilent) {
-        boolean isIndependent = independent.getIfPresent(jobId) != null;
-        if (heard != null && (isIndependent || isFresh(heard))) {
-            JobProgress progress = heard.progress;
-            batch.answer(jobId, unfinished(isLeaderSilent ? markOld(progress) : progress));
+    private void respondUnreported(
+            QueryBatch batch,
+            String jobId,
+            ReceivedProgress received,
+            boolean isLeaderReportEmpty) {
+        boolean isIndependent = independentJobs.getIfPresent(jobId) != null;
+        if (received != null && (isIndependent || isRecent(received))) {
+            JobProgress progress = received.progress;
+            batch.respond(
+                    jobId,
+                    unfinishedResponse(isLeaderReportEmpty ? markStale(progress) : progress));
         } else if (isIndependent) {
-            answerFromParts(batch, jobId);
+            respondFromParts(batch, jobId);
         } else if (readBudget.tryTake(1, timers.nowSeconds())) {
-            readDependencies(batch, jobId, heard, isLeaderSilent);
+            readDependencies(batch, jobId, received, isLeaderReportEmpty);
         } else {
-            batch.answer(jobId, JobResponse.LATER);
+            batch.respond(jobId, JobResponse.LATER);
         }
     }
 
-    private boolean isFresh(HeardProgress heard) {
-        return timers.nowSeconds() - heard.heardAt < freshSeconds;
+    private boolean isRecent(ReceivedProgress received) {
+        return timers.nowSeconds() - received.receivedAtSeconds < maxProgressAgeSeconds;
     }
 
-    private JobProgress markOld(JobProgress progress) {
+    private JobProgress markStale(JobProgress progress) {
         return new JobProgress(
                 progress.jobId(),
                 progress.doneTaskCount(),
@@ -168,17 +176,20 @@
     }
 
     private void readDependencies(
-            QueryBatch batch, String jobId, HeardProgress heard, boolean isLeaderSilent) {
+            QueryBatch batch,
+            String jobId,
+            ReceivedProgress received,
+            boolean isLeaderReportEmpty) {
         store.get(
                 StoreKeys.OPEN_JOBS + jobId,
                 (outcome, entry) -> {
                     if (outcome == Outcome.REJECTED) {
-                        finalStates.read(jobId, response -> batch.answer(jobId, response));
+                        finalStates.read(jobId, response -> batch.respond(jobId, response));
                     } else if (outcome != Outcome.OK || mayHaveDependencies(jobId, entry.value())) {
-                        batch.answer(jobId, JobResponse.LATER);
+                        batch.respond(jobId, JobResponse.LATER);
                     } else {
-                        independent.put(jobId, true);
-                        answerUnreported(batch, jobId, heard, isLeaderSilent);
+                        independentJobs.put(jobId, true);
+                        respondUnreported(batch, jobId, received, isLeaderReportEmpty);
                     }
                 });
     }
@@ -192,9 +203,9 @@
     }
 
     /** Reads the job's parts, as neither the leader nor this node's memory has the progress. */
-    private void answerFromParts(QueryBatch batch, String jobId) {
+    private void respondFromParts(QueryBatch batch, String jobId) {
         if (!readBudget.tryTake(1, timers.nowSeconds())) {
-            batch.answer(jobId, JobResponse.LATER);
+            batch.respond(jobId, JobResponse.LATER);
             return;
         }
         PagedScan.read(
@@ -204,19 +215,19 @@
                 MAX_PAGE_ATTEMPTS,
                 parts -> {
                     if (parts.outcome() != Outcome.OK) {
-                        batch.answer(jobId, JobResponse.LATER);
+                        batch.respond(jobId, JobResponse.LATER);
                         return;
                     }
                     List<Object> records = parts.entries().stream().map(Entry::value).toList();
-                    batch.answer(jobId, progressOf(jobId, records));
+                    batch.respond(jobId, responseFromParts(jobId, records));
                 });
     }
 
-    private JobResponse progressOf(String jobId, List<Object> partRecords) {
+    private JobResponse responseFromParts(String jobId, List<Object> partRecords) {
         try {
             JobProgress progress = PartRecord.progress(jobId, partRecords);
             remember(progress, true);
-            return unfinished(progress);
+            return unfinishedResponse(progress);
         } catch (InvalidInputException unreadable) {
             LOG.error("job part unreadable: job={} error={}", jobId, unreadable.getMessage());
             return JobResponse.LATER;
--- a/src/main/java/io/kitepath/core/service/ParkedHeartbeats.java
+++ b/src/main/java/io/kitepath/core/service/ParkedHeartbeats.java
@@ -30,15 +30,15 @@
     /**
      * A heartbeat that waits.
      *
-     * @param askedLeader the leader to which the heartbeat was relayed; empty if it waits for any
+     * @param relayLeader the leader to which the heartbeat was relayed; empty if it waits for any
      *     leader, or for this node as the leader to know which jobs may run
      * @param highestFencingToken the highest fencing token that was known when the wait began
      */
     record ParkedHeartbeat(
             Heartbeat heartbeat,
-            Optional<String> askedLeader,
+            Optional<String> relayLeader,
             long highestFencingToken,
-            Consumer<HeartbeatResponse> answer) {
+            Consumer<HeartbeatResponse> onResponse) {
         private String machineId() {
             return heartbeat.machineId();
         }
@@ -49,8 +49,8 @@
          * received before.
          */
         boolean isOutdated(String leader, long fencingToken) {
-            return askedLeader.isEmpty()
-                    || !askedLeader.get().equals(leader)
+            return relayLeader.isEmpty()
+                    || !relayLeader.get().equals(leader)
                     || highestFencingToken < fencingToken;
         }
     }
@@ -59,7 +59,7 @@
     private final int maxParked;
 
     /** By machine. */
-    private final Map<String, ParkedHeartbeat> parked = new LinkedHashMap<>();
+    private final Map<String, ParkedHeartbeat> parkedByMachine = new LinkedHashMap<>();
 
     /**
      * Creates an empty set of parked heartbeats.
@@ -84,51 +84,53 @@
      */
     Optional<ParkedHeartbeat> park(
             Heartbeat heartbeat,
-            Optional<String> askedLeader,
+            Optional<String> relayLeader,
             long highestFencingToken,
-            Consumer<HeartbeatResponse> answer) {
-        if (parked.size() >= maxParked || isLateCopy(heartbeat)) {
-            answer.accept(noLeaderKnown());
+            Consumer<HeartbeatResponse> onResponse) {
+        if (parkedByMachine.size() >= maxParked || isLateDuplicate(heartbeat)) {
+            onResponse.accept(noLeaderKnown());
             return Optional.empty();
         }
-        ParkedHeartbeat waiting =
-                new ParkedHeartbeat(heartbeat, askedLeader, highestFencingToken, answer);
-        ParkedHeartbeat older = parked.put(heartbeat.machineId(), waiting);
-        if (older != null) {
-            older.answer.accept(noLeaderKnown());
+        ParkedHeartbeat parkedHeartbeat =
+                new ParkedHeartbeat(heartbeat, relayLeader, highestFencingToken, onResponse);
+        ParkedHeartbeat olderHeartbeat =
+                parkedByMachine.put(heartbeat.machineId(), parkedHeartbeat);
+        if (olderHeartbeat != null) {
+            olderHeartbeat.onResponse.accept(noLeaderKnown());
         }
         timers.schedule(
                 heartbeat.tasks().isEmpty() ? MAX_PARK_SECONDS_WITHOUT_TASKS : MAX_PARK_SECONDS,
-                () -> settle(waiting, noLeaderKnown()));
-        return Optional.of(waiting);
+                () -> respond(parkedHeartbeat, noLeaderKnown()));
+        return Optional.of(parkedHeartbeat);
     }
 
     /**
      * Guards against a duplicate of an older heartbeat that ends the wait of the worker's current
      * one.
      */
-    private boolean isLateCopy(Heartbeat heartbeat) {
-        ParkedHeartbeat waiting = parked.get(heartbeat.machineId());
-        return waiting != null
+    private boolean isLateDuplicate(Heartbeat heartbeat) {
+        ParkedHeartbeat parkedHeartbeat = parkedByMachine.get(heartbeat.machineId());
+        return parkedHeartbeat != null
                 && !heartbeat.isNewerThan(
-                        waiting.heartbeat.agentIncarnation(), waiting.heartbeat.sequence());
+                        parkedHeartbeat.heartbeat.agentIncarnation(),
+                        parkedHeartbeat.heartbeat.sequence());
     }
 
     /** Responds to a parked heartbeat; does nothing if it has received its response already. */
-    void settle(ParkedHeartbeat waiting, HeartbeatResponse response) {
-        if (parked.get(waiting.machineId()) == waiting) {
-            parked.remove(waiting.machineId());
-            waiting.answer.accept(response);
+    void respond(ParkedHeartbeat parkedHeartbeat, HeartbeatResponse response) {
+        if (parkedByMachine.get(parkedHeartbeat.machineId()) == parkedHeartbeat) {
+            parkedByMachine.remove(parkedHeartbeat.machineId());
+            parkedHeartbeat.onResponse.accept(response);
         }
     }
 
     /** Returns all parked heartbeats, in the order in which their machines began to wait. */
-    List<ParkedHeartbeat> waiting() {
-        return new ArrayList<>(parked.values());
+    List<ParkedHeartbeat> snapshot() {
+        return new ArrayList<>(parkedByMachine.values());
     }
 
     /** Removes a parked heartbeat without a response; the caller has to respond to it. */
-    void remove(ParkedHeartbeat waiting) {
-        parked.remove(waiting.machineId(), waiting);
+    void remove(ParkedHeartbeat parkedHeartbeat) {
+        parkedByMachine.remove(parkedHeartbeat.machineId(), parkedHeartbeat);
     }
 }
--- a/src/main/java/io/kitepath/core/service/QueryBatch.java
+++ b/src/main/java/io/kitepath/core/service/QueryBatch.java
@@ -13,7 +13,7 @@
 final class QueryBatch {
     private final Map<String, List<Consumer<JobResponse>>> callersByJob = new LinkedHashMap<>();
 
-    void add(String jobId, List<Consumer<JobResponse>> callers) {
+    void addCallers(String jobId, List<Consumer<JobResponse>> callers) {
         callersByJob.put(jobId, callers);
     }
 
@@ -41,12 +41,12 @@
     }
 
     /** Sends the response to all callers that queried the job. */
-    void answer(String jobId, JobResponse response) {
+    void respond(String jobId, JobResponse response) {
         callersByJob.get(jobId).forEach(caller -> caller.accept(response));
     }
 
     /** Sends the same response to all callers. */
-    void answerAll(JobResponse response) {
-        jobIds().forEach(jobId -> answer(jobId, response));
+    void respondToAll(JobResponse response) {
+        jobIds().forEach(jobId -> respond(jobId, response));
     }
 }
--- a/src/main/java/io/kitepath/core/service/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -21,7 +21,7 @@
     private final double requestsPerSecond;
 
     /** The start of the current window, in seconds on the steady clock. */
-    private double windowStart = Double.NEGATIVE_INFINITY;
+    private double windowStartSeconds = Double.NEGATIVE_INFINITY;
 
     private int refusedInWindow;
     private int refusedInLastWindow;
@@ -35,16 +35,16 @@
 
     /** Counts one more refused user and returns the back-off for that user, in seconds. */
     public int nextRetryAfterSeconds() {
-        double now = timers.nowSeconds();
-        if (now - windowStart >= WINDOW_SECONDS) {
-            boolean isNextWindow = now - windowStart < 2 * WINDOW_SECONDS;
+        double nowSeconds = timers.nowSeconds();
+        if (nowSeconds - windowStartSeconds >= WINDOW_SECONDS) {
+            boolean isNextWindow = nowSeconds - windowStartSeconds < 2 * WINDOW_SECONDS;
             refusedInLastWindow = isNextWindow ? refusedInWindow : 0;
             refusedInWindow = 0;
-            windowStart = now;
+            windowStartSeconds = nowSeconds;
         }
         refusedInWindow++;
-        int returning = Math.max(refusedInLastWindow, refusedInWindow);
-        double seconds = Math.ceil(returning / requestsPerSecond);
-        return (int) Math.max(1, Math.min(MAX_SECONDS, seconds));
+        int returningUserCount = Math.max(refusedInLastWindow, refusedInWindow);
+        double backOffSeconds = Math.ceil(returningUserCount / requestsPerSecond);
+        return (int) Math.max(1, Math.min(MAX_SECONDS, backOffSeconds));
     }
 }
--- a/src/test/java/io/kitepath/core/service/RetryAfterTest.java
+++ b/src/test/java/io/kitepath/core/service/RetryAfterTest.java
@@ -11,7 +11,7 @@
 
 /** Tests the back-off that refused users receive. */
 class RetryAfterTest {
-    private double now = 10;
+    private double nowSeconds = 10;
 
     /** Three nodes that share 300 requests per second: 100 per second for this node. */
     private final ClusterSettings settings =
@@ -34,12 +34,12 @@
                     new Timers() {
                         @Override
                         public double nowSeconds() {
-                            return now;
+                            return nowSeconds;
                         }
 
                         @Override
                         public double wallClockMillis() {
-                            return now * 1000;
+                            return nowSeconds * 1000;
                         }
 
                         @Override
@@ -49,26 +49,26 @@
                     });
 
     @Test
-    void refusalsWithinOneSecondsRateAreToldOneSecond() {
+    void returnsOneSecondWhenRefusalsAreWithinNodeRate() {
         for (int user = 0; user < 100; user++) {
             assertEquals(1, retryAfter.nextRetryAfterSeconds());
         }
     }
 
     @Test
-    void refusalsBeyondTheRateAreToldTheTimeThatTheStoreTakes() {
+    void returnsSecondsThatStoreNeedsWhenRefusalsExceedNodeRate() {
         for (int user = 0; user < 799; user++) {
             retryAfter.nextRetryAfterSeconds();
         }
         assertEquals(8, retryAfter.nextRetryAfterSeconds());
-        now += 1.1;
+        nowSeconds += 1.1;
         assertEquals(8, retryAfter.nextRetryAfterSeconds());
-        now += 5;
+        nowSeconds += 5;
         assertEquals(1, retryAfter.nextRetryAfterSeconds());
     }
 
     @Test
-    void anyNumberOfRefusalsIsToldThirtySecondsAtMost() {
+    void returnsAtMostThirtySecondsForAnyNumberOfRefusals() {
         int lastSeconds = 0;
         for (int user = 0; user < 100_000; user++) {
             lastSeconds = retryAfter.nextRetryAfterSeconds();
