--- a/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
@@ -131,7 +131,7 @@
                         heartbeatProcessor.process(
                                 heartbeat,
                                 stateWriter.isLoaded(),
-                                stateWriter::mayRun,
+                                stateWriter::mayHaveRunningTasks,
                                 timers.nowSeconds()));
         if (isNewest) {
             // The response to a late duplicate launches nothing, as no worker receives it.
