--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -140,7 +140,7 @@
     /** A heartbeat that a peer relays; {@code passOn}: it may be relayed further, to the leader. */
     public void onRelayedHeartbeat(
             Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
-        node.heartbeatService.answerForPeer(heartbeat, passOn, answer);
+        node.heartbeatService.respondToPeer(heartbeat, passOn, answer);
     }
 
     /**
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -60,7 +60,7 @@
                 .forEach(
                         (machine, commands) -> {
                             // Its worker gets them with the heartbeat's answer that was held.
-                            boolean isAnswered = heartbeatService.release(machine.id);
+                            boolean isAnswered = heartbeatService.releaseHeldResponse(machine.id);
                             if (!isAnswered) {
                                 send(machine, commands);
                             }
--- a/src/main/java/io/kitepath/core/LeadershipTransitions.java
+++ b/src/main/java/io/kitepath/core/LeadershipTransitions.java
@@ -40,7 +40,7 @@
         node.stateWriter.stop();
         node.cancellationVerifier.stop();
         node.shard.giveUpLeadership();
-        node.heartbeatService.releaseAll();
+        node.heartbeatService.releaseAllHeldResponses();
         node.gossip.broadcast();
     }
 }
--- a/src/main/java/io/kitepath/core/RoundRunner.java
+++ b/src/main/java/io/kitepath/core/RoundRunner.java
@@ -92,7 +92,7 @@
 
     /** What was written may be launched, and what waited for the write may be placed. */
     private void onWritten() {
-        node.heartbeatService.onWritten();
+        node.heartbeatService.onWriteBatchCommitted();
         request();
     }
 }
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -227,7 +227,7 @@
      *
      * @param mayRelay whether this node may relay the heartbeat to the leader in turn
      */
-    public void answerForPeer(
+    public void respondToPeer(
             Heartbeat heartbeat, boolean mayRelay, Consumer<HeartbeatResponse> onResponse) {
         String leader = leadership.leader();
         if (!mayRelay
@@ -258,7 +258,7 @@
     }
 
     /** Called when a write batch is committed, so that its launches may be sent. */
-    public void onWritten() {
+    public void onWriteBatchCommitted() {
         responder.releaseResponsesWithCommands();
     }
 
@@ -267,12 +267,12 @@
      *
      * @return whether a response was held
      */
-    public boolean release(String machineId) {
+    public boolean releaseHeldResponse(String machineId) {
         return responder.releaseHeldResponse(machineId);
     }
 
     /** Sends all held responses. Called when this node is no longer the leader. */
-    public void releaseAll() {
+    public void releaseAllHeldResponses() {
         responder.releaseAllHeldResponses();
     }
 }
