--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -141,7 +141,7 @@
     // ---- for users' status queries: the leader's view -------------------------------------------
 
     @Override
-    public void progress(List<String> jobIds, Consumer<List<JobProgress>> answer) {
+    public void requestProgress(List<String> jobIds, Consumer<List<JobProgress>> answer) {
         String leader = leadership.leader();
         if (leadership.isLeading()) {
             answer.accept(progress(jobIds));
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public String whyUnavailable() {
+    public String describeUnavailability() {
         String leader = leadership.leader();
         if (leader == null) {
             return "no node leads at the moment";
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -44,12 +44,12 @@
          * Responds with the progress of those jobs that are known to the source; with an empty list
          * on failure.
          */
-        void progress(List<String> jobs, Consumer<List<JobProgress>> onResponse);
+        void requestProgress(List<String> jobs, Consumer<List<JobProgress>> onResponse);
 
         /**
          * Returns why no progress is available, as a text for users, as far as the reason is known.
          */
-        String whyUnavailable();
+        String describeUnavailability();
     }
 
     private final Store store;
--- a/src/main/java/io/kitepath/core/service/OpenJobResponder.java
+++ b/src/main/java/io/kitepath/core/service/OpenJobResponder.java
@@ -109,7 +109,7 @@
         if (openJobs.isEmpty()) {
             return;
         }
-        progressSource.progress(
+        progressSource.requestProgress(
                 openJobs, reported -> onProgressReported(batch, openJobs, reported));
     }
 
@@ -172,7 +172,7 @@
                 progress.jobId(),
                 progress.doneTaskCount(),
                 progress.runningTaskCount(),
-                progressSource.whyUnavailable() + "; the figures are from before");
+                progressSource.describeUnavailability() + "; the figures are from before");
     }
 
     private void readDependencies(
