--- a/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
@@ -17,17 +17,19 @@
 import java.util.function.Consumer;
 
 /**
- * The leader's own answers to heartbeats. The answer to a machine that has nothing to do is held
- * for a moment, so that work which is placed on it meanwhile starts at once.
+ * Responds to heartbeats as the leader. The response to an idle machine is held briefly, so that a
+ * task that is placed on it meanwhile starts without delay.
  */
 final class HeartbeatResponder {
     /**
-     * An answer that is held.
+     * A response that is held back.
      *
-     * @param fencingToken under which the heartbeat was processed
+     * @param fencingToken the fencing token under which the heartbeat was processed
      */
-    private record HeldAnswer(
-            Consumer<HeartbeatResponse> answer, List<WorkerCommand> commands, long fencingToken) {}
+    private record HeldResponse(
+            Consumer<HeartbeatResponse> onResponse,
+            List<WorkerCommand> commands,
+            long fencingToken) {}
 
     private final ShardState shard;
     private final HeartbeatProcessor heartbeatProcessor;
@@ -39,7 +41,7 @@
     private final Runnable onSchedulingNeeded;
 
     /** By machine. */
-    private final Map<String, HeldAnswer> heldAnswers = new LinkedHashMap<>();
+    private final Map<String, HeldResponse> heldResponses = new LinkedHashMap<>();
 
     HeartbeatResponder(
             LeaderComponents components,
@@ -57,45 +59,51 @@
         this.onSchedulingNeeded = onSchedulingNeeded;
     }
 
-    /** Answers a worker that asked this node itself, at once or when there is work for it. */
-    void respond(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-        double startedAt = loopTime.now();
+    /**
+     * Responds to a worker that contacted this node directly, immediately or when there is work for
+     * it.
+     */
+    void respond(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
+        double startedAtSeconds = loopTime.now();
         if (heartbeatProcessor.isNewer(heartbeat)) {
-            respondToNewest(heartbeat, answer);
+            respondToNewest(heartbeat, onResponse);
         } else {
-            // Guards against a late copy that takes the place of the heartbeat whose answer is
-            // held.
-            answer.accept(process(heartbeat, false));
+            // Guards against a late duplicate that replaces the heartbeat whose response is held.
+            onResponse.accept(process(heartbeat, false));
         }
-        loopTime.record(Activity.CHECK_INS, startedAt);
+        loopTime.record(Activity.CHECK_INS, startedAtSeconds);
     }
 
-    /** Answers a heartbeat that a peer asks about: at once, for the worker's time is running. */
-    HeartbeatResponse respondAtOnce(Heartbeat heartbeat) {
+    /**
+     * Returns the response to a heartbeat that a peer relayed. It is not held, as the worker's
+     * lease is running out.
+     */
+    HeartbeatResponse respondImmediately(Heartbeat heartbeat) {
         return process(heartbeat, heartbeatProcessor.isNewer(heartbeat));
     }
 
-    private void respondToNewest(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
+    private void respondToNewest(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
         String machineId = heartbeat.machineId();
-        release(machineId);
+        releaseHeldResponse(machineId);
         HeartbeatResponse response = process(heartbeat, true);
         double holdSeconds = isIdle(response) ? holdSeconds(machineId) : 0;
         if (holdSeconds == 0) {
-            answer.accept(response);
+            onResponse.accept(response);
             return;
         }
-        HeldAnswer held = new HeldAnswer(answer, response.commands(), response.fencingToken());
-        heldAnswers.put(machineId, held);
+        HeldResponse held =
+                new HeldResponse(onResponse, response.commands(), response.fencingToken());
+        heldResponses.put(machineId, held);
         timers.schedule(
                 holdSeconds,
                 () -> {
-                    if (heldAnswers.get(machineId) == held) {
-                        release(machineId);
+                    if (heldResponses.get(machineId) == held) {
+                        releaseHeldResponse(machineId);
                     }
                 });
     }
 
-    /** Whether the worker is told to do nothing but forget tasks that have ended. */
+    /** Returns whether the response contains no commands but to forget tasks that have ended. */
     private static boolean isIdle(HeartbeatResponse response) {
         return response.fencingToken() > 0
                 && response.commands().stream()
@@ -108,11 +116,15 @@
                 : 0;
     }
 
-    /** {@code isNewest}: no newer heartbeat of its machine has been processed. */
+    /**
+     * Processes a heartbeat and returns the response to it.
+     *
+     * @param isNewest whether no newer heartbeat of its machine has been processed
+     */
     private HeartbeatResponse process(Heartbeat heartbeat, boolean isNewest) {
-        if (!stateWriter.knowsRunningJobs() || !authority.mayAnswer(heartbeat)) {
+        if (!stateWriter.knowsRunningJobs() || !authority.mayRespond(heartbeat)) {
             heartbeatProcessor.recordUnanswered(heartbeat, timers.nowSeconds());
-            return redirect();
+            return createRedirect();
         }
         List<WorkerCommand> commands =
                 new ArrayList<>(
@@ -122,7 +134,7 @@
                                 stateWriter::mayHaveRunningTasks,
                                 timers.nowSeconds()));
         if (isNewest) {
-            // Nothing is launched by the answer to a late copy, which nobody hears.
+            // The response to a late duplicate launches nothing, as no worker receives it.
             commands.addAll(startAndStopCommands(heartbeat.machineId()));
         }
         if (shard.isSchedulingNeeded()) {
@@ -131,47 +143,60 @@
         return new HeartbeatResponse(shard.fencingToken(), commands, null);
     }
 
-    /** What the machine shall start and stop; it starts nothing unless launches may go now. */
+    /**
+     * Returns the machine's start and stop commands; no start commands unless launches are allowed
+     * now.
+     */
     private List<WorkerCommand> startAndStopCommands(String machineId) {
         return heartbeatProcessor.commands(machineId, leadership.mayLaunch(), timers.nowSeconds());
     }
 
-    /** Answers without a token: to the leader, or to any other node if this one leads itself. */
-    private HeartbeatResponse redirect() {
+    /**
+     * Returns a response without a fencing token, which redirects the worker to the leader, or to
+     * any other node if this node is the leader.
+     */
+    private HeartbeatResponse createRedirect() {
         return leadership.isLeading()
                 ? ParkedHeartbeats.noLeaderKnown()
                 : HeartbeatResponse.redirectTo(leadership.leader());
     }
 
-    /** Answers the machine's heartbeat now if its answer is held; returns whether it was. */
-    boolean release(String machineId) {
-        HeldAnswer held = heldAnswers.remove(machineId);
+    /**
+     * Sends the held response to the machine's heartbeat now, if there is one.
+     *
+     * @return whether a response was held
+     */
+    boolean releaseHeldResponse(String machineId) {
+        HeldResponse held = heldResponses.remove(machineId);
         if (held == null) {
             return false;
         }
-        // What was true when the heartbeat came need not be when the answer goes.
-        if (!authority.mayStillAnswer(held.fencingToken)) {
-            held.answer.accept(redirect());
+        // The node's authority may have changed since the heartbeat was received.
+        if (!authority.mayStillRespond(held.fencingToken)) {
+            held.onResponse.accept(createRedirect());
             return true;
         }
         List<WorkerCommand> commands = new ArrayList<>(held.commands);
         commands.addAll(startAndStopCommands(machineId));
-        held.answer.accept(new HeartbeatResponse(held.fencingToken, commands, null));
+        held.onResponse.accept(new HeartbeatResponse(held.fencingToken, commands, null));
         return true;
     }
 
-    /** Releases the answers to all machines that something may be launched or stopped on now. */
-    void releaseWithCommands() {
-        double startedAt = loopTime.now();
-        for (String machineId : new ArrayList<>(heldAnswers.keySet())) {
+    /**
+     * Releases the held responses to all machines for which there are start or stop commands now.
+     */
+    void releaseResponsesWithCommands() {
+        double startedAtSeconds = loopTime.now();
+        for (String machineId : new ArrayList<>(heldResponses.keySet())) {
             if (heartbeatProcessor.hasCommands(machineId)) {
-                release(machineId);
+                releaseHeldResponse(machineId);
             }
         }
-        loopTime.record(Activity.ANSWERS, startedAt);
+        loopTime.record(Activity.ANSWERS, startedAtSeconds);
     }
 
-    void releaseAll() {
-        new ArrayList<>(heldAnswers.keySet()).forEach(this::release);
+    /** Releases all held responses. */
+    void releaseAllHeldResponses() {
+        new ArrayList<>(heldResponses.keySet()).forEach(this::releaseHeldResponse);
     }
 }
--- a/src/main/java/io/kitepath/core/service/JobCancellation.java
+++ b/src/main/java/io/kitepath/core/service/JobCancellation.java
@@ -18,10 +18,10 @@
 
 /**
  * Cancels jobs: one transaction moves the job's record from the open jobs to the ended ones. Any
- * node does that for any job; the leader learns of it and stops the job's tasks.
+ * node can do this for any job. The leader is notified and stops the job's tasks.
  */
 final class JobCancellation {
-    /** Attempts while the job's record changes between reading and writing it. */
+    /** The number of tries if the job's record changes between reading and writing it. */
     private static final int MAX_TRIES = 4;
 
     private final ClusterSettings settings;
@@ -47,47 +47,51 @@
         this.mayLendTasks = mayLendTasks;
     }
 
-    /** The listener is told of every job that was cancelled here, before its user is. */
+    /**
+     * Sets the listener that is notified of every job that this node cancelled, before the user is.
+     */
     void onCancelled(Consumer<JobStatus> listener) {
         onCancelled = listener;
     }
 
-    /** What is told of a cancelled job. */
+    /** Returns the status of a cancelled job. */
     static JobStatus cancelledStatus(String jobId) {
         return new JobStatus(jobId, FinalStates.CANCELLED, 0, 0);
     }
 
-    void cancel(String jobId, Consumer<JobResponse> answer) {
-        cancel(jobId, MAX_TRIES, answer);
+    void cancel(String jobId, Consumer<JobResponse> onResponse) {
+        cancel(jobId, MAX_TRIES, onResponse);
     }
 
-    private void cancel(String jobId, int triesLeft, Consumer<JobResponse> answer) {
-        if (finalStates.answerWithoutStore(jobId, answer)) {
+    private void cancel(String jobId, int triesLeft, Consumer<JobResponse> onResponse) {
+        if (finalStates.respondWithoutStore(jobId, onResponse)) {
             return;
         }
         if (triesLeft == 0) {
-            answer.accept(JobResponse.LATER);
+            onResponse.accept(JobResponse.LATER);
             return;
         }
         store.get(
                 StoreKeys.OPEN_JOBS + jobId,
-                (outcome, open) -> {
+                (outcome, openEntry) -> {
                     switch (outcome) {
-                        case OK -> moveToEnded(jobId, open, triesLeft, answer);
-                        case REJECTED -> finalStates.read(jobId, answer);
-                        default -> answer.accept(JobResponse.LATER);
+                        case OK -> moveToEnded(jobId, openEntry, triesLeft, onResponse);
+                        case REJECTED -> finalStates.read(jobId, onResponse);
+                        default -> onResponse.accept(JobResponse.LATER);
                     }
                 });
     }
 
     private void moveToEnded(
-            String jobId, Entry open, int triesLeft, Consumer<JobResponse> answer) {
+            String jobId, Entry openEntry, int triesLeft, Consumer<JobResponse> onResponse) {
         Transaction move =
                 new Transaction()
-                        .requireRevision(StoreKeys.OPEN_JOBS + jobId, open.revision())
+                        .requireRevision(StoreKeys.OPEN_JOBS + jobId, openEntry.revision())
                         .requireRevision(StoreKeys.ENDED_JOBS + jobId, 0)
                         .remove(StoreKeys.OPEN_JOBS + jobId)
-                        .put(StoreKeys.ENDED_JOBS + jobId, cancelledRecord(jobId, open.value()));
+                        .put(
+                                StoreKeys.ENDED_JOBS + jobId,
+                                cancelledRecord(jobId, openEntry.value()));
         if (mayLendTasks) {
             move.requireRevision(StoreKeys.LENT_TASKS + jobId, 0);
         }
@@ -99,16 +103,16 @@
                             JobStatus status = cancelledStatus(jobId);
                             finalStates.remember(status);
                             onCancelled.accept(status);
-                            answer.accept(new JobResponse(Verdict.KNOWN, status));
+                            onResponse.accept(new JobResponse(Verdict.KNOWN, status));
                         }
                         case REJECTED -> {
                             if (hasLentTasks(jobId, result)) {
-                                recallLoans(jobId, open.revision(), answer);
+                                requestCancellation(jobId, openEntry.revision(), onResponse);
                             } else {
-                                cancel(jobId, triesLeft - 1, answer);
+                                cancel(jobId, triesLeft - 1, onResponse);
                             }
                         }
-                        default -> answer.accept(JobResponse.LATER);
+                        default -> onResponse.accept(JobResponse.LATER);
                     }
                 });
     }
@@ -118,23 +122,24 @@
     }
 
     /**
-     * Guards against a user who is told that the job is cancelled while a cell that nobody can
-     * reach starts one of its lent tasks: the tasks are recalled first, and the user is told to
-     * come again, until the leader has it from that cell's own records that none of them will start
-     * any more.
+     * Commits a cancellation request, upon which the job's lent tasks are recalled. Guards against
+     * a user who is notified that the job is cancelled while an unreachable remote cell starts one
+     * of its lent tasks. Until that cell's own records show the leader that none of them can start
+     * any more, users are asked to retry.
      */
-    private void recallLoans(String jobId, long openRevision, Consumer<JobResponse> answer) {
+    private void requestCancellation(
+            String jobId, long openRevision, Consumer<JobResponse> onResponse) {
         store.commit(
                 new Transaction()
                         .requireRevision(StoreKeys.OPEN_JOBS + jobId, openRevision)
                         .requireRevision(StoreKeys.CANCELLATION_REQUESTS + jobId, 0)
                         .put(StoreKeys.CANCELLATION_REQUESTS + jobId, Map.of()),
-                result -> answer.accept(JobResponse.LATER));
+                result -> onResponse.accept(JobResponse.LATER));
     }
 
-    /** The record of a cancelled job, from its record as an open one. */
+    /** Returns the record of a cancelled job, made from its record as an open job. */
     Map<String, Object> cancelledRecord(String jobId, Object openRecord) {
-        Map<String, Object> end =
+        Map<String, Object> endFields =
                 Map.of(
                         "status",
                         FinalStates.CANCELLED,
@@ -144,12 +149,13 @@
                         timers.wallClockMillis());
         try {
             return JobRecord.fromRecord(jobId, openRecord)
-                    .toFinishedRecord(end, settings.store().maxValueBytes());
+                    .toFinishedRecord(endFields, settings.store().maxValueBytes());
         } catch (InvalidInputException | IllegalArgumentException e) {
-            // Written by a later version, or damaged: kept as it is, and cancelled all the same.
+            // The record was written by a later version or is damaged. It is kept unchanged, and
+            // the job is cancelled nonetheless.
             Map<String, Object> record = new LinkedHashMap<>();
             ((Map<?, ?>) openRecord).forEach((name, value) -> record.put((String) name, value));
-            record.putAll(end);
+            record.putAll(endFields);
             return record;
         }
     }
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -18,46 +18,54 @@
 import java.util.function.Consumer;
 
 /**
- * Users' queries for jobs that this node does not know to have ended. Guards against queries that
- * use up the store's request rate and starve leases, submissions and a new leader's reading of the
- * state: all that come within a moment are settled by one request, which compares many keys and
- * writes nothing. The request is sent after the last of its queries came, so no answer is older
- * than one that a user got before.
+ * Serves users' status queries for jobs that this node does not know to have ended. Guards against
+ * queries that use up the store's request rate and starve leases, submissions and a new leader that
+ * loads the state: all queries that arrive within a short interval are resolved by one request,
+ * which compares many keys and writes nothing. The request is sent after the last of its queries
+ * has arrived, so no response is older than one that a user received before.
  */
 public final class JobStatusQueries {
     /** Share of the store's request rate that all nodes together spend on comparisons. */
     private static final double RATE_SHARE = 0.15;
 
-    /** How long the first query waits for others. */
-    private static final double GATHER_SECONDS = 0.01;
+    /** How long the first query waits for others to join its batch. */
+    private static final double BATCH_DELAY_SECONDS = 0.01;
 
     private static final int MAX_TRIES = 3;
 
-    /** After the first failed try; each further pause is longer by as much. */
-    private static final double RETRY_SECONDS = 0.1;
+    /**
+     * The back-off after the first failed try; each further back-off is longer by the same amount.
+     */
+    private static final double RETRY_STEP_SECONDS = 0.1;
 
-    /** Knows the progress of open jobs, as the leader does. */
+    /** A source of the progress of open jobs, such as the leader. */
     public interface ProgressSource {
-        /** Answers the progress of those of the jobs that it knows; an empty list on failure. */
-        void progress(List<String> jobs, Consumer<List<JobProgress>> answer);
-
-        /** Why nobody can be asked, in words for users, as far as known. */
-        String whyUnavailable();
+        /**
+         * Responds with the progress of those jobs that are known to the source; with an empty list
+         * on failure.
+         */
+        void requestProgress(List<String> jobs, Consumer<List<JobProgress>> onResponse);
+
+        /**
+         * Returns why no progress is available, as a text for users, as far as the reason is known.
+         */
+        String describeUnavailability();
     }
 
     private final Store store;
     private final Timers timers;
     private final FinalStates finalStates;
-    private final OpenJobAnswers openJobAnswers;
+    private final OpenJobResponder openJobResponder;
     private final TokenBucket requestBudget;
     private int maxJobsPerComparison;
-    private final int maxWaiting;
+    private final int maxWaitingCallers;
 
-    /** Callers of the next comparisons, by job. */
-    private final Map<String, List<Consumer<JobResponse>>> waiting = new LinkedHashMap<>();
+    /** Callers that wait for the next comparisons, by job. */
+    private final Map<String, List<Consumer<JobResponse>>> waitingCallersByJob =
+            new LinkedHashMap<>();
 
-    private int waitingCount;
-    private boolean isGathering;
+    private int waitingCallerCount;
+    private boolean isBatchScheduled;
 
     JobStatusQueries(
             ClusterSettings settings,
@@ -68,62 +76,69 @@
         this.store = store;
         this.timers = timers;
         this.finalStates = finalStates;
-        this.openJobAnswers =
-                new OpenJobAnswers(settings, store, timers, progressSource, finalStates);
-        int nodes = settings.siblings().size() + 1;
+        this.openJobResponder =
+                new OpenJobResponder(settings, store, timers, progressSource, finalStates);
+        int nodeCount = settings.siblings().size() + 1;
         this.requestBudget =
-                new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
-        // A transaction takes four conditions for each change that it may hold; a job needs two.
+                new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodeCount);
+        // A transaction may hold four conditions for each change that it may hold; a job needs two.
         this.maxJobsPerComparison = 2 * settings.store().maxTransactionOperations();
-        this.maxWaiting = settings.limits().maxSockets();
+        this.maxWaitingCallers = settings.limits().maxSockets();
     }
 
-    /** A job was accepted here just now; {@code isIndependent}: it waits for no others. */
+    /**
+     * Called when a job is accepted at this node.
+     *
+     * @param isIndependent whether the job has no dependencies
+     */
     void onAccepted(String jobId, boolean isIndependent) {
-        openJobAnswers.onAccepted(jobId, isIndependent);
+        openJobResponder.onAccepted(jobId, isIndependent);
     }
 
-    /** Whether the job was accepted, as far as this node has heard. */
-    boolean hasHeardOf(String jobId) {
-        return openJobAnswers.hasHeardOf(jobId);
+    /** Returns whether this node knows that the job was accepted. */
+    boolean isKnownAccepted(String jobId) {
+        return openJobResponder.isKnownAccepted(jobId);
     }
 
-    /** Answers the job's state; LATER if too many wait already or the store can't be asked. */
-    void query(String jobId, Consumer<JobResponse> answer) {
-        if (waitingCount >= maxWaiting) {
-            answer.accept(JobResponse.LATER);
+    /**
+     * Responds with the job's state, or with LATER if too many callers wait already or the store is
+     * unavailable.
+     */
+    void query(String jobId, Consumer<JobResponse> onResponse) {
+        if (waitingCallerCount >= maxWaitingCallers) {
+            onResponse.accept(JobResponse.LATER);
             return;
         }
-        waitingCount++;
-        waiting.computeIfAbsent(jobId, key -> new ArrayList<>()).add(answer);
-        gather();
+        waitingCallerCount++;
+        waitingCallersByJob.computeIfAbsent(jobId, key -> new ArrayList<>()).add(onResponse);
+        scheduleNextBatch();
     }
 
-    private void gather() {
-        if (isGathering || waiting.isEmpty()) {
+    private void scheduleNextBatch() {
+        if (isBatchScheduled || waitingCallersByJob.isEmpty()) {
             return;
         }
-        isGathering = true;
+        isBatchScheduled = true;
         timers.schedule(
-                Math.max(GATHER_SECONDS, requestBudget.secondsUntil(1, timers.nowSeconds())),
+                Math.max(BATCH_DELAY_SECONDS, requestBudget.secondsUntil(1, timers.nowSeconds())),
                 () -> {
-                    isGathering = false;
+                    isBatchScheduled = false;
                     if (requestBudget.tryTake(1, timers.nowSeconds())) {
                         sendNextBatch();
                     }
-                    gather();
+                    scheduleNextBatch();
                 });
     }
 
     private void sendNextBatch() {
         QueryBatch batch = new QueryBatch();
         Iterator<Map.Entry<String, List<Consumer<JobResponse>>>> remaining =
-                waiting.entrySet().iterator();
+                waitingCallersByJob.entrySet().iterator();
         while (remaining.hasNext() && batch.size() < maxJobsPerComparison) {
             Map.Entry<String, List<Consumer<JobResponse>>> callers = remaining.next();
             remaining.remove();
-            waitingCount -= callers.getValue().size();
-            batch.add(callers.getKey(), callers.getValue());
+            waitingCallerCount -= callers.getValue().size();
+            batch.addCallers(callers.getKey(), callers.getValue());
         }
         if (batch.size() > 0) {
             send(batch.comparison(), batch, MAX_TRIES);
@@ -136,12 +151,12 @@
                 result -> {
                     switch (result.outcome()) {
                         // None of the keys exists.
-                        case OK -> batch.answerAll(JobResponse.NOT_FOUND);
+                        case OK -> batch.respondToAll(JobResponse.NOT_FOUND);
                         case REJECTED -> dispatch(batch, new HashSet<>(result.failedKeys()));
                         case INVALID -> {
-                            // The store takes fewer conditions by now than the settings say.
+                            // The store now accepts fewer conditions than the settings say.
                             maxJobsPerComparison = Math.max(1, batch.size() / 2);
-                            batch.answerAll(JobResponse.LATER);
+                            batch.respondToAll(JobResponse.LATER);
                         }
                         default -> retry(comparison, batch, triesLeft - 1);
                     }
@@ -150,11 +165,12 @@
 
     private void retry(Transaction comparison, QueryBatch batch, int triesLeft) {
         if (triesLeft == 0) {
-            batch.answerAll(JobResponse.LATER);
+            batch.respondToAll(JobResponse.LATER);
             return;
         }
         timers.schedule(
-                RETRY_SECONDS * (MAX_TRIES - triesLeft), () -> send(comparison, batch, triesLeft));
+                RETRY_STEP_SECONDS * (MAX_TRIES - triesLeft),
+                () -> send(comparison, batch, triesLeft));
     }
 
     private void dispatch(QueryBatch batch, Set<String> existingKeys) {
@@ -168,27 +184,27 @@
                 confirmAbsent(batch, jobId);
             }
         }
-        openJobAnswers.answer(batch, openJobs);
+        openJobResponder.respond(batch, openJobs);
     }
 
     private void readFinalState(QueryBatch batch, String jobId) {
-        finalStates.read(jobId, response -> batch.answer(jobId, response));
+        finalStates.read(jobId, response -> batch.respond(jobId, response));
     }
 
     /**
-     * The comparison did not find the job; that it was never accepted is only said after its two
-     * records have been read in turn.
+     * Handles a job that the comparison did not find: its two records are read in turn before it is
+     * reported as never accepted.
      */
     private void confirmAbsent(QueryBatch batch, String jobId) {
         store.get(
                 StoreKeys.OPEN_JOBS + jobId,
                 (outcome, entry) -> {
                     switch (outcome) {
-                        case OK -> openJobAnswers.answer(batch, List.of(jobId));
-                        // A job moves from open to ended and never back, so what is in neither
-                        // place was never accepted.
+                        case OK -> openJobResponder.respond(batch, List.of(jobId));
+                        // A job moves from open to ended and never back, so a job without either
+                        // record was never accepted.
                         case REJECTED -> readFinalState(batch, jobId);
-                        default -> batch.answer(jobId, JobResponse.LATER);
+                        default -> batch.respond(jobId, JobResponse.LATER);
                     }
                 });
     }
