--- a/src/main/java/io/kitepath/core/role/CloudIntent.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntent.java
@@ -9,14 +9,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * A request to the cloud that is on record in the store before it is sent, and until the leader
- * knows what came of it.
+ * A request to the cloud. It is recorded in the store before it is sent, and stays recorded until
+ * the leader has processed its outcome.
  */
 public abstract sealed class CloudIntent permits RentalIntent, ReleaseIntent {
-    /** Of its record in the store. */
+    /** The key of its record in the store. */
     final String key;
 
-    /** Of its record; 0 while there is none. */
+    /** The revision of its record; 0 while there is none. */
     private long revision;
 
     CloudIntent(String key) {
@@ -26,7 +26,8 @@
     /**
      * Reads a record.
      *
-     * @throws InvalidInputException if it is none, or of a kind that this version does not know
+     * @throws InvalidInputException if the record is invalid, or of a kind that this version does
+     *     not know
      */
     static CloudIntent read(Entry entry) {
         if (entry.key().startsWith(StoreKeys.RENTAL_INTENTS)) {
@@ -35,23 +36,24 @@
         if (entry.key().startsWith(StoreKeys.RELEASE_INTENTS)) {
             return ReleaseIntent.read(entry);
         }
-        throw new InvalidInputException("is not an act that this version knows");
+        throw new InvalidInputException("is not a cloud intent that this version knows");
     }
 
-    /** The stored form. */
+    /** Returns the value of its record in the store. */
     abstract Map<String, Object> toMap();
 
-    /** Whether the cloud has said what came of it. */
+    /** Whether its outcome is known: the cloud has executed or rejected it. */
     public abstract boolean isSettled();
 
-    /** Whether it is settled and nothing came of it, so that no record need be kept. */
+    /** Whether it is settled and had no effect, so that its record can be removed. */
     abstract boolean isWithoutResult();
 
     /**
      * Sends it to the cloud, under the same name each time.
      *
-     * @param answer gets OK or REJECTED if that settles it, any other outcome if it has to be sent
-     *     again; the second argument then records in this object what came of it
+     * @param answer receives OK or REJECTED if the response settles the request, and any other
+     *     outcome if the request has to be sent again; the second argument, to be run only when the
+     *     request is settled, stores the outcome in this object
      */
     abstract void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer);
 
@@ -63,7 +65,7 @@
         return revision;
     }
 
-    /** Its record is of that revision, or there is none if that is 0. */
+    /** Sets the revision of its record; 0 means that there is no record. */
     void setRevision(long revision) {
         this.revision = revision;
     }
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -21,39 +21,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The role {@code cloud}: sends to the cloud what the leader has put on record ({@link
- * CloudIntents}), and records what came of it. It decides nothing: each intent is sent again and
- * again, under the name that is on record, until the cloud has accepted or rejected it.
+ * The role {@code cloud}: sends the intents that the leader has recorded ({@link CloudIntents}) to
+ * the cloud and records their outcomes. It makes no decisions: each intent is retried under its
+ * recorded name until the cloud has accepted or rejected it.
  */
 public final class CloudIntentExecutor implements LeasedRoles.RoleWorker {
     private static final Logger LOG = LoggerFactory.getLogger(CloudIntentExecutor.class);
 
-    /** Of the cloud's call rate; lists, types and the other nodes take the rest. */
+    /** Share of the cloud's call rate; the rest is for listings, machine types and other nodes. */
     private static final double RATE_SHARE = 0.6;
 
     private static final int MAX_PAGE_ATTEMPTS = 3;
 
-    /** Before the records are read, or watched, again after a failure. */
+    /** Delay after a failure before the records are read, or watched, again. */
     private static final double STORE_RETRY_SECONDS = 0.3;
 
-    /** Before an outcome is written again: this and up to as much again. */
+    /** Minimum delay before an outcome is written again; jitter adds up to the same delay. */
     private static final double WRITE_RETRY_SECONDS = 0.1;
 
     private static final double FIRST_CALL_RETRY_SECONDS = 0.1;
     private static final double MAX_CALL_RETRY_SECONDS = 2;
     private static final int MAX_CALL_RETRY_DOUBLINGS = 5;
 
-    /** Lease times without an answer of the cloud after which the role is handed back. */
+    /** Lease times without a response from the cloud after which the role is handed back. */
     private static final double MAX_FAILING_LEASES = 2;
 
     /** An intent that is not settled. */
     private static final class PendingAction {
         private final CloudIntent intent;
 
-        /** It has been sent and not been answered, or its outcome is being recorded. */
+        /** Whether a call or the write of its outcome awaits a response. */
         private boolean isInFlight;
 
         private int failures;
+
+        /** In seconds on the steady clock. */
         private double retryNotBefore;
 
         PendingAction(CloudIntent intent) {
@@ -68,21 +70,25 @@
     private final TokenBucket callBudget;
     private final double leaseSeconds;
 
-    /** By key. */
+    /** Unsettled intents by record key. */
     private final Map<String, PendingAction> pending = new LinkedHashMap<>();
 
-    /** Rises with each reading of the records: answers to what was asked before are ignored. */
+    /** Incremented with each read of the records; responses to earlier requests are ignored. */
     private long epoch;
 
     private LeasedRoles.RoleLease roleLease;
 
-    /** Since when no call succeeded, in seconds on the steady clock; NaN if the last one did. */
+    /** When calls began to fail, in seconds on the steady clock; NaN if the last one succeeded. */
     private double failingSince = Double.NaN;
 
     private long callCount;
     private long failedCallCount;
 
-    /** {@code leaseSeconds}: of the role's lease. */
+    /**
+     * Creates an executor that is idle until the role is acquired.
+     *
+     * @param leaseSeconds time to live of the role's lease
+     */
     public CloudIntentExecutor(
             ClusterSettings settings,
             Store store,
@@ -116,17 +122,17 @@
         pending.clear();
     }
 
-    /** Rentals and releases that this node sent to the cloud. */
+    /** Returns how many rental and release calls this node sent to the cloud. */
     public long callCount() {
         return callCount;
     }
 
-    /** Those of them that were not executed, or not answered. */
+    /** Returns how many of these calls were not executed or got no response. */
     public long failedCallCount() {
         return failedCallCount;
     }
 
-    // ---- what is on record ----------------------------------------------------------------------
+    // ---- recorded intents -----------------------------------------------------------------------
 
     private void read(long readEpoch) {
         PagedScan.read(
@@ -194,7 +200,7 @@
                 pending.put(entry.key(), new PendingAction(intent));
             }
         } catch (InvalidInputException | ClassCastException bad) {
-            LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
+            LOG.error("record is unreadable: key={} reason={}", entry.key(), bad.getMessage());
         }
     }
 
@@ -203,7 +209,7 @@
     @Override
     public void tick(double now) {
         for (PendingAction action : new ArrayList<>(pending.values())) {
-            // Whether the role is still held is asked last, right before the call.
+            // Whether the role is still held is checked last, immediately before the call.
             if (!action.isInFlight
                     && now >= action.retryNotBefore
                     && callBudget.available(now) >= 1
@@ -233,7 +239,7 @@
             long callEpoch, PendingAction action, Outcome outcome, Runnable settle) {
         action.isInFlight = false;
         if (callEpoch != epoch || pending.get(action.intent.key) != action) {
-            return; // Whoever holds the role now sends it again, under the same name.
+            return; // The current role holder sends it again, under the same name.
         }
         if (outcome != Outcome.OK && outcome != Outcome.REJECTED) {
             onCallFailed(action);
@@ -241,7 +247,7 @@
         }
         failingSince = Double.NaN;
         settle.run();
-        action.isInFlight = true; // Until what came of it is on record.
+        action.isInFlight = true; // Until the outcome is recorded.
         recordOutcome(callEpoch, action);
     }
 
@@ -265,7 +271,7 @@
                         .requireRevision(roleLease.key(), roleLease.revision())
                         .requireRevision(intent.key, intent.revision());
         if (intent.isWithoutResult()) {
-            // The leader sees the record gone, and need not remove it.
+            // The leader is notified of the removal and need not remove the record.
             transaction.remove(intent.key);
         } else {
             transaction.put(intent.key, intent.toMap());
@@ -282,8 +288,8 @@
     private void onOutcomeWritten(PendingAction action, Outcome outcome) {
         long callEpoch = epoch;
         switch (outcome) {
-            // Removed or settled already, also by a write of ours whose answer was lost: the
-            // records tell.
+            // The record was already removed or settled, possibly by an earlier write of this node
+            // whose response was lost. Reading the records shows which.
             case REJECTED -> read(++epoch);
             case OK -> pending.remove(action.intent.key, action);
             default ->
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -22,18 +22,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the leader, who holds the shard of machines, wants of the cloud. The cloud knows no fencing
- * tokens: a request of a node that was replaced may be executed minutes after its successor acted.
- * So every request is on record before it is sent, under the shard's revision. The holder of the
- * role {@code cloud} ({@link CloudIntentExecutor}) sends what is on record and records what came of
- * it. The leader, this one or the next, removes the record when it need not be known any more:
+ * The rentals and releases that the leader, which owns the shard of machines, requests from the
+ * cloud. The cloud does not check fencing tokens: a request from a node that was replaced may be
+ * executed minutes after its successor acted. Therefore every request is recorded under the shard's
+ * revision before it is sent. The holder of the role {@code cloud} ({@link CloudIntentExecutor})
+ * sends the recorded requests and records their outcomes. The leader, this one or a later one,
+ * removes a record when it is no longer needed:
  *
  * <ul>
- *   <li>a rental whose outcome is unknown is sent again under the very same name, for which the
- *       cloud rents nothing twice, and nothing else is rented before it is settled;
- *   <li>a rental whose machines may be missing on the cloud's list names them, so that nothing is
- *       rented again for a need that they meet;
- *   <li>a machine that is being released gets no work, until the cloud has confirmed that it is
+ *   <li>A rental whose outcome is unknown is sent again under the same name, which the cloud treats
+ *       as idempotent. Nothing else is rented before it is settled.
+ *   <li>A rental whose machines may still be missing from the cloud's list names them, so that no
+ *       further machines are rented for the same demand.
+ *   <li>A machine that is being released gets no work until the cloud has confirmed that it is
  *       gone.
  * </ul>
  *
@@ -45,16 +46,16 @@
     private static final int MAX_MACHINES_PER_RENTAL = 50;
     private static final int MAX_MACHINES_PER_RELEASE = 100;
 
-    /** Share of the largest value that the names of one release may take. */
+    /** Share of the store's maximum value size that the machine names of one release may take. */
     private static final double MAX_NAMES_SHARE = 0.8;
 
-    /** What a machine's name takes in a record beyond its length, in bytes. */
+    /** Bytes that a machine's name takes in a record in addition to its length. */
     private static final int BYTES_AROUND_NAME = 4;
 
-    /** Every list of the cloud shows a machine after this many times the settings' lag. */
+    /** Multiple of the configured list lag after which every list of the cloud shows a machine. */
     private static final double LISTED_AFTER_LAGS = 2.5;
 
-    /** No record is kept for longer than this many times the settings' lag. */
+    /** Maximum age of a rental record, as a multiple of the configured list lag. */
     private static final double MAX_RECORD_LAGS = 8;
 
     private final ShardState shard;
@@ -64,13 +65,13 @@
     private Consumer<RentalIntent> onRented = rental -> {};
     private Consumer<List<String>> onGone = machines -> {};
 
-    /** By key, the oldest first. */
+    /** Recorded rentals by key, the oldest first. */
     private final Map<String, RentalIntent> rentals = new LinkedHashMap<>();
 
-    /** By key, the oldest first. */
+    /** Recorded releases by key, the oldest first. */
     private final Map<String, ReleaseIntent> releases = new LinkedHashMap<>();
 
-    /** The machines of all releases. */
+    /** The machines of all recorded releases. */
     private final Set<String> releasingMachines = new HashSet<>();
 
     private String namePrefix = "";
@@ -78,7 +79,11 @@
     private long requestedCount;
     private long adoptedCount;
 
-    /** {@code writeWithBatch} has something written along with what the leader writes. */
+    /**
+     * Creates an instance without any intents.
+     *
+     * @param writeWithBatch adds a contributor to the leader's next write batch
+     */
     public CloudIntents(
             ShardState shard,
             Timers timers,
@@ -90,8 +95,8 @@
     }
 
     /**
-     * This node leads from now on. The names of its requests contain the id of its lease, which the
-     * store never gives out again, so that no name is used twice.
+     * Starts this node's term as leader. The names of its requests contain the id of its lease,
+     * which the store never reuses, so that no name is used twice.
      */
     public void startTerm(long leaseId) {
         namePrefix = leaseId + "-";
@@ -108,15 +113,17 @@
     /**
      * Sets the listeners.
      *
-     * @param onRented told of each rental when it is settled
-     * @param onGone told of machines that are gone for certain
+     * @param onRented receives each rental when it is settled
+     * @param onGone receives the machines that the cloud has confirmed to be gone
      */
     public void setListeners(Consumer<RentalIntent> onRented, Consumer<List<String>> onGone) {
         this.onRented = onRented;
         this.onGone = onGone;
     }
 
-    /** Takes over what earlier leaders recorded, or this one before it read everything again. */
+    /**
+     * Adopts the intents recorded by earlier leaders, or by this one before it reloaded its state.
+     */
     public void adopt(List<Entry> records) {
         clear();
         records.forEach(entry -> read(entry).ifPresent(this::adopt));
@@ -143,12 +150,12 @@
         }
     }
 
-    /** Empty if the record is unreadable, which is logged. */
+    /** Reads a record; logs an unreadable one and returns empty. */
     private static Optional<CloudIntent> read(Entry entry) {
         try {
             return Optional.of(CloudIntent.read(entry));
         } catch (InvalidInputException | ClassCastException bad) {
-            LOG.error("record {} is unreadable: {}", entry.key(), bad.getMessage());
+            LOG.error("record is unreadable: key={} reason={}", entry.key(), bad.getMessage());
             return Optional.empty();
         }
     }
@@ -163,9 +170,10 @@
     }
 
     /**
-     * A record has changed. What this node wrote itself says nothing new, but an outcome does. That
-     * may be heard of before the answer to the write that recorded the request, or when that write
-     * was repeated since its answer was lost; so it is taken in whatever this node remembers.
+     * Processes a changed record. This node's own writes contain nothing new, but outcomes do. An
+     * outcome may arrive before the response to the write that recorded the request, or after that
+     * write was repeated because its response was lost. Therefore it is processed whether or not
+     * this node knows the intent.
      */
     public void onRecordChanged(Entry entry) {
         if (entry.value() == null) {
@@ -175,7 +183,7 @@
         }
     }
 
-    /** The executor removes the record of a rental of which nothing came. */
+    /** Settles a rental whose record was removed by the executor because nothing was rented. */
     private void onRecordRemoved(String key) {
         RentalIntent rental = rentals.get(key);
         if (rental != null && !rental.isSettled()) {
@@ -200,7 +208,7 @@
 
     // ---- renting --------------------------------------------------------------------------------
 
-    /** Records that so many machines, or as many as one request may ask for, shall be rented. */
+    /** Records a rental of {@code count} machines, limited to the maximum of one request. */
     public void requestRental(MachineKind kind, int count) {
         RentalIntent rental =
                 new RentalIntent(
@@ -214,24 +222,24 @@
         writeRecord(rental, rentals);
     }
 
-    /** Rentals whose outcome is not known yet, the oldest first. */
+    /** Returns the rentals whose outcome is not known yet, the oldest first. */
     public List<RentalIntent> unsettledRentals() {
         return rentals.values().stream().filter(rental -> !rental.isSettled()).toList();
     }
 
     /**
-     * Removes the records of rentals whose machines every list of the cloud shows by now; to be
-     * called when a list has been read. That the machines have reported is not enough: their
-     * workers reported to this leader, and its successor would know of them neither from a
-     * heartbeat nor from a list, and rent again. Lists lag by up to twice what the settings say,
-     * and may be older than the one before.
+     * Removes the records of rentals whose machines every list of the cloud shows by now. To be
+     * called when a list has been read. A heartbeat from the machines is not sufficient: it was
+     * received by this leader, and its successor would know of the machines neither from a
+     * heartbeat nor from a list, and would rent again. Lists lag by up to twice the configured
+     * time, and a list may be older than the one before it.
      */
     public void dropListedRentals() {
         double nowMillis = timers.wallClockMillis();
         double lagMillis = 1000 * settings.cloud().listLagSeconds();
         for (RentalIntent rental : new ArrayList<>(rentals.values())) {
             double ageMillis = nowMillis - rental.requestedAtMillis();
-            // Guards against a record that is kept for ever because a machine was gone before any
+            // Guards against a record that is never removed because a machine was gone before any
             // list showed it.
             boolean isOld = ageMillis > MAX_RECORD_LAGS * lagMillis;
             if (rental.isSettled()
@@ -250,12 +258,12 @@
 
     // ---- releasing ------------------------------------------------------------------------------
 
-    /** Whether the machine is to be given back, or has been and that is not confirmed. */
+    /** Whether a release of the machine is recorded that the cloud has not confirmed. */
     public boolean isReleasing(String machineId) {
         return releasingMachines.contains(machineId);
     }
 
-    /** Records that these machines, or as many as one record can name, shall be given back. */
+    /** Records a release of these machines, or of as many as one record can name. */
     public void requestRelease(Collection<String> machines) {
         List<String> batch = new ArrayList<>();
         double bytesLeft = settings.store().maxValueKibibytes() * 1024 * MAX_NAMES_SHARE;
@@ -279,12 +287,12 @@
         writeRecord(release, releases);
     }
 
-    /** Releases that the cloud has not confirmed, the oldest first. */
+    /** Returns the releases that the cloud has not confirmed, the oldest first. */
     public List<ReleaseIntent> releases() {
         return List.copyOf(releases.values());
     }
 
-    /** The cloud has confirmed that the machines, and all that ran on them, are gone. */
+    /** Processes the cloud's confirmation that the machines and all work on them are gone. */
     private void onReleaseConfirmed(ReleaseIntent release) {
         releasingMachines.removeAll(release.machines);
         removeRecord(release, releases);
@@ -310,7 +318,7 @@
 
                     @Override
                     public void onCommitted(long revision) {
-                        // The later revision of its outcome may have been heard of already.
+                        // The later revision with its outcome may have been received already.
                         intent.setRevision(Math.max(intent.revision(), revision));
                     }
                 });
@@ -344,24 +352,24 @@
                 });
     }
 
-    // ---- for operators --------------------------------------------------------------------------
+    // ---- metrics --------------------------------------------------------------------------------
 
-    /** Rentals and releases that this node requested since it started. */
+    /** Returns how many rentals and releases this node requested since it started. */
     public long requestedCount() {
         return requestedCount;
     }
 
-    /** Rentals and releases that this node took over from earlier leaders. */
+    /** Returns how many recorded rentals and releases this node adopted when it became leader. */
     public long adoptedCount() {
         return adoptedCount;
     }
 
-    /** Rentals and releases on record now. */
+    /** Returns how many rentals and releases are recorded. */
     public int openCount() {
         return rentals.size() + releases.size();
     }
 
-    /** Those of them that the cloud has not settled. */
+    /** Returns how many recorded rentals and releases the cloud has not settled. */
     public int backlog() {
         return unsettledRentals().size() + releases.size();
     }
--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -13,41 +13,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The role {@code cleanup}: looks through the records now and then, removes those that nothing
- * refers to any more, and reports those that contradict each other. Each removal depends on the
- * role, on the record's revision and on what made it garbage, so that a job which is just being
- * accepted keeps its parts, and a collection that ends anywhere has done no harm.
+ * The role {@code cleanup}: periodically scans the records, removes orphaned ones, and reports
+ * inconsistent ones. Each removal is conditional on the role, on the record's revision and on the
+ * facts that made it garbage. Therefore a job that is being accepted keeps its parts, and a
+ * collection can be interrupted at any point without harm.
  */
 public final class GarbageCollector implements LeasedRoles.RoleWorker {
     private static final Logger LOG = LoggerFactory.getLogger(GarbageCollector.class);
 
-    /** Between two scans, in workers' leases. */
+    /** Pause between two scans, in lease times of the workers. */
     private static final double PAUSE_IN_LEASES = 10;
 
-    /** Of the store's request rate. */
+    /** Share of the store's request rate that the collection uses. */
     private static final double RATE_SHARE = 0.01;
 
-    /** Records that wait to be removed; what is found beyond that is found by the next scan. */
+    /** Maximum number of queued removals; the next scan finds any further records again. */
     private static final int MAX_QUEUED = 1000;
 
     private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
 
-    /** Findings that wait to be removed, the first of them next. */
+    /** Findings whose records are to be removed, in this order. */
     private final Deque<OrphanScan.Finding> garbage = new ArrayDeque<>();
 
-    /** The scan that is under way. */
+    /** The scan in progress. */
     private Optional<OrphanScan> scan = Optional.empty();
 
     private LeasedRoles.RoleLease roleLease;
 
-    /** Rises when the role is lost: answers to what was asked before are ignored. */
+    /** Incremented when the role is lost; responses to earlier requests are ignored. */
     private long epoch;
 
     private boolean isRequestInFlight;
 
-    /** In seconds on the steady clock. */
+    /** When the next request may be sent, in seconds on the steady clock. */
     private double nextStepAt;
 
     private long completedScans;
@@ -55,7 +55,7 @@
     private long inconsistentCount;
     private long inconsistentInScan;
 
-    /** Starts nothing before the role is acquired. */
+    /** Creates a collector that is idle until the role is acquired. */
     public GarbageCollector(ClusterSettings settings, Store store, Timers timers) {
         this.settings = settings;
         this.store = store;
@@ -70,7 +70,7 @@
     @Override
     public void onAcquired(LeasedRoles.RoleLease lease) {
         roleLease = lease;
-        // Not at once: a node that is restarted again and again would do nothing but scan.
+        // The delay keeps a node that restarts repeatedly from scanning all the time.
         nextStepAt = timers.nowSeconds() + settings.workers().leaseSeconds();
     }
 
@@ -84,20 +84,22 @@
 
     @Override
     public boolean canPerform(double now) {
-        return true; // It takes the store only, which has just granted or renewed the lease.
+        return true; // Requires only the store, which has just granted or renewed the lease.
     }
 
-    /** Scans that were completed by this node. */
+    /** Returns how many scans this node completed. */
     public long completedScans() {
         return completedScans;
     }
 
-    /** Records that this node removed. */
+    /** Returns how many records this node removed. */
     public long removedCount() {
         return removedCount;
     }
 
-    /** Records that the last scan found inconsistent, which a person has to look at. */
+    /**
+     * Returns how many records the last scan found inconsistent; an operator has to examine them.
+     */
     public long inconsistentCount() {
         return inconsistentCount;
     }
@@ -107,7 +109,7 @@
         if (isRequestInFlight || now < nextStepAt || !roleLease.isCertain().getAsBoolean()) {
             return;
         }
-        // One request a step, paced so that the collection is not felt.
+        // One request per step, rate-limited so that the collection does not slow other requests.
         nextStepAt = now + 1 / (settings.store().requestsPerSecond() * RATE_SHARE);
         if (garbage.isEmpty()) {
             stepScan();
@@ -145,7 +147,7 @@
         inconsistentCount = inconsistentInScan;
         completedScans++;
         LOG.debug(
-                "cleanup: records={} removable={} inconsistent={}",
+                "garbage scan completed: records={} removable={} inconsistent={}",
                 completed.recordsSeen(),
                 garbage.size(),
                 inconsistentCount);
@@ -156,7 +158,8 @@
     private void onFinding(OrphanScan.Finding finding) {
         if (!finding.isRemovable()) {
             inconsistentInScan++;
-            LOG.warn("record {} should not be: {}", finding.key(), finding.reason());
+            LOG.warn(
+                    "inconsistent record found: key={} reason={}", finding.key(), finding.reason());
         } else if (garbage.size() < MAX_QUEUED) {
             garbage.add(finding);
         }
@@ -183,9 +186,9 @@
         isRequestInFlight = false;
         if (outcome == Outcome.OK) {
             removedCount++;
-            LOG.info("removed {}: {}", finding.key(), finding.reason());
+            LOG.info("orphaned record removed: key={} reason={}", finding.key(), finding.reason());
         } else if (outcome != Outcome.REJECTED) {
-            // The same removal once more: its conditions let only one of the two through.
+            // Retries the same removal; its conditions guarantee that it is executed at most once.
             garbage.addFirst(finding);
         }
     }
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -20,16 +20,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which node holds which role. A role is work that only one controller may do at a time; its holder
- * is named by a key in the store. All of a node's roles hang on one lease ({@link NodeLease}), and
- * each time that a role is claimed its fencing token rises ({@link RoleClaims}). Each role has its
- * own order of preferred nodes, so that roles are spread: the first of the order claims a free role
- * at once, the others ever later. A role that is held stays where it is, whatever the order says.
+ * Tracks which node holds which role, and claims free roles for this node. A role is work that only
+ * one controller may do at a time; a key in the store names its holder. All roles of a node depend
+ * on one lease ({@link NodeLease}), and each claim of a role increments the role's fencing token
+ * ({@link RoleClaims}). Each role has its own order of preferred nodes, which spreads the roles
+ * over the nodes: the first node in the order claims a free role immediately, each further node
+ * after a longer delay. A held role does not move to a node that is preferred over its holder.
  *
- * <p>Holding is proven by this node's own clock ({@link #holds}), so a process that was suspended
- * finds out before it acts. What it sent before it was suspended may still arrive. That is
- * harmless: its writes depend on the revision of a key that is gone, and what it asked of the cloud
- * is on record for the next holder.
+ * <p>A node verifies by its own clock that it holds a role ({@link #holds}), so a process that was
+ * suspended detects the loss before it acts. Requests that it sent before it was suspended may
+ * still arrive. They are harmless: its writes depend on the revision of a key that no longer
+ * exists, and its requests to the cloud are recorded for the next holder.
  *
  * <p>All methods run on the event loop.
  */
@@ -38,21 +39,21 @@
 
     private static final double TICK_SECONDS = 0.25;
 
-    /** Lease times for which a role is left to other nodes after this one first failed at it. */
+    /** Lease times for which this node abstains from a role after it first failed to perform it. */
     private static final double ABSTAIN_LEASES = 5;
 
-    /** How often that time doubles. */
+    /** Maximum number of times that the abstention time doubles. */
     private static final int MAX_ABSTAIN_DOUBLINGS = 5;
 
-    /** The work of a role. Only called on the event loop. */
+    /** Performs the work of a role. Called on the event loop only. */
     public interface RoleWorker {
-        /** The role's name, which is part of its key in the store. */
+        /** Returns the role's name, which is part of its key in the store. */
         String name();
 
-        /** This node holds the role from now on. */
+        /** Called when this node has acquired the role. */
         void onAcquired(RoleLease held);
 
-        /** This node does not hold the role any more, or can't prove that it does. */
+        /** Called when this node no longer holds the role, or can't prove that it does. */
         void onLost();
 
         /**
@@ -63,18 +64,21 @@
         void tick(double now);
 
         /**
-         * Whether the work can be done from this node. If it can't, the role is handed back, and
-         * this node abstains from it for a while.
+         * Whether this node can perform the work. If it can't, the role is handed back, and this
+         * node abstains from it for some time.
+         *
+         * @param now seconds on the steady clock
          */
         boolean canPerform(double now);
     }
 
     /**
-     * A role as its holder has it.
+     * The lease of a role, as its holder sees it.
      *
-     * @param key the role's key: all that is written for the role depends on its {@code revision}
-     * @param fencingToken rises with every claim of the role
-     * @param isCertain whether the role is provably held, to be asked right before each act
+     * @param key the role's key: all writes for the role depend on its {@code revision}
+     * @param fencingToken incremented by every claim of the role
+     * @param isCertain whether the role is provably held; to be checked immediately before each
+     *     action
      */
     public record RoleLease(
             String key, long revision, long fencingToken, BooleanSupplier isCertain) {}
@@ -84,24 +88,26 @@
         final RoleWorker worker;
         final String key;
 
-        /** This node's place in the role's order of preferred nodes, from 0. */
+        /** This node's position in the role's order of preferred nodes, from 0. */
         final int claimRank;
 
         String holderNode;
         long fencingToken;
 
-        /** The latest revision at which the key is known to have been there, or absent. */
+        /** The latest revision at which the key is known to have been present or absent. */
         long revision;
 
         boolean isHeldHere;
 
-        /** A claim is scheduled or in flight. */
+        /** Whether a claim is scheduled or in flight. */
         boolean isClaiming;
 
-        /** Until when this node leaves the role to others, in seconds on the steady clock. */
+        /** Until when this node abstains from the role, in seconds on the steady clock. */
         double abstainsUntil;
 
+        /** In seconds on the steady clock. */
         private double heldSince;
+
         private int handBacks;
         private long handOvers;
 
@@ -115,27 +121,29 @@
             return StoreKeys.ROLES + name;
         }
 
-        /** The role's name, which is the last part of its keys in the store. */
+        /** Returns the role's name, which is the last part of its keys in the store. */
         public String name() {
             return worker.name();
         }
 
-        /** The node that holds it; null if none does, as far as this node knows. */
+        /**
+         * Returns the node that holds the role; null if there is none, as far as this node knows.
+         */
         public String holderNode() {
             return holderNode;
         }
 
-        /** The token of its last known holder; 0 if there was none. */
+        /** Returns the fencing token of the last known holder; 0 if there was none. */
         public long fencingToken() {
             return fencingToken;
         }
 
-        /** Whether this node holds it, provably or not. */
+        /** Whether this node holds the role, provably or not. */
         public boolean isHeldHere() {
             return isHeldHere;
         }
 
-        /** The role, its holder and fencing token, and its hand-overs, for the status page. */
+        /** Returns the role, its holder, fencing token and hand-overs, for the status page. */
         public Map<String, Object> describe() {
             Map<String, Object> description = new LinkedHashMap<>();
             description.put("duty", name());
@@ -145,7 +153,7 @@
             return description;
         }
 
-        /** How often its holder changed since this node started, as far as this node saw. */
+        /** Returns how many changes of the holder this node has observed since it started. */
         public long handOvers() {
             return handOvers;
         }
@@ -166,7 +174,7 @@
     private final Incarnation incarnation;
     private final double leaseSeconds;
 
-    /** By key. */
+    /** Roles by key. */
     private final Map<String, Role> roles = new LinkedHashMap<>();
 
     private final NodeLease lease;
@@ -175,7 +183,7 @@
     private long fencedCount;
 
     /**
-     * Claims nothing before {@link #start}.
+     * Creates the roles; none is claimed before {@link #start}.
      *
      * @param leaseSeconds time to live of the node's lease
      * @param workers one for each role, in the same order on all nodes
@@ -195,7 +203,7 @@
         this.leaseSeconds = leaseSeconds;
         List<String> nodes = sortedNodes(settings);
         for (RoleWorker worker : workers) {
-            // Each role prefers another node.
+            // Each role prefers a different node.
             int preferred = roles.size() + 1;
             int rank = Math.floorMod(nodes.indexOf(settings.node()) - preferred, nodes.size());
             Role role = new Role(worker, rank);
@@ -218,25 +226,25 @@
         return nodes;
     }
 
-    /** Begins to follow who holds which role, and to claim roles that nobody holds. */
+    /** Starts to track the holders of the roles and to claim free roles. */
     public void start() {
         keyWatcher.read();
         tick();
     }
 
-    /** Gives all roles back and claims none any more, since the node is being stopped. */
+    /** Gives up all roles and claims no more, because the node is being stopped. */
     public void stop() {
         keyWatcher.stop();
         loseAll("the node is being stopped");
         lease.stop();
     }
 
-    /** All roles, in the order of their workers. */
+    /** Returns all roles, in the order of their workers. */
     public List<Role> roles() {
         return List.copyOf(roles.values());
     }
 
-    /** How often nothing was done for a role since the lease could not be proven any more. */
+    /** Returns how often no work was done for a role because the lease was not provably valid. */
     public long fencedCount() {
         return fencedCount;
     }
@@ -252,19 +260,19 @@
         return certain;
     }
 
-    // ---- who holds what -------------------------------------------------------------------------
+    // ---- role holders ---------------------------------------------------------------------------
 
-    /** Follows the keys of the roles. */
+    /** Processes changes of the roles' keys. */
     private final class KeyListener implements RoleKeyWatcher.Listener {
         @Override
         public void onKeyAbsent(String key, long revision) {
             Role role = roles.get(key);
             if (revision < role.revision) {
-                return; // It has been claimed since.
+                return; // The role has been claimed since.
             }
             role.revision = revision;
             if (role.isHeldHere) {
-                lose(role, "its key is gone");
+                lose(role, "its key was removed");
             }
             role.holderNode = null;
             claims.schedule(role);
@@ -274,12 +282,15 @@
         public void onKeyPresent(Entry entry) {
             Role role = roles.get(entry.key());
             if (entry.revision() < role.revision) {
-                return; // Older than what is known.
+                return; // Older than the known revision.
             }
             try {
                 onHolderRead(role, HolderRecord.fromRecord(entry.value()), entry.revision());
             } catch (InvalidInputException invalid) {
-                LOG.error("record {} is unreadable: {}", entry.key(), invalid.getMessage());
+                LOG.error(
+                        "record is unreadable: key={} reason={}",
+                        entry.key(),
+                        invalid.getMessage());
             }
         }
     }
@@ -288,7 +299,7 @@
         String node = record.node();
         long fencingToken = record.fencingToken();
         if (lease.isGranted() && record.isWrittenBy(incarnation, lease.id())) {
-            // Our claim, whose answer may not have arrived.
+            // This node's claim, whose response may not have arrived.
             onAcquired(role, revision, fencingToken);
             return;
         }
@@ -296,7 +307,7 @@
             return;
         }
         if (role.isHeldHere) {
-            lose(role, node + " has it with token " + fencingToken);
+            lose(role, node + " holds it with fencing token " + fencingToken);
         }
         if (record.owner(incarnation) == RecordOwner.ABANDONED) {
             store.revokeLease(record.leaseId());
@@ -335,14 +346,14 @@
         role.isHeldHere = false;
         role.holderNode = null;
         LOG.info(
-                "role lost: role={} heldSeconds={} reason: {}",
+                "role lost: role={} heldSeconds={} reason={}",
                 role.name(),
                 Math.round(timers.nowSeconds() - role.heldSince),
                 reason);
         role.worker.onLost();
     }
 
-    // ---- working --------------------------------------------------------------------------------
+    // ---- role work ------------------------------------------------------------------------------
 
     private void tick() {
         double now = timers.nowSeconds();
@@ -361,15 +372,16 @@
     }
 
     /**
-     * Guards against a role that nobody performs because its holder is the one node that the cloud
-     * does not answer. Each time that this node can't perform it, it leaves the role to others for
-     * longer, so that the role is not passed around during an outage that affects all nodes.
+     * Hands the role back. Guards against a role that is not performed because its holder is the
+     * only node that gets no response from the cloud. Each time, this node abstains from the role
+     * for longer, so that the role does not move between nodes during an outage that affects all of
+     * them.
      */
     private void handBack(Role role, double now) {
         int doublings = Math.min(MAX_ABSTAIN_DOUBLINGS, role.handBacks++);
         role.abstainsUntil = now + leaseSeconds * ABSTAIN_LEASES * (1 << doublings);
         long heldRevision = role.revision;
-        lose(role, "it can't be performed from here");
+        lose(role, "this node can't perform it");
         store.commit(
                 new Transaction().requireRevision(role.key, heldRevision).remove(role.key),
                 result -> {});
--- a/src/main/java/io/kitepath/core/role/NodeLease.java
+++ b/src/main/java/io/kitepath/core/role/NodeLease.java
@@ -5,14 +5,15 @@
 import io.kitepath.core.port.Timers;
 
 /**
- * This node's one lease in the store: granted when it is first needed, renewed five times in its
- * time to live. The store removes all keys that were put under it when it expires.
+ * The single lease of this node in the store. It is granted when it is first needed and renewed
+ * five times per time to live. When it expires, the store removes all keys that were put under it.
  *
- * <p>Whether it is still valid is proven by this node's own clock, from the moment at which the
- * last successful renewal was sent: the store counts from a later moment, when it received it.
+ * <p>Validity is verified by this node's own clock, counted from the moment at which the last
+ * successful renewal was sent. This is safe because the store counts from the later moment at which
+ * it received the renewal.
  */
 final class NodeLease {
-    /** Steady clocks of two machines drift apart by up to half of this share. */
+    /** Safety margin as a share of the lease; twice the maximum drift between two steady clocks. */
     private static final double MAX_CLOCK_DRIFT = 0.001;
 
     private static final double GRANT_POLL_SECONDS = 0.05;
@@ -26,9 +27,11 @@
     private long id = NONE;
     private boolean isGrantInFlight;
     private boolean isStopped;
+
+    /** When the last successful renewal was sent, in seconds on the steady clock. */
     private double renewalRequestedAt = Double.NEGATIVE_INFINITY;
 
-    /** {@code onExpired} runs when the store says that the lease has expired. */
+    /** {@code onExpired} runs when the store reports that the lease has expired. */
     NodeLease(RoleContext context, Runnable onExpired) {
         this.store = context.store();
         this.timers = context.timers();
@@ -40,7 +43,7 @@
         return id != NONE;
     }
 
-    /** The lease's id in the store; meaningless unless it {@link #isGranted}. */
+    /** Returns the lease's id in the store; valid only if the lease {@link #isGranted}. */
     long id() {
         return id;
     }
@@ -50,7 +53,9 @@
         return timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
     }
 
-    /** Runs {@code granted} once there is a lease, or {@code refused} if the store grants none. */
+    /**
+     * Runs {@code granted} once a lease is granted, or {@code refused} if the store grants none.
+     */
     void whenGranted(Runnable granted, Runnable refused) {
         if (isGranted()) {
             granted.run();
@@ -71,7 +76,8 @@
                 (outcome, grantedId) -> {
                     isGrantInFlight = false;
                     if (outcome == Outcome.OK && isStopped) {
-                        // Guards against a node that is being stopped and goes on renewing a lease.
+                        // Guards against a node that is being stopped but continues to renew a
+                        // lease.
                         store.revokeLease(grantedId);
                         refused.run();
                     } else if (outcome == Outcome.OK) {
@@ -85,7 +91,7 @@
                 });
     }
 
-    /** Gives the lease back, also one that is being granted; its keys go with it. None follows. */
+    /** Revokes the lease with its keys, also one that is being granted; no other is requested. */
     void stop() {
         isStopped = true;
         if (isGranted()) {
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -22,21 +22,20 @@
 import java.util.function.Consumer;
 
 /**
- * One scan of the store's records, a step at a time, for records that nothing refers to any more
- * and for records that contradict each other. Whether jobs are open or ended is found out by
- * comparisons that write nothing, for many jobs at once, so that a scan costs one request for each
- * page of records and one or two for each hundred jobs, however many jobs have ended.
+ * A step-by-step scan of the store for orphaned and inconsistent records. Whether jobs are open or
+ * ended is determined by read-only comparisons of many jobs at once. A scan thus takes one request
+ * per page of records and one or two per hundred jobs, however many jobs have ended.
  */
 public final class OrphanScan {
-    /** Records in one page. */
+    /** Number of records in a page. */
     private static final int PAGE_SIZE = 200;
 
     /**
-     * A record that should not be there.
+     * An orphaned or inconsistent record.
      *
-     * @param isRemovable whether it may be removed; if not, a person has to look at it
-     * @param reason in words
-     * @param conditions under which it may be removed, its own revision among them
+     * @param isRemovable whether it may be removed; if not, an operator has to examine it
+     * @param reason why it is orphaned or inconsistent, for people
+     * @param conditions for its removal, including its own revision
      */
     public record Finding(
             boolean isRemovable, String key, String reason, List<Condition> conditions) {}
@@ -48,13 +47,13 @@
             new ArrayDeque<>(
                     List.of(StoreKeys.JOB_PARTS, StoreKeys.OPEN_JOBS, StoreKeys.CLOUD_INTENTS));
 
-    /** Of the next page; null when there is none. */
+    /** The key prefix of the next page; null when there are no more pages. */
     private String prefix = prefixes.poll();
 
     /** The key after which the next page begins; empty for the first page of a prefix. */
     private String lastKey = "";
 
-    /** Comparisons that have to be made before the next page is read. */
+    /** Comparisons to make before the next page is read. */
     private final Deque<Runnable> pendingComparisons = new ArrayDeque<>();
 
     private Runnable whenStepDone = () -> {};
@@ -62,10 +61,10 @@
     private boolean hasLastStepFailed;
 
     /**
-     * Starts a scan.
+     * Creates a scan; {@link #step} advances it.
      *
-     * @param maxConditions that one transaction may have
-     * @param findingListener told of each finding
+     * @param maxConditions maximum number of conditions in one transaction
+     * @param findingListener receives each finding
      */
     public OrphanScan(Store store, int maxConditions, Consumer<Finding> findingListener) {
         this.store = store;
@@ -78,16 +77,16 @@
         return prefix == null && pendingComparisons.isEmpty();
     }
 
-    /** Records read so far. */
+    /** Returns how many records have been read so far. */
     public long recordsSeen() {
         return recordsSeen;
     }
 
     /**
-     * Takes the next step, which is one request, or more if the store takes smaller ones only. A
-     * step that failed is taken again by the next call.
+     * Executes the next step, which is one request, or more if the store accepts only smaller ones.
+     * The next call retries a step that failed.
      *
-     * @param whenDone runs when the step has been answered
+     * @param whenDone runs when the step has completed or failed
      */
     public void step(Runnable whenDone) {
         whenStepDone = whenDone;
@@ -102,7 +101,7 @@
         }
     }
 
-    /** Whether the last step got no answer, so that the next one should wait. */
+    /** Whether the last step failed, so that the caller should wait before the next one. */
     public boolean hasLastStepFailed() {
         return hasLastStepFailed;
     }
@@ -144,12 +143,13 @@
             Optional<String> id = StoreKeys.findJobOfPart(entry.key());
             if (id.isEmpty()) {
                 findingListener.accept(
-                        new Finding(false, entry.key(), "is not the key of a part", List.of()));
+                        new Finding(false, entry.key(), "is not the key of a job part", List.of()));
             } else {
                 byJob.computeIfAbsent(id.get(), key -> new ArrayList<>()).add(entry);
             }
         }
-        // A job moves from open to ended in one write, and both places are compared at once.
+        // A job moves from open to ended in one write, so both keys are compared in one
+        // transaction.
         Map<String, Long> anywhere = new LinkedHashMap<>();
         byJob.keySet().forEach(id -> anywhere.put(id, 0L));
         compare(
@@ -168,7 +168,7 @@
                 new Finding(
                         isIdle,
                         entry.key(),
-                        what + id + ", which is neither open nor over",
+                        what + id + ", which is neither open nor ended",
                         List.of(
                                 new Condition(entry.key(), entry.revision()),
                                 new Condition(StoreKeys.OPEN_JOBS + id, 0),
@@ -184,7 +184,7 @@
         }
     }
 
-    // ---- jobs in two places ---------------------------------------------------------------------
+    // ---- jobs both open and ended ---------------------------------------------------------------
 
     private void checkOpenJobs(List<Entry> entries) {
         Map<String, Long> revisions = new LinkedHashMap<>();
@@ -192,7 +192,7 @@
             String id = entry.key().substring(StoreKeys.OPEN_JOBS.length());
             revisions.put(id, entry.revision());
         }
-        // Guards against a job that is reported as open and ended since it ended between two reads.
+        // Guards against reporting a job as both open and ended because it ended between two reads.
         compare(
                 revisions,
                 (id, hasChanged, isEnded) -> {
@@ -201,7 +201,7 @@
                                 new Finding(
                                         false,
                                         StoreKeys.OPEN_JOBS + id,
-                                        "the job is open and over",
+                                        "the job is both open and ended",
                                         List.of()));
                     }
                 });
@@ -209,7 +209,9 @@
 
     // ---- cloud intents --------------------------------------------------------------------------
 
-    /** Readable intents are the leader's business, also those of earlier leaders. */
+    /**
+     * Reports unreadable intents; the leader handles all readable ones, also of earlier leaders.
+     */
     private void checkIntent(Entry entry) {
         try {
             CloudIntent.read(entry);
@@ -220,24 +222,25 @@
         }
     }
 
-    // ---- comparing ------------------------------------------------------------------------------
+    // ---- comparisons ----------------------------------------------------------------------------
 
-    /** What one comparison, and so one moment, says of a job. */
+    /** Receives the state of each job as of a single comparison. */
     private interface JobPlacesListener {
         /**
-         * Told of each job once.
+         * Called once for each job.
          *
-         * @param isOpenChanged whether the record of the open job has another revision than the one
-         *     that it was compared with, 0 for none
-         * @param isEnded whether there is a record of the ended job
+         * @param isOpenChanged whether the revision of the open job's record differs from the one
+         *     that it was compared with; 0 stands for no record
+         * @param isEnded whether a record of the ended job exists
          */
         void accept(String id, boolean isOpenChanged, boolean isEnded);
     }
 
     /**
-     * Compares both places of each job, in later steps.
+     * Schedules comparisons of the open and ended records of each job for later steps.
      *
-     * @param openRevisions with which the records of the open jobs are compared, by job
+     * @param openRevisions revisions with which the records of the open jobs are compared, by job
+     *     id
      */
     private void compare(Map<String, Long> openRevisions, JobPlacesListener listener) {
         List<String> ids = new ArrayList<>(openRevisions.keySet());
@@ -249,7 +252,10 @@
         }
     }
 
-    /** Runs {@code whenTold} afterwards; if the store does not answer, the step is put back. */
+    /**
+     * Compares the records of these jobs and then runs {@code whenTold}. Schedules the comparison
+     * again if the store does not respond.
+     */
     private void compare(
             Map<String, Long> openRevisions,
             List<String> ids,
@@ -268,7 +274,7 @@
                         tell(ids, new HashSet<>(result.failedKeys()), listener);
                         whenTold.run();
                     } else if (result.outcome() == Outcome.INVALID && ids.size() > 1) {
-                        // The store takes fewer conditions by now than the settings say.
+                        // The store now accepts fewer conditions than configured.
                         int half = ids.size() / 2;
                         List<String> rest = ids.subList(half, ids.size());
                         compare(
--- a/src/main/java/io/kitepath/core/role/ReleaseIntent.java
+++ b/src/main/java/io/kitepath/core/role/ReleaseIntent.java
@@ -12,15 +12,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * Machines to be given back to the cloud in one request. From the moment at which it is on record
- * no leader, this one or a later one, places anything on them: the request may have been sent, and
- * may be executed minutes later.
+ * A request to release machines to the cloud. Once it is recorded, no leader, this one or a later
+ * one, places work on them: the request may have been sent, and may be executed minutes later.
  */
 public final class ReleaseIntent extends CloudIntent {
     public final List<String> machines;
     private final long fencingToken;
 
-    /** The cloud has confirmed that they are gone. */
+    /** Whether the cloud has confirmed that the machines are gone. */
     private boolean isConfirmedGone;
 
     ReleaseIntent(String name, List<String> machines, long fencingToken) {
@@ -32,7 +31,7 @@
     /**
      * Reads a record.
      *
-     * @throws InvalidInputException if it is none
+     * @throws InvalidInputException if the record is not a valid release
      */
     static ReleaseIntent read(Entry entry) {
         DocumentReader document = DocumentReader.of(entry.value());
@@ -73,7 +72,7 @@
 
     @Override
     void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer) {
-        // Nothing but the cloud's OK proves that they are gone.
+        // Only OK from the cloud confirms that the machines are gone.
         cloud.release(
                 machines,
                 outcome ->
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -13,11 +13,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * Machines to be rented in one request, or that were rented and may be missing on the cloud's list
- * of machines, which lags.
+ * A request to rent machines, or, once it is settled, rented machines that may still be missing
+ * from the cloud's list of machines because that list lags.
  */
 public final class RentalIntent extends CloudIntent {
-    /** The request's name at the cloud, which is never used for anything else. */
+    /** The request's name at the cloud, which is never used for another request. */
     public final String name;
 
     public final MachineKind kind;
@@ -25,7 +25,7 @@
     private final long fencingToken;
     private final double requestedAtMillis;
 
-    /** The machines that were rented; empty until that is known. */
+    /** The rented machines; empty until the outcome is known. */
     private Optional<List<String>> machines = Optional.empty();
 
     RentalIntent(
@@ -41,7 +41,7 @@
     /**
      * Reads a record.
      *
-     * @throws io.kitepath.core.model.InvalidInputException if it is none
+     * @throws io.kitepath.core.model.InvalidInputException if the record is not a valid rental
      */
     static RentalIntent read(Entry entry) {
         DocumentReader document = DocumentReader.of(entry.value());
@@ -85,7 +85,7 @@
         return machines.isPresent() && machines.get().isEmpty();
     }
 
-    /** The machines that were rented; empty if there are none, or none is known yet. */
+    /** Returns the rented machines; empty if there are none or the outcome is not known yet. */
     public List<String> machines() {
         return machines.orElse(List.of());
     }
@@ -105,7 +105,7 @@
                                 outcome, () -> settle(outcome == Outcome.OK ? rented : List.of())));
     }
 
-    /** When it was put on record, in milliseconds since 1970. */
+    /** Returns when the rental was requested, in milliseconds since 1970. */
     double requestedAtMillis() {
         return requestedAtMillis;
     }
--- a/src/main/java/io/kitepath/core/role/RoleClaims.java
+++ b/src/main/java/io/kitepath/core/role/RoleClaims.java
@@ -14,18 +14,18 @@
 import java.util.Random;
 
 /**
- * Claims roles that nobody holds, each after a delay that depends on this node's rank in the role's
- * order of preference. A claim writes the role's key under the node's lease and raises the role's
- * stored fencing token, both or neither.
+ * Claims free roles, each after a delay that depends on this node's rank in the role's order of
+ * preferred nodes. A claim writes the role's key under the node's lease and increments the role's
+ * stored fencing token in one transaction.
  */
 final class RoleClaims {
-    /** Each rank waits longer than the one before by the lease time divided by this. */
+    /** Each rank waits longer than the previous one by the lease time divided by this number. */
     private static final double RANKS_PER_LEASE = 16;
 
-    /** Spreads claims of the same rank, in seconds. */
+    /** Spreads claims of the same rank. */
     private static final double JITTER_SECONDS = 0.05;
 
-    /** Told of every claim that succeeded. */
+    /** Receives every successful claim. */
     interface Listener {
         void onRoleClaimed(Role role, long revision, long fencingToken);
     }
@@ -48,7 +48,7 @@
         this.listener = listener;
     }
 
-    /** Claims the role in a while if it is still free by then. */
+    /** Schedules a claim, which is made if the role is still free when the delay ends. */
     void schedule(Role role) {
         if (role.isClaiming || keyWatcher.isStopped()) {
             return;
@@ -88,7 +88,7 @@
                 });
     }
 
-    /** {@code highestToken}: the record of it; empty if none was ever given out. */
+    /** {@code highestToken}: the record of the highest fencing token; empty if none was issued. */
     private void claim(Role role, Optional<Entry> highestToken) {
         long leaseId = lease.id();
         long highest = highestToken.map(HolderRecord::highestFencingToken).orElse(0L);
@@ -115,7 +115,7 @@
                 && result.revision() >= role.revision) {
             listener.onRoleClaimed(role, result.revision(), fencingToken);
         } else {
-            // The keys tell who holds it: another node, or this one if the answer was lost.
+            // The keys name the holder: another node, or this one if the response was lost.
             keyWatcher.readSoon();
         }
     }
--- a/src/main/java/io/kitepath/core/role/RoleContext.java
+++ b/src/main/java/io/kitepath/core/role/RoleContext.java
@@ -7,9 +7,9 @@
 import java.util.Random;
 
 /**
- * What every part of {@link LeasedRoles} works with.
+ * The collaborators and settings shared by the components of {@link LeasedRoles}.
  *
- * @param incarnation this process, as told apart from earlier and later ones of the same node
+ * @param incarnation identifies this process among earlier and later ones of the same node
  * @param leaseSeconds time to live of the node's lease, counted from its last renewal
  */
 record RoleContext(
--- a/src/main/java/io/kitepath/core/role/RoleKeyWatcher.java
+++ b/src/main/java/io/kitepath/core/role/RoleKeyWatcher.java
@@ -15,26 +15,29 @@
 import java.util.Set;
 
 /**
- * Reads the keys of all roles and watches them from that revision on.
+ * Reads the keys of all roles and watches them from the revision that was read.
  *
- * <p>Only the latest reading counts: one that was requested earlier and is answered later tells
- * what was, and each would start a watch of its own, until no connection is left for others.
+ * <p>Only the latest read counts. The late response to an earlier read is outdated, and each read
+ * would start a watch of its own until no connection is left for other requests.
  */
 final class RoleKeyWatcher {
-    /** Attempts for each page of keys. */
+    /** Maximum number of attempts to read a page of keys. */
     private static final int MAX_PAGE_ATTEMPTS = 3;
 
-    /** Spreads the nodes' readings after a failure, in seconds. */
+    /** Spreads the nodes' reads after a failure. */
     private static final double RETRY_JITTER_SECONDS = 0.3;
 
-    /** The same after a claim that came to nothing. */
+    /** Spreads the nodes' reads after a failed claim. */
     private static final double SOON_JITTER_SECONDS = 0.1;
 
-    /** What the store says of a role's key. May be told the same twice, and of old revisions. */
+    /**
+     * Receives the state of the roles' keys. May receive the same state twice, and old revisions.
+     */
     interface Listener {
-        /** There was no such key at that revision. */
+        /** Called when the key was absent at that revision. */
         void onKeyAbsent(String key, long revision);
 
+        /** Called when the key was present at the entry's revision. */
         void onKeyPresent(Entry entry);
     }
 
@@ -47,7 +50,7 @@
     private boolean isStopped;
     private long currentReading;
 
-    /** {@code keys} of the roles, in the order in which the listener is told of them. */
+    /** {@code keys}: of the roles, in the order in which the listener receives them. */
     RoleKeyWatcher(RoleContext context, Set<String> keys, Listener listener) {
         this.store = context.store();
         this.timers = context.timers();
@@ -57,7 +60,7 @@
         this.listener = listener;
     }
 
-    /** Starts no further reading and ignores what the watch still answers. */
+    /** Starts no further reads and ignores pending responses of the watch. */
     void stop() {
         isStopped = true;
     }
@@ -66,7 +69,7 @@
         return isStopped;
     }
 
-    /** Reads all keys, and watches them afterwards. */
+    /** Reads all keys and then watches them. */
     void read() {
         long reading = ++currentReading;
         if (isStopped) {
@@ -80,12 +83,12 @@
                 listing -> onKeysListed(reading, listing));
     }
 
-    /** Reads all keys once the store may have recovered. */
+    /** Reads all keys after a delay in which the store may recover. */
     void readLater() {
         timers.schedule(leaseSeconds / 4 + random.nextDouble() * RETRY_JITTER_SECONDS, this::read);
     }
 
-    /** Reads all keys in a moment, since they have just changed. */
+    /** Reads all keys after a short jitter, because they have just changed. */
     void readSoon() {
         timers.schedule(random.nextDouble() * SOON_JITTER_SECONDS, this::read);
     }
@@ -137,7 +140,7 @@
             }
         }
         if (changes.events().isEmpty()) {
-            // Two lease times without a change: one may have been missed in an outage.
+            // There was no change in two lease times; one may have been missed during an outage.
             read();
         } else {
             watch(reading, Math.max(afterRevision, changes.revision()));
