--- a/src/main/java/io/kitepath/core/role/CloudIntent.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntent.java
@@ -46,16 +46,16 @@
     public abstract boolean isSettled();
 
     /** Whether it is settled and had no effect, so that its record can be removed. */
-    abstract boolean isWithoutResult();
+    abstract boolean isSettledWithoutEffect();
 
     /**
      * Sends it to the cloud, under the same name each time.
      *
-     * @param answer receives OK or REJECTED if the response settles the request, and any other
+     * @param onResponse receives OK or REJECTED if the response settles the request, and any other
      *     outcome if the request has to be sent again; the second argument, to be run only when the
      *     request is settled, stores the outcome in this object
      */
-    abstract void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer);
+    abstract void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> onResponse);
 
     boolean isRecorded() {
         return revision > 0;
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -29,7 +29,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(CloudIntentExecutor.class);
 
     /** Share of the cloud's call rate; the rest is for listings, machine types and other nodes. */
-    private static final double RATE_SHARE = 0.6;
+    private static final double CALL_RATE_SHARE = 0.6;
 
     private static final int MAX_PAGE_ATTEMPTS = 3;
 
@@ -44,21 +44,21 @@
     private static final int MAX_CALL_RETRY_DOUBLINGS = 5;
 
     /** Lease times without a response from the cloud after which the role is handed back. */
-    private static final double MAX_FAILING_LEASES = 2;
+    private static final double MAX_FAILING_LEASE_TIMES = 2;
 
     /** An intent that is not settled. */
-    private static final class PendingAction {
+    private static final class PendingIntent {
         private final CloudIntent intent;
 
         /** Whether a call or the write of its outcome awaits a response. */
         private boolean isInFlight;
 
-        private int failures;
+        private int failureCount;
 
         /** In seconds on the steady clock. */
         private double retryNotBefore;
 
-        PendingAction(CloudIntent intent) {
+        PendingIntent(CloudIntent intent) {
             this.intent = intent;
         }
     }
@@ -71,7 +71,7 @@
     private final double leaseSeconds;
 
     /** Unsettled intents by record key. */
-    private final Map<String, PendingAction> pending = new LinkedHashMap<>();
+    private final Map<String, PendingIntent> pendingIntents = new LinkedHashMap<>();
 
     /** Incremented with each read of the records; responses to earlier requests are ignored. */
     private long epoch;
@@ -101,7 +101,7 @@
         this.timers = timers;
         this.random = random;
         this.leaseSeconds = leaseSeconds;
-        this.callBudget = new TokenBucket(settings.cloud().requestsPerSecond() * RATE_SHARE);
+        this.callBudget = new TokenBucket(settings.cloud().requestsPerSecond() * CALL_RATE_SHARE);
     }
 
     @Override
@@ -113,13 +113,13 @@
     public void onAcquired(LeasedRoles.RoleLease lease) {
         roleLease = lease;
         failingSince = Double.NaN;
-        read(++epoch);
+        readRecords(++epoch);
     }
 
     @Override
     public void onLost() {
         epoch++;
-        pending.clear();
+        pendingIntents.clear();
     }
 
     /** Returns how many rental and release calls this node sent to the cloud. */
@@ -134,7 +134,7 @@
 
     // ---- recorded intents -----------------------------------------------------------------------
 
-    private void read(long readEpoch) {
+    private void readRecords(long readEpoch) {
         PagedScan.read(
                 store,
                 timers,
@@ -142,23 +142,23 @@
                 MAX_PAGE_ATTEMPTS,
                 listing -> {
                     if (readEpoch == epoch) {
-                        onListed(listing);
+                        onRecordsListed(listing);
                     }
                 });
     }
 
-    private void onListed(ListResult listing) {
+    private void onRecordsListed(ListResult listing) {
         long readEpoch = epoch;
         if (listing.outcome() != Outcome.OK) {
-            timers.schedule(STORE_RETRY_SECONDS, () -> read(readEpoch));
+            timers.schedule(STORE_RETRY_SECONDS, () -> readRecords(readEpoch));
             return;
         }
-        pending.clear();
-        listing.entries().forEach(this::onIntentRead);
-        watch(readEpoch, listing.revision());
+        pendingIntents.clear();
+        listing.entries().forEach(this::onRecordRead);
+        watchRecords(readEpoch, listing.revision());
     }
 
-    private void watch(long readEpoch, long afterRevision) {
+    private void watchRecords(long readEpoch, long afterRevision) {
         if (readEpoch != epoch) {
             return;
         }
@@ -168,39 +168,43 @@
                 (long) (leaseSeconds * 2000),
                 changes -> {
                     if (readEpoch == epoch) {
-                        onChanged(afterRevision, changes);
+                        onRecordsChanged(afterRevision, changes);
                     }
                 });
     }
 
-    private void onChanged(long afterRevision, WatchResult changes) {
+    private void onRecordsChanged(long afterRevision, WatchResult changes) {
         long readEpoch = epoch;
         switch (changes.outcome()) {
             case OK -> {
-                changes.events().forEach(this::onIntentRead);
+                changes.events().forEach(this::onRecordRead);
                 tick(timers.nowSeconds());
-                watch(readEpoch, Math.max(afterRevision, changes.revision()));
+                watchRecords(readEpoch, Math.max(afterRevision, changes.revision()));
             }
-            case REJECTED -> read(readEpoch);
-            default -> timers.schedule(STORE_RETRY_SECONDS, () -> watch(readEpoch, afterRevision));
+            case REJECTED -> readRecords(readEpoch);
+            default ->
+                    timers.schedule(
+                            STORE_RETRY_SECONDS, () -> watchRecords(readEpoch, afterRevision));
         }
     }
 
-    private void onIntentRead(Entry entry) {
+    private void onRecordRead(Entry entry) {
         if (entry.value() == null) {
-            pending.remove(entry.key());
+            pendingIntents.remove(entry.key());
             return;
         }
         try {
             CloudIntent intent = CloudIntent.read(entry);
-            PendingAction action = pending.get(entry.key());
+            PendingIntent pendingIntent = pendingIntents.get(entry.key());
             if (intent.isSettled()) {
-                pending.remove(entry.key());
-            } else if (action == null || action.intent.revision() < entry.revision()) {
-                pending.put(entry.key(), new PendingAction(intent));
+                pendingIntents.remove(entry.key());
+            } else if (pendingIntent == null
+                    || pendingIntent.intent.revision() < entry.revision()) {
+                pendingIntents.put(entry.key(), new PendingIntent(intent));
             }
-        } catch (InvalidInputException | ClassCastException bad) {
-            LOG.error("record is unreadable: key={} reason={}", entry.key(), bad.getMessage());
+        } catch (InvalidInputException | ClassCastException unreadable) {
+            LOG.error(
+                    "record is unreadable: key={} reason={}", entry.key(), unreadable.getMessage());
         }
     }
 
@@ -208,14 +212,14 @@
 
     @Override
     public void tick(double now) {
-        for (PendingAction action : new ArrayList<>(pending.values())) {
+        for (PendingIntent pendingIntent : new ArrayList<>(pendingIntents.values())) {
             // Whether the role is still held is checked last, immediately before the call.
-            if (!action.isInFlight
-                    && now >= action.retryNotBefore
+            if (!pendingIntent.isInFlight
+                    && now >= pendingIntent.retryNotBefore
                     && callBudget.available(now) >= 1
-                    && roleLease.isCertain().getAsBoolean()) {
+                    && roleLease.isProvablyHeld().getAsBoolean()) {
                 callBudget.tryTake(1, now);
-                execute(action);
+                send(pendingIntent);
             }
         }
     }
@@ -223,54 +227,56 @@
     @Override
     public boolean canPerform(double now) {
         return Double.isNaN(failingSince)
-                || now - failingSince < MAX_FAILING_LEASES * leaseSeconds
-                || pending.isEmpty();
+                || now - failingSince < MAX_FAILING_LEASE_TIMES * leaseSeconds
+                || pendingIntents.isEmpty();
     }
 
-    private void execute(PendingAction action) {
-        action.isInFlight = true;
+    private void send(PendingIntent pendingIntent) {
+        pendingIntent.isInFlight = true;
         callCount++;
         long callEpoch = epoch;
-        action.intent.sendTo(
-                cloud, (outcome, settle) -> onCloudAnswer(callEpoch, action, outcome, settle));
+        pendingIntent.intent.sendTo(
+                cloud,
+                (outcome, storeOutcome) ->
+                        onCloudResponse(callEpoch, pendingIntent, outcome, storeOutcome));
     }
 
-    private void onCloudAnswer(
-            long callEpoch, PendingAction action, Outcome outcome, Runnable settle) {
-        action.isInFlight = false;
-        if (callEpoch != epoch || pending.get(action.intent.key) != action) {
+    private void onCloudResponse(
+            long callEpoch, PendingIntent pendingIntent, Outcome outcome, Runnable storeOutcome) {
+        pendingIntent.isInFlight = false;
+        if (callEpoch != epoch || pendingIntents.get(pendingIntent.intent.key) != pendingIntent) {
             return; // The current role holder sends it again, under the same name.
         }
         if (outcome != Outcome.OK && outcome != Outcome.REJECTED) {
-            onCallFailed(action);
+            onCallFailed(pendingIntent);
             return;
         }
         failingSince = Double.NaN;
-        settle.run();
-        action.isInFlight = true; // Until the outcome is recorded.
-        recordOutcome(callEpoch, action);
+        storeOutcome.run();
+        pendingIntent.isInFlight = true; // Until the outcome is recorded.
+        recordOutcome(callEpoch, pendingIntent);
     }
 
-    private void onCallFailed(PendingAction action) {
+    private void onCallFailed(PendingIntent pendingIntent) {
         double now = timers.nowSeconds();
         failedCallCount++;
         failingSince = Double.isNaN(failingSince) ? now : failingSince;
-        int doublings = Math.min(MAX_CALL_RETRY_DOUBLINGS, action.failures++);
-        double pauseSeconds =
+        int doublings = Math.min(MAX_CALL_RETRY_DOUBLINGS, pendingIntent.failureCount++);
+        double backOffSeconds =
                 Math.min(MAX_CALL_RETRY_SECONDS, FIRST_CALL_RETRY_SECONDS * (1 << doublings));
-        action.retryNotBefore = now + pauseSeconds * (0.5 + random.nextDouble());
+        pendingIntent.retryNotBefore = now + backOffSeconds * (0.5 + random.nextDouble());
     }
 
-    private void recordOutcome(long callEpoch, PendingAction action) {
+    private void recordOutcome(long callEpoch, PendingIntent pendingIntent) {
         if (callEpoch != epoch) {
             return;
         }
-        CloudIntent intent = action.intent;
+        CloudIntent intent = pendingIntent.intent;
         Transaction transaction =
                 new Transaction()
                         .requireRevision(roleLease.key(), roleLease.revision())
                         .requireRevision(intent.key, intent.revision());
-        if (intent.isWithoutResult()) {
+        if (intent.isSettledWithoutEffect()) {
             // The leader is notified of the removal and need not remove the record.
             transaction.remove(intent.key);
         } else {
@@ -280,22 +286,22 @@
                 transaction,
                 result -> {
                     if (callEpoch == epoch) {
-                        onOutcomeWritten(action, result.outcome());
+                        onOutcomeWriteResponse(pendingIntent, result.outcome());
                     }
                 });
     }
 
-    private void onOutcomeWritten(PendingAction action, Outcome outcome) {
+    private void onOutcomeWriteResponse(PendingIntent pendingIntent, Outcome outcome) {
         long callEpoch = epoch;
         switch (outcome) {
             // The record was already removed or settled, possibly by an earlier write of this node
             // whose response was lost. Reading the records shows which.
-            case REJECTED -> read(++epoch);
-            case OK -> pending.remove(action.intent.key, action);
+            case REJECTED -> readRecords(++epoch);
+            case OK -> pendingIntents.remove(pendingIntent.intent.key, pendingIntent);
             default ->
                     timers.schedule(
                             WRITE_RETRY_SECONDS + WRITE_RETRY_SECONDS * random.nextDouble(),
-                            () -> recordOutcome(callEpoch, action));
+                            () -> recordOutcome(callEpoch, pendingIntent));
         }
     }
 }
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -47,23 +47,23 @@
     private static final int MAX_MACHINES_PER_RELEASE = 100;
 
     /** Share of the store's maximum value size that the machine names of one release may take. */
-    private static final double MAX_NAMES_SHARE = 0.8;
+    private static final double MAX_NAMES_SHARE_OF_VALUE = 0.8;
 
     /** Bytes that a machine's name takes in a record in addition to its length. */
-    private static final int BYTES_AROUND_NAME = 4;
+    private static final int NAME_OVERHEAD_BYTES = 4;
 
     /** Multiple of the configured list lag after which every list of the cloud shows a machine. */
-    private static final double LISTED_AFTER_LAGS = 2.5;
+    private static final double LISTED_AFTER_LIST_LAGS = 2.5;
 
     /** Maximum age of a rental record, as a multiple of the configured list lag. */
-    private static final double MAX_RECORD_LAGS = 8;
+    private static final double MAX_RECORD_AGE_LIST_LAGS = 8;
 
     private final ShardState shard;
     private final ClusterSettings settings;
     private final Timers timers;
     private final Consumer<StateWriter.BatchContributor> writeWithBatch;
-    private Consumer<RentalIntent> onRented = rental -> {};
-    private Consumer<List<String>> onGone = machines -> {};
+    private Consumer<RentalIntent> onRentalSettled = rental -> {};
+    private Consumer<List<String>> onMachinesGone = machines -> {};
 
     /** Recorded rentals by key, the oldest first. */
     private final Map<String, RentalIntent> rentals = new LinkedHashMap<>();
@@ -113,12 +113,13 @@
     /**
      * Sets the listeners.
      *
-     * @param onRented receives each rental when it is settled
-     * @param onGone receives the machines that the cloud has confirmed to be gone
+     * @param onRentalSettled receives each rental when it is settled
+     * @param onMachinesGone receives the machines that the cloud has confirmed to be gone
      */
-    public void setListeners(Consumer<RentalIntent> onRented, Consumer<List<String>> onGone) {
-        this.onRented = onRented;
-        this.onGone = onGone;
+    public void setListeners(
+            Consumer<RentalIntent> onRentalSettled, Consumer<List<String>> onMachinesGone) {
+        this.onRentalSettled = onRentalSettled;
+        this.onMachinesGone = onMachinesGone;
     }
 
     /**
@@ -146,7 +147,7 @@
             release.machines.forEach(shard::markForRelease);
         } else if (intent instanceof RentalIntent rental) {
             rentals.put(rental.key, rental);
-            addToShard(rental);
+            addMachinesToShard(rental);
         }
     }
 
@@ -154,13 +155,14 @@
     private static Optional<CloudIntent> read(Entry entry) {
         try {
             return Optional.of(CloudIntent.read(entry));
-        } catch (InvalidInputException | ClassCastException bad) {
-            LOG.error("record is unreadable: key={} reason={}", entry.key(), bad.getMessage());
+        } catch (InvalidInputException | ClassCastException unreadable) {
+            LOG.error(
+                    "record is unreadable: key={} reason={}", entry.key(), unreadable.getMessage());
             return Optional.empty();
         }
     }
 
-    private void addToShard(RentalIntent rental) {
+    private void addMachinesToShard(RentalIntent rental) {
         double now = timers.nowSeconds();
         double ageMillis = Math.max(0, timers.wallClockMillis() - rental.requestedAtMillis());
         double requestedAt = now - ageMillis / 1000;
@@ -189,16 +191,16 @@
         if (rental != null && !rental.isSettled()) {
             rentals.remove(key);
             rental.settle(List.of());
-            onRented.accept(rental);
+            onRentalSettled.accept(rental);
         }
     }
 
     private void onSettled(CloudIntent intent) {
         if (intent instanceof RentalIntent rental) {
-            RentalIntent known = rentals.put(rental.key, rental);
-            if (known == null || !known.isSettled()) {
-                addToShard(rental);
-                onRented.accept(rental);
+            RentalIntent previous = rentals.put(rental.key, rental);
+            if (previous == null || !previous.isSettled()) {
+                addMachinesToShard(rental);
+                onRentalSettled.accept(rental);
             }
         } else if (intent instanceof ReleaseIntent release) {
             releases.put(release.key, release);
@@ -241,11 +243,12 @@
             double ageMillis = nowMillis - rental.requestedAtMillis();
             // Guards against a record that is never removed because a machine was gone before any
             // list showed it.
-            boolean isOld = ageMillis > MAX_RECORD_LAGS * lagMillis;
+            boolean isPastMaxAge = ageMillis > MAX_RECORD_AGE_LIST_LAGS * lagMillis;
             if (rental.isSettled()
                     && rental.isRecorded()
-                    && ageMillis > LISTED_AFTER_LAGS * lagMillis
-                    && (isOld || rental.machines().stream().allMatch(this::isListedOrGone))) {
+                    && ageMillis > LISTED_AFTER_LIST_LAGS * lagMillis
+                    && (isPastMaxAge
+                            || rental.machines().stream().allMatch(this::isListedOrGone))) {
                 removeRecord(rental, rentals);
             }
         }
@@ -265,24 +268,25 @@
 
     /** Records a release of these machines, or of as many as one record can name. */
     public void requestRelease(Collection<String> machines) {
-        List<String> batch = new ArrayList<>();
-        double bytesLeft = settings.store().maxValueKibibytes() * 1024 * MAX_NAMES_SHARE;
+        List<String> machinesToRelease = new ArrayList<>();
+        double bytesLeft = settings.store().maxValueKibibytes() * 1024 * MAX_NAMES_SHARE_OF_VALUE;
         for (String machineId : machines) {
-            bytesLeft -= machineId.length() + BYTES_AROUND_NAME;
-            if (batch.size() < MAX_MACHINES_PER_RELEASE
+            bytesLeft -= machineId.length() + NAME_OVERHEAD_BYTES;
+            if (machinesToRelease.size() < MAX_MACHINES_PER_RELEASE
                     && bytesLeft > 0
                     && !releasingMachines.contains(machineId)) {
-                batch.add(machineId);
+                machinesToRelease.add(machineId);
             }
         }
-        if (batch.isEmpty()) {
+        if (machinesToRelease.isEmpty()) {
             return;
         }
         ReleaseIntent release =
-                new ReleaseIntent(namePrefix + ++lastNameNumber, batch, shard.fencingToken());
+                new ReleaseIntent(
+                        namePrefix + ++lastNameNumber, machinesToRelease, shard.fencingToken());
         releases.put(release.key, release);
-        releasingMachines.addAll(batch);
-        batch.forEach(shard::markForRelease);
+        releasingMachines.addAll(machinesToRelease);
+        machinesToRelease.forEach(shard::markForRelease);
         requestedCount++;
         writeRecord(release, releases);
     }
@@ -296,7 +300,7 @@
     private void onReleaseConfirmed(ReleaseIntent release) {
         releasingMachines.removeAll(release.machines);
         removeRecord(release, releases);
-        onGone.accept(release.machines);
+        onMachinesGone.accept(release.machines);
     }
 
     // ---- writing --------------------------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -22,23 +22,23 @@
     private static final Logger LOG = LoggerFactory.getLogger(GarbageCollector.class);
 
     /** Pause between two scans, in lease times of the workers. */
-    private static final double PAUSE_IN_LEASES = 10;
+    private static final double PAUSE_LEASE_TIMES = 10;
 
     /** Share of the store's request rate that the collection uses. */
-    private static final double RATE_SHARE = 0.01;
+    private static final double REQUEST_RATE_SHARE = 0.01;
 
     /** Maximum number of queued removals; the next scan finds any further records again. */
-    private static final int MAX_QUEUED = 1000;
+    private static final int MAX_QUEUED_REMOVALS = 1000;
 
     private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
 
     /** Findings whose records are to be removed, in this order. */
-    private final Deque<OrphanScan.Finding> garbage = new ArrayDeque<>();
+    private final Deque<OrphanScan.Finding> queuedRemovals = new ArrayDeque<>();
 
     /** The scan in progress. */
-    private Optional<OrphanScan> scan = Optional.empty();
+    private Optional<OrphanScan> currentScan = Optional.empty();
 
     private LeasedRoles.RoleLease roleLease;
 
@@ -48,7 +48,7 @@
     private boolean isRequestInFlight;
 
     /** When the next request may be sent, in seconds on the steady clock. */
-    private double nextStepAt;
+    private double nextRequestAt;
 
     private long completedScans;
     private long removedCount;
@@ -71,15 +71,15 @@
     public void onAcquired(LeasedRoles.RoleLease lease) {
         roleLease = lease;
         // The delay keeps a node that restarts repeatedly from scanning all the time.
-        nextStepAt = timers.nowSeconds() + settings.workers().leaseSeconds();
+        nextRequestAt = timers.nowSeconds() + settings.workers().leaseSeconds();
     }
 
     @Override
     public void onLost() {
         epoch++;
         isRequestInFlight = false;
-        scan = Optional.empty();
-        garbage.clear();
+        currentScan = Optional.empty();
+        queuedRemovals.clear();
     }
 
     @Override
@@ -106,30 +106,32 @@
 
     @Override
     public void tick(double now) {
-        if (isRequestInFlight || now < nextStepAt || !roleLease.isCertain().getAsBoolean()) {
+        if (isRequestInFlight
+                || now < nextRequestAt
+                || !roleLease.isProvablyHeld().getAsBoolean()) {
             return;
         }
         // One request per step, rate-limited so that the collection does not slow other requests.
-        nextStepAt = now + 1 / (settings.store().requestsPerSecond() * RATE_SHARE);
-        if (garbage.isEmpty()) {
+        nextRequestAt = now + 1 / (settings.store().requestsPerSecond() * REQUEST_RATE_SHARE);
+        if (queuedRemovals.isEmpty()) {
             stepScan();
         } else {
-            remove(garbage.poll());
+            remove(queuedRemovals.poll());
         }
     }
 
     private void stepScan() {
-        OrphanScan current = scan.orElseGet(this::startScan);
+        OrphanScan active = currentScan.orElseGet(this::startScan);
         isRequestInFlight = true;
         long stepEpoch = epoch;
-        current.step(
+        active.step(
                 () -> {
                     if (stepEpoch != epoch) {
                         return;
                     }
                     isRequestInFlight = false;
-                    if (current.isComplete()) {
-                        completeScan(current);
+                    if (active.isComplete()) {
+                        completeScan(active);
                     }
                 });
     }
@@ -139,7 +141,7 @@
         OrphanScan started =
                 new OrphanScan(
                         store, 4 * settings.store().maxTransactionOperations(), this::onFinding);
-        scan = Optional.of(started);
+        currentScan = Optional.of(started);
         return started;
     }
 
@@ -149,10 +151,10 @@
         LOG.debug(
                 "garbage scan completed: records={} removable={} inconsistent={}",
                 completed.recordsSeen(),
-                garbage.size(),
+                queuedRemovals.size(),
                 inconsistentCount);
-        scan = Optional.empty();
-        nextStepAt = timers.nowSeconds() + PAUSE_IN_LEASES * settings.workers().leaseSeconds();
+        currentScan = Optional.empty();
+        nextRequestAt = timers.nowSeconds() + PAUSE_LEASE_TIMES * settings.workers().leaseSeconds();
     }
 
     private void onFinding(OrphanScan.Finding finding) {
@@ -160,8 +162,8 @@
             inconsistentInScan++;
             LOG.warn(
                     "inconsistent record found: key={} reason={}", finding.key(), finding.reason());
-        } else if (garbage.size() < MAX_QUEUED) {
-            garbage.add(finding);
+        } else if (queuedRemovals.size() < MAX_QUEUED_REMOVALS) {
+            queuedRemovals.add(finding);
         }
     }
 
@@ -177,19 +179,19 @@
                 transaction.remove(finding.key()),
                 result -> {
                     if (removalEpoch == epoch) {
-                        onRemovalAnswered(finding, result.outcome());
+                        onRemovalResponse(finding, result.outcome());
                     }
                 });
     }
 
-    private void onRemovalAnswered(OrphanScan.Finding finding, Outcome outcome) {
+    private void onRemovalResponse(OrphanScan.Finding finding, Outcome outcome) {
         isRequestInFlight = false;
         if (outcome == Outcome.OK) {
             removedCount++;
             LOG.info("orphaned record removed: key={} reason={}", finding.key(), finding.reason());
         } else if (outcome != Outcome.REJECTED) {
             // Retries the same removal; its conditions guarantee that it is executed at most once.
-            garbage.addFirst(finding);
+            queuedRemovals.addFirst(finding);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -40,10 +40,10 @@
     private static final double TICK_SECONDS = 0.25;
 
     /** Lease times for which this node abstains from a role after it first failed to perform it. */
-    private static final double ABSTAIN_LEASES = 5;
+    private static final double ABSTENTION_LEASE_TIMES = 5;
 
     /** Maximum number of times that the abstention time doubles. */
-    private static final int MAX_ABSTAIN_DOUBLINGS = 5;
+    private static final int MAX_ABSTENTION_DOUBLINGS = 5;
 
     /** Performs the work of a role. Called on the event loop only. */
     public interface RoleWorker {
@@ -51,7 +51,7 @@
         String name();
 
         /** Called when this node has acquired the role. */
-        void onAcquired(RoleLease held);
+        void onAcquired(RoleLease lease);
 
         /** Called when this node no longer holds the role, or can't prove that it does. */
         void onLost();
@@ -77,11 +77,11 @@
      *
      * @param key the role's key: all writes for the role depend on its {@code revision}
      * @param fencingToken incremented by every claim of the role
-     * @param isCertain whether the role is provably held; to be checked immediately before each
-     *     action
+     * @param isProvablyHeld whether the role is provably held; to be checked immediately before
+     *     each action
      */
     public record RoleLease(
-            String key, long revision, long fencingToken, BooleanSupplier isCertain) {}
+            String key, long revision, long fencingToken, BooleanSupplier isProvablyHeld) {}
 
     /** One role, as this node sees it. */
     public static final class Role {
@@ -103,12 +103,12 @@
         boolean isClaiming;
 
         /** Until when this node abstains from the role, in seconds on the steady clock. */
-        double abstainsUntil;
+        double abstainUntil;
 
         /** In seconds on the steady clock. */
         private double heldSince;
 
-        private int handBacks;
+        private int handBackCount;
         private long handOvers;
 
         private Role(RoleWorker worker, int claimRank) {
@@ -204,8 +204,8 @@
         List<String> nodes = sortedNodes(settings);
         for (RoleWorker worker : workers) {
             // Each role prefers a different node.
-            int preferred = roles.size() + 1;
-            int rank = Math.floorMod(nodes.indexOf(settings.node()) - preferred, nodes.size());
+            int preferredIndex = roles.size() + 1;
+            int rank = Math.floorMod(nodes.indexOf(settings.node()) - preferredIndex, nodes.size());
             Role role = new Role(worker, rank);
             roles.put(role.key, role);
         }
@@ -220,7 +220,7 @@
         List<String> nodes = new ArrayList<>();
         nodes.add(settings.node());
         settings.siblings().stream()
-                .filter(sibling -> !sibling.equals(settings.node()))
+                .filter(peer -> !peer.equals(settings.node()))
                 .forEach(nodes::add);
         nodes.sort(null);
         return nodes;
@@ -255,9 +255,9 @@
         if (!role.isHeldHere) {
             return false;
         }
-        boolean certain = lease.isCertain();
-        fencedCount += certain ? 0 : 1;
-        return certain;
+        boolean isValid = lease.isProvablyValid();
+        fencedCount += isValid ? 0 : 1;
+        return isValid;
     }
 
     // ---- role holders ---------------------------------------------------------------------------
@@ -285,7 +285,7 @@
                 return; // Older than the known revision.
             }
             try {
-                onHolderRead(role, HolderRecord.fromRecord(entry.value()), entry.revision());
+                onHolderRecordRead(role, HolderRecord.fromRecord(entry.value()), entry.revision());
             } catch (InvalidInputException invalid) {
                 LOG.error(
                         "record is unreadable: key={} reason={}",
@@ -295,7 +295,7 @@
         }
     }
 
-    private void onHolderRead(Role role, HolderRecord record, long revision) {
+    private void onHolderRecordRead(Role role, HolderRecord record, long revision) {
         String node = record.node();
         long fencingToken = record.fencingToken();
         if (lease.isGranted() && record.isWrittenBy(incarnation, lease.id())) {
@@ -378,8 +378,8 @@
      * them.
      */
     private void handBack(Role role, double now) {
-        int doublings = Math.min(MAX_ABSTAIN_DOUBLINGS, role.handBacks++);
-        role.abstainsUntil = now + leaseSeconds * ABSTAIN_LEASES * (1 << doublings);
+        int doublings = Math.min(MAX_ABSTENTION_DOUBLINGS, role.handBackCount++);
+        role.abstainUntil = now + leaseSeconds * ABSTENTION_LEASE_TIMES * (1 << doublings);
         long heldRevision = role.revision;
         lose(role, "this node can't perform it");
         store.commit(
--- a/src/main/java/io/kitepath/core/role/NodeLease.java
+++ b/src/main/java/io/kitepath/core/role/NodeLease.java
@@ -18,18 +18,18 @@
 
     private static final double GRANT_POLL_SECONDS = 0.05;
 
-    private static final long NONE = 0;
+    private static final long NO_LEASE_ID = 0;
 
     private final Store store;
     private final Timers timers;
     private final double leaseSeconds;
     private final Runnable onExpired;
-    private long id = NONE;
+    private long id = NO_LEASE_ID;
     private boolean isGrantInFlight;
     private boolean isStopped;
 
     /** When the last successful renewal was sent, in seconds on the steady clock. */
-    private double renewalRequestedAt = Double.NEGATIVE_INFINITY;
+    private double lastRenewalSentAt = Double.NEGATIVE_INFINITY;
 
     /** {@code onExpired} runs when the store reports that the lease has expired. */
     NodeLease(RoleContext context, Runnable onExpired) {
@@ -40,7 +40,7 @@
     }
 
     boolean isGranted() {
-        return id != NONE;
+        return id != NO_LEASE_ID;
     }
 
     /** Returns the lease's id in the store; valid only if the lease {@link #isGranted}. */
@@ -49,28 +49,29 @@
     }
 
     /** Whether the lease can't have expired yet, by this node's clock. */
-    boolean isCertain() {
-        return timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
+    boolean isProvablyValid() {
+        return timers.nowSeconds() - lastRenewalSentAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
     }
 
     /**
-     * Runs {@code granted} once a lease is granted, or {@code refused} if the store grants none.
+     * Runs {@code onGranted} once a lease is granted, or {@code onRefused} if the store grants
+     * none.
      */
-    void whenGranted(Runnable granted, Runnable refused) {
+    void runWhenGranted(Runnable onGranted, Runnable onRefused) {
         if (isGranted()) {
-            granted.run();
+            onGranted.run();
             return;
         }
         if (isStopped) {
-            refused.run();
+            onRefused.run();
             return;
         }
         if (isGrantInFlight) {
-            timers.schedule(GRANT_POLL_SECONDS, () -> whenGranted(granted, refused));
+            timers.schedule(GRANT_POLL_SECONDS, () -> runWhenGranted(onGranted, onRefused));
             return;
         }
         isGrantInFlight = true;
-        double requestedAt = timers.nowSeconds();
+        double sentAt = timers.nowSeconds();
         store.grantLease(
                 (long) (leaseSeconds * 1000),
                 (outcome, grantedId) -> {
@@ -79,14 +80,14 @@
                         // Guards against a node that is being stopped but continues to renew a
                         // lease.
                         store.revokeLease(grantedId);
-                        refused.run();
+                        onRefused.run();
                     } else if (outcome == Outcome.OK) {
                         id = grantedId;
-                        renewalRequestedAt = requestedAt;
+                        lastRenewalSentAt = sentAt;
                         scheduleRenewal(grantedId);
-                        granted.run();
+                        onGranted.run();
                     } else {
-                        refused.run();
+                        onRefused.run();
                     }
                 });
     }
@@ -96,37 +97,37 @@
         isStopped = true;
         if (isGranted()) {
             store.revokeLease(id);
-            id = NONE;
+            id = NO_LEASE_ID;
         }
     }
 
-    private void scheduleRenewal(long renewedId) {
+    private void scheduleRenewal(long leaseId) {
         timers.schedule(
                 leaseSeconds / 5,
                 () -> {
-                    if (id == renewedId) {
-                        renew(renewedId);
+                    if (id == leaseId) {
+                        renew(leaseId);
                     }
                 });
     }
 
-    private void renew(long renewedId) {
-        double requestedAt = timers.nowSeconds();
+    private void renew(long leaseId) {
+        double sentAt = timers.nowSeconds();
         store.renewLease(
-                renewedId,
+                leaseId,
                 outcome -> {
-                    if (id != renewedId) {
+                    if (id != leaseId) {
                         return;
                     }
                     if (outcome == Outcome.REJECTED) {
-                        id = NONE;
+                        id = NO_LEASE_ID;
                         onExpired.run();
                         return;
                     }
                     if (outcome == Outcome.OK) {
-                        renewalRequestedAt = requestedAt;
+                        lastRenewalSentAt = sentAt;
                     }
-                    scheduleRenewal(renewedId);
+                    scheduleRenewal(leaseId);
                 });
     }
 }
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -43,12 +43,12 @@
     private final Store store;
     private final int maxConditions;
     private final Consumer<Finding> findingListener;
-    private final Deque<String> prefixes =
+    private final Deque<String> remainingPrefixes =
             new ArrayDeque<>(
                     List.of(StoreKeys.JOB_PARTS, StoreKeys.OPEN_JOBS, StoreKeys.CLOUD_INTENTS));
 
     /** The key prefix of the next page; null when there are no more pages. */
-    private String prefix = prefixes.poll();
+    private String prefix = remainingPrefixes.poll();
 
     /** The key after which the next page begins; empty for the first page of a prefix. */
     private String lastKey = "";
@@ -56,7 +56,7 @@
     /** Comparisons to make before the next page is read. */
     private final Deque<Runnable> pendingComparisons = new ArrayDeque<>();
 
-    private Runnable whenStepDone = () -> {};
+    private Runnable onStepDone = () -> {};
     private long recordsSeen;
     private boolean hasLastStepFailed;
 
@@ -86,10 +86,10 @@
      * Executes the next step, which is one request, or more if the store accepts only smaller ones.
      * The next call retries a step that failed.
      *
-     * @param whenDone runs when the step has completed or failed
+     * @param onDone runs when the step has completed or failed
      */
-    public void step(Runnable whenDone) {
-        whenStepDone = whenDone;
+    public void step(Runnable onDone) {
+        onStepDone = onDone;
         hasLastStepFailed = false;
         Runnable next = pendingComparisons.poll();
         if (next != null) {
@@ -97,7 +97,7 @@
         } else if (prefix != null) {
             readPage();
         } else {
-            whenStepDone.run();
+            onStepDone.run();
         }
     }
 
@@ -117,58 +117,58 @@
                         if (listing.hasMore() && !listing.entries().isEmpty()) {
                             lastKey = listing.entries().get(listing.entries().size() - 1).key();
                         } else {
-                            prefix = prefixes.poll();
+                            prefix = remainingPrefixes.poll();
                             lastKey = "";
                         }
                     }
                     hasLastStepFailed = listing.outcome() != Outcome.OK;
-                    whenStepDone.run();
+                    onStepDone.run();
                 });
     }
 
     private void checkPage(ListResult listing) {
         recordsSeen += listing.entries().size();
         switch (prefix) {
-            case StoreKeys.JOB_PARTS -> checkParts(listing.entries());
+            case StoreKeys.JOB_PARTS -> checkJobParts(listing.entries());
             case StoreKeys.OPEN_JOBS -> checkOpenJobs(listing.entries());
-            default -> listing.entries().forEach(this::checkIntent);
+            default -> listing.entries().forEach(this::checkCloudIntent);
         }
     }
 
     // ---- parts without a job --------------------------------------------------------------------
 
-    private void checkParts(List<Entry> entries) {
-        Map<String, List<Entry>> byJob = new LinkedHashMap<>();
+    private void checkJobParts(List<Entry> entries) {
+        Map<String, List<Entry>> partsByJob = new LinkedHashMap<>();
         for (Entry entry : entries) {
             Optional<String> id = StoreKeys.findJobOfPart(entry.key());
             if (id.isEmpty()) {
                 findingListener.accept(
                         new Finding(false, entry.key(), "is not the key of a job part", List.of()));
             } else {
-                byJob.computeIfAbsent(id.get(), key -> new ArrayList<>()).add(entry);
+                partsByJob.computeIfAbsent(id.get(), key -> new ArrayList<>()).add(entry);
             }
         }
         // A job moves from open to ended in one write, so both keys are compared in one
         // transaction.
-        Map<String, Long> anywhere = new LinkedHashMap<>();
-        byJob.keySet().forEach(id -> anywhere.put(id, 0L));
+        Map<String, Long> absentRevisions = new LinkedHashMap<>();
+        partsByJob.keySet().forEach(id -> absentRevisions.put(id, 0L));
         compare(
-                anywhere,
+                absentRevisions,
                 (id, isOpen, isEnded) -> {
                     if (!isOpen && !isEnded) {
-                        byJob.get(id).forEach(entry -> reportOrphan(id, entry));
+                        partsByJob.get(id).forEach(entry -> reportOrphanedPart(id, entry));
                     }
                 });
     }
 
-    private void reportOrphan(String id, Entry entry) {
-        boolean isIdle = hasNoLiveTasks(entry);
-        String what = isIdle ? "a part of job " : "tasks on machines of job ";
+    private void reportOrphanedPart(String id, Entry entry) {
+        boolean isRemovable = hasNoLiveTasks(entry);
+        String description = isRemovable ? "a part of job " : "tasks on machines of job ";
         findingListener.accept(
                 new Finding(
-                        isIdle,
+                        isRemovable,
                         entry.key(),
-                        what + id + ", which is neither open nor ended",
+                        description + id + ", which is neither open nor ended",
                         List.of(
                                 new Condition(entry.key(), entry.revision()),
                                 new Condition(StoreKeys.OPEN_JOBS + id, 0),
@@ -212,20 +212,23 @@
     /**
      * Reports unreadable intents; the leader handles all readable ones, also of earlier leaders.
      */
-    private void checkIntent(Entry entry) {
+    private void checkCloudIntent(Entry entry) {
         try {
             CloudIntent.read(entry);
-        } catch (InvalidInputException | ClassCastException bad) {
+        } catch (InvalidInputException | ClassCastException unreadable) {
             findingListener.accept(
                     new Finding(
-                            false, entry.key(), "is unreadable: " + bad.getMessage(), List.of()));
+                            false,
+                            entry.key(),
+                            "is unreadable: " + unreadable.getMessage(),
+                            List.of()));
         }
     }
 
     // ---- comparisons ----------------------------------------------------------------------------
 
     /** Receives the state of each job as of a single comparison. */
-    private interface JobPlacesListener {
+    private interface JobComparisonListener {
         /**
          * Called once for each job.
          *
@@ -242,27 +245,27 @@
      * @param openRevisions revisions with which the records of the open jobs are compared, by job
      *     id
      */
-    private void compare(Map<String, Long> openRevisions, JobPlacesListener listener) {
-        List<String> ids = new ArrayList<>(openRevisions.keySet());
+    private void compare(Map<String, Long> openRevisions, JobComparisonListener listener) {
+        List<String> jobIds = new ArrayList<>(openRevisions.keySet());
         int maxIds = Math.max(1, maxConditions / 2);
-        for (int start = 0; start < ids.size(); start += maxIds) {
-            List<String> compared = ids.subList(start, Math.min(ids.size(), start + maxIds));
+        for (int start = 0; start < jobIds.size(); start += maxIds) {
+            List<String> compared = jobIds.subList(start, Math.min(jobIds.size(), start + maxIds));
             pendingComparisons.add(
-                    () -> compare(openRevisions, compared, listener, () -> whenStepDone.run()));
+                    () -> compare(openRevisions, compared, listener, () -> onStepDone.run()));
         }
     }
 
     /**
-     * Compares the records of these jobs and then runs {@code whenTold}. Schedules the comparison
+     * Compares the records of these jobs and then runs {@code onCompared}. Schedules the comparison
      * again if the store does not respond.
      */
     private void compare(
             Map<String, Long> openRevisions,
-            List<String> ids,
-            JobPlacesListener listener,
-            Runnable whenTold) {
+            List<String> jobIds,
+            JobComparisonListener listener,
+            Runnable onCompared) {
         Transaction transaction = new Transaction();
-        for (String id : ids) {
+        for (String id : jobIds) {
             transaction
                     .requireRevision(StoreKeys.OPEN_JOBS + id, openRevisions.get(id))
                     .requireRevision(StoreKeys.ENDED_JOBS + id, 0);
@@ -271,22 +274,22 @@
                 transaction,
                 result -> {
                     if (isDefinite(result)) {
-                        tell(ids, new HashSet<>(result.failedKeys()), listener);
-                        whenTold.run();
-                    } else if (result.outcome() == Outcome.INVALID && ids.size() > 1) {
+                        notifyListener(jobIds, new HashSet<>(result.failedKeys()), listener);
+                        onCompared.run();
+                    } else if (result.outcome() == Outcome.INVALID && jobIds.size() > 1) {
                         // The store now accepts fewer conditions than configured.
-                        int half = ids.size() / 2;
-                        List<String> rest = ids.subList(half, ids.size());
+                        int half = jobIds.size() / 2;
+                        List<String> rest = jobIds.subList(half, jobIds.size());
                         compare(
                                 openRevisions,
-                                ids.subList(0, half),
+                                jobIds.subList(0, half),
                                 listener,
-                                () -> compare(openRevisions, rest, listener, whenTold));
+                                () -> compare(openRevisions, rest, listener, onCompared));
                     } else {
                         pendingComparisons.addFirst(
-                                () -> compare(openRevisions, ids, listener, whenTold));
+                                () -> compare(openRevisions, jobIds, listener, onCompared));
                         hasLastStepFailed = true;
-                        whenStepDone.run();
+                        onStepDone.run();
                     }
                 });
     }
@@ -296,9 +299,9 @@
                 || result.outcome() == Outcome.REJECTED && !result.failedKeys().isEmpty();
     }
 
-    private static void tell(
-            List<String> ids, Set<String> differingKeys, JobPlacesListener listener) {
-        for (String id : ids) {
+    private static void notifyListener(
+            List<String> jobIds, Set<String> differingKeys, JobComparisonListener listener) {
+        for (String id : jobIds) {
             listener.accept(
                     id,
                     differingKeys.contains(StoreKeys.OPEN_JOBS + id),
--- a/src/main/java/io/kitepath/core/role/ReleaseIntent.java
+++ b/src/main/java/io/kitepath/core/role/ReleaseIntent.java
@@ -66,17 +66,17 @@
     }
 
     @Override
-    boolean isWithoutResult() {
+    boolean isSettledWithoutEffect() {
         return false;
     }
 
     @Override
-    void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer) {
+    void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> onResponse) {
         // Only OK from the cloud confirms that the machines are gone.
         cloud.release(
                 machines,
                 outcome ->
-                        answer.accept(
+                        onResponse.accept(
                                 outcome == Outcome.OK ? outcome : Outcome.NOT_EXECUTED,
                                 () -> isConfirmedGone = true));
     }
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -81,7 +81,7 @@
     }
 
     @Override
-    boolean isWithoutResult() {
+    boolean isSettledWithoutEffect() {
         return machines.isPresent() && machines.get().isEmpty();
     }
 
@@ -95,13 +95,13 @@
     }
 
     @Override
-    void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer) {
+    void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> onResponse) {
         cloud.rent(
                 name,
                 kind,
                 count,
                 (outcome, rented) ->
-                        answer.accept(
+                        onResponse.accept(
                                 outcome, () -> settle(outcome == Outcome.OK ? rented : List.of())));
     }
 
--- a/src/main/java/io/kitepath/core/role/RoleClaims.java
+++ b/src/main/java/io/kitepath/core/role/RoleClaims.java
@@ -20,10 +20,10 @@
  */
 final class RoleClaims {
     /** Each rank waits longer than the previous one by the lease time divided by this number. */
-    private static final double RANKS_PER_LEASE = 16;
+    private static final double RANKS_PER_LEASE_TIME = 16;
 
     /** Spreads claims of the same rank. */
-    private static final double JITTER_SECONDS = 0.05;
+    private static final double CLAIM_JITTER_SECONDS = 0.05;
 
     /** Receives every successful claim. */
     interface Listener {
@@ -54,11 +54,11 @@
             return;
         }
         role.isClaiming = true;
-        double abstainSeconds = Math.max(0, role.abstainsUntil - timers.nowSeconds());
+        double abstainSeconds = Math.max(0, role.abstainUntil - timers.nowSeconds());
         timers.schedule(
-                role.claimRank * context.leaseSeconds() / RANKS_PER_LEASE
+                role.claimRank * context.leaseSeconds() / RANKS_PER_LEASE_TIME
                         + abstainSeconds
-                        + random.nextDouble() * JITTER_SECONDS,
+                        + random.nextDouble() * CLAIM_JITTER_SECONDS,
                 () -> claimIfFree(role));
     }
 
@@ -67,7 +67,7 @@
             role.isClaiming = false;
             return;
         }
-        lease.whenGranted(() -> readFencingToken(role), () -> retryLater(role));
+        lease.runWhenGranted(() -> readFencingToken(role), () -> retryLater(role));
     }
 
     private void retryLater(Role role) {
@@ -88,11 +88,14 @@
                 });
     }
 
-    /** {@code highestToken}: the record of the highest fencing token; empty if none was issued. */
-    private void claim(Role role, Optional<Entry> highestToken) {
+    /**
+     * {@code highestTokenRecord}: the record of the highest fencing token; empty if none was
+     * issued.
+     */
+    private void claim(Role role, Optional<Entry> highestTokenRecord) {
         long leaseId = lease.id();
-        long highest = highestToken.map(HolderRecord::highestFencingToken).orElse(0L);
-        long fencingToken = Math.max(role.fencingToken, highest) + 1;
+        long highestToken = highestTokenRecord.map(HolderRecord::highestFencingToken).orElse(0L);
+        long fencingToken = Math.max(role.fencingToken, highestToken) + 1;
         Map<String, Object> record =
                 HolderRecord.toRecord(
                         context.settings().node(), fencingToken, leaseId, context.incarnation());
@@ -100,15 +103,16 @@
                 new Transaction()
                         .requireRevision(role.key, 0)
                         .requireRevision(
-                                fencingTokenKey(role), highestToken.map(Entry::revision).orElse(0L))
+                                fencingTokenKey(role),
+                                highestTokenRecord.map(Entry::revision).orElse(0L))
                         .put(role.key, record, leaseId)
                         .put(
                                 fencingTokenKey(role),
                                 HolderRecord.toFencingTokenRecord(fencingToken)),
-                result -> onClaimAnswered(role, leaseId, fencingToken, result));
+                result -> onClaimResponse(role, leaseId, fencingToken, result));
     }
 
-    private void onClaimAnswered(Role role, long leaseId, long fencingToken, CommitResult result) {
+    private void onClaimResponse(Role role, long leaseId, long fencingToken, CommitResult result) {
         role.isClaiming = false;
         if (result.outcome() == Outcome.OK
                 && lease.id() == leaseId
--- a/src/main/java/io/kitepath/core/role/RoleKeyWatcher.java
+++ b/src/main/java/io/kitepath/core/role/RoleKeyWatcher.java
@@ -25,10 +25,10 @@
     private static final int MAX_PAGE_ATTEMPTS = 3;
 
     /** Spreads the nodes' reads after a failure. */
-    private static final double RETRY_JITTER_SECONDS = 0.3;
+    private static final double FAILURE_JITTER_SECONDS = 0.3;
 
     /** Spreads the nodes' reads after a failed claim. */
-    private static final double SOON_JITTER_SECONDS = 0.1;
+    private static final double CLAIM_RETRY_JITTER_SECONDS = 0.1;
 
     /**
      * Receives the state of the roles' keys. May receive the same state twice, and old revisions.
@@ -48,7 +48,7 @@
     private final Set<String> keys;
     private final Listener listener;
     private boolean isStopped;
-    private long currentReading;
+    private long latestReadNumber;
 
     /** {@code keys}: of the roles, in the order in which the listener receives them. */
     RoleKeyWatcher(RoleContext context, Set<String> keys, Listener listener) {
@@ -71,7 +71,7 @@
 
     /** Reads all keys and then watches them. */
     void read() {
-        long reading = ++currentReading;
+        long readNumber = ++latestReadNumber;
         if (isStopped) {
             return;
         }
@@ -80,21 +80,22 @@
                 timers,
                 StoreKeys.ROLES,
                 MAX_PAGE_ATTEMPTS,
-                listing -> onKeysListed(reading, listing));
+                listing -> onKeysListed(readNumber, listing));
     }
 
     /** Reads all keys after a delay in which the store may recover. */
     void readLater() {
-        timers.schedule(leaseSeconds / 4 + random.nextDouble() * RETRY_JITTER_SECONDS, this::read);
+        timers.schedule(
+                leaseSeconds / 4 + random.nextDouble() * FAILURE_JITTER_SECONDS, this::read);
     }
 
     /** Reads all keys after a short jitter, because they have just changed. */
     void readSoon() {
-        timers.schedule(random.nextDouble() * SOON_JITTER_SECONDS, this::read);
+        timers.schedule(random.nextDouble() * CLAIM_RETRY_JITTER_SECONDS, this::read);
     }
 
-    private void onKeysListed(long reading, ListResult listing) {
-        if (reading != currentReading) {
+    private void onKeysListed(long readNumber, ListResult listing) {
+        if (readNumber != latestReadNumber) {
             return;
         }
         if (listing.outcome() != Outcome.OK) {
@@ -111,19 +112,19 @@
                 listener.onKeyPresent(entry);
             }
         }
-        watch(reading, listing.revision());
+        watch(readNumber, listing.revision());
     }
 
-    private void watch(long reading, long afterRevision) {
+    private void watch(long readNumber, long afterRevision) {
         store.watch(
                 StoreKeys.ROLES,
                 afterRevision,
                 (long) (leaseSeconds * 2000),
-                changes -> onKeysChanged(reading, afterRevision, changes));
+                changes -> onKeysChanged(readNumber, afterRevision, changes));
     }
 
-    private void onKeysChanged(long reading, long afterRevision, WatchResult changes) {
-        if (reading != currentReading || isStopped) {
+    private void onKeysChanged(long readNumber, long afterRevision, WatchResult changes) {
+        if (readNumber != latestReadNumber || isStopped) {
             return;
         }
         if (changes.outcome() != Outcome.OK) {
@@ -143,7 +144,7 @@
             // There was no change in two lease times; one may have been missed during an outage.
             read();
         } else {
-            watch(reading, Math.max(afterRevision, changes.revision()));
+            watch(readNumber, Math.max(afterRevision, changes.revision()));
         }
     }
 }
