--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -34,7 +34,7 @@
         metrics.gauge(
                 "intents.backlog",
                 "rentals and returns that the cloud has not settled",
-                node.cloud.intents::backlog);
+                node.cloud.intents::unsettledCount);
         metrics.counter(
                 "duty.cloud.calls",
                 "rentals and returns asked of the cloud by this node",
@@ -53,7 +53,7 @@
         metrics.counter(
                 "cleanup.looks",
                 "times that this node looked through the state service",
-                node.cloud.garbageCollector::completedScans);
+                node.cloud.garbageCollector::completedScanCount);
         metrics.counter(
                 "cleanup.removed",
                 "records that it removed there",
@@ -72,7 +72,9 @@
                 () -> role.isHeldHere() ? 1 : 0);
         metrics.gauge(prefix + ".token", "the token of whoever has it", role::fencingToken);
         metrics.counter(
-                prefix + ".hand.overs", "times that it was seen to change hands", role::handOvers);
+                prefix + ".hand.overs",
+                "times that it was seen to change hands",
+                role::handOverCount);
     }
 
     private void addFailover(MetricCollector metrics) {
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -137,7 +137,9 @@
                     releases.size(),
                     releasingMachines.size());
         }
-        releases().stream().filter(ReleaseIntent::isSettled).forEach(this::onReleaseConfirmed);
+        pendingReleases().stream()
+                .filter(ReleaseIntent::isSettled)
+                .forEach(this::onReleaseConfirmed);
     }
 
     private void adopt(CloudIntent intent) {
@@ -236,7 +238,7 @@
      * heartbeat nor from a list, and would rent again. Lists lag by up to twice the configured
      * time, and a list may be older than the one before it.
      */
-    public void dropListedRentals() {
+    public void removeListedRentals() {
         double nowMillis = timers.wallClockMillis();
         double lagMillis = 1000 * settings.cloud().listLagSeconds();
         for (RentalIntent rental : new ArrayList<>(rentals.values())) {
@@ -291,8 +293,8 @@
         writeRecord(release, releases);
     }
 
-    /** Returns the releases that the cloud has not confirmed, the oldest first. */
-    public List<ReleaseIntent> releases() {
+    /** Returns the releases whose confirmation has not been processed, the oldest first. */
+    public List<ReleaseIntent> pendingReleases() {
         return List.copyOf(releases.values());
     }
 
@@ -369,12 +371,12 @@
     }
 
     /** Returns how many rentals and releases are recorded. */
-    public int openCount() {
+    public int recordedCount() {
         return rentals.size() + releases.size();
     }
 
     /** Returns how many recorded rentals and releases the cloud has not settled. */
-    public int backlog() {
+    public int unsettledCount() {
         return unsettledRentals().size() + releases.size();
     }
 }
--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -50,7 +50,7 @@
     /** When the next request may be sent, in seconds on the steady clock. */
     private double nextRequestAt;
 
-    private long completedScans;
+    private long completedScanCount;
     private long removedCount;
     private long inconsistentCount;
     private long inconsistentInScan;
@@ -88,8 +88,8 @@
     }
 
     /** Returns how many scans this node completed. */
-    public long completedScans() {
-        return completedScans;
+    public long completedScanCount() {
+        return completedScanCount;
     }
 
     /** Returns how many records this node removed. */
@@ -147,7 +147,7 @@
 
     private void completeScan(OrphanScan completed) {
         inconsistentCount = inconsistentInScan;
-        completedScans++;
+        completedScanCount++;
         LOG.debug(
                 "garbage scan completed: records={} removable={} inconsistent={}",
                 completed.recordsSeen(),
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -109,7 +109,7 @@
         private double heldSince;
 
         private int handBackCount;
-        private long handOvers;
+        private long handOverCount;
 
         private Role(RoleWorker worker, int claimRank) {
             this.worker = worker;
@@ -149,18 +149,18 @@
             description.put("duty", name());
             description.put("node", holderNode);
             description.put("token", fencingToken);
-            description.put("handOvers", handOvers);
+            description.put("handOvers", handOverCount);
             return description;
         }
 
         /** Returns how many changes of the holder this node has observed since it started. */
-        public long handOvers() {
-            return handOvers;
+        public long handOverCount() {
+            return handOverCount;
         }
 
         private void recordHolder(String node, long token, double now) {
             if (!node.equals(holderNode) || token != fencingToken) {
-                handOvers++;
+                handOverCount++;
                 heldSince = now;
             }
             holderNode = node;
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -21,7 +21,7 @@
     public final String name;
 
     public final MachineKind kind;
-    public final int count;
+    public final int machineCount;
     private final long fencingToken;
     private final double requestedAtMillis;
 
@@ -29,11 +29,15 @@
     private Optional<List<String>> machines = Optional.empty();
 
     RentalIntent(
-            String name, MachineKind kind, int count, long fencingToken, double requestedAtMillis) {
+            String name,
+            MachineKind kind,
+            int machineCount,
+            long fencingToken,
+            double requestedAtMillis) {
         super(StoreKeys.RENTAL_INTENTS + name);
         this.name = name;
         this.kind = kind;
-        this.count = count;
+        this.machineCount = machineCount;
         this.fencingToken = fencingToken;
         this.requestedAtMillis = requestedAtMillis;
     }
@@ -68,7 +72,7 @@
         record.put("type", kind.machineType());
         record.put("zone", kind.zone());
         record.put("spot", kind.spot());
-        record.put("count", (long) count);
+        record.put("count", (long) machineCount);
         record.put("token", fencingToken);
         record.put("askedMs", requestedAtMillis);
         machines.ifPresent(rented -> record.put("machines", rented));
@@ -99,7 +103,7 @@
         cloud.rent(
                 name,
                 kind,
-                count,
+                machineCount,
                 (outcome, rented) ->
                         onResponse.accept(
                                 outcome, () -> settle(outcome == Outcome.OK ? rented : List.of())));
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -134,7 +134,7 @@
                         .filter(machine -> !intents.isReleasing(machine))
                         .toList();
         if (!release.isEmpty()
-                && intents.releases().size() < MAX_PENDING_REQUESTS
+                && intents.pendingReleases().size() < MAX_PENDING_REQUESTS
                 && intentBucket.tryTake(1, now)) {
             intents.requestRelease(release);
         }
@@ -158,11 +158,11 @@
         LOG.info(
                 "cloud answered rental: rented={} requested={} type={} zone={} spot={}",
                 rented,
-                rental.count,
+                rental.machineCount,
                 rental.kind.machineType(),
                 rental.kind.zone(),
                 rental.kind.spot());
-        if (rented < rental.count) {
+        if (rented < rental.machineCount) {
             scalingPlanner.recordRefusal(rental.kind, timers.nowSeconds());
         } else {
             scalingPlanner.recordGrant(rental.kind);
@@ -187,7 +187,7 @@
                     listedAt = timers.nowSeconds();
                     if (outcome == Outcome.OK && isStillLeading(fencingToken)) {
                         shard.applyCloudList(machines, timers.nowSeconds());
-                        intents.dropListedRentals();
+                        intents.removeListedRentals();
                     }
                 });
     }
--- a/src/test/java/io/kitepath/core/CloudIntentsTest.java
+++ b/src/test/java/io/kitepath/core/CloudIntentsTest.java
@@ -225,7 +225,7 @@
                 cluster.cloud.released.stream().distinct().count(),
                 "idle machines are given back");
         assertEquals(0, records(cluster, StoreKeys.CLOUD_INTENTS));
-        assertEquals(0, cluster.leader().controller.cloudIntents.openCount());
+        assertEquals(0, cluster.leader().controller.cloudIntents.recordedCount());
     }
 
     /**
