--- a/src/main/java/io/kitepath/core/role/GarbageCollector.java
+++ b/src/main/java/io/kitepath/core/role/GarbageCollector.java
@@ -13,49 +13,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The role {@code cleanup}: looks through the records now and then, removes those that nothing
- * refers to any more, and reports those that contradict each other. Each removal depends on the
- * role, on the record's revision and on what made it garbage, so that a job which is just being
- * accepted keeps its parts, and a collection that ends anywhere has done no harm.
+ * The role {@code cleanup}: periodically scans the records, removes orphaned ones, and reports
+ * inconsistent ones. Each removal is conditional on the role, on the record's revision and on the
+ * facts that made it garbage. Therefore a job that is being accepted keeps its parts, and a
+ * collection can be interrupted at any point without harm.
  */
 public final class GarbageCollector implements LeasedRoles.RoleWorker {
     private static final Logger LOG = LoggerFactory.getLogger(GarbageCollector.class);
 
-    /** Between two scans, in workers' leases. */
-    private static final double PAUSE_IN_LEASES = 10;
+    /** Pause between two scans, in lease times of the workers. */
+    private static final double PAUSE_LEASE_TIMES = 10;
 
-    /** Of the store's request rate. */
-    private static final double RATE_SHARE = 0.01;
+    /** Share of the store's request rate that the collection uses. */
+    private static final double REQUEST_RATE_SHARE = 0.01;
 
-    /** Records that wait to be removed; what is found beyond that is found by the next scan. */
-    private static final int MAX_QUEUED = 1000;
+    /** Maximum number of queued removals; the next scan finds any further records again. */
+    private static final int MAX_QUEUED_REMOVALS = 1000;
 
     private final ClusterSettings settings;
     private final Store store;
     private final Timers timers;
 
-    /** Findings that wait to be removed, the first of them next. */
-    private final Deque<OrphanScan.Finding> garbage = new ArrayDeque<>();
+    /** Findings whose records are to be removed, in this order. */
+    private final Deque<OrphanScan.Finding> queuedRemovals = new ArrayDeque<>();
 
-    /** The scan that is under way. */
-    private Optional<OrphanScan> scan = Optional.empty();
+    /** The scan in progress. */
+    private Optional<OrphanScan> currentScan = Optional.empty();
 
     private LeasedRoles.RoleLease roleLease;
 
-    /** Rises when the role is lost: answers to what was asked before are ignored. */
+    /** Incremented when the role is lost; responses to earlier requests are ignored. */
     private long epoch;
 
     private boolean isRequestInFlight;
 
-    /** In seconds on the steady clock. */
-    private double nextStepAt;
+    /** When the next request may be sent, in seconds on the steady clock. */
+    private double nextRequestAt;
 
-    private long completedScans;
+    private long completedScanCount;
     private long removedCount;
     private long inconsistentCount;
     private long inconsistentInScan;
 
-    /** Starts nothing before the role is acquired. */
+    /** Creates a collector that is idle until the role is acquired. */
     public GarbageCollector(ClusterSettings settings, Store store, Timers timers) {
         this.settings = settings;
         this.store = store;
@@ -70,64 +70,68 @@
     @Override
     public void onAcquired(LeasedRoles.RoleLease lease) {
         roleLease = lease;
-        // Not at once: a node that is restarted again and again would do nothing but scan.
-        nextStepAt = timers.nowSeconds() + settings.workers().leaseSeconds();
+        // The delay keeps a node that restarts repeatedly from scanning all the time.
+        nextRequestAt = timers.nowSeconds() + settings.workers().leaseSeconds();
     }
 
     @Override
     public void onLost() {
         epoch++;
         isRequestInFlight = false;
-        scan = Optional.empty();
-        garbage.clear();
+        currentScan = Optional.empty();
+        queuedRemovals.clear();
     }
 
     @Override
     public boolean canPerform(double now) {
-        return true; // It takes the store only, which has just granted or renewed the lease.
+        return true; // Requires only the store, which has just granted or renewed the lease.
     }
 
-    /** Scans that were completed by this node. */
-    public long completedScans() {
-        return completedScans;
+    /** Returns how many scans this node completed. */
+    public long completedScanCount() {
+        return completedScanCount;
     }
 
-    /** Records that this node removed. */
+    /** Returns how many records this node removed. */
     public long removedCount() {
         return removedCount;
     }
 
-    /** Records that the last scan found inconsistent, which a person has to look at. */
+    /**
+     * Returns how many records the last scan found inconsistent; an operator has to examine them.
+     */
     public long inconsistentCount() {
         return inconsistentCount;
     }
 
     @Override
     public void tick(double now) {
-        if (isRequestInFlight || now < nextStepAt || !roleLease.isCertain().getAsBoolean()) {
+        if (isRequestInFlight
+                || now < nextRequestAt
+                || !roleLease.isProvablyHeld().getAsBoolean()) {
             return;
         }
-        // One request a step, paced so that the collection is not felt.
-        nextStepAt = now + 1 / (settings.store().requestsPerSecond() * RATE_SHARE);
-        if (garbage.isEmpty()) {
+        // One request per step, rate-limited so that the collection does not slow other requests.
+        nextRequestAt = now + 1 / (settings.store().requestsPerSecond() * REQUEST_RATE_SHARE);
+        if (queuedRemovals.isEmpty()) {
             stepScan();
         } else {
-            remove(garbage.poll());
+            remove(queuedRemovals.poll());
         }
     }
 
     private void stepScan() {
-        OrphanScan current = scan.orElseGet(this::startScan);
+        OrphanScan active = currentScan.orElseGet(this::startScan);
         isRequestInFlight = true;
         long stepEpoch = epoch;
-        current.step(
+        active.step(
                 () -> {
                     if (stepEpoch != epoch) {
                         return;
                     }
                     isRequestInFlight = false;
-                    if (current.isComplete()) {
-                        completeScan(current);
+                    if (active.isComplete()) {
+                        completeScan(active);
                     }
                 });
     }
@@ -137,28 +141,29 @@
         OrphanScan started =
                 new OrphanScan(
                         store, 4 * settings.store().maxTransactionOperations(), this::onFinding);
-        scan = Optional.of(started);
+        currentScan = Optional.of(started);
         return started;
     }
 
     private void completeScan(OrphanScan completed) {
         inconsistentCount = inconsistentInScan;
-        completedScans++;
+        completedScanCount++;
         LOG.debug(
-                "cleanup: records={} removable={} inconsistent={}",
+                "garbage scan completed: records={} removable={} inconsistent={}",
                 completed.recordsSeen(),
-                garbage.size(),
+                queuedRemovals.size(),
                 inconsistentCount);
-        scan = Optional.empty();
-        nextStepAt = timers.nowSeconds() + PAUSE_IN_LEASES * settings.workers().leaseSeconds();
+        currentScan = Optional.empty();
+        nextRequestAt = timers.nowSeconds() + PAUSE_LEASE_TIMES * settings.workers().leaseSeconds();
     }
 
     private void onFinding(OrphanScan.Finding finding) {
         if (!finding.isRemovable()) {
             inconsistentInScan++;
-            LOG.warn("record {} should not be: {}", finding.key(), finding.reason());
-        } else if (garbage.size() < MAX_QUEUED) {
-            garbage.add(finding);
+            LOG.warn(
+                    "inconsistent record found: key={} reason={}", finding.key(), finding.reason());
+        } else if (queuedRemovals.size() < MAX_QUEUED_REMOVALS) {
+            queuedRemovals.add(finding);
         }
     }
 
@@ -174,19 +179,19 @@
                 transaction.remove(finding.key()),
                 result -> {
                     if (removalEpoch == epoch) {
-                        onRemovalAnswered(finding, result.outcome());
+                        onRemovalResponse(finding, result.outcome());
                     }
                 });
     }
 
-    private void onRemovalAnswered(OrphanScan.Finding finding, Outcome outcome) {
+    private void onRemovalResponse(OrphanScan.Finding finding, Outcome outcome) {
         isRequestInFlight = false;
         if (outcome == Outcome.OK) {
             removedCount++;
-            LOG.info("removed {}: {}", finding.key(), finding.reason());
+            LOG.info("orphaned record removed: key={} reason={}", finding.key(), finding.reason());
         } else if (outcome != Outcome.REJECTED) {
-            // The same removal once more: its conditions let only one of the two through.
-            garbage.addFirst(finding);
+            // Retries the same removal; its conditions guarantee that it is executed at most once.
+            queuedRemovals.addFirst(finding);
         }
     }
 }
--- a/src/main/java/io/kitepath/core/role/NodeLease.java
+++ b/src/main/java/io/kitepath/core/role/NodeLease.java
@@ -5,30 +5,33 @@
 import io.kitepath.core.port.Timers;
 
 /**
- * This node's one lease in the store: granted when it is first needed, renewed five times in its
- * time to live. The store removes all keys that were put under it when it expires.
+ * The single lease of this node in the store. It is granted when it is first needed and renewed
+ * five times per time to live. When it expires, the store removes all keys that were put under it.
  *
- * <p>Whether it is still valid is proven by this node's own clock, from the moment at which the
- * last successful renewal was sent: the store counts from a later moment, when it received it.
+ * <p>Validity is verified by this node's own clock, counted from the moment at which the last
+ * successful renewal was sent. This is safe because the store counts from the later moment at which
+ * it received the renewal.
  */
 final class NodeLease {
-    /** Steady clocks of two machines drift apart by up to half of this share. */
+    /** Safety margin as a share of the lease; twice the maximum drift between two steady clocks. */
     private static final double MAX_CLOCK_DRIFT = 0.001;
 
     private static final double GRANT_POLL_SECONDS = 0.05;
 
-    private static final long NONE = 0;
+    private static final long NO_LEASE_ID = 0;
 
     private final Store store;
     private final Timers timers;
     private final double leaseSeconds;
     private final Runnable onExpired;
-    private long id = NONE;
+    private long id = NO_LEASE_ID;
     private boolean isGrantInFlight;
     private boolean isStopped;
-    private double renewalRequestedAt = Double.NEGATIVE_INFINITY;
 
-    /** {@code onExpired} runs when the store says that the lease has expired. */
+    /** When the last successful renewal was sent, in seconds on the steady clock. */
+    private double lastRenewalSentAt = Double.NEGATIVE_INFINITY;
+
+    /** {@code onExpired} runs when the store reports that the lease has expired. */
     NodeLease(RoleContext context, Runnable onExpired) {
         this.store = context.store();
         this.timers = context.timers();
@@ -37,90 +40,94 @@
     }
 
     boolean isGranted() {
-        return id != NONE;
+        return id != NO_LEASE_ID;
     }
 
-    /** The lease's id in the store; meaningless unless it {@link #isGranted}. */
+    /** Returns the lease's id in the store; valid only if the lease {@link #isGranted}. */
     long id() {
         return id;
     }
 
     /** Whether the lease can't have expired yet, by this node's clock. */
-    boolean isCertain() {
-        return timers.nowSeconds() - renewalRequestedAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
+    boolean isProvablyValid() {
+        return timers.nowSeconds() - lastRenewalSentAt < leaseSeconds * (1 - MAX_CLOCK_DRIFT);
     }
 
-    /** Runs {@code granted} once there is a lease, or {@code refused} if the store grants none. */
-    void whenGranted(Runnable granted, Runnable refused) {
+    /**
+     * Runs {@code onGranted} once a lease is granted, or {@code onRefused} if the store grants
+     * none.
+     */
+    void runWhenGranted(Runnable onGranted, Runnable onRefused) {
         if (isGranted()) {
-            granted.run();
+            onGranted.run();
             return;
         }
         if (isStopped) {
-            refused.run();
+            onRefused.run();
             return;
         }
         if (isGrantInFlight) {
-            timers.schedule(GRANT_POLL_SECONDS, () -> whenGranted(granted, refused));
+            timers.schedule(GRANT_POLL_SECONDS, () -> runWhenGranted(onGranted, onRefused));
             return;
         }
         isGrantInFlight = true;
-        double requestedAt = timers.nowSeconds();
+        double sentAt = timers.nowSeconds();
         store.grantLease(
                 (long) (leaseSeconds * 1000),
                 (outcome, grantedId) -> {
                     isGrantInFlight = false;
                     if (outcome == Outcome.OK && isStopped) {
-                        // Guards against a node that is being stopped and goes on renewing a lease.
+                        // Guards against a node that is being stopped but continues to renew a
+                        // lease.
                         store.revokeLease(grantedId);
-                        refused.run();
+                        onRefused.run();
                     } else if (outcome == Outcome.OK) {
                         id = grantedId;
-                        renewalRequestedAt = requestedAt;
+                        lastRenewalSentAt = sentAt;
                         scheduleRenewal(grantedId);
-                        granted.run();
+                        onGranted.run();
                     } else {
-                        refused.run();
+                        onRefused.run();
                     }
                 });
     }
 
-    /** Gives the lease back, also one that is being granted; its keys go with it. None follows. */
+    /** Revokes the lease with its keys, also one that is being granted; no other is requested. */
     void stop() {
         isStopped = true;
         if (isGranted()) {
             store.revokeLease(id);
-            id = NONE;
+            id = NO_LEASE_ID;
         }
     }
 
-    private void scheduleRenewal(long renewedId) {
+    private void scheduleRenewal(long leaseId) {
         timers.schedule(
                 leaseSeconds / 5,
                 () -> {
-                    if (id == renewedId) {
-                        renew(renewedId);
+                    if (id == leaseId) {
+                        renew(leaseId);
                     }
                 });
     }
 
-    private void renew(long renewedId) {
-        double requestedAt = timers.nowSeconds();
+    private void renew(long leaseId) {
+        double sentAt = timers.nowSeconds();
         store.renewLease(
-                renewedId,
+                leaseId,
                 outcome -> {
-                    if (id != renewedId) {
+                    if (id != leaseId) {
                         return;
                     }
                     if (outcome == Outcome.REJECTED) {
-                        id = NONE;
+                        id = NO_LEASE_ID;
                         onExpired.run();
                         return;
                     }
                     if (outcome == Outcome.OK) {
-                        renewalRequestedAt = requestedAt;
+                        lastRenewalSentAt = sentAt;
                     }
-                    scheduleRenewal(renewedId);
+                    scheduleRenewal(leaseId);
                 });
     }
 }
--- a/src/main/java/io/kitepath/core/role/OrphanScan.java
+++ b/src/main/java/io/kitepath/core/role/OrphanScan.java
@@ -22,21 +22,20 @@
 import java.util.function.Consumer;
 
 /**
- * One scan of the store's records, a step at a time, for records that nothing refers to any more
- * and for records that contradict each other. Whether jobs are open or ended is found out by
- * comparisons that write nothing, for many jobs at once, so that a scan costs one request for each
- * page of records and one or two for each hundred jobs, however many jobs have ended.
+ * A step-by-step scan of the store for orphaned and inconsistent records. Whether jobs are open or
+ * ended is determined by read-only comparisons of many jobs at once. A scan thus takes one request
+ * per page of records and one or two per hundred jobs, however many jobs have ended.
  */
 public final class OrphanScan {
-    /** Records in one page. */
+    /** Number of records in a page. */
     private static final int PAGE_SIZE = 200;
 
     /**
-     * A record that should not be there.
+     * An orphaned or inconsistent record.
      *
-     * @param isRemovable whether it may be removed; if not, a person has to look at it
-     * @param reason in words
-     * @param conditions under which it may be removed, its own revision among them
+     * @param isRemovable whether it may be removed; if not, an operator has to examine it
+     * @param reason why it is orphaned or inconsistent, for people
+     * @param conditions for its removal, including its own revision
      */
     public record Finding(
             boolean isRemovable, String key, String reason, List<Condition> conditions) {}
@@ -44,28 +43,28 @@
     private final Store store;
     private final int maxConditions;
     private final Consumer<Finding> findingListener;
-    private final Deque<String> prefixes =
+    private final Deque<String> remainingPrefixes =
             new ArrayDeque<>(
                     List.of(StoreKeys.JOB_PARTS, StoreKeys.OPEN_JOBS, StoreKeys.CLOUD_INTENTS));
 
-    /** Of the next page; null when there is none. */
-    private String prefix = prefixes.poll();
+    /** The key prefix of the next page; null when there are no more pages. */
+    private String prefix = remainingPrefixes.poll();
 
     /** The key after which the next page begins; empty for the first page of a prefix. */
     private String lastKey = "";
 
-    /** Comparisons that have to be made before the next page is read. */
+    /** Comparisons to make before the next page is read. */
     private final Deque<Runnable> pendingComparisons = new ArrayDeque<>();
 
-    private Runnable whenStepDone = () -> {};
+    private Runnable onStepDone = () -> {};
     private long recordsSeen;
     private boolean hasLastStepFailed;
 
     /**
-     * Starts a scan.
+     * Creates a scan; {@link #step} advances it.
      *
-     * @param maxConditions that one transaction may have
-     * @param findingListener told of each finding
+     * @param maxConditions maximum number of conditions in one transaction
+     * @param findingListener receives each finding
      */
     public OrphanScan(Store store, int maxConditions, Consumer<Finding> findingListener) {
         this.store = store;
@@ -78,19 +77,19 @@
         return prefix == null && pendingComparisons.isEmpty();
     }
 
-    /** Records read so far. */
+    /** Returns how many records have been read so far. */
     public long recordsSeen() {
         return recordsSeen;
     }
 
     /**
-     * Takes the next step, which is one request, or more if the store takes smaller ones only. A
-     * step that failed is taken again by the next call.
+     * Executes the next step, which is one request, or more if the store accepts only smaller ones.
+     * The next call retries a step that failed.
      *
-     * @param whenDone runs when the step has been answered
+     * @param onDone runs when the step has completed or failed
      */
-    public void step(Runnable whenDone) {
-        whenStepDone = whenDone;
+    public void step(Runnable onDone) {
+        onStepDone = onDone;
         hasLastStepFailed = false;
         Runnable next = pendingComparisons.poll();
         if (next != null) {
@@ -98,11 +97,11 @@
         } else if (prefix != null) {
             readPage();
         } else {
-            whenStepDone.run();
+            onStepDone.run();
         }
     }
 
-    /** Whether the last step got no answer, so that the next one should wait. */
+    /** Whether the last step failed, so that the caller should wait before the next one. */
     public boolean hasLastStepFailed() {
         return hasLastStepFailed;
     }
@@ -118,57 +117,58 @@
                         if (listing.hasMore() && !listing.entries().isEmpty()) {
                             lastKey = listing.entries().get(listing.entries().size() - 1).key();
                         } else {
-                            prefix = prefixes.poll();
+                            prefix = remainingPrefixes.poll();
                             lastKey = "";
                         }
                     }
                     hasLastStepFailed = listing.outcome() != Outcome.OK;
-                    whenStepDone.run();
+                    onStepDone.run();
                 });
     }
 
     private void checkPage(ListResult listing) {
         recordsSeen += listing.entries().size();
         switch (prefix) {
-            case StoreKeys.JOB_PARTS -> checkParts(listing.entries());
+            case StoreKeys.JOB_PARTS -> checkJobParts(listing.entries());
             case StoreKeys.OPEN_JOBS -> checkOpenJobs(listing.entries());
-            default -> listing.entries().forEach(this::checkIntent);
+            default -> listing.entries().forEach(this::checkCloudIntent);
         }
     }
 
     // ---- parts without a job --------------------------------------------------------------------
 
-    private void checkParts(List<Entry> entries) {
-        Map<String, List<Entry>> byJob = new LinkedHashMap<>();
+    private void checkJobParts(List<Entry> entries) {
+        Map<String, List<Entry>> partsByJob = new LinkedHashMap<>();
         for (Entry entry : entries) {
             Optional<String> id = StoreKeys.findJobIdOfPart(entry.key());
             if (id.isEmpty()) {
                 findingListener.accept(
-                        new Finding(false, entry.key(), "is not the key of a part", List.of()));
+                        new Finding(false, entry.key(), "is not the key of a job part", List.of()));
             } else {
-                byJob.computeIfAbsent(id.get(), key -> new ArrayList<>()).add(entry);
+                partsByJob.computeIfAbsent(id.get(), key -> new ArrayList<>()).add(entry);
             }
         }
-        // A job moves from open to ended in one write, and both places are compared at once.
-        Map<String, Long> anywhere = new LinkedHashMap<>();
-        byJob.keySet().forEach(id -> anywhere.put(id, 0L));
+        // A job moves from open to ended in one write, so both keys are compared in one
+        // transaction.
+        Map<String, Long> absentRevisions = new LinkedHashMap<>();
+        partsByJob.keySet().forEach(id -> absentRevisions.put(id, 0L));
         compare(
-                anywhere,
+                absentRevisions,
                 (id, isOpen, isEnded) -> {
                     if (!isOpen && !isEnded) {
-                        byJob.get(id).forEach(entry -> reportOrphan(id, entry));
+                        partsByJob.get(id).forEach(entry -> reportOrphanedPart(id, entry));
                     }
                 });
     }
 
-    private void reportOrphan(String id, Entry entry) {
-        boolean isIdle = hasNoLiveTasks(entry);
-        String what = isIdle ? "a part of job " : "tasks on machines of job ";
+    private void reportOrphanedPart(String id, Entry entry) {
+        boolean isRemovable = hasNoLiveTasks(entry);
+        String description = isRemovable ? "a part of job " : "tasks on machines of job ";
         findingListener.accept(
                 new Finding(
-                        isIdle,
+                        isRemovable,
                         entry.key(),
-                        what + id + ", which is neither open nor over",
+                        description + id + ", which is neither open nor ended",
                         List.of(
                                 new Condition(entry.key(), entry.revision()),
                                 new Condition(StoreKeys.OPEN_JOBS + id, 0),
@@ -184,7 +184,7 @@
         }
     }
 
-    // ---- jobs in two places ---------------------------------------------------------------------
+    // ---- jobs both open and ended ---------------------------------------------------------------
 
     private void checkOpenJobs(List<Entry> entries) {
         Map<String, Long> revisions = new LinkedHashMap<>();
@@ -192,7 +192,7 @@
             String id = entry.key().substring(StoreKeys.OPEN_JOBS.length());
             revisions.put(id, entry.revision());
         }
-        // Guards against a job that is reported as open and ended since it ended between two reads.
+        // Guards against reporting a job as both open and ended because it ended between two reads.
         compare(
                 revisions,
                 (id, hasChanged, isEnded) -> {
@@ -201,7 +201,7 @@
                                 new Finding(
                                         false,
                                         StoreKeys.OPEN_JOBS + id,
-                                        "the job is open and over",
+                                        "the job is both open and ended",
                                         List.of()));
                     }
                 });
@@ -209,54 +209,63 @@
 
     // ---- cloud intents --------------------------------------------------------------------------
 
-    /** Readable intents are the leader's business, also those of earlier leaders. */
-    private void checkIntent(Entry entry) {
+    /**
+     * Reports unreadable intents; the leader handles all readable ones, also of earlier leaders.
+     */
+    private void checkCloudIntent(Entry entry) {
         try {
             CloudIntent.read(entry);
-        } catch (InvalidInputException | ClassCastException bad) {
+        } catch (InvalidInputException | ClassCastException unreadable) {
             findingListener.accept(
                     new Finding(
-                            false, entry.key(), "is unreadable: " + bad.getMessage(), List.of()));
+                            false,
+                            entry.key(),
+                            "is unreadable: " + unreadable.getMessage(),
+                            List.of()));
         }
     }
 
-    // ---- comparing ------------------------------------------------------------------------------
+    // ---- comparisons ----------------------------------------------------------------------------
 
-    /** What one comparison, and so one moment, says of a job. */
-    private interface JobPlacesListener {
+    /** Receives the state of each job as of a single comparison. */
+    private interface JobComparisonListener {
         /**
-         * Told of each job once.
+         * Called once for each job.
          *
-         * @param isOpenChanged whether the record of the open job has another revision than the one
-         *     that it was compared with, 0 for none
-         * @param isEnded whether there is a record of the ended job
+         * @param isOpenChanged whether the revision of the open job's record differs from the one
+         *     that it was compared with; 0 stands for no record
+         * @param isEnded whether a record of the ended job exists
          */
         void accept(String id, boolean isOpenChanged, boolean isEnded);
     }
 
     /**
-     * Compares both places of each job, in later steps.
+     * Schedules comparisons of the open and ended records of each job for later steps.
      *
-     * @param openRevisions with which the records of the open jobs are compared, by job
+     * @param openRevisions revisions with which the records of the open jobs are compared, by job
+     *     id
      */
-    private void compare(Map<String, Long> openRevisions, JobPlacesListener listener) {
-        List<String> ids = new ArrayList<>(openRevisions.keySet());
+    private void compare(Map<String, Long> openRevisions, JobComparisonListener listener) {
+        List<String> jobIds = new ArrayList<>(openRevisions.keySet());
         int maxIds = Math.max(1, maxConditions / 2);
-        for (int start = 0; start < ids.size(); start += maxIds) {
-            List<String> compared = ids.subList(start, Math.min(ids.size(), start + maxIds));
+        for (int start = 0; start < jobIds.size(); start += maxIds) {
+            List<String> compared = jobIds.subList(start, Math.min(jobIds.size(), start + maxIds));
             pendingComparisons.add(
-                    () -> compare(openRevisions, compared, listener, () -> whenStepDone.run()));
+                    () -> compare(openRevisions, compared, listener, () -> onStepDone.run()));
         }
     }
 
-    /** Runs {@code whenTold} afterwards; if the store does not answer, the step is put back. */
+    /**
+     * Compares the records of these jobs and then runs {@code onCompared}. Schedules the comparison
+     * again if the store does not respond.
+     */
     private void compare(
             Map<String, Long> openRevisions,
-            List<String> ids,
-            JobPlacesListener listener,
-            Runnable whenTold) {
+            List<String> jobIds,
+            JobComparisonListener listener,
+            Runnable onCompared) {
         Transaction transaction = new Transaction();
-        for (String id : ids) {
+        for (String id : jobIds) {
             transaction
                     .requireRevision(StoreKeys.OPEN_JOBS + id, openRevisions.get(id))
                     .requireRevision(StoreKeys.ENDED_JOBS + id, 0);
@@ -265,22 +274,22 @@
                 transaction,
                 result -> {
                     if (isDefinite(result)) {
-                        tell(ids, new HashSet<>(result.failedKeys()), listener);
-                        whenTold.run();
-                    } else if (result.outcome() == Outcome.INVALID && ids.size() > 1) {
-                        // The store takes fewer conditions by now than the settings say.
-                        int half = ids.size() / 2;
-                        List<String> rest = ids.subList(half, ids.size());
+                        notifyListener(jobIds, new HashSet<>(result.failedKeys()), listener);
+                        onCompared.run();
+                    } else if (result.outcome() == Outcome.INVALID && jobIds.size() > 1) {
+                        // The store now accepts fewer conditions than configured.
+                        int half = jobIds.size() / 2;
+                        List<String> rest = jobIds.subList(half, jobIds.size());
                         compare(
                                 openRevisions,
-                                ids.subList(0, half),
+                                jobIds.subList(0, half),
                                 listener,
-                                () -> compare(openRevisions, rest, listener, whenTold));
+                                () -> compare(openRevisions, rest, listener, onCompared));
                     } else {
                         pendingComparisons.addFirst(
-                                () -> compare(openRevisions, ids, listener, whenTold));
+                                () -> compare(openRevisions, jobIds, listener, onCompared));
                         hasLastStepFailed = true;
-                        whenStepDone.run();
+                        onStepDone.run();
                     }
                 });
     }
@@ -290,9 +299,9 @@
                 || result.outcome() == Outcome.REJECTED && !result.failedKeys().isEmpty();
     }
 
-    private static void tell(
-            List<String> ids, Set<String> differingKeys, JobPlacesListener listener) {
-        for (String id : ids) {
+    private static void notifyListener(
+            List<String> jobIds, Set<String> differingKeys, JobComparisonListener listener) {
+        for (String id : jobIds) {
             listener.accept(
                     id,
                     differingKeys.contains(StoreKeys.OPEN_JOBS + id),
--- a/src/main/java/io/kitepath/core/role/RentalIntent.java
+++ b/src/main/java/io/kitepath/core/role/RentalIntent.java
@@ -13,27 +13,31 @@
 import java.util.function.BiConsumer;
 
 /**
- * Machines to be rented in one request, or that were rented and may be missing on the cloud's list
- * of machines, which lags.
+ * A request to rent machines, or, once it is settled, rented machines that may still be missing
+ * from the cloud's list of machines because that list lags.
  */
 public final class RentalIntent extends CloudIntent {
-    /** The request's name at the cloud, which is never used for anything else. */
+    /** The request's name at the cloud, which is never used for another request. */
     public final String name;
 
     public final MachineKind kind;
-    public final int count;
+    public final int machineCount;
     private final long fencingToken;
     private final double requestedAtMillis;
 
-    /** The machines that were rented; empty until that is known. */
+    /** The rented machines; empty until the outcome is known. */
     private Optional<List<String>> machines = Optional.empty();
 
     RentalIntent(
-            String name, MachineKind kind, int count, long fencingToken, double requestedAtMillis) {
+            String name,
+            MachineKind kind,
+            int machineCount,
+            long fencingToken,
+            double requestedAtMillis) {
         super(StoreKeys.RENTAL_INTENTS + name);
         this.name = name;
         this.kind = kind;
-        this.count = count;
+        this.machineCount = machineCount;
         this.fencingToken = fencingToken;
         this.requestedAtMillis = requestedAtMillis;
     }
@@ -41,7 +45,7 @@
     /**
      * Reads a record.
      *
-     * @throws io.kitepath.core.model.InvalidInputException if it is none
+     * @throws io.kitepath.core.model.InvalidInputException if the record is not a valid rental
      */
     static RentalIntent read(Entry entry) {
         DocumentReader document = DocumentReader.of(entry.value());
@@ -68,7 +72,7 @@
         record.put("type", kind.machineType());
         record.put("zone", kind.zone());
         record.put("spot", kind.spot());
-        record.put("count", (long) count);
+        record.put("count", (long) machineCount);
         record.put("token", fencingToken);
         record.put("askedMs", requestedAtMillis);
         machines.ifPresent(rented -> record.put("machines", rented));
@@ -81,11 +85,11 @@
     }
 
     @Override
-    boolean isWithoutResult() {
+    boolean isSettledWithoutEffect() {
         return machines.isPresent() && machines.get().isEmpty();
     }
 
-    /** The machines that were rented; empty if there are none, or none is known yet. */
+    /** Returns the rented machines; empty if there are none or the outcome is not known yet. */
     public List<String> machines() {
         return machines.orElse(List.of());
     }
@@ -95,17 +99,17 @@
     }
 
     @Override
-    void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> answer) {
+    void sendTo(Cloud cloud, BiConsumer<Outcome, Runnable> onResponse) {
         cloud.rent(
                 name,
                 kind,
-                count,
+                machineCount,
                 (outcome, rented) ->
-                        answer.accept(
+                        onResponse.accept(
                                 outcome, () -> settle(outcome == Outcome.OK ? rented : List.of())));
     }
 
-    /** When it was put on record, in milliseconds since 1970. */
+    /** Returns when the rental was requested, in milliseconds since 1970. */
     double requestedAtMillis() {
         return requestedAtMillis;
     }
--- a/src/main/java/io/kitepath/core/role/RoleClaims.java
+++ b/src/main/java/io/kitepath/core/role/RoleClaims.java
@@ -14,18 +14,18 @@
 import java.util.Random;
 
 /**
- * Claims roles that nobody holds, each after a delay that depends on this node's rank in the role's
- * order of preference. A claim writes the role's key under the node's lease and raises the role's
- * stored fencing token, both or neither.
+ * Claims free roles, each after a delay that depends on this node's rank in the role's order of
+ * preferred nodes. A claim writes the role's key under the node's lease and increments the role's
+ * stored fencing token in one transaction.
  */
 final class RoleClaims {
-    /** Each rank waits longer than the one before by the lease time divided by this. */
-    private static final double RANKS_PER_LEASE = 16;
+    /** Each rank waits longer than the previous one by the lease time divided by this number. */
+    private static final double RANKS_PER_LEASE_TIME = 16;
 
-    /** Spreads claims of the same rank, in seconds. */
-    private static final double JITTER_SECONDS = 0.05;
+    /** Spreads claims of the same rank. */
+    private static final double CLAIM_JITTER_SECONDS = 0.05;
 
-    /** Told of every claim that succeeded. */
+    /** Receives every successful claim. */
     interface Listener {
         void onRoleClaimed(Role role, long revision, long fencingToken);
     }
@@ -48,17 +48,17 @@
         this.listener = listener;
     }
 
-    /** Claims the role in a while if it is still free by then. */
+    /** Schedules a claim, which is made if the role is still free when the delay ends. */
     void schedule(Role role) {
         if (role.isClaiming || keyWatcher.isStopped()) {
             return;
         }
         role.isClaiming = true;
-        double abstainSeconds = Math.max(0, role.abstainsUntil - timers.nowSeconds());
+        double abstainSeconds = Math.max(0, role.abstainUntil - timers.nowSeconds());
         timers.schedule(
-                role.claimRank * context.leaseSeconds() / RANKS_PER_LEASE
+                role.claimRank * context.leaseSeconds() / RANKS_PER_LEASE_TIME
                         + abstainSeconds
-                        + random.nextDouble() * JITTER_SECONDS,
+                        + random.nextDouble() * CLAIM_JITTER_SECONDS,
                 () -> claimIfFree(role));
     }
 
@@ -67,7 +67,7 @@
             role.isClaiming = false;
             return;
         }
-        lease.whenGranted(() -> readFencingToken(role), () -> retryLater(role));
+        lease.runWhenGranted(() -> readFencingToken(role), () -> retryLater(role));
     }
 
     private void retryLater(Role role) {
@@ -88,11 +88,14 @@
                 });
     }
 
-    /** {@code highestToken}: the record of it; empty if none was ever given out. */
-    private void claim(Role role, Optional<Entry> highestToken) {
+    /**
+     * {@code highestTokenRecord}: the record of the highest fencing token; empty if none was
+     * issued.
+     */
+    private void claim(Role role, Optional<Entry> highestTokenRecord) {
         long leaseId = lease.id();
-        long highest = highestToken.map(HolderRecord::highestFencingToken).orElse(0L);
-        long fencingToken = Math.max(role.fencingToken, highest) + 1;
+        long highestToken = highestTokenRecord.map(HolderRecord::highestFencingToken).orElse(0L);
+        long fencingToken = Math.max(role.fencingToken, highestToken) + 1;
         Map<String, Object> record =
                 HolderRecord.toRecord(
                         context.settings().node(), fencingToken, leaseId, context.incarnation());
@@ -100,22 +103,23 @@
                 new Transaction()
                         .requireRevision(role.key, 0)
                         .requireRevision(
-                                fencingTokenKey(role), highestToken.map(Entry::revision).orElse(0L))
+                                fencingTokenKey(role),
+                                highestTokenRecord.map(Entry::revision).orElse(0L))
                         .put(role.key, record, leaseId)
                         .put(
                                 fencingTokenKey(role),
                                 HolderRecord.toFencingTokenRecord(fencingToken)),
-                result -> onClaimAnswered(role, leaseId, fencingToken, result));
+                result -> onClaimResponse(role, leaseId, fencingToken, result));
     }
 
-    private void onClaimAnswered(Role role, long leaseId, long fencingToken, CommitResult result) {
+    private void onClaimResponse(Role role, long leaseId, long fencingToken, CommitResult result) {
         role.isClaiming = false;
         if (result.outcome() == Outcome.OK
                 && lease.id() == leaseId
                 && result.revision() >= role.revision) {
             listener.onRoleClaimed(role, result.revision(), fencingToken);
         } else {
-            // The keys tell who holds it: another node, or this one if the answer was lost.
+            // The keys name the holder: another node, or this one if the response was lost.
             keyWatcher.readSoon();
         }
     }
--- a/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
+++ b/src/main/java/io/kitepath/core/scaling/CloudReconciler.java
@@ -141,7 +141,7 @@
                         .filter(machine -> !intents.isReleasing(machine))
                         .toList();
         if (!unrecordedReleases.isEmpty()
-                && intents.releases().size() < MAX_PENDING_REQUESTS
+                && intents.pendingReleases().size() < MAX_PENDING_REQUESTS
                 && intentBucket.tryTake(1, now)) {
             intents.requestRelease(unrecordedReleases);
         }
@@ -165,11 +165,11 @@
         LOG.info(
                 "cloud responded to rental request: rented={} requested={} type={} zone={} spot={}",
                 rentedCount,
-                rental.count,
+                rental.machineCount,
                 rental.kind.machineType(),
                 rental.kind.zone(),
                 rental.kind.spot());
-        if (rentedCount < rental.count) {
+        if (rentedCount < rental.machineCount) {
             scalingPlanner.recordRefusal(rental.kind, timers.nowSeconds());
         } else {
             scalingPlanner.recordGrant(rental.kind);
@@ -194,7 +194,7 @@
                     lastListedAtSeconds = timers.nowSeconds();
                     if (outcome == Outcome.OK && isStillLeading(fencingToken)) {
                         shard.applyCloudList(machines, timers.nowSeconds());
-                        intents.dropListedRentals();
+                        intents.removeListedRentals();
                     }
                 });
     }
