--- a/src/main/java/io/kitepath/cloud/HttpCloud.java
+++ b/src/main/java/io/kitepath/cloud/HttpCloud.java
@@ -21,15 +21,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A client of the cloud, by its published HTTP protocol. All of it runs on the event loop. */
+/**
+ * A client of the cloud that uses its published HTTP protocol. All methods and callbacks run on the
+ * event loop.
+ */
 public final class HttpCloud implements Cloud {
     private static final Logger LOG = LoggerFactory.getLogger(HttpCloud.class);
     private static final int MACHINES_PER_PAGE = 500;
 
-    /** Why a rental is refused with a status that an overloaded cloud has, too. */
+    /**
+     * The reason that tells a rejected rental from an overloaded cloud, which has the same status.
+     */
     private static final String NO_CAPACITY = "no capacity";
 
-    /** One page of the list of machines. */
+    /** A page of the machine list. */
     private record MachinePage(List<ListedMachine> machines, boolean truncated) {
         boolean hasNextPage() {
             return truncated && !machines.isEmpty();
@@ -40,8 +45,8 @@
     private final long timeoutMillis;
 
     /**
-     * @param client with the address of the cloud
-     * @param timeoutMillis how long a call may take
+     * @param client sends requests to the address of the cloud
+     * @param timeoutMillis the timeout of a call
      */
     public HttpCloud(HttpClient client, long timeoutMillis) {
         this.client = client;
@@ -49,24 +54,24 @@
     }
 
     @Override
-    public void listMachineTypes(BiConsumer<Outcome, List<MachineType>> answer) {
+    public void listMachineTypes(BiConsumer<Outcome, List<MachineType>> callback) {
         client.call(
                 Request.get("/machine_types"),
                 timeoutMillis,
-                response -> answerList(response, CloudCodec::decodeMachineTypes, answer));
+                response -> replyWithList(response, CloudCodec::decodeMachineTypes, callback));
     }
 
     @Override
     public void rent(
-            String name, MachineKind kind, int count, BiConsumer<Outcome, List<String>> answer) {
+            String name, MachineKind kind, int count, BiConsumer<Outcome, List<String>> callback) {
         client.call(
                 Request.post("/rentals", CloudCodec.encodeRental(name, kind, count)),
                 timeoutMillis,
                 response -> {
                     if (isRentalRejected(response)) {
-                        answer.accept(Outcome.REJECTED, List.of());
+                        callback.accept(Outcome.REJECTED, List.of());
                     } else {
-                        answerList(response, CloudCodec::decodeMachineIds, answer);
+                        replyWithList(response, CloudCodec::decodeMachineIds, callback);
                     }
                 });
     }
@@ -80,23 +85,23 @@
     }
 
     @Override
-    public void release(List<String> machines, Consumer<Outcome> answer) {
+    public void release(List<String> machines, Consumer<Outcome> callback) {
         client.call(
                 Request.post("/rentals/release", CloudCodec.encodeMachineIds(machines)),
                 timeoutMillis,
-                response -> answer.accept(response.isOk() ? Outcome.OK : failure(response)));
+                response -> callback.accept(response.isOk() ? Outcome.OK : failure(response)));
     }
 
     @Override
-    public void listMachines(BiConsumer<Outcome, List<ListedMachine>> answer) {
-        listPage("", new ArrayList<>(), answer);
+    public void listMachines(BiConsumer<Outcome, List<ListedMachine>> callback) {
+        listPage("", new ArrayList<>(), callback);
     }
 
-    /** Reads a page after that machine, and those that follow it. */
+    /** Reads the page after the given machine and all pages that follow. */
     private void listPage(
             String afterMachine,
             List<ListedMachine> machines,
-            BiConsumer<Outcome, List<ListedMachine>> answer) {
+            BiConsumer<Outcome, List<ListedMachine>> callback) {
         String fromParameter = afterMachine.isEmpty() ? "" : "from=" + afterMachine + "&";
         client.call(
                 Request.get("/rentals?" + fromParameter + "limit=" + MACHINES_PER_PAGE),
@@ -104,15 +109,15 @@
                 response -> {
                     Optional<MachinePage> page = decodeIfOk(response, HttpCloud::decodeMachinePage);
                     if (page.isEmpty()) {
-                        answer.accept(failure(response), List.of());
+                        callback.accept(failure(response), List.of());
                         return;
                     }
                     machines.addAll(page.get().machines());
                     if (page.get().hasNextPage()) {
                         ListedMachine last = machines.get(machines.size() - 1);
-                        listPage(last.machineId(), machines, answer);
+                        listPage(last.machineId(), machines, callback);
                     } else {
-                        answer.accept(Outcome.OK, machines);
+                        callback.accept(Outcome.OK, machines);
                     }
                 });
     }
@@ -122,16 +127,16 @@
                 CloudCodec.decodeListedMachines(body), SharedCodec.isTruncated(body));
     }
 
-    /** Answers with the list in the body, or with an empty one if there is none. */
-    private static <E> void answerList(
+    /** Passes the list in the body to the callback, or an empty list if there is none. */
+    private static <E> void replyWithList(
             HttpResponse response,
             Function<Object, List<E>> decoder,
-            BiConsumer<Outcome, List<E>> answer) {
+            BiConsumer<Outcome, List<E>> callback) {
         Optional<List<E>> list = decodeIfOk(response, decoder);
-        answer.accept(list.isPresent() ? Outcome.OK : failure(response), list.orElse(List.of()));
+        callback.accept(list.isPresent() ? Outcome.OK : failure(response), list.orElse(List.of()));
     }
 
-    /** What is known after a response which is not that the call was executed. */
+    /** Returns the outcome for a response that does not confirm the execution of the call. */
     private static Outcome failure(HttpResponse response) {
         return response.isRefusedByLoad() ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
     }
@@ -140,12 +145,12 @@
         return response.isOk() ? decode(response, decoder) : Optional.empty();
     }
 
-    /** Decodes the body; one that can't be decoded counts as no answer. */
+    /** Decodes the body; a body that can't be decoded counts as no response. */
     private static <T> Optional<T> decode(HttpResponse response, Function<Object, T> decoder) {
         try {
             return Optional.of(decoder.apply(MessagePackCodec.decode(response.body())));
         } catch (InvalidInputException invalid) {
-            LOG.warn("cloud answered with a body that can't be read: {}", invalid.getMessage());
+            LOG.warn("cloud response unreadable: reason={}", invalid.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/io/kitepath/cloud/package-info.java
+++ b/src/main/java/io/kitepath/cloud/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of the cloud that machines are rented from: an implementation of {@link
+ * Client of the cloud from which machines are rented: an implementation of {@link
  * io.kitepath.core.port.Cloud} over HTTP.
  */
 package io.kitepath.cloud;
--- a/src/main/java/io/kitepath/net/HttpClient.java
+++ b/src/main/java/io/kitepath/net/HttpClient.java
@@ -31,8 +31,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests to one address over a bounded number of kept connections, one request at a time on
- * each. Requests beyond that wait in a bounded queue. All of it runs on the event loop.
+ * Sends HTTP requests to one address over a bounded pool of persistent connections, with one
+ * request in flight per connection. Further requests wait in a bounded queue. All methods and
+ * callbacks run on the event loop.
  */
 public final class HttpClient {
     private static final Logger LOG = LoggerFactory.getLogger(HttpClient.class);
@@ -43,25 +44,29 @@
     private static final long MAX_CONNECT_MILLIS = 1000;
     private static final int QUEUED_REQUESTS_PER_CONNECTION = 4;
 
-    /** A request, whose body is absent with methods that have none. */
+    /**
+     * A request to send.
+     *
+     * @param body the content, absent for methods without one
+     */
     public record Request(String method, String path, Optional<byte[]> body) {
-        /** A GET request; the path has the query in it. */
+        /** Returns a GET request; the path includes the query. */
         public static Request get(String path) {
             return new Request("GET", path, Optional.empty());
         }
 
-        /** A POST request, maybe with an empty body. */
+        /** Returns a POST request; the body may be empty. */
         public static Request post(String path, byte[] body) {
             return new Request("POST", path, Optional.of(body));
         }
 
-        /** A DELETE request. */
+        /** Returns a DELETE request. */
         public static Request delete(String path) {
             return new Request("DELETE", path, Optional.empty());
         }
     }
 
-    /** Takes in what became of a request. */
+    /** Receives the result of a request. */
     @FunctionalInterface
     public interface ResponseHandler {
         /** Called once, on the event loop. */
@@ -81,8 +86,8 @@
     private int openConnections;
 
     /**
-     * @param maxConnections how many connections may be open at a time
-     * @param maxBodyBytes the largest response body that is accepted
+     * @param maxConnections the maximum number of open connections
+     * @param maxBodyBytes the size of the largest accepted response body
      */
     public HttpClient(
             EventLoop loop, InetSocketAddress address, int maxConnections, int maxBodyBytes) {
@@ -108,7 +113,10 @@
                         .handler(new ConnectionInitializer(maxBodyBytes));
     }
 
-    /** Sends one request on a connection that is closed after it; on the event loop. */
+    /**
+     * Sends one request on a connection of its own, which is closed after the response. Must be
+     * called on the event loop.
+     */
     public static void callOnce(
             EventLoop loop,
             InetSocketAddress address,
@@ -120,11 +128,12 @@
     }
 
     /**
-     * Sends a request; on the event loop. The handler gets {@link HttpResponse#NONE} if it fails,
-     * waits for a connection for too long or is not answered in time.
+     * Sends a request. Must be called on the event loop. The handler receives {@link
+     * HttpResponse#NONE} if the request fails, waits too long for a connection or gets no response
+     * in time.
      *
-     * @param timeoutMillis how long the request may wait for a connection, and then, once it is
-     *     sent, for its response
+     * @param timeoutMillis the maximum wait for a connection, and again, once the request is sent,
+     *     for its response
      */
     public void call(Request request, long timeoutMillis, ResponseHandler handler) {
         PendingRequest pending = new PendingRequest(request, timeoutMillis, handler);
@@ -136,13 +145,15 @@
         } else if (queue.size() < maxConnections * QUEUED_REQUESTS_PER_CONNECTION) {
             enqueue(pending);
         } else {
-            // Bounded: a queue that grows while the other side hangs would only fill memory with
+            // The queue is bounded: while the server hangs, it would otherwise fill memory with
             // requests that time out.
             loop.execute(() -> handler.onResponse(HttpResponse.NONE));
         }
     }
 
-    /** A request that waited its whole time for a connection is given up, rather than sent late. */
+    /**
+     * Queues a request; after its timeout it fails without being sent, rather than be sent late.
+     */
     private void enqueue(PendingRequest pending) {
         queue.add(pending);
         loop.schedule(
@@ -185,7 +196,7 @@
         channel.pipeline().get(Connection.class).send(pending);
     }
 
-    /** Sends what waits in the queue, as far as there are connections for it. */
+    /** Sends queued requests while connections are available. */
     private void sendQueued() {
         while (openConnections - idleConnections.size() < maxConnections && !queue.isEmpty()) {
             PendingRequest pending = queue.poll();
@@ -216,10 +227,10 @@
         }
     }
 
-    /** One connection, with the request that it waits for the response of, if any. */
+    /** A connection and its request in flight, if any. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private Optional<PendingRequest> current = Optional.empty();
+        private Optional<PendingRequest> inFlight = Optional.empty();
         private Optional<ScheduledFuture<?>> timeout = Optional.empty();
 
         @Override
@@ -228,7 +239,7 @@
         }
 
         void send(PendingRequest pending) {
-            current = Optional.of(pending);
+            inFlight = Optional.of(pending);
             timeout =
                     Optional.of(
                             loop.schedule(
@@ -258,35 +269,42 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse message) {
-            boolean isParsed = message.decoderResult().isSuccess();
+            boolean isWellFormed = message.decoderResult().isSuccess();
             byte[] body = ByteBufUtil.getBytes(message.content());
-            HttpResponse response = new HttpResponse(isParsed ? message.status().code() : 0, body);
-            Optional<PendingRequest> answered = takeCurrent();
-            if (keepAlive && isParsed && HttpUtil.isKeepAlive(message)) {
+            HttpResponse response =
+                    new HttpResponse(isWellFormed ? message.status().code() : 0, body);
+            Optional<PendingRequest> completed = takeInFlight();
+            if (keepAlive && isWellFormed && HttpUtil.isKeepAlive(message)) {
                 idleConnections.addLast(this);
                 sendQueued();
-                answered.ifPresent(pending -> answer(pending, response));
+                completed.ifPresent(pending -> notifyHandler(pending, response));
             } else {
-                answered.ifPresent(pending -> answer(pending, response));
+                completed.ifPresent(pending -> notifyHandler(pending, response));
                 context.close();
             }
         }
 
-        /** Ends the wait for the response; empty if there was none. */
-        private Optional<PendingRequest> takeCurrent() {
-            Optional<PendingRequest> taken = current;
-            current = Optional.empty();
+        /**
+         * Removes and returns the request in flight and cancels its timeout; empty if there is
+         * none.
+         */
+        private Optional<PendingRequest> takeInFlight() {
+            Optional<PendingRequest> taken = inFlight;
+            inFlight = Optional.empty();
             timeout.ifPresent(running -> running.cancel(false));
             return taken;
         }
 
-        /** A handler that fails at an odd response must not disturb the connection's accounts. */
-        private void answer(PendingRequest pending, HttpResponse response) {
+        /**
+         * Passes the response to the handler. Guards against a handler that throws on an unexpected
+         * response, which would leave the bookkeeping of connections incomplete.
+         */
+        private void notifyHandler(PendingRequest pending, HttpResponse response) {
             try {
                 pending.handler.onResponse(response);
             } catch (RuntimeException e) {
                 LOG.error(
-                        "the answer {} to {} {} can't be used",
+                        "response handler failed: status={} method={} path={}",
                         response.status(),
                         pending.request.method,
                         pending.request.path,
@@ -297,7 +315,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             idleConnections.remove(this);
-            takeCurrent().ifPresent(pending -> answer(pending, HttpResponse.NONE));
+            takeInFlight().ifPresent(pending -> notifyHandler(pending, HttpResponse.NONE));
         }
 
         @Override
--- a/src/main/java/io/kitepath/net/HttpServer.java
+++ b/src/main/java/io/kitepath/net/HttpServer.java
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves HTTP/1.1, one request at a time on each connection. All of it runs on the event loop, so a
- * handler must not block.
+ * Serves HTTP/1.1, with one request at a time per connection. All methods and callbacks run on the
+ * event loop, so a handler must not block.
  */
 public final class HttpServer {
     private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
@@ -43,33 +43,33 @@
     private static final int NO_RETRY_AFTER = 0;
     private static final byte[] EMPTY_BODY = new byte[0];
 
-    /** Acts on requests. */
+    /** Handles requests. */
     @FunctionalInterface
     public interface Handler {
-        /** Takes a request and answers it once, now or later, on the event loop. */
-        void handle(Request request, Responder out);
+        /** Handles a request and responds once, immediately or later, on the event loop. */
+        void handle(Request request, Responder responder);
     }
 
     /**
-     * A request that was received.
+     * A received request.
      *
-     * @param path as sent, without the query
-     * @param query what follows the question mark, empty if there is none
-     * @param body the content, maybe empty
+     * @param path the path as sent, without the query
+     * @param query the text after the question mark, empty if there is none
+     * @param body the content, possibly empty
      */
     public record Request(String method, String path, String query, byte[] body) {
         private static Request of(FullHttpRequest message) {
             String uri = message.uri();
-            int mark = uri.indexOf('?');
+            int queryMark = uri.indexOf('?');
             return new Request(
                     message.method().name(),
-                    mark < 0 ? uri : uri.substring(0, mark),
-                    mark < 0 ? "" : uri.substring(mark + 1),
+                    queryMark < 0 ? uri : uri.substring(0, queryMark),
+                    queryMark < 0 ? "" : uri.substring(queryMark + 1),
                     ByteBufUtil.getBytes(message.content()));
         }
     }
 
-    /** Sends the single response to a request; all calls but the first one are ignored. */
+    /** Sends the single response to a request; calls after the first are ignored. */
     @FunctionalInterface
     public interface Responder {
         /** Responds without a body. */
@@ -77,16 +77,16 @@
             reply(status, EMPTY_BODY);
         }
 
-        /** Responds with a body, where null is an empty one. */
+        /** Responds with a body; null means an empty one. */
         default void reply(int status, byte[] body) {
             reply(status, body, NO_RETRY_AFTER);
         }
 
         /**
-         * Responds with a body and says when to try again.
+         * Responds with a body and the time to wait before a retry.
          *
-         * @param body the content; null is an empty one
-         * @param retryAfterSeconds goes into the header Retry-After, unless it is 0
+         * @param body the content; null means an empty one
+         * @param retryAfterSeconds the value of the header Retry-After; 0 omits the header
          */
         void reply(int status, byte[] body, int retryAfterSeconds);
     }
@@ -98,10 +98,11 @@
     private int openConnections;
 
     /**
-     * @param maxBodyBytes the largest request body; one that is larger gets the status 400
-     * @param maxConnections how many connections may be open at a time
-     * @param idleSeconds a connection without a request for so long is closed, so that abandoned
-     *     ones don't pile up
+     * @param maxBodyBytes the size of the largest accepted request body; a larger one gets status
+     *     400
+     * @param maxConnections the maximum number of open connections; further ones are closed
+     * @param idleSeconds the time without a request after which a connection is closed, so that
+     *     abandoned connections don't accumulate
      */
     public HttpServer(Handler handler, int maxBodyBytes, int maxConnections, int idleSeconds) {
         this.handler = handler;
@@ -110,7 +111,7 @@
         this.idleSeconds = idleSeconds;
     }
 
-    /** Begins to listen; the future fails if the address can't be bound. */
+    /** Starts listening; the future fails if the address can't be bound. */
     public ChannelFuture listen(EventLoopGroup loop, InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(loop, loop)
@@ -125,8 +126,8 @@
     private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
-            // The operating system limits the sockets of a process: past the limit it fails new
-            // connections, also the outgoing ones.
+            // The operating system limits the sockets of a process: beyond the limit all new
+            // connections fail, including outgoing ones.
             if (openConnections >= maxConnections) {
                 channel.close();
                 return;
@@ -143,7 +144,7 @@
         }
     }
 
-    /** Collects a body; one that is too large gets the status 400, and the connection is closed. */
+    /** Aggregates a body; one that is too large gets status 400, and the connection is closed. */
     private static final class BodyAggregator extends HttpObjectAggregator {
         BodyAggregator(int maxBodyBytes) {
             super(maxBodyBytes, true);
@@ -182,7 +183,7 @@
         private final Channel channel;
         private final Connection connection;
         private final boolean keepAlive;
-        private boolean isAnswered;
+        private boolean isReplied;
 
         ChannelResponder(Channel channel, Connection connection, boolean keepAlive) {
             this.channel = channel;
@@ -192,47 +193,51 @@
 
         @Override
         public void reply(int status, byte[] body, int retryAfterSeconds) {
-            if (isAnswered) {
+            if (isReplied) {
                 return;
             }
-            isAnswered = true;
-            connection.isBusy = false;
+            isReplied = true;
+            connection.hasRequestInFlight = false;
             byte[] content = body == null ? EMPTY_BODY : body;
-            ChannelFuture sent =
+            ChannelFuture write =
                     channel.writeAndFlush(response(status, content, retryAfterSeconds, keepAlive));
             if (!keepAlive) {
-                sent.addListener(ChannelFutureListener.CLOSE);
+                write.addListener(ChannelFutureListener.CLOSE);
             }
         }
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        /** Whether a request has not been answered yet. */
-        private boolean isBusy;
+        /** Whether a request has no response yet. */
+        private boolean hasRequestInFlight;
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest message) {
-            // Nobody pipelines: a second request before the response is as broken as one that can't
-            // be parsed.
-            if (isBusy || message.decoderResult().isFailure()) {
+            // Pipelining is not supported: a second request before the response is refused like
+            // one that can't be parsed.
+            if (hasRequestInFlight || message.decoderResult().isFailure()) {
                 refuseAndClose(context);
                 return;
             }
-            isBusy = true;
+            hasRequestInFlight = true;
             boolean keepAlive = HttpUtil.isKeepAlive(message);
-            Responder out = new ChannelResponder(context.channel(), this, keepAlive);
+            Responder responder = new ChannelResponder(context.channel(), this, keepAlive);
             try {
-                handler.handle(Request.of(message), out);
+                handler.handle(Request.of(message), responder);
             } catch (RuntimeException e) {
-                LOG.error("request {} {} failed", message.method(), message.uri(), e);
-                out.reply(HttpStatus.INTERNAL_SERVER_ERROR);
+                LOG.error(
+                        "request handler failed: method={} path={}",
+                        message.method(),
+                        message.uri(),
+                        e);
+                responder.reply(HttpStatus.INTERNAL_SERVER_ERROR);
             }
         }
 
-        /** The only event is that the connection is idle. */
+        /** Closes an idle connection; idleness is the only event that occurs. */
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
-            if (!isBusy) {
+            if (!hasRequestInFlight) {
                 context.close();
             }
         }
@@ -240,7 +245,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             LOG.debug(
-                    "connection {} failed: {}",
+                    "connection failed: address={} reason={}",
                     context.channel().remoteAddress(),
                     cause.toString());
             context.close();
--- a/src/main/java/io/kitepath/net/HttpStatus.java
+++ b/src/main/java/io/kitepath/net/HttpStatus.java
@@ -1,6 +1,6 @@
 package io.kitepath.net;
 
-/** The status codes of HTTP that the protocols use. */
+/** HTTP status codes used by the protocols. */
 public final class HttpStatus {
     public static final int OK = 200;
     public static final int CREATED = 201;
@@ -10,7 +10,7 @@
     public static final int CONFLICT = 409;
     public static final int GONE = 410;
 
-    /** Of the protocol of the workers: another node has to be asked. */
+    /** In the worker protocol: the request has to be sent to another node. */
     public static final int MISDIRECTED_REQUEST = 421;
 
     public static final int UNPROCESSABLE = 422;
--- a/src/main/java/io/kitepath/net/LoopTimers.java
+++ b/src/main/java/io/kitepath/net/LoopTimers.java
@@ -6,13 +6,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The clocks of the machine, and timers of an event loop. */
+/** Reads the system clocks and runs timers on an event loop. */
 public final class LoopTimers implements Timers {
     private static final Logger LOG = LoggerFactory.getLogger(LoopTimers.class);
 
     private final EventLoop loop;
 
-    /** Timers whose tasks run on that event loop. */
+    /** Creates timers whose tasks run on the event loop. */
     public LoopTimers(EventLoop loop) {
         this.loop = loop;
     }
@@ -34,7 +34,7 @@
                     try {
                         run.run();
                     } catch (RuntimeException e) {
-                        LOG.error("a timer's task failed", e);
+                        LOG.error("timer task failed", e);
                     }
                 },
                 (long) (seconds * 1000),
--- a/src/main/java/io/kitepath/net/package-info.java
+++ b/src/main/java/io/kitepath/net/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An HTTP client and an HTTP server on the event loop, and its timers. Nothing here knows what the
- * requests are about.
+ * An HTTP client, an HTTP server and timers on the event loop, independent of the content of the
+ * requests.
  */
 package io.kitepath.net;
--- a/src/main/java/io/kitepath/settings/CellQuotas.java
+++ b/src/main/java/io/kitepath/settings/CellQuotas.java
@@ -9,21 +9,21 @@
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
 
-/** The parts of the teams' quotas and guarantees that the cells file gives each cell. */
+/** Reads and checks the shares of the teams' quotas and guarantees in the cells file. */
 final class CellQuotas {
     /**
-     * Less than any task takes: the quota of a cell that has no part of one, where 0 would mean no
-     * limit.
+     * The quota of a cell without a share of the team's quota. It is smaller than the demand of any
+     * task; 0 would mean no limit.
      */
-    private static final double SMALLEST_LIMIT = 1e-9;
+    private static final double ZERO_SHARE_LIMIT = 1e-9;
 
-    /** How far parts of a whole may add up to more because they are decimal numbers. */
+    /** Tolerated excess of the sum of shares over the quota, due to rounding of decimal numbers. */
     private static final double SUM_TOLERANCE = 1e-6;
 
-    /** Three decimals are enough for a complaint. */
-    private static final double COMPLAINT_PRECISION = 1000.0;
+    /** Rounds sums in error messages to three decimals. */
+    private static final double MESSAGE_ROUNDING_FACTOR = 1000.0;
 
-    /** Each amount of a team by its field in the file, in the order in which they are checked. */
+    /** The amounts of a team with their fields in the file, in the order of the checks. */
     private static final List<Amount> AMOUNTS =
             List.of(
                     new Amount("cpus", ClusterSettings.Team::guaranteedCpus),
@@ -31,55 +31,65 @@
                     new Amount("gpus", ClusterSettings.Team::guaranteedGpus),
                     new Amount("gpus_max", ClusterSettings.Team::maxGpus));
 
-    private record Amount(String field, ToDoubleFunction<ClusterSettings.Team> of) {}
+    private record Amount(String field, ToDoubleFunction<ClusterSettings.Team> valueOf) {}
 
     private CellQuotas() {}
 
-    /** A cell's part by team; a team that the cell does not name has none. */
+    /** Returns the cell's shares by team; a team that the cell does not name has no share. */
     static Map<String, ClusterSettings.Team> parse(DocumentReader cell, ClusterSettings settings) {
-        Map<String, DocumentReader> parts = new HashMap<>();
+        Map<String, DocumentReader> shares = new HashMap<>();
         if (cell.has("teams")) {
-            for (DocumentReader part : cell.children("teams")) {
-                String name = part.text("name");
+            for (DocumentReader share : cell.children("teams")) {
+                String name = share.text("name");
                 if (!settings.teams().containsKey(name)) {
-                    throw part.invalid("name", "the settings have no team \"" + name + "\"");
+                    throw share.invalid("name", "the settings have no team \"" + name + "\"");
                 }
-                parts.put(name, part);
+                shares.put(name, share);
             }
         }
         Map<String, ClusterSettings.Team> teams = new LinkedHashMap<>();
-        for (ClusterSettings.Team whole : settings.teams().values()) {
-            DocumentReader part = parts.get(whole.name());
+        for (ClusterSettings.Team total : settings.teams().values()) {
+            DocumentReader share = shares.get(total.name());
             teams.put(
-                    whole.name(),
+                    total.name(),
                     new ClusterSettings.Team(
-                            whole.name(),
-                            part == null ? 0 : part.numberOr("cpus", 0, 0),
-                            limit(part, "cpus_max", whole.maxCpus()),
-                            part == null ? 0 : part.numberOr("gpus", 0, 0),
-                            limit(part, "gpus_max", whole.maxGpus())));
+                            total.name(),
+                            share == null ? 0 : share.numberOr("cpus", 0, 0),
+                            limit(share, "cpus_max", total.maxCpus()),
+                            share == null ? 0 : share.numberOr("gpus", 0, 0),
+                            limit(share, "gpus_max", total.maxGpus())));
         }
         return teams;
     }
 
-    /** {@code part}: null if the cell does not name the team. */
-    private static double limit(DocumentReader part, String field, double whole) {
-        double limit = part == null ? 0 : part.numberOr(field, 0, 0);
-        if (whole == 0) {
+    /**
+     * Returns the cell's limit: 0 if the settings set none for the team, else a positive number.
+     *
+     * @param share null if the cell does not name the team
+     * @param total the team's limit in the settings, 0 if there is none
+     */
+    private static double limit(DocumentReader share, String field, double total) {
+        double limit = share == null ? 0 : share.numberOr(field, 0, 0);
+        if (total == 0) {
             if (limit > 0) {
-                throw part.invalid(field, "the settings limit this team to nothing there");
+                throw share.invalid(
+                        field,
+                        "must be 0 or absent, as the settings set no such limit for this team");
             }
             return 0;
         }
-        return limit > 0 ? limit : SMALLEST_LIMIT;
+        return limit > 0 ? limit : ZERO_SHARE_LIMIT;
     }
 
-    /** Parts that add up to more than the whole would be a limit that nobody keeps. */
+    /**
+     * Checks that the shares of each quota add up to no more than the quota, which otherwise could
+     * be exceeded.
+     */
     static void checkSums(
             DocumentReader document, CellDirectory directory, ClusterSettings settings) {
-        for (ClusterSettings.Team whole : settings.teams().values()) {
+        for (ClusterSettings.Team total : settings.teams().values()) {
             for (Amount amount : AMOUNTS) {
-                checkSum(document, directory, whole, amount);
+                checkSum(document, directory, total, amount);
             }
         }
     }
@@ -87,22 +97,22 @@
     private static void checkSum(
             DocumentReader document,
             CellDirectory directory,
-            ClusterSettings.Team whole,
+            ClusterSettings.Team total,
             Amount amount) {
         double sum = 0;
         for (CellDirectory.Cell cell : directory.cells().values()) {
-            sum += amount.of().applyAsDouble(cell.teams().get(whole.name()));
+            sum += amount.valueOf().applyAsDouble(cell.teams().get(total.name()));
         }
-        double limit = amount.of().applyAsDouble(whole);
+        double limit = amount.valueOf().applyAsDouble(total);
         if (sum > limit + SUM_TOLERANCE) {
             throw document.invalid(
                     "cells",
-                    "the parts of \""
+                    "the shares of \""
                             + amount.field()
                             + "\" of team \""
-                            + whole.name()
+                            + total.name()
                             + "\" add up to "
-                            + Math.round(sum * COMPLAINT_PRECISION) / COMPLAINT_PRECISION
+                            + Math.round(sum * MESSAGE_ROUNDING_FACTOR) / MESSAGE_ROUNDING_FACTOR
                             + ", the settings have "
                             + limit);
         }
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -13,28 +13,36 @@
 import java.util.Set;
 
 /**
- * The file that names the cells, checked on its own and against a node's settings.
+ * The contents of the cells file, checked for consistency and against the node's settings.
  *
- * @param directory the cells, the node's own among them
- * @param addresses by cell and node, of all cells but the node's own
+ * @param directory all cells, including the node's own
+ * @param addresses the node addresses of the remote cells, by cell and node
  */
 public record CellsFile(
         CellDirectory directory, Map<String, Map<String, InetSocketAddress>> addresses) {
-    /** Reads a file; an {@link InvalidInputException} names file, field and reason. */
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidInputException that names the file, the field and the reason
+     */
     public static CellsFile read(Path file, ClusterSettings settings) {
         return InputFile.read(file, json -> parse(json, settings));
     }
 
-    /** Reads a file's content; an {@link InvalidInputException} names field and reason. */
+    /**
+     * Parses the content of a file.
+     *
+     * @throws InvalidInputException that names the field and the reason
+     */
     static CellsFile parse(byte[] json, ClusterSettings settings) {
         return new Parser(settings).parse(DocumentReader.of(JsonCodec.parseJson(json)));
     }
 
-    /** Gathers the cells of one file, and checks each against those before it. */
+    /** Collects the cells of one file and checks each against those before it. */
     private static final class Parser {
         private final ClusterSettings settings;
         private final Map<String, CellDirectory.Cell> cells = new LinkedHashMap<>();
-        private final Map<String, Map<String, InetSocketAddress>> otherCellsAddresses =
+        private final Map<String, Map<String, InetSocketAddress>> remoteCellAddresses =
                 new HashMap<>();
         private final Map<String, String> cellByZone = new HashMap<>();
         private final Set<String> nodes = new HashSet<>();
@@ -54,12 +62,12 @@
                         "cells", "no cell has this node, \"" + settings.node() + "\"");
             }
             if (cells.values().stream().noneMatch(CellDirectory.Cell::isHome)) {
-                throw document.invalid("cells", "none is a home");
+                throw document.invalid("cells", "at least one cell must be a home cell");
             }
             CellDirectory directory = new CellDirectory(version, ownCellName, cells);
             checkOwnCell(document, directory, settings);
             CellQuotas.checkSums(document, directory, settings);
-            return new CellsFile(directory, otherCellsAddresses);
+            return new CellsFile(directory, remoteCellAddresses);
         }
 
         private void addCell(DocumentReader document) {
@@ -84,7 +92,7 @@
             if (addresses.containsKey(settings.node())) {
                 ownCellName = name;
             } else {
-                otherCellsAddresses.put(name, addresses);
+                remoteCellAddresses.put(name, addresses);
             }
             boolean isHome = !document.has("home") || document.flag("home");
             cells.put(
@@ -100,16 +108,17 @@
 
         private void addZones(DocumentReader document, String cellName) {
             for (String zone : document.texts("zones")) {
-                String other = cellByZone.put(zone, cellName);
-                if (other != null) {
+                String otherCellName = cellByZone.put(zone, cellName);
+                if (otherCellName != null) {
                     throw document.invalid(
-                            "zones", "\"" + zone + "\" is a zone of cell \"" + other + "\" too");
+                            "zones",
+                            "\"" + zone + "\" is a zone of cell \"" + otherCellName + "\" too");
                 }
             }
         }
     }
 
-    /** A cell's name is a part of keys and messages. */
+    /** Returns the cell's name, whose characters are restricted as keys and messages contain it. */
     private static String cellName(DocumentReader document) {
         String name = document.text("name");
         if (!name.matches("[a-z0-9][a-z0-9-]{0,39}")) {
--- a/src/main/java/io/kitepath/settings/InputFile.java
+++ b/src/main/java/io/kitepath/settings/InputFile.java
@@ -11,14 +11,14 @@
 import java.nio.file.Path;
 import java.util.function.Function;
 
-/** What the files that operators hand over have in common. */
+/** Reads and parses files provided by operators. */
 final class InputFile {
     private static final int MAX_PORT = 65535;
 
     private InputFile() {}
 
     /**
-     * What the parser makes of the file's bytes.
+     * Returns the result of parsing the file's bytes.
      *
      * @throws InvalidInputException that names the file and the reason
      */
@@ -41,7 +41,7 @@
         }
     }
 
-    /** A numeric IPv4 address and a port; names are not looked up. */
+    /** Returns the numeric IPv4 address and port in a field; host names are not resolved. */
     static InetSocketAddress address(DocumentReader document, String field) {
         String text = document.text(field);
         int colon = text.lastIndexOf(':');
@@ -52,7 +52,7 @@
                 return new InetSocketAddress(InetAddress.getByName(host), port);
             }
         } catch (NumberFormatException | UnknownHostException e) {
-            // Refused below, like any other text that is not an address.
+            // Rejected below, like any other text that is not an address.
         }
         throw document.invalid(
                 field, "must be an address such as 10.0.0.1:8080, not \"" + text + "\"");
--- a/src/main/java/io/kitepath/settings/JsonCodec.java
+++ b/src/main/java/io/kitepath/settings/JsonCodec.java
@@ -13,20 +13,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON documents to and from plain maps, lists, text, numbers, booleans and null. */
+/** Converts JSON documents to and from maps, lists, strings, numbers, booleans and null. */
 public final class JsonCodec {
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private JsonCodec() {}
 
-    /** The value as an indented JSON document; what is none of the plain types becomes text. */
+    /**
+     * Encodes a value as an indented JSON document; a value of any other type becomes its {@code
+     * toString()} text.
+     */
     public static byte[] toJson(Object value) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator generator = FACTORY.createGenerator(bytes)) {
             generator.useDefaultPrettyPrinter();
             write(generator, value);
         } catch (IOException e) {
-            // A buffer in memory never fails.
+            // Writing to a buffer in memory can't fail.
             throw new IllegalStateException(e);
         }
         return bytes.toByteArray();
@@ -62,10 +65,10 @@
     }
 
     /**
-     * The value of a JSON document; integers as {@link Long}, or as {@link Double} beyond 63 bits,
-     * and maps in the order of the document.
+     * Parses a JSON document. Integers become {@link Long}, or {@link Double} beyond 63 bits; maps
+     * keep the order of the document.
      *
-     * @throws InvalidInputException if it is not exactly one JSON value
+     * @throws InvalidInputException if the text is not exactly one JSON value
      */
     public static Object parseJson(byte[] json) {
         try (JsonParser parser = FACTORY.createParser(json)) {
--- a/src/main/java/io/kitepath/settings/SettingsFile.java
+++ b/src/main/java/io/kitepath/settings/SettingsFile.java
@@ -11,15 +11,14 @@
 import java.util.Map;
 
 /**
- * The settings file that the platform hands over, checked. Fields that this version does not know
- * are ignored.
+ * The checked contents of the settings file provided by the platform. Unknown fields are ignored.
  *
- * @param settings what the core has to know
- * @param listenAddress where users, workers and health checks connect to
- * @param internalAddress where peers connect to
- * @param siblingAddresses the peers' internal addresses, by name
- * @param cloudAddress the cloud's
- * @param storeAddress the state service's
+ * @param settings the settings of the core
+ * @param listenAddress the address for users, workers and health checks
+ * @param internalAddress the address for peers
+ * @param siblingAddresses the internal addresses of the peers, by node name
+ * @param cloudAddress the address of the cloud
+ * @param storeAddress the address of the state service
  */
 public record SettingsFile(
         ClusterSettings settings,
@@ -28,71 +27,80 @@
         Map<String, InetSocketAddress> siblingAddresses,
         InetSocketAddress cloudAddress,
         InetSocketAddress storeAddress) {
-    /** Times and rates of 0 would mean that nothing ever happens, or all at once. */
-    private static final double SMALLEST_POSITIVE = 0.001;
+    /** The smallest valid time or rate; with 0 nothing would ever happen, or everything at once. */
+    private static final double MIN_POSITIVE_VALUE = 0.001;
 
     private static final int MIN_TRANSACTION_OPERATIONS = 4;
     private static final int MAX_TRANSACTION_OPERATIONS = 1_000_000;
-    private static final int MIN_SOCKETS = 16;
+    private static final int MIN_SOCKET_LIMIT = 16;
 
-    /** Reads a file; an {@link InvalidInputException} names file, field and reason. */
+    /**
+     * Reads a file.
+     *
+     * @throws InvalidInputException that names the file, the field and the reason
+     */
     public static SettingsFile read(Path file) {
         return InputFile.read(file, SettingsFile::parse);
     }
 
-    /** Reads a file's content; an {@link InvalidInputException} names field and reason. */
+    /**
+     * Parses the content of a file.
+     *
+     * @throws InvalidInputException that names the field and the reason
+     */
     public static SettingsFile parse(byte[] json) {
         return parse(DocumentReader.of(JsonCodec.parseJson(json)));
     }
 
     private static SettingsFile parse(DocumentReader document) {
-        // The order decides which of several wrong fields is named.
+        // The order determines which of several invalid fields the error names.
         String node = document.text("label");
-        Map<String, InetSocketAddress> siblings = new LinkedHashMap<>();
-        for (DocumentReader sibling : document.children("siblings")) {
-            siblings.put(sibling.text("label"), InputFile.address(sibling, "addr"));
+        Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
+        for (DocumentReader peer : document.children("siblings")) {
+            peers.put(peer.text("label"), InputFile.address(peer, "addr"));
         }
-        ClusterSettings settings = settings(document, node, List.copyOf(siblings.keySet()));
+        ClusterSettings settings = settings(document, node, List.copyOf(peers.keySet()));
         DocumentReader endpoints = document.child("endpoints");
         return new SettingsFile(
                 settings,
                 InputFile.address(document, "listen"),
                 InputFile.address(document, "internal_addr"),
-                siblings,
+                peers,
                 InputFile.address(endpoints, "cloud"),
                 InputFile.address(endpoints, "state"));
     }
 
     private static ClusterSettings settings(
-            DocumentReader document, String node, List<String> siblings) {
-        DocumentReader facts = document.child("facts");
-        Map<String, ClusterSettings.Team> teams = teams(facts);
-        List<ClusterSettings.Objective> objectives = objectives(facts);
-        DocumentReader workers = facts.child("workers");
-        DocumentReader state = facts.child("state");
-        DocumentReader cloud = facts.child("cloud");
-        DocumentReader limits = facts.child("limits");
+            DocumentReader document, String node, List<String> peers) {
+        DocumentReader factsDocument = document.child("facts");
+        Map<String, ClusterSettings.Team> teams = teams(factsDocument);
+        List<ClusterSettings.Objective> objectives = objectives(factsDocument);
+        DocumentReader workers = factsDocument.child("workers");
+        DocumentReader state = factsDocument.child("state");
+        DocumentReader cloud = factsDocument.child("cloud");
+        DocumentReader limits = factsDocument.child("limits");
         return new ClusterSettings(
                 node,
                 document.text("domain"),
-                siblings,
-                facts.texts("zones"),
+                peers,
+                factsDocument.texts("zones"),
                 teams,
                 objectives,
                 workerTimings(workers),
                 storeLimits(state),
                 new ClusterSettings.CloudLimits(
-                        cloud.number("rps", SMALLEST_POSITIVE), cloud.number("list_lag_s", 0)),
+                        cloud.number("rps", MIN_POSITIVE_VALUE), cloud.number("list_lag_s", 0)),
                 new ClusterSettings.ProcessLimits(
-                        limits.number("cpu", SMALLEST_POSITIVE),
+                        limits.number("cpu", MIN_POSITIVE_VALUE),
                         limits.number("ram_mb", 1),
-                        (int) limits.integer("sockets", MIN_SOCKETS, Integer.MAX_VALUE)),
-                facts.numberOr("clock_error_ms", 0, document.numberOr("clock_error_ms", 0, 0)));
+                        (int) limits.integer("sockets", MIN_SOCKET_LIMIT, Integer.MAX_VALUE)),
+                factsDocument.numberOr(
+                        "clock_error_ms", 0, document.numberOr("clock_error_ms", 0, 0)));
     }
 
-    private static Map<String, ClusterSettings.Team> teams(DocumentReader facts) {
+    private static Map<String, ClusterSettings.Team> teams(DocumentReader factsDocument) {
         Map<String, ClusterSettings.Team> teams = new LinkedHashMap<>();
-        for (DocumentReader team : facts.children("teams")) {
+        for (DocumentReader team : factsDocument.children("teams")) {
             teams.put(
                     team.text("name"),
                     new ClusterSettings.Team(
@@ -105,10 +113,10 @@
         return teams;
     }
 
-    private static List<ClusterSettings.Objective> objectives(DocumentReader facts) {
+    private static List<ClusterSettings.Objective> objectives(DocumentReader factsDocument) {
         List<ClusterSettings.Objective> objectives = new ArrayList<>();
-        if (facts.has("objectives")) {
-            for (DocumentReader objective : facts.children("objectives")) {
+        if (factsDocument.has("objectives")) {
+            for (DocumentReader objective : factsDocument.children("objectives")) {
                 objectives.add(
                         new ClusterSettings.Objective(
                                 objective.text("kind"),
@@ -123,33 +131,33 @@
 
     private static ClusterSettings.WorkerTimings workerTimings(DocumentReader workers) {
         return new ClusterSettings.WorkerTimings(
-                workers.number("report_s", SMALLEST_POSITIVE),
-                workers.number("lease_s", SMALLEST_POSITIVE),
+                workers.number("report_s", MIN_POSITIVE_VALUE),
+                workers.number("lease_s", MIN_POSITIVE_VALUE),
                 workers.number("gang_wait_s", 0),
                 workers.number("gang_peer_s", 0),
                 workers.number("cancel_s", 0));
     }
 
-    /** The state service's limits, tightened by those that are announced for some later time. */
+    /** Returns the state service's limits, tightened by those announced for a later time. */
     private static ClusterSettings.StoreLimits storeLimits(DocumentReader state) {
-        ClusterSettings.StoreLimits now =
+        ClusterSettings.StoreLimits current =
                 new ClusterSettings.StoreLimits(
                         state.number("rps", 1),
                         state.number("write_rps", 1),
                         state.number("value_kb", 1),
                         transactionOperations(state));
         if (!state.has("next")) {
-            return now;
+            return current;
         }
         DocumentReader next = state.child("next");
-        return now.tightenedBy(
+        return current.tightenedBy(
                 new ClusterSettings.StoreLimits(
-                        next.numberOr("rps", 1, now.requestsPerSecond()),
-                        next.numberOr("write_rps", 1, now.writesPerSecond()),
-                        next.numberOr("value_kb", 1, now.maxValueKibibytes()),
+                        next.numberOr("rps", 1, current.requestsPerSecond()),
+                        next.numberOr("write_rps", 1, current.writesPerSecond()),
+                        next.numberOr("value_kb", 1, current.maxValueKibibytes()),
                         next.has("txn_ops")
                                 ? transactionOperations(next)
-                                : now.maxTransactionOperations()));
+                                : current.maxTransactionOperations()));
     }
 
     private static int transactionOperations(DocumentReader state) {
--- a/src/main/java/io/kitepath/store/HttpStore.java
+++ b/src/main/java/io/kitepath/store/HttpStore.java
@@ -20,12 +20,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A client of the state service, by its published HTTP protocol. All of it runs on the event loop.
+ * A client of the state service that uses its published HTTP protocol. All methods and callbacks
+ * run on the event loop.
  */
 public final class HttpStore implements Store {
     private static final Logger LOG = LoggerFactory.getLogger(HttpStore.class);
 
-    /** Lists are long, so they get more time than other calls. */
+    /** Lists have long responses and therefore a longer timeout than other calls. */
     private static final int LIST_TIMEOUT_FACTOR = 2;
 
     private static final byte[] EMPTY_BODY = new byte[0];
@@ -36,11 +37,11 @@
     private final long timeoutMillis;
 
     /**
-     * @param callClient for reads and transactions
-     * @param leaseClient for leases: with connections of its own, so that a queue of other calls
-     *     can't delay a renewal until the lease expires
-     * @param watchClient for watches, which occupy their connections
-     * @param timeoutMillis how long a call may take
+     * @param callClient sends reads and transactions
+     * @param leaseClient sends lease calls; its connections are separate, so that queued other
+     *     calls can't delay a renewal until the lease expires
+     * @param watchClient sends watches, which occupy their connections
+     * @param timeoutMillis the timeout of a call
      */
     public HttpStore(
             HttpClient callClient,
@@ -54,13 +55,13 @@
     }
 
     @Override
-    public void get(String key, BiConsumer<Outcome, Entry> answer) {
+    public void get(String key, BiConsumer<Outcome, Entry> callback) {
         callClient.call(
                 Request.get("/keys/" + key),
                 timeoutMillis,
                 response -> {
                     Optional<Entry> entry = decodeIfOk(response, StoreCodec::decodeEntry);
-                    answer.accept(
+                    callback.accept(
                             entry.isPresent()
                                     ? Outcome.OK
                                     : failure(response, HttpStatus.NOT_FOUND),
@@ -69,14 +70,14 @@
     }
 
     @Override
-    public void list(String prefix, String from, int limit, Consumer<ListResult> answer) {
-        String fromParameter = from.isEmpty() ? "" : "&from=" + urlEncode(from);
+    public void list(String prefix, String after, int limit, Consumer<ListResult> callback) {
+        String fromParameter = after.isEmpty() ? "" : "&from=" + urlEncode(after);
         String path = "/keys?prefix=" + urlEncode(prefix) + fromParameter + "&limit=" + limit;
         callClient.call(
                 Request.get(path),
                 LIST_TIMEOUT_FACTOR * timeoutMillis,
                 response ->
-                        answer.accept(
+                        callback.accept(
                                 decodeIfOk(response, HttpStore::toListResult)
                                         .orElseGet(() -> failedList(response))));
     }
@@ -94,11 +95,11 @@
     }
 
     @Override
-    public void commit(Transaction transaction, Consumer<CommitResult> answer) {
+    public void commit(Transaction transaction, Consumer<CommitResult> callback) {
         callClient.call(
                 Request.post("/multi", StoreCodec.encodeTransaction(transaction)),
                 timeoutMillis,
-                response -> answer.accept(toCommitResult(transaction, response)));
+                response -> callback.accept(toCommitResult(transaction, response)));
     }
 
     private static CommitResult toCommitResult(Transaction transaction, HttpResponse response) {
@@ -122,11 +123,10 @@
     private static CommitResult refusedCommit(Transaction transaction, HttpResponse response) {
         String reason = decode(response, SharedCodec::decodeErrorReason).orElse(null);
         LOG.warn(
-                "state service refused a transaction of {} writes: {}",
+                "transaction refused by state service: writes={} reason={}",
                 transaction.writes().size(),
                 reason);
-        // Only this reason tells something about the state; with any other one the request was
-        // wrong in itself.
+        // Only this reason depends on the stored state; any other means an invalid request.
         if (StoreCodec.NO_SUCH_LEASE.equals(reason)) {
             return new CommitResult(Outcome.REJECTED, 0, List.of(), true);
         }
@@ -138,44 +138,50 @@
     }
 
     @Override
-    public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {
+    public void grantLease(long durationMillis, BiConsumer<Outcome, Long> callback) {
         leaseClient.call(
-                Request.post("/holds", StoreCodec.encodeLeaseDuration(lifeMs)),
+                Request.post("/holds", StoreCodec.encodeLeaseDuration(durationMillis)),
                 timeoutMillis,
                 response -> {
                     Optional<Long> leaseId = decodeIfOk(response, StoreCodec::decodeLeaseId);
-                    answer.accept(
+                    callback.accept(
                             leaseId.isPresent() ? Outcome.OK : failure(response),
                             leaseId.orElse(null));
                 });
     }
 
     @Override
-    public void renewLease(long lease, Consumer<Outcome> answer) {
+    public void renewLease(long leaseId, Consumer<Outcome> callback) {
         leaseClient.call(
-                Request.post("/holds/" + lease + "/renew", EMPTY_BODY),
+                Request.post("/holds/" + leaseId + "/renew", EMPTY_BODY),
                 timeoutMillis,
                 response ->
-                        answer.accept(
+                        callback.accept(
                                 response.isOk()
                                         ? Outcome.OK
                                         : failure(response, HttpStatus.NOT_FOUND)));
     }
 
     @Override
-    public void revokeLease(long lease) {
-        leaseClient.call(Request.delete("/holds/" + lease), timeoutMillis, response -> {});
+    public void revokeLease(long leaseId) {
+        leaseClient.call(Request.delete("/holds/" + leaseId), timeoutMillis, response -> {});
     }
 
     @Override
-    public void watch(String prefix, long after, long holdMs, Consumer<WatchResult> answer) {
+    public void watch(
+            String prefix, long afterRevision, long holdMillis, Consumer<WatchResult> callback) {
         String path =
-                "/follow?prefix=" + urlEncode(prefix) + "&from=" + after + "&holdMs=" + holdMs;
+                "/follow?prefix="
+                        + urlEncode(prefix)
+                        + "&from="
+                        + afterRevision
+                        + "&holdMs="
+                        + holdMillis;
         watchClient.call(
                 Request.get(path),
-                holdMs + timeoutMillis,
+                holdMillis + timeoutMillis,
                 response ->
-                        answer.accept(
+                        callback.accept(
                                 decodeIfOk(response, HttpStore::toWatchResult)
                                         .orElseGet(() -> failedWatch(response))));
     }
@@ -193,12 +199,12 @@
         return URLEncoder.encode(text, StandardCharsets.UTF_8);
     }
 
-    /** What is known after a response which is not that the call was executed. */
+    /** Returns the outcome for a response that does not confirm the execution of the call. */
     private static Outcome failure(HttpResponse response) {
         return response.isRefusedByLoad() ? Outcome.NOT_EXECUTED : Outcome.UNKNOWN;
     }
 
-    /** The same, where one status is a definite answer. */
+    /** Returns the outcome of a failed call, where one status means a definite rejection. */
     private static Outcome failure(HttpResponse response, int rejectedStatus) {
         return response.status() == rejectedStatus ? Outcome.REJECTED : failure(response);
     }
@@ -207,13 +213,13 @@
         return response.isOk() ? decode(response, decoder) : Optional.empty();
     }
 
-    /** Decodes the body; one that can't be decoded counts as no answer. */
+    /** Decodes the body; a body that can't be decoded counts as no response. */
     private static <T> Optional<T> decode(HttpResponse response, Function<Object, T> decoder) {
         try {
             return Optional.of(decoder.apply(MessagePackCodec.decode(response.body())));
         } catch (InvalidInputException invalid) {
             LOG.warn(
-                    "state service answered {} with a body that can't be read: {}",
+                    "state service response unreadable: status={} reason={}",
                     response.status(),
                     invalid.getMessage());
             return Optional.empty();
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -14,66 +14,66 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The HTTP interface to users: they submit jobs, ask for their status and cancel them. */
+/** The HTTP API for users: submission, status queries and cancellation of jobs. */
 public final class UsersApi {
-    /** The path of submissions; those of single jobs begin with it. */
+    /** The path of submissions; the paths of single jobs begin with it. */
     public static final String JOBS = "/submissions";
 
     private static final String CANCEL_SUFFIX = "/withdraw";
 
-    /** Why a submission is refused, unless its id is known. */
+    /** The status and reason with which a submission is refused, unless its id is known. */
     private record Refusal(int status, String reason) {}
 
     private final Controller controller;
 
-    /** An interface to that controller, to be used on its event loop. */
+    /** Creates an API on the controller; must be used on the controller's event loop. */
     public UsersApi(Controller controller) {
         this.controller = controller;
     }
 
-    /** Answers a request for {@link #JOBS} or for a path below it, now or later. */
-    public void handle(Request request, Responder out) {
+    /** Responds, immediately or later, to a request for {@link #JOBS} or a path below it. */
+    public void handle(Request request, Responder responder) {
         if (!request.path().equals(JOBS)) {
-            handleJobRequest(request, out);
+            handleJobRequest(request, responder);
         } else if (request.method().equals("POST")) {
-            submit(request.body(), out);
+            submit(request.body(), responder);
         } else {
-            out.reply(HttpStatus.METHOD_NOT_ALLOWED);
+            responder.reply(HttpStatus.METHOD_NOT_ALLOWED);
         }
     }
 
-    private void handleJobRequest(Request request, Responder out) {
+    private void handleJobRequest(Request request, Responder responder) {
         String path = request.path().substring(JOBS.length() + 1);
         boolean isCancel = path.endsWith(CANCEL_SUFFIX);
         String jobId = isCancel ? path.substring(0, path.length() - CANCEL_SUFFIX.length()) : path;
         if (jobId.indexOf('/') >= 0) {
-            out.reply(HttpStatus.NOT_FOUND);
+            responder.reply(HttpStatus.NOT_FOUND);
         } else if (!request.method().equals(isCancel ? "POST" : "GET")) {
-            out.reply(HttpStatus.METHOD_NOT_ALLOWED);
+            responder.reply(HttpStatus.METHOD_NOT_ALLOWED);
         } else if (!UserCodec.isJobId(jobId)) {
-            out.reply(HttpStatus.NOT_FOUND);
+            responder.reply(HttpStatus.NOT_FOUND);
         } else if (isCancel) {
-            controller.jobApi().cancel(jobId, response -> reply(response, true, out));
+            controller.jobApi().cancel(jobId, response -> reply(response, true, responder));
         } else {
-            controller.jobApi().status(jobId, response -> reply(response, false, out));
+            controller.jobApi().status(jobId, response -> reply(response, false, responder));
         }
     }
 
-    private void submit(byte[] bytes, Responder out) {
+    private void submit(byte[] bytes, Responder responder) {
         Object body;
         String jobId;
         try {
             body = MessagePackCodec.decode(bytes);
             jobId = UserCodec.decodeSubmittedId(body);
         } catch (InvalidInputException invalid) {
-            out.reply(HttpStatus.BAD_REQUEST, SharedCodec.encodeError(invalid.getMessage()));
+            responder.reply(HttpStatus.BAD_REQUEST, SharedCodec.encodeError(invalid.getMessage()));
             return;
         }
-        submit(body, out).ifPresent(refusal -> refuseUnlessKnown(jobId, refusal, out));
+        submit(body, responder).ifPresent(refusal -> refuseUnlessKnown(jobId, refusal, responder));
     }
 
-    /** Submits the job that the body describes; otherwise says why it is refused. */
-    private Optional<Refusal> submit(Object body, Responder out) {
+    /** Submits the job that the body describes, or returns why it is refused. */
+    private Optional<Refusal> submit(Object body, Responder responder) {
         try {
             JobSpec spec = UserCodec.decodeSubmission(body);
             List<String> dependencies = UserCodec.decodeDependencies(body);
@@ -83,9 +83,9 @@
                                 HttpStatus.SERVICE_UNAVAILABLE,
                                 "the machine types are not known yet"));
             }
-            String reasonImpossible = controller.reasonImpossible(spec);
-            if (reasonImpossible != null) {
-                return Optional.of(new Refusal(HttpStatus.UNPROCESSABLE, reasonImpossible));
+            String impossibleReason = controller.reasonImpossible(spec);
+            if (impossibleReason != null) {
+                return Optional.of(new Refusal(HttpStatus.UNPROCESSABLE, impossibleReason));
             }
             controller
                     .jobApi()
@@ -93,7 +93,10 @@
                             spec,
                             dependencies,
                             response ->
-                                    reply(response, response.verdict() == Verdict.CREATED, out));
+                                    reply(
+                                            response,
+                                            response.verdict() == Verdict.CREATED,
+                                            responder));
             return Optional.empty();
         } catch (InvalidInputException invalid) {
             return Optional.of(new Refusal(HttpStatus.BAD_REQUEST, invalid.getMessage()));
@@ -101,53 +104,55 @@
     }
 
     /**
-     * Refuses a submission if the id is new. A known id gets its state whatever else the body says,
-     * so the store is asked first.
+     * Refuses a submission if its id is new. For a known id the response is the job's status
+     * regardless of the rest of the body, so the status is queried first.
      */
-    private void refuseUnlessKnown(String jobId, Refusal refusal, Responder out) {
+    private void refuseUnlessKnown(String jobId, Refusal refusal, Responder responder) {
         controller
                 .jobApi()
                 .status(
                         jobId,
                         response -> {
                             if (response.verdict() == Verdict.NOT_FOUND) {
-                                reply(refusal, out);
+                                reply(refusal, responder);
                             } else {
-                                reply(response, false, out);
+                                reply(response, false, responder);
                             }
                         });
     }
 
-    private void reply(Refusal refusal, Responder out) {
+    private void reply(Refusal refusal, Responder responder) {
         if (refusal.status == HttpStatus.SERVICE_UNAVAILABLE) {
-            replyUnavailable(refusal.reason, out);
+            replyUnavailable(refusal.reason, responder);
         } else {
-            out.reply(refusal.status, SharedCodec.encodeError(refusal.reason));
+            responder.reply(refusal.status, SharedCodec.encodeError(refusal.reason));
         }
     }
 
-    /** Replies with what was answered; {@code brief}: without the progress of the job. */
-    private void reply(JobResponse response, boolean brief, Responder out) {
+    /** Sends the controller's response; {@code brief} omits the progress of the job. */
+    private void reply(JobResponse response, boolean brief, Responder responder) {
         switch (response.verdict()) {
             case CREATED ->
-                    out.reply(
+                    responder.reply(
                             HttpStatus.CREATED,
                             UserCodec.encodeJobStatus(response.jobStatus(), true));
             case KNOWN ->
-                    out.reply(
+                    responder.reply(
                             HttpStatus.OK, UserCodec.encodeJobStatus(response.jobStatus(), brief));
             case REFUSED ->
-                    out.reply(HttpStatus.UNPROCESSABLE, SharedCodec.encodeError(response.reason()));
+                    responder.reply(
+                            HttpStatus.UNPROCESSABLE, SharedCodec.encodeError(response.reason()));
             case INVALID ->
-                    out.reply(HttpStatus.BAD_REQUEST, SharedCodec.encodeError(response.reason()));
+                    responder.reply(
+                            HttpStatus.BAD_REQUEST, SharedCodec.encodeError(response.reason()));
             case NOT_FOUND ->
-                    out.reply(HttpStatus.NOT_FOUND, SharedCodec.encodeError("no such job"));
-            case LATER -> replyUnavailable("the state service can't be asked now", out);
+                    responder.reply(HttpStatus.NOT_FOUND, SharedCodec.encodeError("no such job"));
+            case LATER -> replyUnavailable("the state service is currently unavailable", responder);
         }
     }
 
-    private void replyUnavailable(String reason, Responder out) {
-        out.reply(
+    private void replyUnavailable(String reason, Responder responder) {
+        responder.reply(
                 HttpStatus.SERVICE_UNAVAILABLE,
                 SharedCodec.encodeError(reason),
                 controller.retryAfterSeconds());
--- a/src/main/java/io/kitepath/users/package-info.java
+++ b/src/main/java/io/kitepath/users/package-info.java
@@ -1,5 +1,4 @@
 /**
- * The HTTP interface to users. It decodes requests, leaves them to the core, and encodes what it
- * answers.
+ * The HTTP API for users. It decodes requests, passes them to the core and encodes its responses.
  */
 package io.kitepath.users;
--- a/src/main/java/io/kitepath/workers/HttpDirectCommands.java
+++ b/src/main/java/io/kitepath/workers/HttpDirectCommands.java
@@ -18,8 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends direct commands to workers over HTTP, each on a connection of its own: hundreds of kept
- * connections would exceed the limit of sockets. All of it runs on the event loop.
+ * Sends direct commands to workers over HTTP, each on a connection of its own: hundreds of
+ * persistent connections would exceed the socket limit. All methods and callbacks run on the event
+ * loop.
  */
 public final class HttpDirectCommands implements DirectCommands {
     private static final Logger LOG = LoggerFactory.getLogger(HttpDirectCommands.class);
@@ -29,8 +30,8 @@
     private final long timeoutMillis;
 
     /**
-     * @param maxBodyBytes the largest response body that is accepted
-     * @param timeoutMillis how long a worker may take to answer
+     * @param maxBodyBytes the size of the largest accepted response body
+     * @param timeoutMillis the timeout of a worker's response
      */
     public HttpDirectCommands(EventLoop loop, int maxBodyBytes, long timeoutMillis) {
         this.loop = loop;
@@ -41,27 +42,27 @@
     @Override
     public void send(
             String address,
-            long token,
-            long session,
+            long fencingToken,
+            long agentIncarnation,
             List<WorkerCommand> commands,
-            Consumer<Heartbeat> answer) {
+            Consumer<Heartbeat> callback) {
         Optional<InetSocketAddress> workerAddress = parseAddress(address);
         if (workerAddress.isEmpty()) {
-            LOG.debug("a worker's address can't be used: {}", address);
-            answer.accept(null);
+            LOG.debug("worker address invalid: address={}", address);
+            callback.accept(null);
             return;
         }
-        byte[] body = WorkerCodec.encodeDirectCommands(token, session, commands);
+        byte[] body = WorkerCodec.encodeDirectCommands(fencingToken, agentIncarnation, commands);
         HttpClient.callOnce(
                 loop,
                 workerAddress.get(),
                 maxBodyBytes,
                 Request.post("/do", body),
                 timeoutMillis,
-                response -> answer.accept(decodeHeartbeat(response).orElse(null)));
+                response -> callback.accept(decodeHeartbeat(response).orElse(null)));
     }
 
-    /** Parses {@code host:port}; empty if it is not of that form. */
+    /** Parses {@code host:port}; empty if the text has another form. */
     private static Optional<InetSocketAddress> parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         String host = address.substring(0, Math.max(0, colon));
@@ -81,7 +82,7 @@
             Object body = MessagePackCodec.decode(response.body());
             return Optional.of(WorkerCodec.decodeHeartbeat(body));
         } catch (InvalidInputException invalid) {
-            LOG.debug("a worker's answer can't be read: {}", invalid.getMessage());
+            LOG.debug("worker response unreadable: reason={}", invalid.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/io/kitepath/workers/WorkersApi.java
+++ b/src/main/java/io/kitepath/workers/WorkersApi.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The HTTP interface to workers: they send heartbeats and get commands. */
+/** The HTTP API for workers: it receives heartbeats and responds with commands. */
 public final class WorkersApi {
     /** The path of heartbeats. */
     public static final String CHECK_IN = "/checkin";
@@ -22,37 +22,40 @@
 
     private final Controller controller;
 
-    /** An interface to that controller, to be used on its event loop. */
+    /** Creates an API on the controller; must be used on the controller's event loop. */
     public WorkersApi(Controller controller) {
         this.controller = controller;
     }
 
-    /** Answers a request for the path {@link #CHECK_IN}, now or later. */
-    public void handle(Request request, Responder out) {
+    /** Responds, immediately or later, to a request for the path {@link #CHECK_IN}. */
+    public void handle(Request request, Responder responder) {
         if (!request.method().equals("POST")) {
-            out.reply(HttpStatus.METHOD_NOT_ALLOWED);
+            responder.reply(HttpStatus.METHOD_NOT_ALLOWED);
             return;
         }
         Heartbeat heartbeat;
         try {
             heartbeat = WorkerCodec.decodeHeartbeat(MessagePackCodec.decode(request.body()));
         } catch (InvalidInputException invalid) {
-            LOG.debug("a report can't be read: {}", invalid.getMessage());
-            out.reply(HttpStatus.BAD_REQUEST, SharedCodec.encodeError(invalid.getMessage()));
+            LOG.debug("heartbeat unreadable: reason={}", invalid.getMessage());
+            responder.reply(HttpStatus.BAD_REQUEST, SharedCodec.encodeError(invalid.getMessage()));
             return;
         }
-        controller.onHeartbeat(heartbeat, response -> reply(response, out));
+        controller.onHeartbeat(heartbeat, response -> reply(response, responder));
     }
 
-    /** Without a fencing token the worker has to send its heartbeats to another node. */
-    private static void reply(HeartbeatResponse response, Responder out) {
+    /**
+     * Sends the commands, or redirects the worker: without a fencing token it has to send its
+     * heartbeats to another node.
+     */
+    private static void reply(HeartbeatResponse response, Responder responder) {
         if (response.fencingToken() > 0) {
             byte[] commands =
                     WorkerCodec.encodeCommands(response.fencingToken(), response.commands());
-            out.reply(HttpStatus.OK, commands);
+            responder.reply(HttpStatus.OK, commands);
         } else {
             byte[] redirect = WorkerCodec.encodeRedirect(response.redirectNode());
-            out.reply(HttpStatus.MISDIRECTED_REQUEST, redirect);
+            responder.reply(HttpStatus.MISDIRECTED_REQUEST, redirect);
         }
     }
 }
--- a/src/main/java/io/kitepath/workers/package-info.java
+++ b/src/main/java/io/kitepath/workers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The two ways to the workers: the HTTP interface that their heartbeats come in by, and the client
- * that sends commands to them directly.
+ * The two interfaces to workers: the HTTP API that receives their heartbeats, and the client that
+ * sends commands to them directly.
  */
 package io.kitepath.workers;
