--- a/src/test/java/io/kitepath/cloud/HttpCloudTest.java
+++ b/src/test/java/io/kitepath/cloud/HttpCloudTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What the client of the cloud sends, and what it makes of each response. */
+/** Tests which requests the cloud client sends and how it interprets the responses. */
 class HttpCloudTest {
     private static final Map<String, Object> EMPTY = Map.of();
     private static final byte[] MALFORMED = {(byte) 0xc1};
@@ -30,21 +30,21 @@
         server.close();
     }
 
-    private record Got(Outcome outcome, List<?> list) {
-        static Got nothing(Outcome outcome) {
-            return new Got(outcome, List.of());
+    private record CallResult(Outcome outcome, List<?> list) {
+        static CallResult ofEmptyList(Outcome outcome) {
+            return new CallResult(outcome, List.of());
         }
     }
 
-    private Got types() throws Exception {
+    private CallResult types() throws Exception {
         return server.call(
-                answer ->
+                callback ->
                         cloud.listMachineTypes(
-                                (outcome, list) -> answer.accept(new Got(outcome, list))));
+                                (outcome, list) -> callback.accept(new CallResult(outcome, list))));
     }
 
     @Test
-    void machineTypesAreListed() throws Exception {
+    void listsMachineTypesOrReturnsOutcomeOfFailure() throws Exception {
         Map<String, Object> type =
                 Map.of(
                         "name",
@@ -61,58 +61,58 @@
                         List.of("a"));
         server.reply(200, Map.of("frames", List.of(type)));
         assertEquals(
-                new Got(
+                new CallResult(
                         Outcome.OK,
                         List.of(new MachineType("m4", 4, 0, 16, 0, 0, 0.5, 0.5, 30, List.of("a")))),
                 types());
         assertEquals(List.of("GET /machine_types"), server.received());
         server.reply(503, EMPTY);
-        assertEquals(Got.nothing(Outcome.NOT_EXECUTED), types());
+        assertEquals(CallResult.ofEmptyList(Outcome.NOT_EXECUTED), types());
         server.reply(200, MALFORMED);
-        assertEquals(Got.nothing(Outcome.UNKNOWN), types());
-        assertEquals(Got.nothing(Outcome.UNKNOWN), types()); // No response in time.
+        assertEquals(CallResult.ofEmptyList(Outcome.UNKNOWN), types());
+        assertEquals(CallResult.ofEmptyList(Outcome.UNKNOWN), types()); // No response in time.
     }
 
-    private Got rent() throws Exception {
+    private CallResult rent() throws Exception {
         return server.call(
-                answer ->
+                callback ->
                         cloud.rent(
                                 "r-1",
                                 new MachineKind("m4", "a", true),
                                 2,
-                                (outcome, list) -> answer.accept(new Got(outcome, list))));
+                                (outcome, list) -> callback.accept(new CallResult(outcome, list))));
     }
 
     @Test
-    void rentAnswersTheMachinesOrWhyThereAreNone() throws Exception {
+    void rentReturnsMachinesOrOutcomeOfFailure() throws Exception {
         server.reply(200, Map.of("hosts", List.of("i-1", "i-2")));
-        assertEquals(new Got(Outcome.OK, List.of("i-1", "i-2")), rent());
+        assertEquals(new CallResult(Outcome.OK, List.of("i-1", "i-2")), rent());
         assertEquals(
                 List.of("POST /rentals {hire=r-1, frame=m4, field=a, loaners=true, count=2}"),
                 server.received());
         server.reply(503, Map.of("error", "no capacity"));
-        assertEquals(Got.nothing(Outcome.REJECTED), rent());
+        assertEquals(CallResult.ofEmptyList(Outcome.REJECTED), rent());
         server.reply(400, EMPTY);
-        assertEquals(Got.nothing(Outcome.REJECTED), rent());
+        assertEquals(CallResult.ofEmptyList(Outcome.REJECTED), rent());
         server.reply(503, Map.of("error", "overloaded"));
-        assertEquals(Got.nothing(Outcome.NOT_EXECUTED), rent());
+        assertEquals(CallResult.ofEmptyList(Outcome.NOT_EXECUTED), rent());
         server.reply(503, MALFORMED);
-        assertEquals(Got.nothing(Outcome.NOT_EXECUTED), rent());
+        assertEquals(CallResult.ofEmptyList(Outcome.NOT_EXECUTED), rent());
         server.reply(429, Map.of("error", "no capacity"));
-        assertEquals(Got.nothing(Outcome.NOT_EXECUTED), rent());
+        assertEquals(CallResult.ofEmptyList(Outcome.NOT_EXECUTED), rent());
         server.reply(500, EMPTY);
-        assertEquals(Got.nothing(Outcome.UNKNOWN), rent());
+        assertEquals(CallResult.ofEmptyList(Outcome.UNKNOWN), rent());
         server.reply(200, EMPTY);
-        assertEquals(Got.nothing(Outcome.UNKNOWN), rent());
-        assertEquals(Got.nothing(Outcome.UNKNOWN), rent());
+        assertEquals(CallResult.ofEmptyList(Outcome.UNKNOWN), rent());
+        assertEquals(CallResult.ofEmptyList(Outcome.UNKNOWN), rent());
     }
 
     private Outcome release() throws Exception {
-        return server.call(answer -> cloud.release(List.of("i-1", "i-2"), answer));
+        return server.call(callback -> cloud.release(List.of("i-1", "i-2"), callback));
     }
 
     @Test
-    void releaseAnswersWhetherTheMachinesAreGone() throws Exception {
+    void releaseReturnsWhetherMachinesWereReleased() throws Exception {
         server.reply(200, EMPTY);
         assertEquals(Outcome.OK, release());
         assertEquals(List.of("POST /rentals/release {hosts=[i-1, i-2]}"), server.received());
@@ -123,11 +123,11 @@
         assertEquals(Outcome.UNKNOWN, release());
     }
 
-    private Got machines() throws Exception {
+    private CallResult machines() throws Exception {
         return server.call(
-                answer ->
+                callback ->
                         cloud.listMachines(
-                                (outcome, list) -> answer.accept(new Got(outcome, list))));
+                                (outcome, list) -> callback.accept(new CallResult(outcome, list))));
     }
 
     private static Map<String, Object> page(boolean truncated, String... machines) {
@@ -148,34 +148,37 @@
     }
 
     @Test
-    void machinesAreListedPageByPage() throws Exception {
+    void listsMachinesPageByPage() throws Exception {
         server.reply(200, page(true, "i-1", "i-2"));
         server.reply(200, page(false, "i-3"));
         assertEquals(
-                new Got(Outcome.OK, List.of(machine("i-1"), machine("i-2"), machine("i-3"))),
+                new CallResult(Outcome.OK, List.of(machine("i-1"), machine("i-2"), machine("i-3"))),
                 machines());
         assertEquals(
                 List.of("GET /rentals?limit=500", "GET /rentals?from=i-2&limit=500"),
                 server.received());
         server.reply(200, page(true));
-        assertEquals(Got.nothing(Outcome.OK), machines());
+        assertEquals(CallResult.ofEmptyList(Outcome.OK), machines());
         server.reply(200, page(true, "i-1"));
         server.reply(503, EMPTY);
-        assertEquals(Got.nothing(Outcome.NOT_EXECUTED), machines());
+        assertEquals(CallResult.ofEmptyList(Outcome.NOT_EXECUTED), machines());
         server.reply(200, MALFORMED);
-        assertEquals(Got.nothing(Outcome.UNKNOWN), machines());
-        assertEquals(Got.nothing(Outcome.UNKNOWN), machines());
+        assertEquals(CallResult.ofEmptyList(Outcome.UNKNOWN), machines());
+        assertEquals(CallResult.ofEmptyList(Outcome.UNKNOWN), machines());
     }
 
     /**
-     * Whoever waits for the list has to hear that there is none: a leader asks for the next one
-     * only then.
+     * Guards against a list call that never completes: the leader requests the next list only after
+     * a result, even if that is a failure.
      */
     @Test
-    void aPageThatDoesNotSayWhetherMoreFollowIsNoAnswer() throws Exception {
-        for (Object odd : List.of("yes", 1L, List.of())) {
-            server.reply(200, Map.of("hosts", List.of(), "truncated", odd));
-            assertEquals(Got.nothing(Outcome.UNKNOWN), machines(), "truncated: " + odd);
+    void listMachinesReportsUnknownOutcomeWhenTruncatedFlagIsInvalid() throws Exception {
+        for (Object invalidFlag : List.of("yes", 1L, List.of())) {
+            server.reply(200, Map.of("hosts", List.of(), "truncated", invalidFlag));
+            assertEquals(
+                    CallResult.ofEmptyList(Outcome.UNKNOWN),
+                    machines(),
+                    "truncated: " + invalidFlag);
         }
     }
 }
--- a/src/test/java/io/kitepath/net/HttpClientTest.java
+++ b/src/test/java/io/kitepath/net/HttpClientTest.java
@@ -15,12 +15,16 @@
 
 class HttpClientTest {
     @Test
-    void aCallThatWaitedItsTimeForAConnectionIsGivenUpAndNeverSent() throws Exception {
+    void failsCallWithoutSendingItWhenItWaitsForAConnectionLongerThanItsTimeout() throws Exception {
         NioEventLoopGroup group = new NioEventLoopGroup(1);
-        List<String> asked = new ArrayList<>();
-        // A server that never answers, and a client with one connection to it.
+        List<String> receivedPaths = new ArrayList<>();
+        // The server never responds, and the client has one connection to it.
         Channel server =
-                new HttpServer((request, out) -> asked.add(request.path()), 1024, 10, 60)
+                new HttpServer(
+                                (request, responder) -> receivedPaths.add(request.path()),
+                                1024,
+                                10,
+                                60)
                         .listen(group, new InetSocketAddress("127.0.0.1", 0))
                         .sync()
                         .channel();
@@ -43,6 +47,6 @@
         assertEquals(0, second.get(30, TimeUnit.SECONDS));
         assertFalse(first.isDone());
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
-        assertFalse(asked.contains("/second"));
+        assertFalse(receivedPaths.contains("/second"));
     }
 }
--- a/src/test/java/io/kitepath/net/HttpServerTest.java
+++ b/src/test/java/io/kitepath/net/HttpServerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of responses, as a client sees them on its socket. */
+/** Tests the bytes of responses as a client receives them on its socket. */
 class HttpServerTest {
     private static final int MAX_BODY_BYTES = 16;
     private static final int MAX_CONNECTIONS = 2;
@@ -37,7 +37,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private void handle(HttpServer.Request request, HttpServer.Responder out) {
+    private void handle(HttpServer.Request request, HttpServer.Responder responder) {
         switch (request.path()) {
             case "/echo" -> {
                 String text = request.method() + " " + request.query() + " ";
@@ -45,14 +45,14 @@
                 byte[] body = new byte[start.length + request.body().length];
                 System.arraycopy(start, 0, body, 0, start.length);
                 System.arraycopy(request.body(), 0, body, start.length, request.body().length);
-                out.reply(200, body);
-                out.reply(500, null); // Ignored.
+                responder.reply(200, body);
+                responder.reply(500, null); // Ignored, as the response was already sent.
             }
-            case "/empty" -> out.reply(405, null);
-            case "/later" -> out.reply(503, new byte[] {'x'}, 7);
+            case "/empty" -> responder.reply(405, null);
+            case "/later" -> responder.reply(503, new byte[] {'x'}, 7);
             case "/fails" -> throw new IllegalStateException("expected by the test");
             default -> {
-                // Never answered.
+                // No response.
             }
         }
     }
@@ -67,7 +67,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Reads exactly as many bytes as are expected. */
+    /** Reads exactly as many bytes as expected and compares them. */
     private static void assertReceived(String expected, Socket socket) throws IOException {
         byte[] bytes = socket.getInputStream().readNBytes(expected.length());
         assertEquals(expected, new String(bytes, StandardCharsets.UTF_8));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void requestsOnAKeptConnectionAreAnsweredOneByOne() throws Exception {
+    void respondsToRequestsOnPersistentConnectionOneByOne() throws Exception {
         try (Socket socket = connect()) {
             send(socket, "POST /echo?a=b HTTP/1.1\r\ncontent-length: 3\r\n\r\nxyz");
             assertReceived("HTTP/1.1 200 OK\r\ncontent-length: 12\r\n\r\nPOST a=b xyz", socket);
@@ -92,12 +92,12 @@
             send(socket, "GET /fails HTTP/1.1\r\n\r\n");
             assertReceived(
                     "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n", socket);
-            assertClosed(socket); // As it is idle.
+            assertClosed(socket); // By the idle timeout.
         }
     }
 
     @Test
-    void aConnectionIsClosedAfterTheResponseIfTheClientWantsIt() throws Exception {
+    void closesConnectionAfterResponseWhenClientRequestsIt() throws Exception {
         try (Socket socket = connect()) {
             send(socket, "GET /echo HTTP/1.1\r\nconnection: close\r\n\r\n");
             assertReceived(
@@ -108,13 +108,13 @@
     }
 
     @Test
-    void brokenRequestsAreRefusedAndTheirConnectionsClosed() throws Exception {
-        String[] broken = {
+    void refusesMalformedRequestsAndClosesTheirConnections() throws Exception {
+        String[] malformedRequests = {
             "POST /echo HTTP/1.1\r\ncontent-length: 17\r\n\r\n01234567890123456",
             "no request\r\n\r\n",
             "GET /never HTTP/1.1\r\n\r\nGET /echo HTTP/1.1\r\n\r\n",
         };
-        for (String request : broken) {
+        for (String request : malformedRequests) {
             try (Socket socket = connect()) {
                 send(socket, request);
                 assertReceived(
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void connectionsOverTheLimitAreClosedAtOnce() throws Exception {
+    void closesConnectionsOverTheLimitImmediately() throws Exception {
         try (Socket first = connect();
                 Socket second = connect()) {
             send(first, "GET /empty HTTP/1.1\r\n\r\n");
--- a/src/test/java/io/kitepath/net/ScriptedServer.java
+++ b/src/test/java/io/kitepath/net/ScriptedServer.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A server on the loopback address that replies what a test tells it to, and an event loop. */
+/** A server on the loopback address that sends scripted replies, with its event loop. */
 public final class ScriptedServer implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 1 << 20;
 
@@ -25,7 +25,7 @@
 
     private record Reply(int status, byte[] body) {}
 
-    /** Begins to listen. */
+    /** Starts listening. */
     public ScriptedServer() throws Exception {
         HttpServer server = new HttpServer(this::handle, MAX_BODY_BYTES, 10, 60);
         address =
@@ -36,17 +36,17 @@
                                 .localAddress();
     }
 
-    private void handle(HttpServer.Request request, HttpServer.Responder out) {
+    private void handle(HttpServer.Request request, HttpServer.Responder responder) {
         String query = request.query().isEmpty() ? "" : "?" + request.query();
         String body = request.body().length == 0 ? "" : " " + text(request.body());
         received.add(request.method() + " " + request.path() + query + body);
         Reply reply = replies.poll();
         if (reply != null) {
-            out.reply(reply.status, reply.body);
+            responder.reply(reply.status, reply.body);
         }
     }
 
-    /** A body as text: the decoded document, or the bytes if it is none. */
+    /** Returns a body as text: the decoded document, or the bytes in hex if it can't be decoded. */
     private static String text(byte[] body) {
         try {
             return String.valueOf(MessagePackCodec.decode(body));
@@ -55,40 +55,40 @@
         }
     }
 
-    /** A client of this server. */
+    /** Returns a client of this server. */
     public HttpClient client() {
         return clientOf(address);
     }
 
-    /** A client of another server, on the same event loop. */
+    /** Returns a client of another server, on the same event loop. */
     public HttpClient clientOf(InetSocketAddress otherAddress) {
         return new HttpClient(loop, otherAddress, 2, MAX_BODY_BYTES);
     }
 
-    /** Replies that document to the next request that has no reply yet. */
+    /** Queues a document as the reply to the next request without one. */
     public void reply(int status, Object document) {
         reply(status, MessagePackCodec.encode(document));
     }
 
-    /** Replies these bytes to the next request that has no reply yet. */
+    /** Queues bytes as the reply to the next request without one. */
     public void reply(int status, byte[] body) {
         loop.submit(() -> replies.add(new Reply(status, body))).syncUninterruptibly();
     }
 
-    /** Makes a call on the event loop, and waits for what it answers. */
+    /** Makes a call on the event loop and waits for its result. */
     public <T> T call(Consumer<Consumer<T>> call) throws Exception {
-        CompletableFuture<T> answer = new CompletableFuture<>();
-        loop.execute(() -> call.accept(answer::complete));
-        return answer.get(10, TimeUnit.SECONDS);
+        CompletableFuture<T> result = new CompletableFuture<>();
+        loop.execute(() -> call.accept(result::complete));
+        return result.get(10, TimeUnit.SECONDS);
     }
 
-    /** The requests since the last call, as method, path, query and decoded body. */
+    /** Returns the requests since the last call, as method, path, query and decoded body. */
     public List<String> received() throws Exception {
         return loop.submit(
                         () -> {
-                            List<String> taken = List.copyOf(received);
+                            List<String> requests = List.copyOf(received);
                             received.clear();
-                            return taken;
+                            return requests;
                         })
                 .get();
     }
--- a/src/test/java/io/kitepath/settings/CellsFileTest.java
+++ b/src/test/java/io/kitepath/settings/CellsFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class CellsFileTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"version":3,"cells":[
               {"name":"east","zones":["a","b"],"nodes":[{"label":"e0","addr":"127.0.0.1:8081"},
@@ -45,68 +45,77 @@
         return CellsFile.parse(text.getBytes(StandardCharsets.UTF_8), settings);
     }
 
-    /** What is said of the good file with one text replaced. */
-    private String complaint(String from, String to) {
-        assertTrue(GOOD.contains(from), from);
-        return assertThrows(InvalidInputException.class, () -> parse(GOOD.replace(from, to)))
+    /** Returns the error message for the valid file with one text replaced. */
+    private String errorMessageWithReplacement(String from, String to) {
+        assertTrue(VALID.contains(from), from);
+        return assertThrows(InvalidInputException.class, () -> parse(VALID.replace(from, to)))
                 .getMessage();
     }
 
     @Test
-    void goodFileNamesTheNodesOwnCellAndItsPartOfTheQuotas() {
-        CellsFile file = parse(GOOD);
+    void readsOwnCellAndItsQuotaSharesFromValidFile() {
+        CellsFile file = parse(VALID);
         CellDirectory directory = file.directory();
         assertEquals("east", directory.ownCellName());
         assertEquals("east west", directory.homeCellNames());
         assertEquals(30, directory.ownCell().teams().get("t").maxCpus());
         assertEquals(0, directory.ownCell().teams().get("free").maxCpus(), "no limit stays none");
-        // A cell without a part of a quota may run nothing of that team, which 0 would not say.
+        // A cell without a share of a quota may run no task of that team; 0 would mean no limit.
         assertTrue(directory.cells().get("spare").teams().get("t").maxCpus() > 0);
         assertEquals(8081, file.addresses().get("west").get("w0").getPort());
         assertEquals(2, file.addresses().size());
     }
 
     @Test
-    void wrongFieldOfACellIsNamed() {
-        assertTrue(complaint("\"version\":3,", "").contains("version: is missing"));
+    void namesInvalidFieldOfCell() {
         assertTrue(
-                complaint("\"west\"", "\"east\"").contains("cells[1].name: there are two cells"));
-        assertTrue(complaint("\"west\"", "\"we st\"").contains("cells[1].name: must be 1 to 40"));
-        assertTrue(complaint("[\"c\"]", "[\"a\"]").contains("is a zone of cell \"east\" too"));
-        assertTrue(complaint("\"w0\"", "\"e0\"").contains("there are two nodes"));
+                errorMessageWithReplacement("\"version\":3,", "").contains("version: is missing"));
         assertTrue(
-                complaint("127.0.0.3:8081", "west:8081")
+                errorMessageWithReplacement("\"west\"", "\"east\"")
+                        .contains("cells[1].name: there are two cells"));
+        assertTrue(
+                errorMessageWithReplacement("\"west\"", "\"we st\"")
+                        .contains("cells[1].name: must be 1 to 40"));
+        assertTrue(
+                errorMessageWithReplacement("[\"c\"]", "[\"a\"]")
+                        .contains("is a zone of cell \"east\" too"));
+        assertTrue(errorMessageWithReplacement("\"w0\"", "\"e0\"").contains("there are two nodes"));
+        assertTrue(
+                errorMessageWithReplacement("127.0.0.3:8081", "west:8081")
                         .contains("cells[1].nodes[0].addr: must be an address"));
     }
 
     @Test
-    void contradictionToTheSettingsIsNamed() {
-        assertTrue(complaint("\"e1\"", "\"e2\"").contains("no cell has this node"));
-        assertTrue(complaint("\"e0\"", "\"e9\"").contains("the settings have"));
+    void namesContradictionToSettings() {
+        assertTrue(
+                errorMessageWithReplacement("\"e1\"", "\"e2\"").contains("no cell has this node"));
+        assertTrue(errorMessageWithReplacement("\"e0\"", "\"e9\"").contains("the settings have"));
         assertTrue(
-                complaint("[\"a\",\"b\"]", "[\"a\"]").contains("lacks the settings' zone \"b\""));
+                errorMessageWithReplacement("[\"a\",\"b\"]", "[\"a\"]")
+                        .contains("lacks the settings' zone \"b\""));
         assertTrue(
-                complaint("\"cpus_max\":10", "\"cpus_max\":11")
+                errorMessageWithReplacement("\"cpus_max\":10", "\"cpus_max\":11")
                         .contains("add up to 41.0, the settings have 40.0"));
         assertTrue(
-                complaint("\"name\":\"t\",\"cpus\":6", "\"name\":\"x\",\"cpus\":6")
+                errorMessageWithReplacement(
+                                "\"name\":\"t\",\"cpus\":6", "\"name\":\"x\",\"cpus\":6")
                         .contains("no team \"x\""));
     }
 
     @Test
-    void homesAreSpreadEvenlyAndStayWhenACellWithoutHomesIsAdded() {
-        CellDirectory directory = parse(GOOD).directory();
-        Map<String, Integer> jobsByHome = new TreeMap<>();
+    void spreadsHomeCellsEvenlyAndKeepsThemWhenNonHomeCellIsAdded() {
+        CellDirectory directory = parse(VALID).directory();
+        Map<String, Integer> jobsByHomeCell = new TreeMap<>();
         for (int i = 0; i < 2000; i++) {
-            jobsByHome.merge(directory.homeCellOf(String.format("j-%06d", i)), 1, Integer::sum);
+            jobsByHomeCell.merge(directory.homeCellOf(String.format("j-%06d", i)), 1, Integer::sum);
         }
-        assertEquals(2, jobsByHome.size());
+        assertEquals(2, jobsByHomeCell.size());
         assertTrue(
-                jobsByHome.get("east") > 900 && jobsByHome.get("west") > 900,
-                jobsByHome.toString());
+                jobsByHomeCell.get("east") > 900 && jobsByHomeCell.get("west") > 900,
+                jobsByHomeCell.toString());
         CellDirectory larger =
                 parse(
-                                GOOD.replace(
+                                VALID.replace(
                                         "{\"name\":\"spare\"",
                                         "{\"name\":\"more\",\"home\":false,\"zones\":[\"e\"],\"nodes\":[{\"label\":\"m0\","
                                                 + "\"addr\":\"127.0.0.5:8081\"}]},{\"name\":\"spare\""))
--- a/src/test/java/io/kitepath/settings/SettingsFileTest.java
+++ b/src/test/java/io/kitepath/settings/SettingsFileTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class SettingsFileTest {
-    private static final String GOOD =
+    private static final String VALID =
             """
             {"label":"kite-0","domain":"a","listen":"10.0.0.1:8080","internal_addr":"10.0.0.1:8081","new_field":1,
              "siblings":[{"label":"kite-1","domain":"b","addr":"10.0.0.2:8081"}],
@@ -32,14 +32,14 @@
         return SettingsFile.read(file);
     }
 
-    /** What is said of a file with that content. */
-    private String complaint(String text) {
+    /** Returns the error message for a file with the given content. */
+    private String errorMessage(String text) {
         return assertThrows(InvalidInputException.class, () -> read(text)).getMessage();
     }
 
     @Test
-    void goodFileIsReadAndUnknownFieldsAreIgnored() throws IOException {
-        SettingsFile file = read(GOOD);
+    void readsValidFileAndIgnoresUnknownFields() throws IOException {
+        SettingsFile file = read(VALID);
         assertEquals("kite-0", file.settings().node());
         assertEquals(8, file.settings().teams().get("t").maxCpus());
         assertEquals(150, file.settings().shortestFinishObjectiveSeconds("c", 1));
@@ -48,29 +48,29 @@
     }
 
     @Test
-    void wrongFieldIsNamedWithItsFile() {
+    void namesInvalidFieldAndItsFile() {
         assertTrue(
-                complaint(GOOD.replace("\"lease_s\":10.0,", ""))
+                errorMessage(VALID.replace("\"lease_s\":10.0,", ""))
                         .endsWith("settings.json: facts.workers.lease_s: is missing"));
         assertTrue(
-                complaint(GOOD.replace("\"lease_s\":10.0", "\"lease_s\":-1"))
+                errorMessage(VALID.replace("\"lease_s\":10.0", "\"lease_s\":-1"))
                         .contains("facts.workers.lease_s: must be a finite number"));
         assertTrue(
-                complaint(GOOD.replace("10.2.0.1:2379", "store:2379"))
+                errorMessage(VALID.replace("10.2.0.1:2379", "store:2379"))
                         .contains("endpoints.state: must be an address"));
         assertTrue(
-                complaint(GOOD.replace("\"zones\":[\"a\",\"b\"]", "\"zones\":\"a\""))
+                errorMessage(VALID.replace("\"zones\":[\"a\",\"b\"]", "\"zones\":\"a\""))
                         .contains("facts.zones: must be a list"));
     }
 
     @Test
-    void fileThatIsNotJsonIsRefused() {
-        assertTrue(complaint("{\"label\":").contains("not JSON"));
-        assertTrue(complaint("").contains("is empty"));
+    void rejectsFileThatIsNotJson() {
+        assertTrue(errorMessage("{\"label\":").contains("not JSON"));
+        assertTrue(errorMessage("").contains("is empty"));
     }
 
     @Test
-    void missingFileIsNamed() {
+    void namesMissingFile() {
         assertTrue(
                 assertThrows(
                                 InvalidInputException.class,
--- a/src/test/java/io/kitepath/store/HttpStoreTest.java
+++ b/src/test/java/io/kitepath/store/HttpStoreTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What the client of the state service sends, and what it makes of each response. */
+/** Tests which requests the state service client sends and how it interprets the responses. */
 class HttpStoreTest {
     private static final Map<String, Object> EMPTY = Map.of();
     private static final byte[] MALFORMED = {(byte) 0xc1};
@@ -46,41 +46,43 @@
         server.close();
     }
 
-    private record Got(Outcome outcome, Object value) {}
+    private record CallResult(Outcome outcome, Object value) {}
 
-    private Got get() throws Exception {
+    private CallResult get() throws Exception {
         return server.call(
-                answer ->
+                callback ->
                         store.get(
-                                "a/b", (outcome, entry) -> answer.accept(new Got(outcome, entry))));
+                                "a/b",
+                                (outcome, entry) ->
+                                        callback.accept(new CallResult(outcome, entry))));
     }
 
     @Test
-    void getAnswersTheEntryOrWhyThereIsNone() throws Exception {
+    void getReturnsEntryOrOutcomeOfFailure() throws Exception {
         server.reply(200, Map.of("path", "a/b", "value", "v", "stamp", 7L));
-        assertEquals(new Got(Outcome.OK, new Entry("a/b", "v", 7)), get());
+        assertEquals(new CallResult(Outcome.OK, new Entry("a/b", "v", 7)), get());
         assertEquals(List.of("GET /keys/a/b"), server.received());
         server.reply(404, EMPTY);
-        assertEquals(new Got(Outcome.REJECTED, null), get());
+        assertEquals(new CallResult(Outcome.REJECTED, null), get());
         server.reply(429, EMPTY);
-        assertEquals(new Got(Outcome.NOT_EXECUTED, null), get());
+        assertEquals(new CallResult(Outcome.NOT_EXECUTED, null), get());
         server.reply(503, EMPTY);
-        assertEquals(new Got(Outcome.NOT_EXECUTED, null), get());
+        assertEquals(new CallResult(Outcome.NOT_EXECUTED, null), get());
         server.reply(500, EMPTY);
-        assertEquals(new Got(Outcome.UNKNOWN, null), get());
+        assertEquals(new CallResult(Outcome.UNKNOWN, null), get());
         server.reply(200, EMPTY);
-        assertEquals(new Got(Outcome.UNKNOWN, null), get());
+        assertEquals(new CallResult(Outcome.UNKNOWN, null), get());
         server.reply(200, MALFORMED);
-        assertEquals(new Got(Outcome.UNKNOWN, null), get());
-        assertEquals(new Got(Outcome.UNKNOWN, null), get()); // No response in time.
+        assertEquals(new CallResult(Outcome.UNKNOWN, null), get());
+        assertEquals(new CallResult(Outcome.UNKNOWN, null), get()); // No response in time.
     }
 
     private ListResult list(String from) throws Exception {
-        return server.call(answer -> store.list("jobs/ä", from, 50, answer));
+        return server.call(callback -> store.list("jobs/ä", from, 50, callback));
     }
 
     @Test
-    void listAnswersAPageOrWhyThereIsNone() throws Exception {
+    void listReturnsPageOrOutcomeOfFailure() throws Exception {
         Map<String, Object> entry = Map.of("path", "k", "value", 3L, "stamp", 7L);
         server.reply(200, Map.of("entries", List.of(entry), "epoch", 9L, "truncated", true));
         assertEquals(
@@ -104,11 +106,11 @@
     private CommitResult commit() throws Exception {
         Transaction transaction =
                 new Transaction().requireRevision("k", 3).put("k", "v", 5).remove("l");
-        return server.call(answer -> store.commit(transaction, answer));
+        return server.call(callback -> store.commit(transaction, callback));
     }
 
     @Test
-    void commitAnswersTheRevisionOrWhyItFailed() throws Exception {
+    void commitReturnsRevisionOrOutcomeOfFailure() throws Exception {
         server.reply(200, Map.of("epoch", 9L));
         assertEquals(new CommitResult(Outcome.OK, 9, List.of(), false), commit());
         assertEquals(
@@ -135,21 +137,22 @@
         assertEquals(new CommitResult(Outcome.UNKNOWN, 0, List.of(), false), commit());
     }
 
-    private Got grant() throws Exception {
+    private CallResult grant() throws Exception {
         return server.call(
-                answer ->
+                callback ->
                         store.grantLease(
-                                2500, (outcome, id) -> answer.accept(new Got(outcome, id))));
+                                2500,
+                                (outcome, id) -> callback.accept(new CallResult(outcome, id))));
     }
 
     private Outcome renew() throws Exception {
-        return server.call(answer -> store.renewLease(12, answer));
+        return server.call(callback -> store.renewLease(12, callback));
     }
 
     @Test
-    void leasesAreGrantedRenewedAndRevoked() throws Exception {
+    void grantsRenewsAndRevokesLeases() throws Exception {
         server.reply(200, Map.of("tether", 12L));
-        assertEquals(new Got(Outcome.OK, 12L), grant());
+        assertEquals(new CallResult(Outcome.OK, 12L), grant());
         server.reply(200, EMPTY);
         assertEquals(Outcome.OK, renew());
         server.reply(404, EMPTY);
@@ -157,9 +160,9 @@
         server.reply(200, EMPTY);
         assertNull(
                 server.call(
-                        answer -> {
+                        callback -> {
                             store.revokeLease(12);
-                            answer.accept(null);
+                            callback.accept(null);
                         }));
         assertEquals(Outcome.UNKNOWN, renew()); // After the revocation, without a response.
         assertEquals(
@@ -171,23 +174,23 @@
                         "POST /holds/12/renew"),
                 server.received());
         server.reply(200, EMPTY);
-        assertEquals(new Got(Outcome.UNKNOWN, null), grant());
+        assertEquals(new CallResult(Outcome.UNKNOWN, null), grant());
         server.reply(404, EMPTY);
-        assertEquals(new Got(Outcome.UNKNOWN, null), grant());
+        assertEquals(new CallResult(Outcome.UNKNOWN, null), grant());
         for (int status : new int[] {429, 503}) {
             server.reply(status, EMPTY);
-            assertEquals(new Got(Outcome.NOT_EXECUTED, null), grant());
+            assertEquals(new CallResult(Outcome.NOT_EXECUTED, null), grant());
             server.reply(status, EMPTY);
             assertEquals(Outcome.NOT_EXECUTED, renew());
         }
     }
 
     private WatchResult watch() throws Exception {
-        return server.call(answer -> store.watch("p/", 4, 100, answer));
+        return server.call(callback -> store.watch("p/", 4, 100, callback));
     }
 
     @Test
-    void watchAnswersTheChangesOrWhyThereAreNone() throws Exception {
+    void watchReturnsChangesOrOutcomeOfFailure() throws Exception {
         List<Object> events =
                 List.of(
                         Map.of("write", "p/a", "value", "v", "stamp", 5L),
@@ -211,7 +214,7 @@
         assertEquals(new WatchResult(Outcome.UNKNOWN, 0, List.of()), watch());
     }
 
-    /** Reads a request without a body, or with an empty one, and responds to it. */
+    /** Reads a request without a body or with an empty one, responds to it and returns its text. */
     private static String serve(Socket connection) throws IOException {
         StringBuilder request = new StringBuilder();
         while (request.indexOf("\r\n\r\n") < 0) {
@@ -223,26 +226,30 @@
     }
 
     @Test
-    void requestsHaveTheseBytesOnAKeptConnection() throws Exception {
-        try (ServerSocket listening = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            listening.setSoTimeout(5000);
-            String host = "127.0.0.1:" + listening.getLocalPort();
+    void sendsExpectedBytesOnPersistentConnection() throws Exception {
+        try (ServerSocket serverSocket =
+                new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            serverSocket.setSoTimeout(5000);
+            String host = "127.0.0.1:" + serverSocket.getLocalPort();
             InetSocketAddress address =
-                    new InetSocketAddress("127.0.0.1", listening.getLocalPort());
+                    new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort());
             HttpClient client = server.clientOf(address);
-            HttpStore raw = new HttpStore(client, client, client, 5000);
+            HttpStore rawStore = new HttpStore(client, client, client, 5000);
             CompletableFuture<List<String>> requests =
-                    CompletableFuture.supplyAsync(() -> serveThree(listening));
+                    CompletableFuture.supplyAsync(() -> serveThree(serverSocket));
             assertEquals(
                     Outcome.REJECTED,
                     server.<Outcome>call(
-                            answer -> raw.get("k", (outcome, entry) -> answer.accept(outcome))));
+                            callback ->
+                                    rawStore.get(
+                                            "k", (outcome, entry) -> callback.accept(outcome))));
             assertEquals(
-                    Outcome.REJECTED, server.<Outcome>call(answer -> raw.renewLease(3, answer)));
+                    Outcome.REJECTED,
+                    server.<Outcome>call(callback -> rawStore.renewLease(3, callback)));
             server.call(
-                    answer -> {
-                        raw.revokeLease(3);
-                        answer.accept(null);
+                    callback -> {
+                        rawStore.revokeLease(3);
+                        callback.accept(null);
                     });
             String hostLine = "host: " + host + "\r\n";
             assertEquals(
@@ -257,8 +264,8 @@
         }
     }
 
-    private static List<String> serveThree(ServerSocket listening) {
-        try (Socket connection = listening.accept()) {
+    private static List<String> serveThree(ServerSocket serverSocket) {
+        try (Socket connection = serverSocket.accept()) {
             connection.setSoTimeout(5000);
             return List.of(serve(connection), serve(connection), serve(connection));
         } catch (IOException e) {
