--- a/src/main/java/io/kitepath/core/role/NodeLease.java
+++ b/src/main/java/io/kitepath/core/role/NodeLease.java
@@ -28,7 +28,7 @@
     private boolean isGrantInFlight;
     private boolean isStopped;
 
-    /** When the last successful renewal was sent, in seconds on the steady clock. */
+    /** When the last successful grant or renewal was sent, in steady-clock seconds. */
     private double lastRenewalSentAt = Double.NEGATIVE_INFINITY;
 
     /** {@code onExpired} runs when the store reports that the lease has expired. */
