--- a/src/main/java/io/kitepath/core/CellNetwork.java
+++ b/src/main/java/io/kitepath/core/CellNetwork.java
@@ -4,9 +4,9 @@
 import io.kitepath.core.port.RemoteCells;
 
 /**
- * The cells that a node's own cell works with.
+ * The cells of the cluster, as seen by a node of one of them.
  *
- * @param directory all cells, with the own one marked
- * @param remoteCells sends messages to the other cells
+ * @param directory all cells of the cluster; it identifies the node's own cell
+ * @param remoteCells sends messages to remote cells
  */
 public record CellNetwork(CellDirectory directory, RemoteCells remoteCells) {}
--- a/src/main/java/io/kitepath/core/CloudComponents.java
+++ b/src/main/java/io/kitepath/core/CloudComponents.java
@@ -11,9 +11,9 @@
 import java.util.List;
 
 /**
- * The parts of a node that deal with the cloud's machines: the leader records what it wants as
- * intents, and the node with the cloud role executes them; another role removes garbage from the
- * store. Roles are leased apart from leadership.
+ * The components of a node that manage cloud machines and leased roles. The leader records rentals
+ * and releases as cloud intents, and the node with the cloud role executes them. The cleanup role
+ * removes garbage from the store. Roles are leased independently of leadership.
  */
 final class CloudComponents {
     final CloudIntents intents;
@@ -23,9 +23,9 @@
     final LeasedRoles leasedRoles;
 
     /**
-     * Draws from the environment's random numbers.
+     * Creates the components. Draws from the environment's random source.
      *
-     * @param node has its shard, its scheduler and its leadership already
+     * @param node the node; its shard, scheduler and leadership must already be initialized
      */
     CloudComponents(NodeComponents node, NodeEnvironment environment, Incarnation incarnation) {
         Store store = environment.store();
--- a/src/main/java/io/kitepath/core/ConnectedCells.java
+++ b/src/main/java/io/kitepath/core/ConnectedCells.java
@@ -15,14 +15,15 @@
 import java.util.function.Consumer;
 
 /**
- * A cluster of several cells. The only class here that names {@code core.cell}, so that those
- * classes are loaded only where there are other cells.
+ * Connects a node to the remote cells of a cluster with several cells. This is the only class of
+ * its package that refers to {@code core.cell}, so that the classes of that package are loaded only
+ * if there are remote cells.
  */
 final class ConnectedCells implements OtherCells {
     private final CellNetwork network;
     private final CellService cellService;
 
-    /** Draws from {@code random} while it is built. */
+    /** Creates the cell service, which draws from {@code random} during construction. */
     ConnectedCells(NodeComponents node, CellNetwork network, Store store, Random random) {
         this.network = network;
         this.cellService =
@@ -84,7 +85,7 @@
         cellService.addMetrics(metrics);
     }
 
-    /** What the cell service asks of its node. */
+    /** Gives the cell service access to its node. */
     private record NodeOfCell(NodeComponents node) implements CellService.Node {
         @Override
         public boolean holdsShard() {
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -31,17 +31,17 @@
 import java.util.function.Consumer;
 
 /**
- * One controller node, as users, workers, peers and operators see it. The parts behind it are
- * connected in {@link NodeComponents}; the leader's work is in {@link LeaderLoop} and {@link
- * RoundRunner}. Every method is called on the node's event loop.
+ * The interface of one controller node for users, workers, peers and operators. {@link
+ * NodeComponents} creates and connects the components of the node; {@link LeaderLoop} and {@link
+ * RoundRunner} do the leader's work. All methods must be called on the node's event loop.
  */
 public final class Controller {
     private final NodeComponents node;
 
-    /** The whole cluster's settings; the node itself works with its cell's part of them. */
+    /** The settings of the whole cluster; {@link #settings} is the part for this node's cell. */
     private final ClusterSettings clusterWideSettings;
 
-    // Parts that tests of this package look into.
+    // Components that are visible to the tests of this package.
     final ClusterSettings settings;
     final ShardState shard;
     final HeartbeatProcessor heartbeatProcessor;
@@ -52,7 +52,7 @@
     final CloudIntents cloudIntents;
     final GarbageCollector garbageCollector;
 
-    /** A node of a cluster with a single cell. */
+    /** Creates a node of a cluster with a single cell. */
     public Controller(
             ClusterSettings settings,
             Store store,
@@ -68,8 +68,10 @@
     }
 
     /**
-     * @param clusterWideSettings the whole cluster's settings
-     * @param environment what the node is given from outside
+     * Creates a node.
+     *
+     * @param clusterWideSettings the settings of the whole cluster
+     * @param environment the external services, clocks and random source of the node
      * @param cellNetwork the cells of the cluster, empty if there is only one
      */
     public Controller(
@@ -94,101 +96,109 @@
     }
 
     /**
-     * Starts to take part: looks for a leader, campaigns if there is none, tells peers its state.
+     * Joins the cluster: looks for a leader, campaigns if there is none, and announces the state of
+     * this node to its peers.
      */
     public void start() {
         node.start();
     }
 
-    /** Gives up leadership and roles for good: the node is being stopped on purpose. */
+    /** Gives up leadership and roles permanently, for an intended stop of the node. */
     public void stop() {
         node.stop();
     }
 
     // ---- for users ------------------------------------------------------------------------------
 
-    /** What users may ask: submit, status and cancel. */
+    /** Returns the API for users: submission, status queries and cancellation. */
     public JobApi jobApi() {
         return node.otherCells.jobApi();
     }
 
-    /** Why the job can never run, here or in any other cell, or null if it can. */
+    /** Returns why the job can never run in this or any remote cell, or null if it can. */
     public String reasonImpossible(JobSpec spec) {
         return spec.reasonImpossible(
                 shard.machineTypes(), clusterWideSettings, node.otherCells.zonesOfOtherCells());
     }
 
-    /** The machine types by name, empty until they are known. */
+    /** Returns the machine types by name, empty until they are known. */
     public Map<String, MachineType> machineTypes() {
         return shard.machineTypes();
     }
 
-    /** After how many seconds a user who can't be answered now shall retry; counts the refusal. */
+    /**
+     * Counts a refused request and returns the number of seconds after which its user should retry.
+     */
     public int retryAfterSeconds() {
         return node.retryAfter.nextRetryAfterSeconds();
     }
 
     // ---- for workers ----------------------------------------------------------------------------
 
-    /** A worker's heartbeat; {@code answer} is called once, possibly later. */
+    /** Handles a worker's heartbeat; {@code answer} is called once, possibly later. */
     public void onHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
         node.heartbeatService.receive(heartbeat, answer);
     }
 
     // ---- for peers ------------------------------------------------------------------------------
 
-    /** A heartbeat that a peer relays; {@code passOn}: it may be relayed further, to the leader. */
+    /**
+     * Handles a heartbeat that was relayed by a peer.
+     *
+     * @param passOn whether this node may relay the heartbeat further, to the leader
+     * @param answer called once with the response, possibly later
+     */
     public void onRelayedHeartbeat(
             Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
         node.heartbeatService.answerForPeer(heartbeat, passOn, answer);
     }
 
     /**
-     * A peer's announcement of its own state.
+     * Handles a peer's announcement of its own state.
      *
      * @param peer the peer's name
-     * @param fencingToken the highest fencing token that it knows
-     * @param isLeading whether it leads, with that token
-     * @param isServedByStore whether the store answers it
+     * @param fencingToken the highest fencing token known to the peer
+     * @param isLeading whether the peer is the leader, with that fencing token
+     * @param isServedByStore whether the peer receives responses from the store
      */
     public void onPeerState(
             String peer, long fencingToken, boolean isLeading, boolean isServedByStore) {
         node.gossip.onPeerState(peer, fencingToken, isLeading, isServedByStore);
     }
 
-    /** A peer's announcement that the store has the job's final state. */
+    /** Handles a peer's announcement that the job's final state is committed. */
     public void onJobEndedAtPeer(JobStatus job) {
         node.gossip.onJobEndedAtPeer(job);
     }
 
-    /** A peer's digest of the cancellations it learned of. */
+    /** Handles a peer's digest of the cancellations known to it. */
     public void onCancellationDigest(CancellationDigest digest) {
         node.gossip.onCancellationDigest(digest);
     }
 
-    /** The progress of those of the jobs that this node places; empty if it does not lead. */
+    /** Returns the progress of the given jobs in this shard; empty if this node does not lead. */
     public List<JobProgress> jobProgress(List<String> jobIds) {
         return node.gossip.progress(jobIds);
     }
 
-    /** The other cells, for messages from them. */
+    /** Returns the connection to the remote cells, which handles their messages. */
     public OtherCells otherCells() {
         return node.otherCells;
     }
 
     // ---- for operators --------------------------------------------------------------------------
 
-    /** Whether users are served as well here as at a peer, as far as this node knows. */
+    /** Returns whether, as far as this node knows, no peer can serve users better. */
     public boolean isHealthy() {
         return node.gossip.isHealthy();
     }
 
-    /** The roles, and which node holds each as far as this node knows. */
+    /** Returns the leased roles, each with its role holder as far as this node knows. */
     public List<LeasedRoles.Role> roles() {
         return node.cloud.leasedRoles.roles();
     }
 
-    /** This node's metrics by name, in a fixed order; their values are read when asked for. */
+    /** Returns this node's metrics by name, in a fixed order; values are evaluated on access. */
     public Map<String, Metric> metrics() {
         MetricCollector collector = new MetricCollector();
         new NodeMetrics(node).addTo(collector);
@@ -198,24 +208,24 @@
         return metrics;
     }
 
-    /** The fencing token that it leads with, 0 if it does not lead. */
+    /** Returns the fencing token of this node's leadership, 0 if it does not lead. */
     public long fencingTokenIfLeading() {
         return leadership.isLeading() ? leadership.fencingToken() : 0;
     }
 
-    /** Whether it leads and has loaded the shard's jobs. */
+    /** Returns whether this node leads and has loaded the shard's jobs. */
     public boolean holdsShard() {
         return node.holdsShard();
     }
 
     // ---- for tests ------------------------------------------------------------------------------
 
-    /** Whether this node may act in that role now, by its own clock. */
+    /** Returns whether this node may act in the role now, according to its own clock. */
     boolean holdsRole(String role) {
         return node.cloud.leasedRoles.holds(role);
     }
 
-    /** Scheduling rounds so far. */
+    /** Returns the number of scheduling rounds since the process started. */
     long schedulingRounds() {
         return node.roundRunner.rounds();
     }
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -12,11 +12,11 @@
 import java.util.List;
 
 /**
- * Sends stop commands straight to workers, as a worker asks for commands only once per heartbeat
- * interval. The number in flight at once is limited.
+ * Sends stop commands directly to workers. With heartbeats alone, a worker would receive commands
+ * only once per heartbeat interval. The number of requests in flight is limited.
  */
 final class DirectCancellations {
-    /** The part of the process's sockets that commands in flight may take: one in ten. */
+    /** At most one in this number of the process's sockets may be used by commands in flight. */
     private static final int SOCKETS_PER_COMMAND = 10;
 
     private final ShardState shard;
@@ -29,7 +29,9 @@
     private int inFlight;
     private long sent;
 
-    /** {@code requestRound} runs when a worker's answer may let tasks be placed. */
+    /**
+     * @param requestRound called when a worker's response may allow tasks to be placed
+     */
     DirectCancellations(
             ShardState shard,
             HeartbeatProcessor heartbeatProcessor,
@@ -47,19 +49,19 @@
         this.requestRound = requestRound;
     }
 
-    /** Workers that were sent commands so far. */
+    /** Returns how many requests with commands were sent to workers since the process started. */
     long sent() {
         return sent;
     }
 
-    /** Sends the stop commands that workers have not been sent yet, as many as may be in flight. */
+    /** Sends the stop commands that were not sent yet, up to the limit of requests in flight. */
     void send() {
         int most = shard.settings().limits().maxSockets() / SOCKETS_PER_COMMAND - inFlight;
         heartbeatProcessor
                 .stopCommands(most, timers.nowSeconds())
                 .forEach(
                         (machine, commands) -> {
-                            // Its worker gets them with the heartbeat's answer that was held.
+                            // A heartbeat response that was held back delivers the commands.
                             boolean isAnswered = heartbeatService.release(machine.id);
                             if (!isAnswered) {
                                 send(machine, commands);
@@ -81,7 +83,9 @@
     }
 
     /**
-     * {@code heartbeat}: the worker's state after the commands, null if it could not be reached.
+     * Handles the response to a command request.
+     *
+     * @param heartbeat the worker's state after the commands, null if it could not be reached
      */
     private void onAnswer(Machine machine, long fencingToken, Heartbeat heartbeat) {
         machine.setCommandInFlight(false);
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -6,14 +6,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long a new leader takes until the shard is served as before, step by step, in seconds since
- * it won the lease: the jobs are read, the first task is launched, half of the workers, then nearly
- * all of them, have reported with the new fencing token. Tasks wait for the first three of them.
+ * Measures the steps of a failover in seconds since the new leader won the lease: the jobs are
+ * read, the first task is launched, half of the workers and then nearly all of them have sent a
+ * heartbeat with the new fencing token. Tasks wait for the first three steps.
  */
 final class FailoverTimings {
     private static final Logger LOG = LoggerFactory.getLogger(FailoverTimings.class);
 
-    /** The share of the machines that were up whose workers' reports end the failover. */
+    /**
+     * The failover is complete once the workers of this share of the running machines have sent a
+     * heartbeat with the new fencing token.
+     */
     private static final double COMPLETE_SHARE = 0.95;
 
     private final ShardState shard;
@@ -29,7 +32,11 @@
         this.shard = shard;
     }
 
-    /** This node begins to lead, having launched so many attempts in earlier terms. */
+    /**
+     * Starts the measurement of a new term of this node as leader.
+     *
+     * @param launchesBefore the number of attempts that this node launched in earlier terms
+     */
     void onLeadershipWon(double nowSeconds, long launchesBefore) {
         this.wonAt = nowSeconds;
         this.launchesBefore = launchesBefore;
@@ -40,14 +47,18 @@
         isComplete = false;
     }
 
-    /** The jobs are known; only the first call in a term counts. */
+    /** Records that the jobs are read; only the first call in a term has an effect. */
     void onJobsRead(double nowSeconds) {
         if (Double.isNaN(secondsToJobsRead)) {
             secondsToJobsRead = nowSeconds - wonAt;
         }
     }
 
-    /** Notes the steps that are done by now; {@code launches}: in all terms of this process. */
+    /**
+     * Records the steps that are complete by now.
+     *
+     * @param launches the number of attempts launched in all terms of this process
+     */
     void update(double nowSeconds, long launches) {
         if (isComplete || Double.isNaN(secondsToJobsRead)) {
             return;
@@ -89,12 +100,15 @@
                         machinesUp));
     }
 
-    /** Seconds from winning the lease until the jobs were read; NaN if this node never led. */
+    /** Returns the seconds from winning the lease until the jobs were read; NaN until then. */
     double secondsToJobsRead() {
         return secondsToJobsRead;
     }
 
-    /** Seconds from winning the lease until nearly all workers had reported; NaN until then. */
+    /**
+     * Returns the seconds from winning the lease until nearly all workers had sent a heartbeat with
+     * the new fencing token; NaN until then.
+     */
     double secondsToMostReported() {
         return secondsToMostReported;
     }
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -16,24 +16,27 @@
 import java.util.function.Consumer;
 
 /**
- * What this node and its peers tell each other, and what follows from it: each second every node
- * announces its own state and the cancellations it learned of.
+ * Exchanges state with the peers and acts on what they announce. Every node announces its own state
+ * and the cancellations known to it once a second.
  */
 final class Gossip implements JobStatusQueries.ProgressSource {
     private static final double INTERVAL_SECONDS = 1;
 
-    /** The store counts as gone once it has not answered for a leader's lease and that long. */
+    /**
+     * The store counts as unreachable if this node has received no response from it for the
+     * duration of a leader's lease plus this time.
+     */
     private static final double STORE_GRACE_SECONDS = 1;
 
-    /** What gossip asks of, and tells, the rest of the node. */
+    /** The other components of the node, as used by gossip. */
     interface Node {
-        /** Whether this node leads and has loaded the shard's jobs. */
+        /** Returns whether this node leads and has loaded the shard's jobs. */
         boolean holdsShard();
 
-        /** The store has the job's final state. */
+        /** Notifies the node that the job's final state is committed. */
         void onJobEnded(JobStatus job);
 
-        /** Something may be placed or stopped. */
+        /** Requests a scheduling round, as tasks may be placed or stopped. */
         void requestRound();
     }
 
@@ -66,14 +69,14 @@
         this.node = node;
     }
 
-    /** Announces this node's state now and then once a second. */
+    /** Announces this node's state at once and then once a second. */
     void start() {
         broadcast();
         membership.logSilenceChanges(leadership.leader());
         timers.schedule(INTERVAL_SECONDS, this::start);
     }
 
-    /** Whether the store answers this node. */
+    /** Returns whether this node receives responses from the store. */
     boolean isServedByStore() {
         return leadership.secondsSinceStoreAnswered()
                 < leadership.leaseSeconds() + STORE_GRACE_SECONDS;
@@ -89,13 +92,13 @@
         peerNodes.sendCancellationDigest(cancellationLog.digest());
     }
 
-    /** This node knows that the job is cancelled, and may tell users so from now on. */
+    /** Records that the job is known to be cancelled; users may be notified from now on. */
     void onCancellationConfirmed(String jobId) {
         cancellationLog.add(jobId);
         markCancelled(jobId);
     }
 
-    /** Digests repeat themselves each second: only news is worth a round. */
+    /** Requests a scheduling round only for new cancellations, as digests repeat every second. */
     private void markCancelled(String jobId) {
         cancellationWatermark.addUnproven(jobId);
         if (shard.finishJob(jobId)) {
@@ -103,19 +106,19 @@
         }
     }
 
-    /** A peer's digest of the cancellations it learned of. */
+    /** Handles a peer's digest of the cancellations known to it. */
     void onCancellationDigest(CancellationDigest digest) {
         digest.jobIds().forEach(this::markCancelled);
         cancellationWatermark.advanceByDigest(digest);
     }
 
-    /** A peer's announcement of its own state; see {@link Controller#onPeerState}. */
+    /** Handles a peer's announcement of its own state; see {@link Controller#onPeerState}. */
     void onPeerState(String peer, long fencingToken, boolean isLeading, boolean isServedByStore) {
         membership.onPeerState(peer, isServedByStore);
         leadership.onFencingTokenSeen(fencingToken, isLeading ? peer : null);
     }
 
-    /** A peer's announcement that the store has the job's final state, which never changes. */
+    /** Handles a peer's announcement that the job's final state is committed. It never changes. */
     void onJobEndedAtPeer(JobStatus job) {
         node.onJobEnded(job);
         if (shard.finishJob(job.jobId())) {
@@ -124,21 +127,21 @@
     }
 
     /**
-     * Whether users are served as well here as at a peer. They are not if the store answers a peer
-     * and not this node, nor if neither store nor peers can be reached, since then it is this node
-     * that is cut off.
+     * Returns whether no peer can serve users better than this node. A peer can if it receives
+     * responses from the store and this node does not. A node that reaches neither the store nor
+     * any peer is unhealthy too, as it is the one that is disconnected.
      */
     boolean isHealthy() {
         return isServedByStore()
                 || !membership.isAnyPeerServedByStore() && !membership.isIsolated();
     }
 
-    /** The progress of the jobs as their leader knows it; empty if this node is not the leader. */
+    /** Returns the progress of the jobs as known to this leader; empty on any other node. */
     List<JobProgress> progress(List<String> jobIds) {
         return node.holdsShard() ? shard.progress(jobIds, timers.nowSeconds()) : List.of();
     }
 
-    // ---- for users' status queries: the leader's view -------------------------------------------
+    // ---- for users' status queries --------------------------------------------------------------
 
     @Override
     public void progress(List<String> jobIds, Consumer<List<JobProgress>> answer) {
--- a/src/main/java/io/kitepath/core/LeaderLoop.java
+++ b/src/main/java/io/kitepath/core/LeaderLoop.java
@@ -5,15 +5,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's periodic work, four times a second for as long as the node leads: a scheduling round
- * if one is due, the other cells, the machines, and a summary for the log once a minute.
+ * Runs the leader's periodic work four times a second while the node leads: a scheduling round if
+ * one is due, the reconciliation with remote cells and with the cloud's machines, and a summary in
+ * the log once a minute.
  */
 final class LeaderLoop {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderLoop.class);
 
     private static final double TICK_SECONDS = 0.25;
 
-    /** A minute. */
+    /** One minute. */
     private static final int SUMMARY_TICKS = 240;
 
     /** Five seconds. */
@@ -27,7 +28,7 @@
         this.node = node;
     }
 
-    /** Called when the node begins to lead; the loop of an earlier term may still be running. */
+    /** Starts the loop for a new term, unless the loop of an earlier term is still running. */
     void start() {
         if (!isRunning) {
             isRunning = true;
--- a/src/main/java/io/kitepath/core/LeadershipTransitions.java
+++ b/src/main/java/io/kitepath/core/LeadershipTransitions.java
@@ -4,13 +4,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a node does when it begins to lead, stops leading, or learns of another leader. */
+/** Handles the start and the end of this node's leadership, and changes of the leader. */
 final class LeadershipTransitions implements Leadership.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipTransitions.class);
 
     private final NodeComponents node;
 
-    /** {@code node} may still be under construction. */
+    /**
+     * @param node the node, which may still be under construction
+     */
     LeadershipTransitions(NodeComponents node) {
         this.node = node;
     }
--- a/src/main/java/io/kitepath/core/NoOtherCells.java
+++ b/src/main/java/io/kitepath/core/NoOtherCells.java
@@ -10,7 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * A cluster of a single cell: users' requests are answered here, and there is nobody to lend to.
+ * Stands for the remote cells in a cluster with a single cell: user requests are handled by this
+ * cell, and no tasks are lent.
  */
 record NoOtherCells(JobApi jobApi) implements OtherCells {
     @Override
@@ -32,7 +33,7 @@
     @Override
     public void onJobEnded(JobStatus job) {}
 
-    /** Not from a cell of this cluster: it gets no answer. */
+    /** Ignores the message without a response, as it is not from a cell of this cluster. */
     @Override
     public void onMessage(CellMessage message, Consumer<CellMessage> answer) {}
 
--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -23,11 +23,11 @@
 import java.util.Random;
 
 /**
- * The parts of one node, and how they are connected. Nothing runs until {@link #start}.
+ * Creates and connects the components of one node. Nothing runs until {@link #start}.
  *
- * <p>The parts refer to each other in circles, so some are given callbacks into this class, which
- * are not called before all of it is built. The order of construction is part of the behaviour:
- * several constructors draw from the same source of random numbers.
+ * <p>The components depend on each other cyclically, so some receive callbacks into this class. The
+ * callbacks are not called before its construction is complete. The order of construction affects
+ * behaviour, as several constructors draw from the same random source.
  */
 final class NodeComponents {
     private final NodeEnvironment environment;
@@ -35,40 +35,42 @@
     final Timers timers;
     private final PeerNodes peerNodes;
 
-    // The shard, and the placing of its tasks.
+    // The shard and the placement of its tasks.
     final LoopTimeAccounting loopTime;
     final ShardState shard;
     final HeartbeatProcessor heartbeatProcessor;
     final FailoverTimings failoverTimings;
     final Scheduler scheduler;
 
-    // Leadership, and what nodes know of each other.
+    // Leadership, membership and gossip.
     final MembershipView membership;
     final Leadership leadership;
     final CancellationWatermark cancellationWatermark;
     final Gossip gossip;
 
-    // Users' jobs and the shard's records.
+    // Users' jobs, remote cells and the stored records of the shard.
     final JobSubmissionService submissions;
     final OtherCells otherCells;
     final StateWriter stateWriter;
 
-    // Machines of the cloud, and the roles that nodes hold apart from leadership.
+    // Cloud machines, and the roles that are leased independently of leadership.
     final CloudComponents cloud;
 
-    // Workers.
+    // Communication with workers, proof of cancellations, and retry delays for users.
     final CancellationProof cancellationProof;
     final HeartbeatService heartbeatService;
     final DirectCancellations directCancellations;
     final RetryAfter retryAfter;
 
-    // Loops of the leader.
+    // The leader's loops.
     final RoundRunner roundRunner;
     final LeaderLoop leaderLoop;
 
     /**
-     * @param settings this cell's part of the settings
-     * @param cellNetwork the other cells, empty if there are none
+     * Creates all components without starting them.
+     *
+     * @param settings the settings for the node's cell
+     * @param cellNetwork the cells of the cluster, empty if there is only one
      */
     NodeComponents(
             ClusterSettings settings,
@@ -170,7 +172,7 @@
     }
 
     private CancellationProof newCancellationProof(CancellationProof.Listener listener) {
-        // Its own source of random numbers: its loop must not shift the draws of the others.
+        // A random source of its own, so that its loop does not change the draws of the others.
         Random random = new Random(settings.node().hashCode());
         return new CancellationProof(
                 environment.store(), timers, random, shard, this::holdsShard, listener);
@@ -198,7 +200,7 @@
                 this::requestRound);
     }
 
-    /** Starts the loops of every node; those of the leader start once it leads. */
+    /** Starts the loops that run on every node; the leader's loops start on winning the lease. */
     void start() {
         leadership.start();
         cloud.reconciler.loadMachineTypes();
@@ -207,34 +209,34 @@
         gossip.start();
     }
 
-    /** Gives up leadership and roles for good, as the node is being stopped. */
+    /** Gives up leadership and roles permanently, for an intended stop of the node. */
     void stop() {
         leadership.stop();
         cloud.leasedRoles.stop();
     }
 
-    /** Whether this node leads and has loaded the shard's jobs. */
+    /** Returns whether this node leads and has loaded the shard's jobs. */
     boolean holdsShard() {
         return leadership.isLeading() && stateWriter.isLoaded();
     }
 
-    /** Whether it {@link #holdsShard} and its lease is certain not to have expired. */
+    /** Returns whether {@link #holdsShard} is true and the lease has certainly not expired. */
     boolean mayActOnShard() {
         return holdsShard() && leadership.isLeaseValid();
     }
 
-    /** Something changed that may let tasks be placed or records be written. */
+    /** Requests a scheduling round after a change that may allow placements or writes. */
     void requestRound() {
         roundRunner.request();
     }
 
-    /** Writes that along with one of the next rounds. */
+    /** Adds a contribution to the write batch of one of the next scheduling rounds. */
     void contributeToNextWrite(StateWriter.BatchContributor contributor) {
         stateWriter.enqueue(contributor);
         requestRound();
     }
 
-    /** The store has it that the job is over: keeps its final state and tells the peers. */
+    /** Keeps the committed final state of a job and announces it to the peers. */
     void announceJobEnded(JobStatus job) {
         submissions.onJobEnded(job);
         peerNodes.announceJobEnd(job);
--- a/src/main/java/io/kitepath/core/NodeEnvironment.java
+++ b/src/main/java/io/kitepath/core/NodeEnvironment.java
@@ -8,15 +8,16 @@
 import java.util.Random;
 
 /**
- * Everything a node is given from outside. All of it is used on the node's event loop only.
+ * The external services, clocks and random source of a node. They are used on the node's event loop
+ * only.
  *
  * @param store the state service
  * @param cloud rents and releases machines
- * @param directCommands sends commands straight to workers
- * @param timers the clocks, and the event loop's timers
+ * @param directCommands sends commands directly to workers
+ * @param timers the clocks and the timers of the event loop
  * @param peerNodes the other nodes of the cluster
- * @param random the source of all jitter and random choice; the order of draws from it is part of a
- *     simulation's determinism
+ * @param random the source of all jitter and random choices; deterministic simulations depend on
+ *     the order of draws from it
  */
 public record NodeEnvironment(
         Store store,
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -6,7 +6,7 @@
 import io.kitepath.core.shard.ShardState;
 import java.util.function.Predicate;
 
-/** The metrics of a node's leadership, shard, workers and store. */
+/** Defines the metrics of a node's leadership, shard, workers and store. */
 final class NodeMetrics {
     private final NodeComponents node;
     private final ShardState shard;
--- a/src/main/java/io/kitepath/core/OtherCells.java
+++ b/src/main/java/io/kitepath/core/OtherCells.java
@@ -10,41 +10,43 @@
 import java.util.function.Consumer;
 
 /**
- * A node's dealings with the other cells. Where the cluster has a single cell, {@link NoOtherCells}
- * stands in, and nothing of {@code core.cell} is loaded. Event loop only.
+ * Connects a node to the remote cells. {@link NoOtherCells} implements it for a cluster with a
+ * single cell, so that no class of {@code core.cell} is loaded there. All methods must be called on
+ * the event loop.
  */
 public interface OtherCells {
-    /** What users may ask of this node, whichever cell the job's home is. */
+    /** Returns the API for users of this node, for jobs of any home cell. */
     JobApi jobApi();
 
-    /** Zones that only other cells have machines in. */
+    /** Returns the zones in which only remote cells have machines. */
     Set<String> zonesOfOtherCells();
 
-    /** Takes what the stored records say about loans; {@link LoanRecords#NONE} if none are kept. */
+    /** Returns the receiver of stored loan records, {@link LoanRecords#NONE} if none are kept. */
     LoanRecords loanRecords();
 
-    /** Starts what every node does, leader or not. */
+    /** Starts the work that every node does, whether or not it leads. */
     void start();
 
     /**
-     * One step of the leader's work; to be called a few times a second while its lease is valid.
+     * Performs one step of the leader's work. The leader calls it several times a second while its
+     * lease is valid.
      */
     void reconcile();
 
-    /** The store has it that this cell's job is over. */
+    /** Handles the end of a job of this cell, whose final state is committed. */
     void onJobEnded(JobStatus job);
 
     /**
-     * Handles a message from another cell.
+     * Handles a message from a remote cell.
      *
-     * @param answer called once with the answer, null if there is none for now; never called where
-     *     there are no other cells
+     * @param answer called once with the response, null if there is none for now; never called if
+     *     the cluster has a single cell
      */
     void onMessage(CellMessage message, Consumer<CellMessage> answer);
 
-    /** While draining, the cell takes no more loans and returns those that have not started. */
+    /** While draining, the cell accepts no loans and returns those that have not started. */
     void setDraining(boolean isDraining);
 
-    /** Adds its metrics by name. */
+    /** Adds the metrics of this connection to the map, by name. */
     void addMetrics(Map<String, Metric> metrics);
 }
--- a/src/main/java/io/kitepath/core/RoleMetrics.java
+++ b/src/main/java/io/kitepath/core/RoleMetrics.java
@@ -4,7 +4,7 @@
 import io.kitepath.core.role.LeasedRoles;
 import java.util.Locale;
 
-/** The metrics of a node's roles, of its last failover, and of its event loop's time. */
+/** Defines the metrics of a node's roles, its last failover, and the time of its event loop. */
 final class RoleMetrics {
     private final NodeComponents node;
 
--- a/src/main/java/io/kitepath/core/RoundRunner.java
+++ b/src/main/java/io/kitepath/core/RoundRunner.java
@@ -3,20 +3,22 @@
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
 
 /**
- * Runs scheduling rounds: place waiting tasks, write what changed, send commands to workers. Rounds
- * run on request, at most one is pending, and between two of them there is a pause.
+ * Runs scheduling rounds. A round places waiting tasks, writes the changed records and sends
+ * commands to workers. Rounds run on request. At most one request is pending, and there is a pause
+ * between two rounds.
  */
 final class RoundRunner {
-    /** A change waits at least that long, so that several of a burst share a round. */
+    /** The minimum delay after a request, so that the changes of a burst share a round. */
     private static final double MIN_DELAY_SECONDS = 0.02;
 
     /**
-     * The pause after a round, in lengths of that round: rounds take at most a fifth of the event
-     * loop's time, as heartbeats, users and the renewal of the lease need the rest.
+     * The pause after a round, as a multiple of the round's duration. Rounds thus take at most a
+     * fifth of the event loop's time; the rest is needed for heartbeats, user requests and the
+     * renewal of the lease.
      */
     private static final int PAUSE_PER_ROUND = 4;
 
-    /** Most tasks that a round places, in full transactions of the store. */
+    /** The maximum number of tasks placed in a round, in full transactions of the store. */
     private static final int MAX_TRANSACTIONS_PLACED = 20;
 
     private final NodeComponents node;
@@ -30,17 +32,17 @@
         this.node = node;
     }
 
-    /** Rounds run so far. */
+    /** Returns the number of rounds since the process started. */
     long rounds() {
         return rounds;
     }
 
-    /** Seconds that all rounds took together. */
+    /** Returns the total duration of all rounds in seconds. */
     double totalSeconds() {
         return totalSeconds;
     }
 
-    /** Has a round run soon, unless one is pending already. */
+    /** Schedules a round, unless one is already pending. */
     void request() {
         if (!isRequested) {
             isRequested = true;
@@ -54,7 +56,7 @@
         }
     }
 
-    /** Runs a round now if the pause since the last one is over. */
+    /** Runs a round now if the pause after the last one is over. */
     void runIfDue() {
         if (node.timers.nowSeconds() >= earliestNextAt()) {
             run();
@@ -90,7 +92,7 @@
         totalSeconds += lastSeconds;
     }
 
-    /** What was written may be launched, and what waited for the write may be placed. */
+    /** Launches the written attempts, and requests a round for tasks that waited for the write. */
     private void onWritten() {
         node.heartbeatService.onWritten();
         request();
--- a/src/main/java/io/kitepath/core/ShardEvents.java
+++ b/src/main/java/io/kitepath/core/ShardEvents.java
@@ -10,13 +10,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the leader does about news that it reads in the shard's records, or is told on writing. */
+/** Handles events that the leader detects when it reads or writes the shard's records. */
 final class ShardEvents implements StateWriter.Listener, CancellationProof.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(ShardEvents.class);
 
     private final NodeComponents node;
 
-    /** {@code node} may still be under construction. */
+    /**
+     * @param node the node, which may still be under construction
+     */
     ShardEvents(NodeComponents node) {
         this.node = node;
     }
@@ -29,7 +31,7 @@
 
     @Override
     public void shardLost() {
-        node.leadership.stepDown("the shard record is no longer ours");
+        node.leadership.stepDown("the shard record was changed or removed by another node");
     }
 
     @Override
@@ -53,7 +55,7 @@
         return node.cancellationWatermark.unprovenCancellations();
     }
 
-    /** Reads everything again, under the same fencing token. */
+    /** Reads all records of the shard again, under the same fencing token. */
     @Override
     public void reloadRequired(String why) {
         LOG.warn("reloading the shard: reason=\"{}\"", why);
--- a/src/main/java/io/kitepath/core/ShardSummary.java
+++ b/src/main/java/io/kitepath/core/ShardSummary.java
@@ -10,14 +10,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One line for the log that sums up the shard. */
+/** Formats a one-line summary of the shard for the log. */
 final class ShardSummary {
     private ShardSummary() {}
 
     /**
-     * Jobs, waiting and placed tasks by class; of each class the jobs done in time, decided and
-     * submitted; machines; then evictions (all, for guarantees, for gangs), losses and launches
-     * since the process started, with the mean seconds from a placing to its launch.
+     * Returns the summary: jobs, waiting tasks and placed tasks by class; for each class the jobs
+     * done in time, the jobs decided (done in time or missed) and the jobs submitted; machines;
+     * then evictions (all, for guarantees, for gangs), lost attempts and launched attempts since
+     * the process started, with the mean delay in seconds from the placement to the launch command.
      */
     static String of(ShardState shard, HeartbeatProcessor heartbeatProcessor, Scheduler scheduler) {
         StringBuilder text = new StringBuilder("shard:");
--- a/src/main/java/io/kitepath/core/package-info.java
+++ b/src/main/java/io/kitepath/core/package-info.java
@@ -1,11 +1,12 @@
 /**
- * One controller node without its sockets. {@link io.kitepath.core.Controller} is what users,
- * workers, peers and operators see of it; {@code NodeComponents} connects the parts from the
- * packages below; {@code LeaderLoop} and {@code RoundRunner} are the leader's work; {@code
- * LeadershipTransitions} and {@code ShardEvents} react to elections and to the stored records.
+ * One controller node without network access. {@link io.kitepath.core.Controller} is its interface
+ * for users, workers, peers and operators. {@code NodeComponents} connects the components from the
+ * subpackages. {@code LeaderLoop} and {@code RoundRunner} do the leader's work. {@code
+ * LeadershipTransitions} and {@code ShardEvents} handle elections and changes of the stored
+ * records.
  *
- * <p>This package knows all packages below it and none of them knows it. Everything runs on one
- * event loop, takes time and random numbers from outside, and touches no file, socket or clock of
- * its own.
+ * <p>This package depends on all its subpackages, and none of them depends on it. All code runs on
+ * one event loop, receives time and random numbers from its environment, and accesses no file,
+ * socket or clock directly.
  */
 package io.kitepath.core;
