--- a/src/main/java/io/kitepath/core/ConnectedCells.java
+++ b/src/main/java/io/kitepath/core/ConnectedCells.java
@@ -37,7 +37,7 @@
                                 network.remoteCells(),
                                 random),
                         node.submissions,
-                        new NodeOfCell(node));
+                        new CellServiceNode(node));
     }
 
     @Override
@@ -71,8 +71,8 @@
     }
 
     @Override
-    public void onMessage(CellMessage message, Consumer<CellMessage> answer) {
-        cellService.onMessage(message, answer);
+    public void onMessage(CellMessage message, Consumer<CellMessage> onResponse) {
+        cellService.onMessage(message, onResponse);
     }
 
     @Override
@@ -86,7 +86,7 @@
     }
 
     /** Gives the cell service access to its node. */
-    private record NodeOfCell(NodeComponents node) implements CellService.Node {
+    private record CellServiceNode(NodeComponents node) implements CellService.Node {
         @Override
         public boolean holdsShard() {
             return node.mayActOnShard();
--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -135,9 +135,9 @@
 
     // ---- for workers ----------------------------------------------------------------------------
 
-    /** Handles a worker's heartbeat; {@code answer} is called once, possibly later. */
-    public void onHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-        node.heartbeatService.receive(heartbeat, answer);
+    /** Handles a worker's heartbeat; {@code onResponse} is called once, possibly later. */
+    public void onHeartbeat(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
+        node.heartbeatService.receive(heartbeat, onResponse);
     }
 
     // ---- for peers ------------------------------------------------------------------------------
@@ -145,12 +145,12 @@
     /**
      * Handles a heartbeat that was relayed by a peer.
      *
-     * @param passOn whether this node may relay the heartbeat further, to the leader
-     * @param answer called once with the response, possibly later
+     * @param mayRelay whether this node may relay the heartbeat further, to the leader
+     * @param onResponse called once with the response, possibly later
      */
     public void onRelayedHeartbeat(
-            Heartbeat heartbeat, boolean passOn, Consumer<HeartbeatResponse> answer) {
-        node.heartbeatService.answerForPeer(heartbeat, passOn, answer);
+            Heartbeat heartbeat, boolean mayRelay, Consumer<HeartbeatResponse> onResponse) {
+        node.heartbeatService.answerForPeer(heartbeat, mayRelay, onResponse);
     }
 
     /**
@@ -227,6 +227,6 @@
 
     /** Returns the number of scheduling rounds since the process started. */
     long schedulingRounds() {
-        return node.roundRunner.rounds();
+        return node.roundRunner.roundCount();
     }
 }
--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectCancellations.java
@@ -16,8 +16,8 @@
  * only once per heartbeat interval. The number of requests in flight is limited.
  */
 final class DirectCancellations {
-    /** At most one in this number of the process's sockets may be used by commands in flight. */
-    private static final int SOCKETS_PER_COMMAND = 10;
+    /** Requests in flight may use at most one in ten of the process's sockets. */
+    private static final int SOCKETS_PER_REQUEST = 10;
 
     private final ShardState shard;
     private final HeartbeatProcessor heartbeatProcessor;
@@ -26,8 +26,8 @@
     private final DirectCommands directCommands;
     private final Timers timers;
     private final Runnable requestRound;
-    private int inFlight;
-    private long sent;
+    private int requestsInFlight;
+    private long sentRequests;
 
     /**
      * @param requestRound called when a worker's response may allow tasks to be placed
@@ -50,20 +50,21 @@
     }
 
     /** Returns how many requests with commands were sent to workers since the process started. */
-    long sent() {
-        return sent;
+    long sentRequests() {
+        return sentRequests;
     }
 
     /** Sends the stop commands that were not sent yet, up to the limit of requests in flight. */
     void send() {
-        int most = shard.settings().limits().maxSockets() / SOCKETS_PER_COMMAND - inFlight;
+        int maxRequests =
+                shard.settings().limits().maxSockets() / SOCKETS_PER_REQUEST - requestsInFlight;
         heartbeatProcessor
-                .stopCommands(most, timers.nowSeconds())
+                .stopCommands(maxRequests, timers.nowSeconds())
                 .forEach(
                         (machine, commands) -> {
                             // A heartbeat response that was held back delivers the commands.
-                            boolean isAnswered = heartbeatService.release(machine.id);
-                            if (!isAnswered) {
+                            boolean isDelivered = heartbeatService.release(machine.id);
+                            if (!isDelivered) {
                                 send(machine, commands);
                             }
                         });
@@ -72,14 +73,14 @@
     private void send(Machine machine, List<WorkerCommand> commands) {
         long fencingToken = shard.fencingToken();
         machine.setCommandInFlight(true);
-        inFlight++;
-        sent++;
+        requestsInFlight++;
+        sentRequests++;
         directCommands.send(
                 machine.address(),
                 fencingToken,
                 machine.agentIncarnation(),
                 commands,
-                heartbeat -> onAnswer(machine, fencingToken, heartbeat));
+                heartbeat -> onResponse(machine, fencingToken, heartbeat));
     }
 
     /**
@@ -87,9 +88,9 @@
      *
      * @param heartbeat the worker's state after the commands, null if it could not be reached
      */
-    private void onAnswer(Machine machine, long fencingToken, Heartbeat heartbeat) {
+    private void onResponse(Machine machine, long fencingToken, Heartbeat heartbeat) {
         machine.setCommandInFlight(false);
-        inFlight--;
+        requestsInFlight--;
         if (heartbeat != null && leadership.isLeading() && shard.fencingToken() == fencingToken) {
             heartbeatProcessor.processCommandAnswer(machine, heartbeat, timers.nowSeconds());
             requestRound.run();
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -17,11 +17,11 @@
      * The failover is complete once the workers of this share of the running machines have sent a
      * heartbeat with the new fencing token.
      */
-    private static final double COMPLETE_SHARE = 0.95;
+    private static final double COMPLETE_MACHINE_SHARE = 0.95;
 
     private final ShardState shard;
-    private double wonAt;
-    private long launchesBefore;
+    private double leaseWonAtSeconds;
+    private long launchesInEarlierTerms;
     private double secondsToJobsRead = Double.NaN;
     private double secondsToFirstLaunch = Double.NaN;
     private double secondsToHalfReported = Double.NaN;
@@ -35,11 +35,11 @@
     /**
      * Starts the measurement of a new term of this node as leader.
      *
-     * @param launchesBefore the number of attempts that this node launched in earlier terms
+     * @param launchesInEarlierTerms the number of attempts that this node launched in earlier terms
      */
-    void onLeadershipWon(double nowSeconds, long launchesBefore) {
-        this.wonAt = nowSeconds;
-        this.launchesBefore = launchesBefore;
+    void onLeadershipWon(double nowSeconds, long launchesInEarlierTerms) {
+        this.leaseWonAtSeconds = nowSeconds;
+        this.launchesInEarlierTerms = launchesInEarlierTerms;
         secondsToJobsRead = Double.NaN;
         secondsToFirstLaunch = Double.NaN;
         secondsToHalfReported = Double.NaN;
@@ -50,43 +50,45 @@
     /** Records that the jobs are read; only the first call in a term has an effect. */
     void onJobsRead(double nowSeconds) {
         if (Double.isNaN(secondsToJobsRead)) {
-            secondsToJobsRead = nowSeconds - wonAt;
+            secondsToJobsRead = nowSeconds - leaseWonAtSeconds;
         }
     }
 
     /**
      * Records the steps that are complete by now.
      *
-     * @param launches the number of attempts launched in all terms of this process
+     * @param totalLaunches the number of attempts launched in all terms of this process
      */
-    void update(double nowSeconds, long launches) {
+    void update(double nowSeconds, long totalLaunches) {
         if (isComplete || Double.isNaN(secondsToJobsRead)) {
             return;
         }
-        if (Double.isNaN(secondsToFirstLaunch) && launches > launchesBefore) {
-            secondsToFirstLaunch = nowSeconds - wonAt;
+        if (Double.isNaN(secondsToFirstLaunch) && totalLaunches > launchesInEarlierTerms) {
+            secondsToFirstLaunch = nowSeconds - leaseWonAtSeconds;
         }
-        int up = 0;
-        int confirmed = 0;
+        int runningMachines = 0;
+        int confirmedMachines = 0;
         for (Machine machine : shard.machines().values()) {
-            up += isUp(machine) ? 1 : 0;
-            confirmed += machine.isTokenConfirmed() ? 1 : 0;
+            runningMachines += isRunning(machine) ? 1 : 0;
+            confirmedMachines += machine.isTokenConfirmed() ? 1 : 0;
         }
-        if (Double.isNaN(secondsToHalfReported) && up > 0 && 2 * confirmed >= up) {
-            secondsToHalfReported = nowSeconds - wonAt;
+        if (Double.isNaN(secondsToHalfReported)
+                && runningMachines > 0
+                && 2 * confirmedMachines >= runningMachines) {
+            secondsToHalfReported = nowSeconds - leaseWonAtSeconds;
         }
-        if (up > 0 && confirmed >= COMPLETE_SHARE * up) {
-            secondsToMostReported = nowSeconds - wonAt;
+        if (runningMachines > 0 && confirmedMachines >= COMPLETE_MACHINE_SHARE * runningMachines) {
+            secondsToMostReported = nowSeconds - leaseWonAtSeconds;
             isComplete = true;
-            logCompletion(up);
+            logCompletion(runningMachines);
         }
     }
 
-    private static boolean isUp(Machine machine) {
+    private static boolean isRunning(Machine machine) {
         return machine.isTokenConfirmed() || machine.hasReported() || !machine.attempts().isEmpty();
     }
 
-    private void logCompletion(int machinesUp) {
+    private void logCompletion(int runningMachines) {
         LOG.info(
                 String.format(
                         "failover complete: jobsReadSeconds=%.2f firstLaunchSeconds=%.2f"
@@ -96,8 +98,8 @@
                         secondsToFirstLaunch,
                         secondsToHalfReported,
                         secondsToMostReported,
-                        COMPLETE_SHARE,
-                        machinesUp));
+                        COMPLETE_MACHINE_SHARE,
+                        runningMachines));
     }
 
     /** Returns the seconds from winning the lease until the jobs were read; NaN until then. */
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -95,11 +95,11 @@
     /** Records that the job is known to be cancelled; users may be notified from now on. */
     void onCancellationConfirmed(String jobId) {
         cancellationLog.add(jobId);
-        markCancelled(jobId);
+        finishCancelledJob(jobId);
     }
 
     /** Requests a scheduling round only for new cancellations, as digests repeat every second. */
-    private void markCancelled(String jobId) {
+    private void finishCancelledJob(String jobId) {
         cancellationWatermark.addUnproven(jobId);
         if (shard.finishJob(jobId)) {
             node.requestRound();
@@ -108,7 +108,7 @@
 
     /** Handles a peer's digest of the cancellations known to it. */
     void onCancellationDigest(CancellationDigest digest) {
-        digest.jobIds().forEach(this::markCancelled);
+        digest.jobIds().forEach(this::finishCancelledJob);
         cancellationWatermark.advanceByDigest(digest);
     }
 
@@ -144,16 +144,16 @@
     // ---- for users' status queries --------------------------------------------------------------
 
     @Override
-    public void progress(List<String> jobIds, Consumer<List<JobProgress>> answer) {
+    public void progress(List<String> jobIds, Consumer<List<JobProgress>> onResponse) {
         String leader = leadership.leader();
         if (leadership.isLeading()) {
-            answer.accept(progress(jobIds));
+            onResponse.accept(progress(jobIds));
         } else if (leader == null
                 || leader.equals(settings.node())
                 || membership.isSilent(leader)) {
-            answer.accept(List.of());
+            onResponse.accept(List.of());
         } else {
-            peerNodes.requestProgress(leader, jobIds, answer);
+            peerNodes.requestProgress(leader, jobIds, onResponse);
         }
     }
 
--- a/src/main/java/io/kitepath/core/LeaderLoop.java
+++ b/src/main/java/io/kitepath/core/LeaderLoop.java
@@ -15,10 +15,10 @@
     private static final double TICK_SECONDS = 0.25;
 
     /** One minute. */
-    private static final int SUMMARY_TICKS = 240;
+    private static final int SUMMARY_INTERVAL_TICKS = 240;
 
     /** Five seconds. */
-    private static final int DEBUG_SUMMARY_TICKS = 20;
+    private static final int DEBUG_SUMMARY_INTERVAL_TICKS = 20;
 
     private final NodeComponents node;
     private boolean isRunning;
@@ -50,27 +50,27 @@
         if (node.mayActOnShard()) {
             node.otherCells.reconcile();
         }
-        double began = node.timers.nowSeconds();
+        double startedAtSeconds = node.timers.nowSeconds();
         node.cloud.reconciler.reconcile(node.mayActOnShard());
-        node.loopTime.record(Activity.PLANNING, began);
+        node.loopTime.record(Activity.PLANNING, startedAtSeconds);
         ticks++;
         logSummaries();
         node.timers.schedule(TICK_SECONDS, this::tick);
     }
 
     private void logSummaries() {
-        if (ticks % SUMMARY_TICKS == 0) {
+        if (ticks % SUMMARY_INTERVAL_TICKS == 0) {
             LOG.info(node.shard.serviceLevels().summary());
         }
-        if (ticks % SUMMARY_TICKS == 0
-                || LOG.isDebugEnabled() && ticks % DEBUG_SUMMARY_TICKS == 0) {
+        if (ticks % SUMMARY_INTERVAL_TICKS == 0
+                || LOG.isDebugEnabled() && ticks % DEBUG_SUMMARY_INTERVAL_TICKS == 0) {
             LOG.info(
                     "{} rounds={} writes={} heartbeats={} busySeconds={}{}",
                     ShardSummary.of(node.shard, node.heartbeatProcessor, node.scheduler),
                     node.stateWriter.transactionsSent(),
                     node.stateWriter.recordsSent(),
                     node.heartbeatService.receivedCount(),
-                    String.format("%.1f", node.roundRunner.totalSeconds()),
+                    String.format("%.1f", node.roundRunner.totalRoundSeconds()),
                     node.loopTime);
         }
     }
--- a/src/main/java/io/kitepath/core/LeadershipTransitions.java
+++ b/src/main/java/io/kitepath/core/LeadershipTransitions.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void onLeadershipLost(String why) {
+    public void onLeadershipLost(String reason) {
         LOG.info(node.shard.serviceLevels().summary());
         node.stateWriter.stop();
         node.cancellationProof.stop();
--- a/src/main/java/io/kitepath/core/NoOtherCells.java
+++ b/src/main/java/io/kitepath/core/NoOtherCells.java
@@ -35,7 +35,7 @@
 
     /** Ignores the message without a response, as it is not from a cell of this cluster. */
     @Override
-    public void onMessage(CellMessage message, Consumer<CellMessage> answer) {}
+    public void onMessage(CellMessage message, Consumer<CellMessage> onResponse) {}
 
     @Override
     public void setDraining(boolean isDraining) {}
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -78,7 +78,7 @@
         metrics.gauge(
                 "jobs.mistaken",
                 "jobs that fail on every machine",
-                () -> countJobs(this::isAtFault));
+                () -> countJobs(this::isJobAtFault));
         metrics.gauge(
                 "jobs.held",
                 "jobs that wait for others",
@@ -165,7 +165,7 @@
         metrics.counter(
                 "direct.commands",
                 "machines told directly to stop tasks",
-                node.directCancellations::sent);
+                node.directCancellations::sentRequests);
         metrics.counter(
                 "probes", "machines probed", () -> node.scheduler.probePlacement().probeCount());
         metrics.counter(
@@ -183,7 +183,7 @@
         metrics.counter(
                 "rounds.time",
                 "seconds spent in placing and writing down",
-                node.roundRunner::totalSeconds);
+                node.roundRunner::totalRoundSeconds);
     }
 
     private void addWrites(MetricCollector metrics) {
@@ -195,7 +195,7 @@
                 node.stateWriter::transactionsSent);
     }
 
-    private boolean isAtFault(Job job) {
+    private boolean isJobAtFault(Job job) {
         return shard.failureDiagnosis().isJobAtFault(job, node.timers.nowSeconds());
     }
 
--- a/src/main/java/io/kitepath/core/OtherCells.java
+++ b/src/main/java/io/kitepath/core/OtherCells.java
@@ -39,10 +39,10 @@
     /**
      * Handles a message from a remote cell.
      *
-     * @param answer called once with the response, null if there is none for now; never called if
-     *     the cluster has a single cell
+     * @param onResponse called once with the response, null if there is none for now; never called
+     *     if the cluster has a single cell
      */
-    void onMessage(CellMessage message, Consumer<CellMessage> answer);
+    void onMessage(CellMessage message, Consumer<CellMessage> onResponse);
 
     /** While draining, the cell accepts no loans and returns those that have not started. */
     void setDraining(boolean isDraining);
--- a/src/main/java/io/kitepath/core/RoundRunner.java
+++ b/src/main/java/io/kitepath/core/RoundRunner.java
@@ -16,41 +16,44 @@
      * fifth of the event loop's time; the rest is needed for heartbeats, user requests and the
      * renewal of the lease.
      */
-    private static final int PAUSE_PER_ROUND = 4;
+    private static final int PAUSE_IN_ROUND_DURATIONS = 4;
 
     /** The maximum number of tasks placed in a round, in full transactions of the store. */
-    private static final int MAX_TRANSACTIONS_PLACED = 20;
+    private static final int MAX_PLACEMENT_TRANSACTIONS = 20;
 
     private final NodeComponents node;
-    private boolean isRequested;
-    private long rounds;
-    private double totalSeconds;
-    private double lastSeconds;
-    private double lastEndedAt;
+    private boolean isRoundPending;
+    private long roundCount;
+    private double totalRoundSeconds;
+    private double lastRoundSeconds;
+    private double lastRoundEndedAtSeconds;
 
     RoundRunner(NodeComponents node) {
         this.node = node;
     }
 
     /** Returns the number of rounds since the process started. */
-    long rounds() {
-        return rounds;
+    long roundCount() {
+        return roundCount;
     }
 
     /** Returns the total duration of all rounds in seconds. */
-    double totalSeconds() {
-        return totalSeconds;
+    double totalRoundSeconds() {
+        return totalRoundSeconds;
     }
 
     /** Schedules a round, unless one is already pending. */
     void request() {
-        if (!isRequested) {
-            isRequested = true;
-            double delay = Math.max(MIN_DELAY_SECONDS, earliestNextAt() - node.timers.nowSeconds());
+        if (!isRoundPending) {
+            isRoundPending = true;
+            double delay =
+                    Math.max(
+                            MIN_DELAY_SECONDS,
+                            earliestNextRoundAtSeconds() - node.timers.nowSeconds());
             node.timers.schedule(
                     delay,
                     () -> {
-                        isRequested = false;
+                        isRoundPending = false;
                         run();
                     });
         }
@@ -58,13 +61,13 @@
 
     /** Runs a round now if the pause after the last one is over. */
     void runIfDue() {
-        if (node.timers.nowSeconds() >= earliestNextAt()) {
+        if (node.timers.nowSeconds() >= earliestNextRoundAtSeconds()) {
             run();
         }
     }
 
-    private double earliestNextAt() {
-        return lastEndedAt + PAUSE_PER_ROUND * lastSeconds;
+    private double earliestNextRoundAtSeconds() {
+        return lastRoundEndedAtSeconds + PAUSE_IN_ROUND_DURATIONS * lastRoundSeconds;
     }
 
     private void run() {
@@ -74,22 +77,22 @@
                 || !node.leadership.isLeaseValid()) {
             return;
         }
-        rounds++;
-        double began = node.timers.nowSeconds();
+        roundCount++;
+        double startedAtSeconds = node.timers.nowSeconds();
         node.scheduler.placeWaitingTasks(
-                began,
+                startedAtSeconds,
                 node.timers.wallClockMillis(),
-                MAX_TRANSACTIONS_PLACED * node.settings.store().maxTransactionOperations());
-        double placedAt = node.timers.nowSeconds();
-        node.loopTime.record(Activity.PLACING, began);
+                MAX_PLACEMENT_TRANSACTIONS * node.settings.store().maxTransactionOperations());
+        double placedAtSeconds = node.timers.nowSeconds();
+        node.loopTime.record(Activity.PLACING, startedAtSeconds);
         node.stateWriter.write(this::onWritten);
-        double wroteAt = node.timers.nowSeconds();
-        node.loopTime.record(Activity.WRITING, placedAt);
+        double writtenAtSeconds = node.timers.nowSeconds();
+        node.loopTime.record(Activity.WRITING, placedAtSeconds);
         node.directCancellations.send();
-        node.loopTime.record(Activity.STOPPING, wroteAt);
-        lastEndedAt = node.timers.nowSeconds();
-        lastSeconds = lastEndedAt - began;
-        totalSeconds += lastSeconds;
+        node.loopTime.record(Activity.STOPPING, writtenAtSeconds);
+        lastRoundEndedAtSeconds = node.timers.nowSeconds();
+        lastRoundSeconds = lastRoundEndedAtSeconds - startedAtSeconds;
+        totalRoundSeconds += lastRoundSeconds;
     }
 
     /** Launches the written attempts, and requests a round for tasks that waited for the write. */
--- a/src/main/java/io/kitepath/core/ShardEvents.java
+++ b/src/main/java/io/kitepath/core/ShardEvents.java
@@ -57,8 +57,8 @@
 
     /** Reads all records of the shard again, under the same fencing token. */
     @Override
-    public void reloadRequired(String why) {
-        LOG.warn("reloading the shard: reason=\"{}\"", why);
+    public void reloadRequired(String reason) {
+        LOG.warn("reloading the shard: reason=\"{}\"", reason);
         if (node.leadership.isLeading()) {
             node.stateWriter.start(
                     Leadership.SHARD_KEY, node.stateWriter.shardRevision(), node::requestRound);
@@ -72,7 +72,7 @@
     }
 
     @Override
-    public void cancellationsKnownAsOf(double atMillis) {
-        node.cancellationWatermark.advanceByStore(atMillis);
+    public void cancellationsKnownAsOf(double asOfMillis) {
+        node.cancellationWatermark.advanceByStore(asOfMillis);
     }
 }
--- a/src/main/java/io/kitepath/core/ShardSummary.java
+++ b/src/main/java/io/kitepath/core/ShardSummary.java
@@ -26,7 +26,7 @@
         appendServiceLevels(text, shard);
         appendMachines(text, shard);
         Preemption preemption = scheduler.preemption();
-        long launches = heartbeatProcessor.launchCount();
+        long launchedAttempts = heartbeatProcessor.launchCount();
         return text.append(" evicted=")
                 .append(preemption.evictions())
                 .append('/')
@@ -36,12 +36,13 @@
                 .append(" lost=")
                 .append(shard.attemptsLost())
                 .append(" launched=")
-                .append(launches)
+                .append(launchedAttempts)
                 .append(" launchDelaySeconds=")
                 .append(
                         String.format(
                                 "%.2f",
-                                heartbeatProcessor.launchDelaySeconds() / Math.max(1, launches)))
+                                heartbeatProcessor.launchDelaySeconds()
+                                        / Math.max(1, launchedAttempts)))
                 .toString();
     }
 
@@ -88,32 +89,32 @@
     }
 
     private static void appendMachines(StringBuilder text, ShardState shard) {
-        int spot = 0;
-        int unconfirmed = 0;
-        int quarantined = 0;
-        int idle = 0;
-        int reserved = 0;
+        int spotMachines = 0;
+        int unconfirmedMachines = 0;
+        int quarantinedMachines = 0;
+        int idleMachines = 0;
+        int reservedMachines = 0;
         double usedCpus = 0;
         for (Machine machine : shard.machines().values()) {
-            spot += machine.isSpot() ? 1 : 0;
-            unconfirmed += machine.isTokenConfirmed() ? 0 : 1;
-            quarantined += machine.isQuarantined() ? 1 : 0;
-            idle += machine.isBusy() ? 0 : 1;
-            reserved += machine.reservedFor() != null ? 1 : 0;
+            spotMachines += machine.isSpot() ? 1 : 0;
+            unconfirmedMachines += machine.isTokenConfirmed() ? 0 : 1;
+            quarantinedMachines += machine.isQuarantined() ? 1 : 0;
+            idleMachines += machine.isBusy() ? 0 : 1;
+            reservedMachines += machine.reservedFor() != null ? 1 : 0;
             usedCpus += machine.usedCpus();
         }
         text.append(" machines ordinary=")
-                .append(shard.machines().size() - spot)
+                .append(shard.machines().size() - spotMachines)
                 .append(" spot=")
-                .append(spot)
+                .append(spotMachines)
                 .append(" tokenUnconfirmed=")
-                .append(unconfirmed)
+                .append(unconfirmedMachines)
                 .append(" quarantined=")
-                .append(quarantined)
+                .append(quarantinedMachines)
                 .append(" idle=")
-                .append(idle)
+                .append(idleMachines)
                 .append(" reserved=")
-                .append(reserved)
+                .append(reservedMachines)
                 .append(" cpus=")
                 .append(Math.round(usedCpus));
     }
