--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectStopCommands.java
@@ -15,7 +15,7 @@
  * Sends stop commands directly to workers. With heartbeats alone, a worker would receive commands
  * only once per heartbeat interval. The number of requests in flight is limited.
  */
-final class DirectCancellations {
+final class DirectStopCommands {
     /** Requests in flight may use at most one in ten of the process's sockets. */
     private static final int SOCKETS_PER_REQUEST = 10;
 
@@ -32,7 +32,7 @@
     /**
      * @param requestRound called when a worker's response may allow tasks to be placed
      */
-    DirectCancellations(
+    DirectStopCommands(
             ShardState shard,
             HeartbeatProcessor heartbeatProcessor,
             HeartbeatService heartbeatService,
--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -59,7 +59,7 @@
     // Communication with workers, proof of cancellations, and retry delays for users.
     final CancellationProof cancellationProof;
     final HeartbeatService heartbeatService;
-    final DirectCancellations directCancellations;
+    final DirectStopCommands directStopCommands;
     final RetryAfter retryAfter;
 
     // The leader's loops.
@@ -104,7 +104,7 @@
 
         this.cancellationProof = newCancellationProof(shardEvents);
         this.heartbeatService = newHeartbeatService();
-        this.directCancellations = newDirectCancellations();
+        this.directStopCommands = newDirectStopCommands();
         this.retryAfter = new RetryAfter(settings, timers);
 
         this.roundRunner = new RoundRunner(this);
@@ -189,8 +189,8 @@
                 this::requestRound);
     }
 
-    private DirectCancellations newDirectCancellations() {
-        return new DirectCancellations(
+    private DirectStopCommands newDirectStopCommands() {
+        return new DirectStopCommands(
                 shard,
                 heartbeatProcessor,
                 heartbeatService,
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -165,7 +165,7 @@
         metrics.counter(
                 "direct.commands",
                 "machines told directly to stop tasks",
-                node.directCancellations::sentRequests);
+                node.directStopCommands::sentRequests);
         metrics.counter(
                 "probes", "machines probed", () -> node.scheduler.probePlacement().probeCount());
         metrics.counter(
--- a/src/main/java/io/kitepath/core/RoundRunner.java
+++ b/src/main/java/io/kitepath/core/RoundRunner.java
@@ -88,7 +88,7 @@
         node.stateWriter.write(this::onWritten);
         double writtenAtSeconds = node.timers.nowSeconds();
         node.loopTime.record(Activity.WRITING, placedAtSeconds);
-        node.directCancellations.send();
+        node.directStopCommands.send();
         node.loopTime.record(Activity.STOPPING, writtenAtSeconds);
         lastRoundEndedAtSeconds = node.timers.nowSeconds();
         lastRoundSeconds = lastRoundEndedAtSeconds - startedAtSeconds;
