--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -214,8 +214,8 @@
     }
 
     /** Returns whether this node leads and has loaded the shard's jobs. */
-    public boolean holdsShard() {
-        return node.holdsShard();
+    public boolean isServingShard() {
+        return node.isServingShard();
     }
 
     // ---- for tests ------------------------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -31,7 +31,7 @@
     /** The other components of the node, as used by gossip. */
     interface Node {
         /** Returns whether this node leads and has loaded the shard's jobs. */
-        boolean holdsShard();
+        boolean isServingShard();
 
         /** Notifies the node that the job's final state is committed. */
         void onJobEnded(JobStatus job);
@@ -138,7 +138,7 @@
 
     /** Returns the progress of the jobs as known to this leader; empty on any other node. */
     List<JobProgress> progress(List<String> jobIds) {
-        return node.holdsShard() ? shard.progress(jobIds, timers.nowSeconds()) : List.of();
+        return node.isServingShard() ? shard.progress(jobIds, timers.nowSeconds()) : List.of();
     }
 
     // ---- for users' status queries --------------------------------------------------------------
--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -133,8 +133,8 @@
                 cancellationWatermark,
                 new Gossip.Node() {
                     @Override
-                    public boolean holdsShard() {
-                        return NodeComponents.this.holdsShard();
+                    public boolean isServingShard() {
+                        return NodeComponents.this.isServingShard();
                     }
 
                     @Override
@@ -175,7 +175,7 @@
         // A random source of its own, so that its loop does not change the draws of the others.
         Random random = new Random(settings.node().hashCode());
         return new CancellationProof(
-                environment.store(), timers, random, shard, this::holdsShard, listener);
+                environment.store(), timers, random, shard, this::isServingShard, listener);
     }
 
     private HeartbeatService newHeartbeatService() {
@@ -216,13 +216,13 @@
     }
 
     /** Returns whether this node leads and has loaded the shard's jobs. */
-    boolean holdsShard() {
+    boolean isServingShard() {
         return leadership.isLeading() && stateWriter.isLoaded();
     }
 
-    /** Returns whether {@link #holdsShard} is true and the lease has certainly not expired. */
+    /** Returns whether {@link #isServingShard} is true and the lease has certainly not expired. */
     boolean mayActOnShard() {
-        return holdsShard() && leadership.isLeaseValid();
+        return isServingShard() && leadership.isLeaseValid();
     }
 
     /** Requests a scheduling round after a change that may allow placements or writes. */
--- a/src/test/java/io/kitepath/core/CancellationWithStaleWatchTest.java
+++ b/src/test/java/io/kitepath/core/CancellationWithStaleWatchTest.java
@@ -51,7 +51,7 @@
         cancel(peer, "j-1");
         cluster.run(31);
         expectOnlyJ1Stopped(before);
-        assertTrue(leader.controller.holdsShard());
+        assertTrue(leader.controller.isServingShard());
     }
 
     /**
--- a/src/test/java/io/kitepath/core/GarbageCollectionTest.java
+++ b/src/test/java/io/kitepath/core/GarbageCollectionTest.java
@@ -143,7 +143,7 @@
         cluster.run(0.3);
         cluster.siblings.forEach(cluster::node);
         cluster.run(6);
-        assertTrue(cluster.leader().controller.holdsShard());
+        assertTrue(cluster.leader().controller.isServingShard());
     }
 
     @Test
--- a/src/test/java/io/kitepath/core/LeasedRolesTest.java
+++ b/src/test/java/io/kitepath/core/LeasedRolesTest.java
@@ -130,7 +130,7 @@
                                                                 node ->
                                                                         node.alive
                                                                                 && node.controller
-                                                                                        .holdsShard()))
+                                                                                        .isServingShard()))
                         < 0.5);
     }
 
--- a/src/test/java/io/kitepath/core/ManySmallJobsScenario.java
+++ b/src/test/java/io/kitepath/core/ManySmallJobsScenario.java
@@ -115,7 +115,7 @@
     /** The node that holds the jobs, or null. */
     SimulatedNode shardHolder() {
         return cluster.nodes.values().stream()
-                .filter(node -> node.alive && node.controller.holdsShard())
+                .filter(node -> node.alive && node.controller.isServingShard())
                 .findFirst()
                 .orElse(null);
     }
--- a/src/test/java/io/kitepath/core/OneWayMachinesTest.java
+++ b/src/test/java/io/kitepath/core/OneWayMachinesTest.java
@@ -185,7 +185,7 @@
         cluster.run(12);
         SimulatedNode next =
                 cluster.nodes.values().stream()
-                        .filter(node -> node != cut && node.controller.holdsShard())
+                        .filter(node -> node != cut && node.controller.isServingShard())
                         .findFirst()
                         .orElseThrow();
         assertEquals(
@@ -204,7 +204,7 @@
         assertEquals(
                 1,
                 cluster.nodes.values().stream()
-                        .filter(node -> node.controller.holdsShard())
+                        .filter(node -> node.controller.isServingShard())
                         .count());
         assertEquals(List.of(), cluster.violations);
     }
--- a/src/test/java/io/kitepath/core/RapidRestartsTest.java
+++ b/src/test/java/io/kitepath/core/RapidRestartsTest.java
@@ -35,7 +35,7 @@
 
     private static boolean someoneHolds(SimulatedCluster cluster) {
         return cluster.nodes.values().stream()
-                .anyMatch(node -> node.alive && node.controller.holdsShard());
+                .anyMatch(node -> node.alive && node.controller.isServingShard());
     }
 
     /** Seconds until a node that is up holds the jobs. */
@@ -267,7 +267,7 @@
         cluster.run(5);
         assertTrue(stopped[0] != null && stopped[0] != first);
         assertEquals(0, stopped[0].controller.fencingTokenIfLeading());
-        assertTrue(cluster.leader() != stopped[0] && cluster.leader().controller.holdsShard());
+        assertTrue(cluster.leader() != stopped[0] && cluster.leader().controller.isServingShard());
         assertEquals(List.of(), cluster.violations);
     }
 }
