--- a/src/main/java/io/kitepath/core/LeadershipTransitions.java
+++ b/src/main/java/io/kitepath/core/LeadershipTransitions.java
@@ -26,7 +26,7 @@
         node.failoverTimings.onLeadershipWon(
                 node.timers.nowSeconds(), node.heartbeatProcessor.launchCount());
         node.stateWriter.start(Leadership.SHARD_KEY, shardRevision, node::requestRound);
-        node.cancellationProof.start();
+        node.cancellationVerifier.start();
         node.leaderLoop.start();
         node.heartbeatService.onLeaderKnown();
     }
@@ -40,7 +40,7 @@
     public void onLeadershipLost(String reason) {
         LOG.info(node.shard.serviceLevels().summary());
         node.stateWriter.stop();
-        node.cancellationProof.stop();
+        node.cancellationVerifier.stop();
         node.shard.giveUpLeadership();
         node.heartbeatService.releaseAll();
         node.gossip.broadcast();
--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -16,7 +16,7 @@
 import io.kitepath.core.service.RetryAfter;
 import io.kitepath.core.shard.HeartbeatProcessor;
 import io.kitepath.core.shard.ShardState;
-import io.kitepath.core.state.CancellationProof;
+import io.kitepath.core.state.CancellationVerifier;
 import io.kitepath.core.state.ImageRecords;
 import io.kitepath.core.state.StateWriter;
 import java.util.Optional;
@@ -56,8 +56,8 @@
     // Cloud machines, and the roles that are leased independently of leadership.
     final CloudComponents cloud;
 
-    // Communication with workers, proof of cancellations, and retry delays for users.
-    final CancellationProof cancellationProof;
+    // Communication with workers, verification of cancellations, and retry delays for users.
+    final CancellationVerifier cancellationVerifier;
     final HeartbeatService heartbeatService;
     final DirectStopCommands directStopCommands;
     final RetryAfter retryAfter;
@@ -102,7 +102,7 @@
 
         this.cloud = new CloudComponents(this, environment, incarnation);
 
-        this.cancellationProof = newCancellationProof(shardEvents);
+        this.cancellationVerifier = newCancellationVerifier(shardEvents);
         this.heartbeatService = newHeartbeatService();
         this.directStopCommands = newDirectStopCommands();
         this.retryAfter = new RetryAfter(settings, timers);
@@ -171,10 +171,10 @@
                 environment.store(), timers, shard, images, listener, otherCells.loanRecords());
     }
 
-    private CancellationProof newCancellationProof(CancellationProof.Listener listener) {
+    private CancellationVerifier newCancellationVerifier(CancellationVerifier.Listener listener) {
         // A random source of its own, so that its loop does not change the draws of the others.
         Random random = new Random(settings.node().hashCode());
-        return new CancellationProof(
+        return new CancellationVerifier(
                 environment.store(), timers, random, shard, this::isServingShard, listener);
     }
 
--- a/src/main/java/io/kitepath/core/state/RecordMigration.java
+++ b/src/main/java/io/kitepath/core/state/RecordMigration.java
@@ -8,35 +8,35 @@
 import java.util.Map;
 
 /**
- * Moves one job's records to narrower parts, in one transaction: those of a gang or a service, all
- * of whose tasks have to be on record at the same time, where its parts are too wide for the state
- * service's limits.
+ * Migrates the records of one job to smaller parts, in one transaction. Used for a gang or a
+ * service, all of whose tasks have to be on record at the same time, if its parts are too large for
+ * the state service's limits.
  */
 final class RecordMigration {
     final Job job;
 
-    /** The job's record as it will be. */
-    private final JobRecord record;
+    /** The job's new record. */
+    private final JobRecord newRecord;
 
-    /** The job's version that the new records show. */
-    private final int version;
+    /** The job's version that the new records contain. */
+    private final int jobVersion;
 
-    /** The new records of its parts, by index; parts of which there is nothing to say have none. */
-    private final Map<Integer, Map<String, Object>> parts = new LinkedHashMap<>();
+    /** The new records of the job's parts, by index; parts without content have no record. */
+    private final Map<Integer, Map<String, Object>> partRecords = new LinkedHashMap<>();
 
-    /** Records of parts that go. */
-    private final int removedParts;
+    /** Number of part records that are removed. */
+    private final int removedPartCount;
 
     /**
-     * Works out the new records.
+     * Computes the new records.
      *
-     * @param tasksPerPart how many tasks each of the new parts holds
+     * @param tasksPerPart number of tasks in each new part
      */
     RecordMigration(Job job, int tasksPerPart) {
         this.job = job;
-        this.version = job.version();
+        this.jobVersion = job.version();
         JobRecord current = job.record();
-        this.record =
+        this.newRecord =
                 new JobRecord(
                         current.spec(),
                         current.submittedMillis(),
@@ -45,7 +45,7 @@
                         job.nextAttempt());
         for (int i = 0; i * tasksPerPart < job.spec.taskCount(); i++) {
             int index = i;
-            job.partRecordOf(i, tasksPerPart).ifPresent(part -> parts.put(index, part));
+            job.partRecordOf(i, tasksPerPart).ifPresent(part -> partRecords.put(index, part));
         }
         int removed = 0;
         for (int i = 0; i < job.partCount(); i++) {
@@ -53,36 +53,36 @@
                 removed++;
             }
         }
-        this.removedParts = removed;
+        this.removedPartCount = removed;
     }
 
     private boolean isRemoved(int part) {
-        return job.part(part).revision() > 0 && !parts.containsKey(part);
+        return job.part(part).revision() > 0 && !partRecords.containsKey(part);
     }
 
-    /** Writes that the migration takes: the job's record, and each part's that comes or goes. */
+    /** Returns the number of writes: the job's record and each part record written or removed. */
     int writeCount() {
-        return 1 + parts.size() + removedParts;
+        return 1 + partRecords.size() + removedPartCount;
     }
 
     void contributeTo(Transaction transaction) {
         String id = job.spec.id();
         transaction
                 .requireRevision(job.recordKey, job.revision())
-                .put(job.recordKey, record.toRecord());
+                .put(job.recordKey, newRecord.toRecord());
         for (int i = 0; i < job.partCount(); i++) {
             transaction.requireRevision(StoreKeys.partKey(id, i), job.part(i).revision());
             if (isRemoved(i)) {
                 transaction.remove(StoreKeys.partKey(id, i));
             }
         }
-        parts.forEach((i, part) -> transaction.put(StoreKeys.partKey(id, i), part));
+        partRecords.forEach((i, part) -> transaction.put(StoreKeys.partKey(id, i), part));
     }
 
-    /** The store has the new records, at that revision. */
+    /** Applies the migration once the store has committed it at the given revision. */
     void onCommitted(ShardState shard, long revision) {
-        boolean changedMeanwhile = job.version() != version;
-        shard.applyMigration(job, record, revision, version, parts.keySet());
+        boolean changedMeanwhile = job.version() != jobVersion;
+        shard.applyMigration(job, newRecord, revision, jobVersion, partRecords.keySet());
         if (changedMeanwhile) {
             shard.markAllPartsDirty(job);
         }
--- a/src/main/java/io/kitepath/core/state/StateLoader.java
+++ b/src/main/java/io/kitepath/core/state/StateLoader.java
@@ -18,32 +18,33 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the records of all jobs that are open or have parts left, once, for a new leader. Runs on
+ * Reads the records of all jobs that are open or still have parts, once, for a new leader. Runs on
  * the event loop.
  */
 public final class StateLoader {
-    /** How often a page is asked for before the whole reading fails. */
+    /** Number of attempts to read a page before the whole load fails. */
     private static final int MAX_PAGE_ATTEMPTS = 20;
 
-    /** Records of ended jobs that are read at the same time. */
+    /** Number of records of ended jobs that are read at the same time. */
     private static final int MAX_IN_FLIGHT = 8;
 
-    /** Before a record is read again; longer with each attempt, up to the maximum. */
+    /** Delay before a record is read again, multiplied by the attempt up to the maximum. */
     private static final double RETRY_STEP_SECONDS = 0.1;
 
     private static final double MAX_RETRY_SECONDS = 1;
 
     /**
-     * Everything that was read.
+     * All records that were read.
      *
-     * @param revision from before the first record was read: changes have to be followed from there
+     * @param revision a revision from before the first record was read; changes have to be watched
+     *     from there
      * @param openJobs jobs that are neither done nor cancelled
-     * @param parts what is done and what is on machines, of open and of ended jobs
-     * @param endedJobs by id: jobs that ended and have parts left, so that something of them may
-     *     still be on machines
-     * @param cellRecords what concerns other cells
-     * @param cloudIntents what was asked of the cloud, read at its own revision
-     * @param layout how records are laid out, empty if nobody has written it yet
+     * @param parts tasks that are done and attempts on machines, of open and of ended jobs
+     * @param endedJobs by id: ended jobs that still have parts, so that their tasks may still be on
+     *     machines
+     * @param cellRecords records about other cells
+     * @param cloudIntents requests to the cloud, read at their own revision
+     * @param layout the record layout, empty if it has not been written yet
      */
     public record LoadedState(
             long revision,
@@ -55,13 +56,13 @@
             Optional<Entry> layout) {}
 
     /**
-     * Records about other cells, all empty where there are none.
+     * Records about other cells, all empty if there are no other cells.
      *
-     * @param lentTasks which tasks of open jobs are lent to other cells
-     * @param borrowedTasks what other cells lent to this one
-     * @param cancellationRequests open jobs whose users asked to cancel them
-     * @param voidedNumbers which of the other cells' loans can't be taken any more
-     * @param quotaShares what came to this cell of each team's quota, and what of it went
+     * @param lentTasks tasks of open jobs that are lent to other cells
+     * @param borrowedTasks tasks that other cells lent to this one
+     * @param cancellationRequests open jobs whose users requested their cancellation
+     * @param voidedNumbers numbers of other cells' loans that can no longer be accepted
+     * @param quotaShares shares of each team's quota that this cell received and gave away
      */
     public record CellRecords(
             List<Entry> lentTasks,
@@ -70,24 +71,24 @@
             List<Entry> voidedNumbers,
             List<Entry> quotaShares) {}
 
-    /** Takes what the records say about other cells. */
+    /** Receives the records about other cells. */
     public interface LoanRecords {
-        /** For a cell that is by itself: no such records are read or followed. */
+        /** For a deployment without other cells: no such records are read or watched. */
         LoanRecords NONE =
                 new LoanRecords() {
                     @Override
-                    public void adoptLoaded(LoadedState found) {}
+                    public void adoptLoaded(LoadedState loadedState) {}
 
                     @Override
                     public void cancellationRequestChanged(Entry entry) {}
                 };
 
-        /** Takes over everything, after the open jobs and before their parts. */
-        void adoptLoaded(LoadedState found);
+        /** Adopts the loaded records, after the open jobs and before their parts. */
+        void adoptLoaded(LoadedState loadedState);
 
         /**
-         * A job's user asks to cancel it while some of it may be lent; the request is withdrawn if
-         * the entry has no value.
+         * Called when a user has requested the cancellation of a job that may have lent tasks; an
+         * entry without a value withdraws the request.
          */
         void cancellationRequestChanged(Entry entry);
     }
@@ -96,9 +97,9 @@
     private final Timers timers;
     private final boolean withCellRecords;
     private final Epoch.Token epoch;
-    private final Consumer<Set<String>> onRunningKnown;
+    private final Consumer<Set<String>> onRunningJobIdsKnown;
 
-    private Consumer<Optional<LoadedState>> answer;
+    private Consumer<Optional<LoadedState>> onResult;
 
     private ListResult openJobs;
     private ListResult parts;
@@ -111,56 +112,56 @@
     private Optional<Entry> layout = Optional.empty();
     private final Map<String, Entry> endedJobs = new HashMap<>();
 
-    /** Jobs that are not open, of which the records of their ends are still to be read. */
-    private final Deque<String> unreadEnds = new ArrayDeque<>();
+    /** Ids of jobs that are not open and whose ended record has not been requested yet. */
+    private final Deque<String> unreadEndedJobIds = new ArrayDeque<>();
 
-    private int missingEnds;
+    private int pendingEndedJobReads;
     private boolean jobsRead;
 
     /**
-     * Prepares one reading.
+     * Prepares one load.
      *
      * @param withCellRecords whether there are other cells
-     * @param epoch once it is over nobody waits for what is read any more
-     * @param onRunningKnown receives the ids of all jobs of which something may run, before
-     *     anything else of them is read
+     * @param epoch the load is abandoned once this epoch ends
+     * @param onRunningJobIdsKnown receives the ids of all jobs that may have running tasks, before
+     *     any other records of these jobs are read
      */
     StateLoader(
             Store store,
             Timers timers,
             boolean withCellRecords,
             Epoch.Token epoch,
-            Consumer<Set<String>> onRunningKnown) {
+            Consumer<Set<String>> onRunningJobIdsKnown) {
         this.store = store;
         this.timers = timers;
         this.withCellRecords = withCellRecords;
         this.epoch = epoch;
-        this.onRunningKnown = onRunningKnown;
+        this.onRunningJobIdsKnown = onRunningJobIdsKnown;
     }
 
     /**
-     * Reads everything. The answer is empty if it can't be had now; there is none once the epoch is
-     * over.
+     * Reads all records. The result is empty if a read fails; no result is passed on once the epoch
+     * has ended.
      */
-    void load(Consumer<Optional<LoadedState>> then) {
-        answer =
-                found -> {
-                    answer = ignored -> {}; // The first of the readings that fails speaks for all.
-                    then.accept(found);
+    void load(Consumer<Optional<LoadedState>> onLoaded) {
+        onResult =
+                loadedState -> {
+                    onResult = ignored -> {}; // Ignores later failures.
+                    onLoaded.accept(loadedState);
                 };
-        // Beside the jobs, so that a failover does not take longer for it.
+        // Read in parallel to the jobs so that a failover does not take longer.
         readAll(
                 StoreKeys.CLOUD_INTENTS,
                 listing -> {
                     cloudIntents = Optional.of(listing);
-                    answerIfComplete();
+                    completeIfAllRead();
                 });
         readLayout();
     }
 
-    private void answerIfComplete() {
+    private void completeIfAllRead() {
         if (jobsRead && cloudIntents.isPresent()) {
-            answer.accept(
+            onResult.accept(
                     Optional.of(
                             new LoadedState(
                                     openJobs.revision(),
@@ -178,7 +179,7 @@
         }
     }
 
-    private void readAll(String prefix, Consumer<ListResult> then) {
+    private void readAll(String prefix, Consumer<ListResult> onRead) {
         PagedScan.read(
                 store,
                 timers,
@@ -189,14 +190,14 @@
                         return;
                     }
                     if (listing.outcome() == Outcome.OK) {
-                        then.accept(listing);
+                        onRead.accept(listing);
                     } else {
-                        answer.accept(Optional.empty());
+                        onResult.accept(Optional.empty());
                     }
                 });
     }
 
-    // ---- one step after the other ---------------------------------------------------------------
+    // ---- sequential reads -----------------------------------------------------------------------
 
     private void readLayout() {
         store.get(
@@ -209,7 +210,7 @@
                         layout = Optional.ofNullable(entry);
                         readOpenJobs();
                     } else {
-                        answer.accept(Optional.empty());
+                        onResult.accept(Optional.empty());
                     }
                 });
     }
@@ -222,7 +223,7 @@
                     if (withCellRecords) {
                         readLentTasks();
                     } else {
-                        onRunningKnown.accept(openJobIds());
+                        onRunningJobIdsKnown.accept(openJobIds());
                         readParts();
                     }
                 });
@@ -242,9 +243,9 @@
                 StoreKeys.BORROWED_TASKS,
                 listing -> {
                     borrowedTasks = listing.entries();
-                    Set<String> mayRun = openJobIds();
-                    borrowedTasks.forEach(entry -> mayRun.add(jobOfLoan(entry)));
-                    onRunningKnown.accept(mayRun);
+                    Set<String> runningJobIds = openJobIds();
+                    borrowedTasks.forEach(entry -> runningJobIds.add(jobIdOfLoan(entry)));
+                    onRunningJobIdsKnown.accept(runningJobIds);
                     readCancellationRequests();
                 });
     }
@@ -286,15 +287,14 @@
     }
 
     private void readEndedJobs() {
-        Set<String> notOpen = new LinkedHashSet<>();
-        parts.entries().forEach(entry -> notOpen.add(StoreKeys.jobOfPart(entry.key())));
-        notOpen.removeAll(openJobIds());
-        // Of what other cells lent to us, nothing has ended here that has not ended in the loan's
-        // own record.
-        borrowedTasks.forEach(entry -> notOpen.remove(jobOfLoan(entry)));
-        unreadEnds.addAll(notOpen);
-        missingEnds = unreadEnds.size();
-        if (missingEnds == 0) {
+        Set<String> notOpenJobIds = new LinkedHashSet<>();
+        parts.entries().forEach(entry -> notOpenJobIds.add(StoreKeys.jobIdOfPart(entry.key())));
+        notOpenJobIds.removeAll(openJobIds());
+        // Borrowed tasks have no ended records here: their end is stored in the record of the loan.
+        borrowedTasks.forEach(entry -> notOpenJobIds.remove(jobIdOfLoan(entry)));
+        unreadEndedJobIds.addAll(notOpenJobIds);
+        pendingEndedJobReads = unreadEndedJobIds.size();
+        if (pendingEndedJobReads == 0) {
             onJobsRead();
             return;
         }
@@ -304,7 +304,7 @@
     }
 
     private void readNextEndedJob() {
-        String id = unreadEnds.poll();
+        String id = unreadEndedJobIds.poll();
         if (id != null) {
             readEndedJob(id, 1);
         }
@@ -329,7 +329,7 @@
                     if (outcome == Outcome.OK) {
                         endedJobs.put(id, entry);
                     }
-                    if (--missingEnds == 0) {
+                    if (--pendingEndedJobReads == 0) {
                         onJobsRead();
                     } else {
                         readNextEndedJob();
@@ -339,7 +339,7 @@
 
     private void onJobsRead() {
         jobsRead = true;
-        answerIfComplete();
+        completeIfAllRead();
     }
 
     private Set<String> openJobIds() {
@@ -350,7 +350,7 @@
         return ids;
     }
 
-    private static String jobOfLoan(Entry borrowed) {
+    private static String jobIdOfLoan(Entry borrowed) {
         return DocumentReader.of(borrowed.value()).textOr("job", "");
     }
 }
