--- a/src/main/java/io/kitepath/core/DirectCancellations.java
+++ b/src/main/java/io/kitepath/core/DirectStopCommands.java
@@ -12,12 +12,12 @@
 import java.util.List;
 
 /**
- * Sends stop commands straight to workers, as a worker asks for commands only once per heartbeat
- * interval. The number in flight at once is limited.
+ * Sends stop commands directly to workers. With heartbeats alone, a worker would receive commands
+ * only once per heartbeat interval. The number of requests in flight is limited.
  */
-final class DirectCancellations {
-    /** The part of the process's sockets that commands in flight may take: one in ten. */
-    private static final int SOCKETS_PER_COMMAND = 10;
+final class DirectStopCommands {
+    /** Requests in flight may use at most one in ten of the process's sockets. */
+    private static final int SOCKETS_PER_REQUEST = 10;
 
     private final ShardState shard;
     private final HeartbeatProcessor heartbeatProcessor;
@@ -26,11 +26,13 @@
     private final DirectCommands directCommands;
     private final Timers timers;
     private final Runnable requestRound;
-    private int inFlight;
-    private long sent;
+    private int requestsInFlight;
+    private long sentRequests;
 
-    /** {@code requestRound} runs when a worker's answer may let tasks be placed. */
-    DirectCancellations(
+    /**
+     * @param requestRound called when a worker's response may allow tasks to be placed
+     */
+    DirectStopCommands(
             ShardState shard,
             HeartbeatProcessor heartbeatProcessor,
             HeartbeatService heartbeatService,
@@ -47,21 +49,22 @@
         this.requestRound = requestRound;
     }
 
-    /** Workers that were sent commands so far. */
-    long sent() {
-        return sent;
+    /** Returns how many requests with commands were sent to workers since the process started. */
+    long sentRequests() {
+        return sentRequests;
     }
 
-    /** Sends the stop commands that workers have not been sent yet, as many as may be in flight. */
+    /** Sends the stop commands that were not sent yet, up to the limit of requests in flight. */
     void send() {
-        int most = shard.settings().limits().maxSockets() / SOCKETS_PER_COMMAND - inFlight;
+        int maxRequests =
+                shard.settings().limits().maxSockets() / SOCKETS_PER_REQUEST - requestsInFlight;
         heartbeatProcessor
-                .directStopCommands(most, timers.nowSeconds())
+                .directStopCommands(maxRequests, timers.nowSeconds())
                 .forEach(
                         (machine, commands) -> {
-                            // Its worker gets them with the heartbeat's answer that was held.
-                            boolean isAnswered = heartbeatService.releaseHeldResponse(machine.id);
-                            if (!isAnswered) {
+                            // A heartbeat response that was held back delivers the commands.
+                            boolean isDelivered = heartbeatService.releaseHeldResponse(machine.id);
+                            if (!isDelivered) {
                                 send(machine, commands);
                             }
                         });
@@ -70,22 +73,24 @@
     private void send(Machine machine, List<WorkerCommand> commands) {
         long fencingToken = shard.fencingToken();
         machine.setCommandInFlight(true);
-        inFlight++;
-        sent++;
+        requestsInFlight++;
+        sentRequests++;
         directCommands.send(
                 machine.address(),
                 fencingToken,
                 machine.agentIncarnation(),
                 commands,
-                heartbeat -> onAnswer(machine, fencingToken, heartbeat));
+                heartbeat -> onResponse(machine, fencingToken, heartbeat));
     }
 
     /**
-     * {@code heartbeat}: the worker's state after the commands, null if it could not be reached.
+     * Handles the response to a command request.
+     *
+     * @param heartbeat the worker's state after the commands, null if it could not be reached
      */
-    private void onAnswer(Machine machine, long fencingToken, Heartbeat heartbeat) {
+    private void onResponse(Machine machine, long fencingToken, Heartbeat heartbeat) {
         machine.setCommandInFlight(false);
-        inFlight--;
+        requestsInFlight--;
         if (heartbeat != null && leadership.isLeading() && shard.fencingToken() == fencingToken) {
             heartbeatProcessor.processCommandResponse(machine, heartbeat, timers.nowSeconds());
             requestRound.run();
--- a/src/main/java/io/kitepath/core/FailoverTimings.java
+++ b/src/main/java/io/kitepath/core/FailoverTimings.java
@@ -6,19 +6,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * How long a new leader takes until the shard is served as before, step by step, in seconds since
- * it won the lease: the jobs are read, the first task is launched, half of the workers, then nearly
- * all of them, have reported with the new fencing token. Tasks wait for the first three of them.
+ * Measures the steps of a failover in seconds since the new leader won the lease: the jobs are
+ * read, the first task is launched, half of the workers and then nearly all of them have sent a
+ * heartbeat with the new fencing token. Tasks wait for the first three steps.
  */
 final class FailoverTimings {
     private static final Logger LOG = LoggerFactory.getLogger(FailoverTimings.class);
 
-    /** The share of the machines that were up whose workers' reports end the failover. */
-    private static final double COMPLETE_SHARE = 0.95;
+    /**
+     * The failover is complete once the workers of this share of the running machines have sent a
+     * heartbeat with the new fencing token.
+     */
+    private static final double COMPLETE_MACHINE_SHARE = 0.95;
 
     private final ShardState shard;
-    private double wonAt;
-    private long launchesBefore;
+    private double leaseWonAtSeconds;
+    private long launchesInEarlierTerms;
     private double secondsToJobsRead = Double.NaN;
     private double secondsToFirstLaunch = Double.NaN;
     private double secondsToHalfReported = Double.NaN;
@@ -29,10 +32,14 @@
         this.shard = shard;
     }
 
-    /** This node begins to lead, having launched so many attempts in earlier terms. */
-    void onLeadershipWon(double nowSeconds, long launchesBefore) {
-        this.wonAt = nowSeconds;
-        this.launchesBefore = launchesBefore;
+    /**
+     * Starts the measurement of a new term of this node as leader.
+     *
+     * @param launchesInEarlierTerms the number of attempts that this node launched in earlier terms
+     */
+    void onLeadershipWon(double nowSeconds, long launchesInEarlierTerms) {
+        this.leaseWonAtSeconds = nowSeconds;
+        this.launchesInEarlierTerms = launchesInEarlierTerms;
         secondsToJobsRead = Double.NaN;
         secondsToFirstLaunch = Double.NaN;
         secondsToHalfReported = Double.NaN;
@@ -40,42 +47,48 @@
         isComplete = false;
     }
 
-    /** The jobs are known; only the first call in a term counts. */
+    /** Records that the jobs are read; only the first call in a term has an effect. */
     void onJobsRead(double nowSeconds) {
         if (Double.isNaN(secondsToJobsRead)) {
-            secondsToJobsRead = nowSeconds - wonAt;
+            secondsToJobsRead = nowSeconds - leaseWonAtSeconds;
         }
     }
 
-    /** Notes the steps that are done by now; {@code launches}: in all terms of this process. */
-    void update(double nowSeconds, long launches) {
+    /**
+     * Records the steps that are complete by now.
+     *
+     * @param totalLaunches the number of attempts launched in all terms of this process
+     */
+    void update(double nowSeconds, long totalLaunches) {
         if (isComplete || Double.isNaN(secondsToJobsRead)) {
             return;
         }
-        if (Double.isNaN(secondsToFirstLaunch) && launches > launchesBefore) {
-            secondsToFirstLaunch = nowSeconds - wonAt;
+        if (Double.isNaN(secondsToFirstLaunch) && totalLaunches > launchesInEarlierTerms) {
+            secondsToFirstLaunch = nowSeconds - leaseWonAtSeconds;
         }
-        int up = 0;
-        int confirmed = 0;
+        int runningMachines = 0;
+        int confirmedMachines = 0;
         for (Machine machine : shard.machines().values()) {
-            up += isUp(machine) ? 1 : 0;
-            confirmed += machine.isTokenConfirmed() ? 1 : 0;
+            runningMachines += isRunning(machine) ? 1 : 0;
+            confirmedMachines += machine.isTokenConfirmed() ? 1 : 0;
         }
-        if (Double.isNaN(secondsToHalfReported) && up > 0 && 2 * confirmed >= up) {
-            secondsToHalfReported = nowSeconds - wonAt;
+        if (Double.isNaN(secondsToHalfReported)
+                && runningMachines > 0
+                && 2 * confirmedMachines >= runningMachines) {
+            secondsToHalfReported = nowSeconds - leaseWonAtSeconds;
         }
-        if (up > 0 && confirmed >= COMPLETE_SHARE * up) {
-            secondsToMostReported = nowSeconds - wonAt;
+        if (runningMachines > 0 && confirmedMachines >= COMPLETE_MACHINE_SHARE * runningMachines) {
+            secondsToMostReported = nowSeconds - leaseWonAtSeconds;
             isComplete = true;
-            logCompletion(up);
+            logCompletion(runningMachines);
         }
     }
 
-    private static boolean isUp(Machine machine) {
+    private static boolean isRunning(Machine machine) {
         return machine.isTokenConfirmed() || machine.hasReported() || !machine.attempts().isEmpty();
     }
 
-    private void logCompletion(int machinesUp) {
+    private void logCompletion(int runningMachines) {
         LOG.info(
                 String.format(
                         "failover complete: jobsReadSeconds=%.2f firstLaunchSeconds=%.2f"
@@ -85,16 +98,19 @@
                         secondsToFirstLaunch,
                         secondsToHalfReported,
                         secondsToMostReported,
-                        COMPLETE_SHARE,
-                        machinesUp));
+                        COMPLETE_MACHINE_SHARE,
+                        runningMachines));
     }
 
-    /** Seconds from winning the lease until the jobs were read; NaN if this node never led. */
+    /** Returns the seconds from winning the lease until the jobs were read; NaN until then. */
     double secondsToJobsRead() {
         return secondsToJobsRead;
     }
 
-    /** Seconds from winning the lease until nearly all workers had reported; NaN until then. */
+    /**
+     * Returns the seconds from winning the lease until nearly all workers had sent a heartbeat with
+     * the new fencing token; NaN until then.
+     */
     double secondsToMostReported() {
         return secondsToMostReported;
     }
--- a/src/main/java/io/kitepath/core/LeaderLoop.java
+++ b/src/main/java/io/kitepath/core/LeaderLoop.java
@@ -5,19 +5,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader's periodic work, four times a second for as long as the node leads: a scheduling round
- * if one is due, the other cells, the machines, and a summary for the log once a minute.
+ * Runs the leader's periodic work four times a second while the node leads: a scheduling round if
+ * one is due, the reconciliation with remote cells and with the cloud's machines, and a summary in
+ * the log once a minute.
  */
 final class LeaderLoop {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderLoop.class);
 
     private static final double TICK_SECONDS = 0.25;
 
-    /** A minute. */
-    private static final int SUMMARY_TICKS = 240;
+    /** One minute. */
+    private static final int SUMMARY_INTERVAL_TICKS = 240;
 
     /** Five seconds. */
-    private static final int DEBUG_SUMMARY_TICKS = 20;
+    private static final int DEBUG_SUMMARY_INTERVAL_TICKS = 20;
 
     private final NodeComponents node;
     private boolean isRunning;
@@ -27,7 +28,7 @@
         this.node = node;
     }
 
-    /** Called when the node begins to lead; the loop of an earlier term may still be running. */
+    /** Starts the loop for a new term, unless the loop of an earlier term is still running. */
     void start() {
         if (!isRunning) {
             isRunning = true;
@@ -49,27 +50,27 @@
         if (node.mayActOnShard()) {
             node.otherCells.reconcile();
         }
-        double began = node.timers.nowSeconds();
+        double startedAtSeconds = node.timers.nowSeconds();
         node.cloud.reconciler.reconcile(node.mayActOnShard());
-        node.loopTime.record(Activity.PLANNING, began);
+        node.loopTime.record(Activity.PLANNING, startedAtSeconds);
         ticks++;
         logSummaries();
         node.timers.schedule(TICK_SECONDS, this::tick);
     }
 
     private void logSummaries() {
-        if (ticks % SUMMARY_TICKS == 0) {
+        if (ticks % SUMMARY_INTERVAL_TICKS == 0) {
             LOG.info(node.shard.serviceLevels().summary());
         }
-        if (ticks % SUMMARY_TICKS == 0
-                || LOG.isDebugEnabled() && ticks % DEBUG_SUMMARY_TICKS == 0) {
+        if (ticks % SUMMARY_INTERVAL_TICKS == 0
+                || LOG.isDebugEnabled() && ticks % DEBUG_SUMMARY_INTERVAL_TICKS == 0) {
             LOG.info(
                     "{} rounds={} writes={} heartbeats={} busySeconds={}{}",
                     ShardSummary.of(node.shard, node.heartbeatProcessor, node.scheduler),
                     node.stateWriter.transactionsSent(),
                     node.stateWriter.recordsSent(),
                     node.heartbeatService.receivedCount(),
-                    String.format("%.1f", node.roundRunner.totalSeconds()),
+                    String.format("%.1f", node.roundRunner.totalRoundSeconds()),
                     node.loopTime);
         }
     }
--- a/src/main/java/io/kitepath/core/NodeComponents.java
+++ b/src/main/java/io/kitepath/core/NodeComponents.java
@@ -23,11 +23,11 @@
 import java.util.Random;
 
 /**
- * The parts of one node, and how they are connected. Nothing runs until {@link #start}.
+ * Creates and connects the components of one node. Nothing runs until {@link #start}.
  *
- * <p>The parts refer to each other in circles, so some are given callbacks into this class, which
- * are not called before all of it is built. The order of construction is part of the behaviour:
- * several constructors draw from the same source of random numbers.
+ * <p>The components depend on each other cyclically, so some receive callbacks into this class. The
+ * callbacks are not called before its construction is complete. The order of construction affects
+ * behaviour, as several constructors draw from the same random source.
  */
 final class NodeComponents {
     private final NodeEnvironment environment;
@@ -35,40 +35,42 @@
     final Timers timers;
     private final PeerNodes peerNodes;
 
-    // The shard, and the placing of its tasks.
+    // The shard and the placement of its tasks.
     final LoopTimeAccounting loopTime;
     final ShardState shard;
     final HeartbeatProcessor heartbeatProcessor;
     final FailoverTimings failoverTimings;
     final Scheduler scheduler;
 
-    // Leadership, and what nodes know of each other.
+    // Leadership, membership and gossip.
     final MembershipView membership;
     final Leadership leadership;
     final CancellationWatermark cancellationWatermark;
     final Gossip gossip;
 
-    // Users' jobs and the shard's records.
+    // Users' jobs, remote cells and the stored records of the shard.
     final JobSubmissionService submissions;
     final OtherCells otherCells;
     final StateWriter stateWriter;
 
-    // Machines of the cloud, and the roles that nodes hold apart from leadership.
+    // Cloud machines, and the roles that are leased independently of leadership.
     final CloudComponents cloud;
 
-    // Workers.
+    // Communication with workers, verification of cancellations, and retry delays for users.
     final CancellationVerifier cancellationVerifier;
     final HeartbeatService heartbeatService;
-    final DirectCancellations directCancellations;
+    final DirectStopCommands directStopCommands;
     final RetryAfter retryAfter;
 
-    // Loops of the leader.
+    // The leader's loops.
     final RoundRunner roundRunner;
     final LeaderLoop leaderLoop;
 
     /**
-     * @param settings this cell's part of the settings
-     * @param cellNetwork the other cells, empty if there are none
+     * Creates all components without starting them.
+     *
+     * @param settings the settings for the node's cell
+     * @param cellNetwork the cells of the cluster, empty if there is only one
      */
     NodeComponents(
             ClusterSettings settings,
@@ -102,7 +104,7 @@
 
         this.cancellationVerifier = newCancellationVerifier(shardEvents);
         this.heartbeatService = newHeartbeatService();
-        this.directCancellations = newDirectCancellations();
+        this.directStopCommands = newDirectStopCommands();
         this.retryAfter = new RetryAfter(settings, timers);
 
         this.roundRunner = new RoundRunner(this);
@@ -131,8 +133,8 @@
                 cancellationWatermark,
                 new Gossip.Node() {
                     @Override
-                    public boolean holdsShard() {
-                        return NodeComponents.this.holdsShard();
+                    public boolean isServingShard() {
+                        return NodeComponents.this.isServingShard();
                     }
 
                     @Override
@@ -170,10 +172,10 @@
     }
 
     private CancellationVerifier newCancellationVerifier(CancellationVerifier.Listener listener) {
-        // Its own source of random numbers: its loop must not shift the draws of the others.
+        // A random source of its own, so that its loop does not change the draws of the others.
         Random random = new Random(settings.node().hashCode());
         return new CancellationVerifier(
-                environment.store(), timers, random, shard, this::holdsShard, listener);
+                environment.store(), timers, random, shard, this::isServingShard, listener);
     }
 
     private HeartbeatService newHeartbeatService() {
@@ -187,8 +189,8 @@
                 this::requestRound);
     }
 
-    private DirectCancellations newDirectCancellations() {
-        return new DirectCancellations(
+    private DirectStopCommands newDirectStopCommands() {
+        return new DirectStopCommands(
                 shard,
                 heartbeatProcessor,
                 heartbeatService,
@@ -198,7 +200,7 @@
                 this::requestRound);
     }
 
-    /** Starts the loops of every node; those of the leader start once it leads. */
+    /** Starts the loops that run on every node; the leader's loops start on winning the lease. */
     void start() {
         leadership.start();
         cloud.reconciler.loadMachineTypes();
@@ -207,34 +209,34 @@
         gossip.start();
     }
 
-    /** Gives up leadership and roles for good, as the node is being stopped. */
+    /** Gives up leadership and roles permanently, for an intended stop of the node. */
     void stop() {
         leadership.stop();
         cloud.leasedRoles.stop();
     }
 
-    /** Whether this node leads and has loaded the shard's jobs. */
-    boolean holdsShard() {
+    /** Returns whether this node leads and has loaded the shard's jobs. */
+    boolean isServingShard() {
         return leadership.isLeading() && stateWriter.isLoaded();
     }
 
-    /** Whether it {@link #holdsShard} and its lease is certain not to have expired. */
+    /** Returns whether {@link #isServingShard} is true and the lease has certainly not expired. */
     boolean mayActOnShard() {
-        return holdsShard() && leadership.isLeaseValid();
+        return isServingShard() && leadership.isLeaseValid();
     }
 
-    /** Something changed that may let tasks be placed or records be written. */
+    /** Requests a scheduling round after a change that may allow placements or writes. */
     void requestRound() {
         roundRunner.request();
     }
 
-    /** Writes that along with one of the next rounds. */
+    /** Adds a contribution to the write batch of one of the next scheduling rounds. */
     void contributeToNextWrite(StateWriter.BatchContributor contributor) {
         stateWriter.enqueue(contributor);
         requestRound();
     }
 
-    /** The store has it that the job is over: keeps its final state and tells the peers. */
+    /** Keeps the committed final state of a job and announces it to the peers. */
     void announceJobEnded(JobStatus job) {
         submissions.onJobEnded(job);
         peerNodes.announceJobEnd(job);
--- a/src/main/java/io/kitepath/core/RoundRunner.java
+++ b/src/main/java/io/kitepath/core/RoundRunner.java
@@ -3,66 +3,71 @@
 import io.kitepath.core.model.LoopTimeAccounting.Activity;
 
 /**
- * Runs scheduling rounds: place waiting tasks, write what changed, send commands to workers. Rounds
- * run on request, at most one is pending, and between two of them there is a pause.
+ * Runs scheduling rounds. A round places waiting tasks, writes the changed records and sends
+ * commands to workers. Rounds run on request. At most one request is pending, and there is a pause
+ * between two rounds.
  */
 final class RoundRunner {
-    /** A change waits at least that long, so that several of a burst share a round. */
+    /** The minimum delay after a request, so that the changes of a burst share a round. */
     private static final double MIN_DELAY_SECONDS = 0.02;
 
     /**
-     * The pause after a round, in lengths of that round: rounds take at most a fifth of the event
-     * loop's time, as heartbeats, users and the renewal of the lease need the rest.
+     * The pause after a round, as a multiple of the round's duration. Rounds thus take at most a
+     * fifth of the event loop's time; the rest is needed for heartbeats, user requests and the
+     * renewal of the lease.
      */
-    private static final int PAUSE_PER_ROUND = 4;
+    private static final int PAUSE_IN_ROUND_DURATIONS = 4;
 
-    /** Most tasks that a round places, in full transactions of the store. */
-    private static final int MAX_TRANSACTIONS_PLACED = 20;
+    /** The maximum number of tasks placed in a round, in full transactions of the store. */
+    private static final int MAX_PLACEMENT_TRANSACTIONS = 20;
 
     private final NodeComponents node;
-    private boolean isRequested;
-    private long rounds;
-    private double totalSeconds;
-    private double lastSeconds;
-    private double lastEndedAt;
+    private boolean isRoundPending;
+    private long roundCount;
+    private double totalRoundSeconds;
+    private double lastRoundSeconds;
+    private double lastRoundEndedAtSeconds;
 
     RoundRunner(NodeComponents node) {
         this.node = node;
     }
 
-    /** Rounds run so far. */
-    long rounds() {
-        return rounds;
+    /** Returns the number of rounds since the process started. */
+    long roundCount() {
+        return roundCount;
     }
 
-    /** Seconds that all rounds took together. */
-    double totalSeconds() {
-        return totalSeconds;
+    /** Returns the total duration of all rounds in seconds. */
+    double totalRoundSeconds() {
+        return totalRoundSeconds;
     }
 
-    /** Has a round run soon, unless one is pending already. */
+    /** Schedules a round, unless one is already pending. */
     void request() {
-        if (!isRequested) {
-            isRequested = true;
-            double delay = Math.max(MIN_DELAY_SECONDS, earliestNextAt() - node.timers.nowSeconds());
+        if (!isRoundPending) {
+            isRoundPending = true;
+            double delay =
+                    Math.max(
+                            MIN_DELAY_SECONDS,
+                            earliestNextRoundAtSeconds() - node.timers.nowSeconds());
             node.timers.schedule(
                     delay,
                     () -> {
-                        isRequested = false;
+                        isRoundPending = false;
                         run();
                     });
         }
     }
 
-    /** Runs a round now if the pause since the last one is over. */
+    /** Runs a round now if the pause after the last one is over. */
     void runIfDue() {
-        if (node.timers.nowSeconds() >= earliestNextAt()) {
+        if (node.timers.nowSeconds() >= earliestNextRoundAtSeconds()) {
             run();
         }
     }
 
-    private double earliestNextAt() {
-        return lastEndedAt + PAUSE_PER_ROUND * lastSeconds;
+    private double earliestNextRoundAtSeconds() {
+        return lastRoundEndedAtSeconds + PAUSE_IN_ROUND_DURATIONS * lastRoundSeconds;
     }
 
     private void run() {
@@ -72,25 +77,25 @@
                 || !node.leadership.isLeaseValid()) {
             return;
         }
-        rounds++;
-        double began = node.timers.nowSeconds();
+        roundCount++;
+        double startedAtSeconds = node.timers.nowSeconds();
         node.scheduler.placeWaitingTasks(
-                began,
+                startedAtSeconds,
                 node.timers.wallClockMillis(),
-                MAX_TRANSACTIONS_PLACED * node.settings.store().maxTransactionOperations());
-        double placedAt = node.timers.nowSeconds();
-        node.loopTime.record(Activity.PLACING, began);
+                MAX_PLACEMENT_TRANSACTIONS * node.settings.store().maxTransactionOperations());
+        double placedAtSeconds = node.timers.nowSeconds();
+        node.loopTime.record(Activity.PLACING, startedAtSeconds);
         node.stateWriter.write(this::onWritten);
-        double wroteAt = node.timers.nowSeconds();
-        node.loopTime.record(Activity.WRITING, placedAt);
-        node.directCancellations.send();
-        node.loopTime.record(Activity.STOPPING, wroteAt);
-        lastEndedAt = node.timers.nowSeconds();
-        lastSeconds = lastEndedAt - began;
-        totalSeconds += lastSeconds;
+        double writtenAtSeconds = node.timers.nowSeconds();
+        node.loopTime.record(Activity.WRITING, placedAtSeconds);
+        node.directStopCommands.send();
+        node.loopTime.record(Activity.STOPPING, writtenAtSeconds);
+        lastRoundEndedAtSeconds = node.timers.nowSeconds();
+        lastRoundSeconds = lastRoundEndedAtSeconds - startedAtSeconds;
+        totalRoundSeconds += lastRoundSeconds;
     }
 
-    /** What was written may be launched, and what waited for the write may be placed. */
+    /** Launches the written attempts, and requests a round for tasks that waited for the write. */
     private void onWritten() {
         node.heartbeatService.onWriteBatchCommitted();
         request();
--- a/src/main/java/io/kitepath/core/ShardSummary.java
+++ b/src/main/java/io/kitepath/core/ShardSummary.java
@@ -10,14 +10,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One line for the log that sums up the shard. */
+/** Formats a one-line summary of the shard for the log. */
 final class ShardSummary {
     private ShardSummary() {}
 
     /**
-     * Jobs, waiting and placed tasks by class; of each class the jobs done in time, decided and
-     * submitted; machines; then evictions (all, for guarantees, for gangs), losses and launches
-     * since the process started, with the mean seconds from a placing to its launch.
+     * Returns the summary: jobs, waiting tasks and placed tasks by class; for each class the jobs
+     * done in time, the jobs decided (done in time or missed) and the jobs submitted; machines;
+     * then evictions (all, for guarantees, for gangs), lost attempts and launched attempts since
+     * the process started, with the mean delay in seconds from the placement to the launch command.
      */
     static String of(ShardState shard, HeartbeatProcessor heartbeatProcessor, Scheduler scheduler) {
         StringBuilder text = new StringBuilder("shard:");
@@ -25,7 +26,7 @@
         appendServiceLevels(text, shard);
         appendMachines(text, shard);
         Preemption preemption = scheduler.preemption();
-        long launches = heartbeatProcessor.launchCount();
+        long launchedAttempts = heartbeatProcessor.launchCount();
         return text.append(" evicted=")
                 .append(preemption.evictions())
                 .append('/')
@@ -35,12 +36,13 @@
                 .append(" lost=")
                 .append(shard.attemptsLost())
                 .append(" launched=")
-                .append(launches)
+                .append(launchedAttempts)
                 .append(" launchDelaySeconds=")
                 .append(
                         String.format(
                                 "%.2f",
-                                heartbeatProcessor.launchDelaySeconds() / Math.max(1, launches)))
+                                heartbeatProcessor.launchDelaySeconds()
+                                        / Math.max(1, launchedAttempts)))
                 .toString();
     }
 
@@ -87,32 +89,32 @@
     }
 
     private static void appendMachines(StringBuilder text, ShardState shard) {
-        int spot = 0;
-        int unconfirmed = 0;
-        int quarantined = 0;
-        int idle = 0;
-        int reserved = 0;
+        int spotMachines = 0;
+        int unconfirmedMachines = 0;
+        int quarantinedMachines = 0;
+        int idleMachines = 0;
+        int reservedMachines = 0;
         double usedCpus = 0;
         for (Machine machine : shard.machines().values()) {
-            spot += machine.isSpot() ? 1 : 0;
-            unconfirmed += machine.isTokenConfirmed() ? 0 : 1;
-            quarantined += machine.isQuarantined() ? 1 : 0;
-            idle += machine.isBusy() ? 0 : 1;
-            reserved += machine.reservedFor() != null ? 1 : 0;
+            spotMachines += machine.isSpot() ? 1 : 0;
+            unconfirmedMachines += machine.isTokenConfirmed() ? 0 : 1;
+            quarantinedMachines += machine.isQuarantined() ? 1 : 0;
+            idleMachines += machine.isBusy() ? 0 : 1;
+            reservedMachines += machine.reservedFor() != null ? 1 : 0;
             usedCpus += machine.usedCpus();
         }
         text.append(" machines ordinary=")
-                .append(shard.machines().size() - spot)
+                .append(shard.machines().size() - spotMachines)
                 .append(" spot=")
-                .append(spot)
+                .append(spotMachines)
                 .append(" tokenUnconfirmed=")
-                .append(unconfirmed)
+                .append(unconfirmedMachines)
                 .append(" quarantined=")
-                .append(quarantined)
+                .append(quarantinedMachines)
                 .append(" idle=")
-                .append(idle)
+                .append(idleMachines)
                 .append(" reserved=")
-                .append(reserved)
+                .append(reservedMachines)
                 .append(" cpus=")
                 .append(Math.round(usedCpus));
     }
