--- a/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
+++ b/src/main/java/io/kitepath/core/cell/BorrowedTasks.java
@@ -97,7 +97,7 @@
             try {
                 restore(entry, now);
             } catch (InvalidInputException | IllegalArgumentException invalid) {
-                LOG.error("record unreadable key={}: {}", entry.key(), invalid.getMessage());
+                LOG.error("record unreadable: key={} reason={}", entry.key(), invalid.getMessage());
             }
         }
     }
--- a/src/main/java/io/kitepath/core/cell/LentTasks.java
+++ b/src/main/java/io/kitepath/core/cell/LentTasks.java
@@ -115,7 +115,7 @@
         } catch (InvalidInputException invalid) {
             // None of the tasks of a job whose loans are unknown may be placed.
             job.requestCancel();
-            LOG.error("record unreadable key={}: {}", entry.key(), invalid.getMessage());
+            LOG.error("record unreadable: key={} reason={}", entry.key(), invalid.getMessage());
         }
     }
 
--- a/src/main/java/io/kitepath/core/cell/TeamShares.java
+++ b/src/main/java/io/kitepath/core/cell/TeamShares.java
@@ -46,7 +46,7 @@
             } catch (InvalidInputException
                     | ClassCastException
                     | IndexOutOfBoundsException invalid) {
-                LOG.error("record unreadable key={}: {}", entry.key(), invalid.getMessage());
+                LOG.error("record unreadable: key={} reason={}", entry.key(), invalid.getMessage());
             }
         }
     }
--- a/src/main/java/io/kitepath/core/leadership/HolderRecord.java
+++ b/src/main/java/io/kitepath/core/leadership/HolderRecord.java
@@ -71,8 +71,8 @@
             return fromRecord(entry.value()).fencingToken();
         } catch (InvalidInputException invalid) {
             LOG.error(
-                    "fencing token record is unreadable, using its revision as highest token:"
-                            + " key={} revision={} cause={}",
+                    "fencing token record unreadable, using its revision as highest token:"
+                            + " key={} revision={} reason={}",
                     entry.key(),
                     entry.revision(),
                     invalid.getMessage());
--- a/src/main/java/io/kitepath/core/leadership/Leadership.java
+++ b/src/main/java/io/kitepath/core/leadership/Leadership.java
@@ -242,7 +242,7 @@
         try {
             applyLeaderRecord(HolderRecord.fromRecord(entry.value()));
         } catch (InvalidInputException invalid) {
-            LOG.error("record is unreadable: key={} cause={}", entry.key(), invalid.getMessage());
+            LOG.error("record unreadable: key={} reason={}", entry.key(), invalid.getMessage());
             readLeaderRecordLater();
             return;
         }
--- a/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntentExecutor.java
@@ -203,8 +203,7 @@
                 pendingIntents.put(entry.key(), new PendingIntent(intent));
             }
         } catch (InvalidInputException | ClassCastException unreadable) {
-            LOG.error(
-                    "record is unreadable: key={} reason={}", entry.key(), unreadable.getMessage());
+            LOG.error("record unreadable: key={} reason={}", entry.key(), unreadable.getMessage());
         }
     }
 
--- a/src/main/java/io/kitepath/core/role/CloudIntents.java
+++ b/src/main/java/io/kitepath/core/role/CloudIntents.java
@@ -158,8 +158,7 @@
         try {
             return Optional.of(CloudIntent.read(entry));
         } catch (InvalidInputException | ClassCastException unreadable) {
-            LOG.error(
-                    "record is unreadable: key={} reason={}", entry.key(), unreadable.getMessage());
+            LOG.error("record unreadable: key={} reason={}", entry.key(), unreadable.getMessage());
             return Optional.empty();
         }
     }
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -287,10 +287,7 @@
             try {
                 onHolderRecordRead(role, HolderRecord.fromRecord(entry.value()), entry.revision());
             } catch (InvalidInputException invalid) {
-                LOG.error(
-                        "record is unreadable: key={} reason={}",
-                        entry.key(),
-                        invalid.getMessage());
+                LOG.error("record unreadable: key={} reason={}", entry.key(), invalid.getMessage());
             }
         }
     }
--- a/src/main/java/io/kitepath/core/service/FinalStates.java
+++ b/src/main/java/io/kitepath/core/service/FinalStates.java
@@ -111,7 +111,7 @@
             remember(status);
             return new JobResponse(Verdict.KNOWN, status);
         } catch (InvalidInputException invalid) {
-            LOG.error("record unreadable: key={} error={}", entry.key(), invalid.getMessage());
+            LOG.error("record unreadable: key={} reason={}", entry.key(), invalid.getMessage());
             return JobResponse.LATER;
         }
     }
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -63,7 +63,7 @@
                 LOG.warn(
                         "not responding to heartbeats, cancellations may be missing:"
                                 + " watermarkAgeSeconds={} secondsSinceStoreResponse={}"
-                                + " leastKnownPeer={}",
+                                + " mostLaggingPeer={}",
                         Math.round(watermarkAgeSeconds),
                         Math.round(leadership.secondsSinceStoreResponse()),
                         cancellationWatermark.mostLaggingPeer());
--- a/src/main/java/io/kitepath/core/service/OpenJobResponder.java
+++ b/src/main/java/io/kitepath/core/service/OpenJobResponder.java
@@ -229,7 +229,7 @@
             remember(progress, true);
             return unfinishedResponse(progress);
         } catch (InvalidInputException unreadable) {
-            LOG.error("job part unreadable: job={} error={}", jobId, unreadable.getMessage());
+            LOG.error("job part unreadable: job={} reason={}", jobId, unreadable.getMessage());
             return JobResponse.LATER;
         }
     }
--- a/src/test/java/io/kitepath/core/GangOnHungMachineTest.java
+++ b/src/test/java/io/kitepath/core/GangOnHungMachineTest.java
@@ -19,10 +19,10 @@
  * <p>What happened, with seed 437 of AllTroublesSeedsTest: the gang's three tasks on the other
  * machine began. Earlier tasks on the hung machine ended, so it resumed with two heartbeats at
  * once. The answer to the first launched the fourth task, the second did not show it: "attempt
- * over, as a newer report does not show it: attempt=j-101/0#1@i-000002 ... sequence=15
- * wasSeen=false startAnsweredSequence=14". A gang that runs without a task has lost it, so the
- * whole gang was stopped and started on the other machine, while the fourth task of the first
- * attempt ran where it had been launched. {@code SimulatedWorkerTest} has the cause.
+ * ended, not in newer heartbeat: attempt=j-101/0#1@i-000002 ... sequence=15 wasSeen=false
+ * startAnsweredSequence=14". A gang that runs without a task has lost it, so the whole gang was
+ * stopped and started on the other machine, while the fourth task of the first attempt ran where it
+ * had been launched. {@code SimulatedWorkerTest} has the cause.
  */
 class GangOnHungMachineTest {
     private static final Map<String, Double> TASK_SECONDS =
--- a/src/test/java/io/kitepath/core/MalformedRecordsTest.java
+++ b/src/test/java/io/kitepath/core/MalformedRecordsTest.java
@@ -23,8 +23,8 @@
  * <p>What happens: the node that reads such a record throws while it takes in the store's answer,
  * and whatever waited for that answer waits for good: a user's question, the claim of a role, the
  * campaign for leadership, the reading of all jobs by a new leader. Why: the fields were read
- * without a way out. What shows it in the log: "the answer 200 to GET /keys/... can't be used" and
- * nothing after it.
+ * without a way out. What shows it in the log: "response handler failed: status=200 method=GET
+ * path=/keys/..." and nothing after it.
  */
 class MalformedRecordsTest {
     private static final Object NO_DOCUMENT = List.of("x");
--- a/src/test/java/io/kitepath/simulation/SimulatedWorkerTest.java
+++ b/src/test/java/io/kitepath/simulation/SimulatedWorkerTest.java
@@ -20,9 +20,9 @@
  * attempt, took the second as proof that it had not started, and started the task elsewhere.
  *
  * <p>What showed it, in the log at debug, for a task placed on i-000002: "attempt launched:
- * attempt=j-101/0#1@i-000002 ... answeredSequence=14", then "attempt over, as a newer report does
- * not show it: attempt=j-101/0#1@i-000002 ... sequence=15 ... startAnsweredSequence=14"; the worker
- * had sent 14 and 15 at 133.076 s, and received the answer to 14 at 133.080 s.
+ * attempt=j-101/0#1@i-000002 ... answeredSequence=14", then "attempt ended, not in newer heartbeat:
+ * attempt=j-101/0#1@i-000002 ... sequence=15 ... startAnsweredSequence=14"; the worker had sent 14
+ * and 15 at 133.076 s, and received the answer to 14 at 133.080 s.
  */
 class SimulatedWorkerTest {
     private static final double ROUND_TRIP_SECONDS = 0.2;
