--- a/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
+++ b/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
@@ -58,7 +58,7 @@
      */
     private Comparator<Job> claimOrder(List<Job> jobs) {
         Map<Job, Double> serviceShares = new IdentityHashMap<>();
-        jobs.forEach(job -> serviceShares.put(job, shard.serviceLevels().catchUpShare(job.spec)));
+        jobs.forEach(job -> serviceShares.put(job, shard.serviceLevels().laggingShare(job.spec)));
         return Comparator.comparingInt(GuaranteeAllocation::claimRank)
                 .thenComparingDouble(job -> claimsByAge(job) ? 0 : serviceShares.get(job))
                 .thenComparingDouble(
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -153,7 +153,7 @@
                 new SchedulingQueue(
                                 spec -> usableCpus(spec, machinesByKind),
                                 this::startLatencySeconds,
-                                shard.serviceLevels()::catchUpShare,
+                                shard.serviceLevels()::laggingShare,
                                 now,
                                 wallMillis)
                         .sortJobs(healthy);
--- a/src/main/java/io/kitepath/core/shard/AttemptLedger.java
+++ b/src/main/java/io/kitepath/core/shard/AttemptLedger.java
@@ -169,7 +169,7 @@
         machine.removeAttempt(attempt);
         if (attempt.isDurable) {
             machine.placedWork().addUncommittedEnd(attempt);
-            job.unwrittenEnds.add(attempt);
+            job.uncommittedEnds.add(attempt);
         }
         if (!machine.isBusy()) {
             machine.setIdleSince(now);
--- a/src/main/java/io/kitepath/core/shard/Job.java
+++ b/src/main/java/io/kitepath/core/shard/Job.java
@@ -52,7 +52,7 @@
     final SortedMap<Integer, Attempt> liveAttempts = attempts.live();
 
     /** Attempts that are confirmed ended, but whose end is not stored in their part's record. */
-    final List<Attempt> unwrittenEnds = new ArrayList<>();
+    final List<Attempt> uncommittedEnds = new ArrayList<>();
 
     /** The number of live attempts that are to be stopped. */
     int stoppingAttemptCount;
--- a/src/main/java/io/kitepath/core/shard/JobRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/JobRegistry.java
@@ -150,7 +150,7 @@
         if (!job.failureHistory.hasSucceeded()) {
             failureDiagnosis.clearMachineFailures(job);
         }
-        job.unwrittenEnds.forEach(
+        job.uncommittedEnds.forEach(
                 attempt -> attempt.machine.placedWork().removeUncommittedEnd(attempt));
     }
 
--- a/src/main/java/io/kitepath/core/shard/PendingWrites.java
+++ b/src/main/java/io/kitepath/core/shard/PendingWrites.java
@@ -125,7 +125,7 @@
                 LOG.debug("placement committed: attempt={} revision={}", attempt, revision);
             }
         }
-        job.unwrittenEnds.removeIf(
+        job.uncommittedEnds.removeIf(
                 attempt -> {
                     boolean isWritten =
                             job.partIndexOf(attempt.task) == part.index
--- a/src/main/java/io/kitepath/core/shard/ServiceGroups.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceGroups.java
@@ -62,9 +62,9 @@
     }
 
     /** Returns the group's share if it is lagging; 1 otherwise, and for an unknown group. */
-    double catchUpShare(String name) {
+    double laggingShare(String name) {
         ServiceGroup group = groups.get(name);
-        return group == null ? 1 : group.catchUpShare();
+        return group == null ? 1 : group.laggingShare();
     }
 
     /**
--- a/src/main/java/io/kitepath/core/shard/ServiceLevels.java
+++ b/src/main/java/io/kitepath/core/shard/ServiceLevels.java
@@ -146,7 +146,7 @@
         }
 
         /** The share if the group is lagging, otherwise 1. */
-        double catchUpShare() {
+        double laggingShare() {
             return lagging ? goalsMetShare() : 1;
         }
 
@@ -359,10 +359,10 @@
      * jobs of its class, and its team. Other jobs of the same priority are deferred in favor of a
      * job with a low share. Returns 1 if none of the groups is lagging.
      */
-    public double catchUpShare(JobSpec spec) {
-        double ofLargest = isLargest(spec) ? largestJobs.catchUpShare(spec.jobClass()) : 1;
+    public double laggingShare(JobSpec spec) {
+        double ofLargest = isLargest(spec) ? largestJobs.laggingShare(spec.jobClass()) : 1;
         double ofClassAndTeam =
-                Math.min(classes.catchUpShare(spec.jobClass()), teams.catchUpShare(spec.team()));
+                Math.min(classes.laggingShare(spec.jobClass()), teams.laggingShare(spec.team()));
         return Math.min(ofLargest, ofClassAndTeam);
     }
 
--- a/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
@@ -78,8 +78,8 @@
         serviceLevels.update(List.of(jobs), spec -> 10, wallSeconds * 1000);
     }
 
-    private double catchUpShare(String jobClass, String team) {
-        return serviceLevels.catchUpShare(job(jobClass, team, null).spec);
+    private double laggingShare(String jobClass, String team) {
+        return serviceLevels.laggingShare(job(jobClass, team, null).spec);
     }
 
     @Test
@@ -88,13 +88,13 @@
         for (int i = 0; i < 5; i++) {
             update(101, tilesJob());
         }
-        assertEquals(0.5, catchUpShare("tiles", "blue"), 0.01, "its class");
-        assertEquals(0.5, catchUpShare("other", "red"), 0.01, "its team");
-        assertEquals(1, catchUpShare("other", "blue"));
+        assertEquals(0.5, laggingShare("tiles", "blue"), 0.01, "its class");
+        assertEquals(0.5, laggingShare("other", "red"), 0.01, "its team");
+        assertEquals(1, laggingShare("other", "blue"));
         assertEquals(0.5, serviceLevels.lowestShare(), 0.01);
         recordDone(15, 99_000);
         update(99);
-        assertEquals(1, catchUpShare("tiles", "red"));
+        assertEquals(1, laggingShare("tiles", "red"));
     }
 
     @Test
@@ -107,16 +107,16 @@
         // Each job may wait for 90 s, less the 10 s that such jobs take from placement to running,
         // and has used most of that time.
         update(47, waiting);
-        assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
+        assertEquals(1, serviceLevels.laggingShare(waiting[0].spec));
         update(49, waiting);
-        assertEquals(0.5, serviceLevels.catchUpShare(waiting[0].spec), 0.02);
+        assertEquals(0.5, serviceLevels.laggingShare(waiting[0].spec), 0.02);
         assertEquals(
                 List.of(10L, 20L),
                 List.of(
                         serviceLevels.classes().get("tiles").atRisk(),
                         serviceLevels.classes().get("tiles").submitted()));
         update(49);
-        assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
+        assertEquals(1, serviceLevels.laggingShare(waiting[0].spec));
     }
 
     /** The class as a whole meets its goals, its largest jobs do not. */
@@ -131,8 +131,8 @@
             serviceLevels.recordDone(job(spec), spec.taskCount() == LARGE_TASKS ? 101_000 : 50_000);
         }
         update(102);
-        assertEquals(1, serviceLevels.catchUpShare(specs[1]));
-        assertEquals(0, serviceLevels.catchUpShare(specs[0]), 0.01);
+        assertEquals(1, serviceLevels.laggingShare(specs[1]));
+        assertEquals(0, serviceLevels.laggingShare(specs[0]), 0.01);
         assertEquals(0, serviceLevels.largestJobs().get("tiles").goalsMetShare(), 0.01);
         ServiceLevels next = new ServiceLevels(settings);
         next.restore(serviceLevels.toRecord(103_000));
