--- a/src/main/java/io/kitepath/core/model/CancellationDigest.java
+++ b/src/main/java/io/kitepath/core/model/CancellationDigest.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * A node's list of the cancellations that it learned of between two moments. It is complete: the
- * node told no user of any other in that time, and confirmed none. It says nothing of the time
- * before {@code sinceMillis}, so a process that was started since does not vouch for what its
- * predecessor confirmed.
+ * A complete list of the cancellations that a node learned of between two moments: in that time the
+ * node reported no other cancellation to a user and confirmed none. It does not cover the time
+ * before {@code sinceMillis}, so a restarted process makes no statement about what its predecessor
+ * confirmed.
  *
- * @param node the node whose list it is
- * @param sinceMillis the first moment, in milliseconds since 1970 by that node's clock
- * @param untilMillis when the list was made, in milliseconds since 1970
- * @param jobIds the cancelled jobs
+ * @param node the node that made the list
+ * @param sinceMillis the start of the period, in milliseconds since 1970 by that node's clock
+ * @param untilMillis the end of the period, when the list was made, in milliseconds since 1970
+ * @param jobIds the ids of the cancelled jobs
  */
 public record CancellationDigest(
         String node, double sinceMillis, double untilMillis, List<String> jobIds) {}
--- a/src/main/java/io/kitepath/core/model/CellDirectory.java
+++ b/src/main/java/io/kitepath/core/model/CellDirectory.java
@@ -9,24 +9,25 @@
 import java.util.stream.Collectors;
 
 /**
- * The cells that there are, from the cells file.
+ * All cells, as listed in the cells file.
  *
- * @param version rises with every change of the file
- * @param ownCellName the cell that this node is part of
- * @param cells by name, this one among them
+ * @param version increases with every change of the file
+ * @param ownCellName the name of the cell that this node belongs to
+ * @param cells all cells by name, including this node's own
  */
 public record CellDirectory(long version, String ownCellName, Map<String, Cell> cells) {
     private static final Hasher64 HASH = Hashing.xxh3_64();
 
     /**
-     * One cell.
+     * A cell and its configuration.
      *
-     * @param isHome whether it can be the home of jobs; one that can't only lends its capacity
-     * @param isDraining whether it is being emptied: it accepts no tasks of others and hands over
-     *     those that wait
-     * @param zones where it rents machines; each zone is one cell's
-     * @param nodes addresses of its nodes by name
-     * @param teams the part of each team's quota and guarantee that is this cell's, by team
+     * @param isHome whether the cell can be the home cell of jobs; other cells only run tasks on
+     *     loan
+     * @param isDraining whether the cell is being drained: it accepts no tasks from other cells and
+     *     hands over its waiting ones
+     * @param zones the zones where the cell rents machines; each zone belongs to one cell
+     * @param nodes the addresses of the cell's nodes by node name
+     * @param teams this cell's part of each team's quota and guarantee, by team name
      */
     public record Cell(
             String name,
@@ -37,10 +38,11 @@
             Map<String, ClusterSettings.Team> teams) {}
 
     /**
-     * The cell that accepts, answers and cancels the job and keeps its outcome: the one of the
-     * homes whose hash with the id is highest (rendezvous hashing, D. G. Thaler and C. V.
-     * Ravishankar, 1998). Guards against a submission that two cells accept because its user came
-     * to both: every node works out a job's home alike, without a message.
+     * Returns the job's home cell, which accepts the job, responds to status queries, cancels it
+     * and stores its outcome. It is the cell with the highest hash of its name and the job id among
+     * those that can be home cells (rendezvous hashing, D. G. Thaler and C. V. Ravishankar, 1998).
+     * Every node computes the same home cell without exchanging messages. Guards against a
+     * submission that is sent to two cells and accepted by both.
      */
     public String homeCellOf(String jobId) {
         String best = null;
@@ -55,19 +57,22 @@
         return best;
     }
 
-    /** The same for two directories if and only if every job has the same home by both. */
+    /**
+     * Returns the names of all home cells, separated by spaces. Two directories return the same
+     * text if and only if they assign every job the same home cell.
+     */
     public String homeCellNames() {
         TreeSet<String> names = new TreeSet<>();
         cells.values().stream().filter(Cell::isHome).forEach(cell -> names.add(cell.name()));
         return String.join(" ", names);
     }
 
-    /** The cell that this node is part of. */
+    /** Returns the cell that this node belongs to. */
     public Cell ownCell() {
         return cells.get(ownCellName);
     }
 
-    /** The zones of other cells. */
+    /** Returns the zones of all other cells. */
     public Set<String> zonesOfOtherCells() {
         return cells.values().stream()
                 .filter(cell -> !cell.name().equals(ownCellName))
--- a/src/main/java/io/kitepath/core/model/CellMessage.java
+++ b/src/main/java/io/kitepath/core/model/CellMessage.java
@@ -3,40 +3,39 @@
 import java.util.List;
 
 /**
- * The messages between cells. None of them is trusted for safety: each side acts on its own store's
- * records only.
+ * A message between cells. Safety does not depend on messages: each side acts only on the records
+ * in its own store.
  *
- * <p>Loans and quota grants have numbers that their sender never gives twice; {@code
- * lowestOpenNumber} tells the other side that all lower ones are settled, so that it may forget
- * them.
+ * <p>The sender numbers loans and quota grants and never reuses a number. {@code lowestOpenNumber}
+ * states that all lower numbers are settled, so that the receiver may delete their state.
  */
 public sealed interface CellMessage {
     /**
-     * Ask another node.
+     * Redirects the sender to another node.
      *
-     * @param node the leader of the answering cell, or null if none is known
+     * @param node the leader of the responding cell, or null if it is unknown
      */
     record Redirect(String node) implements CellMessage {}
 
     /**
      * Free capacity on machines of one kind.
      *
-     * @param idleMachines machines that nothing runs on
+     * @param idleMachines the number of machines without tasks
      */
     record FreeCapacity(
             MachineKind kind, double cpus, double gpus, double memoryGigabytes, int idleMachines) {}
 
     /**
-     * A cell's state, answered by the other cell's.
+     * The state of a cell. The receiver responds with the summary of its own cell.
      *
-     * @param leader its leader's node
-     * @param directoryVersion the version of its cell directory
-     * @param acceptsLoans whether it accepts tasks of others now
-     * @param freeCapacity by kind, the largest first, a bounded number
-     * @param queueSecondsByRank by priority rank: for how many seconds the work waiting up to that
-     *     rank would keep all its machines busy
-     * @param reachableCells the cells that it has heard of lately
-     * @param quotaShares those that it wants most of first, a bounded number
+     * @param leader the node that is the cell's leader
+     * @param directoryVersion the version of the sender's cell directory
+     * @param acceptsLoans whether the cell currently accepts tasks of other cells
+     * @param freeCapacity the free capacity by machine kind, largest first; the list is bounded
+     * @param queueSecondsByRank by priority rank: the seconds for which the work waiting up to that
+     *     rank would occupy all machines of the cell
+     * @param reachableCells the cells from which it recently received a message
+     * @param quotaShares the quota shares with the largest demand first; the list is bounded
      */
     record Summary(
             String cell,
@@ -50,14 +49,14 @@
             implements CellMessage {}
 
     /**
-     * A cell's share of a team's quota; amounts in thousandths of a CPU or GPU.
+     * A cell's share of a team's quota. Amounts are in thousandths of a CPU or GPU.
      *
      * @param resourceKind 0: CPUs, 1: GPUs
-     * @param held its share, used or not
-     * @param used by attempts that are not proven over
-     * @param wanted what it could use at once beyond that
-     * @param nextJobNeed what the first job that waits needs at once
-     * @param nextTaskNeed what one task of that job needs
+     * @param held the whole share, used or not
+     * @param used the amount used by attempts whose end is not confirmed
+     * @param wanted the further amount that the cell could use immediately
+     * @param nextJobNeed the amount that the first waiting job needs at the same time
+     * @param nextTaskNeed the amount that one task of that job needs
      * @param nextJobSubmittedMillis when that job was submitted, in milliseconds since 1970
      */
     record QuotaShare(
@@ -71,7 +70,7 @@
             double nextJobSubmittedMillis) {}
 
     /**
-     * Hands over a part of a team's quota, once.
+     * Transfers a part of a team's quota to the receiving cell. A grant takes effect at most once.
      *
      * @param resourceKind 0: CPUs, 1: GPUs
      * @param amount in thousandths of a CPU or GPU
@@ -85,17 +84,17 @@
             long amount)
             implements CellMessage {}
 
-    /** The grant is recorded in the receiving cell's store. */
+    /** Confirms that the grant is recorded in the receiving cell's store. */
     record QuotaGrantAccepted(long grantNumber) implements CellMessage {}
 
     /**
      * Offers tasks of a job to another cell.
      *
-     * @param homeCell the job's home, which offers them
+     * @param homeCell the job's home cell, which offers the tasks
      * @param submittedMillis when the job was submitted, in milliseconds since 1970
-     * @param firstTask the first task
-     * @param endTask the one after the last
-     * @param nextAttempt the number that the next attempt gets
+     * @param firstTask the number of the first task offered
+     * @param endTask the number after that of the last task offered
+     * @param nextAttempt the number of the job's next attempt
      */
     record LoanOffer(
             String homeCell,
@@ -109,52 +108,55 @@
             implements CellMessage {}
 
     /**
-     * Asks for a loan back.
+     * Recalls a loan.
      *
-     * @param kill whether all its tasks are to be stopped for good; otherwise those that have
-     *     started may go on
+     * @param kill whether to stop all tasks of the loan permanently; otherwise tasks that have
+     *     started may continue
      */
     record LoanRecall(String homeCell, long loanNumber, long lowestOpenNumber, boolean kill)
             implements CellMessage {}
 
     /**
-     * The state of a loan. All but {@link #TAKEN} are final, and recorded before they are told. The
-     * names are part of stored records.
+     * The state of a loan. All states but {@link #TAKEN} are final and are recorded before they are
+     * sent. The names are part of stored records.
      */
     enum LoanState {
-        /** The other cell runs its tasks. */
+        /** The loan is accepted: the other cell runs its tasks. */
         TAKEN,
-        /** All its tasks are done. */
+        /** All tasks of the loan are done. */
         DONE,
-        /** Given back: what is not done is the home's to place again. */
+        /** The loan is returned: the home cell places the unfinished tasks again. */
         BACK,
-        /** Stopped for good. */
+        /** All tasks of the loan are stopped permanently. */
         KILLED,
-        /** Never taken, and never will be. */
+        /** The loan was never accepted and never will be. */
         VOID
     }
 
     /**
-     * A loan's state, told by the cell that it was offered to.
+     * Reports a loan's state. Sent by the cell to which the loan was offered.
      *
-     * @param doneTasks a bit set of the tasks that are done, from the first one of the loan
-     * @param nextAttempt the number that the job's next attempt must have at least
+     * @param doneTasks a bit set of the done tasks; bit 0 is the first task of the loan
+     * @param nextAttempt the lowest number that the job's next attempt may have
      */
     record LoanStatus(
             String cell, long loanNumber, LoanState state, byte[] doneTasks, long nextAttempt)
             implements CellMessage {}
 
-    /** The home has recorded that the loan is over: the other cell may forget it. */
+    /**
+     * Confirms that the home cell has recorded the end of the loan. The other cell may delete its
+     * record.
+     */
     record LoanSettled(long loanNumber, long lowestOpenNumber) implements CellMessage {}
 
     /**
-     * A user's request about a job whose home is the cell that receives this.
+     * A user's request about a job whose home cell is the receiving cell.
      *
-     * @param spec for {@link RequestKind#SUBMIT} only, otherwise null
+     * @param spec the job to submit for {@link RequestKind#SUBMIT}, otherwise null
      */
     record UserRequest(RequestKind kind, String jobId, JobSpec spec) implements CellMessage {}
 
-    /** What a user wants. */
+    /** The action that a user requests. */
     enum RequestKind {
         SUBMIT,
         STATUS,
@@ -162,10 +164,10 @@
     }
 
     /**
-     * The answer for the user.
+     * The response to a user's request.
      *
-     * @param verdict the name of the verdict that the home's own nodes would answer
-     * @param status the job's, or null
+     * @param verdict the name of the verdict with which the home cell's own nodes would respond
+     * @param status the job's status, or null
      */
     record UserResponse(String verdict, JobStatus status) implements CellMessage {}
 }
--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -6,19 +6,20 @@
 import java.util.OptionalDouble;
 
 /**
- * What the settings say about the world; every timeout and bound in the core is a ratio to these.
+ * The settings that describe the cluster and its environment. Every timeout and bound in the core
+ * is derived from them by a ratio.
  *
  * @param node this node's name
  * @param zone the zone that this node is in
- * @param siblings names of the other controller nodes of this cell
- * @param zones where machines can be rented
- * @param teams by name
+ * @param siblings the names of this node's peers, the other controller nodes of the cell
+ * @param zones the zones where machines can be rented
+ * @param teams the teams by name
  * @param objectives the service-level objectives
  * @param workers the workers' timings
  * @param store the state service's limits
  * @param cloud the cloud's limits
- * @param limits what this process may use
- * @param clockErrorMillis how far two nodes' times of day may be apart
+ * @param limits the resource limits of this process
+ * @param clockErrorMillis the maximum difference between the wall clocks of two nodes
  */
 public record ClusterSettings(
         String node,
@@ -32,12 +33,12 @@
         CloudLimits cloud,
         ProcessLimits limits,
         double clockErrorMillis) {
-    /** A job that nothing is expected of has to start within this many leases. */
+    /** The start goal, in worker leases, of a job without objective and deadline. */
     private static final int DEFAULT_START_LEASES = 10;
 
     private static final int BYTES_PER_KIBIBYTE = 1024;
 
-    /** At most this many bytes of a part's record are about one task. */
+    /** Upper bound of the bytes that one task takes in a part's record. */
     private static final int MAX_BYTES_PER_TASK = 32;
 
     private static final int MIN_TASKS_PER_PART = 8;
@@ -45,10 +46,11 @@
     /**
      * A team's guarantee and quota; 0 means none.
      *
-     * @param guaranteedCpus what its jobs get before those beyond their teams' guarantees
-     * @param maxCpus what its jobs may have at once; 0: as much as they like
-     * @param guaranteedGpus as {@code guaranteedCpus}
-     * @param maxGpus as {@code maxCpus}
+     * @param guaranteedCpus the CPUs that its jobs receive before jobs that exceed their teams'
+     *     guarantees
+     * @param maxCpus the CPUs that its jobs may use at the same time; 0: unlimited
+     * @param guaranteedGpus the same for GPUs as {@code guaranteedCpus}
+     * @param maxGpus the same for GPUs as {@code maxCpus}
      */
     public record Team(
             String name,
@@ -58,15 +60,16 @@
             double maxGpus) {}
 
     /**
-     * A service-level objective. Kinds other than the three named here are not about single jobs,
-     * or only later versions know them; they are kept and ignored.
+     * A service-level objective. Other kinds than the three named here do not apply to single jobs
+     * or were added by a later version; they are kept and ignored.
      *
      * @param kind {@link #WAIT}, {@link #FINISHED}, {@link #DEADLINE} or another
-     * @param jobClass the jobs it is about; empty if it is about none in particular
-     * @param withinSeconds the time that the objective gives a job
-     * @param deadlineFactor for {@link #DEADLINE}: within how many times the job's own deadline; 1
-     *     otherwise
-     * @param targetShare of the jobs that are to meet it, from 0 to 1
+     * @param jobClass the class of jobs to which it applies; empty if it applies to no particular
+     *     class
+     * @param withinSeconds the time within which a job has to meet the objective
+     * @param deadlineFactor for {@link #DEADLINE}: the factor by which the job's own deadline is
+     *     multiplied; 1 otherwise
+     * @param targetShare the share of the jobs that should meet it, from 0 to 1
      */
     public record Objective(
             String kind,
@@ -74,16 +77,16 @@
             double withinSeconds,
             double deadlineFactor,
             double targetShare) {
-        /** Tasks have to start in time. */
+        /** Tasks have to start within {@code withinSeconds}. */
         public static final String WAIT = "wait";
 
-        /** Jobs have to be done in time. */
+        /** Jobs have to be done within {@code withinSeconds}. */
         public static final String FINISHED = "finished";
 
         /** Jobs have to be done by their own deadlines. */
         public static final String DEADLINE = "deadline";
 
-        /** Whether it is about jobs of that class. */
+        /** Whether the objective applies to jobs of the class. */
         public boolean isAbout(String jobClassName) {
             return jobClass.equals(jobClassName);
         }
@@ -92,7 +95,9 @@
             return kind.equals(otherKind);
         }
 
-        /** In seconds after its submission; empty if the objective does not say. */
+        /**
+         * Seconds after the submission by which the job has to be done; empty if no limit is set.
+         */
         private OptionalDouble completionDeadline(JobSpec spec, double readyAfterSeconds) {
             if (isOfKind(FINISHED)) {
                 return OptionalDouble.of(readyAfterSeconds + withinSeconds);
@@ -102,7 +107,7 @@
                     : OptionalDouble.empty();
         }
 
-        /** In seconds after its submission; empty if the objective does not say. */
+        /** Seconds after the submission by which the job has to start; empty if no limit is set. */
         private OptionalDouble startDeadline(JobSpec spec, double readyAfterSeconds) {
             if (isOfKind(WAIT)) {
                 return OptionalDouble.of(readyAfterSeconds + withinSeconds);
@@ -117,12 +122,12 @@
     /**
      * The workers' timings, all in seconds.
      *
-     * @param heartbeatIntervalSeconds how often a worker reports
-     * @param leaseSeconds for how long a worker keeps its tasks after it sent a report that was
-     *     answered
-     * @param gangStartTimeoutSeconds for how long a task waits for the rest of its gang
-     * @param gangPeerTimeoutSeconds how long a gang takes to notice that a task of it is gone
-     * @param cancelDeadlineSeconds within which a cancelled job's tasks have to be gone
+     * @param heartbeatIntervalSeconds the interval between two heartbeats of a worker
+     * @param leaseSeconds how long a worker keeps its tasks after it sent a heartbeat that received
+     *     a response
+     * @param gangStartTimeoutSeconds how long a task waits for the other tasks of its gang
+     * @param gangPeerTimeoutSeconds how long a gang takes to detect that one of its tasks has ended
+     * @param cancelDeadlineSeconds the time within which all tasks of a cancelled job have to end
      */
     public record WorkerTimings(
             double heartbeatIntervalSeconds,
@@ -131,17 +136,17 @@
             double gangPeerTimeoutSeconds,
             double cancelDeadlineSeconds) {
         /**
-         * For how long workers may be answered without knowing what was cancelled, in seconds:
-         * their lease has to expire after the last answer, both within {@code
-         * cancelDeadlineSeconds}. Two heartbeat intervals and a second are left for what comes on
-         * top: clock skew and drift, and an attempt found by a heartbeat that no proof has covered
-         * yet. Never under one heartbeat interval, which only matters where {@code
-         * cancelDeadlineSeconds} is hardly longer than the lease, so that no way of answering keeps
-         * the rule for a machine that falls silent.
+         * Returns how long the leader may respond to heartbeats without current knowledge of the
+         * cancellations, in seconds. This time and the lease that the last response renewed have to
+         * end within {@code cancelDeadlineSeconds}. Two heartbeat intervals and one second are
+         * reserved for clock skew and drift, and for an attempt that was discovered by a heartbeat
+         * and is not covered by a proof yet. The result is at least one heartbeat interval. This
+         * minimum applies only if {@code cancelDeadlineSeconds} is hardly longer than the lease; no
+         * response policy can then meet the deadline for a machine that stops sending heartbeats.
          */
         public double cancellationStalenessSeconds() {
-            // Not longer than a lease of theirs: by then another node leads, which they would have
-            // to reach as well.
+            // At most one worker lease: after that time another node is the leader, and
+            // cancellations would have to reach it as well.
             return Math.max(
                     heartbeatIntervalSeconds,
                     Math.min(
@@ -154,16 +159,17 @@
     }
 
     /**
-     * What the state service accepts, and will accept after announced limits of its have come into
-     * force: writers keep to the lower ones from the start, since nobody says when that will be.
+     * The limits of the state service. If lower limits are announced, writers keep to them from the
+     * start, since the time at which they come into force is unknown.
      *
-     * @param requestsPerSecond of all kinds
-     * @param writesPerSecond puts and deletes, those of transactions that fail too
-     * @param maxValueKibibytes the size of a value, as JSON
-     * @param maxTransactionOperations puts and deletes of one transaction; it may have four times
-     *     as many conditions
-     * @param layoutValueKibibytes the size of values by which records are laid out that earlier
-     *     versions wrote, and may still read
+     * @param requestsPerSecond the rate limit for requests of all kinds
+     * @param writesPerSecond the rate limit for puts and deletes, including those of failed
+     *     transactions
+     * @param maxValueKibibytes the maximum size of a value, as JSON
+     * @param maxTransactionOperations the maximum number of puts and deletes in one transaction; it
+     *     may have four times as many conditions
+     * @param layoutValueKibibytes the value size that determines the layout of records which
+     *     earlier versions wrote and may still read
      */
     public record StoreLimits(
             double requestsPerSecond,
@@ -171,7 +177,7 @@
             double maxValueKibibytes,
             int maxTransactionOperations,
             double layoutValueKibibytes) {
-        /** Limits by which records are laid out as well. */
+        /** Creates limits whose maximum value size also determines the layout of records. */
         public StoreLimits(
                 double requestsPerSecond,
                 double writesPerSecond,
@@ -185,7 +191,7 @@
                     maxValueKibibytes);
         }
 
-        /** The lower of each; records stay laid out as they are. */
+        /** Returns the lower value of each limit. The layout of records does not change. */
         public StoreLimits tightenedBy(StoreLimits announced) {
             return new StoreLimits(
                     Math.min(requestsPerSecond, announced.requestsPerSecond),
@@ -195,29 +201,32 @@
                     layoutValueKibibytes);
         }
 
-        /** The bytes, in the JSON form that the state service counts, that a value may have. */
+        /**
+         * Returns the maximum size of a value in bytes, in the JSON form that the state service
+         * counts.
+         */
         public int maxValueBytes() {
             return (int) (maxValueKibibytes * BYTES_PER_KIBIBYTE);
         }
     }
 
     /**
-     * What the cloud accepts.
+     * The limits of the cloud's API.
      *
-     * @param listLagSeconds how old the cloud's list of machines may be
+     * @param listLagSeconds the maximum age of the cloud's list of machines
      */
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
     /**
-     * What the platform grants this process.
+     * The resources that the platform grants to this process.
      *
-     * @param cpuCores the share of one core
-     * @param ramMegabytes above which the process is killed
-     * @param maxSockets open at once
+     * @param cpuCores the CPU share, in cores
+     * @param ramMegabytes the memory limit above which the process is killed
+     * @param maxSockets the maximum number of open sockets
      */
     public record ProcessLimits(double cpuCores, double ramMegabytes, int maxSockets) {}
 
-    /** The same with other quotas and guarantees. */
+    /** Returns a copy with other quotas and guarantees. */
     public ClusterSettings withTeams(Map<String, Team> otherTeams) {
         return new ClusterSettings(
                 node,
@@ -234,15 +243,19 @@
     }
 
     /**
-     * How many tasks one part record holds unless the job's own record says something else: few
-     * enough that a part stays under the value limit as it was. Never changes for a deployment: a
-     * part's key means these tasks, to nodes of every version.
+     * Returns the number of tasks in one part record, unless the job's record states another one. A
+     * part of this size stays under the value size limit of the record layout. The number never
+     * changes within a deployment, because nodes of every version derive a part's tasks from its
+     * key.
      */
     public int tasksPerPart() {
         return tasksPerPart(store.layoutValueKibibytes);
     }
 
-    /** The same for parts that stay under the value limit whatever machines their tasks are on. */
+    /**
+     * Returns the number of tasks in one part record that stays under the current value size limit
+     * on whichever machines its tasks run.
+     */
     public int tasksPerCompactPart() {
         return tasksPerPart(store.maxValueKibibytes);
     }
@@ -254,17 +267,18 @@
     }
 
     /**
-     * By when a job has to start to meet what is expected of it, in seconds after its submission,
-     * the soonest first: by the objectives of its class, or else by its own deadline; ten leases if
-     * nothing is said.
+     * Returns the times by which a job has to start to meet its start goals, in seconds after its
+     * submission, earliest first. They follow from the objectives of its class, or else from its
+     * own deadline. Without either, the start goal is ten worker leases.
      */
     public double[] startDeadlinesSeconds(JobSpec spec) {
         return startDeadlinesSeconds(spec, 0);
     }
 
     /**
-     * The same for a job that could not start for that many seconds, since it waited for others:
-     * its deadline counts from its submission, everything else from then.
+     * Returns the start deadlines of a job that waited for its dependencies during its first {@code
+     * readyAfterSeconds}. Its own deadline counts from its submission, all other goals from the end
+     * of that wait.
      */
     public double[] startDeadlinesSeconds(JobSpec spec, double readyAfterSeconds) {
         List<Double> deadlines = new ArrayList<>();
@@ -283,8 +297,9 @@
     }
 
     /**
-     * By when a job has to be done for its own deadline, as its class's objectives count it, in
-     * seconds after its submission; the soonest first, none if it has no deadline.
+     * Returns the times by which a job has to be done to meet its own deadline, as the objectives
+     * of its class count it, in seconds after its submission, earliest first. The result is empty
+     * if the job has no deadline.
      */
     public double[] ownDeadlinesSeconds(JobSpec spec) {
         if (spec.deadlineSeconds() == null) {
@@ -301,10 +316,11 @@
     }
 
     /**
-     * By when a job has to be done to count as served at all, in seconds after its submission: the
-     * most generous of its class's objectives and of its own deadline; NaN if nothing is said.
+     * Returns the latest time at which completing a job still meets a goal, in seconds after its
+     * submission: the latest completion deadline by the objectives of its class, or else the job's
+     * own deadline. Returns NaN if the job has neither.
      *
-     * @param readyAfterSeconds for how long it waited for other jobs
+     * @param readyAfterSeconds how long the job waited for its dependencies
      */
     public double latestUsefulCompletionSeconds(JobSpec spec, double readyAfterSeconds) {
         double latest = Double.NaN;
@@ -325,8 +341,8 @@
     }
 
     /**
-     * The shortest time in seconds within which the class's jobs are expected to finish; {@code
-     * absent} if nothing is said.
+     * Returns the shortest time in seconds within which the class's jobs should finish, or {@code
+     * defaultSeconds} if no objective states one.
      */
     public double shortestFinishObjectiveSeconds(String jobClass, double absent) {
         return objectives.stream()
--- a/src/main/java/io/kitepath/core/model/DocumentReader.java
+++ b/src/main/java/io/kitepath/core/model/DocumentReader.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * Checked reading of a map in a decoded document (maps, lists, text, {@link Long}, {@link Double},
- * booleans, null), whatever format it came in. A field that is null counts as missing. Every method
- * that reads a field throws an {@link InvalidInputException} with its path if it is missing or of
- * another kind.
+ * Reads and validates the fields of a map in a decoded document (maps, lists, text, {@link Long},
+ * {@link Double}, booleans, null), independent of the document's format. A null field counts as
+ * missing. Every method that reads a field throws an {@link InvalidInputException} with the field's
+ * path if the field is missing or of another type.
  */
 public final class DocumentReader {
-    /** Beyond this, a double may be another integer than the one that was written. */
+    /** The bound below which a double represents every integer exactly. */
     private static final double MAX_EXACT_INTEGER = 1L << 53;
 
     private final Map<?, ?> map;
@@ -22,7 +22,7 @@
         this.path = path;
     }
 
-    /** Reads the document's outermost map. */
+    /** Returns a reader for the document's outermost map. */
     public static DocumentReader of(Object document) {
         if (document instanceof Map<?, ?> map) {
             return new DocumentReader(map, "");
@@ -30,17 +30,17 @@
         throw new InvalidInputException("document: must be a map");
     }
 
-    /** Whether the field is there and not null. */
+    /** Whether the field is present and not null. */
     public boolean has(String name) {
         return map.get(name) != null;
     }
 
-    /** The field whatever it is; null if it is missing. */
+    /** Returns the field's value of any type, or null if it is missing. */
     public Object raw(String name) {
         return map.get(name);
     }
 
-    /** A field with text. */
+    /** Returns a text field. */
     public String text(String name) {
         if (map.get(name) instanceof String text) {
             return text;
@@ -48,12 +48,12 @@
         throw wrongType(name, "text");
     }
 
-    /** A field with text that may be missing. */
+    /** Returns a text field, or {@code absent} if it is missing. */
     public String textOr(String name, String absent) {
         return has(name) ? text(name) : absent;
     }
 
-    /** A finite number of at least {@code min}. */
+    /** Returns a finite number of at least {@code min}. */
     public double number(String name, double min) {
         Object value = map.get(name);
         if (!(value instanceof Long) && !(value instanceof Double)) {
@@ -66,13 +66,14 @@
         return number;
     }
 
-    /** A finite number of at least {@code min} that may be missing. */
+    /** Returns a finite number of at least {@code min}, or {@code absent} if it is missing. */
     public double numberOr(String name, double min, double absent) {
         return has(name) ? number(name, min) : absent;
     }
 
     /**
-     * An integer within the bounds, which may have been written as a number with a fraction of 0.
+     * Returns an integer from {@code min} to {@code max}. A number with a fraction of 0 is
+     * accepted.
      */
     public long integer(String name, long min, long max) {
         long integer = integer(name);
@@ -95,12 +96,12 @@
         throw wrongType(name, "an integer");
     }
 
-    /** An integer of 0 or more. */
+    /** Returns an integer of 0 or more. */
     public long count(String name) {
         return integer(name, 0, Long.MAX_VALUE);
     }
 
-    /** A field that is true or false. */
+    /** Returns a boolean field. */
     public boolean flag(String name) {
         if (map.get(name) instanceof Boolean flag) {
             return flag;
@@ -108,7 +109,7 @@
         throw wrongType(name, "true or false");
     }
 
-    /** A field with a map. */
+    /** Returns a reader for a field with a map. */
     public DocumentReader child(String name) {
         if (map.get(name) instanceof Map<?, ?> child) {
             return new DocumentReader(child, path + name + ".");
@@ -116,7 +117,7 @@
         throw wrongType(name, "a map");
     }
 
-    /** A field with a list of anything. */
+    /** Returns a list with items of any type. */
     public List<?> list(String name) {
         if (map.get(name) instanceof List<?> list) {
             return list;
@@ -124,7 +125,7 @@
         throw wrongType(name, "a list");
     }
 
-    /** A field with a list of maps. */
+    /** Returns a reader for each item of a list of maps. */
     public List<DocumentReader> children(String name) {
         List<DocumentReader> children = new ArrayList<>();
         for (Object item : list(name)) {
@@ -137,7 +138,7 @@
         return children;
     }
 
-    /** A field with a list of text. */
+    /** Returns a list of text. */
     public List<String> texts(String name) {
         List<String> texts = new ArrayList<>();
         for (Object item : list(name)) {
@@ -149,7 +150,7 @@
         return texts;
     }
 
-    /** A complaint about the field, with its path. */
+    /** Creates an exception that names the field's path and the reason. */
     public InvalidInputException invalid(String name, String reason) {
         return new InvalidInputException(path + name + ": " + reason);
     }
--- a/src/main/java/io/kitepath/core/model/Heartbeat.java
+++ b/src/main/java/io/kitepath/core/model/Heartbeat.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * A worker's report of its machine and tasks. Of two reports of one machine, the one with the
+ * A worker's report on its machine and tasks. Of two heartbeats of one machine, the one with the
  * larger ({@code agentIncarnation}, {@code sequence}) is the newer.
  *
- * @param machineId the machine's id, as the cloud gave it
- * @param address where the worker takes direct commands, empty if it does not
- * @param machineType name of the machine's type
+ * @param machineId the machine's id, assigned by the cloud
+ * @param address the address at which the worker accepts direct commands; empty if it accepts none
+ * @param machineType the name of the machine's type
  * @param spot whether it is a spot instance
- * @param agentIncarnation rises each time the worker's lease expires, and its tasks are gone then;
- *     from 1
- * @param sequence rises with every report and every answer to a direct command
- * @param fencingToken the highest that the worker has seen; it ignores commands with a lower one
- * @param noticeSeconds in how many seconds the cloud takes the machine back, or null if it gave no
+ * @param agentIncarnation the incarnation of the worker's agent, from 1; it increases each time the
+ *     worker's lease expires, which ends all its tasks
+ * @param sequence increases with every heartbeat and every response to a direct command
+ * @param fencingToken the highest token that the worker has received; it ignores commands with a
+ *     lower one
+ * @param noticeSeconds the seconds until the cloud reclaims the machine, or null if it gave no
  *     notice
  */
 public record Heartbeat(
@@ -30,22 +31,24 @@
         List<TaskStatus> tasks) {
 
     /**
-     * A task on the machine.
+     * The status of a task on the machine.
      *
-     * @param task its number within the job
-     * @param attempt the number of this attempt of the task
-     * @param cause why it ended; null unless it did
+     * @param task the task's number within the job
+     * @param attempt the number of the attempt
+     * @param cause why the attempt ended; null unless it has ended
      */
     public record TaskStatus(
             String jobId, int task, long attempt, TaskState state, EndCause cause) {}
 
-    /** Whether it was sent after the report of the same machine that had these. */
+    /**
+     * Whether this heartbeat was sent after the heartbeat of the same machine with these numbers.
+     */
     public boolean isNewerThan(long otherIncarnation, long otherSequence) {
         return agentIncarnation > otherIncarnation
                 || agentIncarnation == otherIncarnation && sequence > otherSequence;
     }
 
-    /** What a task does. The order is part of the format of messages between nodes. */
+    /** The state of an attempt. The order is part of the format of messages between nodes. */
     public enum TaskState {
         FETCHING_IMAGE,
         WAITING_FOR_GANG,
@@ -56,21 +59,21 @@
 
     /** Why an attempt ended. The order is part of the format of messages between nodes. */
     public enum EndCause {
-        /** Completed. */
+        /** The task completed. */
         DONE,
-        /** By a command. */
+        /** A command stopped the task. */
         STOPPED,
-        /** Another task of its gang is gone. */
+        /** Another task of the gang has ended. */
         GANG_PEER_LOST,
-        /** Its gang was not complete in time. */
+        /** The gang was not complete within the timeout. */
         GANG_START_TIMEOUT,
-        /** Failed. */
+        /** The task failed. */
         ERROR,
-        /** Not started: the machine has too little left. */
+        /** Not started: the machine's free capacity does not suffice. */
         INSUFFICIENT_RESOURCES,
         /** Not started: another attempt of the task is on the machine. */
         OTHER_ATTEMPT_PRESENT,
-        /** Not started: the worker knows no such job or task. */
+        /** Not started: the job or task is unknown to the worker. */
         UNKNOWN_TASK
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobProgress.java
+++ b/src/main/java/io/kitepath/core/model/JobProgress.java
@@ -1,8 +1,8 @@
 package io.kitepath.core.model;
 
 /**
- * How far an unfinished job is, for display.
+ * The progress of an unfinished job, for display.
  *
- * @param note what it waits for, in a sentence, or null if there is nothing to say
+ * @param note a sentence that says what the job is waiting for, or null
  */
 public record JobProgress(String jobId, int doneTaskCount, int runningTaskCount, String note) {}
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -6,20 +6,22 @@
 import java.util.TreeSet;
 
 /**
- * A job as it is kept in the state service.
+ * A job as stored in the state service.
  *
- * <p>Earlier versions read these records too, and ignore fields that they do not know. A record
- * that would mean something else without those (the job waits for others; its parts are laid out
- * another way) has a shape that they can't read: they log an error and place nothing of it, but
- * accept, show and cancel it as any other job. Guards against a node of an earlier version that
- * comes back and starts a job before those that it depends on, or reads a part's key as other tasks
- * and starts them twice.
+ * <p>Earlier versions read these records too and ignore unknown fields. A record whose meaning
+ * depends on such fields (the job has dependencies, or its parts have another layout) gets a shape
+ * that earlier versions cannot parse: they log an error and place none of its tasks, but accept,
+ * show and cancel the job like any other. Guards against a node of an earlier version that becomes
+ * active again and starts a job before its dependencies, or maps a part's key to other tasks and
+ * starts them twice.
  *
- * @param submittedMillis milliseconds since 1970, by the clock of the node that accepted it
- * @param dependencies ids of the jobs that have to be done before any task of this one starts
- * @param tasksPerPart how many tasks one of its parts holds; 0: as {@link
- *     ClusterSettings#tasksPerPart} says
- * @param nextAttempt its next attempt gets at least this number; 0 if its parts say all
+ * @param submittedMillis when the job was submitted, in milliseconds since 1970 by the clock of the
+ *     node that accepted it
+ * @param dependencies the ids of the jobs that have to be done before any task of this job starts
+ * @param tasksPerPart the number of tasks in one part of the job; 0: as given by {@link
+ *     ClusterSettings#tasksPerPart}
+ * @param nextAttempt the lowest number for the job's next attempt; 0 if the records of its parts
+ *     suffice to determine it
  */
 public record JobRecord(
         JobSpec spec,
@@ -27,18 +29,21 @@
         List<String> dependencies,
         int tasksPerPart,
         long nextAttempt) {
-    /** Follows the name of a shape where earlier versions must not read the record. */
+    /** Suffix of the shape's name that prevents earlier versions from reading the record. */
     private static final String NEWER_SHAPE_SUFFIX = "/2";
 
-    /** Names of a job that is over are cut to this many characters if its record is too large. */
+    /**
+     * Length in characters to which names in a finished job's record are cut if the record is too
+     * large.
+     */
     private static final int TRIMMED_NAME_LENGTH = 40;
 
-    /** Copies the list of dependencies. */
+    /** Creates a record with a copy of the list of dependencies. */
     public JobRecord {
         dependencies = List.copyOf(dependencies);
     }
 
-    /** The stored form; see {@link #fromRecord}. */
+    /** Returns the stored form; see {@link #fromRecord}. */
     public Map<String, Object> toRecord() {
         Map<String, Object> fields = spec.toRecord();
         if (!dependencies.isEmpty() || tasksPerPart > 0) {
@@ -58,12 +63,12 @@
     }
 
     /**
-     * The stored form of a job that is over: without what it waited for, which does not matter any
-     * more. A record that was accepted when values could be larger is cut: it loses what only says
-     * where the job might have run.
+     * Returns the stored form of a finished job, without its dependencies, which are no longer
+     * needed. If the record is too large because it was accepted under a higher value size limit,
+     * fields that only affect where the job could run are dropped or cut.
      *
-     * @param outcome how the job ended, added to its fields
-     * @param maxBytes how large the record may be
+     * @param outcome the fields that describe how the job ended
+     * @param maxBytes the size limit of the record
      */
     public Map<String, Object> toFinishedRecord(Map<String, Object> outcome, int maxBytes) {
         Map<String, Object> fields =
@@ -80,18 +85,18 @@
     }
 
     /**
-     * A submission's dependencies: each once, in the order of their ids, so that two records of one
-     * submission are equal.
+     * Returns the dependencies of a submission without duplicates and sorted by id, so that two
+     * records of one submission are equal.
      */
     public static List<String> distinctSorted(List<String> dependencies) {
         return new ArrayList<>(new TreeSet<>(dependencies));
     }
 
     /**
-     * Reads what any version wrote.
+     * Reads a record that any version wrote.
      *
-     * @throws InvalidInputException if it is not a job's record
-     * @throws IllegalArgumentException if it has names that this version does not know
+     * @throws InvalidInputException if {@code record} is not a job's record
+     * @throws IllegalArgumentException if it contains names that are unknown to this version
      */
     public static JobRecord fromRecord(String id, Object record) {
         DocumentReader document = DocumentReader.of(record);
@@ -105,7 +110,7 @@
                 document.has("next") ? document.count("next") : 0);
     }
 
-    /** The shape that a record names, whichever versions may read it. */
+    /** Returns the shape that a record names, with or without the suffix for newer versions. */
     static JobSpec.Shape parseShape(String text) {
         return JobSpec.Shape.valueOf(
                 text.endsWith(NEWER_SHAPE_SUFFIX)
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -7,26 +7,27 @@
 import java.util.Set;
 
 /**
- * A job as its user described it. Amounts are those of one task.
+ * A job as described by its user. Amounts are per task.
  *
- * @param id the user's name for the job, such as {@code j-000412}; unique for ever
- * @param jobClass what service-level objectives and statistics go by
- * @param team whose quota and guarantee it runs under
- * @param shape which of its tasks run together
- * @param taskCount its tasks are numbered from 0
- * @param memoryGigabytesPerTask main memory
- * @param machineTypes names of the machine types that are allowed, or null for all
- * @param zone the only zone that is allowed, or null for all
- * @param isSingleZone whether all its tasks have to be in one zone at a time
- * @param isSpreadAcrossZones whether at most half of its tasks, rounded up, may be in one zone
- * @param allowsSpot whether it may run on spot instances
- * @param image name of the container image that a machine has to fetch first
- * @param imageGigabytes its size
- * @param estimatedSeconds the user's estimate of a task's run time without fetching the image; 0
- *     for services
- * @param checkpointIntervalSeconds how often a task saves its progress; 0 if it never does
- * @param checkpointSaveSeconds how long it takes a stopped task to save its progress
- * @param deadlineSeconds by when after its submission the job is to be done, or null
+ * @param id the job id given by the user, such as {@code j-000412}; never reused
+ * @param jobClass the class that selects service-level objectives and groups statistics
+ * @param team the team whose quota and guarantee apply
+ * @param shape which of the job's tasks run together
+ * @param taskCount the number of tasks; tasks are numbered from 0
+ * @param memoryGigabytesPerTask the main memory of a task
+ * @param machineTypes the names of the allowed machine types, or null for all
+ * @param zone the only allowed zone, or null for all
+ * @param isSingleZone whether all tasks have to be in one zone at a time
+ * @param isSpreadAcrossZones whether at most half of the tasks, rounded up, may be in one zone
+ * @param allowsSpot whether the job may run on spot instances
+ * @param image the name of the container image that a machine has to fetch first
+ * @param imageGigabytes the size of the image
+ * @param estimatedSeconds the user's estimate of a task's run time, excluding the time to fetch the
+ *     image; 0 for services
+ * @param checkpointIntervalSeconds the interval at which a task saves its progress; 0 if it never
+ *     does
+ * @param checkpointSaveSeconds how long a stopped task takes to save its progress
+ * @param deadlineSeconds the time after the submission by which the job should be done, or null
  */
 public record JobSpec(
         String id,
@@ -50,20 +51,20 @@
         double checkpointSaveSeconds,
         Double deadlineSeconds) {
 
-    /** How far sums of decimal numbers may be apart from the exact ones. */
+    /** Tolerance for the rounding error of sums of decimal numbers. */
     private static final double ROUNDING = 1e-9;
 
-    /** Which of a job's tasks run together. The names are part of stored records. */
+    /** States which of a job's tasks run together. The names are part of stored records. */
     public enum Shape {
         /** Independent tasks; each runs once, in any order. */
         ARRAY,
-        /** All tasks run at the same time, and stop together. */
+        /** All tasks run at the same time and stop together. */
         GANG,
         /** Replicas that run until the job is cancelled. */
         SERVICE
     }
 
-    /** Highest first. The names are part of stored records. */
+    /** The priority of a job, highest first. The names are part of stored records. */
     public enum Priority {
         PRODUCTION,
         HIGH,
@@ -71,12 +72,12 @@
         LOW
     }
 
-    /** Starts the description of a job; see {@link JobSpecBuilder}. */
+    /** Returns a builder for a job with this id; see {@link JobSpecBuilder}. */
     public static JobSpecBuilder builder(String id) {
         return new JobSpecBuilder(id);
     }
 
-    /** Starts the description of a job that is like this one but for what is set afterwards. */
+    /** Returns a builder that is initialized with the values of this job. */
     public JobSpecBuilder toBuilder() {
         return JobSpecBuilder.copyOf(this);
     }
@@ -86,17 +87,17 @@
         return shape == Shape.GANG;
     }
 
-    /** How long a task that is stopped gets to save its progress; 0 if it can't. */
+    /** Returns how long a stopped task has to save its progress; 0 if it saves none. */
     public double stopGraceSeconds() {
         return checkpointIntervalSeconds > 0 ? checkpointSaveSeconds : 0;
     }
 
-    /** How many tasks the job may have in one zone. */
+    /** Returns the maximum number of the job's tasks in one zone. */
     public int maxTasksPerZone() {
         return isSpreadAcrossZones ? (taskCount + 1) / 2 : taskCount;
     }
 
-    /** The form that is kept in the state service, as a part of {@link JobRecord}. */
+    /** Returns the stored form, which is a part of {@link JobRecord}. */
     public Map<String, Object> toRecord() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("class", jobClass);
@@ -122,11 +123,10 @@
     }
 
     /**
-     * Reads what {@link #toRecord} made, in any version.
+     * Reads a map made by {@link #toRecord} of any version.
      *
-     * @throws InvalidInputException if a field is missing or of the wrong kind
-     * @throws IllegalArgumentException if shape or priority have names that this version does not
-     *     know
+     * @throws InvalidInputException if a field is missing or of the wrong type
+     * @throws IllegalArgumentException if the shape or priority is unknown to this version
      */
     public static JobSpec fromRecord(String id, Object record) {
         DocumentReader document = DocumentReader.of(record);
@@ -154,10 +154,11 @@
     }
 
     /**
-     * Why the job can never run with these machine types and limits, or null if it can.
+     * Returns the reason why the job can never run with these machine types and limits, or null if
+     * it can run.
      *
-     * @param knownTypes machine types by name
-     * @param otherCellsZones zones of other cells, where all types may be had
+     * @param knownTypes the known machine types by name
+     * @param otherCellsZones the zones of other cells, where all machine types may be available
      */
     public String reasonImpossible(
             Map<String, MachineType> knownTypes,
@@ -176,7 +177,8 @@
                 || isAbove(tasksAtOnce * gpusPerTask, quota.maxGpus())) {
             return "more than the limit of team " + team;
         }
-        // An array may run half by half, but the others need all their tasks at the same time.
+        // The tasks of an array may run one half after the other; other shapes need all tasks at
+        // the same time.
         if (shape != Shape.ARRAY
                 && isSpreadAcrossZones
                 && taskCount > 1
@@ -190,7 +192,7 @@
         return limit > 0 && amount > limit + ROUNDING;
     }
 
-    /** Allowed zones in which there may be machines that hold a task. */
+    /** Returns the allowed zones that may have machines with capacity for a task. */
     private Set<String> feasibleZones(
             Map<String, MachineType> knownTypes, Set<String> otherCellsZones) {
         Set<String> zones = new HashSet<>();
--- a/src/main/java/io/kitepath/core/model/JobSpecBuilder.java
+++ b/src/main/java/io/kitepath/core/model/JobSpecBuilder.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Makes a {@link JobSpec} with its values by name, where twenty arguments in a row would be
- * mistaken for each other. Values that are not set are 0, false or null; nothing checks here that a
- * job can run with them.
+ * Builds a {@link JobSpec} from named values. Guards against mixing up the twenty constructor
+ * arguments. Values that are not set are 0, false or null. The builder does not check whether a job
+ * can run with its values.
  */
 public final class JobSpecBuilder {
     private final String id;
@@ -104,13 +104,13 @@
         return this;
     }
 
-    /** The machine types that are allowed; null, as at first, for all. */
+    /** Sets the allowed machine types; null, the default, allows all. */
     public JobSpecBuilder machineTypes(List<String> machineTypes) {
         this.machineTypes = machineTypes;
         return this;
     }
 
-    /** The only zone that is allowed; null, as at first, for all. */
+    /** Sets the only allowed zone; null, the default, allows all. */
     public JobSpecBuilder zone(String zone) {
         this.zone = zone;
         return this;
@@ -164,13 +164,13 @@
         return this;
     }
 
-    /** By when it is to be done after its submission; null, as at first, for no deadline. */
+    /** Sets the deadline in seconds after the submission; null, the default, means no deadline. */
     public JobSpecBuilder deadlineSeconds(Double deadlineSeconds) {
         this.deadlineSeconds = deadlineSeconds;
         return this;
     }
 
-    /** The job as described so far. */
+    /** Builds the job from the values set so far. */
     public JobSpec build() {
         return new JobSpec(
                 id,
--- a/src/main/java/io/kitepath/core/model/JobStatus.java
+++ b/src/main/java/io/kitepath/core/model/JobStatus.java
@@ -1,19 +1,19 @@
 package io.kitepath.core.model;
 
 /**
- * The status of a job as its user is told.
+ * The status of a job as reported to its user.
  *
  * @param status pending, running, done or cancelled
- * @param note what it waits for, in a sentence, or null if there is nothing to say
+ * @param note a sentence that says what the job is waiting for, or null
  */
 public record JobStatus(
         String jobId, String status, int doneTaskCount, int runningTaskCount, String note) {
-    /** A status without a note. */
+    /** Creates a status without a note. */
     public JobStatus(String jobId, String status, int doneTaskCount, int runningTaskCount) {
         this(jobId, status, doneTaskCount, runningTaskCount, null);
     }
 
-    /** The status of a job that is neither done nor cancelled. */
+    /** Returns the status of a job that is neither done nor cancelled. */
     public static JobStatus ofUnfinished(JobProgress progress) {
         return new JobStatus(
                 progress.jobId(),
--- a/src/main/java/io/kitepath/core/model/JsonSize.java
+++ b/src/main/java/io/kitepath/core/model/JsonSize.java
@@ -4,25 +4,27 @@
 import java.util.Map;
 
 /**
- * How many bytes a value takes as JSON, which is what the state service's limits count. Never too
- * few: with a space after each separator, and with everything escaped that may be.
+ * Computes an upper bound of a value's size as JSON in bytes, which the state service's limits
+ * refer to. It assumes a space after each separator and an escape wherever one is allowed.
  */
 public final class JsonSize {
-    /** A number with a fraction, whoever prints it. */
+    /** Upper bound for a number with a fraction, independent of the JSON encoder. */
     private static final int MAX_DOUBLE_BYTES = 20;
 
-    /** A character outside ASCII as an escape. */
+    /** Size of an escaped character outside printable ASCII. */
     private static final int ESCAPE_BYTES = 6;
 
-    /** Brackets, braces or quotes. */
+    /** Size of a pair of brackets, braces or quotes. */
     private static final int DELIMITER_BYTES = 2;
 
-    /** A comma or colon and a space. */
+    /** Size of a comma or colon and a space. */
     private static final int SEPARATOR_BYTES = 2;
 
     private JsonSize() {}
 
-    /** In bytes, of plain maps, lists, text, numbers, booleans and null. */
+    /**
+     * Returns the size in bytes of a value made of maps, lists, text, numbers, booleans and null.
+     */
     public static int sizeInBytes(Object value) {
         if (value instanceof String text) {
             return textSize(text);
@@ -56,7 +58,7 @@
         return bytes;
     }
 
-    /** How many digits a number without a fraction has; it must not be negative. */
+    /** Returns the number of decimal digits of an integer that is not negative. */
     public static int digits(long number) {
         int digits = 1;
         for (long rest = number; rest >= 10; rest /= 10) {
--- a/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
+++ b/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
@@ -6,11 +6,12 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Seconds that the event loop spent, by activity. On a small share of a core this time runs out
- * first, and nobody can tell from outside what took it. For use on the event loop only.
+ * Measures the seconds that the event loop spends on each activity. On a small CPU share, event
+ * loop time is the first resource to be exhausted, and its use cannot be determined from outside
+ * the process. For use on the event loop only.
  */
 public final class LoopTimeAccounting {
-    /** What the event loop does. The names are part of metrics' names. */
+    /** An activity of the event loop. The names are part of metric names. */
     public enum Activity {
         PLACING,
         GIVING_WAY,
@@ -25,28 +26,33 @@
     private final DoubleSupplier clock;
     private final Map<Activity, Double> seconds = new EnumMap<>(Activity.class);
 
-    /** {@code clock}: seconds on the steady clock. */
+    /**
+     * Creates an accounting without any recorded time.
+     *
+     * @param clock returns seconds on the steady clock
+     */
     public LoopTimeAccounting(DoubleSupplier clock) {
         this.clock = clock;
     }
 
-    /** Seconds on the steady clock. */
+    /** Returns the current time in seconds on the steady clock. */
     public double now() {
         return clock.getAsDouble();
     }
 
-    /** Adds the time from {@code startedAt}, on the steady clock, until now to the activity. */
+    /** Adds the time since {@code startedAt}, on the steady clock, to the activity. */
     public void record(Activity activity, double startedAt) {
         seconds.merge(activity, now() - startedAt, Double::sum);
     }
 
-    /** Seconds spent on the activity since this process was started. */
+    /** Returns the seconds spent on the activity since the process started. */
     public double seconds(Activity activity) {
         return seconds.getOrDefault(activity, 0.0);
     }
 
     /**
-     * All activities with their seconds, for the log: {@code " placing=1.2 giving_way=0.0 ..."}.
+     * Returns all activities with their seconds, for the log: {@code " placing=1.2 giving_way=0.0
+     * ..."}.
      */
     @Override
     public String toString() {
--- a/src/main/java/io/kitepath/core/model/MachineKind.java
+++ b/src/main/java/io/kitepath/core/model/MachineKind.java
@@ -1,9 +1,9 @@
 package io.kitepath.core.model;
 
 /**
- * One kind of machine that can be rented.
+ * A kind of machine that can be rented.
  *
- * @param machineType name of the type
- * @param spot as a spot instance; otherwise on demand
+ * @param machineType the name of the machine type
+ * @param spot whether the machine is a spot instance; otherwise it is on demand
  */
 public record MachineKind(String machineType, String zone, boolean spot) {}
--- a/src/main/java/io/kitepath/core/model/MachineType.java
+++ b/src/main/java/io/kitepath/core/model/MachineType.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * A type of machine that the cloud rents out.
+ * A machine type that the cloud offers.
  *
- * @param memoryGigabytes main memory
- * @param cacheGigabytes local space for container images
- * @param fetchGigabytesPerSecond how fast it fetches images, more or less
- * @param pricePerHour on demand
- * @param spotPricePerHour now, as a spot instance
- * @param bootSeconds from the rental until the worker reports, more or less
- * @param zones where it is offered
+ * @param memoryGigabytes the main memory
+ * @param cacheGigabytes the local disk space for container images
+ * @param fetchGigabytesPerSecond the approximate rate at which a machine fetches images
+ * @param pricePerHour the on-demand price
+ * @param spotPricePerHour the current price of a spot instance
+ * @param bootSeconds the approximate time from the rental to the worker's first heartbeat
+ * @param zones the zones where the type is offered
  */
 public record MachineType(
         String name,
@@ -27,7 +27,7 @@
         double bootSeconds,
         List<String> zones) {
 
-    /** The form that is kept in the state service; see {@link #fromRecord}. */
+    /** Returns the stored form; see {@link #fromRecord}. */
     public Map<String, Object> toRecord() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("name", name);
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Reads what {@link #toRecord} made.
+     * Reads a map made by {@link #toRecord}.
      *
-     * @throws InvalidInputException if a field is missing or of the wrong kind
+     * @throws InvalidInputException if a field is missing or of the wrong type
      */
     public static MachineType fromRecord(DocumentReader document) {
         return new MachineType(
--- a/src/main/java/io/kitepath/core/model/Metric.java
+++ b/src/main/java/io/kitepath/core/model/Metric.java
@@ -3,19 +3,19 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One of a node's metrics for operators.
+ * A metric of a node, for operators.
  *
- * @param counter whether it only ever grows; otherwise it is a gauge
- * @param description what it measures, in its unit
- * @param value read when asked for, on the event loop
+ * @param counter whether the metric is a counter, which never decreases; otherwise it is a gauge
+ * @param description what the metric measures and in which unit
+ * @param value supplies the current value on demand, on the event loop
  */
 public record Metric(boolean counter, String description, DoubleSupplier value) {
-    /** A metric that only ever grows while the process runs. */
+    /** Creates a counter, which never decreases while the process runs. */
     public static Metric counter(String description, DoubleSupplier value) {
         return new Metric(true, description, value);
     }
 
-    /** A metric that may rise and fall. */
+    /** Creates a gauge, which may increase and decrease. */
     public static Metric gauge(String description, DoubleSupplier value) {
         return new Metric(false, description, value);
     }
--- a/src/main/java/io/kitepath/core/model/TokenBucket.java
+++ b/src/main/java/io/kitepath/core/model/TokenBucket.java
@@ -1,21 +1,21 @@
 package io.kitepath.core.model;
 
 /**
- * A token bucket that holds one second's tokens, as the rate limits of state service and cloud
- * count. Times are seconds on the steady clock. Not safe for use by several threads.
+ * A token bucket with a capacity of one second's tokens, like the rate limits of the state service
+ * and the cloud. Times are seconds on the steady clock. Not thread-safe.
  */
 public final class TokenBucket {
     private final double ratePerSecond;
     private double tokens;
     private double updatedAtSeconds = Double.NaN;
 
-    /** A full bucket that is filled at that rate. */
+    /** Creates a full bucket that is refilled at the rate. */
     public TokenBucket(double ratePerSecond) {
         this.ratePerSecond = ratePerSecond;
         this.tokens = ratePerSecond;
     }
 
-    /** The tokens in the bucket at that time. */
+    /** Returns the number of tokens in the bucket at the time. */
     public double available(double now) {
         if (!Double.isNaN(updatedAtSeconds)) {
             tokens = Math.min(ratePerSecond, tokens + (now - updatedAtSeconds) * ratePerSecond);
@@ -24,7 +24,7 @@
         return tokens;
     }
 
-    /** Takes that many tokens if they are there; none and false otherwise. */
+    /** Takes the requested tokens and returns true if they are available; otherwise takes none. */
     public boolean tryTake(double wanted, double now) {
         if (available(now) < wanted) {
             return false;
@@ -33,7 +33,10 @@
         return true;
     }
 
-    /** In how many seconds that many tokens will be there, if nobody else takes any. */
+    /**
+     * Returns the seconds until the requested tokens are available, provided that no others are
+     * taken.
+     */
     public double secondsUntil(double wanted, double now) {
         return Math.max(0, (wanted - available(now)) / ratePerSecond);
     }
--- a/src/main/java/io/kitepath/core/model/WorkerCommand.java
+++ b/src/main/java/io/kitepath/core/model/WorkerCommand.java
@@ -4,15 +4,15 @@
  * A command to a worker about one attempt of one task.
  *
  * @param task the task's number within the job
- * @param graceSeconds for {@link Action#STOP} only: how long the task gets to save its progress
+ * @param graceSeconds for {@link Action#STOP} only: how long the task has to save its progress
  */
 public record WorkerCommand(
         Action action, String jobId, int task, long attempt, double graceSeconds) {
-    /** What to do. The order is part of the format of messages between nodes. */
+    /** The action to execute. The order is part of the format of messages between nodes. */
     public enum Action {
         START,
         STOP,
-        /** Forget an attempt that has ended: its end is recorded. */
+        /** Deletes the worker's state of an ended attempt, whose end is recorded. */
         FORGET
     }
 }
--- a/src/main/java/io/kitepath/core/port/Cloud.java
+++ b/src/main/java/io/kitepath/core/port/Cloud.java
@@ -6,13 +6,16 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** The cloud, which rents out machines by the second. Answers come later, on the event loop. */
+/**
+ * The cloud, which rents out machines by the second. Responses arrive asynchronously on the event
+ * loop.
+ */
 public interface Cloud {
     /**
      * A machine in the cloud's list.
      *
-     * @param status as the cloud names it: {@code starting}, {@code running} ...
-     * @param heldSeconds its age since the rental was requested
+     * @param status the status as named by the cloud, such as {@code starting} or {@code running}
+     * @param heldSeconds the time since the rental was requested
      */
     record ListedMachine(
             String machineId,
@@ -22,14 +25,14 @@
             String status,
             double heldSeconds) {}
 
-    /** Asks for the types that are offered, with their prices of now. */
+    /** Requests the offered machine types with their current prices. */
     void listMachineTypes(BiConsumer<Store.Outcome, List<MachineType>> answer);
 
     /**
-     * Rents machines; answers with their ids. REJECTED: no capacity.
+     * Rents machines and responds with their ids. REJECTED: no capacity.
      *
-     * @param name makes the request idempotent: it must be used again after an unknown outcome, and
-     *     never for anything else
+     * @param name the name that makes the request idempotent; it must be reused for the retry after
+     *     an unknown outcome, and for no other request
      */
     void rent(
             String name,
@@ -37,9 +40,12 @@
             int count,
             BiConsumer<Store.Outcome, List<String>> answer);
 
-    /** Ends rentals. OK: the machines and everything on them are gone. */
+    /** Ends rentals. OK: the machines and all tasks on them have ended. */
     void release(List<String> machines, Consumer<Store.Outcome> answer);
 
-    /** Asks for all machines that are rented. The list may be old; see the settings. */
+    /**
+     * Requests the list of all rented machines. It may be out of date; see {@code
+     * ClusterSettings.CloudLimits}.
+     */
     void listMachines(BiConsumer<Store.Outcome, List<ListedMachine>> answer);
 }
--- a/src/main/java/io/kitepath/core/port/DirectCommands.java
+++ b/src/main/java/io/kitepath/core/port/DirectCommands.java
@@ -6,17 +6,17 @@
 import java.util.function.Consumer;
 
 /**
- * Commands sent straight to a worker, without waiting for its next heartbeat. They may be executed
- * late, so only commands that are right at any time go this way: to stop an attempt that has to end
- * in any case.
+ * Sends commands directly to a worker, without waiting for its next heartbeat. They may be executed
+ * late, so only commands that are valid at any time are sent directly: those that stop an attempt
+ * which has to end in any case.
  */
 public interface DirectCommands {
     /**
      * Sends commands to one incarnation of a worker's agent.
      *
-     * @param address the worker's, from its heartbeat
-     * @param answer gets the worker's report after the commands, or null if none came or nothing
-     *     was executed; on the event loop
+     * @param address the worker's address, from its heartbeat
+     * @param answer receives, on the event loop, the worker's heartbeat after the commands, or null
+     *     if there was no response or nothing was executed
      */
     void send(
             String address,
--- a/src/main/java/io/kitepath/core/port/PeerNodes.java
+++ b/src/main/java/io/kitepath/core/port/PeerNodes.java
@@ -9,33 +9,38 @@
 import java.util.function.Consumer;
 
 /**
- * The other controller nodes of the cell. What is sent to all of them may be lost; answers come on
- * the event loop.
+ * The peers: the other controller nodes of the cell. Messages to all peers may be lost. Responses
+ * arrive on the event loop.
  */
 public interface PeerNodes {
     /**
-     * Tells all peers this node's view of the cell.
+     * Sends this node's view of the cell to all peers.
      *
-     * @param fencingToken the highest that it knows
-     * @param leader itself if it leads, else null
-     * @param servedByStore whether the store answers it
+     * @param fencingToken the highest fencing token known to this node
+     * @param leader this node's name if it is the leader, otherwise null
+     * @param servedByStore whether this node receives responses from the store
      */
     void announceState(long fencingToken, String leader, boolean servedByStore);
 
-    /** Tells all peers that the store has recorded a job's end. */
+    /** Notifies all peers that the end of a job is recorded in the store. */
     void announceJobEnd(JobStatus job);
 
-    /** Tells the cancellations that this node knows to all peers whose version can read that. */
+    /**
+     * Sends the cancellations known to this node to all peers whose version supports the message.
+     */
     void sendCancellationDigest(CancellationDigest digest);
 
-    /** Asks the leader how far jobs are; answers an empty list if it does not answer in time. */
+    /**
+     * Requests the progress of jobs from the leader. The callback receives an empty list if the
+     * leader does not respond in time.
+     */
     void requestProgress(String leader, List<String> jobIds, Consumer<List<JobProgress>> answer);
 
     /**
-     * Has a peer answer a heartbeat.
+     * Relays a heartbeat to a peer, which responds to it.
      *
-     * @param mayPassOn whether the peer may pass it on to the leader
-     * @return false if the peer can't be asked now; there is no answer then
+     * @param mayPassOn whether the peer may forward the heartbeat to the leader
+     * @return false if the peer cannot be reached now; the callback is not invoked then
      */
     boolean relayHeartbeat(
             String peer,
--- a/src/main/java/io/kitepath/core/port/RemoteCells.java
+++ b/src/main/java/io/kitepath/core/port/RemoteCells.java
@@ -6,12 +6,12 @@
 /** The controller nodes of other cells. */
 public interface RemoteCells {
     /**
-     * Sends one message for one answer.
+     * Sends a message and receives one response.
      *
-     * @param cell its name in the directory
-     * @param node the node to ask; null: any, another one each time
-     * @param answer gets null if none came within about a second: then the message may have
-     *     arrived, may arrive later, or may be lost; on the event loop
+     * @param cell the name of the remote cell in the cell directory
+     * @param node the node to send the message to; null: any node, a different one each time
+     * @param answer receives the response on the event loop, or null if there was none within about
+     *     one second; the message may then have arrived, arrive later or be lost
      */
     void ask(String cell, String node, CellMessage message, Consumer<CellMessage> answer);
 }
--- a/src/main/java/io/kitepath/core/port/Timers.java
+++ b/src/main/java/io/kitepath/core/port/Timers.java
@@ -2,12 +2,15 @@
 
 /** The steady clock, the time of day and the event loop's timers. */
 public interface Timers {
-    /** Seconds on the steady clock, from any start. */
+    /** Returns the seconds on the steady clock since an arbitrary origin. */
     double nowSeconds();
 
-    /** Milliseconds since 1970, right to within the settings' clock error. */
+    /**
+     * Returns the wall clock time in milliseconds since 1970, accurate to the clock error in the
+     * settings.
+     */
     double wallClockMillis();
 
-    /** Runs the task on the event loop after so many seconds. */
+    /** Runs the task on the event loop after {@code delaySeconds}. */
     void schedule(double delaySeconds, Runnable task);
 }
--- a/src/main/java/io/kitepath/core/port/package-info.java
+++ b/src/main/java/io/kitepath/core/port/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The ports of the core: what it asks of the world outside (state service, cloud, workers, peer
- * nodes, other cells, time). They use the types of {@code core.model} only.
+ * The ports of the core: interfaces to external systems (state service, cloud, workers, peers,
+ * remote cells, time). They use only types of {@code core.model}.
  *
- * <p>An implementation answers every request at most once, later and on the event loop, and never
- * claims more than it knows: what may have happened is {@code UNKNOWN}. The core calls from the
- * event loop only.
+ * <p>An implementation responds to every request at most once, asynchronously and on the event
+ * loop. It never reports more than it knows: if a request may have been executed, its outcome is
+ * {@code UNKNOWN}. The core calls the ports from the event loop only.
  */
 package io.kitepath.core.port;
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/MarginTest.java
@@ -7,18 +7,22 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The sum that keeps the rule on cancellations: one that the leader does not know of was confirmed
- * after the moment until which it knows all; the last answer is given within the allowed staleness
- * after that moment, and keeps tasks for a lease.
+ * Guards against tasks that outlive the cancellation deadline. A cancellation that is unknown to
+ * the leader was confirmed after the moment up to which the leader knows all cancellations. The
+ * leader sends its last heartbeat response within the allowed staleness after that moment, and the
+ * worker then keeps its tasks for one lease. The sum has to stay below the deadline.
  */
 class MarginTest {
     private static final double DRIFT = 0.0005;
     private static final double CLOCK_ERROR_SECONDS = 0.005;
 
-    /** When a task of a cancelled job is gone at the latest, in seconds after a user was told. */
+    /**
+     * Returns the latest time at which a task of a cancelled job ends, in seconds after the
+     * cancellation was confirmed to the user.
+     */
     private static double latestTaskEndSeconds(ClusterSettings.WorkerTimings workers) {
         double staleness = workers.cancellationStalenessSeconds();
-        // An attempt that was found by a heartbeat is named by the next proof only.
+        // An attempt discovered by a heartbeat is included only in the next proof.
         double nextProof = staleness / 8 * 1.25;
         return nextProof
                 + staleness * (1 + DRIFT)
@@ -56,7 +60,8 @@
     void tasksAreGoneInTimeWhereverALeaseAndThreeHeartbeatsFitIntoTheDeadline() {
         for (double interval = 0.5; interval <= 10; interval += 0.5) {
             for (double lease = 2 * interval; lease <= 120; lease += 1.5) {
-                // Drift of leases of minutes takes its part of the second that is left.
+                // Allows for the clock drift during a lease of minutes, which uses part of
+                // the reserved second.
                 ClusterSettings.WorkerTimings workers =
                         timings(interval, lease, lease + 3 * interval + 1 + lease * DRIFT);
                 assertTrue(
@@ -67,8 +72,8 @@
     }
 
     /**
-     * No answer at all would keep the rule for a machine that falls silent just after one; so work
-     * is not given up for it.
+     * No response policy meets the deadline for a machine that stops sending heartbeats just after
+     * a response, so work is not sacrificed for it.
      */
     @Test
     void stalenessIsOneHeartbeatIntervalWhereTheDeadlineIsHardlyLongerThanTheLease() {
