--- a/src/main/java/io/kitepath/core/model/CellDirectory.java
+++ b/src/main/java/io/kitepath/core/model/CellDirectory.java
@@ -45,16 +45,17 @@
      * submission that is sent to two cells and accepted by both.
      */
     public String homeCellOf(String jobId) {
-        String best = null;
-        long highest = 0;
+        String homeCellName = null;
+        long highestHash = 0;
         for (Cell cell : cells.values()) {
             long hash = HASH.hashCharsToLong(cell.name() + ' ' + jobId);
-            if (cell.isHome() && (best == null || Long.compareUnsigned(hash, highest) > 0)) {
-                best = cell.name();
-                highest = hash;
+            if (cell.isHome()
+                    && (homeCellName == null || Long.compareUnsigned(hash, highestHash) > 0)) {
+                homeCellName = cell.name();
+                highestHash = hash;
             }
         }
-        return best;
+        return homeCellName;
     }
 
     /**
--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -34,12 +34,12 @@
         ProcessLimits limits,
         double clockErrorMillis) {
     /** The start goal, in worker leases, of a job without objective and deadline. */
-    private static final int DEFAULT_START_LEASES = 10;
+    private static final int DEFAULT_START_GOAL_LEASES = 10;
 
     private static final int BYTES_PER_KIBIBYTE = 1024;
 
     /** Upper bound of the bytes that one task takes in a part's record. */
-    private static final int MAX_BYTES_PER_TASK = 32;
+    private static final int MAX_RECORD_BYTES_PER_TASK = 32;
 
     private static final int MIN_TASKS_PER_PART = 8;
 
@@ -91,14 +91,14 @@
             return jobClass.equals(jobClassName);
         }
 
-        private boolean isOfKind(String otherKind) {
-            return kind.equals(otherKind);
+        private boolean isOfKind(String expectedKind) {
+            return kind.equals(expectedKind);
         }
 
         /**
          * Seconds after the submission by which the job has to be done; empty if no limit is set.
          */
-        private OptionalDouble completionDeadline(JobSpec spec, double readyAfterSeconds) {
+        private OptionalDouble completionDeadlineSeconds(JobSpec spec, double readyAfterSeconds) {
             if (isOfKind(FINISHED)) {
                 return OptionalDouble.of(readyAfterSeconds + withinSeconds);
             }
@@ -108,11 +108,11 @@
         }
 
         /** Seconds after the submission by which the job has to start; empty if no limit is set. */
-        private OptionalDouble startDeadline(JobSpec spec, double readyAfterSeconds) {
+        private OptionalDouble startDeadlineSeconds(JobSpec spec, double readyAfterSeconds) {
             if (isOfKind(WAIT)) {
                 return OptionalDouble.of(readyAfterSeconds + withinSeconds);
             }
-            OptionalDouble completion = completionDeadline(spec, readyAfterSeconds);
+            OptionalDouble completion = completionDeadlineSeconds(spec, readyAfterSeconds);
             return completion.isPresent()
                     ? OptionalDouble.of(completion.getAsDouble() - spec.estimatedSeconds())
                     : completion;
@@ -227,13 +227,13 @@
     public record ProcessLimits(double cpuCores, double ramMegabytes, int maxSockets) {}
 
     /** Returns a copy with other quotas and guarantees. */
-    public ClusterSettings withTeams(Map<String, Team> otherTeams) {
+    public ClusterSettings withTeams(Map<String, Team> newTeams) {
         return new ClusterSettings(
                 node,
                 zone,
                 siblings,
                 zones,
-                otherTeams,
+                newTeams,
                 objectives,
                 workers,
                 store,
@@ -260,10 +260,10 @@
         return tasksPerPart(store.maxValueKibibytes);
     }
 
-    private static int tasksPerPart(double valueKibibytes) {
+    private static int tasksPerPart(double maxKibibytesPerValue) {
         return Math.max(
                 MIN_TASKS_PER_PART,
-                (int) (valueKibibytes * BYTES_PER_KIBIBYTE / MAX_BYTES_PER_TASK));
+                (int) (maxKibibytesPerValue * BYTES_PER_KIBIBYTE / MAX_RECORD_BYTES_PER_TASK));
     }
 
     /**
@@ -284,14 +284,15 @@
         List<Double> deadlines = new ArrayList<>();
         for (Objective objective : objectives) {
             if (objective.isAbout(spec.jobClass())) {
-                objective.startDeadline(spec, readyAfterSeconds).ifPresent(deadlines::add);
+                objective.startDeadlineSeconds(spec, readyAfterSeconds).ifPresent(deadlines::add);
             }
         }
         if (deadlines.isEmpty()) {
             deadlines.add(
                     spec.deadlineSeconds() != null
                             ? spec.deadlineSeconds() - spec.estimatedSeconds()
-                            : readyAfterSeconds + DEFAULT_START_LEASES * workers.leaseSeconds());
+                            : readyAfterSeconds
+                                    + DEFAULT_START_GOAL_LEASES * workers.leaseSeconds());
         }
         return deadlines.stream().mapToDouble(Double::doubleValue).sorted().toArray();
     }
@@ -305,14 +306,14 @@
         if (spec.deadlineSeconds() == null) {
             return new double[0];
         }
-        double[] counted =
+        double[] deadlines =
                 objectives.stream()
                         .filter(objective -> objective.isOfKind(Objective.DEADLINE))
                         .filter(objective -> objective.isAbout(spec.jobClass()))
                         .mapToDouble(objective -> spec.deadlineSeconds() * objective.deadlineFactor)
                         .sorted()
                         .toArray();
-        return counted.length > 0 ? counted : new double[] {spec.deadlineSeconds()};
+        return deadlines.length > 0 ? deadlines : new double[] {spec.deadlineSeconds()};
     }
 
     /**
@@ -326,7 +327,8 @@
         double latest = Double.NaN;
         for (Objective objective : objectives) {
             if (objective.isAbout(spec.jobClass())) {
-                OptionalDouble deadline = objective.completionDeadline(spec, readyAfterSeconds);
+                OptionalDouble deadline =
+                        objective.completionDeadlineSeconds(spec, readyAfterSeconds);
                 if (deadline.isPresent()) {
                     latest =
                             Double.isNaN(latest)
@@ -344,12 +346,12 @@
      * Returns the shortest time in seconds within which the class's jobs should finish, or {@code
      * defaultSeconds} if no objective states one.
      */
-    public double shortestFinishObjectiveSeconds(String jobClass, double absent) {
+    public double shortestFinishObjectiveSeconds(String jobClass, double defaultSeconds) {
         return objectives.stream()
                 .filter(objective -> objective.isOfKind(Objective.FINISHED))
                 .filter(objective -> objective.isAbout(jobClass))
                 .mapToDouble(Objective::withinSeconds)
                 .min()
-                .orElse(absent);
+                .orElse(defaultSeconds);
     }
 }
--- a/src/main/java/io/kitepath/core/model/DocumentReader.java
+++ b/src/main/java/io/kitepath/core/model/DocumentReader.java
@@ -48,9 +48,9 @@
         throw wrongType(name, "text");
     }
 
-    /** Returns a text field, or {@code absent} if it is missing. */
-    public String textOr(String name, String absent) {
-        return has(name) ? text(name) : absent;
+    /** Returns a text field, or {@code defaultValue} if it is missing. */
+    public String textOr(String name, String defaultValue) {
+        return has(name) ? text(name) : defaultValue;
     }
 
     /** Returns a finite number of at least {@code min}. */
@@ -66,9 +66,11 @@
         return number;
     }
 
-    /** Returns a finite number of at least {@code min}, or {@code absent} if it is missing. */
-    public double numberOr(String name, double min, double absent) {
-        return has(name) ? number(name, min) : absent;
+    /**
+     * Returns a finite number of at least {@code min}, or {@code defaultValue} if it is missing.
+     */
+    public double numberOr(String name, double min, double defaultValue) {
+        return has(name) ? number(name, min) : defaultValue;
     }
 
     /**
@@ -129,11 +131,11 @@
     public List<DocumentReader> children(String name) {
         List<DocumentReader> children = new ArrayList<>();
         for (Object item : list(name)) {
-            String indexed = name + "[" + children.size() + "]";
+            String indexedName = name + "[" + children.size() + "]";
             if (!(item instanceof Map<?, ?> child)) {
-                throw invalid(indexed, "must be a map");
+                throw invalid(indexedName, "must be a map");
             }
-            children.add(new DocumentReader(child, path + indexed + "."));
+            children.add(new DocumentReader(child, path + indexedName + "."));
         }
         return children;
     }
@@ -155,7 +157,7 @@
         return new InvalidInputException(path + name + ": " + reason);
     }
 
-    private InvalidInputException wrongType(String name, String kind) {
-        return invalid(name, has(name) ? "must be " + kind : "is missing");
+    private InvalidInputException wrongType(String name, String expectedType) {
+        return invalid(name, has(name) ? "must be " + expectedType : "is missing");
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobRecord.java
+++ b/src/main/java/io/kitepath/core/model/JobRecord.java
@@ -36,7 +36,7 @@
      * Length in characters to which names in a finished job's record are cut if the record is too
      * large.
      */
-    private static final int TRIMMED_NAME_LENGTH = 40;
+    private static final int TRIMMED_NAME_CHARS = 40;
 
     /** Creates a record with a copy of the list of dependencies. */
     public JobRecord {
@@ -78,7 +78,7 @@
             fields.put("types", null);
             for (String field : List.of("class", "image")) {
                 String name = (String) fields.get(field);
-                fields.put(field, name.substring(0, Math.min(TRIMMED_NAME_LENGTH, name.length())));
+                fields.put(field, name.substring(0, Math.min(TRIMMED_NAME_CHARS, name.length())));
             }
         }
         return fields;
@@ -111,10 +111,11 @@
     }
 
     /** Returns the shape that a record names, with or without the suffix for newer versions. */
-    static JobSpec.Shape parseShape(String text) {
+    static JobSpec.Shape parseShape(String storedShape) {
         return JobSpec.Shape.valueOf(
-                text.endsWith(NEWER_SHAPE_SUFFIX)
-                        ? text.substring(0, text.length() - NEWER_SHAPE_SUFFIX.length())
-                        : text);
+                storedShape.endsWith(NEWER_SHAPE_SUFFIX)
+                        ? storedShape.substring(
+                                0, storedShape.length() - NEWER_SHAPE_SUFFIX.length())
+                        : storedShape);
     }
 }
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -52,7 +52,7 @@
         Double deadlineSeconds) {
 
     /** Tolerance for the rounding error of sums of decimal numbers. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     /** States which of a job's tasks run together. The names are part of stored records. */
     public enum Shape {
@@ -172,9 +172,9 @@
         if (zones.isEmpty()) {
             return "a task fits no allowed machine type";
         }
-        int tasksAtOnce = shape == Shape.ARRAY ? 1 : taskCount;
-        if (isAbove(tasksAtOnce * cpusPerTask, quota.maxCpus())
-                || isAbove(tasksAtOnce * gpusPerTask, quota.maxGpus())) {
+        int simultaneousTasks = shape == Shape.ARRAY ? 1 : taskCount;
+        if (exceeds(simultaneousTasks * cpusPerTask, quota.maxCpus())
+                || exceeds(simultaneousTasks * gpusPerTask, quota.maxGpus())) {
             return "more than the limit of team " + team;
         }
         // The tasks of an array may run one half after the other; other shapes need all tasks at
@@ -188,8 +188,8 @@
         return null;
     }
 
-    private static boolean isAbove(double amount, double limit) {
-        return limit > 0 && amount > limit + ROUNDING;
+    private static boolean exceeds(double amount, double limit) {
+        return limit > 0 && amount > limit + ROUNDING_TOLERANCE;
     }
 
     /** Returns the allowed zones that may have machines with capacity for a task. */
--- a/src/main/java/io/kitepath/core/model/JsonSize.java
+++ b/src/main/java/io/kitepath/core/model/JsonSize.java
@@ -27,12 +27,12 @@
      */
     public static int sizeInBytes(Object value) {
         if (value instanceof String text) {
-            return textSize(text);
+            return textSizeInBytes(text);
         }
         if (value instanceof Map<?, ?> map) {
             int bytes = DELIMITER_BYTES;
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                bytes += textSize((String) entry.getKey()) + SEPARATOR_BYTES;
+                bytes += textSizeInBytes((String) entry.getKey()) + SEPARATOR_BYTES;
                 bytes += sizeInBytes(entry.getValue()) + SEPARATOR_BYTES;
             }
             return bytes;
@@ -49,7 +49,7 @@
                 : String.valueOf(value).length();
     }
 
-    private static int textSize(String text) {
+    private static int textSizeInBytes(String text) {
         int bytes = DELIMITER_BYTES;
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -61,7 +61,7 @@
     /** Returns the number of decimal digits of an integer that is not negative. */
     public static int digits(long number) {
         int digits = 1;
-        for (long rest = number; rest >= 10; rest /= 10) {
+        for (long remaining = number; remaining >= 10; remaining /= 10) {
             digits++;
         }
         return digits;
--- a/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
+++ b/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
@@ -24,7 +24,7 @@
     }
 
     private final DoubleSupplier clock;
-    private final Map<Activity, Double> seconds = new EnumMap<>(Activity.class);
+    private final Map<Activity, Double> secondsByActivity = new EnumMap<>(Activity.class);
 
     /**
      * Creates an accounting without any recorded time.
@@ -40,14 +40,14 @@
         return clock.getAsDouble();
     }
 
-    /** Adds the time since {@code startedAt}, on the steady clock, to the activity. */
-    public void record(Activity activity, double startedAt) {
-        seconds.merge(activity, now() - startedAt, Double::sum);
+    /** Adds the time since {@code startedAtSeconds}, on the steady clock, to the activity. */
+    public void record(Activity activity, double startedAtSeconds) {
+        secondsByActivity.merge(activity, now() - startedAtSeconds, Double::sum);
     }
 
     /** Returns the seconds spent on the activity since the process started. */
     public double seconds(Activity activity) {
-        return seconds.getOrDefault(activity, 0.0);
+        return secondsByActivity.getOrDefault(activity, 0.0);
     }
 
     /**
--- a/src/main/java/io/kitepath/core/model/TokenBucket.java
+++ b/src/main/java/io/kitepath/core/model/TokenBucket.java
@@ -16,20 +16,23 @@
     }
 
     /** Returns the number of tokens in the bucket at the time. */
-    public double available(double now) {
+    public double available(double nowSeconds) {
         if (!Double.isNaN(updatedAtSeconds)) {
-            tokens = Math.min(ratePerSecond, tokens + (now - updatedAtSeconds) * ratePerSecond);
+            tokens =
+                    Math.min(
+                            ratePerSecond,
+                            tokens + (nowSeconds - updatedAtSeconds) * ratePerSecond);
         }
-        updatedAtSeconds = now;
+        updatedAtSeconds = nowSeconds;
         return tokens;
     }
 
     /** Takes the requested tokens and returns true if they are available; otherwise takes none. */
-    public boolean tryTake(double wanted, double now) {
-        if (available(now) < wanted) {
+    public boolean tryTake(double requestedTokens, double nowSeconds) {
+        if (available(nowSeconds) < requestedTokens) {
             return false;
         }
-        tokens -= wanted;
+        tokens -= requestedTokens;
         return true;
     }
 
@@ -37,7 +40,7 @@
      * Returns the seconds until the requested tokens are available, provided that no others are
      * taken.
      */
-    public double secondsUntil(double wanted, double now) {
-        return Math.max(0, (wanted - available(now)) / ratePerSecond);
+    public double secondsUntil(double requestedTokens, double nowSeconds) {
+        return Math.max(0, (requestedTokens - available(nowSeconds)) / ratePerSecond);
     }
 }
--- a/src/main/java/io/kitepath/core/port/Cloud.java
+++ b/src/main/java/io/kitepath/core/port/Cloud.java
@@ -26,7 +26,7 @@
             double heldSeconds) {}
 
     /** Requests the offered machine types with their current prices. */
-    void listMachineTypes(BiConsumer<Store.Outcome, List<MachineType>> answer);
+    void listMachineTypes(BiConsumer<Store.Outcome, List<MachineType>> callback);
 
     /**
      * Rents machines and responds with their ids. REJECTED: no capacity.
@@ -38,14 +38,14 @@
             String name,
             MachineKind kind,
             int count,
-            BiConsumer<Store.Outcome, List<String>> answer);
+            BiConsumer<Store.Outcome, List<String>> callback);
 
     /** Ends rentals. OK: the machines and all tasks on them have ended. */
-    void release(List<String> machines, Consumer<Store.Outcome> answer);
+    void release(List<String> machines, Consumer<Store.Outcome> callback);
 
     /**
      * Requests the list of all rented machines. It may be out of date; see {@code
      * ClusterSettings.CloudLimits}.
      */
-    void listMachines(BiConsumer<Store.Outcome, List<ListedMachine>> answer);
+    void listMachines(BiConsumer<Store.Outcome, List<ListedMachine>> callback);
 }
--- a/src/main/java/io/kitepath/core/port/DirectCommands.java
+++ b/src/main/java/io/kitepath/core/port/DirectCommands.java
@@ -15,13 +15,13 @@
      * Sends commands to one incarnation of a worker's agent.
      *
      * @param address the worker's address, from its heartbeat
-     * @param answer receives, on the event loop, the worker's heartbeat after the commands, or null
-     *     if there was no response or nothing was executed
+     * @param callback receives, on the event loop, the worker's heartbeat after the commands, or
+     *     null if there was no response or nothing was executed
      */
     void send(
             String address,
             long fencingToken,
             long agentIncarnation,
             List<WorkerCommand> commands,
-            Consumer<Heartbeat> answer);
+            Consumer<Heartbeat> callback);
 }
--- a/src/main/java/io/kitepath/core/port/PeerNodes.java
+++ b/src/main/java/io/kitepath/core/port/PeerNodes.java
@@ -18,9 +18,9 @@
      *
      * @param fencingToken the highest fencing token known to this node
      * @param leader this node's name if it is the leader, otherwise null
-     * @param servedByStore whether this node receives responses from the store
+     * @param isStoreReachable whether this node receives responses from the store
      */
-    void announceState(long fencingToken, String leader, boolean servedByStore);
+    void announceState(long fencingToken, String leader, boolean isStoreReachable);
 
     /** Notifies all peers that the end of a job is recorded in the store. */
     void announceJobEnd(JobStatus job);
@@ -34,17 +34,17 @@
      * Requests the progress of jobs from the leader. The callback receives an empty list if the
      * leader does not respond in time.
      */
-    void requestProgress(String leader, List<String> jobIds, Consumer<List<JobProgress>> answer);
+    void requestProgress(String leader, List<String> jobIds, Consumer<List<JobProgress>> callback);
 
     /**
      * Relays a heartbeat to a peer, which responds to it.
      *
-     * @param mayPassOn whether the peer may forward the heartbeat to the leader
+     * @param mayForward whether the peer may forward the heartbeat to the leader
      * @return false if the peer cannot be reached now; the callback is not invoked then
      */
     boolean relayHeartbeat(
             String peer,
             Heartbeat heartbeat,
-            boolean mayPassOn,
-            Consumer<HeartbeatResponse> answer);
+            boolean mayForward,
+            Consumer<HeartbeatResponse> callback);
 }
--- a/src/main/java/io/kitepath/core/port/RemoteCells.java
+++ b/src/main/java/io/kitepath/core/port/RemoteCells.java
@@ -10,8 +10,8 @@
      *
      * @param cell the name of the remote cell in the cell directory
      * @param node the node to send the message to; null: any node, a different one each time
-     * @param answer receives the response on the event loop, or null if there was none within about
-     *     one second; the message may then have arrived, arrive later or be lost
+     * @param callback receives the response on the event loop, or null if there was none within
+     *     about one second; the message may then have arrived, arrive later or be lost
      */
-    void ask(String cell, String node, CellMessage message, Consumer<CellMessage> answer);
+    void ask(String cell, String node, CellMessage message, Consumer<CellMessage> callback);
 }
--- a/src/main/java/io/kitepath/core/port/Store.java
+++ b/src/main/java/io/kitepath/core/port/Store.java
@@ -109,26 +109,26 @@
     }
 
     /** Reads an entry. REJECTED: it does not exist. */
-    void get(String key, BiConsumer<Outcome, Entry> answer);
+    void get(String key, BiConsumer<Outcome, Entry> callback);
 
     /**
      * Reads entries under a prefix, in the order of their keys.
      *
-     * @param after the key after which to start; empty: starts at the first key
+     * @param afterKey the key after which to start; empty: starts at the first key
      * @param limit the maximum number of entries
      */
-    void list(String prefix, String after, int limit, Consumer<ListResult> answer);
+    void list(String prefix, String afterKey, int limit, Consumer<ListResult> callback);
 
     /** Executes a transaction. A transaction without writes only checks its conditions. */
-    void commit(Transaction transaction, Consumer<CommitResult> answer);
+    void commit(Transaction transaction, Consumer<CommitResult> callback);
 
     /**
      * Requests a lease that expires after this time unless it is renewed. The response is its id.
      */
-    void grantLease(long durationMillis, BiConsumer<Outcome, Long> answer);
+    void grantLease(long durationMillis, BiConsumer<Outcome, Long> callback);
 
     /** Renews a lease for its full duration. REJECTED: it has expired. */
-    void renewLease(long leaseId, Consumer<Outcome> answer);
+    void renewLease(long leaseId, Consumer<Outcome> callback);
 
     /** Ends a lease immediately, provided that the store can be reached. */
     void revokeLease(long leaseId);
@@ -139,5 +139,5 @@
      * @param afterRevision the revision after which changes are reported
      * @param holdMillis how long the store waits before it responds that there are no changes
      */
-    void watch(String prefix, long afterRevision, long holdMillis, Consumer<WatchResult> answer);
+    void watch(String prefix, long afterRevision, long holdMillis, Consumer<WatchResult> callback);
 }
--- a/src/test/java/io/kitepath/core/model/MarginTest.java
+++ b/src/test/java/io/kitepath/core/model/CancellationStalenessTest.java
@@ -12,8 +12,8 @@
  * leader sends its last heartbeat response within the allowed staleness after that moment, and the
  * worker then keeps its tasks for one lease. The sum has to stay below the deadline.
  */
-class MarginTest {
-    private static final double DRIFT = 0.0005;
+class CancellationStalenessTest {
+    private static final double CLOCK_DRIFT_RATIO = 0.0005;
     private static final double CLOCK_ERROR_SECONDS = 0.005;
 
     /**
@@ -21,13 +21,13 @@
      * cancellation was confirmed to the user.
      */
     private static double latestTaskEndSeconds(ClusterSettings.WorkerTimings workers) {
-        double staleness = workers.cancellationStalenessSeconds();
+        double stalenessSeconds = workers.cancellationStalenessSeconds();
         // An attempt discovered by a heartbeat is included only in the next proof.
-        double nextProof = staleness / 8 * 1.25;
-        return nextProof
-                + staleness * (1 + DRIFT)
+        double nextProofSeconds = stalenessSeconds / 8 * 1.25;
+        return nextProofSeconds
+                + stalenessSeconds * (1 + CLOCK_DRIFT_RATIO)
                 + 4 * CLOCK_ERROR_SECONDS
-                + workers.leaseSeconds() * (1 + DRIFT);
+                + workers.leaseSeconds() * (1 + CLOCK_DRIFT_RATIO);
     }
 
     private static ClusterSettings.WorkerTimings timings(
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void tasksAreGoneInTimeWithTheTimingsOfAllKindsOfDeployments() {
+    void endsTasksBeforeCancelDeadlineWithTimingsOfAllDeploymentKinds() {
         for (ClusterSettings.WorkerTimings workers :
                 List.of(
                         timings(1.5, 10, 30),
@@ -57,13 +57,21 @@
     }
 
     @Test
-    void tasksAreGoneInTimeWhereverALeaseAndThreeHeartbeatsFitIntoTheDeadline() {
-        for (double interval = 0.5; interval <= 10; interval += 0.5) {
-            for (double lease = 2 * interval; lease <= 120; lease += 1.5) {
+    void endsTasksBeforeCancelDeadlineIfItCoversLeaseAndThreeHeartbeatIntervals() {
+        for (double intervalSeconds = 0.5; intervalSeconds <= 10; intervalSeconds += 0.5) {
+            for (double leaseSeconds = 2 * intervalSeconds;
+                    leaseSeconds <= 120;
+                    leaseSeconds += 1.5) {
                 // Allows for the clock drift during a lease of minutes, which uses part of
                 // the reserved second.
                 ClusterSettings.WorkerTimings workers =
-                        timings(interval, lease, lease + 3 * interval + 1 + lease * DRIFT);
+                        timings(
+                                intervalSeconds,
+                                leaseSeconds,
+                                leaseSeconds
+                                        + 3 * intervalSeconds
+                                        + 1
+                                        + leaseSeconds * CLOCK_DRIFT_RATIO);
                 assertTrue(
                         latestTaskEndSeconds(workers) < workers.cancelDeadlineSeconds(),
                         workers + ": " + latestTaskEndSeconds(workers));
@@ -76,7 +84,7 @@
      * a response, so work is not sacrificed for it.
      */
     @Test
-    void stalenessIsOneHeartbeatIntervalWhereTheDeadlineIsHardlyLongerThanTheLease() {
+    void allowsOneHeartbeatIntervalOfStalenessIfCancelDeadlineIsHardlyLongerThanLease() {
         assertEquals(2, timings(2, 30, 20).cancellationStalenessSeconds());
         assertEquals(2, timings(2, 30, 32).cancellationStalenessSeconds());
     }
