--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -51,7 +51,7 @@
 
     /** Knows nothing yet of the peers that the settings name. */
     public CancellationWatermark(ClusterSettings settings, Timers timers) {
-        this.peers = settings.siblings();
+        this.peers = settings.peers();
         this.timers = timers;
         this.maxClockSkewMillis = 2 * settings.clockErrorMillis();
     }
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -38,7 +38,7 @@
 
     /** Knows the peers that the settings name, and has heard none of them. */
     public MembershipView(ClusterSettings settings, Timers timers) {
-        this.peers = settings.siblings();
+        this.peers = settings.peers();
         this.timers = timers;
     }
 
--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -11,7 +11,7 @@
  *
  * @param node this node's name
  * @param zone the zone that this node is in
- * @param siblings the names of this node's peers, the other controller nodes of the cell
+ * @param peers the names of this node's peers, the other controller nodes of the cell
  * @param zones the zones where machines can be rented
  * @param teams the teams by name
  * @param objectives the service-level objectives
@@ -24,7 +24,7 @@
 public record ClusterSettings(
         String node,
         String zone,
-        List<String> siblings,
+        List<String> peers,
         List<String> zones,
         Map<String, Team> teams,
         List<Objective> objectives,
@@ -231,7 +231,7 @@
         return new ClusterSettings(
                 node,
                 zone,
-                siblings,
+                peers,
                 zones,
                 newTeams,
                 objectives,
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -211,7 +211,7 @@
     private static List<String> sortedNodes(ClusterSettings settings) {
         List<String> nodes = new ArrayList<>();
         nodes.add(settings.node());
-        settings.siblings().stream()
+        settings.peers().stream()
                 .filter(sibling -> !sibling.equals(settings.node()))
                 .forEach(nodes::add);
         nodes.sort(null);
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -173,7 +173,7 @@
                         response -> parked.settle(waiting, response))) {
             return true;
         }
-        for (String peer : settings.siblings()) {
+        for (String peer : settings.peers()) {
             if (!peer.equals(leader) && !membership.isSilent(peer) && relayVia(peer, waiting)) {
                 return true;
             }
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -70,7 +70,7 @@
         this.finalStates = finalStates;
         this.openJobAnswers =
                 new OpenJobAnswers(settings, store, timers, progressSource, finalStates);
-        int nodes = settings.siblings().size() + 1;
+        int nodes = settings.peers().size() + 1;
         this.requestBudget =
                 new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodes);
         // A transaction takes four conditions for each change that it may hold; a job needs two.
--- a/src/main/java/io/kitepath/core/service/OpenJobAnswers.java
+++ b/src/main/java/io/kitepath/core/service/OpenJobAnswers.java
@@ -72,7 +72,7 @@
         this.timers = timers;
         this.progressSource = progressSource;
         this.finalStates = finalStates;
-        int nodes = settings.siblings().size() + 1;
+        int nodes = settings.peers().size() + 1;
         this.readBudget =
                 new TokenBucket(
                         Math.max(
--- a/src/main/java/io/kitepath/core/service/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -29,7 +29,7 @@
     public RetryAfter(ClusterSettings settings, Timers timers) {
         this.timers = timers;
         this.requestsPerSecond =
-                settings.store().requestsPerSecond() / (settings.siblings().size() + 1);
+                settings.store().requestsPerSecond() / (settings.peers().size() + 1);
     }
 
     /** Counts one more user who is told to come back; returns in how many seconds. */
--- a/src/main/java/io/kitepath/settings/CellsFile.java
+++ b/src/main/java/io/kitepath/settings/CellsFile.java
@@ -122,7 +122,7 @@
     private static void checkOwnCell(
             DocumentReader document, CellDirectory directory, ClusterSettings settings) {
         CellDirectory.Cell ownCell = directory.ownCell();
-        Set<String> settingsNodes = new HashSet<>(settings.siblings());
+        Set<String> settingsNodes = new HashSet<>(settings.peers());
         settingsNodes.add(settings.node());
         if (!ownCell.nodes().keySet().equals(settingsNodes)) {
             throw document.invalid(
