--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -114,7 +114,7 @@
 
     /** Why the job can never run, here or in any other cell, or null if it can. */
     public String reasonImpossible(JobSpec spec) {
-        return spec.reasonImpossible(
+        return spec.infeasibilityReason(
                 shard.machineTypes(), clusterWideSettings, node.otherCells.zonesOfOtherCells());
     }
 
--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -87,7 +87,7 @@
         public static final String DEADLINE = "deadline";
 
         /** Whether the objective applies to jobs of the class. */
-        public boolean isAbout(String jobClassName) {
+        public boolean appliesTo(String jobClassName) {
             return jobClass.equals(jobClassName);
         }
 
@@ -283,7 +283,7 @@
     public double[] startDeadlinesSeconds(JobSpec spec, double readyAfterSeconds) {
         List<Double> deadlines = new ArrayList<>();
         for (Objective objective : objectives) {
-            if (objective.isAbout(spec.jobClass())) {
+            if (objective.appliesTo(spec.jobClass())) {
                 objective.startDeadlineSeconds(spec, readyAfterSeconds).ifPresent(deadlines::add);
             }
         }
@@ -309,7 +309,7 @@
         double[] deadlines =
                 objectives.stream()
                         .filter(objective -> objective.isOfKind(Objective.DEADLINE))
-                        .filter(objective -> objective.isAbout(spec.jobClass()))
+                        .filter(objective -> objective.appliesTo(spec.jobClass()))
                         .mapToDouble(objective -> spec.deadlineSeconds() * objective.deadlineFactor)
                         .sorted()
                         .toArray();
@@ -326,7 +326,7 @@
     public double latestUsefulCompletionSeconds(JobSpec spec, double readyAfterSeconds) {
         double latest = Double.NaN;
         for (Objective objective : objectives) {
-            if (objective.isAbout(spec.jobClass())) {
+            if (objective.appliesTo(spec.jobClass())) {
                 OptionalDouble deadline =
                         objective.completionDeadlineSeconds(spec, readyAfterSeconds);
                 if (deadline.isPresent()) {
@@ -349,7 +349,7 @@
     public double shortestFinishObjectiveSeconds(String jobClass, double defaultSeconds) {
         return objectives.stream()
                 .filter(objective -> objective.isOfKind(Objective.FINISHED))
-                .filter(objective -> objective.isAbout(jobClass))
+                .filter(objective -> objective.appliesTo(jobClass))
                 .mapToDouble(Objective::withinSeconds)
                 .min()
                 .orElse(defaultSeconds);
--- a/src/main/java/io/kitepath/core/model/JobSpec.java
+++ b/src/main/java/io/kitepath/core/model/JobSpec.java
@@ -160,7 +160,7 @@
      * @param knownTypes the known machine types by name
      * @param otherCellsZones the zones of other cells, where all machine types may be available
      */
-    public String reasonImpossible(
+    public String infeasibilityReason(
             Map<String, MachineType> knownTypes,
             ClusterSettings settings,
             Set<String> otherCellsZones) {
