--- a/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
+++ b/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
@@ -36,13 +36,13 @@
     }
 
     /** Returns the current time in seconds on the steady clock. */
-    public double now() {
+    public double nowSeconds() {
         return clock.getAsDouble();
     }
 
     /** Adds the time since {@code startedAtSeconds}, on the steady clock, to the activity. */
     public void record(Activity activity, double startedAtSeconds) {
-        secondsByActivity.merge(activity, now() - startedAtSeconds, Double::sum);
+        secondsByActivity.merge(activity, nowSeconds() - startedAtSeconds, Double::sum);
     }
 
     /** Returns the seconds spent on the activity since the process started. */
--- a/src/main/java/io/kitepath/core/port/Cloud.java
+++ b/src/main/java/io/kitepath/core/port/Cloud.java
@@ -15,7 +15,7 @@
      * A machine in the cloud's list.
      *
      * @param status the status as named by the cloud, such as {@code starting} or {@code running}
-     * @param heldSeconds the time since the rental was requested
+     * @param ageSeconds the time since the rental was requested
      */
     record ListedMachine(
             String machineId,
@@ -23,7 +23,7 @@
             String zone,
             boolean spot,
             String status,
-            double heldSeconds) {}
+            double ageSeconds) {}
 
     /** Requests the offered machine types with their current prices. */
     void listMachineTypes(BiConsumer<Store.Outcome, List<MachineType>> callback);
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -127,7 +127,7 @@
      * @param wallMillis milliseconds since 1970
      */
     public List<Job> orderedJobs(double now, double wallMillis) {
-        double began = loopTime.now();
+        double began = loopTime.nowSeconds();
         // There may be many jobs that wait for others, which need no order.
         List<Job> jobs = shard.jobs().values().stream().filter(job -> !job.isHeld()).toList();
         shard.serviceLevels().update(jobs, this::startLatencySeconds, wallMillis);
@@ -320,7 +320,7 @@
     }
 
     private boolean makeRoom(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
-        double began = loopTime.now();
+        double began = loopTime.nowSeconds();
         boolean made = preemption.makeRoom(job, open, mayWaitForImage, now);
         loopTime.record(Activity.GIVING_WAY, began);
         return made;
--- a/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
@@ -59,7 +59,7 @@
 
     /** Answers a worker that asked this node itself, at once or when there is work for it. */
     void respond(Heartbeat heartbeat, Consumer<HeartbeatResponse> answer) {
-        double startedAt = loopTime.now();
+        double startedAt = loopTime.nowSeconds();
         if (heartbeatProcessor.isNewer(heartbeat)) {
             respondToNewest(heartbeat, answer);
         } else {
@@ -162,7 +162,7 @@
 
     /** Releases the answers to all machines that something may be launched or stopped on now. */
     void releaseWithCommands() {
-        double startedAt = loopTime.now();
+        double startedAt = loopTime.nowSeconds();
         for (String machineId : new ArrayList<>(heldAnswers.keySet())) {
             if (heartbeatProcessor.hasCommands(machineId)) {
                 release(machineId);
--- a/src/main/java/io/kitepath/core/shard/MachineRegistry.java
+++ b/src/main/java/io/kitepath/core/shard/MachineRegistry.java
@@ -140,7 +140,7 @@
             boolean isNew = !machines.containsKey(entry.machineId());
             Machine machine = getOrAdd(entry.machineId(), now);
             if (isNew) {
-                machine.rental().setKnownSince(now - entry.heldSeconds());
+                machine.rental().setKnownSince(now - entry.ageSeconds());
             }
             machine.applyCloudEntry(entry);
         }
--- a/src/main/java/io/kitepath/wire/EmulatorCodec.java
+++ b/src/main/java/io/kitepath/wire/EmulatorCodec.java
@@ -169,7 +169,7 @@
             fields.put("field", machine.zone());
             fields.put("loaners", machine.spot());
             fields.put("status", machine.status());
-            fields.put("heldS", machine.heldSeconds());
+            fields.put("heldS", machine.ageSeconds());
             encoded.add(fields);
         }
         return MessagePackCodec.encode(Map.of("hosts", encoded, "truncated", hasMore));
