--- a/src/test/java/io/kitepath/core/state/CancellationProofTest.java
+++ b/src/test/java/io/kitepath/core/state/CancellationVerifierTest.java
@@ -24,101 +24,105 @@
 import java.util.function.IntPredicate;
 import org.junit.jupiter.api.Test;
 
-class CancellationProofTest {
+class CancellationVerifierTest {
     private final SimulatedCluster cluster = new SimulatedCluster();
     private final Timers timers = SimulatedClusters.timers(cluster);
     private final ShardState shard = new ShardState(cluster.settings("k0"), machine -> {});
 
-    /** Transactions that the proof sent, and when, in seconds on the steady clock. */
-    private final List<Store.Transaction> sent = new ArrayList<>();
+    /** Transactions that were sent. */
+    private final List<Store.Transaction> sentTransactions = new ArrayList<>();
 
-    private final List<Double> sentAt = new ArrayList<>();
+    /** When each of them was sent, in seconds on the steady clock. */
+    private final List<Double> sentAtSeconds = new ArrayList<>();
 
-    /** What the listener received: moments in milliseconds, and ids of jobs. */
+    /** Times that the listener received, in milliseconds. */
     private final List<Double> knownAsOfMillis = new ArrayList<>();
 
+    /** Ids of closed jobs that the listener received. */
     private final List<String> closedJobs = new ArrayList<>();
 
-    /** Keys that the store does not have any more. */
-    private final List<String> goneKeys = new ArrayList<>();
+    /** Keys that no longer exist in the store. */
+    private final List<String> removedKeys = new ArrayList<>();
 
-    /** What the store answers where nothing below says otherwise. */
+    /** The store's outcome unless one of the following fields causes another one. */
     private Outcome defaultOutcome = Outcome.OK;
 
-    private double answerSeconds = 0.01;
+    private double responseDelaySeconds = 0.01;
     private int maxConditions = 1000;
 
-    /** By the number of the request, from 1. */
-    private IntPredicate refuses = number -> false;
+    /** Whether the store refuses a transaction, by its number from 1. */
+    private IntPredicate isRefused = number -> false;
 
-    private boolean holding = true;
+    private boolean isLoadedLeader = true;
 
-    /** Answers comparisons and questions a while after they arrived, and nothing else. */
+    /** Responds to compare-only transactions and reads after a delay, and to nothing else. */
     private final Store store =
             new Store() {
                 @Override
-                public void get(String key, BiConsumer<Outcome, Entry> answer) {
+                public void get(String key, BiConsumer<Outcome, Entry> callback) {
                     cluster.after(
-                            answerSeconds,
+                            responseDelaySeconds,
                             () ->
-                                    answer.accept(
-                                            goneKeys.contains(key) ? Outcome.REJECTED : Outcome.OK,
+                                    callback.accept(
+                                            removedKeys.contains(key)
+                                                    ? Outcome.REJECTED
+                                                    : Outcome.OK,
                                             null));
                 }
 
                 @Override
-                public void commit(Transaction transaction, Consumer<CommitResult> answer) {
+                public void commit(Transaction transaction, Consumer<CommitResult> callback) {
                     assertTrue(transaction.writes().isEmpty());
                     assertTrue(transaction.conditions().size() <= 160);
-                    sent.add(transaction);
-                    sentAt.add(cluster.clock.now);
-                    List<String> failed =
+                    sentTransactions.add(transaction);
+                    sentAtSeconds.add(cluster.clock.now);
+                    List<String> failedKeys =
                             transaction.conditions().stream()
                                     .map(Condition::key)
-                                    .filter(goneKeys::contains)
+                                    .filter(removedKeys::contains)
                                     .toList();
-                    Outcome outcome = outcomeOf(transaction, failed);
+                    Outcome outcome = outcomeOf(transaction, failedKeys);
                     cluster.after(
-                            answerSeconds,
-                            () -> answer.accept(new CommitResult(outcome, 0, failed, false)));
+                            responseDelaySeconds,
+                            () -> callback.accept(new CommitResult(outcome, 0, failedKeys, false)));
                 }
 
-                private Outcome outcomeOf(Transaction transaction, List<String> failed) {
+                private Outcome outcomeOf(Transaction transaction, List<String> failedKeys) {
                     if (transaction.conditions().size() > maxConditions) {
                         return Outcome.INVALID;
                     }
-                    if (refuses.test(sent.size())) {
+                    if (isRefused.test(sentTransactions.size())) {
                         return Outcome.NOT_EXECUTED;
                     }
-                    return failed.isEmpty() ? defaultOutcome : Outcome.REJECTED;
+                    return failedKeys.isEmpty() ? defaultOutcome : Outcome.REJECTED;
                 }
 
                 @Override
                 public void list(
-                        String prefix, String from, int limit, Consumer<ListResult> answer) {}
+                        String prefix, String from, int limit, Consumer<ListResult> callback) {}
 
                 @Override
-                public void grantLease(long lifeMs, BiConsumer<Outcome, Long> answer) {}
+                public void grantLease(long lifeMs, BiConsumer<Outcome, Long> callback) {}
 
                 @Override
-                public void renewLease(long lease, Consumer<Outcome> answer) {}
+                public void renewLease(long lease, Consumer<Outcome> callback) {}
 
                 @Override
                 public void revokeLease(long lease) {}
 
                 @Override
                 public void watch(
-                        String prefix, long after, long holdMs, Consumer<WatchResult> answer) {}
+                        String prefix, long after, long holdMs, Consumer<WatchResult> callback) {}
             };
 
-    private final CancellationProof proof =
-            new CancellationProof(
+    private final CancellationVerifier verifier =
+            new CancellationVerifier(
                     store,
                     timers,
                     new Random(1),
                     shard,
-                    () -> holding,
-                    new CancellationProof.Listener() {
+                    () -> isLoadedLeader,
+                    new CancellationVerifier.Listener() {
                         @Override
                         public void jobClosed(String id) {
                             closedJobs.add(id);
@@ -131,7 +135,7 @@
                         }
                     });
 
-    /** Adds that many open jobs, each with a task on a machine by its record. */
+    /** Adds {@code count} open jobs, each with a task on a machine by its record. */
     private void addJobsWithLiveTasks(int count) {
         for (int i = 0; i < count; i++) {
             JobSpec spec = job("j-" + i, Shape.ARRAY, 1, 1);
@@ -153,40 +157,43 @@
     }
 
     private double firstSentMillis() {
-        return 1000 * sentAt.get(0);
+        return 1000 * sentAtSeconds.get(0);
     }
 
     private Store.Transaction lastSent() {
-        return sent.get(sent.size() - 1);
+        return sentTransactions.get(sentTransactions.size() - 1);
     }
 
     @Test
-    void roundOverManyJobsComparesEachOnceInFewTransactions() {
+    void comparesEachJobOnceInThreeTransactionsWhenThereAreManyJobs() {
         addJobsWithLiveTasks(400);
-        proof.start();
+        verifier.start();
         cluster.run(1);
         assertEquals(
-                400, sent.stream().mapToInt(transaction -> transaction.conditions().size()).sum());
-        assertEquals(3, sent.size());
+                400,
+                sentTransactions.stream()
+                        .mapToInt(transaction -> transaction.conditions().size())
+                        .sum());
+        assertEquals(3, sentTransactions.size());
         assertEquals(List.of(firstSentMillis()), knownAsOfMillis);
     }
 
-    /** Nothing is proven of the time while the answer was under way. */
+    /** The time during which the response was in flight is not confirmed. */
     @Test
-    void roundWithSlowAnswerProvesAsOfWhenItWasAsked() {
+    void confirmsCancellationsAsOfRequestTimeWhenResponseIsSlow() {
         addJobsWithLiveTasks(3);
-        answerSeconds = 6;
-        proof.start();
+        responseDelaySeconds = 6;
+        verifier.start();
         cluster.run(7);
         assertEquals(1, knownAsOfMillis.size());
         assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
     }
 
     @Test
-    void jobWhoseOpenKeyIsGoneIsReportedBeforeAnythingIsProven() {
+    void reportsJobAsClosedBeforeConfirmationWhenItsOpenKeyIsRemoved() {
         addJobsWithLiveTasks(3);
-        goneKeys.add(StoreKeys.OPEN_JOBS + "j-1");
-        proof.start();
+        removedKeys.add(StoreKeys.OPEN_JOBS + "j-1");
+        verifier.start();
         cluster.run(0.015);
         assertEquals(List.of(), knownAsOfMillis);
         cluster.run(0.02);
@@ -199,59 +206,61 @@
     }
 
     @Test
-    void roundWithoutDefiniteAnswerProvesNothingAndIsRetriedWhileTheShardIsHeld() {
+    void retriesWithoutConfirmationOnIndefiniteResponseWhileLeadingTheShard() {
         addJobsWithLiveTasks(1);
         for (Outcome outcome : List.of(Outcome.NOT_EXECUTED, Outcome.UNKNOWN, Outcome.INVALID)) {
             defaultOutcome = outcome;
-            proof.start();
+            verifier.start();
             cluster.run(5);
             assertEquals(List.of(), knownAsOfMillis, outcome.toString());
         }
-        assertTrue(sent.size() > 20);
+        assertTrue(sentTransactions.size() > 20);
         defaultOutcome = Outcome.OK;
         cluster.run(1);
         assertEquals(1, knownAsOfMillis.size());
-        holding = false;
-        int before = sent.size();
+        isLoadedLeader = false;
+        int sentBefore = sentTransactions.size();
         cluster.run(10);
-        assertEquals(before, sent.size());
-        proof.stop();
+        assertEquals(sentBefore, sentTransactions.size());
+        verifier.stop();
     }
 
-    /** A store over its rate refuses one request of two. */
+    /** A store over its request rate refuses every second request. */
     @Test
-    void transactionThatIsRefusedIsSentAgainWithoutTheAnsweredOnes() {
+    void resendsOnlyRefusedTransactions() {
         addJobsWithLiveTasks(800);
-        refuses = number -> number % 2 == 0;
-        proof.start();
+        isRefused = number -> number % 2 == 0;
+        verifier.start();
         cluster.run(3);
         assertTrue(knownAsOfMillis.size() >= 1);
         assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
         assertTrue(
-                sent.stream()
+                sentTransactions.stream()
                                 .map(transaction -> transaction.conditions().get(0).key())
                                 .distinct()
                                 .count()
                         == 5);
     }
 
-    /** The store takes fewer conditions than its settings say. */
+    /** The store accepts fewer conditions than configured. */
     @Test
-    void transactionThatIsInvalidAsTooLargeIsFollowedBySmallerOnes() {
+    void sendsSmallerTransactionsWhenTransactionIsInvalid() {
         addJobsWithLiveTasks(100);
         maxConditions = 30;
-        proof.start();
+        verifier.start();
         cluster.run(5);
         assertTrue(knownAsOfMillis.size() >= 1);
         assertTrue(lastSent().conditions().size() <= 30);
     }
 
-    /** Slower than a quarter of the margin, and in several transactions. */
+    /**
+     * Responses take longer than a quarter of the margin, and the round needs several transactions.
+     */
     @Test
-    void roundOverManyJobsWithSlowAnswersIsCompleted() {
+    void completesRoundOverManyJobsWhenResponsesAreSlow() {
         addJobsWithLiveTasks(800);
-        answerSeconds = 3;
-        proof.start();
+        responseDelaySeconds = 3;
+        verifier.start();
         cluster.run(7);
         assertEquals(1, knownAsOfMillis.size());
         assertEquals(firstSentMillis(), knownAsOfMillis.get(0));
