--- a/src/main/java/io/kitepath/core/model/ClusterSettings.java
+++ b/src/main/java/io/kitepath/core/model/ClusterSettings.java
@@ -220,7 +220,7 @@
     /**
      * The resources that the platform grants to this process.
      *
-     * @param cpuCores the CPU share, in cores
+     * @param cpuCores the share of one CPU core
      * @param ramMegabytes the memory limit above which the process is killed
      * @param maxSockets the maximum number of open sockets
      */
--- a/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
+++ b/src/main/java/io/kitepath/core/model/LoopTimeAccounting.java
@@ -50,10 +50,7 @@
         return secondsByActivity.getOrDefault(activity, 0.0);
     }
 
-    /**
-     * Returns all activities with their seconds, for the log: {@code " placing=1.2 giving_way=0.0
-     * ..."}.
-     */
+    /** Returns the seconds by activity, for the log: {@code " placing=1.2 giving_way=0.0 ..."}. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
