--- a/src/main/java/io/kitepath/core/Gossip.java
+++ b/src/main/java/io/kitepath/core/Gossip.java
@@ -75,7 +75,7 @@
 
     /** Whether the store answers this node. */
     boolean isServedByStore() {
-        return leadership.secondsSinceStoreAnswered()
+        return leadership.secondsSinceStoreResponse()
                 < leadership.leaseSeconds() + STORE_GRACE_SECONDS;
     }
 
@@ -91,13 +91,13 @@
 
     /** This node knows that the job is cancelled, and may tell users so from now on. */
     void onCancellationConfirmed(String jobId) {
-        cancellationLog.add(jobId);
+        cancellationLog.recordCancellation(jobId);
         markCancelled(jobId);
     }
 
     /** Digests repeat themselves each second: only news is worth a round. */
     private void markCancelled(String jobId) {
-        cancellationWatermark.addUnproven(jobId);
+        cancellationWatermark.addUnverified(jobId);
         if (shard.finishJob(jobId)) {
             node.requestRound();
         }
--- a/src/main/java/io/kitepath/core/NodeMetrics.java
+++ b/src/main/java/io/kitepath/core/NodeMetrics.java
@@ -35,7 +35,7 @@
         metrics.gauge(
                 "store.unserved",
                 "seconds since the state service answered",
-                node.leadership::secondsSinceStoreAnswered);
+                node.leadership::secondsSinceStoreResponse);
         metrics.gauge(
                 "cancellations.known.age",
                 "seconds ago until when the holder knows what was cancelled; NaN"
@@ -71,7 +71,7 @@
                         countMachines(
                                 machine ->
                                         shard.bootTimes()
-                                                .isLate(machine, node.timers.nowSeconds())));
+                                                .isBootLate(machine, node.timers.nowSeconds())));
     }
 
     private void addWaitingJobs(MetricCollector metrics) {
@@ -135,7 +135,7 @@
         metrics.counter(
                 "attempts.evicted.for.large",
                 "and the ones that made room for gangs and large tasks",
-                () -> node.scheduler.preemption().evictionsForGangs());
+                () -> node.scheduler.preemption().evictionsForLargeJobs());
     }
 
     private void addServiceLevels(MetricCollector metrics) {
@@ -143,13 +143,13 @@
                 "served.least",
                 "the lowest share of jobs in time, of all classes, their largest jobs, and teams"
                         + " as of late",
-                () -> shard.serviceLevels().leastShare());
+                () -> shard.serviceLevels().lowestShare());
         metrics.gauge(
                 "served.least.largest",
                 "the lowest share of a class's largest jobs",
                 () ->
-                        shard.serviceLevels().largest().values().stream()
-                                .mapToDouble(ServiceLevels.ServiceGroup::share)
+                        shard.serviceLevels().largestJobs().values().stream()
+                                .mapToDouble(ServiceLevels.ServiceGroup::goalsMetShare)
                                 .min()
                                 .orElse(1));
         metrics.counter(
@@ -157,7 +157,7 @@
                 "jobs that were not done by the last time expected of them",
                 () ->
                         shard.serviceLevels().classes().values().stream()
-                                .mapToLong(ServiceLevels.ServiceGroup::missed)
+                                .mapToLong(ServiceLevels.ServiceGroup::goalsMissed)
                                 .sum());
     }
 
--- a/src/main/java/io/kitepath/core/ShardSummary.java
+++ b/src/main/java/io/kitepath/core/ShardSummary.java
@@ -31,7 +31,7 @@
                 .append('/')
                 .append(preemption.evictionsForGuarantees())
                 .append('/')
-                .append(preemption.evictionsForGangs())
+                .append(preemption.evictionsForLargeJobs())
                 .append(" lost=")
                 .append(shard.attemptsLost())
                 .append(" launched=")
@@ -79,9 +79,9 @@
                         text.append(" served ")
                                 .append(name)
                                 .append('=')
-                                .append(group.inTime())
+                                .append(group.goalsMet())
                                 .append('/')
-                                .append(group.inTime() + group.missed())
+                                .append(group.goalsMet() + group.goalsMissed())
                                 .append('/')
                                 .append(group.submitted()));
     }
--- a/src/main/java/io/kitepath/core/scaling/CapacitySurvey.java
+++ b/src/main/java/io/kitepath/core/scaling/CapacitySurvey.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** What the shard has and needs at the time of a plan. */
+/** Summarizes the shard's capacity and demand at the time of a plan. */
 final class CapacitySurvey {
     private final ClusterSettings settings;
     private final ShardState shard;
@@ -27,21 +27,21 @@
         this.machineLiveness = machineLiveness;
         this.now = now;
         this.usableCpus = sumUsableCpus();
-        this.spotBacklogCpuSeconds = sumSpotBacklog();
+        this.spotBacklogCpuSeconds = sumSpotBacklogCpuSeconds();
     }
 
     private double sumUsableCpus() {
         double cpus = 0;
         for (Machine machine : shard.machines().values()) {
             Optional<MachineType> type = machineLiveness.typeOf(machine);
-            if (type.isPresent() && machineLiveness.isCapacity(machine, now)) {
+            if (type.isPresent() && machineLiveness.countsAsCapacity(machine, now)) {
                 cpus += type.get().cpus();
             }
         }
         return cpus;
     }
 
-    private double sumSpotBacklog() {
+    private double sumSpotBacklogCpuSeconds() {
         double cpuSeconds = 0;
         for (Job job : shard.jobs().values()) {
             if (job.spec.allowsSpot() && !shard.failureDiagnosis().isJobAtFault(job, now)) {
@@ -52,12 +52,15 @@
         return cpuSeconds;
     }
 
-    /** CPUs of the machines that are up or coming. */
+    /** Returns the CPUs of the machines that are up or booting. */
     double usableCpus() {
         return usableCpus;
     }
 
-    /** Seconds until the waiting work that may use spot machines is done on all those CPUs. */
+    /**
+     * Returns how many seconds all usable CPUs need for the waiting work that may use spot
+     * machines.
+     */
     double spotBacklogSeconds() {
         return spotBacklogCpuSeconds / Math.max(1, usableCpus);
     }
@@ -68,8 +71,8 @@
     }
 
     /**
-     * The CPUs guaranteed to all teams together; none while there is no work. Guards against a
-     * fleet kept rented for work that may come when none has come for long.
+     * Returns the sum of the CPUs guaranteed to all teams, or 0 while there is no unfinished job.
+     * Guards against machines that stay rented although no job has been submitted for a long time.
      */
     double guaranteedCpus() {
         return isIdle()
@@ -79,7 +82,7 @@
                         .sum();
     }
 
-    /** The shortest boot time of all machine types, in seconds. */
+    /** Returns the shortest boot time of all machine types, in seconds. */
     double shortestBootSeconds() {
         return shard.machineTypes().values().stream()
                 .mapToDouble(MachineType::bootSeconds)
@@ -87,15 +90,18 @@
                 .orElse(0);
     }
 
-    /** The room of all machines up or coming, as it will be when a new machine could be up. */
+    /**
+     * Returns the free capacity of all machines that are up or booting, as of the time when a newly
+     * rented machine could be up.
+     */
     List<FreeCapacity> capacitiesAfterBoot() {
         return capacities(
                 attempt -> attempt.remainingSeconds(now) > typeOf(attempt.machine).bootSeconds());
     }
 
     /**
-     * The room of all machines up or coming for a job that may come at any moment: as it is now
-     * with lesser work stopped.
+     * Returns the free capacity of all machines that are up or booting for a job that may be
+     * submitted at any time: the current one, with work of lower priority evicted, except gangs.
      */
     List<FreeCapacity> capacitiesFor(JobSpec spec) {
         return capacities(
@@ -104,11 +110,11 @@
                                 || attempt.job.effectivePriority().compareTo(spec.priority()) <= 0);
     }
 
-    private List<FreeCapacity> capacities(Predicate<Attempt> staysAfterBoot) {
+    private List<FreeCapacity> capacities(Predicate<Attempt> occupiesCapacityAfterBoot) {
         List<FreeCapacity> capacities = new ArrayList<>();
         for (Machine machine : shard.machines().values()) {
             Optional<MachineType> type = machineLiveness.typeOf(machine);
-            if (type.isEmpty() || !machineLiveness.isCapacity(machine, now)) {
+            if (type.isEmpty() || !machineLiveness.countsAsCapacity(machine, now)) {
                 continue;
             }
             FreeCapacity capacity = FreeCapacity.of(machine, type.get());
@@ -116,7 +122,7 @@
                 if (attempt.isUnwanted()) {
                     continue;
                 }
-                if (staysAfterBoot.test(attempt)) {
+                if (occupiesCapacityAfterBoot.test(attempt)) {
                     capacity.afterBoot.subtract(attempt.job.spec, 1);
                 }
                 capacity.immediately.subtract(attempt.job.spec, 1);
--- a/src/main/java/io/kitepath/core/scaling/RegularMachineDemand.java
+++ b/src/main/java/io/kitepath/core/scaling/RegularMachineDemand.java
@@ -11,30 +11,31 @@
 import java.util.Set;
 
 /**
- * The kinds of regular machines that waiting work depends on, although it could run on spot
- * machines: none that it may use is up or booting. Guards against regular machines returned because
- * the cloud might have spot machines, while work waits for which it has none.
+ * Finds the kinds of regular machines that waiting jobs depend on, although these could run on spot
+ * machines, because no spot machine that they may use is up or booting. Guards against the release
+ * of regular machines, in the expectation of spot machines, while jobs wait for which the cloud has
+ * no spot machines.
  */
 final class RegularMachineDemand {
     private final Set<MachineKind> neededKinds = new HashSet<>();
 
     /**
-     * @param waiting the jobs with tasks to place
+     * @param waitingJobs the jobs with tasks to place
      */
     RegularMachineDemand(
             ShardState shard,
             MachineLiveness machineLiveness,
-            Collection<Job> waiting,
+            Collection<Job> waitingJobs,
             double now) {
         Set<MachineKind> spotKinds = new HashSet<>();
         Set<MachineKind> regularKinds = new HashSet<>();
         for (Machine machine : shard.machines().values()) {
             if (machineLiveness.typeOf(machine).isPresent()
-                    && machineLiveness.isCapacity(machine, now)) {
+                    && machineLiveness.countsAsCapacity(machine, now)) {
                 (machine.isSpot() ? spotKinds : regularKinds).add(machine.kind());
             }
         }
-        for (Job job : waiting) {
+        for (Job job : waitingJobs) {
             if (job.spec.allowsSpot()
                     && !shard.failureDiagnosis().isJobAtFault(job, now)
                     && !isAnyAllowed(spotKinds, job.spec)) {
@@ -49,8 +50,11 @@
         return kinds.stream().anyMatch(kind -> ProbePlacement.isAllowed(kind, spec));
     }
 
-    /** Whether work waits that can run on such machines only, for now. */
-    boolean needs(Machine machine) {
+    /**
+     * Whether there are waiting jobs that can currently run only on machines of this machine's
+     * kind, or other regular ones.
+     */
+    boolean isNeeded(Machine machine) {
         return neededKinds.contains(machine.kind());
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/RentalPlan.java
+++ b/src/main/java/io/kitepath/core/scaling/RentalPlan.java
@@ -16,9 +16,12 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What one plan rents: machines by kind, those wanted soonest first. */
+/** Collects the machines that one plan rents, by kind, in the order in which they are needed. */
 final class RentalPlan {
-    /** What a zone counts for that has no room yet but may have machines: less than one slot. */
+    /**
+     * Score of a zone without free capacity in which machines can be rented: less than that of one
+     * slot.
+     */
     private static final double RENTABLE_ZONE_SCORE = 0.1;
 
     private final ClusterSettings settings;
@@ -39,74 +42,74 @@
     }
 
     /**
-     * Adds machines of the cheapest kinds for that many tasks; stops at a kind that is not worth
-     * it.
+     * Adds machines of the cheapest kinds for that many tasks; stops when the cheapest available
+     * kind does not pass {@code isWorthRenting}.
      *
-     * @return the added machines' capacities, with the tasks in them
+     * @return the capacities of the added machines, with the tasks allocated
      */
     List<FreeCapacity> addMachinesFor(
-            JobSpec spec, int tasks, ZoneConstraints zones, Predicate<MachineKind> worth) {
-        List<FreeCapacity> added = new ArrayList<>();
-        int missing = tasks;
-        while (missing > 0) {
+            JobSpec spec, int tasks, ZoneConstraints zones, Predicate<MachineKind> isWorthRenting) {
+        List<FreeCapacity> addedCapacities = new ArrayList<>();
+        int missingTasks = tasks;
+        while (missingTasks > 0) {
             Optional<MachineKind> cheapest =
                     instanceSelection
                             .cheapestKind(
                                     spec, zone -> zones.remainingTasks(zone) > 0, countsToRent, now)
-                            .filter(worth);
+                            .filter(isWorthRenting);
             if (cheapest.isEmpty()) {
                 break;
             }
             MachineKind kind = cheapest.get();
             FreeCapacity capacity =
                     FreeCapacity.ofRental(kind, shard.machineTypes().get(kind.machineType()));
-            int wanted = Math.min(missing, zones.remainingTasks(kind.zone()));
-            int fitting = capacity.allocate(spec, wanted, false);
-            if (fitting == 0) {
+            int tasksToAllocate = Math.min(missingTasks, zones.remainingTasks(kind.zone()));
+            int fittingTasks = capacity.allocate(spec, tasksToAllocate, false);
+            if (fittingTasks == 0) {
                 break;
             }
-            zones.addTasks(kind.zone(), fitting);
-            missing -= fitting;
+            zones.addTasks(kind.zone(), fittingTasks);
+            missingTasks -= fittingTasks;
             countsToRent.merge(kind, 1, Integer::sum);
-            added.add(capacity);
+            addedCapacities.add(capacity);
         }
-        return added;
+        return addedCapacities;
     }
 
-    /** Adds the machines cheapest per CPU until the plan rents that many CPUs. */
-    void addMachinesUpTo(double cpus) {
-        double missing = cpus;
+    /** Adds machines of the cheapest kinds per CPU until the plan rents that many CPUs. */
+    void addMachinesForCpus(double cpus) {
+        double missingCpus = cpus;
         for (Map.Entry<MachineKind, Integer> count : countsToRent.entrySet()) {
-            missing -=
+            missingCpus -=
                     count.getValue()
                             * shard.machineTypes().get(count.getKey().machineType()).cpus();
         }
-        while (missing > 0) {
+        while (missingCpus > 0) {
             Optional<MachineKind> cheapest = instanceSelection.cheapestKindByCpu(countsToRent, now);
             if (cheapest.isEmpty()) {
                 return;
             }
             countsToRent.merge(cheapest.get(), 1, Integer::sum);
-            missing -= shard.machineTypes().get(cheapest.get().machineType()).cpus();
+            missingCpus -= shard.machineTypes().get(cheapest.get().machineType()).cpus();
         }
     }
 
     /**
-     * Chooses the zone for a job that must stay in one and is in none yet: the one where it could
-     * use most of what is up or coming. A gang needs a zone that holds all of it, or where machines
-     * for the rest are available.
+     * Chooses the zone for a job that must run in a single zone and is not bound to one yet: the
+     * zone with the most free slots for it on machines that are up or booting. A gang needs a zone
+     * that fits all of its tasks, or in which machines for the rest are available.
      */
     void chooseZone(ZoneConstraints zones, JobSpec spec, int tasks, List<FreeCapacity> capacities) {
         if (!spec.isSingleZone() || zones.isDecided()) {
             return;
         }
-        Set<String> rentable = new HashSet<>();
+        Set<String> rentableZones = new HashSet<>();
         Map<String, Double> scores = new LinkedHashMap<>();
         for (String zone : settings.zones()) {
             if (instanceSelection.cheapestKind(spec, zone::equals, Map.of(), now).isPresent()) {
-                rentable.add(zone);
+                rentableZones.add(zone);
             }
-            scores.put(zone, rentable.contains(zone) ? RENTABLE_ZONE_SCORE : 0);
+            scores.put(zone, rentableZones.contains(zone) ? RENTABLE_ZONE_SCORE : 0);
         }
         for (FreeCapacity capacity : capacities) {
             if (ProbePlacement.isAllowed(capacity.kind, spec) && spec.cpusPerTask() > 0) {
@@ -114,14 +117,14 @@
                 scores.merge(capacity.kind.zone(), slots, Double::sum);
             }
         }
-        Comparator<Map.Entry<String, Double>> holdsGang =
+        Comparator<Map.Entry<String, Double>> fitsGang =
                 Comparator.comparing(
                         score ->
                                 spec.isGang()
-                                        && (rentable.contains(score.getKey())
+                                        && (rentableZones.contains(score.getKey())
                                                 || score.getValue() >= tasks));
         scores.entrySet().stream()
-                .max(holdsGang.thenComparing(Map.Entry.comparingByValue()))
+                .max(fitsGang.thenComparing(Map.Entry.comparingByValue()))
                 .ifPresent(score -> zones.bindTo(score.getKey()));
     }
 }
--- a/src/main/java/io/kitepath/core/scaling/ScaleIn.java
+++ b/src/main/java/io/kitepath/core/scaling/ScaleIn.java
@@ -13,18 +13,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Which machines are released, and which are drained to be released. */
+/** Decides which machines are released, and which are drained before their release. */
 final class ScaleIn {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-    /** For how many leases a machine may report without hearing answers before it is released. */
-    private static final double DEAF_LEASES = 3;
+    /**
+     * Worker leases for which a machine may send heartbeats without receiving responses before it
+     * is released.
+     */
+    private static final double MAX_LEASES_WITHOUT_RESPONSES = 3;
 
-    /** Tasks are moved only if they would run for more than this many report intervals. */
-    private static final double MOVE_REPORT_INTERVALS = 2;
+    /** Tasks are moved only if they would run for more than this many heartbeat intervals. */
+    private static final double MIN_MOVE_HEARTBEAT_INTERVALS = 2;
 
-    /** By how much the machine has to cost more than repeating the work that moving loses. */
-    private static final double MOVE_COST_FACTOR = 2;
+    /**
+     * Minimum ratio of the machine's cost to the cost of repeating the work that is lost by the
+     * move.
+     */
+    private static final double MIN_MOVE_COST_RATIO = 2;
 
     private final ClusterSettings settings;
     private final ShardState shard;
@@ -42,11 +48,12 @@
     }
 
     /**
-     * Decides which machines to release, by id, and marks them; marks those to drain as well.
+     * Decides which machines to release and marks them; also marks those to drain.
      *
-     * @param reserved machines kept for work that may come
-     * @param regularDemand the regular machines that waiting work depends on
-     * @param spareCpus those of the CPUs that are up or booting that no guarantee needs
+     * @param reserved machines that are kept for expected jobs
+     * @param regularDemand the regular machines that waiting jobs depend on
+     * @param spareCpus CPUs that are up or booting beyond those guaranteed to teams
+     * @return the ids of the machines to release
      */
     List<String> machinesToRelease(
             double now,
@@ -55,50 +62,56 @@
             double spareCpus) {
         SilenceSurvey survey =
                 SilenceSurvey.of(
-                        shard, machineLiveness, machine -> isDeafForLong(machine, now), now);
-        List<String> released = new ArrayList<>();
-        double spare = spareCpus;
+                        shard,
+                        machineLiveness,
+                        machine -> isWithoutResponsesForLong(machine, now),
+                        now);
+        List<String> idsToRelease = new ArrayList<>();
+        double remainingSpareCpus = spareCpus;
         for (Machine machine : shard.machines().values()) {
-            // A machine is surplus only if its type is known.
-            Optional<MachineType> surplus =
-                    reserved.contains(machine) ? Optional.empty() : surplus(machine, spare, now);
-            markNeededOrDraining(machine, surplus, regularDemand, now);
-            boolean release = machine.isReleasing() || shouldRelease(machine, surplus, survey, now);
-            if (surplus.isPresent() && (release || machine.isDraining())) {
-                spare -= surplus.get().cpus();
+            // A machine can be surplus only if its type is known.
+            Optional<MachineType> surplusType =
+                    reserved.contains(machine)
+                            ? Optional.empty()
+                            : surplusType(machine, remainingSpareCpus, now);
+            markNeededOrDraining(machine, surplusType, regularDemand, now);
+            boolean mustRelease =
+                    machine.isReleasing() || shouldRelease(machine, surplusType, survey, now);
+            if (surplusType.isPresent() && (mustRelease || machine.isDraining())) {
+                remainingSpareCpus -= surplusType.get().cpus();
             }
-            if (release) {
+            if (mustRelease) {
                 if (!machine.isReleasing()) {
                     LOG.info(
-                            "releasing machine={} reason={}",
+                            "releasing machine: machine={} reason={}",
                             machine.id,
                             releaseReason(machine, survey));
                 }
                 machine.release();
-                released.add(machine.id);
+                idsToRelease.add(machine.id);
             }
         }
-        return released;
+        return idsToRelease;
     }
 
-    /** The machine's type if its CPUs are spare. */
-    private Optional<MachineType> surplus(Machine machine, double spareCpus, double now) {
+    /** Returns the machine's type if its CPUs are spare. */
+    private Optional<MachineType> surplusType(Machine machine, double spareCpus, double now) {
         return machineLiveness
                 .typeOf(machine)
                 .filter(
                         type ->
-                                !machineLiveness.isLate(machine, now)
+                                !machineLiveness.isBootOverdue(machine, now)
                                         && spareCpus >= type.cpus()
                                         && machine.reservedFor() == null);
     }
 
     /**
-     * Notes whether the machine has work that may not use spot machines, and drains surplus regular
-     * machines that only have work which cheaper spot machines could do.
+     * Marks a regular machine as needed if it has tasks that may not use spot machines, and drains
+     * a surplus regular machine all of whose tasks could run on cheaper spot machines.
      */
     private void markNeededOrDraining(
             Machine machine,
-            Optional<MachineType> surplus,
+            Optional<MachineType> surplusType,
             RegularMachineDemand regularDemand,
             double now) {
         if (!machine.isSpot()
@@ -110,45 +123,49 @@
                 machine.isTokenConfirmed()
                         && !machine.isSpot()
                         && machine.lastNeededAt() < now
-                        && !regularDemand.needs(machine)
-                        && surplus.filter(
-                                        type -> instanceSelection.isCheaperSpotAvailable(type, now))
+                        && !regularDemand.isNeeded(machine)
+                        && surplusType
+                                .filter(type -> instanceSelection.isCheaperSpotAvailable(type, now))
                                 .isPresent());
     }
 
     private boolean shouldRelease(
-            Machine machine, Optional<MachineType> surplus, SilenceSurvey survey, double now) {
+            Machine machine, Optional<MachineType> surplusType, SilenceSurvey survey, double now) {
         if (survey.isSilent(machine)) {
             return survey.mayReleaseSilent(
                     machineLiveness.silentSeconds(machine, now), settings.workers().leaseSeconds());
         }
         if (hasFailedToBoot(machine, now)) {
-            instanceSelection.recordRefusal(machine.kind(), now); // Others are tried first.
+            instanceSelection.recordRefusal(machine.kind(), now); // Prefers other kinds next.
             return true;
         }
-        if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUnwrittenEnds()) {
+        if (machine.isTokenConfirmed() && !machine.isBusy() && !machine.hasUncommittedEnds()) {
             return machine.isQuarantined()
-                    || isDeafForLong(machine, now)
-                    || surplus.filter(type -> isIdleForLong(machine, type, now)).isPresent();
+                    || isWithoutResponsesForLong(machine, now)
+                    || surplusType.filter(type -> isUnusedForLong(machine, type, now)).isPresent();
         }
-        // What an earlier leader left on such a machine can't be proven over by a report.
+        // Heartbeats from such a machine cannot confirm that attempts of an earlier leader ended.
         return !machine.isTokenConfirmed()
-                && isDeafForLong(machine, now)
-                && survey.mayReleaseDeaf();
+                && isWithoutResponsesForLong(machine, now)
+                && survey.mayReleaseMachinesWithoutResponses();
     }
 
     private boolean hasFailedToBoot(Machine machine, double now) {
         return machineLiveness.typeOf(machine).isPresent()
-                && machineLiveness.mayBeOverdue(machine, now)
-                && shard.bootTimes().isHopeless(machine, now);
+                && machineLiveness.isFirstHeartbeatOverdue(machine, now)
+                && shard.bootTimes().isBootTimedOut(machine, now);
     }
 
-    private boolean isDeafForLong(Machine machine, double now) {
-        return machine.missingAnswersSeconds(now) > DEAF_LEASES * settings.workers().leaseSeconds();
+    private boolean isWithoutResponsesForLong(Machine machine, double now) {
+        return machine.missingResponsesSeconds(now)
+                > MAX_LEASES_WITHOUT_RESPONSES * settings.workers().leaseSeconds();
     }
 
-    /** An idle machine is worth keeping about as long as a new one would take to boot. */
-    private static boolean isIdleForLong(Machine machine, MachineType type, double now) {
+    /**
+     * Whether the machine has been unused for longer than a new one would take to boot; up to then
+     * an idle machine is worth keeping.
+     */
+    private static boolean isUnusedForLong(Machine machine, MachineType type, double now) {
         return now - machine.lastNeededAt() > type.bootSeconds()
                 && (machine.isDraining() || now - machine.idleSince() > type.bootSeconds());
     }
@@ -160,17 +177,18 @@
         if (machine.isQuarantined()) {
             return "quarantined";
         }
-        if (machine.isMissingAnswers()) {
+        if (machine.isMissingResponses()) {
             return "answers-not-received";
         }
         return machine.hasReported() ? "idle" : "boot-failed";
     }
 
     /**
-     * Stops the tasks on draining machines that may go on elsewhere. Guards against regular
-     * machines kept rented for minutes by a few small tasks that could run on spot machines: where
-     * those have room, the tasks are moved there, if what they lose costs less than the machine
-     * until they end, and they can start anew and still meet all their goals.
+     * Stops tasks on draining machines so that they continue on spot machines. Guards against
+     * regular machines that stay rented for minutes because of a few small tasks that could run on
+     * spot machines. Tasks are moved only if spot machines have enough free CPUs, if repeating the
+     * lost work costs less than the machine until the tasks end, and if the tasks can restart and
+     * still meet all their start goals.
      */
     void moveTasksToSpot(double now, double wallMillis) {
         double freeSpotCpus = freeSpotCpus();
@@ -221,8 +239,12 @@
             lostCpuSeconds += attempt.job.spec.cpusPerTask() * attempt.unsavedSeconds(now);
         }
         return remainingSeconds
-                        > MOVE_REPORT_INTERVALS * settings.workers().heartbeatIntervalSeconds()
+                        > MIN_MOVE_HEARTBEAT_INTERVALS
+                                * settings.workers().heartbeatIntervalSeconds()
                 && remainingSeconds * type.pricePerHour()
-                        > MOVE_COST_FACTOR * lostCpuSeconds * type.spotPricePerHour() / type.cpus();
+                        > MIN_MOVE_COST_RATIO
+                                * lostCpuSeconds
+                                * type.spotPricePerHour()
+                                / type.cpus();
     }
 }
--- a/src/main/java/io/kitepath/core/scheduling/StageSearch.java
+++ b/src/main/java/io/kitepath/core/scheduling/StageSearch.java
@@ -14,8 +14,8 @@
 import java.util.Random;
 
 /**
- * One stage of a {@link MachineSearch}: probes a few random machines in use for each task, and
- * scans all machines of the stage where no probe passes.
+ * Searches one stage of a {@link MachineSearch}: probes a few random machines in use for each task,
+ * and scans all machines of the stage if no probe passes.
  */
 final class StageSearch {
     private final ProbePlacement placement;
@@ -24,18 +24,18 @@
     private final List<Machine> candidates;
 
     /**
-     * The candidates that are probed: machines in use, so that idle ones stay whole for gangs and
-     * large tasks, or empty to be released.
+     * The candidates that are probed: machines in use. Idle machines are not probed, so that they
+     * stay whole for gangs and large tasks, or empty to be released.
      */
     private final List<Machine> machinesInUse = new ArrayList<>();
 
-    /** Whether a scan has fixed the scan order. */
-    private boolean scanned;
+    /** Whether a scan has determined the scan order. */
+    private boolean hasScanned;
 
-    /** The candidates that had room at the first scan, best fit first. */
+    /** The candidates that had capacity at the first scan, best fit first. */
     private final List<Machine> scanOrder = new ArrayList<>();
 
-    private int nextInOrder;
+    private int nextScanIndex;
 
     StageSearch(ProbePlacement placement, JobSpec spec, List<Machine> candidates) {
         this.placement = placement;
@@ -49,28 +49,31 @@
         }
     }
 
-    /** The machine for the next task; empty once a scan has found the candidates full. */
+    /** Returns the machine for the next task; empty once a scan has found the candidates full. */
     Optional<Machine> nextMachine() {
-        if (scanned && nextInOrder >= scanOrder.size()) {
+        if (hasScanned && nextScanIndex >= scanOrder.size()) {
             return Optional.empty();
         }
         Optional<Machine> probed = probe();
         return probed.isPresent() ? probed : scan();
     }
 
-    /** The first of a few random machines in use that is below the threshold and has room. */
+    /**
+     * Probes a few random machines in use and returns the first that is below the threshold and has
+     * free capacity.
+     */
     private Optional<Machine> probe() {
         Random random = placement.random();
-        int machines = machinesInUse.size();
-        for (int i = 0; i < MAX_PROBES && i < machines; i++) {
+        int machineCount = machinesInUse.size();
+        for (int i = 0; i < MAX_PROBES && i < machineCount; i++) {
             // A partial shuffle: the probed machines are distinct, as in the paper.
-            int drawn = i + random.nextInt(machines - i);
-            Machine machine = machinesInUse.get(drawn);
-            machinesInUse.set(drawn, machinesInUse.get(i));
+            int drawnIndex = i + random.nextInt(machineCount - i);
+            Machine machine = machinesInUse.get(drawnIndex);
+            machinesInUse.set(drawnIndex, machinesInUse.get(i));
             machinesInUse.set(i, machine);
             counters.probes++;
             if (machine.unconfirmedStarts() < UNCONFIRMED_THRESHOLD
-                    && placement.hasRoom(machine, spec)) {
+                    && placement.hasCapacity(machine, spec)) {
                 counters.passedProbes++;
                 return Optional.of(machine);
             }
@@ -78,17 +81,19 @@
         return Optional.empty();
     }
 
-    /** The fullest machine that has room, those that have the image first. */
+    /**
+     * Returns the fullest machine that has free capacity; machines that have the image come first.
+     */
     private Optional<Machine> scan() {
         counters.scans++;
-        if (!scanned) {
-            scanned = true;
+        if (!hasScanned) {
+            hasScanned = true;
             sortCandidates();
         }
-        for (; nextInOrder < scanOrder.size(); nextInOrder++) {
+        for (; nextScanIndex < scanOrder.size(); nextScanIndex++) {
             counters.inspectedMachines++;
-            if (placement.hasRoom(scanOrder.get(nextInOrder), spec)) {
-                return Optional.of(scanOrder.get(nextInOrder));
+            if (placement.hasCapacity(scanOrder.get(nextScanIndex), spec)) {
+                return Optional.of(scanOrder.get(nextScanIndex));
             }
         }
         return Optional.empty();
@@ -98,7 +103,7 @@
         Map<Machine, Double> scores = new HashMap<>();
         for (Machine machine : candidates) {
             counters.inspectedMachines++;
-            if (placement.hasRoom(machine, spec)) {
+            if (placement.hasCapacity(machine, spec)) {
                 scanOrder.add(machine);
                 scores.put(machine, score(machine));
             }
@@ -106,7 +111,10 @@
         scanOrder.sort(Comparator.comparing(scores::get, Comparator.reverseOrder()));
     }
 
-    /** How well a task fits on the machine: its fill level, plus one if it has the image. */
+    /**
+     * Returns how well a task fits on the machine: its fill level, plus one if it has the image,
+     * minus the image count penalty of a non-spot machine if the task may use spot machines.
+     */
     private double score(Machine machine) {
         return (machine.cpusJustifyingRental() + machine.usedCpus() / 4)
                         / placement.typeOf(machine).cpus()
@@ -115,9 +123,10 @@
     }
 
     /**
-     * What the images on a non-spot machine take off its score, below the weight of a full machine.
-     * Guards against work that may run anywhere filling just those non-spot machines that have most
-     * images, on which large work could start at once: it takes those with few images first.
+     * Returns the score penalty for the images on a non-spot machine, which is below the weight of
+     * a full machine. Guards against work that may run anywhere filling the non-spot machines that
+     * have the most images, on which large work could start at once: such work uses the machines
+     * with few images first.
      */
     private static double imageCountPenalty(Machine machine) {
         int images = machine.images().size();
--- a/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatAuthority.java
@@ -61,8 +61,8 @@
                                 + " watermarkAgeSeconds={} secondsSinceStoreAnswered={}"
                                 + " leastKnownPeer={}",
                         Math.round(ageSeconds),
-                        Math.round(leadership.secondsSinceStoreAnswered()),
-                        cancellationWatermark.leastKnownPeer());
+                        Math.round(leadership.secondsSinceStoreResponse()),
+                        cancellationWatermark.mostLaggingPeer());
             }
         }
         return knows;
--- a/src/main/java/io/kitepath/core/shard/JobStartGoals.java
+++ b/src/main/java/io/kitepath/core/shard/JobStartGoals.java
@@ -6,8 +6,8 @@
 import java.util.stream.DoubleStream;
 
 /**
- * Since when a job may start, by when it should, and its priority, as it is by itself and as the
- * jobs that depend on it ask.
+ * The time since which a job may start, its start goals and deadlines, and its effective priority,
+ * from its own specification and the demand of its dependents.
  */
 final class JobStartGoals {
     private final JobSpec spec;
@@ -16,26 +16,31 @@
     private JobSpec.Priority effectivePriority;
     private DueTimes dependentsDue = DueTimes.NONE;
 
-    /** By when its tasks have to start to meet its objectives, the soonest first. */
+    /**
+     * The times by which the job's tasks have to start to meet its objectives, in milliseconds
+     * since 1970, earliest first.
+     */
     private double[] startGoalsMillis;
 
     /**
-     * @param startWithinSeconds within what time after its submission the job has to start to meet
-     *     each of its objectives
+     * @param startWithinSeconds for each objective, the time after submission within which the job
+     *     has to start to meet it
      */
     JobStartGoals(JobSpec spec, double submittedMillis, double[] startWithinSeconds) {
         this.spec = spec;
         this.submittedMillis = submittedMillis;
         this.eligibleSinceMillis = submittedMillis;
         this.effectivePriority = spec.priority();
-        this.startGoalsMillis = afterSubmission(startWithinSeconds);
+        this.startGoalsMillis = toStartGoalsMillis(startWithinSeconds);
     }
 
-    private double[] afterSubmission(double[] seconds) {
-        return Arrays.stream(seconds).map(s -> submittedMillis + s * 1000).toArray();
+    private double[] toStartGoalsMillis(double[] startWithinSeconds) {
+        return Arrays.stream(startWithinSeconds)
+                .map(seconds -> submittedMillis + seconds * 1000)
+                .toArray();
     }
 
-    /** Its submission, or the end of the last of its dependencies, in milliseconds since 1970. */
+    /** The job's submission, or the end of its last dependency, in milliseconds since 1970. */
     double eligibleSinceMillis() {
         return eligibleSinceMillis;
     }
@@ -44,7 +49,7 @@
         return (eligibleSinceMillis - submittedMillis) / 1000;
     }
 
-    /** The highest of its own and of all jobs that depend on it. */
+    /** The highest priority among the job itself and all jobs that depend on it. */
     JobSpec.Priority effectivePriority() {
         return effectivePriority;
     }
@@ -57,16 +62,16 @@
         return !dependentsDue.equals(DueTimes.NONE);
     }
 
-    /** The soonest deadline, its own or a dependent's, in milliseconds since 1970, or infinite. */
+    /** The earliest deadline, its own or a dependent's, in milliseconds since 1970, or infinite. */
     double dueMillis() {
-        double own =
+        double ownDueMillis =
                 spec.deadlineSeconds() == null
                         ? Double.POSITIVE_INFINITY
                         : submittedMillis + 1000 * spec.deadlineSeconds();
-        return Math.min(own, dependentsDue.earliestMillis());
+        return Math.min(ownDueMillis, dependentsDue.earliestMillis());
     }
 
-    /** By when it has to be done for the jobs that depend on it. */
+    /** The times by which the job has to be done for the jobs that depend on it. */
     DueTimes dependentsDue() {
         return dependentsDue;
     }
@@ -79,42 +84,43 @@
         return startGoalsMillis[goal];
     }
 
-    /** The last of its dependencies was done at that time. */
+    /** Makes the job eligible since the time when its last dependency was done. */
     void becomeEligible(double atMillis, ClusterSettings settings) {
         eligibleSinceMillis = Math.max(submittedMillis, atMillis);
         recomputeStartGoals(settings);
     }
 
-    /** A record says that it was eligible from then on; its start goals stay as they are. */
+    /** Restores the eligibility time from a record; the start goals are left unchanged. */
     void restoreEligibleSince(double atMillis) {
         eligibleSinceMillis = Math.max(eligibleSinceMillis, atMillis);
     }
 
-    /** Takes over what the jobs that depend on it ask; returns whether that changes anything. */
+    /** Applies the demand of the job's dependents and returns whether it changed anything. */
     boolean applyDependentsDemand(
-            JobSpec.Priority highest, DueTimes due, ClusterSettings settings) {
-        if (highest == effectivePriority && due.equals(dependentsDue)) {
+            JobSpec.Priority highestPriority, DueTimes due, ClusterSettings settings) {
+        if (highestPriority == effectivePriority && due.equals(dependentsDue)) {
             return false;
         }
-        effectivePriority = highest;
+        effectivePriority = highestPriority;
         dependentsDue = due;
         recomputeStartGoals(settings);
         return true;
     }
 
     private void recomputeStartGoals(ClusterSettings settings) {
-        double[] own = afterSubmission(settings.startDeadlinesSeconds(spec, heldSeconds()));
+        double[] ownStartGoalsMillis =
+                toStartGoalsMillis(settings.startDeadlinesSeconds(spec, heldSeconds()));
         if (!hasDueDependents()) {
-            startGoalsMillis = own;
+            startGoalsMillis = ownStartGoalsMillis;
             return;
         }
-        // Beside what the dependents need, the job's own goals count only where somebody expects
-        // them: by a deadline, or by an objective of its class.
+        // If dependents have due times, the job's own start goals count only if it has a deadline
+        // of its own or its class has an objective.
         startGoalsMillis =
                 DoubleStream.concat(
                                 startGoalsOfDependents(),
-                                hasOwnExpectations(settings)
-                                        ? Arrays.stream(own)
+                                hasOwnDeadlineOrObjective(settings)
+                                        ? Arrays.stream(ownStartGoalsMillis)
                                         : DoubleStream.empty())
                         .sorted()
                         .toArray();
@@ -126,7 +132,7 @@
                 .distinct();
     }
 
-    private boolean hasOwnExpectations(ClusterSettings settings) {
+    private boolean hasOwnDeadlineOrObjective(ClusterSettings settings) {
         return spec.deadlineSeconds() != null
                 || settings.objectives().stream()
                         .anyMatch(objective -> objective.jobClass().equals(spec.jobClass()));
--- a/src/main/java/io/kitepath/core/state/CancellationVerifier.java
+++ b/src/main/java/io/kitepath/core/state/CancellationVerifier.java
@@ -154,7 +154,7 @@
          * cell cancels them and waits for this cell's response before it reports the cancellation.
          */
         private boolean needsConfirmation(Job job) {
-            return !job.isFinished() && !job.borrowed && !job.liveAttempts().isEmpty();
+            return !job.isFinished() && !job.isBorrowed && !job.liveAttempts().isEmpty();
         }
 
         void begin() {
--- a/src/test/java/io/kitepath/core/scheduling/RememberedOrderTest.java
+++ b/src/test/java/io/kitepath/core/scheduling/CachedJobOrderTest.java
@@ -12,14 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The order that the scheduler remembers for callers to whom an old one will do.
- *
- * <p>What happens: after a load of all jobs by the same leader, what plans machines still sees the
- * former objects of the jobs, with tasks that wait although they are placed by now. Why: the order
- * was forgotten only when leadership was lost. What shows it: the objects asserted here.
+ * Guards against a stale cached job order for callers that accept an old one. After the same leader
+ * loaded all jobs again, the machine planner still saw the former job objects, whose tasks waited
+ * although they were already placed, because the order was cleared only when leadership was lost.
  */
-class RememberedOrderTest {
-    private static final double ANY_AGE = 1000;
+class CachedJobOrderTest {
+    private static final double MAX_AGE_SECONDS = 1000;
 
     private final ShardState shard =
             new ShardState(new SimulatedCluster().settings("k1"), machine -> {});
@@ -33,14 +31,14 @@
     }
 
     @Test
-    void itHasNoObjectsFromBeforeALoad() {
+    void returnsReloadedJobObjectsAfterJobsAreClearedAndLoaded() {
         Job former = load("j-1");
-        assertEquals(List.of(former), scheduler.orderedJobs(1, 1000, ANY_AGE));
+        assertEquals(List.of(former), scheduler.orderedJobs(1, 1000, MAX_AGE_SECONDS));
         load("j-2");
-        assertEquals(List.of(former), scheduler.orderedJobs(2, 2000, ANY_AGE), "remembered");
+        assertEquals(List.of(former), scheduler.orderedJobs(2, 2000, MAX_AGE_SECONDS), "cached");
         shard.clearJobs();
         Job loaded = load("j-1");
-        List<Job> order = scheduler.orderedJobs(3, 3000, ANY_AGE);
+        List<Job> order = scheduler.orderedJobs(3, 3000, MAX_AGE_SECONDS);
         assertEquals(1, order.size());
         assertSame(loaded, order.get(0));
     }
--- a/src/test/java/io/kitepath/core/shard/RoomReservationTest.java
+++ b/src/test/java/io/kitepath/core/shard/CapacityReservationTest.java
@@ -9,9 +9,9 @@
 import io.kitepath.simulation.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** How long a machine's room is reserved, and what may run there meanwhile. */
-class RoomReservationTest {
-    private final RoomReservation reservation = new RoomReservation();
+/** Tests how long a machine's capacity is reserved, and what may run there in the meantime. */
+class CapacityReservationTest {
+    private final CapacityReservation reservation = new CapacityReservation();
     private final Job job = job(Shape.ARRAY);
 
     private static Job job(Shape shape) {
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void strictReservationLastsUntilItsTimeIsOver() {
+    void strictReservationEndsWhenItsTimeHasPassed() {
         reservation.reserve(job, 10);
         reservation.refresh(9);
         assertEquals(job, reservation.reservedFor());
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void strictReservationEndsWhenItsJobHasNothingToPlace() {
+    void strictReservationEndsWhenItsJobHasNoTasksToPlace() {
         job.requestCancel();
         reservation.reserve(job, 10);
         reservation.refresh(1);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void reservationAllowingBackfillIsDecidedAnewInEachRound() {
+    void reservationAllowingBackfillEndsInEachSchedulingRound() {
         reservation.reserveAllowingBackfill(job, 100);
         assertTrue(reservation.isBackfillAllowed());
         reservation.refresh(0);
--- a/src/test/java/io/kitepath/core/shard/JobTest.java
+++ b/src/test/java/io/kitepath/core/shard/JobTest.java
@@ -19,14 +19,14 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** A job's tasks, its parts and their stored form. */
+/** Tests a job's tasks, its parts and their stored form. */
 class JobTest {
     private static final int TASKS_PER_PART = 4;
 
-    /** What a part of {@link #TASKS_PER_PART} tasks takes of a record without attempts. */
+    /** Size of the record of a part of {@link #TASKS_PER_PART} tasks without attempts. */
     private static final int EMPTY_PART_BYTES = 115;
 
-    /** What is held free for one more attempt. */
+    /** Size that is reserved in a record for one more attempt. */
     private static final int MAX_ATTEMPT_BYTES = 32;
 
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void partRecordOfAStartedJobWithDependenciesSaysSinceWhenItWasReady() {
+    void partRecordOfStartedJobWithDependenciesContainsEligibleTime() {
         Job job = arrayJob("j-2", 4, "j-1");
         assertTrue(job.isHeld());
         Map<String, Object> record =
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void partRecordForAnotherPartSizeIsEmptyWhereThereIsNothingToSay() {
+    void partRecordForAnotherPartSizeIsEmptyWithoutDoneTasksOrAttempts() {
         Job job = arrayJob("j-1", 10);
         shard.restorePart(job, 1, partRecord(6, "AQ==", Map.of("i-1", List.of(6L, 5L))), 7, 0);
 
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void partRecordWithoutDoneBitsIsRefusedAfterItsRevisionAndCounterAreTaken() {
+    void rejectsPartRecordWithoutDoneBitsAfterRestoringRevisionAndCounter() {
         Job job = arrayJob("j-1", 10);
         assertThrows(
                 InvalidInputException.class,
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void recordBytesCountEachMachineOnceAndFallWithTheAttempts() {
+    void recordBytesCountEachMachineOnceAndShrinkWhenAttemptsAreRemoved() {
         Job job = arrayJob("j-1", 10);
         assertRecordBytes(EMPTY_PART_BYTES, job, 0);
         Machine machine = shard.getOrAddMachine("i-1", 0);
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void allTasksOfAPartFitARecordOfTheirBytesAndNotOfOneLess() {
+    void allTasksFitRecordAtExactByteLimitAndNotOneByteBelow() {
         JobSpec spec = SimulatedCluster.job("j-1", Shape.GANG, 10, 1);
         assertTrue(Job.allTasksFitRecords(spec, 4, EMPTY_PART_BYTES + 4 * MAX_ATTEMPT_BYTES));
         assertFalse(Job.allTasksFitRecords(spec, 4, EMPTY_PART_BYTES + 4 * MAX_ATTEMPT_BYTES - 1));
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void placementIsDirtyUntilItsVersionIsWritten() {
+    void placementIsDirtyUntilItsVersionIsStored() {
         Job job = arrayJob("j-1", 10);
         shard.place(job, 5, shard.getOrAddMachine("i-1", 0), 1);
         JobPart part = job.part(1);
@@ -174,7 +174,7 @@
         job.lend(loan);
         assertEquals(version + 1, job.version());
         assertEquals(6, job.waitingTasks());
-        assertEquals(10, job.unfinishedTasks());
+        assertEquals(10, job.unfinishedTaskCount());
         assertEquals(6, job.nextWaitingTask(2));
         assertFalse(job.isPlaceable(5));
 
@@ -191,16 +191,16 @@
         assertTrue(job.part(0).isDirty());
         assertFalse(job.part(1).isDirty());
         assertEquals(List.of(loan), job.loans());
-        job.forgetLoan(loan);
+        job.removeLoan(loan);
         assertEquals(List.of(), job.loans());
     }
 
     @Test
-    void borrowedJobHasOnlyTheTasksThatWereLent() {
+    void borrowedJobHasOnlyLentTasks() {
         JobSpec spec = SimulatedCluster.job("j-1", Shape.ARRAY, 10, 1);
         Job job = Job.borrowed(spec, 5000, new double[] {60}, "guests/j-1", 1, 4, 2, 5);
-        assertTrue(job.borrowed);
-        assertEquals(3, job.unfinishedTasks());
+        assertTrue(job.isBorrowed);
+        assertEquals(3, job.unfinishedTaskCount());
         assertEquals(3, job.waitingTasks());
         assertEquals(2, job.nextWaitingTask(0));
         assertEquals(-1, job.nextWaitingTask(5));
--- a/src/test/java/io/kitepath/core/shard/QuotaUsageTest.java
+++ b/src/test/java/io/kitepath/core/shard/QuotaUsageTest.java
@@ -7,7 +7,7 @@
 import io.kitepath.simulation.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** How many more tasks a team's quota allows. */
+/** Tests how many more tasks a team's quota allows. */
 class QuotaUsageTest {
     private final ClusterSettings settings = new SimulatedCluster().settings("k1");
     private final QuotaUsage quotaUsage = new QuotaUsage(settings);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void attemptsCountUntilTheyAreProvenOver() {
+    void attemptsCountUntilTheyAreConfirmedEnded() {
         limitCpusTo(6);
         assertEquals(3, quotaUsage.remainingTasks(spec));
         quotaUsage.countAttempts(spec, 1);
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void nothingRemainsWhenMoreThanTheQuotaIsUsed() {
+    void noTasksRemainWhenUsageExceedsQuota() {
         quotaUsage.countAttempts(spec, 1);
         limitCpusTo(1);
         assertEquals(0, quotaUsage.remainingTasks(spec));
     }
 
     @Test
-    void shareIsDescribedOnlyIfItIsLimited() {
+    void shareIsDescribedOnlyIfQuotaIsLimited() {
         assertEquals("", quotaUsage.describeShare(spec.team()));
         quotaUsage.countAttempts(spec, 1);
         limitCpusTo(6);
--- a/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
+++ b/src/test/java/io/kitepath/core/shard/ServiceLevelsTest.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which classes and teams are behind, and when they have caught up. */
+/** Tests which classes and teams are lagging, and when they have recovered. */
 class ServiceLevelsTest {
     private static final int LARGE_TASKS = 50;
 
-    /** Jobs of the class {@code tiles} are served if they are done within 100 s. */
+    /** Jobs of the class {@code tiles} meet their goal if they are completed within 100 s. */
     private final ClusterSettings settings =
             new ClusterSettings(
                     "n",
@@ -30,11 +30,11 @@
                     5);
 
     private final ServiceLevels serviceLevels = new ServiceLevels(settings);
-    private int named;
+    private int lastJobNumber;
 
     private JobSpec spec(String jobClass, String team, int tasks, Double deadlineSeconds) {
         return new JobSpec(
-                "j-" + ++named,
+                "j-" + ++lastJobNumber,
                 jobClass,
                 team,
                 JobSpec.Shape.ARRAY,
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void classFallsBehindWhenHalfIsMissedAndCatchesUpWhenServed() {
+    void classLagsWhenHalfOfItsGoalsAreMissedAndRecoversWhenGoalsAreMet() {
         recordDone(5, 99_000);
         for (int i = 0; i < 5; i++) {
             update(101, tilesJob());
@@ -91,21 +91,21 @@
         assertEquals(0.5, catchUpShare("tiles", "blue"), 0.01, "its class");
         assertEquals(0.5, catchUpShare("other", "red"), 0.01, "its team");
         assertEquals(1, catchUpShare("other", "blue"));
-        assertEquals(0.5, serviceLevels.leastShare(), 0.01);
+        assertEquals(0.5, serviceLevels.lowestShare(), 0.01);
         recordDone(15, 99_000);
         update(99);
         assertEquals(1, catchUpShare("tiles", "red"));
     }
 
     @Test
-    void jobsThatWaitTooLongCountBeforeTheyAreMissed() {
+    void jobsAtRiskCountBeforeTheyMissTheirGoal() {
         recordDone(10, 50_000);
         Job[] waiting = new Job[10];
         for (int i = 0; i < 10; i++) {
             waiting[i] = tilesJob();
         }
-        // Each may wait for 90 s, less the 10 s that such jobs take from placement to running, and
-        // has used most of it.
+        // Each job may wait for 90 s, less the 10 s that such jobs take from placement to running,
+        // and has used most of that time.
         update(47, waiting);
         assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
         update(49, waiting);
@@ -113,15 +113,15 @@
         assertEquals(
                 List.of(10L, 20L),
                 List.of(
-                        serviceLevels.classes().get("tiles").endangered(),
+                        serviceLevels.classes().get("tiles").atRisk(),
                         serviceLevels.classes().get("tiles").submitted()));
         update(49);
         assertEquals(1, serviceLevels.catchUpShare(waiting[0].spec));
     }
 
-    /** The class as a whole does well, its largest jobs do not. */
+    /** The class as a whole meets its goals, its largest jobs do not. */
     @Test
-    void largestJobsOfClassAreCountedByThemselves() {
+    void largestJobsOfClassAreCountedSeparately() {
         JobSpec[] specs = new JobSpec[40];
         for (int i = 0; i < 40; i++) {
             specs[i] = spec("tiles", "red", i % 4 == 0 ? LARGE_TASKS : 2, null);
@@ -133,14 +133,14 @@
         update(102);
         assertEquals(1, serviceLevels.catchUpShare(specs[1]));
         assertEquals(0, serviceLevels.catchUpShare(specs[0]), 0.01);
-        assertEquals(0, serviceLevels.largest().get("tiles").share(), 0.01);
+        assertEquals(0, serviceLevels.largestJobs().get("tiles").goalsMetShare(), 0.01);
         ServiceLevels next = new ServiceLevels(settings);
         next.restore(serviceLevels.toRecord(103_000));
-        assertEquals(10, next.largest().get("tiles").missed());
+        assertEquals(10, next.largestJobs().get("tiles").goalsMissed());
     }
 
     @Test
-    void nextLeaderGoesOnCountingWhereTheLastOneWas() {
+    void nextLeaderContinuesCountsOfLastLeader() {
         recordDone(4, 50_000);
         update(101, tilesJob());
         ServiceLevels next = new ServiceLevels(settings);
@@ -149,13 +149,13 @@
         ServiceLevels.ServiceGroup group = next.classes().get("tiles");
         assertEquals(
                 List.of(4L, 1L),
-                List.of(group.inTime(), group.missed()),
-                "what the last one counted is not counted again");
-        assertEquals(0.8, group.share(), 0.01);
+                List.of(group.goalsMet(), group.goalsMissed()),
+                "jobs counted by the last leader are not counted again");
+        assertEquals(0.8, group.goalsMetShare(), 0.01);
     }
 
     @Test
-    void missedJobCountsOnceHoweverOftenItIsLookedAt() {
+    void missedGoalCountsOnceInRepeatedUpdates() {
         Job late = tilesJob();
         update(101, late);
         update(102, late);
@@ -163,13 +163,17 @@
         ServiceLevels.ServiceGroup group = serviceLevels.classes().get("tiles");
         assertEquals(
                 List.of(1L, 1L, 0L, 1L),
-                List.of(group.submitted(), group.missed(), group.inTime(), group.done()));
+                List.of(
+                        group.submitted(),
+                        group.goalsMissed(),
+                        group.goalsMet(),
+                        group.completed()));
     }
 
     @Test
     void ownDeadlineCountsWhereClassHasNoObjective() {
         update(25, job("other", "red", 20.0), job("quiet", "red", null));
-        assertEquals(1, serviceLevels.classes().get("other").missed());
-        assertEquals(0, serviceLevels.classes().get("quiet").missed());
+        assertEquals(1, serviceLevels.classes().get("other").goalsMissed());
+        assertEquals(0, serviceLevels.classes().get("quiet").goalsMissed());
     }
 }
