--- a/src/main/java/io/kitepath/core/Controller.java
+++ b/src/main/java/io/kitepath/core/Controller.java
@@ -117,7 +117,7 @@
 
     /** Returns why the job can never run in this or any remote cell, or null if it can. */
     public String reasonImpossible(JobSpec spec) {
-        return spec.reasonImpossible(
+        return spec.infeasibilityReason(
                 shard.machineTypes(), clusterWideSettings, node.otherCells.zonesOfOtherCells());
     }
 
--- a/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
+++ b/src/main/java/io/kitepath/core/leadership/CancellationWatermark.java
@@ -54,7 +54,7 @@
 
     /** Creates a watermark for the configured peers; no confirmations are known yet. */
     public CancellationWatermark(ClusterSettings settings, Timers timers) {
-        this.peers = settings.siblings();
+        this.peers = settings.peers();
         this.timers = timers;
         this.maxClockSkewMillis = 2 * settings.clockErrorMillis();
     }
--- a/src/main/java/io/kitepath/core/leadership/MembershipView.java
+++ b/src/main/java/io/kitepath/core/leadership/MembershipView.java
@@ -45,7 +45,7 @@
 
     /** Creates a view of the configured peers; all are silent until a message is received. */
     public MembershipView(ClusterSettings settings, Timers timers) {
-        this.peers = settings.siblings();
+        this.peers = settings.peers();
         this.timers = timers;
     }
 
--- a/src/main/java/io/kitepath/core/role/LeasedRoles.java
+++ b/src/main/java/io/kitepath/core/role/LeasedRoles.java
@@ -219,9 +219,7 @@
     private static List<String> sortedNodes(ClusterSettings settings) {
         List<String> nodes = new ArrayList<>();
         nodes.add(settings.node());
-        settings.siblings().stream()
-                .filter(peer -> !peer.equals(settings.node()))
-                .forEach(nodes::add);
+        settings.peers().stream().filter(peer -> !peer.equals(settings.node())).forEach(nodes::add);
         nodes.sort(null);
         return nodes;
     }
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -137,7 +137,7 @@
      * @param wallMillis milliseconds since 1970
      */
     public List<Job> orderedJobs(double now, double wallMillis) {
-        double startedAt = loopTime.now();
+        double startedAt = loopTime.nowSeconds();
         // Many jobs may be held until other jobs end; these need no order.
         List<Job> jobs = shard.jobs().values().stream().filter(job -> !job.isHeld()).toList();
         shard.serviceLevels().update(jobs, this::startLatencySeconds, wallMillis);
@@ -343,7 +343,7 @@
 
     private boolean freeCapacity(
             Job job, List<Machine> openMachines, boolean mayWaitForImage, double now) {
-        double startedAt = loopTime.now();
+        double startedAt = loopTime.nowSeconds();
         boolean freed = preemption.freeCapacity(job, openMachines, mayWaitForImage, now);
         loopTime.record(Activity.GIVING_WAY, startedAt);
         return freed;
--- a/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatResponder.java
@@ -64,7 +64,7 @@
      * it.
      */
     void respond(Heartbeat heartbeat, Consumer<HeartbeatResponse> onResponse) {
-        double startedAtSeconds = loopTime.now();
+        double startedAtSeconds = loopTime.nowSeconds();
         if (heartbeatProcessor.isNewer(heartbeat)) {
             respondToNewest(heartbeat, onResponse);
         } else {
@@ -186,7 +186,7 @@
      * Releases the held responses to all machines for which there are start or stop commands now.
      */
     void releaseResponsesWithCommands() {
-        double startedAtSeconds = loopTime.now();
+        double startedAtSeconds = loopTime.nowSeconds();
         for (String machineId : new ArrayList<>(heldResponses.keySet())) {
             if (heartbeatProcessor.hasCommands(machineId)) {
                 releaseHeldResponse(machineId);
--- a/src/main/java/io/kitepath/core/service/HeartbeatService.java
+++ b/src/main/java/io/kitepath/core/service/HeartbeatService.java
@@ -199,7 +199,7 @@
                         response -> parkedHeartbeats.respond(parkedHeartbeat, response))) {
             return true;
         }
-        for (String peer : settings.siblings()) {
+        for (String peer : settings.peers()) {
             if (!peer.equals(leader)
                     && !membership.isSilent(peer)
                     && relayThroughPeer(peer, parkedHeartbeat)) {
--- a/src/main/java/io/kitepath/core/service/JobStatusQueries.java
+++ b/src/main/java/io/kitepath/core/service/JobStatusQueries.java
@@ -78,7 +78,7 @@
         this.finalStates = finalStates;
         this.openJobResponder =
                 new OpenJobResponder(settings, store, timers, progressSource, finalStates);
-        int nodeCount = settings.siblings().size() + 1;
+        int nodeCount = settings.peers().size() + 1;
         this.requestBudget =
                 new TokenBucket(settings.store().requestsPerSecond() * RATE_SHARE / nodeCount);
         // A transaction may hold four conditions for each change that it may hold; a job needs two.
--- a/src/main/java/io/kitepath/core/service/OpenJobResponder.java
+++ b/src/main/java/io/kitepath/core/service/OpenJobResponder.java
@@ -74,7 +74,7 @@
         this.timers = timers;
         this.progressSource = progressSource;
         this.finalStates = finalStates;
-        int nodeCount = settings.siblings().size() + 1;
+        int nodeCount = settings.peers().size() + 1;
         this.readBudget =
                 new TokenBucket(
                         Math.max(
--- a/src/main/java/io/kitepath/core/service/RetryAfter.java
+++ b/src/main/java/io/kitepath/core/service/RetryAfter.java
@@ -30,7 +30,7 @@
     public RetryAfter(ClusterSettings settings, Timers timers) {
         this.timers = timers;
         this.requestsPerSecond =
-                settings.store().requestsPerSecond() / (settings.siblings().size() + 1);
+                settings.store().requestsPerSecond() / (settings.peers().size() + 1);
     }
 
     /** Counts one more refused user and returns the back-off for that user, in seconds. */
