--- a/src/main/java/io/kitepath/core/service/JobSubmissionService.java
+++ b/src/main/java/io/kitepath/core/service/JobSubmissionService.java
@@ -173,7 +173,7 @@
         int maxBytes = settings.store().maxValueBytes();
         if (JsonSize.sizeInBytes(record) + FINAL_STATE_BYTES > maxBytes) {
             String reason =
-                    "names and lists are too long to store: over "
+                    "names and lists that can't be kept: over "
                             + (maxBytes - FINAL_STATE_BYTES)
                             + " bytes together";
             respondUnlessKnown(id, JobResponse.invalid(reason), onResponse);
@@ -254,8 +254,7 @@
                         case INVALID ->
                                 respondUnlessKnown(
                                         id,
-                                        JobResponse.invalid(
-                                                "the store rejected the job's record as invalid"),
+                                        JobResponse.invalid("can't be kept as it is"),
                                         onResponse);
                         default -> onResponse.accept(JobResponse.LATER);
                     }
--- a/src/main/java/io/kitepath/users/UsersApi.java
+++ b/src/main/java/io/kitepath/users/UsersApi.java
@@ -147,7 +147,7 @@
                             HttpStatus.BAD_REQUEST, SharedCodec.encodeError(response.reason()));
             case NOT_FOUND ->
                     responder.reply(HttpStatus.NOT_FOUND, SharedCodec.encodeError("no such job"));
-            case LATER -> replyUnavailable("the state service is currently unavailable", responder);
+            case LATER -> replyUnavailable("the state service can't be asked now", responder);
         }
     }
 
