--- a/src/main/java/io/kitepath/core/scheduling/CandidateMachines.java
+++ b/src/main/java/io/kitepath/core/scheduling/CandidateMachines.java
@@ -7,13 +7,14 @@
 import java.util.function.Predicate;
 
 /**
- * Which machines a job may use now, apart from their room. Placing, evicting and reserving ask
- * here: guards against work that is evicted, or room that is reserved, where the job is not placed.
+ * Selects the machines that a job may use now, regardless of their free capacity. Placement,
+ * eviction and reservation share this selection. Guards against evicting work, or reserving
+ * capacity, on machines where the job would not be placed.
  */
 final class CandidateMachines {
     /**
-     * For how long a job of which nothing is placed leaves out machines on which it failed: a third
-     * of the 90 s within which it has to be placed where there is room.
+     * How long a job of which no task is placed leaves out the machines on which it failed: a third
+     * of the 90 s within which it has to be placed if there is free capacity.
      */
     private static final double MAX_AVOID_SECONDS = 30;
 
@@ -33,15 +34,16 @@
         this.promisedRoom = promisedRoom;
     }
 
-    /** The open machines on which the job's tasks may be placed now. */
+    /** Returns the open machines on which the job's tasks may be placed now. */
     List<Machine> forPlacing(Job job, List<Machine> open, double now) {
         return usable(job, open, machine -> mayUseReserved(job, machine, now), now);
     }
 
     /**
-     * The open machines on which room may be made or reserved for the job now.
+     * Returns the open machines on which capacity may be freed or reserved for the job now.
      *
-     * @param mayWaitForImage whether machines may be left out since enough others have the image
+     * @param mayWaitForImage whether machines without the image may be left out because enough
+     *     others have it
      */
     List<Machine> forMakingRoom(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
         List<Machine> machines =
@@ -72,8 +74,9 @@
     }
 
     /**
-     * Whether the machine is not reserved for another job, or only until other work ends and this
-     * job gives way to that one or is over before it starts.
+     * Whether the machine is not reserved for another job, or is reserved only for the time when
+     * other work ends and this job either may be preempted by the reserving job or ends before that
+     * job starts.
      */
     private boolean mayUseReserved(Job job, Machine machine, double now) {
         return RoomReservations.isFreeFor(job, machine)
@@ -84,7 +87,8 @@
 
     /**
      * Leaves out the machines on which the job failed, if there are others. Guards against retries
-     * that land where they failed, and against a job that waits beside the only machine with room.
+     * on machines where the job already failed, and against a job that keeps waiting although the
+     * only machine with free capacity is one on which it failed.
      */
     private List<Machine> withoutFailed(Job job, List<Machine> machines, double now) {
         if (job.failedMachines().isEmpty() || now - job.lastPlacedAt() > MAX_AVOID_SECONDS) {
--- a/src/main/java/io/kitepath/core/scheduling/EvictionCandidate.java
+++ b/src/main/java/io/kitepath/core/scheduling/EvictionCandidate.java
@@ -3,15 +3,15 @@
 import io.kitepath.core.shard.Machine;
 
 /**
- * A machine on which a job could be given room by evicting other work.
+ * A machine on which evicting other work could free capacity for a job.
  *
  * @param slotsNow how many of the job's tasks fit now
- * @param slotsAfterEviction how many fit once everything that gives way is stopped
- * @param lostCpuSeconds what stopping that and fetching the image would lose
+ * @param slotsAfterEviction how many of the job's tasks fit after all preemptible work is stopped
+ * @param lostCpuSeconds CPU time that stopping this work and fetching the image would lose
  */
 record EvictionCandidate(
         Machine machine, int slotsNow, int slotsAfterEviction, double lostCpuSeconds) {
-    /** The same machine, used for only that many of the slots. */
+    /** Returns a candidate that uses only {@code slots} slots of the same machine. */
     EvictionCandidate limitedTo(int slots) {
         return slots == slotsAfterEviction
                 ? this
--- a/src/main/java/io/kitepath/core/scheduling/EvictionCandidates.java
+++ b/src/main/java/io/kitepath/core/scheduling/EvictionCandidates.java
@@ -19,14 +19,14 @@
 import java.util.Set;
 
 /**
- * Finds the machines on which evicting work for a job loses least. What gives way is worked out
- * once per round for all jobs with the same claim.
+ * Finds the machines on which evicting work for a job loses the least CPU time. The preemptible
+ * work is computed once per scheduling round for all jobs with the same preemption rights.
  */
 final class EvictionCandidates {
     /**
-     * What decides which work gives way to a job.
+     * The properties of a job that decide which work it may preempt.
      *
-     * @param nonPreemptible whether the job's own work never gives way
+     * @param nonPreemptible whether the job's own work is never preempted
      */
     private record Claim(
             JobSpec.Priority priority, boolean guaranteed, String team, boolean nonPreemptible) {
@@ -40,17 +40,20 @@
     }
 
     /**
-     * What gives way to the jobs of one claim: the jobs, and what evicting them would free on each
-     * machine. Guards against a leader that inspects every attempt of a full fleet for each of the
-     * sizes in which gangs wait. What is placed later in the round is not counted; machines where
-     * something is stopped are reserved.
+     * The work that jobs with the same preemption rights may preempt: its jobs, and the resources
+     * that evicting them would free on each machine. Guards against a leader that inspects every
+     * attempt of a full fleet for each of the sizes of waiting gangs. Work placed later in the
+     * scheduling round is not counted; machines on which attempts are stopped are reserved.
      */
     private static final class YieldingWork {
         private final Set<Job> jobs = Collections.newSetFromMap(new IdentityHashMap<>());
         private final Map<Machine, Evictable> evictableByMachine = new IdentityHashMap<>();
     }
 
-    /** What evicting all that gives way on one machine would free, and the work it would lose. */
+    /**
+     * The resources that evicting all preemptible work on one machine would free, and the CPU time
+     * that it would lose.
+     */
     private record Evictable(FreedResources freed, double lostCpuSeconds) {}
 
     private final ShardState shard;
@@ -64,19 +67,19 @@
         this.rules = rules;
     }
 
-    /** Forgets what was worked out in the last round. */
+    /** Clears the preemptible work computed in the previous scheduling round. */
     void beginRound() {
         yieldingWorkByClaim.clear();
     }
 
-    /** Whether any running work gives way to the job. */
+    /** Whether the job may preempt any running work. */
     boolean hasYieldingWork(Job job) {
         return !yieldingWork(job).jobs.isEmpty();
     }
 
     /**
-     * What making room on each of the machines would bring, by zone if the job has to stay in one,
-     * otherwise all under {@link RoomReservations#ANY_ZONE}.
+     * Evaluates eviction on each of the machines. The candidates are grouped by zone if the job has
+     * to stay in one zone, otherwise they are all under {@link RoomReservations#ANY_ZONE}.
      */
     Map<String, List<EvictionCandidate>> byZone(Job job, List<Machine> machines, double now) {
         YieldingWork yielding = yieldingWork(job);
@@ -89,7 +92,10 @@
         return byZone;
     }
 
-    /** Of the groups that can hold that many tasks the cheapest choice; empty if none can. */
+    /**
+     * Returns the selection that loses the least CPU time among the groups that can hold {@code
+     * tasks} tasks; empty if no group can.
+     */
     static Optional<List<EvictionCandidate>> cheapest(
             Job job, int tasks, Collection<List<EvictionCandidate>> groups) {
         Optional<List<EvictionCandidate>> best = Optional.empty();
@@ -110,7 +116,10 @@
         return best;
     }
 
-    /** Candidates that together hold the tasks, least loss per task first; empty if too few. */
+    /**
+     * Selects candidates that together hold the tasks, least loss per task first; empty if they
+     * hold too few.
+     */
     private static Optional<List<EvictionCandidate>> chooseCheapest(
             List<EvictionCandidate> candidates, int tasks, ZoneConstraints zones) {
         List<EvictionCandidate> sorted = new ArrayList<>(candidates);
@@ -188,7 +197,10 @@
         return new Evictable(freed, lostCpuSeconds);
     }
 
-    /** What stopping the attempt loses: its unsaved work, and about one report until it ends. */
+    /**
+     * Returns the CPU time lost by stopping the attempt: its unsaved work, and about one heartbeat
+     * interval until it ends.
+     */
     private double lostCpuSeconds(Attempt attempt, double now) {
         return attempt.job.spec.cpusPerTask()
                 * (attempt.unsavedSeconds(now)
--- a/src/main/java/io/kitepath/core/scheduling/FreedResources.java
+++ b/src/main/java/io/kitepath/core/scheduling/FreedResources.java
@@ -2,13 +2,13 @@
 
 import io.kitepath.core.shard.Attempt;
 
-/** A running sum of the resources that attempts would free by ending. */
+/** Sums up the resources that attempts would free by ending. */
 final class FreedResources {
     private double cpus;
     private double gpus;
     private double memoryGb;
 
-    /** Adds what the attempt uses. */
+    /** Adds the resources that the attempt uses. */
     void add(Attempt attempt) {
         cpus += attempt.job.spec.cpusPerTask();
         gpus += attempt.job.spec.gpusPerTask();
--- a/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/GangPlacement.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Chooses machines for whole gangs, and the zone for jobs that have to stay in one zone. */
+/** Selects machines for whole gangs, and the zone for jobs that have to stay in one zone. */
 final class GangPlacement {
     private final ProbePlacement placement;
 
@@ -19,9 +19,9 @@
     }
 
     /**
-     * What a search for machines has found.
+     * The result of a search for machines.
      *
-     * @param machines one for each task, empty if the gang does not fit as a whole
+     * @param machines one machine for each task; empty if the gang does not fit as a whole
      * @param waitingForImage whether machines were left out only because others have the image
      */
     record Choice(List<Machine> machines, boolean waitingForImage) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Chooses machines for all tasks of a gang. */
+    /** Selects machines for all tasks of a gang. */
     Choice chooseGang(JobSpec spec, List<Machine> candidates, boolean mayWaitForImage) {
         placement.counters().inspectedMachines += candidates.size();
         Map<String, Integer> slotsByZone = slotsByZone(spec, candidates);
@@ -43,7 +43,8 @@
         if (!spec.isSingleZone()) {
             return findWholeGang(spec, search);
         }
-        // The zone with the least room that still suffices, so that larger gangs find theirs.
+        // Prefers the zone with the least free capacity that still suffices, which leaves the zones
+        // with more capacity to larger gangs.
         List<String> zones = new ArrayList<>(slotsByZone.keySet());
         zones.removeIf(zone -> slotsByZone.get(zone) < spec.taskCount());
         zones.sort(Comparator.comparing(slotsByZone::get));
@@ -61,10 +62,10 @@
     }
 
     /**
-     * The zone for the first tasks of a job that has to stay in one zone: the one with the least
-     * room that suffices for that many tasks, or else the one with the most; empty without
-     * candidates. Guards against a job whose first task binds it to a zone that holds few of its
-     * tasks while another zone would hold all of them.
+     * Selects the zone for the first tasks of a job that has to stay in one zone: the zone with the
+     * least free capacity that suffices for {@code tasks} tasks, otherwise the zone with the most
+     * free capacity; empty without candidates. Guards against a job whose first task binds it to a
+     * zone that holds few of its tasks while another zone would hold all of them.
      */
     Optional<String> chooseZone(JobSpec spec, int tasks, List<Machine> candidates) {
         Comparator<Map.Entry<String, Integer>> leastSufficient =
@@ -84,8 +85,8 @@
     }
 
     /**
-     * A machine for each task, or none if one finds none. The machines count the tasks as placed
-     * only while the search lasts.
+     * Finds a machine for each task, or none if a task finds no machine. The machines count the
+     * tasks as placed only during the search.
      */
     private Choice findWholeGang(JobSpec spec, MachineSearch among) {
         MachineSearch search = among;
--- a/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
+++ b/src/main/java/io/kitepath/core/scheduling/GuaranteeAllocation.java
@@ -15,10 +15,10 @@
  * jobs that claim it before them. See docs/design.md, "Who claims a guarantee".
  */
 final class GuaranteeAllocation {
-    /** Absorbs rounding errors when claims are summed up. */
+    /** Tolerance for rounding errors when claims are summed up, in CPUs or GPUs. */
     private static final double ROUNDING_SLACK = 1e-6;
 
-    /** What the jobs of one team have claimed so far. */
+    /** Resources claimed so far by the jobs of one team. */
     private static final class Claimed {
         private double cpus;
         private double gpus;
@@ -49,12 +49,12 @@
     }
 
     /**
-     * The order in which jobs claim guarantees. Jobs that fitted into the guarantee on arrival keep
-     * it, the oldest first. Then come those with the least work left, as most of them can be in
-     * time; where a class or team gets too little, its jobs come before the others, the least
-     * served first, or else the class with the largest jobs would never have its turn. Jobs that
-     * have missed all their goals come last. Guards against an overload in which a team's guarantee
-     * goes to its oldest jobs, all of which become late one behind the other.
+     * Returns the order in which jobs claim guarantees. Jobs that fitted into the guarantee on
+     * arrival keep it, oldest first. They are followed by the jobs with the least remaining work,
+     * because most of these can meet their goals. If a class or team is lagging, its jobs come
+     * before the others, least served first; otherwise the class with the largest jobs would never
+     * be served. Jobs that missed all their goals come last. Guards against an overload in which a
+     * team's guarantee goes to its oldest jobs and all of them become late one after the other.
      */
     private Comparator<Job> claimOrder(List<Job> jobs) {
         Map<Job, Double> serviceShares = new IdentityHashMap<>();
@@ -84,8 +84,8 @@
     }
 
     /**
-     * Adds what is left of the job to what its team has claimed; returns whether the sum is within
-     * the guarantee.
+     * Adds the job's unfinished tasks to the resources that its team has claimed; returns whether
+     * the sum is within the guarantee.
      */
     private boolean claim(Job job, Map<String, Claimed> claimed) {
         ClusterSettings.Team team = shard.settings().teams().get(job.spec.team());
--- a/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
+++ b/src/main/java/io/kitepath/core/scheduling/JobPlacer.java
@@ -7,14 +7,15 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Places the waiting tasks of one job on machines that have room for them. */
+/** Places the waiting tasks of one job on machines with free capacity. */
 final class JobPlacer {
     /**
-     * What came of an attempt to place a job.
+     * The result of placing a job.
      *
-     * @param placed tasks that got a machine
+     * @param placed number of placed tasks
      * @param waitingForImage whether machines were left out only because others have the image
-     * @param recordsFull whether tasks were left out because they don't fit their records now
+     * @param recordsFull whether tasks were left out because they do not fit into their stored
+     *     records now
      */
     record Result(int placed, boolean waitingForImage, boolean recordsFull) {
         static final Result NONE = new Result(0, false, false);
@@ -33,9 +34,10 @@
     }
 
     /**
-     * Places the gang as a whole, or at most {@code limit} tasks of another job.
+     * Places the gang as a whole, or at most {@code limit} tasks of any other job.
      *
-     * @param mayWaitForImage whether machines may be left out since enough others have the image
+     * @param mayWaitForImage whether machines without the image may be left out because enough
+     *     others have it
      */
     Result place(Job job, List<Machine> open, boolean mayWaitForImage, int limit, double now) {
         return job.spec.isGang()
@@ -43,10 +45,11 @@
                 : placeTasks(job, open, mayWaitForImage, limit, now);
     }
 
-    /** Places at most {@code limit} tasks of a job that is no gang. */
+    /** Places at most {@code limit} tasks of a job that is not a gang. */
     Result placeTasks(Job job, List<Machine> open, boolean mayWaitForImage, int limit, double now) {
         JobSpec spec = job.spec;
-        // Where images are takes long to find out, and says nothing if no machine has room.
+        // Finding the machines that have the image is expensive, and useless if no machine has free
+        // capacity.
         if (open.stream()
                 .noneMatch(
                         machine ->
@@ -78,10 +81,11 @@
             if (!shard.fitsRecord(job, task)) {
                 recordsFull = true;
                 if (job.spec.shape() == JobSpec.Shape.SERVICE) {
-                    shard.requestMigration(job); // Nothing of it ends by itself.
+                    shard.requestMigration(job); // A service's tasks do not end by themselves.
                     break;
                 }
-                // The next part may have room on record; this one has when some of it ends.
+                // The record of the next part may have free space; the record of this part has some
+                // again once some of its tasks end.
                 task = job.lastOfPart(task);
                 continue;
             }
@@ -104,7 +108,10 @@
         return new Result(placed, waitingForImage, recordsFull);
     }
 
-    /** How many tasks the team's quota allows; one at a time of a job that fails everywhere. */
+    /**
+     * Returns how many tasks the team's quota allows; a job that fails everywhere gets one task at
+     * a time.
+     */
     private int taskLimit(Job job, double now, int limit) {
         int tasks = Math.min(limit, shard.quotaUsage().remainingTasks(job.spec));
         if (shard.failureDiagnosis().isJobAtFault(job, now)) {
@@ -114,7 +121,7 @@
     }
 
     private Result placeGang(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
-        // Until every task of the old attempt is proven over, the gang can't start anew.
+        // The gang restarts only after every task of its old attempt is confirmed ended.
         if (!job.liveAttempts().isEmpty()) {
             shard.restartGangOnceImagesFetched(job);
             return Result.NONE;
--- a/src/main/java/io/kitepath/core/scheduling/MachineSearch.java
+++ b/src/main/java/io/kitepath/core/scheduling/MachineSearch.java
@@ -9,18 +9,18 @@
 import java.util.function.Predicate;
 
 /**
- * Finds machines for a job's tasks, one call after the other, in stages: each stage is a set of
- * candidates that is exhausted before the next one is tried, for example machines that have the
- * image before machines that have to fetch it (docs/design.md, "Images").
+ * Finds machines for a job's tasks, one per call, in stages. Each stage is a set of candidates that
+ * is exhausted before the next stage begins: for example, machines that have the image come before
+ * machines that have to fetch it (docs/design.md, "Images").
  *
- * <p>The candidates and their scan order are worked out once per search, not once per task of a
- * large array. The order stays valid because the tasks are alike: a machine that gets one becomes
- * fuller still, and one without room stays so.
+ * <p>The candidates and their scan order are computed once per search, not once per task of a large
+ * array. The order stays valid because the tasks are alike: a machine that receives a task has less
+ * free capacity, and a machine without capacity stays without it.
  */
 final class MachineSearch {
     /**
-     * Machines that have the image suffice if their slots are this many times the job's tasks: then
-     * the job waits for those machines instead of fetching the image elsewhere.
+     * The job waits for machines that have the image, instead of fetching it elsewhere, if those
+     * machines have at least this many slots per task of the job.
      */
     private static final double IMAGE_SLOTS_FACTOR = 4;
 
@@ -28,29 +28,29 @@
     private final JobSpec spec;
     private final List<Machine> candidates;
 
-    /** Whether machines without the image may be left out where enough others have it. */
+    /** Whether machines without the image may be left out if enough others have it. */
     private final boolean mayWaitForImage;
 
-    /** Which candidates come first, which after those, and so on. */
+    /** The conditions that select the candidates of each stage, in the order of the stages. */
     private final List<Predicate<Machine>> stages = new ArrayList<>();
 
     private int nextStage;
 
-    /** Whether the stages for machines without the image have still to be added. */
+    /** Whether the stages for machines without the image have not been added yet. */
     private boolean stagesWithoutImagePending;
 
     private boolean slotsWithImageCounted;
     private boolean enoughSlotsWithImage;
 
     /**
-     * The candidates that had room for a task when the search began; room only shrinks during a
-     * search. Empty until the first call.
+     * The candidates that had capacity for a task when the search began; capacity only shrinks
+     * during a search. Empty until the first call of {@link #nextMachine}.
      */
     private Optional<List<Machine>> machinesWithRoom = Optional.empty();
 
     /**
-     * The search in the present stage; empty between stages. Room only shrinks during a search, so
-     * a stage that found nothing is finished.
+     * The search in the current stage; empty between stages. Capacity only shrinks during a search,
+     * so a stage that found nothing is exhausted.
      */
     private Optional<StageSearch> stageSearch = Optional.empty();
 
@@ -70,9 +70,9 @@
             stages.add(machine -> true);
             return;
         }
-        // Work that may use spot machines leaves the others to work that may not; but with a
-        // deadline there is no time to fetch an image on a spot machine while another machine
-        // already has it.
+        // Work that may use spot machines leaves the other machines to work that may not. A job
+        // with a deadline, however, has no time to fetch an image on a spot machine while another
+        // machine already has it.
         stages.add(machine -> machine.isSpot() && hasImage(machine));
         if (spec.deadlineSeconds() != null) {
             stages.add(this::hasImage);
@@ -81,8 +81,8 @@
     }
 
     /**
-     * The machine for the next task, or empty if there is none now. The caller has to place the
-     * task before it asks for the next machine.
+     * Returns the machine for the next task, or empty if there is none now. The caller has to place
+     * the task before it requests the next machine.
      */
     Optional<Machine> nextMachine() {
         if (machinesWithRoom.isEmpty()) {
@@ -102,7 +102,9 @@
         return Optional.empty();
     }
 
-    /** Begins the next stage in which a machine has room; false if none is left. */
+    /**
+     * Begins the next stage in which a machine has free capacity; returns false if there is none.
+     */
     private boolean beginNextStage() {
         while (nextStage < stages.size() || stagesWithoutImagePending) {
             if (nextStage == stages.size()) {
@@ -110,7 +112,7 @@
                 continue;
             }
             Predicate<Machine> stage = stages.get(nextStage++);
-            // Without room, probes would miss and a scan would find nothing.
+            // Without free capacity, probes would fail and a scan would find nothing.
             if (machinesWithRoom.orElseThrow().stream().anyMatch(stage)) {
                 List<Machine> ofStage = candidates.stream().filter(stage).toList();
                 stageSearch = Optional.of(new StageSearch(placement, spec, ofStage));
@@ -120,7 +122,7 @@
         return false;
     }
 
-    /** Adds the stages that follow once the machines that have the image are full. */
+    /** Adds the stages that follow when the machines that have the image are full. */
     private void addStagesWithoutImage() {
         stagesWithoutImagePending = false;
         if (!hasEnoughSlotsWithImage()) {
@@ -132,7 +134,8 @@
         if (!hasEnoughSlotsWithImage()) {
             addFetchStages(machine -> true);
         } else {
-            // Where half a machine is free, one fetch serves many tasks, and nothing is left idle.
+            // Where at least half of a machine is free, one fetch serves many tasks, and the
+            // machine is not left idle.
             stages.add(
                     machine ->
                             2 * machine.usedCpus() <= placement.typeOf(machine).cpus()
@@ -141,8 +144,9 @@
     }
 
     /**
-     * Adds stages for machines that lack the image: those that already fetch it, then those that
-     * fetch nothing, then the rest, since concurrent fetches may share a machine's bandwidth.
+     * Adds stages for machines without the image: first those that already fetch it, then those
+     * that fetch nothing, then the rest, because concurrent fetches may share a machine's
+     * bandwidth.
      */
     private void addFetchStages(Predicate<Machine> among) {
         stages.add(machine -> among.test(machine) && machine.isFetching(spec.image()));
@@ -155,10 +159,10 @@
     }
 
     /**
-     * Whether so many machines have or fetch the image that room on them comes free sooner than
-     * another machine would have fetched it. Guards against arrays whose last tasks wait for an
-     * image on a machine that fetches three others, while tasks like them end every second on
-     * machines that have the image.
+     * Whether enough machines have or fetch the image that capacity on them is freed sooner than
+     * another machine could fetch it. Guards against arrays whose last tasks wait for an image on a
+     * machine that fetches three others, while similar tasks end every second on machines that have
+     * the image.
      */
     private boolean hasEnoughSlotsWithImage() {
         if (!slotsWithImageCounted) {
@@ -170,7 +174,9 @@
         return enoughSlotsWithImage;
     }
 
-    /** Slots on machines that have or fetch the image; stops counting once they suffice. */
+    /**
+     * Counts the slots on machines that have or fetch the image; stops counting once they suffice.
+     */
     private double countSlotsWithImage() {
         double slots = 0;
         for (Machine machine : candidates) {
@@ -191,16 +197,16 @@
     }
 
     /**
-     * Whether the search leaves the machine out, even if it had room, as enough others have the
-     * image.
+     * Whether the search leaves the machine out, even if it has free capacity, because enough
+     * others have the image.
      */
     boolean leavesOut(Machine machine) {
         return spec.allowsSpot() && !hasImage(machine) && hasEnoughSlotsWithImage();
     }
 
     /**
-     * Whether the search, which has found all that it finds, left out a machine with room only
-     * because others have the image.
+     * Whether the search, after it is exhausted, has left out a machine with free capacity only
+     * because other machines have the image.
      */
     boolean isWaitingForImage() {
         return enoughSlotsWithImage
@@ -209,15 +215,18 @@
     }
 
     /**
-     * Whether no machine type holds two of the tasks. Only such non-spot work looks for its image
-     * first; smaller work packs, and is not spread over empty machines for the sake of its image.
+     * Whether no machine type holds two of the tasks. Only such non-spot work prefers machines that
+     * have its image; smaller work is packed, and is not spread over empty machines for its image.
      */
     private boolean fillsWholeMachine() {
         return placement.types().values().stream()
                 .allMatch(type -> ProbePlacement.slots(spec, type) < 2);
     }
 
-    /** The same search among those of the candidates, begun anew. */
+    /**
+     * Returns a new search, starting at the first stage, among the candidates that match the
+     * condition.
+     */
     MachineSearch restrictedTo(Predicate<Machine> among) {
         return new MachineSearch(
                 placement, spec, candidates.stream().filter(among).toList(), mayWaitForImage);
--- a/src/main/java/io/kitepath/core/scheduling/Preemption.java
+++ b/src/main/java/io/kitepath/core/scheduling/Preemption.java
@@ -12,16 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes room for jobs that find none: evicts work that has to give way where that loses least, or
- * reserves the machines that come free soonest. See docs/design.md, "Giving way". Not thread-safe:
- * used on the event loop only.
+ * Frees capacity for jobs that find none: evicts preemptible work where that loses the least CPU
+ * time, or reserves the machines that become free soonest. See docs/design.md, "Giving way". Not
+ * thread-safe: used only on the event loop.
  */
 public final class Preemption {
     private static final Logger LOG = LoggerFactory.getLogger(Preemption.class);
 
     /**
-     * Report intervals for which the room of evicted work is held for the job: by then the stopped
-     * tasks can have been reported as ended.
+     * Heartbeat intervals for which the capacity of evicted work is reserved for the job. The
+     * stopped tasks can have been reported as ended by then.
      */
     private static final double RESERVE_REPORT_INTERVALS = 2;
 
@@ -37,8 +37,8 @@
     private long evictionsForGangs;
 
     /**
-     * Whether this round has searched for room for small tasks. One search a round is enough, as it
-     * inspects every attempt and the next round comes in a moment.
+     * Whether this scheduling round has already searched for capacity for small tasks. One search
+     * per round suffices, because it inspects every attempt and the next round follows shortly.
      */
     private boolean hasSearchedForSmallJobs;
 
@@ -57,22 +57,25 @@
         this.reservations = new RoomReservations(shard, placement, rules);
     }
 
-    /** Attempts stopped for other work since this node started. */
+    /** Returns the number of attempts evicted for other work since this node started. */
     public long evictions() {
         return evictions;
     }
 
-    /** Those of the evictions that a team's guarantee was the reason for, not a priority. */
+    /** Returns the number of evictions made for a team's guarantee and not for a priority. */
     public long evictionsForGuarantees() {
         return evictionsForGuarantees;
     }
 
-    /** Those of the evictions that made room for gangs and large tasks. */
+    /** Returns the number of evictions that freed capacity for gangs and large tasks. */
     public long evictionsForGangs() {
         return evictionsForGangs;
     }
 
-    /** A new round: what gives way and which job reserves room are decided anew. */
+    /**
+     * Begins a scheduling round, in which the preemptible work and the jobs with reservations are
+     * determined anew.
+     */
     void beginRound() {
         reservations.beginRound();
         candidates.beginRound();
@@ -80,11 +83,13 @@
     }
 
     /**
-     * For a job that found no room: evicts lesser work where that is enough, or else reserves
-     * machines for the job, so that smaller work behind it does not take every gap.
+     * Frees capacity for a job that found none: evicts preemptible work where that suffices,
+     * otherwise reserves machines for the job, so that smaller work behind it does not take every
+     * gap.
      *
-     * @param mayWaitForImage whether machines may be left out since enough others have the image
-     * @return whether anything was stopped or reserved
+     * @param mayWaitForImage whether machines without the image may be left out because enough
+     *     others have it
+     * @return whether an attempt was stopped or a machine reserved
      */
     boolean makeRoom(Job job, List<Machine> open, boolean mayWaitForImage, double now) {
         boolean small = rules.isSmall(job.spec);
@@ -110,7 +115,7 @@
             return true;
         }
         if (small) {
-            return false; // Small tasks find gaps by themselves.
+            return false; // Small tasks fit into gaps without a reservation.
         }
         return reservations.reserveSoonest(job, tasks, byZone.keySet(), machines, now);
     }
@@ -133,8 +138,8 @@
     }
 
     /**
-     * Stops just enough on the machine, the latest placed first; returns how many tasks of the job
-     * it will hold.
+     * Stops just enough attempts on the machine, the latest placed first; returns how many tasks of
+     * the job it will hold.
      */
     private int evict(Job job, EvictionCandidate candidate, int tasks) {
         List<Attempt> victims = new ArrayList<>();
@@ -156,8 +161,8 @@
             if (placement.freeSlots(candidate.machine(), job.spec, freed) >= wanted) {
                 break;
             }
-            // An attempt that is not on record yet is taken back at once, and frees its room
-            // itself.
+            // An attempt that is not committed yet is withdrawn at once, which already frees its
+            // capacity.
             boolean durable = attempt.isDurable();
             logEviction(attempt, job, candidate.machine());
             shard.evictAttempt(attempt, job);
--- a/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
+++ b/src/main/java/io/kitepath/core/scheduling/PreemptionRules.java
@@ -10,11 +10,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Which work has to give way to which, by priority and by the teams' guarantees. */
+/**
+ * Decides which work is preempted by which other work, by priority and by the teams' guarantees.
+ */
 final class PreemptionRules {
     /**
-     * Report intervals for which small tasks wait for room that comes free by itself, before others
-     * are stopped for them: on a full fleet some task ends soon.
+     * Heartbeat intervals for which small tasks wait for capacity that is freed by ending tasks,
+     * before other work is evicted for them. On a full fleet some task ends soon.
      */
     private static final double WAIT_REPORT_INTERVALS = 2;
 
@@ -28,8 +30,9 @@
     }
 
     /**
-     * Whether the job may have the room of the attempt: it is stopped already, though not for a job
-     * that goes before this one, or may be stopped.
+     * Whether the job may use the capacity of the attempt: the attempt may be evicted for it, or is
+     * already being stopped and its capacity is not promised to a job that takes precedence over
+     * this one.
      */
     boolean mayEvict(Job job, Attempt victim) {
         return victim.isUnwanted()
@@ -38,15 +41,18 @@
     }
 
     /**
-     * Whether room that is made for one job is kept from the other: that one is served later, or
-     * would have to give way. Guards against evicted work that reserves its own room, since that is
-     * about to come free, so that it is placed there again and evicted again without end.
+     * Whether capacity that is freed for {@code job} is withheld from {@code other}, because the
+     * other job is served later or may be preempted by the first. Guards against evicted work that
+     * reserves its own capacity, since that is about to be freed, and is then placed there and
+     * evicted again without end.
      */
     private boolean goesBefore(Job job, Job other) {
         return job.queueRank() < other.queueRank() || mustYield(other, job);
     }
 
-    /** A new round, in which the jobs within their teams' guarantees are known. */
+    /**
+     * Begins a scheduling round; the jobs within their teams' guarantees must already be marked.
+     */
     void beginRound() {
         lowestGuaranteed.clear();
         for (Job job : shard.jobs().values()) {
@@ -62,15 +68,16 @@
     }
 
     /**
-     * Whether the running job gives way to the other one. Work gives way to work of higher
-     * priority, and what a team borrows gives way to the guarantee of another team.
+     * Whether the running job may be preempted by the other job. Work is preempted by work of
+     * higher priority, and work that a team runs beyond its guarantee is preempted by work within
+     * the guarantee of another team.
      *
-     * <p>Guards against jobs that stop each other in a circle, so that none is ever done.
-     * Priorities and guarantees by themselves have circles: urgent work beyond its guarantee,
-     * guaranteed work of lower priority, and guaranteed work of another team. So work that shares
-     * in a guarantee gives way only to work that does as well, and among all that gives way at all,
-     * the one that it gives way to shares in a guarantee where it does not, or has a higher
-     * priority.
+     * <p>Guards against jobs that preempt each other in a cycle, so that none ever completes.
+     * Priorities and guarantees alone allow cycles: urgent work beyond its guarantee, guaranteed
+     * work of lower priority, and guaranteed work of another team. Therefore, among preemptible
+     * work, a job that shares in a guarantee is preempted only by jobs that also share in one. In
+     * every such preemption the preempting job shares in a guarantee while the preempted job does
+     * not, or it has a higher priority.
      */
     boolean mustYield(Job running, Job job) {
         if (isNonPreemptible(running)) {
@@ -83,8 +90,8 @@
     }
 
     /**
-     * Whether the job is within its team's guarantee, or goes before a job of its team that is: it
-     * could have that job's room.
+     * Whether the job is within its team's guarantee, or has a higher priority than a job of its
+     * team that is and whose capacity it could take.
      */
     private boolean sharesInGuarantee(Job job) {
         JobSpec.Priority lowest = lowestGuaranteed.get(job.spec.team());
@@ -92,14 +99,16 @@
                 || lowest != null && job.effectivePriority().compareTo(lowest) < 0;
     }
 
-    /** Whether the job's own attempts are never stopped for others: gangs and services. */
+    /**
+     * Whether the job's own attempts are never evicted for other jobs: true for gangs and services.
+     */
     static boolean isNonPreemptible(Job job) {
         return job.spec.isGang() || job.spec.shape() == JobSpec.Shape.SERVICE;
     }
 
     /**
-     * Whether the running job has no share in its team's guarantee, which the team has used up, and
-     * the other job, of another team, is within that team's.
+     * Whether the running job has no share in its team's guarantee, the team has used up that
+     * guarantee, and the other job is within the guarantee of another team.
      */
     private boolean isBorrowingAgainst(Job running, Job job) {
         ClusterSettings.Team team = shard.settings().teams().get(running.spec.team());
@@ -112,11 +121,12 @@
     }
 
     /**
-     * Whether work on the machine is served before the job although it gives way to it: a guarantee
-     * is served first, yet a higher priority may stop it. Guards against such work taking the room
-     * again in the next round, and being stopped again, without end: the machine is reserved until
-     * the stopped tasks can have been reported. For small tasks only then: reserving a machine of
-     * which they take a thirtieth would leave the rest of it idle.
+     * Whether work on the machine is served before the job although the job may preempt it:
+     * guaranteed work is served first, yet work of higher priority may preempt it. Guards against
+     * such work taking the capacity again in the next scheduling round and being evicted again,
+     * without end: the machine is reserved until the stopped tasks can have been reported as ended.
+     * Small tasks reserve a machine only in this case: reserving a machine of which they use a
+     * thirtieth would leave the rest of it idle.
      */
     boolean hasWorkServedBefore(Job job, Machine machine) {
         return machine.attempts().stream()
@@ -126,7 +136,10 @@
                                         && mustYield(attempt.job, job));
     }
 
-    /** Whether the job still waits for room that comes free by itself, and evicts nothing yet. */
+    /**
+     * Whether the job still waits for capacity that is freed without eviction, and evicts nothing
+     * yet.
+     */
     boolean isWaitingForFreeRoom(Job job, double wallMillis) {
         if (!isSmall(job.spec)) {
             return false;
@@ -134,8 +147,8 @@
         double waitMillis =
                 WAIT_REPORT_INTERVALS
                         * (1000 * shard.settings().workers().heartbeatIntervalSeconds());
-        // Guards against work stopped half done for a stage of a pipeline that is only as urgent as
-        // the stage behind it, and has time.
+        // Guards against evicting half-finished work for a stage of a pipeline that has its
+        // priority only from the stage behind it and still has time.
         boolean hasTime =
                 job.effectivePriority() != job.spec.priority()
                         && wallMillis
@@ -147,7 +160,10 @@
         return hasTime || wallMillis - job.eligibleSinceMillis() < waitMillis;
     }
 
-    /** Whether the job's tasks are independent and at most half of the smallest machine type. */
+    /**
+     * Whether the job's tasks are independent and each uses at most half the CPUs of the smallest
+     * machine type.
+     */
     boolean isSmall(JobSpec spec) {
         return !spec.isGang()
                 && !spec.isSingleZone()
--- a/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
+++ b/src/main/java/io/kitepath/core/scheduling/ProbePlacement.java
@@ -9,23 +9,23 @@
 import java.util.Random;
 
 /**
- * Chooses machines for tasks: the first of up to {@link #MAX_PROBES} random machines that passes a
- * probe, otherwise the best fit of a scan over the shard. Also answers which machines a job may use
- * and how many of its tasks they hold.
+ * Selects machines for tasks: the first of up to {@link #MAX_PROBES} random machines that passes a
+ * probe, otherwise the best fit found by a scan over the shard. Also determines which machines a
+ * job may use and how many of its tasks they hold.
  *
- * <p>The probes are the Threshold location policy of Eager, Lazowska and Zahorjan, "Adaptive Load
- * Sharing in Homogeneous Distributed Systems", section II-B
+ * <p>The probes implement the Threshold location policy of Eager, Lazowska and Zahorjan, "Adaptive
+ * Load Sharing in Homogeneous Distributed Systems", section II-B
  * (../given/docs/PAPER-adaptive-load-sharing-homogene-6f1f.md); docs/design.md lists the
- * deviations. Not thread-safe: used on the event loop only.
+ * deviations. Not thread-safe: used only on the event loop.
  */
 public final class ProbePlacement {
-    /** The paper's T: a machine passes a probe with fewer unconfirmed starts than this. */
+    /** A machine passes a probe if it has fewer unconfirmed starts than this (T in the paper). */
     public static final int UNCONFIRMED_THRESHOLD = 2;
 
-    /** The paper's probe limit Lp. */
+    /** Maximum number of machines probed per task (the probe limit Lp in the paper). */
     public static final int MAX_PROBES = 3;
 
-    /** Absorbs rounding errors when resources are divided into slots. */
+    /** Tolerance for rounding errors when resources are divided into slots. */
     private static final double ROUNDING_SLACK = 1e-6;
 
     private final Random random;
@@ -33,7 +33,7 @@
     private final PlacementCounters counters = new PlacementCounters();
 
     /**
-     * @param random draws the machines that are probed
+     * @param random random source for the machines to probe
      * @param types the known machine types by name; may grow later
      */
     ProbePlacement(Random random, Map<String, MachineType> types) {
@@ -41,22 +41,22 @@
         this.types = types;
     }
 
-    /** Machines probed since this node started. */
+    /** Returns the number of machines probed since this node started. */
     public long probeCount() {
         return counters.probes;
     }
 
-    /** Probed machines that passed and got the task. */
+    /** Returns the number of probed machines that passed and received the task. */
     public long passedProbeCount() {
         return counters.passedProbes;
     }
 
-    /** Scans made because no probe passed. */
+    /** Returns the number of scans made because no probe passed. */
     public long scanCount() {
         return counters.scans;
     }
 
-    /** Machines inspected by scans and for gangs. */
+    /** Returns the number of machines inspected by scans and for gangs. */
     public long inspectedMachineCount() {
         return counters.inspectedMachines;
     }
@@ -73,18 +73,18 @@
         return types;
     }
 
-    /** The machine's type; only for machines whose type is known. */
+    /** Returns the machine's type; only for machines whose type is known. */
     MachineType typeOf(Machine machine) {
         return machine.typeAmong(types);
     }
 
-    /** Whether the machine may run the job's tasks, apart from its present load. */
+    /** Whether the machine may run the job's tasks, regardless of its current load. */
     boolean isAllowed(Machine machine, JobSpec spec) {
         return typeOf(machine) != null
                 && isAllowed(machine.type(), machine.zone(), machine.isSpot(), spec);
     }
 
-    /** Whether machines of that kind may run the job. */
+    /** Whether machines of the given kind may run the job. */
     public static boolean isAllowed(MachineKind kind, JobSpec spec) {
         return isAllowed(kind.machineType(), kind.zone(), kind.spot(), spec);
     }
@@ -101,20 +101,25 @@
     }
 
     /**
-     * Searches machines for the tasks of one job, among candidates that are all allowed.
+     * Creates a search for machines for the tasks of one job, among candidates that are all
+     * allowed.
      *
-     * @param mayWaitForImage whether machines may be left out since enough others have the image
+     * @param mayWaitForImage whether machines without the image may be left out because enough
+     *     others have it
      */
     MachineSearch newSearch(JobSpec spec, List<Machine> candidates, boolean mayWaitForImage) {
         return new MachineSearch(this, spec, candidates, mayWaitForImage);
     }
 
-    /** How many of the job's tasks fit on the machine now. */
+    /** Returns how many of the job's tasks fit on the machine now. */
     int freeSlots(Machine machine, JobSpec spec) {
         return freeSlots(machine, spec, new FreedResources());
     }
 
-    /** How many of the job's tasks would fit on the machine if that much of its load were gone. */
+    /**
+     * Returns how many of the job's tasks would fit on the machine if the given resources were
+     * freed.
+     */
     int freeSlots(Machine machine, JobSpec spec, FreedResources freed) {
         MachineType type = typeOf(machine);
         return slots(
@@ -124,22 +129,31 @@
                 type.memoryGigabytes() - machine.usedMemory() + freed.memoryGb());
     }
 
-    /** How many of the job's tasks an empty machine of the type holds. */
+    /** Returns how many of the job's tasks an empty machine of the type holds. */
     public static int slots(JobSpec spec, MachineType type) {
         return slots(spec, type.cpus(), type.gpus(), type.memoryGigabytes());
     }
 
-    /** How many of the job's tasks fit into those resources; never more than it has. */
+    /**
+     * Returns how many of the job's tasks fit into the given resources; never more than the job
+     * has.
+     */
     public static int slots(JobSpec spec, double cpus, double gpus, double memoryGb) {
         return maxSlots(spec, spec.taskCount(), cpus, gpus, memoryGb);
     }
 
-    /** How many tasks of that size an empty machine of the type holds, however many the job has. */
+    /**
+     * Returns how many tasks of the job's size an empty machine of the type holds, regardless of
+     * the job's number of tasks.
+     */
     static int maxSlots(JobSpec spec, MachineType type) {
         return maxSlots(spec, type.cpus(), type.gpus(), type.memoryGigabytes());
     }
 
-    /** How many tasks of that size fit into those resources, however many the job has. */
+    /**
+     * Returns how many tasks of the job's size fit into the given resources, regardless of the
+     * job's number of tasks.
+     */
     static int maxSlots(JobSpec spec, double cpus, double gpus, double memoryGb) {
         return maxSlots(spec, Integer.MAX_VALUE, cpus, gpus, memoryGb);
     }
--- a/src/main/java/io/kitepath/core/scheduling/PromisedRoom.java
+++ b/src/main/java/io/kitepath/core/scheduling/PromisedRoom.java
@@ -7,14 +7,17 @@
 import java.util.Optional;
 
 /**
- * Machines on which work was evicted for small tasks, for which they are not reserved: whoever is
- * served after the small tasks may use what they leave. Only a promoted job is served before them,
- * and must not take that room.
+ * Tracks machines on which work was evicted for small tasks without reserving the machines for
+ * them: jobs served after the small tasks may use the remaining capacity. Only a promoted job is
+ * served before the small tasks, and it must not take the promised capacity.
  */
 final class PromisedRoom {
     /**
-     * The job that work was evicted for, and until when it can be expected to take the room, in
-     * seconds on the steady clock.
+     * A promise of freed capacity.
+     *
+     * @param job the job for which work was evicted
+     * @param until the time until which the job can be expected to take the capacity, in seconds on
+     *     the steady clock
      */
     private record Promise(Job job, double until) {}
 
@@ -23,9 +26,10 @@
     private Optional<Job> promotedJob = Optional.empty();
 
     /**
-     * Forgets promises that are over.
+     * Removes promises that have expired or whose job has no waiting tasks.
      *
-     * @param promoted the job that is served first in this round whatever its rank, if there is one
+     * @param promoted the job that is served first in this scheduling round regardless of its rank,
+     *     if there is one
      */
     void beginRound(Optional<Job> promoted, double now) {
         promotedJob = promoted;
@@ -36,14 +40,15 @@
         return !job.isFinished() && job.waitingTasks() > 0;
     }
 
-    /** Work on the machine was evicted for the job. */
+    /** Records that work on the machine was evicted for the job. */
     void promise(Machine machine, Job job, double until) {
         promises.put(machine, new Promise(job, until));
     }
 
     /**
-     * Whether the job leaves the machine to another. Guards against a promoted job that takes the
-     * room, for which the evicted work stops it in turn, and is evicted again, without end.
+     * Whether the machine's capacity is withheld from the job because it is promised to another
+     * one. Guards against an endless cycle: a promoted job takes the capacity, the evicted work
+     * preempts it in turn, and is evicted again.
      */
     boolean isKeptFrom(Job job, Machine machine) {
         if (promotedJob.isEmpty() || promotedJob.get() != job) {
--- a/src/main/java/io/kitepath/core/scheduling/RoomReservations.java
+++ b/src/main/java/io/kitepath/core/scheduling/RoomReservations.java
@@ -13,22 +13,25 @@
 import java.util.Set;
 
 /**
- * Reserves the machines on which a large job can start soonest, as what runs there ends, so that
+ * Reserves the machines on which a large job can start soonest, as running work ends, so that
  * smaller work behind it does not take every gap. Other work may use those machines meanwhile if it
- * is over before the job starts (backfilling; docs/design.md, "Room kept for a gang").
+ * ends before the job starts (backfilling; docs/design.md, "Room kept for a gang").
  */
 final class RoomReservations {
-    /** Stands for the zone of jobs that may run in any zone. */
+    /** Zone key of jobs that may run in any zone. */
     static final String ANY_ZONE = "";
 
-    /** Room for so many tasks of a job that comes free on a machine after so many seconds. */
+    /**
+     * Capacity for {@code tasks} tasks of a job that is expected to be free on a machine after
+     * {@code inSeconds} seconds.
+     */
     private record ExpectedRoom(Machine machine, double inSeconds, int tasks) {}
 
     private final ShardState shard;
     private final ProbePlacement placement;
     private final PreemptionRules rules;
 
-    /** For how many jobs machines are reserved in this round, by zone. */
+    /** Number of jobs for which machines are reserved in this scheduling round, by zone. */
     private final Map<String, Integer> jobsByZone = new HashMap<>();
 
     RoomReservations(ShardState shard, ProbePlacement placement, PreemptionRules rules) {
@@ -37,20 +40,20 @@
         this.rules = rules;
     }
 
-    /** Forgets the last round's reservations, which are decided anew. */
+    /** Clears the reservations of the previous scheduling round, which are decided anew. */
     void beginRound() {
         jobsByZone.clear();
     }
 
-    /** Whether the machine is reserved for no job, or for this one. */
+    /** Whether the machine is not reserved, or is reserved for this job. */
     static boolean isFreeFor(Job job, Machine machine) {
         return machine.reservedFor() == null || machine.reservedFor() == job;
     }
 
     /**
-     * Reserves room for that many tasks in the one of the zones where all of it comes free soonest;
-     * returns whether there is such a zone. In each zone only the first job reserves room, the
-     * others take what is free, so that machines don't idle in gaps that each wait for another
+     * Reserves capacity for {@code tasks} tasks in the zone where all of it is free soonest;
+     * returns whether there is such a zone. In each zone only the first job reserves capacity and
+     * the others use what is free, so that machines do not idle in gaps that each wait for another
      * gang.
      */
     boolean reserveSoonest(
@@ -95,7 +98,7 @@
         return expected;
     }
 
-    /** Adds the room that opens on the machine as its attempts end one after the other. */
+    /** Adds the capacity that is freed on the machine as its attempts end one after the other. */
     private void addExpectedRoom(
             Job job, Machine machine, double now, List<ExpectedRoom> expected) {
         List<Attempt> attempts = new ArrayList<>(machine.attempts());
--- a/src/main/java/io/kitepath/core/scheduling/RunningLoad.java
+++ b/src/main/java/io/kitepath/core/scheduling/RunningLoad.java
@@ -8,30 +8,33 @@
 import java.util.List;
 
 /**
- * The CPU time that running work, which gives way to none of the waiting jobs looked at, will
- * probably take. It is asked for each waiting job, so the running work is summed up beforehand.
+ * Estimates the CPU time that running work will take, provided that none of the waiting jobs under
+ * consideration may preempt it. The estimate is requested for each waiting job, so the running work
+ * is summed up beforehand.
  */
 final class RunningLoad {
-    /** CPUs that a job's tasks hold, and for how many seconds on average. */
+    /**
+     * CPUs held by a job's running tasks, and the average remaining time of these tasks in seconds.
+     */
     private record Running(double cpus, double remainingSeconds) {}
 
     private final double now;
     private final List<Running> running = new ArrayList<>();
 
-    /** The remaining seconds of what runs, ascending. */
+    /** Remaining seconds of the running jobs, ascending. */
     private double[] ends = new double[0];
 
-    /** CPU seconds that the first of those still take, by their number. */
+    /** Element {@code i} holds the remaining CPU seconds of the first {@code i} of those jobs. */
     private double[] cumulativeCpuSeconds = new double[1];
 
-    /** CPUs that the first of those hold, by their number. */
+    /** Element {@code i} holds the CPUs held by the first {@code i} of those jobs. */
     private double[] cumulativeCpus = new double[1];
 
     RunningLoad(double now) {
         this.now = now;
     }
 
-    /** Adds the running tasks of those jobs to what is summed up. */
+    /** Adds the running tasks of the jobs to the sums. */
     void add(List<Job> jobs) {
         jobs.forEach(this::add);
         if (running.size() > ends.length) {
@@ -65,7 +68,7 @@
         }
     }
 
-    /** CPU seconds that the running work takes within that many seconds. */
+    /** Returns the CPU seconds that the running work takes within the given time. */
     double cpuSecondsWithin(double seconds) {
         int found = Arrays.binarySearch(ends, seconds);
         int ended = found >= 0 ? found : -found - 1;
--- a/src/main/java/io/kitepath/core/scheduling/Scheduler.java
+++ b/src/main/java/io/kitepath/core/scheduling/Scheduler.java
@@ -18,31 +18,31 @@
 import java.util.Set;
 
 /**
- * Scheduling rounds: which waiting work is placed where, in which order, and what is evicted for
- * it. Not thread-safe: used on the event loop only.
+ * Runs scheduling rounds: decides which waiting work is placed where, in which order, and which
+ * work is evicted for it. Not thread-safe: used only on the event loop.
  */
 public final class Scheduler {
-    /** Seconds within which every job has to start, however large it is. */
+    /** Seconds within which every job has to start, regardless of its size. */
     private static final double LARGE_JOB_START_SECONDS = 240;
 
-    /** The part of that time after which a large job is served first. */
+    /** Fraction of {@link #LARGE_JOB_START_SECONDS} after which a large job is served first. */
     private static final double PROMOTE_AFTER_FRACTION = 0.5;
 
     /**
-     * For how long a job of which nothing is placed may leave out machines without its image: half
-     * of the 90 s within which it has to be placed where there is room.
+     * How long a job of which no task is placed may leave out machines without its image: half of
+     * the 90 s within which it has to be placed if there is free capacity.
      */
     private static final double MAX_IMAGE_WAIT_SECONDS = 45;
 
     /**
-     * What holds for a job in a scheduling round.
+     * A job and the conditions under which it is served in a scheduling round.
      *
-     * @param comparable whether the outcome holds for other jobs of the shape, and theirs for it
-     * @param waits whether the job still waits for room that comes free by itself
-     * @param mayWaitForImage whether it leaves out machines since enough others have its image
+     * @param comparable whether its result applies to other jobs of its shape, and theirs to it
+     * @param waits whether it still waits for capacity that is freed without eviction
+     * @param mayWaitForImage whether it leaves out machines because enough others have its image
      */
     private record Turn(Job job, boolean comparable, boolean waits, boolean mayWaitForImage) {
-        /** Whether the outcome for other jobs holds for this one. */
+        /** Whether the results of other jobs show that this job finds no capacity. */
         boolean isKnown(UnschedulableShapes shapes) {
             return comparable
                     && (mayWaitForImage ? shapes.contains(job) : shapes.containsForAnyImage(job));
@@ -59,26 +59,29 @@
     private final LoopTimeAccounting loopTime;
     private final WarmReserve warmReserve;
 
-    /** What found no free room in this round. */
+    /** Shapes that found no free capacity in this scheduling round. */
     private final UnschedulableShapes withoutFreeRoom = new UnschedulableShapes();
 
-    /** What found none in this round for which eviction can't make room either. */
+    /**
+     * Shapes that found no free capacity in this scheduling round and for which eviction cannot
+     * free any.
+     */
     private final UnschedulableShapes beyondPreemption = new UnschedulableShapes();
 
-    /** The order as last worked out; empty before. */
+    /** The last computed order; empty before the first computation. */
     private Optional<List<Job>> lastOrder = Optional.empty();
 
     private double lastOrderAt;
 
-    /** The job that comes first in that order whatever its rank, if there is one. */
+    /** The job that comes first in that order regardless of its rank, if there is one. */
     private Optional<Job> promotedJob = Optional.empty();
 
     /** The {@link ShardState#jobGeneration} of the jobs in that order. */
     private long lastOrderGeneration;
 
     /**
-     * @param random draws the machines that are probed
-     * @param loopTime is told how long ordering and evicting take
+     * @param random random source for the machines to probe
+     * @param loopTime records the time spent on ordering and evicting
      */
     public Scheduler(ShardState shard, Random random, LoopTimeAccounting loopTime) {
         this.shard = shard;
@@ -96,20 +99,20 @@
         this.placer = new JobPlacer(shard, probePlacement, candidateMachines);
     }
 
-    /** The choice of machines, for its counters. */
+    /** Returns the component that selects machines, for its counters. */
     public ProbePlacement probePlacement() {
         return probePlacement;
     }
 
-    /** The eviction of work, for its counters. */
+    /** Returns the component that evicts work, for its counters. */
     public Preemption preemption() {
         return preemption;
     }
 
     /**
-     * The jobs with work to place, in an order not older than {@code maxAgeSeconds}. For callers
-     * that look at all waiting work and don't depend on its exact order: working the order out
-     * takes as long as a whole scheduling round.
+     * Returns the jobs with waiting tasks, in an order that is at most {@code maxAgeSeconds} old.
+     * For callers that need all waiting work but do not depend on its exact order: computing the
+     * order takes as long as a whole scheduling round.
      */
     public List<Job> orderedJobs(double now, double wallMillis, double maxAgeSeconds) {
         if (lastOrder.isEmpty()
@@ -121,18 +124,18 @@
     }
 
     /**
-     * The unfinished jobs with work to place, in the order in which they are served.
+     * Returns the unfinished jobs with waiting tasks, in the order in which they are served.
      *
      * @param now seconds on the steady clock
      * @param wallMillis milliseconds since 1970
      */
     public List<Job> orderedJobs(double now, double wallMillis) {
         double began = loopTime.now();
-        // There may be many jobs that wait for others, which need no order.
+        // Many jobs may be held until other jobs end; these need no order.
         List<Job> jobs = shard.jobs().values().stream().filter(job -> !job.isHeld()).toList();
         shard.serviceLevels().update(jobs, this::startLatencySeconds, wallMillis);
         guarantees.mark(jobs);
-        // A job that fails everywhere is served last and takes nobody's time.
+        // A job that fails everywhere is served last and delays no other job.
         List<Job> sound = new ArrayList<>();
         List<Job> failing = new ArrayList<>();
         for (Job job : jobs) {
@@ -172,10 +175,11 @@
     }
 
     /**
-     * Serves the longest waiting of a class's largest jobs first, once it has used most of the time
-     * within which it has to start; it evicts nothing that it might not evict anyway. Guards
-     * against such a job being overtaken for ever: what asks for much at once goes without whenever
-     * others go first by size or rank. One at a time, since room is kept for it meanwhile.
+     * Serves the longest waiting of a class's largest jobs first, once {@link
+     * #PROMOTE_AFTER_FRACTION} of the time within which it has to start has passed. The job evicts
+     * nothing that it might not evict anyway. Guards against such a job being overtaken forever: a
+     * job that requests much capacity at once gets none as long as others go first by size or rank.
+     * Only one job is promoted at a time, because capacity is reserved for it meanwhile.
      */
     private void promoteLargestJob(List<Job> order, double wallMillis) {
         double since = wallMillis - 1000 * LARGE_JOB_START_SECONDS * PROMOTE_AFTER_FRACTION;
@@ -195,7 +199,10 @@
                 });
     }
 
-    /** How many CPUs such jobs could use at once if these machines, counted by kind, were empty. */
+    /**
+     * Returns how many CPUs such jobs could use at once if these machines, counted by kind, were
+     * empty.
+     */
     private double usableCpus(JobSpec spec, Map<MachineKind, Integer> machines) {
         double cpus = 0;
         for (Map.Entry<MachineKind, Integer> count : machines.entrySet()) {
@@ -210,8 +217,8 @@
     }
 
     /**
-     * Runs a scheduling round: places as many waiting tasks as it can, at most {@code limit}. The
-     * placings take effect once they are written.
+     * Runs a scheduling round: places as many waiting tasks as possible, at most {@code limit}. The
+     * placements take effect once they are committed.
      *
      * @return how many tasks were placed
      */
@@ -250,8 +257,9 @@
 
     /**
      * Whether the job may still wait for machines that have its image. Guards against a job that
-     * waits beside a machine with room for as long as long tasks keep those with its image full:
-     * once none of it was placed for a while, it takes what there is.
+     * waits, although a machine has free capacity, for as long as long tasks occupy the machines
+     * with its image: once none of its tasks was placed for {@link #MAX_IMAGE_WAIT_SECONDS}, it
+     * uses any machine.
      */
     private static boolean mayWaitForImage(Job job, double now, double wallMillis) {
         return wallMillis - job.eligibleSinceMillis() < 1000 * MAX_IMAGE_WAIT_SECONDS
@@ -259,8 +267,8 @@
     }
 
     /**
-     * Whether what such a job finds holds for other jobs of its shape as well; not for a job that
-     * failed, or that has to look at where its other tasks are.
+     * Whether the result of the job applies to other jobs of its shape as well. It does not for a
+     * job that failed, or whose placement depends on where its other tasks are.
      */
     private static boolean isComparable(Job job) {
         if (!job.failedMachines().isEmpty()) {
@@ -271,7 +279,7 @@
                 : !job.spec.isSingleZone() && !job.spec.isSpreadAcrossZones();
     }
 
-    /** Places what it can of the job, and makes room for the rest. */
+    /** Places as many tasks of the job as possible, and frees capacity for the rest. */
     private int placeJob(Turn turn, List<Machine> open, int limit, double now) {
         Job job = turn.job;
         boolean knownWithoutRoom = turn.isKnown(withoutFreeRoom);
@@ -283,7 +291,7 @@
                         ? JobPlacer.Result.NONE
                         : placer.place(job, open, turn.mayWaitForImage, limit, now);
         int placed = result.placed();
-        // A job whose records are full for now does not stand for others, which may fit.
+        // The result of a job whose records are full now does not apply to others, which may fit.
         if (result.recordsFull() || placed >= limit || !mayPlaceMore(job, now)) {
             return placed;
         }
@@ -295,12 +303,12 @@
         }
         if (!makeRoom(job, open, turn.mayWaitForImage, now)) {
             if (turn.comparable) {
-                // Making room may have left out machines that lack this job's image.
+                // Freeing capacity may have left out machines that lack this job's image.
                 beyondPreemption.add(job, turn.mayWaitForImage && job.spec.allowsSpot());
             }
         } else if (!job.spec.isGang()) {
-            // Placings that were not written yet free their room at once. Guards against the work
-            // that gave way taking it again in the same round, over and over.
+            // Evicted placements that are not committed yet free their capacity at once. Guards
+            // against the evicted work taking it again in the same scheduling round, repeatedly.
             placed +=
                     placer.placeTasks(job, open, turn.mayWaitForImage, limit - placed, now)
                             .placed();
@@ -309,8 +317,8 @@
     }
 
     /**
-     * Whether the job has waiting tasks that more room would help. A gang that still has tasks on
-     * machines waits for those, whatever room there is.
+     * Whether the job has waiting tasks that more free capacity would help. A gang that still has
+     * tasks on machines waits for those, regardless of free capacity.
      */
     private boolean mayPlaceMore(Job job, double now) {
         return job.waitingTasks() > 0
--- a/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
+++ b/src/main/java/io/kitepath/core/scheduling/SchedulingQueue.java
@@ -15,19 +15,19 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The order in which jobs are served: work within its team's guarantee first, then by priority, and
- * within that so that as many jobs as possible meet their goals.
+ * Determines the order in which jobs are served: work within its team's guarantee first, then by
+ * priority, and within the same priority so that as many jobs as possible meet their goals.
  *
- * <p>That follows Moore and Hodgson ("An n job, one machine sequencing algorithm for minimizing the
- * number of late jobs", Management Science, 1968): jobs are taken by the time at which they have to
- * start, and where the work up to some job is more than the machines get done until then, the
- * largest job so far goes without. Here that is the largest of those whose class and team are not
- * behind, as long as there is one, then of those that get the most. Guards against an overload in
- * which, ordered by due times alone, each job gets its turn just too late.
+ * <p>The order is based on Moore and Hodgson ("An n job, one machine sequencing algorithm for
+ * minimizing the number of late jobs", Management Science, 1968): jobs are added by their latest
+ * start times, and where the work up to a job exceeds what the machines can complete by then, the
+ * largest job so far is deferred. Here that is the largest of the jobs whose class and team are not
+ * lagging, as long as there is one, then of the jobs with the highest service share. Guards against
+ * an overload in which, ordered by due times alone, each job is served just too late.
  */
 public final class SchedulingQueue {
     /**
-     * A waiting job and the goal that it is tried for.
+     * A waiting job and the goal for which it is scheduled.
      *
      * @param goal the index of the goal
      */
@@ -37,12 +37,12 @@
             double workCpuSeconds,
             double startLatencyMillis,
             double serviceShare) {
-        /** By when it has to be placed, to run by the time that its goal says. */
+        /** Returns the latest time at which the job has to be placed to run by its goal. */
         double latestStartMillis() {
             return job.startGoalMillis(goal) - startLatencyMillis;
         }
 
-        /** When it is done if it is placed just in time. */
+        /** Returns the time at which the job ends if it is placed at its latest start. */
         double latestEndMillis() {
             return latestStartMillis() + job.spec.estimatedSeconds() * 1000;
         }
@@ -61,7 +61,7 @@
                     .thenComparingDouble(entry -> entry.job.eligibleSinceMillis())
                     .thenComparing(entry -> entry.job.spec.id());
 
-    /** Who goes without first: those that get the most, of those the largest. */
+    /** The order in which entries are deferred: highest service share first, then the largest. */
     private static final Comparator<Entry> LARGEST_FIRST =
             Comparator.comparingDouble((Entry entry) -> -entry.serviceShare)
                     .thenComparingDouble(entry -> -entry.workCpuSeconds)
@@ -73,16 +73,16 @@
     private final double wallMillis;
     private final RunningLoad runningLoad;
 
-    /** CPU seconds of the waiting work that is served before the job that is looked at. */
+    /** CPU seconds of the waiting work that is served before the job under consideration. */
     private double cpuSecondsAhead;
 
     /**
-     * @param usableCpus how many CPUs such jobs could use at once if all machines were empty. Only
-     *     machines that the job may use count: guards against an overload of regular machines that
-     *     stays unseen because spot machines, which the job may not use, have room
+     * @param usableCpus how many CPUs such jobs could use at once if all machines were empty.
+     *     Counts only machines that the job may use: guards against an overload of regular machines
+     *     that is not detected because spot machines, which the job may not use, have free capacity
      * @param startLatencySeconds how many seconds pass between placing and running
-     * @param serviceShare 1, or less for a job whose class or team is behind, that is, gets so
-     *     little that others of a higher share go without before it
+     * @param serviceShare 1, or less for a job whose class or team is lagging, that is, receives so
+     *     little service that jobs with a higher share are deferred before it
      * @param now seconds on the steady clock
      * @param wallMillis milliseconds since 1970
      */
@@ -99,7 +99,7 @@
         this.runningLoad = new RunningLoad(now);
     }
 
-    /** Those of the jobs that have work to place, in the order in which they are served. */
+    /** Returns the jobs that have waiting tasks, in the order in which they are served. */
     List<Job> sortJobs(Collection<Job> jobs) {
         Map<Integer, List<Job>> jobsByRank = new LinkedHashMap<>();
         for (Job job : jobs) {
@@ -115,7 +115,7 @@
         return order;
     }
 
-    /** Appends the jobs of one rank: those that meet their goals, and last those that can't. */
+    /** Appends the jobs of one rank: first those that meet their goals, last those that cannot. */
     private void orderRank(List<Job> jobs, List<Job> order) {
         List<Entry> tried = new ArrayList<>();
         List<Job> withoutGoal = new ArrayList<>();
@@ -154,7 +154,11 @@
                 serviceShare.applyAsDouble(spec));
     }
 
-    /** Those of the entries, sorted by their latest start, that go without in an overload. */
+    /**
+     * Returns the entries that are deferred in an overload.
+     *
+     * @param sorted the entries, sorted by their latest start
+     */
     private Set<Entry> chooseLate(List<Entry> sorted) {
         PriorityQueue<Entry> largest = new PriorityQueue<>(LARGEST_FIRST);
         Set<Entry> late = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -164,14 +168,14 @@
                             entry.job.spec, (entry.latestEndMillis() - wallMillis) / 1000);
             cpuSecondsAhead += entry.workCpuSeconds;
             if (entry.isBehind() && entry.workCpuSeconds > available) {
-                // Nobody goes without for a job that can't be in time in any case.
+                // No other job is deferred for a job that cannot meet its goal in any case.
                 cpuSecondsAhead -= entry.workCpuSeconds;
                 late.add(entry);
                 continue;
             }
             largest.add(entry);
-            // The largest makes room for this one; where smaller ones go because it is behind, it
-            // takes several.
+            // The largest entry is deferred in favor of this one. If smaller ones are deferred
+            // because this one is lagging, several are necessary.
             double freed = 0;
             while (cpuSecondsAhead > available
                     && freed < entry.workCpuSeconds
@@ -185,13 +189,19 @@
         return late;
     }
 
-    /** CPU seconds that there are for such waiting work in that time, beside what runs. */
+    /**
+     * Returns the CPU seconds available to such waiting work within the given time, besides what
+     * running work takes.
+     */
     private double availableCpuSeconds(JobSpec spec, double seconds) {
         return Math.max(1, usableCpus.applyAsDouble(spec)) * seconds
                 - runningLoad.cpuSecondsWithin(seconds);
     }
 
-    /** Adds the entry for its next goal that is not past, or last if it has none. */
+    /**
+     * Adds the entry for its next goal that is not past, or its job to {@code withoutGoal} if it
+     * has none.
+     */
     private void addForNextGoal(Entry entry, List<Entry> tried, List<Job> withoutGoal) {
         Job job = entry.job;
         int goal = entry.goal + 1;
--- a/src/main/java/io/kitepath/core/scheduling/StageSearch.java
+++ b/src/main/java/io/kitepath/core/scheduling/StageSearch.java
@@ -14,8 +14,8 @@
 import java.util.Random;
 
 /**
- * One stage of a {@link MachineSearch}: probes a few random machines in use for each task, and
- * scans all machines of the stage where no probe passes.
+ * Searches one stage of a {@link MachineSearch}: probes a few random machines in use for each task,
+ * and scans all machines of the stage if no probe passes.
  */
 final class StageSearch {
     private final ProbePlacement placement;
@@ -24,15 +24,15 @@
     private final List<Machine> candidates;
 
     /**
-     * The candidates that are probed: machines in use, so that idle ones stay whole for gangs and
-     * large tasks, or empty to be released.
+     * The candidates that are probed: machines in use. Idle machines are not probed, so that they
+     * stay whole for gangs and large tasks, or empty to be released.
      */
     private final List<Machine> machinesInUse = new ArrayList<>();
 
-    /** Whether a scan has fixed the scan order. */
+    /** Whether a scan has determined the scan order. */
     private boolean scanned;
 
-    /** The candidates that had room at the first scan, best fit first. */
+    /** The candidates that had capacity at the first scan, best fit first. */
     private final List<Machine> scanOrder = new ArrayList<>();
 
     private int nextInOrder;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The machine for the next task; empty once a scan has found the candidates full. */
+    /** Returns the machine for the next task; empty once a scan has found the candidates full. */
     Optional<Machine> nextMachine() {
         if (scanned && nextInOrder >= scanOrder.size()) {
             return Optional.empty();
@@ -58,7 +58,10 @@
         return probed.isPresent() ? probed : scan();
     }
 
-    /** The first of a few random machines in use that is below the threshold and has room. */
+    /**
+     * Probes a few random machines in use and returns the first that is below the threshold and has
+     * free capacity.
+     */
     private Optional<Machine> probe() {
         Random random = placement.random();
         int machines = machinesInUse.size();
@@ -78,7 +81,9 @@
         return Optional.empty();
     }
 
-    /** The fullest machine that has room, those that have the image first. */
+    /**
+     * Returns the fullest machine that has free capacity; machines that have the image come first.
+     */
     private Optional<Machine> scan() {
         counters.scans++;
         if (!scanned) {
@@ -106,7 +111,10 @@
         scanOrder.sort(Comparator.comparing(scores::get, Comparator.reverseOrder()));
     }
 
-    /** How well a task fits on the machine: its fill level, plus one if it has the image. */
+    /**
+     * Returns how well a task fits on the machine: its fill level, plus one if it has the image,
+     * minus the image count penalty of a non-spot machine if the task may use spot machines.
+     */
     private double score(Machine machine) {
         return (machine.cpusJustifyingRental() + machine.usedCpus() / 4)
                         / placement.typeOf(machine).cpus()
@@ -115,9 +123,10 @@
     }
 
     /**
-     * What the images on a non-spot machine take off its score, below the weight of a full machine.
-     * Guards against work that may run anywhere filling just those non-spot machines that have most
-     * images, on which large work could start at once: it takes those with few images first.
+     * Returns the score penalty for the images on a non-spot machine, which is below the weight of
+     * a full machine. Guards against work that may run anywhere filling the non-spot machines that
+     * have the most images, on which large work could start at once: such work uses the machines
+     * with few images first.
      */
     private static double imageCountPenalty(Machine machine) {
         int images = machine.images().size();
--- a/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
+++ b/src/main/java/io/kitepath/core/scheduling/UnschedulableShapes.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 
 /**
- * What was found to have no room in a scheduling round. Within a round room only shrinks, so that a
- * job with the same rights that asks for at least as much won't find any either, and the shard is
- * not inspected for each of them.
+ * Records the shapes of jobs that found no capacity in a scheduling round. Capacity only shrinks
+ * within a round, so a job with the same rights that requests at least as much finds none either,
+ * and the shard is not inspected again for it.
  */
 final class UnschedulableShapes {
     /**
-     * What decides where a job may go and what gives way to it.
+     * The properties that decide where a job may be placed and which work it may preempt.
      *
      * @param image the image that the job waits for, if machines without it were left out
      */
@@ -47,9 +47,9 @@
     }
 
     /**
-     * What a job needs at least to place anything.
+     * The minimum that a job needs to place any task.
      *
-     * @param tasks all of a gang, which fits as a whole or not at all; else one
+     * @param tasks all tasks of a gang, which fits as a whole or not at all; otherwise one
      */
     private record ResourceRequest(double cpus, double gpus, double memoryGb, int tasks) {
         static ResourceRequest of(Job job) {
@@ -71,17 +71,20 @@
 
     private final Map<PlacementRights, List<ResourceRequest>> requestsByRights = new HashMap<>();
 
-    /** Forgets everything, for a new round. */
+    /** Removes all shapes at the start of a scheduling round. */
     void clear() {
         requestsByRights.clear();
     }
 
-    /** Whether the job can't find room, judged by those that did not. */
+    /** Whether the job cannot find capacity, judged by the jobs that found none. */
     boolean contains(Job job) {
         return containsForAnyImage(job) || contains(job, Optional.ofNullable(job.spec.image()));
     }
 
-    /** The same for a job that does not leave machines out because they lack its image. */
+    /**
+     * Same as {@link #contains(Job)} for a job that does not leave out machines that lack its
+     * image.
+     */
     boolean containsForAnyImage(Job job) {
         return contains(job, Optional.empty());
     }
@@ -93,11 +96,11 @@
     }
 
     /**
-     * Records that the job found no room.
+     * Records that the job found no capacity.
      *
-     * @param waitingForImage whether machines without its image were left out, so that it stands
-     *     only for work with that image. Guards against one job that waits for its image shutting
-     *     all others out of idle machines
+     * @param waitingForImage whether machines without its image were left out, so that the result
+     *     applies only to work with that image. Guards against one job that waits for its image
+     *     keeping all others from idle machines
      */
     void add(Job job, boolean waitingForImage) {
         Optional<String> image =
--- a/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
+++ b/src/main/java/io/kitepath/core/scheduling/WarmReserve.java
@@ -12,15 +12,15 @@
 import java.util.Map;
 
 /**
- * Idle machines that work of lower priority leaves alone for a moment because, by their usual rate,
- * gangs of higher priority will arrive before room could be made for them. Guards against work that
- * fills every machine as soon as a gang has left it, only to be stopped for the next gang.
+ * Reserves idle machines for gangs of higher priority which, at their usual rate, will arrive
+ * before capacity could be freed for them. Guards against work of lower priority that fills every
+ * machine as soon as a gang has left it and is then evicted for the next gang.
  */
 final class WarmReserve {
     private final ShardState shard;
     private final ProbePlacement probePlacement;
 
-    /** The priority of the gangs for which a machine is reserved. */
+    /** The priority of the gangs for which each machine is reserved. */
     private final Map<Machine, JobSpec.Priority> reservedPriorities = new HashMap<>();
 
     WarmReserve(ShardState shard, ProbePlacement probePlacement) {
@@ -28,7 +28,7 @@
         this.probePlacement = probePlacement;
     }
 
-    /** Chooses the reserved machines anew among those that are open for placing. */
+    /** Selects the reserved machines anew among those that are open for placement. */
     void chooseMachines(List<Machine> open, double wallMillis) {
         reservedPriorities.clear();
         List<Machine> idle = new ArrayList<>();
@@ -50,7 +50,8 @@
     }
 
     private void reserve(RecentArrivals.ArrivalRate rate, List<Machine> idle) {
-        // Room is made within about one report: what is stopped has to be reported as ended.
+        // Capacity is freed within about one heartbeat interval: stopped work has to be reported as
+        // ended.
         double tasks =
                 rate.tasksPerSecond() * shard.settings().workers().heartbeatIntervalSeconds();
         for (Machine machine : idle) {
@@ -65,7 +66,7 @@
         }
     }
 
-    /** Whether the job leaves the machine alone, since it would soon have to give way there. */
+    /** Whether the job must not use the machine, because it would soon be evicted there. */
     boolean isReservedAgainst(Machine machine, Job job) {
         if (reservedPriorities.isEmpty() || job.spec.isGang()) {
             return false;
--- a/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/kitepath/core/scheduling/ZoneConstraints.java
@@ -8,20 +8,23 @@
 import java.util.Optional;
 
 /**
- * How many more tasks of a job each zone may have, given where those of its other tasks are that
- * are not proven over. Guards against work placed, room reserved or emptied, and machines rented in
- * a zone that the job can't use because of its other tasks.
+ * Tracks how many more tasks of a job each zone may receive, given the zones of its other tasks
+ * that are not confirmed ended. Guards against placing work, reserving or freeing capacity, and
+ * renting machines in a zone that the job cannot use because of its other tasks.
  *
- * <p>The zone of a machine is null while only a record has named the machine: what runs there may
- * be in any zone.
+ * <p>The zone of a machine is null while the machine is known only from a stored record: the work
+ * that runs there may be in any zone.
  */
 public final class ZoneConstraints {
     private final JobSpec spec;
 
-    /** The only zone that the job may use; empty if that is not decided. */
+    /** The only zone that the job may use; empty if it is not decided yet. */
     private Optional<String> boundZone;
 
-    /** Tasks by zone, counted only if that matters. */
+    /**
+     * Number of tasks by zone; counted only for jobs that have to stay in one zone or are spread
+     * across zones.
+     */
     private final Map<String, Integer> tasksByZone = new HashMap<>();
 
     private int tasksInUnknownZone;
@@ -31,21 +34,24 @@
         this.boundZone = Optional.ofNullable(spec.zone());
     }
 
-    /** Of a job with its running tasks; not of a gang, which starts anew as a whole. */
+    /**
+     * Returns the constraints of a job with its running tasks. The tasks of a gang are not counted,
+     * because a gang restarts as a whole.
+     */
     public static ZoneConstraints of(Job job) {
         ZoneConstraints zones = new ZoneConstraints(job.spec);
         if (!job.spec.isGang() && (job.spec.isSingleZone() || job.spec.isSpreadAcrossZones())) {
             for (Attempt attempt : job.liveAttempts().values()) {
                 zones.countTasks(attempt.machine.zone(), 1);
                 if (zones.boundZone.isPresent() && !job.spec.isSpreadAcrossZones()) {
-                    break; // All the others are in the same zone.
+                    break; // All other tasks are in the same zone.
                 }
             }
         }
         return zones;
     }
 
-    /** Of a job none of whose tasks is on a machine. */
+    /** Returns the constraints of a job that has no tasks on machines. */
     public static ZoneConstraints of(JobSpec spec) {
         return new ZoneConstraints(spec);
     }
@@ -61,7 +67,9 @@
         tasksByZone.merge(zone, tasks, Integer::sum);
     }
 
-    /** Counts so many more tasks in the zone; binds a job that has to stay in one zone to it. */
+    /**
+     * Counts {@code tasks} more tasks in the zone; binds a job that has to stay in one zone to it.
+     */
     public void addTasks(String zone, int tasks) {
         if (tasks > 0) {
             countTasks(zone, tasks);
@@ -73,17 +81,23 @@
         boundZone = Optional.of(zone);
     }
 
-    /** Whether the zone of the job is decided, or can't be until its tasks' zone is known. */
+    /**
+     * Whether the zone of the job is decided, or cannot be decided until the zone of its tasks is
+     * known.
+     */
     public boolean isDecided() {
         return boundZone.isPresent() || isBoundToUnknownZone();
     }
 
-    /** Whether the job is bound to no zone, or to this one. */
+    /** Whether the job is not bound to a zone, or is bound to this one. */
     public boolean allows(String zone) {
         return boundZone.isEmpty() || boundZone.get().equals(zone);
     }
 
-    /** How many more tasks may go to that zone; {@code Integer.MAX_VALUE} without a limit. */
+    /**
+     * Returns how many more tasks may be placed in the zone; {@code Integer.MAX_VALUE} if there is
+     * no limit.
+     */
     public int remainingTasks(String zone) {
         if (!allows(zone) || boundZone.isEmpty() && isBoundToUnknownZone()) {
             return 0;
--- a/src/test/java/io/kitepath/core/scheduling/JobBuilder.java
+++ b/src/test/java/io/kitepath/core/scheduling/JobBuilder.java
@@ -7,8 +7,8 @@
 import io.kitepath.core.shard.Job;
 
 /**
- * Builds jobs for the tests of this package: by default an array of one task of team red, of one
- * CPU and 10 s, submitted at 0 and to be started within 10 s.
+ * Builds jobs for the tests of this package. The default is an array of one task of team red, with
+ * one CPU and 10 s, submitted at 0 and to be started within 10 s.
  */
 final class JobBuilder {
     private final JobSpecBuilder spec;
